--- a/crates/clickhouse/src/block.rs
+++ b/crates/clickhouse/src/block.rs
@@ -35,7 +35,9 @@
         }
     }
     fn of(byte: u8) -> Option<Method> {
-        [Method::None, Method::Lz4, Method::Zstd].into_iter().find(|m| m.byte() == byte)
+        [Method::None, Method::Lz4, Method::Zstd]
+            .into_iter()
+            .find(|m| m.byte() == byte)
     }
 }
 
@@ -63,7 +65,9 @@
 impl std::error::Error for BadFrame {}
 
 fn checksum(bytes: &[u8]) -> [u8; CHECKSUM] {
-    cityhash_rs::cityhash_102_128(bytes).rotate_right(64).to_le_bytes()
+    cityhash_rs::cityhash_102_128(bytes)
+        .rotate_right(64)
+        .to_le_bytes()
 }
 
 fn u32_at(bytes: &[u8], at: usize) -> usize {
@@ -72,7 +76,9 @@
 
 /// The whole size of the frame that these bytes begin, once its head is there.
 fn size(bytes: &[u8]) -> Result<Option<usize>, BadFrame> {
-    let Some(head) = bytes.get(CHECKSUM..CHECKSUM + HEAD) else { return Ok(None) };
+    let Some(head) = bytes.get(CHECKSUM..CHECKSUM + HEAD) else {
+        return Ok(None);
+    };
     let (packed, plain) = (u32_at(head, 1), u32_at(head, 5));
     let fits = (HEAD..=FRAME_MOST).contains(&packed) && plain <= FRAME_MOST;
     match Method::of(head[0]) {
@@ -91,7 +97,9 @@
 pub fn unpack_some(bytes: &[u8], most: usize) -> Result<(Vec<u8>, usize), BadFrame> {
     let (mut out, mut used) = (Vec::new(), 0);
     while out.len() < most {
-        let Some(frame) = first(&bytes[used..])? else { break };
+        let Some(frame) = first(&bytes[used..])? else {
+            break;
+        };
         out.extend(unpack(frame)?);
         used += frame.len();
     }
@@ -111,7 +119,9 @@
 /// Unpacks a whole frame.
 pub fn unpack(frame: &[u8]) -> Result<Vec<u8>, BadFrame> {
     check(frame)?;
-    let head = frame.get(CHECKSUM..CHECKSUM + HEAD).ok_or(BadFrame::NoFrame)?;
+    let head = frame
+        .get(CHECKSUM..CHECKSUM + HEAD)
+        .ok_or(BadFrame::NoFrame)?;
     let (plain, data) = (u32_at(head, 5), &frame[CHECKSUM + HEAD..]);
     if plain > FRAME_MOST {
         return Err(BadFrame::NoFrame);
@@ -171,7 +181,8 @@
             bytes = &bytes[n..];
             let whole = size(&self.frame).inspect_err(|_| {
                 // What stands here instead may be words, which the caller will want to read.
-                self.frame.extend_from_slice(&bytes[..bytes.len().min(TEXT_MOST)]);
+                self.frame
+                    .extend_from_slice(&bytes[..bytes.len().min(TEXT_MOST)]);
             })?;
             if whole == Some(self.frame.len()) {
                 check(&self.frame)?;
@@ -198,7 +209,8 @@
             buffer = self.last.pop_front().map(|f| f.1).unwrap_or_default();
         }
         buffer.clear();
-        self.last.push_back((plain, std::mem::replace(&mut self.frame, buffer)));
+        self.last
+            .push_back((plain, std::mem::replace(&mut self.frame, buffer)));
     }
 
     /// Whether the stream may end here: between two frames.
@@ -231,17 +243,27 @@
     #[test]
     fn what_is_packed_is_unpacked_by_every_method() {
         for method in ALL {
-            for data in
-                [&b""[..], b"a", &[7; 70_000], &(0..9999u32).flat_map(u32::to_le_bytes).collect::<Vec<_>>()]
-            {
-                assert_eq!(unpack(&pack(method, data)).as_deref(), Ok(data), "{method:?}");
+            for data in [
+                &b""[..],
+                b"a",
+                &[7; 70_000],
+                &(0..9999u32).flat_map(u32::to_le_bytes).collect::<Vec<_>>(),
+            ] {
+                assert_eq!(
+                    unpack(&pack(method, data)).as_deref(),
+                    Ok(data),
+                    "{method:?}"
+                );
             }
         }
     }
 
     #[test]
     fn frames_come_in_any_pieces_and_only_the_last_are_held() {
-        let stream: Vec<u8> = ALL.iter().flat_map(|&m| pack(m, format!("{m:?}").as_bytes())).collect();
+        let stream: Vec<u8> = ALL
+            .iter()
+            .flat_map(|&m| pack(m, format!("{m:?}").as_bytes()))
+            .collect();
         for step in [1, 2, 7, 24, 25, 26, 1000] {
             let mut frames = Frames::default();
             for piece in stream.chunks(step) {
@@ -258,7 +280,10 @@
 
     #[test]
     fn frames_that_the_last_bytes_do_not_reach_are_let_go() {
-        let (large, small) = (pack(Method::Lz4, &[b'x'; 3 * TAIL]), pack(Method::None, b"y"));
+        let (large, small) = (
+            pack(Method::Lz4, &[b'x'; 3 * TAIL]),
+            pack(Method::None, b"y"),
+        );
         let mut frames = Frames::default();
         for _ in 0..10 {
             frames.push(&large).expect("well formed");
@@ -268,7 +293,10 @@
             frames.push(&small).expect("well formed");
         }
         assert_eq!(frames.last.len(), LAST_MOST);
-        frames.push(&large).and_then(|()| frames.push(&small)).expect("well formed");
+        frames
+            .push(&large)
+            .and_then(|()| frames.push(&small))
+            .expect("well formed");
         assert_eq!(frames.last.len(), 2);
         assert!(frames.tail().expect("well").ends_with(b"xxy"));
     }
--- a/crates/clickhouse/src/coding.rs
+++ b/crates/clickhouse/src/coding.rs
@@ -31,7 +31,10 @@
     /// By the name in a header; `None` for `identity` and for none that is known.
     pub fn of(name: &str) -> Option<Coding> {
         let name = name.trim();
-        NAMES.iter().find(|n| n.1.eq_ignore_ascii_case(name)).map(|n| n.0)
+        NAMES
+            .iter()
+            .find(|n| n.1.eq_ignore_ascii_case(name))
+            .map(|n| n.0)
     }
 
     /// Its name.
@@ -45,13 +48,22 @@
         let told = |coding: Coding| {
             accept.split(',').any(|each| {
                 let (name, rest) = each.split_once(';').unwrap_or((each, ""));
-                let quality = rest.trim().strip_prefix("q=").and_then(|q| q.trim().parse::<f64>().ok());
+                let quality = rest
+                    .trim()
+                    .strip_prefix("q=")
+                    .and_then(|q| q.trim().parse::<f64>().ok());
                 Coding::of(name) == Some(coding) && quality != Some(0.0)
             })
         };
-        [Coding::Brotli, Coding::Lz4, Coding::Zstd, Coding::Gzip, Coding::Deflate]
-            .into_iter()
-            .find(|&c| told(c))
+        [
+            Coding::Brotli,
+            Coding::Lz4,
+            Coding::Zstd,
+            Coding::Gzip,
+            Coding::Deflate,
+        ]
+        .into_iter()
+        .find(|&c| told(c))
     }
 }
 
@@ -171,7 +183,15 @@
 impl<W: Write> Lz4<W> {
     fn new(to: W) -> Lz4<W> {
         let (held, window) = (Vec::new(), Vec::new());
-        Lz4 { to, held, state: Lz4State::Head, linked: false, sums: (false, false), block_most: 0, window }
+        Lz4 {
+            to,
+            held,
+            state: Lz4State::Head,
+            linked: false,
+            sums: (false, false),
+            block_most: 0,
+            window,
+        }
     }
 
     fn push(&mut self, bytes: &[u8]) -> io::Result<()> {
@@ -191,17 +211,29 @@
 
     /// Takes one thing off these bytes; 0 if it is not whole yet.
     fn step(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        let bad = |what: &str| Err(io::Error::new(io::ErrorKind::InvalidData, format!("lz4: {what}")));
-        let word = |at: usize| bytes.get(at..at + 4).map(|w| u32::from_le_bytes([w[0], w[1], w[2], w[3]]));
+        let bad = |what: &str| {
+            Err(io::Error::new(
+                io::ErrorKind::InvalidData,
+                format!("lz4: {what}"),
+            ))
+        };
+        let word = |at: usize| {
+            bytes
+                .get(at..at + 4)
+                .map(|w| u32::from_le_bytes([w[0], w[1], w[2], w[3]]))
+        };
         match self.state {
             Lz4State::Over if bytes.is_empty() => Ok(0),
             // A stream may be several frames.
             Lz4State::Head | Lz4State::Over => {
-                let Some(&[flags, block]) = bytes.get(4..6) else { return Ok(0) };
+                let Some(&[flags, block]) = bytes.get(4..6) else {
+                    return Ok(0);
+                };
                 if bytes[..4] != LZ4_MAGIC || flags >> 6 != 1 {
                     return bad("no frame");
                 }
-                let length = 7 + if flags & 8 != 0 { 8 } else { 0 } + if flags & 1 != 0 { 4 } else { 0 };
+                let length =
+                    7 + if flags & 8 != 0 { 8 } else { 0 } + if flags & 1 != 0 { 4 } else { 0 };
                 if bytes.len() < length {
                     return Ok(0);
                 }
@@ -231,7 +263,9 @@
             }
             Lz4State::Block(size, plain) => {
                 let whole = size + if self.sums.0 { 4 } else { 0 };
-                let Some(data) = bytes.get(..whole).map(|b| &b[..size]) else { return Ok(0) };
+                let Some(data) = bytes.get(..whole).map(|b| &b[..size]) else {
+                    return Ok(0);
+                };
                 let unpacked;
                 let out: &[u8] = if plain {
                     data
@@ -326,7 +360,9 @@
             Ok(())
         }
     }
-    let Ok(mut unpacker) = Unpacker::new(coding, First(Vec::new(), most)) else { return Vec::new() };
+    let Ok(mut unpacker) = Unpacker::new(coding, First(Vec::new(), most)) else {
+        return Vec::new();
+    };
     // In small pieces: what comes before a fault still counts.
     for piece in packed.chunks(512) {
         if unpacker.push(piece).is_err() {
@@ -341,10 +377,18 @@
 mod tests {
     use super::*;
 
-    const ALL: [Coding; 5] = [Coding::Gzip, Coding::Deflate, Coding::Brotli, Coding::Zstd, Coding::Lz4];
+    const ALL: [Coding; 5] = [
+        Coding::Gzip,
+        Coding::Deflate,
+        Coding::Brotli,
+        Coding::Zstd,
+        Coding::Lz4,
+    ];
 
     fn text() -> Vec<u8> {
-        (0..40_000).flat_map(|n| format!("{n}\talumni of {}\n", n * 7919 % 1000).into_bytes()).collect()
+        (0..40_000)
+            .flat_map(|n| format!("{n}\talumni of {}\n", n * 7919 % 1000).into_bytes())
+            .collect()
     }
 
     #[test]
@@ -357,10 +401,13 @@
                 for piece in packed.chunks(step) {
                     unpacker.push(piece).expect("well formed");
                 }
-                unpacker.may_end().unwrap_or_else(|e| panic!("{coding:?}: {e}"));
+                unpacker
+                    .may_end()
+                    .unwrap_or_else(|e| panic!("{coding:?}: {e}"));
                 assert_eq!(unpacker.get_ref().total, plain.len() as u64, "{coding:?}");
                 assert!(
-                    plain.ends_with(unpacker.get_ref().bytes()) && unpacker.get_ref().bytes().len() >= 1000
+                    plain.ends_with(unpacker.get_ref().bytes())
+                        && unpacker.get_ref().bytes().len() >= 1000
                 );
             }
             assert_eq!(beginning(coding, &packed, 100), &plain[..100], "{coding:?}");
--- a/crates/clickhouse/src/exception.rs
+++ b/crates/clickhouse/src/exception.rs
@@ -92,9 +92,9 @@
 
 /// Those of the list that any engine would give: the statement's, its user's or its session's.
 const OF_THE_STATEMENT: &[u32] = &[
-    6, 8, 10, 15, 16, 20, 26, 27, 36, 38, 41, 42, 43, 44, 46, 47, 48, 50, 51, 53, 57, 60, 62, 63, 69, 70, 72,
-    73, 81, 82, 115, 117, 130, 158, 164, 192, 193, 194, 216, 271, 307, 354, 372, 373, 381, 394, 395, 396,
-    456, 497, 516, 636,
+    6, 8, 10, 15, 16, 20, 26, 27, 36, 38, 41, 42, 43, 44, 46, 47, 48, 50, 51, 53, 57, 60, 62, 63,
+    69, 70, 72, 73, 81, 82, 115, 117, 130, 158, 164, 192, 193, 194, 216, 271, 307, 354, 372, 373,
+    381, 394, 395, 396, 456, 497, 516, 636,
 ];
 
 /// Engines full of queries say this: it never ran.
@@ -113,7 +113,9 @@
 
 /// The HTTP status that goes with a code.
 pub fn status(code: u32) -> u16 {
-    CODES.binary_search_by_key(&code, |c| c.0).map_or(500, |at| CODES[at].2)
+    CODES
+        .binary_search_by_key(&code, |c| c.0)
+        .map_or(500, |at| CODES[at].2)
 }
 
 /// What a code proves; `status` decides where no code was told.
@@ -131,19 +133,28 @@
     let rest = text.trim_start().strip_prefix("Code: ")?;
     let end = rest.find(|c: char| !c.is_ascii_digit())?;
     let code = rest[..end].parse().ok()?;
-    rest[end..].trim_start_matches(['.', ',', ' ']).contains("Exception").then_some(code)
+    rest[end..]
+        .trim_start_matches(['.', ',', ' '])
+        .contains("Exception")
+        .then_some(code)
 }
 
 impl Exception {
     /// One in this program's words, without a full stop.
     pub fn new(code: u32, words: &str) -> Exception {
         let name = name(code).unwrap_or("UNKNOWN_EXCEPTION");
-        Exception { code, text: format!("Code: {code}. DB::Exception: {words}. ({name})") }
+        Exception {
+            code,
+            text: format!("Code: {code}. DB::Exception: {words}. ({name})"),
+        }
     }
 
     /// An engine's text, if it tells a code.
     pub fn of_text(text: &str) -> Option<Exception> {
-        Some(Exception { code: code_of(text)?, text: text.trim_end().into() })
+        Some(Exception {
+            code: code_of(text)?,
+            text: text.trim_end().into(),
+        })
     }
 
     /// The HTTP status that goes with it.
@@ -168,8 +179,13 @@
     let rest = String::from_utf8_lossy(&tail[at..]);
     // The text may have several lines; behind it stand its length and the tag.
     let end = rest.rfind(&format!(" {tag}\r\n")).unwrap_or(rest.len());
-    let text = rest[..end].trim_end_matches(|c: char| c.is_ascii_digit()).trim_end();
-    Some(Exception::of_text(text).unwrap_or_else(|| Exception { code: 0, text: text.into() }))
+    let text = rest[..end]
+        .trim_end_matches(|c: char| c.is_ascii_digit())
+        .trim_end();
+    Some(Exception::of_text(text).unwrap_or_else(|| Exception {
+        code: 0,
+        text: text.into(),
+    }))
 }
 
 /// The bytes that tell of an exception behind rows, for clients that were told this tag.
@@ -183,16 +199,25 @@
 /// or the server's version in brackets.
 pub fn last_lines(tail: &[u8], cut: bool) -> Option<Exception> {
     let text = String::from_utf8_lossy(tail);
-    let begins = text.match_indices("Code: ").filter(|(at, _)| *at == 0 || text[..*at].ends_with('\n'));
-    let words = begins.map(|(at, _)| &text[at..]).filter(|words| code_of(words).is_some()).last()?;
+    let begins = text
+        .match_indices("Code: ")
+        .filter(|(at, _)| *at == 0 || text[..*at].ends_with('\n'));
+    let words = begins
+        .map(|(at, _)| &text[at..])
+        .filter(|words| code_of(words).is_some())
+        .last()?;
     let exception = Exception::of_text(words)?;
     (cut || ends_like_one(&exception.text)).then_some(exception)
 }
 
 fn ends_like_one(text: &str) -> bool {
-    let Some((_, last)) = text.strip_suffix(')').and_then(|t| t.rsplit_once('(')) else { return false };
-    let is_name =
-        !last.is_empty() && last.bytes().all(|b| b.is_ascii_uppercase() || b"_0123456789".contains(&b));
+    let Some((_, last)) = text.strip_suffix(')').and_then(|t| t.rsplit_once('(')) else {
+        return false;
+    };
+    let is_name = !last.is_empty()
+        && last
+            .bytes()
+            .all(|b| b.is_ascii_uppercase() || b"_0123456789".contains(&b));
     is_name || text.contains("(version ")
 }
 
@@ -202,9 +227,15 @@
     let text = text.trim_end();
     // It is the last key: what stands behind its string closes the objects alone.
     let at = text.rfind("\"exception\"")? + "\"exception\"".len();
-    let rest = text[at..].trim_start().strip_prefix(':')?.trim_start().strip_prefix('"')?;
+    let rest = text[at..]
+        .trim_start()
+        .strip_prefix(':')?
+        .trim_start()
+        .strip_prefix('"')?;
     let (words, behind) = json_string(rest)?;
-    let closes = behind.chars().all(|c| c.is_whitespace() || matches!(c, '}' | ']'));
+    let closes = behind
+        .chars()
+        .all(|c| c.is_whitespace() || matches!(c, '}' | ']'));
     closes.then(|| Exception::of_text(&words)).flatten()
 }
 
@@ -243,25 +274,40 @@
     fn the_list_is_in_order_so_that_codes_are_found() {
         assert!(CODES.windows(2).all(|w| w[0].0 < w[1].0));
         assert!(OF_THE_STATEMENT.iter().all(|&c| name(c).is_some()));
-        assert_eq!((name(62), status(62), status(99_999)), (Some("SYNTAX_ERROR"), 400, 500));
+        assert_eq!(
+            (name(62), status(62), status(99_999)),
+            (Some("SYNTAX_ERROR"), 400, 500)
+        );
     }
 
     #[test]
     fn codes_are_read_and_what_only_looks_like_one_is_not() {
         assert_eq!(code_of("Code: 62. DB::Exception: Syntax error"), Some(62));
-        assert_eq!(code_of("Code: 241, e.displayText() = DB::Exception: Memory"), Some(241));
+        assert_eq!(
+            code_of("Code: 241, e.displayText() = DB::Exception: Memory"),
+            Some(241)
+        );
         assert_eq!(code_of("Code: x. DB::Exception"), None);
         assert_eq!(code_of("Code: 62. nothing of the kind"), None);
         let own = Exception::new(372, "Session not found");
-        assert_eq!(own.text, "Code: 372. DB::Exception: Session not found. (SESSION_NOT_FOUND)");
+        assert_eq!(
+            own.text,
+            "Code: 372. DB::Exception: Session not found. (SESSION_NOT_FOUND)"
+        );
         assert_eq!(Exception::of_text(&own.text), Some(own));
     }
 
     #[test]
     fn a_marker_is_found_with_all_its_lines_and_an_older_one_in_the_rows_is_not_mistaken() {
         let words = "Code: 241. DB::Exception: Memory\nlimit. (MEMORY_LIMIT_EXCEEDED)";
-        let tail = format!("1\n__exception__\r\nother\r\nCode: 1\n{}", marker("tag", words));
-        assert_eq!(tagged(tail.as_bytes(), "tag").map(|e| (e.code, e.text)), Some((241, words.into())));
+        let tail = format!(
+            "1\n__exception__\r\nother\r\nCode: 1\n{}",
+            marker("tag", words)
+        );
+        assert_eq!(
+            tagged(tail.as_bytes(), "tag").map(|e| (e.code, e.text)),
+            Some((241, words.into()))
+        );
         assert_eq!(tagged(tail.as_bytes(), "nope"), None);
     }
 
--- a/crates/clickhouse/src/keep.rs
+++ b/crates/clickhouse/src/keep.rs
@@ -32,7 +32,12 @@
 impl Keep {
     /// A budget of so many bytes for what bodies hold beyond [`SMALL`].
     pub fn new(total: usize) -> Keep {
-        Keep { total, item: ITEM.min(total / 2 + SMALL), held: 0, counts: Counts::default() }
+        Keep {
+            total,
+            item: ITEM.min(total / 2 + SMALL),
+            held: 0,
+            counts: Counts::default(),
+        }
     }
 
     /// A body that holds `reserved` bytes of the budget grows to `size`: how much it holds then, and how long it may
--- a/crates/clickhouse/src/multipart.rs
+++ b/crates/clickhouse/src/multipart.rs
@@ -25,7 +25,9 @@
     }
     let told = rest.split(';').find_map(|p| {
         let (name, value) = p.split_once('=')?;
-        name.trim().eq_ignore_ascii_case("boundary").then(|| value.trim().trim_matches('"').to_string())
+        name.trim()
+            .eq_ignore_ascii_case("boundary")
+            .then(|| value.trim().trim_matches('"').to_string())
     })?;
     ((1..=70).contains(&told.len()) && told.bytes().all(|b| b.is_ascii_graphic() || b == b' '))
         .then_some(told)
@@ -52,7 +54,10 @@
             return Ok(parts);
         }
         // White space may pad a boundary's line.
-        let pad = rest.iter().take_while(|b| matches!(b, b' ' | b'\t')).count();
+        let pad = rest
+            .iter()
+            .take_while(|b| matches!(b, b' ' | b'\t'))
+            .count();
         if !rest[pad..].starts_with(b"\r\n") {
             return Err("a boundary's line goes on");
         }
@@ -64,11 +69,17 @@
         if head_end > HEAD_MOST {
             return Err("a part's head is too long");
         }
-        let head = std::str::from_utf8(&body[at..at + head_end]).map_err(|_| "a part's head is no text")?;
+        let head = std::str::from_utf8(&body[at..at + head_end])
+            .map_err(|_| "a part's head is no text")?;
         let (name, file) = disposition(head).ok_or("a part has no name")?;
         let begin = at + head_end + 4;
-        let length = find(&body[begin..], between.as_bytes()).ok_or("the last boundary never comes")?;
-        parts.push(Part { name, file, data: begin..begin + length });
+        let length =
+            find(&body[begin..], between.as_bytes()).ok_or("the last boundary never comes")?;
+        parts.push(Part {
+            name,
+            file,
+            data: begin..begin + length,
+        });
         at = begin + length + between.len();
     }
 }
@@ -77,12 +88,16 @@
 fn disposition(head: &str) -> Option<(String, Option<String>)> {
     let line = head.split("\r\n").find_map(|l| {
         let (name, value) = l.split_once(':')?;
-        name.trim().eq_ignore_ascii_case("content-disposition").then_some(value)
+        name.trim()
+            .eq_ignore_ascii_case("content-disposition")
+            .then_some(value)
     })?;
     let value = |key: &str| {
         line.split(';').skip(1).find_map(|p| {
             let (name, value) = p.split_once('=')?;
-            name.trim().eq_ignore_ascii_case(key).then(|| value.trim().trim_matches('"').to_string())
+            name.trim()
+                .eq_ignore_ascii_case(key)
+                .then(|| value.trim().trim_matches('"').to_string())
         })
     };
     Some((value("name").filter(|n| !n.is_empty())?, value("filename")))
@@ -105,7 +120,10 @@
         let kind = "multipart/form-data; charset=utf-8; boundary=\"b1\"";
         let parts = parse(BODY.as_bytes(), &boundary(kind).expect("one")).expect("well formed");
         let data = |n: usize| &BODY[parts[n].data.clone()];
-        assert_eq!((parts[0].name.as_str(), &parts[0].file, data(0)), ("query", &None, "SELECT 1"));
+        assert_eq!(
+            (parts[0].name.as_str(), &parts[0].file, data(0)),
+            ("query", &None, "SELECT 1")
+        );
         assert_eq!((parts[1].name.as_str(), data(1)), ("t", "1\t--b1\n"));
         assert_eq!(parts[1].file.as_deref(), Some("t.tsv"));
     }
@@ -114,12 +132,20 @@
     fn every_cut_of_a_body_is_told_and_none_panics() {
         let whole = BODY.trim_end().len();
         for end in 0..whole {
-            assert!(parse(&BODY.as_bytes()[..end], "b1").is_err(), "cut at {end}");
+            assert!(
+                parse(&BODY.as_bytes()[..end], "b1").is_err(),
+                "cut at {end}"
+            );
         }
         assert!(parse(BODY.as_bytes(), "other").is_err());
-        assert!(parse(b"--b\r\nContent-Disposition: form-data\r\n\r\n\r\n--b--", "b").is_err());
-        let many =
-            "--b\r\nContent-Disposition: form-data; name=\"a\"\r\n\r\n\r\n".repeat(PARTS_MOST + 1) + "--b--";
+        assert!(parse(
+            b"--b\r\nContent-Disposition: form-data\r\n\r\n\r\n--b--",
+            "b"
+        )
+        .is_err());
+        let many = "--b\r\nContent-Disposition: form-data; name=\"a\"\r\n\r\n\r\n"
+            .repeat(PARTS_MOST + 1)
+            + "--b--";
         assert_eq!(parse(many.as_bytes(), "b"), Err("there are too many parts"));
         assert_eq!(boundary("multipart/form-data"), None);
         assert!(is_form("Multipart/Form-Data") && boundary("text/plain; boundary=b").is_none());
--- a/crates/clickhouse/src/params.rs
+++ b/crates/clickhouse/src/params.rs
@@ -23,7 +23,11 @@
 
     /// The last value under a name: where a client repeats one, ClickHouse heeds the last too.
     pub fn get(&self, name: &str) -> Option<&str> {
-        self.0.iter().rev().find(|p| p.0 == name).map(|p| p.1.as_str())
+        self.0
+            .iter()
+            .rev()
+            .find(|p| p.0 == name)
+            .map(|p| p.1.as_str())
     }
 
     /// The last value under a name that is not empty.
@@ -33,7 +37,8 @@
 
     /// Whether a switch is on: `1` or `true`.
     pub fn is_on(&self, name: &str) -> bool {
-        self.get(name).is_some_and(|v| v == "1" || v.eq_ignore_ascii_case("true"))
+        self.get(name)
+            .is_some_and(|v| v == "1" || v.eq_ignore_ascii_case("true"))
     }
 
     /// Adds one behind the others.
@@ -109,7 +114,10 @@
     #[test]
     fn the_last_of_a_repeated_name_counts_and_a_flood_is_no_list() {
         let params = Params::parse("a=1&a=2&b&&wait=TRUE").expect("few");
-        assert_eq!((params.get("a"), params.get("b"), params.told("b")), (Some("2"), Some(""), None));
+        assert_eq!(
+            (params.get("a"), params.get("b"), params.told("b")),
+            (Some("2"), Some(""), None)
+        );
         assert!(params.is_on("wait") && !params.is_on("a"));
         assert!(Params::parse(&"a&".repeat(PARAMS_MOST)).is_some());
         assert!(Params::parse(&"a&".repeat(PARAMS_MOST + 1)).is_none());
--- a/crates/clickhouse/src/request.rs
+++ b/crates/clickhouse/src/request.rs
@@ -108,12 +108,22 @@
 ];
 
 /// Headers that are passed on beside `X-ClickHouse-*`.
-const PASSED: [&str; 7] =
-    ["content-encoding", "content-type", "origin", "referer", "user-agent", "traceparent", "tracestate"];
+const PASSED: [&str; 7] = [
+    "content-encoding",
+    "content-type",
+    "origin",
+    "referer",
+    "user-agent",
+    "traceparent",
+    "tracestate",
+];
 
 /// Reads a request; where its body goes on, by its beginning.
 pub fn read(request: &Request) -> Result<Asked, Exception> {
-    let (path, query) = request.target.split_once('?').unwrap_or((&request.target, ""));
+    let (path, query) = request
+        .target
+        .split_once('?')
+        .unwrap_or((&request.target, ""));
     let method = request.method.as_str();
     let fetch = matches!(method, "GET" | "HEAD");
     Ok(match (method, path) {
@@ -126,7 +136,9 @@
         ("GET" | "HEAD" | "POST", "/" | "/query") => {
             Asked::Query(Box::new(read_query(request, query, fetch)?))
         }
-        (_, "/" | "/query" | "/ping" | "/replicas_status" | "/alive" | "/counters") => Asked::NoMethod,
+        (_, "/" | "/query" | "/ping" | "/replicas_status" | "/alive" | "/counters") => {
+            Asked::NoMethod
+        }
         _ => Asked::NoPath,
     })
 }
@@ -138,7 +150,9 @@
 /// A name that a client gave: bounded, and nothing that could forge a line.
 fn named(what: &str, name: &str) -> Result<String, Exception> {
     if name.len() > NAME_MOST || name.chars().any(char::is_control) {
-        return Err(bad(&format!("{what} is longer than {NAME_MOST} bytes or holds control characters")));
+        return Err(bad(&format!(
+            "{what} is longer than {NAME_MOST} bytes or holds control characters"
+        )));
     }
     Ok(name.into())
 }
@@ -152,7 +166,11 @@
     if form {
         in_form = read_form(request, content_type, &mut params)?;
     }
-    let body = if form { String::new() } else { readable(request, &params)? };
+    let body = if form {
+        String::new()
+    } else {
+        readable(request, &params)?
+    };
     let in_url = params.get("query").unwrap_or_default();
     // The server reads the URL's part first, and the body behind it.
     let statement = match (in_url.trim().is_empty(), form) {
@@ -171,15 +189,24 @@
         return Err(Exception::new(READONLY, words));
     }
     let told = |name: &str, in_header: &str| {
-        let found = params.told(name).or_else(|| header(&request.headers, in_header));
+        let found = params
+            .told(name)
+            .or_else(|| header(&request.headers, in_header));
         found.filter(|v| !v.is_empty())
     };
-    let id = told("query_id", "X-ClickHouse-Query-Id").map(|id| named("query_id", id)).transpose()?;
+    let id = told("query_id", "X-ClickHouse-Query-Id")
+        .map(|id| named("query_id", id))
+        .transpose()?;
     let session = match params.told("session_id") {
         Some(id) => Some(read_session(id, &params)?),
         None => None,
     };
-    let seconds = |name: &str| params.get(name).and_then(|s| s.parse::<f64>().ok()).filter(|s| *s > 0.0);
+    let seconds = |name: &str| {
+        params
+            .get(name)
+            .and_then(|s| s.parse::<f64>().ok())
+            .filter(|s| *s > 0.0)
+    };
     let compressed = params.is_on("enable_http_compression");
     let query = Query {
         id,
@@ -204,21 +231,32 @@
     let timeout = match params.told("session_timeout") {
         None => None,
         Some(text) => {
-            let seconds: u64 =
-                text.parse().map_err(|_| bad(&format!("Invalid session timeout: '{text}'")))?;
+            let seconds: u64 = text
+                .parse()
+                .map_err(|_| bad(&format!("Invalid session timeout: '{text}'")))?;
             let most = TIMEOUT_MOST / 1_000_000;
             if seconds > most {
-                let words = format!("Session timeout '{seconds}' is larger than max_session_timeout: {most}");
+                let words = format!(
+                    "Session timeout '{seconds}' is larger than max_session_timeout: {most}"
+                );
                 return Err(bad(&words));
             }
             Some(seconds * 1_000_000)
         }
     };
-    Ok(Told { id: named("session_id", id)?, check: params.is_on("session_check"), timeout })
+    Ok(Told {
+        id: named("session_id", id)?,
+        check: params.is_on("session_check"),
+        timeout,
+    })
 }
 
 /// The form's own fields join the parameters; answers with the field `query`.
-fn read_form(request: &Request, content_type: &str, params: &mut Params) -> Result<String, Exception> {
+fn read_form(
+    request: &Request,
+    content_type: &str,
+    params: &mut Params,
+) -> Result<String, Exception> {
     let boundary = multipart::boundary(content_type)
         .ok_or_else(|| bad("multipart/form-data without a boundary that can be used"))?;
     if request.goes_on {
@@ -251,14 +289,21 @@
     let mut first: Vec<u8> = match header(&request.headers, "content-encoding") {
         Some(name) if !name.eq_ignore_ascii_case("identity") => {
             let coding = Coding::of(name).ok_or_else(|| {
-                Exception::new(48, &format!("Content-Encoding {name} is not supported here"))
+                Exception::new(
+                    48,
+                    &format!("Content-Encoding {name} is not supported here"),
+                )
             })?;
             beginning(coding, &request.body, LOOKED_AT)
         }
         _ => request.body[..request.body.len().min(LOOKED_AT)].to_vec(),
     };
     if params.is_on("decompress") {
-        let packed = if first.len() < LOOKED_AT { &first } else { &request.body };
+        let packed = if first.len() < LOOKED_AT {
+            &first
+        } else {
+            &request.body
+        };
         let unpacked = crate::block::unpack_some(packed, LOOKED_AT)
             .map_err(|e| Exception::new(271, &format!("Cannot decompress the body: {e}")))?;
         first = unpacked.0;
@@ -278,7 +323,11 @@
     target
 }
 
-fn headers(request: &Request, credentials: &Credentials, compressed: bool) -> Result<Secret, Exception> {
+fn headers(
+    request: &Request,
+    credentials: &Credentials,
+    compressed: bool,
+) -> Result<Secret, Exception> {
     let mut text = String::new();
     for (name, value) in &request.headers {
         let lower = name.to_ascii_lowercase();
@@ -291,7 +340,9 @@
     if compressed {
         // Only codings that can be followed are offered to engines: a result that can't be watched can't be trusted.
         let told = header(&request.headers, "accept-encoding").unwrap_or_default();
-        let known = told.split(',').filter(|c| Coding::of(c.split(';').next().unwrap_or_default()).is_some());
+        let known = told
+            .split(',')
+            .filter(|c| Coding::of(c.split(';').next().unwrap_or_default()).is_some());
         let known: Vec<&str> = known.map(str::trim).collect();
         if !known.is_empty() {
             let _ = write!(text, "Accept-Encoding: {}\r\n", known.join(", "));
@@ -315,7 +366,10 @@
         Request {
             method: method.into(),
             target: target.into(),
-            headers: headers.iter().map(|h| (h.0.to_string(), h.1.to_string())).collect(),
+            headers: headers
+                .iter()
+                .map(|h| (h.0.to_string(), h.1.to_string()))
+                .collect(),
             body: body.to_vec(),
             goes_on: false,
             version_1_1: true,
@@ -323,7 +377,12 @@
         }
     }
 
-    fn query(method: &str, target: &str, headers: &[(&str, &str)], body: &[u8]) -> Result<Query, Exception> {
+    fn query(
+        method: &str,
+        target: &str,
+        headers: &[(&str, &str)],
+        body: &[u8],
+    ) -> Result<Query, Exception> {
         match read(&request(method, target, headers, body))? {
             Asked::Query(query) => Ok(*query),
             other => panic!("{other:?}"),
@@ -334,17 +393,30 @@
     fn the_statement_is_found_wherever_it_stands_and_however_packed() {
         let insert = b"INSERT INTO uni_4.t FORMAT CSV\n1,2\n";
         let gzip = crate::coding::pack(Coding::Gzip, insert).expect("packs");
-        let frames = [pack(Method::Lz4, &insert[..9]), pack(Method::Zstd, &insert[9..])].concat();
+        let frames = [
+            pack(Method::Lz4, &insert[..9]),
+            pack(Method::Zstd, &insert[9..]),
+        ]
+        .concat();
         let form = b"--b\r\nContent-Disposition: form-data; name=\"query\"\r\n\r\nINSERT INTO uni_4.t VALUES\r\n--b--";
         for (target, headers, body) in [
             ("/", vec![], &insert[..]),
             ("/?query=INSERT+INTO+uni_4.t+FORMAT+CSV", vec![], b"1,2\n"),
             ("/", vec![("Content-Encoding", "gzip")], &gzip),
             ("/?decompress=1", vec![], &frames),
-            ("/", vec![("Content-Type", "multipart/form-data; boundary=b")], form),
+            (
+                "/",
+                vec![("Content-Type", "multipart/form-data; boundary=b")],
+                form,
+            ),
         ] {
-            let read = query("POST", target, &headers, body).unwrap_or_else(|e| panic!("{target}: {e}"));
-            assert_eq!((read.shape.writes.as_deref(), read.shape.tables), (Some("uni_4.t"), 4), "{target}");
+            let read =
+                query("POST", target, &headers, body).unwrap_or_else(|e| panic!("{target}: {e}"));
+            assert_eq!(
+                (read.shape.writes.as_deref(), read.shape.tables),
+                (Some("uni_4.t"), 4),
+                "{target}"
+            );
         }
     }
 
@@ -356,16 +428,54 @@
         let form = ("Content-Type", "multipart/form-data; boundary=b");
         assert_eq!(code("POST", "/", &[], b"  "), 62);
         assert_eq!(code("GET", "/?query=DROP+TABLE+t", &[], b""), 164);
-        assert_eq!(code("POST", "/?decompress=1", &[], b"SELECT 1 -- and more than one frame's head"), 271);
+        assert_eq!(
+            code(
+                "POST",
+                "/?decompress=1",
+                &[],
+                b"SELECT 1 -- and more than one frame's head"
+            ),
+            271
+        );
         let mut frame = pack(Method::Lz4, b"SELECT 1");
         frame[30] ^= 1;
         assert_eq!(code("POST", "/?decompress=1", &[], &frame), 271);
-        assert_eq!(code("POST", "/", &[("Content-Encoding", "snappy")], b"x"), 48);
+        assert_eq!(
+            code("POST", "/", &[("Content-Encoding", "snappy")], b"x"),
+            48
+        );
         assert_eq!(code("POST", "/", &[form], b"nothing of the kind"), 36);
-        assert_eq!(code("POST", "/", &[("Content-Type", "multipart/form-data")], b"x"), 36);
-        assert_eq!(code("POST", "/?session_id=a&session_timeout=99999", &[], b"SELECT 1"), 36);
-        assert_eq!(code("POST", "/?session_id=a&session_timeout=x", &[], b"SELECT 1"), 36);
-        assert_eq!(code("POST", &format!("/?query_id={}", "a".repeat(300)), &[], b"SELECT 1"), 36);
+        assert_eq!(
+            code(
+                "POST",
+                "/",
+                &[("Content-Type", "multipart/form-data")],
+                b"x"
+            ),
+            36
+        );
+        assert_eq!(
+            code(
+                "POST",
+                "/?session_id=a&session_timeout=99999",
+                &[],
+                b"SELECT 1"
+            ),
+            36
+        );
+        assert_eq!(
+            code("POST", "/?session_id=a&session_timeout=x", &[], b"SELECT 1"),
+            36
+        );
+        assert_eq!(
+            code(
+                "POST",
+                &format!("/?query_id={}", "a".repeat(300)),
+                &[],
+                b"SELECT 1"
+            ),
+            36
+        );
     }
 
     #[test]
@@ -373,25 +483,45 @@
         let target =
             "/?database=uni&param_x=a%26b&password=hunter2&user=jana&query_id=q&max_execution_time=2.5\
                       &driftfront_class=report&session_id=s&session_check=1&send_progress_in_http_headers=1";
-        let headers = [("X-ClickHouse-Format", "CSV"), ("X-Evil", "1"), ("Accept-Encoding", "gzip, snappy")];
+        let headers = [
+            ("X-ClickHouse-Format", "CSV"),
+            ("X-Evil", "1"),
+            ("Accept-Encoding", "gzip, snappy"),
+        ];
         let read = query("POST", target, &headers, b"SELECT 1").expect("well formed");
         assert_eq!(read.target, "&database=uni&param_x=a%26b&session_id=s");
-        let secret = "X-ClickHouse-Format: CSV\r\nX-ClickHouse-User: jana\r\nX-ClickHouse-Key: hunter2\r\n";
+        let secret =
+            "X-ClickHouse-Format: CSV\r\nX-ClickHouse-User: jana\r\nX-ClickHouse-Key: hunter2\r\n";
         assert_eq!(read.headers.0, secret);
-        assert_eq!((read.wanted_within, read.progress, read.frames), (Some(2_500_000), true, false));
-        assert!(read.session.as_ref().is_some_and(|s| s.id == "s" && s.check));
+        assert_eq!(
+            (read.wanted_within, read.progress, read.frames),
+            (Some(2_500_000), true, false)
+        );
+        assert!(read
+            .session
+            .as_ref()
+            .is_some_and(|s| s.id == "s" && s.check));
         assert!(!format!("{read:?}").contains("hunter2"));
-        let packed =
-            query("POST", "/?enable_http_compression=1", &headers, b"SELECT 1").expect("well formed");
+        let packed = query("POST", "/?enable_http_compression=1", &headers, b"SELECT 1")
+            .expect("well formed");
         assert!(packed.headers.0.contains("Accept-Encoding: gzip\r\n"));
     }
 
     #[test]
     fn paths_and_methods_that_are_not_there_are_told_apart() {
         let asked = |method, target| read(&request(method, target, &[], b"")).expect("no query");
-        assert!(matches!(asked("HEAD", "/"), Asked::Ping) && matches!(asked("GET", "/ping"), Asked::Ping));
+        assert!(
+            matches!(asked("HEAD", "/"), Asked::Ping)
+                && matches!(asked("GET", "/ping"), Asked::Ping)
+        );
         assert!(matches!(asked("OPTIONS", "/?query=x"), Asked::Options));
-        assert!(matches!(asked("PUT", "/"), Asked::NoMethod) && matches!(asked("GET", "/x"), Asked::NoPath));
-        assert!(matches!(asked("GET", "/replicas_status"), Asked::ReplicasStatus));
+        assert!(
+            matches!(asked("PUT", "/"), Asked::NoMethod)
+                && matches!(asked("GET", "/x"), Asked::NoPath)
+        );
+        assert!(matches!(
+            asked("GET", "/replicas_status"),
+            Asked::ReplicasStatus
+        ));
     }
 }
--- a/crates/clickhouse/src/session.rs
+++ b/crates/clickhouse/src/session.rs
@@ -184,7 +184,16 @@
             self.make_room()?;
             self.counts.begun += 1;
             let (home, tied, lost, busy, uses) = (None, false, false, None, 0);
-            let new = Session { home, tied, lost, busy, uses, used: now, expires: now + timeout, timeout };
+            let new = Session {
+                home,
+                tied,
+                lost,
+                busy,
+                uses,
+                used: now,
+                expires: now + timeout,
+                timeout,
+            };
             self.insert(name, new);
         }
         self.change(name, |s| {
@@ -192,12 +201,19 @@
             s.uses = s.uses.saturating_add(1);
             (s.used, s.timeout) = (now, timeout);
         });
-        Ok(self.sessions.get(&name).and_then(|s| Some(Home { engine: s.home?, tied: s.tied })))
+        Ok(self.sessions.get(&name).and_then(|s| {
+            Some(Home {
+                engine: s.home?,
+                tied: s.tied,
+            })
+        }))
     }
 
     /// A session's query is over, and nothing of it is out any more.
     pub fn over(&mut self, now: Micros, name: Name, fate: Fate<E>) {
-        let Some(session) = self.sessions.get(&name) else { return };
+        let Some(session) = self.sessions.get(&name) else {
+            return;
+        };
         let (moved, fresh) = match (fate, session.home) {
             (Fate::Ran(to, _) | Fate::Unknown(to), Some(from)) => (to != from, false),
             (_, home) => (false, home.is_none()),
@@ -228,8 +244,12 @@
 
     /// An engine drains or is gone: nothing new goes there. Loose sessions may move; tied ones are lost.
     pub fn engine_left(&mut self, engine: E) {
-        let there: Vec<Name> =
-            self.sessions.iter().filter(|(_, s)| s.home == Some(engine)).map(|(&name, _)| name).collect();
+        let there: Vec<Name> = self
+            .sessions
+            .iter()
+            .filter(|(_, s)| s.home == Some(engine))
+            .map(|(&name, _)| name)
+            .collect();
         for name in there {
             let mut lost = false;
             self.change(name, |s| {
@@ -260,7 +280,10 @@
 
     /// Sessions held now, and of these the tied ones.
     pub fn held(&self) -> (usize, usize) {
-        (self.sessions.len(), self.sessions.values().filter(|s| s.tied && !s.lost).count())
+        (
+            self.sessions.len(),
+            self.sessions.values().filter(|s| s.tied && !s.lost).count(),
+        )
     }
 
     /// The counts so far.
@@ -334,14 +357,17 @@
 
     fn read(book: &mut Book<u8>, now: Micros, id: &str, on: u8) -> Option<Home<u8>> {
         let name = book.name("u", id);
-        let home = book.begin(now, name, false, None, Leaves::Nothing).expect("room");
+        let home = book
+            .begin(now, name, false, None, Leaves::Nothing)
+            .expect("room");
         book.over(now, name, Fate::Ran(on, true));
         home
     }
 
     fn tie(book: &mut Book<u8>, now: Micros, id: &str, on: u8) {
         let name = book.name("u", id);
-        book.begin(now, name, false, None, Leaves::Something).expect("room");
+        book.begin(now, name, false, None, Leaves::Something)
+            .expect("room");
         book.over(now, name, Fate::Ran(on, true));
     }
 
@@ -349,20 +375,40 @@
     fn a_session_stays_where_it_first_ran_and_one_that_only_read_moves_when_that_leaves() {
         let mut book = Book::new(1);
         assert_eq!(read(&mut book, 0, "a", 3), None);
-        assert_eq!(read(&mut book, 1, "a", 3), Some(Home { engine: 3, tied: false }));
+        assert_eq!(
+            read(&mut book, 1, "a", 3),
+            Some(Home {
+                engine: 3,
+                tied: false
+            })
+        );
         book.engine_left(3);
         assert_eq!(read(&mut book, 2, "a", 4), None);
-        assert_eq!(read(&mut book, 3, "a", 4), Some(Home { engine: 4, tied: false }));
+        assert_eq!(
+            read(&mut book, 3, "a", 4),
+            Some(Home {
+                engine: 4,
+                tied: false
+            })
+        );
     }
 
     #[test]
     fn a_tied_session_is_lost_with_its_engine_and_its_client_is_told_once() {
         let mut book = Book::new(1);
         tie(&mut book, 0, "a", 3);
-        assert_eq!(read(&mut book, 1, "a", 3), Some(Home { engine: 3, tied: true }));
+        assert_eq!(
+            read(&mut book, 1, "a", 3),
+            Some(Home {
+                engine: 3,
+                tied: true
+            })
+        );
         book.engine_left(3);
         let name = book.name("u", "a");
-        let told = book.begin(2, name, false, None, Leaves::Nothing).expect_err("lost");
+        let told = book
+            .begin(2, name, false, None, Leaves::Nothing)
+            .expect_err("lost");
         assert!(told.code == 372 && told.text.contains("has left"));
         // Told, it may begin anew.
         assert_eq!(book.begin(3, name, false, None, Leaves::Nothing), Ok(None));
@@ -372,9 +418,13 @@
     #[test]
     fn a_statement_that_failed_ties_nothing_and_one_of_unknown_fate_does() {
         let mut book = Book::new(1);
-        for (id, fate, tied) in [("a", Fate::Ran(3, false), false), ("b", Fate::Unknown(3), true)] {
+        for (id, fate, tied) in [
+            ("a", Fate::Ran(3, false), false),
+            ("b", Fate::Unknown(3), true),
+        ] {
             let name = book.name("u", id);
-            book.begin(0, name, false, None, Leaves::Something).expect("room");
+            book.begin(0, name, false, None, Leaves::Something)
+                .expect("room");
             book.over(0, name, fate);
             let home = book.begin(1, name, true, None, Leaves::Nothing);
             assert_eq!(home, Ok(Some(Home { engine: 3, tied })), "{id}");
@@ -386,12 +436,17 @@
         let mut book: Book<u8> = Book::new(1);
         let (name, other) = (book.name("u", "a"), book.name("v", "a"));
         let begin = |book: &mut Book<u8>, now, name, check| {
-            book.begin(now, name, check, Some(10 * S), Leaves::Nothing).map_err(|e| e.code)
+            book.begin(now, name, check, Some(10 * S), Leaves::Nothing)
+                .map_err(|e| e.code)
         };
         assert_eq!(begin(&mut book, 0, name, true), Err(372));
         assert_eq!(begin(&mut book, 0, name, false), Ok(None));
         assert_eq!(begin(&mut book, 0, name, false), Err(373));
-        assert_eq!(begin(&mut book, 0, other, false), Ok(None), "another user's");
+        assert_eq!(
+            begin(&mut book, 0, other, false),
+            Ok(None),
+            "another user's"
+        );
         // Busy beyond its time, it stays; its time begins anew when its query is over.
         assert_eq!(begin(&mut book, 30 * S, name, false), Err(373));
         book.over(31 * S, name, Fate::Ran(1, true));
@@ -430,7 +485,11 @@
             tie(&mut book, n, &format!("{n}"), 1);
         }
         let name = book.name("u", "more");
-        assert_eq!(book.begin(30, name, false, None, Leaves::Nothing).map_err(|e| e.code), Err(202));
+        assert_eq!(
+            book.begin(30, name, false, None, Leaves::Nothing)
+                .map_err(|e| e.code),
+            Err(202)
+        );
         assert_eq!((book.held(), book.counts().turned_away), ((20, 20), 1));
     }
 
@@ -466,12 +525,26 @@
                 match step {
                     Step::Begin(id, check, leaves) => {
                         let name = book.name("u", &id.to_string());
-                        let what = if leaves { Leaves::Something } else { Leaves::Nothing };
+                        let what = if leaves {
+                            Leaves::Something
+                        } else {
+                            Leaves::Nothing
+                        };
                         let begun = book.begin(now, name, check, Some(100 * S), what);
-                        match (begun, tied.get(&id).filter(|t| t.1 > now), busy.contains_key(&id)) {
+                        match (
+                            begun,
+                            tied.get(&id).filter(|t| t.1 > now),
+                            busy.contains_key(&id),
+                        ) {
                             (Err(e), _, true) if e.code == 373 => {}
                             (_, _, true) => return false,
-                            (Ok(home), Some(t), _) if home != Some(Home { engine: t.0, tied: true }) => {
+                            (Ok(home), Some(t), _)
+                                if home
+                                    != Some(Home {
+                                        engine: t.0,
+                                        tied: true,
+                                    }) =>
+                            {
                                 return false
                             }
                             (Err(_), Some(_), _) => return false,
@@ -482,7 +555,9 @@
                         }
                     }
                     Step::Over(id, engine, how) => {
-                        let Some(left) = busy.remove(&id) else { continue };
+                        let Some(left) = busy.remove(&id) else {
+                            continue;
+                        };
                         // A tied session's query can only have run at its home.
                         let engine = tied.get(&id).map_or(engine, |t| t.0);
                         let fate = match how {
@@ -505,9 +580,19 @@
                     Step::Pass(s) => now += u64::from(s) * S / 4,
                 }
                 tied.retain(|id, t| t.1 > now || busy.contains_key(id));
-                let fixed = book.sessions.values().filter(|s| s.rank() == Rank::Fixed).count();
-                let sum = book.sessions.values().filter(|s| s.rank() == Rank::Probation).count();
-                if book.sessions.len() > 8 || sum != book.probation || book.order.len() != book.sessions.len()
+                let fixed = book
+                    .sessions
+                    .values()
+                    .filter(|s| s.rank() == Rank::Fixed)
+                    .count();
+                let sum = book
+                    .sessions
+                    .values()
+                    .filter(|s| s.rank() == Rank::Probation)
+                    .count();
+                if book.sessions.len() > 8
+                    || sum != book.probation
+                    || book.order.len() != book.sessions.len()
                 {
                     return false;
                 }
@@ -517,6 +602,8 @@
             }
             true
         }
-        QuickCheck::new().tests(2000).quickcheck(holds as fn(Vec<Step>) -> bool);
+        QuickCheck::new()
+            .tests(2000)
+            .quickcheck(holds as fn(Vec<Step>) -> bool);
     }
 }
--- a/crates/clickhouse/src/sql.rs
+++ b/crates/clickhouse/src/sql.rs
@@ -47,7 +47,10 @@
         let tokens = tokens(statement);
         let word = |n: usize, words: &[&str]| tokens.get(n).is_some_and(|t| is_word(t, words));
         let Some(first) = tokens.iter().position(|t| matches!(t, Token::Name(_))) else {
-            return Shape { empty: tokens.is_empty(), ..Shape::default() };
+            return Shape {
+                empty: tokens.is_empty(),
+                ..Shape::default()
+            };
         };
         let reads = word(first, READING);
         let sets = word(first, &["set", "use"]);
@@ -77,12 +80,17 @@
     }
 }
 
-const READING: &[&str] = &["select", "with", "show", "describe", "desc", "exists", "explain", "check"];
+const READING: &[&str] = &[
+    "select", "with", "show", "describe", "desc", "exists", "explain", "check",
+];
 
 /// `KILL QUERY WHERE query_id = 'a'`, or `query_id IN ('a', 'b')`, and what stands behind that.
 fn kill(statement: &str, tokens: &[Token]) -> Kill {
     let is = |n: usize, c: char| matches!(tokens.get(n), Some(Token::Sign(s)) if *s == c);
-    let at = tokens.iter().position(|t| is_word(t, &["where"])).map_or(tokens.len(), |at| at + 1);
+    let at = tokens
+        .iter()
+        .position(|t| is_word(t, &["where"]))
+        .map_or(tokens.len(), |at| at + 1);
     let named = tokens.get(at).is_some_and(|t| is_word(t, &["query_id"]));
     let mut ids = Vec::new();
     let mut n = at + 1;
@@ -113,10 +121,16 @@
         }
     }
     let known = behind.first().is_none_or(|w| {
-        ["sync", "async", "test", "format", "settings"].iter().any(|k| w.eq_ignore_ascii_case(k))
+        ["sync", "async", "test", "format", "settings"]
+            .iter()
+            .any(|k| w.eq_ignore_ascii_case(k))
     });
-    let fine = !ids.is_empty() && plain && known && !statement.to_ascii_lowercase().contains("on cluster");
-    Kill { ids: fine.then_some(ids), behind: behind.join(" ") }
+    let fine =
+        !ids.is_empty() && plain && known && !statement.to_ascii_lowercase().contains("on cluster");
+    Kill {
+        ids: fine.then_some(ids),
+        behind: behind.join(" "),
+    }
 }
 
 /// The group of tables that a statement names; 0 if none.
@@ -127,7 +141,9 @@
 fn group_of(tokens: &[Token]) -> u32 {
     let mut otherwise = 0;
     for (n, window) in tokens.windows(3).enumerate() {
-        let [Token::Name(schema), Token::Dot, Token::Name(_)] = window else { continue };
+        let [Token::Name(schema), Token::Dot, Token::Name(_)] = window else {
+            continue;
+        };
         let Some(group) = group(schema) else { continue };
         // `alias_2.column` has the same look: only a name behind one of these words is a table's.
         let before = n.checked_sub(1).and_then(|b| tokens.get(b));
@@ -143,7 +159,10 @@
 
 /// The table that a statement writes, with its schema if that is named.
 fn target(tokens: &[Token]) -> Option<String> {
-    let at = tokens.iter().position(|t| is_word(t, &["into", "table", "update"]))? + 1;
+    let at = tokens
+        .iter()
+        .position(|t| is_word(t, &["into", "table", "update"]))?
+        + 1;
     // INSERT INTO may be followed by TABLE.
     let at = at + usize::from(tokens.get(at).is_some_and(|t| is_word(t, &["table"])));
     match (tokens.get(at)?, tokens.get(at + 1), tokens.get(at + 2)) {
@@ -158,7 +177,9 @@
 fn group(schema: &str) -> Option<u32> {
     let (name, number) = schema.rsplit_once('_')?;
     let digits = !number.is_empty() && number.bytes().all(|b| b.is_ascii_digit());
-    (digits && !name.eq_ignore_ascii_case("staging")).then(|| number.parse().ok()).flatten()
+    (digits && !name.eq_ignore_ascii_case("staging"))
+        .then(|| number.parse().ok())
+        .flatten()
 }
 
 fn is_table_word(token: Option<&Token>) -> bool {
@@ -217,7 +238,10 @@
             }
             c if c.is_alphanumeric() || c == '_' => {
                 let start = i;
-                while chars.get(i).is_some_and(|&c| c.is_alphanumeric() || c == '_' || c == '$') {
+                while chars
+                    .get(i)
+                    .is_some_and(|&c| c.is_alphanumeric() || c == '_' || c == '$')
+                {
                     i += 1;
                 }
                 tokens.push(Token::Name(chars[start..i].iter().collect()));
@@ -262,11 +286,17 @@
         assert!(reads("/* x */ with 1 as a SELECT a") && reads("(SELECT 1)"));
         assert!(!reads("INSERT INTO t SELECT 1") && !reads("") && Shape::of(" -- x").empty);
         let table = |s| Shape::of(s).writes.unwrap_or_default();
-        assert_eq!(table("INSERT INTO TABLE uni_4.members FORMAT CSV\n1,2"), "uni_4.members");
+        assert_eq!(
+            table("INSERT INTO TABLE uni_4.members FORMAT CSV\n1,2"),
+            "uni_4.members"
+        );
         assert_eq!(table("insert into `members` values (1)"), "members");
         assert_eq!(table("DROP VIEW v"), "");
         let long = format!("INSERT INTO uni_4.t VALUES {}", "('é'),".repeat(LOOKED_AT));
-        assert_eq!((Shape::of(&long).writes.as_deref(), Shape::of(&long).tables), (Some("uni_4.t"), 4));
+        assert_eq!(
+            (Shape::of(&long).writes.as_deref(), Shape::of(&long).tables),
+            (Some("uni_4.t"), 4)
+        );
     }
 
     #[test]
@@ -280,12 +310,18 @@
         ] {
             assert!(Shape::of(tied).leaves, "{tied}");
         }
-        for loose in
-            ["SELECT 1", "INSERT INTO t VALUES (1)", "CREATE TABLE t (temporary Int8)", "SHOW TABLES"]
-        {
+        for loose in [
+            "SELECT 1",
+            "INSERT INTO t VALUES (1)",
+            "CREATE TABLE t (temporary Int8)",
+            "SHOW TABLES",
+        ] {
             assert!(!Shape::of(loose).leaves, "{loose}");
         }
-        assert!(Shape::of("SET a = 1").harmless && !Shape::of("CREATE TEMPORARY TABLE t (a Int8)").harmless);
+        assert!(
+            Shape::of("SET a = 1").harmless
+                && !Shape::of("CREATE TEMPORARY TABLE t (a Int8)").harmless
+        );
     }
 
     #[test]
@@ -293,8 +329,17 @@
         let ids = |s: &str| Shape::of(s).kill.expect("a kill").ids;
         let of = |ids: &[&str]| Some(ids.iter().map(|s| s.to_string()).collect::<Vec<_>>());
         assert_eq!(ids("KILL QUERY WHERE query_id='a''b' SYNC"), of(&["a'b"]));
-        assert_eq!(ids("kill query where query_id in ('a', 'b') test format JSON;"), of(&["a", "b"]));
-        assert_eq!(Shape::of("KILL QUERY WHERE query_id = 'a' ASYNC").kill.expect("one").behind, "ASYNC");
+        assert_eq!(
+            ids("kill query where query_id in ('a', 'b') test format JSON;"),
+            of(&["a", "b"])
+        );
+        assert_eq!(
+            Shape::of("KILL QUERY WHERE query_id = 'a' ASYNC")
+                .kill
+                .expect("one")
+                .behind,
+            "ASYNC"
+        );
         for odd in [
             "KILL QUERY WHERE user = 'a'",
             "KILL QUERY WHERE query_id = 'a' OR 1",
--- a/crates/clickhouse/src/watch.rs
+++ b/crates/clickhouse/src/watch.rs
@@ -80,11 +80,19 @@
         let layer = match (frames, coding) {
             (false, None) => Layer::Plain(Tail::default()),
             (true, None) => Layer::Frames(Frames::default()),
-            (false, Some(c)) => Layer::Coded(Box::new(Unpacker::new(c, Tail::default()).map_err(fault)?)),
-            (true, Some(c)) => Layer::Both(Box::new(Unpacker::new(c, Inner::default()).map_err(fault)?)),
+            (false, Some(c)) => {
+                Layer::Coded(Box::new(Unpacker::new(c, Tail::default()).map_err(fault)?))
+            }
+            (true, Some(c)) => {
+                Layer::Both(Box::new(Unpacker::new(c, Inner::default()).map_err(fault)?))
+            }
         };
         let json = format.is_some_and(|f| f.starts_with("JSON"));
-        Ok(Watch { layer, tag: tag.map(String::from), json })
+        Ok(Watch {
+            layer,
+            tag: tag.map(String::from),
+            json,
+        })
     }
 
     /// Takes bytes of the result; an error is for good.
@@ -96,7 +104,9 @@
                 if let Err(bad) = frames.push(bytes) {
                     // An interrupted server may write plain words where a frame should begin.
                     let words = frames.rest().to_vec();
-                    return Err(self.told(&words, true).map_or(Fault::Frame(bad), Fault::Exception));
+                    return Err(self
+                        .told(&words, true)
+                        .map_or(Fault::Frame(bad), Fault::Exception));
                 }
             }
             Layer::Coded(unpacker) => unpacker.push(bytes).map_err(coding)?,
@@ -130,7 +140,10 @@
             Layer::Both(unpacker) => {
                 let short = unpacker.may_end().is_err();
                 let frames = &unpacker.get_ref().frames;
-                (frames.tail().map_err(Fault::Frame)?, short || !frames.may_end())
+                (
+                    frames.tail().map_err(Fault::Frame)?,
+                    short || !frames.may_end(),
+                )
             }
         };
         match self.told(&tail, cut) {
@@ -151,7 +164,11 @@
     const WORDS: &str = "Code: 241. DB::Exception: Memory limit. (MEMORY_LIMIT_EXCEEDED)";
 
     /// Every way to pack a result, and its watch.
-    fn ways(plain: &str, tag: Option<&str>, format: Option<&str>) -> Vec<(&'static str, Vec<u8>, Watch)> {
+    fn ways(
+        plain: &str,
+        tag: Option<&str>,
+        format: Option<&str>,
+    ) -> Vec<(&'static str, Vec<u8>, Watch)> {
         let frames = |text: &str| -> Vec<u8> {
             let (a, b) = text.as_bytes().split_at(text.len() / 2);
             [block::pack(Method::Lz4, a), block::pack(Method::Zstd, b)].concat()
@@ -161,8 +178,16 @@
         vec![
             ("plain", plain.into(), watch(false, None)),
             ("frames", frames(plain), watch(true, None)),
-            ("gzip", gzip(plain.as_bytes()), watch(false, Some(Coding::Gzip))),
-            ("both", gzip(&frames(plain)), watch(true, Some(Coding::Gzip))),
+            (
+                "gzip",
+                gzip(plain.as_bytes()),
+                watch(false, Some(Coding::Gzip)),
+            ),
+            (
+                "both",
+                gzip(&frames(plain)),
+                watch(true, Some(Coding::Gzip)),
+            ),
         ]
     }
 
@@ -183,12 +208,20 @@
         let json = format!("{{\"data\":[[1]],\"rows\":1,\"exception\":\"{WORDS}\"}}\n");
         let tagged = rows.to_string() + &marker("tag", WORDS);
         let lines = format!("{rows}{WORDS}\n");
-        for (text, tag, format) in
-            [(&tagged, Some("tag"), None), (&lines, None, None), (&json, None, Some("JSONCompact"))]
-        {
+        for (text, tag, format) in [
+            (&tagged, Some("tag"), None),
+            (&lines, None, None),
+            (&json, None, Some("JSONCompact")),
+        ] {
             for (way, bytes, mut watch) in ways(text, tag, format) {
                 let found = run(&mut watch, &bytes, false);
-                let code = |f: Fault| if let Fault::Exception(e) = f { e.code } else { 0 };
+                let code = |f: Fault| {
+                    if let Fault::Exception(e) = f {
+                        e.code
+                    } else {
+                        0
+                    }
+                };
                 assert_eq!(found.map_err(code), Err(241), "{way}, {tag:?}, {format:?}");
             }
         }
@@ -209,12 +242,18 @@
     fn a_cut_or_spoilt_stream_of_blocks_is_told() {
         let rows = "1\ta\n".repeat(4000);
         for (way, bytes, mut watch) in ways(&rows, None, None).into_iter().skip(1) {
-            assert!(run(&mut watch, &bytes[..bytes.len() - 5], true).is_err(), "{way} cut");
+            assert!(
+                run(&mut watch, &bytes[..bytes.len() - 5], true).is_err(),
+                "{way} cut"
+            );
         }
         let (_, mut bytes, mut watch) = ways(&rows, None, None).remove(1);
         let at = bytes.len() - 3;
         bytes[at] ^= 1;
-        assert_eq!(run(&mut watch, &bytes, false), Err(Fault::Frame(BadFrame::Checksum)));
+        assert_eq!(
+            run(&mut watch, &bytes, false),
+            Err(Fault::Frame(BadFrame::Checksum))
+        );
     }
 
     #[test]
--- a/crates/console/src/app.rs
+++ b/crates/console/src/app.rs
@@ -145,7 +145,11 @@
 
     /// The engine chosen.
     fn engine(&self) -> Option<&driftfront_control::snapshot::Engine> {
-        self.snapshot.as_ref().filter(|_| self.tab == Tab::Engines)?.engines.get(self.chosen)
+        self.snapshot
+            .as_ref()
+            .filter(|_| self.tab == Tab::Engines)?
+            .engines
+            .get(self.chosen)
     }
 
     /// A key was pressed.
@@ -167,7 +171,9 @@
             Key::Char('q') | Key::Escape => return Intent::Quit,
             Key::Char('?' | 'h') => self.help = true,
             Key::Up | Key::Char('k') => self.chosen = self.chosen.saturating_sub(1),
-            Key::Down | Key::Char('j') => self.chosen = (self.chosen + 1).min(self.rows().saturating_sub(1)),
+            Key::Down | Key::Char('j') => {
+                self.chosen = (self.chosen + 1).min(self.rows().saturating_sub(1))
+            }
             Key::Tab => {
                 let at = TABS.iter().position(|t| t.0 == self.tab).unwrap_or(0);
                 self.show(TABS[(at + 1) % TABS.len()].0);
@@ -184,7 +190,8 @@
             Key::Char('g') => return Intent::Send(Request::RollGoOn),
             Key::Char('R') => {
                 self.question = Some(Question {
-                    words: "Take all engines out one after another, for repair or restart? (y/n)".into(),
+                    words: "Take all engines out one after another, for repair or restart? (y/n)"
+                        .into(),
                     request: Request::Roll(Vec::new(), false),
                 });
             }
@@ -205,7 +212,12 @@
             self.said = Some("Choose an engine first: 1, then up and down.".into());
             return;
         };
-        let ready = self.snapshot.iter().flat_map(|s| &s.engines).filter(|e| e.phase == "ready").count();
+        let ready = self
+            .snapshot
+            .iter()
+            .flat_map(|s| &s.engines)
+            .filter(|e| e.phase == "ready")
+            .count();
         let last = engine.phase == "ready" && ready == 1;
         let running = match engine.running {
             0 => "nothing runs there".into(),
@@ -214,26 +226,41 @@
         let words = if last {
             format!("{} is the LAST engine that takes work: all requests will be refused. Drain it all the same? (y/n)", engine.name)
         } else {
-            format!("Drain {}? Nothing new goes there; {running}. (y/n)", engine.name)
+            format!(
+                "Drain {}? Nothing new goes there; {running}. (y/n)",
+                engine.name
+            )
         };
-        self.question =
-            Some(Question { words, request: Request::Drain { engine: engine.name, force: last } });
+        self.question = Some(Question {
+            words,
+            request: Request::Drain {
+                engine: engine.name,
+                force: last,
+            },
+        });
     }
 
     /// The keys that do something now, for the last line.
     pub fn keys(&self, width: usize) -> String {
-        let full = "1-4 tab  up/down  d drain  r resume  R roll  b back  s stop  g go on  ? help  q quit";
+        let full =
+            "1-4 tab  up/down  d drain  r resume  R roll  b back  s stop  g go on  ? help  q quit";
         let short = "1-4  d drain  r resume  ? help  q quit";
         let least = "? help  q quit";
         let fits = |text: &&str| text.len() <= width;
-        [full, short, least].into_iter().find(fits).unwrap_or("").to_string()
+        [full, short, least]
+            .into_iter()
+            .find(fits)
+            .unwrap_or("")
+            .to_string()
     }
 
     /// What needs an eye, or what was just said.
     pub fn alarms(&self) -> Vec<String> {
         match (&self.lost, &self.snapshot) {
             (Some(why), _) => {
-                vec![format!("The program can't be reached: {why}. This is how things last stood.")]
+                vec![format!(
+                    "The program can't be reached: {why}. This is how things last stood."
+                )]
             }
             (None, Some(s)) => words::alarms(s),
             (None, None) => vec!["Waiting for the program ...".into()],
@@ -254,7 +281,10 @@
         };
         let engines = phases.iter().enumerate().map(engine).collect();
         let mut app = App::new();
-        app.reply(Reply::Snapshot(Box::new(Snapshot { engines, ..Snapshot::default() })));
+        app.reply(Reply::Snapshot(Box::new(Snapshot {
+            engines,
+            ..Snapshot::default()
+        })));
         app
     }
 
@@ -263,10 +293,16 @@
         let mut app = app(&["ready", "ready"]);
         app.key(Key::Down);
         assert_eq!(app.key(Key::Char('d')), Intent::Nothing);
-        assert!(app.question.as_ref().is_some_and(|q| q.words.starts_with("Drain engine-1?")));
+        assert!(app
+            .question
+            .as_ref()
+            .is_some_and(|q| q.words.starts_with("Drain engine-1?")));
         assert_eq!(app.key(Key::Char('x')), Intent::Nothing);
         app.key(Key::Char('d'));
-        let drain = Request::Drain { engine: "engine-1".into(), force: false };
+        let drain = Request::Drain {
+            engine: "engine-1".into(),
+            force: false,
+        };
         assert_eq!(app.key(Key::Char('y')), Intent::Send(drain));
     }
 
@@ -274,8 +310,14 @@
     fn the_last_ready_engine_is_drained_only_after_a_plain_warning() {
         let mut app = app(&["ready", "draining"]);
         app.key(Key::Char('d'));
-        assert!(app.question.as_ref().is_some_and(|q| q.words.contains("LAST engine")));
-        let drain = Request::Drain { engine: "engine-0".into(), force: true };
+        assert!(app
+            .question
+            .as_ref()
+            .is_some_and(|q| q.words.contains("LAST engine")));
+        let drain = Request::Drain {
+            engine: "engine-0".into(),
+            force: true,
+        };
         assert_eq!(app.key(Key::Char('y')), Intent::Send(drain));
     }
 
--- a/crates/console/src/remote.rs
+++ b/crates/console/src/remote.rs
@@ -57,13 +57,22 @@
             At::Port(addr, key) => (Box::new(TcpStream::connect(addr)?), key),
         };
         stream.wait(Some(PATIENCE))?;
-        let mut remote = Remote { stream, lines: Lines::default(), last: 0 };
+        let mut remote = Remote {
+            stream,
+            lines: Lines::default(),
+            last: 0,
+        };
         let challenge = challenge_in(&remote.line()?).ok_or_else(|| odd("no greeting"))?;
         if let Some(challenge) = challenge {
             let id = remote.send(&Request::Auth(key::answer(secret, &challenge)))?;
             match remote.reply(id)? {
                 Reply::Done(_) => {}
-                _ => return Err(io::Error::new(ErrorKind::PermissionDenied, "the key is not right")),
+                _ => {
+                    return Err(io::Error::new(
+                        ErrorKind::PermissionDenied,
+                        "the key is not right",
+                    ))
+                }
             }
         }
         Ok(remote)
@@ -72,11 +81,20 @@
     fn line(&mut self) -> io::Result<String> {
         let mut bytes = [0; 64 * 1024];
         loop {
-            if let Some(line) = self.lines.next_line(REPLY_MOST).map_err(|_| odd("a line without end"))? {
+            if let Some(line) = self
+                .lines
+                .next_line(REPLY_MOST)
+                .map_err(|_| odd("a line without end"))?
+            {
                 return Ok(line);
             }
             match self.stream.read(&mut bytes) {
-                Ok(0) => return Err(io::Error::new(ErrorKind::UnexpectedEof, "the program has ended")),
+                Ok(0) => {
+                    return Err(io::Error::new(
+                        ErrorKind::UnexpectedEof,
+                        "the program has ended",
+                    ))
+                }
                 Ok(n) => self.lines.push(&bytes[..n]),
                 // A terminal that changes its size interrupts a wait.
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
--- a/crates/console/src/run.rs
+++ b/crates/console/src/run.rs
@@ -32,7 +32,9 @@
 /// Keeps a connection up, and passes on what it brings.
 fn listen(at: At, heard: Sender<Heard>, writer: Writer) {
     loop {
-        let lost = follow(&at, &heard, &writer).err().map_or("it has ended".to_string(), |e| e.to_string());
+        let lost = follow(&at, &heard, &writer)
+            .err()
+            .map_or("it has ended".to_string(), |e| e.to_string());
         if let Ok(mut held) = writer.lock() {
             *held = None;
         }
@@ -121,8 +123,12 @@
             Intent::Nothing => {}
             Intent::Quit => return Ok(()),
             Intent::Send(request) => {
-                let mut held = writer.lock().map_err(|_| io::Error::other("a thread has failed"))?;
-                let sent = held.as_mut().map(|w| w.write_all(request.line(1000).as_bytes()));
+                let mut held = writer
+                    .lock()
+                    .map_err(|_| io::Error::other("a thread has failed"))?;
+                let sent = held
+                    .as_mut()
+                    .map(|w| w.write_all(request.line(1000).as_bytes()));
                 if !matches!(sent, Some(Ok(()))) {
                     app.said = Some("The program can't be reached: nothing was done.".into());
                 }
@@ -133,5 +139,8 @@
 
 /// How wide the terminal is, if there is one.
 pub fn terminal_width() -> Option<usize> {
-    ratatui::crossterm::terminal::size().ok().map(|(width, _)| usize::from(width)).filter(|&w| w > 0)
+    ratatui::crossterm::terminal::size()
+        .ok()
+        .map(|(width, _)| usize::from(width))
+        .filter(|&w| w > 0)
 }
--- a/crates/console/src/screen.rs
+++ b/crates/console/src/screen.rs
@@ -61,7 +61,8 @@
         if self.line < self.area.height {
             let text: String = text.chars().filter(|c| !c.is_control()).collect();
             let (x, y) = (self.area.x, self.area.y + self.line);
-            self.buffer.set_stringn(x, y, text, usize::from(self.area.width), style);
+            self.buffer
+                .set_stringn(x, y, text, usize::from(self.area.width), style);
             self.line += 1;
         }
     }
@@ -70,8 +71,15 @@
 /// Draws all of it.
 pub fn draw(app: &App, look: Look, area: Rect, buffer: &mut Buffer) {
     let width = usize::from(area.width);
-    let mut pen = Pen { buffer, area, line: 0 };
-    let title = app.snapshot.as_ref().map_or("driftfront".to_string(), words::title);
+    let mut pen = Pen {
+        buffer,
+        area,
+        line: 0,
+    };
+    let title = app
+        .snapshot
+        .as_ref()
+        .map_or("driftfront".to_string(), words::title);
     pen.write(&title, Style::default().add_modifier(Modifier::BOLD));
     if app.help {
         help(&mut pen, width);
@@ -85,20 +93,31 @@
     }
     if lines.len() > most {
         let more = alarms.len();
-        pen.write(&format!("... {more} in all; --plain tells them"), look.dim());
+        pen.write(
+            &format!("... {more} in all; --plain tells them"),
+            look.dim(),
+        );
     }
     if alarms.is_empty() {
         pen.write("All is well.", Style::default());
     }
     // The last lines: what was said or asked, the tabs, the keys.
-    let talk = app.question.as_ref().map(|q| q.words.clone()).or(app.said.clone());
+    let talk = app
+        .question
+        .as_ref()
+        .map(|q| q.words.clone())
+        .or(app.said.clone());
     let talk: Vec<String> = talk.map(|t| wrapped(&t, width)).unwrap_or_default();
     let bottom = talk.len() + 2;
     let room = pen.left().saturating_sub(bottom);
     body(app, look, &mut pen, width, room);
     pen.line = area.height.saturating_sub(bottom as u16).max(pen.line);
     for line in &talk {
-        let style = if app.question.is_some() { look.alarm() } else { Style::default() };
+        let style = if app.question.is_some() {
+            look.alarm()
+        } else {
+            Style::default()
+        };
         pen.write(line, style);
     }
     let tab = |(n, t): (usize, &(Tab, &str))| {
@@ -110,7 +129,11 @@
     };
     let tabs: Vec<String> = TABS.iter().enumerate().map(tab).collect();
     let tabs = tabs.join("");
-    let tabs = if tabs.chars().count() > width { tabs.replace("  ", " ") } else { tabs };
+    let tabs = if tabs.chars().count() > width {
+        tabs.replace("  ", " ")
+    } else {
+        tabs
+    };
     pen.write(&tabs, look.dim());
     pen.write(&app.keys(width), look.dim());
 }
@@ -137,7 +160,11 @@
     let first = first_shown(app.chosen, table.rows.len(), room);
     for (n, row) in table.rows.iter().enumerate().skip(first).take(room) {
         let chosen = n == app.chosen && app.tab == Tab::Engines;
-        let state = if app.tab == Tab::Engines { row.get(1).map_or("", String::as_str) } else { "-" };
+        let state = if app.tab == Tab::Engines {
+            row.get(1).map_or("", String::as_str)
+        } else {
+            "-"
+        };
         let style = match (chosen, app.tab) {
             (true, _) => look.chosen(),
             (false, Tab::Engines) => look.row(state),
@@ -150,7 +177,9 @@
 }
 
 fn first_shown(chosen: usize, rows: usize, room: usize) -> usize {
-    chosen.saturating_sub(room / 2).min(rows.saturating_sub(room))
+    chosen
+        .saturating_sub(room / 2)
+        .min(rows.saturating_sub(room))
 }
 
 fn events(app: &App, look: Look, pen: &mut Pen, room: usize) {
@@ -201,13 +230,28 @@
             imports: u64::from(n == 2),
             ..Engine::default()
         };
-        let minute =
-            Service { asked: 9, served: 9, in_time: 9, p50_ms: 12.0, p99_ms: 80.0, ..Service::default() };
-        let class = Class { name: "lookup".into(), wanted_ms: 500, minute, ..Class::default() };
+        let minute = Service {
+            asked: 9,
+            served: 9,
+            in_time: 9,
+            p50_ms: 12.0,
+            p99_ms: 80.0,
+            ..Service::default()
+        };
+        let class = Class {
+            name: "lookup".into(),
+            wanted_ms: 500,
+            minute,
+            ..Class::default()
+        };
         let engines = (1..=12).map(engine).collect();
         let mut app = App::new();
-        let snapshot =
-            Snapshot { name: "school".into(), engines, classes: vec![class], ..Snapshot::default() };
+        let snapshot = Snapshot {
+            name: "school".into(),
+            engines,
+            classes: vec![class],
+            ..Snapshot::default()
+        };
         app.reply(Reply::Snapshot(Box::new(snapshot)));
         app
     }
@@ -216,8 +260,14 @@
         let area = Rect::new(0, 0, width, height);
         let mut buffer = Buffer::empty(area);
         draw(app, Look { color: false }, area, &mut buffer);
-        let line = |y| (0..width).map(|x| buffer[(x, y)].symbol()).collect::<String>();
-        (0..height).map(|y| line(y).trim_end().to_string()).collect()
+        let line = |y| {
+            (0..width)
+                .map(|x| buffer[(x, y)].symbol())
+                .collect::<String>()
+        };
+        (0..height)
+            .map(|y| line(y).trim_end().to_string())
+            .collect()
     }
 
     #[test]
@@ -225,10 +275,19 @@
         for (width, height) in [(40, 12), (80, 24), (120, 40), (200, 60)] {
             let screen = text(&app(), width, height);
             let all = screen.join(" ");
-            assert!(all.contains("engine-2 has said nothing for 12 s."), "{screen:#?}");
+            assert!(
+                all.contains("engine-2 has said nothing for 12 s."),
+                "{screen:#?}"
+            );
             assert!(all.contains("will not be sent again"), "{screen:#?}");
-            assert!(all.contains("engine-1") && all.contains("silent") || height == 12, "{screen:#?}");
-            assert!(screen.last().is_some_and(|l| l.contains("q quit")), "{screen:#?}");
+            assert!(
+                all.contains("engine-1") && all.contains("silent") || height == 12,
+                "{screen:#?}"
+            );
+            assert!(
+                screen.last().is_some_and(|l| l.contains("q quit")),
+                "{screen:#?}"
+            );
         }
     }
 
@@ -239,13 +298,17 @@
             text(&app, width, height);
         }
         app.chosen = 11;
-        assert!(text(&app, 40, 14).iter().any(|l| l.starts_with("engine-12") && l.ends_with('<')));
+        assert!(text(&app, 40, 14)
+            .iter()
+            .any(|l| l.starts_with("engine-12") && l.ends_with('<')));
         app.key(crate::app::Key::Char('d'));
         assert!(text(&app, 40, 12).join(" ").contains("Drain engine-12?"));
         app.question = None;
         app.key(crate::app::Key::Char('2'));
         assert!(text(&app, 80, 24).join(" ").contains("lookup"));
         app.key(crate::app::Key::Char('?'));
-        assert!(text(&app, 80, 24).join(" ").contains("nothing new goes there"));
+        assert!(text(&app, 80, 24)
+            .join(" ")
+            .contains("nothing new goes there"));
     }
 }
--- a/crates/console/src/words.rs
+++ b/crates/console/src/words.rs
@@ -1,6 +1,8 @@
 //! Plain words for how things stand.
 
-use driftfront_control::snapshot::{Agreed, Class, Engine, Held, Member, Query, Service, Snapshot, Voter};
+use driftfront_control::snapshot::{
+    Agreed, Class, Engine, Held, Member, Query, Service, Snapshot, Voter,
+};
 
 /// An engine with work out that has said nothing for this long is worth a word, in milliseconds.
 pub const SILENT_MS: u64 = 3_000;
@@ -28,7 +30,9 @@
 
 fn capital(text: String) -> String {
     let mut chars = text.chars();
-    chars.next().map_or(String::new(), |c| c.to_uppercase().collect::<String>() + chars.as_str())
+    chars.next().map_or(String::new(), |c| {
+        c.to_uppercase().collect::<String>() + chars.as_str()
+    })
 }
 
 /// What runs on an engine, as a sentence's end; empty where nothing does.
@@ -37,11 +41,18 @@
     let imports = capital(counted(engine.imports, "import", "imports"));
     match (engine.imports, others) {
         (0, 0) => String::new(),
-        (0, n) => format!(" {} there.", capital(counted(n, "query runs", "queries run"))),
+        (0, n) => format!(
+            " {} there.",
+            capital(counted(n, "query runs", "queries run"))
+        ),
         (1, 0) => format!(" {imports} runs there; it will not be sent again."),
         (_, 0) => format!(" {imports} run there; they will not be sent again."),
         (n, m) => {
-            let verb = if n == 1 { "runs there; it will" } else { "run there; they will" };
+            let verb = if n == 1 {
+                "runs there; it will"
+            } else {
+                "run there; they will"
+            };
             format!(
                 " {imports} {verb} not be sent again. {} too.",
                 capital(counted(m, "query runs", "queries run"))
@@ -82,11 +93,14 @@
     match s.state.as_str() {
         "draining" => alarms.push(format!(
             "Paused by an operator: clients are sent away, {} left.",
-            counted(s.connections.first().copied().unwrap_or(0), "connection is", "connections are")
+            counted(
+                s.connections.first().copied().unwrap_or(0),
+                "connection is",
+                "connections are"
+            )
         )),
-        "drained" => {
-            alarms.push("Paused by an operator: no client is left. driftfront unpause ends it.".into())
-        }
+        "drained" => alarms
+            .push("Paused by an operator: no client is left. driftfront unpause ends it.".into()),
         "handing over" => {
             alarms.push("A new version serves at this address: this one answers the rest.".into())
         }
@@ -97,12 +111,28 @@
     }
     for engine in s.engines.iter().filter(|e| is_silent(e)) {
         let silent = span(engine.heard_ms.unwrap_or(0) / 1000);
-        alarms.push(format!("{} has said nothing for {silent}.{}", engine.name, runs_there(engine)));
+        alarms.push(format!(
+            "{} has said nothing for {silent}.{}",
+            engine.name,
+            runs_there(engine)
+        ));
     }
-    for engine in s.engines.iter().filter(|e| e.phase == "draining" && !is_silent(e)) {
-        let by = if engine.order.is_empty() { "its source".into() } else { engine.order_by.clone() };
+    for engine in s
+        .engines
+        .iter()
+        .filter(|e| e.phase == "draining" && !is_silent(e))
+    {
+        let by = if engine.order.is_empty() {
+            "its source".into()
+        } else {
+            engine.order_by.clone()
+        };
         if engine.running > 0 {
-            alarms.push(format!("{} drains, by {by}.{}", engine.name, runs_there(engine)));
+            alarms.push(format!(
+                "{} drains, by {by}.{}",
+                engine.name,
+                runs_there(engine)
+            ));
         }
     }
     if let Some(roll) = &s.roll {
@@ -110,7 +140,11 @@
             alarms.push(format!("Roll: {}.", roll.why.trim_end_matches('.')));
         }
     }
-    for class in s.classes.iter().filter(|c| c.minute.asked >= 10 && c.minute.share() < 0.8) {
+    for class in s
+        .classes
+        .iter()
+        .filter(|c| c.minute.asked >= 10 && c.minute.share() < 0.8)
+    {
         let share = class.minute.share() * 100.0;
         let wanted = millis(class.wanted_ms as f64);
         alarms.push(format!(
@@ -119,7 +153,11 @@
         ));
     }
     if let Some(age) = s.source_age_s.filter(|&age| age > OLD_SOURCE_S) {
-        alarms.push(format!("The list of engines is {} old: {} says nothing.", span(age), s.source));
+        alarms.push(format!(
+            "The list of engines is {} old: {} says nothing.",
+            span(age),
+            s.source
+        ));
     }
     alarms.extend(fleet_alarms(s));
     alarms.extend(s.agreed.as_ref().and_then(agreed_alarm));
@@ -155,9 +193,23 @@
 
 /// The fleet's coordinators.
 pub fn members(s: &Snapshot) -> Table {
-    let heads = vec!["COORDINATOR", "IS", "FOR", "DOES", "BUILD", "ZONE", "REGION", "TOLD", "AT"];
+    let heads = vec![
+        "COORDINATOR",
+        "IS",
+        "FOR",
+        "DOES",
+        "BUILD",
+        "ZONE",
+        "REGION",
+        "TOLD",
+        "AT",
+    ];
     let row = |m: &Member| {
-        let name = if m.me { format!("{} (this)", m.name) } else { m.name.clone() };
+        let name = if m.me {
+            format!("{} (this)", m.name)
+        } else {
+            m.name.clone()
+        };
         let told = match m.told_age_s {
             _ if m.me => String::new(),
             Some(age) => format!("{} ago", span(age)),
@@ -175,24 +227,41 @@
             m.addr.clone(),
         ]
     };
-    Table { heads, rows: s.members.iter().map(row).collect() }
+    Table {
+        heads,
+        rows: s.members.iter().map(row).collect(),
+    }
 }
 
 /// What is agreed, in a line or two above the table of what is held.
 pub fn agreed(a: &Agreed) -> String {
     if !a.missing.is_empty() {
-        return format!("Nothing is agreed yet: {} must come, without a log.\n", a.missing.join(", "));
+        return format!(
+            "Nothing is agreed yet: {} must come, without a log.\n",
+            a.missing.join(", ")
+        );
     }
     if a.voters.is_empty() {
         return "Nothing is agreed: no coordinator's file names voters, or none of them is heard.\n".into();
     }
-    let voter = |v: &Voter| if v.there { v.name.clone() } else { format!("{} (gone)", v.name) };
+    let voter = |v: &Voter| {
+        if v.there {
+            v.name.clone()
+        } else {
+            format!("{} (gone)", v.name)
+        }
+    };
     let leads = match a.leader.as_str() {
         "" => "Nobody leads: nothing new is agreed".to_string(),
         name => format!("{name} leads"),
     };
     let voters: Vec<String> = a.voters.iter().map(voter).collect();
-    format!("{leads}; {} decide. Term {}, entry {}.\n", voters.join(", "), a.term, a.index)
+    format!(
+        "{leads}; {} decide. Term {}, entry {}.\n",
+        voters.join(", "),
+        a.term,
+        a.index
+    )
 }
 
 /// What is held.
@@ -204,9 +273,18 @@
             Some(left) => span(left),
             None => "until given back".into(),
         };
-        vec![h.name.clone(), h.owner.clone(), long, h.fence.to_string(), h.note.clone()]
+        vec![
+            h.name.clone(),
+            h.owner.clone(),
+            long,
+            h.fence.to_string(),
+            h.note.clone(),
+        ]
     };
-    Table { heads, rows: a.holds.iter().map(row).collect() }
+    Table {
+        heads,
+        rows: a.holds.iter().map(row).collect(),
+    }
 }
 
 /// What is amiss with what is agreed.
@@ -218,9 +296,17 @@
         );
     }
     if !a.missing.is_empty() {
-        return Some(format!("Nothing is agreed yet: waiting for {}.", a.missing.join(", ")));
+        return Some(format!(
+            "Nothing is agreed yet: waiting for {}.",
+            a.missing.join(", ")
+        ));
     }
-    let gone: Vec<&str> = a.voters.iter().filter(|v| !v.there).map(|v| v.name.as_str()).collect();
+    let gone: Vec<&str> = a
+        .voters
+        .iter()
+        .filter(|v| !v.there)
+        .map(|v| v.name.as_str())
+        .collect();
     (!a.voters.is_empty() && a.leader.is_empty()).then(|| {
         let who = if gone.is_empty() { String::new() } else { format!(" ({} gone)", gone.join(", ")) };
         format!("No majority of those who decide is heard{who}: nothing new is agreed; what is held ends by itself.")
@@ -230,37 +316,59 @@
 /// What the fleet looks like from here, where something is amiss.
 fn fleet_alarms(s: &Snapshot) -> Vec<String> {
     let others: Vec<&Member> = s.members.iter().filter(|m| !m.me).collect();
-    let gone: Vec<&str> = others.iter().filter(|m| m.standing == "gone").map(|m| m.name.as_str()).collect();
+    let gone: Vec<&str> = others
+        .iter()
+        .filter(|m| m.standing == "gone")
+        .map(|m| m.name.as_str())
+        .collect();
     if others.is_empty() || gone.is_empty() {
         return Vec::new();
     }
     if gone.len() == others.len() {
         return vec![format!(
             "No other coordinator is heard: this one is cut off, or {} ended. It serves by itself.",
-            if gone.len() == 1 { "the other has" } else { "all others have" }
+            if gone.len() == 1 {
+                "the other has"
+            } else {
+                "all others have"
+            }
         )];
     }
     let named = gone.iter().take(5).copied().collect::<Vec<_>>().join(", ");
     vec![format!(
         "{} gone: {named}.",
-        capital(counted(gone.len() as u64, "coordinator is", "coordinators are"))
+        capital(counted(
+            gone.len() as u64,
+            "coordinator is",
+            "coordinators are"
+        ))
     )]
 }
 
 /// The engines.
 pub fn engines(s: &Snapshot) -> Table {
-    let heads =
-        vec!["engine", "state", "runs", "imports", "heard", "p99", "building", "kind", "address", "by"];
+    let heads = vec![
+        "engine", "state", "runs", "imports", "heard", "p99", "building", "kind", "address", "by",
+    ];
     let row = |e: &Engine| {
-        let heard =
-            e.heard_ms.map_or("never".into(), |ms| if ms < 1000 { "now".into() } else { span(ms / 1000) });
+        let heard = e.heard_ms.map_or("never".into(), |ms| {
+            if ms < 1000 {
+                "now".into()
+            } else {
+                span(ms / 1000)
+            }
+        });
         vec![
             e.name.clone(),
             state(e),
             e.running.to_string(),
             e.imports.to_string(),
             heard,
-            if e.minute.served > 0 { millis(e.minute.p99_ms) } else { "-".into() },
+            if e.minute.served > 0 {
+                millis(e.minute.p99_ms)
+            } else {
+                "-".into()
+            },
             e.zone.clone(),
             e.kind.clone(),
             e.addr.clone(),
@@ -271,13 +379,26 @@
             },
         ]
     };
-    Table { heads, rows: s.engines.iter().map(row).collect() }
+    Table {
+        heads,
+        rows: s.engines.iter().map(row).collect(),
+    }
 }
 
 /// The classes.
 pub fn classes(s: &Snapshot) -> Table {
-    let heads =
-        vec!["class", "in time", "asked/min", "hour", "open", "p50", "p99", "refused", "failed", "wanted"];
+    let heads = vec![
+        "class",
+        "in time",
+        "asked/min",
+        "hour",
+        "open",
+        "p50",
+        "p99",
+        "refused",
+        "failed",
+        "wanted",
+    ];
     let row = |c: &Class| {
         vec![
             c.name.clone(),
@@ -285,14 +406,25 @@
             c.minute.asked.to_string(),
             share(&c.hour),
             c.open.to_string(),
-            if c.minute.served > 0 { millis(c.minute.p50_ms) } else { "-".into() },
-            if c.minute.served > 0 { millis(c.minute.p99_ms) } else { "-".into() },
+            if c.minute.served > 0 {
+                millis(c.minute.p50_ms)
+            } else {
+                "-".into()
+            },
+            if c.minute.served > 0 {
+                millis(c.minute.p99_ms)
+            } else {
+                "-".into()
+            },
             c.minute.refused.to_string(),
             c.minute.failed.to_string(),
             millis(c.wanted_ms as f64),
         ]
     };
-    Table { heads, rows: s.classes.iter().map(row).collect() }
+    Table {
+        heads,
+        rows: s.classes.iter().map(row).collect(),
+    }
 }
 
 /// What runs.
@@ -301,13 +433,24 @@
     let row = |q: &Query| {
         vec![
             q.class.clone(),
-            if q.engine.is_empty() { "waits".into() } else { q.engine.clone() },
+            if q.engine.is_empty() {
+                "waits".into()
+            } else {
+                q.engine.clone()
+            },
             millis(q.age_ms as f64),
-            if q.import { "yes".into() } else { String::new() },
+            if q.import {
+                "yes".into()
+            } else {
+                String::new()
+            },
             q.call.clone(),
         ]
     };
-    Table { heads, rows: s.queries.iter().map(row).collect() }
+    Table {
+        heads,
+        rows: s.queries.iter().map(row).collect(),
+    }
 }
 
 /// How many columns fit, and how wide each is.
@@ -315,8 +458,16 @@
     let mut widths = Vec::new();
     let mut left = width;
     for (n, head) in table.heads.iter().enumerate() {
-        let cells = table.rows.iter().filter_map(|r| r.get(n)).map(|c| c.chars().count());
-        let wanted = cells.chain([head.chars().count()]).max().unwrap_or(0).min(28);
+        let cells = table
+            .rows
+            .iter()
+            .filter_map(|r| r.get(n))
+            .map(|c| c.chars().count());
+        let wanted = cells
+            .chain([head.chars().count()])
+            .max()
+            .unwrap_or(0)
+            .min(28);
         let gap = if n == 0 { 0 } else { 2 };
         if n > 0 && wanted + gap > left {
             break;
@@ -346,7 +497,10 @@
     let ready = s.engines.iter().filter(|e| e.phase == "ready").count();
     let listed = s.engines.iter().filter(|e| e.phase != "gone").count();
     let minute: u64 = s.classes.iter().map(|c| c.minute.asked).sum();
-    format!("{}: {ready} of {listed} engines ready, {} open, {minute} a minute", s.name, s.open)
+    format!(
+        "{}: {ready} of {listed} engines ready, {} open, {minute} a minute",
+        s.name, s.open
+    )
 }
 
 /// Cuts text into lines of a width, at spaces where there are any.
@@ -376,13 +530,22 @@
 /// All of it as text, for pipes and screen readers.
 pub fn plain(s: &Snapshot, width: usize) -> String {
     let mut lines = vec![title(s)];
-    lines.push(format!("up {}, clients at {}, {}", span(s.up_s), s.listen, s.front));
+    lines.push(format!(
+        "up {}, clients at {}, {}",
+        span(s.up_s),
+        s.listen,
+        s.front
+    ));
     let alarms = alarms(s);
     if alarms.is_empty() {
         lines.push("All is well.".into());
     }
     lines.extend(alarms.iter().flat_map(|a| wrapped(a, width)));
-    for (name, table) in [("Engines", engines(s)), ("Service", classes(s)), ("What runs", queries(s))] {
+    for (name, table) in [
+        ("Engines", engines(s)),
+        ("Service", classes(s)),
+        ("What runs", queries(s)),
+    ] {
         if table.rows.is_empty() {
             continue;
         }
@@ -405,7 +568,9 @@
     }
     if let [held, tied] = s.sessions[..] {
         lines.push(String::new());
-        lines.push(format!("Sessions: {held} held, {tied} of them tied to their engine."));
+        lines.push(format!(
+            "Sessions: {held} held, {tied} of them tied to their engine."
+        ));
     }
     if !s.forgets.is_empty() {
         lines.push(String::new());
@@ -420,14 +585,28 @@
 
     fn engine(name: &str, phase: &str, running: u64, imports: u64, heard_ms: u64) -> Engine {
         let (name, phase, heard_ms) = (name.into(), phase.into(), Some(heard_ms));
-        Engine { name, phase, running, imports, heard_ms, ..Engine::default() }
+        Engine {
+            name,
+            phase,
+            running,
+            imports,
+            heard_ms,
+            ..Engine::default()
+        }
     }
 
     #[test]
     fn a_silent_engine_with_an_import_is_told_in_plain_words() {
-        let engines = vec![engine("engine-1", "ready", 4, 0, 10), engine("engine-2", "ready", 1, 1, 12_000)];
-        let s = Snapshot { engines, ..Snapshot::default() };
-        let told = "engine-2 has said nothing for 12 s. One import runs there; it will not be sent again.";
+        let engines = vec![
+            engine("engine-1", "ready", 4, 0, 10),
+            engine("engine-2", "ready", 1, 1, 12_000),
+        ];
+        let s = Snapshot {
+            engines,
+            ..Snapshot::default()
+        };
+        let told =
+            "engine-2 has said nothing for 12 s. One import runs there; it will not be sent again.";
         assert_eq!(alarms(&s), [told]);
         assert_eq!(state(&s.engines[1]), "silent");
         let both = engine("e", "ready", 5, 2, 9000);
@@ -440,21 +619,40 @@
     fn a_pause_and_a_new_version_are_told_in_plain_words() {
         let told = |state: &str| {
             let engines = vec![engine("e", "ready", 0, 0, 0)];
-            let s = Snapshot { state: state.into(), connections: vec![3, 1], engines, ..Snapshot::default() };
+            let s = Snapshot {
+                state: state.into(),
+                connections: vec![3, 1],
+                engines,
+                ..Snapshot::default()
+            };
             alarms(&s).join(" ")
         };
         assert!(told("draining").contains("three connections are left"));
-        assert!(told("drained").contains("unpause") && told("handing over").contains("new version"));
+        assert!(
+            told("drained").contains("unpause") && told("handing over").contains("new version")
+        );
         assert_eq!(told("ready"), "");
     }
 
     #[test]
     fn no_engine_ready_and_poor_service_are_told() {
-        let mut s = Snapshot { engines: vec![engine("e", "draining", 2, 0, 0)], ..Snapshot::default() };
+        let mut s = Snapshot {
+            engines: vec![engine("e", "draining", 2, 0, 0)],
+            ..Snapshot::default()
+        };
         s.engines[0].order = "drain".into();
         s.engines[0].order_by = "operator".into();
-        let minute = Service { asked: 20, in_time: 5, ..Service::default() };
-        s.classes = vec![Class { name: "lookup".into(), wanted_ms: 500, minute, ..Class::default() }];
+        let minute = Service {
+            asked: 20,
+            in_time: 5,
+            ..Service::default()
+        };
+        s.classes = vec![Class {
+            name: "lookup".into(),
+            wanted_ms: 500,
+            minute,
+            ..Class::default()
+        }];
         let told = alarms(&s).join("\n");
         for words in [
             "No engine takes work",
@@ -467,8 +665,14 @@
 
     #[test]
     fn tables_lose_columns_from_the_right_and_lines_never_pass_the_width() {
-        let engines = (0..3).map(|n| engine(&format!("engine-{n}"), "ready", n, 0, 0)).collect();
-        let s = Snapshot { name: "school".into(), engines, ..Snapshot::default() };
+        let engines = (0..3)
+            .map(|n| engine(&format!("engine-{n}"), "ready", n, 0, 0))
+            .collect();
+        let s = Snapshot {
+            name: "school".into(),
+            engines,
+            ..Snapshot::default()
+        };
         for width in [20, 40, 80, 200] {
             let text = plain(&s, width);
             let table = super::engines(&s);
--- a/crates/control/src/commands.rs
+++ b/crates/control/src/commands.rs
@@ -17,13 +17,24 @@
     pub remote: bool,
 }
 
-const CONFIG: (&str, &str, &str) =
-    ("--config", "FILE", "the operator's file; without it $LB_CONFIG names it");
-const JSON: (&str, &str, &str) = ("--json", "", "for scripts: the protocol's own objects, one a line");
+const CONFIG: (&str, &str, &str) = (
+    "--config",
+    "FILE",
+    "the operator's file; without it $LB_CONFIG names it",
+);
+const JSON: (&str, &str, &str) = (
+    "--json",
+    "",
+    "for scripts: the protocol's own objects, one a line",
+);
 
 /// Options of every command that speaks to a running program.
 pub const REMOTE: &[(&str, &str, &str)] = &[
-    ("--at", "WHERE", "its control socket, or ADDRESS of its control port; $DRIFTFRONT_CONTROL without it"),
+    (
+        "--at",
+        "WHERE",
+        "its control socket, or ADDRESS of its control port; $DRIFTFRONT_CONTROL without it",
+    ),
     ("--key-file", "FILE", "the key of its control port"),
 ];
 
@@ -33,7 +44,10 @@
         name: "serve",
         arguments: "",
         about: "runs a coordinator",
-        options: &[CONFIG, ("--log", "LEVEL", "error, warn, info (without it) or debug")],
+        options: &[
+            CONFIG,
+            ("--log", "LEVEL", "error, warn, info (without it) or debug"),
+        ],
         remote: false,
     },
     Command {
@@ -53,7 +67,8 @@
     Command {
         name: "demo",
         arguments: "",
-        about: "starts a coordinator, three stand-in engines and a gentle load, and opens the console",
+        about:
+            "starts a coordinator, three stand-in engines and a gentle load, and opens the console",
         options: &[("--plain", "", "says how things stand as text, and ends")],
         remote: false,
     },
@@ -62,7 +77,11 @@
         arguments: "",
         about: "shows engines, classes, service and drains, and takes commands by keys",
         options: &[
-            ("--plain", "", "the same as text, once, for pipes and screen readers"),
+            (
+                "--plain",
+                "",
+                "the same as text, once, for pipes and screen readers",
+            ),
             ("--no-color", "", "no colours; also by NO_COLOR"),
         ],
         remote: true,
@@ -74,7 +93,13 @@
         options: &[JSON],
         remote: true,
     },
-    Command { name: "engines", arguments: "", about: "lists the engines", options: &[JSON], remote: true },
+    Command {
+        name: "engines",
+        arguments: "",
+        about: "lists the engines",
+        options: &[JSON],
+        remote: true,
+    },
     Command {
         name: "members",
         arguments: "",
@@ -94,7 +119,11 @@
         arguments: "NAME",
         about: "takes a hold over the whole fleet: of one name only one is held",
         options: &[
-            ("--for", "TIME", "for how long, as 30s, 10m or 2h; 10m where nothing is said"),
+            (
+                "--for",
+                "TIME",
+                "for how long, as 30s, 10m or 2h; 10m where nothing is said",
+            ),
             ("--stays", "", "beyond that, until it is given back"),
             ("--note", "WORDS", "why, for the others"),
         ],
@@ -125,7 +154,10 @@
         name: "events",
         arguments: "",
         about: "says what has happened",
-        options: &[("--follow", "", "and what happens, until it is interrupted"), JSON],
+        options: &[
+            ("--follow", "", "and what happens, until it is interrupted"),
+            JSON,
+        ],
         remote: true,
     },
     Command {
@@ -138,7 +170,13 @@
         ],
         remote: true,
     },
-    Command { name: "resume", arguments: "ENGINE", about: "lifts a drain", options: &[], remote: true },
+    Command {
+        name: "resume",
+        arguments: "ENGINE",
+        about: "lifts a drain",
+        options: &[],
+        remote: true,
+    },
     Command {
         name: "pause",
         arguments: "",
@@ -157,7 +195,10 @@
         name: "add",
         arguments: "ENGINE ADDRESS",
         about: "adds an engine that no source lists, or lifts its removal",
-        options: &[("--zone", "NAME", "its building"), ("--kind", "NAME", "its machine kind")],
+        options: &[
+            ("--zone", "NAME", "its building"),
+            ("--kind", "NAME", "its machine kind"),
+        ],
         remote: true,
     },
     Command {
@@ -193,8 +234,20 @@
         options: &[],
         remote: false,
     },
-    Command { name: "manual", arguments: "", about: "prints the manual page", options: &[], remote: false },
-    Command { name: "version", arguments: "", about: "prints the version", options: &[], remote: false },
+    Command {
+        name: "manual",
+        arguments: "",
+        about: "prints the manual page",
+        options: &[],
+        remote: false,
+    },
+    Command {
+        name: "version",
+        arguments: "",
+        about: "prints the version",
+        options: &[],
+        remote: false,
+    },
 ];
 
 /// Exit codes, and what they mean.
@@ -206,7 +259,9 @@
     (4, "no program answers there"),
 ];
 
-fn options(command: &Command) -> impl Iterator<Item = &'static (&'static str, &'static str, &'static str)> {
+fn options(
+    command: &Command,
+) -> impl Iterator<Item = &'static (&'static str, &'static str, &'static str)> {
     let remote: &'static [(&str, &str, &str)] = if command.remote { REMOTE } else { &[] };
     command.options.iter().chain(remote)
 }
@@ -216,14 +271,27 @@
     let mut text = String::from("driftfront: a query coordinator for small sites\n\nusage:\n");
     for command in COMMANDS {
         let usage = format!("{} {}", command.name, command.arguments);
-        let _ = writeln!(text, "  driftfront {:<24} {}", usage.trim_end(), command.about);
+        let _ = writeln!(
+            text,
+            "  driftfront {:<24} {}",
+            usage.trim_end(),
+            command.about
+        );
         for (name, argument, about) in command.options {
-            let _ = writeln!(text, "      {:<20} {about}", format!("{name} {argument}").trim_end());
+            let _ = writeln!(
+                text,
+                "      {:<20} {about}",
+                format!("{name} {argument}").trim_end()
+            );
         }
     }
     text.push_str("\nfor all commands that speak to a running program:\n");
     for (name, argument, about) in REMOTE {
-        let _ = writeln!(text, "      {:<20} {about}", format!("{name} {argument}").trim_end());
+        let _ = writeln!(
+            text,
+            "      {:<20} {about}",
+            format!("{name} {argument}").trim_end()
+        );
     }
     text.push_str("\nexit codes:");
     for (code, about) in EXIT_CODES {
@@ -252,20 +320,37 @@
                     words.join(" ")
                 );
             }
-            let _ = writeln!(text, "    *) COMPREPLY=($(compgen -W \"{}\" -- \"$cur\")) ;;", names.join(" "));
+            let _ = writeln!(
+                text,
+                "    *) COMPREPLY=($(compgen -W \"{}\" -- \"$cur\")) ;;",
+                names.join(" ")
+            );
             text.push_str("  esac\n}\ncomplete -F _driftfront driftfront\n");
         }
         "zsh" => {
-            text.push_str("#compdef driftfront\n_driftfront() {\n  local -a commands\n  commands=(\n");
+            text.push_str(
+                "#compdef driftfront\n_driftfront() {\n  local -a commands\n  commands=(\n",
+            );
             for command in COMMANDS {
-                let _ = writeln!(text, "    '{}:{}'", command.name, command.about.replace('\'', "'\\''"));
+                let _ = writeln!(
+                    text,
+                    "    '{}:{}'",
+                    command.name,
+                    command.about.replace('\'', "'\\''")
+                );
             }
             text.push_str("  )\n  if (( CURRENT == 2 )); then _describe command commands; return; fi\n  case $words[2] in\n");
             for command in COMMANDS {
-                let words: Vec<String> =
-                    options(command).map(|o| format!("'{}[{}]'", o.0, o.2.replace('\'', "'\\''"))).collect();
+                let words: Vec<String> = options(command)
+                    .map(|o| format!("'{}[{}]'", o.0, o.2.replace('\'', "'\\''")))
+                    .collect();
                 if !words.is_empty() {
-                    let _ = writeln!(text, "    {}) _arguments {} ;;", command.name, words.join(" "));
+                    let _ = writeln!(
+                        text,
+                        "    {}) _arguments {} ;;",
+                        command.name,
+                        words.join(" ")
+                    );
                 }
             }
             text.push_str("  esac\n}\n_driftfront\n");
@@ -281,7 +366,10 @@
                 for (name, _, about) in options(command) {
                     let (name, about) = (name.trim_start_matches('-'), about.replace('\'', "\\'"));
                     let seen = format!("__fish_seen_subcommand_from {}", command.name);
-                    let _ = writeln!(text, "complete -c driftfront -n '{seen}' -l {name} -d '{about}'");
+                    let _ = writeln!(
+                        text,
+                        "complete -c driftfront -n '{seen}' -l {name} -d '{about}'"
+                    );
                 }
             }
         }
@@ -306,7 +394,12 @@
             plain(command.about)
         );
         for (name, argument, about) in options(command) {
-            let _ = writeln!(text, ".RS\n.TP\n.B {} {argument}\n{}.\n.RE", plain(name), plain(about));
+            let _ = writeln!(
+                text,
+                ".RS\n.TP\n.B {} {argument}\n{}.\n.RE",
+                plain(name),
+                plain(about)
+            );
         }
     }
     text.push_str(".SH EXIT STATUS\n");
@@ -322,14 +415,30 @@
 
     #[test]
     fn help_completions_and_manual_name_every_command_and_option() {
-        let all = [help(), completions("bash").expect("known"), completions("zsh").expect("known"), manual()];
+        let all = [
+            help(),
+            completions("bash").expect("known"),
+            completions("zsh").expect("known"),
+            manual(),
+        ];
         for command in COMMANDS {
-            assert!(all.iter().all(|text| text.contains(command.name)), "{}", command.name);
+            assert!(
+                all.iter().all(|text| text.contains(command.name)),
+                "{}",
+                command.name
+            );
             for (name, ..) in command.options {
                 let plain = name.replace('-', "\\-");
-                assert!(all.iter().all(|text| text.contains(name) || text.contains(&plain)), "{name}");
+                assert!(
+                    all.iter()
+                        .all(|text| text.contains(name) || text.contains(&plain)),
+                    "{name}"
+                );
             }
         }
-        assert!(completions("fish").is_some_and(|f| f.contains("-l force")) && completions("tcsh").is_none());
+        assert!(
+            completions("fish").is_some_and(|f| f.contains("-l force"))
+                && completions("tcsh").is_none()
+        );
     }
 }
--- a/crates/control/src/json.rs
+++ b/crates/control/src/json.rs
@@ -64,7 +64,11 @@
         JsonValue::Array(self.iter().map(Field::to_json).collect())
     }
     fn from_json(value: &JsonValue) -> Option<Vec<T>> {
-        value.get::<Vec<JsonValue>>()?.iter().map(T::from_json).collect()
+        value
+            .get::<Vec<JsonValue>>()?
+            .iter()
+            .map(T::from_json)
+            .collect()
     }
 }
 
--- a/crates/control/src/key.rs
+++ b/crates/control/src/key.rs
@@ -7,14 +7,22 @@
 pub fn answer(key: &[u8], challenge: &str) -> String {
     let mut mac = <Hmac<Sha256> as Mac>::new_from_slice(key).expect("any length does");
     mac.update(challenge.as_bytes());
-    mac.finalize().into_bytes().iter().map(|b| format!("{b:02x}")).collect()
+    mac.finalize()
+        .into_bytes()
+        .iter()
+        .map(|b| format!("{b:02x}"))
+        .collect()
 }
 
 /// Whether an answer is right; takes the same time whatever is wrong with it.
 pub fn is_right(key: &[u8], challenge: &str, answer: &str) -> bool {
     let mut mac = <Hmac<Sha256> as Mac>::new_from_slice(key).expect("any length does");
     mac.update(challenge.as_bytes());
-    let byte = |at: usize| answer.get(at..at + 2).and_then(|h| u8::from_str_radix(h, 16).ok());
+    let byte = |at: usize| {
+        answer
+            .get(at..at + 2)
+            .and_then(|h| u8::from_str_radix(h, 16).ok())
+    };
     let bytes: Option<Vec<u8>> = (0..answer.len()).step_by(2).map(byte).collect();
     bytes.is_some_and(|b| mac.verify_slice(&b).is_ok())
 }
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -106,7 +106,10 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             Bad::NotJson => f.write_str("the line is no JSON object"),
-            Bad::Version(v) => write!(f, "this program speaks version {VERSION} of the protocol, not {v}"),
+            Bad::Version(v) => write!(
+                f,
+                "this program speaks version {VERSION} of the protocol, not {v}"
+            ),
             Bad::Unknown(what) => write!(f, "nothing is called {what:?} here"),
             Bad::Missing(what) => write!(f, "{what} is missing"),
         }
@@ -116,7 +119,12 @@
 impl std::error::Error for Bad {}
 
 fn object(fields: Vec<(&str, JsonValue)>) -> JsonValue {
-    JsonValue::Object(fields.into_iter().map(|(n, v)| (n.to_string(), v)).collect())
+    JsonValue::Object(
+        fields
+            .into_iter()
+            .map(|(n, v)| (n.to_string(), v))
+            .collect(),
+    )
 }
 
 fn line(value: &JsonValue) -> String {
@@ -125,7 +133,10 @@
 
 /// The program's greeting; a challenge where a key is asked for.
 pub fn greeting(version: &str, challenge: Option<&str>) -> String {
-    let mut fields = vec![("driftfront", version.to_string().into()), ("v", (VERSION as f64).into())];
+    let mut fields = vec![
+        ("driftfront", version.to_string().into()),
+        ("v", (VERSION as f64).into()),
+    ];
     if let Some(challenge) = challenge {
         fields.push(("challenge", challenge.to_string().into()));
     }
@@ -134,8 +145,14 @@
 
 /// The challenge in a greeting, if it holds one; `None` where the line is no greeting.
 pub fn challenge_in(greeting: &str) -> Option<Option<String>> {
-    let Ok(JsonValue::Object(fields)) = greeting.parse::<JsonValue>() else { return None };
-    Some(fields.get("challenge").and_then(|c| c.get::<String>().cloned()))
+    let Ok(JsonValue::Object(fields)) = greeting.parse::<JsonValue>() else {
+        return None;
+    };
+    Some(
+        fields
+            .get("challenge")
+            .and_then(|c| c.get::<String>().cloned()),
+    )
 }
 
 impl Request {
@@ -147,13 +164,19 @@
             Request::Snapshot => ("snapshot", vec![]),
             Request::Follow(ms) => ("follow", vec![("every_ms", (*ms as f64).into())]),
             Request::Events(follow) => ("events", vec![("follow", (*follow).into())]),
-            Request::Drain { engine, force } => {
-                ("drain", vec![("engine", text(engine)), ("force", (*force).into())])
-            }
+            Request::Drain { engine, force } => (
+                "drain",
+                vec![("engine", text(engine)), ("force", (*force).into())],
+            ),
             Request::Resume(engine) => ("resume", vec![("engine", text(engine))]),
             Request::Pause => ("pause", vec![]),
             Request::Unpause => ("unpause", vec![]),
-            Request::Add { engine, addr, zone, kind } => (
+            Request::Add {
+                engine,
+                addr,
+                zone,
+                kind,
+            } => (
                 "add",
                 vec![
                     ("engine", text(engine)),
@@ -162,14 +185,26 @@
                     ("kind", text(kind)),
                 ],
             ),
-            Request::Remove { engine, force } => {
-                ("remove", vec![("engine", text(engine)), ("force", (*force).into())])
-            }
+            Request::Remove { engine, force } => (
+                "remove",
+                vec![("engine", text(engine)), ("force", (*force).into())],
+            ),
             Request::Roll(engines, dry) => {
                 let list = engines.iter().map(|e| text(e)).collect::<Vec<_>>();
-                ("roll", vec![("engines", JsonValue::Array(list)), ("dry_run", (*dry).into())])
+                (
+                    "roll",
+                    vec![
+                        ("engines", JsonValue::Array(list)),
+                        ("dry_run", (*dry).into()),
+                    ],
+                )
             }
-            Request::Hold { name, for_s, stays, note } => (
+            Request::Hold {
+                name,
+                for_s,
+                stays,
+                note,
+            } => (
                 "hold",
                 vec![
                     ("name", text(name)),
@@ -191,7 +226,9 @@
 
     /// Reads a line: its id, and what it asks for.
     pub fn read(line: &str) -> (u64, Result<Request, Bad>) {
-        let Ok(JsonValue::Object(fields)) = line.parse::<JsonValue>() else { return (0, Err(Bad::NotJson)) };
+        let Ok(JsonValue::Object(fields)) = line.parse::<JsonValue>() else {
+            return (0, Err(Bad::NotJson));
+        };
         let id = number(&fields, "id").unwrap_or(0.0) as u64;
         (id, read(&fields))
     }
@@ -207,16 +244,30 @@
         return Err(Bad::Version(version));
     }
     let text = |name: &'static str| fields.get(name).and_then(|v| v.get::<String>().cloned());
-    let need = |name: &'static str| text(name).filter(|t| !t.is_empty()).ok_or(Bad::Missing(name));
-    let flag = |name: &str| fields.get(name).and_then(|v| v.get::<bool>().copied()).unwrap_or(false);
+    let need = |name: &'static str| {
+        text(name)
+            .filter(|t| !t.is_empty())
+            .ok_or(Bad::Missing(name))
+    };
+    let flag = |name: &str| {
+        fields
+            .get(name)
+            .and_then(|v| v.get::<bool>().copied())
+            .unwrap_or(false)
+    };
     let word = text("do").ok_or(Bad::Missing("do"))?;
     Ok(match word.as_str() {
         "snapshot" => Request::Snapshot,
-        "follow" => {
-            Request::Follow(number(fields, "every_ms").unwrap_or(1000.0).clamp(50.0, 60_000.0) as u64)
-        }
+        "follow" => Request::Follow(
+            number(fields, "every_ms")
+                .unwrap_or(1000.0)
+                .clamp(50.0, 60_000.0) as u64,
+        ),
         "events" => Request::Events(flag("follow")),
-        "drain" => Request::Drain { engine: need("engine")?, force: flag("force") },
+        "drain" => Request::Drain {
+            engine: need("engine")?,
+            force: flag("force"),
+        },
         "resume" => Request::Resume(need("engine")?),
         "pause" => Request::Pause,
         "unpause" => Request::Unpause,
@@ -226,11 +277,19 @@
             zone: text("zone").unwrap_or_default(),
             kind: text("kind").unwrap_or_default(),
         },
-        "remove" => Request::Remove { engine: need("engine")?, force: flag("force") },
+        "remove" => Request::Remove {
+            engine: need("engine")?,
+            force: flag("force"),
+        },
         "roll" => {
-            let list =
-                fields.get("engines").and_then(|v| v.get::<Vec<JsonValue>>().cloned()).unwrap_or_default();
-            let names = list.iter().filter_map(|v| v.get::<String>().cloned()).collect();
+            let list = fields
+                .get("engines")
+                .and_then(|v| v.get::<Vec<JsonValue>>().cloned())
+                .unwrap_or_default();
+            let names = list
+                .iter()
+                .filter_map(|v| v.get::<String>().cloned())
+                .collect();
             Request::Roll(names, flag("dry_run"))
         }
         "hold" => Request::Hold {
@@ -279,7 +338,9 @@
 
     /// Reads a line: its id, and the reply; `None` for what is none that is known.
     pub fn read(line: &str) -> Option<(u64, Reply)> {
-        let Ok(JsonValue::Object(fields)) = line.parse::<JsonValue>() else { return None };
+        let Ok(JsonValue::Object(fields)) = line.parse::<JsonValue>() else {
+            return None;
+        };
         let id = number(&fields, "id")? as u64;
         let text = |name: &str| fields.get(name).and_then(|v| v.get::<String>().cloned());
         let reply = if let Some(words) = text("done") {
@@ -315,7 +376,9 @@
     pub fn next_line(&mut self, most: usize) -> Result<Option<String>, TooLong> {
         match self.held.iter().position(|&b| b == b'\n') {
             Some(end) if end <= most => {
-                let line = String::from_utf8_lossy(&self.held[..end]).trim_end_matches('\r').to_string();
+                let line = String::from_utf8_lossy(&self.held[..end])
+                    .trim_end_matches('\r')
+                    .to_string();
                 self.held.drain(..=end);
                 Ok(Some(line))
             }
@@ -336,7 +399,10 @@
             Request::Snapshot,
             Request::Follow(250),
             Request::Events(true),
-            Request::Drain { engine: engine(), force: true },
+            Request::Drain {
+                engine: engine(),
+                force: true,
+            },
             Request::Resume(engine()),
             Request::Pause,
             Request::Unpause,
@@ -346,30 +412,54 @@
                 zone: "a".into(),
                 kind: String::new(),
             },
-            Request::Remove { engine: engine(), force: false },
+            Request::Remove {
+                engine: engine(),
+                force: false,
+            },
             Request::Roll(vec![engine(), "b\"\n".into()], true),
-            Request::Hold { name: "room-a".into(), for_s: 600, stays: true, note: "a fan".into() },
+            Request::Hold {
+                name: "room-a".into(),
+                for_s: 600,
+                stays: true,
+                note: "a fan".into(),
+            },
             Request::Unhold("room-a".into()),
             Request::Back,
             Request::RollStop,
             Request::RollGoOn,
             Request::Auth("00ff".into()),
         ] {
-            assert_eq!(Request::read(request.line(7).trim_end()), (7, Ok(request.clone())));
+            assert_eq!(
+                Request::read(request.line(7).trim_end()),
+                (7, Ok(request.clone()))
+            );
         }
     }
 
     #[test]
     fn what_cannot_be_taken_is_told_with_its_id() {
         assert_eq!(Request::read("nonsense"), (0, Err(Bad::NotJson)));
-        assert_eq!(Request::read(r#"{"id":3,"v":2,"do":"snapshot"}"#), (3, Err(Bad::Version(2))));
-        assert_eq!(Request::read(r#"{"id":4,"v":1,"do":"drain"}"#), (4, Err(Bad::Missing("engine"))));
-        assert_eq!(Request::read(r#"{"id":5,"v":1,"do":"dance"}"#), (5, Err(Bad::Unknown("dance".into()))));
+        assert_eq!(
+            Request::read(r#"{"id":3,"v":2,"do":"snapshot"}"#),
+            (3, Err(Bad::Version(2)))
+        );
+        assert_eq!(
+            Request::read(r#"{"id":4,"v":1,"do":"drain"}"#),
+            (4, Err(Bad::Missing("engine")))
+        );
+        assert_eq!(
+            Request::read(r#"{"id":5,"v":1,"do":"dance"}"#),
+            (5, Err(Bad::Unknown("dance".into())))
+        );
     }
 
     #[test]
     fn replies_are_read_back_and_lines_are_bounded() {
-        for reply in [Reply::Done("a\nb".into()), Reply::Refused("no".into()), Reply::Event(5, "x".into())] {
+        for reply in [
+            Reply::Done("a\nb".into()),
+            Reply::Refused("no".into()),
+            Reply::Event(5, "x".into()),
+        ] {
             assert_eq!(Reply::read(reply.line(9).trim_end()), Some((9, reply)));
         }
         let mut lines = Lines::default();
--- a/crates/control/src/management.rs
+++ b/crates/control/src/management.rs
@@ -72,7 +72,9 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             BadCall::Empty => write!(f, "an empty line; calls are {}", WORDS.join(", ")),
-            BadCall::Unknown(word) => write!(f, "unknown call {word}; calls are {}", WORDS.join(", ")),
+            BadCall::Unknown(word) => {
+                write!(f, "unknown call {word}; calls are {}", WORDS.join(", "))
+            }
             BadCall::NoEngine(word) => write!(f, "{word} needs an engine's id behind it"),
             BadCall::TooMany(word) => write!(f, "{word} has a word too many behind it"),
             BadCall::TooLong => write!(f, "a line has at most {CALL_MOST} bytes"),
@@ -106,7 +108,11 @@
         // One byte more than a line may have: its end may be CR LF.
         let room = CALL_MOST + 1 - self.held.len();
         self.held.extend_from_slice(&line[..line.len().min(room)]);
-        let text = self.held.strip_suffix(b"\r").filter(|_| whole).unwrap_or(&self.held);
+        let text = self
+            .held
+            .strip_suffix(b"\r")
+            .filter(|_| whole)
+            .unwrap_or(&self.held);
         let end = match whole {
             _ if line.len() > room || text.len() > CALL_MOST && whole => Err(BadCall::TooLong),
             true => read(text),
@@ -137,7 +143,12 @@
     let place = WORDS.iter().position(|w| *w == word);
     let place = place.ok_or_else(|| BadCall::Unknown(word.chars().take(40).collect()))?;
     let word = WORDS[place];
-    let mut engine = || words.next().map(String::from).ok_or(BadCall::NoEngine(word));
+    let mut engine = || {
+        words
+            .next()
+            .map(String::from)
+            .ok_or(BadCall::NoEngine(word))
+    };
     let call = match place {
         0 => Call::Status,
         1 => Call::Suspend(engine()?),
@@ -157,7 +168,10 @@
         Ok(text) => ("OK", text),
         Err(text) => ("ERR", text),
     };
-    let plain: String = text.chars().map(|c| if c.is_control() { ' ' } else { c }).collect();
+    let plain: String = text
+        .chars()
+        .map(|c| if c.is_control() { ' ' } else { c })
+        .collect();
     format!("{word} {plain}").trim_end().to_string() + "\n"
 }
 
@@ -173,9 +187,18 @@
     #[test]
     fn each_call_is_read_and_what_is_no_call_is_told_why() {
         assert_eq!(whole(b"STATUS\r\n"), Ok(Call::Status));
-        assert_eq!(whole(b"  SUSPEND   s-00c41f7a \n"), Ok(Call::Suspend("s-00c41f7a".into())));
-        assert_eq!(whole(b"RESTORE e1\nPAUSE\n"), Ok(Call::Restore("e1".into())));
-        assert_eq!((whole(b"PAUSE\n"), whole(b"RESUME\n")), (Ok(Call::Pause), Ok(Call::Resume)));
+        assert_eq!(
+            whole(b"  SUSPEND   s-00c41f7a \n"),
+            Ok(Call::Suspend("s-00c41f7a".into()))
+        );
+        assert_eq!(
+            whole(b"RESTORE e1\nPAUSE\n"),
+            Ok(Call::Restore("e1".into()))
+        );
+        assert_eq!(
+            (whole(b"PAUSE\n"), whole(b"RESUME\n")),
+            (Ok(Call::Pause), Ok(Call::Resume))
+        );
         assert_eq!(whole(b"\r\n"), Err(BadCall::Empty));
         assert_eq!(whole(b"status\n"), Err(BadCall::Unknown("status".into())));
         assert_eq!(whole(b"SUSPEND\n"), Err(BadCall::NoEngine("SUSPEND")));
@@ -192,10 +215,16 @@
             assert_eq!(reader.push(b"x"), None);
         }
         assert_eq!(reader.push(b"x"), Some(Err(BadCall::TooLong)));
-        assert_eq!((reader.push(b"STATUS\n"), reader.end(BadCall::Unfinished)), (None, None));
+        assert_eq!(
+            (reader.push(b"STATUS\n"), reader.end(BadCall::Unfinished)),
+            (None, None)
+        );
         let longest = [b"SUSPEND ".as_slice(), &[b'e'; CALL_MOST - 8], b"\r\n"].concat();
         assert!(matches!(whole(&longest), Ok(Call::Suspend(_))));
-        assert_eq!(whole(&[&[b' '; CALL_MOST + 1][..], b"\n"].concat()), Err(BadCall::TooLong));
+        assert_eq!(
+            whole(&[&[b' '; CALL_MOST + 1][..], b"\n"].concat()),
+            Err(BadCall::TooLong)
+        );
     }
 
     /// Whatever comes, in whatever pieces: the same end as in one piece, once, and a reply of one line.
@@ -207,23 +236,33 @@
         }
         let at_once = CallReader::default().push(&bytes);
         let (mut reader, mut rest, mut ends) = (CallReader::default(), &bytes[..], Vec::new());
-        for cut in cuts.iter().map(|&c| usize::from(c % 7)).chain([bytes.len()]) {
+        for cut in cuts
+            .iter()
+            .map(|&c| usize::from(c % 7))
+            .chain([bytes.len()])
+        {
             let (piece, behind) = rest.split_at(cut.min(rest.len()));
             ends.extend(reader.push(piece));
             rest = behind;
         }
         ends.extend(reader.push(rest));
         let line = ends.first().map(|end| {
-            let outcome = end.as_ref().map(|c| format!("{c:?}")).map_err(ToString::to_string);
+            let outcome = end
+                .as_ref()
+                .map(|c| format!("{c:?}"))
+                .map_err(ToString::to_string);
             reply(&outcome)
         });
-        let one_line = line.is_none_or(|l| l.ends_with('\n') && l.matches(['\n', '\r']).count() == 1);
+        let one_line =
+            line.is_none_or(|l| l.ends_with('\n') && l.matches(['\n', '\r']).count() == 1);
         ends.len() <= 1 && ends.first() == at_once.as_ref() && one_line
     }
 
     #[test]
     fn random_bytes_in_random_pieces_end_as_in_one_piece() {
-        let mut check = QuickCheck::new().tests(20_000).rng(Gen::from_size_and_seed(80, 18));
+        let mut check = QuickCheck::new()
+            .tests(20_000)
+            .rng(Gen::from_size_and_seed(80, 18));
         check.quickcheck(pieces_do_not_matter as fn(Vec<u8>, Vec<u8>, u8) -> bool);
     }
 }
--- a/crates/control/src/snapshot.rs
+++ b/crates/control/src/snapshot.rs
@@ -254,8 +254,18 @@
 
     #[test]
     fn a_snapshot_is_read_back_and_one_with_fields_missing_takes_their_defaults() {
-        let engine = Engine { name: "e\"1".into(), heard_ms: Some(12), ..Engine::default() };
-        let class = Class { hour: Service { p99_ms: 1.5, ..Service::default() }, ..Class::default() };
+        let engine = Engine {
+            name: "e\"1".into(),
+            heard_ms: Some(12),
+            ..Engine::default()
+        };
+        let class = Class {
+            hour: Service {
+                p99_ms: 1.5,
+                ..Service::default()
+            },
+            ..Class::default()
+        };
         let snapshot = Snapshot {
             engines: vec![engine],
             classes: vec![class],
@@ -263,9 +273,13 @@
             ..Snapshot::default()
         };
         let text = Field::to_json(&snapshot).stringify().expect("JSON");
-        assert_eq!(Snapshot::from_json(&text.parse().expect("JSON")), Some(snapshot));
-        let older: tinyjson::JsonValue =
-            r#"{"name":"n","engines":[{"name":"e"}],"newer":1}"#.parse().expect("JSON");
+        assert_eq!(
+            Snapshot::from_json(&text.parse().expect("JSON")),
+            Some(snapshot)
+        );
+        let older: tinyjson::JsonValue = r#"{"name":"n","engines":[{"name":"e"}],"newer":1}"#
+            .parse()
+            .expect("JSON");
         assert!(Snapshot::from_json(&older).is_some_and(|s| s.engines[0].heard_ms.is_none()));
         let odd: tinyjson::JsonValue = r#"{"name":5}"#.parse().expect("JSON");
         assert_eq!(Snapshot::from_json(&odd), None);
--- a/crates/core/src/admit.rs
+++ b/crates/core/src/admit.rs
@@ -12,8 +12,12 @@
 
 impl Core {
     pub(crate) fn admit(&mut self, now: Micros, id: RequestId) {
-        let Some(request) = self.requests.get(&id) else { return };
-        let forgetful = self.tokens.is_full(now, request.ask.class, request.ask.token.as_ref());
+        let Some(request) = self.requests.get(&id) else {
+            return;
+        };
+        let forgetful = self
+            .tokens
+            .is_full(now, request.ask.class, request.ask.token.as_ref());
         self.counters.tokens_full += u64::from(forgetful);
         if forgetful
             || self.leaves
@@ -33,7 +37,8 @@
             self.counters.tokens_late += 1;
             return self.fail_saying(id, Some(TOKEN_LATE.into()));
         }
-        self.tokens.taken(ask.class, ask.token.as_ref(), request.deadline);
+        self.tokens
+            .taken(ask.class, ask.token.as_ref(), request.deadline);
         self.names.insert(ask.call.clone(), id);
         let query = Query {
             id: crate::query(id),
@@ -49,7 +54,8 @@
             budget: ask.budget,
         };
         self.counters.tenants_unnamed += u64::from(self.has_tenants && ask.tenant.is_none());
-        self.counters.tokens_missing += u64::from(!query.token && self.tokens.is_keyed(query.class));
+        self.counters.tokens_missing +=
+            u64::from(!query.token && self.tokens.is_keyed(query.class));
         // The module answers in time by itself; this guards the promise should it ever not.
         let last = request.deadline.saturating_sub(self.limits.answer_margin);
         self.set_timer(last, Due::Answer(id));
--- a/crates/core/src/book.rs
+++ b/crates/core/src/book.rs
@@ -110,14 +110,21 @@
     pub fn engines(&mut self, now: Micros, kind: ListKind, list: &[Listed]) {
         self.counters.lists += 1;
         if kind != ListKind::Changes {
-            self.phases.values_mut().for_each(|phase| *phase = Phase::Gone);
+            self.phases
+                .values_mut()
+                .for_each(|phase| *phase = Phase::Gone);
         }
         for listed in list {
             self.phases.insert(listed.engine, listed.phase);
         }
         self.end_stranded(now);
         self.tell(now, Event::Engines(kind, list));
-        let gone: Vec<_> = self.phases.iter().filter(|p| *p.1 == Phase::Gone).map(|p| *p.0).collect();
+        let gone: Vec<_> = self
+            .phases
+            .iter()
+            .filter(|p| *p.1 == Phase::Gone)
+            .map(|p| *p.0)
+            .collect();
         for engine in gone {
             self.phases.remove(&engine);
             self.unheard.forget(engine);
@@ -133,7 +140,12 @@
             let gone = only.is_some_and(|e| self.phases.get(&e) != Some(&Phase::Ready));
             gone && r.out().is_none()
         };
-        let ids: Vec<RequestId> = self.requests.iter().filter(|r| stranded(r.1)).map(|r| *r.0).collect();
+        let ids: Vec<RequestId> = self
+            .requests
+            .iter()
+            .filter(|r| stranded(r.1))
+            .map(|r| *r.0)
+            .collect();
         for id in ids {
             let words = self.requests.get(&id).and_then(|r| r.ask.lost.clone());
             self.fail_saying(id, words);
--- a/crates/core/src/idempotency.rs
+++ b/crates/core/src/idempotency.rs
@@ -30,7 +30,8 @@
 
 impl IdempotencyKeys {
     pub fn new(settings: &Settings, most: usize) -> IdempotencyKeys {
-        let window = |c: &fernlink::interface::Class| (c.effect == Effect::Keyed).then_some(c.repeat_window);
+        let window =
+            |c: &fernlink::interface::Class| (c.effect == Effect::Keyed).then_some(c.repeat_window);
         IdempotencyKeys {
             first: BTreeMap::new(),
             order: VecDeque::new(),
@@ -56,7 +57,9 @@
 
     /// A request under this key was taken that may be tried until then.
     pub fn taken(&mut self, class: u16, token: Option<&Rc<str>>, deadline: Micros) {
-        let Some(window) = self.window(class) else { return };
+        let Some(window) = self.window(class) else {
+            return;
+        };
         if let Some(first) = token.and_then(|t| self.first.get_mut(t)) {
             first.keep = first.keep.max(deadline.saturating_add(window));
         }
@@ -73,20 +76,34 @@
         if self.first.len() >= self.most {
             // Behind one that is kept for long others may be over.
             self.first.retain(|_, f| f.keep > now);
-            self.order.retain(|(at, token)| self.first.get(token).is_some_and(|f| f.at == *at));
+            self.order
+                .retain(|(at, token)| self.first.get(token).is_some_and(|f| f.at == *at));
         }
         self.first.len() >= self.most
     }
 
     /// An attempt under this key goes out: from here on it may run. Those admitted before the room was used up find their
     /// place all the same: they are bounded by the requests that may be open.
-    pub fn written(&mut self, now: Micros, class: u16, token: &Rc<str>, by: AttemptKey, deadline: Micros) {
-        let Some(window) = self.window(class) else { return };
+    pub fn written(
+        &mut self,
+        now: Micros,
+        class: u16,
+        token: &Rc<str>,
+        by: AttemptKey,
+        deadline: Micros,
+    ) {
+        let Some(window) = self.window(class) else {
+            return;
+        };
         if self.first.contains_key(token) {
             return;
         }
         self.forget(now);
-        let first = First { at: now, by, keep: deadline.saturating_add(window) };
+        let first = First {
+            at: now,
+            by,
+            keep: deadline.saturating_add(window),
+        };
         self.first.insert(token.clone(), first);
         self.order.push_back((now, token.clone()));
     }
@@ -101,7 +118,11 @@
     /// Keys that no try comes under any more.
     fn forget(&mut self, now: Micros) {
         while let Some((at, token)) = self.order.front() {
-            let keep = self.first.get(token).filter(|f| f.at == *at).map(|f| f.keep);
+            let keep = self
+                .first
+                .get(token)
+                .filter(|f| f.at == *at)
+                .map(|f| f.keep);
             if keep.is_some_and(|keep| keep > now) {
                 return;
             }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -196,7 +196,9 @@
     /// Lets all timers come due that should have by now.
     pub fn tick(&mut self, now: Micros) {
         while self.next_due().is_some_and(|at| at <= now) {
-            let Some(Reverse((_, _, due))) = self.timers.pop() else { return };
+            let Some(Reverse((_, _, due))) = self.timers.pop() else {
+                return;
+            };
             match due {
                 Due::Wake(token) => self.tell(now, Event::Woken(token)),
                 Due::Attempt(key) => self.attempt_timed_out(now, key),
--- a/crates/core/src/lifecycle.rs
+++ b/crates/core/src/lifecycle.rs
@@ -182,12 +182,17 @@
 
     /// Since when new connections are another process's: a successor's or, after the signal, the next one's.
     fn left(&self) -> Option<Micros> {
-        self.successor.into_iter().chain(self.ending.filter(|_| self.held)).min()
+        self.successor
+            .into_iter()
+            .chain(self.ending.filter(|_| self.held))
+            .min()
     }
 
     /// Since when the process leaves for good: no successor or holder of its socket takes what comes, and the grace is over.
     fn leaves(&self) -> Option<Micros> {
-        self.ending.filter(|_| self.left().is_none()).map(|at| at + GRACE)
+        self.ending
+            .filter(|_| self.left().is_none())
+            .map(|at| at + GRACE)
     }
 
     /// Whether new connections are taken from the backlog. A successor that is not ready yet leaves them to the earlier
@@ -219,14 +224,18 @@
             return false;
         }
         // What shuts the door first counts.
-        let Some(since) = self.left().into_iter().chain(self.paused).min() else { return true };
+        let Some(since) = self.left().into_iter().chain(self.paused).min() else {
+            return true;
+        };
         let gone = now.saturating_sub(since);
         gone < FRONT_HEARS || gone < NO_MORE_IDLE && idle < QUIET
     }
 
     /// Whether the process may end, at each look, with so many requests and clients' connections open.
     pub fn may_end(&mut self, now: Micros, open: usize, clients: usize, writing: bool) -> bool {
-        let Some(since) = self.ending else { return false };
+        let Some(since) = self.ending else {
+            return false;
+        };
         let answered = open == 0 && !writing;
         if self.left().is_some() {
             // New connections are the successor's; those that are left here close in order.
@@ -253,6 +262,7 @@
             (false, true) => RESTART_KILLS_AFTER,
             (false, false) => return None,
         };
-        self.ending.map(|at| at + self.longest.min(kill) + KILL_SPARE - ANSWERED_BEFORE_KILL)
+        self.ending
+            .map(|at| at + self.longest.min(kill) + KILL_SPARE - ANSWERED_BEFORE_KILL)
     }
 }
--- a/crates/core/src/relay.rs
+++ b/crates/core/src/relay.rs
@@ -8,8 +8,14 @@
     /// A piece of an attempt's answer, to be passed on. From here on the request is tied to the attempt.
     pub fn relay(&mut self, key: AttemptKey, piece: Piece) {
         self.reached(key, Progress::AnswerBegun);
-        let Some(request) = self.requests.get_mut(&key.request).filter(|r| !r.closed) else { return };
-        if request.attempts.get(usize::from(key.number)).is_some_and(|a| a.outcome.is_none()) {
+        let Some(request) = self.requests.get_mut(&key.request).filter(|r| !r.closed) else {
+            return;
+        };
+        if request
+            .attempts
+            .get(usize::from(key.number))
+            .is_some_and(|a| a.outcome.is_none())
+        {
             request.relaying = Some(key.number);
             self.commands.push_back(Command::Relay(key.request, piece));
         }
@@ -51,10 +57,16 @@
     }
 
     pub(crate) fn fail(&mut self, id: RequestId) {
-        let Some(request) = self.requests.get(&id) else { return };
+        let Some(request) = self.requests.get(&id) else {
+            return;
+        };
         let (begun, words) = (request.relaying.is_some(), request.words.clone());
         if self.close(id) {
-            let count = if begun { &mut self.counters.broken } else { &mut self.counters.failed };
+            let count = if begun {
+                &mut self.counters.broken
+            } else {
+                &mut self.counters.failed
+            };
             *count += 1;
             self.commands.push_back(match begun {
                 true => Command::Break(id, words),
@@ -76,7 +88,12 @@
     /// The process ends, or is killed, before they could all be served: each that is open is answered now. A refusal where
     /// it never ran or may run again, so that its client tries elsewhere; else a failure.
     pub fn answer_all(&mut self, now: Micros) {
-        let ids: Vec<RequestId> = self.requests.iter().filter(|r| !r.1.closed).map(|r| *r.0).collect();
+        let ids: Vec<RequestId> = self
+            .requests
+            .iter()
+            .filter(|r| !r.1.closed)
+            .map(|r| *r.0)
+            .collect();
         for id in ids {
             self.answer_now(now, id);
         }
@@ -90,7 +107,11 @@
             None => a.progress >= crate::send::Progress::PartWritten,
         };
         let once = |r: &crate::Request| self.effect(r.ask.class) != Some(Effect::Safe);
-        match self.requests.get(&id).is_some_and(|r| once(r) && r.attempts.iter().any(ran)) {
+        match self
+            .requests
+            .get(&id)
+            .is_some_and(|r| once(r) && r.attempts.iter().any(ran))
+        {
             true => self.fail(id),
             false => self.refuse(id, crate::admit::FULL_ADVICE),
         }
@@ -118,17 +139,25 @@
         if !self.requests.get(&id).is_some_and(over) {
             return;
         }
-        let Some(request) = self.requests.remove(&id) else { return };
+        let Some(request) = self.requests.remove(&id) else {
+            return;
+        };
         if request.ask.ticket != 0 {
             // Before its own answer: the client's next request, which that lets come, may need what this one held.
             let answer = |c: &Command| match c {
-                Command::Refuse(x, ..) | Command::Fail(x, _) | Command::Finish(x) | Command::Break(x, _) => {
-                    *x == id
-                }
+                Command::Refuse(x, ..)
+                | Command::Fail(x, _)
+                | Command::Finish(x)
+                | Command::Break(x, _) => *x == id,
                 _ => false,
             };
-            let at = self.commands.iter().position(answer).unwrap_or(self.commands.len());
-            self.commands.insert(at, Command::Over(request.ask.ticket, request.fate()));
+            let at = self
+                .commands
+                .iter()
+                .position(answer)
+                .unwrap_or(self.commands.len());
+            self.commands
+                .insert(at, Command::Over(request.ask.ticket, request.fate()));
         }
     }
 }
--- a/crates/core/src/route.rs
+++ b/crates/core/src/route.rs
@@ -23,7 +23,9 @@
                 }
                 Action::Refuse(id, advice) => self.refuse(RequestId(id.0), advice),
                 Action::Fail(id) => self.fail(RequestId(id.0)),
-                Action::Wake(after, token) => self.set_timer(now.saturating_add(after), Due::Wake(token)),
+                Action::Wake(after, token) => {
+                    self.set_timer(now.saturating_add(after), Due::Wake(token))
+                }
                 Action::Probe(engine) => self.probe(now, engine),
                 Action::Log(line) => self.commands.push_back(Command::Log(line)),
                 Action::Terms(id, grant_mb, _) => {
@@ -32,9 +34,10 @@
                         request.grant_mb = grant_mb;
                     }
                 }
-                Action::Cancel(id, number) => {
-                    called_off.push(AttemptKey { request: RequestId(id.0), number })
-                }
+                Action::Cancel(id, number) => called_off.push(AttemptKey {
+                    request: RequestId(id.0),
+                    number,
+                }),
                 // Coordinators share nothing, and lists are pushed: the settings keep the module from asking.
                 Action::Tell(..) | Action::Subscribe => {}
             }
@@ -48,8 +51,18 @@
     /// The module waits no longer for an attempt: its engine is told, and the attempt ends here at once. An answer that
     /// crosses that word finds nobody.
     fn call_attempt_off(&mut self, now: Micros, key: AttemptKey) {
-        let Some(engine) = self.out(key).filter(|a| a.ending.is_none()).map(|a| a.engine) else { return };
-        if self.requests.get(&key.request).is_some_and(|r| r.relaying == Some(key.number)) {
+        let Some(engine) = self
+            .out(key)
+            .filter(|a| a.ending.is_none())
+            .map(|a| a.engine)
+        else {
+            return;
+        };
+        if self
+            .requests
+            .get(&key.request)
+            .is_some_and(|r| r.relaying == Some(key.number))
+        {
             return;
         }
         self.counters.stopped += 1;
@@ -58,7 +71,13 @@
     }
 
     /// Starts an attempt; its number if it is over before it began.
-    fn attempt(&mut self, now: Micros, id: RequestId, engine: EngineId, patience: Micros) -> Option<u8> {
+    fn attempt(
+        &mut self,
+        now: Micros,
+        id: RequestId,
+        engine: EngineId,
+        patience: Micros,
+    ) -> Option<u8> {
         let request = self.requests.get_mut(&id)?;
         let number = request.attempts.len() as u8;
         let until = now.saturating_add(patience).min(request.deadline);
@@ -75,7 +94,10 @@
         }
         self.counters.sent += 1;
         self.counters.further += u64::from(number > 0);
-        let key = AttemptKey { request: id, number };
+        let key = AttemptKey {
+            request: id,
+            number,
+        };
         self.set_timer(until, Due::Attempt(key));
         self.commands.push_back(Command::Send(key, engine));
         None
--- a/crates/core/src/running.rs
+++ b/crates/core/src/running.rs
@@ -35,16 +35,23 @@
 
 impl Doubts {
     pub fn new(most: usize) -> Doubts {
-        Doubts { list: VecDeque::new(), most }
+        Doubts {
+            list: VecDeque::new(),
+            most,
+        }
     }
 }
 
 impl Core {
     /// An attempt's name on its engine: the client's own, unless an earlier attempt may still run under that.
     pub fn name_on_engine(&self, key: AttemptKey) -> Cow<'_, str> {
-        let Some(request) = self.requests.get(&key.request) else { return Cow::default() };
+        let Some(request) = self.requests.get(&key.request) else {
+            return Cow::default();
+        };
         let earlier = request.attempts.iter().take(usize::from(key.number));
-        let taken = earlier.into_iter().any(|a| a.outcome.is_none_or(|o| !o.never_ran()));
+        let taken = earlier
+            .into_iter()
+            .any(|a| a.outcome.is_none_or(|o| !o.never_ran()));
         match taken {
             false => Cow::Borrowed(&request.ask.call),
             true => Cow::Owned(format!("{}~{}", request.ask.call, key.number)),
@@ -62,12 +69,30 @@
         // By the ledger of names, and those whose client has left: they are no longer in it.
         for (&id, request) in self.requests.iter().filter(|(_, r)| &*r.ask.call == call) {
             if let Some((number, attempt)) = request.out() {
-                let name = self.name_on_engine(AttemptKey { request: id, number }).into_owned();
-                runs.push(Run { engine: attempt.engine, name, awaited: !request.closed });
+                let name = self
+                    .name_on_engine(AttemptKey {
+                        request: id,
+                        number,
+                    })
+                    .into_owned();
+                runs.push(Run {
+                    engine: attempt.engine,
+                    name,
+                    awaited: !request.closed,
+                });
             }
         }
-        for doubt in self.doubts.list.iter().filter(|d| &*d.call == call && d.until > now) {
-            runs.push(Run { engine: doubt.engine, name: doubt.name.clone(), awaited: false });
+        for doubt in self
+            .doubts
+            .list
+            .iter()
+            .filter(|d| &*d.call == call && d.until > now)
+        {
+            runs.push(Run {
+                engine: doubt.engine,
+                name: doubt.name.clone(),
+                awaited: false,
+            });
         }
         runs
     }
@@ -81,10 +106,17 @@
     }
 
     /// Requests without a final answer: name, class, engine where one is out, and when each came.
-    pub fn requests_open(&self) -> impl Iterator<Item = (&str, u16, Option<EngineId>, Micros)> + '_ {
+    pub fn requests_open(
+        &self,
+    ) -> impl Iterator<Item = (&str, u16, Option<EngineId>, Micros)> + '_ {
         self.requests.values().filter(|r| !r.closed).map(|r| {
             let out = r.out().map(|(_, a)| a.engine);
-            (&*r.ask.call, r.ask.class, out, r.deadline.saturating_sub(r.ask.budget))
+            (
+                &*r.ask.call,
+                r.ask.class,
+                out,
+                r.deadline.saturating_sub(r.ask.budget),
+            )
         })
     }
 
@@ -96,8 +128,12 @@
     /// A client wants the query of this name ended: no further attempt is made, and if none is out it ends at once
     /// with these words. True if there was one.
     pub fn call_off(&mut self, now: Micros, call: &str, words: &str) -> bool {
-        let Some(&id) = self.names.get(call) else { return false };
-        let Some(request) = self.requests.get_mut(&id) else { return false };
+        let Some(&id) = self.names.get(call) else {
+            return false;
+        };
+        let Some(request) = self.requests.get_mut(&id) else {
+            return false;
+        };
         self.counters.called_off += 1;
         request.called_off = true;
         request.words = Some(words.into());
@@ -110,8 +146,13 @@
 
     /// The client of a read has left: what is out for it is let go, so that its engine may end it.
     pub fn release(&mut self, now: Micros, id: RequestId) {
-        let Some((number, _)) = self.requests.get(&id).and_then(Request::out) else { return };
-        let key = AttemptKey { request: id, number };
+        let Some((number, _)) = self.requests.get(&id).and_then(Request::out) else {
+            return;
+        };
+        let key = AttemptKey {
+            request: id,
+            number,
+        };
         let Some(attempt) = self.out(key) else { return };
         attempt.released = true;
         let engine = attempt.engine;
@@ -125,7 +166,9 @@
         if self.doubts.most == 0 {
             return;
         }
-        let Some(request) = self.requests.get(&key.request) else { return };
+        let Some(request) = self.requests.get(&key.request) else {
+            return;
+        };
         let until = request.deadline.max(now).saturating_add(DOUBT_FOR);
         let doubt = Doubt {
             call: request.ask.call.clone(),
--- a/crates/core/src/send.rs
+++ b/crates/core/src/send.rs
@@ -61,7 +61,10 @@
 impl Cause {
     /// The engine hears of this end from us; of any other it knows before we do.
     fn is_ours(&self) -> bool {
-        matches!(self, Cause::Closed(_) | Cause::TimedOut | Cause::Released | Cause::CalledOff)
+        matches!(
+            self,
+            Cause::Closed(_) | Cause::TimedOut | Cause::Released | Cause::CalledOff
+        )
     }
 }
 
@@ -183,7 +186,11 @@
 impl Request {
     /// The attempt that is out, with its number; there is one at most.
     pub(crate) fn out(&self) -> Option<(u8, &Attempt)> {
-        let out = self.attempts.iter().enumerate().find(|(_, a)| a.outcome.is_none());
+        let out = self
+            .attempts
+            .iter()
+            .enumerate()
+            .find(|(_, a)| a.outcome.is_none());
         out.map(|(number, attempt)| (number as u8, attempt))
     }
 
@@ -200,7 +207,11 @@
 
 impl Core {
     pub(crate) fn out(&mut self, key: AttemptKey) -> Option<&mut Attempt> {
-        let attempt = self.requests.get_mut(&key.request)?.attempts.get_mut(usize::from(key.number))?;
+        let attempt = self
+            .requests
+            .get_mut(&key.request)?
+            .attempts
+            .get_mut(usize::from(key.number))?;
         attempt.outcome.is_none().then_some(attempt)
     }
 
@@ -211,22 +222,39 @@
 
     /// An attempt of a request that is not over, whether it is out or has ended.
     pub(crate) fn made(&self, key: AttemptKey) -> Option<&Attempt> {
-        self.requests.get(&key.request)?.attempts.get(usize::from(key.number))
+        self.requests
+            .get(&key.request)?
+            .attempts
+            .get(usize::from(key.number))
     }
 
     /// Asked right before an attempt's first byte: how long it may take, or `None` if it must not go.
     /// The engine may have begun to drain, the time run out, or a budget been used up by what went out meanwhile, while the
     /// connection came up.
     pub fn may_write(&mut self, now: Micros, key: AttemptKey) -> Option<Micros> {
-        let closed = self.requests.get(&key.request).is_none_or(|r| r.closed || r.called_off);
+        let closed = self
+            .requests
+            .get(&key.request)
+            .is_none_or(|r| r.closed || r.called_off);
         let attempt = self.out(key)?;
         let (engine, left) = (attempt.engine, attempt.until.saturating_sub(now));
         let ready = self.phases.get(&engine) == Some(&Phase::Ready);
         let request = self.requests.get(&key.request)?;
-        let (class, token, deadline) = (request.ask.class, request.ask.token.clone(), request.deadline);
-        let known = self.tokens.good_until(class, token.as_ref()).is_none_or(|t| now < t);
+        let (class, token, deadline) = (
+            request.ask.class,
+            request.ask.token.clone(),
+            request.deadline,
+        );
+        let known = self
+            .tokens
+            .good_until(class, token.as_ref())
+            .is_none_or(|t| now < t);
         let may_go = ready && left > 0 && !closed && known;
-        if may_go && self.controller.may_go_out(now, query(key.request), key.number) {
+        if may_go
+            && self
+                .controller
+                .may_go_out(now, query(key.request), key.number)
+        {
             if let Some(token) = token {
                 self.tokens.written(now, class, &token, key, deadline);
             }
@@ -263,7 +291,11 @@
     pub fn retry(&self, key: AttemptKey) -> Option<Retry<'_>> {
         let request = self.requests.get(&key.request).filter(|_| key.number > 0)?;
         let (failed_on, after) = request.last_failure.as_ref()?;
-        Some(Retry { call: &request.ask.call, failed_on: *failed_on, after })
+        Some(Retry {
+            call: &request.ask.call,
+            failed_on: *failed_on,
+            after,
+        })
     }
 
     /// Memory that an attempt is granted, MB; 0 leaves it to the engine.
@@ -273,8 +305,16 @@
 
     /// An attempt ended without serving. Where its engine has to hear of that first, it ends a little later; `None`
     /// then, as for one that is not out.
-    pub fn attempt_failed(&mut self, now: Micros, key: AttemptKey, cause: Cause) -> Option<AttemptError> {
-        let open = self.requests.get(&key.request).filter(|r| !r.closed && r.relaying.is_none());
+    pub fn attempt_failed(
+        &mut self,
+        now: Micros,
+        key: AttemptKey,
+        cause: Cause,
+    ) -> Option<AttemptError> {
+        let open = self
+            .requests
+            .get(&key.request)
+            .filter(|r| !r.closed && r.relaying.is_none());
         let waits = open.is_some_and(|r| now + 2 * WAY < r.deadline);
         let attempt = self.out(key)?;
         if attempt.ending.is_some() {
@@ -307,10 +347,17 @@
         if let Some(request) = self.requests.get_mut(&key.request) {
             request.last_failure = Some((engine, error.clone()));
         }
-        if self.requests.get(&key.request).is_some_and(|r| r.drawn || r.called_off) {
+        if self
+            .requests
+            .get(&key.request)
+            .is_some_and(|r| r.drawn || r.called_off)
+        {
             self.end_for_good(key.request, error.outcome());
         }
-        let relaying = self.requests.get(&key.request).is_some_and(|r| r.relaying == Some(key.number));
+        let relaying = self
+            .requests
+            .get(&key.request)
+            .is_some_and(|r| r.relaying == Some(key.number));
         if relaying || matches!(error.cause, Cause::Statement(_)) {
             // Once the client has a piece nothing is begun anew: another run could give other rows.
             self.fail(key.request);
@@ -344,8 +391,13 @@
     /// What is out of a request has to end within this time, if that is sooner than it would.
     pub fn shorten(&mut self, now: Micros, id: RequestId, within: Micros) {
         let until = now.saturating_add(within);
-        let Some((number, _)) = self.requests.get(&id).and_then(Request::out) else { return };
-        let key = AttemptKey { request: id, number };
+        let Some((number, _)) = self.requests.get(&id).and_then(Request::out) else {
+            return;
+        };
+        let key = AttemptKey {
+            request: id,
+            number,
+        };
         if let Some(attempt) = self.out(key).filter(|a| until < a.until) {
             attempt.until = until;
             self.set_timer(until, Due::Attempt(key));
@@ -353,7 +405,9 @@
     }
 
     pub(crate) fn attempt_timed_out(&mut self, now: Micros, key: AttemptKey) {
-        let Some((engine, until, ending)) = self.out(key).map(|a| (a.engine, a.until, a.ending.is_some()))
+        let Some((engine, until, ending)) = self
+            .out(key)
+            .map(|a| (a.engine, a.until, a.ending.is_some()))
         else {
             return;
         };
@@ -371,10 +425,22 @@
         }
         let Some(attempt) = self.out(key) else { return };
         attempt.outcome = Some(outcome);
-        let Told { report, work, memory_mb } = std::mem::take(&mut attempt.told);
-        let (doubt, engine, spent) = (attempt.in_doubt(), attempt.engine, now.saturating_sub(attempt.sent));
+        let Told {
+            report,
+            work,
+            memory_mb,
+        } = std::mem::take(&mut attempt.told);
+        let (doubt, engine, spent) = (
+            attempt.in_doubt(),
+            attempt.engine,
+            now.saturating_sub(attempt.sent),
+        );
         if outcome.never_ran() {
-            if let Some(token) = self.requests.get(&key.request).and_then(|r| r.ask.token.as_ref()) {
+            if let Some(token) = self
+                .requests
+                .get(&key.request)
+                .and_then(|r| r.ask.token.as_ref())
+            {
                 self.tokens.never_ran(token, key);
             }
         }
@@ -384,7 +450,16 @@
         self.counters.ended[crate::book::place(outcome)] += 1;
         let last = self.requests.get(&key.request).is_some_and(|r| r.closed);
         let (query, attempt) = (query(key.request), key.number);
-        let end = Ended { query, attempt, outcome, last, spent, work, memory_mb, report: &report };
+        let end = Ended {
+            query,
+            attempt,
+            outcome,
+            last,
+            spent,
+            work,
+            memory_mb,
+            report: &report,
+        };
         self.tell(now, Event::Ended(end));
         self.drop_if_over(key.request);
     }
--- a/crates/core/src/take_in.rs
+++ b/crates/core/src/take_in.rs
@@ -45,7 +45,11 @@
     /// Neither the statement nor what goes with it is shown: both may hold secrets.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let size = self.statement.len();
-        write!(f, "Ask({}, class {}, {size} bytes, budget {} µs)", self.call, self.class, self.budget)
+        write!(
+            f,
+            "Ask({}, class {}, {size} bytes, budget {} µs)",
+            self.call, self.class, self.budget
+        )
     }
 }
 
@@ -136,6 +140,9 @@
 
     /// A request that is not over, for its back end.
     pub fn taken(&self, id: RequestId) -> Option<Taken<'_>> {
-        self.requests.get(&id).map(|r| Taken { ask: &r.ask, deadline: r.deadline })
+        self.requests.get(&id).map(|r| Taken {
+            ask: &r.ask,
+            deadline: r.deadline,
+        })
     }
 }
--- a/crates/core/src/unheard.rs
+++ b/crates/core/src/unheard.rs
@@ -54,7 +54,9 @@
 
     /// Gives up the attempts whose answers are lost, so that the module may try again while there is time.
     pub(crate) fn end_unheard(&mut self, now: Micros) {
-        let Some(after) = self.unheard.after.filter(|_| now >= self.unheard.next) else { return };
+        let Some(after) = self.unheard.after.filter(|_| now >= self.unheard.next) else {
+            return;
+        };
         self.unheard.next = now + EVERY;
         let lost = |(&id, r): (&RequestId, &crate::Request)| {
             let (number, a) = r.out().filter(|_| !r.closed && r.relaying.is_none())?;
@@ -63,10 +65,20 @@
                 Some(Effect::Keyed) => r.ask.token.is_some(),
                 Some(Effect::Unsafe) | None => false,
             };
-            let passed = self.unheard.passed.get(&a.engine).is_some_and(|&p| p > a.written);
+            let passed = self
+                .unheard
+                .passed
+                .get(&a.engine)
+                .is_some_and(|&p| p > a.written);
             let whole = a.progress == crate::Progress::WrittenWhole;
             let late = a.ending.is_none() && now > a.heard.max(a.written) + after;
-            (safe && passed && whole && late).then_some((AttemptKey { request: id, number }, a.engine))
+            (safe && passed && whole && late).then_some((
+                AttemptKey {
+                    request: id,
+                    number,
+                },
+                a.engine,
+            ))
         };
         let lost: Vec<(AttemptKey, EngineId)> = self.requests.iter().filter_map(lost).collect();
         for (key, engine) in lost {
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -32,5 +32,12 @@
 
 /// An engine's line of a list.
 pub fn listed(engine: u64, phase: Phase) -> Listed {
-    Listed { engine: EngineId(engine), zone: 0, kind: 0, cell: 0, phase, born: None }
+    Listed {
+        engine: EngineId(engine),
+        zone: 0,
+        kind: 0,
+        cell: 0,
+        phase,
+        born: None,
+    }
 }
--- a/crates/core/tests/keyed.rs
+++ b/crates/core/tests/keyed.rs
@@ -5,7 +5,8 @@
 
 use common::{core, listed, settings, LIMITS, LOAD, LOOKUP, S};
 use driftfront_core::{
-    Ask, AttemptKey, Cause, Command, Core, Limits, ListKind, Listed, Outcome, Phase, Progress, RequestId,
+    Ask, AttemptKey, Cause, Command, Core, Limits, ListKind, Listed, Outcome, Phase, Progress,
+    RequestId,
 };
 use std::rc::Rc;
 
@@ -38,9 +39,16 @@
                 "\"guarded\", \"KeyScope\": \"all\", \"RepeatWindowUs\": 12000000",
             )
             .replace("\"Cancel\": false", "\"Cancel\": true")
-            .replace("\"SizeCores\"", "\"GrantsCount\": true, \"SaysCost\": true, \"SizeCores\"")
+            .replace(
+                "\"SizeCores\"",
+                "\"GrantsCount\": true, \"SaysCost\": true, \"SizeCores\"",
+            )
         });
-        let mut rig = Rig { core: core(settings, limits), now: 1000 * S, asked: 0 };
+        let mut rig = Rig {
+            core: core(settings, limits),
+            now: 1000 * S,
+            asked: 0,
+        };
         let lines: Vec<Listed> = (1..=engines).map(|n| listed(n, Phase::Ready)).collect();
         rig.core.engines(rig.now, ListKind::Whole, &lines);
         rig.commands();
@@ -98,7 +106,8 @@
     }
 
     fn lose(&mut self, key: AttemptKey) -> Told {
-        self.core.attempt_failed(self.now, key, Cause::Connection("reset".into()));
+        self.core
+            .attempt_failed(self.now, key, Cause::Connection("reset".into()));
         self.commands()
     }
 }
@@ -110,7 +119,11 @@
         let first = rig.ask(LOAD, token).1.sent[0];
         rig.wait(S);
         let told = rig.lose(first);
-        assert_eq!((told.sent.len(), told.failed), (usize::from(again), usize::from(!again)), "{token:?}");
+        assert_eq!(
+            (told.sent.len(), told.failed),
+            (usize::from(again), usize::from(!again)),
+            "{token:?}"
+        );
     }
 }
 
@@ -140,7 +153,10 @@
         let told = rig.wait(10 * MS);
         left.extend(told.left);
         if !left.is_empty() {
-            assert!(told.sent.is_empty(), "sent in the same moment as the word that ends the one before");
+            assert!(
+                told.sent.is_empty(),
+                "sent in the same moment as the word that ends the one before"
+            );
             break;
         }
     }
@@ -157,7 +173,8 @@
 fn what_was_lost_with_a_connection_that_we_closed_waits_as_long() {
     let mut rig = Rig::new(2);
     let first = rig.ask(LOOKUP, None).1.sent[0];
-    rig.core.attempt_failed(rig.now, first, Cause::Closed("nonsense".into()));
+    rig.core
+        .attempt_failed(rig.now, first, Cause::Closed("nonsense".into()));
     assert!(rig.commands().sent.is_empty() && rig.wait(30 * MS).sent.is_empty());
     assert_eq!(rig.wait(20 * MS).sent.len(), 1);
     // What the engine's side ended needs no such wait.
@@ -175,7 +192,13 @@
 
 #[test]
 fn no_word_is_dropped_for_want_of_room_while_its_client_may_come_again() {
-    let mut rig = Rig::limited(1, Limits { tokens: 2, ..LIMITS });
+    let mut rig = Rig::limited(
+        1,
+        Limits {
+            tokens: 2,
+            ..LIMITS
+        },
+    );
     for word in ["a", "b"] {
         let (_, told) = rig.ask(LOAD, Some(word));
         rig.core.served(rig.now, told.sent[0]);
@@ -183,14 +206,28 @@
     }
     // Dropping the oldest would let its client's late retry run again: who comes beyond the room is refused instead.
     let (_, third) = rig.ask(LOAD, Some("c"));
-    assert_eq!((third.sent.len(), third.refused, rig.core.counters().tokens_full), (0, 1, 1));
+    assert_eq!(
+        (
+            third.sent.len(),
+            third.refused,
+            rig.core.counters().tokens_full
+        ),
+        (0, 1, 1)
+    );
     // The words that are known need no room, and what is not keyed neither.
     rig.wait(5 * S);
     assert_eq!(rig.ask(LOAD, Some("a")).1.sent.len(), 1);
     assert_eq!(rig.ask(LOOKUP, None).1.sent.len(), 1);
     rig.wait(8 * S);
     let (_, late) = rig.ask(LOAD, Some("b"));
-    assert_eq!((late.sent.len(), late.failed, rig.core.counters().tokens_late), (0, 1, 1));
+    assert_eq!(
+        (
+            late.sent.len(),
+            late.failed,
+            rig.core.counters().tokens_late
+        ),
+        (0, 1, 1)
+    );
     // Once no try of theirs can come they make room.
     rig.wait(60 * S);
     assert_eq!(rig.ask(LOAD, Some("c")).1.sent.len(), 1);
@@ -201,11 +238,14 @@
     let mut rig = Rig::new(1);
     let (_, told) = rig.ask(LOAD, Some("w"));
     // The engine drains and turns away what is out; nothing goes again under the word before its client leaves.
-    rig.core.engines(rig.now, ListKind::Changes, &[listed(1, Phase::Draining)]);
-    rig.core.attempt_failed(rig.now, told.sent[0], Cause::TurnedAway);
+    rig.core
+        .engines(rig.now, ListKind::Changes, &[listed(1, Phase::Draining)]);
+    rig.core
+        .attempt_failed(rig.now, told.sent[0], Cause::TurnedAway);
     assert!(rig.commands().sent.is_empty());
     rig.core.left(rig.now, told.sent[0].request);
-    rig.core.engines(rig.now, ListKind::Changes, &[listed(1, Phase::Ready)]);
+    rig.core
+        .engines(rig.now, ListKind::Changes, &[listed(1, Phase::Ready)]);
     // Behind the engines' window of what never ran.
     rig.wait(13 * S);
     let (_, again) = rig.ask(LOAD, Some("w"));
--- a/crates/core/tests/lifecycle.rs
+++ b/crates/core/tests/lifecycle.rs
@@ -72,7 +72,9 @@
         // 2 s after a drain, or a hand-over, began none is kept, however lately it was used.
         let away = paused.into_iter().chain(left).min();
         let kept = !away.is_some_and(|at| now >= at + 2 * S && life.keeps_alive(now, 0));
-        let leaves = ending.filter(|_| left.is_none()).is_some_and(|at| now >= at + GRACE);
+        let leaves = ending
+            .filter(|_| left.is_none())
+            .is_some_and(|at| now >= at + GRACE);
         let told = life.sends_away(now) == (away.is_some() || leaves);
         // Once it leaves for good nothing more is taken, kept or, a little later, listened for.
         let gone = life.takes(now) != leaves && !(leaves && life.keeps_alive(now, 0));
@@ -88,7 +90,9 @@
 
 #[test]
 fn yes_is_said_and_connections_are_kept_only_while_it_serves() {
-    let mut check = QuickCheck::new().tests(20_000).rng(Gen::from_size_and_seed(40, 18));
+    let mut check = QuickCheck::new()
+        .tests(20_000)
+        .rng(Gen::from_size_and_seed(40, 18));
     check.quickcheck(holds as fn(Vec<Step>, bool, bool) -> bool);
 }
 
@@ -135,8 +139,12 @@
     life.end(S);
     // Nothing is open, but three clients rest; a request that is open again begins the time anew.
     assert!(!life.may_end(2 * S, 0, 3, false) && !life.may_end(2 * S + 200_000, 0, 3, false));
-    assert!(!life.may_end(2 * S + 250_000, 1, 3, false) && !life.may_end(2 * S + 300_000, 0, 3, false));
-    assert!(!life.may_end(2 * S + 549_000, 0, 3, false) && life.may_end(2 * S + 550_000, 0, 3, false));
+    assert!(
+        !life.may_end(2 * S + 250_000, 1, 3, false) && !life.may_end(2 * S + 300_000, 0, 3, false)
+    );
+    assert!(
+        !life.may_end(2 * S + 549_000, 0, 3, false) && life.may_end(2 * S + 550_000, 0, 3, false)
+    );
     assert!(life.may_end(2 * S + 310_000, 0, 0, false));
 }
 
@@ -150,7 +158,9 @@
             && life.keeps_alive(S + GRACE - 1, 5 * S)
             && !life.sends_away(S + GRACE - 1)
     );
-    assert!(!life.takes(S + GRACE) && !life.keeps_alive(S + GRACE, 0) && life.sends_away(S + GRACE));
+    assert!(
+        !life.takes(S + GRACE) && !life.keeps_alive(S + GRACE, 0) && life.sends_away(S + GRACE)
+    );
     assert!(life.listens(S + LISTENS - 1) && !life.listens(S + LISTENS));
     assert_eq!(life.shutdown_deadline(), Some(4 * S + 400_000));
     // Where nobody is known to kill, what is open is served as long as its client waits.
--- a/crates/core/tests/model.rs
+++ b/crates/core/tests/model.rs
@@ -5,8 +5,8 @@
 
 use common::{core, listed, settings, LIMITS, LOAD, LOOKUP};
 use driftfront_core::{
-    Ask, AttemptKey, Cause, Command, Core, EngineId, Fate, Limits, ListKind, Listed, Micros, Phase, Piece,
-    Pin, Progress, RequestId,
+    Ask, AttemptKey, Cause, Command, Core, EngineId, Fate, Limits, ListKind, Listed, Micros, Phase,
+    Piece, Pin, Progress, RequestId,
 };
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use std::collections::BTreeMap;
@@ -69,19 +69,36 @@
             0..=3 => {
                 let (load, ms) = (bool::arbitrary(g), u16::arbitrary(g) % 3000);
                 let (pin, once) = (u8::arbitrary(g), u8::arbitrary(g) % 4 == 0);
-                Step::Take { load, key: pick % 3, ms, twin: pick > 220, pin, once }
+                Step::Take {
+                    load,
+                    key: pick % 3,
+                    ms,
+                    twin: pick > 220,
+                    pin,
+                    once,
+                }
             }
-            4..=5 => Step::Pass { ms: u16::arbitrary(g) % 700 },
-            6 => Step::Phase { engine: pick, draining: bool::arbitrary(g) },
+            4..=5 => Step::Pass {
+                ms: u16::arbitrary(g) % 700,
+            },
+            6 => Step::Phase {
+                engine: pick,
+                draining: bool::arbitrary(g),
+            },
             7..=8 => Step::Write { pick },
             9 => Step::Piece { pick },
             10 => Step::Serve { pick },
-            11 => Step::Fail { pick, how: u8::arbitrary(g) },
+            11 => Step::Fail {
+                pick,
+                how: u8::arbitrary(g),
+            },
             12 => Step::Leave { pick },
             13 => Step::Draw { pick },
             14 => Step::CallOff { pick },
             15 => Step::Release { pick },
-            _ => Step::Probed { fine: bool::arbitrary(g) },
+            _ => Step::Probed {
+                fine: bool::arbitrary(g),
+            },
         }
     }
 }
@@ -121,7 +138,13 @@
 impl Model {
     fn new() -> Model {
         let mut model = Model {
-            core: core(settings(str::to_string), Limits { doubts: 8, ..LIMITS }),
+            core: core(
+                settings(str::to_string),
+                Limits {
+                    doubts: 8,
+                    ..LIMITS
+                },
+            ),
             now: 1_000_000_000,
             known: BTreeMap::new(),
             out: BTreeMap::new(),
@@ -134,7 +157,14 @@
 
     fn list(&mut self) {
         let line = |(n, &draining): (usize, &bool)| {
-            listed(n as u64, if draining { Phase::Draining } else { Phase::Ready })
+            listed(
+                n as u64,
+                if draining {
+                    Phase::Draining
+                } else {
+                    Phase::Ready
+                },
+            )
         };
         let lines: Vec<Listed> = self.draining.iter().enumerate().map(line).collect();
         self.core.engines(self.now, ListKind::Whole, &lines);
@@ -147,13 +177,27 @@
 
     fn step(&mut self, step: &Step) {
         match *step {
-            Step::Take { load, key, ms, twin, pin, once } => {
+            Step::Take {
+                load,
+                key,
+                ms,
+                twin,
+                pin,
+                once,
+            } => {
                 let order = self.known.len();
-                let name = if twin { "twin".into() } else { format!("c{order}") };
+                let name = if twin {
+                    "twin".into()
+                } else {
+                    format!("c{order}")
+                };
                 let class = if load { LOAD } else { LOOKUP };
                 let budget = Micros::from(ms) * 1000;
                 let engine = EngineId(u64::from(pin) % ENGINES);
-                let pin = (pin > 150).then_some(Pin { engine, only: pin > 200 });
+                let pin = (pin > 150).then_some(Pin {
+                    engine,
+                    only: pin > 200,
+                });
                 let ask = Ask {
                     call: name.as_str().into(),
                     class,
@@ -184,7 +228,10 @@
                     runs: 0,
                     over: false,
                 };
-                assert!(self.known.insert(id, known).is_none(), "an id was used twice");
+                assert!(
+                    self.known.insert(id, known).is_none(),
+                    "an id was used twice"
+                );
             }
             Step::Pass { ms } => {
                 // Timers come due one by one, as the event loop lets them.
@@ -206,7 +253,10 @@
                     self.core.reached(key, Progress::Connected);
                     let engine = self.out[&key].0;
                     if self.core.may_write(self.now, key).is_some() {
-                        assert!(!self.draining[engine.0 as usize], "written to an engine that drains");
+                        assert!(
+                            !self.draining[engine.0 as usize],
+                            "written to an engine that drains"
+                        );
                         self.core.reached(key, Progress::WrittenWhole);
                         self.out.insert(key, (engine, true));
                         let known = self.known.get_mut(&key.request).expect("known");
@@ -219,7 +269,14 @@
             }
             Step::Piece { pick } => {
                 if let Some(key) = self.written(pick) {
-                    self.core.relay(key, Piece { about: Vec::new(), rows: b"r".to_vec(), whole: false });
+                    self.core.relay(
+                        key,
+                        Piece {
+                            about: Vec::new(),
+                            rows: b"r".to_vec(),
+                            whole: false,
+                        },
+                    );
                 }
             }
             Step::Serve { pick } => {
@@ -248,7 +305,11 @@
                 }
             }
             Step::Leave { pick } => {
-                let open = self.known.iter().filter(|k| !k.1.answered && !k.1.left).map(|k| *k.0);
+                let open = self
+                    .known
+                    .iter()
+                    .filter(|k| !k.1.answered && !k.1.left)
+                    .map(|k| *k.0);
                 if let Some(id) = Model::pick(open, pick) {
                     self.known.get_mut(&id).expect("known").left = true;
                     self.core.left(self.now, id);
@@ -261,25 +322,42 @@
                 }
             }
             Step::CallOff { pick } => {
-                let open = self.known.iter().filter(|k| !k.1.answered && !k.1.left).map(|k| *k.0);
+                let open = self
+                    .known
+                    .iter()
+                    .filter(|k| !k.1.answered && !k.1.left)
+                    .map(|k| *k.0);
                 if let Some(id) = Model::pick(open, pick) {
                     // Of two under one name the first is meant.
                     let name = self.known[&id].name.clone();
                     let named = |k: &&mut Known| k.name == name && !k.answered && !k.left;
-                    self.known.values_mut().find(named).expect("open").called_off = true;
-                    assert!(self.core.call_off(self.now, &name, "Code: 394. DB::Exception: x"));
+                    self.known
+                        .values_mut()
+                        .find(named)
+                        .expect("open")
+                        .called_off = true;
+                    assert!(self
+                        .core
+                        .call_off(self.now, &name, "Code: 394. DB::Exception: x"));
                 }
             }
             Step::Release { pick } => {
-                let reads = self.known.iter().filter(|k| k.1.class == LOOKUP && k.1.left).map(|k| *k.0);
+                let reads = self
+                    .known
+                    .iter()
+                    .filter(|k| k.1.class == LOOKUP && k.1.left)
+                    .map(|k| *k.0);
                 if let Some(id) = Model::pick(reads, pick) {
                     self.core.release(self.now, id);
                 }
             }
             Step::Probed { fine } => {
                 if let Some(tag) = self.probes.pop() {
-                    let outcome =
-                        if fine { driftfront_core::Outcome::Ok } else { driftfront_core::Outcome::Error };
+                    let outcome = if fine {
+                        driftfront_core::Outcome::Ok
+                    } else {
+                        driftfront_core::Outcome::Error
+                    };
                     self.core.probed(self.now, tag, outcome, &[]);
                 }
             }
@@ -305,11 +383,17 @@
                 Command::Refuse(id, ..) => {
                     let known = &self.known[&id];
                     assert_eq!(known.pieces, 0, "refused behind a piece");
-                    assert!(known.class == LOOKUP || !known.ran, "refused, though it may have run");
+                    assert!(
+                        known.class == LOOKUP || !known.ran,
+                        "refused, though it may have run"
+                    );
                     self.answered(id);
                 }
                 Command::Fail(id, _) => {
-                    assert_eq!(self.known[&id].pieces, 0, "failed as if nothing had been passed on");
+                    assert_eq!(
+                        self.known[&id].pieces, 0,
+                        "failed as if nothing had been passed on"
+                    );
                     self.answered(id);
                 }
                 Command::Break(id, _) => {
@@ -318,11 +402,21 @@
                 }
                 Command::Finish(id) => self.answered(id),
                 Command::Over(ticket, fate) => {
-                    let id = *self.known.iter().find(|k| k.1.order as u64 + 1 == ticket).expect("taken").0;
+                    let id = *self
+                        .known
+                        .iter()
+                        .find(|k| k.1.order as u64 + 1 == ticket)
+                        .expect("taken")
+                        .0;
                     let out = self.out.keys().any(|k| k.request == id);
                     let known = self.known.get_mut(&id).expect("known");
                     assert!(!known.over && !out, "over twice, or with something out");
-                    assert_eq!(fate == Fate::NeverRan, known.runs == 0, "{fate:?} of {} runs", known.runs);
+                    assert_eq!(
+                        fate == Fate::NeverRan,
+                        known.runs == 0,
+                        "{fate:?} of {} runs",
+                        known.runs
+                    );
                     known.over = true;
                 }
                 Command::Forget(_) | Command::Log(_) => {}
@@ -331,22 +425,50 @@
     }
 
     fn sent(&mut self, key: AttemptKey, engine: EngineId) {
-        assert!(!self.draining[engine.0 as usize], "sent to an engine that drains");
-        assert!(self.out.keys().all(|o| o.request != key.request), "two attempts at once");
+        assert!(
+            !self.draining[engine.0 as usize],
+            "sent to an engine that drains"
+        );
+        assert!(
+            self.out.keys().all(|o| o.request != key.request),
+            "two attempts at once"
+        );
         let known = &self.known[&key.request];
-        assert!(!known.answered && !known.left && known.pieces == 0, "sent behind the end");
+        assert!(
+            !known.answered && !known.left && known.pieces == 0,
+            "sent behind the end"
+        );
         assert!(known.sends < 6, "a seventh attempt");
-        assert!(known.only.is_none_or(|only| only == engine), "sent to another engine than its only one");
+        assert!(
+            known.only.is_none_or(|only| only == engine),
+            "sent to another engine than its only one"
+        );
         assert!(!known.called_off, "sent after it was called off");
         assert!(!known.drawn, "sent again, though its body is not kept");
-        let namesake = |k: &Known| k.name == known.name && k.order < known.order && !k.answered && !k.left;
-        assert!(!self.known.values().any(namesake), "sent under the name of another that is open");
-        assert!(known.class == LOOKUP || !known.ran, "a load sent again, though it may have run");
+        let namesake =
+            |k: &Known| k.name == known.name && k.order < known.order && !k.answered && !k.left;
+        assert!(
+            !self.known.values().any(namesake),
+            "sent under the name of another that is open"
+        );
+        assert!(
+            known.class == LOOKUP || !known.ran,
+            "a load sent again, though it may have run"
+        );
         if known.class == LOAD {
             let same = |k: &&Known| k.class == LOAD && k.key == known.key && k.order < known.order;
-            assert!(self.known.values().filter(same).all(|k| k.answered || k.left), "out of its key's order");
+            assert!(
+                self.known
+                    .values()
+                    .filter(same)
+                    .all(|k| k.answered || k.left),
+                "out of its key's order"
+            );
             let out = self.out.keys().map(|o| &self.known[&o.request]);
-            assert!(out.filter(|k| k.class == LOAD).all(|k| k.key != known.key), "two of a key at once");
+            assert!(
+                out.filter(|k| k.class == LOAD).all(|k| k.key != known.key),
+                "two of a key at once"
+            );
         }
         self.known.get_mut(&key.request).expect("known").sends += 1;
         self.out.insert(key, (engine, false));
@@ -367,8 +489,14 @@
     }
     // Whatever is still open is answered by itself.
     model.step(&Step::Pass { ms: 3_100 });
-    assert!(model.known.values().all(|k| k.answered || k.left), "no answer");
-    assert!(model.known.values().all(|k| k.over), "its end was never told");
+    assert!(
+        model.known.values().all(|k| k.answered || k.left),
+        "no answer"
+    );
+    assert!(
+        model.known.values().all(|k| k.over),
+        "its end was never told"
+    );
     assert_eq!(model.core.open(), 0);
     let c = model.core.counters();
     let answers = c.served + c.refused + c.failed + c.broken + c.left;
@@ -378,6 +506,8 @@
 
 #[test]
 fn random_steps_keep_every_promise() {
-    let mut check = QuickCheck::new().tests(400).rng(Gen::from_size_and_seed(250, 20_261_201));
+    let mut check = QuickCheck::new()
+        .tests(400)
+        .rng(Gen::from_size_and_seed(250, 20_261_201));
     check.quickcheck(holds as fn(Vec<Step>) -> bool);
 }
--- a/crates/core/tests/unheard.rs
+++ b/crates/core/tests/unheard.rs
@@ -16,8 +16,15 @@
     fn new(tells_each: bool) -> Rig {
         let mut settings = common::settings(str::to_string);
         settings.notes_every = Some(S);
-        let limits = Limits { tells_each, ..LIMITS };
-        let mut rig = Rig { core: core(settings, limits), now: 1000 * S, asked: 0 };
+        let limits = Limits {
+            tells_each,
+            ..LIMITS
+        };
+        let mut rig = Rig {
+            core: core(settings, limits),
+            now: 1000 * S,
+            asked: 0,
+        };
         let line = listed(1, Phase::Ready);
         rig.core.engines(rig.now, ListKind::Whole, &[line]);
         rig.commands();
--- a/crates/fault-shim/src/lib.rs
+++ b/crates/fault-shim/src/lib.rs
@@ -21,7 +21,11 @@
 /// Microseconds that the wall clock is off.
 fn offset() -> i64 {
     let known = OFFSET.load(Ordering::Acquire);
-    let offset = if known.is_null() { find_offset() } else { known };
+    let offset = if known.is_null() {
+        find_offset()
+    } else {
+        known
+    };
     // SAFETY: either a static, or a mapping of eight bytes that is never undone.
     unsafe { (*offset).load(Ordering::Relaxed) }
 }
@@ -46,7 +50,8 @@
             return None;
         }
         let size = size_of::<AtomicI64>();
-        let at: *mut c_void = libc::mmap(null_mut(), size, libc::PROT_READ, libc::MAP_SHARED, file, 0);
+        let at: *mut c_void =
+            libc::mmap(null_mut(), size, libc::PROT_READ, libc::MAP_SHARED, file, 0);
         libc::close(file);
         (at != libc::MAP_FAILED).then_some(at.cast())
     }
@@ -60,7 +65,10 @@
 fn moved(seconds: time_t, part: i64, per_second: i64) -> (time_t, i64) {
     let parts_per_micro = per_second / MICROS_PER_SECOND;
     let part = part + offset() % MICROS_PER_SECOND * parts_per_micro;
-    (seconds + offset() / MICROS_PER_SECOND + part.div_euclid(per_second), part.rem_euclid(per_second))
+    (
+        seconds + offset() / MICROS_PER_SECOND + part.div_euclid(per_second),
+        part.rem_euclid(per_second),
+    )
 }
 
 /// The C library's `clock_gettime`, with the wall clock moved.
@@ -84,7 +92,8 @@
 pub unsafe extern "C" fn gettimeofday(time: *mut timeval, zone: *mut c_void) -> c_int {
     let done = libc::syscall(libc::SYS_gettimeofday, time, zone) as c_int;
     if done == 0 && !time.is_null() {
-        ((*time).tv_sec, (*time).tv_usec) = moved((*time).tv_sec, (*time).tv_usec, MICROS_PER_SECOND);
+        ((*time).tv_sec, (*time).tv_usec) =
+            moved((*time).tv_sec, (*time).tv_usec, MICROS_PER_SECOND);
     }
     done
 }
@@ -95,7 +104,10 @@
 /// As the C library's.
 #[no_mangle]
 pub unsafe extern "C" fn time(into: *mut time_t) -> time_t {
-    let mut now = timespec { tv_sec: 0, tv_nsec: 0 };
+    let mut now = timespec {
+        tv_sec: 0,
+        tv_nsec: 0,
+    };
     clock_gettime(libc::CLOCK_REALTIME, &mut now);
     if !into.is_null() {
         *into = now.tv_sec;
