--- a/crates/fernlink/src/choice.rs
+++ b/crates/fernlink/src/choice.rs
@@ -78,11 +78,21 @@
     /// A controller that knows nothing but its settings.
     pub fn new(cfg: Settings, seed: u64) -> Self {
         let (engines, jobs, lanes, peers, retries) = Default::default();
-        let guess = |c: &Class| Learned { work: PRIOR * c.aim as f64 * c.threads, ..Learned::default() };
+        let guess = |c: &Class| Learned {
+            work: PRIOR * c.aim as f64 * c.threads,
+            ..Learned::default()
+        };
         let learned = cfg.classes.iter().map(guess).collect();
         let quotas = vec![Bucket::default(); cfg.tenants.len()];
         let share = 1.0 / f64::from(cfg.gateways.max(1));
-        let (random, tally) = (Random(seed), Tally { share, pace: 1.0, ..Tally::default() });
+        let (random, tally) = (
+            Random(seed),
+            Tally {
+                share,
+                pace: 1.0,
+                ..Tally::default()
+            },
+        );
         let awaits_first_bytes = false;
         Controller {
             cfg,
@@ -116,7 +126,9 @@
                 self.tally.asks_failed += 1;
             }
             Event::Arrived(query) => self.on_arrival(now, query, act),
-            Event::Streaming(id, n) => act.extend(self.record_stream(now, id, n, self.cfg.may_cancel)),
+            Event::Streaming(id, n) => {
+                act.extend(self.record_stream(now, id, n, self.cfg.may_cancel))
+            }
             Event::Noted(id, attempt, note) => self.on_note(now, id, attempt, note),
             Event::Ended(end) => self.on_end(now, &end, act),
             Event::ClientGone(id) => self.conclude(now, id, act),
@@ -130,13 +142,20 @@
     /// Estimated work: told cost corrected by outcomes, else the class mean.
     pub(crate) fn work(&self, id: QueryId) -> f64 {
         let q = &self.jobs[&id].query;
-        let told = q.work.map(|w| w * self.learned[usize::from(q.class)].correction);
-        told.unwrap_or(self.learned[usize::from(q.class)].work).max(1.0)
+        let told = q
+            .work
+            .map(|w| w * self.learned[usize::from(q.class)].correction);
+        told.unwrap_or(self.learned[usize::from(q.class)].work)
+            .max(1.0)
     }
 
     /// Full worth by the aim, the late share by the deadline, else nothing.
     fn value(&self, id: QueryId, finish: f64) -> f64 {
-        let late = if finish <= self.jobs[&id].deadline as f64 { self.class(id).late_worth } else { 0.0 };
+        let late = if finish <= self.jobs[&id].deadline as f64 {
+            self.class(id).late_worth
+        } else {
+            0.0
+        };
         self.worth(id) * if finish <= self.aim(id) { 1.0 } else { late }
     }
 
@@ -147,7 +166,11 @@
             let share = self.reported_share(now).unwrap_or(1.0 / n);
             return self.tally.share + SHARE_BLEND * (share - self.tally.share);
         }
-        let told: f64 = self.peers.values().map(|p| p.demand * freshness(now, p.at)).sum();
+        let told: f64 = self
+            .peers
+            .values()
+            .map(|p| p.demand * freshness(now, p.at))
+            .sum();
         let heard: f64 = self.peers.values().map(|p| freshness(now, p.at)).sum();
         let own = self.tally.demand;
         if self.sliver() {
@@ -160,15 +183,25 @@
     /// Own part of the queries that engines report, where it says that other gateways are down.
     fn reported_share(&self, now: Micros) -> Option<f64> {
         let active = |e: &Engine| self.fresh(now, e)?.active;
-        let each = self.ready().filter_map(|e| Some((e.out.len() as f64, active(e)?)));
-        let (own, all) = each.fold((0.0, 0.0), |sum, (own, active)| (sum.0 + own, sum.1 + own.max(active)));
+        let each = self
+            .ready()
+            .filter_map(|e| Some((e.out.len() as f64, active(e)?)));
+        let (own, all) = each.fold((0.0, 0.0), |sum, (own, active)| {
+            (sum.0 + own, sum.1 + own.max(active))
+        });
         let others = f64::from(self.cfg.gateways) - 1.0;
         (!self.sliver() && all - own < ALONE * own * others).then_some(own / all)
     }
 
     pub(crate) fn cores(&self, e: &Engine) -> f64 {
-        let known = self.cfg.kinds.get(usize::from(e.kind)).and_then(|k| k.cores);
-        known.or_else(|| self.cfg.kinds.iter().find_map(|k| k.cores)).unwrap_or(CORES)
+        let known = self
+            .cfg
+            .kinds
+            .get(usize::from(e.kind))
+            .and_then(|k| k.cores);
+        known
+            .or_else(|| self.cfg.kinds.iter().find_map(|k| k.cores))
+            .unwrap_or(CORES)
     }
 
     fn fresh<'a>(&self, now: Micros, e: &'a Engine) -> Option<&'a Report> {
@@ -180,7 +213,10 @@
     fn pressed(&self, now: Micros, e: &Engine) -> bool {
         let busy = self.fresh(now, e).is_some_and(|r| {
             let threads = r.active.unwrap_or(0.0) * self.mean_work() / self.mean_run();
-            [r.busy, r.memory, r.disk].iter().flatten().any(|&x| x > BUSY)
+            [r.busy, r.memory, r.disk]
+                .iter()
+                .flatten()
+                .any(|&x| x > BUSY)
                 || r.waiting.unwrap_or(0.0) >= 1.0
                 || threads > self.bound_threads() * self.cores(e)
         });
@@ -196,7 +232,13 @@
 
     /// Whether this gateway's part of an engine is under one thread: then it counts over the whole fleet.
     pub(crate) fn sliver(&self) -> bool {
-        let cores = self.cfg.kinds.iter().filter_map(|k| k.cores).reduce(f64::max).unwrap_or(CORES);
+        let cores = self
+            .cfg
+            .kinds
+            .iter()
+            .filter_map(|k| k.cores)
+            .reduce(f64::max)
+            .unwrap_or(CORES);
         cores * BOUND_THREADS < f64::from(self.cfg.gateways)
     }
 
@@ -218,10 +260,18 @@
                 (false, false) => (POOLED * POOLED, widest),
             };
             let pool = self.tally.cores * BOUND_THREADS * self.tally.share;
-            return (pool * slack.0 + slack.1, self.tally.running, self.tally.left);
+            return (
+                pool * slack.0 + slack.1,
+                self.tally.running,
+                self.tally.left,
+            );
         }
         let part = self.cores(e) * self.bound_threads() * self.looseness(now, e) * self.tally.share;
-        ((part + widest) * self.warmth(now, e), e.threads, self.left(now, e))
+        (
+            (part + widest) * self.warmth(now, e),
+            e.threads,
+            self.left(now, e),
+        )
     }
 
     /// Whether an engine once out of memory stays so, as nothing can be called off.
@@ -233,13 +283,19 @@
     /// aims behind wide ones that run for seconds. For a sliver they have the slack that is gone.
     fn needs(&self, work: f64, threads: f64) -> f64 {
         let pass = !self.sliver() || self.stuck() || self.tally.crowded;
-        threads / 2.0 - if pass && work < self.mean_work() { LIGHT * self.widest() } else { 0.0 }
+        threads / 2.0
+            - if pass && work < self.mean_work() {
+                LIGHT * self.widest()
+            } else {
+                0.0
+            }
     }
 
     fn memory_fits(&self, now: Micros, id: QueryId, e: &Engine) -> bool {
         // A sliver of an engine's memory is less than one query needs: there threads alone are bounded.
         self.sliver()
-            || e.granted + self.memory(id) <= self.memory_of(e) * self.tally.share * self.looseness(now, e)
+            || e.granted + self.memory(id)
+                <= self.memory_of(e) * self.tally.share * self.looseness(now, e)
     }
 
     fn looseness(&self, now: Micros, e: &Engine) -> f64 {
@@ -275,10 +331,14 @@
     fn reported(&self, now: Micros, e: &Engine) -> Option<f64> {
         let peers = (!self.peers.is_empty() && !self.sliver()).then_some(e.others);
         // Just started and unheard, an engine is empty, not like the rest.
-        let empty = (self.sliver() && e.report.is_none() && self.warmth(now, e) < 1.0).then_some(0.0);
+        let empty =
+            (self.sliver() && e.report.is_none() && self.warmth(now, e) < 1.0).then_some(0.0);
         let told = self.fresh(now, e).and_then(|r| {
             // The scarcest counts: an engine that pages or waits for its disks has idle cores.
-            let scarce = [r.busy, r.memory, r.disk].into_iter().flatten().reduce(f64::max);
+            let scarce = [r.busy, r.memory, r.disk]
+                .into_iter()
+                .flatten()
+                .reduce(f64::max);
             let busy = scarce.map(|b| (b * self.cores(e) - e.threads).max(0.0));
             let active = r.active.map(|a| (a - e.out.len() as f64).max(0.0));
             let running = busy.into_iter().chain(active).reduce(f64::max);
@@ -311,7 +371,11 @@
         let mut best = (f64::MIN, 0, 0.0);
         for j in (0..=e.queue.len()).rev() {
             let gain = on_time(&own, starts[j]) - loss[j];
-            let before = if j == 0 { e.last_group } else { Some(e.queue[j - 1].tables) };
+            let before = if j == 0 {
+                e.last_group
+            } else {
+                Some(e.queue[j - 1].tables)
+            };
             let after = e.queue.get(j).map(|q| q.tables);
             let interaction = home + f(before, tables) + f(tables, after) - f(before, after);
             let better = gain > best.0 + GAIN_TOLERANCE;
@@ -319,19 +383,39 @@
                 best = (gain.max(best.0), j, interaction);
             }
         }
-        let held = if self.sliver() { 0.0 } else { left / bound.max(running) };
+        let held = if self.sliver() {
+            0.0
+        } else {
+            left / bound.max(running)
+        };
         let own_left = (starts[e.queue.len()] - now as f64).max(held);
-        let drain = own_left + reported / (self.cores(e) * self.bound_threads() * self.warmth(now, e));
+        let drain =
+            own_left + reported / (self.cores(e) * self.bound_threads() * self.warmth(now, e));
         let far = self.cfg.crossing_costs && e.zone != self.cfg.zone;
         let (gain, position, interaction) = best;
-        Offer { engine, gain, position, start: starts[position], interaction, drain, far }
+        Offer {
+            engine,
+            gain,
+            position,
+            start: starts[position],
+            interaction,
+            drain,
+            far,
+        }
     }
 
     /// Algorithm 5: top balance gain, then the drain guard, then interaction gain, then a seeded choice.
     fn choose(&mut self, now: Micros, id: QueryId) -> Option<Offer> {
         let mut eligible = self.eligible(now, id);
-        let homes = if self.sliver() { self.narrow(now, id, &mut eligible) } else { 0 };
-        let heard: Vec<_> = eligible.iter().map(|e| self.reported(now, &self.engines[e])).collect();
+        let homes = if self.sliver() {
+            self.narrow(now, id, &mut eligible)
+        } else {
+            0
+        };
+        let heard: Vec<_> = eligible
+            .iter()
+            .map(|e| self.reported(now, &self.engines[e]))
+            .collect();
         let known = heard.iter().flatten().count().max(1) as f64;
         let average = heard.iter().flatten().sum::<f64>() / known;
         let offer = |(n, &e): (usize, _)| {
@@ -341,9 +425,16 @@
         let mut offers: Vec<Offer> = eligible.iter().enumerate().map(offer).collect();
         let top = offers.iter().map(|o| o.gain).fold(f64::MIN, f64::max);
         offers.retain(|o| o.gain >= top - GAIN_TOLERANCE);
-        let least = offers.iter().map(|o| o.drain).fold(f64::MAX, f64::min).max(DRAIN_FLOOR);
+        let least = offers
+            .iter()
+            .map(|o| o.drain)
+            .fold(f64::MAX, f64::min)
+            .max(DRAIN_FLOOR);
         offers.retain(|o| o.drain <= (1.0 + DRAIN_GUARD) * least);
-        let most = offers.iter().map(|o| o.interaction).fold(f64::MIN, f64::max);
+        let most = offers
+            .iter()
+            .map(|o| o.interaction)
+            .fold(f64::MIN, f64::max);
         offers.retain(|o| o.interaction >= most - GAIN_TOLERANCE);
         // Ours: crossing zones has a price where settings say so; only between full ties.
         if offers.iter().any(|o| !o.far) {
@@ -356,7 +447,8 @@
     /// A heavy query asks its candidates before it goes, where answers bring no reports; true if it waits.
     fn scout(&mut self, now: Micros, id: QueryId, act: &mut Actions) -> bool {
         let wanted = self.cfg.may_probe && self.cfg.report_on_probe && self.sliver() && self.told();
-        if !wanted || self.work(id) < self.mean_work() || self.tally.probes < (HOMES + DRAWN) as f64 {
+        if !wanted || self.work(id) < self.mean_work() || self.tally.probes < (HOMES + DRAWN) as f64
+        {
             return false;
         }
         let mut asked = self.eligible(now, id);
@@ -373,24 +465,43 @@
     /// all reckon alike, then some at random, against herds.
     fn narrow(&mut self, now: Micros, id: QueryId, eligible: &mut Vec<EngineId>) -> usize {
         // Those asked; else a cold one, here by a chance of its own: a second draw would leave it idle.
-        let (asked, warm) = (&self.jobs[&id].asked, |e: &EngineId| self.warmth(now, &self.engines[e]) >= 1.0);
-        let first = |e: &EngineId| if asked.is_empty() { !warm(e) } else { asked.contains(e) };
+        let (asked, warm) = (&self.jobs[&id].asked, |e: &EngineId| {
+            self.warmth(now, &self.engines[e]) >= 1.0
+        });
+        let first = |e: &EngineId| {
+            if asked.is_empty() {
+                !warm(e)
+            } else {
+                asked.contains(e)
+            }
+        };
         if eligible.iter().any(first) {
             eligible.retain(first);
             return 0;
         }
         let tables = u64::from(self.jobs[&id].query.tables);
-        let homes = if self.told() { HOMES.min(eligible.len()) } else { 0 };
+        let homes = if self.told() {
+            HOMES.min(eligible.len())
+        } else {
+            0
+        };
         eligible.sort_by_cached_key(|e| Random(e.0 ^ tables << 48).below(usize::MAX));
         // A home that nobody has heard would take a whole group's queries, however full.
         let heard = |e: &Engine| self.fresh(now, e).is_some();
         eligible[..homes].sort_by_key(|e| !heard(&self.engines[e]));
-        let homes = eligible[..homes].iter().filter(|e| heard(&self.engines[e])).count();
+        let homes = eligible[..homes]
+            .iter()
+            .filter(|e| heard(&self.engines[e]))
+            .count();
         // Each gateway has a circle of its own, the same while its engines are well; large engines take more.
         eligible[homes..].sort_by_cached_key(|e| Random(e.0 ^ self.salt).below(usize::MAX));
         let circle = eligible.len().min(homes + CIRCLE);
-        let weights: Vec<_> = eligible[homes..circle].iter().map(|e| self.weight(&self.engines[e])).collect();
-        self.random.draw_weighted(&mut eligible[homes..circle], &weights, DRAWN);
+        let weights: Vec<_> = eligible[homes..circle]
+            .iter()
+            .map(|e| self.weight(&self.engines[e]))
+            .collect();
+        self.random
+            .draw_weighted(&mut eligible[homes..circle], &weights, DRAWN);
         eligible.truncate(homes + DRAWN);
         homes
     }
@@ -407,17 +518,23 @@
         let named = |list: &Option<Vec<u16>>, x: u16| list.as_ref().is_none_or(|l| l.contains(&x));
         let mut allowed: Vec<(EngineId, u8)> = Vec::new();
         for (&eid, e) in &self.engines {
-            let placed = e.phase == Phase::Ready && named(&c.zones, e.zone) && named(&c.kinds, e.kind);
+            let placed =
+                e.phase == Phase::Ready && named(&c.zones, e.zone) && named(&c.kinds, e.kind);
             let room = !self.brimful(now, e) && self.cold_room(now, id, e);
             let placed = placed && job.query.pin.is_none_or(|p| !p.only || p.engine == eid);
             if !placed || !room || !self.may_send(now, id, e) {
                 continue;
             }
-            let bad =
-                now < e.shut_until || e.on_trial && (!e.out.is_empty() || self.effect(id) == Effect::Unsafe);
-            let behind_load = (c.load || c.waits_for_loads) && self.holds_group(e, job.query.tables);
+            let bad = now < e.shut_until
+                || e.on_trial && (!e.out.is_empty() || self.effect(id) == Effect::Unsafe);
+            let behind_load =
+                (c.load || c.waits_for_loads) && self.holds_group(e, job.query.tables);
             let full = self.sliver() && e.full_at.is_some_and(|t| now < t + FULL_FOR);
-            let lost = self.tally.lost.get(&e.zone).is_some_and(|l| l.len() >= LOST);
+            let lost = self
+                .tally
+                .lost
+                .get(&e.zone)
+                .is_some_and(|l| l.len() >= LOST);
             let poor = job.avoid.contains(&eid) || behind_load || full || lost;
             allowed.push((eid, u8::from(bad) * 2 + u8::from(poor)));
         }
@@ -425,7 +542,11 @@
         let least = allowed.iter().map(|a| a.1).min().unwrap_or(0);
         allowed.retain(|a| a.1 == least);
         // A session's home comes first while it is as well as any.
-        if let Some(home) = job.query.pin.filter(|p| allowed.iter().any(|a| a.0 == p.engine)) {
+        if let Some(home) = job
+            .query
+            .pin
+            .filter(|p| allowed.iter().any(|a| a.0 == p.engine))
+        {
             allowed.retain(|a| a.0 == home.engine);
         }
         allowed.into_iter().map(|a| a.0).collect()
@@ -434,12 +555,17 @@
     /// Rule 2: where a further attempt may go, by effect, what may have run, and what is still out.
     fn may_send(&self, now: Micros, id: QueryId, e: &Engine) -> bool {
         let job = &self.jobs[&id];
-        !job.streaming && (self.cfg.may_copy || job.out().next().is_none()) && self.group_allows(now, id, e)
+        !job.streaming
+            && (self.cfg.may_copy || job.out().next().is_none())
+            && self.group_allows(now, id, e)
     }
 
     fn group_allows(&self, now: Micros, id: QueryId, e: &Engine) -> bool {
         let c = self.class(id);
-        let mut ran = self.jobs[&id].tries.iter().filter(|t| !t.outcome.is_some_and(Outcome::never_ran));
+        let mut ran = self.jobs[&id]
+            .tries
+            .iter()
+            .filter(|t| !t.outcome.is_some_and(Outcome::never_ran));
         let grouped = |t: &Try| match c.repeat_group {
             RepeatGroup::All => true,
             RepeatGroup::Zone => t.zone == e.zone,
@@ -456,16 +582,28 @@
 
     /// Whether a refusal would be true: nothing may have run, or a repeat does no harm.
     fn may_refuse(&self, id: QueryId) -> bool {
-        let clean = self.jobs[&id].tries.iter().all(|t| t.outcome.is_some_and(Outcome::never_ran));
-        let keyed = self.class(id).repeat_group == RepeatGroup::All && self.effect(id) == Effect::Keyed;
+        let clean = self.jobs[&id]
+            .tries
+            .iter()
+            .all(|t| t.outcome.is_some_and(Outcome::never_ran));
+        let keyed =
+            self.class(id).repeat_group == RepeatGroup::All && self.effect(id) == Effect::Keyed;
         clean || self.effect(id) == Effect::Safe || keyed
     }
 
     /// Puts a query on the queue of the engine of Algorithm 5's choice (Algorithm 7), then starts what may.
     fn route(&mut self, now: Micros, id: QueryId, act: &mut Actions) {
-        let Some(o) = self.choose(now, id) else { return self.place(id, Place::Held) };
-        let slot = Slot { planned: o.start, ..self.slot(id) };
-        let e = self.engines.get_mut(&o.engine).expect("offers come from known engines");
+        let Some(o) = self.choose(now, id) else {
+            return self.place(id, Place::Held);
+        };
+        let slot = Slot {
+            planned: o.start,
+            ..self.slot(id)
+        };
+        let e = self
+            .engines
+            .get_mut(&o.engine)
+            .expect("offers come from known engines");
         e.queue.insert(o.position.min(e.queue.len()), slot);
         self.place(id, Place::Queued(o.engine));
         self.pump(now, o.engine, act);
@@ -474,7 +612,12 @@
     /// Starts queries from the front of an engine's queue while the run bound has room.
     fn pump(&mut self, now: Micros, engine: EngineId, act: &mut Actions) {
         while let Some(e) = self.engines.get(&engine) {
-            let Some(&Slot { id, work, threads, .. }) = e.queue.first() else { return };
+            let Some(&Slot {
+                id, work, threads, ..
+            }) = e.queue.first()
+            else {
+                return;
+            };
             let (bound, running, _) = self.load(now, e);
             let room = running + self.needs(work, threads) <= bound && self.memory_fits(now, id, e);
             if running > 0.0 && !room || e.threads > 0.0 && e.on_trial {
@@ -496,7 +639,9 @@
     fn pump_all(&mut self, now: Micros, act: &mut Actions) {
         let late = |q: &Slot, e: &Engine| now as f64 + q.work / q.threads * e.slow > q.aim;
         let front = |(&id, e): (&EngineId, &Engine)| {
-            e.queue.first().map(|q| (late(q, e), q.work / q.worth.max(1e-9), id))
+            e.queue
+                .first()
+                .map(|q| (late(q, e), q.work / q.worth.max(1e-9), id))
         };
         let mut fronts: Vec<_> = self.engines.iter().filter_map(front).collect();
         fronts.sort_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
@@ -515,37 +660,70 @@
         }
         let job = &self.jobs[&id];
         // The time-out is answered before the client gives up.
-        act.push(Action::Send(id, engine, job.deadline.saturating_sub(now + margin / 2).max(1)));
+        act.push(Action::Send(
+            id,
+            engine,
+            job.deadline.saturating_sub(now + margin / 2).max(1),
+        ));
         if !job.tries.is_empty() {
             self.plan_further(now, id, job.tries.len() as u8);
         }
-        self.record_send(now, id, Try { grant, expected, ..Try::new(engine, now) }, cold);
+        self.record_send(
+            now,
+            id,
+            Try {
+                grant,
+                expected,
+                ..Try::new(engine, now)
+            },
+            cold,
+        );
     }
 
     /// Grant: the believed need and some to spare, more while there is room; else the engine's own choice.
     fn grant(&self, now: Micros, id: QueryId, e: &Engine) -> f64 {
         // Where memory pages, a grant beyond the need costs nothing: only use counts.
         let pages = self.cfg.out_of_memory == OutOfMemory::Page;
-        let need = if self.cfg.grants { self.memory(id) } else { 0.0 };
-        let spare = SPARE * if pages || !self.pressed(now, e) { ROOMY } else { 1.0 };
+        let need = if self.cfg.grants {
+            self.memory(id)
+        } else {
+            0.0
+        };
+        let spare = SPARE
+            * if pages || !self.pressed(now, e) {
+                ROOMY
+            } else {
+                1.0
+            };
         (need * spare).min(self.memory_of(e) * self.cfg.largest_grant.unwrap_or(1.0))
     }
 
     /// Priority: short queries first, since they hold an engine least; the lowest for what comes late anyway.
     fn priority(&self, now: Micros, id: QueryId, run: f64) -> u8 {
-        let in_time = if self.work(id) < self.mean_work() { 3 } else { 1 };
+        let in_time = if self.work(id) < self.mean_work() {
+            3
+        } else {
+            1
+        };
         in_time * u8::from(now as f64 + run <= self.aim(id))
     }
 
     /// Ends a query unserved, at once: a refusal with retry advice where that is true, else a failure.
     fn give_up(&mut self, now: Micros, id: QueryId, act: &mut Actions) {
-        if self.jobs.get(&id).is_none_or(|j| j.streaming || j.place == Place::Done) {
+        if self
+            .jobs
+            .get(&id)
+            .is_none_or(|j| j.streaming || j.place == Place::Done)
+        {
             return;
         }
         if self.may_refuse(id) {
             let drain = |e: &Engine| self.starts(now, e, 0.5)[e.queue.len()] - now as f64;
             let least = self.ready().map(drain).fold(f64::MAX, f64::min);
-            let advice = self.cfg.retry_after.map_or(0, |most| (least as Micros).max(ADVICE).min(most));
+            let advice = self
+                .cfg
+                .retry_after
+                .map_or(0, |most| (least as Micros).max(ADVICE).min(most));
             act.push(Action::Refuse(id, advice));
         } else {
             act.push(Action::Fail(id));
@@ -556,7 +734,9 @@
     /// The query is over: calls off what is out, frees its place, and lets the next of its key go.
     fn conclude(&mut self, now: Micros, id: QueryId, act: &mut Actions) {
         self.unqueue(id);
-        let Some(job) = self.jobs.get_mut(&id) else { return };
+        let Some(job) = self.jobs.get_mut(&id) else {
+            return;
+        };
         job.place = Place::Done;
         if self.cfg.may_cancel && !job.streaming {
             act.extend(job.call_off(None));
@@ -585,7 +765,11 @@
             return;
         }
         let most = self.cfg.max_attempts.unwrap_or(u32::MAX).min(200) as usize;
-        let errors = job.tries.iter().filter(|t| t.outcome == Some(Outcome::Error)).count();
+        let errors = job
+            .tries
+            .iter()
+            .filter(|t| t.outcome == Some(Outcome::Error))
+            .count();
         let spent = job.tries.len() >= most || errors >= ERRORS;
         if spent || self.hopeless(now, id) || !self.budget_left(now) {
             self.give_up(now, id, act);
@@ -597,9 +781,16 @@
     /// Whether a query earns nothing any more, even if started now and run at the fleet's pace, or the only
     /// engine that holds what it needs takes nothing more, or none may run it again.
     fn hopeless(&self, now: Micros, id: QueryId) -> bool {
-        let only = self.jobs[&id].query.pin.filter(|p| p.only).map(|p| self.engines.get(&p.engine));
+        let only = self.jobs[&id]
+            .query
+            .pin
+            .filter(|p| p.only)
+            .map(|p| self.engines.get(&p.engine));
         let left = only.is_some_and(|e| e.is_none_or(|e| e.phase != Phase::Ready));
-        if left || !self.engines.is_empty() && !self.engines.values().any(|e| self.group_allows(now, id, e)) {
+        if left
+            || !self.engines.is_empty()
+                && !self.engines.values().any(|e| self.group_allows(now, id, e))
+        {
             return true;
         }
         let pace = self.ready().map(|e| e.slow).sum::<f64>() / self.ready().count().max(1) as f64;
@@ -646,9 +837,20 @@
             self.retries.request_taken(now, &budget);
         }
         let (id, over_quota) = (query.id, self.over_quota(now, query.tenant));
-        self.jobs.insert(id, Job { over_quota, ..Job::new(query, now) });
+        self.jobs.insert(
+            id,
+            Job {
+                over_quota,
+                ..Job::new(query, now)
+            },
+        );
         self.tally.fresh_work += self.work(id);
-        let spend = PROBE_SPEND * if self.cfg.report_on_probe && !self.sliver() { 10.0 } else { 1.0 };
+        let spend = PROBE_SPEND
+            * if self.cfg.report_on_probe && !self.sliver() {
+                10.0
+            } else {
+                1.0
+            };
         let probes = (spend / self.cfg.probe_price.max(1e-9)).min(PROBE_MOST);
         self.tally.probes = (self.tally.probes + probes).min(self.engines.len() as f64);
         self.tally.tells = (self.tally.tells + TELLS).min(f64::from(self.cfg.gateways));
@@ -674,16 +876,24 @@
 
     /// Takes from the tenant's quota at this gateway; true if it was used up.
     fn over_quota(&mut self, now: Micros, tenant: u32) -> bool {
-        let Some(t) = self.cfg.tenants.get(tenant as usize) else { return !self.cfg.tenants.is_empty() };
+        let Some(t) = self.cfg.tenants.get(tenant as usize) else {
+            return !self.cfg.tenants.is_empty();
+        };
         let rate = t.quota_per_s * self.tally.share;
         !self.quotas[tenant as usize].take(now, rate, (rate * QUOTA_SPAN).max(QUOTA_LEAST))
     }
 
     fn on_note(&mut self, now: Micros, id: QueryId, attempt: u8, note: Note) {
-        let Some(job) = self.jobs.get_mut(&id) else { return };
-        let Some(t) = job.tries.get_mut(usize::from(attempt)) else { return };
+        let Some(job) = self.jobs.get_mut(&id) else {
+            return;
+        };
+        let Some(t) = job.tries.get_mut(usize::from(attempt)) else {
+            return;
+        };
         let engine = t.engine;
-        let Some(e) = self.engines.get_mut(&engine) else { return };
+        let Some(e) = self.engines.get_mut(&engine) else {
+            return;
+        };
         match note {
             Note::Progress(done) => {
                 t.blocked = false;
@@ -697,7 +907,9 @@
 
     fn on_end(&mut self, now: Micros, end: &Ended, act: &mut Actions) {
         let (id, outcome) = (end.query, end.outcome);
-        let Some(engine) = self.record_end(end) else { return };
+        let Some(engine) = self.record_end(end) else {
+            return;
+        };
         let answered = matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Full);
         self.take_report(now, engine, end.report, answered);
         let (safe, sliver) = (self.effect(id) == Effect::Safe, self.sliver());
@@ -712,7 +924,10 @@
         match outcome {
             Outcome::Ok => {
                 // Served here, so where it erred before the fault was the engine's.
-                let erred = job.tries.iter().filter(|t| t.outcome == Some(Outcome::Error));
+                let erred = job
+                    .tries
+                    .iter()
+                    .filter(|t| t.outcome == Some(Outcome::Error));
                 for engine in erred.map(|t| t.engine).collect::<Vec<_>>() {
                     self.failed(now, engine, Outcome::Error, act);
                 }
@@ -728,7 +943,10 @@
             Outcome::TimedOut | Outcome::Cancelled | Outcome::Moot => {}
         }
         // Rule 5: what may still run holds its key for a while more.
-        let doubtful = matches!(outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled);
+        let doubtful = matches!(
+            outcome,
+            Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled
+        );
         if let (true, Some(key)) = (doubtful, self.ordered(id)) {
             self.lanes.entry(key).or_default().rest_until = now + self.cfg.settle;
         }
@@ -743,7 +961,11 @@
             false => self.pump(now, engine, act),
         }
         // Room here and nobody waiting: those whose start slipped elsewhere need not wait for the tick.
-        let idle = self.engines.get(&engine).filter(|e| e.queue.is_empty()).map(|e| self.load(now, e));
+        let idle = self
+            .engines
+            .get(&engine)
+            .filter(|e| e.queue.is_empty())
+            .map(|e| self.load(now, e));
         if idle.is_some_and(|(bound, running, _)| running < bound) {
             self.look_again(now, act);
         }
@@ -761,10 +983,16 @@
                 l.correction += blend * (ratio.min(CLIP * l.correction) - l.correction);
             } else {
                 // No told work: the pace of the quicker quarter of answers stands for running alone.
-                l.correction *= if ratio > l.correction { 1.0 + 0.25 * BLEND } else { 1.0 - 0.75 * BLEND };
+                l.correction *= if ratio > l.correction {
+                    1.0 + 0.25 * BLEND
+                } else {
+                    1.0 - 0.75 * BLEND
+                };
             }
         }
-        let true_work = work.or(q.work.map(|w| w * l.correction)).unwrap_or(spent * threads);
+        let true_work = work
+            .or(q.work.map(|w| w * l.correction))
+            .unwrap_or(spent * threads);
         l.work += blend * (true_work.min(CLIP * l.work) - l.work);
         if let Some(m) = memory {
             // A little under-granting spills, a little over-granting is lost: aim at the upper third.
@@ -777,7 +1005,11 @@
         l.seen = (l.seen + 1.0).min(1e6);
         // Without any word of a query's work only its class's mean tells a slow engine from a large query.
         let sliver = self.sliver();
-        let alone = if sliver && work.or(q.work).is_none() { usual } else { true_work };
+        let alone = if sliver && work.or(q.work).is_none() {
+            usual
+        } else {
+            true_work
+        };
         let alone = alone / threads + self.cfg.tick as f64;
         if let Some(e) = self.engines.get_mut(&engine) {
             // The mean of logs: estimates scatter, and a plain mean would see pressure in mere scatter.
@@ -798,7 +1030,9 @@
 
     /// A failure of the engine itself: leaves it alone for a while, then tries it with one query at a time.
     fn failed(&mut self, now: Micros, engine: EngineId, outcome: Outcome, act: &mut Actions) {
-        let Some(e) = self.engines.get_mut(&engine) else { return };
+        let Some(e) = self.engines.get_mut(&engine) else {
+            return;
+        };
         if outcome == Outcome::Full {
             e.full_at = Some(now);
             return;
@@ -825,13 +1059,23 @@
         }
         if now >= self.tally.last_log + LOG_EVERY {
             self.tally.last_log = now;
-            act.push(Action::Log(format!("engine {:x} shut after {outcome:?}", engine.0)));
+            act.push(Action::Log(format!(
+                "engine {:x} shut after {outcome:?}",
+                engine.0
+            )));
         }
         self.hold_queue(engine);
         self.route_held(now, act);
     }
 
-    fn on_probe(&mut self, now: Micros, id: EngineId, outcome: Outcome, report: &[f64], act: &mut Actions) {
+    fn on_probe(
+        &mut self,
+        now: Micros,
+        id: EngineId,
+        outcome: Outcome,
+        report: &[f64],
+        act: &mut Actions,
+    ) {
         self.take_report(now, id, report, outcome == Outcome::Ok);
         match (outcome, self.engines.get_mut(&id)) {
             (Outcome::Ok, Some(e)) if !e.on_trial && now < e.shut_until => {
@@ -850,7 +1094,11 @@
     fn on_tick(&mut self, now: Micros, act: &mut Actions) {
         act.push(Action::Wake(TICK, TICK_TOKEN));
         let work = std::mem::take(&mut self.tally.fresh_work) / TICK as f64;
-        let blend = if self.sliver() { DEMAND_BLEND / 4.0 } else { DEMAND_BLEND };
+        let blend = if self.sliver() {
+            DEMAND_BLEND / 4.0
+        } else {
+            DEMAND_BLEND
+        };
         self.tally.demand += blend * (work - self.tally.demand);
         if self.tally.next_ask.is_some_and(|t| now >= t) {
             self.ask(now, act);
@@ -866,12 +1114,19 @@
             e.others = self.peers.values().map(told).sum();
         }
         self.tally.left = self.engines.values().map(|e| self.left(now, e)).sum();
-        self.tally.cores = self.ready().map(|e| self.cores(e) * self.warmth(now, e)).sum();
+        self.tally.cores = self
+            .ready()
+            .map(|e| self.cores(e) * self.warmth(now, e))
+            .sum();
         self.tally.pace = 1.0 + (self.tally.pace - 1.0) * 0.5f64.powf(TICK as f64 / FORGET);
-        let heard: Vec<&Engine> = self.ready().filter(|e| self.fresh(now, e).is_some()).collect();
+        let heard: Vec<&Engine> = self
+            .ready()
+            .filter(|e| self.fresh(now, e).is_some())
+            .collect();
         let pressed = heard.iter().filter(|e| self.pressed(now, e)).count();
         let part = CROWD[usize::from(self.stuck())];
-        self.tally.crowded = !self.told() || self.tally.pace > SLOW || part * pressed > heard.len().max(4);
+        self.tally.crowded =
+            !self.told() || self.tally.pace > SLOW || part * pressed > heard.len().max(4);
         for q in self.scouting(None, now.saturating_sub(TICK)) {
             self.route(now, q, act);
         }
@@ -887,23 +1142,38 @@
     /// Tells as many peers as own queries pay for: own demand and the newest word of engines, which spreads.
     fn tell(&mut self, now: Micros, act: &mut Actions) {
         self.tally.last_tell = now;
-        let mut peers: Vec<u32> = (0..self.cfg.gateways).filter(|&g| g != self.cfg.number).collect();
-        let most = if self.sliver() { self.tally.tells as usize } else { peers.len() };
+        let mut peers: Vec<u32> = (0..self.cfg.gateways)
+            .filter(|&g| g != self.cfg.number)
+            .collect();
+        let most = if self.sliver() {
+            self.tally.tells as usize
+        } else {
+            peers.len()
+        };
         self.tally.tells = (self.tally.tells - most as f64).max(0.0);
         let mut known: Vec<_> = self.engines.iter().map(|(&id, e)| (id, e)).collect();
         known.sort_by_key(|(_, e)| std::cmp::Reverse(e.report.map_or(0, |r| r.at)));
         let bytes = Peer::write(now, self.tally.demand, &self.cfg.report_fields, &known);
         self.random.draw(&mut peers, most);
-        act.extend(peers.into_iter().take(most).map(|peer| Action::Tell(peer, bytes.clone())));
+        act.extend(
+            peers
+                .into_iter()
+                .take(most)
+                .map(|peer| Action::Tell(peer, bytes.clone())),
+        );
     }
 
     /// A peer's word of an engine counts where it is newer than our own and own answers are few.
     fn on_message(&mut self, now: Micros, from: u32, bytes: &[u8]) {
-        let Some((peer, words)) = Peer::read(now, &self.cfg.report_fields, bytes) else { return };
+        let Some((peer, words)) = Peer::read(now, &self.cfg.report_fields, bytes) else {
+            return;
+        };
         let sliver = self.sliver();
         self.peers.insert(from, peer);
         for (id, slow, report) in words.into_iter().filter(|_| sliver) {
-            let Some(e) = self.engines.get_mut(&id) else { continue };
+            let Some(e) = self.engines.get_mut(&id) else {
+                continue;
+            };
             if e.report.is_none_or(|r| r.at < report.at) && e.born.is_none_or(|b| b < report.at) {
                 (e.report, e.slow, e.slow_at) = (Some(report), slow.clamp(0.3, CLIP), report.at);
             }
@@ -919,7 +1189,10 @@
             let (mut n, mut overdue, mut pace) = (0, 0, CLIP);
             for (_, t) in self.outs(e).filter(|(_, t)| !t.called_off && !t.blocked) {
                 let age = now.saturating_sub(t.sent) as f64;
-                let patience = self.cfg.notes_every.map_or(OVERRUN * t.expected, |every| 3.0 * every as f64);
+                let patience = self
+                    .cfg
+                    .notes_every
+                    .map_or(OVERRUN * t.expected, |every| 3.0 * every as f64);
                 pace = pace.min(t.projected.unwrap_or(age).max(age) * e.slow / t.expected.max(1.0));
                 (n, overdue) = (n + 1, overdue + usize::from(age > patience.max(SILENCE)));
             }
@@ -941,7 +1214,10 @@
             }
             let idle = now > e.heard.max(e.probed) + REPORT_LIFE;
             let due = self.cfg.report_on_probe || e.on_trial && now >= e.shut_until;
-            if self.cfg.may_probe && e.phase == Phase::Ready && (idle || due && now > e.probed + TELL_EVERY) {
+            if self.cfg.may_probe
+                && e.phase == Phase::Ready
+                && (idle || due && now > e.probed + TELL_EVERY)
+            {
                 probes.push((!e.on_trial, e.heard.max(e.probed), id));
             }
         }
@@ -966,12 +1242,22 @@
         let (mut over, sliver) = (Vec::new(), self.sliver());
         let pace = if sliver { self.tally.pace } else { 0.0 };
         let earned = self.mean(|c| self.cfg.classes[c].worth) / self.mean_work();
-        for (&id, job) in self.jobs.iter().filter(|(_, j)| j.place == Place::Out && !j.streaming) {
+        for (&id, job) in self
+            .jobs
+            .iter()
+            .filter(|(_, j)| j.place == Place::Out && !j.streaming)
+        {
             for (n, t) in job.out().filter(|(_, t)| !t.called_off && !t.blocked) {
                 let age = now.saturating_sub(t.sent) as f64;
                 // Without notes, one that has overrun is taken to have as much again and more before it.
-                let usual = t.expected.max(self.work(id) / self.class(id).threads * pace);
-                let long = if age > OVERRUN * usual { OVERRUN * age } else { age };
+                let usual = t
+                    .expected
+                    .max(self.work(id) / self.class(id).threads * pace);
+                let long = if age > OVERRUN * usual {
+                    OVERRUN * age
+                } else {
+                    age
+                };
                 let total = t.projected.map_or(long, |p| p.max(age));
                 let late = sliver && t.sent as f64 + total > self.aim(id);
                 if age >= OVERRUN_AFTER && (late || total > OVERRUN * usual) {
@@ -981,15 +1267,20 @@
         }
         for (id, n, finish) in over {
             let pace = self.ready().map(|e| e.slow);
-            let afresh = now as f64 + self.work(id) / self.class(id).threads * pace.fold(CLIP, f64::min);
+            let afresh =
+                now as f64 + self.work(id) / self.class(id).threads * pace.fold(CLIP, f64::min);
             let (stay, leave) = (self.value(id, finish), self.value(id, afresh));
             // Late runs in a crowd, bad plans too, keep the room of others; hurts if late worth is high.
             let left = (finish - now as f64).max(1.0) * self.class(id).threads;
-            let drag =
-                sliver && self.cfg.may_cancel && stay < WORTHWHILE * earned * left && finish > self.aim(id);
+            let drag = sliver
+                && self.cfg.may_cancel
+                && stay < WORTHWHILE * earned * left
+                && finish > self.aim(id);
             if self.jobs[&id].cuts == 0 && leave > 0.0 && leave >= stay && afresh < finish {
                 self.cut(now, id, n, act);
-            } else if self.may_refuse(id) && (drag || stay + leave <= 0.0 && self.cfg.notes_every.is_some()) {
+            } else if self.may_refuse(id)
+                && (drag || stay + leave <= 0.0 && self.cfg.notes_every.is_some())
+            {
                 self.give_up(now, id, act);
             }
         }
@@ -997,7 +1288,13 @@
 
     /// Calls an attempt off for another elsewhere, or adds a copy, if the rules leave room for one.
     fn cut(&mut self, now: Micros, id: QueryId, attempt: u8, act: &mut Actions) {
-        let Some(job) = self.jobs.get(&id).filter(|j| j.place == Place::Out && !j.streaming) else { return };
+        let Some(job) = self
+            .jobs
+            .get(&id)
+            .filter(|j| j.place == Place::Out && !j.streaming)
+        else {
+            return;
+        };
         let most = self.cfg.max_attempts.unwrap_or(u32::MAX).min(200) as usize;
         let over = job.tries.len() >= most || job.tries[usize::from(attempt)].called_off;
         let barred = !self.engines.values().any(|e| self.group_allows(now, id, e));
@@ -1030,7 +1327,11 @@
         slipped.sort();
         let from = slipped.partition_point(|&s| s <= self.tally.cursor);
         slipped.rotate_left(from);
-        for &id in slipped.iter().take(if self.sliver() { LOOK_AGAIN / 4 } else { LOOK_AGAIN }) {
+        for &id in slipped.iter().take(if self.sliver() {
+            LOOK_AGAIN / 4
+        } else {
+            LOOK_AGAIN
+        }) {
             self.tally.cursor = id;
             self.unqueue(id);
             self.place(id, Place::Held);
--- a/crates/fernlink/src/retry_budget.rs
+++ b/crates/fernlink/src/retry_budget.rs
@@ -72,7 +72,13 @@
     }
 
     /// Whether an attempt may go out now. Only what did go out counts against it: what waits is asked about in its turn.
-    fn may_go_out(&mut self, now: Micros, query: QueryId, attempt: u8, budget: &RetryBudget) -> bool {
+    fn may_go_out(
+        &mut self,
+        now: Micros,
+        query: QueryId,
+        attempt: u8,
+        budget: &RetryBudget,
+    ) -> bool {
         self.forget(now, budget);
         let waits = |f: &Further| f.at.is_none() && (f.query, f.attempt) == (query, attempt);
         if !self.further.iter().any(waits) {
@@ -94,7 +100,8 @@
 
     /// An attempt has ended: where no byte of it went out, its part of the budget is free again.
     pub fn ended(&mut self, query: QueryId, attempt: u8) {
-        self.further.retain(|f| f.at.is_some() || (f.query, f.attempt) != (query, attempt));
+        self.further
+            .retain(|f| f.at.is_some() || (f.query, f.attempt) != (query, attempt));
     }
 
     /// The figures at this moment.
@@ -102,7 +109,11 @@
         let within = |at: Micros| at + budget.window > now;
         let taken = self.taken.iter().filter(|&&at| within(at)).count();
         BudgetUsage {
-            used: self.further.iter().filter(|f| f.at.is_none_or(within)).count() as u64,
+            used: self
+                .further
+                .iter()
+                .filter(|f| f.at.is_none_or(within))
+                .count() as u64,
             allowed: budget.free + budget.ratio * taken as f64,
             taken: taken as u64,
             held: self.taken.len() + self.further.len(),
@@ -117,7 +128,8 @@
 
     /// Drops what is behind the window.
     fn forget(&mut self, now: Micros, budget: &RetryBudget) {
-        self.further.retain(|f| f.at.is_none_or(|at| at + budget.window + EDGE >= now));
+        self.further
+            .retain(|f| f.at.is_none_or(|at| at + budget.window + EDGE >= now));
         self.taken.retain(|&t| t + budget.window > now + EDGE);
     }
 }
@@ -125,7 +137,9 @@
 impl Controller {
     /// Whether one more attempt beyond a query's first may be made.
     pub(crate) fn budget_left(&mut self, now: Micros) -> bool {
-        self.cfg.retry_budget.is_none_or(|budget| self.retries.allows_another(now, &budget))
+        self.cfg
+            .retry_budget
+            .is_none_or(|budget| self.retries.allows_another(now, &budget))
     }
 
     /// An attempt beyond a query's first is planned.
@@ -158,6 +172,8 @@
 
     /// How far the retry budget is used; `None` where the settings have none.
     pub fn retry_budget_usage(&self, now: Micros) -> Option<BudgetUsage> {
-        self.cfg.retry_budget.map(|budget| self.retries.usage(now, &budget))
+        self.cfg
+            .retry_budget
+            .map(|budget| self.retries.usage(now, &budget))
     }
 }
--- a/crates/fernlink/src/slow_start.rs
+++ b/crates/fernlink/src/slow_start.rs
@@ -55,7 +55,12 @@
 impl ColdSends {
     /// An attempt is planned. `at`: when it went out, where that is at once.
     pub fn plan(&mut self, query: QueryId, attempt: u8, weight: f64, at: Option<Micros>) {
-        self.0.push_back(ColdSend { query, attempt, weight, at });
+        self.0.push_back(ColdSend {
+            query,
+            attempt,
+            weight,
+            at,
+        });
     }
 
     /// Drops what went out before this time.
@@ -65,37 +70,60 @@
 
     /// An attempt has ended: where no byte of it went out, its part is free again.
     pub fn ended(&mut self, query: QueryId, attempt: u8) {
-        self.0.retain(|s| s.at.is_some() || (s.query, s.attempt) != (query, attempt));
+        self.0
+            .retain(|s| s.at.is_some() || (s.query, s.attempt) != (query, attempt));
     }
 
     /// All weights that went out behind this time, and those that wait.
     pub fn planned_since(&self, begin: Micros) -> f64 {
-        self.0.iter().filter(|s| s.at.is_none_or(|at| at > begin)).map(|s| s.weight).sum()
+        self.0
+            .iter()
+            .filter(|s| s.at.is_none_or(|at| at > begin))
+            .map(|s| s.weight)
+            .sum()
     }
 
     /// All weights that went out behind this time.
     fn out_since(&self, begin: Micros) -> f64 {
-        self.0.iter().filter(|s| s.at.is_some_and(|at| at > begin)).map(|s| s.weight).sum()
+        self.0
+            .iter()
+            .filter(|s| s.at.is_some_and(|at| at > begin))
+            .map(|s| s.weight)
+            .sum()
     }
 
     fn waiting(&mut self, query: QueryId, attempt: u8) -> Option<&mut ColdSend> {
-        self.0.iter_mut().find(|s| s.at.is_none() && (s.query, s.attempt) == (query, attempt))
+        self.0
+            .iter_mut()
+            .find(|s| s.at.is_none() && (s.query, s.attempt) == (query, attempt))
     }
 }
 
 impl Controller {
     /// Whether the engine of an attempt that was planned while it was cold takes it now; if so, it goes out.
     pub(crate) fn cold_engine_takes(&mut self, now: Micros, query: QueryId, attempt: u8) -> bool {
-        let Some(cold) = self.cfg.cold else { return true };
-        let sent_to = self.jobs.get(&query).and_then(|j| j.tries.get(usize::from(attempt))).map(|t| t.engine);
+        let Some(cold) = self.cfg.cold else {
+            return true;
+        };
+        let sent_to = self
+            .jobs
+            .get(&query)
+            .and_then(|j| j.tries.get(usize::from(attempt)))
+            .map(|t| t.engine);
         let Some(engine) = sent_to else { return true };
-        let Some(e) = self.engines.get(&engine) else { return true };
+        let Some(e) = self.engines.get(&engine) else {
+            return true;
+        };
         // A sliver's part is under one query: chance decides there, not a sum.
         let bounded = !self.sliver() && self.warmth(now, e) < 1.0;
         let part = self.cold_budget(now, e, &cold) / f64::from(self.cfg.gateways.max(1));
-        let Some(e) = self.engines.get_mut(&engine) else { return true };
+        let Some(e) = self.engines.get_mut(&engine) else {
+            return true;
+        };
         let out = e.cold_sends.out_since(now.saturating_sub(cold.window));
-        let Some(send) = e.cold_sends.waiting(query, attempt) else { return true };
+        let Some(send) = e.cold_sends.waiting(query, attempt) else {
+            return true;
+        };
         if bounded && out > 0.0 && out + send.weight > part {
             return false;
         }
@@ -105,7 +133,9 @@
 
     /// Share of its capacity that a young engine can be counted on for; 1 once warm.
     pub(crate) fn warmth(&self, now: Micros, e: &Engine) -> f64 {
-        let (Some(cold), Some(born)) = (self.cfg.cold, e.born) else { return 1.0 };
+        let (Some(cold), Some(born)) = (self.cfg.cold, e.born) else {
+            return 1.0;
+        };
         let age = now.saturating_sub(born) as f64 / cold.warm_after.max(1) as f64;
         cold.from + (1.0 - cold.from) * (2.0 * age - 1.0).clamp(0.0, 1.0)
     }
@@ -113,7 +143,9 @@
     /// Rule 4: our n-th of what a cold engine may be sent in any window. Against crowds on engines just
     /// started; also covers those that answer again after failing, which may have restarted unannounced.
     pub(crate) fn cold_room(&self, now: Micros, id: QueryId, e: &Engine) -> bool {
-        let (Some(cold), true) = (self.cfg.cold, self.warmth(now, e) < 1.0) else { return true };
+        let (Some(cold), true) = (self.cfg.cold, self.warmth(now, e) < 1.0) else {
+            return true;
+        };
         let recent = e.cold_sends.planned_since(now.saturating_sub(cold.window));
         let (whole, weight) = (self.cold_budget(now, e, &cold), self.cold_weight(id));
         if !self.sliver() {
@@ -121,12 +153,16 @@
         }
         // A sliver is under one query: each has a chance, all fill the budget; small ones have what is left.
         let fit = |work: f64| (COLD_WHOLE * whole / work).min(1.0).powi(3);
-        let fits = self.mean(|c| self.learned[c].work * fit(self.learned[c].work)) / self.mean_work();
+        let fits =
+            self.mean(|c| self.learned[c].work * fit(self.learned[c].work)) / self.mean_work();
         let fit = fit(weight) / fits.max(COLD_LEAST) * (self.weight(e) / self.cores(e)).min(1.0);
         let chance = fit * whole / (self.tally.cores * CAPACITY * RUSH * cold.window as f64);
-        let draw = Random(self.salt ^ id.0 ^ e.born.unwrap_or(0) ^ ((now / cold.window.max(1)) << 40))
-            .below(1 << 20);
-        recent <= COLD_WHOLE * whole && weight <= whole / 2.0 && (draw as f64) < chance * (1 << 20) as f64
+        let draw =
+            Random(self.salt ^ id.0 ^ e.born.unwrap_or(0) ^ ((now / cold.window.max(1)) << 40))
+                .below(1 << 20);
+        recent <= COLD_WHOLE * whole
+            && weight <= whole / 2.0
+            && (draw as f64) < chance * (1 << 20) as f64
     }
 
     /// Work that a cold engine may be sent within its window, by all gateways.
@@ -139,6 +175,10 @@
     pub(crate) fn cold_weight(&self, id: QueryId) -> f64 {
         let (class, c) = (self.jobs[&id].query.class, self.class(id));
         let known = self.learned[usize::from(class)].seen >= 5.0;
-        self.learned[usize::from(class)].work.max(if known { 0.0 } else { c.aim as f64 * c.threads })
+        self.learned[usize::from(class)].work.max(if known {
+            0.0
+        } else {
+            c.aim as f64 * c.threads
+        })
     }
 }
--- a/crates/fernlink/src/state.rs
+++ b/crates/fernlink/src/state.rs
@@ -106,7 +106,10 @@
 
 impl Job {
     pub fn out(&self) -> impl Iterator<Item = (usize, &Try)> {
-        self.tries.iter().enumerate().filter(|(_, t)| t.outcome.is_none())
+        self.tries
+            .iter()
+            .enumerate()
+            .filter(|(_, t)| t.outcome.is_none())
     }
 }
 
@@ -199,7 +202,12 @@
 impl Peer {
     /// A message: own demand, then as many of the engines as it holds, in the order given. An entry: id,
     /// own threads, slowness, age of the report in 1/25 s, and the report's values.
-    pub fn write(now: Micros, demand: f64, fields: &[ReportField], known: &[(EngineId, &Engine)]) -> Vec<u8> {
+    pub fn write(
+        now: Micros,
+        demand: f64,
+        fields: &[ReportField],
+        known: &[(EngineId, &Engine)],
+    ) -> Vec<u8> {
         let mut bytes = vec![2];
         bytes.extend((demand as f32).to_be_bytes());
         for (id, e) in known.iter().take((256 - bytes.len()) / (9 + fields.len())) {
@@ -227,19 +235,26 @@
         if !demand.is_finite() || demand < 0.0 || rest.len() % (9 + fields.len()) != 0 {
             return None;
         }
-        let mut peer = Peer { at, demand, threads: BTreeMap::new() };
+        let mut peer = Peer {
+            at,
+            demand,
+            threads: BTreeMap::new(),
+        };
         let mut words = Vec::new();
         for c in rest.chunks(9 + fields.len()) {
             let id = EngineId(c[..6].iter().fold(0u64, |a, &b| a << 8 | u64::from(b)));
             peer.threads.insert(id, f64::from(c[6]));
             let value = |(f, &b): (&ReportField, &u8)| match (f, b) {
                 (_, 255) => -1.0,
-                (ReportField::Busy | ReportField::Memory | ReportField::Disk, b) => f64::from(b) / 200.0,
+                (ReportField::Busy | ReportField::Memory | ReportField::Disk, b) => {
+                    f64::from(b) / 200.0
+                }
                 (_, b) => f64::from(b),
             };
             let values: Vec<f64> = fields.iter().zip(&c[9..]).map(value).collect();
             if c[8] < 255 {
-                let report = Report::read(at.saturating_sub(u64::from(c[8]) * 40_000), fields, &values);
+                let report =
+                    Report::read(at.saturating_sub(u64::from(c[8]) * 40_000), fields, &values);
                 words.push((id, f64::from(c[7]) / 20.0, report));
             }
         }
@@ -256,7 +271,13 @@
 
 impl Default for Learned {
     fn default() -> Self {
-        Learned { seen: 0.0, work: 0.0, correction: 1.0, memory: 0.0, memory_correction: 1.0 }
+        Learned {
+            seen: 0.0,
+            work: 0.0,
+            correction: 1.0,
+            memory: 0.0,
+            memory_correction: 1.0,
+        }
     }
 }
 
@@ -309,7 +330,10 @@
 impl Report {
     /// Reads a report's values; absurd ones count as absent.
     pub fn read(at: Micros, fields: &[ReportField], values: &[f64]) -> Report {
-        let mut r = Report { at, ..Report::default() };
+        let mut r = Report {
+            at,
+            ..Report::default()
+        };
         for (field, &x) in fields.iter().zip(values) {
             if !(0.0..=1e6).contains(&x) {
                 continue;
@@ -421,12 +445,21 @@
 
     /// Whether a load of ours holds the table group there, or a query of ours waits for somebody's.
     pub(crate) fn holds_group(&self, e: &Engine, tables: u32) -> bool {
-        self.outs(e).any(|(q, t)| self.jobs[&q].query.tables == tables && (self.class(q).load || t.blocked))
+        self.outs(e)
+            .any(|(q, t)| self.jobs[&q].query.tables == tables && (self.class(q).load || t.blocked))
     }
 
     pub(crate) fn worth(&self, id: QueryId) -> f64 {
-        let by_work = if self.cfg.worth_by_work { self.work(id) / 1e6 } else { 1.0 };
-        let quota = if self.jobs[&id].over_quota { self.cfg.over_quota_worth } else { 1.0 };
+        let by_work = if self.cfg.worth_by_work {
+            self.work(id) / 1e6
+        } else {
+            1.0
+        };
+        let quota = if self.jobs[&id].over_quota {
+            self.cfg.over_quota_worth
+        } else {
+            1.0
+        };
         self.class(id).worth * by_work * quota
     }
 
@@ -438,12 +471,28 @@
     }
 
     pub(crate) fn slot(&self, id: QueryId) -> Slot {
-        let (work, threads, tables) = (self.work(id), self.class(id).threads, self.jobs[&id].query.tables);
-        Slot { id, work, threads, worth: self.worth(id), aim: self.aim(id), tables, planned: 0.0 }
+        let (work, threads, tables) = (
+            self.work(id),
+            self.class(id).threads,
+            self.jobs[&id].query.tables,
+        );
+        Slot {
+            id,
+            work,
+            threads,
+            worth: self.worth(id),
+            aim: self.aim(id),
+            tables,
+            planned: 0.0,
+        }
     }
 
     pub(crate) fn memory_of(&self, e: &Engine) -> f64 {
-        self.cfg.kinds.get(usize::from(e.kind)).and_then(|k| k.memory_mb).unwrap_or(f64::MAX)
+        self.cfg
+            .kinds
+            .get(usize::from(e.kind))
+            .and_then(|k| k.memory_mb)
+            .unwrap_or(f64::MAX)
     }
 
     /// Mean of a figure over the classes, by how often they were seen.
@@ -475,46 +524,86 @@
 
     /// Threads of the widest query.
     pub(crate) fn widest(&self) -> f64 {
-        self.cfg.classes.iter().map(|c| c.threads).fold(1.0, f64::max)
+        self.cfg
+            .classes
+            .iter()
+            .map(|c| c.threads)
+            .fold(1.0, f64::max)
     }
 
     /// Whether reports tell how busy an engine is.
     pub(crate) fn told(&self) -> bool {
-        self.cfg.report_fields.iter().any(|f| matches!(f, ReportField::Busy | ReportField::Active))
+        self.cfg
+            .report_fields
+            .iter()
+            .any(|f| matches!(f, ReportField::Busy | ReportField::Active))
     }
 
     /// Takes a list over; engines that are not ready now are returned. A new process of an engine
     /// starts with a clean record, but keeps what is queued and out.
-    pub(crate) fn record_list(&mut self, now: Micros, kind: ListKind, list: &[Listed]) -> Vec<EngineId> {
+    pub(crate) fn record_list(
+        &mut self,
+        now: Micros,
+        kind: ListKind,
+        list: &[Listed],
+    ) -> Vec<EngineId> {
         for l in list {
             if l.born.is_some() && l.phase == Phase::Ready {
                 // Somebody there started anew: the zone is no longer lost as a whole.
                 self.tally.lost.remove(&l.zone);
             }
-            let is_news = self.engines.get(&l.engine).is_none_or(|e| e.listed_born != l.born);
+            let is_news = self
+                .engines
+                .get(&l.engine)
+                .is_none_or(|e| e.listed_born != l.born);
             let born = l.born.map(|told| believed_start(now, kind, told, is_news));
-            let e = self.engines.entry(l.engine).or_insert_with(|| Engine { born, ..Engine::new(l, now) });
+            let e = self.engines.entry(l.engine).or_insert_with(|| Engine {
+                born,
+                ..Engine::new(l, now)
+            });
             (e.zone, e.kind, e.cell, e.phase) = (l.zone, l.kind, l.cell, l.phase);
             if e.listed_born != l.born {
                 let (queue, out) = (std::mem::take(&mut e.queue), std::mem::take(&mut e.out));
                 let (threads, granted) = (e.threads, e.granted);
-                *e = Engine { queue, out, threads, granted, born, ..Engine::new(l, now) };
+                *e = Engine {
+                    queue,
+                    out,
+                    threads,
+                    granted,
+                    born,
+                    ..Engine::new(l, now)
+                };
             }
         }
         let named: BTreeSet<EngineId> = list.iter().map(|l| l.engine).collect();
         if kind != ListKind::Changes {
-            for (_, e) in self.engines.iter_mut().filter(|(id, _)| !named.contains(id)) {
+            for (_, e) in self
+                .engines
+                .iter_mut()
+                .filter(|(id, _)| !named.contains(id))
+            {
                 e.phase = Phase::Gone;
             }
         }
-        self.engines.iter().filter(|(_, e)| e.phase != Phase::Ready).map(|(&id, _)| id).collect()
+        self.engines
+            .iter()
+            .filter(|(_, e)| e.phase != Phase::Ready)
+            .map(|(&id, _)| id)
+            .collect()
     }
 
     /// Drops an engine that is gone once nothing is out there.
     pub(crate) fn drop_if_gone(&mut self, id: EngineId) {
-        if self.engines.get(&id).is_some_and(|e| e.phase == Phase::Gone && e.out.is_empty()) {
+        if self
+            .engines
+            .get(&id)
+            .is_some_and(|e| e.phase == Phase::Gone && e.out.is_empty())
+        {
             self.engines.remove(&id);
-            self.tally.lost.values_mut().for_each(|lost| lost.retain(|&e| e != id));
+            self.tally
+                .lost
+                .values_mut()
+                .for_each(|lost| lost.retain(|&e| e != id));
         }
     }
 
@@ -522,7 +611,9 @@
     pub(crate) fn record_send(&mut self, now: Micros, id: QueryId, t: Try, cold: Option<f64>) {
         let window = self.cfg.cold.map_or(0, |c| c.window);
         let threads = self.cfg.classes[usize::from(self.jobs[&id].query.class)].threads;
-        let (Some(e), Some(job)) = (self.engines.get_mut(&t.engine), self.jobs.get_mut(&id)) else { return };
+        let (Some(e), Some(job)) = (self.engines.get_mut(&t.engine), self.jobs.get_mut(&id)) else {
+            return;
+        };
         e.out.insert((id, job.tries.len() as u8));
         if e.out.len() == 1 {
             e.heard = e.heard.max(now);
@@ -537,13 +628,20 @@
         self.tally.running += threads;
         e.last_group = Some(job.query.tables);
         job.place = Place::Out;
-        job.tries.push(Try { zone: e.zone, cell: e.cell, ..t });
+        job.tries.push(Try {
+            zone: e.zone,
+            cell: e.cell,
+            ..t
+        });
     }
 
     /// Records an attempt's outcome; its engine, unless the outcome is known already.
     pub(crate) fn record_end(&mut self, end: &Ended) -> Option<EngineId> {
         let job = self.jobs.get_mut(&end.query)?;
-        let t = job.tries.get_mut(usize::from(end.attempt)).filter(|t| t.outcome.is_none())?;
+        let t = job
+            .tries
+            .get_mut(usize::from(end.attempt))
+            .filter(|t| t.outcome.is_none())?;
         t.outcome = Some(end.outcome);
         self.retries.ended(end.query, end.attempt);
         let threads = self.cfg.classes[usize::from(job.query.class)].threads;
@@ -579,7 +677,9 @@
 
     /// Attempts out on an engine.
     pub(crate) fn outs<'a>(&'a self, e: &'a Engine) -> impl Iterator<Item = (QueryId, &'a Try)> {
-        e.out.iter().filter_map(|(q, n)| Some((*q, self.jobs.get(q)?.tries.get(usize::from(*n))?)))
+        e.out
+            .iter()
+            .filter_map(|(q, n)| Some((*q, self.jobs.get(q)?.tries.get(usize::from(*n))?)))
     }
 
     /// Records that a stream began; its other attempts are called off if `cancel`.
@@ -591,12 +691,18 @@
         cancel: bool,
     ) -> Vec<Action> {
         self.unqueue(id);
-        let Some(job) = self.jobs.get_mut(&id) else { return Vec::new() };
+        let Some(job) = self.jobs.get_mut(&id) else {
+            return Vec::new();
+        };
         job.streaming = true;
         if job.place != Place::Done {
             job.place = Place::Out;
         }
-        if let Some(e) = job.tries.get(usize::from(attempt)).and_then(|t| self.engines.get_mut(&t.engine)) {
+        if let Some(e) = job
+            .tries
+            .get(usize::from(attempt))
+            .and_then(|t| self.engines.get_mut(&t.engine))
+        {
             e.heard = now;
         }
         if cancel {
@@ -618,14 +724,21 @@
 
     /// Takes all off an engine's queue.
     pub(crate) fn hold_queue(&mut self, engine: EngineId) {
-        let queue = self.engines.get_mut(&engine).map(|e| std::mem::take(&mut e.queue));
+        let queue = self
+            .engines
+            .get_mut(&engine)
+            .map(|e| std::mem::take(&mut e.queue));
         for slot in queue.unwrap_or_default() {
             self.place(slot.id, Place::Held);
         }
     }
 
     pub(crate) fn held(&self) -> Vec<QueryId> {
-        self.jobs.iter().filter(|(_, j)| j.place == Place::Held).map(|(&id, _)| id).collect()
+        self.jobs
+            .iter()
+            .filter(|(_, j)| j.place == Place::Held)
+            .map(|(&id, _)| id)
+            .collect()
     }
 
     /// Records probes and what they cost.
@@ -642,7 +755,11 @@
     /// Queries that wait for no word any more, now that an engine's is in; or that arrived before a time.
     pub(crate) fn scouting(&mut self, word: Option<EngineId>, before: Micros) -> Vec<QueryId> {
         let mut over = Vec::new();
-        for (&id, job) in self.jobs.iter_mut().filter(|(_, j)| j.place == Place::Scouting) {
+        for (&id, job) in self
+            .jobs
+            .iter_mut()
+            .filter(|(_, j)| j.place == Place::Scouting)
+        {
             job.awaited.retain(|&e| Some(e) != word);
             if job.awaited.is_empty() || word.is_none() && job.arrived < before {
                 over.push(id);
@@ -664,7 +781,13 @@
     }
 
     /// Takes over what came with an outcome; `heard` if the engine itself told it.
-    pub(crate) fn take_report(&mut self, now: Micros, engine: EngineId, values: &[f64], heard: bool) {
+    pub(crate) fn take_report(
+        &mut self,
+        now: Micros,
+        engine: EngineId,
+        values: &[f64],
+        heard: bool,
+    ) {
         if heard {
             self.hears(now, engine);
         }
@@ -676,6 +799,7 @@
     /// The key whose order a query keeps, if any.
     pub(crate) fn ordered(&self, id: QueryId) -> Option<u64> {
         let q = &self.jobs.get(&id)?.query;
-        q.key.filter(|_| self.cfg.classes[usize::from(q.class)].in_order)
+        q.key
+            .filter(|_| self.cfg.classes[usize::from(q.class)].in_order)
     }
 }
--- a/crates/fernlink/tests/common/mod.rs
+++ b/crates/fernlink/tests/common/mod.rs
@@ -30,7 +30,13 @@
         number: 0,
         zone: 0,
         classes,
-        kinds: vec![Kind { cores: Some(2.0), memory_mb: None }; 2],
+        kinds: vec![
+            Kind {
+                cores: Some(2.0),
+                memory_mb: None
+            };
+            2
+        ],
         tenants: vec![],
         over_quota_worth: 1.0,
         worth_by_work: false,
@@ -65,7 +71,14 @@
 }
 
 pub fn listed(engine: u64) -> Listed {
-    Listed { engine: EngineId(engine), zone: 0, kind: 0, cell: 0, phase: Phase::Ready, born: None }
+    Listed {
+        engine: EngineId(engine),
+        zone: 0,
+        kind: 0,
+        cell: 0,
+        phase: Phase::Ready,
+        born: None,
+    }
 }
 
 impl Rig {
@@ -73,7 +86,11 @@
         Rig::seeded(settings, engines, 7)
     }
     pub fn seeded(settings: Settings, engines: &[Listed], seed: u64) -> Rig {
-        let mut rig = Rig { c: Controller::new(settings, seed), now: 100 * S, next: 1 };
+        let mut rig = Rig {
+            c: Controller::new(settings, seed),
+            now: 100 * S,
+            next: 1,
+        };
         rig.event(Event::Engines(ListKind::Cached, engines));
         rig
     }
@@ -131,5 +148,13 @@
 }
 
 pub fn sends(act: &[Action]) -> Vec<(u64, u64)> {
-    act.iter().filter_map(|a| if let Action::Send(q, e, _) = a { Some((q.0, e.0)) } else { None }).collect()
+    act.iter()
+        .filter_map(|a| {
+            if let Action::Send(q, e, _) = a {
+                Some((q.0, e.0))
+            } else {
+                None
+            }
+        })
+        .collect()
 }
--- a/crates/fernlink/tests/crowd.rs
+++ b/crates/fernlink/tests/crowd.rs
@@ -4,14 +4,32 @@
 use fernlink::interface::*;
 
 fn probes(act: &[Action]) -> Vec<u64> {
-    act.iter().filter_map(|a| if let Action::Probe(e) = a { Some(e.0) } else { None }).collect()
+    act.iter()
+        .filter_map(|a| {
+            if let Action::Probe(e) = a {
+                Some(e.0)
+            } else {
+                None
+            }
+        })
+        .collect()
 }
 
 /// One of a hundred gateways; classes: light, wide, and one between.
 fn sliver() -> Settings {
-    let mut s = settings(vec![class(S, 1.0, 1.0), class(4 * S, 10.0, 4.0), class(4 * S, 5.0, 2.0)]);
+    let mut s = settings(vec![
+        class(S, 1.0, 1.0),
+        class(4 * S, 10.0, 4.0),
+        class(4 * S, 5.0, 2.0),
+    ]);
     s.gateways = 100;
-    s.kinds = vec![Kind { cores: Some(8.0), memory_mb: Some(16384.0) }; 2];
+    s.kinds = vec![
+        Kind {
+            cores: Some(8.0),
+            memory_mb: Some(16384.0)
+        };
+        2
+    ];
     s.report_fields = vec![ReportField::Busy];
     s
 }
@@ -66,7 +84,9 @@
     let mut used = std::collections::BTreeMap::new();
     for _ in 0..200 {
         let (q, act) = rig.arrive(0, 100 * MS, 3);
-        sends(&act).iter().for_each(|s| *used.entry(s.1).or_default() += 1);
+        sends(&act)
+            .iter()
+            .for_each(|s| *used.entry(s.1).or_default() += 1);
         rig.end(q, 0, Outcome::Ok, 100 * MS);
     }
     used
@@ -76,20 +96,44 @@
 fn a_sliver_connects_to_few_of_many_engines_and_each_gateway_to_others() {
     let list: Vec<Listed> = (1..=60).map(listed).collect();
     let (one, other) = (used(7, &list), used(8, &list));
-    assert!((8..=12).contains(&one.len()) && (8..=12).contains(&other.len()), "{one:?} {other:?}");
-    assert!(one.keys().filter(|e| other.contains_key(e)).count() < 7, "{one:?} {other:?}");
+    assert!(
+        (8..=12).contains(&one.len()) && (8..=12).contains(&other.len()),
+        "{one:?} {other:?}"
+    );
+    assert!(
+        one.keys().filter(|e| other.contains_key(e)).count() < 7,
+        "{one:?} {other:?}"
+    );
     // One that leaves is replaced by one other; all else stays as it was.
     let left = *one.keys().next().unwrap();
-    let rest: Vec<Listed> = list.iter().filter(|l| l.engine.0 != left).copied().collect();
+    let rest: Vec<Listed> = list
+        .iter()
+        .filter(|l| l.engine.0 != left)
+        .copied()
+        .collect();
     let after = used(7, &rest);
-    assert_eq!(after.keys().filter(|e| !one.contains_key(e)).count(), 1, "{one:?} {after:?}");
+    assert_eq!(
+        after.keys().filter(|e| !one.contains_key(e)).count(),
+        1,
+        "{one:?} {after:?}"
+    );
 }
 
 #[test]
 fn two_lost_engines_of_a_zone_with_no_word_from_it_tell_of_the_whole_zone() {
-    let list: Vec<Listed> = (1..=20).map(|e| Listed { zone: (e % 2) as u16, ..listed(e) }).collect();
+    let list: Vec<Listed> = (1..=20)
+        .map(|e| Listed {
+            zone: (e % 2) as u16,
+            ..listed(e)
+        })
+        .collect();
     // Queries pay for no probes.
-    let s = Settings { may_probe: true, probe_price: 1e9, report_on_probe: true, ..sliver() };
+    let s = Settings {
+        may_probe: true,
+        probe_price: 1e9,
+        report_on_probe: true,
+        ..sliver()
+    };
     let mut rig = Rig::new(s, &list);
     let mut lost = std::collections::BTreeSet::new();
     let mut ask = |rig: &mut Rig, down: bool| {
@@ -107,7 +151,10 @@
     assert!(all.iter().all(|e| e % 2 == 0));
     // It is asked once a second whether it is back; anything heard from there ends the belief.
     let asked = probes(&rig.tick(4 * S));
-    assert!((3..=5).contains(&asked.len()) && asked.iter().all(|e| e % 2 == 1), "{asked:?}");
+    assert!(
+        (3..=5).contains(&asked.len()) && asked.iter().all(|e| e % 2 == 1),
+        "{asked:?}"
+    );
     rig.event(Event::Probed(EngineId(asked[0]), Outcome::Ok, &[0.1]));
     assert!((0..60).any(|_| ask(&mut rig, false) % 2 == 1));
     assert_eq!(lost.len(), 2, "{lost:?}");
@@ -116,8 +163,17 @@
 #[test]
 fn an_engine_in_doubt_is_probed_at_once_and_left_alone_until_it_answers() {
     let list: Vec<Listed> = (1..=2).map(listed).collect();
-    let mut rig = Rig::new(Settings { may_probe: true, ..sliver() }, &list);
-    assert_eq!(probes(&rig.event(Event::Probed(EngineId(1), Outcome::Reset, &[]))), [1]);
+    let mut rig = Rig::new(
+        Settings {
+            may_probe: true,
+            ..sliver()
+        },
+        &list,
+    );
+    assert_eq!(
+        probes(&rig.event(Event::Probed(EngineId(1), Outcome::Reset, &[]))),
+        [1]
+    );
     let ask = |rig: &mut Rig| {
         let (q, act) = rig.arrive(0, 100 * MS, 3);
         rig.end(q, 0, Outcome::Ok, 100 * MS);
@@ -136,7 +192,10 @@
         let (mut bad, mut all) = (0, 0);
         for _ in 0..600 {
             // Nobody tells its work.
-            let query = Query { work: None, ..rig.query(0, 0, 3) };
+            let query = Query {
+                work: None,
+                ..rig.query(0, 0, 3)
+            };
             let (q, act) = (query.id, rig.event(Event::Arrived(query)));
             let mut to = sends(&act)[0].1;
             let mut attempt = 0;
@@ -146,7 +205,12 @@
                 attempt += 1;
             }
             // Three times as slow: within the aim by its mean.
-            rig.end(q, attempt, Outcome::Ok, if !errs && to == 1 { 300 * MS } else { 100 * MS });
+            rig.end(
+                q,
+                attempt,
+                Outcome::Ok,
+                if !errs && to == 1 { 300 * MS } else { 100 * MS },
+            );
             rig.now += 50 * MS;
         }
         assert!(bad * 20 < all, "{bad} of {all} went there, errs: {errs}");
@@ -156,18 +220,36 @@
 #[test]
 fn a_fleet_uses_cold_engines_well_and_keeps_their_budget() {
     let mut s = sliver();
-    s.cold = Some(ColdStart { from: 0.35, warm_after: 15 * S, multiple: 4.0, window: 3 * S / 2 });
+    s.cold = Some(ColdStart {
+        from: 0.35,
+        warm_after: 15 * S,
+        multiple: 4.0,
+        window: 3 * S / 2,
+    });
     let old: Vec<Listed> = (1..=10).map(listed).collect();
-    let young: Vec<Listed> = (11..=20).map(|e| Listed { born: Some(100 * S - e), ..listed(e) }).collect();
+    let young: Vec<Listed> = (11..=20)
+        .map(|e| Listed {
+            born: Some(100 * S - e),
+            ..listed(e)
+        })
+        .collect();
     let (mut light, mut light_there) = (0, 0);
     let mut budget = std::collections::BTreeMap::<u64, f64>::new();
     // So many of the hundred ask for a third more than the fleet can do.
     for seed in 0..50 {
-        let mut rig = Rig::seeded(s.clone(), &[old.clone(), young.clone()].concat(), 1000 + seed);
+        let mut rig = Rig::seeded(
+            s.clone(),
+            &[old.clone(), young.clone()].concat(),
+            1000 + seed,
+        );
         rig.tick(50 * MS);
         for n in 0..60 {
             // What the classes usually need is known; then one window of eight small ones and a large one.
-            let (class, work) = if n % 9 == 8 { (2, 3 * S) } else { (0, 100 * MS) };
+            let (class, work) = if n % 9 == 8 {
+                (2, 3 * S)
+            } else {
+                (0, 100 * MS)
+            };
             let (q, act) = rig.arrive(class, work, n);
             for (_, to) in sends(&act).into_iter().filter(|_| n >= 51) {
                 light += usize::from(class == 0);
@@ -187,16 +269,27 @@
     // Half of the light ones and more, though cold engines have a quarter of the capacity.
     assert!(light_there * 2 > light, "{light_there} of {light}");
     let most = 4.0 * 8.0 * 0.85 * 0.35 * 1.5 * S as f64;
-    assert!(budget.iter().all(|(&e, &work)| e <= 10 || work < most), "{budget:?} over {most}");
+    assert!(
+        budget.iter().all(|(&e, &work)| e <= 10 || work < most),
+        "{budget:?} over {most}"
+    );
 }
 
 #[test]
 fn engines_unheard_of_draw_queries_by_their_cores() {
-    let list: Vec<Listed> = (1..=60).map(|e| Listed { kind: (e % 2) as u16, ..listed(e) }).collect();
+    let list: Vec<Listed> = (1..=60)
+        .map(|e| Listed {
+            kind: (e % 2) as u16,
+            ..listed(e)
+        })
+        .collect();
     let all: Vec<_> = (0..40).flat_map(|seed| used(seed, &list)).collect();
     let large: usize = all.iter().filter(|u| u.0 % 2 == 1).map(|u| u.1).sum();
     let part = large as f64 / all.iter().map(|u| u.1).sum::<usize>() as f64;
-    assert!((0.6..0.73).contains(&part), "two thirds of all cores took {part}");
+    assert!(
+        (0.6..0.73).contains(&part),
+        "two thirds of all cores took {part}"
+    );
 }
 
 #[test]
@@ -204,11 +297,21 @@
     // Pressure by a busy report, and by one of more queries than the bound has threads for.
     for (field, value) in [(ReportField::Busy, 1.0), (ReportField::Active, 40.0)] {
         let list: Vec<Listed> = (1..=4).map(listed).collect();
-        let mut rig = Rig::new(Settings { report_fields: vec![field], ..sliver() }, &list);
+        let mut rig = Rig::new(
+            Settings {
+                report_fields: vec![field],
+                ..sliver()
+            },
+            &list,
+        );
         (1..=4).for_each(|e| rig.report(e, &[value]));
         rig.tick(50 * MS);
         let (_, first) = rig.arrive(2, 2 * S, 1);
-        assert_eq!(sends(&first).len(), 1, "an idle gateway may always start one");
+        assert_eq!(
+            sends(&first).len(),
+            1,
+            "an idle gateway may always start one"
+        );
         let (_, wide) = rig.arrive(1, 8 * S, 2);
         assert!(sends(&wide).is_empty(), "{field:?}");
         let (_, light) = rig.arrive(0, 100 * MS, 3);
@@ -219,10 +322,22 @@
 #[test]
 fn room_in_the_fleet_goes_to_what_is_in_time_before_what_is_late() {
     let mut s = sliver();
-    s.classes = vec![class(4 * S, 10.0, 4.0), class(S, 1.0, 2.0), class(50 * S, 1.0, 2.0)];
+    s.classes = vec![
+        class(4 * S, 10.0, 4.0),
+        class(S, 1.0, 2.0),
+        class(50 * S, 1.0, 2.0),
+    ];
     (s.classes[1].kinds, s.classes[1].late_worth) = (Some(vec![0]), 0.5);
     s.classes[2].kinds = Some(vec![1]);
-    let list = [listed(1), Listed { kind: 1, ..listed(2) }, listed(3), listed(4)];
+    let list = [
+        listed(1),
+        Listed {
+            kind: 1,
+            ..listed(2)
+        },
+        listed(3),
+        listed(4),
+    ];
     let mut rig = Rig::new(s, &list);
     (1..=4).for_each(|e| rig.report(e, &[1.0]));
     rig.tick(50 * MS);
@@ -230,7 +345,10 @@
     assert_eq!(sends(&act).len(), 1);
     let (_, late) = rig.arrive(1, 30 * S, 2);
     let (timely, act) = rig.arrive(2, 30 * S, 3);
-    assert!(sends(&late).is_empty() && sends(&act).is_empty(), "no room for either");
+    assert!(
+        sends(&late).is_empty() && sends(&act).is_empty(),
+        "no room for either"
+    );
     let act = rig.end(out, 0, Outcome::Ok, S);
     assert_eq!(sends(&act).first(), Some(&(timely.0, 2)));
 }
@@ -238,7 +356,11 @@
 #[test]
 fn a_heavy_query_asks_first_where_answers_bring_no_reports() {
     let list: Vec<Listed> = (1..=4).map(listed).collect();
-    let mut s = Settings { report_on_probe: true, may_probe: true, ..sliver() };
+    let mut s = Settings {
+        report_on_probe: true,
+        may_probe: true,
+        ..sliver()
+    };
     s.classes[1].aim = 20 * S;
     for answered in [true, false] {
         let mut rig = Rig::new(s.clone(), &list);
@@ -274,7 +396,8 @@
     assert_eq!(sends(&act).len(), 1);
     let act = rig.tick(8 * S);
     assert!(
-        !act.iter().any(|a| matches!(a, Action::Refuse(id, _) | Action::Fail(id) if *id == q)),
+        !act.iter()
+            .any(|a| matches!(a, Action::Refuse(id, _) | Action::Fail(id) if *id == q)),
         "{act:?}"
     );
 }
@@ -301,8 +424,11 @@
     s.report_fields = vec![ReportField::Waiting];
     let mut rig = Rig::new(s, &[listed(1)]);
     rig.report(1, &[1.0]);
-    let mut started =
-        |class, work| -> usize { (0..8).map(|_| sends(&rig.arrive(class, work, 1).1).len()).sum() };
+    let mut started = |class, work| -> usize {
+        (0..8)
+            .map(|_| sends(&rig.arrive(class, work, 1).1).len())
+            .sum()
+    };
     assert_eq!((started(1, 8 * S), started(0, 50 * MS)), (3, 2));
 }
 
@@ -324,5 +450,10 @@
         started
     };
     // With the others' queries in its reports it keeps to its part; alone it takes theirs.
-    assert!(started(3.0) <= 7 && started(0.0) >= 9, "{} and {}", started(3.0), started(0.0));
+    assert!(
+        started(3.0) <= 7 && started(0.0) >= 9,
+        "{} and {}",
+        started(3.0),
+        started(0.0)
+    );
 }
--- a/crates/fernlink/tests/fleet.rs
+++ b/crates/fernlink/tests/fleet.rs
@@ -18,13 +18,29 @@
 impl Fleet {
     fn new(gateways: u32, cfg: Settings, engines: &[Listed]) -> Fleet {
         let one = |number| {
-            let settings = Settings { gateways, number, ..cfg.clone() };
+            let settings = Settings {
+                gateways,
+                number,
+                ..cfg.clone()
+            };
             let mut c = Controller::new(settings, u64::from(number) * 77 + 1);
-            c.handle(100 * S, Event::Engines(ListKind::Cached, engines), &mut Vec::new());
+            c.handle(
+                100 * S,
+                Event::Engines(ListKind::Cached, engines),
+                &mut Vec::new(),
+            );
             c
         };
         let all = (0..gateways).map(one).collect();
-        Fleet { all, now: 100 * S, next: 1, out: vec![], probes: 0, tells: 0, sent: vec![] }
+        Fleet {
+            all,
+            now: 100 * S,
+            next: 1,
+            out: vec![],
+            probes: 0,
+            tells: 0,
+            sent: vec![],
+        }
     }
     fn give(&mut self, gateway: usize, event: Event) {
         let mut act = Vec::new();
@@ -74,15 +90,26 @@
         let (gateway, query, _, class) = self.out.remove(n);
         let work = Some(if class == 1 { 2e6 } else { 2e5 });
         let (outcome, spent) = (Outcome::Ok, if class == 1 { 500 * MS } else { 200 * MS });
-        let end =
-            Ended { query, attempt: 0, outcome, last: true, spent, work, memory_mb: None, report: &[0.5] };
+        let end = Ended {
+            query,
+            attempt: 0,
+            outcome,
+            last: true,
+            spent,
+            work,
+            memory_mb: None,
+            report: &[0.5],
+        };
         self.give(gateway, Event::Ended(end));
     }
 }
 
 fn fleet_settings() -> Settings {
     let mut s = settings(vec![class(S, 1.0, 1.0), class(3 * S, 10.0, 4.0)]);
-    s.kinds = vec![Kind { cores: Some(8.0), memory_mb: None }];
+    s.kinds = vec![Kind {
+        cores: Some(8.0),
+        memory_mb: None,
+    }];
     s.report_fields = vec![ReportField::Busy];
     (s.may_message, s.may_probe) = (true, true);
     s
@@ -101,15 +128,28 @@
                 f.finish(0);
             }
         }
-        assert!(f.tells > 0 && f.tells <= 500, "{} messages for 1000 queries", f.tells);
-        assert!(f.probes > 0 && f.probes <= 100, "{} probes for 1000 queries", f.probes);
+        assert!(
+            f.tells > 0 && f.tells <= 500,
+            "{} messages for 1000 queries",
+            f.tells
+        );
+        assert!(
+            f.probes > 0 && f.probes <= 100,
+            "{} probes for 1000 queries",
+            f.probes
+        );
     }
 }
 
 #[test]
 fn a_cold_engine_is_used_by_all_together_but_within_the_rule() {
     let mut cfg = fleet_settings();
-    cfg.cold = Some(ColdStart { from: 0.3, warm_after: 12 * S, multiple: 2.5, window: 2 * S });
+    cfg.cold = Some(ColdStart {
+        from: 0.3,
+        warm_after: 12 * S,
+        multiple: 2.5,
+        window: 2 * S,
+    });
     let mut list: Vec<Listed> = (1..=20).map(listed).collect();
     let mut f = Fleet::new(100, cfg, &list);
     // Whom chance names differs by draw: six seconds see enough of them.
@@ -137,10 +177,18 @@
         .filter(|s| s.0 > born && s.1 == 5)
         .map(|s| (s.0, if s.2 == 1 { 2e6 } else { 2e5 }))
         .collect();
-    assert!(cold.len() >= 5, "a cold engine got {} queries in 6 s", cold.len());
+    assert!(
+        cold.len() >= 5,
+        "a cold engine got {} queries in 6 s",
+        cold.len()
+    );
     let budget = 2.5 * 0.3 * 8.0 * 0.85 * 2e6;
     for (start, _) in &cold {
-        let work: f64 = cold.iter().filter(|c| (*start..*start + 2 * S).contains(&c.0)).map(|c| c.1).sum();
+        let work: f64 = cold
+            .iter()
+            .filter(|c| (*start..*start + 2 * S).contains(&c.0))
+            .map(|c| c.1)
+            .sum();
         assert!(work <= budget, "{work} of {budget}");
     }
 }
--- a/crates/fernlink/tests/mechanism.rs
+++ b/crates/fernlink/tests/mechanism.rs
@@ -25,7 +25,11 @@
     }
     while let Some((q, _)) = sends(&act).first().copied() {
         order.extend(sends(&act).iter().map(|s| s.0));
-        act = order.clone().iter().flat_map(|&q| rig.end(QueryId(q), 0, Outcome::Ok, S)).collect();
+        act = order
+            .clone()
+            .iter()
+            .flat_map(|&q| rig.end(QueryId(q), 0, Outcome::Ok, S))
+            .collect();
         assert!(q > 3);
     }
     order
@@ -38,7 +42,10 @@
     let mut rig = full_engine(vec![class(30 * S, 1.0, 4.0), class(2 * S, 1.0, 4.0)]);
     let (patient, a) = rig.arrive(0, 16 * S, 1);
     let (urgent, b) = rig.arrive(1, 2 * S, 2);
-    assert!(sends(&a).is_empty() && sends(&b).is_empty(), "the bound holds both back");
+    assert!(
+        sends(&a).is_empty() && sends(&b).is_empty(),
+        "the bound holds both back"
+    );
     assert_eq!(starts(&mut rig), [urgent.0, patient.0]);
 }
 
@@ -60,7 +67,16 @@
     // Engine 1 is full for seconds, engine 2 is free: only there the aim can be met.
     let mut s = settings(vec![class(60 * S, 1.0, 4.0), class(S, 1.0, 4.0)]);
     s.classes[0].zones = Some(vec![1]);
-    let mut rig = Rig::new(s, &[Listed { zone: 1, ..listed(1) }, listed(2)]);
+    let mut rig = Rig::new(
+        s,
+        &[
+            Listed {
+                zone: 1,
+                ..listed(1)
+            },
+            listed(2),
+        ],
+    );
     rig.report(1, &[9.0]);
     for _ in 0..4 {
         rig.arrive(0, 20 * S, 1);
@@ -71,7 +87,10 @@
 
 #[test]
 fn reports_of_waiting_work_turn_queries_away_and_shared_tables_do_not_pass_the_drain_guard() {
-    let mut rig = Rig::new(settings(vec![class(60 * S, 1.0, 1.0)]), &[listed(1), listed(2)]);
+    let mut rig = Rig::new(
+        settings(vec![class(60 * S, 1.0, 1.0)]),
+        &[listed(1), listed(2)],
+    );
     let (_, act) = rig.arrive(0, 200 * MS, 5);
     let first = sends(&act)[0].1;
     let other = 3 - first;
@@ -105,10 +124,17 @@
 
 #[test]
 fn an_overrun_without_notes_is_cut_and_tried_again() {
-    let mut rig = Rig::new(settings(vec![class(20 * S, 1.0, 1.0)]), &[listed(1), listed(2)]);
+    let mut rig = Rig::new(
+        settings(vec![class(20 * S, 1.0, 1.0)]),
+        &[listed(1), listed(2)],
+    );
     let (q, _) = rig.arrive(0, S, 1);
     let act = rig.tick(5 * S);
-    assert_eq!(act.iter().filter(|a| **a == Action::Cancel(q, 0)).count(), 1, "{act:?}");
+    assert_eq!(
+        act.iter().filter(|a| **a == Action::Cancel(q, 0)).count(),
+        1,
+        "{act:?}"
+    );
     let act = rig.end(q, 0, Outcome::Cancelled, 4 * S);
     assert_eq!(sends(&act).len(), 1);
 }
--- a/crates/fernlink/tests/rules.rs
+++ b/crates/fernlink/tests/rules.rs
@@ -5,7 +5,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 fn refused(act: &[Action], q: QueryId) -> bool {
-    act.iter().any(|a| matches!(a, Action::Refuse(x, _) if *x == q))
+    act.iter()
+        .any(|a| matches!(a, Action::Refuse(x, _) if *x == q))
 }
 
 fn failed(act: &[Action], q: QueryId) -> bool {
@@ -15,10 +16,16 @@
 #[test]
 fn a_budget_of_almost_nothing_is_answered_at_once() {
     let mut rig = Rig::new(settings(vec![class(S, 1.0, 1.0)]), &[listed(1)]);
-    let q = Query { budget: 2 * MS, ..rig.query(0, S, 1) };
+    let q = Query {
+        budget: 2 * MS,
+        ..rig.query(0, S, 1)
+    };
     let act = rig.event(Event::Arrived(q));
     assert!(refused(&act, q.id));
-    assert!(rig.end(q.id, 0, Outcome::Ok, S).is_empty(), "nothing more for it");
+    assert!(
+        rig.end(q.id, 0, Outcome::Ok, S).is_empty(),
+        "nothing more for it"
+    );
 }
 
 #[test]
@@ -27,25 +34,49 @@
     let (q, act) = rig.arrive(0, 100 * MS, 1);
     assert!(act.is_empty());
     let act = rig.tick(2 * S);
-    assert!(act.iter().any(|a| matches!(a, Action::Refuse(x, after) if *x == q && *after > 0)), "{act:?}");
+    assert!(
+        act.iter()
+            .any(|a| matches!(a, Action::Refuse(x, after) if *x == q && *after > 0)),
+        "{act:?}"
+    );
 }
 
 #[test]
 fn a_pinned_query_goes_to_its_engine_alone_and_is_given_up_when_that_drains() {
-    let only = |engine| Some(Pin { engine: EngineId(engine), only: true });
+    let only = |engine| {
+        Some(Pin {
+            engine: EngineId(engine),
+            only: true,
+        })
+    };
     for n in 0..30 {
-        let mut rig = Rig::new(settings(vec![class(9 * S, 1.0, 1.0)]), &[listed(1), listed(2), listed(3)]);
+        let mut rig = Rig::new(
+            settings(vec![class(9 * S, 1.0, 1.0)]),
+            &[listed(1), listed(2), listed(3)],
+        );
         let pin = only(1 + n % 3);
-        let q = Query { pin, ..rig.query(0, 10 * MS, 1) };
+        let q = Query {
+            pin,
+            ..rig.query(0, 10 * MS, 1)
+        };
         assert_eq!(sends(&rig.event(Event::Arrived(q))), [(q.id.0, 1 + n % 3)]);
         // Another attempt goes there too, though the engine failed it.
         let again = sends(&rig.end(q.id, 0, Outcome::Unreachable, MS));
         assert!(again.iter().all(|s| s.1 == 1 + n % 3), "{again:?}");
     }
-    let mut rig = Rig::new(settings(vec![class(9 * S, 1.0, 1.0)]), &[listed(1), listed(2)]);
-    let drained = Listed { phase: Phase::Draining, ..listed(1) };
+    let mut rig = Rig::new(
+        settings(vec![class(9 * S, 1.0, 1.0)]),
+        &[listed(1), listed(2)],
+    );
+    let drained = Listed {
+        phase: Phase::Draining,
+        ..listed(1)
+    };
     rig.event(Event::Engines(ListKind::Changes, &[drained]));
-    let q = Query { pin: only(1), ..rig.query(0, 10 * MS, 1) };
+    let q = Query {
+        pin: only(1),
+        ..rig.query(0, 10 * MS, 1)
+    };
     let mut act = rig.event(Event::Arrived(q));
     act.extend(rig.event(Event::Engines(ListKind::Changes, &[drained])));
     assert!(sends(&act).is_empty() && refused(&act, q.id), "{act:?}");
@@ -53,17 +84,40 @@
 
 #[test]
 fn a_home_is_taken_first_and_left_once_it_fails_or_drains() {
-    let home = Some(Pin { engine: EngineId(2), only: false });
-    let mut rig = Rig::new(settings(vec![class(9 * S, 1.0, 1.0)]), &[listed(1), listed(2), listed(3)]);
+    let home = Some(Pin {
+        engine: EngineId(2),
+        only: false,
+    });
+    let mut rig = Rig::new(
+        settings(vec![class(9 * S, 1.0, 1.0)]),
+        &[listed(1), listed(2), listed(3)],
+    );
     for _ in 0..10 {
-        let q = Query { pin: home, ..rig.query(0, 10 * MS, 1) };
+        let q = Query {
+            pin: home,
+            ..rig.query(0, 10 * MS, 1)
+        };
         assert_eq!(sends(&rig.event(Event::Arrived(q))), [(q.id.0, 2)]);
     }
-    let q = Query { pin: home, ..rig.query(0, 10 * MS, 1) };
+    let q = Query {
+        pin: home,
+        ..rig.query(0, 10 * MS, 1)
+    };
     rig.event(Event::Arrived(q));
-    assert!(sends(&rig.end(q.id, 0, Outcome::Unreachable, MS)).iter().all(|s| s.1 != 2));
-    rig.event(Event::Engines(ListKind::Changes, &[Listed { phase: Phase::Draining, ..listed(2) }]));
-    let q = Query { pin: home, ..rig.query(0, 10 * MS, 1) };
+    assert!(sends(&rig.end(q.id, 0, Outcome::Unreachable, MS))
+        .iter()
+        .all(|s| s.1 != 2));
+    rig.event(Event::Engines(
+        ListKind::Changes,
+        &[Listed {
+            phase: Phase::Draining,
+            ..listed(2)
+        }],
+    ));
+    let q = Query {
+        pin: home,
+        ..rig.query(0, 10 * MS, 1)
+    };
     let sent = sends(&rig.event(Event::Arrived(q)));
     assert!(sent.len() == 1 && sent[0].1 != 2);
 }
@@ -72,7 +126,11 @@
 fn an_unsafe_query_that_may_have_run_is_neither_sent_again_nor_refused() {
     let mut s = settings(vec![class(9 * S, 1.0, 1.0)]);
     s.classes[0].effect = Effect::Unsafe;
-    for (outcome, again) in [(Outcome::Reset, false), (Outcome::Error, false), (Outcome::Unreachable, true)] {
+    for (outcome, again) in [
+        (Outcome::Reset, false),
+        (Outcome::Error, false),
+        (Outcome::Unreachable, true),
+    ] {
         let mut rig = Rig::new(s.clone(), &[listed(1), listed(2)]);
         let (q, _) = rig.arrive(0, S, 1);
         let act = rig.end(q, 0, outcome, 10 * MS);
@@ -83,7 +141,10 @@
 
 #[test]
 fn a_query_that_errs_everywhere_is_sent_twice_and_no_engine_is_blamed() {
-    let mut rig = Rig::new(settings(vec![class(9 * S, 1.0, 1.0)]), &[listed(1), listed(2)]);
+    let mut rig = Rig::new(
+        settings(vec![class(9 * S, 1.0, 1.0)]),
+        &[listed(1), listed(2)],
+    );
     for _ in 0..6 {
         let (q, act) = rig.arrive(0, S, 1);
         let first = sends(&act)[0].1;
@@ -108,12 +169,19 @@
 #[test]
 fn a_tenant_without_a_share_is_turned_away_first_and_takes_nothing_of_the_others() {
     let tenants = vec![Tenant { quota_per_s: 100.0 }];
-    let with = Settings { tenants, over_quota_worth: 0.05, ..settings(vec![class(9 * S, 1.0, 1.0)]) };
+    let with = Settings {
+        tenants,
+        over_quota_worth: 0.05,
+        ..settings(vec![class(9 * S, 1.0, 1.0)])
+    };
     let mut rig = Rig::new(with, &[listed(1)]);
     // A queue for memory: every engine is under pressure.
     rig.report(1, &[5.0]);
     for _ in 0..20 {
-        let q = Query { tenant: u32::MAX, ..rig.query(0, 10 * MS, 1) };
+        let q = Query {
+            tenant: u32::MAX,
+            ..rig.query(0, 10 * MS, 1)
+        };
         assert!(refused(&rig.event(Event::Arrived(q)), q.id));
     }
     let (q, act) = rig.arrive(0, 10 * MS, 1);
@@ -121,28 +189,49 @@
     // Where no tenant is named nobody's traffic is beyond anything.
     let mut rig = Rig::new(settings(vec![class(9 * S, 1.0, 1.0)]), &[listed(1)]);
     rig.report(1, &[5.0]);
-    let q = Query { tenant: u32::MAX, ..rig.query(0, 10 * MS, 1) };
+    let q = Query {
+        tenant: u32::MAX,
+        ..rig.query(0, 10 * MS, 1)
+    };
     assert!(!refused(&rig.event(Event::Arrived(q)), q.id));
 }
 
 #[test]
 fn a_keyed_query_goes_again_only_while_engines_know_its_word() {
-    let keyed = || Class { effect: Effect::Keyed, repeat_window: 5 * S, ..class(9 * S, 1.0, 1.0) };
+    let keyed = || Class {
+        effect: Effect::Keyed,
+        repeat_window: 5 * S,
+        ..class(9 * S, 1.0, 1.0)
+    };
     // Its word, an earlier query under it, and whether it goes again after a lost connection.
-    for (token, known_until, again) in
-        [(true, None, true), (false, None, false), (true, Some(100 * S + MS), false)]
-    {
+    for (token, known_until, again) in [
+        (true, None, true),
+        (false, None, false),
+        (true, Some(100 * S + MS), false),
+    ] {
         let mut rig = Rig::new(settings(vec![keyed()]), &[listed(1), listed(2)]);
-        let q = Query { token, known_until: None, ..rig.query(0, S, 1) };
+        let q = Query {
+            token,
+            known_until: None,
+            ..rig.query(0, S, 1)
+        };
         assert_eq!(sends(&rig.event(Event::Arrived(q))).len(), 1);
-        rig.c.handle(rig.now, Event::Noted(q.id, 0, Note::Progress(0.1)), &mut Vec::new());
+        rig.c.handle(
+            rig.now,
+            Event::Noted(q.id, 0, Note::Progress(0.1)),
+            &mut Vec::new(),
+        );
         let act = rig.end(q.id, 0, Outcome::Reset, MS);
         if known_until.is_none() {
             assert_eq!(sends(&act).len(), usize::from(again), "{token}");
             assert_eq!(act.contains(&Action::Fail(q.id)), !again);
         }
         // One whose word is no longer known is not sent at all, and answered at once.
-        let late = Query { token, known_until, ..rig.query(0, S, 2) };
+        let late = Query {
+            token,
+            known_until,
+            ..rig.query(0, S, 2)
+        };
         if known_until.is_some() {
             assert!(sends(&rig.event(Event::Arrived(late))).is_empty());
             assert!(refused(&rig.tick(50 * MS), late.id));
@@ -181,7 +270,12 @@
 fn a_broken_connection_rests_its_engine_until_a_probe_answers() {
     let mut s = settings(vec![class(9 * S, 1.0, 1.0)]);
     (s.may_probe, s.gateways) = (true, 2);
-    s.cold = Some(ColdStart { from: 0.3, warm_after: 10 * S, multiple: 0.1, window: 2 * S });
+    s.cold = Some(ColdStart {
+        from: 0.3,
+        warm_after: 10 * S,
+        multiple: 0.1,
+        window: 2 * S,
+    });
     let mut rig = Rig::new(s, &[listed(1)]);
     let all: Vec<QueryId> = (0..4).map(|_| rig.arrive(0, 100 * MS, 1).0).collect();
     // All on the connection end at once: one failure, and one probe.
@@ -198,10 +292,18 @@
             report: &[],
         })));
     }
-    assert_eq!(act.iter().filter(|a| **a == Action::Probe(EngineId(1))).count(), 1, "{act:?}");
+    assert_eq!(
+        act.iter()
+            .filter(|a| **a == Action::Probe(EngineId(1)))
+            .count(),
+        1,
+        "{act:?}"
+    );
     rig.report(1, &[0.0]);
     // It answers, so it was never gone: not on trial, and not cold, where hardly anything would fit.
-    let started: usize = (0..4).map(|_| sends(&rig.arrive(0, 100 * MS, 1).1).len()).sum();
+    let started: usize = (0..4)
+        .map(|_| sends(&rig.arrive(0, 100 * MS, 1).1).len())
+        .sum();
     assert_eq!(started, 4);
 }
 
@@ -210,7 +312,14 @@
     let mut s = settings(vec![class(40 * S, 1.0, 1.0)]);
     s.classes[0].effect = Effect::Keyed;
     s.classes[0].repeat_group = RepeatGroup::Cell;
-    let list = [listed(1), Listed { cell: 1, ..listed(2) }, listed(3)];
+    let list = [
+        listed(1),
+        Listed {
+            cell: 1,
+            ..listed(2)
+        },
+        listed(3),
+    ];
     for seed in 0..6u64 {
         let mut rig = Rig::new(s.clone(), &list);
         rig.c = fernlink::Controller::new(s.clone(), seed);
@@ -218,7 +327,10 @@
         let (q, act) = rig.arrive(0, S, 1);
         let first = sends(&act)[0].1;
         let again = sends(&rig.end(q, 0, Outcome::Reset, S));
-        assert!(again.iter().all(|s| (s.1 == 2) == (first == 2)), "{first} then {again:?}");
+        assert!(
+            again.iter().all(|s| (s.1 == 2) == (first == 2)),
+            "{first} then {again:?}"
+        );
         // Past the window nothing may be sent, nor refused.
         rig.now += 6 * S;
         let n = again.len() as u8;
@@ -236,23 +348,43 @@
     }
     let act = rig.event(Event::Engines(
         ListKind::Changes,
-        &[Listed { phase: Phase::Draining, ..listed(1) }, listed(2)],
+        &[
+            Listed {
+                phase: Phase::Draining,
+                ..listed(1)
+            },
+            listed(2),
+        ],
     ));
-    assert!(!sends(&act).is_empty() && sends(&act).iter().all(|s| s.1 == 2), "{act:?}");
+    assert!(
+        !sends(&act).is_empty() && sends(&act).iter().all(|s| s.1 == 2),
+        "{act:?}"
+    );
 }
 
 #[test]
 fn a_cold_engine_gets_no_more_than_its_part() {
     let mut s = settings(vec![class(60 * S, 1.0, 1.0)]);
     s.gateways = 2;
-    s.cold = Some(ColdStart { from: 0.5, warm_after: 10 * S, multiple: 2.0, window: 2 * S });
+    s.cold = Some(ColdStart {
+        from: 0.5,
+        warm_after: 10 * S,
+        multiple: 2.0,
+        window: 2 * S,
+    });
     let mut rig = Rig::new(s, &[listed(1)]);
     for n in 1..=6 {
         rig.arrive(0, 100 * MS, 1);
         rig.end(QueryId(n), 0, Outcome::Ok, 100 * MS);
     }
     let now = rig.now;
-    rig.event(Event::Engines(ListKind::Changes, &[Listed { born: Some(now), ..listed(1) }]));
+    rig.event(Event::Engines(
+        ListKind::Changes,
+        &[Listed {
+            born: Some(now),
+            ..listed(1)
+        }],
+    ));
     // Half of two cores at 85%, twice that, over 2 s, by 2 gateways: 1.7 s of work; queries of 0.1 s.
     let mut sent = 0;
     for _ in 0..60 {
@@ -275,7 +407,10 @@
     s.settle = S;
     let mut rig = Rig::new(s, &[listed(1), listed(2)]);
     let keyed = |rig: &mut Rig| {
-        let q = Query { key: Some(4), ..rig.query(0, S, 1) };
+        let q = Query {
+            key: Some(4),
+            ..rig.query(0, S, 1)
+        };
         (q.id, rig.event(Event::Arrived(q)))
     };
     let (a, act) = keyed(&mut rig);
@@ -293,7 +428,16 @@
 fn placement_holds_even_when_the_only_place_is_down() {
     let mut s = settings(vec![class(60 * S, 1.0, 1.0)]);
     s.classes[0].kinds = Some(vec![1]);
-    let mut rig = Rig::new(s, &[listed(1), Listed { kind: 1, ..listed(2) }]);
+    let mut rig = Rig::new(
+        s,
+        &[
+            listed(1),
+            Listed {
+                kind: 1,
+                ..listed(2)
+            },
+        ],
+    );
     let (q, act) = rig.arrive(0, S, 1);
     assert_eq!(sends(&act), [(q.0, 2)]);
     let act = rig.end(q, 0, Outcome::Unreachable, 250 * MS);
@@ -303,7 +447,11 @@
 #[test]
 fn further_attempts_stay_within_the_budget() {
     let mut s = settings(vec![class(60 * S, 1.0, 1.0)]);
-    s.retry_budget = Some(RetryBudget { free: 2.0, ratio: 0.0, window: 10 * S });
+    s.retry_budget = Some(RetryBudget {
+        free: 2.0,
+        ratio: 0.0,
+        window: 10 * S,
+    });
     let mut rig = Rig::new(s, &[listed(1), listed(2)]);
     let further: usize = (0..5)
         .map(|_| {
@@ -317,7 +465,11 @@
 #[test]
 fn what_was_taken_is_forgotten_behind_the_window_without_a_further_attempt() {
     let mut s = settings(vec![class(9 * S, 1.0, 1.0)]);
-    s.retry_budget = Some(RetryBudget { free: 5.0, ratio: 0.1, window: 10 * S });
+    s.retry_budget = Some(RetryBudget {
+        free: 5.0,
+        ratio: 0.1,
+        window: 10 * S,
+    });
     let mut rig = Rig::new(s, &[listed(1)]);
     for _ in 0..500 {
         let (q, _) = rig.arrive(0, 10 * MS, 1);
@@ -367,7 +519,10 @@
 
 impl World {
     fn random(&mut self, n: u64) -> u64 {
-        self.seed = self.seed.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
+        self.seed = self
+            .seed
+            .wrapping_mul(6364136223846793005)
+            .wrapping_add(1442695040888963407);
         (self.seed >> 33) % n
     }
 
@@ -382,8 +537,13 @@
                 Action::Send(q, e, patience) => self.check_send(q, e.0, patience),
                 Action::Refuse(q, _) => {
                     let class = self.answer(q);
-                    let clean = self.tries[&q].iter().all(|t| t.1.is_some_and(Outcome::never_ran));
-                    assert!(class == 0 || clean, "an unsafe query that may have run was refused");
+                    let clean = self.tries[&q]
+                        .iter()
+                        .all(|t| t.1.is_some_and(Outcome::never_ran));
+                    assert!(
+                        class == 0 || clean,
+                        "an unsafe query that may have run was refused"
+                    );
                 }
                 Action::Fail(q) => {
                     self.answer(q);
@@ -409,7 +569,10 @@
         assert!(tries.len() < 3, "too many attempts");
         if query.class == 1 {
             assert!(e % 2 == 0, "misplaced");
-            assert!(tries.iter().all(|t| t.1.is_some_and(Outcome::never_ran)), "an effect twice");
+            assert!(
+                tries.iter().all(|t| t.1.is_some_and(Outcome::never_ran)),
+                "an effect twice"
+            );
             for (o, (other, _)) in &self.open {
                 let earlier = *o < q && other.class == 1 && other.key == query.key;
                 assert!(!earlier, "out of turn");
@@ -432,7 +595,11 @@
                 let work = 10 * MS + self.random(400) * MS;
                 let budget = 20 * MS + self.random(3000) * MS;
                 let key = Some(1 + self.random(3)).filter(|_| class == 1);
-                let q = Query { budget, key, ..self.rig.query(class, work, work as u32 % 5) };
+                let q = Query {
+                    budget,
+                    key,
+                    ..self.rig.query(class, work, work as u32 % 5)
+                };
                 self.open.insert(q.id, (q, self.rig.now + budget));
                 self.tries.insert(q.id, Vec::new());
                 self.event(Event::Arrived(q));
@@ -442,7 +609,10 @@
                     .tries
                     .iter()
                     .flat_map(|(q, t)| {
-                        t.iter().enumerate().filter(|t| t.1 .1.is_none()).map(|t| (*q, t.0 as u8))
+                        t.iter()
+                            .enumerate()
+                            .filter(|t| t.1 .1.is_none())
+                            .map(|t| (*q, t.0 as u8))
                     })
                     .collect();
                 if out.is_empty() {
@@ -469,17 +639,33 @@
                 let (work, memory_mb) = (None, None);
                 let report = [f64::NAN, self.random(9) as f64];
                 let report = &report[self.random(2) as usize..];
-                let end = Ended { query: q, attempt: n, outcome, last, spent, work, memory_mb, report };
+                let end = Ended {
+                    query: q,
+                    attempt: n,
+                    outcome,
+                    last,
+                    spent,
+                    work,
+                    memory_mb,
+                    report,
+                };
                 self.event(Event::Ended(end));
             }
             10 if self.random(12) == 0 => {
                 let e = 1 + self.random(6);
-                let phase =
-                    [Phase::Ready, Phase::Ready, Phase::Draining, Phase::Gone][self.random(4) as usize];
+                let phase = [Phase::Ready, Phase::Ready, Phase::Draining, Phase::Gone]
+                    [self.random(4) as usize];
                 let born = Some(self.rig.now).filter(|_| phase == Phase::Ready);
                 self.phase.insert(e, phase);
-                let line = Listed { phase, born, ..listed(e) };
-                let line = Listed { kind: (e % 2) as u16, ..line };
+                let line = Listed {
+                    phase,
+                    born,
+                    ..listed(e)
+                };
+                let line = Listed {
+                    kind: (e % 2) as u16,
+                    ..line
+                };
                 self.event(Event::Engines(ListKind::Changes, &[line]));
             }
             _ => {
@@ -503,8 +689,18 @@
     s.classes[1].in_order = true;
     s.classes[1].kinds = Some(vec![0]);
     s.max_attempts = Some(3);
-    s.cold = Some(ColdStart { from: 0.3, warm_after: 5 * S, multiple: 2.0, window: S });
-    let list: Vec<Listed> = (1..=6).map(|e| Listed { kind: (e % 2) as u16, ..listed(e) }).collect();
+    s.cold = Some(ColdStart {
+        from: 0.3,
+        warm_after: 5 * S,
+        multiple: 2.0,
+        window: S,
+    });
+    let list: Vec<Listed> = (1..=6)
+        .map(|e| Listed {
+            kind: (e % 2) as u16,
+            ..listed(e)
+        })
+        .collect();
     let mut w = World {
         rig: Rig::new(s.clone(), &[]),
         seed,
--- a/crates/fernlink/tests/slow_start.rs
+++ b/crates/fernlink/tests/slow_start.rs
@@ -16,8 +16,16 @@
 fn rig_settings() -> Settings {
     let mut s = settings(vec![class(60 * S, 1.0, 1.0)]);
     s.gateways = 2;
-    s.kinds = vec![Kind { cores: Some(20.0), memory_mb: None }];
-    s.cold = Some(ColdStart { from: 0.5, warm_after: WARM_AFTER, multiple: 2.0, window: S });
+    s.kinds = vec![Kind {
+        cores: Some(20.0),
+        memory_mb: None,
+    }];
+    s.cold = Some(ColdStart {
+        from: 0.5,
+        warm_after: WARM_AFTER,
+        multiple: 2.0,
+        window: S,
+    });
     s
 }
 
@@ -61,7 +69,13 @@
 }
 
 fn told(rig: &mut Rig, born: u64) {
-    rig.event(Event::Engines(ListKind::Changes, &[Listed { born: Some(born), ..listed(1) }]));
+    rig.event(Event::Engines(
+        ListKind::Changes,
+        &[Listed {
+            born: Some(born),
+            ..listed(1)
+        }],
+    ));
 }
 
 #[test]
@@ -107,6 +121,13 @@
     }
     // It comes up, and all that waits may go at one moment.
     let now = rig.now;
-    let out = planned.iter().filter(|(query, _)| rig.c.may_go_out(now, QueryId(*query), 0)).count();
-    assert!((3..=MOST_IN_A_WINDOW).contains(&out), "{out} of {} planned", planned.len());
+    let out = planned
+        .iter()
+        .filter(|(query, _)| rig.c.may_go_out(now, QueryId(*query), 0))
+        .count();
+    assert!(
+        (3..=MOST_IN_A_WINDOW).contains(&out),
+        "{out} of {} planned",
+        planned.len()
+    );
 }
--- a/crates/fleet/src/about.rs
+++ b/crates/fleet/src/about.rs
@@ -25,7 +25,10 @@
 impl State {
     /// In plain words.
     pub fn word(self) -> &'static str {
-        STATES.iter().find(|s| s.0 == self).map_or("in a state of a later build", |s| s.1)
+        STATES
+            .iter()
+            .find(|s| s.0 == self)
+            .map_or("in a state of a later build", |s| s.1)
     }
 }
 
@@ -55,7 +58,13 @@
 impl Default for About {
     fn default() -> About {
         let (zone, region, build) = Default::default();
-        About { zone, region, build, state: State::Starting, since_ms: 0 }
+        About {
+            zone,
+            region,
+            build,
+            state: State::Starting,
+            since_ms: 0,
+        }
     }
 }
 
@@ -85,7 +94,10 @@
 
     /// Reads such bytes; fields of a later build are skipped. `None` where they end within a field.
     pub fn read(mut bytes: &[u8]) -> Option<About> {
-        let mut about = About { state: State::Other, ..About::default() };
+        let mut about = About {
+            state: State::Other,
+            ..About::default()
+        };
         while let [number, length, rest @ ..] = bytes {
             let (value, rest) = rest.split_at_checked(usize::from(*length))?;
             let text = || cut(&String::from_utf8_lossy(value)).to_string();
@@ -94,8 +106,10 @@
                 REGION => about.region = text(),
                 BUILD => about.build = text(),
                 STATE => {
-                    about.state =
-                        STATES.iter().find(|s| s.1.as_bytes() == value).map_or(State::Other, |s| s.0)
+                    about.state = STATES
+                        .iter()
+                        .find(|s| s.1.as_bytes() == value)
+                        .map_or(State::Other, |s| s.0)
                 }
                 SINCE => about.since_ms = u64::from_be_bytes(value.try_into().ok()?),
                 _ => {}
@@ -128,9 +142,14 @@
         assert_eq!(unknown.state, State::Other);
         for end in 1..later.len() {
             let read = About::read(&later[..end]);
-            assert!(read.is_none() || read.is_some_and(|a| a.zone == "room-a" || a.zone.is_empty()));
+            assert!(
+                read.is_none() || read.is_some_and(|a| a.zone == "room-a" || a.zone.is_empty())
+            );
         }
-        let long = About { zone: "é".repeat(60), ..about };
+        let long = About {
+            zone: "é".repeat(60),
+            ..about
+        };
         assert_eq!(About::read(&long.write()).unwrap().zone, "é".repeat(24));
     }
 
--- a/crates/fleet/src/agreed/founding.rs
+++ b/crates/fleet/src/agreed/founding.rs
@@ -54,12 +54,20 @@
     /// By these, sorted by name.
     pub fn new(id: u64, mut founders: Vec<Voter>) -> Founded {
         founders.sort_by(|a, b| a.1.cmp(&b.1));
-        Founded { id, cluster: cluster_of(&founders), founders }
+        Founded {
+            id,
+            cluster: cluster_of(&founders),
+            founders,
+        }
     }
 
     /// Let into a log that others founded.
     pub fn joined(id: u64, cluster: u64) -> Founded {
-        Founded { id, cluster, founders: Vec::new() }
+        Founded {
+            id,
+            cluster,
+            founders: Vec::new(),
+        }
     }
 
     /// As bytes.
@@ -78,8 +86,14 @@
         let rights = Rights::begun(newest, QUIET);
         let mut voters: Vec<u64> = self.founders.iter().map(|f| f.0).collect();
         voters.sort_unstable();
-        let state = super::replica::State { rights, voters: self.founders.iter().cloned().collect() };
-        let mut snapshot = Snapshot { data: state.write().into(), ..Snapshot::default() };
+        let state = super::replica::State {
+            rights,
+            voters: self.founders.iter().cloned().collect(),
+        };
+        let mut snapshot = Snapshot {
+            data: state.write().into(),
+            ..Snapshot::default()
+        };
         let meta = snapshot.mut_metadata();
         (meta.index, meta.term) = (1, 1);
         meta.mut_conf_state().voters = voters;
@@ -113,7 +127,12 @@
         let mut names = names.to_vec();
         names.sort();
         let one_of_them = names.iter().any(|n| n == me);
-        one_of_them.then(|| Founding { me: me.into(), id, names, promises: Vec::new() })
+        one_of_them.then(|| Founding {
+            me: me.into(),
+            id,
+            names,
+            promises: Vec::new(),
+        })
     }
 
     /// The set to which we have promised ourselves; 0 for none.
@@ -123,20 +142,29 @@
 
     /// Looks at what the founders show; what is founded, if that is so now.
     pub fn look(&mut self, shown: impl Fn(&str) -> Option<Shown>) -> Option<Founded> {
-        let own = Shown { id: self.id, cluster: 0, promised: self.promised() };
+        let own = Shown {
+            id: self.id,
+            cluster: 0,
+            promised: self.promised(),
+        };
         let all: Vec<(String, Option<Shown>)> = self
             .names
             .iter()
             .map(|n| (n.clone(), if *n == self.me { Some(own) } else { shown(n) }))
             .collect();
         // A log that one of the others has and that we promised ourselves to.
-        let has = |p: &&Founded| all.iter().any(|(_, s)| s.is_some_and(|s| s.cluster == p.cluster));
+        let has = |p: &&Founded| {
+            all.iter()
+                .any(|(_, s)| s.is_some_and(|s| s.cluster == p.cluster))
+        };
         if let Some(founded) = self.promises.iter().find(has) {
             return Some(founded.clone());
         }
         let none_has_a_log = |s: &Shown| s.cluster == 0;
-        let there: Option<Vec<Voter>> =
-            all.iter().map(|(n, s)| Some((s.filter(none_has_a_log)?.id, n.clone()))).collect();
+        let there: Option<Vec<Voter>> = all
+            .iter()
+            .map(|(n, s)| Some((s.filter(none_has_a_log)?.id, n.clone())))
+            .collect();
         let set = Founded::new(self.id, there?);
         if self.promised() != set.cluster {
             self.promises.retain(|p| p.cluster != set.cluster);
@@ -146,7 +174,9 @@
             }
             return None;
         }
-        all.iter().all(|(_, s)| s.is_some_and(|s| s.promised == set.cluster)).then_some(set)
+        all.iter()
+            .all(|(_, s)| s.is_some_and(|s| s.promised == set.cluster))
+            .then_some(set)
     }
 
     /// Those of the founders that show nothing, or a log that we are no part of.
@@ -169,10 +199,19 @@
     #[test]
     fn all_founders_found_one_log_and_not_before_all_are_there() {
         let mut a = Founding::new("a", 1, &names()).unwrap();
-        let empty = |id| Some(Shown { id, cluster: 0, promised: 0 });
+        let empty = |id| {
+            Some(Shown {
+                id,
+                cluster: 0,
+                promised: 0,
+            })
+        };
         assert!(a.look(|n| if n == "b" { empty(2) } else { None }).is_none());
         assert_eq!(
-            (a.promised(), a.missing(|n| if n == "b" { empty(2) } else { None })),
+            (
+                a.promised(),
+                a.missing(|n| if n == "b" { empty(2) } else { None })
+            ),
             (0, vec!["c".to_string()])
         );
         assert!(a.look(|n| empty(if n == "b" { 2 } else { 3 })).is_none());
@@ -186,8 +225,17 @@
             })
         };
         assert!(a.look(half).is_none());
-        let all = |n: &str| Some(Shown { id: if n == "b" { 2 } else { 3 }, cluster: 0, promised: set });
-        assert_eq!(a.look(all).map(|f| (f.cluster, f.id, f.founders.len())), Some((set, 1, 3)));
+        let all = |n: &str| {
+            Some(Shown {
+                id: if n == "b" { 2 } else { 3 },
+                cluster: 0,
+                promised: set,
+            })
+        };
+        assert_eq!(
+            a.look(all).map(|f| (f.cluster, f.id, f.founders.len())),
+            Some((set, 1, 3))
+        );
         assert!(Founding::new("d", 1, &names()).is_none());
     }
 
@@ -206,7 +254,11 @@
             let mut next = 10;
             let mut fresh = |n: usize| {
                 next += 1;
-                One { id: next, founding: Founding::new(&all[n], next, &all).unwrap(), cluster: 0 }
+                One {
+                    id: next,
+                    founding: Founding::new(&all[n], next, &all).unwrap(),
+                    cluster: 0,
+                }
             };
             let mut ones: Vec<One> = (0..3).map(&mut fresh).collect();
             // What each has last seen of each.
@@ -222,21 +274,32 @@
                     }
                     1..=3 => {
                         let one = &ones[m];
-                        let shown =
-                            Shown { id: one.id, cluster: one.cluster, promised: one.founding.promised() };
+                        let shown = Shown {
+                            id: one.id,
+                            cluster: one.cluster,
+                            promised: one.founding.promised(),
+                        };
                         seen.insert((n, m), shown);
                     }
                     _ if ones[n].cluster == 0 => {
-                        let view = |name: &str| seen.get(&(n, all.iter().position(|a| a == name)?)).copied();
+                        let view = |name: &str| {
+                            seen.get(&(n, all.iter().position(|a| a == name)?)).copied()
+                        };
                         if let Some(founded) = ones[n].founding.look(view) {
                             ones[n].cluster = founded.cluster;
-                            sets.insert(founded.cluster, founded.founders.iter().map(|f| f.0).collect());
+                            sets.insert(
+                                founded.cluster,
+                                founded.founders.iter().map(|f| f.0).collect(),
+                            );
                         }
                     }
                     _ => {}
                 }
                 let majority = |(cluster, set): (&u64, &BTreeSet<u64>)| {
-                    ones.iter().filter(|o| o.cluster == *cluster && set.contains(&o.id)).count() >= 2
+                    ones.iter()
+                        .filter(|o| o.cluster == *cluster && set.contains(&o.id))
+                        .count()
+                        >= 2
                 };
                 sets.iter().filter(|s| majority((s.0, s.1))).count() <= 1
             })
--- a/crates/fleet/src/agreed/mod.rs
+++ b/crates/fleet/src/agreed/mod.rs
@@ -99,7 +99,9 @@
 
     /// Reads such bytes.
     pub fn read(bytes: &[u8]) -> Option<Notice> {
-        postcard::from_bytes(bytes).ok().filter(|n: &Notice| n.leader.len() <= NAME_MOST)
+        postcard::from_bytes(bytes)
+            .ok()
+            .filter(|n: &Notice| n.leader.len() <= NAME_MOST)
     }
 }
 
@@ -133,9 +135,18 @@
     /// Parts that lack.
     Want { whole: u64, numbers: Vec<u16> },
     /// Have this agreed.
-    Ask { cluster: u64, session: u64, request: u64, command: Command },
+    Ask {
+        cluster: u64,
+        session: u64,
+        request: u64,
+        command: Command,
+    },
     /// What became of it.
-    Answer { session: u64, request: u64, outcome: Outcome },
+    Answer {
+        session: u64,
+        request: u64,
+        outcome: Outcome,
+    },
     /// Ask that one.
     Elsewhere { request: u64, leader: String },
     /// What is newer than this?
@@ -290,7 +301,12 @@
 impl Agreed {
     /// For a process of this name and session. An error where what was kept can't be used: it is left as it is, and this
     /// one only reads and asks.
-    pub fn new(me: &str, session: u64, seed: u64, mut options: Options) -> (Agreed, Option<store::Unusable>) {
+    pub fn new(
+        me: &str,
+        session: u64,
+        seed: u64,
+        mut options: Options,
+    ) -> (Agreed, Option<store::Unusable>) {
         let mut rng = SmallRng::seed_from_u64(seed);
         let keeps = options.file.is_some();
         let kept = options.file.take().map(|bytes| store::read(&bytes));
@@ -307,7 +323,9 @@
             }
             replica
         });
-        let id = replica.as_ref().map_or_else(|| fresh_id(session, &mut rng), |r| r.id());
+        let id = replica
+            .as_ref()
+            .map_or_else(|| fresh_id(session, &mut rng), |r| r.id());
         let founding = match (&replica, &wrong) {
             (None, None) if !replaced => Founding::new(me, id, &options.founders),
             _ => None,
@@ -351,14 +369,17 @@
 
     /// Which log: of our replica, else of what we have read.
     fn cluster(&self) -> u64 {
-        self.replica.as_ref().map_or(self.copy.cluster, |r| r.cluster())
+        self.replica
+            .as_ref()
+            .map_or(self.copy.cluster, |r| r.cluster())
     }
 
     /// What we know is agreed.
     fn state(&self) -> &State {
         match &self.replica {
             Some(r)
-                if r.applied() > 0 && (r.cluster(), r.applied()) >= (self.copy.cluster, self.copy.index) =>
+                if r.applied() > 0
+                    && (r.cluster(), r.applied()) >= (self.copy.cluster, self.copy.index) =>
             {
                 r.state()
             }
@@ -368,14 +389,19 @@
     }
 
     fn name_of(&self, id: u64) -> Option<&String> {
-        let own = self.replica.as_ref().and_then(|r| r.state().voters.get(&id));
+        let own = self
+            .replica
+            .as_ref()
+            .and_then(|r| r.state().voters.get(&id));
         own.or_else(|| self.copy.state.voters.get(&id))
     }
 
     /// Who leads by our own replica. One that only learns never asks to lead, and would believe in its last leader for ever.
     fn own_leader(&self) -> Option<u64> {
         let replica = self.replica.as_ref()?;
-        replica.leader().filter(|_| replica.votes() || self.ticked < self.heard + LEADERLESS)
+        replica
+            .leader()
+            .filter(|_| replica.votes() || self.ticked < self.heard + LEADERLESS)
     }
 
     /// Who leads, as far as we know: by our own replica, else by the word of a voter that is there.
@@ -389,8 +415,12 @@
                     .as_ref()
                     .is_some_and(|n| n.votes && n.cluster == self.cluster() && !n.leader.is_empty())
         };
-        let newest =
-            self.peers.values().filter(says).filter_map(|p| p.notice.as_ref()).max_by_key(|n| n.term);
+        let newest = self
+            .peers
+            .values()
+            .filter(says)
+            .filter_map(|p| p.notice.as_ref())
+            .max_by_key(|n| n.term);
         newest.map(|n| n.leader.clone())
     }
 
@@ -406,7 +436,11 @@
                 _ => (self.copy.cluster, self.copy.index),
             },
             term: r.map_or(0, Replica::term),
-            leader: self.own_leader().and_then(|id| self.name_of(id)).cloned().unwrap_or_default(),
+            leader: self
+                .own_leader()
+                .and_then(|id| self.name_of(id))
+                .cloned()
+                .unwrap_or_default(),
             votes: r.is_some_and(|r| r.votes() && !r.broken),
             keeps: self.keeps,
             unfit: r.is_some_and(|r| r.broken || r.beyond),
@@ -510,10 +544,17 @@
                     self.say(from, &Word::Part { cluster, part });
                 }
             }
-            Word::Ask { cluster, session, request, command } => {
-                self.asked(clock, cluster, from, (session, request), command)
-            }
-            Word::Answer { session, request, outcome } => {
+            Word::Ask {
+                cluster,
+                session,
+                request,
+                command,
+            } => self.asked(clock, cluster, from, (session, request), command),
+            Word::Answer {
+                session,
+                request,
+                outcome,
+            } => {
                 let decides = self.state().voters.values().any(|v| v == from);
                 if decides && session == self.session || self.state().voters.is_empty() {
                     self.answered(clock, request, outcome);
@@ -525,7 +566,15 @@
                     // At once, but not round in a ring for ever: each turn waits for its datagram.
                     let (session, command) = (asking.session, asking.command.clone());
                     asking.again = now + ASK_AGAIN;
-                    self.say(&leader, &Word::Ask { cluster, session, request, command });
+                    self.say(
+                        &leader,
+                        &Word::Ask {
+                            cluster,
+                            session,
+                            request,
+                            command,
+                        },
+                    );
                 }
             }
             Word::Newer { cluster, index } => self.tell_newer(now, from, cluster, index),
@@ -571,7 +620,14 @@
             return;
         }
         if let Some(outcome) = self.state().rights.outcome(from, session, request).cloned() {
-            return self.say(from, &Word::Answer { session, request, outcome });
+            return self.say(
+                from,
+                &Word::Answer {
+                    session,
+                    request,
+                    outcome,
+                },
+            );
         }
         if !self.has_agreed(clock, from, of, command) {
             if let Some(leader) = self.leader().filter(|l| *l != self.me && l != from) {
@@ -583,7 +639,9 @@
     /// Has something agreed if we lead; false where we don't.
     fn has_agreed(&mut self, clock: Micros, owner: &str, of: (u64, u64), command: Command) -> bool {
         let all_keep = self.all_keep();
-        let Some(replica) = self.replica.as_mut().filter(|r| r.leads()) else { return false };
+        let Some(replica) = self.replica.as_mut().filter(|r| r.leads()) else {
+            return false;
+        };
         replica.look(clock);
         if self.pending.get(owner) == Some(&of) {
             return true;
@@ -596,7 +654,8 @@
                 return true;
             }
         }
-        if self.pending.len() >= PENDING_MOST || !replica.propose(owner, session, request, command) {
+        if self.pending.len() >= PENDING_MOST || !replica.propose(owner, session, request, command)
+        {
             self.counters.turned_away += 1;
         } else {
             self.pending.insert(owner.into(), of);
@@ -607,16 +666,33 @@
     fn all_keep(&self) -> bool {
         let keeps = |name: &String| match *name == self.me {
             true => self.keeps,
-            false => self.peers.get(name).and_then(|p| p.notice.as_ref()).is_some_and(|n| n.keeps),
+            false => self
+                .peers
+                .get(name)
+                .and_then(|p| p.notice.as_ref())
+                .is_some_and(|n| n.keeps),
         };
         self.state().voters.values().all(keeps)
     }
 
-    fn reply(&mut self, clock: Micros, owner: &str, (session, request): (u64, u64), outcome: Outcome) {
+    fn reply(
+        &mut self,
+        clock: Micros,
+        owner: &str,
+        (session, request): (u64, u64),
+        outcome: Outcome,
+    ) {
         if owner == self.me {
             self.answered(clock, request, outcome);
         } else {
-            self.say(owner, &Word::Answer { session, request, outcome });
+            self.say(
+                owner,
+                &Word::Answer {
+                    session,
+                    request,
+                    outcome,
+                },
+            );
         }
     }
 
@@ -625,17 +701,28 @@
         if self.asks.front().is_none_or(|a| a.request != request) {
             return;
         }
-        let Some(asking) = self.asks.pop_front() else { return };
+        let Some(asking) = self.asks.pop_front() else {
+            return;
+        };
         let from = asking.sent.unwrap_or(clock);
         let until = |span: Micros| from + (span - span / 20).saturating_sub(SLACK);
         match (&outcome, &asking.command) {
-            (Outcome::Lent { fence }, Command::Take { pot, amount, span, .. }) => {
+            (
+                Outcome::Lent { fence },
+                Command::Take {
+                    pot, amount, span, ..
+                },
+            ) => {
                 self.counters.lent += 1;
                 if asking.given_up {
                     self.counters.given_back += 1;
                     self.ask_for(clock, Command::Give { fence: *fence }, Micros::MAX, true);
                 } else {
-                    let held = Held { pot: pot.clone(), amount: *amount, until: until(*span) };
+                    let held = Held {
+                        pot: pot.clone(),
+                        amount: *amount,
+                        until: until(*span),
+                    };
                     self.held.insert(*fence, held);
                 }
             }
@@ -666,10 +753,22 @@
         }
         let mut state = self.state().clone();
         state.rights.forget_requests();
-        let copy = Copy { cluster: own.0, index: own.1, state };
-        let Ok(bytes) = postcard::to_stdvec(&copy) else { return };
+        let copy = Copy {
+            cluster: own.0,
+            index: own.1,
+            state,
+        };
+        let Ok(bytes) = postcard::to_stdvec(&copy) else {
+            return;
+        };
         for part in self.parts.send(now, from, COPY, bytes) {
-            self.say(from, &Word::Part { cluster: own.0, part });
+            self.say(
+                from,
+                &Word::Part {
+                    cluster: own.0,
+                    part,
+                },
+            );
         }
     }
 
@@ -703,10 +802,16 @@
         if self.leaderless.is_none_or(|since| now < since + LEADERLESS) {
             return;
         }
-        let Some(replica) = self.replica.as_ref() else { return };
+        let Some(replica) = self.replica.as_ref() else {
+            return;
+        };
         let deciding = replica.deciding();
         let lost = |id: &&u64| {
-            let shown = replica.state().voters.get(id).and_then(|name| self.shown(name));
+            let shown = replica
+                .state()
+                .voters
+                .get(id)
+                .and_then(|name| self.shown(name));
             **id != self.id && shown.is_some_and(|s| s.id != **id)
         };
         if replica.applied() == 0
@@ -726,14 +831,20 @@
         if self.keeps {
             // What the file says next is of another life.
             self.keep.clear();
-            self.keep.push_back(Write { number: 0, anew: true, bytes: file });
+            self.keep.push_back(Write {
+                number: 0,
+                anew: true,
+                bytes: file,
+            });
         }
     }
 
     /// Hands on what the replica has ready.
     fn settle(&mut self, now: Micros) {
         loop {
-            let Some(replica) = &mut self.replica else { return };
+            let Some(replica) = &mut self.replica else {
+                return;
+            };
             let mut any = false;
             while let Some(write) = replica.to_keep() {
                 any = true;
@@ -750,7 +861,9 @@
             let cluster = replica.cluster();
             any |= !sends.is_empty() || !done.is_empty();
             for (to, bytes) in sends {
-                let Some(name) = self.name_of(to).cloned() else { continue };
+                let Some(name) = self.name_of(to).cloned() else {
+                    continue;
+                };
                 if bytes.len() <= WHOLE {
                     self.say(&name, &Word::Raft { cluster, bytes });
                 } else {
@@ -824,17 +937,24 @@
     fn shown(&self, name: &str) -> Option<Shown> {
         let peer = self.peers.get(name).filter(|p| p.is_there())?;
         let notice = peer.notice.as_ref().filter(|n| n.id != 0)?;
-        Some(Shown { id: notice.id, cluster: notice.cluster, promised: notice.promised })
+        Some(Shown {
+            id: notice.id,
+            cluster: notice.cluster,
+            promised: notice.promised,
+        })
     }
 
     fn found(&mut self) {
         // Somebody decides already: what lets us in is a leader's word.
-        let decides = |p: &Peer| p.is_there() && p.notice.as_ref().is_some_and(|n| n.votes && n.cluster != 0);
+        let decides =
+            |p: &Peer| p.is_there() && p.notice.as_ref().is_some_and(|n| n.votes && n.cluster != 0);
         let ours = |p: &Peer| self.options.founders.contains(&p.name);
         if self.peers.values().any(|p| decides(p) && !ours(p)) {
             return;
         }
-        let Some(mut founding) = self.founding.take() else { return };
+        let Some(mut founding) = self.founding.take() else {
+            return;
+        };
         // Numbers of the next log must be above those of one that we know of, whatever our clock shows.
         let least = self.copy.state.rights.begins_above();
         if self.copy.cluster != 0 && self.id >> 20 < least {
@@ -866,7 +986,9 @@
     }
 
     fn look_at_voters(&mut self) {
-        let Some(replica) = self.replica.as_ref().filter(|r| r.leads()) else { return };
+        let Some(replica) = self.replica.as_ref().filter(|r| r.leads()) else {
+            return;
+        };
         let deciding = replica.deciding();
         let stands = |name: &String| match *name == self.me {
             true => Some((Standing::Alive, 0)),
@@ -874,19 +996,36 @@
         };
         let seat = |&id: &u64| {
             let name = replica.state().voters.get(&id)?.clone();
-            let shows = if name == self.me { Some(self.id) } else { self.shown(&name).map(|s| s.id) };
-            Some(Seat { stands: stands(&name), shows, voter: (id, name) })
+            let shows = if name == self.me {
+                Some(self.id)
+            } else {
+                self.shown(&name).map(|s| s.id)
+            };
+            Some(Seat {
+                stands: stands(&name),
+                shows,
+                voter: (id, name),
+            })
         };
         let seats: Vec<Seat> = deciding.iter().filter_map(seat).collect();
         let candidate = |p: &Peer| {
             let notice = p.notice.as_ref()?;
-            let free =
-                p.stands.0 == Standing::Alive && notice.cluster == 0 && notice.id != 0 && !notice.unfit;
+            let free = p.stands.0 == Standing::Alive
+                && notice.cluster == 0
+                && notice.id != 0
+                && !notice.unfit;
             let voter = (notice.id, p.name.clone());
-            free.then(|| Candidate { voter, zone: p.zone.clone(), keeps: notice.keeps, for_long: p.stands.1 })
+            free.then(|| Candidate {
+                voter,
+                zone: p.zone.clone(),
+                keeps: notice.keeps,
+                for_long: p.stands.1,
+            })
         };
         let candidates: Vec<Candidate> = self.peers.values().filter_map(candidate).collect();
-        let there = seats.iter().filter(|s| s.stands.is_some_and(|s| s.0 != Standing::Down));
+        let there = seats
+            .iter()
+            .filter(|s| s.stands.is_some_and(|s| s.0 != Standing::Down));
         let zone_of = |s: &Seat| match s.voter.1 == self.me {
             true => Some(self.options.zone.clone()),
             false => self.peers.get(&s.voter.1).map(|p| p.zone.clone()),
@@ -906,19 +1045,42 @@
 
     /// Who has no replica, or one that nobody tells anything, looks for something newer than it has read.
     fn read(&mut self, now: Micros) {
-        let leaderless = self.leaderless.is_some_and(|since| now > since + LEADERLESS);
-        if self.replica.as_ref().is_some_and(|r| r.votes() && !r.broken && !r.beyond) && !leaderless {
+        let leaderless = self
+            .leaderless
+            .is_some_and(|since| now > since + LEADERLESS);
+        if self
+            .replica
+            .as_ref()
+            .is_some_and(|r| r.votes() && !r.broken && !r.beyond)
+            && !leaderless
+        {
             return;
         }
         let known = self.notice().knows;
         let tells = |p: &&Peer| p.is_there();
-        let notices = || self.peers.values().filter(tells).filter_map(|p| Some((p, p.notice.as_ref()?)));
+        let notices = || {
+            self.peers
+                .values()
+                .filter(tells)
+                .filter_map(|p| Some((p, p.notice.as_ref()?)))
+        };
         // Which log: one that has a leader, the latest founded if there are several.
-        let led = notices().filter(|(_, n)| n.votes && !n.leader.is_empty()).max_by_key(|(_, n)| n.term);
+        let led = notices()
+            .filter(|(_, n)| n.votes && !n.leader.is_empty())
+            .max_by_key(|(_, n)| n.term);
         // Without one, what others know of an earlier one.
-        let told = notices().map(|(_, n)| n.knows).filter(|k| k.0 != 0).max_by_key(|k| k.1);
-        let cluster =
-            led.map_or(if known.0 != 0 { known.0 } else { told.map_or(0, |k| k.0) }, |(_, n)| n.cluster);
+        let told = notices()
+            .map(|(_, n)| n.knows)
+            .filter(|k| k.0 != 0)
+            .max_by_key(|k| k.1);
+        let cluster = led.map_or(
+            if known.0 != 0 {
+                known.0
+            } else {
+                told.map_or(0, |k| k.0)
+            },
+            |(_, n)| n.cluster,
+        );
         if cluster == 0 {
             return;
         }
@@ -930,10 +1092,19 @@
         let voting: Vec<&String> = newer
             .iter()
             .copied()
-            .filter(|n| self.peers.get(*n).and_then(|p| p.notice.as_ref()).is_some_and(|n| n.votes))
+            .filter(|n| {
+                self.peers
+                    .get(*n)
+                    .and_then(|p| p.notice.as_ref())
+                    .is_some_and(|n| n.votes)
+            })
             .collect();
         // A voter that may have been replaced must hear it from one that decides.
-        let ask = if self.replica.is_some() { &voting } else { &newer };
+        let ask = if self.replica.is_some() {
+            &voting
+        } else {
+            &newer
+        };
         if let Some(&name) = ask.choose(&mut self.rng) {
             let name = name.clone();
             self.say(&name, &Word::Newer { cluster, index });
@@ -956,7 +1127,9 @@
             self.outcomes.push_back((request, Err(Unanswered::InTime)));
         }
         let cluster = self.cluster();
-        let Some(asking) = self.asks.front_mut().filter(|a| now >= a.again) else { return };
+        let Some(asking) = self.asks.front_mut().filter(|a| now >= a.again) else {
+            return;
+        };
         if cluster == 0 {
             return;
         }
@@ -974,17 +1147,32 @@
             return;
         }
         let leader = self.leader().filter(|l| *l != me);
-        let voters: Vec<String> = self.state().voters.values().filter(|v| **v != me).cloned().collect();
+        let voters: Vec<String> = self
+            .state()
+            .voters
+            .values()
+            .filter(|v| **v != me)
+            .cloned()
+            .collect();
         let to = leader.or_else(|| voters.choose(&mut self.rng).cloned());
         if let Some(to) = to {
-            self.say(&to, &Word::Ask { cluster, session, request, command });
+            self.say(
+                &to,
+                &Word::Ask {
+                    cluster,
+                    session,
+                    request,
+                    command,
+                },
+            );
         }
     }
 
     /// How things stand.
     pub fn view(&self) -> View {
         let state = self.state();
-        let there = |name: &String| *name == self.me || self.peers.get(name).is_some_and(|p| p.is_there());
+        let there =
+            |name: &String| *name == self.me || self.peers.get(name).is_some_and(|p| p.is_there());
         let part = match (&self.replica, &self.founding) {
             (Some(r), _) if r.broken || r.beyond => Role::Unfit,
             (Some(r), _) if r.votes() => Role::Votes,
@@ -992,7 +1180,11 @@
             (None, Some(_)) => Role::Founds,
             (None, None) => Role::Reads,
         };
-        let deciding = self.replica.as_ref().filter(|r| r.votes()).map(Replica::deciding);
+        let deciding = self
+            .replica
+            .as_ref()
+            .filter(|r| r.votes())
+            .map(Replica::deciding);
         let decides = |id: &u64| deciding.as_ref().is_none_or(|d| d.contains(id));
         View {
             part,
@@ -1000,9 +1192,21 @@
             leader: self.leader(),
             term: self.replica.as_ref().map_or(0, Replica::term),
             index: self.notice().knows.1,
-            voters: state.voters.iter().filter(|v| decides(v.0)).map(|v| (v.1.clone(), there(v.1))).collect(),
-            missing: self.founding.as_ref().map_or(Vec::new(), |f| f.missing(|n| self.shown(n))),
-            lent: state.rights.all().map(|s| (s.fence, s.right.clone(), s.left)).collect(),
+            voters: state
+                .voters
+                .iter()
+                .filter(|v| decides(v.0))
+                .map(|v| (v.1.clone(), there(v.1)))
+                .collect(),
+            missing: self
+                .founding
+                .as_ref()
+                .map_or(Vec::new(), |f| f.missing(|n| self.shown(n))),
+            lent: state
+                .rights
+                .all()
+                .map(|s| (s.fence, s.right.clone(), s.left))
+                .collect(),
         }
     }
 
--- a/crates/fleet/src/agreed/parts.rs
+++ b/crates/fleet/src/agreed/parts.rs
@@ -61,7 +61,13 @@
     fn part(&self, whole: u64, number: usize) -> Option<Part> {
         let of = self.bytes.len().div_ceil(PART);
         let bytes = self.bytes.chunks(PART).nth(number)?.to_vec();
-        Some(Part { whole, kind: self.kind, number: number as u16, of: of as u16, bytes })
+        Some(Part {
+            whole,
+            kind: self.kind,
+            number: number as u16,
+            of: of as u16,
+            bytes,
+        })
     }
 }
 
@@ -79,25 +85,46 @@
             self.dropped += 1;
         }
         self.last += 1;
-        let outgoing = Outgoing { to: to.into(), kind, bytes, asked: now };
-        let first = (0..FIRST).filter_map(|n| outgoing.part(self.last, n)).collect();
+        let outgoing = Outgoing {
+            to: to.into(),
+            kind,
+            bytes,
+            asked: now,
+        };
+        let first = (0..FIRST)
+            .filter_map(|n| outgoing.part(self.last, n))
+            .collect();
         self.outgoing.insert(self.last, outgoing);
         first
     }
 
     /// Parts that the receiver lacks.
     pub fn wanted(&mut self, now: Micros, by: &str, whole: u64, numbers: &[u16]) -> Vec<Part> {
-        let Some(outgoing) = self.outgoing.get_mut(&whole).filter(|o| o.to == by) else { return Vec::new() };
+        let Some(outgoing) = self.outgoing.get_mut(&whole).filter(|o| o.to == by) else {
+            return Vec::new();
+        };
         outgoing.asked = now;
-        numbers.iter().take(ASKED).filter_map(|&n| outgoing.part(whole, n.into())).collect()
+        numbers
+            .iter()
+            .take(ASKED)
+            .filter_map(|&n| outgoing.part(whole, n.into()))
+            .collect()
     }
 
     /// A part has come; the whole and its kind, if it was the last that lacked.
     pub fn take(&mut self, now: Micros, from: &str, part: Part) -> Option<(u8, Vec<u8>)> {
-        let Part { whole, kind, number, of, bytes } = part;
+        let Part {
+            whole,
+            kind,
+            number,
+            of,
+            bytes,
+        } = part;
         let of = usize::from(of);
-        let fits =
-            of > 0 && of <= WHOLE_MOST.div_ceil(PART) && usize::from(number) < of && bytes.len() <= PART;
+        let fits = of > 0
+            && of <= WHOLE_MOST.div_ceil(PART)
+            && usize::from(number) < of
+            && bytes.len() <= PART;
         if !fits {
             self.dropped += 1;
             return None;
@@ -105,19 +132,27 @@
         let key = (from.to_string(), whole);
         if !self.incoming.contains_key(&key) {
             // A later whole of its kind takes the place of an earlier one.
-            self.incoming.retain(|(f, w), i| f != from || *w > whole || i.kind != kind);
+            self.incoming
+                .retain(|(f, w), i| f != from || *w > whole || i.kind != kind);
             if self.incoming.len() >= HELD {
                 self.dropped += 1;
-                let oldest = self.incoming.iter().min_by_key(|i| i.1.came).map(|i| i.0.clone());
+                let oldest = self
+                    .incoming
+                    .iter()
+                    .min_by_key(|i| i.1.came)
+                    .map(|i| i.0.clone());
                 oldest.map(|k| self.incoming.remove(&k));
             }
         }
-        let incoming = self.incoming.entry(key.clone()).or_insert_with(|| Incoming {
-            kind,
-            parts: vec![None; of],
-            came: now,
-            asked: now,
-        });
+        let incoming = self
+            .incoming
+            .entry(key.clone())
+            .or_insert_with(|| Incoming {
+                kind,
+                parts: vec![None; of],
+                came: now,
+                asked: now,
+            });
         if incoming.parts.len() != of || incoming.kind != kind {
             self.dropped += 1;
             return None;
@@ -128,7 +163,10 @@
             return None;
         }
         let done = self.incoming.remove(&key)?;
-        Some((done.kind, done.parts.into_iter().flatten().flatten().collect()))
+        Some((
+            done.kind,
+            done.parts.into_iter().flatten().flatten().collect(),
+        ))
     }
 
     /// Time has passed: what is to be asked for, of whom.
@@ -141,7 +179,12 @@
         for ((from, whole), i) in &mut self.incoming {
             if now >= i.came.max(i.asked) + AGAIN || now >= i.asked + AGAIN {
                 i.asked = now;
-                let lacks = i.parts.iter().enumerate().filter(|p| p.1.is_none()).map(|p| p.0 as u16);
+                let lacks = i
+                    .parts
+                    .iter()
+                    .enumerate()
+                    .filter(|p| p.1.is_none())
+                    .map(|p| p.0 as u16);
                 asks.push((from.clone(), *whole, lacks.take(ASKED).collect()));
             }
         }
@@ -195,13 +238,31 @@
         let mut parts = Parts::default();
         for n in 0..3 * HELD {
             parts.send(0, &format!("m{n}"), 1, vec![1; 3000]);
-            let part = Part { whole: 1, kind: 1, number: 0, of: 9, bytes: vec![0; 10] };
+            let part = Part {
+                whole: 1,
+                kind: 1,
+                number: 0,
+                of: 9,
+                bytes: vec![0; 10],
+            };
             assert!(parts.take(n as u64, &format!("m{n}"), part).is_none());
         }
         assert_eq!((parts.outgoing.len(), parts.incoming.len()), (HELD, HELD));
         let last = format!("m{}", 3 * HELD - 1);
-        for (number, of, length) in [(0, 5, 10), (9, 9, 10), (0, 0, 0), (0, u16::MAX, 5), (0, 9, PART + 1)] {
-            let part = Part { whole: 1, kind: 1, number, of, bytes: vec![0; length] };
+        for (number, of, length) in [
+            (0, 5, 10),
+            (9, 9, 10),
+            (0, 0, 0),
+            (0, u16::MAX, 5),
+            (0, 9, PART + 1),
+        ] {
+            let part = Part {
+                whole: 1,
+                kind: 1,
+                number,
+                of,
+                bytes: vec![0; length],
+            };
             assert!(parts.take(99, &last, part).is_none());
         }
         assert!(parts.send(0, "x", 1, vec![0; WHOLE_MOST + 1]).is_empty());
--- a/crates/fleet/src/agreed/replica.rs
+++ b/crates/fleet/src/agreed/replica.rs
@@ -11,8 +11,8 @@
 use crate::Micros;
 use protobuf::Message as _;
 use raft::eraftpb::{
-    ConfChangeSingle, ConfChangeTransition, ConfChangeType, ConfChangeV2, Entry, EntryType, Message,
-    MessageType, Snapshot,
+    ConfChangeSingle, ConfChangeTransition, ConfChangeType, ConfChangeV2, Entry, EntryType,
+    Message, MessageType, Snapshot,
 };
 use raft::{Config, ProgressState, RawNode, SnapshotStatus, StateRole};
 use rand::rngs::SmallRng;
@@ -170,13 +170,18 @@
     pub fn open(log: Log, seed: u64) -> Option<Replica> {
         let snapshot = log.snapshot().clone();
         let applied = snapshot.get_metadata().index;
-        let state = if applied == 0 { Some(State::default()) } else { State::read(snapshot.get_data()) };
+        let state = if applied == 0 {
+            Some(State::default())
+        } else {
+            State::read(snapshot.get_data())
+        };
         let (beyond, state) = (state.is_none(), state.unwrap_or_default());
         let id = log.founded.id;
         let log = Shared(Rc::new(RefCell::new(log)));
         let logger = slog::Logger::root(slog::Discard, slog::o!());
-        let made =
-            catch_unwind(AssertUnwindSafe(|| RawNode::new(&config(id, applied), log.clone(), &logger)));
+        let made = catch_unwind(AssertUnwindSafe(|| {
+            RawNode::new(&config(id, applied), log.clone(), &logger)
+        }));
         let raw = made.ok()?.ok()?;
         Some(Replica {
             raw,
@@ -231,7 +236,13 @@
     /// It leads, and has applied all that was agreed under earlier leaders: an entry of its own term is the last it applied.
     pub fn leads(&self) -> bool {
         let raft = &self.raw.raft;
-        let own_term = || self.log.0.borrow().term_at(self.applied).is_ok_and(|t| t == raft.term);
+        let own_term = || {
+            self.log
+                .0
+                .borrow()
+                .term_at(self.applied)
+                .is_ok_and(|t| t == raft.term)
+        };
         !self.broken && !self.beyond && raft.state == StateRole::Leader && own_term()
     }
 
@@ -252,7 +263,10 @@
         let progress = raft.prs().get(id)?;
         // Behind a snapshot it is probed until the next entry comes, which may be long: what it has is what counts.
         let has_some = progress.matched > 0 && progress.state != ProgressState::Snapshot;
-        Some((id, has_some && progress.matched + 8 >= raft.raft_log.committed))
+        Some((
+            id,
+            has_some && progress.matched + 8 >= raft.raft_log.committed,
+        ))
     }
 
     /// Runs something of `raft`'s; a panic ends this replica and nothing else.
@@ -292,7 +306,9 @@
             return;
         }
         let (last, time) = self.clock.unwrap_or((clock, self.state.rights.time()));
-        let passed = Some(clock.saturating_sub(last)).filter(|&p| p <= STEP_MOST).unwrap_or(0);
+        let passed = Some(clock.saturating_sub(last))
+            .filter(|&p| p <= STEP_MOST)
+            .unwrap_or(0);
         self.clock = Some((clock, time + passed));
     }
 
@@ -303,8 +319,13 @@
 
     /// Another replica's message.
     pub fn step(&mut self, bytes: &[u8]) -> bool {
-        let Ok(message) = Message::parse_from_bytes(bytes) else { return false };
-        if message.to != self.raw.raft.id || message.from == self.raw.raft.id || self.not_for_us(&message) {
+        let Ok(message) = Message::parse_from_bytes(bytes) else {
+            return false;
+        };
+        if message.to != self.raw.raft.id
+            || message.from == self.raw.raft.id
+            || self.not_for_us(&message)
+        {
             return false;
         }
         self.guard(|r| r.raw.step(message).is_ok()).unwrap_or(false)
@@ -312,13 +333,21 @@
 
     /// What `raft` would take from anybody though only a member of the log may say it, or a later build's snapshot.
     fn not_for_us(&self, message: &Message) -> bool {
-        let numbers = [message.term, message.log_term, message.index, message.commit, message.commit_term];
+        let numbers = [
+            message.term,
+            message.log_term,
+            message.index,
+            message.commit,
+            message.commit_term,
+        ];
         if numbers.iter().any(|&n| n > NUMBER_MOST) {
             return true;
         }
         match message.get_msg_type() {
             MessageType::MsgSnapshot => State::read(message.get_snapshot().get_data()).is_none(),
-            MessageType::MsgPropose | MessageType::MsgReadIndex | MessageType::MsgTransferLeader => true,
+            MessageType::MsgPropose
+            | MessageType::MsgReadIndex
+            | MessageType::MsgTransferLeader => true,
             _ => false,
         }
     }
@@ -331,10 +360,21 @@
         request: u64,
         command: super::rights::Command,
     ) -> bool {
-        let Some(time) = self.time().filter(|_| self.leads()) else { return false };
-        let entry = Asked { time, owner: owner.into(), session, request, command };
-        let Ok(bytes) = postcard::to_stdvec(&entry) else { return false };
-        self.guard(|r| r.raw.propose(Vec::new(), bytes).is_ok()).unwrap_or(false)
+        let Some(time) = self.time().filter(|_| self.leads()) else {
+            return false;
+        };
+        let entry = Asked {
+            time,
+            owner: owner.into(),
+            session,
+            request,
+            command,
+        };
+        let Ok(bytes) = postcard::to_stdvec(&entry) else {
+            return false;
+        };
+        self.guard(|r| r.raw.propose(Vec::new(), bytes).is_ok())
+            .unwrap_or(false)
     }
 
     /// A step in who decides, if this one leads and none is under way.
@@ -347,24 +387,35 @@
             return false;
         }
         let single = |id: u64, kind: ConfChangeType| {
-            let mut one = ConfChangeSingle { node_id: id, ..ConfChangeSingle::default() };
+            let mut one = ConfChangeSingle {
+                node_id: id,
+                ..ConfChangeSingle::default()
+            };
             one.set_change_type(kind);
             one
         };
         let (changes, names): (Vec<ConfChangeSingle>, Vec<Voter>) = match change {
-            Change::Learn(voter) => {
-                (vec![single(voter.0, ConfChangeType::AddLearnerNode)], vec![voter.clone()])
-            }
+            Change::Learn(voter) => (
+                vec![single(voter.0, ConfChangeType::AddLearnerNode)],
+                vec![voter.clone()],
+            ),
             Change::Swap { new, old } => (
-                vec![single(*new, ConfChangeType::AddNode), single(*old, ConfChangeType::RemoveNode)],
+                vec![
+                    single(*new, ConfChangeType::AddNode),
+                    single(*old, ConfChangeType::RemoveNode),
+                ],
                 vec![],
             ),
             Change::Drop(id) => (vec![single(*id, ConfChangeType::RemoveNode)], vec![]),
         };
-        let mut all = ConfChangeV2 { changes: changes.into(), ..ConfChangeV2::default() };
+        let mut all = ConfChangeV2 {
+            changes: changes.into(),
+            ..ConfChangeV2::default()
+        };
         all.set_transition(ConfChangeTransition::Auto);
         all.set_context(postcard::to_stdvec(&names).unwrap_or_default().into());
-        self.guard(|r| r.raw.propose_conf_change(Vec::new(), all).is_ok()).unwrap_or(false)
+        self.guard(|r| r.raw.propose_conf_change(Vec::new(), all).is_ok())
+            .unwrap_or(false)
     }
 
     /// The next message to another replica: its id, and the bytes.
@@ -385,7 +436,9 @@
     pub fn kept(&mut self, number: u64) {
         self.guard(|r| {
             while r.waiting.front().is_some_and(|w| w.1 <= number) {
-                let Some((ready, _, messages)) = r.waiting.pop_front() else { break };
+                let Some((ready, _, messages)) = r.waiting.pop_front() else {
+                    break;
+                };
                 r.persisted(ready, messages);
             }
         });
@@ -413,7 +466,13 @@
         self.queue(messages);
         // A snapshot counts as applied only once it is kept.
         if self.raw.raft.raft_log.applied() < self.applied
-            && self.applied <= self.raw.raft.raft_log.committed.min(self.raw.raft.raft_log.persisted)
+            && self.applied
+                <= self
+                    .raw
+                    .raft
+                    .raft_log
+                    .committed
+                    .min(self.raw.raft.raft_log.persisted)
         {
             self.raw.advance_apply_to(self.applied);
         }
@@ -437,7 +496,11 @@
 
     fn write(&mut self, anew: bool, bytes: Vec<u8>) -> u64 {
         self.last_write += 1;
-        self.writes.push_back(Write { number: self.last_write, anew, bytes });
+        self.writes.push_back(Write {
+            number: self.last_write,
+            anew,
+            bytes,
+        });
         self.last_write
     }
 
@@ -459,7 +522,9 @@
                 self.restore(snapshot);
             }
             let entries = ready.take_entries();
-            entries.iter().for_each(|e| bytes.extend(store::entry_record(e)));
+            entries
+                .iter()
+                .for_each(|e| bytes.extend(store::entry_record(e)));
             if let Some(hard) = ready.hs() {
                 bytes.extend(store::hard_record(hard));
                 self.log.0.borrow_mut().set_hard(hard.clone());
@@ -481,8 +546,9 @@
                 false => self.waiting.push_back((number, write, messages)),
             }
             let any = !committed.is_empty();
-            let conf_changed =
-                committed.into_iter().fold(false, |changed, entry| changed | self.apply(entry));
+            let conf_changed = committed
+                .into_iter()
+                .fold(false, |changed, entry| changed | self.apply(entry));
             if any {
                 self.raw.advance_apply();
             }
@@ -514,7 +580,10 @@
 
     /// A snapshot of what is applied: what stands before it is let go.
     fn cut(&mut self) {
-        let mut snapshot = Snapshot { data: self.state.write().into(), ..Snapshot::default() };
+        let mut snapshot = Snapshot {
+            data: self.state.write().into(),
+            ..Snapshot::default()
+        };
         let term = self.log.0.borrow().term_at(self.applied).unwrap_or(0);
         let meta = snapshot.mut_metadata();
         (meta.index, meta.term) = (self.applied, term);
@@ -537,9 +606,15 @@
                         self.beyond = true;
                         return false;
                     };
-                    let (owner, session, request) = (asked.owner.clone(), asked.session, asked.request);
+                    let (owner, session, request) =
+                        (asked.owner.clone(), asked.session, asked.request);
                     let outcome = self.state.rights.apply(entry.index, asked);
-                    self.done.push_back(Applied { owner, session, request, outcome });
+                    self.done.push_back(Applied {
+                        owner,
+                        session,
+                        request,
+                        outcome,
+                    });
                 }
                 self.applied = entry.index;
                 false
@@ -552,9 +627,14 @@
                 if let Ok(conf) = &conf {
                     self.state.voters.extend(names);
                     let known = |id: &u64| {
-                        [&conf.voters, &conf.learners, &conf.voters_outgoing, &conf.learners_next]
-                            .iter()
-                            .any(|set| set.contains(id))
+                        [
+                            &conf.voters,
+                            &conf.learners,
+                            &conf.voters_outgoing,
+                            &conf.learners_next,
+                        ]
+                        .iter()
+                        .any(|set| set.contains(id))
                     };
                     self.state.voters.retain(|id, _| known(id));
                 }
--- a/crates/fleet/src/agreed/rights.rs
+++ b/crates/fleet/src/agreed/rights.rs
@@ -167,7 +167,11 @@
     /// lent, for `quiet` at most, must have ended before anything is lent here.
     pub fn begun(clock_ms: u64, quiet: Micros) -> Rights {
         // A million entries a second would have to pass for a number to come twice; and readers in JSON have 53 bits.
-        Rights { base: (clock_ms / 1000) << 20, quiet_until: quiet, ..Rights::default() }
+        Rights {
+            base: (clock_ms / 1000) << 20,
+            quiet_until: quiet,
+            ..Rights::default()
+        }
     }
 
     /// When a log must begin, in milliseconds since 1970, for its numbers to be above those of this one.
@@ -183,12 +187,19 @@
     /// All that is lent, by fencing number.
     pub fn all(&self) -> impl Iterator<Item = Seen<'_>> {
         let left = |r: &Right| r.end.checked_sub(self.time).filter(|&l| l > 0);
-        self.lent.iter().map(move |(&fence, right)| Seen { fence, right, left: left(right) })
+        self.lent.iter().map(move |(&fence, right)| Seen {
+            fence,
+            right,
+            left: left(right),
+        })
     }
 
     /// How much of a pot is lent.
     pub fn lent_of(&self, pot: &str) -> u32 {
-        self.lent.values().filter(|r| r.pot == pot).fold(0, |sum, r| sum.saturating_add(r.amount))
+        self.lent
+            .values()
+            .filter(|r| r.pot == pot)
+            .fold(0, |sum, r| sum.saturating_add(r.amount))
     }
 
     /// What became of a request, if it is the last of its owner's.
@@ -204,7 +215,13 @@
 
     /// Applies the entry at this place of the log; what became of it. The same for all that apply the same.
     pub fn apply(&mut self, index: u64, entry: Entry) -> Outcome {
-        let Entry { time, owner, session, request, command } = entry;
+        let Entry {
+            time,
+            owner,
+            session,
+            request,
+            command,
+        } = entry;
         self.time = self.time.max(time);
         let now = self.time;
         self.end_what_is_over();
@@ -217,7 +234,15 @@
         }
         let outcome = self.carry_out(index, &owner, session, command);
         self.forget_owners(&owner);
-        self.owners.insert(owner, Owner { session, request, outcome: outcome.clone(), at: now });
+        self.owners.insert(
+            owner,
+            Owner {
+                session,
+                request,
+                outcome: outcome.clone(),
+                at: now,
+            },
+        );
         outcome
     }
 
@@ -228,7 +253,11 @@
 
     fn forget_owners(&mut self, but: &str) {
         if self.owners.len() >= OWNERS_MOST && !self.owners.contains_key(but) {
-            let oldest = self.owners.iter().min_by_key(|(name, o)| (o.at, *name)).map(|o| o.0.clone());
+            let oldest = self
+                .owners
+                .iter()
+                .min_by_key(|(name, o)| (o.at, *name))
+                .map(|o| o.0.clone());
             if let Some(oldest) = oldest {
                 self.owners.remove(&oldest);
             }
@@ -238,34 +267,64 @@
     fn carry_out(&mut self, index: u64, owner: &str, session: u64, command: Command) -> Outcome {
         let now = self.time;
         match command {
-            Command::Take { pot, amount, most, span, stays, note } => {
+            Command::Take {
+                pot,
+                amount,
+                most,
+                span,
+                stays,
+                note,
+            } => {
                 let of_owner = self.lent.values().filter(|r| r.owner == owner).count();
-                let texts = pot.len() <= TEXT_MOST && note.len() <= TEXT_MOST && owner.len() <= NAME_MOST;
+                let texts =
+                    pot.len() <= TEXT_MOST && note.len() <= TEXT_MOST && owner.len() <= NAME_MOST;
                 let fits = texts && !pot.is_empty() && amount > 0 && span > 0 && span <= SPAN_MOST;
                 if !fits || self.lent.len() >= RIGHTS_MOST || of_owner >= RIGHTS_OF_ONE {
                     return Outcome::Beyond;
                 }
                 if now < self.quiet_until {
-                    return Outcome::Early { wait: self.quiet_until - now };
+                    return Outcome::Early {
+                        wait: self.quiet_until - now,
+                    };
                 }
                 let lent = self.lent_of(&pot);
                 if lent.checked_add(amount).is_none_or(|sum| sum > most) {
-                    let ends = self.lent.values().filter(|r| r.pot == pot && !r.stays).map(|r| r.end);
-                    return Outcome::Full { lent, wait: ends.min().map(|end| end.saturating_sub(now)) };
+                    let ends = self
+                        .lent
+                        .values()
+                        .filter(|r| r.pot == pot && !r.stays)
+                        .map(|r| r.end);
+                    return Outcome::Full {
+                        lent,
+                        wait: ends.min().map(|end| end.saturating_sub(now)),
+                    };
                 }
                 let fence = self.base + index;
                 let owner = owner.into();
-                self.lent.insert(fence, Right { pot, amount, owner, session, end: now + span, stays, note });
+                self.lent.insert(
+                    fence,
+                    Right {
+                        pot,
+                        amount,
+                        owner,
+                        session,
+                        end: now + span,
+                        stays,
+                        note,
+                    },
+                );
                 Outcome::Lent { fence }
             }
-            Command::Renew { fence, span } => match self.lent.get_mut(&fence).filter(|r| r.owner == owner) {
-                Some(right) if span > 0 && span <= SPAN_MOST => {
-                    (right.end, right.session) = (right.end.max(now + span), session);
-                    Outcome::Renewed
+            Command::Renew { fence, span } => {
+                match self.lent.get_mut(&fence).filter(|r| r.owner == owner) {
+                    Some(right) if span > 0 && span <= SPAN_MOST => {
+                        (right.end, right.session) = (right.end.max(now + span), session);
+                        Outcome::Renewed
+                    }
+                    Some(_) => Outcome::Beyond,
+                    None => Outcome::NotYours,
                 }
-                Some(_) => Outcome::Beyond,
-                None => Outcome::NotYours,
-            },
+            }
             Command::Give { fence } => match self.lent.get(&fence).filter(|r| r.owner == owner) {
                 Some(_) => {
                     self.lent.remove(&fence);
@@ -292,22 +351,56 @@
     const S: Micros = 1_000_000;
 
     fn take(pot: &str, span: Micros, stays: bool) -> Command {
-        Command::Take { pot: pot.into(), amount: 1, most: 1, span, stays, note: "test".into() }
+        Command::Take {
+            pot: pot.into(),
+            amount: 1,
+            most: 1,
+            span,
+            stays,
+            note: "test".into(),
+        }
     }
 
     fn entry(time: Micros, owner: &str, request: u64, command: Command) -> Entry {
-        Entry { time, owner: owner.into(), session: 1, request, command }
+        Entry {
+            time,
+            owner: owner.into(),
+            session: 1,
+            request,
+            command,
+        }
     }
 
     #[test]
     fn one_pot_is_lent_once_until_its_end_and_then_under_a_higher_number() {
         let mut rights = Rights::begun(7_999, 0);
         let first = rights.apply(1, entry(S, "a", 1, take("out", 10 * S, false)));
-        assert_eq!(first, Outcome::Lent { fence: (7 << 20) + 1 });
-        let full = Outcome::Full { lent: 1, wait: Some(9 * S) };
-        assert_eq!(rights.apply(2, entry(2 * S, "b", 1, take("out", 10 * S, false))), full);
         assert_eq!(
-            rights.apply(3, entry(3 * S, "b", 2, Command::Give { fence: (7 << 20) + 1 })),
+            first,
+            Outcome::Lent {
+                fence: (7 << 20) + 1
+            }
+        );
+        let full = Outcome::Full {
+            lent: 1,
+            wait: Some(9 * S),
+        };
+        assert_eq!(
+            rights.apply(2, entry(2 * S, "b", 1, take("out", 10 * S, false))),
+            full
+        );
+        assert_eq!(
+            rights.apply(
+                3,
+                entry(
+                    3 * S,
+                    "b",
+                    2,
+                    Command::Give {
+                        fence: (7 << 20) + 1
+                    }
+                )
+            ),
             Outcome::NotYours
         );
         // At its end, and not before.
@@ -316,9 +409,25 @@
             Outcome::Full { .. }
         ));
         let second = rights.apply(5, entry(11 * S, "b", 4, take("out", S, false)));
-        assert_eq!(second, Outcome::Lent { fence: (7 << 20) + 5 });
         assert_eq!(
-            rights.apply(6, entry(11 * S, "a", 2, Command::Renew { fence: (7 << 20) + 1, span: S })),
+            second,
+            Outcome::Lent {
+                fence: (7 << 20) + 5
+            }
+        );
+        assert_eq!(
+            rights.apply(
+                6,
+                entry(
+                    11 * S,
+                    "a",
+                    2,
+                    Command::Renew {
+                        fence: (7 << 20) + 1,
+                        span: S
+                    }
+                )
+            ),
             Outcome::NotYours
         );
     }
@@ -326,11 +435,23 @@
     #[test]
     fn what_stays_counts_beyond_its_end_until_it_is_given_back() {
         let mut rights = Rights::default();
-        assert_eq!(rights.apply(1, entry(S, "a", 1, take("out", S, true))), Outcome::Lent { fence: 1 });
-        let full = Outcome::Full { lent: 1, wait: None };
-        assert_eq!(rights.apply(2, entry(900 * S, "b", 1, take("out", S, false))), full);
+        assert_eq!(
+            rights.apply(1, entry(S, "a", 1, take("out", S, true))),
+            Outcome::Lent { fence: 1 }
+        );
+        let full = Outcome::Full {
+            lent: 1,
+            wait: None,
+        };
+        assert_eq!(
+            rights.apply(2, entry(900 * S, "b", 1, take("out", S, false))),
+            full
+        );
         assert_eq!(rights.all().next().map(|s| s.left), Some(None));
-        assert_eq!(rights.apply(3, entry(901 * S, "b", 2, Command::Free { fence: 1 })), Outcome::Given);
+        assert_eq!(
+            rights.apply(3, entry(901 * S, "b", 2, Command::Free { fence: 1 })),
+            Outcome::Given
+        );
         assert!(matches!(
             rights.apply(4, entry(902 * S, "b", 3, take("out", S, false))),
             Outcome::Lent { .. }
@@ -344,11 +465,28 @@
         let first = rights.apply(1, ask.clone());
         assert_eq!(rights.apply(2, ask), first);
         assert_eq!(rights.outcome("a", 1, 5), Some(&first));
-        assert_eq!(rights.apply(3, entry(S, "a", 4, Command::Give { fence: 1 })), Outcome::Stale);
+        assert_eq!(
+            rights.apply(3, entry(S, "a", 4, Command::Give { fence: 1 })),
+            Outcome::Stale
+        );
         // The next process of that name may give back, or go on with, what is its name's; the one before may not.
-        let later = Entry { session: 2, ..entry(2 * S, "a", 1, Command::Renew { fence: 1, span: 60 * S }) };
+        let later = Entry {
+            session: 2,
+            ..entry(
+                2 * S,
+                "a",
+                1,
+                Command::Renew {
+                    fence: 1,
+                    span: 60 * S,
+                },
+            )
+        };
         assert_eq!(rights.apply(4, later), Outcome::Renewed);
-        assert_eq!(rights.apply(5, entry(3 * S, "a", 6, Command::Give { fence: 1 })), Outcome::Stale);
+        assert_eq!(
+            rights.apply(5, entry(3 * S, "a", 6, Command::Give { fence: 1 })),
+            Outcome::Stale
+        );
         assert_eq!(rights.lent_of("out"), 1);
     }
 
@@ -359,7 +497,10 @@
             rights.apply(1, entry(10 * S, "a", 1, take("x", S, false))),
             Outcome::Early { wait: 20 * S }
         );
-        assert!(matches!(rights.apply(2, entry(30 * S, "a", 2, take("x", S, false))), Outcome::Lent { .. }));
+        assert!(matches!(
+            rights.apply(2, entry(30 * S, "a", 2, take("x", S, false))),
+            Outcome::Lent { .. }
+        ));
     }
 
     #[test]
@@ -371,14 +512,23 @@
             rights.apply(index, entry(S, owner, index, take(pot, 10 * S, false)))
         };
         for n in 0..RIGHTS_OF_ONE {
-            assert!(matches!(ask(&mut rights, "a", &format!("p{n}")), Outcome::Lent { .. }));
+            assert!(matches!(
+                ask(&mut rights, "a", &format!("p{n}")),
+                Outcome::Lent { .. }
+            ));
         }
         assert_eq!(ask(&mut rights, "a", "one more"), Outcome::Beyond);
         for n in 0..OWNERS_MOST + 50 {
             ask(&mut rights, &format!("o{n}"), &format!("q{n}"));
         }
-        assert_eq!((rights.lent.len(), rights.owners.len()), (RIGHTS_MOST, OWNERS_MOST));
-        assert_eq!(ask(&mut rights, "b", &"x".repeat(TEXT_MOST + 1)), Outcome::Beyond);
+        assert_eq!(
+            (rights.lent.len(), rights.owners.len()),
+            (RIGHTS_MOST, OWNERS_MOST)
+        );
+        assert_eq!(
+            ask(&mut rights, "b", &"x".repeat(TEXT_MOST + 1)),
+            Outcome::Beyond
+        );
     }
 
     #[test]
@@ -386,24 +536,29 @@
         fn holds(asks: Vec<(u8, u8, u8, u8)>) -> bool {
             let mut rights = Rights::default();
             let mut time = 0;
-            asks.into_iter().enumerate().all(|(n, (what, who, amount, later))| {
-                time += Micros::from(later) * 100_000;
-                let fence = 1 + u64::from(amount) % (n as u64 + 1);
-                let command = match what % 4 {
-                    0 | 1 => Command::Take {
-                        pot: "p".into(),
-                        amount: u32::from(amount % 4),
-                        most: 5,
-                        span: S * Micros::from(what),
-                        stays: what % 8 == 0,
-                        note: String::new(),
-                    },
-                    2 => Command::Renew { fence, span: S },
-                    _ => Command::Give { fence },
-                };
-                rights.apply(n as u64 + 1, entry(time, &format!("o{}", who % 3), n as u64 + 1, command));
-                rights.lent_of("p") <= 5
-            })
+            asks.into_iter()
+                .enumerate()
+                .all(|(n, (what, who, amount, later))| {
+                    time += Micros::from(later) * 100_000;
+                    let fence = 1 + u64::from(amount) % (n as u64 + 1);
+                    let command = match what % 4 {
+                        0 | 1 => Command::Take {
+                            pot: "p".into(),
+                            amount: u32::from(amount % 4),
+                            most: 5,
+                            span: S * Micros::from(what),
+                            stays: what % 8 == 0,
+                            note: String::new(),
+                        },
+                        2 => Command::Renew { fence, span: S },
+                        _ => Command::Give { fence },
+                    };
+                    rights.apply(
+                        n as u64 + 1,
+                        entry(time, &format!("o{}", who % 3), n as u64 + 1, command),
+                    );
+                    rights.lent_of("p") <= 5
+                })
         }
         quickcheck(holds as fn(Vec<(u8, u8, u8, u8)>) -> bool);
     }
--- a/crates/fleet/src/agreed/store.rs
+++ b/crates/fleet/src/agreed/store.rs
@@ -41,10 +41,15 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             Unusable::Newer(v) => {
-                write!(f, "the log is of version {v}, this program knows version 1: it is left as it is")
+                write!(
+                    f,
+                    "the log is of version {v}, this program knows version 1: it is left as it is"
+                )
             }
             Unusable::NotOurs => f.write_str("this is no log of driftfront: it is left as it is"),
-            Unusable::Wrong(what) => write!(f, "the log contradicts itself: {what}; it is left as it is"),
+            Unusable::Wrong(what) => {
+                write!(f, "the log contradicts itself: {what}; it is left as it is")
+            }
         }
     }
 }
@@ -115,7 +120,9 @@
     if !bytes.starts_with(HEADER) {
         let line = bytes.split(|&b| b == b'\n').next().unwrap_or_default();
         let line = String::from_utf8_lossy(&line[..line.len().min(40)]).into_owned();
-        let version = line.strip_prefix("driftfront agreed ").filter(|v| *v != "1");
+        let version = line
+            .strip_prefix("driftfront agreed ")
+            .filter(|v| *v != "1");
         return Err(version.map_or(Unusable::NotOurs, |v| Unusable::Newer(v.into())));
     }
     let mut log: Option<Log> = None;
@@ -125,13 +132,18 @@
         if rest.is_empty() {
             break None;
         }
-        let Some(head) = rest.get(..8) else { break Some("it ends in the middle of a record") };
-        let word = |at: usize| u32::from_le_bytes([head[at], head[at + 1], head[at + 2], head[at + 3]]);
+        let Some(head) = rest.get(..8) else {
+            break Some("it ends in the middle of a record");
+        };
+        let word =
+            |at: usize| u32::from_le_bytes([head[at], head[at + 1], head[at + 2], head[at + 3]]);
         let length = word(0) as usize;
         if length == 0 || length > RECORD_MOST {
             break Some("a record's length is none");
         }
-        let Some(body) = rest[8..].get(..length) else { break Some("it ends in the middle of a record") };
+        let Some(body) = rest[8..].get(..length) else {
+            break Some("it ends in the middle of a record");
+        };
         if crc32fast::hash(body) != word(4) {
             break Some("a record's checksum does not fit");
         }
@@ -151,7 +163,9 @@
         return Ok(());
     }
     let unread = |_| Unusable::Wrong("a record can't be read");
-    let log = log.as_mut().ok_or(Unusable::Wrong("it does not begin with whose it is"))?;
+    let log = log
+        .as_mut()
+        .ok_or(Unusable::Wrong("it does not begin with whose it is"))?;
     match kind {
         VOTE => log.hard = HardState::parse_from_bytes(body).map_err(unread)?,
         ENTRY => log.append(vec![Entry::parse_from_bytes(body).map_err(unread)?])?,
@@ -165,7 +179,10 @@
 impl Log {
     /// Of one that was just founded, or let in: the founders' snapshot, or nothing yet.
     pub fn of(founded: Founded) -> Log {
-        Log { founded, ..Log::default() }
+        Log {
+            founded,
+            ..Log::default()
+        }
     }
 
     /// The whole file that says the same.
@@ -175,7 +192,10 @@
         if self.snapshot.get_metadata().index > 0 {
             bytes.extend(snapshot_record(&self.snapshot));
         }
-        let behind = self.entries.iter().filter(|e| e.index > self.snapshot.get_metadata().index);
+        let behind = self
+            .entries
+            .iter()
+            .filter(|e| e.index > self.snapshot.get_metadata().index);
         behind.for_each(|e| bytes.extend(entry_record(e)));
         bytes.extend(hard_record(&self.hard));
         bytes
@@ -197,7 +217,11 @@
 
     /// The last place.
     pub fn last(&self) -> u64 {
-        self.entries.last().map_or(self.cut.0.max(self.snapshot.get_metadata().index), |e| e.index)
+        self.entries
+            .last()
+            .map_or(self.cut.0.max(self.snapshot.get_metadata().index), |e| {
+                e.index
+            })
     }
 
     /// The last snapshot.
@@ -250,7 +274,9 @@
 
     /// Whether entries have gathered so that the log should be cut.
     pub fn wants_cut(&self) -> bool {
-        let behind = self.last().saturating_sub(self.snapshot.get_metadata().index);
+        let behind = self
+            .last()
+            .saturating_sub(self.snapshot.get_metadata().index);
         behind as usize >= CUT_AT
     }
 
@@ -266,7 +292,9 @@
             return Err(Error::Store(StorageError::Compacted));
         }
         let entry = self.entries.get((index - self.cut.0 - 1) as usize);
-        entry.map(|e| e.term).ok_or(Error::Store(StorageError::Unavailable))
+        entry
+            .map(|e| e.term)
+            .ok_or(Error::Store(StorageError::Unavailable))
     }
 }
 
@@ -293,7 +321,10 @@
             return Err(Error::Store(StorageError::Compacted));
         }
         let at = |index: u64| (index - log.cut.0 - 1) as usize;
-        let some = log.entries.get(at(low)..at(high)).ok_or(Error::Store(StorageError::Unavailable))?;
+        let some = log
+            .entries
+            .get(at(low)..at(high))
+            .ok_or(Error::Store(StorageError::Unavailable))?;
         let mut some = some.to_vec();
         raft::util::limit_size(&mut some, max_size.into());
         Ok(some)
@@ -325,11 +356,20 @@
     use super::*;
 
     fn entry(index: u64, term: u64, data: &str) -> Entry {
-        Entry { index, term, data: data.as_bytes().to_vec().into(), ..Entry::default() }
+        Entry {
+            index,
+            term,
+            data: data.as_bytes().to_vec().into(),
+            ..Entry::default()
+        }
     }
 
     fn log() -> Log {
-        let founders = vec![(5 << 20, "a".to_string()), (6 << 20, "b".into()), (7 << 20, "c".into())];
+        let founders = vec![
+            (5 << 20, "a".to_string()),
+            (6 << 20, "b".into()),
+            (7 << 20, "c".into()),
+        ];
         let founded = Founded::new(5 << 20, founders);
         let mut log = Log::of(founded.clone());
         log.replace(founded.snapshot());
@@ -353,7 +393,10 @@
             let last = loaded.log.as_ref().map_or(0, Log::last);
             match whole {
                 Some(mark) => {
-                    assert_eq!((last, loaded.well, loaded.spoilt.is_some()), (mark.1, mark.0, end > mark.0))
+                    assert_eq!(
+                        (last, loaded.well, loaded.spoilt.is_some()),
+                        (mark.1, mark.0, end > mark.0)
+                    )
                 }
                 // Within the file as it was first written, which is put in its place only when whole.
                 None => assert!(last <= 1 && loaded.well <= end, "cut at {end}"),
@@ -397,13 +440,22 @@
         (snapshot.mut_metadata().index, snapshot.mut_metadata().term) = (290, 3);
         shared.0.borrow_mut().cut(snapshot);
         assert!(!shared.0.borrow().wants_cut());
-        assert_eq!((shared.first_index().unwrap(), shared.last_index().unwrap()), (227, 300));
         assert_eq!(
-            (shared.term(226).unwrap(), shared.term(290).unwrap(), shared.term(300).unwrap()),
+            (shared.first_index().unwrap(), shared.last_index().unwrap()),
+            (227, 300)
+        );
+        assert_eq!(
+            (
+                shared.term(226).unwrap(),
+                shared.term(290).unwrap(),
+                shared.term(300).unwrap()
+            ),
             (3, 3, 4)
         );
         assert!(shared.term(225).is_err());
-        let some = shared.entries(227, 301, None, GetEntriesContext::empty(false)).unwrap();
+        let some = shared
+            .entries(227, 301, None, GetEntriesContext::empty(false))
+            .unwrap();
         assert_eq!((some.len(), some[0].index), (74, 227));
         // What is read again after a restart begins at the snapshot.
         let again = read(&shared.0.borrow().file()).unwrap().log.unwrap();
--- a/crates/fleet/src/agreed/voters.rs
+++ b/crates/fleet/src/agreed/voters.rs
@@ -62,7 +62,10 @@
 ) -> Option<Change> {
     let lost = seats.iter().find(|s| s.lost(after));
     match (lost, learner) {
-        (Some(seat), Some((new, true, _))) => Some(Change::Swap { new, old: seat.voter.0 }),
+        (Some(seat), Some((new, true, _))) => Some(Change::Swap {
+            new,
+            old: seat.voter.0,
+        }),
         (_, Some((id, _, false))) => Some(Change::Drop(id)),
         (None, Some((id, ..))) => Some(Change::Drop(id)),
         (Some(_), Some(_)) | (None, None) => None,
@@ -74,10 +77,15 @@
             let best = || {
                 candidates.iter().filter(steady).max_by_key(|c| {
                     // Of a zone that has no voter, then who has been there longest.
-                    (!zones.contains(&c.zone), c.for_long, std::cmp::Reverse(c.voter.1.clone()))
+                    (
+                        !zones.contains(&c.zone),
+                        c.for_long,
+                        std::cmp::Reverse(c.voter.1.clone()),
+                    )
                 })
             };
-            own.or_else(|| best().filter(|_| all_keep)).map(|c| Change::Learn(c.voter.clone()))
+            own.or_else(|| best().filter(|_| all_keep))
+                .map(|c| Change::Learn(c.voter.clone()))
         }
     }
 }
@@ -89,18 +97,31 @@
     const S: Micros = 1_000_000;
 
     fn seat(id: u64, name: &str, stands: Option<(Standing, Micros)>, shows: u64) -> Seat {
-        Seat { voter: (id, name.into()), stands, shows: Some(shows) }
+        Seat {
+            voter: (id, name.into()),
+            stands,
+            shows: Some(shows),
+        }
     }
 
     fn candidate(id: u64, name: &str, zone: &str, keeps: bool, for_long: Micros) -> Candidate {
-        Candidate { voter: (id, name.into()), zone: zone.into(), keeps, for_long }
+        Candidate {
+            voter: (id, name.into()),
+            zone: zone.into(),
+            keeps,
+            for_long,
+        }
     }
 
     #[test]
     fn who_is_gone_for_good_is_replaced_step_by_step_and_who_is_back_keeps_its_seat() {
         let up = Some((Standing::Alive, 99 * S));
         let seats = |down| {
-            vec![seat(1, "a", up, 1), seat(2, "b", up, 2), seat(3, "c", Some((Standing::Down, down)), 3)]
+            vec![
+                seat(1, "a", up, 1),
+                seat(2, "b", up, 2),
+                seat(3, "c", Some((Standing::Down, down)), 3),
+            ]
         };
         let zones = ["z0".to_string(), "z1".into()];
         let others = [
@@ -109,19 +130,49 @@
             candidate(9, "f", "z2", false, 80 * S),
             candidate(10, "g", "z3", true, S),
         ];
-        assert_eq!(next(&seats(299 * S), None, &others, &zones, 300 * S, true), None);
+        assert_eq!(
+            next(&seats(299 * S), None, &others, &zones, 300 * S, true),
+            None
+        );
         assert_eq!(
             next(&seats(300 * S), None, &others, &zones, 300 * S, true),
             Some(Change::Learn((8, "e".into())))
         );
-        assert_eq!(next(&seats(300 * S), None, &[], &zones, 300 * S, true), None);
-        assert_eq!(next(&seats(301 * S), Some((8, false, true)), &others, &zones, 300 * S, true), None);
         assert_eq!(
-            next(&seats(302 * S), Some((8, true, true)), &others, &zones, 300 * S, true),
+            next(&seats(300 * S), None, &[], &zones, 300 * S, true),
+            None
+        );
+        assert_eq!(
+            next(
+                &seats(301 * S),
+                Some((8, false, true)),
+                &others,
+                &zones,
+                300 * S,
+                true
+            ),
+            None
+        );
+        assert_eq!(
+            next(
+                &seats(302 * S),
+                Some((8, true, true)),
+                &others,
+                &zones,
+                300 * S,
+                true
+            ),
             Some(Change::Swap { new: 8, old: 3 })
         );
         assert_eq!(
-            next(&seats(302 * S), Some((8, false, false)), &others, &zones, 300 * S, true),
+            next(
+                &seats(302 * S),
+                Some((8, false, false)),
+                &others,
+                &zones,
+                300 * S,
+                true
+            ),
             Some(Change::Drop(8))
         );
         assert_eq!(
@@ -131,7 +182,14 @@
         );
         // Back before it was replaced.
         assert_eq!(
-            next(&seats(0), Some((8, true, true)), &others, &zones, 300 * S, true),
+            next(
+                &seats(0),
+                Some((8, true, true)),
+                &others,
+                &zones,
+                300 * S,
+                true
+            ),
             Some(Change::Drop(8))
         );
     }
@@ -139,9 +197,19 @@
     #[test]
     fn who_lost_its_log_gets_its_seat_again_under_its_new_id_at_once() {
         let up = Some((Standing::Alive, 99 * S));
-        let seats = [seat(1, "a", up, 1), seat(2, "b", up, 22), seat(3, "c", up, 3)];
-        let others = [candidate(8, "e", "z2", true, 50 * S), candidate(22, "b", "z0", false, 0)];
-        assert_eq!(next(&seats, None, &others, &[], 300 * S, false), Some(Change::Learn((22, "b".into()))));
+        let seats = [
+            seat(1, "a", up, 1),
+            seat(2, "b", up, 22),
+            seat(3, "c", up, 3),
+        ];
+        let others = [
+            candidate(8, "e", "z2", true, 50 * S),
+            candidate(22, "b", "z0", false, 0),
+        ];
+        assert_eq!(
+            next(&seats, None, &others, &[], 300 * S, false),
+            Some(Change::Learn((22, "b".into())))
+        );
         assert_eq!(
             next(&seats, Some((22, true, true)), &others, &[], 300 * S, false),
             Some(Change::Swap { new: 22, old: 2 })
