--- a/crates/fleet/src/facts.rs
+++ b/crates/fleet/src/facts.rs
@@ -109,12 +109,18 @@
         Some(taken)
     }
     fn number(&mut self, bytes: usize) -> Option<u64> {
-        Some(self.take(bytes)?.iter().fold(0, |n, &b| n << 8 | u64::from(b)))
+        Some(
+            self.take(bytes)?
+                .iter()
+                .fold(0, |n, &b| n << 8 | u64::from(b)),
+        )
     }
     /// A name and a kind.
     fn place(&mut self) -> Option<Place> {
         let length = self.number(1)? as usize;
-        let name = std::str::from_utf8(self.take(length)?).ok().filter(|n| n.len() <= NAME_MOST)?;
+        let name = std::str::from_utf8(self.take(length)?)
+            .ok()
+            .filter(|n| n.len() <= NAME_MOST)?;
         Some((name.into(), self.number(2)? as Kind))
     }
 }
@@ -131,7 +137,14 @@
         let me: Rc<str> = me.into();
         let owners = BTreeMap::from([(me.clone(), None)]);
         let (records, cursor, refused) = (BTreeMap::new(), first_place(), Refusals::default());
-        Facts { me, session, records, owners, cursor, refused }
+        Facts {
+            me,
+            session,
+            records,
+            owners,
+            cursor,
+            refused,
+        }
     }
 
     /// Tells a record of our own, if it is new. False where it is too long or of one kind too many.
@@ -147,7 +160,17 @@
         }
         let version = old.map_or(0, |r| r.version) + 1;
         let (session, value) = (self.session, Rc::from(value));
-        self.records.insert(place, Record { session, version, value, came: now, age: 0, rounds });
+        self.records.insert(
+            place,
+            Record {
+                session,
+                version,
+                value,
+                came: now,
+                age: 0,
+                rounds,
+            },
+        );
         true
     }
 
@@ -170,13 +193,24 @@
     pub fn get(&self, now: Micros, owner: &str, kind: Kind) -> Option<Fact<'_>> {
         let place = (Rc::from(owner), kind);
         let gone = self.owners.get(&place.0).copied().flatten();
-        self.records.get(&place).map(|r| self.fact(now, &place.0, gone, r))
+        self.records
+            .get(&place)
+            .map(|r| self.fact(now, &place.0, gone, r))
     }
 
     fn fact<'a>(&self, now: Micros, owner: &str, gone: Option<Micros>, r: &'a Record) -> Fact<'a> {
         // Our own word is as good as new for as long as we are there.
-        let age = if owner == &*self.me { 0 } else { r.age + now.saturating_sub(r.came) };
-        Fact { value: &r.value, age, reachable: gone.is_none(), version: r.version }
+        let age = if owner == &*self.me {
+            0
+        } else {
+            r.age + now.saturating_sub(r.came)
+        };
+        Fact {
+            value: &r.value,
+            age,
+            reachable: gone.is_none(),
+            version: r.version,
+        }
     }
 
     /// All that is known under a kind, by owner.
@@ -207,7 +241,12 @@
             }
         }
         let over = |gone: &Option<Micros>| gone.is_some_and(|since| now > since + KEEP_GONE);
-        let dropped: Vec<Rc<str>> = self.owners.iter().filter(|o| over(o.1)).map(|o| o.0.clone()).collect();
+        let dropped: Vec<Rc<str>> = self
+            .owners
+            .iter()
+            .filter(|o| over(o.1))
+            .map(|o| o.0.clone())
+            .collect();
         for name in dropped {
             self.drop_owner(&name);
         }
@@ -228,7 +267,9 @@
             Some(_) => {}
             None => {
                 let known = self.owners.contains_key(&place.0);
-                if !known && self.owners.len() >= OWNERS_MOST || self.kinds_of(&place.0) >= KINDS_MOST {
+                if !known && self.owners.len() >= OWNERS_MOST
+                    || self.kinds_of(&place.0) >= KINDS_MOST
+                {
                     self.refused.bounds += 1;
                     return false;
                 }
@@ -236,8 +277,13 @@
         }
         // What an earlier process of the owner's told says nothing any more.
         let (owner, session) = (place.0.clone(), new.session);
-        self.records.retain(|p, r| p.0 != owner || r.session >= session);
-        if self.records.range(places_of(&owner)).any(|r| r.1.session > session) {
+        self.records
+            .retain(|p, r| p.0 != owner || r.session >= session);
+        if self
+            .records
+            .range(places_of(&owner))
+            .any(|r| r.1.session > session)
+        {
             return false;
         }
         self.owners.entry(owner).or_insert(Some(now));
@@ -248,8 +294,9 @@
     /// Somebody tells what we never told: ours is told anew, so that it outdoes that.
     fn contradict(&mut self, now: Micros, place: &Place, new: &Record) -> bool {
         let own = self.records.get(place);
-        let known = own
-            .is_some_and(|r| r.number() > new.number() || r.number() == new.number() && r.value == new.value);
+        let known = own.is_some_and(|r| {
+            r.number() > new.number() || r.number() == new.number() && r.value == new.value
+        });
         if known || new.session < self.session {
             return false;
         }
@@ -258,7 +305,8 @@
         let (session, me) = (self.session, self.me.clone());
         let least = new.version + 1;
         for (_, r) in self.records.range_mut(places_of(&me)) {
-            (r.session, r.version, r.rounds, r.came) = (session, r.version.max(least), r.rounds.max(8), now);
+            (r.session, r.version, r.rounds, r.came) =
+                (session, r.version.max(least), r.rounds.max(8), now);
         }
         true
     }
@@ -275,7 +323,14 @@
                 let length = bytes.number(2)? as usize;
                 let value = bytes.take(length).filter(|v| v.len() <= VALUE_MOST)?;
                 let fits = !place.0.is_empty() && session <= NUMBER_MOST && version <= NUMBER_MOST;
-                let record = Record { session, version, value: value.into(), came: now, age, rounds };
+                let record = Record {
+                    session,
+                    version,
+                    value: value.into(),
+                    came: now,
+                    age,
+                    rounds,
+                };
                 fits.then_some((place, record))
             };
             let Some((place, record)) = read() else {
@@ -291,7 +346,11 @@
         write_place(place, out);
         out.extend(r.session.to_be_bytes());
         out.extend(r.version.to_be_bytes());
-        let age = if own { 0 } else { (r.age + now.saturating_sub(r.came)).min(AGE_MOST) };
+        let age = if own {
+            0
+        } else {
+            (r.age + now.saturating_sub(r.came)).min(AGE_MOST)
+        };
         out.extend(((age / 1000) as u32).to_be_bytes());
         out.extend((r.value.len() as u16).to_be_bytes());
         out.extend_from_slice(&r.value);
@@ -299,14 +358,20 @@
 
     /// A datagram of at most so many bytes with what is to be passed on in this round; `None` if nothing is.
     pub fn rumours(&mut self, now: Micros, most: usize) -> Option<Vec<u8>> {
-        let mut due: Vec<Place> =
-            self.records.iter().filter(|r| r.1.rounds > 0).map(|r| r.0.clone()).collect();
+        let mut due: Vec<Place> = self
+            .records
+            .iter()
+            .filter(|r| r.1.rounds > 0)
+            .map(|r| r.0.clone())
+            .collect();
         // What was passed on least goes first.
         due.sort_by_key(|p| std::cmp::Reverse(self.records[p].rounds));
         let mut out = Vec::new();
         for place in due {
             let own = place.0 == self.me;
-            let Some(r) = self.records.get_mut(&place) else { continue };
+            let Some(r) = self.records.get_mut(&place) else {
+                continue;
+            };
             let before = out.len();
             Facts::write(now, &place, r, own, &mut out);
             if out.len() > most {
@@ -382,7 +447,11 @@
         let mut head = || {
             let ask = bytes.number(1)? == 1;
             let low = bytes.place()?;
-            let high = if bytes.number(1)? == 1 { Some(bytes.place()?) } else { None };
+            let high = if bytes.number(1)? == 1 {
+                Some(bytes.place()?)
+            } else {
+                None
+            };
             Some((ask, low, high))
         };
         let Some((ask, low, high)) = head() else {
@@ -399,7 +468,11 @@
             theirs.insert(place, number);
         }
         let inside = |place: &Place| high.as_ref().is_none_or(|h| place <= h);
-        let ours = || self.records.range(low.clone()..).take_while(|r| inside(r.0));
+        let ours = || {
+            self.records
+                .range(low.clone()..)
+                .take_while(|r| inside(r.0))
+        };
         let mut datagrams: Vec<Vec<u8>> = Vec::new();
         for (place, r) in ours().filter(|(p, r)| theirs.get(*p).is_none_or(|n| *n < r.number())) {
             let mut one = Vec::new();
@@ -411,7 +484,9 @@
                 None => datagrams.push(one),
             }
         }
-        let lacks = theirs.iter().any(|(place, n)| self.records.get(place).is_none_or(|r| r.number() < *n));
+        let lacks = theirs
+            .iter()
+            .any(|(place, n)| self.records.get(place).is_none_or(|r| r.number() < *n));
         let answer = (ask && lacks).then(|| self.digest_of(&low, high.as_ref(), most, false).0);
         (datagrams, answer)
     }
@@ -456,7 +531,10 @@
         assert_eq!(b.take(3 * S, &second, 3), 1);
         assert_eq!(b.take(3 * S, &second, 3), 0, "news twice");
         let fact = b.get(5 * S, "a", 7).unwrap();
-        assert_eq!((fact.value, fact.age, fact.reachable), (&b"two"[..], 2 * S, true));
+        assert_eq!(
+            (fact.value, fact.age, fact.reachable),
+            (&b"two"[..], 2 * S, true)
+        );
         // Through a third its age goes on.
         let mut c = Facts::new("c", 1);
         c.take(6 * S, &b.rumours(6 * S, MOST).unwrap(), 3);
@@ -468,7 +546,10 @@
         assert!(b.get(7 * S, "a", 7).is_none());
         assert_eq!(b.get(7 * S, "a", 8).unwrap().value, b"new");
         b.take(8 * S, &second, 3);
-        assert!(b.get(8 * S, "a", 7).is_none(), "a word of an earlier process came late");
+        assert!(
+            b.get(8 * S, "a", 7).is_none(),
+            "a word of an earlier process came late"
+        );
     }
 
     #[test]
@@ -552,7 +633,10 @@
         }
         exchange(S, &mut a, &mut b);
         let all = |f: &Facts| -> Vec<(Place, (u64, u64))> {
-            f.records.iter().map(|r| (r.0.clone(), r.1.number())).collect()
+            f.records
+                .iter()
+                .map(|r| (r.0.clone(), r.1.number()))
+                .collect()
         };
         assert_eq!(a.len(), 300);
         assert_eq!(all(&a), all(&b));
@@ -584,7 +668,9 @@
                 for d in [&bytes, &told, &digest] {
                     a.take(0, d, 1);
                     let (sends, answer) = a.compare(0, d, MOST, 2);
-                    assert!(sends.len() <= 2 && sends.iter().chain(&answer).all(|d| d.len() <= MOST));
+                    assert!(
+                        sends.len() <= 2 && sends.iter().chain(&answer).all(|d| d.len() <= MOST)
+                    );
                 }
             }
             a.len() < 2000
--- a/crates/fleet/src/members.rs
+++ b/crates/fleet/src/members.rs
@@ -8,8 +8,8 @@
 use crate::Micros;
 use bytes::{Buf, BufMut};
 use foca::{
-    AccumulatingRuntime, Config, Foca, Header, Member, OwnedNotification, PeriodicParams, PostcardCodec,
-    Timer,
+    AccumulatingRuntime, Config, Foca, Header, Member, OwnedNotification, PeriodicParams,
+    PostcardCodec, Timer,
 };
 use rand::rngs::SmallRng;
 use rand::SeedableRng;
@@ -38,12 +38,18 @@
 /// Each word is passed on so often by each: three times the logarithm of 300.
 const PASS_ON: NonZeroU8 = NonZeroU8::new(18).unwrap();
 const PACKET_MOST: NonZeroUsize = NonZeroUsize::new(PAYLOAD_MOST).unwrap();
-const GOSSIP: PeriodicParams =
-    PeriodicParams { frequency: Duration::from_millis(200), num_members: NonZeroUsize::new(3).unwrap() };
-const ANNOUNCE: PeriodicParams =
-    PeriodicParams { frequency: Duration::from_secs(10), num_members: NonZeroUsize::MIN };
-const ASK_DOWN: PeriodicParams =
-    PeriodicParams { frequency: Duration::from_secs(2), num_members: NonZeroUsize::new(2).unwrap() };
+const GOSSIP: PeriodicParams = PeriodicParams {
+    frequency: Duration::from_millis(200),
+    num_members: NonZeroUsize::new(3).unwrap(),
+};
+const ANNOUNCE: PeriodicParams = PeriodicParams {
+    frequency: Duration::from_secs(10),
+    num_members: NonZeroUsize::MIN,
+};
+const ASK_DOWN: PeriodicParams = PeriodicParams {
+    frequency: Duration::from_secs(2),
+    num_members: NonZeroUsize::new(2).unwrap(),
+};
 
 /// A process of the fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -70,14 +76,22 @@
 
     /// Somebody unknown at an address.
     pub fn at(addr: SocketAddr) -> Identity {
-        Identity { name: String::new(), addr, session: 0, back: 0 }
+        Identity {
+            name: String::new(),
+            addr,
+            session: 0,
+            back: 0,
+        }
     }
 }
 
 impl foca::Identity for Identity {
     type Addr = SocketAddr;
     fn renew(&self) -> Option<Identity> {
-        Some(Identity { back: self.back.wrapping_add(1), ..self.clone() })
+        Some(Identity {
+            back: self.back.wrapping_add(1),
+            ..self.clone()
+        })
     }
     fn addr(&self) -> SocketAddr {
         self.addr
@@ -110,20 +124,27 @@
 }
 
 fn bounded(id: &Identity) -> Result<(), Unreadable> {
-    (id.name.len() <= NAME_MOST).then_some(()).ok_or_else(|| Unreadable("a name too long".into()))
+    (id.name.len() <= NAME_MOST)
+        .then_some(())
+        .ok_or_else(|| Unreadable("a name too long".into()))
 }
 
 impl Codec {
     fn room(&self, id: &Identity) -> Result<(), Unreadable> {
         let names = self.1.borrow();
         let fits = names.len() < MEMBERS_MOST || names.contains(&id.name);
-        fits.then_some(()).ok_or_else(|| Unreadable("too many members".into()))
+        fits.then_some(())
+            .ok_or_else(|| Unreadable("too many members".into()))
     }
 }
 
 impl foca::Codec<Identity> for Codec {
     type Error = Unreadable;
-    fn encode_header(&mut self, header: &Header<Identity>, buf: impl BufMut) -> Result<(), Unreadable> {
+    fn encode_header(
+        &mut self,
+        header: &Header<Identity>,
+        buf: impl BufMut,
+    ) -> Result<(), Unreadable> {
         self.0.encode_header(header, buf).map_err(unreadable)
     }
     fn decode_header(&mut self, buf: impl Buf) -> Result<Header<Identity>, Unreadable> {
@@ -132,7 +153,11 @@
         self.room(&header.src)?;
         Ok(header)
     }
-    fn encode_member(&mut self, member: &Member<Identity>, buf: impl BufMut) -> Result<(), Unreadable> {
+    fn encode_member(
+        &mut self,
+        member: &Member<Identity>,
+        buf: impl BufMut,
+    ) -> Result<(), Unreadable> {
         self.0.encode_member(member, buf).map_err(unreadable)
     }
     fn decode_member(&mut self, buf: impl Buf) -> Result<Member<Identity>, Unreadable> {
@@ -209,7 +234,12 @@
         let mut rng = SmallRng::seed_from_u64(seed);
         let names = Names::default();
         Members {
-            foca: Foca::new(me, config(), SmallRng::from_rng(&mut rng), Codec(PostcardCodec, names.clone())),
+            foca: Foca::new(
+                me,
+                config(),
+                SmallRng::from_rng(&mut rng),
+                Codec(PostcardCodec, names.clone()),
+            ),
             names,
             rng,
             timers: BTreeMap::new(),
@@ -267,7 +297,8 @@
         }
         while let Some((after, timer)) = runtime.to_schedule() {
             self.order += 1;
-            self.timers.insert((now + after.as_micros() as Micros, self.order), timer);
+            self.timers
+                .insert((now + after.as_micros() as Micros, self.order), timer);
         }
         while let Some(told) = runtime.to_notify() {
             changes.extend(match told {
@@ -326,7 +357,9 @@
         out: &mut Vec<(Identity, Vec<u8>)>,
         ch: &mut Vec<Change>,
     ) {
-        self.work(now, out, ch, |foca, runtime| foca.announce(Identity::at(at), runtime));
+        self.work(now, out, ch, |foca, runtime| {
+            foca.announce(Identity::at(at), runtime)
+        });
     }
 
     /// Leaves in order: the others need not find out.
@@ -338,10 +371,17 @@
     /// was set back, and those who remember that other one would not let it in.
     pub fn behind(&self, bytes: &[u8]) -> Option<(Identity, u64)> {
         let header: Header<Identity> =
-            foca::Codec::decode_header(&mut Codec(PostcardCodec, self.names.clone()), bytes).ok()?;
-        let there = self.there().filter(|m| m.name == header.src.name).map(|m| m.session);
+            foca::Codec::decode_header(&mut Codec(PostcardCodec, self.names.clone()), bytes)
+                .ok()?;
+        let there = self
+            .there()
+            .filter(|m| m.name == header.src.name)
+            .map(|m| m.session);
         let gone = self.gone.get(&header.src.name).map(|g| g.0.session);
-        let known = there.chain(gone).max().filter(|&known| known > header.src.session)?;
+        let known = there
+            .chain(gone)
+            .max()
+            .filter(|&known| known > header.src.session)?;
         Some((header.src, known))
     }
 
@@ -350,7 +390,11 @@
         if session <= self.me().session || session >= Identity::SESSION_MOST {
             return false;
         }
-        let me = Identity { session: session + 1, back: 0, ..self.me().clone() };
+        let me = Identity {
+            session: session + 1,
+            back: 0,
+            ..self.me().clone()
+        };
         self.start_over_as(now, me, out);
         true
     }
@@ -363,14 +407,18 @@
         out: &mut Vec<(Identity, Vec<u8>)>,
         ch: &mut Vec<Change>,
     ) {
-        self.work(now, out, ch, |foca, runtime| foca.handle_data(bytes, runtime));
+        self.work(now, out, ch, |foca, runtime| {
+            foca.handle_data(bytes, runtime)
+        });
     }
 
     /// Lets all timers come due that should have by now.
     pub fn tick(&mut self, now: Micros, out: &mut Vec<(Identity, Vec<u8>)>, ch: &mut Vec<Change>) {
         while let Some(entry) = self.timers.first_entry().filter(|t| t.key().0 <= now) {
             let timer = entry.remove();
-            self.work(now, out, ch, |foca, runtime| foca.handle_timer(timer, runtime));
+            self.work(now, out, ch, |foca, runtime| {
+                foca.handle_timer(timer, runtime)
+            });
         }
     }
 
@@ -382,12 +430,19 @@
     /// All that are known but us, with their standing and for how long it has been so.
     pub fn known(&self, now: Micros) -> impl Iterator<Item = (&Identity, Standing, Micros)> + '_ {
         let there = self.foca.iter_members().map(move |m| {
-            let standing =
-                if m.state() == foca::State::Suspect { Standing::Doubted } else { Standing::Alive };
+            let standing = if m.state() == foca::State::Suspect {
+                Standing::Doubted
+            } else {
+                Standing::Alive
+            };
             let since = self.since.get(&m.id().session).copied().unwrap_or(0);
             (m.id(), standing, now.saturating_sub(since))
         });
-        there.chain(self.gone.values().map(move |(id, at)| (id, Standing::Down, now.saturating_sub(*at))))
+        there.chain(
+            self.gone
+                .values()
+                .map(move |(id, at)| (id, Standing::Down, now.saturating_sub(*at))),
+        )
     }
 
     /// Where those that went down were.
@@ -411,7 +466,12 @@
     use super::*;
 
     fn id(name: &str, port: u16) -> Identity {
-        Identity { name: name.into(), addr: SocketAddr::from(([127, 0, 0, 1], port)), session: 5, back: 0 }
+        Identity {
+            name: name.into(),
+            addr: SocketAddr::from(([127, 0, 0, 1], port)),
+            session: 5,
+            back: 0,
+        }
     }
 
     #[test]
--- a/crates/fleet/src/seal.rs
+++ b/crates/fleet/src/seal.rs
@@ -197,7 +197,11 @@
     fn take(&mut self, count: u64) -> bool {
         if count > self.highest {
             let ahead = count - self.highest;
-            self.mask = if ahead >= WINDOW { 0 } else { self.mask << ahead };
+            self.mask = if ahead >= WINDOW {
+                0
+            } else {
+                self.mask << ahead
+            };
             (self.highest, self.mask) = (count, self.mask | 1);
             return true;
         }
@@ -224,7 +228,14 @@
 impl Seal {
     /// For a process of this session; 0 is none.
     pub fn new(keys: Keyring, session: u64) -> Seal {
-        Seal { keys, session: session.max(1), count: 0, seen: BTreeMap::new(), taken: 0, forgotten: 0 }
+        Seal {
+            keys,
+            session: session.max(1),
+            count: 0,
+            seen: BTreeMap::new(),
+            taken: 0,
+            forgotten: 0,
+        }
     }
 
     /// Another session from now on: what was meant for the one before is of no use any more.
@@ -258,20 +269,36 @@
 
     /// Opens a datagram.
     pub fn open<'a>(&mut self, datagram: &'a [u8]) -> Result<Opened<'a>, Refused> {
-        if datagram.len() < HEAD + TAG || datagram.len() > DATAGRAM_MOST || !datagram.starts_with(MAGIC) {
+        if datagram.len() < HEAD + TAG
+            || datagram.len() > DATAGRAM_MOST
+            || !datagram.starts_with(MAGIC)
+        {
             return Err(Refused::Foreign);
         }
         if datagram[2] != VERSION {
             return Err(Refused::Version);
         }
-        let key = self.keys.keys.iter().position(|k| k.id() == datagram[3]).ok_or(Refused::UnknownKey)?;
+        let key = self
+            .keys
+            .keys
+            .iter()
+            .position(|k| k.id() == datagram[3])
+            .ok_or(Refused::UnknownKey)?;
         let (sealed, tag) = datagram.split_at(datagram.len() - TAG);
         // Compared whole, so that the time it takes tells nothing of where it differs.
-        let differ = self.keys.keys[key].tag(sealed).iter().zip(tag).fold(0, |d, (a, b)| d | (a ^ b));
+        let differ = self.keys.keys[key]
+            .tag(sealed)
+            .iter()
+            .zip(tag)
+            .fold(0, |d, (a, b)| d | (a ^ b));
         if differ != 0 {
             return Err(Refused::Spoilt);
         }
-        let number = |at: usize| sealed[at..at + 8].iter().fold(0u64, |n, &b| n << 8 | u64::from(b));
+        let number = |at: usize| {
+            sealed[at..at + 8]
+                .iter()
+                .fold(0u64, |n, &b| n << 8 | u64::from(b))
+        };
         let (session, count, receiver) = (number(4), number(12), number(20));
         if receiver != 0 && receiver != self.session || session == self.session {
             return Err(Refused::Stale);
@@ -287,7 +314,12 @@
             return Err(Refused::Replayed);
         }
         let payload = Payload::of(sealed[28]);
-        Ok(Opened { payload, bytes: &sealed[HEAD..], session, old_key: key > 0 })
+        Ok(Opened {
+            payload,
+            bytes: &sealed[HEAD..],
+            session,
+            old_key: key > 0,
+        })
     }
 }
 
@@ -308,7 +340,10 @@
         let (mut a, mut b) = (Seal::new(keys(ONE), 7), Seal::new(keys(ONE), 8));
         let sent = a.seal(Payload::Facts, b"hello", 8).unwrap();
         let opened = b.open(&sent).unwrap();
-        assert_eq!((opened.payload, opened.bytes, opened.session), (Payload::Facts, &b"hello"[..], 7));
+        assert_eq!(
+            (opened.payload, opened.bytes, opened.session),
+            (Payload::Facts, &b"hello"[..], 7)
+        );
         assert_eq!(b.open(&sent), Err(Refused::Replayed));
         // Every bit counts.
         let sent = a.seal(Payload::Facts, b"hello", 8).unwrap();
@@ -322,7 +357,10 @@
         }
         assert!(b.open(&sent).is_ok());
         assert_eq!(a.seal(Payload::Facts, &[0; PAYLOAD_MOST + 1], 8), None);
-        assert_eq!(a.seal(Payload::Facts, &[0; PAYLOAD_MOST], 8).unwrap().len(), DATAGRAM_MOST);
+        assert_eq!(
+            a.seal(Payload::Facts, &[0; PAYLOAD_MOST], 8).unwrap().len(),
+            DATAGRAM_MOST
+        );
     }
 
     #[test]
@@ -331,7 +369,9 @@
         let sent = a.seal(Payload::Members, b"x", 8).unwrap();
         let mut restarted = Seal::new(keys(ONE), 9);
         assert_eq!(restarted.open(&sent), Err(Refused::Stale));
-        assert!(restarted.open(&a.seal(Payload::Members, b"x", 0).unwrap()).is_ok());
+        assert!(restarted
+            .open(&a.seal(Payload::Members, b"x", 0).unwrap())
+            .is_ok());
         // Its own words, sent back to it.
         let own = restarted.seal(Payload::Members, b"x", 0).unwrap();
         assert_eq!(restarted.open(&own), Err(Refused::Stale));
@@ -342,17 +382,43 @@
         let mut old = Seal::new(keys(ONE), 1);
         let mut both = Seal::new(keys(&format!("{TWO} # new\n\n{ONE}\n")), 2);
         let mut new = Seal::new(keys(TWO), 3);
-        assert!(both.open(&old.seal(Payload::Facts, b"", 2).unwrap()).unwrap().old_key);
-        assert!(!both.open(&new.seal(Payload::Facts, b"", 2).unwrap()).unwrap().old_key);
-        assert_eq!(old.open(&new.seal(Payload::Facts, b"", 1).unwrap()), Err(Refused::UnknownKey));
-        assert_eq!(old.open(&both.seal(Payload::Facts, b"", 1).unwrap()), Err(Refused::UnknownKey));
+        assert!(
+            both.open(&old.seal(Payload::Facts, b"", 2).unwrap())
+                .unwrap()
+                .old_key
+        );
+        assert!(
+            !both
+                .open(&new.seal(Payload::Facts, b"", 2).unwrap())
+                .unwrap()
+                .old_key
+        );
+        assert_eq!(
+            old.open(&new.seal(Payload::Facts, b"", 1).unwrap()),
+            Err(Refused::UnknownKey)
+        );
+        assert_eq!(
+            old.open(&both.seal(Payload::Facts, b"", 1).unwrap()),
+            Err(Refused::UnknownKey)
+        );
         old.change_keys(keys(&format!("{ONE}\n{TWO}")));
-        assert!(old.open(&both.seal(Payload::Facts, b"", 1).unwrap()).is_ok());
-        for (text, why) in [("", "no key"), ("xyz", "line 1"), (&format!("{ONE}\n{ONE}"), "line 2")] {
+        assert!(old
+            .open(&both.seal(Payload::Facts, b"", 1).unwrap())
+            .is_ok());
+        for (text, why) in [
+            ("", "no key"),
+            ("xyz", "line 1"),
+            (&format!("{ONE}\n{ONE}"), "line 2"),
+        ] {
             assert!(Keyring::parse(text).unwrap_err().contains(why));
         }
-        assert!(Keyring::parse(&format!("{ONE}\n{TWO}\n{ONE}")).unwrap_err().contains("line 3"));
-        assert!(!format!("{:?}", keys(ONE)).contains("0102"), "a key is not shown");
+        assert!(Keyring::parse(&format!("{ONE}\n{TWO}\n{ONE}"))
+            .unwrap_err()
+            .contains("line 3"));
+        assert!(
+            !format!("{:?}", keys(ONE)).contains("0102"),
+            "a key is not shown"
+        );
     }
 
     #[test]
@@ -371,7 +437,8 @@
         let mut own = Seal::new(keys(ONE), 1);
         for session in 10..10 + SESSIONS_MOST as u64 + 5 {
             let mut other = Seal::new(keys(ONE), session);
-            own.open(&other.seal(Payload::Facts, b"", 1).unwrap()).unwrap();
+            own.open(&other.seal(Payload::Facts, b"", 1).unwrap())
+                .unwrap();
         }
         assert_eq!((own.seen.len(), own.forgotten), (SESSIONS_MOST, 5));
         assert!(!own.seen.contains_key(&10) && own.seen.contains_key(&15));
@@ -400,7 +467,11 @@
     fn nothing_that_comes_makes_it_panic() {
         fn opens(bytes: Vec<u8>, headed: bool) -> bool {
             let mut own = Seal::new(keys(ONE), 1);
-            let bytes = if headed { [b"DF\x01", &bytes[..]].concat() } else { bytes };
+            let bytes = if headed {
+                [b"DF\x01", &bytes[..]].concat()
+            } else {
+                bytes
+            };
             own.open(&bytes).is_err()
         }
         quickcheck(opens as fn(Vec<u8>, bool) -> bool);
--- a/crates/fleet/src/unit.rs
+++ b/crates/fleet/src/unit.rs
@@ -132,7 +132,12 @@
 
 impl Budget {
     fn new(rate: f64) -> Budget {
-        Budget { rate, left: rate, bytes: rate * BYTES_A_DATAGRAM, at: 0 }
+        Budget {
+            rate,
+            left: rate,
+            bytes: rate * BYTES_A_DATAGRAM,
+            at: 0,
+        }
     }
 
     fn take(&mut self, now: Micros, bytes: usize) -> bool {
@@ -295,12 +300,16 @@
         let (bytes, from) = (opened.bytes, opened.session);
         match opened.payload {
             Payload::Members => {
-                if let Some((sender, known)) =
-                    self.members.behind(bytes).filter(|_| self.may_tell_behind(now))
+                if let Some((sender, known)) = self
+                    .members
+                    .behind(bytes)
+                    .filter(|_| self.may_tell_behind(now))
                 {
                     self.send(now, &sender, Payload::Behind, &known.to_be_bytes());
                 }
-                self.with_members(now, |members, out, changes| members.take(now, bytes, out, changes));
+                self.with_members(now, |members, out, changes| {
+                    members.take(now, bytes, out, changes)
+                });
             }
             Payload::Behind => {
                 if let Ok(known) = bytes.try_into() {
@@ -312,8 +321,12 @@
                 self.facts.take(now, bytes, rounds);
             }
             Payload::Digest => {
-                let (tell, ask) = self.facts.compare(now, bytes, PAYLOAD_MOST, COMPARE_DATAGRAMS);
-                let Some(to) = self.members.there().find(|m| m.session == from).cloned() else { return };
+                let (tell, ask) = self
+                    .facts
+                    .compare(now, bytes, PAYLOAD_MOST, COMPARE_DATAGRAMS);
+                let Some(to) = self.members.there().find(|m| m.session == from).cloned() else {
+                    return;
+                };
                 for datagram in tell {
                     self.send(now, &to, Payload::Facts, &datagram);
                 }
@@ -322,7 +335,9 @@
                 }
             }
             Payload::Agreed => {
-                let Some(name) = self.name_of(from) else { return };
+                let Some(name) = self.name_of(from) else {
+                    return;
+                };
                 if let Some(agreed) = &mut self.agreed {
                     agreed.take(now, clock, &name, bytes);
                 }
@@ -335,7 +350,10 @@
     /// Who has this session, of those that are known, be they called down or not.
     fn name_of(&self, session: u64) -> Option<String> {
         let now = self.pace.now();
-        self.members.known(now).find(|k| k.0.session == session).map(|k| k.0.name.clone())
+        self.members
+            .known(now)
+            .find(|k| k.0.session == session)
+            .map(|k| k.0.name.clone())
     }
 
     /// Time has passed.
@@ -364,7 +382,9 @@
     }
 
     fn tick_agreed(&mut self, now: Micros, clock: Micros) {
-        let Some(agreed) = &mut self.agreed else { return };
+        let Some(agreed) = &mut self.agreed else {
+            return;
+        };
         let (members, facts) = (&self.members, &self.facts);
         agreed.tick(now, clock, || {
             let mut peers: Vec<Peer> = members
@@ -376,7 +396,9 @@
                         .get(now, &id.name, ABOUT)
                         .and_then(|f| About::read(f.value))
                         .map_or(String::new(), |a| a.zone),
-                    notice: facts.get(now, &id.name, AGREED).and_then(|f| Notice::read(f.value)),
+                    notice: facts
+                        .get(now, &id.name, AGREED)
+                        .and_then(|f| Notice::read(f.value)),
                 })
                 .collect();
             // Of one name the one that is there counts.
@@ -398,7 +420,11 @@
     fn send_agreed(&mut self, now: Micros) {
         while let Some((name, bytes)) = self.agreed.as_mut().and_then(Agreed::to_send) {
             // Who is called down may be cut off from others alone: what is for it goes where it was last.
-            let known = self.members.known(now).filter(|k| k.0.name == name).min_by_key(|k| k.1);
+            let known = self
+                .members
+                .known(now)
+                .filter(|k| k.0.name == name)
+                .min_by_key(|k| k.1);
             if let Some(to) = known.map(|k| k.0.clone()) {
                 self.send(now, &to, Payload::Agreed, &bytes);
             }
@@ -407,8 +433,17 @@
 
     /// When [`Fleet::tick`] is due next, by the host's clock.
     pub fn next_due(&self) -> Micros {
-        let own = [self.next_join, self.next_round, self.next_compare, self.next_look];
-        let first = own.into_iter().chain(self.members.next_due()).min().unwrap_or(0);
+        let own = [
+            self.next_join,
+            self.next_round,
+            self.next_compare,
+            self.next_look,
+        ];
+        let first = own
+            .into_iter()
+            .chain(self.members.next_due())
+            .min()
+            .unwrap_or(0);
         self.pace.clock_at(first).unwrap_or(0)
     }
 
@@ -433,7 +468,9 @@
     pub fn leave(&mut self, clock: Micros) {
         let now = self.pace.look(clock);
         if !self.left {
-            self.with_members(now, |members, out, changes| members.leave(now, out, changes));
+            self.with_members(now, |members, out, changes| {
+                members.leave(now, out, changes)
+            });
             self.left = true;
         }
     }
@@ -471,15 +508,23 @@
             addr: id.addr,
             standing,
             for_long,
-            about: self.facts.get(now, &id.name, ABOUT).and_then(|f| Some((About::read(f.value)?, f.age))),
+            about: self
+                .facts
+                .get(now, &id.name, ABOUT)
+                .and_then(|f| Some((About::read(f.value)?, f.age))),
             is_me,
         };
         let me = std::iter::once((self.me(), Standing::Alive, now, true));
-        let known = self.members.known(now).map(|(id, standing, long)| (id, standing, long, false));
+        let known = self
+            .members
+            .known(now)
+            .map(|(id, standing, long)| (id, standing, long, false));
         let mut all: Vec<_> = me.chain(known).collect();
         all.sort_by(|a, b| (&a.0.name, a.1, b.0.session).cmp(&(&b.0.name, b.1, a.0.session)));
         all.dedup_by(|b, a| a.0.name == b.0.name);
-        all.into_iter().map(|(id, standing, long, is_me)| view(id, standing, long, is_me)).collect()
+        all.into_iter()
+            .map(|(id, standing, long, is_me)| view(id, standing, long, is_me))
+            .collect()
     }
 
     /// What an owner told under a kind.
@@ -494,7 +539,11 @@
 
     /// The counts so far.
     pub fn counters(&self) -> Counters {
-        let Refusals { bounds, malformed, forged } = self.facts.refused;
+        let Refusals {
+            bounds,
+            malformed,
+            forged,
+        } = self.facts.refused;
         Counters {
             stumbles: self.pace.stumbles,
             unreadable: self.members.unreadable,
@@ -517,7 +566,9 @@
     /// An earlier process of our name had a later session, as our clock was set back: ours is made to be above it.
     fn outdo(&mut self, now: Micros, session: u64) {
         let mut done = false;
-        self.with_members(now, |members, out, _| done = members.outdo(now, session, out));
+        self.with_members(now, |members, out, _| {
+            done = members.outdo(now, session, out)
+        });
         if done {
             self.counters.outdone += 1;
             let (session, rounds) = (self.me().session, self.rounds());
@@ -589,7 +640,9 @@
             .filter(|s| *s != own && !self.members.there().any(|m| m.addr == *s))
             .collect();
         if let Some(&seed) = missing.choose(&mut self.rng) {
-            self.with_members(now, |members, out, changes| members.join(now, seed, out, changes));
+            self.with_members(now, |members, out, changes| {
+                members.join(now, seed, out, changes)
+            });
         }
     }
 
@@ -598,8 +651,13 @@
         if others.is_empty() {
             return;
         }
-        let Some(news) = self.facts.rumours(now, PAYLOAD_MOST) else { return };
-        let some: Vec<Identity> = others.choose_multiple(&mut self.rng, FAN).cloned().collect();
+        let Some(news) = self.facts.rumours(now, PAYLOAD_MOST) else {
+            return;
+        };
+        let some: Vec<Identity> = others
+            .choose_multiple(&mut self.rng, FAN)
+            .cloned()
+            .collect();
         for to in some {
             self.send(now, &to, Payload::Facts, &news);
         }
@@ -607,13 +665,16 @@
 
     fn compare(&mut self, now: Micros) {
         let others: Vec<&Identity> = self.members.there().collect();
-        let Some(to) = others.choose(&mut self.rng).map(|&to| to.clone()) else { return };
+        let Some(to) = others.choose(&mut self.rng).map(|&to| to.clone()) else {
+            return;
+        };
         let digest = self.facts.digest(PAYLOAD_MOST);
         self.send(now, &to, Payload::Digest, &digest);
     }
 
     fn look(&mut self, now: Micros) {
-        let there: std::collections::BTreeSet<&str> = self.members.there().map(|m| m.name.as_str()).collect();
+        let there: std::collections::BTreeSet<&str> =
+            self.members.there().map(|m| m.name.as_str()).collect();
         self.facts.look(now, |name| there.contains(name));
     }
 }
@@ -627,9 +688,20 @@
     fn who_hears_nobody_trusts_itself_again_after_a_stumble_and_goes_on_asking() {
         let keys = Keyring::of(Key::parse("000102030405060708090a0b0c0d0e0f").unwrap());
         let addr = |n: u8| SocketAddr::from(([127, 0, 0, n], 1));
-        let me = Identity { name: "m1".into(), addr: addr(1), session: 7, back: 0 };
-        let options =
-            Options { me, about: About::default(), keys, seeds: vec![addr(2)], seed: 1, agreed: None };
+        let me = Identity {
+            name: "m1".into(),
+            addr: addr(1),
+            session: 7,
+            back: 0,
+        };
+        let options = Options {
+            me,
+            about: About::default(),
+            keys,
+            seeds: vec![addr(2)],
+            seed: 1,
+            agreed: None,
+        };
         let mut clock = 1_000_000_000;
         let mut fleet = Fleet::new(clock, options);
         fleet.tick(clock);
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -8,7 +8,9 @@
 pub const HEAD_MOST: usize = 16 * 1024;
 const HEADERS_MOST: usize = 64;
 /// Methods that a client may begin a request with.
-const METHODS: [&str; 7] = ["GET ", "POST ", "DELETE ", "PUT ", "HEAD ", "OPTIONS ", "PATCH "];
+const METHODS: [&str; 7] = [
+    "GET ", "POST ", "DELETE ", "PUT ", "HEAD ", "OPTIONS ", "PATCH ",
+];
 /// An emptied buffer larger than this is given back: one large body must not keep its memory for ever.
 const KEPT: usize = 16 * 1024;
 /// Longest line of a chunk's size, and most bytes of trailers.
@@ -19,7 +21,10 @@
 
 /// Finds a header's value; names are not case sensitive.
 pub fn header<'a>(headers: &'a [Header], name: &str) -> Option<&'a str> {
-    headers.iter().find(|h| h.0.eq_ignore_ascii_case(name)).map(|h| h.1.as_str())
+    headers
+        .iter()
+        .find(|h| h.0.eq_ignore_ascii_case(name))
+        .map(|h| h.1.as_str())
 }
 
 /// A request: whole, or with the beginning of a body that goes on.
@@ -88,19 +93,33 @@
 
 impl Framing {
     fn of(headers: &[Header], otherwise: Framing) -> Result<Framing, Fault> {
-        let mut lengths = headers.iter().filter(|h| h.0.eq_ignore_ascii_case("content-length"));
+        let mut lengths = headers
+            .iter()
+            .filter(|h| h.0.eq_ignore_ascii_case("content-length"));
         let length = lengths.next();
         if let Some(coding) = header(headers, "transfer-encoding") {
             // Both together are how requests are smuggled past a front.
             let fine = coding.trim().eq_ignore_ascii_case("chunked") && length.is_none();
-            return if fine { Ok(Framing::ChunkSize) } else { Err(Fault::Malformed) };
+            return if fine {
+                Ok(Framing::ChunkSize)
+            } else {
+                Err(Fault::Malformed)
+            };
         }
-        let Some(length) = length else { return Ok(otherwise) };
+        let Some(length) = length else {
+            return Ok(otherwise);
+        };
         let digits = length.1.trim();
-        if lengths.next().is_some() || digits.is_empty() || !digits.bytes().all(|b| b.is_ascii_digit()) {
+        if lengths.next().is_some()
+            || digits.is_empty()
+            || !digits.bytes().all(|b| b.is_ascii_digit())
+        {
             return Err(Fault::Malformed);
         }
-        digits.parse().map(Framing::Length).map_err(|_| Fault::BodyTooLarge)
+        digits
+            .parse()
+            .map(Framing::Length)
+            .map_err(|_| Fault::BodyTooLarge)
     }
 
     /// Moves what there is of the body from `input` to `body`; true once it is over.
@@ -124,10 +143,16 @@
                     if *left > 0 {
                         return Ok(false);
                     }
-                    *self = if matches!(self, Framing::Chunk(_)) { Framing::ChunkEnd } else { Framing::Over };
+                    *self = if matches!(self, Framing::Chunk(_)) {
+                        Framing::ChunkEnd
+                    } else {
+                        Framing::Over
+                    };
                 }
                 Framing::ChunkSize | Framing::ChunkEnd | Framing::Trailers => {
-                    let Some(line) = input.line(CHUNK_LINE_MOST)? else { return Ok(false) };
+                    let Some(line) = input.line(CHUNK_LINE_MOST)? else {
+                        return Ok(false);
+                    };
                     *self = match self {
                         Framing::ChunkEnd if line.is_empty() => Framing::ChunkSize,
                         Framing::ChunkEnd => return Err(Fault::Malformed),
@@ -146,7 +171,9 @@
 
 fn chunk_size(line: &[u8]) -> Result<u64, Fault> {
     let digits = line.split(|&b| b == b';').next().unwrap_or(&[]);
-    let digits = std::str::from_utf8(digits).map_err(|_| Fault::Malformed)?.trim();
+    let digits = std::str::from_utf8(digits)
+        .map_err(|_| Fault::Malformed)?
+        .trim();
     if digits.is_empty() || digits.len() > 15 || !digits.bytes().all(|b| b.is_ascii_hexdigit()) {
         return Err(Fault::Malformed);
     }
@@ -179,9 +206,16 @@
     }
     fn line(&mut self, most: usize) -> Result<Option<Vec<u8>>, Fault> {
         let Some(end) = self.rest().iter().position(|&b| b == b'\n') else {
-            return if self.rest().len() > most { Err(Fault::Malformed) } else { Ok(None) };
+            return if self.rest().len() > most {
+                Err(Fault::Malformed)
+            } else {
+                Ok(None)
+            };
         };
-        let line = self.rest()[..end].strip_suffix(b"\r").unwrap_or(&self.rest()[..end]).to_vec();
+        let line = self.rest()[..end]
+            .strip_suffix(b"\r")
+            .unwrap_or(&self.rest()[..end])
+            .to_vec();
         self.take(end + 1);
         Ok(Some(line))
     }
@@ -189,7 +223,10 @@
 
 fn owned(headers: &[httparse::Header]) -> Vec<Header> {
     let text = |v: &[u8]| String::from_utf8_lossy(v).trim().to_string();
-    headers.iter().map(|h| (h.name.to_string(), text(h.value))).collect()
+    headers
+        .iter()
+        .map(|h| (h.name.to_string(), text(h.value)))
+        .collect()
 }
 
 fn closes(version: Option<u8>, headers: &[Header]) -> bool {
@@ -231,12 +268,21 @@
 impl RequestReader {
     /// A reader that takes bodies of at most so many bytes, whole.
     pub fn new(body_most: usize) -> RequestReader {
-        RequestReader::taking(Takes { head_most: HEAD_MOST, body_most, goes_on: false })
+        RequestReader::taking(Takes {
+            head_most: HEAD_MOST,
+            body_most,
+            goes_on: false,
+        })
     }
 
     /// A reader with bounds of its own.
     pub fn taking(takes: Takes) -> RequestReader {
-        RequestReader { input: Input::default(), head: None, rest: None, takes }
+        RequestReader {
+            input: Input::default(),
+            head: None,
+            rest: None,
+            takes,
+        }
     }
 
     /// From now on so many bytes of a body are read before its request is handed out.
@@ -261,7 +307,9 @@
 
     /// Takes what has come of a body that goes on; `true` once it is over.
     pub fn more_body(&mut self, body: &mut Vec<u8>) -> Result<bool, Fault> {
-        let Some(framing) = &mut self.rest else { return Ok(true) };
+        let Some(framing) = &mut self.rest else {
+            return Ok(true);
+        };
         let over = framing.decode(&mut self.input, body)?;
         if over {
             self.rest = None;
@@ -291,7 +339,10 @@
     /// and what was read as its body is not what the client meant.
     pub fn holds_stray_bytes(&self) -> bool {
         let rest = self.input.rest();
-        let breaks = rest.iter().take_while(|b| matches!(b, b'\r' | b'\n')).count();
+        let breaks = rest
+            .iter()
+            .take_while(|b| matches!(b, b'\r' | b'\n'))
+            .count();
         let word = &rest[breaks..];
         let begins = |method: &&str| {
             let most = word.len().min(method.len());
@@ -302,7 +353,10 @@
 
     /// Whether the client waits for "100 Continue" before it sends the body.
     pub fn expects_continue(&self) -> bool {
-        let expect = self.head.as_ref().and_then(|h| header(&h.0.headers, "expect"));
+        let expect = self
+            .head
+            .as_ref()
+            .and_then(|h| header(&h.0.headers, "expect"));
         self.held() == 0 && expect.is_some_and(|e| e.eq_ignore_ascii_case("100-continue"))
     }
 
@@ -316,12 +370,15 @@
             let mut request = httparse::Request::new(&mut headers);
             let read = match request.parse(self.input.rest()).map_err(parse_fault)? {
                 httparse::Status::Complete(n) if n <= self.takes.head_most => n,
-                httparse::Status::Partial if self.held() <= self.takes.head_most => return Ok(None),
+                httparse::Status::Partial if self.held() <= self.takes.head_most => {
+                    return Ok(None)
+                }
                 _ => return Err(Fault::HeadTooLarge),
             };
             let headers = owned(request.headers);
             let framing = Framing::of(&headers, Framing::Over)?;
-            if matches!(framing, Framing::Length(n) if n > self.takes.body_most as u64) && !self.takes.goes_on
+            if matches!(framing, Framing::Length(n) if n > self.takes.body_most as u64)
+                && !self.takes.goes_on
             {
                 return Err(Fault::BodyTooLarge);
             }
@@ -337,7 +394,9 @@
             self.input.take(read);
             self.head = Some((request, framing));
         }
-        let Some((request, framing)) = &mut self.head else { return Ok(None) };
+        let Some((request, framing)) = &mut self.head else {
+            return Ok(None);
+        };
         let over = framing.decode(&mut self.input, &mut request.body)?;
         if request.body.len() > self.takes.body_most {
             if !self.takes.goes_on {
@@ -387,7 +446,10 @@
     /// A reader that tells this header's values as they come, and takes them out of the head: servers that send one
     /// for each step of their work would else fill it.
     pub fn telling_early(name: &'static str) -> ResponseReader {
-        ResponseReader { early: Some(name), ..ResponseReader::default() }
+        ResponseReader {
+            early: Some(name),
+            ..ResponseReader::default()
+        }
     }
 
     /// Takes a header to be told early out of a head that is not whole yet.
@@ -398,12 +460,15 @@
         let mut begin = memchr_line(bytes)?;
         loop {
             let end = begin + memchr_line(&bytes[begin..])?;
-            let line =
-                std::str::from_utf8(&bytes[begin..end]).unwrap_or_default().trim_end_matches(['\r', '\n']);
+            let line = std::str::from_utf8(&bytes[begin..end])
+                .unwrap_or_default()
+                .trim_end_matches(['\r', '\n']);
             if line.is_empty() {
                 return None;
             }
-            let told = line.split_once(':').filter(|(n, _)| n.eq_ignore_ascii_case(name));
+            let told = line
+                .split_once(':')
+                .filter(|(n, _)| n.eq_ignore_ascii_case(name));
             if let Some((_, value)) = told {
                 let value = value.trim().to_string();
                 let from = self.input.used + begin;
@@ -431,7 +496,9 @@
             let mut response = httparse::Response::new(&mut headers);
             let read = match response.parse(self.input.rest()).map_err(parse_fault)? {
                 httparse::Status::Complete(n) => n,
-                httparse::Status::Partial if self.input.rest().len() <= HEAD_MOST => return Ok(None),
+                httparse::Status::Partial if self.input.rest().len() <= HEAD_MOST => {
+                    return Ok(None)
+                }
                 httparse::Status::Partial => return Err(Fault::HeadTooLarge),
             };
             let headers = owned(response.headers);
@@ -442,10 +509,18 @@
                 return self.next_part();
             }
             let bodiless = status == 204 || status == 304;
-            let framing = if bodiless { Framing::Over } else { Framing::of(&headers, Framing::UntilClose)? };
+            let framing = if bodiless {
+                Framing::Over
+            } else {
+                Framing::of(&headers, Framing::UntilClose)?
+            };
             let close = close || framing == Framing::UntilClose;
             self.framing = Some(framing);
-            return Ok(Some(ResponsePart::Head(ResponseHead { status, headers, close })));
+            return Ok(Some(ResponsePart::Head(ResponseHead {
+                status,
+                headers,
+                close,
+            })));
         };
         let mut body = Vec::new();
         let over = framing.decode(&mut self.input, &mut body)?;
@@ -522,7 +597,11 @@
         Ends::InChunks => write!(head, "Transfer-Encoding: chunked\r\n"),
         Ends::WithConnection => Ok(()),
     };
-    head.push_str(if close || ends == Ends::WithConnection { "Connection: close\r\n\r\n" } else { "\r\n" });
+    head.push_str(if close || ends == Ends::WithConnection {
+        "Connection: close\r\n\r\n"
+    } else {
+        "\r\n"
+    });
     head.into_bytes()
 }
 
@@ -535,7 +614,9 @@
 
 /// Makes a response's bytes, as [`response_head`] begins them, tell that the connection closes behind it.
 pub fn tell_close(response: &mut Vec<u8>) {
-    let Some(head) = response.windows(4).position(|w| w == b"\r\n\r\n") else { return };
+    let Some(head) = response.windows(4).position(|w| w == b"\r\n\r\n") else {
+        return;
+    };
     if !response[..head + 2].ends_with(b"\r\nConnection: close\r\n") {
         response.splice(head + 2..head + 2, *b"Connection: close\r\n");
     }
--- a/crates/inherit/src/lib.rs
+++ b/crates/inherit/src/lib.rs
@@ -55,7 +55,8 @@
     if told.trim().parse() != Ok(PASSED) {
         return Err(Refusal::OtherNumber(told.chars().take(40).collect()));
     }
-    let link = std::fs::read_link(format!("/proc/self/fd/{PASSED}")).map_err(|_| Refusal::Closed)?;
+    let link =
+        std::fs::read_link(format!("/proc/self/fd/{PASSED}")).map_err(|_| Refusal::Closed)?;
     if !link.to_string_lossy().starts_with("socket:") {
         return Err(Refusal::NoSocket);
     }
@@ -78,10 +79,16 @@
     let system = |e: std::io::Error| Refusal::System(e.to_string());
     let stream = socket.r#type().map_err(system)? == Type::STREAM;
     let domain = socket.domain().map_err(system)?;
-    if !stream || ![Domain::IPV4, Domain::IPV6].contains(&domain) || !socket.is_listener().map_err(system)? {
+    if !stream
+        || ![Domain::IPV4, Domain::IPV6].contains(&domain)
+        || !socket.is_listener().map_err(system)?
+    {
         return Err(Refusal::NotListening);
     }
-    socket.set_nonblocking(true).and_then(|()| socket.set_cloexec(true)).map_err(system)
+    socket
+        .set_nonblocking(true)
+        .and_then(|()| socket.set_cloexec(true))
+        .map_err(system)
 }
 
 #[allow(unsafe_code)]
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -39,7 +39,9 @@
     name: &'static str,
     otherwise: T,
 ) -> Result<T, String> {
-    args.opt_value_from_str(name).map(|v| v.unwrap_or(otherwise)).map_err(|e| e.to_string())
+    args.opt_value_from_str(name)
+        .map(|v| v.unwrap_or(otherwise))
+        .map_err(|e| e.to_string())
 }
 
 fn members(mut args: pico_args::Arguments) -> Result<(), String> {
@@ -80,10 +82,14 @@
         knew.sort_unstable();
         // What became of a witness that came late: the next question is always how.
         for by in world.living().into_iter().filter(|_| verbose) {
-            let of_it: Vec<_> =
-                world.seen.iter().filter(|s| s.by == by && s.of == victim && s.at > killed - 2 * S).collect();
-            let late =
-                of_it.last().is_none_or(|s| s.at > killed + 6 * S || s.standing != Some(Standing::Down));
+            let of_it: Vec<_> = world
+                .seen
+                .iter()
+                .filter(|s| s.by == by && s.of == victim && s.at > killed - 2 * S)
+                .collect();
+            let late = of_it
+                .last()
+                .is_none_or(|s| s.at > killed + 6 * S || s.standing != Some(Standing::Down));
             for s in of_it.iter().filter(|_| late) {
                 println!(
                     "  seed {}: {:.2} s m{by} sees m{victim} {:?}",
@@ -95,10 +101,15 @@
         }
         first.extend(knew.first());
         all.extend(knew.last());
-        let gone = (0..n).filter(|&by| by != victim && world.standing(by, victim) != Some(Standing::Down));
+        let gone =
+            (0..n).filter(|&by| by != victim && world.standing(by, victim) != Some(Standing::Down));
         unknowing += gone.count() as u64;
-        false_deaths +=
-            world.seen.iter().filter(down).filter(|s| s.of != victim && s.at > settle / 2).count() as u64;
+        false_deaths += world
+            .seen
+            .iter()
+            .filter(down)
+            .filter(|s| s.of != victim && s.at > settle / 2)
+            .count() as u64;
     }
     first.sort_unstable();
     all.sort_unstable();
@@ -116,26 +127,46 @@
         percentile(&all, 1.0)
     );
     println!("  called down though there {false_deaths} times, by any of all");
-    println!("  each sends {:.1} datagrams, {:.0} bytes a second", sent as f64 / each, bytes as f64 / each);
+    println!(
+        "  each sends {:.1} datagrams, {:.0} bytes a second",
+        sent as f64 / each,
+        bytes as f64 / each
+    );
     Ok(())
 }
 
 fn sums(world: &World, n: u32) -> (u64, u64) {
-    (0..n).map(|m| world.counters(m)).fold((0, 0), |sum, c| (sum.0 + c.sent, sum.1 + c.sent_bytes))
+    (0..n)
+        .map(|m| world.counters(m))
+        .fold((0, 0), |sum, c| (sum.0 + c.sent, sum.1 + c.sent_bytes))
 }
 
 /// Feeds a member what no honest one sends, one input after another; an input that makes it panic ends the run with its
 /// number, which with the seed makes it again.
 fn fuzz(mut args: pico_args::Arguments) -> Result<(), String> {
-    let (runs, seed) = (number(&mut args, "--runs", 1_000_000u64)?, number(&mut args, "--seed", 1u64)?);
+    let (runs, seed) = (
+        number(&mut args, "--runs", 1_000_000u64)?,
+        number(&mut args, "--seed", 1u64)?,
+    );
     let mut rng = SmallRng::seed_from_u64(seed);
     let fleet = |n: u8, rng: &mut SmallRng| {
-        let me =
-            Identity { name: name(u32::from(n)), addr: addr(u32::from(n)), session: u64::from(n), back: 0 };
+        let me = Identity {
+            name: name(u32::from(n)),
+            addr: addr(u32::from(n)),
+            session: u64::from(n),
+            back: 0,
+        };
         let seeds = vec![addr(1), addr(2)];
         Fleet::new(
             0,
-            Options { me, about: About::default(), keys: keys(), seeds, seed: rng.random(), agreed: None },
+            Options {
+                me,
+                about: About::default(),
+                keys: keys(),
+                seeds,
+                seed: rng.random(),
+                agreed: None,
+            },
         )
     };
     let (mut target, mut peer) = (fleet(1, &mut rng), fleet(2, &mut rng));
@@ -165,12 +196,19 @@
         }
         let mut input: Vec<u8> = match honest.choose(&mut rng) {
             Some(one) if rng.random_bool(0.9) => one.clone(),
-            _ => (0..rng.random_range(0..1300)).map(|_| rng.random()).collect(),
+            _ => (0..rng.random_range(0..1300))
+                .map(|_| rng.random())
+                .collect(),
         };
         let kind = rng.random_range(0..4);
         // Sealed well: the payload alone is spoilt.
         if kind < 3 && input.len() > 45 {
-            let payload = [Payload::Members, Payload::Facts, Payload::Digest, Payload::Unknown(77)];
+            let payload = [
+                Payload::Members,
+                Payload::Facts,
+                Payload::Digest,
+                Payload::Unknown(77),
+            ];
             let payload = payload[usize::from(input[28].clamp(1, 4)) - 1];
             let mut bytes = input[29..input.len() - 16].to_vec();
             for _ in 0..rng.random_range(0..6) {
@@ -183,8 +221,9 @@
                 }
             }
             bytes.truncate(1150);
-            input =
-                forger.seal(payload, &bytes, if rng.random_bool(0.5) { 1 } else { 0 }).unwrap_or_default();
+            input = forger
+                .seal(payload, &bytes, if rng.random_bool(0.5) { 1 } else { 0 })
+                .unwrap_or_default();
         } else if !input.is_empty() {
             let at = rng.random_range(0..input.len());
             input[at] ^= 1 << rng.random_range(0..8);
@@ -213,13 +252,20 @@
 /// Three voters that go on talking and asking; of what they say to each other some comes spoilt as well. A replica may break,
 /// and be let in again; nothing else may.
 fn fuzz_agreed(mut args: pico_args::Arguments) -> Result<(), String> {
-    let (runs, seed) = (number(&mut args, "--runs", 1_000_000u64)?, number(&mut args, "--seed", 1u64)?);
+    let (runs, seed) = (
+        number(&mut args, "--runs", 1_000_000u64)?,
+        number(&mut args, "--seed", 1u64)?,
+    );
     let mut rng = SmallRng::seed_from_u64(seed);
     let names: Vec<String> = (0..3).map(name).collect();
     let mut all: Vec<Agreed> = Vec::new();
     for (n, me) in names.iter().enumerate() {
         let founders = names.clone();
-        let options = agreed::Options { founders, file: Some(Vec::new()), ..agreed::Options::default() };
+        let options = agreed::Options {
+            founders,
+            file: Some(Vec::new()),
+            ..agreed::Options::default()
+        };
         all.push(Agreed::new(me, (n as u64 + 1) << 20, rng.random(), options).0);
     }
     std::panic::set_hook(Box::new(|_| {}));
@@ -247,8 +293,14 @@
                 }
                 if rng.random_bool(0.2) {
                     let pot = format!("p{}", rng.random_range(0..3));
-                    let take =
-                        Command::Take { pot, amount: 1, most: 1, span: S, stays: false, note: String::new() };
+                    let take = Command::Take {
+                        pot,
+                        amount: 1,
+                        most: 1,
+                        span: S,
+                        stays: false,
+                        note: String::new(),
+                    };
                     one.ask(now, take, S);
                 }
                 while let Some(write) = one.to_keep() {
@@ -261,7 +313,9 @@
             stood.map_err(|_| format!("seed {seed}, {spoilt} inputs, a tick of m{n}"))?;
         }
         for (from, to, bytes) in std::mem::take(&mut under_way) {
-            let Some(to) = names.iter().position(|m| *m == to) else { continue };
+            let Some(to) = names.iter().position(|m| *m == to) else {
+                continue;
+            };
             for copy in 0..if rng.random_bool(0.02) { 2 } else { 1 } {
                 let mut bytes = bytes.clone();
                 for _ in 0..if copy == 0 { 0 } else { rng.random_range(1..4) } {
@@ -290,7 +344,10 @@
 
 fn storms(mut args: pico_args::Arguments) -> Result<(), String> {
     let members = number(&mut args, "--members", 8u32)?;
-    let (runs, first) = (number(&mut args, "--runs", 100u64)?, number(&mut args, "--seed", 1u64)?);
+    let (runs, first) = (
+        number(&mut args, "--runs", 100u64)?,
+        number(&mut args, "--seed", 1u64)?,
+    );
     let all: Vec<u32> = (0..members).collect();
     let (mut took, mut never): (Vec<Micros>, Vec<u64>) = (Vec::new(), Vec::new());
     let (mut deaths_after, mut most_sent) = (0u64, 0u64);
@@ -314,7 +371,11 @@
                         .collect();
                     println!(
                         "  seed {seed}: m{by} sees {}",
-                        if odd.is_empty() { "all".into() } else { odd.join(", ") }
+                        if odd.is_empty() {
+                            "all".into()
+                        } else {
+                            odd.join(", ")
+                        }
                     );
                 }
             }
@@ -323,8 +384,11 @@
         most_sent = most_sent.max((sums(&world, members).0 - before) / seconds);
         let settled = world.time();
         world.play(settled + 5 * S, |_| false);
-        deaths_after +=
-            world.seen.iter().filter(|s| s.at > settled && s.standing == Some(Standing::Down)).count() as u64;
+        deaths_after += world
+            .seen
+            .iter()
+            .filter(|s| s.at > settled && s.standing == Some(Standing::Down))
+            .count() as u64;
     }
     took.sort_unstable();
     println!("members {members}, {runs} storms from seed {first}");
@@ -348,14 +412,20 @@
     let keeps = args.contains("--keeps");
     let members = number(&mut args, "--members", 6u32)?;
     let voters = number(&mut args, "--voters", 3u32)?;
-    let (runs, first) = (number(&mut args, "--runs", 100u64)?, number(&mut args, "--seed", 1u64)?);
+    let (runs, first) = (
+        number(&mut args, "--runs", 100u64)?,
+        number(&mut args, "--seed", 1u64)?,
+    );
     let (mut wrong, mut never, mut took) = (Vec::new(), Vec::new(), Vec::new());
     let (mut lent, mut unanswered, mut leaders, mut replaced, mut lost) = (0, 0, 0, 0, 0);
     for seed in first..first + runs {
         let mut script = storm::storm(members, seed, true);
         (script.voters, script.keeps) = (voters, keeps);
         let mut world = World::new(script);
-        world.ask(Load { one_in: 10, ..Load::default() });
+        world.ask(Load {
+            one_in: 10,
+            ..Load::default()
+        });
         world.play(storm::QUIET, |_| false);
         let owed = storm::QUIET + storm::OWED;
         while world.led().is_none() && world.time() < owed {
@@ -367,7 +437,9 @@
             None => {
                 never.push(seed);
                 for m in world.living() {
-                    let Some(a) = world.fleet(m).and_then(|f| f.agreed()) else { continue };
+                    let Some(a) = world.fleet(m).and_then(|f| f.agreed()) else {
+                        continue;
+                    };
                     println!("  seed {seed}: m{m} {:?} {:?}", a.view(), a.notice());
                 }
             }
@@ -377,12 +449,24 @@
         wrong.extend(rights.wrong.iter().map(|w| format!("seed {seed}: {w}")));
         (lent, unanswered) = (lent + rights.lent, unanswered + rights.unanswered);
         for m in world.living() {
-            let Some(c) = world.fleet(m).and_then(|f| f.agreed()).map(|a| a.counters()) else { continue };
-            (leaders, replaced, lost) = (leaders + c.leaders, replaced + c.changes, lost + c.replicas_lost);
+            let Some(c) = world
+                .fleet(m)
+                .and_then(|f| f.agreed())
+                .map(|a| a.counters())
+            else {
+                continue;
+            };
+            (leaders, replaced, lost) = (
+                leaders + c.leaders,
+                replaced + c.changes,
+                lost + c.replicas_lost,
+            );
         }
     }
     took.sort_unstable();
-    println!("members {members}, voters {voters}, logs kept: {keeps}, {runs} storms from seed {first}");
+    println!(
+        "members {members}, voters {voters}, logs kept: {keeps}, {runs} storms from seed {first}"
+    );
     println!(
         "  lent {lent} times, {unanswered} requests with no answer in time; held twice: {}",
         wrong.len()
@@ -406,15 +490,34 @@
 fn check(mut args: pico_args::Arguments) -> Result<(), String> {
     use driftfront_lab::model::{Bounds, Wrong};
     use stateright::{Checker, HasDiscoveries, Model};
-    let (time, terms) = (number(&mut args, "--time", 2u64)?, number(&mut args, "--terms", 2u8)?);
-    let (entries, depth) = (number(&mut args, "--entries", 3usize)?, number(&mut args, "--depth", 12usize)?);
+    let (time, terms) = (
+        number(&mut args, "--time", 2u64)?,
+        number(&mut args, "--terms", 2u8)?,
+    );
+    let (entries, depth) = (
+        number(&mut args, "--entries", 3usize)?,
+        number(&mut args, "--depth", 12usize)?,
+    );
     let mut failed = false;
     for wrong in [Wrong::FromTheAnswer, Wrong::OwnClock, Wrong::Nothing] {
-        let bounds = Bounds { time, terms, entries, wrong };
-        let checker =
-            bounds.checker().threads(std::thread::available_parallelism().map_or(2, |n| n.get().min(3)));
-        let checker = if depth > 0 { checker.target_max_depth(depth) } else { checker };
-        let done = checker.finish_when(HasDiscoveries::AnyFailures).spawn_bfs().join();
+        let bounds = Bounds {
+            time,
+            terms,
+            entries,
+            wrong,
+        };
+        let checker = bounds
+            .checker()
+            .threads(std::thread::available_parallelism().map_or(2, |n| n.get().min(3)));
+        let checker = if depth > 0 {
+            checker.target_max_depth(depth)
+        } else {
+            checker
+        };
+        let done = checker
+            .finish_when(HasDiscoveries::AnyFailures)
+            .spawn_bfs()
+            .join();
         let found: Vec<String> = done.discoveries().into_keys().map(String::from).collect();
         println!(
             "{wrong:?}: {} states, {} of them different, depth {}; found: {found:?}",
@@ -422,9 +525,14 @@
             done.unique_state_count(),
             done.max_depth()
         );
-        let twice = found.iter().any(|f| f == "never both" || f == "agreed once");
+        let twice = found
+            .iter()
+            .any(|f| f == "never both" || f == "agreed once");
         failed |= twice != (wrong != Wrong::Nothing);
-        if let Some(path) = done.discovery("never both").filter(|_| wrong == Wrong::Nothing) {
+        if let Some(path) = done
+            .discovery("never both")
+            .filter(|_| wrong == Wrong::Nothing)
+        {
             println!("{path:?}");
         }
     }
@@ -440,16 +548,26 @@
     let members = number(&mut args, "--members", 5u32)?;
     let voters = number(&mut args, "--voters", 3u32)?;
     let loss = number(&mut args, "--loss", 0f64)?;
-    let (runs, first) = (number(&mut args, "--runs", 100u64)?, number(&mut args, "--seed", 1u64)?);
+    let (runs, first) = (
+        number(&mut args, "--runs", 100u64)?,
+        number(&mut args, "--seed", 1u64)?,
+    );
     let (mut led, mut answered, mut usual) = (Vec::new(), Vec::new(), Vec::new());
     for seed in first..first + runs {
         let mut world = World::new(Script::read(&format!(
             "members {members}\nvoters {voters} keeps=#true\nseed {seed}\n\
              link \"all\" \"all\" loss={loss:.3} delay=\"1 ms\" jitter=\"1 ms\""
         ))?);
-        world.ask(Load { one_in: 4, pots: 100, span: 2 * S, patience: 30 * S });
+        world.ask(Load {
+            one_in: 4,
+            pots: 100,
+            span: 2 * S,
+            patience: 30 * S,
+        });
         world.play(40 * S, |_| false);
-        let Some(old) = world.led() else { return Err(format!("seed {seed}: nobody leads")) };
+        let Some(old) = world.led() else {
+            return Err(format!("seed {seed}: nobody leads"));
+        };
         world.now(&format!("kill \"m{old}\""));
         while world.led().is_none() && world.time() < 60 * S {
             let next = world.time() + S / 100;
@@ -460,7 +578,12 @@
         let rights = world.rights.as_ref().ok_or("no rights")?;
         usual.extend(rights.times(33 * S, 40 * S));
         answered.extend(
-            rights.answered.iter().map(|a| a.0).find(|&at| at > 40 * S + S / 10).map(|at| at - 40 * S),
+            rights
+                .answered
+                .iter()
+                .map(|a| a.0)
+                .find(|&at| at > 40 * S + S / 10)
+                .map(|at| at - 40 * S),
         );
     }
     for times in [&mut led, &mut answered, &mut usual] {
@@ -491,7 +614,13 @@
     let mut world = World::new(script);
     world.play(until, |_| false);
     for s in &world.seen {
-        println!("{:8.3} s  m{} sees m{} {:?}", s.at as f64 / 1e6, s.by, s.of, s.standing);
+        println!(
+            "{:8.3} s  m{} sees m{} {:?}",
+            s.at as f64 / 1e6,
+            s.by,
+            s.of,
+            s.standing
+        );
     }
     println!("trace {:016x}", world.trace);
     Ok(())
--- a/crates/lab/src/model.rs
+++ b/crates/lab/src/model.rs
@@ -132,7 +132,11 @@
         let v = &self.voters[leader];
         let by_majority = |n: usize| (0..VOTERS).filter(|&o| v.has[o] >= n).count() > VOTERS / 2;
         let own = |n: &usize| v.log[n - 1].0 == v.term;
-        if let Some(n) = (v.agreed + 1..=v.log.len()).rev().filter(own).find(|&n| by_majority(n)) {
+        if let Some(n) = (v.agreed + 1..=v.log.len())
+            .rev()
+            .filter(own)
+            .find(|&n| by_majority(n))
+        {
             self.voters[leader].agreed = n;
             if self.voters[leader].time.is_none() {
                 self.voters[leader].time = Some(self.rights(leader).time());
@@ -152,7 +156,9 @@
     }
 
     fn acts(&self, asker: usize) -> bool {
-        self.askers[asker].holds.is_some_and(|(_, until)| self.now < until)
+        self.askers[asker]
+            .holds
+            .is_some_and(|(_, until)| self.now < until)
     }
 }
 
@@ -171,7 +177,11 @@
             time: (n == 0).then_some(0),
             lag: 0,
         };
-        let asker = Asker { asked: None, request: 0, holds: None };
+        let asker = Asker {
+            asked: None,
+            request: 0,
+            holds: None,
+        };
         vec![World {
             now: 0,
             voters: (0..VOTERS).map(voter).collect(),
@@ -192,7 +202,12 @@
         let alike = w.voters[1] == w.voters[2]
             && w.voters[0].has[1] == w.voters[0].has[2]
             && !matches!(w.cut, Some(1 | 2));
-        for (n, v) in w.voters.iter().enumerate().filter(|(n, _)| !(alike && *n == 2)) {
+        for (n, v) in w
+            .voters
+            .iter()
+            .enumerate()
+            .filter(|(n, _)| !(alike && *n == 2))
+        {
             match v.up {
                 true if w.crashes == 0 => steps.push(Step::Crash(n)),
                 false => steps.push(Step::Start(n)),
@@ -201,13 +216,16 @@
             if w.cuts == 0 {
                 steps.push(Step::Cut(n));
             }
-            if v.leads && v.lag == 0 && w.now > 0 && v.time.is_some_and(|t| t > w.rights(n).time()) {
+            if v.leads && v.lag == 0 && w.now > 0 && v.time.is_some_and(|t| t > w.rights(n).time())
+            {
                 steps.push(Step::Lag(n));
             }
             if v.up && v.term < self.terms && !v.leads {
                 steps.push(Step::Elect(n));
             }
-            for other in (0..VOTERS).filter(|&o| o != n && v.leads && w.reach(n, o) && !(alike && o == 2)) {
+            for other in
+                (0..VOTERS).filter(|&o| o != n && v.leads && w.reach(n, o) && !(alike && o == 2))
+            {
                 steps.push(Step::Tell(n, other));
             }
             for (a, asker) in w.askers.iter().enumerate().filter(|_| v.up) {
@@ -222,7 +240,12 @@
         if w.cut.is_some() {
             steps.push(Step::Heal);
         }
-        for (a, asker) in w.askers.iter().enumerate().filter(|(_, a)| a.asked.is_none()) {
+        for (a, asker) in w
+            .askers
+            .iter()
+            .enumerate()
+            .filter(|(_, a)| a.asked.is_none())
+        {
             match asker.holds {
                 None if asker.request < 1 => steps.push(Step::Ask(a)),
                 // One gives back what it holds, the other lets it end.
@@ -237,7 +260,10 @@
         match step {
             Step::Tick => {
                 w.now += 1;
-                w.voters.iter_mut().filter(|v| v.leads).for_each(|v| v.time = v.time.map(|t| t + 1));
+                w.voters
+                    .iter_mut()
+                    .filter(|v| v.leads)
+                    .for_each(|v| v.time = v.time.map(|t| t + 1));
             }
             Step::Lag(n) => {
                 let v = &mut w.voters[n];
@@ -258,7 +284,10 @@
                 let log = |v: &Voter| (v.log.last().map_or(0, |e| e.0), v.log.len());
                 let own = log(&w.voters[n]);
                 let votes = |o: &usize| {
-                    *o != n && w.reach(n, *o) && w.voters[*o].term < term && log(&w.voters[*o]) <= own
+                    *o != n
+                        && w.reach(n, *o)
+                        && w.voters[*o].term < term
+                        && log(&w.voters[*o]) <= own
                 };
                 let voters: Vec<usize> = (0..VOTERS).filter(votes).collect();
                 // One that does not win changes terms alone: another's, that does, changes them as well.
@@ -318,28 +347,48 @@
                 let (_, command) = w.askers[a].asked.clone()?;
                 let request = w.askers[a].request;
                 let again = |e: &Logged| {
-                    e.1.as_ref().is_some_and(|e| e.owner == a.to_string() && e.request == request)
+                    e.1.as_ref()
+                        .is_some_and(|e| e.owner == a.to_string() && e.request == request)
                 };
                 // A leader proposes what it has in its log already no second time; another one may.
                 if v.log.iter().any(|e| again(e) && e.0 == v.term) {
                     return None;
                 }
-                let last = v.log.iter().filter_map(|e| e.1.as_ref()).map(|e| e.time).max().unwrap_or(0);
+                let last = v
+                    .log
+                    .iter()
+                    .filter_map(|e| e.1.as_ref())
+                    .map(|e| e.time)
+                    .max()
+                    .unwrap_or(0);
                 let time = match self.wrong {
                     Wrong::OwnClock => last + w.now,
                     _ => v.time.unwrap_or(last).max(last),
                 };
-                let entry = Entry { time, owner: a.to_string(), session: 1, request, command };
+                let entry = Entry {
+                    time,
+                    owner: a.to_string(),
+                    session: 1,
+                    request,
+                    command,
+                };
                 let v = &mut w.voters[n];
                 v.log.push((v.term, Some(entry)));
                 v.has[n] = v.log.len();
             }
             Step::Answer(n, a) => {
                 let asker = &w.askers[a];
-                let outcome = w.rights(n).outcome(&a.to_string(), 1, asker.request).cloned()?;
+                let outcome = w
+                    .rights(n)
+                    .outcome(&a.to_string(), 1, asker.request)
+                    .cloned()?;
                 let asker = &mut w.askers[a];
                 let (at, _) = asker.asked.take()?;
-                let from = if self.wrong == Wrong::FromTheAnswer { w.now } else { at };
+                let from = if self.wrong == Wrong::FromTheAnswer {
+                    w.now
+                } else {
+                    at
+                };
                 if let Outcome::Lent { fence } = outcome {
                     asker.holds = Some((fence, from + SPAN));
                 }
--- a/crates/lab/src/rights.rs
+++ b/crates/lab/src/rights.rs
@@ -25,7 +25,12 @@
 
 impl Default for Load {
     fn default() -> Load {
-        Load { pots: 2, span: 3_000_000, one_in: 30, patience: 4_000_000 }
+        Load {
+            pots: 2,
+            span: 3_000_000,
+            one_in: 30,
+            patience: 4_000_000,
+        }
     }
 }
 
@@ -82,9 +87,15 @@
                         self.answered.extend(since.map(|s| (now, now - s)));
                         if let Outcome::Lent { fence } = outcome {
                             self.lent += 1;
-                            let pot = agreed.held().get(&fence).map(|h| h.pot.clone()).unwrap_or_default();
+                            let pot = agreed
+                                .held()
+                                .get(&fence)
+                                .map(|h| h.pot.clone())
+                                .unwrap_or_default();
                             if let Some(before) = self.fences.insert(fence, (pot, member)) {
-                                wrong.push(format!("{now} m{member}: {fence} was lent before: {before:?}"));
+                                wrong.push(format!(
+                                    "{now} m{member}: {fence} was lent before: {before:?}"
+                                ));
                             }
                         }
                     }
@@ -100,7 +111,14 @@
             {
                 let span = self.rng.random_range(self.load.span / 2..=self.load.span);
                 let pot = format!("pot-{}", self.rng.random_range(0..self.load.pots));
-                let take = Command::Take { pot, amount: 1, most: 1, span, stays: false, note: String::new() };
+                let take = Command::Take {
+                    pot,
+                    amount: 1,
+                    most: 1,
+                    span,
+                    stays: false,
+                    note: String::new(),
+                };
                 let request = agreed.ask(clock, take, self.load.patience);
                 self.waiting.insert((member, request), now);
             }
@@ -110,7 +128,10 @@
     /// A member's word on what it would act on.
     pub fn holds(&mut self, member: u32, clock: Micros, agreed: &Agreed) {
         for (&fence, held) in agreed.held().iter().filter(|h| agreed.holds(*h.0, clock)) {
-            self.acting.entry(held.pot.clone()).or_default().push((member, fence));
+            self.acting
+                .entry(held.pot.clone())
+                .or_default()
+                .push((member, fence));
         }
     }
 
@@ -126,8 +147,12 @@
 
     /// How long requests took that were answered between these times, sorted.
     pub fn times(&self, from: Micros, until: Micros) -> Vec<Micros> {
-        let mut times: Vec<Micros> =
-            self.answered.iter().filter(|a| (from..until).contains(&a.0)).map(|a| a.1).collect();
+        let mut times: Vec<Micros> = self
+            .answered
+            .iter()
+            .filter(|a| (from..until).contains(&a.0))
+            .map(|a| a.1)
+            .collect();
         times.sort_unstable();
         times
     }
--- a/crates/lab/src/script.rs
+++ b/crates/lab/src/script.rs
@@ -94,7 +94,14 @@
 impl Default for Link {
     /// A quiet building: half a millisecond.
     fn default() -> Link {
-        Link { loss: 0.0, repeat: 0.0, delay: 500, jitter: 100, cut: false, throttle: 0 }
+        Link {
+            loss: 0.0,
+            repeat: 0.0,
+            delay: 500,
+            jitter: 100,
+            cut: false,
+            throttle: 0,
+        }
     }
 }
 
@@ -107,7 +114,11 @@
             if self.cut || rng.random_bool(self.loss) {
                 continue;
             }
-            let late = if self.jitter > 0 { rng.random_range(0..self.jitter) } else { 0 };
+            let late = if self.jitter > 0 {
+                rng.random_range(0..self.jitter)
+            } else {
+                0
+            };
             come.push(self.delay + late);
         }
         come
@@ -128,7 +139,14 @@
 impl Links {
     /// All are so.
     pub fn new(members: u32, zones: u32, otherwise: Link) -> Links {
-        Links { members, engines: 0, zones, otherwise, usual: Vec::new(), cuts: BTreeMap::new() }
+        Links {
+            members,
+            engines: 0,
+            zones,
+            otherwise,
+            usual: Vec::new(),
+            cuts: BTreeMap::new(),
+        }
     }
 
     /// With so many engines: the first has the number behind the last member's.
@@ -145,12 +163,19 @@
 
     /// All of these groups, by number.
     pub fn all_of(&self, groups: &[Group]) -> Vec<u32> {
-        (0..self.members + self.engines).filter(|&one| groups.iter().any(|g| self.has(g, one))).collect()
+        (0..self.members + self.engines)
+            .filter(|&one| groups.iter().any(|g| self.has(g, one)))
+            .collect()
     }
 
     /// The link from one member to another.
     pub fn between(&self, from: u32, to: u32) -> Link {
-        let usual = || self.usual.iter().rev().find(|u| self.has(&u.0, from) && self.has(&u.1, to));
+        let usual = || {
+            self.usual
+                .iter()
+                .rev()
+                .find(|u| self.has(&u.0, from) && self.has(&u.1, to))
+        };
         let cut = self.cuts.get(&(from, to)).copied();
         cut.unwrap_or_else(|| usual().map_or(self.otherwise, |u| u.2))
     }
@@ -170,8 +195,14 @@
     pub fn part(&mut self, some: &[u32], others: &[u32], (out, into): (bool, bool)) {
         for &one in some {
             for &other in others {
-                for (way, _) in [((one, other), out), ((other, one), into)].into_iter().filter(|w| w.1) {
-                    let link = Link { cut: true, ..self.between(way.0, way.1) };
+                for (way, _) in [((one, other), out), ((other, one), into)]
+                    .into_iter()
+                    .filter(|w| w.1)
+                {
+                    let link = Link {
+                        cut: true,
+                        ..self.between(way.0, way.1)
+                    };
                     self.cuts.insert(way, link);
                 }
             }
@@ -252,34 +283,45 @@
 impl Reader<'_> {
     fn wrong(&self, node: &KdlNode, what: &str) -> String {
         let offset = node.span().offset().min(self.0.len());
-        let skipped = self.0[offset..].find(|c: char| !c.is_whitespace()).unwrap_or(0);
+        let skipped = self.0[offset..]
+            .find(|c: char| !c.is_whitespace())
+            .unwrap_or(0);
         let line = self.0[..offset + skipped].matches('\n').count() + 1;
         format!("line {line}: {}: {what}", node.name().value())
     }
 
     fn arguments<'n>(&self, node: &'n KdlNode) -> Vec<&'n KdlEntry> {
-        node.entries().iter().filter(|e| e.name().is_none()).collect()
+        node.entries()
+            .iter()
+            .filter(|e| e.name().is_none())
+            .collect()
     }
 
     fn groups(&self, node: &KdlNode) -> Result<Vec<Group>, String> {
         let one = |e: &&KdlEntry| e.value().as_string().and_then(Group::read);
         let groups: Option<Vec<Group>> = self.arguments(node).iter().map(one).collect();
-        groups.filter(|g| !g.is_empty()).ok_or_else(|| self.wrong(node, "write \"m0\", \"z1\" or \"all\""))
+        groups
+            .filter(|g| !g.is_empty())
+            .ok_or_else(|| self.wrong(node, "write \"m0\", \"z1\" or \"all\""))
     }
 
     fn time_of(&self, node: &KdlNode, key: &str, otherwise: Micros) -> Result<Micros, String> {
         match node.get(key) {
             None => Ok(otherwise),
-            Some(v) => {
-                v.as_string().and_then(time).ok_or_else(|| self.wrong(node, "a time is \"5 ms\" or \"2 s\""))
-            }
+            Some(v) => v
+                .as_string()
+                .and_then(time)
+                .ok_or_else(|| self.wrong(node, "a time is \"5 ms\" or \"2 s\"")),
         }
     }
 
     fn part_of(&self, node: &KdlNode, key: &str) -> Result<f64, String> {
-        let Some(v) = node.get(key) else { return Ok(0.0) };
+        let Some(v) = node.get(key) else {
+            return Ok(0.0);
+        };
         let part = v.as_float().or_else(|| v.as_integer().map(|n| n as f64));
-        part.filter(|p| (0.0..=1.0).contains(p)).ok_or_else(|| self.wrong(node, "a part is 0 to 1"))
+        part.filter(|p| (0.0..=1.0).contains(p))
+            .ok_or_else(|| self.wrong(node, "a part is 0 to 1"))
     }
 
     fn ways(&self, node: &KdlNode) -> Result<(bool, bool), String> {
@@ -292,7 +334,10 @@
     }
 
     fn from(&self, node: &KdlNode) -> Result<Group, String> {
-        let from = node.get("from").and_then(|f| f.as_string()).and_then(Group::read);
+        let from = node
+            .get("from")
+            .and_then(|f| f.as_string())
+            .and_then(Group::read);
         from.ok_or_else(|| self.wrong(node, "write from=\"engines\", \"e0\" or \"m3\""))
     }
 
@@ -327,12 +372,16 @@
             "start" => Deed::Start(self.groups(node)?),
             "leave" => Deed::Leave(self.groups(node)?),
             "clock" => {
-                let by = node.get("by").and_then(|v| v.as_string()).unwrap_or_default();
+                let by = node
+                    .get("by")
+                    .and_then(|v| v.as_string())
+                    .unwrap_or_default();
                 let jump = match by.strip_prefix('-') {
                     Some(back) => time(back).map(|t| -(t as i64)),
                     None => time(by).map(|t| t as i64),
                 };
-                let jump = jump.ok_or_else(|| self.wrong(node, "write by=\"3600 s\" or by=\"-3600 s\""))?;
+                let jump =
+                    jump.ok_or_else(|| self.wrong(node, "write by=\"3600 s\" or by=\"-3600 s\""))?;
                 Deed::Clock(self.groups(node)?, jump)
             }
             _ => return Err(self.wrong(node, "no such deed")),
@@ -343,13 +392,19 @@
 impl Script {
     /// The members of these groups.
     pub fn members_of(&self, groups: &[Group]) -> Vec<u32> {
-        (0..self.members).filter(|&m| groups.iter().any(|g| g.has(m, self.zones))).collect()
+        (0..self.members)
+            .filter(|&m| groups.iter().any(|g| g.has(m, self.zones)))
+            .collect()
     }
 
     /// Reads a script; an error names its line.
     pub fn read(text: &str) -> Result<Script, String> {
         let document = KdlDocument::parse(text).map_err(|e| {
-            let offset = e.diagnostics.first().map_or(0, |d| d.span.offset()).min(text.len());
+            let offset = e
+                .diagnostics
+                .first()
+                .map_or(0, |d| d.span.offset())
+                .min(text.len());
             format!("line {}: no KDL", text[..offset].matches('\n').count() + 1)
         })?;
         let reader = Reader(text);
@@ -365,13 +420,19 @@
         };
         for node in document.nodes() {
             let number = || -> Result<u64, String> {
-                let first = reader.arguments(node).first().and_then(|e| e.value().as_integer());
+                let first = reader
+                    .arguments(node)
+                    .first()
+                    .and_then(|e| e.value().as_integer());
                 first
                     .and_then(|n| u64::try_from(n).ok())
                     .ok_or_else(|| reader.wrong(node, "it takes a number"))
             };
             let span = || -> Result<Micros, String> {
-                let first = reader.arguments(node).first().and_then(|e| e.value().as_string().and_then(time));
+                let first = reader
+                    .arguments(node)
+                    .first()
+                    .and_then(|e| e.value().as_string().and_then(time));
                 first.ok_or_else(|| reader.wrong(node, "it takes a time, as \"5 s\""))
             };
             match node.name().value() {
@@ -383,7 +444,8 @@
                 "voters" => {
                     script.voters = number()?.min(5) as u32;
                     script.keeps = node.get("keeps").and_then(|k| k.as_bool()).unwrap_or(false);
-                    script.replace_after = reader.time_of(node, "replace-after", script.replace_after)?;
+                    script.replace_after =
+                        reader.time_of(node, "replace-after", script.replace_after)?;
                 }
                 "seed" => script.seed = number()?,
                 "until" => script.until = span()?,
@@ -410,14 +472,27 @@
         let text = "members 8 zones=2\nseed 7\nuntil \"40 s\"\nlink \"all\" \"z1\" delay=\"2 ms\" loss=0.3\n\
                     at \"5 s\" { cut \"m0\" \"m1\" ways=\"out\"; heal }\nat \"1 s\" { clock \"m5\" by=\"-3600 s\" }\n";
         let script = Script::read(text).unwrap();
-        assert_eq!((script.members, script.zones, script.seed, script.until), (8, 2, 7, 40_000_000));
-        let link = Link { loss: 0.3, delay: 2_000, ..Link::default() };
+        assert_eq!(
+            (script.members, script.zones, script.seed, script.until),
+            (8, 2, 7, 40_000_000)
+        );
+        let link = Link {
+            loss: 0.3,
+            delay: 2_000,
+            ..Link::default()
+        };
         assert_eq!(
             script.deeds,
             [
                 (0, Deed::Link(Group::All, Group::Zone(1), link)),
-                (1_000_000, Deed::Clock(vec![Group::Member(5)], -3_600_000_000)),
-                (5_000_000, Deed::Cut(vec![Group::Member(0), Group::Member(1)], (true, false))),
+                (
+                    1_000_000,
+                    Deed::Clock(vec![Group::Member(5)], -3_600_000_000)
+                ),
+                (
+                    5_000_000,
+                    Deed::Cut(vec![Group::Member(0), Group::Member(1)], (true, false))
+                ),
                 (5_000_000, Deed::Heal),
             ]
         );
--- a/crates/lab/src/storm.rs
+++ b/crates/lab/src/storm.rs
@@ -20,7 +20,9 @@
     let mut deeds = Vec::new();
     let some = |rng: &mut SmallRng| -> Vec<Group> {
         let most = 1 + members / 3;
-        (0..1 + rng.random_range(0..most)).map(|_| Group::Member(rng.random_range(0..members))).collect()
+        (0..1 + rng.random_range(0..most))
+            .map(|_| Group::Member(rng.random_range(0..members)))
+            .collect()
     };
     for _ in 0..3 + rng.random_range(0..8) {
         let at = 5 * S + rng.random_range(0..STORM);
@@ -45,12 +47,20 @@
                     cut: false,
                     throttle: 0,
                 };
-                Deed::Link(Group::All, Group::Member(rng.random_range(0..members)), link)
+                Deed::Link(
+                    Group::All,
+                    Group::Member(rng.random_range(0..members)),
+                    link,
+                )
             }
         };
         deeds.push((at, deed));
     }
-    let calm = Link { delay: 1_000, jitter: 1_000, ..Link::default() };
+    let calm = Link {
+        delay: 1_000,
+        jitter: 1_000,
+        ..Link::default()
+    };
     let last = [
         Deed::Link(Group::All, Group::All, calm),
         Deed::Heal,
--- a/crates/lab/src/world.rs
+++ b/crates/lab/src/world.rs
@@ -3,7 +3,9 @@
 use crate::rights::{Load, Rights};
 use crate::script::{Deed, Link, Links, Script};
 use driftfront_fleet::agreed::replica::Write;
-use driftfront_fleet::{agreed, About, Counters, Fleet, Identity, Key, Keyring, Micros, Options, Standing};
+use driftfront_fleet::{
+    agreed, About, Counters, Fleet, Identity, Key, Keyring, Micros, Options, Standing,
+};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeMap, VecDeque};
@@ -156,8 +158,14 @@
 
     /// Each has a replica of the log or a copy of what is agreed, and some member leads.
     pub fn led(&mut self) -> Option<u32> {
-        let leads = |f: &Fleet| f.agreed().and_then(|a| a.replica()).is_some_and(|r| r.leads());
-        self.living().into_iter().find(|&m| self.processes[m as usize].fleet.as_ref().is_some_and(leads))
+        let leads = |f: &Fleet| {
+            f.agreed()
+                .and_then(|a| a.replica())
+                .is_some_and(|r| r.leads())
+        };
+        self.living()
+            .into_iter()
+            .find(|&m| self.processes[m as usize].fleet.as_ref().is_some_and(leads))
     }
 
     /// A member's disk, to be spoilt.
@@ -210,12 +218,18 @@
 
     /// Whether all that live see just these there.
     pub fn agree(&self, there: &[u32]) -> bool {
-        let sees =
-            |by: u32, of: u32| matches!(self.standing(by, of), Some(Standing::Alive | Standing::Doubted));
+        let sees = |by: u32, of: u32| {
+            matches!(
+                self.standing(by, of),
+                Some(Standing::Alive | Standing::Doubted)
+            )
+        };
         let all = 0..self.script.members;
-        self.living()
-            .iter()
-            .all(|&by| all.clone().filter(|&of| of != by).all(|of| sees(by, of) == there.contains(&of)))
+        self.living().iter().all(|&by| {
+            all.clone()
+                .filter(|&of| of != by)
+                .all(|of| sees(by, of) == there.contains(&of))
+        })
     }
 
     fn push(&mut self, at: Micros, event: Event) {
@@ -232,7 +246,12 @@
         if p.fleet.is_some() {
             return;
         }
-        let me = Identity { name: name(member), addr: addr(member), session, back: 0 };
+        let me = Identity {
+            name: name(member),
+            addr: addr(member),
+            session,
+            back: 0,
+        };
         let about = About {
             zone: format!("z{}", member % self.script.zones),
             build: "lab".into(),
@@ -249,7 +268,14 @@
             file,
         };
         let agreed = (self.script.voters > 0).then_some(asked);
-        let options = Options { me, about, keys: keys(), seeds, seed, agreed };
+        let options = Options {
+            me,
+            about,
+            keys: keys(),
+            seeds,
+            seed,
+            agreed,
+        };
         p.life += 1;
         p.writes.clear();
         if let Ok(loaded) = agreed::store::read(&p.disk) {
@@ -288,7 +314,9 @@
         for b in &bytes {
             self.trace = (self.trace ^ u64::from(*b)).wrapping_mul(0x0100_0000_01b3);
         }
-        let Some(to) = member_at(to).filter(|&m| m < self.script.members) else { return };
+        let Some(to) = member_at(to).filter(|&m| m < self.script.members) else {
+            return;
+        };
         for after in self.links.between(from, to).carry(&mut self.rng) {
             self.push(self.now + after, Event::Deliver(to, bytes.clone()));
         }
@@ -301,7 +329,9 @@
         if p.stopped {
             return;
         }
-        let Some(fleet) = p.fleet.as_mut() else { return };
+        let Some(fleet) = p.fleet.as_mut() else {
+            return;
+        };
         for bytes in p.socket.drain(..) {
             fleet.take(clock, &bytes);
         }
@@ -317,7 +347,9 @@
     /// Sends and keeps what a process has ready.
     fn hand_on(&mut self, member: u32) {
         let p = &mut self.processes[member as usize];
-        let Some(fleet) = p.fleet.as_mut() else { return };
+        let Some(fleet) = p.fleet.as_mut() else {
+            return;
+        };
         let (mut sends, mut kept, life) = (Vec::new(), 0, p.life);
         while let Some(send) = fleet.to_send() {
             sends.push(send);
@@ -344,7 +376,9 @@
         if p.stopped {
             return self.push(self.now + SWEEP, Event::Kept(member, life));
         }
-        let (Some(fleet), Some(write)) = (p.fleet.as_mut(), p.writes.pop_front()) else { return };
+        let (Some(fleet), Some(write)) = (p.fleet.as_mut(), p.writes.pop_front()) else {
+            return;
+        };
         if write.anew {
             p.disk.clear();
         }
@@ -356,10 +390,16 @@
 
     /// Looks whether of any pot more is held than there is, by what each would do now.
     fn check(&mut self) {
-        let Some(mut rights) = self.rights.take() else { return };
+        let Some(mut rights) = self.rights.take() else {
+            return;
+        };
         for member in self.living() {
             let clock = self.clock(member);
-            if let Some(agreed) = self.processes[member as usize].fleet.as_ref().and_then(Fleet::agreed) {
+            if let Some(agreed) = self.processes[member as usize]
+                .fleet
+                .as_ref()
+                .and_then(Fleet::agreed)
+            {
                 rights.holds(member, clock, agreed);
             }
         }
@@ -369,11 +409,20 @@
 
     /// Notes what has changed in how a member sees the others.
     fn watch(&mut self, by: u32) {
-        let Some(fleet) = self.processes[by as usize].fleet.as_ref() else { return };
+        let Some(fleet) = self.processes[by as usize].fleet.as_ref() else {
+            return;
+        };
         for view in fleet.members().into_iter().filter(|v| !v.is_me) {
-            let Some(of) = view.name.strip_prefix('m').and_then(|n| n.parse().ok()) else { continue };
+            let Some(of) = view.name.strip_prefix('m').and_then(|n| n.parse().ok()) else {
+                continue;
+            };
             if self.views.insert((by, of), view.standing) != Some(view.standing) {
-                self.seen.push(Seen { at: self.now - BEGIN, by, of, standing: Some(view.standing) });
+                self.seen.push(Seen {
+                    at: self.now - BEGIN,
+                    by,
+                    of,
+                    standing: Some(view.standing),
+                });
             }
         }
     }
@@ -385,11 +434,16 @@
             Deed::Cut(groups, ways) => self.links.cut(&self.script.members_of(&groups), ways),
             Deed::Part(groups, from, ways) => {
                 let others = self.links.all_of(&[from]);
-                self.links.part(&self.script.members_of(&groups), &others, ways);
+                self.links
+                    .part(&self.script.members_of(&groups), &others, ways);
             }
             // There are no connections here.
             Deed::Reset(..) => {}
-            Deed::Kill(groups) => self.script.members_of(&groups).into_iter().for_each(|m| self.end(m)),
+            Deed::Kill(groups) => self
+                .script
+                .members_of(&groups)
+                .into_iter()
+                .for_each(|m| self.end(m)),
             Deed::Stop(groups) => {
                 for m in self.script.members_of(&groups) {
                     self.processes[m as usize].stopped = true;
@@ -401,7 +455,11 @@
                     self.work(m, false);
                 }
             }
-            Deed::Start(groups) => self.script.members_of(&groups).into_iter().for_each(|m| self.start(m)),
+            Deed::Start(groups) => self
+                .script
+                .members_of(&groups)
+                .into_iter()
+                .for_each(|m| self.start(m)),
             Deed::Leave(groups) => {
                 for m in self.script.members_of(&groups) {
                     let clock = self.clock(m);
--- a/crates/lab/tests/agreed.rs
+++ b/crates/lab/tests/agreed.rs
@@ -35,7 +35,9 @@
 #[test]
 fn founders_agree_and_all_may_ask_and_read() {
     for (members, voters, keeps) in [(3, 3, true), (8, 3, false), (12, 5, true)] {
-        let mut w = world(&format!("members {members}\nvoters {voters} keeps=#{keeps}"));
+        let mut w = world(&format!(
+            "members {members}\nvoters {voters} keeps=#{keeps}"
+        ));
         let (_, at) = led(&mut w, 10 * S);
         assert!(at < 6 * S, "founded after {at}");
         w.ask(Load::default());
@@ -52,7 +54,11 @@
             let wanted = if m < voters { Role::Votes } else { Role::Reads };
             assert_eq!(role(&mut w, m), Some(wanted), "m{m}");
             let view = w.fleet(m).unwrap().agreed().unwrap().view();
-            assert_eq!((view.voters.len() as u32, view.leader.is_some()), (voters, true), "m{m}");
+            assert_eq!(
+                (view.voters.len() as u32, view.leader.is_some()),
+                (voters, true),
+                "m{m}"
+            );
         }
     }
 }
@@ -68,7 +74,10 @@
         assert!(before > 0);
         w.now(&format!("kill \"m{leader}\""));
         let (next, at) = led(&mut w, 50 * S);
-        assert!(next != leader && at < 44 * S, "seed {seed}: m{next} leads at {at}");
+        assert!(
+            next != leader && at < 44 * S,
+            "seed {seed}: m{next} leads at {at}"
+        );
         w.play(48 * S, |_| false);
         w.now(&format!("start \"m{leader}\""));
         w.play(60 * S, |_| false);
@@ -83,7 +92,10 @@
     for seed in 1..=8 {
         let mut w = world(&format!("members 5\nvoters 3\nseed {seed}"));
         let (leader, _) = led(&mut w, 10 * S);
-        w.ask(Load { one_in: 8, ..Load::default() });
+        w.ask(Load {
+            one_in: 8,
+            ..Load::default()
+        });
         w.play(40 * S, |_| false);
         w.now(&format!("stop \"m{leader}\""));
         let (next, _) = led(&mut w, 46 * S);
@@ -102,7 +114,10 @@
 fn a_minority_agrees_on_nothing_new_and_what_it_holds_ends_by_itself() {
     let mut w = world("members 6\nvoters 3 keeps=#true\nseed 4");
     led(&mut w, 10 * S);
-    w.ask(Load { one_in: 8, ..Load::default() });
+    w.ask(Load {
+        one_in: 8,
+        ..Load::default()
+    });
     w.play(40 * S, |_| false);
     // m0 alone with a reader, m1 and m2 with the others.
     w.now("cut \"m0\" \"m3\"");
@@ -111,11 +126,25 @@
     for m in [0, 3] {
         let clock = w.clock_of(m);
         let agreed = w.fleet(m).unwrap().agreed().unwrap();
-        assert!(agreed.held().keys().all(|&f| !agreed.holds(f, clock)), "m{m} acts on {:?}", agreed.held());
-        assert_eq!(agreed.view().leader, None, "m{m} sees that there is no majority");
+        assert!(
+            agreed.held().keys().all(|&f| !agreed.holds(f, clock)),
+            "m{m} acts on {:?}",
+            agreed.held()
+        );
+        assert_eq!(
+            agreed.view().leader,
+            None,
+            "m{m} sees that there is no majority"
+        );
     }
     let lent = |w: &World, of: &[u32]| {
-        w.rights.as_ref().unwrap().fences.values().filter(|f| of.contains(&f.1)).count()
+        w.rights
+            .as_ref()
+            .unwrap()
+            .fences
+            .values()
+            .filter(|f| of.contains(&f.1))
+            .count()
     };
     let (small, large) = (lent(&w, &[0, 3]), lent(&w, &[1, 2, 4, 5]));
     w.play(58 * S, |_| false);
@@ -159,7 +188,10 @@
     w.play(70 * S, |_| false);
     let voters = |w: &mut World| w.fleet(leader).unwrap().agreed().unwrap().view().voters;
     let names: Vec<String> = voters(&mut w).into_iter().map(|v| v.0).collect();
-    assert!(names.len() == 3 && !names.contains(&format!("m{victim}")), "{names:?}");
+    assert!(
+        names.len() == 3 && !names.contains(&format!("m{victim}")),
+        "{names:?}"
+    );
     // Of its zone, since that one had no voter left.
     assert!(names.contains(&format!("m{}", victim + 3)), "{names:?}");
     w.now(&format!("start \"m{victim}\""));
@@ -178,7 +210,10 @@
     for seed in 1..=5 {
         let mut w = world(&format!("members 3\nvoters 3 keeps=#true\nseed {seed}"));
         led(&mut w, 10 * S);
-        w.ask(Load { span: 20 * S, ..Load::default() });
+        w.ask(Load {
+            span: 20 * S,
+            ..Load::default()
+        });
         w.play(45 * S, |_| false);
         let fences: Vec<u64> = w.rights.as_ref().unwrap().fences.keys().copied().collect();
         assert!(!fences.is_empty());
@@ -191,7 +226,10 @@
         assert!(view.index > 1);
         w.play(75 * S, |_| false);
         let rights = w.rights.as_ref().unwrap();
-        assert!(rights.fences.keys().max() > fences.iter().max(), "seed {seed}");
+        assert!(
+            rights.fences.keys().max() > fences.iter().max(),
+            "seed {seed}"
+        );
         assert_right(&w);
     }
 }
@@ -202,7 +240,10 @@
         let mut script = driftfront_lab::storm::storm(6, seed, true);
         (script.voters, script.keeps) = (if seed % 3 == 0 { 5 } else { 3 }, seed % 2 == 0);
         let mut w = World::new(script);
-        w.ask(Load { one_in: 10, ..Load::default() });
+        w.ask(Load {
+            one_in: 10,
+            ..Load::default()
+        });
         w.play(driftfront_lab::storm::QUIET + 60 * S, |_| false);
         assert_right(&w);
         assert!(w.led().is_some(), "seed {seed}: nobody leads");
@@ -217,7 +258,10 @@
         let mut script = driftfront_lab::storm::storm(6, seed, true);
         (script.voters, script.keeps) = (3, true);
         let mut w = World::new(script);
-        w.ask(Load { one_in: 10, ..Load::default() });
+        w.ask(Load {
+            one_in: 10,
+            ..Load::default()
+        });
         w.play(driftfront_lab::storm::QUIET, |_| false);
         assert_right(&w);
     }
--- a/crates/lab/tests/members.rs
+++ b/crates/lab/tests/members.rs
@@ -15,8 +15,9 @@
 
 /// Those that some living member called down though they were there, but for these.
 fn false_deaths(world: &World, but: &[u32]) -> usize {
-    let false_ones =
-        |s: &&driftfront_lab::world::Seen| s.standing == Some(Standing::Down) && !but.contains(&s.of);
+    let false_ones = |s: &&driftfront_lab::world::Seen| {
+        s.standing == Some(Standing::Down) && !but.contains(&s.of)
+    };
     world.seen.iter().filter(false_ones).count()
 }
 
@@ -29,9 +30,14 @@
 #[test]
 fn three_of_eight_that_are_killed_at_once_are_known_to_be_gone_by_all_in_time() {
     for seed in 1..=20 {
-        let mut w = world(&format!("members 8\nseed {seed}\nat \"10 s\" {{ kill \"m1\" \"m4\" \"m6\" }}"));
+        let mut w = world(&format!(
+            "members 8\nseed {seed}\nat \"10 s\" {{ kill \"m1\" \"m4\" \"m6\" }}"
+        ));
         assert!(w.play(10 * S, |w| w.agree(&all(8))));
-        assert!(w.play(16 * S, |w| w.time() > 10 * S && w.agree(&[0, 2, 3, 5, 7])), "seed {seed}");
+        assert!(
+            w.play(16 * S, |w| w.time() > 10 * S && w.agree(&[0, 2, 3, 5, 7])),
+            "seed {seed}"
+        );
         assert_eq!(false_deaths(&w, &[1, 4, 6]), 0, "seed {seed}");
     }
 }
@@ -47,20 +53,31 @@
             (0..8).all(|by| (0..8).all(|of| by == of || sees(by, of) == ((by < 4) == (of < 4))))
         };
         assert!(w.play(15 * S, apart), "seed {seed}: never apart");
-        assert!(w.play(26 * S, |w| w.time() > 15 * S && w.agree(&all(8))), "seed {seed}: never one again");
+        assert!(
+            w.play(26 * S, |w| w.time() > 15 * S && w.agree(&all(8))),
+            "seed {seed}: never one again"
+        );
     }
 }
 
 #[test]
 fn one_that_hears_all_and_reaches_none_is_gone_for_them_and_comes_back() {
-    let mut w = world("members 8\nseed 3\nat \"5 s\" { cut \"m2\" ways=\"out\" }\nat \"20 s\" { heal }");
+    let mut w =
+        world("members 8\nseed 3\nat \"5 s\" { cut \"m2\" ways=\"out\" }\nat \"20 s\" { heal }");
     assert!(w.play(5 * S, |w| w.agree(&all(8))));
-    let gone = |w: &World| (0..8).filter(|&m| m != 2).all(|m| w.standing(m, 2) == Some(Standing::Down));
+    let gone = |w: &World| {
+        (0..8)
+            .filter(|&m| m != 2)
+            .all(|m| w.standing(m, 2) == Some(Standing::Down))
+    };
     assert!(w.play(12 * S, gone));
     // Nobody else is doubted for it for long.
     w.play(20 * S, |_| false);
     assert_eq!(
-        w.seen.iter().filter(|s| s.by != 2 && s.of != 2 && s.standing == Some(Standing::Down)).count(),
+        w.seen
+            .iter()
+            .filter(|s| s.by != 2 && s.of != 2 && s.standing == Some(Standing::Down))
+            .count(),
         0
     );
     assert!(w.play(32 * S, |w| w.time() > 20 * S && w.agree(&all(8))));
@@ -75,9 +92,15 @@
         assert!(w.play(5 * S, |w| w.agree(&all(8))));
         w.play(13 * S, |_| false);
         assert_eq!(w.standing(0, 3), Some(Standing::Down));
-        assert!(w.play(24 * S, |w| w.time() > 13 * S && w.agree(&all(8))), "seed {seed}");
+        assert!(
+            w.play(24 * S, |w| w.time() > 13 * S && w.agree(&all(8))),
+            "seed {seed}"
+        );
         assert_eq!(
-            w.seen.iter().filter(|s| s.by == 3 && s.standing == Some(Standing::Down)).count(),
+            w.seen
+                .iter()
+                .filter(|s| s.by == 3 && s.standing == Some(Standing::Down))
+                .count(),
             0,
             "seed {seed}"
         );
@@ -87,7 +110,9 @@
 #[test]
 fn a_clock_that_jumps_by_an_hour_harms_nobody() {
     for by in ["3600 s", "-900 s"] {
-        let mut w = world(&format!("members 8\nat \"5 s\" {{ clock \"m3\" by=\"{by}\" }}"));
+        let mut w = world(&format!(
+            "members 8\nat \"5 s\" {{ clock \"m3\" by=\"{by}\" }}"
+        ));
         assert!(w.play(5 * S, |w| w.agree(&all(8))));
         w.play(20 * S, |_| false);
         assert!(w.agree(&all(8)) && false_deaths(&w, &[]) == 0, "{by}");
@@ -99,7 +124,8 @@
     let mut w = world("members 8\nkill \"m0\" \"m1\" \"m2\"\nat \"10 s\" { start \"m1\" }");
     w.play(9 * S, |_| false);
     assert!((3..8).all(|m| w.standing(m, 7 - m % 2).is_none() || m == 7 - m % 2));
-    assert!(w.play(18 * S, |w| w.time() > 10 * S && w.agree(&[1, 3, 4, 5, 6, 7])));
+    assert!(w.play(18 * S, |w| w.time() > 10 * S
+        && w.agree(&[1, 3, 4, 5, 6, 7])));
 }
 
 #[test]
@@ -116,7 +142,8 @@
 fn who_leaves_in_order_is_gone_at_once() {
     let mut w = world("members 8\nat \"5 s\" { leave \"m3\" }");
     assert!(w.play(5 * S, |w| w.agree(&all(8))));
-    assert!(w.play(5 * S + 700_000, |w| w.time() > 5 * S && w.agree(&[0, 1, 2, 4, 5, 6, 7])));
+    assert!(w.play(5 * S + 700_000, |w| w.time() > 5 * S
+        && w.agree(&[0, 1, 2, 4, 5, 6, 7])));
 }
 
 #[test]
@@ -144,8 +171,13 @@
     assert!(w.fleet(11).unwrap().fact("m0", 9).is_none());
     w.play(29 * S, |_| false);
     let fleet = w.fleet(11).unwrap();
-    let fact = fleet.fact("m0", 9).expect("comparisons bring what rumours missed");
-    assert!(fact.reachable && fact.age >= 20 * S && fact.age < 25 * S, "{fact:?}");
+    let fact = fleet
+        .fact("m0", 9)
+        .expect("comparisons bring what rumours missed");
+    assert!(
+        fact.reachable && fact.age >= 20 * S && fact.age < 25 * S,
+        "{fact:?}"
+    );
     w.play(36 * S, |_| false);
     assert!(!w.fleet(11).unwrap().fact("m0", 9).unwrap().reachable);
 }
@@ -177,7 +209,10 @@
         let after: u64 = (0..members).map(|m| w.counters(m).sent).sum();
         a_second.push((after - before) as f64 / 10.0 / f64::from(members));
     }
-    assert!(a_second[1] < 2.0 * a_second[0] && a_second[1] < 60.0, "{a_second:?}");
+    assert!(
+        a_second[1] < 2.0 * a_second[0] && a_second[1] < 60.0,
+        "{a_second:?}"
+    );
 }
 
 #[test]
--- a/crates/lab/tests/model.rs
+++ b/crates/lab/tests/model.rs
@@ -4,16 +4,27 @@
 use stateright::{Checker, HasDiscoveries, Model};
 
 fn found(wrong: Wrong, depth: usize) -> Vec<&'static str> {
-    let bounds = Bounds { time: 2, terms: 2, entries: 3, wrong };
+    let bounds = Bounds {
+        time: 2,
+        terms: 2,
+        entries: 3,
+        wrong,
+    };
     let checker = bounds.checker().threads(2).target_max_depth(depth);
-    let done = checker.finish_when(HasDiscoveries::AnyFailures).spawn_bfs().join();
+    let done = checker
+        .finish_when(HasDiscoveries::AnyFailures)
+        .spawn_bfs()
+        .join();
     done.discoveries().into_keys().collect()
 }
 
 #[test]
 fn one_right_is_never_acted_on_by_two_whatever_crashes_or_is_cut() {
     let found = found(Wrong::Nothing, 11);
-    assert!(!found.contains(&"never both") && !found.contains(&"agreed once"), "{found:?}");
+    assert!(
+        !found.contains(&"never both") && !found.contains(&"agreed once"),
+        "{found:?}"
+    );
 }
 
 #[test]
--- a/crates/node/benches/clickhouse.rs
+++ b/crates/node/benches/clickhouse.rs
@@ -31,20 +31,34 @@
 
 impl Through {
     fn start(program: &str, engine: SocketAddr, more: &str) -> Through {
-        let port = TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("an address");
-        let list = file(&format!("{{\"instances\":[{}]}}", instance("e0", engine, "ready")));
+        let port = TcpListener::bind("127.0.0.1:0")
+            .expect("a port")
+            .local_addr()
+            .expect("an address");
+        let list = file(&format!(
+            "{{\"instances\":[{}]}}",
+            instance("e0", engine, "ready")
+        ));
         let config = appliance()
             .replace("127.0.0.1:8123", &port.to_string())
             .replace("deploy/engines.json", &list.display().to_string())
             .replace("\"sockets\": 1024", &format!("\"sockets\": 2048{more}"));
         let config = file(&config);
         let child = Command::new("sh")
-            .args(["-c", "ulimit -n 4096; exec \"$0\" serve --log error --config \"$1\"", program])
+            .args([
+                "-c",
+                "ulimit -n 4096; exec \"$0\" serve --log error --config \"$1\"",
+                program,
+            ])
             .arg(&config)
             .stderr(Stdio::null())
             .spawn()
             .expect("the program starts");
-        let through = Through { child, addr: port, files: vec![list, config] };
+        let through = Through {
+            child,
+            addr: port,
+            files: vec![list, config],
+        };
         let begin = Instant::now();
         loop {
             if let Ok(mut stream) = TcpStream::connect(through.addr) {
@@ -53,25 +67,41 @@
                     return through;
                 }
             }
-            assert!(begin.elapsed() < Duration::from_secs(20), "{program} never got ready");
+            assert!(
+                begin.elapsed() < Duration::from_secs(20),
+                "{program} never got ready"
+            );
             std::thread::sleep(Duration::from_millis(5));
         }
     }
 
     /// Processor time that it has used, in seconds.
     fn cpu(&self) -> f64 {
-        let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).expect("its figures");
-        let fields: Vec<&str> = stat.rsplit(") ").next().unwrap_or_default().split(' ').collect();
+        let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id()))
+            .expect("its figures");
+        let fields: Vec<&str> = stat
+            .rsplit(") ")
+            .next()
+            .unwrap_or_default()
+            .split(' ')
+            .collect();
         let ticks: f64 =
             fields[11].parse::<f64>().expect("utime") + fields[12].parse::<f64>().expect("stime");
         ticks / 100.0
     }
 
     fn status_mb(&self, name: &str) -> f64 {
-        let status =
-            std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).expect("its figures");
-        let line = status.lines().find(|l| l.starts_with(name)).unwrap_or_default();
-        line.split_whitespace().nth(1).and_then(|kb| kb.parse::<f64>().ok()).unwrap_or(0.0) / 1024.0
+        let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id()))
+            .expect("its figures");
+        let line = status
+            .lines()
+            .find(|l| l.starts_with(name))
+            .unwrap_or_default();
+        line.split_whitespace()
+            .nth(1)
+            .and_then(|kb| kb.parse::<f64>().ok())
+            .unwrap_or(0.0)
+            / 1024.0
     }
 }
 
@@ -79,7 +109,9 @@
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
-        self.files.iter().for_each(|f| drop(std::fs::remove_file(f)));
+        self.files
+            .iter()
+            .for_each(|f| drop(std::fs::remove_file(f)));
     }
 }
 
@@ -94,7 +126,9 @@
         stream.write_all(request).expect("it reads");
         let answer = read_answer(&mut stream);
         assert_eq!(answer.body, b"1\n");
-        times.record(begin.elapsed().as_nanos() as u64).expect("in range");
+        times
+            .record(begin.elapsed().as_nanos() as u64)
+            .expect("in range");
     }
     times
 }
@@ -118,13 +152,22 @@
 fn spread(values: &[f64]) -> String {
     let mut sorted = values.to_vec();
     sorted.sort_by(f64::total_cmp);
-    format!("{:.2} ({:.2} to {:.2})", sorted[sorted.len() / 2], sorted[0], sorted[sorted.len() - 1])
+    format!(
+        "{:.2} ({:.2} to {:.2})",
+        sorted[sorted.len() / 2],
+        sorted[0],
+        sorted[sorted.len() - 1]
+    )
 }
 
 fn main() {
     let args: Vec<String> = std::env::args().collect();
     let quick = args.iter().any(|a| a == "--quick");
-    let only = args.iter().position(|a| a == "--only").and_then(|at| args.get(at + 1)).cloned();
+    let only = args
+        .iter()
+        .position(|a| a == "--only")
+        .and_then(|at| args.get(at + 1))
+        .cloned();
     let wanted = |name: &str| only.as_ref().is_none_or(|o| o == name);
     let scale = if quick { 10 } else { 1 };
     let own = env!("CARGO_BIN_EXE_driftfront").to_string();
@@ -156,8 +199,9 @@
         let begin = now.cpu();
         let through = calls(now.addr, count);
         cpu.push((now.cpu() - begin) / count as f64 * 1e6);
-        let added =
-            |q: f64| (through.value_at_quantile(q) as f64 - direct.value_at_quantile(q) as f64) / 1000.0;
+        let added = |q: f64| {
+            (through.value_at_quantile(q) as f64 - direct.value_at_quantile(q) as f64) / 1000.0
+        };
         p50.push(added(0.5));
         p99.push(added(0.99));
         if let Some(before) = &before {
@@ -167,20 +211,33 @@
             ratios.push(cpu[cpu.len() - 1] / cpu_before[cpu_before.len() - 1]);
         }
     }
-    println!("| CPU for `SELECT 1` on a kept connection, µs | {} |", spread(&cpu));
+    println!(
+        "| CPU for `SELECT 1` on a kept connection, µs | {} |",
+        spread(&cpu)
+    );
     if before.is_some() {
-        println!("| the same, the version before, µs | {} |", spread(&cpu_before));
+        println!(
+            "| the same, the version before, µs | {} |",
+            spread(&cpu_before)
+        );
         println!("| ratio, now to before | {} |", spread(&ratios));
     }
-    println!("| added latency against direct, p50, µs | {} |", spread(&p50));
-    println!("| added latency against direct, p99, µs | {} |", spread(&p99));
+    println!(
+        "| added latency against direct, p50, µs | {} |",
+        spread(&p50)
+    );
+    println!(
+        "| added latency against direct, p99, µs | {} |",
+        spread(&p99)
+    );
 }
 
 fn results(own: &str, baseline: Option<&str>, engine: &Engine, rows: usize) {
     let now = Through::start(own, engine.addr(), "");
     let before = baseline.map(|b| Through::start(b, engine.addr(), ""));
     for (name, params) in [("plain", ""), ("LZ4 blocks", "&compress=1")] {
-        let (mut direct, mut through, mut ratio, mut cpu) = (Vec::new(), Vec::new(), Vec::new(), Vec::new());
+        let (mut direct, mut through, mut ratio, mut cpu) =
+            (Vec::new(), Vec::new(), Vec::new(), Vec::new());
         let mut against = Vec::new();
         for _ in 0..ROUNDS {
             direct.push(throughput(engine.addr(), rows, params));
@@ -197,26 +254,39 @@
         println!("| ratio, through to direct | {} |", spread(&ratio));
         println!("| processor seconds for it | {} |", spread(&cpu));
         if !against.is_empty() {
-            println!("| ratio, now to the version before | {} |", spread(&against));
+            println!(
+                "| ratio, now to the version before | {} |",
+                spread(&against)
+            );
         }
     }
 }
 
 fn memory(own: &str, engine: &Engine) {
     let now = Through::start(own, engine.addr(), ", \"memory_mb\": 48");
-    let idle: Vec<TcpStream> = (0..500).map(|_| TcpStream::connect(now.addr).expect("room")).collect();
+    let idle: Vec<TcpStream> = (0..500)
+        .map(|_| TcpStream::connect(now.addr).expect("room"))
+        .collect();
     let mut open = idle;
     for stream in &mut open {
-        stream.write_all(b"GET /ping HTTP/1.1\r\nHost: t\r\n\r\n").expect("it reads");
+        stream
+            .write_all(b"GET /ping HTTP/1.1\r\nHost: t\r\n\r\n")
+            .expect("it reads");
         assert_eq!(read_answer(stream).status, 200);
     }
-    println!("| memory with 500 open clients, MB | {:.1} |", now.status_mb("VmRSS"));
+    println!(
+        "| memory with 500 open clients, MB | {:.1} |",
+        now.status_mb("VmRSS")
+    );
     drop(open);
     // Each reads 1 KB a second; engines take 64 queries each, so there are more.
     let site: Site = Plan::of(14).memory_mb(48).start();
     let mut slow: Vec<TcpStream> = (0..200)
         .map(|n| {
-            site.begin("/?driftfront_class=report", &format!("SELECT wide(20), {n} FROM numbers(400000)"))
+            site.begin(
+                "/?driftfront_class=report",
+                &format!("SELECT wide(20), {n} FROM numbers(400000)"),
+            )
         })
         .collect();
     let mut bytes = [0; 1024];
@@ -240,8 +310,11 @@
     let piece = "0123456789,abcde\n".repeat(61_680).into_bytes();
     let length = piece.len() * mb;
     let target = "/?query=INSERT+INTO+o.large+FORMAT+CSV";
-    write!(stream, "POST {target} HTTP/1.1\r\nHost: t\r\nContent-Length: {length}\r\n\r\n")
-        .expect("it reads");
+    write!(
+        stream,
+        "POST {target} HTTP/1.1\r\nHost: t\r\nContent-Length: {length}\r\n\r\n"
+    )
+    .expect("it reads");
     let begin = Instant::now();
     for _ in 0..mb {
         stream.write_all(&piece).expect("it reads on");
@@ -249,8 +322,14 @@
     let answer = read_answer(&mut stream);
     let seconds = begin.elapsed().as_secs_f64();
     let arrived = site.engines[0].table("o.large");
-    assert_eq!((answer.status, arrived.bytes, arrived.rows), (200, length as u64, 61_680 * mb as u64));
+    assert_eq!(
+        (answer.status, arrived.bytes, arrived.rows),
+        (200, length as u64, 61_680 * mb as u64)
+    );
     let rate = length as f64 / 1e6 / seconds;
-    println!("| insert of {:.2} GB through 48 MB: MB/s | {rate:.0} |", length as f64 / 1e9);
+    println!(
+        "| insert of {:.2} GB through 48 MB: MB/s | {rate:.0} |",
+        length as f64 / 1e9
+    );
     println!("| the same: most memory, MB | {} |", site.memory_mb());
 }
--- a/crates/node/benches/operators.rs
+++ b/crates/node/benches/operators.rs
@@ -28,12 +28,20 @@
 
 impl Program {
     fn start(engines: usize, engine: SocketAddr) -> Program {
-        let addr = TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a port");
+        let addr = TcpListener::bind("127.0.0.1:0")
+            .and_then(|l| l.local_addr())
+            .expect("a port");
         let name = |what: &str| {
-            std::env::temp_dir().join(format!("driftfront-bench-{}-{engines}.{what}", std::process::id()))
+            std::env::temp_dir().join(format!(
+                "driftfront-bench-{}-{engines}.{what}",
+                std::process::id()
+            ))
         };
         let (socket, file) = (name("sock"), name("kdl"));
-        let mut text = format!("listen \"{addr}\"\ncontrol \"{}\"\nengines {{\n", socket.display());
+        let mut text = format!(
+            "listen \"{addr}\"\ncontrol \"{}\"\nengines {{\n",
+            socket.display()
+        );
         for n in 0..engines {
             let _ = writeln!(text, "    engine \"engine-{n}\" at=\"{engine}\"");
         }
@@ -45,10 +53,18 @@
             .stderr(Stdio::null())
             .spawn()
             .expect("it starts");
-        let program = Program { child, addr, socket, file };
+        let program = Program {
+            child,
+            addr,
+            socket,
+            file,
+        };
         let begin = Instant::now();
         while Remote::connect(&At::Socket(program.socket.clone())).is_err() {
-            assert!(begin.elapsed() < Duration::from_secs(20), "it never got ready");
+            assert!(
+                begin.elapsed() < Duration::from_secs(20),
+                "it never got ready"
+            );
             std::thread::sleep(Duration::from_millis(10));
         }
         program
@@ -59,9 +75,16 @@
     }
 
     fn cpu(&self) -> f64 {
-        let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).expect("its figures");
-        let fields: Vec<&str> = stat.rsplit(") ").next().unwrap_or_default().split(' ').collect();
-        (fields[11].parse::<f64>().expect("utime") + fields[12].parse::<f64>().expect("stime")) / 100.0
+        let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id()))
+            .expect("its figures");
+        let fields: Vec<&str> = stat
+            .rsplit(") ")
+            .next()
+            .unwrap_or_default()
+            .split(' ')
+            .collect();
+        (fields[11].parse::<f64>().expect("utime") + fields[12].parse::<f64>().expect("stime"))
+            / 100.0
     }
 }
 
@@ -69,7 +92,10 @@
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
-        let _ = (std::fs::remove_file(&self.file), std::fs::remove_file(&self.socket));
+        let _ = (
+            std::fs::remove_file(&self.file),
+            std::fs::remove_file(&self.socket),
+        );
     }
 }
 
@@ -79,7 +105,9 @@
     let (begin, mut times, mut bytes) = (Instant::now(), Vec::new(), [0; 512]);
     while begin.elapsed() < ROUND {
         let asked = Instant::now();
-        stream.write_all(b"GET /ping HTTP/1.1\r\nHost: t\r\n\r\n").expect("it reads");
+        stream
+            .write_all(b"GET /ping HTTP/1.1\r\nHost: t\r\n\r\n")
+            .expect("it reads");
         let mut text = Vec::new();
         while !text.ends_with(b"Ok.\n") {
             let n = stream.read(&mut bytes).expect("an answer");
@@ -115,7 +143,10 @@
         let (p99, longest) = longest_ping(program.addr);
         let cpu = (program.cpu() - before) / ROUND.as_secs_f64() * 100.0;
         stop.store(true, Ordering::Relaxed);
-        let told: u64 = readers.into_iter().map(|r| r.join().expect("no panic")).sum();
+        let told: u64 = readers
+            .into_iter()
+            .map(|r| r.join().expect("no panic"))
+            .sum();
         println!("| {consoles} ({told} snapshots) | {cpu:.1} | {p99:.2} | {longest:.2} |");
     }
     drop(program);
@@ -131,13 +162,21 @@
         for _ in 0..50 {
             // Beyond the time for which one serves all.
             std::thread::sleep(Duration::from_millis(60));
-            let Ok(Reply::Snapshot(s)) = remote.ask(&Request::Snapshot) else { panic!("no snapshot") };
+            let Ok(Reply::Snapshot(s)) = remote.ask(&Request::Snapshot) else {
+                panic!("no snapshot")
+            };
             bytes = Reply::Snapshot(s).line(1).len();
         }
         let spent = program.cpu() - before - idle * begin.elapsed().as_secs_f64();
-        println!("| {engines} | {:.2} | {bytes} |", spent.max(0.0) / 50.0 * 1000.0);
+        println!(
+            "| {engines} | {:.2} | {bytes} |",
+            spent.max(0.0) / 50.0 * 1000.0
+        );
     }
     let mut hour = Ring::hour();
     (0..360_000u64).for_each(|n| hour.add(n * 10_000, End::Served, n * 7919 % 30_000_000, 500_000));
-    println!("\nAn hour of history of one class at 100 requests a second holds {} KB.", hour.bytes() / 1024);
+    println!(
+        "\nAn hour of history of one class at 100 requests a second holds {} KB.",
+        hour.bytes() / 1024
+    );
 }
--- a/crates/node/src/backs/clickhouse.rs
+++ b/crates/node/src/backs/clickhouse.rs
@@ -50,7 +50,9 @@
     let number = |name: &str| {
         let rest = &value[value.find(&format!("\"{name}\""))? + name.len() + 2..];
         let digits = rest.trim_start_matches([':', ' ', '"']);
-        let end = digits.find(|c: char| !c.is_ascii_digit()).unwrap_or(digits.len());
+        let end = digits
+            .find(|c: char| !c.is_ascii_digit())
+            .unwrap_or(digits.len());
         digits[..end].parse::<f64>().ok()
     };
     let (read, total) = (number("read_rows")?, number("total_rows_to_read")?);
@@ -81,7 +83,10 @@
 impl Answer {
     /// The exception's code that the head tells, if any.
     fn code(&self) -> Option<u32> {
-        header(&self.head.as_ref()?.headers, "X-ClickHouse-Exception-Code")?.trim().parse().ok()
+        header(&self.head.as_ref()?.headers, "X-ClickHouse-Exception-Code")?
+            .trim()
+            .parse()
+            .ok()
     }
 
     fn is_error(&self) -> bool {
@@ -91,7 +96,10 @@
     /// What describes the result, for the client.
     fn about(&mut self, call: &str) -> Vec<(String, String)> {
         let passed = |name: &str| {
-            let starts = |with: &str| name.get(..with.len()).is_some_and(|n| n.eq_ignore_ascii_case(with));
+            let starts = |with: &str| {
+                name.get(..with.len())
+                    .is_some_and(|n| n.eq_ignore_ascii_case(with))
+            };
             let named = ["content-type", "content-encoding", "content-disposition"];
             let is = |n: &&str| name.eq_ignore_ascii_case(n);
             starts("x-clickhouse-") || starts("access-control-") || named.iter().any(is)
@@ -99,7 +107,9 @@
         let headers = self.head.iter().flat_map(|h| &h.headers);
         let mut about: Vec<_> = headers.filter(|h| passed(&h.0)).cloned().collect();
         // A further attempt may have run under another name than its client's.
-        let named = about.iter_mut().filter(|h| h.0.eq_ignore_ascii_case("X-ClickHouse-Query-Id"));
+        let named = about
+            .iter_mut()
+            .filter(|h| h.0.eq_ignore_ascii_case("X-ClickHouse-Query-Id"));
         named.for_each(|h| h.1 = call.into());
         about.extend(self.progress.take().map(|p| (PROGRESS.to_string(), p)));
         about
@@ -128,10 +138,21 @@
 
     fn pass(&mut self, key: AttemptKey, last: bool, seen: &mut Vec<Seen>) {
         let call = std::mem::take(&mut self.call);
-        let about = if self.passing { Vec::new() } else { self.about(&call) };
+        let about = if self.passing {
+            Vec::new()
+        } else {
+            self.about(&call)
+        };
         let last = last && !std::mem::replace(&mut self.passing, true);
         let rows = std::mem::take(&mut self.held);
-        seen.push(Seen::Piece(key, Piece { about, rows, whole: last }));
+        seen.push(Seen::Piece(
+            key,
+            Piece {
+                about,
+                rows,
+                whole: last,
+            },
+        ));
     }
 
     /// The answer is over, or (`cut`) the connection is.
@@ -189,7 +210,9 @@
     fn part(&mut self, part: ResponsePart, seen: &mut Vec<Seen>) -> Result<(), String> {
         match part {
             ResponsePart::Early(value) => {
-                let Out::Query(key) = self.out else { return Ok(()) };
+                let Out::Query(key) = self.out else {
+                    return Ok(());
+                };
                 if let Some(share) = share_done(&value) {
                     seen.push(Seen::Noted(key, Note::Progress(share)));
                 }
@@ -203,9 +226,10 @@
                     return Err("an answer to another query".into());
                 }
                 let told = |name: &str| header(&head.headers, name);
-                let coding = told("Content-Encoding").filter(|c| !c.eq_ignore_ascii_case("identity"));
-                let known =
-                    coding.map(|c| Coding::of(c).ok_or(format!("content coding {c} can't be followed")));
+                let coding =
+                    told("Content-Encoding").filter(|c| !c.eq_ignore_ascii_case("identity"));
+                let known = coding
+                    .map(|c| Coding::of(c).ok_or(format!("content coding {c} can't be followed")));
                 let known = known.transpose()?;
                 let tag = told("X-ClickHouse-Exception-Tag");
                 if matches!(self.out, Out::Query(_)) {
@@ -238,7 +262,11 @@
             Out::Query(key) => self.answer.end(key, false, seen),
             Out::Probe(tag) => {
                 let fine = !self.answer.is_error();
-                seen.push(Seen::Probed(tag, if fine { Outcome::Ok } else { Outcome::Error }, Vec::new()));
+                seen.push(Seen::Probed(
+                    tag,
+                    if fine { Outcome::Ok } else { Outcome::Error },
+                    Vec::new(),
+                ));
             }
             Out::Nothing => {}
         }
@@ -287,7 +315,10 @@
         let _ = write!(head, "&max_execution_time={seconds}");
         if let Some(every) = start.notes_every {
             let ms = every / 1000;
-            let _ = write!(head, "&send_progress_in_http_headers=1&http_headers_progress_interval_ms={ms}");
+            let _ = write!(
+                head,
+                "&send_progress_in_http_headers=1&http_headers_progress_interval_ms={ms}"
+            );
         }
         self.frames = false;
         let mut headers = "";
@@ -313,7 +344,10 @@
         self.out = Out::Query(start.key);
         self.name.clear();
         self.name.push_str(start.name);
-        self.answer = Answer { call: start.ask.call.to_string(), ..Answer::default() };
+        self.answer = Answer {
+            call: start.ask.call.to_string(),
+            ..Answer::default()
+        };
     }
     fn more(&mut self, bytes: &[u8], out: &mut Vec<u8>) {
         out.extend(driftfront_http::chunk(bytes));
@@ -349,7 +383,11 @@
         seen: &mut Vec<Seen>,
     ) -> Result<(), String> {
         self.reader.push(input);
-        while let Some(part) = self.reader.next_part().map_err(|e| format!("bad HTTP: {e:?}"))? {
+        while let Some(part) = self
+            .reader
+            .next_part()
+            .map_err(|e| format!("bad HTTP: {e:?}"))?
+        {
             self.part(part, seen)?;
         }
         Ok(())
@@ -380,10 +418,17 @@
 
     #[test]
     fn the_share_done_is_read_off_a_progress_header() {
-        let told = r#"{"read_rows":"2752512","read_bytes":"240570816","total_rows_to_read":"8880128"}"#;
+        let told =
+            r#"{"read_rows":"2752512","read_bytes":"240570816","total_rows_to_read":"8880128"}"#;
         assert!(share_done(told).is_some_and(|s| (s - 0.31).abs() < 0.001));
-        assert_eq!(share_done(r#"{"read_rows":"5","total_rows_to_read":"0"}"#), None);
+        assert_eq!(
+            share_done(r#"{"read_rows":"5","total_rows_to_read":"0"}"#),
+            None
+        );
         assert_eq!(share_done("nonsense"), None);
-        assert_eq!(share_done(r#"{"read_rows":9, "total_rows_to_read": 3}"#), Some(1.0));
+        assert_eq!(
+            share_done(r#"{"read_rows":9, "total_rows_to_read": 3}"#),
+            Some(1.0)
+        );
     }
 }
--- a/crates/node/src/backs/lines.rs
+++ b/crates/node/src/backs/lines.rs
@@ -34,12 +34,17 @@
 
 impl Answer {
     fn field(&self, name: &str) -> Option<&str> {
-        self.fields.split(',').find_map(|f| f.strip_prefix(name)?.strip_prefix('='))
+        self.fields
+            .split(',')
+            .find_map(|f| f.strip_prefix(name)?.strip_prefix('='))
     }
 
     /// A figure above 0 that can be planned with; what can't counts as not told.
     fn figure(&self, name: &str) -> Option<f64> {
-        self.field(name)?.parse().ok().filter(|n| *n > 0.0 && *n <= FIGURE_MOST)
+        self.field(name)?
+            .parse()
+            .ok()
+            .filter(|n| *n > 0.0 && *n <= FIGURE_MOST)
     }
 }
 
@@ -67,7 +72,11 @@
     pub fn next_answer(&mut self) -> Result<Option<Answer>, String> {
         let rest = &self.bytes[self.used..];
         let Some(end) = rest.iter().position(|&b| b == b'\n') else {
-            return if rest.len() > LINE_MOST { Err("line too long".into()) } else { Ok(None) };
+            return if rest.len() > LINE_MOST {
+                Err("line too long".into())
+            } else {
+                Ok(None)
+            };
         };
         let line = rest[..end].strip_suffix(b"\r").ok_or("line without CR")?;
         if line.len() > LINE_MOST {
@@ -89,8 +98,12 @@
         if &body[length..length + 2] != b"\r\n" {
             return Err("no CR LF after a page".into());
         }
-        let answer =
-            Answer { id: id.into(), word: word.into(), fields: fields.into(), body: body[..length].to_vec() };
+        let answer = Answer {
+            id: id.into(),
+            word: word.into(),
+            fields: fields.into(),
+            body: body[..length].to_vec(),
+        };
         self.used += end + 1 + length + 2;
         Ok(Some(answer))
     }
@@ -124,7 +137,15 @@
     /// A conversation that carries so many requests; `gauges` names a report's values in order.
     pub fn new(most: usize, gauges: Rc<[String]>) -> Lines {
         let (reader, open, ended, probes) = Default::default();
-        Lines { reader, open, ended, probes, most, gauges, within: None }
+        Lines {
+            reader,
+            open,
+            ended,
+            probes,
+            most,
+            gauges,
+            within: None,
+        }
     }
 
     /// What was open under this id ended without being served; which attempt that was.
@@ -138,10 +159,14 @@
     }
 
     fn report(&self, answer: &Answer) -> Vec<f64> {
-        let Some(told) = answer.field("gauges") else { return Vec::new() };
+        let Some(told) = answer.field("gauges") else {
+            return Vec::new();
+        };
         let value = |name: &String| {
             let each = told.split(';').filter_map(|g| g.split_once(':'));
-            let found = each.filter(|g| g.0 == name).find_map(|g| g.1.parse::<f64>().ok());
+            let found = each
+                .filter(|g| g.0 == name)
+                .find_map(|g| g.1.parse::<f64>().ok());
             // The module takes values out of range as absent.
             found.unwrap_or(-1.0)
         };
@@ -160,7 +185,11 @@
             "PONG" | "SICK" => {
                 let tag = answer.id.strip_prefix('p').and_then(|t| t.parse().ok());
                 if let Some(n) = self.probes.iter().position(|p| Some(*p) == tag) {
-                    let outcome = if answer.word == "PONG" { Outcome::Ok } else { Outcome::Error };
+                    let outcome = if answer.word == "PONG" {
+                        Outcome::Ok
+                    } else {
+                        Outcome::Error
+                    };
                     seen.push(Seen::Probed(self.probes.swap_remove(n), outcome, report));
                 }
                 return Ok(());
@@ -173,11 +202,19 @@
         };
         // What was given up may still be answered, as its answer crossed our STOP; and some answers come
         // twice, or under an id that nobody asked for. None of that may reach another request.
-        let Some(open) = self.open.get_mut(&*answer.id) else { return Ok(()) };
+        let Some(open) = self.open.get_mut(&*answer.id) else {
+            return Ok(());
+        };
         let key = open.key;
         if let Some(cause) = cause {
             self.end(&answer.id);
-            seen.push(Seen::Told(key, Told { report, ..Told::default() }));
+            seen.push(Seen::Told(
+                key,
+                Told {
+                    report,
+                    ..Told::default()
+                },
+            ));
             seen.push(Seen::Failed(key, cause));
         } else if answer.word == "INFO" {
             seen.extend(note(&answer).map(|note| Seen::Noted(key, note)));
@@ -206,7 +243,14 @@
                 }
                 if let Some(done) = self.open.remove(&*answer.id) {
                     let rows = done.pages.into_iter().flatten().flatten().collect();
-                    seen.push(Seen::Piece(key, Piece { about: Vec::new(), whole: true, rows }));
+                    seen.push(Seen::Piece(
+                        key,
+                        Piece {
+                            about: Vec::new(),
+                            whole: true,
+                            rows,
+                        },
+                    ));
                     seen.push(Seen::Told(key, done.told));
                     seen.push(Seen::Served(key));
                 }
@@ -239,7 +283,10 @@
         } else {
             place = number("fetch_no").ok_or("no page number")?;
         }
-        let page = self.pages.get_mut(place).ok_or("a page that was not asked for")?;
+        let page = self
+            .pages
+            .get_mut(place)
+            .ok_or("a page that was not asked for")?;
         if page.is_some() {
             return Ok(false);
         }
@@ -248,7 +295,11 @@
     }
 
     fn ask_for_missing(&self, id: &str, out: &mut Vec<u8>) {
-        let missing = self.pages.iter().enumerate().filter(|(_, page)| page.is_none());
+        let missing = self
+            .pages
+            .iter()
+            .enumerate()
+            .filter(|(_, page)| page.is_none());
         for (page, _) in missing {
             out.extend(format!("FETCH {id} {page}\r\n").bytes());
         }
@@ -257,7 +308,9 @@
 
 /// Whether a page holds whole rows of three text columns.
 fn is_rows(page: &[u8]) -> bool {
-    let Ok(text) = std::str::from_utf8(page) else { return false };
+    let Ok(text) = std::str::from_utf8(page) else {
+        return false;
+    };
     let row = |row: &str| row.ends_with('\n') && row.matches('\t').count() == 2;
     text.split_inclusive('\n').all(row)
 }
@@ -306,11 +359,22 @@
         out.extend(format!("REQ {} {fields} {length}\r\n", start.ask.call).bytes());
         out.extend_from_slice(&start.ask.statement);
         out.extend_from_slice(b"\r\n");
-        let open = Open { key: start.key, pages: Vec::new(), told: Told::default(), begun: 0, again: false };
+        let open = Open {
+            key: start.key,
+            pages: Vec::new(),
+            told: Told::default(),
+            begun: 0,
+            again: false,
+        };
         self.open.insert(start.ask.call.clone(), open);
     }
     fn stop(&mut self, key: AttemptKey, out: &mut Vec<u8>) -> bool {
-        if let Some(call) = self.open.iter().find(|o| o.1.key == key).map(|o| o.0.clone()) {
+        if let Some(call) = self
+            .open
+            .iter()
+            .find(|o| o.1.key == key)
+            .map(|o| o.0.clone())
+        {
             out.extend(format!("STOP {call}\r\n").bytes());
             self.end(&call);
         }
@@ -339,7 +403,10 @@
             self.within = None;
             self.take(now, answer, out, seen)?;
         }
-        self.within = self.reader.is_within().then_some(self.within.unwrap_or(now));
+        self.within = self
+            .reader
+            .is_within()
+            .then_some(self.within.unwrap_or(now));
         Ok(())
     }
     fn tend(&mut self, now: Micros, out: &mut Vec<u8>, seen: &mut Vec<Seen>) -> Result<(), String> {
--- a/crates/node/src/backs/mod.rs
+++ b/crates/node/src/backs/mod.rs
@@ -93,7 +93,12 @@
         seen: &mut Vec<Seen>,
     ) -> Result<(), String>;
     /// Time has passed: what should have come by now is asked for again or ended.
-    fn tend(&mut self, _now: Micros, _out: &mut Vec<u8>, _seen: &mut Vec<Seen>) -> Result<(), String> {
+    fn tend(
+        &mut self,
+        _now: Micros,
+        _out: &mut Vec<u8>,
+        _seen: &mut Vec<Seen>,
+    ) -> Result<(), String> {
         Ok(())
     }
     /// The engine has ended its side.
--- a/crates/node/src/clock.rs
+++ b/crates/node/src/clock.rs
@@ -23,7 +23,10 @@
 impl Clock {
     /// Begins to run, at what the wall clock says.
     pub fn start() -> Clock {
-        Clock { began: Instant::now(), base: unix_now() }
+        Clock {
+            began: Instant::now(),
+            base: unix_now(),
+        }
     }
 
     /// Microseconds since the Unix epoch, as the wall clock would say had nobody set it since the start. Never runs backwards
@@ -36,7 +39,9 @@
 /// Microseconds since the Unix epoch, as the system's wall clock says now.
 #[allow(clippy::disallowed_methods)]
 fn unix_now() -> Micros {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_micros() as Micros)
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |d| d.as_micros() as Micros)
 }
 
 /// A step of the wall clock, in microseconds; negative where it was set back.
@@ -58,7 +63,12 @@
     /// Begins to watch.
     pub fn start() -> StepWatch {
         let began = Instant::now();
-        StepWatch { began, offset: offset(began), steps: 0, stepped_by: 0 }
+        StepWatch {
+            began,
+            offset: offset(began),
+            steps: 0,
+            stepped_by: 0,
+        }
     }
 
     /// The step since the last look, if there was one.
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -133,8 +133,13 @@
 const DOUBTS: usize = 1024;
 
 /// The wire's names for values of a load report, where the settings use others.
-const GAUGES: [(&str, &str); 5] =
-    [("active", "inflight"), ("waiting", "queue"), ("cpu", "util"), ("avg_ms", "latency_ms"), ("rps", "qps")];
+const GAUGES: [(&str, &str); 5] = [
+    ("active", "inflight"),
+    ("waiting", "queue"),
+    ("cpu", "util"),
+    ("avg_ms", "latency_ms"),
+    ("rps", "qps"),
+];
 
 impl Config {
     /// Reads a file.
@@ -149,7 +154,10 @@
             Config::read(&text)
         };
         let config = config.map_err(|e| format!("{}: {e}", path.display()))?;
-        Ok(Config { file: Some(path.into()), ..config })
+        Ok(Config {
+            file: Some(path.into()),
+            ..config
+        })
     }
 
     /// Reads a text; keys that are not known are skipped.
@@ -165,10 +173,17 @@
 
     fn of_json(root: &JsonValue) -> Result<Config, String> {
         let root = Json(Some(root));
-        let text = |key: &str| root.get(key).text().ok_or(format!("{key} is missing or not a string"));
-        let listen = text("listen")?.parse().map_err(|e| format!("listen: {e}"))?;
+        let text = |key: &str| {
+            root.get(key)
+                .text()
+                .ok_or(format!("{key} is missing or not a string"))
+        };
+        let listen = text("listen")?
+            .parse()
+            .map_err(|e| format!("listen: {e}"))?;
         let json = root.get("settings");
-        let mut settings = driftfront_settings::from_json(json).map_err(|e| format!("settings: {e}"))?;
+        let mut settings =
+            driftfront_settings::from_json(json).map_err(|e| format!("settings: {e}"))?;
         settings.settle += SETTLE_MARGIN;
         for class in &mut settings.classes {
             class.repeat_window = class.repeat_window.saturating_sub(REPEAT_MARGIN);
@@ -180,43 +195,81 @@
         };
         let address = |text: &str| text.parse::<SocketAddr>().map_err(|e| e.to_string());
         let from = root.get("membership");
-        let membership =
-            match (root.get("coordinator").text(), from.get("etcd").text(), from.get("file").text()) {
-                (Some(at), None, None) => {
-                    Membership::Stream(address(at).map_err(|e| format!("coordinator: {e}"))?)
-                }
-                (None, Some(at), None) => {
-                    let prefix = from.get("prefix").text().unwrap_or("/driftfront/engines/");
-                    Membership::Etcd(address(at).map_err(|e| format!("membership.etcd: {e}"))?, prefix.into())
-                }
-                (None, None, Some(path)) => Membership::File(path.into()),
-                (None, None, None) => Membership::Fixed,
-                _ => return Err("coordinator, membership.etcd and membership.file exclude each other".into()),
-            };
+        let membership = match (
+            root.get("coordinator").text(),
+            from.get("etcd").text(),
+            from.get("file").text(),
+        ) {
+            (Some(at), None, None) => {
+                Membership::Stream(address(at).map_err(|e| format!("coordinator: {e}"))?)
+            }
+            (None, Some(at), None) => {
+                let prefix = from.get("prefix").text().unwrap_or("/driftfront/engines/");
+                Membership::Etcd(
+                    address(at).map_err(|e| format!("membership.etcd: {e}"))?,
+                    prefix.into(),
+                )
+            }
+            (None, None, Some(path)) => Membership::File(path.into()),
+            (None, None, None) => Membership::Fixed,
+            _ => {
+                return Err(
+                    "coordinator, membership.etcd and membership.file exclude each other".into(),
+                )
+            }
+        };
         let names = |list: Json| -> Vec<String> {
-            list.each().map(|n| n.text().unwrap_or_default().to_string()).collect()
+            list.each()
+                .map(|n| n.text().unwrap_or_default().to_string())
+                .collect()
         };
         let caps = json.get("Caps");
-        let span = |key: &str, otherwise: u64| caps.get(key).whole().filter(|&n| n > 0).unwrap_or(otherwise);
-        let sockets = root.get("limits").get("sockets").whole().filter(|&n| n >= 64).unwrap_or(1024) as usize;
+        let span = |key: &str, otherwise: u64| {
+            caps.get(key)
+                .whole()
+                .filter(|&n| n > 0)
+                .unwrap_or(otherwise)
+        };
+        let sockets = root
+            .get("limits")
+            .get("sockets")
+            .whole()
+            .filter(|&n| n >= 64)
+            .unwrap_or(1024) as usize;
         let fields = names(json.get("LoadReport").get("Fields"));
-        let gauge = |name: String| GAUGES.iter().find(|g| g.0 == name).map_or(name, |g| g.1.to_string());
+        let gauge = |name: String| {
+            GAUGES
+                .iter()
+                .find(|g| g.0 == name)
+                .map_or(name, |g| g.1.to_string())
+        };
         let profiles = || json.get("Profiles").each();
-        let classes: Vec<String> = profiles().map(|p| p.get("Name").text().unwrap_or("").into()).collect();
+        let classes: Vec<String> = profiles()
+            .map(|p| p.get("Name").text().unwrap_or("").into())
+            .collect();
         let by_statement = |key: &str| match root.get("clickhouse").get(key).text() {
             None => Ok(None),
             Some(name) => {
                 let place = classes.iter().position(|c| c == name);
-                place.map(|n| Some(n as u16)).ok_or(format!("clickhouse.{key}: there is no class {name}"))
+                place
+                    .map(|n| Some(n as u16))
+                    .ok_or(format!("clickhouse.{key}: there is no class {name}"))
             }
         };
         let ms = |key: &str, otherwise: u64| match root.get("clickhouse").get(key) {
             Json(None) => Ok(otherwise * 1000),
-            told => {
-                told.whole().filter(|&n| n > 0).map(|n| n * 1000).ok_or(format!("clickhouse.{key}: no time"))
-            }
+            told => told
+                .whole()
+                .filter(|&n| n > 0)
+                .map(|n| n * 1000)
+                .ok_or(format!("clickhouse.{key}: no time")),
         };
-        let memory = root.get("limits").get("memory_mb").whole().unwrap_or(MEMORY_MB).clamp(16, 64 * 1024);
+        let memory = root
+            .get("limits")
+            .get("memory_mb")
+            .whole()
+            .unwrap_or(MEMORY_MB)
+            .clamp(16, 64 * 1024);
         let memory = memory as usize * 1024 * 1024;
         let port = root.get("control_port");
         let control_port = match port.get("at").text() {
@@ -226,7 +279,10 @@
                 if !addr.ip().is_loopback() {
                     return Err(format!("control_port.at: {addr} is not on loopback"));
                 }
-                let file = port.get("key_file").text().ok_or("control_port.key_file is missing")?;
+                let file = port
+                    .get("key_file")
+                    .text()
+                    .ok_or("control_port.key_file is missing")?;
                 let key = std::fs::read_to_string(file).map_err(|e| format!("{file}: {e}"))?;
                 if key.trim().len() < 16 {
                     return Err(format!("{file}: a key has 16 characters at least"));
@@ -235,7 +291,11 @@
             }
         };
         let told = || std::env::var("LB_MANAGEMENT").ok();
-        let management = root.get("management").text().map(String::from).or_else(told);
+        let management = root
+            .get("management")
+            .text()
+            .map(String::from)
+            .or_else(told);
         let seed = root.get("seed").text().unwrap_or_default();
         let fleet = fleet(root.get("fleet"))?;
         if fleet.is_some() && wire == Wire::Platform && !settings.may_message {
@@ -245,7 +305,8 @@
             file: None,
             name: root.get("name").text().unwrap_or("driftfront").into(),
             listen,
-            seed: u64::from_str_radix(seed, 16).unwrap_or_else(|_| crate::net::hash(seed.as_bytes())),
+            seed: u64::from_str_radix(seed, 16)
+                .unwrap_or_else(|_| crate::net::hash(seed.as_bytes())),
             sockets,
             wire,
             clickhouse: Rules {
@@ -259,12 +320,23 @@
             unread: memory / UNREAD_PART,
             membership,
             known_index: root.get("known").get("index").whole().unwrap_or(0),
-            known: root.get("known").get("updates").list().unwrap_or(&[]).to_vec(),
+            known: root
+                .get("known")
+                .get("updates")
+                .list()
+                .unwrap_or(&[])
+                .to_vec(),
             classes: Classes {
                 names: classes.into(),
-                patience: profiles().map(|p| p.get("DeadlineUs").whole().unwrap_or(30_000_000)).collect(),
+                patience: profiles()
+                    .map(|p| p.get("DeadlineUs").whole().unwrap_or(30_000_000))
+                    .collect(),
             },
-            tenants: json.get("Tenants").each().map(|t| t.get("Name").text().unwrap_or("").into()).collect(),
+            tenants: json
+                .get("Tenants")
+                .each()
+                .map(|t| t.get("Name").text().unwrap_or("").into())
+                .collect(),
             zones: names(json.get("FailureDomains")),
             kinds: names(json.get("MachineTypes")),
             gauges: fields.into_iter().map(gauge).collect(),
@@ -296,19 +368,41 @@
     if json.is_null() {
         return Ok(None);
     }
-    let address =
-        |key: &str, text: &str| text.parse::<SocketAddr>().map_err(|e| format!("fleet.{key}: {text}: {e}"));
-    let need = |key: &str| json.get(key).text().ok_or(format!("fleet.{key} is missing or not a string"));
+    let address = |key: &str, text: &str| {
+        text.parse::<SocketAddr>()
+            .map_err(|e| format!("fleet.{key}: {text}: {e}"))
+    };
+    let need = |key: &str| {
+        json.get(key)
+            .text()
+            .ok_or(format!("fleet.{key} is missing or not a string"))
+    };
     let told = |key: &str| json.get(key).text().unwrap_or_default().to_string();
-    let seeds = json.get("seeds").each().map(|s| address("seeds", s.text().unwrap_or_default()));
+    let seeds = json
+        .get("seeds")
+        .each()
+        .map(|s| address("seeds", s.text().unwrap_or_default()));
     Ok(Some(FleetConfig {
         listen: address("listen", need("listen")?)?,
-        advertise: json.get("advertise").text().map(|a| address("advertise", a)).transpose()?,
+        advertise: json
+            .get("advertise")
+            .text()
+            .map(|a| address("advertise", a))
+            .transpose()?,
         key_file: need("key_file")?.into(),
         seeds: seeds.collect::<Result<_, _>>()?,
         zone: told("zone"),
         region: told("region"),
-        voters: json.get("voters").each().filter_map(|v| v.text()).map(String::from).collect(),
-        replace_after: json.get("replace_after_s").whole().unwrap_or(REPLACE_AFTER_S) * 1_000_000,
+        voters: json
+            .get("voters")
+            .each()
+            .filter_map(|v| v.text())
+            .map(String::from)
+            .collect(),
+        replace_after: json
+            .get("replace_after_s")
+            .whole()
+            .unwrap_or(REPLACE_AFTER_S)
+            * 1_000_000,
     }))
 }
--- a/crates/node/src/console.rs
+++ b/crates/node/src/console.rs
@@ -19,16 +19,32 @@
         Membership::File(path) => format!("file {}", path.display()),
         Membership::Fixed => "as listed".into(),
     };
-    let _ = writeln!(text, "membership  {membership}; {} updates known", config.known.len());
+    let _ = writeln!(
+        text,
+        "membership  {membership}; {} updates known",
+        config.known.len()
+    );
     let _ = writeln!(text, "sockets     {}", config.sockets);
     if let Some(fleet) = &config.fleet {
         let keys = crate::node::read_keys(&fleet.key_file);
         let keys = keys.map_or_else(|why| why, |keys| format!("{} keys", keys.ids().len()));
-        let _ = writeln!(text, "fleet       {}, {} seeds, {keys}", fleet.listen, fleet.seeds.len());
+        let _ = writeln!(
+            text,
+            "fleet       {}, {} seeds, {keys}",
+            fleet.listen,
+            fleet.seeds.len()
+        );
         if !fleet.voters.is_empty() {
-            let kept =
-                if config.state.is_some() { "kept in the state folder" } else { "not kept: no state folder" };
-            let _ = writeln!(text, "voters      {}; the log is {kept}", fleet.voters.join(", "));
+            let kept = if config.state.is_some() {
+                "kept in the state folder"
+            } else {
+                "not kept: no state folder"
+            };
+            let _ = writeln!(
+                text,
+                "voters      {}; the log is {kept}",
+                fleet.voters.join(", ")
+            );
         }
     }
     text
@@ -42,7 +58,9 @@
     let mut stream = TcpStream::connect_timeout(&addr, wait).map_err(say)?;
     stream.set_read_timeout(Some(wait)).map_err(say)?;
     stream
-        .write_all(format!("GET /counters HTTP/1.1\r\nHost: {at}\r\nConnection: close\r\n\r\n").as_bytes())
+        .write_all(
+            format!("GET /counters HTTP/1.1\r\nHost: {at}\r\nConnection: close\r\n\r\n").as_bytes(),
+        )
         .map_err(say)?;
     let mut answer = String::new();
     stream.read_to_string(&mut answer).map_err(say)?;
--- a/crates/node/src/demo.rs
+++ b/crates/node/src/demo.rs
@@ -29,13 +29,24 @@
     /// Starts all of it; the coordinator and the load go on until the process ends.
     pub fn start() -> Result<Demo, String> {
         let ledger = Arc::new(Ledger::forgetful());
-        let options = |n: usize| Options { name: format!("engine-{n}"), ..Options::default() };
-        let engines: Vec<Engine> = (1..=3).map(|n| Engine::start(options(n), ledger.clone())).collect();
-        let port =
-            TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).map_err(|e| e.to_string())?;
-        let socket = std::env::temp_dir().join(format!("driftfront-demo-{}.sock", std::process::id()));
+        let options = |n: usize| Options {
+            name: format!("engine-{n}"),
+            ..Options::default()
+        };
+        let engines: Vec<Engine> = (1..=3)
+            .map(|n| Engine::start(options(n), ledger.clone()))
+            .collect();
+        let port = TcpListener::bind("127.0.0.1:0")
+            .and_then(|l| l.local_addr())
+            .map_err(|e| e.to_string())?;
+        let socket =
+            std::env::temp_dir().join(format!("driftfront-demo-{}.sock", std::process::id()));
         let line = |e: &Engine| {
-            format!("    engine \"{}\" at=\"{}\" building=\"main\" kind=\"std-8\"\n", e.name(), e.addr())
+            format!(
+                "    engine \"{}\" at=\"{}\" building=\"main\" kind=\"std-8\"\n",
+                e.name(),
+                e.addr()
+            )
         };
         let lines: String = engines.iter().map(line).collect();
         let text = format!(
@@ -57,13 +68,21 @@
             std::thread::sleep(Duration::from_millis(20));
         }
         std::thread::spawn(move || load(port));
-        Ok(Demo { socket, listen: port, _engines: engines })
+        Ok(Demo {
+            socket,
+            listen: port,
+            _engines: engines,
+        })
     }
 
     /// Asks it to take an engine out, as an operator would.
     pub fn drain(&self, engine: &str) -> Result<(), String> {
-        let mut remote = Remote::connect(&At::Socket(self.socket.clone())).map_err(|e| e.to_string())?;
-        let drain = Request::Drain { engine: engine.into(), force: false };
+        let mut remote =
+            Remote::connect(&At::Socket(self.socket.clone())).map_err(|e| e.to_string())?;
+        let drain = Request::Drain {
+            engine: engine.into(),
+            force: false,
+        };
         remote.ask(&drain).map(|_| ()).map_err(|e| e.to_string())
     }
 }
@@ -78,7 +97,9 @@
         };
         let class = if n % 10 == 3 { "report" } else { "" };
         std::thread::spawn(move || {
-            let Ok(mut stream) = TcpStream::connect(addr) else { return };
+            let Ok(mut stream) = TcpStream::connect(addr) else {
+                return;
+            };
             let (target, length) = (format!("/?driftfront_class={class}"), statement.len());
             let head = format!("POST {target} HTTP/1.1\r\nHost: demo\r\nConnection: close\r\nContent-Length: {length}\r\n\r\n");
             let _ = stream.write_all((head + &statement).as_bytes());
--- a/crates/node/src/disk.rs
+++ b/crates/node/src/disk.rs
@@ -36,17 +36,21 @@
         written: impl Fn(Written) + Send + 'static,
     ) -> std::io::Result<Disk> {
         let (jobs, work) = sync_channel(WAITING_MOST);
-        std::thread::Builder::new().name("disk".into()).spawn(move || {
-            write(&path, file, &work, written);
-            drop(until);
-        })?;
+        std::thread::Builder::new()
+            .name("disk".into())
+            .spawn(move || {
+                write(&path, file, &work, written);
+                drop(until);
+            })?;
         Ok(Disk { jobs })
     }
 
     /// Asks for a write; the job back where too many wait.
     pub fn ask(&self, job: Job) -> Result<(), Job> {
         use std::sync::mpsc::TrySendError::{Disconnected, Full};
-        self.jobs.try_send(job).map_err(|(Full(job) | Disconnected(job))| job)
+        self.jobs
+            .try_send(job)
+            .map_err(|(Full(job) | Disconnected(job))| job)
     }
 }
 
--- a/crates/node/src/fronts/clickhouse.rs
+++ b/crates/node/src/fronts/clickhouse.rs
@@ -76,7 +76,11 @@
     /// A name for a query that its client gave none: it differs from those of other coordinators and lives.
     fn name(&mut self, now: Micros) -> String {
         self.last += 1;
-        format!("{:016x}{:016x}", keyed(self.seed, &now.to_le_bytes()), self.last)
+        format!(
+            "{:016x}{:016x}",
+            keyed(self.seed, &now.to_le_bytes()),
+            self.last
+        )
     }
 
     fn class(&self, query: &Query) -> Result<u16, Vec<u8>> {
@@ -95,10 +99,20 @@
     }
 
     fn patience(&self, class: u16) -> Micros {
-        self.classes.patience.get(usize::from(class)).copied().unwrap_or(DEFAULT_PATIENCE)
+        self.classes
+            .patience
+            .get(usize::from(class))
+            .copied()
+            .unwrap_or(DEFAULT_PATIENCE)
     }
 
-    fn take(&mut self, query: Query, request: Request, now: Micros, kept: usize) -> Result<Intake, Vec<u8>> {
+    fn take(
+        &mut self,
+        query: Query,
+        request: Request,
+        now: Micros,
+        kept: usize,
+    ) -> Result<Intake, Vec<u8>> {
         let class = self.class(&query)?;
         let say = |e: Exception| reply(e.status(), &e, &[], query.head_only);
         let call = match &query.id {
@@ -108,7 +122,8 @@
         let writer = Box::new(Stream::new(&query, &call));
         if let Some(kill) = &query.shape.kill {
             let Some(names) = kill.ids.clone() else {
-                let words = "KILL QUERY is carried out by query_id alone here: WHERE query_id = '...', or \
+                let words =
+                    "KILL QUERY is carried out by query_id alone here: WHERE query_id = '...', or \
                              query_id IN ('...')";
                 return Err(say(Exception::new(NOT_IMPLEMENTED, words)));
             };
@@ -119,11 +134,19 @@
         let key = match &query.key {
             Some(key) => Some(hash(key.as_bytes())),
             // Batches into one table stay in order.
-            None => query.shape.writes.as_ref().map(|table| hash(table.as_bytes())),
+            None => query
+                .shape
+                .writes
+                .as_ref()
+                .map(|table| hash(table.as_bytes())),
         };
         let most = self.patience(class);
         let budget = query.wanted_within.map_or(most, |told| told.min(most));
-        let budget = if request.goes_on { budget + self.rules.upload } else { budget };
+        let budget = if request.goes_on {
+            budget + self.rules.upload
+        } else {
+            budget
+        };
         let (mut pin, mut session) = (None, None);
         let mut target = query.target.clone();
         if let Some(told) = &query.session {
@@ -134,7 +157,10 @@
                 .begin(now, name, told.check, told.timeout, query.shape.leaves())
                 .map_err(say)?;
             session = Some(name);
-            pin = home.map(|h| Pin { engine: h.engine, only: h.tied });
+            pin = home.map(|h| Pin {
+                engine: h.engine,
+                only: h.tied,
+            });
             if home.is_some_and(|h| h.tied) {
                 // An engine that restarted unnoticed must say so, and not run this without what was set.
                 target.push_str("&session_check=1");
@@ -185,7 +211,12 @@
             let name_there = name.replace('\\', "\\\\").replace('\'', "\\'");
             let statement = format!("KILL QUERY WHERE query_id = '{name_there}' {behind}");
             Ask {
-                call: format!("kill-{seed:016x}-{}-{:08x}", engine.0, hash(name.as_bytes()) as u32).into(),
+                call: format!(
+                    "kill-{seed:016x}-{}-{:08x}",
+                    engine.0,
+                    hash(name.as_bytes()) as u32
+                )
+                .into(),
                 class,
                 budget,
                 tables,
@@ -193,21 +224,34 @@
                 statement: Rc::from(statement.trim_end().as_bytes()),
                 pin: Some(Pin { engine, only: true }),
                 lost: Some(
-                    Exception::new(NETWORK_ERROR, "The query's engine takes nothing more: it drains")
-                        .text
-                        .into(),
+                    Exception::new(
+                        NETWORK_ERROR,
+                        "The query's engine takes nothing more: it drains",
+                    )
+                    .text
+                    .into(),
                 ),
                 ..Ask::default()
             }
         };
         let words = Exception::new(CANCELLED, "Query was cancelled by KILL QUERY").text;
-        Intake::Kill(Box::new(KillAsk { names, test, words, none, for_engine: Box::new(for_engine), writer }))
+        Intake::Kill(Box::new(KillAsk {
+            names,
+            test,
+            words,
+            none,
+            for_engine: Box::new(for_engine),
+            writer,
+        }))
     }
 }
 
 /// What the back end is told.
 fn about(query: &Query, target: String) -> Rc<[(String, String)]> {
-    let mut about = vec![(TARGET.to_string(), target), (HEADERS.to_string(), query.headers.0.clone())];
+    let mut about = vec![
+        (TARGET.to_string(), target),
+        (HEADERS.to_string(), query.headers.0.clone()),
+    ];
     if query.frames {
         about.push((FRAMES.into(), String::new()));
     }
@@ -217,8 +261,10 @@
 /// An exception as a whole response.
 fn reply(status: u16, e: &Exception, more: &[(&str, &str)], head_only: bool) -> Vec<u8> {
     let code = e.code.to_string();
-    let mut headers =
-        vec![("Content-Type", "text/plain; charset=UTF-8"), ("X-ClickHouse-Exception-Code", code.as_str())];
+    let mut headers = vec![
+        ("Content-Type", "text/plain; charset=UTF-8"),
+        ("X-ClickHouse-Exception-Code", code.as_str()),
+    ];
     headers.extend(more);
     whole(status, &headers, &format!("{e}\n"), head_only)
 }
@@ -234,7 +280,11 @@
 
 impl Front for ClickHouse {
     fn takes(&self) -> Takes {
-        Takes { head_most: HEAD_MOST, body_most: SMALL, goes_on: true }
+        Takes {
+            head_most: HEAD_MOST,
+            body_most: SMALL,
+            goes_on: true,
+        }
     }
 
     fn grow(&mut self, kept: usize, size: usize) -> Option<(usize, usize)> {
@@ -259,13 +309,19 @@
         };
         self.keep.release(kept);
         let plain = |status: u16, body: &str| {
-            whole(status, &[("Content-Type", "text/html; charset=UTF-8")], body, head_only)
+            whole(
+                status,
+                &[("Content-Type", "text/html; charset=UTF-8")],
+                body,
+                head_only,
+            )
         };
         match asked {
             Ok(Asked::Ping) => Intake::Reply(plain(200, "Ok.\n")),
-            Ok(Asked::ReplicasStatus) => {
-                Intake::Ready(plain(200, "Ok.\n"), plain(503, "No engine takes queries now.\n"))
-            }
+            Ok(Asked::ReplicasStatus) => Intake::Ready(
+                plain(200, "Ok.\n"),
+                plain(503, "No engine takes queries now.\n"),
+            ),
             Ok(Asked::Alive) => Intake::Ready(plain(200, ""), plain(503, "")),
             Ok(Asked::Counters) => Intake::Counters,
             Ok(Asked::Options) => {
@@ -289,7 +345,9 @@
     }
 
     fn over(&mut self, now: Micros, ticket: u64, fate: Fate) {
-        let Some(open) = self.open.remove(&ticket) else { return };
+        let Some(open) = self.open.remove(&ticket) else {
+            return;
+        };
         self.keep.release(open.kept);
         if let Some(name) = open.session {
             let fate = match fate {
@@ -307,7 +365,10 @@
 
     fn twin(&mut self, now: Micros, ask: &Ask) -> Option<Vec<u8>> {
         self.over(now, ask.ticket, Fate::NeverRan);
-        let e = Exception::new(SAME_ID, &format!("Query with id = {} is already running", ask.call));
+        let e = Exception::new(
+            SAME_ID,
+            &format!("Query with id = {} is already running", ask.call),
+        );
         Some(reply(e.status(), &e, &[], false))
     }
 
@@ -323,11 +384,16 @@
         let words = match fault {
             Fault::Malformed => "The request can't be read as HTTP",
             Fault::BodyTooLarge => "The body is too large",
-            Fault::HeadTooLarge => "The URL and headers are too long, or there is no room for them now",
+            Fault::HeadTooLarge => {
+                "The URL and headers are too long, or there is no room for them now"
+            }
         };
         let e = Exception::new(UNKNOWN_CLASS, words);
         let code = e.code.to_string();
-        let headers = [("Content-Type", "text/plain; charset=UTF-8"), ("X-ClickHouse-Exception-Code", &code)];
+        let headers = [
+            ("Content-Type", "text/plain; charset=UTF-8"),
+            ("X-ClickHouse-Exception-Code", &code),
+        ];
         response(fault.status(), &headers, format!("{e}\n").as_bytes(), true)
     }
 
@@ -417,7 +483,12 @@
                 self.progress || !name.eq_ignore_ascii_case("X-ClickHouse-Progress")
             });
             let about: Vec<_> = about.map(|(n, v)| (n.as_str(), v.as_str())).collect();
-            let told = |name: &str| about.iter().find(|h| h.0.eq_ignore_ascii_case(name)).map(|h| h.1);
+            let told = |name: &str| {
+                about
+                    .iter()
+                    .find(|h| h.0.eq_ignore_ascii_case(name))
+                    .map(|h| h.1)
+            };
             self.tag = told("X-ClickHouse-Exception-Tag").map(String::from);
             self.packed |= told("Content-Encoding").is_some();
             self.counted = piece.whole;
@@ -442,17 +513,25 @@
         self.end()
     }
     fn refuse(&mut self, after: Micros, words: Option<&str>, out: &mut Vec<u8>) {
-        let (ms, s) = (after.div_ceil(1000).to_string(), after.div_ceil(1_000_000).max(1).to_string());
+        let (ms, s) = (
+            after.div_ceil(1000).to_string(),
+            after.div_ceil(1_000_000).max(1).to_string(),
+        );
         let more = [("X-Come-Back-Ms", ms.as_str()), ("Retry-After", s.as_str())];
         // Where an engine erred on it, that is what its client wants to know.
         match words.and_then(Exception::of_text) {
             Some(e) => out.extend(self.reply(e.status(), &e, &more)),
-            None => out.extend(self.reply(429, &Exception::new(TOO_MANY_QUERIES, OVERLOADED), &more)),
+            None => {
+                out.extend(self.reply(429, &Exception::new(TOO_MANY_QUERIES, OVERLOADED), &more))
+            }
         }
     }
     fn fail(&mut self, words: Option<&str>, out: &mut Vec<u8>) {
         let e = words.and_then(Exception::of_text).unwrap_or_else(|| {
-            Exception::new(NETWORK_ERROR, "The query failed, or its time ran out; it may have run")
+            Exception::new(
+                NETWORK_ERROR,
+                "The query failed, or its time ran out; it may have run",
+            )
         });
         out.extend(self.reply(e.status(), &e, &[]));
     }
@@ -461,7 +540,10 @@
             // Who was told a tag looks for the reason behind it. No last chunk follows: no client takes that for a
             // whole result.
             if let Some(tag) = self.tag.as_ref().filter(|_| !self.packed) {
-                let broken = Exception::new(NETWORK_ERROR, "The result breaks off here: its engine was lost");
+                let broken = Exception::new(
+                    NETWORK_ERROR,
+                    "The result breaks off here: its engine was lost",
+                );
                 out.extend(chunk(marker(tag, words.unwrap_or(&broken.text)).as_bytes()));
             }
             return After::Close;
--- a/crates/node/src/fronts/platform.rs
+++ b/crates/node/src/fronts/platform.rs
@@ -30,12 +30,21 @@
 
 fn error(status: u16, words: &str) -> Intake {
     tracing::debug!(status, "not taken: {words}");
-    Intake::Bad(response(status, &[], format!("{{\"error\":{}}}", quoted(words)).as_bytes(), false))
+    Intake::Bad(response(
+        status,
+        &[],
+        format!("{{\"error\":{}}}", quoted(words)).as_bytes(),
+        false,
+    ))
 }
 
 impl Front for Platform {
     fn takes(&self) -> Takes {
-        Takes { head_most: HEAD_MOST, body_most: BODY_MOST, goes_on: false }
+        Takes {
+            head_most: HEAD_MOST,
+            body_most: BODY_MOST,
+            goes_on: false,
+        }
     }
 
     fn asks_in_turn(&self) -> bool {
@@ -46,14 +55,17 @@
         let path = request.target.split('?').next().unwrap_or_default();
         let Some(class) = path.strip_prefix("/ops/") else {
             return match (request.method.as_str(), path) {
-                ("GET", "/alive") => {
-                    Intake::Ready(response(200, &[], b"", false), response(503, &[], b"", false))
-                }
+                ("GET", "/alive") => Intake::Ready(
+                    response(200, &[], b"", false),
+                    response(503, &[], b"", false),
+                ),
                 ("GET", "/counters") => Intake::Counters,
                 _ => error(404, "no such path"),
             };
         };
-        let Some(class) = self.classes.place(class) else { return error(404, "no such class") };
+        let Some(class) = self.classes.place(class) else {
+            return error(404, "no such class");
+        };
         let call = header(&request.headers, "X-Call-Id").filter(|id| hex16(id).is_some());
         if let ("DELETE", Some(call)) = (request.method.as_str(), call) {
             return Intake::Withdraw(call.into(), response(200, &[], b"", false));
@@ -61,7 +73,12 @@
         if request.method != "POST" {
             return error(405, "statements are posted");
         }
-        let deadline = self.classes.patience.get(usize::from(class)).copied().unwrap_or(Micros::MAX);
+        let deadline = self
+            .classes
+            .patience
+            .get(usize::from(class))
+            .copied()
+            .unwrap_or(Micros::MAX);
         match self.ask(request, class, deadline) {
             Ok(ask) => Intake::Take(ask, Box::new(Rows::default())),
             Err(words) => error(400, words),
@@ -95,7 +112,13 @@
             "X-Need-Mb",
             "X-Entity",
         ];
-        let times = |name: &str| request.headers.iter().filter(|h| h.0.eq_ignore_ascii_case(name)).count();
+        let times = |name: &str| {
+            request
+                .headers
+                .iter()
+                .filter(|h| h.0.eq_ignore_ascii_case(name))
+                .count()
+        };
         if fields.iter().any(|name| times(name) > 1) {
             return Err("a field stands twice");
         }
@@ -116,20 +139,35 @@
         if patience <= 0.0 || patience * 1000.0 > PATIENCE_MOST * deadline as f64 {
             return Err("X-Patience-Ms is out of range");
         }
-        let statement = std::str::from_utf8(&request.body).map_err(|_| "the statement is not text")?;
+        let statement =
+            std::str::from_utf8(&request.body).map_err(|_| "the statement is not text")?;
         // Engines answer what they can't use with an error, which would look like a fault of theirs.
-        if statement.trim().is_empty() || statement.chars().any(|c| c.is_control() && !c.is_whitespace()) {
+        if statement.trim().is_empty()
+            || statement
+                .chars()
+                .any(|c| c.is_control() && !c.is_whitespace())
+        {
             return Err("the statement is empty or no text");
         }
-        let key = field("X-Entity").map(|k| hex16(k).ok_or("X-Entity is no key")).transpose()?;
-        let token = field("X-Dedupe-Key").map(|t| word(t).ok_or("X-Dedupe-Key is no key")).transpose()?;
+        let key = field("X-Entity")
+            .map(|k| hex16(k).ok_or("X-Entity is no key"))
+            .transpose()?;
+        let token = field("X-Dedupe-Key")
+            .map(|t| word(t).ok_or("X-Dedupe-Key is no key"))
+            .transpose()?;
         // One that the settings don't name has no share, and takes none of another's.
         let tenant = field("X-Customer").and_then(|t| self.tenants.iter().position(|n| n == t));
-        let held = if key.is_some() { KEY_HOLD_MS.min(patience / 10.0) } else { 0.0 };
+        let held = if key.is_some() {
+            KEY_HOLD_MS.min(patience / 10.0)
+        } else {
+            0.0
+        };
         Ok(Ask {
             call: call.into(),
             class,
-            work: number("X-Weight-Ms")?.map(|ms| ms * 1000.0).filter(|&w| w > 0.0),
+            work: number("X-Weight-Ms")?
+                .map(|ms| ms * 1000.0)
+                .filter(|&w| w > 0.0),
             memory_mb: number("X-Need-Mb")?.filter(|&m| m > 0.0),
             tables: table_group(statement),
             key,
@@ -150,9 +188,17 @@
 
 impl AnswerWriter for Rows {
     fn piece(&mut self, piece: &Piece, _out: &mut Vec<u8>) {
-        let Ok(text) = std::str::from_utf8(&piece.rows) else { return };
-        for row in text.strip_suffix('\n').unwrap_or(text).split('\n').filter(|_| !text.is_empty()) {
-            self.body.push(if self.body.is_empty() { b'[' } else { b',' });
+        let Ok(text) = std::str::from_utf8(&piece.rows) else {
+            return;
+        };
+        for row in text
+            .strip_suffix('\n')
+            .unwrap_or(text)
+            .split('\n')
+            .filter(|_| !text.is_empty())
+        {
+            self.body
+                .push(if self.body.is_empty() { b'[' } else { b',' });
             for (n, column) in row.split('\t').enumerate() {
                 self.body.push(if n == 0 { b'[' } else { b',' });
                 self.body.extend_from_slice(quoted(column).as_bytes());
@@ -161,9 +207,18 @@
         }
     }
     fn finish(&mut self, out: &mut Vec<u8>) -> After {
-        let rows: &[u8] = if self.body.is_empty() { b"[" } else { &self.body };
+        let rows: &[u8] = if self.body.is_empty() {
+            b"["
+        } else {
+            &self.body
+        };
         let body = [b"{\"data\":", rows, b"]}"].concat();
-        out.extend(response(200, &[("Content-Type", "application/json")], &body, false));
+        out.extend(response(
+            200,
+            &[("Content-Type", "application/json")],
+            &body,
+            false,
+        ));
         After::Open
     }
     fn refuse(&mut self, after: Micros, _words: Option<&str>, out: &mut Vec<u8>) {
@@ -184,7 +239,9 @@
 
 /// A JSON string.
 fn quoted(text: &str) -> String {
-    tinyjson::JsonValue::String(text.into()).stringify().unwrap_or_else(|_| "\"\"".into())
+    tinyjson::JsonValue::String(text.into())
+        .stringify()
+        .unwrap_or_else(|_| "\"\"".into())
 }
 
 #[cfg(test)]
@@ -192,15 +249,29 @@
     use super::*;
 
     fn post(path: &str, headers: &[(&str, &str)], body: &str) -> Intake {
-        let headers = headers.iter().map(|h| (h.0.to_string(), h.1.to_string())).collect();
+        let headers = headers
+            .iter()
+            .map(|h| (h.0.to_string(), h.1.to_string()))
+            .collect();
         let (method, target, body) = ("POST".into(), path.into(), body.as_bytes().to_vec());
         let names: Vec<String> = vec!["lookup".into(), "member-load".into()];
         let mut front = Platform {
-            classes: Classes { names: names.into(), patience: Rc::from([2_500_000, 25_000_000]) },
+            classes: Classes {
+                names: names.into(),
+                patience: Rc::from([2_500_000, 25_000_000]),
+            },
             tenants: Rc::from(["east".to_string(), "west".to_string(), "east".to_string()]),
         };
         front.intake(
-            Request { method, target, headers, body, close: false, goes_on: false, version_1_1: true },
+            Request {
+                method,
+                target,
+                headers,
+                body,
+                close: false,
+                goes_on: false,
+                version_1_1: true,
+            },
             0,
             0,
         )
@@ -225,9 +296,16 @@
     #[test]
     fn a_keyed_request_is_answered_before_its_client_which_was_held_back_leaves() {
         let patience = ("X-Patience-Ms", "25000");
-        let keyed = post("/ops/member-load", &[CALL, patience, ("X-Entity", "7f3a9c21e0b4d655")], "x");
+        let keyed = post(
+            "/ops/member-load",
+            &[CALL, patience, ("X-Entity", "7f3a9c21e0b4d655")],
+            "x",
+        );
         let ask = taken(keyed);
-        assert_eq!((ask.budget, ask.key, ask.class), (24_400_000, Some(0x7f3a_9c21_e0b4_d655), 1));
+        assert_eq!(
+            (ask.budget, ask.key, ask.class),
+            (24_400_000, Some(0x7f3a_9c21_e0b4_d655), 1)
+        );
         let lookup = post("/ops/lookup", &[CALL, ("X-Patience-Ms", "2500")], "x");
         assert_eq!(taken(lookup).budget, 2_500_000);
     }
@@ -240,8 +318,19 @@
         assert_eq!(status(post("/ops/lookup", &[patience], "x")), "400");
         assert_eq!(status(post("/ops/lookup", &[CALL], "x")), "400");
         for word in ["a STOP b", "9b1f03aa5c7e2d4", "+b1f03aa5c7e2d41", ""] {
-            assert_eq!(status(post("/ops/lookup", &[("X-Call-Id", word), patience], "x")), "400", "{word}");
-            assert_eq!(status(post("/ops/lookup", &[CALL, patience, ("X-Entity", word)], "x")), "400");
+            assert_eq!(
+                status(post("/ops/lookup", &[("X-Call-Id", word), patience], "x")),
+                "400",
+                "{word}"
+            );
+            assert_eq!(
+                status(post(
+                    "/ops/lookup",
+                    &[CALL, patience, ("X-Entity", word)],
+                    "x"
+                )),
+                "400"
+            );
         }
         for figure in ["NaN", "inf", "-1", "0", "5001", "1e300", "12 34", ""] {
             assert_eq!(
@@ -250,24 +339,41 @@
                 "{figure}"
             );
         }
-        for more in [("X-Weight-Ms", "1e10"), ("X-Need-Mb", "-3"), ("X-Repeat", "yes"), CALL] {
-            assert_eq!(status(post("/ops/lookup", &[CALL, patience, more], "x")), "400", "{more:?}");
+        for more in [
+            ("X-Weight-Ms", "1e10"),
+            ("X-Need-Mb", "-3"),
+            ("X-Repeat", "yes"),
+            CALL,
+        ] {
+            assert_eq!(
+                status(post("/ops/lookup", &[CALL, patience, more], "x")),
+                "400",
+                "{more:?}"
+            );
         }
         for statement in ["", " \r\n", "SELECT \0"] {
-            assert_eq!(status(post("/ops/lookup", &[CALL, patience], statement)), "400");
+            assert_eq!(
+                status(post("/ops/lookup", &[CALL, patience], statement)),
+                "400"
+            );
         }
     }
 
     #[test]
     fn rows_are_passed_on_unchanged_and_in_order() {
         let (mut writer, mut out) = (Rows::default(), Vec::new());
-        let piece = |rows: &str| Piece { about: Vec::new(), rows: rows.into(), whole: false };
+        let piece = |rows: &str| Piece {
+            about: Vec::new(),
+            rows: rows.into(),
+            whole: false,
+        };
         writer.piece(&piece("a\t1\t\"q\"\nb\t\t\u{e9}\n"), &mut out);
         writer.piece(&piece("c\t2\ty\n"), &mut out);
         assert!(out.is_empty());
         writer.finish(&mut out);
         let text = String::from_utf8(out).unwrap();
-        let rows = "{\"data\":[[\"a\",\"1\",\"\\\"q\\\"\"],[\"b\",\"\",\"\u{e9}\"],[\"c\",\"2\",\"y\"]]}";
+        let rows =
+            "{\"data\":[[\"a\",\"1\",\"\\\"q\\\"\"],[\"b\",\"\",\"\u{e9}\"],[\"c\",\"2\",\"y\"]]}";
         assert!(text.ends_with(rows), "{text}");
         let mut none = Vec::new();
         Rows::default().finish(&mut none);
--- a/crates/node/src/handover.rs
+++ b/crates/node/src/handover.rs
@@ -56,17 +56,33 @@
 impl Post {
     /// Takes a place behind all that are there. The name of a coordinator keeps two of them apart in one folder.
     pub fn open(tmp: &Path, name: &str) -> io::Result<Post> {
-        let plain: String = name.chars().map(|c| if c.is_ascii_alphanumeric() { c } else { '-' }).collect();
-        let folder = tmp.join(format!("driftfront-{plain}-{:016x}", crate::net::hash(name.as_bytes())));
+        let plain: String = name
+            .chars()
+            .map(|c| if c.is_ascii_alphanumeric() { c } else { '-' })
+            .collect();
+        let folder = tmp.join(format!(
+            "driftfront-{plain}-{:016x}",
+            crate::net::hash(name.as_bytes())
+        ));
         std::fs::create_dir_all(&folder)?;
-        let last = numbers(&folder)?.into_iter().map(|n| n.0).max().unwrap_or(0);
+        let last = numbers(&folder)?
+            .into_iter()
+            .map(|n| n.0)
+            .max()
+            .unwrap_or(0);
         let number = (last.saturating_add(1), std::process::id());
         // Locked before it has the name that others look for: to them it would be a dead one's.
         let beside = file(&folder, number, "new");
         let lock = File::create(&beside)?;
         lock.lock()?;
         std::fs::rename(&beside, file(&folder, number, "lock"))?;
-        Ok(Post { folder, number, _lock: lock, others: BTreeMap::new(), written: None })
+        Ok(Post {
+            folder,
+            number,
+            _lock: lock,
+            others: BTreeMap::new(),
+            written: None,
+        })
     }
 
     /// Tells the others; what was told already is not written again.
@@ -92,16 +108,31 @@
                 return news;
             }
         };
-        for &number in numbers.iter().filter(|&&n| n != self.number).take(FILES_MOST) {
+        for &number in numbers
+            .iter()
+            .filter(|&&n| n != self.number)
+            .take(FILES_MOST)
+        {
             let lives = self.lives(number);
             let path = file(&self.folder, number, "word");
-            let stamp = std::fs::metadata(&path)
-                .map_or((0, 0), |m| (m.ino(), m.mtime_nsec() as u64 ^ m.size() << 32 ^ m.mtime() as u64));
+            let stamp = std::fs::metadata(&path).map_or((0, 0), |m| {
+                (
+                    m.ino(),
+                    m.mtime_nsec() as u64 ^ m.size() << 32 ^ m.mtime() as u64,
+                )
+            });
             let known = self.others.get(&number).map(|o| o.stamp);
             if known != Some(stamp) {
-                let read = if stamp == (0, 0) { Ok(None) } else { read(&path).map(Some) };
+                let read = if stamp == (0, 0) {
+                    Ok(None)
+                } else {
+                    read(&path).map(Some)
+                };
                 let word = read.unwrap_or_else(|why| {
-                    news.told.push(format!("what process {} wrote is not taken over: {why}", number.1));
+                    news.told.push(format!(
+                        "what process {} wrote is not taken over: {why}",
+                        number.1
+                    ));
                     None
                 });
                 news.words.extend(word.clone().map(|w| (number, w)));
@@ -134,19 +165,27 @@
 
     /// Whether an earlier process serves.
     pub fn has_predecessor(&self) -> bool {
-        self.others.iter().any(|(&n, o)| n < self.number && o.word.as_ref().is_some_and(|w| w.ready))
+        self.others
+            .iter()
+            .any(|(&n, o)| n < self.number && o.word.as_ref().is_some_and(|w| w.ready))
     }
 
     /// Whether a later process serves.
     pub fn has_successor(&self) -> bool {
-        self.others.iter().any(|(&n, o)| n > self.number && o.word.as_ref().is_some_and(|w| w.ready))
+        self.others
+            .iter()
+            .any(|(&n, o)| n > self.number && o.word.as_ref().is_some_and(|w| w.ready))
     }
 }
 
 impl Drop for Post {
     fn drop(&mut self) {
         // The word stays where a successor may still have to read it: that one removes both.
-        let kinds: &[&str] = if self.shares() { &["new"] } else { &["word", "new", "lock"] };
+        let kinds: &[&str] = if self.shares() {
+            &["new"]
+        } else {
+            &["word", "new", "lock"]
+        };
         for kind in kinds {
             let _ = std::fs::remove_file(file(&self.folder, self.number, kind));
         }
@@ -176,14 +215,19 @@
     use super::*;
 
     fn folder(name: &str) -> PathBuf {
-        let path = std::env::temp_dir().join(format!("driftfront-post-{}-{name}", std::process::id()));
+        let path =
+            std::env::temp_dir().join(format!("driftfront-post-{}-{name}", std::process::id()));
         let _ = std::fs::remove_dir_all(&path);
         std::fs::create_dir_all(&path).unwrap();
         path
     }
 
     fn word(ready: bool, name: &str) -> Word {
-        Word { ready, names: vec![name.into()], ..Word::default() }
+        Word {
+            ready,
+            names: vec![name.into()],
+            ..Word::default()
+        }
     }
 
     #[test]
@@ -222,7 +266,9 @@
         let whole = std::fs::read(&path).unwrap();
         std::fs::write(&path, &whole[..whole.len() - 1]).unwrap();
         let news = new.poll();
-        assert!(news.words.is_empty() && news.told.len() == 1 && !new.has_predecessor() && new.shares());
+        assert!(
+            news.words.is_empty() && news.told.len() == 1 && !new.has_predecessor() && new.shares()
+        );
         assert!(new.poll().told.is_empty());
         old.written = None;
         old.tell(word(true, "a")).unwrap();
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -67,21 +67,30 @@
         return Ok(());
     }
     let name = args.subcommand()?;
-    let Some(name) = name else { return Err(Failure::Usage("no command; see driftfront --help".into())) };
+    let Some(name) = name else {
+        return Err(Failure::Usage("no command; see driftfront --help".into()));
+    };
     let Some(command) = commands::COMMANDS.iter().find(|c| c.name == name) else {
-        return Err(Failure::Usage(format!("unknown command {name}; see driftfront --help")));
+        return Err(Failure::Usage(format!(
+            "unknown command {name}; see driftfront --help"
+        )));
     };
     let path = |args: &mut pico_args::Arguments| -> Result<PathBuf, Failure> {
         let named: Option<PathBuf> = args.opt_value_from_str("--config")?;
         let told = named.or_else(|| std::env::var_os("LB_CONFIG").map(PathBuf::from));
-        told.ok_or(Failure::Usage("no configuration: give --config FILE or set LB_CONFIG".into()))
+        told.ok_or(Failure::Usage(
+            "no configuration: give --config FILE or set LB_CONFIG".into(),
+        ))
     };
     match command.name {
         "serve" => {
             let config = path(&mut args)?;
             let level: Option<tracing::Level> = args.opt_value_from_str("--log")?;
             no_more(args)?;
-            serve(Config::load(&config)?, level.unwrap_or(tracing::Level::INFO))?;
+            serve(
+                Config::load(&config)?,
+                level.unwrap_or(tracing::Level::INFO),
+            )?;
         }
         "check" => {
             let config = path(&mut args)?;
@@ -132,7 +141,9 @@
             let text = commands::completions(&shell);
             print!(
                 "{}",
-                text.ok_or(Failure::Usage(format!("no completions for {shell}: bash, zsh or fish")))?
+                text.ok_or(Failure::Usage(format!(
+                    "no completions for {shell}: bash, zsh or fish"
+                )))?
             );
         }
         "manual" => print!("{}", commands::manual()),
@@ -147,15 +158,20 @@
 
 fn no_more(args: pico_args::Arguments) -> Result<(), Failure> {
     match args.finish().first() {
-        Some(word) => {
-            Err(Failure::Usage(format!("unknown argument {}; see driftfront --help", word.to_string_lossy())))
-        }
+        Some(word) => Err(Failure::Usage(format!(
+            "unknown argument {}; see driftfront --help",
+            word.to_string_lossy()
+        ))),
         None => Ok(()),
     }
 }
 
 fn serve(config: Config, level: tracing::Level) -> Result<(), String> {
-    tracing_subscriber::fmt().with_max_level(level).with_writer(std::io::stderr).with_ansi(false).init();
+    tracing_subscriber::fmt()
+        .with_max_level(level)
+        .with_writer(std::io::stderr)
+        .with_ansi(false)
+        .init();
     let events = EventLoop::try_new().map_err(|e| format!("event loop: {e}"))?;
     let node = Node::new(config, &events)?;
     node.run(events)
--- a/crates/node/src/members/backoff.rs
+++ b/crates/node/src/members/backoff.rs
@@ -30,7 +30,12 @@
 impl Backoff {
     /// With this seed for the spread.
     pub fn new(seed: u64) -> Backoff {
-        Backoff { seed, calls: 0, failures: 0, up: None }
+        Backoff {
+            seed,
+            calls: 0,
+            failures: 0,
+            up: None,
+        }
     }
 
     /// Another source is called: what the last one did says nothing of it.
@@ -49,7 +54,11 @@
     pub fn again(&mut self, now: Micros, why: Broken) -> Micros {
         let wait = (AGAIN << self.failures.min(8)).min(AGAIN_MOST);
         (self.failures, self.up, self.calls) = (self.failures + 1, None, self.calls + 1);
-        let (least, most) = if why == Broken::Silent { (0, AGAIN_MOST) } else { (wait / 2, wait) };
+        let (least, most) = if why == Broken::Silent {
+            (0, AGAIN_MOST)
+        } else {
+            (wait / 2, wait)
+        };
         let draw = hash(&[self.seed.to_be_bytes(), self.calls.to_be_bytes()].concat());
         now + least + draw % (most - least + 1)
     }
@@ -75,7 +84,11 @@
 
     #[test]
     fn a_source_that_fails_for_all_at_once_is_not_called_by_all_at_once() {
-        assert!(crowd(Broken::Silent, 2_000_000) < 15, "{}", crowd(Broken::Silent, 2_000_000));
+        assert!(
+            crowd(Broken::Silent, 2_000_000) < 15,
+            "{}",
+            crowd(Broken::Silent, 2_000_000)
+        );
     }
 
     #[test]
