--- a/crates/node/src/members/etcd.rs
+++ b/crates/node/src/members/etcd.rs
@@ -51,14 +51,24 @@
 
 /// The gateway writes 64-bit numbers as strings.
 fn number(json: Json) -> u64 {
-    json.text().and_then(|t| t.parse().ok()).or(json.whole()).unwrap_or(0)
+    json.text()
+        .and_then(|t| t.parse().ok())
+        .or(json.whole())
+        .unwrap_or(0)
 }
 
 impl Etcd {
     /// A watch of the keys under a prefix.
     pub fn new(host: String, prefix: String) -> Etcd {
         let (http, text) = Default::default();
-        Etcd { host, prefix, revision: 0, http, text, watching: false }
+        Etcd {
+            host,
+            prefix,
+            revision: 0,
+            http,
+            text,
+            watching: false,
+        }
     }
 
     fn post(&self, path: &str, body: &str) -> Vec<u8> {
@@ -72,7 +82,10 @@
 
     fn range(&self) -> Vec<u8> {
         let (key, end) = (base(self.prefix.as_bytes()), base(&range_end(&self.prefix)));
-        self.post("/v3/kv/range", &format!("{{\"key\":\"{key}\",\"range_end\":\"{end}\"}}"))
+        self.post(
+            "/v3/kv/range",
+            &format!("{{\"key\":\"{key}\",\"range_end\":\"{end}\"}}"),
+        )
     }
 
     fn watch(&self) -> Vec<u8> {
@@ -102,12 +115,16 @@
             },
         };
         line.insert("instanceId".into(), JsonValue::String(name));
-        line.entry("lifecycle".into()).or_insert_with(|| JsonValue::String("ready".into()));
+        line.entry("lifecycle".into())
+            .or_insert_with(|| JsonValue::String("ready".into()));
         Some(JsonValue::Object(line))
     }
 
     fn update(reset: bool, instances: Vec<JsonValue>) -> JsonValue {
-        let body = object(vec![("reset", reset.into()), ("instances", JsonValue::Array(instances))]);
+        let body = object(vec![
+            ("reset", reset.into()),
+            ("instances", JsonValue::Array(instances)),
+        ]);
         object(vec![("endpoints", body)])
     }
 
@@ -118,7 +135,11 @@
         if self.revision == 0 {
             return Err("a range without a revision".into());
         }
-        let lines = json.get("kvs").each().filter_map(|kv| self.instance(kv, false)).collect();
+        let lines = json
+            .get("kvs")
+            .each()
+            .filter_map(|kv| self.instance(kv, false))
+            .collect();
         updates.push(Etcd::update(true, lines));
         Ok(())
     }
@@ -134,7 +155,11 @@
         let events = result.get("events");
         let line = |e: Json| self.instance(e.get("kv"), e.get("type").text() == Some("DELETE"));
         let lines: Vec<_> = events.each().filter_map(line).collect();
-        let seen = events.each().map(|e| number(e.get("kv").get("mod_revision"))).max().unwrap_or(0);
+        let seen = events
+            .each()
+            .map(|e| number(e.get("kv").get("mod_revision")))
+            .max()
+            .unwrap_or(0);
         self.revision = self.revision.max(seen);
         if !lines.is_empty() {
             updates.push(Etcd::update(false, lines));
@@ -155,9 +180,18 @@
         }
     }
 
-    fn feed(&mut self, bytes: &[u8], out: &mut Vec<u8>, updates: &mut Vec<JsonValue>) -> Result<(), String> {
+    fn feed(
+        &mut self,
+        bytes: &[u8],
+        out: &mut Vec<u8>,
+        updates: &mut Vec<JsonValue>,
+    ) -> Result<(), String> {
         self.http.push(bytes);
-        while let Some(part) = self.http.next_part().map_err(|e| format!("bad HTTP: {e:?}"))? {
+        while let Some(part) = self
+            .http
+            .next_part()
+            .map_err(|e| format!("bad HTTP: {e:?}"))?
+        {
             match part {
                 ResponsePart::Head(head) if head.status != 200 => {
                     self.revision = 0;
@@ -170,7 +204,9 @@
                         return Err("a message of more than 4 MiB".into());
                     }
                     // A watch's messages are JSON texts, one a line.
-                    while let Some(end) = self.text.iter().position(|&b| self.watching && b == b'\n') {
+                    while let Some(end) =
+                        self.text.iter().position(|&b| self.watching && b == b'\n')
+                    {
                         let line: Vec<u8> = self.text.drain(..=end).collect();
                         if !line.trim_ascii().is_empty() {
                             self.take_watch(&line, updates)?;
--- a/crates/node/src/members/file.rs
+++ b/crates/node/src/members/file.rs
@@ -19,7 +19,11 @@
 impl File {
     /// A file that has not been read yet.
     pub fn new(path: PathBuf) -> File {
-        File { path, stamp: None, next: 0 }
+        File {
+            path,
+            stamp: None,
+            next: 0,
+        }
     }
 
     /// The whole list, if the file has changed since; a file that can't be read leaves the list as it is.
@@ -51,7 +55,13 @@
 fn whole(json: &JsonValue) -> Result<JsonValue, String> {
     let instances = Json(Some(json)).get("instances");
     let list = instances.list().ok_or("no list under instances")?.to_vec();
-    let body = [("reset".to_string(), true.into()), ("instances".to_string(), JsonValue::Array(list))];
-    let update = [("endpoints".to_string(), JsonValue::Object(body.into_iter().collect()))];
+    let body = [
+        ("reset".to_string(), true.into()),
+        ("instances".to_string(), JsonValue::Array(list)),
+    ];
+    let update = [(
+        "endpoints".to_string(),
+        JsonValue::Object(body.into_iter().collect()),
+    )];
     Ok(JsonValue::Object(update.into_iter().collect()))
 }
--- a/crates/node/src/members/mod.rs
+++ b/crates/node/src/members/mod.rs
@@ -17,7 +17,12 @@
     /// A new connection is up: what to write on it.
     fn open(&mut self) -> Vec<u8>;
     /// Bytes have come: updates to the list, and what to write; an error ends the connection.
-    fn feed(&mut self, bytes: &[u8], out: &mut Vec<u8>, updates: &mut Vec<JsonValue>) -> Result<(), String>;
+    fn feed(
+        &mut self,
+        bytes: &[u8],
+        out: &mut Vec<u8>,
+        updates: &mut Vec<JsonValue>,
+    ) -> Result<(), String>;
     /// A connection on which nothing comes for this long is broken.
     fn silence(&self) -> Micros;
     /// The same list is told at another address from now on: what was taken over stays taken over.
@@ -39,9 +44,21 @@
 /// What an update of the platform's form says.
 pub fn read(zones: &[String], kinds: &[String], update: Json) -> Result<Update, String> {
     let body = update.get("endpoints");
-    let listed = body.get("instances").list().ok_or("an update without instances")?;
-    let kind = if body.get("reset").flag() { ListKind::Whole } else { ListKind::Changes };
-    let mut told = Update { kind, facts: Vec::new(), coordinators: Vec::new(), odd: Vec::new() };
+    let listed = body
+        .get("instances")
+        .list()
+        .ok_or("an update without instances")?;
+    let kind = if body.get("reset").flag() {
+        ListKind::Whole
+    } else {
+        ListKind::Changes
+    };
+    let mut told = Update {
+        kind,
+        facts: Vec::new(),
+        coordinators: Vec::new(),
+        odd: Vec::new(),
+    };
     for entry in listed {
         let entry = Json(Some(entry));
         // One bad line must not cost the others.
@@ -55,12 +72,22 @@
 }
 
 fn coordinator(e: Json, addr: &str) -> Result<(String, SocketAddr), String> {
-    let name = e.get("instanceId").text().ok_or("a coordinator without instanceId")?;
-    Ok((name.into(), addr.parse().map_err(|_| format!("{name}: coordinator {addr:?} is no address"))?))
+    let name = e
+        .get("instanceId")
+        .text()
+        .ok_or("a coordinator without instanceId")?;
+    Ok((
+        name.into(),
+        addr.parse()
+            .map_err(|_| format!("{name}: coordinator {addr:?} is no address"))?,
+    ))
 }
 
 fn fact(zones: &[String], kinds: &[String], e: Json) -> Result<Fact, String> {
-    let name = e.get("instanceId").text().ok_or("an instance without instanceId")?;
+    let name = e
+        .get("instanceId")
+        .text()
+        .ok_or("an instance without instanceId")?;
     let phase = match e.get("lifecycle").text() {
         Some("ready") => Phase::Ready,
         Some("draining") => Phase::Draining,
@@ -68,7 +95,10 @@
         other => return Err(format!("{name}: unknown lifecycle {other:?}")),
     };
     let place = |names: &[String], key: &str| {
-        let at = e.get(key).text().and_then(|t| names.iter().position(|n| n == t));
+        let at = e
+            .get(key)
+            .text()
+            .and_then(|t| names.iter().position(|n| n == t));
         at.map_or(u16::MAX, |n| n as u16)
     };
     Ok(Fact {
@@ -77,7 +107,11 @@
         zone: place(zones, "zone"),
         kind: place(kinds, "machineType"),
         cell: e.get("cell").whole().unwrap_or(0) as u16,
-        born: e.get("startedAtMs").number().filter(|&t| t > 0.0).map(|t| (t * 1000.0) as u64),
+        born: e
+            .get("startedAtMs")
+            .number()
+            .filter(|&t| t > 0.0)
+            .map(|t| (t * 1000.0) as u64),
         phase,
     })
 }
--- a/crates/node/src/members/stream.rs
+++ b/crates/node/src/members/stream.rs
@@ -95,13 +95,22 @@
     /// The stream behind the event of this number.
     pub fn new(host: String, last: u64) -> Stream {
         let (http, events) = Default::default();
-        Stream { host, last, spoilt: 0, http, events }
+        Stream {
+            host,
+            last,
+            spoilt: 0,
+            http,
+            events,
+        }
     }
 
     /// Takes an event over; an error if it has to be asked for again.
     fn take(&mut self, event: ServerEvent, updates: &mut Vec<JsonValue>) -> Result<(), String> {
         let json = parse(event.data.as_bytes());
-        let index = json.as_ref().ok().and_then(|json| Json(Some(json)).get("index").whole());
+        let index = json
+            .as_ref()
+            .ok()
+            .and_then(|json| Json(Some(json)).get("index").whole());
         let number = event.id.or(index);
         // After a new connection events may come again.
         if number.is_some_and(|n| n <= self.last) {
@@ -128,10 +137,19 @@
             .into_bytes()
     }
 
-    fn feed(&mut self, bytes: &[u8], _out: &mut Vec<u8>, updates: &mut Vec<JsonValue>) -> Result<(), String> {
+    fn feed(
+        &mut self,
+        bytes: &[u8],
+        _out: &mut Vec<u8>,
+        updates: &mut Vec<JsonValue>,
+    ) -> Result<(), String> {
         self.http.push(bytes);
         let mut events = Vec::new();
-        while let Some(part) = self.http.next_part().map_err(|e| format!("bad HTTP: {e:?}"))? {
+        while let Some(part) = self
+            .http
+            .next_part()
+            .map_err(|e| format!("bad HTTP: {e:?}"))?
+        {
             match part {
                 ResponsePart::Head(head) if head.status != 200 => {
                     return Err(format!("status {}", head.status));
--- a/crates/node/src/net/link.rs
+++ b/crates/node/src/net/link.rs
@@ -40,7 +40,14 @@
 impl Link {
     /// Wraps a non-blocking stream.
     pub fn new(stream: Rc<TcpStream>) -> Link {
-        Link { stream, out: Vec::new(), start: 0, queued: 0, written: 0, read_error: None }
+        Link {
+            stream,
+            out: Vec::new(),
+            start: 0,
+            queued: 0,
+            written: 0,
+            read_error: None,
+        }
     }
 
     /// The socket, for the event loop.
@@ -65,7 +72,13 @@
     pub fn peer_has_ended(&self) -> bool {
         let over = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
         let mut fds = [PollFd::new(&*self.stream, over)];
-        let asked = poll(&mut fds, Some(&Timespec { tv_sec: 0, tv_nsec: 0 }));
+        let asked = poll(
+            &mut fds,
+            Some(&Timespec {
+                tv_sec: 0,
+                tv_nsec: 0,
+            }),
+        );
         asked.is_ok() && fds[0].revents().intersects(over)
     }
 
@@ -76,7 +89,12 @@
         SCRATCH.with_borrow_mut(|chunk| self.read_by(chunk, into, most))
     }
 
-    fn read_by(&mut self, chunk: &mut [u8], into: &mut Vec<u8>, most: usize) -> io::Result<ReadEnd> {
+    fn read_by(
+        &mut self,
+        chunk: &mut [u8],
+        into: &mut Vec<u8>,
+        most: usize,
+    ) -> io::Result<ReadEnd> {
         if let Some(error) = self.read_error.take() {
             return Err(error);
         }
--- a/crates/node/src/net/silence.rs
+++ b/crates/node/src/net/silence.rs
@@ -24,5 +24,10 @@
 
 /// How often word is due where so many attempts are out on an engine and others of its zone are heard, or not.
 pub fn note_patience(every: Micros, out: usize, zone_heard: bool) -> Micros {
-    every * if out < SILENT_MANY && zone_heard { LONE_TIMES } else { 1 }
+    every
+        * if out < SILENT_MANY && zone_heard {
+            LONE_TIMES
+        } else {
+            1
+        }
 }
--- a/crates/node/src/node/clients/closing.rs
+++ b/crates/node/src/node/clients/closing.rs
@@ -41,7 +41,8 @@
 
     /// Its place among those that go where descriptors are short; `None` if it must stay.
     fn eviction(&self, now: Micros) -> Option<Micros> {
-        let open = self.current.is_some() || self.is_writing() || self.reader.is_within() && !self.fresh;
+        let open =
+            self.current.is_some() || self.is_writing() || self.reader.is_within() && !self.fresh;
         let idle = now.saturating_sub(self.used);
         (self.shut || !open).then(|| eviction::rank(self.shut, self.fresh, idle))
     }
@@ -57,7 +58,9 @@
                 (self.reader.held() == 0 && idle > UPLOAD_STALL).then_some(Expired::Stuck)
             }
             () if self.current.is_some() || self.close => None,
-            () if self.is_half_read() => (now > self.begun + READ_MOST).then_some(Expired::HalfRead),
+            () if self.is_half_read() => {
+                (now > self.begun + READ_MOST).then_some(Expired::HalfRead)
+            }
             () if self.fresh => (now > self.begun + READ_MOST).then_some(Expired::AtRest),
             () => (idle > IDLE_MOST).then_some(Expired::AtRest),
         }
@@ -80,15 +83,26 @@
 impl Node {
     /// Clients' connections that may be open.
     pub(super) fn most_clients(&self) -> usize {
-        self.config.sockets * if self.shares { PART_WHILE_SHARED } else { PART_OF_SOCKETS } / 100
+        self.config.sockets
+            * if self.shares {
+                PART_WHILE_SHARED
+            } else {
+                PART_OF_SOCKETS
+            }
+            / 100
     }
 
     /// Makes room for a descriptor: the connection that can best be spared goes. What has come on it and was not read yet is
     /// taken first: a request in it keeps its place.
     pub(in crate::node) fn evict(&mut self, now: Micros) -> bool {
         for _ in 0..EVICTIONS_TRIED {
-            let each = self.clients.iter().filter_map(|(&id, c)| Some((c.eviction(now)?, id)));
-            let Some((_, id)) = each.max() else { return false };
+            let each = self
+                .clients
+                .iter()
+                .filter_map(|(&id, c)| Some((c.eviction(now)?, id)));
+            let Some((_, id)) = each.max() else {
+                return false;
+            };
             if self.clients.get(&id).is_some_and(|c| !c.shut) {
                 self.client_ready(now, id);
             }
@@ -110,7 +124,9 @@
 
     /// What a client whose request never became whole may still read before the close.
     fn tell_request_timeout(&mut self, id: ConnId) {
-        let Some(client) = self.clients.get_mut(&id) else { return };
+        let Some(client) = self.clients.get_mut(&id) else {
+            return;
+        };
         if !client.shut && client.reader.is_within() && client.current.is_none() {
             client.link.push(&response(408, &[], b"", true));
         }
@@ -119,7 +135,9 @@
     /// The connection is gone, or goes at once: by its peer's end, its reset, or since there is no waiting for it. Nobody is
     /// left to be answered on it; what is out of its request counts until it ends.
     pub(in crate::node) fn drop_client(&mut self, now: Micros, id: ConnId) {
-        let Some(mut client) = self.clients.remove(&id) else { return };
+        let Some(mut client) = self.clients.remove(&id) else {
+            return;
+        };
         self.unwatch(client.token.take());
         self.front.release(client.kept);
         if let Some((request, _)) = client.current.take() {
@@ -138,7 +156,10 @@
         tracing::debug!(request = request.0, conn = id, "client left");
         self.count_end(now, request, End::Left);
         self.asking.remove(&request);
-        let effect = self.core.taken(request).and_then(|t| self.effect(t.ask.class));
+        let effect = self
+            .core
+            .taken(request)
+            .and_then(|t| self.effect(t.ask.class));
         let fed = self.feeds.contains_key(&request);
         self.core.left(now, request);
         // A read is let go on its engine, and so is what waits there for a body that never comes.
@@ -150,7 +171,11 @@
     /// A client takes its request back by a call on another connection: no answer is owed on its own one, which closes, as the
     /// answer to a later request on it would be taken for this one's. True if it was open.
     pub(super) fn withdraw(&mut self, now: Micros, call: &str) -> bool {
-        let asked = self.core.find(call).and_then(|r| self.asking.get(&r)).map(|a| a.0);
+        let asked = self
+            .core
+            .find(call)
+            .and_then(|r| self.asking.get(&r))
+            .map(|a| a.0);
         let Some(id) = asked else { return false };
         self.leave(now, id);
         if let Some(client) = self.clients.get_mut(&id) {
@@ -163,7 +188,9 @@
     /// Right before something of a request goes out that has waited: its client may have left meanwhile, and its end be found in
     /// the same turn as what let the request go, or not be read yet.
     pub(in crate::node) fn look_for_client(&mut self, now: Micros, request: RequestId) {
-        let Some(&(id, _, taken)) = self.asking.get(&request) else { return };
+        let Some(&(id, _, taken)) = self.asking.get(&request) else {
+            return;
+        };
         if taken < now {
             self.drop_if_ended(now, id);
         }
@@ -171,7 +198,11 @@
 
     /// Asks the system for an end of the peer's: behind bytes that are not read yet it brings no word of its own.
     pub(super) fn drop_if_ended(&mut self, now: Micros, id: ConnId) {
-        if self.clients.get(&id).is_some_and(|c| c.link.peer_has_ended()) {
+        if self
+            .clients
+            .get(&id)
+            .is_some_and(|c| c.link.peer_has_ended())
+        {
             self.drop_client(now, id);
         }
     }
@@ -180,7 +211,9 @@
     /// were held behind the open one go with it, as their connection closes behind the answer. One read at a time; the sweep
     /// goes on with it.
     pub(super) fn discard_pipelined(&mut self, now: Micros, id: ConnId) {
-        let Some(client) = self.clients.get_mut(&id) else { return };
+        let Some(client) = self.clients.get_mut(&id) else {
+            return;
+        };
         self.overruns += u64::from(!std::mem::replace(&mut client.overrun, true));
         match client.link.read(&mut Vec::new(), LINGER_READ) {
             Ok(ReadEnd::Enough) => {}
@@ -193,7 +226,9 @@
     /// malformed is told.
     pub(super) fn client_ended(&mut self, now: Micros, id: ConnId) {
         while self.next_request(now, id, true) {}
-        let Some(client) = self.clients.get_mut(&id) else { return };
+        let Some(client) = self.clients.get_mut(&id) else {
+            return;
+        };
         if client.current.is_none() && !client.shut && !client.close && client.reader.is_within() {
             // It may still read why its half request is not answered.
             client.link.push(&response(400, &[], b"", true));
@@ -207,7 +242,9 @@
         // Who has connected and not spoken once it leaves would speak to nobody.
         let (leaves, last) = (!self.life.takes(now), self.life.closes_last());
         for id in self.clients.keys().copied().collect::<Vec<_>>() {
-            let Some(client) = self.clients.get_mut(&id) else { continue };
+            let Some(client) = self.clients.get_mut(&id) else {
+                continue;
+            };
             match client.expired(now) {
                 Some(Expired::Lingered | Expired::Stuck) => self.drop_client(now, id),
                 Some(Expired::HalfRead) => self.end_half_read(now, id),
@@ -260,7 +297,8 @@
     fn end_half_read(&mut self, now: Micros, id: ConnId) {
         self.client_ready(now, id);
         let last = self.life.closes_last();
-        let due = |c: &Client| c.is_half_read() && (last || c.expired(now) == Some(Expired::HalfRead));
+        let due =
+            |c: &Client| c.is_half_read() && (last || c.expired(now) == Some(Expired::HalfRead));
         if self.clients.get(&id).is_some_and(due) {
             self.tell_request_timeout(id);
             self.begin_close(now, id);
--- a/crates/node/src/node/clients/mod.rs
+++ b/crates/node/src/node/clients/mod.rs
@@ -108,7 +108,9 @@
             if self.passed && !self.unblock_listener() {
                 return;
             }
-            let Some(listener) = &self.listener else { return };
+            let Some(listener) = &self.listener else {
+                return;
+            };
             let stream = match listener.accept() {
                 Ok((stream, _)) => stream,
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return,
@@ -121,7 +123,12 @@
                     return;
                 }
                 // A connection that ended in the backlog: the next may be well.
-                Err(e) if matches!(e.kind(), ErrorKind::ConnectionAborted | ErrorKind::Interrupted) => {
+                Err(e)
+                    if matches!(
+                        e.kind(),
+                        ErrorKind::ConnectionAborted | ErrorKind::Interrupted
+                    ) =>
+                {
                     continue
                 }
                 // What else the system says it would say again at once; the next sweep asks anew.
@@ -130,7 +137,11 @@
                     return;
                 }
             };
-            if stream.set_nonblocking(true).and_then(|()| stream.set_nodelay(true)).is_err() {
+            if stream
+                .set_nonblocking(true)
+                .and_then(|()| stream.set_nodelay(true))
+                .is_err()
+            {
                 continue;
             }
             let id = self.conn_id();
@@ -167,8 +178,13 @@
     /// Whoever else holds a passed socket may have let it block again, and the loop would stand still in `accept`. That
     /// is shared by all holders, so it is looked at before each call.
     fn unblock_listener(&mut self) -> bool {
-        let Some(listener) = &self.listener else { return false };
-        if socket2::SockRef::from(&**listener).nonblocking().is_ok_and(|n| n) {
+        let Some(listener) = &self.listener else {
+            return false;
+        };
+        if socket2::SockRef::from(&**listener)
+            .nonblocking()
+            .is_ok_and(|n| n)
+        {
             return true;
         }
         self.unblocked += 1;
@@ -177,7 +193,10 @@
 
     /// Bytes that wait for a request's client to read them.
     pub(super) fn client_backlog(&self, request: RequestId) -> usize {
-        let client = self.asking.get(&request).and_then(|a| self.clients.get(&a.0));
+        let client = self
+            .asking
+            .get(&request)
+            .and_then(|a| self.clients.get(&a.0));
         client.map_or(0, |c| c.link.backlog())
     }
 
@@ -186,7 +205,11 @@
             client.more = true;
         }
         self.client_work(now, id);
-        let request = self.clients.get(&id).and_then(|c| c.current.as_ref()).map(|c| c.0);
+        let request = self
+            .clients
+            .get(&id)
+            .and_then(|c| c.current.as_ref())
+            .map(|c| c.0);
         if let Some(&conn) = request.and_then(|r| self.feeds.get(&r)) {
             self.engine_write(now, conn);
         }
@@ -195,8 +218,13 @@
 
     /// Takes what has come of a body that is passed on as it comes, reading on as far as is needed.
     pub(super) fn more_body(&mut self, now: Micros, request: RequestId) -> Body {
-        let client = self.asking.get(&request).and_then(|a| self.clients.get_mut(&a.0));
-        let Some(client) = client else { return Body::Broken };
+        let client = self
+            .asking
+            .get(&request)
+            .and_then(|a| self.clients.get_mut(&a.0));
+        let Some(client) = client else {
+            return Body::Broken;
+        };
         let mut body = Vec::new();
         for _ in 0..2 {
             match client.reader.more_body(&mut body) {
@@ -224,7 +252,9 @@
 
     /// A body that was passed on as it came can't be: its client is told, if it still can be.
     pub(super) fn body_broken(&mut self, now: Micros, request: RequestId) {
-        let Some(&(id, ..)) = self.asking.get(&request) else { return };
+        let Some(&(id, ..)) = self.asking.get(&request) else {
+            return;
+        };
         self.leave(now, id);
         self.client_fault(now, id, Fault::Malformed);
         self.client_work(now, id);
@@ -233,7 +263,9 @@
     /// Works on a connection, unless that is going on further up the stack: an answer given at once must not
     /// begin the next pipelined request inside the one before, each some frames deeper.
     pub(super) fn client_work(&mut self, now: Micros, id: ConnId) {
-        let Some(client) = self.clients.get_mut(&id).filter(|c| !c.busy) else { return };
+        let Some(client) = self.clients.get_mut(&id).filter(|c| !c.busy) else {
+            return;
+        };
         client.busy = true;
         self.client_loop(now, id);
         if let Some(client) = self.clients.get_mut(&id) {
@@ -249,7 +281,9 @@
     /// Writes, takes requests and reads, as far as all three go.
     fn client_loop(&mut self, now: Micros, id: ConnId) {
         for turn in 0.. {
-            let Some(client) = self.clients.get_mut(&id) else { return };
+            let Some(client) = self.clients.get_mut(&id) else {
+                return;
+            };
             if turn >= TURN {
                 return self.later.push(Source::Client(id));
             }
@@ -269,10 +303,17 @@
             if self.next_request(now, id, false) || self.has_outgrown(now, id) {
                 continue;
             }
-            let Some(client) = self.clients.get_mut(&id) else { return };
+            let Some(client) = self.clients.get_mut(&id) else {
+                return;
+            };
             let ahead = client.current.is_some() || now < client.pause_until;
             let full = ahead && client.reader.held() > AHEAD_MOST;
-            if client.more && !client.shut && full && client.current.is_some() && self.front.asks_in_turn() {
+            if client.more
+                && !client.shut
+                && full
+                && client.current.is_some()
+                && self.front.asks_in_turn()
+            {
                 return self.discard_pipelined(now, id);
             }
             if !client.more || client.shut {
@@ -309,12 +350,16 @@
     /// A request that is being read has grown: what its body may hold is looked at anew. True if its bounds have
     /// changed so that it should be tried again.
     fn has_outgrown(&mut self, now: Micros, id: ConnId) -> bool {
-        let Some(client) = self.clients.get_mut(&id) else { return false };
+        let Some(client) = self.clients.get_mut(&id) else {
+            return false;
+        };
         if client.current.is_some() || client.close || now < client.pause_until {
             return false;
         }
         let size = client.reader.growing();
-        let Some((kept, most)) = self.front.grow(client.kept, size) else { return false };
+        let Some((kept, most)) = self.front.grow(client.kept, size) else {
+            return false;
+        };
         client.kept = kept;
         client.reader.hold_at_most(most);
         if size <= most {
@@ -358,9 +403,15 @@
         last: bool,
         write: impl FnOnce(&mut dyn AnswerWriter, &mut Vec<u8>) -> After,
     ) {
-        let Some(&(id, ..)) = self.asking.get(&request) else { return };
-        let Some(client) = self.clients.get_mut(&id) else { return };
-        let Some((_, writer)) = &mut client.current else { return };
+        let Some(&(id, ..)) = self.asking.get(&request) else {
+            return;
+        };
+        let Some(client) = self.clients.get_mut(&id) else {
+            return;
+        };
+        let Some((_, writer)) = &mut client.current else {
+            return;
+        };
         let mut bytes = Vec::new();
         let after = write(writer.as_mut(), &mut bytes);
         let first = !bytes.is_empty() && !std::mem::replace(&mut client.answering, true);
@@ -371,7 +422,12 @@
         client.link.push(&bytes);
         (client.used, client.begun) = (now, now);
         if last {
-            tracing::debug!(request = request.0, conn = id, bytes = bytes.len(), "answered");
+            tracing::debug!(
+                request = request.0,
+                conn = id,
+                bytes = bytes.len(),
+                "answered"
+            );
             client.current = None;
             client.answering = false;
             client.close |= away;
@@ -384,7 +440,8 @@
             }
             if after == After::Reset {
                 let _ = client.link.flush();
-                let _ = socket2::SockRef::from(&*client.link.socket()).set_linger(Some(Duration::ZERO));
+                let _ =
+                    socket2::SockRef::from(&*client.link.socket()).set_linger(Some(Duration::ZERO));
                 return self.drop_client(now, id);
             }
         }
--- a/crates/node/src/node/clients/requests.rs
+++ b/crates/node/src/node/clients/requests.rs
@@ -10,7 +10,9 @@
     /// Takes the next request off the reader, if none is open; true if one was there. `ended`: its client has ended its side,
     /// and nothing that is still read is wanted any more.
     pub(super) fn next_request(&mut self, now: Micros, id: ConnId, ended: bool) -> bool {
-        let Some(client) = self.clients.get_mut(&id) else { return false };
+        let Some(client) = self.clients.get_mut(&id) else {
+            return false;
+        };
         let idle = client.reader.held() == 0 || now < client.pause_until;
         if client.current.is_some() || client.close || idle {
             return false;
@@ -61,7 +63,11 @@
                 self.reply(now, id, &response(200, &head, text.as_bytes(), false));
             }
             Intake::Take(ask, writer) => {
-                let twin = if self.core.is_open(&ask.call) { self.front.twin(now, &ask) } else { None };
+                let twin = if self.core.is_open(&ask.call) {
+                    self.front.twin(now, &ask)
+                } else {
+                    None
+                };
                 if let Some(bytes) = twin {
                     if let Some(client) = self.clients.get_mut(&id) {
                         client.close |= goes_on;
@@ -109,8 +115,15 @@
             if self.core.phase(run.engine) != Some(Phase::Ready) {
                 continue;
             }
-            let request = self.core.take(now, (kill.for_engine)(run.engine, &run.name));
-            tracing::debug!(request = request.0, conn = id, engine = run.engine.0, "a kill, taken");
+            let request = self
+                .core
+                .take(now, (kill.for_engine)(run.engine, &run.name));
+            tracing::debug!(
+                request = request.0,
+                conn = id,
+                engine = run.engine.0,
+                "a kill, taken"
+            );
             sent.push(request);
         }
         if !kill.test {
@@ -118,11 +131,19 @@
                 self.core.call_off(now, name, &kill.words);
             }
         }
-        tracing::info!(names = kill.names.len(), known, engines = sent.len(), "queries are to be ended");
+        tracing::info!(
+            names = kill.names.len(),
+            known,
+            engines = sent.len(),
+            "queries are to be ended"
+        );
         match sent.first() {
             None => self.reply(now, id, &kill.none),
             Some(&first) => {
-                self.asking.insert(first, (id, self.core.taken(first).map_or(0, |t| t.ask.class), now));
+                self.asking.insert(
+                    first,
+                    (id, self.core.taken(first).map_or(0, |t| t.ask.class), now),
+                );
                 if let Some(client) = self.clients.get_mut(&id) {
                     client.current = Some((first, kill.writer));
                 }
--- a/crates/node/src/node/control/mod.rs
+++ b/crates/node/src/node/control/mod.rs
@@ -122,7 +122,11 @@
     }
 
     pub(super) fn counters(&self) -> String {
-        format!("operators {}\noperators_cut_off {}\n", self.operators.len(), self.cut_off)
+        format!(
+            "operators {}\noperators_cut_off {}\n",
+            self.operators.len(),
+            self.cut_off
+        )
     }
 }
 
@@ -141,7 +145,10 @@
 fn listen(path: &Path, succeeds: bool) -> Result<(UnixListener, u64), String> {
     let say = |e: std::io::Error| format!("control {}: {e}", path.display());
     if !succeeds && UnixStream::connect(path).is_ok() {
-        return Err(format!("control {}: another program answers there", path.display()));
+        return Err(format!(
+            "control {}: another program answers there",
+            path.display()
+        ));
     }
     let beside = path.with_extension(format!("{}.new", std::process::id()));
     let _ = std::fs::remove_file(&beside);
@@ -157,7 +164,9 @@
     /// Opens what the configuration names: the state folder, then the control socket and port.
     pub(super) fn open_control(&mut self) -> Result<(), String> {
         let now = self.clock();
-        if self.config.control.is_none() && self.config.control_port.is_none() && self.config.state.is_none()
+        if self.config.control.is_none()
+            && self.config.control_port.is_none()
+            && self.config.state.is_none()
         {
             return Ok(());
         }
@@ -165,12 +174,15 @@
         if let Some(folder) = self.config.state.clone() {
             let (sender, written) = calloop::channel::channel();
             let (state, records, told) = state::open(&folder, move |w| drop(sender.send(w)))?;
-            let on_written = |event: calloop::channel::Event<state::Written>, _: &mut (), node: &mut Node| {
-                if let calloop::channel::Event::Msg((number, end)) = event {
-                    node.guard("a write's end", |node| node.written(number, end));
-                }
-            };
-            self.handle.insert_source(written, on_written).map_err(|e| format!("event loop: {e}"))?;
+            let on_written =
+                |event: calloop::channel::Event<state::Written>, _: &mut (), node: &mut Node| {
+                    if let calloop::channel::Event::Msg((number, end)) = event {
+                        node.guard("a write's end", |node| node.written(number, end));
+                    }
+                };
+            self.handle
+                .insert_source(written, on_written)
+                .map_err(|e| format!("event loop: {e}"))?;
             for words in told {
                 tracing::warn!("{words}");
                 control.events.push_back((now, words));
@@ -198,17 +210,20 @@
                 control.socket = Some((path, inode));
             }
             self.operators = vec![Listener::Unix(listener.clone())];
-            self.watch(listener, Source::Operators(0)).map_err(|e| format!("event loop: {e}"))?;
+            self.watch(listener, Source::Operators(0))
+                .map_err(|e| format!("event loop: {e}"))?;
         }
         if let Some((addr, key)) = self.config.control_port.clone() {
-            let listener =
-                Rc::new(super::clients::listen(addr).map_err(|e| format!("control port {addr}: {e}"))?);
+            let listener = Rc::new(
+                super::clients::listen(addr).map_err(|e| format!("control port {addr}: {e}"))?,
+            );
             if let Some(control) = &mut self.control {
                 control.key = key;
             }
             self.operators.push(Listener::Tcp(listener.clone()));
             let place = self.operators.len() - 1;
-            self.watch(listener, Source::Operators(place)).map_err(|e| format!("event loop: {e}"))?;
+            self.watch(listener, Source::Operators(place))
+                .map_err(|e| format!("event loop: {e}"))?;
         }
         Ok(())
     }
@@ -216,7 +231,9 @@
     /// Something that operators should know has happened.
     pub(super) fn event(&mut self, now: Micros, words: String) {
         let at = self.wall_time(now);
-        let Some(control) = &mut self.control else { return };
+        let Some(control) = &mut self.control else {
+            return;
+        };
         tracing::info!("{words}");
         // What was told before is old now.
         control.snapshot = None;
@@ -224,8 +241,11 @@
             control.events.pop_front();
         }
         control.events.push_back((at, words.clone()));
-        let told: Vec<(ConnId, u64)> =
-            control.operators.iter().filter_map(|(&id, o)| Some((id, o.events?))).collect();
+        let told: Vec<(ConnId, u64)> = control
+            .operators
+            .iter()
+            .filter_map(|(&id, o)| Some((id, o.events?)))
+            .collect();
         for (conn, id) in told {
             self.tell_operator(conn, &Reply::Event(at, words.clone()).line(id));
         }
@@ -233,11 +253,17 @@
 
     /// Looks at the roll and at followers; called with each sweep.
     pub(super) fn tend_control(&mut self, now: Micros) {
-        let Some(control) = &mut self.control else { return };
+        let Some(control) = &mut self.control else {
+            return;
+        };
         if control.roll.as_ref().is_some_and(|r| !r.is_over()) && now >= control.next_roll {
             control.next_roll = now + ROLL_EVERY;
             let sight = self.sight(now);
-            let acts = self.control.as_mut().and_then(|c| c.roll.as_mut()).map(|r| r.step(now, &sight));
+            let acts = self
+                .control
+                .as_mut()
+                .and_then(|c| c.roll.as_mut())
+                .map(|r| r.step(now, &sight));
             self.carry_out_roll(now, acts.unwrap_or_default());
         }
         for place in 0..self.operators.len() {
--- a/crates/node/src/node/control/operators.rs
+++ b/crates/node/src/node/control/operators.rs
@@ -10,7 +10,9 @@
 
 impl Node {
     pub(in crate::node) fn accept_operators(&mut self, place: usize) {
-        let Some(listener) = self.operators.get(place).cloned() else { return };
+        let Some(listener) = self.operators.get(place).cloned() else {
+            return;
+        };
         loop {
             let stream = match &listener {
                 Listener::Unix(l) => l.accept().map(|(s, _)| Stream::Unix(Rc::new(s))),
@@ -18,14 +20,18 @@
             };
             // Out of descriptors included: the connection waits for the next sweep.
             let Ok(stream) = stream else { return };
-            if self.control.as_ref().is_none_or(|c| c.operators.len() >= OPERATORS_MOST) {
+            if self
+                .control
+                .as_ref()
+                .is_none_or(|c| c.operators.len() >= OPERATORS_MOST)
+            {
                 continue;
             }
             let id = self.conn_id();
             let registered = match &stream {
-                Stream::Unix(s) => {
-                    s.set_nonblocking(true).map(|()| self.watch(s.clone(), Source::Operator(id)))
-                }
+                Stream::Unix(s) => s
+                    .set_nonblocking(true)
+                    .map(|()| self.watch(s.clone(), Source::Operator(id))),
                 Stream::Tcp(s) => {
                     let set = s.set_nonblocking(true).and_then(|()| s.set_nodelay(true));
                     set.map(|()| self.watch(s.clone(), Source::Operator(id)))
@@ -34,9 +40,15 @@
             let Ok(Ok(token)) = registered else { continue };
             let challenge = matches!(stream, Stream::Tcp(_)).then(|| {
                 let mut random = [0; 16];
-                let seeded = std::fs::File::open("/dev/urandom").and_then(|mut f| f.read_exact(&mut random));
+                let seeded =
+                    std::fs::File::open("/dev/urandom").and_then(|mut f| f.read_exact(&mut random));
                 seeded
-                    .map(|()| random.iter().map(|b| format!("{b:02x}")).collect::<String>())
+                    .map(|()| {
+                        random
+                            .iter()
+                            .map(|b| format!("{b:02x}"))
+                            .collect::<String>()
+                    })
                     .unwrap_or_default()
             });
             let operator = Operator {
@@ -64,8 +76,12 @@
     }
 
     pub(in crate::node) fn tell_operator(&mut self, id: ConnId, line: &str) {
-        let Some(control) = &mut self.control else { return };
-        let Some(operator) = control.operators.get_mut(&id) else { return };
+        let Some(control) = &mut self.control else {
+            return;
+        };
+        let Some(operator) = control.operators.get_mut(&id) else {
+            return;
+        };
         operator.out.extend(line.bytes());
         operator.unread.get_or_insert(self.now);
         if operator.out.len() > UNREAD_MOST {
@@ -77,7 +93,9 @@
     }
 
     fn write_operator(&mut self, id: ConnId) {
-        let Some(operator) = self.control.as_mut().and_then(|c| c.operators.get_mut(&id)) else { return };
+        let Some(operator) = self.control.as_mut().and_then(|c| c.operators.get_mut(&id)) else {
+            return;
+        };
         while !operator.out.is_empty() {
             match operator.stream.write(&operator.out) {
                 Ok(n) if n > 0 => drop(operator.out.drain(..n)),
@@ -95,7 +113,10 @@
         let mut bytes = vec![0; 8 * 1024];
         let mut taken = 0;
         loop {
-            let Some(operator) = self.control.as_mut().and_then(|c| c.operators.get_mut(&id)) else { return };
+            let Some(operator) = self.control.as_mut().and_then(|c| c.operators.get_mut(&id))
+            else {
+                return;
+            };
             match operator.stream.read(&mut bytes) {
                 Ok(0) => return self.drop_operator(id),
                 Ok(n) => {
@@ -106,7 +127,8 @@
                 Err(e) if e.kind() == ErrorKind::Interrupted => continue,
                 Err(_) => return self.drop_operator(id),
             }
-            while let Some(operator) = self.control.as_mut().and_then(|c| c.operators.get_mut(&id)) {
+            while let Some(operator) = self.control.as_mut().and_then(|c| c.operators.get_mut(&id))
+            {
                 match operator.lines.next_line(LINE_MOST) {
                     Ok(Some(line)) => self.operator_line(id, &line),
                     Ok(None) => break,
@@ -127,8 +149,12 @@
             Ok(request) => request,
             Err(bad) => return self.tell_operator(conn, &Reply::Refused(bad.to_string()).line(id)),
         };
-        let Some(control) = &mut self.control else { return };
-        let Some(operator) = control.operators.get_mut(&conn) else { return };
+        let Some(control) = &mut self.control else {
+            return;
+        };
+        let Some(operator) = control.operators.get_mut(&conn) else {
+            return;
+        };
         if let Some(challenge) = operator.challenge.clone() {
             let right = matches!(&request, Request::Auth(a) if !challenge.is_empty() && key::is_right(&control.key, &challenge, a));
             if !right {
@@ -154,8 +180,11 @@
                 if follow {
                     operator.events = Some(id);
                 }
-                let lines: String =
-                    control.events.iter().map(|(at, w)| Reply::Event(*at, w.clone()).line(id)).collect();
+                let lines: String = control
+                    .events
+                    .iter()
+                    .map(|(at, w)| Reply::Event(*at, w.clone()).line(id))
+                    .collect();
                 self.tell_operator(conn, &lines);
                 if !follow {
                     self.tell_operator(conn, &Reply::Done(String::new()).line(id));
@@ -181,19 +210,31 @@
                 let words = format!("{engine} is removed");
                 self.order(now, conn, id, Order::Remove { engine, force }, words);
             }
-            Request::Add { engine, addr, zone, kind } => self.add(now, conn, id, engine, &addr, &zone, &kind),
-            Request::Hold { name, for_s, stays, note } => self.hold((conn, id), name, for_s, stays, note),
+            Request::Add {
+                engine,
+                addr,
+                zone,
+                kind,
+            } => self.add(now, conn, id, engine, &addr, &zone, &kind),
+            Request::Hold {
+                name,
+                for_s,
+                stays,
+                note,
+            } => self.hold((conn, id), name, for_s, stays, note),
             Request::Unhold(name) => self.unhold((conn, id), &name),
             Request::Roll(engines, dry) => self.begin_roll(now, conn, id, engines, dry),
-            Request::Back => {
-                self.with_roll(now, conn, id, "no engine is handed over", |r, _| r.handed_back(now))
-            }
+            Request::Back => self.with_roll(now, conn, id, "no engine is handed over", |r, _| {
+                r.handed_back(now)
+            }),
             Request::RollStop => {
                 self.with_roll(now, conn, id, "there is no roll to stop", |r, _| {
                     r.stop(now, "by an operator")
                 });
             }
-            Request::RollGoOn => self.with_roll(now, conn, id, "no roll is stopped", |r, s| r.go_on(now, s)),
+            Request::RollGoOn => {
+                self.with_roll(now, conn, id, "no roll is stopped", |r, s| r.go_on(now, s))
+            }
         }
     }
 
@@ -214,7 +255,11 @@
         };
         let (zones, kinds) = (self.config.zones.clone(), self.config.kinds.clone());
         let refuse = |what: &str, name: &str, known: &[String]| {
-            Reply::Refused(format!("there is no {what} {name}; there are {}", known.join(", "))).line(id)
+            Reply::Refused(format!(
+                "there is no {what} {name}; there are {}",
+                known.join(", ")
+            ))
+            .line(id)
         };
         let Some(zone) = place(&zones, zone) else {
             return self.tell_operator(conn, &refuse("building", zone, &zones));
@@ -233,20 +278,37 @@
             },
         };
         let words = format!("{engine} is added");
-        let fact = Fact { name: engine, addr, zone, kind, cell: 0, born: None, phase: Phase::Ready };
+        let fact = Fact {
+            name: engine,
+            addr,
+            zone,
+            kind,
+            cell: 0,
+            born: None,
+            phase: Phase::Ready,
+        };
         self.order(now, conn, id, Order::Add { fact }, words);
     }
 
     pub(super) fn follow_operators(&mut self, now: Micros) {
-        let Some(control) = &mut self.control else { return };
+        let Some(control) = &mut self.control else {
+            return;
+        };
         let stuck = |o: &Operator| o.unread.is_some_and(|since| now > since + UNREAD_FOR);
-        let cut: Vec<ConnId> = control.operators.iter().filter(|o| stuck(o.1)).map(|o| *o.0).collect();
+        let cut: Vec<ConnId> = control
+            .operators
+            .iter()
+            .filter(|o| stuck(o.1))
+            .map(|o| *o.0)
+            .collect();
         control.cut_off += cut.len() as u64;
         for id in cut {
             tracing::info!("an operator's connection is cut: it does not read");
             self.drop_operator(id);
         }
-        let Some(control) = &mut self.control else { return };
+        let Some(control) = &mut self.control else {
+            return;
+        };
         let mut due = Vec::new();
         for (&conn, operator) in &mut control.operators {
             if let Some((id, every, at)) = &mut operator.follow {
--- a/crates/node/src/node/control/orders.rs
+++ b/crates/node/src/node/control/orders.rs
@@ -10,10 +10,19 @@
 
 impl Node {
     /// Carries out an operator's command: at once for the engines, and done once it is on the disk.
-    pub(super) fn order(&mut self, now: Micros, conn: ConnId, id: u64, command: Order, words: String) {
+    pub(super) fn order(
+        &mut self,
+        now: Micros,
+        conn: ConnId,
+        id: u64,
+        command: Order,
+        words: String,
+    ) {
         let (change, records) = match self.roster.command(now, "operator", command) {
             Ok(done) => done,
-            Err(refusal) => return self.tell_operator(conn, &Reply::Refused(refusal.to_string()).line(id)),
+            Err(refusal) => {
+                return self.tell_operator(conn, &Reply::Refused(refusal.to_string()).line(id))
+            }
         };
         self.take_change(now, &change);
         self.tell_post();
@@ -26,32 +35,43 @@
                 }
             }
             Kept::NoFolder => {
-                let words =
-                    format!("{words}; there is no state folder, so a restart of the program forgets it");
+                let words = format!(
+                    "{words}; there is no state folder, so a restart of the program forgets it"
+                );
                 self.tell_operator(conn, &Reply::Done(words).line(id));
             }
             Kept::Full => {
-                let words =
-                    format!("{words}, but the disk is too slow to write it down: a restart forgets it");
+                let words = format!(
+                    "{words}, but the disk is too slow to write it down: a restart forgets it"
+                );
                 self.tell_operator(conn, &Reply::Done(words).line(id));
             }
         }
     }
 
     pub(in crate::node) fn write_down(&mut self, now: Micros, records: Vec<Record>) -> Kept {
-        let Some(control) = &mut self.control else { return Kept::NoFolder };
-        let Some(state) = &mut control.state else { return Kept::NoFolder };
+        let Some(control) = &mut self.control else {
+            return Kept::NoFolder;
+        };
+        let Some(state) = &mut control.state else {
+            return Kept::NoFolder;
+        };
         let number = state.append(records);
         // What a successor writes must not be left in a file that is no longer the folder's.
         if state.wants_compaction() && !self.life.is_succeeded() {
             let mut records = self.roster.records();
-            records.push(Record::Roll { roll: control.roll.clone() });
+            records.push(Record::Roll {
+                roll: control.roll.clone(),
+            });
             state.compact(records);
         }
         match number {
             Some(number) => Kept::Coming(number),
             None => {
-                self.event(now, "The state folder's disk is too slow: an order was not written down".into());
+                self.event(
+                    now,
+                    "The state folder's disk is too slow: an order was not written down".into(),
+                );
                 Kept::Full
             }
         }
@@ -60,7 +80,10 @@
     /// Records are on the disk, or could not be written.
     pub(super) fn written(&mut self, number: u64, end: Result<(), String>) {
         let now = self.clock();
-        let waiting = self.control.as_mut().and_then(|c| c.waiting.remove(&number));
+        let waiting = self
+            .control
+            .as_mut()
+            .and_then(|c| c.waiting.remove(&number));
         if let Err(why) = &end {
             self.event(now, format!("The state folder can't be written: {why}"));
         }
@@ -68,7 +91,9 @@
             let words = match end {
                 Ok(()) => words,
                 Err(why) => {
-                    format!("{words}, but it could not be written down ({why}): a restart forgets it")
+                    format!(
+                        "{words}, but it could not be written down ({why}): a restart forgets it"
+                    )
                 }
             };
             self.tell_operator(conn, &Reply::Done(words).line(id));
@@ -76,8 +101,19 @@
         self.carry_out();
     }
 
-    pub(super) fn begin_roll(&mut self, now: Micros, conn: ConnId, id: u64, engines: Vec<String>, dry: bool) {
-        let running = self.control.as_ref().and_then(|c| c.roll.as_ref()).is_some_and(|r| !r.is_over());
+    pub(super) fn begin_roll(
+        &mut self,
+        now: Micros,
+        conn: ConnId,
+        id: u64,
+        engines: Vec<String>,
+        dry: bool,
+    ) {
+        let running = self
+            .control
+            .as_ref()
+            .and_then(|c| c.roll.as_ref())
+            .is_some_and(|r| !r.is_over());
         let sight = self.sight(now);
         let all: Vec<String> = sight.engines.iter().map(|e| e.name.clone()).collect();
         let reply = if let Some(unknown) = engines.iter().find(|e| !all.contains(e)) {
@@ -85,13 +121,20 @@
         } else if running && !dry {
             Reply::Refused("a roll is on its way: stop it first".into())
         } else {
-            let roll = Roll::new(now, if engines.is_empty() { all } else { engines }, sight.service);
+            let roll = Roll::new(
+                now,
+                if engines.is_empty() { all } else { engines },
+                sight.service,
+            );
             let plan = roll.plan(&sight).join("\n");
             if !dry {
                 if let Some(control) = &mut self.control {
                     (control.roll, control.next_roll) = (Some(roll.clone()), now);
                 }
-                self.event(now, format!("A roll over {} engines begins", roll.left.len()));
+                self.event(
+                    now,
+                    format!("A roll over {} engines begins", roll.left.len()),
+                );
                 let _ = self.write_down(now, vec![Record::Roll { roll: Some(roll) }]);
             }
             Reply::Done(plan)
@@ -108,12 +151,19 @@
         how: impl FnOnce(&mut Roll, &Sight) -> Vec<Act>,
     ) {
         let sight = self.sight(now);
-        let acts =
-            self.control.as_mut().and_then(|c| c.roll.as_mut()).map(|r| how(r, &sight)).unwrap_or_default();
+        let acts = self
+            .control
+            .as_mut()
+            .and_then(|c| c.roll.as_mut())
+            .map(|r| how(r, &sight))
+            .unwrap_or_default();
         let reply = match acts.is_empty() {
             true => Reply::Refused(none.into()),
             false => Reply::Done(
-                self.control.as_ref().and_then(|c| c.roll.as_ref()).map_or(String::new(), |r| r.why.clone()),
+                self.control
+                    .as_ref()
+                    .and_then(|c| c.roll.as_ref())
+                    .map_or(String::new(), |r| r.why.clone()),
             ),
         };
         self.carry_out_roll(now, acts);
@@ -128,10 +178,20 @@
             match act {
                 Act::Say(words) => self.event(now, words),
                 Act::Write => {
-                    let roll = self.control.as_ref().and_then(|c| c.roll.clone()).filter(|r| !r.is_over());
+                    let roll = self
+                        .control
+                        .as_ref()
+                        .and_then(|c| c.roll.clone())
+                        .filter(|r| !r.is_over());
                     let _ = self.write_down(now, vec![Record::Roll { roll }]);
                 }
-                Act::Drain(engine) => self.order_of_roll(now, Order::Drain { engine, force: false }),
+                Act::Drain(engine) => self.order_of_roll(
+                    now,
+                    Order::Drain {
+                        engine,
+                        force: false,
+                    },
+                ),
                 Act::Resume(engine) => self.order_of_roll(now, Order::Resume { engine }),
             }
         }
--- a/crates/node/src/node/control/views.rs
+++ b/crates/node/src/node/control/views.rs
@@ -13,15 +13,22 @@
 
 impl Node {
     pub(super) fn snapshot_line(&mut self, now: Micros, id: u64) -> String {
-        let fresh =
-            self.control.as_ref().and_then(|c| c.snapshot.as_ref()).is_some_and(|s| now < s.0 + SNAPSHOT_FOR);
+        let fresh = self
+            .control
+            .as_ref()
+            .and_then(|c| c.snapshot.as_ref())
+            .is_some_and(|s| now < s.0 + SNAPSHOT_FOR);
         if !fresh {
             let text = self.snapshot(now).to_json().stringify().unwrap_or_default();
             if let Some(control) = &mut self.control {
                 control.snapshot = Some((now, text));
             }
         }
-        let text = self.control.as_ref().and_then(|c| c.snapshot.as_ref()).map_or("{}", |s| &s.1);
+        let text = self
+            .control
+            .as_ref()
+            .and_then(|c| c.snapshot.as_ref())
+            .map_or("{}", |s| &s.1);
         format!("{{\"id\":{id},\"snapshot\":{text}}}\n")
     }
 
@@ -29,7 +36,11 @@
     fn running(&self) -> BTreeMap<EngineId, Running> {
         let mut running: BTreeMap<EngineId, Running> = BTreeMap::new();
         for (class, engine, sent) in self.core.attempts_out() {
-            let entry = running.entry(engine).or_insert(Running { out: 0, once: 0, since: sent });
+            let entry = running.entry(engine).or_insert(Running {
+                out: 0,
+                once: 0,
+                since: sent,
+            });
             entry.out += 1;
             entry.once += u64::from(self.runs_once(class));
             entry.since = entry.since.min(sent);
@@ -44,10 +55,19 @@
             kind.and_then(|k| k.cores).unwrap_or(8.0)
         };
         let seen = self.roster.engines();
-        let whole: f64 = seen.iter().filter(|e| e.phase != Phase::Gone).map(|e| cores(e.place.1)).sum();
+        let whole: f64 = seen
+            .iter()
+            .filter(|e| e.phase != Phase::Gone)
+            .map(|e| cores(e.place.1))
+            .sum();
         let mut busy = 0.0;
         for (class, ..) in self.core.attempts_out() {
-            busy += self.config.settings.classes.get(usize::from(class)).map_or(1.0, |c| c.threads);
+            busy += self
+                .config
+                .settings
+                .classes
+                .get(usize::from(class))
+                .map_or(1.0, |c| c.threads);
         }
         let engines = seen.iter().filter(|e| e.phase != Phase::Gone).map(|e| {
             let there = running.get(&e.id).copied().unwrap_or_default();
@@ -55,7 +75,10 @@
             EngineSight {
                 name: e.name.clone(),
                 ready: e.phase == Phase::Ready,
-                drained: e.standing.as_ref().is_some_and(|s| s.order == Ordered::Drain),
+                drained: e
+                    .standing
+                    .as_ref()
+                    .is_some_and(|s| s.order == Ordered::Drain),
                 running: there.out as usize,
                 loads: there.once as usize,
                 born: e.born,
@@ -73,14 +96,25 @@
             asked += worth(n) * sum.asked as f64;
             got += worth(n) * sum.in_time as f64;
         }
-        Sight { engines, service: (asked > 0.0).then(|| got / asked), load: busy / whole.max(1.0) }
+        Sight {
+            engines,
+            service: (asked > 0.0).then(|| got / asked),
+            load: busy / whole.max(1.0),
+        }
     }
 
     /// A request has ended: for the rings.
     pub(in crate::node) fn ended(&mut self, now: Micros, class: u16, began: Micros, end: End) {
-        let wanted = self.config.settings.classes.get(usize::from(class)).map_or(0, |c| c.aim);
-        if let Some((minute, hour)) =
-            self.control.as_mut().and_then(|c| c.classes.get_mut(usize::from(class)))
+        let wanted = self
+            .config
+            .settings
+            .classes
+            .get(usize::from(class))
+            .map_or(0, |c| c.aim);
+        if let Some((minute, hour)) = self
+            .control
+            .as_mut()
+            .and_then(|c| c.classes.get_mut(usize::from(class)))
         {
             let took = now.saturating_sub(began);
             minute.add(now, end, took, wanted);
@@ -91,12 +125,11 @@
     /// An engine has served something.
     pub(in crate::node) fn engine_served(&mut self, now: Micros, engine: EngineId, took: Micros) {
         if let Some(control) = &mut self.control {
-            control.engines.entry(engine).or_insert_with(Ring::minute).add(
-                now,
-                End::Served,
-                took,
-                Micros::MAX,
-            );
+            control
+                .engines
+                .entry(engine)
+                .or_insert_with(Ring::minute)
+                .add(now, End::Served, took, Micros::MAX);
         }
     }
 
@@ -108,7 +141,8 @@
     }
 
     fn snapshot(&mut self, now: Micros) -> Snapshot {
-        let name = |names: &[String], n: u16| names.get(usize::from(n)).cloned().unwrap_or_default();
+        let name =
+            |names: &[String], n: u16| names.get(usize::from(n)).cloned().unwrap_or_default();
         let running = self.running();
         let mut connections: BTreeMap<EngineId, u64> = BTreeMap::new();
         let mut heard: BTreeMap<EngineId, Micros> = BTreeMap::new();
@@ -135,7 +169,13 @@
                 order: e
                     .standing
                     .as_ref()
-                    .map_or("", |s| if s.order == Ordered::Drain { "drain" } else { "remove" })
+                    .map_or("", |s| {
+                        if s.order == Ordered::Drain {
+                            "drain"
+                        } else {
+                            "remove"
+                        }
+                    })
                     .into(),
                 order_by: e.standing.as_ref().map_or(String::new(), |s| s.by.clone()),
                 order_age_s: e.standing.as_ref().map_or(0, |s| seconds(s.since)),
@@ -143,7 +183,9 @@
                 imports: there.once,
                 heard_ms: (heard > 0).then(|| now.saturating_sub(heard) / 1000),
                 connections: connections.get(&e.id).copied().unwrap_or(0),
-                warm_in_s: e.born.map_or(0, |b| (b + warm_after).saturating_sub(now).div_ceil(1_000_000)),
+                warm_in_s: e.born.map_or(0, |b| {
+                    (b + warm_after).saturating_sub(now).div_ceil(1_000_000)
+                }),
                 minute: ring.map(|r| r.sum(now)).unwrap_or_default(),
             }
         });
@@ -157,7 +199,10 @@
             queries.push(Query {
                 call: call.chars().take(60).collect(),
                 class: name(&self.config.classes.names, class),
-                engine: engine.and_then(|e| self.roster.name(e)).unwrap_or_default().into(),
+                engine: engine
+                    .and_then(|e| self.roster.name(e))
+                    .unwrap_or_default()
+                    .into(),
                 age_ms: now.saturating_sub(since) / 1000,
                 import: self.runs_once(class),
             });
@@ -165,14 +210,25 @@
         queries.sort_by_key(|q| (!q.import, std::cmp::Reverse(q.age_ms)));
         queries.truncate(QUERIES_MOST);
         let rings = self.control.as_ref().map(|c| &c.classes[..]).unwrap_or(&[]);
-        let classes = self.config.classes.names.iter().enumerate().map(|(n, class)| Class {
-            name: class.clone(),
-            wanted_ms: self.config.settings.classes.get(n).map_or(0, |c| c.aim / 1000),
-            once: self.runs_once(n as u16),
-            open: open_by_class[n],
-            minute: rings.get(n).map(|r| r.0.sum(now)).unwrap_or_default(),
-            hour: rings.get(n).map(|r| r.1.sum(now)).unwrap_or_default(),
-        });
+        let classes = self
+            .config
+            .classes
+            .names
+            .iter()
+            .enumerate()
+            .map(|(n, class)| Class {
+                name: class.clone(),
+                wanted_ms: self
+                    .config
+                    .settings
+                    .classes
+                    .get(n)
+                    .map_or(0, |c| c.aim / 1000),
+                once: self.runs_once(n as u16),
+                open: open_by_class[n],
+                minute: rings.get(n).map(|r| r.0.sum(now)).unwrap_or_default(),
+                hour: rings.get(n).map(|r| r.1.sum(now)).unwrap_or_default(),
+            });
         let classes = classes.collect();
         let control = self.control.as_ref();
         let roll = control.and_then(|c| c.roll.as_ref()).map(|r| RollView {
--- a/crates/node/src/node/counters.rs
+++ b/crates/node/src/node/counters.rs
@@ -9,9 +9,17 @@
             self.clients.len(),
             self.engines.len()
         );
-        let bodies = format!("bodies_passing {}\nresults_paused {}\n", self.feeds.len(), self.paused);
+        let bodies = format!(
+            "bodies_passing {}\nresults_paused {}\n",
+            self.feeds.len(),
+            self.paused
+        );
         let (core, front) = (self.core.counters(), self.front.counters());
-        let control = self.control.as_ref().map(|c| c.counters()).unwrap_or_default();
+        let control = self
+            .control
+            .as_ref()
+            .map(|c| c.counters())
+            .unwrap_or_default();
         let bans = self.roster.orders().len();
         let state = self.life.state().word().replace(' ', "_");
         let life = format!("state{{is=\"{state}\"}} 1\nengines_out_by_order {bans}\n");
@@ -21,7 +29,10 @@
         );
         let management = self.management.counters();
         let succeeds = u8::from(self.life.succeeds());
-        let upgrade = format!("upgrade_succeeds {succeeds}\nupgrade_orders_merged {}\n", self.merged);
+        let upgrade = format!(
+            "upgrade_succeeds {succeeds}\nupgrade_orders_merged {}\n",
+            self.merged
+        );
         let upgrade = format!("{upgrade}listener_unblocked {}\n", self.unblocked);
         let open = self.core.open();
         let fleet = self.fleet_counters();
@@ -35,7 +46,9 @@
 
     /// How far the retry budget is used.
     fn budget_counters(&self) -> String {
-        let Some(usage) = self.core.retry_budget_usage(self.now) else { return String::new() };
+        let Some(usage) = self.core.retry_budget_usage(self.now) else {
+            return String::new();
+        };
         format!(
             "retry_budget_used {}\nretry_budget_allowed {:.1}\nretry_budget_taken {}\nretries_denied {}\n\
              retries_withheld {}\n",
--- a/crates/node/src/node/engines/closing.rs
+++ b/crates/node/src/node/engines/closing.rs
@@ -18,7 +18,9 @@
     }
 
     fn end_engine(&mut self, now: Micros, id: ConnId, cause: Cause) {
-        let Some(mut conn) = self.engines.remove(&id) else { return };
+        let Some(mut conn) = self.engines.remove(&id) else {
+            return;
+        };
         self.unwatch(conn.token.take());
         self.paused -= usize::from(conn.paused);
         if let Some(key) = conn.feeding {
@@ -28,14 +30,21 @@
         for key in conn.session.open() {
             self.attempt_failed(now, key, cause.clone());
         }
-        for tag in conn.session.probes().into_iter().filter(|&t| t != CHECK_TAG) {
+        for tag in conn
+            .session
+            .probes()
+            .into_iter()
+            .filter(|&t| t != CHECK_TAG)
+        {
             self.core.probed(now, tag, Outcome::Reset, &[]);
         }
         // Came up and broke before it carried this: that says nothing of the engine, another may do.
         let moves_on = |moves: u8| conn.up && moves < MOVES_MOST;
         for work in conn.waiting {
             match work {
-                Work::Attempt(key, moves) if moves_on(moves) => self.send(now, key, conn.engine, moves + 1),
+                Work::Attempt(key, moves) if moves_on(moves) => {
+                    self.send(now, key, conn.engine, moves + 1)
+                }
                 Work::Attempt(key, _) => self.attempt_failed(now, key, cause.clone()),
                 Work::Probe(CHECK_TAG) => {}
                 Work::Probe(tag) => self.core.probed(now, tag, Outcome::Unreachable, &[]),
@@ -55,7 +64,13 @@
             Cause::Closed(why) if open > 0 => {
                 tracing::info!(engine, open, waiting, why, "connection to an engine closed");
             }
-            _ => tracing::debug!(engine, open, waiting, ?cause, "connection to an engine lost"),
+            _ => tracing::debug!(
+                engine,
+                open,
+                waiting,
+                ?cause,
+                "connection to an engine lost"
+            ),
         }
     }
 
@@ -101,9 +116,17 @@
     pub(in crate::node) fn sweep_engines(&mut self, now: Micros) {
         let (idle, stall) = (self.config.idle, self.config.stall);
         // What hands over has little more to send: idle connections are the successor's share of the descriptors.
-        let idle = if self.life.is_succeeded() { idle.min(HANDED_OVER_IDLE) } else { idle };
+        let idle = if self.life.is_succeeded() {
+            idle.min(HANDED_OVER_IDLE)
+        } else {
+            idle
+        };
         self.check_engines(now);
-        self.streams = self.engines.values().filter(|c| c.session.is_streaming()).count();
+        self.streams = self
+            .engines
+            .values()
+            .filter(|c| c.session.is_streaming())
+            .count();
         let over = |c: &EngineConn| {
             if !c.up {
                 return (now > c.connect_by).then_some("connect timed out");
@@ -120,10 +143,15 @@
             if c.session.is_streaming() && !c.paused && now > c.heard + stall {
                 return Some("its result stands still");
             }
-            let unused = c.is_idle() && (c.retired || c.session.is_spent() || c.is_stale(now, idle));
+            let unused =
+                c.is_idle() && (c.retired || c.session.is_spent() || c.is_stale(now, idle));
             unused.then_some("no longer used")
         };
-        let ends: Vec<_> = self.engines.iter().filter_map(|(&id, c)| Some((id, over(c)?))).collect();
+        let ends: Vec<_> = self
+            .engines
+            .iter()
+            .filter_map(|(&id, c)| Some((id, over(c)?)))
+            .collect();
         for (id, why) in ends {
             self.drop_engine(now, id, why);
         }
--- a/crates/node/src/node/engines/mod.rs
+++ b/crates/node/src/node/engines/mod.rs
@@ -133,18 +133,29 @@
                 && c.load() < c.session.most()
                 && call.is_none_or(|call| c.session.takes(call))
         };
-        let each = self.engines.iter().filter(|(_, c)| fits(c)).map(|(&id, c)| {
-            let apart = c.load() == 0 || !c.alone && !alone && c.load() < SHARE;
-            (!apart, !c.up, c.load(), id)
-        });
+        let each = self
+            .engines
+            .iter()
+            .filter(|(_, c)| fits(c))
+            .map(|(&id, c)| {
+                let apart = c.load() == 0 || !c.alone && !alone && c.load() < SHARE;
+                (!apart, !c.up, c.load(), id)
+            });
         let best = each.min();
         if let Some((false, .., id)) = best {
             return Ok(id);
         }
-        let addr = self.addr(engine).ok_or(Cause::Connection("no address known".into()))?;
+        let addr = self
+            .addr(engine)
+            .ok_or(Cause::Connection("no address known".into()))?;
         let session = self.session(addr);
         let most = (PER_ENGINE / session.most()).clamp(CONNS.0, CONNS.1);
-        if self.engines.values().filter(|c| c.engine == engine && !c.retired).count() >= most
+        if self
+            .engines
+            .values()
+            .filter(|c| c.engine == engine && !c.retired)
+            .count()
+            >= most
             || self.engines.len() >= self.sockets() / PART_OF_SOCKETS
         {
             // Rather than wait without bound for a place, the attempt goes elsewhere; the engine is well.
@@ -165,7 +176,9 @@
             }
         })?;
         let id = self.conn_id();
-        let token = self.register(stream.clone(), Source::Engine(id)).map_err(|_| Cause::TurnedAway)?;
+        let token = self
+            .register(stream.clone(), Source::Engine(id))
+            .map_err(|_| Cause::TurnedAway)?;
         let conn = EngineConn {
             engine,
             zone: self.roster.zone(engine),
@@ -190,7 +203,12 @@
 
     /// When anything last came from an engine, on whatever connection.
     fn heard_of(&self, engine: EngineId) -> Micros {
-        self.engines.values().filter(|c| c.engine == engine).map(|c| c.read).max().unwrap_or(0)
+        self.engines
+            .values()
+            .filter(|c| c.engine == engine)
+            .map(|c| c.read)
+            .max()
+            .unwrap_or(0)
     }
 
     /// How often word is due of what is out on an engine, where notes come.
@@ -198,14 +216,24 @@
         let every = self.config.settings.notes_every?;
         let conns = || self.engines.values().filter(|c| c.engine == engine);
         let zone = conns().find_map(|c| c.zone);
-        let heard =
-            self.engines.values().filter(|c| c.zone == zone && c.engine != engine).map(|c| c.read).max();
+        let heard = self
+            .engines
+            .values()
+            .filter(|c| c.zone == zone && c.engine != engine)
+            .map(|c| c.read)
+            .max();
         let zone_heard = heard.is_some_and(|at| now < at + every + NOTE_LATE);
-        Some(note_patience(every, conns().map(EngineConn::load).sum(), zone_heard))
+        Some(note_patience(
+            every,
+            conns().map(EngineConn::load).sum(),
+            zone_heard,
+        ))
     }
 
     pub(super) fn send(&mut self, now: Micros, key: AttemptKey, engine: EngineId, moves: u8) {
-        let Some(ask) = self.core.taken(key.request).map(|t| t.ask) else { return };
+        let Some(ask) = self.core.taken(key.request).map(|t| t.ask) else {
+            return;
+        };
         let call = ask.call.clone();
         let alone = self.runs_once(ask.class);
         match self.engine_conn(now, engine, Some(&call), alone) {
@@ -226,7 +254,9 @@
     }
 
     fn queue_work(&mut self, now: Micros, id: ConnId, work: Work) {
-        let Some(conn) = self.engines.get_mut(&id) else { return };
+        let Some(conn) = self.engines.get_mut(&id) else {
+            return;
+        };
         if conn.waiting.len() < WAITING_MOST {
             conn.waiting.push_back(work);
             return self.engine_write(now, id);
@@ -239,19 +269,35 @@
     }
 
     fn attempt_failed(&mut self, now: Micros, key: AttemptKey, cause: Cause) {
-        let engine = self.core.sent(key).and_then(|s| self.roster.name(s.0)).map(String::from);
+        let engine = self
+            .core
+            .sent(key)
+            .and_then(|s| self.roster.name(s.0))
+            .map(String::from);
         if let Some(error) = self.core.attempt_failed(now, key, cause) {
-            tracing::debug!(request = key.request.0, attempt = key.number, engine, "{error}");
+            tracing::debug!(
+                request = key.request.0,
+                attempt = key.number,
+                engine,
+                "{error}"
+            );
         }
     }
 
     /// Stops waiting for an attempt, wherever it is.
     pub(super) fn abandon(&mut self, now: Micros, key: AttemptKey, engine: EngineId) {
-        let ids: Vec<ConnId> =
-            self.engines.iter().filter(|(_, c)| c.engine == engine).map(|(&id, _)| id).collect();
+        let ids: Vec<ConnId> = self
+            .engines
+            .iter()
+            .filter(|(_, c)| c.engine == engine)
+            .map(|(&id, _)| id)
+            .collect();
         for id in ids {
-            let Some(conn) = self.engines.get_mut(&id) else { continue };
-            conn.waiting.retain(|w| !matches!(w, Work::Attempt(k, _) if *k == key));
+            let Some(conn) = self.engines.get_mut(&id) else {
+                continue;
+            };
+            conn.waiting
+                .retain(|w| !matches!(w, Work::Attempt(k, _) if *k == key));
             if !conn.session.has(key) {
                 continue;
             }
--- a/crates/node/src/node/engines/traffic.rs
+++ b/crates/node/src/node/engines/traffic.rs
@@ -18,7 +18,9 @@
             if turn >= TURN * 4 {
                 return self.later.push(Source::Engine(id));
             }
-            let Some(conn) = self.engines.get_mut(&id) else { return };
+            let Some(conn) = self.engines.get_mut(&id) else {
+                return;
+            };
             if !conn.up {
                 return;
             }
@@ -44,7 +46,9 @@
                 Ok(false) => return,
                 Ok(true) => {}
             }
-            let Some(conn) = self.engines.get_mut(&id) else { return };
+            let Some(conn) = self.engines.get_mut(&id) else {
+                return;
+            };
             if let Some(key) = conn.feeding {
                 if self.feed_engine(now, id, key) {
                     continue;
@@ -54,8 +58,12 @@
             if let Some(&Work::Attempt(key, _)) = conn.waiting.front() {
                 self.look_for_client(now, key.request);
             }
-            let Some(conn) = self.engines.get_mut(&id) else { return };
-            let Some(work) = conn.waiting.pop_front() else { return };
+            let Some(conn) = self.engines.get_mut(&id) else {
+                return;
+            };
+            let Some(work) = conn.waiting.pop_front() else {
+                return;
+            };
             let mut out = Vec::new();
             // A probe that still waits says nothing of when what is written now should be heard of.
             let was_idle = match work {
@@ -73,24 +81,50 @@
                 Work::Probe(tag) => conn.session.probe(tag, &mut out),
                 Work::Attempt(key, _) => {
                     let engine = self.roster.name(conn.engine);
-                    tracing::debug!(request = key.request.0, attempt = key.number, engine, "sent");
+                    tracing::debug!(
+                        request = key.request.0,
+                        attempt = key.number,
+                        engine,
+                        "sent"
+                    );
                     self.core.reached(key, Progress::Connected);
-                    let Some(patience) = self.core.may_write(now, key) else { continue };
-                    let Some(taken) = self.core.taken(key.request) else { continue };
+                    let Some(patience) = self.core.may_write(now, key) else {
+                        continue;
+                    };
+                    let Some(taken) = self.core.taken(key.request) else {
+                        continue;
+                    };
                     if !conn.session.takes(&taken.ask.call) {
                         // A second request of the same name came in while the connection came up.
                         self.attempt_failed(now, key, Cause::TurnedAway);
                         continue;
                     }
                     let place = usize::from(taken.ask.class);
-                    let class = self.config.classes.names.get(place).map_or("", String::as_str);
+                    let class = self
+                        .config
+                        .classes
+                        .names
+                        .get(place)
+                        .map_or("", String::as_str);
                     let effect = self.config.settings.classes.get(place).map(|c| c.effect);
-                    let notes_every =
-                        self.config.settings.notes_every.filter(|_| effect == Some(Effect::Safe));
-                    let other = (self.config.wire == Wire::ClickHouse).then(|| self.core.name_on_engine(key));
+                    let notes_every = self
+                        .config
+                        .settings
+                        .notes_every
+                        .filter(|_| effect == Some(Effect::Safe));
+                    let other = (self.config.wire == Wire::ClickHouse)
+                        .then(|| self.core.name_on_engine(key));
                     let name = other.as_ref().map_or(&*taken.ask.call, |o| o);
                     let grant_mb = self.core.grant_mb(key);
-                    let start = Start { key, ask: taken.ask, class, name, patience, grant_mb, notes_every };
+                    let start = Start {
+                        key,
+                        ask: taken.ask,
+                        class,
+                        name,
+                        patience,
+                        grant_mb,
+                        notes_every,
+                    };
                     conn.session.start(&start, &mut out);
                     let begin = conn.link.queued();
                     let mut end = begin + out.len() as u64;
@@ -112,7 +146,9 @@
 
     /// Passes on what has come of the body of what is out; true if there may be more at once.
     fn feed_engine(&mut self, now: Micros, id: ConnId, key: AttemptKey) -> bool {
-        let Some(conn) = self.engines.get_mut(&id) else { return false };
+        let Some(conn) = self.engines.get_mut(&id) else {
+            return false;
+        };
         if !conn.session.has(key) {
             // Answered, or ended, before its body was over: the rest has no meaning on this connection.
             self.drop_engine(now, id, "answered before the body was over");
@@ -128,8 +164,13 @@
             Body::Last(bytes) => (bytes, true),
         };
         self.core.drawn(key.request);
-        let within = self.core.taken(key.request).and_then(|t| self.front.after_body(t.ask));
-        let Some(conn) = self.engines.get_mut(&id) else { return false };
+        let within = self
+            .core
+            .taken(key.request)
+            .and_then(|t| self.front.after_body(t.ask));
+        let Some(conn) = self.engines.get_mut(&id) else {
+            return false;
+        };
         let mut out = Vec::with_capacity(bytes.len() + 16);
         conn.session.more(&bytes, &mut out);
         if last {
@@ -152,7 +193,9 @@
     }
 
     pub(in crate::node) fn engine_ready(&mut self, now: Micros, id: ConnId) {
-        let Some(conn) = self.engines.get_mut(&id) else { return };
+        let Some(conn) = self.engines.get_mut(&id) else {
+            return;
+        };
         if !conn.up {
             match conn.link.came_up() {
                 Ok(true) => (conn.up, conn.heard, conn.used) = (true, now, now),
@@ -178,7 +221,9 @@
                 return self.later.push(Source::Engine(id));
             }
             let paused = self.is_ahead(id);
-            let Some(conn) = self.engines.get_mut(&id) else { return };
+            let Some(conn) = self.engines.get_mut(&id) else {
+                return;
+            };
             match (conn.paused, paused) {
                 (false, true) => self.paused += 1,
                 (true, false) => {
@@ -194,7 +239,11 @@
             }
             let mut bytes = Vec::new();
             // With many results under way each comes in smaller pieces: what was read has to be held.
-            let most = if self.streams > STREAMS_MANY { READ_AT_ONCE / 4 } else { READ_AT_ONCE };
+            let most = if self.streams > STREAMS_MANY {
+                READ_AT_ONCE / 4
+            } else {
+                READ_AT_ONCE
+            };
             let end = match conn.link.read(&mut bytes, most) {
                 Ok(end) => end,
                 Err(e) => {
@@ -219,7 +268,10 @@
                 conn.session.ended(&mut seen);
             }
             self.take_seen(now, seen);
-            let answered = self.engines.get(&id).and_then(|c| c.feeding.filter(|&k| !c.session.has(k)));
+            let answered = self
+                .engines
+                .get(&id)
+                .and_then(|c| c.feeding.filter(|&k| !c.session.has(k)));
             if answered.is_some() {
                 return self.drop_engine(now, id, "answered before the body was over");
             }
@@ -235,7 +287,9 @@
     /// Takes what has come on a connection that nothing can be written to any more.
     fn read_to_the_end(&mut self, now: Micros, id: ConnId) {
         for _ in 0..TURN {
-            let Some(conn) = self.engines.get_mut(&id).filter(|c| !c.paused) else { return };
+            let Some(conn) = self.engines.get_mut(&id).filter(|c| !c.paused) else {
+                return;
+            };
             let (mut bytes, mut seen) = (Vec::new(), Vec::new());
             let end = conn.link.read(&mut bytes, READ_AT_ONCE);
             let fed = conn.session.feed(now, &bytes, &mut Vec::new(), &mut seen);
@@ -247,7 +301,9 @@
     }
 
     pub(super) fn tend_engine(&mut self, now: Micros, id: ConnId) {
-        let Some(conn) = self.engines.get_mut(&id) else { return };
+        let Some(conn) = self.engines.get_mut(&id) else {
+            return;
+        };
         let (mut out, mut seen) = (Vec::new(), Vec::new());
         let tended = conn.session.tend(now, &mut out, &mut seen);
         conn.link.push(&out);
@@ -262,16 +318,25 @@
     /// Whether the client of what streams here is far behind: nothing more is read for it then, so that a
     /// slow client does not fill the memory.
     fn is_ahead(&self, id: ConnId) -> bool {
-        let Some(conn) = self.engines.get(&id).filter(|c| c.session.is_streaming()) else { return false };
+        let Some(conn) = self.engines.get(&id).filter(|c| c.session.is_streaming()) else {
+            return false;
+        };
         // Few slow clients may leave much, many only little each: their part of the memory is one.
         let share = self.config.unread / self.streams.max(self.paused + 1);
         let most = share.clamp(BACKLOG_LEAST, BACKLOG_MOST);
-        conn.session.open().iter().any(|key| self.client_backlog(key.request) > most)
+        conn.session
+            .open()
+            .iter()
+            .any(|key| self.client_backlog(key.request) > most)
     }
 
     /// Reads on where a client has caught up.
     pub(in crate::node) fn resume_engines(&mut self, now: Micros) {
-        let paused = self.engines.iter().filter(|(_, c)| c.paused).map(|(&id, _)| id);
+        let paused = self
+            .engines
+            .iter()
+            .filter(|(_, c)| c.paused)
+            .map(|(&id, _)| id);
         for id in paused.collect::<Vec<_>>() {
             self.engine_read(now, id);
         }
@@ -285,7 +350,9 @@
                 Seen::Piece(key, piece) => self.core.relay(key, piece),
                 Seen::Told(key, told) => self.core.told(key, told),
                 Seen::Served(key) => {
-                    if let Some((engine, sent)) = self.core.sent(key).filter(|_| self.control.is_some()) {
+                    if let Some((engine, sent)) =
+                        self.core.sent(key).filter(|_| self.control.is_some())
+                    {
                         self.engine_served(now, engine, now.saturating_sub(sent));
                     }
                     self.core.served(now, key);
--- a/crates/node/src/node/feed.rs
+++ b/crates/node/src/node/feed.rs
@@ -48,14 +48,25 @@
             Membership::Fixed => "the operator's file".into(),
         };
         match from {
-            Membership::Stream(addr) => watch = Some((*addr, Box::new(Stream::new(addr.to_string(), last)))),
+            Membership::Stream(addr) => {
+                watch = Some((*addr, Box::new(Stream::new(addr.to_string(), last))))
+            }
             Membership::Etcd(addr, prefix) => {
                 watch = Some((*addr, Box::new(Etcd::new(addr.to_string(), prefix.clone()))));
             }
             Membership::File(path) => file = Some(File::new(path.clone())),
             Membership::Fixed => {}
         }
-        Feed { watch, file, conn: None, next_try: 0, backoff, first: None, told: 0, about }
+        Feed {
+            watch,
+            file,
+            conn: None,
+            next_try: 0,
+            backoff,
+            first: None,
+            told: 0,
+            about,
+        }
     }
 
     /// Whether all that the source tells at once has come: so long after its first byte. One that can't be heard has.
@@ -65,8 +76,16 @@
 
     /// What the source is, and how long it has said nothing where it should be heard all the time.
     pub(super) fn about(&self, now: Micros) -> (String, Option<Micros>) {
-        let heard = self.conn.as_ref().filter(|c| c.up).map_or(self.told, |c| c.heard);
-        let age = self.watch.as_ref().map(|_| now.saturating_sub(heard)).filter(|_| heard > 0);
+        let heard = self
+            .conn
+            .as_ref()
+            .filter(|c| c.up)
+            .map_or(self.told, |c| c.heard);
+        let age = self
+            .watch
+            .as_ref()
+            .map(|_| now.saturating_sub(heard))
+            .filter(|_| heard > 0);
         (self.about.clone(), age)
     }
 
@@ -94,7 +113,9 @@
     /// what else it says holds from the next start on, and all connections stay as they are.
     pub(super) fn reload(&mut self) {
         let now = self.clock();
-        let Some(path) = self.config.file.clone() else { return tracing::warn!("no file to read again") };
+        let Some(path) = self.config.file.clone() else {
+            return tracing::warn!("no file to read again");
+        };
         let new = match Config::load(&path) {
             Ok(new) => new,
             // A half-written or mistaken file must not end a coordinator that serves well.
@@ -102,7 +123,9 @@
         };
         self.reload_fleet(new.fleet.as_ref());
         if new.membership == self.config.membership {
-            return tracing::info!("configuration read again; the list of engines stays where it is");
+            return tracing::info!(
+                "configuration read again; the list of engines stays where it is"
+            );
         }
         tracing::info!(from = ?self.config.membership, to = ?new.membership, "the list of engines moves");
         if let Some(mut conn) = self.feed.conn.take() {
@@ -119,11 +142,17 @@
         if let Some(update) = self.feed.file.as_mut().and_then(|f| f.poll(now)) {
             self.take_update(now, &update);
         }
-        let Some((addr, silence)) = self.feed.watch.as_ref().map(|w| (w.0, w.1.silence())) else { return };
+        let Some((addr, silence)) = self.feed.watch.as_ref().map(|w| (w.0, w.1.silence())) else {
+            return;
+        };
         if let Some(conn) = &self.feed.conn {
             let most = if conn.up { silence } else { CONNECT_MOST };
             if now > conn.heard + most {
-                let why = if conn.up { "nothing heard, taken anew" } else { "connect timed out" };
+                let why = if conn.up {
+                    "nothing heard, taken anew"
+                } else {
+                    "connect timed out"
+                };
                 self.drop_feed(now, why, Broken::Silent);
             }
         }
@@ -133,7 +162,13 @@
             match opened.and_then(|s| Ok((s.clone(), self.register(s, Source::Feed(id))?))) {
                 Ok((stream, token)) => {
                     let (link, token) = (Link::new(stream), Some(token));
-                    self.feed.conn = Some(FeedConn { id, link, token, up: false, heard: now });
+                    self.feed.conn = Some(FeedConn {
+                        id,
+                        link,
+                        token,
+                        up: false,
+                        heard: now,
+                    });
                 }
                 Err(e) => self.drop_feed(now, &e, Broken::Off),
             }
@@ -156,8 +191,12 @@
 
     fn feed_work(&mut self, now: Micros, id: ConnId) -> Result<(), String> {
         loop {
-            let Some(conn) = self.feed.conn.as_mut().filter(|c| c.id == id) else { return Ok(()) };
-            let Some((_, watch)) = self.feed.watch.as_mut() else { return Ok(()) };
+            let Some(conn) = self.feed.conn.as_mut().filter(|c| c.id == id) else {
+                return Ok(());
+            };
+            let Some((_, watch)) = self.feed.watch.as_mut() else {
+                return Ok(());
+            };
             if !conn.up {
                 if !conn.link.came_up().map_err(|e| e.to_string())? {
                     return Ok(());
@@ -167,7 +206,10 @@
             }
             conn.link.flush().map_err(|e| e.to_string())?;
             let (mut bytes, mut out, mut updates) = (Vec::new(), Vec::new(), Vec::new());
-            let end = conn.link.read(&mut bytes, READ_AT_ONCE).map_err(|e| e.to_string())?;
+            let end = conn
+                .link
+                .read(&mut bytes, READ_AT_ONCE)
+                .map_err(|e| e.to_string())?;
             let mut fed = Ok(());
             if !bytes.is_empty() {
                 conn.heard = now;
@@ -192,7 +234,9 @@
     fn take_update(&mut self, now: Micros, update: &JsonValue) {
         match read(&self.config.zones, &self.config.kinds, Json(Some(update))) {
             Ok(told) => {
-                told.odd.iter().for_each(|why| tracing::warn!("engine list: {why}"));
+                told.odd
+                    .iter()
+                    .for_each(|why| tracing::warn!("engine list: {why}"));
                 self.feed.told = now;
                 self.fleet_listed(&told);
                 let change = self.roster.source(told.kind, told.facts);
--- a/crates/node/src/node/fleet.rs
+++ b/crates/node/src/node/fleet.rs
@@ -57,7 +57,10 @@
     let meta = std::fs::metadata(path).map_err(|e| told(e.to_string()))?;
     let mode = meta.permissions().mode();
     if mode & 0o077 != 0 {
-        return Err(told(format!("its mode is {:03o}: others can read it; chmod 600 it", mode & 0o777)));
+        return Err(told(format!(
+            "its mode is {:03o}: others can read it; chmod 600 it",
+            mode & 0o777
+        )));
     }
     let text = std::fs::read_to_string(path).map_err(|e| told(e.to_string()))?;
     Keyring::parse(&text).map_err(told)
@@ -75,8 +78,18 @@
 impl Node {
     /// Takes part in the fleet, where the operator's file says so.
     pub(super) fn open_fleet(&mut self) -> Result<(), String> {
-        let Some(config) = self.config.fleet.clone() else { return Ok(()) };
-        let FleetConfig { listen, advertise, key_file, seeds, zone, region, .. } = config;
+        let Some(config) = self.config.fleet.clone() else {
+            return Ok(());
+        };
+        let FleetConfig {
+            listen,
+            advertise,
+            key_file,
+            seeds,
+            zone,
+            region,
+            ..
+        } = config;
         let keys = read_keys(&key_file).map_err(|e| format!("fleet: {e}"))?;
         let socket = UdpSocket::bind(listen).map_err(|e| format!("fleet: {listen}: {e}"))?;
         let shown = |e: std::io::Error| format!("fleet: {e}");
@@ -88,8 +101,12 @@
         let clock = self.clock();
         let drawn = self.config.seed ^ clock.rotate_left(32) ^ u64::from(std::process::id());
         let session = Identity::session_at(clock, crate::net::hash(&drawn.to_le_bytes()) as u32);
-        let me =
-            Identity { name: self.config.name.clone(), addr: advertise.unwrap_or(here), session, back: 0 };
+        let me = Identity {
+            name: self.config.name.clone(),
+            addr: advertise.unwrap_or(here),
+            session,
+            back: 0,
+        };
         let about = About {
             zone,
             region,
@@ -106,7 +123,8 @@
             agreed: None,
         };
         let unit = Fleet::new(clock, options);
-        self.watch(socket.clone(), Source::Fleet).map_err(|e| format!("fleet: {e}"))?;
+        self.watch(socket.clone(), Source::Fleet)
+            .map_err(|e| format!("fleet: {e}"))?;
         tracing::info!(%here, "fleet");
         self.fleet = Some(Box::new(Hands {
             socket,
@@ -126,7 +144,9 @@
 
     /// Datagrams have come.
     pub(super) fn fleet_ready(&mut self) {
-        let Some(fleet) = self.fleet.as_mut() else { return };
+        let Some(fleet) = self.fleet.as_mut() else {
+            return;
+        };
         let begun = Instant::now();
         // One byte more than the longest shows what is too long.
         let mut bytes = [0; DATAGRAM_MOST + 1];
@@ -165,7 +185,9 @@
         }
         let state = state(self.life.state());
         let now = self.now;
-        let Some(fleet) = self.fleet.as_mut() else { return };
+        let Some(fleet) = self.fleet.as_mut() else {
+            return;
+        };
         if fleet.about.state != state {
             (fleet.about.state, fleet.about.since_ms) = (state, now / 1000);
             fleet.unit.tell_about(&fleet.about);
@@ -179,7 +201,9 @@
 
     /// The engines' list has told of coordinators, or of some that are gone.
     pub(super) fn fleet_listed(&mut self, told: &Update) {
-        let Some(fleet) = self.fleet.as_mut() else { return };
+        let Some(fleet) = self.fleet.as_mut() else {
+            return;
+        };
         let before = fleet.listed.clone();
         if told.kind == ListKind::Whole {
             fleet.listed.clear();
@@ -188,7 +212,9 @@
         for gone in told.facts.iter().filter(|f| f.phase == Phase::Gone) {
             fleet.listed.remove(&gone.name);
         }
-        fleet.listed.extend(told.coordinators.iter().take(LISTED_MOST).cloned());
+        fleet
+            .listed
+            .extend(told.coordinators.iter().take(LISTED_MOST).cloned());
         while fleet.listed.len() > LISTED_MOST {
             fleet.listed.pop_last();
         }
@@ -198,15 +224,25 @@
     }
 
     fn change_seeds(&mut self) {
-        let seeds = self.config.fleet.as_ref().map_or(Vec::new(), |f| f.seeds.clone());
-        let Some(fleet) = self.fleet.as_mut() else { return };
+        let seeds = self
+            .config
+            .fleet
+            .as_ref()
+            .map_or(Vec::new(), |f| f.seeds.clone());
+        let Some(fleet) = self.fleet.as_mut() else {
+            return;
+        };
         let listed = fleet.listed.values().copied();
-        fleet.unit.change_seeds(seeds.into_iter().chain(listed).collect());
+        fleet
+            .unit
+            .change_seeds(seeds.into_iter().chain(listed).collect());
     }
 
     fn fleet_sends(&mut self) {
         self.keep_agreed();
-        let Some(fleet) = self.fleet.as_mut() else { return };
+        let Some(fleet) = self.fleet.as_mut() else {
+            return;
+        };
         while let Some((to, bytes)) = fleet.unit.to_send() {
             fleet.unsent += u64::from(fleet.socket.send_to(&bytes, to).is_err());
         }
@@ -223,7 +259,9 @@
 
     /// SIGHUP: keys and seeds are read again; a mistaken file leaves the old ones.
     pub(super) fn reload_fleet(&mut self, new: Option<&FleetConfig>) {
-        let (Some(fleet), Some(new)) = (self.fleet.as_mut(), new) else { return };
+        let (Some(fleet), Some(new)) = (self.fleet.as_mut(), new) else {
+            return;
+        };
         match read_keys(&new.key_file) {
             Ok(keys) => {
                 tracing::info!(keys = ?keys.ids(), "fleet: keys read again");
@@ -239,10 +277,13 @@
 
     /// The members, for operators.
     pub(super) fn fleet_members(&self) -> Vec<Member> {
-        let Some(fleet) = &self.fleet else { return Vec::new() };
+        let Some(fleet) = &self.fleet else {
+            return Vec::new();
+        };
         let member = |m: driftfront_fleet::MemberView| {
-            let (about, age) =
-                m.about.map_or((None, None), |(about, age)| (Some(about), Some(age / 1_000_000)));
+            let (about, age) = m.about.map_or((None, None), |(about, age)| {
+                (Some(about), Some(age / 1_000_000))
+            });
             let about = about.unwrap_or_default();
             Member {
                 name: m.name,
@@ -257,7 +298,12 @@
                 zone: about.zone,
                 region: about.region,
                 build: about.build,
-                state: if age.is_some() { about.state.word() } else { "" }.into(),
+                state: if age.is_some() {
+                    about.state.word()
+                } else {
+                    ""
+                }
+                .into(),
                 since_ms: about.since_ms,
                 told_age_s: age,
                 me: m.is_me,
@@ -268,7 +314,9 @@
 
     /// Counts of the fleet, a line each; empty where there is none.
     pub(super) fn fleet_counters(&self) -> String {
-        let Some(fleet) = &self.fleet else { return String::new() };
+        let Some(fleet) = &self.fleet else {
+            return String::new();
+        };
         let c = fleet.unit.counters();
         let lines = [
             ("members_there", fleet.unit.others() as u64 + 1),
@@ -300,7 +348,11 @@
             ("turn_longest_us", fleet.longest),
         ];
         let agreed = agreed::counters(fleet);
-        lines.into_iter().chain(agreed).map(|(name, n)| format!("fleet_{name} {n}\n")).collect()
+        lines
+            .into_iter()
+            .chain(agreed)
+            .map(|(name, n)| format!("fleet_{name} {n}\n"))
+            .collect()
     }
 }
 
@@ -312,7 +364,8 @@
     #[test]
     fn a_key_file_that_others_can_read_or_that_holds_no_key_is_told() {
         let path = std::env::temp_dir().join(format!("driftfront-keys-{}", std::process::id()));
-        let mode = |mode| std::fs::set_permissions(&path, std::fs::Permissions::from_mode(mode)).unwrap();
+        let mode =
+            |mode| std::fs::set_permissions(&path, std::fs::Permissions::from_mode(mode)).unwrap();
         std::fs::write(&path, "000102030405060708090a0b0c0d0e0f\n").unwrap();
         mode(0o644);
         assert!(read_keys(&path).unwrap_err().contains("chmod 600"));
--- a/crates/node/src/node/fleet/agreed.rs
+++ b/crates/node/src/node/fleet/agreed.rs
@@ -52,15 +52,23 @@
 fn open(folder: &Path) -> Result<Option<Opened>, String> {
     let say = |e: std::io::Error| format!("{}: {e}", folder.join(NAME).display());
     std::fs::create_dir_all(folder).map_err(say)?;
-    let lock =
-        OpenOptions::new().create(true).truncate(false).write(true).open(folder.join(LOCK)).map_err(say)?;
+    let lock = OpenOptions::new()
+        .create(true)
+        .truncate(false)
+        .write(true)
+        .open(folder.join(LOCK))
+        .map_err(say)?;
     match lock.try_lock() {
         Ok(()) => {}
         Err(TryLockError::WouldBlock) => return Ok(None),
         Err(TryLockError::Error(e)) => return Err(say(e)),
     }
-    let mut file =
-        OpenOptions::new().read(true).append(true).create(true).open(folder.join(NAME)).map_err(say)?;
+    let mut file = OpenOptions::new()
+        .read(true)
+        .append(true)
+        .create(true)
+        .open(folder.join(NAME))
+        .map_err(say)?;
     let mut bytes = Vec::new();
     file.read_to_end(&mut bytes).map_err(say)?;
     if let Ok(loaded) = store::read(&bytes) {
@@ -80,8 +88,12 @@
 impl Node {
     /// Takes part in what is agreed, or waits for another process of ours to let go of the log.
     pub(super) fn open_agreed(&mut self) {
-        let Some(config) = self.config.fleet.clone() else { return };
-        let Some(fleet) = self.fleet.as_mut() else { return };
+        let Some(config) = self.config.fleet.clone() else {
+            return;
+        };
+        let Some(fleet) = self.fleet.as_mut() else {
+            return;
+        };
         if fleet.unit.agreed().is_some()
             || fleet.log.closed
             || fleet.log.again.is_some_and(|at| Instant::now() < at)
@@ -119,7 +131,9 @@
             options.founders.clear();
             self.log_fails(&why);
         }
-        let Some(fleet) = self.fleet.as_mut() else { return };
+        let Some(fleet) = self.fleet.as_mut() else {
+            return;
+        };
         fleet.log.disk = opened;
         if let Some(wrong) = fleet.unit.open_agreed(options) {
             self.log_fails(&wrong.to_string());
@@ -128,15 +142,17 @@
 
     fn disk(&mut self, path: std::path::PathBuf, file: File, lock: File) -> Result<Disk, String> {
         let (sender, written) = calloop::channel::channel();
-        let disk =
-            Disk::open(path, file, Some(lock), move |w| drop(sender.send(w))).map_err(|e| e.to_string())?;
+        let disk = Disk::open(path, file, Some(lock), move |w| drop(sender.send(w)))
+            .map_err(|e| e.to_string())?;
         let on_written =
             |event: calloop::channel::Event<crate::disk::Written>, _: &mut (), node: &mut Node| {
                 if let calloop::channel::Event::Msg((number, end)) = event {
                     node.guard("a write's end", |node| node.agreed_written(number, end));
                 }
             };
-        self.handle.insert_source(written, on_written).map_err(|e| format!("event loop: {e}"))?;
+        self.handle
+            .insert_source(written, on_written)
+            .map_err(|e| format!("event loop: {e}"))?;
         Ok(disk)
     }
 
@@ -169,14 +185,35 @@
 
     /// What is to be kept goes to the disk.
     pub(super) fn keep_agreed(&mut self) {
-        let Some(fleet) = self.fleet.as_mut() else { return };
+        let Some(fleet) = self.fleet.as_mut() else {
+            return;
+        };
         while let Some(write) = fleet.unit.to_keep() {
             fleet.log.writes.push_back(write);
         }
-        let Some(disk) = &fleet.log.disk else { return fleet.log.writes.clear() };
-        while let Some(Write { number, anew, bytes }) = fleet.log.writes.pop_front() {
-            if let Err(Job { number, anew, bytes }) = disk.ask(Job { number, anew, bytes }) {
-                fleet.log.writes.push_front(Write { number, anew, bytes });
+        let Some(disk) = &fleet.log.disk else {
+            return fleet.log.writes.clear();
+        };
+        while let Some(Write {
+            number,
+            anew,
+            bytes,
+        }) = fleet.log.writes.pop_front()
+        {
+            if let Err(Job {
+                number,
+                anew,
+                bytes,
+            }) = disk.ask(Job {
+                number,
+                anew,
+                bytes,
+            }) {
+                fleet.log.writes.push_front(Write {
+                    number,
+                    anew,
+                    bytes,
+                });
                 break;
             }
         }
@@ -185,12 +222,16 @@
     /// With each sweep.
     pub(super) fn tend_agreed(&mut self, state: State) {
         self.open_agreed();
-        let Some(fleet) = self.fleet.as_mut() else { return };
+        let Some(fleet) = self.fleet.as_mut() else {
+            return;
+        };
         if state == State::Ending && !fleet.log.closed {
             // The next process of this name needs the log; what was asked here is not waited for.
             fleet.log.closed = true;
             self.keep_agreed();
-            let Some(fleet) = self.fleet.as_mut() else { return };
+            let Some(fleet) = self.fleet.as_mut() else {
+                return;
+            };
             fleet.unit.close_agreed();
             fleet.log.disk = None;
         }
@@ -199,12 +240,18 @@
 
     fn tell_outcomes(&mut self) {
         loop {
-            let Some(fleet) = self.fleet.as_mut() else { return };
+            let Some(fleet) = self.fleet.as_mut() else {
+                return;
+            };
             let clock = fleet.clock();
-            let Some((request, outcome)) = fleet.unit.with_agreed(clock, |a, _| a.outcome()).flatten() else {
+            let Some((request, outcome)) =
+                fleet.unit.with_agreed(clock, |a, _| a.outcome()).flatten()
+            else {
                 break;
             };
-            let Some((conn, id, name)) = fleet.log.waiting.remove(&request) else { continue };
+            let Some((conn, id, name)) = fleet.log.waiting.remove(&request) else {
+                continue;
+            };
             let now = self.now;
             let reply = match words(&name, outcome) {
                 Ok(done) => {
@@ -215,7 +262,9 @@
             };
             self.tell_operator(conn, &reply.line(id));
         }
-        let Some(fleet) = self.fleet.as_mut() else { return };
+        let Some(fleet) = self.fleet.as_mut() else {
+            return;
+        };
         if fleet.unit.agreed().is_none() {
             for (conn, id, name) in std::mem::take(&mut fleet.log.waiting).into_values() {
                 let why = format!("this coordinator ends; whether {name} is held, see on another");
@@ -235,20 +284,37 @@
     ) {
         let pot = format!("{HOLD}{name}");
         if pot.len() > TEXT_MOST || note.len() > TEXT_MOST {
-            let why = format!("a name has {} bytes at most, a note {TEXT_MOST}", TEXT_MOST - HOLD.len());
+            let why = format!(
+                "a name has {} bytes at most, a note {TEXT_MOST}",
+                TEXT_MOST - HOLD.len()
+            );
             return self.tell_operator(to.0, &Reply::Refused(why).line(to.1));
         }
         let span = for_s.saturating_mul(1_000_000);
-        self.ask_for(to, name, |_| Ok(Command::Take { pot, amount: 1, most: 1, span, stays, note }));
+        self.ask_for(to, name, |_| {
+            Ok(Command::Take {
+                pot,
+                amount: 1,
+                most: 1,
+                span,
+                stays,
+                note,
+            })
+        });
     }
 
     /// An operator gives a hold back, whoever took it.
     pub(in crate::node) fn unhold(&mut self, to: (ConnId, u64), name: &str) {
         let pot = format!("{HOLD}{name}");
         self.ask_for(to, name.into(), |fleet| {
-            let lent = fleet.unit.agreed().map(|a| a.view().lent).unwrap_or_default();
+            let lent = fleet
+                .unit
+                .agreed()
+                .map(|a| a.view().lent)
+                .unwrap_or_default();
             let held = lent.into_iter().find(|(_, right, _)| right.pot == pot);
-            held.map(|(fence, ..)| Command::Free { fence }).ok_or_else(|| format!("{name} is not held"))
+            held.map(|(fence, ..)| Command::Free { fence })
+                .ok_or_else(|| format!("{name} is not held"))
         });
     }
 
@@ -258,15 +324,18 @@
         name: String,
         command: impl FnOnce(&Hands) -> Result<Command, String>,
     ) {
-        let refuse = |node: &mut Node, why: String| node.tell_operator(to.0, &Reply::Refused(why).line(to.1));
+        let refuse = |node: &mut Node, why: String| {
+            node.tell_operator(to.0, &Reply::Refused(why).line(to.1))
+        };
         let Some(fleet) = self.fleet.as_mut().filter(|f| f.unit.agreed().is_some()) else {
             return refuse(self, "there is no fleet here that could agree on it".into());
         };
         match command(fleet) {
             Ok(command) => {
                 let clock = fleet.clock();
-                if let Some(request) =
-                    fleet.unit.with_agreed(clock, |a, clock| a.ask(clock, command, PATIENCE))
+                if let Some(request) = fleet
+                    .unit
+                    .with_agreed(clock, |a, clock| a.ask(clock, command, PATIENCE))
                 {
                     fleet.log.waiting.insert(request, (to.0, to.1, name));
                 }
@@ -287,22 +356,29 @@
             Role::Reads => "reads",
             Role::Unfit => "unfit",
         };
-        let held =
-            |(fence, right, left): (u64, driftfront_fleet::agreed::rights::Right, Option<Micros>)| Held {
-                name: right.pot.strip_prefix(HOLD).unwrap_or(&right.pot).into(),
-                fence,
-                owner: right.owner,
-                amount: right.amount.into(),
-                left_s: left.map(|l| l / 1_000_000),
-                stays: right.stays,
-                note: right.note,
-            };
+        let held = |(fence, right, left): (
+            u64,
+            driftfront_fleet::agreed::rights::Right,
+            Option<Micros>,
+        )| Held {
+            name: right.pot.strip_prefix(HOLD).unwrap_or(&right.pot).into(),
+            fence,
+            owner: right.owner,
+            amount: right.amount.into(),
+            left_s: left.map(|l| l / 1_000_000),
+            stays: right.stays,
+            note: right.note,
+        };
         Some(Shown {
             part: part.into(),
             leader: view.leader.unwrap_or_default(),
             term: view.term,
             index: view.index,
-            voters: view.voters.into_iter().map(|(name, there)| Voter { name, there }).collect(),
+            voters: view
+                .voters
+                .into_iter()
+                .map(|(name, there)| Voter { name, there })
+                .collect(),
             missing: view.missing,
             holds: view.lent.into_iter().map(held).collect(),
         })
@@ -338,12 +414,17 @@
 
 /// Counts, by name.
 pub(super) fn counters(fleet: &Hands) -> Vec<(&'static str, u64)> {
-    let Some(agreed) = fleet.unit.agreed() else { return Vec::new() };
+    let Some(agreed) = fleet.unit.agreed() else {
+        return Vec::new();
+    };
     let c = agreed.counters();
     let view = agreed.view();
     vec![
         ("agreed_votes", u64::from(view.part == Role::Votes)),
-        ("agreed_leads", u64::from(agreed.replica().is_some_and(|r| r.leads()))),
+        (
+            "agreed_leads",
+            u64::from(agreed.replica().is_some_and(|r| r.leads())),
+        ),
         ("agreed_index", view.index),
         ("agreed_lent_now", view.lent.len() as u64),
         ("agreed_asked", c.asked),
--- a/crates/node/src/node/management.rs
+++ b/crates/node/src/node/management.rs
@@ -54,7 +54,10 @@
             text += &format!("management_calls{{call=\"{word}\",reply=\"OK\"}} {ok}\n");
             text += &format!("management_calls{{call=\"{word}\",reply=\"ERR\"}} {err}\n");
         }
-        text + &format!("management_bad {}\nmanagement_silent {}\n", self.bad, self.silent)
+        text + &format!(
+            "management_bad {}\nmanagement_silent {}\n",
+            self.bad, self.silent
+        )
     }
 
     /// Where it listens.
@@ -66,12 +69,15 @@
 impl Node {
     /// Opens the second address, if one is given. One that can't be had is told; serving goes on.
     pub(super) fn open_management(&mut self) {
-        let Some(text) = self.config.management.clone() else { return };
+        let Some(text) = self.config.management.clone() else {
+            return;
+        };
         let opened = text.parse::<SocketAddr>().map_err(|e| e.to_string());
         let opened = opened.and_then(|at| super::clients::listen(at).map_err(|e| e.to_string()));
         let watched = opened.and_then(|listener| {
             let listener = Rc::new(listener);
-            self.watch(listener.clone(), Source::Management).map_err(|e| e.to_string())?;
+            self.watch(listener.clone(), Source::Management)
+                .map_err(|e| e.to_string())?;
             Ok(listener)
         });
         match watched {
@@ -85,7 +91,12 @@
         if self.management.listener.is_some() && now >= self.management.next_look {
             self.management.next_look = now + LOOK_EVERY;
             self.accept_callers(now);
-            let waiting = self.management.callers.iter().filter(|c| !c.1.answered).map(|c| *c.0);
+            let waiting = self
+                .management
+                .callers
+                .iter()
+                .filter(|c| !c.1.answered)
+                .map(|c| *c.0);
             for id in waiting.collect::<Vec<_>>() {
                 self.caller_ready(now, id);
             }
@@ -94,23 +105,35 @@
 
     pub(super) fn accept_callers(&mut self, now: Micros) {
         for _ in 0..TURN {
-            let Some(listener) = &self.management.listener else { return };
+            let Some(listener) = &self.management.listener else {
+                return;
+            };
             let stream = match listener.accept() {
                 Ok((stream, _)) => stream,
                 Err(e) if out_of_descriptors(&e) && self.evict(now) => continue,
                 Err(_) => return,
             };
-            if stream.set_nonblocking(true).and_then(|()| stream.set_nodelay(true)).is_err() {
+            if stream
+                .set_nonblocking(true)
+                .and_then(|()| stream.set_nodelay(true))
+                .is_err()
+            {
                 continue;
             }
-            let oldest =
-                self.management.callers.iter().min_by_key(|c| (!c.1.answered, c.1.begun)).map(|c| *c.0);
+            let oldest = self
+                .management
+                .callers
+                .iter()
+                .min_by_key(|c| (!c.1.answered, c.1.begun))
+                .map(|c| *c.0);
             if let Some(oldest) = oldest.filter(|_| self.management.callers.len() >= CALLERS_MOST) {
                 self.drop_caller(oldest);
             }
             let id = self.conn_id();
             let stream = Rc::new(stream);
-            let Ok(token) = self.register(stream.clone(), Source::Caller(id)) else { continue };
+            let Ok(token) = self.register(stream.clone(), Source::Caller(id)) else {
+                continue;
+            };
             let caller = Caller {
                 link: Link::new(stream),
                 token: Some(token),
@@ -124,18 +147,25 @@
     }
 
     pub(super) fn drop_caller(&mut self, id: ConnId) {
-        let Some(mut caller) = self.management.callers.remove(&id) else { return };
+        let Some(mut caller) = self.management.callers.remove(&id) else {
+            return;
+        };
         self.management.silent += u64::from(!caller.answered);
         self.unwatch(caller.token.take());
     }
 
     pub(super) fn caller_ready(&mut self, now: Micros, id: ConnId) {
-        let Some(caller) = self.management.callers.get_mut(&id) else { return };
+        let Some(caller) = self.management.callers.get_mut(&id) else {
+            return;
+        };
         let mut bytes = Vec::new();
         let end = caller.link.read(&mut bytes, CALL_MOST * 4);
         let call = caller.reader.push(&bytes);
         let ended = match end {
-            Ok(ReadEnd::Closed) => caller.reader.end(BadCall::Unfinished).filter(|_| !caller.answered),
+            Ok(ReadEnd::Closed) => caller
+                .reader
+                .end(BadCall::Unfinished)
+                .filter(|_| !caller.answered),
             Ok(_) => None,
             Err(_) => return self.drop_caller(id),
         };
@@ -150,7 +180,9 @@
 
     /// The reply, then our end: nothing more is read as a call.
     fn answer_caller(&mut self, now: Micros, id: ConnId, outcome: &Result<String, String>) {
-        let Some(caller) = self.management.callers.get_mut(&id) else { return };
+        let Some(caller) = self.management.callers.get_mut(&id) else {
+            return;
+        };
         caller.link.push(reply(outcome).as_bytes());
         // A line fits into any socket's buffer: what does not go at once has no reader.
         let _ = caller.link.flush();
@@ -176,12 +208,18 @@
                 false => Err(self.life.state().word().to_string()),
             },
             Call::Suspend(engine) => {
-                let done = self.roster.suspend(now, by, &engine).map_err(|e| e.to_string());
+                let done = self
+                    .roster
+                    .suspend(now, by, &engine)
+                    .map_err(|e| e.to_string());
                 let words = format!("{engine} is drained: nothing new goes there");
                 done.map(|done| self.ordered(now, done, words))
             }
             Call::Restore(engine) => {
-                let done = self.roster.restore_engine(now, by, &engine).map_err(|e| e.to_string());
+                let done = self
+                    .roster
+                    .restore_engine(now, by, &engine)
+                    .map_err(|e| e.to_string());
                 let words = format!("{engine} is resumed: it takes work again");
                 done.map(|done| self.ordered(now, done, words))
             }
@@ -194,7 +232,9 @@
 
     /// What an order of the second address has changed is carried out, and written down where a folder is kept.
     fn ordered(&mut self, now: Micros, done: Option<Done>, words: String) -> String {
-        let Some((change, records)) = done else { return format!("{words}, as before") };
+        let Some((change, records)) = done else {
+            return format!("{words}, as before");
+        };
         self.take_change(now, &change);
         self.tell_post();
         self.told(now, format!("{words}, by the second address"));
@@ -205,9 +245,19 @@
     pub(super) fn sweep_callers(&mut self, now: Micros) {
         self.accept_callers(now);
         let late = |c: &Caller| now > c.begun + if c.answered { LINGER } else { CALL_WITHIN };
-        let late: Vec<ConnId> = self.management.callers.iter().filter(|c| late(c.1)).map(|c| *c.0).collect();
+        let late: Vec<ConnId> = self
+            .management
+            .callers
+            .iter()
+            .filter(|c| late(c.1))
+            .map(|c| *c.0)
+            .collect();
         for id in late {
-            let bad = self.management.callers.get_mut(&id).and_then(|c| c.reader.end(BadCall::TooSlow));
+            let bad = self
+                .management
+                .callers
+                .get_mut(&id)
+                .and_then(|c| c.reader.end(BadCall::TooSlow));
             if let Some(bad) = bad {
                 let outcome = self.call(now, Err(bad));
                 self.answer_caller(now, id, &outcome);
--- a/crates/node/src/node/mod.rs
+++ b/crates/node/src/node/mod.rs
@@ -120,7 +120,10 @@
         let (listener, passed, post) = upgrade::listener(&config)?;
         let classes = config.classes.clone();
         let front: Box<dyn Front> = match config.wire {
-            Wire::Platform => Box::new(Platform { classes, tenants: config.tenants.clone() }),
+            Wire::Platform => Box::new(Platform {
+                classes,
+                tenants: config.tenants.clone(),
+            }),
             Wire::ClickHouse => Box::new(ClickHouse::new(classes, config.clickhouse, config.seed)),
         };
         let clock = Clock::start();
@@ -149,7 +152,11 @@
             roster: Roster::new(),
             control: None,
             operators: Vec::new(),
-            feed: feed::Feed::new(&config.membership, config.known_index, Backoff::new(config.seed)),
+            feed: feed::Feed::new(
+                &config.membership,
+                config.known_index,
+                Backoff::new(config.seed),
+            ),
             fleet: None,
             next_sweep: now,
             later: Vec::new(),
@@ -179,7 +186,10 @@
             let now = node.clock();
             node.life.end(now);
         };
-        events.handle().insert_source(signals, on_signal).map_err(|e| format!("signals: {e}"))?;
+        events
+            .handle()
+            .insert_source(signals, on_signal)
+            .map_err(|e| format!("signals: {e}"))?;
         // Orders come before the list: nothing may go to what an earlier process was told to leave alone.
         node.tend_post(now);
         let succeeds = node.post.as_ref().is_some_and(Post::has_predecessor);
@@ -189,7 +199,9 @@
         node.open_management();
         node.open_fleet()?;
         if let Some(socket) = node.listener.clone() {
-            let token = node.watch(socket, Source::Listener).map_err(|e| format!("event loop: {e}"))?;
+            let token = node
+                .watch(socket, Source::Listener)
+                .map_err(|e| format!("event loop: {e}"))?;
             node.listening = Some(token);
         }
         Ok(node)
@@ -205,7 +217,11 @@
             if self.may_end() {
                 break;
             }
-            let due = self.core.next_due().unwrap_or(u64::MAX).min(self.next_sweep);
+            let due = self
+                .core
+                .next_due()
+                .unwrap_or(u64::MAX)
+                .min(self.next_sweep);
             let due = if self.later.is_empty() { due } else { 0 };
             let wait = Duration::from_micros(due.saturating_sub(self.clock()).min(1_000_000));
             match events.dispatch(wait, &mut self) {
@@ -251,12 +267,14 @@
         source: Source,
     ) -> Result<RegistrationToken, calloop::Error> {
         let generic = Generic::new(socket, Interest::BOTH, Mode::Edge);
-        let token = self.handle.insert_source(generic, move |readiness, _, node: &mut Node| {
-            if !node.guard("a connection", |node| node.on_ready(source, readiness)) {
-                node.guard("a close", |node| node.drop_source(source));
-            }
-            Ok(PostAction::Continue)
-        });
+        let token = self
+            .handle
+            .insert_source(generic, move |readiness, _, node: &mut Node| {
+                if !node.guard("a connection", |node| node.on_ready(source, readiness)) {
+                    node.guard("a close", |node| node.drop_source(source));
+                }
+                Ok(PostAction::Continue)
+            });
         token.map_err(|e| e.error)
     }
 
@@ -334,7 +352,9 @@
 
     fn may_end(&mut self) -> bool {
         let writing = self.clients.values().any(|c| c.is_writing());
-        let ends = self.life.may_end(self.now, self.core.open(), self.clients.len(), writing);
+        let ends = self
+            .life
+            .may_end(self.now, self.core.open(), self.clients.len(), writing);
         if ends && self.listener.is_some() && !self.life.listens(self.now) {
             // Who is in the backlog still has a connection, and maybe a request on it: looked at once more behind that.
             self.stop_listening(self.now);
@@ -351,7 +371,10 @@
     /// An operator sends the clients away; what to tell of it.
     fn pause(&mut self, now: Micros, by: &str) -> String {
         if self.life.pause(now) {
-            self.told(now, format!("Paused by {by}: clients are sent away, what was taken is answered"));
+            self.told(
+                now,
+                format!("Paused by {by}: clients are sent away, what was taken is answered"),
+            );
         }
         self.life.state().word().into()
     }
@@ -439,7 +462,9 @@
 
     /// A line for each attempt beyond a request's first: the retry budget bounds their number.
     fn log_retry(&self, now: Micros, key: AttemptKey, engine: EngineId) {
-        let Some(retry) = self.core.retry(key) else { return };
+        let Some(retry) = self.core.retry(key) else {
+            return;
+        };
         let name = |engine| self.roster.name(engine).unwrap_or("gone");
         let usage = self.core.retry_budget_usage(now).unwrap_or_default();
         tracing::info!(
@@ -456,7 +481,11 @@
 
     /// How often a class's requests may run.
     fn effect(&self, class: u16) -> Option<Effect> {
-        self.config.settings.classes.get(usize::from(class)).map(|c| c.effect)
+        self.config
+            .settings
+            .classes
+            .get(usize::from(class))
+            .map(|c| c.effect)
     }
 
     /// Whether a class's requests must not run twice.
@@ -476,7 +505,9 @@
         for update in std::mem::take(&mut self.config.known) {
             match read(&self.config.zones, &self.config.kinds, Json(Some(&update))) {
                 Ok(told) => {
-                    told.odd.iter().for_each(|why| tracing::warn!("known engines: {why}"));
+                    told.odd
+                        .iter()
+                        .for_each(|why| tracing::warn!("known engines: {why}"));
                     self.roster.source(told.kind, told.facts);
                 }
                 Err(e) => tracing::warn!("known engines: {e}"),
@@ -535,7 +566,10 @@
 
     /// The address that clients use.
     fn listening_at(&self) -> SocketAddr {
-        self.listener.as_ref().and_then(|l| l.local_addr().ok()).unwrap_or(self.config.listen)
+        self.listener
+            .as_ref()
+            .and_then(|l| l.local_addr().ok())
+            .unwrap_or(self.config.listen)
     }
 
     /// Closes the listening socket. What the system has accepted already is taken first: each gets an answer, or its close.
@@ -548,7 +582,11 @@
     }
 
     /// Registers a socket, or says why not.
-    fn register(&mut self, socket: Rc<TcpStream>, source: Source) -> Result<RegistrationToken, String> {
+    fn register(
+        &mut self,
+        socket: Rc<TcpStream>,
+        source: Source,
+    ) -> Result<RegistrationToken, String> {
         self.watch(socket, source).map_err(|e| e.to_string())
     }
 }
--- a/crates/node/src/node/upgrade.rs
+++ b/crates/node/src/node/upgrade.rs
@@ -17,7 +17,9 @@
 
 /// The clients' listener, whether it was passed, and then the place among the processes of this coordinator.
 pub(super) fn listener(config: &Config) -> Result<(TcpListener, bool, Option<Post>), String> {
-    let told = std::env::var(PASSED_SOCKET).ok().filter(|told| !told.is_empty());
+    let told = std::env::var(PASSED_SOCKET)
+        .ok()
+        .filter(|told| !told.is_empty());
     if let Some(told) = told {
         match driftfront_inherit::adopt(&told) {
             Ok(listener) => {
@@ -31,7 +33,11 @@
         }
     }
     let listener = super::clients::listen(config.listen);
-    Ok((listener.map_err(|e| format!("listen on {}: {e}", config.listen))?, false, None))
+    Ok((
+        listener.map_err(|e| format!("listen on {}: {e}", config.listen))?,
+        false,
+        None,
+    ))
 }
 
 fn post(config: &Config) -> Option<Post> {
@@ -41,7 +47,9 @@
         return None;
     };
     let opened = Post::open(Path::new(&tmp), &config.name);
-    opened.inspect_err(|e| tracing::error!("TMPDIR: {e}: other processes hear nothing of orders")).ok()
+    opened
+        .inspect_err(|e| tracing::error!("TMPDIR: {e}: other processes hear nothing of orders"))
+        .ok()
 }
 
 impl Node {
@@ -50,7 +58,9 @@
         let Some(post) = &mut self.post else { return };
         let news = post.poll();
         let (shares, succeeded) = (post.shares(), post.has_successor());
-        news.told.iter().for_each(|why| tracing::error!("handover: {why}"));
+        news.told
+            .iter()
+            .for_each(|why| tracing::error!("handover: {why}"));
         for (number, word) in news.words {
             let (change, records) = self.roster.merge(&word);
             if !records.is_empty() {
@@ -65,11 +75,20 @@
             }
         }
         if std::mem::replace(&mut self.shares, shares) != shares {
-            tracing::info!("{}", if shares { "another process runs beside this one" } else { "alone again" });
+            tracing::info!(
+                "{}",
+                if shares {
+                    "another process runs beside this one"
+                } else {
+                    "alone again"
+                }
+            );
         }
         if self.life.succeeded(now, succeeded) {
             let words = match succeeded {
-                true => "A successor is ready: new connections are its own, what was taken is answered",
+                true => {
+                    "A successor is ready: new connections are its own, what was taken is answered"
+                }
                 false => "The successor is gone: this process serves again",
             };
             self.told(now, words.into());
@@ -90,7 +109,8 @@
     /// what the platform told at the start may be long out of date.
     pub(super) fn knows_engines(&self, now: Micros) -> bool {
         let late = now >= self.started + LIST_WITHIN;
-        self.core.has_engines() && (!self.life.succeeds() || late || self.feed.has_settled(now, LIST_SETTLES))
+        self.core.has_engines()
+            && (!self.life.succeeds() || late || self.feed.has_settled(now, LIST_SETTLES))
     }
 
     /// Descriptors that engines' connections are a part of: with another process beside it, half of what both may hold.
--- a/crates/node/src/operator.rs
+++ b/crates/node/src/operator.rs
@@ -67,29 +67,42 @@
     }
 
     fn wrong(&self, offset: usize, what: impl Into<String>, instead: impl Into<String>) -> Mistake {
-        Mistake { at: self.place(offset), what: what.into(), instead: instead.into() }
+        Mistake {
+            at: self.place(offset),
+            what: what.into(),
+            instead: instead.into(),
+        }
     }
 
     fn at(&self, node: &KdlNode, what: impl Into<String>, instead: impl Into<String>) -> Mistake {
         // A node's span begins with the white space before it.
         let offset = node.span().offset();
-        let skipped =
-            self.text[offset.min(self.text.len())..].find(|c: char| !c.is_whitespace()).unwrap_or(0);
+        let skipped = self.text[offset.min(self.text.len())..]
+            .find(|c: char| !c.is_whitespace())
+            .unwrap_or(0);
         self.wrong(offset + skipped, what, instead)
     }
 
     /// A node's only argument, a text.
     fn text_of(&self, node: &KdlNode) -> Told<String> {
         let name = node.name().value();
-        let example =
-            TOP.iter().find(|t| t.0 == name).map_or(String::new(), |t| format!("write it as {}", t.1));
-        let arguments: Vec<&KdlEntry> = node.entries().iter().filter(|e| e.name().is_none()).collect();
+        let example = TOP
+            .iter()
+            .find(|t| t.0 == name)
+            .map_or(String::new(), |t| format!("write it as {}", t.1));
+        let arguments: Vec<&KdlEntry> = node
+            .entries()
+            .iter()
+            .filter(|e| e.name().is_none())
+            .collect();
         match arguments[..] {
             [one] => match one.value() {
                 KdlValue::String(text) => Ok(text.clone()),
-                other => {
-                    Err(self.wrong(one.span().offset(), format!("{name} takes a text, not {other}"), example))
-                }
+                other => Err(self.wrong(
+                    one.span().offset(),
+                    format!("{name} takes a text, not {other}"),
+                    example,
+                )),
             },
             [] => Err(self.at(node, format!("{name} needs a text"), example)),
             _ => Err(self.at(node, format!("{name} takes one text"), example)),
@@ -97,10 +110,16 @@
     }
 
     /// A node's properties, each of which has to be known.
-    fn properties<'n>(&self, node: &'n KdlNode, known: &[&str]) -> Told<BTreeMap<&'n str, &'n KdlEntry>> {
+    fn properties<'n>(
+        &self,
+        node: &'n KdlNode,
+        known: &[&str],
+    ) -> Told<BTreeMap<&'n str, &'n KdlEntry>> {
         let mut found = BTreeMap::new();
         for entry in node.entries() {
-            let Some(name) = entry.name().map(|n| n.value()) else { continue };
+            let Some(name) = entry.name().map(|n| n.value()) else {
+                continue;
+            };
             if !known.contains(&name) {
                 let what = format!("{} has no property {name}", node.name().value());
                 let instead = format!("it takes {}", known.join(", "));
@@ -113,17 +132,28 @@
 
     fn number(&self, entry: &KdlEntry, name: &str, range: (f64, f64)) -> Told<f64> {
         let value = entry.value();
-        let number = value.as_float().or_else(|| value.as_integer().map(|n| n as f64));
-        number.filter(|n| (range.0..=range.1).contains(n)).ok_or_else(|| {
-            let what = format!("{name} is {value}");
-            self.wrong(entry.span().offset(), what, format!("write a number from {} to {}", range.0, range.1))
-        })
+        let number = value
+            .as_float()
+            .or_else(|| value.as_integer().map(|n| n as f64));
+        number
+            .filter(|n| (range.0..=range.1).contains(n))
+            .ok_or_else(|| {
+                let what = format!("{name} is {value}");
+                self.wrong(
+                    entry.span().offset(),
+                    what,
+                    format!("write a number from {} to {}", range.0, range.1),
+                )
+            })
     }
 
     /// A time such as `"500 ms"`, in microseconds.
     fn time(&self, entry: &KdlEntry, name: &str) -> Told<u64> {
         let text = entry.value().as_string().unwrap_or_default();
-        let split = text.trim().find(|c: char| c.is_alphabetic()).unwrap_or(text.len());
+        let split = text
+            .trim()
+            .find(|c: char| c.is_alphabetic())
+            .unwrap_or(text.len());
         let (number, unit) = text.trim().split_at(split.min(text.trim().len()));
         let factor = match unit.trim() {
             "us" | "µs" => 1.0,
@@ -137,7 +167,11 @@
             return Ok(time as u64);
         }
         let what = format!("{name} is {}, which is no time", entry.value());
-        Err(self.wrong(entry.span().offset(), what, "write it as \"500 ms\", \"2.5 s\" or \"10 min\""))
+        Err(self.wrong(
+            entry.span().offset(),
+            what,
+            "write it as \"500 ms\", \"2.5 s\" or \"10 min\"",
+        ))
     }
 
     fn flag(&self, entry: &KdlEntry, name: &str) -> Told<bool> {
@@ -155,7 +189,12 @@
 }
 
 fn object(fields: Vec<(&str, JsonValue)>) -> JsonValue {
-    JsonValue::Object(fields.into_iter().map(|(n, v)| (n.to_string(), v)).collect())
+    JsonValue::Object(
+        fields
+            .into_iter()
+            .map(|(n, v)| (n.to_string(), v))
+            .collect(),
+    )
 }
 
 fn text(value: &str) -> JsonValue {
@@ -180,9 +219,12 @@
     let document = KdlDocument::parse(text).map_err(|e| {
         let first = e.diagnostics.first();
         let offset = first.map_or(0, |d| d.span.offset());
-        let what = first.and_then(|d| d.message.clone()).unwrap_or("it is no KDL".into());
-        let help =
-            first.and_then(|d| d.help.clone()).unwrap_or("texts stand in quotes, blocks in { }".into());
+        let what = first
+            .and_then(|d| d.message.clone())
+            .unwrap_or("it is no KDL".into());
+        let help = first
+            .and_then(|d| d.help.clone())
+            .unwrap_or("texts stand in quotes, blocks in { }".into());
         reader.wrong(offset, what, help)
     })?;
     let mut top: BTreeMap<&str, &KdlNode> = BTreeMap::new();
@@ -192,7 +234,12 @@
         if !TOP.iter().any(|t| t.0 == name) {
             let meant = near(name, TOP.iter().map(|t| t.0));
             let instead = meant.map_or_else(
-                || format!("it may hold {}", TOP.iter().map(|t| t.0).collect::<Vec<_>>().join(", ")),
+                || {
+                    format!(
+                        "it may hold {}",
+                        TOP.iter().map(|t| t.0).collect::<Vec<_>>().join(", ")
+                    )
+                },
                 |m| format!("did you mean {m}?"),
             );
             return Err(reader.at(node, format!("nothing is called {name} here"), instead));
@@ -221,7 +268,10 @@
         return Err(reader.at(top["listen"], what, "write it as \"127.0.0.1:8123\""));
     }
     root.push(("listen", self::text(&listen)));
-    root.push(("name", self::text(&get("name")?.unwrap_or("driftfront".into()))));
+    root.push((
+        "name",
+        self::text(&get("name")?.unwrap_or("driftfront".into())),
+    ));
     let front = get("front")?.unwrap_or("clickhouse".into());
     if !["clickhouse", "platform"].contains(&front.as_str()) {
         let what = format!("front is {front:?}");
@@ -229,16 +279,25 @@
     }
     root.push(("front", self::text(&front)));
     let mut clickhouse = vec![];
-    let once = classes.iter().position(|c| c.once).unwrap_or(classes.len() - 1);
-    for (name, key, otherwise) in
-        [("reads", "read", Some(0)), ("writes", "write", Some(once)), ("deduplicated", "deduplicated", None)]
-    {
+    let once = classes
+        .iter()
+        .position(|c| c.once)
+        .unwrap_or(classes.len() - 1);
+    for (name, key, otherwise) in [
+        ("reads", "read", Some(0)),
+        ("writes", "write", Some(once)),
+        ("deduplicated", "deduplicated", None),
+    ] {
         let told = get(name)?;
         if let Some(told) = &told {
             if !classes.iter().any(|c| c.name == *told) {
                 let names: Vec<&str> = classes.iter().map(|c| c.name.as_str()).collect();
                 let what = format!("there is no class {told}");
-                return Err(reader.at(top[name], what, format!("the classes are {}", names.join(", "))));
+                return Err(reader.at(
+                    top[name],
+                    what,
+                    format!("the classes are {}", names.join(", ")),
+                ));
             }
         }
         if let Some(class) = told.or(otherwise.map(|n: usize| classes[n].name.clone())) {
@@ -259,10 +318,16 @@
     if let Some(node) = top.get("limits") {
         let told = reader.properties(node, &["memory-mb", "sockets", "open"])?;
         limits.clear();
-        let sockets = told.get("sockets").map(|e| reader.number(e, "sockets", (64.0, 1e6))).transpose()?;
+        let sockets = told
+            .get("sockets")
+            .map(|e| reader.number(e, "sockets", (64.0, 1e6)))
+            .transpose()?;
         limits.push(("sockets", sockets.unwrap_or(1024.0).into()));
         if let Some(entry) = told.get("memory-mb") {
-            limits.push(("memory_mb", reader.number(entry, "memory-mb", (16.0, 65_536.0))?.into()));
+            limits.push((
+                "memory_mb",
+                reader.number(entry, "memory-mb", (16.0, 65_536.0))?.into(),
+            ));
         }
         if let Some(entry) = told.get("open") {
             open = reader.number(entry, "open", (1.0, 4096.0))?;
@@ -282,11 +347,26 @@
         root.push(("membership", membership));
     }
     if !engines.listed.is_empty() {
-        let endpoints = object(vec![("reset", true.into()), ("instances", list(engines.listed))]);
+        let endpoints = object(vec![
+            ("reset", true.into()),
+            ("instances", list(engines.listed)),
+        ]);
         let update = object(vec![("index", 1.0.into()), ("endpoints", endpoints)]);
-        root.push(("known", object(vec![("index", 1.0.into()), ("updates", list([update]))])));
-    }
-    root.push(("settings", settings(&classes, &kinds, &engines.zones, open, front == "clickhouse")));
+        root.push((
+            "known",
+            object(vec![("index", 1.0.into()), ("updates", list([update]))]),
+        ));
+    }
+    root.push((
+        "settings",
+        settings(
+            &classes,
+            &kinds,
+            &engines.zones,
+            open,
+            front == "clickhouse",
+        ),
+    ));
     Ok(object(root))
 }
 
@@ -307,21 +387,35 @@
     let told = reader.properties(node, &known)?;
     let need = |key: &str| {
         let missing = || {
-            reader.at(node, format!("class {name} says nothing of {key}"), format!("add {key}=\"500 ms\""))
+            reader.at(
+                node,
+                format!("class {name} says nothing of {key}"),
+                format!("add {key}=\"500 ms\""),
+            )
         };
-        told.get(key).ok_or_else(missing).and_then(|e| reader.time(e, key))
+        told.get(key)
+            .ok_or_else(missing)
+            .and_then(|e| reader.time(e, key))
     };
     let (wanted, patience) = (need("wanted")?, need("patience")?);
     if patience < wanted {
         let what = format!("class {name}: patience is shorter than what is wanted");
-        return Err(reader.at(node, what, "clients must wait at least as long as the answer is wanted in"));
+        return Err(reader.at(
+            node,
+            what,
+            "clients must wait at least as long as the answer is wanted in",
+        ));
     }
     let number = |key: &str, otherwise: f64, range| {
-        told.get(key).map_or(Ok(otherwise), |e| reader.number(e, key, range))
+        told.get(key)
+            .map_or(Ok(otherwise), |e| reader.number(e, key, range))
     };
     let flag = |key: &str| told.get(key).map_or(Ok(false), |e| reader.flag(e, key));
     let (once, holds) = (flag("once")?, flag("holds-tables")?);
-    let dropped = told.get("repeats-dropped").map(|e| reader.time(e, "repeats-dropped")).transpose()?;
+    let dropped = told
+        .get("repeats-dropped")
+        .map(|e| reader.time(e, "repeats-dropped"))
+        .transpose()?;
     let effect = match (once, dropped) {
         (_, Some(_)) => "guarded",
         (true, None) => "single_shot",
@@ -332,7 +426,10 @@
         ("Name", text(&name)),
         ("Effect", text(effect)),
         ("KeyScope", text("all")),
-        ("RepeatWindowUs", (dropped.unwrap_or(5_000_000) as f64).into()),
+        (
+            "RepeatWindowUs",
+            (dropped.unwrap_or(5_000_000) as f64).into(),
+        ),
         ("ByArrival", flag("in-order")?.into()),
         ("OnTimeUs", (wanted as f64).into()),
         ("DeadlineUs", (patience as f64).into()),
@@ -340,20 +437,32 @@
         ("Worth", number("worth", 1.0, (0.001, 1e6))?.into()),
         ("LateWorth", number("late-worth", 0.4, (0.0, 1.0))?.into()),
     ];
-    Ok(Class { json: object(fields), threads, holds, once, name })
+    Ok(Class {
+        json: object(fields),
+        threads,
+        holds,
+        once,
+        name,
+    })
 }
 
 fn default_classes() -> Vec<Class> {
     let document = KdlDocument::parse(EXAMPLE).expect("the example is KDL");
     let reader = Reader { text: EXAMPLE };
-    let classes = document.nodes().iter().filter(|n| n.name().value() == "class");
-    classes.map(|n| class(&reader, n).expect("the example's classes are well formed")).collect()
+    let classes = document
+        .nodes()
+        .iter()
+        .filter(|n| n.name().value() == "class");
+    classes
+        .map(|n| class(&reader, n).expect("the example's classes are well formed"))
+        .collect()
 }
 
 fn kind(reader: &Reader, node: &KdlNode) -> Told<(String, f64, f64)> {
     let told = reader.properties(node, &["cores", "memory-mb"])?;
     let number = |key: &str, otherwise: f64, range| {
-        told.get(key).map_or(Ok(otherwise), |e| reader.number(e, key, range))
+        told.get(key)
+            .map_or(Ok(otherwise), |e| reader.number(e, key, range))
     };
     Ok((
         reader.text_of(node)?,
@@ -364,10 +473,20 @@
 
 /// Other coordinators.
 fn fleet(reader: &Reader, node: &KdlNode) -> Told<JsonValue> {
-    let told =
-        reader.properties(node, &["listen", "advertise", "key-file", "zone", "region", "replace-after"])?;
+    let told = reader.properties(
+        node,
+        &[
+            "listen",
+            "advertise",
+            "key-file",
+            "zone",
+            "region",
+            "replace-after",
+        ],
+    )?;
     let value = |key: &str| told.get(key).and_then(|e| e.value().as_string());
-    let address = |key: &str, text: &str, offset: usize| match text.parse::<std::net::SocketAddr>() {
+    let address = |key: &str, text: &str, offset: usize| match text.parse::<std::net::SocketAddr>()
+    {
         Ok(_) => Ok(self::text(text)),
         Err(_) => {
             let what = format!("{key} is {text:?}, which is no address");
@@ -382,13 +501,18 @@
                 fields.push((key, address(key, text, entry.span().offset())?));
             }
             None if key == "listen" => {
-                return Err(reader.at(node, "fleet says nothing of listen", "add listen=\"127.0.0.1:7946\""));
+                return Err(reader.at(
+                    node,
+                    "fleet says nothing of listen",
+                    "add listen=\"127.0.0.1:7946\"",
+                ));
             }
             None => {}
         }
     }
     let Some(key_file) = value("key-file") else {
-        let instead = "add key-file=\"/etc/driftfront/fleet.key\", a file of mode 600 with 32 hex digits";
+        let instead =
+            "add key-file=\"/etc/driftfront/fleet.key\", a file of mode 600 with 32 hex digits";
         return Err(reader.at(node, "fleet says nothing of key-file", instead));
     };
     fields.push(("key_file", text(key_file)));
@@ -419,11 +543,22 @@
     }
     let different: std::collections::BTreeSet<&String> = voters.iter().collect();
     if different.len() != voters.len() || ![0, 3, 5].contains(&voters.len()) {
-        let what = format!("fleet names {} voters, {} of them different", voters.len(), different.len());
-        return Err(reader.at(node, what, "name 3 or 5 coordinators, the same in all files, or none"));
+        let what = format!(
+            "fleet names {} voters, {} of them different",
+            voters.len(),
+            different.len()
+        );
+        return Err(reader.at(
+            node,
+            what,
+            "name 3 or 5 coordinators, the same in all files, or none",
+        ));
     }
     fields.push(("seeds", list(seeds)));
-    fields.push(("voters", list(voters.iter().map(|v| text(v)).collect::<Vec<_>>())));
+    fields.push((
+        "voters",
+        list(voters.iter().map(|v| text(v)).collect::<Vec<_>>()),
+    ));
     Ok(object(fields))
 }
 
@@ -434,18 +569,32 @@
     zones: Vec<String>,
 }
 
-fn engines(reader: &Reader, node: Option<&KdlNode>, kinds: &mut Vec<(String, f64, f64)>) -> Told<Engines> {
+fn engines(
+    reader: &Reader,
+    node: Option<&KdlNode>,
+    kinds: &mut Vec<(String, f64, f64)>,
+) -> Told<Engines> {
     let mut engines = Engines::default();
     let mut names = Vec::new();
-    for node in node.and_then(|n| n.children()).map(|c| c.nodes()).unwrap_or(&[]) {
+    for node in node
+        .and_then(|n| n.children())
+        .map(|c| c.nodes())
+        .unwrap_or(&[])
+    {
         match node.name().value() {
-            "file" => engines.membership = Some(object(vec![("file", text(&reader.text_of(node)?))])),
+            "file" => {
+                engines.membership = Some(object(vec![("file", text(&reader.text_of(node)?))]))
+            }
             "etcd" => {
                 let told = reader.properties(node, &["prefix"])?;
-                let prefix =
-                    told.get("prefix").and_then(|e| e.value().as_string()).unwrap_or("/driftfront/engines/");
-                engines.membership =
-                    Some(object(vec![("etcd", text(&reader.text_of(node)?)), ("prefix", text(prefix))]));
+                let prefix = told
+                    .get("prefix")
+                    .and_then(|e| e.value().as_string())
+                    .unwrap_or("/driftfront/engines/");
+                engines.membership = Some(object(vec![
+                    ("etcd", text(&reader.text_of(node)?)),
+                    ("prefix", text(prefix)),
+                ]));
             }
             "engine" => {
                 let name = reader.text_of(node)?;
@@ -458,7 +607,10 @@
                 }
                 let told = reader.properties(node, &["at", "building", "kind"])?;
                 let value = |key: &str, otherwise: &str| {
-                    told.get(key).and_then(|e| e.value().as_string()).unwrap_or(otherwise).to_string()
+                    told.get(key)
+                        .and_then(|e| e.value().as_string())
+                        .unwrap_or(otherwise)
+                        .to_string()
                 };
                 let at = value("at", "");
                 if at.parse::<std::net::SocketAddr>().is_err() {
@@ -470,7 +622,11 @@
                     engines.zones.push(zone.clone());
                 }
                 if !kinds.iter().any(|k| k.0 == kind) {
-                    let cores = kind.rsplit('-').next().and_then(|n| n.parse().ok()).unwrap_or(8.0);
+                    let cores = kind
+                        .rsplit('-')
+                        .next()
+                        .and_then(|n| n.parse().ok())
+                        .unwrap_or(8.0);
                     kinds.push((kind.clone(), cores, cores * 2048.0));
                 }
                 engines.listed.push(object(vec![
@@ -493,13 +649,19 @@
     if engines.listed.is_empty() && engines.membership.is_none() {
         let what = "no engine is named, and no place that they come from";
         let instead = "add engines { engine \"engine-1\" at=\"127.0.0.1:18123\" }";
-        return Err(node.map_or_else(|| reader.wrong(0, what, instead), |n| reader.at(n, what, instead)));
+        return Err(node.map_or_else(
+            || reader.wrong(0, what, instead),
+            |n| reader.at(n, what, instead),
+        ));
     }
     if engines.zones.is_empty() {
         engines.zones = vec!["building-a".into(), "building-b".into()];
     }
     if kinds.is_empty() {
-        *kinds = vec![("std-8".into(), 8.0, 16_384.0), ("std-16".into(), 16.0, 32_768.0)];
+        *kinds = vec![
+            ("std-8".into(), 8.0, 16_384.0),
+            ("std-16".into(), 16.0, 32_768.0),
+        ];
     }
     Ok(engines)
 }
@@ -545,7 +707,10 @@
         ("Loads", numbers(&|c| c.holds.into())),
         ("BlockedByLoads", numbers(&|_| false.into())),
         ("OutOfMemory", text("line_up")),
-        ("TellsEveryUs", (if notes { 1_000_000.0 } else { 0.0 }).into()),
+        (
+            "TellsEveryUs",
+            (if notes { 1_000_000.0 } else { 0.0 }).into(),
+        ),
     ];
     object(vec![
         ("Balancers", 1.0.into()),
@@ -557,7 +722,10 @@
         ("Caps", object(caps)),
         ("Contract", object(contract)),
         ("FamilyInfo", object(family)),
-        ("LoadReport", object(vec![("How", text("off")), ("Fields", list([]))])),
+        (
+            "LoadReport",
+            object(vec![("How", text("off")), ("Fields", list([]))]),
+        ),
         ("Profiles", list(classes.iter().map(|c| c.json.clone()))),
     ])
 }
@@ -565,7 +733,10 @@
 /// All that a mistake needs to be found: the place, the line, and a mark under it.
 pub fn shown(file: &str, text: &str, mistake: &Mistake) -> String {
     let line = text.lines().nth(mistake.at.0 - 1).unwrap_or_default();
-    let mut out = format!("{file}:{}:{}: {}\n", mistake.at.0, mistake.at.1, mistake.what);
+    let mut out = format!(
+        "{file}:{}:{}: {}\n",
+        mistake.at.0, mistake.at.1, mistake.what
+    );
     let _ = writeln!(out, "  | {line}\n  | {}^", " ".repeat(mistake.at.1 - 1));
     if !mistake.instead.is_empty() {
         let _ = writeln!(out, "  = {}", mistake.instead);
@@ -584,16 +755,29 @@
 
     #[test]
     fn five_lines_make_a_site_and_the_example_is_one() {
-        let small =
-            config("engines {\n engine \"e1\" at=\"127.0.0.1:1\"\n engine \"e2\" at=\"127.0.0.1:2\"\n}\n");
-        assert_eq!((small.wire, small.classes.names.len()), (Wire::ClickHouse, 3));
-        assert_eq!((small.membership, small.known.len()), (Membership::Fixed, 1));
+        let small = config(
+            "engines {\n engine \"e1\" at=\"127.0.0.1:1\"\n engine \"e2\" at=\"127.0.0.1:2\"\n}\n",
+        );
+        assert_eq!(
+            (small.wire, small.classes.names.len()),
+            (Wire::ClickHouse, 3)
+        );
+        assert_eq!(
+            (small.membership, small.known.len()),
+            (Membership::Fixed, 1)
+        );
         assert_eq!((small.clickhouse.read, small.clickhouse.write), (0, 2));
         let example = config(EXAMPLE);
         assert_eq!(example.listen, "127.0.0.1:8123".parse().unwrap());
-        assert_eq!(&*example.classes.patience, [2_500_000, 15_000_000, 25_000_000]);
+        assert_eq!(
+            &*example.classes.patience,
+            [2_500_000, 15_000_000, 25_000_000]
+        );
         let etcd = config("engines { etcd \"127.0.0.1:2379\" prefix=\"/x/\"; }");
-        assert_eq!(etcd.membership, Membership::Etcd("127.0.0.1:2379".parse().unwrap(), "/x/".into()));
+        assert_eq!(
+            etcd.membership,
+            Membership::Etcd("127.0.0.1:2379".parse().unwrap(), "/x/".into())
+        );
     }
 
     #[test]
@@ -603,16 +787,40 @@
             ("lissten \"x\"\n", (1, 1), "did you mean listen?"),
             ("listen 5\n", (1, 8), "write it as listen"),
             ("\n  listen \"here\"\n", (2, 3), "127.0.0.1:8123"),
-            ("front \"mysql\"\n", (1, 1), "\"clickhouse\" or \"platform\""),
-            ("class \"a\" wanted=\"500\" patience=\"1 s\"\n", (1, 11), "500 ms"),
-            ("class \"a\" wanted=\"2 s\" patience=\"1 s\"\n", (1, 1), "at least as long"),
+            (
+                "front \"mysql\"\n",
+                (1, 1),
+                "\"clickhouse\" or \"platform\"",
+            ),
+            (
+                "class \"a\" wanted=\"500\" patience=\"1 s\"\n",
+                (1, 11),
+                "500 ms",
+            ),
+            (
+                "class \"a\" wanted=\"2 s\" patience=\"1 s\"\n",
+                (1, 1),
+                "at least as long",
+            ),
             ("class \"a\" patience=\"1 s\"\n", (1, 1), "add wanted"),
-            ("class \"a\" wanted=\"1 s\" patience=\"2 s\" once=\"yes\"\n", (1, 39), "#true or #false"),
+            (
+                "class \"a\" wanted=\"1 s\" patience=\"2 s\" once=\"yes\"\n",
+                (1, 39),
+                "#true or #false",
+            ),
             ("class \"a\" wonted=\"1 s\"\n", (1, 11), "it takes wanted"),
             ("limits sockets=3\n", (1, 8), "from 64"),
             ("reads \"nothing\"\n", (1, 1), "the classes are"),
-            ("engines {\n  engine \"e\" at=\"here\"\n}\n", (2, 3), "write at="),
-            ("listen \"127.0.0.1:1\"\nlisten \"127.0.0.1:1\"\n", (2, 1), "leave one"),
+            (
+                "engines {\n  engine \"e\" at=\"here\"\n}\n",
+                (2, 3),
+                "write at=",
+            ),
+            (
+                "listen \"127.0.0.1:1\"\nlisten \"127.0.0.1:1\"\n",
+                (2, 1),
+                "leave one",
+            ),
             ("", (1, 1), "add engines"),
         ] {
             let whole = if text.contains("engines") || text.is_empty() {
--- a/crates/node/src/remote.rs
+++ b/crates/node/src/remote.rs
@@ -18,7 +18,9 @@
     if told.parse::<std::net::SocketAddr>().is_err() {
         return Ok(At::Socket(told.into()));
     }
-    let file = key.ok_or(Failure::Usage(format!("--at {told}: a port wants --key-file")))?;
+    let file = key.ok_or(Failure::Usage(format!(
+        "--at {told}: a port wants --key-file"
+    )))?;
     let key = std::fs::read_to_string(&file).map_err(|e| format!("{}: {e}", file.display()))?;
     Ok(At::Port(told, key.trim().as_bytes().to_vec()))
 }
@@ -47,7 +49,9 @@
     match remote.ask(request).map_err(io)? {
         Reply::Done(words) => Ok(words),
         Reply::Refused(words) => Err(Failure::Refused(words)),
-        other => Err(Failure::Wrong(format!("an answer that was not asked for: {other:?}"))),
+        other => Err(Failure::Wrong(format!(
+            "an answer that was not asked for: {other:?}"
+        ))),
     }
 }
 
@@ -55,7 +59,9 @@
     match remote.ask(&Request::Snapshot).map_err(io)? {
         Reply::Snapshot(snapshot) => Ok(*snapshot),
         Reply::Refused(words) => Err(Failure::Refused(words)),
-        other => Err(Failure::Wrong(format!("an answer that was not asked for: {other:?}"))),
+        other => Err(Failure::Wrong(format!(
+            "an answer that was not asked for: {other:?}"
+        ))),
     }
 }
 
@@ -68,12 +74,17 @@
         "h" => 3600,
         _ => return None,
     };
-    number.parse::<u64>().ok()?.checked_mul(factor).filter(|&s| s > 0)
+    number
+        .parse::<u64>()
+        .ok()?
+        .checked_mul(factor)
+        .filter(|&s| s > 0)
 }
 
 fn width() -> usize {
     let told = std::env::var("COLUMNS").ok().and_then(|c| c.parse().ok());
-    told.or_else(driftfront_console::run::terminal_width).unwrap_or(80)
+    told.or_else(driftfront_console::run::terminal_width)
+        .unwrap_or(80)
 }
 
 fn say(text: &str) -> Result<(), Failure> {
@@ -88,7 +99,10 @@
     let widths = words::widths(table, width().max(40));
     let heads: Vec<String> = table.heads.iter().map(|h| h.to_string()).collect();
     let rows = table.rows.iter().map(|r| words::row_text(r, &widths));
-    let lines: Vec<String> = [words::row_text(&heads, &widths)].into_iter().chain(rows).collect();
+    let lines: Vec<String> = [words::row_text(&heads, &widths)]
+        .into_iter()
+        .chain(rows)
+        .collect();
     lines.join("\n") + "\n"
 }
 
@@ -125,9 +139,17 @@
             let hold: String = args.free_from_str()?;
             no_more(args)?;
             let span = span.as_deref().unwrap_or("10m");
-            let for_s =
-                seconds(span).ok_or_else(|| Failure::Usage(format!("--for {span}: write 30s, 10m or 2h")))?;
-            say(&(ask(&mut connect(&at)?, &Request::Hold { name: hold, for_s, stays, note })? + "\n"))
+            let for_s = seconds(span)
+                .ok_or_else(|| Failure::Usage(format!("--for {span}: write 30s, 10m or 2h")))?;
+            say(&(ask(
+                &mut connect(&at)?,
+                &Request::Hold {
+                    name: hold,
+                    for_s,
+                    stays,
+                    note,
+                },
+            )? + "\n"))
         }
         "unhold" => {
             let hold: String = args.free_from_str()?;
@@ -173,7 +195,13 @@
             let engine: String = args.free_from_str()?;
             no_more(args)?;
             let mut remote = connect(&at)?;
-            let words = ask(&mut remote, &Request::Drain { engine: engine.clone(), force })?;
+            let words = ask(
+                &mut remote,
+                &Request::Drain {
+                    engine: engine.clone(),
+                    force,
+                },
+            )?;
             say(&(words + "\n"))?;
             if wait {
                 wait_until_free(&mut remote, &engine)?;
@@ -187,7 +215,11 @@
         }
         "pause" | "unpause" => {
             no_more(args)?;
-            let request = if name == "pause" { Request::Pause } else { Request::Unpause };
+            let request = if name == "pause" {
+                Request::Pause
+            } else {
+                Request::Unpause
+            };
             say(&(ask(&mut connect(&at)?, &request)? + "\n"))
         }
         "add" => {
@@ -196,9 +228,20 @@
             let engine: String = args.free_from_str()?;
             let addr: Option<String> = args.opt_free_from_str()?;
             no_more(args)?;
-            let (addr, zone, kind) =
-                (addr.unwrap_or_default(), zone.unwrap_or_default(), kind.unwrap_or_default());
-            say(&(ask(&mut connect(&at)?, &Request::Add { engine, addr, zone, kind })? + "\n"))
+            let (addr, zone, kind) = (
+                addr.unwrap_or_default(),
+                zone.unwrap_or_default(),
+                kind.unwrap_or_default(),
+            );
+            say(&(ask(
+                &mut connect(&at)?,
+                &Request::Add {
+                    engine,
+                    addr,
+                    zone,
+                    kind,
+                },
+            )? + "\n"))
         }
         "remove" => {
             let force = args.contains("--force");
@@ -235,9 +278,11 @@
     loop {
         match remote.reply(id).map_err(io)? {
             Reply::Event(at, words) if json => say(&Reply::Event(at, words).line(id))?,
-            Reply::Event(at, words) => {
-                say(&format!("{}.{:03}  {words}\n", at / 1_000_000, at / 1000 % 1000))?
-            }
+            Reply::Event(at, words) => say(&format!(
+                "{}.{:03}  {words}\n",
+                at / 1_000_000,
+                at / 1000 % 1000
+            ))?,
             _ => return Ok(()),
         }
     }
@@ -248,7 +293,9 @@
     let id = remote.send(&Request::Follow(200)).map_err(io)?;
     remote.wait_for_ever().map_err(io)?;
     loop {
-        let Reply::Snapshot(s) = remote.reply(id).map_err(io)? else { continue };
+        let Reply::Snapshot(s) = remote.reply(id).map_err(io)? else {
+            continue;
+        };
         match s.engines.iter().find(|e| e.name == engine) {
             Some(e) if e.phase == "ready" => {
                 return Err(Failure::Refused(format!("{engine} was resumed meanwhile")));
--- a/crates/node/src/service.rs
+++ b/crates/node/src/service.rs
@@ -51,8 +51,16 @@
         Ring::new(HOUR)
     }
     fn new((count, length): (usize, Micros)) -> Ring {
-        let slot = Slot { number: u64::MAX, counts: [0; 4], in_time: 0, times: None };
-        Ring { slots: vec![slot; count], length }
+        let slot = Slot {
+            number: u64::MAX,
+            counts: [0; 4],
+            in_time: 0,
+            times: None,
+        };
+        Ring {
+            slots: vec![slot; count],
+            length,
+        }
     }
 
     /// A request has ended.
@@ -66,13 +74,19 @@
             if let Some(t) = &mut times {
                 t.reset();
             }
-            *slot = Slot { number, counts: [0; 4], in_time: 0, times };
+            *slot = Slot {
+                number,
+                counts: [0; 4],
+                in_time: 0,
+                times,
+            };
         }
         slot.counts[end as usize] += 1;
         if end == End::Served {
             slot.in_time += u64::from(took <= wanted);
-            let times =
-                slot.times.get_or_insert_with(|| Histogram::new_with_max(MOST, 2).expect("a fixed range"));
+            let times = slot
+                .times
+                .get_or_insert_with(|| Histogram::new_with_max(MOST, 2).expect("a fixed range"));
             times.saturating_record((took / STEP).clamp(1, MOST));
         }
     }
@@ -83,7 +97,11 @@
         let oldest = (newest + 1).saturating_sub(self.slots.len() as u64);
         let mut sum = Service::default();
         let mut times: Histogram<u32> = Histogram::new_with_max(MOST, 2).expect("a fixed range");
-        for slot in self.slots.iter().filter(|s| (oldest..=newest).contains(&s.number)) {
+        for slot in self
+            .slots
+            .iter()
+            .filter(|s| (oldest..=newest).contains(&s.number))
+        {
             sum.asked += slot.counts.iter().sum::<u64>();
             sum.served += slot.counts[End::Served as usize];
             sum.refused += slot.counts[End::Refused as usize];
@@ -102,7 +120,11 @@
 
     /// Bytes that its histograms hold.
     pub fn bytes(&self) -> usize {
-        self.slots.iter().filter_map(|s| s.times.as_ref()).map(|t| t.distinct_values() * 4).sum()
+        self.slots
+            .iter()
+            .filter_map(|s| s.times.as_ref())
+            .map(|t| t.distinct_values() * 4)
+            .sum()
     }
 }
 
@@ -115,8 +137,17 @@
         let mut ring = Ring::minute();
         for n in 0..600 {
             // One each second; every fourth late, every tenth refused.
-            let end = if n % 10 == 9 { End::Refused } else { End::Served };
-            ring.add(n * 1_000_000, end, if n % 4 == 0 { 900_000 } else { 20_000 }, 500_000);
+            let end = if n % 10 == 9 {
+                End::Refused
+            } else {
+                End::Served
+            };
+            ring.add(
+                n * 1_000_000,
+                end,
+                if n % 4 == 0 { 900_000 } else { 20_000 },
+                500_000,
+            );
         }
         let sum = ring.sum(599_000_000);
         assert_eq!((sum.asked, sum.refused), (60, 6));
--- a/crates/node/src/state.rs
+++ b/crates/node/src/state.rs
@@ -35,17 +35,25 @@
         .open(&path)
         .map_err(|e| say("can't be opened", e))?;
     let mut bytes = Vec::new();
-    file.read_to_end(&mut bytes).map_err(|e| say("can't be read", e))?;
+    file.read_to_end(&mut bytes)
+        .map_err(|e| say("can't be read", e))?;
     let read = record::read(&bytes).map_err(|e| format!("{}: {e}", path.display()))?;
     let mut told = Vec::new();
     if let Some(why) = &read.spoilt {
         let cut = bytes.len() - read.well;
-        told.push(format!("{}: {why}; {cut} bytes behind the last whole record are cut", path.display()));
+        told.push(format!(
+            "{}: {why}; {cut} bytes behind the last whole record are cut",
+            path.display()
+        ));
     }
-    file.set_len(read.well as u64).map_err(|e| say("can't be cut", e))?;
-    file.seek(SeekFrom::End(0)).map_err(|e| say("can't be written", e))?;
+    file.set_len(read.well as u64)
+        .map_err(|e| say("can't be cut", e))?;
+    file.seek(SeekFrom::End(0))
+        .map_err(|e| say("can't be written", e))?;
     if read.well == 0 {
-        file.write_all(HEADER).and_then(|()| file.sync_all()).map_err(|e| say("can't be written", e))?;
+        file.write_all(HEADER)
+            .and_then(|()| file.sync_all())
+            .map_err(|e| say("can't be written", e))?;
     }
     let told_of = path.clone();
     let ends = move |(number, end): Written| match (number, &end) {
@@ -55,7 +63,15 @@
         _ => written((number, end)),
     };
     let disk = Disk::open(path, file, None, ends).map_err(|e| say("no thread for it", e))?;
-    Ok((State { disk, last: ANEW, size: read.well.max(HEADER.len()) }, read.records, told))
+    Ok((
+        State {
+            disk,
+            last: ANEW,
+            size: read.well.max(HEADER.len()),
+        },
+        read.records,
+        told,
+    ))
 }
 
 impl State {
@@ -65,7 +81,13 @@
         let size = bytes.len();
         self.last += 1;
         let number = self.last;
-        self.disk.ask(Job { number, anew: false, bytes }).ok()?;
+        self.disk
+            .ask(Job {
+                number,
+                anew: false,
+                bytes,
+            })
+            .ok()?;
         self.size += size;
         Some(number)
     }
@@ -79,7 +101,15 @@
     pub fn compact(&mut self, records: Vec<Record>) {
         let bytes = record::file(&records);
         let size = bytes.len();
-        if self.disk.ask(Job { number: ANEW, anew: true, bytes }).is_ok() {
+        if self
+            .disk
+            .ask(Job {
+                number: ANEW,
+                anew: true,
+                bytes,
+            })
+            .is_ok()
+        {
             self.size = size;
         }
     }
@@ -92,8 +122,15 @@
     use std::sync::mpsc::channel;
 
     fn order(n: u64) -> Record {
-        let standing = Standing { order: Order::Drain, since: n, by: "operator".into() };
-        Record::Ordered { engine: format!("e{n}"), standing }
+        let standing = Standing {
+            order: Order::Drain,
+            since: n,
+            by: "operator".into(),
+        };
+        Record::Ordered {
+            engine: format!("e{n}"),
+            standing,
+        }
     }
 
     #[test]
@@ -136,12 +173,19 @@
             let number = state.append(vec![order(9)]).expect("room");
             assert_eq!(ends.recv().expect("written"), (number, Ok(())));
             drop(state);
-            assert_eq!(open_it().1, [&records[..], &[order(9)]].concat(), "cut at {cut}");
+            assert_eq!(
+                open_it().1,
+                [&records[..], &[order(9)]].concat(),
+                "cut at {cut}"
+            );
         }
         // A newer version's file is left as it is.
         std::fs::write(&path, b"driftfront state 9\n").expect("newer");
         assert!(open(&folder, |_| {}).is_err_and(|e| e.contains("version 9")));
-        assert_eq!(std::fs::read(&path).expect("the file"), b"driftfront state 9\n");
+        assert_eq!(
+            std::fs::read(&path).expect("the file"),
+            b"driftfront state 9\n"
+        );
         let _ = std::fs::remove_dir_all(&folder);
     }
 }
--- a/crates/node/tests/agreed.rs
+++ b/crates/node/tests/agreed.rs
@@ -6,9 +6,18 @@
 use std::sync::Arc;
 
 fn rig(script: &str) -> (Rig, Engine) {
-    let engine =
-        Engine::start(Options { name: "engine-1".into(), ..Options::default() }, Arc::new(Ledger::default()));
-    let rig = Rig::start(env!("CARGO_BIN_EXE_driftfront"), &engine.addr().to_string(), script);
+    let engine = Engine::start(
+        Options {
+            name: "engine-1".into(),
+            ..Options::default()
+        },
+        Arc::new(Ledger::default()),
+    );
+    let rig = Rig::start(
+        env!("CARGO_BIN_EXE_driftfront"),
+        &engine.addr().to_string(),
+        script,
+    );
     (rig, engine)
 }
 
@@ -17,12 +26,20 @@
     let since = std::time::Instant::now();
     loop {
         let said = rig.hold(by, name, for_s);
-        if let Some(fence) = said.as_ref().ok().and_then(|w| w.rsplit(' ').next()?.parse().ok()) {
+        if let Some(fence) = said
+            .as_ref()
+            .ok()
+            .and_then(|w| w.rsplit(' ').next()?.parse().ok())
+        {
             return fence;
         }
         let words = said.unwrap_err();
         let later = words.contains("yet") || words.contains("in time");
-        assert!(later && since.elapsed() < driftfront_rig::FOR_EVER * 2, "{words}\n{}", rig.log().text());
+        assert!(
+            later && since.elapsed() < driftfront_rig::FOR_EVER * 2,
+            "{words}\n{}",
+            rig.log().text()
+        );
         std::thread::sleep(std::time::Duration::from_millis(300));
     }
 }
@@ -39,7 +56,13 @@
 fn wait_until(rig: &Rig, of: u32, what: &str, holds: impl Fn(&Agreed) -> bool) {
     let since = std::time::Instant::now();
     while !rig.agreed(of).is_some_and(|a| holds(&a)) {
-        let late = || format!("m{of}: {:?}, not {what}\n{}", rig.agreed(of), rig.log().text());
+        let late = || {
+            format!(
+                "m{of}: {:?}, not {what}\n{}",
+                rig.agreed(of),
+                rig.log().text()
+            )
+        };
         assert!(since.elapsed() < driftfront_rig::FOR_EVER, "{}", late());
         std::thread::sleep(std::time::Duration::from_millis(20));
     }
@@ -59,7 +82,8 @@
     (0..5).for_each(|m| wait_until_held(&rig, m, &["room-a"]));
     let taken = rig.hold(leader, "room-a", 5).unwrap_err();
     assert!(taken.contains("held already"), "{taken}");
-    rig.ask(3, &Request::Unhold("room-a".into())).expect("anybody may");
+    rig.ask(3, &Request::Unhold("room-a".into()))
+        .expect("anybody may");
     let second = held(&rig, leader, "room-a", 600);
     assert!(second > first, "numbers grow: {first}, {second}");
 
@@ -67,7 +91,10 @@
     rig.now(&format!("kill \"m{leader}\""));
     let rest: Vec<u32> = voters.into_iter().filter(|&m| m != leader).collect();
     let next = rig.wait_for_leader(&rest, Some(leader));
-    assert!(rig.hold(3, "room-a", 5).unwrap_err().contains("held already"));
+    assert!(rig
+        .hold(3, "room-a", 5)
+        .unwrap_err()
+        .contains("held already"));
     held(&rig, 3, "room-b", 600);
     rig.now(&format!("start \"m{leader}\""));
     wait_until_part(&rig, leader, "votes");
@@ -78,22 +105,31 @@
     rig.now(&format!("stop \"m{next}\""));
     let rest: Vec<u32> = voters.into_iter().filter(|&m| m != next).collect();
     let third = rig.wait_for_leader(&rest, Some(next));
-    rig.ask(third, &Request::Unhold("room-a".into())).expect("given back");
+    rig.ask(third, &Request::Unhold("room-a".into()))
+        .expect("given back");
     let lent = held(&rig, 4, "room-a", 600);
     rig.now(&format!("wake \"m{next}\""));
     // It is asked at once, while it may still believe that it leads.
     let said = rig.hold(next, "room-a", 600).unwrap_err();
     assert!(said.contains("held already"), "{said}");
     // What it knew was the first of that name; it hears of the second.
-    wait_until(&rig, next, "the later number", |a| a.holds.iter().any(|h| h.fence == lent));
+    wait_until(&rig, next, "the later number", |a| {
+        a.holds.iter().any(|h| h.fence == lent)
+    });
 
     // A leader with a reader, cut off: a minority lends nothing, and says why.
     let leader = rig.wait_for_leader(&voters, None);
     rig.now(&format!("cut \"m{leader}\" \"m3\""));
     let rest: Vec<u32> = voters.into_iter().filter(|&m| m != leader).collect();
     rig.wait_for_leader(&rest, Some(leader));
-    assert!(rig.hold(3, "room-c", 5).unwrap_err().contains("no majority"));
-    assert!(rig.hold(leader, "room-c", 5).unwrap_err().contains("no majority"));
+    assert!(rig
+        .hold(3, "room-c", 5)
+        .unwrap_err()
+        .contains("no majority"));
+    assert!(rig
+        .hold(leader, "room-c", 5)
+        .unwrap_err()
+        .contains("no majority"));
     held(&rig, 4, "room-c", 600);
     rig.now("heal");
     wait_until_held(&rig, 3, &["room-a", "room-b", "room-c"]);
@@ -102,7 +138,10 @@
     rig.now("kill \"all\"");
     rig.now("start \"all\"");
     rig.wait_for_leader(&voters, None);
-    assert!(rig.hold(4, "room-a", 5).unwrap_err().contains("held already"));
+    assert!(rig
+        .hold(4, "room-a", 5)
+        .unwrap_err()
+        .contains("held already"));
     (0..5).for_each(|m| wait_until_held(&rig, m, &["room-a", "room-b", "room-c"]));
 }
 
@@ -119,7 +158,9 @@
         wait_until_part(&rig, m, "votes");
         rig.wait_for_leader(&voters, None);
     }
-    wait_until(&rig, 3, "three that decide", |a| a.voters.len() == 3 && a.voters.iter().all(|v| v.there));
+    wait_until(&rig, 3, "three that decide", |a| {
+        a.voters.len() == 3 && a.voters.iter().all(|v| v.there)
+    });
 }
 
 #[test]
@@ -149,7 +190,11 @@
     for cut in [3, 40, length / 2] {
         rig.now("kill \"m2\"");
         let bytes = std::fs::read(&file).unwrap();
-        std::fs::write(&file, &bytes[..bytes.len() - cut.min(bytes.len() as u64) as usize]).unwrap();
+        std::fs::write(
+            &file,
+            &bytes[..bytes.len() - cut.min(bytes.len() as u64) as usize],
+        )
+        .unwrap();
         rig.now("start \"m2\"");
         wait_until_part(&rig, 2, "votes");
         let leader = rig.wait_for_leader(&[0, 1, 2], None);
@@ -161,7 +206,10 @@
     rig.now("start \"m2\"");
     rig.wait_for(2, "fleet_agreed_disk_failed", 1);
     wait_until_part(&rig, 2, "reads");
-    assert_eq!(std::fs::read(&file).unwrap(), b"driftfront agreed 9\n of a later build");
+    assert_eq!(
+        std::fs::read(&file).unwrap(),
+        b"driftfront agreed 9\n of a later build"
+    );
     rig.wait_for_leader(&[0, 1], None);
 }
 
@@ -172,8 +220,9 @@
     let public: Vec<_> = (0..3).map(|m| rig.net.public(m)).collect();
     let write = |names: &[usize]| {
         let engine = engine.addr();
-        let mut lines =
-            vec![format!(r#"{{"instanceId":"engine-1","hostPort":"{engine}","lifecycle":"ready"}}"#)];
+        let mut lines = vec![format!(
+            r#"{{"instanceId":"engine-1","hostPort":"{engine}","lifecycle":"ready"}}"#
+        )];
         let line = |&m: &usize| format!(r#"{{"instanceId":"m{m}","coordinator":"{}"}}"#, public[m]);
         lines.extend(names.iter().map(line));
         std::fs::write(&list, format!(r#"{{"instances":[{}]}}"#, lines.join(","))).unwrap();
@@ -217,7 +266,9 @@
     wait_until_held(&rig, upgraded, &["room-a"]);
     let others: Vec<u32> = (0..3).filter(|&m| m != upgraded).collect();
     assert!(
-        others.iter().all(|&m| rig.counter(m, "fleet_agreed_voters_changed") == 0),
+        others
+            .iter()
+            .all(|&m| rig.counter(m, "fleet_agreed_voters_changed") == 0),
         "its seat is its own"
     );
 }
