--- a/crates/node/tests/clickhouse.rs
+++ b/crates/node/tests/clickhouse.rs
@@ -14,7 +14,9 @@
 use std::sync::Arc;
 
 fn code(answer: &common::Answer) -> Option<u32> {
-    answer.header("X-ClickHouse-Exception-Code").and_then(|c| c.parse().ok())
+    answer
+        .header("X-ClickHouse-Exception-Code")
+        .and_then(|c| c.parse().ok())
 }
 
 #[test]
@@ -26,7 +28,10 @@
         addr,
         "/?query=SELECT%20queryID(),currentDatabase(),{p:String}&query_id=q-7&database=uni&param_p=a",
     );
-    assert_eq!((answer.status, answer.whole, answer.text().as_str()), (200, true, "q-7\tuni\ta\n"));
+    assert_eq!(
+        (answer.status, answer.whole, answer.text().as_str()),
+        (200, true, "q-7\tuni\ta\n")
+    );
     assert_eq!(answer.header("X-ClickHouse-Format"), Some("TabSeparated"));
     assert_eq!(answer.header("X-ClickHouse-Query-Id"), Some("q-7"));
     let many = site.query("SELECT number FROM numbers(50000)");
@@ -36,7 +41,12 @@
     let mut stream = TcpStream::connect(addr).unwrap();
     for n in 0..3 {
         let body = format!("SELECT {n}");
-        write!(stream, "POST / HTTP/1.1\r\nHost: t\r\nContent-Length: {}\r\n\r\n{body}", body.len()).unwrap();
+        write!(
+            stream,
+            "POST / HTTP/1.1\r\nHost: t\r\nContent-Length: {}\r\n\r\n{body}",
+            body.len()
+        )
+        .unwrap();
         assert_eq!(read_answer(&mut stream).text(), format!("{n}\n"));
     }
     site.ledger.assert_rules(5);
@@ -45,17 +55,36 @@
 
 #[test]
 fn credentials_reach_the_engine_from_all_three_places_and_no_url() {
-    let options = Options { user: Some(("jana".into(), "pa:ss".into())), ..Options::default() };
-    let site = Plan { options, ..Plan::of(1) }.start();
+    let options = Options {
+        user: Some(("jana".into(), "pa:ss".into())),
+        ..Options::default()
+    };
+    let site = Plan {
+        options,
+        ..Plan::of(1)
+    }
+    .start();
     let addr = site.coordinator.addr;
     let basic = "Authorization: Basic amFuYTpwYTpzcw==\r\n";
     assert_eq!(post(addr, "/", basic, "SELECT 1").status, 200);
-    assert_eq!(post(addr, "/?user=jana&password=pa%3Ass", "", "SELECT 2").status, 200);
+    assert_eq!(
+        post(addr, "/?user=jana&password=pa%3Ass", "", "SELECT 2").status,
+        200
+    );
     let headers = "X-ClickHouse-User: jana\r\nX-ClickHouse-Key: pa:ss\r\n";
     assert_eq!(post(addr, "/", headers, "SELECT 3").status, 200);
-    assert_eq!(code(&post(addr, "/", "X-ClickHouse-User: jana\r\n", "SELECT 4")), Some(516));
-    assert_eq!(code(&post(addr, "/?user=jana", basic, "SELECT 5")), Some(516));
-    assert!(site.ledger.of("SELECT 5").is_empty(), "what names two users is not passed on");
+    assert_eq!(
+        code(&post(addr, "/", "X-ClickHouse-User: jana\r\n", "SELECT 4")),
+        Some(516)
+    );
+    assert_eq!(
+        code(&post(addr, "/?user=jana", basic, "SELECT 5")),
+        Some(516)
+    );
+    assert!(
+        site.ledger.of("SELECT 5").is_empty(),
+        "what names two users is not passed on"
+    );
 }
 
 #[test]
@@ -71,7 +100,11 @@
     assert!(answer.status == 200 && !answer.whole && answer.body.len() >= 10_485_760);
     assert_eq!(site.ledger.of("silent_after").len(), 1);
     assert_eq!(site.coordinator.counter("answers_broken"), 1);
-    assert_eq!(site.coordinator.counter("attempts_ended{outcome=\"timed_out\"}"), 0);
+    assert_eq!(
+        site.coordinator
+            .counter("attempts_ended{outcome=\"timed_out\"}"),
+        0
+    );
     site.ledger.assert_rules(1);
 }
 
@@ -87,9 +120,17 @@
     let runs = site.ledger.of("nothing at all");
     assert!(runs.len() == 2 && runs[1].engine != first);
     // The first may still hold its id: the further attempt runs under another.
-    assert_eq!((runs[0].id.as_str(), runs[1].id.as_str()), ("lost", "lost~1"));
-    assert_eq!(site.coordinator.counter("attempts_ended{outcome=\"timed_out\"}"), 0);
-    site.ledger.wait_until("the end of both", |e| e.iter().all(|e| e.over.is_some()));
+    assert_eq!(
+        (runs[0].id.as_str(), runs[1].id.as_str()),
+        ("lost", "lost~1")
+    );
+    assert_eq!(
+        site.coordinator
+            .counter("attempts_ended{outcome=\"timed_out\"}"),
+        0
+    );
+    site.ledger
+        .wait_until("the end of both", |e| e.iter().all(|e| e.over.is_some()));
     site.ledger.assert_rules(1);
 }
 
@@ -104,7 +145,11 @@
     let _ = stream.read_to_end(&mut rest);
     assert!(!rest.ends_with(b"0\r\n\r\n"));
     assert_eq!(site.coordinator.counter("answers_broken"), 1);
-    assert_eq!(site.coordinator.counter("attempts_ended{outcome=\"timed_out\"}"), 0);
+    assert_eq!(
+        site.coordinator
+            .counter("attempts_ended{outcome=\"timed_out\"}"),
+        0
+    );
 }
 
 #[test]
@@ -144,22 +189,38 @@
     ("", "", plain),
     ("&compress=1", "", blocks),
     ("&compress=1&network_compression_method=zstd", "", blocks),
-    ("&enable_http_compression=1", "Accept-Encoding: gzip\r\n", gunzip),
-    ("&enable_http_compression=1", "Accept-Encoding: br\r\n", brotli),
+    (
+        "&enable_http_compression=1",
+        "Accept-Encoding: gzip\r\n",
+        gunzip,
+    ),
+    (
+        "&enable_http_compression=1",
+        "Accept-Encoding: br\r\n",
+        brotli,
+    ),
 ];
 
 #[test]
 fn an_error_after_status_200_is_found_in_every_form_and_packing() {
     let json = "&http_write_exception_in_output_format=1&default_format=JSONCompact";
     for (tags, form) in [(true, ""), (false, ""), (true, json), (false, json)] {
-        let options = Options { tags, ..Options::default() };
-        let site = Plan { options, ..Plan::of(2) }.start();
+        let options = Options {
+            tags,
+            ..Options::default()
+        };
+        let site = Plan {
+            options,
+            ..Plan::of(2)
+        }
+        .start();
         let addr = site.coordinator.addr;
         for (n, (params, headers, read)) in WAYS.iter().enumerate() {
             let way = format!("tags {tags}, {form}{params} {headers}");
             let target = format!("/?driftfront_class=report{params}{form}");
             // Before rows are out a read is tried once more, and its client sees no error at all.
-            let read_once = format!("SELECT {n} FROM numbers(3) /* standin: late=241 whole first */");
+            let read_once =
+                format!("SELECT {n} FROM numbers(3) /* standin: late=241 whole first */");
             let answer = post(addr, &target, headers, &read_once);
             let rows = String::from_utf8(read(&answer.body)).unwrap();
             assert!(
@@ -169,12 +230,19 @@
             // A load is not: it may have run.
             let load = format!("INSERT INTO o.t{n} SELECT 1 /* standin: error=241 */");
             let as_load = target.replace("driftfront_class=report", "x=1");
-            assert_eq!(code(&post(addr, &as_load, headers, &load)), Some(241), "{way}");
+            assert_eq!(
+                code(&post(addr, &as_load, headers, &load)),
+                Some(241),
+                "{way}"
+            );
             assert_eq!(site.ledger.of(&load).len(), 1, "{way}");
             // Once rows are out the result breaks where its client sees it.
             let long = format!("SELECT wide(40), {n} FROM numbers(100000) /* standin: late=241 */");
             let broken = post(addr, &target, headers, &long);
-            assert!(broken.status == 200 && !broken.whole && !broken.body.is_empty(), "{way}");
+            assert!(
+                broken.status == 200 && !broken.whole && !broken.body.is_empty(),
+                "{way}"
+            );
             assert_eq!(site.ledger.of(&long).len(), 1, "{way}");
         }
         site.ledger.assert_rules(15);
@@ -186,11 +254,15 @@
     let site = Site::start(1);
     for (n, (params, headers, _)) in WAYS.iter().enumerate() {
         let target = format!("/?driftfront_class=report{params}");
-        let long = format!("SELECT wide(40), {n} FROM numbers(100000) /* standin: late=241 whole */");
+        let long =
+            format!("SELECT wide(40), {n} FROM numbers(100000) /* standin: late=241 whole */");
         let broken = post(site.coordinator.addr, &target, headers, &long);
         assert!(broken.status == 200 && !broken.whole, "{params}");
     }
-    assert_eq!(site.coordinator.counter("answers_broken"), WAYS.len() as u64);
+    assert_eq!(
+        site.coordinator.counter("answers_broken"),
+        WAYS.len() as u64
+    );
 }
 
 #[test]
@@ -211,9 +283,16 @@
 #[test]
 fn an_answer_to_another_query_or_a_second_one_is_taken_for_nobody_s() {
     let site = Site::start(2);
-    assert_eq!(site.query("SELECT 5 /* standin: lie first */").text(), "5\n");
+    assert_eq!(
+        site.query("SELECT 5 /* standin: lie first */").text(),
+        "5\n"
+    );
     for n in 0..5 {
-        assert_eq!(site.query(&format!("SELECT {n} /* standin: twice */")).text(), format!("{n}\n"));
+        assert_eq!(
+            site.query(&format!("SELECT {n} /* standin: twice */"))
+                .text(),
+            format!("{n}\n")
+        );
     }
     site.ledger.assert_rules(6);
 }
@@ -221,8 +300,15 @@
 #[test]
 fn a_lost_engine_costs_a_read_another_attempt_and_a_load_a_failure() {
     let site = Site::start(2);
-    assert_eq!(site.query("SELECT 1 /* standin: cut first */").text(), "1\n");
-    assert_eq!(site.query("INSERT INTO o.t VALUES (1) /* standin: cut */").status, 500);
+    assert_eq!(
+        site.query("SELECT 1 /* standin: cut first */").text(),
+        "1\n"
+    );
+    assert_eq!(
+        site.query("INSERT INTO o.t VALUES (1) /* standin: cut */")
+            .status,
+        500
+    );
     // Turned away unseen: a load too may go elsewhere.
     let full = site.query("INSERT INTO o.u VALUES (1) /* standin: full first */");
     assert_eq!((full.status, site.ledger.of("full").len()), (200, 2));
@@ -235,7 +321,9 @@
     for n in 0..4 {
         let answer = site.query(&format!("SELECT nowhere{n}"));
         assert_eq!((answer.status, code(&answer)), (404, Some(47)));
-        assert!(answer.text().contains(&format!("Missing columns: 'nowhere{n}'")));
+        assert!(answer
+            .text()
+            .contains(&format!("Missing columns: 'nowhere{n}'")));
     }
     assert_eq!(site.query("SELECT 1").status, 200);
     assert_eq!(site.ledger.of("nowhere").len(), 4);
@@ -250,9 +338,18 @@
         calls.push(site.begin("/", &format!("INSERT INTO o.keyed VALUES ({n})")));
         site.coordinator.wait_for("requests_taken", n + 1);
     }
-    assert!(calls.iter_mut().all(|stream| read_answer(stream).status == 200));
-    let sent: Vec<String> = site.ledger.of("o.keyed").into_iter().map(|e| e.statement).collect();
-    let order: Vec<String> = (0..6).map(|n| format!("INSERT INTO o.keyed VALUES ({n})")).collect();
+    assert!(calls
+        .iter_mut()
+        .all(|stream| read_answer(stream).status == 200));
+    let sent: Vec<String> = site
+        .ledger
+        .of("o.keyed")
+        .into_iter()
+        .map(|e| e.statement)
+        .collect();
+    let order: Vec<String> = (0..6)
+        .map(|n| format!("INSERT INTO o.keyed VALUES ({n})"))
+        .collect();
     assert_eq!(sent, order);
     site.ledger.assert_rules(6);
 }
@@ -268,7 +365,9 @@
     site.list(&["gone", "draining"]);
     let refused = site.ask("/?max_execution_time=1", "SELECT 'nowhere'");
     assert_eq!((refused.status, code(&refused)), (429, Some(202)));
-    assert!(refused.header("X-Come-Back-Ms").is_some_and(|ms| ms.parse::<u64>().is_ok_and(|ms| ms > 0)));
+    assert!(refused
+        .header("X-Come-Back-Ms")
+        .is_some_and(|ms| ms.parse::<u64>().is_ok_and(|ms| ms > 0)));
     assert!(site.ledger.of("nowhere").is_empty());
 }
 
@@ -277,18 +376,31 @@
     let site = Site::start(3);
     let target = "/?session_id=s1";
     assert_eq!(site.ask(target, "SET max_threads = 3").status, 200);
-    assert_eq!(site.ask(target, "CREATE TEMPORARY TABLE t (a UInt8)").status, 200);
+    assert_eq!(
+        site.ask(target, "CREATE TEMPORARY TABLE t (a UInt8)")
+            .status,
+        200
+    );
     assert_eq!(site.ask(target, "USE uni_4").status, 200);
-    assert_eq!(site.ask(target, "INSERT INTO t FORMAT CSV\n1\n2\n").status, 200);
+    assert_eq!(
+        site.ask(target, "INSERT INTO t FORMAT CSV\n1\n2\n").status,
+        200
+    );
     for n in 0..10 {
-        let seen = site.ask(target, &format!("SELECT getSetting('max_threads'), currentDatabase(), {n}"));
+        let seen = site.ask(
+            target,
+            &format!("SELECT getSetting('max_threads'), currentDatabase(), {n}"),
+        );
         assert_eq!(seen.text(), format!("3\tuni_4\t{n}\n"));
         assert_eq!(site.ask(target, "SELECT count() FROM t").text(), "2\n");
     }
     let home = &site.ledger.of("SET max_threads")[0].engine;
     assert!(site.ledger.of("").iter().all(|e| e.engine == *home));
     // Another user's session of the same id is another session.
-    let other = site.ask("/?session_id=s1&user=eva", "SELECT getSetting('max_threads')");
+    let other = site.ask(
+        "/?session_id=s1&user=eva",
+        "SELECT getSetting('max_threads')",
+    );
     assert_eq!(code(&other), Some(115));
     assert_eq!(site.coordinator.counter("sessions_tied"), 1);
 }
@@ -296,16 +408,36 @@
 #[test]
 fn a_session_s_two_queries_at_once_an_unknown_one_and_an_odd_timeout_are_told() {
     let site = Site::start(2);
-    let mut first = site.begin("/?session_id=s1&driftfront_class=report", "SELECT sleep(1), 'slow'");
+    let mut first = site.begin(
+        "/?session_id=s1&driftfront_class=report",
+        "SELECT sleep(1), 'slow'",
+    );
     site.ledger.wait_for("slow", 1);
     let second = site.ask("/?session_id=s1", "SELECT 2");
     assert_eq!((second.status, code(&second)), (500, Some(373)));
     assert_eq!(read_answer(&mut first).status, 200);
-    assert_eq!(site.ask("/?session_id=s1&session_check=1", "SELECT 3").status, 200);
-    assert_eq!(code(&site.ask("/?session_id=s2&session_check=1", "SELECT 4")), Some(372));
-    assert_eq!(code(&site.ask("/?session_id=s3&session_timeout=9999999", "SELECT 5")), Some(36));
-    assert_eq!(site.ledger.of("SELECT 4").len() + site.ledger.of("SELECT 5").len(), 0);
-    assert_eq!(site.ledger.of("SELECT 2").len(), 0, "what is locked is not passed on");
+    assert_eq!(
+        site.ask("/?session_id=s1&session_check=1", "SELECT 3")
+            .status,
+        200
+    );
+    assert_eq!(
+        code(&site.ask("/?session_id=s2&session_check=1", "SELECT 4")),
+        Some(372)
+    );
+    assert_eq!(
+        code(&site.ask("/?session_id=s3&session_timeout=9999999", "SELECT 5")),
+        Some(36)
+    );
+    assert_eq!(
+        site.ledger.of("SELECT 4").len() + site.ledger.of("SELECT 5").len(),
+        0
+    );
+    assert_eq!(
+        site.ledger.of("SELECT 2").len(),
+        0,
+        "what is locked is not passed on"
+    );
 }
 
 #[test]
@@ -314,56 +446,100 @@
     for n in 0..200 {
         // Each begins on tables of its own, so that nothing draws them all to one engine.
         let begin = format!("SELECT * FROM uni_{n}.nothing");
-        assert_eq!(code(&site.ask(&format!("/?session_id=tied{n}"), &begin)), Some(60));
-        assert_eq!(site.ask(&format!("/?session_id=tied{n}"), "SET max_threads = 1").status, 200);
-        assert_eq!(site.ask(&format!("/?session_id=loose{n}"), "SELECT 1").status, 200);
+        assert_eq!(
+            code(&site.ask(&format!("/?session_id=tied{n}"), &begin)),
+            Some(60)
+        );
+        assert_eq!(
+            site.ask(&format!("/?session_id=tied{n}"), "SET max_threads = 1")
+                .status,
+            200
+        );
+        assert_eq!(
+            site.ask(&format!("/?session_id=loose{n}"), "SELECT 1")
+                .status,
+            200
+        );
     }
-    let tied_to = |e: &str| site.ledger.of("SET max_threads").iter().filter(|x| x.engine == e).count();
+    let tied_to = |e: &str| {
+        site.ledger
+            .of("SET max_threads")
+            .iter()
+            .filter(|x| x.engine == e)
+            .count()
+    };
     let on_first = tied_to("e0");
     assert!(on_first > 0 && on_first < 200, "both engines hold some");
     let busy = "SELECT sleep(1), 'runs on'";
     let busy_on = |n: usize| site.ledger.of("SET max_threads")[n].engine == "e0";
     let n = (0..200).find(|&n| busy_on(n)).unwrap();
-    let mut runs = site.begin(&format!("/?session_id=tied{n}&driftfront_class=report"), busy);
+    let mut runs = site.begin(
+        &format!("/?session_id=tied{n}&driftfront_class=report"),
+        busy,
+    );
     site.ledger.wait_for("runs on", 1);
     site.list(&["draining", "ready"]);
     let last = site.ledger.of("").iter().map(|e| e.begun).max().unwrap();
     let mut lost = 0;
     for n in 0..200 {
-        let tied =
-            site.ask(&format!("/?session_id=tied{n}"), &format!("SELECT getSetting('max_threads'), {n}"));
+        let tied = site.ask(
+            &format!("/?session_id=tied{n}"),
+            &format!("SELECT getSetting('max_threads'), {n}"),
+        );
         match code(&tied) {
             None => assert_eq!(tied.text(), format!("1\t{n}\n")),
             Some(372) => {
-                assert!(tied.text().contains("the engine that held it has left"), "{}", tied.text());
+                assert!(
+                    tied.text().contains("the engine that held it has left"),
+                    "{}",
+                    tied.text()
+                );
                 lost += 1;
             }
             // The one that still runs there.
             Some(373) => lost += 1,
             other => panic!("{other:?}"),
         }
-        assert_eq!(site.ask(&format!("/?session_id=loose{n}"), "SELECT 2").status, 200);
+        assert_eq!(
+            site.ask(&format!("/?session_id=loose{n}"), "SELECT 2")
+                .status,
+            200
+        );
     }
     assert_eq!(lost, on_first);
     // What ran there when the drain was told may end well.
     assert_eq!(read_answer(&mut runs).status, 200);
     let later = site.ledger.of("").into_iter().filter(|e| e.begun > last);
-    assert!(later.into_iter().all(|e| e.engine == "e1"), "something new went to the engine that drains");
+    assert!(
+        later.into_iter().all(|e| e.engine == "e1"),
+        "something new went to the engine that drains"
+    );
 }
 
 #[test]
-fn a_tied_session_whose_engine_restarted_unnoticed_is_told_so_and_runs_nothing_without_its_settings() {
+fn a_tied_session_whose_engine_restarted_unnoticed_is_told_so_and_runs_nothing_without_its_settings(
+) {
     let site = Site::start(1);
-    assert_eq!(site.ask("/?session_id=s", "SET max_threads = 3").status, 200);
+    assert_eq!(
+        site.ask("/?session_id=s", "SET max_threads = 3").status,
+        200
+    );
     site.engines[0].restart();
     let told = site.ask("/?session_id=s", "SELECT 'after'");
-    assert!(code(&told) == Some(372) || told.status == 429, "{}", told.text());
+    assert!(
+        code(&told) == Some(372) || told.status == 429,
+        "{}",
+        told.text()
+    );
 }
 
 #[test]
 fn a_query_that_runs_is_killed_where_it_runs_and_only_there() {
     let site = Site::start(3);
-    let mut victim = site.begin("/?query_id=v1&driftfront_class=report", "SELECT sleep(14), 'victim'");
+    let mut victim = site.begin(
+        "/?query_id=v1&driftfront_class=report",
+        "SELECT sleep(14), 'victim'",
+    );
     site.ledger.wait_for("victim", 1);
     let on = site.ledger.of("victim")[0].engine.clone();
     // Its id is taken meanwhile.
@@ -378,7 +554,14 @@
     assert_eq!(site.ledger.of("victim").len(), 1, "it is not run again");
     // Nobody runs it now: nobody is asked.
     let none = site.query("KILL QUERY WHERE query_id = 'v1'");
-    assert_eq!((none.status, none.text().as_str(), site.ledger.of("KILL").len()), (200, "", 1));
+    assert_eq!(
+        (
+            none.status,
+            none.text().as_str(),
+            site.ledger.of("KILL").len()
+        ),
+        (200, "", 1)
+    );
     assert_eq!(code(&site.query("KILL QUERY WHERE user = 'x'")), Some(48));
 }
 
@@ -390,7 +573,8 @@
     site.ledger.wait_for("between", 1);
     site.list(&["draining"]);
     // Its only attempt dies, and no engine takes another.
-    site.coordinator.wait_for("attempts_ended{outcome=\"reset\"}", 1);
+    site.coordinator
+        .wait_for("attempts_ended{outcome=\"reset\"}", 1);
     let killed = site.query("KILL QUERY WHERE query_id = 'b1'");
     assert_eq!(killed.status, 200);
     let end = read_answer(&mut victim);
@@ -415,7 +599,8 @@
     }
     site.query("KILL QUERY WHERE query_id = 'f1'");
     site.ledger.wait_until("the killed load's end", |e| {
-        e.iter().any(|e| e.statement.contains("forgotten") && e.over.is_some())
+        e.iter()
+            .any(|e| e.statement.contains("forgotten") && e.over.is_some())
     });
     let _ = stream.read(&mut [0]);
 }
@@ -426,17 +611,22 @@
     let stream = site.begin("/?driftfront_class=report", "SELECT sleep(14), 'left'");
     site.ledger.wait_for("left", 1);
     drop(stream);
-    site.ledger.wait_until("the end of what nobody wants", |e| e.iter().any(|e| e.left && e.over.is_some()));
+    site.ledger.wait_until("the end of what nobody wants", |e| {
+        e.iter().any(|e| e.left && e.over.is_some())
+    });
     assert_eq!(site.coordinator.counter("attempts_released"), 1);
     // The engine did nothing wrong: it serves the next at once.
     assert_eq!(site.query("SELECT 2").text(), "2\n");
     // In the middle of a result as well.
-    let mut stream =
-        site.begin("/?driftfront_class=report", "SELECT wide(20), 'half' FROM numbers(100000000)");
+    let mut stream = site.begin(
+        "/?driftfront_class=report",
+        "SELECT wide(20), 'half' FROM numbers(100000000)",
+    );
     assert!(read_some(&mut stream, 100_000) >= 100_000);
     drop(stream);
     site.ledger.wait_until("the end of half a result", |e| {
-        e.iter().any(|e| e.statement.contains("half") && e.over.is_some())
+        e.iter()
+            .any(|e| e.statement.contains("half") && e.over.is_some())
     });
     site.ledger.assert_rules(3);
 }
@@ -461,8 +651,11 @@
             false => format!("Content-Length: {BYTES}"),
         };
         let target = format!("/?query=INSERT+INTO+o.{table}+FORMAT+CSV");
-        write!(stream, "POST {target} HTTP/1.1\r\nHost: t\r\nExpect: 100-continue\r\n{length}\r\n\r\n")
-            .unwrap();
+        write!(
+            stream,
+            "POST {target} HTTP/1.1\r\nHost: t\r\nExpect: 100-continue\r\n{length}\r\n\r\n"
+        )
+        .unwrap();
         let mut go_on = [0; 25];
         stream.read_exact(&mut go_on).unwrap();
         assert_eq!(&go_on, b"HTTP/1.1 100 Continue\r\n\r\n");
@@ -475,7 +668,10 @@
         }
         assert_eq!(read_answer(&mut stream).status, 200);
         let seen = site.engines[0].table(&format!("o.{table}"));
-        assert_eq!((seen.bytes, seen.hash, seen.rows), (BYTES as u64, hash, BYTES as u64 / 16));
+        assert_eq!(
+            (seen.bytes, seen.hash, seen.rows),
+            (BYTES as u64, hash, BYTES as u64 / 16)
+        );
         // The connection goes on behind it.
         write!(stream, "GET /?query=SELECT+7 HTTP/1.1\r\nHost: t\r\n\r\n").unwrap();
         assert_eq!(read_answer(&mut stream).text(), "7\n");
@@ -488,7 +684,11 @@
 fn half_an_insert(site: &Site, table: &str, fault: &str) -> TcpStream {
     let mut stream = TcpStream::connect(site.coordinator.addr).unwrap();
     let target = format!("/?query=INSERT+INTO+o.{table}+FORMAT+CSV+/*+standin:+{fault}+*/");
-    write!(stream, "POST {target} HTTP/1.1\r\nHost: t\r\nTransfer-Encoding: chunked\r\n\r\n").unwrap();
+    write!(
+        stream,
+        "POST {target} HTTP/1.1\r\nHost: t\r\nTransfer-Encoding: chunked\r\n\r\n"
+    )
+    .unwrap();
     for piece in body_of(8 * 1024 * 1024).0 {
         if stream.write_all(&chunk(&piece)).is_err() {
             break;
@@ -515,11 +715,14 @@
     assert_eq!(read_answer(&mut nonsense).status, 400);
     for table in ["errs", "dies", "leaves", "nonsense"] {
         let runs = |e: &[standins::ledger::Entry]| {
-            e.iter().filter(|e| e.statement.contains(&format!("o.{table}"))).count()
+            e.iter()
+                .filter(|e| e.statement.contains(&format!("o.{table}")))
+                .count()
         };
         site.ledger.wait_until(table, |e| runs(e) == 1);
     }
-    site.ledger.wait_until("the end of all", |e| e.iter().all(|e| e.over.is_some()));
+    site.ledger
+        .wait_until("the end of all", |e| e.iter().all(|e| e.over.is_some()));
     assert_eq!(site.query("SELECT 1").status, 200);
     site.ledger.assert_rules(5);
 }
@@ -528,7 +731,9 @@
 fn an_insert_that_is_kept_goes_elsewhere_when_it_was_turned_away() {
     let site = Site::start(2);
     let rows = "1,2\n".repeat(100_000);
-    let answer = site.query(&format!("INSERT INTO o.kept /* standin: full first */ FORMAT CSV\n{rows}"));
+    let answer = site.query(&format!(
+        "INSERT INTO o.kept /* standin: full first */ FORMAT CSV\n{rows}"
+    ));
     assert_eq!((answer.status, site.ledger.of("o.kept").len()), (200, 2));
     let rows: u64 = site.engines.iter().map(|e| e.table("o.kept").rows).sum();
     assert_eq!(rows, 100_000);
@@ -544,8 +749,14 @@
     let plan = || {
         Plan::of(2)
             .with("{\"Name\": \"member-load\"", keyed)
-            .with("\"WidthByClass\": [1, 2, 2]", "\"WidthByClass\": [1, 2, 2, 2]")
-            .with("\"Loads\": [false, false, true]", "\"Loads\": [false, false, true, true]")
+            .with(
+                "\"WidthByClass\": [1, 2, 2]",
+                "\"WidthByClass\": [1, 2, 2, 2]",
+            )
+            .with(
+                "\"Loads\": [false, false, true]",
+                "\"Loads\": [false, false, true, true]",
+            )
             .with(
                 "\"BlockedByLoads\": [false, false, false]",
                 "\"BlockedByLoads\": [false, false, false, false]",
@@ -554,21 +765,43 @@
     let target = "/?insert_deduplication_token=batch-7";
     let insert = "INSERT INTO o.t VALUES (1) /* standin: cut first */";
     let honoured = plan()
-        .with("\"write\": \"member-load\"", "\"write\": \"member-load\", \"deduplicated\": \"deduplicated\"")
+        .with(
+            "\"write\": \"member-load\"",
+            "\"write\": \"member-load\", \"deduplicated\": \"deduplicated\"",
+        )
         .start();
-    assert_eq!((honoured.ask(target, insert).status, honoured.ledger.of("INSERT").len()), (200, 2));
+    assert_eq!(
+        (
+            honoured.ask(target, insert).status,
+            honoured.ledger.of("INSERT").len()
+        ),
+        (200, 2)
+    );
     let plain = plan().start();
-    assert_eq!((plain.ask(target, insert).status, plain.ledger.of("INSERT").len()), (500, 1));
+    assert_eq!(
+        (
+            plain.ask(target, insert).status,
+            plain.ledger.of("INSERT").len()
+        ),
+        (500, 1)
+    );
 }
 
 #[test]
 fn progress_is_asked_for_and_told_only_to_who_wants_it() {
-    let site = Plan::of(1).with("\"TellsEveryUs\": 1000000", "\"TellsEveryUs\": 100000").start();
+    let site = Plan::of(1)
+        .with("\"TellsEveryUs\": 1000000", "\"TellsEveryUs\": 100000")
+        .start();
     let query = "SELECT 1 /* standin: sleep_ms=600 */";
     let quiet = site.ask("/?driftfront_class=report", query);
     assert!(quiet.status == 200 && quiet.header("X-ClickHouse-Progress").is_none());
-    let told = site.ask("/?driftfront_class=report&send_progress_in_http_headers=1", query);
-    assert!(told.header("X-ClickHouse-Progress").is_some_and(|p| p.contains("total_rows_to_read")));
+    let told = site.ask(
+        "/?driftfront_class=report&send_progress_in_http_headers=1",
+        query,
+    );
+    assert!(told
+        .header("X-ClickHouse-Progress")
+        .is_some_and(|p| p.contains("total_rows_to_read")));
     assert!(told.header("X-ClickHouse-Summary").is_some());
     assert_eq!(told.text(), "1\n");
 }
@@ -578,11 +811,19 @@
     let site = Site::start(1);
     let mut stream = TcpStream::connect(site.coordinator.addr).unwrap();
     let query = "SELECT wide(20) FROM numbers(100000) /* standin: cut_after=1000000 */";
-    write!(stream, "POST / HTTP/1.0\r\nContent-Length: {}\r\n\r\n{query}", query.len()).unwrap();
+    write!(
+        stream,
+        "POST / HTTP/1.0\r\nContent-Length: {}\r\n\r\n{query}",
+        query.len()
+    )
+    .unwrap();
     let mut bytes = Vec::new();
     let end = stream.read_to_end(&mut bytes);
     assert!(end.is_err_and(|e| e.kind() == std::io::ErrorKind::ConnectionReset));
-    let whole = call(site.coordinator.addr, b"POST / HTTP/1.0\r\nContent-Length: 8\r\n\r\nSELECT 1");
+    let whole = call(
+        site.coordinator.addr,
+        b"POST / HTTP/1.0\r\nContent-Length: 8\r\n\r\nSELECT 1",
+    );
     assert_eq!((whole.whole, whole.text().as_str()), (true, "1\n"));
 }
 
@@ -591,7 +832,10 @@
     let site = Plan::of(10).memory_mb(48).start();
     let slow: Vec<TcpStream> = (0..60)
         .map(|n| {
-            site.begin("/?driftfront_class=report", &format!("SELECT wide(20), {n} FROM numbers(400000)"))
+            site.begin(
+                "/?driftfront_class=report",
+                &format!("SELECT wide(20), {n} FROM numbers(400000)"),
+            )
         })
         .collect();
     site.coordinator.wait_for("results_paused", 50);
@@ -601,7 +845,8 @@
     }
     assert!(site.memory_mb() < 48, "{} MB", site.memory_mb());
     drop(slow);
-    site.ledger.wait_until("the end of all", |e| e.iter().all(|e| e.over.is_some()));
+    site.ledger
+        .wait_until("the end of all", |e| e.iter().all(|e| e.over.is_some()));
 }
 
 #[test]
@@ -609,17 +854,35 @@
     let site = Site::start(1);
     let addr = site.coordinator.addr;
     assert_eq!(get(addr, "/other").status, 404);
-    assert_eq!(call(addr, b"PUT / HTTP/1.1\r\nContent-Length: 0\r\n\r\n").status, 405);
-    assert_eq!(post(addr, "/", "X-Driftfront-Class: none\r\n", "SELECT 1").status, 404);
+    assert_eq!(
+        call(addr, b"PUT / HTTP/1.1\r\nContent-Length: 0\r\n\r\n").status,
+        405
+    );
+    assert_eq!(
+        post(addr, "/", "X-Driftfront-Class: none\r\n", "SELECT 1").status,
+        404
+    );
     assert_eq!(code(&post(addr, "/", "", " ")), Some(62));
     assert_eq!(code(&get(addr, "/?query=DROP+TABLE+t")), Some(164));
     let mut bad = pack(Method::Lz4, b"INSERT INTO o.t VALUES (1)");
     bad[20] ^= 1;
-    let head = format!("POST /?decompress=1 HTTP/1.1\r\nContent-Length: {}\r\n\r\n", bad.len());
-    assert_eq!(code(&call(addr, &[head.as_bytes(), &bad].concat())), Some(271));
+    let head = format!(
+        "POST /?decompress=1 HTTP/1.1\r\nContent-Length: {}\r\n\r\n",
+        bad.len()
+    );
+    assert_eq!(
+        code(&call(addr, &[head.as_bytes(), &bad].concat())),
+        Some(271)
+    );
     let form = "Content-Type: multipart/form-data; boundary=b\r\n";
-    assert_eq!(code(&post(addr, "/?query=SELECT+1", form, "--b\r\nnonsense")), Some(36));
-    assert_eq!(code(&post(addr, "/", "Content-Encoding: snappy\r\n", "x")), Some(48));
+    assert_eq!(
+        code(&post(addr, "/?query=SELECT+1", form, "--b\r\nnonsense")),
+        Some(36)
+    );
+    assert_eq!(
+        code(&post(addr, "/", "Content-Encoding: snappy\r\n", "x")),
+        Some(48)
+    );
     let odd = call(addr, b"nonsense\r\n\r\n");
     assert_eq!((odd.status, code(&odd)), (400, Some(36)));
     let long = format!("GET / HTTP/1.1\r\nX: {}\r\n\r\n", "x".repeat(300_000));
@@ -635,20 +898,34 @@
 fn a_ban_and_a_pause_let_a_session_s_result_and_a_streamed_insert_come_to_their_ends() {
     let second = "\"name\": \"appliance\", \"management\": \"127.0.0.1:0\"";
     let site = Plan::of(1).with("\"name\": \"appliance\"", second).start();
-    assert_eq!(site.ask("/?session_id=s", "CREATE TEMPORARY TABLE t (n Int)").status, 200);
+    assert_eq!(
+        site.ask("/?session_id=s", "CREATE TEMPORARY TABLE t (n Int)")
+            .status,
+        200
+    );
     let mut insert = half_an_insert(&site, "half", "none");
-    let mut result =
-        site.begin("/?session_id=s&driftfront_class=report", "SELECT wide(20), 1 FROM numbers(400000)");
+    let mut result = site.begin(
+        "/?session_id=s&driftfront_class=report",
+        "SELECT wide(20), 1 FROM numbers(400000)",
+    );
     site.coordinator.wait_for("results_paused", 1);
     site.ledger.wait_for("o.half", 1);
     assert!(site.coordinator.manage("SUSPEND e0\n").starts_with("OK"));
     assert!(site.coordinator.manage("PAUSE\n").starts_with("OK"));
     let refused = site.query("SELECT 1");
-    assert_eq!((refused.status, refused.header("Connection")), (429, Some("close")));
+    assert_eq!(
+        (refused.status, refused.header("Connection")),
+        (429, Some("close"))
+    );
     // What is out ends whole, and its connection behind it.
     insert.write_all(b"0\r\n\r\n").unwrap();
     let told = read_answer(&mut insert);
-    assert_eq!((told.status, told.header("Connection")), (200, Some("close")), "{}", told.text());
+    assert_eq!(
+        (told.status, told.header("Connection")),
+        (200, Some("close")),
+        "{}",
+        told.text()
+    );
     let rows = read_answer(&mut result);
     assert!(rows.whole && rows.text().lines().count() == 400_000);
     for mut stream in [insert, result] {
@@ -676,8 +953,14 @@
 
 #[test]
 fn out_of_descriptors_idle_clients_make_room_and_the_rest_is_served() {
-    let site = Plan { descriptors: 30, ..Plan::of(1) }.start();
-    let idle: Vec<TcpStream> = (0..60).map(|_| TcpStream::connect(site.coordinator.addr).unwrap()).collect();
+    let site = Plan {
+        descriptors: 30,
+        ..Plan::of(1)
+    }
+    .start();
+    let idle: Vec<TcpStream> = (0..60)
+        .map(|_| TcpStream::connect(site.coordinator.addr).unwrap())
+        .collect();
     for n in 0..5 {
         assert_eq!(site.query(&format!("SELECT {n}")).status, 200);
     }
@@ -704,14 +987,20 @@
                     let value = STANDARD.encode(instance("e0", engine, "ready"));
                     let kvs = format!("[{{\"key\":\"{key}\",\"value\":\"{value}\"}}]");
                     let body = format!("{{\"header\":{{\"revision\":\"5\"}},\"kvs\":{kvs}}}");
-                    write!(stream, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
-                        .unwrap();
+                    write!(
+                        stream,
+                        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+                        body.len()
+                    )
+                    .unwrap();
                     continue;
                 }
                 assert_eq!(request.target, "/v3/watch");
                 let _ = tell.lock().unwrap().recv();
                 let kv = format!("{{\"key\":\"{key}\",\"mod_revision\":\"6\"}}");
-                let event = format!("{{\"result\":{{\"events\":[{{\"type\":\"DELETE\",\"kv\":{kv}}}]}}}}\n");
+                let event = format!(
+                    "{{\"result\":{{\"events\":[{{\"type\":\"DELETE\",\"kv\":{kv}}}]}}}}\n"
+                );
                 write!(
                     stream,
                     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{}",
@@ -727,14 +1016,29 @@
     });
     let config = appliance()
         .replace("127.0.0.1:8123", "127.0.0.1:0")
-        .replace("\"file\": \"deploy/engines.json\"", &format!("\"etcd\":\"{etcd}\",\"prefix\":\"/uni/\""));
+        .replace(
+            "\"file\": \"deploy/engines.json\"",
+            &format!("\"etcd\":\"{etcd}\",\"prefix\":\"/uni/\""),
+        );
     let coordinator = Coordinator::start(&config);
     coordinator.wait_until_ready();
     assert_eq!(post(coordinator.addr, "/", "", "SELECT 1").status, 200);
     told.send(()).unwrap();
     coordinator.wait_for("lists_taken", 3);
-    assert_eq!(post(coordinator.addr, "/?max_execution_time=1", "", "SELECT 'gone'").status, 429);
-    assert_eq!((ledger.of("SELECT 1").len(), ledger.of("gone").len()), (1, 0));
+    assert_eq!(
+        post(
+            coordinator.addr,
+            "/?max_execution_time=1",
+            "",
+            "SELECT 'gone'"
+        )
+        .status,
+        429
+    );
+    assert_eq!(
+        (ledger.of("SELECT 1").len(), ledger.of("gone").len()),
+        (1, 0)
+    );
 }
 
 #[test]
@@ -754,15 +1058,27 @@
     assert!(run(&["version"]).0 && run(&["--help"]).0);
     for (config, word) in [
         ("{", "JSON"),
-        ("{\"listen\":\"127.0.0.1:0\",\"settings\":{\"Zone\":0}}", "settings: Profiles"),
+        (
+            "{\"listen\":\"127.0.0.1:0\",\"settings\":{\"Zone\":0}}",
+            "settings: Profiles",
+        ),
         ("{\"listen\":\"here\",\"settings\":{}}", "listen"),
-        (&appliance().replace("\"clickhouse\",", "\"other\","), "front: unknown: other"),
-        (&appliance().replace("\"write\": \"member-load\"", "\"write\": \"x\""), "clickhouse.write"),
+        (
+            &appliance().replace("\"clickhouse\",", "\"other\","),
+            "front: unknown: other",
+        ),
+        (
+            &appliance().replace("\"write\": \"member-load\"", "\"write\": \"x\""),
+            "clickhouse.write",
+        ),
     ] {
         let path = file(config);
         for command in ["check", "serve"] {
             let (fine, text) = run(&[command, "--config", &path.display().to_string()]);
-            assert!(!fine && text.contains(word) && !text.contains("panic"), "{text}");
+            assert!(
+                !fine && text.contains(word) && !text.contains("panic"),
+                "{text}"
+            );
         }
         std::fs::remove_file(path).unwrap();
     }
--- a/crates/node/tests/clocks/main.rs
+++ b/crates/node/tests/clocks/main.rs
@@ -20,15 +20,27 @@
 /// A site whose coordinator lives by a wall clock of its own. `window`: of the retry budget.
 fn site(engines: usize, free: f64, window: Duration) -> (Site, WallClock, Budget) {
     let clock = WallClock::new(Path::new(env!("CARGO_BIN_EXE_driftfront")));
-    let budget = Budget { free, ratio: 0.1, window };
-    let site = Site::with(engines, |config| Coordinator::under(&with_budget(&config, &budget), &clock));
+    let budget = Budget {
+        free,
+        ratio: 0.1,
+        window,
+    };
+    let site = Site::with(engines, |config| {
+        Coordinator::under(&with_budget(&config, &budget), &clock)
+    });
     (site, clock, budget)
 }
 
 fn with_budget(config: &str, budget: &Budget) -> String {
     config
-        .replace("\"MinExtra\": 5.0", &format!("\"MinExtra\": {}", budget.free))
-        .replace("\"ExtraWindowUs\": 10000000", &format!("\"ExtraWindowUs\": {}", budget.window.as_micros()))
+        .replace(
+            "\"MinExtra\": 5.0",
+            &format!("\"MinExtra\": {}", budget.free),
+        )
+        .replace(
+            "\"ExtraWindowUs\": 10000000",
+            &format!("\"ExtraWindowUs\": {}", budget.window.as_micros()),
+        )
 }
 
 /// Hands in a request and waits for its answer; when it was handed in.
--- a/crates/node/tests/clocks/spans.rs
+++ b/crates/node/tests/clocks/spans.rs
@@ -34,7 +34,11 @@
     site.ledger.wait_for("SELECT silent", 1);
     clock.set(-HOUR);
     // Its time, the slack of the rules, and what a busy machine takes.
-    assert!(answers_within(&mut hangs, Duration::from_millis(3000)), "{}", site.coordinator.log());
+    assert!(
+        answers_within(&mut hangs, Duration::from_millis(3000)),
+        "{}",
+        site.coordinator.log()
+    );
 }
 
 #[test]
@@ -46,9 +50,16 @@
         clock.set(step);
         site.coordinator.wait_for("wall_clock_steps", 1);
         // Far longer than the sweep that would end it, far shorter than any time-out that is due.
-        assert!(!answers_within(&mut runs, Duration::from_millis(400)), "step {step}");
+        assert!(
+            !answers_within(&mut runs, Duration::from_millis(400)),
+            "step {step}"
+        );
         assert_eq!(site.ledger.of("SELECT silent").len(), 1, "step {step}");
-        assert_eq!(site.list.asked.lock().expect("the list's calls").len(), 1, "step {step}");
+        assert_eq!(
+            site.list.asked.lock().expect("the list's calls").len(),
+            1,
+            "step {step}"
+        );
     }
 }
 
@@ -62,10 +73,16 @@
         site.coordinator.terminate();
         clock.set(step);
         // The platform kills 3.7 s behind its signal, and the answer goes out before that; not at once, though.
-        assert!(answers_within(&mut hangs, Duration::from_secs(6)), "step {step}");
+        assert!(
+            answers_within(&mut hangs, Duration::from_secs(6)),
+            "step {step}"
+        );
         let answered = begin.elapsed();
         drop(hangs);
         assert!(site.coordinator.wait().success());
-        assert!(answered > Duration::from_secs(2), "step {step}: answered after {answered:?}");
+        assert!(
+            answered > Duration::from_secs(2),
+            "step {step}: answered after {answered:?}"
+        );
     }
 }
--- a/crates/node/tests/common/lines.rs
+++ b/crates/node/tests/common/lines.rs
@@ -39,16 +39,26 @@
         let words: Vec<&str> = line.trim_end().split(' ').collect();
         let answer = match words[..] {
             ["STAT", tag] => format!("{tag} PONG gauges=inflight:1;queue:0;x0:0.1 0\r\n\r\n"),
-            ["FETCH", id, n] => match pages.get(id).and_then(|p| p.get(n.parse::<usize>().unwrap())) {
+            ["FETCH", id, n] => match pages
+                .get(id)
+                .and_then(|p| p.get(n.parse::<usize>().unwrap()))
+            {
                 Some(page) => format!("{id} PART fetch_no={n} {}\r\n{page}\r\n", page.len()),
                 None => format!("{id} FAULT - 0\r\n\r\n"),
             },
             ["END" | "STOP", _] => String::new(),
             ["REQ", id, fields, length] => {
-                assert!(fields.starts_with("kind=") && fields.contains(",ms="), "{fields}");
+                assert!(
+                    fields.starts_with("kind=") && fields.contains(",ms="),
+                    "{fields}"
+                );
                 let statement = read_statement(&mut input, length);
-                let entry =
-                    ledger.begin(&engine.to_string(), &ledger.of("").len().to_string(), &statement, None);
+                let entry = ledger.begin(
+                    &engine.to_string(),
+                    &ledger.of("").len().to_string(),
+                    &statement,
+                    None,
+                );
                 let first = ledger.of(&statement).len() == 1;
                 let is = |word: &str| statement.contains(word);
                 if is("silent") || is("mute") && first {
@@ -74,7 +84,8 @@
                 } else if is("nonsense") && first {
                     "what is this\r\n".into()
                 } else if is("pages") {
-                    let all: Vec<String> = (0..8).map(|n| format!("{n}\ta\tb\n").repeat(900)).collect();
+                    let all: Vec<String> =
+                        (0..8).map(|n| format!("{n}\ta\tb\n").repeat(900)).collect();
                     let (page, size) = (all[0].clone(), all[0].len());
                     // The first attempt's engine dies with its pages.
                     if is("lost") && first {
@@ -115,14 +126,21 @@
         let (held, heads) = (events.clone(), asked.clone());
         let addr = stand_in(move |mut stream| {
             let mut input = BufReader::new(stream.try_clone().unwrap());
-            let Some(head) = read_head(&mut input) else { return };
-            let last = head.lines().find_map(|l| l.strip_prefix("Last-Event-ID: ")).unwrap().to_string();
+            let Some(head) = read_head(&mut input) else {
+                return;
+            };
+            let last = head
+                .lines()
+                .find_map(|l| l.strip_prefix("Last-Event-ID: "))
+                .unwrap()
+                .to_string();
             let mut told: usize = last.parse().unwrap();
             heads.lock().unwrap().push(last);
             let (wake, woken) = channel();
             held.lock().unwrap().1.push(wake);
-            let _ =
-                stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n: hello\n\n");
+            let _ = stream.write_all(
+                b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n: hello\n\n",
+            );
             loop {
                 let new: Vec<String> = held.lock().unwrap().0.iter().skip(told).cloned().collect();
                 for event in new {
@@ -139,7 +157,11 @@
                 }
             }
         });
-        List { addr, events, asked }
+        List {
+            addr,
+            events,
+            asked,
+        }
     }
 
     pub fn tell(&self, instances: &[String], more: &str) {
@@ -155,7 +177,8 @@
 /// The list's lines on these engines, e0 and on.
 pub fn instances(engines: &[SocketAddr], phases: &[&str]) -> Vec<String> {
     let each = engines.iter().zip(phases).enumerate();
-    each.map(|(n, (addr, phase))| instance(&format!("e{n}"), *addr, phase)).collect()
+    each.map(|(n, (addr, phase))| instance(&format!("e{n}"), *addr, phase))
+        .collect()
 }
 
 /// An event that tells these engines' lines, and more if that is not empty.
@@ -186,7 +209,10 @@
 pub fn config(list: SocketAddr) -> String {
     appliance()
         .replace("127.0.0.1:8123", "127.0.0.1:0")
-        .replace("\"front\": \"clickhouse\"", &format!("\"coordinator\": \"{list}\""))
+        .replace(
+            "\"front\": \"clickhouse\"",
+            &format!("\"coordinator\": \"{list}\""),
+        )
         .replace("\"membership\"", "\"unknown\"")
 }
 
@@ -213,7 +239,12 @@
         start: impl FnOnce(String) -> Coordinator,
     ) -> Site {
         let list = List::start();
-        let site = Site { ledger, coordinator: start(config(list.addr)), list, engines };
+        let site = Site {
+            ledger,
+            coordinator: start(config(list.addr)),
+            list,
+            engines,
+        };
         site.tell(&vec!["ready"; site.engines.len()], "");
         site.coordinator.wait_until_ready();
         site
@@ -225,8 +256,14 @@
 
     pub fn ask(&self, class: &str, patience: u32, statement: &str) -> Answer {
         let id = driftfront::net::hash(statement.as_bytes());
-        let headers =
-            format!("X-Call-Id: {id:016x}\r\nX-Patience-Ms: {patience}\r\nX-Entity: 000000000000000a\r\n");
-        post(self.coordinator.addr, &format!("/ops/{class}"), &headers, statement)
+        let headers = format!(
+            "X-Call-Id: {id:016x}\r\nX-Patience-Ms: {patience}\r\nX-Entity: 000000000000000a\r\n"
+        );
+        post(
+            self.coordinator.addr,
+            &format!("/ops/{class}"),
+            &headers,
+            statement,
+        )
     }
 }
--- a/crates/node/tests/common/mod.rs
+++ b/crates/node/tests/common/mod.rs
@@ -28,7 +28,8 @@
 /// A file of this test's own.
 pub fn file(text: &str) -> PathBuf {
     let n = FILES.fetch_add(1, Ordering::Relaxed);
-    let path = std::env::temp_dir().join(format!("driftfront-test-{}-{n}.json", std::process::id()));
+    let path =
+        std::env::temp_dir().join(format!("driftfront-test-{}-{n}.json", std::process::id()));
     std::fs::write(&path, text).expect("a temporary file");
     path
 }
@@ -60,14 +61,27 @@
     /// One that lives by this wall clock.
     pub fn under(config: &str, clock: &WallClock) -> Coordinator {
         let shell = "exec \"$0\" serve --config \"$1\" --log \"$DRIFTFRONT_LOG_LEVEL\"";
-        Coordinator::spawn(config, clock.give_to(Command::new("sh").args(["-c", shell])))
+        Coordinator::spawn(
+            config,
+            clock.give_to(Command::new("sh").args(["-c", shell])),
+        )
     }
 
     /// One that is started with this socket as descriptor 4, and told so in these words; `tmp` is its `$TMPDIR`.
-    pub fn inheriting(config: &str, socket: std::os::fd::OwnedFd, told: &str, tmp: &Path) -> Coordinator {
-        let shell = "exec 4<&0 0</dev/null \"$0\" serve --config \"$1\" --log \"$DRIFTFRONT_LOG_LEVEL\"";
+    pub fn inheriting(
+        config: &str,
+        socket: std::os::fd::OwnedFd,
+        told: &str,
+        tmp: &Path,
+    ) -> Coordinator {
+        let shell =
+            "exec 4<&0 0</dev/null \"$0\" serve --config \"$1\" --log \"$DRIFTFRONT_LOG_LEVEL\"";
         let mut command = Command::new("sh");
-        command.args(["-c", shell]).stdin(socket).env("LB_PASSED_SOCKET", told).env("TMPDIR", tmp);
+        command
+            .args(["-c", shell])
+            .stdin(socket)
+            .env("LB_PASSED_SOCKET", told)
+            .env("TMPDIR", tmp);
         Coordinator::spawn(config, &mut command)
     }
 
@@ -75,16 +89,29 @@
         let path = file(config);
         let level = std::env::var("DRIFTFRONT_TEST_LOG").unwrap_or("info".into());
         let program = command.arg(env!("CARGO_BIN_EXE_driftfront")).arg(&path);
-        let command = program.env("DRIFTFRONT_LOG_LEVEL", level).stderr(Stdio::piped());
+        let command = program
+            .env("DRIFTFRONT_LOG_LEVEL", level)
+            .stderr(Stdio::piped());
         let mut child = command.spawn().expect("the program starts");
         let mut log = BufReader::new(child.stderr.take().expect("piped"));
         let mut line = String::new();
         while !line.contains("listen=") {
             line.clear();
-            assert!(log.read_line(&mut line).expect("a log") > 0, "the program ended");
+            assert!(
+                log.read_line(&mut line).expect("a log") > 0,
+                "the program ended"
+            );
         }
-        let addr = line.trim().rsplit("listen=").next().and_then(|a| a.parse().ok()).expect("an address");
-        let management = line.split("management=").nth(1).and_then(|l| l.split(' ').next()?.parse().ok());
+        let addr = line
+            .trim()
+            .rsplit("listen=")
+            .next()
+            .and_then(|a| a.parse().ok())
+            .expect("an address");
+        let management = line
+            .split("management=")
+            .nth(1)
+            .and_then(|l| l.split(' ').next()?.parse().ok());
         let lines = Arc::new(Mutex::new(String::new()));
         let kept = lines.clone();
         std::thread::spawn(move || {
@@ -94,14 +121,26 @@
                 line.clear();
             }
         });
-        Coordinator { child, addr, management, files: vec![path], log: lines }
+        Coordinator {
+            child,
+            addr,
+            management,
+            files: vec![path],
+            log: lines,
+        }
     }
 
     /// One of the counters, by name.
     pub fn counter(&self, name: &str) -> u64 {
         let text = get(self.addr, "/counters").text();
-        let line = text.lines().find(|l| l.split(' ').next() == Some(name)).expect("a counter of this name");
-        line.rsplit(' ').next().and_then(|n| n.parse().ok()).expect("a count")
+        let line = text
+            .lines()
+            .find(|l| l.split(' ').next() == Some(name))
+            .expect("a counter of this name");
+        line.rsplit(' ')
+            .next()
+            .and_then(|n| n.parse().ok())
+            .expect("a count")
     }
 
     /// Asks again and again until a counter has come this far.
@@ -123,7 +162,8 @@
 
     /// The reply to one call at its second address.
     pub fn manage(&self, line: &str) -> String {
-        let mut stream = TcpStream::connect(self.management.expect("a second address")).expect("it listens");
+        let mut stream =
+            TcpStream::connect(self.management.expect("a second address")).expect("it listens");
         stream.set_read_timeout(Some(FOR_EVER)).expect("a timeout");
         stream.write_all(line.as_bytes()).expect("it reads");
         let mut reply = String::new();
@@ -164,7 +204,10 @@
         // The signal is sent, not yet taken: the state says when.
         let begin = std::time::Instant::now();
         let stat = format!("/proc/{}/stat", self.child.id());
-        while !std::fs::read_to_string(&stat).expect("its state").contains(") T ") {
+        while !std::fs::read_to_string(&stat)
+            .expect("its state")
+            .contains(") T ")
+        {
             assert!(begin.elapsed() < FOR_EVER, "it never stood still");
             std::thread::yield_now();
         }
@@ -175,16 +218,26 @@
     }
 
     fn signal(&self, name: &str) {
-        let status = Command::new("kill").args([name, &self.child.id().to_string()]).status().expect("kill");
+        let status = Command::new("kill")
+            .args([name, &self.child.id().to_string()])
+            .status()
+            .expect("kill");
         assert!(status.success());
     }
 
     /// Most memory that it ever held, in MB.
     pub fn memory_mb(&self) -> u64 {
-        let status =
-            std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).expect("its figures");
-        let line = status.lines().find(|l| l.starts_with("VmHWM")).expect("a figure of this name");
-        line.split_whitespace().nth(1).and_then(|kb| kb.parse::<u64>().ok()).expect("kilobytes") / 1024
+        let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id()))
+            .expect("its figures");
+        let line = status
+            .lines()
+            .find(|l| l.starts_with("VmHWM"))
+            .expect("a figure of this name");
+        line.split_whitespace()
+            .nth(1)
+            .and_then(|kb| kb.parse::<u64>().ok())
+            .expect("kilobytes")
+            / 1024
     }
 
     pub fn wait(&mut self) -> ExitStatus {
@@ -197,7 +250,11 @@
         let _ = self.child.kill();
         let _ = self.child.wait();
         if std::thread::panicking() {
-            eprintln!("the coordinator at {} said:\n{}", self.addr, self.log.lock().expect("the log"));
+            eprintln!(
+                "the coordinator at {} said:\n{}",
+                self.addr,
+                self.log.lock().expect("the log")
+            );
         }
         for path in &self.files {
             let _ = std::fs::remove_file(path);
@@ -232,12 +289,19 @@
 /// Reads the next of several answers off a connection.
 pub fn read_next(stream: &mut TcpStream, reader: &mut ResponseReader) -> Answer {
     stream.set_read_timeout(Some(FOR_EVER)).expect("a timeout");
-    let mut answer = Answer { status: 0, headers: Vec::new(), body: Vec::new(), whole: false };
+    let mut answer = Answer {
+        status: 0,
+        headers: Vec::new(),
+        body: Vec::new(),
+        whole: false,
+    };
     let mut chunk = [0; 4096];
     loop {
         while let Some(part) = reader.next_part().expect("HTTP") {
             match part {
-                ResponsePart::Head(head) => (answer.status, answer.headers) = (head.status, head.headers),
+                ResponsePart::Head(head) => {
+                    (answer.status, answer.headers) = (head.status, head.headers)
+                }
                 ResponsePart::Early(_) => {}
                 ResponsePart::Body(bytes) => answer.body.extend(bytes),
                 ResponsePart::End => {
@@ -264,15 +328,20 @@
 }
 
 pub fn get(addr: SocketAddr, target: &str) -> Answer {
-    call(addr, format!("GET {target} HTTP/1.1\r\nHost: t\r\n\r\n").as_bytes())
+    call(
+        addr,
+        format!("GET {target} HTTP/1.1\r\nHost: t\r\n\r\n").as_bytes(),
+    )
 }
 
 pub fn post(addr: SocketAddr, target: &str, headers: &str, body: &str) -> Answer {
     let length = body.len();
     call(
         addr,
-        format!("POST {target} HTTP/1.1\r\nHost: t\r\n{headers}Content-Length: {length}\r\n\r\n{body}")
-            .as_bytes(),
+        format!(
+            "POST {target} HTTP/1.1\r\nHost: t\r\n{headers}Content-Length: {length}\r\n\r\n{body}"
+        )
+        .as_bytes(),
     )
 }
 
--- a/crates/node/tests/common/site.rs
+++ b/crates/node/tests/common/site.rs
@@ -27,7 +27,12 @@
 
 impl Plan {
     pub fn of(engines: usize) -> Plan {
-        Plan { engines, descriptors: 1024, options: Options::default(), changes: Vec::new() }
+        Plan {
+            engines,
+            descriptors: 1024,
+            options: Options::default(),
+            changes: Vec::new(),
+        }
     }
     pub fn with(mut self, from: &str, to: &str) -> Plan {
         self.changes.push((from.into(), to.into()));
@@ -35,15 +40,28 @@
     }
     /// A result that stands still is given up after so long.
     pub fn stall_ms(self, ms: u64) -> Plan {
-        self.with("\"write\": \"member-load\"", &format!("\"write\": \"member-load\", \"stall_ms\": {ms}"))
+        self.with(
+            "\"write\": \"member-load\"",
+            &format!("\"write\": \"member-load\", \"stall_ms\": {ms}"),
+        )
     }
     pub fn memory_mb(self, mb: u64) -> Plan {
-        self.with("\"sockets\": 1024", &format!("\"sockets\": 1024, \"memory_mb\": {mb}"))
+        self.with(
+            "\"sockets\": 1024",
+            &format!("\"sockets\": 1024, \"memory_mb\": {mb}"),
+        )
     }
     pub fn start(self) -> Site {
         let ledger = Arc::new(Ledger::default());
-        let engine =
-            |n| Engine::start(Options { name: format!("e{n}"), ..self.options.clone() }, ledger.clone());
+        let engine = |n| {
+            Engine::start(
+                Options {
+                    name: format!("e{n}"),
+                    ..self.options.clone()
+                },
+                ledger.clone(),
+            )
+        };
         let engines: Vec<Engine> = (0..self.engines).map(engine).collect();
         let list = file("");
         let mut config = appliance()
@@ -54,7 +72,12 @@
             config = config.replace(from, to);
         }
         let coordinator = Coordinator::limited(&config, self.descriptors);
-        let site = Site { ledger, list, coordinator, engines };
+        let site = Site {
+            ledger,
+            list,
+            coordinator,
+            engines,
+        };
         site.write_list(&vec!["ready"; site.engines.len()]);
         site.coordinator.wait_until_ready();
         site
@@ -68,8 +91,14 @@
 
     pub fn write_list(&self, phases: &[&str]) {
         let lines = self.engines.iter().zip(phases);
-        let lines: Vec<String> = lines.map(|(e, phase)| instance(e.name(), e.addr(), phase)).collect();
-        std::fs::write(&self.list, format!("{{\"instances\":[{}]}}", lines.join(","))).expect("the list");
+        let lines: Vec<String> = lines
+            .map(|(e, phase)| instance(e.name(), e.addr(), phase))
+            .collect();
+        std::fs::write(
+            &self.list,
+            format!("{{\"instances\":[{}]}}", lines.join(",")),
+        )
+        .expect("the list");
     }
 
     /// Writes the list and waits until the coordinator has taken it.
@@ -89,10 +118,14 @@
 
     /// Sends a query and leaves its answer on the connection.
     pub fn begin(&self, target: &str, statement: &str) -> TcpStream {
-        let mut stream = TcpStream::connect(self.coordinator.addr).expect("the coordinator listens");
+        let mut stream =
+            TcpStream::connect(self.coordinator.addr).expect("the coordinator listens");
         let length = statement.len();
-        write!(stream, "POST {target} HTTP/1.1\r\nHost: t\r\nContent-Length: {length}\r\n\r\n{statement}")
-            .expect("it reads");
+        write!(
+            stream,
+            "POST {target} HTTP/1.1\r\nHost: t\r\nContent-Length: {length}\r\n\r\n{statement}"
+        )
+        .expect("it reads");
         stream
     }
 
@@ -102,7 +135,10 @@
     }
 
     pub fn engine(&self, name: &str) -> &Engine {
-        self.engines.iter().find(|e| e.name() == name).expect("an engine of this name")
+        self.engines
+            .iter()
+            .find(|e| e.name() == name)
+            .expect("an engine of this name")
     }
 }
 
--- a/crates/node/tests/conformance.rs
+++ b/crates/node/tests/conformance.rs
@@ -53,7 +53,11 @@
 }
 
 fn packed(how: &str, body: &[u8]) -> Vec<u8> {
-    let blocks = |method| body.chunks(40_000).flat_map(|c| block::pack(method, c)).collect::<Vec<u8>>();
+    let blocks = |method| {
+        body.chunks(40_000)
+            .flat_map(|c| block::pack(method, c))
+            .collect::<Vec<u8>>()
+    };
     let spoilt = |mut bytes: Vec<u8>| {
         let at = bytes.len() - 2;
         bytes[at] ^= 0x11;
@@ -74,15 +78,28 @@
 fn request(step: Json) -> Vec<u8> {
     let text = |key: &str| step.get(key).text().unwrap_or_default();
     let times = step.get("times").whole().unwrap_or(0) as usize;
-    let body = packed(text("pack"), (text("body").to_string() + &text("of").repeat(times)).as_bytes());
+    let body = packed(
+        text("pack"),
+        (text("body").to_string() + &text("of").repeat(times)).as_bytes(),
+    );
     let version = step.get("http").text().unwrap_or("1.1");
-    let mut head = format!("{} {} HTTP/{version}\r\nHost: t\r\n", text("method"), stretched(text("target")));
+    let mut head = format!(
+        "{} {} HTTP/{version}\r\nHost: t\r\n",
+        text("method"),
+        stretched(text("target"))
+    );
     for line in step.get("headers").each() {
         let _ = write!(head, "{}\r\n", line.text().unwrap_or_default());
     }
     if step.get("chunked").0.is_some() {
         let chunks: Vec<u8> = body.chunks(999).flat_map(chunk).collect();
-        return [head.as_bytes(), b"Transfer-Encoding: chunked\r\n\r\n", &chunks, b"0\r\n\r\n"].concat();
+        return [
+            head.as_bytes(),
+            b"Transfer-Encoding: chunked\r\n\r\n",
+            &chunks,
+            b"0\r\n\r\n",
+        ]
+        .concat();
     }
     if text("method") == "POST" {
         let _ = write!(head, "Content-Length: {}\r\n", body.len());
@@ -100,7 +117,9 @@
     let (mut reader, mut all) = (ResponseReader::default(), [0; 64 * 1024]);
     let (mut status, mut headers, mut body): (u16, Vec<Header>, Vec<u8>) = Default::default();
     let mut whole = false;
-    stream.set_read_timeout(Some(common::FOR_EVER)).expect("a timeout");
+    stream
+        .set_read_timeout(Some(common::FOR_EVER))
+        .expect("a timeout");
     'read: loop {
         while let Ok(Some(part)) = reader.next_part() {
             match part {
@@ -147,19 +166,31 @@
     }
     if exception {
         let text = String::from_utf8_lossy(&body).into_owned();
-        body = text.find("Exception:").map_or(text.clone(), |at| text[..at].into()).into_bytes();
+        body = text
+            .find("Exception:")
+            .map_or(text.clone(), |at| text[..at].into())
+            .into_bytes();
     }
     if !whole {
         // How far a broken result came is a matter of time.
         body.clear();
     }
     let named = target.contains("query_id=")
-        || step
-            .get("headers")
-            .each()
-            .any(|h| h.text().is_some_and(|h| h.starts_with("X-ClickHouse-Query-Id")));
-    let headers = SAME.iter().filter_map(|n| Some((n.to_string(), told(n)?.to_string()))).collect();
-    Seen { status, headers, body, whole, named: named && told("x-clickhouse-query-id").is_some() }
+        || step.get("headers").each().any(|h| {
+            h.text()
+                .is_some_and(|h| h.starts_with("X-ClickHouse-Query-Id"))
+        });
+    let headers = SAME
+        .iter()
+        .filter_map(|n| Some((n.to_string(), told(n)?.to_string())))
+        .collect();
+    Seen {
+        status,
+        headers,
+        body,
+        whole,
+        named: named && told("x-clickhouse-query-id").is_some(),
+    }
 }
 
 fn shortly(seen: &Seen) -> String {
@@ -168,7 +199,11 @@
         (false, 0) => "no answer".into(),
         (false, status) => format!("{status}, broken"),
     };
-    if let Some(code) = seen.headers.iter().find(|h| h.0 == "x-clickhouse-exception-code") {
+    if let Some(code) = seen
+        .headers
+        .iter()
+        .find(|h| h.0 == "x-clickhouse-exception-code")
+    {
         let _ = write!(text, ", code {}", code.1);
     }
     text
@@ -198,7 +233,11 @@
             short.1.push(shortly(&b));
             if a != b {
                 let cut = |s: &Seen| format!("{s:?}").chars().take(900).collect::<String>();
-                differs.push(format!("step {n}\n  straight {}\n  through  {}", cut(&a), cut(&b)));
+                differs.push(format!(
+                    "step {n}\n  straight {}\n  through  {}",
+                    cut(&a),
+                    cut(&b)
+                ));
             }
         }
         let verdict = match (differs.is_empty(), reason) {
@@ -219,9 +258,19 @@
                 String::new()
             }
         };
-        let _ = writeln!(rows, "| {name} | {} | {} | {verdict} |", short.0.join("; "), short.1.join("; "));
+        let _ = writeln!(
+            rows,
+            "| {name} | {} | {} | {verdict} |",
+            short.0.join("; "),
+            short.1.join("; ")
+        );
     }
-    assert!(wrong.is_empty(), "{} cases:\n{}", wrong.len(), wrong.join("\n"));
+    assert!(
+        wrong.is_empty(),
+        "{} cases:\n{}",
+        wrong.len(),
+        wrong.join("\n")
+    );
     let _ = write!(
         table,
         "{} cases: {same} the same, {listed} different for the reason given.\n\n| case | straight | through | |\n\
@@ -233,5 +282,8 @@
         std::fs::write(&path, &table).expect("the table");
     }
     let kept = std::fs::read_to_string(&path).unwrap_or_default();
-    assert!(kept == table, "docs/conformance.md is not of this run: make it with UPDATE=1");
+    assert!(
+        kept == table,
+        "docs/conformance.md is not of this run: make it with UPDATE=1"
+    );
 }
--- a/crates/node/tests/daily.rs
+++ b/crates/node/tests/daily.rs
@@ -39,9 +39,19 @@
         stream.write_all(b"SUSP").unwrap();
     }
     assert_eq!(site.coordinator.manage("STATUS\r\n"), "OK ready\n");
-    for bad in ["status\n", "SUSPEND\n", "PAUSE now\n", "\n", "SUSPEND unknown\n", "RESTORE unknown\n"] {
+    for bad in [
+        "status\n",
+        "SUSPEND\n",
+        "PAUSE now\n",
+        "\n",
+        "SUSPEND unknown\n",
+        "RESTORE unknown\n",
+    ] {
         let reply = site.coordinator.manage(bad);
-        assert!(reply.starts_with("ERR ") && reply.matches('\n').count() == 1, "{bad:?}: {reply:?}");
+        assert!(
+            reply.starts_with("ERR ") && reply.matches('\n').count() == 1,
+            "{bad:?}: {reply:?}"
+        );
     }
     let mut cut = TcpStream::connect(addr).unwrap();
     cut.write_all(b"PAUSE").unwrap();
@@ -61,8 +71,16 @@
     let at = format!("{{\"management\": \"{}\",", taken.local_addr().unwrap());
     let site = Site::set(1, |config| config.replacen('{', &at, 1));
     assert_eq!(site.ask("lookup", 2500, "SELECT 1").status, 200);
-    let none = Site::set(1, |config| config.replacen('{', "{\"management\": \"nowhere\",", 1));
-    assert_eq!((none.coordinator.management, none.ask("lookup", 2500, "SELECT 1").status), (None, 200));
+    let none = Site::set(1, |config| {
+        config.replacen('{', "{\"management\": \"nowhere\",", 1)
+    });
+    assert_eq!(
+        (
+            none.coordinator.management,
+            none.ask("lookup", 2500, "SELECT 1").status
+        ),
+        (None, 200)
+    );
 }
 
 #[test]
@@ -74,12 +92,23 @@
             assert_eq!(site.ask("lookup", 2500, &format!("SELECT {n}")).status, 200);
         }
         (from..from + n)
-            .filter(|n| site.ledger.of(&format!("SELECT {n}")).iter().any(|e| e.engine == "0"))
+            .filter(|n| {
+                site.ledger
+                    .of(&format!("SELECT {n}"))
+                    .iter()
+                    .any(|e| e.engine == "0")
+            })
             .count()
     };
     assert!(asked(1000, 30) > 0);
-    assert_eq!(manage("SUSPEND e0\n"), "OK e0 is drained: nothing new goes there\n");
-    assert_eq!(manage("SUSPEND e0\n"), "OK e0 is drained: nothing new goes there, as before\n");
+    assert_eq!(
+        manage("SUSPEND e0\n"),
+        "OK e0 is drained: nothing new goes there\n"
+    );
+    assert_eq!(
+        manage("SUSPEND e0\n"),
+        "OK e0 is drained: nothing new goes there, as before\n"
+    );
     assert_eq!(asked(2000, 30), 0);
     // It goes, and comes back as a new process; an order about it may come while it is gone, too.
     let lists = site.coordinator.counter("lists_taken");
@@ -109,7 +138,10 @@
     let mut busy = TcpStream::connect(site.coordinator.addr).unwrap();
     let (mut of_idle, mut of_busy) = (ResponseReader::default(), ResponseReader::default());
     idle.write_all(lookup(1).as_bytes()).unwrap();
-    assert_eq!(read_next(&mut idle, &mut of_idle).header("Connection"), None);
+    assert_eq!(
+        read_next(&mut idle, &mut of_idle).header("Connection"),
+        None
+    );
     // Half of a request is out when the call comes: it is taken, answered, and told the close.
     let (half, rest) = (lookup(2), 40);
     busy.write_all(&half.as_bytes()[..rest]).unwrap();
@@ -117,18 +149,33 @@
     assert!(site.coordinator.manage("PAUSE\n").starts_with("OK"));
     assert!(site.coordinator.manage("STATUS\n").starts_with("ERR"));
     let alive = get(site.coordinator.addr, "/alive");
-    assert_eq!((alive.status, alive.header("Connection")), (503, Some("close")));
+    assert_eq!(
+        (alive.status, alive.header("Connection")),
+        (503, Some("close"))
+    );
     busy.write_all(&half.as_bytes()[rest..]).unwrap();
     let answer = read_next(&mut busy, &mut of_busy);
-    assert_eq!((answer.status, answer.header("Connection")), (200, Some("close")));
-    [&mut idle, &mut fresh, &mut busy].into_iter().for_each(wait_for_end);
+    assert_eq!(
+        (answer.status, answer.header("Connection")),
+        (200, Some("close"))
+    );
+    [&mut idle, &mut fresh, &mut busy]
+        .into_iter()
+        .for_each(wait_for_end);
     drop((idle, fresh, busy));
     // Who comes all the same is served, and sent away again.
     let late = site.ask("lookup", 2500, "SELECT late");
-    assert_eq!((late.status, late.header("Connection")), (200, Some("close")));
+    assert_eq!(
+        (late.status, late.header("Connection")),
+        (200, Some("close"))
+    );
     assert_eq!(site.coordinator.manage("RESUME\n"), "OK ready\n");
     assert_eq!(get(site.coordinator.addr, "/alive").status, 200);
-    assert_eq!(site.ask("lookup", 2500, "SELECT again").header("Connection"), None);
+    assert_eq!(
+        site.ask("lookup", 2500, "SELECT again")
+            .header("Connection"),
+        None
+    );
     assert!(site.coordinator.counter("connections_sent_away") >= 1);
 }
 
@@ -147,8 +194,16 @@
     let site = Site::set(2, |config| managed(config.replacen('{', &named, 1)));
     let said = |words: &[&str]| {
         let mut command = std::process::Command::new(env!("CARGO_BIN_EXE_driftfront"));
-        let out = command.args(words).arg("--at").arg(&socket).output().unwrap();
-        (out.status.code(), String::from_utf8_lossy(&out.stdout).into_owned())
+        let out = command
+            .args(words)
+            .arg("--at")
+            .arg(&socket)
+            .output()
+            .unwrap();
+        (
+            out.status.code(),
+            String::from_utf8_lossy(&out.stdout).into_owned(),
+        )
     };
     assert_eq!(said(&["pause"]), (Some(0), "draining\n".into()));
     assert!(site.coordinator.manage("STATUS\n").starts_with("ERR dr"));
@@ -157,7 +212,10 @@
     assert_eq!(said(&["unpause"]), (Some(0), "ready\n".into()));
     // Taken out by one, seen and put back by the other.
     assert!(site.coordinator.manage("SUSPEND e0\n").starts_with("OK"));
-    assert!(said(&["engines"]).1.lines().any(|l| l.starts_with("e0") && l.contains("drained")));
+    assert!(said(&["engines"])
+        .1
+        .lines()
+        .any(|l| l.starts_with("e0") && l.contains("drained")));
     assert_eq!(said(&["drain", "e0"]).0, Some(3));
     assert_eq!(said(&["resume", "e0"]).0, Some(0));
     assert_eq!(said(&["drain", "e1"]).0, Some(0));
@@ -169,15 +227,25 @@
 fn nothing_goes_out_on_a_connection_that_comes_up_after_its_engine_was_taken_out() {
     // A backlog that is full: the next connect hangs until there is room again.
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
-    socket.bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into()).unwrap();
+    socket
+        .bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into())
+        .unwrap();
     socket.listen(0).unwrap();
     let listener: TcpListener = socket.into();
     let engine = listener.local_addr().unwrap();
     let _fill = TcpStream::connect(engine).unwrap();
     let list = List::start();
-    let patient = config(list.addr).replace("\"ConnectTimeoutUs\": 250000", "\"ConnectTimeoutUs\": 14000000");
+    let patient = config(list.addr).replace(
+        "\"ConnectTimeoutUs\": 250000",
+        "\"ConnectTimeoutUs\": 14000000",
+    );
     let coordinator = Coordinator::start(&managed(patient));
-    let mut site = Site { coordinator, ledger: Arc::default(), engines: vec![engine], list };
+    let mut site = Site {
+        coordinator,
+        ledger: Arc::default(),
+        engines: vec![engine],
+        list,
+    };
     site.tell(&["ready"], "");
     site.coordinator.wait_until_ready();
     let answer = std::thread::scope(|scope| {
@@ -192,7 +260,10 @@
     let (answer, mut came_up) = answer;
     // No engine is left: it is answered at its deadline, and with a refusal, as it never ran.
     assert_eq!(answer.status, 429, "{}", answer.text());
-    assert_eq!(site.coordinator.counter("attempts_ended{outcome=\"moot\"}"), 1);
+    assert_eq!(
+        site.coordinator.counter("attempts_ended{outcome=\"moot\"}"),
+        1
+    );
     site.coordinator.terminate();
     assert!(site.coordinator.wait().success());
     let mut bytes = Vec::new();
--- a/crates/node/tests/endings/clients.rs
+++ b/crates/node/tests/endings/clients.rs
@@ -23,7 +23,9 @@
     // By a close, by a reset, by half a close.
     drop(wait(2));
     let reset = wait(3);
-    socket2::SockRef::from(&reset).set_linger(Some(std::time::Duration::ZERO)).unwrap();
+    socket2::SockRef::from(&reset)
+        .set_linger(Some(std::time::Duration::ZERO))
+        .unwrap();
     drop(reset);
     let half = wait(4);
     half.shutdown(Shutdown::Write).unwrap();
@@ -45,7 +47,10 @@
     // By a call on another connection: its own one closes, as nothing more is owed there.
     let mut taken_back = wait(6);
     let delete = "DELETE /ops/member-load HTTP/1.1\r\nX-Call-Id: 0000000000000006\r\n\r\n";
-    assert_eq!(common::call(site.coordinator.addr, delete.as_bytes()).status, 200);
+    assert_eq!(
+        common::call(site.coordinator.addr, delete.as_bytes()).status,
+        200
+    );
     assert_eq!(rest(&mut taken_back).unwrap(), b"");
     site.coordinator.wait_for("clients_left", 5);
     // The one behind them has its turn as soon as the first is over.
@@ -71,11 +76,14 @@
     // As one in a full backlog, or before a program that stood still.
     site.coordinator.freeze();
     for id in 1..=3 {
-        leave(open(&site, &request("lookup", id, "", &format!("SELECT left {id}"))));
+        leave(open(
+            &site,
+            &request("lookup", id, "", &format!("SELECT left {id}")),
+        ));
     }
     // One sends more behind it than is read at once.
-    let much =
-        request("lookup", 4, "", "SELECT left 4") + &request("lookup", 5, "", &"y".repeat(900)).repeat(90);
+    let much = request("lookup", 4, "", "SELECT left 4")
+        + &request("lookup", 5, "", &"y".repeat(900)).repeat(90);
     leave(open(&site, &much));
     site.coordinator.wake();
     site.coordinator.wait_for("clients_left", 4);
@@ -90,7 +98,8 @@
     let ask = |id| report(id, &format!("SELECT held {id}"));
     let waiting: Vec<TcpStream> = (1..=all).map(|id| open(&site, &ask(id))).collect();
     site.coordinator.wait_for("requests_taken", all);
-    site.ledger.wait_until("some are out", |all| !all.is_empty());
+    site.ledger
+        .wait_until("some are out", |all| !all.is_empty());
     // Found at one moment: else each that leaves makes room for one that has not left yet.
     site.coordinator.freeze();
     drop(waiting);
@@ -101,7 +110,9 @@
     let sent = site.ledger.of("held").len() as u64;
     assert!(sent > 0 && sent < all, "{sent}");
     gate.open();
-    until("it serves as before", || site.ask("lookup", 2400, "SELECT behind").status == 200);
+    until("it serves as before", || {
+        site.ask("lookup", 2400, "SELECT behind").status == 200
+    });
     let_pass(TERM);
     assert_eq!(site.ledger.of("held").len() as u64, sent);
 }
@@ -110,21 +121,26 @@
 fn a_client_that_leaves_as_its_attempt_is_turned_away_is_not_tried_again() {
     let (site, gate) = held(1);
     // Enough at once for a second connection, so that a further attempt need not wait for one.
-    let others: Vec<TcpStream> =
-        (2..10).map(|id| open(&site, &report(id, &format!("SELECT held {id}")))).collect();
+    let others: Vec<TcpStream> = (2..10)
+        .map(|id| open(&site, &report(id, &format!("SELECT held {id}"))))
+        .collect();
     site.coordinator.wait_for("connections_engines", 2);
     let leaves = open(&site, &report(1, "SELECT held, then full"));
     site.ledger.wait_for("SELECT held, then full", 1);
     // The engine's no and the client's end are found at one moment.
     site.coordinator.freeze();
     gate.open();
-    site.ledger.wait_until("the engine's no", |all| all.iter().all(|e| e.over.is_some()));
+    site.ledger.wait_until("the engine's no", |all| {
+        all.iter().all(|e| e.over.is_some())
+    });
     leave(leaves);
     site.coordinator.wake();
     site.coordinator.wait_for("clients_left", 1);
     let_pass(TERM);
     assert_eq!(site.ledger.of("SELECT held, then full").len(), 1);
-    others.into_iter().for_each(|mut other| assert_eq!(read_answer(&mut other).status, 200));
+    others
+        .into_iter()
+        .for_each(|mut other| assert_eq!(read_answer(&mut other).status, 200));
 }
 
 /// A site whose one engine can't be connected to, and does not refuse either, until room is made.
@@ -137,19 +153,32 @@
 impl Unreached {
     fn start() -> Unreached {
         let listener = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
-        listener.bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into()).unwrap();
+        listener
+            .bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into())
+            .unwrap();
         listener.listen(0).unwrap();
         let addr: SocketAddr = listener.local_addr().unwrap().as_socket().unwrap();
         // The backlog is full with this one.
         let filler = TcpStream::connect(addr).unwrap();
         let list = List::start();
-        let config =
-            config(list.addr).replace("\"ConnectTimeoutUs\": 250000", "\"ConnectTimeoutUs\": 60000000");
+        let config = config(list.addr).replace(
+            "\"ConnectTimeoutUs\": 250000",
+            "\"ConnectTimeoutUs\": 60000000",
+        );
         let coordinator = Coordinator::start(&config);
-        let site = Site { ledger: Arc::default(), coordinator, list, engines: vec![addr] };
+        let site = Site {
+            ledger: Arc::default(),
+            coordinator,
+            list,
+            engines: vec![addr],
+        };
         site.tell(&["ready"], "");
         site.coordinator.wait_until_ready();
-        Unreached { site, listener, filler }
+        Unreached {
+            site,
+            listener,
+            filler,
+        }
     }
 
     /// There is room now, and what has waited comes up.
@@ -184,7 +213,10 @@
 fn what_was_given_up_while_its_connection_came_up_is_not_sent_once_it_has() {
     let waits = Unreached::start();
     // Its time runs out: it never ran, so that it is refused.
-    let mut late = open(&waits.site, &request("lookup", 1, "", "SELECT late").replace("2400", "300"));
+    let mut late = open(
+        &waits.site,
+        &request("lookup", 1, "", "SELECT late").replace("2400", "300"),
+    );
     assert_eq!(read_answer(&mut late).status, 429);
     let mut next = open(&waits.site, &load(2, "INSERT next"));
     waits.site.coordinator.wait_for("requests_taken", 2);
@@ -199,7 +231,10 @@
     let mut load = open(&waits.site, &load(1, "INSERT moved"));
     waits.site.coordinator.wait_for("attempts_sent", 1);
     let addr = waits.site.engines[0];
-    let lines = [common::instance("e0", addr, "gone"), common::instance("e1", addr, "ready")];
+    let lines = [
+        common::instance("e0", addr, "gone"),
+        common::instance("e1", addr, "ready"),
+    ];
     waits.site.list.tell(&lines, "");
     waits.site.coordinator.wait_for("lists_taken", 3);
     let site = waits.make_room();
@@ -218,9 +253,11 @@
                 for k in 0..50 {
                     let text = match k % 4 {
                         0 => "\x16\x03\x01".repeat(20_000),
-                        1 => request("lookup", 1000 * n + k, "", &"z".repeat(60_000))[..40_000].to_string(),
+                        1 => request("lookup", 1000 * n + k, "", &"z".repeat(60_000))[..40_000]
+                            .to_string(),
                         2 => request("lookup", 1000 * n + k, "", "SELECT x").repeat(300),
-                        _ => "POST /ops/lookup HTTP/1.1\r\nContent-Length: 99999999\r\n\r\n".to_string(),
+                        _ => "POST /ops/lookup HTTP/1.1\r\nContent-Length: 99999999\r\n\r\n"
+                            .to_string(),
                     };
                     let mut stream = TcpStream::connect(site.coordinator.addr).unwrap();
                     let _ = stream.write_all(text.as_bytes());
@@ -234,17 +271,26 @@
     gate.open();
     assert_eq!(read_answer(&mut first).status, 200);
     // All of them are gone, with what was held for them.
-    until("they are gone", || site.coordinator.counter("connections_clients") <= 2);
-    until("it serves as before", || site.ask("lookup", 2500, "SELECT behind").status == 200);
+    until("they are gone", || {
+        site.coordinator.counter("connections_clients") <= 2
+    });
+    until("it serves as before", || {
+        site.ask("lookup", 2500, "SELECT behind").status == 200
+    });
 }
 
 #[test]
 fn a_request_that_comes_as_its_connection_makes_room_for_another_is_served() {
-    let site = Site::set(1, |config| config.replace("\"sockets\": 1024", "\"sockets\": 100"));
+    let site = Site::set(1, |config| {
+        config.replace("\"sockets\": 1024", "\"sockets\": 100")
+    });
     // 50 of 60 places are held by those that asked once and rest; the first of them is the longest idle.
     let mut resting: Vec<TcpStream> = Vec::new();
     for n in 0..50 {
-        let mut stream = open(&site, &request("lookup", 100 + n, "", &format!("SELECT {n}")));
+        let mut stream = open(
+            &site,
+            &request("lookup", 100 + n, "", &format!("SELECT {n}")),
+        );
         assert_eq!(read_answer(&mut stream).status, 200);
         resting.push(stream);
     }
@@ -252,7 +298,9 @@
     // The newcomers are found first, then the request on the connection that would go for one of them.
     let newcomer = |n| open(&site, &request("lookup", n, "", "SELECT new"));
     let mut newcomers: Vec<TcpStream> = (1..15).map(newcomer).collect();
-    resting[0].write_all(request("lookup", 99, "", "SELECT crossing").as_bytes()).unwrap();
+    resting[0]
+        .write_all(request("lookup", 99, "", "SELECT crossing").as_bytes())
+        .unwrap();
     site.coordinator.wake();
     assert_eq!(read_answer(&mut resting[0]).status, 200);
     for newcomer in &mut newcomers {
--- a/crates/node/tests/endings/engines.rs
+++ b/crates/node/tests/endings/engines.rs
@@ -12,11 +12,27 @@
 fn half_an_answer_and_then_silence_costs_a_read_one_attempt_and_a_load_its_answer() {
     let site = Site::start(2);
     for words in ["half", "half endless"] {
-        assert_eq!(site.ask("report", 15_000, &format!("SELECT {words}")).status, 200);
-        assert_eq!(site.ledger.of(&format!("SELECT {words}")).len(), 2, "{words}");
+        assert_eq!(
+            site.ask("report", 15_000, &format!("SELECT {words}"))
+                .status,
+            200
+        );
+        assert_eq!(
+            site.ledger.of(&format!("SELECT {words}")).len(),
+            2,
+            "{words}"
+        );
         // It has run, and what it gave is lost: no other run, and an answer at once.
-        assert_eq!(site.ask("member-load", 25_000, &format!("INSERT {words}")).status, 500);
-        assert_eq!(site.ledger.of(&format!("INSERT {words}")).len(), 1, "{words}");
+        assert_eq!(
+            site.ask("member-load", 25_000, &format!("INSERT {words}"))
+                .status,
+            500
+        );
+        assert_eq!(
+            site.ledger.of(&format!("INSERT {words}")).len(),
+            1,
+            "{words}"
+        );
     }
     assert_eq!(site.coordinator.counter("answers_overdue"), 0);
 }
@@ -41,17 +57,28 @@
                 // The first attempt fails. Once the second is here the first one's end comes again, before any answer.
                 let fault = format!("{id} FAULT - 0\r\n\r\n");
                 let hit = format!("{id} HIT fetches=1 6\r\n1\ta\tb\n\r\n");
-                let answer = if tries == 1 { fault } else { format!("{fault}{hit}") };
-                let answer = if tries > 1 && seen.lock().unwrap()[0] != number { hit } else { answer };
+                let answer = if tries == 1 {
+                    fault
+                } else {
+                    format!("{fault}{hit}")
+                };
+                let answer = if tries > 1 && seen.lock().unwrap()[0] != number {
+                    hit
+                } else {
+                    answer
+                };
                 let _ = out.write_all(answer.as_bytes());
             } else if let ["STAT", tag] = words[..] {
-                let _ =
-                    out.write_all(format!("{tag} PONG gauges=inflight:0;queue:0;x0:0 0\r\n\r\n").as_bytes());
+                let _ = out.write_all(
+                    format!("{tag} PONG gauges=inflight:0;queue:0;x0:0 0\r\n\r\n").as_bytes(),
+                );
             }
             line.clear();
         }
     });
-    let site = Site::of(Arc::default(), vec![engine], |config| Coordinator::start(&config));
+    let site = Site::of(Arc::default(), vec![engine], |config| {
+        Coordinator::start(&config)
+    });
     assert_eq!(site.ask("lookup", 2500, "SELECT 1").status, 200);
     // Each id goes once over a connection, so that what comes late has nobody to be taken for.
     let tried = tried.lock().unwrap();
@@ -75,25 +102,32 @@
                 let _ = stream.write_all(format!("{id} INFO - 0\r\n\r\n").as_bytes());
                 if statement == "SELECT first" {
                     let _ = goes.lock().unwrap().recv();
-                    let _ = stream.write_all(format!("{id} HIT fetches=1 6\r\n1\ta\tb\n\r\n").as_bytes());
-                    let _ = socket2::SockRef::from(&stream).set_linger(Some(std::time::Duration::ZERO));
+                    let _ = stream
+                        .write_all(format!("{id} HIT fetches=1 6\r\n1\ta\tb\n\r\n").as_bytes());
+                    let _ =
+                        socket2::SockRef::from(&stream).set_linger(Some(std::time::Duration::ZERO));
                     // The answer is there before the reset is.
                     return;
                 }
-                let _ = stream.write_all(format!("{id} HIT fetches=1 6\r\n1\ta\tb\n\r\n").as_bytes());
+                let _ =
+                    stream.write_all(format!("{id} HIT fetches=1 6\r\n1\ta\tb\n\r\n").as_bytes());
             }
             line.clear();
         }
     });
     let edit = |config: String| config.replace("\"MayProbe\": true", "\"MayProbe\": false");
-    let site = Site::of(Arc::default(), vec![engine], |config| Coordinator::start(&edit(config)));
+    let site = Site::of(Arc::default(), vec![engine], |config| {
+        Coordinator::start(&edit(config))
+    });
     let mut first = open(&site, &report(1, "SELECT first"));
     until("it is asked", || !asked.lock().unwrap().is_empty());
     let mut second = TcpStream::connect(site.coordinator.addr).unwrap();
     site.coordinator.wait_for("connections_clients", 3);
     site.coordinator.freeze();
     // The program finds the second request first, and with it something to send where all has ended.
-    second.write_all(report(2, "SELECT second").as_bytes()).unwrap();
+    second
+        .write_all(report(2, "SELECT second").as_bytes())
+        .unwrap();
     go.send(()).unwrap();
     until("the engine has ended", || engine_has_ended(engine));
     site.coordinator.wake();
@@ -108,7 +142,9 @@
     let table = std::fs::read_to_string("/proc/net/tcp").unwrap_or_default();
     let established = |line: &str| {
         let words: Vec<&str> = line.split_whitespace().collect();
-        words.len() > 3 && words[3] == "01" && (words[1].ends_with(&port) || words[2].ends_with(&port))
+        words.len() > 3
+            && words[3] == "01"
+            && (words[1].ends_with(&port) || words[2].ends_with(&port))
     };
     !table.lines().any(established)
 }
--- a/crates/node/tests/endings/lists.rs
+++ b/crates/node/tests/endings/lists.rs
@@ -16,21 +16,40 @@
     let calls = asked.clone();
     let addr = stand_in(move |mut stream| {
         let mut input = BufReader::new(stream.try_clone().unwrap());
-        let Some(head) = read_head(&mut input) else { return };
-        let last = head.lines().find_map(|l| l.strip_prefix("Last-Event-ID: ")).unwrap();
+        let Some(head) = read_head(&mut input) else {
+            return;
+        };
+        let last = head
+            .lines()
+            .find_map(|l| l.strip_prefix("Last-Event-ID: "))
+            .unwrap();
         let last: usize = last.parse().unwrap();
         calls.lock().unwrap().push(last);
         let event = told.lock().unwrap().get(last).cloned();
-        let event = event.map(|e| format!("id: {}\ndata: {e}\n\n", last + 1)).unwrap_or_default();
+        let event = event
+            .map(|e| format!("id: {}\ndata: {e}\n\n", last + 1))
+            .unwrap_or_default();
         let _ = stream.write_all(format!("HTTP/1.1 200 OK\r\n\r\n{event}").as_bytes());
         let _ = input.read_line(&mut String::new());
     });
-    let list = List { addr, events: Arc::default(), asked: Arc::default() };
+    let list = List {
+        addr,
+        events: Arc::default(),
+        asked: Arc::default(),
+    };
     let coordinator = Coordinator::start(&config(addr));
     let ledger = Arc::default();
-    let site = Site { coordinator, list, engines: engines(2, &ledger), ledger };
+    let site = Site {
+        coordinator,
+        list,
+        engines: engines(2, &ledger),
+        ledger,
+    };
     let news = |index, phase| event(index, &instances(&site.engines, &[phase, "ready"]), "");
-    tells.lock().unwrap().extend([news(1, "ready"), news(2, "draining")]);
+    tells
+        .lock()
+        .unwrap()
+        .extend([news(1, "ready"), news(2, "draining")]);
     site.coordinator.wait_for("lists_taken", 3);
     for n in 0..5 {
         assert_eq!(site.ask("lookup", 2500, &format!("SELECT {n}")).status, 200);
@@ -45,18 +64,26 @@
 fn with_the_list_away_it_serves_from_what_is_known_and_hears_of_a_drain_once_that_is_back() {
     // Bound, so that nobody else gets the address, and refused until it listens.
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
-    socket.bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into()).unwrap();
+    socket
+        .bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into())
+        .unwrap();
     let addr = socket.local_addr().unwrap().as_socket().unwrap();
     let ledger = Arc::new(Ledger::default());
     let engines = engines(2, &ledger);
     let news = |index, phase| event(index, &instances(&engines, &[phase, "ready"]), "");
-    let known = format!("\"known\": {{\"index\": 3, \"updates\": [{}]}}, \"limits\"", news(3, "ready"));
+    let known = format!(
+        "\"known\": {{\"index\": 3, \"updates\": [{}]}}, \"limits\"",
+        news(3, "ready")
+    );
     let coordinator = Coordinator::start(&config(addr).replace("\"limits\"", &known));
     coordinator.wait_until_ready();
     let ask = |n: usize| {
         let headers = format!("X-Call-Id: {n:016x}\r\nX-Patience-Ms: 2400\r\n");
         let statement = format!("SELECT {n}");
-        assert_eq!(common::post(coordinator.addr, "/ops/lookup", &headers, &statement).status, 200);
+        assert_eq!(
+            common::post(coordinator.addr, "/ops/lookup", &headers, &statement).status,
+            200
+        );
         ledger.of(&statement)[0].engine.clone()
     };
     assert!((1..=8).map(ask).any(|engine| engine == "0"));
@@ -67,7 +94,10 @@
     let mut stream = TcpStream::from(socket);
     let head = read_head(&mut BufReader::new(stream.try_clone().unwrap())).unwrap();
     assert!(head.contains("\r\nLast-Event-ID: 3\r\n"), "{head}");
-    let told = format!("HTTP/1.1 200 OK\r\n\r\nid: 4\ndata: {}\n\n", news(4, "draining"));
+    let told = format!(
+        "HTTP/1.1 200 OK\r\n\r\nid: 4\ndata: {}\n\n",
+        news(4, "draining")
+    );
     stream.write_all(told.as_bytes()).unwrap();
     coordinator.wait_for("lists_taken", before + 1);
     assert!((11..=18).map(ask).all(|engine| engine == "1"));
--- a/crates/node/tests/endings/main.rs
+++ b/crates/node/tests/endings/main.rs
@@ -27,7 +27,13 @@
 
 /// A load of the one key that these tests use, with all the time that its class gives.
 fn load(id: u64, statement: &str) -> String {
-    request("member-load", id, "X-Entity: 000000000000000a\r\n", statement).replace("2400", "25000")
+    request(
+        "member-load",
+        id,
+        "X-Entity: 000000000000000a\r\n",
+        statement,
+    )
+    .replace("2400", "25000")
 }
 
 /// A read with all the time that its class gives: however long the program is held still, its deadline is not what is seen.
@@ -50,7 +56,11 @@
 }
 
 fn ran(site: &Site) -> Vec<String> {
-    site.ledger.of("").into_iter().map(|e| e.statement).collect()
+    site.ledger
+        .of("")
+        .into_iter()
+        .map(|e| e.statement)
+        .collect()
 }
 
 /// Waits until something is so.
@@ -91,7 +101,10 @@
         stand_in(move |stream| hold(stream, &n.to_string(), &runs, &gate))
     };
     let engines = (0..engines).map(engine).collect();
-    (Site::of(ledger, engines, |config| Coordinator::start(&config)), gate)
+    (
+        Site::of(ledger, engines, |config| Coordinator::start(&config)),
+        gate,
+    )
 }
 
 /// The same, with the key of [`load`] taken until the gate opens; the load's client stays.
@@ -112,7 +125,11 @@
         }
         let words: Vec<&str> = line.trim_end().split(' ').collect();
         let (answer, entry, waits) = match words[..] {
-            ["STAT", tag] => (format!("{tag} PONG gauges=inflight:1;queue:0;x0:0.1 0\r\n\r\n"), None, false),
+            ["STAT", tag] => (
+                format!("{tag} PONG gauges=inflight:1;queue:0;x0:0.1 0\r\n\r\n"),
+                None,
+                false,
+            ),
             ["REQ", id, _, length] => {
                 let statement = read_statement(&mut input, length);
                 let number = ledger.of("").len().to_string();
--- a/crates/node/tests/endings/shutdown.rs
+++ b/crates/node/tests/endings/shutdown.rs
@@ -8,7 +8,9 @@
 use std::time::{Duration, Instant};
 
 fn until_nobody_listens(site: &Site) {
-    until("nobody listens", || TcpStream::connect(site.coordinator.addr).is_err());
+    until("nobody listens", || {
+        TcpStream::connect(site.coordinator.addr).is_err()
+    });
 }
 
 #[test]
@@ -26,7 +28,10 @@
     assert_eq!(rest(&mut resting).unwrap(), b"");
     half.write_all(&late.as_bytes()[40..]).unwrap();
     let answer = read_answer(&mut half);
-    assert_eq!((answer.status, answer.header("Connection")), (429, Some("close")));
+    assert_eq!(
+        (answer.status, answer.header("Connection")),
+        (429, Some("close"))
+    );
     assert_eq!(site.ledger.of("SELECT late").len(), 0);
     // Nobody listens any more, while what was taken before is answered all the same.
     until_nobody_listens(&site);
@@ -61,8 +66,11 @@
     // The answer, and a request that nobody will take, come to the program at one moment.
     site.coordinator.freeze();
     gate.open();
-    site.ledger.wait_until("the load's end", |all| all.iter().any(|e| e.over.is_some()));
-    first.write_all(request("lookup", 9, "", "SELECT never").as_bytes()).unwrap();
+    site.ledger
+        .wait_until("the load's end", |all| all.iter().any(|e| e.over.is_some()));
+    first
+        .write_all(request("lookup", 9, "", "SELECT never").as_bytes())
+        .unwrap();
     site.coordinator.wake();
     let mut reader = Default::default();
     assert_eq!(read_next(&mut first, &mut reader).status, 200);
@@ -85,12 +93,17 @@
     site.coordinator.freeze();
     // One in the backlog of a listener, one on a connection at rest: both are to be closed as soon as it goes on.
     let mut backlog = open(&site, &request("lookup", 3, "", "SELECT late"));
-    resting.write_all(request("lookup", 4, "", "SELECT late").as_bytes()).unwrap();
+    resting
+        .write_all(request("lookup", 4, "", "SELECT late").as_bytes())
+        .unwrap();
     let_pass(Duration::from_millis(1000));
     site.coordinator.wake();
     for late in [&mut backlog, &mut resting] {
         let answer = read_answer(late);
-        assert_eq!((answer.status, answer.header("Connection")), (429, Some("close")));
+        assert_eq!(
+            (answer.status, answer.header("Connection")),
+            (429, Some("close"))
+        );
         assert_eq!(rest(late).unwrap(), b"");
     }
     gate.open();
@@ -102,7 +115,10 @@
 #[test]
 fn what_hangs_at_an_engine_is_answered_before_a_restart_s_kill() {
     let (mut site, gate) = held(1);
-    let mut read = open(&site, &request("report", 1, "", "SELECT held").replace("2400", "15000"));
+    let mut read = open(
+        &site,
+        &request("report", 1, "", "SELECT held").replace("2400", "15000"),
+    );
     let mut load = open(&site, &load(2, "INSERT held"));
     site.ledger.wait_for("SELECT held", 1);
     site.ledger.wait_for("INSERT held", 1);
@@ -126,7 +142,8 @@
     let mut reader = Default::default();
     assert_eq!(read_next(&mut half, &mut reader).status, 408);
     // Its last bytes cross that: an end in order all the same.
-    half.write_all(&request("lookup", 1, "", "SELECT half").as_bytes()[40..]).unwrap();
+    half.write_all(&request("lookup", 1, "", "SELECT half").as_bytes()[40..])
+        .unwrap();
     assert!(rest(&mut half).is_ok());
     drop(half);
     assert!(site.coordinator.wait().success());
--- a/crates/node/tests/faults.rs
+++ b/crates/node/tests/faults.rs
@@ -11,12 +11,23 @@
 
 fn engines(n: usize) -> (Vec<Engine>, Arc<Ledger>) {
     let ledger = Arc::new(Ledger::default());
-    let engine = |n| Engine::start(Options { name: format!("e{n}"), ..Options::default() }, ledger.clone());
+    let engine = |n| {
+        Engine::start(
+            Options {
+                name: format!("e{n}"),
+                ..Options::default()
+            },
+            ledger.clone(),
+        )
+    };
     ((0..n).map(engine).collect(), ledger)
 }
 
 fn rig(script: &str, engines: &[Engine]) -> Rig {
-    let named = engines.iter().map(|e| (e.name().to_string(), e.addr())).collect();
+    let named = engines
+        .iter()
+        .map(|e| (e.name().to_string(), e.addr()))
+        .collect();
     Rig::with_engines(env!("CARGO_BIN_EXE_driftfront"), named, script)
 }
 
@@ -43,7 +54,12 @@
     let (engines, ledger) = engines(3);
     let mut rig = rig("members 4 zones=2\nvoters 3\nseed 5", &engines);
     rig.wait_until_seen(&[0, 1, 2, 3], &[0, 1, 2, 3]);
-    let plan = Plan { clients: 3, most: 400, inserts: 5, pause: Duration::from_millis(5) };
+    let plan = Plan {
+        clients: 3,
+        most: 400,
+        inserts: 5,
+        pause: Duration::from_millis(5),
+    };
     let load = clients(&rig, 4, &plan);
     wait_until_done(&rig, &load, 100);
     rig.now(
@@ -87,11 +103,29 @@
     rig.wait_until_seen(&[0, 1], &[0, 1]);
     // What the engine says is lost: it hears and runs, and nobody knows.
     rig.now("part \"m0\" from=\"e0\" ways=\"in\"");
-    let load = clients(&rig, 2, &Plan { clients: 2, most: 60, inserts: 0, pause: Duration::from_millis(2) });
+    let load = clients(
+        &rig,
+        2,
+        &Plan {
+            clients: 2,
+            most: 60,
+            inserts: 0,
+            pause: Duration::from_millis(2),
+        },
+    );
     wait_until_done(&rig, &load, 240);
     let all = load.end();
     let counts = counts(&all);
-    assert!(counts.get(&Got::Served).copied().unwrap_or(0) >= 230, "{counts:?}\n{}", rig.log().text());
-    assert!(counts.keys().all(|g| matches!(g, Got::Served | Got::Refused | Got::Failed)), "{counts:?}");
+    assert!(
+        counts.get(&Got::Served).copied().unwrap_or(0) >= 230,
+        "{counts:?}\n{}",
+        rig.log().text()
+    );
+    assert!(
+        counts
+            .keys()
+            .all(|g| matches!(g, Got::Served | Got::Refused | Got::Failed)),
+        "{counts:?}"
+    );
     ledger.assert_rules(all.len());
 }
--- a/crates/node/tests/fleet.rs
+++ b/crates/node/tests/fleet.rs
@@ -11,9 +11,18 @@
 use std::sync::Arc;
 
 fn rig(script: &str) -> (Rig, Engine) {
-    let engine =
-        Engine::start(Options { name: "engine-1".into(), ..Options::default() }, Arc::new(Ledger::default()));
-    let rig = Rig::start(env!("CARGO_BIN_EXE_driftfront"), &engine.addr().to_string(), script);
+    let engine = Engine::start(
+        Options {
+            name: "engine-1".into(),
+            ..Options::default()
+        },
+        Arc::new(Ledger::default()),
+    );
+    let rig = Rig::start(
+        env!("CARGO_BIN_EXE_driftfront"),
+        &engine.addr().to_string(),
+        script,
+    );
     (rig, engine)
 }
 
@@ -27,7 +36,8 @@
     let (mut rig, _engine) = rig("members 5 zones=2");
     rig.wait_until_seen(&[0, 1, 2, 3, 4], &[0, 1, 2, 3, 4]);
     let served = |seen: &[driftfront_rig::Member]| {
-        seen.iter().all(|m| m.state == "serving" && m.build == env!("CARGO_PKG_VERSION"))
+        seen.iter()
+            .all(|m| m.state == "serving" && m.build == env!("CARGO_PKG_VERSION"))
     };
     rig.wait(4, "all serve", served);
     let zones: Vec<String> = rig.sees(3).into_iter().map(|m| m.zone).collect();
@@ -46,7 +56,10 @@
     // Both of the other seeds among them.
     rig.now("kill \"m1\" \"m2\"");
     rig.wait_until_seen(&[0, 3, 4], &[0, 3, 4]);
-    assert!(query(&rig, 3).ends_with("1\n"), "a fleet that lost members serves on");
+    assert!(
+        query(&rig, 3).ends_with("1\n"),
+        "a fleet that lost members serves on"
+    );
     rig.now("start \"m1\" \"m2\"");
     rig.wait_until_seen(&[0, 1, 2, 3, 4], &[0, 1, 2, 3, 4]);
 }
@@ -95,7 +108,9 @@
     let (mut rig, _engine) = rig("members 3");
     rig.wait_until_seen(&[0, 1, 2], &[0, 1, 2]);
     let (old, new) = (driftfront_rig::KEY, "f0f1f2f3f4f5f6f7f8f9fafbfcfdfeff");
-    let before: Vec<u64> = (0..3).map(|m| rig.counter(m, "fleet_members_down")).collect();
+    let before: Vec<u64> = (0..3)
+        .map(|m| rig.counter(m, "fleet_members_down"))
+        .collect();
     for step in [format!("{old}\n{new}"), format!("{new}\n{old}"), new.into()] {
         rig.write_key(&step);
         for member in 0..3 {
@@ -107,7 +122,12 @@
             rig.wait_for(member, "fleet_datagrams_taken", taken + 8);
         }
     }
-    assert_eq!(before, (0..3).map(|m| rig.counter(m, "fleet_members_down")).collect::<Vec<_>>());
+    assert_eq!(
+        before,
+        (0..3)
+            .map(|m| rig.counter(m, "fleet_members_down"))
+            .collect::<Vec<_>>()
+    );
     // One that starts with the old key is let in by nobody, and serves by itself.
     rig.now("kill \"m2\"");
     rig.wait_until_seen(&[0, 1], &[0, 1]);
@@ -123,7 +143,10 @@
 fn a_flood_under_a_wrong_key_harms_neither_clients_nor_membership() {
     let (rig, _engine) = rig("members 3");
     rig.wait_until_seen(&[0, 1, 2], &[0, 1, 2]);
-    let (over, sent) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicU64::new(0)));
+    let (over, sent) = (
+        Arc::new(AtomicBool::new(false)),
+        Arc::new(AtomicU64::new(0)),
+    );
     let target = rig.net.public(1);
     let (done, count) = (over.clone(), sent.clone());
     let flood = std::thread::spawn(move || {
@@ -163,8 +186,9 @@
         "\"limits\"",
         "\"fleet\": {\"listen\": \"127.0.0.1:0\", \"key_file\": \"/nowhere\"}, \"limits\"",
     );
-    let barred =
-        driftfront::config::Config::read(text.replace("\"clickhouse\",", "\"platform\",").as_bytes());
+    let barred = driftfront::config::Config::read(
+        text.replace("\"clickhouse\",", "\"platform\",").as_bytes(),
+    );
     assert!(barred.err().is_some_and(|e| e.contains("bar talk")));
     assert!(driftfront::config::Config::read(text.as_bytes()).is_ok_and(|c| c.fleet.is_some()));
 }
@@ -175,15 +199,32 @@
     rig.wait_until_seen(&[0, 1, 2], &[0, 1, 2]);
     // A member with the units themselves, that speaks a little more than this build knows.
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
-    socket.set_read_timeout(Some(std::time::Duration::from_millis(10))).unwrap();
-    let me = Identity { name: "later".into(), addr: socket.local_addr().unwrap(), session: 1 << 50, back: 0 };
+    socket
+        .set_read_timeout(Some(std::time::Duration::from_millis(10)))
+        .unwrap();
+    let me = Identity {
+        name: "later".into(),
+        addr: socket.local_addr().unwrap(),
+        session: 1 << 50,
+        back: 0,
+    };
     let keys = || Keyring::of(Key::parse(driftfront_rig::KEY).unwrap());
-    let about = About { build: "9.9.9".into(), ..About::default() };
+    let about = About {
+        build: "9.9.9".into(),
+        ..About::default()
+    };
     let seeds = vec![rig.net.public(0)];
     let begun = std::time::Instant::now();
     let mut later = Fleet::new(
         0,
-        driftfront_fleet::Options { me, about: about.clone(), keys: keys(), seeds, seed: 3, agreed: None },
+        driftfront_fleet::Options {
+            me,
+            about: about.clone(),
+            keys: keys(),
+            seeds,
+            seed: 3,
+            agreed: None,
+        },
     );
     // A field in its record, a kind of record and a kind of payload that nobody here has heard of.
     let mut record = about.write();
@@ -193,8 +234,11 @@
     let unknown = seal.seal(Payload::Unknown(200), b"whatever", 0).unwrap();
     let mut bytes = [0; 2048];
     let mut told = false;
-    let seen =
-        |m: u32| rig.sees(m).iter().any(|s| s.name == "later" && s.standing == "there" && s.build == "9.9.9");
+    let seen = |m: u32| {
+        rig.sees(m)
+            .iter()
+            .any(|s| s.name == "later" && s.standing == "there" && s.build == "9.9.9")
+    };
     while !(0..3).all(seen) || !told {
         assert!(begun.elapsed() < driftfront_rig::FOR_EVER);
         while let Ok(n) = socket.recv(&mut bytes) {
--- a/crates/node/tests/link.rs
+++ b/crates/node/tests/link.rs
@@ -18,15 +18,26 @@
     far.write_all(b"an answer").unwrap();
     let begin = Instant::now();
     while near.peek(&mut [0; 16]).ok() != Some(9) {
-        assert!(begin.elapsed() < Duration::from_secs(60), "the answer never came");
+        assert!(
+            begin.elapsed() < Duration::from_secs(60),
+            "the answer never came"
+        );
     }
-    SockRef::from(&far).set_linger(Some(Duration::ZERO)).unwrap();
+    SockRef::from(&far)
+        .set_linger(Some(Duration::ZERO))
+        .unwrap();
     drop(far);
     while !link.peer_has_ended() {
-        assert!(begin.elapsed() < Duration::from_secs(60), "the reset never came");
+        assert!(
+            begin.elapsed() < Duration::from_secs(60),
+            "the reset never came"
+        );
     }
     let mut bytes = Vec::new();
     assert_eq!(link.read(&mut bytes, 1024).unwrap(), ReadEnd::Enough);
     assert_eq!(bytes, b"an answer");
-    assert_eq!(link.read(&mut bytes, 1024).unwrap_err().kind(), ErrorKind::ConnectionReset);
+    assert_eq!(
+        link.read(&mut bytes, 1024).unwrap_err().kind(),
+        ErrorKind::ConnectionReset
+    );
 }
--- a/crates/node/tests/operators.rs
+++ b/crates/node/tests/operators.rs
@@ -35,12 +35,19 @@
     fn start(engines: usize) -> Operated {
         let (socket, state) = (path("control"), path("state"));
         let site = Operated::plan(engines, &socket, &state).start();
-        Operated { site, socket, state }
+        Operated {
+            site,
+            socket,
+            state,
+        }
     }
 
     fn plan(engines: usize, socket: &std::path::Path, state: &std::path::Path) -> Plan {
-        let more =
-            format!("\"control\": \"{}\", \"state\": \"{}\", \"limits\"", socket.display(), state.display());
+        let more = format!(
+            "\"control\": \"{}\", \"state\": \"{}\", \"limits\"",
+            socket.display(),
+            state.display()
+        );
         Plan::of(engines).with("\"limits\"", &more)
     }
 
@@ -59,7 +66,10 @@
     }
 
     fn drain(&self, engine: &str, force: bool) -> Reply {
-        self.ask(Request::Drain { engine: engine.into(), force })
+        self.ask(Request::Drain {
+            engine: engine.into(),
+            force,
+        })
     }
 
     fn snapshot(&self) -> Snapshot {
@@ -90,7 +100,10 @@
             .output()
             .expect("it runs");
         let text = [out.stdout, out.stderr].concat();
-        (out.status.code().unwrap_or(-1), String::from_utf8(text).expect("text"))
+        (
+            out.status.code().unwrap_or(-1),
+            String::from_utf8(text).expect("text"),
+        )
     }
 }
 
@@ -111,7 +124,14 @@
 #[test]
 fn after_a_drain_by_command_nothing_new_reaches_the_engine_a_hundred_times() {
     let o = Operated::start(3);
-    assert_eq!(std::fs::metadata(&o.socket).expect("a socket").permissions().mode() & 0o777, 0o600);
+    assert_eq!(
+        std::fs::metadata(&o.socket)
+            .expect("a socket")
+            .permissions()
+            .mode()
+            & 0o777,
+        0o600
+    );
     let addr = o.site.coordinator.addr;
     let stop = Arc::new(std::sync::atomic::AtomicBool::new(false));
     let load: Vec<_> = (0..4)
@@ -160,25 +180,43 @@
         o.site.list(&["ready", "draining"]);
         o.site.list(&["ready", "ready"]);
         let s = o.wait_until("the source's word", |s| {
-            s.engines.iter().all(|e| e.listed.as_deref() == Some("ready"))
+            s.engines
+                .iter()
+                .all(|e| e.listed.as_deref() == Some("ready"))
         });
-        assert_eq!((s.engines[0].phase.as_str(), s.engines[0].order.as_str()), ("draining", "drain"));
+        assert_eq!(
+            (s.engines[0].phase.as_str(), s.engines[0].order.as_str()),
+            ("draining", "drain")
+        );
         // Half a record at the end, as a power cut leaves it.
         let orders = state.join("orders");
         let mut bytes = std::fs::read(&orders).expect("the file");
         bytes.extend([9, 0, 0, 0, 1]);
         std::fs::write(&orders, bytes).expect("a spoilt tail");
     }
-    let o = Operated { site: Operated::plan(2, &socket, &state).start(), socket, state };
+    let o = Operated {
+        site: Operated::plan(2, &socket, &state).start(),
+        socket,
+        state,
+    };
     let s = o.wait_until("the list", |s| s.engines.len() == 2);
-    assert_eq!((s.engines[0].phase.as_str(), s.engines[0].order_by.as_str()), ("draining", "operator"));
+    assert_eq!(
+        (s.engines[0].phase.as_str(), s.engines[0].order_by.as_str()),
+        ("draining", "operator")
+    );
     for n in 0..20 {
         assert_eq!(o.site.query(&format!("SELECT {n}")).status, 200);
     }
     assert!(o.site.ledger.of("SELECT").iter().all(|e| e.engine == "e1"));
     let (code, events) = o.type_in(&["events"]);
-    assert!(code == 0 && events.contains("5 bytes behind the last whole record are cut"), "{events}");
-    assert!(matches!(o.ask(Request::Resume("e0".into())), Reply::Done(_)));
+    assert!(
+        code == 0 && events.contains("5 bytes behind the last whole record are cut"),
+        "{events}"
+    );
+    assert!(matches!(
+        o.ask(Request::Resume("e0".into())),
+        Reply::Done(_)
+    ));
     o.wait_until("e0 is back", |s| s.engines[0].phase == "ready");
 }
 
@@ -186,11 +224,24 @@
 fn the_last_engine_is_kept_without_force_and_two_operators_are_told_apart() {
     let o = Operated::start(2);
     let answers: Vec<Reply> = std::thread::scope(|scope| {
-        let each: Vec<_> = (0..2).map(|_| scope.spawn(|| o.drain("e0", false))).collect();
-        each.into_iter().map(|t| t.join().expect("no panic")).collect()
+        let each: Vec<_> = (0..2)
+            .map(|_| scope.spawn(|| o.drain("e0", false)))
+            .collect();
+        each.into_iter()
+            .map(|t| t.join().expect("no panic"))
+            .collect()
     });
-    assert_eq!(answers.iter().filter(|a| matches!(a, Reply::Done(_))).count(), 1);
-    let second = answers.iter().find(|a| matches!(a, Reply::Refused(_))).expect("one is second");
+    assert_eq!(
+        answers
+            .iter()
+            .filter(|a| matches!(a, Reply::Done(_)))
+            .count(),
+        1
+    );
+    let second = answers
+        .iter()
+        .find(|a| matches!(a, Reply::Refused(_)))
+        .expect("one is second");
     assert!(refused(second).contains("was drained before, by operator"));
     assert!(refused(&o.drain("e1", false)).contains("--force"));
     assert!(refused(&o.drain("e-1", false)).contains("did you mean e1"));
@@ -206,38 +257,67 @@
 #[test]
 fn an_engine_that_an_operator_adds_or_removes_stays_so_whatever_the_source_does() {
     let o = Operated::start(2);
-    let third = Engine::start(Options { name: "extra".into(), ..Options::default() }, o.site.ledger.clone());
+    let third = Engine::start(
+        Options {
+            name: "extra".into(),
+            ..Options::default()
+        },
+        o.site.ledger.clone(),
+    );
     let (code, words) = o.type_in(&["add", "extra", &third.addr().to_string()]);
     assert!(code == 0, "{words}");
     o.drain("e0", false);
     o.drain("e1", false);
     assert_eq!(o.site.query("SELECT 'extra'").status, 200);
     assert_eq!(o.site.ledger.of("'extra'")[0].engine, "extra");
-    assert!(
-        refused(&o.ask(Request::Remove { engine: "extra".into(), force: false })).contains("drain it first")
-    );
-    assert!(matches!(o.ask(Request::Remove { engine: "e0".into(), force: false }), Reply::Done(_)));
+    assert!(refused(&o.ask(Request::Remove {
+        engine: "extra".into(),
+        force: false
+    }))
+    .contains("drain it first"));
+    assert!(matches!(
+        o.ask(Request::Remove {
+            engine: "e0".into(),
+            force: false
+        }),
+        Reply::Done(_)
+    ));
     o.site.list(&["ready", "ready"]);
     let s = o.snapshot();
-    assert!(s.engines.iter().any(|e| e.name == "e0" && e.phase == "gone" && e.order == "remove"));
+    assert!(s
+        .engines
+        .iter()
+        .any(|e| e.name == "e0" && e.phase == "gone" && e.order == "remove"));
     let (code, words) = o.type_in(&["add", "e0"]);
     assert!(code == 0, "{words}");
-    o.wait_until("e0 is back", |s| s.engines.iter().any(|e| e.name == "e0" && e.phase == "ready"));
+    o.wait_until("e0 is back", |s| {
+        s.engines
+            .iter()
+            .any(|e| e.name == "e0" && e.phase == "ready")
+    });
 }
 
 #[test]
 fn an_engine_silent_during_an_import_is_told_in_plain_words() {
     let o = Operated::start(2);
-    let _import = o.site.begin("/?query_id=june", "INSERT INTO o.t VALUES (1) /* standin: silent */");
+    let _import = o.site.begin(
+        "/?query_id=june",
+        "INSERT INTO o.t VALUES (1) /* standin: silent */",
+    );
     o.site.ledger.wait_for("INSERT", 1);
     let engine = o.site.ledger.of("INSERT")[0].engine.clone();
     o.site.engine(&engine).mute(true);
     let told = o.wait_until("silence", |s| {
-        driftfront_console::words::alarms(s).iter().any(|a| a.contains("said nothing"))
+        driftfront_console::words::alarms(s)
+            .iter()
+            .any(|a| a.contains("said nothing"))
     });
     let alarms = driftfront_console::words::alarms(&told).join("\n");
     let words = "One import runs there; it will not be sent again.";
-    assert!(alarms.contains(&engine) && alarms.contains(words), "{alarms}");
+    assert!(
+        alarms.contains(&engine) && alarms.contains(words),
+        "{alarms}"
+    );
     let (_, text) = o.type_in(&["queries"]);
     assert!(text.contains("june") && text.contains("yes"), "{text}");
     let (_, json) = o.type_in(&["queries", "--json"]);
@@ -247,17 +327,26 @@
 #[test]
 fn an_operator_who_does_not_read_or_writes_nonsense_holds_up_nobody() {
     let o = Operated::start(1);
-    let mut silent: Vec<UnixStream> =
-        (0..4).map(|_| UnixStream::connect(&o.socket).expect("it listens")).collect();
+    let mut silent: Vec<UnixStream> = (0..4)
+        .map(|_| UnixStream::connect(&o.socket).expect("it listens"))
+        .collect();
     for stream in &mut silent {
-        stream.write_all(Request::Follow(50).line(1).as_bytes()).expect("it reads");
-        stream.write_all(Request::Events(true).line(2).as_bytes()).expect("it reads");
+        stream
+            .write_all(Request::Follow(50).line(1).as_bytes())
+            .expect("it reads");
+        stream
+            .write_all(Request::Events(true).line(2).as_bytes())
+            .expect("it reads");
     }
     let mut odd = UnixStream::connect(&o.socket).expect("it listens");
     odd.write_all(&[b'x'; 100_000]).ok();
     let mut rest = Vec::new();
     let _ = odd.read_to_end(&mut rest);
-    for line in ["nonsense\n", "{\"v\":9,\"id\":1,\"do\":\"snapshot\"}\n", "{\"v\":1,\"do\":\"dance\"}\n"] {
+    for line in [
+        "nonsense\n",
+        "{\"v\":9,\"id\":1,\"do\":\"snapshot\"}\n",
+        "{\"v\":1,\"do\":\"dance\"}\n",
+    ] {
         let mut stream = UnixStream::connect(&o.socket).expect("it listens");
         stream.write_all(line.as_bytes()).expect("it reads");
         let mut bytes = [0; 4096];
@@ -276,13 +365,20 @@
     for n in 0..60 {
         let (engine, addr) = (format!("far-{n}"), format!("127.0.0.1:{}", 40_000 + n));
         let (zone, kind) = (String::new(), String::new());
-        o.ask(Request::Add { engine: engine.clone(), addr, zone, kind });
+        o.ask(Request::Add {
+            engine: engine.clone(),
+            addr,
+            zone,
+            kind,
+        });
         o.drain(&engine, false);
     }
     o.site.coordinator.wait_for("operators_cut_off", 4);
     drop(silent);
     // More than there is room for: the rest is closed, and the program goes on.
-    let crowd: Vec<_> = (0..40).filter_map(|_| UnixStream::connect(&o.socket).ok()).collect();
+    let crowd: Vec<_> = (0..40)
+        .filter_map(|_| UnixStream::connect(&o.socket).ok())
+        .collect();
     assert_eq!(o.site.query("SELECT 'crowd'").status, 200);
     drop(crowd);
     o.snapshot();
@@ -291,29 +387,54 @@
 #[test]
 fn a_roll_takes_engines_out_one_after_another_and_goes_on_after_a_restart() {
     let (socket, state) = (path("control"), path("state"));
-    let plan = || Operated::plan(3, &socket, &state).with("\"WarmUpUs\": 15000000", "\"WarmUpUs\": 1000000");
+    let plan = || {
+        Operated::plan(3, &socket, &state).with("\"WarmUpUs\": 15000000", "\"WarmUpUs\": 1000000")
+    };
     {
-        let o = Operated { site: plan().start(), socket: socket.clone(), state: path("none") };
+        let o = Operated {
+            site: plan().start(),
+            socket: socket.clone(),
+            state: path("none"),
+        };
         let (code, plan) = o.type_in(&["roll", "--dry-run"]);
-        assert!(code == 0 && plan.contains("1. drain e0") && plan.contains("3. drain e2"), "{plan}");
+        assert!(
+            code == 0 && plan.contains("1. drain e0") && plan.contains("3. drain e2"),
+            "{plan}"
+        );
         assert!(o.snapshot().roll.is_none());
-        let mut busy = o.site.begin("/?driftfront_class=report", "SELECT sleep(1), 'busy'");
+        let mut busy = o
+            .site
+            .begin("/?driftfront_class=report", "SELECT sleep(1), 'busy'");
         o.site.ledger.wait_for("busy", 1);
         let at = o.site.ledger.of("busy")[0].engine.clone();
         assert_eq!(o.type_in(&["roll", &at, "e2"]).0, 0);
-        o.wait_until("it is handed over", |s| s.roll.as_ref().is_some_and(|r| r.stage == "handed"));
+        o.wait_until("it is handed over", |s| {
+            s.roll.as_ref().is_some_and(|r| r.stage == "handed")
+        });
         // Handed over only once nothing runs there.
         assert!(o.site.ledger.of("busy")[0].over.is_some());
         assert_eq!(read_answer(&mut busy).status, 200);
     }
-    let o = Operated { site: plan().start(), socket, state };
+    let o = Operated {
+        site: plan().start(),
+        socket,
+        state,
+    };
     let s = o.wait_until("the roll", |s| s.roll.is_some() && s.engines.len() == 3);
     assert_eq!(s.roll.as_ref().map(|r| r.stage.as_str()), Some("handed"));
-    assert_eq!(s.engines.iter().filter(|e| e.phase == "draining").count(), 1);
+    assert_eq!(
+        s.engines.iter().filter(|e| e.phase == "draining").count(),
+        1
+    );
     assert_eq!(o.type_in(&["roll", "--back"]).0, 0);
-    o.wait_until("it is back", |s| s.engines.iter().all(|e| e.phase == "ready"));
+    o.wait_until("it is back", |s| {
+        s.engines.iter().all(|e| e.phase == "ready")
+    });
     assert_eq!(o.type_in(&["roll", "--stop"]).0, 0);
-    assert_eq!(o.snapshot().roll.map(|r| r.stage), Some("stopped".to_string()));
+    assert_eq!(
+        o.snapshot().roll.map(|r| r.stage),
+        Some("stopped".to_string())
+    );
 }
 
 #[test]
@@ -326,16 +447,24 @@
     assert_eq!(o.type_in(&["resume", "e0"]).0, 3);
     assert_eq!(o.type_in(&["status", "--at", "/nowhere.sock"]).0, 4);
     assert!(o.type_in(&["manual"]).1.contains(".TH DRIFTFRONT"));
-    assert!(o.type_in(&["completions", "bash"]).1.contains("complete -F"));
+    assert!(o
+        .type_in(&["completions", "bash"])
+        .1
+        .contains("complete -F"));
     // A control socket that answers is not taken over by a second program.
     let list = file("{\"instances\":[]}");
     let config = common::appliance()
         .replace("127.0.0.1:8123", "127.0.0.1:0")
         .replace("deploy/engines.json", &list.display().to_string())
-        .replace("\"limits\"", &format!("\"control\": \"{}\", \"limits\"", o.socket.display()));
+        .replace(
+            "\"limits\"",
+            &format!("\"control\": \"{}\", \"limits\"", o.socket.display()),
+        );
     let path = file(&config);
-    let second =
-        Command::new(env!("CARGO_BIN_EXE_driftfront")).args(["serve", "--config"]).arg(&path).output();
+    let second = Command::new(env!("CARGO_BIN_EXE_driftfront"))
+        .args(["serve", "--config"])
+        .arg(&path)
+        .output();
     let words = String::from_utf8(second.expect("it runs").stderr).expect("text");
     assert!(words.contains("another program answers there"), "{words}");
     let _ = (std::fs::remove_file(path), std::fs::remove_file(list));
@@ -343,8 +472,10 @@
 
 #[test]
 fn the_demo_runs_by_one_command_alone() {
-    let out =
-        Command::new(env!("CARGO_BIN_EXE_driftfront")).args(["demo", "--plain"]).output().expect("it runs");
+    let out = Command::new(env!("CARGO_BIN_EXE_driftfront"))
+        .args(["demo", "--plain"])
+        .output()
+        .expect("it runs");
     let text = String::from_utf8(out.stdout).expect("text");
     assert!(
         out.status.success() && text.contains("3 of 3 engines ready") && text.contains("lookup"),
@@ -358,8 +489,13 @@
     std::fs::write(&key, "a key of some length\n").expect("a file");
     let engine = Engine::start(Options::default(), Arc::new(Ledger::default()));
     // Not where connections of other tests begin: one could have the port before the program does.
-    let port = std::net::TcpListener::bind("127.91.0.1:0").and_then(|l| l.local_addr()).expect("a port");
-    let list = file(&format!("{{\"instances\":[{}]}}", instance("e0", engine.addr(), "ready")));
+    let port = std::net::TcpListener::bind("127.91.0.1:0")
+        .and_then(|l| l.local_addr())
+        .expect("a port");
+    let list = file(&format!(
+        "{{\"instances\":[{}]}}",
+        instance("e0", engine.addr(), "ready")
+    ));
     let config = common::appliance()
         .replace("127.0.0.1:8123", "127.0.0.1:0")
         .replace("deploy/engines.json", &list.display().to_string())
@@ -375,7 +511,9 @@
     let with = |key: &str| Remote::connect(&At::Port(port.to_string(), key.as_bytes().to_vec()));
     assert!(with("another key altogether").is_err());
     let mut remote = with("a key of some length").expect("the right key");
-    assert!(matches!(remote.ask(&Request::Snapshot), Ok(Reply::Snapshot(s)) if s.engines.len() == 1));
+    assert!(
+        matches!(remote.ask(&Request::Snapshot), Ok(Reply::Snapshot(s)) if s.engines.len() == 1)
+    );
     let _ = (std::fs::remove_file(key), std::fs::remove_file(list));
 }
 
@@ -390,10 +528,22 @@
 
 impl Terminal {
     fn open(o: &Operated, rows: u16, cols: u16) -> Terminal {
-        let size = portable_pty::PtySize { rows, cols, pixel_width: 0, pixel_height: 0 };
-        let pair = portable_pty::native_pty_system().openpty(size).expect("a terminal");
+        let size = portable_pty::PtySize {
+            rows,
+            cols,
+            pixel_width: 0,
+            pixel_height: 0,
+        };
+        let pair = portable_pty::native_pty_system()
+            .openpty(size)
+            .expect("a terminal");
         let mut command = portable_pty::CommandBuilder::new(env!("CARGO_BIN_EXE_driftfront"));
-        command.args(["console", "--no-color", "--at", &o.socket.display().to_string()]);
+        command.args([
+            "console",
+            "--no-color",
+            "--at",
+            &o.socket.display().to_string(),
+        ]);
         command.env("TERM", "xterm-256color");
         let child = pair.slave.spawn_command(command).expect("it runs");
         drop(pair.slave);
@@ -412,7 +562,12 @@
             }
         });
         let writer = pair.master.take_writer().expect("a writer");
-        Terminal { screen, writer, child, _master: pair.master }
+        Terminal {
+            screen,
+            writer,
+            child,
+            _master: pair.master,
+        }
     }
 
     fn text(&self) -> String {
@@ -428,7 +583,11 @@
     fn wait_for(&self, words: &str) {
         let begin = Instant::now();
         while !self.says(words) {
-            assert!(begin.elapsed() < common::FOR_EVER, "{words:?} never came:\n{}", self.text());
+            assert!(
+                begin.elapsed() < common::FOR_EVER,
+                "{words:?} never came:\n{}",
+                self.text()
+            );
             std::thread::sleep(Duration::from_millis(5));
         }
     }
@@ -463,7 +622,9 @@
         terminal.press("r");
         terminal.wait_for("3 of 3 engines ready");
         // An engine falls silent during an import.
-        let _import = o.site.begin("/", "INSERT INTO o.t VALUES (1) /* standin: silent */");
+        let _import = o
+            .site
+            .begin("/", "INSERT INTO o.t VALUES (1) /* standin: silent */");
         o.site.ledger.wait_for("INSERT", 1);
         let engine = o.site.ledger.of("INSERT")[0].engine.clone();
         o.site.engine(&engine).mute(true);
@@ -496,8 +657,15 @@
 #[test]
 fn a_console_whose_terminal_is_gone_ends_by_itself() {
     let o = Operated::start(1);
-    let size = portable_pty::PtySize { rows: 24, cols: 80, pixel_width: 0, pixel_height: 0 };
-    let pair = portable_pty::native_pty_system().openpty(size).expect("a terminal");
+    let size = portable_pty::PtySize {
+        rows: 24,
+        cols: 80,
+        pixel_width: 0,
+        pixel_height: 0,
+    };
+    let pair = portable_pty::native_pty_system()
+        .openpty(size)
+        .expect("a terminal");
     let mut command = portable_pty::CommandBuilder::new(env!("CARGO_BIN_EXE_driftfront"));
     command.args(["console", "--at", &o.socket.display().to_string()]);
     command.env("TERM", "xterm-256color");
@@ -507,7 +675,10 @@
     drop(pair.master);
     let begin = Instant::now();
     while child.try_wait().expect("a child").is_none() {
-        assert!(begin.elapsed() < common::FOR_EVER, "it goes on without a terminal");
+        assert!(
+            begin.elapsed() < common::FOR_EVER,
+            "it goes on without a terminal"
+        );
         std::thread::sleep(Duration::from_millis(10));
     }
     assert_eq!(o.site.query("SELECT 'after the terminal'").status, 200);
--- a/crates/node/tests/platform.rs
+++ b/crates/node/tests/platform.rs
@@ -13,15 +13,25 @@
 fn results_come_whole_with_all_their_pages() {
     let site = Site::start(2);
     let one = site.ask("lookup", 2500, "SELECT 1");
-    assert_eq!((one.status, one.text().as_str()), (200, "{\"data\":[[\"1\",\"a\",\"b\"]]}"));
-    let rows: Vec<String> =
-        (0..8).flat_map(|n| std::iter::repeat_n(format!("[\"{n}\",\"a\",\"b\"]"), 900)).collect();
+    assert_eq!(
+        (one.status, one.text().as_str()),
+        (200, "{\"data\":[[\"1\",\"a\",\"b\"]]}")
+    );
+    let rows: Vec<String> = (0..8)
+        .flat_map(|n| std::iter::repeat_n(format!("[\"{n}\",\"a\",\"b\"]"), 900))
+        .collect();
     let whole = format!("{{\"data\":[{}]}}", rows.join(","));
     assert_eq!(site.ask("report", 15_000, "SELECT pages").text(), whole);
     // Pages are lost with their engine: a read may be run again, before any row was passed on.
-    assert_eq!(site.ask("report", 15_000, "SELECT pages lost").text(), whole);
+    assert_eq!(
+        site.ask("report", 15_000, "SELECT pages lost").text(),
+        whole
+    );
     assert_eq!(site.ledger.of("pages lost").len(), 2);
-    assert_eq!(site.ask("member-load", 15_000, "INSERT pages lost").status, 500);
+    assert_eq!(
+        site.ask("member-load", 15_000, "INSERT pages lost").status,
+        500
+    );
     site.ledger.assert_rules(4);
 }
 
@@ -34,13 +44,20 @@
         let mut head = [0; 20];
         stream.read_exact(&mut head).unwrap();
         let id = head.split(|b| *b == b' ').nth(1).unwrap();
-        stream.write_all(&[id, b" HIT fetches=1 6\r\n1\ta\tb\n\r\n"].concat()).unwrap();
+        stream
+            .write_all(&[id, b" HIT fetches=1 6\r\n1\ta\tb\n\r\n"].concat())
+            .unwrap();
         let _ = ends.lock().unwrap().recv();
     });
     let list = List::start();
     let coordinator =
         Coordinator::start(&config(list.addr).replace("\"MayProbe\": true", "\"MayProbe\": false"));
-    let site = Site { ledger: Arc::default(), coordinator, list, engines: vec![dies] };
+    let site = Site {
+        ledger: Arc::default(),
+        coordinator,
+        list,
+        engines: vec![dies],
+    };
     site.tell(&["ready"], "");
     site.coordinator.wait_until_ready();
     assert_eq!(site.ask("lookup", 2500, "SELECT first").status, 200);
@@ -52,9 +69,23 @@
 #[test]
 fn each_end_of_an_attempt_leads_where_its_class_allows() {
     let site = Site::start(3);
-    for (word, load) in [("full", 200), ("fault", 500), ("dies", 500), ("nonsense", 500)] {
-        assert_eq!(site.ask("lookup", 2500, &format!("SELECT {word}")).status, 200, "{word}");
-        assert_eq!(site.ask("member-load", 25_000, &format!("INSERT {word}")).status, load, "{word}");
+    for (word, load) in [
+        ("full", 200),
+        ("fault", 500),
+        ("dies", 500),
+        ("nonsense", 500),
+    ] {
+        assert_eq!(
+            site.ask("lookup", 2500, &format!("SELECT {word}")).status,
+            200,
+            "{word}"
+        );
+        assert_eq!(
+            site.ask("member-load", 25_000, &format!("INSERT {word}"))
+                .status,
+            load,
+            "{word}"
+        );
     }
     site.ledger.assert_rules(8);
 }
@@ -64,10 +95,22 @@
     let site = Site::start(2);
     let load = site.ask("member-load", 700, "INSERT silent");
     // It may have run: not a refusal.
-    assert_eq!((load.status, load.text().as_str()), (500, "{\"error\":\"Internal\"}"));
+    assert_eq!(
+        (load.status, load.text().as_str()),
+        (500, "{\"error\":\"Internal\"}")
+    );
     let read = site.ask("lookup", 300, "SELECT silent");
-    assert_eq!((read.status, read.header("X-Come-Back-Ms").is_some()), (429, true));
-    assert_eq!((site.ledger.of("INSERT").len(), site.ledger.of("SELECT").len()), (1, 1));
+    assert_eq!(
+        (read.status, read.header("X-Come-Back-Ms").is_some()),
+        (429, true)
+    );
+    assert_eq!(
+        (
+            site.ledger.of("INSERT").len(),
+            site.ledger.of("SELECT").len()
+        ),
+        (1, 1)
+    );
     assert_eq!(site.coordinator.counter("answers_overdue"), 0);
 }
 
@@ -80,19 +123,27 @@
     // Its connection ends with all that is open on it; the load is on another.
     assert_eq!(site.ask("lookup", 2500, "SELECT nonsense").status, 200);
     assert_eq!(load.join().unwrap(), 500);
-    site.coordinator.wait_for("attempts_ended{outcome=\"timed_out\"}", 1);
-    assert_eq!(site.coordinator.counter("attempts_ended{outcome=\"reset\"}"), 1);
+    site.coordinator
+        .wait_for("attempts_ended{outcome=\"timed_out\"}", 1);
+    assert_eq!(
+        site.coordinator
+            .counter("attempts_ended{outcome=\"reset\"}"),
+        1
+    );
 }
 
 #[test]
 fn what_is_out_on_a_silent_connection_is_tried_elsewhere_but_for_loads() {
     // Notes are due each 0.1 s, so a connection that brings none of them for long is dead.
-    let site = Site::set(2, |config| config.replace("\"TellsEveryUs\": 0", "\"TellsEveryUs\": 100000"));
+    let site = Site::set(2, |config| {
+        config.replace("\"TellsEveryUs\": 0", "\"TellsEveryUs\": 100000")
+    });
     assert_eq!(site.ask("report", 15_000, "SELECT mute").status, 200);
     assert_eq!(site.ledger.of("SELECT mute").len(), 2);
     assert_eq!(site.ask("member-load", 1500, "INSERT mute").status, 500);
     assert_eq!(site.ledger.of("INSERT mute").len(), 1);
-    site.coordinator.wait_for("attempts_ended{outcome=\"timed_out\"}", 1);
+    site.coordinator
+        .wait_for("attempts_ended{outcome=\"timed_out\"}", 1);
 }
 
 #[test]
@@ -107,7 +158,11 @@
     site.coordinator.wait_for("clients_left", 1);
     // The next of the key has to wait for the end of what is still out, and for the key's rest.
     assert_eq!(site.ask("member-load", 25_000, "INSERT 2").status, 200);
-    assert_eq!(site.coordinator.counter("attempts_ended{outcome=\"timed_out\"}"), 1);
+    assert_eq!(
+        site.coordinator
+            .counter("attempts_ended{outcome=\"timed_out\"}"),
+        1
+    );
 }
 
 #[test]
@@ -119,7 +174,11 @@
     site.coordinator.wait_for("lists_taken", 4);
     assert_eq!(*site.list.asked.lock().unwrap(), ["0", "2"]);
     for n in 0..10 {
-        assert_eq!(site.ask("lookup", 2500, &format!("SELECT drained {n}")).status, 200);
+        assert_eq!(
+            site.ask("lookup", 2500, &format!("SELECT drained {n}"))
+                .status,
+            200
+        );
     }
     assert!(site.ledger.of("drained").iter().all(|e| e.engine == "1"));
 }
@@ -128,7 +187,8 @@
 fn a_new_configuration_moves_the_list_and_keeps_all_that_is_open() {
     let mut site = Site::start(2);
     let mut open = TcpStream::connect(site.coordinator.addr).unwrap();
-    open.write_all(b"POST /ops/lookup HTTP/1.1\r\nX-Call-Id: 00000000000000ab\r\n").unwrap();
+    open.write_all(b"POST /ops/lookup HTTP/1.1\r\nX-Call-Id: 00000000000000ab\r\n")
+        .unwrap();
     // A bad file is no reason to end, nor to forget where the list is told.
     site.coordinator.reload("{ half a fi");
     site.tell(&["ready", "ready"], "");
@@ -141,7 +201,8 @@
     site.tell(&["draining", "ready"], "");
     site.coordinator.wait_for("lists_taken", 4);
     assert_eq!(*site.list.asked.lock().unwrap(), ["2"]);
-    open.write_all(b"X-Patience-Ms: 2500\r\nContent-Length: 14\r\n\r\nSELECT drained").unwrap();
+    open.write_all(b"X-Patience-Ms: 2500\r\nContent-Length: 14\r\n\r\nSELECT drained")
+        .unwrap();
     assert_eq!(read_answer(&mut open).status, 200);
     assert_eq!(site.ledger.of("drained")[0].engine, "1");
 }
@@ -151,8 +212,9 @@
     let site = Site::start(1);
     let mut text = String::new();
     for n in 0..3 {
-        let head =
-            format!("POST /ops/lookup HTTP/1.1\r\nX-Call-Id: 00000000000000a{n}\r\nX-Patience-Ms: 2500\r\n");
+        let head = format!(
+            "POST /ops/lookup HTTP/1.1\r\nX-Call-Id: 00000000000000a{n}\r\nX-Patience-Ms: 2500\r\n"
+        );
         text += &format!("{head}Content-Length: 8\r\n\r\nSELECT {n}");
     }
     let mut stream = TcpStream::connect(site.coordinator.addr).unwrap();
@@ -171,7 +233,14 @@
         read_answer(&mut stream)
     };
     assert_eq!(cut.status, 400);
-    assert_eq!(call(site.coordinator.addr, b"DELETE /ops/lookup HTTP/1.1\r\n\r\n").status, 405);
+    assert_eq!(
+        call(
+            site.coordinator.addr,
+            b"DELETE /ops/lookup HTTP/1.1\r\n\r\n"
+        )
+        .status,
+        405
+    );
 }
 
 #[test]
@@ -181,33 +250,61 @@
     let post = |more: &str| format!("POST /ops/lookup HTTP/1.1\r\n{fields}{more}");
     let hidden = post("Content-Length: 8\r\n\r\nSELECT 9");
     for (bytes, status) in [
-        (post("Content-Length: 8\r\nContent-Length: 8\r\n\r\nSELECT 1"), 400),
+        (
+            post("Content-Length: 8\r\nContent-Length: 8\r\n\r\nSELECT 1"),
+            400,
+        ),
         (post("Content-Length: -8\r\n\r\nSELECT 1"), 400),
-        (post("Content-Length: 99999999999999999999\r\n\r\nSELECT 1"), 413),
+        (
+            post("Content-Length: 99999999999999999999\r\n\r\nSELECT 1"),
+            413,
+        ),
         (post("Content-Length: 60000000\r\n\r\nSELECT 1"), 413),
         // The request that it hides in its body must not be taken either.
-        (post(&format!("Content-Length: 8\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n{hidden}")), 400),
+        (
+            post(&format!(
+                "Content-Length: 8\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n{hidden}"
+            )),
+            400,
+        ),
         // A length that is too small would run half a statement.
         (post("Content-Length: 8\r\n\r\nSELECT 1 FROM b"), 400),
-        (post("X-Entity: 0a\r\nContent-Length: 8\r\n\r\nSELECT 1"), 400),
+        (
+            post("X-Entity: 0a\r\nContent-Length: 8\r\n\r\nSELECT 1"),
+            400,
+        ),
         (post("Content-Length: 0\r\n\r\n"), 400),
         ("\x16\x03\x01\x02\x00".into(), 400),
     ] {
-        assert_eq!(call(site.coordinator.addr, bytes.as_bytes()).status, status, "{bytes}");
+        assert_eq!(
+            call(site.coordinator.addr, bytes.as_bytes()).status,
+            status,
+            "{bytes}"
+        );
     }
     // What says nothing, or never ends, is closed without being asked: reading ends.
     let mut quiet = TcpStream::connect(site.coordinator.addr).unwrap();
     let mut endless = TcpStream::connect(site.coordinator.addr).unwrap();
-    endless.write_all(post("Content-Length: 9\r\n\r\nSELECT 1").as_bytes()).unwrap();
+    endless
+        .write_all(post("Content-Length: 9\r\n\r\nSELECT 1").as_bytes())
+        .unwrap();
     assert_eq!(read_answer(&mut endless).status, 408);
     assert_eq!(quiet.read(&mut [0]).unwrap(), 0);
     assert_eq!(site.ledger.of("").len(), 0);
     // The rest of a body whose length was too small may come later: what is out then is not served.
     let mut late = TcpStream::connect(site.coordinator.addr).unwrap();
-    late.write_all(post("Content-Length: 13\r\n\r\nSELECT silent").as_bytes()).unwrap();
+    late.write_all(post("Content-Length: 13\r\n\r\nSELECT silent").as_bytes())
+        .unwrap();
     site.ledger.wait_for("SELECT silent", 1);
     // Another under the name of one that is open is not mixed up with it.
-    assert_eq!(call(site.coordinator.addr, post("Content-Length: 8\r\n\r\nSELECT 7").as_bytes()).status, 500);
+    assert_eq!(
+        call(
+            site.coordinator.addr,
+            post("Content-Length: 8\r\n\r\nSELECT 7").as_bytes()
+        )
+        .status,
+        500
+    );
     late.write_all(b" FROM b").unwrap();
     assert_eq!(read_answer(&mut late).status, 400);
     assert_eq!(site.ledger.of("").len(), 1);
@@ -215,10 +312,13 @@
 
 #[test]
 fn a_crowd_that_says_nothing_does_not_keep_usual_clients_out() {
-    let site = Site::set(1, |config| config.replace("\"sockets\": 1024", "\"sockets\": 100"));
+    let site = Site::set(1, |config| {
+        config.replace("\"sockets\": 1024", "\"sockets\": 100")
+    });
     // Clients may hold 60 of them; each new one takes the place of the longest idle.
-    let crowd: Vec<TcpStream> =
-        (0..200).map(|_| TcpStream::connect(site.coordinator.addr).unwrap()).collect();
+    let crowd: Vec<TcpStream> = (0..200)
+        .map(|_| TcpStream::connect(site.coordinator.addr).unwrap())
+        .collect();
     assert_eq!(site.ask("lookup", 2500, "SELECT 1").status, 200);
     assert!(site.coordinator.counter("connections_clients") <= 60);
     drop(crowd);
--- a/crates/node/tests/retry_budget.rs
+++ b/crates/node/tests/retry_budget.rs
@@ -30,7 +30,11 @@
         while let Ok(stream) = TcpStream::connect_timeout(&addr, short) {
             filling.push(stream);
         }
-        LateEngine { addr, listener, filling }
+        LateEngine {
+            addr,
+            listener,
+            filling,
+        }
     }
 
     /// From now on it takes connections, and serves as engine `number` does.
@@ -48,7 +52,11 @@
 
 #[test]
 fn retries_held_up_by_connections_that_come_up_late_stay_within_the_budget_as_they_go_out() {
-    let budget = Budget { free: 3.0, ratio: 0.0, window: Duration::from_millis(500) };
+    let budget = Budget {
+        free: 3.0,
+        ratio: 0.0,
+        window: Duration::from_millis(500),
+    };
     let ledger = Arc::new(Ledger::default());
     let (well, late) = (engines(1, &ledger), LateEngine::new());
     let list = List::start();
@@ -56,10 +64,19 @@
         .replace("\"MinExtra\": 5.0", "\"MinExtra\": 3.0")
         .replace("\"FurtherRatio\": 0.1", "\"FurtherRatio\": 0.0")
         .replace("\"ExtraWindowUs\": 10000000", "\"ExtraWindowUs\": 500000")
-        .replace("\"ConnectTimeoutUs\": 250000", "\"ConnectTimeoutUs\": 20000000");
+        .replace(
+            "\"ConnectTimeoutUs\": 250000",
+            "\"ConnectTimeoutUs\": 20000000",
+        );
     let addrs = vec![well[0], late.addr];
-    let site = Site { ledger, coordinator: Coordinator::start(&text), list, engines: addrs };
-    site.list.tell(&instances(&site.engines, &["ready", "ready"]), "");
+    let site = Site {
+        ledger,
+        coordinator: Coordinator::start(&text),
+        list,
+        engines: addrs,
+    };
+    site.list
+        .tell(&instances(&site.engines, &["ready", "ready"]), "");
     site.coordinator.wait_until_ready();
     // Each errs on the engine that is well, and its further attempt waits for the other one: three in each of five windows.
     let begin = Instant::now();
@@ -73,7 +90,8 @@
             }));
         }
         std::thread::sleep(
-            (budget.window * (window + 1) + Duration::from_millis(50)).saturating_sub(begin.elapsed()),
+            (budget.window * (window + 1) + Duration::from_millis(50))
+                .saturating_sub(begin.elapsed()),
         );
     }
     late.open(1, &site.ledger);
--- a/crates/node/tests/rust_client.rs
+++ b/crates/node/tests/rust_client.rs
@@ -19,7 +19,11 @@
 }
 
 fn run(work: impl std::future::Future<Output = ()>) {
-    tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime").block_on(work);
+    tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .expect("a runtime")
+        .block_on(work);
 }
 
 #[test]
@@ -28,17 +32,29 @@
     run(async {
         for compression in [Compression::None, Compression::Lz4] {
             let client = client(&site).with_compression(compression);
-            let query = client.query("SELECT number, wide(2) AS name FROM numbers(?)").bind(30_000u64);
+            let query = client
+                .query("SELECT number, wide(2) AS name FROM numbers(?)")
+                .bind(30_000u64);
             let rows = query.fetch_all::<Graduate>().await.expect("rows");
             assert_eq!(rows.len(), 30_000);
-            assert!(rows.iter().zip(0..).all(|(r, n)| r.number == n && r.name == n.to_string().repeat(2)));
-            let mut cursor = client.query("SELECT number FROM numbers(5)").fetch::<u64>().expect("a cursor");
+            assert!(rows
+                .iter()
+                .zip(0..)
+                .all(|(r, n)| r.number == n && r.name == n.to_string().repeat(2)));
+            let mut cursor = client
+                .query("SELECT number FROM numbers(5)")
+                .fetch::<u64>()
+                .expect("a cursor");
             let mut sum = 0;
             while let Some(n) = cursor.next().await.expect("a row") {
                 sum += n;
             }
             assert_eq!(sum, 10);
-            let one = client.query("SELECT count() FROM numbers(77)").fetch_one::<u64>().await.expect("one");
+            let one = client
+                .query("SELECT count() FROM numbers(77)")
+                .fetch_one::<u64>()
+                .await
+                .expect("one");
             assert_eq!(one, 77);
         }
     });
@@ -52,17 +68,25 @@
         for (compression, table) in [(Compression::None, "plain"), (Compression::Lz4, "packed")] {
             let client = client(&site).with_compression(compression);
             client
-                .query(&format!("CREATE TABLE {table} (number UInt64, name String)"))
+                .query(&format!(
+                    "CREATE TABLE {table} (number UInt64, name String)"
+                ))
                 .execute()
                 .await
                 .expect("created");
             let mut insert = client.insert(table).expect("an insert");
-            let graduate = |n: u64| Graduate { number: n, name: format!("graduate {n}") };
+            let graduate = |n: u64| Graduate {
+                number: n,
+                name: format!("graduate {n}"),
+            };
             for n in 0..20_000 {
                 insert.write(&graduate(n)).await.expect("a row");
             }
             insert.end().await.expect("an end");
-            let read = client.query(&format!("SELECT ?fields FROM {table}")).fetch_all::<Graduate>().await;
+            let read = client
+                .query(&format!("SELECT ?fields FROM {table}"))
+                .fetch_all::<Graduate>()
+                .await;
             let read = read.expect("rows");
             assert_eq!(read.len(), 20_000);
             assert!(read.iter().zip(0..).all(|(r, n)| *r == graduate(n)));
@@ -76,14 +100,27 @@
     let site = Plan::of(1).start();
     run(async {
         let client = client(&site).with_compression(Compression::None);
-        let wrong = client.query("SELECT nothing").fetch_all::<u64>().await.expect_err("an error");
-        assert!(wrong.to_string().contains("Missing columns: 'nothing'"), "{wrong}");
-        for (n, compression) in [Compression::None, Compression::Lz4].into_iter().enumerate() {
+        let wrong = client
+            .query("SELECT nothing")
+            .fetch_all::<u64>()
+            .await
+            .expect_err("an error");
+        assert!(
+            wrong.to_string().contains("Missing columns: 'nothing'"),
+            "{wrong}"
+        );
+        for (n, compression) in [Compression::None, Compression::Lz4]
+            .into_iter()
+            .enumerate()
+        {
             let client = client.clone().with_compression(compression);
-            let query =
-                format!("SELECT number FROM numbers(1000000) /* standin: cut_after={} */", 2_000_000 + n);
+            let query = format!(
+                "SELECT number FROM numbers(1000000) /* standin: cut_after={} */",
+                2_000_000 + n
+            );
             assert!(client.query(&query).fetch_all::<u64>().await.is_err());
-            let query = format!("SELECT number FROM numbers(1000000) /* standin: late=241 whole n={n} */");
+            let query =
+                format!("SELECT number FROM numbers(1000000) /* standin: late=241 whole n={n} */");
             assert!(client.query(&query).fetch_all::<u64>().await.is_err());
         }
     });
--- a/crates/node/tests/second.rs
+++ b/crates/node/tests/second.rs
@@ -39,13 +39,19 @@
     }
 
     fn requests(&self, statement: &str) -> Vec<Said> {
-        self.all().into_iter().filter(|s| s.word == "REQ" && s.statement.contains(statement)).collect()
+        self.all()
+            .into_iter()
+            .filter(|s| s.word == "REQ" && s.statement.contains(statement))
+            .collect()
     }
 
     /// Waits until this holds of all that was said.
     fn wait(&self, what: &str, holds: impl Fn(&[Said]) -> bool) {
         let said = self.said.lock().unwrap();
-        let (_said, late) = self.news.wait_timeout_while(said, FOR_EVER, |said| !holds(said)).unwrap();
+        let (_said, late) = self
+            .news
+            .wait_timeout_while(said, FOR_EVER, |said| !holds(said))
+            .unwrap();
         assert!(!late.timed_out(), "{what}: never");
     }
 }
@@ -59,7 +65,9 @@
         if input.read_line(&mut line).unwrap_or(0) == 0 {
             return;
         }
-        let line = line.strip_suffix("\r\n").unwrap_or_else(|| panic!("a line without CR LF: {line:?}"));
+        let line = line
+            .strip_suffix("\r\n")
+            .unwrap_or_else(|| panic!("a line without CR LF: {line:?}"));
         let words: Vec<&str> = line.split(' ').collect();
         let mut said = Said {
             engine,
@@ -75,14 +83,23 @@
                 String::new()
             }
             ["REQ", id, fields, length] => {
-                assert!(id.len() == 16 && id.bytes().all(|b| b.is_ascii_hexdigit()), "{line}");
+                assert!(
+                    id.len() == 16 && id.bytes().all(|b| b.is_ascii_hexdigit()),
+                    "{line}"
+                );
                 for field in fields.split(',') {
                     let (name, value) = field.split_once('=').unwrap_or_else(|| panic!("{line}"));
                     assert!(["kind", "ms", "token", "workmem"].contains(&name), "{line}");
                     assert!(!value.is_empty(), "{line}");
-                    assert!(said.fields.insert(name.into(), value.into()).is_none(), "twice: {line}");
+                    assert!(
+                        said.fields.insert(name.into(), value.into()).is_none(),
+                        "twice: {line}"
+                    );
                 }
-                assert!(said.fields["ms"].parse::<u64>().is_ok_and(|ms| ms > 0), "{line}");
+                assert!(
+                    said.fields["ms"].parse::<u64>().is_ok_and(|ms| ms > 0),
+                    "{line}"
+                );
                 let granted = said.fields.get("workmem").map(|mb| mb.parse::<u64>());
                 assert!(granted.is_none_or(|mb| mb.is_ok_and(|mb| mb > 0)), "{line}");
                 let mut body = vec![0; length.parse::<usize>().unwrap() + 2];
@@ -99,7 +116,11 @@
                 if is("dies") && first {
                     return;
                 }
-                let cost = if is("hungry") { "effort=40,high=900," } else { "effort=12.5,high=60," };
+                let cost = if is("hungry") {
+                    "effort=40,high=900,"
+                } else {
+                    "effort=12.5,high=60,"
+                };
                 format!("{id} HIT {cost}gauges=queue:0;util:0.2,fetches=1 6\r\n1\ta\tb\n\r\n")
             }
             _ => panic!("the coordinator wrote {line:?}"),
@@ -131,11 +152,19 @@
         let engines: Vec<SocketAddr> = (0..engines).map(one).collect();
         let list = List::start();
         let coordinator = Coordinator::start(&edit(config(list.addr)));
-        let lines: Vec<String> =
-            engines.iter().enumerate().map(|(n, a)| instance(&format!("e{n}"), *a, "ready")).collect();
+        let lines: Vec<String> = engines
+            .iter()
+            .enumerate()
+            .map(|(n, a)| instance(&format!("e{n}"), *a, "ready"))
+            .collect();
         list.tell(&lines, "");
         coordinator.wait_until_ready();
-        Site { coordinator, record, _list: list, asked: Mutex::new(0) }
+        Site {
+            coordinator,
+            record,
+            _list: list,
+            asked: Mutex::new(0),
+        }
     }
 
     /// A site as the second deployment's settings describe it.
@@ -158,7 +187,12 @@
         for (name, value) in headers.iter().copied().chain(patience) {
             text += &format!("{name}: {value}\r\n");
         }
-        post(self.coordinator.addr, &format!("/ops/{class}"), &text, statement)
+        post(
+            self.coordinator.addr,
+            &format!("/ops/{class}"),
+            &text,
+            statement,
+        )
     }
 }
 
@@ -169,8 +203,14 @@
             "\"Effect\": \"guarded\", \"KeyScope\": \"all\", \"RepeatWindowUs\": 12000000",
         )
         .replace("\"Cancel\": false", "\"Cancel\": true")
-        .replace("\"SizeCores\"", "\"GrantsCount\": true, \"SaysCost\": true, \"SizeCores\"")
-        .replace("\"OutOfMemory\": \"line_up\"", "\"OutOfMemory\": \"overcommit\"")
+        .replace(
+            "\"SizeCores\"",
+            "\"GrantsCount\": true, \"SaysCost\": true, \"SizeCores\"",
+        )
+        .replace(
+            "\"OutOfMemory\": \"line_up\"",
+            "\"OutOfMemory\": \"overcommit\"",
+        )
         .replace(
             "\"How\": \"off\", \"Fields\": []",
             "\"How\": \"inline\", \"Fields\": [\"cpu\", \"waiting\"]",
@@ -183,15 +223,29 @@
 fn a_keyed_load_goes_again_with_its_client_s_word_and_never_without() {
     let site = Site::second(2);
     let key = ("X-Entity", "7f3a9c21e0b4d655");
-    let answer = site.ask("member-load", &[key, ("X-Dedupe-Key", TOKEN)], "INSERT dies one");
+    let answer = site.ask(
+        "member-load",
+        &[key, ("X-Dedupe-Key", TOKEN)],
+        "INSERT dies one",
+    );
     assert_eq!(answer.status, 200);
     let sent = site.record.requests("dies one");
-    assert_eq!(sent.iter().map(|s| s.fields["token"].as_str()).collect::<Vec<_>>(), [TOKEN, TOKEN]);
+    assert_eq!(
+        sent.iter()
+            .map(|s| s.fields["token"].as_str())
+            .collect::<Vec<_>>(),
+        [TOKEN, TOKEN]
+    );
     assert_ne!(sent[0].engine, sent[1].engine);
     // Nobody could tell its repeat from another load: it is not repeated, and not called harmless to repeat.
     let answer = site.ask("member-load", &[key], "INSERT dies two");
-    assert_eq!((answer.status, site.record.requests("dies two").len()), (500, 1));
-    assert!(!site.record.requests("dies two")[0].fields.contains_key("token"));
+    assert_eq!(
+        (answer.status, site.record.requests("dies two").len()),
+        (500, 1)
+    );
+    assert!(!site.record.requests("dies two")[0]
+        .fields
+        .contains_key("token"));
     assert_eq!(site.coordinator.counter("tokens_missing"), 1);
     // In a class that is not keyed it passes, too, as it came.
     site.ask("lookup", &[("X-Dedupe-Key", "a.B-9_z")], "SELECT three");
@@ -206,11 +260,19 @@
         let answer = site.ask("member-load", &[("X-Dedupe-Key", bad)], "INSERT x");
         assert_eq!(answer.status, 400, "{bad:?}");
     }
-    let answer = site.ask("member-load", &[("X-Dedupe-Key", "a"), ("X-Dedupe-Key", "a")], "INSERT x");
+    let answer = site.ask(
+        "member-load",
+        &[("X-Dedupe-Key", "a"), ("X-Dedupe-Key", "a")],
+        "INSERT x",
+    );
     assert_eq!(answer.status, 400);
     assert!(site.record.requests("").is_empty());
     // The longest that is one.
-    assert_eq!(site.ask("member-load", &[("X-Dedupe-Key", &long[1..])], "INSERT x").status, 200);
+    assert_eq!(
+        site.ask("member-load", &[("X-Dedupe-Key", &long[1..])], "INSERT x")
+            .status,
+        200
+    );
 }
 
 #[test]
@@ -236,7 +298,11 @@
 fn memory_is_granted_by_the_estimate_and_by_what_engines_tell() {
     let site = Site::second(1);
     let granted = |statement: &str| -> u64 {
-        assert_eq!(site.ask("report", &[("X-Need-Mb", "100")], statement).status, 200);
+        assert_eq!(
+            site.ask("report", &[("X-Need-Mb", "100")], statement)
+                .status,
+            200
+        );
         let sent = site.record.requests(statement);
         sent.last().unwrap().fields["workmem"].parse().unwrap()
     };
@@ -249,22 +315,36 @@
     let after = granted("SELECT last");
     assert!(after > 2 * before, "{before} then {after}");
     // Where grants are not heeded none is written.
-    let site =
-        Site::start(1, |config| second(config).replace("\"GrantsCount\": true", "\"GrantsCount\": false"));
+    let site = Site::start(1, |config| {
+        second(config).replace("\"GrantsCount\": true", "\"GrantsCount\": false")
+    });
     site.ask("report", &[("X-Need-Mb", "100")], "SELECT 1");
-    assert!(!site.record.requests("SELECT 1")[0].fields.contains_key("workmem"));
+    assert!(!site.record.requests("SELECT 1")[0]
+        .fields
+        .contains_key("workmem"));
 }
 
 #[test]
 fn what_runs_far_too_long_is_stopped_before_it_is_made_again() {
     let site = Site::second(2);
     for n in 0..8 {
-        assert_eq!(site.ask("lookup", &[("X-Weight-Ms", "100")], &format!("SELECT {n} quick")).status, 200);
+        assert_eq!(
+            site.ask(
+                "lookup",
+                &[("X-Weight-Ms", "100")],
+                &format!("SELECT {n} quick")
+            )
+            .status,
+            200
+        );
     }
     let answer = site.ask("lookup", &[("X-Weight-Ms", "100")], "SELECT mute");
     assert_eq!(answer.status, 200);
     let all = site.record.all();
-    let of_it: Vec<&Said> = all.iter().filter(|s| s.statement.contains("mute") || s.word == "STOP").collect();
+    let of_it: Vec<&Said> = all
+        .iter()
+        .filter(|s| s.statement.contains("mute") || s.word == "STOP")
+        .collect();
     let words: Vec<&str> = of_it.iter().map(|s| s.word.as_str()).collect();
     assert_eq!(words, ["REQ", "STOP", "REQ"]);
     assert!(of_it[0].id == of_it[1].id && of_it[0].engine == of_it[1].engine);
@@ -275,30 +355,47 @@
 fn a_client_that_leaves_has_its_query_stopped_where_engines_heed_that() {
     let site = Site::second(1);
     let mut stream = TcpStream::connect(site.coordinator.addr).unwrap();
-    let head = "POST /ops/report HTTP/1.1\r\nX-Call-Id: 00000000000000ab\r\nX-Patience-Ms: 9000\r\n";
+    let head =
+        "POST /ops/report HTTP/1.1\r\nX-Call-Id: 00000000000000ab\r\nX-Patience-Ms: 9000\r\n";
     write!(stream, "{head}Content-Length: 12\r\n\r\nSELECT hangs").unwrap();
-    site.record.wait("the query", |said| said.iter().any(|s| s.word == "REQ"));
+    site.record
+        .wait("the query", |said| said.iter().any(|s| s.word == "REQ"));
     drop(stream);
     site.record.wait("the word that ends it", |said| {
-        said.iter().any(|s| s.word == "STOP" && s.id == "00000000000000ab")
+        said.iter()
+            .any(|s| s.word == "STOP" && s.id == "00000000000000ab")
     });
-    site.coordinator.wait_for("attempts_ended{outcome=\"cancelled\"}", 1);
+    site.coordinator
+        .wait_for("attempts_ended{outcome=\"cancelled\"}", 1);
 }
 
 #[test]
 fn a_tenant_that_the_settings_do_not_name_has_no_share_and_takes_none() {
     // A share of one query in a hundred seconds, used up by the eighth at once; engines say that they are full.
-    let tenants = "\"Tenants\": [{\"Name\": \"red-centro\", \"QuotaPerS\": 50.0}], \"OverShareWorth\": 0.05";
+    let tenants =
+        "\"Tenants\": [{\"Name\": \"red-centro\", \"QuotaPerS\": 50.0}], \"OverShareWorth\": 0.05";
     let site = Site::start(1, |config| {
         second(config).replace("\"TickUs\": 5000", &format!("\"TickUs\": 5000, {tenants}"))
     });
     let long = "t".repeat(3000);
-    let unnamed =
-        [vec![], vec![("X-Customer", "")], vec![("X-Customer", "RED-CENTRO")], vec![("X-Customer", &*long)]];
+    let unnamed = [
+        vec![],
+        vec![("X-Customer", "")],
+        vec![("X-Customer", "RED-CENTRO")],
+        vec![("X-Customer", &*long)],
+    ];
     for headers in &unnamed {
-        assert_eq!(site.ask("lookup", headers, "SELECT 1").status, 200, "{headers:?}");
+        assert_eq!(
+            site.ask("lookup", headers, "SELECT 1").status,
+            200,
+            "{headers:?}"
+        );
     }
-    assert_eq!(site.ask("lookup", &[("X-Customer", "red-centro")], "SELECT 1").status, 200);
+    assert_eq!(
+        site.ask("lookup", &[("X-Customer", "red-centro")], "SELECT 1")
+            .status,
+        200
+    );
     let twice = [("X-Customer", "red-centro"), ("X-Customer", "red-centro")];
     assert_eq!(site.ask("lookup", &twice, "SELECT 1").status, 400);
     assert_eq!(site.coordinator.counter("tenants_unnamed"), 4);
@@ -342,16 +439,34 @@
             classes.push((word(n), effect.into()));
         }
         let tenants: Vec<String> = (0..below(5)).map(|n| format!("net {n}")).collect();
-        let shares: Vec<String> =
-            tenants.iter().map(|t| format!("{{\"Name\": \"{t}\", \"QuotaPerS\": {}}}", below(100))).collect();
-        let fields = ["active", "waiting", "cpu", "avg_ms", "rps", "err_rps", "x0", "x1", "unheard of"];
-        let fields: Vec<String> = (0..below(5)).map(|_| format!("\"{}\"", fields[below(9)])).collect();
+        let shares: Vec<String> = tenants
+            .iter()
+            .map(|t| format!("{{\"Name\": \"{t}\", \"QuotaPerS\": {}}}", below(100)))
+            .collect();
+        let fields = [
+            "active",
+            "waiting",
+            "cpu",
+            "avg_ms",
+            "rps",
+            "err_rps",
+            "x0",
+            "x1",
+            "unheard of",
+        ];
+        let fields: Vec<String> = (0..below(5))
+            .map(|_| format!("\"{}\"", fields[below(9)]))
+            .collect();
         let flag = |n: usize| n == 1;
         let cold =
             "\"ColdFrom\": 0.34, \"WarmUpUs\": 14000000, \"FallMultiple\": 2.5, \"OverloadForUs\": 3000000,";
         let ration = "\"ExtraWindowUs\": 10000000, \"FurtherRatio\": 0.1,";
         let settle = "\"SettleAfterDoubtUs\": 500000,";
-        let grants = format!("\"GrantsCount\": {}, \"SaysCost\": {},", flag(below(2)), flag(below(2)));
+        let grants = format!(
+            "\"GrantsCount\": {}, \"SaysCost\": {},",
+            flag(below(2)),
+            flag(below(2))
+        );
         let settings = format!(
             "{{\"Balancers\": {}, \"Zone\": {}, \"FailureDomains\": [\"building-a\", \"b\", \"c\"], \
              \"MachineTypes\": [\"std-8\"{}], {} \"Tenants\": [{}], \"OverShareWorth\": 0.05, \
@@ -385,12 +500,17 @@
             fields.join(", "),
             profiles.join(", ")
         );
-        Drawn { settings, classes, tenants }
+        Drawn {
+            settings,
+            classes,
+            tenants,
+        }
     }
 }
 
 #[test]
-fn under_any_settings_that_the_protocol_allows_it_starts_serves_and_writes_only_what_engines_can_read() {
+fn under_any_settings_that_the_protocol_allows_it_starts_serves_and_writes_only_what_engines_can_read(
+) {
     let mut g = Gen::from_size_and_seed(30, 20_261_201);
     for _ in 0..24 {
         let drawn = Drawn::arbitrary(&mut g);
@@ -412,12 +532,18 @@
                 ("X-Entity", "7f3a9c21e0b4d655"),
             ];
             // Some with all fields, some with none but the ones that must be there.
-            for (headers, statement) in
-                [(&headers[..], "SELECT 1 FROM sales_17.a"), (&headers[..1], "SELECT 2")]
-            {
+            for (headers, statement) in [
+                (&headers[..], "SELECT 1 FROM sales_17.a"),
+                (&headers[..1], "SELECT 2"),
+            ] {
                 let statement = format!("{statement} -- {class}");
                 let answer = site.ask(class, headers, &statement);
-                assert!([200, 429].contains(&answer.status), "{} in {}", answer.status, drawn.settings);
+                assert!(
+                    [200, 429].contains(&answer.status),
+                    "{} in {}",
+                    answer.status,
+                    drawn.settings
+                );
                 for sent in site.record.requests(&statement) {
                     assert_eq!((&sent.fields["kind"], &sent.statement), (class, &statement));
                     let told = headers.len() > 1;
--- a/crates/node/tests/silence.rs
+++ b/crates/node/tests/silence.rs
@@ -4,7 +4,14 @@
 
 #[test]
 fn one_query_without_word_is_not_taken_back_from_an_engine_whose_zone_is_heard() {
-    let overdue = |out, zone| is_overdue(2_000_000, Some(note_patience(1_000_000, out, zone)), 0, false);
+    let overdue = |out, zone| {
+        is_overdue(
+            2_000_000,
+            Some(note_patience(1_000_000, out, zone)),
+            0,
+            false,
+        )
+    };
     assert!(!overdue(1, true) && !overdue(2, true));
     // Many of them, or a zone of which nothing is heard, mean what they did.
     assert!(overdue(3, true) && overdue(1, false));
--- a/crates/node/tests/soak.rs
+++ b/crates/node/tests/soak.rs
@@ -21,7 +21,14 @@
 
 fn play(binary: &Path, seed: u64) {
     let report = soak::play(binary, seed);
-    let logs: String = report.logs.iter().map(|(process, log)| format!("{process:?} said\n{log}")).collect();
+    let logs: String = report
+        .logs
+        .iter()
+        .map(|(process, log)| format!("{process:?} said\n{log}"))
+        .collect();
     assert!(report.breaches.is_empty(), "seed {seed}: {report}\n{logs}");
-    assert!(report.asked > 0 && report.further > 0, "seed {seed} shows nothing: {report}");
+    assert!(
+        report.asked > 0 && report.further > 0,
+        "seed {seed} shows nothing: {report}"
+    );
 }
--- a/crates/node/tests/upgrade.rs
+++ b/crates/node/tests/upgrade.rs
@@ -20,10 +20,14 @@
 
 impl Platform {
     fn new(name: &str) -> Platform {
-        let tmp = std::env::temp_dir().join(format!("driftfront-upgrade-{}-{name}", std::process::id()));
+        let tmp =
+            std::env::temp_dir().join(format!("driftfront-upgrade-{}-{name}", std::process::id()));
         let _ = std::fs::remove_dir_all(&tmp);
         std::fs::create_dir_all(&tmp).unwrap();
-        Platform { listener: TcpListener::bind("127.0.0.1:0").unwrap(), tmp }
+        Platform {
+            listener: TcpListener::bind("127.0.0.1:0").unwrap(),
+            tmp,
+        }
     }
 
     fn socket(&self) -> OwnedFd {
@@ -58,7 +62,10 @@
 fn wait_for(coordinator: &Coordinator, call: &str, reply: &str) {
     let begin = Instant::now();
     while !coordinator.manage(call).starts_with(reply) {
-        assert!(begin.elapsed() < FOR_EVER, "{call:?} was never answered {reply}");
+        assert!(
+            begin.elapsed() < FOR_EVER,
+            "{call:?} was never answered {reply}"
+        );
         std::thread::yield_now();
     }
 }
@@ -75,13 +82,21 @@
         let head = format!(
             "POST /ops/lookup HTTP/1.1\r\nHost: t\r\nX-Call-Id: {id:016x}\r\nX-Patience-Ms: 2500\r\n"
         );
-        let request = format!("{head}Content-Length: {}\r\n\r\n{statement}", statement.len());
+        let request = format!(
+            "{head}Content-Length: {}\r\n\r\n{statement}",
+            statement.len()
+        );
         for again in 0.. {
             assert!(again < 2, "turned back twice");
             let (stream, reader) = conn.get_or_insert_with(|| {
-                (TcpStream::connect(addr).expect("somebody listens"), ResponseReader::default())
+                (
+                    TcpStream::connect(addr).expect("somebody listens"),
+                    ResponseReader::default(),
+                )
             });
-            let answer = stream.write_all(request.as_bytes()).map(|()| read_next(stream, reader));
+            let answer = stream
+                .write_all(request.as_bytes())
+                .map(|()| read_next(stream, reader));
             match answer {
                 Ok(answer) if answer.whole => {
                     assert_eq!(answer.status, 200, "{}", answer.text());
@@ -116,7 +131,8 @@
             })
             .collect();
         for _ in 0..2 {
-            site.ledger.wait_until("some load", |entries| entries.len() % 100 > 50);
+            site.ledger
+                .wait_until("some load", |entries| entries.len() % 100 > 50);
             let new = platform.upgrade(&site);
             wait_for(&site.coordinator, "STATUS\n", "ERR handing over");
             let mut old = std::mem::replace(&mut site.coordinator, new);
@@ -124,10 +140,21 @@
             assert!(old.wait().success());
         }
         stop.store(true, Ordering::Relaxed);
-        clients.into_iter().map(|c| c.join().expect("a client")).sum::<u64>()
+        clients
+            .into_iter()
+            .map(|c| c.join().expect("a client"))
+            .sum::<u64>()
     });
-    assert_eq!(site.ledger.of("SELECT").len() as u64, asked, "each ran once");
-    assert!(turned_back.load(Ordering::Relaxed) <= 2, "{} turned back", turned_back.load(Ordering::Relaxed));
+    assert_eq!(
+        site.ledger.of("SELECT").len() as u64,
+        asked,
+        "each ran once"
+    );
+    assert!(
+        turned_back.load(Ordering::Relaxed) <= 2,
+        "{} turned back",
+        turned_back.load(Ordering::Relaxed)
+    );
     assert_eq!(site.coordinator.counter("upgrade_succeeds"), 1);
 }
 
@@ -167,14 +194,20 @@
         )
     };
     idle.write_all(request(1).as_bytes()).unwrap();
-    assert_eq!(read_next(&mut idle, &mut ResponseReader::default()).status, 200);
+    assert_eq!(
+        read_next(&mut idle, &mut ResponseReader::default()).status,
+        200
+    );
     let new = platform.upgrade(&site);
     let mut old = std::mem::replace(&mut site.coordinator, new);
     // The one that has had its answer is closed; the other has said nothing for longer.
     assert_eq!(idle.read(&mut [0; 16]).expect("an end in order"), 0);
     held.write_all(request(2).as_bytes()).unwrap();
     let answer = read_next(&mut held, &mut ResponseReader::default());
-    assert_eq!((answer.status, answer.header("Connection")), (200, Some("close")));
+    assert_eq!(
+        (answer.status, answer.header("Connection")),
+        (200, Some("close"))
+    );
     drop((held, idle));
     old.terminate();
     assert!(old.wait().success());
@@ -223,12 +256,22 @@
 fn a_descriptor_that_is_no_listener_is_left_alone_and_the_address_bound() {
     let platform = Platform::new("wrong");
     let plain = || std::fs::File::open("/dev/null").unwrap().into();
-    let connected = || OwnedFd::from(TcpStream::connect(platform.listener.local_addr().unwrap()).unwrap());
-    for (socket, told) in
-        [(platform.socket(), "5"), (platform.socket(), "x"), (plain(), "4"), (connected(), "4")]
-    {
-        let site = Site::with(1, |config| Coordinator::inheriting(&config, socket, told, &platform.tmp));
-        assert_ne!(site.coordinator.addr, platform.listener.local_addr().unwrap(), "{told}");
+    let connected =
+        || OwnedFd::from(TcpStream::connect(platform.listener.local_addr().unwrap()).unwrap());
+    for (socket, told) in [
+        (platform.socket(), "5"),
+        (platform.socket(), "x"),
+        (plain(), "4"),
+        (connected(), "4"),
+    ] {
+        let site = Site::with(1, |config| {
+            Coordinator::inheriting(&config, socket, told, &platform.tmp)
+        });
+        assert_ne!(
+            site.coordinator.addr,
+            platform.listener.local_addr().unwrap(),
+            "{told}"
+        );
         assert_eq!(get(site.coordinator.addr, "/alive").status, 200);
     }
 }
--- a/crates/node/tests/wires.rs
+++ b/crates/node/tests/wires.rs
@@ -7,7 +7,9 @@
 use driftfront::members::stream::Stream;
 use driftfront::members::{read, Watch};
 use driftfront_core::{Ask, AttemptKey, Cause, ListKind, Phase, RequestId, Told};
-use driftfront_http::{chunk, Fault, Request, RequestReader, ResponsePart, ResponseReader, LAST_CHUNK};
+use driftfront_http::{
+    chunk, Fault, Request, RequestReader, ResponsePart, ResponseReader, LAST_CHUNK,
+};
 use driftfront_roster::{Change, Roster};
 use driftfront_settings::json::{parse, Json};
 use quickcheck::{Arbitrary, Gen, QuickCheck, Testable};
@@ -16,7 +18,10 @@
 use tinyjson::JsonValue;
 
 fn check(test: impl Testable) {
-    QuickCheck::new().tests(300).rng(Gen::from_size_and_seed(60, 20_261_201)).quickcheck(test);
+    QuickCheck::new()
+        .tests(300)
+        .rng(Gen::from_size_and_seed(60, 20_261_201))
+        .quickcheck(test);
 }
 
 /// Cuts bytes where the numbers say.
@@ -85,8 +90,14 @@
         fault(b"POST / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n"),
         Some(Fault::Malformed)
     );
-    assert_eq!(fault(b"POST / HTTP/1.1\r\nContent-Length: +1\r\n\r\n"), Some(Fault::Malformed));
-    assert_eq!(fault(b"POST / HTTP/1.1\r\nContent-Length: 101\r\n\r\n"), Some(Fault::BodyTooLarge));
+    assert_eq!(
+        fault(b"POST / HTTP/1.1\r\nContent-Length: +1\r\n\r\n"),
+        Some(Fault::Malformed)
+    );
+    assert_eq!(
+        fault(b"POST / HTTP/1.1\r\nContent-Length: 101\r\n\r\n"),
+        Some(Fault::BodyTooLarge)
+    );
     assert_eq!(fault(&[b'G'; 20_000]), Some(Fault::HeadTooLarge));
 }
 
@@ -125,20 +136,32 @@
     // since its id goes by this connection no more then.
     fn follows(steps: Vec<Step>, cuts: Vec<u8>) -> bool {
         let mut lines = Lines::new(32, Rc::from(["inflight".to_string()]));
-        let (mut model, mut probes): (BTreeMap<u8, usize>, Vec<u64>) = (BTreeMap::new(), Vec::new());
+        let (mut model, mut probes): (BTreeMap<u8, usize>, Vec<u64>) =
+            (BTreeMap::new(), Vec::new());
         let mut ended = [0usize; 4];
-        let key = |id: u8| AttemptKey { request: RequestId(u64::from(id)), number: 0 };
+        let key = |id: u8| AttemptKey {
+            request: RequestId(u64::from(id)),
+            number: 0,
+        };
         for (n, step) in steps.iter().enumerate() {
-            let (mut out, mut seen, mut want, mut text) = (Vec::new(), Vec::new(), Vec::new(), String::new());
+            let (mut out, mut seen, mut want, mut text) =
+                (Vec::new(), Vec::new(), Vec::new(), String::new());
             let times = ended;
             let call = |id: u8| format!("c{id}.{}", times[usize::from(id)]);
-            let earlier = |id: u8| Some(format!("c{id}.{}", times[usize::from(id)].checked_sub(1)?));
+            let earlier =
+                |id: u8| Some(format!("c{id}.{}", times[usize::from(id)].checked_sub(1)?));
             match *step {
                 Step::Start(id) if !model.contains_key(&id) => {
                     let ask = ask(&call(id));
                     assert!(lines.takes(&ask.call));
                     assert!(earlier(id).is_none_or(|call| !lines.takes(&call)));
-                    lines.start(&Start { patience: 1_500_999, ..start(key(id), &ask) }, &mut out);
+                    lines.start(
+                        &Start {
+                            patience: 1_500_999,
+                            ..start(key(id), &ask)
+                        },
+                        &mut out,
+                    );
                     assert_eq!(
                         String::from_utf8_lossy(&out),
                         format!("REQ {} kind=k,ms=1500 1\r\nx\r\n", ask.call)
@@ -150,7 +173,9 @@
                     let come = model.get(&id).copied().unwrap_or(0);
                     text = match come {
                         0 => format!("{} HIT fetches=3 6\r\n0\ta\tb\n\r\n", call(id)),
-                        come => format!("{} PART fetch_no={come} 6\r\n{come}\ta\tb\n\r\n", call(id)),
+                        come => {
+                            format!("{} PART fetch_no={come} 6\r\n{come}\ta\tb\n\r\n", call(id))
+                        }
                     };
                     if twice {
                         // The copy is not the model's, and neither is an answer under an unknown id, or to an attempt that ended.
@@ -163,19 +188,39 @@
                     }
                     if come == 2 {
                         let rows = b"0\ta\tb\n1\ta\tb\n2\ta\tb\n".to_vec();
-                        let piece = driftfront_core::Piece { about: Vec::new(), rows, whole: true };
-                        want.extend([Seen::Piece(key(id), piece), told(key(id)), Seen::Served(key(id))]);
+                        let piece = driftfront_core::Piece {
+                            about: Vec::new(),
+                            rows,
+                            whole: true,
+                        };
+                        want.extend([
+                            Seen::Piece(key(id), piece),
+                            told(key(id)),
+                            Seen::Served(key(id)),
+                        ]);
                         model.remove(&id);
                     }
                 }
                 Step::Note(id) => {
                     text = format!("{} INFO res=w,figure=2 0\r\n\r\n", call(id));
                     let note = driftfront_core::Note::WaitsForLoad;
-                    want.extend(model.contains_key(&id).then_some(Seen::Noted(key(id), note)));
+                    want.extend(
+                        model
+                            .contains_key(&id)
+                            .then_some(Seen::Noted(key(id), note)),
+                    );
                 }
                 Step::End(id, full) => {
-                    text = format!("{} {} - 0\r\n\r\n", call(id), if full { "SHED" } else { "FAULT" });
-                    let cause = if full { Cause::TurnedAway } else { Cause::Engine("FAULT".into()) };
+                    text = format!(
+                        "{} {} - 0\r\n\r\n",
+                        call(id),
+                        if full { "SHED" } else { "FAULT" }
+                    );
+                    let cause = if full {
+                        Cause::TurnedAway
+                    } else {
+                        Cause::Engine("FAULT".into())
+                    };
                     if model.remove(&id).is_some() {
                         ended[usize::from(id)] += 1;
                         want.extend([told(key(id)), Seen::Failed(key(id), cause)]);
@@ -184,7 +229,11 @@
                 Step::Stop(id) => {
                     assert!(lines.stop(key(id), &mut out));
                     let was_open = model.remove(&id).is_some();
-                    let stop = if was_open { format!("STOP {}\r\n", call(id)) } else { String::new() };
+                    let stop = if was_open {
+                        format!("STOP {}\r\n", call(id))
+                    } else {
+                        String::new()
+                    };
                     assert_eq!(String::from_utf8_lossy(&out), stop);
                     ended[usize::from(id)] += usize::from(was_open);
                 }
@@ -200,13 +249,17 @@
                 Step::Probe | Step::Pong => {}
                 Step::Nonsense => {
                     // The connection ends: what is open on it is what the model says.
-                    assert!(lines.feed(0, b"c1 HIT fetches=x\r\n", &mut out, &mut seen).is_err());
+                    assert!(lines
+                        .feed(0, b"c1 HIT fetches=x\r\n", &mut out, &mut seen)
+                        .is_err());
                     let open: Vec<AttemptKey> = model.keys().map(|&id| key(id)).collect();
                     return lines.open() == open;
                 }
             }
             for piece in cut(text.as_bytes(), &cuts) {
-                lines.feed(0, &piece, &mut out, &mut seen).expect("well formed");
+                lines
+                    .feed(0, &piece, &mut out, &mut seen)
+                    .expect("well formed");
             }
             assert_eq!(seen, want, "{step:?}");
             assert_eq!(lines.is_idle(), model.is_empty() && probes.is_empty());
@@ -218,7 +271,10 @@
 
 #[test]
 fn a_spoilt_answer_ends_its_attempt_and_the_connection() {
-    let key = AttemptKey { request: RequestId(1), number: 0 };
+    let key = AttemptKey {
+        request: RequestId(1),
+        number: 0,
+    };
     let open = || {
         let mut lines = Lines::new(32, Rc::from([]));
         lines.start(&start(key, &ask("c1")), &mut Vec::new());
@@ -236,19 +292,32 @@
         (&"x".repeat(5000), false),
     ] {
         let (mut lines, mut seen) = (open(), Vec::new());
-        assert!(lines.feed(0, answer.as_bytes(), &mut Vec::new(), &mut seen).is_err(), "{answer}");
+        assert!(
+            lines
+                .feed(0, answer.as_bytes(), &mut Vec::new(), &mut seen)
+                .is_err(),
+            "{answer}"
+        );
         let spoilt = matches!(seen[..], [Seen::Failed(k, Cause::Spoilt(_))] if k == key);
-        assert_eq!((spoilt, lines.open().is_empty()), (known, known), "{answer}");
+        assert_eq!(
+            (spoilt, lines.open().is_empty()),
+            (known, known),
+            "{answer}"
+        );
     }
     // One that stops short on an open connection holds up all behind it; it is given some time.
     let (mut lines, mut out, mut seen) = (open(), Vec::new(), Vec::new());
-    lines.feed(0, b"c1 HIT fetches=1 600\r\na\tb", &mut out, &mut seen).unwrap();
+    lines
+        .feed(0, b"c1 HIT fetches=1 600\r\na\tb", &mut out, &mut seen)
+        .unwrap();
     assert!(lines.tend(400_000, &mut out, &mut seen).is_ok());
     lines.feed(450_000, b"\tc\n", &mut out, &mut seen).unwrap();
     assert!(lines.tend(600_000, &mut out, &mut seen).is_err());
     // A page that never comes is asked for once more, then its attempt is over and the rest goes on.
     let mut lines = open();
-    lines.feed(0, b"c1 HIT fetches=2 0\r\n\r\n", &mut out, &mut seen).unwrap();
+    lines
+        .feed(0, b"c1 HIT fetches=2 0\r\n\r\n", &mut out, &mut seen)
+        .unwrap();
     let mut again = Vec::new();
     for now in [200_000, 300_000, 400_000] {
         lines.tend(now, &mut again, &mut seen).unwrap();
@@ -261,20 +330,36 @@
 
 #[test]
 fn an_answer_to_another_query_is_not_taken_for_this_one_s() {
-    let key = AttemptKey { request: RequestId(1), number: 0 };
+    let key = AttemptKey {
+        request: RequestId(1),
+        number: 0,
+    };
     for (name, fine) in [("c1", true), ("c0", false)] {
         let (mut http, mut seen) = (Http::new("h".into()), Vec::new());
         http.start(&start(key, &ask("c1")), &mut Vec::new());
-        let answer =
-            format!("HTTP/1.1 200 OK\r\nX-ClickHouse-Query-Id: {name}\r\nContent-Length: 2\r\n\r\n1\n");
-        assert_eq!(http.feed(0, answer.as_bytes(), &mut Vec::new(), &mut seen).is_ok(), fine);
+        let answer = format!(
+            "HTTP/1.1 200 OK\r\nX-ClickHouse-Query-Id: {name}\r\nContent-Length: 2\r\n\r\n1\n"
+        );
+        assert_eq!(
+            http.feed(0, answer.as_bytes(), &mut Vec::new(), &mut seen)
+                .is_ok(),
+            fine
+        );
         assert_eq!(seen.contains(&Seen::Served(key)), fine);
     }
 }
 
 /// An attempt under its request's own name.
 fn start(key: AttemptKey, ask: &Ask) -> Start<'_> {
-    Start { key, ask, class: "k", name: &ask.call, patience: 1000, grant_mb: 0.0, notes_every: None }
+    Start {
+        key,
+        ask,
+        class: "k",
+        name: &ask.call,
+        patience: 1000,
+        grant_mb: 0.0,
+        notes_every: None,
+    }
 }
 
 /// An engine that tells nothing of itself or the query.
@@ -283,7 +368,11 @@
 }
 
 fn ask(call: &str) -> Ask {
-    Ask { call: call.into(), statement: Rc::from(*b"x"), ..Ask::default() }
+    Ask {
+        call: call.into(),
+        statement: Rc::from(*b"x"),
+        ..Ask::default()
+    }
 }
 
 #[test]
@@ -304,9 +393,14 @@
         }
         let (mut updates, mut out) = (Vec::new(), Vec::new());
         for piece in cut(&bytes, &cuts) {
-            stream.feed(&piece, &mut out, &mut updates).expect("well formed");
+            stream
+                .feed(&piece, &mut out, &mut updates)
+                .expect("well formed");
         }
-        let seen: Vec<f64> = updates.iter().filter_map(|u| Json(Some(u)).get("n").number()).collect();
+        let seen: Vec<f64> = updates
+            .iter()
+            .filter_map(|u| Json(Some(u)).get("n").number())
+            .collect();
         assert!(String::from_utf8(stream.open())
             .unwrap()
             .contains(&format!("\r\nLast-Event-ID: {last}\r\n")));
@@ -320,7 +414,11 @@
     let mut stream = Stream::new("h".into(), 4);
     let mut connection = |events: &str| {
         let asked = String::from_utf8(stream.open()).unwrap();
-        let asked = asked.lines().find_map(|l| l.strip_prefix("Last-Event-ID: ")).unwrap().to_string();
+        let asked = asked
+            .lines()
+            .find_map(|l| l.strip_prefix("Last-Event-ID: "))
+            .unwrap()
+            .to_string();
         let bytes = [b"HTTP/1.1 200 OK\r\n\r\n", events.as_bytes()].concat();
         let (mut updates, mut out) = (Vec::new(), Vec::new());
         let ended = stream.feed(&bytes, &mut out, &mut updates).is_err();
@@ -356,16 +454,41 @@
     let line = |id: &str, phase: &str, more: &str| {
         format!("{{\"instanceId\":\"{id}\",\"hostPort\":\"127.0.0.1:9\",\"zone\":\"b\",\"lifecycle\":\"{phase}\"{more}}}")
     };
-    let old = apply(&mut table, &format!("{{\"reset\":true,\"instances\":[{}]}}", line("x", "ready", "")));
-    assert_eq!((old.kind, old.lines[0].zone, old.lines[0].phase), (ListKind::Whole, 1, Phase::Ready));
-    let lines = [line("x", "gone", ""), line("y", "ready", ""), "{\"bad\":1}".into()].join(",");
+    let old = apply(
+        &mut table,
+        &format!(
+            "{{\"reset\":true,\"instances\":[{}]}}",
+            line("x", "ready", "")
+        ),
+    );
+    assert_eq!(
+        (old.kind, old.lines[0].zone, old.lines[0].phase),
+        (ListKind::Whole, 1, Phase::Ready)
+    );
+    let lines = [
+        line("x", "gone", ""),
+        line("y", "ready", ""),
+        "{\"bad\":1}".into(),
+    ]
+    .join(",");
     let new = apply(&mut table, &format!("{{\"instances\":[{lines}]}}"));
-    assert_eq!((new.kind, new.lines.len(), new.lines[0].phase), (ListKind::Changes, 2, Phase::Gone));
+    assert_eq!(
+        (new.kind, new.lines.len(), new.lines[0].phase),
+        (ListKind::Changes, 2, Phase::Gone)
+    );
     assert_ne!(new.lines[0].engine, new.lines[1].engine);
     // A new process of the same instance: old connections lead nowhere.
-    let again =
-        apply(&mut table, &format!("{{\"instances\":[{}]}}", line("y", "ready", ",\"startedAtMs\":5")));
-    assert_eq!((again.restarted.len(), again.lines[0].born), (1, Some(5000)));
+    let again = apply(
+        &mut table,
+        &format!(
+            "{{\"instances\":[{}]}}",
+            line("y", "ready", ",\"startedAtMs\":5")
+        ),
+    );
+    assert_eq!(
+        (again.restarted.len(), again.lines[0].born),
+        (1, Some(5000))
+    );
     table.forget(new.lines[0].engine);
     assert!(table.addr(new.lines[0].engine).is_none() && table.addr(new.lines[1].engine).is_some());
 }
@@ -377,32 +500,56 @@
     let asked = String::from_utf8(etcd.open()).unwrap();
     // "/e/" and "/e0" in base64: all keys under the prefix.
     assert!(
-        asked.starts_with("POST /v3/kv/range ") && asked.ends_with(r#"{"key":"L2Uv","range_end":"L2Uw"}"#)
+        asked.starts_with("POST /v3/kv/range ")
+            && asked.ends_with(r#"{"key":"L2Uv","range_end":"L2Uw"}"#)
     );
-    let answer = |body: &str| format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+    let answer = |body: &str| {
+        format!(
+            "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+            body.len()
+        )
+    };
     // Key "/e/x", value {"hostPort":"127.0.0.1:9"}.
     let range = r#"{"header":{"revision":"41"},"kvs":[{"key":"L2UveA==","value":"eyJob3N0UG9ydCI6IjEyNy4wLjAuMTo5In0="}]}"#;
-    etcd.feed(answer(range).as_bytes(), &mut out, &mut updates).unwrap();
+    etcd.feed(answer(range).as_bytes(), &mut out, &mut updates)
+        .unwrap();
     let mut table = Roster::new();
     let change = take(&mut table, &updates.remove(0));
-    assert_eq!((change.kind, change.lines[0].phase), (ListKind::Whole, Phase::Ready));
+    assert_eq!(
+        (change.kind, change.lines[0].phase),
+        (ListKind::Whole, Phase::Ready)
+    );
     assert!(
         String::from_utf8_lossy(&out).contains("POST /v3/watch ")
             && out.ends_with(b"\"start_revision\":\"42\"}}")
     );
-    let event = r#"{"result":{"events":[{"type":"DELETE","kv":{"key":"L2UveA==","mod_revision":"50"}}]}}"#;
+    let event =
+        r#"{"result":{"events":[{"type":"DELETE","kv":{"key":"L2UveA==","mod_revision":"50"}}]}}"#;
     let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".to_string();
     let created = chunk(b"{\"result\":{\"created\":true}}\n");
-    etcd.feed(&[head.as_bytes(), &created, &chunk(event.as_bytes())].concat(), &mut out, &mut updates)
-        .unwrap();
+    etcd.feed(
+        &[head.as_bytes(), &created, &chunk(event.as_bytes())].concat(),
+        &mut out,
+        &mut updates,
+    )
+    .unwrap();
     assert!(updates.is_empty(), "the line is not whole yet");
     etcd.feed(&chunk(b"\n"), &mut out, &mut updates).unwrap();
     let change = take(&mut table, &updates.remove(0));
-    assert_eq!((change.kind, change.lines[0].phase), (ListKind::Changes, Phase::Gone));
+    assert_eq!(
+        (change.kind, change.lines[0].phase),
+        (ListKind::Changes, Phase::Gone)
+    );
     // A new connection goes on behind what was seen; a cancelled watch reads the whole range anew.
     assert!(etcd.open().ends_with(b"\"start_revision\":\"51\"}}"));
     let cancelled = chunk(b"{\"result\":{\"canceled\":true,\"compact_revision\":\"90\"}}\n");
-    assert!(etcd.feed(&[head.as_bytes(), &cancelled].concat(), &mut out, &mut updates).is_err());
+    assert!(etcd
+        .feed(
+            &[head.as_bytes(), &cancelled].concat(),
+            &mut out,
+            &mut updates
+        )
+        .is_err());
     assert!(etcd.open().starts_with(b"POST /v3/kv/range "));
 }
 
@@ -428,8 +575,17 @@
     )
     .unwrap();
     let told = read(&[], &[], Json(Some(&update))).unwrap();
-    assert_eq!(told.coordinators, [("c-1".to_string(), "127.0.0.1:7946".parse().unwrap())]);
-    assert_eq!(told.facts.iter().map(|f| f.name.as_str()).collect::<Vec<_>>(), ["e-1"]);
+    assert_eq!(
+        told.coordinators,
+        [("c-1".to_string(), "127.0.0.1:7946".parse().unwrap())]
+    );
+    assert_eq!(
+        told.facts
+            .iter()
+            .map(|f| f.name.as_str())
+            .collect::<Vec<_>>(),
+        ["e-1"]
+    );
     assert_eq!(told.odd.len(), 2);
     assert!(told.odd[0].contains("c-2") && told.odd[0].contains("nowhere"));
 }
