--- a/crates/rig/src/lib.rs
+++ b/crates/rig/src/lib.rs
@@ -43,7 +43,9 @@
     /// All of it, a line each.
     pub fn text(&self) -> String {
         let all = self.0.lock().map(|a| a.clone()).unwrap_or_default();
-        all.iter().map(|(at, words)| format!("{:9.3} s  {words}\n", at.as_secs_f64())).collect()
+        all.iter()
+            .map(|(at, words)| format!("{:9.3} s  {words}\n", at.as_secs_f64()))
+            .collect()
     }
 }
 
@@ -78,12 +80,23 @@
 
     /// With links between the members and these engines, too: `e0` is the first.
     pub fn with_engines(binary: &str, engines: Vec<(String, SocketAddr)>, script: &str) -> Rig {
-        Rig::between(binary, engines, Script::read(script).expect("a script"), true)
+        Rig::between(
+            binary,
+            engines,
+            Script::read(script).expect("a script"),
+            true,
+        )
     }
 
-    fn between(binary: &str, engines: Vec<(String, SocketAddr)>, script: Script, wired: bool) -> Rig {
+    fn between(
+        binary: &str,
+        engines: Vec<(String, SocketAddr)>,
+        script: Script,
+        wired: bool,
+    ) -> Rig {
         let n = RIGS.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
-        let folder = std::env::temp_dir().join(format!("driftfront-rig-{}-{n}", std::process::id()));
+        let folder =
+            std::env::temp_dir().join(format!("driftfront-rig-{}-{n}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a temporary folder");
         let count = if wired { engines.len() as u32 } else { 0 };
         let net = Net::start(script.members, count, script.zones, script.seed);
@@ -125,15 +138,21 @@
     }
 
     fn config(&self, member: u32) -> String {
-        let seeds: String =
-            (0..self.script.members.min(3)).map(|m| format!("seed \"{}\"; ", self.net.public(m))).collect();
+        let seeds: String = (0..self.script.members.min(3))
+            .map(|m| format!("seed \"{}\"; ", self.net.public(m)))
+            .collect();
         let engines: String = (0..self.engines.len())
             .map(|n| {
-                let at = self.wires.as_ref().map_or(self.engines[n].1, |w| w.addr(member, n));
+                let at = self
+                    .wires
+                    .as_ref()
+                    .map_or(self.engines[n].1, |w| w.addr(member, n));
                 format!("engine \"{}\" at=\"{at}\"; ", self.engines[n].0)
             })
             .collect();
-        let voters: String = (0..self.script.voters).map(|m| format!("voter \"m{m}\"; ")).collect();
+        let voters: String = (0..self.script.voters)
+            .map(|m| format!("voter \"m{m}\"; "))
+            .collect();
         let state = match self.script.keeps {
             true => format!("state \"{}\"\n", self.state(member).display()),
             false => String::new(),
@@ -175,7 +194,9 @@
     pub fn leader(&self, by: &[u32]) -> Option<u32> {
         let says = |&m: &u32| self.agreed(m).map(|a| a.leader).filter(|l| !l.is_empty());
         let first = by.first().and_then(says)?;
-        by.iter().all(|m| says(m).as_deref() == Some(&first)).then_some(())?;
+        by.iter()
+            .all(|m| says(m).as_deref() == Some(&first))
+            .then_some(())?;
         first.strip_prefix('m')?.parse().ok()
     }
 
@@ -183,26 +204,46 @@
     pub fn wait_for_leader(&self, by: &[u32], not: Option<u32>) -> u32 {
         let since = Instant::now();
         loop {
-            if let Some(leader) = self.leader(by).filter(|l| by.contains(l) && Some(*l) != not) {
-                self.log.note(self.begun, format!("{by:?} say that m{leader} leads"));
+            if let Some(leader) = self
+                .leader(by)
+                .filter(|l| by.contains(l) && Some(*l) != not)
+            {
+                self.log
+                    .note(self.begun, format!("{by:?} say that m{leader} leads"));
                 return leader;
             }
-            let views = || by.iter().map(|&m| format!("{:?}", self.agreed(m))).collect::<Vec<_>>().join("\n");
-            assert!(since.elapsed() < FOR_EVER, "nobody leads {by:?}:\n{}\n{}", views(), self.log.text());
+            let views = || {
+                by.iter()
+                    .map(|&m| format!("{:?}", self.agreed(m)))
+                    .collect::<Vec<_>>()
+                    .join("\n")
+            };
+            assert!(
+                since.elapsed() < FOR_EVER,
+                "nobody leads {by:?}:\n{}\n{}",
+                views(),
+                self.log.text()
+            );
             std::thread::sleep(Duration::from_millis(20));
         }
     }
 
     /// An operator asks a member for a hold; what it says, as done or as refused.
     pub fn hold(&self, by: u32, name: &str, for_s: u64) -> Result<String, String> {
-        let request = Request::Hold { name: name.into(), for_s, stays: false, note: String::new() };
+        let request = Request::Hold {
+            name: name.into(),
+            for_s,
+            stays: false,
+            note: String::new(),
+        };
         self.ask(by, &request)
     }
 
     /// Has a member do what operators may ask.
     pub fn ask(&self, by: u32, request: &Request) -> Result<String, String> {
         let said = self.processes[by as usize].ask(request);
-        self.log.note(self.begun, format!("m{by} is asked {request:?}: {said:?}"));
+        self.log
+            .note(self.begun, format!("m{by} is asked {request:?}: {said:?}"));
         said
     }
 
@@ -211,7 +252,8 @@
             return;
         }
         let inner = self.processes[member as usize].start(&self.log, self.begun);
-        self.net.place(member, inner.expect("it says where its datagrams come in"));
+        self.net
+            .place(member, inner.expect("it says where its datagrams come in"));
     }
 
     /// Starts another process under a member's name and file, as an upgrade does, before the one that runs has ended: that
@@ -221,10 +263,14 @@
         std::fs::create_dir_all(&folder).expect("a temporary folder");
         let old = &self.processes[member as usize];
         let next = folder.join(format!("m{member}.sock"));
-        let file = old.file().replace(&old.control().display().to_string(), &next.display().to_string());
+        let file = old.file().replace(
+            &old.control().display().to_string(),
+            &next.display().to_string(),
+        );
         let mut process = Process::new(&old.binary, &folder, member, &file);
         let inner = process.start(&self.log, self.begun);
-        self.net.place(member, inner.expect("it says where its datagrams come in"));
+        self.net
+            .place(member, inner.expect("it says where its datagrams come in"));
         std::mem::replace(&mut self.processes[member as usize], process)
     }
 
@@ -260,26 +306,41 @@
             Deed::Link(from, to, link) => self.net.link(from, to, *link),
             Deed::Part(groups, from, ways) => self.net.part(groups, from, *ways),
             Deed::Reset(groups, from) => {
-                let (some, others) = (self.net.all_of(groups), self.net.all_of(std::slice::from_ref(from)));
+                let (some, others) = (
+                    self.net.all_of(groups),
+                    self.net.all_of(std::slice::from_ref(from)),
+                );
                 if let Some(wires) = &self.wires {
                     wires.reset(&some, &others);
                 }
             }
             Deed::Heal => self.net.heal(),
             Deed::Cut(groups, ways) => self.net.cut(&self.script.members_of(groups), *ways),
-            Deed::Kill(groups) => {
-                self.script.members_of(groups).into_iter().for_each(|m| self.process(m).kill())
-            }
-            Deed::Stop(groups) => {
-                self.script.members_of(groups).into_iter().for_each(|m| self.process(m).signal("-STOP"))
-            }
-            Deed::Wake(groups) => {
-                self.script.members_of(groups).into_iter().for_each(|m| self.process(m).signal("-CONT"))
-            }
-            Deed::Start(groups) => self.script.members_of(groups).into_iter().for_each(|m| self.spawn(m)),
-            Deed::Leave(groups) => {
-                self.script.members_of(groups).into_iter().for_each(|m| self.process(m).signal("-TERM"))
-            }
+            Deed::Kill(groups) => self
+                .script
+                .members_of(groups)
+                .into_iter()
+                .for_each(|m| self.process(m).kill()),
+            Deed::Stop(groups) => self
+                .script
+                .members_of(groups)
+                .into_iter()
+                .for_each(|m| self.process(m).signal("-STOP")),
+            Deed::Wake(groups) => self
+                .script
+                .members_of(groups)
+                .into_iter()
+                .for_each(|m| self.process(m).signal("-CONT")),
+            Deed::Start(groups) => self
+                .script
+                .members_of(groups)
+                .into_iter()
+                .for_each(|m| self.spawn(m)),
+            Deed::Leave(groups) => self
+                .script
+                .members_of(groups)
+                .into_iter()
+                .for_each(|m| self.process(m).signal("-TERM")),
             // Processes on one machine share its clock; the lab moves clocks.
             Deed::Clock(..) => {}
         }
@@ -311,7 +372,11 @@
         let mut names: Vec<String> = there.iter().map(|&m| name(m)).collect();
         names.sort();
         // The program lists them by name.
-        self.sees(by).iter().filter(|s| s.standing != "gone").map(|s| &s.name).eq(&names)
+        self.sees(by)
+            .iter()
+            .filter(|s| s.standing != "gone")
+            .map(|s| &s.name)
+            .eq(&names)
     }
 
     /// Waits until each of these sees just those there, or says what it sees instead.
@@ -319,7 +384,13 @@
         let since = Instant::now();
         for &m in by {
             while !self.sees_just(m, there) {
-                let late = || format!("m{m} sees {:?}, not {there:?}\n{}", self.sees(m), self.log.text());
+                let late = || {
+                    format!(
+                        "m{m} sees {:?}, not {there:?}\n{}",
+                        self.sees(m),
+                        self.log.text()
+                    )
+                };
                 assert!(since.elapsed() < FOR_EVER, "{}", late());
                 std::thread::sleep(Duration::from_millis(20));
             }
--- a/crates/rig/src/load.rs
+++ b/crates/rig/src/load.rs
@@ -68,7 +68,10 @@
 impl Load {
     /// Begins; members are found where they listen now.
     pub fn start(addrs: BTreeMap<u32, SocketAddr>, plan: &Plan) -> Load {
-        let (over, asked) = (Arc::new(AtomicBool::new(false)), Arc::new(Mutex::new(Vec::new())));
+        let (over, asked) = (
+            Arc::new(AtomicBool::new(false)),
+            Arc::new(Mutex::new(Vec::new())),
+        );
         let members: Vec<u32> = addrs.keys().copied().collect();
         let addrs = Arc::new(Mutex::new(addrs));
         let (begun, number) = (Instant::now(), Arc::new(AtomicU64::new(0)));
@@ -92,14 +95,25 @@
                         let (got, bytes) =
                             addr.map_or((Got::NotTaken, String::new()), |a| ask(a, &statement));
                         if let Ok(mut all) = asked.lock() {
-                            all.push(Asked { member, statement, got, at: (at, begun.elapsed()), bytes });
+                            all.push(Asked {
+                                member,
+                                statement,
+                                got,
+                                at: (at, begun.elapsed()),
+                                bytes,
+                            });
                         }
                         std::thread::sleep(plan.pause);
                     }
                 }));
             }
         }
-        Load { threads, over, asked, addrs }
+        Load {
+            threads,
+            over,
+            asked,
+            addrs,
+        }
     }
 
     /// A member's clients connect here from now on.
@@ -141,7 +155,10 @@
         "POST / HTTP/1.1\r\nHost: t\r\nConnection: close\r\nContent-Length: {}\r\n\r\n",
         statement.len()
     );
-    if stream.write_all(format!("{head}{statement}").as_bytes()).is_err() {
+    if stream
+        .write_all(format!("{head}{statement}").as_bytes())
+        .is_err()
+    {
         return (Got::Nothing, String::new());
     }
     let mut bytes = Vec::new();
@@ -152,16 +169,25 @@
 
 /// What an answer is: exactly one, whole.
 fn judge(text: &str, closed: bool) -> Got {
-    let Some((head, body)) = text.split_once("\r\n\r\n") else { return Got::Nothing };
+    let Some((head, body)) = text.split_once("\r\n\r\n") else {
+        return Got::Nothing;
+    };
     if body.contains("HTTP/1.1 ") {
         return Got::Wrong;
     }
     let length = head.lines().find_map(|l| {
         let (name, value) = l.split_once(':')?;
-        name.eq_ignore_ascii_case("content-length").then(|| value.trim().parse::<usize>().ok())?
+        name.eq_ignore_ascii_case("content-length")
+            .then(|| value.trim().parse::<usize>().ok())?
     });
-    let whole = length.map_or(body.ends_with("0\r\n\r\n") || body.is_empty() && closed, |l| body.len() == l);
-    match (head.split(' ').nth(1).and_then(|s| s.parse::<u16>().ok()), whole) {
+    let whole = length.map_or(
+        body.ends_with("0\r\n\r\n") || body.is_empty() && closed,
+        |l| body.len() == l,
+    );
+    match (
+        head.split(' ').nth(1).and_then(|s| s.parse::<u16>().ok()),
+        whole,
+    ) {
         (_, false) => Got::Nothing,
         (Some(200), true) => Got::Served,
         (Some(429 | 503), true) => Got::Refused,
@@ -183,8 +209,14 @@
         let chunks = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n1\n\r\n";
         assert_eq!(judge(chunks, true), Got::Nothing);
         assert_eq!(judge(&format!("{chunks}0\r\n\r\n"), true), Got::Served);
-        assert_eq!(judge("HTTP/1.1 429 No\r\nContent-Length: 0\r\n\r\n", true), Got::Refused);
-        assert_eq!(judge("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", true), Got::Failed);
+        assert_eq!(
+            judge("HTTP/1.1 429 No\r\nContent-Length: 0\r\n\r\n", true),
+            Got::Refused
+        );
+        assert_eq!(
+            judge("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", true),
+            Got::Failed
+        );
         assert_eq!(judge("", true), Got::Nothing);
     }
 }
--- a/crates/rig/src/main.rs
+++ b/crates/rig/src/main.rs
@@ -22,7 +22,10 @@
     each run starts N processes, draws a storm by its seed and plays it; a run that does not come to one view is named";
 
 fn value(args: &[String], name: &str) -> Option<String> {
-    args.iter().position(|a| a == name).and_then(|n| args.get(n + 1)).cloned()
+    args.iter()
+        .position(|a| a == name)
+        .and_then(|n| args.get(n + 1))
+        .cloned()
 }
 
 /// What the fleet costs each process that has nothing else to do.
@@ -35,8 +38,12 @@
         let mut sum = [0u64; 4];
         for m in 0..members {
             let (memory, ticks) = rig.process(m).usage();
-            let counts =
-                [ticks, rig.counter(m, "fleet_datagrams_sent"), rig.counter(m, "fleet_bytes_sent"), memory];
+            let counts = [
+                ticks,
+                rig.counter(m, "fleet_datagrams_sent"),
+                rig.counter(m, "fleet_bytes_sent"),
+                memory,
+            ];
             sum.iter_mut().zip(counts).for_each(|(sum, n)| *sum += n);
         }
         sum
@@ -45,7 +52,10 @@
     std::thread::sleep(Duration::from_secs(seconds));
     let after = sum(&mut rig);
     let each = |n: usize| (after[n] - before[n]) as f64 / seconds as f64 / f64::from(members);
-    let longest = (0..members).map(|m| rig.counter(m, "fleet_turn_longest_us")).max().unwrap_or(0);
+    let longest = (0..members)
+        .map(|m| rig.counter(m, "fleet_turn_longest_us"))
+        .max()
+        .unwrap_or(0);
     println!(
         "processes {members}: each {:.1} ms of processor, {:.1} datagrams, {:.0} bytes a second, {:.1} MB resident; \
          longest turn {longest} µs",
@@ -58,8 +68,11 @@
 
 /// Soaks of restarts, some at once; each broken rule with its seed.
 fn soaks(args: &[String], binary: &str) -> ExitCode {
-    let number =
-        |name: &str, otherwise: u64| value(args, name).and_then(|v| v.parse().ok()).unwrap_or(otherwise);
+    let number = |name: &str, otherwise: u64| {
+        value(args, name)
+            .and_then(|v| v.parse().ok())
+            .unwrap_or(otherwise)
+    };
     let (first, runs) = (number("--seed", 1), number("--runs", 1));
     let next = AtomicU64::new(first);
     let broken = Mutex::new(Vec::new());
@@ -95,7 +108,11 @@
     let mut waits: [Vec<u64>; 2] = Default::default();
     for turn in 0..4 {
         // The script of one member is a fleet of one that never hears another.
-        let script = if turn % 2 == 0 { "members 5\nvoters 3 keeps=#true" } else { "members 1" };
+        let script = if turn % 2 == 0 {
+            "members 5\nvoters 3 keeps=#true"
+        } else {
+            "members 1"
+        };
         let rig = Rig::start(binary, "127.0.0.1:9", script);
         if turn % 2 == 0 {
             rig.wait_until_seen(&[0, 1, 2, 3, 4], &[0, 1, 2, 3, 4]);
@@ -103,7 +120,10 @@
         } else {
             // No fleet at all.
             rig.give_file(0, |text| {
-                text.lines().filter(|l| !l.starts_with("fleet")).collect::<Vec<_>>().join("\n")
+                text.lines()
+                    .filter(|l| !l.starts_with("fleet"))
+                    .collect::<Vec<_>>()
+                    .join("\n")
             });
         }
         let mut rig = rig;
@@ -112,13 +132,18 @@
             rig.start_alone(0);
         }
         let addr = rig.clients(0);
-        let Ok(mut stream) = TcpStream::connect(addr) else { continue };
+        let Ok(mut stream) = TcpStream::connect(addr) else {
+            continue;
+        };
         let _ = stream.set_nodelay(true);
         let until = Instant::now() + Duration::from_secs(seconds);
         let mut bytes = [0; 4096];
         while Instant::now() < until {
             let asked = Instant::now();
-            if stream.write_all(b"GET /alive HTTP/1.1\r\nHost: t\r\n\r\n").is_err() {
+            if stream
+                .write_all(b"GET /alive HTTP/1.1\r\nHost: t\r\n\r\n")
+                .is_err()
+            {
                 break;
             }
             match stream.read(&mut bytes) {
@@ -128,7 +153,10 @@
             std::thread::sleep(Duration::from_micros(700));
         }
     }
-    for (of, waits) in ["in a fleet of five", "with no fleet"].iter().zip(&mut waits) {
+    for (of, waits) in ["in a fleet of five", "with no fleet"]
+        .iter()
+        .zip(&mut waits)
+    {
         waits.sort_unstable();
         println!(
             "{of}: an answer after p50 {:.3} ms  p99.9 {:.3} ms  max {:.3} ms, of {}",
@@ -151,8 +179,11 @@
 
 /// Holds are asked for of all members while a storm passes.
 fn holds(args: &[String], binary: &str) -> ExitCode {
-    let number =
-        |name: &str, otherwise: u64| value(args, name).and_then(|v| v.parse().ok()).unwrap_or(otherwise);
+    let number = |name: &str, otherwise: u64| {
+        value(args, name)
+            .and_then(|v| v.parse().ok())
+            .unwrap_or(otherwise)
+    };
     let (members, voters) = (number("--members", 5) as u32, number("--voters", 3) as u32);
     let (runs, first) = (number("--runs", 3), number("--seed", 1));
     let keeps = args.iter().any(|a| a == "--keeps");
@@ -169,14 +200,21 @@
                 // Its file must hold nothing that it does not know.
                 rig.give_file(m, |text| {
                     let words = text.split("voter \"").next().unwrap_or_default();
-                    let rest =
-                        text.split_once("}\nstate").map_or("}\n".into(), |(_, s)| format!("}}\nstate{s}"));
-                    let file = if words.len() < text.len() { format!("{words}{rest}") } else { text.clone() };
+                    let rest = text
+                        .split_once("}\nstate")
+                        .map_or("}\n".into(), |(_, s)| format!("}}\nstate{s}"));
+                    let file = if words.len() < text.len() {
+                        format!("{words}{rest}")
+                    } else {
+                        text.clone()
+                    };
                     file.split("replace-after")
                         .enumerate()
                         .map(|(n, part)| match n {
                             0 => part.to_string(),
-                            _ => part.split_once("\" ").map_or(part.into(), |(_, rest)| rest.to_string()),
+                            _ => part
+                                .split_once("\" ")
+                                .map_or(part.into(), |(_, rest)| rest.to_string()),
                         })
                         .collect()
                 });
@@ -198,18 +236,30 @@
                         }
                         let name = format!("h{}", n % 2);
                         let asked = begun.elapsed();
-                        let request =
-                            Request::Hold { name: name.clone(), for_s: 2, stays: false, note: String::new() };
+                        let request = Request::Hold {
+                            name: name.clone(),
+                            for_s: 2,
+                            stays: false,
+                            note: String::new(),
+                        };
                         let said = driftfront_rig::process::ask(&at, &request);
                         let from = begun.elapsed();
                         match said {
                             Ok(words) => {
-                                let fence =
-                                    words.rsplit(' ').next().and_then(|f| f.parse().ok()).unwrap_or(0);
+                                let fence = words
+                                    .rsplit(' ')
+                                    .next()
+                                    .and_then(|f| f.parse().ok())
+                                    .unwrap_or(0);
                                 // What a holder may use: its time from before it asked, less a twentieth and 0.1 s.
                                 let until = asked + Duration::from_millis(1_800);
                                 if let Ok(mut all) = held.lock() {
-                                    all.push(Certain { name, fence, from, until });
+                                    all.push(Certain {
+                                        name,
+                                        fence,
+                                        from,
+                                        until,
+                                    });
                                 }
                             }
                             Err(why) if why.contains("in time") => {
@@ -217,8 +267,10 @@
                             }
                             Err(why) => {
                                 if let Ok(mut all) = refused.lock() {
-                                    *all.entry(why.chars().filter(|c| !c.is_ascii_digit()).collect())
-                                        .or_insert(0u64) += 1;
+                                    *all.entry(
+                                        why.chars().filter(|c| !c.is_ascii_digit()).collect(),
+                                    )
+                                    .or_insert(0u64) += 1;
                                 }
                             }
                         }
@@ -245,7 +297,10 @@
             println!("seed {seed}: {:?}", refused.lock().map(|r| r.clone()));
         }
         let mut all = held.lock().map(|h| h.clone()).unwrap_or_default();
-        (lent, unanswered) = (lent + all.len(), unanswered + unsure.load(Ordering::Relaxed));
+        (lent, unanswered) = (
+            lent + all.len(),
+            unanswered + unsure.load(Ordering::Relaxed),
+        );
         all.sort_by_key(|h| (h.name.clone(), h.fence));
         for pair in all.windows(2).filter(|p| p[0].name == p[1].name) {
             // The later number's holder may act while the earlier one's still does.
@@ -253,7 +308,11 @@
                 twice.push(format!("seed {seed}: {:?} and {:?}", pair[0], pair[1]));
             }
         }
-        if twice.iter().any(|t| t.starts_with(&format!("seed {seed}:"))) || never.contains(&seed) {
+        if twice
+            .iter()
+            .any(|t| t.starts_with(&format!("seed {seed}:")))
+            || never.contains(&seed)
+        {
             eprintln!("seed {seed}:\n{}", rig.log().text());
             (0..members).for_each(|m| eprintln!("  m{m}: {:?}", rig.agreed(m)));
         }
@@ -282,9 +341,16 @@
         println!("{USAGE}");
         return ExitCode::from(2);
     };
-    let number =
-        |name: &str, otherwise: u64| value(&args, name).and_then(|v| v.parse().ok()).unwrap_or(otherwise);
-    let (members, runs, first) = (number("--members", 5) as u32, number("--runs", 3), number("--seed", 1));
+    let number = |name: &str, otherwise: u64| {
+        value(&args, name)
+            .and_then(|v| v.parse().ok())
+            .unwrap_or(otherwise)
+    };
+    let (members, runs, first) = (
+        number("--members", 5) as u32,
+        number("--runs", 3),
+        number("--seed", 1),
+    );
     if args.iter().any(|a| a == "--soak") {
         return soaks(&args, &binary);
     }
@@ -316,8 +382,11 @@
                 never.push(seed);
                 eprintln!("seed {seed}:\n{}", rig.log().text());
                 for m in 0..members {
-                    let seen: Vec<String> =
-                        rig.sees(m).into_iter().map(|s| format!("{} {}", s.name, s.standing)).collect();
+                    let seen: Vec<String> = rig
+                        .sees(m)
+                        .into_iter()
+                        .map(|s| format!("{} {}", s.name, s.standing))
+                        .collect();
                     eprintln!(
                         "  m{m} sees {}; came back {}",
                         seen.join(", "),
--- a/crates/rig/src/net.rs
+++ b/crates/rig/src/net.rs
@@ -49,7 +49,11 @@
 
 /// Loopback by itself: the rig adds nothing where no script says so.
 fn bare() -> Link {
-    Link { delay: 0, jitter: 0, ..Link::default() }
+    Link {
+        delay: 0,
+        jitter: 0,
+        ..Link::default()
+    }
 }
 
 /// The network between the members of a rig.
@@ -83,7 +87,11 @@
         }
         let (held, done) = (shared.clone(), over.clone());
         std::thread::spawn(move || deliver(&due, &held, &done));
-        Net { public, shared, over }
+        Net {
+            public,
+            shared,
+            over,
+        }
     }
 
     /// Where others send a member's datagrams.
@@ -113,7 +121,10 @@
     /// Nothing comes between the first and the second: from the first, to them.
     pub fn part(&self, some: &[Group], from: &Group, ways: (bool, bool)) {
         self.with(|s| {
-            let (some, others) = (s.links.all_of(some), s.links.all_of(std::slice::from_ref(from)));
+            let (some, others) = (
+                s.links.all_of(some),
+                s.links.all_of(std::slice::from_ref(from)),
+            );
             s.links.part(&some, &others, ways);
         });
     }
@@ -135,8 +146,16 @@
             if link.cut {
                 return None;
             }
-            let jitter = if link.jitter > 0 { s.rng.random_range(0..link.jitter) } else { 0 };
-            let throttle = if link.throttle > 0 { bytes as f64 / link.throttle as f64 } else { 0.0 };
+            let jitter = if link.jitter > 0 {
+                s.rng.random_range(0..link.jitter)
+            } else {
+                0
+            };
+            let throttle = if link.throttle > 0 {
+                bytes as f64 / link.throttle as f64
+            } else {
+                0.0
+            };
             Some(Duration::from_micros(link.delay + jitter) + Duration::from_secs_f64(throttle))
         })
     }
@@ -159,15 +178,29 @@
     }
 }
 
-fn receive(socket: &UdpSocket, to: u32, shared: &Mutex<Shared>, over: &AtomicBool, send: &Sender<Due>) {
+fn receive(
+    socket: &UdpSocket,
+    to: u32,
+    shared: &Mutex<Shared>,
+    over: &AtomicBool,
+    send: &Sender<Due>,
+) {
     let mut bytes = [0; 2048];
     while !over.load(Ordering::Relaxed) {
-        let Ok((n, from)) = socket.recv_from(&mut bytes) else { continue };
+        let Ok((n, from)) = socket.recv_from(&mut bytes) else {
+            continue;
+        };
         let Ok(mut s) = shared.lock() else { return };
         // Who is no member, as a flood from elsewhere, comes through as it is.
-        let sender = s.inner.iter().position(|i| *i == Some(from)).map(|m| m as u32);
+        let sender = s
+            .inner
+            .iter()
+            .position(|i| *i == Some(from))
+            .map(|m| m as u32);
         let link = sender.map_or(bare(), |m| s.links.between(m, to));
-        let held = sender.map_or(Some(Duration::ZERO), |m| s.throttle(m, to, link.throttle, n));
+        let held = sender.map_or(Some(Duration::ZERO), |m| {
+            s.throttle(m, to, link.throttle, n)
+        });
         for after in link.carry(&mut s.rng) {
             let Some(held) = held else { continue };
             s.order += 1;
@@ -181,14 +214,18 @@
     let socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
     let mut waiting: BinaryHeap<Reverse<Due>> = BinaryHeap::new();
     while !over.load(Ordering::Relaxed) {
-        let next = waiting.peek().map(|d| d.0 .0.saturating_duration_since(Instant::now()));
+        let next = waiting
+            .peek()
+            .map(|d| d.0 .0.saturating_duration_since(Instant::now()));
         match due.recv_timeout(next.unwrap_or(POLL).min(POLL)) {
             Ok(one) if waiting.len() < UNDER_WAY => waiting.push(Reverse(one)),
             Ok(_) | Err(RecvTimeoutError::Timeout) => {}
             Err(RecvTimeoutError::Disconnected) => return,
         }
         while waiting.peek().is_some_and(|d| d.0 .0 <= Instant::now()) {
-            let Some(Reverse((_, _, to, bytes))) = waiting.pop() else { break };
+            let Some(Reverse((_, _, to, bytes))) = waiting.pop() else {
+                break;
+            };
             let inner = shared.lock().ok().and_then(|s| s.inner[to as usize]);
             if let Some(inner) = inner {
                 let _ = socket.send_to(&bytes, inner);
--- a/crates/rig/src/process.rs
+++ b/crates/rig/src/process.rs
@@ -28,22 +28,41 @@
         let path = folder.join(format!("m{member}.kdl"));
         std::fs::write(&path, config).expect("a temporary file");
         let socket = folder.join(format!("m{member}.sock"));
-        Process { binary: binary.into(), config: path, socket, member, child: None, clients: None }
+        Process {
+            binary: binary.into(),
+            config: path,
+            socket,
+            member,
+            child: None,
+            clients: None,
+        }
     }
 
     /// Starts it; where its datagrams come in, if it takes part in a fleet.
     pub fn start(&mut self, log: &Log, begun: Instant) -> Option<SocketAddr> {
         let mut command = Command::new(&self.binary);
-        command.args(["serve", "--config"]).arg(&self.config).stderr(Stdio::piped()).stdin(Stdio::null());
+        command
+            .args(["serve", "--config"])
+            .arg(&self.config)
+            .stderr(Stdio::piped())
+            .stdin(Stdio::null());
         let mut child = command.spawn().expect("the program starts");
         let mut lines = BufReader::new(child.stderr.take().expect("piped"));
         let mut fleet = None;
         let (member, log) = (self.member, log.clone());
         let clients = loop {
             let mut line = String::new();
-            assert!(lines.read_line(&mut line).expect("a log") > 0, "m{member} ended:\n{}", log.text());
-            let after =
-                |word: &str| line.trim().split(word).nth(1).and_then(|a| a.split(' ').next()?.parse().ok());
+            assert!(
+                lines.read_line(&mut line).expect("a log") > 0,
+                "m{member} ended:\n{}",
+                log.text()
+            );
+            let after = |word: &str| {
+                line.trim()
+                    .split(word)
+                    .nth(1)
+                    .and_then(|a| a.split(' ').next()?.parse().ok())
+            };
             fleet = after("here=").or(fleet);
             if let Some(addr) = after("listen=") {
                 break addr;
@@ -63,7 +82,10 @@
 
     /// Whether it runs, or stands still.
     pub fn runs(&mut self) -> bool {
-        let ended = self.child.as_mut().is_none_or(|c| c.try_wait().is_ok_and(|s| s.is_some()));
+        let ended = self
+            .child
+            .as_mut()
+            .is_none_or(|c| c.try_wait().is_ok_and(|s| s.is_some()));
         if ended {
             self.child = None;
         }
@@ -81,25 +103,47 @@
     /// Sends it a signal, by its id.
     pub fn signal(&mut self, name: &str) {
         if let Some(child) = &self.child {
-            let _ = Command::new("kill").args([name, &child.id().to_string()]).status();
+            let _ = Command::new("kill")
+                .args([name, &child.id().to_string()])
+                .status();
         }
     }
 
     /// Waits until it has ended; whether it ended well.
     pub fn wait(&mut self) -> bool {
-        self.child.take().is_some_and(|mut c| c.wait().is_ok_and(|s| s.success()))
+        self.child
+            .take()
+            .is_some_and(|mut c| c.wait().is_ok_and(|s| s.success()))
     }
 
     /// Its resident memory in KB and the processor time that it has used, in clock ticks.
     pub fn usage(&self) -> (u64, u64) {
-        let Some(id) = self.child.as_ref().map(Child::id) else { return (0, 0) };
-        let text = |name: &str| std::fs::read_to_string(format!("/proc/{id}/{name}")).unwrap_or_default();
+        let Some(id) = self.child.as_ref().map(Child::id) else {
+            return (0, 0);
+        };
+        let text =
+            |name: &str| std::fs::read_to_string(format!("/proc/{id}/{name}")).unwrap_or_default();
         let status = text("status");
-        let memory =
-            status.lines().find_map(|l| l.strip_prefix("VmRSS:")?.split_whitespace().next()?.parse().ok());
+        let memory = status.lines().find_map(|l| {
+            l.strip_prefix("VmRSS:")?
+                .split_whitespace()
+                .next()?
+                .parse()
+                .ok()
+        });
         let stat = text("stat");
-        let fields: Vec<&str> = stat.rsplit(')').next().unwrap_or_default().split_whitespace().collect();
-        let ticks = |n: usize| fields.get(n).and_then(|f| f.parse::<u64>().ok()).unwrap_or(0);
+        let fields: Vec<&str> = stat
+            .rsplit(')')
+            .next()
+            .unwrap_or_default()
+            .split_whitespace()
+            .collect();
+        let ticks = |n: usize| {
+            fields
+                .get(n)
+                .and_then(|f| f.parse::<u64>().ok())
+                .unwrap_or(0)
+        };
         (memory.unwrap_or(0), ticks(11) + ticks(12))
     }
 
@@ -166,7 +210,13 @@
 
 /// A counter of the program that listens here.
 pub fn counter(addr: SocketAddr, name: &str) -> Option<u64> {
-    let text = call(addr, "GET /counters HTTP/1.1\r\nHost: t\r\nConnection: close\r\n\r\n").ok()?;
-    let line = text.lines().find(|l| l.rsplit_once(' ').is_some_and(|(n, _)| n == name))?;
+    let text = call(
+        addr,
+        "GET /counters HTTP/1.1\r\nHost: t\r\nConnection: close\r\n\r\n",
+    )
+    .ok()?;
+    let line = text
+        .lines()
+        .find(|l| l.rsplit_once(' ').is_some_and(|(n, _)| n == name))?;
     line.rsplit(' ').next()?.parse().ok()
 }
--- a/crates/rig/src/soak/client.rs
+++ b/crates/rig/src/soak/client.rs
@@ -84,7 +84,9 @@
                 let client = Client {
                     coordinator,
                     target: target.clone(),
-                    rng: SmallRng::seed_from_u64(plan.seed ^ ((coordinator * 100 + n) as u64) << 32),
+                    rng: SmallRng::seed_from_u64(
+                        plan.seed ^ ((coordinator * 100 + n) as u64) << 32,
+                    ),
                     deadline: plan.deadline,
                     number: number.clone(),
                     until,
@@ -102,16 +104,25 @@
 
     /// What they asked, once all are done.
     pub fn end(self) -> Vec<Asked> {
-        self.threads.into_iter().flat_map(|t| t.join().expect("a client")).collect()
+        self.threads
+            .into_iter()
+            .flat_map(|t| t.join().expect("a client"))
+            .collect()
     }
 }
 
 /// A client of a crowd: it connects, says nothing, and comes again when it is shut out.
 fn idle(target: &Target, until: Instant) {
     while Instant::now() < until {
-        if let Some(mut stream) = target.get().and_then(|(addr, _)| TcpStream::connect(addr).ok()) {
-            let _ =
-                stream.set_read_timeout(Some(until.saturating_duration_since(Instant::now()).max(RECONNECT)));
+        if let Some(mut stream) = target
+            .get()
+            .and_then(|(addr, _)| TcpStream::connect(addr).ok())
+        {
+            let _ = stream.set_read_timeout(Some(
+                until
+                    .saturating_duration_since(Instant::now())
+                    .max(RECONNECT),
+            ));
             let _ = stream.read(&mut [0; 64]);
         }
         std::thread::sleep(RECONNECT * 5);
@@ -132,7 +143,9 @@
     fn run(mut self) -> Vec<Asked> {
         let mut open: Option<(TcpStream, u32)> = None;
         while Instant::now() < self.until {
-            std::thread::sleep(Duration::from_millis(self.rng.random_range(0..RESTS_MOST_MS)));
+            std::thread::sleep(Duration::from_millis(
+                self.rng.random_range(0..RESTS_MOST_MS),
+            ));
             if open.is_none() {
                 open = self.connect();
             }
@@ -157,10 +170,17 @@
     /// Asks on a connection; true if that may be used again.
     fn ask(&mut self, stream: &mut TcpStream, process: u32) -> bool {
         let n = self.number.fetch_add(1, Ordering::Relaxed);
-        let (class, verb) = if n.is_multiple_of(INSERTS) { ("load", "INSERT") } else { ("lookup", "SELECT") };
+        let (class, verb) = if n.is_multiple_of(INSERTS) {
+            ("load", "INSERT")
+        } else {
+            ("lookup", "SELECT")
+        };
         // Table groups spread the requests over the engines.
         let group = n % GROUPS;
-        let statement = format!("{verb} c{}p{process}n{n} FROM g_{group}.t", self.coordinator);
+        let statement = format!(
+            "{verb} c{}p{process}n{n} FROM g_{group}.t",
+            self.coordinator
+        );
         let most = self.deadline.as_millis() as u64;
         let patience = self.rng.random_range(PATIENCE_LEAST_MS..=most);
         let request = format!(
@@ -176,7 +196,14 @@
         let patience = Duration::from_millis(patience);
         let (end, stays) = read_answer(stream, at + patience + LATE, &statement);
         let process = (self.coordinator, process);
-        self.asked.push(Asked { process, statement, patience, at, took: at.elapsed(), end });
+        self.asked.push(Asked {
+            process,
+            statement,
+            patience,
+            at,
+            took: at.elapsed(),
+            end,
+        });
         stays
     }
 }
@@ -188,7 +215,14 @@
     loop {
         if let Some((status, body, closes)) = whole(&bytes) {
             let right = status != 200 || body.contains(statement);
-            return (if right { End::Answered(status) } else { End::Wrong }, right && !closes);
+            return (
+                if right {
+                    End::Answered(status)
+                } else {
+                    End::Wrong
+                },
+                right && !closes,
+            );
         }
         let left = until.saturating_duration_since(Instant::now());
         if left.is_zero() || stream.set_read_timeout(Some(left)).is_err() {
@@ -208,8 +242,11 @@
     let text = String::from_utf8_lossy(bytes);
     let (head, body) = text.split_once("\r\n\r\n")?;
     let field = |name: &str| {
-        head.lines()
-            .find_map(|l| l.split_once(':').filter(|f| f.0.eq_ignore_ascii_case(name)).map(|f| f.1.trim()))
+        head.lines().find_map(|l| {
+            l.split_once(':')
+                .filter(|f| f.0.eq_ignore_ascii_case(name))
+                .map(|f| f.1.trim())
+        })
     };
     let length: usize = field("content-length")?.parse().ok()?;
     let status = head.split(' ').nth(1)?.parse().ok()?;
--- a/crates/rig/src/soak/coordinator.rs
+++ b/crates/rig/src/soak/coordinator.rs
@@ -64,7 +64,11 @@
             .replace("FREE", &plan.budget.free.to_string())
             .replace("RATIO", &plan.budget.ratio.to_string())
             .replace("WINDOW", &micros(plan.budget.window));
-        let name = format!("driftfront-soak-{}-{}-{number}.json", std::process::id(), plan.seed);
+        let name = format!(
+            "driftfront-soak-{}-{}-{number}.json",
+            std::process::id(),
+            plan.seed
+        );
         let coordinator = Coordinator {
             binary: binary.into(),
             number,
@@ -91,8 +95,14 @@
         let mut ends = Vec::new();
         let mut process = self.start(0);
         target.set(Some((process.listen, 0)));
-        let signals = life.signals.iter().map(|&(at, signal)| (at, Event::Signal(signal)));
-        let steps = life.steps.iter().map(|&(at, offset)| (at, Event::Step(offset)));
+        let signals = life
+            .signals
+            .iter()
+            .map(|&(at, signal)| (at, Event::Signal(signal)));
+        let steps = life
+            .steps
+            .iter()
+            .map(|&(at, offset)| (at, Event::Step(offset)));
         let mut events: Vec<(Duration, Event)> = signals.chain(steps).collect();
         events.sort_by_key(|e| e.0);
         let (mut told, mut list) = (None, 0);
@@ -120,7 +130,9 @@
             }
         }
         let end = begun + self.length;
-        if let Some(ended) = told.and_then(|told| self.wait(&mut process, told, end + self.kills_after)) {
+        if let Some(ended) =
+            told.and_then(|told| self.wait(&mut process, told, end + self.kills_after))
+        {
             ends.push(ended);
             process = self.start(process.number + 1);
             target.set(Some((process.listen, process.number)));
@@ -135,19 +147,37 @@
     }
 
     fn start(&self, number: u32) -> Process {
-        let shell = format!("ulimit -n {}; exec \"$0\" serve --config \"$1\"", self.descriptors);
+        let shell = format!(
+            "ulimit -n {}; exec \"$0\" serve --config \"$1\"",
+            self.descriptors
+        );
         let mut command = Command::new("sh");
-        command.args(["-c", &shell]).arg(&self.binary).arg(&self.config);
-        let mut child =
-            self.clock.give_to(&mut command).stderr(Stdio::piped()).spawn().expect("the program starts");
+        command
+            .args(["-c", &shell])
+            .arg(&self.binary)
+            .arg(&self.config);
+        let mut child = self
+            .clock
+            .give_to(&mut command)
+            .stderr(Stdio::piped())
+            .spawn()
+            .expect("the program starts");
         let mut lines = BufReader::new(child.stderr.take().expect("piped"));
         let log = Arc::new(Mutex::new(String::new()));
         let mut line = String::new();
         let listen = loop {
             line.clear();
-            assert!(lines.read_line(&mut line).expect("a log") > 0, "the program ended at its start");
+            assert!(
+                lines.read_line(&mut line).expect("a log") > 0,
+                "the program ended at its start"
+            );
             log.lock().expect("the log").push_str(&line);
-            if let Some(addr) = line.trim().rsplit("listen=").next().and_then(|a| a.parse().ok()) {
+            if let Some(addr) = line
+                .trim()
+                .rsplit("listen=")
+                .next()
+                .and_then(|a| a.parse().ok())
+            {
                 break addr;
             }
         };
@@ -159,7 +189,12 @@
                 line.clear();
             }
         });
-        Process { child, number, log, listen }
+        Process {
+            child,
+            number,
+            log,
+            listen,
+        }
     }
 
     /// Waits until a process that was told to end has done so, and kills it at the earliest moment; nothing where it still may
@@ -181,10 +216,22 @@
         }
     }
 
-    fn ended(&self, process: &Process, told: Instant, killed: bool, status: Option<ExitStatus>) -> Ended {
+    fn ended(
+        &self,
+        process: &Process,
+        told: Instant,
+        killed: bool,
+        status: Option<ExitStatus>,
+    ) -> Ended {
         let crashed = status.filter(|s| !s.success()).map(|s| s.to_string());
         let log = process.log.lock().expect("the log").clone();
-        Ended { process: (self.number, process.number), told: Some(told), killed, crashed, log }
+        Ended {
+            process: (self.number, process.number),
+            told: Some(told),
+            killed,
+            crashed,
+            log,
+        }
     }
 }
 
@@ -197,8 +244,10 @@
 
 impl Process {
     fn signal(&self, name: &str) {
-        let _ =
-            Command::new("kill").args([name, &self.child.id().to_string()]).stderr(Stdio::null()).status();
+        let _ = Command::new("kill")
+            .args([name, &self.child.id().to_string()])
+            .stderr(Stdio::null())
+            .status();
     }
 }
 
--- a/crates/rig/src/soak/engine.rs
+++ b/crates/rig/src/soak/engine.rs
@@ -23,7 +23,12 @@
         let ledger = ledger.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let session = Session { troubles: troubles.clone(), begun, ledger: ledger.clone(), addr };
+                let session = Session {
+                    troubles: troubles.clone(),
+                    begun,
+                    ledger: ledger.clone(),
+                    addr,
+                };
                 std::thread::spawn(move || session.serve(stream));
             }
         });
@@ -47,13 +52,18 @@
 impl Session {
     fn mode(&self) -> Option<Mode> {
         let now = self.begun.elapsed();
-        self.troubles.iter().find(|t| t.during.contains(&now)).map(|t| t.mode)
+        self.troubles
+            .iter()
+            .find(|t| t.during.contains(&now))
+            .map(|t| t.mode)
     }
 
     /// Answers until the connection ends.
     fn serve(&self, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
-        let Ok(mut out) = stream.try_clone() else { return };
+        let Ok(mut out) = stream.try_clone() else {
+            return;
+        };
         let mut input = BufReader::new(stream);
         let mut line = String::new();
         while input.read_line(&mut line).is_ok_and(|n| n > 0) {
@@ -78,7 +88,9 @@
     /// What a request is answered, if it is.
     fn run(&self, id: &str, statement: &str, stream: &TcpStream) -> Option<String> {
         let mode = self.mode();
-        let entry = self.ledger.begin(&self.addr.to_string(), id, statement, None);
+        let entry = self
+            .ledger
+            .begin(&self.addr.to_string(), id, statement, None);
         match mode {
             Some(Mode::Hang) => None,
             Some(Mode::Reset) => {
--- a/crates/rig/src/soak/list.rs
+++ b/crates/rig/src/soak/list.rs
@@ -30,8 +30,15 @@
     pub fn start(engines: Vec<SocketAddr>) -> List {
         let told = Arc::<Told>::default();
         let addrs = [serve(&told), serve(&told)];
-        let list = List { addrs, engines, told, drained: Mutex::default() };
-        let all: Vec<String> = (0..list.engines.len()).map(|n| list.line(n, "ready")).collect();
+        let list = List {
+            addrs,
+            engines,
+            told,
+            drained: Mutex::default(),
+        };
+        let all: Vec<String> = (0..list.engines.len())
+            .map(|n| list.line(n, "ready"))
+            .collect();
         list.tell(&all);
         list
     }
@@ -41,7 +48,10 @@
         for &(at, engine) in drains {
             std::thread::sleep(at.saturating_sub(begun.elapsed()));
             self.tell(&[self.line(engine, "draining")]);
-            self.drained.lock().expect("the drains").push((self.engines[engine], Instant::now()));
+            self.drained
+                .lock()
+                .expect("the drains")
+                .push((self.engines[engine], Instant::now()));
         }
     }
 
@@ -98,8 +108,16 @@
     stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n: hello\n\n")?;
     loop {
         let events = told.events.lock().expect("the events");
-        let waited = told.news.wait_timeout_while(events, COMMENT_EVERY, |all| all.len() <= next);
-        let new: Vec<String> = waited.expect("the events").0.iter().skip(next).cloned().collect();
+        let waited = told
+            .news
+            .wait_timeout_while(events, COMMENT_EVERY, |all| all.len() <= next);
+        let new: Vec<String> = waited
+            .expect("the events")
+            .0
+            .iter()
+            .skip(next)
+            .cloned()
+            .collect();
         if new.is_empty() {
             stream.write_all(b": still here\n\n")?;
         }
--- a/crates/rig/src/soak/mod.rs
+++ b/crates/rig/src/soak/mod.rs
@@ -26,10 +26,17 @@
     let plan = Plan::draw(seed);
     let ledger = Arc::new(Ledger::default());
     let begun = Instant::now();
-    let engines: Vec<Engine> =
-        plan.engines.iter().map(|troubles| Engine::start(troubles.clone(), begun, &ledger)).collect();
+    let engines: Vec<Engine> = plan
+        .engines
+        .iter()
+        .map(|troubles| Engine::start(troubles.clone(), begun, &ledger))
+        .collect();
     let list = List::start(engines.iter().map(Engine::addr).collect());
-    let targets: Vec<Target> = plan.coordinators.iter().map(|_| Target::default()).collect();
+    let targets: Vec<Target> = plan
+        .coordinators
+        .iter()
+        .map(|_| Target::default())
+        .collect();
     let clients = Clients::start(&plan, &targets);
     let lives: Vec<_> = std::thread::scope(|scope| {
         let drains = scope.spawn(|| list.play(&plan.drains, begun));
@@ -40,7 +47,10 @@
                 scope.spawn(move || coordinator.live(life, target, begun))
             })
             .collect();
-        let lives = lives.into_iter().map(|l| l.join().expect("a coordinator's life")).collect();
+        let lives = lives
+            .into_iter()
+            .map(|l| l.join().expect("a coordinator's life"))
+            .collect();
         drains.join().expect("the list's changes");
         lives
     });
--- a/crates/rig/src/soak/plan.rs
+++ b/crates/rig/src/soak/plan.rs
@@ -100,8 +100,14 @@
             length,
             deadline,
             // Tight, so that it binds whenever an engine fails.
-            budget: Budget { free: 4.0, ratio: 0.002, window: Duration::from_secs(10) },
-            engines: (0..engines).map(|n| troubles(&mut rng, n > 0, length)).collect(),
+            budget: Budget {
+                free: 4.0,
+                ratio: 0.002,
+                window: Duration::from_secs(10),
+            },
+            engines: (0..engines)
+                .map(|n| troubles(&mut rng, n > 0, length))
+                .collect(),
             coordinators: (0..coordinators).map(|_| life(&mut rng)).collect(),
             clients: rng.random_range(4..10),
             drains,
@@ -126,14 +132,26 @@
     if rng.random_range(0..3) == 0 {
         // Some hang through the whole of a shutdown.
         let begin = at(rng, 300..3_000);
-        let end = if rng.random_range(0..2) == 0 { length * 2 } else { begin + at(rng, 300..2_000) };
-        return vec![Trouble { during: begin..end, mode: Mode::Hang }];
+        let end = if rng.random_range(0..2) == 0 {
+            length * 2
+        } else {
+            begin + at(rng, 300..2_000)
+        };
+        return vec![Trouble {
+            during: begin..end,
+            mode: Mode::Hang,
+        }];
     }
     let moments = rng.random_range(4..12);
     let moment = |_| {
         let begin = at(rng, 300..5_000);
-        let mode = *[Mode::Fault, Mode::Full, Mode::Reset, Mode::Reset].choose(rng).expect("some");
-        Trouble { during: begin..begin + at(rng, 50..400), mode }
+        let mode = *[Mode::Fault, Mode::Full, Mode::Reset, Mode::Reset]
+            .choose(rng)
+            .expect("some");
+        Trouble {
+            during: begin..begin + at(rng, 50..400),
+            mode,
+        }
     };
     (0..moments).map(moment).collect()
 }
@@ -155,7 +173,12 @@
         when += at(rng, 0..400);
     }
     let mut steps: Vec<(Duration, i64)> = (0..rng.random_range(0..6))
-        .map(|_| (at(rng, 200..4_000), STEPS_S.choose(rng).expect("some") * 1_000_000))
+        .map(|_| {
+            (
+                at(rng, 200..4_000),
+                STEPS_S.choose(rng).expect("some") * 1_000_000,
+            )
+        })
         .collect();
     steps.sort_by_key(|s| s.0);
     let crowded = rng.random_range(0..3) == 0;
--- a/crates/rig/src/soak/verdict.rs
+++ b/crates/rig/src/soak/verdict.rs
@@ -66,19 +66,34 @@
             self.processes,
             self.breaches.len()
         )?;
-        self.breaches.iter().try_for_each(|(breach, words)| write!(f, "\n  {breach:?}: {words}"))
+        self.breaches
+            .iter()
+            .try_for_each(|(breach, words)| write!(f, "\n  {breach:?}: {words}"))
     }
 }
 
 /// Judges a soak that is over.
-pub fn judge(plan: &Plan, asked: &[Asked], ledger: &Ledger, list: &List, lives: Vec<Vec<Ended>>) -> Report {
+pub fn judge(
+    plan: &Plan,
+    asked: &[Asked],
+    ledger: &Ledger,
+    list: &List,
+    lives: Vec<Vec<Ended>>,
+) -> Report {
     let entries = ledger.of("");
     let mut by_statement: BTreeMap<&str, Vec<&Entry>> = BTreeMap::new();
     for entry in &entries {
-        by_statement.entry(&entry.statement).or_default().push(entry);
+        by_statement
+            .entry(&entry.statement)
+            .or_default()
+            .push(entry);
     }
     let ended: Vec<Ended> = lives.into_iter().flatten().collect();
-    let mut report = Report { asked: asked.len(), processes: ended.len(), ..Report::default() };
+    let mut report = Report {
+        asked: asked.len(),
+        processes: ended.len(),
+        ..Report::default()
+    };
     report.further = entries.len() - by_statement.len();
     judge_answers(asked, &by_statement, &ended, &mut report);
     judge_repeats(&by_statement, &mut report);
@@ -90,7 +105,9 @@
             report.breaches.push((Breach::Crash, words(status)));
         }
         if end.killed {
-            report.breaches.push((Breach::Killed, words("did not end by itself")));
+            report
+                .breaches
+                .push((Breach::Killed, words("did not end by itself")));
         }
     }
     report.logs = ended.into_iter().map(|e| (e.process, e.log)).collect();
@@ -99,23 +116,36 @@
 }
 
 /// Each request gets one answer in time. One that crosses the close of its connection does not count, if it was not sent on.
-fn judge_answers(asked: &[Asked], sent: &BTreeMap<&str, Vec<&Entry>>, ended: &[Ended], report: &mut Report) {
+fn judge_answers(
+    asked: &[Asked],
+    sent: &BTreeMap<&str, Vec<&Entry>>,
+    ended: &[Ended],
+    report: &mut Report,
+) {
     for a in asked {
         match a.end {
             End::Answered(status) => {
                 *report.ends.entry(status).or_default() += 1;
                 report.late += usize::from(a.took > a.patience + SLACK);
             }
-            End::Unanswered if a.took < CROSSES && !sent.contains_key(&*a.statement) => report.crossed += 1,
-            End::Unanswered | End::Wrong => report.breaches.push((Breach::Lost, describe(a, sent, ended))),
+            End::Unanswered if a.took < CROSSES && !sent.contains_key(&*a.statement) => {
+                report.crossed += 1
+            }
+            End::Unanswered | End::Wrong => report
+                .breaches
+                .push((Breach::Lost, describe(a, sent, ended))),
         }
     }
 }
 
 fn describe(a: &Asked, sent: &BTreeMap<&str, Vec<&Entry>>, ended: &[Ended]) -> String {
-    let told = ended.iter().find(|e| e.process == a.process).and_then(|e| e.told);
+    let told = ended
+        .iter()
+        .find(|e| e.process == a.process)
+        .and_then(|e| e.told);
     let behind = |told: Instant| {
-        a.at.checked_duration_since(told).map(|d| format!("{} ms behind SIGTERM", d.as_millis()))
+        a.at.checked_duration_since(told)
+            .map(|d| format!("{} ms behind SIGTERM", d.as_millis()))
     };
     let when = told.and_then(behind).unwrap_or("before any SIGTERM".into());
     let at = sent.get(&*a.statement).map_or(0, Vec::len);
@@ -134,7 +164,10 @@
     for (statement, entries) in sent {
         let may_have_run = entries.iter().filter(|e| e.ran).count();
         if statement.starts_with("INSERT") && may_have_run > 1 {
-            report.breaches.push((Breach::Duplicate, format!("{statement}: {may_have_run} times")));
+            report.breaches.push((
+                Breach::Duplicate,
+                format!("{statement}: {may_have_run} times"),
+            ));
         }
     }
 }
@@ -145,7 +178,10 @@
         let late = |e: &&Entry| e.engine == engine && e.at > told + DRAIN_WITHIN;
         for entry in entries.iter().filter(late) {
             let after = entry.at.duration_since(told).as_millis();
-            report.breaches.push((Breach::Drain, format!("{} {after} ms behind the word", entry.statement)));
+            report.breaches.push((
+                Breach::Drain,
+                format!("{} {after} ms behind the word", entry.statement),
+            ));
         }
     }
 }
--- a/crates/rig/src/tcp.rs
+++ b/crates/rig/src/tcp.rs
@@ -53,7 +53,9 @@
 
     /// All connections between these and those end with a reset or a close, whichever the system makes of it.
     pub fn reset(&self, some: &[u32], others: &[u32]) {
-        let Ok(mut open) = self.open.lock() else { return };
+        let Ok(mut open) = self.open.lock() else {
+            return;
+        };
         open.retain(|(member, engine, a, b)| {
             let between = |x: &u32, y: &u32| some.contains(x) && others.contains(y);
             let ends = between(member, engine) || between(engine, member);
@@ -72,10 +74,20 @@
             continue;
         };
         // An engine that does not listen refuses: so does this.
-        let Ok(far) = TcpStream::connect(engine) else { continue };
-        let _ = (near.set_nonblocking(false), near.set_nodelay(true), far.set_nodelay(true));
-        let (Ok(near_too), Ok(far_too)) = (near.try_clone(), far.try_clone()) else { continue };
-        let (Ok(near_end), Ok(far_end)) = (near.try_clone(), far.try_clone()) else { continue };
+        let Ok(far) = TcpStream::connect(engine) else {
+            continue;
+        };
+        let _ = (
+            near.set_nonblocking(false),
+            near.set_nodelay(true),
+            far.set_nodelay(true),
+        );
+        let (Ok(near_too), Ok(far_too)) = (near.try_clone(), far.try_clone()) else {
+            continue;
+        };
+        let (Ok(near_end), Ok(far_end)) = (near.try_clone(), far.try_clone()) else {
+            continue;
+        };
         if let Ok(mut open) = open.lock() {
             open.retain(|c| c.2.peer_addr().is_ok());
             open.push((of.0, of.1, near_end, far_end));
@@ -94,7 +106,12 @@
         let n = match from.read(&mut bytes) {
             Ok(0) => break,
             Ok(n) => n,
-            Err(e) if matches!(e.kind(), std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut) => {
+            Err(e)
+                if matches!(
+                    e.kind(),
+                    std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut
+                ) =>
+            {
                 continue
             }
             Err(_) => break,
--- a/crates/rig/src/wall_clock.rs
+++ b/crates/rig/src/wall_clock.rs
@@ -25,21 +25,35 @@
     /// One that is right. `binary`: any program of the same build, beside which the shim lies.
     pub fn new(binary: &Path) -> WallClock {
         let n = CLOCKS.fetch_add(1, Ordering::Relaxed);
-        let path = std::env::temp_dir().join(format!("driftfront-clock-{}-{n}", std::process::id()));
-        let open = File::options().create(true).truncate(true).read(true).write(true).open(&path);
-        let clock = WallClock { file: open.expect("a temporary file"), path, library: library(binary) };
+        let path =
+            std::env::temp_dir().join(format!("driftfront-clock-{}-{n}", std::process::id()));
+        let open = File::options()
+            .create(true)
+            .truncate(true)
+            .read(true)
+            .write(true)
+            .open(&path);
+        let clock = WallClock {
+            file: open.expect("a temporary file"),
+            path,
+            library: library(binary),
+        };
         clock.set(0);
         clock
     }
 
     /// From now on the clock is off by so many microseconds; negative: it is behind.
     pub fn set(&self, offset: i64) {
-        self.file.write_all_at(&offset.to_le_bytes(), 0).expect("a temporary file");
+        self.file
+            .write_all_at(&offset.to_le_bytes(), 0)
+            .expect("a temporary file");
     }
 
     /// A process that this command starts lives by this clock.
     pub fn give_to<'a>(&self, command: &'a mut Command) -> &'a mut Command {
-        command.env("LD_PRELOAD", &self.library).env(VARIABLE, &self.path)
+        command
+            .env("LD_PRELOAD", &self.library)
+            .env(VARIABLE, &self.path)
     }
 }
 
--- a/crates/roster/src/handover.rs
+++ b/crates/roster/src/handover.rs
@@ -48,7 +48,10 @@
 impl fmt::Display for Spoilt {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Spoilt::Version(version) => write!(f, "it is of version {version}, this program knows version 1"),
+            Spoilt::Version(version) => write!(
+                f,
+                "it is of version {version}, this program knows version 1"
+            ),
             Spoilt::NotOurs => f.write_str("it is no handover file"),
             Spoilt::Cut => f.write_str("it is not whole"),
             Spoilt::Checksum => f.write_str("its checksum does not fit"),
@@ -100,7 +103,9 @@
     match text.len().cmp(&(number(0) as usize)) {
         std::cmp::Ordering::Less => return Err(Spoilt::Cut),
         std::cmp::Ordering::Greater => return Err(Spoilt::NotOurs),
-        std::cmp::Ordering::Equal if crc32fast::hash(text) != number(4) => return Err(Spoilt::Checksum),
+        std::cmp::Ordering::Equal if crc32fast::hash(text) != number(4) => {
+            return Err(Spoilt::Checksum)
+        }
         std::cmp::Ordering::Equal => {}
     }
     let text = std::str::from_utf8(text).map_err(|_| Spoilt::Line(0))?;
@@ -113,13 +118,25 @@
 
 fn read_line(word: &mut Word, line: &str) -> Option<()> {
     let words: Vec<&str> = line.split('\t').collect();
-    let fits = |engine: &str| (1..=NAME_MOST).contains(&engine.len()).then(|| engine.to_string());
+    let fits = |engine: &str| {
+        (1..=NAME_MOST)
+            .contains(&engine.len())
+            .then(|| engine.to_string())
+    };
     match words[..] {
         ["ready"] => word.ready = true,
         ["starting"] => word.ready = false,
         [order @ ("drain" | "remove"), engine, since, by] => {
-            let order = if order == "drain" { Order::Drain } else { Order::Remove };
-            let standing = Standing { order, since: since.parse().ok()?, by: by.into() };
+            let order = if order == "drain" {
+                Order::Drain
+            } else {
+                Order::Remove
+            };
+            let standing = Standing {
+                order,
+                since: since.parse().ok()?,
+                by: by.into(),
+            };
             word.orders.insert(fits(engine)?, standing);
         }
         ["lift", engine, at] => drop(word.lifted.insert(fits(engine)?, at.parse().ok()?)),
@@ -135,7 +152,11 @@
     use quickcheck::{Gen, QuickCheck};
 
     fn word() -> Word {
-        let standing = |order, since| Standing { order, since, by: "the second address".into() };
+        let standing = |order, since| Standing {
+            order,
+            since,
+            by: "the second address".into(),
+        };
         Word {
             ready: true,
             orders: [
@@ -158,7 +179,11 @@
             spoilt[cut] ^= 0x20;
             assert!(decode(&spoilt).is_err(), "spoilt at {cut}");
         }
-        let newer = [b"driftfront handover 2\n".as_slice(), &bytes[HEADER.len()..]].concat();
+        let newer = [
+            b"driftfront handover 2\n".as_slice(),
+            &bytes[HEADER.len()..],
+        ]
+        .concat();
         assert_eq!(decode(&newer), Err(Spoilt::Version("2".into())));
         assert_eq!(decode(&[&bytes[..], b"x"].concat()), Err(Spoilt::NotOurs));
         assert_eq!(decode(b"something else\n"), Err(Spoilt::NotOurs));
@@ -166,8 +191,11 @@
 
     #[test]
     fn random_bytes_are_no_word() {
-        let never = |bytes: Vec<u8>| decode(&bytes).is_err() && decode(&[HEADER, &bytes].concat()).is_err();
-        let mut check = QuickCheck::new().tests(5_000).rng(Gen::from_size_and_seed(60, 18));
+        let never =
+            |bytes: Vec<u8>| decode(&bytes).is_err() && decode(&[HEADER, &bytes].concat()).is_err();
+        let mut check = QuickCheck::new()
+            .tests(5_000)
+            .rng(Gen::from_size_and_seed(60, 18));
         check.quickcheck(never as fn(Vec<u8>) -> bool);
     }
 }
--- a/crates/roster/src/lib.rs
+++ b/crates/roster/src/lib.rs
@@ -137,11 +137,17 @@
                 )
             }
             Refusal::StillReady(name) => {
-                write!(f, "{name} still takes work: drain it first, or repeat the command with --force")
+                write!(
+                    f,
+                    "{name} still takes work: drain it first, or repeat the command with --force"
+                )
             }
             Refusal::Unusable(words) => f.write_str(words),
             Refusal::TooMany => {
-                write!(f, "there are too many engines ({ENGINES_MOST}) or orders ({ORDERS_MOST})")
+                write!(
+                    f,
+                    "there are too many engines ({ENGINES_MOST}) or orders ({ORDERS_MOST})"
+                )
             }
         }
     }
@@ -229,7 +235,10 @@
 
     /// An engine's zone, as it was last told.
     pub fn zone(&self, engine: EngineId) -> Option<u16> {
-        self.names.get(&engine).and_then(|name| self.entries.get(name)).and_then(|e| Some(e.told?.zone))
+        self.names
+            .get(&engine)
+            .and_then(|name| self.entries.get(name))
+            .and_then(|e| Some(e.told?.zone))
     }
 
     /// An engine's name.
@@ -285,7 +294,12 @@
 
     /// A source has said something: its whole list, or changes to it.
     pub fn source(&mut self, kind: ListKind, facts: Vec<Fact>) -> Change {
-        let mut change = Change { kind, lines: Vec::new(), restarted: Vec::new(), words: Vec::new() };
+        let mut change = Change {
+            kind,
+            lines: Vec::new(),
+            restarted: Vec::new(),
+            words: Vec::new(),
+        };
         let mut named = BTreeSet::new();
         for fact in facts {
             let name = fact.name.clone();
@@ -298,7 +312,11 @@
             }
         }
         if kind != ListKind::Changes {
-            for (_, entry) in self.entries.iter_mut().filter(|(name, _)| !named.contains(*name)) {
+            for (_, entry) in self
+                .entries
+                .iter_mut()
+                .filter(|(name, _)| !named.contains(*name))
+            {
                 entry.source = None;
             }
         }
@@ -310,7 +328,9 @@
     fn take(&mut self, fact: Fact, added: bool, change: &mut Change) -> Result<(), Refusal> {
         let name = fact.name.clone();
         if name.is_empty() || name.len() > NAME_MOST || name.chars().any(char::is_control) {
-            return Err(Refusal::Unusable(format!("an engine's name has 1 to {NAME_MOST} plain characters")));
+            return Err(Refusal::Unusable(format!(
+                "an engine's name has 1 to {NAME_MOST} plain characters"
+            )));
         }
         let known = self.entries.get(&name);
         let no_addr = || Refusal::Unusable(format!("{name}: no usable address"));
@@ -322,11 +342,19 @@
         // The source's address holds while it lists the engine.
         let holds = !added || known.is_none_or(|k| k.source.is_none());
         let before = known.and_then(|k| k.source.as_ref().or(k.added.as_ref()));
-        if holds && known.is_some_and(|k| k.addr != addr || before.is_some_and(|b| b.born != fact.born)) {
+        if holds
+            && known.is_some_and(|k| k.addr != addr || before.is_some_and(|b| b.born != fact.born))
+        {
             change.restarted.push(id);
         }
         self.remember(&name);
-        let entry = Entry { id, addr, source: None, added: None, told: None };
+        let entry = Entry {
+            id,
+            addr,
+            source: None,
+            added: None,
+            told: None,
+        };
         let entry = self.entries.entry(name.clone()).or_insert(entry);
         if holds {
             entry.addr = addr;
@@ -363,10 +391,15 @@
 
     /// Puts into a change what the module was not told yet, each thing once; in a whole list all of it.
     fn tell(&mut self, change: &mut Change) {
-        let phases: Vec<(String, Phase)> =
-            self.entries.iter().map(|(name, e)| (name.clone(), self.phase(name, e))).collect();
+        let phases: Vec<(String, Phase)> = self
+            .entries
+            .iter()
+            .map(|(name, e)| (name.clone(), self.phase(name, e)))
+            .collect();
         for (name, phase) in phases {
-            let Some(entry) = self.entries.get_mut(&name) else { continue };
+            let Some(entry) = self.entries.get_mut(&name) else {
+                continue;
+            };
             let fact = entry.source.as_ref().or(entry.added.as_ref());
             let last = entry.told;
             let line = match fact {
@@ -379,7 +412,10 @@
                     // Out by an order, it may have been started anew: the later of what is listed and the order's end.
                     born: f.born.max(self.lifted.get(&name).copied()),
                 }),
-                None => last.map(|told| Listed { phase: Phase::Gone, ..told }),
+                None => last.map(|told| Listed {
+                    phase: Phase::Gone,
+                    ..told
+                }),
             };
             let Some(line) = line else { continue };
             let same = last.is_some_and(|told| is_same(&told, &line));
@@ -395,7 +431,9 @@
             }
             if !same {
                 let was = last.map_or("new", |told| phase_word(told.phase));
-                change.words.push(format!("{name}: {was} -> {}", phase_word(phase)));
+                change
+                    .words
+                    .push(format!("{name}: {was} -> {}", phase_word(phase)));
             }
             entry.told = Some(line);
         }
@@ -404,8 +442,12 @@
             let gone = e.source.as_ref().is_none_or(|s| s.phase == Phase::Gone);
             gone && e.added.is_none() && e.told.is_none()
         };
-        let names: Vec<String> =
-            self.entries.iter().filter(|(_, e)| unknown(e)).map(|(n, _)| n.clone()).collect();
+        let names: Vec<String> = self
+            .entries
+            .iter()
+            .filter(|(_, e)| unknown(e))
+            .map(|(n, _)| n.clone())
+            .collect();
         for name in names {
             if let Some(entry) = self.entries.remove(&name) {
                 self.addrs.remove(&entry.id);
@@ -416,20 +458,35 @@
 
     /// All lines as the module was last told, but for engines that are gone.
     pub fn lines(&self) -> Vec<Listed> {
-        self.entries.values().filter_map(|e| e.told).filter(|l| l.phase != Phase::Gone).collect()
+        self.entries
+            .values()
+            .filter_map(|e| e.told)
+            .filter(|l| l.phase != Phase::Gone)
+            .collect()
     }
 
     /// Engines that the module was told are gone.
     pub fn gone(&self) -> Vec<EngineId> {
-        let gone = self.entries.values().filter(|e| e.told.is_some_and(|l| l.phase == Phase::Gone));
+        let gone = self
+            .entries
+            .values()
+            .filter(|e| e.told.is_some_and(|l| l.phase == Phase::Gone));
         gone.map(|e| e.id).collect()
     }
 
     /// Nothing of a gone engine is out any more: it is forgotten, but for orders about it.
     pub fn forget(&mut self, engine: EngineId) {
-        let Some(name) = self.names.get(&engine).cloned() else { return };
-        let Some(entry) = self.entries.get(&name) else { return };
-        let listed = entry.source.as_ref().is_some_and(|s| s.phase != Phase::Gone) || entry.added.is_some();
+        let Some(name) = self.names.get(&engine).cloned() else {
+            return;
+        };
+        let Some(entry) = self.entries.get(&name) else {
+            return;
+        };
+        let listed = entry
+            .source
+            .as_ref()
+            .is_some_and(|s| s.phase != Phase::Gone)
+            || entry.added.is_some();
         if listed {
             // It is only gone by an order, and may come back with that: its facts stay.
             return;
@@ -442,14 +499,21 @@
     /// Carries out an operator's command; what is to be written down, so that it outlives a restart.
     pub fn command(&mut self, now: Micros, by: &str, command: Command) -> Result<Done, Refusal> {
         use record::Record;
-        let mut change =
-            Change { kind: ListKind::Changes, lines: Vec::new(), restarted: Vec::new(), words: Vec::new() };
+        let mut change = Change {
+            kind: ListKind::Changes,
+            lines: Vec::new(),
+            restarted: Vec::new(),
+            words: Vec::new(),
+        };
         let mut records = Vec::new();
         match command {
             Command::Drain { engine, force } => {
                 let phase = self.must_know(&engine)?;
                 if let Some(standing) = self.orders.get(&engine) {
-                    return Err(Refusal::Already(format!("{engine} {}", standing_words(standing))));
+                    return Err(Refusal::Already(format!(
+                        "{engine} {}",
+                        standing_words(standing)
+                    )));
                 }
                 if phase == Phase::Ready && !force && self.is_last_ready(&engine) {
                     return Err(Refusal::LastReady(engine));
@@ -466,7 +530,9 @@
                     }
                     None => {
                         self.must_know(&engine)?;
-                        return Err(Refusal::Already(format!("{engine} is not drained by an operator")));
+                        return Err(Refusal::Already(format!(
+                            "{engine} is not drained by an operator"
+                        )));
                     }
                 }
                 let at = self.after_last_order(now, &engine);
@@ -476,7 +542,10 @@
             }
             Command::Add { fact } => {
                 let engine = fact.name.clone();
-                let removed = self.orders.get(&engine).is_some_and(|s| s.order == Order::Remove);
+                let removed = self
+                    .orders
+                    .get(&engine)
+                    .is_some_and(|s| s.order == Order::Remove);
                 let known = self.entries.get(&engine);
                 if known.is_some_and(|k| k.added.as_ref() == Some(&fact)) && !removed {
                     return Err(Refusal::Already(format!("{engine} is there already")));
@@ -497,7 +566,11 @@
             }
             Command::Remove { engine, force } => {
                 let phase = self.must_know(&engine)?;
-                if self.orders.get(&engine).is_some_and(|s| s.order == Order::Remove) {
+                if self
+                    .orders
+                    .get(&engine)
+                    .is_some_and(|s| s.order == Order::Remove)
+                {
                     return Err(Refusal::Already(format!("{engine} was removed before")));
                 }
                 if phase == Phase::Ready && !force {
@@ -525,40 +598,81 @@
             return Err(Refusal::TooMany);
         }
         let since = self.after_last_order(now, engine);
-        let standing = Standing { order, since, by: by.into() };
-        records.push(record::Record::Ordered { engine: engine.into(), standing: standing.clone() });
+        let standing = Standing {
+            order,
+            since,
+            by: by.into(),
+        };
+        records.push(record::Record::Ordered {
+            engine: engine.into(),
+            standing: standing.clone(),
+        });
         self.orders.insert(engine.into(), standing);
         Ok(())
     }
 
     /// Nothing more to an engine, be it the last one, gone or not reachable; `None` if that stood already.
-    pub fn suspend(&mut self, now: Micros, by: &str, engine: &str) -> Result<Option<Done>, Refusal> {
+    pub fn suspend(
+        &mut self,
+        now: Micros,
+        by: &str,
+        engine: &str,
+    ) -> Result<Option<Done>, Refusal> {
         if self.orders.contains_key(engine) {
             return Ok(None);
         }
-        self.command(now, by, Command::Drain { engine: engine.into(), force: true }).map(Some)
+        self.command(
+            now,
+            by,
+            Command::Drain {
+                engine: engine.into(),
+                force: true,
+            },
+        )
+        .map(Some)
     }
 
     /// An engine may be used again, and counts as just started; `None` if no order stood.
-    pub fn restore_engine(&mut self, now: Micros, by: &str, engine: &str) -> Result<Option<Done>, Refusal> {
+    pub fn restore_engine(
+        &mut self,
+        now: Micros,
+        by: &str,
+        engine: &str,
+    ) -> Result<Option<Done>, Refusal> {
         if !self.orders.contains_key(engine) {
             return self.must_know(engine).map(|_| None);
         }
-        self.command(now, by, Command::Resume { engine: engine.into() }).map(Some)
+        self.command(
+            now,
+            by,
+            Command::Resume {
+                engine: engine.into(),
+            },
+        )
+        .map(Some)
     }
 
     /// What another process of this coordinator has to know of orders.
     pub fn word(&self, ready: bool) -> handover::Word {
         let names = self.ever_order.iter().cloned().collect();
-        handover::Word { ready, orders: self.orders.clone(), lifted: self.lifted.clone(), names }
+        handover::Word {
+            ready,
+            orders: self.orders.clone(),
+            lifted: self.lifted.clone(),
+            names,
+        }
     }
 
     /// Takes over what another process of this coordinator says: the later word about an engine holds, and of two at
     /// once the one that takes it out. What has changed, and what is to be written down of it.
     pub fn merge(&mut self, word: &handover::Word) -> Done {
         use record::Record;
-        let mut change =
-            Change { kind: ListKind::Changes, lines: Vec::new(), restarted: Vec::new(), words: Vec::new() };
+        let mut change = Change {
+            kind: ListKind::Changes,
+            lines: Vec::new(),
+            restarted: Vec::new(),
+            words: Vec::new(),
+        };
         let mut records = Vec::new();
         word.names.iter().for_each(|name| self.remember(name));
         for (engine, standing) in &word.orders {
@@ -567,13 +681,18 @@
             if !same && room && Some(standing.since) >= self.last_order(engine) {
                 self.lifted.remove(engine);
                 self.orders.insert(engine.clone(), standing.clone());
-                records.push(Record::Ordered { engine: engine.clone(), standing: standing.clone() });
+                records.push(Record::Ordered {
+                    engine: engine.clone(),
+                    standing: standing.clone(),
+                });
             }
         }
         for (engine, &at) in &word.lifted {
             if Some(at) > self.last_order(engine) {
                 if self.orders.remove(engine).is_some() {
-                    records.push(Record::Lifted { engine: engine.clone() });
+                    records.push(Record::Lifted {
+                        engine: engine.clone(),
+                    });
                 }
                 self.lift(at, engine);
             }
@@ -584,13 +703,17 @@
 
     /// When an order about an engine was last given or lifted.
     fn last_order(&self, engine: &str) -> Option<Micros> {
-        self.orders.get(engine).map(|s| s.since).max(self.lifted.get(engine).copied())
+        self.orders
+            .get(engine)
+            .map(|s| s.since)
+            .max(self.lifted.get(engine).copied())
     }
 
     /// The time of a new order about an engine: behind the last one that is known, though another process gave that by a clock
     /// which is ahead of this one's.
     fn after_last_order(&self, now: Micros, engine: &str) -> Micros {
-        self.last_order(engine).map_or(now, |last| now.max(last + 1))
+        self.last_order(engine)
+            .map_or(now, |last| now.max(last + 1))
     }
 
     /// An order about an engine is over.
@@ -607,7 +730,11 @@
             Some(entry) => Ok(self.phase(engine, entry)),
             None if self.ever.contains(engine) => Ok(Phase::Gone),
             None => {
-                let near = self.entries.keys().min_by_key(|name| distance(name, engine)).cloned();
+                let near = self
+                    .entries
+                    .keys()
+                    .min_by_key(|name| distance(name, engine))
+                    .cloned();
                 let near = near.filter(|name| distance(name, engine) <= 2);
                 Err(Refusal::Unknown(engine.into(), near))
             }
@@ -615,14 +742,19 @@
     }
 
     fn is_last_ready(&self, engine: &str) -> bool {
-        let ready = |(name, e): (&String, &Entry)| name != engine && self.phase(name, e) == Phase::Ready;
+        let ready =
+            |(name, e): (&String, &Entry)| name != engine && self.phase(name, e) == Phase::Ready;
         !self.entries.iter().any(ready)
     }
 
     /// Takes over what was written down in an earlier life, before any source has spoken.
     pub fn restore(&mut self, records: impl IntoIterator<Item = record::Record>) -> Change {
-        let mut change =
-            Change { kind: ListKind::Changes, lines: Vec::new(), restarted: Vec::new(), words: Vec::new() };
+        let mut change = Change {
+            kind: ListKind::Changes,
+            lines: Vec::new(),
+            restarted: Vec::new(),
+            words: Vec::new(),
+        };
         for record in records {
             match record {
                 record::Record::Ordered { engine, standing } => {
@@ -664,11 +796,18 @@
     /// The fewest records that say the same, for a compacted file.
     pub fn records(&self) -> Vec<record::Record> {
         use record::Record;
-        let added = self.entries.values().filter_map(|e| e.added.clone()).map(|fact| Record::Added { fact });
+        let added = self
+            .entries
+            .values()
+            .filter_map(|e| e.added.clone())
+            .map(|fact| Record::Added { fact });
         let orders = self
             .orders
             .iter()
-            .map(|(engine, standing)| Record::Ordered { engine: engine.clone(), standing: standing.clone() });
+            .map(|(engine, standing)| Record::Ordered {
+                engine: engine.clone(),
+                standing: standing.clone(),
+            });
         added.chain(orders).collect()
     }
 }
@@ -696,7 +835,9 @@
 
 /// A name's number (FNV-1a): the same at every coordinator and in every life.
 pub fn hash(name: &[u8]) -> u64 {
-    name.iter().fold(0xcbf2_9ce4_8422_2325, |h, &b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3))
+    name.iter().fold(0xcbf2_9ce4_8422_2325, |h, &b| {
+        (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3)
+    })
 }
 
 /// Changes of one letter from one name to another.
@@ -707,7 +848,9 @@
         let mut corner = std::mem::replace(&mut row[0], i + 1);
         for (j, &y) in b.iter().enumerate() {
             let above = row[j + 1];
-            row[j + 1] = (corner + usize::from(x != y)).min(above + 1).min(row[j] + 1);
+            row[j + 1] = (corner + usize::from(x != y))
+                .min(above + 1)
+                .min(row[j] + 1);
             corner = above;
         }
     }
--- a/crates/roster/src/record.rs
+++ b/crates/roster/src/record.rs
@@ -68,7 +68,9 @@
             Unusable::Newer(version) => {
                 write!(f, "the state file is of version {version}, this program knows version 1: it is left as it is")
             }
-            Unusable::NotOurs => f.write_str("this is no state file of driftfront: it is left as it is"),
+            Unusable::NotOurs => {
+                f.write_str("this is no state file of driftfront: it is left as it is")
+            }
         }
     }
 }
@@ -97,7 +99,11 @@
     if bytes.len() < HEADER.len() && HEADER.starts_with(bytes) {
         // Cut while it was begun: nothing had been written down yet.
         let spoilt = (!bytes.is_empty()).then(|| "it was cut while it was begun".to_string());
-        return Ok(Read { records: Vec::new(), well: 0, spoilt });
+        return Ok(Read {
+            records: Vec::new(),
+            well: 0,
+            spoilt,
+        });
     }
     if !bytes.starts_with(HEADER) {
         let line = bytes.split(|&b| b == b'\n').next().unwrap_or_default();
@@ -114,7 +120,9 @@
         if rest.is_empty() {
             break None;
         }
-        let Some(head) = rest.get(..8) else { break Some("it ends in the middle of a record".to_string()) };
+        let Some(head) = rest.get(..8) else {
+            break Some("it ends in the middle of a record".to_string());
+        };
         let length = u32::from_le_bytes([head[0], head[1], head[2], head[3]]) as usize;
         let sum = u32::from_le_bytes([head[4], head[5], head[6], head[7]]);
         if length > RECORD_MOST {
@@ -132,7 +140,11 @@
         }
         well += 8 + length;
     };
-    Ok(Read { records, well, spoilt })
+    Ok(Read {
+        records,
+        well,
+        spoilt,
+    })
 }
 
 /// Words parted by tabs; names hold none, since control characters are refused.
@@ -143,12 +155,19 @@
                 Order::Drain => "drain",
                 Order::Remove => "remove",
             };
-            format!("{order}\t{engine}\t{}\t{}", standing.since, standing.by.replace(['\t', '\n'], " "))
+            format!(
+                "{order}\t{engine}\t{}\t{}",
+                standing.since,
+                standing.by.replace(['\t', '\n'], " ")
+            )
         }
         Record::Lifted { engine } => format!("lift\t{engine}"),
         Record::Added { fact } => {
             let addr = fact.addr.map_or("-".to_string(), |a| a.to_string());
-            format!("add\t{}\t{addr}\t{}\t{}\t{}", fact.name, fact.zone, fact.kind, fact.cell)
+            format!(
+                "add\t{}\t{addr}\t{}\t{}\t{}",
+                fact.name, fact.zone, fact.kind, fact.cell
+            )
         }
         Record::Roll { roll: None } => "roll\tnone".into(),
         Record::Roll { roll: Some(roll) } => format!("roll\t{}", roll.text()),
@@ -161,25 +180,48 @@
     let mut next = || words.next();
     match word {
         "drain" | "remove" => {
-            let order = if word == "drain" { Order::Drain } else { Order::Remove };
+            let order = if word == "drain" {
+                Order::Drain
+            } else {
+                Order::Remove
+            };
             let engine = next()?.to_string();
             let since = next()?.parse().ok()?;
             let by = next()?.to_string();
-            Some(Record::Ordered { engine, standing: Standing { order, since, by } })
+            Some(Record::Ordered {
+                engine,
+                standing: Standing { order, since, by },
+            })
         }
-        "lift" => Some(Record::Lifted { engine: next()?.into() }),
+        "lift" => Some(Record::Lifted {
+            engine: next()?.into(),
+        }),
         "add" => {
             let name = next()?.to_string();
             let addr = next()?;
-            let addr = if addr == "-" { None } else { Some(addr.parse().ok()?) };
+            let addr = if addr == "-" {
+                None
+            } else {
+                Some(addr.parse().ok()?)
+            };
             let mut number = || next()?.parse::<u16>().ok();
             let (zone, kind, cell) = (number()?, number()?, number()?);
             Some(Record::Added {
-                fact: Fact { name, addr, zone, kind, cell, born: None, phase: Phase::Ready },
+                fact: Fact {
+                    name,
+                    addr,
+                    zone,
+                    kind,
+                    cell,
+                    born: None,
+                    phase: Phase::Ready,
+                },
             })
         }
         "roll" if rest == "none" => Some(Record::Roll { roll: None }),
-        "roll" => Some(Record::Roll { roll: Some(Roll::of_text(rest)?) }),
+        "roll" => Some(Record::Roll {
+            roll: Some(Roll::of_text(rest)?),
+        }),
         _ => None,
     }
 }
@@ -189,7 +231,11 @@
     use super::*;
 
     fn records() -> Vec<Record> {
-        let standing = |order| Standing { order, since: 1_764_000_000_000_000, by: "operator".into() };
+        let standing = |order| Standing {
+            order,
+            since: 1_764_000_000_000_000,
+            by: "operator".into(),
+        };
         let fact = Fact {
             name: "engine-9".into(),
             addr: Some("127.0.0.1:8123".parse().expect("an address")),
@@ -200,10 +246,18 @@
             phase: Phase::Ready,
         };
         vec![
-            Record::Ordered { engine: "engine-1".into(), standing: standing(Order::Drain) },
+            Record::Ordered {
+                engine: "engine-1".into(),
+                standing: standing(Order::Drain),
+            },
             Record::Added { fact },
-            Record::Ordered { engine: "engine-2".into(), standing: standing(Order::Remove) },
-            Record::Lifted { engine: "engine-1".into() },
+            Record::Ordered {
+                engine: "engine-2".into(),
+                standing: standing(Order::Remove),
+            },
+            Record::Lifted {
+                engine: "engine-1".into(),
+            },
             Record::Roll { roll: None },
         ]
     }
@@ -219,10 +273,18 @@
             let read = read(&whole[..cut]).expect("ours");
             let count = ends.iter().skip(1).filter(|&&end| end <= cut).count();
             assert_eq!(read.records, records[..count], "cut at {cut}");
-            assert_eq!(read.spoilt.is_none(), cut == 0 || ends.contains(&cut), "cut at {cut}");
+            assert_eq!(
+                read.spoilt.is_none(),
+                cut == 0 || ends.contains(&cut),
+                "cut at {cut}"
+            );
             assert!(read.well <= cut);
             // What is appended behind the cut is read again.
-            let mut mended = if read.well == 0 { HEADER.to_vec() } else { whole[..read.well].to_vec() };
+            let mut mended = if read.well == 0 {
+                HEADER.to_vec()
+            } else {
+                whole[..read.well].to_vec()
+            };
             mended.extend(encode(&records[0]));
             assert_eq!(super::read(&mended).expect("ours").records.len(), count + 1);
         }
@@ -235,15 +297,24 @@
             let mut bad = whole.clone();
             bad[at] ^= 0x10;
             let read = read(&bad).expect("ours");
-            assert!(read.spoilt.is_some() && read.records.len() < records.len(), "byte {at}");
+            assert!(
+                read.spoilt.is_some() && read.records.len() < records.len(),
+                "byte {at}"
+            );
             assert_eq!(read.records, records[..read.records.len()]);
         }
     }
 
     #[test]
     fn files_of_another_version_or_kind_are_left_alone() {
-        assert_eq!(read(b"driftfront state 2\nwhatever"), Err(Unusable::Newer("2".into())));
-        assert_eq!(read(b"{\"instances\":[]}, which is something else"), Err(Unusable::NotOurs));
+        assert_eq!(
+            read(b"driftfront state 2\nwhatever"),
+            Err(Unusable::Newer("2".into()))
+        );
+        assert_eq!(
+            read(b"{\"instances\":[]}, which is something else"),
+            Err(Unusable::NotOurs)
+        );
         assert!(read(b"").expect("new").spoilt.is_none());
     }
 }
--- a/crates/roster/src/roll.rs
+++ b/crates/roster/src/roll.rs
@@ -155,7 +155,12 @@
     /// An operator stops it; an engine that is out stays out.
     pub fn stop(&mut self, now: Micros, why: &str) -> Vec<Act> {
         let mut acts = Vec::new();
-        self.enter(now, Stage::Stopped, format!("The roll was stopped: {why}"), &mut acts);
+        self.enter(
+            now,
+            Stage::Stopped,
+            format!("The roll was stopped: {why}"),
+            &mut acts,
+        );
         acts
     }
 
@@ -170,7 +175,11 @@
             .and_then(|c| sight.engines.iter().find(|e| e.name == c))
             .is_some_and(|e| e.drained);
         self.service = (sight.service.unwrap_or(1.0) * 1000.0) as u32;
-        let stage = if drained { Stage::Draining } else { Stage::Next };
+        let stage = if drained {
+            Stage::Draining
+        } else {
+            Stage::Next
+        };
         self.enter(now, stage, "The roll goes on".into(), &mut acts);
         acts
     }
@@ -180,7 +189,12 @@
         let mut acts = Vec::new();
         if let (Stage::Handed, Some(engine)) = (self.stage, self.current().map(String::from)) {
             acts.push(Act::Resume(engine.clone()));
-            self.enter(now, Stage::Warming, format!("{engine} is back and gets warm"), &mut acts);
+            self.enter(
+                now,
+                Stage::Warming,
+                format!("{engine} is back and gets warm"),
+                &mut acts,
+            );
         }
         acts
     }
@@ -240,14 +254,20 @@
                 );
             }
             Stage::Draining if engine.running == 0 => {
-                let words = format!("{name} is free: repair or restart it, then say that it is back");
+                let words =
+                    format!("{name} is free: repair or restart it, then say that it is back");
                 self.enter(now, Stage::Handed, words, &mut acts);
             }
             Stage::Draining => {
                 self.why = match (engine.loads, spent > SLOW_DRAIN) {
-                    (0, false) => format!("{name} ends what runs there: {} queries", engine.running),
+                    (0, false) => {
+                        format!("{name} ends what runs there: {} queries", engine.running)
+                    }
                     (0, true) => {
-                        format!("{name} still runs {} queries; their clients' time ends them", engine.running)
+                        format!(
+                            "{name} still runs {} queries; their clients' time ends them",
+                            engine.running
+                        )
                     }
                     (loads, _) => {
                         format!("{name} still runs {loads} imports: they are not sent again, so it waits")
@@ -258,9 +278,19 @@
                 let restarted = engine.born.is_some() && engine.born != self.born;
                 if restarted && engine.reachable {
                     acts.push(Act::Resume(name.clone()));
-                    self.enter(now, Stage::Warming, format!("{name} has restarted and gets warm"), &mut acts);
+                    self.enter(
+                        now,
+                        Stage::Warming,
+                        format!("{name} has restarted and gets warm"),
+                        &mut acts,
+                    );
                 } else if !engine.drained {
-                    self.enter(now, Stage::Warming, format!("{name} was resumed and gets warm"), &mut acts);
+                    self.enter(
+                        now,
+                        Stage::Warming,
+                        format!("{name} was resumed and gets warm"),
+                        &mut acts,
+                    );
                 }
             }
             Stage::Warming if !engine.ready => {
@@ -281,12 +311,15 @@
             }
             Stage::Stopped | Stage::Done => {}
         }
-        let fell = sight.service.is_some_and(|s| s < f64::from(self.service) / 1000.0 - FALL);
+        let fell = sight
+            .service
+            .is_some_and(|s| s < f64::from(self.service) / 1000.0 - FALL);
         if fell && !matches!(self.stage, Stage::Stopped | Stage::Done) {
             let service = sight.service.unwrap_or(0.0) * 100.0;
             let was = f64::from(self.service) / 10.0;
-            let words =
-                format!("The roll stopped: service is {service:.0} in 100, it was {was:.0} when it began");
+            let words = format!(
+                "The roll stopped: service is {service:.0} in 100, it was {was:.0} when it began"
+            );
             self.enter(now, Stage::Stopped, words, &mut acts);
         }
         acts
@@ -297,12 +330,19 @@
         let others = || sight.engines.iter().filter(|e| e.name != engine.name);
         // One that is out already, by whomever, is waited for: never two at once.
         if let Some(out) = others().find(|e| e.drained || !e.ready) {
-            let same = if out.zone == engine.zone { ", in the same building" } else { "" };
+            let same = if out.zone == engine.zone {
+                ", in the same building"
+            } else {
+                ""
+            };
             return Some(format!("waits: {} is out too{same}", out.name));
         }
         let rest: f64 = others().filter(|e| e.ready).map(|e| e.part).sum();
         if rest <= 0.0 {
-            return Some(format!("waits: {} is the last engine that takes work", engine.name));
+            return Some(format!(
+                "waits: {} is the last engine that takes work",
+                engine.name
+            ));
         }
         if sight.load * SPARE > rest {
             let (load, rest) = (sight.load * 100.0, rest * 100.0);
@@ -321,7 +361,10 @@
                 lines.push(format!("{}. {name} is not listed: passed over", n + 1));
                 continue;
             };
-            let barred = self.barred(engine, sight).map(|w| format!(" ({w})")).unwrap_or_default();
+            let barred = self
+                .barred(engine, sight)
+                .map(|w| format!(" ({w})"))
+                .unwrap_or_default();
             lines.push(format!(
                 "{}. drain {name}{barred}, wait for {} queries, hand it over, wait until it is warm",
                 n + 1,
@@ -334,7 +377,13 @@
     /// As one line, for a record.
     pub fn text(&self) -> String {
         let born = self.born.map_or("-".into(), |b| b.to_string());
-        let list = |names: &[String]| if names.is_empty() { "-".to_string() } else { names.join("\u{1f}") };
+        let list = |names: &[String]| {
+            if names.is_empty() {
+                "-".to_string()
+            } else {
+                names.join("\u{1f}")
+            }
+        };
         format!(
             "{}\t{}\t{born}\t{}\t{}\t{}\t{}",
             self.stage.word(),
@@ -353,15 +402,31 @@
         let stage = STAGES.iter().find(|s| s.1 == stage)?.0;
         let since = words.next()?.parse().ok()?;
         let born = words.next()?;
-        let born = if born == "-" { None } else { Some(born.parse().ok()?) };
+        let born = if born == "-" {
+            None
+        } else {
+            Some(born.parse().ok()?)
+        };
         let service = words.next()?.parse().ok()?;
         let mut list = || -> Option<Vec<String>> {
             let text = words.next()?;
-            Some(if text == "-" { Vec::new() } else { text.split('\u{1f}').map(String::from).collect() })
+            Some(if text == "-" {
+                Vec::new()
+            } else {
+                text.split('\u{1f}').map(String::from).collect()
+            })
         };
         let (left, through) = (list()?, list()?);
         let why = words.next().unwrap_or_default().to_string();
-        Some(Roll { left, through, stage, since, born, service, why })
+        Some(Roll {
+            left,
+            through,
+            stage,
+            since,
+            born,
+            service,
+            why,
+        })
     }
 }
 
@@ -386,21 +451,40 @@
     }
 
     fn sight() -> Sight {
-        let engines = vec![engine("a", 0), engine("b", 0), engine("c", 1), engine("d", 1)];
-        Sight { engines, service: Some(0.95), load: 0.4 }
+        let engines = vec![
+            engine("a", 0),
+            engine("b", 0),
+            engine("c", 1),
+            engine("d", 1),
+        ];
+        Sight {
+            engines,
+            service: Some(0.95),
+            load: 0.4,
+        }
     }
 
     fn apply(sight: &mut Sight, acts: &[Act]) {
         for act in acts {
-            let (Act::Drain(name) | Act::Resume(name)) = act else { continue };
-            let engine = sight.engines.iter_mut().find(|e| e.name == *name).expect("known");
+            let (Act::Drain(name) | Act::Resume(name)) = act else {
+                continue;
+            };
+            let engine = sight
+                .engines
+                .iter_mut()
+                .find(|e| e.name == *name)
+                .expect("known");
             let drained = matches!(act, Act::Drain(_));
             (engine.drained, engine.ready) = (drained, !drained);
         }
     }
 
     fn set(sight: &mut Sight, name: &str, how: impl FnOnce(&mut EngineSight)) {
-        how(sight.engines.iter_mut().find(|e| e.name == name).expect("known"));
+        how(sight
+            .engines
+            .iter_mut()
+            .find(|e| e.name == name)
+            .expect("known"));
     }
 
     #[test]
@@ -442,7 +526,10 @@
         let mut out = sight();
         set(&mut out, "b", |e| e.drained = true);
         assert!(roll.step(2 * S, &out).is_empty() && roll.why.contains("same building"));
-        let alone = Sight { engines: vec![engine("a", 0)], ..sight() };
+        let alone = Sight {
+            engines: vec![engine("a", 0)],
+            ..sight()
+        };
         assert!(roll.step(3 * S, &alone).is_empty() && roll.why.contains("last engine"));
         assert!(roll.plan(&alone)[0].contains("last engine"));
         assert_eq!(roll.step(4 * S, &sight()).len(), 3);
@@ -482,10 +569,17 @@
     #[test]
     fn a_roll_is_read_back_as_it_was_written_at_every_stage() {
         for (stage, _) in STAGES {
-            let roll =
-                Roll { stage, born: Some(3), why: "w\tx".into(), ..Roll::new(7, vec!["a".into()], None) };
+            let roll = Roll {
+                stage,
+                born: Some(3),
+                why: "w\tx".into(),
+                ..Roll::new(7, vec!["a".into()], None)
+            };
             let back = Roll::of_text(&roll.text()).expect("well formed");
-            assert_eq!((back.stage, back.left.clone(), back.born), (stage, roll.left.clone(), Some(3)));
+            assert_eq!(
+                (back.stage, back.left.clone(), back.born),
+                (stage, roll.left.clone(), Some(3))
+            );
         }
         assert_eq!(Roll::of_text("nonsense"), None);
     }
--- a/crates/roster/tests/model.rs
+++ b/crates/roster/tests/model.rs
@@ -24,7 +24,9 @@
     fn arbitrary(g: &mut Gen) -> Step {
         let n = u8::arbitrary(g) % 5;
         let facts = |g: &mut Gen| {
-            (0..u8::arbitrary(g) % 5).map(|_| (u8::arbitrary(g) % 5, u8::arbitrary(g) % 4)).collect()
+            (0..u8::arbitrary(g) % 5)
+                .map(|_| (u8::arbitrary(g) % 5, u8::arbitrary(g) % 4))
+                .collect()
         };
         match u8::arbitrary(g) % 14 {
             0..=1 => Step::Whole(facts(g)),
@@ -47,7 +49,15 @@
 fn fact(n: u8, phase: u8) -> Fact {
     let phase = [Phase::Ready, Phase::Ready, Phase::Draining, Phase::Gone][usize::from(phase % 4)];
     let addr = format!("127.0.0.1:{}", 1000 + u16::from(n)).parse().ok();
-    Fact { name: name(n), addr, zone: 0, kind: 0, cell: 0, born: None, phase }
+    Fact {
+        name: name(n),
+        addr,
+        zone: 0,
+        kind: 0,
+        cell: 0,
+        born: None,
+        phase,
+    }
 }
 
 /// What the module believes, from the changes alone.
@@ -64,7 +74,9 @@
         }
     }
     fn phase(&self, id: Option<EngineId>) -> Phase {
-        id.and_then(|id| self.0.get(&id)).copied().unwrap_or(Phase::Gone)
+        id.and_then(|id| self.0.get(&id))
+            .copied()
+            .unwrap_or(Phase::Gone)
     }
 }
 
@@ -102,14 +114,19 @@
                 for (n, phase) in &facts {
                     plain.source.insert(name(*n), fact(*n, *phase).phase);
                 }
-                change = Some(roster.source(ListKind::Whole, facts.iter().map(|f| fact(f.0, f.1)).collect()));
+                change = Some(roster.source(
+                    ListKind::Whole,
+                    facts.iter().map(|f| fact(f.0, f.1)).collect(),
+                ));
             }
             Step::Changes(facts) => {
                 for (n, phase) in &facts {
                     plain.source.insert(name(*n), fact(*n, *phase).phase);
                 }
-                change =
-                    Some(roster.source(ListKind::Changes, facts.iter().map(|f| fact(f.0, f.1)).collect()));
+                change = Some(roster.source(
+                    ListKind::Changes,
+                    facts.iter().map(|f| fact(f.0, f.1)).collect(),
+                ));
             }
             Step::Restart(cut) => {
                 // The last record may be half written: then its command was never confirmed.
@@ -130,19 +147,32 @@
                 file = record::file(&roster.records());
             }
             Step::Forget(n) => {
-                if let Some(id) = roster.id(&name(n)).filter(|&id| module.phase(Some(id)) == Phase::Gone) {
+                if let Some(id) = roster
+                    .id(&name(n))
+                    .filter(|&id| module.phase(Some(id)) == Phase::Gone)
+                {
                     roster.forget(id);
                 }
             }
             command => {
                 let command = match command {
-                    Step::Drain(n, force) => Command::Drain { engine: name(n), force },
+                    Step::Drain(n, force) => Command::Drain {
+                        engine: name(n),
+                        force,
+                    },
                     Step::Resume(n) => Command::Resume { engine: name(n) },
                     Step::Add(n) => Command::Add { fact: fact(n, 0) },
-                    Step::Remove(n, force) => Command::Remove { engine: name(n), force },
+                    Step::Remove(n, force) => Command::Remove {
+                        engine: name(n),
+                        force,
+                    },
                     _ => unreachable!(),
                 };
-                let ready = |p: &Plain| (0..5).filter(|&n| p.phase(&name(n)) == Phase::Ready).count();
+                let ready = |p: &Plain| {
+                    (0..5)
+                        .filter(|&n| p.phase(&name(n)) == Phase::Ready)
+                        .count()
+                };
                 let before = ready(&plain);
                 if let Ok((c, records)) = roster.command(n as u64, "operator", command.clone()) {
                     records.iter().for_each(|r| file.extend(record::encode(r)));
@@ -195,11 +225,15 @@
 /// All records but the last.
 fn undo(plain: &mut Plain, records: &[Record]) {
     (plain.added, plain.orders) = Default::default();
-    records[..records.len() - 1].iter().for_each(|r| follow(plain, r));
+    records[..records.len() - 1]
+        .iter()
+        .for_each(|r| follow(plain, r));
 }
 
 #[test]
 fn the_module_believes_what_sources_and_operators_say_through_any_restarts() {
-    let mut check = QuickCheck::new().tests(3000).rng(Gen::from_size_and_seed(60, 20_261_201));
+    let mut check = QuickCheck::new()
+        .tests(3000)
+        .rng(Gen::from_size_and_seed(60, 20_261_201));
     check.quickcheck(holds as fn(Vec<Step>) -> bool);
 }
--- a/crates/roster/tests/roll.rs
+++ b/crates/roster/tests/roll.rs
@@ -19,13 +19,19 @@
         zone: 0,
         part: 0.3,
     };
-    Sight { engines: ["a", "b", "c"].map(engine).to_vec(), service: Some(0.9), load: 0.3 }
+    Sight {
+        engines: ["a", "b", "c"].map(engine).to_vec(),
+        service: Some(0.9),
+        load: 0.3,
+    }
 }
 
 /// A roll whose engine gets warm, as a process whose clock shows this time wrote it down.
 fn warming(now: u64) -> Roll {
     let mut roll = Roll::new(now, vec!["a".into()], Some(0.9));
-    assert!(roll.step(now, &sight(false)).contains(&Act::Drain("a".into())));
+    assert!(roll
+        .step(now, &sight(false))
+        .contains(&Act::Drain("a".into())));
     roll.step(now, &sight(true));
     roll.handed_back(now);
     Roll::of_text(&roll.text()).expect("as it was written")
@@ -39,6 +45,9 @@
         roll.step(now + SECOND, &sight(false));
         assert!(!roll.is_over(), "written at {written}: it is not warm yet");
         roll.step(now + LONG, &sight(false));
-        assert!(roll.is_over(), "written at {written}: it has been warm for long");
+        assert!(
+            roll.is_over(),
+            "written at {written}: it has been warm for long"
+        );
     }
 }
--- a/crates/settings/src/json.rs
+++ b/crates/settings/src/json.rs
@@ -23,7 +23,8 @@
             return Err("nested too deeply".into());
         }
     }
-    text.parse().map_err(|e: tinyjson::JsonParseError| e.to_string())
+    text.parse()
+        .map_err(|e: tinyjson::JsonParseError| e.to_string())
 }
 
 /// A JSON value, or none.
@@ -33,11 +34,17 @@
 impl<'a> Json<'a> {
     /// The value under a key.
     pub fn get(self, key: &str) -> Json<'a> {
-        Json(self.0.and_then(|v| v.get::<HashMap<String, JsonValue>>()).and_then(|o| o.get(key)))
+        Json(
+            self.0
+                .and_then(|v| v.get::<HashMap<String, JsonValue>>())
+                .and_then(|o| o.get(key)),
+        )
     }
     /// The values of a list, if it is one.
     pub fn list(self) -> Option<&'a [JsonValue]> {
-        self.0.and_then(|v| v.get::<Vec<JsonValue>>()).map(Vec::as_slice)
+        self.0
+            .and_then(|v| v.get::<Vec<JsonValue>>())
+            .map(Vec::as_slice)
     }
     /// One value of a list.
     pub fn at(self, i: usize) -> Json<'a> {
@@ -53,7 +60,9 @@
     }
     /// A whole number of 0 or more.
     pub fn whole(self) -> Option<u64> {
-        self.number().filter(|n| *n >= 0.0 && n.fract() == 0.0 && *n < 1.8e19).map(|n| n as u64)
+        self.number()
+            .filter(|n| *n >= 0.0 && n.fract() == 0.0 && *n < 1.8e19)
+            .map(|n| n as u64)
     }
     /// A string.
     pub fn text(self) -> Option<&'a str> {
@@ -61,7 +70,10 @@
     }
     /// A truth value; false if it is none.
     pub fn flag(self) -> bool {
-        self.0.and_then(|v| v.get::<bool>()).copied().unwrap_or(false)
+        self.0
+            .and_then(|v| v.get::<bool>())
+            .copied()
+            .unwrap_or(false)
     }
     /// Absent or null.
     pub fn is_null(self) -> bool {
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -5,7 +5,8 @@
 pub mod json;
 
 use fernlink::interface::{
-    Class, ColdStart, Effect, Kind, OutOfMemory, RepeatGroup, ReportField, RetryBudget, Settings, Tenant,
+    Class, ColdStart, Effect, Kind, OutOfMemory, RepeatGroup, ReportField, RetryBudget, Settings,
+    Tenant,
 };
 use json::Json;
 
@@ -25,7 +26,11 @@
     let family = root.get("FamilyInfo");
     let report = root.get("LoadReport");
     let profiles = root.get("Profiles");
-    if profiles.list().ok_or("Profiles is missing or not a list")?.is_empty() {
+    if profiles
+        .list()
+        .ok_or("Profiles is missing or not a list")?
+        .is_empty()
+    {
         return Err("Profiles is empty".into());
     }
     let classes = profiles
@@ -38,7 +43,11 @@
     let kinds = (0..kinds)
         .map(|i| Kind {
             cores: family.get("SizeCores").at(i).number().filter(|&c| c > 0.0),
-            memory_mb: family.get("RamOfKindMb").at(i).number().filter(|&m| m > 0.0),
+            memory_mb: family
+                .get("RamOfKindMb")
+                .at(i)
+                .number()
+                .filter(|&m| m > 0.0),
         })
         .collect();
     let mut tenants = Vec::new();
@@ -68,7 +77,11 @@
         })
     };
     let how = report.get("How").text().unwrap_or("off");
-    let report_fields = report.get("Fields").each().map(|f| field(f, family)).collect();
+    let report_fields = report
+        .get("Fields")
+        .each()
+        .map(|f| field(f, family))
+        .collect();
     let zone = number(root, "Zone")? as u16;
     Ok(Settings {
         gateways: number(root, "Balancers")?.max(1.0) as u32,
@@ -90,14 +103,18 @@
             Some("overcommit") => OutOfMemory::Page,
             Some(other) => return Err(format!("FamilyInfo.OutOfMemory is unknown: {other}")),
         },
-        notes_every: optional(family, "TellsEveryUs")?.filter(|&t| t > 0.0).map(|t| t as u64),
+        notes_every: optional(family, "TellsEveryUs")?
+            .filter(|&t| t > 0.0)
+            .map(|t| t as u64),
         report_fields,
         report_on_probe: how == "on_probe",
         may_cancel: flag(caps, "Cancel"),
         may_probe: flag(caps, "MayProbe"),
         may_message: flag(caps, "Peers"),
         may_copy: flag(caps, "ParallelTries"),
-        max_attempts: optional(caps, "MaxAttempts")?.filter(|&n| n >= 1.0).map(|n| n as u32),
+        max_attempts: optional(caps, "MaxAttempts")?
+            .filter(|&n| n >= 1.0)
+            .map(|n| n as u32),
         retry_after: optional(caps, "MaxRetryAfterUs")?
             .filter(|_| flag(caps, "RetryAfter"))
             .map(|t| t as u64),
@@ -111,8 +128,13 @@
 }
 
 fn number(v: Json, key: &str) -> Result<f64, String> {
-    let n = v.get(key).number().ok_or_else(|| format!("{key} is missing or not a number"))?;
-    (n >= 0.0).then_some(n).ok_or_else(|| format!("{key} is negative"))
+    let n = v
+        .get(key)
+        .number()
+        .ok_or_else(|| format!("{key} is missing or not a number"))?;
+    (n >= 0.0)
+        .then_some(n)
+        .ok_or_else(|| format!("{key} is negative"))
 }
 
 fn optional(v: Json, key: &str) -> Result<Option<f64>, String> {
@@ -130,9 +152,16 @@
     if v.get(key).is_null() {
         return Ok(None);
     }
-    v.get(key).list().ok_or_else(|| format!("{key} is not a list"))?;
-    let each = v.get(key).each().map(|x| x.whole().and_then(|n| u16::try_from(n).ok()));
-    each.collect::<Option<Vec<_>>>().map(Some).ok_or_else(|| format!("{key} holds no numbers"))
+    v.get(key)
+        .list()
+        .ok_or_else(|| format!("{key} is not a list"))?;
+    let each = v
+        .get(key)
+        .each()
+        .map(|x| x.whole().and_then(|n| u16::try_from(n).ok()));
+    each.collect::<Option<Vec<_>>>()
+        .map(Some)
+        .ok_or_else(|| format!("{key} holds no numbers"))
 }
 
 fn class(i: usize, p: Json, family: Json) -> Result<Class, String> {
@@ -160,7 +189,12 @@
         in_order: flag(p, "ByArrival"),
         zones: places(p, "ConfinedTo")?,
         kinds: places(p, "MachineTypesAllowed")?,
-        threads: family.get("WidthByClass").at(i).number().filter(|&t| t >= 1.0).unwrap_or(1.0),
+        threads: family
+            .get("WidthByClass")
+            .at(i)
+            .number()
+            .filter(|&t| t >= 1.0)
+            .unwrap_or(1.0),
         load: family.get("Loads").at(i).flag(),
         waits_for_loads: family.get("BlockedByLoads").at(i).flag(),
     })
--- a/crates/simhost/src/lib.rs
+++ b/crates/simhost/src/lib.rs
@@ -90,7 +90,14 @@
         };
         f.f32()?;
         let born = Some(f.uint(8)?).filter(|&t| t > 0);
-        all.push(Listed { engine, zone, kind, cell, phase, born });
+        all.push(Listed {
+            engine,
+            zone,
+            kind,
+            cell,
+            phase,
+            born,
+        });
     }
     Ok(all)
 }
@@ -185,7 +192,11 @@
                     3 => return self.tell(now, inst, Event::DiscoveryFailed, reply, count),
                     other => return Err(format!("topology of unknown scope {other}")),
                 };
-                list = self.lists.get(&number).cloned().ok_or("topology without its catalog")?;
+                list = self
+                    .lists
+                    .get(&number)
+                    .cloned()
+                    .ok_or("topology without its catalog")?;
                 Event::Engines(kind, &list)
             }
             2 => {
@@ -332,13 +343,25 @@
             record(reply, count, 76, inst, &[&id(q), &mb, &[*priority]]);
         }
         Action::Send(q, e, patience) => {
-            record(reply, count, 64, inst, &[&id(q), &span(patience), &engine(e)[2..]]);
+            record(
+                reply,
+                count,
+                64,
+                inst,
+                &[&id(q), &span(patience), &engine(e)[2..]],
+            );
         }
         Action::Cancel(q, attempt) => record(reply, count, 67, inst, &[&id(q), &[*attempt]]),
         Action::Refuse(q, after) => record(reply, count, 65, inst, &[&id(q), &span(after)]),
         Action::Fail(q) => record(reply, count, 66, inst, &[&id(q)]),
         Action::Wake(after, token) => {
-            record(reply, count, 68, inst, &[&span(after), &token.to_be_bytes()]);
+            record(
+                reply,
+                count,
+                68,
+                inst,
+                &[&span(after), &token.to_be_bytes()],
+            );
         }
         Action::Probe(e) => record(reply, count, 69, inst, &[&engine(e)[2..]]),
         Action::Tell(peer, bytes) => {
--- a/crates/simhost/tests/wire.rs
+++ b/crates/simhost/tests/wire.rs
@@ -23,7 +23,9 @@
 
 fn catalog_and_topology(instance: u16) -> Vec<u8> {
     let mut f = [0, 0, 0, 0, 0, 0, 0, 1].to_vec();
-    f.extend([10, 18, 74, 7, 0x23, 0x2b, 0, 0, 0, 0, 0, 0, 0, 0x3f, 0x80, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0]);
+    f.extend([
+        10, 18, 74, 7, 0x23, 0x2b, 0, 0, 0, 0, 0, 0, 0, 0x3f, 0x80, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0,
+    ]);
     let mut all = record(11, &f);
     let mut t = instance.to_be_bytes().to_vec();
     t.extend([0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 41, 2]);
@@ -85,9 +87,14 @@
 #[test]
 fn instances_act_alike_in_one_host_and_in_several() {
     let start = |i: u16| [up(i, SETTINGS), catalog_and_topology(i), request(i, 5)].concat();
-    let both = Host::default().batch(5, &[start(0), start(1)].concat()).unwrap();
+    let both = Host::default()
+        .batch(5, &[start(0), start(1)].concat())
+        .unwrap();
     let one = |i| Host::default().batch(5, &start(i)).unwrap();
-    assert_eq!(actions(&both), [actions(&one(0)), actions(&one(1))].concat());
+    assert_eq!(
+        actions(&both),
+        [actions(&one(0)), actions(&one(1))].concat()
+    );
 }
 
 #[test]
@@ -95,17 +102,31 @@
     let mut host = Host::default();
     let stop = record(9, &[0, 3]);
     let body = [up(3, SETTINGS), stop, up(3, SETTINGS), request(3, 5)].concat();
-    assert!(actions(&host.batch(5, &body).unwrap()).iter().all(|a| a.0 == 68));
+    assert!(actions(&host.batch(5, &body).unwrap())
+        .iter()
+        .all(|a| a.0 == 68));
 }
 
 #[test]
 fn malformed_frames_are_errors_with_a_reason() {
-    assert!(read_batch(&mut &[0, 0, 0][..]).unwrap_err().contains("header"));
-    assert!(read_batch(&mut &[0, 0, 0, 9, 0, 0, 0, 0, 0, 0, 0, 0, 1][..]).unwrap_err().contains("1 of 9"));
+    assert!(read_batch(&mut &[0, 0, 0][..])
+        .unwrap_err()
+        .contains("header"));
+    assert!(
+        read_batch(&mut &[0, 0, 0, 9, 0, 0, 0, 0, 0, 0, 0, 0, 1][..])
+            .unwrap_err()
+            .contains("1 of 9")
+    );
     let mut host = Host::default();
     host.batch(5, &up(3, SETTINGS)).unwrap();
-    assert!(host.batch(5, &request(3, 5)[..30]).unwrap_err().contains("cut short"));
-    assert!(host.batch(5, &record(2, &[0, 3])).unwrap_err().contains("cut short"));
+    assert!(host
+        .batch(5, &request(3, 5)[..30])
+        .unwrap_err()
+        .contains("cut short"));
+    assert!(host
+        .batch(5, &record(2, &[0, 3]))
+        .unwrap_err()
+        .contains("cut short"));
     let no_list = record(1, &[0, 3, 0, 0, 0, 9, 0, 0, 0, 0, 0, 0, 0, 0, 0]);
     assert!(host.batch(5, &no_list).unwrap_err().contains("catalog"));
 }
@@ -118,7 +139,9 @@
         ("\"free\"", "\"odd\"", "Profiles[0].Effect"),
         ("\"Worth\": 1.0", "\"Worth\": \"x\"", "Profiles[0].Worth"),
     ] {
-        let reply = Host::default().batch(5, &up(3, &SETTINGS.replace(from, to))).unwrap();
+        let reply = Host::default()
+            .batch(5, &up(3, &SETTINGS.replace(from, to)))
+            .unwrap();
         let all = actions(&reply);
         assert_eq!(all[0].0, 73);
         assert!(String::from_utf8_lossy(&all[0].1).contains(key), "{key}");
--- a/crates/standins/src/engine/answer.rs
+++ b/crates/standins/src/engine/answer.rs
@@ -35,9 +35,14 @@
 
 impl Faults {
     fn of(statement: &str) -> Faults {
-        let text =
-            statement.split("/* standin:").nth(1).and_then(|t| t.split("*/").next()).unwrap_or_default();
-        let each = text.split_whitespace().map(|w| w.split_once('=').unwrap_or((w, "")));
+        let text = statement
+            .split("/* standin:")
+            .nth(1)
+            .and_then(|t| t.split("*/").next())
+            .unwrap_or_default();
+        let each = text
+            .split_whitespace()
+            .map(|w| w.split_once('=').unwrap_or((w, "")));
         Faults(each.map(|(n, v)| (n.to_string(), v.to_string())).collect())
     }
     fn has(&self, name: &str) -> bool {
@@ -58,7 +63,11 @@
 
 impl From<(u32, String)> for Failed {
     fn from((code, words): (u32, String)) -> Failed {
-        Failed { code, words, unseen: false }
+        Failed {
+            code,
+            words,
+            unseen: false,
+        }
     }
 }
 
@@ -78,7 +87,11 @@
     let mut connection = Connection {
         shared,
         stream,
-        reader: RequestReader::taking(Takes { head_most: 1024 * 1024, body_most: FIRST, goes_on: true }),
+        reader: RequestReader::taking(Takes {
+            head_most: 1024 * 1024,
+            body_most: FIRST,
+            goes_on: true,
+        }),
     };
     while let Ok(Some(request)) = connection.next_request() {
         match connection.answer(request) {
@@ -127,7 +140,9 @@
                 Ok(Some(request)) => return Ok(Some(request)),
                 Ok(None) => {}
                 Err(fault) => {
-                    let _ = self.stream.write_all(&response(fault.status(), &[], b"", true));
+                    let _ = self
+                        .stream
+                        .write_all(&response(fault.status(), &[], b"", true));
                     return Err(ErrorKind::InvalidData.into());
                 }
             }
@@ -152,7 +167,11 @@
             bytes.extend(body.bytes());
         }
         self.stream.write_all(&bytes)?;
-        Ok(if request.close { After::End } else { After::Next })
+        Ok(if request.close {
+            After::End
+        } else {
+            After::Next
+        })
     }
 
     fn answer(&mut self, request: Request) -> io::Result<After> {
@@ -160,13 +179,20 @@
         if !self.shared.speaks() {
             return Ok(After::End);
         }
-        let (path, in_url) = request.target.split_once('?').unwrap_or((&request.target, ""));
+        let (path, in_url) = request
+            .target
+            .split_once('?')
+            .unwrap_or((&request.target, ""));
         let fetch = matches!(request.method.as_str(), "GET" | "HEAD");
         let html = [("Content-Type", "text/html; charset=UTF-8")];
         match (request.method.as_str(), path) {
             ("GET" | "HEAD", "/ping") => return self.reply(&request, 200, &html, "Ok.\n"),
-            ("GET" | "HEAD", "/replicas_status") => return self.reply(&request, 200, &html, "Ok.\n"),
-            ("GET" | "HEAD", "/") if in_url.is_empty() => return self.reply(&request, 200, &html, "Ok.\n"),
+            ("GET" | "HEAD", "/replicas_status") => {
+                return self.reply(&request, 200, &html, "Ok.\n")
+            }
+            ("GET" | "HEAD", "/") if in_url.is_empty() => {
+                return self.reply(&request, 200, &html, "Ok.\n")
+            }
             ("OPTIONS", _) => {
                 let headers = [
                     ("Access-Control-Allow-Origin", "*"),
@@ -197,7 +223,11 @@
                     ("X-ClickHouse-Query-Id", id.as_str()),
                     ("X-ClickHouse-Exception-Code", code.as_str()),
                 ];
-                let status = if failed.unseen { 503 } else { status(failed.code) };
+                let status = if failed.unseen {
+                    503
+                } else {
+                    status(failed.code)
+                };
                 // What of the body has not been read would be taken for the next request.
                 let rest = self.reader.body_goes_on();
                 let after = self.reply(&request, status, &headers, &text)?;
@@ -214,9 +244,20 @@
     }
 
     /// Reads the statement and whatever goes with it.
-    fn read_query(&mut self, request: Rc<Request>, params: Params, id: &str) -> Result<Query, Failed> {
-        let fail = |code: u32, words: &str| Failed { code, words: words.into(), unseen: false };
-        let content_type = header(&request.headers, "content-type").unwrap_or_default().to_string();
+    fn read_query(
+        &mut self,
+        request: Rc<Request>,
+        params: Params,
+        id: &str,
+    ) -> Result<Query, Failed> {
+        let fail = |code: u32, words: &str| Failed {
+            code,
+            words: words.into(),
+            unseen: false,
+        };
+        let content_type = header(&request.headers, "content-type")
+            .unwrap_or_default()
+            .to_string();
         let in_url = params.get("query").unwrap_or_default().to_string();
         let mut form = String::new();
         if multipart::is_form(&content_type) {
@@ -237,7 +278,9 @@
             () if !in_body => in_url,
             () => {
                 let mut first = request.body.clone();
-                if let Some(coding) = header(&request.headers, "content-encoding").and_then(Coding::of) {
+                if let Some(coding) =
+                    header(&request.headers, "content-encoding").and_then(Coding::of)
+                {
                     first = driftfront_clickhouse::coding::beginning(coding, &first, FIRST);
                 }
                 if params.is_on("decompress") {
@@ -249,24 +292,46 @@
         if Shape::of(&statement).empty {
             return Err(fail(62, "Empty query"));
         }
-        Ok(Query { request, params, id: id.into(), statement, in_body })
+        Ok(Query {
+            request,
+            params,
+            id: id.into(),
+            statement,
+            in_body,
+        })
     }
 
-    fn query(&mut self, request: Rc<Request>, params: Params, id: &str) -> Result<io::Result<After>, Failed> {
+    fn query(
+        &mut self,
+        request: Rc<Request>,
+        params: Params,
+        id: &str,
+    ) -> Result<io::Result<After>, Failed> {
         let query = self.read_query(request, params, id)?;
         let faults = Faults::of(&query.statement);
-        let user = Credentials::read(&query.params, &query.request.headers).ok().and_then(|c| c.user);
-        let session = query.params.told("session_id").map(|s| format!("{}/{s}", user.unwrap_or_default()));
+        let user = Credentials::read(&query.params, &query.request.headers)
+            .ok()
+            .and_then(|c| c.user);
+        let session = query
+            .params
+            .told("session_id")
+            .map(|s| format!("{}/{s}", user.unwrap_or_default()));
         let user = self.authenticate(&query);
         let again = faults.has("first") && self.shared.ledger.knows(&query.statement);
         let faults = if again { Faults::default() } else { faults };
-        let entry =
-            self.shared.ledger.begin(&self.shared.options.name, id, &query.statement, session.as_deref());
+        let entry = self.shared.ledger.begin(
+            &self.shared.options.name,
+            id,
+            &query.statement,
+            session.as_deref(),
+        );
         let cancelled = Arc::new(AtomicBool::new(false));
         let begun = user.and_then(|()| self.begin(&query, &faults, session.as_deref(), &cancelled));
         let done = match begun {
             Err(failed) => {
-                self.shared.ledger.end(entry, !failed.unseen && failed.code != 216);
+                self.shared
+                    .ledger
+                    .end(entry, !failed.unseen && failed.code != 216);
                 return Err(failed);
             }
             Ok(()) => self.run(&query, &faults, session.as_deref(), entry, &cancelled),
@@ -290,7 +355,9 @@
     }
 
     fn authenticate(&self, query: &Query) -> Result<(), Failed> {
-        let Some((user, key)) = &self.shared.options.user else { return Ok(()) };
+        let Some((user, key)) = &self.shared.options.user else {
+            return Ok(());
+        };
         let wrong = || Failed {
             code: 516,
             words: "Authentication failed: password is incorrect".into(),
@@ -311,7 +378,13 @@
         session: Option<&str>,
         cancelled: &Arc<AtomicBool>,
     ) -> Result<(), Failed> {
-        let fail = |code: u32, words: String| Err(Failed { code, words, unseen: code == 202 });
+        let fail = |code: u32, words: String| {
+            Err(Failed {
+                code,
+                words,
+                unseen: code == 202,
+            })
+        };
         let mut held = self.shared.held();
         if faults.has("full") || held.running.len() >= self.shared.options.most {
             return fail(202, "Too many simultaneous queries. Maximum: 0".into());
@@ -326,22 +399,39 @@
             );
         }
         if held.running.contains_key(&query.id) {
-            return fail(216, format!("Query with id = {} is already running", query.id));
+            return fail(
+                216,
+                format!("Query with id = {} is already running", query.id),
+            );
         }
         if let Some(id) = session {
             let now = Instant::now();
             held.sessions.retain(|_, s| s.locked || s.ends > now);
-            let timeout = query.params.told("session_timeout").and_then(|t| t.parse().ok()).unwrap_or(60);
+            let timeout = query
+                .params
+                .told("session_timeout")
+                .and_then(|t| t.parse().ok())
+                .unwrap_or(60);
             let timeout = Duration::from_secs(timeout);
             match held.sessions.get_mut(id) {
-                Some(s) if s.locked => return fail(373, "Session is locked by a concurrent client".into()),
+                Some(s) if s.locked => {
+                    return fail(373, "Session is locked by a concurrent client".into())
+                }
                 Some(s) => (s.locked, s.timeout) = (true, timeout),
-                None if query.params.is_on("session_check") => return fail(372, "Session not found".into()),
+                None if query.params.is_on("session_check") => {
+                    return fail(372, "Session not found".into())
+                }
                 None => {
                     let (settings, tables) = Default::default();
                     let ends = now + timeout;
-                    let new =
-                        Session { settings, database: "default".into(), tables, locked: true, timeout, ends };
+                    let new = Session {
+                        settings,
+                        database: "default".into(),
+                        tables,
+                        locked: true,
+                        timeout,
+                        ends,
+                    };
                     held.sessions.insert(id.into(), new);
                 }
             }
@@ -367,8 +457,14 @@
         cancelled: &AtomicBool,
     ) -> Result<bool, Failed> {
         let begin = Instant::now();
-        let limit = query.params.told("max_execution_time").and_then(|t| t.parse::<f64>().ok());
-        let every = query.params.told("http_headers_progress_interval_ms").and_then(|t| t.parse().ok());
+        let limit = query
+            .params
+            .told("max_execution_time")
+            .and_then(|t| t.parse::<f64>().ok());
+        let every = query
+            .params
+            .told("http_headers_progress_interval_ms")
+            .and_then(|t| t.parse().ok());
         let every = Duration::from_millis(every.unwrap_or(100u64).max(1));
         let tells = query.params.is_on("send_progress_in_http_headers");
         let mut told = false;
@@ -379,16 +475,31 @@
                 return Ok(told);
             }
             if cancelled.load(Ordering::SeqCst) {
-                return Err(Failed { code: 394, words: "Query was cancelled".into(), unseen: false });
+                return Err(Failed {
+                    code: 394,
+                    words: "Query was cancelled".into(),
+                    unseen: false,
+                });
             }
             if limit.is_some_and(|l| l > 0.0 && spent.as_secs_f64() > l) {
-                let words =
-                    format!("Timeout exceeded: elapsed {:.2} seconds, maximum: {}", spent.as_secs_f64(), 1);
-                return Err(Failed { code: 159, words, unseen: false });
+                let words = format!(
+                    "Timeout exceeded: elapsed {:.2} seconds, maximum: {}",
+                    spent.as_secs_f64(),
+                    1
+                );
+                return Err(Failed {
+                    code: 159,
+                    words,
+                    unseen: false,
+                });
             }
             if self.has_left() {
                 self.shared.ledger.note(entry, |e| e.left = true);
-                return Err(Failed { code: 210, words: "Client has left".into(), unseen: false });
+                return Err(Failed {
+                    code: 210,
+                    words: "Client has left".into(),
+                    unseen: false,
+                });
             }
             if tells && spent >= next && self.shared.speaks() {
                 next = spent + every;
@@ -422,7 +533,11 @@
         cancelled: &AtomicBool,
     ) -> Result<io::Result<After>, Failed> {
         if let Some(code) = faults.number("error") {
-            return Err(Failed { code: code as u32, words: "As was asked for".into(), unseen: false });
+            return Err(Failed {
+                code: code as u32,
+                words: "As was asked for".into(),
+                unseen: false,
+            });
         }
         if faults.has("cut") {
             if let Some(ms) = faults.number("sleep_ms") {
@@ -434,7 +549,9 @@
             return Ok(self.silence(entry));
         }
         let (mut settings, mut database) = (BTreeMap::new(), "default".to_string());
-        if let Some(s) = session.and_then(|id| self.shared.held().sessions.get(id).map(Session::scope)) {
+        if let Some(s) =
+            session.and_then(|id| self.shared.held().sessions.get(id).map(Session::scope))
+        {
             (settings, database) = s;
         }
         let mut given = BTreeMap::new();
@@ -444,24 +561,45 @@
                 None => drop(settings.insert(name.to_string(), value.to_string())),
             }
         }
-        let told = header(&query.request.headers, "X-ClickHouse-Database").or(query.params.told("database"));
+        let told = header(&query.request.headers, "X-ClickHouse-Database")
+            .or(query.params.told("database"));
         let database = told.map_or(database, String::from);
-        let scope = Scope { params: &given, settings: &settings, database: &database, id: &query.id };
+        let scope = Scope {
+            params: &given,
+            settings: &settings,
+            database: &database,
+            id: &query.id,
+        };
         let parsed = parse(&query.statement, &scope)?;
-        let default =
-            query.params.told("default_format").or(header(&query.request.headers, "X-ClickHouse-Format"));
-        let format = parsed.format.clone().or(default.map(String::from)).unwrap_or("TabSeparated".into());
+        let default = query
+            .params
+            .told("default_format")
+            .or(header(&query.request.headers, "X-ClickHouse-Format"));
+        let format = parsed
+            .format
+            .clone()
+            .or(default.map(String::from))
+            .unwrap_or("TabSeparated".into());
         if !FORMATS.contains(&format.as_str()) {
-            return Err(Failed { code: 73, words: format!("Unknown format {format}"), unseen: false });
+            return Err(Failed {
+                code: 73,
+                words: format!("Unknown format {format}"),
+                unseen: false,
+            });
         }
-        let none = Rows { columns: Vec::new(), count: 0 };
+        let none = Rows {
+            columns: Vec::new(),
+            count: 0,
+        };
         let one = |name: &str, value: Value| Rows::one(name, value);
         let (rows, mut sleep, echo) = match parsed.statement {
             Statement::Select { rows, sleep } => (rows, sleep, None),
             Statement::Echo(table) => (none, 0.0, Some(self.table(session, &table)?.data)),
-            Statement::Count(table) => {
-                (one("count()", Value::Number(self.table(session, &table)?.rows)), 0.0, None)
-            }
+            Statement::Count(table) => (
+                one("count()", Value::Number(self.table(session, &table)?.rows)),
+                0.0,
+                None,
+            ),
             Statement::Exists(table) => {
                 let there = self.table(session, &table).is_ok();
                 (one("result", Value::Number(u64::from(there))), 0.0, None)
@@ -469,12 +607,31 @@
             Statement::ShowTables => {
                 let mut names: Vec<String> = self.shared.held().tables.keys().cloned().collect();
                 names.sort();
-                (none, 0.0, Some(names.into_iter().map(|n| n + "\n").collect::<String>().into_bytes()))
+                (
+                    none,
+                    0.0,
+                    Some(
+                        names
+                            .into_iter()
+                            .map(|n| n + "\n")
+                            .collect::<String>()
+                            .into_bytes(),
+                    ),
+                )
             }
             Statement::Processes => {
                 let mut ids: Vec<String> = self.shared.held().running.keys().cloned().collect();
                 ids.sort();
-                (none, 0.0, Some(ids.into_iter().map(|n| n + "\n").collect::<String>().into_bytes()))
+                (
+                    none,
+                    0.0,
+                    Some(
+                        ids.into_iter()
+                            .map(|n| n + "\n")
+                            .collect::<String>()
+                            .into_bytes(),
+                    ),
+                )
             }
             Statement::Kill(ids) => {
                 let mut text = String::new();
@@ -525,8 +682,14 @@
                 (none, 0.0, Some(Vec::new()))
             }
         };
-        sleep += faults.number("sleep_ms").map_or(0.0, |ms| ms as f64 / 1000.0);
-        let told = if sleep > 0.0 { self.sleep(sleep, query, entry, cancelled)? } else { false };
+        sleep += faults
+            .number("sleep_ms")
+            .map_or(0.0, |ms| ms as f64 / 1000.0);
+        let told = if sleep > 0.0 {
+            self.sleep(sleep, query, entry, cancelled)?
+        } else {
+            false
+        };
         if !self.shared.speaks() {
             return Ok(Ok(After::End));
         }
@@ -535,13 +698,18 @@
 
     fn table(&self, session: Option<&str>, table: &str) -> Result<Table, Failed> {
         let held = self.shared.held();
-        let temporary = session.and_then(|id| held.sessions.get(id)).and_then(|s| s.tables.get(table));
+        let temporary = session
+            .and_then(|id| held.sessions.get(id))
+            .and_then(|s| s.tables.get(table));
         let unknown = || Failed {
             code: 60,
             words: format!("Unknown table expression identifier '{table}'"),
             unseen: false,
         };
-        temporary.or(held.tables.get(table)).cloned().ok_or_else(unknown)
+        temporary
+            .or(held.tables.get(table))
+            .cloned()
+            .ok_or_else(unknown)
     }
 
     /// Takes rows in: those behind the statement, and the rest of the body.
@@ -554,7 +722,11 @@
         faults: &Faults,
         entry: usize,
     ) -> Result<(), Failed> {
-        let fail = |code: u32, words: String| Failed { code, words, unseen: false };
+        let fail = |code: u32, words: String| Failed {
+            code,
+            words,
+            unseen: false,
+        };
         let mut rows = Table::default();
         let packed = header(&query.request.headers, "content-encoding").and_then(Coding::of);
         let framed = query.params.is_on("decompress");
@@ -564,12 +736,16 @@
             let mut all = query.request.body.clone();
             while self.more(&mut all)? {
                 if all.len() > PACKED_MOST {
-                    return Err(fail(241, "The body is too large to be unpacked here".into()));
+                    return Err(fail(
+                        241,
+                        "The body is too large to be unpacked here".into(),
+                    ));
                 }
             }
             bytes = all.len() as u64;
             if let Some(coding) = packed {
-                let mut unpacker = Unpacker::new(coding, Vec::new()).map_err(|e| fail(354, e.to_string()))?;
+                let mut unpacker =
+                    Unpacker::new(coding, Vec::new()).map_err(|e| fail(354, e.to_string()))?;
                 unpacker
                     .push(&all)
                     .and_then(|()| unpacker.may_end())
@@ -580,7 +756,11 @@
                 all = frames(&all).map_err(|e| fail(271, e))?;
             }
             // The statement may stand at its beginning.
-            let data = if query.in_body { behind_statement(&all) } else { &all };
+            let data = if query.in_body {
+                behind_statement(&all)
+            } else {
+                &all
+            };
             rows.push(data);
         } else {
             if !query.in_body {
@@ -598,8 +778,14 @@
                 bytes += body.len() as u64;
                 rows.push(&body);
                 body.clear();
-                if faults.number("error_after").is_some_and(|most| rows.bytes > most) {
-                    return Err(fail(241, "Memory limit exceeded in the middle of an insert".into()));
+                if faults
+                    .number("error_after")
+                    .is_some_and(|most| rows.bytes > most)
+                {
+                    return Err(fail(
+                        241,
+                        "Memory limit exceeded in the middle of an insert".into(),
+                    ));
                 }
                 if !more {
                     break;
@@ -608,8 +794,9 @@
         }
         self.shared.ledger.note(entry, |e| e.bytes = bytes);
         let mut held = self.shared.held();
-        let temporary =
-            session.and_then(|id| held.sessions.get_mut(id)).and_then(|s| s.tables.get_mut(table));
+        let temporary = session
+            .and_then(|id| held.sessions.get_mut(id))
+            .and_then(|s| s.tables.get_mut(table));
         let into = match temporary {
             Some(t) => t,
             None => held.tables.entry(table.into()).or_default(),
@@ -627,14 +814,21 @@
 
     /// More of a body that goes on; false once it is over.
     fn more(&mut self, body: &mut Vec<u8>) -> Result<bool, Failed> {
-        let broken = |words: &str| Failed { code: 210, words: words.into(), unseen: false };
+        let broken = |words: &str| Failed {
+            code: 210,
+            words: words.into(),
+            unseen: false,
+        };
         if !self.reader.body_goes_on() {
             return Ok(false);
         }
         if !self.read().map_err(|e| broken(&e.to_string()))? {
             return Err(broken("The body breaks off"));
         }
-        let over = self.reader.more_body(body).map_err(|_| broken("The body can't be read"))?;
+        let over = self
+            .reader
+            .more_body(body)
+            .map_err(|_| broken("The body can't be read"))?;
         Ok(!over)
     }
 
@@ -651,12 +845,14 @@
     ) -> io::Result<After> {
         let request = &query.request;
         let accept = header(&request.headers, "accept-encoding").unwrap_or_default();
-        let coding = Coding::chosen(accept).filter(|_| query.params.is_on("enable_http_compression"));
-        let frames =
-            query.params.is_on("compress").then_some(match query.params.get("network_compression_method") {
+        let coding =
+            Coding::chosen(accept).filter(|_| query.params.is_on("enable_http_compression"));
+        let frames = query.params.is_on("compress").then_some(
+            match query.params.get("network_compression_method") {
                 Some(m) if m.eq_ignore_ascii_case("zstd") => Method::Zstd,
                 _ => Method::Lz4,
-            });
+            },
+        );
         let tag = format!("tag{:013x}", super::fnv(7, query.id.as_bytes()) >> 12);
         let summary = format!(
             "{{\"read_rows\":\"{0}\",\"read_bytes\":\"{0}\",\"written_rows\":\"0\",\"written_bytes\":\"0\",\
@@ -667,7 +863,14 @@
         let mut headers = vec![
             ("Content-Type", content_type(format)),
             ("X-ClickHouse-Server-Display-Name", "standin"),
-            ("X-ClickHouse-Query-Id", if faults.has("lie") { lies.as_str() } else { query.id.as_str() }),
+            (
+                "X-ClickHouse-Query-Id",
+                if faults.has("lie") {
+                    lies.as_str()
+                } else {
+                    query.id.as_str()
+                },
+            ),
             ("X-ClickHouse-Format", format),
             ("X-ClickHouse-Timezone", "UTC"),
             ("X-ClickHouse-Summary", &summary),
@@ -678,23 +881,41 @@
         if let Some(coding) = coding {
             headers.push(("Content-Encoding", coding.name()));
         }
-        if query.params.is_on("add_http_cors_header") && header(&request.headers, "origin").is_some() {
+        if query.params.is_on("add_http_cors_header")
+            && header(&request.headers, "origin").is_some()
+        {
             headers.push(("Access-Control-Allow-Origin", "*"));
         }
-        let ends = if request.version_1_1 { Ends::InChunks } else { Ends::WithConnection };
+        let ends = if request.version_1_1 {
+            Ends::InChunks
+        } else {
+            Ends::WithConnection
+        };
         let head = response_head(200, &headers, ends, request.close);
         // The status line may be out already, with progress behind it.
-        let from = if head_begun { head.iter().position(|&b| b == b'\n').map_or(0, |at| at + 1) } else { 0 };
-        if ["lie", "bad_block", "bad_block_after"].iter().any(|f| faults.has(f)) {
+        let from = if head_begun {
+            head.iter().position(|&b| b == b'\n').map_or(0, |at| at + 1)
+        } else {
+            0
+        };
+        if ["lie", "bad_block", "bad_block_after"]
+            .iter()
+            .any(|f| faults.has(f))
+        {
             // It is given up as soon as that is seen, which its engine can't know.
             self.shared.ledger.note(entry, |e| e.left = true);
         }
         let copies = if faults.has("twice") { 2 } else { 1 };
         for copy in 0..copies {
-            self.stream.write_all(&head[if copy == 0 { from } else { 0 }..])?;
+            self.stream
+                .write_all(&head[if copy == 0 { from } else { 0 }..])?;
             let chunks = Chunks::new(self.stream.try_clone()?, !request.version_1_1);
             if request.method == "HEAD" {
-                return Ok(if request.version_1_1 { After::Next } else { After::End });
+                return Ok(if request.version_1_1 {
+                    After::Next
+                } else {
+                    After::End
+                });
             }
             let mut body = Body::new(chunks, coding, frames)?;
             match self.rows(query, faults, format, rows, echo, &tag, &mut body, entry)? {
@@ -715,7 +936,11 @@
                 }
             }
         }
-        Ok(if request.close || !request.version_1_1 { After::End } else { After::Next })
+        Ok(if request.close || !request.version_1_1 {
+            After::End
+        } else {
+            After::Next
+        })
     }
 
     #[allow(clippy::too_many_arguments)]
@@ -743,7 +968,11 @@
             match rows.row(n) {
                 Ok(row) => writer.row(&row, &mut out),
                 Err((code, words)) => {
-                    failed = Some(Failed { code, words, unseen: false });
+                    failed = Some(Failed {
+                        code,
+                        words,
+                        unseen: false,
+                    });
                     break;
                 }
             }
@@ -763,7 +992,8 @@
                     return Ok(Rest::Cut);
                 }
             }
-            let reached = |name: &str| after(name).is_some_and(|most| written + out.len() as u64 >= most);
+            let reached =
+                |name: &str| after(name).is_some_and(|most| written + out.len() as u64 >= most);
             if reached("silent_after") {
                 body.push(&out)?;
                 return Ok(Rest::Silent);
@@ -784,7 +1014,11 @@
             body.spoil = true;
         }
         if let Some(code) = faults.number("late") {
-            failed = Some(Failed { code: code as u32, words: "As was asked for".into(), unseen: false });
+            failed = Some(Failed {
+                code: code as u32,
+                words: "As was asked for".into(),
+                unseen: false,
+            });
         }
         let Some(failed) = failed else {
             writer.end(None, &mut out);
@@ -793,7 +1027,8 @@
         };
         let text = failed.text();
         // The key of JSON formats, where the client asked for it: such a result ends well.
-        if query.params.is_on("http_write_exception_in_output_format") && format.starts_with("JSON") {
+        if query.params.is_on("http_write_exception_in_output_format") && format.starts_with("JSON")
+        {
             self.shared.ledger.end(entry, true);
             writer.end(Some(&text), &mut out);
             body.push(&out)?;
@@ -801,9 +1036,17 @@
         }
         self.shared.ledger.end(entry, true);
         body.push(&out)?;
-        let text = if self.shared.options.tags { marker(tag, &text) } else { format!("{text}\n") };
+        let text = if self.shared.options.tags {
+            marker(tag, &text)
+        } else {
+            format!("{text}\n")
+        };
         body.push(text.as_bytes())?;
-        Ok(if faults.has("whole") { Rest::Whole } else { Rest::Cut })
+        Ok(if faults.has("whole") {
+            Rest::Whole
+        } else {
+            Rest::Cut
+        })
     }
 }
 
@@ -833,7 +1076,9 @@
         let skipped = text.len() - name.len();
         skipped + name.find(|c: char| c.is_whitespace()).unwrap_or(name.len())
     });
-    let Some(at) = format.or_else(|| behind("values")) else { return &[] };
+    let Some(at) = format.or_else(|| behind("values")) else {
+        return &[];
+    };
     let rest = &body[at.min(body.len())..];
     let blank = rest.iter().take_while(|b| b.is_ascii_whitespace()).count();
     &rest[blank..]
--- a/crates/standins/src/engine/mod.rs
+++ b/crates/standins/src/engine/mod.rs
@@ -32,7 +32,12 @@
 
 impl Default for Options {
     fn default() -> Options {
-        Options { name: "engine".into(), tags: true, user: None, most: usize::MAX }
+        Options {
+            name: "engine".into(),
+            tags: true,
+            user: None,
+            most: usize::MAX,
+        }
     }
 }
 
@@ -84,7 +89,9 @@
 
 /// FNV-1a, from a state of before.
 pub fn fnv(state: u64, bytes: &[u8]) -> u64 {
-    bytes.iter().fold(state, |h, &b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3))
+    bytes.iter().fold(state, |h, &b| {
+        (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3)
+    })
 }
 
 #[derive(Default)]
@@ -141,7 +148,11 @@
     }
 
     /// Starts one at an address.
-    pub fn listen(addr: SocketAddr, options: Options, ledger: Arc<Ledger>) -> std::io::Result<Engine> {
+    pub fn listen(
+        addr: SocketAddr,
+        options: Options,
+        ledger: Arc<Ledger>,
+    ) -> std::io::Result<Engine> {
         let listener = TcpListener::bind(addr)?;
         let shared = Arc::new(Shared {
             options,
@@ -162,14 +173,16 @@
                 let Ok(stream) = stream else { continue };
                 let shared = accepting.clone();
                 // A thread of its own, with little stack: hundreds of connections may stay open.
-                let _ = std::thread::Builder::new().stack_size(512 * 1024).spawn(move || {
-                    let id = shared.next();
-                    if let Ok(copy) = stream.try_clone() {
-                        shared.held().connections.insert(id, copy);
-                    }
-                    answer::serve(&shared, stream);
-                    shared.held().connections.remove(&id);
-                });
+                let _ = std::thread::Builder::new()
+                    .stack_size(512 * 1024)
+                    .spawn(move || {
+                        let id = shared.next();
+                        if let Ok(copy) = stream.try_clone() {
+                            shared.held().connections.insert(id, copy);
+                        }
+                        answer::serve(&shared, stream);
+                        shared.held().connections.remove(&id);
+                    });
             }
         });
         Ok(Engine { shared })
@@ -205,7 +218,12 @@
 
     /// A table of no session.
     pub fn table(&self, name: &str) -> Table {
-        self.shared.held().tables.get(name).cloned().unwrap_or_default()
+        self.shared
+            .held()
+            .tables
+            .get(name)
+            .cloned()
+            .unwrap_or_default()
     }
 
     /// Sessions that it holds.
--- a/crates/standins/src/engine/output.rs
+++ b/crates/standins/src/engine/output.rs
@@ -44,7 +44,12 @@
         // 64-bit numbers are quoted, as servers did for long.
         Value::Number(n) => format!("\"{n}\""),
         Value::Text(s) => {
-            format!("\"{}\"", s.replace('\\', "\\\\").replace('"', "\\\"").replace('\n', "\\n"))
+            format!(
+                "\"{}\"",
+                s.replace('\\', "\\\\")
+                    .replace('"', "\\\"")
+                    .replace('\n', "\\n")
+            )
         }
     }
 }
@@ -71,7 +76,11 @@
 impl<'a> Writer<'a> {
     /// For a result of these columns.
     pub fn new(format: &'a str, columns: &'a [Column]) -> Writer<'a> {
-        Writer { format, columns, rows: 0 }
+        Writer {
+            format,
+            columns,
+            rows: 0,
+        }
     }
 
     /// What stands before the rows.
@@ -79,7 +88,9 @@
         let names: Vec<&str> = self.columns.iter().map(|c| c.name.as_str()).collect();
         let kinds: Vec<&str> = self.columns.iter().map(|c| c.kind).collect();
         match self.format {
-            "TabSeparatedWithNames" | "TSVWithNames" => out.extend((names.join("\t") + "\n").bytes()),
+            "TabSeparatedWithNames" | "TSVWithNames" => {
+                out.extend((names.join("\t") + "\n").bytes())
+            }
             "TabSeparatedWithNamesAndTypes" | "TSVWithNamesAndTypes" => {
                 out.extend((names.join("\t") + "\n" + &kinds.join("\t") + "\n").bytes());
             }
@@ -98,7 +109,11 @@
                 });
                 let meta: Vec<String> = meta.collect();
                 out.extend(
-                    format!("{{\n\t\"meta\":\n\t[\n{}\n\t],\n\n\t\"data\":\n\t[\n", meta.join(",\n")).bytes(),
+                    format!(
+                        "{{\n\t\"meta\":\n\t[\n{}\n\t],\n\n\t\"data\":\n\t[\n",
+                        meta.join(",\n")
+                    )
+                    .bytes(),
                 );
             }
             "RowBinaryWithNamesAndTypes" => {
@@ -118,7 +133,12 @@
             Value::Number(n) => n.to_string(),
             Value::Text(s) => s.clone(),
         };
-        let escaped = |v: &Value| text(v).replace('\\', "\\\\").replace('\t', "\\t").replace('\n', "\\n");
+        let escaped = |v: &Value| {
+            text(v)
+                .replace('\\', "\\\\")
+                .replace('\t', "\\t")
+                .replace('\n', "\\n")
+        };
         let first = self.rows == 0;
         self.rows += 1;
         match self.format {
@@ -144,8 +164,10 @@
                 out.extend(format!("{comma}\t\t[{}]", each.join(", ")).bytes());
             }
             "JSONEachRow" => {
-                let each =
-                    row.iter().zip(self.columns).map(|(v, c)| format!("{}:{}", quoted(&c.name), json(v)));
+                let each = row
+                    .iter()
+                    .zip(self.columns)
+                    .map(|(v, c)| format!("{}:{}", quoted(&c.name), json(v)));
                 out.extend(format!("{{{}}}\n", each.collect::<Vec<_>>().join(",")).bytes());
             }
             "JSONCompactEachRow" => {
@@ -172,14 +194,18 @@
                 }
             }
             "Null" => {}
-            _ => out.extend((row.iter().map(escaped).collect::<Vec<_>>().join("\t") + "\n").bytes()),
+            _ => {
+                out.extend((row.iter().map(escaped).collect::<Vec<_>>().join("\t") + "\n").bytes())
+            }
         }
     }
 
     /// What stands behind the rows; an exception where the format has a key for one.
     pub fn end(&self, exception: Option<&str>, out: &mut Vec<u8>) {
         if matches!(self.format, "JSON" | "JSONCompact") {
-            let told = exception.map(|e| format!(",\n\n\t\"exception\": {}", quoted(e))).unwrap_or_default();
+            let told = exception
+                .map(|e| format!(",\n\n\t\"exception\": {}", quoted(e)))
+                .unwrap_or_default();
             out.extend(format!("\n\t],\n\n\t\"rows\": {}{told}\n}}\n", self.rows).bytes());
         } else if let (Some(e), true) = (exception, self.format.starts_with("JSON")) {
             out.extend(format!("{{\"exception\": {}}}\n", quoted(e)).bytes());
@@ -198,7 +224,11 @@
 impl Chunks {
     /// On a connection; `plain`: the body ends with the connection.
     pub fn new(to: TcpStream, plain: bool) -> Chunks {
-        Chunks { to, plain, total: 0 }
+        Chunks {
+            to,
+            plain,
+            total: 0,
+        }
     }
     /// The proper end.
     pub fn finish(&mut self) -> io::Result<()> {
@@ -261,10 +291,17 @@
             Some(Coding::Gzip) => Layers::Gzip(flate2::write::GzEncoder::new(to, fast)),
             Some(Coding::Deflate) => Layers::Deflate(flate2::write::ZlibEncoder::new(to, fast)),
             Some(Coding::Zstd) => Layers::Zstd(zstd::stream::write::Encoder::new(to, 1)?),
-            Some(Coding::Brotli) => Layers::Brotli(Box::new(brotli::CompressorWriter::new(to, 4096, 2, 18))),
+            Some(Coding::Brotli) => {
+                Layers::Brotli(Box::new(brotli::CompressorWriter::new(to, 4096, 2, 18)))
+            }
             Some(Coding::Lz4) => Layers::Lz4(Box::new(lz4_flex::frame::FrameEncoder::new(to))),
         };
-        Ok(Body { layers, frames, held: Vec::new(), spoil: false })
+        Ok(Body {
+            layers,
+            frames,
+            held: Vec::new(),
+            spoil: false,
+        })
     }
 
     fn layer(&mut self) -> &mut dyn Write {
--- a/crates/standins/src/engine/sql.rs
+++ b/crates/standins/src/engine/sql.rs
@@ -44,7 +44,10 @@
 impl Rows {
     /// One row of one value.
     pub fn one(name: &str, value: Value) -> Rows {
-        Rows { columns: vec![column(name.into(), Expr::Constant(value))], count: 1 }
+        Rows {
+            columns: vec![column(name.into(), Expr::Constant(value))],
+            count: 1,
+        }
     }
 
     /// Rows of text, each of one value a column.
@@ -53,9 +56,10 @@
             Expr::Constant(value) => Ok(value.clone()),
             Expr::Row => Ok(Value::Number(n)),
             Expr::Wide(times) => Ok(Value::Text(n.to_string().repeat(*times))),
-            Expr::Throw(at) if *at == n => {
-                Err((395, "Value passed to 'throwIf' function is non-zero: while executing".into()))
-            }
+            Expr::Throw(at) if *at == n => Err((
+                395,
+                "Value passed to 'throwIf' function is non-zero: while executing".into(),
+            )),
             Expr::Throw(_) => Ok(Value::Number(0)),
         };
         self.columns.iter().map(value).collect()
@@ -164,7 +168,9 @@
 
 fn word(text: &str) -> (&str, &str) {
     let text = text.trim_start();
-    let end = text.find(|c: char| c.is_whitespace() || c == '(').unwrap_or(text.len());
+    let end = text
+        .find(|c: char| c.is_whitespace() || c == '(')
+        .unwrap_or(text.len());
     text.split_at(end)
 }
 
@@ -235,8 +241,13 @@
         let format = find_word(behind, "format").map(|at| word(&behind[at + 6..]));
         let values = find_word(behind, "values").map(|at| &behind[at + 6..]);
         let inline = format.map(|f| f.1).or(values).unwrap_or_default();
-        let format = format.map(|f| f.0.to_string()).or(values.map(|_| "Values".into()));
-        let statement = Statement::Insert { table: named(rest), inline: inline.trim_start().into() };
+        let format = format
+            .map(|f| f.0.to_string())
+            .or(values.map(|_| "Values".into()));
+        let statement = Statement::Insert {
+            table: named(rest),
+            inline: inline.trim_start().into(),
+        };
         return Ok(Parsed { statement, format });
     }
     let (text, format) = match find_word(text, "format") {
@@ -244,7 +255,10 @@
         None => (text, None),
     };
     let text = find_word(text, "settings").map_or(text, |at| text[..at].trim());
-    Ok(Parsed { statement: read(text, scope)?, format })
+    Ok(Parsed {
+        statement: read(text, scope)?,
+        format,
+    })
 }
 
 fn read(text: &str, scope: &Scope) -> Result<Statement, Failed> {
@@ -254,24 +268,40 @@
         "create" => {
             let rest = follows(rest, &["or", "replace"]).unwrap_or(rest);
             let temporary = follows(rest, &["temporary"]);
-            let rest = follows(temporary.unwrap_or(rest), &["table"]).ok_or_else(|| syntax(text))?;
+            let rest =
+                follows(temporary.unwrap_or(rest), &["table"]).ok_or_else(|| syntax(text))?;
             let rest = follows(rest, &["if", "not", "exists"]).unwrap_or(rest);
-            Ok(Statement::Create { table: named(rest), temporary: temporary.is_some() })
+            Ok(Statement::Create {
+                table: named(rest),
+                temporary: temporary.is_some(),
+            })
         }
         "drop" => {
             let rest = follows(rest, &["table"]).ok_or_else(|| syntax(text))?;
-            Ok(Statement::Drop(named(follows(rest, &["if", "exists"]).unwrap_or(rest))))
+            Ok(Statement::Drop(named(
+                follows(rest, &["if", "exists"]).unwrap_or(rest),
+            )))
         }
         "set" => {
             let (name, value) = rest.split_once('=').ok_or_else(|| syntax(text))?;
-            Ok(Statement::Set(name.trim().into(), value.trim().trim_matches('\'').into()))
+            Ok(Statement::Set(
+                name.trim().into(),
+                value.trim().trim_matches('\'').into(),
+            ))
         }
         "use" => Ok(Statement::Use(named(rest))),
         "show" if follows(rest, &["tables"]).is_some() => Ok(Statement::ShowTables),
         "show" if follows(rest, &["processlist"]).is_some() => Ok(Statement::Processes),
-        "exists" => Ok(Statement::Exists(named(follows(rest, &["table"]).unwrap_or(rest)))),
+        "exists" => Ok(Statement::Exists(named(
+            follows(rest, &["table"]).unwrap_or(rest),
+        ))),
         "kill" => {
-            let ids = rest.split('\'').skip(1).step_by(2).map(String::from).collect();
+            let ids = rest
+                .split('\'')
+                .skip(1)
+                .step_by(2)
+                .map(String::from)
+                .collect();
             Ok(Statement::Kill(ids))
         }
         _ => Err(syntax(text)),
@@ -286,12 +316,17 @@
     let mut count = 1;
     if let Some(from) = from {
         let limit = find_word(from, "limit").map(|at| named(&from[at + 5..]));
-        let limit = limit.map(|l| l.parse::<u64>().map_err(|_| syntax(from))).transpose()?;
+        let limit = limit
+            .map(|l| l.parse::<u64>().map_err(|_| syntax(from)))
+            .transpose()?;
         let (source, behind) = word(from);
         let source = source.trim_matches('`');
         match source.to_ascii_lowercase().as_str() {
             "numbers" | "numbers_mt" if behind.trim_start().starts_with('(') => {
-                let inside = behind.trim_start()[1..].split(')').next().unwrap_or_default();
+                let inside = behind.trim_start()[1..]
+                    .split(')')
+                    .next()
+                    .unwrap_or_default();
                 let n: u64 = inside.trim().parse().map_err(|_| syntax(inside))?;
                 count = n.min(limit.unwrap_or(n));
             }
@@ -314,13 +349,25 @@
         let name = alias.unwrap_or_else(|| expr.to_string());
         let made = expression(expr, scope, &mut sleep)?;
         // Over all rows there is one number.
-        if expr.to_ascii_lowercase().starts_with("count(") || expr.to_ascii_lowercase().starts_with("sum(") {
-            let sum = if expr.starts_with(['c', 'C']) { count } else { count * (count.max(1) - 1) / 2 };
-            return Ok(Statement::Select { rows: Rows::one(&name, Value::Number(sum)), sleep });
+        if expr.to_ascii_lowercase().starts_with("count(")
+            || expr.to_ascii_lowercase().starts_with("sum(")
+        {
+            let sum = if expr.starts_with(['c', 'C']) {
+                count
+            } else {
+                count * (count.max(1) - 1) / 2
+            };
+            return Ok(Statement::Select {
+                rows: Rows::one(&name, Value::Number(sum)),
+                sleep,
+            });
         }
         columns.push(column(name, made));
     }
-    Ok(Statement::Select { rows: Rows { columns, count }, sleep })
+    Ok(Statement::Select {
+        rows: Rows { columns, count },
+        sleep,
+    })
 }
 
 fn expression(expr: &str, scope: &Scope, sleep: &mut f64) -> Result<Expr, Failed> {
@@ -336,19 +383,33 @@
         let missing = || (456, format!("Substitution `{}` is not set", name.trim()));
         let value = scope.params.get(name.trim()).ok_or_else(missing)?;
         return match kind.trim().starts_with("UInt") {
-            true => value.parse().map(|n| Expr::Constant(Value::Number(n))).map_err(|_| {
-                (
-                    457,
-                    format!("Value {value} cannot be parsed as {kind} for query parameter '{}'", name.trim()),
-                )
-            }),
+            true => value
+                .parse()
+                .map(|n| Expr::Constant(Value::Number(n)))
+                .map_err(|_| {
+                    (
+                        457,
+                        format!(
+                            "Value {value} cannot be parsed as {kind} for query parameter '{}'",
+                            name.trim()
+                        ),
+                    )
+                }),
             false => text(value),
         };
     }
     let (function, arguments) = match expr.split_once('(') {
-        Some((f, rest)) => (f.trim(), rest.strip_suffix(')').ok_or_else(|| syntax(expr))?.trim()),
+        Some((f, rest)) => (
+            f.trim(),
+            rest.strip_suffix(')').ok_or_else(|| syntax(expr))?.trim(),
+        ),
         None if expr.eq_ignore_ascii_case("number") => return Ok(Expr::Row),
-        None => return Err((47, format!("Missing columns: '{expr}' while processing query"))),
+        None => {
+            return Err((
+                47,
+                format!("Missing columns: '{expr}' while processing query"),
+            ))
+        }
     };
     match function {
         "version" => text("24.8.4.13"),
@@ -366,7 +427,10 @@
             Ok(Expr::Constant(Value::Number(0)))
         }
         "throwIf" => {
-            let at = arguments.split('=').nth(1).and_then(|n| n.trim().parse().ok());
+            let at = arguments
+                .split('=')
+                .nth(1)
+                .and_then(|n| n.trim().parse().ok());
             Ok(Expr::Throw(at.unwrap_or(0)))
         }
         "wide" => Ok(Expr::Wide(arguments.parse().unwrap_or(10))),
--- a/crates/standins/src/ledger.rs
+++ b/crates/standins/src/ledger.rs
@@ -63,7 +63,10 @@
 impl Ledger {
     /// One that keeps nothing, for measurements.
     pub fn forgetful() -> Ledger {
-        Ledger { forgets: true, ..Ledger::default() }
+        Ledger {
+            forgets: true,
+            ..Ledger::default()
+        }
     }
 
     fn tick(&self) -> u64 {
@@ -124,7 +127,13 @@
 
     /// Those whose statement holds this text.
     pub fn of(&self, text: &str) -> Vec<Entry> {
-        self.with(|entries| entries.iter().filter(|e| e.statement.contains(text)).cloned().collect())
+        self.with(|entries| {
+            entries
+                .iter()
+                .filter(|e| e.statement.contains(text))
+                .cloned()
+                .collect()
+        })
     }
 
     /// Waits until a condition holds on the entries; gives up, with a panic, only when the test has failed.
@@ -132,16 +141,26 @@
         let begin = Instant::now();
         let mut entries = self.entries.lock().unwrap_or_else(PoisonError::into_inner);
         while !holds(&entries) {
-            assert!(begin.elapsed() < FOR_EVER, "{what} never came: {entries:#?}");
-            let waited = self.changed.wait_timeout(entries, Duration::from_millis(200));
+            assert!(
+                begin.elapsed() < FOR_EVER,
+                "{what} never came: {entries:#?}"
+            );
+            let waited = self
+                .changed
+                .wait_timeout(entries, Duration::from_millis(200));
             entries = waited.unwrap_or_else(PoisonError::into_inner).0;
         }
     }
 
     /// Waits until a statement with this text has begun so many times.
     pub fn wait_for(&self, text: &str, times: usize) {
-        let begun =
-            |entries: &[Entry]| entries.iter().filter(|e| e.statement.contains(text)).count() >= times;
+        let begun = |entries: &[Entry]| {
+            entries
+                .iter()
+                .filter(|e| e.statement.contains(text))
+                .count()
+                >= times
+        };
         self.wait_until(text, begun);
     }
 
@@ -156,9 +175,15 @@
         let mut by_statement: BTreeMap<&str, Vec<&Entry>> = BTreeMap::new();
         let mut by_table: BTreeMap<&str, Vec<&Entry>> = BTreeMap::new();
         for entry in &entries {
-            by_statement.entry(&entry.statement).or_default().push(entry);
+            by_statement
+                .entry(&entry.statement)
+                .or_default()
+                .push(entry);
             if let Some(table) = entry.statement.strip_prefix("INSERT INTO ") {
-                by_table.entry(table.split([' ', '(']).next().unwrap_or_default()).or_default().push(entry);
+                by_table
+                    .entry(table.split([' ', '(']).next().unwrap_or_default())
+                    .or_default()
+                    .push(entry);
             }
         }
         for (statement, tries) in &by_statement {
@@ -174,7 +199,9 @@
             let mut ids: Vec<_> = tries.iter().filter(|t| t.ran).map(|t| &t.id).collect();
             ids.sort();
             if ids.windows(2).any(|w| w[0] == w[1]) {
-                breaches.push(format!("a further attempt under an id that may still run: {statement}"));
+                breaches.push(format!(
+                    "a further attempt under an id that may still run: {statement}"
+                ));
             }
         }
         for (table, loads) in &by_table {
@@ -196,19 +223,30 @@
     }
 
     /// The same of those alone whose statement holds this text.
-    pub fn budget_breaches_of(&self, text: &str, budget: &Budget, taken: &[Instant]) -> Vec<String> {
+    pub fn budget_breaches_of(
+        &self,
+        text: &str,
+        budget: &Budget,
+        taken: &[Instant],
+    ) -> Vec<String> {
         let entries = self.of(text);
         let mut seen = BTreeSet::new();
-        let further: Vec<&Entry> = entries.iter().filter(|e| !seen.insert(&e.statement)).collect();
+        let further: Vec<&Entry> = entries
+            .iter()
+            .filter(|e| !seen.insert(&e.statement))
+            .collect();
         let mut breaches = Vec::new();
         for attempt in &further {
-            let within = |at: &Instant| *at <= attempt.at && attempt.at.duration_since(*at) < budget.window;
+            let within =
+                |at: &Instant| *at <= attempt.at && attempt.at.duration_since(*at) < budget.window;
             let made = further.iter().filter(|f| within(&f.at)).count();
             let taken = taken.iter().filter(|t| within(t)).count();
             let allowed = (budget.free + budget.ratio * taken as f64) * BUDGET_SLACK + 1.0;
             if made as f64 > allowed {
                 let statement = &attempt.statement;
-                breaches.push(format!("{statement}: attempt {made} where {taken} taken allow {allowed:.1}"));
+                breaches.push(format!(
+                    "{statement}: attempt {made} where {taken} taken allow {allowed:.1}"
+                ));
             }
         }
         breaches
@@ -244,7 +282,13 @@
         ledger.end(open, true);
         (0..7).for_each(|n| run("SELECT 7", &format!("s{n}"), true));
         let breaches = ledger.breaches(20).join("; ");
-        for words in ["run twice", "overlap", "under an id", "7 attempts", "further attempts for"] {
+        for words in [
+            "run twice",
+            "overlap",
+            "under an id",
+            "7 attempts",
+            "further attempts for",
+        ] {
             assert!(breaches.contains(words), "{words}: {breaches}");
         }
     }
--- a/crates/standins/src/main.rs
+++ b/crates/standins/src/main.rs
@@ -39,28 +39,41 @@
     if command.as_deref() != Some("engine") {
         return Err("say what to stand in for: engine; see --help".into());
     }
-    let text = |args: &mut pico_args::Arguments, name: &'static str| -> Result<Option<String>, String> {
-        args.opt_value_from_str(name).map_err(|e: pico_args::Error| e.to_string())
-    };
+    let text =
+        |args: &mut pico_args::Arguments, name: &'static str| -> Result<Option<String>, String> {
+            args.opt_value_from_str(name)
+                .map_err(|e: pico_args::Error| e.to_string())
+        };
     let listen = text(&mut args, "--listen")?.unwrap_or("127.0.0.1:9123".into());
-    let listen: SocketAddr = listen.parse().map_err(|e| format!("--listen {listen}: {e}"))?;
+    let listen: SocketAddr = listen
+        .parse()
+        .map_err(|e| format!("--listen {listen}: {e}"))?;
     if !listen.ip().is_loopback() {
         return Err(format!("--listen {listen}: stand-ins stay on loopback"));
     }
     let user = text(&mut args, "--user")?.map(|u| {
-        let split = u.split_once(':').map(|(n, k)| (n.to_string(), k.to_string()));
+        let split = u
+            .split_once(':')
+            .map(|(n, k)| (n.to_string(), k.to_string()));
         split.ok_or("--user takes NAME:KEY".to_string())
     });
     let options = Options {
         name: text(&mut args, "--name")?.unwrap_or("engine".into()),
         tags: !args.contains("--old"),
         user: user.transpose()?,
-        most: args.opt_value_from_str("--most").map_err(|e| e.to_string())?.unwrap_or(usize::MAX),
+        most: args
+            .opt_value_from_str("--most")
+            .map_err(|e| e.to_string())?
+            .unwrap_or(usize::MAX),
     };
     if let Some(word) = args.finish().first() {
-        return Err(format!("unknown argument {}; see --help", word.to_string_lossy()));
+        return Err(format!(
+            "unknown argument {}; see --help",
+            word.to_string_lossy()
+        ));
     }
-    let engine = Engine::listen(listen, options, Arc::new(Ledger::default())).map_err(|e| e.to_string())?;
+    let engine =
+        Engine::listen(listen, options, Arc::new(Ledger::default())).map_err(|e| e.to_string())?;
     println!("engine {} listens on {}", engine.name(), engine.addr());
     loop {
         std::thread::park();
