--- /dev/null
+++ b/crates/test-support/src/lib.rs
@@ -0,0 +1,4 @@
+//! Helpers that the tests of several crates share.
+#![warn(missing_docs)]
+
+pub mod golden;
