--- /dev/null
+++ b/crates/core/tests/golden.rs
@@ -0,0 +1,519 @@
+//! What the core sends out, shows to operators and tells clients, in long seeded runs and case by case. Commands are written in
+//! this file's own fixed words, so that a rename changes nothing here.
+
+mod common;
+
+use common::{core, listed, settings, LIMITS, LOAD, LOOKUP, S};
+use driftfront_core::lifecycle::{Lifecycle, State};
+use driftfront_core::{
+    Ask, AttemptError, AttemptKey, Cause, Command, Core, EngineId, Fate, Limits, ListKind, Listed,
+    Micros, Note, Outcome, Phase, Piece, Pin, Progress, RequestId, Told,
+};
+use driftfront_test_support::assert_golden;
+use driftfront_test_support::transcript::{Dice, Transcript};
+use std::fmt::Write;
+use std::rc::Rc;
+
+const MS: Micros = 1_000;
+const ENGINES: u64 = 4;
+
+fn says(words: &Option<Rc<str>>) -> String {
+    words.as_ref().map_or("-".into(), |w| format!("{w:?}"))
+}
+
+fn fate_in_words(fate: Fate) -> String {
+    match fate {
+        Fate::NeverRan => "never ran".into(),
+        Fate::Ran(engine, served) => format!("ran on {}, served {served}", engine.0),
+        Fate::Unknown(engine) => format!("unknown on {}", engine.0),
+    }
+}
+
+/// A kind and the whole command in fixed words.
+fn in_words(command: &Command) -> (&'static str, String) {
+    match command {
+        Command::Send(key, engine) => (
+            "send",
+            format!("{}.{} to {}", key.request.0, key.number, engine.0),
+        ),
+        Command::Abandon(key, engine) => (
+            "abandon",
+            format!("{}.{} at {}", key.request.0, key.number, engine.0),
+        ),
+        Command::Probe(engine, tag) => ("probe", format!("{} tag {tag}", engine.0)),
+        Command::Refuse(id, advice, words) => {
+            ("refuse", format!("{} {advice} {}", id.0, says(words)))
+        }
+        Command::Fail(id, words) => ("fail", format!("{} {}", id.0, says(words))),
+        Command::Relay(id, piece) => (
+            "chunk",
+            format!(
+                "{} {:?} {} bytes, last {}",
+                id.0,
+                piece.about,
+                piece.rows.len(),
+                piece.whole
+            ),
+        ),
+        Command::Finish(id) => ("finish", id.0.to_string()),
+        Command::Break(id, words) => ("break", format!("{} {}", id.0, says(words))),
+        Command::Over(ticket, fate) => ("over", format!("{ticket} {}", fate_in_words(*fate))),
+        Command::Forget(engine) => ("forget", engine.0.to_string()),
+        Command::Log(line) => ("log", line.clone()),
+    }
+}
+
+struct World {
+    core: Core,
+    now: Micros,
+    dice: Dice,
+    out: Vec<(AttemptKey, bool)>,
+    open: Vec<RequestId>,
+    names: u64,
+    probes: Vec<u64>,
+    phases: Vec<Phase>,
+    transcript: Transcript,
+}
+
+impl World {
+    fn new(edit: fn(&str) -> String, limits: Limits, seed: u64) -> World {
+        let mut world = World {
+            core: Core::new(settings(edit), limits, seed),
+            now: 1_000 * S,
+            dice: Dice(seed),
+            out: Vec::new(),
+            open: Vec::new(),
+            names: 0,
+            probes: Vec::new(),
+            phases: vec![Phase::Ready; ENGINES as usize],
+            transcript: Transcript::default(),
+        };
+        world.list(ListKind::Whole);
+        world
+    }
+
+    fn list(&mut self, kind: ListKind) {
+        let lines: Vec<Listed> = self
+            .phases
+            .iter()
+            .enumerate()
+            .map(|(n, &phase)| listed(n as u64, phase))
+            .collect();
+        self.core.engines(self.now, kind, &lines);
+        self.commands("list");
+    }
+
+    fn commands(&mut self, what: &str) {
+        while let Some(command) = self.core.command() {
+            let (kind, words) = in_words(&command);
+            let line = format!("{} {what}: {kind} {words}", self.now);
+            self.transcript.line(kind, &line);
+            match command {
+                Command::Send(key, _) => self.out.push((key, false)),
+                Command::Abandon(key, _) => self.out.retain(|o| o.0 != key),
+                Command::Probe(_, tag) => self.probes.push(tag),
+                Command::Refuse(id, ..)
+                | Command::Fail(id, _)
+                | Command::Finish(id)
+                | Command::Break(id, _) => self.open.retain(|&o| o != id),
+                Command::Relay(..) | Command::Over(..) | Command::Forget(_) | Command::Log(_) => {}
+            }
+        }
+    }
+
+    fn pass(&mut self, time: Micros) {
+        let end = self.now + time;
+        while let Some(due) = self.core.next_due().filter(|&due| due <= end) {
+            self.now = self.now.max(due);
+            self.core.tick(self.now);
+            self.commands("tick");
+        }
+        self.now = end;
+    }
+
+    fn take(&mut self) {
+        self.names += 1;
+        let dice = &mut self.dice;
+        let name = if dice.chance(4) {
+            1 + dice.below(self.names)
+        } else {
+            self.names
+        };
+        let pinned = dice.below(12);
+        let ask = Ask {
+            call: format!("q{name}").as_str().into(),
+            class: [LOOKUP, LOOKUP, 1, LOAD, 9]
+                [dice.below(4) as usize + usize::from(dice.chance(1))],
+            work: dice.chance(50).then(|| dice.between(1e4, 4e5)),
+            memory_mb: dice.chance(50).then(|| dice.between(10.0, 500.0)),
+            tables: dice.below(4) as u32,
+            key: dice.chance(60).then(|| dice.below(3)),
+            tenant: None,
+            token: dice.chance(70).then(|| {
+                format!("t{}", dice.below(self.names / 2 + 1))
+                    .as_str()
+                    .into()
+            }),
+            budget: if dice.chance(3) {
+                dice.below(30 * MS)
+            } else {
+                S + dice.below(5 * S)
+            },
+            about: Rc::new([]),
+            statement: Rc::from(*b"select 1"),
+            pin: (pinned < 2).then(|| Pin {
+                engine: EngineId(dice.below(ENGINES)),
+                only: pinned == 0,
+            }),
+            lost: dice
+                .chance(50)
+                .then(|| "Code: 1. DB::Exception: session lost".into()),
+            once: dice.chance(10),
+            ticket: if dice.chance(80) { self.names } else { 0 },
+        };
+        let class = ask.class;
+        if dice.chance(1) {
+            self.core.take_left(self.now, ask);
+        } else {
+            let id = self.core.take(self.now, ask);
+            self.open.push(id);
+        }
+        self.commands(&format!("take class {class}"));
+    }
+
+    fn pick(&mut self, written: bool) -> Option<AttemptKey> {
+        let all: Vec<AttemptKey> = self
+            .out
+            .iter()
+            .filter(|o| o.1 == written)
+            .map(|o| o.0)
+            .collect();
+        (!all.is_empty()).then(|| all[self.dice.below(all.len() as u64) as usize])
+    }
+
+    fn write(&mut self) {
+        let Some(key) = self.pick(false) else { return };
+        self.core.reached(key, Progress::Connected);
+        let may = self.core.may_write(self.now, key);
+        let name = self.core.name_on_engine(key).into_owned();
+        let line = format!(
+            "{} first byte {}.{}: {may:?} as {name}",
+            self.now, key.request.0, key.number
+        );
+        self.transcript.line("first byte", &line);
+        if may.is_some() {
+            let whole =
+                [Progress::PartWritten, Progress::WrittenWhole][usize::from(self.dice.chance(80))];
+            self.core.reached(key, whole);
+            self.out
+                .iter_mut()
+                .filter(|o| o.0 == key)
+                .for_each(|o| o.1 = true);
+        } else {
+            self.out.retain(|o| o.0 != key);
+        }
+        self.commands("write");
+    }
+
+    fn serve(&mut self) {
+        let Some(key) = self.pick(true) else { return };
+        self.core.reached(key, Progress::WrittenWhole);
+        if self.dice.chance(60) {
+            let about = vec![("x".to_string(), "y".to_string())];
+            let rows = b"1\n".to_vec();
+            let whole = self.dice.chance(50);
+            self.core.relay(key, Piece { about, rows, whole });
+        }
+        if self.dice.chance(70) {
+            let told = Told {
+                report: vec![],
+                work: self.dice.chance(50).then_some(90_000.0),
+                memory_mb: self.dice.chance(50).then_some(80.0),
+            };
+            self.core.told(key, told);
+            self.core.served(self.now, key);
+            self.out.retain(|o| o.0 != key);
+        }
+        self.commands("answer");
+    }
+
+    fn fail(&mut self) {
+        let written = self.dice.chance(70);
+        let Some(key) = self.pick(written) else {
+            return;
+        };
+        let causes = [
+            Cause::Connection("reset".into()),
+            Cause::Closed("silent".into()),
+            Cause::TimedOut,
+            Cause::TurnedAway,
+            Cause::Engine("Code: 241. DB::Exception: memory".into()),
+            Cause::Spoilt("noise".into()),
+            Cause::Withheld,
+            Cause::Statement("Code: 62. DB::Exception: syntax".into()),
+        ];
+        let among = if written { causes.len() as u64 } else { 3 };
+        let cause = causes[self.dice.below(among) as usize].clone();
+        let words = match self.core.attempt_failed(self.now, key, cause) {
+            Some(error) => format!("{error} / {}", outcome_word(error.outcome())),
+            None => "later".into(),
+        };
+        let line = format!("{} end {}.{}: {words}", self.now, key.request.0, key.number);
+        self.transcript.line("end", &line);
+        self.out.retain(|o| o.0 != key);
+        self.commands("end");
+    }
+
+    fn client(&mut self) {
+        if self.open.is_empty() {
+            return;
+        }
+        let id = self.open[self.dice.below(self.open.len() as u64) as usize];
+        match self.dice.below(5) {
+            0 => {
+                self.core.left(self.now, id);
+                self.open.retain(|&o| o != id);
+            }
+            1 => {
+                self.core.left(self.now, id);
+                self.open.retain(|&o| o != id);
+                self.core.release(self.now, id);
+            }
+            2 => {
+                let name = format!("q{}", 1 + self.dice.below(self.names));
+                let was_there =
+                    self.core
+                        .call_off(self.now, &name, "Code: 394. DB::Exception: killed");
+                let line = format!("{} kill {name}: {was_there}", self.now);
+                self.transcript.line("kill", &line);
+            }
+            3 => self.core.drawn(id),
+            _ => {
+                let within = self.dice.below(S);
+                self.core.shorten(self.now, id, within);
+            }
+        }
+        self.commands("client");
+    }
+
+    fn look(&mut self) {
+        let name = format!("q{}", 1 + self.dice.below(self.names.max(1)));
+        let mut line = format!("{} runs of {name}:", self.now);
+        for run in self.core.runs(self.now, &name) {
+            let _ = write!(line, " {} {} {}", run.engine.0, run.name, run.awaited);
+        }
+        self.transcript.line("runs", &line);
+    }
+
+    fn step(&mut self) {
+        match self.dice.below(40) {
+            0..=9 => self.take(),
+            10..=15 => {
+                let time = self.dice.below(60 * MS);
+                self.pass(time);
+            }
+            16..=24 => self.write(),
+            25..=31 => self.serve(),
+            32..=33 => self.fail(),
+            34 => self.client(),
+            35 => self.look(),
+            36 => {
+                if let Some(key) = self.pick(true) {
+                    let note = [
+                        Note::Progress(0.4),
+                        Note::WaitsForMemory,
+                        Note::WaitsForLoad,
+                        Note::Spills(9.0),
+                    ][self.dice.below(4) as usize];
+                    self.core.noted(self.now, key, note);
+                    self.commands("note");
+                }
+            }
+            37 => {
+                if let Some(tag) = self.probes.pop() {
+                    let outcome = [Outcome::Ok, Outcome::Ok, Outcome::Unreachable]
+                        [self.dice.below(3) as usize];
+                    self.core.probed(self.now, tag, outcome, &[]);
+                    self.commands("probed");
+                }
+            }
+            38 if self.dice.chance(30) => {
+                let n = self.dice.below(ENGINES) as usize;
+                self.phases[n] = [Phase::Ready, Phase::Ready, Phase::Draining, Phase::Gone]
+                    [self.dice.below(4) as usize];
+                let changes = usize::from(self.dice.chance(50));
+                self.list([ListKind::Whole, ListKind::Changes][changes]);
+            }
+            39 if self.dice.chance(20) => {
+                let engine = EngineId(self.dice.below(ENGINES));
+                self.core.doubted(self.now, engine);
+                self.commands("connections reset");
+            }
+            _ => {}
+        }
+    }
+
+    /// Runs so many steps, ends as a process does, and gives the transcript and the counters' text.
+    fn run(mut self, steps: usize) -> String {
+        for _ in 0..steps {
+            self.step();
+        }
+        self.core.answer_all(self.now);
+        self.commands("answer all");
+        self.core.leave();
+        self.take();
+        self.pass(5 * S);
+        format!("{}{}", self.transcript.text(), self.core.counters())
+    }
+}
+
+fn outcome_word(outcome: Outcome) -> &'static str {
+    match outcome {
+        Outcome::Ok => "served",
+        Outcome::Error => "error",
+        Outcome::Full => "full",
+        Outcome::TimedOut => "time-out",
+        Outcome::Unreachable => "unreachable",
+        Outcome::Reset => "reset",
+        Outcome::Cancelled => "cancelled",
+        Outcome::Moot => "never sent",
+    }
+}
+
+#[test]
+fn commands_and_counters_of_the_example_s_settings() {
+    let limits = Limits {
+        doubts: 4,
+        ..LIMITS
+    };
+    let run = World::new(str::to_string, limits, 11).run(20_000);
+    assert_golden!("commands_example.txt", run);
+}
+
+#[test]
+fn commands_and_counters_with_idempotency_keys_grants_and_cancelling() {
+    let edit = |text: &str| {
+        text.replace(
+            "\"single_shot\"",
+            "\"guarded\", \"KeyScope\": \"all\", \"RepeatWindowUs\": 2000000",
+        )
+        .replace("\"Cancel\": false", "\"Cancel\": true")
+        .replace(
+            "\"SizeCores\"",
+            "\"GrantsCount\": true, \"SaysCost\": true, \"SizeCores\"",
+        )
+    };
+    let limits = Limits {
+        doubts: 8,
+        tokens: 12,
+        ..LIMITS
+    };
+    let run = World::new(edit, limits, 12).run(20_000);
+    assert_golden!("commands_keyed.txt", run);
+}
+
+#[test]
+fn counters_of_a_core_that_has_taken_nothing() {
+    let text = core(settings(str::to_string), LIMITS)
+        .counters()
+        .to_string();
+    assert_golden!("counters_empty.txt", text);
+}
+
+/// Every cause at every stage: the words that go to logs, and what the decision module is told.
+#[test]
+fn words_and_outcomes_of_failed_attempts() {
+    let causes = [
+        Cause::Connection("reset by peer".into()),
+        Cause::Closed("silent".into()),
+        Cause::TimedOut,
+        Cause::TurnedAway,
+        Cause::Engine("Code: 241".into()),
+        Cause::Spoilt("noise".into()),
+        Cause::Withheld,
+        Cause::Statement("Code: 62".into()),
+        Cause::Released,
+        Cause::CalledOff,
+    ];
+    let mut text = String::new();
+    for cause in causes {
+        for progress in [
+            Progress::NotConnected,
+            Progress::Connected,
+            Progress::PartWritten,
+            Progress::WrittenWhole,
+            Progress::AnswerBegun,
+        ] {
+            let error = AttemptError {
+                progress,
+                cause: cause.clone(),
+            };
+            let _ = writeln!(text, "{error} = {}", outcome_word(error.outcome()));
+        }
+    }
+    assert_golden!("attempt_errors.txt", text);
+}
+
+/// The words for what a process is doing, and its times, in one life of each kind.
+#[test]
+fn lifecycle_words_and_times() {
+    let mut text = String::new();
+    for state in [
+        State::Starting,
+        State::Ready,
+        State::Draining,
+        State::Drained,
+        State::HandingOver,
+        State::Ending,
+    ] {
+        let _ = writeln!(text, "state {}", state.word());
+    }
+    for n in 0..8 {
+        let (succeeds, held, killed) = (n & 1 > 0, n & 2 > 0, n & 4 > 0);
+        let mut life = Lifecycle::new(succeeds, held, 25 * S, killed);
+        let mut show = |what: &str, life: &mut Lifecycle, now: Micros| {
+            let idle = [0, 299 * MS, 300 * MS, 5 * S].map(|idle| life.keeps_alive(now, idle));
+            let ends = [(0, 0), (0, 1), (1, 1)]
+                .map(|(open, clients)| life.may_end(now, open, clients, false));
+            let _ = writeln!(
+                text,
+                "{n} {what} {now}: {} accepts {} listens {} takes {} sends away {} keeps {idle:?} ends {ends:?} by {:?}",
+                life.state().word(),
+                life.accepts(),
+                life.listens(now),
+                life.takes(now),
+                life.sends_away(now),
+                life.shutdown_deadline(),
+            );
+        };
+        show("new", &mut life, S);
+        life.begin();
+        show("begun", &mut life, S);
+        life.pause(2 * S);
+        for after in [0, 299 * MS, 300 * MS, 1_499 * MS, 1_500 * MS, 3 * S] {
+            show("paused", &mut life, 2 * S + after);
+        }
+        life.look(0);
+        show("empty", &mut life, 6 * S);
+        life.resume();
+        show("resumed", &mut life, 7 * S);
+        life.succeeded(8 * S, true);
+        show("succeeded", &mut life, 8 * S);
+        life.succeeded(9 * S, false);
+        show("alone again", &mut life, 9 * S);
+        life.end(10 * S);
+        for after in [
+            0,
+            699 * MS,
+            700 * MS,
+            799 * MS,
+            800 * MS,
+            1_049 * MS,
+            1_050 * MS,
+            3 * S,
+        ] {
+            show("ending", &mut life, 10 * S + after);
+        }
+    }
+    assert_golden!("lifecycle.txt", text);
+}
--- /dev/null
+++ b/crates/fernlink/tests/transcript.rs
@@ -0,0 +1,850 @@
+//! Long seeded runs of whole groups of coordinators on simulated engines: every action that the decision module asks for is
+//! written as a line in this file's own fixed words, so that a rename changes nothing here and a changed decision does.
+
+mod common;
+
+use common::{class, listed, settings, MS, S};
+use driftfront_test_support::assert_golden;
+use driftfront_test_support::transcript::{Dice, Transcript};
+use fernlink::interface::*;
+use fernlink::Controller;
+use std::collections::{BTreeMap, BTreeSet};
+use std::fmt::Write;
+
+/// An action in fixed words, figures in full.
+fn in_words(action: &Action) -> String {
+    match action {
+        Action::Terms(q, grant, priority) => format!("terms {} {grant:?} {priority}", q.0),
+        Action::Send(q, engine, timeout) => {
+            format!("send {} to {} within {timeout}", q.0, engine.0)
+        }
+        Action::Cancel(q, attempt) => format!("cancel {} {attempt}", q.0),
+        Action::Refuse(q, advice) => format!("refuse {} {advice}", q.0),
+        Action::Fail(q) => format!("fail {}", q.0),
+        Action::Wake(after, token) => format!("wake {after} {token}"),
+        Action::Probe(engine) => format!("probe {}", engine.0),
+        Action::Tell(peer, bytes) => {
+            let hex: String = bytes.iter().map(|b| format!("{b:02x}")).collect();
+            format!("message {peer} {hex}")
+        }
+        Action::Subscribe => "subscribe".into(),
+        Action::Log(line) => format!("log {line}"),
+    }
+}
+
+fn outcome_word(outcome: Outcome) -> &'static str {
+    match outcome {
+        Outcome::Ok => "served",
+        Outcome::Error => "error",
+        Outcome::Full => "full",
+        Outcome::TimedOut => "time-out",
+        Outcome::Unreachable => "unreachable",
+        Outcome::Reset => "reset",
+        Outcome::Cancelled => "cancelled",
+        Outcome::Moot => "never sent",
+    }
+}
+
+#[derive(Clone, Debug)]
+enum What {
+    Arrival(usize),
+    Wake(usize, u64),
+    FirstByte(usize, u64, u8, u64),
+    End(usize, u64, u8, Outcome),
+    Note(usize, u64, u8, Note),
+    Stream(usize, u64, u8),
+    ProbeEnd(usize, u64),
+    Message(usize, usize, Vec<u8>),
+    List(usize, ListKind),
+    NoList(usize),
+    Change(u64),
+    ClientLeaves(usize, u64),
+    Trouble,
+}
+
+struct SimEngine {
+    line: Listed,
+    slowness: f64,
+    down_until: u64,
+    error_percent: u64,
+    running: BTreeSet<(usize, u64, u8)>,
+    threads: f64,
+}
+
+struct SimQuery {
+    query: Query,
+    true_work: f64,
+    /// Engine, when sent, and whether it is out.
+    attempts: Vec<(u64, u64, bool)>,
+    concluded: bool,
+}
+
+struct World {
+    dice: Dice,
+    now: u64,
+    order: u64,
+    due: BTreeMap<(u64, u64), What>,
+    settings: Settings,
+    coordinators: Vec<Controller>,
+    awaits_first_bytes: bool,
+    engines: BTreeMap<u64, SimEngine>,
+    queries: BTreeMap<(usize, u64), SimQuery>,
+    next_query: u64,
+    arrival_gap: f64,
+    out: Transcript,
+}
+
+impl World {
+    fn new(
+        settings: Settings,
+        seed: u64,
+        engines: u64,
+        awaits_first_bytes: bool,
+        load: f64,
+    ) -> World {
+        let mut dice = Dice(seed);
+        let make = |n: u32| {
+            let own = Settings {
+                number: n,
+                zone: (n % 2) as u16,
+                ..settings.clone()
+            };
+            let made = Controller::new(own, seed + u64::from(n) * 977);
+            if awaits_first_bytes {
+                made.awaiting_first_bytes()
+            } else {
+                made
+            }
+        };
+        let coordinators: Vec<Controller> = (0..settings.gateways.min(14)).map(make).collect();
+        let sim = |e: u64| {
+            let line = Listed {
+                zone: (e % 3) as u16,
+                kind: (e % settings.kinds.len() as u64) as u16,
+                cell: (e % 4) as u16,
+                born: dice.chance(30).then(|| 90 * S + dice.below(12) * S),
+                ..listed(e)
+            };
+            let slowness = dice.between(0.8, 1.6);
+            (
+                e,
+                SimEngine {
+                    line,
+                    slowness,
+                    down_until: 0,
+                    error_percent: 0,
+                    running: BTreeSet::new(),
+                    threads: 0.0,
+                },
+            )
+        };
+        let engines: BTreeMap<u64, SimEngine> = (1..=engines).map(sim).collect();
+        let cores: f64 = engines
+            .values()
+            .map(|e| {
+                settings.kinds[usize::from(e.line.kind)]
+                    .cores
+                    .unwrap_or(8.0)
+            })
+            .sum();
+        let mean = settings
+            .classes
+            .iter()
+            .map(|c| 0.25 * c.aim as f64 * c.threads)
+            .sum::<f64>()
+            / settings.classes.len() as f64;
+        let mut world = World {
+            dice,
+            now: 100 * S,
+            order: 0,
+            due: BTreeMap::new(),
+            coordinators,
+            awaits_first_bytes,
+            engines,
+            queries: BTreeMap::new(),
+            next_query: 1,
+            arrival_gap: mean / cores / load,
+            settings,
+            out: Transcript::default(),
+        };
+        for g in 0..world.coordinators.len() {
+            let after = world.dice.below(20 * MS);
+            world.at(after, What::List(g, ListKind::Cached));
+            world.at(after + 40 * MS, What::Arrival(g));
+        }
+        world.at(2 * S, What::Trouble);
+        world
+    }
+
+    fn at(&mut self, after: u64, what: What) {
+        self.order += 1;
+        self.due.insert((self.now + after, self.order), what);
+    }
+
+    fn run(mut self, seconds: u64) -> Transcript {
+        let end = self.now + seconds * S;
+        while let Some(((at, _), what)) = self.due.pop_first() {
+            if at > end {
+                break;
+            }
+            self.now = at;
+            self.happen(what);
+        }
+        for g in 0..self.coordinators.len() {
+            let open = self.coordinators[g].queries_open();
+            let budget = self.coordinators[g].retry_budget_usage(self.now).map(|u| {
+                format!(
+                    "{} {:?} {} {} {} {}",
+                    u.used, u.allowed, u.taken, u.held, u.denied, u.withheld
+                )
+            });
+            self.out.line(
+                "end",
+                &format!("end of {g}: open {open}, budget {budget:?}"),
+            );
+        }
+        self.out
+    }
+
+    fn report(&mut self, engine: u64) -> Vec<f64> {
+        let e = &self.engines[&engine];
+        let cores = self.settings.kinds[usize::from(e.line.kind)]
+            .cores
+            .unwrap_or(8.0);
+        let busy = (e.threads / cores).min(1.0);
+        let (active, waiting) = (e.running.len() as f64, (e.threads - 2.0 * cores).max(0.0));
+        let fields = self.settings.report_fields.clone();
+        let mut values = Vec::new();
+        for field in fields {
+            let value = match field {
+                ReportField::Active => active,
+                ReportField::Waiting => waiting.floor(),
+                ReportField::Busy => busy,
+                ReportField::Memory => (busy * 0.9 + 0.1 * waiting).min(1.0),
+                ReportField::Disk => busy * 0.5,
+                ReportField::ServiceMs => 40.0,
+                ReportField::Rate | ReportField::Errors | ReportField::Unknown => 1.0,
+            };
+            values.push(match self.dice.below(200) {
+                0 => f64::NAN,
+                1 => 1e9,
+                _ => value * self.dice.between(0.9, 1.05),
+            });
+        }
+        values
+    }
+
+    fn tell(&mut self, g: usize, what: &str, event: Event) {
+        let mut actions = Vec::new();
+        self.coordinators[g].handle(self.now, event, &mut actions);
+        for action in actions {
+            let words = in_words(&action);
+            let kind = words.split(' ').next().unwrap_or_default().to_string();
+            self.out
+                .line(&kind, &format!("{} {g} {what}: {words}", self.now));
+            self.obey(g, action);
+        }
+    }
+
+    fn obey(&mut self, g: usize, action: Action) {
+        match action {
+            Action::Terms(..) | Action::Log(_) => {}
+            Action::Wake(after, token) => self.at(after, What::Wake(g, token)),
+            Action::Refuse(q, _) | Action::Fail(q) => {
+                if let Some(query) = self.queries.get_mut(&(g, q.0)) {
+                    query.concluded = true;
+                }
+            }
+            Action::Cancel(q, attempt) => {
+                let after = self.dice.below(3 * MS);
+                self.at(after, What::End(g, q.0, attempt, Outcome::Cancelled));
+            }
+            Action::Probe(engine) => {
+                let after = MS + self.dice.below(8 * MS);
+                self.at(after, What::ProbeEnd(g, engine.0));
+            }
+            Action::Tell(peer, bytes) => {
+                if (peer as usize) < self.coordinators.len() && !self.dice.chance(10) {
+                    let after = MS + self.dice.below(30 * MS);
+                    self.at(after, What::Message(peer as usize, g, bytes));
+                }
+            }
+            Action::Subscribe => {
+                let after = 5 * MS + self.dice.below(50 * MS);
+                match self.dice.below(4) {
+                    0 => self.at(after, What::NoList(g)),
+                    1 => {}
+                    _ => self.at(after, What::List(g, ListKind::Whole)),
+                }
+            }
+            Action::Send(q, engine, timeout) => {
+                let query = self.queries.get_mut(&(g, q.0)).expect("it has arrived");
+                let attempt = query.attempts.len() as u8;
+                query.attempts.push((engine.0, self.now, true));
+                if self.awaits_first_bytes {
+                    let after = match self.dice.below(4) {
+                        0 => self.dice.below(400 * MS),
+                        _ => self.dice.below(2 * MS),
+                    };
+                    self.at(after, What::FirstByte(g, q.0, attempt, timeout));
+                } else {
+                    self.start(g, q.0, attempt, timeout);
+                }
+            }
+        }
+    }
+
+    fn start(&mut self, g: usize, q: u64, attempt: u8, timeout: u64) {
+        let id = self.queries[&(g, q)].attempts[usize::from(attempt)].0;
+        let threads = self.settings.classes[usize::from(self.queries[&(g, q)].query.class)].threads;
+        let work = self.queries[&(g, q)].true_work;
+        let Some(e) = self.engines.get(&id) else {
+            return self.at(MS, What::End(g, q, attempt, Outcome::Unreachable));
+        };
+        if self.now < e.down_until {
+            let how = match self.dice.below(5) {
+                0 => Outcome::TimedOut,
+                1 => Outcome::Reset,
+                _ => Outcome::Unreachable,
+            };
+            let after = if how == Outcome::TimedOut {
+                timeout
+            } else {
+                MS + self.dice.below(250 * MS)
+            };
+            return self.at(after, What::End(g, q, attempt, how));
+        }
+        let cores = self.settings.kinds[usize::from(e.line.kind)]
+            .cores
+            .unwrap_or(8.0);
+        if e.threads > 4.0 * cores {
+            return self.at(MS, What::End(g, q, attempt, Outcome::Full));
+        }
+        let crowding = (e.threads / cores).max(1.0);
+        let (slowness, errors) = (e.slowness, e.error_percent);
+        let e = self.engines.get_mut(&id).expect("looked up above");
+        e.threads += threads;
+        e.running.insert((g, q, attempt));
+        let mut run = work / threads * slowness * crowding * self.dice.between(0.7, 1.5);
+        if self.dice.chance(2) {
+            run *= 12.0;
+        }
+        let run = run as u64 + 1;
+        if let Some(every) = self.settings.notes_every {
+            for n in 1..=(run / every).min(6) {
+                let done = n as f64 * every as f64 / run as f64;
+                let note = match self.dice.below(20) {
+                    0 => Note::WaitsForLoad,
+                    1 => Note::WaitsForMemory,
+                    2 => Note::Spills(100.0),
+                    _ => Note::Progress(done * self.dice.between(0.8, 1.2)),
+                };
+                self.at(n * every, What::Note(g, q, attempt, note));
+            }
+        }
+        let errs = self.dice.chance(errors);
+        let (after, how) = match self.dice.below(100) {
+            _ if errs => (run / 8 + 1, Outcome::Error),
+            0 => (run / 2 + 1, Outcome::Reset),
+            1 => (run / 4 + 1, Outcome::Error),
+            2 => (MS, Outcome::Full),
+            _ if run > timeout => (timeout, Outcome::TimedOut),
+            _ => (run, Outcome::Ok),
+        };
+        if how == Outcome::Ok && self.dice.chance(10) {
+            self.at(after * 2 / 3, What::Stream(g, q, attempt));
+        }
+        self.at(after, What::End(g, q, attempt, how));
+    }
+
+    fn end(&mut self, g: usize, q: u64, attempt: u8, outcome: Outcome) {
+        let Some(query) = self.queries.get_mut(&(g, q)) else {
+            return;
+        };
+        let (engine, sent, is_out) = query.attempts[usize::from(attempt)];
+        if !is_out {
+            return;
+        }
+        query.attempts[usize::from(attempt)].2 = false;
+        query.concluded |= outcome == Outcome::Ok;
+        let (last, true_work) = (query.concluded, query.true_work);
+        let class = usize::from(query.query.class);
+        let threads = self.settings.classes[class].threads;
+        if let Some(e) = self.engines.get_mut(&engine) {
+            if e.running.remove(&(g, q, attempt)) {
+                e.threads = if e.running.is_empty() {
+                    0.0
+                } else {
+                    e.threads - threads
+                };
+            }
+        }
+        let tells = !self.settings.report_on_probe && !outcome.never_ran();
+        let report = if tells && self.engines.contains_key(&engine) && self.dice.chance(60) {
+            self.report(engine)
+        } else {
+            Vec::new()
+        };
+        let served = outcome == Outcome::Ok;
+        let work = (served && self.dice.chance(60)).then_some(true_work);
+        let memory_mb = (served && self.dice.chance(50)).then_some(true_work / 4_000.0);
+        let ended = Ended {
+            query: QueryId(q),
+            attempt,
+            outcome,
+            last,
+            spent: self.now - sent,
+            work,
+            memory_mb,
+            report: &report,
+        };
+        let what = format!("{q}.{attempt} {}", outcome_word(outcome));
+        self.tell(g, &what, Event::Ended(ended));
+    }
+
+    fn list(&self) -> Vec<Listed> {
+        self.engines.values().map(|e| e.line).collect()
+    }
+
+    fn happen(&mut self, what: What) {
+        match what {
+            What::Arrival(g) => self.arrive(g),
+            What::Wake(g, token) => self.tell(g, "woken", Event::Woken(token)),
+            What::FirstByte(g, q, attempt, timeout) => {
+                let is_out = |s: &SimQuery| s.attempts[usize::from(attempt)].2;
+                if !self.queries.get(&(g, q)).is_some_and(is_out) {
+                    return;
+                }
+                let may = self.coordinators[g].may_go_out(self.now, QueryId(q), attempt);
+                self.out.line(
+                    "first byte",
+                    &format!("{} {g} first byte {q}.{attempt}: {may}", self.now),
+                );
+                if may {
+                    self.start(g, q, attempt, timeout);
+                } else {
+                    self.end(g, q, attempt, Outcome::Moot);
+                }
+            }
+            What::End(g, q, attempt, outcome) => self.end(g, q, attempt, outcome),
+            What::Note(g, q, attempt, note) => {
+                let is_out = |s: &SimQuery| s.attempts[usize::from(attempt)].2;
+                if self.queries.get(&(g, q)).is_some_and(is_out) {
+                    self.tell(g, "note", Event::Noted(QueryId(q), attempt, note));
+                }
+            }
+            What::Stream(g, q, attempt) => {
+                let is_open = |s: &SimQuery| s.attempts[usize::from(attempt)].2 && !s.concluded;
+                if self.queries.get(&(g, q)).is_some_and(is_open) {
+                    self.tell(g, "stream", Event::Streaming(QueryId(q), attempt));
+                }
+            }
+            What::ProbeEnd(g, engine) => {
+                let (outcome, report) = match self.engines.get(&engine) {
+                    None => (Outcome::Unreachable, vec![]),
+                    Some(e) if self.now < e.down_until => match self.dice.below(4) {
+                        0 => (Outcome::TimedOut, vec![]),
+                        1 => (Outcome::Reset, vec![]),
+                        _ => (Outcome::Unreachable, vec![]),
+                    },
+                    Some(_) => match self.dice.below(40) {
+                        0 => (Outcome::Error, vec![]),
+                        1 => (Outcome::Full, vec![]),
+                        _ => (Outcome::Ok, self.report(engine)),
+                    },
+                };
+                let what = format!("probe {engine} {}", outcome_word(outcome));
+                self.tell(g, &what, Event::Probed(EngineId(engine), outcome, &report));
+            }
+            What::Message(to, from, mut bytes) => {
+                if self.dice.chance(2) {
+                    bytes.truncate(self.dice.below(bytes.len() as u64) as usize);
+                }
+                self.tell(to, "message", Event::Message(from as u32, &bytes));
+            }
+            What::List(g, kind) => {
+                let list = self.list();
+                self.tell(g, "list", Event::Engines(kind, &list));
+            }
+            What::NoList(g) => self.tell(g, "no list", Event::DiscoveryFailed),
+            What::Change(engine) => {
+                let line = match self.engines.get(&engine) {
+                    Some(e) => e.line,
+                    None => Listed {
+                        phase: Phase::Gone,
+                        ..listed(engine)
+                    },
+                };
+                for g in 0..self.coordinators.len() {
+                    self.tell(g, "change", Event::Engines(ListKind::Changes, &[line]));
+                }
+            }
+            What::ClientLeaves(g, q) => {
+                let open = self.queries.get_mut(&(g, q)).filter(|s| !s.concluded);
+                if let Some(query) = open {
+                    query.concluded = true;
+                    self.tell(g, "client left", Event::ClientGone(QueryId(q)));
+                }
+            }
+            What::Trouble => self.trouble(),
+        }
+    }
+
+    fn trouble(&mut self) {
+        let again = S / 2 + self.dice.below(2 * S);
+        self.at(again, What::Trouble);
+        let count = self.engines.len() as u64;
+        let id = 1 + self.dice.below(count + 2);
+        let now = self.now;
+        let dice = &mut self.dice;
+        match (dice.below(7), self.engines.get_mut(&id)) {
+            (0, Some(e)) => e.slowness = dice.between(0.7, 6.0),
+            (1, Some(e)) => e.error_percent = [0, 30, 85][dice.below(3) as usize],
+            (2, Some(e)) => {
+                e.down_until = now + dice.below(4 * S);
+                e.line.born = Some(e.down_until.max(now));
+                let back = e.down_until - now + 100 * MS;
+                let lost: Vec<_> = e.running.iter().copied().collect();
+                for (g, q, attempt) in lost {
+                    let after = self.dice.below(20 * MS);
+                    self.at(after, What::End(g, q, attempt, Outcome::Reset));
+                }
+                self.at(back, What::Change(id));
+            }
+            (3, Some(e)) => {
+                e.line.phase = match e.line.phase {
+                    Phase::Ready => Phase::Draining,
+                    Phase::Draining | Phase::Gone => Phase::Ready,
+                };
+                self.at(MS, What::Change(id));
+            }
+            (4, Some(_)) if count > 3 => {
+                self.engines.remove(&id);
+                self.at(MS, What::Change(id));
+            }
+            (5, Some(e)) => {
+                let zone = e.line.zone;
+                let until = now + 2 * S;
+                for e in self.engines.values_mut().filter(|e| e.line.zone == zone) {
+                    e.down_until = until;
+                }
+            }
+            (_, None) => {
+                let line = Listed {
+                    zone: (id % 3) as u16,
+                    kind: (id % self.settings.kinds.len() as u64) as u16,
+                    born: Some(now),
+                    ..listed(id)
+                };
+                let e = SimEngine {
+                    line,
+                    slowness: 1.0,
+                    down_until: 0,
+                    error_percent: 0,
+                    running: BTreeSet::new(),
+                    threads: 0.0,
+                };
+                self.engines.insert(id, e);
+                self.at(MS, What::Change(id));
+            }
+            _ => {
+                self.arrival_gap *= [0.6, 0.8, 1.4, 1.5][self.dice.below(4) as usize];
+            }
+        }
+    }
+
+    fn arrive(&mut self, g: usize) {
+        let own_gap = self.arrival_gap * self.coordinators.len() as f64;
+        let gap = own_gap * self.dice.between(0.1, 1.9);
+        self.at(gap as u64 + 1, What::Arrival(g));
+        let dice = &mut self.dice;
+        let class = dice.below(self.settings.classes.len() as u64) as u16;
+        let c = &self.settings.classes[usize::from(class)];
+        let true_work = 0.25 * c.aim as f64 * c.threads * dice.between(0.2, 1.8);
+        let known = dice.below(10);
+        let (memory_known, pinned) = (dice.chance(50), dice.below(20));
+        let pin = (pinned < 2).then(|| Pin {
+            engine: EngineId(1 + dice.below(4)),
+            only: pinned == 0,
+        });
+        let query = Query {
+            id: QueryId(self.next_query),
+            class: if dice.below(300) == 0 { 99 } else { class },
+            tenant: dice.below(4) as u32,
+            work: (known < 7).then(|| true_work * dice.between(0.5, 2.0)),
+            memory_mb: memory_known.then_some(true_work / 3_000.0),
+            tables: dice.below(6) as u32,
+            key: dice.chance(50).then(|| dice.below(5)),
+            token: dice.chance(80),
+            known_until: dice.chance(10).then(|| self.now + dice.below(3 * S)),
+            pin,
+            budget: if dice.chance(2) {
+                dice.below(30 * MS)
+            } else {
+                c.aim * 2 + dice.below(2 * S)
+            },
+        };
+        self.next_query += 1;
+        let id = query.id.0;
+        if dice.chance(3) {
+            let after = self.dice.below(S);
+            self.at(after, What::ClientLeaves(g, id));
+        }
+        let sim = SimQuery {
+            query: Query {
+                class: query.class.min(self.settings.classes.len() as u16 - 1),
+                ..query
+            },
+            true_work,
+            attempts: Vec::new(),
+            concluded: false,
+        };
+        self.queries.insert((g, id), sim);
+        self.tell(g, &format!("arrival {id}"), Event::Arrived(query));
+    }
+}
+
+/// Three classes that differ in all that matters to a decision.
+fn classes() -> Vec<Class> {
+    let mut short = class(200 * MS, 1.0, 1.0);
+    short.late_worth = 0.2;
+    let mut wide = class(800 * MS, 6.0, 4.0);
+    (wide.effect, wide.repeat_group, wide.aim_stretch) = (Effect::Keyed, RepeatGroup::Zone, 1.5);
+    wide.waits_for_loads = true;
+    let mut load = class(1_500 * MS, 4.0, 2.0);
+    (load.effect, load.in_order, load.load) = (Effect::Unsafe, true, true);
+    (load.late_worth, load.zones) = (0.6, Some(vec![0, 1]));
+    vec![short, wide, load]
+}
+
+fn kinds(cores: f64) -> Vec<Kind> {
+    let kind = |cores: f64| Kind {
+        cores: Some(cores),
+        memory_mb: Some(cores * 1_000.0),
+    };
+    vec![kind(cores), kind(cores * 2.0)]
+}
+
+const LOAD_REPORT: [ReportField; 6] = [
+    ReportField::Active,
+    ReportField::Waiting,
+    ReportField::Busy,
+    ReportField::Memory,
+    ReportField::Unknown,
+    ReportField::Disk,
+];
+
+fn slow_start() -> ColdStart {
+    ColdStart {
+        from: 0.3,
+        warm_after: 6 * S,
+        multiple: 2.0,
+        window: S,
+    }
+}
+
+fn retry_budget() -> RetryBudget {
+    RetryBudget {
+        free: 3.0,
+        ratio: 0.1,
+        window: 2 * S,
+    }
+}
+
+/// Few coordinators with a large part of each engine, on few figures.
+fn few() -> Settings {
+    Settings {
+        gateways: 3,
+        kinds: kinds(8.0),
+        report_fields: LOAD_REPORT.to_vec(),
+        max_attempts: Some(4),
+        settle: 300 * MS,
+        ..settings(classes())
+    }
+}
+
+/// Many coordinators, so that each has a small part of each engine.
+fn many() -> Settings {
+    Settings {
+        gateways: 14,
+        kinds: kinds(4.0),
+        may_probe: true,
+        may_message: true,
+        report_on_probe: true,
+        ..few()
+    }
+}
+
+#[test]
+fn transcript_of_a_lone_coordinator() {
+    let alone = Settings {
+        gateways: 1,
+        ..few()
+    };
+    assert_golden!(
+        "transcript_alone.txt",
+        World::new(alone, 1, 4, false, 1.1).run(60).text()
+    );
+}
+
+#[test]
+fn transcript_of_few_coordinators_with_gossip_and_grants() {
+    let s = Settings {
+        may_message: true,
+        may_probe: true,
+        grants: true,
+        priorities: true,
+        largest_grant: Some(0.5),
+        out_of_memory: OutOfMemory::Shrink,
+        crossing_costs: true,
+        ..few()
+    };
+    assert_golden!(
+        "transcript_few_gossip.txt",
+        World::new(s, 2, 6, false, 1.2).run(40).text()
+    );
+}
+
+#[test]
+fn transcript_of_slow_start_budget_and_quota() {
+    let s = Settings {
+        retry_budget: Some(retry_budget()),
+        cold: Some(slow_start()),
+        tenants: vec![Tenant { quota_per_s: 8.0 }; 3],
+        over_quota_worth: 0.1,
+        worth_by_work: true,
+        may_probe: true,
+        ..few()
+    };
+    assert_golden!(
+        "transcript_slow_start.txt",
+        World::new(s, 3, 6, false, 1.0).run(40).text()
+    );
+}
+
+#[test]
+fn transcript_of_attempts_that_wait_for_their_connection() {
+    let s = Settings {
+        retry_budget: Some(retry_budget()),
+        cold: Some(slow_start()),
+        may_probe: true,
+        ..few()
+    };
+    assert_golden!(
+        "transcript_first_bytes.txt",
+        World::new(s, 4, 6, true, 1.0).run(40).text()
+    );
+}
+
+#[test]
+fn transcript_of_progress_notes_and_copies() {
+    let s = Settings {
+        notes_every: Some(100 * MS),
+        may_copy: true,
+        may_cancel: false,
+        ask_discovery: true,
+        ask_within: Some(4 * S),
+        out_of_memory: OutOfMemory::Page,
+        ..few()
+    };
+    assert_golden!(
+        "transcript_copies.txt",
+        World::new(s, 5, 6, false, 1.1).run(40).text()
+    );
+}
+
+#[test]
+fn transcript_of_many_coordinators() {
+    let s = Settings {
+        cold: Some(slow_start()),
+        ..many()
+    };
+    assert_golden!(
+        "transcript_many.txt",
+        World::new(s, 6, 24, false, 0.9).run(25).text()
+    );
+}
+
+#[test]
+fn transcript_of_many_coordinators_on_paging_engines() {
+    let s = Settings {
+        out_of_memory: OutOfMemory::Page,
+        may_cancel: false,
+        grants: true,
+        ..many()
+    };
+    assert_golden!(
+        "transcript_many_paging.txt",
+        World::new(s, 7, 20, false, 1.2).run(25).text()
+    );
+}
+
+#[test]
+fn transcript_of_many_coordinators_with_reports_on_answers() {
+    let s = Settings {
+        report_on_probe: false,
+        retry_budget: Some(retry_budget()),
+        cold: Some(slow_start()),
+        notes_every: Some(150 * MS),
+        may_copy: true,
+        tenants: vec![Tenant { quota_per_s: 30.0 }; 4],
+        over_quota_worth: 0.2,
+        ..many()
+    };
+    assert_golden!(
+        "transcript_many_answers.txt",
+        World::new(s, 8, 20, true, 1.1).run(25).text()
+    );
+}
+
+/// Settings drawn by the seed: what no test above combines.
+#[test]
+fn transcript_of_settings_drawn_at_random() {
+    let mut all = String::new();
+    for seed in 100..124 {
+        let mut dice = Dice(seed);
+        let mut yes = |percent| dice.chance(percent);
+        let base = if yes(50) { many() } else { few() };
+        let s = Settings {
+            may_cancel: yes(60),
+            may_copy: yes(40),
+            may_probe: yes(60),
+            may_message: yes(60),
+            report_on_probe: yes(50),
+            grants: yes(40),
+            priorities: yes(40),
+            worth_by_work: yes(40),
+            ask_discovery: yes(30),
+            ask_within: yes(50).then_some(3 * S),
+            crossing_costs: yes(50),
+            max_attempts: yes(50).then_some(3),
+            retry_after: yes(70).then_some(300 * MS),
+            notes_every: yes(40).then_some(120 * MS),
+            retry_budget: yes(50).then(retry_budget),
+            cold: yes(60).then(slow_start),
+            largest_grant: yes(50).then_some(0.4),
+            out_of_memory: match (yes(40), yes(50)) {
+                (true, _) => OutOfMemory::Page,
+                (false, true) => OutOfMemory::Shrink,
+                (false, false) => OutOfMemory::Wait,
+            },
+            report_fields: if yes(30) {
+                vec![]
+            } else {
+                LOAD_REPORT.to_vec()
+            },
+            ..base
+        };
+        let awaits = yes(40);
+        let run = World::new(
+            s,
+            seed,
+            5 + seed % 9,
+            awaits,
+            1.0 + 0.05 * (seed % 7) as f64,
+        )
+        .run(12);
+        let _ = write!(all, "seed {seed} {}", run.summary());
+    }
+    assert_golden!("transcript_random.txt", all);
+}
--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -2,3 +2,4 @@
 #![warn(missing_docs)]
 
 pub mod golden;
+pub mod transcript;
