--- /dev/null
+++ b/crates/node/tests/golden/operators/completions.tcsh
@@ -0,0 +1,3 @@
+$ driftfront completions tcsh
+[2]
+driftfront: no completions for tcsh: bash, zsh or fish
--- /dev/null
+++ b/crates/node/tests/golden_operators/commands.rs
@@ -0,0 +1,373 @@
+//! Sub-commands, their help and exit codes; the operator's file as `check` reads it, and what is said of a wrong one.
+
+use crate::{common, type_in, Folder};
+use driftfront::config::Config;
+use driftfront_control::commands::COMMANDS;
+use driftfront_test_support::assert_golden;
+use std::os::unix::fs::PermissionsExt;
+use tinyjson::JsonValue;
+
+fn deploy(name: &str) -> String {
+    let path = format!("{}/../../deploy/{name}", env!("CARGO_MANIFEST_DIR"));
+    std::fs::read_to_string(path).expect("a file of deploy/")
+}
+
+#[test]
+fn help_completions_and_manual() {
+    let folder = Folder::new("help");
+    let mut text = type_in(&folder.0, &["--help"]);
+    let help = text.split_once('\n').expect("a line").1.to_string();
+    for command in COMMANDS {
+        let of_command = type_in(&folder.0, &[command.name, "--help"]);
+        assert_eq!(
+            of_command.split_once('\n').expect("a line").1,
+            help,
+            "{}",
+            command.name
+        );
+        text += &format!("the same: driftfront {} --help\n", command.name);
+    }
+    assert_golden!("operators/help.txt", text);
+    for shell in ["bash", "zsh", "fish", "tcsh"] {
+        let text = type_in(&folder.0, &["completions", shell]);
+        assert_golden!(&format!("operators/completions.{shell}"), text);
+    }
+    assert_golden!("operators/manual.1", type_in(&folder.0, &["manual"]));
+}
+
+#[test]
+fn exit_codes_and_words_of_wrong_uses() {
+    let folder = Folder::new("uses");
+    folder.write("key", "0123456789abcdef\n");
+    let uses: &[&[&str]] = &[
+        &[],
+        &["serv"],
+        &["--config", "a"],
+        &["serve"],
+        &["serve", "--config"],
+        &["serve", "--config", "none.kdl"],
+        &["serve", "--config", "none.kdl", "--log", "loud"],
+        &["serve", "--config", "none.kdl", "--port"],
+        &["check"],
+        &["check", "--config", "none.kdl"],
+        &["check", "--config", "none.json"],
+        &["check", "--config", "none.kdl", "more"],
+        &["init", "a.kdl", "b.kdl"],
+        &["init", "a.kdl"],
+        &["init", "a.kdl"],
+        &["init", "no/folder.kdl"],
+        &["counters"],
+        &["counters", "--at", "nowhere"],
+        &["counters", "--at", "127.0.0.1:1"],
+        &["completions"],
+        &["version"],
+        &["version", "more"],
+        &["status", "--at", "no.sock"],
+        &["status", "--at", "127.0.0.1:1"],
+        &["status", "--at", "127.0.0.1:1", "--key-file", "none"],
+        &["status", "--at", "127.0.0.1:1", "--key-file", "key"],
+        &["status", "--at", "no.sock", "more"],
+        &["engines", "--at", "no.sock", "--json"],
+        &["classes", "--at", "no.sock"],
+        &["queries", "--at", "no.sock"],
+        &["members", "--at", "no.sock"],
+        &["holds", "--at", "no.sock"],
+        &["events", "--at", "no.sock"],
+        &["console", "--at", "no.sock", "--plain"],
+        &["console", "--at", "no.sock", "--fast"],
+        &["drain", "--at", "no.sock"],
+        &["drain", "e1", "--at", "no.sock"],
+        &["resume", "--at", "no.sock"],
+        &["pause", "--at", "no.sock"],
+        &["unpause", "now", "--at", "no.sock"],
+        &["add", "--at", "no.sock"],
+        &["remove", "--at", "no.sock"],
+        &["roll", "--back", "--stop", "--at", "no.sock"],
+        &["hold", "--at", "no.sock"],
+        &["hold", "a", "--for", "10", "--at", "no.sock"],
+        &["hold", "a", "--for", "0s", "--at", "no.sock"],
+        &["hold", "a", "--for", "9d", "--at", "no.sock"],
+        &["hold", "a", "--for", "2h", "--at", "no.sock"],
+        &["unhold", "--at", "no.sock"],
+    ];
+    let text: String = uses.iter().map(|args| type_in(&folder.0, args)).collect();
+    assert_golden!("operators/uses.txt", text);
+    assert_golden!(
+        "operators/init.kdl",
+        std::fs::read(folder.0.join("a.kdl")).expect("init wrote it")
+    );
+    assert_eq!(
+        deploy("appliance.kdl").into_bytes(),
+        std::fs::read(folder.0.join("a.kdl")).expect("init wrote it")
+    );
+}
+
+#[test]
+fn check_of_the_files_in_deploy() {
+    let folder = Folder::new("check");
+    folder.write("appliance.kdl", &deploy("appliance.kdl"));
+    folder.write("fleet.kdl", &deploy("fleet.kdl"));
+    folder.write(
+        "fleet-and-state.kdl",
+        &(deploy("fleet.kdl") + "state \"state\"\n"),
+    );
+    folder.write("site.json", &common::appliance());
+    folder.write(
+        "etcd.kdl",
+        "engines { etcd \"127.0.0.1:2379\" prefix=\"/engines/\"; }\nfront \"platform\"\n",
+    );
+    folder.write("file.kdl", "engines { file \"engines.json\"; }\n");
+    let stream = common::lines::config("127.0.0.1:7".parse().expect("an address"));
+    folder.write("stream.json", &stream);
+    let check = |name: &str| type_in(&folder.0, &["check", "--config", name]);
+    let mut text = check("fleet.kdl");
+    folder.write("fleet.key", "0123456789abcdef0123456789abcdef\n");
+    let mode = |mode| {
+        std::fs::set_permissions(
+            folder.0.join("fleet.key"),
+            std::fs::Permissions::from_mode(mode),
+        )
+        .expect("a mode")
+    };
+    mode(0o644);
+    text += &check("fleet.kdl");
+    mode(0o600);
+    for name in [
+        "fleet.kdl",
+        "fleet-and-state.kdl",
+        "appliance.kdl",
+        "site.json",
+        "etcd.kdl",
+        "file.kdl",
+        "stream.json",
+    ] {
+        text += &check(name);
+    }
+    for keys in [
+        "",
+        "xyz\n",
+        "0123456789abcdef\n",
+        "# two\n0123456789abcdef0123456789abcdef\n\nfedcba9876543210fedcba9876543210\n",
+    ] {
+        folder.write("fleet.key", keys);
+        text += &format!("# fleet.key: {keys:?}\n{}", check("fleet.kdl"));
+    }
+    assert_golden!("operators/check.txt", text);
+}
+
+/// JSON with its keys in order: tinyjson's maps have none.
+pub fn ordered(value: &JsonValue) -> String {
+    match value {
+        JsonValue::Array(list) => format!(
+            "[{}]",
+            list.iter().map(ordered).collect::<Vec<_>>().join(",")
+        ),
+        JsonValue::Object(fields) => {
+            let mut fields: Vec<String> = fields
+                .iter()
+                .map(|(k, v)| {
+                    format!(
+                        "{}:{}",
+                        JsonValue::from(k.clone()).stringify().expect("text"),
+                        ordered(v)
+                    )
+                })
+                .collect();
+            fields.sort();
+            format!("{{{}}}", fields.join(",\n"))
+        }
+        other => other.stringify().expect("JSON"),
+    }
+}
+
+/// Every setting that an operator's file can hold.
+const EVERYTHING: &str = r#"
+name "school"
+listen "127.0.0.1:8200"
+front "clickhouse"
+engines {
+    engine "a" at="127.0.0.1:1" building="west" kind="std-16"
+    engine "b" at="127.0.0.1:2" building="east" kind="odd"
+    engine "c" at="127.0.0.1:3"
+}
+kind "std-16" cores=16 memory-mb=4096
+class "look" wanted="500 ms" patience="2.5 s" worth=2 threads=3 stretch=1.5 late-worth=0.25
+class "load" wanted="1 s" patience="10 min" once=#true in-order=#true holds-tables=#true
+class "again" wanted="300000 us" patience="1 s" repeats-dropped="20 s" in-order=#false
+reads "look"
+writes "load"
+deduplicated "again"
+limits memory-mb=64 sockets=512 open=300
+results stall="3 s" upload="2 min"
+state "/var/lib/driftfront"
+control "/run/driftfront.sock"
+fleet listen="127.0.0.1:7946" advertise="127.0.0.1:7950" key-file="fleet.key" zone="z" region="r" replace-after="90 s" {
+    seed "127.0.0.1:7947"
+    voter "school"
+    voter "b"
+    voter "c"
+}
+"#;
+
+#[test]
+fn the_operator_s_file_as_the_platform_s_json() {
+    let json = |text: &str| ordered(&driftfront::operator::read(text).expect("well formed")) + "\n";
+    assert_golden!("operators/appliance.json", json(&deploy("appliance.kdl")));
+    assert_golden!("operators/fleet.json", json(&deploy("fleet.kdl")));
+    assert_golden!("operators/everything.json", json(EVERYTHING));
+    assert_golden!(
+        "operators/smallest.json",
+        json("engines { file \"engines.json\"; }\n")
+    );
+}
+
+#[test]
+fn a_configuration_s_values() {
+    let text = [
+        EVERYTHING,
+        &deploy("appliance.kdl"),
+        "engines { file \"engines.json\"; }\n",
+    ]
+    .map(|text| values(&Config::of_operator(text).expect("well formed")))
+    .join("\n");
+    let json = values(&Config::read(common::appliance().as_bytes()).expect("well formed"));
+    assert_golden!("operators/values.txt", text + "\n" + &json);
+}
+
+fn values(c: &Config) -> String {
+    let mut text = format!(
+        "name {}\nlisten {}\nseed {}\nsockets {}\nfront {:?}\n",
+        c.name, c.listen, c.seed, c.sockets, c.wire
+    );
+    let r = &c.clickhouse;
+    text += &format!(
+        "read {} write {} deduplicated {:?} upload {} keep {}\nstall {} unread {}\n",
+        r.read, r.write, r.deduplicated, r.upload, r.keep, c.stall, c.unread
+    );
+    text += &format!(
+        "known {} {}\nclasses {:?} {:?}\ntenants {:?}\nzones {:?}\nkinds {:?}\ngauges {:?}\n",
+        c.known_index,
+        c.known.len(),
+        c.classes.names,
+        c.classes.patience,
+        c.tenants,
+        c.zones,
+        c.kinds,
+        c.gauges
+    );
+    let l = &c.limits;
+    text += &format!(
+        "connect {} idle {} streams {}\nopen {} probe {} margin {} each {} tokens {} doubts {}\n",
+        c.connect_timeout,
+        c.idle,
+        c.streams,
+        l.open,
+        l.probe_timeout,
+        l.answer_margin,
+        l.tells_each,
+        l.tokens,
+        l.doubts
+    );
+    text += &format!(
+        "control {:?} {:?}\nmanagement {:?}\nstate {:?}\n",
+        c.control, c.control_port, c.management, c.state
+    );
+    if let Some(f) = &c.fleet {
+        text += &format!(
+            "fleet {} {:?} {:?} {:?} {} {} {:?} {}\n",
+            f.listen, f.advertise, f.key_file, f.seeds, f.zone, f.region, f.voters, f.replace_after
+        );
+    }
+    text
+}
+
+#[test]
+fn what_is_said_of_a_wrong_file() {
+    let folder = Folder::new("mistakes");
+    folder.write("short.key", "short\n");
+    let engines = "engines { engine \"e\" at=\"127.0.0.1:1\"; }\n";
+    let mut text = String::new();
+    for wrong in [
+        "lissten \"x\"\n",
+        "altogether \"x\"\n",
+        "listen 5\n",
+        "listen\n",
+        "listen \"a\" \"b\"\n",
+        "\n  listen \"here\"\n",
+        "front \"mysql\"\n",
+        "class \"a\" wanted=\"500\" patience=\"1 s\"\n",
+        "class \"a\" wanted=\"2 s\" patience=\"1 s\"\n",
+        "class \"a\" patience=\"1 s\"\n",
+        "class \"a\" wanted=\"1 s\"\n",
+        "class \"a\" wanted=\"1 s\" patience=\"25 h\"\n",
+        "class \"a\" wanted=\"1 s\" patience=\"2 s\" once=\"yes\"\n",
+        "class \"a\" wanted=\"1 s\" patience=\"2 s\" threads=0\n",
+        "class \"a\" wanted=\"1 s\" patience=\"2 s\" late-worth=1.5\n",
+        "class \"a\" wanted=\"1 s\" patience=\"2 s\" repeats-dropped=5\n",
+        "class \"a\" wonted=\"1 s\"\n",
+        "limits sockets=3\n",
+        "limits memory-mb=\"x\"\n",
+        "limits open=5000\n",
+        "results stall=\"0 s\"\n",
+        "results stal=\"1 s\"\n",
+        "kind \"k\" cores=0\n",
+        "reads \"nothing\"\n",
+        "writes 7\n",
+        "deduplicated \"nothing\"\n",
+        "fleet key-file=\"k\"\n",
+        "fleet listen=\"127.0.0.1:1\"\n",
+        "fleet listen=\"x\" key-file=\"k\"\n",
+        "fleet listen=\"127.0.0.1:1\" advertise=\"x\" key-file=\"k\"\n",
+        "fleet listen=\"127.0.0.1:1\" key-file=\"k\" replace-after=\"soon\"\n",
+        "fleet listen=\"127.0.0.1:1\" key-file=\"k\" {\n  seed \"x\"\n}\n",
+        "fleet listen=\"127.0.0.1:1\" key-file=\"k\" {\n  member \"x\"\n}\n",
+        "fleet listen=\"127.0.0.1:1\" key-file=\"k\" {\n  voter \"x\"\n  voter \"x\"\n  voter \"y\"\n}\n",
+        "engines {\n  engine \"e\" at=\"here\"\n}\n",
+        "engines {\n  engine \"e\"\n}\n",
+        "engines {\n  engine \"e\" at=\"127.0.0.1:1\"\n  engine \"e\" at=\"127.0.0.1:2\"\n}\n",
+        "engines {\n  engin \"e\"\n}\n",
+        "engines {\n  engine \"e\" on=\"127.0.0.1:1\"\n}\n",
+        "engines {\n}\n",
+        "listen \"127.0.0.1:1\"\nlisten \"127.0.0.1:1\"\n",
+        "",
+        "engines {",
+        "\"",
+    ] {
+        let whole = if wrong.contains("engines") || wrong.len() < 2 { wrong.to_string() } else { wrong.to_string() + engines };
+        folder.write("wrong.kdl", &whole);
+        text += &format!("--- {whole:?}\n{}", type_in(&folder.0, &["check", "--config", "wrong.kdl"]));
+    }
+    assert_golden!("operators/mistakes.txt", text);
+    let mut text = String::new();
+    for (from, to) in [
+        ("{", "["),
+        ("\"listen\": \"127.0.0.1:8123\"", "\"listen\": 5"),
+        ("127.0.0.1:8123", "here"),
+        ("\"front\": \"clickhouse\"", "\"front\": \"mysql\""),
+        ("\"read\": \"lookup\"", "\"read\": \"nothing\""),
+        ("\"read\": \"lookup\"", "\"read\": \"lookup\", \"stall_ms\": 0"),
+        ("\"read\": \"lookup\"", "\"read\": \"lookup\", \"upload_ms\": \"x\""),
+        ("\"front\"", "\"coordinator\": \"127.0.0.1:9\", \"front\""),
+        ("{\"file\": \"deploy/engines.json\"}", "{\"etcd\": \"x\"}"),
+        ("\"membership\"", "\"coordinator\": \"x\", \"other\""),
+        ("\"front\"", "\"control_port\": {\"at\": \"x\"}, \"front\""),
+        ("\"front\"", "\"control_port\": {\"at\": \"1.2.3.4:5\"}, \"front\""),
+        ("\"front\"", "\"control_port\": {\"at\": \"127.0.0.1:5\"}, \"front\""),
+        ("\"front\"", "\"control_port\": {\"at\": \"127.0.0.1:5\", \"key_file\": \"none\"}, \"front\""),
+        ("\"front\"", "\"control_port\": {\"at\": \"127.0.0.1:5\", \"key_file\": \"short.key\"}, \"front\""),
+        ("\"front\"", "\"fleet\": {}, \"front\""),
+        ("\"front\"", "\"fleet\": {\"listen\": \"x\"}, \"front\""),
+        ("\"front\"", "\"fleet\": {\"listen\": \"127.0.0.1:5\"}, \"front\""),
+        ("\"front\"", "\"fleet\": {\"listen\": \"127.0.0.1:5\", \"key_file\": \"k\", \"seeds\": [\"x\"]}, \"front\""),
+        ("\"front\": \"clickhouse\"", "\"fleet\": {\"listen\": \"127.0.0.1:5\", \"key_file\": \"k\"}"),
+        ("\"Profiles\"", "\"Other\""),
+        ("\"Effect\": \"free\"", "\"Effect\": \"odd\""),
+        ("\"OnTimeUs\": 500000", "\"OnTimeUs\": \"x\""),
+    ] {
+        let whole = common::appliance();
+        assert!(whole.contains(from), "{from}");
+        folder.write("wrong.json", &whole.replacen(from, to, 1));
+        text += &format!("--- {from} -> {to}\n{}", type_in(&folder.0, &["check", "--config", "wrong.json"]));
+    }
+    assert_golden!("operators/mistakes-json.txt", text);
+}
--- /dev/null
+++ b/crates/node/tests/golden_operators/control.rs
@@ -0,0 +1,300 @@
+//! The control socket's replies, the second address' calls, and the counters.
+
+use crate::commands::ordered;
+use crate::common::lines::Site as LineSite;
+use crate::common::site::Plan;
+use crate::common::{get, FOR_EVER};
+use crate::Folder;
+use driftfront_control::{Request, REPLY_MOST};
+use driftfront_test_support::assert_golden;
+use std::io::{BufRead, BufReader, Read, Write};
+use std::os::unix::net::UnixStream;
+use tinyjson::JsonValue;
+
+/// Numbers and times made the same; what is said in words stays.
+fn plain(value: &JsonValue) -> JsonValue {
+    match value {
+        JsonValue::Number(_) => JsonValue::String("NUMBER".into()),
+        JsonValue::Array(list)
+            if list.iter().all(|v| matches!(v, JsonValue::Number(_))) && !list.is_empty() =>
+        {
+            JsonValue::String("NUMBERS".into())
+        }
+        JsonValue::Array(list) => JsonValue::Array(list.iter().map(plain).collect()),
+        JsonValue::Object(fields) => {
+            // When a probe was last answered, or none yet.
+            let of = |k: &str, v: &JsonValue| {
+                if k == "heard_ms" {
+                    JsonValue::Null
+                } else {
+                    plain(v)
+                }
+            };
+            JsonValue::Object(fields.iter().map(|(k, v)| (k.clone(), of(k, v))).collect())
+        }
+        JsonValue::String(text) => {
+            let rest = text
+                .strip_prefix("127.0.0.1:")
+                .filter(|p| p.parse::<u16>().is_ok());
+            let text = if text.starts_with("the file ") {
+                "the file LIST"
+            } else {
+                text
+            };
+            JsonValue::String(rest.map_or(text, |_| "127.0.0.1:PORT").into())
+        }
+        other => other.clone(),
+    }
+}
+
+fn shown(line: &str) -> String {
+    let value = line.parse::<JsonValue>().expect("JSON");
+    ordered(&plain(&value)) + "\n"
+}
+
+struct Operator(BufReader<UnixStream>);
+
+impl Operator {
+    fn connect(folder: &Folder) -> Operator {
+        let stream = UnixStream::connect(folder.0.join("control")).expect("it listens");
+        stream.set_read_timeout(Some(FOR_EVER)).expect("a timeout");
+        Operator(BufReader::new(stream))
+    }
+
+    fn line(&mut self) -> String {
+        let mut line = String::new();
+        let got = (&mut self.0)
+            .take(REPLY_MOST as u64)
+            .read_line(&mut line)
+            .expect("a line");
+        assert!(got > 0, "it was cut off");
+        line
+    }
+
+    fn ask(&mut self, line: &str) -> String {
+        self.0
+            .get_mut()
+            .write_all(line.as_bytes())
+            .expect("it reads");
+        let reply = self.line();
+        format!("> {line}{}", shown(&reply))
+    }
+}
+
+/// A request's line with its fields in order.
+fn line(request: &Request) -> String {
+    let value = request.line(7).parse::<JsonValue>().expect("JSON");
+    ordered(&value).replace('\n', "") + "\n"
+}
+
+fn site(folder: &Folder) -> Plan {
+    let more = format!(
+        "\"control\": \"{0}/control\", \"state\": \"{0}/state\", \"limits\"",
+        folder.0.display()
+    );
+    Plan::of(2)
+        .with("\"limits\"", &more)
+        .with("\"limits\"", "\"management\": \"127.0.0.1:0\", \"limits\"")
+}
+
+#[test]
+fn replies_of_the_control_socket() {
+    let folder = Folder::new("control");
+    let site = site(&folder).start();
+    assert_eq!(site.query("SELECT 1").status, 200);
+    let mut operator = Operator::connect(&folder);
+    let mut text = shown(&operator.line());
+    let add = Request::Add {
+        engine: "e9".into(),
+        addr: "127.0.0.1:9".into(),
+        zone: String::new(),
+        kind: String::new(),
+    };
+    let hold = Request::Hold {
+        name: "h".into(),
+        for_s: 60,
+        stays: true,
+        note: "why".into(),
+    };
+    for request in [
+        Request::Drain {
+            engine: "e0".into(),
+            force: false,
+        },
+        Request::Drain {
+            engine: "e0".into(),
+            force: false,
+        },
+        Request::Drain {
+            engine: "e1".into(),
+            force: false,
+        },
+        Request::Drain {
+            engine: "e7".into(),
+            force: true,
+        },
+        Request::Resume("e0".into()),
+        Request::Resume("e0".into()),
+        Request::Remove {
+            engine: "e1".into(),
+            force: false,
+        },
+        add.clone(),
+        add,
+        Request::Remove {
+            engine: "e9".into(),
+            force: true,
+        },
+        Request::Remove {
+            engine: "e9".into(),
+            force: true,
+        },
+        Request::Pause,
+        Request::Pause,
+        Request::Unpause,
+        Request::Unpause,
+        hold,
+        Request::Unhold("h".into()),
+        Request::Back,
+        Request::RollStop,
+        Request::RollGoOn,
+        Request::Roll(vec![], true),
+        Request::Roll(vec!["e0".into()], false),
+        Request::RollStop,
+        Request::RollGoOn,
+        Request::RollStop,
+        Request::Auth("x".into()),
+    ] {
+        text += &operator.ask(&line(&request));
+    }
+    for bad in [
+        "nonsense\n",
+        "{}\n",
+        "{\"v\":2,\"id\":3,\"do\":\"snapshot\"}\n",
+        "{\"v\":1,\"id\":3}\n",
+        "{\"v\":1,\"id\":3,\"do\":\"dance\"}\n",
+        "{\"v\":1,\"id\":3,\"do\":\"drain\"}\n",
+        "{\"v\":1,\"id\":3,\"do\":\"hold\",\"name\":\"a\"}\n",
+        "{\"v\":1,\"id\":3,\"do\":\"add\",\"engine\":\"a\\tb\",\"addr\":\"127.0.0.1:4\"}\n",
+        "{\"v\":1,\"id\":3,\"do\":\"add\",\"engine\":\"ab\",\"addr\":\"here\"}\n",
+        "{\"v\":1,\"id\":3,\"do\":\"add\",\"engine\":\"ab\",\"addr\":\"127.0.0.1:4\",\"zone\":\"none\"}\n",
+        "{\"v\":1,\"id\":3,\"do\":\"add\",\"engine\":\"ab\",\"addr\":\"127.0.0.1:4\",\"kind\":\"none\"}\n",
+    ] {
+        text += &operator.ask(bad);
+    }
+    assert_golden!("operators/control-replies.txt", text);
+}
+
+#[test]
+fn a_snapshot_and_events_on_the_control_socket() {
+    let folder = Folder::new("snapshot");
+    let site = site(&folder).start();
+    assert_eq!(site.query("SELECT 1").status, 200);
+    let mut operator = Operator::connect(&folder);
+    operator.line();
+    operator.ask(&line(&Request::Drain {
+        engine: "e0".into(),
+        force: false,
+    }));
+    let mut text = operator.ask(&line(&Request::Snapshot));
+    assert!(text.contains("\"snapshot\":{"), "{text}");
+    text += &operator.ask(&line(&Request::Events(false)));
+    while !text.contains("\"done\"") {
+        text += &shown(&operator.line());
+    }
+    let follow = operator.ask(&line(&Request::Follow(200)));
+    assert!(follow.contains("\"snapshot\":{"), "{follow}");
+    assert_golden!("operators/control-snapshot.txt", text);
+}
+
+#[test]
+fn calls_at_the_second_address() {
+    let folder = Folder::new("second");
+    let site = site(&folder).start();
+    let mut text = String::new();
+    for call in [
+        "STATUS\n",
+        "STATUS\r\n",
+        "SUSPEND e0\n",
+        "SUSPEND e0\n",
+        "SUSPEND e1\n",
+        "STATUS\n",
+        "RESTORE e0\n",
+        "RESTORE e0\n",
+        "RESTORE e1\n",
+        "SUSPEND e7\n",
+        "RESTORE e7\n",
+        "PAUSE\n",
+        "PAUSE\n",
+        "STATUS\n",
+        "RESUME\n",
+        "RESUME\n",
+        "\n",
+        "status\n",
+        "SUSPEND\n",
+        "PAUSE now\n",
+    ] {
+        text += &format!("> {call:?}\n{:?}\n", site.coordinator.manage(call));
+    }
+    assert_golden!("operators/calls.txt", text);
+    assert_golden!(
+        "operators/counters-clickhouse.txt",
+        names_of(&get(site.coordinator.addr, "/counters").text())
+    );
+}
+
+/// Names of counters, in order.
+fn names_of(counters: &str) -> String {
+    counters
+        .lines()
+        .map(|l| {
+            l.rsplit_once(' ')
+                .expect("a name and a number")
+                .0
+                .to_string()
+                + "\n"
+        })
+        .collect()
+}
+
+#[test]
+fn counters_on_the_platform_s_wire() {
+    let site = LineSite::start(2);
+    assert_eq!(site.ask("lookup", 2500, "SELECT 1").status, 200);
+    let answer = get(site.coordinator.addr, "/counters");
+    let text = format!(
+        "{:?}\n{}",
+        answer
+            .headers
+            .iter()
+            .map(|h| h.0.clone())
+            .collect::<Vec<_>>(),
+        names_of(&answer.text())
+    );
+    assert_golden!("operators/counters-platform.txt", text);
+}
+
+#[test]
+fn counters_of_a_fleet_of_one() {
+    use std::os::unix::fs::PermissionsExt;
+    let folder = Folder::new("counters");
+    folder.write("key", "0123456789abcdef0123456789abcdef\n");
+    std::fs::set_permissions(folder.0.join("key"), std::fs::Permissions::from_mode(0o600))
+        .expect("a mode");
+    let fleet = format!(
+        "\"fleet\": {{\"listen\": \"127.0.0.1:0\", \"key_file\": \"{}/key\", \"voters\": [\"a\", \"b\", \"c\"], \"zone\": \"z\"}}, \"limits\"",
+        folder.0.display()
+    );
+    let site = site(&folder).with("\"limits\"", &fleet).start();
+    assert_eq!(site.query("SELECT 1").status, 200);
+    assert_golden!(
+        "operators/counters-fleet.txt",
+        names_of(&get(site.coordinator.addr, "/counters").text())
+    );
+    let mut operator = Operator::connect(&folder);
+    operator.line();
+    assert_golden!(
+        "operators/control-snapshot-fleet.txt",
+        operator.ask(&line(&Request::Snapshot))
+    );
+}
