--- a/crates/node/tests/golden_operators/files.rs
+++ b/crates/node/tests/golden_operators/files.rs
@@ -389,3 +389,27 @@
     }
     assert_golden!("operators/listen-line.txt", short);
 }
+
+#[test]
+fn first_line_of_the_log_of_what_is_agreed() {
+    let engine = standins::engine::Engine::start(
+        standins::engine::Options {
+            name: "engine-1".into(),
+            ..Default::default()
+        },
+        std::sync::Arc::default(),
+    );
+    let rig = driftfront_rig::Rig::start(
+        env!("CARGO_BIN_EXE_driftfront"),
+        &engine.addr().to_string(),
+        "members 3\nvoters 3 keeps=#true",
+    );
+    rig.wait_for_leader(&[0, 1, 2], None);
+    let folder = rig.state(0);
+    assert_eq!(names(&folder), ["agreed", "agreed.lock", "orders"]);
+    let bytes = std::fs::read(folder.join("agreed")).expect("the file");
+    let header = bytes.iter().position(|&b| b == b'\n').expect("a header");
+    assert_golden!("operators/agreed-header", &bytes[..=header]);
+    let lock = std::fs::read(folder.join("agreed.lock")).expect("the file");
+    assert!(lock.is_empty());
+}
