--- /dev/null
+++ b/crates/clickhouse/tests/golden.rs
@@ -0,0 +1,337 @@
+//! The forms of ClickHouse's interface: what is written stays as it is, and what other programs wrote is read as it was.
+
+use driftfront_clickhouse::block::{self, Frames, Method};
+use driftfront_clickhouse::coding::{self, Coding};
+use driftfront_clickhouse::exception::{
+    code_of, json_key, last_lines, marker, name, proof, status, tagged, Exception,
+};
+use driftfront_clickhouse::request::{self, Asked};
+use driftfront_clickhouse::session::{Book, Fate, Leaves};
+use driftfront_clickhouse::sql::Shape;
+use driftfront_clickhouse::watch::Watch;
+use driftfront_http::Request;
+use driftfront_test_support::message_transcript::MessageTranscript;
+use driftfront_test_support::{assert_golden, read_golden};
+use std::fmt::Write as _;
+
+#[test]
+fn codes_keep_their_names_statuses_and_what_they_prove() {
+    let mut text = String::new();
+    for code in 0..1000 {
+        let (name, status) = (name(code), status(code));
+        let proof = proof(Some(code), 500) as u8;
+        if let Some(name) = name {
+            let _ = writeln!(text, "{code} {name} {status} proof {proof}");
+        } else {
+            assert_eq!((status, proof), (500, 2), "{code}");
+        }
+    }
+    for status in [400, 404, 429, 500, 503] {
+        let _ = writeln!(
+            text,
+            "no code, {status}: proof {}",
+            proof(None, status) as u8
+        );
+    }
+    assert_golden!("codes.txt", text);
+}
+
+#[test]
+fn exceptions_are_written_and_read_in_all_published_forms() {
+    let mut forms = MessageTranscript::default();
+    let own = Exception::new(241, "Memory limit (for query) exceeded");
+    forms.record("text", &own.text);
+    forms.record("unknown code", Exception::new(9999, "words").text);
+    forms.record("tagged", marker("0a1b2c3d4e5f6789", &own.text));
+    assert_golden!("exceptions.txt", forms.bytes());
+    let mut read = MessageTranscript::default();
+    let shown =
+        |e: Option<Exception>| e.map_or("none".into(), |e| format!("{}: {}", e.code, e.text));
+    let inputs = read_golden!("exceptions_in.txt");
+    for input in String::from_utf8(inputs).expect("text").split("====\n") {
+        let bytes = input.as_bytes();
+        let text = format!(
+            "{}\ncode {:?}\ntagged {}\nlast lines {}\nlast lines, cut {}\nJSON key {}",
+            input.escape_default(),
+            code_of(input),
+            shown(tagged(bytes, "0a1b2c3d4e5f6789")),
+            shown(last_lines(bytes, false)),
+            shown(last_lines(bytes, true)),
+            shown(json_key(bytes)),
+        );
+        read.record("input", text);
+    }
+    assert_golden!("exceptions_read.txt", read.bytes());
+}
+
+/// Rows of three columns, with a frame's worth of repetition.
+fn rows() -> Vec<u8> {
+    "1\ta\tb\n2\tc\td\n".repeat(60).into_bytes()
+}
+
+#[test]
+fn compressed_blocks_of_earlier_builds_are_read() {
+    for (method, name) in [
+        (Method::None, "block_none.bin"),
+        (Method::Lz4, "block_lz4.bin"),
+        (Method::Zstd, "block_zstd.bin"),
+    ] {
+        if std::env::var_os("WRITE_GOLDEN").is_some() {
+            assert_golden!(name, block::pack(method, &rows()));
+        }
+        let golden = read_golden!(name);
+        assert_eq!(block::unpack(&golden), Ok(rows()), "{name}");
+        // The head's form is fixed; the packed bytes are the libraries'.
+        let made = block::pack(method, &rows());
+        assert_eq!(made[16], golden[16], "{name}: the method's byte");
+        assert_eq!(made[21..25], golden[21..25], "{name}: the size unpacked");
+        let mut frames = Frames::default();
+        frames.push(&golden).expect("well formed");
+        assert_eq!((frames.count, frames.may_end()), (1, true));
+        let mut watch = Watch::new(true, None, None, None).expect("a decoder");
+        watch.push(&golden).expect("well formed");
+        assert_eq!(watch.end(false), Ok(()));
+    }
+    // Nothing is packed in this one: all of it is this crate's form.
+    assert_golden!("block_none.bin", block::pack(Method::None, &rows()));
+}
+
+#[test]
+fn content_codings_of_earlier_builds_are_read() {
+    for coding in [
+        Coding::Gzip,
+        Coding::Deflate,
+        Coding::Brotli,
+        Coding::Zstd,
+        Coding::Lz4,
+    ] {
+        let name = format!("coding_{}.bin", coding.name());
+        if std::env::var_os("WRITE_GOLDEN").is_some() {
+            assert_golden!(&name, coding::pack(coding, &rows()).expect("it packs"));
+        }
+        let golden = read_golden!(&name);
+        assert_eq!(
+            coding::beginning(coding, &golden, 1 << 20),
+            rows(),
+            "{name}"
+        );
+        let mut watch = Watch::new(false, Some(coding), None, None).expect("a decoder");
+        watch.push(&golden).expect("well formed");
+        assert_eq!(watch.end(false), Ok(()), "{name}");
+    }
+}
+
+fn query(method: &str, target: &str, headers: &[(&str, &str)], body: &str) -> Request {
+    Request {
+        method: method.into(),
+        target: target.into(),
+        headers: headers
+            .iter()
+            .map(|h| (h.0.to_string(), h.1.to_string()))
+            .collect(),
+        body: body.into(),
+        goes_on: false,
+        version_1_1: true,
+        close: false,
+    }
+}
+
+/// What is read of a request, a line each.
+fn shown(request: &Request) -> String {
+    let query = match request::read(request) {
+        Ok(Asked::Query(query)) => query,
+        Ok(Asked::Ping) => return "ping".into(),
+        Ok(Asked::ReplicasStatus) => return "replicas status".into(),
+        Ok(Asked::Alive) => return "alive".into(),
+        Ok(Asked::Counters) => return "counters".into(),
+        Ok(Asked::Options) => return "options".into(),
+        Ok(Asked::NoPath) => return "no path".into(),
+        Ok(Asked::NoMethod) => return "no method".into(),
+        Err(e) => return format!("{} {e}", e.status()),
+    };
+    let session = query.session.as_ref().map(|s| (&s.id, s.check, s.timeout));
+    format!(
+        "id {:?}\nclass {:?}\nkey {:?}\nwithin {:?}\nsession {session:?}\ntarget {}\nheaders {:?}\n\
+         frames {} progress {} head {} chunks {}\ntoken {:?}\nuser {:?}",
+        query.id,
+        query.class,
+        query.key,
+        query.wanted_within,
+        query.target,
+        query.headers.0,
+        query.frames,
+        query.progress,
+        query.head_only,
+        query.chunks,
+        query.token,
+        query.credentials.user,
+    )
+}
+
+#[test]
+fn requests_are_read_and_passed_on_as_ever() {
+    let mut read = MessageTranscript::default();
+    let all = "/?query_id=q-1&max_execution_time=2.5&driftfront_class=report&driftfront_key=k%201&session_id=s&\
+               session_timeout=60&session_check=1&compress=1&send_progress_in_http_headers=1&database=uni_4&\
+               param_a=x%2Fy&insert_deduplication_token=t&user=jana&password=secret&http_headers_progress_interval_ms=9";
+    let passed = [
+        ("X-ClickHouse-User", "jana"),
+        ("X-ClickHouse-Key", "secret"),
+        ("X-ClickHouse-Format", "CSV"),
+        ("X-ClickHouse-Database", "uni_4"),
+        ("X-ClickHouse-Query-Id", "q-2"),
+        ("X-Driftfront-Class", "lookup"),
+        ("X-Driftfront-Key", "k2"),
+        ("User-Agent", "test"),
+        ("Traceparent", "00-1-2-3"),
+        ("Tracestate", "a=b"),
+        ("Origin", "http://o"),
+        ("Referer", "http://r"),
+        ("Content-Type", "text/plain"),
+        ("Accept-Encoding", "gzip, br;q=0"),
+        ("X-Other", "dropped"),
+    ];
+    let form = "--b\r\nContent-Disposition: form-data; name=\"query\"\r\n\r\nSELECT 1\r\n--b\r\n\
+                Content-Disposition: form-data; name=\"session_id\"\r\n\r\ns9\r\n--b--\r\n";
+    let multipart = [("Content-Type", "multipart/form-data; boundary=b")];
+    let bearer = [("Authorization", "Bearer a.b.c")];
+    for (name, request) in [
+        ("all parameters", query("POST", all, &[], "SELECT 1")),
+        ("all headers", query("POST", "/", &passed, "SELECT 1")),
+        (
+            "compressed answer",
+            query("POST", "/?enable_http_compression=1", &passed, "SELECT 1"),
+        ),
+        (
+            "bearer",
+            query("HEAD", "/query?query=SELECT%201", &bearer, ""),
+        ),
+        ("form", query("POST", "/", &multipart, form)),
+        (
+            "no boundary",
+            query(
+                "POST",
+                "/",
+                &[("Content-Type", "multipart/form-data")],
+                form,
+            ),
+        ),
+        ("not a form", query("POST", "/", &multipart, "x")),
+        (
+            "write by GET",
+            query("GET", "/?query=INSERT%20INTO%20t%20VALUES%20(1)", &[], ""),
+        ),
+        ("empty", query("POST", "/", &[], " -- nothing")),
+        ("bad id", query("POST", "/?query_id=a%0Ab", &[], "SELECT 1")),
+        (
+            "bad timeout",
+            query("POST", "/?session_id=s&session_timeout=x", &[], "SELECT 1"),
+        ),
+        (
+            "long timeout",
+            query(
+                "POST",
+                "/?session_id=s&session_timeout=99999",
+                &[],
+                "SELECT 1",
+            ),
+        ),
+        ("two users", query("POST", "/?user=a", &passed, "SELECT 1")),
+        (
+            "bad authorization",
+            query("POST", "/", &[("Authorization", "Digest x")], "SELECT 1"),
+        ),
+        (
+            "bad coding",
+            query("POST", "/", &[("Content-Encoding", "zz")], "SELECT 1"),
+        ),
+        (
+            "bad block",
+            query("POST", "/?decompress=1", &[], &"x".repeat(40)),
+        ),
+        ("ping", query("GET", "/ping", &[], "")),
+        ("ping at the root", query("GET", "/", &[], "")),
+        ("replicas", query("GET", "/replicas_status", &[], "")),
+        ("alive", query("HEAD", "/alive", &[], "")),
+        ("counters", query("GET", "/counters", &[], "")),
+        ("options", query("OPTIONS", "/x", &[], "")),
+        ("path", query("GET", "/x", &[], "")),
+        ("method", query("PUT", "/", &[], "")),
+    ] {
+        read.record(name, shown(&request));
+    }
+    let many = format!("/?{}", "a=1&".repeat(2000));
+    read.record(
+        "many parameters",
+        shown(&query("POST", &many, &[], "SELECT 1")),
+    );
+    assert_golden!("requests.txt", read.bytes());
+}
+
+#[test]
+fn statements_are_told_apart_as_ever() {
+    let mut text = String::new();
+    for statement in [
+        "SELECT 1",
+        "WITH 1 AS a SELECT a",
+        "INSERT INTO uni_4.t VALUES (1)",
+        "INSERT INTO t SELECT 1",
+        "CREATE TABLE t (a Int8)",
+        "CREATE TEMPORARY TABLE t (a Int8)",
+        "SET a = 1",
+        "USE uni_4",
+        "BEGIN TRANSACTION",
+        "SHOW TABLES",
+        "EXPLAIN SELECT 1",
+        "DESCRIBE t",
+        "EXISTS t",
+        "OPTIMIZE TABLE t",
+        "SYSTEM FLUSH LOGS",
+        "ALTER TABLE t DELETE WHERE 1",
+        "DROP TABLE sales_3.t",
+        "",
+        "-- x",
+        "COMMIT",
+        "ROLLBACK",
+        "KILL QUERY WHERE query_id = 'a' SYNC",
+        "KILL QUERY WHERE query_id IN ('a', 'b') TEST",
+        "KILL QUERY WHERE user = 'x'",
+    ] {
+        let s = Shape::of(statement);
+        let kill = s.kill.as_ref().map(|k| (&k.ids, &k.behind));
+        let leaves = match s.leaves() {
+            Leaves::Nothing => "nothing",
+            Leaves::Something => "something",
+        };
+        let _ = writeln!(
+            text,
+            "{statement:?}: empty {} reads {} harmless {} inserts {} writes {:?} tables {} leaves {leaves} kill {kill:?}",
+            s.empty, s.reads, s.harmless, s.inserts, s.writes, s.tables
+        );
+    }
+    assert_golden!("statements.txt", text);
+}
+
+#[test]
+fn sessions_are_refused_in_the_same_words() {
+    let mut book: Book<u32> = Book::sized(7, 1, 1);
+    let mut told = MessageTranscript::default();
+    let name = book.name("jana", "s");
+    let missing = book.begin(0, name, true, None, Leaves::Nothing);
+    told.record(
+        "checked, none",
+        missing.err().map_or_else(String::new, |e| e.text),
+    );
+    book.begin(0, name, false, None, Leaves::Something)
+        .expect("new");
+    let locked = book.begin(1, name, false, None, Leaves::Nothing);
+    told.record("locked", locked.err().map_or_else(String::new, |e| e.text));
+    let other = book.name("jana", "t");
+    let full = book.begin(1, other, false, None, Leaves::Nothing);
+    told.record("full", full.err().map_or_else(String::new, |e| e.text));
+    book.over(2, name, Fate::Ran(1, true));
+    book.engine_left(1);
+    let lost = book.begin(3, name, false, None, Leaves::Nothing);
+    told.record("lost", lost.err().map_or_else(String::new, |e| e.text));
+    assert_golden!("sessions.txt", told.bytes());
+}
--- /dev/null
+++ b/crates/http/tests/golden.rs
@@ -0,0 +1,97 @@
+//! The bytes of responses as this crate writes them, and messages as it reads them.
+
+use driftfront_http::{
+    chunk, header, response, response_head, tell_close, Ends, Fault, RequestReader, ResponsePart,
+    ResponseReader, Takes, LAST_CHUNK,
+};
+use driftfront_test_support::message_transcript::MessageTranscript;
+use driftfront_test_support::{assert_golden, read_golden};
+
+#[test]
+fn responses_are_written_as_ever() {
+    let mut written = MessageTranscript::default();
+    for status in [
+        200, 204, 400, 401, 403, 404, 405, 408, 411, 413, 429, 431, 500, 501, 503, 504, 418,
+    ] {
+        let headers = [("Content-Type", "text/plain"), ("X-A", "line\r\nbreak")];
+        written.record("whole", response(status, &headers, b"body", false));
+    }
+    written.record("whole, closing", response(503, &[], b"", true));
+    for (name, ends) in [
+        ("length", Ends::After(7)),
+        ("chunks", Ends::InChunks),
+        ("close", Ends::WithConnection),
+    ] {
+        written.record(name, response_head(200, &[("A", "b")], ends, false));
+        written.record(name, response_head(200, &[("A", "b")], ends, true));
+    }
+    let mut told = response(200, &[], b"x", false);
+    tell_close(&mut told);
+    written.record("close told later", &told);
+    tell_close(&mut told);
+    written.record("close told twice", &told);
+    written.record("chunk", chunk(b"seventeen bytes.."));
+    written.record("empty chunk", chunk(b""));
+    written.record("last chunk", LAST_CHUNK);
+    for fault in [Fault::Malformed, Fault::BodyTooLarge, Fault::HeadTooLarge] {
+        written.record("fault", fault.status().to_string());
+    }
+    assert_golden!("responses.http", written.bytes());
+}
+
+#[test]
+fn requests_are_read_as_ever() {
+    let bytes = read_golden!("requests.http");
+    let mut reader = RequestReader::taking(Takes {
+        head_most: 16 * 1024,
+        body_most: 16,
+        goes_on: true,
+    });
+    reader.push(&bytes);
+    let mut read = MessageTranscript::default();
+    while let Some(request) = reader.next_request().expect("well formed") {
+        let mut text = format!("{} {}\n", request.method, request.target);
+        for (name, value) in &request.headers {
+            text += &format!("{name}: {value}\n");
+        }
+        let mut body = request.body.clone();
+        if request.goes_on {
+            assert_eq!(reader.more_body(&mut body), Ok(true));
+        }
+        text += &format!(
+            "begun with {} bytes, goes on {}, 1.1 {}, close {}\n{}",
+            request.body.len(),
+            request.goes_on,
+            request.version_1_1,
+            request.close,
+            body.escape_ascii()
+        );
+        read.record("request", text);
+    }
+    assert!(!reader.is_within());
+    assert_golden!("requests.txt", read.bytes());
+}
+
+#[test]
+fn responses_are_read_as_ever() {
+    let bytes = read_golden!("responses_in.http");
+    let mut reader = ResponseReader::telling_early("X-Progress");
+    let mut read = MessageTranscript::default();
+    for piece in bytes.chunks(40) {
+        reader.push(piece);
+        while let Some(part) = reader.next_part().expect("well formed") {
+            match part {
+                ResponsePart::Early(value) => read.record("early", value),
+                ResponsePart::Head(head) => {
+                    let kind = header(&head.headers, "content-type").unwrap_or("-");
+                    let text = format!("{} close {} type {kind}", head.status, head.close);
+                    read.record("head", text);
+                }
+                ResponsePart::Body(bytes) => read.record("body", bytes),
+                ResponsePart::End => read.record("end", ""),
+            }
+        }
+    }
+    assert!(reader.ends_well());
+    assert_golden!("responses_in.txt", read.bytes());
+}
--- /dev/null
+++ b/crates/node/tests/golden_frontends.rs
@@ -0,0 +1,563 @@
+//! What clients are answered, as the frontends make the bytes and as the program sends them.
+
+mod common;
+
+use common::lines::Site;
+use driftfront::fronts::clickhouse::{ClickHouse, Rules};
+use driftfront::fronts::platform::Platform;
+use driftfront::fronts::{After, AnswerWriter, Classes, Front, Intake};
+use driftfront_core::{Ask, EngineId, Fate, Piece};
+use driftfront_http::{Fault, Request};
+use driftfront_test_support::assert_golden;
+use driftfront_test_support::message_transcript::MessageTranscript;
+use std::io::{Read as _, Write as _};
+use std::net::TcpStream;
+use std::rc::Rc;
+
+fn request(method: &str, target: &str, headers: &[(&str, &str)], body: &str) -> Request {
+    Request {
+        method: method.into(),
+        target: target.into(),
+        headers: headers
+            .iter()
+            .map(|h| (h.0.to_string(), h.1.to_string()))
+            .collect(),
+        body: body.into(),
+        goes_on: false,
+        version_1_1: true,
+        close: false,
+    }
+}
+
+fn classes() -> Classes {
+    let names: Vec<String> = vec!["lookup".into(), "member-load".into()];
+    Classes {
+        names: names.into(),
+        patience: Rc::from([2_500_000, 25_000_000]),
+    }
+}
+
+fn shown_ask(ask: &Ask) -> String {
+    format!(
+        "call {} class {} work {:?} memory {:?} tables {} key {:?} tenant {:?} token {:?} budget {}\n\
+         about {:?}\nstatement {}\npin {:?} lost {:?} once {} ticket {}\n",
+        ask.call,
+        ask.class,
+        ask.work,
+        ask.memory_mb,
+        ask.tables,
+        ask.key,
+        ask.tenant,
+        ask.token,
+        ask.budget,
+        ask.about,
+        ask.statement.escape_ascii(),
+        ask.pin.map(|p| (p.engine.0, p.only)),
+        ask.lost,
+        ask.once,
+        ask.ticket
+    )
+}
+
+/// Records what a front makes of a request; gives its writer where it is taken.
+fn record(
+    wire: &mut MessageTranscript,
+    name: &str,
+    front: &mut dyn Front,
+    request: Request,
+) -> Option<Box<dyn AnswerWriter>> {
+    match front.intake(request, 1_000_000, 0) {
+        Intake::Reply(bytes) => wire.record(&format!("{name}: reply"), bytes),
+        Intake::Bad(bytes) => wire.record(&format!("{name}: bad"), bytes),
+        Intake::Ready(yes, no) => {
+            wire.record(&format!("{name}: ready"), yes);
+            wire.record(&format!("{name}: not ready"), no);
+        }
+        Intake::Counters => wire.record(&format!("{name}: counters"), ""),
+        Intake::Withdraw(call, bytes) => wire.record(&format!("{name}: withdraw {call}"), bytes),
+        Intake::Take(ask, writer) => {
+            wire.record(&format!("{name}: taken"), shown_ask(&ask));
+            return Some(writer);
+        }
+        Intake::Kill(kill) => {
+            wire.record(
+                &format!("{name}: kill"),
+                format!("{:?} test {} told {}", kill.names, kill.test, kill.words),
+            );
+            wire.record("answer where none runs", &kill.none);
+            let ask = (kill.for_engine)(EngineId(3), "it's\\");
+            wire.record("to an engine", shown_ask(&ask));
+            return Some(kill.writer);
+        }
+    }
+    None
+}
+
+fn piece(about: &[(&str, &str)], rows: &str, whole: bool) -> Piece {
+    Piece {
+        about: about
+            .iter()
+            .map(|h| (h.0.to_string(), h.1.to_string()))
+            .collect(),
+        rows: rows.into(),
+        whole,
+    }
+}
+
+fn shown_after(after: After) -> &'static str {
+    match after {
+        After::Open => "stays open",
+        After::Close => "closes",
+        After::Reset => "is reset",
+    }
+}
+
+/// Writes one answer; what becomes of the connection where the writer says so.
+type Write<'a> = dyn Fn(&mut dyn AnswerWriter, &mut Vec<u8>) -> Option<After> + 'a;
+
+/// Every kind of answer that a writer may have to write.
+fn record_answers(
+    wire: &mut MessageTranscript,
+    name: &str,
+    mut writer: impl FnMut() -> Box<dyn AnswerWriter>,
+) {
+    let about = [
+        ("X-ClickHouse-Query-Id", "q-1"),
+        ("Content-Type", "text/tab-separated-values"),
+        ("X-ClickHouse-Exception-Tag", "0a1b2c3d4e5f6789"),
+        ("X-ClickHouse-Progress", "{}"),
+    ];
+    let words = "Code: 241. DB::Exception: Memory limit. (MEMORY_LIMIT_EXCEEDED)";
+    let mut whole = |label: &str, write: &Write| {
+        let mut out = Vec::new();
+        let after = write(&mut *writer(), &mut out);
+        let after = after.map_or("", shown_after);
+        wire.record(&format!("{name}: {label} {after}"), out);
+    };
+    whole("one piece", &|w, out| {
+        w.piece(&piece(&about, "1\ta\t\"q\"\n2\t\u{e9}\tc\n", true), out);
+        Some(w.finish(out))
+    });
+    whole("two pieces", &|w, out| {
+        w.piece(&piece(&about, "1\ta\tb\n", false), out);
+        w.piece(&piece(&[], "2\ta\tb\n", false), out);
+        Some(w.finish(out))
+    });
+    whole("no rows", &|w, out| {
+        w.piece(&piece(&[], "", true), out);
+        Some(w.finish(out))
+    });
+    whole("refused", &|w, out| {
+        w.refuse(0, None, out);
+        None
+    });
+    whole("refused, come back", &|w, out| {
+        w.refuse(1_234_567, None, out);
+        None
+    });
+    whole("refused, an engine's words", &|w, out| {
+        w.refuse(1_000, Some(words), out);
+        None
+    });
+    whole("failed", &|w, out| {
+        w.fail(None, out);
+        None
+    });
+    whole("failed, an engine's words", &|w, out| {
+        w.fail(Some(words), out);
+        None
+    });
+    whole("failed, words without a code", &|w, out| {
+        w.fail(Some("oh"), out);
+        None
+    });
+    whole("cut", &|w, out| {
+        w.piece(&piece(&about, "1\ta\tb\n", false), out);
+        Some(w.cut(None, out))
+    });
+    whole("cut, an engine's words", &|w, out| {
+        w.piece(&piece(&about, "1\ta\tb\n", false), out);
+        Some(w.cut(Some(words), out))
+    });
+    whole("cut, packed", &|w, out| {
+        let packed = [("Content-Encoding", "gzip"), about[2]];
+        w.piece(&piece(&packed, "1\ta\tb\n", false), out);
+        Some(w.cut(None, out))
+    });
+}
+
+#[test]
+fn the_platform_s_answers_are_made_as_ever() {
+    let mut wire = MessageTranscript::default();
+    let mut front = Platform {
+        classes: classes(),
+        tenants: Rc::from(["east".to_string(), "west".to_string()]),
+    };
+    let call = ("X-Call-Id", "9b1f03aa5c7e2d41");
+    let patience = ("X-Patience-Ms", "2500");
+    let all = [
+        call,
+        patience,
+        ("X-Customer", "west"),
+        ("X-Repeat", "1"),
+        ("X-Dedupe-Key", "t-1"),
+        ("X-Weight-Ms", "12.5"),
+        ("X-Need-Mb", "64"),
+        ("X-Entity", "7f3a9c21e0b4d655"),
+    ];
+    let sql = "INSERT INTO sales_4.t SELECT 1";
+    record(
+        &mut wire,
+        "all fields",
+        &mut front,
+        request("POST", "/ops/member-load", &all, sql),
+    );
+    let fields = |more: &[(&'static str, &'static str)]| [&[call, patience], more].concat();
+    for (name, headers, statement) in [
+        ("no id", vec![patience], "x"),
+        ("bad id", vec![("X-Call-Id", "a b"), patience], "x"),
+        ("no patience", vec![call], "x"),
+        ("bad patience", vec![call, ("X-Patience-Ms", "x")], "x"),
+        ("long patience", vec![call, ("X-Patience-Ms", "9000")], "x"),
+        ("field twice", fields(&[patience]), "x"),
+        ("bad repeat", fields(&[("X-Repeat", "2")]), "x"),
+        ("bad figure", fields(&[("X-Weight-Ms", "x")]), "x"),
+        ("bad key", fields(&[("X-Entity", "x")]), "x"),
+        ("bad token", fields(&[("X-Dedupe-Key", "a,b")]), "x"),
+        ("empty statement", fields(&[]), " "),
+        ("no text", fields(&[]), "a\0"),
+        ("unknown tenant", fields(&[("X-Customer", "north")]), "x"),
+    ] {
+        let post = request("POST", "/ops/lookup", &headers, statement);
+        record(&mut wire, name, &mut front, post);
+    }
+    let not_text = Request {
+        body: vec![0xff],
+        ..request("POST", "/ops/lookup", &fields(&[]), "")
+    };
+    record(&mut wire, "not UTF-8", &mut front, not_text);
+    for (name, method, path) in [
+        ("no path", "POST", "/what"),
+        ("no class", "POST", "/ops/what"),
+        ("no method", "PUT", "/ops/lookup"),
+        ("withdraw", "DELETE", "/ops/lookup"),
+        ("alive", "GET", "/alive?x"),
+        ("counters", "GET", "/counters"),
+    ] {
+        record(
+            &mut wire,
+            name,
+            &mut front,
+            request(method, path, &[call], ""),
+        );
+    }
+    for fault in [Fault::Malformed, Fault::BodyTooLarge, Fault::HeadTooLarge] {
+        wire.record("fault", front.fault(fault));
+    }
+    record_answers(&mut wire, "answer", || {
+        let post = request("POST", "/ops/lookup", &[call, patience], "x");
+        record(&mut MessageTranscript::default(), "", &mut front, post).expect("it is taken")
+    });
+    assert_golden!("wire/platform.http", wire.bytes());
+}
+
+fn clickhouse() -> ClickHouse {
+    let rules = Rules {
+        read: 0,
+        write: 1,
+        deduplicated: Some(0),
+        upload: 60_000_000,
+        keep: 1 << 20,
+    };
+    ClickHouse::new(classes(), rules, 7)
+}
+
+#[test]
+fn clickhouse_s_answers_are_made_as_ever() {
+    let mut wire = MessageTranscript::default();
+    let mut front = clickhouse();
+    for (name, method, target, headers, body) in [
+        ("read", "POST", "/", vec![], "SELECT 1"),
+        (
+            "named",
+            "POST",
+            "/?query_id=q-1&max_execution_time=1&compress=1",
+            vec![("X-ClickHouse-User", "jana")],
+            "SELECT 1 FROM uni_4.t",
+        ),
+        (
+            "write",
+            "POST",
+            "/?query_id=q-2",
+            vec![],
+            "INSERT INTO uni_4.t VALUES (1)",
+        ),
+        (
+            "deduplicated",
+            "POST",
+            "/?query_id=q-3&insert_deduplication_token=t",
+            vec![],
+            "INSERT INTO uni_4.t VALUES (1)",
+        ),
+        (
+            "key and class",
+            "POST",
+            "/?query_id=q-4&driftfront_key=k&driftfront_class=member-load",
+            vec![],
+            "SELECT 1",
+        ),
+        (
+            "session",
+            "POST",
+            "/?query_id=q-5&session_id=s",
+            vec![],
+            "SET a = 1",
+        ),
+        (
+            "no class",
+            "POST",
+            "/?driftfront_class=what",
+            vec![],
+            "SELECT 1",
+        ),
+        (
+            "no class, head",
+            "HEAD",
+            "/?driftfront_class=what&query=SELECT%201",
+            vec![],
+            "",
+        ),
+        (
+            "session locked",
+            "POST",
+            "/?query_id=q-6&session_id=s",
+            vec![],
+            "SELECT 1",
+        ),
+        (
+            "kill",
+            "POST",
+            "/?query_id=k-1",
+            vec![],
+            "KILL QUERY WHERE query_id IN ('a', 'b') TEST",
+        ),
+        (
+            "kill by user",
+            "POST",
+            "/?query_id=k-2",
+            vec![],
+            "KILL QUERY WHERE user = 'a'",
+        ),
+        (
+            "write by GET",
+            "GET",
+            "/?query=DROP%20TABLE%20t",
+            vec![],
+            "",
+        ),
+        ("empty", "POST", "/", vec![], ""),
+        ("ping", "GET", "/ping", vec![], ""),
+        ("ping, head", "HEAD", "/ping", vec![], ""),
+        ("replicas", "GET", "/replicas_status", vec![], ""),
+        ("alive", "GET", "/alive", vec![], ""),
+        ("counters", "GET", "/counters", vec![], ""),
+        ("options", "OPTIONS", "/", vec![], ""),
+        ("no method", "PUT", "/", vec![], ""),
+        ("no path", "GET", "/what", vec![], ""),
+    ] {
+        record(
+            &mut wire,
+            name,
+            &mut front,
+            request(method, target, &headers, body),
+        );
+    }
+    let upload = Request {
+        goes_on: true,
+        ..request("POST", "/?query_id=q-7", &[], "INSERT INTO t FORMAT CSV\n")
+    };
+    record(&mut wire, "upload", &mut front, upload);
+    let twin = Ask {
+        call: "q-1".into(),
+        ticket: 1,
+        ..Ask::default()
+    };
+    wire.record("twin", front.twin(0, &twin).expect("it is told"));
+    front.over(0, 5, Fate::Ran(EngineId(4), true));
+    let bound = request("POST", "/?query_id=q-8&session_id=s", &[], "SELECT 1");
+    record(
+        &mut wire,
+        "session is held by its engine",
+        &mut front,
+        bound,
+    );
+    for fault in [Fault::Malformed, Fault::BodyTooLarge, Fault::HeadTooLarge] {
+        wire.record("fault", front.fault(fault));
+    }
+    wire.record("counters", front.counters());
+    for (name, method, target, version_1_1) in [
+        ("answer", "POST", "/?query_id=q", true),
+        (
+            "answer with progress",
+            "POST",
+            "/?query_id=q&send_progress_in_http_headers=1",
+            true,
+        ),
+        ("answer in HTTP/1.0", "POST", "/?query_id=q", false),
+        (
+            "answer to HEAD",
+            "HEAD",
+            "/?query_id=q&query=SELECT%201",
+            true,
+        ),
+    ] {
+        record_answers(&mut wire, name, || {
+            let query = Request {
+                version_1_1,
+                ..request(method, target, &[], "SELECT 1")
+            };
+            record(
+                &mut MessageTranscript::default(),
+                "",
+                &mut clickhouse(),
+                query,
+            )
+            .expect("it is taken")
+        });
+    }
+    assert_golden!("wire/clickhouse.http", wire.bytes());
+}
+
+/// Writes these bytes on a new connection and reads all until its close.
+fn exchange(addr: std::net::SocketAddr, bytes: &[u8]) -> Vec<u8> {
+    let mut stream = TcpStream::connect(addr).expect("it listens");
+    stream
+        .set_read_timeout(Some(common::FOR_EVER))
+        .expect("a timeout");
+    stream.write_all(bytes).expect("it reads");
+    let mut answer = Vec::new();
+    stream.read_to_end(&mut answer).expect("an answer");
+    answer
+}
+
+/// A request whose body is sent once the program says that it waits for it, and all that comes.
+fn expecting(addr: std::net::SocketAddr, fields: &str) -> Vec<u8> {
+    let mut stream = TcpStream::connect(addr).expect("it listens");
+    stream
+        .set_read_timeout(Some(common::FOR_EVER))
+        .expect("a timeout");
+    let head = format!(
+        "POST /ops/lookup HTTP/1.1\r\nExpect: 100-continue\r\nConnection: close\r\n{fields}Content-Length: 8\r\n\r\n"
+    );
+    stream.write_all(head.as_bytes()).expect("it reads");
+    let mut answer = Vec::new();
+    while !answer.ends_with(b"\r\n\r\n") {
+        let mut byte = [0];
+        stream.read_exact(&mut byte).expect("it says so");
+        answer.extend(byte);
+    }
+    stream.write_all(b"SELECT 1").expect("it reads");
+    stream.read_to_end(&mut answer).expect("an answer");
+    answer
+}
+
+#[test]
+fn the_program_sends_the_platform_s_answers_as_ever() {
+    let site = Site::start(1);
+    let addr = site.coordinator.addr;
+    let mut wire = MessageTranscript::default();
+    let post = |path: &str, headers: &str, body: &str| {
+        format!(
+            "POST {path} HTTP/1.1\r\nHost: t\r\nConnection: close\r\n{headers}Content-Length: {}\r\n\r\n{body}",
+            body.len()
+        )
+    };
+    let fields = |n: u32| format!("X-Call-Id: 9b1f03aa5c7e2d4{n}\r\nX-Patience-Ms: 2500\r\n");
+    let close = "HTTP/1.1\r\nHost: t\r\nConnection: close\r\n\r\n";
+    let large = format!("{}\r\n\r\n", "Content-Length: 99999999");
+    let one = post("/ops/lookup", &fields(1), "SELECT 1");
+    for (name, bytes) in [
+        ("result", one.clone()),
+        (
+            "failure",
+            post("/ops/member-load", &fields(2), "INSERT fault"),
+        ),
+        ("half read", one[..one.len() - 1].into()),
+        (
+            "withdrawn",
+            format!(
+                "DELETE /ops/lookup HTTP/1.1\r\n{}Connection: close\r\n\r\n",
+                fields(3)
+            ),
+        ),
+        (
+            "two on one connection",
+            one.replace("Connection: close\r\n", "") + &one,
+        ),
+        ("bad", post("/ops/lookup", "", "SELECT 1")),
+        ("alive", format!("GET /alive {close}")),
+        ("malformed", "what is this\r\n\r\n".into()),
+        (
+            "too large a body",
+            format!("POST /ops/lookup HTTP/1.1\r\n{large}"),
+        ),
+        (
+            "too large a head",
+            format!("GET /{} {close}", "x".repeat(20_000)),
+        ),
+        ("stray bytes", one.clone() + "stray"),
+    ] {
+        wire.record(name, exchange(addr, bytes.as_bytes()));
+    }
+    wire.record("expects to be told to go on", expecting(addr, &fields(4)));
+    let counters = exchange(addr, format!("GET /counters {close}").as_bytes());
+    let counters = String::from_utf8(counters).expect("text");
+    let (head, lines) = counters.split_once("\r\n\r\n").expect("a head");
+    let head: Vec<&str> = head
+        .split("\r\n")
+        .filter(|l| !l.starts_with("Content-Length: "))
+        .collect();
+    wire.record("counters, without its length", head.join("\r\n"));
+    assert_golden!("wire/platform_sent.http", wire.bytes());
+    // A name's value varies; the names and their order do not.
+    let names: Vec<&str> = lines
+        .lines()
+        .map(|l| l.rsplit_once(' ').map_or(l, |l| l.0))
+        .collect();
+    assert_golden!("wire/platform_counters.txt", names.join("\n"));
+}
+
+#[test]
+fn the_program_sends_clickhouse_s_answers_as_ever() {
+    let site = common::site::Site::start(1);
+    let addr = site.coordinator.addr;
+    let mut wire = MessageTranscript::default();
+    let close = "HTTP/1.1\r\nHost: t\r\nConnection: close\r\n\r\n";
+    for (name, bytes) in [
+        (
+            "query",
+            "POST /?query_id=q-1 HTTP/1.1\r\nHost: t\r\nConnection: close\r\nContent-Length: 8\r\n\r\nSELECT 1".into(),
+        ),
+        ("ping", format!("GET /ping {close}")),
+        ("replicas", format!("GET /replicas_status {close}")),
+        ("alive", format!("HEAD /alive {close}")),
+        ("options", format!("OPTIONS / {close}")),
+        ("no path", format!("GET /what {close}")),
+        ("malformed", "what is this\r\n\r\n".into()),
+        (
+            "too large a head",
+            format!("GET /{} {close}", "x".repeat(300_000)),
+        ),
+    ] {
+        wire.record(name, exchange(addr, bytes.as_bytes()));
+    }
+    let counters = exchange(addr, format!("GET /counters {close}").as_bytes());
+    let counters = String::from_utf8(counters).expect("text");
+    let (_, lines) = counters.split_once("\r\n\r\n").expect("a head");
+    let names: Vec<&str> = lines
+        .lines()
+        .map(|l| l.rsplit_once(' ').map_or(l, |l| l.0))
+        .collect();
+    assert_golden!("wire/clickhouse_sent.http", wire.bytes());
+    assert_golden!("wire/clickhouse_counters.txt", names.join("\n"));
+}
--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -2,4 +2,5 @@
 #![warn(missing_docs)]
 
 pub mod golden;
+pub mod message_transcript;
 pub mod transcript;
