--- /dev/null
+++ b/crates/fleet/tests/golden_datagrams.rs
@@ -0,0 +1,347 @@
+//! Datagrams, records and key files, compared with golden files and read from them.
+
+use driftfront_fleet::facts::{Facts, ABOUT, AGREED};
+use driftfront_fleet::members::Members;
+use driftfront_fleet::seal::{Opened, Payload, Refused, Seal};
+use driftfront_fleet::{About, Fleet, Identity, Key, Keyring, Options, State};
+use driftfront_test_support::{assert_golden, read_golden};
+use std::fmt::Write;
+use std::net::SocketAddr;
+
+const ONE: &str = "000102030405060708090a0b0c0d0e0f";
+const TWO: &str = "f0f1f2f3f4f5f6f7f8f9fafbfcfdfeff";
+const SECOND: u64 = 1_000_000;
+const MOST: usize = 1100;
+const CLOCK: u64 = 1_764_600_000_000_000;
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().fold(String::new(), |mut text, b| {
+        let _ = write!(text, "{b:02x}");
+        text
+    })
+}
+
+fn unhex(text: &str) -> Vec<u8> {
+    let digits: Vec<u8> = text.bytes().collect();
+    let byte = |pair: &[u8]| u8::from_str_radix(std::str::from_utf8(pair).unwrap(), 16).unwrap();
+    digits.chunks(2).map(byte).collect()
+}
+
+/// The lines of a golden file: a name, and bytes in hex digits.
+fn lines(name: &str) -> Vec<(String, Vec<u8>)> {
+    let text = String::from_utf8(match name {
+        "datagrams-sealed.txt" => read_golden!("datagrams-sealed.txt"),
+        "datagrams-of-a-conversation.txt" => read_golden!("datagrams-of-a-conversation.txt"),
+        "membership.txt" => read_golden!("membership.txt"),
+        _ => read_golden!("records.txt"),
+    })
+    .unwrap();
+    let line = |line: &str| {
+        let (name, bytes) = line.split_once(": ").unwrap();
+        (name.to_string(), unhex(bytes))
+    };
+    text.lines().map(line).collect()
+}
+
+const PAYLOADS: [(&str, Payload); 6] = [
+    ("members", Payload::Members),
+    ("records", Payload::Facts),
+    ("versions", Payload::Digest),
+    ("behind", Payload::Behind),
+    ("agreed", Payload::Agreed),
+    ("later build", Payload::Unknown(77)),
+];
+
+fn keyring(text: &str) -> Keyring {
+    Keyring::parse(text).unwrap()
+}
+
+#[test]
+fn sealed_datagrams_keep_their_bytes() {
+    let mut text = String::new();
+    let mut seal = Seal::new(keyring(ONE), 0x1234_5678_9abc);
+    for (name, payload) in PAYLOADS {
+        let sealed = seal
+            .seal(payload, format!("payload of {name}").as_bytes(), 8)
+            .unwrap();
+        let _ = writeln!(text, "{name}: {}", hex(&sealed));
+    }
+    seal.change_keys(keyring(&format!("{TWO}\n{ONE}")));
+    seal.change_session(0x1234_5678_9abd);
+    let _ = writeln!(
+        text,
+        "second key: {}",
+        hex(&seal.seal(Payload::Facts, b"", 0).unwrap())
+    );
+    let longest = seal.seal(Payload::Facts, &[7; 1155], 0).unwrap();
+    let _ = writeln!(text, "longest: {}", hex(&longest));
+    assert_golden!("datagrams-sealed.txt", text);
+    assert_eq!(longest.len(), 1200);
+    assert_eq!(seal.seal(Payload::Facts, &[7; 1156], 0), None);
+}
+
+#[test]
+fn sealed_datagrams_of_an_earlier_build_are_opened() {
+    let all = lines("datagrams-sealed.txt");
+    let mut seal = Seal::new(keyring(&format!("{ONE}\n{TWO}")), 8);
+    for ((name, bytes), (wanted, payload)) in all.iter().zip(PAYLOADS) {
+        assert_eq!(name, wanted);
+        let opened = seal.open(bytes).unwrap();
+        let content = format!("payload of {name}");
+        let expected = Opened {
+            payload,
+            bytes: content.as_bytes(),
+            session: 0x1234_5678_9abc,
+            old_key: false,
+        };
+        assert_eq!(opened, expected);
+        assert_eq!(seal.open(bytes), Err(Refused::Replayed));
+    }
+    let opened = seal.open(&all[6].1).unwrap();
+    assert_eq!(
+        (opened.session, opened.old_key, opened.bytes),
+        (0x1234_5678_9abd, true, &b""[..])
+    );
+    assert_eq!(seal.open(&all[7].1).unwrap().bytes, [7; 1155]);
+}
+
+fn identity(name: &str, n: u8) -> Identity {
+    let addr = if n == 3 {
+        "[fd00::3]:7946".parse().unwrap()
+    } else {
+        SocketAddr::from(([10, 0, 0, n], 7946))
+    };
+    Identity {
+        name: name.into(),
+        addr,
+        session: Identity::session_at(CLOCK + u64::from(n), 5),
+        back: u16::from(n),
+    }
+}
+
+/// What members that meet and leave say to each other.
+#[test]
+fn membership_messages_keep_their_bytes() {
+    let mut text = String::new();
+    let mut all = [
+        Members::new(identity("m1", 1), 11),
+        Members::new(identity("m2", 2), 12),
+        Members::new(identity("room-c.m3", 3), 13),
+    ];
+    let mut under_way: Vec<(usize, Identity, Vec<u8>)> = Vec::new();
+    for now in (0..5_200_000).step_by(50_000) {
+        for (n, one) in all.iter_mut().enumerate() {
+            let (mut out, mut changes) = (Vec::new(), Vec::new());
+            match now {
+                0 if n > 0 => one.join(now, identity("m1", 1).addr, &mut out, &mut changes),
+                5_000_000 if n == 1 => one.leave(now, &mut out, &mut changes),
+                _ if n == 1 && now > 5_000_000 => {}
+                _ => one.tick(now, &mut out, &mut changes),
+            }
+            under_way.extend(out.into_iter().map(|(to, bytes)| (n, to, bytes)));
+        }
+        while let Some((from, to, bytes)) = under_way.pop() {
+            // The third says nothing from the first second on, so that it is doubted and called down.
+            let silent = from == 2 && now > 1_000_000;
+            let _ = writeln!(text, "{now} m{} to {}: {}", from + 1, to.addr, hex(&bytes));
+            let Some(to) = all
+                .iter()
+                .position(|m| m.me().addr == to.addr)
+                .filter(|_| !silent)
+            else {
+                continue;
+            };
+            let (mut out, mut changes) = (Vec::new(), Vec::new());
+            all[to].take(now, &bytes, &mut out, &mut changes);
+            under_way.extend(out.into_iter().map(|(next, bytes)| (to, next, bytes)));
+        }
+    }
+    assert_golden!("membership.txt", text);
+}
+
+#[test]
+fn membership_messages_of_an_earlier_build_are_read() {
+    let all = [
+        identity("m1", 1),
+        identity("m2", 2),
+        identity("room-c.m3", 3),
+    ];
+    for (name, bytes) in lines("membership.txt") {
+        let (_, to) = name.split_once(" to ").unwrap();
+        let me = all.iter().find(|m| m.addr.to_string() == to).unwrap();
+        let mut reader = Members::new(me.clone(), 1);
+        reader.take(0, &bytes, &mut Vec::new(), &mut Vec::new());
+        assert_eq!(reader.unreadable, 0, "{name}");
+    }
+}
+
+fn state(word: State) -> &'static str {
+    word.word()
+}
+
+#[test]
+fn records_keep_their_bytes_and_are_read() {
+    let mut text = String::new();
+    for (state_of, word) in [
+        (State::Starting, "starting"),
+        (State::Serving, "serving"),
+        (State::Paused, "paused"),
+        (State::Ending, "ending"),
+        (State::Other, "in a state of a later build"),
+    ] {
+        assert_eq!(state(state_of), word);
+        let about = About {
+            zone: "room-a".into(),
+            region: "north".into(),
+            build: "0.2.0".into(),
+            state: state_of,
+            since_ms: 1_764_600_000_123,
+        };
+        assert_eq!(About::read(&about.write()), Some(about.clone()));
+        let _ = writeln!(text, "about, {word}: {}", hex(&about.write()));
+    }
+    assert_eq!((ABOUT, AGREED), (1, 2));
+    let mut facts = Facts::new("m1", 7 << 20);
+    facts.tell(0, ABOUT, b"about m1", 5);
+    facts.tell(SECOND, AGREED, b"its part", 2);
+    facts.tell(SECOND, 9, b"a kind of its own", 3);
+    let rumours = facts.rumours(3 * SECOND, MOST).unwrap();
+    let _ = writeln!(text, "records: {}", hex(&rumours));
+    let mut other = Facts::new("m2", 8 << 20);
+    other.tell(0, ABOUT, b"about m2", 5);
+    assert_eq!(other.take(3 * SECOND, &rumours, 4), 3);
+    let _ = writeln!(
+        text,
+        "records passed on: {}",
+        hex(&other.rumours(5 * SECOND, MOST).unwrap())
+    );
+    let digest = other.digest(MOST);
+    let _ = writeln!(text, "versions: {}", hex(&digest));
+    facts.tell(6 * SECOND, 9, b"a later word", 3);
+    let (tell, ask) = facts.compare(7 * SECOND, &digest, MOST, 2);
+    let _ = writeln!(text, "what the other lacks: {}", hex(&tell[0]));
+    let _ = writeln!(text, "what is lacking here: {}", hex(&ask.unwrap()));
+    assert_golden!("records.txt", text);
+}
+
+#[test]
+fn records_of_an_earlier_build_are_read() {
+    let all = lines("records.txt");
+    let of = |name: &str| &all.iter().find(|l| l.0 == name).unwrap().1;
+    let about = About::read(of("about, paused")).unwrap();
+    assert_eq!(
+        (
+            about.zone.as_str(),
+            about.region.as_str(),
+            about.build.as_str()
+        ),
+        ("room-a", "north", "0.2.0")
+    );
+    assert_eq!(
+        (about.state, about.since_ms),
+        (State::Paused, 1_764_600_000_123)
+    );
+    let mut reader = Facts::new("m3", 1);
+    assert_eq!(reader.take(0, of("records passed on"), 1), 4);
+    let fact = reader.get(SECOND, "m1", ABOUT).unwrap();
+    assert_eq!(
+        (fact.value, fact.age, fact.version),
+        (&b"about m1"[..], 3 * SECOND, 1)
+    );
+    assert_eq!(reader.get(0, "m1", 9).unwrap().value, b"a kind of its own");
+    assert_eq!(reader.take(0, of("what the other lacks"), 1), 1);
+    assert_eq!(reader.get(0, "m1", 9).unwrap().value, b"a later word");
+    let (tell, ask) = reader.compare(0, of("versions"), MOST, 2);
+    assert_eq!((tell.len(), ask), (1, None));
+    assert_eq!(reader.refused.malformed, 0);
+}
+
+/// Two members find each other, one is behind an earlier process of its name, and one leaves: all that is sent.
+#[test]
+fn a_conversation_keeps_its_bytes() {
+    let mut text = String::new();
+    let member = |name: &str, n: u8, clock: u64| {
+        let me = Identity {
+            back: 0,
+            ..identity(name, n)
+        };
+        let me = Identity {
+            session: Identity::session_at(clock, u32::from(n)),
+            ..me
+        };
+        let options = Options {
+            me,
+            about: About {
+                zone: "z0".into(),
+                state: State::Serving,
+                ..About::default()
+            },
+            keys: keyring(&format!("{ONE}\n{TWO}")),
+            seeds: vec![identity("", 1).addr, identity("", 2).addr],
+            seed: u64::from(n),
+            agreed: None,
+        };
+        Fleet::new(clock, options)
+    };
+    let mut all = [member("m1", 1, CLOCK), member("m2", 2, CLOCK)];
+    for step in 0..200u64 {
+        let clock = CLOCK + step * 25_000;
+        if step == 100 {
+            // A process whose clock was set back by an hour takes the place of the second.
+            all[1] = member("m2", 2, CLOCK - 3_600 * SECOND);
+        }
+        if step == 180 {
+            all[1].leave(clock - 3_600 * SECOND);
+        }
+        let clocks = [
+            clock,
+            if step >= 100 {
+                clock - 3_600 * SECOND
+            } else {
+                clock
+            },
+        ];
+        for n in 0..2 {
+            all[n].tick(clocks[n]);
+            while let Some((to, bytes)) = all[n].to_send() {
+                let _ = writeln!(text, "{step} m{} to {to}: {}", n + 1, hex(&bytes));
+                all[1 - n].take(clocks[1 - n], &bytes);
+            }
+        }
+    }
+    assert!(all[1].counters().outdone == 1, "{:?}", all[1].counters());
+    assert_golden!("datagrams-of-a-conversation.txt", text);
+    let kinds: std::collections::BTreeSet<u8> = lines("datagrams-of-a-conversation.txt")
+        .iter()
+        .map(|l| l.1[28])
+        .collect();
+    assert_eq!(kinds.into_iter().collect::<Vec<_>>(), [1, 2, 3, 4]);
+}
+
+#[test]
+fn key_files_are_read_and_refused_as_they_were() {
+    let mut text = String::new();
+    let files = [
+        ("one key", format!("{ONE}\n")),
+        (
+            "two keys and remarks",
+            format!("# the site's keys\n\n{TWO}  # new\n  {ONE}\n"),
+        ),
+        ("capitals", TWO.to_uppercase()),
+        ("nothing", String::new()),
+        ("remarks alone", "# none\n".into()),
+        ("too short", format!("{ONE}\n{}\n", &TWO[1..])),
+        ("no digits", "g".repeat(32)),
+        ("three keys", format!("{ONE}\n{TWO}\n{}\n", "ab".repeat(16))),
+        ("twice the same", format!("{ONE}\n{ONE}\n")),
+    ];
+    for (name, file) in files {
+        let read = match Keyring::parse(&file) {
+            Ok(keys) => format!("keys {:02x?}, shown as {keys:?}", keys.ids()),
+            Err(why) => why.to_string(),
+        };
+        let _ = writeln!(text, "{name}: {read}");
+    }
+    let _ = writeln!(text, "alone: {:?}", Key::parse(ONE).unwrap());
+    assert_golden!("key-files.txt", text);
+}
--- /dev/null
+++ b/crates/lab/tests/golden.rs
@@ -0,0 +1,343 @@
+//! Scripts, the commands' output and runs on virtual time, compared with golden files. A run's golden file shows whether a
+//! change of the code changed anything that members do: the sum over all that was sent differs with any byte.
+
+use driftfront_fleet::Standing;
+use driftfront_lab::rights::Load;
+use driftfront_lab::{storm, Deed, Group, Link, Script, World};
+use driftfront_test_support::assert_golden;
+use std::fmt::Write;
+use std::process::Command;
+
+const S: u64 = 1_000_000;
+
+fn group(group: &Group) -> String {
+    match group {
+        Group::All => "all".into(),
+        Group::Zone(zone) => format!("z{zone}"),
+        Group::Member(member) => format!("m{member}"),
+        Group::Engines => "engines".into(),
+        Group::Engine(engine) => format!("e{engine}"),
+    }
+}
+
+fn groups(groups: &[Group]) -> String {
+    groups.iter().map(group).collect::<Vec<_>>().join(",")
+}
+
+fn link(link: &Link) -> String {
+    format!(
+        "loss {} repeat {} delay {} jitter {} cut {} throttle {}",
+        link.loss, link.repeat, link.delay, link.jitter, link.cut, link.throttle
+    )
+}
+
+/// What a script says, in words of this test.
+fn describe(script: &Script) -> String {
+    let mut text = format!(
+        "members {} zones {} voters {} keeps {} replace after {} seed {} until {}\n",
+        script.members,
+        script.zones,
+        script.voters,
+        script.keeps,
+        script.replace_after,
+        script.seed,
+        script.until
+    );
+    for (at, deed) in &script.deeds {
+        let words = match deed {
+            Deed::Link(from, to, of) => format!("link {} {} {}", group(from), group(to), link(of)),
+            Deed::Cut(some, (out, into)) => format!("cut {} out {out} in {into}", groups(some)),
+            Deed::Part(some, from, (out, into)) => {
+                format!(
+                    "part {} from {} out {out} in {into}",
+                    groups(some),
+                    group(from)
+                )
+            }
+            Deed::Reset(some, from) => format!("reset {} from {}", groups(some), group(from)),
+            Deed::Heal => "heal".into(),
+            Deed::Kill(some) => format!("kill {}", groups(some)),
+            Deed::Stop(some) => format!("stop {}", groups(some)),
+            Deed::Wake(some) => format!("wake {}", groups(some)),
+            Deed::Start(some) => format!("start {}", groups(some)),
+            Deed::Leave(some) => format!("leave {}", groups(some)),
+            Deed::Clock(some, by) => format!("clock {} by {by}", groups(some)),
+        };
+        let _ = writeln!(text, "{at} {words}");
+    }
+    text
+}
+
+const SCRIPT: &str = r#"members 8 zones=2            // m0 .. m7, zone z0, z1 in turn
+voters 3 keeps=#true replace-after="10 s"
+seed 7
+until "40 s"
+link "all" "all" delay="2 ms" jitter="1 ms"
+at "5 s" { cut "m0" "m1" }
+at "6 s" { cut "z1" ways="out" }
+at "6500 ms" { cut "z0" ways="in" }
+at "9 s" { link "m0" "all" loss=0.3 delay="50 ms" repeat=0.1 }
+at "10 s" { part "m0" "z1" from="e0" }
+at "11 s" { reset "m0" from="engines" }
+at "12 s" { link "m1" "engines" delay="80 ms" throttle=20000 }
+at "13 s" { part "m1" from="m3" ways="out" }
+at "15 s" { heal }
+at "20 s" { kill "m2" "m4"; stop "m5" }
+at "21 s" { stop "m3" }
+at "29 s" { wake "m3" "m5" }
+at "30 s" { start "m2" "m4" }
+at "31 s" { leave "m4" }
+at "32 s" { clock "m5" by="3600 s" }
+at "33 s" { clock "m5" by="-3600 s" }
+"#;
+
+#[test]
+fn scripts_are_read_as_they_were() {
+    let mut text = String::new();
+    for script in [
+        "",
+        "members 5",
+        "voters 2",
+        "members 4 zones=4\nuntil \"900 ms\"",
+        SCRIPT,
+    ] {
+        let _ = writeln!(
+            text,
+            "{}",
+            describe(&Script::read(script).expect("a script"))
+        );
+    }
+    assert_golden!("scripts.txt", text);
+}
+
+#[test]
+fn scripts_that_are_wrong_are_refused_in_the_same_words() {
+    let mut text = String::new();
+    let wrong = [
+        "members",
+        "members \"five\"",
+        "members -1",
+        "members 2000",
+        "seed",
+        "until \"5 h\"",
+        "until 5",
+        "voters",
+        "voters 9 replace-after=\"soon\"",
+        "link \"all\"",
+        "link \"all\" \"nobody\"",
+        "link \"all\" \"all\" loss=2",
+        "link \"all\" \"all\" delay=5",
+        "\n\nat \"5 s\" { cut }",
+        "at \"5 s\" { cut \"m0\" ways=\"round\" }",
+        "at \"5 s\" { part \"m0\" }",
+        "at \"5 s\" { reset \"m0\" from=\"there\" }",
+        "at \"5 s\" { clock \"m0\" }",
+        "at \"5 s\" { clock \"m0\" by=\"-5 parsecs\" }",
+        "at \"5 s\" { explode \"m0\" }",
+        "at { heal }",
+        "at \"5 s\"",
+        "later \"5 s\"",
+        "members 5 {",
+    ];
+    for script in wrong {
+        let said = match Script::read(script) {
+            Ok(read) => format!("read: {}", describe(&read).trim_end()),
+            Err(why) => why.to_string(),
+        };
+        let _ = writeln!(text, "{script:?}: {said}");
+    }
+    assert_golden!("scripts-wrong.txt", text);
+}
+
+#[test]
+fn storms_are_drawn_as_they_were() {
+    let mut text = String::new();
+    for (members, seed, clocks) in [(8, 1, true), (6, 2, false), (3, 3, true), (20, 4, true)] {
+        let _ = writeln!(text, "{}", describe(&storm::storm(members, seed, clocks)));
+    }
+    assert_golden!("storms.txt", text);
+}
+
+fn standing(standing: Option<Standing>) -> &'static str {
+    match standing {
+        None => "not at all",
+        Some(Standing::Alive) => "alive",
+        Some(Standing::Doubted) => "doubted",
+        Some(Standing::Down) => "down",
+    }
+}
+
+/// A sum over bytes that differs with any of them.
+fn sum(bytes: &[u8]) -> u64 {
+    bytes.iter().fold(0xcbf2_9ce4_8422_2325, |sum, b| {
+        (sum ^ u64::from(*b)).wrapping_mul(0x0100_0000_01b3)
+    })
+}
+
+/// Plays a script and writes down, second by second, the sum over all that was sent and each change of a member's view.
+fn play(script: Script, load: Option<Load>) -> String {
+    let (members, until) = (script.members, script.until);
+    let mut world = World::new(script);
+    if let Some(load) = load {
+        world.ask(load);
+    }
+    let (mut text, mut shown) = (String::new(), 0);
+    while world.time() < until {
+        let next = (world.time() + S).min(until);
+        world.play(next, |_| false);
+        for seen in &world.seen[shown..] {
+            let _ = writeln!(
+                text,
+                "{} m{} sees m{} {}",
+                seen.at,
+                seen.by,
+                seen.of,
+                standing(seen.standing)
+            );
+        }
+        shown = world.seen.len();
+        let leader = world.led();
+        let _ = writeln!(
+            text,
+            "{} trace {:016x} leader {leader:?}",
+            world.time(),
+            world.trace
+        );
+    }
+    for m in 0..members {
+        let c = world.counters(m);
+        let disk = world.disk(m).clone();
+        let _ = writeln!(
+            text,
+            "m{m}: sent {} of {} bytes, taken {}, downs {}, backs {}, withheld {}, disk {} bytes {:016x}",
+            c.sent, c.sent_bytes, c.taken, c.downs, c.backs, c.withheld, disk.len(), sum(&disk)
+        );
+    }
+    if let Some(rights) = &world.rights {
+        let _ = writeln!(
+            text,
+            "lent {}, unanswered {}, wrong {:?}",
+            rights.lent, rights.unanswered, rights.wrong
+        );
+        for (fence, (pot, owner)) in &rights.fences {
+            let _ = writeln!(text, "{fence} {pot} m{owner}");
+        }
+        for (at, took) in &rights.answered {
+            let _ = writeln!(text, "answered at {at} after {took}");
+        }
+    }
+    text
+}
+
+#[test]
+fn members_do_the_same_under_a_script() {
+    assert_golden!("run-script.txt", play(Script::read(SCRIPT).unwrap(), None));
+}
+
+#[test]
+fn members_do_the_same_in_storms_while_they_ask_for_rights() {
+    for (seed, keeps) in [(1, true), (2, false), (3, true), (4, false), (5, true)] {
+        let mut script = storm::storm(6, seed, true);
+        (script.voters, script.keeps) = (3, keeps);
+        let load = Load {
+            one_in: 10,
+            ..Load::default()
+        };
+        assert_golden!(&format!("run-storm-{seed}.txt"), play(script, Some(load)));
+    }
+}
+
+#[test]
+fn members_do_the_same_when_a_voter_is_replaced_and_the_state_is_long() {
+    let script = "members 7\nvoters 3 keeps=#true replace-after=\"5 s\"\nseed 9\nuntil \"70 s\"\n\
+                  link \"all\" \"all\" loss=0.05 delay=\"2 ms\" jitter=\"2 ms\"\n\
+                  at \"30 s\" { kill \"m1\" }\nat \"50 s\" { start \"m1\" }";
+    let load = Load {
+        one_in: 1,
+        pots: 400,
+        span: 60 * S,
+        ..Load::default()
+    };
+    assert_golden!(
+        "run-replaced.txt",
+        play(Script::read(script).unwrap(), Some(load))
+    );
+}
+
+#[test]
+fn members_do_the_same_by_dozens() {
+    let script = "members 60 zones=3\nvoters 5\nseed 3\nuntil \"20 s\"\nlink \"all\" \"all\" loss=0.02 delay=\"1 ms\" jitter=\"1 ms\"\n\
+                  at \"8 s\" { kill \"m7\" \"m0\" }\nat \"12 s\" { cut \"z1\" }\nat \"16 s\" { heal }";
+    let run = play(Script::read(script).unwrap(), None);
+    let traces: String = run
+        .lines()
+        .filter(|l| !l.contains(" sees "))
+        .map(|l| format!("{l}\n"))
+        .collect();
+    assert_golden!("run-dozens.txt", traces);
+}
+
+fn program() -> &'static str {
+    let path = std::path::Path::new(env!("CARGO_BIN_EXE_driftfront-lab"));
+    path.file_name().unwrap().to_str().unwrap()
+}
+
+fn lab(args: &[&str]) -> String {
+    let output = Command::new(env!("CARGO_BIN_EXE_driftfront-lab"))
+        .args(args)
+        .output()
+        .expect("it runs");
+    format!(
+        "{args:?}: {:?}\n{}{}\n",
+        output.status.code(),
+        String::from_utf8_lossy(&output.stdout),
+        String::from_utf8_lossy(&output.stderr)
+    )
+}
+
+#[test]
+fn the_command_prints_what_it_printed() {
+    let script =
+        std::env::temp_dir().join(format!("driftfront-lab-golden-{}.kdl", std::process::id()));
+    std::fs::write(
+        &script,
+        "members 3\nuntil \"8 s\"\nat \"4 s\" { kill \"m2\" }",
+    )
+    .unwrap();
+    let path = script.to_str().unwrap();
+    let mut text = String::new();
+    let commands: [&[&str]; 14] = [
+        &[],
+        &["--help"],
+        &["unknown"],
+        &[
+            "members",
+            "--members",
+            "6",
+            "--runs",
+            "2",
+            "--loss",
+            "0.1",
+            "--settle",
+            "5",
+        ],
+        &["members", "--runs", "many"],
+        &["storm", "--members", "5", "--runs", "3", "--seed", "4"],
+        &["agreed", "--members", "5", "--runs", "2", "--keeps"],
+        &["agreed", "--members", "5", "--runs", "2", "--seed", "3"],
+        &["leader", "--members", "4", "--runs", "2"],
+        &["fuzz", "--runs", "20000"],
+        &["fuzz", "--agreed", "--runs", "500"],
+        &["play"],
+        &["play", "/nowhere.kdl"],
+        &["play", path],
+    ];
+    for args in commands {
+        // The program's own name is its package's.
+        text += &lab(args)
+            .replace(path, "SCRIPT")
+            .replace(program(), "PROGRAM");
+    }
+    std::fs::remove_file(&script).unwrap();
+    assert_golden!("command.txt", text);
+}
--- /dev/null
+++ b/crates/rig/tests/golden.rs
@@ -0,0 +1,137 @@
+//! What the command prints, what soaks are drawn from a seed, and the operator's files that members get, compared with golden
+//! files.
+
+use driftfront_rig::soak::{Breach, Plan, Report};
+use driftfront_rig::Rig;
+use driftfront_test_support::assert_golden;
+use std::fmt::Write;
+use std::path::{Path, PathBuf};
+use std::process::Command;
+
+fn program() -> &'static Path {
+    Path::new(env!("CARGO_BIN_EXE_driftfront-rig"))
+}
+
+#[test]
+fn the_command_prints_its_usage() {
+    let mut text = String::new();
+    for args in [&[][..], &["--help"], &["--soak"]] {
+        let output = Command::new(program())
+            .args(args)
+            .output()
+            .expect("it runs");
+        let _ = writeln!(
+            text,
+            "{args:?}: {:?}\n{}{}",
+            output.status.code(),
+            String::from_utf8_lossy(&output.stdout),
+            String::from_utf8_lossy(&output.stderr)
+        );
+    }
+    // The program's own name is its package's.
+    let name = program().file_name().unwrap().to_str().unwrap();
+    assert_golden!("usage.txt", text.replace(name, "PROGRAM"));
+}
+
+#[test]
+fn soaks_are_drawn_as_they_were() {
+    let mut text = String::new();
+    for seed in 1..=12 {
+        let plan = Plan::draw(seed);
+        let _ = writeln!(
+            text,
+            "seed {} length {:?} deadline {:?} clients {} drains {:?} kill after {:?}",
+            plan.seed,
+            plan.length,
+            plan.deadline,
+            plan.clients,
+            plan.drains,
+            plan.kills_after()
+        );
+        for (number, troubles) in plan.engines.iter().enumerate() {
+            for trouble in troubles {
+                let _ = writeln!(
+                    text,
+                    "  engine {number} {:?} {:?}",
+                    trouble.during, trouble.mode
+                );
+            }
+        }
+        for (number, life) in plan.coordinators.iter().enumerate() {
+            let _ = writeln!(
+                text,
+                "  coordinator {number} signals {:?} steps {:?} crowd {} descriptors {}",
+                life.signals, life.steps, life.crowd, life.descriptors
+            );
+        }
+    }
+    assert_golden!("soaks.txt", text);
+}
+
+#[test]
+fn a_soak_s_report_reads_as_it_did() {
+    let all = [
+        Breach::Lost,
+        Breach::Duplicate,
+        Breach::Drain,
+        Breach::RetryBudget,
+        Breach::Crash,
+        Breach::Killed,
+    ];
+    let report = Report {
+        asked: 100,
+        ends: [(200, 90), (503, 7)].into(),
+        late: 2,
+        crossed: 3,
+        further: 4,
+        processes: 5,
+        breaches: all
+            .into_iter()
+            .map(|breach| (breach, "in words".to_string()))
+            .collect(),
+        logs: Vec::new(),
+    };
+    assert_golden!("report.txt", report.to_string());
+}
+
+/// A program that says where it listens, as the real one does, and waits.
+fn stand_in(folder: &Path) -> PathBuf {
+    use std::os::unix::fs::PermissionsExt;
+    std::fs::create_dir_all(folder).expect("a temporary folder");
+    let path = folder.join("program");
+    let lines = "#!/bin/sh\necho 'INFO fleet here=127.0.0.1:7 zone=z0' >&2\necho 'INFO serving listen=127.0.0.1:8' >&2\nexec sleep 60\n";
+    std::fs::write(&path, lines).expect("a temporary file");
+    std::fs::set_permissions(&path, std::fs::Permissions::from_mode(0o755)).expect("its mode");
+    path
+}
+
+#[test]
+fn members_get_the_files_that_they_got() {
+    let folder = std::env::temp_dir().join(format!("driftfront-rig-golden-{}", std::process::id()));
+    let binary = stand_in(&folder);
+    let mut text = String::new();
+    let scripts = [
+        "members 1",
+        "members 4 zones=2\nvoters 3 keeps=#true replace-after=\"7 s\"",
+        "members 2\nvoters 1",
+    ];
+    for script in scripts {
+        let mut rig = Rig::start(binary.to_str().unwrap(), "127.0.0.1:9", script);
+        let members = script.as_bytes()[8] - b'0';
+        let socket = rig.control(0);
+        let own = socket.parent().unwrap().to_str().unwrap();
+        let ports: Vec<String> = (0..u32::from(members))
+            .map(|m| rig.net.public(m).to_string())
+            .collect();
+        for member in 0..u32::from(members) {
+            let mut file = rig.process(member).file().replace(own, "FOLDER");
+            for (n, port) in ports.iter().enumerate() {
+                file = file.replace(port, &format!("ADDRESS-{n}"));
+            }
+            let _ = writeln!(text, "{file}");
+            assert_eq!(rig.clients(member).to_string(), "127.0.0.1:8");
+        }
+    }
+    std::fs::remove_dir_all(&folder).expect("the folder");
+    assert_golden!("member-files.txt", text);
+}
