--- /dev/null
+++ b/crates/console/tests/golden.rs
@@ -0,0 +1,358 @@
+//! What staff see, character for character, for the snapshot of the protocol's golden files; see `golden/README.md`.
+
+use driftfront_console::app::{App, Intent, Key, Tab, TABS};
+use driftfront_console::screen::{draw, Look};
+use driftfront_console::words;
+use driftfront_control::snapshot::{Agreed, Class, Engine, Service, Snapshot, Voter};
+use driftfront_control::{Reply, Request};
+use driftfront_test_support::assert_golden;
+use ratatui::buffer::Buffer;
+use ratatui::layout::Rect;
+use std::fmt::Write as _;
+
+/// The snapshot with all fields filled.
+fn snapshot() -> Snapshot {
+    let path = concat!(
+        env!("CARGO_MANIFEST_DIR"),
+        "/../control/tests/golden/replies.jsonl"
+    );
+    let text = std::fs::read_to_string(path).expect("the protocol's golden replies");
+    let line = text.lines().nth(3).expect("the snapshot with all fields");
+    match Reply::read(line) {
+        Some((_, Reply::Snapshot(snapshot))) => *snapshot,
+        other => panic!("no snapshot: {other:?}"),
+    }
+}
+
+#[test]
+fn plain_screens_are_as_before() {
+    for width in [20, 40, 80, 120, 200] {
+        assert_golden!(
+            &format!("plain-{width}.txt"),
+            words::plain(&snapshot(), width)
+        );
+    }
+    assert_golden!("plain-empty.txt", words::plain(&Snapshot::default(), 80));
+    let well = Snapshot {
+        name: "school".into(),
+        engines: vec![Engine {
+            name: "engine-1".into(),
+            phase: "ready".into(),
+            ..Engine::default()
+        }],
+        ..Snapshot::default()
+    };
+    assert_golden!("plain-well.txt", words::plain(&well, 80));
+}
+
+fn table(text: &mut String, title: &str, table: &words::Table) {
+    let widths = words::widths(table, 200);
+    let heads: Vec<String> = table.heads.iter().map(ToString::to_string).collect();
+    let _ = writeln!(text, "{title}:\n{}", words::row_text(&heads, &widths));
+    for row in &table.rows {
+        let _ = writeln!(text, "{}", words::row_text(row, &widths));
+    }
+}
+
+#[test]
+fn tables_are_as_before() {
+    let s = snapshot();
+    let agreed = s.agreed.as_ref().expect("agreed");
+    let mut text = String::new();
+    table(&mut text, "members", &words::members(&s));
+    table(&mut text, "holds", &words::holds(agreed));
+    table(&mut text, "engines", &words::engines(&s));
+    table(&mut text, "classes", &words::classes(&s));
+    table(&mut text, "queries", &words::queries(&s));
+    let _ = writeln!(text, "title: {}", words::title(&s));
+    let missing = Agreed {
+        missing: vec!["coordinator-b".into(), "coordinator-c".into()],
+        ..Agreed::default()
+    };
+    let nobody = Agreed {
+        leader: String::new(),
+        ..agreed.clone()
+    };
+    for agreed in [agreed, &missing, &Agreed::default(), &nobody] {
+        let _ = write!(text, "agreed: {}", words::agreed(agreed));
+    }
+    for seconds in [0, 119, 120, 7_199, 7_200, 172_799, 172_800] {
+        let _ = writeln!(text, "span {seconds}: {}", words::span(seconds));
+    }
+    for ms in [0.0, 9.96, 10.0, 999.4, 1_000.0, 9_999.0, 10_000.0] {
+        let _ = writeln!(text, "millis {ms}: {}", words::millis(ms));
+    }
+    assert_golden!("tables.txt", text);
+}
+
+fn alarms(text: &mut String, title: &str, change: impl FnOnce(&mut Snapshot)) {
+    let mut s = snapshot();
+    (s.roll, s.source_age_s) = (None, None);
+    s.engines.truncate(1);
+    s.members.clear();
+    s.classes.clear();
+    s.agreed = None;
+    change(&mut s);
+    let _ = writeln!(text, "{title}:");
+    for alarm in words::alarms(&s) {
+        let _ = writeln!(text, "    {alarm}");
+    }
+}
+
+/// Every sentence that may need an operator's eye.
+fn all_alarms() -> String {
+    let mut text = String::new();
+    let t = &mut text;
+    alarms(t, "nothing", |_| {});
+    for open in [0, 1, 2, 3, 4] {
+        alarms(t, "ending", |s| (s.stopping, s.open) = (true, open));
+    }
+    for state in ["draining", "drained", "handing over", "ending"] {
+        alarms(t, state, |s| s.state = state.into());
+    }
+    alarms(t, "no engine", |s| s.engines.clear());
+    for (running, imports) in [(1, 0), (2, 0), (1, 1), (2, 2), (3, 1), (5, 4)] {
+        alarms(t, "silent", |s| {
+            let engine = &mut s.engines[0];
+            (engine.running, engine.imports, engine.heard_ms) = (running, imports, Some(3_000));
+        });
+    }
+    for (order, running) in [("", 1), ("drain", 2), ("drain", 0)] {
+        alarms(t, "drains", |s| {
+            let mut engine = s.engines[0].clone();
+            (engine.phase, engine.running) = ("draining".into(), running);
+            (engine.order, engine.order_by) = (order.into(), "operator".into());
+            s.engines.push(engine);
+        });
+    }
+    alarms(t, "roll", |s| s.roll = snapshot().roll);
+    for asked in [9, 10, 20] {
+        alarms(t, "service", |s| {
+            let minute = Service {
+                asked,
+                in_time: 5,
+                ..Service::default()
+            };
+            s.classes = vec![Class {
+                name: "lookup".into(),
+                wanted_ms: 1_500,
+                minute,
+                ..Class::default()
+            }];
+        });
+    }
+    for age in [10, 11, 8_000] {
+        alarms(t, "source", |s| s.source_age_s = Some(age));
+    }
+    for gone in [1, 2, 3, 6, 7] {
+        alarms(t, "members of eight", |s| {
+            for n in 0..8 {
+                let mut member = snapshot().members[usize::from(n != 0)].clone();
+                member.name = format!("coordinator-{n}");
+                if (1..=gone).contains(&n) {
+                    member.standing = "gone".into();
+                }
+                s.members.push(member);
+            }
+        });
+    }
+    alarms(t, "the other of two", |s| {
+        s.members = snapshot().members;
+        s.members.remove(1);
+    });
+    let voters = |there| {
+        ["a", "b"].map(|name| Voter {
+            name: name.into(),
+            there,
+        })
+    };
+    for (title, agreed) in [
+        (
+            "unfit",
+            Agreed {
+                part: "unfit".into(),
+                ..Agreed::default()
+            },
+        ),
+        (
+            "missing",
+            Agreed {
+                missing: vec!["a".into(), "b".into()],
+                ..Agreed::default()
+            },
+        ),
+        (
+            "no leader",
+            Agreed {
+                voters: voters(true).into(),
+                ..Agreed::default()
+            },
+        ),
+        (
+            "no majority",
+            Agreed {
+                voters: voters(false).into(),
+                ..Agreed::default()
+            },
+        ),
+    ] {
+        alarms(t, title, |s| s.agreed = Some(agreed));
+    }
+    text
+}
+
+#[test]
+fn alarms_are_worded_as_before() {
+    assert_golden!("alarms.txt", all_alarms());
+}
+
+#[test]
+fn engine_states_are_worded_as_before() {
+    let mut text = String::new();
+    for phase in ["ready", "draining", "gone"] {
+        for order in ["", "drain", "remove"] {
+            for running in [0, 1] {
+                for (heard_ms, warm_in_s) in [(0, 0), (0, 1), (3_000, 0)] {
+                    let engine = Engine {
+                        phase: phase.into(),
+                        order: order.into(),
+                        running,
+                        heard_ms: Some(heard_ms),
+                        warm_in_s,
+                        ..Engine::default()
+                    };
+                    let _ = writeln!(
+                        text,
+                        "{phase}, order {order:?}, {running} run, heard {heard_ms}, warm in {warm_in_s}: {}",
+                        words::state(&engine)
+                    );
+                }
+            }
+        }
+    }
+    assert_golden!("engine-states.txt", text);
+}
+
+/// A screen's lines, with its styles where they are asked for.
+fn screen(app: &App, width: u16, height: u16, color: bool, styles: bool) -> String {
+    let area = Rect::new(0, 0, width, height);
+    let mut buffer = Buffer::empty(area);
+    draw(app, Look { color }, area, &mut buffer);
+    let mut text = String::new();
+    for y in 0..height {
+        let line: String = (0..width).map(|x| buffer[(x, y)].symbol()).collect();
+        let _ = writeln!(text, "|{line}|");
+        if styles {
+            let cell = &buffer[(0, y)];
+            let _ = writeln!(text, "    {:?} {:?}", cell.fg, cell.modifier);
+        }
+    }
+    text
+}
+
+fn app() -> App {
+    let mut app = App::new();
+    app.reply(Reply::Snapshot(Box::new(snapshot())));
+    for n in 0..3 {
+        app.reply(Reply::Event(
+            1_763_999_000_000_000 + n * 400_000_000,
+            format!("engine-{n}: ready -> draining"),
+        ));
+    }
+    app
+}
+
+#[test]
+fn drawn_screens_are_as_before() {
+    for (width, height) in [(40, 12), (80, 24), (120, 40)] {
+        let mut text = String::new();
+        for key in ['1', '2', '3', '4', '?'] {
+            let mut app = app();
+            app.key(Key::Char(key));
+            let _ = writeln!(text, "== {key}");
+            text += &screen(&app, width, height, false, false);
+        }
+        assert_golden!(&format!("screen-{width}.txt"), text);
+    }
+    let mut text = String::new();
+    for color in [true, false] {
+        text += &screen(&app(), 80, 24, color, true);
+    }
+    text += &screen(&App::new(), 40, 6, true, true);
+    assert_golden!("screen-styles.txt", text);
+}
+
+#[test]
+fn keys_ask_and_send_as_before() {
+    let mut text = String::new();
+    let mut app = app();
+    let names: Vec<&str> = TABS.iter().map(|t| t.1).collect();
+    let _ = writeln!(text, "tabs: {}", names.join(", "));
+    for key in [
+        Key::Char('d'),
+        Key::Char('x'),
+        Key::Char('d'),
+        Key::Char('y'),
+        Key::Down,
+        Key::Char('r'),
+        Key::Char('b'),
+        Key::Char('s'),
+        Key::Char('g'),
+        Key::Char('R'),
+        Key::Char('Y'),
+        Key::Char('2'),
+        Key::Char('d'),
+        Key::Char('r'),
+        Key::Tab,
+        Key::Tab,
+        Key::Tab,
+        Key::Char('?'),
+        Key::Char('q'),
+        Key::Enter,
+        Key::Escape,
+    ] {
+        let done = match app.key(key) {
+            Intent::Nothing => "nothing".to_string(),
+            Intent::Quit => "quit".into(),
+            Intent::Send(Request::Drain { engine, force }) => {
+                format!("send drain {engine} force {force}")
+            }
+            Intent::Send(Request::Resume(engine)) => format!("send resume {engine}"),
+            Intent::Send(Request::Roll(engines, dry)) => format!("send roll {engines:?} {dry}"),
+            Intent::Send(Request::Back) => "send back".into(),
+            Intent::Send(Request::RollStop) => "send roll stop".into(),
+            Intent::Send(Request::RollGoOn) => "send roll go on".into(),
+            Intent::Send(_) => panic!("no key sends this"),
+        };
+        let tab = TABS.iter().position(|t| t.0 == app.tab).expect("a tab");
+        let _ = writeln!(
+            text,
+            "{key:?}: {done}; tab {}, row {}, help {}, said {:?}, asked {:?}",
+            tab + 1,
+            app.chosen,
+            app.help,
+            app.said.as_deref().unwrap_or(""),
+            app.question.as_ref().map_or("", |q| &q.words)
+        );
+    }
+    app.tab = Tab::Engines;
+    app.chosen = 0;
+    if let Some(s) = &mut app.snapshot {
+        s.engines.truncate(1);
+    }
+    app.key(Key::Char('d'));
+    let _ = writeln!(
+        text,
+        "the last: {}",
+        app.question.as_ref().map_or("", |q| &q.words)
+    );
+    app.reply(Reply::Refused("no".into()));
+    let _ = writeln!(text, "said {:?}", app.said.as_deref().unwrap_or(""));
+    for width in [10, 14, 37, 40, 84, 120] {
+        let _ = writeln!(text, "keys {width}: {}", app.keys(width));
+    }
+    app.gone("connection refused");
+    let _ = writeln!(text, "gone: {}", app.alarms().join(" | "));
+    let _ = writeln!(text, "new: {}", App::new().alarms().join(" | "));
+    assert_golden!("keys.txt", text);
+}
--- /dev/null
+++ b/crates/roster/tests/golden.rs
@@ -0,0 +1,502 @@
+//! The registry's stored forms and its sentences, byte for byte; see `golden/README.md`.
+
+use driftfront_roster::handover::{self, Word};
+use driftfront_roster::record::{self, Record};
+use driftfront_roster::roll::{Act, EngineSight, Roll, Sight, Stage};
+use driftfront_roster::{hash, phase_word, standing_words};
+use driftfront_roster::{Command, Fact, Order, Refusal, Roster, Standing};
+use driftfront_test_support::{assert_golden, read_golden};
+use fernlink::interface::{ListKind, Phase};
+use std::fmt::Write as _;
+
+const SECOND: u64 = 1_000_000;
+
+fn standing(order: Order, by: &str) -> Standing {
+    Standing {
+        order,
+        since: 1_764_000_000_000_000,
+        by: by.into(),
+    }
+}
+
+fn fact(name: &str, addr: Option<&str>) -> Fact {
+    Fact {
+        name: name.into(),
+        addr: addr.map(|a| a.parse().expect("an address")),
+        zone: 1,
+        kind: 2,
+        cell: 3,
+        born: None,
+        phase: Phase::Ready,
+    }
+}
+
+fn roll(stage: Stage) -> Roll {
+    Roll {
+        left: vec!["engine-1".into(), "engine 2".into()],
+        through: vec!["engine-0".into()],
+        stage,
+        since: 1_764_000_000_000_001,
+        born: Some(1_763_999_999_000_000),
+        service: 987,
+        why: "engine-1 is drained: nothing new goes there".into(),
+    }
+}
+
+fn records() -> Vec<Record> {
+    let mut all = vec![
+        Record::Ordered {
+            engine: "engine-1".into(),
+            standing: standing(Order::Drain, "operator"),
+        },
+        Record::Ordered {
+            engine: "engine-2".into(),
+            standing: standing(Order::Remove, "a roll"),
+        },
+        Record::Lifted {
+            engine: "engine-1".into(),
+        },
+        Record::Added {
+            fact: fact("engine-9", Some("127.0.0.1:8123")),
+        },
+        Record::Added {
+            fact: fact("engine-é", Some("[::1]:8123")),
+        },
+        Record::Added {
+            fact: fact("engine-10", None),
+        },
+        Record::Roll { roll: None },
+        Record::Roll {
+            roll: Some(Roll::new(7, vec!["a".into()], None)),
+        },
+    ];
+    for stage in [
+        Stage::Next,
+        Stage::Draining,
+        Stage::Handed,
+        Stage::Warming,
+        Stage::Stopped,
+        Stage::Done,
+    ] {
+        all.push(Record::Roll {
+            roll: Some(roll(stage)),
+        });
+    }
+    all
+}
+
+#[test]
+fn orders_file_is_written_and_read_as_before() {
+    assert_golden!("orders.state", record::file(&records()));
+    let read = record::read(&read_golden!("orders.state")).expect("a state file");
+    assert_eq!(read.records, records());
+    assert_eq!(read.well, read_golden!("orders.state").len());
+    assert_eq!(read.spoilt, None);
+}
+
+#[test]
+fn damaged_and_foreign_orders_files_are_described_as_before() {
+    let whole = record::file(&records());
+    let changed = |at: usize| {
+        let mut bytes = whole.clone();
+        bytes[at] ^= 0x10;
+        bytes
+    };
+    let unknown = {
+        let text = b"dance\tengine-1";
+        let mut bytes = whole.clone();
+        bytes.extend((text.len() as u32).to_le_bytes());
+        bytes.extend(crc(text).to_le_bytes());
+        bytes.extend(text);
+        bytes
+    };
+    let mut text = String::new();
+    for (name, bytes) in [
+        ("empty", Vec::new()),
+        ("begun", whole[..5].to_vec()),
+        ("header alone", whole[..19].to_vec()),
+        ("length cut", whole[..22].to_vec()),
+        ("text cut", whole[..40].to_vec()),
+        ("length changed", changed(22)),
+        ("checksum changed", changed(24)),
+        ("text changed", changed(30)),
+        ("unknown behind", unknown),
+        ("newer", b"driftfront state 2\nwhatever".to_vec()),
+        ("foreign", b"{\"instances\":[]}".to_vec()),
+    ] {
+        let line = match record::read(&bytes) {
+            Ok(read) => format!(
+                "{} records, {} bytes, {}",
+                read.records.len(),
+                read.well,
+                read.spoilt.unwrap_or_default()
+            ),
+            Err(why) => format!("unusable: {why}"),
+        };
+        let _ = writeln!(text, "{name}: {line}");
+    }
+    assert_golden!("orders-damaged.txt", text);
+}
+
+fn word(ready: bool) -> Word {
+    Word {
+        ready,
+        orders: [
+            ("engine 2".into(), standing(Order::Remove, "a\troll")),
+            (
+                "engine-1".into(),
+                standing(Order::Drain, "the second address"),
+            ),
+        ]
+        .into(),
+        lifted: [
+            ("engine-3".into(), 9),
+            ("engine-é".into(), 1_764_000_000_000_002),
+        ]
+        .into(),
+        names: vec!["engine-1".into(), "engine 2".into(), "engine-é".into()],
+    }
+}
+
+#[test]
+fn handover_file_is_written_and_read_as_before() {
+    assert_golden!("handover-ready.bin", handover::encode(&word(true)));
+    assert_golden!("handover-starting.bin", handover::encode(&word(false)));
+    assert_golden!("handover-empty.bin", handover::encode(&Word::default()));
+    for (name, ready) in [
+        ("handover-ready.bin", true),
+        ("handover-starting.bin", false),
+    ] {
+        let mut expected = word(ready);
+        // A control character in a name of who ordered is written as a space.
+        expected
+            .orders
+            .insert("engine 2".into(), standing(Order::Remove, "a roll"));
+        assert_eq!(handover::decode(&read_golden!(name)), Ok(expected));
+    }
+    assert_eq!(
+        handover::decode(&read_golden!("handover-empty.bin")),
+        Ok(Word::default())
+    );
+}
+
+#[test]
+fn damaged_and_foreign_handover_files_are_described_as_before() {
+    let whole = handover::encode(&word(true));
+    let sealed = |text: &[u8], sum: u32| {
+        let mut bytes = handover::HEADER.to_vec();
+        bytes.extend((text.len() as u32).to_le_bytes());
+        bytes.extend(sum.to_le_bytes());
+        bytes.extend(text);
+        bytes
+    };
+    let mut changed = whole.clone();
+    changed[40] ^= 0x10;
+    let mut text = String::new();
+    for (name, bytes) in [
+        ("empty", Vec::new()),
+        ("begun", whole[..5].to_vec()),
+        ("header cut", whole[..21].to_vec()),
+        ("length cut", whole[..24].to_vec()),
+        ("text cut", whole[..50].to_vec()),
+        ("text changed", changed),
+        ("bytes behind", [&whole[..], b"x"].concat()),
+        ("newer", b"driftfront handover 2\nwhatever".to_vec()),
+        ("foreign", b"something else\n".to_vec()),
+        (
+            "unknown line",
+            sealed(b"ready\ndance\te\n", crc(b"ready\ndance\te\n")),
+        ),
+        ("not text", sealed(b"ready\n\xff\n", crc(b"ready\n\xff\n"))),
+    ] {
+        let line = match handover::decode(&bytes) {
+            Ok(word) => format!("read, ready: {}", word.ready),
+            Err(why) => why.to_string(),
+        };
+        let _ = writeln!(text, "{name}: {line}");
+    }
+    assert_golden!("handover-damaged.txt", text);
+}
+
+/// CRC-32 (IEEE), bit by bit.
+fn crc(bytes: &[u8]) -> u32 {
+    !bytes.iter().fold(!0u32, |sum, &byte| {
+        (0..8).fold(sum ^ u32::from(byte), |s, _| {
+            (s >> 1) ^ (0xedb8_8320 & (s & 1).wrapping_neg())
+        })
+    })
+}
+
+#[test]
+fn engine_numbers_are_as_before() {
+    let mut text = String::new();
+    for name in ["", "a", "engine-1", "engine-é", "s-00c41f7a"] {
+        let _ = writeln!(text, "hash {name:?}: {:016x}", hash(name.as_bytes()));
+    }
+    let mut roster = Roster::new();
+    let addr = Some("127.0.0.1:1000");
+    roster.source(
+        ListKind::Whole,
+        vec![fact("engine-1", addr), fact("s-00c41f7a", addr)],
+    );
+    for seen in roster.engines() {
+        let _ = writeln!(text, "engine {:?}: {:012x}", seen.name, seen.id.0);
+    }
+    assert_golden!("engine-numbers.txt", text);
+}
+
+fn say(text: &mut String, outcome: Result<driftfront_roster::Done, Refusal>) {
+    match outcome {
+        Ok((change, records)) => {
+            for words in &change.words {
+                let _ = writeln!(text, "  change: {words}");
+            }
+            for record in &records {
+                let bytes = record::encode(record);
+                let _ = writeln!(text, "  record: {}", bytes[8..].escape_ascii());
+            }
+        }
+        Err(why) => {
+            let _ = writeln!(text, "  refused: {why}");
+        }
+    }
+}
+
+#[test]
+fn commands_are_answered_as_before() {
+    let mut roster = Roster::new();
+    let mut text = String::new();
+    let addr = Some("127.0.0.1:1000");
+    let change = roster.source(
+        ListKind::Whole,
+        vec![
+            fact("engine-1", addr),
+            fact("engine-2", addr),
+            fact("engine-4", None),
+            fact("", addr),
+            Fact {
+                phase: Phase::Draining,
+                ..fact("engine-3", addr)
+            },
+        ],
+    );
+    for words in &change.words {
+        let _ = writeln!(text, "list: {words}");
+    }
+    let drain = |engine: &str, force| Command::Drain {
+        engine: engine.into(),
+        force,
+    };
+    let resume = |engine: &str| Command::Resume {
+        engine: engine.into(),
+    };
+    let remove = |engine: &str, force| Command::Remove {
+        engine: engine.into(),
+        force,
+    };
+    let add = |fact: Fact| Command::Add { fact };
+    for (n, (title, command)) in [
+        ("drain unknown, one near", drain("engine-5", false)),
+        ("drain unknown", drain("nothing-like-it", false)),
+        ("drain", drain("engine-1", false)),
+        ("drain again", drain("engine-1", false)),
+        ("drain the last", drain("engine-2", false)),
+        ("drain the last by force", drain("engine-2", true)),
+        ("resume", resume("engine-1")),
+        ("resume again", resume("engine-1")),
+        ("remove a ready one", remove("engine-1", false)),
+        ("remove by force", remove("engine-1", true)),
+        ("remove again", remove("engine-1", true)),
+        ("resume a removed one", resume("engine-1")),
+        ("drain a removed one", drain("engine-1", false)),
+        ("add without an address", add(fact("engine-7", None))),
+        ("add", add(fact("engine-7", addr))),
+        ("add again", add(fact("engine-7", addr))),
+        ("add a removed one", add(fact("engine-1", None))),
+        ("add with a tab", add(fact("engine\t8", addr))),
+    ]
+    .into_iter()
+    .enumerate()
+    {
+        let _ = writeln!(text, "{title}:");
+        let outcome = roster.command(1_000 + n as u64, "operator", command);
+        say(&mut text, outcome);
+    }
+    let _ = writeln!(text, "gone:");
+    let change = roster.source(ListKind::Whole, vec![fact("engine-2", addr)]);
+    say(&mut text, Ok((change, Vec::new())));
+    for refusal in [
+        Refusal::TooMany,
+        Refusal::StillReady("e".into()),
+        Refusal::Unknown("e".into(), Some("f".into())),
+    ] {
+        let _ = writeln!(text, "refusal: {refusal}");
+    }
+    for order in [Order::Drain, Order::Remove] {
+        let words = standing_words(&standing(order, "operator"));
+        let _ = writeln!(text, "standing: {words}");
+    }
+    for phase in [Phase::Ready, Phase::Draining, Phase::Gone] {
+        let _ = writeln!(text, "phase: {}", phase_word(phase));
+    }
+    assert_golden!("commands.txt", text);
+}
+
+fn engine(name: &str, zone: u16) -> EngineSight {
+    EngineSight {
+        name: name.into(),
+        ready: true,
+        drained: false,
+        running: 0,
+        loads: 0,
+        born: Some(1),
+        reachable: true,
+        zone,
+        part: 0.25,
+    }
+}
+
+fn sight() -> Sight {
+    Sight {
+        engines: vec![
+            engine("a", 0),
+            engine("b", 0),
+            engine("c", 1),
+            engine("d", 1),
+        ],
+        service: Some(0.95),
+        load: 0.4,
+    }
+}
+
+/// A rolling restart, its engines, and what was said of it.
+struct Script {
+    roll: Roll,
+    sight: Sight,
+    text: String,
+}
+
+impl Script {
+    fn new(title: &str, engines: &[&str]) -> Script {
+        let engines = engines.iter().map(ToString::to_string).collect();
+        Script {
+            roll: Roll::new(0, engines, Some(0.95)),
+            sight: sight(),
+            text: format!("== {title}\n"),
+        }
+    }
+
+    fn set(&mut self, name: &str, how: impl FnOnce(&mut EngineSight)) {
+        let engine = self.sight.engines.iter_mut().find(|e| e.name == name);
+        how(engine.expect("known"));
+    }
+
+    fn note(&mut self, now: u64, acts: Vec<Act>) {
+        let _ = writeln!(
+            self.text,
+            "{} s: {}; {}",
+            now / SECOND,
+            self.roll.stage.word(),
+            self.roll.why
+        );
+        for act in acts {
+            let line = match &act {
+                Act::Drain(name) => format!("drain {name}"),
+                Act::Resume(name) => format!("resume {name}"),
+                Act::Write => "write".into(),
+                Act::Say(words) => format!("say {words}"),
+            };
+            let _ = writeln!(self.text, "    {line}");
+            if let Act::Drain(name) | Act::Resume(name) = &act {
+                let drained = matches!(act, Act::Drain(_));
+                self.set(name, |e| (e.drained, e.ready) = (drained, !drained));
+            }
+        }
+        let _ = writeln!(self.text, "    {}", self.roll.text().escape_debug());
+    }
+
+    fn step(&mut self, now: u64) {
+        let acts = self.roll.step(now * SECOND, &self.sight);
+        self.note(now * SECOND, acts);
+    }
+
+    fn plan(&mut self) {
+        for line in self.roll.plan(&self.sight) {
+            let _ = writeln!(self.text, "    plan {line}");
+        }
+    }
+}
+
+#[test]
+fn roll_decides_and_speaks_as_before() {
+    let mut s = Script::new("two engines, one restarted, one handed back", &["a", "b"]);
+    s.plan();
+    s.set("a", |e| (e.running, e.loads) = (3, 1));
+    s.step(1);
+    s.step(2);
+    s.set("a", |e| (e.running, e.loads) = (2, 0));
+    s.step(3);
+    s.step(70);
+    s.set("a", |e| e.running = 0);
+    s.step(71);
+    s.step(72);
+    s.set("a", |e| e.born = Some(9));
+    s.step(73);
+    s.step(74);
+    s.set("a", |e| e.ready = false);
+    s.step(75);
+    s.set("a", |e| e.ready = true);
+    s.step(90);
+    s.step(91);
+    s.step(92);
+    let acts = s.roll.handed_back(93 * SECOND);
+    s.note(93 * SECOND, acts);
+    let acts = s.roll.handed_back(94 * SECOND);
+    s.note(94 * SECOND, acts);
+    s.step(120);
+    s.step(121);
+    let mut text = s.text;
+
+    let mut s = Script::new(
+        "what bars an engine, and one that is not listed",
+        &["a", "x"],
+    );
+    s.sight.load = 0.7;
+    s.step(1);
+    s.plan();
+    s.sight.load = 0.4;
+    s.set("b", |e| e.drained = true);
+    s.step(2);
+    s.set("b", |e| e.drained = false);
+    s.set("c", |e| e.ready = false);
+    s.step(3);
+    s.sight.engines.truncate(1);
+    s.step(4);
+    s.sight.engines.clear();
+    s.step(5);
+    s.sight = sight();
+    s.roll.left = vec!["x".into()];
+    s.step(6);
+    s.step(7);
+    text += &s.text;
+
+    let mut s = Script::new("stops: service, resumed, operator", &["a"]);
+    s.step(1);
+    s.sight.service = Some(0.8);
+    s.step(2);
+    s.step(3);
+    let acts = s.roll.go_on(4 * SECOND, &s.sight);
+    s.note(4 * SECOND, acts);
+    s.set("a", |e| (e.drained, e.ready) = (false, true));
+    s.step(5);
+    let acts = s.roll.go_on(6 * SECOND, &s.sight);
+    s.note(6 * SECOND, acts);
+    s.step(7);
+    s.step(8);
+    s.set("a", |e| (e.drained, e.ready) = (false, true));
+    s.step(9);
+    let acts = s.roll.stop(10 * SECOND, "by an operator");
+    s.note(10 * SECOND, acts);
+    text += &s.text;
+    assert_golden!("roll.txt", text);
+}
--- /dev/null
+++ b/crates/settings/tests/golden.rs
@@ -0,0 +1,161 @@
+//! The platform's settings as they are read, and what is said of those that can't be; see `golden/README.md`.
+
+use driftfront_settings::parse_settings;
+use driftfront_test_support::{assert_golden, read_golden};
+use fernlink::interface::{Effect, OutOfMemory, RepeatGroup, ReportField, Settings};
+use std::fmt::Write as _;
+
+/// What was read, a line for each key of the settings.
+fn text(s: &Settings) -> String {
+    let mut t = String::new();
+    let _ = writeln!(t, "Balancers {}", s.gateways);
+    let _ = writeln!(t, "MyNumber {}", s.number);
+    let _ = writeln!(t, "Zone {}", s.zone);
+    for (i, c) in s.classes.iter().enumerate() {
+        let _ = writeln!(t, "Profiles[{i}].OnTimeUs {}", c.aim);
+        let _ = writeln!(t, "Profiles[{i}].AimStretch {}", c.aim_stretch);
+        let _ = writeln!(t, "Profiles[{i}].Worth {}", c.worth);
+        let _ = writeln!(t, "Profiles[{i}].LateWorth {}", c.late_worth);
+        let effect = match c.effect {
+            Effect::Safe => "free",
+            Effect::Keyed => "guarded",
+            Effect::Unsafe => "single_shot",
+        };
+        let _ = writeln!(t, "Profiles[{i}].Effect {effect}");
+        let scope = match c.repeat_group {
+            RepeatGroup::All => "all",
+            RepeatGroup::Zone => "zone",
+            RepeatGroup::Cell => "cell",
+        };
+        let _ = writeln!(t, "Profiles[{i}].KeyScope {scope}");
+        let _ = writeln!(t, "Profiles[{i}].RepeatWindowUs {}", c.repeat_window);
+        let _ = writeln!(t, "Profiles[{i}].ByArrival {}", c.in_order);
+        let _ = writeln!(t, "Profiles[{i}].ConfinedTo {:?}", c.zones);
+        let _ = writeln!(t, "Profiles[{i}].MachineTypesAllowed {:?}", c.kinds);
+        let _ = writeln!(t, "FamilyInfo.WidthByClass[{i}] {}", c.threads);
+        let _ = writeln!(t, "FamilyInfo.Loads[{i}] {}", c.load);
+        let _ = writeln!(t, "FamilyInfo.BlockedByLoads[{i}] {}", c.waits_for_loads);
+    }
+    for (i, k) in s.kinds.iter().enumerate() {
+        let _ = writeln!(t, "FamilyInfo.SizeCores[{i}] {:?}", k.cores);
+        let _ = writeln!(t, "FamilyInfo.RamOfKindMb[{i}] {:?}", k.memory_mb);
+    }
+    for (i, tenant) in s.tenants.iter().enumerate() {
+        let _ = writeln!(t, "Tenants[{i}].QuotaPerS {}", tenant.quota_per_s);
+    }
+    let _ = writeln!(t, "OverShareWorth {}", s.over_quota_worth);
+    let _ = writeln!(t, "CountedBy work: {}", s.worth_by_work);
+    let _ = writeln!(t, "MembershipMode ask: {}", s.ask_discovery);
+    let _ = writeln!(t, "Contract.AskWithinUs {:?}", s.ask_within);
+    let _ = writeln!(t, "FamilyInfo.GrantsCount {}", s.grants);
+    let _ = writeln!(t, "FamilyInfo.Priorities {}", s.priorities);
+    let _ = writeln!(t, "FamilyInfo.LargestShare {:?}", s.largest_grant);
+    let out_of_memory = match s.out_of_memory {
+        OutOfMemory::Wait => "line_up",
+        OutOfMemory::Shrink => "cut",
+        OutOfMemory::Page => "overcommit",
+    };
+    let _ = writeln!(t, "FamilyInfo.OutOfMemory {out_of_memory}");
+    let _ = writeln!(t, "FamilyInfo.TellsEveryUs {:?}", s.notes_every);
+    for (i, f) in s.report_fields.iter().enumerate() {
+        let field = match f {
+            ReportField::Active => "active",
+            ReportField::Waiting => "waiting",
+            ReportField::Busy => "cpu",
+            ReportField::ServiceMs => "avg_ms",
+            ReportField::Rate => "rps",
+            ReportField::Errors => "err_rps",
+            ReportField::Memory => "of memory",
+            ReportField::Disk => "of disks",
+            ReportField::Unknown => "unknown",
+        };
+        let _ = writeln!(t, "LoadReport.Fields[{i}] {field}");
+    }
+    let _ = writeln!(t, "LoadReport.How on_probe: {}", s.report_on_probe);
+    let _ = writeln!(t, "Caps.Cancel {}", s.may_cancel);
+    let _ = writeln!(t, "Caps.MayProbe {}", s.may_probe);
+    let _ = writeln!(t, "Caps.Peers {}", s.may_message);
+    let _ = writeln!(t, "Caps.ParallelTries {}", s.may_copy);
+    let _ = writeln!(t, "Caps.MaxAttempts {:?}", s.max_attempts);
+    let _ = writeln!(t, "Caps.MaxRetryAfterUs {:?}", s.retry_after);
+    let _ = writeln!(t, "Fees.CrossZone {}", s.crossing_costs);
+    let _ = writeln!(t, "Fees.Probe {}", s.probe_price);
+    let _ = writeln!(t, "TickUs {}", s.tick);
+    if let Some(budget) = &s.retry_budget {
+        let _ = writeln!(t, "Contract.MinExtra {}", budget.free);
+        let _ = writeln!(t, "Contract.FurtherRatio {}", budget.ratio);
+        let _ = writeln!(t, "Contract.ExtraWindowUs {}", budget.window);
+    }
+    if let Some(cold) = &s.cold {
+        let _ = writeln!(t, "Contract.ColdFrom {}", cold.from);
+        let _ = writeln!(t, "Contract.WarmUpUs {}", cold.warm_after);
+        let _ = writeln!(t, "Contract.FallMultiple {}", cold.multiple);
+        let _ = writeln!(t, "Contract.OverloadForUs {}", cold.window);
+    }
+    let _ = writeln!(t, "Contract.SettleAfterDoubtUs {}", s.settle);
+    t
+}
+
+#[test]
+fn settings_are_read_as_before() {
+    for (json, read) in [("full.json", "full.txt"), ("least.json", "least.txt")] {
+        let settings = parse_settings(&read_golden!(json)).expect("settings");
+        assert_golden!(read, text(&settings));
+    }
+}
+
+#[test]
+fn settings_that_cannot_be_read_are_described_as_before() {
+    let full = String::from_utf8(read_golden!("full.json")).expect("text");
+    let mut text = String::new();
+    let mut note = |title: &str, json: &[u8]| {
+        let said = match parse_settings(json) {
+            Ok(_) => "read".into(),
+            Err(why) => why.to_string(),
+        };
+        let _ = writeln!(text, "{title}: {said}");
+    };
+    note("not UTF-8", b"\xff");
+    note("not JSON", b"{");
+    note("not an object", b"[1]");
+    note("nested", &[b'['; 65]);
+    note(
+        "nested in text",
+        format!("{{\"x\": \"{}\"}}", "[".repeat(65)).as_bytes(),
+    );
+    for (from, to) in [
+        ("\"Profiles\"", "\"Other\""),
+        ("\"Profiles\": [", "\"Profiles\": [], \"Other\": ["),
+        ("\"Balancers\": 3,", ""),
+        ("\"Balancers\": 3", "\"Balancers\": -3"),
+        ("\"Balancers\": 3", "\"Balancers\": \"3\""),
+        ("\"Zone\": 1,", ""),
+        ("\"MyNumber\": 2", "\"MyNumber\": null"),
+        ("\"MyNumber\": 2", "\"MyNumber\": \"x\""),
+        ("{\"QuotaPerS\": 0}", "{}"),
+        ("\"ColdFrom\": 0.2,", ""),
+        ("\"WarmUpUs\": 15000000", "\"WarmUpUs\": -1"),
+        ("\"ExtraWindowUs\": 10000000", "\"ExtraWindowUs\": \"x\""),
+        ("\"MinExtra\": 5", "\"MinExtra\": -5"),
+        ("\"overcommit\"", "\"explode\""),
+        ("\"Effect\": \"free\"", "\"Effect\": \"odd\""),
+        ("\"KeyScope\": \"zone\"", "\"KeyScope\": \"odd\""),
+        ("\"KeyScope\": \"zone\",", ""),
+        ("\"OnTimeUs\": 500000,", ""),
+        ("\"Worth\": 10", "\"Worth\": \"x\""),
+        ("\"ConfinedTo\": [0, 1]", "\"ConfinedTo\": 5"),
+        ("\"ConfinedTo\": [0, 1]", "\"ConfinedTo\": [0, 65536]"),
+        (
+            "\"MachineTypesAllowed\": [2]",
+            "\"MachineTypesAllowed\": [0.5]",
+        ),
+        ("\"TickUs\": 1000.9", "\"TickUs\": true"),
+    ] {
+        assert!(full.contains(from), "{from}");
+        note(
+            &format!("{from} -> {to}"),
+            full.replace(from, to).as_bytes(),
+        );
+    }
+    assert_golden!("errors.txt", text);
+}
