--- a/crates/roster/tests/bans.rs
+++ b/crates/engine-registry/tests/bans.rs
@@ -1,6 +1,6 @@
 //! Engines taken out and put back by name, whatever lists say.
 
-use driftfront_roster::{Fact, Refusal, Roster, NAMES_MOST};
+use driftfront_engine_registry::{Fact, Refusal, Roster, NAMES_MOST};
 use fernlink::interface::{ListKind, Phase};
 use quickcheck::{Gen, QuickCheck};
 
--- a/crates/roster/tests/golden.rs
+++ b/crates/engine-registry/tests/golden.rs
@@ -1,10 +1,10 @@
 //! The registry's stored forms and its sentences, byte for byte; see `golden/README.md`.
 
-use driftfront_roster::handover::{self, Word};
-use driftfront_roster::record::{self, Record};
-use driftfront_roster::roll::{Act, EngineSight, Roll, Sight, Stage};
-use driftfront_roster::{hash, phase_word, standing_words};
-use driftfront_roster::{Command, Fact, Order, Refusal, Roster, Standing};
+use driftfront_engine_registry::handover::{self, Word};
+use driftfront_engine_registry::record::{self, Record};
+use driftfront_engine_registry::roll::{Act, EngineSight, Roll, Sight, Stage};
+use driftfront_engine_registry::{hash, phase_word, standing_words};
+use driftfront_engine_registry::{Command, Fact, Order, Refusal, Roster, Standing};
 use driftfront_test_support::{assert_golden, read_golden};
 use fernlink::interface::{ListKind, Phase};
 use std::fmt::Write as _;
@@ -245,7 +245,7 @@
     assert_golden!("engine-numbers.txt", text);
 }
 
-fn say(text: &mut String, outcome: Result<driftfront_roster::Done, Refusal>) {
+fn say(text: &mut String, outcome: Result<driftfront_engine_registry::Done, Refusal>) {
     match outcome {
         Ok((change, records)) => {
             for words in &change.words {
--- a/crates/roster/tests/model.rs
+++ b/crates/engine-registry/tests/model.rs
@@ -1,7 +1,7 @@
 //! The roster against random sources, commands and restarts.
 
-use driftfront_roster::record::{self, Record};
-use driftfront_roster::{Command, Fact, Order, Roster};
+use driftfront_engine_registry::record::{self, Record};
+use driftfront_engine_registry::{Command, Fact, Order, Roster};
 use fernlink::interface::{EngineId, ListKind, Phase};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use std::collections::BTreeMap;
@@ -65,7 +65,7 @@
 struct Module(BTreeMap<EngineId, Phase>);
 
 impl Module {
-    fn take(&mut self, change: &driftfront_roster::Change) {
+    fn take(&mut self, change: &driftfront_engine_registry::Change) {
         if change.kind != ListKind::Changes {
             self.0.values_mut().for_each(|p| *p = Phase::Gone);
         }
--- a/crates/roster/tests/roll.rs
+++ b/crates/engine-registry/tests/roll.rs
@@ -1,6 +1,6 @@
 //! A roll that goes on in a new process, whose clock has nothing to do with the last one's.
 
-use driftfront_roster::roll::{Act, EngineSight, Roll, Sight};
+use driftfront_engine_registry::roll::{Act, EngineSight, Roll, Sight};
 
 const SECOND: u64 = 1_000_000;
 const HOUR: u64 = 3_600 * SECOND;
--- a/crates/node/src/handover.rs
+++ b/crates/node/src/handover.rs
@@ -1,10 +1,10 @@
 //! The folder in which processes of one coordinator tell each other what they must know while an upgrade has two of
-//! them run: a file each, and a lock that shows whether its writer lives. The form is `driftfront_roster::handover`.
+//! them run: a file each, and a lock that shows whether its writer lives. The form is `driftfront_engine_registry::handover`.
 //!
 //! Used only where the platform passes the clients' socket. The folder is in `$TMPDIR`, which the platform keeps in
 //! memory: the few small reads and writes are done on the loop.
 
-use driftfront_roster::handover::{decode, encode, Word, FILE_MOST};
+use driftfront_engine_registry::handover::{decode, encode, Word, FILE_MOST};
 use std::collections::BTreeMap;
 use std::fs::File;
 use std::io;
--- a/crates/node/src/members/mod.rs
+++ b/crates/node/src/members/mod.rs
@@ -7,7 +7,7 @@
 pub mod stream;
 
 use driftfront_core::{ListKind, Micros, Phase};
-use driftfront_roster::Fact;
+use driftfront_engine_registry::Fact;
 use driftfront_settings::json::Json;
 use std::net::SocketAddr;
 use tinyjson::JsonValue;
--- a/crates/node/src/net/mod.rs
+++ b/crates/node/src/net/mod.rs
@@ -4,5 +4,5 @@
 mod link;
 pub mod silence;
 
-pub use driftfront_roster::hash;
+pub use driftfront_engine_registry::hash;
 pub use link::{connect, out_of_descriptors, Link, ReadEnd};
--- a/crates/node/src/node/control/orders.rs
+++ b/crates/node/src/node/control/orders.rs
@@ -4,9 +4,9 @@
 use crate::node::{ConnId, Node};
 use driftfront_control::Reply;
 use driftfront_core::Micros;
-use driftfront_roster::record::Record;
-use driftfront_roster::roll::{Act, Roll, Sight};
-use driftfront_roster::Command as Order;
+use driftfront_engine_registry::record::Record;
+use driftfront_engine_registry::roll::{Act, Roll, Sight};
+use driftfront_engine_registry::Command as Order;
 
 impl Node {
     /// Carries out an operator's command: at once for the engines, and done once it is on the disk.
--- a/crates/node/src/node/control/views.rs
+++ b/crates/node/src/node/control/views.rs
@@ -7,8 +7,8 @@
 use driftfront_control::Field;
 use driftfront_core::lifecycle::State;
 use driftfront_core::{EngineId, Micros, Phase};
-use driftfront_roster::roll::{EngineSight, Sight};
-use driftfront_roster::{phase_word, Order as Ordered};
+use driftfront_engine_registry::roll::{EngineSight, Sight};
+use driftfront_engine_registry::{phase_word, Order as Ordered};
 use std::collections::BTreeMap;
 
 impl Node {
--- a/crates/node/src/node/management.rs
+++ b/crates/node/src/node/management.rs
@@ -10,7 +10,7 @@
 use calloop::RegistrationToken;
 use driftfront_control::management::{reply, BadCall, Call, CallReader, CALL_MOST, WORDS};
 use driftfront_core::Micros;
-use driftfront_roster::Done;
+use driftfront_engine_registry::Done;
 use std::collections::BTreeMap;
 use std::net::{Shutdown, SocketAddr, TcpListener};
 use std::rc::Rc;
--- a/crates/node/src/node/mod.rs
+++ b/crates/node/src/node/mod.rs
@@ -25,7 +25,7 @@
 use calloop::{EventLoop, Interest, LoopHandle, Mode, PostAction, Readiness, RegistrationToken};
 use driftfront_core::lifecycle::Lifecycle;
 use driftfront_core::{AttemptKey, Command, Core, EngineId, ListKind, Micros, Phase, RequestId};
-use driftfront_roster::{Change, Roster};
+use driftfront_engine_registry::{Change, Roster};
 use driftfront_settings::json::Json;
 use fernlink::interface::Effect;
 use std::collections::BTreeMap;
--- a/crates/node/src/state.rs
+++ b/crates/node/src/state.rs
@@ -1,7 +1,7 @@
 //! The state folder: operators' orders that outlive a restart. A command counts as done once its record is on the disk.
 
 use crate::disk::{Disk, Job};
-use driftfront_roster::record::{self, Record, COMPACT_AT, HEADER};
+use driftfront_engine_registry::record::{self, Record, COMPACT_AT, HEADER};
 use std::fs::OpenOptions;
 use std::io::{Read, Seek, SeekFrom, Write};
 use std::path::Path;
@@ -118,7 +118,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use driftfront_roster::{Order, Standing};
+    use driftfront_engine_registry::{Order, Standing};
     use std::sync::mpsc::channel;
 
     fn order(n: u64) -> Record {
--- a/crates/node/tests/golden_operators/files.rs
+++ b/crates/node/tests/golden_operators/files.rs
@@ -3,10 +3,10 @@
 use crate::common::{file, FOR_EVER};
 use crate::{type_in, Folder};
 use driftfront::handover::Post;
-use driftfront_roster::handover::Word;
-use driftfront_roster::record::Record;
-use driftfront_roster::roll::Roll;
-use driftfront_roster::{Fact, Order, Standing};
+use driftfront_engine_registry::handover::Word;
+use driftfront_engine_registry::record::Record;
+use driftfront_engine_registry::roll::Roll;
+use driftfront_engine_registry::{Fact, Order, Standing};
 use driftfront_test_support::{assert_golden, read_golden};
 use fernlink::interface::Phase;
 use std::os::unix::fs::PermissionsExt;
@@ -265,7 +265,7 @@
     let folder = Folder::new("golden-roll");
     let text = "stopped\t1764000000000000\t7\t995\te1\u{1f}e2\te0\tsomething fell";
     let roll = Roll::of_text(text).expect("a roll");
-    let bytes = driftfront_roster::record::file(&[Record::Roll { roll: Some(roll) }]);
+    let bytes = driftfront_engine_registry::record::file(&[Record::Roll { roll: Some(roll) }]);
     assert_golden!("operators/orders-roll", bytes);
     std::fs::create_dir_all(folder.0.join("state")).expect("a folder");
     std::fs::write(
--- a/crates/node/tests/wires.rs
+++ b/crates/node/tests/wires.rs
@@ -7,10 +7,10 @@
 use driftfront::members::stream::Stream;
 use driftfront::members::{read, Watch};
 use driftfront_core::{Ask, AttemptKey, Cause, ListKind, Phase, RequestId, Told};
+use driftfront_engine_registry::{Change, Roster};
 use driftfront_http::{
     chunk, Fault, Request, RequestReader, ResponsePart, ResponseReader, LAST_CHUNK,
 };
-use driftfront_roster::{Change, Roster};
 use driftfront_settings::json::{parse, Json};
 use quickcheck::{Arbitrary, Gen, QuickCheck, Testable};
 use std::collections::BTreeMap;
