--- a/crates/fleet/tests/voters/mod.rs
+++ b/crates/cluster/tests/voters/mod.rs
@@ -1,8 +1,8 @@
 //! Members that take part in what is agreed, on virtual time and with no faults: all that they send and store can be looked at.
 
-use driftfront_fleet::agreed::rights::{Command, Outcome};
-use driftfront_fleet::agreed::{Agreed, Notice, Options, Peer, Unanswered};
-use driftfront_fleet::{Micros, Standing};
+use driftfront_cluster::agreed::rights::{Command, Outcome};
+use driftfront_cluster::agreed::{Agreed, Notice, Options, Peer, Unanswered};
+use driftfront_cluster::{Micros, Standing};
 
 pub const SECOND: Micros = 1_000_000;
 const STEP: Micros = 25_000;
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -12,7 +12,7 @@
 pub use script::{Deed, Group, Link, Links, Script};
 pub use world::World;
 
-use driftfront_fleet::Micros;
+use driftfront_cluster::Micros;
 
 /// The time, in seconds, that this part of a sorted list does not pass; no number where it is empty.
 pub fn percentile(sorted: &[Micros], part: f64) -> f64 {
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,9 +1,9 @@
 //! Plays scripts on virtual time and prints what members knew and when, as tables.
 
-use driftfront_fleet::agreed::rights::{Command, Outcome};
-use driftfront_fleet::agreed::{self, Agreed, Notice, Peer};
-use driftfront_fleet::seal::{Payload, Seal};
-use driftfront_fleet::{About, Fleet, Identity, Micros, Options, Standing};
+use driftfront_cluster::agreed::rights::{Command, Outcome};
+use driftfront_cluster::agreed::{self, Agreed, Notice, Peer};
+use driftfront_cluster::seal::{Payload, Seal};
+use driftfront_cluster::{About, Fleet, Identity, Micros, Options, Standing};
 use driftfront_lab::rights::Load;
 use driftfront_lab::world::{addr, keys, name, Seen};
 use driftfront_lab::{percentile, storm, Script, World};
--- a/crates/lab/src/rights.rs
+++ b/crates/lab/src/rights.rs
@@ -3,9 +3,9 @@
 //! What counts is what a member would do: whether it would act on a right at this moment, by its own clock. A process that
 //! stands still does nothing; it is asked again once it goes on.
 
-use driftfront_fleet::agreed::rights::{Command, Outcome};
-use driftfront_fleet::agreed::{Agreed, Unanswered};
-use driftfront_fleet::{Fleet, Micros};
+use driftfront_cluster::agreed::rights::{Command, Outcome};
+use driftfront_cluster::agreed::{Agreed, Unanswered};
+use driftfront_cluster::{Fleet, Micros};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeMap;
--- a/crates/lab/src/script.rs
+++ b/crates/lab/src/script.rs
@@ -21,7 +21,7 @@
 //! at "32 s" { clock "m5" by="3600 s" }
 //! ```
 
-use driftfront_fleet::Micros;
+use driftfront_cluster::Micros;
 use kdl::{KdlDocument, KdlEntry, KdlNode};
 use rand::Rng;
 use std::collections::BTreeMap;
--- a/crates/lab/src/storm.rs
+++ b/crates/lab/src/storm.rs
@@ -1,7 +1,7 @@
 //! Scripts drawn at random: a storm of faults, then quiet. What must hold after is the same for all: one view again.
 
 use crate::script::{Deed, Group, Link, Script};
-use driftfront_fleet::Micros;
+use driftfront_cluster::Micros;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
--- a/crates/lab/src/world.rs
+++ b/crates/lab/src/world.rs
@@ -2,8 +2,8 @@
 
 use crate::rights::{Load, Rights};
 use crate::script::{Deed, Link, Links, Script};
-use driftfront_fleet::agreed::replica::Write;
-use driftfront_fleet::{
+use driftfront_cluster::agreed::replica::Write;
+use driftfront_cluster::{
     agreed, About, Counters, Fleet, Identity, Key, Keyring, Micros, Options, Standing,
 };
 use rand::rngs::SmallRng;
--- a/crates/lab/tests/golden.rs
+++ b/crates/lab/tests/golden.rs
@@ -1,7 +1,7 @@
 //! Scripts, the commands' output and runs on virtual time, compared with golden files. A run's golden file shows whether a
 //! change of the code changed anything that members do: the sum over all that was sent differs with any byte.
 
-use driftfront_fleet::Standing;
+use driftfront_cluster::Standing;
 use driftfront_lab::rights::Load;
 use driftfront_lab::{storm, Deed, Group, Link, Script, World};
 use driftfront_test_support::assert_golden;
--- a/crates/lab/tests/members.rs
+++ b/crates/lab/tests/members.rs
@@ -1,6 +1,6 @@
 //! Members under faults, on virtual time. Bounds are on the script's own time, so that the verdict is the same each time.
 
-use driftfront_fleet::Standing;
+use driftfront_cluster::Standing;
 use driftfront_lab::{Script, World};
 
 const S: u64 = 1_000_000;
--- a/crates/node/src/node/fleet.rs
+++ b/crates/node/src/node/fleet.rs
@@ -6,9 +6,11 @@
 use super::{Node, Source};
 use crate::config::FleetConfig;
 use crate::members::Update;
+use driftfront_cluster::{
+    About, Fleet, Identity, Keyring, Options, Standing, State, DATAGRAM_MOST,
+};
 use driftfront_control::snapshot::Member;
 use driftfront_core::{lifecycle, ListKind, Micros, Phase};
-use driftfront_fleet::{About, Fleet, Identity, Keyring, Options, Standing, State, DATAGRAM_MOST};
 use std::collections::BTreeMap;
 use std::io::ErrorKind;
 use std::net::{SocketAddr, UdpSocket};
@@ -280,7 +282,7 @@
         let Some(fleet) = &self.fleet else {
             return Vec::new();
         };
-        let member = |m: driftfront_fleet::MemberView| {
+        let member = |m: driftfront_cluster::MemberView| {
             let (about, age) = m.about.map_or((None, None), |(about, age)| {
                 (Some(about), Some(age / 1_000_000))
             });
--- a/crates/node/src/node/fleet/agreed.rs
+++ b/crates/node/src/node/fleet/agreed.rs
@@ -6,13 +6,13 @@
 use super::Hands;
 use crate::disk::{Disk, Job};
 use crate::node::{ConnId, Node};
+use driftfront_cluster::agreed::replica::Write;
+use driftfront_cluster::agreed::rights::{Command, Outcome, TEXT_MOST};
+use driftfront_cluster::agreed::{store, Options, Role, Unanswered};
+use driftfront_cluster::State;
 use driftfront_control::snapshot::{Agreed as Shown, Held, Voter};
 use driftfront_control::Reply;
 use driftfront_core::Micros;
-use driftfront_fleet::agreed::replica::Write;
-use driftfront_fleet::agreed::rights::{Command, Outcome, TEXT_MOST};
-use driftfront_fleet::agreed::{store, Options, Role, Unanswered};
-use driftfront_fleet::State;
 use std::collections::{BTreeMap, VecDeque};
 use std::fs::{File, OpenOptions, TryLockError};
 use std::io::Read;
@@ -358,7 +358,7 @@
         };
         let held = |(fence, right, left): (
             u64,
-            driftfront_fleet::agreed::rights::Right,
+            driftfront_cluster::agreed::rights::Right,
             Option<Micros>,
         )| Held {
             name: right.pot.strip_prefix(HOLD).unwrap_or(&right.pot).into(),
--- a/crates/node/tests/fleet.rs
+++ b/crates/node/tests/fleet.rs
@@ -1,7 +1,7 @@
 //! Several processes of the program with faults between them. Waits are for what they say they see.
 
-use driftfront_fleet::seal::{Payload, Seal};
-use driftfront_fleet::{About, Fleet, Identity, Key, Keyring};
+use driftfront_cluster::seal::{Payload, Seal};
+use driftfront_cluster::{About, Fleet, Identity, Key, Keyring};
 use driftfront_rig::process::call;
 use driftfront_rig::Rig;
 use standins::engine::{Engine, Options};
@@ -217,7 +217,7 @@
     let begun = std::time::Instant::now();
     let mut later = Fleet::new(
         0,
-        driftfront_fleet::Options {
+        driftfront_cluster::Options {
             me,
             about: about.clone(),
             keys: keys(),
