--- a/crates/node/src/node/upgrade.rs
+++ b/crates/node/src/node/upgrade.rs
@@ -21,7 +21,7 @@
         .ok()
         .filter(|told| !told.is_empty());
     if let Some(told) = told {
-        match driftfront_inherit::adopt(&told) {
+        match driftfront_socket_activation::adopt(&told) {
             Ok(listener) => {
                 let at = listener.local_addr().map_or(config.listen, |at| at);
                 if at != config.listen {
--- a/crates/inherit/tests/golden.rs
+++ b/crates/socket-activation/tests/golden.rs
@@ -1,6 +1,6 @@
 //! What is said of a socket that can't be adopted, compared with a golden file.
 
-use driftfront_inherit::{adopt, Refusal, PASSED};
+use driftfront_socket_activation::{adopt, Refusal, PASSED};
 use driftfront_test_support::assert_golden;
 
 #[test]
