--- a/crates/lab/src/main.rs
+++ b/crates/cluster-simulation/src/main.rs
@@ -4,9 +4,9 @@
 use driftfront_cluster::agreed::{self, Agreed, Notice, Peer};
 use driftfront_cluster::seal::{Payload, Seal};
 use driftfront_cluster::{About, Fleet, Identity, Micros, Options, Standing};
-use driftfront_lab::rights::Load;
-use driftfront_lab::world::{addr, keys, name, Seen};
-use driftfront_lab::{percentile, storm, Script, World};
+use driftfront_cluster_simulation::rights::Load;
+use driftfront_cluster_simulation::world::{addr, keys, name, Seen};
+use driftfront_cluster_simulation::{percentile, storm, Script, World};
 use rand::rngs::SmallRng;
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
@@ -14,21 +14,21 @@
 use std::process::ExitCode;
 use std::str::FromStr;
 
-const USAGE: &str = "driftfront-lab members [--members N] [--runs K] [--loss PART] [--seed N] [--settle S] [--late]
+const USAGE: &str = "driftfront-cluster-simulation members [--members N] [--runs K] [--loss PART] [--seed N] [--settle S] [--late]
     a member is killed 10 s after they settled and the rest watched for 20 s more: how long until all know, who was called down
     though it was there, and what each sends
-driftfront-lab storm [--members N] [--runs K] [--seed N]
+driftfront-cluster-simulation storm [--members N] [--runs K] [--seed N]
     storms of faults drawn by their seeds, then quiet: how long until all have one view again; a seed that does not is named
-driftfront-lab agreed [--members N] [--voters N] [--keeps] [--runs K] [--seed N]
+driftfront-cluster-simulation agreed [--members N] [--voters N] [--keeps] [--runs K] [--seed N]
     the same storms over members that ask for rights: whether any is ever held twice, and how long until one leads again
-driftfront-lab leader [--members N] [--voters N] [--runs K] [--seed N] [--loss PART]
+driftfront-cluster-simulation leader [--members N] [--voters N] [--runs K] [--seed N] [--loss PART]
     the leader is killed after 40 s: how long until another leads, and until the next request is answered
-driftfront-lab check [--time N] [--terms N] [--entries N] [--depth N]
+driftfront-cluster-simulation check [--time N] [--terms N] [--entries N] [--depth N]
     the model of a right that is lent, in all states that can be reached within the bounds
-driftfront-lab fuzz [--agreed] [--runs N] [--seed N]
+driftfront-cluster-simulation fuzz [--agreed] [--runs N] [--seed N]
     spoilt datagrams, and well sealed ones with spoilt payloads, into one member that goes on talking to another; or spoilt
     words among voters
-driftfront-lab play SCRIPT
+driftfront-cluster-simulation play SCRIPT
     plays a script and prints each change of a member's view of another";
 
 const S: Micros = 1_000_000;
@@ -488,7 +488,7 @@
 
 /// Looks at all states of the model, and whether it finds what mistaken builds would do.
 fn check(mut args: pico_args::Arguments) -> Result<(), String> {
-    use driftfront_lab::model::{Bounds, Wrong};
+    use driftfront_cluster_simulation::model::{Bounds, Wrong};
     use stateright::{Checker, HasDiscoveries, Model};
     let (time, terms) = (
         number(&mut args, "--time", 2u64)?,
--- a/crates/lab/tests/golden.rs
+++ b/crates/cluster-simulation/tests/golden.rs
@@ -2,8 +2,8 @@
 //! change of the code changed anything that members do: the sum over all that was sent differs with any byte.
 
 use driftfront_cluster::Standing;
-use driftfront_lab::rights::Load;
-use driftfront_lab::{storm, Deed, Group, Link, Script, World};
+use driftfront_cluster_simulation::rights::Load;
+use driftfront_cluster_simulation::{storm, Deed, Group, Link, Script, World};
 use driftfront_test_support::assert_golden;
 use std::fmt::Write;
 use std::process::Command;
--- a/crates/lab/tests/members.rs
+++ b/crates/cluster-simulation/tests/members.rs
@@ -1,7 +1,7 @@
 //! Members under faults, on virtual time. Bounds are on the script's own time, so that the verdict is the same each time.
 
 use driftfront_cluster::Standing;
-use driftfront_lab::{Script, World};
+use driftfront_cluster_simulation::{Script, World};
 
 const S: u64 = 1_000_000;
 
@@ -15,7 +15,7 @@
 
 /// Those that some living member called down though they were there, but for these.
 fn false_deaths(world: &World, but: &[u32]) -> usize {
-    let false_ones = |s: &&driftfront_lab::world::Seen| {
+    let false_ones = |s: &&driftfront_cluster_simulation::world::Seen| {
         s.standing == Some(Standing::Down) && !but.contains(&s.of)
     };
     world.seen.iter().filter(false_ones).count()
@@ -233,9 +233,10 @@
 #[test]
 fn storms_drawn_by_their_seeds_leave_one_view_behind() {
     for seed in 1..=25 {
-        let mut w = World::new(driftfront_lab::storm::storm(6, seed, true));
-        w.play(driftfront_lab::storm::QUIET, |_| false);
-        let until = driftfront_lab::storm::QUIET + driftfront_lab::storm::OWED;
+        let mut w = World::new(driftfront_cluster_simulation::storm::storm(6, seed, true));
+        w.play(driftfront_cluster_simulation::storm::QUIET, |_| false);
+        let until = driftfront_cluster_simulation::storm::QUIET
+            + driftfront_cluster_simulation::storm::OWED;
         assert!(w.play(until, |w| w.agree(&all(6))), "seed {seed}");
     }
 }
--- a/crates/lab/tests/model.rs
+++ b/crates/cluster-simulation/tests/model.rs
@@ -1,6 +1,6 @@
-//! The model of a right that is lent, as deep as a test has time for; `driftfront-lab check` goes further.
+//! The model of a right that is lent, as deep as a test has time for; `driftfront-cluster-simulation check` goes further.
 
-use driftfront_lab::model::{Bounds, Wrong};
+use driftfront_cluster_simulation::model::{Bounds, Wrong};
 use stateright::{Checker, HasDiscoveries, Model};
 
 fn found(wrong: Wrong, depth: usize) -> Vec<&'static str> {
--- a/crates/rig/src/lib.rs
+++ b/crates/rig/src/lib.rs
@@ -13,10 +13,10 @@
 pub mod tcp;
 pub mod wall_clock;
 
+pub use driftfront_cluster_simulation::world::{name, KEY};
+pub use driftfront_cluster_simulation::{Deed, Group, Link, Script};
 pub use driftfront_control::snapshot::{Agreed, Member};
 pub use driftfront_control::Request;
-pub use driftfront_lab::world::{name, KEY};
-pub use driftfront_lab::{Deed, Group, Link, Script};
 pub use net::Net;
 pub use process::Process;
 pub use tcp::Wires;
--- a/crates/rig/src/main.rs
+++ b/crates/rig/src/main.rs
@@ -1,6 +1,6 @@
 //! Storms of faults over processes of the program, then quiet: how long until all have one view again.
 
-use driftfront_lab::{percentile, storm};
+use driftfront_cluster_simulation::{percentile, storm};
 use driftfront_rig::{Request, Rig};
 use std::io::{Read, Write};
 use std::net::TcpStream;
--- a/crates/rig/src/net.rs
+++ b/crates/rig/src/net.rs
@@ -1,6 +1,6 @@
 //! Datagrams between processes, by the link between the two.
 
-use driftfront_lab::{Group, Link, Links};
+use driftfront_cluster_simulation::{Group, Link, Links};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::cmp::Reverse;
