--- a/crates/rig/src/main.rs
+++ b/crates/cluster-harness/src/main.rs
@@ -1,7 +1,7 @@
 //! Storms of faults over processes of the program, then quiet: how long until all have one view again.
 
+use driftfront_cluster_harness::{Request, Rig};
 use driftfront_cluster_simulation::{percentile, storm};
-use driftfront_rig::{Request, Rig};
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::process::ExitCode;
@@ -9,16 +9,16 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-const USAGE: &str = "driftfront-rig --binary PATH --cost [--members N] [--seconds S]
+const USAGE: &str = "driftfront-cluster-harness --binary PATH --cost [--members N] [--seconds S]
     what the fleet costs processes that have nothing else to do
-driftfront-rig --binary PATH --pauses [--seconds S]
+driftfront-cluster-harness --binary PATH --pauses [--seconds S]
     how long a process's loop keeps clients waiting at most, in a fleet of five and alone, in turn
-driftfront-rig --binary PATH --holds [--members N] [--voters N] [--keeps] [--runs K] [--seed N] [--last PATH]
+driftfront-cluster-harness --binary PATH --holds [--members N] [--voters N] [--keeps] [--runs K] [--seed N] [--last PATH]
     storms over processes that operators ask for holds: whether one was ever held twice; with --last those that
     do not vote are of that build
-driftfront-rig --binary PATH --soak [--runs K] [--seed N] [--at-once N]
+driftfront-cluster-harness --binary PATH --soak [--runs K] [--seed N] [--at-once N]
     soaks of restarts on the platform's wire, with clocks that are set and engines that hang; broken rules by seed
-driftfront-rig --binary PATH [--members N] [--runs K] [--seed N]
+driftfront-cluster-harness --binary PATH [--members N] [--runs K] [--seed N]
     each run starts N processes, draws a storm by its seed and plays it; a run that does not come to one view is named";
 
 fn value(args: &[String], name: &str) -> Option<String> {
@@ -83,7 +83,8 @@
                 if seed >= first + runs {
                     return;
                 }
-                let report = driftfront_rig::soak::play(std::path::Path::new(binary), seed);
+                let report =
+                    driftfront_cluster_harness::soak::play(std::path::Path::new(binary), seed);
                 println!("seed {seed}: {report}");
                 if !report.breaches.is_empty() {
                     for (process, log) in &report.logs {
@@ -242,7 +243,7 @@
                             stays: false,
                             note: String::new(),
                         };
-                        let said = driftfront_rig::process::ask(&at, &request);
+                        let said = driftfront_cluster_harness::process::ask(&at, &request);
                         let from = begun.elapsed();
                         match said {
                             Ok(words) => {
--- a/crates/rig/tests/golden.rs
+++ b/crates/cluster-harness/tests/golden.rs
@@ -1,8 +1,8 @@
 //! What the command prints, what soaks are drawn from a seed, and the operator's files that members get, compared with golden
 //! files.
 
-use driftfront_rig::soak::{Breach, Plan, Report};
-use driftfront_rig::Rig;
+use driftfront_cluster_harness::soak::{Breach, Plan, Report};
+use driftfront_cluster_harness::Rig;
 use driftfront_test_support::assert_golden;
 use std::fmt::Write;
 use std::path::{Path, PathBuf};
--- a/crates/node/tests/agreed.rs
+++ b/crates/node/tests/agreed.rs
@@ -1,6 +1,6 @@
 //! What several processes of the program agree on, with faults between them. Waits are for what they say.
 
-use driftfront_rig::{Agreed, Request, Rig};
+use driftfront_cluster_harness::{Agreed, Request, Rig};
 use standins::engine::{Engine, Options};
 use standins::ledger::Ledger;
 use std::sync::Arc;
@@ -36,7 +36,7 @@
         let words = said.unwrap_err();
         let later = words.contains("yet") || words.contains("in time");
         assert!(
-            later && since.elapsed() < driftfront_rig::FOR_EVER * 2,
+            later && since.elapsed() < driftfront_cluster_harness::FOR_EVER * 2,
             "{words}\n{}",
             rig.log().text()
         );
@@ -63,7 +63,11 @@
                 rig.log().text()
             )
         };
-        assert!(since.elapsed() < driftfront_rig::FOR_EVER, "{}", late());
+        assert!(
+            since.elapsed() < driftfront_cluster_harness::FOR_EVER,
+            "{}",
+            late()
+        );
         std::thread::sleep(std::time::Duration::from_millis(20));
     }
 }
--- a/crates/node/tests/clocks/main.rs
+++ b/crates/node/tests/clocks/main.rs
@@ -9,7 +9,7 @@
 
 use common::lines::Site;
 use common::Coordinator;
-use driftfront_rig::wall_clock::WallClock;
+use driftfront_cluster_harness::wall_clock::WallClock;
 use standins::ledger::Budget;
 use std::path::Path;
 use std::time::{Duration, Instant};
--- a/crates/node/tests/common/mod.rs
+++ b/crates/node/tests/common/mod.rs
@@ -4,8 +4,8 @@
 pub mod lines;
 pub mod site;
 
+use driftfront_cluster_harness::wall_clock::WallClock;
 use driftfront_http::{header, Header, ResponsePart, ResponseReader};
-use driftfront_rig::wall_clock::WallClock;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::path::{Path, PathBuf};
--- a/crates/node/tests/faults.rs
+++ b/crates/node/tests/faults.rs
@@ -1,8 +1,8 @@
 //! A fleet of processes before engines, with faults on all links at once, and the rules counted from outside: at the
 //! engines by their ledger, at the clients by what they got.
 
-use driftfront_rig::load::{counts, Got, Load, Plan};
-use driftfront_rig::Rig;
+use driftfront_cluster_harness::load::{counts, Got, Load, Plan};
+use driftfront_cluster_harness::Rig;
 use standins::engine::{Engine, Options};
 use standins::ledger::Ledger;
 use std::collections::BTreeMap;
@@ -40,7 +40,7 @@
     let since = std::time::Instant::now();
     while load.done() < least {
         assert!(
-            since.elapsed() < driftfront_rig::FOR_EVER,
+            since.elapsed() < driftfront_cluster_harness::FOR_EVER,
             "{} of {least}\n{}",
             load.done(),
             rig.log().text()
@@ -85,7 +85,7 @@
     rig.wait_until_seen(&[0, 1, 2, 3], &[0, 1, 2, 3]);
     let all = load.end();
     // A reset may cost a statement that must not run twice; nothing is answered twice, or never.
-    let odd = |a: &&driftfront_rig::load::Asked| {
+    let odd = |a: &&driftfront_cluster_harness::load::Asked| {
         a.got == Got::Wrong || a.member != 3 && matches!(a.got, Got::Nothing | Got::NotTaken)
     };
     let wrong: Vec<_> = all.iter().filter(odd).collect();
--- a/crates/node/tests/fleet.rs
+++ b/crates/node/tests/fleet.rs
@@ -2,8 +2,8 @@
 
 use driftfront_cluster::seal::{Payload, Seal};
 use driftfront_cluster::{About, Fleet, Identity, Key, Keyring};
-use driftfront_rig::process::call;
-use driftfront_rig::Rig;
+use driftfront_cluster_harness::process::call;
+use driftfront_cluster_harness::Rig;
 use standins::engine::{Engine, Options};
 use standins::ledger::Ledger;
 use std::net::UdpSocket;
@@ -35,7 +35,7 @@
 fn coordinators_that_start_at_once_know_each_other_and_what_each_does() {
     let (mut rig, _engine) = rig("members 5 zones=2");
     rig.wait_until_seen(&[0, 1, 2, 3, 4], &[0, 1, 2, 3, 4]);
-    let served = |seen: &[driftfront_rig::Member]| {
+    let served = |seen: &[driftfront_cluster_harness::Member]| {
         seen.iter()
             .all(|m| m.state == "serving" && m.build == env!("CARGO_PKG_VERSION"))
     };
@@ -107,7 +107,10 @@
 fn keys_are_changed_while_all_serve_and_who_has_none_of_them_is_nobody() {
     let (mut rig, _engine) = rig("members 3");
     rig.wait_until_seen(&[0, 1, 2], &[0, 1, 2]);
-    let (old, new) = (driftfront_rig::KEY, "f0f1f2f3f4f5f6f7f8f9fafbfcfdfeff");
+    let (old, new) = (
+        driftfront_cluster_harness::KEY,
+        "f0f1f2f3f4f5f6f7f8f9fafbfcfdfeff",
+    );
     let before: Vec<u64> = (0..3)
         .map(|m| rig.counter(m, "fleet_members_down"))
         .collect();
@@ -154,7 +157,7 @@
         // Of this language, of its usual length, under the key that is in use by its name, but sealed with nothing.
         let mut datagram = vec![0x5a; 600];
         datagram[..3].copy_from_slice(b"DF\x01");
-        datagram[3] = Key::parse(driftfront_rig::KEY).unwrap().id();
+        datagram[3] = Key::parse(driftfront_cluster_harness::KEY).unwrap().id();
         while !done.load(Ordering::Relaxed) && count.load(Ordering::Relaxed) < 400_000 {
             let _ = socket.send_to(&datagram, target);
             count.fetch_add(1, Ordering::Relaxed);
@@ -208,7 +211,7 @@
         session: 1 << 50,
         back: 0,
     };
-    let keys = || Keyring::of(Key::parse(driftfront_rig::KEY).unwrap());
+    let keys = || Keyring::of(Key::parse(driftfront_cluster_harness::KEY).unwrap());
     let about = About {
         build: "9.9.9".into(),
         ..About::default()
@@ -240,7 +243,7 @@
             .any(|s| s.name == "later" && s.standing == "there" && s.build == "9.9.9")
     };
     while !(0..3).all(seen) || !told {
-        assert!(begun.elapsed() < driftfront_rig::FOR_EVER);
+        assert!(begun.elapsed() < driftfront_cluster_harness::FOR_EVER);
         while let Ok(n) = socket.recv(&mut bytes) {
             later.take(begun.elapsed().as_micros() as u64, &bytes[..n]);
         }
--- a/crates/node/tests/soak.rs
+++ b/crates/node/tests/soak.rs
@@ -1,6 +1,6 @@
-//! A short soak of restarts, seeded: `driftfront-rig --soak` plays more of them.
+//! A short soak of restarts, seeded: `driftfront-cluster-harness --soak` plays more of them.
 
-use driftfront_rig::soak;
+use driftfront_cluster_harness::soak;
 use std::path::Path;
 
 /// Seeds with clocks that are set, signals in series and a crowd among them.
