--- a/crates/cluster-harness/src/soak/engine.rs
+++ b/crates/cluster-harness/src/soak/engine.rs
@@ -1,7 +1,7 @@
 //! An engine in the platform's language that misbehaves by a plan.
 
 use super::plan::{Mode, Trouble};
-use standins::ledger::Ledger;
+use driftfront_mock_servers::ledger::Ledger;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::Arc;
--- a/crates/cluster-harness/src/soak/mod.rs
+++ b/crates/cluster-harness/src/soak/mod.rs
@@ -14,9 +14,9 @@
 
 use client::{Clients, Target};
 use coordinator::Coordinator;
+use driftfront_mock_servers::ledger::Ledger;
 use engine::Engine;
 use list::List;
-use standins::ledger::Ledger;
 use std::path::Path;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
--- a/crates/cluster-harness/src/soak/plan.rs
+++ b/crates/cluster-harness/src/soak/plan.rs
@@ -1,9 +1,9 @@
 //! What a seed stands for: who runs, what goes wrong when, and what the settings say.
 
+use driftfront_mock_servers::ledger::Budget;
 use rand::rngs::SmallRng;
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
-use standins::ledger::Budget;
 use std::ops::Range;
 use std::time::Duration;
 
--- a/crates/cluster-harness/src/soak/verdict.rs
+++ b/crates/cluster-harness/src/soak/verdict.rs
@@ -4,7 +4,7 @@
 use super::coordinator::Ended;
 use super::list::List;
 use super::plan::Plan;
-use standins::ledger::{Entry, Ledger};
+use driftfront_mock_servers::ledger::{Entry, Ledger};
 use std::collections::BTreeMap;
 use std::fmt;
 use std::time::{Duration, Instant};
--- a/crates/standins/src/main.rs
+++ b/crates/mock-servers/src/main.rs
@@ -1,16 +1,16 @@
 //! Stand-ins by hand: an engine for trying things out, on loopback alone.
 #![forbid(unsafe_code)]
 
-use standins::engine::{Engine, Options};
-use standins::ledger::Ledger;
+use driftfront_mock_servers::engine::{Engine, Options};
+use driftfront_mock_servers::ledger::Ledger;
 use std::net::SocketAddr;
 use std::process::ExitCode;
 use std::sync::Arc;
 
-const HELP: &str = "driftfront-standin: stand-ins for the systems that driftfront meets
+const HELP: &str = "driftfront-mock-servers: stand-ins for the systems that driftfront meets
 
 usage:
-  driftfront-standin engine [--listen ADDRESS] [--name NAME] [--old] [--user NAME:KEY] [--most N]
+  driftfront-mock-servers engine [--listen ADDRESS] [--name NAME] [--old] [--user NAME:KEY] [--most N]
 
 An engine speaks ClickHouse's HTTP interface and computes small results. ADDRESS is on loopback, 127.0.0.1:9123 without
 it. --old: exceptions behind rows are plain lines, without a tag. --most: statements at once, more get code 202.
@@ -23,7 +23,7 @@
     match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(words) => {
-            eprintln!("driftfront-standin: {words}");
+            eprintln!("driftfront-mock-servers: {words}");
             ExitCode::FAILURE
         }
     }
--- a/crates/standins/tests/golden.rs
+++ b/crates/mock-servers/tests/golden.rs
@@ -1,8 +1,8 @@
 //! The mock engine's answers, byte for byte: statements, formats, sessions, codings and each fault; see `golden/README.md`.
 
+use driftfront_mock_servers::engine::{Engine, Options, FORMATS};
+use driftfront_mock_servers::ledger::Ledger;
 use driftfront_test_support::assert_golden;
-use standins::engine::{Engine, Options, FORMATS};
-use standins::ledger::Ledger;
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::sync::Arc;
--- a/crates/node/benches/clickhouse.rs
+++ b/crates/node/benches/clickhouse.rs
@@ -9,9 +9,9 @@
 
 use common::site::{read_some, Plan, Site};
 use common::{appliance, file, instance, read_answer};
+use driftfront_mock_servers::engine::{Engine, Options};
+use driftfront_mock_servers::ledger::Ledger;
 use hdrhistogram::Histogram;
-use standins::engine::{Engine, Options};
-use standins::ledger::Ledger;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::path::PathBuf;
--- a/crates/node/benches/operators.rs
+++ b/crates/node/benches/operators.rs
@@ -6,8 +6,8 @@
 use driftfront::service::{End, Ring};
 use driftfront_console::remote::{At, Remote};
 use driftfront_control::{Reply, Request};
-use standins::engine::{Engine, Options};
-use standins::ledger::Ledger;
+use driftfront_mock_servers::engine::{Engine, Options};
+use driftfront_mock_servers::ledger::Ledger;
 use std::fmt::Write as _;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
--- a/crates/node/tests/agreed.rs
+++ b/crates/node/tests/agreed.rs
@@ -1,8 +1,8 @@
 //! What several processes of the program agree on, with faults between them. Waits are for what they say.
 
 use driftfront_cluster_harness::{Agreed, Request, Rig};
-use standins::engine::{Engine, Options};
-use standins::ledger::Ledger;
+use driftfront_mock_servers::engine::{Engine, Options};
+use driftfront_mock_servers::ledger::Ledger;
 use std::sync::Arc;
 
 fn rig(script: &str) -> (Rig, Engine) {
--- a/crates/node/tests/clickhouse.rs
+++ b/crates/node/tests/clickhouse.rs
@@ -7,8 +7,8 @@
 use driftfront_clickhouse::block::{pack, unpack_some, Method};
 use driftfront_clickhouse::coding::{self, Coding};
 use driftfront_http::{chunk, RequestReader};
-use standins::engine::{fnv, Options};
-use standins::ledger::Ledger;
+use driftfront_mock_servers::engine::{fnv, Options};
+use driftfront_mock_servers::ledger::Ledger;
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::sync::Arc;
@@ -714,7 +714,7 @@
     nonsense.write_all(b"zz\r\n").unwrap();
     assert_eq!(read_answer(&mut nonsense).status, 400);
     for table in ["errs", "dies", "leaves", "nonsense"] {
-        let runs = |e: &[standins::ledger::Entry]| {
+        let runs = |e: &[driftfront_mock_servers::ledger::Entry]| {
             e.iter()
                 .filter(|e| e.statement.contains(&format!("o.{table}")))
                 .count()
@@ -973,7 +973,8 @@
     use base64::engine::general_purpose::STANDARD;
     use base64::Engine as _;
     let ledger = Arc::new(Ledger::default());
-    let running = standins::engine::Engine::start(Options::default(), ledger.clone());
+    let running =
+        driftfront_mock_servers::engine::Engine::start(Options::default(), ledger.clone());
     let engine = running.addr();
     let (told, tell) = std::sync::mpsc::channel::<()>();
     let tell = std::sync::Mutex::new(tell);
--- a/crates/node/tests/clocks/main.rs
+++ b/crates/node/tests/clocks/main.rs
@@ -10,7 +10,7 @@
 use common::lines::Site;
 use common::Coordinator;
 use driftfront_cluster_harness::wall_clock::WallClock;
-use standins::ledger::Budget;
+use driftfront_mock_servers::ledger::Budget;
 use std::path::Path;
 use std::time::{Duration, Instant};
 
--- a/crates/node/tests/common/lines.rs
+++ b/crates/node/tests/common/lines.rs
@@ -1,7 +1,7 @@
 //! A site in the platform's form: stand-in engines that speak in lines, and a stand-in list of engines.
 
 use super::{appliance, instance, post, stand_in, Answer, Coordinator};
-use standins::ledger::Ledger;
+use driftfront_mock_servers::ledger::Ledger;
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
--- a/crates/node/tests/common/site.rs
+++ b/crates/node/tests/common/site.rs
@@ -1,8 +1,8 @@
 //! A coordinator in front of stand-in engines that speak ClickHouse's interface.
 
 use super::{appliance, file, instance, post, Answer, Coordinator};
-use standins::engine::{Engine, Options};
-use standins::ledger::Ledger;
+use driftfront_mock_servers::engine::{Engine, Options};
+use driftfront_mock_servers::ledger::Ledger;
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::path::PathBuf;
--- a/crates/node/tests/endings/lists.rs
+++ b/crates/node/tests/endings/lists.rs
@@ -2,8 +2,8 @@
 
 use crate::common::lines::{config, engines, event, instances, read_head, List, Site};
 use crate::common::{self, stand_in, Coordinator};
+use driftfront_mock_servers::ledger::Ledger;
 use socket2::{Domain, Socket, Type};
-use standins::ledger::Ledger;
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::{Arc, Mutex};
--- a/crates/node/tests/endings/main.rs
+++ b/crates/node/tests/endings/main.rs
@@ -11,7 +11,7 @@
 
 use common::lines::{read_statement, Site};
 use common::{stand_in, Coordinator};
-use standins::ledger::Ledger;
+use driftfront_mock_servers::ledger::Ledger;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::TcpStream;
 use std::sync::{Arc, Condvar, Mutex};
--- a/crates/node/tests/faults.rs
+++ b/crates/node/tests/faults.rs
@@ -3,8 +3,8 @@
 
 use driftfront_cluster_harness::load::{counts, Got, Load, Plan};
 use driftfront_cluster_harness::Rig;
-use standins::engine::{Engine, Options};
-use standins::ledger::Ledger;
+use driftfront_mock_servers::engine::{Engine, Options};
+use driftfront_mock_servers::ledger::Ledger;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/node/tests/golden_operators/files.rs
+++ b/crates/node/tests/golden_operators/files.rs
@@ -392,8 +392,8 @@
 
 #[test]
 fn first_line_of_the_log_of_what_is_agreed() {
-    let engine = standins::engine::Engine::start(
-        standins::engine::Options {
+    let engine = driftfront_mock_servers::engine::Engine::start(
+        driftfront_mock_servers::engine::Options {
             name: "engine-1".into(),
             ..Default::default()
         },
--- a/crates/node/tests/retry_budget.rs
+++ b/crates/node/tests/retry_budget.rs
@@ -4,8 +4,8 @@
 
 use common::lines::{config, engines, instances, List, Site};
 use common::Coordinator;
+use driftfront_mock_servers::ledger::{Budget, Ledger};
 use socket2::{Domain, Socket, Type};
-use standins::ledger::{Budget, Ledger};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
