--- a/crates/simhost/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -2,12 +2,14 @@
 use std::io::{BufReader, BufWriter, Write};
 
 fn main() -> std::process::ExitCode {
-    std::panic::set_hook(Box::new(|info| eprintln!("fernlink-simhost: {info}")));
+    std::panic::set_hook(Box::new(|info| {
+        eprintln!("driftfront-simulator-adapter: {info}")
+    }));
     let mut input = BufReader::with_capacity(1 << 20, std::io::stdin().lock());
     let mut output = BufWriter::with_capacity(1 << 20, std::io::stdout().lock());
-    let mut host = simhost::Host::default();
+    let mut host = driftfront_simulator_adapter::Host::default();
     let run = loop {
-        match simhost::read_batch(&mut input) {
+        match driftfront_simulator_adapter::read_batch(&mut input) {
             Ok(None) => break Ok(()),
             Ok(Some((now, body))) => match host.batch(now, &body) {
                 Ok(reply) => {
@@ -23,7 +25,7 @@
     match run {
         Ok(()) => std::process::ExitCode::SUCCESS,
         Err(e) => {
-            eprintln!("fernlink-simhost: {e}");
+            eprintln!("driftfront-simulator-adapter: {e}");
             std::process::ExitCode::FAILURE
         }
     }
--- a/crates/simhost/tests/golden.rs
+++ b/crates/simulator-adapter/tests/golden.rs
@@ -4,8 +4,8 @@
 //! Requests, engines' answers and faults are drawn from a fixed seed; attempts are answered as they are sent, so a transcript
 //! shows changed decisions as well as a changed wire.
 
+use driftfront_simulator_adapter::{read_batch, Host};
 use driftfront_test_support::{assert_golden, read_golden};
-use simhost::{read_batch, Host};
 use std::fmt::Write as _;
 
 const INSTANCE: u16 = 3;
--- a/crates/simhost/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -1,5 +1,5 @@
 //! Hand-built and malformed frames.
-use simhost::{parse_settings, read_batch, Host};
+use driftfront_simulator_adapter::{parse_settings, read_batch, Host};
 
 const SETTINGS: &str = r#"{"Balancers": 1, "Zone": 0, "Novelty": 7, "MembershipMode": "push",
  "Caps": {"Cancel": true, "RetryAfter": true, "MaxRetryAfterUs": 500000},
