--- a/crates/core/src/admit.rs
+++ b/crates/core/src/admit.rs
@@ -1,7 +1,7 @@
 //! Stage 2, admit: what the bounds allow goes to the module; the rest is answered at once.
 
 use crate::{Core, Due, RequestId};
-use fernlink::interface::{Event, Micros, Query};
+use driftfront_scheduler::interface::{Event, Micros, Query};
 
 /// Advice with a refusal that a bound here caused, not the engines.
 pub(crate) const FULL_ADVICE: Micros = 250_000;
--- a/crates/core/src/book.rs
+++ b/crates/core/src/book.rs
@@ -1,7 +1,7 @@
 //! Stage 6, book: which engines there are, and what was taken in, sent and answered.
 
 use crate::{Command, Core, RequestId};
-use fernlink::interface::{EngineId, Event, ListKind, Listed, Micros, Outcome, Phase};
+use driftfront_scheduler::interface::{EngineId, Event, ListKind, Listed, Micros, Outcome, Phase};
 use std::fmt;
 
 const OUTCOMES: [(Outcome, &str); 8] = [
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -20,14 +20,16 @@
 mod unheard;
 
 pub use book::Counters;
-pub use fernlink::interface::{EngineId, ListKind, Listed, Micros, Note, Outcome, Phase, Pin};
-pub use fernlink::BudgetUsage;
+pub use driftfront_scheduler::interface::{
+    EngineId, ListKind, Listed, Micros, Note, Outcome, Phase, Pin,
+};
+pub use driftfront_scheduler::BudgetUsage;
 pub use running::Run;
 pub use send::{AttemptError, Cause, Progress, Retry, Told};
 pub use take_in::{Ask, Piece, Taken};
 
-use fernlink::interface::{Action, Effect, Event, QueryId, Settings};
-use fernlink::Controller;
+use driftfront_scheduler::interface::{Action, Effect, Event, QueryId, Settings};
+use driftfront_scheduler::Controller;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 use std::rc::Rc;
--- a/crates/core/src/lifecycle.rs
+++ b/crates/core/src/lifecycle.rs
@@ -9,7 +9,7 @@
 //! any ──────────────────────────────────────────► ending         SIGTERM
 //! ```
 
-use fernlink::interface::Micros;
+use driftfront_scheduler::interface::Micros;
 
 /// The front asks ten times a second and stops new connections 0.2 s after a no; until then nobody is sent away
 /// who would only come back here.
--- a/crates/core/src/relay.rs
+++ b/crates/core/src/relay.rs
@@ -1,7 +1,7 @@
 //! Stage 5, relay: an engine's answer goes to the client, and each request is answered once.
 
 use crate::{AttemptKey, Command, Core, Piece, Progress, RequestId};
-use fernlink::interface::{Effect, Event, Micros, Outcome};
+use driftfront_scheduler::interface::{Effect, Event, Micros, Outcome};
 use std::rc::Rc;
 
 impl Core {
--- a/crates/core/src/route.rs
+++ b/crates/core/src/route.rs
@@ -2,7 +2,9 @@
 
 use crate::send::Attempt;
 use crate::{query, AttemptKey, Command, Core, Due, RequestId};
-use fernlink::interface::{Action, Ended, EngineId, Event, Micros, Outcome, Phase, QueryId};
+use driftfront_scheduler::interface::{
+    Action, Ended, EngineId, Event, Micros, Outcome, Phase, QueryId,
+};
 use std::collections::VecDeque;
 
 impl Core {
--- a/crates/core/src/running.rs
+++ b/crates/core/src/running.rs
@@ -1,7 +1,7 @@
 //! Which queries run, and where: by their clients' names, also where nobody waits for them any more.
 
 use crate::{query, AttemptKey, Cause, Command, Core, Request, RequestId};
-use fernlink::interface::{EngineId, Event, Micros};
+use driftfront_scheduler::interface::{EngineId, Event, Micros};
 use std::borrow::Cow;
 use std::collections::VecDeque;
 use std::rc::Rc;
--- a/crates/core/src/send.rs
+++ b/crates/core/src/send.rs
@@ -2,7 +2,7 @@
 
 use crate::RequestId;
 use crate::{query, AttemptKey, Command, Core, Due, Fate, Request};
-use fernlink::interface::{Ended, EngineId, Event, Micros, Note, Outcome, Phase};
+use driftfront_scheduler::interface::{Ended, EngineId, Event, Micros, Note, Outcome, Phase};
 use std::fmt;
 
 /// The way of a word to an engine, at most, with room for what holds it up. What we give up ourselves is out until
--- a/crates/core/src/take_in.rs
+++ b/crates/core/src/take_in.rs
@@ -1,7 +1,7 @@
 //! Stage 1, take in: a request gets its number, and its client's time begins to run.
 
 use crate::{Core, Request, RequestId};
-use fernlink::interface::{Micros, Pin};
+use driftfront_scheduler::interface::{Micros, Pin};
 use std::fmt;
 use std::rc::Rc;
 
--- a/crates/core/src/unheard.rs
+++ b/crates/core/src/unheard.rs
@@ -5,7 +5,7 @@
 //! where another that was written later to the same engine has been heard of since: then its own turn had come.
 
 use crate::{AttemptKey, Command, Core, RequestId};
-use fernlink::interface::{Effect, EngineId, Micros, Settings};
+use driftfront_scheduler::interface::{Effect, EngineId, Micros, Settings};
 use std::collections::BTreeMap;
 
 /// Word is late by this part of its period, and this much more for the way. Seen: the first comes after up to one and a
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -2,8 +2,8 @@
 #![allow(dead_code)]
 
 use driftfront_core::{Core, EngineId, Limits, Listed, Phase};
+use driftfront_scheduler::interface::Settings;
 use driftfront_settings::json::{parse, Json};
-use fernlink::interface::Settings;
 
 pub const S: u64 = 1_000_000;
 /// Classes of the example.
--- a/crates/engine-registry/src/handover.rs
+++ b/crates/engine-registry/src/handover.rs
@@ -8,7 +8,7 @@
 //! parted by tabs. A file that is not whole to the last byte counts as none.
 
 use crate::{Order, Standing, NAME_MOST};
-use fernlink::interface::Micros;
+use driftfront_scheduler::interface::Micros;
 use std::collections::BTreeMap;
 use std::fmt;
 
--- a/crates/engine-registry/src/lib.rs
+++ b/crates/engine-registry/src/lib.rs
@@ -16,7 +16,7 @@
 pub mod record;
 pub mod roll;
 
-use fernlink::interface::{EngineId, ListKind, Listed, Phase};
+use driftfront_scheduler::interface::{EngineId, ListKind, Listed, Phase};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::fmt;
 use std::net::SocketAddr;
--- a/crates/engine-registry/src/record.rs
+++ b/crates/engine-registry/src/record.rs
@@ -6,7 +6,7 @@
 
 use crate::roll::Roll;
 use crate::{Fact, Order, Standing};
-use fernlink::interface::Phase;
+use driftfront_scheduler::interface::Phase;
 
 /// The file's beginning: what it is, and the version of its form.
 pub const HEADER: &[u8] = b"driftfront state 1\n";
--- a/crates/engine-registry/tests/bans.rs
+++ b/crates/engine-registry/tests/bans.rs
@@ -1,7 +1,7 @@
 //! Engines taken out and put back by name, whatever lists say.
 
 use driftfront_engine_registry::{Fact, Refusal, Roster, NAMES_MOST};
-use fernlink::interface::{ListKind, Phase};
+use driftfront_scheduler::interface::{ListKind, Phase};
 use quickcheck::{Gen, QuickCheck};
 
 fn fact(name: &str, phase: Phase, born: Option<u64>) -> Fact {
--- a/crates/engine-registry/tests/golden.rs
+++ b/crates/engine-registry/tests/golden.rs
@@ -5,8 +5,8 @@
 use driftfront_engine_registry::roll::{Act, EngineSight, Roll, Sight, Stage};
 use driftfront_engine_registry::{hash, phase_word, standing_words};
 use driftfront_engine_registry::{Command, Fact, Order, Refusal, Roster, Standing};
+use driftfront_scheduler::interface::{ListKind, Phase};
 use driftfront_test_support::{assert_golden, read_golden};
-use fernlink::interface::{ListKind, Phase};
 use std::fmt::Write as _;
 
 const SECOND: u64 = 1_000_000;
--- a/crates/engine-registry/tests/model.rs
+++ b/crates/engine-registry/tests/model.rs
@@ -2,7 +2,7 @@
 
 use driftfront_engine_registry::record::{self, Record};
 use driftfront_engine_registry::{Command, Fact, Order, Roster};
-use fernlink::interface::{EngineId, ListKind, Phase};
+use driftfront_scheduler::interface::{EngineId, ListKind, Phase};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use std::collections::BTreeMap;
 
--- a/crates/node/src/node/clients/closing.rs
+++ b/crates/node/src/node/clients/closing.rs
@@ -10,7 +10,7 @@
 use crate::service::End;
 use driftfront_core::{Micros, RequestId};
 use driftfront_http::response;
-use fernlink::interface::Effect;
+use driftfront_scheduler::interface::Effect;
 
 /// After a close of ours the peer's last bytes are read for this long.
 const LINGER: Micros = 1_000_000;
--- a/crates/node/src/node/engines/traffic.rs
+++ b/crates/node/src/node/engines/traffic.rs
@@ -7,7 +7,7 @@
 use crate::node::clients::Body;
 use crate::node::{ConnId, Node, Source};
 use driftfront_core::{AttemptKey, Cause, Micros, Outcome, Phase, Progress};
-use fernlink::interface::Effect;
+use driftfront_scheduler::interface::Effect;
 use std::io::ErrorKind;
 
 impl Node {
--- a/crates/node/src/node/mod.rs
+++ b/crates/node/src/node/mod.rs
@@ -26,8 +26,8 @@
 use driftfront_core::lifecycle::Lifecycle;
 use driftfront_core::{AttemptKey, Command, Core, EngineId, ListKind, Micros, Phase, RequestId};
 use driftfront_engine_registry::{Change, Roster};
+use driftfront_scheduler::interface::Effect;
 use driftfront_settings::json::Json;
-use fernlink::interface::Effect;
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::panic::{catch_unwind, AssertUnwindSafe};
--- a/crates/fernlink/tests/common/mod.rs
+++ b/crates/scheduler/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! Settings and a small driver shared by the tests.
 #![allow(dead_code)]
-use fernlink::interface::*;
-use fernlink::Controller;
+use driftfront_scheduler::interface::*;
+use driftfront_scheduler::Controller;
 
 pub const MS: u64 = 1000;
 pub const S: u64 = 1_000_000;
--- a/crates/fernlink/tests/crowd.rs
+++ b/crates/scheduler/tests/crowd.rs
@@ -1,7 +1,7 @@
 //! Crowds of gateways with a sliver each, and engines that run out of memory.
 mod common;
 use common::*;
-use fernlink::interface::*;
+use driftfront_scheduler::interface::*;
 
 fn probes(act: &[Action]) -> Vec<u64> {
     act.iter()
--- a/crates/fernlink/tests/fleet.rs
+++ b/crates/scheduler/tests/fleet.rs
@@ -1,8 +1,8 @@
 //! Many controllers side by side, each with a sliver of every engine.
 mod common;
 use common::*;
-use fernlink::interface::*;
-use fernlink::Controller;
+use driftfront_scheduler::interface::*;
+use driftfront_scheduler::Controller;
 
 struct Fleet {
     all: Vec<Controller>,
--- a/crates/fernlink/tests/golden.rs
+++ b/crates/scheduler/tests/golden.rs
@@ -3,9 +3,9 @@
 mod common;
 
 use common::{class, listed, settings, MS, S};
+use driftfront_scheduler::interface::*;
+use driftfront_scheduler::Controller;
 use driftfront_test_support::{assert_golden, read_golden};
-use fernlink::interface::*;
-use fernlink::Controller;
 use std::fmt::Write;
 
 const ALL_FIELDS: [ReportField; 9] = [
--- a/crates/fernlink/tests/mechanism.rs
+++ b/crates/scheduler/tests/mechanism.rs
@@ -1,7 +1,7 @@
 //! The design's mechanism on worked examples, through the interface.
 mod common;
 use common::*;
-use fernlink::interface::*;
+use driftfront_scheduler::interface::*;
 
 /// One engine of 2 cores whose bound is 2 x 2.2 + 4 = 8.4 threads under pressure; a report of waiting work
 /// makes pressure, and three queries of 4 threads fill it, the last as one lighter than the mean.
@@ -111,7 +111,8 @@
 fn full_ties_are_broken_by_the_seed_and_not_by_id() {
     let mut seen = std::collections::BTreeSet::new();
     for seed in 0..20 {
-        let mut c = fernlink::Controller::new(settings(vec![class(60 * S, 1.0, 1.0)]), seed);
+        let mut c =
+            driftfront_scheduler::Controller::new(settings(vec![class(60 * S, 1.0, 1.0)]), seed);
         let mut act = Vec::new();
         let list: Vec<Listed> = (1..5).map(listed).collect();
         c.handle(S, Event::Engines(ListKind::Cached, &list), &mut act);
--- a/crates/fernlink/tests/rules.rs
+++ b/crates/scheduler/tests/rules.rs
@@ -1,7 +1,7 @@
 //! The rules, one by one, and all of them under random legal event sequences with a fixed seed.
 mod common;
 use common::*;
-use fernlink::interface::*;
+use driftfront_scheduler::interface::*;
 use std::collections::{BTreeMap, BTreeSet};
 
 fn refused(act: &[Action], q: QueryId) -> bool {
@@ -322,7 +322,7 @@
     ];
     for seed in 0..6u64 {
         let mut rig = Rig::new(s.clone(), &list);
-        rig.c = fernlink::Controller::new(s.clone(), seed);
+        rig.c = driftfront_scheduler::Controller::new(s.clone(), seed);
         rig.event(Event::Engines(ListKind::Cached, &list));
         let (q, act) = rig.arrive(0, S, 1);
         let first = sends(&act)[0].1;
@@ -484,7 +484,7 @@
 fn discovery_is_asked_for_and_asked_again_after_a_failure() {
     let mut s = settings(vec![class(S, 1.0, 1.0)]);
     (s.ask_discovery, s.ask_within) = (true, Some(10 * S));
-    let mut c = fernlink::Controller::new(s, 1);
+    let mut c = driftfront_scheduler::Controller::new(s, 1);
     let mut act = Vec::new();
     c.handle(0, Event::Engines(ListKind::Cached, &[]), &mut act);
     assert!(act.contains(&Action::Subscribe));
@@ -711,7 +711,7 @@
         answered: BTreeSet::new(),
         served: 0,
     };
-    w.rig.c = fernlink::Controller::new(s, seed);
+    w.rig.c = driftfront_scheduler::Controller::new(s, seed);
     w.event(Event::Engines(ListKind::Cached, &list));
     w
 }
--- a/crates/fernlink/tests/slow_start.rs
+++ b/crates/scheduler/tests/slow_start.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use fernlink::interface::*;
+use driftfront_scheduler::interface::*;
 
 const HOUR: u64 = 3_600 * S;
 const WARM_AFTER: u64 = 10 * S;
@@ -31,10 +31,10 @@
 
 /// A gateway that has learnt what its queries cost.
 fn learnt() -> Rig {
-    learnt_by(fernlink::Controller::new(rig_settings(), 7))
+    learnt_by(driftfront_scheduler::Controller::new(rig_settings(), 7))
 }
 
-fn learnt_by(controller: fernlink::Controller) -> Rig {
+fn learnt_by(controller: driftfront_scheduler::Controller) -> Rig {
     let mut rig = Rig::new(rig_settings(), &[]);
     rig.c = controller;
     rig.now += 2 * HOUR;
@@ -107,7 +107,8 @@
 
 #[test]
 fn what_waits_for_a_late_connection_to_a_cold_engine_goes_out_within_its_budget() {
-    let mut rig = learnt_by(fernlink::Controller::new(rig_settings(), 7).awaiting_first_bytes());
+    let mut rig =
+        learnt_by(driftfront_scheduler::Controller::new(rig_settings(), 7).awaiting_first_bytes());
     let born = rig.now;
     told(&mut rig, born);
     // Two windows' parts are planned while no connection is up.
--- a/crates/fernlink/tests/transcript.rs
+++ b/crates/scheduler/tests/transcript.rs
@@ -4,10 +4,10 @@
 mod common;
 
 use common::{class, listed, settings, MS, S};
+use driftfront_scheduler::interface::*;
+use driftfront_scheduler::Controller;
 use driftfront_test_support::assert_golden;
 use driftfront_test_support::transcript::{Dice, Transcript};
-use fernlink::interface::*;
-use fernlink::Controller;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
 
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -4,7 +4,7 @@
 
 pub mod json;
 
-use fernlink::interface::{
+use driftfront_scheduler::interface::{
     Class, ColdStart, Effect, Kind, OutOfMemory, RepeatGroup, ReportField, RetryBudget, Settings,
     Tenant,
 };
--- a/crates/settings/tests/golden.rs
+++ b/crates/settings/tests/golden.rs
@@ -1,8 +1,8 @@
 //! The platform's settings as they are read, and what is said of those that can't be; see `golden/README.md`.
 
+use driftfront_scheduler::interface::{Effect, OutOfMemory, RepeatGroup, ReportField, Settings};
 use driftfront_settings::parse_settings;
 use driftfront_test_support::{assert_golden, read_golden};
-use fernlink::interface::{Effect, OutOfMemory, RepeatGroup, ReportField, Settings};
 use std::fmt::Write as _;
 
 /// What was read, a line for each key of the settings.
--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -1,11 +1,11 @@
-//! The simulator's wire: framing, settings and id mapping around [`fernlink::Controller`].
+//! The simulator's wire: framing, settings and id mapping around [`driftfront_scheduler::Controller`].
 #![warn(missing_docs)]
 #![forbid(unsafe_code)]
 
-use fernlink::interface::{
+use driftfront_scheduler::interface::{
     Action, Ended, EngineId, Event, ListKind, Listed, Note, Outcome, Phase, Query, QueryId,
 };
-use fernlink::Controller;
+use driftfront_scheduler::Controller;
 use std::collections::BTreeMap;
 use std::io::Read;
 use std::panic::{catch_unwind, AssertUnwindSafe};
