--- a/crates/node/tests/conformance.rs
+++ b/crates/coordinator/tests/conformance.rs
@@ -217,7 +217,7 @@
     let straight = Engine::start(Options::default(), Arc::new(Ledger::default()));
     let site: Site = Plan::of(1).start();
     let mut table = String::from(
-        "# Conformance of the ClickHouse front\n\nEach case of `crates/node/tests/conformance/cases.json` runs straight \
+        "# Conformance of the ClickHouse front\n\nEach case of `crates/coordinator/tests/conformance/cases.json` runs straight \
          against a stand-in engine and through the\nprogram, and the client's view is compared: status, headers, the \
          unpacked result, and whether it is whole. Made by\n`UPDATE=1 cargo test -p driftfront --test conformance`, and \
          checked by every run of the tests.\n\n",
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -21,7 +21,7 @@
 
 /// The example's settings, with another text in places.
 pub fn settings(edit: impl FnOnce(&str) -> String) -> Settings {
-    let text = edit(include_str!("../../../node/tests/common/site.json"));
+    let text = edit(include_str!("../../../coordinator/tests/common/site.json"));
     let json = parse(text.as_bytes()).expect("the example is JSON");
     driftfront_settings::from_json(Json(Some(&json)).get("settings")).expect("settings")
 }
