--- a/crates/core/src/send.rs
+++ b/crates/core/src/dispatch.rs
@@ -371,7 +371,7 @@
     fn end_for_good(&mut self, id: RequestId, outcome: Outcome) {
         let called_off = self.requests.get(&id).is_some_and(|r| r.called_off);
         if outcome.never_ran() && !called_off {
-            self.refuse(id, crate::admit::FULL_ADVICE);
+            self.refuse(id, crate::admission::FULL_ADVICE);
         } else {
             self.fail(id);
         }
@@ -447,7 +447,7 @@
         if doubt {
             self.remember(now, key, engine);
         }
-        self.counters.ended[crate::book::place(outcome)] += 1;
+        self.counters.ended[crate::accounting::place(outcome)] += 1;
         let last = self.requests.get(&key.request).is_some_and(|r| r.closed);
         let (query, attempt) = (query(key.request), key.number);
         let end = Ended {
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -8,25 +8,25 @@
 #![warn(missing_docs)]
 #![forbid(unsafe_code)]
 
-mod admit;
-mod book;
+mod accept;
+mod accounting;
+mod admission;
+mod dispatch;
 mod idempotency;
 pub mod lifecycle;
-mod relay;
-mod route;
+mod lost_attempts;
+mod response;
+mod routing;
 mod running;
-mod send;
-mod take_in;
-mod unheard;
 
-pub use book::Counters;
+pub use accept::{Ask, Piece, Taken};
+pub use accounting::Counters;
+pub use dispatch::{AttemptError, Cause, Progress, Retry, Told};
 pub use driftfront_scheduler::interface::{
     EngineId, ListKind, Listed, Micros, Note, Outcome, Phase, Pin,
 };
 pub use driftfront_scheduler::BudgetUsage;
 pub use running::Run;
-pub use send::{AttemptError, Cause, Progress, Retry, Told};
-pub use take_in::{Ask, Piece, Taken};
 
 use driftfront_scheduler::interface::{Action, Effect, Event, QueryId, Settings};
 use driftfront_scheduler::Controller;
@@ -120,7 +120,7 @@
     closed: bool,
     /// The attempt whose answer the client is getting, once a piece has been passed on.
     relaying: Option<u8>,
-    attempts: Vec<send::Attempt>,
+    attempts: Vec<dispatch::Attempt>,
     /// The last engine's words on what went wrong.
     words: Option<Rc<str>>,
     /// The engine of the attempt that ended last without serving, and why it ended.
@@ -156,7 +156,7 @@
     commands: VecDeque<Command>,
     counters: Counters,
     doubts: running::Doubts,
-    unheard: unheard::Unheard,
+    unheard: lost_attempts::Unheard,
     tokens: idempotency::IdempotencyKeys,
 }
 
@@ -168,7 +168,7 @@
             has_tenants: !settings.tenants.is_empty(),
             advice_most: settings.retry_after,
             leaves: false,
-            unheard: unheard::Unheard::new(&settings, limits.tells_each),
+            unheard: lost_attempts::Unheard::new(&settings, limits.tells_each),
             tokens: idempotency::IdempotencyKeys::new(&settings, limits.tokens),
             controller: Controller::new(settings, seed).awaiting_first_bytes(),
             limits,
--- a/crates/core/src/relay.rs
+++ b/crates/core/src/response.rs
@@ -101,10 +101,10 @@
 
     /// Answers an open request as far as it has come: a refusal where it never ran, else a failure.
     fn answer_now(&mut self, now: Micros, id: RequestId) {
-        let ran = |a: &crate::send::Attempt| match a.outcome {
+        let ran = |a: &crate::dispatch::Attempt| match a.outcome {
             Some(outcome) => !outcome.never_ran(),
             // Of what waits for its connection nothing is written once the request is closed.
-            None => a.progress >= crate::send::Progress::PartWritten,
+            None => a.progress >= crate::dispatch::Progress::PartWritten,
         };
         let once = |r: &crate::Request| self.effect(r.ask.class) != Some(Effect::Safe);
         match self
@@ -113,7 +113,7 @@
             .is_some_and(|r| once(r) && r.attempts.iter().any(ran))
         {
             true => self.fail(id),
-            false => self.refuse(id, crate::admit::FULL_ADVICE),
+            false => self.refuse(id, crate::admission::FULL_ADVICE),
         }
         self.tell(now, Event::ClientGone(crate::query(id)));
     }
--- a/crates/core/src/route.rs
+++ b/crates/core/src/routing.rs
@@ -1,6 +1,6 @@
 //! Stage 3, route: the module's actions become attempts, answers, timers and probes.
 
-use crate::send::Attempt;
+use crate::dispatch::Attempt;
 use crate::{query, AttemptKey, Command, Core, Due, RequestId};
 use driftfront_scheduler::interface::{
     Action, Ended, EngineId, Event, Micros, Outcome, Phase, QueryId,
@@ -18,7 +18,7 @@
                         // The module counts a send that was never made, so it must hear of its end.
                         let mut more = Vec::new();
                         let end = moot(id, number);
-                        self.counters.ended[crate::book::place(Outcome::Moot)] += 1;
+                        self.counters.ended[crate::accounting::place(Outcome::Moot)] += 1;
                         self.controller.handle(now, Event::Ended(end), &mut more);
                         actions.extend(more);
                     }
