--- a/crates/cluster-simulation/src/main.rs
+++ b/crates/cluster-simulation/src/main.rs
@@ -1,8 +1,8 @@
 //! Plays scripts on virtual time and prints what members knew and when, as tables.
 
-use driftfront_cluster::agreed::rights::{Command, Outcome};
-use driftfront_cluster::agreed::{self, Agreed, Notice, Peer};
-use driftfront_cluster::seal::{Payload, Seal};
+use driftfront_cluster::consensus::rights::{Command, Outcome};
+use driftfront_cluster::consensus::{self, Agreed, Notice, Peer};
+use driftfront_cluster::message_authentication::{Payload, Seal};
 use driftfront_cluster::{About, Fleet, Identity, Micros, Options, Standing};
 use driftfront_cluster_simulation::rights::Load;
 use driftfront_cluster_simulation::world::{addr, keys, name, Seen};
@@ -261,10 +261,10 @@
     let mut all: Vec<Agreed> = Vec::new();
     for (n, me) in names.iter().enumerate() {
         let founders = names.clone();
-        let options = agreed::Options {
+        let options = consensus::Options {
             founders,
             file: Some(Vec::new()),
-            ..agreed::Options::default()
+            ..consensus::Options::default()
         };
         all.push(Agreed::new(me, (n as u64 + 1) << 20, rng.random(), options).0);
     }
--- a/crates/cluster-simulation/src/world.rs
+++ b/crates/cluster-simulation/src/world.rs
@@ -2,9 +2,9 @@
 
 use crate::rights::{Load, Rights};
 use crate::script::{Deed, Link, Links, Script};
-use driftfront_cluster::agreed::replica::Write;
+use driftfront_cluster::consensus::replica::Write;
 use driftfront_cluster::{
-    agreed, About, Counters, Fleet, Identity, Key, Keyring, Micros, Options, Standing,
+    consensus, About, Counters, Fleet, Identity, Key, Keyring, Micros, Options, Standing,
 };
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -261,7 +261,7 @@
         let seeds = (0..SEEDS.min(self.script.members)).map(addr).collect();
         let founders = (0..self.script.voters).map(name).collect();
         let file = self.script.keeps.then(|| p.disk.clone());
-        let asked = agreed::Options {
+        let asked = consensus::Options {
             founders,
             replace_after: self.script.replace_after,
             zone: about.zone.clone(),
@@ -278,7 +278,7 @@
         };
         p.life += 1;
         p.writes.clear();
-        if let Ok(loaded) = agreed::store::read(&p.disk) {
+        if let Ok(loaded) = consensus::store::read(&p.disk) {
             p.disk.truncate(loaded.well);
         }
         p.fleet = Some(Fleet::new(clock, options));
--- a/crates/cluster-simulation/tests/agreed.rs
+++ b/crates/cluster-simulation/tests/agreed.rs
@@ -1,7 +1,7 @@
 //! What is agreed, under faults, on virtual time: the real unit with the real engine of the log, disks that tear, clocks that
 //! jump.
 
-use driftfront_cluster::agreed::Role;
+use driftfront_cluster::consensus::Role;
 use driftfront_cluster_simulation::rights::Load;
 use driftfront_cluster_simulation::{Script, World};
 
--- a/crates/cluster/src/unit.rs
+++ b/crates/cluster/src/agent.rs
@@ -1,11 +1,11 @@
 //! The fleet as one member knows it: datagrams and time in, datagrams out.
 
-use crate::about::About;
-use crate::agreed::{self, Agreed, Notice, Peer};
-use crate::facts::{Fact, Facts, Kind, Refusals, ABOUT, AGREED};
-use crate::members::{Change, Identity, Members, Standing};
-use crate::pace::Pace;
-use crate::seal::{Keyring, Payload, Refused, Seal, PAYLOAD_MOST};
+use crate::consensus::{self, Agreed, Notice, Peer};
+use crate::gossip::{Fact, Facts, Kind, Refusals, ABOUT, AGREED};
+use crate::member_metadata::About;
+use crate::membership::{Change, Identity, Members, Standing};
+use crate::message_authentication::{Keyring, Payload, Refused, Seal, PAYLOAD_MOST};
+use crate::rate_limit::Pace;
 use crate::Micros;
 use rand::rngs::SmallRng;
 use rand::seq::IndexedRandom;
@@ -53,7 +53,7 @@
     /// For all that is drawn at random.
     pub seed: u64,
     /// Our part in what is agreed; `None` where it is to be opened later ([`Fleet::open_agreed`]), or never.
-    pub agreed: Option<agreed::Options>,
+    pub agreed: Option<consensus::Options>,
 }
 
 /// What has passed through since the start.
@@ -176,7 +176,7 @@
     next_behind: Micros,
     counters: Counters,
     left: bool,
-    wrong: Option<agreed::store::Unusable>,
+    wrong: Option<consensus::store::Unusable>,
 }
 
 impl Fleet {
@@ -221,7 +221,10 @@
 
     /// Takes part in what is agreed from now on. What is wrong with what was kept, if anything is: it is left as it is then,
     /// and this one only reads and asks.
-    pub fn open_agreed(&mut self, options: agreed::Options) -> Option<agreed::store::Unusable> {
+    pub fn open_agreed(
+        &mut self,
+        options: consensus::Options,
+    ) -> Option<consensus::store::Unusable> {
         let me = self.members.me();
         let (agreed, wrong) = Agreed::new(&me.name, me.session, self.rng.random(), options);
         self.agreed = Some(agreed);
@@ -237,7 +240,7 @@
     }
 
     /// What was wrong with what was kept, at the start.
-    pub fn wrong(&self) -> Option<&agreed::store::Unusable> {
+    pub fn wrong(&self) -> Option<&consensus::store::Unusable> {
         self.wrong.as_ref()
     }
 
@@ -259,7 +262,7 @@
     }
 
     /// The next thing to keep of what is agreed.
-    pub fn to_keep(&mut self) -> Option<agreed::replica::Write> {
+    pub fn to_keep(&mut self) -> Option<consensus::replica::Write> {
         self.agreed.as_mut()?.to_keep()
     }
 
@@ -682,7 +685,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::seal::Key;
+    use crate::message_authentication::Key;
 
     #[test]
     fn who_hears_nobody_trusts_itself_again_after_a_stumble_and_goes_on_asking() {
--- a/crates/cluster/src/agreed/mod.rs
+++ b/crates/cluster/src/consensus/mod.rs
@@ -24,7 +24,7 @@
 pub mod store;
 pub mod voters;
 
-use crate::members::{Standing, NAME_MOST};
+use crate::membership::{Standing, NAME_MOST};
 use crate::Micros;
 use founding::{Founding, Shown, QUIET};
 use parts::{Part, Parts};
--- a/crates/cluster/src/agreed/replica.rs
+++ b/crates/cluster/src/consensus/replica.rs
@@ -5,9 +5,9 @@
 //! invariants are broken: by a disk that lost what it said it kept, or a peer with the key that lies. Such a panic ends this
 //! replica alone; its process asks to be let in again under another id, as one that lost its log.
 
-use crate::agreed::founding::{Founded, Voter};
-use crate::agreed::rights::{Entry as Asked, Outcome, Rights};
-use crate::agreed::store::{self, bytes_of, Log, Shared};
+use crate::consensus::founding::{Founded, Voter};
+use crate::consensus::rights::{Entry as Asked, Outcome, Rights};
+use crate::consensus::store::{self, bytes_of, Log, Shared};
 use crate::Micros;
 use protobuf::Message as _;
 use raft::eraftpb::{
--- a/crates/cluster/src/agreed/rights.rs
+++ b/crates/cluster/src/consensus/rights.rs
@@ -11,7 +11,7 @@
 //! A right that *stays* is not free at its end: it counts until its owner or an operator gives it back. That is for what
 //! must be seen before it is over: an engine that went out is out until it is seen back, whoever asked for it.
 
-use crate::members::NAME_MOST;
+use crate::membership::NAME_MOST;
 use crate::Micros;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
--- a/crates/cluster/src/facts.rs
+++ b/crates/cluster/src/gossip.rs
@@ -7,7 +7,7 @@
 //!
 //! Kinds that this build does not know are kept and passed on as they are: in every release two builds run side by side.
 
-use crate::members::NAME_MOST;
+use crate::membership::NAME_MOST;
 use crate::Micros;
 use std::collections::BTreeMap;
 use std::ops::RangeInclusive;
@@ -18,7 +18,7 @@
 
 /// A member's word on itself, as [`crate::About`].
 pub const ABOUT: Kind = 1;
-/// A member's part in what is agreed, as [`crate::agreed::Notice`].
+/// A member's part in what is agreed, as [`crate::consensus::Notice`].
 pub const AGREED: Kind = 2;
 
 /// Longest value.
--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -16,20 +16,20 @@
 #![warn(missing_docs)]
 #![forbid(unsafe_code)]
 
-pub mod about;
-pub mod agreed;
-pub mod facts;
-pub mod members;
-pub mod pace;
-pub mod seal;
-mod unit;
+mod agent;
+pub mod consensus;
+pub mod gossip;
+pub mod member_metadata;
+pub mod membership;
+pub mod message_authentication;
+pub mod rate_limit;
 
-pub use about::{About, State};
-pub use agreed::Agreed;
-pub use facts::{Fact, Kind};
-pub use members::{Identity, Standing};
-pub use seal::{Key, Keyring};
-pub use unit::{Counters, Fleet, MemberView, Options};
+pub use agent::{Counters, Fleet, MemberView, Options};
+pub use consensus::Agreed;
+pub use gossip::{Fact, Kind};
+pub use member_metadata::{About, State};
+pub use membership::{Identity, Standing};
+pub use message_authentication::{Key, Keyring};
 
 /// Time or duration in microseconds.
 pub type Micros = u64;
--- a/crates/cluster/src/members.rs
+++ b/crates/cluster/src/membership.rs
@@ -4,7 +4,7 @@
 //! average, and called down 2 s later, unless it says that it is there. What is called down is told of, and asked each
 //! two seconds whether it is back, so that halves that were cut apart find each other again.
 
-use crate::seal::PAYLOAD_MOST;
+use crate::message_authentication::PAYLOAD_MOST;
 use crate::Micros;
 use bytes::{Buf, BufMut};
 use foca::{
--- a/crates/cluster/tests/golden_datagrams.rs
+++ b/crates/cluster/tests/golden_datagrams.rs
@@ -1,8 +1,8 @@
 //! Datagrams, records and key files, compared with golden files and read from them.
 
-use driftfront_cluster::facts::{Facts, ABOUT, AGREED};
-use driftfront_cluster::members::Members;
-use driftfront_cluster::seal::{Opened, Payload, Refused, Seal};
+use driftfront_cluster::gossip::{Facts, ABOUT, AGREED};
+use driftfront_cluster::membership::Members;
+use driftfront_cluster::message_authentication::{Opened, Payload, Refused, Seal};
 use driftfront_cluster::{About, Fleet, Identity, Key, Keyring, Options, State};
 use driftfront_test_support::{assert_golden, read_golden};
 use std::fmt::Write;
--- a/crates/cluster/tests/golden_log.rs
+++ b/crates/cluster/tests/golden_log.rs
@@ -2,9 +2,9 @@
 
 mod voters;
 
-use driftfront_cluster::agreed::replica::Replica;
-use driftfront_cluster::agreed::rights::{Command, Entry, Outcome};
-use driftfront_cluster::agreed::{store, Agreed, Notice};
+use driftfront_cluster::consensus::replica::Replica;
+use driftfront_cluster::consensus::rights::{Command, Entry, Outcome};
+use driftfront_cluster::consensus::{store, Agreed, Notice};
 use driftfront_test_support::{assert_golden, read_golden};
 use std::fmt::Write;
 use voters::{names, open, Sent, Voters, SECOND};
--- a/crates/coordinator/src/node/fleet/agreed.rs
+++ b/crates/coordinator/src/node/fleet/agreed.rs
@@ -6,9 +6,9 @@
 use super::Hands;
 use crate::disk::{Disk, Job};
 use crate::node::{ConnId, Node};
-use driftfront_cluster::agreed::replica::Write;
-use driftfront_cluster::agreed::rights::{Command, Outcome, TEXT_MOST};
-use driftfront_cluster::agreed::{store, Options, Role, Unanswered};
+use driftfront_cluster::consensus::replica::Write;
+use driftfront_cluster::consensus::rights::{Command, Outcome, TEXT_MOST};
+use driftfront_cluster::consensus::{store, Options, Role, Unanswered};
 use driftfront_cluster::State;
 use driftfront_control::snapshot::{Agreed as Shown, Held, Voter};
 use driftfront_control::Reply;
@@ -358,7 +358,7 @@
         };
         let held = |(fence, right, left): (
             u64,
-            driftfront_cluster::agreed::rights::Right,
+            driftfront_cluster::consensus::rights::Right,
             Option<Micros>,
         )| Held {
             name: right.pot.strip_prefix(HOLD).unwrap_or(&right.pot).into(),
--- a/crates/coordinator/tests/fleet.rs
+++ b/crates/coordinator/tests/fleet.rs
@@ -1,6 +1,6 @@
 //! Several processes of the program with faults between them. Waits are for what they say they see.
 
-use driftfront_cluster::seal::{Payload, Seal};
+use driftfront_cluster::message_authentication::{Payload, Seal};
 use driftfront_cluster::{About, Fleet, Identity, Key, Keyring};
 use driftfront_cluster_harness::process::call;
 use driftfront_cluster_harness::Rig;
