--- a/crates/cluster-simulation/src/main.rs
+++ b/crates/cluster-simulation/src/main.rs
@@ -1,6 +1,6 @@
 //! Plays scripts on virtual time and prints what members knew and when, as tables.
 
-use driftfront_cluster::consensus::rights::{Command, Outcome};
+use driftfront_cluster::consensus::leases::{Command, Outcome};
 use driftfront_cluster::consensus::{self, Agreed, Notice, Peer};
 use driftfront_cluster::message_authentication::{Payload, Seal};
 use driftfront_cluster::{About, Fleet, Identity, Micros, Options, Standing};
--- a/crates/cluster-simulation/src/model.rs
+++ b/crates/cluster-simulation/src/model.rs
@@ -7,7 +7,7 @@
 //! Checked in all states that can be reached: at no time do both act on the one right there is; and what was agreed once
 //! is never another.
 
-use driftfront_cluster::consensus::rights::{Command, Entry, Outcome, Rights};
+use driftfront_cluster::consensus::leases::{Command, Entry, Outcome, Rights};
 use stateright::{Model, Property};
 
 const VOTERS: usize = 3;
--- a/crates/cluster-simulation/src/rights.rs
+++ b/crates/cluster-simulation/src/rights.rs
@@ -3,7 +3,7 @@
 //! What counts is what a member would do: whether it would act on a right at this moment, by its own clock. A process that
 //! stands still does nothing; it is asked again once it goes on.
 
-use driftfront_cluster::consensus::rights::{Command, Outcome};
+use driftfront_cluster::consensus::leases::{Command, Outcome};
 use driftfront_cluster::consensus::{Agreed, Unanswered};
 use driftfront_cluster::{Fleet, Micros};
 use rand::rngs::SmallRng;
--- a/crates/cluster/src/consensus/founding.rs
+++ b/crates/cluster/src/consensus/bootstrap.rs
@@ -11,7 +11,7 @@
 //! work for two of three names. Two processes of one name are an upgrade's, which share the state folder's log under a
 //! lock. What an earlier set may have lent ends within [`QUIET`] of the founding, in which nothing is lent.
 
-use crate::consensus::rights::Rights;
+use crate::consensus::leases::Rights;
 use crate::Micros;
 use raft::eraftpb::Snapshot;
 use serde::{Deserialize, Serialize};
--- a/crates/cluster/src/consensus/mod.rs
+++ b/crates/cluster/src/consensus/mod.rs
@@ -17,25 +17,25 @@
 //! is not, unseat voters and end replicas; a site trusts who holds its key. A peer that sleeps holds nothing when it wakes:
 //! ends are looked at when a right is used ([`Agreed::holds`]), not when it was lent.
 
-pub mod founding;
-pub mod parts;
+pub mod bootstrap;
+pub mod fragmentation;
+pub mod leases;
+pub mod reconfiguration;
 pub mod replica;
-pub mod rights;
 pub mod store;
-pub mod voters;
 
 use crate::membership::{Standing, NAME_MOST};
 use crate::Micros;
-use founding::{Founding, Shown, QUIET};
-use parts::{Part, Parts};
+use bootstrap::{Founding, Shown, QUIET};
+use fragmentation::{Part, Parts};
+use leases::{Command, Outcome, Right};
 use rand::rngs::SmallRng;
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
+use reconfiguration::{Candidate, Seat};
 use replica::{Replica, State, Write, TICK};
-use rights::{Command, Outcome, Right};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
-use voters::{Candidate, Seat};
 
 /// Requests of our own that wait at once.
 const ASKS_MOST: usize = 64;
@@ -585,7 +585,7 @@
     /// Another replica's message.
     fn step(&mut self, now: Micros, cluster: u64, bytes: &[u8]) {
         if self.replica.is_none() && self.may_join(bytes) {
-            let founded = founding::Founded::joined(self.id, cluster);
+            let founded = bootstrap::Founded::joined(self.id, cluster);
             self.replica = Replica::join(founded, self.rng.random());
             self.founding = None;
             self.leaderless = Some(now);
@@ -790,7 +790,7 @@
         });
         if replaced {
             // Others decide now: it founds nothing beside them.
-            let file = store::Log::of(founding::Founded::joined(0, self.copy.cluster)).file();
+            let file = store::Log::of(bootstrap::Founded::joined(0, self.copy.cluster)).file();
             self.retire(file);
         }
     }
@@ -1037,7 +1037,7 @@
             let shown = name.and_then(|n| self.shown(n)).is_some_and(|s| s.id == id);
             (id, near, shown)
         });
-        let next = voters::next(&seats, learner, &candidates, &zones, after, all_keep);
+        let next = reconfiguration::next(&seats, learner, &candidates, &zones, after, all_keep);
         if let (Some(change), Some(replica)) = (next, &mut self.replica) {
             self.counters.changes += u64::from(replica.change(&change));
         }
--- a/crates/cluster/src/consensus/voters.rs
+++ b/crates/cluster/src/consensus/reconfiguration.rs
@@ -8,7 +8,7 @@
 //! Other names come in only where all keep their logs on disk. Else the founders' names are the voters' for ever, so
 //! that founders that all have no log know that there is none; where logs are kept, a replaced one's file says so.
 
-use crate::consensus::founding::Voter;
+use crate::consensus::bootstrap::Voter;
 use crate::consensus::replica::Change;
 use crate::membership::Standing;
 use crate::Micros;
--- a/crates/cluster/src/consensus/replica.rs
+++ b/crates/cluster/src/consensus/replica.rs
@@ -5,8 +5,8 @@
 //! invariants are broken: by a disk that lost what it said it kept, or a peer with the key that lies. Such a panic ends this
 //! replica alone; its process asks to be let in again under another id, as one that lost its log.
 
-use crate::consensus::founding::{Founded, Voter};
-use crate::consensus::rights::{Entry as Asked, Outcome, Rights};
+use crate::consensus::bootstrap::{Founded, Voter};
+use crate::consensus::leases::{Entry as Asked, Outcome, Rights};
 use crate::consensus::store::{self, bytes_of, Log, Shared};
 use crate::Micros;
 use protobuf::Message as _;
@@ -358,7 +358,7 @@
         owner: &str,
         session: u64,
         request: u64,
-        command: super::rights::Command,
+        command: super::leases::Command,
     ) -> bool {
         let Some(time) = self.time().filter(|_| self.leads()) else {
             return false;
--- a/crates/cluster/src/consensus/store.rs
+++ b/crates/cluster/src/consensus/store.rs
@@ -6,7 +6,7 @@
 //!
 //! Bodies are `raft`'s own messages in their protobuf form, which later versions of it may add fields to.
 
-use crate::consensus::founding::Founded;
+use crate::consensus::bootstrap::Founded;
 use protobuf::Message as _;
 use raft::eraftpb::{ConfState, Entry, HardState, Snapshot};
 use raft::{Error, GetEntriesContext, RaftState, Storage, StorageError};
--- a/crates/cluster/tests/golden_log.rs
+++ b/crates/cluster/tests/golden_log.rs
@@ -2,8 +2,8 @@
 
 mod voters;
 
+use driftfront_cluster::consensus::leases::{Command, Entry, Outcome};
 use driftfront_cluster::consensus::replica::Replica;
-use driftfront_cluster::consensus::rights::{Command, Entry, Outcome};
 use driftfront_cluster::consensus::{store, Agreed, Notice};
 use driftfront_test_support::{assert_golden, read_golden};
 use std::fmt::Write;
--- a/crates/cluster/tests/voters/mod.rs
+++ b/crates/cluster/tests/voters/mod.rs
@@ -1,6 +1,6 @@
 //! Members that take part in what is agreed, on virtual time and with no faults: all that they send and store can be looked at.
 
-use driftfront_cluster::consensus::rights::{Command, Outcome};
+use driftfront_cluster::consensus::leases::{Command, Outcome};
 use driftfront_cluster::consensus::{Agreed, Notice, Options, Peer, Unanswered};
 use driftfront_cluster::{Micros, Standing};
 
--- a/crates/coordinator/src/node/fleet/agreed.rs
+++ b/crates/coordinator/src/node/fleet/agreed.rs
@@ -6,8 +6,8 @@
 use super::Hands;
 use crate::disk::{Disk, Job};
 use crate::node::{ConnId, Node};
+use driftfront_cluster::consensus::leases::{Command, Outcome, TEXT_MOST};
 use driftfront_cluster::consensus::replica::Write;
-use driftfront_cluster::consensus::rights::{Command, Outcome, TEXT_MOST};
 use driftfront_cluster::consensus::{store, Options, Role, Unanswered};
 use driftfront_cluster::State;
 use driftfront_control::snapshot::{Agreed as Shown, Held, Voter};
@@ -358,7 +358,7 @@
         };
         let held = |(fence, right, left): (
             u64,
-            driftfront_cluster::consensus::rights::Right,
+            driftfront_cluster::consensus::leases::Right,
             Option<Micros>,
         )| Held {
             name: right.pot.strip_prefix(HOLD).unwrap_or(&right.pot).into(),
