--- a/crates/coordinator/src/config.rs
+++ b/crates/coordinator/src/config.rs
@@ -1,8 +1,8 @@
 //! A coordinator's configuration: what the platform, or an operator's file, says.
 
-use crate::fronts::clickhouse::Rules;
-use crate::fronts::Classes;
-use crate::operator;
+use crate::frontends::clickhouse::Rules;
+use crate::frontends::Classes;
+use crate::operator_config;
 use driftfront_core::{Limits, Micros};
 use driftfront_scheduler::interface::Settings;
 use driftfront_settings::json::{parse, Json};
@@ -147,8 +147,9 @@
         let text = std::fs::read(path).map_err(|e| format!("{}: {e}", path.display()))?;
         let config = if path.extension().is_some_and(|e| e == "kdl") {
             let text = String::from_utf8_lossy(&text);
-            let json = operator::read(&text)
-                .map_err(|mistake| operator::shown(&path.display().to_string(), &text, &mistake))?;
+            let json = operator_config::read(&text).map_err(|mistake| {
+                operator_config::shown(&path.display().to_string(), &text, &mistake)
+            })?;
             Config::of_json(&json)
         } else {
             Config::read(&text)
@@ -167,7 +168,7 @@
 
     /// Reads an operator's text.
     pub fn of_operator(text: &str) -> Result<Config, String> {
-        let json = operator::read(text).map_err(|mistake| mistake.to_string())?;
+        let json = operator_config::read(text).map_err(|mistake| mistake.to_string())?;
         Config::of_json(&json)
     }
 
--- a/crates/coordinator/src/fronts/clickhouse.rs
+++ b/crates/coordinator/src/frontends/clickhouse.rs
@@ -1,7 +1,7 @@
 //! ClickHouse's HTTP interface towards clients, on the language in `driftfront_clickhouse`.
 
 use super::{After, AnswerWriter, Classes, Front, Intake, KillAsk};
-use crate::backs::clickhouse::{FRAMES, HEADERS, TARGET};
+use crate::backends::clickhouse::{FRAMES, HEADERS, TARGET};
 use crate::net::hash;
 use driftfront_clickhouse::exception::{marker, Exception, NETWORK_ERROR, TOO_MANY_QUERIES};
 use driftfront_clickhouse::keep::{Keep, SMALL};
--- a/crates/coordinator/src/lib.rs
+++ b/crates/coordinator/src/lib.rs
@@ -2,17 +2,17 @@
 #![warn(missing_docs)]
 #![forbid(unsafe_code)]
 
-pub mod backs;
+pub mod backends;
 pub mod clock;
 pub mod config;
 pub mod console;
 pub mod demo;
-pub mod disk;
-pub mod fronts;
+pub mod discovery;
+pub mod file_writer;
+pub mod frontends;
 pub mod handover;
-pub mod members;
 pub mod net;
 pub mod node;
-pub mod operator;
+pub mod operator_config;
 pub mod service;
 pub mod state;
--- a/crates/coordinator/src/main.rs
+++ b/crates/coordinator/src/main.rs
@@ -103,7 +103,7 @@
             let mut new = std::fs::OpenOptions::new();
             let file_open = new.write(true).create_new(true).open(&file);
             let written = file_open.and_then(|mut f| {
-                std::io::Write::write_all(&mut f, driftfront::operator::EXAMPLE.as_bytes())
+                std::io::Write::write_all(&mut f, driftfront::operator_config::EXAMPLE.as_bytes())
             });
             written.map_err(|e| format!("{}: {e}", file.display()))?;
             println!(
--- a/crates/coordinator/src/node/clients/mod.rs
+++ b/crates/coordinator/src/node/clients/mod.rs
@@ -5,7 +5,7 @@
 mod requests;
 
 use super::{ConnId, Node, Source};
-use crate::fronts::{After, AnswerWriter};
+use crate::frontends::{After, AnswerWriter};
 use crate::net::{out_of_descriptors, Link, ReadEnd};
 use calloop::RegistrationToken;
 use driftfront_core::{Micros, RequestId};
--- a/crates/coordinator/src/node/clients/requests.rs
+++ b/crates/coordinator/src/node/clients/requests.rs
@@ -1,7 +1,7 @@
 //! Requests as they are read off a client's connection: taken in, answered at once, or withdrawn.
 
 use super::BAD_PAUSE;
-use crate::fronts::{Intake, KillAsk};
+use crate::frontends::{Intake, KillAsk};
 use crate::node::{ConnId, Node};
 use driftfront_core::{Micros, Phase};
 use driftfront_http::response;
--- a/crates/coordinator/src/node/engines/mod.rs
+++ b/crates/coordinator/src/node/engines/mod.rs
@@ -5,7 +5,7 @@
 mod traffic;
 
 use super::{ConnId, Node, Source};
-use crate::backs::Session;
+use crate::backends::Session;
 use crate::net::silence::{is_overdue, note_patience, NOTE_LATE, PROBE_LATE};
 use crate::net::{connect, out_of_descriptors, Link};
 use calloop::RegistrationToken;
--- a/crates/coordinator/src/node/engines/traffic.rs
+++ b/crates/coordinator/src/node/engines/traffic.rs
@@ -1,7 +1,7 @@
 //! What is written to engines and read from them, as far as each side takes it.
 
 use super::{Work, BACKLOG_LEAST, BACKLOG_MOST, CHECK_TAG, READ_AT_ONCE, STREAMS_MANY, TURN};
-use crate::backs::{Seen, Start};
+use crate::backends::{Seen, Start};
 use crate::config::Wire;
 use crate::net::ReadEnd;
 use crate::node::clients::Body;
--- a/crates/coordinator/src/node/feed.rs
+++ b/crates/coordinator/src/node/feed.rs
@@ -2,8 +2,8 @@
 
 use super::{ConnId, Node, Source};
 use crate::config::{Config, Membership};
-use crate::members::backoff::{Backoff, Broken};
-use crate::members::{etcd::Etcd, file::File, read, stream::Stream, Watch};
+use crate::discovery::backoff::{Backoff, Broken};
+use crate::discovery::{etcd::Etcd, file::File, read, stream::Stream, Watch};
 use crate::net::{connect, Link, ReadEnd};
 use calloop::RegistrationToken;
 use driftfront_core::Micros;
--- a/crates/coordinator/src/node/fleet.rs
+++ b/crates/coordinator/src/node/fleet.rs
@@ -5,7 +5,7 @@
 
 use super::{Node, Source};
 use crate::config::FleetConfig;
-use crate::members::Update;
+use crate::discovery::Update;
 use driftfront_cluster::{
     About, Fleet, Identity, Keyring, Options, Standing, State, DATAGRAM_MOST,
 };
--- a/crates/coordinator/src/node/fleet/agreed.rs
+++ b/crates/coordinator/src/node/fleet/agreed.rs
@@ -4,7 +4,7 @@
 //! go of it as soon as it does, and the next takes it up then.
 
 use super::Hands;
-use crate::disk::{Disk, Job};
+use crate::file_writer::{Disk, Job};
 use crate::node::{ConnId, Node};
 use driftfront_cluster::consensus::leases::{Command, Outcome, TEXT_MOST};
 use driftfront_cluster::consensus::replica::Write;
@@ -144,12 +144,13 @@
         let (sender, written) = calloop::channel::channel();
         let disk = Disk::open(path, file, Some(lock), move |w| drop(sender.send(w)))
             .map_err(|e| e.to_string())?;
-        let on_written =
-            |event: calloop::channel::Event<crate::disk::Written>, _: &mut (), node: &mut Node| {
-                if let calloop::channel::Event::Msg((number, end)) = event {
-                    node.guard("a write's end", |node| node.agreed_written(number, end));
-                }
-            };
+        let on_written = |event: calloop::channel::Event<crate::file_writer::Written>,
+                          _: &mut (),
+                          node: &mut Node| {
+            if let calloop::channel::Event::Msg((number, end)) = event {
+                node.guard("a write's end", |node| node.agreed_written(number, end));
+            }
+        };
         self.handle
             .insert_source(written, on_written)
             .map_err(|e| format!("event loop: {e}"))?;
--- a/crates/coordinator/src/node/mod.rs
+++ b/crates/coordinator/src/node/mod.rs
@@ -10,14 +10,14 @@
 mod upgrade;
 
 pub use self::fleet::read_keys;
-use crate::backs::{clickhouse::Http, lines::Lines, Session};
+use crate::backends::{clickhouse::Http, lines::Lines, Session};
 use crate::clock::{Clock, Step, StepWatch};
 use crate::config::{Config, Wire};
-use crate::fronts::clickhouse::ClickHouse;
-use crate::fronts::{platform::Platform, After, Front};
+use crate::discovery::backoff::{Backoff, Broken};
+use crate::discovery::read;
+use crate::frontends::clickhouse::ClickHouse;
+use crate::frontends::{platform::Platform, After, Front};
 use crate::handover::Post;
-use crate::members::backoff::{Backoff, Broken};
-use crate::members::read;
 use crate::service::End;
 
 use calloop::generic::Generic;
--- a/crates/coordinator/src/state.rs
+++ b/crates/coordinator/src/state.rs
@@ -1,12 +1,12 @@
 //! The state folder: operators' orders that outlive a restart. A command counts as done once its record is on the disk.
 
-use crate::disk::{Disk, Job};
+use crate::file_writer::{Disk, Job};
 use driftfront_engine_registry::record::{self, Record, COMPACT_AT, HEADER};
 use std::fs::OpenOptions;
 use std::io::{Read, Seek, SeekFrom, Write};
 use std::path::Path;
 
-pub use crate::disk::Written;
+pub use crate::file_writer::Written;
 
 /// The file's name in the folder.
 const NAME: &str = "orders";
--- a/crates/coordinator/tests/golden_backends.rs
+++ b/crates/coordinator/tests/golden_backends.rs
@@ -1,8 +1,8 @@
 //! What is written to engines, and what is read of their answers.
 
-use driftfront::backs::clickhouse::{Http, FRAMES, HEADERS, TARGET};
-use driftfront::backs::lines::Lines;
-use driftfront::backs::{Seen, Session, Start};
+use driftfront::backends::clickhouse::{Http, FRAMES, HEADERS, TARGET};
+use driftfront::backends::lines::Lines;
+use driftfront::backends::{Seen, Session, Start};
 use driftfront_core::{Ask, AttemptKey, RequestId};
 use driftfront_test_support::assert_golden;
 use driftfront_test_support::message_transcript::MessageTranscript;
--- a/crates/coordinator/tests/golden_discovery.rs
+++ b/crates/coordinator/tests/golden_discovery.rs
@@ -1,8 +1,8 @@
 //! What is asked of the sources of the engine list, and what is read of their answers.
 
-use driftfront::members::etcd::Etcd;
-use driftfront::members::stream::Stream;
-use driftfront::members::{read, Watch};
+use driftfront::discovery::etcd::Etcd;
+use driftfront::discovery::stream::Stream;
+use driftfront::discovery::{read, Watch};
 use driftfront_core::ListKind;
 use driftfront_http::chunk;
 use driftfront_settings::json::{parse, Json};
--- a/crates/coordinator/tests/golden_frontends.rs
+++ b/crates/coordinator/tests/golden_frontends.rs
@@ -3,9 +3,9 @@
 mod common;
 
 use common::lines::Site;
-use driftfront::fronts::clickhouse::{ClickHouse, Rules};
-use driftfront::fronts::platform::Platform;
-use driftfront::fronts::{After, AnswerWriter, Classes, Front, Intake};
+use driftfront::frontends::clickhouse::{ClickHouse, Rules};
+use driftfront::frontends::platform::Platform;
+use driftfront::frontends::{After, AnswerWriter, Classes, Front, Intake};
 use driftfront_core::{Ask, EngineId, Fate, Piece};
 use driftfront_http::{Fault, Request};
 use driftfront_test_support::assert_golden;
--- a/crates/coordinator/tests/golden_operators/commands.rs
+++ b/crates/coordinator/tests/golden_operators/commands.rs
@@ -211,7 +211,8 @@
 
 #[test]
 fn the_operator_s_file_as_the_platform_s_json() {
-    let json = |text: &str| ordered(&driftfront::operator::read(text).expect("well formed")) + "\n";
+    let json =
+        |text: &str| ordered(&driftfront::operator_config::read(text).expect("well formed")) + "\n";
     assert_golden!("operators/appliance.json", json(&deploy("appliance.kdl")));
     assert_golden!("operators/fleet.json", json(&deploy("fleet.kdl")));
     assert_golden!("operators/everything.json", json(EVERYTHING));
--- a/crates/coordinator/tests/wires.rs
+++ b/crates/coordinator/tests/wires.rs
@@ -1,11 +1,11 @@
 //! Wires without sockets: random pieces of bytes and random steps against models of a connection's states.
 
-use driftfront::backs::clickhouse::Http;
-use driftfront::backs::lines::Lines;
-use driftfront::backs::{Seen, Session, Start};
-use driftfront::members::etcd::Etcd;
-use driftfront::members::stream::Stream;
-use driftfront::members::{read, Watch};
+use driftfront::backends::clickhouse::Http;
+use driftfront::backends::lines::Lines;
+use driftfront::backends::{Seen, Session, Start};
+use driftfront::discovery::etcd::Etcd;
+use driftfront::discovery::stream::Stream;
+use driftfront::discovery::{read, Watch};
 use driftfront_core::{Ask, AttemptKey, Cause, ListKind, Phase, RequestId, Told};
 use driftfront_engine_registry::{Change, Roster};
 use driftfront_http::{
