--- a/crates/coordinator/src/backends/mod.rs
+++ b/crates/coordinator/src/backends/mod.rs
@@ -1,7 +1,7 @@
 //! Back ends: what is spoken on engines' connections, without their sockets.
 
 pub mod clickhouse;
-pub mod lines;
+pub mod engine_protocol;
 
 use driftfront_core::{Ask, AttemptKey, Cause, Micros, Note, Outcome, Piece, Told};
 
--- a/crates/coordinator/src/node/mod.rs
+++ b/crates/coordinator/src/node/mod.rs
@@ -1,16 +1,16 @@
 //! The program itself: one thread, one calloop event loop, and the core's commands carried out on sockets.
 
 mod clients;
+mod cluster;
 mod control;
 mod counters;
+mod discovery_client;
 mod engines;
-mod feed;
-mod fleet;
 mod management;
 mod upgrade;
 
-pub use self::fleet::read_keys;
-use crate::backends::{clickhouse::Http, lines::Lines, Session};
+pub use self::cluster::read_keys;
+use crate::backends::{clickhouse::Http, engine_protocol::Lines, Session};
 use crate::clock::{Clock, Step, StepWatch};
 use crate::config::{Config, Wire};
 use crate::discovery::backoff::{Backoff, Broken};
@@ -72,9 +72,9 @@
     /// What is kept for operators, where the operator's file asks for that.
     control: Option<control::Control>,
     operators: Vec<control::Listener>,
-    feed: feed::Feed,
+    feed: discovery_client::Feed,
     /// Other coordinators, where the operator's file has a fleet.
-    fleet: Option<Box<fleet::Hands>>,
+    fleet: Option<Box<cluster::Hands>>,
     next_sweep: Micros,
     /// Connections with more to do than one turn holds.
     later: Vec<Source>,
@@ -152,7 +152,7 @@
             roster: Roster::new(),
             control: None,
             operators: Vec::new(),
-            feed: feed::Feed::new(
+            feed: discovery_client::Feed::new(
                 &config.membership,
                 config.known_index,
                 Backoff::new(config.seed),
--- a/crates/coordinator/tests/golden_backends.rs
+++ b/crates/coordinator/tests/golden_backends.rs
@@ -1,7 +1,7 @@
 //! What is written to engines, and what is read of their answers.
 
 use driftfront::backends::clickhouse::{Http, FRAMES, HEADERS, TARGET};
-use driftfront::backends::lines::Lines;
+use driftfront::backends::engine_protocol::Lines;
 use driftfront::backends::{Seen, Session, Start};
 use driftfront_core::{Ask, AttemptKey, RequestId};
 use driftfront_test_support::assert_golden;
--- a/crates/coordinator/tests/wires.rs
+++ b/crates/coordinator/tests/wires.rs
@@ -1,7 +1,7 @@
 //! Wires without sockets: random pieces of bytes and random steps against models of a connection's states.
 
 use driftfront::backends::clickhouse::Http;
-use driftfront::backends::lines::Lines;
+use driftfront::backends::engine_protocol::Lines;
 use driftfront::backends::{Seen, Session, Start};
 use driftfront::discovery::etcd::Etcd;
 use driftfront::discovery::stream::Stream;
