--- a/crates/cluster-harness/src/main.rs
+++ b/crates/cluster-harness/src/main.rs
@@ -1,7 +1,7 @@
 //! Storms of faults over processes of the program, then quiet: how long until all have one view again.
 
 use driftfront_cluster_harness::{Request, Rig};
-use driftfront_cluster_simulation::{percentile, storm};
+use driftfront_cluster_simulation::{fault_scenario, percentile};
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::process::ExitCode;
@@ -192,7 +192,7 @@
     let (mut lent, mut unanswered, mut twice, mut never, mut led) =
         (0, 0, Vec::new(), Vec::new(), Vec::new());
     for seed in first..first + runs {
-        let mut script = storm::storm(members, seed, false);
+        let mut script = fault_scenario::storm(members, seed, false);
         (script.voters, script.keeps) = (voters, keeps);
         let mut rig = Rig::of(binary, "127.0.0.1:9", script);
         if let Some(last) = &last {
@@ -283,7 +283,9 @@
         rig.play();
         let quiet = Instant::now();
         let new: Vec<u32> = (0..voters).collect();
-        while rig.leader(&new).is_none() && quiet.elapsed() < Duration::from_micros(storm::OWED) {
+        while rig.leader(&new).is_none()
+            && quiet.elapsed() < Duration::from_micros(fault_scenario::OWED)
+        {
             std::thread::sleep(Duration::from_millis(50));
         }
         match rig.leader(&new) {
@@ -369,10 +371,14 @@
     let all: Vec<u32> = (0..members).collect();
     let (mut took, mut never): (Vec<u64>, Vec<u64>) = (Vec::new(), Vec::new());
     for seed in first..first + runs {
-        let mut rig = Rig::of(&binary, "127.0.0.1:9", storm::storm(members, seed, false));
+        let mut rig = Rig::of(
+            &binary,
+            "127.0.0.1:9",
+            fault_scenario::storm(members, seed, false),
+        );
         rig.play();
         let quiet = Instant::now();
-        let owed = Duration::from_micros(storm::OWED);
+        let owed = Duration::from_micros(fault_scenario::OWED);
         let agree = |rig: &Rig| all.iter().all(|&m| rig.sees_just(m, &all));
         loop {
             if agree(&rig) {
--- a/crates/cluster-simulation/src/lib.rs
+++ b/crates/cluster-simulation/src/lib.rs
@@ -3,10 +3,10 @@
 #![warn(missing_docs)]
 #![forbid(unsafe_code)]
 
+pub mod fault_scenario;
 pub mod model;
 pub mod rights;
 pub mod script;
-pub mod storm;
 pub mod world;
 
 pub use script::{Deed, Group, Link, Links, Script};
--- a/crates/cluster-simulation/src/main.rs
+++ b/crates/cluster-simulation/src/main.rs
@@ -6,7 +6,7 @@
 use driftfront_cluster::{About, Fleet, Identity, Micros, Options, Standing};
 use driftfront_cluster_simulation::rights::Load;
 use driftfront_cluster_simulation::world::{addr, keys, name, Seen};
-use driftfront_cluster_simulation::{percentile, storm, Script, World};
+use driftfront_cluster_simulation::{fault_scenario, percentile, Script, World};
 use rand::rngs::SmallRng;
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
@@ -352,8 +352,8 @@
     let (mut took, mut never): (Vec<Micros>, Vec<u64>) = (Vec::new(), Vec::new());
     let (mut deaths_after, mut most_sent) = (0u64, 0u64);
     for seed in first..first + runs {
-        let script = storm::storm(members, seed, true);
-        let (quiet, until) = (storm::QUIET, script.until);
+        let script = fault_scenario::storm(members, seed, true);
+        let (quiet, until) = (fault_scenario::QUIET, script.until);
         let mut world = World::new(script);
         world.play(quiet, |_| false);
         let before = sums(&world, members).0;
@@ -361,7 +361,7 @@
             true => took.push(world.time() - quiet),
             false => {
                 never.push(seed);
-                for (at, deed) in &storm::storm(members, seed, true).deeds {
+                for (at, deed) in &fault_scenario::storm(members, seed, true).deeds {
                     println!("  seed {seed}: {:6.2} s {deed:?}", *at as f64 / 1e6);
                 }
                 for by in 0..members {
@@ -419,21 +419,21 @@
     let (mut wrong, mut never, mut took) = (Vec::new(), Vec::new(), Vec::new());
     let (mut lent, mut unanswered, mut leaders, mut replaced, mut lost) = (0, 0, 0, 0, 0);
     for seed in first..first + runs {
-        let mut script = storm::storm(members, seed, true);
+        let mut script = fault_scenario::storm(members, seed, true);
         (script.voters, script.keeps) = (voters, keeps);
         let mut world = World::new(script);
         world.ask(Load {
             one_in: 10,
             ..Load::default()
         });
-        world.play(storm::QUIET, |_| false);
-        let owed = storm::QUIET + storm::OWED;
+        world.play(fault_scenario::QUIET, |_| false);
+        let owed = fault_scenario::QUIET + fault_scenario::OWED;
         while world.led().is_none() && world.time() < owed {
             let next = world.time() + S / 10;
             world.play(next, |_| false);
         }
         match world.led() {
-            Some(_) => took.push(world.time() - storm::QUIET),
+            Some(_) => took.push(world.time() - fault_scenario::QUIET),
             None => {
                 never.push(seed);
                 for m in world.living() {
--- a/crates/cluster-simulation/tests/agreed.rs
+++ b/crates/cluster-simulation/tests/agreed.rs
@@ -237,16 +237,17 @@
 #[test]
 fn storms_over_voters_never_have_a_right_held_twice_and_leave_a_leader_behind() {
     for seed in 1..=16 {
-        let mut script = driftfront_cluster_simulation::storm::storm(6, seed, true);
+        let mut script = driftfront_cluster_simulation::fault_scenario::storm(6, seed, true);
         (script.voters, script.keeps) = (if seed % 3 == 0 { 5 } else { 3 }, seed % 2 == 0);
         let mut w = World::new(script);
         w.ask(Load {
             one_in: 10,
             ..Load::default()
         });
-        w.play(driftfront_cluster_simulation::storm::QUIET + 60 * S, |_| {
-            false
-        });
+        w.play(
+            driftfront_cluster_simulation::fault_scenario::QUIET + 60 * S,
+            |_| false,
+        );
         assert_right(&w);
         assert!(w.led().is_some(), "seed {seed}: nobody leads");
         assert!(w.rights.as_ref().unwrap().lent > 0, "seed {seed}");
@@ -257,14 +258,16 @@
 fn a_leader_whose_clock_jumps_ends_nobody_s_right_before_its_holder_does() {
     // In these clocks are set ahead by 15 and by 51 minutes while something is lent for a second or two.
     for seed in [143, 285] {
-        let mut script = driftfront_cluster_simulation::storm::storm(6, seed, true);
+        let mut script = driftfront_cluster_simulation::fault_scenario::storm(6, seed, true);
         (script.voters, script.keeps) = (3, true);
         let mut w = World::new(script);
         w.ask(Load {
             one_in: 10,
             ..Load::default()
         });
-        w.play(driftfront_cluster_simulation::storm::QUIET, |_| false);
+        w.play(driftfront_cluster_simulation::fault_scenario::QUIET, |_| {
+            false
+        });
         assert_right(&w);
     }
 }
--- a/crates/cluster-simulation/tests/golden.rs
+++ b/crates/cluster-simulation/tests/golden.rs
@@ -3,7 +3,7 @@
 
 use driftfront_cluster::Standing;
 use driftfront_cluster_simulation::rights::Load;
-use driftfront_cluster_simulation::{storm, Deed, Group, Link, Script, World};
+use driftfront_cluster_simulation::{fault_scenario, Deed, Group, Link, Script, World};
 use driftfront_test_support::assert_golden;
 use std::fmt::Write;
 use std::process::Command;
@@ -153,7 +153,11 @@
 fn storms_are_drawn_as_they_were() {
     let mut text = String::new();
     for (members, seed, clocks) in [(8, 1, true), (6, 2, false), (3, 3, true), (20, 4, true)] {
-        let _ = writeln!(text, "{}", describe(&storm::storm(members, seed, clocks)));
+        let _ = writeln!(
+            text,
+            "{}",
+            describe(&fault_scenario::storm(members, seed, clocks))
+        );
     }
     assert_golden!("storms.txt", text);
 }
@@ -237,7 +241,7 @@
 #[test]
 fn members_do_the_same_in_storms_while_they_ask_for_rights() {
     for (seed, keeps) in [(1, true), (2, false), (3, true), (4, false), (5, true)] {
-        let mut script = storm::storm(6, seed, true);
+        let mut script = fault_scenario::storm(6, seed, true);
         (script.voters, script.keeps) = (3, keeps);
         let load = Load {
             one_in: 10,
--- a/crates/cluster-simulation/tests/members.rs
+++ b/crates/cluster-simulation/tests/members.rs
@@ -233,10 +233,14 @@
 #[test]
 fn storms_drawn_by_their_seeds_leave_one_view_behind() {
     for seed in 1..=25 {
-        let mut w = World::new(driftfront_cluster_simulation::storm::storm(6, seed, true));
-        w.play(driftfront_cluster_simulation::storm::QUIET, |_| false);
-        let until = driftfront_cluster_simulation::storm::QUIET
-            + driftfront_cluster_simulation::storm::OWED;
+        let mut w = World::new(driftfront_cluster_simulation::fault_scenario::storm(
+            6, seed, true,
+        ));
+        w.play(driftfront_cluster_simulation::fault_scenario::QUIET, |_| {
+            false
+        });
+        let until = driftfront_cluster_simulation::fault_scenario::QUIET
+            + driftfront_cluster_simulation::fault_scenario::OWED;
         assert!(w.play(until, |w| w.agree(&all(6))), "seed {seed}");
     }
 }
