--- a/crates/console/src/app.rs
+++ b/crates/console/src/app.rs
@@ -1,6 +1,6 @@
 //! The console's state: what it shows, what keys do. No terminal, no socket, no clock.
 
-use crate::words;
+use crate::messages;
 use driftfront_control::snapshot::Snapshot;
 use driftfront_control::{Reply, Request};
 use std::collections::VecDeque;
@@ -262,7 +262,7 @@
                     "The program can't be reached: {why}. This is how things last stood."
                 )]
             }
-            (None, Some(s)) => words::alarms(s),
+            (None, Some(s)) => messages::alarms(s),
             (None, None) => vec!["Waiting for the program ...".into()],
         }
     }
--- a/crates/console/src/lib.rs
+++ b/crates/console/src/lib.rs
@@ -6,7 +6,7 @@
 #![forbid(unsafe_code)]
 
 pub mod app;
+pub mod messages;
 pub mod remote;
 pub mod run;
 pub mod screen;
-pub mod words;
--- a/crates/console/src/screen.rs
+++ b/crates/console/src/screen.rs
@@ -1,7 +1,7 @@
 //! Draws the console: a title, what needs an eye, a table, the keys.
 
 use crate::app::{App, Tab, TABS};
-use crate::words::{self, row_text, span, widths, wrapped, Table};
+use crate::messages::{self, row_text, span, widths, wrapped, Table};
 use ratatui::buffer::Buffer;
 use ratatui::layout::Rect;
 use ratatui::style::{Color, Modifier, Style};
@@ -79,7 +79,7 @@
     let title = app
         .snapshot
         .as_ref()
-        .map_or("driftfront".to_string(), words::title);
+        .map_or("driftfront".to_string(), messages::title);
     pen.write(&title, Style::default().add_modifier(Modifier::BOLD));
     if app.help {
         help(&mut pen, width);
@@ -141,9 +141,9 @@
 fn body(app: &App, look: Look, pen: &mut Pen, width: usize, room: usize) {
     let Some(s) = &app.snapshot else { return };
     let table = match app.tab {
-        Tab::Engines => words::engines(s),
-        Tab::Service => words::classes(s),
-        Tab::Queries => words::queries(s),
+        Tab::Engines => messages::engines(s),
+        Tab::Service => messages::classes(s),
+        Tab::Queries => messages::queries(s),
         Tab::Events => return events(app, look, pen, room),
     };
     if room == 0 {
--- a/crates/console/tests/golden.rs
+++ b/crates/console/tests/golden.rs
@@ -1,8 +1,8 @@
 //! What staff see, character for character, for the snapshot of the protocol's golden files; see `golden/README.md`.
 
 use driftfront_console::app::{App, Intent, Key, Tab, TABS};
+use driftfront_console::messages;
 use driftfront_console::screen::{draw, Look};
-use driftfront_console::words;
 use driftfront_control::snapshot::{Agreed, Class, Engine, Service, Snapshot, Voter};
 use driftfront_control::{Reply, Request};
 use driftfront_test_support::assert_golden;
@@ -29,10 +29,10 @@
     for width in [20, 40, 80, 120, 200] {
         assert_golden!(
             &format!("plain-{width}.txt"),
-            words::plain(&snapshot(), width)
+            messages::plain(&snapshot(), width)
         );
     }
-    assert_golden!("plain-empty.txt", words::plain(&Snapshot::default(), 80));
+    assert_golden!("plain-empty.txt", messages::plain(&Snapshot::default(), 80));
     let well = Snapshot {
         name: "school".into(),
         engines: vec![Engine {
@@ -42,15 +42,15 @@
         }],
         ..Snapshot::default()
     };
-    assert_golden!("plain-well.txt", words::plain(&well, 80));
+    assert_golden!("plain-well.txt", messages::plain(&well, 80));
 }
 
-fn table(text: &mut String, title: &str, table: &words::Table) {
-    let widths = words::widths(table, 200);
+fn table(text: &mut String, title: &str, table: &messages::Table) {
+    let widths = messages::widths(table, 200);
     let heads: Vec<String> = table.heads.iter().map(ToString::to_string).collect();
-    let _ = writeln!(text, "{title}:\n{}", words::row_text(&heads, &widths));
+    let _ = writeln!(text, "{title}:\n{}", messages::row_text(&heads, &widths));
     for row in &table.rows {
-        let _ = writeln!(text, "{}", words::row_text(row, &widths));
+        let _ = writeln!(text, "{}", messages::row_text(row, &widths));
     }
 }
 
@@ -59,12 +59,12 @@
     let s = snapshot();
     let agreed = s.agreed.as_ref().expect("agreed");
     let mut text = String::new();
-    table(&mut text, "members", &words::members(&s));
-    table(&mut text, "holds", &words::holds(agreed));
-    table(&mut text, "engines", &words::engines(&s));
-    table(&mut text, "classes", &words::classes(&s));
-    table(&mut text, "queries", &words::queries(&s));
-    let _ = writeln!(text, "title: {}", words::title(&s));
+    table(&mut text, "members", &messages::members(&s));
+    table(&mut text, "holds", &messages::holds(agreed));
+    table(&mut text, "engines", &messages::engines(&s));
+    table(&mut text, "classes", &messages::classes(&s));
+    table(&mut text, "queries", &messages::queries(&s));
+    let _ = writeln!(text, "title: {}", messages::title(&s));
     let missing = Agreed {
         missing: vec!["coordinator-b".into(), "coordinator-c".into()],
         ..Agreed::default()
@@ -74,13 +74,13 @@
         ..agreed.clone()
     };
     for agreed in [agreed, &missing, &Agreed::default(), &nobody] {
-        let _ = write!(text, "agreed: {}", words::agreed(agreed));
+        let _ = write!(text, "agreed: {}", messages::agreed(agreed));
     }
     for seconds in [0, 119, 120, 7_199, 7_200, 172_799, 172_800] {
-        let _ = writeln!(text, "span {seconds}: {}", words::span(seconds));
+        let _ = writeln!(text, "span {seconds}: {}", messages::span(seconds));
     }
     for ms in [0.0, 9.96, 10.0, 999.4, 1_000.0, 9_999.0, 10_000.0] {
-        let _ = writeln!(text, "millis {ms}: {}", words::millis(ms));
+        let _ = writeln!(text, "millis {ms}: {}", messages::millis(ms));
     }
     assert_golden!("tables.txt", text);
 }
@@ -94,7 +94,7 @@
     s.agreed = None;
     change(&mut s);
     let _ = writeln!(text, "{title}:");
-    for alarm in words::alarms(&s) {
+    for alarm in messages::alarms(&s) {
         let _ = writeln!(text, "    {alarm}");
     }
 }
@@ -224,7 +224,7 @@
                     let _ = writeln!(
                         text,
                         "{phase}, order {order:?}, {running} run, heard {heard_ms}, warm in {warm_in_s}: {}",
-                        words::state(&engine)
+                        messages::state(&engine)
                     );
                 }
             }
--- a/crates/coordinator/src/remote.rs
+++ b/crates/coordinator/src/remote.rs
@@ -2,7 +2,7 @@
 
 use crate::{no_more, Failure};
 use driftfront_console::remote::{At, Remote};
-use driftfront_console::{run as console, words};
+use driftfront_console::{messages, run as console};
 use driftfront_control::snapshot::Snapshot;
 use driftfront_control::{Field, Reply, Request};
 use std::io::{ErrorKind, IsTerminal, Write};
@@ -95,11 +95,11 @@
     }
 }
 
-fn table(table: &words::Table) -> String {
-    let widths = words::widths(table, width().max(40));
+fn table(table: &messages::Table) -> String {
+    let widths = messages::widths(table, width().max(40));
     let heads: Vec<String> = table.heads.iter().map(|h| h.to_string()).collect();
-    let rows = table.rows.iter().map(|r| words::row_text(r, &widths));
-    let lines: Vec<String> = [words::row_text(&heads, &widths)]
+    let rows = table.rows.iter().map(|r| messages::row_text(r, &widths));
+    let lines: Vec<String> = [messages::row_text(&heads, &widths)]
         .into_iter()
         .chain(rows)
         .collect();
@@ -114,7 +114,7 @@
         std::thread::sleep(std::time::Duration::from_millis(100));
         s = snapshot(&mut remote)?;
     }
-    say(&words::plain(&s, width()))
+    say(&messages::plain(&s, width()))
 }
 
 /// Runs one of them.
@@ -127,7 +127,7 @@
             let no_color = args.contains("--no-color") || std::env::var_os("NO_COLOR").is_some();
             no_more(args)?;
             if plain || !std::io::stdout().is_terminal() {
-                let text = words::plain(&snapshot(&mut connect(&at)?)?, width());
+                let text = messages::plain(&snapshot(&mut connect(&at)?)?, width());
                 return say(&text);
             }
             console::run(at, !no_color).map_err(io)
@@ -171,18 +171,18 @@
                 return say(&(value.stringify().unwrap_or_default() + "\n"));
             }
             say(&match name {
-                "status" => words::plain(&s, width()),
-                "engines" => table(&words::engines(&s)),
-                "classes" => table(&words::classes(&s)),
+                "status" => messages::plain(&s, width()),
+                "engines" => table(&messages::engines(&s)),
+                "classes" => table(&messages::classes(&s)),
                 "members" if s.members.is_empty() => {
                     "There is no fleet: the operator's file has none.\n".into()
                 }
-                "members" => table(&words::members(&s)),
+                "members" => table(&messages::members(&s)),
                 "holds" => match &s.agreed {
-                    Some(agreed) => words::agreed(agreed) + &table(&words::holds(agreed)),
+                    Some(agreed) => messages::agreed(agreed) + &table(&messages::holds(agreed)),
                     None => "There is no fleet: nothing is agreed.\n".into(),
                 },
-                _ => table(&words::queries(&s)),
+                _ => table(&messages::queries(&s)),
             })
         }
         "events" => {
--- a/crates/coordinator/tests/operators.rs
+++ b/crates/coordinator/tests/operators.rs
@@ -308,11 +308,11 @@
     let engine = o.site.ledger.of("INSERT")[0].engine.clone();
     o.site.engine(&engine).mute(true);
     let told = o.wait_until("silence", |s| {
-        driftfront_console::words::alarms(s)
+        driftfront_console::messages::alarms(s)
             .iter()
             .any(|a| a.contains("said nothing"))
     });
-    let alarms = driftfront_console::words::alarms(&told).join("\n");
+    let alarms = driftfront_console::messages::alarms(&told).join("\n");
     let words = "One import runs there; it will not be sent again.";
     assert!(
         alarms.contains(&engine) && alarms.contains(words),
