--- a/crates/cluster-simulation/tests/golden.rs
+++ b/crates/cluster-simulation/tests/golden.rs
@@ -282,12 +282,12 @@
 }
 
 fn program() -> &'static str {
-    let path = std::path::Path::new(env!("CARGO_BIN_EXE_driftfront-lab"));
+    let path = std::path::Path::new(env!("CARGO_BIN_EXE_driftfront-cluster-simulation"));
     path.file_name().unwrap().to_str().unwrap()
 }
 
 fn lab(args: &[&str]) -> String {
-    let output = Command::new(env!("CARGO_BIN_EXE_driftfront-lab"))
+    let output = Command::new(env!("CARGO_BIN_EXE_driftfront-cluster-simulation"))
         .args(args)
         .output()
         .expect("it runs");
