--- a/crates/coordinator/src/backends/clickhouse.rs
+++ b/crates/coordinator/src/backends/clickhouse.rs
@@ -16,7 +16,7 @@
 const PROGRESS: &str = "X-ClickHouse-Progress";
 const CORRUPTED_DATA: u32 = 246;
 
-/// Names in [`driftfront_core::Ask::about`] of what the front tells this back end: parameters and headers in their
+/// Names in [`driftfront_core::ParsedRequest::about`] of what the front tells this back end: parameters and headers in their
 /// wire's form, and whether the result comes in compressed blocks.
 pub const TARGET: &str = "target";
 /// See [`TARGET`].
--- a/crates/coordinator/src/backends/mod.rs
+++ b/crates/coordinator/src/backends/mod.rs
@@ -3,7 +3,7 @@
 pub mod clickhouse;
 pub mod engine_protocol;
 
-use driftfront_core::{Ask, AttemptKey, Cause, Micros, Note, Outcome, Piece, Told};
+use driftfront_core::{AttemptKey, Cause, Micros, Note, Outcome, ParsedRequest, Piece, Told};
 
 /// What an engine's connection has brought.
 #[derive(Clone, Debug, PartialEq)]
@@ -29,7 +29,7 @@
     /// Which.
     pub key: AttemptKey,
     /// The request.
-    pub ask: &'a Ask,
+    pub ask: &'a ParsedRequest,
     /// The name of its class.
     pub class: &'a str,
     /// Its name on the engine: the request's own, unless an earlier attempt may still run under that.
--- a/crates/coordinator/src/frontends/clickhouse.rs
+++ b/crates/coordinator/src/frontends/clickhouse.rs
@@ -1,13 +1,13 @@
 //! ClickHouse's HTTP interface towards clients, on the language in `driftfront_clickhouse`.
 
-use super::{After, AnswerWriter, Classes, Front, Intake, KillAsk};
+use super::{After, AnswerWriter, Classes, Front, Intake, KillRequest};
 use crate::backends::clickhouse::{FRAMES, HEADERS, TARGET};
 use crate::net::hash;
 use driftfront_clickhouse::exception::{marker, Exception, NETWORK_ERROR, TOO_MANY_QUERIES};
 use driftfront_clickhouse::keep::{Keep, SMALL};
 use driftfront_clickhouse::request::{self, Asked, Query};
 use driftfront_clickhouse::session::{self, keyed, Book, Name};
-use driftfront_core::{Ask, EngineId, Fate, Micros, Piece, Pin};
+use driftfront_core::{EngineId, Fate, Micros, ParsedRequest, Piece, Pin};
 use driftfront_http::{chunk, response, response_head, Ends, Fault, Request, Takes, LAST_CHUNK};
 use std::collections::HashMap;
 use std::fmt::Write as _;
@@ -175,7 +175,7 @@
                          created in the session is lost with it. Begin a new session and create that anew";
             Exception::new(SESSION_NOT_FOUND, words).text.into()
         });
-        let ask = Ask {
+        let ask = ParsedRequest {
             call: call.into(),
             class,
             tables: query.shape.tables,
@@ -188,7 +188,7 @@
             lost,
             once: request.goes_on,
             ticket,
-            ..Ask::default()
+            ..ParsedRequest::default()
         };
         Ok(Intake::Take(ask, writer))
     }
@@ -210,7 +210,7 @@
         let for_engine = move |engine: EngineId, name: &str| {
             let name_there = name.replace('\\', "\\\\").replace('\'', "\\'");
             let statement = format!("KILL QUERY WHERE query_id = '{name_there}' {behind}");
-            Ask {
+            ParsedRequest {
                 call: format!(
                     "kill-{seed:016x}-{}-{:08x}",
                     engine.0,
@@ -231,11 +231,11 @@
                     .text
                     .into(),
                 ),
-                ..Ask::default()
+                ..ParsedRequest::default()
             }
         };
         let words = Exception::new(CANCELLED, "Query was cancelled by KILL QUERY").text;
-        Intake::Kill(Box::new(KillAsk {
+        Intake::Kill(Box::new(KillRequest {
             names,
             test,
             words,
@@ -363,7 +363,7 @@
         self.sessions.engine_left(engine);
     }
 
-    fn twin(&mut self, now: Micros, ask: &Ask) -> Option<Vec<u8>> {
+    fn twin(&mut self, now: Micros, ask: &ParsedRequest) -> Option<Vec<u8>> {
         self.over(now, ask.ticket, Fate::NeverRan);
         let e = Exception::new(
             SAME_ID,
@@ -376,7 +376,7 @@
         true
     }
 
-    fn after_body(&self, ask: &Ask) -> Option<Micros> {
+    fn after_body(&self, ask: &ParsedRequest) -> Option<Micros> {
         Some(self.patience(ask.class))
     }
 
--- a/crates/coordinator/src/frontends/mod.rs
+++ b/crates/coordinator/src/frontends/mod.rs
@@ -3,7 +3,7 @@
 pub mod clickhouse;
 pub mod platform;
 
-use driftfront_core::{Ask, EngineId, Fate, Micros, Piece};
+use driftfront_core::{EngineId, Fate, Micros, ParsedRequest, Piece};
 use driftfront_http::{response, Fault, Request, Takes};
 use std::rc::Rc;
 
@@ -18,18 +18,18 @@
     /// It asks for the counters.
     Counters,
     /// Take it in; the answer is written with this writer.
-    Take(Ask, Box<dyn AnswerWriter>),
+    Take(ParsedRequest, Box<dyn AnswerWriter>),
     /// End the queries of these names, wherever they run.
-    Kill(Box<KillAsk>),
+    Kill(Box<KillRequest>),
     /// Its client takes the request of this name back; what to say then.
     Withdraw(Rc<str>, Vec<u8>),
 }
 
 /// Makes a request for one engine, about the query of this name there.
-pub type ForEngine = Box<dyn Fn(EngineId, &str) -> Ask>;
+pub type ForEngine = Box<dyn Fn(EngineId, &str) -> ParsedRequest>;
 
 /// A client's wish to end queries.
-pub struct KillAsk {
+pub struct KillRequest {
     /// Their names.
     pub names: Vec<String>,
     /// Only try whether that could be done.
@@ -87,7 +87,7 @@
     /// An engine takes nothing new, or has been replaced.
     fn engine_left(&mut self, _engine: EngineId) {}
     /// The answer to a request whose name an open one has; `None` lets it in, to fail.
-    fn twin(&mut self, _now: Micros, _ask: &Ask) -> Option<Vec<u8>> {
+    fn twin(&mut self, _now: Micros, _ask: &ParsedRequest) -> Option<Vec<u8>> {
         None
     }
     /// Whether a client makes one call at a time on a connection: what it sends far ahead is no use of its own then.
@@ -99,7 +99,7 @@
         false
     }
     /// How long an engine may take once the whole body of a request is there that was passed on as it came.
-    fn after_body(&self, _ask: &Ask) -> Option<Micros> {
+    fn after_body(&self, _ask: &ParsedRequest) -> Option<Micros> {
         None
     }
     /// Why a request can't be read; the connection closes behind it.
--- a/crates/coordinator/src/frontends/platform.rs
+++ b/crates/coordinator/src/frontends/platform.rs
@@ -2,7 +2,7 @@
 
 use super::{After, AnswerWriter, Classes, Front, Intake};
 use driftfront_clickhouse::sql::table_group;
-use driftfront_core::{Ask, Micros, Piece};
+use driftfront_core::{Micros, ParsedRequest, Piece};
 use driftfront_http::{header, response, Request, Takes, HEAD_MOST};
 use std::rc::Rc;
 
@@ -100,7 +100,12 @@
 }
 
 impl Platform {
-    fn ask(&self, request: Request, class: u16, deadline: Micros) -> Result<Ask, &'static str> {
+    fn ask(
+        &self,
+        request: Request,
+        class: u16,
+        deadline: Micros,
+    ) -> Result<ParsedRequest, &'static str> {
         // Which of two would be meant can't be told.
         let fields = [
             "X-Call-Id",
@@ -162,7 +167,7 @@
         } else {
             0.0
         };
-        Ok(Ask {
+        Ok(ParsedRequest {
             call: call.into(),
             class,
             work: number("X-Weight-Ms")?
@@ -175,7 +180,7 @@
             token: token.map(Rc::from),
             budget: ((patience - held) * 1000.0) as Micros,
             statement: Rc::from(request.body),
-            ..Ask::default()
+            ..ParsedRequest::default()
         })
     }
 }
@@ -279,7 +284,7 @@
 
     const CALL: (&str, &str) = ("X-Call-Id", "9b1f03aa5c7e2d41");
 
-    fn taken(intake: Intake) -> Ask {
+    fn taken(intake: Intake) -> ParsedRequest {
         match intake {
             Intake::Take(ask, _) => ask,
             _ => panic!("not taken in"),
--- a/crates/coordinator/src/node/clients/requests.rs
+++ b/crates/coordinator/src/node/clients/requests.rs
@@ -1,7 +1,7 @@
 //! Requests as they are read off a client's connection: taken in, answered at once, or withdrawn.
 
 use super::BAD_PAUSE;
-use crate::frontends::{Intake, KillAsk};
+use crate::frontends::{Intake, KillRequest};
 use crate::node::{ConnId, Node};
 use driftfront_core::{Micros, Phase};
 use driftfront_http::response;
@@ -101,7 +101,7 @@
     }
 
     /// Ends queries by their names: none gets a further attempt, and each engine that runs one, or may, is told.
-    fn kill(&mut self, now: Micros, id: ConnId, kill: KillAsk) {
+    fn kill(&mut self, now: Micros, id: ConnId, kill: KillRequest) {
         let mut runs = Vec::new();
         let mut known = false;
         for name in &kill.names {
--- a/crates/coordinator/tests/golden_backends.rs
+++ b/crates/coordinator/tests/golden_backends.rs
@@ -3,7 +3,7 @@
 use driftfront::backends::clickhouse::{Http, FRAMES, HEADERS, TARGET};
 use driftfront::backends::engine_protocol::Lines;
 use driftfront::backends::{Seen, Session, Start};
-use driftfront_core::{Ask, AttemptKey, RequestId};
+use driftfront_core::{AttemptKey, ParsedRequest, RequestId};
 use driftfront_test_support::assert_golden;
 use driftfront_test_support::message_transcript::MessageTranscript;
 use std::rc::Rc;
@@ -15,7 +15,7 @@
     }
 }
 
-fn start<'a>(key: AttemptKey, ask: &'a Ask) -> Start<'a> {
+fn start<'a>(key: AttemptKey, ask: &'a ParsedRequest) -> Start<'a> {
     Start {
         key,
         ask,
@@ -27,11 +27,11 @@
     }
 }
 
-fn ask(call: &str, statement: &[u8]) -> Ask {
-    Ask {
+fn ask(call: &str, statement: &[u8]) -> ParsedRequest {
+    ParsedRequest {
         call: call.into(),
         statement: Rc::from(statement),
-        ..Ask::default()
+        ..ParsedRequest::default()
     }
 }
 
@@ -99,7 +99,7 @@
     let plain = ask("9b1f03aa5c7e2d41", b"SELECT 1");
     lines.start(&start(key(1), &plain), &mut out);
     next(&mut out, "attempt");
-    let token = Ask {
+    let token = ParsedRequest {
         token: Some("t-1".into()),
         ..ask(
             "9b1f03aa5c7e2d42",
@@ -210,7 +210,7 @@
         ),
         (FRAMES.to_string(), String::new()),
     ];
-    let full = Ask {
+    let full = ParsedRequest {
         about: Rc::from(about),
         ..ask("q-1", b"SELECT 2")
     };
@@ -223,7 +223,7 @@
     };
     http.start(&noted, &mut out);
     next(&mut out, "query with everything");
-    let once = Ask {
+    let once = ParsedRequest {
         once: true,
         ..ask("q-2", b"INSERT INTO t FORMAT CSV\n1,2\n")
     };
@@ -286,7 +286,7 @@
         ("no HTTP", "what\r\n".into()),
     ] {
         let (mut http, mut seen) = (Http::new("h".into()), Vec::new());
-        let once = Ask {
+        let once = ParsedRequest {
             ..ask("client-name", b"SELECT 1")
         };
         let started = Start {
--- a/crates/coordinator/tests/golden_frontends.rs
+++ b/crates/coordinator/tests/golden_frontends.rs
@@ -6,7 +6,7 @@
 use driftfront::frontends::clickhouse::{ClickHouse, Rules};
 use driftfront::frontends::platform::Platform;
 use driftfront::frontends::{After, AnswerWriter, Classes, Front, Intake};
-use driftfront_core::{Ask, EngineId, Fate, Piece};
+use driftfront_core::{EngineId, Fate, ParsedRequest, Piece};
 use driftfront_http::{Fault, Request};
 use driftfront_test_support::assert_golden;
 use driftfront_test_support::message_transcript::MessageTranscript;
@@ -37,7 +37,7 @@
     }
 }
 
-fn shown_ask(ask: &Ask) -> String {
+fn shown_ask(ask: &ParsedRequest) -> String {
     format!(
         "call {} class {} work {:?} memory {:?} tables {} key {:?} tenant {:?} token {:?} budget {}\n\
          about {:?}\nstatement {}\npin {:?} lost {:?} once {} ticket {}\n",
@@ -377,10 +377,10 @@
         ..request("POST", "/?query_id=q-7", &[], "INSERT INTO t FORMAT CSV\n")
     };
     record(&mut wire, "upload", &mut front, upload);
-    let twin = Ask {
+    let twin = ParsedRequest {
         call: "q-1".into(),
         ticket: 1,
-        ..Ask::default()
+        ..ParsedRequest::default()
     };
     wire.record("twin", front.twin(0, &twin).expect("it is told"));
     front.over(0, 5, Fate::Ran(EngineId(4), true));
--- a/crates/coordinator/tests/wires.rs
+++ b/crates/coordinator/tests/wires.rs
@@ -6,7 +6,7 @@
 use driftfront::discovery::etcd::Etcd;
 use driftfront::discovery::stream::Stream;
 use driftfront::discovery::{read, Watch};
-use driftfront_core::{Ask, AttemptKey, Cause, ListKind, Phase, RequestId, Told};
+use driftfront_core::{AttemptKey, Cause, ListKind, ParsedRequest, Phase, RequestId, Told};
 use driftfront_engine_registry::{Change, Roster};
 use driftfront_http::{
     chunk, Fault, Request, RequestReader, ResponsePart, ResponseReader, LAST_CHUNK,
@@ -350,7 +350,7 @@
 }
 
 /// An attempt under its request's own name.
-fn start(key: AttemptKey, ask: &Ask) -> Start<'_> {
+fn start(key: AttemptKey, ask: &ParsedRequest) -> Start<'_> {
     Start {
         key,
         ask,
@@ -367,11 +367,11 @@
     Seen::Told(key, Told::default())
 }
 
-fn ask(call: &str) -> Ask {
-    Ask {
+fn ask(call: &str) -> ParsedRequest {
+    ParsedRequest {
         call: call.into(),
         statement: Rc::from(*b"x"),
-        ..Ask::default()
+        ..ParsedRequest::default()
     }
 }
 
--- a/crates/core/src/accept.rs
+++ b/crates/core/src/accept.rs
@@ -7,7 +7,7 @@
 
 /// A request as a front has read it, whatever the wire.
 #[derive(Clone)]
-pub struct Ask {
+pub struct ParsedRequest {
     /// The client's own name for it, passed on to engines.
     pub call: Rc<str>,
     /// The class, by place in the settings.
@@ -41,7 +41,7 @@
     pub ticket: u64,
 }
 
-impl fmt::Debug for Ask {
+impl fmt::Debug for ParsedRequest {
     /// Neither the statement nor what goes with it is shown: both may hold secrets.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let size = self.statement.len();
@@ -53,10 +53,10 @@
     }
 }
 
-impl Default for Ask {
+impl Default for ParsedRequest {
     /// An empty statement of the first class, with no time at all.
-    fn default() -> Ask {
-        Ask {
+    fn default() -> ParsedRequest {
+        ParsedRequest {
             call: "".into(),
             class: 0,
             work: None,
@@ -90,21 +90,21 @@
 /// What a back end needs of a request to send it.
 pub struct Taken<'a> {
     /// The request as it was taken.
-    pub ask: &'a Ask,
+    pub ask: &'a ParsedRequest,
     /// When its client gives up.
     pub deadline: Micros,
 }
 
 impl Core {
     /// Takes a request in; from here on one final answer is owed.
-    pub fn take(&mut self, now: Micros, ask: Ask) -> RequestId {
+    pub fn take(&mut self, now: Micros, ask: ParsedRequest) -> RequestId {
         let id = self.enter(now, ask);
         self.admit(now, id);
         id
     }
 
     /// A request whose client had left before it was read: nothing of it goes to an engine, and nobody is owed an answer.
-    pub fn take_left(&mut self, now: Micros, ask: Ask) {
+    pub fn take_left(&mut self, now: Micros, ask: ParsedRequest) {
         let id = self.enter(now, ask);
         if self.close(id) {
             self.counters.left += 1;
@@ -112,7 +112,7 @@
         self.drop_if_over(id);
     }
 
-    fn enter(&mut self, now: Micros, ask: Ask) -> RequestId {
+    fn enter(&mut self, now: Micros, ask: ParsedRequest) -> RequestId {
         let id = RequestId(self.next());
         let deadline = now.saturating_add(ask.budget);
         self.counters.taken += 1;
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -19,7 +19,7 @@
 mod routing;
 mod running;
 
-pub use accept::{Ask, Piece, Taken};
+pub use accept::{ParsedRequest, Piece, Taken};
 pub use accounting::Counters;
 pub use dispatch::{AttemptError, Cause, Progress, Retry, Told};
 pub use driftfront_scheduler::interface::{
@@ -114,7 +114,7 @@
 
 /// A request that is not over yet.
 struct Request {
-    ask: Ask,
+    ask: ParsedRequest,
     deadline: Micros,
     /// It has its final answer, or the client left and none is owed.
     closed: bool,
--- a/crates/core/tests/golden.rs
+++ b/crates/core/tests/golden.rs
@@ -6,8 +6,8 @@
 use common::{core, listed, settings, LIMITS, LOAD, LOOKUP, S};
 use driftfront_core::lifecycle::{Lifecycle, State};
 use driftfront_core::{
-    Ask, AttemptError, AttemptKey, Cause, Command, Core, EngineId, Fate, Limits, ListKind, Listed,
-    Micros, Note, Outcome, Phase, Piece, Pin, Progress, RequestId, Told,
+    AttemptError, AttemptKey, Cause, Command, Core, EngineId, Fate, Limits, ListKind, Listed,
+    Micros, Note, Outcome, ParsedRequest, Phase, Piece, Pin, Progress, RequestId, Told,
 };
 use driftfront_test_support::assert_golden;
 use driftfront_test_support::transcript::{Dice, Transcript};
@@ -140,7 +140,7 @@
             self.names
         };
         let pinned = dice.below(12);
-        let ask = Ask {
+        let ask = ParsedRequest {
             call: format!("q{name}").as_str().into(),
             class: [LOOKUP, LOOKUP, 1, LOAD, 9]
                 [dice.below(4) as usize + usize::from(dice.chance(1))],
--- a/crates/core/tests/keyed.rs
+++ b/crates/core/tests/keyed.rs
@@ -5,8 +5,8 @@
 
 use common::{core, listed, settings, LIMITS, LOAD, LOOKUP, S};
 use driftfront_core::{
-    Ask, AttemptKey, Cause, Command, Core, Limits, ListKind, Listed, Outcome, Phase, Progress,
-    RequestId,
+    AttemptKey, Cause, Command, Core, Limits, ListKind, Listed, Outcome, ParsedRequest, Phase,
+    Progress, RequestId,
 };
 use std::rc::Rc;
 
@@ -75,7 +75,7 @@
 
     fn ask(&mut self, class: u16, token: Option<&str>) -> (RequestId, Told) {
         self.asked += 1;
-        let ask = Ask {
+        let ask = ParsedRequest {
             call: format!("c{}", self.asked).into(),
             class,
             budget: 20 * S,
@@ -83,7 +83,7 @@
             memory_mb: Some(96.0),
             token: token.map(Rc::from),
             statement: Rc::from(*b"x"),
-            ..Ask::default()
+            ..ParsedRequest::default()
         };
         let id = self.core.take(self.now, ask);
         (id, self.commands())
--- a/crates/core/tests/model.rs
+++ b/crates/core/tests/model.rs
@@ -5,8 +5,8 @@
 
 use common::{core, listed, settings, LIMITS, LOAD, LOOKUP};
 use driftfront_core::{
-    Ask, AttemptKey, Cause, Command, Core, EngineId, Fate, Limits, ListKind, Listed, Micros, Phase,
-    Piece, Pin, Progress, RequestId,
+    AttemptKey, Cause, Command, Core, EngineId, Fate, Limits, ListKind, Listed, Micros,
+    ParsedRequest, Phase, Piece, Pin, Progress, RequestId,
 };
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use std::collections::BTreeMap;
@@ -198,7 +198,7 @@
                     engine,
                     only: pin > 200,
                 });
-                let ask = Ask {
+                let ask = ParsedRequest {
                     call: name.as_str().into(),
                     class,
                     tables: 1,
@@ -208,7 +208,7 @@
                     pin,
                     once,
                     ticket: order as u64 + 1,
-                    ..Ask::default()
+                    ..ParsedRequest::default()
                 };
                 let id = self.core.take(self.now, ask);
                 let known = Known {
--- a/crates/core/tests/unheard.rs
+++ b/crates/core/tests/unheard.rs
@@ -3,7 +3,9 @@
 mod common;
 
 use common::{core, listed, LIMITS, LOAD, LOOKUP, S};
-use driftfront_core::{Ask, AttemptKey, Command, Core, Limits, ListKind, Note, Phase, Progress};
+use driftfront_core::{
+    AttemptKey, Command, Core, Limits, ListKind, Note, ParsedRequest, Phase, Progress,
+};
 use std::rc::Rc;
 
 struct Rig {
@@ -51,12 +53,12 @@
     fn ask(&mut self, class: u16) -> AttemptKey {
         self.asked += 1;
         let call = format!("c{}", self.asked);
-        let ask = Ask {
+        let ask = ParsedRequest {
             call: call.as_str().into(),
             class,
             budget: 20 * S,
             statement: Rc::from(*b"x"),
-            ..Ask::default()
+            ..ParsedRequest::default()
         };
         self.core.take(self.now, ask);
         self.commands().0[0]
