--- a/crates/core/src/accept.rs
+++ b/crates/core/src/accept.rs
@@ -88,7 +88,7 @@
 }
 
 /// What a back end needs of a request to send it.
-pub struct Taken<'a> {
+pub struct Accepted<'a> {
     /// The request as it was taken.
     pub ask: &'a ParsedRequest,
     /// When its client gives up.
@@ -139,8 +139,8 @@
     }
 
     /// A request that is not over, for its back end.
-    pub fn taken(&self, id: RequestId) -> Option<Taken<'_>> {
-        self.requests.get(&id).map(|r| Taken {
+    pub fn taken(&self, id: RequestId) -> Option<Accepted<'_>> {
+        self.requests.get(&id).map(|r| Accepted {
             ask: &r.ask,
             deadline: r.deadline,
         })
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -19,7 +19,7 @@
 mod routing;
 mod running;
 
-pub use accept::{ParsedRequest, Piece, Taken};
+pub use accept::{Accepted, ParsedRequest, Piece};
 pub use accounting::Counters;
 pub use dispatch::{AttemptError, Cause, Progress, Retry, Told};
 pub use driftfront_scheduler::interface::{
