--- a/crates/coordinator/src/backends/engine_protocol.rs
+++ b/crates/coordinator/src/backends/engine_protocol.rs
@@ -1,7 +1,7 @@
 //! The platform's engine wire: lines of words, many requests on one connection.
 
 use super::{Seen, Session, Start};
-use driftfront_core::{AttemptKey, Cause, Micros, Note, Outcome, Piece, Told};
+use driftfront_core::{AttemptKey, AttemptReport, Cause, Micros, Note, Outcome, Piece};
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt::Write as _;
 use std::rc::Rc;
@@ -113,7 +113,7 @@
 struct Open {
     key: AttemptKey,
     pages: Vec<Option<Vec<u8>>>,
-    told: Told,
+    told: AttemptReport,
     /// When page 0 came, and whether missing pages have been asked for again.
     begun: Micros,
     again: bool,
@@ -208,18 +208,18 @@
         let key = open.key;
         if let Some(cause) = cause {
             self.end(&answer.id);
-            seen.push(Seen::Told(
+            seen.push(Seen::AttemptReport(
                 key,
-                Told {
+                AttemptReport {
                     report,
-                    ..Told::default()
+                    ..AttemptReport::default()
                 },
             ));
             seen.push(Seen::Failed(key, cause));
         } else if answer.word == "INFO" {
             seen.extend(note(&answer).map(|note| Seen::Noted(key, note)));
         } else {
-            let told = Told {
+            let told = AttemptReport {
                 report,
                 work: answer.figure("effort").map(|ms| ms * 1000.0),
                 memory_mb: answer.figure("high"),
@@ -251,7 +251,7 @@
                             rows,
                         },
                     ));
-                    seen.push(Seen::Told(key, done.told));
+                    seen.push(Seen::AttemptReport(key, done.told));
                     seen.push(Seen::Served(key));
                 }
             }
@@ -262,7 +262,12 @@
 
 impl Open {
     /// Takes a page; false if it is there already.
-    fn page(&mut self, now: Micros, answer: &Answer, told: Told) -> Result<bool, &'static str> {
+    fn page(
+        &mut self,
+        now: Micros,
+        answer: &Answer,
+        told: AttemptReport,
+    ) -> Result<bool, &'static str> {
         let number = |name: &str| answer.field(name).and_then(|n| n.parse::<usize>().ok());
         let first = answer.word == "HIT";
         if first && !self.pages.is_empty() {
@@ -362,7 +367,7 @@
         let open = Open {
             key: start.key,
             pages: Vec::new(),
-            told: Told::default(),
+            told: AttemptReport::default(),
             begun: 0,
             again: false,
         };
--- a/crates/coordinator/src/backends/mod.rs
+++ b/crates/coordinator/src/backends/mod.rs
@@ -3,7 +3,9 @@
 pub mod clickhouse;
 pub mod engine_protocol;
 
-use driftfront_core::{AttemptKey, Cause, Micros, Note, Outcome, ParsedRequest, Piece, Told};
+use driftfront_core::{
+    AttemptKey, AttemptReport, Cause, Micros, Note, Outcome, ParsedRequest, Piece,
+};
 
 /// What an engine's connection has brought.
 #[derive(Clone, Debug, PartialEq)]
@@ -15,7 +17,7 @@
     /// A piece of the answer, to be passed on.
     Piece(AttemptKey, Piece),
     /// What an answer told of the engine and the query; comes before the attempt's end.
-    Told(AttemptKey, Told),
+    AttemptReport(AttemptKey, AttemptReport),
     /// The answer is whole.
     Served(AttemptKey),
     /// The attempt ended without serving.
--- a/crates/coordinator/src/node/engines/traffic.rs
+++ b/crates/coordinator/src/node/engines/traffic.rs
@@ -348,7 +348,7 @@
                 Seen::Noted(key, note) => self.core.noted(now, key, note),
                 Seen::Begun(key) => self.core.reached(key, Progress::AnswerBegun),
                 Seen::Piece(key, piece) => self.core.relay(key, piece),
-                Seen::Told(key, told) => self.core.told(key, told),
+                Seen::AttemptReport(key, told) => self.core.told(key, told),
                 Seen::Served(key) => {
                     if let Some((engine, sent)) =
                         self.core.sent(key).filter(|_| self.control.is_some())
--- a/crates/coordinator/tests/wires.rs
+++ b/crates/coordinator/tests/wires.rs
@@ -6,7 +6,9 @@
 use driftfront::discovery::etcd::Etcd;
 use driftfront::discovery::stream::Stream;
 use driftfront::discovery::{read, Watch};
-use driftfront_core::{AttemptKey, Cause, ListKind, ParsedRequest, Phase, RequestId, Told};
+use driftfront_core::{
+    AttemptKey, AttemptReport, Cause, ListKind, ParsedRequest, Phase, RequestId,
+};
 use driftfront_engine_registry::{Change, Roster};
 use driftfront_http::{
     chunk, Fault, Request, RequestReader, ResponsePart, ResponseReader, LAST_CHUNK,
@@ -364,7 +366,7 @@
 
 /// An engine that tells nothing of itself or the query.
 fn told(key: AttemptKey) -> Seen {
-    Seen::Told(key, Told::default())
+    Seen::AttemptReport(key, AttemptReport::default())
 }
 
 fn ask(call: &str) -> ParsedRequest {
--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -134,12 +134,12 @@
     /// Memory granted, MB; 0 leaves it to the engine.
     pub grant_mb: f64,
     /// What came with its answer.
-    pub told: Told,
+    pub told: AttemptReport,
 }
 
 /// What an engine tells with an answer, of itself and of the query.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Told {
+pub struct AttemptReport {
     /// Its load report, in the order of the settings; empty where none came.
     pub report: Vec<f64>,
     /// The work that the query needed, µs over all threads.
@@ -172,7 +172,7 @@
             released: false,
             ending: None,
             grant_mb: 0.0,
-            told: Told::default(),
+            told: AttemptReport::default(),
         }
     }
 
@@ -281,7 +281,7 @@
     }
 
     /// An engine's answer to an attempt told this, whatever the answer is.
-    pub fn told(&mut self, key: AttemptKey, told: Told) {
+    pub fn told(&mut self, key: AttemptKey, told: AttemptReport) {
         if let Some(attempt) = self.out(key) {
             attempt.told = told;
         }
@@ -425,7 +425,7 @@
         }
         let Some(attempt) = self.out(key) else { return };
         attempt.outcome = Some(outcome);
-        let Told {
+        let AttemptReport {
             report,
             work,
             memory_mb,
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -21,7 +21,7 @@
 
 pub use accept::{Accepted, ParsedRequest, Piece};
 pub use accounting::Counters;
-pub use dispatch::{AttemptError, Cause, Progress, Retry, Told};
+pub use dispatch::{AttemptError, AttemptReport, Cause, Progress, Retry};
 pub use driftfront_scheduler::interface::{
     EngineId, ListKind, Listed, Micros, Note, Outcome, Phase, Pin,
 };
--- a/crates/core/tests/golden.rs
+++ b/crates/core/tests/golden.rs
@@ -6,8 +6,8 @@
 use common::{core, listed, settings, LIMITS, LOAD, LOOKUP, S};
 use driftfront_core::lifecycle::{Lifecycle, State};
 use driftfront_core::{
-    AttemptError, AttemptKey, Cause, Command, Core, EngineId, Fate, Limits, ListKind, Listed,
-    Micros, Note, Outcome, ParsedRequest, Phase, Piece, Pin, Progress, RequestId, Told,
+    AttemptError, AttemptKey, AttemptReport, Cause, Command, Core, EngineId, Fate, Limits,
+    ListKind, Listed, Micros, Note, Outcome, ParsedRequest, Phase, Piece, Pin, Progress, RequestId,
 };
 use driftfront_test_support::assert_golden;
 use driftfront_test_support::transcript::{Dice, Transcript};
@@ -225,7 +225,7 @@
             self.core.relay(key, Piece { about, rows, whole });
         }
         if self.dice.chance(70) {
-            let told = Told {
+            let told = AttemptReport {
                 report: vec![],
                 work: self.dice.chance(50).then_some(90_000.0),
                 memory_mb: self.dice.chance(50).then_some(80.0),
--- a/crates/core/tests/keyed.rs
+++ b/crates/core/tests/keyed.rs
@@ -20,7 +20,7 @@
 
 /// The commands of one step, by kind.
 #[derive(Default)]
-struct Told {
+struct AttemptReport {
     sent: Vec<AttemptKey>,
     left: Vec<AttemptKey>,
     refused: usize,
@@ -55,8 +55,8 @@
         rig
     }
 
-    fn commands(&mut self) -> Told {
-        let mut told = Told::default();
+    fn commands(&mut self) -> AttemptReport {
+        let mut told = AttemptReport::default();
         while let Some(command) = self.core.command() {
             match command {
                 Command::Send(key, _) if self.core.may_write(self.now, key).is_some() => {
@@ -73,7 +73,7 @@
         told
     }
 
-    fn ask(&mut self, class: u16, token: Option<&str>) -> (RequestId, Told) {
+    fn ask(&mut self, class: u16, token: Option<&str>) -> (RequestId, AttemptReport) {
         self.asked += 1;
         let ask = ParsedRequest {
             call: format!("c{}", self.asked).into(),
@@ -89,9 +89,9 @@
         (id, self.commands())
     }
 
-    fn wait(&mut self, span: u64) -> Told {
+    fn wait(&mut self, span: u64) -> AttemptReport {
         let until = self.now + span;
-        let mut all = Told::default();
+        let mut all = AttemptReport::default();
         while let Some(due) = self.core.next_due().filter(|&due| due <= until) {
             self.now = self.now.max(due);
             self.core.tick(self.now);
@@ -105,7 +105,7 @@
         all
     }
 
-    fn lose(&mut self, key: AttemptKey) -> Told {
+    fn lose(&mut self, key: AttemptKey) -> AttemptReport {
         self.core
             .attempt_failed(self.now, key, Cause::Connection("reset".into()));
         self.commands()
