--- a/crates/coordinator/src/backends/clickhouse.rs
+++ b/crates/coordinator/src/backends/clickhouse.rs
@@ -5,7 +5,7 @@
 use driftfront_clickhouse::exception::{code_of, proof, Exception, Proof, TEXT_MOST};
 use driftfront_clickhouse::params::encode;
 use driftfront_clickhouse::watch::{Fault, Watch};
-use driftfront_core::{AttemptKey, Cause, Micros, Note, Outcome, Piece};
+use driftfront_core::{AttemptKey, Cause, Micros, Note, Outcome, ResponseChunk};
 use driftfront_http::{header, ResponseHead, ResponsePart, ResponseReader};
 use std::fmt::Write as _;
 
@@ -145,9 +145,9 @@
         };
         let last = last && !std::mem::replace(&mut self.passing, true);
         let rows = std::mem::take(&mut self.held);
-        seen.push(Seen::Piece(
+        seen.push(Seen::ResponseChunk(
             key,
-            Piece {
+            ResponseChunk {
                 about,
                 rows,
                 whole: last,
--- a/crates/coordinator/src/backends/engine_protocol.rs
+++ b/crates/coordinator/src/backends/engine_protocol.rs
@@ -1,7 +1,7 @@
 //! The platform's engine wire: lines of words, many requests on one connection.
 
 use super::{Seen, Session, Start};
-use driftfront_core::{AttemptKey, AttemptReport, Cause, Micros, Note, Outcome, Piece};
+use driftfront_core::{AttemptKey, AttemptReport, Cause, Micros, Note, Outcome, ResponseChunk};
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt::Write as _;
 use std::rc::Rc;
@@ -243,9 +243,9 @@
                 }
                 if let Some(done) = self.open.remove(&*answer.id) {
                     let rows = done.pages.into_iter().flatten().flatten().collect();
-                    seen.push(Seen::Piece(
+                    seen.push(Seen::ResponseChunk(
                         key,
-                        Piece {
+                        ResponseChunk {
                             about: Vec::new(),
                             whole: true,
                             rows,
--- a/crates/coordinator/src/backends/mod.rs
+++ b/crates/coordinator/src/backends/mod.rs
@@ -4,7 +4,7 @@
 pub mod engine_protocol;
 
 use driftfront_core::{
-    AttemptKey, AttemptReport, Cause, Micros, Note, Outcome, ParsedRequest, Piece,
+    AttemptKey, AttemptReport, Cause, Micros, Note, Outcome, ParsedRequest, ResponseChunk,
 };
 
 /// What an engine's connection has brought.
@@ -15,7 +15,7 @@
     /// The answer has begun.
     Begun(AttemptKey),
     /// A piece of the answer, to be passed on.
-    Piece(AttemptKey, Piece),
+    ResponseChunk(AttemptKey, ResponseChunk),
     /// What an answer told of the engine and the query; comes before the attempt's end.
     AttemptReport(AttemptKey, AttemptReport),
     /// The answer is whole.
--- a/crates/coordinator/src/frontends/clickhouse.rs
+++ b/crates/coordinator/src/frontends/clickhouse.rs
@@ -7,7 +7,7 @@
 use driftfront_clickhouse::keep::{Keep, SMALL};
 use driftfront_clickhouse::request::{self, Asked, Query};
 use driftfront_clickhouse::session::{self, keyed, Book, Name};
-use driftfront_core::{EngineId, Fate, Micros, ParsedRequest, Piece, Pin};
+use driftfront_core::{EngineId, Fate, Micros, ParsedRequest, Pin, ResponseChunk};
 use driftfront_http::{chunk, response, response_head, Ends, Fault, Request, Takes, LAST_CHUNK};
 use std::collections::HashMap;
 use std::fmt::Write as _;
@@ -476,7 +476,7 @@
 }
 
 impl AnswerWriter for Stream {
-    fn piece(&mut self, piece: &Piece, out: &mut Vec<u8>) {
+    fn piece(&mut self, piece: &ResponseChunk, out: &mut Vec<u8>) {
         if !std::mem::replace(&mut self.begun, true) {
             let about = piece.about.iter().filter(|(name, _)| {
                 // Engines are asked for progress for our own sake; only who asked for it is told.
--- a/crates/coordinator/src/frontends/mod.rs
+++ b/crates/coordinator/src/frontends/mod.rs
@@ -3,7 +3,7 @@
 pub mod clickhouse;
 pub mod platform;
 
-use driftfront_core::{EngineId, Fate, Micros, ParsedRequest, Piece};
+use driftfront_core::{EngineId, Fate, Micros, ParsedRequest, ResponseChunk};
 use driftfront_http::{response, Fault, Request, Takes};
 use std::rc::Rc;
 
@@ -58,7 +58,7 @@
 /// Writes one request's answer in the client's form.
 pub trait AnswerWriter {
     /// A piece of the result.
-    fn piece(&mut self, piece: &Piece, out: &mut Vec<u8>);
+    fn piece(&mut self, piece: &ResponseChunk, out: &mut Vec<u8>);
     /// The result is whole.
     fn finish(&mut self, out: &mut Vec<u8>) -> After;
     /// Refused: harmless to try again after this time. The last engine's words, if it erred.
--- a/crates/coordinator/src/frontends/platform.rs
+++ b/crates/coordinator/src/frontends/platform.rs
@@ -2,7 +2,7 @@
 
 use super::{After, AnswerWriter, Classes, Front, Intake};
 use driftfront_clickhouse::sql::table_group;
-use driftfront_core::{Micros, ParsedRequest, Piece};
+use driftfront_core::{Micros, ParsedRequest, ResponseChunk};
 use driftfront_http::{header, response, Request, Takes, HEAD_MOST};
 use std::rc::Rc;
 
@@ -192,7 +192,7 @@
 }
 
 impl AnswerWriter for Rows {
-    fn piece(&mut self, piece: &Piece, _out: &mut Vec<u8>) {
+    fn piece(&mut self, piece: &ResponseChunk, _out: &mut Vec<u8>) {
         let Ok(text) = std::str::from_utf8(&piece.rows) else {
             return;
         };
@@ -367,7 +367,7 @@
     #[test]
     fn rows_are_passed_on_unchanged_and_in_order() {
         let (mut writer, mut out) = (Rows::default(), Vec::new());
-        let piece = |rows: &str| Piece {
+        let piece = |rows: &str| ResponseChunk {
             about: Vec::new(),
             rows: rows.into(),
             whole: false,
--- a/crates/coordinator/src/node/engines/traffic.rs
+++ b/crates/coordinator/src/node/engines/traffic.rs
@@ -347,7 +347,7 @@
             match each {
                 Seen::Noted(key, note) => self.core.noted(now, key, note),
                 Seen::Begun(key) => self.core.reached(key, Progress::AnswerBegun),
-                Seen::Piece(key, piece) => self.core.relay(key, piece),
+                Seen::ResponseChunk(key, piece) => self.core.relay(key, piece),
                 Seen::AttemptReport(key, told) => self.core.told(key, told),
                 Seen::Served(key) => {
                     if let Some((engine, sent)) =
--- a/crates/coordinator/tests/golden_backends.rs
+++ b/crates/coordinator/tests/golden_backends.rs
@@ -47,7 +47,7 @@
         text += &match each {
             Seen::Noted(k, note) => format!("{} note {}\n", k.request.0, shown_note(note)),
             Seen::Begun(k) => format!("{} begun\n", k.request.0),
-            Seen::Piece(k, piece) => format!(
+            Seen::ResponseChunk(k, piece) => format!(
                 "{} piece {:?} whole {} {}\n",
                 k.request.0,
                 piece.about,
--- a/crates/coordinator/tests/golden_frontends.rs
+++ b/crates/coordinator/tests/golden_frontends.rs
@@ -6,7 +6,7 @@
 use driftfront::frontends::clickhouse::{ClickHouse, Rules};
 use driftfront::frontends::platform::Platform;
 use driftfront::frontends::{After, AnswerWriter, Classes, Front, Intake};
-use driftfront_core::{EngineId, Fate, ParsedRequest, Piece};
+use driftfront_core::{EngineId, Fate, ParsedRequest, ResponseChunk};
 use driftfront_http::{Fault, Request};
 use driftfront_test_support::assert_golden;
 use driftfront_test_support::message_transcript::MessageTranscript;
@@ -93,8 +93,8 @@
     None
 }
 
-fn piece(about: &[(&str, &str)], rows: &str, whole: bool) -> Piece {
-    Piece {
+fn piece(about: &[(&str, &str)], rows: &str, whole: bool) -> ResponseChunk {
+    ResponseChunk {
         about: about
             .iter()
             .map(|h| (h.0.to_string(), h.1.to_string()))
--- a/crates/coordinator/tests/wires.rs
+++ b/crates/coordinator/tests/wires.rs
@@ -190,13 +190,13 @@
                     }
                     if come == 2 {
                         let rows = b"0\ta\tb\n1\ta\tb\n2\ta\tb\n".to_vec();
-                        let piece = driftfront_core::Piece {
+                        let piece = driftfront_core::ResponseChunk {
                             about: Vec::new(),
                             rows,
                             whole: true,
                         };
                         want.extend([
-                            Seen::Piece(key(id), piece),
+                            Seen::ResponseChunk(key(id), piece),
                             told(key(id)),
                             Seen::Served(key(id)),
                         ]);
--- a/crates/core/src/accept.rs
+++ b/crates/core/src/accept.rs
@@ -78,7 +78,7 @@
 
 /// A piece of an answer, to be passed on.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Piece {
+pub struct ResponseChunk {
     /// Names and values that describe the answer; with its first piece only.
     pub about: Vec<(String, String)>,
     /// Rows in the engine's form.
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -19,7 +19,7 @@
 mod routing;
 mod running;
 
-pub use accept::{Accepted, ParsedRequest, Piece};
+pub use accept::{Accepted, ParsedRequest, ResponseChunk};
 pub use accounting::Counters;
 pub use dispatch::{AttemptError, AttemptReport, Cause, Progress, Retry};
 pub use driftfront_scheduler::interface::{
@@ -89,7 +89,7 @@
     /// Final answer: failed, with the engine's words if there were any.
     Fail(RequestId, Option<Rc<str>>),
     /// Pass a piece of the answer on.
-    Relay(RequestId, Piece),
+    Relay(RequestId, ResponseChunk),
     /// Final answer: served; all pieces have been passed on.
     Finish(RequestId),
     /// Final answer: an answer begun cannot be finished; the client must see that.
--- a/crates/core/src/response.rs
+++ b/crates/core/src/response.rs
@@ -1,12 +1,12 @@
 //! Stage 5, relay: an engine's answer goes to the client, and each request is answered once.
 
-use crate::{AttemptKey, Command, Core, Piece, Progress, RequestId};
+use crate::{AttemptKey, Command, Core, Progress, RequestId, ResponseChunk};
 use driftfront_scheduler::interface::{Effect, Event, Micros, Outcome};
 use std::rc::Rc;
 
 impl Core {
     /// A piece of an attempt's answer, to be passed on. From here on the request is tied to the attempt.
-    pub fn relay(&mut self, key: AttemptKey, piece: Piece) {
+    pub fn relay(&mut self, key: AttemptKey, piece: ResponseChunk) {
         self.reached(key, Progress::AnswerBegun);
         let Some(request) = self.requests.get_mut(&key.request).filter(|r| !r.closed) else {
             return;
--- a/crates/core/tests/golden.rs
+++ b/crates/core/tests/golden.rs
@@ -7,7 +7,8 @@
 use driftfront_core::lifecycle::{Lifecycle, State};
 use driftfront_core::{
     AttemptError, AttemptKey, AttemptReport, Cause, Command, Core, EngineId, Fate, Limits,
-    ListKind, Listed, Micros, Note, Outcome, ParsedRequest, Phase, Piece, Pin, Progress, RequestId,
+    ListKind, Listed, Micros, Note, Outcome, ParsedRequest, Phase, Pin, Progress, RequestId,
+    ResponseChunk,
 };
 use driftfront_test_support::assert_golden;
 use driftfront_test_support::transcript::{Dice, Transcript};
@@ -222,7 +223,7 @@
             let about = vec![("x".to_string(), "y".to_string())];
             let rows = b"1\n".to_vec();
             let whole = self.dice.chance(50);
-            self.core.relay(key, Piece { about, rows, whole });
+            self.core.relay(key, ResponseChunk { about, rows, whole });
         }
         if self.dice.chance(70) {
             let told = AttemptReport {
--- a/crates/core/tests/model.rs
+++ b/crates/core/tests/model.rs
@@ -6,7 +6,7 @@
 use common::{core, listed, settings, LIMITS, LOAD, LOOKUP};
 use driftfront_core::{
     AttemptKey, Cause, Command, Core, EngineId, Fate, Limits, ListKind, Listed, Micros,
-    ParsedRequest, Phase, Piece, Pin, Progress, RequestId,
+    ParsedRequest, Phase, Pin, Progress, RequestId, ResponseChunk,
 };
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use std::collections::BTreeMap;
@@ -34,7 +34,7 @@
     Write {
         pick: u8,
     },
-    Piece {
+    ResponseChunk {
         pick: u8,
     },
     Serve {
@@ -86,7 +86,7 @@
                 draining: bool::arbitrary(g),
             },
             7..=8 => Step::Write { pick },
-            9 => Step::Piece { pick },
+            9 => Step::ResponseChunk { pick },
             10 => Step::Serve { pick },
             11 => Step::Fail {
                 pick,
@@ -267,11 +267,11 @@
                     }
                 }
             }
-            Step::Piece { pick } => {
+            Step::ResponseChunk { pick } => {
                 if let Some(key) = self.written(pick) {
                     self.core.relay(
                         key,
-                        Piece {
+                        ResponseChunk {
                             about: Vec::new(),
                             rows: b"r".to_vec(),
                             whole: false,
