--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -155,8 +155,8 @@
     last: u64,
     commands: VecDeque<Command>,
     counters: Counters,
-    doubts: running::Doubts,
-    unheard: lost_attempts::Unheard,
+    doubts: running::UnknownOutcomes,
+    unheard: lost_attempts::LostAttemptDetector,
     tokens: idempotency::IdempotencyKeys,
 }
 
@@ -168,7 +168,7 @@
             has_tenants: !settings.tenants.is_empty(),
             advice_most: settings.retry_after,
             leaves: false,
-            unheard: lost_attempts::Unheard::new(&settings, limits.tells_each),
+            unheard: lost_attempts::LostAttemptDetector::new(&settings, limits.tells_each),
             tokens: idempotency::IdempotencyKeys::new(&settings, limits.tokens),
             controller: Controller::new(settings, seed).awaiting_first_bytes(),
             limits,
@@ -181,7 +181,7 @@
             last: 0,
             commands: VecDeque::new(),
             counters: Counters::default(),
-            doubts: running::Doubts::new(limits.doubts),
+            doubts: running::UnknownOutcomes::new(limits.doubts),
         }
     }
 
--- a/crates/core/src/lost_attempts.rs
+++ b/crates/core/src/lost_attempts.rs
@@ -16,7 +16,7 @@
 const EVERY: Micros = 25_000;
 
 /// What is known of words on attempts.
-pub(crate) struct Unheard {
+pub(crate) struct LostAttemptDetector {
     /// A word is overdue after this long; `None` where none is told.
     after: Option<Micros>,
     /// The latest writing of an attempt that was heard of, by engine.
@@ -24,10 +24,10 @@
     next: Micros,
 }
 
-impl Unheard {
-    pub(crate) fn new(settings: &Settings, tells: bool) -> Unheard {
+impl LostAttemptDetector {
+    pub(crate) fn new(settings: &Settings, tells: bool) -> LostAttemptDetector {
         let after = settings.notes_every.filter(|_| tells);
-        Unheard {
+        LostAttemptDetector {
             after: after.map(|every| (every as f64 * LATE) as Micros + WAY),
             passed: BTreeMap::new(),
             next: 0,
--- a/crates/core/src/running.rs
+++ b/crates/core/src/running.rs
@@ -28,14 +28,14 @@
 }
 
 /// Attempts of unknown fate, the oldest first.
-pub(crate) struct Doubts {
+pub(crate) struct UnknownOutcomes {
     list: VecDeque<Doubt>,
     most: usize,
 }
 
-impl Doubts {
-    pub fn new(most: usize) -> Doubts {
-        Doubts {
+impl UnknownOutcomes {
+    pub fn new(most: usize) -> UnknownOutcomes {
+        UnknownOutcomes {
             list: VecDeque::new(),
             most,
         }
