--- a/crates/coordinator/src/node/engines/mod.rs
+++ b/crates/coordinator/src/node/engines/mod.rs
@@ -248,7 +248,7 @@
     pub(super) fn probe(&mut self, now: Micros, engine: EngineId, tag: u64) {
         match self.engine_conn(now, engine, None, false) {
             Ok(id) => self.queue_work(now, id, Work::Probe(tag)),
-            Err(Cause::TurnedAway) => self.core.probed(now, tag, Outcome::Moot, &[]),
+            Err(Cause::TurnedAway) => self.core.probed(now, tag, Outcome::Superseded, &[]),
             Err(_) => self.core.probed(now, tag, Outcome::Unreachable, &[]),
         }
     }
@@ -264,7 +264,7 @@
         match work {
             Work::Attempt(key, _) => self.attempt_failed(now, key, Cause::TurnedAway),
             Work::Probe(CHECK_TAG) => {}
-            Work::Probe(tag) => self.core.probed(now, tag, Outcome::Moot, &[]),
+            Work::Probe(tag) => self.core.probed(now, tag, Outcome::Superseded, &[]),
         }
     }
 
--- a/crates/coordinator/src/node/engines/traffic.rs
+++ b/crates/coordinator/src/node/engines/traffic.rs
@@ -75,7 +75,7 @@
                 Work::Probe(tag)
                     if tag != CHECK_TAG && self.core.phase(conn.engine) != Some(Phase::Ready) =>
                 {
-                    self.core.probed(now, tag, Outcome::Moot, &[]);
+                    self.core.probed(now, tag, Outcome::Superseded, &[]);
                     continue;
                 }
                 Work::Probe(tag) => conn.session.probe(tag, &mut out),
--- a/crates/core/src/accounting.rs
+++ b/crates/core/src/accounting.rs
@@ -12,7 +12,7 @@
     (Outcome::Unreachable, "unreachable"),
     (Outcome::Reset, "reset"),
     (Outcome::Cancelled, "cancelled"),
-    (Outcome::Moot, "moot"),
+    (Outcome::Superseded, "moot"),
 ];
 
 pub(crate) fn place(outcome: Outcome) -> usize {
--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -73,12 +73,12 @@
     pub fn outcome(&self) -> Outcome {
         match self.cause {
             Cause::TurnedAway => Outcome::Full,
-            Cause::Withheld => Outcome::Moot,
+            Cause::Withheld => Outcome::Superseded,
             Cause::Engine(_) | Cause::Spoilt(_) => Outcome::Error,
             // Not written whole, it never was a query there.
-            Cause::Released if self.progress < Progress::WrittenWhole => Outcome::Moot,
+            Cause::Released if self.progress < Progress::WrittenWhole => Outcome::Superseded,
             // A part already on its way becomes whole before the word that ends it.
-            Cause::CalledOff if self.progress < Progress::PartWritten => Outcome::Moot,
+            Cause::CalledOff if self.progress < Progress::PartWritten => Outcome::Superseded,
             Cause::Statement(_) | Cause::Released | Cause::CalledOff => Outcome::Cancelled,
             // Not written whole, it cannot have run: the connection's end gives up the written part.
             Cause::Connection(_) | Cause::Closed(_) if self.progress < Progress::WrittenWhole => {
--- a/crates/core/src/routing.rs
+++ b/crates/core/src/routing.rs
@@ -18,7 +18,7 @@
                         // The module counts a send that was never made, so it must hear of its end.
                         let mut more = Vec::new();
                         let end = moot(id, number);
-                        self.counters.ended[crate::accounting::place(Outcome::Moot)] += 1;
+                        self.counters.ended[crate::accounting::place(Outcome::Superseded)] += 1;
                         self.controller.handle(now, Event::Ended(end), &mut more);
                         actions.extend(more);
                     }
@@ -85,7 +85,7 @@
         let until = now.saturating_add(patience).min(request.deadline);
         let out = request.out().is_some();
         let barred = request.closed || request.relaying.is_some() || out;
-        let outcome = barred.then_some(Outcome::Moot);
+        let outcome = barred.then_some(Outcome::Superseded);
         request.attempts.push(Attempt {
             outcome,
             grant_mb: request.grant_mb,
@@ -144,7 +144,7 @@
     Ended {
         query,
         attempt,
-        outcome: Outcome::Moot,
+        outcome: Outcome::Superseded,
         last: false,
         spent: 0,
         work: None,
--- a/crates/core/tests/golden.rs
+++ b/crates/core/tests/golden.rs
@@ -377,7 +377,7 @@
         Outcome::Unreachable => "unreachable",
         Outcome::Reset => "reset",
         Outcome::Cancelled => "cancelled",
-        Outcome::Moot => "never sent",
+        Outcome::Superseded => "never sent",
     }
 }
 
--- a/crates/scheduler/src/choice.rs
+++ b/crates/scheduler/src/choice.rs
@@ -940,7 +940,7 @@
                     self.failed(now, engine, outcome, act);
                 }
             }
-            Outcome::TimedOut | Outcome::Cancelled | Outcome::Moot => {}
+            Outcome::TimedOut | Outcome::Cancelled | Outcome::Superseded => {}
         }
         // Rule 5: what may still run holds its key for a while more.
         let doubtful = matches!(
@@ -1083,7 +1083,7 @@
                 e.shut_until = 0;
                 self.route_held(now, act);
             }
-            (Outcome::Ok | Outcome::Full | Outcome::Moot, _) | (_, None) => {}
+            (Outcome::Ok | Outcome::Full | Outcome::Superseded, _) | (_, None) => {}
             _ => self.failed(now, id, outcome, act),
         }
         for q in self.scouting(Some(id), now) {
--- a/crates/scheduler/src/interface.rs
+++ b/crates/scheduler/src/interface.rs
@@ -283,13 +283,16 @@
     /// Called off; may have run.
     Cancelled,
     /// Never sent.
-    Moot,
+    Superseded,
 }
 
 impl Outcome {
     /// The outcome proves that the attempt never ran.
     pub fn never_ran(self) -> bool {
-        matches!(self, Outcome::Full | Outcome::Unreachable | Outcome::Moot)
+        matches!(
+            self,
+            Outcome::Full | Outcome::Unreachable | Outcome::Superseded
+        )
     }
 }
 
--- a/crates/scheduler/tests/golden.rs
+++ b/crates/scheduler/tests/golden.rs
@@ -181,7 +181,7 @@
         Outcome::Error,
         Outcome::Full,
         Outcome::Cancelled,
-        Outcome::Moot,
+        Outcome::Superseded,
         Outcome::Ok,
     ] {
         let mut controller = sender(2, &ALL_FIELDS, 0, 3);
--- a/crates/scheduler/tests/transcript.rs
+++ b/crates/scheduler/tests/transcript.rs
@@ -41,7 +41,7 @@
         Outcome::Unreachable => "unreachable",
         Outcome::Reset => "reset",
         Outcome::Cancelled => "cancelled",
-        Outcome::Moot => "never sent",
+        Outcome::Superseded => "never sent",
     }
 }
 
@@ -423,7 +423,7 @@
                 if may {
                     self.start(g, q, attempt, timeout);
                 } else {
-                    self.end(g, q, attempt, Outcome::Moot);
+                    self.end(g, q, attempt, Outcome::Superseded);
                 }
             }
             What::End(g, q, attempt, outcome) => self.end(g, q, attempt, outcome),
--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -111,7 +111,7 @@
         50 => Outcome::Unreachable,
         60 => Outcome::Reset,
         70 => Outcome::Cancelled,
-        80 => Outcome::Moot,
+        80 => Outcome::Superseded,
         other => return Err(format!("unknown outcome {other}")),
     })
 }
