--- a/crates/coordinator/src/frontends/clickhouse.rs
+++ b/crates/coordinator/src/frontends/clickhouse.rs
@@ -7,7 +7,7 @@
 use driftfront_clickhouse::keep::{Keep, SMALL};
 use driftfront_clickhouse::request::{self, Asked, Query};
 use driftfront_clickhouse::session::{self, keyed, Book, Name};
-use driftfront_core::{EngineId, Fate, Micros, ParsedRequest, Pin, ResponseChunk};
+use driftfront_core::{EngineId, Fate, Micros, ParsedRequest, ResponseChunk, StickySession};
 use driftfront_http::{chunk, response, response_head, Ends, Fault, Request, Takes, LAST_CHUNK};
 use std::collections::HashMap;
 use std::fmt::Write as _;
@@ -157,7 +157,7 @@
                 .begin(now, name, told.check, told.timeout, query.shape.leaves())
                 .map_err(say)?;
             session = Some(name);
-            pin = home.map(|h| Pin {
+            pin = home.map(|h| StickySession {
                 engine: h.engine,
                 only: h.tied,
             });
@@ -222,7 +222,7 @@
                 tables,
                 about: about.clone(),
                 statement: Rc::from(statement.trim_end().as_bytes()),
-                pin: Some(Pin { engine, only: true }),
+                pin: Some(StickySession { engine, only: true }),
                 lost: Some(
                     Exception::new(
                         NETWORK_ERROR,
--- a/crates/core/src/accept.rs
+++ b/crates/core/src/accept.rs
@@ -1,7 +1,7 @@
 //! Stage 1, take in: a request gets its number, and its client's time begins to run.
 
 use crate::{Core, Request, RequestId};
-use driftfront_scheduler::interface::{Micros, Pin};
+use driftfront_scheduler::interface::{Micros, StickySession};
 use std::fmt;
 use std::rc::Rc;
 
@@ -31,7 +31,7 @@
     /// The statement, passed on unchanged; its beginning where `once` says so.
     pub statement: Rc<[u8]>,
     /// The engine that it has to go to, or should.
-    pub pin: Option<Pin>,
+    pub pin: Option<StickySession>,
     /// What a client is told whose request could only go to an engine that leaves.
     pub lost: Option<Rc<str>>,
     /// The rest of the statement is passed on as it comes and not kept: once some of that is out, there is no
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -23,7 +23,7 @@
 pub use accounting::Counters;
 pub use dispatch::{AttemptError, AttemptReport, Cause, Progress, Retry};
 pub use driftfront_scheduler::interface::{
-    EngineId, ListKind, Listed, Micros, Note, Outcome, Phase, Pin,
+    EngineId, ListKind, Listed, Micros, Note, Outcome, Phase, StickySession,
 };
 pub use driftfront_scheduler::BudgetUsage;
 pub use running::Run;
--- a/crates/core/tests/golden.rs
+++ b/crates/core/tests/golden.rs
@@ -7,8 +7,8 @@
 use driftfront_core::lifecycle::{Lifecycle, State};
 use driftfront_core::{
     AttemptError, AttemptKey, AttemptReport, Cause, Command, Core, EngineId, Fate, Limits,
-    ListKind, Listed, Micros, Note, Outcome, ParsedRequest, Phase, Pin, Progress, RequestId,
-    ResponseChunk,
+    ListKind, Listed, Micros, Note, Outcome, ParsedRequest, Phase, Progress, RequestId,
+    ResponseChunk, StickySession,
 };
 use driftfront_test_support::assert_golden;
 use driftfront_test_support::transcript::{Dice, Transcript};
@@ -162,7 +162,7 @@
             },
             about: Rc::new([]),
             statement: Rc::from(*b"select 1"),
-            pin: (pinned < 2).then(|| Pin {
+            pin: (pinned < 2).then(|| StickySession {
                 engine: EngineId(dice.below(ENGINES)),
                 only: pinned == 0,
             }),
--- a/crates/core/tests/model.rs
+++ b/crates/core/tests/model.rs
@@ -6,7 +6,7 @@
 use common::{core, listed, settings, LIMITS, LOAD, LOOKUP};
 use driftfront_core::{
     AttemptKey, Cause, Command, Core, EngineId, Fate, Limits, ListKind, Listed, Micros,
-    ParsedRequest, Phase, Pin, Progress, RequestId, ResponseChunk,
+    ParsedRequest, Phase, Progress, RequestId, ResponseChunk, StickySession,
 };
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use std::collections::BTreeMap;
@@ -194,7 +194,7 @@
                 let class = if load { LOAD } else { LOOKUP };
                 let budget = Micros::from(ms) * 1000;
                 let engine = EngineId(u64::from(pin) % ENGINES);
-                let pin = (pin > 150).then_some(Pin {
+                let pin = (pin > 150).then_some(StickySession {
                     engine,
                     only: pin > 200,
                 });
--- a/crates/scheduler/src/interface.rs
+++ b/crates/scheduler/src/interface.rs
@@ -231,7 +231,7 @@
 
 /// Where a query has to go, or should: the engine that holds what it needs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Pin {
+pub struct StickySession {
     /// The engine.
     pub engine: EngineId,
     /// No other can serve it; else any may, once this one takes nothing.
@@ -260,7 +260,7 @@
     /// An earlier query under that word may have run: engines know its repeats until then.
     pub known_until: Option<Micros>,
     /// Its engine, if it has one already.
-    pub pin: Option<Pin>,
+    pub pin: Option<StickySession>,
     /// Time until the client gives up.
     pub budget: Micros,
 }
--- a/crates/scheduler/tests/rules.rs
+++ b/crates/scheduler/tests/rules.rs
@@ -44,7 +44,7 @@
 #[test]
 fn a_pinned_query_goes_to_its_engine_alone_and_is_given_up_when_that_drains() {
     let only = |engine| {
-        Some(Pin {
+        Some(StickySession {
             engine: EngineId(engine),
             only: true,
         })
@@ -84,7 +84,7 @@
 
 #[test]
 fn a_home_is_taken_first_and_left_once_it_fails_or_drains() {
-    let home = Some(Pin {
+    let home = Some(StickySession {
         engine: EngineId(2),
         only: false,
     });
--- a/crates/scheduler/tests/transcript.rs
+++ b/crates/scheduler/tests/transcript.rs
@@ -563,7 +563,7 @@
         let true_work = 0.25 * c.aim as f64 * c.threads * dice.between(0.2, 1.8);
         let known = dice.below(10);
         let (memory_known, pinned) = (dice.chance(50), dice.below(20));
-        let pin = (pinned < 2).then(|| Pin {
+        let pin = (pinned < 2).then(|| StickySession {
             engine: EngineId(1 + dice.below(4)),
             only: pinned == 0,
         });
