--- a/crates/coordinator/src/node/control/views.rs
+++ b/crates/coordinator/src/node/control/views.rs
@@ -110,7 +110,7 @@
             .settings
             .classes
             .get(usize::from(class))
-            .map_or(0, |c| c.aim);
+            .map_or(0, |c| c.latency_objective);
         if let Some((minute, hour)) = self
             .control
             .as_mut()
@@ -223,7 +223,7 @@
                     .settings
                     .classes
                     .get(n)
-                    .map_or(0, |c| c.aim / 1000),
+                    .map_or(0, |c| c.latency_objective / 1000),
                 once: self.runs_once(n as u16),
                 open: open_by_class[n],
                 minute: rings.get(n).map(|r| r.0.sum(now)).unwrap_or_default(),
--- a/crates/scheduler/src/choice.rs
+++ b/crates/scheduler/src/choice.rs
@@ -79,7 +79,7 @@
     pub fn new(cfg: Settings, seed: u64) -> Self {
         let (engines, jobs, lanes, peers, retries) = Default::default();
         let guess = |c: &Class| Learned {
-            work: PRIOR * c.aim as f64 * c.threads,
+            work: PRIOR * c.latency_objective as f64 * c.threads,
             ..Learned::default()
         };
         let learned = cfg.classes.iter().map(guess).collect();
@@ -156,7 +156,12 @@
         } else {
             0.0
         };
-        self.worth(id) * if finish <= self.aim(id) { 1.0 } else { late }
+        self.worth(id)
+            * if finish <= self.latency_objective(id) {
+                1.0
+            } else {
+                late
+            }
     }
 
     /// This gateway's part of the fleet: its demand over all, taking the peers lately heard as a sample.
@@ -355,7 +360,7 @@
         let mut starts = self.starts(now, e, needs);
         let shift = self.work(id) * e.slow / bound;
         let own = self.slot(id);
-        let late = |q: &Slot, start: f64| start + q.work / q.threads * e.slow > q.aim;
+        let late = |q: &Slot, start: f64| start + q.work / q.threads * e.slow > q.latency_objective;
         let on_time = |q: &Slot, start: f64| if late(q, start) { 0.0 } else { q.worth };
         // loss[j]: worth lost by the queries from j on when they start later by the newcomer's run (Eq. 15).
         let mut loss = vec![0.0; e.queue.len() + 1];
@@ -637,7 +642,8 @@
 
     /// With a sliver room is the fleet's: first to start is what is in time and worth most for its work.
     fn pump_all(&mut self, now: Micros, act: &mut Actions) {
-        let late = |q: &Slot, e: &Engine| now as f64 + q.work / q.threads * e.slow > q.aim;
+        let late =
+            |q: &Slot, e: &Engine| now as f64 + q.work / q.threads * e.slow > q.latency_objective;
         let front = |(&id, e): (&EngineId, &Engine)| {
             e.queue
                 .first()
@@ -705,7 +711,7 @@
         } else {
             1
         };
-        in_time * u8::from(now as f64 + run <= self.aim(id))
+        in_time * u8::from(now as f64 + run <= self.latency_objective(id))
     }
 
     /// Ends a query unserved, at once: a refusal with retry advice where that is true, else a failure.
@@ -1259,7 +1265,7 @@
                     age
                 };
                 let total = t.projected.map_or(long, |p| p.max(age));
-                let late = sliver && t.sent as f64 + total > self.aim(id);
+                let late = sliver && t.sent as f64 + total > self.latency_objective(id);
                 if age >= OVERRUN_AFTER && (late || total > OVERRUN * usual) {
                     over.push((id, n as u8, t.sent as f64 + total));
                 }
@@ -1275,7 +1281,7 @@
             let drag = sliver
                 && self.cfg.may_cancel
                 && stay < WORTHWHILE * earned * left
-                && finish > self.aim(id);
+                && finish > self.latency_objective(id);
             if self.jobs[&id].cuts == 0 && leave > 0.0 && leave >= stay && afresh < finish {
                 self.cut(now, id, n, act);
             } else if self.may_refuse(id)
@@ -1319,7 +1325,9 @@
         for e in self.engines.values() {
             let starts = self.starts(now, e, 0.5);
             for (q, &start) in e.queue.iter().zip(&starts) {
-                if start > q.planned + SLIP || start + q.work / q.threads * e.slow > q.aim {
+                if start > q.planned + SLIP
+                    || start + q.work / q.threads * e.slow > q.latency_objective
+                {
                     slipped.push(q.id);
                 }
             }
--- a/crates/scheduler/src/interface.rs
+++ b/crates/scheduler/src/interface.rs
@@ -37,9 +37,9 @@
 #[derive(Clone, Debug)]
 pub struct Class {
     /// An answer within this time earns the full worth.
-    pub aim: Micros,
+    pub latency_objective: Micros,
     /// The aim grows by this times the query's work over its threads.
-    pub aim_stretch: f64,
+    pub latency_objective_stretch: f64,
     /// Worth of an answer in time.
     pub worth: f64,
     /// Share of the worth that a late answer still earns.
--- a/crates/scheduler/src/slow_start.rs
+++ b/crates/scheduler/src/slow_start.rs
@@ -178,7 +178,7 @@
         self.learned[usize::from(class)].work.max(if known {
             0.0
         } else {
-            c.aim as f64 * c.threads
+            c.latency_objective as f64 * c.threads
         })
     }
 }
--- a/crates/scheduler/src/state.rs
+++ b/crates/scheduler/src/state.rs
@@ -169,7 +169,7 @@
     pub work: f64,
     pub threads: f64,
     pub worth: f64,
-    pub aim: f64,
+    pub latency_objective: f64,
     pub tables: u32,
     /// The start that was estimated when it was put there.
     pub planned: f64,
@@ -464,10 +464,12 @@
     }
 
     /// Latest time at which an answer earns the full worth.
-    pub(crate) fn aim(&self, id: QueryId) -> f64 {
+    pub(crate) fn latency_objective(&self, id: QueryId) -> f64 {
         let (job, c) = (&self.jobs[&id], self.class(id));
-        let aim = job.arrived as f64 + c.aim as f64 + c.aim_stretch * self.work(id) / c.threads;
-        aim.min(job.deadline as f64)
+        let latency_objective = job.arrived as f64
+            + c.latency_objective as f64
+            + c.latency_objective_stretch * self.work(id) / c.threads;
+        latency_objective.min(job.deadline as f64)
     }
 
     pub(crate) fn slot(&self, id: QueryId) -> Slot {
@@ -481,7 +483,7 @@
             work,
             threads,
             worth: self.worth(id),
-            aim: self.aim(id),
+            latency_objective: self.latency_objective(id),
             tables,
             planned: 0.0,
         }
--- a/crates/scheduler/tests/common/mod.rs
+++ b/crates/scheduler/tests/common/mod.rs
@@ -6,10 +6,10 @@
 pub const MS: u64 = 1000;
 pub const S: u64 = 1_000_000;
 
-pub fn class(aim: u64, worth: f64, threads: f64) -> Class {
+pub fn class(latency_objective: u64, worth: f64, threads: f64) -> Class {
     Class {
-        aim,
-        aim_stretch: 0.0,
+        latency_objective,
+        latency_objective_stretch: 0.0,
         worth,
         late_worth: 0.0,
         effect: Effect::Safe,
--- a/crates/scheduler/tests/crowd.rs
+++ b/crates/scheduler/tests/crowd.rs
@@ -361,7 +361,7 @@
         may_probe: true,
         ..sliver()
     };
-    s.classes[1].aim = 20 * S;
+    s.classes[1].latency_objective = 20 * S;
     for answered in [true, false] {
         let mut rig = Rig::new(s.clone(), &list);
         // Forty pay for the probes of one that asks.
--- a/crates/scheduler/tests/transcript.rs
+++ b/crates/scheduler/tests/transcript.rs
@@ -150,7 +150,7 @@
         let mean = settings
             .classes
             .iter()
-            .map(|c| 0.25 * c.aim as f64 * c.threads)
+            .map(|c| 0.25 * c.latency_objective as f64 * c.threads)
             .sum::<f64>()
             / settings.classes.len() as f64;
         let mut world = World {
@@ -560,7 +560,7 @@
         let dice = &mut self.dice;
         let class = dice.below(self.settings.classes.len() as u64) as u16;
         let c = &self.settings.classes[usize::from(class)];
-        let true_work = 0.25 * c.aim as f64 * c.threads * dice.between(0.2, 1.8);
+        let true_work = 0.25 * c.latency_objective as f64 * c.threads * dice.between(0.2, 1.8);
         let known = dice.below(10);
         let (memory_known, pinned) = (dice.chance(50), dice.below(20));
         let pin = (pinned < 2).then(|| StickySession {
@@ -581,7 +581,7 @@
             budget: if dice.chance(2) {
                 dice.below(30 * MS)
             } else {
-                c.aim * 2 + dice.below(2 * S)
+                c.latency_objective * 2 + dice.below(2 * S)
             },
         };
         self.next_query += 1;
@@ -609,7 +609,11 @@
     let mut short = class(200 * MS, 1.0, 1.0);
     short.late_worth = 0.2;
     let mut wide = class(800 * MS, 6.0, 4.0);
-    (wide.effect, wide.repeat_group, wide.aim_stretch) = (Effect::Keyed, RepeatGroup::Zone, 1.5);
+    (
+        wide.effect,
+        wide.repeat_group,
+        wide.latency_objective_stretch,
+    ) = (Effect::Keyed, RepeatGroup::Zone, 1.5);
     wide.waits_for_loads = true;
     let mut load = class(1_500 * MS, 4.0, 2.0);
     (load.effect, load.in_order, load.load) = (Effect::Unsafe, true, true);
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -179,8 +179,8 @@
         _ => return Err("KeyScope is missing or unknown".into()),
     };
     Ok(Class {
-        aim: number(p, "OnTimeUs")? as u64,
-        aim_stretch: optional(p, "AimStretch")?.unwrap_or(0.0),
+        latency_objective: number(p, "OnTimeUs")? as u64,
+        latency_objective_stretch: optional(p, "AimStretch")?.unwrap_or(0.0),
         worth: number(p, "Worth")?,
         late_worth: optional(p, "LateWorth")?.unwrap_or(0.0),
         effect,
--- a/crates/settings/tests/golden.rs
+++ b/crates/settings/tests/golden.rs
@@ -12,8 +12,12 @@
     let _ = writeln!(t, "MyNumber {}", s.number);
     let _ = writeln!(t, "Zone {}", s.zone);
     for (i, c) in s.classes.iter().enumerate() {
-        let _ = writeln!(t, "Profiles[{i}].OnTimeUs {}", c.aim);
-        let _ = writeln!(t, "Profiles[{i}].AimStretch {}", c.aim_stretch);
+        let _ = writeln!(t, "Profiles[{i}].OnTimeUs {}", c.latency_objective);
+        let _ = writeln!(
+            t,
+            "Profiles[{i}].AimStretch {}",
+            c.latency_objective_stretch
+        );
         let _ = writeln!(t, "Profiles[{i}].Worth {}", c.worth);
         let _ = writeln!(t, "Profiles[{i}].LateWorth {}", c.late_worth);
         let effect = match c.effect {
