--- a/crates/coordinator/src/node/control/views.rs
+++ b/crates/coordinator/src/node/control/views.rs
@@ -89,12 +89,18 @@
         });
         let engines = engines.collect();
         let classes = self.control.iter().flat_map(|c| c.classes.iter());
-        let worth = |n: usize| self.config.settings.classes.get(n).map_or(1.0, |c| c.worth);
+        let priority_weight = |n: usize| {
+            self.config
+                .settings
+                .classes
+                .get(n)
+                .map_or(1.0, |c| c.priority_weight)
+        };
         let (mut asked, mut got) = (0.0, 0.0);
         for (n, (minute, _)) in classes.enumerate() {
             let sum = minute.sum(now);
-            asked += worth(n) * sum.asked as f64;
-            got += worth(n) * sum.in_time as f64;
+            asked += priority_weight(n) * sum.asked as f64;
+            got += priority_weight(n) * sum.in_time as f64;
         }
         Sight {
             engines,
--- a/crates/scheduler/src/choice.rs
+++ b/crates/scheduler/src/choice.rs
@@ -152,11 +152,11 @@
     /// Full worth by the aim, the late share by the deadline, else nothing.
     fn value(&self, id: QueryId, finish: f64) -> f64 {
         let late = if finish <= self.jobs[&id].deadline as f64 {
-            self.class(id).late_worth
+            self.class(id).late_weight
         } else {
             0.0
         };
-        self.worth(id)
+        self.priority_weight(id)
             * if finish <= self.latency_objective(id) {
                 1.0
             } else {
@@ -361,7 +361,13 @@
         let shift = self.work(id) * e.slow / bound;
         let own = self.slot(id);
         let late = |q: &Slot, start: f64| start + q.work / q.threads * e.slow > q.latency_objective;
-        let on_time = |q: &Slot, start: f64| if late(q, start) { 0.0 } else { q.worth };
+        let on_time = |q: &Slot, start: f64| {
+            if late(q, start) {
+                0.0
+            } else {
+                q.priority_weight
+            }
+        };
         // loss[j]: worth lost by the queries from j on when they start later by the newcomer's run (Eq. 15).
         let mut loss = vec![0.0; e.queue.len() + 1];
         for (j, q) in e.queue.iter().enumerate().rev() {
@@ -647,7 +653,7 @@
         let front = |(&id, e): (&EngineId, &Engine)| {
             e.queue
                 .first()
-                .map(|q| (late(q, e), q.work / q.worth.max(1e-9), id))
+                .map(|q| (late(q, e), q.work / q.priority_weight.max(1e-9), id))
         };
         let mut fronts: Vec<_> = self.engines.iter().filter_map(front).collect();
         fronts.sort_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
@@ -1247,7 +1253,7 @@
     fn watch_attempts(&mut self, now: Micros, act: &mut Actions) {
         let (mut over, sliver) = (Vec::new(), self.sliver());
         let pace = if sliver { self.tally.pace } else { 0.0 };
-        let earned = self.mean(|c| self.cfg.classes[c].worth) / self.mean_work();
+        let earned = self.mean(|c| self.cfg.classes[c].priority_weight) / self.mean_work();
         for (&id, job) in self
             .jobs
             .iter()
--- a/crates/scheduler/src/interface.rs
+++ b/crates/scheduler/src/interface.rs
@@ -41,9 +41,9 @@
     /// The aim grows by this times the query's work over its threads.
     pub latency_objective_stretch: f64,
     /// Worth of an answer in time.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// Share of the worth that a late answer still earns.
-    pub late_worth: f64,
+    pub late_weight: f64,
     /// Whether repeats are harmless.
     pub effect: Effect,
     /// Who drops repeats, for keyed classes.
@@ -154,9 +154,9 @@
     /// The tenants; empty where there are none.
     pub tenants: Vec<Tenant>,
     /// Worth of a query beyond its tenant's quota, as a share.
-    pub over_quota_worth: f64,
+    pub over_quota_weight: f64,
     /// Worth is counted by work instead of by query.
-    pub worth_by_work: bool,
+    pub weight_by_work: bool,
     /// The list of engines must be asked for.
     pub ask_discovery: bool,
     /// An unanswered wish to be told counts as told after this long.
--- a/crates/scheduler/src/state.rs
+++ b/crates/scheduler/src/state.rs
@@ -168,7 +168,7 @@
     pub id: QueryId,
     pub work: f64,
     pub threads: f64,
-    pub worth: f64,
+    pub priority_weight: f64,
     pub latency_objective: f64,
     pub tables: u32,
     /// The start that was estimated when it was put there.
@@ -449,18 +449,18 @@
             .any(|(q, t)| self.jobs[&q].query.tables == tables && (self.class(q).load || t.blocked))
     }
 
-    pub(crate) fn worth(&self, id: QueryId) -> f64 {
-        let by_work = if self.cfg.worth_by_work {
+    pub(crate) fn priority_weight(&self, id: QueryId) -> f64 {
+        let by_work = if self.cfg.weight_by_work {
             self.work(id) / 1e6
         } else {
             1.0
         };
         let quota = if self.jobs[&id].over_quota {
-            self.cfg.over_quota_worth
+            self.cfg.over_quota_weight
         } else {
             1.0
         };
-        self.class(id).worth * by_work * quota
+        self.class(id).priority_weight * by_work * quota
     }
 
     /// Latest time at which an answer earns the full worth.
@@ -482,7 +482,7 @@
             id,
             work,
             threads,
-            worth: self.worth(id),
+            priority_weight: self.priority_weight(id),
             latency_objective: self.latency_objective(id),
             tables,
             planned: 0.0,
--- a/crates/scheduler/tests/common/mod.rs
+++ b/crates/scheduler/tests/common/mod.rs
@@ -6,12 +6,12 @@
 pub const MS: u64 = 1000;
 pub const S: u64 = 1_000_000;
 
-pub fn class(latency_objective: u64, worth: f64, threads: f64) -> Class {
+pub fn class(latency_objective: u64, priority_weight: f64, threads: f64) -> Class {
     Class {
         latency_objective,
         latency_objective_stretch: 0.0,
-        worth,
-        late_worth: 0.0,
+        priority_weight,
+        late_weight: 0.0,
         effect: Effect::Safe,
         repeat_group: RepeatGroup::All,
         repeat_window: 5 * S,
@@ -38,8 +38,8 @@
             2
         ],
         tenants: vec![],
-        over_quota_worth: 1.0,
-        worth_by_work: false,
+        over_quota_weight: 1.0,
+        weight_by_work: false,
         ask_discovery: false,
         ask_within: None,
         grants: false,
--- a/crates/scheduler/tests/crowd.rs
+++ b/crates/scheduler/tests/crowd.rs
@@ -327,7 +327,7 @@
         class(S, 1.0, 2.0),
         class(50 * S, 1.0, 2.0),
     ];
-    (s.classes[1].kinds, s.classes[1].late_worth) = (Some(vec![0]), 0.5);
+    (s.classes[1].kinds, s.classes[1].late_weight) = (Some(vec![0]), 0.5);
     s.classes[2].kinds = Some(vec![1]);
     let list = [
         listed(1),
--- a/crates/scheduler/tests/rules.rs
+++ b/crates/scheduler/tests/rules.rs
@@ -171,7 +171,7 @@
     let tenants = vec![Tenant { quota_per_s: 100.0 }];
     let with = Settings {
         tenants,
-        over_quota_worth: 0.05,
+        over_quota_weight: 0.05,
         ..settings(vec![class(9 * S, 1.0, 1.0)])
     };
     let mut rig = Rig::new(with, &[listed(1)]);
--- a/crates/scheduler/tests/transcript.rs
+++ b/crates/scheduler/tests/transcript.rs
@@ -607,7 +607,7 @@
 /// Three classes that differ in all that matters to a decision.
 fn classes() -> Vec<Class> {
     let mut short = class(200 * MS, 1.0, 1.0);
-    short.late_worth = 0.2;
+    short.late_weight = 0.2;
     let mut wide = class(800 * MS, 6.0, 4.0);
     (
         wide.effect,
@@ -617,7 +617,7 @@
     wide.waits_for_loads = true;
     let mut load = class(1_500 * MS, 4.0, 2.0);
     (load.effect, load.in_order, load.load) = (Effect::Unsafe, true, true);
-    (load.late_worth, load.zones) = (0.6, Some(vec![0, 1]));
+    (load.late_weight, load.zones) = (0.6, Some(vec![0, 1]));
     vec![short, wide, load]
 }
 
@@ -715,8 +715,8 @@
         retry_budget: Some(retry_budget()),
         cold: Some(slow_start()),
         tenants: vec![Tenant { quota_per_s: 8.0 }; 3],
-        over_quota_worth: 0.1,
-        worth_by_work: true,
+        over_quota_weight: 0.1,
+        weight_by_work: true,
         may_probe: true,
         ..few()
     };
@@ -792,7 +792,7 @@
         notes_every: Some(150 * MS),
         may_copy: true,
         tenants: vec![Tenant { quota_per_s: 30.0 }; 4],
-        over_quota_worth: 0.2,
+        over_quota_weight: 0.2,
         ..many()
     };
     assert_golden!(
@@ -817,7 +817,7 @@
             report_on_probe: yes(50),
             grants: yes(40),
             priorities: yes(40),
-            worth_by_work: yes(40),
+            weight_by_work: yes(40),
             ask_discovery: yes(30),
             ask_within: yes(50).then_some(3 * S),
             crossing_costs: yes(50),
--- a/crates/settings/tests/golden.rs
+++ b/crates/settings/tests/golden.rs
@@ -18,8 +18,8 @@
             "Profiles[{i}].AimStretch {}",
             c.latency_objective_stretch
         );
-        let _ = writeln!(t, "Profiles[{i}].Worth {}", c.worth);
-        let _ = writeln!(t, "Profiles[{i}].LateWorth {}", c.late_worth);
+        let _ = writeln!(t, "Profiles[{i}].Worth {}", c.priority_weight);
+        let _ = writeln!(t, "Profiles[{i}].LateWorth {}", c.late_weight);
         let effect = match c.effect {
             Effect::Safe => "free",
             Effect::Keyed => "guarded",
@@ -47,8 +47,8 @@
     for (i, tenant) in s.tenants.iter().enumerate() {
         let _ = writeln!(t, "Tenants[{i}].QuotaPerS {}", tenant.quota_per_s);
     }
-    let _ = writeln!(t, "OverShareWorth {}", s.over_quota_worth);
-    let _ = writeln!(t, "CountedBy work: {}", s.worth_by_work);
+    let _ = writeln!(t, "OverShareWorth {}", s.over_quota_weight);
+    let _ = writeln!(t, "CountedBy work: {}", s.weight_by_work);
     let _ = writeln!(t, "MembershipMode ask: {}", s.ask_discovery);
     let _ = writeln!(t, "Contract.AskWithinUs {:?}", s.ask_within);
     let _ = writeln!(t, "FamilyInfo.GrantsCount {}", s.grants);
