--- a/crates/scheduler/src/interface.rs
+++ b/crates/scheduler/src/interface.rs
@@ -97,7 +97,7 @@
 
 /// Figures of the cold-start rule.
 #[derive(Clone, Copy, Debug)]
-pub struct ColdStart {
+pub struct SlowStart {
     /// Lowest share of its capacity that an engine starts with.
     pub from: f64,
     /// It is warm after this long.
@@ -196,7 +196,7 @@
     /// The ration of further attempts, if any.
     pub retry_budget: Option<RetryBudget>,
     /// The cold-start rule, if any.
-    pub cold: Option<ColdStart>,
+    pub cold: Option<SlowStart>,
     /// How long a key rests after an attempt of unknown fate.
     pub settle: Micros,
 }
--- a/crates/scheduler/src/slow_start.rs
+++ b/crates/scheduler/src/slow_start.rs
@@ -6,7 +6,7 @@
 //! warm-up; within any window of the settings' length a cold engine gets no more than this gateway's part of its budget, counted
 //! as attempts go out.
 
-use crate::interface::{ColdStart, ListKind, Micros, QueryId};
+use crate::interface::{ListKind, Micros, QueryId, SlowStart};
 use crate::state::{Engine, Random};
 use crate::Controller;
 use std::collections::VecDeque;
@@ -166,7 +166,7 @@
     }
 
     /// Work that a cold engine may be sent within its window, by all gateways.
-    pub(crate) fn cold_budget(&self, now: Micros, e: &Engine, cold: &ColdStart) -> f64 {
+    pub(crate) fn cold_budget(&self, now: Micros, e: &Engine, cold: &SlowStart) -> f64 {
         let capacity = self.cores(e) * CAPACITY * self.warmth(now, e) * cold.window as f64;
         COLD_CARE * cold.multiple * capacity
     }
--- a/crates/scheduler/tests/fleet.rs
+++ b/crates/scheduler/tests/fleet.rs
@@ -144,7 +144,7 @@
 #[test]
 fn a_cold_engine_is_used_by_all_together_but_within_the_rule() {
     let mut cfg = fleet_settings();
-    cfg.cold = Some(ColdStart {
+    cfg.cold = Some(SlowStart {
         from: 0.3,
         warm_after: 12 * S,
         multiple: 2.5,
--- a/crates/scheduler/tests/slow_start.rs
+++ b/crates/scheduler/tests/slow_start.rs
@@ -20,7 +20,7 @@
         cores: Some(20.0),
         memory_mb: None,
     }];
-    s.cold = Some(ColdStart {
+    s.cold = Some(SlowStart {
         from: 0.5,
         warm_after: WARM_AFTER,
         multiple: 2.0,
--- a/crates/scheduler/tests/transcript.rs
+++ b/crates/scheduler/tests/transcript.rs
@@ -638,8 +638,8 @@
     ReportField::Disk,
 ];
 
-fn slow_start() -> ColdStart {
-    ColdStart {
+fn slow_start() -> SlowStart {
+    SlowStart {
         from: 0.3,
         warm_after: 6 * S,
         multiple: 2.0,
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -5,7 +5,7 @@
 pub mod json;
 
 use driftfront_scheduler::interface::{
-    Class, ColdStart, Effect, Kind, OutOfMemory, RepeatGroup, ReportField, RetryBudget, Settings,
+    Class, Effect, Kind, OutOfMemory, RepeatGroup, ReportField, RetryBudget, Settings, SlowStart,
     Tenant,
 };
 use json::Json;
@@ -60,7 +60,7 @@
     let cold = if contract.get("FallMultiple").is_null() {
         None
     } else {
-        Some(ColdStart {
+        Some(SlowStart {
             from: in_contract("ColdFrom")?,
             warm_after: in_contract("WarmUpUs")? as u64,
             multiple: in_contract("FallMultiple")?,
