--- a/crates/scheduler/src/choice.rs
+++ b/crates/scheduler/src/choice.rs
@@ -84,7 +84,7 @@
         };
         let learned = cfg.classes.iter().map(guess).collect();
         let quotas = vec![Bucket::default(); cfg.tenants.len()];
-        let share = 1.0 / f64::from(cfg.gateways.max(1));
+        let share = 1.0 / f64::from(cfg.coordinators.max(1));
         let (random, tally) = (
             Random(seed),
             Tally {
@@ -166,7 +166,7 @@
 
     /// This gateway's part of the fleet: its demand over all, taking the peers lately heard as a sample.
     fn learn_share(&self, now: Micros) -> f64 {
-        let n = f64::from(self.cfg.gateways.max(1));
+        let n = f64::from(self.cfg.coordinators.max(1));
         if self.peers.is_empty() || self.tally.demand <= 0.0 {
             let share = self.reported_share(now).unwrap_or(1.0 / n);
             return self.tally.share + SHARE_BLEND * (share - self.tally.share);
@@ -194,7 +194,7 @@
         let (own, all) = each.fold((0.0, 0.0), |sum, (own, active)| {
             (sum.0 + own, sum.1 + own.max(active))
         });
-        let others = f64::from(self.cfg.gateways) - 1.0;
+        let others = f64::from(self.cfg.coordinators) - 1.0;
         (!self.sliver() && all - own < ALONE * own * others).then_some(own / all)
     }
 
@@ -244,7 +244,7 @@
             .filter_map(|k| k.cores)
             .reduce(f64::max)
             .unwrap_or(CORES);
-        cores * BOUND_THREADS < f64::from(self.cfg.gateways)
+        cores * BOUND_THREADS < f64::from(self.cfg.coordinators)
     }
 
     /// Threads a core that an engine is held to.
@@ -865,7 +865,7 @@
             };
         let probes = (spend / self.cfg.probe_price.max(1e-9)).min(PROBE_MOST);
         self.tally.probes = (self.tally.probes + probes).min(self.engines.len() as f64);
-        self.tally.tells = (self.tally.tells + TELLS).min(f64::from(self.cfg.gateways));
+        self.tally.tells = (self.tally.tells + TELLS).min(f64::from(self.cfg.coordinators));
         let margin = ANSWER_MARGIN.max(2 * self.cfg.tick);
         if query.budget <= margin {
             return self.give_up(now, id, act);
@@ -1154,7 +1154,7 @@
     /// Tells as many peers as own queries pay for: own demand and the newest word of engines, which spreads.
     fn tell(&mut self, now: Micros, act: &mut Actions) {
         self.tally.last_tell = now;
-        let mut peers: Vec<u32> = (0..self.cfg.gateways)
+        let mut peers: Vec<u32> = (0..self.cfg.coordinators)
             .filter(|&g| g != self.cfg.number)
             .collect();
         let most = if self.sliver() {
--- a/crates/scheduler/src/interface.rs
+++ b/crates/scheduler/src/interface.rs
@@ -142,7 +142,7 @@
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// Gateways in all.
-    pub gateways: u32,
+    pub coordinators: u32,
     /// This gateway's own number among them, from 0.
     pub number: u32,
     /// This gateway's zone.
--- a/crates/scheduler/src/slow_start.rs
+++ b/crates/scheduler/src/slow_start.rs
@@ -116,7 +116,7 @@
         };
         // A sliver's part is under one query: chance decides there, not a sum.
         let bounded = !self.sliver() && self.warmth(now, e) < 1.0;
-        let part = self.cold_budget(now, e, &cold) / f64::from(self.cfg.gateways.max(1));
+        let part = self.cold_budget(now, e, &cold) / f64::from(self.cfg.coordinators.max(1));
         let Some(e) = self.engines.get_mut(&engine) else {
             return true;
         };
@@ -149,7 +149,7 @@
         let recent = e.cold_sends.planned_since(now.saturating_sub(cold.window));
         let (whole, weight) = (self.cold_budget(now, e, &cold), self.cold_weight(id));
         if !self.sliver() {
-            return recent + weight <= whole / f64::from(self.cfg.gateways.max(1));
+            return recent + weight <= whole / f64::from(self.cfg.coordinators.max(1));
         }
         // A sliver is under one query: each has a chance, all fill the budget; small ones have what is left.
         let fit = |work: f64| (COLD_WHOLE * whole / work).min(1.0).powi(3);
--- a/crates/scheduler/tests/common/mod.rs
+++ b/crates/scheduler/tests/common/mod.rs
@@ -26,7 +26,7 @@
 
 pub fn settings(classes: Vec<Class>) -> Settings {
     Settings {
-        gateways: 1,
+        coordinators: 1,
         number: 0,
         zone: 0,
         classes,
--- a/crates/scheduler/tests/crowd.rs
+++ b/crates/scheduler/tests/crowd.rs
@@ -22,7 +22,7 @@
         class(4 * S, 10.0, 4.0),
         class(4 * S, 5.0, 2.0),
     ]);
-    s.gateways = 100;
+    s.coordinators = 100;
     s.kinds = vec![
         Kind {
             cores: Some(8.0),
@@ -36,7 +36,7 @@
 
 fn paging() -> Settings {
     let mut s = sliver();
-    (s.gateways, s.out_of_memory) = (1, OutOfMemory::Page);
+    (s.coordinators, s.out_of_memory) = (1, OutOfMemory::Page);
     s.report_fields = vec![ReportField::Busy, ReportField::Memory];
     s
 }
@@ -405,7 +405,7 @@
 #[test]
 fn with_few_gateways_a_spill_is_no_reason_to_avoid_an_engine() {
     let mut s = sliver();
-    s.gateways = 1;
+    s.coordinators = 1;
     let mut rig = Rig::new(s, &[listed(1), listed(2)]);
     rig.report(1, &[0.1]);
     rig.report(2, &[0.9]);
@@ -438,7 +438,7 @@
     // pressure, which 9 active make, all of it is 4 x 2.2 + 1 = 9.8.
     let started = |others: f64| {
         let mut s = settings(vec![class(60 * S, 1.0, 1.0)]);
-        (s.gateways, s.report_fields) = (3, vec![ReportField::Active]);
+        (s.coordinators, s.report_fields) = (3, vec![ReportField::Active]);
         s.kinds[0].cores = Some(4.0);
         let mut rig = Rig::new(s, &[listed(1)]);
         let mut started = 0;
--- a/crates/scheduler/tests/fleet.rs
+++ b/crates/scheduler/tests/fleet.rs
@@ -16,10 +16,10 @@
 }
 
 impl Fleet {
-    fn new(gateways: u32, cfg: Settings, engines: &[Listed]) -> Fleet {
+    fn new(coordinators: u32, cfg: Settings, engines: &[Listed]) -> Fleet {
         let one = |number| {
             let settings = Settings {
-                gateways,
+                coordinators,
                 number,
                 ..cfg.clone()
             };
@@ -31,7 +31,7 @@
             );
             c
         };
-        let all = (0..gateways).map(one).collect();
+        let all = (0..coordinators).map(one).collect();
         Fleet {
             all,
             now: 100 * S,
@@ -42,14 +42,14 @@
             sent: vec![],
         }
     }
-    fn give(&mut self, gateway: usize, event: Event) {
+    fn give(&mut self, coordinator: usize, event: Event) {
         let mut act = Vec::new();
-        self.all[gateway].handle(self.now, event, &mut act);
+        self.all[coordinator].handle(self.now, event, &mut act);
         for a in act {
             match a {
                 Action::Send(q, e, _) => {
                     let class = (q.0 % 5 == 0) as u16;
-                    self.out.push((gateway, q, e.0, class));
+                    self.out.push((coordinator, q, e.0, class));
                     self.sent.push((self.now, e.0, class));
                 }
                 Action::Probe(_) => self.probes += 1,
@@ -60,7 +60,7 @@
         }
     }
     /// Every fifth query is of class 1, wide; the rest are of class 0.
-    fn arrive(&mut self, gateway: usize) {
+    fn arrive(&mut self, coordinator: usize) {
         let id = QueryId(self.next);
         self.next += 1;
         let class = (id.0 % 5 == 0) as u16;
@@ -78,7 +78,7 @@
             pin: None,
             budget: 20 * S,
         };
-        self.give(gateway, Event::Arrived(q));
+        self.give(coordinator, Event::Arrived(q));
     }
     fn tick(&mut self) {
         self.now += 50 * MS;
@@ -87,7 +87,7 @@
         }
     }
     fn finish(&mut self, n: usize) {
-        let (gateway, query, _, class) = self.out.remove(n);
+        let (coordinator, query, _, class) = self.out.remove(n);
         let work = Some(if class == 1 { 2e6 } else { 2e5 });
         let (outcome, spent) = (Outcome::Ok, if class == 1 { 500 * MS } else { 200 * MS });
         let end = Ended {
@@ -100,7 +100,7 @@
             memory_mb: None,
             report: &[0.5],
         };
-        self.give(gateway, Event::Ended(end));
+        self.give(coordinator, Event::Ended(end));
     }
 }
 
@@ -117,9 +117,9 @@
 
 #[test]
 fn probes_and_messages_are_paid_by_queries_however_many_gateways_and_engines() {
-    for (gateways, engines) in [(40, 10), (80, 40)] {
+    for (coordinators, engines) in [(40, 10), (80, 40)] {
         let list: Vec<Listed> = (1..=engines).map(listed).collect();
-        let mut f = Fleet::new(gateways, fleet_settings(), &list);
+        let mut f = Fleet::new(coordinators, fleet_settings(), &list);
         for _ in 0..1000 {
             let g = f.next as usize % f.all.len();
             f.arrive(g);
--- a/crates/scheduler/tests/golden.rs
+++ b/crates/scheduler/tests/golden.rs
@@ -21,9 +21,9 @@
 ];
 
 /// One of many coordinators, or of two; each engine has two cores.
-fn sender(gateways: u32, fields: &[ReportField], number: u32, seed: u64) -> Controller {
+fn sender(coordinators: u32, fields: &[ReportField], number: u32, seed: u64) -> Controller {
     let with = Settings {
-        gateways,
+        coordinators,
         number,
         may_message: true,
         report_fields: fields.to_vec(),
--- a/crates/scheduler/tests/rules.rs
+++ b/crates/scheduler/tests/rules.rs
@@ -269,7 +269,7 @@
 #[test]
 fn a_broken_connection_rests_its_engine_until_a_probe_answers() {
     let mut s = settings(vec![class(9 * S, 1.0, 1.0)]);
-    (s.may_probe, s.gateways) = (true, 2);
+    (s.may_probe, s.coordinators) = (true, 2);
     s.cold = Some(SlowStart {
         from: 0.3,
         warm_after: 10 * S,
@@ -365,7 +365,7 @@
 #[test]
 fn a_cold_engine_gets_no_more_than_its_part() {
     let mut s = settings(vec![class(60 * S, 1.0, 1.0)]);
-    s.gateways = 2;
+    s.coordinators = 2;
     s.cold = Some(SlowStart {
         from: 0.5,
         warm_after: 10 * S,
--- a/crates/scheduler/tests/transcript.rs
+++ b/crates/scheduler/tests/transcript.rs
@@ -116,7 +116,7 @@
                 made
             }
         };
-        let coordinators: Vec<Controller> = (0..settings.gateways.min(14)).map(make).collect();
+        let coordinators: Vec<Controller> = (0..settings.coordinators.min(14)).map(make).collect();
         let sim = |e: u64| {
             let line = Listed {
                 zone: (e % 3) as u16,
@@ -658,7 +658,7 @@
 /// Few coordinators with a large part of each engine, on few figures.
 fn few() -> Settings {
     Settings {
-        gateways: 3,
+        coordinators: 3,
         kinds: kinds(8.0),
         report_fields: LOAD_REPORT.to_vec(),
         max_attempts: Some(4),
@@ -670,7 +670,7 @@
 /// Many coordinators, so that each has a small part of each engine.
 fn many() -> Settings {
     Settings {
-        gateways: 14,
+        coordinators: 14,
         kinds: kinds(4.0),
         may_probe: true,
         may_message: true,
@@ -682,7 +682,7 @@
 #[test]
 fn transcript_of_a_lone_coordinator() {
     let alone = Settings {
-        gateways: 1,
+        coordinators: 1,
         ..few()
     };
     assert_golden!(
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -84,7 +84,7 @@
         .collect();
     let zone = number(root, "Zone")? as u16;
     Ok(Settings {
-        gateways: number(root, "Balancers")?.max(1.0) as u32,
+        coordinators: number(root, "Balancers")?.max(1.0) as u32,
         number: optional(root, "MyNumber")?.unwrap_or(0.0) as u32,
         zone,
         classes,
--- a/crates/settings/tests/golden.rs
+++ b/crates/settings/tests/golden.rs
@@ -8,7 +8,7 @@
 /// What was read, a line for each key of the settings.
 fn text(s: &Settings) -> String {
     let mut t = String::new();
-    let _ = writeln!(t, "Balancers {}", s.gateways);
+    let _ = writeln!(t, "Balancers {}", s.coordinators);
     let _ = writeln!(t, "MyNumber {}", s.number);
     let _ = writeln!(t, "Zone {}", s.zone);
     for (i, c) in s.classes.iter().enumerate() {
