--- a/crates/coordinator/src/node/mod.rs
+++ b/crates/coordinator/src/node/mod.rs
@@ -25,7 +25,7 @@
 use calloop::{EventLoop, Interest, LoopHandle, Mode, PostAction, Readiness, RegistrationToken};
 use driftfront_core::lifecycle::Lifecycle;
 use driftfront_core::{AttemptKey, Command, Core, EngineId, ListKind, Micros, Phase, RequestId};
-use driftfront_engine_registry::{Change, Roster};
+use driftfront_engine_registry::{Change, EngineRegistry};
 use driftfront_scheduler::interface::Effect;
 use driftfront_settings::json::Json;
 use std::collections::BTreeMap;
@@ -68,7 +68,7 @@
     paused: usize,
     /// Results under way that come as they are made, at the last sweep.
     streams: usize,
-    roster: Roster,
+    roster: EngineRegistry,
     /// What is kept for operators, where the operator's file asks for that.
     control: Option<control::Control>,
     operators: Vec<control::Listener>,
@@ -149,7 +149,7 @@
             checks: BTreeMap::new(),
             paused: 0,
             streams: 0,
-            roster: Roster::new(),
+            roster: EngineRegistry::new(),
             control: None,
             operators: Vec::new(),
             feed: discovery_client::Feed::new(
--- a/crates/coordinator/tests/wires.rs
+++ b/crates/coordinator/tests/wires.rs
@@ -9,7 +9,7 @@
 use driftfront_core::{
     AttemptKey, AttemptReport, Cause, ListKind, ParsedRequest, Phase, RequestId,
 };
-use driftfront_engine_registry::{Change, Roster};
+use driftfront_engine_registry::{Change, EngineRegistry};
 use driftfront_http::{
     chunk, Fault, Request, RequestReader, ResponsePart, ResponseReader, LAST_CHUNK,
 };
@@ -439,12 +439,12 @@
     assert_eq!(connection(""), ("8".into(), false, 0));
 }
 
-fn apply(roster: &mut Roster, text: &str) -> Change {
+fn apply(roster: &mut EngineRegistry, text: &str) -> Change {
     let json: JsonValue = format!("{{\"endpoints\":{text}}}").parse().expect("JSON");
     take(roster, &json)
 }
 
-fn take(roster: &mut Roster, update: &JsonValue) -> Change {
+fn take(roster: &mut EngineRegistry, update: &JsonValue) -> Change {
     let names = (["a".to_string(), "b".to_string()], ["std-8".to_string()]);
     let told = read(&names.0, &names.1, Json(Some(update))).expect("an update");
     roster.source(told.kind, told.facts)
@@ -452,7 +452,7 @@
 
 #[test]
 fn engines_are_told_apart_by_instance_not_by_address() {
-    let mut table = Roster::new();
+    let mut table = EngineRegistry::new();
     let line = |id: &str, phase: &str, more: &str| {
         format!("{{\"instanceId\":\"{id}\",\"hostPort\":\"127.0.0.1:9\",\"zone\":\"b\",\"lifecycle\":\"{phase}\"{more}}}")
     };
@@ -515,7 +515,7 @@
     let range = r#"{"header":{"revision":"41"},"kvs":[{"key":"L2UveA==","value":"eyJob3N0UG9ydCI6IjEyNy4wLjAuMTo5In0="}]}"#;
     etcd.feed(answer(range).as_bytes(), &mut out, &mut updates)
         .unwrap();
-    let mut table = Roster::new();
+    let mut table = EngineRegistry::new();
     let change = take(&mut table, &updates.remove(0));
     assert_eq!(
         (change.kind, change.lines[0].phase),
--- a/crates/engine-registry/src/lib.rs
+++ b/crates/engine-registry/src/lib.rs
@@ -208,7 +208,7 @@
 
 /// The engines of one program.
 #[derive(Clone, Debug, Default)]
-pub struct Roster {
+pub struct EngineRegistry {
     entries: BTreeMap<String, Entry>,
     addrs: BTreeMap<EngineId, SocketAddr>,
     names: BTreeMap<EngineId, String>,
@@ -222,10 +222,10 @@
     pub left_out: u64,
 }
 
-impl Roster {
+impl EngineRegistry {
     /// An empty one.
-    pub fn new() -> Roster {
-        Roster::default()
+    pub fn new() -> EngineRegistry {
+        EngineRegistry::default()
     }
 
     /// Where an engine listens.
--- a/crates/engine-registry/tests/bans.rs
+++ b/crates/engine-registry/tests/bans.rs
@@ -1,6 +1,6 @@
 //! Engines taken out and put back by name, whatever lists say.
 
-use driftfront_engine_registry::{Fact, Refusal, Roster, NAMES_MOST};
+use driftfront_engine_registry::{EngineRegistry, Fact, Refusal, NAMES_MOST};
 use driftfront_scheduler::interface::{ListKind, Phase};
 use quickcheck::{Gen, QuickCheck};
 
@@ -19,7 +19,7 @@
 
 #[test]
 fn an_engine_that_is_put_back_counts_as_just_started_unless_the_list_knows_of_a_later_start() {
-    let mut roster = Roster::new();
+    let mut roster = EngineRegistry::new();
     roster.source(
         ListKind::Whole,
         vec![fact("a", Phase::Ready, None), fact("b", Phase::Ready, None)],
@@ -43,7 +43,7 @@
 
 #[test]
 fn an_engine_that_is_gone_can_be_taken_out_and_one_that_never_was_can_not() {
-    let mut roster = Roster::new();
+    let mut roster = EngineRegistry::new();
     let change = roster.source(ListKind::Whole, vec![fact("a", Phase::Ready, None)]);
     roster.source(ListKind::Changes, vec![fact("a", Phase::Gone, None)]);
     roster.forget(change.lines[0].engine);
@@ -96,7 +96,7 @@
             .map(|n| fact(&format!("e{n}"), Phase::Ready, None))
             .collect::<Vec<_>>()
     };
-    let mut two = [Roster::new(), Roster::new()];
+    let mut two = [EngineRegistry::new(), EngineRegistry::new()];
     two.iter_mut()
         .for_each(|r| drop(r.source(ListKind::Whole, lines())));
     let mut last = [Phase::Ready; 3];
@@ -127,7 +127,7 @@
         drop(two[1 - which].merge(&word));
         drop(two[which].merge(&before));
     }
-    let phases = |r: &Roster| r.engines().iter().map(|e| e.phase).collect::<Vec<_>>();
+    let phases = |r: &EngineRegistry| r.engines().iter().map(|e| e.phase).collect::<Vec<_>>();
     phases(&two[0]) == last && phases(&two[1]) == last
 }
 
--- a/crates/engine-registry/tests/golden.rs
+++ b/crates/engine-registry/tests/golden.rs
@@ -4,7 +4,7 @@
 use driftfront_engine_registry::record::{self, Record};
 use driftfront_engine_registry::roll::{Act, EngineSight, Roll, Sight, Stage};
 use driftfront_engine_registry::{hash, phase_word, standing_words};
-use driftfront_engine_registry::{Command, Fact, Order, Refusal, Roster, Standing};
+use driftfront_engine_registry::{Command, EngineRegistry, Fact, Order, Refusal, Standing};
 use driftfront_scheduler::interface::{ListKind, Phase};
 use driftfront_test_support::{assert_golden, read_golden};
 use std::fmt::Write as _;
@@ -233,7 +233,7 @@
     for name in ["", "a", "engine-1", "engine-é", "s-00c41f7a"] {
         let _ = writeln!(text, "hash {name:?}: {:016x}", hash(name.as_bytes()));
     }
-    let mut roster = Roster::new();
+    let mut roster = EngineRegistry::new();
     let addr = Some("127.0.0.1:1000");
     roster.source(
         ListKind::Whole,
@@ -264,7 +264,7 @@
 
 #[test]
 fn commands_are_answered_as_before() {
-    let mut roster = Roster::new();
+    let mut roster = EngineRegistry::new();
     let mut text = String::new();
     let addr = Some("127.0.0.1:1000");
     let change = roster.source(
--- a/crates/engine-registry/tests/model.rs
+++ b/crates/engine-registry/tests/model.rs
@@ -1,7 +1,7 @@
 //! The roster against random sources, commands and restarts.
 
 use driftfront_engine_registry::record::{self, Record};
-use driftfront_engine_registry::{Command, Fact, Order, Roster};
+use driftfront_engine_registry::{Command, EngineRegistry, Fact, Order};
 use driftfront_scheduler::interface::{EngineId, ListKind, Phase};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use std::collections::BTreeMap;
@@ -104,7 +104,8 @@
 }
 
 fn holds(steps: Vec<Step>) -> bool {
-    let (mut roster, mut module, mut plain) = (Roster::new(), Module::default(), Plain::default());
+    let (mut roster, mut module, mut plain) =
+        (EngineRegistry::new(), Module::default(), Plain::default());
     let mut file = record::file(&[]);
     for (n, step) in steps.into_iter().enumerate() {
         let mut change = None;
@@ -138,7 +139,7 @@
                 }
                 let read = record::read(&file).expect("ours");
                 file.truncate(read.well.max(record::HEADER.len()));
-                roster = Roster::new();
+                roster = EngineRegistry::new();
                 module = Module::default();
                 plain.source.clear();
                 change = Some(roster.restore(read.records));
