--- a/crates/coordinator/src/state.rs
+++ b/crates/coordinator/src/state.rs
@@ -118,11 +118,11 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use driftfront_engine_registry::{Order, Standing};
+    use driftfront_engine_registry::{ActiveOrder, Order};
     use std::sync::mpsc::channel;
 
     fn order(n: u64) -> Record {
-        let standing = Standing {
+        let standing = ActiveOrder {
             order: Order::Drain,
             since: n,
             by: "operator".into(),
--- a/crates/engine-registry/src/handover.rs
+++ b/crates/engine-registry/src/handover.rs
@@ -7,7 +7,7 @@
 //! The file is [`HEADER`], then length and checksum (CRC-32) of the rest, both `u32` little endian, then lines of words
 //! parted by tabs. A file that is not whole to the last byte counts as none.
 
-use crate::{Order, Standing, NAME_MOST};
+use crate::{ActiveOrder, Order, NAME_MOST};
 use driftfront_scheduler::interface::Micros;
 use std::collections::BTreeMap;
 use std::fmt;
@@ -23,7 +23,7 @@
     /// It serves: those that started before it leave new connections to it.
     pub ready: bool,
     /// Orders that stand.
-    pub orders: BTreeMap<String, Standing>,
+    pub orders: BTreeMap<String, ActiveOrder>,
     /// Orders that were lifted, and when.
     pub lifted: BTreeMap<String, Micros>,
     /// Engines that were ever listed.
@@ -132,7 +132,7 @@
             } else {
                 Order::Remove
             };
-            let standing = Standing {
+            let standing = ActiveOrder {
                 order,
                 since: since.parse().ok()?,
                 by: by.into(),
@@ -152,7 +152,7 @@
     use quickcheck::{Gen, QuickCheck};
 
     fn word() -> Word {
-        let standing = |order, since| Standing {
+        let standing = |order, since| ActiveOrder {
             order,
             since,
             by: "the second address".into(),
--- a/crates/engine-registry/src/lib.rs
+++ b/crates/engine-registry/src/lib.rs
@@ -66,7 +66,7 @@
 
 /// An order that stands.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Standing {
+pub struct ActiveOrder {
     /// What was ordered.
     pub order: Order,
     /// When, as Unix microseconds.
@@ -191,7 +191,7 @@
     /// An operator added it.
     pub added: bool,
     /// The order that stands.
-    pub standing: Option<Standing>,
+    pub standing: Option<ActiveOrder>,
 }
 
 #[derive(Clone, Debug)]
@@ -212,7 +212,7 @@
     entries: BTreeMap<String, Entry>,
     addrs: BTreeMap<EngineId, SocketAddr>,
     names: BTreeMap<EngineId, String>,
-    orders: BTreeMap<String, Standing>,
+    orders: BTreeMap<String, ActiveOrder>,
     /// When orders were lifted: the engine may have been started anew meanwhile, whatever the list says by then.
     lifted: BTreeMap<String, Micros>,
     /// Names that were ever listed, and in which order they came.
@@ -252,7 +252,7 @@
     }
 
     /// Orders that stand, by engine.
-    pub fn orders(&self) -> &BTreeMap<String, Standing> {
+    pub fn orders(&self) -> &BTreeMap<String, ActiveOrder> {
         &self.orders
     }
 
@@ -598,7 +598,7 @@
             return Err(Refusal::TooMany);
         }
         let since = self.after_last_order(now, engine);
-        let standing = Standing {
+        let standing = ActiveOrder {
             order,
             since,
             by: by.into(),
@@ -813,7 +813,7 @@
 }
 
 /// An order that stands, in words.
-pub fn standing_words(standing: &Standing) -> String {
+pub fn standing_words(standing: &ActiveOrder) -> String {
     match standing.order {
         Order::Drain => format!("was drained before, by {}", standing.by),
         Order::Remove => format!("was removed, by {}", standing.by),
--- a/crates/engine-registry/src/record.rs
+++ b/crates/engine-registry/src/record.rs
@@ -5,7 +5,7 @@
 //! spoilt tail, to be cut. So a power cut at any byte leaves the records before it.
 
 use crate::roll::Roll;
-use crate::{Fact, Order, Standing};
+use crate::{ActiveOrder, Fact, Order};
 use driftfront_scheduler::interface::Phase;
 
 /// The file's beginning: what it is, and the version of its form.
@@ -23,7 +23,7 @@
         /// The engine.
         engine: String,
         /// The order.
-        standing: Standing,
+        standing: ActiveOrder,
     },
     /// No order about this engine stands any more.
     Lifted {
@@ -190,7 +190,7 @@
             let by = next()?.to_string();
             Some(Record::Ordered {
                 engine,
-                standing: Standing { order, since, by },
+                standing: ActiveOrder { order, since, by },
             })
         }
         "lift" => Some(Record::Lifted {
@@ -231,7 +231,7 @@
     use super::*;
 
     fn records() -> Vec<Record> {
-        let standing = |order| Standing {
+        let standing = |order| ActiveOrder {
             order,
             since: 1_764_000_000_000_000,
             by: "operator".into(),
--- a/crates/engine-registry/tests/golden.rs
+++ b/crates/engine-registry/tests/golden.rs
@@ -4,15 +4,15 @@
 use driftfront_engine_registry::record::{self, Record};
 use driftfront_engine_registry::roll::{Act, EngineSight, Roll, Sight, Stage};
 use driftfront_engine_registry::{hash, phase_word, standing_words};
-use driftfront_engine_registry::{Command, EngineRegistry, Fact, Order, Refusal, Standing};
+use driftfront_engine_registry::{ActiveOrder, Command, EngineRegistry, Fact, Order, Refusal};
 use driftfront_scheduler::interface::{ListKind, Phase};
 use driftfront_test_support::{assert_golden, read_golden};
 use std::fmt::Write as _;
 
 const SECOND: u64 = 1_000_000;
 
-fn standing(order: Order, by: &str) -> Standing {
-    Standing {
+fn standing(order: Order, by: &str) -> ActiveOrder {
+    ActiveOrder {
         order,
         since: 1_764_000_000_000_000,
         by: by.into(),
