--- a/crates/coordinator/src/node/control/orders.rs
+++ b/crates/coordinator/src/node/control/orders.rs
@@ -5,7 +5,7 @@
 use driftfront_control::Reply;
 use driftfront_core::Micros;
 use driftfront_engine_registry::record::Record;
-use driftfront_engine_registry::roll::{Act, Roll, Sight};
+use driftfront_engine_registry::roll::{Act, ObservedState, Roll};
 use driftfront_engine_registry::Command as Order;
 
 impl Node {
@@ -148,7 +148,7 @@
         conn: ConnId,
         id: u64,
         none: &str,
-        how: impl FnOnce(&mut Roll, &Sight) -> Vec<Act>,
+        how: impl FnOnce(&mut Roll, &ObservedState) -> Vec<Act>,
     ) {
         let sight = self.sight(now);
         let acts = self
--- a/crates/coordinator/src/node/control/views.rs
+++ b/crates/coordinator/src/node/control/views.rs
@@ -7,7 +7,7 @@
 use driftfront_control::Field;
 use driftfront_core::lifecycle::State;
 use driftfront_core::{EngineId, Micros, Phase};
-use driftfront_engine_registry::roll::{EngineSight, Sight};
+use driftfront_engine_registry::roll::{EngineSnapshot, ObservedState};
 use driftfront_engine_registry::{phase_word, Order as Ordered};
 use std::collections::BTreeMap;
 
@@ -48,7 +48,7 @@
         running
     }
 
-    pub(super) fn sight(&self, now: Micros) -> Sight {
+    pub(super) fn sight(&self, now: Micros) -> ObservedState {
         let running = self.running();
         let cores = |kind: u16| {
             let kind = self.config.settings.kinds.get(usize::from(kind));
@@ -72,7 +72,7 @@
         let engines = seen.iter().filter(|e| e.phase != Phase::Gone).map(|e| {
             let there = running.get(&e.id).copied().unwrap_or_default();
             let up = self.engines.values().any(|c| c.is_up_on(e.id));
-            EngineSight {
+            EngineSnapshot {
                 name: e.name.clone(),
                 ready: e.phase == Phase::Ready,
                 drained: e
@@ -102,7 +102,7 @@
             asked += priority_weight(n) * sum.asked as f64;
             got += priority_weight(n) * sum.in_time as f64;
         }
-        Sight {
+        ObservedState {
             engines,
             service: (asked > 0.0).then(|| got / asked),
             load: busy / whole.max(1.0),
--- a/crates/engine-registry/src/roll.rs
+++ b/crates/engine-registry/src/roll.rs
@@ -69,9 +69,9 @@
 
 /// What the host sees of the engines, for one step.
 #[derive(Clone, Debug, Default)]
-pub struct Sight {
+pub struct ObservedState {
     /// The engines of the roll and all others that take work.
-    pub engines: Vec<EngineSight>,
+    pub engines: Vec<EngineSnapshot>,
     /// Share of the worth asked for that was served lately, if anything was asked.
     pub service: Option<f64>,
     /// Share of all engines' capacity that the load uses lately.
@@ -80,7 +80,7 @@
 
 /// One engine, for one step.
 #[derive(Clone, Debug)]
-pub struct EngineSight {
+pub struct EngineSnapshot {
     /// Its name.
     pub name: String,
     /// It takes work.
@@ -165,7 +165,7 @@
     }
 
     /// An operator lets it go on.
-    pub fn go_on(&mut self, now: Micros, sight: &Sight) -> Vec<Act> {
+    pub fn go_on(&mut self, now: Micros, sight: &ObservedState) -> Vec<Act> {
         let mut acts = Vec::new();
         if self.stage != Stage::Stopped {
             return acts;
@@ -200,7 +200,7 @@
     }
 
     /// One look at things; time is an argument.
-    pub fn step(&mut self, now: Micros, sight: &Sight) -> Vec<Act> {
+    pub fn step(&mut self, now: Micros, sight: &ObservedState) -> Vec<Act> {
         let mut acts = Vec::new();
         if sight.engines.is_empty() {
             // No list has come yet, as after a restart: nothing can be told of any engine.
@@ -326,7 +326,7 @@
     }
 
     /// Why an engine can't be taken out now, if it can't.
-    fn barred(&self, engine: &EngineSight, sight: &Sight) -> Option<String> {
+    fn barred(&self, engine: &EngineSnapshot, sight: &ObservedState) -> Option<String> {
         let others = || sight.engines.iter().filter(|e| e.name != engine.name);
         // One that is out already, by whomever, is waited for: never two at once.
         if let Some(out) = others().find(|e| e.drained || !e.ready) {
@@ -354,7 +354,7 @@
     }
 
     /// What it would do, a line each.
-    pub fn plan(&self, sight: &Sight) -> Vec<String> {
+    pub fn plan(&self, sight: &ObservedState) -> Vec<String> {
         let mut lines = Vec::new();
         for (n, name) in self.left.iter().enumerate() {
             let Some(engine) = sight.engines.iter().find(|e| e.name == *name) else {
@@ -436,8 +436,8 @@
 
     const S: Micros = 1_000_000;
 
-    fn engine(name: &str, zone: u16) -> EngineSight {
-        EngineSight {
+    fn engine(name: &str, zone: u16) -> EngineSnapshot {
+        EngineSnapshot {
             name: name.into(),
             ready: true,
             drained: false,
@@ -450,21 +450,21 @@
         }
     }
 
-    fn sight() -> Sight {
+    fn sight() -> ObservedState {
         let engines = vec![
             engine("a", 0),
             engine("b", 0),
             engine("c", 1),
             engine("d", 1),
         ];
-        Sight {
+        ObservedState {
             engines,
             service: Some(0.95),
             load: 0.4,
         }
     }
 
-    fn apply(sight: &mut Sight, acts: &[Act]) {
+    fn apply(sight: &mut ObservedState, acts: &[Act]) {
         for act in acts {
             let (Act::Drain(name) | Act::Resume(name)) = act else {
                 continue;
@@ -479,7 +479,7 @@
         }
     }
 
-    fn set(sight: &mut Sight, name: &str, how: impl FnOnce(&mut EngineSight)) {
+    fn set(sight: &mut ObservedState, name: &str, how: impl FnOnce(&mut EngineSnapshot)) {
         how(sight
             .engines
             .iter_mut()
@@ -526,7 +526,7 @@
         let mut out = sight();
         set(&mut out, "b", |e| e.drained = true);
         assert!(roll.step(2 * S, &out).is_empty() && roll.why.contains("same building"));
-        let alone = Sight {
+        let alone = ObservedState {
             engines: vec![engine("a", 0)],
             ..sight()
         };
--- a/crates/engine-registry/tests/golden.rs
+++ b/crates/engine-registry/tests/golden.rs
@@ -2,7 +2,7 @@
 
 use driftfront_engine_registry::handover::{self, Word};
 use driftfront_engine_registry::record::{self, Record};
-use driftfront_engine_registry::roll::{Act, EngineSight, Roll, Sight, Stage};
+use driftfront_engine_registry::roll::{Act, EngineSnapshot, ObservedState, Roll, Stage};
 use driftfront_engine_registry::{hash, phase_word, standing_words};
 use driftfront_engine_registry::{ActiveOrder, Command, EngineRegistry, Fact, Order, Refusal};
 use driftfront_scheduler::interface::{ListKind, Phase};
@@ -342,8 +342,8 @@
     assert_golden!("commands.txt", text);
 }
 
-fn engine(name: &str, zone: u16) -> EngineSight {
-    EngineSight {
+fn engine(name: &str, zone: u16) -> EngineSnapshot {
+    EngineSnapshot {
         name: name.into(),
         ready: true,
         drained: false,
@@ -356,8 +356,8 @@
     }
 }
 
-fn sight() -> Sight {
-    Sight {
+fn sight() -> ObservedState {
+    ObservedState {
         engines: vec![
             engine("a", 0),
             engine("b", 0),
@@ -372,7 +372,7 @@
 /// A rolling restart, its engines, and what was said of it.
 struct Script {
     roll: Roll,
-    sight: Sight,
+    sight: ObservedState,
     text: String,
 }
 
@@ -386,7 +386,7 @@
         }
     }
 
-    fn set(&mut self, name: &str, how: impl FnOnce(&mut EngineSight)) {
+    fn set(&mut self, name: &str, how: impl FnOnce(&mut EngineSnapshot)) {
         let engine = self.sight.engines.iter_mut().find(|e| e.name == name);
         how(engine.expect("known"));
     }
--- a/crates/engine-registry/tests/roll.rs
+++ b/crates/engine-registry/tests/roll.rs
@@ -1,14 +1,14 @@
 //! A roll that goes on in a new process, whose clock has nothing to do with the last one's.
 
-use driftfront_engine_registry::roll::{Act, EngineSight, Roll, Sight};
+use driftfront_engine_registry::roll::{Act, EngineSnapshot, ObservedState, Roll};
 
 const SECOND: u64 = 1_000_000;
 const HOUR: u64 = 3_600 * SECOND;
 /// Longer than an engine gets warm.
 const LONG: u64 = 20 * SECOND;
 
-fn sight(drained: bool) -> Sight {
-    let engine = |name: &str| EngineSight {
+fn sight(drained: bool) -> ObservedState {
+    let engine = |name: &str| EngineSnapshot {
         name: name.into(),
         ready: !drained || name != "a",
         drained: drained && name == "a",
@@ -19,7 +19,7 @@
         zone: 0,
         part: 0.3,
     };
-    Sight {
+    ObservedState {
         engines: ["a", "b", "c"].map(engine).to_vec(),
         service: Some(0.9),
         load: 0.3,
