--- a/crates/cluster-harness/src/lib.rs
+++ b/crates/cluster-harness/src/lib.rs
@@ -50,7 +50,7 @@
 }
 
 /// Processes, and the network between them.
-pub struct Rig {
+pub struct ClusterHarness {
     /// The network.
     pub net: Net,
     script: Script,
@@ -66,21 +66,25 @@
 
 static RIGS: std::sync::atomic::AtomicUsize = std::sync::atomic::AtomicUsize::new(0);
 
-impl Rig {
+impl ClusterHarness {
     /// Starts a script's members: processes of this program, in front of an engine at this address.
-    pub fn start(binary: &str, engine: &str, script: &str) -> Rig {
-        Rig::of(binary, engine, Script::read(script).expect("a script"))
+    pub fn start(binary: &str, engine: &str, script: &str) -> ClusterHarness {
+        ClusterHarness::of(binary, engine, Script::read(script).expect("a script"))
     }
 
     /// The same of a script that is read.
-    pub fn of(binary: &str, engine: &str, script: Script) -> Rig {
+    pub fn of(binary: &str, engine: &str, script: Script) -> ClusterHarness {
         let engines = vec![("engine-1".to_string(), engine.parse().expect("an address"))];
-        Rig::between(binary, engines, script, false)
+        ClusterHarness::between(binary, engines, script, false)
     }
 
     /// With links between the members and these engines, too: `e0` is the first.
-    pub fn with_engines(binary: &str, engines: Vec<(String, SocketAddr)>, script: &str) -> Rig {
-        Rig::between(
+    pub fn with_engines(
+        binary: &str,
+        engines: Vec<(String, SocketAddr)>,
+        script: &str,
+    ) -> ClusterHarness {
+        ClusterHarness::between(
             binary,
             engines,
             Script::read(script).expect("a script"),
@@ -93,7 +97,7 @@
         engines: Vec<(String, SocketAddr)>,
         script: Script,
         wired: bool,
-    ) -> Rig {
+    ) -> ClusterHarness {
         let n = RIGS.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
         let folder =
             std::env::temp_dir().join(format!("driftfront-rig-{}-{n}", std::process::id()));
@@ -102,7 +106,7 @@
         let net = Net::start(script.members, count, script.zones, script.seed);
         let addrs: Vec<SocketAddr> = engines.iter().map(|e| e.1).collect();
         let wires = wired.then(|| Wires::start(script.members, &addrs, &net));
-        let mut rig = Rig {
+        let mut rig = ClusterHarness {
             net,
             processes: Vec::new(),
             script,
@@ -434,7 +438,7 @@
     }
 }
 
-impl Drop for Rig {
+impl Drop for ClusterHarness {
     fn drop(&mut self) {
         self.processes.clear();
         self.net.end();
--- a/crates/cluster-harness/src/main.rs
+++ b/crates/cluster-harness/src/main.rs
@@ -1,6 +1,6 @@
 //! Storms of faults over processes of the program, then quiet: how long until all have one view again.
 
-use driftfront_cluster_harness::{Request, Rig};
+use driftfront_cluster_harness::{ClusterHarness, Request};
 use driftfront_cluster_simulation::{fault_scenario, percentile};
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -31,10 +31,10 @@
 /// What the fleet costs each process that has nothing else to do.
 fn cost(binary: &str, members: u32, seconds: u64) {
     let script = format!("members {members}");
-    let mut rig = Rig::start(binary, "127.0.0.1:9", &script);
+    let mut rig = ClusterHarness::start(binary, "127.0.0.1:9", &script);
     let all: Vec<u32> = (0..members).collect();
     rig.wait_until_seen(&all, &all);
-    let sum = |rig: &mut Rig| {
+    let sum = |rig: &mut ClusterHarness| {
         let mut sum = [0u64; 4];
         for m in 0..members {
             let (memory, ticks) = rig.process(m).usage();
@@ -114,7 +114,7 @@
         } else {
             "members 1"
         };
-        let rig = Rig::start(binary, "127.0.0.1:9", script);
+        let rig = ClusterHarness::start(binary, "127.0.0.1:9", script);
         if turn % 2 == 0 {
             rig.wait_until_seen(&[0, 1, 2, 3, 4], &[0, 1, 2, 3, 4]);
             rig.wait_for_leader(&[0, 1, 2], None);
@@ -194,7 +194,7 @@
     for seed in first..first + runs {
         let mut script = fault_scenario::storm(members, seed, false);
         (script.voters, script.keeps) = (voters, keeps);
-        let mut rig = Rig::of(binary, "127.0.0.1:9", script);
+        let mut rig = ClusterHarness::of(binary, "127.0.0.1:9", script);
         if let Some(last) = &last {
             for m in voters..members {
                 rig.give_build(m, last);
@@ -371,7 +371,7 @@
     let all: Vec<u32> = (0..members).collect();
     let (mut took, mut never): (Vec<u64>, Vec<u64>) = (Vec::new(), Vec::new());
     for seed in first..first + runs {
-        let mut rig = Rig::of(
+        let mut rig = ClusterHarness::of(
             &binary,
             "127.0.0.1:9",
             fault_scenario::storm(members, seed, false),
@@ -379,7 +379,7 @@
         rig.play();
         let quiet = Instant::now();
         let owed = Duration::from_micros(fault_scenario::OWED);
-        let agree = |rig: &Rig| all.iter().all(|&m| rig.sees_just(m, &all));
+        let agree = |rig: &ClusterHarness| all.iter().all(|&m| rig.sees_just(m, &all));
         loop {
             if agree(&rig) {
                 took.push(quiet.elapsed().as_micros() as u64);
--- a/crates/cluster-harness/tests/golden.rs
+++ b/crates/cluster-harness/tests/golden.rs
@@ -2,7 +2,7 @@
 //! files.
 
 use driftfront_cluster_harness::soak::{Breach, Plan, Report};
-use driftfront_cluster_harness::Rig;
+use driftfront_cluster_harness::ClusterHarness;
 use driftfront_test_support::assert_golden;
 use std::fmt::Write;
 use std::path::{Path, PathBuf};
@@ -116,7 +116,7 @@
         "members 2\nvoters 1",
     ];
     for script in scripts {
-        let mut rig = Rig::start(binary.to_str().unwrap(), "127.0.0.1:9", script);
+        let mut rig = ClusterHarness::start(binary.to_str().unwrap(), "127.0.0.1:9", script);
         let members = script.as_bytes()[8] - b'0';
         let socket = rig.control(0);
         let own = socket.parent().unwrap().to_str().unwrap();
--- a/crates/coordinator/tests/agreed.rs
+++ b/crates/coordinator/tests/agreed.rs
@@ -1,11 +1,11 @@
 //! What several processes of the program agree on, with faults between them. Waits are for what they say.
 
-use driftfront_cluster_harness::{Agreed, Request, Rig};
+use driftfront_cluster_harness::{Agreed, ClusterHarness, Request};
 use driftfront_mock_servers::engine::{Engine, Options};
 use driftfront_mock_servers::ledger::Ledger;
 use std::sync::Arc;
 
-fn rig(script: &str) -> (Rig, Engine) {
+fn rig(script: &str) -> (ClusterHarness, Engine) {
     let engine = Engine::start(
         Options {
             name: "engine-1".into(),
@@ -13,7 +13,7 @@
         },
         Arc::new(Ledger::default()),
     );
-    let rig = Rig::start(
+    let rig = ClusterHarness::start(
         env!("CARGO_BIN_EXE_driftfront"),
         &engine.addr().to_string(),
         script,
@@ -22,7 +22,7 @@
 }
 
 /// Asks until it is held: nothing is lent for ten seconds after a founding, and a leader may be new.
-fn held(rig: &Rig, by: u32, name: &str, for_s: u64) -> u64 {
+fn held(rig: &ClusterHarness, by: u32, name: &str, for_s: u64) -> u64 {
     let since = std::time::Instant::now();
     loop {
         let said = rig.hold(by, name, for_s);
@@ -45,7 +45,7 @@
 }
 
 /// Waits until this one knows that these are held, and nothing else.
-fn wait_until_held(rig: &Rig, by: u32, names: &[&str]) {
+fn wait_until_held(rig: &ClusterHarness, by: u32, names: &[&str]) {
     wait_until(rig, by, &format!("{names:?}"), |a| {
         let mut holds: Vec<&str> = a.holds.iter().map(|h| h.name.as_str()).collect();
         holds.sort();
@@ -53,7 +53,7 @@
     });
 }
 
-fn wait_until(rig: &Rig, of: u32, what: &str, holds: impl Fn(&Agreed) -> bool) {
+fn wait_until(rig: &ClusterHarness, of: u32, what: &str, holds: impl Fn(&Agreed) -> bool) {
     let since = std::time::Instant::now();
     while !rig.agreed(of).is_some_and(|a| holds(&a)) {
         let late = || {
@@ -72,7 +72,7 @@
     }
 }
 
-fn wait_until_part(rig: &Rig, of: u32, part: &str) {
+fn wait_until_part(rig: &ClusterHarness, of: u32, part: &str) {
     wait_until(rig, of, part, |a| a.part == part);
 }
 
--- a/crates/coordinator/tests/faults.rs
+++ b/crates/coordinator/tests/faults.rs
@@ -2,7 +2,7 @@
 //! engines by their ledger, at the clients by what they got.
 
 use driftfront_cluster_harness::load::{counts, Got, Load, Plan};
-use driftfront_cluster_harness::Rig;
+use driftfront_cluster_harness::ClusterHarness;
 use driftfront_mock_servers::engine::{Engine, Options};
 use driftfront_mock_servers::ledger::Ledger;
 use std::collections::BTreeMap;
@@ -23,20 +23,20 @@
     ((0..n).map(engine).collect(), ledger)
 }
 
-fn rig(script: &str, engines: &[Engine]) -> Rig {
+fn rig(script: &str, engines: &[Engine]) -> ClusterHarness {
     let named = engines
         .iter()
         .map(|e| (e.name().to_string(), e.addr()))
         .collect();
-    Rig::with_engines(env!("CARGO_BIN_EXE_driftfront"), named, script)
+    ClusterHarness::with_engines(env!("CARGO_BIN_EXE_driftfront"), named, script)
 }
 
-fn clients(rig: &Rig, members: u32, plan: &Plan) -> Load {
+fn clients(rig: &ClusterHarness, members: u32, plan: &Plan) -> Load {
     let addrs: BTreeMap<_, _> = (0..members).map(|m| (m, rig.clients(m))).collect();
     Load::start(addrs, plan)
 }
 
-fn wait_until_done(rig: &Rig, load: &Load, least: usize) {
+fn wait_until_done(rig: &ClusterHarness, load: &Load, least: usize) {
     let since = std::time::Instant::now();
     while load.done() < least {
         assert!(
--- a/crates/coordinator/tests/fleet.rs
+++ b/crates/coordinator/tests/fleet.rs
@@ -3,14 +3,14 @@
 use driftfront_cluster::message_authentication::{Payload, Seal};
 use driftfront_cluster::{About, Fleet, Identity, Key, Keyring};
 use driftfront_cluster_harness::process::call;
-use driftfront_cluster_harness::Rig;
+use driftfront_cluster_harness::ClusterHarness;
 use driftfront_mock_servers::engine::{Engine, Options};
 use driftfront_mock_servers::ledger::Ledger;
 use std::net::UdpSocket;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::Arc;
 
-fn rig(script: &str) -> (Rig, Engine) {
+fn rig(script: &str) -> (ClusterHarness, Engine) {
     let engine = Engine::start(
         Options {
             name: "engine-1".into(),
@@ -18,7 +18,7 @@
         },
         Arc::new(Ledger::default()),
     );
-    let rig = Rig::start(
+    let rig = ClusterHarness::start(
         env!("CARGO_BIN_EXE_driftfront"),
         &engine.addr().to_string(),
         script,
@@ -26,7 +26,7 @@
     (rig, engine)
 }
 
-fn query(rig: &Rig, member: u32) -> String {
+fn query(rig: &ClusterHarness, member: u32) -> String {
     let request = "GET /?query=SELECT%201 HTTP/1.1\r\nHost: t\r\nConnection: close\r\n\r\n";
     call(rig.clients(member), request).expect("an answer")
 }
--- a/crates/coordinator/tests/golden_operators/files.rs
+++ b/crates/coordinator/tests/golden_operators/files.rs
@@ -399,7 +399,7 @@
         },
         std::sync::Arc::default(),
     );
-    let rig = driftfront_cluster_harness::Rig::start(
+    let rig = driftfront_cluster_harness::ClusterHarness::start(
         env!("CARGO_BIN_EXE_driftfront"),
         &engine.addr().to_string(),
         "members 3\nvoters 3 keeps=#true",
