--- a/crates/cluster-harness/src/soak/engine.rs
+++ b/crates/cluster-harness/src/soak/engine.rs
@@ -1,7 +1,7 @@
 //! An engine in the platform's language that misbehaves by a plan.
 
 use super::plan::{Mode, Trouble};
-use driftfront_mock_servers::ledger::Ledger;
+use driftfront_mock_servers::ledger::RequestLog;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::Arc;
@@ -17,7 +17,7 @@
 
 impl Engine {
     /// Starts one; its troubles count from `begun`.
-    pub fn start(troubles: Vec<Trouble>, begun: Instant, ledger: &Arc<Ledger>) -> Engine {
+    pub fn start(troubles: Vec<Trouble>, begun: Instant, ledger: &Arc<RequestLog>) -> Engine {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let addr = listener.local_addr().expect("an address");
         let ledger = ledger.clone();
@@ -45,7 +45,7 @@
 struct Session {
     troubles: Vec<Trouble>,
     begun: Instant,
-    ledger: Arc<Ledger>,
+    ledger: Arc<RequestLog>,
     addr: SocketAddr,
 }
 
--- a/crates/cluster-harness/src/soak/mod.rs
+++ b/crates/cluster-harness/src/soak/mod.rs
@@ -14,7 +14,7 @@
 
 use client::{Clients, Target};
 use coordinator::Coordinator;
-use driftfront_mock_servers::ledger::Ledger;
+use driftfront_mock_servers::ledger::RequestLog;
 use engine::Engine;
 use list::List;
 use std::path::Path;
@@ -24,7 +24,7 @@
 /// Plays the soak of a seed with this build of the program; what was counted.
 pub fn play(binary: &Path, seed: u64) -> Report {
     let plan = Plan::draw(seed);
-    let ledger = Arc::new(Ledger::default());
+    let ledger = Arc::new(RequestLog::default());
     let begun = Instant::now();
     let engines: Vec<Engine> = plan
         .engines
--- a/crates/cluster-harness/src/soak/verdict.rs
+++ b/crates/cluster-harness/src/soak/verdict.rs
@@ -4,7 +4,7 @@
 use super::coordinator::Ended;
 use super::list::List;
 use super::plan::Plan;
-use driftfront_mock_servers::ledger::{Entry, Ledger};
+use driftfront_mock_servers::ledger::{Entry, RequestLog};
 use std::collections::BTreeMap;
 use std::fmt;
 use std::time::{Duration, Instant};
@@ -76,7 +76,7 @@
 pub fn judge(
     plan: &Plan,
     asked: &[Asked],
-    ledger: &Ledger,
+    ledger: &RequestLog,
     list: &List,
     lives: Vec<Vec<Ended>>,
 ) -> Report {
@@ -187,7 +187,7 @@
 }
 
 /// The budget is each process's own: its name stands in the statement.
-fn judge_budgets(plan: &Plan, asked: &[Asked], ledger: &Ledger, report: &mut Report) {
+fn judge_budgets(plan: &Plan, asked: &[Asked], ledger: &RequestLog, report: &mut Report) {
     let mut taken: BTreeMap<(usize, u32), Vec<Instant>> = BTreeMap::new();
     for a in asked {
         taken.entry(a.process).or_default().push(a.at);
--- a/crates/coordinator/benches/clickhouse.rs
+++ b/crates/coordinator/benches/clickhouse.rs
@@ -10,7 +10,7 @@
 use common::site::{read_some, Plan, Site};
 use common::{appliance, file, instance, read_answer};
 use driftfront_mock_servers::engine::{Engine, Options};
-use driftfront_mock_servers::ledger::Ledger;
+use driftfront_mock_servers::ledger::RequestLog;
 use hdrhistogram::Histogram;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -173,7 +173,7 @@
     let own = env!("CARGO_BIN_EXE_driftfront").to_string();
     let baseline = std::env::var("BASELINE").ok();
     println!("| what | figure, median of {ROUNDS} rounds (least to most) |\n| --- | --- |");
-    let engine = Engine::start(Options::default(), Arc::new(Ledger::forgetful()));
+    let engine = Engine::start(Options::default(), Arc::new(RequestLog::forgetful()));
     if wanted("requests") {
         requests(&own, baseline.as_deref(), &engine, 20_000 / scale);
     }
--- a/crates/coordinator/benches/operators.rs
+++ b/crates/coordinator/benches/operators.rs
@@ -7,7 +7,7 @@
 use driftfront_console::remote::{At, Remote};
 use driftfront_control::{Reply, Request};
 use driftfront_mock_servers::engine::{Engine, Options};
-use driftfront_mock_servers::ledger::Ledger;
+use driftfront_mock_servers::ledger::RequestLog;
 use std::fmt::Write as _;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -121,7 +121,7 @@
 }
 
 fn main() {
-    let engine = Engine::start(Options::default(), Arc::new(Ledger::forgetful()));
+    let engine = Engine::start(Options::default(), Arc::new(RequestLog::forgetful()));
     println!("| consoles at 10 a second, 500 engines | CPU, in 100 of a core | ping p99, ms | longest, ms |\n| --- | --- | --- | --- |");
     let program = Program::start(500, engine.addr());
     for consoles in [0, 1, 8] {
--- a/crates/coordinator/src/demo.rs
+++ b/crates/coordinator/src/demo.rs
@@ -6,7 +6,7 @@
 use driftfront_console::remote::{At, Remote};
 use driftfront_control::Request;
 use driftfront_mock_servers::engine::{Engine, Options};
-use driftfront_mock_servers::ledger::Ledger;
+use driftfront_mock_servers::ledger::RequestLog;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::path::PathBuf;
@@ -28,7 +28,7 @@
 impl Demo {
     /// Starts all of it; the coordinator and the load go on until the process ends.
     pub fn start() -> Result<Demo, String> {
-        let ledger = Arc::new(Ledger::forgetful());
+        let ledger = Arc::new(RequestLog::forgetful());
         let options = |n: usize| Options {
             name: format!("engine-{n}"),
             ..Options::default()
--- a/crates/coordinator/tests/agreed.rs
+++ b/crates/coordinator/tests/agreed.rs
@@ -2,7 +2,7 @@
 
 use driftfront_cluster_harness::{Agreed, ClusterHarness, Request};
 use driftfront_mock_servers::engine::{Engine, Options};
-use driftfront_mock_servers::ledger::Ledger;
+use driftfront_mock_servers::ledger::RequestLog;
 use std::sync::Arc;
 
 fn rig(script: &str) -> (ClusterHarness, Engine) {
@@ -11,7 +11,7 @@
             name: "engine-1".into(),
             ..Options::default()
         },
-        Arc::new(Ledger::default()),
+        Arc::new(RequestLog::default()),
     );
     let rig = ClusterHarness::start(
         env!("CARGO_BIN_EXE_driftfront"),
--- a/crates/coordinator/tests/clickhouse.rs
+++ b/crates/coordinator/tests/clickhouse.rs
@@ -8,7 +8,7 @@
 use driftfront_clickhouse::coding::{self, Coding};
 use driftfront_http::{chunk, RequestReader};
 use driftfront_mock_servers::engine::{fnv, Options};
-use driftfront_mock_servers::ledger::Ledger;
+use driftfront_mock_servers::ledger::RequestLog;
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::sync::Arc;
@@ -972,7 +972,7 @@
 fn engines_come_and_go_by_etcd() {
     use base64::engine::general_purpose::STANDARD;
     use base64::Engine as _;
-    let ledger = Arc::new(Ledger::default());
+    let ledger = Arc::new(RequestLog::default());
     let running =
         driftfront_mock_servers::engine::Engine::start(Options::default(), ledger.clone());
     let engine = running.addr();
--- a/crates/coordinator/tests/common/lines.rs
+++ b/crates/coordinator/tests/common/lines.rs
@@ -1,7 +1,7 @@
 //! A site in the platform's form: stand-in engines that speak in lines, and a stand-in list of engines.
 
 use super::{appliance, instance, post, stand_in, Answer, Coordinator};
-use driftfront_mock_servers::ledger::Ledger;
+use driftfront_mock_servers::ledger::RequestLog;
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -27,7 +27,7 @@
 }
 
 /// An engine that speaks in lines; a word in the statement says what it does.
-pub fn serve(stream: TcpStream, engine: usize, ledger: &Ledger) {
+pub fn serve(stream: TcpStream, engine: usize, ledger: &RequestLog) {
     let mut out = stream.try_clone().unwrap();
     let mut input = BufReader::new(stream);
     let mut pages: BTreeMap<String, Vec<String>> = BTreeMap::new();
@@ -190,7 +190,7 @@
 }
 
 /// So many engines that speak in lines, with one ledger.
-pub fn engines(number: usize, ledger: &Arc<Ledger>) -> Vec<SocketAddr> {
+pub fn engines(number: usize, ledger: &Arc<RequestLog>) -> Vec<SocketAddr> {
     let engine = |n| {
         let ledger = ledger.clone();
         stand_in(move |stream| serve(stream, n, &ledger))
@@ -200,7 +200,7 @@
 
 pub struct Site {
     pub coordinator: Coordinator,
-    pub ledger: Arc<Ledger>,
+    pub ledger: Arc<RequestLog>,
     pub engines: Vec<SocketAddr>,
     pub list: List,
 }
@@ -227,14 +227,14 @@
 
     /// A site whose coordinator is started in a way of its own.
     pub fn with(engines: usize, start: impl FnOnce(String) -> Coordinator) -> Site {
-        let ledger = Arc::new(Ledger::default());
+        let ledger = Arc::new(RequestLog::default());
         let engines = self::engines(engines, &ledger);
         Site::of(ledger, engines, start)
     }
 
     /// A site of these engines, with its coordinator ready.
     pub fn of(
-        ledger: Arc<Ledger>,
+        ledger: Arc<RequestLog>,
         engines: Vec<SocketAddr>,
         start: impl FnOnce(String) -> Coordinator,
     ) -> Site {
--- a/crates/coordinator/tests/common/site.rs
+++ b/crates/coordinator/tests/common/site.rs
@@ -2,7 +2,7 @@
 
 use super::{appliance, file, instance, post, Answer, Coordinator};
 use driftfront_mock_servers::engine::{Engine, Options};
-use driftfront_mock_servers::ledger::Ledger;
+use driftfront_mock_servers::ledger::RequestLog;
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::path::PathBuf;
@@ -10,7 +10,7 @@
 
 pub struct Site {
     pub coordinator: Coordinator,
-    pub ledger: Arc<Ledger>,
+    pub ledger: Arc<RequestLog>,
     pub engines: Vec<Engine>,
     list: PathBuf,
 }
@@ -52,7 +52,7 @@
         )
     }
     pub fn start(self) -> Site {
-        let ledger = Arc::new(Ledger::default());
+        let ledger = Arc::new(RequestLog::default());
         let engine = |n| {
             Engine::start(
                 Options {
--- a/crates/coordinator/tests/conformance.rs
+++ b/crates/coordinator/tests/conformance.rs
@@ -8,7 +8,7 @@
 use driftfront_clickhouse::coding::{self, Coding};
 use driftfront_http::{chunk, header, Header, ResponsePart, ResponseReader};
 use driftfront_mock_servers::engine::{Engine, Options};
-use driftfront_mock_servers::ledger::Ledger;
+use driftfront_mock_servers::ledger::RequestLog;
 use driftfront_settings::json::{parse, Json};
 use std::fmt::Write as _;
 use std::io::{Read, Write};
@@ -214,7 +214,7 @@
     let folder = PathBuf::from(env!("CARGO_MANIFEST_DIR"));
     let text = std::fs::read(folder.join("tests/conformance/cases.json")).expect("the cases");
     let cases = parse(&text).expect("JSON");
-    let straight = Engine::start(Options::default(), Arc::new(Ledger::default()));
+    let straight = Engine::start(Options::default(), Arc::new(RequestLog::default()));
     let site: Site = Plan::of(1).start();
     let mut table = String::from(
         "# Conformance of the ClickHouse front\n\nEach case of `crates/coordinator/tests/conformance/cases.json` runs straight \
--- a/crates/coordinator/tests/endings/lists.rs
+++ b/crates/coordinator/tests/endings/lists.rs
@@ -2,7 +2,7 @@
 
 use crate::common::lines::{config, engines, event, instances, read_head, List, Site};
 use crate::common::{self, stand_in, Coordinator};
-use driftfront_mock_servers::ledger::Ledger;
+use driftfront_mock_servers::ledger::RequestLog;
 use socket2::{Domain, Socket, Type};
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -68,7 +68,7 @@
         .bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into())
         .unwrap();
     let addr = socket.local_addr().unwrap().as_socket().unwrap();
-    let ledger = Arc::new(Ledger::default());
+    let ledger = Arc::new(RequestLog::default());
     let engines = engines(2, &ledger);
     let news = |index, phase| event(index, &instances(&engines, &[phase, "ready"]), "");
     let known = format!(
--- a/crates/coordinator/tests/endings/main.rs
+++ b/crates/coordinator/tests/endings/main.rs
@@ -11,7 +11,7 @@
 
 use common::lines::{read_statement, Site};
 use common::{stand_in, Coordinator};
-use driftfront_mock_servers::ledger::Ledger;
+use driftfront_mock_servers::ledger::RequestLog;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::TcpStream;
 use std::sync::{Arc, Condvar, Mutex};
@@ -95,7 +95,7 @@
 
 /// A site whose engines answer what says "held" behind the returned gate, "full" by a SHED, and all else at once.
 fn held(engines: usize) -> (Site, Arc<Gate>) {
-    let (ledger, gate) = (Arc::new(Ledger::default()), Arc::new(Gate::default()));
+    let (ledger, gate) = (Arc::new(RequestLog::default()), Arc::new(Gate::default()));
     let engine = |n: usize| {
         let (runs, gate) = (ledger.clone(), gate.clone());
         stand_in(move |stream| hold(stream, &n.to_string(), &runs, &gate))
@@ -115,7 +115,7 @@
     (site, first, gate)
 }
 
-fn hold(stream: TcpStream, engine: &str, ledger: &Arc<Ledger>, gate: &Arc<Gate>) {
+fn hold(stream: TcpStream, engine: &str, ledger: &Arc<RequestLog>, gate: &Arc<Gate>) {
     let mut input = BufReader::new(stream.try_clone().unwrap());
     let out = stream;
     loop {
--- a/crates/coordinator/tests/faults.rs
+++ b/crates/coordinator/tests/faults.rs
@@ -4,13 +4,13 @@
 use driftfront_cluster_harness::load::{counts, Got, Load, Plan};
 use driftfront_cluster_harness::ClusterHarness;
 use driftfront_mock_servers::engine::{Engine, Options};
-use driftfront_mock_servers::ledger::Ledger;
+use driftfront_mock_servers::ledger::RequestLog;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
 
-fn engines(n: usize) -> (Vec<Engine>, Arc<Ledger>) {
-    let ledger = Arc::new(Ledger::default());
+fn engines(n: usize) -> (Vec<Engine>, Arc<RequestLog>) {
+    let ledger = Arc::new(RequestLog::default());
     let engine = |n| {
         Engine::start(
             Options {
--- a/crates/coordinator/tests/fleet.rs
+++ b/crates/coordinator/tests/fleet.rs
@@ -5,7 +5,7 @@
 use driftfront_cluster_harness::process::call;
 use driftfront_cluster_harness::ClusterHarness;
 use driftfront_mock_servers::engine::{Engine, Options};
-use driftfront_mock_servers::ledger::Ledger;
+use driftfront_mock_servers::ledger::RequestLog;
 use std::net::UdpSocket;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::Arc;
@@ -16,7 +16,7 @@
             name: "engine-1".into(),
             ..Options::default()
         },
-        Arc::new(Ledger::default()),
+        Arc::new(RequestLog::default()),
     );
     let rig = ClusterHarness::start(
         env!("CARGO_BIN_EXE_driftfront"),
--- a/crates/coordinator/tests/operators.rs
+++ b/crates/coordinator/tests/operators.rs
@@ -8,7 +8,7 @@
 use driftfront_control::snapshot::Snapshot;
 use driftfront_control::{Reply, Request};
 use driftfront_mock_servers::engine::{Engine, Options};
-use driftfront_mock_servers::ledger::Ledger;
+use driftfront_mock_servers::ledger::RequestLog;
 use std::io::{Read, Write};
 use std::os::unix::fs::PermissionsExt;
 use std::os::unix::net::UnixStream;
@@ -487,7 +487,7 @@
 fn a_port_on_loopback_wants_the_key() {
     let key = path("key");
     std::fs::write(&key, "a key of some length\n").expect("a file");
-    let engine = Engine::start(Options::default(), Arc::new(Ledger::default()));
+    let engine = Engine::start(Options::default(), Arc::new(RequestLog::default()));
     // Not where connections of other tests begin: one could have the port before the program does.
     let port = std::net::TcpListener::bind("127.91.0.1:0")
         .and_then(|l| l.local_addr())
--- a/crates/coordinator/tests/retry_budget.rs
+++ b/crates/coordinator/tests/retry_budget.rs
@@ -4,7 +4,7 @@
 
 use common::lines::{config, engines, instances, List, Site};
 use common::Coordinator;
-use driftfront_mock_servers::ledger::{Budget, Ledger};
+use driftfront_mock_servers::ledger::{Budget, RequestLog};
 use socket2::{Domain, Socket, Type};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::Arc;
@@ -38,7 +38,7 @@
     }
 
     /// From now on it takes connections, and serves as engine `number` does.
-    fn open(self, number: usize, ledger: &Arc<Ledger>) {
+    fn open(self, number: usize, ledger: &Arc<RequestLog>) {
         drop(self.filling);
         let ledger = ledger.clone();
         std::thread::spawn(move || {
@@ -57,7 +57,7 @@
         ratio: 0.0,
         window: Duration::from_millis(500),
     };
-    let ledger = Arc::new(Ledger::default());
+    let ledger = Arc::new(RequestLog::default());
     let (well, late) = (engines(1, &ledger), LateEngine::new());
     let list = List::start();
     let text = config(list.addr)
--- a/crates/mock-servers/src/engine/mod.rs
+++ b/crates/mock-servers/src/engine/mod.rs
@@ -10,7 +10,7 @@
 pub use output::FORMATS;
 pub use sql::{Rows, Value};
 
-use crate::ledger::Ledger;
+use crate::ledger::RequestLog;
 use std::collections::{BTreeMap, HashMap};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -105,7 +105,7 @@
 
 struct Shared {
     options: Options,
-    ledger: Arc<Ledger>,
+    ledger: Arc<RequestLog>,
     held: Mutex<Held>,
     /// Nothing is answered while this is set.
     mute: AtomicBool,
@@ -142,7 +142,7 @@
 
 impl Engine {
     /// Starts one on a port of the system's choice.
-    pub fn start(options: Options, ledger: Arc<Ledger>) -> Engine {
+    pub fn start(options: Options, ledger: Arc<RequestLog>) -> Engine {
         Engine::listen("127.0.0.1:0".parse().expect("an address"), options, ledger)
             .expect("a port on loopback")
     }
@@ -151,7 +151,7 @@
     pub fn listen(
         addr: SocketAddr,
         options: Options,
-        ledger: Arc<Ledger>,
+        ledger: Arc<RequestLog>,
     ) -> std::io::Result<Engine> {
         let listener = TcpListener::bind(addr)?;
         let shared = Arc::new(Shared {
--- a/crates/mock-servers/src/ledger.rs
+++ b/crates/mock-servers/src/ledger.rs
@@ -48,7 +48,7 @@
 
 /// All that the engines of one test were sent.
 #[derive(Default)]
-pub struct Ledger {
+pub struct RequestLog {
     entries: Mutex<Vec<Entry>>,
     changed: Condvar,
     clock: AtomicU64,
@@ -60,12 +60,12 @@
 /// Longest beginning of a statement that is kept.
 const STATEMENT_MOST: usize = 400;
 
-impl Ledger {
+impl RequestLog {
     /// One that keeps nothing, for measurements.
-    pub fn forgetful() -> Ledger {
-        Ledger {
+    pub fn forgetful() -> RequestLog {
+        RequestLog {
             forgets: true,
-            ..Ledger::default()
+            ..RequestLog::default()
         }
     }
 
@@ -265,7 +265,7 @@
 
     #[test]
     fn each_breach_is_counted() {
-        let ledger = Ledger::default();
+        let ledger = RequestLog::default();
         let run = |statement: &str, id: &str, ran| {
             let entry = ledger.begin("e", id, statement, None);
             ledger.end(entry, ran);
--- a/crates/mock-servers/src/main.rs
+++ b/crates/mock-servers/src/main.rs
@@ -2,7 +2,7 @@
 #![forbid(unsafe_code)]
 
 use driftfront_mock_servers::engine::{Engine, Options};
-use driftfront_mock_servers::ledger::Ledger;
+use driftfront_mock_servers::ledger::RequestLog;
 use std::net::SocketAddr;
 use std::process::ExitCode;
 use std::sync::Arc;
@@ -72,8 +72,8 @@
             word.to_string_lossy()
         ));
     }
-    let engine =
-        Engine::listen(listen, options, Arc::new(Ledger::default())).map_err(|e| e.to_string())?;
+    let engine = Engine::listen(listen, options, Arc::new(RequestLog::default()))
+        .map_err(|e| e.to_string())?;
     println!("engine {} listens on {}", engine.name(), engine.addr());
     loop {
         std::thread::park();
--- a/crates/mock-servers/tests/golden.rs
+++ b/crates/mock-servers/tests/golden.rs
@@ -1,14 +1,14 @@
 //! The mock engine's answers, byte for byte: statements, formats, sessions, codings and each fault; see `golden/README.md`.
 
 use driftfront_mock_servers::engine::{Engine, Options, FORMATS};
-use driftfront_mock_servers::ledger::Ledger;
+use driftfront_mock_servers::ledger::RequestLog;
 use driftfront_test_support::assert_golden;
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::sync::Arc;
 
 fn engine(options: Options) -> Engine {
-    Engine::start(options, Arc::new(Ledger::default()))
+    Engine::start(options, Arc::new(RequestLog::default()))
 }
 
 /// Sends these bytes, and reads all that comes until the engine closes.
