--- a/crates/cluster-simulation/src/main.rs
+++ b/crates/cluster-simulation/src/main.rs
@@ -3,7 +3,7 @@
 use driftfront_cluster::consensus::leases::{Command, Outcome};
 use driftfront_cluster::consensus::{self, Agreed, Notice, Peer};
 use driftfront_cluster::message_authentication::{Payload, Seal};
-use driftfront_cluster::{About, Fleet, Identity, Micros, Options, Standing};
+use driftfront_cluster::{About, Cluster, Identity, Micros, Options, Standing};
 use driftfront_cluster_simulation::rights::Load;
 use driftfront_cluster_simulation::world::{addr, keys, name, Seen};
 use driftfront_cluster_simulation::{fault_scenario, percentile, Script, World};
@@ -157,7 +157,7 @@
             back: 0,
         };
         let seeds = vec![addr(1), addr(2)];
-        Fleet::new(
+        Cluster::new(
             0,
             Options {
                 me,
--- a/crates/cluster-simulation/src/rights.rs
+++ b/crates/cluster-simulation/src/rights.rs
@@ -5,7 +5,7 @@
 
 use driftfront_cluster::consensus::leases::{Command, Outcome};
 use driftfront_cluster::consensus::{Agreed, Unanswered};
-use driftfront_cluster::{Fleet, Micros};
+use driftfront_cluster::{Cluster, Micros};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeMap;
@@ -76,7 +76,7 @@
     }
 
     /// A member looks at what came of its requests, and asks, or gives something back.
-    pub fn go_on(&mut self, member: u32, now: Micros, clock: Micros, fleet: &mut Fleet) {
+    pub fn go_on(&mut self, member: u32, now: Micros, clock: Micros, fleet: &mut Cluster) {
         let wrong = &mut self.wrong;
         fleet.with_agreed(clock, |agreed, clock| {
             while let Some((request, outcome)) = agreed.outcome() {
--- a/crates/cluster-simulation/src/world.rs
+++ b/crates/cluster-simulation/src/world.rs
@@ -4,7 +4,7 @@
 use crate::script::{Deed, Link, Links, Script};
 use driftfront_cluster::consensus::replica::Write;
 use driftfront_cluster::{
-    consensus, About, Counters, Fleet, Identity, Key, Keyring, Micros, Options, Standing,
+    consensus, About, Cluster, Counters, Identity, Key, Keyring, Micros, Options, Standing,
 };
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -21,7 +21,7 @@
 const SEEDS: u32 = 3;
 
 struct Process {
-    fleet: Option<Fleet>,
+    fleet: Option<Cluster>,
     /// Stands still; what comes waits in its socket.
     stopped: bool,
     socket: VecDeque<Vec<u8>>,
@@ -158,7 +158,7 @@
 
     /// Each has a replica of the log or a copy of what is agreed, and some member leads.
     pub fn led(&mut self) -> Option<u32> {
-        let leads = |f: &Fleet| {
+        let leads = |f: &Cluster| {
             f.agreed()
                 .and_then(|a| a.replica())
                 .is_some_and(|r| r.leads())
@@ -179,7 +179,7 @@
     }
 
     /// A member's fleet, while it lives.
-    pub fn fleet(&mut self, member: u32) -> Option<&mut Fleet> {
+    pub fn fleet(&mut self, member: u32) -> Option<&mut Cluster> {
         self.processes[member as usize].fleet.as_mut()
     }
 
@@ -196,7 +196,7 @@
     pub fn counters(&self, member: u32) -> Counters {
         let p = &self.processes[member as usize];
         let mut sum = p.before;
-        if let Some(c) = p.fleet.as_ref().map(Fleet::counters) {
+        if let Some(c) = p.fleet.as_ref().map(Cluster::counters) {
             sum.sent += c.sent;
             sum.sent_bytes += c.sent_bytes;
             sum.taken += c.taken;
@@ -281,7 +281,7 @@
         if let Ok(loaded) = consensus::store::read(&p.disk) {
             p.disk.truncate(loaded.well);
         }
-        p.fleet = Some(Fleet::new(clock, options));
+        p.fleet = Some(Cluster::new(clock, options));
         p.socket.clear();
         p.stopped = false;
         self.push(self.now + phase, Event::Look(member));
@@ -398,7 +398,7 @@
             if let Some(agreed) = self.processes[member as usize]
                 .fleet
                 .as_ref()
-                .and_then(Fleet::agreed)
+                .and_then(Cluster::agreed)
             {
                 rights.holds(member, clock, agreed);
             }
--- a/crates/cluster/src/agent.rs
+++ b/crates/cluster/src/agent.rs
@@ -52,7 +52,7 @@
     pub seeds: Vec<SocketAddr>,
     /// For all that is drawn at random.
     pub seed: u64,
-    /// Our part in what is agreed; `None` where it is to be opened later ([`Fleet::open_agreed`]), or never.
+    /// Our part in what is agreed; `None` where it is to be opened later ([`Cluster::open_agreed`]), or never.
     pub agreed: Option<consensus::Options>,
 }
 
@@ -155,7 +155,7 @@
 }
 
 /// One member's fleet.
-pub struct Fleet {
+pub struct Cluster {
     members: Members,
     facts: Facts,
     seal: Seal,
@@ -179,9 +179,9 @@
     wrong: Option<consensus::store::Unusable>,
 }
 
-impl Fleet {
+impl Cluster {
     /// Alone, at this time of the host's clock.
-    pub fn new(clock: Micros, options: Options) -> Fleet {
+    pub fn new(clock: Micros, options: Options) -> Cluster {
         let mut rng = SmallRng::seed_from_u64(options.seed);
         let me = options.me;
         let mut pace = Pace::default();
@@ -189,7 +189,7 @@
         let mut facts = Facts::new(&me.name, me.session);
         facts.tell(now, ABOUT, &options.about.write(), ROUNDS);
         let agreed = options.agreed;
-        let mut fleet = Fleet {
+        let mut fleet = Cluster {
             facts,
             seal: Seal::new(options.keys, me.session),
             members: Members::new(me, rng.random()),
@@ -231,7 +231,7 @@
         wrong
     }
 
-    /// Takes part no more: another process of our name may. What is still to be kept is taken first, by [`Fleet::to_keep`].
+    /// Takes part no more: another process of our name may. What is still to be kept is taken first, by [`Cluster::to_keep`].
     pub fn close_agreed(&mut self) {
         self.agreed = None;
         // Others must not see the replica of this process where there is another's.
@@ -275,7 +275,7 @@
         self.send_agreed(now);
     }
 
-    /// A datagram has come. All that have come are to be taken before [`Fleet::tick`]: what others said while this process
+    /// A datagram has come. All that have come are to be taken before [`Cluster::tick`]: what others said while this process
     /// was held up must be known before any of its timers runs.
     pub fn take(&mut self, clock: Micros, datagram: &[u8]) {
         let now = self.pace.look(clock);
@@ -434,7 +434,7 @@
         }
     }
 
-    /// When [`Fleet::tick`] is due next, by the host's clock.
+    /// When [`Cluster::tick`] is due next, by the host's clock.
     pub fn next_due(&self) -> Micros {
         let own = [
             self.next_join,
@@ -467,7 +467,7 @@
     }
 
     /// Leaves in order: others know at once that we are gone, and that it is no fault. Nothing is sent or taken after it
-    /// but what [`Fleet::to_send`] still holds.
+    /// but what [`Cluster::to_send`] still holds.
     pub fn leave(&mut self, clock: Micros) {
         let now = self.pace.look(clock);
         if !self.left {
@@ -706,7 +706,7 @@
             agreed: None,
         };
         let mut clock = 1_000_000_000;
-        let mut fleet = Fleet::new(clock, options);
+        let mut fleet = Cluster::new(clock, options);
         fleet.tick(clock);
         // Stopped for 8 s, and again; then a host that looks at its timers only when it is told to. A look each 0.3 s would
         // pass for a stumble each, and its time all but stand still.
--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -6,7 +6,7 @@
 //! 2. [`facts`]: each member's own records, newest wins, with their age. A wrong one costs service, never a rule.
 //! 3. [`agreed`]: what must never be decided twice, as rights that are lent by a majority of a few.
 //!
-//! [`Fleet`] holds both and speaks the language of [`seal`]: datagrams go in with the time, datagrams come out. It has no
+//! [`Cluster`] holds both and speaks the language of [`seal`]: datagrams go in with the time, datagrams come out. It has no
 //! clock, socket or random source of its own, so that the same unit runs in the program and by hundreds on virtual time.
 //!
 //! **Alone.** A fleet of one, or one that is cut off, has itself as its only member and its own facts; nothing waits for
@@ -24,7 +24,7 @@
 pub mod message_authentication;
 pub mod rate_limit;
 
-pub use agent::{Counters, Fleet, MemberView, Options};
+pub use agent::{Cluster, Counters, MemberView, Options};
 pub use consensus::Agreed;
 pub use gossip::{Fact, Kind};
 pub use member_metadata::{About, State};
--- a/crates/cluster/tests/golden_datagrams.rs
+++ b/crates/cluster/tests/golden_datagrams.rs
@@ -3,7 +3,7 @@
 use driftfront_cluster::gossip::{Facts, ABOUT, AGREED};
 use driftfront_cluster::membership::Members;
 use driftfront_cluster::message_authentication::{Opened, Payload, Refused, Seal};
-use driftfront_cluster::{About, Fleet, Identity, Key, Keyring, Options, State};
+use driftfront_cluster::{About, Cluster, Identity, Key, Keyring, Options, State};
 use driftfront_test_support::{assert_golden, read_golden};
 use std::fmt::Write;
 use std::net::SocketAddr;
@@ -281,7 +281,7 @@
             seed: u64::from(n),
             agreed: None,
         };
-        Fleet::new(clock, options)
+        Cluster::new(clock, options)
     };
     let mut all = [member("m1", 1, CLOCK), member("m2", 2, CLOCK)];
     for step in 0..200u64 {
--- a/crates/coordinator/src/config.rs
+++ b/crates/coordinator/src/config.rs
@@ -35,7 +35,7 @@
 
 /// How a coordinator takes part in a fleet.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct FleetConfig {
+pub struct ClusterConfig {
     /// Where datagrams come in.
     pub listen: SocketAddr,
     /// Where others send them, if that is another address.
@@ -109,7 +109,7 @@
     /// The folder for what is to outlive a restart.
     pub state: Option<PathBuf>,
     /// Other coordinators, where the operator's file has a fleet.
-    pub fleet: Option<FleetConfig>,
+    pub fleet: Option<ClusterConfig>,
 }
 
 /// A key's rest is lengthened by this: an attempt's end reaches the engine after we book it.
@@ -365,7 +365,7 @@
 /// A voter that is gone for so long is replaced, in seconds, where the operator's file says nothing.
 const REPLACE_AFTER_S: u64 = 300;
 
-fn fleet(json: Json) -> Result<Option<FleetConfig>, String> {
+fn fleet(json: Json) -> Result<Option<ClusterConfig>, String> {
     if json.is_null() {
         return Ok(None);
     }
@@ -383,7 +383,7 @@
         .get("seeds")
         .each()
         .map(|s| address("seeds", s.text().unwrap_or_default()));
-    Ok(Some(FleetConfig {
+    Ok(Some(ClusterConfig {
         listen: address("listen", need("listen")?)?,
         advertise: json
             .get("advertise")
--- a/crates/coordinator/src/node/cluster.rs
+++ b/crates/coordinator/src/node/cluster.rs
@@ -4,10 +4,10 @@
 mod agreed;
 
 use super::{Node, Source};
-use crate::config::FleetConfig;
+use crate::config::ClusterConfig;
 use crate::discovery::Update;
 use driftfront_cluster::{
-    About, Fleet, Identity, Keyring, Options, Standing, State, DATAGRAM_MOST,
+    About, Cluster, Identity, Keyring, Options, Standing, State, DATAGRAM_MOST,
 };
 use driftfront_control::snapshot::Member;
 use driftfront_core::{lifecycle, ListKind, Micros, Phase};
@@ -30,7 +30,7 @@
 /// The fleet as this process takes part in it.
 pub(super) struct Hands {
     socket: Rc<UdpSocket>,
-    unit: Fleet,
+    unit: Cluster,
     about: About,
     began: Instant,
     clock: Micros,
@@ -83,7 +83,7 @@
         let Some(config) = self.config.fleet.clone() else {
             return Ok(());
         };
-        let FleetConfig {
+        let ClusterConfig {
             listen,
             advertise,
             key_file,
@@ -124,8 +124,8 @@
             seed: crate::net::hash(&session.to_le_bytes()),
             agreed: None,
         };
-        let unit = Fleet::new(clock, options);
-        self.watch(socket.clone(), Source::Fleet)
+        let unit = Cluster::new(clock, options);
+        self.watch(socket.clone(), Source::Cluster)
             .map_err(|e| format!("fleet: {e}"))?;
         tracing::info!(%here, "fleet");
         self.fleet = Some(Box::new(Hands {
@@ -155,7 +155,7 @@
         for turn in 0.. {
             if turn >= TURN || begun.elapsed() >= TIME {
                 fleet.cut_short += 1;
-                self.later.push(Source::Fleet);
+                self.later.push(Source::Cluster);
                 break;
             }
             match fleet.socket.recv(&mut bytes) {
@@ -181,7 +181,7 @@
             return;
         }
         self.fleet_ready();
-        if self.later.iter().any(|s| matches!(s, Source::Fleet)) {
+        if self.later.iter().any(|s| matches!(s, Source::Cluster)) {
             // More lies in the socket than one turn holds: nobody is accused before it is read.
             return;
         }
@@ -260,7 +260,7 @@
     }
 
     /// SIGHUP: keys and seeds are read again; a mistaken file leaves the old ones.
-    pub(super) fn reload_fleet(&mut self, new: Option<&FleetConfig>) {
+    pub(super) fn reload_fleet(&mut self, new: Option<&ClusterConfig>) {
         let (Some(fleet), Some(new)) = (self.fleet.as_mut(), new) else {
             return;
         };
--- a/crates/coordinator/src/node/mod.rs
+++ b/crates/coordinator/src/node/mod.rs
@@ -111,7 +111,7 @@
     Operator(ConnId),
     Management,
     Caller(ConnId),
-    Fleet,
+    Cluster,
 }
 
 impl Node {
@@ -290,7 +290,7 @@
             Source::Operator(id) => self.operator_ready(id),
             Source::Management => self.accept_callers(now),
             Source::Caller(id) => self.caller_ready(now, id),
-            Source::Fleet => self.fleet_ready(),
+            Source::Cluster => self.fleet_ready(),
         }
         self.carry_out();
     }
@@ -303,7 +303,7 @@
             Source::Client(id) => self.drop_client(now, id),
             Source::Engine(id) => self.drop_engine(now, id, "a panic"),
             Source::Feed(_) => self.drop_feed(now, "a panic", Broken::Off),
-            Source::Operators(_) | Source::Management | Source::Fleet => {}
+            Source::Operators(_) | Source::Management | Source::Cluster => {}
             Source::Operator(id) => self.drop_operator(id),
             Source::Caller(id) => self.drop_caller(id),
         }
@@ -320,7 +320,7 @@
                     self.engine_write(now, id);
                     self.engine_read(now, id);
                 }
-                Source::Fleet => self.fleet_ready(),
+                Source::Cluster => self.fleet_ready(),
                 _ => {}
             }
         }
