--- a/crates/coordinator/src/handover.rs
+++ b/crates/coordinator/src/handover.rs
@@ -25,7 +25,7 @@
 }
 
 /// This process's place in the folder.
-pub struct Post {
+pub struct HandoverMailbox {
     folder: PathBuf,
     number: Number,
     /// Held, and with it locked, for as long as this process lives.
@@ -53,9 +53,9 @@
     Some((first.parse().ok()?, second.parse().ok()?))
 }
 
-impl Post {
+impl HandoverMailbox {
     /// Takes a place behind all that are there. The name of a coordinator keeps two of them apart in one folder.
-    pub fn open(tmp: &Path, name: &str) -> io::Result<Post> {
+    pub fn open(tmp: &Path, name: &str) -> io::Result<HandoverMailbox> {
         let plain: String = name
             .chars()
             .map(|c| if c.is_ascii_alphanumeric() { c } else { '-' })
@@ -76,7 +76,7 @@
         let lock = File::create(&beside)?;
         lock.lock()?;
         std::fs::rename(&beside, file(&folder, number, "lock"))?;
-        Ok(Post {
+        Ok(HandoverMailbox {
             folder,
             number,
             _lock: lock,
@@ -178,7 +178,7 @@
     }
 }
 
-impl Drop for Post {
+impl Drop for HandoverMailbox {
     fn drop(&mut self) {
         // The word stays where a successor may still have to read it: that one removes both.
         let kinds: &[&str] = if self.shares() {
@@ -233,10 +233,10 @@
     #[test]
     fn a_later_process_hears_an_earlier_one_and_succeeds_it_once_it_is_ready() {
         let tmp = folder("two");
-        let mut old = Post::open(&tmp, "n/1").unwrap();
+        let mut old = HandoverMailbox::open(&tmp, "n/1").unwrap();
         old.tell(word(true, "a")).unwrap();
         assert!(old.poll().words.is_empty() && !old.shares());
-        let mut new = Post::open(&tmp, "n/1").unwrap();
+        let mut new = HandoverMailbox::open(&tmp, "n/1").unwrap();
         assert_eq!(new.poll().words.len(), 1);
         assert!(new.has_predecessor() && new.poll().words.is_empty());
         new.tell(word(false, "b")).unwrap();
@@ -245,7 +245,7 @@
         new.tell(word(true, "b")).unwrap();
         assert!(old.poll().words.len() == 1 && old.has_successor());
         // Another coordinator in the same folder is none of ours.
-        let mut other = Post::open(&tmp, "n-1").unwrap();
+        let mut other = HandoverMailbox::open(&tmp, "n-1").unwrap();
         assert!(other.poll().words.is_empty() && !other.shares());
         // The new one dies: the old one sees that it is alone, and nothing of the dead is left.
         drop(new);
@@ -259,8 +259,8 @@
     #[test]
     fn a_spoilt_file_is_told_once_and_counts_as_none_until_it_is_well_again() {
         let tmp = folder("spoilt");
-        let mut old = Post::open(&tmp, "n").unwrap();
-        let mut new = Post::open(&tmp, "n").unwrap();
+        let mut old = HandoverMailbox::open(&tmp, "n").unwrap();
+        let mut new = HandoverMailbox::open(&tmp, "n").unwrap();
         old.tell(word(true, "a")).unwrap();
         let path = file(&old.folder, old.number, "word");
         let whole = std::fs::read(&path).unwrap();
--- a/crates/coordinator/src/node/cluster.rs
+++ b/crates/coordinator/src/node/cluster.rs
@@ -28,7 +28,7 @@
 const SOCKET_HOLDS: usize = 1024 * 1024;
 
 /// The fleet as this process takes part in it.
-pub(super) struct Hands {
+pub(super) struct ClusterRuntime {
     socket: Rc<UdpSocket>,
     unit: Cluster,
     about: About,
@@ -46,7 +46,7 @@
     longest: u64,
 }
 
-impl Hands {
+impl ClusterRuntime {
     /// A clock that no one sets: the fleet's time must not jump with the system's.
     fn clock(&self) -> Micros {
         self.clock + self.began.elapsed().as_micros() as Micros
@@ -128,7 +128,7 @@
         self.watch(socket.clone(), Source::Cluster)
             .map_err(|e| format!("fleet: {e}"))?;
         tracing::info!(%here, "fleet");
-        self.fleet = Some(Box::new(Hands {
+        self.fleet = Some(Box::new(ClusterRuntime {
             socket,
             unit,
             about,
--- a/crates/coordinator/src/node/cluster/agreed.rs
+++ b/crates/coordinator/src/node/cluster/agreed.rs
@@ -3,7 +3,7 @@
 //! In an upgrade two processes of one name run. The log is one process's: whoever has its lock. The one that hands over lets
 //! go of it as soon as it does, and the next takes it up then.
 
-use super::Hands;
+use super::ClusterRuntime;
 use crate::file_writer::{Disk, Job};
 use crate::node::{ConnId, Node};
 use driftfront_cluster::consensus::leases::{Command, Outcome, TEXT_MOST};
@@ -323,7 +323,7 @@
         &mut self,
         to: (ConnId, u64),
         name: String,
-        command: impl FnOnce(&Hands) -> Result<Command, String>,
+        command: impl FnOnce(&ClusterRuntime) -> Result<Command, String>,
     ) {
         let refuse = |node: &mut Node, why: String| {
             node.tell_operator(to.0, &Reply::Refused(why).line(to.1))
@@ -414,7 +414,7 @@
 }
 
 /// Counts, by name.
-pub(super) fn counters(fleet: &Hands) -> Vec<(&'static str, u64)> {
+pub(super) fn counters(fleet: &ClusterRuntime) -> Vec<(&'static str, u64)> {
     let Some(agreed) = fleet.unit.agreed() else {
         return Vec::new();
     };
--- a/crates/coordinator/src/node/mod.rs
+++ b/crates/coordinator/src/node/mod.rs
@@ -17,7 +17,7 @@
 use crate::discovery::read;
 use crate::frontends::clickhouse::ClickHouse;
 use crate::frontends::{platform::Platform, After, Front};
-use crate::handover::Post;
+use crate::handover::HandoverMailbox;
 use crate::service::End;
 
 use calloop::generic::Generic;
@@ -74,7 +74,7 @@
     operators: Vec<control::Listener>,
     feed: discovery_client::Feed,
     /// Other coordinators, where the operator's file has a fleet.
-    fleet: Option<Box<cluster::Hands>>,
+    fleet: Option<Box<cluster::ClusterRuntime>>,
     next_sweep: Micros,
     /// Connections with more to do than one turn holds.
     later: Vec<Source>,
@@ -84,7 +84,7 @@
     management: management::Management,
     started: Micros,
     /// Where other processes of this coordinator are heard, while an upgrade may have them run.
-    post: Option<Post>,
+    post: Option<HandoverMailbox>,
     /// Another one runs.
     shares: bool,
     /// Orders taken over from others.
@@ -192,7 +192,10 @@
             .map_err(|e| format!("signals: {e}"))?;
         // Orders come before the list: nothing may go to what an earlier process was told to leave alone.
         node.tend_post(now);
-        let succeeds = node.post.as_ref().is_some_and(Post::has_predecessor);
+        let succeeds = node
+            .post
+            .as_ref()
+            .is_some_and(HandoverMailbox::has_predecessor);
         node.life = Lifecycle::new(succeeds, passed, longest, killed);
         node.open_control()?;
         node.take_known();
--- a/crates/coordinator/src/node/upgrade.rs
+++ b/crates/coordinator/src/node/upgrade.rs
@@ -3,7 +3,7 @@
 
 use super::Node;
 use crate::config::Config;
-use crate::handover::Post;
+use crate::handover::HandoverMailbox;
 use driftfront_core::Micros;
 use std::net::TcpListener;
 use std::path::Path;
@@ -16,7 +16,9 @@
 const LIST_SETTLES: Micros = 60_000;
 
 /// The clients' listener, whether it was passed, and then the place among the processes of this coordinator.
-pub(super) fn listener(config: &Config) -> Result<(TcpListener, bool, Option<Post>), String> {
+pub(super) fn listener(
+    config: &Config,
+) -> Result<(TcpListener, bool, Option<HandoverMailbox>), String> {
     let told = std::env::var(PASSED_SOCKET)
         .ok()
         .filter(|told| !told.is_empty());
@@ -40,13 +42,13 @@
     ))
 }
 
-fn post(config: &Config) -> Option<Post> {
+fn post(config: &Config) -> Option<HandoverMailbox> {
     let tmp = std::env::var_os("TMPDIR").filter(|t| !t.is_empty());
     let Some(tmp) = tmp else {
         tracing::warn!("no TMPDIR: other processes of this coordinator hear nothing of orders");
         return None;
     };
-    let opened = Post::open(Path::new(&tmp), &config.name);
+    let opened = HandoverMailbox::open(Path::new(&tmp), &config.name);
     opened
         .inspect_err(|e| tracing::error!("TMPDIR: {e}: other processes hear nothing of orders"))
         .ok()
