--- a/crates/cluster-harness/src/lib.rs
+++ b/crates/cluster-harness/src/lib.rs
@@ -15,7 +15,7 @@
 
 pub use driftfront_cluster_simulation::world::{name, KEY};
 pub use driftfront_cluster_simulation::{Deed, Group, Link, Script};
-pub use driftfront_control::snapshot::{Agreed, Member};
+pub use driftfront_control::snapshot::{Consensus, Member};
 pub use driftfront_control::Request;
 pub use net::Net;
 pub use process::Process;
@@ -190,7 +190,7 @@
     }
 
     /// What a member knows to be agreed, by its own word; nothing where it does not answer.
-    pub fn agreed(&self, by: u32) -> Option<Agreed> {
+    pub fn agreed(&self, by: u32) -> Option<Consensus> {
         self.processes[by as usize].snapshot()?.agreed
     }
 
--- a/crates/cluster-simulation/src/main.rs
+++ b/crates/cluster-simulation/src/main.rs
@@ -1,7 +1,7 @@
 //! Plays scripts on virtual time and prints what members knew and when, as tables.
 
 use driftfront_cluster::consensus::leases::{Command, Outcome};
-use driftfront_cluster::consensus::{self, Agreed, Notice, Peer};
+use driftfront_cluster::consensus::{self, Consensus, Notice, Peer};
 use driftfront_cluster::message_authentication::{Payload, Seal};
 use driftfront_cluster::{About, Cluster, Identity, Micros, Options, Standing};
 use driftfront_cluster_simulation::rights::Load;
@@ -258,7 +258,7 @@
     );
     let mut rng = SmallRng::seed_from_u64(seed);
     let names: Vec<String> = (0..3).map(name).collect();
-    let mut all: Vec<Agreed> = Vec::new();
+    let mut all: Vec<Consensus> = Vec::new();
     for (n, me) in names.iter().enumerate() {
         let founders = names.clone();
         let options = consensus::Options {
@@ -266,13 +266,13 @@
             file: Some(Vec::new()),
             ..consensus::Options::default()
         };
-        all.push(Agreed::new(me, (n as u64 + 1) << 20, rng.random(), options).0);
+        all.push(Consensus::new(me, (n as u64 + 1) << 20, rng.random(), options).0);
     }
     std::panic::set_hook(Box::new(|_| {}));
     let (mut spoilt, mut now, mut lent, mut under_way) = (0u64, 0u64, 0u64, Vec::new());
     while spoilt < runs {
         now += 25_000;
-        let notices: Vec<Notice> = all.iter().map(Agreed::notice).collect();
+        let notices: Vec<Notice> = all.iter().map(Consensus::notice).collect();
         for (n, one) in all.iter_mut().enumerate() {
             let peers = || {
                 let peer = |m: usize| Peer {
--- a/crates/cluster-simulation/src/rights.rs
+++ b/crates/cluster-simulation/src/rights.rs
@@ -4,7 +4,7 @@
 //! stands still does nothing; it is asked again once it goes on.
 
 use driftfront_cluster::consensus::leases::{Command, Outcome};
-use driftfront_cluster::consensus::{Agreed, Unanswered};
+use driftfront_cluster::consensus::{Consensus, Unanswered};
 use driftfront_cluster::{Cluster, Micros};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -126,7 +126,7 @@
     }
 
     /// A member's word on what it would act on.
-    pub fn holds(&mut self, member: u32, clock: Micros, agreed: &Agreed) {
+    pub fn holds(&mut self, member: u32, clock: Micros, agreed: &Consensus) {
         for (&fence, held) in agreed.held().iter().filter(|h| agreed.holds(*h.0, clock)) {
             self.acting
                 .entry(held.pot.clone())
--- a/crates/cluster/src/agent.rs
+++ b/crates/cluster/src/agent.rs
@@ -1,6 +1,6 @@
 //! The fleet as one member knows it: datagrams and time in, datagrams out.
 
-use crate::consensus::{self, Agreed, Notice, Peer};
+use crate::consensus::{self, Consensus, Notice, Peer};
 use crate::gossip::{Fact, Facts, Kind, Refusals, ABOUT, AGREED};
 use crate::member_metadata::About;
 use crate::membership::{Change, Identity, Members, Standing};
@@ -166,7 +166,7 @@
     member_budget: Budget,
     fact_budget: Budget,
     agreed_budget: Budget,
-    agreed: Option<Agreed>,
+    agreed: Option<Consensus>,
     noticed: Notice,
     next_notice: Micros,
     next_round: Micros,
@@ -226,7 +226,7 @@
         options: consensus::Options,
     ) -> Option<consensus::store::Unusable> {
         let me = self.members.me();
-        let (agreed, wrong) = Agreed::new(&me.name, me.session, self.rng.random(), options);
+        let (agreed, wrong) = Consensus::new(&me.name, me.session, self.rng.random(), options);
         self.agreed = Some(agreed);
         wrong
     }
@@ -245,7 +245,7 @@
     }
 
     /// Our part in what is agreed, if we take part.
-    pub fn agreed(&self) -> Option<&Agreed> {
+    pub fn agreed(&self) -> Option<&Consensus> {
         self.agreed.as_ref()
     }
 
@@ -253,7 +253,7 @@
     pub fn with_agreed<T>(
         &mut self,
         clock: Micros,
-        work: impl FnOnce(&mut Agreed, Micros) -> T,
+        work: impl FnOnce(&mut Consensus, Micros) -> T,
     ) -> Option<T> {
         let now = self.pace.now();
         let done = self.agreed.as_mut().map(|a| work(a, clock));
@@ -337,7 +337,7 @@
                     self.send(now, &to, Payload::Digest, &ask);
                 }
             }
-            Payload::Agreed => {
+            Payload::Consensus => {
                 let Some(name) = self.name_of(from) else {
                     return;
                 };
@@ -421,7 +421,7 @@
     }
 
     fn send_agreed(&mut self, now: Micros) {
-        while let Some((name, bytes)) = self.agreed.as_mut().and_then(Agreed::to_send) {
+        while let Some((name, bytes)) = self.agreed.as_mut().and_then(Consensus::to_send) {
             // Who is called down may be cut off from others alone: what is for it goes where it was last.
             let known = self
                 .members
@@ -429,7 +429,7 @@
                 .filter(|k| k.0.name == name)
                 .min_by_key(|k| k.1);
             if let Some(to) = known.map(|k| k.0.clone()) {
-                self.send(now, &to, Payload::Agreed, &bytes);
+                self.send(now, &to, Payload::Consensus, &bytes);
             }
         }
     }
@@ -616,7 +616,7 @@
     fn send(&mut self, now: Micros, to: &Identity, payload: Payload, bytes: &[u8]) {
         let budget = match payload {
             Payload::Members => &mut self.member_budget,
-            Payload::Agreed => &mut self.agreed_budget,
+            Payload::Consensus => &mut self.agreed_budget,
             _ => &mut self.fact_budget,
         };
         if self.out.len() >= OUT_MOST || !budget.take(now, bytes.len()) {
--- a/crates/cluster/src/consensus/mod.rs
+++ b/crates/cluster/src/consensus/mod.rs
@@ -1,6 +1,6 @@
 //! Agreed decisions: what must never be decided twice, as rights that are lent.
 //!
-//! A few members, the voters, keep one log (`raft`); all may ask, and read. [`Agreed`] is one member's part in it, free of I/O
+//! A few members, the voters, keep one log (`raft`); all may ask, and read. [`Consensus`] is one member's part in it, free of I/O
 //! as the rest: words and time in, words out, bytes to be kept.
 //!
 //! | file | what it does |
@@ -15,7 +15,7 @@
 //! **Alone**, or without a majority: nothing new is lent. What is held stays until its end by the holder's own clock; then the
 //! holder does what one does that never had it. **At most**, a peer with the key that lies can say that something is lent which
 //! is not, unseat voters and end replicas; a site trusts who holds its key. A peer that sleeps holds nothing when it wakes:
-//! ends are looked at when a right is used ([`Agreed::holds`]), not when it was lent.
+//! ends are looked at when a right is used ([`Consensus::holds`]), not when it was lent.
 
 pub mod bootstrap;
 pub mod fragmentation;
@@ -262,7 +262,7 @@
 }
 
 /// One member's part.
-pub struct Agreed {
+pub struct Consensus {
     me: String,
     session: u64,
     options: Options,
@@ -298,7 +298,7 @@
 /// Words waiting to be sent.
 const OUT_MOST: usize = 512;
 
-impl Agreed {
+impl Consensus {
     /// For a process of this name and session. An error where what was kept can't be used: it is left as it is, and this
     /// one only reads and asks.
     pub fn new(
@@ -306,7 +306,7 @@
         session: u64,
         seed: u64,
         mut options: Options,
-    ) -> (Agreed, Option<store::Unusable>) {
+    ) -> (Consensus, Option<store::Unusable>) {
         let mut rng = SmallRng::seed_from_u64(seed);
         let keeps = options.file.is_some();
         let kept = options.file.take().map(|bytes| store::read(&bytes));
@@ -330,7 +330,7 @@
             (None, None) if !replaced => Founding::new(me, id, &options.founders),
             _ => None,
         };
-        let agreed = Agreed {
+        let agreed = Consensus {
             me: me.into(),
             session,
             id,
--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -25,7 +25,7 @@
 pub mod rate_limit;
 
 pub use agent::{Cluster, Counters, MemberView, Options};
-pub use consensus::Agreed;
+pub use consensus::Consensus;
 pub use gossip::{Fact, Kind};
 pub use member_metadata::{About, State};
 pub use membership::{Identity, Standing};
--- a/crates/cluster/src/message_authentication.rs
+++ b/crates/cluster/src/message_authentication.rs
@@ -47,7 +47,7 @@
     /// To a member whose session is not above that of an earlier process of its name: which that was.
     Behind,
     /// What is agreed, and what is asked to be.
-    Agreed,
+    Consensus,
     /// Of a later build: counted and let go.
     Unknown(u8),
 }
@@ -59,7 +59,7 @@
             Payload::Facts => 2,
             Payload::Digest => 3,
             Payload::Behind => 4,
-            Payload::Agreed => 5,
+            Payload::Consensus => 5,
             Payload::Unknown(code) => code,
         }
     }
@@ -70,7 +70,7 @@
             2 => Payload::Facts,
             3 => Payload::Digest,
             4 => Payload::Behind,
-            5 => Payload::Agreed,
+            5 => Payload::Consensus,
             other => Payload::Unknown(other),
         }
     }
--- a/crates/cluster/tests/golden_datagrams.rs
+++ b/crates/cluster/tests/golden_datagrams.rs
@@ -48,7 +48,7 @@
     ("records", Payload::Facts),
     ("versions", Payload::Digest),
     ("behind", Payload::Behind),
-    ("agreed", Payload::Agreed),
+    ("agreed", Payload::Consensus),
     ("later build", Payload::Unknown(77)),
 ];
 
--- a/crates/cluster/tests/golden_log.rs
+++ b/crates/cluster/tests/golden_log.rs
@@ -4,7 +4,7 @@
 
 use driftfront_cluster::consensus::leases::{Command, Entry, Outcome};
 use driftfront_cluster::consensus::replica::Replica;
-use driftfront_cluster::consensus::{store, Agreed, Notice};
+use driftfront_cluster::consensus::{store, Consensus, Notice};
 use driftfront_test_support::{assert_golden, read_golden};
 use std::fmt::Write;
 use voters::{names, open, Sent, Voters, SECOND};
@@ -52,7 +52,7 @@
 }
 
 /// How things stand at a member, in words of this test.
-fn standing(agreed: &Agreed) -> String {
+fn standing(agreed: &Consensus) -> String {
     let view = agreed.view();
     let mut text = format!(
         "log {:x}, term {}, entry {}\n",
--- a/crates/cluster/tests/voters/mod.rs
+++ b/crates/cluster/tests/voters/mod.rs
@@ -1,7 +1,7 @@
 //! Members that take part in what is agreed, on virtual time and with no faults: all that they send and store can be looked at.
 
 use driftfront_cluster::consensus::leases::{Command, Outcome};
-use driftfront_cluster::consensus::{Agreed, Notice, Options, Peer, Unanswered};
+use driftfront_cluster::consensus::{Consensus, Notice, Options, Peer, Unanswered};
 use driftfront_cluster::{Micros, Standing};
 
 pub const SECOND: Micros = 1_000_000;
@@ -12,7 +12,7 @@
 /// One member: its name, its part in the log, and the file that it keeps.
 pub struct Member {
     pub name: String,
-    pub agreed: Agreed,
+    pub agreed: Consensus,
     pub file: Option<Vec<u8>>,
     /// All that was written to the file since this was last emptied, what was written over included.
     pub written: Vec<u8>,
@@ -41,7 +41,7 @@
 }
 
 /// A member's part: the first three are voters, and what each keeps is in this file.
-pub fn open(number: usize, start: u64, file: Option<Vec<u8>>) -> Agreed {
+pub fn open(number: usize, start: u64, file: Option<Vec<u8>>) -> Consensus {
     let options = Options {
         founders: names(3),
         replace_after: 300 * SECOND,
@@ -49,7 +49,7 @@
         file,
     };
     let session = (BEGIN_MS + number as u64 + start) << 20;
-    let (agreed, wrong) = Agreed::new(
+    let (agreed, wrong) = Consensus::new(
         &names(5)[number],
         session,
         7 + number as u64 + start,
--- a/crates/console/src/messages.rs
+++ b/crates/console/src/messages.rs
@@ -1,7 +1,7 @@
 //! Plain words for how things stand.
 
 use driftfront_control::snapshot::{
-    Agreed, Class, Engine, Held, Member, Query, Service, Snapshot, Voter,
+    Class, Consensus, Engine, Held, Member, Query, Service, Snapshot, Voter,
 };
 
 /// An engine with work out that has said nothing for this long is worth a word, in milliseconds.
@@ -234,7 +234,7 @@
 }
 
 /// What is agreed, in a line or two above the table of what is held.
-pub fn agreed(a: &Agreed) -> String {
+pub fn agreed(a: &Consensus) -> String {
     if !a.missing.is_empty() {
         return format!(
             "Nothing is agreed yet: {} must come, without a log.\n",
@@ -265,7 +265,7 @@
 }
 
 /// What is held.
-pub fn holds(a: &Agreed) -> Table {
+pub fn holds(a: &Consensus) -> Table {
     let heads = vec!["HELD", "BY", "FOR", "NUMBER", "WHY"];
     let row = |h: &Held| {
         let long = match h.left_s {
@@ -288,7 +288,7 @@
 }
 
 /// What is amiss with what is agreed.
-fn agreed_alarm(a: &Agreed) -> Option<String> {
+fn agreed_alarm(a: &Consensus) -> Option<String> {
     if a.part == "unfit" {
         return Some(
             "This coordinator's log can't go on: it met what only a later build knows, or broke. The others decide."
--- a/crates/console/tests/golden.rs
+++ b/crates/console/tests/golden.rs
@@ -3,7 +3,7 @@
 use driftfront_console::app::{App, Intent, Key, Tab, TABS};
 use driftfront_console::messages;
 use driftfront_console::screen::{draw, Look};
-use driftfront_control::snapshot::{Agreed, Class, Engine, Service, Snapshot, Voter};
+use driftfront_control::snapshot::{Class, Consensus, Engine, Service, Snapshot, Voter};
 use driftfront_control::{Reply, Request};
 use driftfront_test_support::assert_golden;
 use ratatui::buffer::Buffer;
@@ -65,15 +65,15 @@
     table(&mut text, "classes", &messages::classes(&s));
     table(&mut text, "queries", &messages::queries(&s));
     let _ = writeln!(text, "title: {}", messages::title(&s));
-    let missing = Agreed {
+    let missing = Consensus {
         missing: vec!["coordinator-b".into(), "coordinator-c".into()],
-        ..Agreed::default()
+        ..Consensus::default()
     };
-    let nobody = Agreed {
+    let nobody = Consensus {
         leader: String::new(),
         ..agreed.clone()
     };
-    for agreed in [agreed, &missing, &Agreed::default(), &nobody] {
+    for agreed in [agreed, &missing, &Consensus::default(), &nobody] {
         let _ = write!(text, "agreed: {}", messages::agreed(agreed));
     }
     for seconds in [0, 119, 120, 7_199, 7_200, 172_799, 172_800] {
@@ -169,30 +169,30 @@
     for (title, agreed) in [
         (
             "unfit",
-            Agreed {
+            Consensus {
                 part: "unfit".into(),
-                ..Agreed::default()
+                ..Consensus::default()
             },
         ),
         (
             "missing",
-            Agreed {
+            Consensus {
                 missing: vec!["a".into(), "b".into()],
-                ..Agreed::default()
+                ..Consensus::default()
             },
         ),
         (
             "no leader",
-            Agreed {
+            Consensus {
                 voters: voters(true).into(),
-                ..Agreed::default()
+                ..Consensus::default()
             },
         ),
         (
             "no majority",
-            Agreed {
+            Consensus {
                 voters: voters(false).into(),
-                ..Agreed::default()
+                ..Consensus::default()
             },
         ),
     ] {
--- a/crates/control/src/snapshot.rs
+++ b/crates/control/src/snapshot.rs
@@ -46,13 +46,13 @@
         /// The fleet's coordinators, by name, this one among them; empty where there is no fleet.
         members: Vec<Member>,
         /// What the fleet has agreed on; nothing where there is no fleet, or it has not been opened yet.
-        agreed: Option<Agreed>,
+        agreed: Option<Consensus>,
     }
 }
 
 object! {
     /// What the fleet has agreed on, as this one knows it.
-    Agreed {
+    Consensus {
         /// This one's part: `founds`, `votes`, `learns`, `reads` or `unfit`.
         part: String,
         /// Who leads; empty where nobody is heard to: then nothing new is agreed.
--- a/crates/control/tests/golden.rs
+++ b/crates/control/tests/golden.rs
@@ -4,7 +4,7 @@
 
 use driftfront_control::management::{self, BadCall, CallReader};
 use driftfront_control::snapshot::{
-    Agreed, Class, Engine, Held, Member, Query, Roll, Service, Snapshot, Voter,
+    Class, Consensus, Engine, Held, Member, Query, Roll, Service, Snapshot, Voter,
 };
 use driftfront_control::{challenge_in, commands, greeting, key};
 use driftfront_control::{Bad, Lines, Reply, Request, LINE_MOST, REPLY_MOST, VERSION};
@@ -291,7 +291,7 @@
     ]
 }
 
-fn agreed() -> Agreed {
+fn agreed() -> Consensus {
     let voter = |name: &str, there| Voter {
         name: name.into(),
         there,
@@ -305,7 +305,7 @@
         stays,
         note: "a fan".into(),
     };
-    Agreed {
+    Consensus {
         part: "votes".into(),
         leader: "coordinator-a".into(),
         term: 4,
--- a/crates/coordinator/src/node/cluster/agreed.rs
+++ b/crates/coordinator/src/node/cluster/agreed.rs
@@ -10,7 +10,7 @@
 use driftfront_cluster::consensus::replica::Write;
 use driftfront_cluster::consensus::{store, Options, Role, Unanswered};
 use driftfront_cluster::State;
-use driftfront_control::snapshot::{Agreed as Shown, Held, Voter};
+use driftfront_control::snapshot::{Consensus as Shown, Held, Voter};
 use driftfront_control::Reply;
 use driftfront_core::Micros;
 use std::collections::{BTreeMap, VecDeque};
--- a/crates/coordinator/tests/agreed.rs
+++ b/crates/coordinator/tests/agreed.rs
@@ -1,6 +1,6 @@
 //! What several processes of the program agree on, with faults between them. Waits are for what they say.
 
-use driftfront_cluster_harness::{Agreed, ClusterHarness, Request};
+use driftfront_cluster_harness::{ClusterHarness, Consensus, Request};
 use driftfront_mock_servers::engine::{Engine, Options};
 use driftfront_mock_servers::ledger::RequestLog;
 use std::sync::Arc;
@@ -53,7 +53,7 @@
     });
 }
 
-fn wait_until(rig: &ClusterHarness, of: u32, what: &str, holds: impl Fn(&Agreed) -> bool) {
+fn wait_until(rig: &ClusterHarness, of: u32, what: &str, holds: impl Fn(&Consensus) -> bool) {
     let since = std::time::Instant::now();
     while !rig.agreed(of).is_some_and(|a| holds(&a)) {
         let late = || {
