--- a/crates/cluster-simulation/src/main.rs
+++ b/crates/cluster-simulation/src/main.rs
@@ -3,7 +3,7 @@
 use driftfront_cluster::consensus::leases::{Command, Outcome};
 use driftfront_cluster::consensus::{self, Consensus, Notice, Peer};
 use driftfront_cluster::message_authentication::{Payload, Seal};
-use driftfront_cluster::{About, Cluster, Identity, Micros, Options, Standing};
+use driftfront_cluster::{About, Cluster, Identity, MemberStatus, Micros, Options};
 use driftfront_cluster_simulation::rights::Load;
 use driftfront_cluster_simulation::world::{addr, keys, name, Seen};
 use driftfront_cluster_simulation::{fault_scenario, percentile, Script, World};
@@ -71,7 +71,7 @@
         let after = sums(&world, n);
         (sent, bytes) = (sent + after.0 - before.0, bytes + after.1 - before.1);
         world.play(killed + 20 * S, |_| false);
-        let down = |s: &&Seen| s.standing == Some(Standing::Down);
+        let down = |s: &&Seen| s.standing == Some(MemberStatus::Down);
         let mut knew: Vec<Micros> = world
             .seen
             .iter()
@@ -89,7 +89,7 @@
                 .collect();
             let late = of_it
                 .last()
-                .is_none_or(|s| s.at > killed + 6 * S || s.standing != Some(Standing::Down));
+                .is_none_or(|s| s.at > killed + 6 * S || s.standing != Some(MemberStatus::Down));
             for s in of_it.iter().filter(|_| late) {
                 println!(
                     "  seed {}: {:.2} s m{by} sees m{victim} {:?}",
@@ -101,8 +101,8 @@
         }
         first.extend(knew.first());
         all.extend(knew.last());
-        let gone =
-            (0..n).filter(|&by| by != victim && world.standing(by, victim) != Some(Standing::Down));
+        let gone = (0..n)
+            .filter(|&by| by != victim && world.standing(by, victim) != Some(MemberStatus::Down));
         unknowing += gone.count() as u64;
         false_deaths += world
             .seen
@@ -277,7 +277,7 @@
             let peers = || {
                 let peer = |m: usize| Peer {
                     name: names[m].clone(),
-                    stands: (Standing::Alive, now),
+                    stands: (MemberStatus::Alive, now),
                     zone: String::new(),
                     notice: Some(notices[m].clone()),
                 };
@@ -366,7 +366,9 @@
                 }
                 for by in 0..members {
                     let odd: Vec<String> = (0..members)
-                        .filter(|&of| of != by && world.standing(by, of) != Some(Standing::Alive))
+                        .filter(|&of| {
+                            of != by && world.standing(by, of) != Some(MemberStatus::Alive)
+                        })
                         .map(|of| format!("m{of} {:?}", world.standing(by, of)))
                         .collect();
                     println!(
@@ -387,7 +389,7 @@
         deaths_after += world
             .seen
             .iter()
-            .filter(|s| s.at > settled && s.standing == Some(Standing::Down))
+            .filter(|s| s.at > settled && s.standing == Some(MemberStatus::Down))
             .count() as u64;
     }
     took.sort_unstable();
--- a/crates/cluster-simulation/src/world.rs
+++ b/crates/cluster-simulation/src/world.rs
@@ -4,7 +4,7 @@
 use crate::script::{Deed, Link, Links, Script};
 use driftfront_cluster::consensus::replica::Write;
 use driftfront_cluster::{
-    consensus, About, Cluster, Counters, Identity, Key, Keyring, Micros, Options, Standing,
+    consensus, About, Cluster, Counters, Identity, Key, Keyring, MemberStatus, Micros, Options,
 };
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -53,7 +53,7 @@
     /// Whom.
     pub of: u32,
     /// How.
-    pub standing: Option<Standing>,
+    pub standing: Option<MemberStatus>,
 }
 
 /// The world.
@@ -67,7 +67,7 @@
     order: u64,
     rng: SmallRng,
     /// Standing of each at each, as last seen.
-    views: BTreeMap<(u32, u32), Standing>,
+    views: BTreeMap<(u32, u32), MemberStatus>,
     /// Each change of them, in order.
     pub seen: Vec<Seen>,
     /// A sum over all that was sent, for comparing runs.
@@ -212,7 +212,7 @@
     }
 
     /// How one sees another now; `None` where it does not know it.
-    pub fn standing(&self, by: u32, of: u32) -> Option<Standing> {
+    pub fn standing(&self, by: u32, of: u32) -> Option<MemberStatus> {
         self.views.get(&(by, of)).copied()
     }
 
@@ -221,7 +221,7 @@
         let sees = |by: u32, of: u32| {
             matches!(
                 self.standing(by, of),
-                Some(Standing::Alive | Standing::Doubted)
+                Some(MemberStatus::Alive | MemberStatus::Doubted)
             )
         };
         let all = 0..self.script.members;
--- a/crates/cluster-simulation/tests/golden.rs
+++ b/crates/cluster-simulation/tests/golden.rs
@@ -1,7 +1,7 @@
 //! Scripts, the commands' output and runs on virtual time, compared with golden files. A run's golden file shows whether a
 //! change of the code changed anything that members do: the sum over all that was sent differs with any byte.
 
-use driftfront_cluster::Standing;
+use driftfront_cluster::MemberStatus;
 use driftfront_cluster_simulation::rights::Load;
 use driftfront_cluster_simulation::{fault_scenario, Deed, Group, Link, Script, World};
 use driftfront_test_support::assert_golden;
@@ -162,12 +162,12 @@
     assert_golden!("storms.txt", text);
 }
 
-fn standing(standing: Option<Standing>) -> &'static str {
+fn standing(standing: Option<MemberStatus>) -> &'static str {
     match standing {
         None => "not at all",
-        Some(Standing::Alive) => "alive",
-        Some(Standing::Doubted) => "doubted",
-        Some(Standing::Down) => "down",
+        Some(MemberStatus::Alive) => "alive",
+        Some(MemberStatus::Doubted) => "doubted",
+        Some(MemberStatus::Down) => "down",
     }
 }
 
--- a/crates/cluster-simulation/tests/members.rs
+++ b/crates/cluster-simulation/tests/members.rs
@@ -1,6 +1,6 @@
 //! Members under faults, on virtual time. Bounds are on the script's own time, so that the verdict is the same each time.
 
-use driftfront_cluster::Standing;
+use driftfront_cluster::MemberStatus;
 use driftfront_cluster_simulation::{Script, World};
 
 const S: u64 = 1_000_000;
@@ -16,7 +16,7 @@
 /// Those that some living member called down though they were there, but for these.
 fn false_deaths(world: &World, but: &[u32]) -> usize {
     let false_ones = |s: &&driftfront_cluster_simulation::world::Seen| {
-        s.standing == Some(Standing::Down) && !but.contains(&s.of)
+        s.standing == Some(MemberStatus::Down) && !but.contains(&s.of)
     };
     world.seen.iter().filter(false_ones).count()
 }
@@ -49,7 +49,7 @@
         let mut w = world(&format!("members 8\nseed {seed}\n{script}"));
         assert!(w.play(5 * S, |w| w.agree(&all(8))));
         let apart = |w: &World| {
-            let sees = |by: u32, of: u32| w.standing(by, of) != Some(Standing::Down);
+            let sees = |by: u32, of: u32| w.standing(by, of) != Some(MemberStatus::Down);
             (0..8).all(|by| (0..8).all(|of| by == of || sees(by, of) == ((by < 4) == (of < 4))))
         };
         assert!(w.play(15 * S, apart), "seed {seed}: never apart");
@@ -68,7 +68,7 @@
     let gone = |w: &World| {
         (0..8)
             .filter(|&m| m != 2)
-            .all(|m| w.standing(m, 2) == Some(Standing::Down))
+            .all(|m| w.standing(m, 2) == Some(MemberStatus::Down))
     };
     assert!(w.play(12 * S, gone));
     // Nobody else is doubted for it for long.
@@ -76,7 +76,7 @@
     assert_eq!(
         w.seen
             .iter()
-            .filter(|s| s.by != 2 && s.of != 2 && s.standing == Some(Standing::Down))
+            .filter(|s| s.by != 2 && s.of != 2 && s.standing == Some(MemberStatus::Down))
             .count(),
         0
     );
@@ -91,7 +91,7 @@
         ));
         assert!(w.play(5 * S, |w| w.agree(&all(8))));
         w.play(13 * S, |_| false);
-        assert_eq!(w.standing(0, 3), Some(Standing::Down));
+        assert_eq!(w.standing(0, 3), Some(MemberStatus::Down));
         assert!(
             w.play(24 * S, |w| w.time() > 13 * S && w.agree(&all(8))),
             "seed {seed}"
@@ -99,7 +99,7 @@
         assert_eq!(
             w.seen
                 .iter()
-                .filter(|s| s.by == 3 && s.standing == Some(Standing::Down))
+                .filter(|s| s.by == 3 && s.standing == Some(MemberStatus::Down))
                 .count(),
             0,
             "seed {seed}"
@@ -222,7 +222,7 @@
     let mut w = world(&format!("members 8\nseed 4\n{script}"));
     assert!(w.play(5 * S, |w| w.agree(&all(8))));
     w.play(14 * S, |_| false);
-    assert_eq!(w.standing(0, 3), Some(Standing::Down));
+    assert_eq!(w.standing(0, 3), Some(MemberStatus::Down));
     assert!(w.play(19 * S, |w| w.time() > 14 * S && w.agree(&all(8))));
     // What it tells now counts, too.
     assert!(w.fleet(3).unwrap().tell(9, b"anew"));
--- a/crates/cluster/src/agent.rs
+++ b/crates/cluster/src/agent.rs
@@ -3,7 +3,7 @@
 use crate::consensus::{self, Consensus, Notice, Peer};
 use crate::gossip::{Fact, Facts, Kind, Refusals, ABOUT, AGREED};
 use crate::member_metadata::About;
-use crate::membership::{Change, Identity, Members, Standing};
+use crate::membership::{Change, Identity, MemberStatus, Members};
 use crate::message_authentication::{Keyring, Payload, Refused, Seal, PAYLOAD_MOST};
 use crate::rate_limit::Pace;
 use crate::Micros;
@@ -113,7 +113,7 @@
     /// Where its datagrams go.
     pub addr: SocketAddr,
     /// How sure it is to be there.
-    pub standing: Standing,
+    pub standing: MemberStatus,
     /// For how long it has stood so, by our own time.
     pub for_long: Micros,
     /// What it told of itself, and how old that is.
@@ -517,7 +517,7 @@
                 .and_then(|f| Some((About::read(f.value)?, f.age))),
             is_me,
         };
-        let me = std::iter::once((self.me(), Standing::Alive, now, true));
+        let me = std::iter::once((self.me(), MemberStatus::Alive, now, true));
         let known = self
             .members
             .known(now)
--- a/crates/cluster/src/consensus/mod.rs
+++ b/crates/cluster/src/consensus/mod.rs
@@ -24,7 +24,7 @@
 pub mod replica;
 pub mod store;
 
-use crate::membership::{Standing, NAME_MOST};
+use crate::membership::{MemberStatus, NAME_MOST};
 use crate::Micros;
 use bootstrap::{Founding, Shown, QUIET};
 use fragmentation::{Part, Parts};
@@ -111,7 +111,7 @@
     /// Its name.
     pub name: String,
     /// How it stands, and for how long.
-    pub stands: (Standing, Micros),
+    pub stands: (MemberStatus, Micros),
     /// Its zone.
     pub zone: String,
     /// What it tells of its part.
@@ -121,7 +121,7 @@
 impl Peer {
     /// Nobody has called it down.
     fn is_there(&self) -> bool {
-        self.stands.0 != Standing::Down
+        self.stands.0 != MemberStatus::Down
     }
 }
 
@@ -991,7 +991,7 @@
         };
         let deciding = replica.deciding();
         let stands = |name: &String| match *name == self.me {
-            true => Some((Standing::Alive, 0)),
+            true => Some((MemberStatus::Alive, 0)),
             false => self.peers.get(name).map(|p| p.stands),
         };
         let seat = |&id: &u64| {
@@ -1010,7 +1010,7 @@
         let seats: Vec<Seat> = deciding.iter().filter_map(seat).collect();
         let candidate = |p: &Peer| {
             let notice = p.notice.as_ref()?;
-            let free = p.stands.0 == Standing::Alive
+            let free = p.stands.0 == MemberStatus::Alive
                 && notice.cluster == 0
                 && notice.id != 0
                 && !notice.unfit;
@@ -1025,7 +1025,7 @@
         let candidates: Vec<Candidate> = self.peers.values().filter_map(candidate).collect();
         let there = seats
             .iter()
-            .filter(|s| s.stands.is_some_and(|s| s.0 != Standing::Down));
+            .filter(|s| s.stands.is_some_and(|s| s.0 != MemberStatus::Down));
         let zone_of = |s: &Seat| match s.voter.1 == self.me {
             true => Some(self.options.zone.clone()),
             false => self.peers.get(&s.voter.1).map(|p| p.zone.clone()),
--- a/crates/cluster/src/consensus/reconfiguration.rs
+++ b/crates/cluster/src/consensus/reconfiguration.rs
@@ -10,7 +10,7 @@
 
 use crate::consensus::bootstrap::Voter;
 use crate::consensus::replica::Change;
-use crate::membership::Standing;
+use crate::membership::MemberStatus;
 use crate::Micros;
 
 /// A seat.
@@ -19,7 +19,7 @@
     /// Who decides.
     pub voter: Voter,
     /// How the process of that name stands, and for how long; nothing where nobody knows it.
-    pub stands: Option<(Standing, Micros)>,
+    pub stands: Option<(MemberStatus, Micros)>,
     /// The id that the process of that name shows now.
     pub shows: Option<u64>,
 }
@@ -43,7 +43,8 @@
 impl Seat {
     /// Whether it has to be given to another, and to whom if that is settled.
     fn lost(&self, after: Micros) -> bool {
-        self.lost_its_log() || matches!(self.stands, Some((Standing::Down, long)) if long >= after)
+        self.lost_its_log()
+            || matches!(self.stands, Some((MemberStatus::Down, long)) if long >= after)
     }
 
     fn lost_its_log(&self) -> bool {
@@ -96,7 +97,7 @@
 
     const S: Micros = 1_000_000;
 
-    fn seat(id: u64, name: &str, stands: Option<(Standing, Micros)>, shows: u64) -> Seat {
+    fn seat(id: u64, name: &str, stands: Option<(MemberStatus, Micros)>, shows: u64) -> Seat {
         Seat {
             voter: (id, name.into()),
             stands,
@@ -115,12 +116,12 @@
 
     #[test]
     fn who_is_gone_for_good_is_replaced_step_by_step_and_who_is_back_keeps_its_seat() {
-        let up = Some((Standing::Alive, 99 * S));
+        let up = Some((MemberStatus::Alive, 99 * S));
         let seats = |down| {
             vec![
                 seat(1, "a", up, 1),
                 seat(2, "b", up, 2),
-                seat(3, "c", Some((Standing::Down, down)), 3),
+                seat(3, "c", Some((MemberStatus::Down, down)), 3),
             ]
         };
         let zones = ["z0".to_string(), "z1".into()];
@@ -196,7 +197,7 @@
 
     #[test]
     fn who_lost_its_log_gets_its_seat_again_under_its_new_id_at_once() {
-        let up = Some((Standing::Alive, 99 * S));
+        let up = Some((MemberStatus::Alive, 99 * S));
         let seats = [
             seat(1, "a", up, 1),
             seat(2, "b", up, 22),
--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -28,7 +28,7 @@
 pub use consensus::Consensus;
 pub use gossip::{Fact, Kind};
 pub use member_metadata::{About, State};
-pub use membership::{Identity, Standing};
+pub use membership::{Identity, MemberStatus};
 pub use message_authentication::{Key, Keyring};
 
 /// Time or duration in microseconds.
--- a/crates/cluster/src/membership.rs
+++ b/crates/cluster/src/membership.rs
@@ -170,7 +170,7 @@
 
 /// How sure a member is to be there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Standing {
+pub enum MemberStatus {
     /// It is there.
     Alive,
     /// Somebody had no answer of it, and it has not said yet that it is there.
@@ -428,12 +428,15 @@
     }
 
     /// All that are known but us, with their standing and for how long it has been so.
-    pub fn known(&self, now: Micros) -> impl Iterator<Item = (&Identity, Standing, Micros)> + '_ {
+    pub fn known(
+        &self,
+        now: Micros,
+    ) -> impl Iterator<Item = (&Identity, MemberStatus, Micros)> + '_ {
         let there = self.foca.iter_members().map(move |m| {
             let standing = if m.state() == foca::State::Suspect {
-                Standing::Doubted
+                MemberStatus::Doubted
             } else {
-                Standing::Alive
+                MemberStatus::Alive
             };
             let since = self.since.get(&m.id().session).copied().unwrap_or(0);
             (m.id(), standing, now.saturating_sub(since))
@@ -441,7 +444,7 @@
         there.chain(
             self.gone
                 .values()
-                .map(move |(id, at)| (id, Standing::Down, now.saturating_sub(*at))),
+                .map(move |(id, at)| (id, MemberStatus::Down, now.saturating_sub(*at))),
         )
     }
 
--- a/crates/cluster/tests/voters/mod.rs
+++ b/crates/cluster/tests/voters/mod.rs
@@ -2,7 +2,7 @@
 
 use driftfront_cluster::consensus::leases::{Command, Outcome};
 use driftfront_cluster::consensus::{Consensus, Notice, Options, Peer, Unanswered};
-use driftfront_cluster::{Micros, Standing};
+use driftfront_cluster::{MemberStatus, Micros};
 
 pub const SECOND: Micros = 1_000_000;
 const STEP: Micros = 25_000;
@@ -109,7 +109,7 @@
         for number in 0..self.members.len() {
             let peer = |other: usize| Peer {
                 name: names(5)[other].clone(),
-                stands: (Standing::Alive, now),
+                stands: (MemberStatus::Alive, now),
                 zone: format!("z{other}"),
                 notice: Some(notices[other].clone()),
             };
--- a/crates/coordinator/src/node/cluster.rs
+++ b/crates/coordinator/src/node/cluster.rs
@@ -7,7 +7,7 @@
 use crate::config::ClusterConfig;
 use crate::discovery::Update;
 use driftfront_cluster::{
-    About, Cluster, Identity, Keyring, Options, Standing, State, DATAGRAM_MOST,
+    About, Cluster, Identity, Keyring, MemberStatus, Options, State, DATAGRAM_MOST,
 };
 use driftfront_control::snapshot::Member;
 use driftfront_core::{lifecycle, ListKind, Micros, Phase};
@@ -291,9 +291,9 @@
                 name: m.name,
                 addr: m.addr.to_string(),
                 standing: match m.standing {
-                    Standing::Alive => "there",
-                    Standing::Doubted => "doubted",
-                    Standing::Down => "gone",
+                    MemberStatus::Alive => "there",
+                    MemberStatus::Doubted => "doubted",
+                    MemberStatus::Down => "gone",
                 }
                 .into(),
                 for_s: m.for_long / 1_000_000,
--- a/crates/coordinator/tests/golden_operators/files.rs
+++ b/crates/coordinator/tests/golden_operators/files.rs
@@ -6,15 +6,15 @@
 use driftfront_engine_registry::handover::Word;
 use driftfront_engine_registry::record::Record;
 use driftfront_engine_registry::roll::Roll;
-use driftfront_engine_registry::{Fact, Order, Standing};
+use driftfront_engine_registry::{Fact, MemberStatus, Order};
 use driftfront_scheduler::interface::Phase;
 use driftfront_test_support::{assert_golden, read_golden};
 use std::os::unix::fs::PermissionsExt;
 use std::path::Path;
 use std::sync::mpsc::channel;
 
-fn standing(order: Order) -> Standing {
-    Standing {
+fn standing(order: Order) -> MemberStatus {
+    MemberStatus {
         order,
         since: 1_764_000_000_000_000,
         by: "operator".into(),
