--- a/crates/cluster-simulation/src/main.rs
+++ b/crates/cluster-simulation/src/main.rs
@@ -3,7 +3,7 @@
 use driftfront_cluster::consensus::leases::{Command, Outcome};
 use driftfront_cluster::consensus::{self, Consensus, Notice, Peer};
 use driftfront_cluster::message_authentication::{Payload, Seal};
-use driftfront_cluster::{About, Cluster, Identity, MemberStatus, Micros, Options};
+use driftfront_cluster::{Cluster, Identity, MemberMetadata, MemberStatus, Micros, Options};
 use driftfront_cluster_simulation::rights::Load;
 use driftfront_cluster_simulation::world::{addr, keys, name, Seen};
 use driftfront_cluster_simulation::{fault_scenario, percentile, Script, World};
@@ -161,7 +161,7 @@
             0,
             Options {
                 me,
-                about: About::default(),
+                about: MemberMetadata::default(),
                 keys: keys(),
                 seeds,
                 seed: rng.random(),
--- a/crates/cluster-simulation/src/world.rs
+++ b/crates/cluster-simulation/src/world.rs
@@ -4,7 +4,8 @@
 use crate::script::{Deed, Link, Links, Script};
 use driftfront_cluster::consensus::replica::Write;
 use driftfront_cluster::{
-    consensus, About, Cluster, Counters, Identity, Key, Keyring, MemberStatus, Micros, Options,
+    consensus, Cluster, Counters, Identity, Key, Keyring, MemberMetadata, MemberStatus, Micros,
+    Options,
 };
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -252,11 +253,11 @@
             session,
             back: 0,
         };
-        let about = About {
+        let about = MemberMetadata {
             zone: format!("z{}", member % self.script.zones),
             build: "lab".into(),
             since_ms: clock / 1000,
-            ..About::default()
+            ..MemberMetadata::default()
         };
         let seeds = (0..SEEDS.min(self.script.members)).map(addr).collect();
         let founders = (0..self.script.voters).map(name).collect();
--- a/crates/cluster/src/agent.rs
+++ b/crates/cluster/src/agent.rs
@@ -2,7 +2,7 @@
 
 use crate::consensus::{self, Consensus, Notice, Peer};
 use crate::gossip::{Fact, Facts, Kind, Refusals, ABOUT, AGREED};
-use crate::member_metadata::About;
+use crate::member_metadata::MemberMetadata;
 use crate::membership::{Change, Identity, MemberStatus, Members};
 use crate::message_authentication::{Keyring, Payload, Refused, Seal, PAYLOAD_MOST};
 use crate::rate_limit::Pace;
@@ -45,7 +45,7 @@
     /// Who we are.
     pub me: Identity,
     /// What we tell of ourselves.
-    pub about: About,
+    pub about: MemberMetadata,
     /// The keys.
     pub keys: Keyring,
     /// Whom to ask to be let in.
@@ -117,7 +117,7 @@
     /// For how long it has stood so, by our own time.
     pub for_long: Micros,
     /// What it told of itself, and how old that is.
-    pub about: Option<(About, Micros)>,
+    pub about: Option<(MemberMetadata, Micros)>,
     /// It is us.
     pub is_me: bool,
 }
@@ -397,7 +397,7 @@
                     stands: (standing, long),
                     zone: facts
                         .get(now, &id.name, ABOUT)
-                        .and_then(|f| About::read(f.value))
+                        .and_then(|f| MemberMetadata::read(f.value))
                         .map_or(String::new(), |a| a.zone),
                     notice: facts
                         .get(now, &id.name, AGREED)
@@ -462,7 +462,7 @@
     }
 
     /// Tells of ourselves anew.
-    pub fn tell_about(&mut self, about: &About) -> bool {
+    pub fn tell_about(&mut self, about: &MemberMetadata) -> bool {
         self.tell(ABOUT, &about.write())
     }
 
@@ -514,7 +514,7 @@
             about: self
                 .facts
                 .get(now, &id.name, ABOUT)
-                .and_then(|f| Some((About::read(f.value)?, f.age))),
+                .and_then(|f| Some((MemberMetadata::read(f.value)?, f.age))),
             is_me,
         };
         let me = std::iter::once((self.me(), MemberStatus::Alive, now, true));
@@ -699,7 +699,7 @@
         };
         let options = Options {
             me,
-            about: About::default(),
+            about: MemberMetadata::default(),
             keys,
             seeds: vec![addr(2)],
             seed: 1,
--- a/crates/cluster/src/gossip.rs
+++ b/crates/cluster/src/gossip.rs
@@ -16,7 +16,7 @@
 /// What a record is about: a number that all builds agree on.
 pub type Kind = u16;
 
-/// A member's word on itself, as [`crate::About`].
+/// A member's word on itself, as [`crate::MemberMetadata`].
 pub const ABOUT: Kind = 1;
 /// A member's part in what is agreed, as [`crate::consensus::Notice`].
 pub const AGREED: Kind = 2;
--- a/crates/cluster/src/member_metadata.rs
+++ b/crates/cluster/src/member_metadata.rs
@@ -42,7 +42,7 @@
 
 /// What a member tells of itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct About {
+pub struct MemberMetadata {
     /// Its zone; empty where it has none.
     pub zone: String,
     /// Its region; empty where it has none.
@@ -55,10 +55,10 @@
     pub since_ms: u64,
 }
 
-impl Default for About {
-    fn default() -> About {
+impl Default for MemberMetadata {
+    fn default() -> MemberMetadata {
         let (zone, region, build) = Default::default();
-        About {
+        MemberMetadata {
             zone,
             region,
             build,
@@ -76,7 +76,7 @@
     &text[..end]
 }
 
-impl About {
+impl MemberMetadata {
     /// As bytes: fields of a number, a length and that many bytes.
     pub fn write(&self) -> Vec<u8> {
         let mut out = Vec::new();
@@ -93,10 +93,10 @@
     }
 
     /// Reads such bytes; fields of a later build are skipped. `None` where they end within a field.
-    pub fn read(mut bytes: &[u8]) -> Option<About> {
-        let mut about = About {
+    pub fn read(mut bytes: &[u8]) -> Option<MemberMetadata> {
+        let mut about = MemberMetadata {
             state: State::Other,
-            ..About::default()
+            ..MemberMetadata::default()
         };
         while let [number, length, rest @ ..] = bytes {
             let (value, rest) = rest.split_at_checked(usize::from(*length))?;
@@ -127,36 +127,39 @@
 
     #[test]
     fn it_is_read_as_it_was_written_and_by_a_build_that_knows_fewer_fields() {
-        let about = About {
+        let about = MemberMetadata {
             zone: "room-a".into(),
             region: "north".into(),
             build: "0.2.0".into(),
             state: State::Paused,
             since_ms: 1_764_600_000_123,
         };
-        assert_eq!(About::read(&about.write()), Some(about.clone()));
+        assert_eq!(MemberMetadata::read(&about.write()), Some(about.clone()));
         let mut later = about.write();
         later.extend([99, 3, 1, 2, 3]);
-        assert_eq!(About::read(&later), Some(about.clone()));
-        let unknown = About::read(&[STATE, 4, b'r', b'o', b'l', b'l']).unwrap();
+        assert_eq!(MemberMetadata::read(&later), Some(about.clone()));
+        let unknown = MemberMetadata::read(&[STATE, 4, b'r', b'o', b'l', b'l']).unwrap();
         assert_eq!(unknown.state, State::Other);
         for end in 1..later.len() {
-            let read = About::read(&later[..end]);
+            let read = MemberMetadata::read(&later[..end]);
             assert!(
                 read.is_none() || read.is_some_and(|a| a.zone == "room-a" || a.zone.is_empty())
             );
         }
-        let long = About {
+        let long = MemberMetadata {
             zone: "é".repeat(60),
             ..about
         };
-        assert_eq!(About::read(&long.write()).unwrap().zone, "é".repeat(24));
+        assert_eq!(
+            MemberMetadata::read(&long.write()).unwrap().zone,
+            "é".repeat(24)
+        );
     }
 
     #[test]
     fn no_bytes_make_it_panic() {
         fn reads(bytes: Vec<u8>) -> bool {
-            About::read(&bytes).is_none_or(|a| a.zone.len() <= TEXT_MOST)
+            MemberMetadata::read(&bytes).is_none_or(|a| a.zone.len() <= TEXT_MOST)
         }
         quickcheck(reads as fn(Vec<u8>) -> bool);
     }
--- a/crates/cluster/tests/golden_datagrams.rs
+++ b/crates/cluster/tests/golden_datagrams.rs
@@ -3,7 +3,7 @@
 use driftfront_cluster::gossip::{Facts, ABOUT, AGREED};
 use driftfront_cluster::membership::Members;
 use driftfront_cluster::message_authentication::{Opened, Payload, Refused, Seal};
-use driftfront_cluster::{About, Cluster, Identity, Key, Keyring, Options, State};
+use driftfront_cluster::{Cluster, Identity, Key, Keyring, MemberMetadata, Options, State};
 use driftfront_test_support::{assert_golden, read_golden};
 use std::fmt::Write;
 use std::net::SocketAddr;
@@ -190,14 +190,14 @@
         (State::Other, "in a state of a later build"),
     ] {
         assert_eq!(state(state_of), word);
-        let about = About {
+        let about = MemberMetadata {
             zone: "room-a".into(),
             region: "north".into(),
             build: "0.2.0".into(),
             state: state_of,
             since_ms: 1_764_600_000_123,
         };
-        assert_eq!(About::read(&about.write()), Some(about.clone()));
+        assert_eq!(MemberMetadata::read(&about.write()), Some(about.clone()));
         let _ = writeln!(text, "about, {word}: {}", hex(&about.write()));
     }
     assert_eq!((ABOUT, AGREED), (1, 2));
@@ -228,7 +228,7 @@
 fn records_of_an_earlier_build_are_read() {
     let all = lines("records.txt");
     let of = |name: &str| &all.iter().find(|l| l.0 == name).unwrap().1;
-    let about = About::read(of("about, paused")).unwrap();
+    let about = MemberMetadata::read(of("about, paused")).unwrap();
     assert_eq!(
         (
             about.zone.as_str(),
@@ -271,10 +271,10 @@
         };
         let options = Options {
             me,
-            about: About {
+            about: MemberMetadata {
                 zone: "z0".into(),
                 state: State::Serving,
-                ..About::default()
+                ..MemberMetadata::default()
             },
             keys: keyring(&format!("{ONE}\n{TWO}")),
             seeds: vec![identity("", 1).addr, identity("", 2).addr],
--- a/crates/coordinator/src/node/cluster.rs
+++ b/crates/coordinator/src/node/cluster.rs
@@ -7,7 +7,7 @@
 use crate::config::ClusterConfig;
 use crate::discovery::Update;
 use driftfront_cluster::{
-    About, Cluster, Identity, Keyring, MemberStatus, Options, State, DATAGRAM_MOST,
+    Cluster, Identity, Keyring, MemberMetadata, MemberStatus, Options, State, DATAGRAM_MOST,
 };
 use driftfront_control::snapshot::Member;
 use driftfront_core::{lifecycle, ListKind, Micros, Phase};
@@ -31,7 +31,7 @@
 pub(super) struct ClusterRuntime {
     socket: Rc<UdpSocket>,
     unit: Cluster,
-    about: About,
+    about: MemberMetadata,
     began: Instant,
     clock: Micros,
     /// Coordinators that the engines' list names: seeds as those of the operator's file.
@@ -109,7 +109,7 @@
             session,
             back: 0,
         };
-        let about = About {
+        let about = MemberMetadata {
             zone,
             region,
             build: env!("CARGO_PKG_VERSION").into(),
--- a/crates/coordinator/tests/fleet.rs
+++ b/crates/coordinator/tests/fleet.rs
@@ -1,7 +1,7 @@
 //! Several processes of the program with faults between them. Waits are for what they say they see.
 
 use driftfront_cluster::message_authentication::{Payload, Seal};
-use driftfront_cluster::{About, Cluster, Identity, Key, Keyring};
+use driftfront_cluster::{Cluster, Identity, Key, Keyring, MemberMetadata};
 use driftfront_cluster_harness::process::call;
 use driftfront_cluster_harness::ClusterHarness;
 use driftfront_mock_servers::engine::{Engine, Options};
@@ -212,9 +212,9 @@
         back: 0,
     };
     let keys = || Keyring::of(Key::parse(driftfront_cluster_harness::KEY).unwrap());
-    let about = About {
+    let about = MemberMetadata {
         build: "9.9.9".into(),
-        ..About::default()
+        ..MemberMetadata::default()
     };
     let seeds = vec![rig.net.public(0)];
     let begun = std::time::Instant::now();
