--- a/crates/cluster-simulation/src/main.rs
+++ b/crates/cluster-simulation/src/main.rs
@@ -286,7 +286,7 @@
             let stood = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| {
                 one.tick(now, now, peers);
                 while let Some((_, outcome)) = one.outcome() {
-                    if let Ok(Outcome::Lent { fence }) = outcome {
+                    if let Ok(Outcome::Granted { fence }) = outcome {
                         lent += 1;
                         one.give(now, fence);
                     }
--- a/crates/cluster-simulation/src/model.rs
+++ b/crates/cluster-simulation/src/model.rs
@@ -1,5 +1,5 @@
 //! A model of a right that is lent, for `stateright`: three voters, two that ask, one crash, one cut, and clocks that stand
-//! still or go on. The state that entries make is the real one ([`Rights`]); of the log's engine only the rules are here:
+//! still or go on. The state that entries make is the real one ([`Leases`]); of the log's engine only the rules are here:
 //! terms, votes for logs that lack nothing, agreed once a majority has an entry of the leader's own term. Calls between two
 //! are one step; what is asked may come to any leader, early, late and again. It begins with a leader, the same each time, as
 //! voters are alike.
@@ -7,7 +7,7 @@
 //! Checked in all states that can be reached: at no time do both act on the one right there is; and what was agreed once
 //! is never another.
 
-use driftfront_cluster::consensus::leases::{Command, Entry, Outcome, Rights};
+use driftfront_cluster::consensus::leases::{Command, Entry, Leases, Outcome};
 use stateright::{Model, Property};
 
 const VOTERS: usize = 3;
@@ -116,9 +116,9 @@
         self.voters[a].up && self.voters[b].up && self.cut != Some(a) && self.cut != Some(b)
     }
 
-    fn rights(&self, voter: usize) -> Rights {
+    fn rights(&self, voter: usize) -> Leases {
         let v = &self.voters[voter];
-        let mut rights = Rights::default();
+        let mut rights = Leases::default();
         for (n, (_, entry)) in v.log[..v.agreed].iter().enumerate() {
             if let Some(entry) = entry {
                 rights.apply(n as u64 + 1, entry.clone());
@@ -389,7 +389,7 @@
                 } else {
                     at
                 };
-                if let Outcome::Lent { fence } = outcome {
+                if let Outcome::Granted { fence } = outcome {
                     asker.holds = Some((fence, from + SPAN));
                 }
             }
--- a/crates/cluster-simulation/src/rights.rs
+++ b/crates/cluster-simulation/src/rights.rs
@@ -35,7 +35,7 @@
 }
 
 /// What is held and was answered.
-pub struct Rights {
+pub struct Leases {
     load: Load,
     rng: SmallRng,
     /// Requests that wait, and since when.
@@ -54,10 +54,10 @@
     pub wrong: Vec<String>,
 }
 
-impl Rights {
+impl Leases {
     /// For this load, drawn by this seed.
-    pub fn new(load: Load, seed: u64) -> Rights {
-        Rights {
+    pub fn new(load: Load, seed: u64) -> Leases {
+        Leases {
             load,
             rng: SmallRng::seed_from_u64(seed ^ 0x7167),
             waiting: BTreeMap::new(),
@@ -85,7 +85,7 @@
                     Err(Unanswered::InTime | Unanswered::TooMany) => self.unanswered += 1,
                     Ok(outcome) => {
                         self.answered.extend(since.map(|s| (now, now - s)));
-                        if let Outcome::Lent { fence } = outcome {
+                        if let Outcome::Granted { fence } = outcome {
                             self.lent += 1;
                             let pot = agreed
                                 .held()
--- a/crates/cluster-simulation/src/world.rs
+++ b/crates/cluster-simulation/src/world.rs
@@ -1,6 +1,6 @@
 //! Many members and the network between them, on virtual time: one thread, one seed, the same to the byte each time.
 
-use crate::rights::{Load, Rights};
+use crate::rights::{Leases, Load};
 use crate::script::{Deed, Link, Links, Script};
 use driftfront_cluster::consensus::replica::Write;
 use driftfront_cluster::{
@@ -74,7 +74,7 @@
     /// A sum over all that was sent, for comparing runs.
     pub trace: u64,
     /// Members that ask for rights, and what is held: see [`World::ask`].
-    pub rights: Option<Rights>,
+    pub rights: Option<Leases>,
 }
 
 /// The name of a member.
@@ -154,7 +154,7 @@
 
     /// From now on members ask for rights, and it is looked at whether any is held twice.
     pub fn ask(&mut self, load: Load) {
-        self.rights = Some(Rights::new(load, self.script.seed));
+        self.rights = Some(Leases::new(load, self.script.seed));
     }
 
     /// Each has a replica of the log or a copy of what is agreed, and some member leads.
--- a/crates/cluster/src/consensus/bootstrap.rs
+++ b/crates/cluster/src/consensus/bootstrap.rs
@@ -11,7 +11,7 @@
 //! work for two of three names. Two processes of one name are an upgrade's, which share the state folder's log under a
 //! lock. What an earlier set may have lent ends within [`QUIET`] of the founding, in which nothing is lent.
 
-use crate::consensus::leases::Rights;
+use crate::consensus::leases::Leases;
 use crate::Micros;
 use raft::eraftpb::Snapshot;
 use serde::{Deserialize, Serialize};
@@ -83,7 +83,7 @@
     /// What all founders begin with, the same for each.
     pub fn snapshot(&self) -> Snapshot {
         let newest = self.founders.iter().map(|f| f.0 >> 20).max().unwrap_or(0);
-        let rights = Rights::begun(newest, QUIET);
+        let rights = Leases::begun(newest, QUIET);
         let mut voters: Vec<u64> = self.founders.iter().map(|f| f.0).collect();
         voters.sort_unstable();
         let state = super::replica::State {
--- a/crates/cluster/src/consensus/leases.rs
+++ b/crates/cluster/src/consensus/leases.rs
@@ -68,7 +68,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Outcome {
     /// It is lent, under this number: later ones are higher.
-    Lent {
+    Granted {
         /// The fencing number.
         fence: u64,
     },
@@ -98,7 +98,7 @@
 
 /// A right.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Right {
+pub struct Lease {
     /// Of which pot.
     pub pot: String,
     /// How much of it.
@@ -140,14 +140,14 @@
 
 /// The state that all agree on.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Rights {
+pub struct Leases {
     /// The log's time.
     time: Micros,
     /// Fencing numbers are above this: they must not begin anew where a log did.
     base: u64,
     /// Nothing is lent before.
     quiet_until: Micros,
-    lent: BTreeMap<u64, Right>,
+    lent: BTreeMap<u64, Lease>,
     owners: BTreeMap<String, Owner>,
 }
 
@@ -157,20 +157,20 @@
     /// Its fencing number.
     pub fence: u64,
     /// The right.
-    pub right: &'a Right,
+    pub right: &'a Lease,
     /// Until its end, by the log's time as it was last told; nothing where that is over and it stays.
     pub left: Option<Micros>,
 }
 
-impl Rights {
+impl Leases {
     /// Of a log that begins at this time of its founder's clock, in milliseconds since 1970. What an earlier log may have
     /// lent, for `quiet` at most, must have ended before anything is lent here.
-    pub fn begun(clock_ms: u64, quiet: Micros) -> Rights {
+    pub fn begun(clock_ms: u64, quiet: Micros) -> Leases {
         // A million entries a second would have to pass for a number to come twice; and readers in JSON have 53 bits.
-        Rights {
+        Leases {
             base: (clock_ms / 1000) << 20,
             quiet_until: quiet,
-            ..Rights::default()
+            ..Leases::default()
         }
     }
 
@@ -186,7 +186,7 @@
 
     /// All that is lent, by fencing number.
     pub fn all(&self) -> impl Iterator<Item = Seen<'_>> {
-        let left = |r: &Right| r.end.checked_sub(self.time).filter(|&l| l > 0);
+        let left = |r: &Lease| r.end.checked_sub(self.time).filter(|&l| l > 0);
         self.lent.iter().map(move |(&fence, right)| Seen {
             fence,
             right,
@@ -303,7 +303,7 @@
                 let owner = owner.into();
                 self.lent.insert(
                     fence,
-                    Right {
+                    Lease {
                         pot,
                         amount,
                         owner,
@@ -313,7 +313,7 @@
                         note,
                     },
                 );
-                Outcome::Lent { fence }
+                Outcome::Granted { fence }
             }
             Command::Renew { fence, span } => {
                 match self.lent.get_mut(&fence).filter(|r| r.owner == owner) {
@@ -373,11 +373,11 @@
 
     #[test]
     fn one_pot_is_lent_once_until_its_end_and_then_under_a_higher_number() {
-        let mut rights = Rights::begun(7_999, 0);
+        let mut rights = Leases::begun(7_999, 0);
         let first = rights.apply(1, entry(S, "a", 1, take("out", 10 * S, false)));
         assert_eq!(
             first,
-            Outcome::Lent {
+            Outcome::Granted {
                 fence: (7 << 20) + 1
             }
         );
@@ -411,7 +411,7 @@
         let second = rights.apply(5, entry(11 * S, "b", 4, take("out", S, false)));
         assert_eq!(
             second,
-            Outcome::Lent {
+            Outcome::Granted {
                 fence: (7 << 20) + 5
             }
         );
@@ -434,10 +434,10 @@
 
     #[test]
     fn what_stays_counts_beyond_its_end_until_it_is_given_back() {
-        let mut rights = Rights::default();
+        let mut rights = Leases::default();
         assert_eq!(
             rights.apply(1, entry(S, "a", 1, take("out", S, true))),
-            Outcome::Lent { fence: 1 }
+            Outcome::Granted { fence: 1 }
         );
         let full = Outcome::Full {
             lent: 1,
@@ -454,13 +454,13 @@
         );
         assert!(matches!(
             rights.apply(4, entry(902 * S, "b", 3, take("out", S, false))),
-            Outcome::Lent { .. }
+            Outcome::Granted { .. }
         ));
     }
 
     #[test]
     fn a_request_that_comes_twice_counts_once_and_an_earlier_process_is_told_so() {
-        let mut rights = Rights::default();
+        let mut rights = Leases::default();
         let ask = entry(S, "a", 5, take("out", 10 * S, false));
         let first = rights.apply(1, ask.clone());
         assert_eq!(rights.apply(2, ask), first);
@@ -492,29 +492,29 @@
 
     #[test]
     fn a_log_that_begins_anew_lends_nothing_while_an_earlier_one_s_rights_may_hold() {
-        let mut rights = Rights::begun(1, 30 * S);
+        let mut rights = Leases::begun(1, 30 * S);
         assert_eq!(
             rights.apply(1, entry(10 * S, "a", 1, take("x", S, false))),
             Outcome::Early { wait: 20 * S }
         );
         assert!(matches!(
             rights.apply(2, entry(30 * S, "a", 2, take("x", S, false))),
-            Outcome::Lent { .. }
+            Outcome::Granted { .. }
         ));
     }
 
     #[test]
     fn all_has_a_bound() {
-        let mut rights = Rights::default();
+        let mut rights = Leases::default();
         let mut index = 0;
-        let mut ask = |rights: &mut Rights, owner: &str, pot: &str| {
+        let mut ask = |rights: &mut Leases, owner: &str, pot: &str| {
             index += 1;
             rights.apply(index, entry(S, owner, index, take(pot, 10 * S, false)))
         };
         for n in 0..RIGHTS_OF_ONE {
             assert!(matches!(
                 ask(&mut rights, "a", &format!("p{n}")),
-                Outcome::Lent { .. }
+                Outcome::Granted { .. }
             ));
         }
         assert_eq!(ask(&mut rights, "a", "one more"), Outcome::Beyond);
@@ -534,7 +534,7 @@
     #[test]
     fn never_more_of_a_pot_is_lent_than_its_figure_whatever_is_asked() {
         fn holds(asks: Vec<(u8, u8, u8, u8)>) -> bool {
-            let mut rights = Rights::default();
+            let mut rights = Leases::default();
             let mut time = 0;
             asks.into_iter()
                 .enumerate()
--- a/crates/cluster/src/consensus/mod.rs
+++ b/crates/cluster/src/consensus/mod.rs
@@ -28,7 +28,7 @@
 use crate::Micros;
 use bootstrap::{Founding, Shown, QUIET};
 use fragmentation::{Part, Parts};
-use leases::{Command, Outcome, Right};
+use leases::{Command, Lease, Outcome};
 use rand::rngs::SmallRng;
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
@@ -258,7 +258,7 @@
     /// Founders that lack, where nothing is founded yet.
     pub missing: Vec<String>,
     /// All that is lent: fence, right, time left (none where it is over and stays).
-    pub lent: Vec<(u64, Right, Option<Micros>)>,
+    pub lent: Vec<(u64, Lease, Option<Micros>)>,
 }
 
 /// One member's part.
@@ -708,7 +708,7 @@
         let until = |span: Micros| from + (span - span / 20).saturating_sub(SLACK);
         match (&outcome, &asking.command) {
             (
-                Outcome::Lent { fence },
+                Outcome::Granted { fence },
                 Command::Take {
                     pot, amount, span, ..
                 },
--- a/crates/cluster/src/consensus/replica.rs
+++ b/crates/cluster/src/consensus/replica.rs
@@ -6,7 +6,7 @@
 //! replica alone; its process asks to be let in again under another id, as one that lost its log.
 
 use crate::consensus::bootstrap::{Founded, Voter};
-use crate::consensus::leases::{Entry as Asked, Outcome, Rights};
+use crate::consensus::leases::{Entry as Asked, Leases, Outcome};
 use crate::consensus::store::{self, bytes_of, Log, Shared};
 use crate::Micros;
 use protobuf::Message as _;
@@ -48,7 +48,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct State {
     /// What is lent.
-    pub rights: Rights,
+    pub rights: Leases,
     /// Who decides, or learns in order to: by id.
     pub voters: BTreeMap<u64, String>,
 }
--- a/crates/cluster/tests/golden_log.rs
+++ b/crates/cluster/tests/golden_log.rs
@@ -40,7 +40,7 @@
 /// What became of a command, in words of this test.
 fn outcome(outcome: &Outcome) -> String {
     match outcome {
-        Outcome::Lent { fence } => format!("lent {fence}"),
+        Outcome::Granted { fence } => format!("lent {fence}"),
         Outcome::Renewed => "renewed".into(),
         Outcome::Given => "given".into(),
         Outcome::Full { lent, wait } => format!("full, {lent} lent, wait {wait:?}"),
@@ -104,7 +104,8 @@
         take("out", 1, 60 * SECOND, false, "too early"),
     );
     site.play(10 * SECOND, everywhere);
-    let Outcome::Lent { fence } = ask(&mut site, 3, take("out", 2, 60 * SECOND, false, "a while"))
+    let Outcome::Granted { fence } =
+        ask(&mut site, 3, take("out", 2, 60 * SECOND, false, "a while"))
     else {
         panic!("nothing lent");
     };
@@ -379,7 +380,7 @@
         let _ = writeln!(text, "entry {}", hex(&bytes));
     }
     let outcomes = [
-        Outcome::Lent { fence: 300 },
+        Outcome::Granted { fence: 300 },
         Outcome::Renewed,
         Outcome::Given,
         Outcome::Full {
--- a/crates/coordinator/src/node/cluster/agreed.rs
+++ b/crates/coordinator/src/node/cluster/agreed.rs
@@ -359,7 +359,7 @@
         };
         let held = |(fence, right, left): (
             u64,
-            driftfront_cluster::consensus::leases::Right,
+            driftfront_cluster::consensus::leases::Lease,
             Option<Micros>,
         )| Held {
             name: right.pot.strip_prefix(HOLD).unwrap_or(&right.pot).into(),
@@ -390,7 +390,7 @@
 fn words(name: &str, outcome: Result<Outcome, Unanswered>) -> Result<String, String> {
     let seconds = |t: Micros| t.div_ceil(1_000_000);
     match outcome {
-        Ok(Outcome::Lent { fence }) => Ok(format!("{name} is held, under number {fence}")),
+        Ok(Outcome::Granted { fence }) => Ok(format!("{name} is held, under number {fence}")),
         Ok(Outcome::Given) => Ok(format!("{name} is given back")),
         Ok(Outcome::Renewed) => Ok(format!("{name} is held for longer")),
         Ok(Outcome::Full { wait: Some(wait), .. }) => {
