--- a/crates/cluster-simulation/src/main.rs
+++ b/crates/cluster-simulation/src/main.rs
@@ -260,9 +260,9 @@
     let names: Vec<String> = (0..3).map(name).collect();
     let mut all: Vec<Consensus> = Vec::new();
     for (n, me) in names.iter().enumerate() {
-        let founders = names.clone();
+        let initial_voters = names.clone();
         let options = consensus::Options {
-            founders,
+            initial_voters,
             file: Some(Vec::new()),
             ..consensus::Options::default()
         };
--- a/crates/cluster-simulation/src/world.rs
+++ b/crates/cluster-simulation/src/world.rs
@@ -260,10 +260,10 @@
             ..MemberMetadata::default()
         };
         let seeds = (0..SEEDS.min(self.script.members)).map(addr).collect();
-        let founders = (0..self.script.voters).map(name).collect();
+        let initial_voters = (0..self.script.voters).map(name).collect();
         let file = self.script.keeps.then(|| p.disk.clone());
         let asked = consensus::Options {
-            founders,
+            initial_voters,
             replace_after: self.script.replace_after,
             zone: about.zone.clone(),
             file,
--- a/crates/cluster/src/consensus/bootstrap.rs
+++ b/crates/cluster/src/consensus/bootstrap.rs
@@ -29,19 +29,19 @@
 
 /// Whose a log is: one replica's part in it, and who founded it. For one that was let in later the founders are none.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Founded {
+pub struct Bootstrapped {
     /// The replica's id: one log's, and of no other life.
     pub id: u64,
     /// Which log: a hash over its founders.
     pub cluster: u64,
     /// Its founders, by name.
-    pub founders: Vec<Voter>,
+    pub initial_voters: Vec<Voter>,
 }
 
 /// A hash over a set of founders, sorted by name.
-pub fn cluster_of(founders: &[Voter]) -> u64 {
+pub fn cluster_of(initial_voters: &[Voter]) -> u64 {
     let mut hash = SipHasher24::new();
-    for (id, name) in founders {
+    for (id, name) in initial_voters {
         hash.write_u64(*id);
         hash.write_usize(name.len());
         hash.write(name.as_bytes());
@@ -50,23 +50,23 @@
     hash.finish().max(1)
 }
 
-impl Founded {
+impl Bootstrapped {
     /// By these, sorted by name.
-    pub fn new(id: u64, mut founders: Vec<Voter>) -> Founded {
-        founders.sort_by(|a, b| a.1.cmp(&b.1));
-        Founded {
+    pub fn new(id: u64, mut initial_voters: Vec<Voter>) -> Bootstrapped {
+        initial_voters.sort_by(|a, b| a.1.cmp(&b.1));
+        Bootstrapped {
             id,
-            cluster: cluster_of(&founders),
-            founders,
+            cluster: cluster_of(&initial_voters),
+            initial_voters,
         }
     }
 
     /// Let into a log that others founded.
-    pub fn joined(id: u64, cluster: u64) -> Founded {
-        Founded {
+    pub fn joined(id: u64, cluster: u64) -> Bootstrapped {
+        Bootstrapped {
             id,
             cluster,
-            founders: Vec::new(),
+            initial_voters: Vec::new(),
         }
     }
 
@@ -76,19 +76,24 @@
     }
 
     /// Reads such bytes.
-    pub fn read(bytes: &[u8]) -> Option<Founded> {
+    pub fn read(bytes: &[u8]) -> Option<Bootstrapped> {
         postcard::from_bytes(bytes).ok()
     }
 
     /// What all founders begin with, the same for each.
     pub fn snapshot(&self) -> Snapshot {
-        let newest = self.founders.iter().map(|f| f.0 >> 20).max().unwrap_or(0);
+        let newest = self
+            .initial_voters
+            .iter()
+            .map(|f| f.0 >> 20)
+            .max()
+            .unwrap_or(0);
         let rights = Leases::begun(newest, QUIET);
-        let mut voters: Vec<u64> = self.founders.iter().map(|f| f.0).collect();
+        let mut voters: Vec<u64> = self.initial_voters.iter().map(|f| f.0).collect();
         voters.sort_unstable();
         let state = super::replica::State {
             rights,
-            voters: self.founders.iter().cloned().collect(),
+            voters: self.initial_voters.iter().cloned().collect(),
         };
         let mut snapshot = Snapshot {
             data: state.write().into(),
@@ -114,20 +119,20 @@
 
 /// A founder without a log.
 #[derive(Clone, Debug)]
-pub struct Founding {
+pub struct Bootstrap {
     me: String,
     id: u64,
     names: Vec<String>,
-    promises: Vec<Founded>,
+    promises: Vec<Bootstrapped>,
 }
 
-impl Founding {
+impl Bootstrap {
     /// One of these, under this id; `None` where it is none of them.
-    pub fn new(me: &str, id: u64, names: &[String]) -> Option<Founding> {
+    pub fn new(me: &str, id: u64, names: &[String]) -> Option<Bootstrap> {
         let mut names = names.to_vec();
         names.sort();
         let one_of_them = names.iter().any(|n| n == me);
-        one_of_them.then(|| Founding {
+        one_of_them.then(|| Bootstrap {
             me: me.into(),
             id,
             names,
@@ -141,7 +146,7 @@
     }
 
     /// Looks at what the founders show; what is founded, if that is so now.
-    pub fn look(&mut self, shown: impl Fn(&str) -> Option<Shown>) -> Option<Founded> {
+    pub fn look(&mut self, shown: impl Fn(&str) -> Option<Shown>) -> Option<Bootstrapped> {
         let own = Shown {
             id: self.id,
             cluster: 0,
@@ -153,7 +158,7 @@
             .map(|n| (n.clone(), if *n == self.me { Some(own) } else { shown(n) }))
             .collect();
         // A log that one of the others has and that we promised ourselves to.
-        let has = |p: &&Founded| {
+        let has = |p: &&Bootstrapped| {
             all.iter()
                 .any(|(_, s)| s.is_some_and(|s| s.cluster == p.cluster))
         };
@@ -165,7 +170,7 @@
             .iter()
             .map(|(n, s)| Some((s.filter(none_has_a_log)?.id, n.clone())))
             .collect();
-        let set = Founded::new(self.id, there?);
+        let set = Bootstrapped::new(self.id, there?);
         if self.promised() != set.cluster {
             self.promises.retain(|p| p.cluster != set.cluster);
             self.promises.push(set);
@@ -198,7 +203,7 @@
 
     #[test]
     fn all_founders_found_one_log_and_not_before_all_are_there() {
-        let mut a = Founding::new("a", 1, &names()).unwrap();
+        let mut a = Bootstrap::new("a", 1, &names()).unwrap();
         let empty = |id| {
             Some(Shown {
                 id,
@@ -233,10 +238,11 @@
             })
         };
         assert_eq!(
-            a.look(all).map(|f| (f.cluster, f.id, f.founders.len())),
+            a.look(all)
+                .map(|f| (f.cluster, f.id, f.initial_voters.len())),
             Some((set, 1, 3))
         );
-        assert!(Founding::new("d", 1, &names()).is_none());
+        assert!(Bootstrap::new("d", 1, &names()).is_none());
     }
 
     /// Founders that restart, and see each other late: of the sets that are founded no two have, at any time, both a
@@ -246,7 +252,7 @@
         #[derive(Clone)]
         struct One {
             id: u64,
-            founding: Founding,
+            founding: Bootstrap,
             cluster: u64,
         }
         fn holds(steps: Vec<(u8, u8)>) -> bool {
@@ -256,7 +262,7 @@
                 next += 1;
                 One {
                     id: next,
-                    founding: Founding::new(&all[n], next, &all).unwrap(),
+                    founding: Bootstrap::new(&all[n], next, &all).unwrap(),
                     cluster: 0,
                 }
             };
@@ -289,7 +295,7 @@
                             ones[n].cluster = founded.cluster;
                             sets.insert(
                                 founded.cluster,
-                                founded.founders.iter().map(|f| f.0).collect(),
+                                founded.initial_voters.iter().map(|f| f.0).collect(),
                             );
                         }
                     }
--- a/crates/cluster/src/consensus/mod.rs
+++ b/crates/cluster/src/consensus/mod.rs
@@ -26,7 +26,7 @@
 
 use crate::membership::{MemberStatus, NAME_MOST};
 use crate::Micros;
-use bootstrap::{Founding, Shown, QUIET};
+use bootstrap::{Bootstrap, Shown, QUIET};
 use fragmentation::{Part, Parts};
 use leases::{Command, Lease, Outcome};
 use rand::rngs::SmallRng;
@@ -59,7 +59,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Options {
     /// The first voters, by name, as the operator's file has them; none where this one only reads and asks.
-    pub founders: Vec<String>,
+    pub initial_voters: Vec<String>,
     /// A voter that is down for so long is replaced.
     pub replace_after: Micros,
     /// Our zone; empty for none.
@@ -268,7 +268,7 @@
     options: Options,
     id: u64,
     rng: SmallRng,
-    founding: Option<Founding>,
+    founding: Option<Bootstrap>,
     replica: Option<Replica>,
     /// It keeps its log where that outlives the process.
     keeps: bool,
@@ -327,7 +327,7 @@
             .as_ref()
             .map_or_else(|| fresh_id(session, &mut rng), |r| r.id());
         let founding = match (&replica, &wrong) {
-            (None, None) if !replaced => Founding::new(me, id, &options.founders),
+            (None, None) if !replaced => Bootstrap::new(me, id, &options.initial_voters),
             _ => None,
         };
         let agreed = Consensus {
@@ -430,7 +430,7 @@
         Notice {
             id: self.id,
             cluster: r.map_or(0, |r| r.cluster()),
-            promised: self.founding.as_ref().map_or(0, Founding::promised),
+            promised: self.founding.as_ref().map_or(0, Bootstrap::promised),
             knows: match r {
                 Some(r) if r.applied() > 0 => (r.cluster(), r.applied()),
                 _ => (self.copy.cluster, self.copy.index),
@@ -585,7 +585,7 @@
     /// Another replica's message.
     fn step(&mut self, now: Micros, cluster: u64, bytes: &[u8]) {
         if self.replica.is_none() && self.may_join(bytes) {
-            let founded = bootstrap::Founded::joined(self.id, cluster);
+            let founded = bootstrap::Bootstrapped::joined(self.id, cluster);
             self.replica = Replica::join(founded, self.rng.random());
             self.founding = None;
             self.leaderless = Some(now);
@@ -790,7 +790,7 @@
         });
         if replaced {
             // Others decide now: it founds nothing beside them.
-            let file = store::Log::of(bootstrap::Founded::joined(0, self.copy.cluster)).file();
+            let file = store::Log::of(bootstrap::Bootstrapped::joined(0, self.copy.cluster)).file();
             self.retire(file);
         }
     }
@@ -818,7 +818,7 @@
             || deciding.iter().filter(lost).count() > deciding.len().saturating_sub(1) / 2
         {
             self.retire(store::HEADER.to_vec());
-            self.founding = Founding::new(&self.me, self.id, &self.options.founders);
+            self.founding = Bootstrap::new(&self.me, self.id, &self.options.initial_voters);
         }
     }
 
@@ -948,7 +948,7 @@
         // Somebody decides already: what lets us in is a leader's word.
         let decides =
             |p: &Peer| p.is_there() && p.notice.as_ref().is_some_and(|n| n.votes && n.cluster != 0);
-        let ours = |p: &Peer| self.options.founders.contains(&p.name);
+        let ours = |p: &Peer| self.options.initial_voters.contains(&p.name);
         if self.peers.values().any(|p| decides(p) && !ours(p)) {
             return;
         }
@@ -959,7 +959,7 @@
         let least = self.copy.state.rights.begins_above();
         if self.copy.cluster != 0 && self.id >> 20 < least {
             self.id = fresh_id(least << 20, &mut self.rng);
-            if let Some(anew) = Founding::new(&self.me, self.id, &self.options.founders) {
+            if let Some(anew) = Bootstrap::new(&self.me, self.id, &self.options.initial_voters) {
                 founding = anew;
             }
         }
--- a/crates/cluster/src/consensus/replica.rs
+++ b/crates/cluster/src/consensus/replica.rs
@@ -5,7 +5,7 @@
 //! invariants are broken: by a disk that lost what it said it kept, or a peer with the key that lies. Such a panic ends this
 //! replica alone; its process asks to be let in again under another id, as one that lost its log.
 
-use crate::consensus::bootstrap::{Founded, Voter};
+use crate::consensus::bootstrap::{Bootstrapped, Voter};
 use crate::consensus::leases::{Entry as Asked, Leases, Outcome};
 use crate::consensus::store::{self, bytes_of, Log, Shared};
 use crate::Micros;
@@ -150,7 +150,7 @@
 
 impl Replica {
     /// Of a log that was just founded: with what all founders begin with.
-    pub fn found(founded: Founded, seed: u64) -> Option<Replica> {
+    pub fn found(founded: Bootstrapped, seed: u64) -> Option<Replica> {
         let snapshot = founded.snapshot();
         let mut log = Log::of(founded);
         log.replace(snapshot);
@@ -160,7 +160,7 @@
     }
 
     /// Let into a log that others founded: its leader tells the rest.
-    pub fn join(founded: Founded, seed: u64) -> Option<Replica> {
+    pub fn join(founded: Bootstrapped, seed: u64) -> Option<Replica> {
         let mut replica = Replica::open(Log::of(founded), seed)?;
         replica.write_anew();
         Some(replica)
--- a/crates/cluster/src/consensus/store.rs
+++ b/crates/cluster/src/consensus/store.rs
@@ -6,7 +6,7 @@
 //!
 //! Bodies are `raft`'s own messages in their protobuf form, which later versions of it may add fields to.
 
-use crate::consensus::bootstrap::Founded;
+use crate::consensus::bootstrap::Bootstrapped;
 use protobuf::Message as _;
 use raft::eraftpb::{ConfState, Entry, HardState, Snapshot};
 use raft::{Error, GetEntriesContext, RaftState, Storage, StorageError};
@@ -60,7 +60,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Log {
     /// Whose it is.
-    pub founded: Founded,
+    pub founded: Bootstrapped,
     hard: HardState,
     snapshot: Snapshot,
     /// The place before the first entry that is held, and its term.
@@ -158,7 +158,8 @@
 
 fn take(log: &mut Option<Log>, kind: u8, body: &[u8]) -> Result<(), Unusable> {
     if kind == FOUNDED {
-        let founded = Founded::read(body).ok_or(Unusable::Wrong("whose it is can't be read"))?;
+        let founded =
+            Bootstrapped::read(body).ok_or(Unusable::Wrong("whose it is can't be read"))?;
         *log = Some(Log::of(founded));
         return Ok(());
     }
@@ -178,7 +179,7 @@
 
 impl Log {
     /// Of one that was just founded, or let in: the founders' snapshot, or nothing yet.
-    pub fn of(founded: Founded) -> Log {
+    pub fn of(founded: Bootstrapped) -> Log {
         Log {
             founded,
             ..Log::default()
@@ -365,12 +366,12 @@
     }
 
     fn log() -> Log {
-        let founders = vec![
+        let initial_voters = vec![
             (5 << 20, "a".to_string()),
             (6 << 20, "b".into()),
             (7 << 20, "c".into()),
         ];
-        let founded = Founded::new(5 << 20, founders);
+        let founded = Bootstrapped::new(5 << 20, initial_voters);
         let mut log = Log::of(founded.clone());
         log.replace(founded.snapshot());
         log
--- a/crates/cluster/tests/golden_log.rs
+++ b/crates/cluster/tests/golden_log.rs
@@ -259,7 +259,7 @@
         let loaded = store::read(&bytes).expect(name);
         assert_eq!((loaded.well, loaded.spoilt), (bytes.len(), None), "{name}");
         let log = loaded.log.expect(name);
-        assert_eq!(log.founded.founders.len(), 3, "{name}");
+        assert_eq!(log.founded.initial_voters.len(), 3, "{name}");
         assert!(log.last() >= last, "{name}: {}", log.last());
         // A cut tail loses the last record and nothing before it.
         let torn = store::read(&bytes[..bytes.len() - 1]).expect(name);
--- a/crates/cluster/tests/voters/mod.rs
+++ b/crates/cluster/tests/voters/mod.rs
@@ -43,7 +43,7 @@
 /// A member's part: the first three are voters, and what each keeps is in this file.
 pub fn open(number: usize, start: u64, file: Option<Vec<u8>>) -> Consensus {
     let options = Options {
-        founders: names(3),
+        initial_voters: names(3),
         replace_after: 300 * SECOND,
         zone: format!("z{number}"),
         file,
--- a/crates/coordinator/src/node/cluster/agreed.rs
+++ b/crates/coordinator/src/node/cluster/agreed.rs
@@ -101,7 +101,7 @@
             return;
         }
         let mut options = Options {
-            founders: config.voters,
+            initial_voters: config.voters,
             replace_after: config.replace_after,
             zone: config.zone,
             file: None,
@@ -128,7 +128,7 @@
         }
         if let Some(why) = fails {
             // It reads and asks: one that can't keep what it was told to must not decide as if it did.
-            options.founders.clear();
+            options.initial_voters.clear();
             self.log_fails(&why);
         }
         let Some(fleet) = self.fleet.as_mut() else {
