--- a/crates/cluster/src/agent.rs
+++ b/crates/cluster/src/agent.rs
@@ -5,7 +5,7 @@
 use crate::member_metadata::MemberMetadata;
 use crate::membership::{Change, Identity, MemberStatus, Members};
 use crate::message_authentication::{Keyring, Payload, Refused, Seal, PAYLOAD_MOST};
-use crate::rate_limit::Pace;
+use crate::rate_limit::RateLimit;
 use crate::Micros;
 use rand::rngs::SmallRng;
 use rand::seq::IndexedRandom;
@@ -159,7 +159,7 @@
     members: Members,
     facts: Facts,
     seal: Seal,
-    pace: Pace,
+    pace: RateLimit,
     seeds: Vec<SocketAddr>,
     rng: SmallRng,
     out: VecDeque<(SocketAddr, Vec<u8>)>,
@@ -184,7 +184,7 @@
     pub fn new(clock: Micros, options: Options) -> Cluster {
         let mut rng = SmallRng::seed_from_u64(options.seed);
         let me = options.me;
-        let mut pace = Pace::default();
+        let mut pace = RateLimit::default();
         let now = pace.look(clock);
         let mut facts = Facts::new(&me.name, me.session);
         facts.tell(now, ABOUT, &options.about.write(), ROUNDS);
--- a/crates/cluster/src/consensus/fragmentation.rs
+++ b/crates/cluster/src/consensus/fragmentation.rs
@@ -20,7 +20,7 @@
 
 /// A part: which whole, its kind, which of how many.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct Part {
+pub struct Fragment {
     /// The whole, by the sender's count.
     pub whole: u64,
     /// What the whole is.
@@ -49,7 +49,7 @@
 
 /// All that is on its way in parts.
 #[derive(Default)]
-pub struct Parts {
+pub struct Fragments {
     last: u64,
     outgoing: BTreeMap<u64, Outgoing>,
     incoming: BTreeMap<(String, u64), Incoming>,
@@ -58,10 +58,10 @@
 }
 
 impl Outgoing {
-    fn part(&self, whole: u64, number: usize) -> Option<Part> {
+    fn part(&self, whole: u64, number: usize) -> Option<Fragment> {
         let of = self.bytes.len().div_ceil(PART);
         let bytes = self.bytes.chunks(PART).nth(number)?.to_vec();
-        Some(Part {
+        Some(Fragment {
             whole,
             kind: self.kind,
             number: number as u16,
@@ -71,9 +71,9 @@
     }
 }
 
-impl Parts {
+impl Fragments {
     /// Begins to send something; the first parts of it. Nothing where it is too long.
-    pub fn send(&mut self, now: Micros, to: &str, kind: u8, bytes: Vec<u8>) -> Vec<Part> {
+    pub fn send(&mut self, now: Micros, to: &str, kind: u8, bytes: Vec<u8>) -> Vec<Fragment> {
         if bytes.is_empty() || bytes.len() > WHOLE_MOST {
             self.dropped += 1;
             return Vec::new();
@@ -99,7 +99,7 @@
     }
 
     /// Parts that the receiver lacks.
-    pub fn wanted(&mut self, now: Micros, by: &str, whole: u64, numbers: &[u16]) -> Vec<Part> {
+    pub fn wanted(&mut self, now: Micros, by: &str, whole: u64, numbers: &[u16]) -> Vec<Fragment> {
         let Some(outgoing) = self.outgoing.get_mut(&whole).filter(|o| o.to == by) else {
             return Vec::new();
         };
@@ -112,8 +112,8 @@
     }
 
     /// A part has come; the whole and its kind, if it was the last that lacked.
-    pub fn take(&mut self, now: Micros, from: &str, part: Part) -> Option<(u8, Vec<u8>)> {
-        let Part {
+    pub fn take(&mut self, now: Micros, from: &str, part: Fragment) -> Option<(u8, Vec<u8>)> {
+        let Fragment {
             whole,
             kind,
             number,
@@ -199,7 +199,7 @@
     #[test]
     fn a_whole_comes_through_whatever_is_lost_and_in_whatever_order() {
         let bytes: Vec<u8> = (0..25_300u32).map(|n| (n * 7 % 251) as u8).collect();
-        let (mut a, mut b) = (Parts::default(), Parts::default());
+        let (mut a, mut b) = (Fragments::default(), Fragments::default());
         let mut under_way = a.send(0, "b", 3, bytes.clone());
         let (mut now, mut n) = (0, 0);
         let whole = loop {
@@ -235,10 +235,10 @@
 
     #[test]
     fn wholes_on_their_way_are_bounded_and_parts_that_contradict_are_dropped() {
-        let mut parts = Parts::default();
+        let mut parts = Fragments::default();
         for n in 0..3 * HELD {
             parts.send(0, &format!("m{n}"), 1, vec![1; 3000]);
-            let part = Part {
+            let part = Fragment {
                 whole: 1,
                 kind: 1,
                 number: 0,
@@ -256,7 +256,7 @@
             (0, u16::MAX, 5),
             (0, 9, PART + 1),
         ] {
-            let part = Part {
+            let part = Fragment {
                 whole: 1,
                 kind: 1,
                 number,
--- a/crates/cluster/src/consensus/mod.rs
+++ b/crates/cluster/src/consensus/mod.rs
@@ -27,12 +27,12 @@
 use crate::membership::{MemberStatus, NAME_MOST};
 use crate::Micros;
 use bootstrap::{Bootstrap, Shown, QUIET};
-use fragmentation::{Part, Parts};
+use fragmentation::{Fragment, Fragments};
 use leases::{Command, Lease, Outcome};
 use rand::rngs::SmallRng;
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
-use reconfiguration::{Candidate, Seat};
+use reconfiguration::{Candidate, VoterSlot};
 use replica::{Replica, State, Write, TICK};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
@@ -131,7 +131,7 @@
     /// One replica to another, of this log.
     Raft { cluster: u64, bytes: Vec<u8> },
     /// A part of something longer; of this log.
-    Part { cluster: u64, part: Part },
+    Fragment { cluster: u64, part: Fragment },
     /// Parts that lack.
     Want { whole: u64, numbers: Vec<u16> },
     /// Have this agreed.
@@ -274,7 +274,7 @@
     keeps: bool,
     copy: Copy,
     peers: BTreeMap<String, Peer>,
-    parts: Parts,
+    parts: Fragments,
     out: VecDeque<(String, Vec<u8>)>,
     keep: VecDeque<Write>,
     asks: VecDeque<Asking>,
@@ -340,7 +340,7 @@
             keeps: keeps && wrong.is_none(),
             copy: Copy::default(),
             peers: BTreeMap::new(),
-            parts: Parts::default(),
+            parts: Fragments::default(),
             out: VecDeque::new(),
             keep: VecDeque::new(),
             asks: VecDeque::new(),
@@ -532,7 +532,7 @@
         };
         match word {
             Word::Raft { cluster, bytes } => self.step(now, cluster, &bytes),
-            Word::Part { cluster, part } => match self.parts.take(now, from, part) {
+            Word::Fragment { cluster, part } => match self.parts.take(now, from, part) {
                 Some((RAFT, whole)) => self.step(now, cluster, &whole),
                 Some((COPY, whole)) => self.take_copy(from, &whole),
                 Some(_) => self.counters.unread += 1,
@@ -541,7 +541,7 @@
             Word::Want { whole, numbers } => {
                 let cluster = self.cluster();
                 for part in self.parts.wanted(now, from, whole, &numbers) {
-                    self.say(from, &Word::Part { cluster, part });
+                    self.say(from, &Word::Fragment { cluster, part });
                 }
             }
             Word::Ask {
@@ -764,7 +764,7 @@
         for part in self.parts.send(now, from, COPY, bytes) {
             self.say(
                 from,
-                &Word::Part {
+                &Word::Fragment {
                     cluster: own.0,
                     part,
                 },
@@ -868,7 +868,7 @@
                     self.say(&name, &Word::Raft { cluster, bytes });
                 } else {
                     for part in self.parts.send(now, &name, RAFT, bytes) {
-                        self.say(&name, &Word::Part { cluster, part });
+                        self.say(&name, &Word::Fragment { cluster, part });
                     }
                 }
             }
@@ -994,20 +994,20 @@
             true => Some((MemberStatus::Alive, 0)),
             false => self.peers.get(name).map(|p| p.stands),
         };
-        let seat = |&id: &u64| {
+        let voter_slot = |&id: &u64| {
             let name = replica.state().voters.get(&id)?.clone();
             let shows = if name == self.me {
                 Some(self.id)
             } else {
                 self.shown(&name).map(|s| s.id)
             };
-            Some(Seat {
+            Some(VoterSlot {
                 stands: stands(&name),
                 shows,
                 voter: (id, name),
             })
         };
-        let seats: Vec<Seat> = deciding.iter().filter_map(seat).collect();
+        let voter_slots: Vec<VoterSlot> = deciding.iter().filter_map(voter_slot).collect();
         let candidate = |p: &Peer| {
             let notice = p.notice.as_ref()?;
             let free = p.stands.0 == MemberStatus::Alive
@@ -1023,10 +1023,10 @@
             })
         };
         let candidates: Vec<Candidate> = self.peers.values().filter_map(candidate).collect();
-        let there = seats
+        let there = voter_slots
             .iter()
             .filter(|s| s.stands.is_some_and(|s| s.0 != MemberStatus::Down));
-        let zone_of = |s: &Seat| match s.voter.1 == self.me {
+        let zone_of = |s: &VoterSlot| match s.voter.1 == self.me {
             true => Some(self.options.zone.clone()),
             false => self.peers.get(&s.voter.1).map(|p| p.zone.clone()),
         };
@@ -1037,7 +1037,8 @@
             let shown = name.and_then(|n| self.shown(n)).is_some_and(|s| s.id == id);
             (id, near, shown)
         });
-        let next = reconfiguration::next(&seats, learner, &candidates, &zones, after, all_keep);
+        let next =
+            reconfiguration::next(&voter_slots, learner, &candidates, &zones, after, all_keep);
         if let (Some(change), Some(replica)) = (next, &mut self.replica) {
             self.counters.changes += u64::from(replica.change(&change));
         }
--- a/crates/cluster/src/consensus/reconfiguration.rs
+++ b/crates/cluster/src/consensus/reconfiguration.rs
@@ -15,7 +15,7 @@
 
 /// A seat.
 #[derive(Clone, Debug)]
-pub struct Seat {
+pub struct VoterSlot {
     /// Who decides.
     pub voter: Voter,
     /// How the process of that name stands, and for how long; nothing where nobody knows it.
@@ -40,7 +40,7 @@
 /// A candidate must have been there for this long: who comes and goes is none.
 const STEADY: Micros = 5_000_000;
 
-impl Seat {
+impl VoterSlot {
     /// Whether it has to be given to another, and to whom if that is settled.
     fn lost(&self, after: Micros) -> bool {
         self.lost_its_log()
@@ -54,26 +54,26 @@
 
 /// The next step, if one is due. `zones`: those of voters that are there; `learner`: its id, whether it has come up with the rest, and whether it is heard.
 pub fn next(
-    seats: &[Seat],
+    voter_slots: &[VoterSlot],
     learner: Option<(u64, bool, bool)>,
     candidates: &[Candidate],
     zones: &[String],
     after: Micros,
     all_keep: bool,
 ) -> Option<Change> {
-    let lost = seats.iter().find(|s| s.lost(after));
+    let lost = voter_slots.iter().find(|s| s.lost(after));
     match (lost, learner) {
-        (Some(seat), Some((new, true, _))) => Some(Change::Swap {
+        (Some(voter_slot), Some((new, true, _))) => Some(Change::Swap {
             new,
-            old: seat.voter.0,
+            old: voter_slot.voter.0,
         }),
         (_, Some((id, _, false))) => Some(Change::Drop(id)),
         (None, Some((id, ..))) => Some(Change::Drop(id)),
         (Some(_), Some(_)) | (None, None) => None,
-        (Some(seat), None) => {
+        (Some(voter_slot), None) => {
             // Its own new self first, so that the operator's choice of voters holds.
-            let own = candidates.iter().find(|c| c.voter.1 == seat.voter.1);
-            let taken = |c: &Candidate| seats.iter().any(|s| s.voter.1 == c.voter.1);
+            let own = candidates.iter().find(|c| c.voter.1 == voter_slot.voter.1);
+            let taken = |c: &Candidate| voter_slots.iter().any(|s| s.voter.1 == c.voter.1);
             let steady = |c: &&Candidate| c.keeps && c.for_long >= STEADY && !taken(c);
             let best = || {
                 candidates.iter().filter(steady).max_by_key(|c| {
@@ -97,8 +97,13 @@
 
     const S: Micros = 1_000_000;
 
-    fn seat(id: u64, name: &str, stands: Option<(MemberStatus, Micros)>, shows: u64) -> Seat {
-        Seat {
+    fn voter_slot(
+        id: u64,
+        name: &str,
+        stands: Option<(MemberStatus, Micros)>,
+        shows: u64,
+    ) -> VoterSlot {
+        VoterSlot {
             voter: (id, name.into()),
             stands,
             shows: Some(shows),
@@ -117,11 +122,11 @@
     #[test]
     fn who_is_gone_for_good_is_replaced_step_by_step_and_who_is_back_keeps_its_seat() {
         let up = Some((MemberStatus::Alive, 99 * S));
-        let seats = |down| {
+        let voter_slots = |down| {
             vec![
-                seat(1, "a", up, 1),
-                seat(2, "b", up, 2),
-                seat(3, "c", Some((MemberStatus::Down, down)), 3),
+                voter_slot(1, "a", up, 1),
+                voter_slot(2, "b", up, 2),
+                voter_slot(3, "c", Some((MemberStatus::Down, down)), 3),
             ]
         };
         let zones = ["z0".to_string(), "z1".into()];
@@ -132,20 +137,20 @@
             candidate(10, "g", "z3", true, S),
         ];
         assert_eq!(
-            next(&seats(299 * S), None, &others, &zones, 300 * S, true),
+            next(&voter_slots(299 * S), None, &others, &zones, 300 * S, true),
             None
         );
         assert_eq!(
-            next(&seats(300 * S), None, &others, &zones, 300 * S, true),
+            next(&voter_slots(300 * S), None, &others, &zones, 300 * S, true),
             Some(Change::Learn((8, "e".into())))
         );
         assert_eq!(
-            next(&seats(300 * S), None, &[], &zones, 300 * S, true),
+            next(&voter_slots(300 * S), None, &[], &zones, 300 * S, true),
             None
         );
         assert_eq!(
             next(
-                &seats(301 * S),
+                &voter_slots(301 * S),
                 Some((8, false, true)),
                 &others,
                 &zones,
@@ -156,7 +161,7 @@
         );
         assert_eq!(
             next(
-                &seats(302 * S),
+                &voter_slots(302 * S),
                 Some((8, true, true)),
                 &others,
                 &zones,
@@ -167,7 +172,7 @@
         );
         assert_eq!(
             next(
-                &seats(302 * S),
+                &voter_slots(302 * S),
                 Some((8, false, false)),
                 &others,
                 &zones,
@@ -177,14 +182,14 @@
             Some(Change::Drop(8))
         );
         assert_eq!(
-            next(&seats(300 * S), None, &others, &zones, 300 * S, false),
+            next(&voter_slots(300 * S), None, &others, &zones, 300 * S, false),
             None,
             "where logs are not kept"
         );
         // Back before it was replaced.
         assert_eq!(
             next(
-                &seats(0),
+                &voter_slots(0),
                 Some((8, true, true)),
                 &others,
                 &zones,
@@ -198,21 +203,28 @@
     #[test]
     fn who_lost_its_log_gets_its_seat_again_under_its_new_id_at_once() {
         let up = Some((MemberStatus::Alive, 99 * S));
-        let seats = [
-            seat(1, "a", up, 1),
-            seat(2, "b", up, 22),
-            seat(3, "c", up, 3),
+        let voter_slots = [
+            voter_slot(1, "a", up, 1),
+            voter_slot(2, "b", up, 22),
+            voter_slot(3, "c", up, 3),
         ];
         let others = [
             candidate(8, "e", "z2", true, 50 * S),
             candidate(22, "b", "z0", false, 0),
         ];
         assert_eq!(
-            next(&seats, None, &others, &[], 300 * S, false),
+            next(&voter_slots, None, &others, &[], 300 * S, false),
             Some(Change::Learn((22, "b".into())))
         );
         assert_eq!(
-            next(&seats, Some((22, true, true)), &others, &[], 300 * S, false),
+            next(
+                &voter_slots,
+                Some((22, true, true)),
+                &others,
+                &[],
+                300 * S,
+                false
+            ),
             Some(Change::Swap { new: 22, old: 2 })
         );
     }
--- a/crates/cluster/src/rate_limit.rs
+++ b/crates/cluster/src/rate_limit.rs
@@ -17,7 +17,7 @@
 
 /// The time, and how far it can be trusted.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Pace {
+pub struct RateLimit {
     last: Option<Micros>,
     now: Micros,
     doubt: u32,
@@ -26,7 +26,7 @@
     pub stumbles: u64,
 }
 
-impl Pace {
+impl RateLimit {
     /// The clock shows this now; the fleet's time.
     pub fn look(&mut self, clock: Micros) -> Micros {
         let Some(last) = self.last.replace(clock) else {
@@ -82,7 +82,7 @@
 
     #[test]
     fn a_process_that_was_held_up_goes_on_slowly_and_trusts_itself_again() {
-        let mut pace = Pace::default();
+        let mut pace = RateLimit::default();
         let mut clock = 1_000_000_000;
         pace.look(clock);
         for _ in 0..40 {
@@ -107,7 +107,7 @@
 
     #[test]
     fn a_clock_that_jumps_either_way_moves_it_by_a_step_at_most() {
-        let mut pace = Pace::default();
+        let mut pace = RateLimit::default();
         pace.look(5_000_000_000);
         assert_eq!(pace.look(8_600_000_000), 50_000);
         let before = pace.now();
