--- a/crates/cluster-simulation/src/main.rs
+++ b/crates/cluster-simulation/src/main.rs
@@ -2,7 +2,7 @@
 
 use driftfront_cluster::consensus::leases::{Command, Outcome};
 use driftfront_cluster::consensus::{self, Consensus, Notice, Peer};
-use driftfront_cluster::message_authentication::{Payload, Seal};
+use driftfront_cluster::message_authentication::{MessageAuthenticator, Payload};
 use driftfront_cluster::{Cluster, Identity, MemberMetadata, MemberStatus, Micros, Options};
 use driftfront_cluster_simulation::rights::Load;
 use driftfront_cluster_simulation::world::{addr, keys, name, Seen};
@@ -170,7 +170,7 @@
         )
     };
     let (mut target, mut peer) = (fleet(1, &mut rng), fleet(2, &mut rng));
-    let mut forger = Seal::new(keys(), 99);
+    let mut forger = MessageAuthenticator::new(keys(), 99);
     // Payloads as honest members send them, to be spoilt.
     let mut honest: Vec<Vec<u8>> = Vec::new();
     let mut clock = 0;
--- a/crates/cluster/src/agent.rs
+++ b/crates/cluster/src/agent.rs
@@ -4,7 +4,9 @@
 use crate::gossip::{Fact, Facts, Kind, Refusals, ABOUT, AGREED};
 use crate::member_metadata::MemberMetadata;
 use crate::membership::{Change, Identity, MemberStatus, Members};
-use crate::message_authentication::{Keyring, Payload, Refused, Seal, PAYLOAD_MOST};
+use crate::message_authentication::{
+    Keyring, MessageAuthenticator, Payload, Refused, PAYLOAD_MOST,
+};
 use crate::rate_limit::RateLimit;
 use crate::Micros;
 use rand::rngs::SmallRng;
@@ -158,7 +160,7 @@
 pub struct Cluster {
     members: Members,
     facts: Facts,
-    seal: Seal,
+    seal: MessageAuthenticator,
     pace: RateLimit,
     seeds: Vec<SocketAddr>,
     rng: SmallRng,
@@ -191,7 +193,7 @@
         let agreed = options.agreed;
         let mut fleet = Cluster {
             facts,
-            seal: Seal::new(options.keys, me.session),
+            seal: MessageAuthenticator::new(options.keys, me.session),
             members: Members::new(me, rng.random()),
             pace,
             seeds: options.seeds,
--- a/crates/cluster/src/message_authentication.rs
+++ b/crates/cluster/src/message_authentication.rs
@@ -215,7 +215,7 @@
 }
 
 /// Seals and opens datagrams for one process.
-pub struct Seal {
+pub struct MessageAuthenticator {
     keys: Keyring,
     session: u64,
     count: u64,
@@ -225,10 +225,10 @@
     pub forgotten: u64,
 }
 
-impl Seal {
+impl MessageAuthenticator {
     /// For a process of this session; 0 is none.
-    pub fn new(keys: Keyring, session: u64) -> Seal {
-        Seal {
+    pub fn new(keys: Keyring, session: u64) -> MessageAuthenticator {
+        MessageAuthenticator {
             keys,
             session: session.max(1),
             count: 0,
@@ -337,7 +337,10 @@
 
     #[test]
     fn a_datagram_is_taken_once_and_only_as_it_was_sealed() {
-        let (mut a, mut b) = (Seal::new(keys(ONE), 7), Seal::new(keys(ONE), 8));
+        let (mut a, mut b) = (
+            MessageAuthenticator::new(keys(ONE), 7),
+            MessageAuthenticator::new(keys(ONE), 8),
+        );
         let sent = a.seal(Payload::Facts, b"hello", 8).unwrap();
         let opened = b.open(&sent).unwrap();
         assert_eq!(
@@ -365,9 +368,9 @@
 
     #[test]
     fn what_was_meant_for_an_earlier_process_is_of_no_use_to_the_next() {
-        let mut a = Seal::new(keys(ONE), 7);
+        let mut a = MessageAuthenticator::new(keys(ONE), 7);
         let sent = a.seal(Payload::Members, b"x", 8).unwrap();
-        let mut restarted = Seal::new(keys(ONE), 9);
+        let mut restarted = MessageAuthenticator::new(keys(ONE), 9);
         assert_eq!(restarted.open(&sent), Err(Refused::Stale));
         assert!(restarted
             .open(&a.seal(Payload::Members, b"x", 0).unwrap())
@@ -379,9 +382,9 @@
 
     #[test]
     fn keys_change_while_both_are_in_use() {
-        let mut old = Seal::new(keys(ONE), 1);
-        let mut both = Seal::new(keys(&format!("{TWO} # new\n\n{ONE}\n")), 2);
-        let mut new = Seal::new(keys(TWO), 3);
+        let mut old = MessageAuthenticator::new(keys(ONE), 1);
+        let mut both = MessageAuthenticator::new(keys(&format!("{TWO} # new\n\n{ONE}\n")), 2);
+        let mut new = MessageAuthenticator::new(keys(TWO), 3);
         assert!(
             both.open(&old.seal(Payload::Facts, b"", 2).unwrap())
                 .unwrap()
@@ -434,9 +437,9 @@
 
     #[test]
     fn sessions_are_bounded_and_the_longest_unheard_goes_first() {
-        let mut own = Seal::new(keys(ONE), 1);
+        let mut own = MessageAuthenticator::new(keys(ONE), 1);
         for session in 10..10 + SESSIONS_MOST as u64 + 5 {
-            let mut other = Seal::new(keys(ONE), session);
+            let mut other = MessageAuthenticator::new(keys(ONE), session);
             own.open(&other.seal(Payload::Facts, b"", 1).unwrap())
                 .unwrap();
         }
@@ -466,7 +469,7 @@
     #[test]
     fn nothing_that_comes_makes_it_panic() {
         fn opens(bytes: Vec<u8>, headed: bool) -> bool {
-            let mut own = Seal::new(keys(ONE), 1);
+            let mut own = MessageAuthenticator::new(keys(ONE), 1);
             let bytes = if headed {
                 [b"DF\x01", &bytes[..]].concat()
             } else {
--- a/crates/cluster/tests/golden_datagrams.rs
+++ b/crates/cluster/tests/golden_datagrams.rs
@@ -2,7 +2,7 @@
 
 use driftfront_cluster::gossip::{Facts, ABOUT, AGREED};
 use driftfront_cluster::membership::Members;
-use driftfront_cluster::message_authentication::{Opened, Payload, Refused, Seal};
+use driftfront_cluster::message_authentication::{MessageAuthenticator, Opened, Payload, Refused};
 use driftfront_cluster::{Cluster, Identity, Key, Keyring, MemberMetadata, Options, State};
 use driftfront_test_support::{assert_golden, read_golden};
 use std::fmt::Write;
@@ -59,7 +59,7 @@
 #[test]
 fn sealed_datagrams_keep_their_bytes() {
     let mut text = String::new();
-    let mut seal = Seal::new(keyring(ONE), 0x1234_5678_9abc);
+    let mut seal = MessageAuthenticator::new(keyring(ONE), 0x1234_5678_9abc);
     for (name, payload) in PAYLOADS {
         let sealed = seal
             .seal(payload, format!("payload of {name}").as_bytes(), 8)
@@ -83,7 +83,7 @@
 #[test]
 fn sealed_datagrams_of_an_earlier_build_are_opened() {
     let all = lines("datagrams-sealed.txt");
-    let mut seal = Seal::new(keyring(&format!("{ONE}\n{TWO}")), 8);
+    let mut seal = MessageAuthenticator::new(keyring(&format!("{ONE}\n{TWO}")), 8);
     for ((name, bytes), (wanted, payload)) in all.iter().zip(PAYLOADS) {
         assert_eq!(name, wanted);
         let opened = seal.open(bytes).unwrap();
--- a/crates/coordinator/tests/fleet.rs
+++ b/crates/coordinator/tests/fleet.rs
@@ -1,6 +1,6 @@
 //! Several processes of the program with faults between them. Waits are for what they say they see.
 
-use driftfront_cluster::message_authentication::{Payload, Seal};
+use driftfront_cluster::message_authentication::{MessageAuthenticator, Payload};
 use driftfront_cluster::{Cluster, Identity, Key, Keyring, MemberMetadata};
 use driftfront_cluster_harness::process::call;
 use driftfront_cluster_harness::ClusterHarness;
@@ -233,7 +233,7 @@
     let mut record = about.write();
     record.extend([77, 2, 1, 2]);
     assert!(later.tell(1, &record) && later.tell(999, b"of a later build"));
-    let mut seal = Seal::new(keys(), 1 << 51);
+    let mut seal = MessageAuthenticator::new(keys(), 1 << 51);
     let unknown = seal.seal(Payload::Unknown(200), b"whatever", 0).unwrap();
     let mut bytes = [0; 2048];
     let mut told = false;
