--- a/crates/cluster-simulation/src/main.rs
+++ b/crates/cluster-simulation/src/main.rs
@@ -205,7 +205,7 @@
         if kind < 3 && input.len() > 45 {
             let payload = [
                 Payload::Members,
-                Payload::Facts,
+                Payload::GossipState,
                 Payload::Digest,
                 Payload::Unknown(77),
             ];
--- a/crates/cluster/src/agent.rs
+++ b/crates/cluster/src/agent.rs
@@ -1,7 +1,7 @@
 //! The fleet as one member knows it: datagrams and time in, datagrams out.
 
 use crate::consensus::{self, Consensus, Notice, Peer};
-use crate::gossip::{Fact, Facts, Kind, Refusals, ABOUT, AGREED};
+use crate::gossip::{GossipRecord, GossipState, Kind, Refusals, ABOUT, AGREED};
 use crate::member_metadata::MemberMetadata;
 use crate::membership::{Change, Identity, MemberStatus, Members};
 use crate::message_authentication::{
@@ -159,7 +159,7 @@
 /// One member's fleet.
 pub struct Cluster {
     members: Members,
-    facts: Facts,
+    facts: GossipState,
     seal: MessageAuthenticator,
     pace: RateLimit,
     seeds: Vec<SocketAddr>,
@@ -188,7 +188,7 @@
         let me = options.me;
         let mut pace = RateLimit::default();
         let now = pace.look(clock);
-        let mut facts = Facts::new(&me.name, me.session);
+        let mut facts = GossipState::new(&me.name, me.session);
         facts.tell(now, ABOUT, &options.about.write(), ROUNDS);
         let agreed = options.agreed;
         let mut fleet = Cluster {
@@ -321,7 +321,7 @@
                     self.outdo(now, u64::from_be_bytes(known));
                 }
             }
-            Payload::Facts => {
+            Payload::GossipState => {
                 let rounds = self.rounds();
                 self.facts.take(now, bytes, rounds);
             }
@@ -333,7 +333,7 @@
                     return;
                 };
                 for datagram in tell {
-                    self.send(now, &to, Payload::Facts, &datagram);
+                    self.send(now, &to, Payload::GossipState, &datagram);
                 }
                 if let Some(ask) = ask {
                     self.send(now, &to, Payload::Digest, &ask);
@@ -533,12 +533,12 @@
     }
 
     /// What an owner told under a kind.
-    pub fn fact(&self, owner: &str, kind: Kind) -> Option<Fact<'_>> {
+    pub fn fact(&self, owner: &str, kind: Kind) -> Option<GossipRecord<'_>> {
         self.facts.get(self.pace.now(), owner, kind)
     }
 
     /// What each told under a kind.
-    pub fn facts(&self, kind: Kind) -> impl Iterator<Item = (&str, Fact<'_>)> + '_ {
+    pub fn facts(&self, kind: Kind) -> impl Iterator<Item = (&str, GossipRecord<'_>)> + '_ {
         self.facts.all(self.pace.now(), kind)
     }
 
@@ -664,7 +664,7 @@
             .cloned()
             .collect();
         for to in some {
-            self.send(now, &to, Payload::Facts, &news);
+            self.send(now, &to, Payload::GossipState, &news);
         }
     }
 
--- a/crates/cluster/src/gossip.rs
+++ b/crates/cluster/src/gossip.rs
@@ -56,7 +56,7 @@
 
 /// A record as a reader gets it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fact<'a> {
+pub struct GossipRecord<'a> {
     /// Its value.
     pub value: &'a [u8],
     /// How long ago its owner told it, by as much as is known: at least what it took on its way.
@@ -79,7 +79,7 @@
 }
 
 /// All records that one member knows.
-pub struct Facts {
+pub struct GossipState {
     me: Rc<str>,
     session: u64,
     records: BTreeMap<Place, Record>,
@@ -131,13 +131,13 @@
     out.extend(place.1.to_be_bytes());
 }
 
-impl Facts {
+impl GossipState {
     /// None yet, of a member of this name and session.
-    pub fn new(me: &str, session: u64) -> Facts {
+    pub fn new(me: &str, session: u64) -> GossipState {
         let me: Rc<str> = me.into();
         let owners = BTreeMap::from([(me.clone(), None)]);
         let (records, cursor, refused) = (BTreeMap::new(), first_place(), Refusals::default());
-        Facts {
+        GossipState {
             me,
             session,
             records,
@@ -190,7 +190,7 @@
     }
 
     /// What is known of an owner under a kind.
-    pub fn get(&self, now: Micros, owner: &str, kind: Kind) -> Option<Fact<'_>> {
+    pub fn get(&self, now: Micros, owner: &str, kind: Kind) -> Option<GossipRecord<'_>> {
         let place = (Rc::from(owner), kind);
         let gone = self.owners.get(&place.0).copied().flatten();
         self.records
@@ -198,14 +198,20 @@
             .map(|r| self.fact(now, &place.0, gone, r))
     }
 
-    fn fact<'a>(&self, now: Micros, owner: &str, gone: Option<Micros>, r: &'a Record) -> Fact<'a> {
+    fn fact<'a>(
+        &self,
+        now: Micros,
+        owner: &str,
+        gone: Option<Micros>,
+        r: &'a Record,
+    ) -> GossipRecord<'a> {
         // Our own word is as good as new for as long as we are there.
         let age = if owner == &*self.me {
             0
         } else {
             r.age + now.saturating_sub(r.came)
         };
-        Fact {
+        GossipRecord {
             value: &r.value,
             age,
             reachable: gone.is_none(),
@@ -214,7 +220,11 @@
     }
 
     /// All that is known under a kind, by owner.
-    pub fn all(&self, now: Micros, kind: Kind) -> impl Iterator<Item = (&str, Fact<'_>)> + '_ {
+    pub fn all(
+        &self,
+        now: Micros,
+        kind: Kind,
+    ) -> impl Iterator<Item = (&str, GossipRecord<'_>)> + '_ {
         let of_kind = self.records.iter().filter(move |r| r.0 .1 == kind);
         of_kind.map(move |((owner, _), r)| {
             let gone = self.owners.get(owner).copied().flatten();
@@ -373,7 +383,7 @@
                 continue;
             };
             let before = out.len();
-            Facts::write(now, &place, r, own, &mut out);
+            GossipState::write(now, &place, r, own, &mut out);
             if out.len() > most {
                 out.truncate(before);
                 break;
@@ -476,7 +486,7 @@
         let mut datagrams: Vec<Vec<u8>> = Vec::new();
         for (place, r) in ours().filter(|(p, r)| theirs.get(*p).is_none_or(|n| *n < r.number())) {
             let mut one = Vec::new();
-            Facts::write(now, place, r, place.0 == self.me, &mut one);
+            GossipState::write(now, place, r, place.0 == self.me, &mut one);
             let full = datagrams.len() >= count;
             match datagrams.last_mut().filter(|d| d.len() + one.len() <= most) {
                 Some(open) => open.extend(one),
@@ -501,7 +511,7 @@
     const MOST: usize = 1100;
 
     /// Passes all of one's news on to another until neither has any.
-    fn exchange(now: Micros, a: &mut Facts, b: &mut Facts) {
+    fn exchange(now: Micros, a: &mut GossipState, b: &mut GossipState) {
         for _ in 0..200 {
             let (for_b, ask) = {
                 let digest = b.digest(MOST);
@@ -522,7 +532,7 @@
 
     #[test]
     fn the_newest_word_of_an_owner_counts_with_its_age() {
-        let (mut a, mut b) = (Facts::new("a", 5), Facts::new("b", 6));
+        let (mut a, mut b) = (GossipState::new("a", 5), GossipState::new("b", 6));
         assert!(a.tell(0, 7, b"one", 3));
         b.take(S, &a.rumours(S, MOST).unwrap(), 3);
         assert!(a.tell(2 * S, 7, b"two", 3));
@@ -536,11 +546,11 @@
             (&b"two"[..], 2 * S, true)
         );
         // Through a third its age goes on.
-        let mut c = Facts::new("c", 1);
+        let mut c = GossipState::new("c", 1);
         c.take(6 * S, &b.rumours(6 * S, MOST).unwrap(), 3);
         assert_eq!(c.get(6 * S, "a", 7).unwrap().age, 3 * S);
         // The owner's next process outdoes all of the one before, though it counts from one again.
-        let mut again = Facts::new("a", 9);
+        let mut again = GossipState::new("a", 9);
         again.tell(7 * S, 8, b"new", 3);
         b.take(7 * S, &again.rumours(7 * S, MOST).unwrap(), 3);
         assert!(b.get(7 * S, "a", 7).is_none());
@@ -554,7 +564,7 @@
 
     #[test]
     fn what_an_owner_that_is_gone_told_last_is_kept_for_a_while_and_marked() {
-        let (mut a, mut b) = (Facts::new("a", 5), Facts::new("b", 6));
+        let (mut a, mut b) = (GossipState::new("a", 5), GossipState::new("b", 6));
         a.tell(0, 1, b"x", 3);
         b.take(0, &a.rumours(0, MOST).unwrap(), 3);
         b.look(S, |_| true);
@@ -570,7 +580,11 @@
 
     #[test]
     fn a_word_under_another_s_name_does_not_outlive_that_one_s_next() {
-        let (mut a, mut liar, mut b) = (Facts::new("a", 5), Facts::new("a", 5), Facts::new("b", 6));
+        let (mut a, mut liar, mut b) = (
+            GossipState::new("a", 5),
+            GossipState::new("a", 5),
+            GossipState::new("b", 6),
+        );
         a.tell(0, 1, b"true", 3);
         for n in 0..40u8 {
             liar.tell(0, 1, &[n], 3);
@@ -583,14 +597,14 @@
         b.take(S, &a.rumours(S, MOST).unwrap(), 3);
         assert_eq!(b.get(S, "a", 1).unwrap().value, b"true");
         // Also under a session of the future; what nobody could outdo is no record.
-        let mut future = Facts::new("a", 1 << 40);
+        let mut future = GossipState::new("a", 1 << 40);
         future.tell(0, 1, b"lie", 3);
         let lie = future.rumours(0, MOST).unwrap();
         b.take(2 * S, &lie, 3);
         a.take(2 * S, &lie, 3);
         b.take(2 * S, &a.rumours(2 * S, MOST).unwrap(), 3);
         assert_eq!(b.get(2 * S, "a", 1).unwrap().value, b"true");
-        let mut last = Facts::new("a", u64::MAX);
+        let mut last = GossipState::new("a", u64::MAX);
         last.tell(0, 1, b"lie", 3);
         assert_eq!(b.take(3 * S, &last.rumours(0, MOST).unwrap(), 3), 0);
         assert_eq!(b.refused.malformed, 1);
@@ -598,16 +612,16 @@
 
     #[test]
     fn bounds_on_size_kinds_and_owners_bite_and_are_counted() {
-        let mut a = Facts::new("a", 5);
+        let mut a = GossipState::new("a", 5);
         assert!(!a.tell(0, 1, &[0; VALUE_MOST + 1], 3));
         for kind in 0..KINDS_MOST as Kind {
             assert!(a.tell(0, kind, b"x", 3));
         }
         assert!(!a.tell(0, 99, b"x", 3));
         assert_eq!(a.refused.bounds, 2);
-        let mut b = Facts::new("b", 6);
+        let mut b = GossipState::new("b", 6);
         for n in 0..OWNERS_MOST + 3 {
-            let mut owner = Facts::new(&format!("o{n}"), 1);
+            let mut owner = GossipState::new(&format!("o{n}"), 1);
             owner.tell(0, 1, b"x", 1);
             b.take(0, &owner.rumours(0, MOST).unwrap(), 0);
         }
@@ -616,9 +630,9 @@
 
     #[test]
     fn comparing_versions_brings_both_to_the_same_whatever_each_has_missed() {
-        let (mut a, mut b) = (Facts::new("a", 5), Facts::new("b", 6));
+        let (mut a, mut b) = (GossipState::new("a", 5), GossipState::new("b", 6));
         for n in 0..300 {
-            let mut owner = Facts::new(&format!("owner-{n:03}"), 1);
+            let mut owner = GossipState::new(&format!("owner-{n:03}"), 1);
             owner.tell(0, 1, &[n as u8; 40], 1);
             let one = owner.rumours(0, MOST).unwrap();
             owner.tell(0, 1, &[n as u8; 41], 1);
@@ -632,7 +646,7 @@
             }
         }
         exchange(S, &mut a, &mut b);
-        let all = |f: &Facts| -> Vec<(Place, (u64, u64))> {
+        let all = |f: &GossipState| -> Vec<(Place, (u64, u64))> {
             f.records
                 .iter()
                 .map(|r| (r.0.clone(), r.1.number()))
@@ -654,7 +668,7 @@
     #[test]
     fn no_bytes_make_it_panic_or_grow_beyond_its_bounds() {
         fn stands(noise: Vec<Noise>) -> bool {
-            let (mut a, mut b) = (Facts::new("a", 5), Facts::new("b", 6));
+            let (mut a, mut b) = (GossipState::new("a", 5), GossipState::new("b", 6));
             b.tell(0, 1, b"value", 9);
             for Noise(bytes, at, with) in noise {
                 let mut told = b.rumours(0, MOST).unwrap_or_default();
--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -26,7 +26,7 @@
 
 pub use agent::{Cluster, Counters, MemberView, Options};
 pub use consensus::Consensus;
-pub use gossip::{Fact, Kind};
+pub use gossip::{GossipRecord, Kind};
 pub use member_metadata::{MemberMetadata, State};
 pub use membership::{Identity, MemberStatus};
 pub use message_authentication::{Key, Keyring};
--- a/crates/cluster/src/message_authentication.rs
+++ b/crates/cluster/src/message_authentication.rs
@@ -41,7 +41,7 @@
     /// Membership, in `foca`'s form.
     Members,
     /// Records.
-    Facts,
+    GossipState,
     /// Versions of records.
     Digest,
     /// To a member whose session is not above that of an earlier process of its name: which that was.
@@ -56,7 +56,7 @@
     fn code(self) -> u8 {
         match self {
             Payload::Members => 1,
-            Payload::Facts => 2,
+            Payload::GossipState => 2,
             Payload::Digest => 3,
             Payload::Behind => 4,
             Payload::Consensus => 5,
@@ -67,7 +67,7 @@
     fn of(code: u8) -> Payload {
         match code {
             1 => Payload::Members,
-            2 => Payload::Facts,
+            2 => Payload::GossipState,
             3 => Payload::Digest,
             4 => Payload::Behind,
             5 => Payload::Consensus,
@@ -341,15 +341,15 @@
             MessageAuthenticator::new(keys(ONE), 7),
             MessageAuthenticator::new(keys(ONE), 8),
         );
-        let sent = a.seal(Payload::Facts, b"hello", 8).unwrap();
+        let sent = a.seal(Payload::GossipState, b"hello", 8).unwrap();
         let opened = b.open(&sent).unwrap();
         assert_eq!(
             (opened.payload, opened.bytes, opened.session),
-            (Payload::Facts, &b"hello"[..], 7)
+            (Payload::GossipState, &b"hello"[..], 7)
         );
         assert_eq!(b.open(&sent), Err(Refused::Replayed));
         // Every bit counts.
-        let sent = a.seal(Payload::Facts, b"hello", 8).unwrap();
+        let sent = a.seal(Payload::GossipState, b"hello", 8).unwrap();
         for n in 0..sent.len() * 8 {
             let mut spoilt = sent.clone();
             spoilt[n / 8] ^= 1 << (n % 8);
@@ -359,9 +359,14 @@
             assert!(b.open(&sent[..length]).is_err());
         }
         assert!(b.open(&sent).is_ok());
-        assert_eq!(a.seal(Payload::Facts, &[0; PAYLOAD_MOST + 1], 8), None);
         assert_eq!(
-            a.seal(Payload::Facts, &[0; PAYLOAD_MOST], 8).unwrap().len(),
+            a.seal(Payload::GossipState, &[0; PAYLOAD_MOST + 1], 8),
+            None
+        );
+        assert_eq!(
+            a.seal(Payload::GossipState, &[0; PAYLOAD_MOST], 8)
+                .unwrap()
+                .len(),
             DATAGRAM_MOST
         );
     }
@@ -386,27 +391,27 @@
         let mut both = MessageAuthenticator::new(keys(&format!("{TWO} # new\n\n{ONE}\n")), 2);
         let mut new = MessageAuthenticator::new(keys(TWO), 3);
         assert!(
-            both.open(&old.seal(Payload::Facts, b"", 2).unwrap())
+            both.open(&old.seal(Payload::GossipState, b"", 2).unwrap())
                 .unwrap()
                 .old_key
         );
         assert!(
             !both
-                .open(&new.seal(Payload::Facts, b"", 2).unwrap())
+                .open(&new.seal(Payload::GossipState, b"", 2).unwrap())
                 .unwrap()
                 .old_key
         );
         assert_eq!(
-            old.open(&new.seal(Payload::Facts, b"", 1).unwrap()),
+            old.open(&new.seal(Payload::GossipState, b"", 1).unwrap()),
             Err(Refused::UnknownKey)
         );
         assert_eq!(
-            old.open(&both.seal(Payload::Facts, b"", 1).unwrap()),
+            old.open(&both.seal(Payload::GossipState, b"", 1).unwrap()),
             Err(Refused::UnknownKey)
         );
         old.change_keys(keys(&format!("{ONE}\n{TWO}")));
         assert!(old
-            .open(&both.seal(Payload::Facts, b"", 1).unwrap())
+            .open(&both.seal(Payload::GossipState, b"", 1).unwrap())
             .is_ok());
         for (text, why) in [
             ("", "no key"),
@@ -440,7 +445,7 @@
         let mut own = MessageAuthenticator::new(keys(ONE), 1);
         for session in 10..10 + SESSIONS_MOST as u64 + 5 {
             let mut other = MessageAuthenticator::new(keys(ONE), session);
-            own.open(&other.seal(Payload::Facts, b"", 1).unwrap())
+            own.open(&other.seal(Payload::GossipState, b"", 1).unwrap())
                 .unwrap();
         }
         assert_eq!((own.seen.len(), own.forgotten), (SESSIONS_MOST, 5));
--- a/crates/cluster/tests/golden_datagrams.rs
+++ b/crates/cluster/tests/golden_datagrams.rs
@@ -1,6 +1,6 @@
 //! Datagrams, records and key files, compared with golden files and read from them.
 
-use driftfront_cluster::gossip::{Facts, ABOUT, AGREED};
+use driftfront_cluster::gossip::{GossipState, ABOUT, AGREED};
 use driftfront_cluster::membership::Members;
 use driftfront_cluster::message_authentication::{MessageAuthenticator, Opened, Payload, Refused};
 use driftfront_cluster::{Cluster, Identity, Key, Keyring, MemberMetadata, Options, State};
@@ -45,7 +45,7 @@
 
 const PAYLOADS: [(&str, Payload); 6] = [
     ("members", Payload::Members),
-    ("records", Payload::Facts),
+    ("records", Payload::GossipState),
     ("versions", Payload::Digest),
     ("behind", Payload::Behind),
     ("agreed", Payload::Consensus),
@@ -71,13 +71,13 @@
     let _ = writeln!(
         text,
         "second key: {}",
-        hex(&seal.seal(Payload::Facts, b"", 0).unwrap())
+        hex(&seal.seal(Payload::GossipState, b"", 0).unwrap())
     );
-    let longest = seal.seal(Payload::Facts, &[7; 1155], 0).unwrap();
+    let longest = seal.seal(Payload::GossipState, &[7; 1155], 0).unwrap();
     let _ = writeln!(text, "longest: {}", hex(&longest));
     assert_golden!("datagrams-sealed.txt", text);
     assert_eq!(longest.len(), 1200);
-    assert_eq!(seal.seal(Payload::Facts, &[7; 1156], 0), None);
+    assert_eq!(seal.seal(Payload::GossipState, &[7; 1156], 0), None);
 }
 
 #[test]
@@ -201,13 +201,13 @@
         let _ = writeln!(text, "about, {word}: {}", hex(&about.write()));
     }
     assert_eq!((ABOUT, AGREED), (1, 2));
-    let mut facts = Facts::new("m1", 7 << 20);
+    let mut facts = GossipState::new("m1", 7 << 20);
     facts.tell(0, ABOUT, b"about m1", 5);
     facts.tell(SECOND, AGREED, b"its part", 2);
     facts.tell(SECOND, 9, b"a kind of its own", 3);
     let rumours = facts.rumours(3 * SECOND, MOST).unwrap();
     let _ = writeln!(text, "records: {}", hex(&rumours));
-    let mut other = Facts::new("m2", 8 << 20);
+    let mut other = GossipState::new("m2", 8 << 20);
     other.tell(0, ABOUT, b"about m2", 5);
     assert_eq!(other.take(3 * SECOND, &rumours, 4), 3);
     let _ = writeln!(
@@ -241,7 +241,7 @@
         (about.state, about.since_ms),
         (State::Paused, 1_764_600_000_123)
     );
-    let mut reader = Facts::new("m3", 1);
+    let mut reader = GossipState::new("m3", 1);
     assert_eq!(reader.take(0, of("records passed on"), 1), 4);
     let fact = reader.get(SECOND, "m1", ABOUT).unwrap();
     assert_eq!(
