--- a/crates/coordinator/src/node/clients/closing.rs
+++ b/crates/coordinator/src/node/clients/closing.rs
@@ -10,7 +10,7 @@
 use crate::service::End;
 use driftfront_core::{Micros, RequestId};
 use driftfront_http::response;
-use driftfront_scheduler::interface::Effect;
+use driftfront_scheduler::interface::Idempotency;
 
 /// After a close of ours the peer's last bytes are read for this long.
 const LINGER: Micros = 1_000_000;
@@ -156,14 +156,14 @@
         tracing::debug!(request = request.0, conn = id, "client left");
         self.count_end(now, request, End::Left);
         self.asking.remove(&request);
-        let effect = self
+        let idempotency = self
             .core
             .taken(request)
-            .and_then(|t| self.effect(t.ask.class));
+            .and_then(|t| self.idempotency(t.ask.class));
         let fed = self.feeds.contains_key(&request);
         self.core.left(now, request);
         // A read is let go on its engine, and so is what waits there for a body that never comes.
-        if self.front.frees_reads() && effect == Some(Effect::Safe) || fed {
+        if self.front.frees_reads() && idempotency == Some(Idempotency::Idempotent) || fed {
             self.core.release(now, request);
         }
     }
--- a/crates/coordinator/src/node/engines/traffic.rs
+++ b/crates/coordinator/src/node/engines/traffic.rs
@@ -7,7 +7,7 @@
 use crate::node::clients::Body;
 use crate::node::{ConnId, Node, Source};
 use driftfront_core::{AttemptKey, Cause, Micros, Outcome, Phase, Progress};
-use driftfront_scheduler::interface::Effect;
+use driftfront_scheduler::interface::Idempotency;
 use std::io::ErrorKind;
 
 impl Node {
@@ -106,12 +106,17 @@
                         .names
                         .get(place)
                         .map_or("", String::as_str);
-                    let effect = self.config.settings.classes.get(place).map(|c| c.effect);
+                    let idempotency = self
+                        .config
+                        .settings
+                        .classes
+                        .get(place)
+                        .map(|c| c.idempotency);
                     let notes_every = self
                         .config
                         .settings
                         .notes_every
-                        .filter(|_| effect == Some(Effect::Safe));
+                        .filter(|_| idempotency == Some(Idempotency::Idempotent));
                     let other = (self.config.wire == Wire::ClickHouse)
                         .then(|| self.core.name_on_engine(key));
                     let name = other.as_ref().map_or(&*taken.ask.call, |o| o);
--- a/crates/coordinator/src/node/mod.rs
+++ b/crates/coordinator/src/node/mod.rs
@@ -26,7 +26,7 @@
 use driftfront_core::lifecycle::Lifecycle;
 use driftfront_core::{AttemptKey, Command, Core, EngineId, ListKind, Micros, Phase, RequestId};
 use driftfront_engine_registry::{Change, EngineRegistry};
-use driftfront_scheduler::interface::Effect;
+use driftfront_scheduler::interface::Idempotency;
 use driftfront_settings::json::Json;
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -483,17 +483,17 @@
     }
 
     /// How often a class's requests may run.
-    fn effect(&self, class: u16) -> Option<Effect> {
+    fn idempotency(&self, class: u16) -> Option<Idempotency> {
         self.config
             .settings
             .classes
             .get(usize::from(class))
-            .map(|c| c.effect)
+            .map(|c| c.idempotency)
     }
 
     /// Whether a class's requests must not run twice.
     fn runs_once(&self, class: u16) -> bool {
-        self.effect(class) == Some(Effect::Unsafe)
+        self.idempotency(class) == Some(Idempotency::NotIdempotent)
     }
 
     /// For operators: how a request ended.
--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -22,7 +22,7 @@
         if forgetful
             || self.leaves
             || self.open > self.limits.open
-            || usize::from(request.ask.class) >= self.effects.len()
+            || usize::from(request.ask.class) >= self.idempotencies.len()
         {
             return self.refuse(id, FULL_ADVICE);
         }
--- a/crates/core/src/idempotency.rs
+++ b/crates/core/src/idempotency.rs
@@ -5,7 +5,7 @@
 //! kept with the moment of its first writing, until none of its client's tries can still come.
 
 use crate::AttemptKey;
-use driftfront_scheduler::interface::{Effect, Micros, Settings};
+use driftfront_scheduler::interface::{Idempotency, Micros, Settings};
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
@@ -31,7 +31,7 @@
 impl IdempotencyKeys {
     pub fn new(settings: &Settings, most: usize) -> IdempotencyKeys {
         let window = |c: &driftfront_scheduler::interface::Class| {
-            (c.effect == Effect::Keyed).then_some(c.repeat_window)
+            (c.idempotency == Idempotency::WithKey).then_some(c.repeat_window)
         };
         IdempotencyKeys {
             first: BTreeMap::new(),
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -28,7 +28,7 @@
 pub use driftfront_scheduler::BudgetUsage;
 pub use running::Run;
 
-use driftfront_scheduler::interface::{Action, Effect, Event, QueryId, Settings};
+use driftfront_scheduler::interface::{Action, Event, Idempotency, QueryId, Settings};
 use driftfront_scheduler::Controller;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
@@ -138,7 +138,7 @@
     controller: Controller,
     limits: Limits,
     /// How often each class's effect may happen, by place.
-    effects: Vec<Effect>,
+    idempotencies: Vec<Idempotency>,
     has_tenants: bool,
     /// The longest advice with a refusal; `None` where none is heeded.
     advice_most: Option<Micros>,
@@ -164,7 +164,7 @@
     /// A core that has taken nothing yet.
     pub fn new(settings: Settings, limits: Limits, seed: u64) -> Core {
         Core {
-            effects: settings.classes.iter().map(|c| c.effect).collect(),
+            idempotencies: settings.classes.iter().map(|c| c.idempotency).collect(),
             has_tenants: !settings.tenants.is_empty(),
             advice_most: settings.retry_after,
             leaves: false,
@@ -218,8 +218,8 @@
     }
 
     /// How often the effect of a class's queries may happen; `None` where there is no such class.
-    pub(crate) fn effect(&self, class: u16) -> Option<Effect> {
-        self.effects.get(usize::from(class)).copied()
+    pub(crate) fn idempotency(&self, class: u16) -> Option<Idempotency> {
+        self.idempotencies.get(usize::from(class)).copied()
     }
 
     /// Requests with no final answer yet.
--- a/crates/core/src/lost_attempts.rs
+++ b/crates/core/src/lost_attempts.rs
@@ -5,7 +5,7 @@
 //! where another that was written later to the same engine has been heard of since: then its own turn had come.
 
 use crate::{AttemptKey, Command, Core, RequestId};
-use driftfront_scheduler::interface::{Effect, EngineId, Micros, Settings};
+use driftfront_scheduler::interface::{EngineId, Idempotency, Micros, Settings};
 use std::collections::BTreeMap;
 
 /// Word is late by this part of its period, and this much more for the way. Seen: the first comes after up to one and a
@@ -60,10 +60,10 @@
         self.unheard.next = now + EVERY;
         let lost = |(&id, r): (&RequestId, &crate::Request)| {
             let (number, a) = r.out().filter(|_| !r.closed && r.relaying.is_none())?;
-            let safe = match self.effect(r.ask.class) {
-                Some(Effect::Safe) => true,
-                Some(Effect::Keyed) => r.ask.token.is_some(),
-                Some(Effect::Unsafe) | None => false,
+            let safe = match self.idempotency(r.ask.class) {
+                Some(Idempotency::Idempotent) => true,
+                Some(Idempotency::WithKey) => r.ask.token.is_some(),
+                Some(Idempotency::NotIdempotent) | None => false,
             };
             let passed = self
                 .unheard
--- a/crates/core/src/response.rs
+++ b/crates/core/src/response.rs
@@ -1,7 +1,7 @@
 //! Stage 5, relay: an engine's answer goes to the client, and each request is answered once.
 
 use crate::{AttemptKey, Command, Core, Progress, RequestId, ResponseChunk};
-use driftfront_scheduler::interface::{Effect, Event, Micros, Outcome};
+use driftfront_scheduler::interface::{Event, Idempotency, Micros, Outcome};
 use std::rc::Rc;
 
 impl Core {
@@ -106,7 +106,8 @@
             // Of what waits for its connection nothing is written once the request is closed.
             None => a.progress >= crate::dispatch::Progress::PartWritten,
         };
-        let once = |r: &crate::Request| self.effect(r.ask.class) != Some(Effect::Safe);
+        let once =
+            |r: &crate::Request| self.idempotency(r.ask.class) != Some(Idempotency::Idempotent);
         match self
             .requests
             .get(&id)
--- a/crates/scheduler/src/choice.rs
+++ b/crates/scheduler/src/choice.rs
@@ -537,7 +537,8 @@
                 continue;
             }
             let bad = now < e.shut_until
-                || e.on_trial && (!e.out.is_empty() || self.effect(id) == Effect::Unsafe);
+                || e.on_trial
+                    && (!e.out.is_empty() || self.idempotency(id) == Idempotency::NotIdempotent);
             let behind_load =
                 (c.load || c.waits_for_loads) && self.holds_group(e, job.query.tables);
             let full = self.sliver() && e.full_at.is_some_and(|t| now < t + FULL_FOR);
@@ -583,11 +584,11 @@
             RepeatGroup::Cell => t.cell == e.cell,
         };
         let known = |until: Micros| now + 2 * self.cfg.tick < until;
-        match self.effect(id) {
-            Effect::Safe => true,
-            Effect::Unsafe => ran.next().is_none(),
-            Effect::Keyed if !self.jobs[&id].query.known_until.is_none_or(known) => false,
-            Effect::Keyed => ran.all(|t| grouped(t) && known(t.sent + c.repeat_window)),
+        match self.idempotency(id) {
+            Idempotency::Idempotent => true,
+            Idempotency::NotIdempotent => ran.next().is_none(),
+            Idempotency::WithKey if !self.jobs[&id].query.known_until.is_none_or(known) => false,
+            Idempotency::WithKey => ran.all(|t| grouped(t) && known(t.sent + c.repeat_window)),
         }
     }
 
@@ -597,9 +598,9 @@
             .tries
             .iter()
             .all(|t| t.outcome.is_some_and(Outcome::never_ran));
-        let keyed =
-            self.class(id).repeat_group == RepeatGroup::All && self.effect(id) == Effect::Keyed;
-        clean || self.effect(id) == Effect::Safe || keyed
+        let keyed = self.class(id).repeat_group == RepeatGroup::All
+            && self.idempotency(id) == Idempotency::WithKey;
+        clean || self.idempotency(id) == Idempotency::Idempotent || keyed
     }
 
     /// Puts a query on the queue of the engine of Algorithm 5's choice (Algorithm 7), then starts what may.
@@ -924,7 +925,10 @@
         };
         let answered = matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Full);
         self.take_report(now, engine, end.report, answered);
-        let (safe, sliver) = (self.effect(id) == Effect::Safe, self.sliver());
+        let (safe, sliver) = (
+            self.idempotency(id) == Idempotency::Idempotent,
+            self.sliver(),
+        );
         let erred = f64::from(u8::from(outcome == Outcome::Error));
         if let Some(e) = self.engines.get_mut(&engine).filter(|_| answered) {
             e.errs += 3.0 * BLEND * (erred - e.errs);
--- a/crates/scheduler/src/interface.rs
+++ b/crates/scheduler/src/interface.rs
@@ -13,13 +13,13 @@
 
 /// How often a query's effect may happen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     /// Harmless to repeat.
-    Safe,
+    Idempotent,
     /// Repeats are dropped inside a group of engines, for a while.
-    Keyed,
+    WithKey,
     /// Must not run twice.
-    Unsafe,
+    NotIdempotent,
 }
 
 /// The engines that drop each other's repeats of a keyed query.
@@ -45,7 +45,7 @@
     /// Share of the worth that a late answer still earns.
     pub late_weight: f64,
     /// Whether repeats are harmless.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// Who drops repeats, for keyed classes.
     pub repeat_group: RepeatGroup,
     /// For how long repeats are dropped.
--- a/crates/scheduler/src/state.rs
+++ b/crates/scheduler/src/state.rs
@@ -436,10 +436,10 @@
     }
 
     /// How often a query's effect may happen: what engines can't know again must not run twice.
-    pub(crate) fn effect(&self, id: QueryId) -> Effect {
-        match self.class(id).effect {
-            Effect::Keyed if !self.jobs[&id].query.token => Effect::Unsafe,
-            effect => effect,
+    pub(crate) fn idempotency(&self, id: QueryId) -> Idempotency {
+        match self.class(id).idempotency {
+            Idempotency::WithKey if !self.jobs[&id].query.token => Idempotency::NotIdempotent,
+            idempotency => idempotency,
         }
     }
 
--- a/crates/scheduler/tests/common/mod.rs
+++ b/crates/scheduler/tests/common/mod.rs
@@ -12,7 +12,7 @@
         latency_objective_stretch: 0.0,
         priority_weight,
         late_weight: 0.0,
-        effect: Effect::Safe,
+        idempotency: Idempotency::Idempotent,
         repeat_group: RepeatGroup::All,
         repeat_window: 5 * S,
         in_order: false,
--- a/crates/scheduler/tests/rules.rs
+++ b/crates/scheduler/tests/rules.rs
@@ -125,7 +125,7 @@
 #[test]
 fn an_unsafe_query_that_may_have_run_is_neither_sent_again_nor_refused() {
     let mut s = settings(vec![class(9 * S, 1.0, 1.0)]);
-    s.classes[0].effect = Effect::Unsafe;
+    s.classes[0].idempotency = Idempotency::NotIdempotent;
     for (outcome, again) in [
         (Outcome::Reset, false),
         (Outcome::Error, false),
@@ -199,7 +199,7 @@
 #[test]
 fn a_keyed_query_goes_again_only_while_engines_know_its_word() {
     let keyed = || Class {
-        effect: Effect::Keyed,
+        idempotency: Idempotency::WithKey,
         repeat_window: 5 * S,
         ..class(9 * S, 1.0, 1.0)
     };
@@ -310,7 +310,7 @@
 #[test]
 fn a_keyed_query_is_repeated_only_inside_its_group_and_window() {
     let mut s = settings(vec![class(40 * S, 1.0, 1.0)]);
-    s.classes[0].effect = Effect::Keyed;
+    s.classes[0].idempotency = Idempotency::WithKey;
     s.classes[0].repeat_group = RepeatGroup::Cell;
     let list = [
         listed(1),
@@ -403,7 +403,7 @@
 fn queries_of_a_key_go_one_at_a_time_and_rest_after_doubt() {
     let mut s = settings(vec![class(60 * S, 1.0, 1.0)]);
     s.classes[0].in_order = true;
-    s.classes[0].effect = Effect::Unsafe;
+    s.classes[0].idempotency = Idempotency::NotIdempotent;
     s.settle = S;
     let mut rig = Rig::new(s, &[listed(1), listed(2)]);
     let keyed = |rig: &mut Rig| {
@@ -685,7 +685,7 @@
 
 fn world(seed: u64) -> World {
     let mut s = settings(vec![class(800 * MS, 1.0, 1.0), class(900 * MS, 4.0, 2.0)]);
-    s.classes[1].effect = Effect::Unsafe;
+    s.classes[1].idempotency = Idempotency::NotIdempotent;
     s.classes[1].in_order = true;
     s.classes[1].kinds = Some(vec![0]);
     s.max_attempts = Some(3);
--- a/crates/scheduler/tests/transcript.rs
+++ b/crates/scheduler/tests/transcript.rs
@@ -610,13 +610,13 @@
     short.late_weight = 0.2;
     let mut wide = class(800 * MS, 6.0, 4.0);
     (
-        wide.effect,
+        wide.idempotency,
         wide.repeat_group,
         wide.latency_objective_stretch,
-    ) = (Effect::Keyed, RepeatGroup::Zone, 1.5);
+    ) = (Idempotency::WithKey, RepeatGroup::Zone, 1.5);
     wide.waits_for_loads = true;
     let mut load = class(1_500 * MS, 4.0, 2.0);
-    (load.effect, load.in_order, load.load) = (Effect::Unsafe, true, true);
+    (load.idempotency, load.in_order, load.load) = (Idempotency::NotIdempotent, true, true);
     (load.late_weight, load.zones) = (0.6, Some(vec![0, 1]));
     vec![short, wide, load]
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -5,8 +5,8 @@
 pub mod json;
 
 use driftfront_scheduler::interface::{
-    Class, Effect, Kind, OutOfMemory, RepeatGroup, ReportField, RetryBudget, Settings, SlowStart,
-    Tenant,
+    Class, Idempotency, Kind, OutOfMemory, RepeatGroup, ReportField, RetryBudget, Settings,
+    SlowStart, Tenant,
 };
 use json::Json;
 
@@ -165,17 +165,17 @@
 }
 
 fn class(i: usize, p: Json, family: Json) -> Result<Class, String> {
-    let effect = match p.get("Effect").text() {
-        Some("free") => Effect::Safe,
-        Some("guarded") => Effect::Keyed,
-        Some("single_shot") => Effect::Unsafe,
+    let idempotency = match p.get("Effect").text() {
+        Some("free") => Idempotency::Idempotent,
+        Some("guarded") => Idempotency::WithKey,
+        Some("single_shot") => Idempotency::NotIdempotent,
         _ => return Err("Effect is missing or unknown".into()),
     };
     let repeat_group = match p.get("KeyScope").text() {
         Some("all") => RepeatGroup::All,
         Some("zone") => RepeatGroup::Zone,
         Some("cell") => RepeatGroup::Cell,
-        None if effect != Effect::Keyed => RepeatGroup::All,
+        None if idempotency != Idempotency::WithKey => RepeatGroup::All,
         _ => return Err("KeyScope is missing or unknown".into()),
     };
     Ok(Class {
@@ -183,7 +183,7 @@
         latency_objective_stretch: optional(p, "AimStretch")?.unwrap_or(0.0),
         priority_weight: number(p, "Worth")?,
         late_weight: optional(p, "LateWorth")?.unwrap_or(0.0),
-        effect,
+        idempotency,
         repeat_group,
         repeat_window: optional(p, "RepeatWindowUs")?.unwrap_or(0.0) as u64,
         in_order: flag(p, "ByArrival"),
--- a/crates/settings/tests/golden.rs
+++ b/crates/settings/tests/golden.rs
@@ -1,6 +1,8 @@
 //! The platform's settings as they are read, and what is said of those that can't be; see `golden/README.md`.
 
-use driftfront_scheduler::interface::{Effect, OutOfMemory, RepeatGroup, ReportField, Settings};
+use driftfront_scheduler::interface::{
+    Idempotency, OutOfMemory, RepeatGroup, ReportField, Settings,
+};
 use driftfront_settings::parse_settings;
 use driftfront_test_support::{assert_golden, read_golden};
 use std::fmt::Write as _;
@@ -20,12 +22,12 @@
         );
         let _ = writeln!(t, "Profiles[{i}].Worth {}", c.priority_weight);
         let _ = writeln!(t, "Profiles[{i}].LateWorth {}", c.late_weight);
-        let effect = match c.effect {
-            Effect::Safe => "free",
-            Effect::Keyed => "guarded",
-            Effect::Unsafe => "single_shot",
+        let idempotency = match c.idempotency {
+            Idempotency::Idempotent => "free",
+            Idempotency::WithKey => "guarded",
+            Idempotency::NotIdempotent => "single_shot",
         };
-        let _ = writeln!(t, "Profiles[{i}].Effect {effect}");
+        let _ = writeln!(t, "Profiles[{i}].Effect {idempotency}");
         let scope = match c.repeat_group {
             RepeatGroup::All => "all",
             RepeatGroup::Zone => "zone",
