--- a/crates/coordinator/src/config.rs
+++ b/crates/coordinator/src/config.rs
@@ -187,7 +187,7 @@
             driftfront_settings::from_json(json).map_err(|e| format!("settings: {e}"))?;
         settings.settle += SETTLE_MARGIN;
         for class in &mut settings.classes {
-            class.repeat_window = class.repeat_window.saturating_sub(REPEAT_MARGIN);
+            class.deduplication_window = class.deduplication_window.saturating_sub(REPEAT_MARGIN);
         }
         let wire = match root.get("front").text() {
             None | Some("platform") => Wire::Platform,
--- a/crates/core/src/idempotency.rs
+++ b/crates/core/src/idempotency.rs
@@ -31,7 +31,7 @@
 impl IdempotencyKeys {
     pub fn new(settings: &Settings, most: usize) -> IdempotencyKeys {
         let window = |c: &driftfront_scheduler::interface::Class| {
-            (c.idempotency == Idempotency::WithKey).then_some(c.repeat_window)
+            (c.idempotency == Idempotency::WithKey).then_some(c.deduplication_window)
         };
         IdempotencyKeys {
             first: BTreeMap::new(),
--- a/crates/scheduler/src/choice.rs
+++ b/crates/scheduler/src/choice.rs
@@ -578,17 +578,19 @@
             .tries
             .iter()
             .filter(|t| !t.outcome.is_some_and(Outcome::never_ran));
-        let grouped = |t: &Try| match c.repeat_group {
-            RepeatGroup::All => true,
-            RepeatGroup::Zone => t.zone == e.zone,
-            RepeatGroup::Cell => t.cell == e.cell,
+        let grouped = |t: &Try| match c.deduplication_scope {
+            DeduplicationScope::All => true,
+            DeduplicationScope::Zone => t.zone == e.zone,
+            DeduplicationScope::Cell => t.cell == e.cell,
         };
         let known = |until: Micros| now + 2 * self.cfg.tick < until;
         match self.idempotency(id) {
             Idempotency::Idempotent => true,
             Idempotency::NotIdempotent => ran.next().is_none(),
             Idempotency::WithKey if !self.jobs[&id].query.known_until.is_none_or(known) => false,
-            Idempotency::WithKey => ran.all(|t| grouped(t) && known(t.sent + c.repeat_window)),
+            Idempotency::WithKey => {
+                ran.all(|t| grouped(t) && known(t.sent + c.deduplication_window))
+            }
         }
     }
 
@@ -598,7 +600,7 @@
             .tries
             .iter()
             .all(|t| t.outcome.is_some_and(Outcome::never_ran));
-        let keyed = self.class(id).repeat_group == RepeatGroup::All
+        let keyed = self.class(id).deduplication_scope == DeduplicationScope::All
             && self.idempotency(id) == Idempotency::WithKey;
         clean || self.idempotency(id) == Idempotency::Idempotent || keyed
     }
--- a/crates/scheduler/src/interface.rs
+++ b/crates/scheduler/src/interface.rs
@@ -24,7 +24,7 @@
 
 /// The engines that drop each other's repeats of a keyed query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RepeatGroup {
+pub enum DeduplicationScope {
     /// Every engine.
     All,
     /// Engines of one zone.
@@ -47,9 +47,9 @@
     /// Whether repeats are harmless.
     pub idempotency: Idempotency,
     /// Who drops repeats, for keyed classes.
-    pub repeat_group: RepeatGroup,
+    pub deduplication_scope: DeduplicationScope,
     /// For how long repeats are dropped.
-    pub repeat_window: Micros,
+    pub deduplication_window: Micros,
     /// Queries with one key run one at a time, in order.
     pub in_order: bool,
     /// The only zones allowed, if bound.
--- a/crates/scheduler/tests/rules.rs
+++ b/crates/scheduler/tests/rules.rs
@@ -200,7 +200,7 @@
 fn a_keyed_query_goes_again_only_while_engines_know_its_word() {
     let keyed = || Class {
         idempotency: Idempotency::WithKey,
-        repeat_window: 5 * S,
+        deduplication_window: 5 * S,
         ..class(9 * S, 1.0, 1.0)
     };
     // Its word, an earlier query under it, and whether it goes again after a lost connection.
@@ -311,7 +311,7 @@
 fn a_keyed_query_is_repeated_only_inside_its_group_and_window() {
     let mut s = settings(vec![class(40 * S, 1.0, 1.0)]);
     s.classes[0].idempotency = Idempotency::WithKey;
-    s.classes[0].repeat_group = RepeatGroup::Cell;
+    s.classes[0].deduplication_scope = DeduplicationScope::Cell;
     let list = [
         listed(1),
         Listed {
--- a/crates/scheduler/tests/transcript.rs
+++ b/crates/scheduler/tests/transcript.rs
@@ -611,9 +611,9 @@
     let mut wide = class(800 * MS, 6.0, 4.0);
     (
         wide.idempotency,
-        wide.repeat_group,
+        wide.deduplication_scope,
         wide.latency_objective_stretch,
-    ) = (Idempotency::WithKey, RepeatGroup::Zone, 1.5);
+    ) = (Idempotency::WithKey, DeduplicationScope::Zone, 1.5);
     wide.waits_for_loads = true;
     let mut load = class(1_500 * MS, 4.0, 2.0);
     (load.idempotency, load.in_order, load.load) = (Idempotency::NotIdempotent, true, true);
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -5,7 +5,7 @@
 pub mod json;
 
 use driftfront_scheduler::interface::{
-    Class, Idempotency, Kind, OutOfMemory, RepeatGroup, ReportField, RetryBudget, Settings,
+    Class, DeduplicationScope, Idempotency, Kind, OutOfMemory, ReportField, RetryBudget, Settings,
     SlowStart, Tenant,
 };
 use json::Json;
@@ -171,11 +171,11 @@
         Some("single_shot") => Idempotency::NotIdempotent,
         _ => return Err("Effect is missing or unknown".into()),
     };
-    let repeat_group = match p.get("KeyScope").text() {
-        Some("all") => RepeatGroup::All,
-        Some("zone") => RepeatGroup::Zone,
-        Some("cell") => RepeatGroup::Cell,
-        None if idempotency != Idempotency::WithKey => RepeatGroup::All,
+    let deduplication_scope = match p.get("KeyScope").text() {
+        Some("all") => DeduplicationScope::All,
+        Some("zone") => DeduplicationScope::Zone,
+        Some("cell") => DeduplicationScope::Cell,
+        None if idempotency != Idempotency::WithKey => DeduplicationScope::All,
         _ => return Err("KeyScope is missing or unknown".into()),
     };
     Ok(Class {
@@ -184,8 +184,8 @@
         priority_weight: number(p, "Worth")?,
         late_weight: optional(p, "LateWorth")?.unwrap_or(0.0),
         idempotency,
-        repeat_group,
-        repeat_window: optional(p, "RepeatWindowUs")?.unwrap_or(0.0) as u64,
+        deduplication_scope,
+        deduplication_window: optional(p, "RepeatWindowUs")?.unwrap_or(0.0) as u64,
         in_order: flag(p, "ByArrival"),
         zones: places(p, "ConfinedTo")?,
         kinds: places(p, "MachineTypesAllowed")?,
--- a/crates/settings/tests/golden.rs
+++ b/crates/settings/tests/golden.rs
@@ -1,7 +1,7 @@
 //! The platform's settings as they are read, and what is said of those that can't be; see `golden/README.md`.
 
 use driftfront_scheduler::interface::{
-    Idempotency, OutOfMemory, RepeatGroup, ReportField, Settings,
+    DeduplicationScope, Idempotency, OutOfMemory, ReportField, Settings,
 };
 use driftfront_settings::parse_settings;
 use driftfront_test_support::{assert_golden, read_golden};
@@ -28,13 +28,13 @@
             Idempotency::NotIdempotent => "single_shot",
         };
         let _ = writeln!(t, "Profiles[{i}].Effect {idempotency}");
-        let scope = match c.repeat_group {
-            RepeatGroup::All => "all",
-            RepeatGroup::Zone => "zone",
-            RepeatGroup::Cell => "cell",
+        let scope = match c.deduplication_scope {
+            DeduplicationScope::All => "all",
+            DeduplicationScope::Zone => "zone",
+            DeduplicationScope::Cell => "cell",
         };
         let _ = writeln!(t, "Profiles[{i}].KeyScope {scope}");
-        let _ = writeln!(t, "Profiles[{i}].RepeatWindowUs {}", c.repeat_window);
+        let _ = writeln!(t, "Profiles[{i}].RepeatWindowUs {}", c.deduplication_window);
         let _ = writeln!(t, "Profiles[{i}].ByArrival {}", c.in_order);
         let _ = writeln!(t, "Profiles[{i}].ConfinedTo {:?}", c.zones);
         let _ = writeln!(t, "Profiles[{i}].MachineTypesAllowed {:?}", c.kinds);
