--- a/crates/coordinator/src/backends/clickhouse.rs
+++ b/crates/coordinator/src/backends/clickhouse.rs
@@ -313,7 +313,7 @@
         head.push_str("POST /?query_id=");
         encode(start.name, &mut head);
         let _ = write!(head, "&max_execution_time={seconds}");
-        if let Some(every) = start.notes_every {
+        if let Some(every) = start.progress_interval {
             let ms = every / 1000;
             let _ = write!(
                 head,
--- a/crates/coordinator/src/backends/mod.rs
+++ b/crates/coordinator/src/backends/mod.rs
@@ -41,7 +41,7 @@
     /// Memory granted, MB; 0 leaves it to the engine.
     pub grant_mb: f64,
     /// How often it should tell of its progress; `None` where that is not wanted.
-    pub notes_every: Option<Micros>,
+    pub progress_interval: Option<Micros>,
 }
 
 /// One connection's conversation.
--- a/crates/coordinator/src/config.rs
+++ b/crates/coordinator/src/config.rs
@@ -299,7 +299,7 @@
             .or_else(told);
         let seed = root.get("seed").text().unwrap_or_default();
         let fleet = fleet(root.get("fleet"))?;
-        if fleet.is_some() && wire == Wire::Platform && !settings.may_message {
+        if fleet.is_some() && wire == Wire::Platform && !settings.may_gossip {
             return Err("fleet: the settings bar talk among instances (Caps.Peers)".into());
         }
         Ok(Config {
--- a/crates/coordinator/src/node/engines/mod.rs
+++ b/crates/coordinator/src/node/engines/mod.rs
@@ -213,7 +213,7 @@
 
     /// How often word is due of what is out on an engine, where notes come.
     fn notes_due(&self, now: Micros, engine: EngineId) -> Option<Micros> {
-        let every = self.config.settings.notes_every?;
+        let every = self.config.settings.progress_interval?;
         let conns = || self.engines.values().filter(|c| c.engine == engine);
         let zone = conns().find_map(|c| c.zone);
         let heard = self
--- a/crates/coordinator/src/node/engines/traffic.rs
+++ b/crates/coordinator/src/node/engines/traffic.rs
@@ -112,10 +112,10 @@
                         .classes
                         .get(place)
                         .map(|c| c.idempotency);
-                    let notes_every = self
+                    let progress_interval = self
                         .config
                         .settings
-                        .notes_every
+                        .progress_interval
                         .filter(|_| idempotency == Some(Idempotency::Idempotent));
                     let other = (self.config.wire == Wire::ClickHouse)
                         .then(|| self.core.name_on_engine(key));
@@ -128,7 +128,7 @@
                         name,
                         patience,
                         grant_mb,
-                        notes_every,
+                        progress_interval,
                     };
                     conn.session.start(&start, &mut out);
                     let begin = conn.link.queued();
--- a/crates/coordinator/tests/wires.rs
+++ b/crates/coordinator/tests/wires.rs
@@ -360,7 +360,7 @@
         name: &ask.call,
         patience: 1000,
         grant_mb: 0.0,
-        notes_every: None,
+        progress_interval: None,
     }
 }
 
--- a/crates/core/src/lost_attempts.rs
+++ b/crates/core/src/lost_attempts.rs
@@ -26,7 +26,7 @@
 
 impl LostAttemptDetector {
     pub(crate) fn new(settings: &Settings, tells: bool) -> LostAttemptDetector {
-        let after = settings.notes_every.filter(|_| tells);
+        let after = settings.progress_interval.filter(|_| tells);
         LostAttemptDetector {
             after: after.map(|every| (every as f64 * LATE) as Micros + WAY),
             passed: BTreeMap::new(),
--- a/crates/core/tests/unheard.rs
+++ b/crates/core/tests/unheard.rs
@@ -17,7 +17,7 @@
 impl Rig {
     fn new(tells_each: bool) -> Rig {
         let mut settings = common::settings(str::to_string);
-        settings.notes_every = Some(S);
+        settings.progress_interval = Some(S);
         let limits = Limits {
             tells_each,
             ..LIMITS
--- a/crates/scheduler/src/choice.rs
+++ b/crates/scheduler/src/choice.rs
@@ -114,7 +114,7 @@
     pub fn handle(&mut self, now: Micros, event: Event<'_>, act: &mut Actions) {
         if !std::mem::replace(&mut self.tally.ticking, true) {
             act.push(Action::Wake(TICK, TICK_TOKEN));
-            if self.cfg.ask_discovery {
+            if self.cfg.poll_discovery {
                 self.ask(now, act);
             }
         }
@@ -402,7 +402,7 @@
         let own_left = (starts[e.queue.len()] - now as f64).max(held);
         let drain =
             own_left + reported / (self.cores(e) * self.bound_threads() * self.warmth(now, e));
-        let far = self.cfg.crossing_costs && e.zone != self.cfg.zone;
+        let far = self.cfg.cross_zone_costs && e.zone != self.cfg.zone;
         let (gain, position, interaction) = best;
         Offer {
             engine,
@@ -568,7 +568,7 @@
     fn may_send(&self, now: Micros, id: QueryId, e: &Engine) -> bool {
         let job = &self.jobs[&id];
         !job.streaming
-            && (self.cfg.may_copy || job.out().next().is_none())
+            && (self.cfg.may_hedge || job.out().next().is_none())
             && self.group_allows(now, id, e)
     }
 
@@ -710,7 +710,7 @@
             } else {
                 1.0
             };
-        (need * spare).min(self.memory_of(e) * self.cfg.largest_grant.unwrap_or(1.0))
+        (need * spare).min(self.memory_of(e) * self.cfg.max_grant_share.unwrap_or(1.0))
     }
 
     /// Priority: short queries first, since they hold an engine least; the lowest for what comes late anyway.
@@ -816,7 +816,7 @@
     fn ask(&mut self, now: Micros, act: &mut Actions) {
         act.push(Action::Subscribe);
         // Answered by a list or a failure; should neither come, ask again before it counts as told.
-        self.tally.next_ask = self.cfg.ask_within.map(|t| now + t / 2);
+        self.tally.next_ask = self.cfg.poll_timeout.map(|t| now + t / 2);
     }
 
     fn on_list(&mut self, now: Micros, kind: ListKind, list: &[Listed], act: &mut Actions) {
@@ -866,7 +866,7 @@
             } else {
                 1.0
             };
-        let probes = (spend / self.cfg.probe_price.max(1e-9)).min(PROBE_MOST);
+        let probes = (spend / self.cfg.probe_cost.max(1e-9)).min(PROBE_MOST);
         self.tally.probes = (self.tally.probes + probes).min(self.engines.len() as f64);
         self.tally.tells = (self.tally.tells + TELLS).min(f64::from(self.cfg.coordinators));
         let margin = ANSWER_MARGIN.max(2 * self.cfg.tick);
@@ -1121,7 +1121,7 @@
         if self.tally.next_ask.is_some_and(|t| now >= t) {
             self.ask(now, act);
         }
-        if self.cfg.may_message && now >= self.tally.last_tell + TELL_EVERY {
+        if self.cfg.may_gossip && now >= self.tally.last_tell + TELL_EVERY {
             self.tell(now, act);
         }
         self.tally.probes += self.tally.lost.len() as f64 * TICK as f64 / TELL_EVERY as f64;
@@ -1209,7 +1209,7 @@
                 let age = now.saturating_sub(t.sent) as f64;
                 let patience = self
                     .cfg
-                    .notes_every
+                    .progress_interval
                     .map_or(OVERRUN * t.expected, |every| 3.0 * every as f64);
                 pace = pace.min(t.projected.unwrap_or(age).max(age) * e.slow / t.expected.max(1.0));
                 (n, overdue) = (n + 1, overdue + usize::from(age > patience.max(SILENCE)));
@@ -1226,7 +1226,7 @@
             waiting += usize::from(n > 0);
             talking += usize::from(n > 0 && unheard < SILENCE);
             // Without notes one long query alone says nothing: it may have a bad plan.
-            let enough = overdue > usize::from(self.cfg.notes_every.is_none());
+            let enough = overdue > usize::from(self.cfg.progress_interval.is_none());
             if enough && unheard > SILENCE && now >= e.shut_until {
                 silent.push(id);
             }
@@ -1297,7 +1297,7 @@
             if self.jobs[&id].cuts == 0 && leave > 0.0 && leave >= stay && afresh < finish {
                 self.cut(now, id, n, act);
             } else if self.may_refuse(id)
-                && (drag || stay + leave <= 0.0 && self.cfg.notes_every.is_some())
+                && (drag || stay + leave <= 0.0 && self.cfg.progress_interval.is_some())
             {
                 self.give_up(now, id, act);
             }
@@ -1325,7 +1325,7 @@
         if self.cfg.may_cancel {
             t.called_off = true;
             act.push(Action::Cancel(id, attempt));
-        } else if self.cfg.may_copy && job.out().count() < 2 {
+        } else if self.cfg.may_hedge && job.out().count() < 2 {
             job.avoid.insert(job.tries[usize::from(attempt)].engine);
             self.route(now, id, act);
         }
--- a/crates/scheduler/src/interface.rs
+++ b/crates/scheduler/src/interface.rs
@@ -158,19 +158,19 @@
     /// Worth is counted by work instead of by query.
     pub weight_by_work: bool,
     /// The list of engines must be asked for.
-    pub ask_discovery: bool,
+    pub poll_discovery: bool,
     /// An unanswered wish to be told counts as told after this long.
-    pub ask_within: Option<Micros>,
+    pub poll_timeout: Option<Micros>,
     /// Memory grants are heeded.
     pub grants: bool,
     /// Priorities are heeded.
     pub priorities: bool,
     /// Largest share of an engine's memory that one query gets.
-    pub largest_grant: Option<f64>,
+    pub max_grant_share: Option<f64>,
     /// What happens when memory runs out.
     pub out_of_memory: OutOfMemory,
     /// Time between progress notes, where they come.
-    pub notes_every: Option<Micros>,
+    pub progress_interval: Option<Micros>,
     /// Meaning of the values of a load report.
     pub report_fields: Vec<ReportField>,
     /// Load reports come with probes only.
@@ -180,17 +180,17 @@
     /// Probes are allowed.
     pub may_probe: bool,
     /// Messages to peers are allowed.
-    pub may_message: bool,
+    pub may_gossip: bool,
     /// Two attempts of one query may be out at once.
-    pub may_copy: bool,
+    pub may_hedge: bool,
     /// Most attempts for one query.
     pub max_attempts: Option<u32>,
     /// Clients are given retry advice, and heed at most this.
     pub retry_after: Option<Micros>,
     /// Crossing zones has a price.
-    pub crossing_costs: bool,
+    pub cross_zone_costs: bool,
     /// Share of the result that one probe a query costs.
-    pub probe_price: f64,
+    pub probe_cost: f64,
     /// How often events come at most.
     pub tick: Micros,
     /// The ration of further attempts, if any.
--- a/crates/scheduler/tests/crowd.rs
+++ b/crates/scheduler/tests/crowd.rs
@@ -130,7 +130,7 @@
     // Queries pay for no probes.
     let s = Settings {
         may_probe: true,
-        probe_price: 1e9,
+        probe_cost: 1e9,
         report_on_probe: true,
         ..sliver()
     };
--- a/crates/scheduler/tests/fleet.rs
+++ b/crates/scheduler/tests/fleet.rs
@@ -111,7 +111,7 @@
         memory_mb: None,
     }];
     s.report_fields = vec![ReportField::Busy];
-    (s.may_message, s.may_probe) = (true, true);
+    (s.may_gossip, s.may_probe) = (true, true);
     s
 }
 
--- a/crates/scheduler/tests/golden.rs
+++ b/crates/scheduler/tests/golden.rs
@@ -25,7 +25,7 @@
     let with = Settings {
         coordinators,
         number,
-        may_message: true,
+        may_gossip: true,
         report_fields: fields.to_vec(),
         ..settings(vec![class(9 * S, 1.0, 1.0)])
     };
--- a/crates/scheduler/tests/rules.rs
+++ b/crates/scheduler/tests/rules.rs
@@ -483,7 +483,7 @@
 #[test]
 fn discovery_is_asked_for_and_asked_again_after_a_failure() {
     let mut s = settings(vec![class(S, 1.0, 1.0)]);
-    (s.ask_discovery, s.ask_within) = (true, Some(10 * S));
+    (s.poll_discovery, s.poll_timeout) = (true, Some(10 * S));
     let mut c = driftfront_scheduler::Controller::new(s, 1);
     let mut act = Vec::new();
     c.handle(0, Event::Engines(ListKind::Cached, &[]), &mut act);
--- a/crates/scheduler/tests/transcript.rs
+++ b/crates/scheduler/tests/transcript.rs
@@ -330,7 +330,7 @@
             run *= 12.0;
         }
         let run = run as u64 + 1;
-        if let Some(every) = self.settings.notes_every {
+        if let Some(every) = self.settings.progress_interval {
             for n in 1..=(run / every).min(6) {
                 let done = n as f64 * every as f64 / run as f64;
                 let note = match self.dice.below(20) {
@@ -673,7 +673,7 @@
         coordinators: 14,
         kinds: kinds(4.0),
         may_probe: true,
-        may_message: true,
+        may_gossip: true,
         report_on_probe: true,
         ..few()
     }
@@ -694,13 +694,13 @@
 #[test]
 fn transcript_of_few_coordinators_with_gossip_and_grants() {
     let s = Settings {
-        may_message: true,
+        may_gossip: true,
         may_probe: true,
         grants: true,
         priorities: true,
-        largest_grant: Some(0.5),
+        max_grant_share: Some(0.5),
         out_of_memory: OutOfMemory::Shrink,
-        crossing_costs: true,
+        cross_zone_costs: true,
         ..few()
     };
     assert_golden!(
@@ -743,11 +743,11 @@
 #[test]
 fn transcript_of_progress_notes_and_copies() {
     let s = Settings {
-        notes_every: Some(100 * MS),
-        may_copy: true,
+        progress_interval: Some(100 * MS),
+        may_hedge: true,
         may_cancel: false,
-        ask_discovery: true,
-        ask_within: Some(4 * S),
+        poll_discovery: true,
+        poll_timeout: Some(4 * S),
         out_of_memory: OutOfMemory::Page,
         ..few()
     };
@@ -789,8 +789,8 @@
         report_on_probe: false,
         retry_budget: Some(retry_budget()),
         cold: Some(slow_start()),
-        notes_every: Some(150 * MS),
-        may_copy: true,
+        progress_interval: Some(150 * MS),
+        may_hedge: true,
         tenants: vec![Tenant { quota_per_s: 30.0 }; 4],
         over_quota_weight: 0.2,
         ..many()
@@ -811,22 +811,22 @@
         let base = if yes(50) { many() } else { few() };
         let s = Settings {
             may_cancel: yes(60),
-            may_copy: yes(40),
+            may_hedge: yes(40),
             may_probe: yes(60),
-            may_message: yes(60),
+            may_gossip: yes(60),
             report_on_probe: yes(50),
             grants: yes(40),
             priorities: yes(40),
             weight_by_work: yes(40),
-            ask_discovery: yes(30),
-            ask_within: yes(50).then_some(3 * S),
-            crossing_costs: yes(50),
+            poll_discovery: yes(30),
+            poll_timeout: yes(50).then_some(3 * S),
+            cross_zone_costs: yes(50),
             max_attempts: yes(50).then_some(3),
             retry_after: yes(70).then_some(300 * MS),
-            notes_every: yes(40).then_some(120 * MS),
+            progress_interval: yes(40).then_some(120 * MS),
             retry_budget: yes(50).then(retry_budget),
             cold: yes(60).then(slow_start),
-            largest_grant: yes(50).then_some(0.4),
+            max_grant_share: yes(50).then_some(0.4),
             out_of_memory: match (yes(40), yes(50)) {
                 (true, _) => OutOfMemory::Page,
                 (false, true) => OutOfMemory::Shrink,
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -92,34 +92,34 @@
         tenants,
         over_quota_weight: optional(root, "OverShareWorth")?.unwrap_or(1.0),
         weight_by_work: root.get("CountedBy").text() == Some("work"),
-        ask_discovery: root.get("MembershipMode").text() == Some("ask"),
-        ask_within: optional(contract, "AskWithinUs")?.map(|t| t as u64),
+        poll_discovery: root.get("MembershipMode").text() == Some("ask"),
+        poll_timeout: optional(contract, "AskWithinUs")?.map(|t| t as u64),
         grants: flag(family, "GrantsCount"),
         priorities: flag(family, "Priorities"),
-        largest_grant: optional(family, "LargestShare")?.filter(|&s| s > 0.0),
+        max_grant_share: optional(family, "LargestShare")?.filter(|&s| s > 0.0),
         out_of_memory: match family.get("OutOfMemory").text() {
             Some("line_up") | None => OutOfMemory::Wait,
             Some("cut") => OutOfMemory::Shrink,
             Some("overcommit") => OutOfMemory::Page,
             Some(other) => return Err(format!("FamilyInfo.OutOfMemory is unknown: {other}")),
         },
-        notes_every: optional(family, "TellsEveryUs")?
+        progress_interval: optional(family, "TellsEveryUs")?
             .filter(|&t| t > 0.0)
             .map(|t| t as u64),
         report_fields,
         report_on_probe: how == "on_probe",
         may_cancel: flag(caps, "Cancel"),
         may_probe: flag(caps, "MayProbe"),
-        may_message: flag(caps, "Peers"),
-        may_copy: flag(caps, "ParallelTries"),
+        may_gossip: flag(caps, "Peers"),
+        may_hedge: flag(caps, "ParallelTries"),
         max_attempts: optional(caps, "MaxAttempts")?
             .filter(|&n| n >= 1.0)
             .map(|n| n as u32),
         retry_after: optional(caps, "MaxRetryAfterUs")?
             .filter(|_| flag(caps, "RetryAfter"))
             .map(|t| t as u64),
-        crossing_costs: optional(root.get("Fees"), "CrossZone")?.unwrap_or(0.0) > 0.0,
-        probe_price: optional(root.get("Fees"), "Probe")?.unwrap_or(0.0),
+        cross_zone_costs: optional(root.get("Fees"), "CrossZone")?.unwrap_or(0.0) > 0.0,
+        probe_cost: optional(root.get("Fees"), "Probe")?.unwrap_or(0.0),
         tick: optional(root, "TickUs")?.unwrap_or(0.0) as u64,
         retry_budget,
         cold,
--- a/crates/settings/tests/golden.rs
+++ b/crates/settings/tests/golden.rs
@@ -51,18 +51,18 @@
     }
     let _ = writeln!(t, "OverShareWorth {}", s.over_quota_weight);
     let _ = writeln!(t, "CountedBy work: {}", s.weight_by_work);
-    let _ = writeln!(t, "MembershipMode ask: {}", s.ask_discovery);
-    let _ = writeln!(t, "Contract.AskWithinUs {:?}", s.ask_within);
+    let _ = writeln!(t, "MembershipMode ask: {}", s.poll_discovery);
+    let _ = writeln!(t, "Contract.AskWithinUs {:?}", s.poll_timeout);
     let _ = writeln!(t, "FamilyInfo.GrantsCount {}", s.grants);
     let _ = writeln!(t, "FamilyInfo.Priorities {}", s.priorities);
-    let _ = writeln!(t, "FamilyInfo.LargestShare {:?}", s.largest_grant);
+    let _ = writeln!(t, "FamilyInfo.LargestShare {:?}", s.max_grant_share);
     let out_of_memory = match s.out_of_memory {
         OutOfMemory::Wait => "line_up",
         OutOfMemory::Shrink => "cut",
         OutOfMemory::Page => "overcommit",
     };
     let _ = writeln!(t, "FamilyInfo.OutOfMemory {out_of_memory}");
-    let _ = writeln!(t, "FamilyInfo.TellsEveryUs {:?}", s.notes_every);
+    let _ = writeln!(t, "FamilyInfo.TellsEveryUs {:?}", s.progress_interval);
     for (i, f) in s.report_fields.iter().enumerate() {
         let field = match f {
             ReportField::Active => "active",
@@ -80,12 +80,12 @@
     let _ = writeln!(t, "LoadReport.How on_probe: {}", s.report_on_probe);
     let _ = writeln!(t, "Caps.Cancel {}", s.may_cancel);
     let _ = writeln!(t, "Caps.MayProbe {}", s.may_probe);
-    let _ = writeln!(t, "Caps.Peers {}", s.may_message);
-    let _ = writeln!(t, "Caps.ParallelTries {}", s.may_copy);
+    let _ = writeln!(t, "Caps.Peers {}", s.may_gossip);
+    let _ = writeln!(t, "Caps.ParallelTries {}", s.may_hedge);
     let _ = writeln!(t, "Caps.MaxAttempts {:?}", s.max_attempts);
     let _ = writeln!(t, "Caps.MaxRetryAfterUs {:?}", s.retry_after);
-    let _ = writeln!(t, "Fees.CrossZone {}", s.crossing_costs);
-    let _ = writeln!(t, "Fees.Probe {}", s.probe_price);
+    let _ = writeln!(t, "Fees.CrossZone {}", s.cross_zone_costs);
+    let _ = writeln!(t, "Fees.Probe {}", s.probe_cost);
     let _ = writeln!(t, "TickUs {}", s.tick);
     if let Some(budget) = &s.retry_budget {
         let _ = writeln!(t, "Contract.MinExtra {}", budget.free);
