--- a/crates/coordinator/src/config.rs
+++ b/crates/coordinator/src/config.rs
@@ -185,7 +185,7 @@
         let json = root.get("settings");
         let mut settings =
             driftfront_settings::from_json(json).map_err(|e| format!("settings: {e}"))?;
-        settings.settle += SETTLE_MARGIN;
+        settings.settle_time += SETTLE_MARGIN;
         for class in &mut settings.classes {
             class.deduplication_window = class.deduplication_window.saturating_sub(REPEAT_MARGIN);
         }
--- a/crates/scheduler/src/choice.rs
+++ b/crates/scheduler/src/choice.rs
@@ -966,7 +966,7 @@
             Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled
         );
         if let (true, Some(key)) = (doubtful, self.ordered(id)) {
-            self.lanes.entry(key).or_default().rest_until = now + self.cfg.settle;
+            self.lanes.entry(key).or_default().rest_until = now + self.cfg.settle_time;
         }
         match self.jobs[&id].place {
             Place::Out if !end.last => self.again(now, id, act),
--- a/crates/scheduler/src/interface.rs
+++ b/crates/scheduler/src/interface.rs
@@ -198,7 +198,7 @@
     /// The cold-start rule, if any.
     pub cold: Option<SlowStart>,
     /// How long a key rests after an attempt of unknown fate.
-    pub settle: Micros,
+    pub settle_time: Micros,
 }
 
 /// An engine's place in its life.
--- a/crates/scheduler/tests/common/mod.rs
+++ b/crates/scheduler/tests/common/mod.rs
@@ -60,7 +60,7 @@
         tick: 5 * MS,
         retry_budget: None,
         cold: None,
-        settle: 0,
+        settle_time: 0,
     }
 }
 
--- a/crates/scheduler/tests/rules.rs
+++ b/crates/scheduler/tests/rules.rs
@@ -404,7 +404,7 @@
     let mut s = settings(vec![class(60 * S, 1.0, 1.0)]);
     s.classes[0].in_order = true;
     s.classes[0].idempotency = Idempotency::NotIdempotent;
-    s.settle = S;
+    s.settle_time = S;
     let mut rig = Rig::new(s, &[listed(1), listed(2)]);
     let keyed = |rig: &mut Rig| {
         let q = Query {
--- a/crates/scheduler/tests/transcript.rs
+++ b/crates/scheduler/tests/transcript.rs
@@ -662,7 +662,7 @@
         kinds: kinds(8.0),
         report_fields: LOAD_REPORT.to_vec(),
         max_attempts: Some(4),
-        settle: 300 * MS,
+        settle_time: 300 * MS,
         ..settings(classes())
     }
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -123,7 +123,7 @@
         tick: optional(root, "TickUs")?.unwrap_or(0.0) as u64,
         retry_budget,
         cold,
-        settle: optional(contract, "SettleAfterDoubtUs")?.unwrap_or(0.0) as u64,
+        settle_time: optional(contract, "SettleAfterDoubtUs")?.unwrap_or(0.0) as u64,
     })
 }
 
--- a/crates/settings/tests/golden.rs
+++ b/crates/settings/tests/golden.rs
@@ -98,7 +98,7 @@
         let _ = writeln!(t, "Contract.FallMultiple {}", cold.multiple);
         let _ = writeln!(t, "Contract.OverloadForUs {}", cold.window);
     }
-    let _ = writeln!(t, "Contract.SettleAfterDoubtUs {}", s.settle);
+    let _ = writeln!(t, "Contract.SettleAfterDoubtUs {}", s.settle_time);
     t
 }
 
