--- a/crates/coordinator/src/node/control/views.rs
+++ b/crates/coordinator/src/node/control/views.rs
@@ -158,7 +158,11 @@
             *last = (*last).max(read);
         }
         let seconds = |since: Micros| now.saturating_sub(since) / 1_000_000;
-        let warm_after = self.config.settings.cold.map_or(0, |c| c.warm_after);
+        let warm_up_time = self
+            .config
+            .settings
+            .slow_start
+            .map_or(0, |c| c.warm_up_time);
         let engines = self.roster.engines().into_iter().map(|e| {
             let there = running.get(&e.id).copied().unwrap_or_default();
             // Silence begins with the work that it should say something of.
@@ -190,7 +194,7 @@
                 heard_ms: (heard > 0).then(|| now.saturating_sub(heard) / 1000),
                 connections: connections.get(&e.id).copied().unwrap_or(0),
                 warm_in_s: e.born.map_or(0, |b| {
-                    (b + warm_after).saturating_sub(now).div_ceil(1_000_000)
+                    (b + warm_up_time).saturating_sub(now).div_ceil(1_000_000)
                 }),
                 minute: ring.map(|r| r.sum(now)).unwrap_or_default(),
             }
--- a/crates/scheduler/src/choice.rs
+++ b/crates/scheduler/src/choice.rs
@@ -666,7 +666,7 @@
     fn send(&mut self, now: Micros, id: QueryId, engine: EngineId, act: &mut Actions) {
         let e = &self.engines[&engine];
         let (expected, weight) = (self.run(id, e), self.cold_weight(id));
-        let cold = (self.warmth(now, e) < 1.0).then_some(weight);
+        let slow_start = (self.warmth(now, e) < 1.0).then_some(weight);
         let grant = self.memory(id);
         let priority = self.priority(now, id, expected);
         let margin = ANSWER_MARGIN.max(2 * self.cfg.tick);
@@ -691,7 +691,7 @@
                 expected,
                 ..Try::new(engine, now)
             },
-            cold,
+            slow_start,
         );
     }
 
--- a/crates/scheduler/src/interface.rs
+++ b/crates/scheduler/src/interface.rs
@@ -101,7 +101,7 @@
     /// Lowest share of its capacity that an engine starts with.
     pub from: f64,
     /// It is warm after this long.
-    pub warm_after: Micros,
+    pub warm_up_time: Micros,
     /// It falls over beyond this multiple of its present capacity,
     pub multiple: f64,
     /// sent for this long.
@@ -196,7 +196,7 @@
     /// The ration of further attempts, if any.
     pub retry_budget: Option<RetryBudget>,
     /// The cold-start rule, if any.
-    pub cold: Option<SlowStart>,
+    pub slow_start: Option<SlowStart>,
     /// How long a key rests after an attempt of unknown fate.
     pub settle_time: Micros,
 }
--- a/crates/scheduler/src/slow_start.rs
+++ b/crates/scheduler/src/slow_start.rs
@@ -102,7 +102,7 @@
 impl Controller {
     /// Whether the engine of an attempt that was planned while it was cold takes it now; if so, it goes out.
     pub(crate) fn cold_engine_takes(&mut self, now: Micros, query: QueryId, attempt: u8) -> bool {
-        let Some(cold) = self.cfg.cold else {
+        let Some(slow_start) = self.cfg.slow_start else {
             return true;
         };
         let sent_to = self
@@ -116,11 +116,13 @@
         };
         // A sliver's part is under one query: chance decides there, not a sum.
         let bounded = !self.sliver() && self.warmth(now, e) < 1.0;
-        let part = self.cold_budget(now, e, &cold) / f64::from(self.cfg.coordinators.max(1));
+        let part = self.cold_budget(now, e, &slow_start) / f64::from(self.cfg.coordinators.max(1));
         let Some(e) = self.engines.get_mut(&engine) else {
             return true;
         };
-        let out = e.cold_sends.out_since(now.saturating_sub(cold.window));
+        let out = e
+            .cold_sends
+            .out_since(now.saturating_sub(slow_start.window));
         let Some(send) = e.cold_sends.waiting(query, attempt) else {
             return true;
         };
@@ -133,21 +135,23 @@
 
     /// Share of its capacity that a young engine can be counted on for; 1 once warm.
     pub(crate) fn warmth(&self, now: Micros, e: &Engine) -> f64 {
-        let (Some(cold), Some(born)) = (self.cfg.cold, e.born) else {
+        let (Some(slow_start), Some(born)) = (self.cfg.slow_start, e.born) else {
             return 1.0;
         };
-        let age = now.saturating_sub(born) as f64 / cold.warm_after.max(1) as f64;
-        cold.from + (1.0 - cold.from) * (2.0 * age - 1.0).clamp(0.0, 1.0)
+        let age = now.saturating_sub(born) as f64 / slow_start.warm_up_time.max(1) as f64;
+        slow_start.from + (1.0 - slow_start.from) * (2.0 * age - 1.0).clamp(0.0, 1.0)
     }
 
     /// Rule 4: our n-th of what a cold engine may be sent in any window. Against crowds on engines just
     /// started; also covers those that answer again after failing, which may have restarted unannounced.
     pub(crate) fn cold_room(&self, now: Micros, id: QueryId, e: &Engine) -> bool {
-        let (Some(cold), true) = (self.cfg.cold, self.warmth(now, e) < 1.0) else {
+        let (Some(slow_start), true) = (self.cfg.slow_start, self.warmth(now, e) < 1.0) else {
             return true;
         };
-        let recent = e.cold_sends.planned_since(now.saturating_sub(cold.window));
-        let (whole, weight) = (self.cold_budget(now, e, &cold), self.cold_weight(id));
+        let recent = e
+            .cold_sends
+            .planned_since(now.saturating_sub(slow_start.window));
+        let (whole, weight) = (self.cold_budget(now, e, &slow_start), self.cold_weight(id));
         if !self.sliver() {
             return recent + weight <= whole / f64::from(self.cfg.coordinators.max(1));
         }
@@ -156,19 +160,20 @@
         let fits =
             self.mean(|c| self.learned[c].work * fit(self.learned[c].work)) / self.mean_work();
         let fit = fit(weight) / fits.max(COLD_LEAST) * (self.weight(e) / self.cores(e)).min(1.0);
-        let chance = fit * whole / (self.tally.cores * CAPACITY * RUSH * cold.window as f64);
-        let draw =
-            Random(self.salt ^ id.0 ^ e.born.unwrap_or(0) ^ ((now / cold.window.max(1)) << 40))
-                .below(1 << 20);
+        let chance = fit * whole / (self.tally.cores * CAPACITY * RUSH * slow_start.window as f64);
+        let draw = Random(
+            self.salt ^ id.0 ^ e.born.unwrap_or(0) ^ ((now / slow_start.window.max(1)) << 40),
+        )
+        .below(1 << 20);
         recent <= COLD_WHOLE * whole
             && weight <= whole / 2.0
             && (draw as f64) < chance * (1 << 20) as f64
     }
 
     /// Work that a cold engine may be sent within its window, by all gateways.
-    pub(crate) fn cold_budget(&self, now: Micros, e: &Engine, cold: &SlowStart) -> f64 {
-        let capacity = self.cores(e) * CAPACITY * self.warmth(now, e) * cold.window as f64;
-        COLD_CARE * cold.multiple * capacity
+    pub(crate) fn cold_budget(&self, now: Micros, e: &Engine, slow_start: &SlowStart) -> f64 {
+        let capacity = self.cores(e) * CAPACITY * self.warmth(now, e) * slow_start.window as f64;
+        COLD_CARE * slow_start.multiple * capacity
     }
 
     /// The rule weighs a query by its class's usual work; before any was seen, by all of its aim.
--- a/crates/scheduler/src/state.rs
+++ b/crates/scheduler/src/state.rs
@@ -609,9 +609,15 @@
         }
     }
 
-    /// Records an attempt; `cold` is its weight if it goes to a cold engine.
-    pub(crate) fn record_send(&mut self, now: Micros, id: QueryId, t: Try, cold: Option<f64>) {
-        let window = self.cfg.cold.map_or(0, |c| c.window);
+    /// Records an attempt; `slow_start` is its weight if it goes to a cold engine.
+    pub(crate) fn record_send(
+        &mut self,
+        now: Micros,
+        id: QueryId,
+        t: Try,
+        slow_start: Option<f64>,
+    ) {
+        let window = self.cfg.slow_start.map_or(0, |c| c.window);
         let threads = self.cfg.classes[usize::from(self.jobs[&id].query.class)].threads;
         let (Some(e), Some(job)) = (self.engines.get_mut(&t.engine), self.jobs.get_mut(&id)) else {
             return;
@@ -621,7 +627,7 @@
             e.heard = e.heard.max(now);
         }
         e.cold_sends.forget_before(now.saturating_sub(window));
-        if let Some(weight) = cold {
+        if let Some(weight) = slow_start {
             let at = (!self.awaits_first_bytes).then_some(now);
             e.cold_sends.plan(id, job.tries.len() as u8, weight, at);
         }
--- a/crates/scheduler/tests/common/mod.rs
+++ b/crates/scheduler/tests/common/mod.rs
@@ -59,7 +59,7 @@
         probe_cost: 0.01,
         tick: 5 * MS,
         retry_budget: None,
-        cold: None,
+        slow_start: None,
         settle_time: 0,
     }
 }
--- a/crates/scheduler/tests/crowd.rs
+++ b/crates/scheduler/tests/crowd.rs
@@ -220,9 +220,9 @@
 #[test]
 fn a_fleet_uses_cold_engines_well_and_keeps_their_budget() {
     let mut s = sliver();
-    s.cold = Some(SlowStart {
+    s.slow_start = Some(SlowStart {
         from: 0.35,
-        warm_after: 15 * S,
+        warm_up_time: 15 * S,
         multiple: 4.0,
         window: 3 * S / 2,
     });
--- a/crates/scheduler/tests/fleet.rs
+++ b/crates/scheduler/tests/fleet.rs
@@ -144,9 +144,9 @@
 #[test]
 fn a_cold_engine_is_used_by_all_together_but_within_the_rule() {
     let mut cfg = fleet_settings();
-    cfg.cold = Some(SlowStart {
+    cfg.slow_start = Some(SlowStart {
         from: 0.3,
-        warm_after: 12 * S,
+        warm_up_time: 12 * S,
         multiple: 2.5,
         window: 2 * S,
     });
@@ -171,20 +171,20 @@
     }
     let born = f.now;
     (0..120).for_each(|_| step(&mut f));
-    let cold: Vec<(u64, f64)> = f
+    let slow_start: Vec<(u64, f64)> = f
         .sent
         .iter()
         .filter(|s| s.0 > born && s.1 == 5)
         .map(|s| (s.0, if s.2 == 1 { 2e6 } else { 2e5 }))
         .collect();
     assert!(
-        cold.len() >= 5,
+        slow_start.len() >= 5,
         "a cold engine got {} queries in 6 s",
-        cold.len()
+        slow_start.len()
     );
     let budget = 2.5 * 0.3 * 8.0 * 0.85 * 2e6;
-    for (start, _) in &cold {
-        let work: f64 = cold
+    for (start, _) in &slow_start {
+        let work: f64 = slow_start
             .iter()
             .filter(|c| (*start..*start + 2 * S).contains(&c.0))
             .map(|c| c.1)
--- a/crates/scheduler/tests/rules.rs
+++ b/crates/scheduler/tests/rules.rs
@@ -270,9 +270,9 @@
 fn a_broken_connection_rests_its_engine_until_a_probe_answers() {
     let mut s = settings(vec![class(9 * S, 1.0, 1.0)]);
     (s.may_probe, s.coordinators) = (true, 2);
-    s.cold = Some(SlowStart {
+    s.slow_start = Some(SlowStart {
         from: 0.3,
-        warm_after: 10 * S,
+        warm_up_time: 10 * S,
         multiple: 0.1,
         window: 2 * S,
     });
@@ -366,9 +366,9 @@
 fn a_cold_engine_gets_no_more_than_its_part() {
     let mut s = settings(vec![class(60 * S, 1.0, 1.0)]);
     s.coordinators = 2;
-    s.cold = Some(SlowStart {
+    s.slow_start = Some(SlowStart {
         from: 0.5,
-        warm_after: 10 * S,
+        warm_up_time: 10 * S,
         multiple: 2.0,
         window: 2 * S,
     });
@@ -689,9 +689,9 @@
     s.classes[1].in_order = true;
     s.classes[1].kinds = Some(vec![0]);
     s.max_attempts = Some(3);
-    s.cold = Some(SlowStart {
+    s.slow_start = Some(SlowStart {
         from: 0.3,
-        warm_after: 5 * S,
+        warm_up_time: 5 * S,
         multiple: 2.0,
         window: S,
     });
--- a/crates/scheduler/tests/slow_start.rs
+++ b/crates/scheduler/tests/slow_start.rs
@@ -20,9 +20,9 @@
         cores: Some(20.0),
         memory_mb: None,
     }];
-    s.cold = Some(SlowStart {
+    s.slow_start = Some(SlowStart {
         from: 0.5,
-        warm_after: WARM_AFTER,
+        warm_up_time: WARM_AFTER,
         multiple: 2.0,
         window: S,
     });
@@ -92,8 +92,8 @@
     let mut rig = learnt();
     let born = rig.now + HOUR;
     told(&mut rig, born);
-    let cold = sent(&mut rig);
-    assert!((3..=MOST_IN_A_WINDOW).contains(&cold), "{cold}");
+    let slow_start = sent(&mut rig);
+    assert!((3..=MOST_IN_A_WINDOW).contains(&slow_start), "{slow_start}");
     // What waited meanwhile goes out and ends.
     for _ in 0..WARM_AFTER / (50 * MS) {
         let act = rig.tick(50 * MS);
--- a/crates/scheduler/tests/transcript.rs
+++ b/crates/scheduler/tests/transcript.rs
@@ -641,7 +641,7 @@
 fn slow_start() -> SlowStart {
     SlowStart {
         from: 0.3,
-        warm_after: 6 * S,
+        warm_up_time: 6 * S,
         multiple: 2.0,
         window: S,
     }
@@ -713,7 +713,7 @@
 fn transcript_of_slow_start_budget_and_quota() {
     let s = Settings {
         retry_budget: Some(retry_budget()),
-        cold: Some(slow_start()),
+        slow_start: Some(slow_start()),
         tenants: vec![Tenant { quota_per_s: 8.0 }; 3],
         over_quota_weight: 0.1,
         weight_by_work: true,
@@ -730,7 +730,7 @@
 fn transcript_of_attempts_that_wait_for_their_connection() {
     let s = Settings {
         retry_budget: Some(retry_budget()),
-        cold: Some(slow_start()),
+        slow_start: Some(slow_start()),
         may_probe: true,
         ..few()
     };
@@ -760,7 +760,7 @@
 #[test]
 fn transcript_of_many_coordinators() {
     let s = Settings {
-        cold: Some(slow_start()),
+        slow_start: Some(slow_start()),
         ..many()
     };
     assert_golden!(
@@ -788,7 +788,7 @@
     let s = Settings {
         report_on_probe: false,
         retry_budget: Some(retry_budget()),
-        cold: Some(slow_start()),
+        slow_start: Some(slow_start()),
         progress_interval: Some(150 * MS),
         may_hedge: true,
         tenants: vec![Tenant { quota_per_s: 30.0 }; 4],
@@ -825,7 +825,7 @@
             retry_after: yes(70).then_some(300 * MS),
             progress_interval: yes(40).then_some(120 * MS),
             retry_budget: yes(50).then(retry_budget),
-            cold: yes(60).then(slow_start),
+            slow_start: yes(60).then(slow_start),
             max_grant_share: yes(50).then_some(0.4),
             out_of_memory: match (yes(40), yes(50)) {
                 (true, _) => OutOfMemory::Page,
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -57,12 +57,12 @@
         tenants.push(Tenant { quota_per_s });
     }
     let in_contract = |key: &str| number(contract, key).map_err(|e| format!("Contract.{e}"));
-    let cold = if contract.get("FallMultiple").is_null() {
+    let slow_start = if contract.get("FallMultiple").is_null() {
         None
     } else {
         Some(SlowStart {
             from: in_contract("ColdFrom")?,
-            warm_after: in_contract("WarmUpUs")? as u64,
+            warm_up_time: in_contract("WarmUpUs")? as u64,
             multiple: in_contract("FallMultiple")?,
             window: in_contract("OverloadForUs")? as u64,
         })
@@ -122,7 +122,7 @@
         probe_cost: optional(root.get("Fees"), "Probe")?.unwrap_or(0.0),
         tick: optional(root, "TickUs")?.unwrap_or(0.0) as u64,
         retry_budget,
-        cold,
+        slow_start,
         settle_time: optional(contract, "SettleAfterDoubtUs")?.unwrap_or(0.0) as u64,
     })
 }
--- a/crates/settings/tests/golden.rs
+++ b/crates/settings/tests/golden.rs
@@ -92,11 +92,11 @@
         let _ = writeln!(t, "Contract.FurtherRatio {}", budget.ratio);
         let _ = writeln!(t, "Contract.ExtraWindowUs {}", budget.window);
     }
-    if let Some(cold) = &s.cold {
-        let _ = writeln!(t, "Contract.ColdFrom {}", cold.from);
-        let _ = writeln!(t, "Contract.WarmUpUs {}", cold.warm_after);
-        let _ = writeln!(t, "Contract.FallMultiple {}", cold.multiple);
-        let _ = writeln!(t, "Contract.OverloadForUs {}", cold.window);
+    if let Some(slow_start) = &s.slow_start {
+        let _ = writeln!(t, "Contract.ColdFrom {}", slow_start.from);
+        let _ = writeln!(t, "Contract.WarmUpUs {}", slow_start.warm_up_time);
+        let _ = writeln!(t, "Contract.FallMultiple {}", slow_start.multiple);
+        let _ = writeln!(t, "Contract.OverloadForUs {}", slow_start.window);
     }
     let _ = writeln!(t, "Contract.SettleAfterDoubtUs {}", s.settle_time);
     t
