--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -25,7 +25,7 @@
 pub use driftfront_scheduler::interface::{
     EngineId, ListKind, Listed, Micros, Note, Outcome, Phase, StickySession,
 };
-pub use driftfront_scheduler::BudgetUsage;
+pub use driftfront_scheduler::RetryBudgetUsage;
 pub use running::Run;
 
 use driftfront_scheduler::interface::{Action, Event, Idempotency, QueryId, Settings};
@@ -228,7 +228,7 @@
     }
 
     /// How far the retry budget is used; `None` where the settings have none.
-    pub fn retry_budget_usage(&self, now: Micros) -> Option<BudgetUsage> {
+    pub fn retry_budget_usage(&self, now: Micros) -> Option<RetryBudgetUsage> {
         self.controller.retry_budget_usage(now)
     }
 
--- a/crates/core/tests/lifecycle.rs
+++ b/crates/core/tests/lifecycle.rs
@@ -63,9 +63,9 @@
             Step::Look(clients) => drop(life.look(clients)),
             Step::Wait(for_) => now += for_,
         }
-        let free = paused.is_none() && successor.is_none() && ending.is_none();
+        let min_retries = paused.is_none() && successor.is_none() && ending.is_none();
         // Yes is said only by one that serves; never both by it and a ready successor.
-        let ready = life.is_ready() == (begun && free);
+        let ready = life.is_ready() == (begun && min_retries);
         // Somebody accepts, unless a successor does, or the earlier process still does.
         let left = successor.into_iter().chain(ending.filter(|_| held)).min();
         let accepts = life.accepts() == (left.is_none() && (begun || !succeeds));
--- a/crates/scheduler/src/interface.rs
+++ b/crates/scheduler/src/interface.rs
@@ -88,7 +88,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
     /// Allowed whatever the traffic.
-    pub free: f64,
+    pub min_retries: f64,
     /// Allowed for each query taken.
     pub ratio: f64,
     /// The period over which both are counted.
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -13,7 +13,7 @@
 
 pub use choice::Controller;
 pub use interface::{Action, Event, Settings};
-pub use retry_budget::BudgetUsage;
+pub use retry_budget::RetryBudgetUsage;
 
 #[cfg(doctest)]
 #[doc = include_str!("../../../README.md")]
--- a/crates/scheduler/src/retry_budget.rs
+++ b/crates/scheduler/src/retry_budget.rs
@@ -2,7 +2,7 @@
 //!
 //! Input: the time of each request taken and of each further attempt, on the host's monotonic clock. Output: yes or no, and the
 //! figures behind it for logs and counters. Bound: within any window of the settings' length at most
-//! `free + ratio * requests taken` further attempts. State: two queues of times that hold one window's worth at most, and what is
+//! `min_retries + ratio * requests taken` further attempts. State: two queues of times that hold one window's worth at most, and what is
 //! on its way.
 //!
 //! The other side counts an attempt when it goes out, not when it was planned: a connection that comes up late, or a process
@@ -19,7 +19,7 @@
 
 /// How far the budget is used, for logs and counters.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct BudgetUsage {
+pub struct RetryBudgetUsage {
     /// Further attempts within the window.
     pub used: u64,
     /// Further attempts that the requests taken within the window allow.
@@ -105,16 +105,16 @@
     }
 
     /// The figures at this moment.
-    pub fn usage(&self, now: Micros, budget: &RetryBudget) -> BudgetUsage {
+    pub fn usage(&self, now: Micros, budget: &RetryBudget) -> RetryBudgetUsage {
         let within = |at: Micros| at + budget.window > now;
         let taken = self.taken.iter().filter(|&&at| within(at)).count();
-        BudgetUsage {
+        RetryBudgetUsage {
             used: self
                 .further
                 .iter()
                 .filter(|f| f.at.is_none_or(within))
                 .count() as u64,
-            allowed: budget.free + budget.ratio * taken as f64,
+            allowed: budget.min_retries + budget.ratio * taken as f64,
             taken: taken as u64,
             held: self.taken.len() + self.further.len(),
             denied: self.denied,
@@ -123,7 +123,7 @@
     }
 
     fn allowed(&self, budget: &RetryBudget) -> f64 {
-        budget.free + budget.ratio * self.taken.len() as f64
+        budget.min_retries + budget.ratio * self.taken.len() as f64
     }
 
     /// Drops what is behind the window.
@@ -171,7 +171,7 @@
     }
 
     /// How far the retry budget is used; `None` where the settings have none.
-    pub fn retry_budget_usage(&self, now: Micros) -> Option<BudgetUsage> {
+    pub fn retry_budget_usage(&self, now: Micros) -> Option<RetryBudgetUsage> {
         self.cfg
             .retry_budget
             .map(|budget| self.retries.usage(now, &budget))
--- a/crates/scheduler/tests/rules.rs
+++ b/crates/scheduler/tests/rules.rs
@@ -448,7 +448,7 @@
 fn further_attempts_stay_within_the_budget() {
     let mut s = settings(vec![class(60 * S, 1.0, 1.0)]);
     s.retry_budget = Some(RetryBudget {
-        free: 2.0,
+        min_retries: 2.0,
         ratio: 0.0,
         window: 10 * S,
     });
@@ -466,7 +466,7 @@
 fn what_was_taken_is_forgotten_behind_the_window_without_a_further_attempt() {
     let mut s = settings(vec![class(9 * S, 1.0, 1.0)]);
     s.retry_budget = Some(RetryBudget {
-        free: 5.0,
+        min_retries: 5.0,
         ratio: 0.1,
         window: 10 * S,
     });
--- a/crates/scheduler/tests/transcript.rs
+++ b/crates/scheduler/tests/transcript.rs
@@ -649,7 +649,7 @@
 
 fn retry_budget() -> RetryBudget {
     RetryBudget {
-        free: 3.0,
+        min_retries: 3.0,
         ratio: 0.1,
         window: 2 * S,
     }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -71,7 +71,7 @@
         None
     } else {
         Some(RetryBudget {
-            free: optional(contract, "MinExtra")?.unwrap_or(0.0),
+            min_retries: optional(contract, "MinExtra")?.unwrap_or(0.0),
             ratio: optional(contract, "FurtherRatio")?.unwrap_or(0.0),
             window: in_contract("ExtraWindowUs")? as u64,
         })
--- a/crates/settings/tests/golden.rs
+++ b/crates/settings/tests/golden.rs
@@ -88,7 +88,7 @@
     let _ = writeln!(t, "Fees.Probe {}", s.probe_cost);
     let _ = writeln!(t, "TickUs {}", s.tick);
     if let Some(budget) = &s.retry_budget {
-        let _ = writeln!(t, "Contract.MinExtra {}", budget.free);
+        let _ = writeln!(t, "Contract.MinExtra {}", budget.min_retries);
         let _ = writeln!(t, "Contract.FurtherRatio {}", budget.ratio);
         let _ = writeln!(t, "Contract.ExtraWindowUs {}", budget.window);
     }
