--- a/crates/coordinator/src/backends/clickhouse.rs
+++ b/crates/coordinator/src/backends/clickhouse.rs
@@ -27,7 +27,7 @@
 /// What an engine's error text proves.
 fn cause(code: Option<u32>, status: u16, words: &str) -> Cause {
     match proof(code, status) {
-        Proof::NeverRan => Cause::TurnedAway,
+        Proof::NeverRan => Cause::Rejected,
         Proof::OfTheStatement => Cause::Statement(words.into()),
         Proof::MayHaveRun => Cause::Engine(words.into()),
     }
@@ -38,7 +38,7 @@
         Fault::Exception(e) if e.code == 0 => Cause::Engine(Exception::new(210, &e.text).text),
         Fault::Exception(e) => match cause(Some(e.code), 200, &e.text) {
             // It said 200 first, so it had begun.
-            Cause::TurnedAway => Cause::Engine(e.text.clone()),
+            Cause::Rejected => Cause::Engine(e.text.clone()),
             cause => cause,
         },
         fault => Cause::Engine(Exception::new(CORRUPTED_DATA, &fault.to_string()).text),
--- a/crates/coordinator/src/backends/engine_protocol.rs
+++ b/crates/coordinator/src/backends/engine_protocol.rs
@@ -194,7 +194,7 @@
                 }
                 return Ok(());
             }
-            "SHED" | "LATE" => Some(Cause::TurnedAway),
+            "SHED" | "LATE" => Some(Cause::Rejected),
             "FAULT" => Some(Cause::Engine("FAULT".into())),
             "HIT" | "PART" | "INFO" => None,
             // Whose it was can't be told, and where its end is neither.
@@ -229,7 +229,7 @@
                 Ok(true) => seen.push(Seen::Begun(key)),
                 Err(e) => {
                     self.open.remove(&*answer.id);
-                    seen.push(Seen::Failed(key, Cause::Spoilt(e.into())));
+                    seen.push(Seen::Failed(key, Cause::MalformedResponse(e.into())));
                     return Err(format!("{}: {e}", answer.word));
                 }
             }
@@ -427,7 +427,8 @@
             }
         }
         for id in late {
-            let failed = |key| Seen::Failed(key, Cause::Spoilt("its pages never came".into()));
+            let failed =
+                |key| Seen::Failed(key, Cause::MalformedResponse("its pages never came".into()));
             seen.extend(self.end(&id).map(failed));
         }
         Ok(())
--- a/crates/coordinator/src/node/engines/mod.rs
+++ b/crates/coordinator/src/node/engines/mod.rs
@@ -159,7 +159,7 @@
             || self.engines.len() >= self.sockets() / PART_OF_SOCKETS
         {
             // Rather than wait without bound for a place, the attempt goes elsewhere; the engine is well.
-            return best.map(|b| b.3).ok_or(Cause::TurnedAway);
+            return best.map(|b| b.3).ok_or(Cause::Rejected);
         }
         let stream = match connect(addr) {
             // Out of descriptors: an idle client's is worth less.
@@ -170,7 +170,7 @@
             let ours = out_of_descriptors(&e);
             // Our own want says nothing of the engine.
             if ours {
-                Cause::TurnedAway
+                Cause::Rejected
             } else {
                 Cause::Connection(e.to_string())
             }
@@ -178,7 +178,7 @@
         let id = self.conn_id();
         let token = self
             .register(stream.clone(), Source::Engine(id))
-            .map_err(|_| Cause::TurnedAway)?;
+            .map_err(|_| Cause::Rejected)?;
         let conn = EngineConn {
             engine,
             zone: self.roster.zone(engine),
@@ -248,7 +248,7 @@
     pub(super) fn probe(&mut self, now: Micros, engine: EngineId, tag: u64) {
         match self.engine_conn(now, engine, None, false) {
             Ok(id) => self.queue_work(now, id, Work::Probe(tag)),
-            Err(Cause::TurnedAway) => self.core.probed(now, tag, Outcome::Superseded, &[]),
+            Err(Cause::Rejected) => self.core.probed(now, tag, Outcome::Superseded, &[]),
             Err(_) => self.core.probed(now, tag, Outcome::Unreachable, &[]),
         }
     }
@@ -262,7 +262,7 @@
             return self.engine_write(now, id);
         }
         match work {
-            Work::Attempt(key, _) => self.attempt_failed(now, key, Cause::TurnedAway),
+            Work::Attempt(key, _) => self.attempt_failed(now, key, Cause::Rejected),
             Work::Probe(CHECK_TAG) => {}
             Work::Probe(tag) => self.core.probed(now, tag, Outcome::Superseded, &[]),
         }
--- a/crates/coordinator/src/node/engines/traffic.rs
+++ b/crates/coordinator/src/node/engines/traffic.rs
@@ -96,7 +96,7 @@
                     };
                     if !conn.session.takes(&taken.ask.call) {
                         // A second request of the same name came in while the connection came up.
-                        self.attempt_failed(now, key, Cause::TurnedAway);
+                        self.attempt_failed(now, key, Cause::Rejected);
                         continue;
                     }
                     let place = usize::from(taken.ask.class);
--- a/crates/coordinator/tests/wires.rs
+++ b/crates/coordinator/tests/wires.rs
@@ -219,7 +219,7 @@
                         if full { "SHED" } else { "FAULT" }
                     );
                     let cause = if full {
-                        Cause::TurnedAway
+                        Cause::Rejected
                     } else {
                         Cause::Engine("FAULT".into())
                     };
@@ -300,7 +300,7 @@
                 .is_err(),
             "{answer}"
         );
-        let spoilt = matches!(seen[..], [Seen::Failed(k, Cause::Spoilt(_))] if k == key);
+        let spoilt = matches!(seen[..], [Seen::Failed(k, Cause::MalformedResponse(_))] if k == key);
         assert_eq!(
             (spoilt, lines.open().is_empty()),
             (known, known),
@@ -327,7 +327,10 @@
     assert_eq!(String::from_utf8(again).unwrap(), "FETCH c1 1\r\n");
     seen.clear();
     lines.tend(1_300_000, &mut out, &mut seen).unwrap();
-    assert!(matches!(seen[..], [Seen::Failed(k, Cause::Spoilt(_))] if k == key) && lines.is_idle());
+    assert!(
+        matches!(seen[..], [Seen::Failed(k, Cause::MalformedResponse(_))] if k == key)
+            && lines.is_idle()
+    );
 }
 
 #[test]
--- a/crates/core/src/accounting.rs
+++ b/crates/core/src/accounting.rs
@@ -7,7 +7,7 @@
 const OUTCOMES: [(Outcome, &str); 8] = [
     (Outcome::Ok, "ok"),
     (Outcome::Error, "error"),
-    (Outcome::Full, "full"),
+    (Outcome::Rejected, "full"),
     (Outcome::TimedOut, "timed_out"),
     (Outcome::Unreachable, "unreachable"),
     (Outcome::Reset, "reset"),
--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -34,11 +34,11 @@
     /// Its time ran out.
     TimedOut,
     /// The engine turned it away unseen.
-    TurnedAway,
+    Rejected,
     /// The engine answered with an error.
     Engine(String),
     /// What came as its answer can't be used: it has run, and no other answer will come.
-    Spoilt(String),
+    MalformedResponse(String),
     /// The engine left, or the time ran out, before a byte was written.
     Withheld,
     /// The statement itself is at fault: no other engine would do better.
@@ -46,7 +46,7 @@
     /// Its client left or wants it no more: nothing is wrong with the engine, where it may still run.
     Released,
     /// The module waits for it no longer, and its engine was told to end it.
-    CalledOff,
+    CancelledByScheduler,
 }
 
 /// The end of an attempt that did not serve: how far it had come, and why.
@@ -63,7 +63,7 @@
     fn is_ours(&self) -> bool {
         matches!(
             self,
-            Cause::Closed(_) | Cause::TimedOut | Cause::Released | Cause::CalledOff
+            Cause::Closed(_) | Cause::TimedOut | Cause::Released | Cause::CancelledByScheduler
         )
     }
 }
@@ -72,14 +72,18 @@
     /// What this proves, in the module's words.
     pub fn outcome(&self) -> Outcome {
         match self.cause {
-            Cause::TurnedAway => Outcome::Full,
+            Cause::Rejected => Outcome::Rejected,
             Cause::Withheld => Outcome::Superseded,
-            Cause::Engine(_) | Cause::Spoilt(_) => Outcome::Error,
+            Cause::Engine(_) | Cause::MalformedResponse(_) => Outcome::Error,
             // Not written whole, it never was a query there.
             Cause::Released if self.progress < Progress::WrittenWhole => Outcome::Superseded,
             // A part already on its way becomes whole before the word that ends it.
-            Cause::CalledOff if self.progress < Progress::PartWritten => Outcome::Superseded,
-            Cause::Statement(_) | Cause::Released | Cause::CalledOff => Outcome::Cancelled,
+            Cause::CancelledByScheduler if self.progress < Progress::PartWritten => {
+                Outcome::Superseded
+            }
+            Cause::Statement(_) | Cause::Released | Cause::CancelledByScheduler => {
+                Outcome::Cancelled
+            }
             // Not written whole, it cannot have run: the connection's end gives up the written part.
             Cause::Connection(_) | Cause::Closed(_) if self.progress < Progress::WrittenWhole => {
                 Outcome::Unreachable
@@ -105,13 +109,13 @@
             Cause::Connection(why) => write!(f, "{how}: connection failed: {why}"),
             Cause::Closed(why) => write!(f, "{how}: connection closed: {why}"),
             Cause::TimedOut => write!(f, "{how}: timed out"),
-            Cause::TurnedAway => write!(f, "{how}: turned away"),
+            Cause::Rejected => write!(f, "{how}: turned away"),
             Cause::Engine(why) => write!(f, "{how}: engine error: {why}"),
-            Cause::Spoilt(why) => write!(f, "{how}: spoilt answer: {why}"),
+            Cause::MalformedResponse(why) => write!(f, "{how}: spoilt answer: {why}"),
             Cause::Withheld => write!(f, "{how}: withheld"),
             Cause::Statement(why) => write!(f, "{how}: statement at fault: {why}"),
             Cause::Released => write!(f, "{how}: released"),
-            Cause::CalledOff => write!(f, "{how}: called off"),
+            Cause::CancelledByScheduler => write!(f, "{how}: called off"),
         }
     }
 }
--- a/crates/core/src/routing.rs
+++ b/crates/core/src/routing.rs
@@ -69,7 +69,7 @@
         }
         self.counters.stopped += 1;
         self.commands.push_back(Command::Abandon(key, engine));
-        self.attempt_failed(now, key, crate::Cause::CalledOff);
+        self.attempt_failed(now, key, crate::Cause::CancelledByScheduler);
     }
 
     /// Starts an attempt; its number if it is over before it began.
--- a/crates/core/tests/golden.rs
+++ b/crates/core/tests/golden.rs
@@ -247,9 +247,9 @@
             Cause::Connection("reset".into()),
             Cause::Closed("silent".into()),
             Cause::TimedOut,
-            Cause::TurnedAway,
+            Cause::Rejected,
             Cause::Engine("Code: 241. DB::Exception: memory".into()),
-            Cause::Spoilt("noise".into()),
+            Cause::MalformedResponse("noise".into()),
             Cause::Withheld,
             Cause::Statement("Code: 62. DB::Exception: syntax".into()),
         ];
@@ -372,7 +372,7 @@
     match outcome {
         Outcome::Ok => "served",
         Outcome::Error => "error",
-        Outcome::Full => "full",
+        Outcome::Rejected => "full",
         Outcome::TimedOut => "time-out",
         Outcome::Unreachable => "unreachable",
         Outcome::Reset => "reset",
@@ -428,13 +428,13 @@
         Cause::Connection("reset by peer".into()),
         Cause::Closed("silent".into()),
         Cause::TimedOut,
-        Cause::TurnedAway,
+        Cause::Rejected,
         Cause::Engine("Code: 241".into()),
-        Cause::Spoilt("noise".into()),
+        Cause::MalformedResponse("noise".into()),
         Cause::Withheld,
         Cause::Statement("Code: 62".into()),
         Cause::Released,
-        Cause::CalledOff,
+        Cause::CancelledByScheduler,
     ];
     let mut text = String::new();
     for cause in causes {
--- a/crates/core/tests/keyed.rs
+++ b/crates/core/tests/keyed.rs
@@ -241,7 +241,7 @@
     rig.core
         .engines(rig.now, ListKind::Changes, &[listed(1, Phase::Draining)]);
     rig.core
-        .attempt_failed(rig.now, told.sent[0], Cause::TurnedAway);
+        .attempt_failed(rig.now, told.sent[0], Cause::Rejected);
     assert!(rig.commands().sent.is_empty());
     rig.core.left(rig.now, told.sent[0].request);
     rig.core
--- a/crates/core/tests/model.rs
+++ b/crates/core/tests/model.rs
@@ -290,13 +290,13 @@
                     let (_, written) = self.out[&key];
                     let cause = match how % 5 {
                         0 => Cause::Connection("reset".into()),
-                        1 if written => Cause::TurnedAway,
+                        1 if written => Cause::Rejected,
                         2 if written => Cause::Engine("fault".into()),
-                        4 if written => Cause::Spoilt("noise".into()),
+                        4 if written => Cause::MalformedResponse("noise".into()),
                         3 if written => Cause::Statement("syntax".into()),
                         _ => Cause::Connection("reset".into()),
                     };
-                    if cause == Cause::TurnedAway {
+                    if cause == Cause::Rejected {
                         let known = self.known.get_mut(&key.request).expect("known");
                         (known.ran, known.runs) = (false, known.runs - 1);
                     }
--- a/crates/scheduler/src/choice.rs
+++ b/crates/scheduler/src/choice.rs
@@ -925,7 +925,7 @@
         let Some(engine) = self.record_end(end) else {
             return;
         };
-        let answered = matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Full);
+        let answered = matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Rejected);
         self.take_report(now, engine, end.report, answered);
         let (safe, sliver) = (
             self.idempotency(id) == Idempotency::Idempotent,
@@ -951,7 +951,7 @@
                 }
                 self.learn(now, engine, end);
             }
-            Outcome::Full | Outcome::Error | Outcome::Unreachable | Outcome::Reset => {
+            Outcome::Rejected | Outcome::Error | Outcome::Unreachable | Outcome::Reset => {
                 job.avoid.insert(engine);
                 // A query that no engine can use would shut them all: it is blamed until another serves it.
                 if outcome != Outcome::Error || !safe {
@@ -1051,7 +1051,7 @@
         let Some(e) = self.engines.get_mut(&engine) else {
             return;
         };
-        if outcome == Outcome::Full {
+        if outcome == Outcome::Rejected {
             e.full_at = Some(now);
             return;
         }
@@ -1101,7 +1101,7 @@
                 e.shut_until = 0;
                 self.route_held(now, act);
             }
-            (Outcome::Ok | Outcome::Full | Outcome::Superseded, _) | (_, None) => {}
+            (Outcome::Ok | Outcome::Rejected | Outcome::Superseded, _) | (_, None) => {}
             _ => self.failed(now, id, outcome, act),
         }
         for q in self.scouting(Some(id), now) {
--- a/crates/scheduler/src/interface.rs
+++ b/crates/scheduler/src/interface.rs
@@ -273,7 +273,7 @@
     /// The engine answered with an error; may have run.
     Error,
     /// Turned away unseen.
-    Full,
+    Rejected,
     /// No answer in time; may still run.
     TimedOut,
     /// No connection; never ran.
@@ -291,7 +291,7 @@
     pub fn never_ran(self) -> bool {
         matches!(
             self,
-            Outcome::Full | Outcome::Unreachable | Outcome::Superseded
+            Outcome::Rejected | Outcome::Unreachable | Outcome::Superseded
         )
     }
 }
--- a/crates/scheduler/tests/golden.rs
+++ b/crates/scheduler/tests/golden.rs
@@ -179,7 +179,7 @@
         Outcome::Reset,
         Outcome::TimedOut,
         Outcome::Error,
-        Outcome::Full,
+        Outcome::Rejected,
         Outcome::Cancelled,
         Outcome::Superseded,
         Outcome::Ok,
--- a/crates/scheduler/tests/rules.rs
+++ b/crates/scheduler/tests/rules.rs
@@ -621,7 +621,7 @@
                 let (q, n) = out[self.random(out.len() as u64) as usize];
                 let outcome = match self.random(10) {
                     0 => Outcome::Error,
-                    1 => Outcome::Full,
+                    1 => Outcome::Rejected,
                     2 => Outcome::Unreachable,
                     3 => Outcome::Reset,
                     4 => Outcome::TimedOut,
--- a/crates/scheduler/tests/transcript.rs
+++ b/crates/scheduler/tests/transcript.rs
@@ -36,7 +36,7 @@
     match outcome {
         Outcome::Ok => "served",
         Outcome::Error => "error",
-        Outcome::Full => "full",
+        Outcome::Rejected => "full",
         Outcome::TimedOut => "time-out",
         Outcome::Unreachable => "unreachable",
         Outcome::Reset => "reset",
@@ -318,7 +318,7 @@
             .cores
             .unwrap_or(8.0);
         if e.threads > 4.0 * cores {
-            return self.at(MS, What::End(g, q, attempt, Outcome::Full));
+            return self.at(MS, What::End(g, q, attempt, Outcome::Rejected));
         }
         let crowding = (e.threads / cores).max(1.0);
         let (slowness, errors) = (e.slowness, e.error_percent);
@@ -347,7 +347,7 @@
             _ if errs => (run / 8 + 1, Outcome::Error),
             0 => (run / 2 + 1, Outcome::Reset),
             1 => (run / 4 + 1, Outcome::Error),
-            2 => (MS, Outcome::Full),
+            2 => (MS, Outcome::Rejected),
             _ if run > timeout => (timeout, Outcome::TimedOut),
             _ => (run, Outcome::Ok),
         };
@@ -449,7 +449,7 @@
                     },
                     Some(_) => match self.dice.below(40) {
                         0 => (Outcome::Error, vec![]),
-                        1 => (Outcome::Full, vec![]),
+                        1 => (Outcome::Rejected, vec![]),
                         _ => (Outcome::Ok, self.report(engine)),
                     },
                 };
--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -106,7 +106,7 @@
     Ok(match code {
         10 => Outcome::Ok,
         20 => Outcome::Error,
-        30 => Outcome::Full,
+        30 => Outcome::Rejected,
         40 => Outcome::TimedOut,
         50 => Outcome::Unreachable,
         60 => Outcome::Reset,
