--- a/crates/coordinator/src/discovery/mod.rs
+++ b/crates/coordinator/src/discovery/mod.rs
@@ -49,7 +49,7 @@
         .list()
         .ok_or("an update without instances")?;
     let kind = if body.get("reset").flag() {
-        ListKind::Whole
+        ListKind::Full
     } else {
         ListKind::Changes
     };
--- a/crates/coordinator/src/node/cluster.rs
+++ b/crates/coordinator/src/node/cluster.rs
@@ -207,7 +207,7 @@
             return;
         };
         let before = fleet.listed.clone();
-        if told.kind == ListKind::Whole {
+        if told.kind == ListKind::Full {
             fleet.listed.clear();
         }
         // A line that takes a coordinator out looks as one that takes an engine out.
--- a/crates/coordinator/src/node/mod.rs
+++ b/crates/coordinator/src/node/mod.rs
@@ -535,7 +535,7 @@
         for line in change.lines.iter().filter(|l| l.phase != Phase::Ready) {
             self.front.engine_left(line.engine);
         }
-        if change.kind == ListKind::Whole {
+        if change.kind == ListKind::Full {
             let unlisted = |e: &EngineId| !change.lines.iter().any(|l| l.engine == *e);
             for engine in self.core.listed().into_iter().filter(unlisted) {
                 self.front.engine_left(engine);
--- a/crates/coordinator/tests/wires.rs
+++ b/crates/coordinator/tests/wires.rs
@@ -468,7 +468,7 @@
     );
     assert_eq!(
         (old.kind, old.lines[0].zone, old.lines[0].phase),
-        (ListKind::Whole, 1, Phase::Ready)
+        (ListKind::Full, 1, Phase::Ready)
     );
     let lines = [
         line("x", "gone", ""),
@@ -522,7 +522,7 @@
     let change = take(&mut table, &updates.remove(0));
     assert_eq!(
         (change.kind, change.lines[0].phase),
-        (ListKind::Whole, Phase::Ready)
+        (ListKind::Full, Phase::Ready)
     );
     assert!(
         String::from_utf8_lossy(&out).contains("POST /v3/watch ")
--- a/crates/core/src/accounting.rs
+++ b/crates/core/src/accounting.rs
@@ -1,7 +1,9 @@
 //! Stage 6, book: which engines there are, and what was taken in, sent and answered.
 
 use crate::{Command, Core, RequestId};
-use driftfront_scheduler::interface::{EngineId, Event, ListKind, Listed, Micros, Outcome, Phase};
+use driftfront_scheduler::interface::{
+    EngineId, Event, ListKind, ListedEngine, Micros, Outcome, Phase,
+};
 use std::fmt;
 
 const OUTCOMES: [(Outcome, &str); 8] = [
@@ -107,7 +109,7 @@
 
 impl Core {
     /// Takes over a list of engines, or changes to it.
-    pub fn engines(&mut self, now: Micros, kind: ListKind, list: &[Listed]) {
+    pub fn engines(&mut self, now: Micros, kind: ListKind, list: &[ListedEngine]) {
         self.counters.lists += 1;
         if kind != ListKind::Changes {
             self.phases
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! A core on the example's settings, for all tests of it.
 #![allow(dead_code)]
 
-use driftfront_core::{Core, EngineId, Limits, Listed, Phase};
+use driftfront_core::{Core, EngineId, Limits, ListedEngine, Phase};
 use driftfront_scheduler::interface::Settings;
 use driftfront_settings::json::{parse, Json};
 
@@ -31,8 +31,8 @@
 }
 
 /// An engine's line of a list.
-pub fn listed(engine: u64, phase: Phase) -> Listed {
-    Listed {
+pub fn listed(engine: u64, phase: Phase) -> ListedEngine {
+    ListedEngine {
         engine: EngineId(engine),
         zone: 0,
         kind: 0,
--- a/crates/core/tests/golden.rs
+++ b/crates/core/tests/golden.rs
@@ -7,7 +7,7 @@
 use driftfront_core::lifecycle::{Lifecycle, State};
 use driftfront_core::{
     AttemptError, AttemptKey, AttemptReport, Cause, Command, Core, EngineId, Fate, Limits,
-    ListKind, Listed, Micros, Note, Outcome, ParsedRequest, Phase, Progress, RequestId,
+    ListKind, ListedEngine, Micros, Note, Outcome, ParsedRequest, Phase, Progress, RequestId,
     ResponseChunk, StickySession,
 };
 use driftfront_test_support::assert_golden;
@@ -89,12 +89,12 @@
             phases: vec![Phase::Ready; ENGINES as usize],
             transcript: Transcript::default(),
         };
-        world.list(ListKind::Whole);
+        world.list(ListKind::Full);
         world
     }
 
     fn list(&mut self, kind: ListKind) {
-        let lines: Vec<Listed> = self
+        let lines: Vec<ListedEngine> = self
             .phases
             .iter()
             .enumerate()
@@ -343,7 +343,7 @@
                 self.phases[n] = [Phase::Ready, Phase::Ready, Phase::Draining, Phase::Gone]
                     [self.dice.below(4) as usize];
                 let changes = usize::from(self.dice.chance(50));
-                self.list([ListKind::Whole, ListKind::Changes][changes]);
+                self.list([ListKind::Full, ListKind::Changes][changes]);
             }
             39 if self.dice.chance(20) => {
                 let engine = EngineId(self.dice.below(ENGINES));
--- a/crates/core/tests/keyed.rs
+++ b/crates/core/tests/keyed.rs
@@ -5,8 +5,8 @@
 
 use common::{core, listed, settings, LIMITS, LOAD, LOOKUP, S};
 use driftfront_core::{
-    AttemptKey, Cause, Command, Core, Limits, ListKind, Listed, Outcome, ParsedRequest, Phase,
-    Progress, RequestId,
+    AttemptKey, Cause, Command, Core, Limits, ListKind, ListedEngine, Outcome, ParsedRequest,
+    Phase, Progress, RequestId,
 };
 use std::rc::Rc;
 
@@ -49,8 +49,8 @@
             now: 1000 * S,
             asked: 0,
         };
-        let lines: Vec<Listed> = (1..=engines).map(|n| listed(n, Phase::Ready)).collect();
-        rig.core.engines(rig.now, ListKind::Whole, &lines);
+        let lines: Vec<ListedEngine> = (1..=engines).map(|n| listed(n, Phase::Ready)).collect();
+        rig.core.engines(rig.now, ListKind::Full, &lines);
         rig.commands();
         rig
     }
--- a/crates/core/tests/model.rs
+++ b/crates/core/tests/model.rs
@@ -5,7 +5,7 @@
 
 use common::{core, listed, settings, LIMITS, LOAD, LOOKUP};
 use driftfront_core::{
-    AttemptKey, Cause, Command, Core, EngineId, Fate, Limits, ListKind, Listed, Micros,
+    AttemptKey, Cause, Command, Core, EngineId, Fate, Limits, ListKind, ListedEngine, Micros,
     ParsedRequest, Phase, Progress, RequestId, ResponseChunk, StickySession,
 };
 use quickcheck::{Arbitrary, Gen, QuickCheck};
@@ -166,8 +166,8 @@
                 },
             )
         };
-        let lines: Vec<Listed> = self.draining.iter().enumerate().map(line).collect();
-        self.core.engines(self.now, ListKind::Whole, &lines);
+        let lines: Vec<ListedEngine> = self.draining.iter().enumerate().map(line).collect();
+        self.core.engines(self.now, ListKind::Full, &lines);
     }
 
     fn pick<T: Clone>(from: impl Iterator<Item = T>, pick: u8) -> Option<T> {
--- a/crates/core/tests/unheard.rs
+++ b/crates/core/tests/unheard.rs
@@ -28,7 +28,7 @@
             asked: 0,
         };
         let line = listed(1, Phase::Ready);
-        rig.core.engines(rig.now, ListKind::Whole, &[line]);
+        rig.core.engines(rig.now, ListKind::Full, &[line]);
         rig.commands();
         rig
     }
--- a/crates/engine-registry/src/lib.rs
+++ b/crates/engine-registry/src/lib.rs
@@ -16,7 +16,7 @@
 pub mod record;
 pub mod roll;
 
-use driftfront_scheduler::interface::{EngineId, ListKind, Listed, Phase};
+use driftfront_scheduler::interface::{EngineId, ListKind, ListedEngine, Phase};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::fmt;
 use std::net::SocketAddr;
@@ -161,7 +161,7 @@
     /// Whole list or changes.
     pub kind: ListKind,
     /// The lines.
-    pub lines: Vec<Listed>,
+    pub lines: Vec<ListedEngine>,
     /// Engines whose process or address is another than before: old connections lead elsewhere.
     pub restarted: Vec<EngineId>,
     /// What changed, in words.
@@ -203,7 +203,7 @@
     /// As an operator added it.
     added: Option<Fact>,
     /// What the module was last told.
-    told: Option<Listed>,
+    told: Option<ListedEngine>,
 }
 
 /// The engines of one program.
@@ -403,7 +403,7 @@
             let fact = entry.source.as_ref().or(entry.added.as_ref());
             let last = entry.told;
             let line = match fact {
-                Some(f) => Some(Listed {
+                Some(f) => Some(ListedEngine {
                     engine: entry.id,
                     zone: f.zone,
                     kind: f.kind,
@@ -412,7 +412,7 @@
                     // Out by an order, it may have been started anew: the later of what is listed and the order's end.
                     born: f.born.max(self.lifted.get(&name).copied()),
                 }),
-                None => last.map(|told| Listed {
+                None => last.map(|told| ListedEngine {
                     phase: Phase::Gone,
                     ..told
                 }),
@@ -457,7 +457,7 @@
     }
 
     /// All lines as the module was last told, but for engines that are gone.
-    pub fn lines(&self) -> Vec<Listed> {
+    pub fn lines(&self) -> Vec<ListedEngine> {
         self.entries
             .values()
             .filter_map(|e| e.told)
@@ -820,7 +820,7 @@
     }
 }
 
-fn is_same(a: &Listed, b: &Listed) -> bool {
+fn is_same(a: &ListedEngine, b: &ListedEngine) -> bool {
     (a.zone, a.kind, a.cell, a.phase, a.born) == (b.zone, b.kind, b.cell, b.phase, b.born)
 }
 
--- a/crates/engine-registry/tests/bans.rs
+++ b/crates/engine-registry/tests/bans.rs
@@ -21,7 +21,7 @@
 fn an_engine_that_is_put_back_counts_as_just_started_unless_the_list_knows_of_a_later_start() {
     let mut roster = EngineRegistry::new();
     roster.source(
-        ListKind::Whole,
+        ListKind::Full,
         vec![fact("a", Phase::Ready, None), fact("b", Phase::Ready, None)],
     );
     assert!(roster.suspend(10, "x", "a").unwrap().is_some());
@@ -44,7 +44,7 @@
 #[test]
 fn an_engine_that_is_gone_can_be_taken_out_and_one_that_never_was_can_not() {
     let mut roster = EngineRegistry::new();
-    let change = roster.source(ListKind::Whole, vec![fact("a", Phase::Ready, None)]);
+    let change = roster.source(ListKind::Full, vec![fact("a", Phase::Ready, None)]);
     roster.source(ListKind::Changes, vec![fact("a", Phase::Gone, None)]);
     roster.forget(change.lines[0].engine);
     assert!(matches!(
@@ -98,7 +98,7 @@
     };
     let mut two = [EngineRegistry::new(), EngineRegistry::new()];
     two.iter_mut()
-        .for_each(|r| drop(r.source(ListKind::Whole, lines())));
+        .for_each(|r| drop(r.source(ListKind::Full, lines())));
     let mut last = [Phase::Ready; 3];
     for (now, (what, engine, which)) in steps.into_iter().enumerate() {
         let (n, which) = (usize::from(engine % 3), usize::from(which));
--- a/crates/engine-registry/tests/golden.rs
+++ b/crates/engine-registry/tests/golden.rs
@@ -236,7 +236,7 @@
     let mut roster = EngineRegistry::new();
     let addr = Some("127.0.0.1:1000");
     roster.source(
-        ListKind::Whole,
+        ListKind::Full,
         vec![fact("engine-1", addr), fact("s-00c41f7a", addr)],
     );
     for seen in roster.engines() {
@@ -268,7 +268,7 @@
     let mut text = String::new();
     let addr = Some("127.0.0.1:1000");
     let change = roster.source(
-        ListKind::Whole,
+        ListKind::Full,
         vec![
             fact("engine-1", addr),
             fact("engine-2", addr),
@@ -323,7 +323,7 @@
         say(&mut text, outcome);
     }
     let _ = writeln!(text, "gone:");
-    let change = roster.source(ListKind::Whole, vec![fact("engine-2", addr)]);
+    let change = roster.source(ListKind::Full, vec![fact("engine-2", addr)]);
     say(&mut text, Ok((change, Vec::new())));
     for refusal in [
         Refusal::TooMany,
--- a/crates/engine-registry/tests/model.rs
+++ b/crates/engine-registry/tests/model.rs
@@ -8,7 +8,7 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    Whole(Vec<(u8, u8)>),
+    Full(Vec<(u8, u8)>),
     Changes(Vec<(u8, u8)>),
     Drain(u8, bool),
     Resume(u8),
@@ -29,7 +29,7 @@
                 .collect()
         };
         match u8::arbitrary(g) % 14 {
-            0..=1 => Step::Whole(facts(g)),
+            0..=1 => Step::Full(facts(g)),
             2..=4 => Step::Changes(facts(g)),
             5..=6 => Step::Drain(n, bool::arbitrary(g)),
             7 => Step::Resume(n),
@@ -110,13 +110,13 @@
     for (n, step) in steps.into_iter().enumerate() {
         let mut change = None;
         match step {
-            Step::Whole(facts) => {
+            Step::Full(facts) => {
                 plain.source.clear();
                 for (n, phase) in &facts {
                     plain.source.insert(name(*n), fact(*n, *phase).phase);
                 }
                 change = Some(roster.source(
-                    ListKind::Whole,
+                    ListKind::Full,
                     facts.iter().map(|f| fact(f.0, f.1)).collect(),
                 ));
             }
--- a/crates/scheduler/src/choice.rs
+++ b/crates/scheduler/src/choice.rs
@@ -819,7 +819,7 @@
         self.tally.next_ask = self.cfg.poll_timeout.map(|t| now + t / 2);
     }
 
-    fn on_list(&mut self, now: Micros, kind: ListKind, list: &[Listed], act: &mut Actions) {
+    fn on_list(&mut self, now: Micros, kind: ListKind, list: &[ListedEngine], act: &mut Actions) {
         if kind != ListKind::Cached {
             (self.tally.next_ask, self.tally.asks_failed) = (None, 0);
         }
--- a/crates/scheduler/src/interface.rs
+++ b/crates/scheduler/src/interface.rs
@@ -214,7 +214,7 @@
 
 /// A line of the engine list.
 #[derive(Clone, Copy, Debug)]
-pub struct Listed {
+pub struct ListedEngine {
     /// The engine.
     pub engine: EngineId,
     /// Its zone.
@@ -315,7 +315,7 @@
     /// Changes only.
     Changes,
     /// The whole list.
-    Whole,
+    Full,
     /// The whole list as last held, maybe old.
     Cached,
 }
@@ -345,7 +345,7 @@
 #[derive(Clone, Debug)]
 pub enum Event<'a> {
     /// A list of engines, or changes to it.
-    Engines(ListKind, &'a [Listed]),
+    Engines(ListKind, &'a [ListedEngine]),
     /// Asking discovery failed.
     DiscoveryFailed,
     /// A query was taken.
--- a/crates/scheduler/src/state.rs
+++ b/crates/scheduler/src/state.rs
@@ -399,7 +399,7 @@
 }
 
 impl Engine {
-    fn new(l: &Listed, now: Micros) -> Engine {
+    fn new(l: &ListedEngine, now: Micros) -> Engine {
         Engine {
             zone: l.zone,
             kind: l.kind,
@@ -547,7 +547,7 @@
         &mut self,
         now: Micros,
         kind: ListKind,
-        list: &[Listed],
+        list: &[ListedEngine],
     ) -> Vec<EngineId> {
         for l in list {
             if l.born.is_some() && l.phase == Phase::Ready {
--- a/crates/scheduler/tests/common/mod.rs
+++ b/crates/scheduler/tests/common/mod.rs
@@ -70,8 +70,8 @@
     next: u64,
 }
 
-pub fn listed(engine: u64) -> Listed {
-    Listed {
+pub fn listed(engine: u64) -> ListedEngine {
+    ListedEngine {
         engine: EngineId(engine),
         zone: 0,
         kind: 0,
@@ -82,10 +82,10 @@
 }
 
 impl Rig {
-    pub fn new(settings: Settings, engines: &[Listed]) -> Rig {
+    pub fn new(settings: Settings, engines: &[ListedEngine]) -> Rig {
         Rig::seeded(settings, engines, 7)
     }
-    pub fn seeded(settings: Settings, engines: &[Listed], seed: u64) -> Rig {
+    pub fn seeded(settings: Settings, engines: &[ListedEngine], seed: u64) -> Rig {
         let mut rig = Rig {
             c: Controller::new(settings, seed),
             now: 100 * S,
--- a/crates/scheduler/tests/crowd.rs
+++ b/crates/scheduler/tests/crowd.rs
@@ -65,7 +65,7 @@
 
 #[test]
 fn homes_that_nobody_has_heard_do_not_take_a_whole_table_group() {
-    let list: Vec<Listed> = (1..=20).map(listed).collect();
+    let list: Vec<ListedEngine> = (1..=20).map(listed).collect();
     let mut rig = Rig::new(sliver(), &list);
     let mut used = std::collections::BTreeSet::new();
     for _ in 0..40 {
@@ -77,7 +77,7 @@
 }
 
 /// Engines used by a gateway of this seed, and how often, over many light queries.
-fn used(seed: u64, list: &[Listed]) -> std::collections::BTreeMap<u64, usize> {
+fn used(seed: u64, list: &[ListedEngine]) -> std::collections::BTreeMap<u64, usize> {
     let mut s = sliver();
     s.kinds[1].cores = Some(16.0);
     let mut rig = Rig::seeded(s, list, seed);
@@ -94,7 +94,7 @@
 
 #[test]
 fn a_sliver_connects_to_few_of_many_engines_and_each_gateway_to_others() {
-    let list: Vec<Listed> = (1..=60).map(listed).collect();
+    let list: Vec<ListedEngine> = (1..=60).map(listed).collect();
     let (one, other) = (used(7, &list), used(8, &list));
     assert!(
         (8..=12).contains(&one.len()) && (8..=12).contains(&other.len()),
@@ -106,7 +106,7 @@
     );
     // One that leaves is replaced by one other; all else stays as it was.
     let left = *one.keys().next().unwrap();
-    let rest: Vec<Listed> = list
+    let rest: Vec<ListedEngine> = list
         .iter()
         .filter(|l| l.engine.0 != left)
         .copied()
@@ -121,8 +121,8 @@
 
 #[test]
 fn two_lost_engines_of_a_zone_with_no_word_from_it_tell_of_the_whole_zone() {
-    let list: Vec<Listed> = (1..=20)
-        .map(|e| Listed {
+    let list: Vec<ListedEngine> = (1..=20)
+        .map(|e| ListedEngine {
             zone: (e % 2) as u16,
             ..listed(e)
         })
@@ -162,7 +162,7 @@
 
 #[test]
 fn an_engine_in_doubt_is_probed_at_once_and_left_alone_until_it_answers() {
-    let list: Vec<Listed> = (1..=2).map(listed).collect();
+    let list: Vec<ListedEngine> = (1..=2).map(listed).collect();
     let mut rig = Rig::new(
         Settings {
             may_probe: true,
@@ -186,7 +186,7 @@
 
 #[test]
 fn an_engine_that_errs_or_runs_slow_now_and_then_draws_little() {
-    let list: Vec<Listed> = (1..=10).map(listed).collect();
+    let list: Vec<ListedEngine> = (1..=10).map(listed).collect();
     for errs in [true, false] {
         let mut rig = Rig::new(sliver(), &list);
         let (mut bad, mut all) = (0, 0);
@@ -226,9 +226,9 @@
         multiple: 4.0,
         window: 3 * S / 2,
     });
-    let old: Vec<Listed> = (1..=10).map(listed).collect();
-    let young: Vec<Listed> = (11..=20)
-        .map(|e| Listed {
+    let old: Vec<ListedEngine> = (1..=10).map(listed).collect();
+    let young: Vec<ListedEngine> = (11..=20)
+        .map(|e| ListedEngine {
             born: Some(100 * S - e),
             ..listed(e)
         })
@@ -277,8 +277,8 @@
 
 #[test]
 fn engines_unheard_of_draw_queries_by_their_cores() {
-    let list: Vec<Listed> = (1..=60)
-        .map(|e| Listed {
+    let list: Vec<ListedEngine> = (1..=60)
+        .map(|e| ListedEngine {
             kind: (e % 2) as u16,
             ..listed(e)
         })
@@ -296,7 +296,7 @@
 fn under_pressure_wide_queries_wait_and_light_ones_pass() {
     // Pressure by a busy report, and by one of more queries than the bound has threads for.
     for (field, value) in [(ReportField::Busy, 1.0), (ReportField::Active, 40.0)] {
-        let list: Vec<Listed> = (1..=4).map(listed).collect();
+        let list: Vec<ListedEngine> = (1..=4).map(listed).collect();
         let mut rig = Rig::new(
             Settings {
                 report_fields: vec![field],
@@ -331,7 +331,7 @@
     s.classes[2].kinds = Some(vec![1]);
     let list = [
         listed(1),
-        Listed {
+        ListedEngine {
             kind: 1,
             ..listed(2)
         },
@@ -355,7 +355,7 @@
 
 #[test]
 fn a_heavy_query_asks_first_where_answers_bring_no_reports() {
-    let list: Vec<Listed> = (1..=4).map(listed).collect();
+    let list: Vec<ListedEngine> = (1..=4).map(listed).collect();
     let mut s = Settings {
         report_on_probe: true,
         may_probe: true,
--- a/crates/scheduler/tests/fleet.rs
+++ b/crates/scheduler/tests/fleet.rs
@@ -16,7 +16,7 @@
 }
 
 impl Fleet {
-    fn new(coordinators: u32, cfg: Settings, engines: &[Listed]) -> Fleet {
+    fn new(coordinators: u32, cfg: Settings, engines: &[ListedEngine]) -> Fleet {
         let one = |number| {
             let settings = Settings {
                 coordinators,
@@ -118,7 +118,7 @@
 #[test]
 fn probes_and_messages_are_paid_by_queries_however_many_gateways_and_engines() {
     for (coordinators, engines) in [(40, 10), (80, 40)] {
-        let list: Vec<Listed> = (1..=engines).map(listed).collect();
+        let list: Vec<ListedEngine> = (1..=engines).map(listed).collect();
         let mut f = Fleet::new(coordinators, fleet_settings(), &list);
         for _ in 0..1000 {
             let g = f.next as usize % f.all.len();
@@ -150,7 +150,7 @@
         multiple: 2.5,
         window: 2 * S,
     });
-    let mut list: Vec<Listed> = (1..=20).map(listed).collect();
+    let mut list: Vec<ListedEngine> = (1..=20).map(listed).collect();
     let mut f = Fleet::new(100, cfg, &list);
     // Whom chance names differs by draw: six seconds see enough of them.
     let step = |f: &mut Fleet| {
@@ -167,7 +167,7 @@
     (0..200).for_each(|_| step(&mut f));
     list[4].born = Some(f.now);
     for g in 0..f.all.len() {
-        f.give(g, Event::Engines(ListKind::Whole, &list));
+        f.give(g, Event::Engines(ListKind::Full, &list));
     }
     let born = f.now;
     (0..120).for_each(|_| step(&mut f));
@@ -195,7 +195,7 @@
 
 #[test]
 fn all_together_keep_the_threads_that_run_near_the_bound() {
-    let list: Vec<Listed> = (1..=20).map(listed).collect();
+    let list: Vec<ListedEngine> = (1..=20).map(listed).collect();
     let mut f = Fleet::new(100, fleet_settings(), &list);
     // A flood of which nothing ends: 2000 queries within a second on 160 cores.
     for n in 0..2000 {
--- a/crates/scheduler/tests/golden.rs
+++ b/crates/scheduler/tests/golden.rs
@@ -31,7 +31,7 @@
     };
     let mut controller = Controller::new(with, seed);
     // Ids beyond six bytes are cut; a peer reads what is left.
-    let list: Vec<Listed> = [1, 2, 300, 0xffee_ddcc_bbaa, 0x1_0000_0000_0007]
+    let list: Vec<ListedEngine> = [1, 2, 300, 0xffee_ddcc_bbaa, 0x1_0000_0000_0007]
         .map(listed)
         .to_vec();
     let event = Event::Engines(ListKind::Cached, &list);
@@ -114,10 +114,10 @@
         first(&messages(&mut controller, 101 * S))
     );
     let mut controller = sender(2, &ALL_FIELDS, 1, 5);
-    let list: Vec<Listed> = (1..=40).map(listed).collect();
+    let list: Vec<ListedEngine> = (1..=40).map(listed).collect();
     controller.handle(
         100 * S,
-        Event::Engines(ListKind::Whole, &list),
+        Event::Engines(ListKind::Full, &list),
         &mut Vec::new(),
     );
     reports(&mut controller, 100 * S);
--- a/crates/scheduler/tests/mechanism.rs
+++ b/crates/scheduler/tests/mechanism.rs
@@ -70,7 +70,7 @@
     let mut rig = Rig::new(
         s,
         &[
-            Listed {
+            ListedEngine {
                 zone: 1,
                 ..listed(1)
             },
@@ -114,7 +114,7 @@
         let mut c =
             driftfront_scheduler::Controller::new(settings(vec![class(60 * S, 1.0, 1.0)]), seed);
         let mut act = Vec::new();
-        let list: Vec<Listed> = (1..5).map(listed).collect();
+        let list: Vec<ListedEngine> = (1..5).map(listed).collect();
         c.handle(S, Event::Engines(ListKind::Cached, &list), &mut act);
         let q = Rig::new(settings(vec![class(S, 1.0, 1.0)]), &[]).query(0, S, 1);
         c.handle(S, Event::Arrived(q), &mut act);
--- a/crates/scheduler/tests/rules.rs
+++ b/crates/scheduler/tests/rules.rs
@@ -68,7 +68,7 @@
         settings(vec![class(9 * S, 1.0, 1.0)]),
         &[listed(1), listed(2)],
     );
-    let drained = Listed {
+    let drained = ListedEngine {
         phase: Phase::Draining,
         ..listed(1)
     };
@@ -109,7 +109,7 @@
         .all(|s| s.1 != 2));
     rig.event(Event::Engines(
         ListKind::Changes,
-        &[Listed {
+        &[ListedEngine {
             phase: Phase::Draining,
             ..listed(2)
         }],
@@ -241,7 +241,7 @@
 
 #[test]
 fn the_odd_answer_of_an_engine_that_errs_mostly_does_not_make_it_well_but_a_run_of_them_does() {
-    let list: Vec<Listed> = (1..=4).map(listed).collect();
+    let list: Vec<ListedEngine> = (1..=4).map(listed).collect();
     let mut rig = Rig::new(settings(vec![class(9 * S, 1.0, 1.0)]), &list);
     let (mut met, mut gone, mut tables) = (0, 0, 0);
     let mut ask = |rig: &mut Rig, sick: bool| {
@@ -314,7 +314,7 @@
     s.classes[0].deduplication_scope = DeduplicationScope::Cell;
     let list = [
         listed(1),
-        Listed {
+        ListedEngine {
             cell: 1,
             ..listed(2)
         },
@@ -349,7 +349,7 @@
     let act = rig.event(Event::Engines(
         ListKind::Changes,
         &[
-            Listed {
+            ListedEngine {
                 phase: Phase::Draining,
                 ..listed(1)
             },
@@ -380,7 +380,7 @@
     let now = rig.now;
     rig.event(Event::Engines(
         ListKind::Changes,
-        &[Listed {
+        &[ListedEngine {
             born: Some(now),
             ..listed(1)
         }],
@@ -432,7 +432,7 @@
         s,
         &[
             listed(1),
-            Listed {
+            ListedEngine {
                 kind: 1,
                 ..listed(2)
             },
@@ -657,12 +657,12 @@
                     [self.random(4) as usize];
                 let born = Some(self.rig.now).filter(|_| phase == Phase::Ready);
                 self.phase.insert(e, phase);
-                let line = Listed {
+                let line = ListedEngine {
                     phase,
                     born,
                     ..listed(e)
                 };
-                let line = Listed {
+                let line = ListedEngine {
                     kind: (e % 2) as u16,
                     ..line
                 };
@@ -695,8 +695,8 @@
         multiple: 2.0,
         window: S,
     });
-    let list: Vec<Listed> = (1..=6)
-        .map(|e| Listed {
+    let list: Vec<ListedEngine> = (1..=6)
+        .map(|e| ListedEngine {
             kind: (e % 2) as u16,
             ..listed(e)
         })
--- a/crates/scheduler/tests/slow_start.rs
+++ b/crates/scheduler/tests/slow_start.rs
@@ -71,7 +71,7 @@
 fn told(rig: &mut Rig, born: u64) {
     rig.event(Event::Engines(
         ListKind::Changes,
-        &[Listed {
+        &[ListedEngine {
             born: Some(born),
             ..listed(1)
         }],
--- a/crates/scheduler/tests/transcript.rs
+++ b/crates/scheduler/tests/transcript.rs
@@ -63,7 +63,7 @@
 }
 
 struct SimEngine {
-    line: Listed,
+    line: ListedEngine,
     slowness: f64,
     down_until: u64,
     error_percent: u64,
@@ -118,7 +118,7 @@
         };
         let coordinators: Vec<Controller> = (0..settings.coordinators.min(14)).map(make).collect();
         let sim = |e: u64| {
-            let line = Listed {
+            let line = ListedEngine {
                 zone: (e % 3) as u16,
                 kind: (e % settings.kinds.len() as u64) as u16,
                 cell: (e % 4) as u16,
@@ -274,7 +274,7 @@
                 match self.dice.below(4) {
                     0 => self.at(after, What::NoList(g)),
                     1 => {}
-                    _ => self.at(after, What::List(g, ListKind::Whole)),
+                    _ => self.at(after, What::List(g, ListKind::Full)),
                 }
             }
             Action::Send(q, engine, timeout) => {
@@ -402,7 +402,7 @@
         self.tell(g, &what, Event::Ended(ended));
     }
 
-    fn list(&self) -> Vec<Listed> {
+    fn list(&self) -> Vec<ListedEngine> {
         self.engines.values().map(|e| e.line).collect()
     }
 
@@ -470,7 +470,7 @@
             What::Change(engine) => {
                 let line = match self.engines.get(&engine) {
                     Some(e) => e.line,
-                    None => Listed {
+                    None => ListedEngine {
                         phase: Phase::Gone,
                         ..listed(engine)
                     },
@@ -530,7 +530,7 @@
                 }
             }
             (_, None) => {
-                let line = Listed {
+                let line = ListedEngine {
                     zone: (id % 3) as u16,
                     kind: (id % self.settings.kinds.len() as u64) as u16,
                     born: Some(now),
--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -3,7 +3,7 @@
 #![forbid(unsafe_code)]
 
 use driftfront_scheduler::interface::{
-    Action, Ended, EngineId, Event, ListKind, Listed, Note, Outcome, Phase, Query, QueryId,
+    Action, Ended, EngineId, Event, ListKind, ListedEngine, Note, Outcome, Phase, Query, QueryId,
 };
 use driftfront_scheduler::Controller;
 use std::collections::BTreeMap;
@@ -75,7 +75,7 @@
     (x.is_finite() && x > 0.0).then_some(x)
 }
 
-fn listed(body: &[u8]) -> Result<Vec<Listed>, String> {
+fn listed(body: &[u8]) -> Result<Vec<ListedEngine>, String> {
     let mut f = Fields(body, 11);
     let n = f.uint(4)? as usize;
     let mut all = Vec::with_capacity(n.min(1 << 16));
@@ -90,7 +90,7 @@
         };
         f.f32()?;
         let born = Some(f.uint(8)?).filter(|&t| t > 0);
-        all.push(Listed {
+        all.push(ListedEngine {
             engine,
             zone,
             kind,
@@ -120,7 +120,7 @@
 #[derive(Default)]
 pub struct Host {
     instances: BTreeMap<u16, Controller>,
-    lists: BTreeMap<u32, Vec<Listed>>,
+    lists: BTreeMap<u32, Vec<ListedEngine>>,
     actions: Vec<Action>,
 }
 
@@ -187,7 +187,7 @@
                 f.uint(8)?;
                 let kind = match f.u8()? {
                     0 => ListKind::Changes,
-                    1 => ListKind::Whole,
+                    1 => ListKind::Full,
                     2 => ListKind::Cached,
                     3 => return self.tell(now, inst, Event::DiscoveryFailed, reply, count),
                     other => return Err(format!("topology of unknown scope {other}")),
