--- a/crates/coordinator/src/discovery/mod.rs
+++ b/crates/coordinator/src/discovery/mod.rs
@@ -107,7 +107,7 @@
         zone: place(zones, "zone"),
         kind: place(kinds, "machineType"),
         cell: e.get("cell").whole().unwrap_or(0) as u16,
-        born: e
+        started_at: e
             .get("startedAtMs")
             .number()
             .filter(|&t| t > 0.0)
--- a/crates/coordinator/src/node/control/operators.rs
+++ b/crates/coordinator/src/node/control/operators.rs
@@ -284,7 +284,7 @@
             zone,
             kind,
             cell: 0,
-            born: None,
+            started_at: None,
             phase: Phase::Ready,
         };
         self.order(now, conn, id, Order::Add { fact }, words);
--- a/crates/coordinator/src/node/control/views.rs
+++ b/crates/coordinator/src/node/control/views.rs
@@ -81,7 +81,7 @@
                     .is_some_and(|s| s.order == Ordered::Drain),
                 running: there.out as usize,
                 loads: there.once as usize,
-                born: e.born,
+                started_at: e.started_at,
                 reachable: up || e.phase == Phase::Draining,
                 zone: e.place.0,
                 part: cores(e.place.1) / whole.max(1.0),
@@ -193,7 +193,7 @@
                 imports: there.once,
                 heard_ms: (heard > 0).then(|| now.saturating_sub(heard) / 1000),
                 connections: connections.get(&e.id).copied().unwrap_or(0),
-                warm_in_s: e.born.map_or(0, |b| {
+                warm_in_s: e.started_at.map_or(0, |b| {
                     (b + warm_up_time).saturating_sub(now).div_ceil(1_000_000)
                 }),
                 minute: ring.map(|r| r.sum(now)).unwrap_or_default(),
--- a/crates/coordinator/tests/golden_discovery.rs
+++ b/crates/coordinator/tests/golden_discovery.rs
@@ -65,7 +65,7 @@
     for f in &told.facts {
         text += &format!(
             "engine {} at {:?} zone {} kind {} cell {} born {:?} {:?}\n",
-            f.name, f.addr, f.zone, f.kind, f.cell, f.born, f.phase
+            f.name, f.addr, f.zone, f.kind, f.cell, f.started_at, f.phase
         );
     }
     for (name, addr) in &told.coordinators {
--- a/crates/coordinator/tests/golden_operators/files.rs
+++ b/crates/coordinator/tests/golden_operators/files.rs
@@ -29,7 +29,7 @@
         zone: 0,
         kind: 0,
         cell: 2,
-        born: None,
+        started_at: None,
         phase: Phase::Ready,
     };
     let stages = ["next", "draining", "handed", "warming", "stopped", "done"];
--- a/crates/coordinator/tests/wires.rs
+++ b/crates/coordinator/tests/wires.rs
@@ -491,7 +491,7 @@
         ),
     );
     assert_eq!(
-        (again.restarted.len(), again.lines[0].born),
+        (again.restarted.len(), again.lines[0].started_at),
         (1, Some(5000))
     );
     table.forget(new.lines[0].engine);
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -38,6 +38,6 @@
         kind: 0,
         cell: 0,
         phase,
-        born: None,
+        started_at: None,
     }
 }
--- a/crates/engine-registry/src/lib.rs
+++ b/crates/engine-registry/src/lib.rs
@@ -50,7 +50,7 @@
     /// Its cell.
     pub cell: u16,
     /// When it last started, if lately, in microseconds.
-    pub born: Option<Micros>,
+    pub started_at: Option<Micros>,
     /// Its phase.
     pub phase: Phase,
 }
@@ -183,7 +183,7 @@
     /// Its zone, kind and cell.
     pub place: (u16, u16, u16),
     /// When it last started, if lately.
-    pub born: Option<Micros>,
+    pub started_at: Option<Micros>,
     /// The phase that counts.
     pub phase: Phase,
     /// The phase that the source says, if it lists the engine.
@@ -265,7 +265,7 @@
                 name: name.clone(),
                 addr: e.addr,
                 place: (fact.zone, fact.kind, fact.cell),
-                born: fact.born,
+                started_at: fact.started_at,
                 phase: self.phase(name, e),
                 listed: e.source.as_ref().map(|s| s.phase),
                 added: e.added.is_some(),
@@ -343,7 +343,9 @@
         let holds = !added || known.is_none_or(|k| k.source.is_none());
         let before = known.and_then(|k| k.source.as_ref().or(k.added.as_ref()));
         if holds
-            && known.is_some_and(|k| k.addr != addr || before.is_some_and(|b| b.born != fact.born))
+            && known.is_some_and(|k| {
+                k.addr != addr || before.is_some_and(|b| b.started_at != fact.started_at)
+            })
         {
             change.restarted.push(id);
         }
@@ -410,7 +412,7 @@
                     cell: f.cell,
                     phase,
                     // Out by an order, it may have been started anew: the later of what is listed and the order's end.
-                    born: f.born.max(self.lifted.get(&name).copied()),
+                    started_at: f.started_at.max(self.lifted.get(&name).copied()),
                 }),
                 None => last.map(|told| ListedEngine {
                     phase: Phase::Gone,
@@ -821,7 +823,8 @@
 }
 
 fn is_same(a: &ListedEngine, b: &ListedEngine) -> bool {
-    (a.zone, a.kind, a.cell, a.phase, a.born) == (b.zone, b.kind, b.cell, b.phase, b.born)
+    (a.zone, a.kind, a.cell, a.phase, a.started_at)
+        == (b.zone, b.kind, b.cell, b.phase, b.started_at)
 }
 
 /// A phase in a word.
--- a/crates/engine-registry/src/record.rs
+++ b/crates/engine-registry/src/record.rs
@@ -213,7 +213,7 @@
                     zone,
                     kind,
                     cell,
-                    born: None,
+                    started_at: None,
                     phase: Phase::Ready,
                 },
             })
@@ -242,7 +242,7 @@
             zone: 1,
             kind: 0,
             cell: 2,
-            born: None,
+            started_at: None,
             phase: Phase::Ready,
         };
         vec![
--- a/crates/engine-registry/src/roll.rs
+++ b/crates/engine-registry/src/roll.rs
@@ -60,7 +60,7 @@
     /// Since when, as Unix microseconds.
     pub since: Micros,
     /// The engine's start as it was when it was drained: another one means that it is a new process.
-    pub born: Option<Micros>,
+    pub started_at: Option<Micros>,
     /// Service at the beginning, in thousandths.
     pub service: u32,
     /// Why it stopped, or what it waits for.
@@ -92,7 +92,7 @@
     /// Loads among them, which are never sent again.
     pub loads: usize,
     /// When it last started.
-    pub born: Option<Micros>,
+    pub started_at: Option<Micros>,
     /// It answers.
     pub reachable: bool,
     /// Its building, and its cores.
@@ -122,7 +122,7 @@
             through: Vec::new(),
             stage: Stage::Next,
             since: now,
-            born: None,
+            started_at: None,
             service: (service.unwrap_or(1.0) * 1000.0) as u32,
             why: String::new(),
         }
@@ -232,7 +232,7 @@
                 if let Some(why) = self.barred(engine, sight) {
                     self.why = why;
                 } else {
-                    self.born = engine.born;
+                    self.started_at = engine.started_at;
                     if !engine.drained {
                         acts.push(Act::Drain(name.clone()));
                     }
@@ -275,7 +275,7 @@
                 };
             }
             Stage::Handed => {
-                let restarted = engine.born.is_some() && engine.born != self.born;
+                let restarted = engine.started_at.is_some() && engine.started_at != self.started_at;
                 if restarted && engine.reachable {
                     acts.push(Act::Resume(name.clone()));
                     self.enter(
@@ -376,7 +376,7 @@
 
     /// As one line, for a record.
     pub fn text(&self) -> String {
-        let born = self.born.map_or("-".into(), |b| b.to_string());
+        let started_at = self.started_at.map_or("-".into(), |b| b.to_string());
         let list = |names: &[String]| {
             if names.is_empty() {
                 "-".to_string()
@@ -385,7 +385,7 @@
             }
         };
         format!(
-            "{}\t{}\t{born}\t{}\t{}\t{}\t{}",
+            "{}\t{}\t{started_at}\t{}\t{}\t{}\t{}",
             self.stage.word(),
             self.since,
             self.service,
@@ -401,11 +401,11 @@
         let stage = words.next()?;
         let stage = STAGES.iter().find(|s| s.1 == stage)?.0;
         let since = words.next()?.parse().ok()?;
-        let born = words.next()?;
-        let born = if born == "-" {
+        let started_at = words.next()?;
+        let started_at = if started_at == "-" {
             None
         } else {
-            Some(born.parse().ok()?)
+            Some(started_at.parse().ok()?)
         };
         let service = words.next()?.parse().ok()?;
         let mut list = || -> Option<Vec<String>> {
@@ -423,7 +423,7 @@
             through,
             stage,
             since,
-            born,
+            started_at,
             service,
             why,
         })
@@ -443,7 +443,7 @@
             drained: false,
             running: 0,
             loads: 0,
-            born: Some(1),
+            started_at: Some(1),
             reachable: true,
             zone,
             part: 0.25,
@@ -501,7 +501,7 @@
         roll.step(3 * S, &sight);
         assert_eq!(roll.stage, Stage::Handed);
         // The operator restarts it; the next one waits until it is warm.
-        set(&mut sight, "a", |e| e.born = Some(9));
+        set(&mut sight, "a", |e| e.started_at = Some(9));
         let acts = roll.step(9 * S, &sight);
         assert!(acts.contains(&Act::Resume("a".into())));
         apply(&mut sight, &acts);
@@ -571,13 +571,13 @@
         for (stage, _) in STAGES {
             let roll = Roll {
                 stage,
-                born: Some(3),
+                started_at: Some(3),
                 why: "w\tx".into(),
                 ..Roll::new(7, vec!["a".into()], None)
             };
             let back = Roll::of_text(&roll.text()).expect("well formed");
             assert_eq!(
-                (back.stage, back.left.clone(), back.born),
+                (back.stage, back.left.clone(), back.started_at),
                 (stage, roll.left.clone(), Some(3))
             );
         }
--- a/crates/engine-registry/tests/bans.rs
+++ b/crates/engine-registry/tests/bans.rs
@@ -4,7 +4,7 @@
 use driftfront_scheduler::interface::{ListKind, Phase};
 use quickcheck::{Gen, QuickCheck};
 
-fn fact(name: &str, phase: Phase, born: Option<u64>) -> Fact {
+fn fact(name: &str, phase: Phase, started_at: Option<u64>) -> Fact {
     let addr = "127.0.0.1:1000".parse().ok();
     Fact {
         name: name.into(),
@@ -12,7 +12,7 @@
         zone: 0,
         kind: 0,
         cell: 0,
-        born,
+        started_at,
         phase,
     }
 }
@@ -28,7 +28,7 @@
     assert!(roster.suspend(11, "x", "a").unwrap().is_none());
     let (change, _) = roster.restore_engine(20, "x", "a").unwrap().expect("news");
     assert_eq!(
-        (change.lines[0].phase, change.lines[0].born),
+        (change.lines[0].phase, change.lines[0].started_at),
         (Phase::Ready, Some(20))
     );
     assert!(roster.restore_engine(21, "x", "a").unwrap().is_none());
@@ -38,7 +38,7 @@
         .lines
         .is_empty());
     let change = roster.source(ListKind::Changes, vec![fact("a", Phase::Ready, Some(30))]);
-    assert_eq!(change.lines[0].born, Some(30));
+    assert_eq!(change.lines[0].started_at, Some(30));
 }
 
 #[test]
--- a/crates/engine-registry/tests/golden.rs
+++ b/crates/engine-registry/tests/golden.rs
@@ -26,7 +26,7 @@
         zone: 1,
         kind: 2,
         cell: 3,
-        born: None,
+        started_at: None,
         phase: Phase::Ready,
     }
 }
@@ -37,7 +37,7 @@
         through: vec!["engine-0".into()],
         stage,
         since: 1_764_000_000_000_001,
-        born: Some(1_763_999_999_000_000),
+        started_at: Some(1_763_999_999_000_000),
         service: 987,
         why: "engine-1 is drained: nothing new goes there".into(),
     }
@@ -349,7 +349,7 @@
         drained: false,
         running: 0,
         loads: 0,
-        born: Some(1),
+        started_at: Some(1),
         reachable: true,
         zone,
         part: 0.25,
@@ -440,7 +440,7 @@
     s.set("a", |e| e.running = 0);
     s.step(71);
     s.step(72);
-    s.set("a", |e| e.born = Some(9));
+    s.set("a", |e| e.started_at = Some(9));
     s.step(73);
     s.step(74);
     s.set("a", |e| e.ready = false);
--- a/crates/engine-registry/tests/model.rs
+++ b/crates/engine-registry/tests/model.rs
@@ -55,7 +55,7 @@
         zone: 0,
         kind: 0,
         cell: 0,
-        born: None,
+        started_at: None,
         phase,
     }
 }
--- a/crates/engine-registry/tests/roll.rs
+++ b/crates/engine-registry/tests/roll.rs
@@ -14,7 +14,7 @@
         drained: drained && name == "a",
         running: 0,
         loads: 0,
-        born: Some(1),
+        started_at: Some(1),
         reachable: true,
         zone: 0,
         part: 0.3,
--- a/crates/scheduler/src/choice.rs
+++ b/crates/scheduler/src/choice.rs
@@ -1038,7 +1038,7 @@
             e.slow_at = now;
             if e.on_trial && e.lost {
                 // It was gone and answers: it may have restarted without word, so it counts as cold.
-                e.born = Some(now);
+                e.started_at = Some(now);
             }
             // The odd answer of one that errs mostly does not make it well.
             e.on_trial &= e.errs > MOSTLY;
@@ -1192,7 +1192,9 @@
             let Some(e) = self.engines.get_mut(&id) else {
                 continue;
             };
-            if e.report.is_none_or(|r| r.at < report.at) && e.born.is_none_or(|b| b < report.at) {
+            if e.report.is_none_or(|r| r.at < report.at)
+                && e.started_at.is_none_or(|b| b < report.at)
+            {
                 (e.report, e.slow, e.slow_at) = (Some(report), slow.clamp(0.3, CLIP), report.at);
             }
         }
--- a/crates/scheduler/src/interface.rs
+++ b/crates/scheduler/src/interface.rs
@@ -226,7 +226,7 @@
     /// Its phase.
     pub phase: Phase,
     /// When it last started, if lately.
-    pub born: Option<Micros>,
+    pub started_at: Option<Micros>,
 }
 
 /// Where a query has to go, or should: the engine that holds what it needs.
--- a/crates/scheduler/src/slow_start.rs
+++ b/crates/scheduler/src/slow_start.rs
@@ -135,10 +135,10 @@
 
     /// Share of its capacity that a young engine can be counted on for; 1 once warm.
     pub(crate) fn warmth(&self, now: Micros, e: &Engine) -> f64 {
-        let (Some(slow_start), Some(born)) = (self.cfg.slow_start, e.born) else {
+        let (Some(slow_start), Some(started_at)) = (self.cfg.slow_start, e.started_at) else {
             return 1.0;
         };
-        let age = now.saturating_sub(born) as f64 / slow_start.warm_up_time.max(1) as f64;
+        let age = now.saturating_sub(started_at) as f64 / slow_start.warm_up_time.max(1) as f64;
         slow_start.from + (1.0 - slow_start.from) * (2.0 * age - 1.0).clamp(0.0, 1.0)
     }
 
@@ -162,7 +162,7 @@
         let fit = fit(weight) / fits.max(COLD_LEAST) * (self.weight(e) / self.cores(e)).min(1.0);
         let chance = fit * whole / (self.tally.cores * CAPACITY * RUSH * slow_start.window as f64);
         let draw = Random(
-            self.salt ^ id.0 ^ e.born.unwrap_or(0) ^ ((now / slow_start.window.max(1)) << 40),
+            self.salt ^ id.0 ^ e.started_at.unwrap_or(0) ^ ((now / slow_start.window.max(1)) << 40),
         )
         .below(1 << 20);
         recent <= COLD_WHOLE * whole
--- a/crates/scheduler/src/state.rs
+++ b/crates/scheduler/src/state.rs
@@ -131,7 +131,7 @@
     pub cell: u16,
     pub phase: Phase,
     /// Believed and listed last start.
-    pub born: Option<Micros>,
+    pub started_at: Option<Micros>,
     pub listed_born: Option<Micros>,
     /// Index 1 and on of the design's queue F.
     pub queue: Vec<Slot>,
@@ -405,8 +405,8 @@
             kind: l.kind,
             cell: l.cell,
             phase: l.phase,
-            born: l.born,
-            listed_born: l.born,
+            started_at: l.started_at,
+            listed_born: l.started_at,
             queue: Vec::new(),
             last_group: None,
             out: BTreeSet::new(),
@@ -550,21 +550,23 @@
         list: &[ListedEngine],
     ) -> Vec<EngineId> {
         for l in list {
-            if l.born.is_some() && l.phase == Phase::Ready {
+            if l.started_at.is_some() && l.phase == Phase::Ready {
                 // Somebody there started anew: the zone is no longer lost as a whole.
                 self.tally.lost.remove(&l.zone);
             }
             let is_news = self
                 .engines
                 .get(&l.engine)
-                .is_none_or(|e| e.listed_born != l.born);
-            let born = l.born.map(|told| believed_start(now, kind, told, is_news));
+                .is_none_or(|e| e.listed_born != l.started_at);
+            let started_at = l
+                .started_at
+                .map(|told| believed_start(now, kind, told, is_news));
             let e = self.engines.entry(l.engine).or_insert_with(|| Engine {
-                born,
+                started_at,
                 ..Engine::new(l, now)
             });
             (e.zone, e.kind, e.cell, e.phase) = (l.zone, l.kind, l.cell, l.phase);
-            if e.listed_born != l.born {
+            if e.listed_born != l.started_at {
                 let (queue, out) = (std::mem::take(&mut e.queue), std::mem::take(&mut e.out));
                 let (threads, granted) = (e.threads, e.granted);
                 *e = Engine {
@@ -572,7 +574,7 @@
                     out,
                     threads,
                     granted,
-                    born,
+                    started_at,
                     ..Engine::new(l, now)
                 };
             }
--- a/crates/scheduler/tests/common/mod.rs
+++ b/crates/scheduler/tests/common/mod.rs
@@ -77,7 +77,7 @@
         kind: 0,
         cell: 0,
         phase: Phase::Ready,
-        born: None,
+        started_at: None,
     }
 }
 
--- a/crates/scheduler/tests/crowd.rs
+++ b/crates/scheduler/tests/crowd.rs
@@ -229,7 +229,7 @@
     let old: Vec<ListedEngine> = (1..=10).map(listed).collect();
     let young: Vec<ListedEngine> = (11..=20)
         .map(|e| ListedEngine {
-            born: Some(100 * S - e),
+            started_at: Some(100 * S - e),
             ..listed(e)
         })
         .collect();
--- a/crates/scheduler/tests/fleet.rs
+++ b/crates/scheduler/tests/fleet.rs
@@ -165,16 +165,16 @@
     };
     // Ten seconds in which every gateway learns what its queries cost.
     (0..200).for_each(|_| step(&mut f));
-    list[4].born = Some(f.now);
+    list[4].started_at = Some(f.now);
     for g in 0..f.all.len() {
         f.give(g, Event::Engines(ListKind::Full, &list));
     }
-    let born = f.now;
+    let started_at = f.now;
     (0..120).for_each(|_| step(&mut f));
     let slow_start: Vec<(u64, f64)> = f
         .sent
         .iter()
-        .filter(|s| s.0 > born && s.1 == 5)
+        .filter(|s| s.0 > started_at && s.1 == 5)
         .map(|s| (s.0, if s.2 == 1 { 2e6 } else { 2e5 }))
         .collect();
     assert!(
--- a/crates/scheduler/tests/rules.rs
+++ b/crates/scheduler/tests/rules.rs
@@ -381,7 +381,7 @@
     rig.event(Event::Engines(
         ListKind::Changes,
         &[ListedEngine {
-            born: Some(now),
+            started_at: Some(now),
             ..listed(1)
         }],
     ));
@@ -655,11 +655,11 @@
                 let e = 1 + self.random(6);
                 let phase = [Phase::Ready, Phase::Ready, Phase::Draining, Phase::Gone]
                     [self.random(4) as usize];
-                let born = Some(self.rig.now).filter(|_| phase == Phase::Ready);
+                let started_at = Some(self.rig.now).filter(|_| phase == Phase::Ready);
                 self.phase.insert(e, phase);
                 let line = ListedEngine {
                     phase,
-                    born,
+                    started_at,
                     ..listed(e)
                 };
                 let line = ListedEngine {
--- a/crates/scheduler/tests/slow_start.rs
+++ b/crates/scheduler/tests/slow_start.rs
@@ -68,11 +68,11 @@
     sent
 }
 
-fn told(rig: &mut Rig, born: u64) {
+fn told(rig: &mut Rig, started_at: u64) {
     rig.event(Event::Engines(
         ListKind::Changes,
         &[ListedEngine {
-            born: Some(born),
+            started_at: Some(started_at),
             ..listed(1)
         }],
     ));
@@ -81,8 +81,8 @@
 #[test]
 fn an_engine_told_as_new_is_cold_though_this_clock_is_an_hour_ahead() {
     let mut rig = learnt();
-    let born = rig.now - HOUR;
-    told(&mut rig, born);
+    let started_at = rig.now - HOUR;
+    told(&mut rig, started_at);
     let sent = sent(&mut rig);
     assert!((3..=MOST_IN_A_WINDOW).contains(&sent), "{sent}");
 }
@@ -90,8 +90,8 @@
 #[test]
 fn an_engine_gets_warm_in_its_time_though_this_clock_is_an_hour_behind() {
     let mut rig = learnt();
-    let born = rig.now + HOUR;
-    told(&mut rig, born);
+    let started_at = rig.now + HOUR;
+    told(&mut rig, started_at);
     let slow_start = sent(&mut rig);
     assert!((3..=MOST_IN_A_WINDOW).contains(&slow_start), "{slow_start}");
     // What waited meanwhile goes out and ends.
@@ -100,7 +100,7 @@
         serve(&mut rig, &act);
     }
     // The same line comes again, as after a new connection to the list: that is no new start.
-    told(&mut rig, born);
+    told(&mut rig, started_at);
     let warm = sent(&mut rig);
     assert!(warm > 40, "{warm}");
 }
@@ -109,8 +109,8 @@
 fn what_waits_for_a_late_connection_to_a_cold_engine_goes_out_within_its_budget() {
     let mut rig =
         learnt_by(driftfront_scheduler::Controller::new(rig_settings(), 7).awaiting_first_bytes());
-    let born = rig.now;
-    told(&mut rig, born);
+    let started_at = rig.now;
+    told(&mut rig, started_at);
     // Two windows' parts are planned while no connection is up.
     let mut planned = Vec::new();
     for _ in 0..2 {
--- a/crates/scheduler/tests/transcript.rs
+++ b/crates/scheduler/tests/transcript.rs
@@ -122,7 +122,7 @@
                 zone: (e % 3) as u16,
                 kind: (e % settings.kinds.len() as u64) as u16,
                 cell: (e % 4) as u16,
-                born: dice.chance(30).then(|| 90 * S + dice.below(12) * S),
+                started_at: dice.chance(30).then(|| 90 * S + dice.below(12) * S),
                 ..listed(e)
             };
             let slowness = dice.between(0.8, 1.6);
@@ -502,7 +502,7 @@
             (1, Some(e)) => e.error_percent = [0, 30, 85][dice.below(3) as usize],
             (2, Some(e)) => {
                 e.down_until = now + dice.below(4 * S);
-                e.line.born = Some(e.down_until.max(now));
+                e.line.started_at = Some(e.down_until.max(now));
                 let back = e.down_until - now + 100 * MS;
                 let lost: Vec<_> = e.running.iter().copied().collect();
                 for (g, q, attempt) in lost {
@@ -533,7 +533,7 @@
                 let line = ListedEngine {
                     zone: (id % 3) as u16,
                     kind: (id % self.settings.kinds.len() as u64) as u16,
-                    born: Some(now),
+                    started_at: Some(now),
                     ..listed(id)
                 };
                 let e = SimEngine {
--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -89,14 +89,14 @@
             other => return Err(format!("list entry with unknown state {other}")),
         };
         f.f32()?;
-        let born = Some(f.uint(8)?).filter(|&t| t > 0);
+        let started_at = Some(f.uint(8)?).filter(|&t| t > 0);
         all.push(ListedEngine {
             engine,
             zone,
             kind,
             cell,
             phase,
-            born,
+            started_at,
         });
     }
     Ok(all)
--- a/crates/simulator-adapter/tests/golden.rs
+++ b/crates/simulator-adapter/tests/golden.rs
@@ -55,14 +55,14 @@
 fn catalog(number: u32, lines: &[(u64, u8, u64)]) -> Vec<u8> {
     let mut fields = number.to_be_bytes().to_vec();
     fields.extend((lines.len() as u32).to_be_bytes());
-    for (n, phase, born) in lines {
+    for (n, phase, started_at) in lines {
         fields.extend(engine(*n));
         fields.extend(((n % 2) as u16).to_be_bytes());
         fields.extend(((n % 2) as u16).to_be_bytes());
         fields.extend((*n as u16).to_be_bytes());
         fields.push(*phase);
         fields.extend(1f32.to_bits().to_be_bytes());
-        fields.extend(born.to_be_bytes());
+        fields.extend(started_at.to_be_bytes());
     }
     record(11, &[&fields])
 }
