--- a/crates/core/src/idempotency.rs
+++ b/crates/core/src/idempotency.rs
@@ -30,7 +30,7 @@
 
 impl IdempotencyKeys {
     pub fn new(settings: &Settings, most: usize) -> IdempotencyKeys {
-        let window = |c: &driftfront_scheduler::interface::Class| {
+        let window = |c: &driftfront_scheduler::interface::QueryClass| {
             (c.idempotency == Idempotency::WithKey).then_some(c.deduplication_window)
         };
         IdempotencyKeys {
--- a/crates/scheduler/src/choice.rs
+++ b/crates/scheduler/src/choice.rs
@@ -78,7 +78,7 @@
     /// A controller that knows nothing but its settings.
     pub fn new(cfg: Settings, seed: u64) -> Self {
         let (engines, jobs, lanes, peers, retries) = Default::default();
-        let guess = |c: &Class| Learned {
+        let guess = |c: &QueryClass| Learned {
             work: PRIOR * c.latency_objective as f64 * c.threads,
             ..Learned::default()
         };
--- a/crates/scheduler/src/interface.rs
+++ b/crates/scheduler/src/interface.rs
@@ -35,7 +35,7 @@
 
 /// A query class.
 #[derive(Clone, Debug)]
-pub struct Class {
+pub struct QueryClass {
     /// An answer within this time earns the full worth.
     pub latency_objective: Micros,
     /// The aim grows by this times the query's work over its threads.
@@ -66,7 +66,7 @@
 
 /// A machine kind.
 #[derive(Clone, Copy, Debug)]
-pub struct Kind {
+pub struct MachineKind {
     /// Cores, if told.
     pub cores: Option<f64>,
     /// Memory in MB, if told.
@@ -148,9 +148,9 @@
     /// This gateway's zone.
     pub zone: u16,
     /// The query classes.
-    pub classes: Vec<Class>,
+    pub classes: Vec<QueryClass>,
     /// The machine kinds.
-    pub kinds: Vec<Kind>,
+    pub kinds: Vec<MachineKind>,
     /// The tenants; empty where there are none.
     pub tenants: Vec<Tenant>,
     /// Worth of a query beyond its tenant's quota, as a share.
--- a/crates/scheduler/src/state.rs
+++ b/crates/scheduler/src/state.rs
@@ -431,7 +431,7 @@
 
 /// Book-keeping of records; none of it decides.
 impl Controller {
-    pub(crate) fn class(&self, id: QueryId) -> &Class {
+    pub(crate) fn class(&self, id: QueryId) -> &QueryClass {
         &self.cfg.classes[usize::from(self.jobs[&id].query.class)]
     }
 
--- a/crates/scheduler/tests/common/mod.rs
+++ b/crates/scheduler/tests/common/mod.rs
@@ -6,8 +6,8 @@
 pub const MS: u64 = 1000;
 pub const S: u64 = 1_000_000;
 
-pub fn class(latency_objective: u64, priority_weight: f64, threads: f64) -> Class {
-    Class {
+pub fn class(latency_objective: u64, priority_weight: f64, threads: f64) -> QueryClass {
+    QueryClass {
         latency_objective,
         latency_objective_stretch: 0.0,
         priority_weight,
@@ -24,14 +24,14 @@
     }
 }
 
-pub fn settings(classes: Vec<Class>) -> Settings {
+pub fn settings(classes: Vec<QueryClass>) -> Settings {
     Settings {
         coordinators: 1,
         number: 0,
         zone: 0,
         classes,
         kinds: vec![
-            Kind {
+            MachineKind {
                 cores: Some(2.0),
                 memory_mb: None
             };
--- a/crates/scheduler/tests/crowd.rs
+++ b/crates/scheduler/tests/crowd.rs
@@ -24,7 +24,7 @@
     ]);
     s.coordinators = 100;
     s.kinds = vec![
-        Kind {
+        MachineKind {
             cores: Some(8.0),
             memory_mb: Some(16384.0)
         };
--- a/crates/scheduler/tests/fleet.rs
+++ b/crates/scheduler/tests/fleet.rs
@@ -106,7 +106,7 @@
 
 fn fleet_settings() -> Settings {
     let mut s = settings(vec![class(S, 1.0, 1.0), class(3 * S, 10.0, 4.0)]);
-    s.kinds = vec![Kind {
+    s.kinds = vec![MachineKind {
         cores: Some(8.0),
         memory_mb: None,
     }];
--- a/crates/scheduler/tests/mechanism.rs
+++ b/crates/scheduler/tests/mechanism.rs
@@ -5,7 +5,7 @@
 
 /// One engine of 2 cores whose bound is 2 x 2.2 + 4 = 8.4 threads under pressure; a report of waiting work
 /// makes pressure, and three queries of 4 threads fill it, the last as one lighter than the mean.
-fn full_engine(classes: Vec<Class>) -> Rig {
+fn full_engine(classes: Vec<QueryClass>) -> Rig {
     let mut rig = Rig::new(settings(classes), &[listed(1)]);
     rig.report(1, &[1.0]);
     for tables in [90, 91, 92] {
--- a/crates/scheduler/tests/rules.rs
+++ b/crates/scheduler/tests/rules.rs
@@ -198,7 +198,7 @@
 
 #[test]
 fn a_keyed_query_goes_again_only_while_engines_know_its_word() {
-    let keyed = || Class {
+    let keyed = || QueryClass {
         idempotency: Idempotency::WithKey,
         deduplication_window: 5 * S,
         ..class(9 * S, 1.0, 1.0)
--- a/crates/scheduler/tests/slow_start.rs
+++ b/crates/scheduler/tests/slow_start.rs
@@ -16,7 +16,7 @@
 fn rig_settings() -> Settings {
     let mut s = settings(vec![class(60 * S, 1.0, 1.0)]);
     s.coordinators = 2;
-    s.kinds = vec![Kind {
+    s.kinds = vec![MachineKind {
         cores: Some(20.0),
         memory_mb: None,
     }];
--- a/crates/scheduler/tests/transcript.rs
+++ b/crates/scheduler/tests/transcript.rs
@@ -605,7 +605,7 @@
 }
 
 /// Three classes that differ in all that matters to a decision.
-fn classes() -> Vec<Class> {
+fn classes() -> Vec<QueryClass> {
     let mut short = class(200 * MS, 1.0, 1.0);
     short.late_weight = 0.2;
     let mut wide = class(800 * MS, 6.0, 4.0);
@@ -621,8 +621,8 @@
     vec![short, wide, load]
 }
 
-fn kinds(cores: f64) -> Vec<Kind> {
-    let kind = |cores: f64| Kind {
+fn kinds(cores: f64) -> Vec<MachineKind> {
+    let kind = |cores: f64| MachineKind {
         cores: Some(cores),
         memory_mb: Some(cores * 1_000.0),
     };
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -5,8 +5,8 @@
 pub mod json;
 
 use driftfront_scheduler::interface::{
-    Class, DeduplicationScope, Idempotency, Kind, OutOfMemory, ReportField, RetryBudget, Settings,
-    SlowStart, Tenant,
+    DeduplicationScope, Idempotency, MachineKind, OutOfMemory, QueryClass, ReportField,
+    RetryBudget, Settings, SlowStart, Tenant,
 };
 use json::Json;
 
@@ -41,7 +41,7 @@
     let sizes = family.get("SizeCores").each().count();
     let kinds = root.get("MachineTypes").each().count().max(sizes);
     let kinds = (0..kinds)
-        .map(|i| Kind {
+        .map(|i| MachineKind {
             cores: family.get("SizeCores").at(i).number().filter(|&c| c > 0.0),
             memory_mb: family
                 .get("RamOfKindMb")
@@ -164,7 +164,7 @@
         .ok_or_else(|| format!("{key} holds no numbers"))
 }
 
-fn class(i: usize, p: Json, family: Json) -> Result<Class, String> {
+fn class(i: usize, p: Json, family: Json) -> Result<QueryClass, String> {
     let idempotency = match p.get("Effect").text() {
         Some("free") => Idempotency::Idempotent,
         Some("guarded") => Idempotency::WithKey,
@@ -178,7 +178,7 @@
         None if idempotency != Idempotency::WithKey => DeduplicationScope::All,
         _ => return Err("KeyScope is missing or unknown".into()),
     };
-    Ok(Class {
+    Ok(QueryClass {
         latency_objective: number(p, "OnTimeUs")? as u64,
         latency_objective_stretch: optional(p, "AimStretch")?.unwrap_or(0.0),
         priority_weight: number(p, "Worth")?,
