--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -31,8 +31,8 @@
             return self.fail(id);
         }
         let ask = &request.ask;
-        let known_until = self.tokens.good_until(ask.class, ask.token.as_ref());
-        if known_until.is_some_and(|t| now >= t) {
+        let idempotent_until = self.tokens.good_until(ask.class, ask.token.as_ref());
+        if idempotent_until.is_some_and(|t| now >= t) {
             // What runs under its idempotency key may be running or done, and engines would take it for new.
             self.counters.tokens_late += 1;
             return self.fail_saying(id, Some(TOKEN_LATE.into()));
@@ -49,7 +49,7 @@
             tables: ask.tables,
             key: ask.key,
             token: ask.token.is_some(),
-            known_until,
+            idempotent_until,
             pin: ask.pin,
             budget: ask.budget,
         };
--- a/crates/scheduler/src/choice.rs
+++ b/crates/scheduler/src/choice.rs
@@ -587,7 +587,9 @@
         match self.idempotency(id) {
             Idempotency::Idempotent => true,
             Idempotency::NotIdempotent => ran.next().is_none(),
-            Idempotency::WithKey if !self.jobs[&id].query.known_until.is_none_or(known) => false,
+            Idempotency::WithKey if !self.jobs[&id].query.idempotent_until.is_none_or(known) => {
+                false
+            }
             Idempotency::WithKey => {
                 ran.all(|t| grouped(t) && known(t.sent + c.deduplication_window))
             }
--- a/crates/scheduler/src/interface.rs
+++ b/crates/scheduler/src/interface.rs
@@ -258,7 +258,7 @@
     /// Engines know its repeats by a word of the client's. Without one a keyed class's must not run twice.
     pub token: bool,
     /// An earlier query under that word may have run: engines know its repeats until then.
-    pub known_until: Option<Micros>,
+    pub idempotent_until: Option<Micros>,
     /// Its engine, if it has one already.
     pub pin: Option<StickySession>,
     /// Time until the client gives up.
--- a/crates/scheduler/tests/common/mod.rs
+++ b/crates/scheduler/tests/common/mod.rs
@@ -112,7 +112,7 @@
             tables,
             key: None,
             token: true,
-            known_until: None,
+            idempotent_until: None,
             pin: None,
             budget: 60 * S,
         }
--- a/crates/scheduler/tests/fleet.rs
+++ b/crates/scheduler/tests/fleet.rs
@@ -74,7 +74,7 @@
             tables: 3,
             key: None,
             token: true,
-            known_until: None,
+            idempotent_until: None,
             pin: None,
             budget: 20 * S,
         };
--- a/crates/scheduler/tests/golden.rs
+++ b/crates/scheduler/tests/golden.rs
@@ -64,7 +64,7 @@
             tables: n as u32,
             key: None,
             token: true,
-            known_until: None,
+            idempotent_until: None,
             pin: None,
             budget: 60 * S,
         };
--- a/crates/scheduler/tests/rules.rs
+++ b/crates/scheduler/tests/rules.rs
@@ -204,7 +204,7 @@
         ..class(9 * S, 1.0, 1.0)
     };
     // Its word, an earlier query under it, and whether it goes again after a lost connection.
-    for (token, known_until, again) in [
+    for (token, idempotent_until, again) in [
         (true, None, true),
         (false, None, false),
         (true, Some(100 * S + MS), false),
@@ -212,7 +212,7 @@
         let mut rig = Rig::new(settings(vec![keyed()]), &[listed(1), listed(2)]);
         let q = Query {
             token,
-            known_until: None,
+            idempotent_until: None,
             ..rig.query(0, S, 1)
         };
         assert_eq!(sends(&rig.event(Event::Arrived(q))).len(), 1);
@@ -222,17 +222,17 @@
             &mut Vec::new(),
         );
         let act = rig.end(q.id, 0, Outcome::Reset, MS);
-        if known_until.is_none() {
+        if idempotent_until.is_none() {
             assert_eq!(sends(&act).len(), usize::from(again), "{token}");
             assert_eq!(act.contains(&Action::Fail(q.id)), !again);
         }
         // One whose word is no longer known is not sent at all, and answered at once.
         let late = Query {
             token,
-            known_until,
+            idempotent_until,
             ..rig.query(0, S, 2)
         };
-        if known_until.is_some() {
+        if idempotent_until.is_some() {
             assert!(sends(&rig.event(Event::Arrived(late))).is_empty());
             assert!(refused(&rig.tick(50 * MS), late.id));
         }
--- a/crates/scheduler/tests/transcript.rs
+++ b/crates/scheduler/tests/transcript.rs
@@ -576,7 +576,7 @@
             tables: dice.below(6) as u32,
             key: dice.chance(50).then(|| dice.below(5)),
             token: dice.chance(80),
-            known_until: dice.chance(10).then(|| self.now + dice.below(3 * S)),
+            idempotent_until: dice.chance(10).then(|| self.now + dice.below(3 * S)),
             pin,
             budget: if dice.chance(2) {
                 dice.below(30 * MS)
--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -218,7 +218,7 @@
                     tables,
                     key,
                     token: true,
-                    known_until: None,
+                    idempotent_until: None,
                     pin: None,
                     budget,
                 })
