--- a/crates/coordinator/src/backends/clickhouse.rs
+++ b/crates/coordinator/src/backends/clickhouse.rs
@@ -5,7 +5,7 @@
 use driftfront_clickhouse::exception::{code_of, proof, Exception, Proof, TEXT_MOST};
 use driftfront_clickhouse::params::encode;
 use driftfront_clickhouse::watch::{Fault, Watch};
-use driftfront_core::{AttemptKey, Cause, Micros, Note, Outcome, ResponseChunk};
+use driftfront_core::{AttemptKey, Cause, Micros, Outcome, ProgressReport, ResponseChunk};
 use driftfront_http::{header, ResponseHead, ResponsePart, ResponseReader};
 use std::fmt::Write as _;
 
@@ -214,7 +214,7 @@
                     return Ok(());
                 };
                 if let Some(share) = share_done(&value) {
-                    seen.push(Seen::Noted(key, Note::Progress(share)));
+                    seen.push(Seen::ProgressReported(key, ProgressReport::Progress(share)));
                 }
                 self.answer.progress = Some(value);
             }
--- a/crates/coordinator/src/backends/engine_protocol.rs
+++ b/crates/coordinator/src/backends/engine_protocol.rs
@@ -1,7 +1,9 @@
 //! The platform's engine wire: lines of words, many requests on one connection.
 
 use super::{Seen, Session, Start};
-use driftfront_core::{AttemptKey, AttemptReport, Cause, Micros, Note, Outcome, ResponseChunk};
+use driftfront_core::{
+    AttemptKey, AttemptReport, Cause, Micros, Outcome, ProgressReport, ResponseChunk,
+};
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt::Write as _;
 use std::rc::Rc;
@@ -217,7 +219,7 @@
             ));
             seen.push(Seen::Failed(key, cause));
         } else if answer.word == "INFO" {
-            seen.extend(note(&answer).map(|note| Seen::Noted(key, note)));
+            seen.extend(note(&answer).map(|note| Seen::ProgressReported(key, note)));
         } else {
             let told = AttemptReport {
                 report,
@@ -320,13 +322,13 @@
     text.split_inclusive('\n').all(row)
 }
 
-fn note(answer: &Answer) -> Option<Note> {
+fn note(answer: &Answer) -> Option<ProgressReport> {
     let figure: f64 = answer.field("figure")?.parse().ok()?;
     match answer.field("res")? {
-        "p" if figure.is_finite() => Some(Note::Progress(figure.clamp(0.0, 1.0))),
-        "s" if figure.is_finite() => Some(Note::Spills(figure.max(0.0))),
-        "w" if figure == 1.0 => Some(Note::WaitsForMemory),
-        "w" if figure == 2.0 => Some(Note::WaitsForLoad),
+        "p" if figure.is_finite() => Some(ProgressReport::Progress(figure.clamp(0.0, 1.0))),
+        "s" if figure.is_finite() => Some(ProgressReport::Spills(figure.max(0.0))),
+        "w" if figure == 1.0 => Some(ProgressReport::WaitsForMemory),
+        "w" if figure == 2.0 => Some(ProgressReport::WaitsForLoad),
         _ => None,
     }
 }
--- a/crates/coordinator/src/backends/mod.rs
+++ b/crates/coordinator/src/backends/mod.rs
@@ -4,14 +4,14 @@
 pub mod engine_protocol;
 
 use driftfront_core::{
-    AttemptKey, AttemptReport, Cause, Micros, Note, Outcome, ParsedRequest, ResponseChunk,
+    AttemptKey, AttemptReport, Cause, Micros, Outcome, ParsedRequest, ProgressReport, ResponseChunk,
 };
 
 /// What an engine's connection has brought.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Seen {
     /// Word on an attempt.
-    Noted(AttemptKey, Note),
+    ProgressReported(AttemptKey, ProgressReport),
     /// The answer has begun.
     Begun(AttemptKey),
     /// A piece of the answer, to be passed on.
--- a/crates/coordinator/src/node/engines/traffic.rs
+++ b/crates/coordinator/src/node/engines/traffic.rs
@@ -350,7 +350,7 @@
     fn take_seen(&mut self, now: Micros, seen: Vec<Seen>) {
         for each in seen {
             match each {
-                Seen::Noted(key, note) => self.core.noted(now, key, note),
+                Seen::ProgressReported(key, note) => self.core.noted(now, key, note),
                 Seen::Begun(key) => self.core.reached(key, Progress::AnswerBegun),
                 Seen::ResponseChunk(key, piece) => self.core.relay(key, piece),
                 Seen::AttemptReport(key, told) => self.core.told(key, told),
--- a/crates/coordinator/tests/golden_backends.rs
+++ b/crates/coordinator/tests/golden_backends.rs
@@ -45,7 +45,9 @@
     let mut text = String::new();
     for each in seen {
         text += &match each {
-            Seen::Noted(k, note) => format!("{} note {}\n", k.request.0, shown_note(note)),
+            Seen::ProgressReported(k, note) => {
+                format!("{} note {}\n", k.request.0, shown_note(note))
+            }
             Seen::Begun(k) => format!("{} begun\n", k.request.0),
             Seen::ResponseChunk(k, piece) => format!(
                 "{} piece {:?} whole {} {}\n",
@@ -68,13 +70,13 @@
     text
 }
 
-fn shown_note(note: &driftfront_core::Note) -> String {
-    use driftfront_core::Note;
+fn shown_note(note: &driftfront_core::ProgressReport) -> String {
+    use driftfront_core::ProgressReport;
     match note {
-        Note::Progress(share) => format!("progress {share}"),
-        Note::Spills(figure) => format!("spills {figure}"),
-        Note::WaitsForMemory => "waits for memory".into(),
-        Note::WaitsForLoad => "waits for load".into(),
+        ProgressReport::Progress(share) => format!("progress {share}"),
+        ProgressReport::Spills(figure) => format!("spills {figure}"),
+        ProgressReport::WaitsForMemory => "waits for memory".into(),
+        ProgressReport::WaitsForLoad => "waits for load".into(),
         #[allow(unreachable_patterns)]
         _ => "another".into(),
     }
--- a/crates/coordinator/tests/wires.rs
+++ b/crates/coordinator/tests/wires.rs
@@ -108,7 +108,7 @@
 enum Step {
     Start(u8),
     Page(u8, bool),
-    Note(u8),
+    ProgressReport(u8),
     End(u8, bool),
     Stop(u8),
     Probe,
@@ -122,7 +122,7 @@
         match u8::arbitrary(g) % 20 {
             0..=4 => Step::Start(id),
             5..=11 => Step::Page(id, bool::arbitrary(g)),
-            12 => Step::Note(id),
+            12 => Step::ProgressReport(id),
             13..=14 => Step::End(id, bool::arbitrary(g)),
             15..=16 => Step::Stop(id),
             17 => Step::Probe,
@@ -203,13 +203,13 @@
                         model.remove(&id);
                     }
                 }
-                Step::Note(id) => {
+                Step::ProgressReport(id) => {
                     text = format!("{} INFO res=w,figure=2 0\r\n\r\n", call(id));
-                    let note = driftfront_core::Note::WaitsForLoad;
+                    let note = driftfront_core::ProgressReport::WaitsForLoad;
                     want.extend(
                         model
                             .contains_key(&id)
-                            .then_some(Seen::Noted(key(id), note)),
+                            .then_some(Seen::ProgressReported(key(id), note)),
                     );
                 }
                 Step::End(id, full) => {
--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -2,7 +2,9 @@
 
 use crate::RequestId;
 use crate::{query, AttemptKey, Command, Core, Due, Fate, Request};
-use driftfront_scheduler::interface::{Ended, EngineId, Event, Micros, Note, Outcome, Phase};
+use driftfront_scheduler::interface::{
+    Ended, EngineId, Event, Micros, Outcome, Phase, ProgressReport,
+};
 use std::fmt;
 
 /// The way of a word to an engine, at most, with room for what holds it up. What we give up ourselves is out until
@@ -277,10 +279,13 @@
     }
 
     /// Word on an attempt that is out.
-    pub fn noted(&mut self, now: Micros, key: AttemptKey, note: Note) {
+    pub fn noted(&mut self, now: Micros, key: AttemptKey, note: ProgressReport) {
         if self.out(key).is_some() {
             self.heard_of(now, key);
-            self.tell(now, Event::Noted(query(key.request), key.number, note));
+            self.tell(
+                now,
+                Event::ProgressReported(query(key.request), key.number, note),
+            );
         }
     }
 
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -23,7 +23,7 @@
 pub use accounting::Counters;
 pub use dispatch::{AttemptError, AttemptReport, Cause, Progress, Retry};
 pub use driftfront_scheduler::interface::{
-    EngineId, ListKind, ListedEngine, Micros, Note, Outcome, Phase, StickySession,
+    EngineId, ListKind, ListedEngine, Micros, Outcome, Phase, ProgressReport, StickySession,
 };
 pub use driftfront_scheduler::RetryBudgetUsage;
 pub use running::Run;
--- a/crates/core/tests/golden.rs
+++ b/crates/core/tests/golden.rs
@@ -7,8 +7,8 @@
 use driftfront_core::lifecycle::{Lifecycle, State};
 use driftfront_core::{
     AttemptError, AttemptKey, AttemptReport, Cause, Command, Core, EngineId, Fate, Limits,
-    ListKind, ListedEngine, Micros, Note, Outcome, ParsedRequest, Phase, Progress, RequestId,
-    ResponseChunk, StickySession,
+    ListKind, ListedEngine, Micros, Outcome, ParsedRequest, Phase, Progress, ProgressReport,
+    RequestId, ResponseChunk, StickySession,
 };
 use driftfront_test_support::assert_golden;
 use driftfront_test_support::transcript::{Dice, Transcript};
@@ -321,10 +321,10 @@
             36 => {
                 if let Some(key) = self.pick(true) {
                     let note = [
-                        Note::Progress(0.4),
-                        Note::WaitsForMemory,
-                        Note::WaitsForLoad,
-                        Note::Spills(9.0),
+                        ProgressReport::Progress(0.4),
+                        ProgressReport::WaitsForMemory,
+                        ProgressReport::WaitsForLoad,
+                        ProgressReport::Spills(9.0),
                     ][self.dice.below(4) as usize];
                     self.core.noted(self.now, key, note);
                     self.commands("note");
--- a/crates/core/tests/unheard.rs
+++ b/crates/core/tests/unheard.rs
@@ -4,7 +4,7 @@
 
 use common::{core, listed, LIMITS, LOAD, LOOKUP, S};
 use driftfront_core::{
-    AttemptKey, Command, Core, Limits, ListKind, Note, ParsedRequest, Phase, Progress,
+    AttemptKey, Command, Core, Limits, ListKind, ParsedRequest, Phase, Progress, ProgressReport,
 };
 use std::rc::Rc;
 
@@ -85,7 +85,8 @@
     rig.wait(begin + 100_000);
     let second = rig.ask(LOOKUP);
     rig.wait(begin + S);
-    rig.core.noted(rig.now, second, Note::Progress(0.1));
+    rig.core
+        .noted(rig.now, second, ProgressReport::Progress(0.1));
     assert!(rig.wait(begin + 17 * S / 10).1.is_empty());
     let (again, left) = rig.wait(begin + 19 * S / 10);
     assert_eq!((left, again.len()), (vec![first], 1));
@@ -101,7 +102,8 @@
     let mut rig = Rig::new(true);
     let begin = rig.now;
     let first = rig.ask(LOOKUP);
-    rig.core.noted(rig.now, first, Note::Progress(0.1));
+    rig.core
+        .noted(rig.now, first, ProgressReport::Progress(0.1));
     assert!(rig.wait(begin + 4 * S).1.is_empty());
     for (class, tells) in [(LOAD, true), (LOOKUP, false)] {
         let mut rig = Rig::new(tells);
@@ -109,7 +111,8 @@
         rig.ask(class);
         rig.wait(begin + 100_000);
         let second = rig.ask(LOOKUP);
-        rig.core.noted(rig.now, second, Note::Progress(0.1));
+        rig.core
+            .noted(rig.now, second, ProgressReport::Progress(0.1));
         rig.core.served(rig.now, second);
         assert!(rig.wait(begin + 4 * S).1.is_empty());
     }
--- a/crates/scheduler/src/choice.rs
+++ b/crates/scheduler/src/choice.rs
@@ -129,7 +129,7 @@
             Event::Streaming(id, n) => {
                 act.extend(self.record_stream(now, id, n, self.cfg.may_cancel))
             }
-            Event::Noted(id, attempt, note) => self.on_note(now, id, attempt, note),
+            Event::ProgressReported(id, attempt, note) => self.on_note(now, id, attempt, note),
             Event::Ended(end) => self.on_end(now, &end, act),
             Event::ClientGone(id) => self.conclude(now, id, act),
             Event::Woken(TICK_TOKEN) => self.on_tick(now, act),
@@ -900,7 +900,7 @@
         !self.quotas[tenant as usize].take(now, rate, (rate * QUOTA_SPAN).max(QUOTA_LEAST))
     }
 
-    fn on_note(&mut self, now: Micros, id: QueryId, attempt: u8, note: Note) {
+    fn on_note(&mut self, now: Micros, id: QueryId, attempt: u8, note: ProgressReport) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
@@ -912,12 +912,12 @@
             return;
         };
         match note {
-            Note::Progress(done) => {
+            ProgressReport::Progress(done) => {
                 t.blocked = false;
                 t.projected = Some(now.saturating_sub(t.sent) as f64 / done.clamp(0.005, 1.0));
             }
-            Note::WaitsForLoad => t.blocked = true,
-            Note::WaitsForMemory | Note::Spills(_) => e.full_at = Some(now),
+            ProgressReport::WaitsForLoad => t.blocked = true,
+            ProgressReport::WaitsForMemory | ProgressReport::Spills(_) => e.full_at = Some(now),
         }
         self.hears(now, engine);
     }
--- a/crates/scheduler/src/interface.rs
+++ b/crates/scheduler/src/interface.rs
@@ -298,7 +298,7 @@
 
 /// Word on an attempt that is out.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Note {
+pub enum ProgressReport {
     /// Share done, rough.
     Progress(f64),
     /// Spills to disk: MB missing.
@@ -353,7 +353,7 @@
     /// A stream began: its attempt is the client's now.
     Streaming(QueryId, u8),
     /// Word on an attempt.
-    Noted(QueryId, u8, Note),
+    ProgressReported(QueryId, u8, ProgressReport),
     /// An attempt ended.
     Ended(Ended<'a>),
     /// The client has left.
--- a/crates/scheduler/tests/crowd.rs
+++ b/crates/scheduler/tests/crowd.rs
@@ -411,7 +411,7 @@
     rig.report(2, &[0.9]);
     let (q, act) = rig.arrive(0, 200 * MS, 1);
     assert_eq!(sends(&act), [(q.0, 1)]);
-    rig.event(Event::Noted(q, 0, Note::Spills(100.0)));
+    rig.event(Event::ProgressReported(q, 0, ProgressReport::Spills(100.0)));
     let (next, act) = rig.arrive(0, 200 * MS, 2);
     assert_eq!(sends(&act), [(next.0, 1)], "the other is far busier");
 }
--- a/crates/scheduler/tests/rules.rs
+++ b/crates/scheduler/tests/rules.rs
@@ -218,7 +218,7 @@
         assert_eq!(sends(&rig.event(Event::Arrived(q))).len(), 1);
         rig.c.handle(
             rig.now,
-            Event::Noted(q.id, 0, Note::Progress(0.1)),
+            Event::ProgressReported(q.id, 0, ProgressReport::Progress(0.1)),
             &mut Vec::new(),
         );
         let act = rig.end(q.id, 0, Outcome::Reset, MS);
--- a/crates/scheduler/tests/transcript.rs
+++ b/crates/scheduler/tests/transcript.rs
@@ -51,7 +51,7 @@
     Wake(usize, u64),
     FirstByte(usize, u64, u8, u64),
     End(usize, u64, u8, Outcome),
-    Note(usize, u64, u8, Note),
+    ProgressReport(usize, u64, u8, ProgressReport),
     Stream(usize, u64, u8),
     ProbeEnd(usize, u64),
     Message(usize, usize, Vec<u8>),
@@ -334,12 +334,12 @@
             for n in 1..=(run / every).min(6) {
                 let done = n as f64 * every as f64 / run as f64;
                 let note = match self.dice.below(20) {
-                    0 => Note::WaitsForLoad,
-                    1 => Note::WaitsForMemory,
-                    2 => Note::Spills(100.0),
-                    _ => Note::Progress(done * self.dice.between(0.8, 1.2)),
+                    0 => ProgressReport::WaitsForLoad,
+                    1 => ProgressReport::WaitsForMemory,
+                    2 => ProgressReport::Spills(100.0),
+                    _ => ProgressReport::Progress(done * self.dice.between(0.8, 1.2)),
                 };
-                self.at(n * every, What::Note(g, q, attempt, note));
+                self.at(n * every, What::ProgressReport(g, q, attempt, note));
             }
         }
         let errs = self.dice.chance(errors);
@@ -427,10 +427,14 @@
                 }
             }
             What::End(g, q, attempt, outcome) => self.end(g, q, attempt, outcome),
-            What::Note(g, q, attempt, note) => {
+            What::ProgressReport(g, q, attempt, note) => {
                 let is_out = |s: &SimQuery| s.attempts[usize::from(attempt)].2;
                 if self.queries.get(&(g, q)).is_some_and(is_out) {
-                    self.tell(g, "note", Event::Noted(QueryId(q), attempt, note));
+                    self.tell(
+                        g,
+                        "note",
+                        Event::ProgressReported(QueryId(q), attempt, note),
+                    );
                 }
             }
             What::Stream(g, q, attempt) => {
--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -3,7 +3,8 @@
 #![forbid(unsafe_code)]
 
 use driftfront_scheduler::interface::{
-    Action, Ended, EngineId, Event, ListKind, ListedEngine, Note, Outcome, Phase, Query, QueryId,
+    Action, Ended, EngineId, Event, ListKind, ListedEngine, Outcome, Phase, ProgressReport, Query,
+    QueryId,
 };
 use driftfront_scheduler::Controller;
 use std::collections::BTreeMap;
@@ -265,13 +266,13 @@
                 let sort = f.u8()?;
                 let amount = f.f32()?;
                 let note = match sort {
-                    1 if amount.is_finite() => Note::Progress(amount.clamp(0.0, 1.0)),
-                    2 if amount.is_finite() => Note::Spills(amount.max(0.0)),
-                    3 if amount == 1.0 => Note::WaitsForMemory,
-                    3 if amount == 2.0 => Note::WaitsForLoad,
+                    1 if amount.is_finite() => ProgressReport::Progress(amount.clamp(0.0, 1.0)),
+                    2 if amount.is_finite() => ProgressReport::Spills(amount.max(0.0)),
+                    3 if amount == 1.0 => ProgressReport::WaitsForMemory,
+                    3 if amount == 2.0 => ProgressReport::WaitsForLoad,
                     _ => return Ok(()),
                 };
-                Event::Noted(query, attempt, note)
+                Event::ProgressReported(query, attempt, note)
             }
             _ => return Ok(()),
         };
