--- a/crates/core/src/accounting.rs
+++ b/crates/core/src/accounting.rs
@@ -120,7 +120,7 @@
             self.phases.insert(listed.engine, listed.phase);
         }
         self.end_stranded(now);
-        self.tell(now, Event::Engines(kind, list));
+        self.tell(now, Event::EnginesListed(kind, list));
         let gone: Vec<_> = self
             .phases
             .iter()
@@ -151,7 +151,7 @@
         for id in ids {
             let words = self.requests.get(&id).and_then(|r| r.ask.lost.clone());
             self.fail_saying(id, words);
-            self.tell(now, Event::ClientGone(crate::query(id)));
+            self.tell(now, Event::ClientLeft(crate::query(id)));
         }
     }
 
--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -59,6 +59,6 @@
         // The module answers in time by itself; this guards the promise should it ever not.
         let last = request.deadline.saturating_sub(self.limits.answer_margin);
         self.set_timer(last, Due::Answer(id));
-        self.tell(now, Event::Arrived(query));
+        self.tell(now, Event::QueryArrived(query));
     }
 }
--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -3,7 +3,7 @@
 use crate::RequestId;
 use crate::{query, AttemptKey, Command, Core, Due, Fate, Request};
 use driftfront_scheduler::interface::{
-    Ended, EngineId, Event, Micros, Outcome, Phase, ProgressReport,
+    AttemptEnded, EngineId, Event, Micros, Outcome, Phase, ProgressReport,
 };
 use std::fmt;
 
@@ -459,7 +459,7 @@
         self.counters.ended[crate::accounting::place(outcome)] += 1;
         let last = self.requests.get(&key.request).is_some_and(|r| r.closed);
         let (query, attempt) = (query(key.request), key.number);
-        let end = Ended {
+        let end = AttemptEnded {
             query,
             attempt,
             outcome,
@@ -469,7 +469,7 @@
             memory_mb,
             report: &report,
         };
-        self.tell(now, Event::Ended(end));
+        self.tell(now, Event::AttemptEnded(end));
         self.drop_if_over(key.request);
     }
 }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -202,7 +202,7 @@
                 return;
             };
             match due {
-                Due::Wake(token) => self.tell(now, Event::Woken(token)),
+                Due::Wake(token) => self.tell(now, Event::TimerFired(token)),
                 Due::Attempt(key) => self.attempt_timed_out(now, key),
                 Due::GivenUp(key) => self.given_up(now, key),
                 Due::Answer(id) => self.answer_is_due(now, id),
--- a/crates/core/src/response.rs
+++ b/crates/core/src/response.rs
@@ -81,7 +81,7 @@
         if self.requests.get(&id).is_some_and(|r| !r.closed) {
             self.counters.overdue += 1;
             self.fail(id);
-            self.tell(now, Event::ClientGone(crate::query(id)));
+            self.tell(now, Event::ClientLeft(crate::query(id)));
         }
     }
 
@@ -116,7 +116,7 @@
             true => self.fail(id),
             false => self.refuse(id, crate::admission::FULL_ADVICE),
         }
-        self.tell(now, Event::ClientGone(crate::query(id)));
+        self.tell(now, Event::ClientLeft(crate::query(id)));
     }
 
     /// Closes a request; false if it was closed before. Whoever closes it gives the one final answer.
--- a/crates/core/src/routing.rs
+++ b/crates/core/src/routing.rs
@@ -3,7 +3,7 @@
 use crate::dispatch::Attempt;
 use crate::{query, AttemptKey, Command, Core, Due, RequestId};
 use driftfront_scheduler::interface::{
-    Action, Ended, EngineId, Event, Micros, Outcome, Phase, QueryId,
+    Action, AttemptEnded, EngineId, Event, Micros, Outcome, Phase, QueryId,
 };
 use std::collections::VecDeque;
 
@@ -19,7 +19,8 @@
                         let mut more = Vec::new();
                         let end = moot(id, number);
                         self.counters.ended[crate::accounting::place(Outcome::Superseded)] += 1;
-                        self.controller.handle(now, Event::Ended(end), &mut more);
+                        self.controller
+                            .handle(now, Event::AttemptEnded(end), &mut more);
                         actions.extend(more);
                     }
                 }
@@ -134,14 +135,14 @@
     pub fn left(&mut self, now: Micros, id: RequestId) {
         if self.close(id) {
             self.counters.left += 1;
-            self.tell(now, Event::ClientGone(query(id)));
+            self.tell(now, Event::ClientLeft(query(id)));
             self.drop_if_over(id);
         }
     }
 }
 
-fn moot(query: QueryId, attempt: u8) -> Ended<'static> {
-    Ended {
+fn moot(query: QueryId, attempt: u8) -> AttemptEnded<'static> {
+    AttemptEnded {
         query,
         attempt,
         outcome: Outcome::Superseded,
--- a/crates/core/src/running.rs
+++ b/crates/core/src/running.rs
@@ -139,7 +139,7 @@
         request.words = Some(words.into());
         if request.out().is_none() {
             self.fail(id);
-            self.tell(now, Event::ClientGone(query(id)));
+            self.tell(now, Event::ClientLeft(query(id)));
         }
         true
     }
--- a/crates/scheduler/src/choice.rs
+++ b/crates/scheduler/src/choice.rs
@@ -119,21 +119,21 @@
             }
         }
         match event {
-            Event::Engines(kind, list) => self.on_list(now, kind, list, act),
+            Event::EnginesListed(kind, list) => self.on_list(now, kind, list, act),
             Event::DiscoveryFailed => {
                 // Asking again at once would feed the overload that made it fail.
                 self.tally.next_ask = Some(now + (SHUT << self.tally.asks_failed.min(4)));
                 self.tally.asks_failed += 1;
             }
-            Event::Arrived(query) => self.on_arrival(now, query, act),
-            Event::Streaming(id, n) => {
+            Event::QueryArrived(query) => self.on_arrival(now, query, act),
+            Event::StreamStarted(id, n) => {
                 act.extend(self.record_stream(now, id, n, self.cfg.may_cancel))
             }
             Event::ProgressReported(id, attempt, note) => self.on_note(now, id, attempt, note),
-            Event::Ended(end) => self.on_end(now, &end, act),
-            Event::ClientGone(id) => self.conclude(now, id, act),
-            Event::Woken(TICK_TOKEN) => self.on_tick(now, act),
-            Event::Woken(token) => self.give_up(now, QueryId(token - 1), act),
+            Event::AttemptEnded(end) => self.on_end(now, &end, act),
+            Event::ClientLeft(id) => self.conclude(now, id, act),
+            Event::TimerFired(TICK_TOKEN) => self.on_tick(now, act),
+            Event::TimerFired(token) => self.give_up(now, QueryId(token - 1), act),
             Event::Probed(id, outcome, report) => self.on_probe(now, id, outcome, report, act),
             Event::Message(from, bytes) => self.on_message(now, from, bytes),
         }
@@ -922,7 +922,7 @@
         self.hears(now, engine);
     }
 
-    fn on_end(&mut self, now: Micros, end: &Ended, act: &mut Actions) {
+    fn on_end(&mut self, now: Micros, end: &AttemptEnded, act: &mut Actions) {
         let (id, outcome) = (end.query, end.outcome);
         let Some(engine) = self.record_end(end) else {
             return;
@@ -992,7 +992,7 @@
     }
 
     /// Learns from an answer: the class's work and memory, the estimates' bias, the engine's pace.
-    fn learn(&mut self, now: Micros, engine: EngineId, end: &Ended) {
+    fn learn(&mut self, now: Micros, engine: EngineId, end: &AttemptEnded) {
         let (threads, q) = (self.class(end.query).threads, self.jobs[&end.query].query);
         let (work, memory, spent) = (end.work, end.memory_mb, end.spent as f64);
         let l = &mut self.learned[usize::from(q.class)];
--- a/crates/scheduler/src/interface.rs
+++ b/crates/scheduler/src/interface.rs
@@ -322,7 +322,7 @@
 
 /// How an attempt ended, and what came with that.
 #[derive(Clone, Copy, Debug)]
-pub struct Ended<'a> {
+pub struct AttemptEnded<'a> {
     /// The query.
     pub query: QueryId,
     /// Number of the attempt.
@@ -345,21 +345,21 @@
 #[derive(Clone, Debug)]
 pub enum Event<'a> {
     /// A list of engines, or changes to it.
-    Engines(ListKind, &'a [ListedEngine]),
+    EnginesListed(ListKind, &'a [ListedEngine]),
     /// Asking discovery failed.
     DiscoveryFailed,
     /// A query was taken.
-    Arrived(Query),
+    QueryArrived(Query),
     /// A stream began: its attempt is the client's now.
-    Streaming(QueryId, u8),
+    StreamStarted(QueryId, u8),
     /// Word on an attempt.
     ProgressReported(QueryId, u8, ProgressReport),
     /// An attempt ended.
-    Ended(Ended<'a>),
+    AttemptEnded(AttemptEnded<'a>),
     /// The client has left.
-    ClientGone(QueryId),
+    ClientLeft(QueryId),
     /// A wake-up asked for.
-    Woken(u64),
+    TimerFired(u64),
     /// A probe's result.
     Probed(EngineId, Outcome, &'a [f64]),
     /// A message of a peer.
--- a/crates/scheduler/src/state.rs
+++ b/crates/scheduler/src/state.rs
@@ -646,7 +646,7 @@
     }
 
     /// Records an attempt's outcome; its engine, unless the outcome is known already.
-    pub(crate) fn record_end(&mut self, end: &Ended) -> Option<EngineId> {
+    pub(crate) fn record_end(&mut self, end: &AttemptEnded) -> Option<EngineId> {
         let job = self.jobs.get_mut(&end.query)?;
         let t = job
             .tries
--- a/crates/scheduler/tests/common/mod.rs
+++ b/crates/scheduler/tests/common/mod.rs
@@ -91,7 +91,7 @@
             now: 100 * S,
             next: 1,
         };
-        rig.event(Event::Engines(ListKind::Cached, engines));
+        rig.event(Event::EnginesListed(ListKind::Cached, engines));
         rig
     }
     pub fn event(&mut self, e: Event) -> Vec<Action> {
@@ -119,10 +119,10 @@
     }
     pub fn arrive(&mut self, class: u16, work: u64, tables: u32) -> (QueryId, Vec<Action>) {
         let q = self.query(class, work, tables);
-        (q.id, self.event(Event::Arrived(q)))
+        (q.id, self.event(Event::QueryArrived(q)))
     }
     pub fn end(&mut self, q: QueryId, attempt: u8, outcome: Outcome, spent: u64) -> Vec<Action> {
-        self.event(Event::Ended(Ended {
+        self.event(Event::AttemptEnded(AttemptEnded {
             query: q,
             attempt,
             outcome,
@@ -141,7 +141,7 @@
         let until = self.now + after;
         while self.now < until {
             self.now += 50 * MS;
-            all.extend(self.event(Event::Woken(0)));
+            all.extend(self.event(Event::TimerFired(0)));
         }
         all
     }
--- a/crates/scheduler/tests/crowd.rs
+++ b/crates/scheduler/tests/crowd.rs
@@ -196,7 +196,7 @@
                 work: None,
                 ..rig.query(0, 0, 3)
             };
-            let (q, act) = (query.id, rig.event(Event::Arrived(query)));
+            let (q, act) = (query.id, rig.event(Event::QueryArrived(query)));
             let mut to = sends(&act)[0].1;
             let mut attempt = 0;
             (bad, all) = (bad + usize::from(to == 1), all + 1);
--- a/crates/scheduler/tests/fleet.rs
+++ b/crates/scheduler/tests/fleet.rs
@@ -26,7 +26,7 @@
             let mut c = Controller::new(settings, u64::from(number) * 77 + 1);
             c.handle(
                 100 * S,
-                Event::Engines(ListKind::Cached, engines),
+                Event::EnginesListed(ListKind::Cached, engines),
                 &mut Vec::new(),
             );
             c
@@ -78,19 +78,19 @@
             pin: None,
             budget: 20 * S,
         };
-        self.give(coordinator, Event::Arrived(q));
+        self.give(coordinator, Event::QueryArrived(q));
     }
     fn tick(&mut self) {
         self.now += 50 * MS;
         for g in 0..self.all.len() {
-            self.give(g, Event::Woken(0));
+            self.give(g, Event::TimerFired(0));
         }
     }
     fn finish(&mut self, n: usize) {
         let (coordinator, query, _, class) = self.out.remove(n);
         let work = Some(if class == 1 { 2e6 } else { 2e5 });
         let (outcome, spent) = (Outcome::Ok, if class == 1 { 500 * MS } else { 200 * MS });
-        let end = Ended {
+        let end = AttemptEnded {
             query,
             attempt: 0,
             outcome,
@@ -100,7 +100,7 @@
             memory_mb: None,
             report: &[0.5],
         };
-        self.give(coordinator, Event::Ended(end));
+        self.give(coordinator, Event::AttemptEnded(end));
     }
 }
 
@@ -167,7 +167,7 @@
     (0..200).for_each(|_| step(&mut f));
     list[4].started_at = Some(f.now);
     for g in 0..f.all.len() {
-        f.give(g, Event::Engines(ListKind::Full, &list));
+        f.give(g, Event::EnginesListed(ListKind::Full, &list));
     }
     let started_at = f.now;
     (0..120).for_each(|_| step(&mut f));
--- a/crates/scheduler/tests/golden.rs
+++ b/crates/scheduler/tests/golden.rs
@@ -34,7 +34,7 @@
     let list: Vec<ListedEngine> = [1, 2, 300, 0xffee_ddcc_bbaa, 0x1_0000_0000_0007]
         .map(listed)
         .to_vec();
-    let event = Event::Engines(ListKind::Cached, &list);
+    let event = Event::EnginesListed(ListKind::Cached, &list);
     controller.handle(100 * S, event, &mut Vec::new());
     controller
 }
@@ -44,7 +44,7 @@
     let mut all = Vec::new();
     for n in 0..25 {
         let mut actions = Vec::new();
-        controller.handle(from + n * 50 * MS, Event::Woken(0), &mut actions);
+        controller.handle(from + n * 50 * MS, Event::TimerFired(0), &mut actions);
         all.extend(actions.into_iter().filter_map(|a| match a {
             Action::Tell(peer, bytes) => Some((peer, bytes)),
             _ => None,
@@ -69,7 +69,7 @@
             budget: 60 * S,
         };
         let now = 100 * S + n * 7 * MS;
-        controller.handle(now, Event::Arrived(query), &mut Vec::new());
+        controller.handle(now, Event::QueryArrived(query), &mut Vec::new());
     }
 }
 
@@ -117,7 +117,7 @@
     let list: Vec<ListedEngine> = (1..=40).map(listed).collect();
     controller.handle(
         100 * S,
-        Event::Engines(ListKind::Full, &list),
+        Event::EnginesListed(ListKind::Full, &list),
         &mut Vec::new(),
     );
     reports(&mut controller, 100 * S);
--- a/crates/scheduler/tests/mechanism.rs
+++ b/crates/scheduler/tests/mechanism.rs
@@ -115,9 +115,9 @@
             driftfront_scheduler::Controller::new(settings(vec![class(60 * S, 1.0, 1.0)]), seed);
         let mut act = Vec::new();
         let list: Vec<ListedEngine> = (1..5).map(listed).collect();
-        c.handle(S, Event::Engines(ListKind::Cached, &list), &mut act);
+        c.handle(S, Event::EnginesListed(ListKind::Cached, &list), &mut act);
         let q = Rig::new(settings(vec![class(S, 1.0, 1.0)]), &[]).query(0, S, 1);
-        c.handle(S, Event::Arrived(q), &mut act);
+        c.handle(S, Event::QueryArrived(q), &mut act);
         seen.extend(sends(&act).iter().map(|s| s.1));
     }
     assert!(seen.len() > 2, "{seen:?}");
@@ -145,10 +145,10 @@
     let mut rig = Rig::new(settings(vec![class(60 * S, 1.0, 1.0)]), &[listed(1)]);
     let mut act = Vec::new();
     let q = rig.query(0, 100 * MS, 1);
-    rig.c.handle(rig.now, Event::Arrived(q), &mut act);
+    rig.c.handle(rig.now, Event::QueryArrived(q), &mut act);
     for _ in 0..60 {
         rig.now += 50 * MS;
-        rig.c.handle(rig.now, Event::Woken(0), &mut act);
+        rig.c.handle(rig.now, Event::TimerFired(0), &mut act);
     }
     assert!(!act.iter().any(|a| matches!(a, Action::Log(_))), "{act:?}");
 }
--- a/crates/scheduler/tests/rules.rs
+++ b/crates/scheduler/tests/rules.rs
@@ -20,7 +20,7 @@
         budget: 2 * MS,
         ..rig.query(0, S, 1)
     };
-    let act = rig.event(Event::Arrived(q));
+    let act = rig.event(Event::QueryArrived(q));
     assert!(refused(&act, q.id));
     assert!(
         rig.end(q.id, 0, Outcome::Ok, S).is_empty(),
@@ -59,7 +59,10 @@
             pin,
             ..rig.query(0, 10 * MS, 1)
         };
-        assert_eq!(sends(&rig.event(Event::Arrived(q))), [(q.id.0, 1 + n % 3)]);
+        assert_eq!(
+            sends(&rig.event(Event::QueryArrived(q))),
+            [(q.id.0, 1 + n % 3)]
+        );
         // Another attempt goes there too, though the engine failed it.
         let again = sends(&rig.end(q.id, 0, Outcome::Unreachable, MS));
         assert!(again.iter().all(|s| s.1 == 1 + n % 3), "{again:?}");
@@ -72,13 +75,13 @@
         phase: Phase::Draining,
         ..listed(1)
     };
-    rig.event(Event::Engines(ListKind::Changes, &[drained]));
+    rig.event(Event::EnginesListed(ListKind::Changes, &[drained]));
     let q = Query {
         pin: only(1),
         ..rig.query(0, 10 * MS, 1)
     };
-    let mut act = rig.event(Event::Arrived(q));
-    act.extend(rig.event(Event::Engines(ListKind::Changes, &[drained])));
+    let mut act = rig.event(Event::QueryArrived(q));
+    act.extend(rig.event(Event::EnginesListed(ListKind::Changes, &[drained])));
     assert!(sends(&act).is_empty() && refused(&act, q.id), "{act:?}");
 }
 
@@ -97,17 +100,17 @@
             pin: home,
             ..rig.query(0, 10 * MS, 1)
         };
-        assert_eq!(sends(&rig.event(Event::Arrived(q))), [(q.id.0, 2)]);
+        assert_eq!(sends(&rig.event(Event::QueryArrived(q))), [(q.id.0, 2)]);
     }
     let q = Query {
         pin: home,
         ..rig.query(0, 10 * MS, 1)
     };
-    rig.event(Event::Arrived(q));
+    rig.event(Event::QueryArrived(q));
     assert!(sends(&rig.end(q.id, 0, Outcome::Unreachable, MS))
         .iter()
         .all(|s| s.1 != 2));
-    rig.event(Event::Engines(
+    rig.event(Event::EnginesListed(
         ListKind::Changes,
         &[ListedEngine {
             phase: Phase::Draining,
@@ -118,7 +121,7 @@
         pin: home,
         ..rig.query(0, 10 * MS, 1)
     };
-    let sent = sends(&rig.event(Event::Arrived(q)));
+    let sent = sends(&rig.event(Event::QueryArrived(q)));
     assert!(sent.len() == 1 && sent[0].1 != 2);
 }
 
@@ -182,7 +185,7 @@
             tenant: u32::MAX,
             ..rig.query(0, 10 * MS, 1)
         };
-        assert!(refused(&rig.event(Event::Arrived(q)), q.id));
+        assert!(refused(&rig.event(Event::QueryArrived(q)), q.id));
     }
     let (q, act) = rig.arrive(0, 10 * MS, 1);
     assert!(!refused(&act, q));
@@ -193,7 +196,7 @@
         tenant: u32::MAX,
         ..rig.query(0, 10 * MS, 1)
     };
-    assert!(!refused(&rig.event(Event::Arrived(q)), q.id));
+    assert!(!refused(&rig.event(Event::QueryArrived(q)), q.id));
 }
 
 #[test]
@@ -215,7 +218,7 @@
             idempotent_until: None,
             ..rig.query(0, S, 1)
         };
-        assert_eq!(sends(&rig.event(Event::Arrived(q))).len(), 1);
+        assert_eq!(sends(&rig.event(Event::QueryArrived(q))).len(), 1);
         rig.c.handle(
             rig.now,
             Event::ProgressReported(q.id, 0, ProgressReport::Progress(0.1)),
@@ -233,7 +236,7 @@
             ..rig.query(0, S, 2)
         };
         if idempotent_until.is_some() {
-            assert!(sends(&rig.event(Event::Arrived(late))).is_empty());
+            assert!(sends(&rig.event(Event::QueryArrived(late))).is_empty());
             assert!(refused(&rig.tick(50 * MS), late.id));
         }
     }
@@ -281,7 +284,7 @@
     // All on the connection end at once: one failure, and one probe.
     let mut act = Vec::new();
     for q in &all {
-        act.extend(rig.event(Event::Ended(Ended {
+        act.extend(rig.event(Event::AttemptEnded(AttemptEnded {
             query: *q,
             attempt: 0,
             outcome: Outcome::Reset,
@@ -323,7 +326,7 @@
     for seed in 0..6u64 {
         let mut rig = Rig::new(s.clone(), &list);
         rig.c = driftfront_scheduler::Controller::new(s.clone(), seed);
-        rig.event(Event::Engines(ListKind::Cached, &list));
+        rig.event(Event::EnginesListed(ListKind::Cached, &list));
         let (q, act) = rig.arrive(0, S, 1);
         let first = sends(&act)[0].1;
         let again = sends(&rig.end(q, 0, Outcome::Reset, S));
@@ -346,7 +349,7 @@
     for _ in 0..4 {
         rig.arrive(0, 4 * S, 1);
     }
-    let act = rig.event(Event::Engines(
+    let act = rig.event(Event::EnginesListed(
         ListKind::Changes,
         &[
             ListedEngine {
@@ -378,7 +381,7 @@
         rig.end(QueryId(n), 0, Outcome::Ok, 100 * MS);
     }
     let now = rig.now;
-    rig.event(Event::Engines(
+    rig.event(Event::EnginesListed(
         ListKind::Changes,
         &[ListedEngine {
             started_at: Some(now),
@@ -411,7 +414,7 @@
             key: Some(4),
             ..rig.query(0, S, 1)
         };
-        (q.id, rig.event(Event::Arrived(q)))
+        (q.id, rig.event(Event::QueryArrived(q)))
     };
     let (a, act) = keyed(&mut rig);
     assert_eq!(sends(&act).len(), 1);
@@ -486,12 +489,12 @@
     (s.poll_discovery, s.poll_timeout) = (true, Some(10 * S));
     let mut c = driftfront_scheduler::Controller::new(s, 1);
     let mut act = Vec::new();
-    c.handle(0, Event::Engines(ListKind::Cached, &[]), &mut act);
+    c.handle(0, Event::EnginesListed(ListKind::Cached, &[]), &mut act);
     assert!(act.contains(&Action::Subscribe));
     act.clear();
     c.handle(S, Event::DiscoveryFailed, &mut act);
     assert!(act.is_empty(), "not at once");
-    c.handle(2 * S, Event::Woken(0), &mut act);
+    c.handle(2 * S, Event::TimerFired(0), &mut act);
     assert!(act.contains(&Action::Subscribe));
 }
 
@@ -499,9 +502,9 @@
 fn a_stream_is_neither_cut_nor_ended_by_the_deadline() {
     let mut rig = Rig::new(settings(vec![class(S, 1.0, 1.0)]), &[listed(1), listed(2)]);
     let (q, _) = rig.arrive(0, 100 * MS, 1);
-    rig.event(Event::Streaming(q, 0));
+    rig.event(Event::StreamStarted(q, 0));
     let mut act = rig.tick(70 * S);
-    act.extend(rig.event(Event::Woken(q.0 + 1)));
+    act.extend(rig.event(Event::TimerFired(q.0 + 1)));
     assert!(act.is_empty(), "{act:?}");
 }
 
@@ -586,7 +589,7 @@
         while let Some(&(at, token)) = self.wakes.first().filter(|w| w.0 <= until) {
             self.wakes.remove(&(at, token));
             self.rig.now = self.rig.now.max(at);
-            self.event(Event::Woken(token));
+            self.event(Event::TimerFired(token));
         }
         self.rig.now = until;
         match self.random(12) {
@@ -602,7 +605,7 @@
                 };
                 self.open.insert(q.id, (q, self.rig.now + budget));
                 self.tries.insert(q.id, Vec::new());
-                self.event(Event::Arrived(q));
+                self.event(Event::QueryArrived(q));
             }
             4..=9 => {
                 let out: Vec<(QueryId, u8)> = self
@@ -639,7 +642,7 @@
                 let (work, memory_mb) = (None, None);
                 let report = [f64::NAN, self.random(9) as f64];
                 let report = &report[self.random(2) as usize..];
-                let end = Ended {
+                let end = AttemptEnded {
                     query: q,
                     attempt: n,
                     outcome,
@@ -649,7 +652,7 @@
                     memory_mb,
                     report,
                 };
-                self.event(Event::Ended(end));
+                self.event(Event::AttemptEnded(end));
             }
             10 if self.random(12) == 0 => {
                 let e = 1 + self.random(6);
@@ -666,17 +669,17 @@
                     kind: (e % 2) as u16,
                     ..line
                 };
-                self.event(Event::Engines(ListKind::Changes, &[line]));
+                self.event(Event::EnginesListed(ListKind::Changes, &[line]));
             }
             _ => {
                 let open: Vec<QueryId> = self.open.keys().copied().collect();
                 let unknown = QueryId(1 << 40);
-                self.event(Event::ClientGone(unknown));
+                self.event(Event::ClientLeft(unknown));
                 if self.random(8) == 0 && !open.is_empty() {
                     let q = open[self.random(open.len() as u64) as usize];
                     self.open.remove(&q);
                     self.answered.insert(q);
-                    self.event(Event::ClientGone(q));
+                    self.event(Event::ClientLeft(q));
                 }
             }
         }
@@ -712,7 +715,7 @@
         served: 0,
     };
     w.rig.c = driftfront_scheduler::Controller::new(s, seed);
-    w.event(Event::Engines(ListKind::Cached, &list));
+    w.event(Event::EnginesListed(ListKind::Cached, &list));
     w
 }
 
@@ -729,7 +732,7 @@
         while let Some(&(at, token)) = w.wakes.first().filter(|x| x.0 <= last) {
             w.wakes.remove(&(at, token));
             w.rig.now = w.rig.now.max(at);
-            w.event(Event::Woken(token));
+            w.event(Event::TimerFired(token));
         }
         assert!(w.open.is_empty(), "unanswered: {:?}", w.open.keys());
     }
--- a/crates/scheduler/tests/slow_start.rs
+++ b/crates/scheduler/tests/slow_start.rs
@@ -38,7 +38,7 @@
     let mut rig = Rig::new(rig_settings(), &[]);
     rig.c = controller;
     rig.now += 2 * HOUR;
-    rig.event(Event::Engines(ListKind::Cached, &[listed(1)]));
+    rig.event(Event::EnginesListed(ListKind::Cached, &[listed(1)]));
     for n in 1..=6 {
         rig.arrive(0, WORK, 1);
         rig.end(QueryId(n), 0, Outcome::Ok, WORK);
@@ -69,7 +69,7 @@
 }
 
 fn told(rig: &mut Rig, started_at: u64) {
-    rig.event(Event::Engines(
+    rig.event(Event::EnginesListed(
         ListKind::Changes,
         &[ListedEngine {
             started_at: Some(started_at),
--- a/crates/scheduler/tests/transcript.rs
+++ b/crates/scheduler/tests/transcript.rs
@@ -388,7 +388,7 @@
         let served = outcome == Outcome::Ok;
         let work = (served && self.dice.chance(60)).then_some(true_work);
         let memory_mb = (served && self.dice.chance(50)).then_some(true_work / 4_000.0);
-        let ended = Ended {
+        let ended = AttemptEnded {
             query: QueryId(q),
             attempt,
             outcome,
@@ -399,7 +399,7 @@
             report: &report,
         };
         let what = format!("{q}.{attempt} {}", outcome_word(outcome));
-        self.tell(g, &what, Event::Ended(ended));
+        self.tell(g, &what, Event::AttemptEnded(ended));
     }
 
     fn list(&self) -> Vec<ListedEngine> {
@@ -409,7 +409,7 @@
     fn happen(&mut self, what: What) {
         match what {
             What::Arrival(g) => self.arrive(g),
-            What::Wake(g, token) => self.tell(g, "woken", Event::Woken(token)),
+            What::Wake(g, token) => self.tell(g, "woken", Event::TimerFired(token)),
             What::FirstByte(g, q, attempt, timeout) => {
                 let is_out = |s: &SimQuery| s.attempts[usize::from(attempt)].2;
                 if !self.queries.get(&(g, q)).is_some_and(is_out) {
@@ -440,7 +440,7 @@
             What::Stream(g, q, attempt) => {
                 let is_open = |s: &SimQuery| s.attempts[usize::from(attempt)].2 && !s.concluded;
                 if self.queries.get(&(g, q)).is_some_and(is_open) {
-                    self.tell(g, "stream", Event::Streaming(QueryId(q), attempt));
+                    self.tell(g, "stream", Event::StreamStarted(QueryId(q), attempt));
                 }
             }
             What::ProbeEnd(g, engine) => {
@@ -468,7 +468,7 @@
             }
             What::List(g, kind) => {
                 let list = self.list();
-                self.tell(g, "list", Event::Engines(kind, &list));
+                self.tell(g, "list", Event::EnginesListed(kind, &list));
             }
             What::NoList(g) => self.tell(g, "no list", Event::DiscoveryFailed),
             What::Change(engine) => {
@@ -480,14 +480,18 @@
                     },
                 };
                 for g in 0..self.coordinators.len() {
-                    self.tell(g, "change", Event::Engines(ListKind::Changes, &[line]));
+                    self.tell(
+                        g,
+                        "change",
+                        Event::EnginesListed(ListKind::Changes, &[line]),
+                    );
                 }
             }
             What::ClientLeaves(g, q) => {
                 let open = self.queries.get_mut(&(g, q)).filter(|s| !s.concluded);
                 if let Some(query) = open {
                     query.concluded = true;
-                    self.tell(g, "client left", Event::ClientGone(QueryId(q)));
+                    self.tell(g, "client left", Event::ClientLeft(QueryId(q)));
                 }
             }
             What::Trouble => self.trouble(),
@@ -604,7 +608,7 @@
             concluded: false,
         };
         self.queries.insert((g, id), sim);
-        self.tell(g, &format!("arrival {id}"), Event::Arrived(query));
+        self.tell(g, &format!("arrival {id}"), Event::QueryArrived(query));
     }
 }
 
--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -3,8 +3,8 @@
 #![forbid(unsafe_code)]
 
 use driftfront_scheduler::interface::{
-    Action, Ended, EngineId, Event, ListKind, ListedEngine, Outcome, Phase, ProgressReport, Query,
-    QueryId,
+    Action, AttemptEnded, EngineId, Event, ListKind, ListedEngine, Outcome, Phase, ProgressReport,
+    Query, QueryId,
 };
 use driftfront_scheduler::Controller;
 use std::collections::BTreeMap;
@@ -198,7 +198,7 @@
                     .get(&number)
                     .cloned()
                     .ok_or("topology without its catalog")?;
-                Event::Engines(kind, &list)
+                Event::EnginesListed(kind, &list)
             }
             2 => {
                 let id = QueryId(f.uint(8)?);
@@ -210,7 +210,7 @@
                 let tables = positive(f.f32()?).unwrap_or(0.0) as u32;
                 let key = Some(f.uint(8)?).filter(|&k| k != 0);
                 let budget = f.uint(4)?;
-                Event::Arrived(Query {
+                Event::QueryArrived(Query {
                     id,
                     class,
                     tenant,
@@ -224,7 +224,7 @@
                     budget,
                 })
             }
-            3 => Event::Streaming(QueryId(f.uint(8)?), f.u8()?),
+            3 => Event::StreamStarted(QueryId(f.uint(8)?), f.u8()?),
             4 => {
                 let query = QueryId(f.uint(8)?);
                 let outcome = outcome(f.u16()?)?;
@@ -234,7 +234,7 @@
                 f.engine()?;
                 let spent = f.uint(4)?;
                 report = f.report()?;
-                Event::Ended(Ended {
+                Event::AttemptEnded(AttemptEnded {
                     query,
                     attempt,
                     outcome,
@@ -245,8 +245,8 @@
                     report: &report,
                 })
             }
-            5 => Event::ClientGone(QueryId(f.uint(8)?)),
-            6 => Event::Woken(f.uint(8)?),
+            5 => Event::ClientLeft(QueryId(f.uint(8)?)),
+            6 => Event::TimerFired(f.uint(8)?),
             7 => {
                 let engine = f.engine()?;
                 let outcome = outcome(f.u16()?)?;
