--- a/crates/coordinator/src/backends/clickhouse.rs
+++ b/crates/coordinator/src/backends/clickhouse.rs
@@ -262,7 +262,7 @@
             Out::Query(key) => self.answer.end(key, false, seen),
             Out::Probe(tag) => {
                 let fine = !self.answer.is_error();
-                seen.push(Seen::Probed(
+                seen.push(Seen::ProbeEnded(
                     tag,
                     if fine { Outcome::Ok } else { Outcome::Error },
                     Vec::new(),
--- a/crates/coordinator/src/backends/engine_protocol.rs
+++ b/crates/coordinator/src/backends/engine_protocol.rs
@@ -192,7 +192,11 @@
                     } else {
                         Outcome::Error
                     };
-                    seen.push(Seen::Probed(self.probes.swap_remove(n), outcome, report));
+                    seen.push(Seen::ProbeEnded(
+                        self.probes.swap_remove(n),
+                        outcome,
+                        report,
+                    ));
                 }
                 return Ok(());
             }
--- a/crates/coordinator/src/backends/mod.rs
+++ b/crates/coordinator/src/backends/mod.rs
@@ -23,7 +23,7 @@
     /// The attempt ended without serving.
     Failed(AttemptKey, Cause),
     /// A probe's result.
-    Probed(u64, Outcome, Vec<f64>),
+    ProbeEnded(u64, Outcome, Vec<f64>),
 }
 
 /// An attempt to be written.
--- a/crates/coordinator/src/node/engines/traffic.rs
+++ b/crates/coordinator/src/node/engines/traffic.rs
@@ -363,8 +363,10 @@
                     self.core.served(now, key);
                 }
                 Seen::Failed(key, cause) => self.attempt_failed(now, key, cause),
-                Seen::Probed(CHECK_TAG, ..) => {}
-                Seen::Probed(tag, outcome, report) => self.core.probed(now, tag, outcome, &report),
+                Seen::ProbeEnded(CHECK_TAG, ..) => {}
+                Seen::ProbeEnded(tag, outcome, report) => {
+                    self.core.probed(now, tag, outcome, &report)
+                }
             }
         }
         self.carry_out();
--- a/crates/coordinator/tests/wires.rs
+++ b/crates/coordinator/tests/wires.rs
@@ -246,7 +246,11 @@
                 Step::Pong if !probes.is_empty() => {
                     let tag = probes.remove(0);
                     text = format!("p{tag} PONG gauges=inflight:7;queue:1 0\r\n\r\n");
-                    want.push(Seen::Probed(tag, driftfront_core::Outcome::Ok, vec![7.0]));
+                    want.push(Seen::ProbeEnded(
+                        tag,
+                        driftfront_core::Outcome::Ok,
+                        vec![7.0],
+                    ));
                 }
                 Step::Probe | Step::Pong => {}
                 Step::Nonsense => {
--- a/crates/core/src/routing.rs
+++ b/crates/core/src/routing.rs
@@ -118,7 +118,7 @@
     pub fn probed(&mut self, now: Micros, tag: u64, outcome: Outcome, report: &[f64]) {
         if let Some(engine) = self.probes.remove(&tag) {
             self.counters.probes_answered += u64::from(outcome == Outcome::Ok);
-            self.tell(now, Event::Probed(engine, outcome, report));
+            self.tell(now, Event::ProbeEnded(engine, outcome, report));
         }
     }
 
@@ -127,7 +127,7 @@
     pub fn doubted(&mut self, now: Micros, engine: EngineId) {
         if self.phase(engine) == Some(Phase::Ready) {
             self.counters.doubted += 1;
-            self.tell(now, Event::Probed(engine, Outcome::Reset, &[]));
+            self.tell(now, Event::ProbeEnded(engine, Outcome::Reset, &[]));
         }
     }
 
--- a/crates/core/tests/model.rs
+++ b/crates/core/tests/model.rs
@@ -57,7 +57,7 @@
     Release {
         pick: u8,
     },
-    Probed {
+    ProbeEnded {
         fine: bool,
     },
 }
@@ -96,7 +96,7 @@
             13 => Step::Draw { pick },
             14 => Step::CallOff { pick },
             15 => Step::Release { pick },
-            _ => Step::Probed {
+            _ => Step::ProbeEnded {
                 fine: bool::arbitrary(g),
             },
         }
@@ -351,7 +351,7 @@
                     self.core.release(self.now, id);
                 }
             }
-            Step::Probed { fine } => {
+            Step::ProbeEnded { fine } => {
                 if let Some(tag) = self.probes.pop() {
                     let outcome = if fine {
                         driftfront_core::Outcome::Ok
--- a/crates/scheduler/src/choice.rs
+++ b/crates/scheduler/src/choice.rs
@@ -134,8 +134,8 @@
             Event::ClientLeft(id) => self.conclude(now, id, act),
             Event::TimerFired(TICK_TOKEN) => self.on_tick(now, act),
             Event::TimerFired(token) => self.give_up(now, QueryId(token - 1), act),
-            Event::Probed(id, outcome, report) => self.on_probe(now, id, outcome, report, act),
-            Event::Message(from, bytes) => self.on_message(now, from, bytes),
+            Event::ProbeEnded(id, outcome, report) => self.on_probe(now, id, outcome, report, act),
+            Event::GossipReceived(from, bytes) => self.on_message(now, from, bytes),
         }
     }
 
--- a/crates/scheduler/src/interface.rs
+++ b/crates/scheduler/src/interface.rs
@@ -361,9 +361,9 @@
     /// A wake-up asked for.
     TimerFired(u64),
     /// A probe's result.
-    Probed(EngineId, Outcome, &'a [f64]),
+    ProbeEnded(EngineId, Outcome, &'a [f64]),
     /// A message of a peer.
-    Message(u32, &'a [u8]),
+    GossipReceived(u32, &'a [u8]),
 }
 
 /// What the controller asks for.
--- a/crates/scheduler/tests/common/mod.rs
+++ b/crates/scheduler/tests/common/mod.rs
@@ -134,7 +134,7 @@
         }))
     }
     pub fn report(&mut self, e: u64, values: &[f64]) {
-        self.event(Event::Probed(EngineId(e), Outcome::Ok, values));
+        self.event(Event::ProbeEnded(EngineId(e), Outcome::Ok, values));
     }
     pub fn tick(&mut self, after: u64) -> Vec<Action> {
         let mut all = Vec::new();
--- a/crates/scheduler/tests/crowd.rs
+++ b/crates/scheduler/tests/crowd.rs
@@ -155,7 +155,7 @@
         (3..=5).contains(&asked.len()) && asked.iter().all(|e| e % 2 == 1),
         "{asked:?}"
     );
-    rig.event(Event::Probed(EngineId(asked[0]), Outcome::Ok, &[0.1]));
+    rig.event(Event::ProbeEnded(EngineId(asked[0]), Outcome::Ok, &[0.1]));
     assert!((0..60).any(|_| ask(&mut rig, false) % 2 == 1));
     assert_eq!(lost.len(), 2, "{lost:?}");
 }
@@ -171,7 +171,7 @@
         &list,
     );
     assert_eq!(
-        probes(&rig.event(Event::Probed(EngineId(1), Outcome::Reset, &[]))),
+        probes(&rig.event(Event::ProbeEnded(EngineId(1), Outcome::Reset, &[]))),
         [1]
     );
     let ask = |rig: &mut Rig| {
@@ -180,7 +180,7 @@
         sends(&act)[0].1
     };
     assert!((0..20).all(|_| ask(&mut rig) == 2));
-    rig.event(Event::Probed(EngineId(1), Outcome::Ok, &[0.1]));
+    rig.event(Event::ProbeEnded(EngineId(1), Outcome::Ok, &[0.1]));
     assert!((0..20).any(|_| ask(&mut rig) == 1));
 }
 
@@ -377,7 +377,7 @@
         if answered {
             for (n, &e) in asked.iter().enumerate() {
                 let busy = if n + 1 == asked.len() { 0.1 } else { 0.9 };
-                act = rig.event(Event::Probed(EngineId(e), Outcome::Ok, &[busy]));
+                act = rig.event(Event::ProbeEnded(EngineId(e), Outcome::Ok, &[busy]));
             }
             assert_eq!(sends(&act), [(q.0, asked[asked.len() - 1])]);
         } else {
--- a/crates/scheduler/tests/golden.rs
+++ b/crates/scheduler/tests/golden.rs
@@ -82,12 +82,12 @@
             [f64::NAN, -1.0, 7.0, 0.0, 0.0, 0.0, f64::INFINITY, 0.0, 0.0],
         ),
     ] {
-        let event = Event::Probed(EngineId(engine), Outcome::Ok, &values);
+        let event = Event::ProbeEnded(EngineId(engine), Outcome::Ok, &values);
         controller.handle(at, event, &mut Vec::new());
     }
     let mut few = [0.0; 9];
     few[0] = 2.0;
-    let event = Event::Probed(EngineId(0xffee_ddcc_bbaa), Outcome::Ok, &few[..2]);
+    let event = Event::ProbeEnded(EngineId(0xffee_ddcc_bbaa), Outcome::Ok, &few[..2]);
     controller.handle(at - 3 * S, event, &mut Vec::new());
 }
 
@@ -132,7 +132,7 @@
     let mut reader = sender(14, &ALL_FIELDS, 2, 6);
     work(&mut reader);
     let bytes = read_golden!("message_all_fields.bin");
-    reader.handle(101 * S, Event::Message(0, &bytes), &mut Vec::new());
+    reader.handle(101 * S, Event::GossipReceived(0, &bytes), &mut Vec::new());
     assert_golden!(
         "message_passed_on.bin",
         first(&messages(&mut reader, 101 * S))
@@ -152,7 +152,7 @@
         let mut reader = sender(14, &ALL_FIELDS, 2, 6);
         work(&mut reader);
         if let Some(bytes) = bytes {
-            reader.handle(101 * S, Event::Message(0, bytes), &mut Vec::new());
+            reader.handle(101 * S, Event::GossipReceived(0, bytes), &mut Vec::new());
         }
         messages(&mut reader, 101 * S)
     };
@@ -189,7 +189,7 @@
         // Twice, as one error may be the query's own.
         for n in 0..2 {
             let now = 110 * S + n * S;
-            let event = Event::Probed(EngineId(300), outcome, &[]);
+            let event = Event::ProbeEnded(EngineId(300), outcome, &[]);
             controller.handle(now, event, &mut actions);
         }
         for action in actions {
--- a/crates/scheduler/tests/transcript.rs
+++ b/crates/scheduler/tests/transcript.rs
@@ -54,7 +54,7 @@
     ProgressReport(usize, u64, u8, ProgressReport),
     Stream(usize, u64, u8),
     ProbeEnd(usize, u64),
-    Message(usize, usize, Vec<u8>),
+    GossipReceived(usize, usize, Vec<u8>),
     List(usize, ListKind),
     NoList(usize),
     Change(u64),
@@ -266,7 +266,7 @@
             Action::Tell(peer, bytes) => {
                 if (peer as usize) < self.coordinators.len() && !self.dice.chance(10) {
                     let after = MS + self.dice.below(30 * MS);
-                    self.at(after, What::Message(peer as usize, g, bytes));
+                    self.at(after, What::GossipReceived(peer as usize, g, bytes));
                 }
             }
             Action::Subscribe => {
@@ -458,13 +458,17 @@
                     },
                 };
                 let what = format!("probe {engine} {}", outcome_word(outcome));
-                self.tell(g, &what, Event::Probed(EngineId(engine), outcome, &report));
+                self.tell(
+                    g,
+                    &what,
+                    Event::ProbeEnded(EngineId(engine), outcome, &report),
+                );
             }
-            What::Message(to, from, mut bytes) => {
+            What::GossipReceived(to, from, mut bytes) => {
                 if self.dice.chance(2) {
                     bytes.truncate(self.dice.below(bytes.len() as u64) as usize);
                 }
-                self.tell(to, "message", Event::Message(from as u32, &bytes));
+                self.tell(to, "message", Event::GossipReceived(from as u32, &bytes));
             }
             What::List(g, kind) => {
                 let list = self.list();
--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -252,12 +252,12 @@
                 let outcome = outcome(f.u16()?)?;
                 f.uint(4)?;
                 report = f.report()?;
-                Event::Probed(engine, outcome, &report)
+                Event::ProbeEnded(engine, outcome, &report)
             }
             8 => {
                 let from = u32::from(f.u16()?);
                 let n = f.uint(2)? as usize;
-                Event::Message(from, f.bytes(n)?)
+                Event::GossipReceived(from, f.bytes(n)?)
             }
             10 => {
                 let query = QueryId(f.uint(8)?);
