--- a/crates/coordinator/src/node/mod.rs
+++ b/crates/coordinator/src/node/mod.rs
@@ -423,16 +423,16 @@
         while let Some(command) = self.core.command() {
             let now = self.now;
             match command {
-                Command::Send(key, engine) => {
+                Command::StartAttempt(key, engine) => {
                     self.log_retry(now, key, engine);
                     self.send(now, key, engine, 0);
                 }
-                Command::Abandon(key, engine) => self.abandon(now, key, engine),
+                Command::AbandonAttempt(key, engine) => self.abandon(now, key, engine),
                 Command::Probe(engine, tag) => self.probe(now, engine, tag),
-                Command::Forget(engine) => self.forget(now, engine),
+                Command::ForgetEngine(engine) => self.forget(now, engine),
                 Command::Log(line) => tracing::info!("{line}"),
-                Command::Over(ticket, fate) => self.front.over(now, ticket, fate),
-                Command::Relay(id, piece) => self.answer(now, id, false, |w, out| {
+                Command::Settled(ticket, fate) => self.front.over(now, ticket, fate),
+                Command::ForwardChunk(id, piece) => self.answer(now, id, false, |w, out| {
                     w.piece(&piece, out);
                     After::Open
                 }),
@@ -440,7 +440,7 @@
                     self.count_end(now, id, End::Served);
                     self.answer(now, id, true, |w, out| w.finish(out));
                 }
-                Command::Refuse(id, after, words) => {
+                Command::Reject(id, after, words) => {
                     self.count_end(now, id, End::Refused);
                     self.answer(now, id, true, |w, out| {
                         w.refuse(after, words.as_deref(), out);
@@ -454,7 +454,7 @@
                         After::Open
                     });
                 }
-                Command::Break(id, words) => {
+                Command::Abort(id, words) => {
                     self.count_end(now, id, End::Failed);
                     self.answer(now, id, true, |w, out| w.cut(words.as_deref(), out));
                 }
--- a/crates/core/src/accounting.rs
+++ b/crates/core/src/accounting.rs
@@ -130,7 +130,7 @@
         for engine in gone {
             self.phases.remove(&engine);
             self.unheard.forget(engine);
-            self.commands.push_back(Command::Forget(engine));
+            self.commands.push_back(Command::ForgetEngine(engine));
         }
     }
 
--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -423,7 +423,8 @@
         if until > now || ending {
             return;
         }
-        self.commands.push_back(Command::Abandon(key, engine));
+        self.commands
+            .push_back(Command::AbandonAttempt(key, engine));
         self.attempt_failed(now, key, Cause::TimedOut);
     }
 
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -79,25 +79,25 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
     /// Bring an attempt to an engine; ask [`Core::may_write`] before its first byte.
-    Send(AttemptKey, EngineId),
+    StartAttempt(AttemptKey, EngineId),
     /// Stop waiting for an attempt.
-    Abandon(AttemptKey, EngineId),
+    AbandonAttempt(AttemptKey, EngineId),
     /// Probe an engine under this tag.
     Probe(EngineId, u64),
     /// Final answer: refused; the client should stay away for this long. The last engine's words, if it erred.
-    Refuse(RequestId, Micros, Option<Rc<str>>),
+    Reject(RequestId, Micros, Option<Rc<str>>),
     /// Final answer: failed, with the engine's words if there were any.
     Fail(RequestId, Option<Rc<str>>),
     /// Pass a piece of the answer on.
-    Relay(RequestId, ResponseChunk),
+    ForwardChunk(RequestId, ResponseChunk),
     /// Final answer: served; all pieces have been passed on.
     Finish(RequestId),
     /// Final answer: an answer begun cannot be finished; the client must see that.
-    Break(RequestId, Option<Rc<str>>),
+    Abort(RequestId, Option<Rc<str>>),
     /// Nothing of the request under this ticket of the front's is out any more.
-    Over(u64, Fate),
+    Settled(u64, Fate),
     /// The engine is gone: its idle connections may close.
-    Forget(EngineId),
+    ForgetEngine(EngineId),
     /// A line for the operators.
     Log(String),
 }
@@ -105,7 +105,7 @@
 /// What a timer is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Due {
-    Wake(u64),
+    SetTimer(u64),
     Attempt(AttemptKey),
     GivenUp(AttemptKey),
     Answer(RequestId),
@@ -202,7 +202,7 @@
                 return;
             };
             match due {
-                Due::Wake(token) => self.tell(now, Event::TimerFired(token)),
+                Due::SetTimer(token) => self.tell(now, Event::TimerFired(token)),
                 Due::Attempt(key) => self.attempt_timed_out(now, key),
                 Due::GivenUp(key) => self.given_up(now, key),
                 Due::Answer(id) => self.answer_is_due(now, id),
--- a/crates/core/src/lost_attempts.rs
+++ b/crates/core/src/lost_attempts.rs
@@ -83,7 +83,8 @@
         let lost: Vec<(AttemptKey, EngineId)> = self.requests.iter().filter_map(lost).collect();
         for (key, engine) in lost {
             self.counters.unheard += 1;
-            self.commands.push_back(Command::Abandon(key, engine));
+            self.commands
+                .push_back(Command::AbandonAttempt(key, engine));
             self.attempt_failed(now, key, crate::Cause::TimedOut);
         }
     }
--- a/crates/core/src/response.rs
+++ b/crates/core/src/response.rs
@@ -17,7 +17,8 @@
             .is_some_and(|a| a.outcome.is_none())
         {
             request.relaying = Some(key.number);
-            self.commands.push_back(Command::Relay(key.request, piece));
+            self.commands
+                .push_back(Command::ForwardChunk(key.request, piece));
         }
     }
 
@@ -43,7 +44,7 @@
         let advice = self.advice_most.map_or(0, |most| advice.min(most));
         if self.close(id) {
             self.counters.refused += 1;
-            self.commands.push_back(Command::Refuse(id, advice, words));
+            self.commands.push_back(Command::Reject(id, advice, words));
         }
         self.drop_if_over(id);
     }
@@ -69,7 +70,7 @@
             };
             *count += 1;
             self.commands.push_back(match begun {
-                true => Command::Break(id, words),
+                true => Command::Abort(id, words),
                 false => Command::Fail(id, words),
             });
         }
@@ -146,10 +147,10 @@
         if request.ask.ticket != 0 {
             // Before its own answer: the client's next request, which that lets come, may need what this one held.
             let answer = |c: &Command| match c {
-                Command::Refuse(x, ..)
+                Command::Reject(x, ..)
                 | Command::Fail(x, _)
                 | Command::Finish(x)
-                | Command::Break(x, _) => *x == id,
+                | Command::Abort(x, _) => *x == id,
                 _ => false,
             };
             let at = self
@@ -158,7 +159,7 @@
                 .position(answer)
                 .unwrap_or(self.commands.len());
             self.commands
-                .insert(at, Command::Over(request.ask.ticket, request.fate()));
+                .insert(at, Command::Settled(request.ask.ticket, request.fate()));
         }
     }
 }
--- a/crates/core/src/routing.rs
+++ b/crates/core/src/routing.rs
@@ -13,7 +13,7 @@
         let mut called_off = Vec::new();
         while let Some(action) = actions.pop_front() {
             match action {
-                Action::Send(id, engine, patience) => {
+                Action::StartAttempt(id, engine, patience) => {
                     if let Some(number) = self.attempt(now, RequestId(id.0), engine, patience) {
                         // The module counts a send that was never made, so it must hear of its end.
                         let mut more = Vec::new();
@@ -24,25 +24,25 @@
                         actions.extend(more);
                     }
                 }
-                Action::Refuse(id, advice) => self.refuse(RequestId(id.0), advice),
+                Action::Reject(id, advice) => self.refuse(RequestId(id.0), advice),
                 Action::Fail(id) => self.fail(RequestId(id.0)),
-                Action::Wake(after, token) => {
-                    self.set_timer(now.saturating_add(after), Due::Wake(token))
+                Action::SetTimer(after, token) => {
+                    self.set_timer(now.saturating_add(after), Due::SetTimer(token))
                 }
                 Action::Probe(engine) => self.probe(now, engine),
                 Action::Log(line) => self.commands.push_back(Command::Log(line)),
-                Action::Terms(id, grant_mb, _) => {
+                Action::SetResources(id, grant_mb, _) => {
                     // Priorities have no word on any wire here.
                     if let Some(request) = self.requests.get_mut(&RequestId(id.0)) {
                         request.grant_mb = grant_mb;
                     }
                 }
-                Action::Cancel(id, number) => called_off.push(AttemptKey {
+                Action::CancelAttempt(id, number) => called_off.push(AttemptKey {
                     request: RequestId(id.0),
                     number,
                 }),
                 // Coordinators share nothing, and lists are pushed: the settings keep the module from asking.
-                Action::Tell(..) | Action::Subscribe => {}
+                Action::SendGossip(..) | Action::WatchEngines => {}
             }
         }
         // The module hears of their ends as of an event of its own, after all that it asked for at once.
@@ -69,7 +69,8 @@
             return;
         }
         self.counters.stopped += 1;
-        self.commands.push_back(Command::Abandon(key, engine));
+        self.commands
+            .push_back(Command::AbandonAttempt(key, engine));
         self.attempt_failed(now, key, crate::Cause::CancelledByScheduler);
     }
 
@@ -102,7 +103,7 @@
             number,
         };
         self.set_timer(until, Due::Attempt(key));
-        self.commands.push_back(Command::Send(key, engine));
+        self.commands.push_back(Command::StartAttempt(key, engine));
         None
     }
 
--- a/crates/core/src/running.rs
+++ b/crates/core/src/running.rs
@@ -157,7 +157,8 @@
         attempt.released = true;
         let engine = attempt.engine;
         self.counters.released += 1;
-        self.commands.push_back(Command::Abandon(key, engine));
+        self.commands
+            .push_back(Command::AbandonAttempt(key, engine));
         self.attempt_failed(now, key, Cause::Released);
     }
 
--- a/crates/core/tests/golden.rs
+++ b/crates/core/tests/golden.rs
@@ -33,20 +33,20 @@
 /// A kind and the whole command in fixed words.
 fn in_words(command: &Command) -> (&'static str, String) {
     match command {
-        Command::Send(key, engine) => (
+        Command::StartAttempt(key, engine) => (
             "send",
             format!("{}.{} to {}", key.request.0, key.number, engine.0),
         ),
-        Command::Abandon(key, engine) => (
+        Command::AbandonAttempt(key, engine) => (
             "abandon",
             format!("{}.{} at {}", key.request.0, key.number, engine.0),
         ),
         Command::Probe(engine, tag) => ("probe", format!("{} tag {tag}", engine.0)),
-        Command::Refuse(id, advice, words) => {
+        Command::Reject(id, advice, words) => {
             ("refuse", format!("{} {advice} {}", id.0, says(words)))
         }
         Command::Fail(id, words) => ("fail", format!("{} {}", id.0, says(words))),
-        Command::Relay(id, piece) => (
+        Command::ForwardChunk(id, piece) => (
             "chunk",
             format!(
                 "{} {:?} {} bytes, last {}",
@@ -57,9 +57,9 @@
             ),
         ),
         Command::Finish(id) => ("finish", id.0.to_string()),
-        Command::Break(id, words) => ("break", format!("{} {}", id.0, says(words))),
-        Command::Over(ticket, fate) => ("over", format!("{ticket} {}", fate_in_words(*fate))),
-        Command::Forget(engine) => ("forget", engine.0.to_string()),
+        Command::Abort(id, words) => ("break", format!("{} {}", id.0, says(words))),
+        Command::Settled(ticket, fate) => ("over", format!("{ticket} {}", fate_in_words(*fate))),
+        Command::ForgetEngine(engine) => ("forget", engine.0.to_string()),
         Command::Log(line) => ("log", line.clone()),
     }
 }
@@ -110,14 +110,17 @@
             let line = format!("{} {what}: {kind} {words}", self.now);
             self.transcript.line(kind, &line);
             match command {
-                Command::Send(key, _) => self.out.push((key, false)),
-                Command::Abandon(key, _) => self.out.retain(|o| o.0 != key),
+                Command::StartAttempt(key, _) => self.out.push((key, false)),
+                Command::AbandonAttempt(key, _) => self.out.retain(|o| o.0 != key),
                 Command::Probe(_, tag) => self.probes.push(tag),
-                Command::Refuse(id, ..)
+                Command::Reject(id, ..)
                 | Command::Fail(id, _)
                 | Command::Finish(id)
-                | Command::Break(id, _) => self.open.retain(|&o| o != id),
-                Command::Relay(..) | Command::Over(..) | Command::Forget(_) | Command::Log(_) => {}
+                | Command::Abort(id, _) => self.open.retain(|&o| o != id),
+                Command::ForwardChunk(..)
+                | Command::Settled(..)
+                | Command::ForgetEngine(_)
+                | Command::Log(_) => {}
             }
         }
     }
--- a/crates/core/tests/keyed.rs
+++ b/crates/core/tests/keyed.rs
@@ -59,13 +59,13 @@
         let mut told = AttemptReport::default();
         while let Some(command) = self.core.command() {
             match command {
-                Command::Send(key, _) if self.core.may_write(self.now, key).is_some() => {
+                Command::StartAttempt(key, _) if self.core.may_write(self.now, key).is_some() => {
                     self.core.reached(key, Progress::WrittenWhole);
                     told.sent.push(key);
                 }
-                Command::Abandon(key, _) => told.left.push(key),
+                Command::AbandonAttempt(key, _) => told.left.push(key),
                 Command::Probe(_, tag) => self.core.probed(self.now, tag, Outcome::Ok, &[]),
-                Command::Refuse(..) => told.refused += 1,
+                Command::Reject(..) => told.refused += 1,
                 Command::Fail(..) => told.failed += 1,
                 _ => {}
             }
--- a/crates/core/tests/model.rs
+++ b/crates/core/tests/model.rs
@@ -372,15 +372,15 @@
     fn commands(&mut self) {
         while let Some(command) = self.core.command() {
             match command {
-                Command::Send(key, engine) => self.sent(key, engine),
-                Command::Abandon(key, _) => drop(self.out.remove(&key)),
+                Command::StartAttempt(key, engine) => self.sent(key, engine),
+                Command::AbandonAttempt(key, _) => drop(self.out.remove(&key)),
                 Command::Probe(_, tag) => self.probes.push(tag),
-                Command::Relay(id, _) => {
+                Command::ForwardChunk(id, _) => {
                     let known = self.known.get_mut(&id).expect("known");
                     assert!(!known.answered && !known.left, "a piece behind the end");
                     known.pieces += 1;
                 }
-                Command::Refuse(id, ..) => {
+                Command::Reject(id, ..) => {
                     let known = &self.known[&id];
                     assert_eq!(known.pieces, 0, "refused behind a piece");
                     assert!(
@@ -396,12 +396,12 @@
                     );
                     self.answered(id);
                 }
-                Command::Break(id, _) => {
+                Command::Abort(id, _) => {
                     assert!(self.known[&id].pieces > 0, "nothing there to break");
                     self.answered(id);
                 }
                 Command::Finish(id) => self.answered(id),
-                Command::Over(ticket, fate) => {
+                Command::Settled(ticket, fate) => {
                     let id = *self
                         .known
                         .iter()
@@ -419,7 +419,7 @@
                     );
                     known.over = true;
                 }
-                Command::Forget(_) | Command::Log(_) => {}
+                Command::ForgetEngine(_) | Command::Log(_) => {}
             }
         }
     }
--- a/crates/core/tests/unheard.rs
+++ b/crates/core/tests/unheard.rs
@@ -38,12 +38,12 @@
         let (mut sent, mut left) = (Vec::new(), Vec::new());
         while let Some(command) = self.core.command() {
             match command {
-                Command::Send(key, _) => {
+                Command::StartAttempt(key, _) => {
                     assert!(self.core.may_write(self.now, key).is_some());
                     self.core.reached(key, Progress::WrittenWhole);
                     sent.push(key);
                 }
-                Command::Abandon(key, _) => left.push(key),
+                Command::AbandonAttempt(key, _) => left.push(key),
                 _ => {}
             }
         }
--- a/crates/scheduler/src/choice.rs
+++ b/crates/scheduler/src/choice.rs
@@ -113,7 +113,7 @@
     /// Handles one event; what is to be done is appended to `act`.
     pub fn handle(&mut self, now: Micros, event: Event<'_>, act: &mut Actions) {
         if !std::mem::replace(&mut self.tally.ticking, true) {
-            act.push(Action::Wake(TICK, TICK_TOKEN));
+            act.push(Action::SetTimer(TICK, TICK_TOKEN));
             if self.cfg.poll_discovery {
                 self.ask(now, act);
             }
@@ -673,11 +673,11 @@
         let priority = self.priority(now, id, expected);
         let margin = ANSWER_MARGIN.max(2 * self.cfg.tick);
         if self.cfg.grants || self.cfg.priorities {
-            act.push(Action::Terms(id, self.grant(now, id, e), priority));
+            act.push(Action::SetResources(id, self.grant(now, id, e), priority));
         }
         let job = &self.jobs[&id];
         // The time-out is answered before the client gives up.
-        act.push(Action::Send(
+        act.push(Action::StartAttempt(
             id,
             engine,
             job.deadline.saturating_sub(now + margin / 2).max(1),
@@ -741,7 +741,7 @@
                 .cfg
                 .retry_after
                 .map_or(0, |most| (least as Micros).max(ADVICE).min(most));
-            act.push(Action::Refuse(id, advice));
+            act.push(Action::Reject(id, advice));
         } else {
             act.push(Action::Fail(id));
         }
@@ -816,7 +816,7 @@
     }
 
     fn ask(&mut self, now: Micros, act: &mut Actions) {
-        act.push(Action::Subscribe);
+        act.push(Action::WatchEngines);
         // Answered by a list or a failure; should neither come, ask again before it counts as told.
         self.tally.next_ask = self.cfg.poll_timeout.map(|t| now + t / 2);
     }
@@ -848,7 +848,7 @@
 
     fn on_arrival(&mut self, now: Micros, query: Query, act: &mut Actions) {
         if usize::from(query.class) >= self.cfg.classes.len() {
-            return act.push(Action::Refuse(query.id, 0));
+            return act.push(Action::Reject(query.id, 0));
         }
         if let Some(budget) = self.cfg.retry_budget {
             self.retries.request_taken(now, &budget);
@@ -875,7 +875,7 @@
         if query.budget <= margin {
             return self.give_up(now, id, act);
         }
-        act.push(Action::Wake(query.budget - margin, id.0 + 1));
+        act.push(Action::SetTimer(query.budget - margin, id.0 + 1));
         if let Some(key) = self.ordered(id) {
             self.place(id, Place::Behind);
             self.lanes.entry(key).or_default().line.push_back(id);
@@ -1112,7 +1112,7 @@
     }
 
     fn on_tick(&mut self, now: Micros, act: &mut Actions) {
-        act.push(Action::Wake(TICK, TICK_TOKEN));
+        act.push(Action::SetTimer(TICK, TICK_TOKEN));
         let work = std::mem::take(&mut self.tally.fresh_work) / TICK as f64;
         let blend = if self.sliver() {
             DEMAND_BLEND / 4.0
@@ -1179,7 +1179,7 @@
             peers
                 .into_iter()
                 .take(most)
-                .map(|peer| Action::Tell(peer, bytes.clone())),
+                .map(|peer| Action::SendGossip(peer, bytes.clone())),
         );
     }
 
@@ -1328,7 +1328,7 @@
         let t = &mut job.tries[usize::from(attempt)];
         if self.cfg.may_cancel {
             t.called_off = true;
-            act.push(Action::Cancel(id, attempt));
+            act.push(Action::CancelAttempt(id, attempt));
         } else if self.cfg.may_hedge && job.out().count() < 2 {
             job.avoid.insert(job.tries[usize::from(attempt)].engine);
             self.route(now, id, act);
--- a/crates/scheduler/src/interface.rs
+++ b/crates/scheduler/src/interface.rs
@@ -370,23 +370,23 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Sets grant (MB; 0 leaves it to the engine) and priority for a query.
-    Terms(QueryId, f64, u8),
+    SetResources(QueryId, f64, u8),
     /// Starts an attempt with a time-out.
-    Send(QueryId, EngineId, Micros),
+    StartAttempt(QueryId, EngineId, Micros),
     /// Calls off an attempt.
-    Cancel(QueryId, u8),
+    CancelAttempt(QueryId, u8),
     /// Final: refused; harmless to retry after this time.
-    Refuse(QueryId, Micros),
+    Reject(QueryId, Micros),
     /// Final: failed.
     Fail(QueryId),
     /// Asks to be woken after this time, with this token.
-    Wake(Micros, u64),
+    SetTimer(Micros, u64),
     /// Probes an engine.
     Probe(EngineId),
     /// Tells one peer, by its number.
-    Tell(u32, Vec<u8>),
+    SendGossip(u32, Vec<u8>),
     /// Asks discovery for changes from now on.
-    Subscribe,
+    WatchEngines,
     /// A line for the operators.
     Log(String),
 }
--- a/crates/scheduler/src/retry_budget.rs
+++ b/crates/scheduler/src/retry_budget.rs
@@ -151,7 +151,7 @@
     }
 
     /// Has the host ask [`Controller::may_go_out`] right before each attempt's first byte: budgets count attempts from there.
-    /// Without this they count from the [`Action::Send`](crate::Action::Send).
+    /// Without this they count from the [`Action::StartAttempt`](crate::Action::Send).
     pub fn awaiting_first_bytes(mut self) -> Controller {
         self.awaits_first_bytes = true;
         self
--- a/crates/scheduler/src/state.rs
+++ b/crates/scheduler/src/state.rs
@@ -391,7 +391,7 @@
         for (n, t) in self.tries.iter_mut().enumerate() {
             if t.outcome.is_none() && !t.called_off && but.map(usize::from) != Some(n) {
                 t.called_off = true;
-                cancels.push(Action::Cancel(self.query.id, n as u8));
+                cancels.push(Action::CancelAttempt(self.query.id, n as u8));
             }
         }
         cancels
--- a/crates/scheduler/tests/common/mod.rs
+++ b/crates/scheduler/tests/common/mod.rs
@@ -97,7 +97,7 @@
     pub fn event(&mut self, e: Event) -> Vec<Action> {
         let mut act = Vec::new();
         self.c.handle(self.now, e, &mut act);
-        act.retain(|a| !matches!(a, Action::Wake(..) | Action::Log(..)));
+        act.retain(|a| !matches!(a, Action::SetTimer(..) | Action::Log(..)));
         act
     }
     pub fn query(&mut self, class: u16, work: u64, tables: u32) -> Query {
@@ -150,7 +150,7 @@
 pub fn sends(act: &[Action]) -> Vec<(u64, u64)> {
     act.iter()
         .filter_map(|a| {
-            if let Action::Send(q, e, _) = a {
+            if let Action::StartAttempt(q, e, _) = a {
                 Some((q.0, e.0))
             } else {
                 None
--- a/crates/scheduler/tests/crowd.rs
+++ b/crates/scheduler/tests/crowd.rs
@@ -397,7 +397,7 @@
     let act = rig.tick(8 * S);
     assert!(
         !act.iter()
-            .any(|a| matches!(a, Action::Refuse(id, _) | Action::Fail(id) if *id == q)),
+            .any(|a| matches!(a, Action::Reject(id, _) | Action::Fail(id) if *id == q)),
         "{act:?}"
     );
 }
--- a/crates/scheduler/tests/fleet.rs
+++ b/crates/scheduler/tests/fleet.rs
@@ -47,14 +47,14 @@
         self.all[coordinator].handle(self.now, event, &mut act);
         for a in act {
             match a {
-                Action::Send(q, e, _) => {
+                Action::StartAttempt(q, e, _) => {
                     let class = (q.0 % 5 == 0) as u16;
                     self.out.push((coordinator, q, e.0, class));
                     self.sent.push((self.now, e.0, class));
                 }
                 Action::Probe(_) => self.probes += 1,
-                Action::Tell(..) => self.tells += 1,
-                Action::Refuse(q, _) | Action::Fail(q) => self.out.retain(|o| o.1 != q),
+                Action::SendGossip(..) => self.tells += 1,
+                Action::Reject(q, _) | Action::Fail(q) => self.out.retain(|o| o.1 != q),
                 _ => {}
             }
         }
--- a/crates/scheduler/tests/golden.rs
+++ b/crates/scheduler/tests/golden.rs
@@ -46,7 +46,7 @@
         let mut actions = Vec::new();
         controller.handle(from + n * 50 * MS, Event::TimerFired(0), &mut actions);
         all.extend(actions.into_iter().filter_map(|a| match a {
-            Action::Tell(peer, bytes) => Some((peer, bytes)),
+            Action::SendGossip(peer, bytes) => Some((peer, bytes)),
             _ => None,
         }));
     }
--- a/crates/scheduler/tests/mechanism.rs
+++ b/crates/scheduler/tests/mechanism.rs
@@ -132,7 +132,9 @@
     let (q, _) = rig.arrive(0, S, 1);
     let act = rig.tick(5 * S);
     assert_eq!(
-        act.iter().filter(|a| **a == Action::Cancel(q, 0)).count(),
+        act.iter()
+            .filter(|a| **a == Action::CancelAttempt(q, 0))
+            .count(),
         1,
         "{act:?}"
     );
--- a/crates/scheduler/tests/rules.rs
+++ b/crates/scheduler/tests/rules.rs
@@ -6,7 +6,7 @@
 
 fn refused(act: &[Action], q: QueryId) -> bool {
     act.iter()
-        .any(|a| matches!(a, Action::Refuse(x, _) if *x == q))
+        .any(|a| matches!(a, Action::Reject(x, _) if *x == q))
 }
 
 fn failed(act: &[Action], q: QueryId) -> bool {
@@ -36,7 +36,7 @@
     let act = rig.tick(2 * S);
     assert!(
         act.iter()
-            .any(|a| matches!(a, Action::Refuse(x, after) if *x == q && *after > 0)),
+            .any(|a| matches!(a, Action::Reject(x, after) if *x == q && *after > 0)),
         "{act:?}"
     );
 }
@@ -490,12 +490,12 @@
     let mut c = driftfront_scheduler::Controller::new(s, 1);
     let mut act = Vec::new();
     c.handle(0, Event::EnginesListed(ListKind::Cached, &[]), &mut act);
-    assert!(act.contains(&Action::Subscribe));
+    assert!(act.contains(&Action::WatchEngines));
     act.clear();
     c.handle(S, Event::DiscoveryFailed, &mut act);
     assert!(act.is_empty(), "not at once");
     c.handle(2 * S, Event::TimerFired(0), &mut act);
-    assert!(act.contains(&Action::Subscribe));
+    assert!(act.contains(&Action::WatchEngines));
 }
 
 #[test]
@@ -534,11 +534,11 @@
         self.rig.c.handle(self.rig.now, e, &mut act);
         for a in act {
             match a {
-                Action::Wake(after, token) => {
+                Action::SetTimer(after, token) => {
                     self.wakes.insert((self.rig.now + after, token));
                 }
-                Action::Send(q, e, patience) => self.check_send(q, e.0, patience),
-                Action::Refuse(q, _) => {
+                Action::StartAttempt(q, e, patience) => self.check_send(q, e.0, patience),
+                Action::Reject(q, _) => {
                     let class = self.answer(q);
                     let clean = self.tries[&q]
                         .iter()
--- a/crates/scheduler/tests/transcript.rs
+++ b/crates/scheduler/tests/transcript.rs
@@ -14,20 +14,20 @@
 /// An action in fixed words, figures in full.
 fn in_words(action: &Action) -> String {
     match action {
-        Action::Terms(q, grant, priority) => format!("terms {} {grant:?} {priority}", q.0),
-        Action::Send(q, engine, timeout) => {
+        Action::SetResources(q, grant, priority) => format!("terms {} {grant:?} {priority}", q.0),
+        Action::StartAttempt(q, engine, timeout) => {
             format!("send {} to {} within {timeout}", q.0, engine.0)
         }
-        Action::Cancel(q, attempt) => format!("cancel {} {attempt}", q.0),
-        Action::Refuse(q, advice) => format!("refuse {} {advice}", q.0),
+        Action::CancelAttempt(q, attempt) => format!("cancel {} {attempt}", q.0),
+        Action::Reject(q, advice) => format!("refuse {} {advice}", q.0),
         Action::Fail(q) => format!("fail {}", q.0),
-        Action::Wake(after, token) => format!("wake {after} {token}"),
+        Action::SetTimer(after, token) => format!("wake {after} {token}"),
         Action::Probe(engine) => format!("probe {}", engine.0),
-        Action::Tell(peer, bytes) => {
+        Action::SendGossip(peer, bytes) => {
             let hex: String = bytes.iter().map(|b| format!("{b:02x}")).collect();
             format!("message {peer} {hex}")
         }
-        Action::Subscribe => "subscribe".into(),
+        Action::WatchEngines => "subscribe".into(),
         Action::Log(line) => format!("log {line}"),
     }
 }
@@ -48,7 +48,7 @@
 #[derive(Clone, Debug)]
 enum What {
     Arrival(usize),
-    Wake(usize, u64),
+    SetTimer(usize, u64),
     FirstByte(usize, u64, u8, u64),
     End(usize, u64, u8, Outcome),
     ProgressReport(usize, u64, u8, ProgressReport),
@@ -248,14 +248,14 @@
 
     fn obey(&mut self, g: usize, action: Action) {
         match action {
-            Action::Terms(..) | Action::Log(_) => {}
-            Action::Wake(after, token) => self.at(after, What::Wake(g, token)),
-            Action::Refuse(q, _) | Action::Fail(q) => {
+            Action::SetResources(..) | Action::Log(_) => {}
+            Action::SetTimer(after, token) => self.at(after, What::SetTimer(g, token)),
+            Action::Reject(q, _) | Action::Fail(q) => {
                 if let Some(query) = self.queries.get_mut(&(g, q.0)) {
                     query.concluded = true;
                 }
             }
-            Action::Cancel(q, attempt) => {
+            Action::CancelAttempt(q, attempt) => {
                 let after = self.dice.below(3 * MS);
                 self.at(after, What::End(g, q.0, attempt, Outcome::Cancelled));
             }
@@ -263,13 +263,13 @@
                 let after = MS + self.dice.below(8 * MS);
                 self.at(after, What::ProbeEnd(g, engine.0));
             }
-            Action::Tell(peer, bytes) => {
+            Action::SendGossip(peer, bytes) => {
                 if (peer as usize) < self.coordinators.len() && !self.dice.chance(10) {
                     let after = MS + self.dice.below(30 * MS);
                     self.at(after, What::GossipReceived(peer as usize, g, bytes));
                 }
             }
-            Action::Subscribe => {
+            Action::WatchEngines => {
                 let after = 5 * MS + self.dice.below(50 * MS);
                 match self.dice.below(4) {
                     0 => self.at(after, What::NoList(g)),
@@ -277,7 +277,7 @@
                     _ => self.at(after, What::List(g, ListKind::Full)),
                 }
             }
-            Action::Send(q, engine, timeout) => {
+            Action::StartAttempt(q, engine, timeout) => {
                 let query = self.queries.get_mut(&(g, q.0)).expect("it has arrived");
                 let attempt = query.attempts.len() as u8;
                 query.attempts.push((engine.0, self.now, true));
@@ -409,7 +409,7 @@
     fn happen(&mut self, what: What) {
         match what {
             What::Arrival(g) => self.arrive(g),
-            What::Wake(g, token) => self.tell(g, "woken", Event::TimerFired(token)),
+            What::SetTimer(g, token) => self.tell(g, "woken", Event::TimerFired(token)),
             What::FirstByte(g, q, attempt, timeout) => {
                 let is_out = |s: &SimQuery| s.attempts[usize::from(attempt)].2;
                 if !self.queries.get(&(g, q)).is_some_and(is_out) {
--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -339,11 +339,11 @@
     let span = |t: &u64| u32::try_from(*t).unwrap_or(u32::MAX).to_be_bytes();
     let engine = |e: &EngineId| e.0.to_be_bytes();
     match action {
-        Action::Terms(q, mb, priority) => {
+        Action::SetResources(q, mb, priority) => {
             let mb = (*mb as f32).to_bits().to_be_bytes();
             record(reply, count, 76, inst, &[&id(q), &mb, &[*priority]]);
         }
-        Action::Send(q, e, patience) => {
+        Action::StartAttempt(q, e, patience) => {
             record(
                 reply,
                 count,
@@ -352,10 +352,10 @@
                 &[&id(q), &span(patience), &engine(e)[2..]],
             );
         }
-        Action::Cancel(q, attempt) => record(reply, count, 67, inst, &[&id(q), &[*attempt]]),
-        Action::Refuse(q, after) => record(reply, count, 65, inst, &[&id(q), &span(after)]),
+        Action::CancelAttempt(q, attempt) => record(reply, count, 67, inst, &[&id(q), &[*attempt]]),
+        Action::Reject(q, after) => record(reply, count, 65, inst, &[&id(q), &span(after)]),
         Action::Fail(q) => record(reply, count, 66, inst, &[&id(q)]),
-        Action::Wake(after, token) => {
+        Action::SetTimer(after, token) => {
             record(
                 reply,
                 count,
@@ -365,11 +365,11 @@
             );
         }
         Action::Probe(e) => record(reply, count, 69, inst, &[&engine(e)[2..]]),
-        Action::Tell(peer, bytes) => {
+        Action::SendGossip(peer, bytes) => {
             let (n, bytes) = short_text(bytes, 256);
             record(reply, count, 71, inst, &[&peer.to_be_bytes(), &n, bytes]);
         }
-        Action::Subscribe => record(reply, count, 74, inst, &[&[1]]),
+        Action::WatchEngines => record(reply, count, 74, inst, &[&[1]]),
         Action::Log(text) => {
             let (n, text) = short_text(text.as_bytes(), 1000);
             record(reply, count, 72, inst, &[&n, text]);
