--- a/crates/coordinator/src/frontends/clickhouse.rs
+++ b/crates/coordinator/src/frontends/clickhouse.rs
@@ -7,7 +7,7 @@
 use driftfront_clickhouse::keep::{Keep, SMALL};
 use driftfront_clickhouse::request::{self, Asked, Query};
 use driftfront_clickhouse::session::{self, keyed, Book, Name};
-use driftfront_core::{EngineId, Fate, Micros, ParsedRequest, ResponseChunk, StickySession};
+use driftfront_core::{EngineId, Micros, ParsedRequest, RequestFate, ResponseChunk, StickySession};
 use driftfront_http::{chunk, response, response_head, Ends, Fault, Request, Takes, LAST_CHUNK};
 use std::collections::HashMap;
 use std::fmt::Write as _;
@@ -344,16 +344,16 @@
         }
     }
 
-    fn over(&mut self, now: Micros, ticket: u64, fate: Fate) {
+    fn over(&mut self, now: Micros, ticket: u64, fate: RequestFate) {
         let Some(open) = self.open.remove(&ticket) else {
             return;
         };
         self.keep.release(open.kept);
         if let Some(name) = open.session {
             let fate = match fate {
-                Fate::NeverRan => session::Fate::NeverRan,
-                Fate::Ran(engine, well) => session::Fate::Ran(engine, well),
-                Fate::Unknown(engine) => session::Fate::Unknown(engine),
+                RequestFate::NeverRan => session::Fate::NeverRan,
+                RequestFate::Ran(engine, well) => session::Fate::Ran(engine, well),
+                RequestFate::Unknown(engine) => session::Fate::Unknown(engine),
             };
             self.sessions.over(now, name, fate);
         }
@@ -364,7 +364,7 @@
     }
 
     fn twin(&mut self, now: Micros, ask: &ParsedRequest) -> Option<Vec<u8>> {
-        self.over(now, ask.ticket, Fate::NeverRan);
+        self.over(now, ask.ticket, RequestFate::NeverRan);
         let e = Exception::new(
             SAME_ID,
             &format!("Query with id = {} is already running", ask.call),
--- a/crates/coordinator/src/frontends/mod.rs
+++ b/crates/coordinator/src/frontends/mod.rs
@@ -3,7 +3,7 @@
 pub mod clickhouse;
 pub mod platform;
 
-use driftfront_core::{EngineId, Fate, Micros, ParsedRequest, ResponseChunk};
+use driftfront_core::{EngineId, Micros, ParsedRequest, RequestFate, ResponseChunk};
 use driftfront_http::{response, Fault, Request, Takes};
 use std::rc::Rc;
 
@@ -83,7 +83,7 @@
     /// What a request held of the budget is let go.
     fn release(&mut self, _kept: usize) {}
     /// Nothing of the request under this ticket is out any more.
-    fn over(&mut self, _now: Micros, _ticket: u64, _fate: Fate) {}
+    fn over(&mut self, _now: Micros, _ticket: u64, _fate: RequestFate) {}
     /// An engine takes nothing new, or has been replaced.
     fn engine_left(&mut self, _engine: EngineId) {}
     /// The answer to a request whose name an open one has; `None` lets it in, to fail.
--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -1,7 +1,7 @@
 //! Stage 4, send: how far each attempt has come, and what its end means for the rules.
 
 use crate::RequestId;
-use crate::{query, AttemptKey, Command, Core, Due, Fate, Request};
+use crate::{query, AttemptKey, Command, Core, Due, Request, RequestFate};
 use driftfront_scheduler::interface::{
     AttemptEnded, EngineId, Event, Micros, Outcome, Phase, ProgressReport,
 };
@@ -156,7 +156,7 @@
 
 /// An attempt beyond a request's first, for the log: what it follows.
 #[derive(Debug)]
-pub struct Retry<'a> {
+pub struct RetryContext<'a> {
     /// The client's name for the request.
     pub call: &'a str,
     /// The engine of the attempt before it.
@@ -201,12 +201,12 @@
     }
 
     /// What became of it, by the last attempt that may have run.
-    pub(crate) fn fate(&self) -> Fate {
+    pub(crate) fn fate(&self) -> RequestFate {
         let ran = |a: &&Attempt| a.outcome.is_some_and(|o| !o.never_ran());
         match self.attempts.iter().rev().find(ran) {
-            None => Fate::NeverRan,
-            Some(a) if a.in_doubt() => Fate::Unknown(a.engine),
-            Some(a) => Fate::Ran(a.engine, a.outcome == Some(Outcome::Ok)),
+            None => RequestFate::NeverRan,
+            Some(a) if a.in_doubt() => RequestFate::Unknown(a.engine),
+            Some(a) => RequestFate::Ran(a.engine, a.outcome == Some(Outcome::Ok)),
         }
     }
 }
@@ -297,10 +297,10 @@
     }
 
     /// What an attempt follows; `None` for a request's first.
-    pub fn retry(&self, key: AttemptKey) -> Option<Retry<'_>> {
+    pub fn retry(&self, key: AttemptKey) -> Option<RetryContext<'_>> {
         let request = self.requests.get(&key.request).filter(|_| key.number > 0)?;
         let (failed_on, after) = request.last_failure.as_ref()?;
-        Some(Retry {
+        Some(RetryContext {
             call: &request.ask.call,
             failed_on: *failed_on,
             after,
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -21,12 +21,12 @@
 
 pub use accept::{Accepted, ParsedRequest, ResponseChunk};
 pub use accounting::Counters;
-pub use dispatch::{AttemptError, AttemptReport, Cause, Progress, Retry};
+pub use dispatch::{AttemptError, AttemptReport, Cause, Progress, RetryContext};
 pub use driftfront_scheduler::interface::{
     EngineId, ListKind, ListedEngine, Micros, Outcome, Phase, ProgressReport, StickySession,
 };
 pub use driftfront_scheduler::RetryBudgetUsage;
-pub use running::Run;
+pub use running::RunningQuery;
 
 use driftfront_scheduler::interface::{Action, Event, Idempotency, QueryId, Settings};
 use driftfront_scheduler::Controller;
@@ -66,7 +66,7 @@
 
 /// What became of a request that is over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
+pub enum RequestFate {
     /// It never ran on any engine.
     NeverRan,
     /// It ran there to its end; `true`: it was served.
@@ -95,7 +95,7 @@
     /// Final answer: an answer begun cannot be finished; the client must see that.
     Abort(RequestId, Option<Rc<str>>),
     /// Nothing of the request under this ticket of the front's is out any more.
-    Settled(u64, Fate),
+    Settled(u64, RequestFate),
     /// The engine is gone: its idle connections may close.
     ForgetEngine(EngineId),
     /// A line for the operators.
--- a/crates/core/src/running.rs
+++ b/crates/core/src/running.rs
@@ -11,7 +11,7 @@
 
 /// A query on an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Run {
+pub struct RunningQuery {
     /// The engine.
     pub engine: EngineId,
     /// Its name there.
@@ -64,7 +64,7 @@
     }
 
     /// Where queries of this name run, or may.
-    pub fn runs(&self, now: Micros, call: &str) -> Vec<Run> {
+    pub fn runs(&self, now: Micros, call: &str) -> Vec<RunningQuery> {
         let mut runs = Vec::new();
         // By the ledger of names, and those whose client has left: they are no longer in it.
         for (&id, request) in self.requests.iter().filter(|(_, r)| &*r.ask.call == call) {
@@ -75,7 +75,7 @@
                         number,
                     })
                     .into_owned();
-                runs.push(Run {
+                runs.push(RunningQuery {
                     engine: attempt.engine,
                     name,
                     awaited: !request.closed,
@@ -88,7 +88,7 @@
             .iter()
             .filter(|d| &*d.call == call && d.until > now)
         {
-            runs.push(Run {
+            runs.push(RunningQuery {
                 engine: doubt.engine,
                 name: doubt.name.clone(),
                 awaited: false,
--- a/crates/core/tests/golden.rs
+++ b/crates/core/tests/golden.rs
@@ -6,8 +6,8 @@
 use common::{core, listed, settings, LIMITS, LOAD, LOOKUP, S};
 use driftfront_core::lifecycle::{Lifecycle, State};
 use driftfront_core::{
-    AttemptError, AttemptKey, AttemptReport, Cause, Command, Core, EngineId, Fate, Limits,
-    ListKind, ListedEngine, Micros, Outcome, ParsedRequest, Phase, Progress, ProgressReport,
+    AttemptError, AttemptKey, AttemptReport, Cause, Command, Core, EngineId, Limits, ListKind,
+    ListedEngine, Micros, Outcome, ParsedRequest, Phase, Progress, ProgressReport, RequestFate,
     RequestId, ResponseChunk, StickySession,
 };
 use driftfront_test_support::assert_golden;
@@ -22,11 +22,11 @@
     words.as_ref().map_or("-".into(), |w| format!("{w:?}"))
 }
 
-fn fate_in_words(fate: Fate) -> String {
+fn fate_in_words(fate: RequestFate) -> String {
     match fate {
-        Fate::NeverRan => "never ran".into(),
-        Fate::Ran(engine, served) => format!("ran on {}, served {served}", engine.0),
-        Fate::Unknown(engine) => format!("unknown on {}", engine.0),
+        RequestFate::NeverRan => "never ran".into(),
+        RequestFate::Ran(engine, served) => format!("ran on {}, served {served}", engine.0),
+        RequestFate::Unknown(engine) => format!("unknown on {}", engine.0),
     }
 }
 
--- a/crates/core/tests/model.rs
+++ b/crates/core/tests/model.rs
@@ -5,8 +5,8 @@
 
 use common::{core, listed, settings, LIMITS, LOAD, LOOKUP};
 use driftfront_core::{
-    AttemptKey, Cause, Command, Core, EngineId, Fate, Limits, ListKind, ListedEngine, Micros,
-    ParsedRequest, Phase, Progress, RequestId, ResponseChunk, StickySession,
+    AttemptKey, Cause, Command, Core, EngineId, Limits, ListKind, ListedEngine, Micros,
+    ParsedRequest, Phase, Progress, RequestFate, RequestId, ResponseChunk, StickySession,
 };
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use std::collections::BTreeMap;
@@ -412,7 +412,7 @@
                     let known = self.known.get_mut(&id).expect("known");
                     assert!(!known.over && !out, "over twice, or with something out");
                     assert_eq!(
-                        fate == Fate::NeverRan,
+                        fate == RequestFate::NeverRan,
                         known.runs == 0,
                         "{fate:?} of {} runs",
                         known.runs
