--- a/crates/coordinator/src/node/clients/closing.rs
+++ b/crates/coordinator/src/node/clients/closing.rs
@@ -158,13 +158,13 @@
         self.asking.remove(&request);
         let idempotency = self
             .core
-            .taken(request)
+            .accepted(request)
             .and_then(|t| self.idempotency(t.ask.class));
         let fed = self.feeds.contains_key(&request);
-        self.core.left(now, request);
+        self.core.client_left(now, request);
         // A read is let go on its engine, and so is what waits there for a body that never comes.
         if self.front.frees_reads() && idempotency == Some(Idempotency::Idempotent) || fed {
-            self.core.release(now, request);
+            self.core.release_attempt(now, request);
         }
     }
 
@@ -173,7 +173,7 @@
     pub(super) fn withdraw(&mut self, now: Micros, call: &str) -> bool {
         let asked = self
             .core
-            .find(call)
+            .find_request(call)
             .and_then(|r| self.asking.get(&r))
             .map(|a| a.0);
         let Some(id) = asked else { return false };
--- a/crates/coordinator/src/node/clients/requests.rs
+++ b/crates/coordinator/src/node/clients/requests.rs
@@ -78,17 +78,17 @@
                 if gone {
                     // It left before it was read: a waiting place is all that it had.
                     tracing::debug!(conn = id, call = %ask.call, "client left before its request was read");
-                    self.core.take_left(now, ask);
+                    self.core.accept_disconnected_request(now, ask);
                     self.carry_out();
                     return true;
                 }
                 // Asked with the clock as it is: the process may have stood still since this turn began.
                 let taken_at = self.clock();
                 if !self.life.takes(taken_at) {
-                    self.core.leave();
+                    self.core.begin_shutdown();
                 }
                 let (call, class, budget) = (ask.call.clone(), ask.class, ask.budget);
-                let request = self.core.take(now, ask);
+                let request = self.core.accept_request(now, ask);
                 tracing::debug!(request = request.0, conn = id, %call, class, budget, "taken");
                 self.asking.insert(request, (id, class, now));
                 if let Some(client) = self.clients.get_mut(&id) {
@@ -105,19 +105,19 @@
         let mut runs = Vec::new();
         let mut known = false;
         for name in &kill.names {
-            runs.extend(self.core.runs(now, name));
+            runs.extend(self.core.running_queries(now, name));
             known |= self.core.is_open(name);
         }
         // The one whose answer is awaited speaks for the others.
         runs.sort_by_key(|run| !run.awaited);
         let mut sent = Vec::new();
         for run in &runs {
-            if self.core.phase(run.engine) != Some(Phase::Ready) {
+            if self.core.engine_phase(run.engine) != Some(Phase::Ready) {
                 continue;
             }
             let request = self
                 .core
-                .take(now, (kill.for_engine)(run.engine, &run.name));
+                .accept_request(now, (kill.for_engine)(run.engine, &run.name));
             tracing::debug!(
                 request = request.0,
                 conn = id,
@@ -128,7 +128,7 @@
         }
         if !kill.test {
             for name in &kill.names {
-                self.core.call_off(now, name, &kill.words);
+                self.core.cancel_request(now, name, &kill.words);
             }
         }
         tracing::info!(
@@ -142,7 +142,11 @@
             Some(&first) => {
                 self.asking.insert(
                     first,
-                    (id, self.core.taken(first).map_or(0, |t| t.ask.class), now),
+                    (
+                        id,
+                        self.core.accepted(first).map_or(0, |t| t.ask.class),
+                        now,
+                    ),
                 );
                 if let Some(client) = self.clients.get_mut(&id) {
                     client.current = Some((first, kill.writer));
--- a/crates/coordinator/src/node/control/views.rs
+++ b/crates/coordinator/src/node/control/views.rs
@@ -35,7 +35,7 @@
     /// What runs, by engine: how much, and how much of it must not run twice.
     fn running(&self) -> BTreeMap<EngineId, Running> {
         let mut running: BTreeMap<EngineId, Running> = BTreeMap::new();
-        for (class, engine, sent) in self.core.attempts_out() {
+        for (class, engine, sent) in self.core.attempts_in_flight() {
             let entry = running.entry(engine).or_insert(Running {
                 out: 0,
                 once: 0,
@@ -61,7 +61,7 @@
             .map(|e| cores(e.place.1))
             .sum();
         let mut busy = 0.0;
-        for (class, ..) in self.core.attempts_out() {
+        for (class, ..) in self.core.attempts_in_flight() {
             busy += self
                 .config
                 .settings
@@ -202,7 +202,7 @@
         let engines = engines.collect();
         let mut open_by_class = vec![0u64; self.config.classes.names.len()];
         let mut queries = Vec::new();
-        for (call, class, engine, since) in self.core.requests_open() {
+        for (call, class, engine, since) in self.core.requests_in_progress() {
             if let Some(count) = open_by_class.get_mut(usize::from(class)) {
                 *count += 1;
             }
@@ -268,7 +268,7 @@
                 "There is no state folder: drains and other orders are forgotten when the program ends."
             }
             .into(),
-            open: self.core.open() as u64,
+            open: self.core.open_requests() as u64,
             connections: vec![self.clients.len() as u64, self.engines.len() as u64],
             engines,
             classes,
--- a/crates/coordinator/src/node/counters.rs
+++ b/crates/coordinator/src/node/counters.rs
@@ -34,7 +34,7 @@
             self.merged
         );
         let upgrade = format!("{upgrade}listener_unblocked {}\n", self.unblocked);
-        let open = self.core.open();
+        let open = self.core.open_requests();
         let fleet = self.fleet_counters();
         let budget = self.budget_counters();
         let clock = format!(
--- a/crates/coordinator/src/node/engines/closing.rs
+++ b/crates/coordinator/src/node/engines/closing.rs
@@ -36,7 +36,7 @@
             .into_iter()
             .filter(|&t| t != CHECK_TAG)
         {
-            self.core.probed(now, tag, Outcome::Reset, &[]);
+            self.core.record_probe(now, tag, Outcome::Reset, &[]);
         }
         // Came up and broke before it carried this: that says nothing of the engine, another may do.
         let moves_on = |moves: u8| conn.up && moves < MOVES_MOST;
@@ -47,7 +47,7 @@
                 }
                 Work::Attempt(key, _) => self.attempt_failed(now, key, cause.clone()),
                 Work::Probe(CHECK_TAG) => {}
-                Work::Probe(tag) => self.core.probed(now, tag, Outcome::Unreachable, &[]),
+                Work::Probe(tag) => self.core.record_probe(now, tag, Outcome::Unreachable, &[]),
             }
         }
         self.carry_out();
--- a/crates/coordinator/src/node/engines/mod.rs
+++ b/crates/coordinator/src/node/engines/mod.rs
@@ -231,7 +231,7 @@
     }
 
     pub(super) fn send(&mut self, now: Micros, key: AttemptKey, engine: EngineId, moves: u8) {
-        let Some(ask) = self.core.taken(key.request).map(|t| t.ask) else {
+        let Some(ask) = self.core.accepted(key.request).map(|t| t.ask) else {
             return;
         };
         let call = ask.call.clone();
@@ -248,8 +248,8 @@
     pub(super) fn probe(&mut self, now: Micros, engine: EngineId, tag: u64) {
         match self.engine_conn(now, engine, None, false) {
             Ok(id) => self.queue_work(now, id, Work::Probe(tag)),
-            Err(Cause::Rejected) => self.core.probed(now, tag, Outcome::Superseded, &[]),
-            Err(_) => self.core.probed(now, tag, Outcome::Unreachable, &[]),
+            Err(Cause::Rejected) => self.core.record_probe(now, tag, Outcome::Superseded, &[]),
+            Err(_) => self.core.record_probe(now, tag, Outcome::Unreachable, &[]),
         }
     }
 
@@ -264,14 +264,14 @@
         match work {
             Work::Attempt(key, _) => self.attempt_failed(now, key, Cause::Rejected),
             Work::Probe(CHECK_TAG) => {}
-            Work::Probe(tag) => self.core.probed(now, tag, Outcome::Superseded, &[]),
+            Work::Probe(tag) => self.core.record_probe(now, tag, Outcome::Superseded, &[]),
         }
     }
 
     fn attempt_failed(&mut self, now: Micros, key: AttemptKey, cause: Cause) {
         let engine = self
             .core
-            .sent(key)
+            .attempt_engine(key)
             .and_then(|s| self.roster.name(s.0))
             .map(String::from);
         if let Some(error) = self.core.attempt_failed(now, key, cause) {
--- a/crates/coordinator/src/node/engines/traffic.rs
+++ b/crates/coordinator/src/node/engines/traffic.rs
@@ -28,11 +28,11 @@
             let written = conn.link.written();
             while let Some(&(begin, end, key)) = conn.marks.front() {
                 if written >= end {
-                    self.core.reached(key, Progress::WrittenWhole);
+                    self.core.record_progress(key, Progress::WrittenWhole);
                     conn.marks.pop_front();
                 } else {
                     if written > begin {
-                        self.core.reached(key, Progress::PartWritten);
+                        self.core.record_progress(key, Progress::PartWritten);
                     }
                     break;
                 }
@@ -73,9 +73,10 @@
             match work {
                 // The engine was taken out while the connection came up: nothing new, not even a question.
                 Work::Probe(tag)
-                    if tag != CHECK_TAG && self.core.phase(conn.engine) != Some(Phase::Ready) =>
+                    if tag != CHECK_TAG
+                        && self.core.engine_phase(conn.engine) != Some(Phase::Ready) =>
                 {
-                    self.core.probed(now, tag, Outcome::Superseded, &[]);
+                    self.core.record_probe(now, tag, Outcome::Superseded, &[]);
                     continue;
                 }
                 Work::Probe(tag) => conn.session.probe(tag, &mut out),
@@ -87,11 +88,11 @@
                         engine,
                         "sent"
                     );
-                    self.core.reached(key, Progress::Connected);
-                    let Some(patience) = self.core.may_write(now, key) else {
+                    self.core.record_progress(key, Progress::Connected);
+                    let Some(patience) = self.core.may_write_attempt(now, key) else {
                         continue;
                     };
-                    let Some(taken) = self.core.taken(key.request) else {
+                    let Some(taken) = self.core.accepted(key.request) else {
                         continue;
                     };
                     if !conn.session.takes(&taken.ask.call) {
@@ -168,10 +169,10 @@
             Body::More(bytes) => (bytes, false),
             Body::Last(bytes) => (bytes, true),
         };
-        self.core.drawn(key.request);
+        self.core.mark_body_forwarded(key.request);
         let within = self
             .core
-            .taken(key.request)
+            .accepted(key.request)
             .and_then(|t| self.front.after_body(t.ask));
         let Some(conn) = self.engines.get_mut(&id) else {
             return false;
@@ -191,7 +192,7 @@
             }
             conn.heard = now;
             if let Some(within) = within {
-                self.core.shorten(now, key.request, within);
+                self.core.shorten_timeout(now, key.request, within);
             }
         }
         true
@@ -256,7 +257,7 @@
                     self.lose_engine(now, id, &e.to_string());
                     if idle && !self.engines.values().any(|c| c.is_up_on(engine)) {
                         // Nothing was out to be lost, so only this tells that its process may have ended.
-                        self.core.doubted(now, engine);
+                        self.core.suspect_engine(now, engine);
                         self.carry_out();
                     }
                     return;
@@ -350,22 +351,26 @@
     fn take_seen(&mut self, now: Micros, seen: Vec<Seen>) {
         for each in seen {
             match each {
-                Seen::ProgressReported(key, note) => self.core.noted(now, key, note),
-                Seen::Begun(key) => self.core.reached(key, Progress::AnswerBegun),
-                Seen::ResponseChunk(key, piece) => self.core.relay(key, piece),
-                Seen::AttemptReport(key, told) => self.core.told(key, told),
+                Seen::ProgressReported(key, note) => {
+                    self.core.record_progress_report(now, key, note)
+                }
+                Seen::Begun(key) => self.core.record_progress(key, Progress::AnswerBegun),
+                Seen::ResponseChunk(key, piece) => self.core.forward_chunk(key, piece),
+                Seen::AttemptReport(key, told) => self.core.record_attempt_report(key, told),
                 Seen::Served(key) => {
-                    if let Some((engine, sent)) =
-                        self.core.sent(key).filter(|_| self.control.is_some())
+                    if let Some((engine, sent)) = self
+                        .core
+                        .attempt_engine(key)
+                        .filter(|_| self.control.is_some())
                     {
                         self.engine_served(now, engine, now.saturating_sub(sent));
                     }
-                    self.core.served(now, key);
+                    self.core.complete_attempt(now, key);
                 }
                 Seen::Failed(key, cause) => self.attempt_failed(now, key, cause),
                 Seen::ProbeEnded(CHECK_TAG, ..) => {}
                 Seen::ProbeEnded(tag, outcome, report) => {
-                    self.core.probed(now, tag, outcome, &report)
+                    self.core.record_probe(now, tag, outcome, &report)
                 }
             }
         }
--- a/crates/coordinator/src/node/mod.rs
+++ b/crates/coordinator/src/node/mod.rs
@@ -315,7 +315,7 @@
 
     fn on_time(&mut self) {
         let now = self.clock();
-        self.core.tick(now);
+        self.core.fire_timers(now);
         for source in std::mem::take(&mut self.later) {
             match source {
                 Source::Client(id) => self.client_work(now, id),
@@ -349,15 +349,22 @@
     fn watch_wall_clock(&mut self) {
         if let Some(Step(by)) = self.wall.look() {
             let seconds = by as f64 / 1e6;
-            tracing::warn!(seconds, open = self.core.open(), "the wall clock was set");
+            tracing::warn!(
+                seconds,
+                open = self.core.open_requests(),
+                "the wall clock was set"
+            );
         }
     }
 
     fn may_end(&mut self) -> bool {
         let writing = self.clients.values().any(|c| c.is_writing());
-        let ends = self
-            .life
-            .may_end(self.now, self.core.open(), self.clients.len(), writing);
+        let ends = self.life.may_end(
+            self.now,
+            self.core.open_requests(),
+            self.clients.len(),
+            writing,
+        );
         if ends && self.listener.is_some() && !self.life.listens(self.now) {
             // Who is in the backlog still has a connection, and maybe a request on it: looked at once more behind that.
             self.stop_listening(self.now);
@@ -404,7 +411,7 @@
             self.tell_post();
         }
         if self.life.shutdown_deadline().is_some_and(|at| now >= at) {
-            self.core.answer_all(now);
+            self.core.answer_all_requests(now);
         }
         if !self.life.listens(now) {
             self.stop_listening(now);
@@ -420,7 +427,7 @@
         if std::mem::replace(&mut self.carrying, true) {
             return;
         }
-        while let Some(command) = self.core.command() {
+        while let Some(command) = self.core.next_command() {
             let now = self.now;
             match command {
                 Command::StartAttempt(key, engine) => {
@@ -465,7 +472,7 @@
 
     /// A line for each attempt beyond a request's first: the retry budget bounds their number.
     fn log_retry(&self, now: Micros, key: AttemptKey, engine: EngineId) {
-        let Some(retry) = self.core.retry(key) else {
+        let Some(retry) = self.core.retry_context(key) else {
             return;
         };
         let name = |engine| self.roster.name(engine).unwrap_or("gone");
@@ -521,7 +528,7 @@
             self.roster.forget(engine);
         }
         let now = self.clock();
-        self.core.engines(now, ListKind::Cached, &lines);
+        self.core.update_engines(now, ListKind::Cached, &lines);
         self.tend_life(now);
         self.carry_out();
     }
@@ -537,11 +544,11 @@
         }
         if change.kind == ListKind::Full {
             let unlisted = |e: &EngineId| !change.lines.iter().any(|l| l.engine == *e);
-            for engine in self.core.listed().into_iter().filter(unlisted) {
+            for engine in self.core.listed_engines().into_iter().filter(unlisted) {
                 self.front.engine_left(engine);
             }
         }
-        self.core.engines(now, change.kind, &change.lines);
+        self.core.update_engines(now, change.kind, &change.lines);
         for words in &change.words {
             self.event(now, words.clone());
         }
--- a/crates/core/src/accept.rs
+++ b/crates/core/src/accept.rs
@@ -97,14 +97,14 @@
 
 impl Core {
     /// Takes a request in; from here on one final answer is owed.
-    pub fn take(&mut self, now: Micros, ask: ParsedRequest) -> RequestId {
+    pub fn accept_request(&mut self, now: Micros, ask: ParsedRequest) -> RequestId {
         let id = self.enter(now, ask);
         self.admit(now, id);
         id
     }
 
     /// A request whose client had left before it was read: nothing of it goes to an engine, and nobody is owed an answer.
-    pub fn take_left(&mut self, now: Micros, ask: ParsedRequest) {
+    pub fn accept_disconnected_request(&mut self, now: Micros, ask: ParsedRequest) {
         let id = self.enter(now, ask);
         if self.close(id) {
             self.counters.left += 1;
@@ -134,12 +134,12 @@
     }
 
     /// The open request of this name, if there is one.
-    pub fn find(&self, call: &str) -> Option<RequestId> {
+    pub fn find_request(&self, call: &str) -> Option<RequestId> {
         self.names.get(call).copied()
     }
 
     /// A request that is not over, for its back end.
-    pub fn taken(&self, id: RequestId) -> Option<Accepted<'_>> {
+    pub fn accepted(&self, id: RequestId) -> Option<Accepted<'_>> {
         self.requests.get(&id).map(|r| Accepted {
             ask: &r.ask,
             deadline: r.deadline,
--- a/crates/core/src/accounting.rs
+++ b/crates/core/src/accounting.rs
@@ -109,7 +109,7 @@
 
 impl Core {
     /// Takes over a list of engines, or changes to it.
-    pub fn engines(&mut self, now: Micros, kind: ListKind, list: &[ListedEngine]) {
+    pub fn update_engines(&mut self, now: Micros, kind: ListKind, list: &[ListedEngine]) {
         self.counters.lists += 1;
         if kind != ListKind::Changes {
             self.phases
@@ -156,12 +156,12 @@
     }
 
     /// All engines of the list.
-    pub fn listed(&self) -> Vec<EngineId> {
+    pub fn listed_engines(&self) -> Vec<EngineId> {
         self.phases.keys().copied().collect()
     }
 
     /// An engine's phase; `None` if it is gone or was never listed.
-    pub fn phase(&self, engine: EngineId) -> Option<Phase> {
+    pub fn engine_phase(&self, engine: EngineId) -> Option<Phase> {
         self.phases.get(&engine).copied()
     }
 
--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -222,7 +222,7 @@
     }
 
     /// Whether an attempt still waits for its end.
-    pub fn is_out(&self, key: AttemptKey) -> bool {
+    pub fn is_in_flight(&self, key: AttemptKey) -> bool {
         self.made(key).is_some_and(|a| a.outcome.is_none())
     }
 
@@ -237,7 +237,7 @@
     /// Asked right before an attempt's first byte: how long it may take, or `None` if it must not go.
     /// The engine may have begun to drain, the time run out, or a budget been used up by what went out meanwhile, while the
     /// connection came up.
-    pub fn may_write(&mut self, now: Micros, key: AttemptKey) -> Option<Micros> {
+    pub fn may_write_attempt(&mut self, now: Micros, key: AttemptKey) -> Option<Micros> {
         let closed = self
             .requests
             .get(&key.request)
@@ -272,14 +272,14 @@
     }
 
     /// An attempt has come this far.
-    pub fn reached(&mut self, key: AttemptKey, progress: Progress) {
+    pub fn record_progress(&mut self, key: AttemptKey, progress: Progress) {
         if let Some(attempt) = self.out(key) {
             attempt.progress = attempt.progress.max(progress);
         }
     }
 
     /// Word on an attempt that is out.
-    pub fn noted(&mut self, now: Micros, key: AttemptKey, note: ProgressReport) {
+    pub fn record_progress_report(&mut self, now: Micros, key: AttemptKey, note: ProgressReport) {
         if self.out(key).is_some() {
             self.heard_of(now, key);
             self.tell(
@@ -290,14 +290,14 @@
     }
 
     /// An engine's answer to an attempt told this, whatever the answer is.
-    pub fn told(&mut self, key: AttemptKey, told: AttemptReport) {
+    pub fn record_attempt_report(&mut self, key: AttemptKey, told: AttemptReport) {
         if let Some(attempt) = self.out(key) {
             attempt.told = told;
         }
     }
 
     /// What an attempt follows; `None` for a request's first.
-    pub fn retry(&self, key: AttemptKey) -> Option<RetryContext<'_>> {
+    pub fn retry_context(&self, key: AttemptKey) -> Option<RetryContext<'_>> {
         let request = self.requests.get(&key.request).filter(|_| key.number > 0)?;
         let (failed_on, after) = request.last_failure.as_ref()?;
         Some(RetryContext {
@@ -388,7 +388,7 @@
 
     /// Some of a body that is not kept goes out: from here on there is no other attempt, and engines work on rows as
     /// they come, so that part of it may have run.
-    pub fn drawn(&mut self, id: RequestId) {
+    pub fn mark_body_forwarded(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.drawn = true;
             for attempt in request.attempts.iter_mut().filter(|a| a.outcome.is_none()) {
@@ -398,7 +398,7 @@
     }
 
     /// What is out of a request has to end within this time, if that is sooner than it would.
-    pub fn shorten(&mut self, now: Micros, id: RequestId, within: Micros) {
+    pub fn shorten_timeout(&mut self, now: Micros, id: RequestId, within: Micros) {
         let until = now.saturating_add(within);
         let Some((number, _)) = self.requests.get(&id).and_then(Request::out) else {
             return;
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -78,7 +78,7 @@
 /// What a host is to do, in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
-    /// Bring an attempt to an engine; ask [`Core::may_write`] before its first byte.
+    /// Bring an attempt to an engine; ask [`Core::may_write_attempt`] before its first byte.
     StartAttempt(AttemptKey, EngineId),
     /// Stop waiting for an attempt.
     AbandonAttempt(AttemptKey, EngineId),
@@ -186,17 +186,17 @@
     }
 
     /// The next thing to do, if any.
-    pub fn command(&mut self) -> Option<Command> {
+    pub fn next_command(&mut self) -> Option<Command> {
         self.commands.pop_front()
     }
 
-    /// When [`Core::tick`] is due next.
+    /// When [`Core::fire_timers`] is due next.
     pub fn next_due(&self) -> Option<Micros> {
         self.timers.peek().map(|t| t.0 .0)
     }
 
     /// Lets all timers come due that should have by now.
-    pub fn tick(&mut self, now: Micros) {
+    pub fn fire_timers(&mut self, now: Micros) {
         while self.next_due().is_some_and(|at| at <= now) {
             let Some(Reverse((_, _, due))) = self.timers.pop() else {
                 return;
@@ -206,14 +206,14 @@
                 Due::Attempt(key) => self.attempt_timed_out(now, key),
                 Due::GivenUp(key) => self.given_up(now, key),
                 Due::Answer(id) => self.answer_is_due(now, id),
-                Due::Probe(tag) => self.probed(now, tag, Outcome::TimedOut, &[]),
+                Due::Probe(tag) => self.record_probe(now, tag, Outcome::TimedOut, &[]),
             }
         }
         self.end_unheard(now);
     }
 
     /// From now on each request is refused as it comes: the process leaves.
-    pub fn leave(&mut self) {
+    pub fn begin_shutdown(&mut self) {
         self.leaves = true;
     }
 
@@ -223,7 +223,7 @@
     }
 
     /// Requests with no final answer yet.
-    pub fn open(&self) -> usize {
+    pub fn open_requests(&self) -> usize {
         self.open
     }
 
--- a/crates/core/src/response.rs
+++ b/crates/core/src/response.rs
@@ -6,8 +6,8 @@
 
 impl Core {
     /// A piece of an attempt's answer, to be passed on. From here on the request is tied to the attempt.
-    pub fn relay(&mut self, key: AttemptKey, piece: ResponseChunk) {
-        self.reached(key, Progress::AnswerBegun);
+    pub fn forward_chunk(&mut self, key: AttemptKey, piece: ResponseChunk) {
+        self.record_progress(key, Progress::AnswerBegun);
         let Some(request) = self.requests.get_mut(&key.request).filter(|r| !r.closed) else {
             return;
         };
@@ -23,7 +23,7 @@
     }
 
     /// An attempt's answer is whole.
-    pub fn served(&mut self, now: Micros, key: AttemptKey) {
+    pub fn complete_attempt(&mut self, now: Micros, key: AttemptKey) {
         if self.out(key).is_none() {
             return;
         }
@@ -88,7 +88,7 @@
 
     /// The process ends, or is killed, before they could all be served: each that is open is answered now. A refusal where
     /// it never ran or may run again, so that its client tries elsewhere; else a failure.
-    pub fn answer_all(&mut self, now: Micros) {
+    pub fn answer_all_requests(&mut self, now: Micros) {
         let ids: Vec<RequestId> = self
             .requests
             .iter()
--- a/crates/core/src/routing.rs
+++ b/crates/core/src/routing.rs
@@ -116,7 +116,7 @@
     }
 
     /// A probe's result; only its first counts.
-    pub fn probed(&mut self, now: Micros, tag: u64, outcome: Outcome, report: &[f64]) {
+    pub fn record_probe(&mut self, now: Micros, tag: u64, outcome: Outcome, report: &[f64]) {
         if let Some(engine) = self.probes.remove(&tag) {
             self.counters.probes_answered += u64::from(outcome == Outcome::Ok);
             self.tell(now, Event::ProbeEnded(engine, outcome, report));
@@ -125,15 +125,15 @@
 
     /// All idle connections to an engine were reset: its process may have ended, and the module hears of it before
     /// the next attempt is lost there.
-    pub fn doubted(&mut self, now: Micros, engine: EngineId) {
-        if self.phase(engine) == Some(Phase::Ready) {
+    pub fn suspect_engine(&mut self, now: Micros, engine: EngineId) {
+        if self.engine_phase(engine) == Some(Phase::Ready) {
             self.counters.doubted += 1;
             self.tell(now, Event::ProbeEnded(engine, Outcome::Reset, &[]));
         }
     }
 
     /// The client has left: no answer is owed. What is out still counts until it ends.
-    pub fn left(&mut self, now: Micros, id: RequestId) {
+    pub fn client_left(&mut self, now: Micros, id: RequestId) {
         if self.close(id) {
             self.counters.left += 1;
             self.tell(now, Event::ClientLeft(query(id)));
--- a/crates/core/src/running.rs
+++ b/crates/core/src/running.rs
@@ -64,7 +64,7 @@
     }
 
     /// Where queries of this name run, or may.
-    pub fn runs(&self, now: Micros, call: &str) -> Vec<RunningQuery> {
+    pub fn running_queries(&self, now: Micros, call: &str) -> Vec<RunningQuery> {
         let mut runs = Vec::new();
         // By the ledger of names, and those whose client has left: they are no longer in it.
         for (&id, request) in self.requests.iter().filter(|(_, r)| &*r.ask.call == call) {
@@ -98,7 +98,7 @@
     }
 
     /// Attempts that are out: their class, their engine, and when they were sent.
-    pub fn attempts_out(&self) -> impl Iterator<Item = (u16, EngineId, Micros)> + '_ {
+    pub fn attempts_in_flight(&self) -> impl Iterator<Item = (u16, EngineId, Micros)> + '_ {
         self.requests.values().filter_map(|r| {
             let (_, out) = r.out()?;
             Some((r.ask.class, out.engine, out.sent))
@@ -106,7 +106,7 @@
     }
 
     /// Requests without a final answer: name, class, engine where one is out, and when each came.
-    pub fn requests_open(
+    pub fn requests_in_progress(
         &self,
     ) -> impl Iterator<Item = (&str, u16, Option<EngineId>, Micros)> + '_ {
         self.requests.values().filter(|r| !r.closed).map(|r| {
@@ -121,13 +121,13 @@
     }
 
     /// An attempt's engine, and when it was sent.
-    pub fn sent(&self, key: AttemptKey) -> Option<(EngineId, Micros)> {
+    pub fn attempt_engine(&self, key: AttemptKey) -> Option<(EngineId, Micros)> {
         self.made(key).map(|a| (a.engine, a.sent))
     }
 
     /// A client wants the query of this name ended: no further attempt is made, and if none is out it ends at once
     /// with these words. True if there was one.
-    pub fn call_off(&mut self, now: Micros, call: &str, words: &str) -> bool {
+    pub fn cancel_request(&mut self, now: Micros, call: &str, words: &str) -> bool {
         let Some(&id) = self.names.get(call) else {
             return false;
         };
@@ -145,7 +145,7 @@
     }
 
     /// The client of a read has left: what is out for it is let go, so that its engine may end it.
-    pub fn release(&mut self, now: Micros, id: RequestId) {
+    pub fn release_attempt(&mut self, now: Micros, id: RequestId) {
         let Some((number, _)) = self.requests.get(&id).and_then(Request::out) else {
             return;
         };
--- a/crates/core/tests/golden.rs
+++ b/crates/core/tests/golden.rs
@@ -100,12 +100,12 @@
             .enumerate()
             .map(|(n, &phase)| listed(n as u64, phase))
             .collect();
-        self.core.engines(self.now, kind, &lines);
+        self.core.update_engines(self.now, kind, &lines);
         self.commands("list");
     }
 
     fn commands(&mut self, what: &str) {
-        while let Some(command) = self.core.command() {
+        while let Some(command) = self.core.next_command() {
             let (kind, words) = in_words(&command);
             let line = format!("{} {what}: {kind} {words}", self.now);
             self.transcript.line(kind, &line);
@@ -129,7 +129,7 @@
         let end = self.now + time;
         while let Some(due) = self.core.next_due().filter(|&due| due <= end) {
             self.now = self.now.max(due);
-            self.core.tick(self.now);
+            self.core.fire_timers(self.now);
             self.commands("tick");
         }
         self.now = end;
@@ -177,9 +177,9 @@
         };
         let class = ask.class;
         if dice.chance(1) {
-            self.core.take_left(self.now, ask);
+            self.core.accept_disconnected_request(self.now, ask);
         } else {
-            let id = self.core.take(self.now, ask);
+            let id = self.core.accept_request(self.now, ask);
             self.open.push(id);
         }
         self.commands(&format!("take class {class}"));
@@ -197,8 +197,8 @@
 
     fn write(&mut self) {
         let Some(key) = self.pick(false) else { return };
-        self.core.reached(key, Progress::Connected);
-        let may = self.core.may_write(self.now, key);
+        self.core.record_progress(key, Progress::Connected);
+        let may = self.core.may_write_attempt(self.now, key);
         let name = self.core.name_on_engine(key).into_owned();
         let line = format!(
             "{} first byte {}.{}: {may:?} as {name}",
@@ -208,7 +208,7 @@
         if may.is_some() {
             let whole =
                 [Progress::PartWritten, Progress::WrittenWhole][usize::from(self.dice.chance(80))];
-            self.core.reached(key, whole);
+            self.core.record_progress(key, whole);
             self.out
                 .iter_mut()
                 .filter(|o| o.0 == key)
@@ -221,12 +221,13 @@
 
     fn serve(&mut self) {
         let Some(key) = self.pick(true) else { return };
-        self.core.reached(key, Progress::WrittenWhole);
+        self.core.record_progress(key, Progress::WrittenWhole);
         if self.dice.chance(60) {
             let about = vec![("x".to_string(), "y".to_string())];
             let rows = b"1\n".to_vec();
             let whole = self.dice.chance(50);
-            self.core.relay(key, ResponseChunk { about, rows, whole });
+            self.core
+                .forward_chunk(key, ResponseChunk { about, rows, whole });
         }
         if self.dice.chance(70) {
             let told = AttemptReport {
@@ -234,8 +235,8 @@
                 work: self.dice.chance(50).then_some(90_000.0),
                 memory_mb: self.dice.chance(50).then_some(80.0),
             };
-            self.core.told(key, told);
-            self.core.served(self.now, key);
+            self.core.record_attempt_report(key, told);
+            self.core.complete_attempt(self.now, key);
             self.out.retain(|o| o.0 != key);
         }
         self.commands("answer");
@@ -275,26 +276,26 @@
         let id = self.open[self.dice.below(self.open.len() as u64) as usize];
         match self.dice.below(5) {
             0 => {
-                self.core.left(self.now, id);
+                self.core.client_left(self.now, id);
                 self.open.retain(|&o| o != id);
             }
             1 => {
-                self.core.left(self.now, id);
+                self.core.client_left(self.now, id);
                 self.open.retain(|&o| o != id);
-                self.core.release(self.now, id);
+                self.core.release_attempt(self.now, id);
             }
             2 => {
                 let name = format!("q{}", 1 + self.dice.below(self.names));
                 let was_there =
                     self.core
-                        .call_off(self.now, &name, "Code: 394. DB::Exception: killed");
+                        .cancel_request(self.now, &name, "Code: 394. DB::Exception: killed");
                 let line = format!("{} kill {name}: {was_there}", self.now);
                 self.transcript.line("kill", &line);
             }
-            3 => self.core.drawn(id),
+            3 => self.core.mark_body_forwarded(id),
             _ => {
                 let within = self.dice.below(S);
-                self.core.shorten(self.now, id, within);
+                self.core.shorten_timeout(self.now, id, within);
             }
         }
         self.commands("client");
@@ -303,7 +304,7 @@
     fn look(&mut self) {
         let name = format!("q{}", 1 + self.dice.below(self.names.max(1)));
         let mut line = format!("{} runs of {name}:", self.now);
-        for run in self.core.runs(self.now, &name) {
+        for run in self.core.running_queries(self.now, &name) {
             let _ = write!(line, " {} {} {}", run.engine.0, run.name, run.awaited);
         }
         self.transcript.line("runs", &line);
@@ -329,7 +330,7 @@
                         ProgressReport::WaitsForLoad,
                         ProgressReport::Spills(9.0),
                     ][self.dice.below(4) as usize];
-                    self.core.noted(self.now, key, note);
+                    self.core.record_progress_report(self.now, key, note);
                     self.commands("note");
                 }
             }
@@ -337,7 +338,7 @@
                 if let Some(tag) = self.probes.pop() {
                     let outcome = [Outcome::Ok, Outcome::Ok, Outcome::Unreachable]
                         [self.dice.below(3) as usize];
-                    self.core.probed(self.now, tag, outcome, &[]);
+                    self.core.record_probe(self.now, tag, outcome, &[]);
                     self.commands("probed");
                 }
             }
@@ -350,7 +351,7 @@
             }
             39 if self.dice.chance(20) => {
                 let engine = EngineId(self.dice.below(ENGINES));
-                self.core.doubted(self.now, engine);
+                self.core.suspect_engine(self.now, engine);
                 self.commands("connections reset");
             }
             _ => {}
@@ -362,9 +363,9 @@
         for _ in 0..steps {
             self.step();
         }
-        self.core.answer_all(self.now);
+        self.core.answer_all_requests(self.now);
         self.commands("answer all");
-        self.core.leave();
+        self.core.begin_shutdown();
         self.take();
         self.pass(5 * S);
         format!("{}{}", self.transcript.text(), self.core.counters())
--- a/crates/core/tests/keyed.rs
+++ b/crates/core/tests/keyed.rs
@@ -50,21 +50,23 @@
             asked: 0,
         };
         let lines: Vec<ListedEngine> = (1..=engines).map(|n| listed(n, Phase::Ready)).collect();
-        rig.core.engines(rig.now, ListKind::Full, &lines);
+        rig.core.update_engines(rig.now, ListKind::Full, &lines);
         rig.commands();
         rig
     }
 
     fn commands(&mut self) -> AttemptReport {
         let mut told = AttemptReport::default();
-        while let Some(command) = self.core.command() {
+        while let Some(command) = self.core.next_command() {
             match command {
-                Command::StartAttempt(key, _) if self.core.may_write(self.now, key).is_some() => {
-                    self.core.reached(key, Progress::WrittenWhole);
+                Command::StartAttempt(key, _)
+                    if self.core.may_write_attempt(self.now, key).is_some() =>
+                {
+                    self.core.record_progress(key, Progress::WrittenWhole);
                     told.sent.push(key);
                 }
                 Command::AbandonAttempt(key, _) => told.left.push(key),
-                Command::Probe(_, tag) => self.core.probed(self.now, tag, Outcome::Ok, &[]),
+                Command::Probe(_, tag) => self.core.record_probe(self.now, tag, Outcome::Ok, &[]),
                 Command::Reject(..) => told.refused += 1,
                 Command::Fail(..) => told.failed += 1,
                 _ => {}
@@ -85,7 +87,7 @@
             statement: Rc::from(*b"x"),
             ..ParsedRequest::default()
         };
-        let id = self.core.take(self.now, ask);
+        let id = self.core.accept_request(self.now, ask);
         (id, self.commands())
     }
 
@@ -94,7 +96,7 @@
         let mut all = AttemptReport::default();
         while let Some(due) = self.core.next_due().filter(|&due| due <= until) {
             self.now = self.now.max(due);
-            self.core.tick(self.now);
+            self.core.fire_timers(self.now);
             let told = self.commands();
             all.sent.extend(told.sent);
             all.left.extend(told.left);
@@ -144,7 +146,7 @@
     for _ in 0..8 {
         let key = rig.ask(LOOKUP, None).1.sent[0];
         rig.wait(20 * MS);
-        rig.core.served(rig.now, key);
+        rig.core.complete_attempt(rig.now, key);
         rig.commands();
     }
     let first = rig.ask(LOOKUP, None).1.sent[0];
@@ -161,11 +163,11 @@
         }
     }
     assert_eq!(left, [first]);
-    assert!(rig.core.is_out(first));
+    assert!(rig.core.is_in_flight(first));
     assert!(rig.wait(25 * MS).sent.is_empty());
     let again = rig.wait(50 * MS).sent;
     assert_eq!((again.len(), again[0].request), (1, first.request));
-    assert!(!rig.core.is_out(first));
+    assert!(!rig.core.is_in_flight(first));
     assert_eq!(rig.core.counters().stopped, 1);
 }
 
@@ -201,7 +203,7 @@
     );
     for word in ["a", "b"] {
         let (_, told) = rig.ask(LOAD, Some(word));
-        rig.core.served(rig.now, told.sent[0]);
+        rig.core.complete_attempt(rig.now, told.sent[0]);
         rig.commands();
     }
     // Dropping the oldest would let its client's late retry run again: who comes beyond the room is refused instead.
@@ -239,13 +241,13 @@
     let (_, told) = rig.ask(LOAD, Some("w"));
     // The engine drains and turns away what is out; nothing goes again under the word before its client leaves.
     rig.core
-        .engines(rig.now, ListKind::Changes, &[listed(1, Phase::Draining)]);
+        .update_engines(rig.now, ListKind::Changes, &[listed(1, Phase::Draining)]);
     rig.core
         .attempt_failed(rig.now, told.sent[0], Cause::Rejected);
     assert!(rig.commands().sent.is_empty());
-    rig.core.left(rig.now, told.sent[0].request);
+    rig.core.client_left(rig.now, told.sent[0].request);
     rig.core
-        .engines(rig.now, ListKind::Changes, &[listed(1, Phase::Ready)]);
+        .update_engines(rig.now, ListKind::Changes, &[listed(1, Phase::Ready)]);
     // Behind the engines' window of what never ran.
     rig.wait(13 * S);
     let (_, again) = rig.ask(LOAD, Some("w"));
--- a/crates/core/tests/model.rs
+++ b/crates/core/tests/model.rs
@@ -167,7 +167,7 @@
             )
         };
         let lines: Vec<ListedEngine> = self.draining.iter().enumerate().map(line).collect();
-        self.core.engines(self.now, ListKind::Full, &lines);
+        self.core.update_engines(self.now, ListKind::Full, &lines);
     }
 
     fn pick<T: Clone>(from: impl Iterator<Item = T>, pick: u8) -> Option<T> {
@@ -210,7 +210,7 @@
                     ticket: order as u64 + 1,
                     ..ParsedRequest::default()
                 };
-                let id = self.core.take(self.now, ask);
+                let id = self.core.accept_request(self.now, ask);
                 let known = Known {
                     class,
                     name,
@@ -238,7 +238,7 @@
                 let end = self.now + Micros::from(ms) * 1000;
                 while let Some(due) = self.core.next_due().filter(|&due| due <= end) {
                     self.now = self.now.max(due);
-                    self.core.tick(self.now);
+                    self.core.fire_timers(self.now);
                     self.commands();
                 }
                 self.now = end;
@@ -250,14 +250,14 @@
             Step::Write { pick } => {
                 let unwritten = self.out.iter().filter(|o| !o.1 .1).map(|o| *o.0);
                 if let Some(key) = Model::pick(unwritten, pick) {
-                    self.core.reached(key, Progress::Connected);
+                    self.core.record_progress(key, Progress::Connected);
                     let engine = self.out[&key].0;
-                    if self.core.may_write(self.now, key).is_some() {
+                    if self.core.may_write_attempt(self.now, key).is_some() {
                         assert!(
                             !self.draining[engine.0 as usize],
                             "written to an engine that drains"
                         );
-                        self.core.reached(key, Progress::WrittenWhole);
+                        self.core.record_progress(key, Progress::WrittenWhole);
                         self.out.insert(key, (engine, true));
                         let known = self.known.get_mut(&key.request).expect("known");
                         assert!(!known.called_off, "written after it was called off");
@@ -269,7 +269,7 @@
             }
             Step::ResponseChunk { pick } => {
                 if let Some(key) = self.written(pick) {
-                    self.core.relay(
+                    self.core.forward_chunk(
                         key,
                         ResponseChunk {
                             about: Vec::new(),
@@ -282,7 +282,7 @@
             Step::Serve { pick } => {
                 if let Some(key) = self.written(pick) {
                     self.out.remove(&key);
-                    self.core.served(self.now, key);
+                    self.core.complete_attempt(self.now, key);
                 }
             }
             Step::Fail { pick, how } => {
@@ -312,13 +312,13 @@
                     .map(|k| *k.0);
                 if let Some(id) = Model::pick(open, pick) {
                     self.known.get_mut(&id).expect("known").left = true;
-                    self.core.left(self.now, id);
+                    self.core.client_left(self.now, id);
                 }
             }
             Step::Draw { pick } => {
                 if let Some(key) = self.written(pick) {
                     self.known.get_mut(&key.request).expect("known").drawn = true;
-                    self.core.drawn(key.request);
+                    self.core.mark_body_forwarded(key.request);
                 }
             }
             Step::CallOff { pick } => {
@@ -336,9 +336,11 @@
                         .find(named)
                         .expect("open")
                         .called_off = true;
-                    assert!(self
-                        .core
-                        .call_off(self.now, &name, "Code: 394. DB::Exception: x"));
+                    assert!(self.core.cancel_request(
+                        self.now,
+                        &name,
+                        "Code: 394. DB::Exception: x"
+                    ));
                 }
             }
             Step::Release { pick } => {
@@ -348,7 +350,7 @@
                     .filter(|k| k.1.class == LOOKUP && k.1.left)
                     .map(|k| *k.0);
                 if let Some(id) = Model::pick(reads, pick) {
-                    self.core.release(self.now, id);
+                    self.core.release_attempt(self.now, id);
                 }
             }
             Step::ProbeEnded { fine } => {
@@ -358,7 +360,7 @@
                     } else {
                         driftfront_core::Outcome::Error
                     };
-                    self.core.probed(self.now, tag, outcome, &[]);
+                    self.core.record_probe(self.now, tag, outcome, &[]);
                 }
             }
         }
@@ -370,7 +372,7 @@
     }
 
     fn commands(&mut self) {
-        while let Some(command) = self.core.command() {
+        while let Some(command) = self.core.next_command() {
             match command {
                 Command::StartAttempt(key, engine) => self.sent(key, engine),
                 Command::AbandonAttempt(key, _) => drop(self.out.remove(&key)),
@@ -497,7 +499,7 @@
         model.known.values().all(|k| k.over),
         "its end was never told"
     );
-    assert_eq!(model.core.open(), 0);
+    assert_eq!(model.core.open_requests(), 0);
     let c = model.core.counters();
     let answers = c.served + c.refused + c.failed + c.broken + c.left;
     assert_eq!(c.taken, answers);
--- a/crates/core/tests/unheard.rs
+++ b/crates/core/tests/unheard.rs
@@ -28,7 +28,7 @@
             asked: 0,
         };
         let line = listed(1, Phase::Ready);
-        rig.core.engines(rig.now, ListKind::Full, &[line]);
+        rig.core.update_engines(rig.now, ListKind::Full, &[line]);
         rig.commands();
         rig
     }
@@ -36,11 +36,11 @@
     /// Sends and what was given up.
     fn commands(&mut self) -> (Vec<AttemptKey>, Vec<AttemptKey>) {
         let (mut sent, mut left) = (Vec::new(), Vec::new());
-        while let Some(command) = self.core.command() {
+        while let Some(command) = self.core.next_command() {
             match command {
                 Command::StartAttempt(key, _) => {
-                    assert!(self.core.may_write(self.now, key).is_some());
-                    self.core.reached(key, Progress::WrittenWhole);
+                    assert!(self.core.may_write_attempt(self.now, key).is_some());
+                    self.core.record_progress(key, Progress::WrittenWhole);
                     sent.push(key);
                 }
                 Command::AbandonAttempt(key, _) => left.push(key),
@@ -60,7 +60,7 @@
             statement: Rc::from(*b"x"),
             ..ParsedRequest::default()
         };
-        self.core.take(self.now, ask);
+        self.core.accept_request(self.now, ask);
         self.commands().0[0]
     }
 
@@ -68,7 +68,7 @@
         let mut all = (Vec::new(), Vec::new());
         while self.now < until {
             self.now += 25_000;
-            self.core.tick(self.now);
+            self.core.fire_timers(self.now);
             let (sent, left) = self.commands();
             all.0.extend(sent);
             all.1.extend(left);
@@ -86,7 +86,7 @@
     let second = rig.ask(LOOKUP);
     rig.wait(begin + S);
     rig.core
-        .noted(rig.now, second, ProgressReport::Progress(0.1));
+        .record_progress_report(rig.now, second, ProgressReport::Progress(0.1));
     assert!(rig.wait(begin + 17 * S / 10).1.is_empty());
     let (again, left) = rig.wait(begin + 19 * S / 10);
     assert_eq!((left, again.len()), (vec![first], 1));
@@ -103,7 +103,7 @@
     let begin = rig.now;
     let first = rig.ask(LOOKUP);
     rig.core
-        .noted(rig.now, first, ProgressReport::Progress(0.1));
+        .record_progress_report(rig.now, first, ProgressReport::Progress(0.1));
     assert!(rig.wait(begin + 4 * S).1.is_empty());
     for (class, tells) in [(LOAD, true), (LOOKUP, false)] {
         let mut rig = Rig::new(tells);
@@ -112,8 +112,8 @@
         rig.wait(begin + 100_000);
         let second = rig.ask(LOOKUP);
         rig.core
-            .noted(rig.now, second, ProgressReport::Progress(0.1));
-        rig.core.served(rig.now, second);
+            .record_progress_report(rig.now, second, ProgressReport::Progress(0.1));
+        rig.core.complete_attempt(rig.now, second);
         assert!(rig.wait(begin + 4 * S).1.is_empty());
     }
 }
