--- a/crates/coordinator/src/node/clients/closing.rs
+++ b/crates/coordinator/src/node/clients/closing.rs
@@ -6,7 +6,7 @@
 
 use super::{Client, IDLE_MOST, PART_OF_SOCKETS, PART_WHILE_SHARED, READ_MOST};
 use crate::net::{eviction, ReadEnd};
-use crate::node::{ConnId, Node};
+use crate::node::{ConnectionId, Node};
 use crate::service::End;
 use driftfront_core::{Micros, RequestId};
 use driftfront_http::response;
@@ -123,7 +123,7 @@
     }
 
     /// What a client whose request never became whole may still read before the close.
-    fn tell_request_timeout(&mut self, id: ConnId) {
+    fn tell_request_timeout(&mut self, id: ConnectionId) {
         let Some(client) = self.clients.get_mut(&id) else {
             return;
         };
@@ -134,7 +134,7 @@
 
     /// The connection is gone, or goes at once: by its peer's end, its reset, or since there is no waiting for it. Nobody is
     /// left to be answered on it; what is out of its request counts until it ends.
-    pub(in crate::node) fn drop_client(&mut self, now: Micros, id: ConnId) {
+    pub(in crate::node) fn drop_client(&mut self, now: Micros, id: ConnectionId) {
         let Some(mut client) = self.clients.remove(&id) else {
             return;
         };
@@ -146,13 +146,13 @@
     }
 
     /// The connection's open request is not wanted any more, or can't be.
-    pub(super) fn leave(&mut self, now: Micros, id: ConnId) {
+    pub(super) fn leave(&mut self, now: Micros, id: ConnectionId) {
         if let Some((request, _)) = self.clients.get_mut(&id).and_then(|c| c.current.take()) {
             self.left(now, id, request);
         }
     }
 
-    fn left(&mut self, now: Micros, id: ConnId, request: RequestId) {
+    fn left(&mut self, now: Micros, id: ConnectionId, request: RequestId) {
         tracing::debug!(request = request.0, conn = id, "client left");
         self.count_end(now, request, End::Left);
         self.asking.remove(&request);
@@ -197,7 +197,7 @@
     }
 
     /// Asks the system for an end of the peer's: behind bytes that are not read yet it brings no word of its own.
-    pub(super) fn drop_if_ended(&mut self, now: Micros, id: ConnId) {
+    pub(super) fn drop_if_ended(&mut self, now: Micros, id: ConnectionId) {
         if self
             .clients
             .get(&id)
@@ -210,7 +210,7 @@
     /// Reads what stands behind more than is held, and drops it: unread, it would hide that the client leaves. The requests that
     /// were held behind the open one go with it, as their connection closes behind the answer. One read at a time; the sweep
     /// goes on with it.
-    pub(super) fn discard_pipelined(&mut self, now: Micros, id: ConnId) {
+    pub(super) fn discard_pipelined(&mut self, now: Micros, id: ConnectionId) {
         let Some(client) = self.clients.get_mut(&id) else {
             return;
         };
@@ -224,7 +224,7 @@
 
     /// The client has ended its side: what it asked is not wanted any more, and what stands unread behind it neither. What is
     /// malformed is told.
-    pub(super) fn client_ended(&mut self, now: Micros, id: ConnId) {
+    pub(super) fn client_ended(&mut self, now: Micros, id: ConnectionId) {
         while self.next_request(now, id, true) {}
         let Some(client) = self.clients.get_mut(&id) else {
             return;
@@ -277,7 +277,7 @@
 
     /// Closes a connection at rest in order. What has come already is taken first; a request that crosses the close is sent
     /// once more by its client, elsewhere. True if the close has begun.
-    fn close_at_rest(&mut self, now: Micros, id: ConnId) -> bool {
+    fn close_at_rest(&mut self, now: Micros, id: ConnectionId) -> bool {
         self.client_ready(now, id);
         let rests = self.clients.get(&id).is_some_and(Client::is_at_rest);
         if rests {
@@ -286,7 +286,7 @@
         rests
     }
 
-    fn begin_close(&mut self, now: Micros, id: ConnId) {
+    fn begin_close(&mut self, now: Micros, id: ConnectionId) {
         if let Some(client) = self.clients.get_mut(&id) {
             (client.close, client.used) = (true, now);
         }
@@ -294,7 +294,7 @@
     }
 
     /// Closes a connection in order whose request never became whole, unless its last bytes have just come.
-    fn end_half_read(&mut self, now: Micros, id: ConnId) {
+    fn end_half_read(&mut self, now: Micros, id: ConnectionId) {
         self.client_ready(now, id);
         let last = self.life.closes_last();
         let due =
--- a/crates/coordinator/src/node/clients/mod.rs
+++ b/crates/coordinator/src/node/clients/mod.rs
@@ -4,7 +4,7 @@
 mod closing;
 mod requests;
 
-use super::{ConnId, Node, Source};
+use super::{ConnectionId, Node, Source};
 use crate::frontends::{After, AnswerWriter};
 use crate::net::{out_of_descriptors, Link, ReadEnd};
 use calloop::RegistrationToken;
@@ -144,7 +144,7 @@
             {
                 continue;
             }
-            let id = self.conn_id();
+            let id = self.next_connection_id();
             let stream = Rc::new(stream);
             match self.register(stream.clone(), Source::Client(id)) {
                 Ok(token) => {
@@ -200,7 +200,7 @@
         client.map_or(0, |c| c.link.backlog())
     }
 
-    pub(super) fn client_ready(&mut self, now: Micros, id: ConnId) {
+    pub(super) fn client_ready(&mut self, now: Micros, id: ConnectionId) {
         if let Some(client) = self.clients.get_mut(&id) {
             client.more = true;
         }
@@ -262,7 +262,7 @@
 
     /// Works on a connection, unless that is going on further up the stack: an answer given at once must not
     /// begin the next pipelined request inside the one before, each some frames deeper.
-    pub(super) fn client_work(&mut self, now: Micros, id: ConnId) {
+    pub(super) fn client_work(&mut self, now: Micros, id: ConnectionId) {
         let Some(client) = self.clients.get_mut(&id).filter(|c| !c.busy) else {
             return;
         };
@@ -279,7 +279,7 @@
     }
 
     /// Writes, takes requests and reads, as far as all three go.
-    fn client_loop(&mut self, now: Micros, id: ConnId) {
+    fn client_loop(&mut self, now: Micros, id: ConnectionId) {
         for turn in 0.. {
             let Some(client) = self.clients.get_mut(&id) else {
                 return;
@@ -349,7 +349,7 @@
 
     /// A request that is being read has grown: what its body may hold is looked at anew. True if its bounds have
     /// changed so that it should be tried again.
-    fn has_outgrown(&mut self, now: Micros, id: ConnId) -> bool {
+    fn has_outgrown(&mut self, now: Micros, id: ConnectionId) -> bool {
         let Some(client) = self.clients.get_mut(&id) else {
             return false;
         };
@@ -372,7 +372,7 @@
         true
     }
 
-    fn reply(&mut self, now: Micros, id: ConnId, bytes: &[u8]) {
+    fn reply(&mut self, now: Micros, id: ConnectionId, bytes: &[u8]) {
         let away = self.life.sends_away(now);
         if let Some(client) = self.clients.get_mut(&id) {
             let mut bytes = bytes.to_vec();
@@ -386,7 +386,7 @@
     }
 
     /// What can't be read is answered with its status, then the connection closes.
-    fn client_fault(&mut self, now: Micros, id: ConnId, fault: Fault) {
+    fn client_fault(&mut self, now: Micros, id: ConnectionId, fault: Fault) {
         if let Some(client) = self.clients.get_mut(&id) {
             client.close = true;
             client.used = now;
--- a/crates/coordinator/src/node/clients/requests.rs
+++ b/crates/coordinator/src/node/clients/requests.rs
@@ -2,14 +2,14 @@
 
 use super::BAD_PAUSE;
 use crate::frontends::{Intake, KillRequest};
-use crate::node::{ConnId, Node};
+use crate::node::{ConnectionId, Node};
 use driftfront_core::{Micros, Phase};
 use driftfront_http::response;
 
 impl Node {
     /// Takes the next request off the reader, if none is open; true if one was there. `ended`: its client has ended its side,
     /// and nothing that is still read is wanted any more.
-    pub(super) fn next_request(&mut self, now: Micros, id: ConnId, ended: bool) -> bool {
+    pub(super) fn next_request(&mut self, now: Micros, id: ConnectionId, ended: bool) -> bool {
         let Some(client) = self.clients.get_mut(&id) else {
             return false;
         };
@@ -101,7 +101,7 @@
     }
 
     /// Ends queries by their names: none gets a further attempt, and each engine that runs one, or may, is told.
-    fn kill(&mut self, now: Micros, id: ConnId, kill: KillRequest) {
+    fn kill(&mut self, now: Micros, id: ConnectionId, kill: KillRequest) {
         let mut runs = Vec::new();
         let mut known = false;
         for name in &kill.names {
--- a/crates/coordinator/src/node/cluster/agreed.rs
+++ b/crates/coordinator/src/node/cluster/agreed.rs
@@ -5,7 +5,7 @@
 
 use super::ClusterRuntime;
 use crate::file_writer::{Disk, Job};
-use crate::node::{ConnId, Node};
+use crate::node::{ConnectionId, Node};
 use driftfront_cluster::consensus::leases::{Command, Outcome, TEXT_MOST};
 use driftfront_cluster::consensus::replica::Write;
 use driftfront_cluster::consensus::{store, Options, Role, Unanswered};
@@ -36,7 +36,7 @@
     /// What waits for room at the disk.
     writes: VecDeque<Write>,
     /// Operators that wait for an outcome, by request: the hold's name, and what to say when it is done.
-    waiting: BTreeMap<u64, (ConnId, u64, String)>,
+    waiting: BTreeMap<u64, (ConnectionId, u64, String)>,
     /// When to try the lock again.
     again: Option<Instant>,
     /// It was let go for a successor, or for good.
@@ -277,7 +277,7 @@
     /// An operator takes a hold; told once it is agreed.
     pub(in crate::node) fn hold(
         &mut self,
-        to: (ConnId, u64),
+        to: (ConnectionId, u64),
         name: String,
         for_s: u64,
         stays: bool,
@@ -305,7 +305,7 @@
     }
 
     /// An operator gives a hold back, whoever took it.
-    pub(in crate::node) fn unhold(&mut self, to: (ConnId, u64), name: &str) {
+    pub(in crate::node) fn unhold(&mut self, to: (ConnectionId, u64), name: &str) {
         let pot = format!("{HOLD}{name}");
         self.ask_for(to, name.into(), |fleet| {
             let lent = fleet
@@ -321,7 +321,7 @@
 
     fn ask_for(
         &mut self,
-        to: (ConnId, u64),
+        to: (ConnectionId, u64),
         name: String,
         command: impl FnOnce(&ClusterRuntime) -> Result<Command, String>,
     ) {
--- a/crates/coordinator/src/node/control/mod.rs
+++ b/crates/coordinator/src/node/control/mod.rs
@@ -5,7 +5,7 @@
 mod orders;
 mod views;
 
-use crate::node::{ConnId, Node, Source};
+use crate::node::{ConnectionId, Node, Source};
 use crate::service::Ring;
 use crate::state;
 use calloop::RegistrationToken;
@@ -79,7 +79,7 @@
     /// The socket's path, and its number in the file system: a successor puts its own there.
     socket: Option<(PathBuf, u64)>,
     key: Vec<u8>,
-    operators: BTreeMap<ConnId, Operator>,
+    operators: BTreeMap<ConnectionId, Operator>,
     events: VecDeque<(Micros, String)>,
     classes: Vec<(Ring, Ring)>,
     engines: BTreeMap<EngineId, Ring>,
@@ -87,7 +87,7 @@
     snapshot: Option<(Micros, String)>,
     state: Option<state::State>,
     /// Commands whose records are on their way to the disk: who is told what then.
-    waiting: BTreeMap<u64, (ConnId, u64, String)>,
+    waiting: BTreeMap<u64, (ConnectionId, u64, String)>,
     roll: Option<Roll>,
     next_roll: Micros,
     begun: Micros,
@@ -241,7 +241,7 @@
             control.events.pop_front();
         }
         control.events.push_back((at, words.clone()));
-        let told: Vec<(ConnId, u64)> = control
+        let told: Vec<(ConnectionId, u64)> = control
             .operators
             .iter()
             .filter_map(|(&id, o)| Some((id, o.events?)))
--- a/crates/coordinator/src/node/control/operators.rs
+++ b/crates/coordinator/src/node/control/operators.rs
@@ -1,7 +1,7 @@
 //! Operators' connections: what comes and goes on them, and who follows.
 
 use super::{Listener, Operator, Stream, OPERATORS_MOST, READ_AT_ONCE, UNREAD_FOR, UNREAD_MOST};
-use crate::node::{ConnId, Node, Source};
+use crate::node::{ConnectionId, Node, Source};
 use driftfront_control::{greeting, key, Lines, Reply, Request, LINE_MOST};
 use driftfront_core::{Micros, Phase};
 use driftfront_engine_registry::{Command as Order, Fact};
@@ -27,7 +27,7 @@
             {
                 continue;
             }
-            let id = self.conn_id();
+            let id = self.next_connection_id();
             let registered = match &stream {
                 Stream::Unix(s) => s
                     .set_nonblocking(true)
@@ -68,14 +68,14 @@
         }
     }
 
-    pub(in crate::node) fn drop_operator(&mut self, id: ConnId) {
+    pub(in crate::node) fn drop_operator(&mut self, id: ConnectionId) {
         let operator = self.control.as_mut().and_then(|c| c.operators.remove(&id));
         if let Some(mut operator) = operator {
             self.unwatch(operator.token.take());
         }
     }
 
-    pub(in crate::node) fn tell_operator(&mut self, id: ConnId, line: &str) {
+    pub(in crate::node) fn tell_operator(&mut self, id: ConnectionId, line: &str) {
         let Some(control) = &mut self.control else {
             return;
         };
@@ -92,7 +92,7 @@
         self.write_operator(id);
     }
 
-    fn write_operator(&mut self, id: ConnId) {
+    fn write_operator(&mut self, id: ConnectionId) {
         let Some(operator) = self.control.as_mut().and_then(|c| c.operators.get_mut(&id)) else {
             return;
         };
@@ -108,7 +108,7 @@
         operator.out.shrink_to(64 * 1024);
     }
 
-    pub(in crate::node) fn operator_ready(&mut self, id: ConnId) {
+    pub(in crate::node) fn operator_ready(&mut self, id: ConnectionId) {
         self.write_operator(id);
         let mut bytes = vec![0; 8 * 1024];
         let mut taken = 0;
@@ -142,7 +142,7 @@
         }
     }
 
-    fn operator_line(&mut self, conn: ConnId, line: &str) {
+    fn operator_line(&mut self, conn: ConnectionId, line: &str) {
         let now = self.clock();
         let (id, request) = Request::read(line);
         let request = match request {
@@ -242,7 +242,7 @@
     fn add(
         &mut self,
         now: Micros,
-        conn: ConnId,
+        conn: ConnectionId,
         id: u64,
         engine: String,
         addr: &str,
@@ -295,7 +295,7 @@
             return;
         };
         let stuck = |o: &Operator| o.unread.is_some_and(|since| now > since + UNREAD_FOR);
-        let cut: Vec<ConnId> = control
+        let cut: Vec<ConnectionId> = control
             .operators
             .iter()
             .filter(|o| stuck(o.1))
--- a/crates/coordinator/src/node/control/orders.rs
+++ b/crates/coordinator/src/node/control/orders.rs
@@ -1,7 +1,7 @@
 //! Orders that operators give: carried out, written down, and rolled over many engines.
 
 use super::Kept;
-use crate::node::{ConnId, Node};
+use crate::node::{ConnectionId, Node};
 use driftfront_control::Reply;
 use driftfront_core::Micros;
 use driftfront_engine_registry::record::Record;
@@ -13,7 +13,7 @@
     pub(super) fn order(
         &mut self,
         now: Micros,
-        conn: ConnId,
+        conn: ConnectionId,
         id: u64,
         command: Order,
         words: String,
@@ -104,7 +104,7 @@
     pub(super) fn begin_roll(
         &mut self,
         now: Micros,
-        conn: ConnId,
+        conn: ConnectionId,
         id: u64,
         engines: Vec<String>,
         dry: bool,
@@ -145,7 +145,7 @@
     pub(super) fn with_roll(
         &mut self,
         now: Micros,
-        conn: ConnId,
+        conn: ConnectionId,
         id: u64,
         none: &str,
         how: impl FnOnce(&mut Roll, &ObservedState) -> Vec<Act>,
--- a/crates/coordinator/src/node/discovery_client.rs
+++ b/crates/coordinator/src/node/discovery_client.rs
@@ -1,6 +1,6 @@
 //! Where the list of engines comes from: one watched connection, kept up, or a file.
 
-use super::{ConnId, Node, Source};
+use super::{ConnectionId, Node, Source};
 use crate::config::{Config, Membership};
 use crate::discovery::backoff::{Backoff, Broken};
 use crate::discovery::{etcd::Etcd, file::File, read, stream::Stream, Watch};
@@ -31,7 +31,7 @@
 }
 
 struct FeedConn {
-    id: ConnId,
+    id: ConnectionId,
     link: Link,
     token: Option<RegistrationToken>,
     up: bool,
@@ -157,7 +157,7 @@
             }
         }
         if self.feed.conn.is_none() && now >= self.feed.next_try {
-            let id = self.conn_id();
+            let id = self.next_connection_id();
             let opened = connect(addr).map_err(|e| e.to_string());
             match opened.and_then(|s| Ok((s.clone(), self.register(s, Source::Feed(id))?))) {
                 Ok((stream, token)) => {
@@ -183,13 +183,13 @@
         self.feed.next_try = self.feed.backoff.again(now, how);
     }
 
-    pub(super) fn feed_ready(&mut self, now: Micros, id: ConnId) {
+    pub(super) fn feed_ready(&mut self, now: Micros, id: ConnectionId) {
         if let Err(why) = self.feed_work(now, id) {
             self.drop_feed(now, &why, Broken::Off);
         }
     }
 
-    fn feed_work(&mut self, now: Micros, id: ConnId) -> Result<(), String> {
+    fn feed_work(&mut self, now: Micros, id: ConnectionId) -> Result<(), String> {
         loop {
             let Some(conn) = self.feed.conn.as_mut().filter(|c| c.id == id) else {
                 return Ok(());
--- a/crates/coordinator/src/node/engines/closing.rs
+++ b/crates/coordinator/src/node/engines/closing.rs
@@ -2,22 +2,22 @@
 //! goes by another. The moments stand in `docs/endings.md`.
 
 use super::{EngineConn, Work, CHECK_AFTER, CHECK_TAG, HANDED_OVER_IDLE, MOVES_MOST};
-use crate::node::{ConnId, Node};
+use crate::node::{ConnectionId, Node};
 use driftfront_core::{Cause, EngineId, Micros, Outcome};
 use std::collections::BTreeMap;
 
 impl Node {
     /// We close a connection; each attempt on it ends as far as it had come, once the engine can know.
-    pub(in crate::node) fn drop_engine(&mut self, now: Micros, id: ConnId, why: &str) {
+    pub(in crate::node) fn drop_engine(&mut self, now: Micros, id: ConnectionId, why: &str) {
         self.end_engine(now, id, Cause::Closed(why.into()));
     }
 
     /// A connection has ended; each attempt on it with it.
-    pub(super) fn lose_engine(&mut self, now: Micros, id: ConnId, why: &str) {
+    pub(super) fn lose_engine(&mut self, now: Micros, id: ConnectionId, why: &str) {
         self.end_engine(now, id, Cause::Connection(why.into()));
     }
 
-    fn end_engine(&mut self, now: Micros, id: ConnId, cause: Cause) {
+    fn end_engine(&mut self, now: Micros, id: ConnectionId, cause: Cause) {
         let Some(mut conn) = self.engines.remove(&id) else {
             return;
         };
--- a/crates/coordinator/src/node/engines/mod.rs
+++ b/crates/coordinator/src/node/engines/mod.rs
@@ -4,7 +4,7 @@
 mod closing;
 mod traffic;
 
-use super::{ConnId, Node, Source};
+use super::{ConnectionId, Node, Source};
 use crate::backends::Session;
 use crate::net::silence::{is_overdue, note_patience, NOTE_LATE, PROBE_LATE};
 use crate::net::{connect, out_of_descriptors, Link};
@@ -121,7 +121,7 @@
         engine: EngineId,
         call: Option<&str>,
         alone: bool,
-    ) -> Result<ConnId, Cause> {
+    ) -> Result<ConnectionId, Cause> {
         let (idle, notes) = (self.config.idle, self.notes_due(now, engine));
         let heard = self.heard_of(engine);
         let fits = |c: &EngineConn| {
@@ -175,7 +175,7 @@
                 Cause::Connection(e.to_string())
             }
         })?;
-        let id = self.conn_id();
+        let id = self.next_connection_id();
         let token = self
             .register(stream.clone(), Source::Engine(id))
             .map_err(|_| Cause::Rejected)?;
@@ -253,7 +253,7 @@
         }
     }
 
-    fn queue_work(&mut self, now: Micros, id: ConnId, work: Work) {
+    fn queue_work(&mut self, now: Micros, id: ConnectionId, work: Work) {
         let Some(conn) = self.engines.get_mut(&id) else {
             return;
         };
@@ -286,7 +286,7 @@
 
     /// Stops waiting for an attempt, wherever it is.
     pub(super) fn abandon(&mut self, now: Micros, key: AttemptKey, engine: EngineId) {
-        let ids: Vec<ConnId> = self
+        let ids: Vec<ConnectionId> = self
             .engines
             .iter()
             .filter(|(_, c)| c.engine == engine)
--- a/crates/coordinator/src/node/engines/traffic.rs
+++ b/crates/coordinator/src/node/engines/traffic.rs
@@ -5,7 +5,7 @@
 use crate::config::Wire;
 use crate::net::ReadEnd;
 use crate::node::clients::Body;
-use crate::node::{ConnId, Node, Source};
+use crate::node::{ConnectionId, Node, Source};
 use driftfront_core::{AttemptKey, Cause, Micros, Outcome, Phase, Progress};
 use driftfront_scheduler::interface::Idempotency;
 use std::io::ErrorKind;
@@ -13,7 +13,7 @@
 impl Node {
     /// Writes what may go now. An attempt is put into the buffer only when that is empty, and looked at
     /// again right then: its engine may have begun to drain while it waited.
-    pub(in crate::node) fn engine_write(&mut self, now: Micros, id: ConnId) {
+    pub(in crate::node) fn engine_write(&mut self, now: Micros, id: ConnectionId) {
         for turn in 0.. {
             if turn >= TURN * 4 {
                 return self.later.push(Source::Engine(id));
@@ -151,7 +151,7 @@
     }
 
     /// Passes on what has come of the body of what is out; true if there may be more at once.
-    fn feed_engine(&mut self, now: Micros, id: ConnId, key: AttemptKey) -> bool {
+    fn feed_engine(&mut self, now: Micros, id: ConnectionId, key: AttemptKey) -> bool {
         let Some(conn) = self.engines.get_mut(&id) else {
             return false;
         };
@@ -198,7 +198,7 @@
         true
     }
 
-    pub(in crate::node) fn engine_ready(&mut self, now: Micros, id: ConnId) {
+    pub(in crate::node) fn engine_ready(&mut self, now: Micros, id: ConnectionId) {
         let Some(conn) = self.engines.get_mut(&id) else {
             return;
         };
@@ -221,7 +221,7 @@
         self.engine_read(now, id);
     }
 
-    pub(in crate::node) fn engine_read(&mut self, now: Micros, id: ConnId) {
+    pub(in crate::node) fn engine_read(&mut self, now: Micros, id: ConnectionId) {
         for turn in 0.. {
             if turn >= TURN {
                 return self.later.push(Source::Engine(id));
@@ -291,7 +291,7 @@
     }
 
     /// Takes what has come on a connection that nothing can be written to any more.
-    fn read_to_the_end(&mut self, now: Micros, id: ConnId) {
+    fn read_to_the_end(&mut self, now: Micros, id: ConnectionId) {
         for _ in 0..TURN {
             let Some(conn) = self.engines.get_mut(&id).filter(|c| !c.paused) else {
                 return;
@@ -306,7 +306,7 @@
         }
     }
 
-    pub(super) fn tend_engine(&mut self, now: Micros, id: ConnId) {
+    pub(super) fn tend_engine(&mut self, now: Micros, id: ConnectionId) {
         let Some(conn) = self.engines.get_mut(&id) else {
             return;
         };
@@ -323,7 +323,7 @@
 
     /// Whether the client of what streams here is far behind: nothing more is read for it then, so that a
     /// slow client does not fill the memory.
-    fn is_ahead(&self, id: ConnId) -> bool {
+    fn is_ahead(&self, id: ConnectionId) -> bool {
         let Some(conn) = self.engines.get(&id).filter(|c| c.session.is_streaming()) else {
             return false;
         };
--- a/crates/coordinator/src/node/management.rs
+++ b/crates/coordinator/src/node/management.rs
@@ -5,7 +5,7 @@
 //! caller waits for one turn at most. Who connects and says nothing holds up nobody: places are many, and the one that
 //! has waited longest goes first.
 
-use super::{ConnId, Node, Source};
+use super::{ConnectionId, Node, Source};
 use crate::net::{out_of_descriptors, Link, ReadEnd};
 use calloop::RegistrationToken;
 use driftfront_control::management::{reply, BadCall, Call, CallReader, CALL_MOST, WORDS};
@@ -38,7 +38,7 @@
 #[derive(Default)]
 pub(super) struct Management {
     listener: Option<Rc<TcpListener>>,
-    callers: BTreeMap<ConnId, Caller>,
+    callers: BTreeMap<ConnectionId, Caller>,
     next_look: Micros,
     /// Calls answered with OK and with ERR, by word.
     calls: [[u64; 2]; WORDS.len()],
@@ -129,7 +129,7 @@
             if let Some(oldest) = oldest.filter(|_| self.management.callers.len() >= CALLERS_MOST) {
                 self.drop_caller(oldest);
             }
-            let id = self.conn_id();
+            let id = self.next_connection_id();
             let stream = Rc::new(stream);
             let Ok(token) = self.register(stream.clone(), Source::Caller(id)) else {
                 continue;
@@ -146,7 +146,7 @@
         }
     }
 
-    pub(super) fn drop_caller(&mut self, id: ConnId) {
+    pub(super) fn drop_caller(&mut self, id: ConnectionId) {
         let Some(mut caller) = self.management.callers.remove(&id) else {
             return;
         };
@@ -154,7 +154,7 @@
         self.unwatch(caller.token.take());
     }
 
-    pub(super) fn caller_ready(&mut self, now: Micros, id: ConnId) {
+    pub(super) fn caller_ready(&mut self, now: Micros, id: ConnectionId) {
         let Some(caller) = self.management.callers.get_mut(&id) else {
             return;
         };
@@ -179,7 +179,7 @@
     }
 
     /// The reply, then our end: nothing more is read as a call.
-    fn answer_caller(&mut self, now: Micros, id: ConnId, outcome: &Result<String, String>) {
+    fn answer_caller(&mut self, now: Micros, id: ConnectionId, outcome: &Result<String, String>) {
         let Some(caller) = self.management.callers.get_mut(&id) else {
             return;
         };
@@ -245,7 +245,7 @@
     pub(super) fn sweep_callers(&mut self, now: Micros) {
         self.accept_callers(now);
         let late = |c: &Caller| now > c.begun + if c.answered { LINGER } else { CALL_WITHIN };
-        let late: Vec<ConnId> = self
+        let late: Vec<ConnectionId> = self
             .management
             .callers
             .iter()
--- a/crates/coordinator/src/node/mod.rs
+++ b/crates/coordinator/src/node/mod.rs
@@ -38,7 +38,7 @@
 const SWEEP: Micros = 25_000;
 
 /// A connection's number inside this program; never used twice.
-type ConnId = u64;
+type ConnectionId = u64;
 
 /// The coordinator on its sockets.
 pub struct Node {
@@ -49,19 +49,19 @@
     /// The time at the last look.
     now: Micros,
     wall: StepWatch,
-    last_conn: ConnId,
+    last_conn: ConnectionId,
     front: Box<dyn Front>,
     /// `None` once the process leaves for good.
     listener: Option<Rc<TcpListener>>,
     listening: Option<RegistrationToken>,
     /// It was passed: others hold it, too.
     passed: bool,
-    clients: BTreeMap<ConnId, clients::Client>,
+    clients: BTreeMap<ConnectionId, clients::Client>,
     /// The connection on which each open request waits for its answer.
-    asking: BTreeMap<RequestId, (ConnId, u16, Micros)>,
-    engines: BTreeMap<ConnId, engines::EngineConn>,
+    asking: BTreeMap<RequestId, (ConnectionId, u16, Micros)>,
+    engines: BTreeMap<ConnectionId, engines::EngineConn>,
     /// The engine's connection that the rest of each body goes to which is passed on as it comes.
-    feeds: BTreeMap<RequestId, ConnId>,
+    feeds: BTreeMap<RequestId, ConnectionId>,
     /// When engines were last checked that say nothing, and a check has not been answered since.
     checks: BTreeMap<EngineId, Micros>,
     /// Connections whose reading waits for a slow client.
@@ -104,13 +104,13 @@
 #[derive(Clone, Copy)]
 enum Source {
     Listener,
-    Client(ConnId),
-    Engine(ConnId),
-    Feed(ConnId),
+    Client(ConnectionId),
+    Engine(ConnectionId),
+    Feed(ConnectionId),
     Operators(usize),
-    Operator(ConnId),
+    Operator(ConnectionId),
     Management,
-    Caller(ConnId),
+    Caller(ConnectionId),
     Cluster,
 }
 
@@ -248,7 +248,7 @@
         time.saturating_add_signed(self.wall.stepped_by)
     }
 
-    fn conn_id(&mut self) -> ConnId {
+    fn next_connection_id(&mut self) -> ConnectionId {
         self.last_conn += 1;
         self.last_conn
     }
