--- a/crates/coordinator/src/node/clients/mod.rs
+++ b/crates/coordinator/src/node/clients/mod.rs
@@ -4,7 +4,7 @@
 mod closing;
 mod requests;
 
-use super::{ConnectionId, Node, Source};
+use super::{ConnectionId, EventSource, Node};
 use crate::frontends::{After, AnswerWriter};
 use crate::net::{out_of_descriptors, Link, ReadEnd};
 use calloop::RegistrationToken;
@@ -146,7 +146,7 @@
             }
             let id = self.next_connection_id();
             let stream = Rc::new(stream);
-            match self.register(stream.clone(), Source::Client(id)) {
+            match self.register(stream.clone(), EventSource::Client(id)) {
                 Ok(token) => {
                     let client = Client {
                         link: Link::new(stream),
@@ -285,7 +285,7 @@
                 return;
             };
             if turn >= TURN {
-                return self.later.push(Source::Client(id));
+                return self.later.push(EventSource::Client(id));
             }
             let flushed = match client.link.flush() {
                 Ok(flushed) => flushed,
--- a/crates/coordinator/src/node/cluster.rs
+++ b/crates/coordinator/src/node/cluster.rs
@@ -3,7 +3,7 @@
 
 mod agreed;
 
-use super::{Node, Source};
+use super::{EventSource, Node};
 use crate::config::ClusterConfig;
 use crate::discovery::Update;
 use driftfront_cluster::{
@@ -125,7 +125,7 @@
             agreed: None,
         };
         let unit = Cluster::new(clock, options);
-        self.watch(socket.clone(), Source::Cluster)
+        self.watch(socket.clone(), EventSource::Cluster)
             .map_err(|e| format!("fleet: {e}"))?;
         tracing::info!(%here, "fleet");
         self.fleet = Some(Box::new(ClusterRuntime {
@@ -155,7 +155,7 @@
         for turn in 0.. {
             if turn >= TURN || begun.elapsed() >= TIME {
                 fleet.cut_short += 1;
-                self.later.push(Source::Cluster);
+                self.later.push(EventSource::Cluster);
                 break;
             }
             match fleet.socket.recv(&mut bytes) {
@@ -181,7 +181,7 @@
             return;
         }
         self.fleet_ready();
-        if self.later.iter().any(|s| matches!(s, Source::Cluster)) {
+        if self.later.iter().any(|s| matches!(s, EventSource::Cluster)) {
             // More lies in the socket than one turn holds: nobody is accused before it is read.
             return;
         }
--- a/crates/coordinator/src/node/control/mod.rs
+++ b/crates/coordinator/src/node/control/mod.rs
@@ -5,7 +5,7 @@
 mod orders;
 mod views;
 
-use crate::node::{ConnectionId, Node, Source};
+use crate::node::{ConnectionId, EventSource, Node};
 use crate::service::Ring;
 use crate::state;
 use calloop::RegistrationToken;
@@ -210,7 +210,7 @@
                 control.socket = Some((path, inode));
             }
             self.operators = vec![Listener::Unix(listener.clone())];
-            self.watch(listener, Source::Operators(0))
+            self.watch(listener, EventSource::Operators(0))
                 .map_err(|e| format!("event loop: {e}"))?;
         }
         if let Some((addr, key)) = self.config.control_port.clone() {
@@ -222,7 +222,7 @@
             }
             self.operators.push(Listener::Tcp(listener.clone()));
             let place = self.operators.len() - 1;
-            self.watch(listener, Source::Operators(place))
+            self.watch(listener, EventSource::Operators(place))
                 .map_err(|e| format!("event loop: {e}"))?;
         }
         Ok(())
--- a/crates/coordinator/src/node/control/operators.rs
+++ b/crates/coordinator/src/node/control/operators.rs
@@ -1,7 +1,7 @@
 //! Operators' connections: what comes and goes on them, and who follows.
 
 use super::{Listener, Operator, Stream, OPERATORS_MOST, READ_AT_ONCE, UNREAD_FOR, UNREAD_MOST};
-use crate::node::{ConnectionId, Node, Source};
+use crate::node::{ConnectionId, EventSource, Node};
 use driftfront_control::{greeting, key, Lines, Reply, Request, LINE_MOST};
 use driftfront_core::{Micros, Phase};
 use driftfront_engine_registry::{Command as Order, Fact};
@@ -31,10 +31,10 @@
             let registered = match &stream {
                 Stream::Unix(s) => s
                     .set_nonblocking(true)
-                    .map(|()| self.watch(s.clone(), Source::Operator(id))),
+                    .map(|()| self.watch(s.clone(), EventSource::Operator(id))),
                 Stream::Tcp(s) => {
                     let set = s.set_nonblocking(true).and_then(|()| s.set_nodelay(true));
-                    set.map(|()| self.watch(s.clone(), Source::Operator(id)))
+                    set.map(|()| self.watch(s.clone(), EventSource::Operator(id)))
                 }
             };
             let Ok(Ok(token)) = registered else { continue };
--- a/crates/coordinator/src/node/discovery_client.rs
+++ b/crates/coordinator/src/node/discovery_client.rs
@@ -1,6 +1,6 @@
 //! Where the list of engines comes from: one watched connection, kept up, or a file.
 
-use super::{ConnectionId, Node, Source};
+use super::{ConnectionId, EventSource, Node};
 use crate::config::{Config, Membership};
 use crate::discovery::backoff::{Backoff, Broken};
 use crate::discovery::{etcd::Etcd, file::File, read, stream::Stream, Watch};
@@ -159,7 +159,7 @@
         if self.feed.conn.is_none() && now >= self.feed.next_try {
             let id = self.next_connection_id();
             let opened = connect(addr).map_err(|e| e.to_string());
-            match opened.and_then(|s| Ok((s.clone(), self.register(s, Source::Feed(id))?))) {
+            match opened.and_then(|s| Ok((s.clone(), self.register(s, EventSource::Feed(id))?))) {
                 Ok((stream, token)) => {
                     let (link, token) = (Link::new(stream), Some(token));
                     self.feed.conn = Some(FeedConn {
--- a/crates/coordinator/src/node/engines/mod.rs
+++ b/crates/coordinator/src/node/engines/mod.rs
@@ -4,7 +4,7 @@
 mod closing;
 mod traffic;
 
-use super::{ConnectionId, Node, Source};
+use super::{ConnectionId, EventSource, Node};
 use crate::backends::Session;
 use crate::net::silence::{is_overdue, note_patience, NOTE_LATE, PROBE_LATE};
 use crate::net::{connect, out_of_descriptors, Link};
@@ -177,7 +177,7 @@
         })?;
         let id = self.next_connection_id();
         let token = self
-            .register(stream.clone(), Source::Engine(id))
+            .register(stream.clone(), EventSource::Engine(id))
             .map_err(|_| Cause::Rejected)?;
         let conn = EngineConn {
             engine,
--- a/crates/coordinator/src/node/engines/traffic.rs
+++ b/crates/coordinator/src/node/engines/traffic.rs
@@ -5,7 +5,7 @@
 use crate::config::Wire;
 use crate::net::ReadEnd;
 use crate::node::clients::Body;
-use crate::node::{ConnectionId, Node, Source};
+use crate::node::{ConnectionId, EventSource, Node};
 use driftfront_core::{AttemptKey, Cause, Micros, Outcome, Phase, Progress};
 use driftfront_scheduler::interface::Idempotency;
 use std::io::ErrorKind;
@@ -16,7 +16,7 @@
     pub(in crate::node) fn engine_write(&mut self, now: Micros, id: ConnectionId) {
         for turn in 0.. {
             if turn >= TURN * 4 {
-                return self.later.push(Source::Engine(id));
+                return self.later.push(EventSource::Engine(id));
             }
             let Some(conn) = self.engines.get_mut(&id) else {
                 return;
@@ -224,7 +224,7 @@
     pub(in crate::node) fn engine_read(&mut self, now: Micros, id: ConnectionId) {
         for turn in 0.. {
             if turn >= TURN {
-                return self.later.push(Source::Engine(id));
+                return self.later.push(EventSource::Engine(id));
             }
             let paused = self.is_ahead(id);
             let Some(conn) = self.engines.get_mut(&id) else {
--- a/crates/coordinator/src/node/management.rs
+++ b/crates/coordinator/src/node/management.rs
@@ -5,7 +5,7 @@
 //! caller waits for one turn at most. Who connects and says nothing holds up nobody: places are many, and the one that
 //! has waited longest goes first.
 
-use super::{ConnectionId, Node, Source};
+use super::{ConnectionId, EventSource, Node};
 use crate::net::{out_of_descriptors, Link, ReadEnd};
 use calloop::RegistrationToken;
 use driftfront_control::management::{reply, BadCall, Call, CallReader, CALL_MOST, WORDS};
@@ -76,7 +76,7 @@
         let opened = opened.and_then(|at| super::clients::listen(at).map_err(|e| e.to_string()));
         let watched = opened.and_then(|listener| {
             let listener = Rc::new(listener);
-            self.watch(listener.clone(), Source::Management)
+            self.watch(listener.clone(), EventSource::Management)
                 .map_err(|e| e.to_string())?;
             Ok(listener)
         });
@@ -131,7 +131,7 @@
             }
             let id = self.next_connection_id();
             let stream = Rc::new(stream);
-            let Ok(token) = self.register(stream.clone(), Source::Caller(id)) else {
+            let Ok(token) = self.register(stream.clone(), EventSource::Caller(id)) else {
                 continue;
             };
             let caller = Caller {
--- a/crates/coordinator/src/node/mod.rs
+++ b/crates/coordinator/src/node/mod.rs
@@ -77,7 +77,7 @@
     fleet: Option<Box<cluster::ClusterRuntime>>,
     next_sweep: Micros,
     /// Connections with more to do than one turn holds.
-    later: Vec<Source>,
+    later: Vec<EventSource>,
     /// Commands are being carried out.
     carrying: bool,
     life: Lifecycle,
@@ -102,7 +102,7 @@
 
 /// What a readiness event is for.
 #[derive(Clone, Copy)]
-enum Source {
+enum EventSource {
     Listener,
     Client(ConnectionId),
     Engine(ConnectionId),
@@ -203,7 +203,7 @@
         node.open_fleet()?;
         if let Some(socket) = node.listener.clone() {
             let token = node
-                .watch(socket, Source::Listener)
+                .watch(socket, EventSource::Listener)
                 .map_err(|e| format!("event loop: {e}"))?;
             node.listening = Some(token);
         }
@@ -267,7 +267,7 @@
     fn watch<S: std::os::fd::AsFd + 'static>(
         &mut self,
         socket: Rc<S>,
-        source: Source,
+        source: EventSource,
     ) -> Result<RegistrationToken, calloop::Error> {
         let generic = Generic::new(socket, Interest::BOTH, Mode::Edge);
         let token = self
@@ -281,34 +281,34 @@
         token.map_err(|e| e.error)
     }
 
-    fn on_ready(&mut self, source: Source, _readiness: Readiness) {
+    fn on_ready(&mut self, source: EventSource, _readiness: Readiness) {
         let now = self.clock();
         self.look_at_management(now);
         match source {
-            Source::Listener => self.accept(now),
-            Source::Client(id) => self.client_ready(now, id),
-            Source::Engine(id) => self.engine_ready(now, id),
-            Source::Feed(id) => self.feed_ready(now, id),
-            Source::Operators(place) => self.accept_operators(place),
-            Source::Operator(id) => self.operator_ready(id),
-            Source::Management => self.accept_callers(now),
-            Source::Caller(id) => self.caller_ready(now, id),
-            Source::Cluster => self.fleet_ready(),
+            EventSource::Listener => self.accept(now),
+            EventSource::Client(id) => self.client_ready(now, id),
+            EventSource::Engine(id) => self.engine_ready(now, id),
+            EventSource::Feed(id) => self.feed_ready(now, id),
+            EventSource::Operators(place) => self.accept_operators(place),
+            EventSource::Operator(id) => self.operator_ready(id),
+            EventSource::Management => self.accept_callers(now),
+            EventSource::Caller(id) => self.caller_ready(now, id),
+            EventSource::Cluster => self.fleet_ready(),
         }
         self.carry_out();
     }
 
     /// A panic has ended this source's work: its connection goes, with what was on it.
-    fn drop_source(&mut self, source: Source) {
+    fn drop_source(&mut self, source: EventSource) {
         let now = self.clock();
         match source {
-            Source::Listener => {}
-            Source::Client(id) => self.drop_client(now, id),
-            Source::Engine(id) => self.drop_engine(now, id, "a panic"),
-            Source::Feed(_) => self.drop_feed(now, "a panic", Broken::Off),
-            Source::Operators(_) | Source::Management | Source::Cluster => {}
-            Source::Operator(id) => self.drop_operator(id),
-            Source::Caller(id) => self.drop_caller(id),
+            EventSource::Listener => {}
+            EventSource::Client(id) => self.drop_client(now, id),
+            EventSource::Engine(id) => self.drop_engine(now, id, "a panic"),
+            EventSource::Feed(_) => self.drop_feed(now, "a panic", Broken::Off),
+            EventSource::Operators(_) | EventSource::Management | EventSource::Cluster => {}
+            EventSource::Operator(id) => self.drop_operator(id),
+            EventSource::Caller(id) => self.drop_caller(id),
         }
         self.carry_out();
     }
@@ -318,12 +318,12 @@
         self.core.fire_timers(now);
         for source in std::mem::take(&mut self.later) {
             match source {
-                Source::Client(id) => self.client_work(now, id),
-                Source::Engine(id) => {
+                EventSource::Client(id) => self.client_work(now, id),
+                EventSource::Engine(id) => {
                     self.engine_write(now, id);
                     self.engine_read(now, id);
                 }
-                Source::Cluster => self.fleet_ready(),
+                EventSource::Cluster => self.fleet_ready(),
                 _ => {}
             }
         }
@@ -595,7 +595,7 @@
     fn register(
         &mut self,
         socket: Rc<TcpStream>,
-        source: Source,
+        source: EventSource,
     ) -> Result<RegistrationToken, String> {
         self.watch(socket, source).map_err(|e| e.to_string())
     }
