--- a/crates/coordinator/src/node/clients/requests.rs
+++ b/crates/coordinator/src/node/clients/requests.rs
@@ -79,7 +79,7 @@
                     // It left before it was read: a waiting place is all that it had.
                     tracing::debug!(conn = id, call = %ask.call, "client left before its request was read");
                     self.core.accept_disconnected_request(now, ask);
-                    self.carry_out();
+                    self.execute_commands();
                     return true;
                 }
                 // Asked with the clock as it is: the process may have stood still since this turn began.
@@ -94,7 +94,7 @@
                 if let Some(client) = self.clients.get_mut(&id) {
                     client.current = Some((request, writer));
                 }
-                self.carry_out();
+                self.execute_commands();
             }
         }
         true
@@ -153,6 +153,6 @@
                 }
             }
         }
-        self.carry_out();
+        self.execute_commands();
     }
 }
--- a/crates/coordinator/src/node/control/orders.rs
+++ b/crates/coordinator/src/node/control/orders.rs
@@ -98,7 +98,7 @@
             };
             self.tell_operator(conn, &Reply::Done(words).line(id));
         }
-        self.carry_out();
+        self.execute_commands();
     }
 
     pub(super) fn begin_roll(
--- a/crates/coordinator/src/node/discovery_client.rs
+++ b/crates/coordinator/src/node/discovery_client.rs
@@ -135,7 +135,7 @@
         self.feed.follow(&self.config.membership, &new.membership);
         self.config.membership = new.membership;
         self.sweep_feed(now);
-        self.carry_out();
+        self.execute_commands();
     }
 
     pub(super) fn sweep_feed(&mut self, now: Micros) {
--- a/crates/coordinator/src/node/engines/closing.rs
+++ b/crates/coordinator/src/node/engines/closing.rs
@@ -50,7 +50,7 @@
                 Work::Probe(tag) => self.core.record_probe(now, tag, Outcome::Unreachable, &[]),
             }
         }
-        self.carry_out();
+        self.execute_commands();
     }
 
     /// Why a connection to an engine ended that something was out on.
--- a/crates/coordinator/src/node/engines/traffic.rs
+++ b/crates/coordinator/src/node/engines/traffic.rs
@@ -258,7 +258,7 @@
                     if idle && !self.engines.values().any(|c| c.is_up_on(engine)) {
                         // Nothing was out to be lost, so only this tells that its process may have ended.
                         self.core.suspect_engine(now, engine);
-                        self.carry_out();
+                        self.execute_commands();
                     }
                     return;
                 }
@@ -374,6 +374,6 @@
                 }
             }
         }
-        self.carry_out();
+        self.execute_commands();
     }
 }
--- a/crates/coordinator/src/node/mod.rs
+++ b/crates/coordinator/src/node/mod.rs
@@ -79,7 +79,7 @@
     /// Connections with more to do than one turn holds.
     later: Vec<EventSource>,
     /// Commands are being carried out.
-    carrying: bool,
+    is_executing: bool,
     life: Lifecycle,
     management: management::Management,
     started: Micros,
@@ -160,7 +160,7 @@
             fleet: None,
             next_sweep: now,
             later: Vec::new(),
-            carrying: false,
+            is_executing: false,
             life: Lifecycle::new(false, false, longest, killed),
             management: management::Management::default(),
             started: now,
@@ -258,7 +258,7 @@
         let done = catch_unwind(AssertUnwindSafe(|| work(self))).is_ok();
         if !done {
             tracing::error!("panic in {what}");
-            self.carrying = false;
+            self.is_executing = false;
             self.no_client_is_busy();
         }
         done
@@ -295,7 +295,7 @@
             EventSource::Caller(id) => self.caller_ready(now, id),
             EventSource::Cluster => self.fleet_ready(),
         }
-        self.carry_out();
+        self.execute_commands();
     }
 
     /// A panic has ended this source's work: its connection goes, with what was on it.
@@ -310,7 +310,7 @@
             EventSource::Operator(id) => self.drop_operator(id),
             EventSource::Caller(id) => self.drop_caller(id),
         }
-        self.carry_out();
+        self.execute_commands();
     }
 
     fn on_time(&mut self) {
@@ -327,7 +327,7 @@
                 _ => {}
             }
         }
-        self.carry_out();
+        self.execute_commands();
         if now >= self.next_sweep {
             self.next_sweep = now + SWEEP;
             self.watch_wall_clock();
@@ -341,7 +341,7 @@
             self.sweep_callers(now);
             self.tend_post(now);
             self.tend_life(now);
-            self.carry_out();
+            self.execute_commands();
         }
     }
 
@@ -422,9 +422,9 @@
     }
 
     /// Carries out what the core asks for, until it asks for nothing more.
-    fn carry_out(&mut self) {
+    fn execute_commands(&mut self) {
         // Further up the stack the rest is being carried out, in order.
-        if std::mem::replace(&mut self.carrying, true) {
+        if std::mem::replace(&mut self.is_executing, true) {
             return;
         }
         while let Some(command) = self.core.next_command() {
@@ -467,7 +467,7 @@
                 }
             }
         }
-        self.carrying = false;
+        self.is_executing = false;
     }
 
     /// A line for each attempt beyond a request's first: the retry budget bounds their number.
@@ -530,7 +530,7 @@
         let now = self.clock();
         self.core.update_engines(now, ListKind::Cached, &lines);
         self.tend_life(now);
-        self.carry_out();
+        self.execute_commands();
     }
 
     fn take_change(&mut self, now: Micros, change: &Change) {
@@ -553,7 +553,7 @@
             self.event(now, words.clone());
         }
         self.tend_life(now);
-        self.carry_out();
+        self.execute_commands();
     }
 
     fn session(&self, addr: SocketAddr) -> Box<dyn Session> {
@@ -585,7 +585,7 @@
     /// Closes the listening socket. What the system has accepted already is taken first: each gets an answer, or its close.
     fn stop_listening(&mut self, now: Micros) {
         self.accept(now);
-        self.carry_out();
+        self.execute_commands();
         let token = self.listening.take();
         self.unwatch(token);
         self.listener = None;
