--- a/crates/coordinator/src/node/control/mod.rs
+++ b/crates/coordinator/src/node/control/mod.rs
@@ -199,7 +199,7 @@
             control.state = Some(state);
             let change = self.roster.restore(records);
             self.control = Some(control);
-            self.take_change(now, &change);
+            self.apply_registry_change(now, &change);
         } else {
             self.control = Some(control);
         }
--- a/crates/coordinator/src/node/control/orders.rs
+++ b/crates/coordinator/src/node/control/orders.rs
@@ -24,7 +24,7 @@
                 return self.tell_operator(conn, &Reply::Refused(refusal.to_string()).line(id))
             }
         };
-        self.take_change(now, &change);
+        self.apply_registry_change(now, &change);
         self.tell_post();
         self.event(now, format!("{words}, by an operator"));
         let kept = self.write_down(now, records);
@@ -200,7 +200,7 @@
     fn order_of_roll(&mut self, now: Micros, command: Order) {
         match self.roster.command(now, "the roll", command) {
             Ok((change, records)) => {
-                self.take_change(now, &change);
+                self.apply_registry_change(now, &change);
                 self.tell_post();
                 let _ = self.write_down(now, records);
             }
--- a/crates/coordinator/src/node/discovery_client.rs
+++ b/crates/coordinator/src/node/discovery_client.rs
@@ -240,7 +240,7 @@
                 self.feed.told = now;
                 self.fleet_listed(&told);
                 let change = self.roster.source(told.kind, told.facts);
-                self.take_change(now, &change);
+                self.apply_registry_change(now, &change);
             }
             Err(e) => tracing::warn!("engine list: {e}"),
         }
--- a/crates/coordinator/src/node/management.rs
+++ b/crates/coordinator/src/node/management.rs
@@ -235,7 +235,7 @@
         let Some((change, records)) = done else {
             return format!("{words}, as before");
         };
-        self.take_change(now, &change);
+        self.apply_registry_change(now, &change);
         self.tell_post();
         self.told(now, format!("{words}, by the second address"));
         let _ = self.write_down(now, records);
--- a/crates/coordinator/src/node/mod.rs
+++ b/crates/coordinator/src/node/mod.rs
@@ -198,7 +198,7 @@
             .is_some_and(HandoverMailbox::has_predecessor);
         node.life = Lifecycle::new(succeeds, passed, longest, killed);
         node.open_control()?;
-        node.take_known();
+        node.apply_configured_engines();
         node.open_management();
         node.open_fleet()?;
         if let Some(socket) = node.listener.clone() {
@@ -511,7 +511,7 @@
     }
 
     /// Takes over what the configuration lists.
-    fn take_known(&mut self) {
+    fn apply_configured_engines(&mut self) {
         for update in std::mem::take(&mut self.config.known) {
             match read(&self.config.zones, &self.config.kinds, Json(Some(&update))) {
                 Ok(told) => {
@@ -533,7 +533,7 @@
         self.execute_commands();
     }
 
-    fn take_change(&mut self, now: Micros, change: &Change) {
+    fn apply_registry_change(&mut self, now: Micros, change: &Change) {
         for &engine in &change.restarted {
             self.retire(engine);
             // What was left in sessions went with the process.
--- a/crates/coordinator/src/node/upgrade.rs
+++ b/crates/coordinator/src/node/upgrade.rs
@@ -72,7 +72,7 @@
                     orders = records.len(),
                     "orders of another process hold here"
                 );
-                self.take_change(now, &change);
+                self.apply_registry_change(now, &change);
                 let _ = self.write_down(now, records);
             }
         }
