--- a/crates/coordinator/src/node/clients/closing.rs
+++ b/crates/coordinator/src/node/clients/closing.rs
@@ -240,7 +240,7 @@
     /// Ends what has had its time, and reads closing connections out.
     pub(in crate::node) fn sweep_clients(&mut self, now: Micros) {
         // Who has connected and not spoken once it leaves would speak to nobody.
-        let (leaves, last) = (!self.life.takes(now), self.life.closes_last());
+        let (leaves, last) = (!self.lifecycle.takes(now), self.lifecycle.closes_last());
         for id in self.clients.keys().copied().collect::<Vec<_>>() {
             let Some(client) = self.clients.get_mut(&id) else {
                 continue;
@@ -255,7 +255,9 @@
                 // lately: that one has its usual time.
                 None if client.is_at_rest()
                     && (leaves || !client.fresh)
-                    && !self.life.keeps_alive(now, now.saturating_sub(client.used)) =>
+                    && !self
+                        .lifecycle
+                        .keeps_alive(now, now.saturating_sub(client.used)) =>
                 {
                     self.sent_away += u64::from(self.close_at_rest(now, id));
                 }
@@ -296,7 +298,7 @@
     /// Closes a connection in order whose request never became whole, unless its last bytes have just come.
     fn end_half_read(&mut self, now: Micros, id: ConnectionId) {
         self.client_ready(now, id);
-        let last = self.life.closes_last();
+        let last = self.lifecycle.closes_last();
         let due =
             |c: &Client| c.is_half_read() && (last || c.expired(now) == Some(Expired::HalfRead));
         if self.clients.get(&id).is_some_and(due) {
--- a/crates/coordinator/src/node/clients/mod.rs
+++ b/crates/coordinator/src/node/clients/mod.rs
@@ -99,7 +99,7 @@
     /// Takes connections in while there is room; what has to wait is looked at again with each sweep.
     pub(super) fn accept(&mut self, now: Micros) {
         let most = self.most_clients();
-        while self.life.accepts() {
+        while self.lifecycle.accepts() {
             if self.clients.len() >= most && !self.evict(now) {
                 // Counted with each look, whether somebody waits or not.
                 self.accepts_full += 1;
@@ -373,7 +373,7 @@
     }
 
     fn reply(&mut self, now: Micros, id: ConnectionId, bytes: &[u8]) {
-        let away = self.life.sends_away(now);
+        let away = self.lifecycle.sends_away(now);
         if let Some(client) = self.clients.get_mut(&id) {
             let mut bytes = bytes.to_vec();
             if away {
@@ -415,7 +415,7 @@
         let mut bytes = Vec::new();
         let after = write(writer.as_mut(), &mut bytes);
         let first = !bytes.is_empty() && !std::mem::replace(&mut client.answering, true);
-        let away = self.life.sends_away(now) || client.overrun;
+        let away = self.lifecycle.sends_away(now) || client.overrun;
         if away && first {
             tell_close(&mut bytes);
         }
--- a/crates/coordinator/src/node/clients/requests.rs
+++ b/crates/coordinator/src/node/clients/requests.rs
@@ -84,7 +84,7 @@
                 }
                 // Asked with the clock as it is: the process may have stood still since this turn began.
                 let taken_at = self.clock();
-                if !self.life.takes(taken_at) {
+                if !self.lifecycle.takes(taken_at) {
                     self.core.begin_shutdown();
                 }
                 let (call, class, budget) = (ask.call.clone(), ask.class, ask.budget);
--- a/crates/coordinator/src/node/cluster.rs
+++ b/crates/coordinator/src/node/cluster.rs
@@ -185,7 +185,7 @@
             // More lies in the socket than one turn holds: nobody is accused before it is read.
             return;
         }
-        let state = state(self.life.state());
+        let state = state(self.lifecycle.state());
         let now = self.now;
         let Some(fleet) = self.fleet.as_mut() else {
             return;
--- a/crates/coordinator/src/node/control/mod.rs
+++ b/crates/coordinator/src/node/control/mod.rs
@@ -204,7 +204,7 @@
             self.control = Some(control);
         }
         if let Some(path) = self.config.control.clone() {
-            let (listener, inode) = listen(&path, self.life.succeeds())?;
+            let (listener, inode) = listen(&path, self.lifecycle.succeeds())?;
             let listener = Rc::new(listener);
             if let Some(control) = &mut self.control {
                 control.socket = Some((path, inode));
--- a/crates/coordinator/src/node/control/orders.rs
+++ b/crates/coordinator/src/node/control/orders.rs
@@ -58,7 +58,7 @@
         };
         let number = state.append(records);
         // What a successor writes must not be left in a file that is no longer the folder's.
-        if state.wants_compaction() && !self.life.is_succeeded() {
+        if state.wants_compaction() && !self.lifecycle.is_succeeded() {
             let mut records = self.roster.records();
             records.push(Record::Roll {
                 roll: control.roll.clone(),
--- a/crates/coordinator/src/node/control/views.rs
+++ b/crates/coordinator/src/node/control/views.rs
@@ -258,8 +258,8 @@
             listen: self.listening_at().to_string(),
             front: format!("{:?}", self.config.wire),
             ready: self.is_ready(),
-            stopping: self.life.state() == State::Ending,
-            state: self.life.state().word().into(),
+            stopping: self.lifecycle.state() == State::Ending,
+            state: self.lifecycle.state().word().into(),
             source,
             source_age_s: age.map(|a| a / 1_000_000),
             forgets: if kept {
--- a/crates/coordinator/src/node/counters.rs
+++ b/crates/coordinator/src/node/counters.rs
@@ -21,14 +21,14 @@
             .map(|c| c.counters())
             .unwrap_or_default();
         let bans = self.roster.orders().len();
-        let state = self.life.state().word().replace(' ', "_");
-        let life = format!("state{{is=\"{state}\"}} 1\nengines_out_by_order {bans}\n");
+        let state = self.lifecycle.state().word().replace(' ', "_");
+        let lifecycle = format!("state{{is=\"{state}\"}} 1\nengines_out_by_order {bans}\n");
         let away = format!(
             "connections_sent_away {}\naccepts_full {}\nclients_dropped {}\nclients_overrun {}\n",
             self.sent_away, self.accepts_full, self.dropped, self.overruns
         );
         let management = self.management.counters();
-        let succeeds = u8::from(self.life.succeeds());
+        let succeeds = u8::from(self.lifecycle.succeeds());
         let upgrade = format!(
             "upgrade_succeeds {succeeds}\nupgrade_orders_merged {}\n",
             self.merged
@@ -41,7 +41,7 @@
             "wall_clock_steps {}\nwall_clock_stepped_by_us {}\n",
             self.wall.steps, self.wall.stepped_by
         );
-        format!("{core}{connections}requests_open {open}\n{bodies}{front}{control}{life}{away}{management}{upgrade}{fleet}{budget}{clock}")
+        format!("{core}{connections}requests_open {open}\n{bodies}{front}{control}{lifecycle}{away}{management}{upgrade}{fleet}{budget}{clock}")
     }
 
     /// How far the retry budget is used.
--- a/crates/coordinator/src/node/engines/closing.rs
+++ b/crates/coordinator/src/node/engines/closing.rs
@@ -116,7 +116,7 @@
     pub(in crate::node) fn sweep_engines(&mut self, now: Micros) {
         let (idle, stall) = (self.config.idle, self.config.stall);
         // What hands over has little more to send: idle connections are the successor's share of the descriptors.
-        let idle = if self.life.is_succeeded() {
+        let idle = if self.lifecycle.is_succeeded() {
             idle.min(HANDED_OVER_IDLE)
         } else {
             idle
--- a/crates/coordinator/src/node/management.rs
+++ b/crates/coordinator/src/node/management.rs
@@ -203,9 +203,9 @@
         let by = "the second address";
         let outcome = match call {
             Call::Status => match self.is_ready() {
-                true => Ok(self.life.state().word().to_string()),
-                false if self.life.is_ready() => Err("no engine takes work".into()),
-                false => Err(self.life.state().word().to_string()),
+                true => Ok(self.lifecycle.state().word().to_string()),
+                false if self.lifecycle.is_ready() => Err("no engine takes work".into()),
+                false => Err(self.lifecycle.state().word().to_string()),
             },
             Call::Suspend(engine) => {
                 let done = self
--- a/crates/coordinator/src/node/mod.rs
+++ b/crates/coordinator/src/node/mod.rs
@@ -80,7 +80,7 @@
     later: Vec<EventSource>,
     /// Commands are being carried out.
     is_executing: bool,
-    life: Lifecycle,
+    lifecycle: Lifecycle,
     management: management::Management,
     started: Micros,
     /// Where other processes of this coordinator are heard, while an upgrade may have them run.
@@ -161,7 +161,7 @@
             next_sweep: now,
             later: Vec::new(),
             is_executing: false,
-            life: Lifecycle::new(false, false, longest, killed),
+            lifecycle: Lifecycle::new(false, false, longest, killed),
             management: management::Management::default(),
             started: now,
             post,
@@ -184,7 +184,7 @@
             }
             tracing::info!(signal = ?event.signal(), "stopping once all taken is answered");
             let now = node.clock();
-            node.life.end(now);
+            node.lifecycle.end(now);
         };
         events
             .handle()
@@ -196,7 +196,7 @@
             .post
             .as_ref()
             .is_some_and(HandoverMailbox::has_predecessor);
-        node.life = Lifecycle::new(succeeds, passed, longest, killed);
+        node.lifecycle = Lifecycle::new(succeeds, passed, longest, killed);
         node.open_control()?;
         node.apply_configured_engines();
         node.open_management();
@@ -340,7 +340,7 @@
             self.tend_control(now);
             self.sweep_callers(now);
             self.tend_post(now);
-            self.tend_life(now);
+            self.update_lifecycle(now);
             self.execute_commands();
         }
     }
@@ -359,13 +359,13 @@
 
     fn may_end(&mut self) -> bool {
         let writing = self.clients.values().any(|c| c.is_writing());
-        let ends = self.life.may_end(
+        let ends = self.lifecycle.may_end(
             self.now,
             self.core.open_requests(),
             self.clients.len(),
             writing,
         );
-        if ends && self.listener.is_some() && !self.life.listens(self.now) {
+        if ends && self.listener.is_some() && !self.lifecycle.listens(self.now) {
             // Who is in the backlog still has a connection, and maybe a request on it: looked at once more behind that.
             self.stop_listening(self.now);
             return false;
@@ -375,26 +375,26 @@
 
     /// What `/alive` and STATUS both say.
     fn is_ready(&self) -> bool {
-        self.life.is_ready() && self.core.has_engines()
+        self.lifecycle.is_ready() && self.core.has_engines()
     }
 
     /// An operator sends the clients away; what to tell of it.
     fn pause(&mut self, now: Micros, by: &str) -> String {
-        if self.life.pause(now) {
+        if self.lifecycle.pause(now) {
             self.told(
                 now,
                 format!("Paused by {by}: clients are sent away, what was taken is answered"),
             );
         }
-        self.life.state().word().into()
+        self.lifecycle.state().word().into()
     }
 
     /// An operator calls it back to work; what to tell of it.
     fn back_to_work(&mut self, now: Micros, by: &str) -> String {
-        if self.life.resume() {
+        if self.lifecycle.resume() {
             self.told(now, format!("Back to work, by {by}"));
         }
-        self.life.state().word().into()
+        self.lifecycle.state().word().into()
     }
 
     /// For the log, and for operators.
@@ -405,18 +405,22 @@
         }
     }
 
-    fn tend_life(&mut self, now: Micros) {
-        if !self.life.has_begun() && self.knows_engines(now) && self.life.begin() {
-            tracing::info!(succeeds = self.life.succeeds(), "ready");
+    fn update_lifecycle(&mut self, now: Micros) {
+        if !self.lifecycle.has_begun() && self.knows_engines(now) && self.lifecycle.begin() {
+            tracing::info!(succeeds = self.lifecycle.succeeds(), "ready");
             self.tell_post();
         }
-        if self.life.shutdown_deadline().is_some_and(|at| now >= at) {
+        if self
+            .lifecycle
+            .shutdown_deadline()
+            .is_some_and(|at| now >= at)
+        {
             self.core.answer_all_requests(now);
         }
-        if !self.life.listens(now) {
+        if !self.lifecycle.listens(now) {
             self.stop_listening(now);
         }
-        if self.life.look(self.clients.len()) {
+        if self.lifecycle.look(self.clients.len()) {
             self.told(now, "Drained: no client is left".into());
         }
     }
@@ -529,7 +533,7 @@
         }
         let now = self.clock();
         self.core.update_engines(now, ListKind::Cached, &lines);
-        self.tend_life(now);
+        self.update_lifecycle(now);
         self.execute_commands();
     }
 
@@ -552,7 +556,7 @@
         for words in &change.words {
             self.event(now, words.clone());
         }
-        self.tend_life(now);
+        self.update_lifecycle(now);
         self.execute_commands();
     }
 
--- a/crates/coordinator/src/node/upgrade.rs
+++ b/crates/coordinator/src/node/upgrade.rs
@@ -86,7 +86,7 @@
                 }
             );
         }
-        if self.life.succeeded(now, succeeded) {
+        if self.lifecycle.succeeded(now, succeeded) {
             let words = match succeeded {
                 true => {
                     "A successor is ready: new connections are its own, what was taken is answered"
@@ -100,7 +100,7 @@
 
     /// Tells other processes what holds here: before an order is confirmed, and once this one is ready.
     pub(super) fn tell_post(&mut self) {
-        let ready = self.life.has_begun();
+        let ready = self.lifecycle.has_begun();
         let Some(post) = &mut self.post else { return };
         if let Err(e) = post.tell(self.roster.word(ready)) {
             tracing::error!("handover: orders can't be told to other processes: {e}");
@@ -112,7 +112,7 @@
     pub(super) fn knows_engines(&self, now: Micros) -> bool {
         let late = now >= self.started + LIST_WITHIN;
         self.core.has_engines()
-            && (!self.life.succeeds() || late || self.feed.has_settled(now, LIST_SETTLES))
+            && (!self.lifecycle.succeeds() || late || self.feed.has_settled(now, LIST_SETTLES))
     }
 
     /// Descriptors that engines' connections are a part of: with another process beside it, half of what both may hold.
