--- a/crates/coordinator/src/node/clients/closing.rs
+++ b/crates/coordinator/src/node/clients/closing.rs
@@ -138,7 +138,7 @@
         let Some(mut client) = self.clients.remove(&id) else {
             return;
         };
-        self.unwatch(client.token.take());
+        self.unregister(client.token.take());
         self.front.release(client.kept);
         if let Some((request, _)) = client.current.take() {
             self.left(now, id, request);
--- a/crates/coordinator/src/node/clients/mod.rs
+++ b/crates/coordinator/src/node/clients/mod.rs
@@ -146,7 +146,7 @@
             }
             let id = self.next_connection_id();
             let stream = Rc::new(stream);
-            match self.register(stream.clone(), EventSource::Client(id)) {
+            match self.register_stream(stream.clone(), EventSource::Client(id)) {
                 Ok(token) => {
                     let client = Client {
                         link: Link::new(stream),
--- a/crates/coordinator/src/node/control/operators.rs
+++ b/crates/coordinator/src/node/control/operators.rs
@@ -71,7 +71,7 @@
     pub(in crate::node) fn drop_operator(&mut self, id: ConnectionId) {
         let operator = self.control.as_mut().and_then(|c| c.operators.remove(&id));
         if let Some(mut operator) = operator {
-            self.unwatch(operator.token.take());
+            self.unregister(operator.token.take());
         }
     }
 
--- a/crates/coordinator/src/node/discovery_client.rs
+++ b/crates/coordinator/src/node/discovery_client.rs
@@ -130,7 +130,7 @@
         tracing::info!(from = ?self.config.membership, to = ?new.membership, "the list of engines moves");
         if let Some(mut conn) = self.feed.conn.take() {
             // The old address tells nothing more: waiting for its close would cost what is told meanwhile.
-            self.unwatch(conn.token.take());
+            self.unregister(conn.token.take());
         }
         self.feed.follow(&self.config.membership, &new.membership);
         self.config.membership = new.membership;
@@ -159,7 +159,9 @@
         if self.feed.conn.is_none() && now >= self.feed.next_try {
             let id = self.next_connection_id();
             let opened = connect(addr).map_err(|e| e.to_string());
-            match opened.and_then(|s| Ok((s.clone(), self.register(s, EventSource::Feed(id))?))) {
+            match opened
+                .and_then(|s| Ok((s.clone(), self.register_stream(s, EventSource::Feed(id))?)))
+            {
                 Ok((stream, token)) => {
                     let (link, token) = (Link::new(stream), Some(token));
                     self.feed.conn = Some(FeedConn {
@@ -178,7 +180,7 @@
     pub(super) fn drop_feed(&mut self, now: Micros, why: &str, how: Broken) {
         tracing::info!("engine list: {why}");
         if let Some(mut conn) = self.feed.conn.take() {
-            self.unwatch(conn.token.take());
+            self.unregister(conn.token.take());
         }
         self.feed.next_try = self.feed.backoff.again(now, how);
     }
--- a/crates/coordinator/src/node/engines/closing.rs
+++ b/crates/coordinator/src/node/engines/closing.rs
@@ -21,7 +21,7 @@
         let Some(mut conn) = self.engines.remove(&id) else {
             return;
         };
-        self.unwatch(conn.token.take());
+        self.unregister(conn.token.take());
         self.paused -= usize::from(conn.paused);
         if let Some(key) = conn.feeding {
             self.feeds.remove(&key.request);
--- a/crates/coordinator/src/node/engines/mod.rs
+++ b/crates/coordinator/src/node/engines/mod.rs
@@ -177,7 +177,7 @@
         })?;
         let id = self.next_connection_id();
         let token = self
-            .register(stream.clone(), EventSource::Engine(id))
+            .register_stream(stream.clone(), EventSource::Engine(id))
             .map_err(|_| Cause::Rejected)?;
         let conn = EngineConn {
             engine,
--- a/crates/coordinator/src/node/management.rs
+++ b/crates/coordinator/src/node/management.rs
@@ -131,7 +131,7 @@
             }
             let id = self.next_connection_id();
             let stream = Rc::new(stream);
-            let Ok(token) = self.register(stream.clone(), EventSource::Caller(id)) else {
+            let Ok(token) = self.register_stream(stream.clone(), EventSource::Caller(id)) else {
                 continue;
             };
             let caller = Caller {
@@ -151,7 +151,7 @@
             return;
         };
         self.management.silent += u64::from(!caller.answered);
-        self.unwatch(caller.token.take());
+        self.unregister(caller.token.take());
     }
 
     pub(super) fn caller_ready(&mut self, now: Micros, id: ConnectionId) {
--- a/crates/coordinator/src/node/mod.rs
+++ b/crates/coordinator/src/node/mod.rs
@@ -572,7 +572,7 @@
     }
 
     /// Makes an orderly end unregister the socket too; its descriptor closes with the last holder.
-    fn unwatch(&mut self, token: Option<RegistrationToken>) {
+    fn unregister(&mut self, token: Option<RegistrationToken>) {
         if let Some(token) = token {
             self.handle.remove(token);
         }
@@ -591,12 +591,12 @@
         self.accept(now);
         self.execute_commands();
         let token = self.listening.take();
-        self.unwatch(token);
+        self.unregister(token);
         self.listener = None;
     }
 
     /// Registers a socket, or says why not.
-    fn register(
+    fn register_stream(
         &mut self,
         socket: Rc<TcpStream>,
         source: EventSource,
