--- a/crates/coordinator/src/node/clients/closing.rs
+++ b/crates/coordinator/src/node/clients/closing.rs
@@ -154,7 +154,7 @@
 
     fn left(&mut self, now: Micros, id: ConnectionId, request: RequestId) {
         tracing::debug!(request = request.0, conn = id, "client left");
-        self.count_end(now, request, End::Left);
+        self.record_outcome(now, request, End::Left);
         self.asking.remove(&request);
         let idempotency = self
             .core
--- a/crates/coordinator/src/node/control/views.rs
+++ b/crates/coordinator/src/node/control/views.rs
@@ -42,7 +42,7 @@
                 since: sent,
             });
             entry.out += 1;
-            entry.once += u64::from(self.runs_once(class));
+            entry.once += u64::from(self.is_single_shot(class));
             entry.since = entry.since.min(sent);
         }
         running
@@ -129,7 +129,12 @@
     }
 
     /// An engine has served something.
-    pub(in crate::node) fn engine_served(&mut self, now: Micros, engine: EngineId, took: Micros) {
+    pub(in crate::node) fn record_engine_success(
+        &mut self,
+        now: Micros,
+        engine: EngineId,
+        took: Micros,
+    ) {
         if let Some(control) = &mut self.control {
             control
                 .engines
@@ -140,7 +145,7 @@
     }
 
     /// An engine is gone for good.
-    pub(in crate::node) fn forget_service(&mut self, engine: EngineId) {
+    pub(in crate::node) fn forget_engine_window(&mut self, engine: EngineId) {
         if let Some(control) = &mut self.control {
             control.engines.remove(&engine);
         }
@@ -214,7 +219,7 @@
                     .unwrap_or_default()
                     .into(),
                 age_ms: now.saturating_sub(since) / 1000,
-                import: self.runs_once(class),
+                import: self.is_single_shot(class),
             });
         }
         queries.sort_by_key(|q| (!q.import, std::cmp::Reverse(q.age_ms)));
@@ -234,7 +239,7 @@
                     .classes
                     .get(n)
                     .map_or(0, |c| c.latency_objective / 1000),
-                once: self.runs_once(n as u16),
+                once: self.is_single_shot(n as u16),
                 open: open_by_class[n],
                 minute: rings.get(n).map(|r| r.0.sum(now)).unwrap_or_default(),
                 hour: rings.get(n).map(|r| r.1.sum(now)).unwrap_or_default(),
--- a/crates/coordinator/src/node/engines/closing.rs
+++ b/crates/coordinator/src/node/engines/closing.rs
@@ -85,7 +85,7 @@
     pub(in crate::node) fn forget(&mut self, now: Micros, engine: EngineId) {
         self.retire(engine);
         self.roster.forget(engine);
-        self.forget_service(engine);
+        self.forget_engine_window(engine);
         self.checks.remove(&engine);
         self.sweep_engines(now);
     }
--- a/crates/coordinator/src/node/engines/mod.rs
+++ b/crates/coordinator/src/node/engines/mod.rs
@@ -235,7 +235,7 @@
             return;
         };
         let call = ask.call.clone();
-        let alone = self.runs_once(ask.class);
+        let alone = self.is_single_shot(ask.class);
         match self.engine_conn(now, engine, Some(&call), alone) {
             Ok(id) => {
                 self.engines.entry(id).and_modify(|c| c.alone = alone);
--- a/crates/coordinator/src/node/engines/traffic.rs
+++ b/crates/coordinator/src/node/engines/traffic.rs
@@ -363,7 +363,7 @@
                         .attempt_engine(key)
                         .filter(|_| self.control.is_some())
                     {
-                        self.engine_served(now, engine, now.saturating_sub(sent));
+                        self.record_engine_success(now, engine, now.saturating_sub(sent));
                     }
                     self.core.complete_attempt(now, key);
                 }
--- a/crates/coordinator/src/node/mod.rs
+++ b/crates/coordinator/src/node/mod.rs
@@ -448,25 +448,25 @@
                     After::Open
                 }),
                 Command::Finish(id) => {
-                    self.count_end(now, id, End::Served);
+                    self.record_outcome(now, id, End::Served);
                     self.answer(now, id, true, |w, out| w.finish(out));
                 }
                 Command::Reject(id, after, words) => {
-                    self.count_end(now, id, End::Refused);
+                    self.record_outcome(now, id, End::Refused);
                     self.answer(now, id, true, |w, out| {
                         w.refuse(after, words.as_deref(), out);
                         After::Open
                     });
                 }
                 Command::Fail(id, words) => {
-                    self.count_end(now, id, End::Failed);
+                    self.record_outcome(now, id, End::Failed);
                     self.answer(now, id, true, |w, out| {
                         w.fail(words.as_deref(), out);
                         After::Open
                     });
                 }
                 Command::Abort(id, words) => {
-                    self.count_end(now, id, End::Failed);
+                    self.record_outcome(now, id, End::Failed);
                     self.answer(now, id, true, |w, out| w.cut(words.as_deref(), out));
                 }
             }
@@ -503,12 +503,12 @@
     }
 
     /// Whether a class's requests must not run twice.
-    fn runs_once(&self, class: u16) -> bool {
+    fn is_single_shot(&self, class: u16) -> bool {
         self.idempotency(class) == Some(Idempotency::NotIdempotent)
     }
 
     /// For operators: how a request ended.
-    fn count_end(&mut self, now: Micros, id: RequestId, end: End) {
+    fn record_outcome(&mut self, now: Micros, id: RequestId, end: End) {
         if let Some(&(_, class, began)) = self.asking.get(&id).filter(|_| self.control.is_some()) {
             self.ended(now, class, began, end);
         }
