--- a/crates/coordinator/benches/operators.rs
+++ b/crates/coordinator/benches/operators.rs
@@ -3,7 +3,7 @@
 //!
 //! `cargo bench -p driftfront --bench operators` prints a page. Nothing else should run on the machine meanwhile.
 
-use driftfront::service::{End, Ring};
+use driftfront::service::{RequestOutcome, ServiceWindow};
 use driftfront_console::remote::{At, Remote};
 use driftfront_control::{Reply, Request};
 use driftfront_mock_servers::engine::{Engine, Options};
@@ -173,8 +173,15 @@
             spent.max(0.0) / 50.0 * 1000.0
         );
     }
-    let mut hour = Ring::hour();
-    (0..360_000u64).for_each(|n| hour.add(n * 10_000, End::Served, n * 7919 % 30_000_000, 500_000));
+    let mut hour = ServiceWindow::hour();
+    (0..360_000u64).for_each(|n| {
+        hour.add(
+            n * 10_000,
+            RequestOutcome::Served,
+            n * 7919 % 30_000_000,
+            500_000,
+        )
+    });
     println!(
         "\nAn hour of history of one class at 100 requests a second holds {} KB.",
         hour.bytes() / 1024
--- a/crates/coordinator/src/node/clients/closing.rs
+++ b/crates/coordinator/src/node/clients/closing.rs
@@ -7,7 +7,7 @@
 use super::{Client, IDLE_MOST, PART_OF_SOCKETS, PART_WHILE_SHARED, READ_MOST};
 use crate::net::{eviction, ReadEnd};
 use crate::node::{ConnectionId, Node};
-use crate::service::End;
+use crate::service::RequestOutcome;
 use driftfront_core::{Micros, RequestId};
 use driftfront_http::response;
 use driftfront_scheduler::interface::Idempotency;
@@ -154,7 +154,7 @@
 
     fn left(&mut self, now: Micros, id: ConnectionId, request: RequestId) {
         tracing::debug!(request = request.0, conn = id, "client left");
-        self.record_outcome(now, request, End::Left);
+        self.record_outcome(now, request, RequestOutcome::Left);
         self.asking.remove(&request);
         let idempotency = self
             .core
--- a/crates/coordinator/src/node/control/mod.rs
+++ b/crates/coordinator/src/node/control/mod.rs
@@ -6,7 +6,7 @@
 mod views;
 
 use crate::node::{ConnectionId, EventSource, Node};
-use crate::service::Ring;
+use crate::service::ServiceWindow;
 use crate::state;
 use calloop::RegistrationToken;
 use driftfront_control::{Lines, Reply};
@@ -81,8 +81,8 @@
     key: Vec<u8>,
     operators: BTreeMap<ConnectionId, Operator>,
     events: VecDeque<(Micros, String)>,
-    classes: Vec<(Ring, Ring)>,
-    engines: BTreeMap<EngineId, Ring>,
+    classes: Vec<(ServiceWindow, ServiceWindow)>,
+    engines: BTreeMap<EngineId, ServiceWindow>,
     /// The last snapshot, as JSON.
     snapshot: Option<(Micros, String)>,
     state: Option<state::State>,
@@ -109,7 +109,7 @@
             key: Vec::new(),
             operators: BTreeMap::new(),
             events: VecDeque::new(),
-            classes: vec![(Ring::minute(), Ring::hour()); classes],
+            classes: vec![(ServiceWindow::minute(), ServiceWindow::hour()); classes],
             engines: BTreeMap::new(),
             snapshot: None,
             state: None,
--- a/crates/coordinator/src/node/control/views.rs
+++ b/crates/coordinator/src/node/control/views.rs
@@ -2,7 +2,7 @@
 
 use super::{QUERIES_MOST, SNAPSHOT_FOR};
 use crate::node::Node;
-use crate::service::{End, Ring};
+use crate::service::{RequestOutcome, ServiceWindow};
 use driftfront_control::snapshot::{Class, Engine, Query, Roll as RollView, Snapshot};
 use driftfront_control::Field;
 use driftfront_core::lifecycle::State;
@@ -110,7 +110,13 @@
     }
 
     /// A request has ended: for the rings.
-    pub(in crate::node) fn ended(&mut self, now: Micros, class: u16, began: Micros, end: End) {
+    pub(in crate::node) fn ended(
+        &mut self,
+        now: Micros,
+        class: u16,
+        began: Micros,
+        end: RequestOutcome,
+    ) {
         let wanted = self
             .config
             .settings
@@ -139,8 +145,8 @@
             control
                 .engines
                 .entry(engine)
-                .or_insert_with(Ring::minute)
-                .add(now, End::Served, took, Micros::MAX);
+                .or_insert_with(ServiceWindow::minute)
+                .add(now, RequestOutcome::Served, took, Micros::MAX);
         }
     }
 
--- a/crates/coordinator/src/node/mod.rs
+++ b/crates/coordinator/src/node/mod.rs
@@ -18,7 +18,7 @@
 use crate::frontends::clickhouse::ClickHouse;
 use crate::frontends::{platform::Platform, After, Front};
 use crate::handover::HandoverMailbox;
-use crate::service::End;
+use crate::service::RequestOutcome;
 
 use calloop::generic::Generic;
 use calloop::signals::{Signal, Signals};
@@ -448,25 +448,25 @@
                     After::Open
                 }),
                 Command::Finish(id) => {
-                    self.record_outcome(now, id, End::Served);
+                    self.record_outcome(now, id, RequestOutcome::Served);
                     self.answer(now, id, true, |w, out| w.finish(out));
                 }
                 Command::Reject(id, after, words) => {
-                    self.record_outcome(now, id, End::Refused);
+                    self.record_outcome(now, id, RequestOutcome::Refused);
                     self.answer(now, id, true, |w, out| {
                         w.refuse(after, words.as_deref(), out);
                         After::Open
                     });
                 }
                 Command::Fail(id, words) => {
-                    self.record_outcome(now, id, End::Failed);
+                    self.record_outcome(now, id, RequestOutcome::Failed);
                     self.answer(now, id, true, |w, out| {
                         w.fail(words.as_deref(), out);
                         After::Open
                     });
                 }
                 Command::Abort(id, words) => {
-                    self.record_outcome(now, id, End::Failed);
+                    self.record_outcome(now, id, RequestOutcome::Failed);
                     self.answer(now, id, true, |w, out| w.cut(words.as_deref(), out));
                 }
             }
@@ -508,7 +508,7 @@
     }
 
     /// For operators: how a request ended.
-    fn record_outcome(&mut self, now: Micros, id: RequestId, end: End) {
+    fn record_outcome(&mut self, now: Micros, id: RequestId, end: RequestOutcome) {
         if let Some(&(_, class, began)) = self.asking.get(&id).filter(|_| self.control.is_some()) {
             self.ended(now, class, began, end);
         }
--- a/crates/coordinator/src/service.rs
+++ b/crates/coordinator/src/service.rs
@@ -14,7 +14,7 @@
 
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum RequestOutcome {
     /// Served.
     Served,
     /// Refused.
@@ -36,35 +36,35 @@
 
 /// A ring of slots.
 #[derive(Clone)]
-pub struct Ring {
+pub struct ServiceWindow {
     slots: Vec<Slot>,
     length: Micros,
 }
 
-impl Ring {
+impl ServiceWindow {
     /// One for the last minute.
-    pub fn minute() -> Ring {
-        Ring::new(MINUTE)
+    pub fn minute() -> ServiceWindow {
+        ServiceWindow::new(MINUTE)
     }
     /// One for the last hour.
-    pub fn hour() -> Ring {
-        Ring::new(HOUR)
+    pub fn hour() -> ServiceWindow {
+        ServiceWindow::new(HOUR)
     }
-    fn new((count, length): (usize, Micros)) -> Ring {
+    fn new((count, length): (usize, Micros)) -> ServiceWindow {
         let slot = Slot {
             number: u64::MAX,
             counts: [0; 4],
             in_time: 0,
             times: None,
         };
-        Ring {
+        ServiceWindow {
             slots: vec![slot; count],
             length,
         }
     }
 
     /// A request has ended.
-    pub fn add(&mut self, now: Micros, end: End, took: Micros, wanted: Micros) {
+    pub fn add(&mut self, now: Micros, end: RequestOutcome, took: Micros, wanted: Micros) {
         let number = now / self.length;
         let at = (number % self.slots.len() as u64) as usize;
         let slot = &mut self.slots[at];
@@ -82,7 +82,7 @@
             };
         }
         slot.counts[end as usize] += 1;
-        if end == End::Served {
+        if end == RequestOutcome::Served {
             slot.in_time += u64::from(took <= wanted);
             let times = slot
                 .times
@@ -103,9 +103,9 @@
             .filter(|s| (oldest..=newest).contains(&s.number))
         {
             sum.asked += slot.counts.iter().sum::<u64>();
-            sum.served += slot.counts[End::Served as usize];
-            sum.refused += slot.counts[End::Refused as usize];
-            sum.failed += slot.counts[End::Failed as usize];
+            sum.served += slot.counts[RequestOutcome::Served as usize];
+            sum.refused += slot.counts[RequestOutcome::Refused as usize];
+            sum.failed += slot.counts[RequestOutcome::Failed as usize];
             sum.in_time += slot.in_time;
             if let Some(t) = &slot.times {
                 let _ = times.add(t);
@@ -134,13 +134,13 @@
 
     #[test]
     fn a_ring_forgets_what_is_older_than_its_time_and_keeps_the_rest() {
-        let mut ring = Ring::minute();
+        let mut ring = ServiceWindow::minute();
         for n in 0..600 {
             // One each second; every fourth late, every tenth refused.
             let end = if n % 10 == 9 {
-                End::Refused
+                RequestOutcome::Refused
             } else {
-                End::Served
+                RequestOutcome::Served
             };
             ring.add(
                 n * 1_000_000,
@@ -160,9 +160,14 @@
 
     #[test]
     fn an_hour_s_memory_is_bounded_whatever_the_traffic() {
-        let mut ring = Ring::hour();
+        let mut ring = ServiceWindow::hour();
         for n in 0..100_000u64 {
-            ring.add(n * 72_000, End::Served, n * 7919 % 130_000_000, 1);
+            ring.add(
+                n * 72_000,
+                RequestOutcome::Served,
+                n * 7919 % 130_000_000,
+                1,
+            );
         }
         assert!(ring.bytes() < 60 * 8 * 1024, "{}", ring.bytes());
     }
