--- a/crates/coordinator/src/config.rs
+++ b/crates/coordinator/src/config.rs
@@ -13,7 +13,7 @@
 
 /// Which interface clients and engines speak.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Wire {
+pub enum Protocol {
     /// The platform's.
     Platform,
     /// ClickHouse's HTTP interface.
@@ -67,7 +67,7 @@
     /// Descriptors that the process may hold.
     pub sockets: usize,
     /// Clients' and engines' interface.
-    pub wire: Wire,
+    pub protocol: Protocol,
     /// What the ClickHouse front holds to.
     pub clickhouse: Rules,
     /// A result of a ClickHouse engine that stands still for this long is given up.
@@ -189,9 +189,9 @@
         for class in &mut settings.classes {
             class.deduplication_window = class.deduplication_window.saturating_sub(REPEAT_MARGIN);
         }
-        let wire = match root.get("front").text() {
-            None | Some("platform") => Wire::Platform,
-            Some("clickhouse") => Wire::ClickHouse,
+        let protocol = match root.get("front").text() {
+            None | Some("platform") => Protocol::Platform,
+            Some("clickhouse") => Protocol::ClickHouse,
             Some(other) => return Err(format!("front: unknown: {other}")),
         };
         let address = |text: &str| text.parse::<SocketAddr>().map_err(|e| e.to_string());
@@ -299,7 +299,7 @@
             .or_else(told);
         let seed = root.get("seed").text().unwrap_or_default();
         let fleet = fleet(root.get("fleet"))?;
-        if fleet.is_some() && wire == Wire::Platform && !settings.may_gossip {
+        if fleet.is_some() && protocol == Protocol::Platform && !settings.may_gossip {
             return Err("fleet: the settings bar talk among instances (Caps.Peers)".into());
         }
         Ok(Config {
@@ -309,7 +309,7 @@
             seed: u64::from_str_radix(seed, 16)
                 .unwrap_or_else(|_| crate::net::hash(seed.as_bytes())),
             sockets,
-            wire,
+            protocol,
             clickhouse: Rules {
                 read: by_statement("read")?.unwrap_or(0),
                 write: by_statement("write")?.unwrap_or(0),
@@ -348,9 +348,13 @@
                 open: span("MaxOpen", 4096).min(4096) as usize,
                 probe_timeout: PROBE_TIMEOUT,
                 answer_margin: ANSWER_MARGIN,
-                tells_each: wire == Wire::Platform,
+                tells_each: protocol == Protocol::Platform,
                 tokens: TOKENS,
-                doubts: if wire == Wire::ClickHouse { DOUBTS } else { 0 },
+                doubts: if protocol == Protocol::ClickHouse {
+                    DOUBTS
+                } else {
+                    0
+                },
             },
             settings,
             control: root.get("control").text().map(PathBuf::from),
--- a/crates/coordinator/src/console.rs
+++ b/crates/coordinator/src/console.rs
@@ -11,7 +11,7 @@
     let mut text = String::new();
     let _ = writeln!(text, "name        {}", config.name);
     let _ = writeln!(text, "listen      {}", config.listen);
-    let _ = writeln!(text, "front       {:?}", config.wire);
+    let _ = writeln!(text, "front       {:?}", config.protocol);
     let _ = writeln!(text, "classes     {}", config.classes.names.join(", "));
     let membership = match &config.membership {
         Membership::Stream(addr) => format!("event stream at {addr}"),
--- a/crates/coordinator/src/node/control/views.rs
+++ b/crates/coordinator/src/node/control/views.rs
@@ -267,7 +267,7 @@
             at: now,
             up_s: seconds(control.map_or(now, |c| c.begun)),
             listen: self.listening_at().to_string(),
-            front: format!("{:?}", self.config.wire),
+            front: format!("{:?}", self.config.protocol),
             ready: self.is_ready(),
             stopping: self.lifecycle.state() == State::Ending,
             state: self.lifecycle.state().word().into(),
--- a/crates/coordinator/src/node/engines/traffic.rs
+++ b/crates/coordinator/src/node/engines/traffic.rs
@@ -2,7 +2,7 @@
 
 use super::{Work, BACKLOG_LEAST, BACKLOG_MOST, CHECK_TAG, READ_AT_ONCE, STREAMS_MANY, TURN};
 use crate::backends::{Seen, Start};
-use crate::config::Wire;
+use crate::config::Protocol;
 use crate::net::ReadEnd;
 use crate::node::clients::Body;
 use crate::node::{ConnectionId, EventSource, Node};
@@ -118,7 +118,7 @@
                         .settings
                         .progress_interval
                         .filter(|_| idempotency == Some(Idempotency::Idempotent));
-                    let other = (self.config.wire == Wire::ClickHouse)
+                    let other = (self.config.protocol == Protocol::ClickHouse)
                         .then(|| self.core.name_on_engine(key));
                     let name = other.as_ref().map_or(&*taken.ask.call, |o| o);
                     let grant_mb = self.core.grant_mb(key);
--- a/crates/coordinator/src/node/mod.rs
+++ b/crates/coordinator/src/node/mod.rs
@@ -12,7 +12,7 @@
 pub use self::cluster::read_keys;
 use crate::backends::{clickhouse::Http, engine_protocol::Lines, Session};
 use crate::clock::{Clock, Step, StepWatch};
-use crate::config::{Config, Wire};
+use crate::config::{Config, Protocol};
 use crate::discovery::backoff::{Backoff, Broken};
 use crate::discovery::read;
 use crate::frontends::clickhouse::ClickHouse;
@@ -119,18 +119,20 @@
     pub fn new(config: Config, events: &EventLoop<'static, Node>) -> Result<Node, String> {
         let (listener, passed, post) = upgrade::listener(&config)?;
         let classes = config.classes.clone();
-        let front: Box<dyn Front> = match config.wire {
-            Wire::Platform => Box::new(Platform {
+        let front: Box<dyn Front> = match config.protocol {
+            Protocol::Platform => Box::new(Platform {
                 classes,
                 tenants: config.tenants.clone(),
             }),
-            Wire::ClickHouse => Box::new(ClickHouse::new(classes, config.clickhouse, config.seed)),
+            Protocol::ClickHouse => {
+                Box::new(ClickHouse::new(classes, config.clickhouse, config.seed))
+            }
         };
         let clock = Clock::start();
         let now = clock.now();
         let longest = config.classes.patience.iter().copied().max().unwrap_or(0);
         // An operator's service manager has rules of its own.
-        let killed = config.wire == Wire::Platform;
+        let killed = config.protocol == Protocol::Platform;
         let mut node = Node {
             core: Core::new(config.settings.clone(), config.limits, config.seed),
             handle: events.handle(),
@@ -561,9 +563,11 @@
     }
 
     fn session(&self, addr: SocketAddr) -> Box<dyn Session> {
-        match self.config.wire {
-            Wire::Platform => Box::new(Lines::new(self.config.streams, self.config.gauges.clone())),
-            Wire::ClickHouse => Box::new(Http::new(addr.to_string())),
+        match self.config.protocol {
+            Protocol::Platform => {
+                Box::new(Lines::new(self.config.streams, self.config.gauges.clone()))
+            }
+            Protocol::ClickHouse => Box::new(Http::new(addr.to_string())),
         }
     }
 
--- a/crates/coordinator/src/operator_config.rs
+++ b/crates/coordinator/src/operator_config.rs
@@ -747,7 +747,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::config::{Config, Membership, Wire};
+    use crate::config::{Config, Membership, Protocol};
 
     fn config(text: &str) -> Config {
         Config::of_operator(text).unwrap_or_else(|e| panic!("{e}"))
@@ -759,8 +759,8 @@
             "engines {\n engine \"e1\" at=\"127.0.0.1:1\"\n engine \"e2\" at=\"127.0.0.1:2\"\n}\n",
         );
         assert_eq!(
-            (small.wire, small.classes.names.len()),
-            (Wire::ClickHouse, 3)
+            (small.protocol, small.classes.names.len()),
+            (Protocol::ClickHouse, 3)
         );
         assert_eq!(
             (small.membership, small.known.len()),
--- a/crates/coordinator/tests/golden_operators/commands.rs
+++ b/crates/coordinator/tests/golden_operators/commands.rs
@@ -238,7 +238,7 @@
 fn values(c: &Config) -> String {
     let mut text = format!(
         "name {}\nlisten {}\nseed {}\nsockets {}\nfront {:?}\n",
-        c.name, c.listen, c.seed, c.sockets, c.wire
+        c.name, c.listen, c.seed, c.sockets, c.protocol
     );
     let r = &c.clickhouse;
     text += &format!(
