--- a/crates/coordinator/src/config.rs
+++ b/crates/coordinator/src/config.rs
@@ -22,7 +22,7 @@
 
 /// Where the list of engines comes from.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Membership {
+pub enum DiscoverySource {
     /// The platform's event stream at this address.
     Stream(SocketAddr),
     /// etcd's JSON gateway at this address, and the prefix of the engines' keys.
@@ -75,7 +75,7 @@
     /// Bytes of results that wait for their clients, all together, where they come as they are made.
     pub unread: usize,
     /// Where the list of engines comes from.
-    pub membership: Membership,
+    pub membership: DiscoverySource,
     /// Number of the last event in `known`.
     pub known_index: u64,
     /// Events of the list so far.
@@ -202,17 +202,17 @@
             from.get("file").text(),
         ) {
             (Some(at), None, None) => {
-                Membership::Stream(address(at).map_err(|e| format!("coordinator: {e}"))?)
+                DiscoverySource::Stream(address(at).map_err(|e| format!("coordinator: {e}"))?)
             }
             (None, Some(at), None) => {
                 let prefix = from.get("prefix").text().unwrap_or("/driftfront/engines/");
-                Membership::Etcd(
+                DiscoverySource::Etcd(
                     address(at).map_err(|e| format!("membership.etcd: {e}"))?,
                     prefix.into(),
                 )
             }
-            (None, None, Some(path)) => Membership::File(path.into()),
-            (None, None, None) => Membership::Fixed,
+            (None, None, Some(path)) => DiscoverySource::File(path.into()),
+            (None, None, None) => DiscoverySource::Fixed,
             _ => {
                 return Err(
                     "coordinator, membership.etcd and membership.file exclude each other".into(),
--- a/crates/coordinator/src/console.rs
+++ b/crates/coordinator/src/console.rs
@@ -1,6 +1,6 @@
 //! What an operator calls from a terminal.
 
-use crate::config::{Config, Membership};
+use crate::config::{Config, DiscoverySource};
 use std::fmt::Write as _;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -14,10 +14,10 @@
     let _ = writeln!(text, "front       {:?}", config.protocol);
     let _ = writeln!(text, "classes     {}", config.classes.names.join(", "));
     let membership = match &config.membership {
-        Membership::Stream(addr) => format!("event stream at {addr}"),
-        Membership::Etcd(addr, prefix) => format!("etcd at {addr}, keys under {prefix}"),
-        Membership::File(path) => format!("file {}", path.display()),
-        Membership::Fixed => "as listed".into(),
+        DiscoverySource::Stream(addr) => format!("event stream at {addr}"),
+        DiscoverySource::Etcd(addr, prefix) => format!("etcd at {addr}, keys under {prefix}"),
+        DiscoverySource::File(path) => format!("file {}", path.display()),
+        DiscoverySource::Fixed => "as listed".into(),
     };
     let _ = writeln!(
         text,
--- a/crates/coordinator/src/node/discovery_client.rs
+++ b/crates/coordinator/src/node/discovery_client.rs
@@ -1,7 +1,7 @@
 //! Where the list of engines comes from: one watched connection, kept up, or a file.
 
 use super::{ConnectionId, EventSource, Node};
-use crate::config::{Config, Membership};
+use crate::config::{Config, DiscoverySource};
 use crate::discovery::backoff::{Backoff, Broken};
 use crate::discovery::{etcd::Etcd, file::File, read, stream::Stream, Watch};
 use crate::net::{connect, Link, ReadEnd};
@@ -39,23 +39,23 @@
 }
 
 impl Feed {
-    pub(super) fn new(from: &Membership, last: u64, backoff: Backoff) -> Feed {
+    pub(super) fn new(from: &DiscoverySource, last: u64, backoff: Backoff) -> Feed {
         let (mut watch, mut file): (Option<(SocketAddr, Box<dyn Watch>)>, _) = (None, None);
         let about = match from {
-            Membership::Stream(addr) => format!("the platform's stream at {addr}"),
-            Membership::Etcd(addr, _) => format!("etcd at {addr}"),
-            Membership::File(path) => format!("the file {}", path.display()),
-            Membership::Fixed => "the operator's file".into(),
+            DiscoverySource::Stream(addr) => format!("the platform's stream at {addr}"),
+            DiscoverySource::Etcd(addr, _) => format!("etcd at {addr}"),
+            DiscoverySource::File(path) => format!("the file {}", path.display()),
+            DiscoverySource::Fixed => "the operator's file".into(),
         };
         match from {
-            Membership::Stream(addr) => {
+            DiscoverySource::Stream(addr) => {
                 watch = Some((*addr, Box::new(Stream::new(addr.to_string(), last))))
             }
-            Membership::Etcd(addr, prefix) => {
+            DiscoverySource::Etcd(addr, prefix) => {
                 watch = Some((*addr, Box::new(Etcd::new(addr.to_string(), prefix.clone()))));
             }
-            Membership::File(path) => file = Some(File::new(path.clone())),
-            Membership::Fixed => {}
+            DiscoverySource::File(path) => file = Some(File::new(path.clone())),
+            DiscoverySource::Fixed => {}
         }
         Feed {
             watch,
@@ -90,10 +90,12 @@
     }
 
     /// Follows another source; at a new address of the same kind the list goes on behind its last event.
-    fn follow(&mut self, from: &Membership, to: &Membership) {
+    fn follow(&mut self, from: &DiscoverySource, to: &DiscoverySource) {
         let same = match (from, to) {
-            (Membership::Stream(_), Membership::Stream(addr)) => Some(*addr),
-            (Membership::Etcd(_, old), Membership::Etcd(addr, new)) if old == new => Some(*addr),
+            (DiscoverySource::Stream(_), DiscoverySource::Stream(addr)) => Some(*addr),
+            (DiscoverySource::Etcd(_, old), DiscoverySource::Etcd(addr, new)) if old == new => {
+                Some(*addr)
+            }
             _ => None,
         };
         match (same, &mut self.watch) {
--- a/crates/coordinator/src/operator_config.rs
+++ b/crates/coordinator/src/operator_config.rs
@@ -747,7 +747,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::config::{Config, Membership, Protocol};
+    use crate::config::{Config, DiscoverySource, Protocol};
 
     fn config(text: &str) -> Config {
         Config::of_operator(text).unwrap_or_else(|e| panic!("{e}"))
@@ -764,7 +764,7 @@
         );
         assert_eq!(
             (small.membership, small.known.len()),
-            (Membership::Fixed, 1)
+            (DiscoverySource::Fixed, 1)
         );
         assert_eq!((small.clickhouse.read, small.clickhouse.write), (0, 2));
         let example = config(EXAMPLE);
@@ -776,7 +776,7 @@
         let etcd = config("engines { etcd \"127.0.0.1:2379\" prefix=\"/x/\"; }");
         assert_eq!(
             etcd.membership,
-            Membership::Etcd("127.0.0.1:2379".parse().unwrap(), "/x/".into())
+            DiscoverySource::Etcd("127.0.0.1:2379".parse().unwrap(), "/x/".into())
         );
     }
 
