--- a/crates/coordinator/src/node/control/orders.rs
+++ b/crates/coordinator/src/node/control/orders.rs
@@ -25,7 +25,7 @@
             }
         };
         self.apply_registry_change(now, &change);
-        self.tell_post();
+        self.publish_handover();
         self.event(now, format!("{words}, by an operator"));
         let kept = self.write_down(now, records);
         match kept {
@@ -201,7 +201,7 @@
         match self.roster.command(now, "the roll", command) {
             Ok((change, records)) => {
                 self.apply_registry_change(now, &change);
-                self.tell_post();
+                self.publish_handover();
                 let _ = self.write_down(now, records);
             }
             Err(refusal) => self.event(now, format!("The roll: {refusal}")),
--- a/crates/coordinator/src/node/management.rs
+++ b/crates/coordinator/src/node/management.rs
@@ -236,7 +236,7 @@
             return format!("{words}, as before");
         };
         self.apply_registry_change(now, &change);
-        self.tell_post();
+        self.publish_handover();
         self.told(now, format!("{words}, by the second address"));
         let _ = self.write_down(now, records);
         words
--- a/crates/coordinator/src/node/mod.rs
+++ b/crates/coordinator/src/node/mod.rs
@@ -193,7 +193,7 @@
             .insert_source(signals, on_signal)
             .map_err(|e| format!("signals: {e}"))?;
         // Orders come before the list: nothing may go to what an earlier process was told to leave alone.
-        node.tend_post(now);
+        node.poll_handover(now);
         let succeeds = node
             .post
             .as_ref()
@@ -341,7 +341,7 @@
             self.front.tend(now);
             self.tend_control(now);
             self.sweep_callers(now);
-            self.tend_post(now);
+            self.poll_handover(now);
             self.update_lifecycle(now);
             self.execute_commands();
         }
@@ -410,7 +410,7 @@
     fn update_lifecycle(&mut self, now: Micros) {
         if !self.lifecycle.has_begun() && self.knows_engines(now) && self.lifecycle.begin() {
             tracing::info!(succeeds = self.lifecycle.succeeds(), "ready");
-            self.tell_post();
+            self.publish_handover();
         }
         if self
             .lifecycle
--- a/crates/coordinator/src/node/upgrade.rs
+++ b/crates/coordinator/src/node/upgrade.rs
@@ -56,7 +56,7 @@
 
 impl Node {
     /// Takes over what other processes of this coordinator say, and tells them what is new here.
-    pub(super) fn tend_post(&mut self, now: Micros) {
+    pub(super) fn poll_handover(&mut self, now: Micros) {
         let Some(post) = &mut self.post else { return };
         let news = post.poll();
         let (shares, succeeded) = (post.shares(), post.has_successor());
@@ -95,11 +95,11 @@
             };
             self.told(now, words.into());
         }
-        self.tell_post();
+        self.publish_handover();
     }
 
     /// Tells other processes what holds here: before an order is confirmed, and once this one is ready.
-    pub(super) fn tell_post(&mut self) {
+    pub(super) fn publish_handover(&mut self) {
         let ready = self.lifecycle.has_begun();
         let Some(post) = &mut self.post else { return };
         if let Err(e) = post.tell(self.roster.word(ready)) {
