--- a/crates/coordinator/src/frontends/clickhouse.rs
+++ b/crates/coordinator/src/frontends/clickhouse.rs
@@ -8,13 +8,15 @@
 use driftfront_clickhouse::request::{self, Asked, Query};
 use driftfront_clickhouse::session::{self, keyed, Book, Name};
 use driftfront_core::{EngineId, Micros, ParsedRequest, RequestFate, ResponseChunk, StickySession};
-use driftfront_http::{chunk, response, response_head, Ends, Fault, Request, Takes, LAST_CHUNK};
+use driftfront_http::{
+    chunk, response, response_head, Ends, Fault, Request, RequestLimits, LAST_CHUNK,
+};
 use std::collections::HashMap;
 use std::fmt::Write as _;
 use std::rc::Rc;
 
 /// Longest head taken, the URL with it. What is longer than usual shares the budget for bodies.
-pub const HEAD_MOST: usize = 256 * 1024;
+pub const MAX_HEAD_BYTES: usize = 256 * 1024;
 const NOT_IMPLEMENTED: u32 = 48;
 const UNKNOWN_CLASS: u32 = 36;
 const SAME_ID: u32 = 216;
@@ -279,10 +281,10 @@
 }
 
 impl Front for ClickHouse {
-    fn takes(&self) -> Takes {
-        Takes {
-            head_most: HEAD_MOST,
-            body_most: SMALL,
+    fn takes(&self) -> RequestLimits {
+        RequestLimits {
+            max_head_bytes: MAX_HEAD_BYTES,
+            max_body_bytes: SMALL,
             goes_on: true,
         }
     }
--- a/crates/coordinator/src/frontends/mod.rs
+++ b/crates/coordinator/src/frontends/mod.rs
@@ -4,7 +4,7 @@
 pub mod platform;
 
 use driftfront_core::{EngineId, Micros, ParsedRequest, RequestFate, ResponseChunk};
-use driftfront_http::{response, Fault, Request, Takes};
+use driftfront_http::{response, Fault, Request, RequestLimits};
 use std::rc::Rc;
 
 /// What a front makes of a request.
@@ -74,7 +74,7 @@
     /// What to do with one. `kept`: what its body holds of the budget for bodies.
     fn intake(&mut self, request: Request, now: Micros, kept: usize) -> Intake;
     /// What a reader of requests takes.
-    fn takes(&self) -> Takes;
+    fn takes(&self) -> RequestLimits;
     /// A request that holds `kept` of the budget has grown to `size`: what it holds then, and how long its body may
     /// become before it is passed on as it comes.
     fn grow(&mut self, _kept: usize, _size: usize) -> Option<(usize, usize)> {
--- a/crates/coordinator/src/frontends/platform.rs
+++ b/crates/coordinator/src/frontends/platform.rs
@@ -3,7 +3,7 @@
 use super::{After, AnswerWriter, Classes, Front, Intake};
 use driftfront_clickhouse::sql::table_group;
 use driftfront_core::{Micros, ParsedRequest, ResponseChunk};
-use driftfront_http::{header, response, Request, Takes, HEAD_MOST};
+use driftfront_http::{header, response, Request, RequestLimits, MAX_HEAD_BYTES};
 use std::rc::Rc;
 
 /// Largest statement taken: with all connections that may be open, these must fit the smallest memory.
@@ -39,10 +39,10 @@
 }
 
 impl Front for Platform {
-    fn takes(&self) -> Takes {
-        Takes {
-            head_most: HEAD_MOST,
-            body_most: BODY_MOST,
+    fn takes(&self) -> RequestLimits {
+        RequestLimits {
+            max_head_bytes: MAX_HEAD_BYTES,
+            max_body_bytes: BODY_MOST,
             goes_on: false,
         }
     }
--- a/crates/coordinator/src/node/clients/mod.rs
+++ b/crates/coordinator/src/node/clients/mod.rs
@@ -151,7 +151,7 @@
                     let client = Client {
                         link: Link::new(stream),
                         token: Some(token),
-                        reader: RequestReader::taking(self.front.takes()),
+                        reader: RequestReader::with_limits(self.front.takes()),
                         current: None,
                         kept: 0,
                         close: false,
@@ -361,7 +361,7 @@
             return false;
         };
         client.kept = kept;
-        client.reader.hold_at_most(most);
+        client.reader.set_max_body_bytes(most);
         if size <= most {
             return false;
         }
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -5,7 +5,7 @@
 use std::fmt::Write as _;
 
 /// Longest head read; a longer one is answered 431.
-pub const HEAD_MOST: usize = 16 * 1024;
+pub const MAX_HEAD_BYTES: usize = 16 * 1024;
 const HEADERS_MOST: usize = 64;
 /// Methods that a client may begin a request with.
 const METHODS: [&str; 7] = [
@@ -247,11 +247,11 @@
 
 /// What a reader of requests takes.
 #[derive(Clone, Copy, Debug)]
-pub struct Takes {
+pub struct RequestLimits {
     /// Longest head; a longer one is a fault.
-    pub head_most: usize,
+    pub max_head_bytes: usize,
     /// Bytes of a body that are read before the request is handed out.
-    pub body_most: usize,
+    pub max_body_bytes: usize,
     /// A longer body goes on behind that; else it is a fault.
     pub goes_on: bool,
 }
@@ -262,21 +262,21 @@
     head: Option<(Request, Framing)>,
     /// The body of the request that was handed out, while it goes on.
     rest: Option<Framing>,
-    takes: Takes,
+    takes: RequestLimits,
 }
 
 impl RequestReader {
     /// A reader that takes bodies of at most so many bytes, whole.
-    pub fn new(body_most: usize) -> RequestReader {
-        RequestReader::taking(Takes {
-            head_most: HEAD_MOST,
-            body_most,
+    pub fn new(max_body_bytes: usize) -> RequestReader {
+        RequestReader::with_limits(RequestLimits {
+            max_head_bytes: MAX_HEAD_BYTES,
+            max_body_bytes,
             goes_on: false,
         })
     }
 
     /// A reader with bounds of its own.
-    pub fn taking(takes: Takes) -> RequestReader {
+    pub fn with_limits(takes: RequestLimits) -> RequestReader {
         RequestReader {
             input: Input::default(),
             head: None,
@@ -286,8 +286,8 @@
     }
 
     /// From now on so many bytes of a body are read before its request is handed out.
-    pub fn hold_at_most(&mut self, body_most: usize) {
-        self.takes.body_most = body_most;
+    pub fn set_max_body_bytes(&mut self, max_body_bytes: usize) {
+        self.takes.max_body_bytes = max_body_bytes;
     }
 
     /// Bytes of the request that is being read: its head so far, or what of its body is held.
@@ -369,15 +369,15 @@
             let mut headers = [httparse::EMPTY_HEADER; HEADERS_MOST];
             let mut request = httparse::Request::new(&mut headers);
             let read = match request.parse(self.input.rest()).map_err(parse_fault)? {
-                httparse::Status::Complete(n) if n <= self.takes.head_most => n,
-                httparse::Status::Partial if self.held() <= self.takes.head_most => {
+                httparse::Status::Complete(n) if n <= self.takes.max_head_bytes => n,
+                httparse::Status::Partial if self.held() <= self.takes.max_head_bytes => {
                     return Ok(None)
                 }
                 _ => return Err(Fault::HeadTooLarge),
             };
             let headers = owned(request.headers);
             let framing = Framing::of(&headers, Framing::Over)?;
-            if matches!(framing, Framing::Length(n) if n > self.takes.body_most as u64)
+            if matches!(framing, Framing::Length(n) if n > self.takes.max_body_bytes as u64)
                 && !self.takes.goes_on
             {
                 return Err(Fault::BodyTooLarge);
@@ -398,7 +398,7 @@
             return Ok(None);
         };
         let over = framing.decode(&mut self.input, &mut request.body)?;
-        if request.body.len() > self.takes.body_most {
+        if request.body.len() > self.takes.max_body_bytes {
             if !self.takes.goes_on {
                 return Err(Fault::BodyTooLarge);
             }
@@ -496,7 +496,7 @@
             let mut response = httparse::Response::new(&mut headers);
             let read = match response.parse(self.input.rest()).map_err(parse_fault)? {
                 httparse::Status::Complete(n) => n,
-                httparse::Status::Partial if self.input.rest().len() <= HEAD_MOST => {
+                httparse::Status::Partial if self.input.rest().len() <= MAX_HEAD_BYTES => {
                     return Ok(None)
                 }
                 httparse::Status::Partial => return Err(Fault::HeadTooLarge),
--- a/crates/http/tests/golden.rs
+++ b/crates/http/tests/golden.rs
@@ -1,8 +1,8 @@
 //! The bytes of responses as this crate writes them, and messages as it reads them.
 
 use driftfront_http::{
-    chunk, header, response, response_head, tell_close, Ends, Fault, RequestReader, ResponsePart,
-    ResponseReader, Takes, LAST_CHUNK,
+    chunk, header, response, response_head, tell_close, Ends, Fault, RequestLimits, RequestReader,
+    ResponsePart, ResponseReader, LAST_CHUNK,
 };
 use driftfront_test_support::message_transcript::MessageTranscript;
 use driftfront_test_support::{assert_golden, read_golden};
@@ -42,9 +42,9 @@
 #[test]
 fn requests_are_read_as_ever() {
     let bytes = read_golden!("requests.http");
-    let mut reader = RequestReader::taking(Takes {
-        head_most: 16 * 1024,
-        body_most: 16,
+    let mut reader = RequestReader::with_limits(RequestLimits {
+        max_head_bytes: 16 * 1024,
+        max_body_bytes: 16,
         goes_on: true,
     });
     reader.push(&bytes);
--- a/crates/mock-servers/src/engine/answer.rs
+++ b/crates/mock-servers/src/engine/answer.rs
@@ -9,7 +9,9 @@
 use driftfront_clickhouse::exception::{marker, name, status};
 use driftfront_clickhouse::params::Params;
 use driftfront_clickhouse::{multipart, sql::Shape};
-use driftfront_http::{header, response, response_head, Ends, Request, RequestReader, Takes};
+use driftfront_http::{
+    header, response, response_head, Ends, Request, RequestLimits, RequestReader,
+};
 use std::collections::BTreeMap;
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::TcpStream;
@@ -87,9 +89,9 @@
     let mut connection = Connection {
         shared,
         stream,
-        reader: RequestReader::taking(Takes {
-            head_most: 1024 * 1024,
-            body_most: FIRST,
+        reader: RequestReader::with_limits(RequestLimits {
+            max_head_bytes: 1024 * 1024,
+            max_body_bytes: FIRST,
             goes_on: true,
         }),
     };
