--- a/crates/clickhouse/src/request.rs
+++ b/crates/clickhouse/src/request.rs
@@ -259,7 +259,7 @@
 ) -> Result<String, Exception> {
     let boundary = multipart::boundary(content_type)
         .ok_or_else(|| bad("multipart/form-data without a boundary that can be used"))?;
-    if request.goes_on {
+    if request.has_more_body {
         // Only its beginning is here: what it asks has to stand in the URL.
         if params.told("query").is_none() {
             return Err(bad("A form this large needs its query in the URL"));
@@ -371,7 +371,7 @@
                 .map(|h| (h.0.to_string(), h.1.to_string()))
                 .collect(),
             body: body.to_vec(),
-            goes_on: false,
+            has_more_body: false,
             version_1_1: true,
             close: false,
         }
--- a/crates/clickhouse/tests/golden.rs
+++ b/crates/clickhouse/tests/golden.rs
@@ -130,7 +130,7 @@
             .map(|h| (h.0.to_string(), h.1.to_string()))
             .collect(),
         body: body.into(),
-        goes_on: false,
+        has_more_body: false,
         version_1_1: true,
         close: false,
     }
--- a/crates/coordinator/src/frontends/clickhouse.rs
+++ b/crates/coordinator/src/frontends/clickhouse.rs
@@ -144,7 +144,7 @@
         };
         let most = self.patience(class);
         let budget = query.wanted_within.map_or(most, |told| told.min(most));
-        let budget = if request.goes_on {
+        let budget = if request.has_more_body {
             budget + self.rules.upload
         } else {
             budget
@@ -188,7 +188,7 @@
             statement: Rc::from(request.body),
             pin,
             lost,
-            once: request.goes_on,
+            once: request.has_more_body,
             ticket,
             ..ParsedRequest::default()
         };
@@ -285,7 +285,7 @@
         RequestLimits {
             max_head_bytes: MAX_HEAD_BYTES,
             max_body_bytes: SMALL,
-            goes_on: true,
+            has_more_body: true,
         }
     }
 
--- a/crates/coordinator/src/frontends/platform.rs
+++ b/crates/coordinator/src/frontends/platform.rs
@@ -43,7 +43,7 @@
         RequestLimits {
             max_head_bytes: MAX_HEAD_BYTES,
             max_body_bytes: BODY_MOST,
-            goes_on: false,
+            has_more_body: false,
         }
     }
 
@@ -274,7 +274,7 @@
                 headers,
                 body,
                 close: false,
-                goes_on: false,
+                has_more_body: false,
                 version_1_1: true,
             },
             0,
--- a/crates/coordinator/src/node/clients/closing.rs
+++ b/crates/coordinator/src/node/clients/closing.rs
@@ -36,7 +36,7 @@
 
     /// A request has begun on it and is not whole, and nothing else is open.
     fn is_half_read(&self) -> bool {
-        self.is_free() && !self.reader.body_goes_on() && self.reader.is_within()
+        self.is_free() && !self.reader.is_body_open() && self.reader.is_within()
     }
 
     /// Its place among those that go where descriptors are short; `None` if it must stay.
@@ -54,7 +54,7 @@
             () if self.shut => (idle > LINGER).then_some(Expired::Lingered),
             () if self.is_writing() => (idle > WRITE_MOST).then_some(Expired::Stuck),
             // A body that stands still while its engine waits for it.
-            () if self.reader.body_goes_on() => {
+            () if self.reader.is_body_open() => {
                 (self.reader.held() == 0 && idle > UPLOAD_STALL).then_some(Expired::Stuck)
             }
             () if self.current.is_some() || self.close => None,
--- a/crates/coordinator/src/node/clients/mod.rs
+++ b/crates/coordinator/src/node/clients/mod.rs
@@ -433,7 +433,7 @@
             client.close |= away;
             self.asking.remove(&request);
             // What of a body still comes could not be told from the next request.
-            client.close |= after != After::Open || client.reader.body_goes_on();
+            client.close |= after != After::Open || client.reader.is_body_open();
             if after != After::Open {
                 // A body that is cut must not look whole, so nothing more may follow it.
                 client.more = false;
--- a/crates/coordinator/src/node/clients/requests.rs
+++ b/crates/coordinator/src/node/clients/requests.rs
@@ -37,10 +37,10 @@
         client.continued = false;
         client.close = request.close;
         (client.used, client.begun, client.fresh) = (now, now, false);
-        let (kept, goes_on) = (std::mem::take(&mut client.kept), request.goes_on);
+        let (kept, has_more_body) = (std::mem::take(&mut client.kept), request.has_more_body);
         let intake = self.front.intake(request, now, kept);
         // Where it is not taken the rest of its body would be read as the next request.
-        client.close |= goes_on && !matches!(intake, Intake::Take(..));
+        client.close |= has_more_body && !matches!(intake, Intake::Take(..));
         match intake {
             Intake::Reply(bytes) => self.reply(now, id, &bytes),
             Intake::Bad(bytes) => {
@@ -70,7 +70,7 @@
                 };
                 if let Some(bytes) = twin {
                     if let Some(client) = self.clients.get_mut(&id) {
-                        client.close |= goes_on;
+                        client.close |= has_more_body;
                     }
                     self.reply(now, id, &bytes);
                     return true;
--- a/crates/coordinator/tests/golden_frontends.rs
+++ b/crates/coordinator/tests/golden_frontends.rs
@@ -23,7 +23,7 @@
             .map(|h| (h.0.to_string(), h.1.to_string()))
             .collect(),
         body: body.into(),
-        goes_on: false,
+        has_more_body: false,
         version_1_1: true,
         close: false,
     }
@@ -373,7 +373,7 @@
         );
     }
     let upload = Request {
-        goes_on: true,
+        has_more_body: true,
         ..request("POST", "/?query_id=q-7", &[], "INSERT INTO t FORMAT CSV\n")
     };
     record(&mut wire, "upload", &mut front, upload);
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -36,10 +36,10 @@
     pub target: String,
     /// All headers.
     pub headers: Vec<Header>,
-    /// The body, decoded; its beginning where `goes_on` says so.
+    /// The body, decoded; its beginning where `has_more_body` says so.
     pub body: Vec<u8>,
     /// More of the body follows, to be taken with [`RequestReader::more_body`].
-    pub goes_on: bool,
+    pub has_more_body: bool,
     /// HTTP/1.1, or an earlier one that knows no chunks.
     pub version_1_1: bool,
     /// The client wants the connection closed after the answer.
@@ -253,7 +253,7 @@
     /// Bytes of a body that are read before the request is handed out.
     pub max_body_bytes: usize,
     /// A longer body goes on behind that; else it is a fault.
-    pub goes_on: bool,
+    pub has_more_body: bool,
 }
 
 /// Reads requests off a client's connection.
@@ -271,7 +271,7 @@
         RequestReader::with_limits(RequestLimits {
             max_head_bytes: MAX_HEAD_BYTES,
             max_body_bytes,
-            goes_on: false,
+            has_more_body: false,
         })
     }
 
@@ -301,7 +301,7 @@
     }
 
     /// Whether the body of the request that was handed out goes on.
-    pub fn body_goes_on(&self) -> bool {
+    pub fn is_body_open(&self) -> bool {
         self.rest.is_some()
     }
 
@@ -378,7 +378,7 @@
             let headers = owned(request.headers);
             let framing = Framing::of(&headers, Framing::Over)?;
             if matches!(framing, Framing::Length(n) if n > self.takes.max_body_bytes as u64)
-                && !self.takes.goes_on
+                && !self.takes.has_more_body
             {
                 return Err(Fault::BodyTooLarge);
             }
@@ -389,7 +389,7 @@
                 version_1_1: request.version != Some(0),
                 headers,
                 body: Vec::new(),
-                goes_on: false,
+                has_more_body: false,
             };
             self.input.take(read);
             self.head = Some((request, framing));
@@ -399,11 +399,11 @@
         };
         let over = framing.decode(&mut self.input, &mut request.body)?;
         if request.body.len() > self.takes.max_body_bytes {
-            if !self.takes.goes_on {
+            if !self.takes.has_more_body {
                 return Err(Fault::BodyTooLarge);
             }
             if !over {
-                request.goes_on = true;
+                request.has_more_body = true;
                 let (request, framing) = self.head.take().expect("looked at just now");
                 self.rest = Some(framing);
                 return Ok(Some(request));
--- a/crates/http/tests/golden.rs
+++ b/crates/http/tests/golden.rs
@@ -45,7 +45,7 @@
     let mut reader = RequestReader::with_limits(RequestLimits {
         max_head_bytes: 16 * 1024,
         max_body_bytes: 16,
-        goes_on: true,
+        has_more_body: true,
     });
     reader.push(&bytes);
     let mut read = MessageTranscript::default();
@@ -55,13 +55,13 @@
             text += &format!("{name}: {value}\n");
         }
         let mut body = request.body.clone();
-        if request.goes_on {
+        if request.has_more_body {
             assert_eq!(reader.more_body(&mut body), Ok(true));
         }
         text += &format!(
             "begun with {} bytes, goes on {}, 1.1 {}, close {}\n{}",
             request.body.len(),
-            request.goes_on,
+            request.has_more_body,
             request.version_1_1,
             request.close,
             body.escape_ascii()
--- a/crates/mock-servers/src/engine/answer.rs
+++ b/crates/mock-servers/src/engine/answer.rs
@@ -92,7 +92,7 @@
         reader: RequestReader::with_limits(RequestLimits {
             max_head_bytes: 1024 * 1024,
             max_body_bytes: FIRST,
-            goes_on: true,
+            has_more_body: true,
         }),
     };
     while let Ok(Some(request)) = connection.next_request() {
@@ -231,7 +231,7 @@
                     status(failed.code)
                 };
                 // What of the body has not been read would be taken for the next request.
-                let rest = self.reader.body_goes_on();
+                let rest = self.reader.is_body_open();
                 let after = self.reply(&request, status, &headers, &text)?;
                 if rest {
                     // Unread bytes would reset the connection, and take the answer with them.
@@ -768,7 +768,7 @@
             if !query.in_body {
                 rows.push(inline.as_bytes());
                 rows.push(&query.request.body);
-            } else if query.request.goes_on || !inline.is_empty() {
+            } else if query.request.has_more_body || !inline.is_empty() {
                 rows.push(behind_statement(&query.request.body));
             }
             let mut body = Vec::new();
@@ -821,7 +821,7 @@
             words: words.into(),
             unseen: false,
         };
-        if !self.reader.body_goes_on() {
+        if !self.reader.is_body_open() {
             return Ok(false);
         }
         if !self.read().map_err(|e| broken(&e.to_string()))? {
