--- a/crates/clickhouse/src/params.rs
+++ b/crates/clickhouse/src/params.rs
@@ -31,7 +31,7 @@
     }
 
     /// The last value under a name that is not empty.
-    pub fn told(&self, name: &str) -> Option<&str> {
+    pub fn non_empty(&self, name: &str) -> Option<&str> {
         self.get(name).filter(|v| !v.is_empty())
     }
 
@@ -115,7 +115,7 @@
     fn the_last_of_a_repeated_name_counts_and_a_flood_is_no_list() {
         let params = Params::parse("a=1&a=2&b&&wait=TRUE").expect("few");
         assert_eq!(
-            (params.get("a"), params.get("b"), params.told("b")),
+            (params.get("a"), params.get("b"), params.non_empty("b")),
             (Some("2"), Some(""), None)
         );
         assert!(params.is_on("wait") && !params.is_on("a"));
--- a/crates/clickhouse/src/request.rs
+++ b/crates/clickhouse/src/request.rs
@@ -190,14 +190,14 @@
     }
     let told = |name: &str, in_header: &str| {
         let found = params
-            .told(name)
+            .non_empty(name)
             .or_else(|| header(&request.headers, in_header));
         found.filter(|v| !v.is_empty())
     };
     let id = told("query_id", "X-ClickHouse-Query-Id")
         .map(|id| named("query_id", id))
         .transpose()?;
-    let session = match params.told("session_id") {
+    let session = match params.non_empty("session_id") {
         Some(id) => Some(read_session(id, &params)?),
         None => None,
     };
@@ -221,14 +221,16 @@
         progress: params.is_on("send_progress_in_http_headers"),
         head_only: request.method == "HEAD",
         chunks: request.version_1_1,
-        token: params.told("insert_deduplication_token").map(String::from),
+        token: params
+            .non_empty("insert_deduplication_token")
+            .map(String::from),
         shape,
     };
     Ok(query)
 }
 
 fn read_session(id: &str, params: &Params) -> Result<Told, Exception> {
-    let timeout = match params.told("session_timeout") {
+    let timeout = match params.non_empty("session_timeout") {
         None => None,
         Some(text) => {
             let seconds: u64 = text
@@ -261,7 +263,7 @@
         .ok_or_else(|| bad("multipart/form-data without a boundary that can be used"))?;
     if request.has_more_body {
         // Only its beginning is here: what it asks has to stand in the URL.
-        if params.told("query").is_none() {
+        if params.non_empty("query").is_none() {
             return Err(bad("A form this large needs its query in the URL"));
         }
         return Ok(String::new());
@@ -283,7 +285,7 @@
 /// The beginning of a body as text, unpacked where it is packed.
 fn readable(request: &Request, params: &Params) -> Result<String, Exception> {
     // With the statement in the URL the body holds rows alone.
-    if params.told("query").is_some() || request.body.is_empty() {
+    if params.non_empty("query").is_some() || request.body.is_empty() {
         return Ok(String::new());
     }
     let mut first: Vec<u8> = match header(&request.headers, "content-encoding") {
--- a/crates/coordinator/src/frontends/clickhouse.rs
+++ b/crates/coordinator/src/frontends/clickhouse.rs
@@ -1,6 +1,6 @@
 //! ClickHouse's HTTP interface towards clients, on the language in `driftfront_clickhouse`.
 
-use super::{After, AnswerWriter, Classes, Front, Intake, KillRequest};
+use super::{AnswerWriter, Classes, ConnectionAction, Front, Intake, KillRequest};
 use crate::backends::clickhouse::{FRAMES, HEADERS, TARGET};
 use crate::net::hash;
 use driftfront_clickhouse::exception::{marker, Exception, NETWORK_ERROR, TOO_MANY_QUERIES};
@@ -9,7 +9,7 @@
 use driftfront_clickhouse::session::{self, keyed, Book, Name};
 use driftfront_core::{EngineId, Micros, ParsedRequest, RequestFate, ResponseChunk, StickySession};
 use driftfront_http::{
-    chunk, response, response_head, Ends, Fault, Request, RequestLimits, LAST_CHUNK,
+    chunk, response, response_head, BodyFraming, Fault, Request, RequestLimits, LAST_CHUNK,
 };
 use std::collections::HashMap;
 use std::fmt::Write as _;
@@ -273,7 +273,7 @@
 
 /// A whole response, or its head alone.
 fn whole(status: u16, headers: &[(&str, &str)], body: &str, head_only: bool) -> Vec<u8> {
-    let mut bytes = response_head(status, headers, Ends::After(body.len()), false);
+    let mut bytes = response_head(status, headers, BodyFraming::Length(body.len()), false);
     if !head_only {
         bytes.extend(body.bytes());
     }
@@ -281,7 +281,7 @@
 }
 
 impl Front for ClickHouse {
-    fn takes(&self) -> RequestLimits {
+    fn request_limits(&self) -> RequestLimits {
         RequestLimits {
             max_head_bytes: MAX_HEAD_BYTES,
             max_body_bytes: SMALL,
@@ -289,15 +289,15 @@
         }
     }
 
-    fn grow(&mut self, kept: usize, size: usize) -> Option<(usize, usize)> {
+    fn reserve_body(&mut self, kept: usize, size: usize) -> Option<(usize, usize)> {
         Some(self.keep.grow(kept, size))
     }
 
-    fn release(&mut self, kept: usize) {
+    fn release_body(&mut self, kept: usize) {
         self.keep.release(kept);
     }
 
-    fn intake(&mut self, request: Request, now: Micros, kept: usize) -> Intake {
+    fn parse_request(&mut self, request: Request, now: Micros, kept: usize) -> Intake {
         let head_only = request.method == "HEAD";
         let asked = match request::read(&request) {
             Ok(Asked::Query(query)) => {
@@ -346,7 +346,7 @@
         }
     }
 
-    fn over(&mut self, now: Micros, ticket: u64, fate: RequestFate) {
+    fn settle_request(&mut self, now: Micros, ticket: u64, fate: RequestFate) {
         let Some(open) = self.open.remove(&ticket) else {
             return;
         };
@@ -365,8 +365,8 @@
         self.sessions.engine_left(engine);
     }
 
-    fn twin(&mut self, now: Micros, ask: &ParsedRequest) -> Option<Vec<u8>> {
-        self.over(now, ask.ticket, RequestFate::NeverRan);
+    fn duplicate_id_response(&mut self, now: Micros, ask: &ParsedRequest) -> Option<Vec<u8>> {
+        self.settle_request(now, ask.ticket, RequestFate::NeverRan);
         let e = Exception::new(
             SAME_ID,
             &format!("Query with id = {} is already running", ask.call),
@@ -374,15 +374,15 @@
         Some(reply(e.status(), &e, &[], false))
     }
 
-    fn frees_reads(&self) -> bool {
+    fn cancels_reads_of_gone_clients(&self) -> bool {
         true
     }
 
-    fn after_body(&self, ask: &ParsedRequest) -> Option<Micros> {
+    fn timeout_after_body(&self, ask: &ParsedRequest) -> Option<Micros> {
         Some(self.patience(ask.class))
     }
 
-    fn fault(&self, fault: Fault) -> Vec<u8> {
+    fn error_response(&self, fault: Fault) -> Vec<u8> {
         let words = match fault {
             Fault::Malformed => "The request can't be read as HTTP",
             Fault::BodyTooLarge => "The body is too large",
@@ -423,12 +423,12 @@
         text
     }
 
-    fn sessions(&self) -> Vec<u64> {
+    fn session_counts(&self) -> Vec<u64> {
         let (held, tied) = self.sessions.held();
         vec![held as u64, tied as u64]
     }
 
-    fn tend(&mut self, now: Micros) {
+    fn expire_sessions(&mut self, now: Micros) {
         self.sessions.expire(now);
     }
 }
@@ -468,17 +468,17 @@
         reply(status, e, &headers, self.head_only)
     }
 
-    fn end(&self) -> After {
+    fn end(&self) -> ConnectionAction {
         if self.chunks || self.counted || self.head_only {
-            After::Open
+            ConnectionAction::KeepOpen
         } else {
-            After::Close
+            ConnectionAction::Close
         }
     }
 }
 
 impl AnswerWriter for Stream {
-    fn piece(&mut self, piece: &ResponseChunk, out: &mut Vec<u8>) {
+    fn write_chunk(&mut self, piece: &ResponseChunk, out: &mut Vec<u8>) {
         if !std::mem::replace(&mut self.begun, true) {
             let about = piece.about.iter().filter(|(name, _)| {
                 // Engines are asked for progress for our own sake; only who asked for it is told.
@@ -495,9 +495,9 @@
             self.packed |= told("Content-Encoding").is_some();
             self.counted = piece.whole;
             let ends = match () {
-                () if piece.whole => Ends::After(piece.rows.len()),
-                () if self.chunks => Ends::InChunks,
-                () => Ends::WithConnection,
+                () if piece.whole => BodyFraming::Length(piece.rows.len()),
+                () if self.chunks => BodyFraming::Chunked,
+                () => BodyFraming::UntilClose,
             };
             out.extend(response_head(200, &about, ends, false));
         }
@@ -508,13 +508,13 @@
             out.extend_from_slice(&piece.rows);
         }
     }
-    fn finish(&mut self, out: &mut Vec<u8>) -> After {
+    fn finish(&mut self, out: &mut Vec<u8>) -> ConnectionAction {
         if self.chunks && !self.counted && !self.head_only {
             out.extend_from_slice(LAST_CHUNK);
         }
         self.end()
     }
-    fn refuse(&mut self, after: Micros, words: Option<&str>, out: &mut Vec<u8>) {
+    fn reject(&mut self, after: Micros, words: Option<&str>, out: &mut Vec<u8>) {
         let (ms, s) = (
             after.div_ceil(1000).to_string(),
             after.div_ceil(1_000_000).max(1).to_string(),
@@ -537,7 +537,7 @@
         });
         out.extend(self.reply(e.status(), &e, &[]));
     }
-    fn cut(&mut self, words: Option<&str>, out: &mut Vec<u8>) -> After {
+    fn abort(&mut self, words: Option<&str>, out: &mut Vec<u8>) -> ConnectionAction {
         if self.chunks && !self.head_only {
             // Who was told a tag looks for the reason behind it. No last chunk follows: no client takes that for a
             // whole result.
@@ -548,9 +548,9 @@
                 );
                 out.extend(chunk(marker(tag, words.unwrap_or(&broken.text)).as_bytes()));
             }
-            return After::Close;
+            return ConnectionAction::Close;
         }
         // Without chunks a close is how a whole result ends.
-        After::Reset
+        ConnectionAction::Reset
     }
 }
--- a/crates/coordinator/src/frontends/mod.rs
+++ b/crates/coordinator/src/frontends/mod.rs
@@ -46,9 +46,9 @@
 
 /// What becomes of a client's connection behind an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum After {
+pub enum ConnectionAction {
     /// It may carry the next request.
-    Open,
+    KeepOpen,
     /// It closes in order.
     Close,
     /// It is reset: an orderly close would make what was cut look whole.
@@ -58,52 +58,52 @@
 /// Writes one request's answer in the client's form.
 pub trait AnswerWriter {
     /// A piece of the result.
-    fn piece(&mut self, piece: &ResponseChunk, out: &mut Vec<u8>);
+    fn write_chunk(&mut self, piece: &ResponseChunk, out: &mut Vec<u8>);
     /// The result is whole.
-    fn finish(&mut self, out: &mut Vec<u8>) -> After;
+    fn finish(&mut self, out: &mut Vec<u8>) -> ConnectionAction;
     /// Refused: harmless to try again after this time. The last engine's words, if it erred.
-    fn refuse(&mut self, after: Micros, words: Option<&str>, out: &mut Vec<u8>);
+    fn reject(&mut self, after: Micros, words: Option<&str>, out: &mut Vec<u8>);
     /// Failed before any piece.
     fn fail(&mut self, words: Option<&str>, out: &mut Vec<u8>);
     /// Failed after a piece: the client must see it.
-    fn cut(&mut self, words: Option<&str>, out: &mut Vec<u8>) -> After;
+    fn abort(&mut self, words: Option<&str>, out: &mut Vec<u8>) -> ConnectionAction;
 }
 
 /// Reads clients' requests.
 pub trait Front {
     /// What to do with one. `kept`: what its body holds of the budget for bodies.
-    fn intake(&mut self, request: Request, now: Micros, kept: usize) -> Intake;
+    fn parse_request(&mut self, request: Request, now: Micros, kept: usize) -> Intake;
     /// What a reader of requests takes.
-    fn takes(&self) -> RequestLimits;
+    fn request_limits(&self) -> RequestLimits;
     /// A request that holds `kept` of the budget has grown to `size`: what it holds then, and how long its body may
     /// become before it is passed on as it comes.
-    fn grow(&mut self, _kept: usize, _size: usize) -> Option<(usize, usize)> {
+    fn reserve_body(&mut self, _kept: usize, _size: usize) -> Option<(usize, usize)> {
         None
     }
     /// What a request held of the budget is let go.
-    fn release(&mut self, _kept: usize) {}
+    fn release_body(&mut self, _kept: usize) {}
     /// Nothing of the request under this ticket is out any more.
-    fn over(&mut self, _now: Micros, _ticket: u64, _fate: RequestFate) {}
+    fn settle_request(&mut self, _now: Micros, _ticket: u64, _fate: RequestFate) {}
     /// An engine takes nothing new, or has been replaced.
     fn engine_left(&mut self, _engine: EngineId) {}
     /// The answer to a request whose name an open one has; `None` lets it in, to fail.
-    fn twin(&mut self, _now: Micros, _ask: &ParsedRequest) -> Option<Vec<u8>> {
+    fn duplicate_id_response(&mut self, _now: Micros, _ask: &ParsedRequest) -> Option<Vec<u8>> {
         None
     }
     /// Whether a client makes one call at a time on a connection: what it sends far ahead is no use of its own then.
-    fn asks_in_turn(&self) -> bool {
+    fn is_sequential(&self) -> bool {
         false
     }
     /// Whether a read is ended on its engine when its client leaves.
-    fn frees_reads(&self) -> bool {
+    fn cancels_reads_of_gone_clients(&self) -> bool {
         false
     }
     /// How long an engine may take once the whole body of a request is there that was passed on as it came.
-    fn after_body(&self, _ask: &ParsedRequest) -> Option<Micros> {
+    fn timeout_after_body(&self, _ask: &ParsedRequest) -> Option<Micros> {
         None
     }
     /// Why a request can't be read; the connection closes behind it.
-    fn fault(&self, fault: Fault) -> Vec<u8> {
+    fn error_response(&self, fault: Fault) -> Vec<u8> {
         response(fault.status(), &[], b"", true)
     }
     /// Counts of its own, a line each.
@@ -111,11 +111,11 @@
         String::new()
     }
     /// Sessions held and, of these, tied; empty where there are none.
-    fn sessions(&self) -> Vec<u64> {
+    fn session_counts(&self) -> Vec<u64> {
         Vec::new()
     }
     /// Time has passed.
-    fn tend(&mut self, _now: Micros) {}
+    fn expire_sessions(&mut self, _now: Micros) {}
 }
 
 /// The classes as clients name them.
--- a/crates/coordinator/src/frontends/platform.rs
+++ b/crates/coordinator/src/frontends/platform.rs
@@ -1,6 +1,6 @@
 //! The platform's front: a thin one. Statements come as POSTs, results go as JSON.
 
-use super::{After, AnswerWriter, Classes, Front, Intake};
+use super::{AnswerWriter, Classes, ConnectionAction, Front, Intake};
 use driftfront_clickhouse::sql::table_group;
 use driftfront_core::{Micros, ParsedRequest, ResponseChunk};
 use driftfront_http::{header, response, Request, RequestLimits, MAX_HEAD_BYTES};
@@ -39,7 +39,7 @@
 }
 
 impl Front for Platform {
-    fn takes(&self) -> RequestLimits {
+    fn request_limits(&self) -> RequestLimits {
         RequestLimits {
             max_head_bytes: MAX_HEAD_BYTES,
             max_body_bytes: BODY_MOST,
@@ -47,11 +47,11 @@
         }
     }
 
-    fn asks_in_turn(&self) -> bool {
+    fn is_sequential(&self) -> bool {
         true
     }
 
-    fn intake(&mut self, request: Request, _now: Micros, _kept: usize) -> Intake {
+    fn parse_request(&mut self, request: Request, _now: Micros, _kept: usize) -> Intake {
         let path = request.target.split('?').next().unwrap_or_default();
         let Some(class) = path.strip_prefix("/ops/") else {
             return match (request.method.as_str(), path) {
@@ -192,7 +192,7 @@
 }
 
 impl AnswerWriter for Rows {
-    fn piece(&mut self, piece: &ResponseChunk, _out: &mut Vec<u8>) {
+    fn write_chunk(&mut self, piece: &ResponseChunk, _out: &mut Vec<u8>) {
         let Ok(text) = std::str::from_utf8(&piece.rows) else {
             return;
         };
@@ -211,7 +211,7 @@
             self.body.push(b']');
         }
     }
-    fn finish(&mut self, out: &mut Vec<u8>) -> After {
+    fn finish(&mut self, out: &mut Vec<u8>) -> ConnectionAction {
         let rows: &[u8] = if self.body.is_empty() {
             b"["
         } else {
@@ -224,9 +224,9 @@
             &body,
             false,
         ));
-        After::Open
+        ConnectionAction::KeepOpen
     }
-    fn refuse(&mut self, after: Micros, _words: Option<&str>, out: &mut Vec<u8>) {
+    fn reject(&mut self, after: Micros, _words: Option<&str>, out: &mut Vec<u8>) {
         let ms = after.div_ceil(1000).to_string();
         let advice = [("X-Come-Back-Ms", ms.as_str())];
         let advice = &advice[..usize::from(after > 0)];
@@ -235,10 +235,10 @@
     fn fail(&mut self, _words: Option<&str>, out: &mut Vec<u8>) {
         out.extend(response(500, &[], br#"{"error":"Internal"}"#, false));
     }
-    fn cut(&mut self, words: Option<&str>, out: &mut Vec<u8>) -> After {
+    fn abort(&mut self, words: Option<&str>, out: &mut Vec<u8>) -> ConnectionAction {
         // Nothing has been written yet: rows go out only with the whole answer.
         self.fail(words, out);
-        After::Open
+        ConnectionAction::KeepOpen
     }
 }
 
@@ -267,7 +267,7 @@
             },
             tenants: Rc::from(["east".to_string(), "west".to_string(), "east".to_string()]),
         };
-        front.intake(
+        front.parse_request(
             Request {
                 method,
                 target,
@@ -372,8 +372,8 @@
             rows: rows.into(),
             whole: false,
         };
-        writer.piece(&piece("a\t1\t\"q\"\nb\t\t\u{e9}\n"), &mut out);
-        writer.piece(&piece("c\t2\ty\n"), &mut out);
+        writer.write_chunk(&piece("a\t1\t\"q\"\nb\t\t\u{e9}\n"), &mut out);
+        writer.write_chunk(&piece("c\t2\ty\n"), &mut out);
         assert!(out.is_empty());
         writer.finish(&mut out);
         let text = String::from_utf8(out).unwrap();
--- a/crates/coordinator/src/node/clients/closing.rs
+++ b/crates/coordinator/src/node/clients/closing.rs
@@ -139,7 +139,7 @@
             return;
         };
         self.unregister(client.token.take());
-        self.front.release(client.kept);
+        self.front.release_body(client.kept);
         if let Some((request, _)) = client.current.take() {
             self.left(now, id, request);
         }
@@ -163,7 +163,10 @@
         let fed = self.feeds.contains_key(&request);
         self.core.client_left(now, request);
         // A read is let go on its engine, and so is what waits there for a body that never comes.
-        if self.front.frees_reads() && idempotency == Some(Idempotency::Idempotent) || fed {
+        if self.front.cancels_reads_of_gone_clients()
+            && idempotency == Some(Idempotency::Idempotent)
+            || fed
+        {
             self.core.release_attempt(now, request);
         }
     }
--- a/crates/coordinator/src/node/clients/mod.rs
+++ b/crates/coordinator/src/node/clients/mod.rs
@@ -5,7 +5,7 @@
 mod requests;
 
 use super::{ConnectionId, EventSource, Node};
-use crate::frontends::{After, AnswerWriter};
+use crate::frontends::{AnswerWriter, ConnectionAction};
 use crate::net::{out_of_descriptors, Link, ReadEnd};
 use calloop::RegistrationToken;
 use driftfront_core::{Micros, RequestId};
@@ -97,7 +97,7 @@
 
 impl Node {
     /// Takes connections in while there is room; what has to wait is looked at again with each sweep.
-    pub(super) fn accept(&mut self, now: Micros) {
+    pub(super) fn accept_clients(&mut self, now: Micros) {
         let most = self.most_clients();
         while self.lifecycle.accepts() {
             if self.clients.len() >= most && !self.evict(now) {
@@ -151,7 +151,7 @@
                     let client = Client {
                         link: Link::new(stream),
                         token: Some(token),
-                        reader: RequestReader::with_limits(self.front.takes()),
+                        reader: RequestReader::with_limits(self.front.request_limits()),
                         current: None,
                         kept: 0,
                         close: false,
@@ -312,7 +312,7 @@
                 && !client.shut
                 && full
                 && client.current.is_some()
-                && self.front.asks_in_turn()
+                && self.front.is_sequential()
             {
                 return self.discard_pipelined(now, id);
             }
@@ -357,7 +357,7 @@
             return false;
         }
         let size = client.reader.growing();
-        let Some((kept, most)) = self.front.grow(client.kept, size) else {
+        let Some((kept, most)) = self.front.reserve_body(client.kept, size) else {
             return false;
         };
         client.kept = kept;
@@ -390,18 +390,18 @@
         if let Some(client) = self.clients.get_mut(&id) {
             client.close = true;
             client.used = now;
-            client.link.push(&self.front.fault(fault));
+            client.link.push(&self.front.error_response(fault));
         }
     }
 
     /// Writes part of a request's answer; with `last` the request is over. The closure says whether the
     /// connection may stay open.
-    pub(super) fn answer(
+    pub(super) fn write_response(
         &mut self,
         now: Micros,
         request: RequestId,
         last: bool,
-        write: impl FnOnce(&mut dyn AnswerWriter, &mut Vec<u8>) -> After,
+        write: impl FnOnce(&mut dyn AnswerWriter, &mut Vec<u8>) -> ConnectionAction,
     ) {
         let Some(&(id, ..)) = self.asking.get(&request) else {
             return;
@@ -433,12 +433,12 @@
             client.close |= away;
             self.asking.remove(&request);
             // What of a body still comes could not be told from the next request.
-            client.close |= after != After::Open || client.reader.is_body_open();
-            if after != After::Open {
+            client.close |= after != ConnectionAction::KeepOpen || client.reader.is_body_open();
+            if after != ConnectionAction::KeepOpen {
                 // A body that is cut must not look whole, so nothing more may follow it.
                 client.more = false;
             }
-            if after == After::Reset {
+            if after == ConnectionAction::Reset {
                 let _ = client.link.flush();
                 let _ =
                     socket2::SockRef::from(&*client.link.socket()).set_linger(Some(Duration::ZERO));
--- a/crates/coordinator/src/node/clients/requests.rs
+++ b/crates/coordinator/src/node/clients/requests.rs
@@ -38,7 +38,7 @@
         client.close = request.close;
         (client.used, client.begun, client.fresh) = (now, now, false);
         let (kept, has_more_body) = (std::mem::take(&mut client.kept), request.has_more_body);
-        let intake = self.front.intake(request, now, kept);
+        let intake = self.front.parse_request(request, now, kept);
         // Where it is not taken the rest of its body would be read as the next request.
         client.close |= has_more_body && !matches!(intake, Intake::Take(..));
         match intake {
@@ -64,7 +64,7 @@
             }
             Intake::Take(ask, writer) => {
                 let twin = if self.core.is_open(&ask.call) {
-                    self.front.twin(now, &ask)
+                    self.front.duplicate_id_response(now, &ask)
                 } else {
                     None
                 };
--- a/crates/coordinator/src/node/control/views.rs
+++ b/crates/coordinator/src/node/control/views.rs
@@ -284,7 +284,7 @@
             engines,
             classes,
             queries,
-            sessions: self.front.sessions(),
+            sessions: self.front.session_counts(),
             roll,
             members: self.fleet_members(),
             agreed: self.fleet_agreed(),
--- a/crates/coordinator/src/node/engines/closing.rs
+++ b/crates/coordinator/src/node/engines/closing.rs
@@ -43,7 +43,7 @@
         for work in conn.waiting {
             match work {
                 Work::Attempt(key, moves) if moves_on(moves) => {
-                    self.send(now, key, conn.engine, moves + 1)
+                    self.queue_attempt(now, key, conn.engine, moves + 1)
                 }
                 Work::Attempt(key, _) => self.attempt_failed(now, key, cause.clone()),
                 Work::Probe(CHECK_TAG) => {}
@@ -82,7 +82,7 @@
     }
 
     /// The engine is gone from the list: what is out on it may still end.
-    pub(in crate::node) fn forget(&mut self, now: Micros, engine: EngineId) {
+    pub(in crate::node) fn forget_engine(&mut self, now: Micros, engine: EngineId) {
         self.retire(engine);
         self.roster.forget(engine);
         self.forget_engine_window(engine);
--- a/crates/coordinator/src/node/engines/mod.rs
+++ b/crates/coordinator/src/node/engines/mod.rs
@@ -230,7 +230,13 @@
         ))
     }
 
-    pub(super) fn send(&mut self, now: Micros, key: AttemptKey, engine: EngineId, moves: u8) {
+    pub(super) fn queue_attempt(
+        &mut self,
+        now: Micros,
+        key: AttemptKey,
+        engine: EngineId,
+        moves: u8,
+    ) {
         let Some(ask) = self.core.accepted(key.request).map(|t| t.ask) else {
             return;
         };
@@ -245,7 +251,7 @@
         }
     }
 
-    pub(super) fn probe(&mut self, now: Micros, engine: EngineId, tag: u64) {
+    pub(super) fn queue_probe(&mut self, now: Micros, engine: EngineId, tag: u64) {
         match self.engine_conn(now, engine, None, false) {
             Ok(id) => self.queue_work(now, id, Work::Probe(tag)),
             Err(Cause::Rejected) => self.core.record_probe(now, tag, Outcome::Superseded, &[]),
--- a/crates/coordinator/src/node/engines/traffic.rs
+++ b/crates/coordinator/src/node/engines/traffic.rs
@@ -173,7 +173,7 @@
         let within = self
             .core
             .accepted(key.request)
-            .and_then(|t| self.front.after_body(t.ask));
+            .and_then(|t| self.front.timeout_after_body(t.ask));
         let Some(conn) = self.engines.get_mut(&id) else {
             return false;
         };
--- a/crates/coordinator/src/node/mod.rs
+++ b/crates/coordinator/src/node/mod.rs
@@ -16,7 +16,7 @@
 use crate::discovery::backoff::{Backoff, Broken};
 use crate::discovery::read;
 use crate::frontends::clickhouse::ClickHouse;
-use crate::frontends::{platform::Platform, After, Front};
+use crate::frontends::{platform::Platform, ConnectionAction, Front};
 use crate::handover::HandoverMailbox;
 use crate::service::RequestOutcome;
 
@@ -287,7 +287,7 @@
         let now = self.clock();
         self.look_at_management(now);
         match source {
-            EventSource::Listener => self.accept(now),
+            EventSource::Listener => self.accept_clients(now),
             EventSource::Client(id) => self.client_ready(now, id),
             EventSource::Engine(id) => self.engine_ready(now, id),
             EventSource::Feed(id) => self.feed_ready(now, id),
@@ -333,12 +333,12 @@
         if now >= self.next_sweep {
             self.next_sweep = now + SWEEP;
             self.watch_wall_clock();
-            self.accept(now);
+            self.accept_clients(now);
             self.sweep_clients(now);
             self.sweep_engines(now);
             self.sweep_feed(now);
             self.tend_fleet();
-            self.front.tend(now);
+            self.front.expire_sessions(now);
             self.tend_control(now);
             self.sweep_callers(now);
             self.poll_handover(now);
@@ -438,38 +438,40 @@
             match command {
                 Command::StartAttempt(key, engine) => {
                     self.log_retry(now, key, engine);
-                    self.send(now, key, engine, 0);
+                    self.queue_attempt(now, key, engine, 0);
                 }
                 Command::AbandonAttempt(key, engine) => self.abandon(now, key, engine),
-                Command::Probe(engine, tag) => self.probe(now, engine, tag),
-                Command::ForgetEngine(engine) => self.forget(now, engine),
+                Command::Probe(engine, tag) => self.queue_probe(now, engine, tag),
+                Command::ForgetEngine(engine) => self.forget_engine(now, engine),
                 Command::Log(line) => tracing::info!("{line}"),
-                Command::Settled(ticket, fate) => self.front.over(now, ticket, fate),
-                Command::ForwardChunk(id, piece) => self.answer(now, id, false, |w, out| {
-                    w.piece(&piece, out);
-                    After::Open
-                }),
+                Command::Settled(ticket, fate) => self.front.settle_request(now, ticket, fate),
+                Command::ForwardChunk(id, piece) => {
+                    self.write_response(now, id, false, |w, out| {
+                        w.write_chunk(&piece, out);
+                        ConnectionAction::KeepOpen
+                    })
+                }
                 Command::Finish(id) => {
                     self.record_outcome(now, id, RequestOutcome::Served);
-                    self.answer(now, id, true, |w, out| w.finish(out));
+                    self.write_response(now, id, true, |w, out| w.finish(out));
                 }
                 Command::Reject(id, after, words) => {
                     self.record_outcome(now, id, RequestOutcome::Refused);
-                    self.answer(now, id, true, |w, out| {
-                        w.refuse(after, words.as_deref(), out);
-                        After::Open
+                    self.write_response(now, id, true, |w, out| {
+                        w.reject(after, words.as_deref(), out);
+                        ConnectionAction::KeepOpen
                     });
                 }
                 Command::Fail(id, words) => {
                     self.record_outcome(now, id, RequestOutcome::Failed);
-                    self.answer(now, id, true, |w, out| {
+                    self.write_response(now, id, true, |w, out| {
                         w.fail(words.as_deref(), out);
-                        After::Open
+                        ConnectionAction::KeepOpen
                     });
                 }
                 Command::Abort(id, words) => {
                     self.record_outcome(now, id, RequestOutcome::Failed);
-                    self.answer(now, id, true, |w, out| w.cut(words.as_deref(), out));
+                    self.write_response(now, id, true, |w, out| w.abort(words.as_deref(), out));
                 }
             }
         }
@@ -592,7 +594,7 @@
 
     /// Closes the listening socket. What the system has accepted already is taken first: each gets an answer, or its close.
     fn stop_listening(&mut self, now: Micros) {
-        self.accept(now);
+        self.accept_clients(now);
         self.execute_commands();
         let token = self.listening.take();
         self.unregister(token);
--- a/crates/coordinator/tests/golden_frontends.rs
+++ b/crates/coordinator/tests/golden_frontends.rs
@@ -5,7 +5,7 @@
 use common::lines::Site;
 use driftfront::frontends::clickhouse::{ClickHouse, Rules};
 use driftfront::frontends::platform::Platform;
-use driftfront::frontends::{After, AnswerWriter, Classes, Front, Intake};
+use driftfront::frontends::{AnswerWriter, Classes, ConnectionAction, Front, Intake};
 use driftfront_core::{EngineId, Fate, ParsedRequest, ResponseChunk};
 use driftfront_http::{Fault, Request};
 use driftfront_test_support::assert_golden;
@@ -66,7 +66,7 @@
     front: &mut dyn Front,
     request: Request,
 ) -> Option<Box<dyn AnswerWriter>> {
-    match front.intake(request, 1_000_000, 0) {
+    match front.parse_request(request, 1_000_000, 0) {
         Intake::Reply(bytes) => wire.record(&format!("{name}: reply"), bytes),
         Intake::Bad(bytes) => wire.record(&format!("{name}: bad"), bytes),
         Intake::Ready(yes, no) => {
@@ -104,16 +104,16 @@
     }
 }
 
-fn shown_after(after: After) -> &'static str {
+fn shown_after(after: ConnectionAction) -> &'static str {
     match after {
-        After::Open => "stays open",
-        After::Close => "closes",
-        After::Reset => "is reset",
+        ConnectionAction::KeepOpen => "stays open",
+        ConnectionAction::Close => "closes",
+        ConnectionAction::Reset => "is reset",
     }
 }
 
 /// Writes one answer; what becomes of the connection where the writer says so.
-type Write<'a> = dyn Fn(&mut dyn AnswerWriter, &mut Vec<u8>) -> Option<After> + 'a;
+type Write<'a> = dyn Fn(&mut dyn AnswerWriter, &mut Vec<u8>) -> Option<ConnectionAction> + 'a;
 
 /// Every kind of answer that a writer may have to write.
 fn record_answers(
@@ -135,28 +135,28 @@
         wire.record(&format!("{name}: {label} {after}"), out);
     };
     whole("one piece", &|w, out| {
-        w.piece(&piece(&about, "1\ta\t\"q\"\n2\t\u{e9}\tc\n", true), out);
+        w.write_chunk(&piece(&about, "1\ta\t\"q\"\n2\t\u{e9}\tc\n", true), out);
         Some(w.finish(out))
     });
     whole("two pieces", &|w, out| {
-        w.piece(&piece(&about, "1\ta\tb\n", false), out);
-        w.piece(&piece(&[], "2\ta\tb\n", false), out);
+        w.write_chunk(&piece(&about, "1\ta\tb\n", false), out);
+        w.write_chunk(&piece(&[], "2\ta\tb\n", false), out);
         Some(w.finish(out))
     });
     whole("no rows", &|w, out| {
-        w.piece(&piece(&[], "", true), out);
+        w.write_chunk(&piece(&[], "", true), out);
         Some(w.finish(out))
     });
     whole("refused", &|w, out| {
-        w.refuse(0, None, out);
+        w.reject(0, None, out);
         None
     });
     whole("refused, come back", &|w, out| {
-        w.refuse(1_234_567, None, out);
+        w.reject(1_234_567, None, out);
         None
     });
     whole("refused, an engine's words", &|w, out| {
-        w.refuse(1_000, Some(words), out);
+        w.reject(1_000, Some(words), out);
         None
     });
     whole("failed", &|w, out| {
@@ -172,17 +172,17 @@
         None
     });
     whole("cut", &|w, out| {
-        w.piece(&piece(&about, "1\ta\tb\n", false), out);
-        Some(w.cut(None, out))
+        w.write_chunk(&piece(&about, "1\ta\tb\n", false), out);
+        Some(w.abort(None, out))
     });
     whole("cut, an engine's words", &|w, out| {
-        w.piece(&piece(&about, "1\ta\tb\n", false), out);
-        Some(w.cut(Some(words), out))
+        w.write_chunk(&piece(&about, "1\ta\tb\n", false), out);
+        Some(w.abort(Some(words), out))
     });
     whole("cut, packed", &|w, out| {
         let packed = [("Content-Encoding", "gzip"), about[2]];
-        w.piece(&piece(&packed, "1\ta\tb\n", false), out);
-        Some(w.cut(None, out))
+        w.write_chunk(&piece(&packed, "1\ta\tb\n", false), out);
+        Some(w.abort(None, out))
     });
 }
 
@@ -252,7 +252,7 @@
         );
     }
     for fault in [Fault::Malformed, Fault::BodyTooLarge, Fault::HeadTooLarge] {
-        wire.record("fault", front.fault(fault));
+        wire.record("fault", front.error_response(fault));
     }
     record_answers(&mut wire, "answer", || {
         let post = request("POST", "/ops/lookup", &[call, patience], "x");
@@ -382,8 +382,11 @@
         ticket: 1,
         ..ParsedRequest::default()
     };
-    wire.record("twin", front.twin(0, &twin).expect("it is told"));
-    front.over(0, 5, Fate::Ran(EngineId(4), true));
+    wire.record(
+        "twin",
+        front.duplicate_id_response(0, &twin).expect("it is told"),
+    );
+    front.settle_request(0, 5, Fate::Ran(EngineId(4), true));
     let bound = request("POST", "/?query_id=q-8&session_id=s", &[], "SELECT 1");
     record(
         &mut wire,
@@ -392,7 +395,7 @@
         bound,
     );
     for fault in [Fault::Malformed, Fault::BodyTooLarge, Fault::HeadTooLarge] {
-        wire.record("fault", front.fault(fault));
+        wire.record("fault", front.error_response(fault));
     }
     wire.record("counters", front.counters());
     for (name, method, target, version_1_1) in [
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -547,13 +547,13 @@
 
 /// How the end of a body is told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ends {
+pub enum BodyFraming {
     /// It has so many bytes.
-    After(usize),
+    Length(usize),
     /// Its last chunk.
-    InChunks,
+    Chunked,
     /// The connection's close: for clients that know no chunks.
-    WithConnection,
+    UntilClose,
 }
 
 fn reason(status: u16) -> &'static str {
@@ -579,7 +579,12 @@
 }
 
 /// Writes a response's head.
-pub fn response_head(status: u16, headers: &[(&str, &str)], ends: Ends, close: bool) -> Vec<u8> {
+pub fn response_head(
+    status: u16,
+    headers: &[(&str, &str)],
+    ends: BodyFraming,
+    close: bool,
+) -> Vec<u8> {
     let mut head = String::with_capacity(256);
     let _ = write!(head, "HTTP/1.1 {status} {}\r\n", reason(status));
     for (name, value) in headers {
@@ -592,12 +597,12 @@
         }
     }
     let _ = match ends {
-        Ends::After(_) if status == 204 => Ok(()),
-        Ends::After(n) => write!(head, "Content-Length: {n}\r\n"),
-        Ends::InChunks => write!(head, "Transfer-Encoding: chunked\r\n"),
-        Ends::WithConnection => Ok(()),
+        BodyFraming::Length(_) if status == 204 => Ok(()),
+        BodyFraming::Length(n) => write!(head, "Content-Length: {n}\r\n"),
+        BodyFraming::Chunked => write!(head, "Transfer-Encoding: chunked\r\n"),
+        BodyFraming::UntilClose => Ok(()),
     };
-    head.push_str(if close || ends == Ends::WithConnection {
+    head.push_str(if close || ends == BodyFraming::UntilClose {
         "Connection: close\r\n\r\n"
     } else {
         "\r\n"
@@ -607,7 +612,7 @@
 
 /// Writes a whole response.
 pub fn response(status: u16, headers: &[(&str, &str)], body: &[u8], close: bool) -> Vec<u8> {
-    let mut bytes = response_head(status, headers, Ends::After(body.len()), close);
+    let mut bytes = response_head(status, headers, BodyFraming::Length(body.len()), close);
     bytes.extend_from_slice(body);
     bytes
 }
--- a/crates/http/tests/golden.rs
+++ b/crates/http/tests/golden.rs
@@ -1,8 +1,8 @@
 //! The bytes of responses as this crate writes them, and messages as it reads them.
 
 use driftfront_http::{
-    chunk, header, response, response_head, tell_close, Ends, Fault, RequestLimits, RequestReader,
-    ResponsePart, ResponseReader, LAST_CHUNK,
+    chunk, header, response, response_head, tell_close, BodyFraming, Fault, RequestLimits,
+    RequestReader, ResponsePart, ResponseReader, LAST_CHUNK,
 };
 use driftfront_test_support::message_transcript::MessageTranscript;
 use driftfront_test_support::{assert_golden, read_golden};
@@ -18,9 +18,9 @@
     }
     written.record("whole, closing", response(503, &[], b"", true));
     for (name, ends) in [
-        ("length", Ends::After(7)),
-        ("chunks", Ends::InChunks),
-        ("close", Ends::WithConnection),
+        ("length", BodyFraming::Length(7)),
+        ("chunks", BodyFraming::Chunked),
+        ("close", BodyFraming::UntilClose),
     ] {
         written.record(name, response_head(200, &[("A", "b")], ends, false));
         written.record(name, response_head(200, &[("A", "b")], ends, true));
--- a/crates/mock-servers/src/engine/answer.rs
+++ b/crates/mock-servers/src/engine/answer.rs
@@ -10,7 +10,7 @@
 use driftfront_clickhouse::params::Params;
 use driftfront_clickhouse::{multipart, sql::Shape};
 use driftfront_http::{
-    header, response, response_head, Ends, Request, RequestLimits, RequestReader,
+    header, response, response_head, BodyFraming, Request, RequestLimits, RequestReader,
 };
 use std::collections::BTreeMap;
 use std::io::{self, ErrorKind, Read, Write};
@@ -164,7 +164,12 @@
         headers: &[(&str, &str)],
         body: &str,
     ) -> io::Result<After> {
-        let mut bytes = response_head(status, headers, Ends::After(body.len()), request.close);
+        let mut bytes = response_head(
+            status,
+            headers,
+            BodyFraming::Length(body.len()),
+            request.close,
+        );
         if request.method != "HEAD" {
             bytes.extend(body.bytes());
         }
@@ -213,7 +218,8 @@
             _ => return self.reply(&request, 404, &html, "There is no such path here.\n"),
         }
         let params = Params::parse(in_url).unwrap_or_default();
-        let told = header(&request.headers, "X-ClickHouse-Query-Id").or(params.told("query_id"));
+        let told =
+            header(&request.headers, "X-ClickHouse-Query-Id").or(params.non_empty("query_id"));
         let id = told.map_or_else(|| format!("standin-{}", self.shared.next()), String::from);
         match self.query(request.clone(), params, &id) {
             Ok(after) => after,
@@ -316,7 +322,7 @@
             .and_then(|c| c.user);
         let session = query
             .params
-            .told("session_id")
+            .non_empty("session_id")
             .map(|s| format!("{}/{s}", user.unwrap_or_default()));
         let user = self.authenticate(&query);
         let again = faults.has("first") && self.shared.ledger.knows(&query.statement);
@@ -411,7 +417,7 @@
             held.sessions.retain(|_, s| s.locked || s.ends > now);
             let timeout = query
                 .params
-                .told("session_timeout")
+                .non_empty("session_timeout")
                 .and_then(|t| t.parse().ok())
                 .unwrap_or(60);
             let timeout = Duration::from_secs(timeout);
@@ -461,11 +467,11 @@
         let begin = Instant::now();
         let limit = query
             .params
-            .told("max_execution_time")
+            .non_empty("max_execution_time")
             .and_then(|t| t.parse::<f64>().ok());
         let every = query
             .params
-            .told("http_headers_progress_interval_ms")
+            .non_empty("http_headers_progress_interval_ms")
             .and_then(|t| t.parse().ok());
         let every = Duration::from_millis(every.unwrap_or(100u64).max(1));
         let tells = query.params.is_on("send_progress_in_http_headers");
@@ -564,7 +570,7 @@
             }
         }
         let told = header(&query.request.headers, "X-ClickHouse-Database")
-            .or(query.params.told("database"));
+            .or(query.params.non_empty("database"));
         let database = told.map_or(database, String::from);
         let scope = Scope {
             params: &given,
@@ -575,7 +581,7 @@
         let parsed = parse(&query.statement, &scope)?;
         let default = query
             .params
-            .told("default_format")
+            .non_empty("default_format")
             .or(header(&query.request.headers, "X-ClickHouse-Format"));
         let format = parsed
             .format
@@ -889,9 +895,9 @@
             headers.push(("Access-Control-Allow-Origin", "*"));
         }
         let ends = if request.version_1_1 {
-            Ends::InChunks
+            BodyFraming::Chunked
         } else {
-            Ends::WithConnection
+            BodyFraming::UntilClose
         };
         let head = response_head(200, &headers, ends, request.close);
         // The status line may be out already, with progress behind it.
