--- a/crates/coordinator/src/frontends/clickhouse.rs
+++ b/crates/coordinator/src/frontends/clickhouse.rs
@@ -9,7 +9,7 @@
 use driftfront_clickhouse::session::{self, keyed, Book, Name};
 use driftfront_core::{EngineId, Micros, ParsedRequest, RequestFate, ResponseChunk, StickySession};
 use driftfront_http::{
-    chunk, response, response_head, BodyFraming, Fault, Request, RequestLimits, LAST_CHUNK,
+    chunk, response, response_head, BodyFraming, HttpError, Request, RequestLimits, LAST_CHUNK,
 };
 use std::collections::HashMap;
 use std::fmt::Write as _;
@@ -382,11 +382,11 @@
         Some(self.patience(ask.class))
     }
 
-    fn error_response(&self, fault: Fault) -> Vec<u8> {
+    fn error_response(&self, fault: HttpError) -> Vec<u8> {
         let words = match fault {
-            Fault::Malformed => "The request can't be read as HTTP",
-            Fault::BodyTooLarge => "The body is too large",
-            Fault::HeadTooLarge => {
+            HttpError::Malformed => "The request can't be read as HTTP",
+            HttpError::BodyTooLarge => "The body is too large",
+            HttpError::HeadTooLarge => {
                 "The URL and headers are too long, or there is no room for them now"
             }
         };
--- a/crates/coordinator/src/frontends/mod.rs
+++ b/crates/coordinator/src/frontends/mod.rs
@@ -4,7 +4,7 @@
 pub mod platform;
 
 use driftfront_core::{EngineId, Micros, ParsedRequest, RequestFate, ResponseChunk};
-use driftfront_http::{response, Fault, Request, RequestLimits};
+use driftfront_http::{response, HttpError, Request, RequestLimits};
 use std::rc::Rc;
 
 /// What a front makes of a request.
@@ -103,7 +103,7 @@
         None
     }
     /// Why a request can't be read; the connection closes behind it.
-    fn error_response(&self, fault: Fault) -> Vec<u8> {
+    fn error_response(&self, fault: HttpError) -> Vec<u8> {
         response(fault.status(), &[], b"", true)
     }
     /// Counts of its own, a line each.
--- a/crates/coordinator/src/node/clients/mod.rs
+++ b/crates/coordinator/src/node/clients/mod.rs
@@ -9,7 +9,7 @@
 use crate::net::{out_of_descriptors, Link, ReadEnd};
 use calloop::RegistrationToken;
 use driftfront_core::{Micros, RequestId};
-use driftfront_http::{tell_close, Fault, RequestReader};
+use driftfront_http::{tell_close, HttpError, RequestReader};
 use socket2::{Domain, Protocol, Socket, Type};
 use std::io::{self, ErrorKind};
 use std::net::{Shutdown, SocketAddr, TcpListener};
@@ -256,7 +256,7 @@
             return;
         };
         self.leave(now, id);
-        self.client_fault(now, id, Fault::Malformed);
+        self.client_fault(now, id, HttpError::Malformed);
         self.client_work(now, id);
     }
 
@@ -338,7 +338,7 @@
             if client.current.is_some() && client.reader.holds_stray_bytes() {
                 // The length told was too small: what is out runs half a statement, and must not be served.
                 self.leave(now, id);
-                self.client_fault(now, id, Fault::Malformed);
+                self.client_fault(now, id, HttpError::Malformed);
                 continue;
             }
             if end == ReadEnd::Closed {
@@ -367,7 +367,7 @@
         }
         if !client.reader.has_head() {
             // A head can't be passed on in parts.
-            self.client_fault(now, id, Fault::HeadTooLarge);
+            self.client_fault(now, id, HttpError::HeadTooLarge);
         }
         true
     }
@@ -386,7 +386,7 @@
     }
 
     /// What can't be read is answered with its status, then the connection closes.
-    fn client_fault(&mut self, now: Micros, id: ConnectionId, fault: Fault) {
+    fn client_fault(&mut self, now: Micros, id: ConnectionId, fault: HttpError) {
         if let Some(client) = self.clients.get_mut(&id) {
             client.close = true;
             client.used = now;
--- a/crates/coordinator/tests/golden_frontends.rs
+++ b/crates/coordinator/tests/golden_frontends.rs
@@ -7,7 +7,7 @@
 use driftfront::frontends::platform::Platform;
 use driftfront::frontends::{AnswerWriter, Classes, ConnectionAction, Front, Intake};
 use driftfront_core::{EngineId, Fate, ParsedRequest, ResponseChunk};
-use driftfront_http::{Fault, Request};
+use driftfront_http::{HttpError, Request};
 use driftfront_test_support::assert_golden;
 use driftfront_test_support::message_transcript::MessageTranscript;
 use std::io::{Read as _, Write as _};
@@ -251,7 +251,11 @@
             request(method, path, &[call], ""),
         );
     }
-    for fault in [Fault::Malformed, Fault::BodyTooLarge, Fault::HeadTooLarge] {
+    for fault in [
+        HttpError::Malformed,
+        HttpError::BodyTooLarge,
+        HttpError::HeadTooLarge,
+    ] {
         wire.record("fault", front.error_response(fault));
     }
     record_answers(&mut wire, "answer", || {
@@ -394,7 +398,11 @@
         &mut front,
         bound,
     );
-    for fault in [Fault::Malformed, Fault::BodyTooLarge, Fault::HeadTooLarge] {
+    for fault in [
+        HttpError::Malformed,
+        HttpError::BodyTooLarge,
+        HttpError::HeadTooLarge,
+    ] {
         wire.record("fault", front.error_response(fault));
     }
     wire.record("counters", front.counters());
--- a/crates/coordinator/tests/wires.rs
+++ b/crates/coordinator/tests/wires.rs
@@ -11,7 +11,7 @@
 };
 use driftfront_engine_registry::{Change, EngineRegistry};
 use driftfront_http::{
-    chunk, Fault, Request, RequestReader, ResponsePart, ResponseReader, LAST_CHUNK,
+    chunk, HttpError, Request, RequestReader, ResponsePart, ResponseReader, LAST_CHUNK,
 };
 use driftfront_settings::json::{parse, Json};
 use quickcheck::{Arbitrary, Gen, QuickCheck, Testable};
@@ -87,20 +87,20 @@
     };
     // Two ways to tell a body's end are how requests are smuggled past a front.
     let both = b"POST / HTTP/1.1\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n";
-    assert_eq!(fault(both), Some(Fault::Malformed));
+    assert_eq!(fault(both), Some(HttpError::Malformed));
     assert_eq!(
         fault(b"POST / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n"),
-        Some(Fault::Malformed)
+        Some(HttpError::Malformed)
     );
     assert_eq!(
         fault(b"POST / HTTP/1.1\r\nContent-Length: +1\r\n\r\n"),
-        Some(Fault::Malformed)
+        Some(HttpError::Malformed)
     );
     assert_eq!(
         fault(b"POST / HTTP/1.1\r\nContent-Length: 101\r\n\r\n"),
-        Some(Fault::BodyTooLarge)
+        Some(HttpError::BodyTooLarge)
     );
-    assert_eq!(fault(&[b'G'; 20_000]), Some(Fault::HeadTooLarge));
+    assert_eq!(fault(&[b'G'; 20_000]), Some(HttpError::HeadTooLarge));
 }
 
 /// What an engine or the coordinator does next on a connection in lines.
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -71,7 +71,7 @@
 
 /// What goes wrong in a message: the status to answer a client with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum HttpError {
     /// 400
     Malformed,
     /// 413
@@ -80,19 +80,19 @@
     HeadTooLarge,
 }
 
-impl Fault {
+impl HttpError {
     /// The status that says so.
     pub fn status(self) -> u16 {
         match self {
-            Fault::Malformed => 400,
-            Fault::BodyTooLarge => 413,
-            Fault::HeadTooLarge => 431,
+            HttpError::Malformed => 400,
+            HttpError::BodyTooLarge => 413,
+            HttpError::HeadTooLarge => 431,
         }
     }
 }
 
 impl Framing {
-    fn of(headers: &[Header], otherwise: Framing) -> Result<Framing, Fault> {
+    fn of(headers: &[Header], otherwise: Framing) -> Result<Framing, HttpError> {
         let mut lengths = headers
             .iter()
             .filter(|h| h.0.eq_ignore_ascii_case("content-length"));
@@ -103,7 +103,7 @@
             return if fine {
                 Ok(Framing::ChunkSize)
             } else {
-                Err(Fault::Malformed)
+                Err(HttpError::Malformed)
             };
         }
         let Some(length) = length else {
@@ -114,16 +114,16 @@
             || digits.is_empty()
             || !digits.bytes().all(|b| b.is_ascii_digit())
         {
-            return Err(Fault::Malformed);
+            return Err(HttpError::Malformed);
         }
         digits
             .parse()
             .map(Framing::Length)
-            .map_err(|_| Fault::BodyTooLarge)
+            .map_err(|_| HttpError::BodyTooLarge)
     }
 
     /// Moves what there is of the body from `input` to `body`; true once it is over.
-    fn decode(&mut self, input: &mut Input, body: &mut Vec<u8>) -> Result<bool, Fault> {
+    fn decode(&mut self, input: &mut Input, body: &mut Vec<u8>) -> Result<bool, HttpError> {
         loop {
             match self {
                 Framing::Over | Framing::Length(0) => {
@@ -155,7 +155,7 @@
                     };
                     *self = match self {
                         Framing::ChunkEnd if line.is_empty() => Framing::ChunkSize,
-                        Framing::ChunkEnd => return Err(Fault::Malformed),
+                        Framing::ChunkEnd => return Err(HttpError::Malformed),
                         Framing::Trailers if line.is_empty() => Framing::Over,
                         Framing::Trailers => Framing::Trailers,
                         _ => match chunk_size(&line)? {
@@ -169,15 +169,15 @@
     }
 }
 
-fn chunk_size(line: &[u8]) -> Result<u64, Fault> {
+fn chunk_size(line: &[u8]) -> Result<u64, HttpError> {
     let digits = line.split(|&b| b == b';').next().unwrap_or(&[]);
     let digits = std::str::from_utf8(digits)
-        .map_err(|_| Fault::Malformed)?
+        .map_err(|_| HttpError::Malformed)?
         .trim();
     if digits.is_empty() || digits.len() > 15 || !digits.bytes().all(|b| b.is_ascii_hexdigit()) {
-        return Err(Fault::Malformed);
+        return Err(HttpError::Malformed);
     }
-    u64::from_str_radix(digits, 16).map_err(|_| Fault::Malformed)
+    u64::from_str_radix(digits, 16).map_err(|_| HttpError::Malformed)
 }
 
 /// Bytes that have come and were not used yet.
@@ -204,10 +204,10 @@
             self.used = 0;
         }
     }
-    fn line(&mut self, most: usize) -> Result<Option<Vec<u8>>, Fault> {
+    fn line(&mut self, most: usize) -> Result<Option<Vec<u8>>, HttpError> {
         let Some(end) = self.rest().iter().position(|&b| b == b'\n') else {
             return if self.rest().len() > most {
-                Err(Fault::Malformed)
+                Err(HttpError::Malformed)
             } else {
                 Ok(None)
             };
@@ -237,11 +237,11 @@
     }
 }
 
-fn parse_fault(e: httparse::Error) -> Fault {
+fn parse_fault(e: httparse::Error) -> HttpError {
     if e == httparse::Error::TooManyHeaders {
-        Fault::HeadTooLarge
+        HttpError::HeadTooLarge
     } else {
-        Fault::Malformed
+        HttpError::Malformed
     }
 }
 
@@ -306,7 +306,7 @@
     }
 
     /// Takes what has come of a body that goes on; `true` once it is over.
-    pub fn more_body(&mut self, body: &mut Vec<u8>) -> Result<bool, Fault> {
+    pub fn more_body(&mut self, body: &mut Vec<u8>) -> Result<bool, HttpError> {
         let Some(framing) = &mut self.rest else {
             return Ok(true);
         };
@@ -314,7 +314,7 @@
         if over {
             self.rest = None;
             if self.holds_stray_bytes() {
-                return Err(Fault::Malformed);
+                return Err(HttpError::Malformed);
             }
         }
         Ok(over)
@@ -361,7 +361,7 @@
     }
 
     /// The next whole request, if it is there.
-    pub fn next_request(&mut self) -> Result<Option<Request>, Fault> {
+    pub fn next_request(&mut self) -> Result<Option<Request>, HttpError> {
         if self.rest.is_some() {
             return Ok(None);
         }
@@ -373,14 +373,14 @@
                 httparse::Status::Partial if self.held() <= self.takes.max_head_bytes => {
                     return Ok(None)
                 }
-                _ => return Err(Fault::HeadTooLarge),
+                _ => return Err(HttpError::HeadTooLarge),
             };
             let headers = owned(request.headers);
             let framing = Framing::of(&headers, Framing::Over)?;
             if matches!(framing, Framing::Length(n) if n > self.takes.max_body_bytes as u64)
                 && !self.takes.has_more_body
             {
-                return Err(Fault::BodyTooLarge);
+                return Err(HttpError::BodyTooLarge);
             }
             let request = Request {
                 method: request.method.unwrap_or_default().to_string(),
@@ -400,7 +400,7 @@
         let over = framing.decode(&mut self.input, &mut request.body)?;
         if request.body.len() > self.takes.max_body_bytes {
             if !self.takes.has_more_body {
-                return Err(Fault::BodyTooLarge);
+                return Err(HttpError::BodyTooLarge);
             }
             if !over {
                 request.has_more_body = true;
@@ -415,7 +415,7 @@
         let request = self.head.take().map(|h| h.0);
         // Half a statement must not run because the other half came behind a length that is too small.
         if self.holds_stray_bytes() {
-            return Err(Fault::Malformed);
+            return Err(HttpError::Malformed);
         }
         Ok(request)
     }
@@ -485,7 +485,7 @@
     }
 
     /// The next part, if it is there.
-    pub fn next_part(&mut self) -> Result<Option<ResponsePart>, Fault> {
+    pub fn next_part(&mut self) -> Result<Option<ResponsePart>, HttpError> {
         if self.framing.is_none() {
             if let Some(value) = self.early_header() {
                 return Ok(Some(ResponsePart::Early(value)));
@@ -499,7 +499,7 @@
                 httparse::Status::Partial if self.input.rest().len() <= MAX_HEAD_BYTES => {
                     return Ok(None)
                 }
-                httparse::Status::Partial => return Err(Fault::HeadTooLarge),
+                httparse::Status::Partial => return Err(HttpError::HeadTooLarge),
             };
             let headers = owned(response.headers);
             let status = response.code.unwrap_or(0);
--- a/crates/http/tests/golden.rs
+++ b/crates/http/tests/golden.rs
@@ -1,7 +1,7 @@
 //! The bytes of responses as this crate writes them, and messages as it reads them.
 
 use driftfront_http::{
-    chunk, header, response, response_head, tell_close, BodyFraming, Fault, RequestLimits,
+    chunk, header, response, response_head, tell_close, BodyFraming, HttpError, RequestLimits,
     RequestReader, ResponsePart, ResponseReader, LAST_CHUNK,
 };
 use driftfront_test_support::message_transcript::MessageTranscript;
@@ -33,7 +33,11 @@
     written.record("chunk", chunk(b"seventeen bytes.."));
     written.record("empty chunk", chunk(b""));
     written.record("last chunk", LAST_CHUNK);
-    for fault in [Fault::Malformed, Fault::BodyTooLarge, Fault::HeadTooLarge] {
+    for fault in [
+        HttpError::Malformed,
+        HttpError::BodyTooLarge,
+        HttpError::HeadTooLarge,
+    ] {
         written.record("fault", fault.status().to_string());
     }
     assert_golden!("responses.http", written.bytes());
