--- a/crates/coordinator/src/backends/clickhouse.rs
+++ b/crates/coordinator/src/backends/clickhouse.rs
@@ -198,7 +198,7 @@
     pub fn new(host: String) -> Http {
         Http {
             host,
-            reader: ResponseReader::telling_early(PROGRESS),
+            reader: ResponseReader::with_early_header(PROGRESS),
             out: Out::Nothing,
             name: String::new(),
             frames: false,
@@ -209,7 +209,7 @@
 
     fn part(&mut self, part: ResponsePart, seen: &mut Vec<Seen>) -> Result<(), String> {
         match part {
-            ResponsePart::Early(value) => {
+            ResponsePart::EarlyHeader(value) => {
                 let Out::Query(key) = self.out else {
                     return Ok(());
                 };
@@ -393,7 +393,7 @@
         Ok(())
     }
     fn ended(&mut self, seen: &mut Vec<Seen>) {
-        if self.reader.ends_well() {
+        if self.reader.is_complete_at_close() {
             self.over(seen);
         } else if let Out::Query(key) = self.out {
             // Servers cut the chunks after an error that came too late for the status.
--- a/crates/coordinator/src/backends/engine_protocol.rs
+++ b/crates/coordinator/src/backends/engine_protocol.rs
@@ -66,7 +66,7 @@
     }
 
     /// Whether an answer has begun and is not whole.
-    pub fn is_within(&self) -> bool {
+    pub fn is_mid_message(&self) -> bool {
         self.used < self.bytes.len()
     }
 
@@ -416,7 +416,7 @@
         }
         self.within = self
             .reader
-            .is_within()
+            .is_mid_message()
             .then_some(self.within.unwrap_or(now));
         Ok(())
     }
--- a/crates/coordinator/src/discovery/etcd.rs
+++ b/crates/coordinator/src/discovery/etcd.rs
@@ -214,7 +214,7 @@
                     }
                 }
                 ResponsePart::End if self.watching => return Err("the watch ended".into()),
-                ResponsePart::Early(_) => {}
+                ResponsePart::EarlyHeader(_) => {}
                 ResponsePart::End => {
                     let text = std::mem::take(&mut self.text);
                     self.take_range(&text, updates)?;
--- a/crates/coordinator/src/discovery/stream.rs
+++ b/crates/coordinator/src/discovery/stream.rs
@@ -156,7 +156,7 @@
                 }
                 ResponsePart::Head(_) => {}
                 ResponsePart::Body(bytes) => self.events.push(&bytes, &mut events)?,
-                ResponsePart::Early(_) => {}
+                ResponsePart::EarlyHeader(_) => {}
                 ResponsePart::End => return Err("the stream ended".into()),
             }
             for event in events.drain(..) {
--- a/crates/coordinator/src/node/clients/closing.rs
+++ b/crates/coordinator/src/node/clients/closing.rs
@@ -31,18 +31,19 @@
 
     /// Nothing is open on it, or half read, that a close in order would hurt.
     fn is_at_rest(&self) -> bool {
-        self.is_free() && !self.reader.is_within()
+        self.is_free() && !self.reader.is_mid_message()
     }
 
     /// A request has begun on it and is not whole, and nothing else is open.
     fn is_half_read(&self) -> bool {
-        self.is_free() && !self.reader.is_body_open() && self.reader.is_within()
+        self.is_free() && !self.reader.is_body_open() && self.reader.is_mid_message()
     }
 
     /// Its place among those that go where descriptors are short; `None` if it must stay.
     fn eviction(&self, now: Micros) -> Option<Micros> {
-        let open =
-            self.current.is_some() || self.is_writing() || self.reader.is_within() && !self.fresh;
+        let open = self.current.is_some()
+            || self.is_writing()
+            || self.reader.is_mid_message() && !self.fresh;
         let idle = now.saturating_sub(self.used);
         (self.shut || !open).then(|| eviction::rank(self.shut, self.fresh, idle))
     }
@@ -127,7 +128,7 @@
         let Some(client) = self.clients.get_mut(&id) else {
             return;
         };
-        if !client.shut && client.reader.is_within() && client.current.is_none() {
+        if !client.shut && client.reader.is_mid_message() && client.current.is_none() {
             client.link.push(&response(408, &[], b"", true));
         }
     }
@@ -232,7 +233,11 @@
         let Some(client) = self.clients.get_mut(&id) else {
             return;
         };
-        if client.current.is_none() && !client.shut && !client.close && client.reader.is_within() {
+        if client.current.is_none()
+            && !client.shut
+            && !client.close
+            && client.reader.is_mid_message()
+        {
             // It may still read why its half request is not answered.
             client.link.push(&response(400, &[], b"", true));
         }
--- a/crates/coordinator/src/node/clients/mod.rs
+++ b/crates/coordinator/src/node/clients/mod.rs
@@ -9,7 +9,7 @@
 use crate::net::{out_of_descriptors, Link, ReadEnd};
 use calloop::RegistrationToken;
 use driftfront_core::{Micros, RequestId};
-use driftfront_http::{tell_close, HttpError, RequestReader};
+use driftfront_http::{add_connection_close, HttpError, RequestReader};
 use socket2::{Domain, Protocol, Socket, Type};
 use std::io::{self, ErrorKind};
 use std::net::{Shutdown, SocketAddr, TcpListener};
@@ -329,7 +329,7 @@
             };
             client.more = end == ReadEnd::Enough;
             if !bytes.is_empty() {
-                if !client.reader.is_within() && !client.fresh {
+                if !client.reader.is_mid_message() && !client.fresh {
                     client.begun = now;
                 }
                 client.used = now;
@@ -356,7 +356,7 @@
         if client.current.is_some() || client.close || now < client.pause_until {
             return false;
         }
-        let size = client.reader.growing();
+        let size = client.reader.partial_request_bytes();
         let Some((kept, most)) = self.front.reserve_body(client.kept, size) else {
             return false;
         };
@@ -377,7 +377,7 @@
         if let Some(client) = self.clients.get_mut(&id) {
             let mut bytes = bytes.to_vec();
             if away {
-                tell_close(&mut bytes);
+                add_connection_close(&mut bytes);
                 client.close = true;
             }
             client.link.push(&bytes);
@@ -417,7 +417,7 @@
         let first = !bytes.is_empty() && !std::mem::replace(&mut client.answering, true);
         let away = self.lifecycle.sends_away(now) || client.overrun;
         if away && first {
-            tell_close(&mut bytes);
+            add_connection_close(&mut bytes);
         }
         client.link.push(&bytes);
         (client.used, client.begun) = (now, now);
--- a/crates/coordinator/tests/common/mod.rs
+++ b/crates/coordinator/tests/common/mod.rs
@@ -302,7 +302,7 @@
                 ResponsePart::Head(head) => {
                     (answer.status, answer.headers) = (head.status, head.headers)
                 }
-                ResponsePart::Early(_) => {}
+                ResponsePart::EarlyHeader(_) => {}
                 ResponsePart::Body(bytes) => answer.body.extend(bytes),
                 ResponsePart::End => {
                     answer.whole = true;
--- a/crates/coordinator/tests/conformance.rs
+++ b/crates/coordinator/tests/conformance.rs
@@ -123,7 +123,7 @@
     'read: loop {
         while let Ok(Some(part)) = reader.next_part() {
             match part {
-                ResponsePart::Early(_) => {}
+                ResponsePart::EarlyHeader(_) => {}
                 ResponsePart::Head(head) => {
                     (status, headers) = (head.status, head.headers);
                     if head_only {
@@ -140,7 +140,7 @@
         }
         match stream.read(&mut all) {
             Ok(0) => {
-                whole = reader.ends_well();
+                whole = reader.is_complete_at_close();
                 break;
             }
             Ok(n) => reader.push(&all[..n]),
--- a/crates/coordinator/tests/wires.rs
+++ b/crates/coordinator/tests/wires.rs
@@ -61,7 +61,7 @@
             }
         }
         let fits = |(n, r): (usize, &Request)| r.target == format!("/{n}") && r.body == bodies[n];
-        read.len() == bodies.len() && read.iter().enumerate().all(fits) && !reader.is_within()
+        read.len() == bodies.len() && read.iter().enumerate().all(fits) && !reader.is_mid_message()
     }
     check(same as fn(Vec<Vec<u8>>, Vec<bool>, Vec<u8>) -> bool);
 }
@@ -570,7 +570,7 @@
     while let Some(part) = reader.next_part().unwrap() {
         parts.push(part);
     }
-    assert!(!parts.contains(&ResponsePart::End) && !reader.ends_well());
+    assert!(!parts.contains(&ResponsePart::End) && !reader.is_complete_at_close());
 }
 
 #[test]
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -291,7 +291,7 @@
     }
 
     /// Bytes of the request that is being read: its head so far, or what of its body is held.
-    pub fn growing(&self) -> usize {
+    pub fn partial_request_bytes(&self) -> usize {
         self.held() + self.head.as_ref().map_or(0, |h| h.0.body.len())
     }
 
@@ -331,7 +331,7 @@
     }
 
     /// Whether a request has begun and is not whole.
-    pub fn is_within(&self) -> bool {
+    pub fn is_mid_message(&self) -> bool {
         self.head.is_some() || self.rest.is_some() || self.held() > 0
     }
 
@@ -425,7 +425,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ResponsePart {
     /// The value of a header that was asked to be told early, before the head is whole.
-    Early(String),
+    EarlyHeader(String),
     /// Its head.
     Head(ResponseHead),
     /// A piece of its body.
@@ -445,7 +445,7 @@
 impl ResponseReader {
     /// A reader that tells this header's values as they come, and takes them out of the head: servers that send one
     /// for each step of their work would else fill it.
-    pub fn telling_early(name: &'static str) -> ResponseReader {
+    pub fn with_early_header(name: &'static str) -> ResponseReader {
         ResponseReader {
             early: Some(name),
             ..ResponseReader::default()
@@ -488,7 +488,7 @@
     pub fn next_part(&mut self) -> Result<Option<ResponsePart>, HttpError> {
         if self.framing.is_none() {
             if let Some(value) = self.early_header() {
-                return Ok(Some(ResponsePart::Early(value)));
+                return Ok(Some(ResponsePart::EarlyHeader(value)));
             }
         }
         let Some(framing) = &mut self.framing else {
@@ -535,7 +535,7 @@
     }
 
     /// The server has ended its side: true if that is a proper end of the body.
-    pub fn ends_well(&self) -> bool {
+    pub fn is_complete_at_close(&self) -> bool {
         matches!(self.framing, Some(Framing::UntilClose))
     }
 }
@@ -618,7 +618,7 @@
 }
 
 /// Makes a response's bytes, as [`response_head`] begins them, tell that the connection closes behind it.
-pub fn tell_close(response: &mut Vec<u8>) {
+pub fn add_connection_close(response: &mut Vec<u8>) {
     let Some(head) = response.windows(4).position(|w| w == b"\r\n\r\n") else {
         return;
     };
--- a/crates/http/tests/golden.rs
+++ b/crates/http/tests/golden.rs
@@ -1,8 +1,8 @@
 //! The bytes of responses as this crate writes them, and messages as it reads them.
 
 use driftfront_http::{
-    chunk, header, response, response_head, tell_close, BodyFraming, HttpError, RequestLimits,
-    RequestReader, ResponsePart, ResponseReader, LAST_CHUNK,
+    add_connection_close, chunk, header, response, response_head, BodyFraming, HttpError,
+    RequestLimits, RequestReader, ResponsePart, ResponseReader, LAST_CHUNK,
 };
 use driftfront_test_support::message_transcript::MessageTranscript;
 use driftfront_test_support::{assert_golden, read_golden};
@@ -26,9 +26,9 @@
         written.record(name, response_head(200, &[("A", "b")], ends, true));
     }
     let mut told = response(200, &[], b"x", false);
-    tell_close(&mut told);
+    add_connection_close(&mut told);
     written.record("close told later", &told);
-    tell_close(&mut told);
+    add_connection_close(&mut told);
     written.record("close told twice", &told);
     written.record("chunk", chunk(b"seventeen bytes.."));
     written.record("empty chunk", chunk(b""));
@@ -72,20 +72,20 @@
         );
         read.record("request", text);
     }
-    assert!(!reader.is_within());
+    assert!(!reader.is_mid_message());
     assert_golden!("requests.txt", read.bytes());
 }
 
 #[test]
 fn responses_are_read_as_ever() {
     let bytes = read_golden!("responses_in.http");
-    let mut reader = ResponseReader::telling_early("X-Progress");
+    let mut reader = ResponseReader::with_early_header("X-Progress");
     let mut read = MessageTranscript::default();
     for piece in bytes.chunks(40) {
         reader.push(piece);
         while let Some(part) = reader.next_part().expect("well formed") {
             match part {
-                ResponsePart::Early(value) => read.record("early", value),
+                ResponsePart::EarlyHeader(value) => read.record("early", value),
                 ResponsePart::Head(head) => {
                     let kind = header(&head.headers, "content-type").unwrap_or("-");
                     let text = format!("{} close {} type {kind}", head.status, head.close);
@@ -96,6 +96,6 @@
             }
         }
     }
-    assert!(reader.ends_well());
+    assert!(reader.is_complete_at_close());
     assert_golden!("responses_in.txt", read.bytes());
 }
