--- a/crates/clickhouse/src/block.rs
+++ b/crates/clickhouse/src/block.rs
@@ -5,7 +5,7 @@
 //! description of the native protocol's compression.
 
 use crate::coding::{Tail, TAIL};
-use crate::exception::TEXT_MOST;
+use crate::exception::MAX_TEXT_BYTES;
 use std::collections::VecDeque;
 use std::fmt;
 
@@ -13,7 +13,7 @@
 const CHECKSUM: usize = 16;
 const HEAD: usize = 9;
 /// Largest frame, packed or not: servers make frames of 1 MiB at most, and 1 GiB is their own limit on reading.
-pub const FRAME_MOST: usize = 16 * 1024 * 1024;
+pub const MAX_FRAME_BYTES: usize = 16 * 1024 * 1024;
 
 /// How a frame is packed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -43,7 +43,7 @@
 
 /// What is wrong with a frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum BadFrame {
+pub enum FrameError {
     /// Its method is none that is known, or its sizes can't be: no frame begins here.
     NoFrame,
     /// Its checksum does not fit what it holds.
@@ -52,17 +52,17 @@
     Content,
 }
 
-impl fmt::Display for BadFrame {
+impl fmt::Display for FrameError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            BadFrame::NoFrame => "no compressed block begins where one should",
-            BadFrame::Checksum => "a compressed block's checksum does not fit",
-            BadFrame::Content => "a compressed block can't be unpacked",
+            FrameError::NoFrame => "no compressed block begins where one should",
+            FrameError::Checksum => "a compressed block's checksum does not fit",
+            FrameError::Content => "a compressed block can't be unpacked",
         })
     }
 }
 
-impl std::error::Error for BadFrame {}
+impl std::error::Error for FrameError {}
 
 fn checksum(bytes: &[u8]) -> [u8; CHECKSUM] {
     cityhash_rs::cityhash_102_128(bytes)
@@ -75,26 +75,26 @@
 }
 
 /// The whole size of the frame that these bytes begin, once its head is there.
-fn size(bytes: &[u8]) -> Result<Option<usize>, BadFrame> {
+fn size(bytes: &[u8]) -> Result<Option<usize>, FrameError> {
     let Some(head) = bytes.get(CHECKSUM..CHECKSUM + HEAD) else {
         return Ok(None);
     };
     let (packed, plain) = (u32_at(head, 1), u32_at(head, 5));
-    let fits = (HEAD..=FRAME_MOST).contains(&packed) && plain <= FRAME_MOST;
+    let fits = (HEAD..=MAX_FRAME_BYTES).contains(&packed) && plain <= MAX_FRAME_BYTES;
     match Method::of(head[0]) {
         Some(_) if fits => Ok(Some(CHECKSUM + packed)),
-        _ => Err(BadFrame::NoFrame),
+        _ => Err(FrameError::NoFrame),
     }
 }
 
 /// The frame that these bytes begin with, once it is whole.
-pub fn first(bytes: &[u8]) -> Result<Option<&[u8]>, BadFrame> {
+pub fn first(bytes: &[u8]) -> Result<Option<&[u8]>, FrameError> {
     Ok(size(bytes)?.and_then(|size| bytes.get(..size)))
 }
 
 /// What the whole frames at the beginning of these bytes hold, until that is `most` bytes or more; and how many bytes
 /// they take.
-pub fn unpack_some(bytes: &[u8], most: usize) -> Result<(Vec<u8>, usize), BadFrame> {
+pub fn unpack_prefix(bytes: &[u8], most: usize) -> Result<(Vec<u8>, usize), FrameError> {
     let (mut out, mut used) = (Vec::new(), 0);
     while out.len() < most {
         let Some(frame) = first(&bytes[used..])? else {
@@ -107,38 +107,40 @@
 }
 
 /// Checks a whole frame's checksum.
-fn check(frame: &[u8]) -> Result<(), BadFrame> {
-    let (told, rest) = frame.split_at_checked(CHECKSUM).ok_or(BadFrame::NoFrame)?;
+fn check(frame: &[u8]) -> Result<(), FrameError> {
+    let (told, rest) = frame
+        .split_at_checked(CHECKSUM)
+        .ok_or(FrameError::NoFrame)?;
     if told == checksum(rest) {
         Ok(())
     } else {
-        Err(BadFrame::Checksum)
+        Err(FrameError::Checksum)
     }
 }
 
 /// Unpacks a whole frame.
-pub fn unpack(frame: &[u8]) -> Result<Vec<u8>, BadFrame> {
+pub fn unpack(frame: &[u8]) -> Result<Vec<u8>, FrameError> {
     check(frame)?;
     let head = frame
         .get(CHECKSUM..CHECKSUM + HEAD)
-        .ok_or(BadFrame::NoFrame)?;
+        .ok_or(FrameError::NoFrame)?;
     let (plain, data) = (u32_at(head, 5), &frame[CHECKSUM + HEAD..]);
-    if plain > FRAME_MOST {
-        return Err(BadFrame::NoFrame);
+    if plain > MAX_FRAME_BYTES {
+        return Err(FrameError::NoFrame);
     }
-    let out = match Method::of(head[0]).ok_or(BadFrame::NoFrame)? {
+    let out = match Method::of(head[0]).ok_or(FrameError::NoFrame)? {
         Method::None => data.to_vec(),
-        Method::Lz4 => lz4_flex::block::decompress(data, plain).map_err(|_| BadFrame::Content)?,
-        Method::Zstd => zstd::bulk::decompress(data, plain).map_err(|_| BadFrame::Content)?,
+        Method::Lz4 => lz4_flex::block::decompress(data, plain).map_err(|_| FrameError::Content)?,
+        Method::Zstd => zstd::bulk::decompress(data, plain).map_err(|_| FrameError::Content)?,
     };
     if out.len() == plain {
         Ok(out)
     } else {
-        Err(BadFrame::Content)
+        Err(FrameError::Content)
     }
 }
 
-/// Packs data as one frame; data over [`FRAME_MOST`] must be split before.
+/// Packs data as one frame; data over [`MAX_FRAME_BYTES`] must be split before.
 pub fn pack(method: Method, data: &[u8]) -> Vec<u8> {
     let packed = match method {
         Method::None => data.to_vec(),
@@ -172,7 +174,7 @@
 
 impl Frames {
     /// Takes bytes. An error is for good: what stands behind a bad frame can't be told apart any more.
-    pub fn push(&mut self, mut bytes: &[u8]) -> Result<(), BadFrame> {
+    pub fn push(&mut self, mut bytes: &[u8]) -> Result<(), FrameError> {
         while !bytes.is_empty() {
             let wanted = size(&self.frame)?.unwrap_or(CHECKSUM + HEAD);
             debug_assert!(wanted > self.frame.len());
@@ -182,7 +184,7 @@
             let whole = size(&self.frame).inspect_err(|_| {
                 // What stands here instead may be words, which the caller will want to read.
                 self.frame
-                    .extend_from_slice(&bytes[..bytes.len().min(TEXT_MOST)]);
+                    .extend_from_slice(&bytes[..bytes.len().min(MAX_TEXT_BYTES)]);
             })?;
             if whole == Some(self.frame.len()) {
                 check(&self.frame)?;
@@ -219,7 +221,7 @@
     }
 
     /// The last bytes of what the whole frames hold; an error if one of them can't be unpacked.
-    pub fn tail(&self) -> Result<Vec<u8>, BadFrame> {
+    pub fn tail(&self) -> Result<Vec<u8>, FrameError> {
         let mut tail = Tail::default();
         for (_, frame) in &self.last {
             tail.push(&unpack(frame)?);
@@ -312,8 +314,8 @@
             assert!(noticed, "byte {at}");
             assert!(unpack(&bad).is_err(), "byte {at}");
         }
-        assert_eq!(unpack(b"short"), Err(BadFrame::NoFrame));
+        assert_eq!(unpack(b"short"), Err(FrameError::NoFrame));
         let text = b"Code: 241. DB::Exception: Memory limit. (MEMORY_LIMIT_EXCEEDED)";
-        assert_eq!(Frames::default().push(text), Err(BadFrame::NoFrame));
+        assert_eq!(Frames::default().push(text), Err(FrameError::NoFrame));
     }
 }
--- a/crates/clickhouse/src/coding.rs
+++ b/crates/clickhouse/src/coding.rs
@@ -44,7 +44,7 @@
 
     /// The one that a server would choose by `Accept-Encoding`, in the order of its own liking (br, zstd, gzip, ...
     /// as published); qualities are not weighed, but 0 bars one.
-    pub fn chosen(accept: &str) -> Option<Coding> {
+    pub fn negotiate(accept: &str) -> Option<Coding> {
         let told = |coding: Coding| {
             accept.split(',').any(|each| {
                 let (name, rest) = each.split_once(';').unwrap_or((each, ""));
@@ -312,7 +312,7 @@
 }
 
 /// Bytes that a [`Tail`] holds at least, once so many were written.
-pub const TAIL: usize = crate::exception::TEXT_MOST + 2 * 1024;
+pub const TAIL: usize = crate::exception::MAX_TEXT_BYTES + 2 * 1024;
 
 impl Tail {
     /// The last bytes.
@@ -431,9 +431,9 @@
 
     #[test]
     fn the_server_s_own_liking_decides_among_what_is_accepted() {
-        assert_eq!(Coding::chosen("gzip, deflate, br"), Some(Coding::Brotli));
-        assert_eq!(Coding::chosen("gzip;q=1.0, br;q=0"), Some(Coding::Gzip));
-        assert_eq!(Coding::chosen("identity, *"), None);
+        assert_eq!(Coding::negotiate("gzip, deflate, br"), Some(Coding::Brotli));
+        assert_eq!(Coding::negotiate("gzip;q=1.0, br;q=0"), Some(Coding::Gzip));
+        assert_eq!(Coding::negotiate("identity, *"), None);
     }
 
     #[test]
--- a/crates/clickhouse/src/exception.rs
+++ b/crates/clickhouse/src/exception.rs
@@ -103,7 +103,7 @@
 pub const NETWORK_ERROR: u32 = 210;
 
 /// Longest text read for an exception; longer words are cut.
-pub const TEXT_MOST: usize = 8 * 1024;
+pub const MAX_TEXT_BYTES: usize = 8 * 1024;
 
 /// The published name of a code.
 pub fn name(code: u32) -> Option<&'static str> {
--- a/crates/clickhouse/src/request.rs
+++ b/crates/clickhouse/src/request.rs
@@ -306,7 +306,7 @@
         } else {
             &request.body
         };
-        let unpacked = crate::block::unpack_some(packed, LOOKED_AT)
+        let unpacked = crate::block::unpack_prefix(packed, LOOKED_AT)
             .map_err(|e| Exception::new(271, &format!("Cannot decompress the body: {e}")))?;
         first = unpacked.0;
     }
--- a/crates/clickhouse/src/watch.rs
+++ b/crates/clickhouse/src/watch.rs
@@ -1,6 +1,6 @@
 //! A result on its way: what passes is looked at, so that an error behind status 200 is never taken for rows.
 
-use crate::block::{BadFrame, Frames};
+use crate::block::{FrameError, Frames};
 use crate::coding::{Coding, Tail, Unpacker};
 use crate::exception::{json_key, last_lines, tagged, Exception};
 use std::fmt;
@@ -11,7 +11,7 @@
     /// The engine says so itself, behind the rows.
     Exception(Exception),
     /// A compressed block is bad.
-    Frame(BadFrame),
+    Frame(FrameError),
     /// Its content coding can't be followed.
     Coding(String),
     /// It ends in the middle of something.
@@ -52,7 +52,7 @@
 #[derive(Default)]
 struct Inner {
     frames: Frames,
-    bad: Option<BadFrame>,
+    bad: Option<FrameError>,
 }
 
 impl std::io::Write for Inner {
@@ -252,7 +252,7 @@
         bytes[at] ^= 1;
         assert_eq!(
             run(&mut watch, &bytes, false),
-            Err(Fault::Frame(BadFrame::Checksum))
+            Err(Fault::Frame(FrameError::Checksum))
         );
     }
 
--- a/crates/coordinator/src/backends/clickhouse.rs
+++ b/crates/coordinator/src/backends/clickhouse.rs
@@ -2,7 +2,7 @@
 
 use super::{Seen, Session, Start};
 use driftfront_clickhouse::coding::Coding;
-use driftfront_clickhouse::exception::{code_of, proof, Exception, Proof, TEXT_MOST};
+use driftfront_clickhouse::exception::{code_of, proof, Exception, Proof, MAX_TEXT_BYTES};
 use driftfront_clickhouse::params::encode;
 use driftfront_clickhouse::watch::{Fault, Watch};
 use driftfront_core::{AttemptKey, Cause, Micros, Outcome, ProgressReport, ResponseChunk};
@@ -118,7 +118,7 @@
     /// A piece of the body has come; an error is for good.
     fn body(&mut self, key: AttemptKey, bytes: Vec<u8>, seen: &mut Vec<Seen>) -> Result<(), Fault> {
         if self.is_error() {
-            let room = TEXT_MOST.saturating_sub(self.held.len());
+            let room = MAX_TEXT_BYTES.saturating_sub(self.held.len());
             self.held.extend_from_slice(&bytes[..bytes.len().min(room)]);
             return Ok(());
         }
--- a/crates/coordinator/tests/clickhouse.rs
+++ b/crates/coordinator/tests/clickhouse.rs
@@ -4,7 +4,7 @@
 
 use common::site::{read_some, Plan, Site};
 use common::{appliance, call, file, get, instance, post, read_answer, stand_in, Coordinator};
-use driftfront_clickhouse::block::{pack, unpack_some, Method};
+use driftfront_clickhouse::block::{pack, unpack_prefix, Method};
 use driftfront_clickhouse::coding::{self, Coding};
 use driftfront_http::{chunk, RequestReader};
 use driftfront_mock_servers::engine::{fnv, Options};
@@ -174,7 +174,7 @@
 }
 
 fn blocks(bytes: &[u8]) -> Vec<u8> {
-    unpack_some(bytes, usize::MAX).unwrap_or_default().0
+    unpack_prefix(bytes, usize::MAX).unwrap_or_default().0
 }
 
 fn gunzip(bytes: &[u8]) -> Vec<u8> {
--- a/crates/coordinator/tests/conformance.rs
+++ b/crates/coordinator/tests/conformance.rs
@@ -162,7 +162,9 @@
     let exception = told("x-clickhouse-exception-code").is_some();
     let target = step.get("target").text().unwrap_or_default();
     if target.contains("compress=1") && !target.contains("decompress=1") && !exception {
-        body = block::unpack_some(&body, usize::MAX).unwrap_or_default().0;
+        body = block::unpack_prefix(&body, usize::MAX)
+            .unwrap_or_default()
+            .0;
     }
     if exception {
         let text = String::from_utf8_lossy(&body).into_owned();
--- a/crates/mock-servers/src/engine/answer.rs
+++ b/crates/mock-servers/src/engine/answer.rs
@@ -854,7 +854,7 @@
         let request = &query.request;
         let accept = header(&request.headers, "accept-encoding").unwrap_or_default();
         let coding =
-            Coding::chosen(accept).filter(|_| query.params.is_on("enable_http_compression"));
+            Coding::negotiate(accept).filter(|_| query.params.is_on("enable_http_compression"));
         let frames = query.params.is_on("compress").then_some(
             match query.params.get("network_compression_method") {
                 Some(m) if m.eq_ignore_ascii_case("zstd") => Method::Zstd,
@@ -1067,7 +1067,7 @@
 
 /// All blocks of a body.
 fn frames(body: &[u8]) -> Result<Vec<u8>, String> {
-    let (out, used) = block::unpack_some(body, usize::MAX).map_err(|e| e.to_string())?;
+    let (out, used) = block::unpack_prefix(body, usize::MAX).map_err(|e| e.to_string())?;
     if used == body.len() {
         Ok(out)
     } else {
