--- a/crates/coordinator/src/frontends/clickhouse.rs
+++ b/crates/coordinator/src/frontends/clickhouse.rs
@@ -1,6 +1,6 @@
 //! ClickHouse's HTTP interface towards clients, on the language in `driftfront_clickhouse`.
 
-use super::{AnswerWriter, Classes, ConnectionAction, Front, Intake, KillRequest};
+use super::{Classes, ConnectionAction, Frontend, Intake, KillRequest, ResponseWriter};
 use crate::backends::clickhouse::{FRAMES, HEADERS, TARGET};
 use crate::net::hash;
 use driftfront_clickhouse::exception::{marker, Exception, NETWORK_ERROR, TOO_MANY_QUERIES};
@@ -280,7 +280,7 @@
     bytes
 }
 
-impl Front for ClickHouse {
+impl Frontend for ClickHouse {
     fn request_limits(&self) -> RequestLimits {
         RequestLimits {
             max_head_bytes: MAX_HEAD_BYTES,
@@ -477,7 +477,7 @@
     }
 }
 
-impl AnswerWriter for Stream {
+impl ResponseWriter for Stream {
     fn write_chunk(&mut self, piece: &ResponseChunk, out: &mut Vec<u8>) {
         if !std::mem::replace(&mut self.begun, true) {
             let about = piece.about.iter().filter(|(name, _)| {
--- a/crates/coordinator/src/frontends/mod.rs
+++ b/crates/coordinator/src/frontends/mod.rs
@@ -18,7 +18,7 @@
     /// It asks for the counters.
     Counters,
     /// Take it in; the answer is written with this writer.
-    Take(ParsedRequest, Box<dyn AnswerWriter>),
+    Take(ParsedRequest, Box<dyn ResponseWriter>),
     /// End the queries of these names, wherever they run.
     Kill(Box<KillRequest>),
     /// Its client takes the request of this name back; what to say then.
@@ -41,7 +41,7 @@
     /// The statement for one engine, for the query of this name there.
     pub for_engine: ForEngine,
     /// Writes the answer.
-    pub writer: Box<dyn AnswerWriter>,
+    pub writer: Box<dyn ResponseWriter>,
 }
 
 /// What becomes of a client's connection behind an answer.
@@ -56,7 +56,7 @@
 }
 
 /// Writes one request's answer in the client's form.
-pub trait AnswerWriter {
+pub trait ResponseWriter {
     /// A piece of the result.
     fn write_chunk(&mut self, piece: &ResponseChunk, out: &mut Vec<u8>);
     /// The result is whole.
@@ -70,7 +70,7 @@
 }
 
 /// Reads clients' requests.
-pub trait Front {
+pub trait Frontend {
     /// What to do with one. `kept`: what its body holds of the budget for bodies.
     fn parse_request(&mut self, request: Request, now: Micros, kept: usize) -> Intake;
     /// What a reader of requests takes.
--- a/crates/coordinator/src/frontends/platform.rs
+++ b/crates/coordinator/src/frontends/platform.rs
@@ -1,6 +1,6 @@
 //! The platform's front: a thin one. Statements come as POSTs, results go as JSON.
 
-use super::{AnswerWriter, Classes, ConnectionAction, Front, Intake};
+use super::{Classes, ConnectionAction, Frontend, Intake, ResponseWriter};
 use driftfront_clickhouse::sql::table_group;
 use driftfront_core::{Micros, ParsedRequest, ResponseChunk};
 use driftfront_http::{header, response, Request, RequestLimits, MAX_HEAD_BYTES};
@@ -38,7 +38,7 @@
     ))
 }
 
-impl Front for Platform {
+impl Frontend for Platform {
     fn request_limits(&self) -> RequestLimits {
         RequestLimits {
             max_head_bytes: MAX_HEAD_BYTES,
@@ -191,7 +191,7 @@
     body: Vec<u8>,
 }
 
-impl AnswerWriter for Rows {
+impl ResponseWriter for Rows {
     fn write_chunk(&mut self, piece: &ResponseChunk, _out: &mut Vec<u8>) {
         let Ok(text) = std::str::from_utf8(&piece.rows) else {
             return;
--- a/crates/coordinator/src/node/clients/mod.rs
+++ b/crates/coordinator/src/node/clients/mod.rs
@@ -5,7 +5,7 @@
 mod requests;
 
 use super::{ConnectionId, EventSource, Node};
-use crate::frontends::{AnswerWriter, ConnectionAction};
+use crate::frontends::{ConnectionAction, ResponseWriter};
 use crate::net::{out_of_descriptors, Link, ReadEnd};
 use calloop::RegistrationToken;
 use driftfront_core::{Micros, RequestId};
@@ -54,7 +54,7 @@
     token: Option<RegistrationToken>,
     reader: RequestReader,
     /// The request whose answer is owed, and its writer.
-    current: Option<(RequestId, Box<dyn AnswerWriter>)>,
+    current: Option<(RequestId, Box<dyn ResponseWriter>)>,
     /// The last request asked for a close, or a fault makes one due.
     close: bool,
     /// Something of the open request's answer has been written.
@@ -401,7 +401,7 @@
         now: Micros,
         request: RequestId,
         last: bool,
-        write: impl FnOnce(&mut dyn AnswerWriter, &mut Vec<u8>) -> ConnectionAction,
+        write: impl FnOnce(&mut dyn ResponseWriter, &mut Vec<u8>) -> ConnectionAction,
     ) {
         let Some(&(id, ..)) = self.asking.get(&request) else {
             return;
--- a/crates/coordinator/src/node/mod.rs
+++ b/crates/coordinator/src/node/mod.rs
@@ -16,7 +16,7 @@
 use crate::discovery::backoff::{Backoff, Broken};
 use crate::discovery::read;
 use crate::frontends::clickhouse::ClickHouse;
-use crate::frontends::{platform::Platform, ConnectionAction, Front};
+use crate::frontends::{platform::Platform, ConnectionAction, Frontend};
 use crate::handover::HandoverMailbox;
 use crate::service::RequestOutcome;
 
@@ -50,7 +50,7 @@
     now: Micros,
     wall: StepWatch,
     last_conn: ConnectionId,
-    front: Box<dyn Front>,
+    front: Box<dyn Frontend>,
     /// `None` once the process leaves for good.
     listener: Option<Rc<TcpListener>>,
     listening: Option<RegistrationToken>,
@@ -119,7 +119,7 @@
     pub fn new(config: Config, events: &EventLoop<'static, Node>) -> Result<Node, String> {
         let (listener, passed, post) = upgrade::listener(&config)?;
         let classes = config.classes.clone();
-        let front: Box<dyn Front> = match config.protocol {
+        let front: Box<dyn Frontend> = match config.protocol {
             Protocol::Platform => Box::new(Platform {
                 classes,
                 tenants: config.tenants.clone(),
--- a/crates/coordinator/tests/golden_frontends.rs
+++ b/crates/coordinator/tests/golden_frontends.rs
@@ -5,7 +5,7 @@
 use common::lines::Site;
 use driftfront::frontends::clickhouse::{ClickHouse, Rules};
 use driftfront::frontends::platform::Platform;
-use driftfront::frontends::{AnswerWriter, Classes, ConnectionAction, Front, Intake};
+use driftfront::frontends::{Classes, ConnectionAction, Frontend, Intake, ResponseWriter};
 use driftfront_core::{EngineId, Fate, ParsedRequest, ResponseChunk};
 use driftfront_http::{HttpError, Request};
 use driftfront_test_support::assert_golden;
@@ -63,9 +63,9 @@
 fn record(
     wire: &mut MessageTranscript,
     name: &str,
-    front: &mut dyn Front,
+    front: &mut dyn Frontend,
     request: Request,
-) -> Option<Box<dyn AnswerWriter>> {
+) -> Option<Box<dyn ResponseWriter>> {
     match front.parse_request(request, 1_000_000, 0) {
         Intake::Reply(bytes) => wire.record(&format!("{name}: reply"), bytes),
         Intake::Bad(bytes) => wire.record(&format!("{name}: bad"), bytes),
@@ -113,13 +113,13 @@
 }
 
 /// Writes one answer; what becomes of the connection where the writer says so.
-type Write<'a> = dyn Fn(&mut dyn AnswerWriter, &mut Vec<u8>) -> Option<ConnectionAction> + 'a;
+type Write<'a> = dyn Fn(&mut dyn ResponseWriter, &mut Vec<u8>) -> Option<ConnectionAction> + 'a;
 
 /// Every kind of answer that a writer may have to write.
 fn record_answers(
     wire: &mut MessageTranscript,
     name: &str,
-    mut writer: impl FnMut() -> Box<dyn AnswerWriter>,
+    mut writer: impl FnMut() -> Box<dyn ResponseWriter>,
 ) {
     let about = [
         ("X-ClickHouse-Query-Id", "q-1"),
