--- a/crates/coordinator/src/config.rs
+++ b/crates/coordinator/src/config.rs
@@ -1,7 +1,7 @@
 //! A coordinator's configuration: what the platform, or an operator's file, says.
 
-use crate::frontends::clickhouse::Rules;
-use crate::frontends::Classes;
+use crate::frontends::clickhouse::ClassRules;
+use crate::frontends::QueryClasses;
 use crate::operator_config;
 use driftfront_core::{Limits, Micros};
 use driftfront_scheduler::interface::Settings;
@@ -69,7 +69,7 @@
     /// Clients' and engines' interface.
     pub protocol: Protocol,
     /// What the ClickHouse front holds to.
-    pub clickhouse: Rules,
+    pub clickhouse: ClassRules,
     /// A result of a ClickHouse engine that stands still for this long is given up.
     pub stall: Micros,
     /// Bytes of results that wait for their clients, all together, where they come as they are made.
@@ -83,7 +83,7 @@
     /// The module's settings.
     pub settings: Settings,
     /// The classes as clients name them.
-    pub classes: Classes,
+    pub classes: QueryClasses,
     /// The tenants' names, by place.
     pub tenants: Rc<[String]>,
     /// Names of zones and of machine kinds, by place.
@@ -310,7 +310,7 @@
                 .unwrap_or_else(|_| crate::net::hash(seed.as_bytes())),
             sockets,
             protocol,
-            clickhouse: Rules {
+            clickhouse: ClassRules {
                 read: by_statement("read")?.unwrap_or(0),
                 write: by_statement("write")?.unwrap_or(0),
                 deduplicated: by_statement("deduplicated")?,
@@ -327,7 +327,7 @@
                 .list()
                 .unwrap_or(&[])
                 .to_vec(),
-            classes: Classes {
+            classes: QueryClasses {
                 names: classes.into(),
                 patience: profiles()
                     .map(|p| p.get("DeadlineUs").whole().unwrap_or(30_000_000))
--- a/crates/coordinator/src/frontends/clickhouse.rs
+++ b/crates/coordinator/src/frontends/clickhouse.rs
@@ -1,6 +1,6 @@
 //! ClickHouse's HTTP interface towards clients, on the language in `driftfront_clickhouse`.
 
-use super::{Classes, ConnectionAction, Frontend, Intake, KillRequest, ResponseWriter};
+use super::{ConnectionAction, Frontend, Intake, KillRequest, QueryClasses, ResponseWriter};
 use crate::backends::clickhouse::{FRAMES, HEADERS, TARGET};
 use crate::net::hash;
 use driftfront_clickhouse::exception::{marker, Exception, NETWORK_ERROR, TOO_MANY_QUERIES};
@@ -27,7 +27,7 @@
 
 /// What the operator's file says of this front.
 #[derive(Clone, Copy, Debug)]
-pub struct Rules {
+pub struct ClassRules {
     /// Class of statements that only read, and of the others, if the client names none.
     pub read: u16,
     /// See `read`.
@@ -42,8 +42,8 @@
 
 /// Reads ClickHouse clients' requests.
 pub struct ClickHouse {
-    classes: Classes,
-    rules: Rules,
+    classes: QueryClasses,
+    rules: ClassRules,
     seed: u64,
     /// The last query named here, and the last ticket.
     last: u64,
@@ -62,7 +62,7 @@
 
 impl ClickHouse {
     /// A front with no sessions yet.
-    pub fn new(classes: Classes, rules: Rules, seed: u64) -> ClickHouse {
+    pub fn new(classes: QueryClasses, rules: ClassRules, seed: u64) -> ClickHouse {
         ClickHouse {
             classes,
             rules,
--- a/crates/coordinator/src/frontends/mod.rs
+++ b/crates/coordinator/src/frontends/mod.rs
@@ -120,14 +120,14 @@
 
 /// The classes as clients name them.
 #[derive(Clone)]
-pub struct Classes {
+pub struct QueryClasses {
     /// Names, by place.
     pub names: Rc<[String]>,
     /// How long a client waits that does not say, by place.
     pub patience: Rc<[Micros]>,
 }
 
-impl Classes {
+impl QueryClasses {
     /// A class's place.
     pub fn place(&self, name: &str) -> Option<u16> {
         self.names.iter().position(|n| n == name).map(|n| n as u16)
--- a/crates/coordinator/src/frontends/platform.rs
+++ b/crates/coordinator/src/frontends/platform.rs
@@ -1,6 +1,6 @@
 //! The platform's front: a thin one. Statements come as POSTs, results go as JSON.
 
-use super::{Classes, ConnectionAction, Frontend, Intake, ResponseWriter};
+use super::{ConnectionAction, Frontend, Intake, QueryClasses, ResponseWriter};
 use driftfront_clickhouse::sql::table_group;
 use driftfront_core::{Micros, ParsedRequest, ResponseChunk};
 use driftfront_http::{header, response, Request, RequestLimits, MAX_HEAD_BYTES};
@@ -23,7 +23,7 @@
 /// Reads the platform's requests.
 pub struct Platform {
     /// The classes.
-    pub classes: Classes,
+    pub classes: QueryClasses,
     /// The tenants' names, by place in the settings.
     pub tenants: Rc<[String]>,
 }
@@ -261,7 +261,7 @@
         let (method, target, body) = ("POST".into(), path.into(), body.as_bytes().to_vec());
         let names: Vec<String> = vec!["lookup".into(), "member-load".into()];
         let mut front = Platform {
-            classes: Classes {
+            classes: QueryClasses {
                 names: names.into(),
                 patience: Rc::from([2_500_000, 25_000_000]),
             },
--- a/crates/coordinator/tests/golden_frontends.rs
+++ b/crates/coordinator/tests/golden_frontends.rs
@@ -3,9 +3,9 @@
 mod common;
 
 use common::lines::Site;
-use driftfront::frontends::clickhouse::{ClickHouse, Rules};
+use driftfront::frontends::clickhouse::{ClassRules, ClickHouse};
 use driftfront::frontends::platform::Platform;
-use driftfront::frontends::{Classes, ConnectionAction, Frontend, Intake, ResponseWriter};
+use driftfront::frontends::{ConnectionAction, Frontend, Intake, QueryClasses, ResponseWriter};
 use driftfront_core::{EngineId, Fate, ParsedRequest, ResponseChunk};
 use driftfront_http::{HttpError, Request};
 use driftfront_test_support::assert_golden;
@@ -29,9 +29,9 @@
     }
 }
 
-fn classes() -> Classes {
+fn classes() -> QueryClasses {
     let names: Vec<String> = vec!["lookup".into(), "member-load".into()];
-    Classes {
+    QueryClasses {
         names: names.into(),
         patience: Rc::from([2_500_000, 25_000_000]),
     }
@@ -266,7 +266,7 @@
 }
 
 fn clickhouse() -> ClickHouse {
-    let rules = Rules {
+    let rules = ClassRules {
         read: 0,
         write: 1,
         deduplicated: Some(0),
