--- a/crates/coordinator/src/backends/clickhouse.rs
+++ b/crates/coordinator/src/backends/clickhouse.rs
@@ -1,6 +1,6 @@
 //! ClickHouse's HTTP interface towards engines: one query at a time on a connection.
 
-use super::{Seen, Session, Start};
+use super::{EngineSession, Seen, Start};
 use driftfront_clickhouse::coding::Coding;
 use driftfront_clickhouse::exception::{code_of, proof, Exception, Proof, MAX_TEXT_BYTES};
 use driftfront_clickhouse::params::encode;
@@ -181,7 +181,7 @@
 }
 
 /// A connection's conversation over HTTP.
-pub struct Http {
+pub struct HttpSession {
     host: String,
     reader: ResponseReader,
     out: Out,
@@ -193,10 +193,10 @@
     spent: bool,
 }
 
-impl Http {
+impl HttpSession {
     /// A conversation with the engine at this address.
-    pub fn new(host: String) -> Http {
-        Http {
+    pub fn new(host: String) -> HttpSession {
+        HttpSession {
             host,
             reader: ResponseReader::with_early_header(PROGRESS),
             out: Out::Nothing,
@@ -274,7 +274,7 @@
     }
 }
 
-impl Session for Http {
+impl EngineSession for HttpSession {
     fn most(&self) -> usize {
         1
     }
--- a/crates/coordinator/src/backends/engine_protocol.rs
+++ b/crates/coordinator/src/backends/engine_protocol.rs
@@ -1,6 +1,6 @@
 //! The platform's engine wire: lines of words, many requests on one connection.
 
-use super::{Seen, Session, Start};
+use super::{EngineSession, Seen, Start};
 use driftfront_core::{
     AttemptKey, AttemptReport, Cause, Micros, Outcome, ProgressReport, ResponseChunk,
 };
@@ -122,7 +122,7 @@
 }
 
 /// A connection's conversation in lines.
-pub struct Lines {
+pub struct LineSession {
     reader: Reader,
     open: BTreeMap<Rc<str>, Open>,
     /// Ids that ended here without being served, the oldest first. An answer to the earlier attempt may still come, or come a
@@ -135,11 +135,11 @@
     within: Option<Micros>,
 }
 
-impl Lines {
+impl LineSession {
     /// A conversation that carries so many requests; `gauges` names a report's values in order.
-    pub fn new(most: usize, gauges: Rc<[String]>) -> Lines {
+    pub fn new(most: usize, gauges: Rc<[String]>) -> LineSession {
         let (reader, open, ended, probes) = Default::default();
-        Lines {
+        LineSession {
             reader,
             open,
             ended,
@@ -337,7 +337,7 @@
     }
 }
 
-impl Session for Lines {
+impl EngineSession for LineSession {
     fn most(&self) -> usize {
         self.most
     }
--- a/crates/coordinator/src/backends/mod.rs
+++ b/crates/coordinator/src/backends/mod.rs
@@ -45,7 +45,7 @@
 }
 
 /// One connection's conversation.
-pub trait Session {
+pub trait EngineSession {
     /// Attempts that may be out on it at once.
     fn most(&self) -> usize;
     /// Attempts out on it.
--- a/crates/coordinator/src/node/engines/mod.rs
+++ b/crates/coordinator/src/node/engines/mod.rs
@@ -5,7 +5,7 @@
 mod traffic;
 
 use super::{ConnectionId, EventSource, Node};
-use crate::backends::Session;
+use crate::backends::EngineSession;
 use crate::net::silence::{is_overdue, note_patience, NOTE_LATE, PROBE_LATE};
 use crate::net::{connect, out_of_descriptors, Link};
 use calloop::RegistrationToken;
@@ -54,7 +54,7 @@
     zone: Option<u16>,
     link: Link,
     token: Option<RegistrationToken>,
-    session: Box<dyn Session>,
+    session: Box<dyn EngineSession>,
     up: bool,
     connect_by: Micros,
     waiting: VecDeque<Work>,
--- a/crates/coordinator/src/node/mod.rs
+++ b/crates/coordinator/src/node/mod.rs
@@ -10,7 +10,7 @@
 mod upgrade;
 
 pub use self::cluster::read_keys;
-use crate::backends::{clickhouse::Http, engine_protocol::Lines, Session};
+use crate::backends::{clickhouse::HttpSession, engine_protocol::LineSession, EngineSession};
 use crate::clock::{Clock, Step, StepWatch};
 use crate::config::{Config, Protocol};
 use crate::discovery::backoff::{Backoff, Broken};
@@ -564,12 +564,13 @@
         self.execute_commands();
     }
 
-    fn session(&self, addr: SocketAddr) -> Box<dyn Session> {
+    fn session(&self, addr: SocketAddr) -> Box<dyn EngineSession> {
         match self.config.protocol {
-            Protocol::Platform => {
-                Box::new(Lines::new(self.config.streams, self.config.gauges.clone()))
-            }
-            Protocol::ClickHouse => Box::new(Http::new(addr.to_string())),
+            Protocol::Platform => Box::new(LineSession::new(
+                self.config.streams,
+                self.config.gauges.clone(),
+            )),
+            Protocol::ClickHouse => Box::new(HttpSession::new(addr.to_string())),
         }
     }
 
--- a/crates/coordinator/tests/golden_backends.rs
+++ b/crates/coordinator/tests/golden_backends.rs
@@ -1,8 +1,8 @@
 //! What is written to engines, and what is read of their answers.
 
-use driftfront::backends::clickhouse::{Http, FRAMES, HEADERS, TARGET};
-use driftfront::backends::engine_protocol::Lines;
-use driftfront::backends::{Seen, Session, Start};
+use driftfront::backends::clickhouse::{HttpSession, FRAMES, HEADERS, TARGET};
+use driftfront::backends::engine_protocol::LineSession;
+use driftfront::backends::{EngineSession, Seen, Start};
 use driftfront_core::{AttemptKey, ParsedRequest, RequestId};
 use driftfront_test_support::assert_golden;
 use driftfront_test_support::message_transcript::MessageTranscript;
@@ -35,9 +35,9 @@
     }
 }
 
-fn lines() -> Lines {
+fn lines() -> LineSession {
     let gauges = ["inflight".to_string(), "queue".into(), "x0".into()];
-    Lines::new(4, Rc::from(gauges))
+    LineSession::new(4, Rc::from(gauges))
 }
 
 /// What an answer brings, in words that do not hang on the names of types.
@@ -196,7 +196,7 @@
 #[test]
 fn clickhouse_requests_to_engines_are_written_as_ever() {
     let mut wire = MessageTranscript::default();
-    let mut http = Http::new("127.0.0.1:8123".into());
+    let mut http = HttpSession::new("127.0.0.1:8123".into());
     let mut out = Vec::new();
     let mut next = |out: &mut Vec<u8>, name: &str| wire.record(name, std::mem::take(out));
     http.start(&start(key(1), &ask("a b/c", b"SELECT 1")), &mut out);
@@ -287,7 +287,7 @@
         ("to the close", "HTTP/1.0 200 OK\r\n\r\n1\n".into()),
         ("no HTTP", "what\r\n".into()),
     ] {
-        let (mut http, mut seen) = (Http::new("h".into()), Vec::new());
+        let (mut http, mut seen) = (HttpSession::new("h".into()), Vec::new());
         let once = ParsedRequest {
             ..ask("client-name", b"SELECT 1")
         };
@@ -307,7 +307,7 @@
         ("probe", whole("200 OK", "", "Ok.\n")),
         ("probe, sick", whole("500 E", "", "oh\n")),
     ] {
-        let (mut http, mut seen) = (Http::new("h".into()), Vec::new());
+        let (mut http, mut seen) = (HttpSession::new("h".into()), Vec::new());
         http.probe(9, &mut Vec::new());
         http.feed(0, answer.as_bytes(), &mut Vec::new(), &mut seen)
             .unwrap();
--- a/crates/coordinator/tests/wires.rs
+++ b/crates/coordinator/tests/wires.rs
@@ -1,8 +1,8 @@
 //! Wires without sockets: random pieces of bytes and random steps against models of a connection's states.
 
-use driftfront::backends::clickhouse::Http;
-use driftfront::backends::engine_protocol::Lines;
-use driftfront::backends::{Seen, Session, Start};
+use driftfront::backends::clickhouse::HttpSession;
+use driftfront::backends::engine_protocol::LineSession;
+use driftfront::backends::{EngineSession, Seen, Start};
 use driftfront::discovery::etcd::Etcd;
 use driftfront::discovery::stream::Stream;
 use driftfront::discovery::{read, Watch};
@@ -137,7 +137,7 @@
     // The model: for each request open, how many of its three pages have come; and how often it ended without being served,
     // since its id goes by this connection no more then.
     fn follows(steps: Vec<Step>, cuts: Vec<u8>) -> bool {
-        let mut lines = Lines::new(32, Rc::from(["inflight".to_string()]));
+        let mut lines = LineSession::new(32, Rc::from(["inflight".to_string()]));
         let (mut model, mut probes): (BTreeMap<u8, usize>, Vec<u64>) =
             (BTreeMap::new(), Vec::new());
         let mut ended = [0usize; 4];
@@ -282,7 +282,7 @@
         number: 0,
     };
     let open = || {
-        let mut lines = Lines::new(32, Rc::from([]));
+        let mut lines = LineSession::new(32, Rc::from([]));
         lines.start(&start(key, &ask("c1")), &mut Vec::new());
         lines
     };
@@ -344,7 +344,7 @@
         number: 0,
     };
     for (name, fine) in [("c1", true), ("c0", false)] {
-        let (mut http, mut seen) = (Http::new("h".into()), Vec::new());
+        let (mut http, mut seen) = (HttpSession::new("h".into()), Vec::new());
         http.start(&start(key, &ask("c1")), &mut Vec::new());
         let answer = format!(
             "HTTP/1.1 200 OK\r\nX-ClickHouse-Query-Id: {name}\r\nContent-Length: 2\r\n\r\n1\n"
