--- a/crates/coordinator/src/backends/clickhouse.rs
+++ b/crates/coordinator/src/backends/clickhouse.rs
@@ -1,6 +1,6 @@
 //! ClickHouse's HTTP interface towards engines: one query at a time on a connection.
 
-use super::{EngineSession, Seen, Start};
+use super::{AttemptRequest, EngineEvent, EngineSession};
 use driftfront_clickhouse::coding::Coding;
 use driftfront_clickhouse::exception::{code_of, proof, Exception, Proof, MAX_TEXT_BYTES};
 use driftfront_clickhouse::params::encode;
@@ -116,7 +116,12 @@
     }
 
     /// A piece of the body has come; an error is for good.
-    fn body(&mut self, key: AttemptKey, bytes: Vec<u8>, seen: &mut Vec<Seen>) -> Result<(), Fault> {
+    fn body(
+        &mut self,
+        key: AttemptKey,
+        bytes: Vec<u8>,
+        seen: &mut Vec<EngineEvent>,
+    ) -> Result<(), Fault> {
         if self.is_error() {
             let room = MAX_TEXT_BYTES.saturating_sub(self.held.len());
             self.held.extend_from_slice(&bytes[..bytes.len().min(room)]);
@@ -136,7 +141,7 @@
         Ok(())
     }
 
-    fn pass(&mut self, key: AttemptKey, last: bool, seen: &mut Vec<Seen>) {
+    fn pass(&mut self, key: AttemptKey, last: bool, seen: &mut Vec<EngineEvent>) {
         let call = std::mem::take(&mut self.call);
         let about = if self.passing {
             Vec::new()
@@ -145,7 +150,7 @@
         };
         let last = last && !std::mem::replace(&mut self.passing, true);
         let rows = std::mem::take(&mut self.held);
-        seen.push(Seen::ResponseChunk(
+        seen.push(EngineEvent::ResponseChunk(
             key,
             ResponseChunk {
                 about,
@@ -156,19 +161,19 @@
     }
 
     /// The answer is over, or (`cut`) the connection is.
-    fn end(&mut self, key: AttemptKey, cut: bool, seen: &mut Vec<Seen>) {
+    fn end(&mut self, key: AttemptKey, cut: bool, seen: &mut Vec<EngineEvent>) {
         if self.is_error() {
             let words = String::from_utf8_lossy(&self.held).trim_end().to_string();
             let code = self.code().or_else(|| code_of(&words));
             let status = self.head.as_ref().map_or(0, |h| h.status);
-            return seen.push(Seen::Failed(key, cause(code, status, &words)));
+            return seen.push(EngineEvent::Failed(key, cause(code, status, &words)));
         }
         if let Some(Err(fault)) = self.watch.as_mut().map(|w| w.end(cut)) {
             // A connection that is cut says by itself that the result is not whole.
             if cut && !matches!(fault, Fault::Exception(_)) {
                 return;
             }
-            return seen.push(Seen::Failed(key, cause_of(&fault)));
+            return seen.push(EngineEvent::Failed(key, cause_of(&fault)));
         }
         if cut {
             return;
@@ -176,7 +181,7 @@
         if !self.passing || !self.held.is_empty() {
             self.pass(key, true, seen);
         }
-        seen.push(Seen::Served(key));
+        seen.push(EngineEvent::Served(key));
     }
 }
 
@@ -207,14 +212,17 @@
         }
     }
 
-    fn part(&mut self, part: ResponsePart, seen: &mut Vec<Seen>) -> Result<(), String> {
+    fn part(&mut self, part: ResponsePart, seen: &mut Vec<EngineEvent>) -> Result<(), String> {
         match part {
             ResponsePart::EarlyHeader(value) => {
                 let Out::Query(key) = self.out else {
                     return Ok(());
                 };
                 if let Some(share) = share_done(&value) {
-                    seen.push(Seen::ProgressReported(key, ProgressReport::Progress(share)));
+                    seen.push(EngineEvent::ProgressReported(
+                        key,
+                        ProgressReport::Progress(share),
+                    ));
                 }
                 self.answer.progress = Some(value);
             }
@@ -238,7 +246,7 @@
                 }
                 self.answer.head = Some(head);
                 match self.out {
-                    Out::Query(key) => seen.push(Seen::Begun(key)),
+                    Out::Query(key) => seen.push(EngineEvent::Begun(key)),
                     Out::Probe(_) => {}
                     Out::Nothing => return Err("an answer that nobody asked for".into()),
                 }
@@ -247,7 +255,7 @@
                 if let Out::Query(key) = self.out {
                     if let Err(fault) = self.answer.body(key, bytes, seen) {
                         (self.out, self.spent) = (Out::Nothing, true);
-                        seen.push(Seen::Failed(key, cause_of(&fault)));
+                        seen.push(EngineEvent::Failed(key, cause_of(&fault)));
                         return Err(fault.to_string());
                     }
                 }
@@ -257,12 +265,12 @@
         Ok(())
     }
 
-    fn over(&mut self, seen: &mut Vec<Seen>) {
+    fn over(&mut self, seen: &mut Vec<EngineEvent>) {
         match std::mem::replace(&mut self.out, Out::Nothing) {
             Out::Query(key) => self.answer.end(key, false, seen),
             Out::Probe(tag) => {
                 let fine = !self.answer.is_error();
-                seen.push(Seen::ProbeEnded(
+                seen.push(EngineEvent::ProbeEnded(
                     tag,
                     if fine { Outcome::Ok } else { Outcome::Error },
                     Vec::new(),
@@ -306,7 +314,7 @@
     fn is_streaming(&self) -> bool {
         matches!(self.out, Out::Query(_)) && self.answer.head.is_some()
     }
-    fn start(&mut self, start: &Start, out: &mut Vec<u8>) {
+    fn start(&mut self, start: &AttemptRequest, out: &mut Vec<u8>) {
         // The engine's own limit follows the coordinator's wait: what nobody waits for should not run on.
         let seconds = start.patience.div_ceil(1_000_000).max(1);
         let mut head = String::with_capacity(512);
@@ -380,7 +388,7 @@
         _now: Micros,
         input: &[u8],
         _out: &mut Vec<u8>,
-        seen: &mut Vec<Seen>,
+        seen: &mut Vec<EngineEvent>,
     ) -> Result<(), String> {
         self.reader.push(input);
         while let Some(part) = self
@@ -392,7 +400,7 @@
         }
         Ok(())
     }
-    fn ended(&mut self, seen: &mut Vec<Seen>) {
+    fn ended(&mut self, seen: &mut Vec<EngineEvent>) {
         if self.reader.is_complete_at_close() {
             self.over(seen);
         } else if let Out::Query(key) = self.out {
--- a/crates/coordinator/src/backends/engine_protocol.rs
+++ b/crates/coordinator/src/backends/engine_protocol.rs
@@ -1,6 +1,6 @@
 //! The platform's engine wire: lines of words, many requests on one connection.
 
-use super::{EngineSession, Seen, Start};
+use super::{AttemptRequest, EngineEvent, EngineSession};
 use driftfront_core::{
     AttemptKey, AttemptReport, Cause, Micros, Outcome, ProgressReport, ResponseChunk,
 };
@@ -180,7 +180,7 @@
         now: Micros,
         answer: Answer,
         out: &mut Vec<u8>,
-        seen: &mut Vec<Seen>,
+        seen: &mut Vec<EngineEvent>,
     ) -> Result<(), String> {
         let report = self.report(&answer);
         let cause = match answer.word.as_str() {
@@ -192,7 +192,7 @@
                     } else {
                         Outcome::Error
                     };
-                    seen.push(Seen::ProbeEnded(
+                    seen.push(EngineEvent::ProbeEnded(
                         self.probes.swap_remove(n),
                         outcome,
                         report,
@@ -214,16 +214,16 @@
         let key = open.key;
         if let Some(cause) = cause {
             self.end(&answer.id);
-            seen.push(Seen::AttemptReport(
+            seen.push(EngineEvent::AttemptReport(
                 key,
                 AttemptReport {
                     report,
                     ..AttemptReport::default()
                 },
             ));
-            seen.push(Seen::Failed(key, cause));
+            seen.push(EngineEvent::Failed(key, cause));
         } else if answer.word == "INFO" {
-            seen.extend(note(&answer).map(|note| Seen::ProgressReported(key, note)));
+            seen.extend(note(&answer).map(|note| EngineEvent::ProgressReported(key, note)));
         } else {
             let told = AttemptReport {
                 report,
@@ -232,10 +232,10 @@
             };
             match open.page(now, &answer, told) {
                 Ok(false) => return Ok(()),
-                Ok(true) => seen.push(Seen::Begun(key)),
+                Ok(true) => seen.push(EngineEvent::Begun(key)),
                 Err(e) => {
                     self.open.remove(&*answer.id);
-                    seen.push(Seen::Failed(key, Cause::MalformedResponse(e.into())));
+                    seen.push(EngineEvent::Failed(key, Cause::MalformedResponse(e.into())));
                     return Err(format!("{}: {e}", answer.word));
                 }
             }
@@ -249,7 +249,7 @@
                 }
                 if let Some(done) = self.open.remove(&*answer.id) {
                     let rows = done.pages.into_iter().flatten().flatten().collect();
-                    seen.push(Seen::ResponseChunk(
+                    seen.push(EngineEvent::ResponseChunk(
                         key,
                         ResponseChunk {
                             about: Vec::new(),
@@ -257,8 +257,8 @@
                             rows,
                         },
                     ));
-                    seen.push(Seen::AttemptReport(key, done.told));
-                    seen.push(Seen::Served(key));
+                    seen.push(EngineEvent::AttemptReport(key, done.told));
+                    seen.push(EngineEvent::Served(key));
                 }
             }
         }
@@ -357,7 +357,7 @@
     fn is_idle(&self) -> bool {
         self.open.is_empty() && self.probes.is_empty()
     }
-    fn start(&mut self, start: &Start, out: &mut Vec<u8>) {
+    fn start(&mut self, start: &AttemptRequest, out: &mut Vec<u8>) {
         let ms = (start.patience / 1000).max(1);
         let length = start.ask.statement.len();
         let mut fields = format!("kind={},ms={ms}", start.class);
@@ -407,7 +407,7 @@
         now: Micros,
         input: &[u8],
         out: &mut Vec<u8>,
-        seen: &mut Vec<Seen>,
+        seen: &mut Vec<EngineEvent>,
     ) -> Result<(), String> {
         self.reader.push(input);
         while let Some(answer) = self.reader.next_answer()? {
@@ -420,7 +420,12 @@
             .then_some(self.within.unwrap_or(now));
         Ok(())
     }
-    fn tend(&mut self, now: Micros, out: &mut Vec<u8>, seen: &mut Vec<Seen>) -> Result<(), String> {
+    fn tend(
+        &mut self,
+        now: Micros,
+        out: &mut Vec<u8>,
+        seen: &mut Vec<EngineEvent>,
+    ) -> Result<(), String> {
         if self.within.is_some_and(|since| now > since + STALL) {
             return Err("an answer stopped short".into());
         }
@@ -433,13 +438,14 @@
             }
         }
         for id in late {
-            let failed =
-                |key| Seen::Failed(key, Cause::MalformedResponse("its pages never came".into()));
+            let failed = |key| {
+                EngineEvent::Failed(key, Cause::MalformedResponse("its pages never came".into()))
+            };
             seen.extend(self.end(&id).map(failed));
         }
         Ok(())
     }
-    fn ended(&mut self, _seen: &mut Vec<Seen>) {}
+    fn ended(&mut self, _seen: &mut Vec<EngineEvent>) {}
     fn is_spent(&self) -> bool {
         false
     }
--- a/crates/coordinator/src/backends/mod.rs
+++ b/crates/coordinator/src/backends/mod.rs
@@ -9,7 +9,7 @@
 
 /// What an engine's connection has brought.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Seen {
+pub enum EngineEvent {
     /// Word on an attempt.
     ProgressReported(AttemptKey, ProgressReport),
     /// The answer has begun.
@@ -27,7 +27,7 @@
 }
 
 /// An attempt to be written.
-pub struct Start<'a> {
+pub struct AttemptRequest<'a> {
     /// Which.
     pub key: AttemptKey,
     /// The request.
@@ -79,7 +79,7 @@
     /// Whether anything is out on it, probes too.
     fn is_idle(&self) -> bool;
     /// Writes an attempt.
-    fn start(&mut self, start: &Start, out: &mut Vec<u8>);
+    fn start(&mut self, start: &AttemptRequest, out: &mut Vec<u8>);
     /// Gives an attempt up; false if only closing the connection does that.
     fn stop(&mut self, key: AttemptKey, out: &mut Vec<u8>) -> bool;
     /// Writes a probe.
@@ -92,19 +92,19 @@
         now: Micros,
         input: &[u8],
         out: &mut Vec<u8>,
-        seen: &mut Vec<Seen>,
+        seen: &mut Vec<EngineEvent>,
     ) -> Result<(), String>;
     /// Time has passed: what should have come by now is asked for again or ended.
     fn tend(
         &mut self,
         _now: Micros,
         _out: &mut Vec<u8>,
-        _seen: &mut Vec<Seen>,
+        _seen: &mut Vec<EngineEvent>,
     ) -> Result<(), String> {
         Ok(())
     }
     /// The engine has ended its side.
-    fn ended(&mut self, seen: &mut Vec<Seen>);
+    fn ended(&mut self, seen: &mut Vec<EngineEvent>);
     /// Whether the connection can't be used again.
     fn is_spent(&self) -> bool;
 }
--- a/crates/coordinator/src/node/engines/traffic.rs
+++ b/crates/coordinator/src/node/engines/traffic.rs
@@ -1,7 +1,7 @@
 //! What is written to engines and read from them, as far as each side takes it.
 
 use super::{Work, BACKLOG_LEAST, BACKLOG_MOST, CHECK_TAG, READ_AT_ONCE, STREAMS_MANY, TURN};
-use crate::backends::{Seen, Start};
+use crate::backends::{AttemptRequest, EngineEvent};
 use crate::config::Protocol;
 use crate::net::ReadEnd;
 use crate::node::clients::Body;
@@ -122,7 +122,7 @@
                         .then(|| self.core.name_on_engine(key));
                     let name = other.as_ref().map_or(&*taken.ask.call, |o| o);
                     let grant_mb = self.core.grant_mb(key);
-                    let start = Start {
+                    let start = AttemptRequest {
                         key,
                         ask: taken.ask,
                         class,
@@ -348,16 +348,16 @@
         }
     }
 
-    fn take_seen(&mut self, now: Micros, seen: Vec<Seen>) {
+    fn take_seen(&mut self, now: Micros, seen: Vec<EngineEvent>) {
         for each in seen {
             match each {
-                Seen::ProgressReported(key, note) => {
+                EngineEvent::ProgressReported(key, note) => {
                     self.core.record_progress_report(now, key, note)
                 }
-                Seen::Begun(key) => self.core.record_progress(key, Progress::AnswerBegun),
-                Seen::ResponseChunk(key, piece) => self.core.forward_chunk(key, piece),
-                Seen::AttemptReport(key, told) => self.core.record_attempt_report(key, told),
-                Seen::Served(key) => {
+                EngineEvent::Begun(key) => self.core.record_progress(key, Progress::AnswerBegun),
+                EngineEvent::ResponseChunk(key, piece) => self.core.forward_chunk(key, piece),
+                EngineEvent::AttemptReport(key, told) => self.core.record_attempt_report(key, told),
+                EngineEvent::Served(key) => {
                     if let Some((engine, sent)) = self
                         .core
                         .attempt_engine(key)
@@ -367,9 +367,9 @@
                     }
                     self.core.complete_attempt(now, key);
                 }
-                Seen::Failed(key, cause) => self.attempt_failed(now, key, cause),
-                Seen::ProbeEnded(CHECK_TAG, ..) => {}
-                Seen::ProbeEnded(tag, outcome, report) => {
+                EngineEvent::Failed(key, cause) => self.attempt_failed(now, key, cause),
+                EngineEvent::ProbeEnded(CHECK_TAG, ..) => {}
+                EngineEvent::ProbeEnded(tag, outcome, report) => {
                     self.core.record_probe(now, tag, outcome, &report)
                 }
             }
--- a/crates/coordinator/tests/golden_backends.rs
+++ b/crates/coordinator/tests/golden_backends.rs
@@ -2,7 +2,7 @@
 
 use driftfront::backends::clickhouse::{HttpSession, FRAMES, HEADERS, TARGET};
 use driftfront::backends::engine_protocol::LineSession;
-use driftfront::backends::{EngineSession, Seen, Start};
+use driftfront::backends::{AttemptRequest, EngineEvent, EngineSession};
 use driftfront_core::{AttemptKey, ParsedRequest, RequestId};
 use driftfront_test_support::assert_golden;
 use driftfront_test_support::message_transcript::MessageTranscript;
@@ -15,8 +15,8 @@
     }
 }
 
-fn start<'a>(key: AttemptKey, ask: &'a ParsedRequest) -> Start<'a> {
-    Start {
+fn start<'a>(key: AttemptKey, ask: &'a ParsedRequest) -> AttemptRequest<'a> {
+    AttemptRequest {
         key,
         ask,
         class: "member-load",
@@ -41,28 +41,30 @@
 }
 
 /// What an answer brings, in words that do not hang on the names of types.
-fn shown(seen: &[Seen]) -> String {
+fn shown(seen: &[EngineEvent]) -> String {
     let mut text = String::new();
     for each in seen {
         text += &match each {
-            Seen::ProgressReported(k, note) => {
+            EngineEvent::ProgressReported(k, note) => {
                 format!("{} note {}\n", k.request.0, shown_note(note))
             }
-            Seen::Begun(k) => format!("{} begun\n", k.request.0),
-            Seen::ResponseChunk(k, piece) => format!(
+            EngineEvent::Begun(k) => format!("{} begun\n", k.request.0),
+            EngineEvent::ResponseChunk(k, piece) => format!(
                 "{} piece {:?} whole {} {}\n",
                 k.request.0,
                 piece.about,
                 piece.whole,
                 piece.rows.escape_ascii()
             ),
-            Seen::Told(k, told) => format!(
+            EngineEvent::Told(k, told) => format!(
                 "{} report {:?} work {:?} memory {:?}\n",
                 k.request.0, told.report, told.work, told.memory_mb
             ),
-            Seen::Served(k) => format!("{} served\n", k.request.0),
-            Seen::Failed(k, cause) => format!("{} failed: {}\n", k.request.0, shown_cause(cause)),
-            Seen::Probed(tag, outcome, report) => {
+            EngineEvent::Served(k) => format!("{} served\n", k.request.0),
+            EngineEvent::Failed(k, cause) => {
+                format!("{} failed: {}\n", k.request.0, shown_cause(cause))
+            }
+            EngineEvent::Probed(tag, outcome, report) => {
                 format!("probe {tag} {outcome:?} {report:?}\n")
             }
         };
@@ -108,7 +110,7 @@
             "INSERT INTO t VALUES ('\u{e9}')\n".as_bytes(),
         )
     };
-    let granted = Start {
+    let granted = AttemptRequest {
         grant_mb: 511.2,
         patience: 1,
         ..start(key(2), &token)
@@ -116,7 +118,7 @@
     lines.start(&granted, &mut out);
     next(&mut out, "attempt with a token and a grant, out of time");
     let most = ask("9b1f03aa5c7e2d43", b"");
-    let granted = Start {
+    let granted = AttemptRequest {
         grant_mb: 1e12,
         patience: 25_000_000,
         ..start(key(3), &most)
@@ -216,7 +218,7 @@
         about: Rc::from(about),
         ..ask("q-1", b"SELECT 2")
     };
-    let noted = Start {
+    let noted = AttemptRequest {
         name: "q-1-2",
         notes_every: Some(250_000),
         patience: 30_000_000,
@@ -291,7 +293,7 @@
         let once = ParsedRequest {
             ..ask("client-name", b"SELECT 1")
         };
-        let started = Start {
+        let started = AttemptRequest {
             name: "q",
             ..start(key(1), &once)
         };
--- a/crates/coordinator/tests/wires.rs
+++ b/crates/coordinator/tests/wires.rs
@@ -2,7 +2,7 @@
 
 use driftfront::backends::clickhouse::HttpSession;
 use driftfront::backends::engine_protocol::LineSession;
-use driftfront::backends::{EngineSession, Seen, Start};
+use driftfront::backends::{AttemptRequest, EngineEvent, EngineSession};
 use driftfront::discovery::etcd::Etcd;
 use driftfront::discovery::stream::Stream;
 use driftfront::discovery::{read, Watch};
@@ -106,7 +106,7 @@
 /// What an engine or the coordinator does next on a connection in lines.
 #[derive(Clone, Debug)]
 enum Step {
-    Start(u8),
+    AttemptRequest(u8),
     Page(u8, bool),
     ProgressReport(u8),
     End(u8, bool),
@@ -120,7 +120,7 @@
     fn arbitrary(g: &mut Gen) -> Step {
         let id = u8::arbitrary(g) % 4;
         match u8::arbitrary(g) % 20 {
-            0..=4 => Step::Start(id),
+            0..=4 => Step::AttemptRequest(id),
             5..=11 => Step::Page(id, bool::arbitrary(g)),
             12 => Step::ProgressReport(id),
             13..=14 => Step::End(id, bool::arbitrary(g)),
@@ -153,12 +153,12 @@
             let earlier =
                 |id: u8| Some(format!("c{id}.{}", times[usize::from(id)].checked_sub(1)?));
             match *step {
-                Step::Start(id) if !model.contains_key(&id) => {
+                Step::AttemptRequest(id) if !model.contains_key(&id) => {
                     let ask = ask(&call(id));
                     assert!(lines.takes(&ask.call));
                     assert!(earlier(id).is_none_or(|call| !lines.takes(&call)));
                     lines.start(
-                        &Start {
+                        &AttemptRequest {
                             patience: 1_500_999,
                             ..start(key(id), &ask)
                         },
@@ -170,7 +170,7 @@
                     );
                     model.insert(id, 0);
                 }
-                Step::Start(id) => assert!(!lines.takes(&call(id))),
+                Step::AttemptRequest(id) => assert!(!lines.takes(&call(id))),
                 Step::Page(id, twice) => {
                     let come = model.get(&id).copied().unwrap_or(0);
                     text = match come {
@@ -185,7 +185,7 @@
                         text = format!("{text}{text}{other} HIT fetches=1 0\r\n\r\n");
                     }
                     if model.contains_key(&id) {
-                        want.push(Seen::Begun(key(id)));
+                        want.push(EngineEvent::Begun(key(id)));
                         model.insert(id, come + 1);
                     }
                     if come == 2 {
@@ -196,9 +196,9 @@
                             whole: true,
                         };
                         want.extend([
-                            Seen::ResponseChunk(key(id), piece),
+                            EngineEvent::ResponseChunk(key(id), piece),
                             told(key(id)),
-                            Seen::Served(key(id)),
+                            EngineEvent::Served(key(id)),
                         ]);
                         model.remove(&id);
                     }
@@ -209,7 +209,7 @@
                     want.extend(
                         model
                             .contains_key(&id)
-                            .then_some(Seen::ProgressReported(key(id), note)),
+                            .then_some(EngineEvent::ProgressReported(key(id), note)),
                     );
                 }
                 Step::End(id, full) => {
@@ -225,7 +225,7 @@
                     };
                     if model.remove(&id).is_some() {
                         ended[usize::from(id)] += 1;
-                        want.extend([told(key(id)), Seen::Failed(key(id), cause)]);
+                        want.extend([told(key(id)), EngineEvent::Failed(key(id), cause)]);
                     }
                 }
                 Step::Stop(id) => {
@@ -246,7 +246,7 @@
                 Step::Pong if !probes.is_empty() => {
                     let tag = probes.remove(0);
                     text = format!("p{tag} PONG gauges=inflight:7;queue:1 0\r\n\r\n");
-                    want.push(Seen::ProbeEnded(
+                    want.push(EngineEvent::ProbeEnded(
                         tag,
                         driftfront_core::Outcome::Ok,
                         vec![7.0],
@@ -304,7 +304,8 @@
                 .is_err(),
             "{answer}"
         );
-        let spoilt = matches!(seen[..], [Seen::Failed(k, Cause::MalformedResponse(_))] if k == key);
+        let spoilt =
+            matches!(seen[..], [EngineEvent::Failed(k, Cause::MalformedResponse(_))] if k == key);
         assert_eq!(
             (spoilt, lines.open().is_empty()),
             (known, known),
@@ -332,7 +333,7 @@
     seen.clear();
     lines.tend(1_300_000, &mut out, &mut seen).unwrap();
     assert!(
-        matches!(seen[..], [Seen::Failed(k, Cause::MalformedResponse(_))] if k == key)
+        matches!(seen[..], [EngineEvent::Failed(k, Cause::MalformedResponse(_))] if k == key)
             && lines.is_idle()
     );
 }
@@ -354,13 +355,13 @@
                 .is_ok(),
             fine
         );
-        assert_eq!(seen.contains(&Seen::Served(key)), fine);
+        assert_eq!(seen.contains(&EngineEvent::Served(key)), fine);
     }
 }
 
 /// An attempt under its request's own name.
-fn start(key: AttemptKey, ask: &ParsedRequest) -> Start<'_> {
-    Start {
+fn start(key: AttemptKey, ask: &ParsedRequest) -> AttemptRequest<'_> {
+    AttemptRequest {
         key,
         ask,
         class: "k",
@@ -372,8 +373,8 @@
 }
 
 /// An engine that tells nothing of itself or the query.
-fn told(key: AttemptKey) -> Seen {
-    Seen::AttemptReport(key, AttemptReport::default())
+fn told(key: AttemptKey) -> EngineEvent {
+    EngineEvent::AttemptReport(key, AttemptReport::default())
 }
 
 fn ask(call: &str) -> ParsedRequest {
