--- a/crates/coordinator/src/discovery/backoff.rs
+++ b/crates/coordinator/src/discovery/backoff.rs
@@ -12,9 +12,9 @@
 
 /// Why a connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Broken {
+pub enum Disconnect {
     /// It was closed, refused, or broke.
-    Off,
+    Closed,
     /// Nothing came on it. A source falls silent for all coordinators at one moment, and all notice it at one.
     Silent,
 }
@@ -51,10 +51,10 @@
     }
 
     /// The connection has ended: when the next may be opened.
-    pub fn again(&mut self, now: Micros, why: Broken) -> Micros {
+    pub fn again(&mut self, now: Micros, why: Disconnect) -> Micros {
         let wait = (AGAIN << self.failures.min(8)).min(AGAIN_MOST);
         (self.failures, self.up, self.calls) = (self.failures + 1, None, self.calls + 1);
-        let (least, most) = if why == Broken::Silent {
+        let (least, most) = if why == Disconnect::Silent {
             (0, AGAIN_MOST)
         } else {
             (wait / 2, wait)
@@ -66,10 +66,10 @@
 
 #[cfg(test)]
 mod tests {
-    use super::{Backoff, Broken, AGAIN, AGAIN_MOST};
+    use super::{Backoff, Disconnect, AGAIN, AGAIN_MOST};
 
     /// Calls of a fleet in the fullest 10 ms, where each is broken off this long after it was made.
-    fn crowd(why: Broken, after: u64) -> usize {
+    fn crowd(why: Disconnect, after: u64) -> usize {
         let mut calls = std::collections::BTreeMap::<u64, usize>::new();
         for seed in 0..100 {
             let (mut backoff, mut now) = (Backoff::new(seed), 0);
@@ -85,9 +85,9 @@
     #[test]
     fn a_source_that_fails_for_all_at_once_is_not_called_by_all_at_once() {
         assert!(
-            crowd(Broken::Silent, 2_000_000) < 15,
+            crowd(Disconnect::Silent, 2_000_000) < 15,
             "{}",
-            crowd(Broken::Silent, 2_000_000)
+            crowd(Disconnect::Silent, 2_000_000)
         );
     }
 
@@ -97,12 +97,12 @@
         let mut now = 0;
         for _ in 0..12 {
             backoff.heard(now);
-            now = backoff.again(now + 1_000, Broken::Off);
+            now = backoff.again(now + 1_000, Disconnect::Closed);
         }
         assert!(now > 6 * AGAIN_MOST / 2, "twelve calls within {now} µs");
         // One that has told something for long is called at once again.
         backoff.heard(now);
         backoff.heard(now + 2_000_000);
-        assert!(backoff.again(now + 2_000_000, Broken::Off) <= now + 2_000_000 + AGAIN);
+        assert!(backoff.again(now + 2_000_000, Disconnect::Closed) <= now + 2_000_000 + AGAIN);
     }
 }
--- a/crates/coordinator/src/node/discovery_client.rs
+++ b/crates/coordinator/src/node/discovery_client.rs
@@ -2,7 +2,7 @@
 
 use super::{ConnectionId, EventSource, Node};
 use crate::config::{Config, DiscoverySource};
-use crate::discovery::backoff::{Backoff, Broken};
+use crate::discovery::backoff::{Backoff, Disconnect};
 use crate::discovery::{etcd::Etcd, file::File, read, stream::Stream, Watch};
 use crate::net::{connect, Link, ReadEnd};
 use calloop::RegistrationToken;
@@ -155,7 +155,7 @@
                 } else {
                     "connect timed out"
                 };
-                self.drop_feed(now, why, Broken::Silent);
+                self.drop_feed(now, why, Disconnect::Silent);
             }
         }
         if self.feed.conn.is_none() && now >= self.feed.next_try {
@@ -174,12 +174,12 @@
                         heard: now,
                     });
                 }
-                Err(e) => self.drop_feed(now, &e, Broken::Off),
+                Err(e) => self.drop_feed(now, &e, Disconnect::Closed),
             }
         }
     }
 
-    pub(super) fn drop_feed(&mut self, now: Micros, why: &str, how: Broken) {
+    pub(super) fn drop_feed(&mut self, now: Micros, why: &str, how: Disconnect) {
         tracing::info!("engine list: {why}");
         if let Some(mut conn) = self.feed.conn.take() {
             self.unregister(conn.token.take());
@@ -189,7 +189,7 @@
 
     pub(super) fn feed_ready(&mut self, now: Micros, id: ConnectionId) {
         if let Err(why) = self.feed_work(now, id) {
-            self.drop_feed(now, &why, Broken::Off);
+            self.drop_feed(now, &why, Disconnect::Closed);
         }
     }
 
--- a/crates/coordinator/src/node/mod.rs
+++ b/crates/coordinator/src/node/mod.rs
@@ -13,7 +13,7 @@
 use crate::backends::{clickhouse::HttpSession, engine_protocol::LineSession, EngineSession};
 use crate::clock::{Clock, Step, StepWatch};
 use crate::config::{Config, Protocol};
-use crate::discovery::backoff::{Backoff, Broken};
+use crate::discovery::backoff::{Backoff, Disconnect};
 use crate::discovery::read;
 use crate::frontends::clickhouse::ClickHouse;
 use crate::frontends::{platform::Platform, ConnectionAction, Frontend};
@@ -307,7 +307,7 @@
             EventSource::Listener => {}
             EventSource::Client(id) => self.drop_client(now, id),
             EventSource::Engine(id) => self.drop_engine(now, id, "a panic"),
-            EventSource::Feed(_) => self.drop_feed(now, "a panic", Broken::Off),
+            EventSource::Feed(_) => self.drop_feed(now, "a panic", Disconnect::Closed),
             EventSource::Operators(_) | EventSource::Management | EventSource::Cluster => {}
             EventSource::Operator(id) => self.drop_operator(id),
             EventSource::Caller(id) => self.drop_caller(id),
