--- a/crates/coordinator/src/discovery/etcd.rs
+++ b/crates/coordinator/src/discovery/etcd.rs
@@ -3,7 +3,7 @@
 //! Each key under the prefix is one engine; its value is an object as the platform's list has it
 //! (`hostPort`, `zone`, `machineType`, `cell`, `lifecycle`), and the rest of the key is its instance id.
 
-use super::Watch;
+use super::EngineListWatch;
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine as _;
 use driftfront_core::Micros;
@@ -168,7 +168,7 @@
     }
 }
 
-impl Watch for Etcd {
+impl EngineListWatch for Etcd {
     fn open(&mut self) -> Vec<u8> {
         self.http = ResponseReader::default();
         self.text.clear();
--- a/crates/coordinator/src/discovery/mod.rs
+++ b/crates/coordinator/src/discovery/mod.rs
@@ -13,7 +13,7 @@
 use tinyjson::JsonValue;
 
 /// A list that is watched over one connection, which may be opened again and again.
-pub trait Watch {
+pub trait EngineListWatch {
     /// A new connection is up: what to write on it.
     fn open(&mut self) -> Vec<u8>;
     /// Bytes have come: updates to the list, and what to write; an error ends the connection.
@@ -30,7 +30,7 @@
 }
 
 /// What an update says.
-pub struct Update {
+pub struct EngineListUpdate {
     /// The whole list, or changes to it.
     pub kind: ListKind,
     /// Engines.
@@ -38,11 +38,11 @@
     /// Other coordinators, and where their datagrams go: lines with `coordinator` instead of `hostPort`.
     pub coordinators: Vec<(String, SocketAddr)>,
     /// What of it can't be used, in words.
-    pub odd: Vec<String>,
+    pub rejected_entries: Vec<String>,
 }
 
 /// What an update of the platform's form says.
-pub fn read(zones: &[String], kinds: &[String], update: Json) -> Result<Update, String> {
+pub fn read(zones: &[String], kinds: &[String], update: Json) -> Result<EngineListUpdate, String> {
     let body = update.get("endpoints");
     let listed = body
         .get("instances")
@@ -53,11 +53,11 @@
     } else {
         ListKind::Changes
     };
-    let mut told = Update {
+    let mut told = EngineListUpdate {
         kind,
         facts: Vec::new(),
         coordinators: Vec::new(),
-        odd: Vec::new(),
+        rejected_entries: Vec::new(),
     };
     for entry in listed {
         let entry = Json(Some(entry));
@@ -66,7 +66,7 @@
             Some(addr) => coordinator(entry, addr).map(|c| told.coordinators.push(c)),
             None => fact(zones, kinds, entry).map(|f| told.facts.push(f)),
         };
-        told.odd.extend(done.err());
+        told.rejected_entries.extend(done.err());
     }
     Ok(told)
 }
--- a/crates/coordinator/src/discovery/stream.rs
+++ b/crates/coordinator/src/discovery/stream.rs
@@ -1,6 +1,6 @@
 //! The platform's list: server-sent events over HTTP. Without sockets: bytes in, events out.
 
-use super::Watch;
+use super::EngineListWatch;
 use driftfront_core::Micros;
 use driftfront_http::{ResponsePart, ResponseReader};
 use driftfront_settings::json::{parse, Json};
@@ -129,7 +129,7 @@
     }
 }
 
-impl Watch for Stream {
+impl EngineListWatch for Stream {
     fn open(&mut self) -> Vec<u8> {
         (self.http, self.events) = Default::default();
         let (host, last) = (&self.host, self.last);
--- a/crates/coordinator/src/node/cluster.rs
+++ b/crates/coordinator/src/node/cluster.rs
@@ -5,7 +5,7 @@
 
 use super::{EventSource, Node};
 use crate::config::ClusterConfig;
-use crate::discovery::Update;
+use crate::discovery::EngineListUpdate;
 use driftfront_cluster::{
     Cluster, Identity, Keyring, MemberMetadata, MemberStatus, Options, State, DATAGRAM_MOST,
 };
@@ -202,7 +202,7 @@
     }
 
     /// The engines' list has told of coordinators, or of some that are gone.
-    pub(super) fn fleet_listed(&mut self, told: &Update) {
+    pub(super) fn fleet_listed(&mut self, told: &EngineListUpdate) {
         let Some(fleet) = self.fleet.as_mut() else {
             return;
         };
--- a/crates/coordinator/src/node/discovery_client.rs
+++ b/crates/coordinator/src/node/discovery_client.rs
@@ -3,7 +3,7 @@
 use super::{ConnectionId, EventSource, Node};
 use crate::config::{Config, DiscoverySource};
 use crate::discovery::backoff::{Backoff, Disconnect};
-use crate::discovery::{etcd::Etcd, file::File, read, stream::Stream, Watch};
+use crate::discovery::{etcd::Etcd, file::File, read, stream::Stream, EngineListWatch};
 use crate::net::{connect, Link, ReadEnd};
 use calloop::RegistrationToken;
 use driftfront_core::Micros;
@@ -17,7 +17,7 @@
 
 /// The feed of engine lists.
 pub(super) struct Feed {
-    watch: Option<(SocketAddr, Box<dyn Watch>)>,
+    watch: Option<(SocketAddr, Box<dyn EngineListWatch>)>,
     file: Option<File>,
     conn: Option<FeedConn>,
     next_try: Micros,
@@ -40,7 +40,8 @@
 
 impl Feed {
     pub(super) fn new(from: &DiscoverySource, last: u64, backoff: Backoff) -> Feed {
-        let (mut watch, mut file): (Option<(SocketAddr, Box<dyn Watch>)>, _) = (None, None);
+        let (mut watch, mut file): (Option<(SocketAddr, Box<dyn EngineListWatch>)>, _) =
+            (None, None);
         let about = match from {
             DiscoverySource::Stream(addr) => format!("the platform's stream at {addr}"),
             DiscoverySource::Etcd(addr, _) => format!("etcd at {addr}"),
@@ -238,7 +239,7 @@
     fn take_update(&mut self, now: Micros, update: &JsonValue) {
         match read(&self.config.zones, &self.config.kinds, Json(Some(update))) {
             Ok(told) => {
-                told.odd
+                told.rejected_entries
                     .iter()
                     .for_each(|why| tracing::warn!("engine list: {why}"));
                 self.feed.told = now;
--- a/crates/coordinator/src/node/mod.rs
+++ b/crates/coordinator/src/node/mod.rs
@@ -523,7 +523,7 @@
         for update in std::mem::take(&mut self.config.known) {
             match read(&self.config.zones, &self.config.kinds, Json(Some(&update))) {
                 Ok(told) => {
-                    told.odd
+                    told.rejected_entries
                         .iter()
                         .for_each(|why| tracing::warn!("known engines: {why}"));
                     self.roster.source(told.kind, told.facts);
--- a/crates/coordinator/tests/golden_discovery.rs
+++ b/crates/coordinator/tests/golden_discovery.rs
@@ -2,7 +2,7 @@
 
 use driftfront::discovery::etcd::Etcd;
 use driftfront::discovery::stream::Stream;
-use driftfront::discovery::{read, Watch};
+use driftfront::discovery::{read, EngineListWatch};
 use driftfront_core::ListKind;
 use driftfront_http::chunk;
 use driftfront_settings::json::{parse, Json};
@@ -71,8 +71,8 @@
     for (name, addr) in &told.coordinators {
         text += &format!("coordinator {name} at {addr}\n");
     }
-    for odd in &told.odd {
-        text += &format!("odd: {odd}\n");
+    for rejected_entries in &told.rejected_entries {
+        text += &format!("odd: {rejected_entries}\n");
     }
     text
 }
@@ -101,8 +101,8 @@
         wire.record("ends", ended.unwrap_err());
     }
     stream.open();
-    let odd = b"HTTP/1.1 200 OK\r\n\r\nid: 10\ndata: {\n\n";
-    let ended = stream.feed(odd, &mut out, &mut updates);
+    let rejected_entries = b"HTTP/1.1 200 OK\r\n\r\nid: 10\ndata: {\n\n";
+    let ended = stream.feed(rejected_entries, &mut out, &mut updates);
     wire.record("an event that is no JSON", ended.unwrap_err());
     assert_golden!("wire/event_stream.http", wire.bytes());
 }
--- a/crates/coordinator/tests/wires.rs
+++ b/crates/coordinator/tests/wires.rs
@@ -5,7 +5,7 @@
 use driftfront::backends::{AttemptRequest, EngineEvent, EngineSession};
 use driftfront::discovery::etcd::Etcd;
 use driftfront::discovery::stream::Stream;
-use driftfront::discovery::{read, Watch};
+use driftfront::discovery::{read, EngineListWatch};
 use driftfront_core::{
     AttemptKey, AttemptReport, Cause, ListKind, ParsedRequest, Phase, RequestId,
 };
@@ -596,6 +596,8 @@
             .collect::<Vec<_>>(),
         ["e-1"]
     );
-    assert_eq!(told.odd.len(), 2);
-    assert!(told.odd[0].contains("c-2") && told.odd[0].contains("nowhere"));
+    assert_eq!(told.rejected_entries.len(), 2);
+    assert!(
+        told.rejected_entries[0].contains("c-2") && told.rejected_entries[0].contains("nowhere")
+    );
 }
