--- a/crates/coordinator/src/node/clients/closing.rs
+++ b/crates/coordinator/src/node/clients/closing.rs
@@ -161,7 +161,7 @@
             .core
             .accepted(request)
             .and_then(|t| self.idempotency(t.ask.class));
-        let fed = self.feeds.contains_key(&request);
+        let fed = self.uploads.contains_key(&request);
         self.core.client_left(now, request);
         // A read is let go on its engine, and so is what waits there for a body that never comes.
         if self.front.cancels_reads_of_gone_clients()
--- a/crates/coordinator/src/node/clients/mod.rs
+++ b/crates/coordinator/src/node/clients/mod.rs
@@ -210,7 +210,7 @@
             .get(&id)
             .and_then(|c| c.current.as_ref())
             .map(|c| c.0);
-        if let Some(&conn) = request.and_then(|r| self.feeds.get(&r)) {
+        if let Some(&conn) = request.and_then(|r| self.uploads.get(&r)) {
             self.engine_write(now, conn);
         }
         self.resume_engines(now);
--- a/crates/coordinator/src/node/counters.rs
+++ b/crates/coordinator/src/node/counters.rs
@@ -11,7 +11,7 @@
         );
         let bodies = format!(
             "bodies_passing {}\nresults_paused {}\n",
-            self.feeds.len(),
+            self.uploads.len(),
             self.paused
         );
         let (core, front) = (self.core.counters(), self.front.counters());
--- a/crates/coordinator/src/node/discovery_client.rs
+++ b/crates/coordinator/src/node/discovery_client.rs
@@ -16,10 +16,10 @@
 const READ_AT_ONCE: usize = 64 * 1024;
 
 /// The feed of engine lists.
-pub(super) struct Feed {
+pub(super) struct DiscoveryClient {
     watch: Option<(SocketAddr, Box<dyn EngineListWatch>)>,
     file: Option<File>,
-    conn: Option<FeedConn>,
+    conn: Option<DiscoveryConnection>,
     next_try: Micros,
     backoff: Backoff,
     /// When the source was first heard.
@@ -30,7 +30,7 @@
     about: String,
 }
 
-struct FeedConn {
+struct DiscoveryConnection {
     id: ConnectionId,
     link: Link,
     token: Option<RegistrationToken>,
@@ -38,8 +38,8 @@
     heard: Micros,
 }
 
-impl Feed {
-    pub(super) fn new(from: &DiscoverySource, last: u64, backoff: Backoff) -> Feed {
+impl DiscoveryClient {
+    pub(super) fn new(from: &DiscoverySource, last: u64, backoff: Backoff) -> DiscoveryClient {
         let (mut watch, mut file): (Option<(SocketAddr, Box<dyn EngineListWatch>)>, _) =
             (None, None);
         let about = match from {
@@ -58,7 +58,7 @@
             DiscoverySource::File(path) => file = Some(File::new(path.clone())),
             DiscoverySource::Fixed => {}
         }
-        Feed {
+        DiscoveryClient {
             watch,
             file,
             conn: None,
@@ -71,7 +71,7 @@
     }
 
     /// Whether all that the source tells at once has come: so long after its first byte. One that can't be heard has.
-    pub(super) fn has_settled(&self, now: Micros, after: Micros) -> bool {
+    pub(super) fn has_received_first_list(&self, now: Micros, after: Micros) -> bool {
         self.watch.is_none() || self.first.is_some_and(|at| now >= at + after)
     }
 
@@ -105,7 +105,7 @@
                 watch.moved(addr.to_string());
             }
             // Another kind of source numbers its events by itself: the whole list is read.
-            _ => *self = Feed::new(to, 0, self.backoff.anew()),
+            _ => *self = DiscoveryClient::new(to, 0, self.backoff.anew()),
         }
         (self.next_try, self.backoff) = (0, self.backoff.anew());
     }
@@ -137,11 +137,11 @@
         }
         self.feed.follow(&self.config.membership, &new.membership);
         self.config.membership = new.membership;
-        self.sweep_feed(now);
+        self.check_discovery(now);
         self.execute_commands();
     }
 
-    pub(super) fn sweep_feed(&mut self, now: Micros) {
+    pub(super) fn check_discovery(&mut self, now: Micros) {
         if let Some(update) = self.feed.file.as_mut().and_then(|f| f.poll(now)) {
             self.take_update(now, &update);
         }
@@ -156,18 +156,21 @@
                 } else {
                     "connect timed out"
                 };
-                self.drop_feed(now, why, Disconnect::Silent);
+                self.drop_discovery_connection(now, why, Disconnect::Silent);
             }
         }
         if self.feed.conn.is_none() && now >= self.feed.next_try {
             let id = self.next_connection_id();
             let opened = connect(addr).map_err(|e| e.to_string());
-            match opened
-                .and_then(|s| Ok((s.clone(), self.register_stream(s, EventSource::Feed(id))?)))
-            {
+            match opened.and_then(|s| {
+                Ok((
+                    s.clone(),
+                    self.register_stream(s, EventSource::DiscoveryClient(id))?,
+                ))
+            }) {
                 Ok((stream, token)) => {
                     let (link, token) = (Link::new(stream), Some(token));
-                    self.feed.conn = Some(FeedConn {
+                    self.feed.conn = Some(DiscoveryConnection {
                         id,
                         link,
                         token,
@@ -175,12 +178,12 @@
                         heard: now,
                     });
                 }
-                Err(e) => self.drop_feed(now, &e, Disconnect::Closed),
+                Err(e) => self.drop_discovery_connection(now, &e, Disconnect::Closed),
             }
         }
     }
 
-    pub(super) fn drop_feed(&mut self, now: Micros, why: &str, how: Disconnect) {
+    pub(super) fn drop_discovery_connection(&mut self, now: Micros, why: &str, how: Disconnect) {
         tracing::info!("engine list: {why}");
         if let Some(mut conn) = self.feed.conn.take() {
             self.unregister(conn.token.take());
@@ -188,13 +191,13 @@
         self.feed.next_try = self.feed.backoff.again(now, how);
     }
 
-    pub(super) fn feed_ready(&mut self, now: Micros, id: ConnectionId) {
-        if let Err(why) = self.feed_work(now, id) {
-            self.drop_feed(now, &why, Disconnect::Closed);
+    pub(super) fn on_discovery_ready(&mut self, now: Micros, id: ConnectionId) {
+        if let Err(why) = self.read_discovery(now, id) {
+            self.drop_discovery_connection(now, &why, Disconnect::Closed);
         }
     }
 
-    fn feed_work(&mut self, now: Micros, id: ConnectionId) -> Result<(), String> {
+    fn read_discovery(&mut self, now: Micros, id: ConnectionId) -> Result<(), String> {
         loop {
             let Some(conn) = self.feed.conn.as_mut().filter(|c| c.id == id) else {
                 return Ok(());
--- a/crates/coordinator/src/node/engines/closing.rs
+++ b/crates/coordinator/src/node/engines/closing.rs
@@ -24,7 +24,7 @@
         self.unregister(conn.token.take());
         self.paused -= usize::from(conn.paused);
         if let Some(key) = conn.feeding {
-            self.feeds.remove(&key.request);
+            self.uploads.remove(&key.request);
         }
         self.log_end(&conn, &cause);
         for key in conn.session.open() {
--- a/crates/coordinator/src/node/engines/traffic.rs
+++ b/crates/coordinator/src/node/engines/traffic.rs
@@ -137,7 +137,7 @@
                     if taken.ask.once {
                         // Its end is not known before the last of its body has come.
                         (conn.feeding, end) = (Some(key), u64::MAX);
-                        self.feeds.insert(key.request, id);
+                        self.uploads.insert(key.request, id);
                     }
                     conn.marks.push_back((begin, end, key));
                 }
@@ -182,7 +182,7 @@
         if last {
             conn.session.no_more(&mut out);
             conn.feeding = None;
-            self.feeds.remove(&key.request);
+            self.uploads.remove(&key.request);
         }
         conn.link.push(&out);
         conn.used = now;
--- a/crates/coordinator/src/node/mod.rs
+++ b/crates/coordinator/src/node/mod.rs
@@ -61,7 +61,7 @@
     asking: BTreeMap<RequestId, (ConnectionId, u16, Micros)>,
     engines: BTreeMap<ConnectionId, engines::EngineConn>,
     /// The engine's connection that the rest of each body goes to which is passed on as it comes.
-    feeds: BTreeMap<RequestId, ConnectionId>,
+    uploads: BTreeMap<RequestId, ConnectionId>,
     /// When engines were last checked that say nothing, and a check has not been answered since.
     checks: BTreeMap<EngineId, Micros>,
     /// Connections whose reading waits for a slow client.
@@ -72,7 +72,7 @@
     /// What is kept for operators, where the operator's file asks for that.
     control: Option<control::Control>,
     operators: Vec<control::Listener>,
-    feed: discovery_client::Feed,
+    feed: discovery_client::DiscoveryClient,
     /// Other coordinators, where the operator's file has a fleet.
     fleet: Option<Box<cluster::ClusterRuntime>>,
     next_sweep: Micros,
@@ -106,7 +106,7 @@
     Listener,
     Client(ConnectionId),
     Engine(ConnectionId),
-    Feed(ConnectionId),
+    DiscoveryClient(ConnectionId),
     Operators(usize),
     Operator(ConnectionId),
     Management,
@@ -147,14 +147,14 @@
             clients: BTreeMap::new(),
             asking: BTreeMap::new(),
             engines: BTreeMap::new(),
-            feeds: BTreeMap::new(),
+            uploads: BTreeMap::new(),
             checks: BTreeMap::new(),
             paused: 0,
             streams: 0,
             roster: EngineRegistry::new(),
             control: None,
             operators: Vec::new(),
-            feed: discovery_client::Feed::new(
+            feed: discovery_client::DiscoveryClient::new(
                 &config.membership,
                 config.known_index,
                 Backoff::new(config.seed),
@@ -290,7 +290,7 @@
             EventSource::Listener => self.accept_clients(now),
             EventSource::Client(id) => self.client_ready(now, id),
             EventSource::Engine(id) => self.engine_ready(now, id),
-            EventSource::Feed(id) => self.feed_ready(now, id),
+            EventSource::DiscoveryClient(id) => self.on_discovery_ready(now, id),
             EventSource::Operators(place) => self.accept_operators(place),
             EventSource::Operator(id) => self.operator_ready(id),
             EventSource::Management => self.accept_callers(now),
@@ -307,7 +307,9 @@
             EventSource::Listener => {}
             EventSource::Client(id) => self.drop_client(now, id),
             EventSource::Engine(id) => self.drop_engine(now, id, "a panic"),
-            EventSource::Feed(_) => self.drop_feed(now, "a panic", Disconnect::Closed),
+            EventSource::DiscoveryClient(_) => {
+                self.drop_discovery_connection(now, "a panic", Disconnect::Closed)
+            }
             EventSource::Operators(_) | EventSource::Management | EventSource::Cluster => {}
             EventSource::Operator(id) => self.drop_operator(id),
             EventSource::Caller(id) => self.drop_caller(id),
@@ -336,7 +338,7 @@
             self.accept_clients(now);
             self.sweep_clients(now);
             self.sweep_engines(now);
-            self.sweep_feed(now);
+            self.check_discovery(now);
             self.tend_fleet();
             self.front.expire_sessions(now);
             self.tend_control(now);
--- a/crates/coordinator/src/node/upgrade.rs
+++ b/crates/coordinator/src/node/upgrade.rs
@@ -112,7 +112,9 @@
     pub(super) fn knows_engines(&self, now: Micros) -> bool {
         let late = now >= self.started + LIST_WITHIN;
         self.core.has_engines()
-            && (!self.lifecycle.succeeds() || late || self.feed.has_settled(now, LIST_SETTLES))
+            && (!self.lifecycle.succeeds()
+                || late
+                || self.feed.has_received_first_list(now, LIST_SETTLES))
     }
 
     /// Descriptors that engines' connections are a part of: with another process beside it, half of what both may hold.
