--- a/crates/coordinator/src/node/clients/mod.rs
+++ b/crates/coordinator/src/node/clients/mod.rs
@@ -211,7 +211,7 @@
             .and_then(|c| c.current.as_ref())
             .map(|c| c.0);
         if let Some(&conn) = request.and_then(|r| self.uploads.get(&r)) {
-            self.engine_write(now, conn);
+            self.write_to_engine(now, conn);
         }
         self.resume_engines(now);
     }
--- a/crates/coordinator/src/node/engines/closing.rs
+++ b/crates/coordinator/src/node/engines/closing.rs
@@ -1,7 +1,7 @@
 //! How engines' connections end, and what is owed then: each attempt on one ends as far as it had come, and what waited for it
 //! goes by another. The moments stand in `docs/endings.md`.
 
-use super::{EngineConn, Work, CHECK_AFTER, CHECK_TAG, HANDED_OVER_IDLE, MOVES_MOST};
+use super::{EngineConnection, Work, CHECK_AFTER, CHECK_TAG, HANDED_OVER_IDLE, MOVES_MOST};
 use crate::node::{ConnectionId, Node};
 use driftfront_core::{Cause, EngineId, Micros, Outcome};
 use std::collections::BTreeMap;
@@ -54,7 +54,7 @@
     }
 
     /// Why a connection to an engine ended that something was out on.
-    fn log_end(&self, conn: &EngineConn, cause: &Cause) {
+    fn log_end(&self, conn: &EngineConnection, cause: &Cause) {
         if conn.is_idle() {
             return;
         }
@@ -75,7 +75,7 @@
     }
 
     /// Old connections of an engine lead to an earlier process, or elsewhere.
-    pub(in crate::node) fn retire(&mut self, engine: EngineId) {
+    pub(in crate::node) fn retire_connections(&mut self, engine: EngineId) {
         for conn in self.engines.values_mut().filter(|c| c.engine == engine) {
             conn.retired = true;
         }
@@ -83,7 +83,7 @@
 
     /// The engine is gone from the list: what is out on it may still end.
     pub(in crate::node) fn forget_engine(&mut self, now: Micros, engine: EngineId) {
-        self.retire(engine);
+        self.retire_connections(engine);
         self.roster.forget(engine);
         self.forget_engine_window(engine);
         self.checks.remove(&engine);
@@ -107,7 +107,7 @@
                 continue;
             }
             self.checks.insert(engine, now);
-            if let Ok(id) = self.engine_conn(now, engine, None, false) {
+            if let Ok(id) = self.engine_connection(now, engine, None, false) {
                 self.queue_work(now, id, Work::Probe(CHECK_TAG));
             }
         }
@@ -127,7 +127,7 @@
             .values()
             .filter(|c| c.session.is_streaming())
             .count();
-        let over = |c: &EngineConn| {
+        let over = |c: &EngineConnection| {
             if !c.up {
                 return (now > c.connect_by).then_some("connect timed out");
             }
--- a/crates/coordinator/src/node/engines/mod.rs
+++ b/crates/coordinator/src/node/engines/mod.rs
@@ -49,7 +49,7 @@
 }
 
 /// An engine's connection.
-pub(super) struct EngineConn {
+pub(super) struct EngineConnection {
     engine: EngineId,
     zone: Option<u16>,
     link: Link,
@@ -76,7 +76,7 @@
     alone: bool,
 }
 
-impl EngineConn {
+impl EngineConnection {
     /// Whether it is up, to this engine.
     pub(super) fn is_up_on(&self, engine: EngineId) -> bool {
         self.up && self.engine == engine
@@ -115,7 +115,7 @@
 impl Node {
     /// A connection with room, the least loaded one; else a new one. What must not run twice goes alone, so
     /// that no answer to another can spoil it.
-    fn engine_conn(
+    fn engine_connection(
         &mut self,
         now: Micros,
         engine: EngineId,
@@ -124,7 +124,7 @@
     ) -> Result<ConnectionId, Cause> {
         let (idle, notes) = (self.config.idle, self.notes_due(now, engine));
         let heard = self.heard_of(engine);
-        let fits = |c: &EngineConn| {
+        let fits = |c: &EngineConnection| {
             c.engine == engine
                 && !c.retired
                 && !c.session.is_spent()
@@ -179,7 +179,7 @@
         let token = self
             .register_stream(stream.clone(), EventSource::Engine(id))
             .map_err(|_| Cause::Rejected)?;
-        let conn = EngineConn {
+        let conn = EngineConnection {
             engine,
             zone: self.roster.zone(engine),
             link: Link::new(stream),
@@ -225,7 +225,7 @@
         let zone_heard = heard.is_some_and(|at| now < at + every + NOTE_LATE);
         Some(note_patience(
             every,
-            conns().map(EngineConn::load).sum(),
+            conns().map(EngineConnection::load).sum(),
             zone_heard,
         ))
     }
@@ -242,7 +242,7 @@
         };
         let call = ask.call.clone();
         let alone = self.is_single_shot(ask.class);
-        match self.engine_conn(now, engine, Some(&call), alone) {
+        match self.engine_connection(now, engine, Some(&call), alone) {
             Ok(id) => {
                 self.engines.entry(id).and_modify(|c| c.alone = alone);
                 self.queue_work(now, id, Work::Attempt(key, moves));
@@ -252,7 +252,7 @@
     }
 
     pub(super) fn queue_probe(&mut self, now: Micros, engine: EngineId, tag: u64) {
-        match self.engine_conn(now, engine, None, false) {
+        match self.engine_connection(now, engine, None, false) {
             Ok(id) => self.queue_work(now, id, Work::Probe(tag)),
             Err(Cause::Rejected) => self.core.record_probe(now, tag, Outcome::Superseded, &[]),
             Err(_) => self.core.record_probe(now, tag, Outcome::Unreachable, &[]),
@@ -265,7 +265,7 @@
         };
         if conn.waiting.len() < WAITING_MOST {
             conn.waiting.push_back(work);
-            return self.engine_write(now, id);
+            return self.write_to_engine(now, id);
         }
         match work {
             Work::Attempt(key, _) => self.attempt_failed(now, key, Cause::Rejected),
@@ -291,7 +291,7 @@
     }
 
     /// Stops waiting for an attempt, wherever it is.
-    pub(super) fn abandon(&mut self, now: Micros, key: AttemptKey, engine: EngineId) {
+    pub(super) fn abandon_attempt(&mut self, now: Micros, key: AttemptKey, engine: EngineId) {
         let ids: Vec<ConnectionId> = self
             .engines
             .iter()
@@ -311,7 +311,7 @@
             let stopped = conn.session.stop(key, &mut out);
             conn.link.push(&out);
             if stopped {
-                self.engine_write(now, id);
+                self.write_to_engine(now, id);
             } else {
                 self.drop_engine(now, id, "an attempt was given up");
             }
--- a/crates/coordinator/src/node/engines/traffic.rs
+++ b/crates/coordinator/src/node/engines/traffic.rs
@@ -13,7 +13,7 @@
 impl Node {
     /// Writes what may go now. An attempt is put into the buffer only when that is empty, and looked at
     /// again right then: its engine may have begun to drain while it waited.
-    pub(in crate::node) fn engine_write(&mut self, now: Micros, id: ConnectionId) {
+    pub(in crate::node) fn write_to_engine(&mut self, now: Micros, id: ConnectionId) {
         for turn in 0.. {
             if turn >= TURN * 4 {
                 return self.later.push(EventSource::Engine(id));
@@ -198,7 +198,7 @@
         true
     }
 
-    pub(in crate::node) fn engine_ready(&mut self, now: Micros, id: ConnectionId) {
+    pub(in crate::node) fn on_engine_ready(&mut self, now: Micros, id: ConnectionId) {
         let Some(conn) = self.engines.get_mut(&id) else {
             return;
         };
@@ -215,13 +215,13 @@
         }
         if self.engines.get(&id).is_some_and(|c| c.feeding.is_some()) {
             // An engine that answers before the body is over may close behind that: its words come first.
-            self.engine_read(now, id);
+            self.read_from_engine(now, id);
         }
-        self.engine_write(now, id);
-        self.engine_read(now, id);
+        self.write_to_engine(now, id);
+        self.read_from_engine(now, id);
     }
 
-    pub(in crate::node) fn engine_read(&mut self, now: Micros, id: ConnectionId) {
+    pub(in crate::node) fn read_from_engine(&mut self, now: Micros, id: ConnectionId) {
         for turn in 0.. {
             if turn >= TURN {
                 return self.later.push(EventSource::Engine(id));
@@ -284,7 +284,7 @@
             match (fed, end) {
                 (Err(e), _) => return self.drop_engine(now, id, &e),
                 (_, ReadEnd::Closed) => return self.lose_engine(now, id, "closed by the engine"),
-                (_, ReadEnd::Dry) => return self.engine_write(now, id),
+                (_, ReadEnd::Dry) => return self.write_to_engine(now, id),
                 (_, ReadEnd::Enough) => {}
             }
         }
@@ -316,7 +316,7 @@
         self.take_seen(now, seen);
         match tended {
             Err(why) => self.drop_engine(now, id, &why),
-            Ok(()) if !out.is_empty() => self.engine_write(now, id),
+            Ok(()) if !out.is_empty() => self.write_to_engine(now, id),
             Ok(()) => {}
         }
     }
@@ -344,7 +344,7 @@
             .filter(|(_, c)| c.paused)
             .map(|(&id, _)| id);
         for id in paused.collect::<Vec<_>>() {
-            self.engine_read(now, id);
+            self.read_from_engine(now, id);
         }
     }
 
--- a/crates/coordinator/src/node/mod.rs
+++ b/crates/coordinator/src/node/mod.rs
@@ -59,7 +59,7 @@
     clients: BTreeMap<ConnectionId, clients::Client>,
     /// The connection on which each open request waits for its answer.
     asking: BTreeMap<RequestId, (ConnectionId, u16, Micros)>,
-    engines: BTreeMap<ConnectionId, engines::EngineConn>,
+    engines: BTreeMap<ConnectionId, engines::EngineConnection>,
     /// The engine's connection that the rest of each body goes to which is passed on as it comes.
     uploads: BTreeMap<RequestId, ConnectionId>,
     /// When engines were last checked that say nothing, and a check has not been answered since.
@@ -289,7 +289,7 @@
         match source {
             EventSource::Listener => self.accept_clients(now),
             EventSource::Client(id) => self.client_ready(now, id),
-            EventSource::Engine(id) => self.engine_ready(now, id),
+            EventSource::Engine(id) => self.on_engine_ready(now, id),
             EventSource::DiscoveryClient(id) => self.on_discovery_ready(now, id),
             EventSource::Operators(place) => self.accept_operators(place),
             EventSource::Operator(id) => self.operator_ready(id),
@@ -324,8 +324,8 @@
             match source {
                 EventSource::Client(id) => self.client_work(now, id),
                 EventSource::Engine(id) => {
-                    self.engine_write(now, id);
-                    self.engine_read(now, id);
+                    self.write_to_engine(now, id);
+                    self.read_from_engine(now, id);
                 }
                 EventSource::Cluster => self.fleet_ready(),
                 _ => {}
@@ -442,7 +442,7 @@
                     self.log_retry(now, key, engine);
                     self.queue_attempt(now, key, engine, 0);
                 }
-                Command::AbandonAttempt(key, engine) => self.abandon(now, key, engine),
+                Command::AbandonAttempt(key, engine) => self.abandon_attempt(now, key, engine),
                 Command::Probe(engine, tag) => self.queue_probe(now, engine, tag),
                 Command::ForgetEngine(engine) => self.forget_engine(now, engine),
                 Command::Log(line) => tracing::info!("{line}"),
@@ -545,7 +545,7 @@
 
     fn apply_registry_change(&mut self, now: Micros, change: &Change) {
         for &engine in &change.restarted {
-            self.retire(engine);
+            self.retire_connections(engine);
             // What was left in sessions went with the process.
             self.front.engine_left(engine);
         }
