--- a/crates/coordinator/src/node/clients/closing.rs
+++ b/crates/coordinator/src/node/clients/closing.rs
@@ -95,7 +95,7 @@
 
     /// Makes room for a descriptor: the connection that can best be spared goes. What has come on it and was not read yet is
     /// taken first: a request in it keeps its place.
-    pub(in crate::node) fn evict(&mut self, now: Micros) -> bool {
+    pub(in crate::node) fn evict_client(&mut self, now: Micros) -> bool {
         for _ in 0..EVICTIONS_TRIED {
             let each = self
                 .clients
@@ -105,7 +105,7 @@
                 return false;
             };
             if self.clients.get(&id).is_some_and(|c| !c.shut) {
-                self.client_ready(now, id);
+                self.on_client_ready(now, id);
             }
             match self.clients.get(&id) {
                 // It went by itself.
@@ -185,7 +185,7 @@
         if let Some(client) = self.clients.get_mut(&id) {
             (client.close, client.answering) = (true, false);
         }
-        self.client_work(now, id);
+        self.drive_client(now, id);
         true
     }
 
@@ -275,10 +275,10 @@
                         self.drop_client(now, id);
                     }
                 }
-                None if client.overrun && client.current.is_some() => self.client_work(now, id),
+                None if client.overrun && client.current.is_some() => self.drive_client(now, id),
                 None if client.pause_until > 0 && now >= client.pause_until => {
                     client.pause_until = 0;
-                    self.client_work(now, id);
+                    self.drive_client(now, id);
                 }
                 None => {}
             }
@@ -288,7 +288,7 @@
     /// Closes a connection at rest in order. What has come already is taken first; a request that crosses the close is sent
     /// once more by its client, elsewhere. True if the close has begun.
     fn close_at_rest(&mut self, now: Micros, id: ConnectionId) -> bool {
-        self.client_ready(now, id);
+        self.on_client_ready(now, id);
         let rests = self.clients.get(&id).is_some_and(Client::is_at_rest);
         if rests {
             self.begin_close(now, id);
@@ -300,12 +300,12 @@
         if let Some(client) = self.clients.get_mut(&id) {
             (client.close, client.used) = (true, now);
         }
-        self.client_work(now, id);
+        self.drive_client(now, id);
     }
 
     /// Closes a connection in order whose request never became whole, unless its last bytes have just come.
     fn end_half_read(&mut self, now: Micros, id: ConnectionId) {
-        self.client_ready(now, id);
+        self.on_client_ready(now, id);
         let last = self.lifecycle.closes_last();
         let due =
             |c: &Client| c.is_half_read() && (last || c.expired(now) == Some(Expired::HalfRead));
--- a/crates/coordinator/src/node/clients/mod.rs
+++ b/crates/coordinator/src/node/clients/mod.rs
@@ -100,7 +100,7 @@
     pub(super) fn accept_clients(&mut self, now: Micros) {
         let most = self.most_clients();
         while self.lifecycle.accepts() {
-            if self.clients.len() >= most && !self.evict(now) {
+            if self.clients.len() >= most && !self.evict_client(now) {
                 // Counted with each look, whether somebody waits or not.
                 self.accepts_full += 1;
                 return;
@@ -117,7 +117,7 @@
                 // The connection stays in the backlog until there is room.
                 Err(e) if out_of_descriptors(&e) => {
                     tracing::warn!("out of descriptors");
-                    if self.evict(now) {
+                    if self.evict_client(now) {
                         continue;
                     }
                     return;
@@ -168,7 +168,7 @@
                     };
                     self.clients.insert(id, client);
                     // What came before the socket was registered brings no event of its own.
-                    self.client_ready(now, id);
+                    self.on_client_ready(now, id);
                 }
                 Err(e) => tracing::warn!("a client's socket: {e}"),
             }
@@ -200,11 +200,11 @@
         client.map_or(0, |c| c.link.backlog())
     }
 
-    pub(super) fn client_ready(&mut self, now: Micros, id: ConnectionId) {
+    pub(super) fn on_client_ready(&mut self, now: Micros, id: ConnectionId) {
         if let Some(client) = self.clients.get_mut(&id) {
             client.more = true;
         }
-        self.client_work(now, id);
+        self.drive_client(now, id);
         let request = self
             .clients
             .get(&id)
@@ -257,12 +257,12 @@
         };
         self.leave(now, id);
         self.client_fault(now, id, HttpError::Malformed);
-        self.client_work(now, id);
+        self.drive_client(now, id);
     }
 
     /// Works on a connection, unless that is going on further up the stack: an answer given at once must not
     /// begin the next pipelined request inside the one before, each some frames deeper.
-    pub(super) fn client_work(&mut self, now: Micros, id: ConnectionId) {
+    pub(super) fn drive_client(&mut self, now: Micros, id: ConnectionId) {
         let Some(client) = self.clients.get_mut(&id).filter(|c| !c.busy) else {
             return;
         };
@@ -274,7 +274,7 @@
     }
 
     /// After a panic nothing is being worked on.
-    pub(super) fn no_client_is_busy(&mut self) {
+    pub(super) fn clear_busy_clients(&mut self) {
         self.clients.values_mut().for_each(|c| c.busy = false);
     }
 
@@ -445,6 +445,6 @@
                 return self.drop_client(now, id);
             }
         }
-        self.client_work(now, id);
+        self.drive_client(now, id);
     }
 }
--- a/crates/coordinator/src/node/engines/mod.rs
+++ b/crates/coordinator/src/node/engines/mod.rs
@@ -163,7 +163,7 @@
         }
         let stream = match connect(addr) {
             // Out of descriptors: an idle client's is worth less.
-            Err(e) if out_of_descriptors(&e) && self.evict(now) => connect(addr),
+            Err(e) if out_of_descriptors(&e) && self.evict_client(now) => connect(addr),
             other => other,
         };
         let stream = stream.map_err(|e| {
--- a/crates/coordinator/src/node/management.rs
+++ b/crates/coordinator/src/node/management.rs
@@ -110,7 +110,7 @@
             };
             let stream = match listener.accept() {
                 Ok((stream, _)) => stream,
-                Err(e) if out_of_descriptors(&e) && self.evict(now) => continue,
+                Err(e) if out_of_descriptors(&e) && self.evict_client(now) => continue,
                 Err(_) => return,
             };
             if stream
--- a/crates/coordinator/src/node/mod.rs
+++ b/crates/coordinator/src/node/mod.rs
@@ -261,7 +261,7 @@
         if !done {
             tracing::error!("panic in {what}");
             self.is_executing = false;
-            self.no_client_is_busy();
+            self.clear_busy_clients();
         }
         done
     }
@@ -288,7 +288,7 @@
         self.look_at_management(now);
         match source {
             EventSource::Listener => self.accept_clients(now),
-            EventSource::Client(id) => self.client_ready(now, id),
+            EventSource::Client(id) => self.on_client_ready(now, id),
             EventSource::Engine(id) => self.on_engine_ready(now, id),
             EventSource::DiscoveryClient(id) => self.on_discovery_ready(now, id),
             EventSource::Operators(place) => self.accept_operators(place),
@@ -322,7 +322,7 @@
         self.core.fire_timers(now);
         for source in std::mem::take(&mut self.later) {
             match source {
-                EventSource::Client(id) => self.client_work(now, id),
+                EventSource::Client(id) => self.drive_client(now, id),
                 EventSource::Engine(id) => {
                     self.write_to_engine(now, id);
                     self.read_from_engine(now, id);
