--- a/crates/coordinator/src/net/link.rs
+++ b/crates/coordinator/src/net/link.rs
@@ -9,11 +9,11 @@
 
 /// Why reading stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ReadEnd {
+pub enum ReadOutcome {
     /// Nothing more for now.
-    Dry,
+    WouldBlock,
     /// As much as was asked for; there may be more.
-    Enough,
+    LimitReached,
     /// The peer has ended its side.
     Closed,
 }
@@ -26,7 +26,7 @@
 const TAKEN_MOST: usize = 32 * 1024;
 
 /// A connection's bytes.
-pub struct Link {
+pub struct BufferedStream {
     stream: Rc<TcpStream>,
     out: Vec<u8>,
     start: usize,
@@ -37,10 +37,10 @@
     read_error: Option<io::Error>,
 }
 
-impl Link {
+impl BufferedStream {
     /// Wraps a non-blocking stream.
-    pub fn new(stream: Rc<TcpStream>) -> Link {
-        Link {
+    pub fn new(stream: Rc<TcpStream>) -> BufferedStream {
+        BufferedStream {
             stream,
             out: Vec::new(),
             start: 0,
@@ -56,7 +56,7 @@
     }
 
     /// Whether a connect that was begun has come up; an error if it failed.
-    pub fn came_up(&self) -> io::Result<bool> {
+    pub fn poll_connected(&self) -> io::Result<bool> {
         if let Some(e) = self.stream.take_error()? {
             return Err(e);
         }
@@ -84,7 +84,7 @@
 
     /// Reads up to `most` bytes onto `into`. An error comes by itself: bytes that came before it, maybe a whole answer, are
     /// given first.
-    pub fn read(&mut self, into: &mut Vec<u8>, most: usize) -> io::Result<ReadEnd> {
+    pub fn read(&mut self, into: &mut Vec<u8>, most: usize) -> io::Result<ReadOutcome> {
         // One buffer for all: a fresh one would be cleared for each read.
         SCRATCH.with_borrow_mut(|chunk| self.read_by(chunk, into, most))
     }
@@ -94,7 +94,7 @@
         chunk: &mut [u8],
         into: &mut Vec<u8>,
         most: usize,
-    ) -> io::Result<ReadEnd> {
+    ) -> io::Result<ReadOutcome> {
         if let Some(error) = self.read_error.take() {
             return Err(error);
         }
@@ -102,21 +102,21 @@
         while left > 0 {
             let room = left.min(chunk.len());
             match (&*self.stream).read(&mut chunk[..room]) {
-                Ok(0) => return Ok(ReadEnd::Closed),
+                Ok(0) => return Ok(ReadOutcome::Closed),
                 Ok(n) => {
                     into.extend_from_slice(&chunk[..n]);
                     left -= n;
                 }
-                Err(e) if e.kind() == ErrorKind::WouldBlock => return Ok(ReadEnd::Dry),
+                Err(e) if e.kind() == ErrorKind::WouldBlock => return Ok(ReadOutcome::WouldBlock),
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) if left < most => {
                     self.read_error = Some(e);
-                    return Ok(ReadEnd::Enough);
+                    return Ok(ReadOutcome::LimitReached);
                 }
                 Err(e) => return Err(e),
             }
         }
-        Ok(ReadEnd::Enough)
+        Ok(ReadOutcome::LimitReached)
     }
 
     /// Puts bytes behind what waits to be written.
@@ -170,7 +170,7 @@
 }
 
 /// Whether an error says that the process (EMFILE, 24) or the system (ENFILE, 23) is out of descriptors.
-pub fn out_of_descriptors(e: &io::Error) -> bool {
+pub fn is_out_of_descriptors(e: &io::Error) -> bool {
     matches!(e.raw_os_error(), Some(23 | 24))
 }
 
--- a/crates/coordinator/src/net/mod.rs
+++ b/crates/coordinator/src/net/mod.rs
@@ -5,4 +5,4 @@
 pub mod silence;
 
 pub use driftfront_engine_registry::hash;
-pub use link::{connect, out_of_descriptors, Link, ReadEnd};
+pub use link::{connect, is_out_of_descriptors, BufferedStream, ReadOutcome};
--- a/crates/coordinator/src/node/clients/closing.rs
+++ b/crates/coordinator/src/node/clients/closing.rs
@@ -5,7 +5,7 @@
 //! while. A close over unread bytes would reset the connection, and the answer before it would go with that.
 
 use super::{Client, IDLE_MOST, PART_OF_SOCKETS, PART_WHILE_SHARED, READ_MOST};
-use crate::net::{eviction, ReadEnd};
+use crate::net::{eviction, ReadOutcome};
 use crate::node::{ConnectionId, Node};
 use crate::service::RequestOutcome;
 use driftfront_core::{Micros, RequestId};
@@ -220,9 +220,9 @@
         };
         self.overruns += u64::from(!std::mem::replace(&mut client.overrun, true));
         match client.link.read(&mut Vec::new(), LINGER_READ) {
-            Ok(ReadEnd::Enough) => {}
-            Ok(ReadEnd::Dry) => client.more = false,
-            Ok(ReadEnd::Closed) | Err(_) => self.drop_client(now, id),
+            Ok(ReadOutcome::LimitReached) => {}
+            Ok(ReadOutcome::WouldBlock) => client.more = false,
+            Ok(ReadOutcome::Closed) | Err(_) => self.drop_client(now, id),
         }
     }
 
@@ -271,7 +271,7 @@
                 }
                 None if client.shut => {
                     let end = client.link.read(&mut Vec::new(), LINGER_READ);
-                    if !matches!(end, Ok(ReadEnd::Dry | ReadEnd::Enough)) {
+                    if !matches!(end, Ok(ReadOutcome::WouldBlock | ReadOutcome::LimitReached)) {
                         self.drop_client(now, id);
                     }
                 }
--- a/crates/coordinator/src/node/clients/mod.rs
+++ b/crates/coordinator/src/node/clients/mod.rs
@@ -6,7 +6,7 @@
 
 use super::{ConnectionId, EventSource, Node};
 use crate::frontends::{ConnectionAction, ResponseWriter};
-use crate::net::{out_of_descriptors, Link, ReadEnd};
+use crate::net::{is_out_of_descriptors, BufferedStream, ReadOutcome};
 use calloop::RegistrationToken;
 use driftfront_core::{Micros, RequestId};
 use driftfront_http::{add_connection_close, HttpError, RequestReader};
@@ -43,14 +43,14 @@
     /// Its last bytes, maybe none.
     Last(Vec<u8>),
     /// Nothing for now.
-    Dry,
+    WouldBlock,
     /// It can't be read on, or nobody sends it any more.
     Broken,
 }
 
 /// A client's connection.
 pub(super) struct Client {
-    link: Link,
+    link: BufferedStream,
     token: Option<RegistrationToken>,
     reader: RequestReader,
     /// The request whose answer is owed, and its writer.
@@ -115,7 +115,7 @@
                 Ok((stream, _)) => stream,
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return,
                 // The connection stays in the backlog until there is room.
-                Err(e) if out_of_descriptors(&e) => {
+                Err(e) if is_out_of_descriptors(&e) => {
                     tracing::warn!("out of descriptors");
                     if self.evict_client(now) {
                         continue;
@@ -149,7 +149,7 @@
             match self.register_stream(stream.clone(), EventSource::Client(id)) {
                 Ok(token) => {
                     let client = Client {
-                        link: Link::new(stream),
+                        link: BufferedStream::new(stream),
                         token: Some(token),
                         reader: RequestReader::with_limits(self.front.request_limits()),
                         current: None,
@@ -237,14 +237,14 @@
             }
             let mut bytes = Vec::new();
             match client.link.read(&mut bytes, READ_AT_ONCE) {
-                Ok(ReadEnd::Closed) | Err(_) => return Body::Broken,
-                Ok(end) => client.more = end == ReadEnd::Enough,
+                Ok(ReadOutcome::Closed) | Err(_) => return Body::Broken,
+                Ok(end) => client.more = end == ReadOutcome::LimitReached,
             }
             client.used = now;
             client.reader.push(&bytes);
         }
         if body.is_empty() {
-            Body::Dry
+            Body::WouldBlock
         } else {
             Body::More(body)
         }
@@ -327,7 +327,7 @@
                 Ok(end) => end,
                 Err(_) => return self.drop_client(now, id),
             };
-            client.more = end == ReadEnd::Enough;
+            client.more = end == ReadOutcome::LimitReached;
             if !bytes.is_empty() {
                 if !client.reader.is_mid_message() && !client.fresh {
                     client.begun = now;
@@ -341,7 +341,7 @@
                 self.client_fault(now, id, HttpError::Malformed);
                 continue;
             }
-            if end == ReadEnd::Closed {
+            if end == ReadOutcome::Closed {
                 return self.client_ended(now, id);
             }
         }
--- a/crates/coordinator/src/node/discovery_client.rs
+++ b/crates/coordinator/src/node/discovery_client.rs
@@ -4,7 +4,7 @@
 use crate::config::{Config, DiscoverySource};
 use crate::discovery::backoff::{Backoff, Disconnect};
 use crate::discovery::{etcd::Etcd, file::File, read, stream::Stream, EngineListWatch};
-use crate::net::{connect, Link, ReadEnd};
+use crate::net::{connect, BufferedStream, ReadOutcome};
 use calloop::RegistrationToken;
 use driftfront_core::Micros;
 use driftfront_settings::json::Json;
@@ -32,7 +32,7 @@
 
 struct DiscoveryConnection {
     id: ConnectionId,
-    link: Link,
+    link: BufferedStream,
     token: Option<RegistrationToken>,
     up: bool,
     heard: Micros,
@@ -169,7 +169,7 @@
                 ))
             }) {
                 Ok((stream, token)) => {
-                    let (link, token) = (Link::new(stream), Some(token));
+                    let (link, token) = (BufferedStream::new(stream), Some(token));
                     self.feed.conn = Some(DiscoveryConnection {
                         id,
                         link,
@@ -206,7 +206,7 @@
                 return Ok(());
             };
             if !conn.up {
-                if !conn.link.came_up().map_err(|e| e.to_string())? {
+                if !conn.link.poll_connected().map_err(|e| e.to_string())? {
                     return Ok(());
                 }
                 (conn.up, conn.heard) = (true, now);
@@ -232,9 +232,9 @@
             }
             fed?;
             match end {
-                ReadEnd::Dry => return Ok(()),
-                ReadEnd::Closed => return Err("closed by the other side".into()),
-                ReadEnd::Enough => {}
+                ReadOutcome::WouldBlock => return Ok(()),
+                ReadOutcome::Closed => return Err("closed by the other side".into()),
+                ReadOutcome::LimitReached => {}
             }
         }
     }
--- a/crates/coordinator/src/node/engines/mod.rs
+++ b/crates/coordinator/src/node/engines/mod.rs
@@ -7,7 +7,7 @@
 use super::{ConnectionId, EventSource, Node};
 use crate::backends::EngineSession;
 use crate::net::silence::{is_overdue, note_patience, NOTE_LATE, PROBE_LATE};
-use crate::net::{connect, out_of_descriptors, Link};
+use crate::net::{connect, is_out_of_descriptors, BufferedStream};
 use calloop::RegistrationToken;
 use driftfront_core::{AttemptKey, Cause, EngineId, Micros, Outcome};
 use std::collections::VecDeque;
@@ -52,7 +52,7 @@
 pub(super) struct EngineConnection {
     engine: EngineId,
     zone: Option<u16>,
-    link: Link,
+    link: BufferedStream,
     token: Option<RegistrationToken>,
     session: Box<dyn EngineSession>,
     up: bool,
@@ -163,11 +163,11 @@
         }
         let stream = match connect(addr) {
             // Out of descriptors: an idle client's is worth less.
-            Err(e) if out_of_descriptors(&e) && self.evict_client(now) => connect(addr),
+            Err(e) if is_out_of_descriptors(&e) && self.evict_client(now) => connect(addr),
             other => other,
         };
         let stream = stream.map_err(|e| {
-            let ours = out_of_descriptors(&e);
+            let ours = is_out_of_descriptors(&e);
             // Our own want says nothing of the engine.
             if ours {
                 Cause::Rejected
@@ -182,7 +182,7 @@
         let conn = EngineConnection {
             engine,
             zone: self.roster.zone(engine),
-            link: Link::new(stream),
+            link: BufferedStream::new(stream),
             token: Some(token),
             session,
             up: false,
--- a/crates/coordinator/src/node/engines/traffic.rs
+++ b/crates/coordinator/src/node/engines/traffic.rs
@@ -3,7 +3,7 @@
 use super::{Work, BACKLOG_LEAST, BACKLOG_MOST, CHECK_TAG, READ_AT_ONCE, STREAMS_MANY, TURN};
 use crate::backends::{AttemptRequest, EngineEvent};
 use crate::config::Protocol;
-use crate::net::ReadEnd;
+use crate::net::ReadOutcome;
 use crate::node::clients::Body;
 use crate::node::{ConnectionId, EventSource, Node};
 use driftfront_core::{AttemptKey, Cause, Micros, Outcome, Phase, Progress};
@@ -161,7 +161,7 @@
             return false;
         }
         let (bytes, last) = match self.more_body(now, key.request) {
-            Body::Dry => return false,
+            Body::WouldBlock => return false,
             Body::Broken => {
                 self.body_broken(now, key.request);
                 return false;
@@ -203,7 +203,7 @@
             return;
         };
         if !conn.up {
-            match conn.link.came_up() {
+            match conn.link.poll_connected() {
                 Ok(true) => (conn.up, conn.heard, conn.used) = (true, now, now),
                 Ok(false) => return,
                 Err(e) => {
@@ -270,7 +270,7 @@
                 fed = conn.session.feed(now, &bytes, &mut out, &mut seen);
                 conn.link.push(&out);
             }
-            if end == ReadEnd::Closed {
+            if end == ReadOutcome::Closed {
                 conn.session.ended(&mut seen);
             }
             self.take_seen(now, seen);
@@ -283,9 +283,11 @@
             }
             match (fed, end) {
                 (Err(e), _) => return self.drop_engine(now, id, &e),
-                (_, ReadEnd::Closed) => return self.lose_engine(now, id, "closed by the engine"),
-                (_, ReadEnd::Dry) => return self.write_to_engine(now, id),
-                (_, ReadEnd::Enough) => {}
+                (_, ReadOutcome::Closed) => {
+                    return self.lose_engine(now, id, "closed by the engine")
+                }
+                (_, ReadOutcome::WouldBlock) => return self.write_to_engine(now, id),
+                (_, ReadOutcome::LimitReached) => {}
             }
         }
     }
@@ -300,7 +302,7 @@
             let end = conn.link.read(&mut bytes, READ_AT_ONCE);
             let fed = conn.session.feed(now, &bytes, &mut Vec::new(), &mut seen);
             self.take_seen(now, seen);
-            if fed.is_err() || !matches!(end, Ok(ReadEnd::Enough)) {
+            if fed.is_err() || !matches!(end, Ok(ReadOutcome::LimitReached)) {
                 return;
             }
         }
--- a/crates/coordinator/src/node/management.rs
+++ b/crates/coordinator/src/node/management.rs
@@ -6,7 +6,7 @@
 //! has waited longest goes first.
 
 use super::{ConnectionId, EventSource, Node};
-use crate::net::{out_of_descriptors, Link, ReadEnd};
+use crate::net::{is_out_of_descriptors, BufferedStream, ReadOutcome};
 use calloop::RegistrationToken;
 use driftfront_control::management::{reply, BadCall, Call, CallReader, CALL_MOST, WORDS};
 use driftfront_core::Micros;
@@ -27,7 +27,7 @@
 const TURN: usize = 16;
 
 struct Caller {
-    link: Link,
+    link: BufferedStream,
     token: Option<RegistrationToken>,
     reader: CallReader,
     begun: Micros,
@@ -110,7 +110,7 @@
             };
             let stream = match listener.accept() {
                 Ok((stream, _)) => stream,
-                Err(e) if out_of_descriptors(&e) && self.evict_client(now) => continue,
+                Err(e) if is_out_of_descriptors(&e) && self.evict_client(now) => continue,
                 Err(_) => return,
             };
             if stream
@@ -135,7 +135,7 @@
                 continue;
             };
             let caller = Caller {
-                link: Link::new(stream),
+                link: BufferedStream::new(stream),
                 token: Some(token),
                 reader: CallReader::default(),
                 begun: now,
@@ -162,7 +162,7 @@
         let end = caller.link.read(&mut bytes, CALL_MOST * 4);
         let call = caller.reader.push(&bytes);
         let ended = match end {
-            Ok(ReadEnd::Closed) => caller
+            Ok(ReadOutcome::Closed) => caller
                 .reader
                 .end(BadCall::Unfinished)
                 .filter(|_| !caller.answered),
@@ -173,7 +173,7 @@
             let outcome = self.call(now, call);
             self.answer_caller(now, id, &outcome);
         }
-        if matches!(end, Ok(ReadEnd::Closed)) {
+        if matches!(end, Ok(ReadOutcome::Closed)) {
             self.drop_caller(id);
         }
     }
--- a/crates/coordinator/tests/daily.rs
+++ b/crates/coordinator/tests/daily.rs
@@ -254,10 +254,10 @@
         assert!(site.coordinator.manage("SUSPEND e0\n").starts_with("OK"));
         drop(listener.accept().unwrap());
         // Held, so that it comes up and stays.
-        let came_up = listener.accept().unwrap().0;
-        (asked.join().unwrap(), came_up)
+        let poll_connected = listener.accept().unwrap().0;
+        (asked.join().unwrap(), poll_connected)
     });
-    let (answer, mut came_up) = answer;
+    let (answer, mut poll_connected) = answer;
     // No engine is left: it is answered at its deadline, and with a refusal, as it never ran.
     assert_eq!(answer.status, 429, "{}", answer.text());
     assert_eq!(
@@ -267,6 +267,6 @@
     site.coordinator.terminate();
     assert!(site.coordinator.wait().success());
     let mut bytes = Vec::new();
-    came_up.read_to_end(&mut bytes).unwrap();
+    poll_connected.read_to_end(&mut bytes).unwrap();
     assert_eq!(String::from_utf8_lossy(&bytes), "");
 }
--- a/crates/coordinator/tests/link.rs
+++ b/crates/coordinator/tests/link.rs
@@ -1,6 +1,6 @@
 //! A connection's bytes and its error, where both are there at one moment.
 
-use driftfront::net::{Link, ReadEnd};
+use driftfront::net::{BufferedStream, ReadOutcome};
 use socket2::SockRef;
 use std::io::{ErrorKind, Write};
 use std::net::{TcpListener, TcpStream};
@@ -14,7 +14,7 @@
     let (mut far, _) = listener.accept().unwrap();
     near.set_nonblocking(true).unwrap();
     let near = Rc::new(near);
-    let mut link = Link::new(near.clone());
+    let mut link = BufferedStream::new(near.clone());
     far.write_all(b"an answer").unwrap();
     let begin = Instant::now();
     while near.peek(&mut [0; 16]).ok() != Some(9) {
@@ -34,7 +34,10 @@
         );
     }
     let mut bytes = Vec::new();
-    assert_eq!(link.read(&mut bytes, 1024).unwrap(), ReadEnd::Enough);
+    assert_eq!(
+        link.read(&mut bytes, 1024).unwrap(),
+        ReadOutcome::LimitReached
+    );
     assert_eq!(bytes, b"an answer");
     assert_eq!(
         link.read(&mut bytes, 1024).unwrap_err().kind(),
