--- a/crates/cluster/src/gossip.rs
+++ b/crates/cluster/src/gossip.rs
@@ -37,7 +37,7 @@
 pub type Place = (Rc<str>, Kind);
 
 #[derive(Clone, Debug)]
-struct Record {
+struct StoredRecord {
     session: u64,
     version: u64,
     value: Rc<[u8]>,
@@ -48,7 +48,7 @@
     rounds: u32,
 }
 
-impl Record {
+impl StoredRecord {
     fn number(&self) -> (u64, u64) {
         (self.session, self.version)
     }
@@ -82,7 +82,7 @@
 pub struct GossipState {
     me: Rc<str>,
     session: u64,
-    records: BTreeMap<Place, Record>,
+    records: BTreeMap<Place, StoredRecord>,
     /// Owners, and since when each has been gone.
     owners: BTreeMap<Rc<str>, Option<Micros>>,
     /// Where the next comparison begins.
@@ -162,7 +162,7 @@
         let (session, value) = (self.session, Rc::from(value));
         self.records.insert(
             place,
-            Record {
+            StoredRecord {
                 session,
                 version,
                 value,
@@ -203,7 +203,7 @@
         now: Micros,
         owner: &str,
         gone: Option<Micros>,
-        r: &'a Record,
+        r: &'a StoredRecord,
     ) -> GossipRecord<'a> {
         // Our own word is as good as new for as long as we are there.
         let age = if owner == &*self.me {
@@ -268,7 +268,7 @@
     }
 
     /// Takes a record; true if it was news.
-    fn accept(&mut self, now: Micros, place: Place, new: Record) -> bool {
+    fn accept(&mut self, now: Micros, place: Place, new: StoredRecord) -> bool {
         if place.0 == self.me {
             return self.contradict(now, &place, &new);
         }
@@ -302,7 +302,7 @@
     }
 
     /// Somebody tells what we never told: ours is told anew, so that it outdoes that.
-    fn contradict(&mut self, now: Micros, place: &Place, new: &Record) -> bool {
+    fn contradict(&mut self, now: Micros, place: &Place, new: &StoredRecord) -> bool {
         let own = self.records.get(place);
         let known = own.is_some_and(|r| {
             r.number() > new.number() || r.number() == new.number() && r.value == new.value
@@ -333,7 +333,7 @@
                 let length = bytes.number(2)? as usize;
                 let value = bytes.take(length).filter(|v| v.len() <= VALUE_MOST)?;
                 let fits = !place.0.is_empty() && session <= NUMBER_MOST && version <= NUMBER_MOST;
-                let record = Record {
+                let record = StoredRecord {
                     session,
                     version,
                     value: value.into(),
@@ -352,7 +352,7 @@
         news
     }
 
-    fn write(now: Micros, place: &Place, r: &Record, own: bool, out: &mut Vec<u8>) {
+    fn write(now: Micros, place: &Place, r: &StoredRecord, own: bool, out: &mut Vec<u8>) {
         write_place(place, out);
         out.extend(r.session.to_be_bytes());
         out.extend(r.version.to_be_bytes());
