--- a/crates/cluster-simulation/src/world.rs
+++ b/crates/cluster-simulation/src/world.rs
@@ -222,7 +222,7 @@
         let sees = |by: u32, of: u32| {
             matches!(
                 self.standing(by, of),
-                Some(MemberStatus::Alive | MemberStatus::Doubted)
+                Some(MemberStatus::Alive | MemberStatus::Suspected)
             )
         };
         let all = 0..self.script.members;
--- a/crates/cluster-simulation/tests/golden.rs
+++ b/crates/cluster-simulation/tests/golden.rs
@@ -166,7 +166,7 @@
     match standing {
         None => "not at all",
         Some(MemberStatus::Alive) => "alive",
-        Some(MemberStatus::Doubted) => "doubted",
+        Some(MemberStatus::Suspected) => "doubted",
         Some(MemberStatus::Down) => "down",
     }
 }
--- a/crates/cluster/src/membership.rs
+++ b/crates/cluster/src/membership.rs
@@ -174,7 +174,7 @@
     /// It is there.
     Alive,
     /// Somebody had no answer of it, and it has not said yet that it is there.
-    Doubted,
+    Suspected,
     /// It has been called down, or left.
     Down,
 }
@@ -434,7 +434,7 @@
     ) -> impl Iterator<Item = (&Identity, MemberStatus, Micros)> + '_ {
         let there = self.foca.iter_members().map(move |m| {
             let standing = if m.state() == foca::State::Suspect {
-                MemberStatus::Doubted
+                MemberStatus::Suspected
             } else {
                 MemberStatus::Alive
             };
--- a/crates/coordinator/src/node/cluster.rs
+++ b/crates/coordinator/src/node/cluster.rs
@@ -292,7 +292,7 @@
                 addr: m.addr.to_string(),
                 standing: match m.standing {
                     MemberStatus::Alive => "there",
-                    MemberStatus::Doubted => "doubted",
+                    MemberStatus::Suspected => "doubted",
                     MemberStatus::Down => "gone",
                 }
                 .into(),
