--- a/crates/cluster/src/agent.rs
+++ b/crates/cluster/src/agent.rs
@@ -5,7 +5,7 @@
 use crate::member_metadata::MemberMetadata;
 use crate::membership::{Change, Identity, MemberStatus, Members};
 use crate::message_authentication::{
-    Keyring, MessageAuthenticator, Payload, Refused, PAYLOAD_MOST,
+    Keyring, MessageAuthenticator, Payload, Refused, MAX_PAYLOAD_BYTES,
 };
 use crate::rate_limit::RateLimit;
 use crate::Micros;
@@ -326,9 +326,9 @@
                 self.facts.take(now, bytes, rounds);
             }
             Payload::Digest => {
-                let (tell, ask) = self
-                    .facts
-                    .compare(now, bytes, PAYLOAD_MOST, COMPARE_DATAGRAMS);
+                let (tell, ask) =
+                    self.facts
+                        .compare(now, bytes, MAX_PAYLOAD_BYTES, COMPARE_DATAGRAMS);
                 let Some(to) = self.members.there().find(|m| m.session == from).cloned() else {
                     return;
                 };
@@ -656,7 +656,7 @@
         if others.is_empty() {
             return;
         }
-        let Some(news) = self.facts.rumours(now, PAYLOAD_MOST) else {
+        let Some(news) = self.facts.rumours(now, MAX_PAYLOAD_BYTES) else {
             return;
         };
         let some: Vec<Identity> = others
@@ -673,7 +673,7 @@
         let Some(to) = others.choose(&mut self.rng).map(|&to| to.clone()) else {
             return;
         };
-        let digest = self.facts.digest(PAYLOAD_MOST);
+        let digest = self.facts.digest(MAX_PAYLOAD_BYTES);
         self.send(now, &to, Payload::Digest, &digest);
     }
 
--- a/crates/cluster/src/consensus/leases.rs
+++ b/crates/cluster/src/consensus/leases.rs
@@ -11,13 +11,13 @@
 //! A right that *stays* is not free at its end: it counts until its owner or an operator gives it back. That is for what
 //! must be seen before it is over: an engine that went out is out until it is seen back, whoever asked for it.
 
-use crate::membership::NAME_MOST;
+use crate::membership::MAX_NAME_BYTES;
 use crate::Micros;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
 /// Longest text of a pot's name or a note, in bytes.
-pub const TEXT_MOST: usize = 64;
+pub const MAX_TEXT_BYTES: usize = 64;
 /// Rights at once, in all and of one owner.
 pub const RIGHTS_MOST: usize = 512;
 /// See [`RIGHTS_MOST`].
@@ -276,8 +276,9 @@
                 note,
             } => {
                 let of_owner = self.lent.values().filter(|r| r.owner == owner).count();
-                let texts =
-                    pot.len() <= TEXT_MOST && note.len() <= TEXT_MOST && owner.len() <= NAME_MOST;
+                let texts = pot.len() <= MAX_TEXT_BYTES
+                    && note.len() <= MAX_TEXT_BYTES
+                    && owner.len() <= MAX_NAME_BYTES;
                 let fits = texts && !pot.is_empty() && amount > 0 && span > 0 && span <= SPAN_MOST;
                 if !fits || self.lent.len() >= RIGHTS_MOST || of_owner >= RIGHTS_OF_ONE {
                     return Outcome::Beyond;
@@ -526,7 +527,7 @@
             (RIGHTS_MOST, OWNERS_MOST)
         );
         assert_eq!(
-            ask(&mut rights, "b", &"x".repeat(TEXT_MOST + 1)),
+            ask(&mut rights, "b", &"x".repeat(MAX_TEXT_BYTES + 1)),
             Outcome::Beyond
         );
     }
--- a/crates/cluster/src/consensus/mod.rs
+++ b/crates/cluster/src/consensus/mod.rs
@@ -24,7 +24,7 @@
 pub mod replica;
 pub mod store;
 
-use crate::membership::{MemberStatus, NAME_MOST};
+use crate::membership::{MemberStatus, MAX_NAME_BYTES};
 use crate::Micros;
 use bootstrap::{Bootstrap, Shown, QUIET};
 use fragmentation::{Fragment, Fragments};
@@ -101,7 +101,7 @@
     pub fn read(bytes: &[u8]) -> Option<Notice> {
         postcard::from_bytes(bytes)
             .ok()
-            .filter(|n: &Notice| n.leader.len() <= NAME_MOST)
+            .filter(|n: &Notice| n.leader.len() <= MAX_NAME_BYTES)
     }
 }
 
--- a/crates/cluster/src/gossip.rs
+++ b/crates/cluster/src/gossip.rs
@@ -7,7 +7,7 @@
 //!
 //! Kinds that this build does not know are kept and passed on as they are: in every release two builds run side by side.
 
-use crate::membership::NAME_MOST;
+use crate::membership::MAX_NAME_BYTES;
 use crate::Micros;
 use std::collections::BTreeMap;
 use std::ops::RangeInclusive;
@@ -22,7 +22,7 @@
 pub const AGREED: Kind = 2;
 
 /// Longest value.
-pub const VALUE_MOST: usize = 256;
+pub const MAX_VALUE_BYTES: usize = 256;
 /// Kinds of one owner, and owners.
 const KINDS_MOST: usize = 16;
 const OWNERS_MOST: usize = 1024;
@@ -120,7 +120,7 @@
         let length = self.number(1)? as usize;
         let name = std::str::from_utf8(self.take(length)?)
             .ok()
-            .filter(|n| n.len() <= NAME_MOST)?;
+            .filter(|n| n.len() <= MAX_NAME_BYTES)?;
         Some((name.into(), self.number(2)? as Kind))
     }
 }
@@ -154,7 +154,7 @@
         if old.is_some_and(|r| *r.value == *value) {
             return true;
         }
-        if value.len() > VALUE_MOST || old.is_none() && self.kinds_of(&self.me) >= KINDS_MOST {
+        if value.len() > MAX_VALUE_BYTES || old.is_none() && self.kinds_of(&self.me) >= KINDS_MOST {
             self.refused.bounds += 1;
             return false;
         }
@@ -331,7 +331,7 @@
                 let (session, version) = (bytes.number(8)?, bytes.number(8)?);
                 let age = bytes.number(4)? * 1000;
                 let length = bytes.number(2)? as usize;
-                let value = bytes.take(length).filter(|v| v.len() <= VALUE_MOST)?;
+                let value = bytes.take(length).filter(|v| v.len() <= MAX_VALUE_BYTES)?;
                 let fits = !place.0.is_empty() && session <= NUMBER_MOST && version <= NUMBER_MOST;
                 let record = StoredRecord {
                     session,
@@ -414,7 +414,7 @@
         let mut next = None;
         let mut last = None;
         // The head: the range, and whether an answer is wanted.
-        let room = most.saturating_sub(2 + 2 * (3 + NAME_MOST));
+        let room = most.saturating_sub(2 + 2 * (3 + MAX_NAME_BYTES));
         for (place, r) in self.records.range(low.clone()..) {
             if high.is_some_and(|h| place > h) {
                 break;
@@ -613,7 +613,7 @@
     #[test]
     fn bounds_on_size_kinds_and_owners_bite_and_are_counted() {
         let mut a = GossipState::new("a", 5);
-        assert!(!a.tell(0, 1, &[0; VALUE_MOST + 1], 3));
+        assert!(!a.tell(0, 1, &[0; MAX_VALUE_BYTES + 1], 3));
         for kind in 0..KINDS_MOST as Kind {
             assert!(a.tell(0, kind, b"x", 3));
         }
--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -35,4 +35,4 @@
 pub type Micros = u64;
 
 /// Largest datagram, so that none is cut into fragments on any usual network.
-pub const DATAGRAM_MOST: usize = 1200;
+pub const MAX_DATAGRAM_BYTES: usize = 1200;
--- a/crates/cluster/src/member_metadata.rs
+++ b/crates/cluster/src/member_metadata.rs
@@ -33,7 +33,7 @@
 }
 
 /// Longest text of a field, in bytes; more is cut at a character.
-const TEXT_MOST: usize = 48;
+const MAX_TEXT_BYTES: usize = 48;
 const ZONE: u8 = 1;
 const REGION: u8 = 2;
 const BUILD: u8 = 3;
@@ -69,7 +69,7 @@
 }
 
 fn cut(text: &str) -> &str {
-    let mut end = text.len().min(TEXT_MOST);
+    let mut end = text.len().min(MAX_TEXT_BYTES);
     while !text.is_char_boundary(end) {
         end -= 1;
     }
@@ -159,7 +159,7 @@
     #[test]
     fn no_bytes_make_it_panic() {
         fn reads(bytes: Vec<u8>) -> bool {
-            MemberMetadata::read(&bytes).is_none_or(|a| a.zone.len() <= TEXT_MOST)
+            MemberMetadata::read(&bytes).is_none_or(|a| a.zone.len() <= MAX_TEXT_BYTES)
         }
         quickcheck(reads as fn(Vec<u8>) -> bool);
     }
--- a/crates/cluster/src/membership.rs
+++ b/crates/cluster/src/membership.rs
@@ -4,7 +4,7 @@
 //! average, and called down 2 s later, unless it says that it is there. What is called down is told of, and asked each
 //! two seconds whether it is back, so that halves that were cut apart find each other again.
 
-use crate::message_authentication::PAYLOAD_MOST;
+use crate::message_authentication::MAX_PAYLOAD_BYTES;
 use crate::Micros;
 use bytes::{Buf, BufMut};
 use foca::{
@@ -24,7 +24,7 @@
 /// Members known at once, gone ones among them; a datagram that tells of more is not read.
 pub const MEMBERS_MOST: usize = 1024;
 /// Longest name of a member, in bytes.
-pub const NAME_MOST: usize = 48;
+pub const MAX_NAME_BYTES: usize = 48;
 /// One member is probed in this time, by each.
 const PROBE_EVERY: Duration = Duration::from_millis(400);
 /// An answer that has not come by then is asked for by way of others.
@@ -37,7 +37,7 @@
 const FORGET_DOWN: Duration = Duration::from_secs(60);
 /// Each word is passed on so often by each: three times the logarithm of 300.
 const PASS_ON: NonZeroU8 = NonZeroU8::new(18).unwrap();
-const PACKET_MOST: NonZeroUsize = NonZeroUsize::new(PAYLOAD_MOST).unwrap();
+const PACKET_MOST: NonZeroUsize = NonZeroUsize::new(MAX_PAYLOAD_BYTES).unwrap();
 const GOSSIP: PeriodicParams = PeriodicParams {
     frequency: Duration::from_millis(200),
     num_members: NonZeroUsize::new(3).unwrap(),
@@ -124,7 +124,7 @@
 }
 
 fn bounded(id: &Identity) -> Result<(), Unreadable> {
-    (id.name.len() <= NAME_MOST)
+    (id.name.len() <= MAX_NAME_BYTES)
         .then_some(())
         .ok_or_else(|| Unreadable("a name too long".into()))
 }
--- a/crates/cluster/src/message_authentication.rs
+++ b/crates/cluster/src/message_authentication.rs
@@ -17,7 +17,7 @@
 //! datagram passes once in 2^128. HMAC-SHA-256 would do as well at some ten times the cost, which a flood would have us
 //! pay for each of its datagrams. What is sent can be read by who sees it: facts hold nothing secret.
 
-use crate::DATAGRAM_MOST;
+use crate::MAX_DATAGRAM_BYTES;
 use siphasher::sip128::{Hasher128, SipHasher24};
 use std::collections::BTreeMap;
 use std::fmt;
@@ -29,7 +29,7 @@
 const HEAD: usize = 29;
 const TAG: usize = 16;
 /// Most bytes of a payload.
-pub const PAYLOAD_MOST: usize = DATAGRAM_MOST - HEAD - TAG;
+pub const MAX_PAYLOAD_BYTES: usize = MAX_DATAGRAM_BYTES - HEAD - TAG;
 /// Sessions whose counts are remembered. Only who holds the key can make one be remembered.
 const SESSIONS_MOST: usize = 2048;
 /// Datagrams of one session may overtake each other by this many.
@@ -250,7 +250,7 @@
 
     /// A datagram for the process of this session (0 where that is not known); `None` if the payload is too long.
     pub fn seal(&mut self, payload: Payload, bytes: &[u8], receiver: u64) -> Option<Vec<u8>> {
-        if bytes.len() > PAYLOAD_MOST {
+        if bytes.len() > MAX_PAYLOAD_BYTES {
             return None;
         }
         self.count += 1;
@@ -270,7 +270,7 @@
     /// Opens a datagram.
     pub fn open<'a>(&mut self, datagram: &'a [u8]) -> Result<Opened<'a>, Refused> {
         if datagram.len() < HEAD + TAG
-            || datagram.len() > DATAGRAM_MOST
+            || datagram.len() > MAX_DATAGRAM_BYTES
             || !datagram.starts_with(MAGIC)
         {
             return Err(Refused::Foreign);
@@ -360,14 +360,14 @@
         }
         assert!(b.open(&sent).is_ok());
         assert_eq!(
-            a.seal(Payload::GossipState, &[0; PAYLOAD_MOST + 1], 8),
+            a.seal(Payload::GossipState, &[0; MAX_PAYLOAD_BYTES + 1], 8),
             None
         );
         assert_eq!(
-            a.seal(Payload::GossipState, &[0; PAYLOAD_MOST], 8)
+            a.seal(Payload::GossipState, &[0; MAX_PAYLOAD_BYTES], 8)
                 .unwrap()
                 .len(),
-            DATAGRAM_MOST
+            MAX_DATAGRAM_BYTES
         );
     }
 
--- a/crates/coordinator/src/node/cluster.rs
+++ b/crates/coordinator/src/node/cluster.rs
@@ -7,7 +7,7 @@
 use crate::config::ClusterConfig;
 use crate::discovery::EngineListUpdate;
 use driftfront_cluster::{
-    Cluster, Identity, Keyring, MemberMetadata, MemberStatus, Options, State, DATAGRAM_MOST,
+    Cluster, Identity, Keyring, MemberMetadata, MemberStatus, Options, State, MAX_DATAGRAM_BYTES,
 };
 use driftfront_control::snapshot::Member;
 use driftfront_core::{lifecycle, ListKind, Micros, Phase};
@@ -151,7 +151,7 @@
         };
         let begun = Instant::now();
         // One byte more than the longest shows what is too long.
-        let mut bytes = [0; DATAGRAM_MOST + 1];
+        let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
         for turn in 0.. {
             if turn >= TURN || begun.elapsed() >= TIME {
                 fleet.cut_short += 1;
--- a/crates/coordinator/src/node/cluster/agreed.rs
+++ b/crates/coordinator/src/node/cluster/agreed.rs
@@ -6,7 +6,7 @@
 use super::ClusterRuntime;
 use crate::file_writer::{Disk, Job};
 use crate::node::{ConnectionId, Node};
-use driftfront_cluster::consensus::leases::{Command, Outcome, TEXT_MOST};
+use driftfront_cluster::consensus::leases::{Command, Outcome, MAX_TEXT_BYTES};
 use driftfront_cluster::consensus::replica::Write;
 use driftfront_cluster::consensus::{store, Options, Role, Unanswered};
 use driftfront_cluster::State;
@@ -284,10 +284,10 @@
         note: String,
     ) {
         let pot = format!("{HOLD}{name}");
-        if pot.len() > TEXT_MOST || note.len() > TEXT_MOST {
+        if pot.len() > MAX_TEXT_BYTES || note.len() > MAX_TEXT_BYTES {
             let why = format!(
-                "a name has {} bytes at most, a note {TEXT_MOST}",
-                TEXT_MOST - HOLD.len()
+                "a name has {} bytes at most, a note {MAX_TEXT_BYTES}",
+                MAX_TEXT_BYTES - HOLD.len()
             );
             return self.tell_operator(to.0, &Reply::Refused(why).line(to.1));
         }
