--- a/crates/cluster-simulation/src/main.rs
+++ b/crates/cluster-simulation/src/main.rs
@@ -293,7 +293,7 @@
                 }
                 if rng.random_bool(0.2) {
                     let pot = format!("p{}", rng.random_range(0..3));
-                    let take = Command::Take {
+                    let take = Command::Acquire {
                         pot,
                         amount: 1,
                         most: 1,
--- a/crates/cluster-simulation/src/model.rs
+++ b/crates/cluster-simulation/src/model.rs
@@ -108,7 +108,7 @@
     /// A voter tells it what became of that.
     Answer(usize, usize),
     /// It gives the right back.
-    Give(usize),
+    Release(usize),
 }
 
 impl World {
@@ -249,7 +249,7 @@
             match asker.holds {
                 None if asker.request < 1 => steps.push(Step::Ask(a)),
                 // One gives back what it holds, the other lets it end.
-                Some(_) if asker.request < 2 && a == 0 => steps.push(Step::Give(a)),
+                Some(_) if asker.request < 2 && a == 0 => steps.push(Step::Release(a)),
                 _ => {}
             }
         }
@@ -320,7 +320,7 @@
                 w.agree(n);
             }
             Step::Ask(a) => {
-                let take = Command::Take {
+                let take = Command::Acquire {
                     pot: "p".into(),
                     amount: 1,
                     most: 1,
@@ -332,11 +332,11 @@
                 asker.request += 1;
                 asker.asked = Some((w.now, take));
             }
-            Step::Give(a) => {
+            Step::Release(a) => {
                 let asker = &mut w.askers[a];
                 let (fence, _) = asker.holds.take()?;
                 asker.request += 1;
-                asker.asked = Some((w.now, Command::Give { fence }));
+                asker.asked = Some((w.now, Command::Release { fence }));
             }
             Step::Propose(n, a) => {
                 let v = &w.voters[n];
--- a/crates/cluster-simulation/src/rights.rs
+++ b/crates/cluster-simulation/src/rights.rs
@@ -111,7 +111,7 @@
             {
                 let span = self.rng.random_range(self.load.span / 2..=self.load.span);
                 let pot = format!("pot-{}", self.rng.random_range(0..self.load.pots));
-                let take = Command::Take {
+                let take = Command::Acquire {
                     pot,
                     amount: 1,
                     most: 1,
--- a/crates/cluster/src/consensus/leases.rs
+++ b/crates/cluster/src/consensus/leases.rs
@@ -31,7 +31,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Command {
     /// Lend me so much of a pot.
-    Take {
+    Acquire {
         /// The pot.
         pot: String,
         /// How much of it.
@@ -53,12 +53,12 @@
         span: Micros,
     },
     /// I give it back.
-    Give {
+    Release {
         /// The right.
         fence: u64,
     },
     /// An operator gives back what another holds.
-    Free {
+    Revoke {
         /// The right.
         fence: u64,
     },
@@ -267,7 +267,7 @@
     fn carry_out(&mut self, index: u64, owner: &str, session: u64, command: Command) -> Outcome {
         let now = self.time;
         match command {
-            Command::Take {
+            Command::Acquire {
                 pot,
                 amount,
                 most,
@@ -326,14 +326,16 @@
                     None => Outcome::NotYours,
                 }
             }
-            Command::Give { fence } => match self.lent.get(&fence).filter(|r| r.owner == owner) {
-                Some(_) => {
-                    self.lent.remove(&fence);
-                    Outcome::Given
+            Command::Release { fence } => {
+                match self.lent.get(&fence).filter(|r| r.owner == owner) {
+                    Some(_) => {
+                        self.lent.remove(&fence);
+                        Outcome::Given
+                    }
+                    None => Outcome::NotYours,
                 }
-                None => Outcome::NotYours,
-            },
-            Command::Free { fence } => match self.lent.contains_key(&fence) {
+            }
+            Command::Revoke { fence } => match self.lent.contains_key(&fence) {
                 true => {
                     self.lent.remove(&fence);
                     Outcome::Given
@@ -352,7 +354,7 @@
     const S: Micros = 1_000_000;
 
     fn take(pot: &str, span: Micros, stays: bool) -> Command {
-        Command::Take {
+        Command::Acquire {
             pot: pot.into(),
             amount: 1,
             most: 1,
@@ -397,7 +399,7 @@
                     3 * S,
                     "b",
                     2,
-                    Command::Give {
+                    Command::Release {
                         fence: (7 << 20) + 1
                     }
                 )
@@ -450,7 +452,7 @@
         );
         assert_eq!(rights.all().next().map(|s| s.left), Some(None));
         assert_eq!(
-            rights.apply(3, entry(901 * S, "b", 2, Command::Free { fence: 1 })),
+            rights.apply(3, entry(901 * S, "b", 2, Command::Revoke { fence: 1 })),
             Outcome::Given
         );
         assert!(matches!(
@@ -467,7 +469,7 @@
         assert_eq!(rights.apply(2, ask), first);
         assert_eq!(rights.outcome("a", 1, 5), Some(&first));
         assert_eq!(
-            rights.apply(3, entry(S, "a", 4, Command::Give { fence: 1 })),
+            rights.apply(3, entry(S, "a", 4, Command::Release { fence: 1 })),
             Outcome::Stale
         );
         // The next process of that name may give back, or go on with, what is its name's; the one before may not.
@@ -485,7 +487,7 @@
         };
         assert_eq!(rights.apply(4, later), Outcome::Renewed);
         assert_eq!(
-            rights.apply(5, entry(3 * S, "a", 6, Command::Give { fence: 1 })),
+            rights.apply(5, entry(3 * S, "a", 6, Command::Release { fence: 1 })),
             Outcome::Stale
         );
         assert_eq!(rights.lent_of("out"), 1);
@@ -543,7 +545,7 @@
                     time += Micros::from(later) * 100_000;
                     let fence = 1 + u64::from(amount) % (n as u64 + 1);
                     let command = match what % 4 {
-                        0 | 1 => Command::Take {
+                        0 | 1 => Command::Acquire {
                             pot: "p".into(),
                             amount: u32::from(amount % 4),
                             most: 5,
@@ -552,7 +554,7 @@
                             note: String::new(),
                         },
                         2 => Command::Renew { fence, span: S },
-                        _ => Command::Give { fence },
+                        _ => Command::Release { fence },
                     };
                     rights.apply(
                         n as u64 + 1,
--- a/crates/cluster/src/consensus/mod.rs
+++ b/crates/cluster/src/consensus/mod.rs
@@ -647,7 +647,7 @@
             return true;
         }
         let (session, request) = of;
-        if let Command::Take { span, .. } | Command::Renew { span, .. } = &command {
+        if let Command::Acquire { span, .. } | Command::Renew { span, .. } = &command {
             // What a founding after the loss of all voters has to wait for.
             if !all_keep && *span > QUIET {
                 self.reply(clock, owner, of, Outcome::Beyond);
@@ -709,14 +709,14 @@
         match (&outcome, &asking.command) {
             (
                 Outcome::Granted { fence },
-                Command::Take {
+                Command::Acquire {
                     pot, amount, span, ..
                 },
             ) => {
                 self.counters.lent += 1;
                 if asking.given_up {
                     self.counters.given_back += 1;
-                    self.ask_for(clock, Command::Give { fence: *fence }, Micros::MAX, true);
+                    self.ask_for(clock, Command::Release { fence: *fence }, Micros::MAX, true);
                 } else {
                     let held = Held {
                         pot: pot.clone(),
@@ -742,7 +742,7 @@
     /// Gives a right back: it is not used from this moment on, whenever that is agreed.
     pub fn give(&mut self, clock: Micros, fence: u64) {
         if self.held.remove(&fence).is_some() {
-            self.ask_for(clock, Command::Give { fence }, Micros::MAX, true);
+            self.ask_for(clock, Command::Release { fence }, Micros::MAX, true);
         }
     }
 
--- a/crates/cluster/tests/golden_log.rs
+++ b/crates/cluster/tests/golden_log.rs
@@ -14,7 +14,7 @@
 }
 
 fn take(pot: &str, amount: u32, span: u64, stays: bool, note: &str) -> Command {
-    Command::Take {
+    Command::Acquire {
         pot: pot.into(),
         amount,
         most: 3,
@@ -138,10 +138,10 @@
         },
     );
     ask(&mut site, 3, Command::Renew { fence, span: 0 });
-    ask(&mut site, 3, Command::Give { fence });
-    ask(&mut site, 3, Command::Give { fence });
-    ask(&mut site, leader, Command::Free { fence: fence + 2 });
-    ask(&mut site, leader, Command::Free { fence: 1 });
+    ask(&mut site, 3, Command::Release { fence });
+    ask(&mut site, 3, Command::Release { fence });
+    ask(&mut site, leader, Command::Revoke { fence: fence + 2 });
+    ask(&mut site, leader, Command::Revoke { fence: 1 });
     // A request that reaches a voter which does not lead: it names the one that does.
     let clock = site.clock();
     site.members[3].agreed.ask(
@@ -185,7 +185,7 @@
     let messages = messages(&site.sent);
     // So many entries that the log is cut.
     while !is_cut(site.members[leader].file.as_deref().unwrap()) {
-        site.ask(leader, Command::Free { fence: 1 });
+        site.ask(leader, Command::Revoke { fence: 1 });
     }
     let cut = site.members[leader].file.clone().unwrap();
     let standing = standing(&site.members[leader].agreed);
@@ -364,8 +364,8 @@
             fence: 300,
             span: 5,
         },
-        Command::Give { fence: 301 },
-        Command::Free { fence: 302 },
+        Command::Release { fence: 301 },
+        Command::Revoke { fence: 302 },
     ];
     for command in commands {
         let entry = Entry {
--- a/crates/coordinator/src/node/cluster/agreed.rs
+++ b/crates/coordinator/src/node/cluster/agreed.rs
@@ -293,7 +293,7 @@
         }
         let span = for_s.saturating_mul(1_000_000);
         self.ask_for(to, name, |_| {
-            Ok(Command::Take {
+            Ok(Command::Acquire {
                 pot,
                 amount: 1,
                 most: 1,
@@ -314,7 +314,7 @@
                 .map(|a| a.view().lent)
                 .unwrap_or_default();
             let held = lent.into_iter().find(|(_, right, _)| right.pot == pot);
-            held.map(|(fence, ..)| Command::Free { fence })
+            held.map(|(fence, ..)| Command::Revoke { fence })
                 .ok_or_else(|| format!("{name} is not held"))
         });
     }
