--- a/crates/cluster/src/consensus/leases.rs
+++ b/crates/cluster/src/consensus/leases.rs
@@ -75,20 +75,20 @@
     /// It ends later now.
     Renewed,
     /// It is given back.
-    Given,
+    Released,
     /// So much of the pot is lent already.
-    Full {
+    LimitReached {
         /// How much.
         lent: u32,
         /// Until the first of it ends; nothing where all of it stays.
         wait: Option<Micros>,
     },
     /// There is no such right, or no more, or it is another's.
-    NotYours,
+    NotOwner,
     /// It is beyond a bound: texts, amounts, how many rights there are.
-    Beyond,
+    OutOfBounds,
     /// Rights of an earlier life of this log may still hold: none is lent for so long.
-    Early {
+    TooEarly {
         /// How long.
         wait: Micros,
     },
@@ -281,10 +281,10 @@
                     && owner.len() <= MAX_NAME_BYTES;
                 let fits = texts && !pot.is_empty() && amount > 0 && span > 0 && span <= SPAN_MOST;
                 if !fits || self.lent.len() >= RIGHTS_MOST || of_owner >= RIGHTS_OF_ONE {
-                    return Outcome::Beyond;
+                    return Outcome::OutOfBounds;
                 }
                 if now < self.quiet_until {
-                    return Outcome::Early {
+                    return Outcome::TooEarly {
                         wait: self.quiet_until - now,
                     };
                 }
@@ -295,7 +295,7 @@
                         .values()
                         .filter(|r| r.pot == pot && !r.stays)
                         .map(|r| r.end);
-                    return Outcome::Full {
+                    return Outcome::LimitReached {
                         lent,
                         wait: ends.min().map(|end| end.saturating_sub(now)),
                     };
@@ -322,25 +322,25 @@
                         (right.end, right.session) = (right.end.max(now + span), session);
                         Outcome::Renewed
                     }
-                    Some(_) => Outcome::Beyond,
-                    None => Outcome::NotYours,
+                    Some(_) => Outcome::OutOfBounds,
+                    None => Outcome::NotOwner,
                 }
             }
             Command::Release { fence } => {
                 match self.lent.get(&fence).filter(|r| r.owner == owner) {
                     Some(_) => {
                         self.lent.remove(&fence);
-                        Outcome::Given
+                        Outcome::Released
                     }
-                    None => Outcome::NotYours,
+                    None => Outcome::NotOwner,
                 }
             }
             Command::Revoke { fence } => match self.lent.contains_key(&fence) {
                 true => {
                     self.lent.remove(&fence);
-                    Outcome::Given
+                    Outcome::Released
                 }
-                false => Outcome::NotYours,
+                false => Outcome::NotOwner,
             },
         }
     }
@@ -384,7 +384,7 @@
                 fence: (7 << 20) + 1
             }
         );
-        let full = Outcome::Full {
+        let full = Outcome::LimitReached {
             lent: 1,
             wait: Some(9 * S),
         };
@@ -404,12 +404,12 @@
                     }
                 )
             ),
-            Outcome::NotYours
+            Outcome::NotOwner
         );
         // At its end, and not before.
         assert!(matches!(
             rights.apply(4, entry(11 * S - 1, "b", 3, take("out", S, false))),
-            Outcome::Full { .. }
+            Outcome::LimitReached { .. }
         ));
         let second = rights.apply(5, entry(11 * S, "b", 4, take("out", S, false)));
         assert_eq!(
@@ -431,7 +431,7 @@
                     }
                 )
             ),
-            Outcome::NotYours
+            Outcome::NotOwner
         );
     }
 
@@ -442,7 +442,7 @@
             rights.apply(1, entry(S, "a", 1, take("out", S, true))),
             Outcome::Granted { fence: 1 }
         );
-        let full = Outcome::Full {
+        let full = Outcome::LimitReached {
             lent: 1,
             wait: None,
         };
@@ -453,7 +453,7 @@
         assert_eq!(rights.all().next().map(|s| s.left), Some(None));
         assert_eq!(
             rights.apply(3, entry(901 * S, "b", 2, Command::Revoke { fence: 1 })),
-            Outcome::Given
+            Outcome::Released
         );
         assert!(matches!(
             rights.apply(4, entry(902 * S, "b", 3, take("out", S, false))),
@@ -498,7 +498,7 @@
         let mut rights = Leases::begun(1, 30 * S);
         assert_eq!(
             rights.apply(1, entry(10 * S, "a", 1, take("x", S, false))),
-            Outcome::Early { wait: 20 * S }
+            Outcome::TooEarly { wait: 20 * S }
         );
         assert!(matches!(
             rights.apply(2, entry(30 * S, "a", 2, take("x", S, false))),
@@ -520,7 +520,7 @@
                 Outcome::Granted { .. }
             ));
         }
-        assert_eq!(ask(&mut rights, "a", "one more"), Outcome::Beyond);
+        assert_eq!(ask(&mut rights, "a", "one more"), Outcome::OutOfBounds);
         for n in 0..OWNERS_MOST + 50 {
             ask(&mut rights, &format!("o{n}"), &format!("q{n}"));
         }
@@ -530,7 +530,7 @@
         );
         assert_eq!(
             ask(&mut rights, "b", &"x".repeat(MAX_TEXT_BYTES + 1)),
-            Outcome::Beyond
+            Outcome::OutOfBounds
         );
     }
 
--- a/crates/cluster/src/consensus/mod.rs
+++ b/crates/cluster/src/consensus/mod.rs
@@ -650,7 +650,7 @@
         if let Command::Acquire { span, .. } | Command::Renew { span, .. } = &command {
             // What a founding after the loss of all voters has to wait for.
             if !all_keep && *span > QUIET {
-                self.reply(clock, owner, of, Outcome::Beyond);
+                self.reply(clock, owner, of, Outcome::OutOfBounds);
                 return true;
             }
         }
@@ -731,7 +731,7 @@
                     held.until = held.until.max(until(*span));
                 }
             }
-            (Outcome::NotYours, Command::Renew { fence, .. }) => drop(self.held.remove(fence)),
+            (Outcome::NotOwner, Command::Renew { fence, .. }) => drop(self.held.remove(fence)),
             _ => {}
         }
         if !asking.given_up && !asking.quiet {
--- a/crates/cluster/tests/golden_log.rs
+++ b/crates/cluster/tests/golden_log.rs
@@ -42,11 +42,11 @@
     match outcome {
         Outcome::Granted { fence } => format!("lent {fence}"),
         Outcome::Renewed => "renewed".into(),
-        Outcome::Given => "given".into(),
-        Outcome::Full { lent, wait } => format!("full, {lent} lent, wait {wait:?}"),
-        Outcome::NotYours => "not yours".into(),
-        Outcome::Beyond => "beyond".into(),
-        Outcome::Early { wait } => format!("early, wait {wait}"),
+        Outcome::Released => "given".into(),
+        Outcome::LimitReached { lent, wait } => format!("full, {lent} lent, wait {wait:?}"),
+        Outcome::NotOwner => "not yours".into(),
+        Outcome::OutOfBounds => "beyond".into(),
+        Outcome::TooEarly { wait } => format!("early, wait {wait}"),
         Outcome::Stale => "stale".into(),
     }
 }
@@ -382,18 +382,18 @@
     let outcomes = [
         Outcome::Granted { fence: 300 },
         Outcome::Renewed,
-        Outcome::Given,
-        Outcome::Full {
+        Outcome::Released,
+        Outcome::LimitReached {
             lent: 3,
             wait: Some(400),
         },
-        Outcome::Full {
+        Outcome::LimitReached {
             lent: 3,
             wait: None,
         },
-        Outcome::NotYours,
-        Outcome::Beyond,
-        Outcome::Early { wait: 500 },
+        Outcome::NotOwner,
+        Outcome::OutOfBounds,
+        Outcome::TooEarly { wait: 500 },
         Outcome::Stale,
     ];
     for one in outcomes {
--- a/crates/coordinator/src/node/cluster/agreed.rs
+++ b/crates/coordinator/src/node/cluster/agreed.rs
@@ -391,18 +391,18 @@
     let seconds = |t: Micros| t.div_ceil(1_000_000);
     match outcome {
         Ok(Outcome::Granted { fence }) => Ok(format!("{name} is held, under number {fence}")),
-        Ok(Outcome::Given) => Ok(format!("{name} is given back")),
+        Ok(Outcome::Released) => Ok(format!("{name} is given back")),
         Ok(Outcome::Renewed) => Ok(format!("{name} is held for longer")),
-        Ok(Outcome::Full { wait: Some(wait), .. }) => {
+        Ok(Outcome::LimitReached { wait: Some(wait), .. }) => {
             Err(format!("{name} is held already, for {} s more", seconds(wait)))
         }
-        Ok(Outcome::Full { wait: None, .. }) => Err(format!("{name} is held already, until it is given back")),
-        Ok(Outcome::NotYours) => Err(format!("{name} is not held any more")),
-        Ok(Outcome::Beyond) => Err(format!(
+        Ok(Outcome::LimitReached { wait: None, .. }) => Err(format!("{name} is held already, until it is given back")),
+        Ok(Outcome::NotOwner) => Err(format!("{name} is not held any more")),
+        Ok(Outcome::OutOfBounds) => Err(format!(
             "{name} can't be held so: too many are, or it is for over 10 s where not all who decide keep their log in a \
              state folder, or for over a day"
         )),
-        Ok(Outcome::Early { wait }) => {
+        Ok(Outcome::TooEarly { wait }) => {
             Err(format!("nothing is lent for {} s yet: what an earlier log lent must have ended", seconds(wait)))
         }
         Ok(Outcome::Stale) => Err("this process is behind a later one of its name".into()),
