--- a/crates/cluster-simulation/src/main.rs
+++ b/crates/cluster-simulation/src/main.rs
@@ -292,9 +292,9 @@
                     }
                 }
                 if rng.random_bool(0.2) {
-                    let pot = format!("p{}", rng.random_range(0..3));
+                    let resource = format!("p{}", rng.random_range(0..3));
                     let take = Command::Acquire {
-                        pot,
+                        resource,
                         amount: 1,
                         most: 1,
                         span: S,
@@ -562,7 +562,7 @@
         ))?);
         world.ask(Load {
             one_in: 4,
-            pots: 100,
+            resources: 100,
             span: 2 * S,
             patience: 30 * S,
         });
--- a/crates/cluster-simulation/src/model.rs
+++ b/crates/cluster-simulation/src/model.rs
@@ -321,7 +321,7 @@
             }
             Step::Ask(a) => {
                 let take = Command::Acquire {
-                    pot: "p".into(),
+                    resource: "p".into(),
                     amount: 1,
                     most: 1,
                     span: SPAN,
--- a/crates/cluster-simulation/src/rights.rs
+++ b/crates/cluster-simulation/src/rights.rs
@@ -14,7 +14,7 @@
 #[derive(Clone, Debug)]
 pub struct Load {
     /// Of so many pots, each lent once at a time.
-    pub pots: u32,
+    pub resources: u32,
     /// For so long, half of it at least.
     pub span: Micros,
     /// In one of so many looks, where it holds nothing.
@@ -26,7 +26,7 @@
 impl Default for Load {
     fn default() -> Load {
         Load {
-            pots: 2,
+            resources: 2,
             span: 3_000_000,
             one_in: 30,
             patience: 4_000_000,
@@ -87,12 +87,12 @@
                         self.answered.extend(since.map(|s| (now, now - s)));
                         if let Outcome::Granted { fence } = outcome {
                             self.lent += 1;
-                            let pot = agreed
+                            let resource = agreed
                                 .held()
                                 .get(&fence)
-                                .map(|h| h.pot.clone())
+                                .map(|h| h.resource.clone())
                                 .unwrap_or_default();
-                            if let Some(before) = self.fences.insert(fence, (pot, member)) {
+                            if let Some(before) = self.fences.insert(fence, (resource, member)) {
                                 wrong.push(format!(
                                     "{now} m{member}: {fence} was lent before: {before:?}"
                                 ));
@@ -110,9 +110,9 @@
                 && self.rng.random_range(0..self.load.one_in) == 0
             {
                 let span = self.rng.random_range(self.load.span / 2..=self.load.span);
-                let pot = format!("pot-{}", self.rng.random_range(0..self.load.pots));
+                let resource = format!("pot-{}", self.rng.random_range(0..self.load.resources));
                 let take = Command::Acquire {
-                    pot,
+                    resource,
                     amount: 1,
                     most: 1,
                     span,
@@ -129,7 +129,7 @@
     pub fn holds(&mut self, member: u32, clock: Micros, agreed: &Consensus) {
         for (&fence, held) in agreed.held().iter().filter(|h| agreed.holds(*h.0, clock)) {
             self.acting
-                .entry(held.pot.clone())
+                .entry(held.resource.clone())
                 .or_default()
                 .push((member, fence));
         }
@@ -137,9 +137,10 @@
 
     /// All have said theirs.
     pub fn check(&mut self, now: Micros) {
-        for (pot, who) in &self.acting {
+        for (resource, who) in &self.acting {
             if who.len() > 1 && self.wrong.len() < 20 {
-                self.wrong.push(format!("{now}: {pot} is held by {who:?}"));
+                self.wrong
+                    .push(format!("{now}: {resource} is held by {who:?}"));
             }
         }
         self.acting.clear();
--- a/crates/cluster-simulation/tests/golden.rs
+++ b/crates/cluster-simulation/tests/golden.rs
@@ -223,8 +223,8 @@
             "lent {}, unanswered {}, wrong {:?}",
             rights.lent, rights.unanswered, rights.wrong
         );
-        for (fence, (pot, owner)) in &rights.fences {
-            let _ = writeln!(text, "{fence} {pot} m{owner}");
+        for (fence, (resource, owner)) in &rights.fences {
+            let _ = writeln!(text, "{fence} {resource} m{owner}");
         }
         for (at, took) in &rights.answered {
             let _ = writeln!(text, "answered at {at} after {took}");
@@ -258,7 +258,7 @@
                   at \"30 s\" { kill \"m1\" }\nat \"50 s\" { start \"m1\" }";
     let load = Load {
         one_in: 1,
-        pots: 400,
+        resources: 400,
         span: 60 * S,
         ..Load::default()
     };
--- a/crates/cluster/src/consensus/leases.rs
+++ b/crates/cluster/src/consensus/leases.rs
@@ -33,7 +33,7 @@
     /// Lend me so much of a pot.
     Acquire {
         /// The pot.
-        pot: String,
+        resource: String,
         /// How much of it.
         amount: u32,
         /// No more than this of it may be lent at once, by the asker's settings.
@@ -100,7 +100,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Lease {
     /// Of which pot.
-    pub pot: String,
+    pub resource: String,
     /// How much of it.
     pub amount: u32,
     /// Who holds it.
@@ -195,10 +195,10 @@
     }
 
     /// How much of a pot is lent.
-    pub fn lent_of(&self, pot: &str) -> u32 {
+    pub fn lent_of(&self, resource: &str) -> u32 {
         self.lent
             .values()
-            .filter(|r| r.pot == pot)
+            .filter(|r| r.resource == resource)
             .fold(0, |sum, r| sum.saturating_add(r.amount))
     }
 
@@ -268,7 +268,7 @@
         let now = self.time;
         match command {
             Command::Acquire {
-                pot,
+                resource,
                 amount,
                 most,
                 span,
@@ -276,10 +276,11 @@
                 note,
             } => {
                 let of_owner = self.lent.values().filter(|r| r.owner == owner).count();
-                let texts = pot.len() <= MAX_TEXT_BYTES
+                let texts = resource.len() <= MAX_TEXT_BYTES
                     && note.len() <= MAX_TEXT_BYTES
                     && owner.len() <= MAX_NAME_BYTES;
-                let fits = texts && !pot.is_empty() && amount > 0 && span > 0 && span <= SPAN_MOST;
+                let fits =
+                    texts && !resource.is_empty() && amount > 0 && span > 0 && span <= SPAN_MOST;
                 if !fits || self.lent.len() >= RIGHTS_MOST || of_owner >= RIGHTS_OF_ONE {
                     return Outcome::OutOfBounds;
                 }
@@ -288,12 +289,12 @@
                         wait: self.quiet_until - now,
                     };
                 }
-                let lent = self.lent_of(&pot);
+                let lent = self.lent_of(&resource);
                 if lent.checked_add(amount).is_none_or(|sum| sum > most) {
                     let ends = self
                         .lent
                         .values()
-                        .filter(|r| r.pot == pot && !r.stays)
+                        .filter(|r| r.resource == resource && !r.stays)
                         .map(|r| r.end);
                     return Outcome::LimitReached {
                         lent,
@@ -305,7 +306,7 @@
                 self.lent.insert(
                     fence,
                     Lease {
-                        pot,
+                        resource,
                         amount,
                         owner,
                         session,
@@ -353,9 +354,9 @@
 
     const S: Micros = 1_000_000;
 
-    fn take(pot: &str, span: Micros, stays: bool) -> Command {
+    fn take(resource: &str, span: Micros, stays: bool) -> Command {
         Command::Acquire {
-            pot: pot.into(),
+            resource: resource.into(),
             amount: 1,
             most: 1,
             span,
@@ -510,9 +511,9 @@
     fn all_has_a_bound() {
         let mut rights = Leases::default();
         let mut index = 0;
-        let mut ask = |rights: &mut Leases, owner: &str, pot: &str| {
+        let mut ask = |rights: &mut Leases, owner: &str, resource: &str| {
             index += 1;
-            rights.apply(index, entry(S, owner, index, take(pot, 10 * S, false)))
+            rights.apply(index, entry(S, owner, index, take(resource, 10 * S, false)))
         };
         for n in 0..RIGHTS_OF_ONE {
             assert!(matches!(
@@ -546,7 +547,7 @@
                     let fence = 1 + u64::from(amount) % (n as u64 + 1);
                     let command = match what % 4 {
                         0 | 1 => Command::Acquire {
-                            pot: "p".into(),
+                            resource: "p".into(),
                             amount: u32::from(amount % 4),
                             most: 5,
                             span: S * Micros::from(what),
--- a/crates/cluster/src/consensus/mod.rs
+++ b/crates/cluster/src/consensus/mod.rs
@@ -181,7 +181,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Held {
     /// The pot.
-    pub pot: String,
+    pub resource: String,
     /// How much.
     pub amount: u32,
     /// Until when, by our own clock.
@@ -710,7 +710,10 @@
             (
                 Outcome::Granted { fence },
                 Command::Acquire {
-                    pot, amount, span, ..
+                    resource,
+                    amount,
+                    span,
+                    ..
                 },
             ) => {
                 self.counters.lent += 1;
@@ -719,7 +722,7 @@
                     self.ask_for(clock, Command::Release { fence: *fence }, Micros::MAX, true);
                 } else {
                     let held = Held {
-                        pot: pot.clone(),
+                        resource: resource.clone(),
                         amount: *amount,
                         until: until(*span),
                     };
--- a/crates/cluster/tests/golden_log.rs
+++ b/crates/cluster/tests/golden_log.rs
@@ -13,9 +13,9 @@
     Some(sent.to)
 }
 
-fn take(pot: &str, amount: u32, span: u64, stays: bool, note: &str) -> Command {
+fn take(resource: &str, amount: u32, span: u64, stays: bool, note: &str) -> Command {
     Command::Acquire {
-        pot: pot.into(),
+        resource: resource.into(),
         amount,
         most: 3,
         span,
@@ -65,7 +65,13 @@
         let _ = writeln!(
             text,
             "{fence}: {} of {} to {} of {:x} until {}, stays {}, left {left:?}, {:?}",
-            right.amount, right.pot, right.owner, right.session, right.end, right.stays, right.note
+            right.amount,
+            right.resource,
+            right.owner,
+            right.session,
+            right.end,
+            right.stays,
+            right.note
         );
     }
     text
--- a/crates/coordinator/src/node/cluster/agreed.rs
+++ b/crates/coordinator/src/node/cluster/agreed.rs
@@ -283,8 +283,8 @@
         stays: bool,
         note: String,
     ) {
-        let pot = format!("{HOLD}{name}");
-        if pot.len() > MAX_TEXT_BYTES || note.len() > MAX_TEXT_BYTES {
+        let resource = format!("{HOLD}{name}");
+        if resource.len() > MAX_TEXT_BYTES || note.len() > MAX_TEXT_BYTES {
             let why = format!(
                 "a name has {} bytes at most, a note {MAX_TEXT_BYTES}",
                 MAX_TEXT_BYTES - HOLD.len()
@@ -294,7 +294,7 @@
         let span = for_s.saturating_mul(1_000_000);
         self.ask_for(to, name, |_| {
             Ok(Command::Acquire {
-                pot,
+                resource,
                 amount: 1,
                 most: 1,
                 span,
@@ -306,14 +306,16 @@
 
     /// An operator gives a hold back, whoever took it.
     pub(in crate::node) fn unhold(&mut self, to: (ConnectionId, u64), name: &str) {
-        let pot = format!("{HOLD}{name}");
+        let resource = format!("{HOLD}{name}");
         self.ask_for(to, name.into(), |fleet| {
             let lent = fleet
                 .unit
                 .agreed()
                 .map(|a| a.view().lent)
                 .unwrap_or_default();
-            let held = lent.into_iter().find(|(_, right, _)| right.pot == pot);
+            let held = lent
+                .into_iter()
+                .find(|(_, right, _)| right.resource == resource);
             held.map(|(fence, ..)| Command::Revoke { fence })
                 .ok_or_else(|| format!("{name} is not held"))
         });
@@ -362,7 +364,11 @@
             driftfront_cluster::consensus::leases::Lease,
             Option<Micros>,
         )| Held {
-            name: right.pot.strip_prefix(HOLD).unwrap_or(&right.pot).into(),
+            name: right
+                .resource
+                .strip_prefix(HOLD)
+                .unwrap_or(&right.resource)
+                .into(),
             fence,
             owner: right.owner,
             amount: right.amount.into(),
