--- a/crates/cluster-simulation/tests/agreed.rs
+++ b/crates/cluster-simulation/tests/agreed.rs
@@ -51,7 +51,11 @@
         let owners: std::collections::BTreeSet<u32> = rights.fences.values().map(|f| f.1).collect();
         assert!(owners.len() as u32 == members, "{owners:?}");
         for m in 0..members {
-            let wanted = if m < voters { Role::Votes } else { Role::Reads };
+            let wanted = if m < voters {
+                Role::Voting
+            } else {
+                Role::Observing
+            };
             assert_eq!(role(&mut w, m), Some(wanted), "m{m}");
             let view = w.fleet(m).unwrap().agreed().unwrap().view();
             assert_eq!(
@@ -83,7 +87,7 @@
         w.play(60 * S, |_| false);
         assert_right(&w);
         assert!(w.rights.as_ref().unwrap().lent > before, "seed {seed}");
-        assert_eq!(role(&mut w, leader), Some(Role::Votes));
+        assert_eq!(role(&mut w, leader), Some(Role::Voting));
     }
 }
 
@@ -170,7 +174,7 @@
     w.play(75 * S, |_| false);
     assert_right(&w);
     for m in 0..3 {
-        assert_eq!(role(&mut w, m), Some(Role::Votes), "m{m}");
+        assert_eq!(role(&mut w, m), Some(Role::Voting), "m{m}");
     }
     let lent = w.rights.as_ref().unwrap().lent;
     w.play(90 * S, |_| false);
@@ -196,7 +200,7 @@
     assert!(names.contains(&format!("m{}", victim + 3)), "{names:?}");
     w.now(&format!("start \"m{victim}\""));
     w.play(85 * S, |_| false);
-    assert_eq!(role(&mut w, victim), Some(Role::Reads));
+    assert_eq!(role(&mut w, victim), Some(Role::Observing));
     // Two of the three there now are enough, and the one that was let in is one of them.
     w.now(&format!("kill \"m{leader}\""));
     let lent = w.rights.as_ref().unwrap().lent;
--- a/crates/cluster/src/consensus/mod.rs
+++ b/crates/cluster/src/consensus/mod.rs
@@ -200,15 +200,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     /// It waits for the other founders.
-    Founds,
+    Bootstrapping,
     /// It decides.
-    Votes,
+    Voting,
     /// It learns, so that it may decide.
-    Learns,
+    Learning,
     /// It reads and asks.
-    Reads,
+    Observing,
     /// Its replica can't go on: what is agreed is beyond this build, or an invariant was broken.
-    Unfit,
+    Failed,
 }
 
 /// Counts since the start.
@@ -1178,11 +1178,11 @@
         let there =
             |name: &String| *name == self.me || self.peers.get(name).is_some_and(|p| p.is_there());
         let part = match (&self.replica, &self.founding) {
-            (Some(r), _) if r.broken || r.beyond => Role::Unfit,
-            (Some(r), _) if r.votes() => Role::Votes,
-            (Some(_), _) => Role::Learns,
-            (None, Some(_)) => Role::Founds,
-            (None, None) => Role::Reads,
+            (Some(r), _) if r.broken || r.beyond => Role::Failed,
+            (Some(r), _) if r.votes() => Role::Voting,
+            (Some(_), _) => Role::Learning,
+            (None, Some(_)) => Role::Bootstrapping,
+            (None, None) => Role::Observing,
         };
         let deciding = self
             .replica
--- a/crates/coordinator/src/node/cluster/agreed.rs
+++ b/crates/coordinator/src/node/cluster/agreed.rs
@@ -353,11 +353,11 @@
     pub(in crate::node) fn fleet_agreed(&self) -> Option<Shown> {
         let view = self.fleet.as_ref()?.unit.agreed()?.view();
         let part = match view.part {
-            Role::Founds => "founds",
-            Role::Votes => "votes",
-            Role::Learns => "learns",
-            Role::Reads => "reads",
-            Role::Unfit => "unfit",
+            Role::Bootstrapping => "founds",
+            Role::Voting => "votes",
+            Role::Learning => "learns",
+            Role::Observing => "reads",
+            Role::Failed => "unfit",
         };
         let held = |(fence, right, left): (
             u64,
@@ -427,7 +427,7 @@
     let c = agreed.counters();
     let view = agreed.view();
     vec![
-        ("agreed_votes", u64::from(view.part == Role::Votes)),
+        ("agreed_votes", u64::from(view.part == Role::Voting)),
         (
             "agreed_leads",
             u64::from(agreed.replica().is_some_and(|r| r.leads())),
