--- a/crates/cluster-simulation/src/rights.rs
+++ b/crates/cluster-simulation/src/rights.rs
@@ -4,7 +4,7 @@
 //! stands still does nothing; it is asked again once it goes on.
 
 use driftfront_cluster::consensus::leases::{Command, Outcome};
-use driftfront_cluster::consensus::{Consensus, Unanswered};
+use driftfront_cluster::consensus::{Consensus, RequestError};
 use driftfront_cluster::{Cluster, Micros};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -82,7 +82,9 @@
             while let Some((request, outcome)) = agreed.outcome() {
                 let since = self.waiting.remove(&(member, request));
                 match outcome {
-                    Err(Unanswered::InTime | Unanswered::TooMany) => self.unanswered += 1,
+                    Err(RequestError::TimedOut | RequestError::TooManyPending) => {
+                        self.unanswered += 1
+                    }
                     Ok(outcome) => {
                         self.answered.extend(since.map(|s| (now, now - s)));
                         if let Outcome::Granted { fence } = outcome {
--- a/crates/cluster/src/consensus/mod.rs
+++ b/crates/cluster/src/consensus/mod.rs
@@ -155,11 +155,11 @@
 
 /// Why there is no outcome.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unanswered {
+pub enum RequestError {
     /// No majority answered in time. It may come to be lent all the same; then it is given back.
-    InTime,
+    TimedOut,
     /// Too many wait already.
-    TooMany,
+    TooManyPending,
 }
 
 struct Asking {
@@ -279,7 +279,7 @@
     keep: VecDeque<Write>,
     asks: VecDeque<Asking>,
     requests: u64,
-    outcomes: VecDeque<(u64, Result<Outcome, Unanswered>)>,
+    outcomes: VecDeque<(u64, Result<Outcome, RequestError>)>,
     held: BTreeMap<u64, Held>,
     clock: Micros,
     /// Requests of others that we had proposed: who asked, by owner.
@@ -489,7 +489,8 @@
         if self.asks.len() >= ASKS_MOST {
             self.counters.turned_away += 1;
             if !quiet {
-                self.outcomes.push_back((request, Err(Unanswered::TooMany)));
+                self.outcomes
+                    .push_back((request, Err(RequestError::TooManyPending)));
             }
             return request;
         }
@@ -509,7 +510,7 @@
     }
 
     /// The next outcome of what was asked here.
-    pub fn outcome(&mut self) -> Option<(u64, Result<Outcome, Unanswered>)> {
+    pub fn outcome(&mut self) -> Option<(u64, Result<Outcome, RequestError>)> {
         self.outcomes.pop_front()
     }
 
@@ -1128,7 +1129,8 @@
         });
         for request in over {
             self.counters.unanswered += 1;
-            self.outcomes.push_back((request, Err(Unanswered::InTime)));
+            self.outcomes
+                .push_back((request, Err(RequestError::TimedOut)));
         }
         let cluster = self.cluster();
         let Some(asking) = self.asks.front_mut().filter(|a| now >= a.again) else {
--- a/crates/cluster/tests/voters/mod.rs
+++ b/crates/cluster/tests/voters/mod.rs
@@ -1,7 +1,7 @@
 //! Members that take part in what is agreed, on virtual time and with no faults: all that they send and store can be looked at.
 
 use driftfront_cluster::consensus::leases::{Command, Outcome};
-use driftfront_cluster::consensus::{Consensus, Notice, Options, Peer, Unanswered};
+use driftfront_cluster::consensus::{Consensus, Notice, Options, Peer, RequestError};
 use driftfront_cluster::{MemberStatus, Micros};
 
 pub const SECOND: Micros = 1_000_000;
@@ -16,7 +16,7 @@
     pub file: Option<Vec<u8>>,
     /// All that was written to the file since this was last emptied, what was written over included.
     pub written: Vec<u8>,
-    pub outcomes: Vec<(u64, Result<Outcome, Unanswered>)>,
+    pub outcomes: Vec<(u64, Result<Outcome, RequestError>)>,
 }
 
 /// A message on its way.
--- a/crates/coordinator/src/node/cluster/agreed.rs
+++ b/crates/coordinator/src/node/cluster/agreed.rs
@@ -8,7 +8,7 @@
 use crate::node::{ConnectionId, Node};
 use driftfront_cluster::consensus::leases::{Command, Outcome, MAX_TEXT_BYTES};
 use driftfront_cluster::consensus::replica::Write;
-use driftfront_cluster::consensus::{store, Options, Role, Unanswered};
+use driftfront_cluster::consensus::{store, Options, RequestError, Role};
 use driftfront_cluster::State;
 use driftfront_control::snapshot::{Consensus as Shown, Held, Voter};
 use driftfront_control::Reply;
@@ -393,7 +393,7 @@
 }
 
 /// What became of a hold, in words.
-fn words(name: &str, outcome: Result<Outcome, Unanswered>) -> Result<String, String> {
+fn words(name: &str, outcome: Result<Outcome, RequestError>) -> Result<String, String> {
     let seconds = |t: Micros| t.div_ceil(1_000_000);
     match outcome {
         Ok(Outcome::Granted { fence }) => Ok(format!("{name} is held, under number {fence}")),
@@ -412,10 +412,10 @@
             Err(format!("nothing is lent for {} s yet: what an earlier log lent must have ended", seconds(wait)))
         }
         Ok(Outcome::Stale) => Err("this process is behind a later one of its name".into()),
-        Err(Unanswered::InTime) => {
+        Err(RequestError::TimedOut) => {
             Err(format!("no majority of those who decide answered in time: {name} is not held by this"))
         }
-        Err(Unanswered::TooMany) => Err("too many wait already".into()),
+        Err(RequestError::TooManyPending) => Err("too many wait already".into()),
     }
 }
 
