--- a/crates/cluster-simulation/src/main.rs
+++ b/crates/cluster-simulation/src/main.rs
@@ -181,10 +181,10 @@
                 target.tick(clock);
                 peer.tick(clock);
                 peer.tell(rng.random_range(2..6), &rng.random::<[u8; 8]>());
-                while let Some((_, bytes)) = target.to_send() {
+                while let Some((_, bytes)) = target.next_outgoing() {
                     peer.take(clock, &bytes);
                 }
-                while let Some((_, bytes)) = peer.to_send() {
+                while let Some((_, bytes)) = peer.next_outgoing() {
                     if honest.len() < 400 {
                         honest.push(bytes.clone());
                     } else {
@@ -230,7 +230,7 @@
         }
         let stood = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| {
             target.take(clock, &input);
-            while target.to_send().is_some() {}
+            while target.next_outgoing().is_some() {}
         }));
         if stood.is_err() {
             return Err(format!("seed {seed}, input {n}: {input:02x?}"));
@@ -303,10 +303,10 @@
                     };
                     one.ask(now, take, S);
                 }
-                while let Some(write) = one.to_keep() {
+                while let Some(write) = one.next_write() {
                     one.kept(now, write.number);
                 }
-                while let Some((to, bytes)) = one.to_send() {
+                while let Some((to, bytes)) = one.next_outgoing() {
                     under_way.push((n, to, bytes));
                 }
             }));
--- a/crates/cluster-simulation/src/world.rs
+++ b/crates/cluster-simulation/src/world.rs
@@ -352,10 +352,10 @@
             return;
         };
         let (mut sends, mut kept, life) = (Vec::new(), 0, p.life);
-        while let Some(send) = fleet.to_send() {
+        while let Some(send) = fleet.next_outgoing() {
             sends.push(send);
         }
-        while let Some(write) = fleet.to_keep() {
+        while let Some(write) = fleet.next_write() {
             p.writes.push_back(write);
             kept += 1;
         }
--- a/crates/cluster/src/agent.rs
+++ b/crates/cluster/src/agent.rs
@@ -233,7 +233,7 @@
         wrong
     }
 
-    /// Takes part no more: another process of our name may. What is still to be kept is taken first, by [`Cluster::to_keep`].
+    /// Takes part no more: another process of our name may. What is still to be kept is taken first, by [`Cluster::next_write`].
     pub fn close_agreed(&mut self) {
         self.agreed = None;
         // Others must not see the replica of this process where there is another's.
@@ -264,8 +264,8 @@
     }
 
     /// The next thing to keep of what is agreed.
-    pub fn to_keep(&mut self) -> Option<consensus::replica::Write> {
-        self.agreed.as_mut()?.to_keep()
+    pub fn next_write(&mut self) -> Option<consensus::replica::Write> {
+        self.agreed.as_mut()?.next_write()
     }
 
     /// All up to this write outlives the process now.
@@ -423,7 +423,7 @@
     }
 
     fn send_agreed(&mut self, now: Micros) {
-        while let Some((name, bytes)) = self.agreed.as_mut().and_then(Consensus::to_send) {
+        while let Some((name, bytes)) = self.agreed.as_mut().and_then(Consensus::next_outgoing) {
             // Who is called down may be cut off from others alone: what is for it goes where it was last.
             let known = self
                 .members
@@ -453,7 +453,7 @@
     }
 
     /// The next datagram to send, and where.
-    pub fn to_send(&mut self) -> Option<(SocketAddr, Vec<u8>)> {
+    pub fn next_outgoing(&mut self) -> Option<(SocketAddr, Vec<u8>)> {
         self.out.pop_front()
     }
 
@@ -469,7 +469,7 @@
     }
 
     /// Leaves in order: others know at once that we are gone, and that it is no fault. Nothing is sent or taken after it
-    /// but what [`Cluster::to_send`] still holds.
+    /// but what [`Cluster::next_outgoing`] still holds.
     pub fn leave(&mut self, clock: Micros) {
         let now = self.pace.look(clock);
         if !self.left {
@@ -722,7 +722,7 @@
         while clock < end {
             clock = fleet.next_due().max(clock + 1);
             fleet.tick(clock);
-            while fleet.to_send().is_some() {
+            while fleet.next_outgoing().is_some() {
                 asked += 1;
             }
         }
--- a/crates/cluster/src/consensus/mod.rs
+++ b/crates/cluster/src/consensus/mod.rs
@@ -456,12 +456,12 @@
     }
 
     /// The next word to send, and to whom.
-    pub fn to_send(&mut self) -> Option<(String, Vec<u8>)> {
+    pub fn next_outgoing(&mut self) -> Option<(String, Vec<u8>)> {
         self.out.pop_front()
     }
 
     /// The next thing to be kept; nothing where nothing is.
-    pub fn to_keep(&mut self) -> Option<Write> {
+    pub fn next_write(&mut self) -> Option<Write> {
         self.keep.pop_front()
     }
 
@@ -850,7 +850,7 @@
                 return;
             };
             let mut any = false;
-            while let Some(write) = replica.to_keep() {
+            while let Some(write) = replica.next_write() {
                 any = true;
                 match self.keeps {
                     true => self.keep.push_back(write),
@@ -858,7 +858,7 @@
                 }
             }
             let mut sends = Vec::new();
-            while let Some(message) = replica.to_send() {
+            while let Some(message) = replica.next_outgoing() {
                 sends.push(message);
             }
             let done: Vec<replica::Applied> = replica.done.drain(..).collect();
--- a/crates/cluster/src/consensus/replica.rs
+++ b/crates/cluster/src/consensus/replica.rs
@@ -419,7 +419,7 @@
     }
 
     /// The next message to another replica: its id, and the bytes.
-    pub fn to_send(&mut self) -> Option<(u64, Vec<u8>)> {
+    pub fn next_outgoing(&mut self) -> Option<(u64, Vec<u8>)> {
         let message = self.out.pop_front()?;
         if message.get_msg_type() == MessageType::MsgSnapshot {
             self.snapshots.insert(message.to, self.ticks);
@@ -428,7 +428,7 @@
     }
 
     /// The next thing to keep.
-    pub fn to_keep(&mut self) -> Option<Write> {
+    pub fn next_write(&mut self) -> Option<Write> {
         self.writes.pop_front()
     }
 
--- a/crates/cluster/tests/golden_datagrams.rs
+++ b/crates/cluster/tests/golden_datagrams.rs
@@ -303,7 +303,7 @@
         ];
         for n in 0..2 {
             all[n].tick(clocks[n]);
-            while let Some((to, bytes)) = all[n].to_send() {
+            while let Some((to, bytes)) = all[n].next_outgoing() {
                 let _ = writeln!(text, "{step} m{} to {to}: {}", n + 1, hex(&bytes));
                 all[1 - n].take(clocks[1 - n], &bytes);
             }
--- a/crates/cluster/tests/voters/mod.rs
+++ b/crates/cluster/tests/voters/mod.rs
@@ -134,7 +134,7 @@
     fn collect(&mut self, number: usize, under_way: &mut Vec<Sent>) {
         let (now, all) = (self.now, names(5));
         let member = &mut self.members[number];
-        while let Some(write) = member.agreed.to_keep() {
+        while let Some(write) = member.agreed.next_write() {
             let file = member.file.as_mut().expect("a member that keeps a file");
             if write.anew {
                 file.clear();
@@ -143,7 +143,7 @@
             member.written.extend(&write.bytes);
             member.agreed.kept(now, write.number);
         }
-        while let Some((to, bytes)) = member.agreed.to_send() {
+        while let Some((to, bytes)) = member.agreed.next_outgoing() {
             let to = all.iter().position(|n| *n == to).expect("a member");
             under_way.push(Sent {
                 from: number,
--- a/crates/coordinator/src/node/cluster.rs
+++ b/crates/coordinator/src/node/cluster.rs
@@ -245,7 +245,7 @@
         let Some(fleet) = self.fleet.as_mut() else {
             return;
         };
-        while let Some((to, bytes)) = fleet.unit.to_send() {
+        while let Some((to, bytes)) = fleet.unit.next_outgoing() {
             fleet.unsent += u64::from(fleet.socket.send_to(&bytes, to).is_err());
         }
     }
--- a/crates/coordinator/src/node/cluster/agreed.rs
+++ b/crates/coordinator/src/node/cluster/agreed.rs
@@ -189,7 +189,7 @@
         let Some(fleet) = self.fleet.as_mut() else {
             return;
         };
-        while let Some(write) = fleet.unit.to_keep() {
+        while let Some(write) = fleet.unit.next_write() {
             fleet.log.writes.push_back(write);
         }
         let Some(disk) = &fleet.log.disk else {
--- a/crates/coordinator/tests/fleet.rs
+++ b/crates/coordinator/tests/fleet.rs
@@ -248,7 +248,7 @@
             later.take(begun.elapsed().as_micros() as u64, &bytes[..n]);
         }
         later.tick(begun.elapsed().as_micros() as u64);
-        while let Some((to, datagram)) = later.to_send() {
+        while let Some((to, datagram)) = later.next_outgoing() {
             let _ = socket.send_to(&datagram, to);
         }
         if !told && later.others() == 3 {
