--- a/crates/cluster-simulation/src/world.rs
+++ b/crates/cluster-simulation/src/world.rs
@@ -298,7 +298,7 @@
         p.before = before;
         p.fleet = None;
         // The write under way is torn where the power went.
-        if let Some(write) = p.writes.pop_front().filter(|w| !w.anew) {
+        if let Some(write) = p.writes.pop_front().filter(|w| !w.replaces_file) {
             let torn = self.rng.random_range(0..=write.bytes.len());
             p.disk.extend_from_slice(&write.bytes[..torn]);
         }
@@ -380,7 +380,7 @@
         let (Some(fleet), Some(write)) = (p.fleet.as_mut(), p.writes.pop_front()) else {
             return;
         };
-        if write.anew {
+        if write.replaces_file {
             p.disk.clear();
         }
         // As the program opens it: whatever was torn is cut before anything is written behind it.
--- a/crates/cluster/src/consensus/mod.rs
+++ b/crates/cluster/src/consensus/mod.rs
@@ -837,7 +837,7 @@
             self.keep.clear();
             self.keep.push_back(Write {
                 number: 0,
-                anew: true,
+                replaces_file: true,
                 bytes: file,
             });
         }
@@ -963,8 +963,10 @@
         let least = self.copy.state.rights.begins_above();
         if self.copy.cluster != 0 && self.id >> 20 < least {
             self.id = fresh_id(least << 20, &mut self.rng);
-            if let Some(anew) = Bootstrap::new(&self.me, self.id, &self.options.initial_voters) {
-                founding = anew;
+            if let Some(replaces_file) =
+                Bootstrap::new(&self.me, self.id, &self.options.initial_voters)
+            {
+                founding = replaces_file;
             }
         }
         match founding.look(|name| self.shown(name)) {
--- a/crates/cluster/src/consensus/replica.rs
+++ b/crates/cluster/src/consensus/replica.rs
@@ -71,7 +71,7 @@
     /// Told back by [`Replica::kept`].
     pub number: u64,
     /// The file as a whole, else to be appended.
-    pub anew: bool,
+    pub replaces_file: bool,
     /// The bytes.
     pub bytes: Vec<u8>,
 }
@@ -494,11 +494,11 @@
         }
     }
 
-    fn write(&mut self, anew: bool, bytes: Vec<u8>) -> u64 {
+    fn write(&mut self, replaces_file: bool, bytes: Vec<u8>) -> u64 {
         self.last_write += 1;
         self.writes.push_back(Write {
             number: self.last_write,
-            anew,
+            replaces_file,
             bytes,
         });
         self.last_write
--- a/crates/cluster/tests/voters/mod.rs
+++ b/crates/cluster/tests/voters/mod.rs
@@ -136,7 +136,7 @@
         let member = &mut self.members[number];
         while let Some(write) = member.agreed.next_write() {
             let file = member.file.as_mut().expect("a member that keeps a file");
-            if write.anew {
+            if write.replaces_file {
                 file.clear();
             }
             file.extend(&write.bytes);
--- a/crates/coordinator/src/file_writer.rs
+++ b/crates/coordinator/src/file_writer.rs
@@ -14,7 +14,7 @@
     /// Told back with its end.
     pub number: u64,
     /// The whole file, else what is to be appended.
-    pub anew: bool,
+    pub replaces_file: bool,
     /// The bytes.
     pub bytes: Vec<u8>,
 }
@@ -56,16 +56,16 @@
 
 fn write(path: &Path, mut file: File, work: &Receiver<Job>, written: impl Fn(Written)) {
     while let Ok(job) = work.recv() {
-        let end = match job.anew {
+        let end = match job.replaces_file {
             false => file.write_all(&job.bytes).and_then(|()| file.sync_data()),
-            true => anew(path, &job.bytes).map(|new| file = new),
+            true => replaces_file(path, &job.bytes).map(|new| file = new),
         };
         written((job.number, end.map_err(|e| e.to_string())));
     }
 }
 
 /// Beside the old one, and put in its place only when it is whole.
-fn anew(path: &Path, bytes: &[u8]) -> std::io::Result<File> {
+fn replaces_file(path: &Path, bytes: &[u8]) -> std::io::Result<File> {
     let beside: PathBuf = path.with_extension("new");
     let _ = std::fs::remove_file(&beside);
     let mut file = OpenOptions::new().append(true).create(true).open(&beside)?;
--- a/crates/coordinator/src/node/cluster/agreed.rs
+++ b/crates/coordinator/src/node/cluster/agreed.rs
@@ -197,22 +197,22 @@
         };
         while let Some(Write {
             number,
-            anew,
+            replaces_file,
             bytes,
         }) = fleet.log.writes.pop_front()
         {
             if let Err(Job {
                 number,
-                anew,
+                replaces_file,
                 bytes,
             }) = disk.ask(Job {
                 number,
-                anew,
+                replaces_file,
                 bytes,
             }) {
                 fleet.log.writes.push_front(Write {
                     number,
-                    anew,
+                    replaces_file,
                     bytes,
                 });
                 break;
--- a/crates/coordinator/src/state.rs
+++ b/crates/coordinator/src/state.rs
@@ -84,7 +84,7 @@
         self.disk
             .ask(Job {
                 number,
-                anew: false,
+                replaces_file: false,
                 bytes,
             })
             .ok()?;
@@ -105,7 +105,7 @@
             .disk
             .ask(Job {
                 number: ANEW,
-                anew: true,
+                replaces_file: true,
                 bytes,
             })
             .is_ok()
