--- a/crates/cluster-simulation/src/world.rs
+++ b/crates/cluster-simulation/src/world.rs
@@ -280,7 +280,7 @@
         p.life += 1;
         p.writes.clear();
         if let Ok(loaded) = consensus::store::read(&p.disk) {
-            p.disk.truncate(loaded.well);
+            p.disk.truncate(loaded.valid_bytes);
         }
         p.fleet = Some(Cluster::new(clock, options));
         p.socket.clear();
--- a/crates/cluster/src/consensus/store.rs
+++ b/crates/cluster/src/consensus/store.rs
@@ -74,9 +74,9 @@
     /// The log; none where nothing was founded yet.
     pub log: Option<Log>,
     /// Bytes of the file that are well.
-    pub well: usize,
+    pub valid_bytes: usize,
     /// What is wrong with the rest, if anything is.
-    pub spoilt: Option<&'static str>,
+    pub damage: Option<&'static str>,
 }
 
 /// A record as it stands in the file.
@@ -113,8 +113,8 @@
     if bytes.len() < HEADER.len() && HEADER.starts_with(bytes) {
         return Ok(Loaded {
             log: None,
-            well: 0,
-            spoilt: (!bytes.is_empty()).then_some("it was cut while it was begun"),
+            valid_bytes: 0,
+            damage: (!bytes.is_empty()).then_some("it was cut while it was begun"),
         });
     }
     if !bytes.starts_with(HEADER) {
@@ -126,9 +126,9 @@
         return Err(version.map_or(Unusable::NotOurs, |v| Unusable::Newer(v.into())));
     }
     let mut log: Option<Log> = None;
-    let mut well = HEADER.len();
-    let spoilt = loop {
-        let rest = &bytes[well..];
+    let mut valid_bytes = HEADER.len();
+    let damage = loop {
+        let rest = &bytes[valid_bytes..];
         if rest.is_empty() {
             break None;
         }
@@ -148,12 +148,16 @@
             break Some("a record's checksum does not fit");
         }
         take(&mut log, body[0], &body[1..])?;
-        well += 8 + length;
+        valid_bytes += 8 + length;
     };
     if let Some(log) = &log {
         log.check()?;
     }
-    Ok(Loaded { log, well, spoilt })
+    Ok(Loaded {
+        log,
+        valid_bytes,
+        damage,
+    })
 }
 
 fn take(log: &mut Option<Log>, kind: u8, body: &[u8]) -> Result<(), Unusable> {
@@ -395,12 +399,12 @@
             match whole {
                 Some(mark) => {
                     assert_eq!(
-                        (last, loaded.well, loaded.spoilt.is_some()),
+                        (last, loaded.valid_bytes, loaded.damage.is_some()),
                         (mark.1, mark.0, end > mark.0)
                     )
                 }
                 // Within the file as it was first written, which is put in its place only when whole.
-                None => assert!(last <= 1 && loaded.well <= end, "cut at {end}"),
+                None => assert!(last <= 1 && loaded.valid_bytes <= end, "cut at {end}"),
             }
         }
         let log = read(&file).unwrap().log.unwrap();
@@ -414,12 +418,15 @@
     fn a_spoilt_byte_is_found_and_a_foreign_or_newer_file_is_left_alone() {
         let mut file = log().file();
         file.extend(entry_record(&entry(2, 1, "some words")));
-        let whole = read(&file).unwrap().well;
+        let whole = read(&file).unwrap().valid_bytes;
         for at in HEADER.len()..file.len() {
-            let mut spoilt = file.clone();
-            spoilt[at] ^= 0x10;
-            match read(&spoilt) {
-                Ok(loaded) => assert!(loaded.well < whole && loaded.spoilt.is_some(), "byte {at}"),
+            let mut damage = file.clone();
+            damage[at] ^= 0x10;
+            match read(&damage) {
+                Ok(loaded) => assert!(
+                    loaded.valid_bytes < whole && loaded.damage.is_some(),
+                    "byte {at}"
+                ),
                 Err(e) => panic!("byte {at}: {e}"),
             }
         }
--- a/crates/cluster/tests/golden_log.rs
+++ b/crates/cluster/tests/golden_log.rs
@@ -263,18 +263,25 @@
     ] {
         let bytes = read_golden!(name);
         let loaded = store::read(&bytes).expect(name);
-        assert_eq!((loaded.well, loaded.spoilt), (bytes.len(), None), "{name}");
+        assert_eq!(
+            (loaded.valid_bytes, loaded.damage),
+            (bytes.len(), None),
+            "{name}"
+        );
         let log = loaded.log.expect(name);
         assert_eq!(log.founded.initial_voters.len(), 3, "{name}");
         assert!(log.last() >= last, "{name}: {}", log.last());
         // A cut tail loses the last record and nothing before it.
         let torn = store::read(&bytes[..bytes.len() - 1]).expect(name);
         assert_eq!(
-            torn.spoilt,
+            torn.damage,
             Some("it ends in the middle of a record"),
             "{name}"
         );
-        assert!(torn.well < bytes.len() - 1 && torn.log.is_some(), "{name}");
+        assert!(
+            torn.valid_bytes < bytes.len() - 1 && torn.log.is_some(),
+            "{name}"
+        );
         // What an earlier build kept is written by this one to the letter, where it is written anew.
         if name == "log-cut.bin" {
             assert_eq!(
@@ -327,8 +334,8 @@
 #[test]
 fn what_is_wrong_with_a_log_file_is_said_in_the_same_words() {
     let whole = read_golden!("log-entries.bin");
-    let mut spoilt = whole.clone();
-    *spoilt.last_mut().unwrap() ^= 1;
+    let mut damage = whole.clone();
+    *damage.last_mut().unwrap() ^= 1;
     let mut endless = whole.clone();
     endless.extend([0; 9]);
     // Entries behind a hole.
@@ -341,7 +348,7 @@
         ("newer", b"driftfront agreed 2\nand so on"),
         ("foreign", b"another file\n"),
         ("header alone", b"driftfront agreed 1\n"),
-        ("spoilt byte", &spoilt),
+        ("spoilt byte", &damage),
         ("endless record", &endless),
         ("tail of another", &hole),
     ];
@@ -350,8 +357,8 @@
         let said = match store::read(bytes) {
             Ok(loaded) => format!(
                 "{} bytes well, {:?}, log {}",
-                loaded.well,
-                loaded.spoilt,
+                loaded.valid_bytes,
+                loaded.damage,
                 loaded.log.is_some()
             ),
             Err(why) => why.to_string(),
--- a/crates/coordinator/src/node/cluster/agreed.rs
+++ b/crates/coordinator/src/node/cluster/agreed.rs
@@ -72,14 +72,14 @@
     let mut bytes = Vec::new();
     file.read_to_end(&mut bytes).map_err(say)?;
     if let Ok(loaded) = store::read(&bytes) {
-        if let Some(why) = loaded.spoilt {
+        if let Some(why) = loaded.damage {
             tracing::warn!(
                 "{}: {why}; {} bytes are cut",
                 folder.join(NAME).display(),
-                bytes.len() - loaded.well
+                bytes.len() - loaded.valid_bytes
             );
-            file.set_len(loaded.well as u64).map_err(say)?;
-            bytes.truncate(loaded.well);
+            file.set_len(loaded.valid_bytes as u64).map_err(say)?;
+            bytes.truncate(loaded.valid_bytes);
         }
     }
     Ok(Some((file, bytes, lock)))
