--- a/crates/cluster-simulation/src/rights.rs
+++ b/crates/cluster-simulation/src/rights.rs
@@ -78,7 +78,7 @@
     /// A member looks at what came of its requests, and asks, or gives something back.
     pub fn go_on(&mut self, member: u32, now: Micros, clock: Micros, fleet: &mut Cluster) {
         let wrong = &mut self.wrong;
-        fleet.with_agreed(clock, |agreed, clock| {
+        fleet.with_consensus(clock, |agreed, clock| {
             while let Some((request, outcome)) = agreed.outcome() {
                 let since = self.waiting.remove(&(member, request));
                 match outcome {
--- a/crates/cluster/src/agent.rs
+++ b/crates/cluster/src/agent.rs
@@ -54,7 +54,7 @@
     pub seeds: Vec<SocketAddr>,
     /// For all that is drawn at random.
     pub seed: u64,
-    /// Our part in what is agreed; `None` where it is to be opened later ([`Cluster::open_agreed`]), or never.
+    /// Our part in what is agreed; `None` where it is to be opened later ([`Cluster::open_consensus`]), or never.
     pub agreed: Option<consensus::Options>,
 }
 
@@ -216,14 +216,14 @@
             wrong: None,
         };
         if let Some(options) = agreed {
-            fleet.wrong = fleet.open_agreed(options);
+            fleet.wrong = fleet.open_consensus(options);
         }
         fleet
     }
 
     /// Takes part in what is agreed from now on. What is wrong with what was kept, if anything is: it is left as it is then,
     /// and this one only reads and asks.
-    pub fn open_agreed(
+    pub fn open_consensus(
         &mut self,
         options: consensus::Options,
     ) -> Option<consensus::store::Unusable> {
@@ -234,7 +234,7 @@
     }
 
     /// Takes part no more: another process of our name may. What is still to be kept is taken first, by [`Cluster::next_write`].
-    pub fn close_agreed(&mut self) {
+    pub fn close_consensus(&mut self) {
         self.agreed = None;
         // Others must not see the replica of this process where there is another's.
         let bytes = Notice::default().write();
@@ -252,7 +252,7 @@
     }
 
     /// Does something with our part, at this time of the host's clock, and sends what follows of it.
-    pub fn with_agreed<T>(
+    pub fn with_consensus<T>(
         &mut self,
         clock: Micros,
         work: impl FnOnce(&mut Consensus, Micros) -> T,
--- a/crates/coordinator/src/node/cluster.rs
+++ b/crates/coordinator/src/node/cluster.rs
@@ -140,7 +140,7 @@
             unsent: 0,
             longest: 0,
         }));
-        self.open_agreed();
+        self.open_consensus();
         Ok(())
     }
 
--- a/crates/coordinator/src/node/cluster/agreed.rs
+++ b/crates/coordinator/src/node/cluster/agreed.rs
@@ -87,7 +87,7 @@
 
 impl Node {
     /// Takes part in what is agreed, or waits for another process of ours to let go of the log.
-    pub(super) fn open_agreed(&mut self) {
+    pub(super) fn open_consensus(&mut self) {
         let Some(config) = self.config.fleet.clone() else {
             return;
         };
@@ -135,7 +135,7 @@
             return;
         };
         fleet.log.disk = opened;
-        if let Some(wrong) = fleet.unit.open_agreed(options) {
+        if let Some(wrong) = fleet.unit.open_consensus(options) {
             self.log_fails(&wrong.to_string());
         }
     }
@@ -222,7 +222,7 @@
 
     /// With each sweep.
     pub(super) fn tend_agreed(&mut self, state: State) {
-        self.open_agreed();
+        self.open_consensus();
         let Some(fleet) = self.fleet.as_mut() else {
             return;
         };
@@ -233,7 +233,7 @@
             let Some(fleet) = self.fleet.as_mut() else {
                 return;
             };
-            fleet.unit.close_agreed();
+            fleet.unit.close_consensus();
             fleet.log.disk = None;
         }
         self.tell_outcomes();
@@ -245,8 +245,10 @@
                 return;
             };
             let clock = fleet.clock();
-            let Some((request, outcome)) =
-                fleet.unit.with_agreed(clock, |a, _| a.outcome()).flatten()
+            let Some((request, outcome)) = fleet
+                .unit
+                .with_consensus(clock, |a, _| a.outcome())
+                .flatten()
             else {
                 break;
             };
@@ -338,7 +340,7 @@
                 let clock = fleet.clock();
                 if let Some(request) = fleet
                     .unit
-                    .with_agreed(clock, |a, clock| a.ask(clock, command, PATIENCE))
+                    .with_consensus(clock, |a, clock| a.ask(clock, command, PATIENCE))
                 {
                     fleet.log.waiting.insert(request, (to.0, to.1, name));
                 }
