--- a/crates/cluster-simulation/src/world.rs
+++ b/crates/cluster-simulation/src/world.rs
@@ -413,7 +413,7 @@
         let Some(fleet) = self.processes[by as usize].fleet.as_ref() else {
             return;
         };
-        for view in fleet.members().into_iter().filter(|v| !v.is_me) {
+        for view in fleet.members().into_iter().filter(|v| !v.is_self) {
             let Some(of) = view.name.strip_prefix('m').and_then(|n| n.parse().ok()) else {
                 continue;
             };
--- a/crates/cluster/src/agent.rs
+++ b/crates/cluster/src/agent.rs
@@ -117,11 +117,11 @@
     /// How sure it is to be there.
     pub standing: MemberStatus,
     /// For how long it has stood so, by our own time.
-    pub for_long: Micros,
+    pub status_age: Micros,
     /// What it told of itself, and how old that is.
     pub about: Option<(MemberMetadata, Micros)>,
     /// It is us.
-    pub is_me: bool,
+    pub is_self: bool,
 }
 
 /// A token bucket.
@@ -464,7 +464,7 @@
     }
 
     /// Tells of ourselves anew.
-    pub fn tell_about(&mut self, about: &MemberMetadata) -> bool {
+    pub fn update_metadata(&mut self, about: &MemberMetadata) -> bool {
         self.tell(ABOUT, &about.write())
     }
 
@@ -508,16 +508,16 @@
     /// All that are known, by name; of one name the latest process.
     pub fn members(&self) -> Vec<MemberView> {
         let now = self.pace.now();
-        let view = |id: &Identity, standing, for_long, is_me| MemberView {
+        let view = |id: &Identity, standing, status_age, is_self| MemberView {
             name: id.name.clone(),
             addr: id.addr,
             standing,
-            for_long,
+            status_age,
             about: self
                 .facts
                 .get(now, &id.name, ABOUT)
                 .and_then(|f| Some((MemberMetadata::read(f.value)?, f.age))),
-            is_me,
+            is_self,
         };
         let me = std::iter::once((self.me(), MemberStatus::Alive, now, true));
         let known = self
@@ -528,7 +528,7 @@
         all.sort_by(|a, b| (&a.0.name, a.1, b.0.session).cmp(&(&b.0.name, b.1, a.0.session)));
         all.dedup_by(|b, a| a.0.name == b.0.name);
         all.into_iter()
-            .map(|(id, standing, long, is_me)| view(id, standing, long, is_me))
+            .map(|(id, standing, long, is_self)| view(id, standing, long, is_self))
             .collect()
     }
 
--- a/crates/coordinator/src/node/cluster.rs
+++ b/crates/coordinator/src/node/cluster.rs
@@ -192,7 +192,7 @@
         };
         if fleet.about.state != state {
             (fleet.about.state, fleet.about.since_ms) = (state, now / 1000);
-            fleet.unit.tell_about(&fleet.about);
+            fleet.unit.update_metadata(&fleet.about);
         }
         let clock = fleet.clock();
         // With each sweep: what is looked at seldom can't be told from what is held up.
@@ -296,7 +296,7 @@
                     MemberStatus::Down => "gone",
                 }
                 .into(),
-                for_s: m.for_long / 1_000_000,
+                for_s: m.status_age / 1_000_000,
                 zone: about.zone,
                 region: about.region,
                 build: about.build,
@@ -308,7 +308,7 @@
                 .into(),
                 since_ms: about.since_ms,
                 told_age_s: age,
-                me: m.is_me,
+                me: m.is_self,
             }
         };
         fleet.unit.members().into_iter().map(member).collect()
