--- a/crates/cluster-simulation/src/world.rs
+++ b/crates/cluster-simulation/src/world.rs
@@ -201,9 +201,9 @@
             sum.sent += c.sent;
             sum.sent_bytes += c.sent_bytes;
             sum.taken += c.taken;
-            sum.downs += c.downs;
-            sum.backs += c.backs;
-            sum.withheld += c.withheld;
+            sum.members_down += c.members_down;
+            sum.rejoins += c.rejoins;
+            sum.rate_limited += c.rate_limited;
             sum.replayed += c.replayed;
             sum.stale += c.stale;
             sum.unreadable += c.unreadable;
--- a/crates/cluster/src/agent.rs
+++ b/crates/cluster/src/agent.rs
@@ -68,7 +68,7 @@
     /// Datagrams taken, and their bytes.
     pub taken: u64,
     /// See `taken`.
-    pub taken_bytes: u64,
+    pub received_bytes: u64,
     /// Datagrams refused: of another language.
     pub foreign: u64,
     /// Of another version of it.
@@ -86,25 +86,25 @@
     /// Of a kind that this build does not know.
     pub unknown_kind: u64,
     /// Not sent, as the budget was spent, or too many waited.
-    pub withheld: u64,
+    pub rate_limited: u64,
     /// Members that came up, and that went down.
-    pub ups: u64,
-    /// See `ups`.
-    pub downs: u64,
+    pub members_up: u64,
+    /// See `members_up`.
+    pub members_down: u64,
     /// How often we were called down and came back.
-    pub backs: u64,
+    pub rejoins: u64,
     /// How often we dropped what we held against others, as it was more likely us.
-    pub starts_over: u64,
+    pub membership_resets: u64,
     /// How often our session was behind that of an earlier process of our name.
-    pub outdone: u64,
+    pub sessions_raised: u64,
     /// How often this process was held up.
-    pub stumbles: u64,
+    pub stalls: u64,
     /// Datagrams of members that could not be used.
     pub unreadable: u64,
     /// Records beyond bounds, unreadable, and under our name by another.
     pub refused: u64,
     /// Sessions forgotten early.
-    pub sessions_forgotten: u64,
+    pub sessions_evicted: u64,
 }
 
 /// A member as it is shown.
@@ -297,7 +297,7 @@
             }
         };
         self.counters.taken += 1;
-        self.counters.taken_bytes += datagram.len() as u64;
+        self.counters.received_bytes += datagram.len() as u64;
         self.counters.old_key += u64::from(opened.old_key);
         if self.left {
             return;
@@ -550,11 +550,11 @@
             forged,
         } = self.facts.refused;
         Counters {
-            stumbles: self.pace.stumbles,
+            stalls: self.pace.stalls,
             unreadable: self.members.unreadable,
-            starts_over: self.members.starts_over,
+            membership_resets: self.members.membership_resets,
             refused: bounds + malformed + forged,
-            sessions_forgotten: self.seal.forgotten,
+            sessions_evicted: self.seal.forgotten,
             ..self.counters
         }
     }
@@ -575,7 +575,7 @@
             done = members.outdo(now, session, out)
         });
         if done {
-            self.counters.outdone += 1;
+            self.counters.sessions_raised += 1;
             let (session, rounds) = (self.me().session, self.rounds());
             self.seal.change_session(session);
             self.facts.outdo(now, session, rounds);
@@ -600,10 +600,10 @@
         work(&mut self.members, &mut out, &mut changes);
         for change in changes {
             match change {
-                Change::Up(_) => self.counters.ups += 1,
-                Change::Down(_) => self.counters.downs += 1,
+                Change::Up(_) => self.counters.members_up += 1,
+                Change::Down(_) => self.counters.members_down += 1,
                 Change::Back(_) => {
-                    self.counters.backs += 1;
+                    self.counters.rejoins += 1;
                     self.pace.accused();
                 }
             }
@@ -622,7 +622,7 @@
             _ => &mut self.fact_budget,
         };
         if self.out.len() >= OUT_MOST || !budget.take(now, bytes.len()) {
-            self.counters.withheld += 1;
+            self.counters.rate_limited += 1;
             return;
         }
         if let Some(sealed) = self.seal.seal(payload, bytes, to.session) {
@@ -726,7 +726,7 @@
                 asked += 1;
             }
         }
-        assert_eq!((fleet.doubt(), fleet.counters().stumbles), (0, 2));
+        assert_eq!((fleet.doubt(), fleet.counters().stalls), (0, 2));
         assert!(asked > 30, "asked {asked} times in 20 s");
     }
 }
--- a/crates/cluster/src/membership.rs
+++ b/crates/cluster/src/membership.rs
@@ -204,7 +204,7 @@
     names: Names,
     rng: SmallRng,
     /// How often we dropped what we held against others.
-    pub starts_over: u64,
+    pub membership_resets: u64,
     /// Datagrams that could not be used.
     pub unreadable: u64,
 }
@@ -247,7 +247,7 @@
             since: BTreeMap::new(),
             gone: BTreeMap::new(),
             unreadable: 0,
-            starts_over: 0,
+            membership_resets: 0,
         }
     }
 
@@ -265,7 +265,7 @@
             .iter_members()
             .map(|m| Member::new(m.id().clone(), m.incarnation(), foca::State::Alive))
             .collect();
-        self.starts_over += 1;
+        self.membership_resets += 1;
         self.timers.clear();
         let codec = Codec(PostcardCodec, self.names.clone());
         self.foca = Foca::new(me, config(), SmallRng::from_rng(&mut self.rng), codec);
--- a/crates/cluster/src/rate_limit.rs
+++ b/crates/cluster/src/rate_limit.rs
@@ -23,7 +23,7 @@
     doubt: u32,
     since: Micros,
     /// How often it was held up.
-    pub stumbles: u64,
+    pub stalls: u64,
 }
 
 impl RateLimit {
@@ -49,7 +49,7 @@
     }
 
     fn stumble(&mut self, clock: Micros) {
-        self.stumbles += 1;
+        self.stalls += 1;
         (self.doubt, self.since) = ((self.doubt + 1).min(DOUBT_MOST), clock);
     }
 
@@ -93,7 +93,7 @@
         // Stopped for 8 s.
         clock += 8_000_000;
         assert_eq!(pace.look(clock), 1_050_000);
-        assert_eq!((pace.doubt(), pace.stumbles), (1, 1));
+        assert_eq!((pace.doubt(), pace.stalls), (1, 1));
         clock += 25_000;
         assert_eq!(pace.look(clock), 1_062_500);
         assert_eq!(pace.clock_at(1_072_500), Some(clock + 20_000));
--- a/crates/cluster/tests/golden_datagrams.rs
+++ b/crates/cluster/tests/golden_datagrams.rs
@@ -309,7 +309,11 @@
             }
         }
     }
-    assert!(all[1].counters().outdone == 1, "{:?}", all[1].counters());
+    assert!(
+        all[1].counters().sessions_raised == 1,
+        "{:?}",
+        all[1].counters()
+    );
     assert_golden!("datagrams-of-a-conversation.txt", text);
     let kinds: std::collections::BTreeSet<u8> = lines("datagrams-of-a-conversation.txt")
         .iter()
