--- a/crates/cluster-simulation/src/main.rs
+++ b/crates/cluster-simulation/src/main.rs
@@ -206,7 +206,7 @@
             let payload = [
                 Payload::Members,
                 Payload::GossipState,
-                Payload::Digest,
+                Payload::Versions,
                 Payload::Unknown(77),
             ];
             let payload = payload[usize::from(input[28].clamp(1, 4)) - 1];
--- a/crates/cluster/src/agent.rs
+++ b/crates/cluster/src/agent.rs
@@ -310,13 +310,13 @@
                     .behind(bytes)
                     .filter(|_| self.may_tell_behind(now))
                 {
-                    self.send(now, &sender, Payload::Behind, &known.to_be_bytes());
+                    self.send(now, &sender, Payload::StaleSession, &known.to_be_bytes());
                 }
                 self.with_members(now, |members, out, changes| {
                     members.take(now, bytes, out, changes)
                 });
             }
-            Payload::Behind => {
+            Payload::StaleSession => {
                 if let Ok(known) = bytes.try_into() {
                     self.outdo(now, u64::from_be_bytes(known));
                 }
@@ -325,7 +325,7 @@
                 let rounds = self.rounds();
                 self.facts.take(now, bytes, rounds);
             }
-            Payload::Digest => {
+            Payload::Versions => {
                 let (tell, ask) =
                     self.facts
                         .compare(now, bytes, MAX_PAYLOAD_BYTES, COMPARE_DATAGRAMS);
@@ -336,7 +336,7 @@
                     self.send(now, &to, Payload::GossipState, &datagram);
                 }
                 if let Some(ask) = ask {
-                    self.send(now, &to, Payload::Digest, &ask);
+                    self.send(now, &to, Payload::Versions, &ask);
                 }
             }
             Payload::Consensus => {
@@ -674,7 +674,7 @@
             return;
         };
         let digest = self.facts.digest(MAX_PAYLOAD_BYTES);
-        self.send(now, &to, Payload::Digest, &digest);
+        self.send(now, &to, Payload::Versions, &digest);
     }
 
     fn look(&mut self, now: Micros) {
--- a/crates/cluster/src/message_authentication.rs
+++ b/crates/cluster/src/message_authentication.rs
@@ -43,9 +43,9 @@
     /// Records.
     GossipState,
     /// Versions of records.
-    Digest,
+    Versions,
     /// To a member whose session is not above that of an earlier process of its name: which that was.
-    Behind,
+    StaleSession,
     /// What is agreed, and what is asked to be.
     Consensus,
     /// Of a later build: counted and let go.
@@ -57,8 +57,8 @@
         match self {
             Payload::Members => 1,
             Payload::GossipState => 2,
-            Payload::Digest => 3,
-            Payload::Behind => 4,
+            Payload::Versions => 3,
+            Payload::StaleSession => 4,
             Payload::Consensus => 5,
             Payload::Unknown(code) => code,
         }
@@ -68,8 +68,8 @@
         match code {
             1 => Payload::Members,
             2 => Payload::GossipState,
-            3 => Payload::Digest,
-            4 => Payload::Behind,
+            3 => Payload::Versions,
+            4 => Payload::StaleSession,
             5 => Payload::Consensus,
             other => Payload::Unknown(other),
         }
--- a/crates/cluster/tests/golden_datagrams.rs
+++ b/crates/cluster/tests/golden_datagrams.rs
@@ -46,8 +46,8 @@
 const PAYLOADS: [(&str, Payload); 6] = [
     ("members", Payload::Members),
     ("records", Payload::GossipState),
-    ("versions", Payload::Digest),
-    ("behind", Payload::Behind),
+    ("versions", Payload::Versions),
+    ("behind", Payload::StaleSession),
     ("agreed", Payload::Consensus),
     ("later build", Payload::Unknown(77)),
 ];
