--- a/crates/cluster-harness/src/lib.rs
+++ b/crates/cluster-harness/src/lib.rs
@@ -27,7 +27,7 @@
 use std::time::{Duration, Instant};
 
 /// A wait that long means that the test has failed; nothing is decided by it.
-pub const FOR_EVER: Duration = Duration::from_secs(60);
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// What happened, of all processes, in one order.
 #[derive(Clone, Default)]
@@ -185,8 +185,8 @@
     }
 
     /// Gives a member another file, changed by this; it is read at its next start or SIGHUP.
-    pub fn give_file(&self, member: u32, change: impl FnOnce(String) -> String) {
-        self.processes[member as usize].give_file(change);
+    pub fn change_config(&self, member: u32, change: impl FnOnce(String) -> String) {
+        self.processes[member as usize].change_config(change);
     }
 
     /// What a member knows to be agreed, by its own word; nothing where it does not answer.
@@ -223,7 +223,7 @@
                     .join("\n")
             };
             assert!(
-                since.elapsed() < FOR_EVER,
+                since.elapsed() < TEST_TIMEOUT,
                 "nobody leads {by:?}:\n{}\n{}",
                 views(),
                 self.log.text()
@@ -262,7 +262,7 @@
 
     /// Starts another process under a member's name and file, as an upgrade does, before the one that runs has ended: that
     /// one is given back, and the member is the new one from now on.
-    pub fn succeed(&mut self, member: u32) -> Process {
+    pub fn start_successor(&mut self, member: u32) -> Process {
         let folder = self.folder.join("next");
         std::fs::create_dir_all(&folder).expect("a temporary folder");
         let old = &self.processes[member as usize];
@@ -384,7 +384,7 @@
     }
 
     /// Waits until each of these sees just those there, or says what it sees instead.
-    pub fn wait_until_seen(&self, by: &[u32], there: &[u32]) {
+    pub fn wait_until_members_are(&self, by: &[u32], there: &[u32]) {
         let since = Instant::now();
         for &m in by {
             while !self.sees_just(m, there) {
@@ -395,7 +395,7 @@
                         self.log.text()
                     )
                 };
-                assert!(since.elapsed() < FOR_EVER, "{}", late());
+                assert!(since.elapsed() < TEST_TIMEOUT, "{}", late());
                 std::thread::sleep(Duration::from_millis(20));
             }
         }
@@ -411,7 +411,7 @@
                 return;
             }
             assert!(
-                since.elapsed() < FOR_EVER,
+                since.elapsed() < TEST_TIMEOUT,
                 "m{by}: {what}: never; it sees {seen:?}\n{}",
                 self.log.text()
             );
@@ -424,7 +424,7 @@
         let since = Instant::now();
         while self.counter(member, counter) < least {
             assert!(
-                since.elapsed() < FOR_EVER,
+                since.elapsed() < TEST_TIMEOUT,
                 "m{member}: {counter} never came to {least}\n{}",
                 self.log.text()
             );
--- a/crates/cluster-harness/src/main.rs
+++ b/crates/cluster-harness/src/main.rs
@@ -33,7 +33,7 @@
     let script = format!("members {members}");
     let mut rig = ClusterHarness::start(binary, "127.0.0.1:9", &script);
     let all: Vec<u32> = (0..members).collect();
-    rig.wait_until_seen(&all, &all);
+    rig.wait_until_members_are(&all, &all);
     let sum = |rig: &mut ClusterHarness| {
         let mut sum = [0u64; 4];
         for m in 0..members {
@@ -116,11 +116,11 @@
         };
         let rig = ClusterHarness::start(binary, "127.0.0.1:9", script);
         if turn % 2 == 0 {
-            rig.wait_until_seen(&[0, 1, 2, 3, 4], &[0, 1, 2, 3, 4]);
+            rig.wait_until_members_are(&[0, 1, 2, 3, 4], &[0, 1, 2, 3, 4]);
             rig.wait_for_leader(&[0, 1, 2], None);
         } else {
             // No fleet at all.
-            rig.give_file(0, |text| {
+            rig.change_config(0, |text| {
                 text.lines()
                     .filter(|l| !l.starts_with("fleet"))
                     .collect::<Vec<_>>()
@@ -199,7 +199,7 @@
             for m in voters..members {
                 rig.give_build(m, last);
                 // Its file must hold nothing that it does not know.
-                rig.give_file(m, |text| {
+                rig.change_config(m, |text| {
                     let words = text.split("voter \"").next().unwrap_or_default();
                     let rest = text
                         .split_once("}\nstate")
--- a/crates/cluster-harness/src/process.rs
+++ b/crates/cluster-harness/src/process.rs
@@ -1,6 +1,6 @@
 //! A process of the program, and what it says of itself.
 
-use crate::{Log, FOR_EVER};
+use crate::{Log, TEST_TIMEOUT};
 use driftfront_console::remote::{At, Remote};
 use driftfront_control::snapshot::{Member, Snapshot};
 use driftfront_control::{Reply, Request};
@@ -148,7 +148,7 @@
     }
 
     /// Gives it another file, changed by this.
-    pub fn give_file(&self, change: impl FnOnce(String) -> String) {
+    pub fn change_config(&self, change: impl FnOnce(String) -> String) {
         std::fs::write(&self.config, change(self.file())).expect("a temporary file");
     }
 
@@ -201,7 +201,7 @@
 /// Sends these bytes on a new connection and reads all that comes until its end.
 pub fn call(addr: SocketAddr, bytes: &str) -> std::io::Result<String> {
     let mut stream = TcpStream::connect(addr)?;
-    stream.set_read_timeout(Some(FOR_EVER))?;
+    stream.set_read_timeout(Some(TEST_TIMEOUT))?;
     stream.write_all(bytes.as_bytes())?;
     let mut answer = Vec::new();
     stream.read_to_end(&mut answer)?;
--- a/crates/coordinator/tests/agreed.rs
+++ b/crates/coordinator/tests/agreed.rs
@@ -36,7 +36,7 @@
         let words = said.unwrap_err();
         let later = words.contains("yet") || words.contains("in time");
         assert!(
-            later && since.elapsed() < driftfront_cluster_harness::FOR_EVER * 2,
+            later && since.elapsed() < driftfront_cluster_harness::TEST_TIMEOUT * 2,
             "{words}\n{}",
             rig.log().text()
         );
@@ -64,7 +64,7 @@
             )
         };
         assert!(
-            since.elapsed() < driftfront_cluster_harness::FOR_EVER,
+            since.elapsed() < driftfront_cluster_harness::TEST_TIMEOUT,
             "{}",
             late()
         );
@@ -234,7 +234,7 @@
     write(&[]);
     for m in 0..3 {
         // No seeds, and the engines of the list.
-        rig.give_file(m, |text| {
+        rig.change_config(m, |text| {
             let no_seeds = text.split("seed \"").next().unwrap_or_default().to_string() + "}\n";
             let engines = no_seeds.find("engines {").unwrap();
             let end = no_seeds[engines..].find('\n').unwrap() + engines;
@@ -244,10 +244,10 @@
     }
     rig.now("kill \"all\"");
     rig.now("start \"all\"");
-    rig.wait_until_seen(&[0], &[0]);
+    rig.wait_until_members_are(&[0], &[0]);
     // Two of the three are listed: the third is found through them, as it asks them.
     write(&[0, 1]);
-    rig.wait_until_seen(&[0, 1, 2], &[0, 1, 2]);
+    rig.wait_until_members_are(&[0, 1, 2], &[0, 1, 2]);
 }
 
 #[test]
@@ -257,9 +257,9 @@
     let upgraded = (leader + 1) % 3;
     held(&rig, leader, "room-a", 600);
     wait_until_held(&rig, upgraded, &["room-a"]);
-    let mut old = rig.succeed(upgraded);
+    let mut old = rig.start_successor(upgraded);
     // Both run; the new one is known by its name, and keeps its hands off the log.
-    rig.wait_until_seen(&[leader], &[0, 1, 2]);
+    rig.wait_until_members_are(&[leader], &[0, 1, 2]);
     assert!(rig.agreed(upgraded).is_none() && old.snapshot().is_some_and(|s| s.agreed.is_some()));
     // Signals come to the loop, whatever threads write to the disk: either would have ended it with no word.
     old.signal("-HUP");
--- a/crates/coordinator/tests/common/mod.rs
+++ b/crates/coordinator/tests/common/mod.rs
@@ -15,7 +15,7 @@
 use std::time::Duration;
 
 /// A wait that long means that the test has failed; nothing is decided by it.
-pub const FOR_EVER: Duration = Duration::from_secs(60);
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// A configuration in the platform's form, for a site of one coordinator.
 pub fn appliance() -> String {
@@ -147,7 +147,10 @@
     pub fn wait_for(&self, name: &str, least: u64) {
         let begin = std::time::Instant::now();
         while self.counter(name) < least {
-            assert!(begin.elapsed() < FOR_EVER, "{name} never came to {least}");
+            assert!(
+                begin.elapsed() < TEST_TIMEOUT,
+                "{name} never came to {least}"
+            );
             std::thread::yield_now();
         }
     }
@@ -155,7 +158,7 @@
     pub fn wait_until_ready(&self) {
         let begin = std::time::Instant::now();
         while get(self.addr, "/alive").status != 200 {
-            assert!(begin.elapsed() < FOR_EVER, "never ready");
+            assert!(begin.elapsed() < TEST_TIMEOUT, "never ready");
             std::thread::yield_now();
         }
     }
@@ -164,7 +167,9 @@
     pub fn manage(&self, line: &str) -> String {
         let mut stream =
             TcpStream::connect(self.management.expect("a second address")).expect("it listens");
-        stream.set_read_timeout(Some(FOR_EVER)).expect("a timeout");
+        stream
+            .set_read_timeout(Some(TEST_TIMEOUT))
+            .expect("a timeout");
         stream.write_all(line.as_bytes()).expect("it reads");
         let mut reply = String::new();
         stream.read_to_string(&mut reply).expect("a reply");
@@ -208,7 +213,7 @@
             .expect("its state")
             .contains(") T ")
         {
-            assert!(begin.elapsed() < FOR_EVER, "it never stood still");
+            assert!(begin.elapsed() < TEST_TIMEOUT, "it never stood still");
             std::thread::yield_now();
         }
     }
@@ -288,7 +293,9 @@
 
 /// Reads the next of several answers off a connection.
 pub fn read_next(stream: &mut TcpStream, reader: &mut ResponseReader) -> Answer {
-    stream.set_read_timeout(Some(FOR_EVER)).expect("a timeout");
+    stream
+        .set_read_timeout(Some(TEST_TIMEOUT))
+        .expect("a timeout");
     let mut answer = Answer {
         status: 0,
         headers: Vec::new(),
--- a/crates/coordinator/tests/conformance.rs
+++ b/crates/coordinator/tests/conformance.rs
@@ -118,7 +118,7 @@
     let (mut status, mut headers, mut body): (u16, Vec<Header>, Vec<u8>) = Default::default();
     let mut whole = false;
     stream
-        .set_read_timeout(Some(common::FOR_EVER))
+        .set_read_timeout(Some(common::TEST_TIMEOUT))
         .expect("a timeout");
     'read: loop {
         while let Ok(Some(part)) = reader.next_part() {
--- a/crates/coordinator/tests/daily.rs
+++ b/crates/coordinator/tests/daily.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::lines::{config, List, Site};
-use common::{get, read_next, Coordinator, FOR_EVER};
+use common::{get, read_next, Coordinator, TEST_TIMEOUT};
 use driftfront_http::ResponseReader;
 use socket2::{Domain, Socket, Type};
 use std::io::{Read, Write};
@@ -26,7 +26,7 @@
 
 /// Until the other side has ended the connection in order; nothing but that may come.
 fn wait_for_end(stream: &mut TcpStream) {
-    stream.set_read_timeout(Some(FOR_EVER)).unwrap();
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     assert_eq!(stream.read(&mut [0; 16]).expect("an end in order"), 0);
 }
 
--- a/crates/coordinator/tests/endings/main.rs
+++ b/crates/coordinator/tests/endings/main.rs
@@ -50,7 +50,7 @@
 
 /// Waits for the end of what the other side says; an error if that is a reset.
 fn rest(stream: &mut TcpStream) -> std::io::Result<Vec<u8>> {
-    stream.set_read_timeout(Some(common::FOR_EVER)).unwrap();
+    stream.set_read_timeout(Some(common::TEST_TIMEOUT)).unwrap();
     let mut rest = Vec::new();
     stream.read_to_end(&mut rest).map(|_| rest)
 }
@@ -67,7 +67,7 @@
 fn until(what: &str, mut so: impl FnMut() -> bool) {
     let begin = Instant::now();
     while !so() {
-        assert!(begin.elapsed() < common::FOR_EVER, "never: {what}");
+        assert!(begin.elapsed() < common::TEST_TIMEOUT, "never: {what}");
         std::thread::yield_now();
     }
 }
--- a/crates/coordinator/tests/faults.rs
+++ b/crates/coordinator/tests/faults.rs
@@ -40,7 +40,7 @@
     let since = std::time::Instant::now();
     while load.done() < least {
         assert!(
-            since.elapsed() < driftfront_cluster_harness::FOR_EVER,
+            since.elapsed() < driftfront_cluster_harness::TEST_TIMEOUT,
             "{} of {least}\n{}",
             load.done(),
             rig.log().text()
@@ -53,7 +53,7 @@
 fn rules_hold_over_a_fleet_whose_links_and_members_fail_while_clients_ask() {
     let (engines, ledger) = engines(3);
     let mut rig = rig("members 4 zones=2\nvoters 3\nseed 5", &engines);
-    rig.wait_until_seen(&[0, 1, 2, 3], &[0, 1, 2, 3]);
+    rig.wait_until_members_are(&[0, 1, 2, 3], &[0, 1, 2, 3]);
     let plan = Plan {
         clients: 3,
         most: 400,
@@ -82,7 +82,7 @@
     rig.now("wake \"m2\"");
     rig.now("reset \"all\" from=\"engines\"");
     wait_until_done(&rig, &load, killed + 400);
-    rig.wait_until_seen(&[0, 1, 2, 3], &[0, 1, 2, 3]);
+    rig.wait_until_members_are(&[0, 1, 2, 3], &[0, 1, 2, 3]);
     let all = load.end();
     // A reset may cost a statement that must not run twice; nothing is answered twice, or never.
     let odd = |a: &&driftfront_cluster_harness::load::Asked| {
@@ -100,7 +100,7 @@
 fn a_member_whose_way_to_an_engine_is_cut_one_way_serves_by_the_others() {
     let (engines, ledger) = engines(2);
     let mut rig = rig("members 2", &engines);
-    rig.wait_until_seen(&[0, 1], &[0, 1]);
+    rig.wait_until_members_are(&[0, 1], &[0, 1]);
     // What the engine says is lost: it hears and runs, and nobody knows.
     rig.now("part \"m0\" from=\"e0\" ways=\"in\"");
     let load = clients(
--- a/crates/coordinator/tests/fleet.rs
+++ b/crates/coordinator/tests/fleet.rs
@@ -34,7 +34,7 @@
 #[test]
 fn coordinators_that_start_at_once_know_each_other_and_what_each_does() {
     let (mut rig, _engine) = rig("members 5 zones=2");
-    rig.wait_until_seen(&[0, 1, 2, 3, 4], &[0, 1, 2, 3, 4]);
+    rig.wait_until_members_are(&[0, 1, 2, 3, 4], &[0, 1, 2, 3, 4]);
     let served = |seen: &[driftfront_cluster_harness::Member]| {
         seen.iter()
             .all(|m| m.state == "serving" && m.build == env!("CARGO_PKG_VERSION"))
@@ -45,59 +45,59 @@
     // One that ends in order is gone for the others before it could have been found out.
     rig.now("leave \"m2\"");
     assert!(rig.process(2).wait());
-    rig.wait_until_seen(&[0, 1, 3, 4], &[0, 1, 3, 4]);
+    rig.wait_until_members_are(&[0, 1, 3, 4], &[0, 1, 3, 4]);
     assert_eq!(rig.counter(0, "fleet_members_down"), 1);
 }
 
 #[test]
 fn killed_ones_are_gone_for_all_and_back_under_their_names_when_started_again() {
     let (mut rig, _engine) = rig("members 5");
-    rig.wait_until_seen(&[0, 1, 2, 3, 4], &[0, 1, 2, 3, 4]);
+    rig.wait_until_members_are(&[0, 1, 2, 3, 4], &[0, 1, 2, 3, 4]);
     // Both of the other seeds among them.
     rig.now("kill \"m1\" \"m2\"");
-    rig.wait_until_seen(&[0, 3, 4], &[0, 3, 4]);
+    rig.wait_until_members_are(&[0, 3, 4], &[0, 3, 4]);
     assert!(
         query(&rig, 3).ends_with("1\n"),
         "a fleet that lost members serves on"
     );
     rig.now("start \"m1\" \"m2\"");
-    rig.wait_until_seen(&[0, 1, 2, 3, 4], &[0, 1, 2, 3, 4]);
+    rig.wait_until_members_are(&[0, 1, 2, 3, 4], &[0, 1, 2, 3, 4]);
 }
 
 #[test]
 fn halves_that_are_cut_apart_serve_by_themselves_and_are_one_again_after() {
     let (mut rig, _engine) = rig("members 5");
-    rig.wait_until_seen(&[0, 1, 2, 3, 4], &[0, 1, 2, 3, 4]);
+    rig.wait_until_members_are(&[0, 1, 2, 3, 4], &[0, 1, 2, 3, 4]);
     rig.now("cut \"m0\" \"m1\"");
-    rig.wait_until_seen(&[0, 1], &[0, 1]);
-    rig.wait_until_seen(&[2, 3, 4], &[2, 3, 4]);
+    rig.wait_until_members_are(&[0, 1], &[0, 1]);
+    rig.wait_until_members_are(&[2, 3, 4], &[2, 3, 4]);
     for member in [0, 4] {
         assert!(query(&rig, member).ends_with("1\n"));
     }
     rig.now("heal");
-    rig.wait_until_seen(&[0, 1, 2, 3, 4], &[0, 1, 2, 3, 4]);
+    rig.wait_until_members_are(&[0, 1, 2, 3, 4], &[0, 1, 2, 3, 4]);
 }
 
 #[test]
 fn one_that_reaches_nobody_is_gone_for_the_others_and_nobody_else_with_it() {
     let (mut rig, _engine) = rig("members 4");
-    rig.wait_until_seen(&[0, 1, 2, 3], &[0, 1, 2, 3]);
+    rig.wait_until_members_are(&[0, 1, 2, 3], &[0, 1, 2, 3]);
     rig.now("cut \"m3\" ways=\"out\"");
-    rig.wait_until_seen(&[0, 1, 2], &[0, 1, 2]);
+    rig.wait_until_members_are(&[0, 1, 2], &[0, 1, 2]);
     assert!(query(&rig, 3).ends_with("1\n"), "what is cut off serves");
     rig.now("heal");
-    rig.wait_until_seen(&[0, 1, 2, 3], &[0, 1, 2, 3]);
+    rig.wait_until_members_are(&[0, 1, 2, 3], &[0, 1, 2, 3]);
     assert!((0..3).all(|m| rig.counter(m, "fleet_came_back") == 0));
 }
 
 #[test]
 fn a_process_that_was_stopped_comes_back_and_accuses_nobody() {
     let (mut rig, _engine) = rig("members 4");
-    rig.wait_until_seen(&[0, 1, 2, 3], &[0, 1, 2, 3]);
+    rig.wait_until_members_are(&[0, 1, 2, 3], &[0, 1, 2, 3]);
     rig.now("stop \"m2\"");
-    rig.wait_until_seen(&[0, 1, 3], &[0, 1, 3]);
+    rig.wait_until_members_are(&[0, 1, 3], &[0, 1, 3]);
     rig.now("wake \"m2\"");
-    rig.wait_until_seen(&[0, 1, 2, 3], &[0, 1, 2, 3]);
+    rig.wait_until_members_are(&[0, 1, 2, 3], &[0, 1, 2, 3]);
     // What it slept through it held against itself, not against them.
     assert_eq!(rig.counter(2, "fleet_members_down"), 0);
     assert!(rig.counter(2, "fleet_stumbles") > 0);
@@ -106,7 +106,7 @@
 #[test]
 fn keys_are_changed_while_all_serve_and_who_has_none_of_them_is_nobody() {
     let (mut rig, _engine) = rig("members 3");
-    rig.wait_until_seen(&[0, 1, 2], &[0, 1, 2]);
+    rig.wait_until_members_are(&[0, 1, 2], &[0, 1, 2]);
     let (old, new) = (
         driftfront_cluster_harness::KEY,
         "f0f1f2f3f4f5f6f7f8f9fafbfcfdfeff",
@@ -133,19 +133,19 @@
     );
     // One that starts with the old key is let in by nobody, and serves by itself.
     rig.now("kill \"m2\"");
-    rig.wait_until_seen(&[0, 1], &[0, 1]);
+    rig.wait_until_members_are(&[0, 1], &[0, 1]);
     rig.write_key(old);
     rig.now("start \"m2\"");
     rig.wait_for(0, "fleet_datagrams_refused{why=\"unknown key\"}", 1);
-    rig.wait_until_seen(&[2], &[2]);
-    rig.wait_until_seen(&[0, 1], &[0, 1]);
+    rig.wait_until_members_are(&[2], &[2]);
+    rig.wait_until_members_are(&[0, 1], &[0, 1]);
     assert!(query(&rig, 2).ends_with("1\n"));
 }
 
 #[test]
 fn a_flood_under_a_wrong_key_harms_neither_clients_nor_membership() {
     let (rig, _engine) = rig("members 3");
-    rig.wait_until_seen(&[0, 1, 2], &[0, 1, 2]);
+    rig.wait_until_members_are(&[0, 1, 2], &[0, 1, 2]);
     let (over, sent) = (
         Arc::new(AtomicBool::new(false)),
         Arc::new(AtomicU64::new(0)),
@@ -169,7 +169,7 @@
     }
     over.store(true, Ordering::Relaxed);
     flood.join().unwrap();
-    rig.wait_until_seen(&[0, 1, 2], &[0, 1, 2]);
+    rig.wait_until_members_are(&[0, 1, 2], &[0, 1, 2]);
 }
 
 #[test]
@@ -177,10 +177,10 @@
     let (mut rig, _engine) =
         rig("members 4\nseed 9\nlink \"all\" \"all\" loss=0.3 repeat=0.2 delay=\"2 ms\" jitter=\"10 ms\"");
     rig.play();
-    rig.wait_until_seen(&[0, 1, 2, 3], &[0, 1, 2, 3]);
+    rig.wait_until_members_are(&[0, 1, 2, 3], &[0, 1, 2, 3]);
     rig.wait_for(0, "fleet_datagrams_refused{why=\"replayed\"}", 3);
     rig.now("kill \"m3\"");
-    rig.wait_until_seen(&[0, 1, 2], &[0, 1, 2]);
+    rig.wait_until_members_are(&[0, 1, 2], &[0, 1, 2]);
 }
 
 #[test]
@@ -199,7 +199,7 @@
 #[test]
 fn a_member_of_a_later_build_is_let_in_and_what_it_adds_is_passed_on_or_counted() {
     let (rig, _engine) = rig("members 3");
-    rig.wait_until_seen(&[0, 1, 2], &[0, 1, 2]);
+    rig.wait_until_members_are(&[0, 1, 2], &[0, 1, 2]);
     // A member with the units themselves, that speaks a little more than this build knows.
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
     socket
@@ -243,7 +243,7 @@
             .any(|s| s.name == "later" && s.standing == "there" && s.build == "9.9.9")
     };
     while !(0..3).all(seen) || !told {
-        assert!(begun.elapsed() < driftfront_cluster_harness::FOR_EVER);
+        assert!(begun.elapsed() < driftfront_cluster_harness::TEST_TIMEOUT);
         while let Ok(n) = socket.recv(&mut bytes) {
             later.take(begun.elapsed().as_micros() as u64, &bytes[..n]);
         }
--- a/crates/coordinator/tests/golden_frontends.rs
+++ b/crates/coordinator/tests/golden_frontends.rs
@@ -443,7 +443,7 @@
 fn exchange(addr: std::net::SocketAddr, bytes: &[u8]) -> Vec<u8> {
     let mut stream = TcpStream::connect(addr).expect("it listens");
     stream
-        .set_read_timeout(Some(common::FOR_EVER))
+        .set_read_timeout(Some(common::TEST_TIMEOUT))
         .expect("a timeout");
     stream.write_all(bytes).expect("it reads");
     let mut answer = Vec::new();
@@ -455,7 +455,7 @@
 fn expecting(addr: std::net::SocketAddr, fields: &str) -> Vec<u8> {
     let mut stream = TcpStream::connect(addr).expect("it listens");
     stream
-        .set_read_timeout(Some(common::FOR_EVER))
+        .set_read_timeout(Some(common::TEST_TIMEOUT))
         .expect("a timeout");
     let head = format!(
         "POST /ops/lookup HTTP/1.1\r\nExpect: 100-continue\r\nConnection: close\r\n{fields}Content-Length: 8\r\n\r\n"
--- a/crates/coordinator/tests/golden_operators/control.rs
+++ b/crates/coordinator/tests/golden_operators/control.rs
@@ -3,7 +3,7 @@
 use crate::commands::ordered;
 use crate::common::lines::Site as LineSite;
 use crate::common::site::Plan;
-use crate::common::{get, FOR_EVER};
+use crate::common::{get, TEST_TIMEOUT};
 use crate::Folder;
 use driftfront_control::{Request, REPLY_MOST};
 use driftfront_test_support::assert_golden;
@@ -57,7 +57,9 @@
 impl Operator {
     fn connect(folder: &Folder) -> Operator {
         let stream = UnixStream::connect(folder.0.join("control")).expect("it listens");
-        stream.set_read_timeout(Some(FOR_EVER)).expect("a timeout");
+        stream
+            .set_read_timeout(Some(TEST_TIMEOUT))
+            .expect("a timeout");
         Operator(BufReader::new(stream))
     }
 
--- a/crates/coordinator/tests/golden_operators/files.rs
+++ b/crates/coordinator/tests/golden_operators/files.rs
@@ -1,6 +1,6 @@
 //! The state folder and the hand-over files: names, bytes, and that today's bytes are read.
 
-use crate::common::{file, FOR_EVER};
+use crate::common::{file, TEST_TIMEOUT};
 use crate::{type_in, Folder};
 use driftfront::handover::Post;
 use driftfront_engine_registry::handover::Word;
@@ -152,7 +152,7 @@
                 }
             }
         });
-        listens.recv_timeout(FOR_EVER).expect("it listens");
+        listens.recv_timeout(TEST_TIMEOUT).expect("it listens");
         Running { child }
     }
 
--- a/crates/coordinator/tests/operators.rs
+++ b/crates/coordinator/tests/operators.rs
@@ -56,7 +56,7 @@
         loop {
             match Remote::connect(&At::Socket(self.socket.clone())) {
                 Ok(remote) => return remote,
-                Err(e) => assert!(begin.elapsed() < common::FOR_EVER, "{e}"),
+                Err(e) => assert!(begin.elapsed() < common::TEST_TIMEOUT, "{e}"),
             }
         }
     }
@@ -86,7 +86,7 @@
             if holds(&s) {
                 return s;
             }
-            assert!(begin.elapsed() < common::FOR_EVER, "{what}: {s:#?}");
+            assert!(begin.elapsed() < common::TEST_TIMEOUT, "{what}: {s:#?}");
             std::thread::sleep(Duration::from_millis(5));
         }
     }
@@ -584,7 +584,7 @@
         let begin = Instant::now();
         while !self.says(words) {
             assert!(
-                begin.elapsed() < common::FOR_EVER,
+                begin.elapsed() < common::TEST_TIMEOUT,
                 "{words:?} never came:\n{}",
                 self.text()
             );
@@ -676,7 +676,7 @@
     let begin = Instant::now();
     while child.try_wait().expect("a child").is_none() {
         assert!(
-            begin.elapsed() < common::FOR_EVER,
+            begin.elapsed() < common::TEST_TIMEOUT,
             "it goes on without a terminal"
         );
         std::thread::sleep(Duration::from_millis(10));
--- a/crates/coordinator/tests/second.rs
+++ b/crates/coordinator/tests/second.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::lines::{config, List};
-use common::{instance, post, stand_in, Answer, Coordinator, FOR_EVER};
+use common::{instance, post, stand_in, Answer, Coordinator, TEST_TIMEOUT};
 use quickcheck::{Arbitrary, Gen};
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -50,7 +50,7 @@
         let said = self.said.lock().unwrap();
         let (_said, late) = self
             .news
-            .wait_timeout_while(said, FOR_EVER, |said| !holds(said))
+            .wait_timeout_while(said, TEST_TIMEOUT, |said| !holds(said))
             .unwrap();
         assert!(!late.timed_out(), "{what}: never");
     }
@@ -286,7 +286,7 @@
     // than that is not sent again, whoever asks.
     let begin = std::time::Instant::now();
     while site.coordinator.counter("tokens_late") == 0 {
-        assert!(begin.elapsed() < FOR_EVER);
+        assert!(begin.elapsed() < TEST_TIMEOUT);
         site.ask("member-load", &headers, "INSERT mute");
     }
     let sent = site.record.requests("INSERT mute").len();
--- a/crates/coordinator/tests/upgrade.rs
+++ b/crates/coordinator/tests/upgrade.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::lines::{config, Site};
-use common::{get, read_next, Coordinator, FOR_EVER};
+use common::{get, read_next, Coordinator, TEST_TIMEOUT};
 use driftfront_http::ResponseReader;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -63,7 +63,7 @@
     let begin = Instant::now();
     while !coordinator.manage(call).starts_with(reply) {
         assert!(
-            begin.elapsed() < FOR_EVER,
+            begin.elapsed() < TEST_TIMEOUT,
             "{call:?} was never answered {reply}"
         );
         std::thread::yield_now();
