--- a/crates/cluster-simulation/src/main.rs
+++ b/crates/cluster-simulation/src/main.rs
@@ -296,8 +296,8 @@
                     let take = Command::Acquire {
                         resource,
                         amount: 1,
-                        most: 1,
-                        span: S,
+                        limit: 1,
+                        duration: S,
                         stays: false,
                         note: String::new(),
                     };
@@ -563,7 +563,7 @@
         world.ask(Load {
             one_in: 4,
             resources: 100,
-            span: 2 * S,
+            duration: 2 * S,
             patience: 30 * S,
         });
         world.play(40 * S, |_| false);
--- a/crates/cluster-simulation/src/model.rs
+++ b/crates/cluster-simulation/src/model.rs
@@ -323,8 +323,8 @@
                 let take = Command::Acquire {
                     resource: "p".into(),
                     amount: 1,
-                    most: 1,
-                    span: SPAN,
+                    limit: 1,
+                    duration: SPAN,
                     stays: false,
                     note: String::new(),
                 };
--- a/crates/cluster-simulation/src/rights.rs
+++ b/crates/cluster-simulation/src/rights.rs
@@ -16,7 +16,7 @@
     /// Of so many pots, each lent once at a time.
     pub resources: u32,
     /// For so long, half of it at least.
-    pub span: Micros,
+    pub duration: Micros,
     /// In one of so many looks, where it holds nothing.
     pub one_in: u32,
     /// It waits so long for an outcome.
@@ -27,7 +27,7 @@
     fn default() -> Load {
         Load {
             resources: 2,
-            span: 3_000_000,
+            duration: 3_000_000,
             one_in: 30,
             patience: 4_000_000,
         }
@@ -111,13 +111,15 @@
             } else if !self.waiting.keys().any(|k| k.0 == member)
                 && self.rng.random_range(0..self.load.one_in) == 0
             {
-                let span = self.rng.random_range(self.load.span / 2..=self.load.span);
+                let duration = self
+                    .rng
+                    .random_range(self.load.duration / 2..=self.load.duration);
                 let resource = format!("pot-{}", self.rng.random_range(0..self.load.resources));
                 let take = Command::Acquire {
                     resource,
                     amount: 1,
-                    most: 1,
-                    span,
+                    limit: 1,
+                    duration,
                     stays: false,
                     note: String::new(),
                 };
--- a/crates/cluster-simulation/tests/agreed.rs
+++ b/crates/cluster-simulation/tests/agreed.rs
@@ -215,7 +215,7 @@
         let mut w = world(&format!("members 3\nvoters 3 keeps=#true\nseed {seed}"));
         led(&mut w, 10 * S);
         w.ask(Load {
-            span: 20 * S,
+            duration: 20 * S,
             ..Load::default()
         });
         w.play(45 * S, |_| false);
--- a/crates/cluster-simulation/tests/golden.rs
+++ b/crates/cluster-simulation/tests/golden.rs
@@ -259,7 +259,7 @@
     let load = Load {
         one_in: 1,
         resources: 400,
-        span: 60 * S,
+        duration: 60 * S,
         ..Load::default()
     };
     assert_golden!(
--- a/crates/cluster/src/consensus/leases.rs
+++ b/crates/cluster/src/consensus/leases.rs
@@ -37,9 +37,9 @@
         /// How much of it.
         amount: u32,
         /// No more than this of it may be lent at once, by the asker's settings.
-        most: u32,
+        limit: u32,
         /// For how long.
-        span: Micros,
+        duration: Micros,
         /// It counts beyond its end, until it is given back.
         stays: bool,
         /// Why, in words.
@@ -50,7 +50,7 @@
         /// The right.
         fence: u64,
         /// For how long.
-        span: Micros,
+        duration: Micros,
     },
     /// I give it back.
     Release {
@@ -270,8 +270,8 @@
             Command::Acquire {
                 resource,
                 amount,
-                most,
-                span,
+                limit,
+                duration,
                 stays,
                 note,
             } => {
@@ -279,8 +279,11 @@
                 let texts = resource.len() <= MAX_TEXT_BYTES
                     && note.len() <= MAX_TEXT_BYTES
                     && owner.len() <= MAX_NAME_BYTES;
-                let fits =
-                    texts && !resource.is_empty() && amount > 0 && span > 0 && span <= SPAN_MOST;
+                let fits = texts
+                    && !resource.is_empty()
+                    && amount > 0
+                    && duration > 0
+                    && duration <= SPAN_MOST;
                 if !fits || self.lent.len() >= RIGHTS_MOST || of_owner >= RIGHTS_OF_ONE {
                     return Outcome::OutOfBounds;
                 }
@@ -290,7 +293,7 @@
                     };
                 }
                 let lent = self.lent_of(&resource);
-                if lent.checked_add(amount).is_none_or(|sum| sum > most) {
+                if lent.checked_add(amount).is_none_or(|sum| sum > limit) {
                     let ends = self
                         .lent
                         .values()
@@ -310,17 +313,17 @@
                         amount,
                         owner,
                         session,
-                        end: now + span,
+                        end: now + duration,
                         stays,
                         note,
                     },
                 );
                 Outcome::Granted { fence }
             }
-            Command::Renew { fence, span } => {
+            Command::Renew { fence, duration } => {
                 match self.lent.get_mut(&fence).filter(|r| r.owner == owner) {
-                    Some(right) if span > 0 && span <= SPAN_MOST => {
-                        (right.end, right.session) = (right.end.max(now + span), session);
+                    Some(right) if duration > 0 && duration <= SPAN_MOST => {
+                        (right.end, right.session) = (right.end.max(now + duration), session);
                         Outcome::Renewed
                     }
                     Some(_) => Outcome::OutOfBounds,
@@ -354,12 +357,12 @@
 
     const S: Micros = 1_000_000;
 
-    fn take(resource: &str, span: Micros, stays: bool) -> Command {
+    fn take(resource: &str, duration: Micros, stays: bool) -> Command {
         Command::Acquire {
             resource: resource.into(),
             amount: 1,
-            most: 1,
-            span,
+            limit: 1,
+            duration,
             stays,
             note: "test".into(),
         }
@@ -428,7 +431,7 @@
                     2,
                     Command::Renew {
                         fence: (7 << 20) + 1,
-                        span: S
+                        duration: S
                     }
                 )
             ),
@@ -482,7 +485,7 @@
                 1,
                 Command::Renew {
                     fence: 1,
-                    span: 60 * S,
+                    duration: 60 * S,
                 },
             )
         };
@@ -549,12 +552,12 @@
                         0 | 1 => Command::Acquire {
                             resource: "p".into(),
                             amount: u32::from(amount % 4),
-                            most: 5,
-                            span: S * Micros::from(what),
+                            limit: 5,
+                            duration: S * Micros::from(what),
                             stays: what % 8 == 0,
                             note: String::new(),
                         },
-                        2 => Command::Renew { fence, span: S },
+                        2 => Command::Renew { fence, duration: S },
                         _ => Command::Release { fence },
                     };
                     rights.apply(
--- a/crates/cluster/src/consensus/mod.rs
+++ b/crates/cluster/src/consensus/mod.rs
@@ -648,9 +648,9 @@
             return true;
         }
         let (session, request) = of;
-        if let Command::Acquire { span, .. } | Command::Renew { span, .. } = &command {
+        if let Command::Acquire { duration, .. } | Command::Renew { duration, .. } = &command {
             // What a founding after the loss of all voters has to wait for.
-            if !all_keep && *span > QUIET {
+            if !all_keep && *duration > QUIET {
                 self.reply(clock, owner, of, Outcome::OutOfBounds);
                 return true;
             }
@@ -706,14 +706,14 @@
             return;
         };
         let from = asking.sent.unwrap_or(clock);
-        let until = |span: Micros| from + (span - span / 20).saturating_sub(SLACK);
+        let until = |duration: Micros| from + (duration - duration / 20).saturating_sub(SLACK);
         match (&outcome, &asking.command) {
             (
                 Outcome::Granted { fence },
                 Command::Acquire {
                     resource,
                     amount,
-                    span,
+                    duration,
                     ..
                 },
             ) => {
@@ -725,14 +725,14 @@
                     let held = Held {
                         resource: resource.clone(),
                         amount: *amount,
-                        until: until(*span),
+                        until: until(*duration),
                     };
                     self.held.insert(*fence, held);
                 }
             }
-            (Outcome::Renewed, Command::Renew { fence, span }) => {
+            (Outcome::Renewed, Command::Renew { fence, duration }) => {
                 if let Some(held) = self.held.get_mut(fence) {
-                    held.until = held.until.max(until(*span));
+                    held.until = held.until.max(until(*duration));
                 }
             }
             (Outcome::NotOwner, Command::Renew { fence, .. }) => drop(self.held.remove(fence)),
--- a/crates/cluster/tests/golden_log.rs
+++ b/crates/cluster/tests/golden_log.rs
@@ -13,12 +13,12 @@
     Some(sent.to)
 }
 
-fn take(resource: &str, amount: u32, span: u64, stays: bool, note: &str) -> Command {
+fn take(resource: &str, amount: u32, duration: u64, stays: bool, note: &str) -> Command {
     Command::Acquire {
         resource: resource.into(),
         amount,
-        most: 3,
-        span,
+        limit: 3,
+        duration,
         stays,
         note: note.into(),
     }
@@ -132,7 +132,7 @@
         3,
         Command::Renew {
             fence,
-            span: 90 * SECOND,
+            duration: 90 * SECOND,
         },
     );
     ask(
@@ -140,10 +140,10 @@
         4,
         Command::Renew {
             fence,
-            span: 90 * SECOND,
+            duration: 90 * SECOND,
         },
     );
-    ask(&mut site, 3, Command::Renew { fence, span: 0 });
+    ask(&mut site, 3, Command::Renew { fence, duration: 0 });
     ask(&mut site, 3, Command::Release { fence });
     ask(&mut site, 3, Command::Release { fence });
     ask(&mut site, leader, Command::Revoke { fence: fence + 2 });
@@ -223,9 +223,9 @@
     let mut seen: Vec<(u8, &[u8])> = Vec::new();
     for Sent { bytes, .. } in sent {
         let kind = bytes[0];
-        let most = if kind == RAFT || kind == PART { 8 } else { 80 };
+        let limit = if kind == RAFT || kind == PART { 8 } else { 80 };
         let of_kind = seen.iter().filter(|s| s.0 == kind).count();
-        if of_kind < most && !seen.contains(&(kind, bytes)) {
+        if of_kind < limit && !seen.contains(&(kind, bytes)) {
             seen.push((kind, bytes));
             let _ = writeln!(text, "{kind} {}", hex(bytes));
         }
@@ -375,7 +375,7 @@
         take("pot", 2, 60 * SECOND, true, "why"),
         Command::Renew {
             fence: 300,
-            span: 5,
+            duration: 5,
         },
         Command::Release { fence: 301 },
         Command::Revoke { fence: 302 },
--- a/crates/coordinator/src/node/cluster/agreed.rs
+++ b/crates/coordinator/src/node/cluster/agreed.rs
@@ -293,13 +293,13 @@
             );
             return self.tell_operator(to.0, &Reply::Refused(why).line(to.1));
         }
-        let span = for_s.saturating_mul(1_000_000);
+        let duration = for_s.saturating_mul(1_000_000);
         self.ask_for(to, name, |_| {
             Ok(Command::Acquire {
                 resource,
                 amount: 1,
-                most: 1,
-                span,
+                limit: 1,
+                duration,
                 stays,
                 note,
             })
