--- a/crates/coordinator/src/discovery/mod.rs
+++ b/crates/coordinator/src/discovery/mod.rs
@@ -7,7 +7,7 @@
 pub mod stream;
 
 use driftfront_core::{ListKind, Micros, Phase};
-use driftfront_engine_registry::Fact;
+use driftfront_engine_registry::EngineDescription;
 use driftfront_settings::json::Json;
 use std::net::SocketAddr;
 use tinyjson::JsonValue;
@@ -34,7 +34,7 @@
     /// The whole list, or changes to it.
     pub kind: ListKind,
     /// Engines.
-    pub facts: Vec<Fact>,
+    pub facts: Vec<EngineDescription>,
     /// Other coordinators, and where their datagrams go: lines with `coordinator` instead of `hostPort`.
     pub coordinators: Vec<(String, SocketAddr)>,
     /// What of it can't be used, in words.
@@ -83,7 +83,7 @@
     ))
 }
 
-fn fact(zones: &[String], kinds: &[String], e: Json) -> Result<Fact, String> {
+fn fact(zones: &[String], kinds: &[String], e: Json) -> Result<EngineDescription, String> {
     let name = e
         .get("instanceId")
         .text()
@@ -101,7 +101,7 @@
             .and_then(|t| names.iter().position(|n| n == t));
         at.map_or(u16::MAX, |n| n as u16)
     };
-    Ok(Fact {
+    Ok(EngineDescription {
         name: name.into(),
         addr: e.get("hostPort").text().and_then(|a| a.parse().ok()),
         zone: place(zones, "zone"),
--- a/crates/coordinator/src/node/control/operators.rs
+++ b/crates/coordinator/src/node/control/operators.rs
@@ -4,7 +4,7 @@
 use crate::node::{ConnectionId, EventSource, Node};
 use driftfront_control::{greeting, key, Lines, Reply, Request, LINE_MOST};
 use driftfront_core::{Micros, Phase};
-use driftfront_engine_registry::{Command as Order, Fact};
+use driftfront_engine_registry::{Command as Order, EngineDescription};
 use std::io::{ErrorKind, Read};
 use std::rc::Rc;
 
@@ -278,7 +278,7 @@
             },
         };
         let words = format!("{engine} is added");
-        let fact = Fact {
+        let fact = EngineDescription {
             name: engine,
             addr,
             zone,
--- a/crates/engine-registry/src/lib.rs
+++ b/crates/engine-registry/src/lib.rs
@@ -38,7 +38,7 @@
 
 /// What a source says of one engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fact {
+pub struct EngineDescription {
     /// Its name.
     pub name: String,
     /// Where it listens; `None`: as before.
@@ -93,7 +93,7 @@
     /// Adds an engine that no source lists, or lifts its removal.
     Add {
         /// Its facts; the phase is not looked at.
-        fact: Fact,
+        fact: EngineDescription,
     },
     /// See [`Order::Remove`]. `force`: also while it is ready.
     Remove {
@@ -173,7 +173,7 @@
 
 /// An engine as it counts, and why.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Seen {
+pub struct EngineState {
     /// Its number.
     pub id: EngineId,
     /// Its name.
@@ -199,9 +199,9 @@
     id: EngineId,
     addr: SocketAddr,
     /// As the source lists it now.
-    source: Option<Fact>,
+    source: Option<EngineDescription>,
     /// As an operator added it.
-    added: Option<Fact>,
+    added: Option<EngineDescription>,
     /// What the module was last told.
     told: Option<ListedEngine>,
 }
@@ -257,10 +257,10 @@
     }
 
     /// All engines as they count, by name.
-    pub fn engines(&self) -> Vec<Seen> {
+    pub fn engines(&self) -> Vec<EngineState> {
         let each = self.entries.iter().filter_map(|(name, e)| {
             let fact = e.source.as_ref().or(e.added.as_ref())?;
-            Some(Seen {
+            Some(EngineState {
                 id: e.id,
                 name: name.clone(),
                 addr: e.addr,
@@ -293,7 +293,7 @@
     }
 
     /// A source has said something: its whole list, or changes to it.
-    pub fn source(&mut self, kind: ListKind, facts: Vec<Fact>) -> Change {
+    pub fn source(&mut self, kind: ListKind, facts: Vec<EngineDescription>) -> Change {
         let mut change = Change {
             kind,
             lines: Vec::new(),
@@ -325,7 +325,12 @@
     }
 
     /// Takes one engine's facts over, of a source or an operator.
-    fn take(&mut self, fact: Fact, added: bool, change: &mut Change) -> Result<(), Refusal> {
+    fn take(
+        &mut self,
+        fact: EngineDescription,
+        added: bool,
+        change: &mut Change,
+    ) -> Result<(), Refusal> {
         let name = fact.name.clone();
         if name.is_empty() || name.len() > NAME_MOST || name.chars().any(char::is_control) {
             return Err(Refusal::Unusable(format!(
--- a/crates/engine-registry/src/record.rs
+++ b/crates/engine-registry/src/record.rs
@@ -5,7 +5,7 @@
 //! spoilt tail, to be cut. So a power cut at any byte leaves the records before it.
 
 use crate::roll::Roll;
-use crate::{ActiveOrder, Fact, Order};
+use crate::{ActiveOrder, EngineDescription, Order};
 use driftfront_scheduler::interface::Phase;
 
 /// The file's beginning: what it is, and the version of its form.
@@ -33,7 +33,7 @@
     /// An operator added an engine.
     Added {
         /// Its facts.
-        fact: Fact,
+        fact: EngineDescription,
     },
     /// Where a roll stands; the last one counts. `None`: there is none any more.
     Roll {
@@ -207,7 +207,7 @@
             let mut number = || next()?.parse::<u16>().ok();
             let (zone, kind, cell) = (number()?, number()?, number()?);
             Some(Record::Added {
-                fact: Fact {
+                fact: EngineDescription {
                     name,
                     addr,
                     zone,
@@ -236,7 +236,7 @@
             since: 1_764_000_000_000_000,
             by: "operator".into(),
         };
-        let fact = Fact {
+        let fact = EngineDescription {
             name: "engine-9".into(),
             addr: Some("127.0.0.1:8123".parse().expect("an address")),
             zone: 1,
--- a/crates/engine-registry/tests/bans.rs
+++ b/crates/engine-registry/tests/bans.rs
@@ -1,12 +1,12 @@
 //! Engines taken out and put back by name, whatever lists say.
 
-use driftfront_engine_registry::{EngineRegistry, Fact, Refusal, NAMES_MOST};
+use driftfront_engine_registry::{EngineDescription, EngineRegistry, Refusal, NAMES_MOST};
 use driftfront_scheduler::interface::{ListKind, Phase};
 use quickcheck::{Gen, QuickCheck};
 
-fn fact(name: &str, phase: Phase, started_at: Option<u64>) -> Fact {
+fn fact(name: &str, phase: Phase, started_at: Option<u64>) -> EngineDescription {
     let addr = "127.0.0.1:1000".parse().ok();
-    Fact {
+    EngineDescription {
         name: name.into(),
         addr,
         zone: 0,
--- a/crates/engine-registry/tests/golden.rs
+++ b/crates/engine-registry/tests/golden.rs
@@ -4,7 +4,9 @@
 use driftfront_engine_registry::record::{self, Record};
 use driftfront_engine_registry::roll::{Act, EngineSnapshot, ObservedState, Roll, Stage};
 use driftfront_engine_registry::{hash, phase_word, standing_words};
-use driftfront_engine_registry::{ActiveOrder, Command, EngineRegistry, Fact, Order, Refusal};
+use driftfront_engine_registry::{
+    ActiveOrder, Command, EngineDescription, EngineRegistry, Order, Refusal,
+};
 use driftfront_scheduler::interface::{ListKind, Phase};
 use driftfront_test_support::{assert_golden, read_golden};
 use std::fmt::Write as _;
@@ -19,8 +21,8 @@
     }
 }
 
-fn fact(name: &str, addr: Option<&str>) -> Fact {
-    Fact {
+fn fact(name: &str, addr: Option<&str>) -> EngineDescription {
+    EngineDescription {
         name: name.into(),
         addr: addr.map(|a| a.parse().expect("an address")),
         zone: 1,
@@ -274,7 +276,7 @@
             fact("engine-2", addr),
             fact("engine-4", None),
             fact("", addr),
-            Fact {
+            EngineDescription {
                 phase: Phase::Draining,
                 ..fact("engine-3", addr)
             },
@@ -294,7 +296,7 @@
         engine: engine.into(),
         force,
     };
-    let add = |fact: Fact| Command::Add { fact };
+    let add = |fact: EngineDescription| Command::Add { fact };
     for (n, (title, command)) in [
         ("drain unknown, one near", drain("engine-5", false)),
         ("drain unknown", drain("nothing-like-it", false)),
--- a/crates/engine-registry/tests/model.rs
+++ b/crates/engine-registry/tests/model.rs
@@ -1,7 +1,7 @@
 //! The roster against random sources, commands and restarts.
 
 use driftfront_engine_registry::record::{self, Record};
-use driftfront_engine_registry::{Command, EngineRegistry, Fact, Order};
+use driftfront_engine_registry::{Command, EngineDescription, EngineRegistry, Order};
 use driftfront_scheduler::interface::{EngineId, ListKind, Phase};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use std::collections::BTreeMap;
@@ -46,10 +46,10 @@
     format!("e{n}")
 }
 
-fn fact(n: u8, phase: u8) -> Fact {
+fn fact(n: u8, phase: u8) -> EngineDescription {
     let phase = [Phase::Ready, Phase::Ready, Phase::Draining, Phase::Gone][usize::from(phase % 4)];
     let addr = format!("127.0.0.1:{}", 1000 + u16::from(n)).parse().ok();
-    Fact {
+    EngineDescription {
         name: name(n),
         addr,
         zone: 0,
