--- a/crates/coordinator/src/node/mod.rs
+++ b/crates/coordinator/src/node/mod.rs
@@ -25,7 +25,7 @@
 use calloop::{EventLoop, Interest, LoopHandle, Mode, PostAction, Readiness, RegistrationToken};
 use driftfront_core::lifecycle::Lifecycle;
 use driftfront_core::{AttemptKey, Command, Core, EngineId, ListKind, Micros, Phase, RequestId};
-use driftfront_engine_registry::{Change, EngineRegistry};
+use driftfront_engine_registry::{EngineRegistry, RegistryChange};
 use driftfront_scheduler::interface::Idempotency;
 use driftfront_settings::json::Json;
 use std::collections::BTreeMap;
@@ -543,7 +543,7 @@
         self.execute_commands();
     }
 
-    fn apply_registry_change(&mut self, now: Micros, change: &Change) {
+    fn apply_registry_change(&mut self, now: Micros, change: &RegistryChange) {
         for &engine in &change.restarted {
             self.retire_connections(engine);
             // What was left in sessions went with the process.
--- a/crates/coordinator/tests/wires.rs
+++ b/crates/coordinator/tests/wires.rs
@@ -9,7 +9,7 @@
 use driftfront_core::{
     AttemptKey, AttemptReport, Cause, ListKind, ParsedRequest, Phase, RequestId,
 };
-use driftfront_engine_registry::{Change, EngineRegistry};
+use driftfront_engine_registry::{EngineRegistry, RegistryChange};
 use driftfront_http::{
     chunk, HttpError, Request, RequestReader, ResponsePart, ResponseReader, LAST_CHUNK,
 };
@@ -447,12 +447,12 @@
     assert_eq!(connection(""), ("8".into(), false, 0));
 }
 
-fn apply(roster: &mut EngineRegistry, text: &str) -> Change {
+fn apply(roster: &mut EngineRegistry, text: &str) -> RegistryChange {
     let json: JsonValue = format!("{{\"endpoints\":{text}}}").parse().expect("JSON");
     take(roster, &json)
 }
 
-fn take(roster: &mut EngineRegistry, update: &JsonValue) -> Change {
+fn take(roster: &mut EngineRegistry, update: &JsonValue) -> RegistryChange {
     let names = (["a".to_string(), "b".to_string()], ["std-8".to_string()]);
     let told = read(&names.0, &names.1, Json(Some(update))).expect("an update");
     roster.source(told.kind, told.facts)
--- a/crates/engine-registry/src/lib.rs
+++ b/crates/engine-registry/src/lib.rs
@@ -157,7 +157,7 @@
 
 /// A change to the list, in the module's terms.
 #[derive(Clone, Debug)]
-pub struct Change {
+pub struct RegistryChange {
     /// Whole list or changes.
     pub kind: ListKind,
     /// The lines.
@@ -169,7 +169,7 @@
 }
 
 /// What a command has changed, and what is to be written down of it.
-pub type Done = (Change, Vec<record::Record>);
+pub type Done = (RegistryChange, Vec<record::Record>);
 
 /// An engine as it counts, and why.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -293,8 +293,8 @@
     }
 
     /// A source has said something: its whole list, or changes to it.
-    pub fn source(&mut self, kind: ListKind, facts: Vec<EngineDescription>) -> Change {
-        let mut change = Change {
+    pub fn source(&mut self, kind: ListKind, facts: Vec<EngineDescription>) -> RegistryChange {
+        let mut change = RegistryChange {
             kind,
             lines: Vec::new(),
             restarted: Vec::new(),
@@ -329,7 +329,7 @@
         &mut self,
         fact: EngineDescription,
         added: bool,
-        change: &mut Change,
+        change: &mut RegistryChange,
     ) -> Result<(), Refusal> {
         let name = fact.name.clone();
         if name.is_empty() || name.len() > NAME_MOST || name.chars().any(char::is_control) {
@@ -397,7 +397,7 @@
     }
 
     /// Puts into a change what the module was not told yet, each thing once; in a whole list all of it.
-    fn tell(&mut self, change: &mut Change) {
+    fn tell(&mut self, change: &mut RegistryChange) {
         let phases: Vec<(String, Phase)> = self
             .entries
             .iter()
@@ -506,7 +506,7 @@
     /// Carries out an operator's command; what is to be written down, so that it outlives a restart.
     pub fn command(&mut self, now: Micros, by: &str, command: Command) -> Result<Done, Refusal> {
         use record::Record;
-        let mut change = Change {
+        let mut change = RegistryChange {
             kind: ListKind::Changes,
             lines: Vec::new(),
             restarted: Vec::new(),
@@ -674,7 +674,7 @@
     /// once the one that takes it out. What has changed, and what is to be written down of it.
     pub fn merge(&mut self, word: &handover::Word) -> Done {
         use record::Record;
-        let mut change = Change {
+        let mut change = RegistryChange {
             kind: ListKind::Changes,
             lines: Vec::new(),
             restarted: Vec::new(),
@@ -755,8 +755,8 @@
     }
 
     /// Takes over what was written down in an earlier life, before any source has spoken.
-    pub fn restore(&mut self, records: impl IntoIterator<Item = record::Record>) -> Change {
-        let mut change = Change {
+    pub fn restore(&mut self, records: impl IntoIterator<Item = record::Record>) -> RegistryChange {
+        let mut change = RegistryChange {
             kind: ListKind::Changes,
             lines: Vec::new(),
             restarted: Vec::new(),
--- a/crates/engine-registry/tests/model.rs
+++ b/crates/engine-registry/tests/model.rs
@@ -65,7 +65,7 @@
 struct Module(BTreeMap<EngineId, Phase>);
 
 impl Module {
-    fn take(&mut self, change: &driftfront_engine_registry::Change) {
+    fn take(&mut self, change: &driftfront_engine_registry::RegistryChange) {
         if change.kind != ListKind::Changes {
             self.0.values_mut().for_each(|p| *p = Phase::Gone);
         }
