--- a/crates/coordinator/src/node/management.rs
+++ b/crates/coordinator/src/node/management.rs
@@ -10,7 +10,7 @@
 use calloop::RegistrationToken;
 use driftfront_control::management::{reply, BadCall, Call, CallReader, CALL_MOST, WORDS};
 use driftfront_core::Micros;
-use driftfront_engine_registry::Done;
+use driftfront_engine_registry::RegistryUpdate;
 use std::collections::BTreeMap;
 use std::net::{Shutdown, SocketAddr, TcpListener};
 use std::rc::Rc;
@@ -231,7 +231,7 @@
     }
 
     /// What an order of the second address has changed is carried out, and written down where a folder is kept.
-    fn ordered(&mut self, now: Micros, done: Option<Done>, words: String) -> String {
+    fn ordered(&mut self, now: Micros, done: Option<RegistryUpdate>, words: String) -> String {
         let Some((change, records)) = done else {
             return format!("{words}, as before");
         };
--- a/crates/engine-registry/src/lib.rs
+++ b/crates/engine-registry/src/lib.rs
@@ -169,7 +169,7 @@
 }
 
 /// What a command has changed, and what is to be written down of it.
-pub type Done = (RegistryChange, Vec<record::Record>);
+pub type RegistryUpdate = (RegistryChange, Vec<record::Record>);
 
 /// An engine as it counts, and why.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -504,7 +504,12 @@
     }
 
     /// Carries out an operator's command; what is to be written down, so that it outlives a restart.
-    pub fn command(&mut self, now: Micros, by: &str, command: Command) -> Result<Done, Refusal> {
+    pub fn command(
+        &mut self,
+        now: Micros,
+        by: &str,
+        command: Command,
+    ) -> Result<RegistryUpdate, Refusal> {
         use record::Record;
         let mut change = RegistryChange {
             kind: ListKind::Changes,
@@ -624,7 +629,7 @@
         now: Micros,
         by: &str,
         engine: &str,
-    ) -> Result<Option<Done>, Refusal> {
+    ) -> Result<Option<RegistryUpdate>, Refusal> {
         if self.orders.contains_key(engine) {
             return Ok(None);
         }
@@ -645,7 +650,7 @@
         now: Micros,
         by: &str,
         engine: &str,
-    ) -> Result<Option<Done>, Refusal> {
+    ) -> Result<Option<RegistryUpdate>, Refusal> {
         if !self.orders.contains_key(engine) {
             return self.must_know(engine).map(|_| None);
         }
@@ -672,7 +677,7 @@
 
     /// Takes over what another process of this coordinator says: the later word about an engine holds, and of two at
     /// once the one that takes it out. What has changed, and what is to be written down of it.
-    pub fn merge(&mut self, word: &handover::Word) -> Done {
+    pub fn merge(&mut self, word: &handover::Word) -> RegistryUpdate {
         use record::Record;
         let mut change = RegistryChange {
             kind: ListKind::Changes,
--- a/crates/engine-registry/tests/golden.rs
+++ b/crates/engine-registry/tests/golden.rs
@@ -78,7 +78,7 @@
         Stage::Handed,
         Stage::Warming,
         Stage::Stopped,
-        Stage::Done,
+        Stage::RegistryUpdate,
     ] {
         all.push(Record::Roll {
             roll: Some(roll(stage)),
@@ -247,7 +247,7 @@
     assert_golden!("engine-numbers.txt", text);
 }
 
-fn say(text: &mut String, outcome: Result<driftfront_engine_registry::Done, Refusal>) {
+fn say(text: &mut String, outcome: Result<driftfront_engine_registry::RegistryUpdate, Refusal>) {
     match outcome {
         Ok((change, records)) => {
             for words in &change.words {
