--- a/crates/coordinator/src/discovery/mod.rs
+++ b/crates/coordinator/src/discovery/mod.rs
@@ -34,7 +34,7 @@
     /// The whole list, or changes to it.
     pub kind: ListKind,
     /// Engines.
-    pub facts: Vec<EngineDescription>,
+    pub descriptions: Vec<EngineDescription>,
     /// Other coordinators, and where their datagrams go: lines with `coordinator` instead of `hostPort`.
     pub coordinators: Vec<(String, SocketAddr)>,
     /// What of it can't be used, in words.
@@ -55,7 +55,7 @@
     };
     let mut told = EngineListUpdate {
         kind,
-        facts: Vec::new(),
+        descriptions: Vec::new(),
         coordinators: Vec::new(),
         rejected_entries: Vec::new(),
     };
@@ -64,7 +64,7 @@
         // One bad line must not cost the others.
         let done = match entry.get("coordinator").text() {
             Some(addr) => coordinator(entry, addr).map(|c| told.coordinators.push(c)),
-            None => fact(zones, kinds, entry).map(|f| told.facts.push(f)),
+            None => description(zones, kinds, entry).map(|f| told.descriptions.push(f)),
         };
         told.rejected_entries.extend(done.err());
     }
@@ -83,7 +83,7 @@
     ))
 }
 
-fn fact(zones: &[String], kinds: &[String], e: Json) -> Result<EngineDescription, String> {
+fn description(zones: &[String], kinds: &[String], e: Json) -> Result<EngineDescription, String> {
     let name = e
         .get("instanceId")
         .text()
--- a/crates/coordinator/src/node/cluster.rs
+++ b/crates/coordinator/src/node/cluster.rs
@@ -211,7 +211,7 @@
             fleet.listed.clear();
         }
         // A line that takes a coordinator out looks as one that takes an engine out.
-        for gone in told.facts.iter().filter(|f| f.phase == Phase::Gone) {
+        for gone in told.descriptions.iter().filter(|f| f.phase == Phase::Gone) {
             fleet.listed.remove(&gone.name);
         }
         fleet
--- a/crates/coordinator/src/node/control/operators.rs
+++ b/crates/coordinator/src/node/control/operators.rs
@@ -278,7 +278,7 @@
             },
         };
         let words = format!("{engine} is added");
-        let fact = EngineDescription {
+        let description = EngineDescription {
             name: engine,
             addr,
             zone,
@@ -287,7 +287,7 @@
             started_at: None,
             phase: Phase::Ready,
         };
-        self.order(now, conn, id, Order::Add { fact }, words);
+        self.order(now, conn, id, Order::Add { description }, words);
     }
 
     pub(super) fn follow_operators(&mut self, now: Micros) {
--- a/crates/coordinator/src/node/mod.rs
+++ b/crates/coordinator/src/node/mod.rs
@@ -528,7 +528,7 @@
                     told.rejected_entries
                         .iter()
                         .for_each(|why| tracing::warn!("known engines: {why}"));
-                    self.roster.source(told.kind, told.facts);
+                    self.roster.source(told.kind, told.descriptions);
                 }
                 Err(e) => tracing::warn!("known engines: {e}"),
             }
--- a/crates/coordinator/tests/wires.rs
+++ b/crates/coordinator/tests/wires.rs
@@ -455,7 +455,7 @@
 fn take(roster: &mut EngineRegistry, update: &JsonValue) -> RegistryChange {
     let names = (["a".to_string(), "b".to_string()], ["std-8".to_string()]);
     let told = read(&names.0, &names.1, Json(Some(update))).expect("an update");
-    roster.source(told.kind, told.facts)
+    roster.source(told.kind, told.descriptions)
 }
 
 #[test]
@@ -590,7 +590,7 @@
         [("c-1".to_string(), "127.0.0.1:7946".parse().unwrap())]
     );
     assert_eq!(
-        told.facts
+        told.descriptions
             .iter()
             .map(|f| f.name.as_str())
             .collect::<Vec<_>>(),
--- a/crates/engine-registry/src/lib.rs
+++ b/crates/engine-registry/src/lib.rs
@@ -93,7 +93,7 @@
     /// Adds an engine that no source lists, or lifts its removal.
     Add {
         /// Its facts; the phase is not looked at.
-        fact: EngineDescription,
+        description: EngineDescription,
     },
     /// See [`Order::Remove`]. `force`: also while it is ready.
     Remove {
@@ -259,13 +259,13 @@
     /// All engines as they count, by name.
     pub fn engines(&self) -> Vec<EngineState> {
         let each = self.entries.iter().filter_map(|(name, e)| {
-            let fact = e.source.as_ref().or(e.added.as_ref())?;
+            let description = e.source.as_ref().or(e.added.as_ref())?;
             Some(EngineState {
                 id: e.id,
                 name: name.clone(),
                 addr: e.addr,
-                place: (fact.zone, fact.kind, fact.cell),
-                started_at: fact.started_at,
+                place: (description.zone, description.kind, description.cell),
+                started_at: description.started_at,
                 phase: self.phase(name, e),
                 listed: e.source.as_ref().map(|s| s.phase),
                 added: e.added.is_some(),
@@ -293,7 +293,11 @@
     }
 
     /// A source has said something: its whole list, or changes to it.
-    pub fn source(&mut self, kind: ListKind, facts: Vec<EngineDescription>) -> RegistryChange {
+    pub fn source(
+        &mut self,
+        kind: ListKind,
+        descriptions: Vec<EngineDescription>,
+    ) -> RegistryChange {
         let mut change = RegistryChange {
             kind,
             lines: Vec::new(),
@@ -301,9 +305,9 @@
             words: Vec::new(),
         };
         let mut named = BTreeSet::new();
-        for fact in facts {
-            let name = fact.name.clone();
-            match self.take(fact, false, &mut change) {
+        for description in descriptions {
+            let name = description.name.clone();
+            match self.take(description, false, &mut change) {
                 Ok(()) => drop(named.insert(name)),
                 Err(why) => {
                     self.left_out += 1;
@@ -327,11 +331,11 @@
     /// Takes one engine's facts over, of a source or an operator.
     fn take(
         &mut self,
-        fact: EngineDescription,
+        description: EngineDescription,
         added: bool,
         change: &mut RegistryChange,
     ) -> Result<(), Refusal> {
-        let name = fact.name.clone();
+        let name = description.name.clone();
         if name.is_empty() || name.len() > NAME_MOST || name.chars().any(char::is_control) {
             return Err(Refusal::Unusable(format!(
                 "an engine's name has 1 to {NAME_MOST} plain characters"
@@ -339,7 +343,10 @@
         }
         let known = self.entries.get(&name);
         let no_addr = || Refusal::Unusable(format!("{name}: no usable address"));
-        let addr = fact.addr.or(known.map(|k| k.addr)).ok_or_else(no_addr)?;
+        let addr = description
+            .addr
+            .or(known.map(|k| k.addr))
+            .ok_or_else(no_addr)?;
         if known.is_none() && self.entries.len() >= ENGINES_MOST {
             return Err(Refusal::TooMany);
         }
@@ -349,7 +356,7 @@
         let before = known.and_then(|k| k.source.as_ref().or(k.added.as_ref()));
         if holds
             && known.is_some_and(|k| {
-                k.addr != addr || before.is_some_and(|b| b.started_at != fact.started_at)
+                k.addr != addr || before.is_some_and(|b| b.started_at != description.started_at)
             })
         {
             change.restarted.push(id);
@@ -369,9 +376,9 @@
         }
         self.names.insert(id, name);
         if added {
-            entry.added = Some(fact);
+            entry.added = Some(description);
         } else {
-            entry.source = Some(fact);
+            entry.source = Some(description);
         }
         Ok(())
     }
@@ -407,9 +414,9 @@
             let Some(entry) = self.entries.get_mut(&name) else {
                 continue;
             };
-            let fact = entry.source.as_ref().or(entry.added.as_ref());
+            let description = entry.source.as_ref().or(entry.added.as_ref());
             let last = entry.told;
-            let line = match fact {
+            let line = match description {
                 Some(f) => Some(ListedEngine {
                     engine: entry.id,
                     zone: f.zone,
@@ -431,7 +438,7 @@
                 continue;
             }
             let whole = change.kind != ListKind::Changes;
-            if whole && line.phase == Phase::Gone && (fact.is_none() || unknown_and_gone) {
+            if whole && line.phase == Phase::Gone && (description.is_none() || unknown_and_gone) {
                 // Not being on a whole list says the same.
             } else {
                 change.lines.push(line);
@@ -552,22 +559,22 @@
                 self.lift(at, &engine);
                 records.push(Record::Lifted { engine });
             }
-            Command::Add { fact } => {
-                let engine = fact.name.clone();
+            Command::Add { description } => {
+                let engine = description.name.clone();
                 let removed = self
                     .orders
                     .get(&engine)
                     .is_some_and(|s| s.order == Order::Remove);
                 let known = self.entries.get(&engine);
-                if known.is_some_and(|k| k.added.as_ref() == Some(&fact)) && !removed {
+                if known.is_some_and(|k| k.added.as_ref() == Some(&description)) && !removed {
                     return Err(Refusal::Already(format!("{engine} is there already")));
                 }
-                if fact.addr.is_none() && known.is_none() {
+                if description.addr.is_none() && known.is_none() {
                     return Err(Refusal::Unusable(format!("{engine}: say where it listens")));
                 }
-                if fact.addr.is_some() {
-                    self.take(fact.clone(), true, &mut change)?;
-                    records.push(Record::Added { fact });
+                if description.addr.is_some() {
+                    self.take(description.clone(), true, &mut change)?;
+                    records.push(Record::Added { description });
                 }
                 if removed {
                     let at = self.after_last_order(now, &engine);
@@ -780,8 +787,8 @@
                     }
                 }
                 record::Record::Lifted { engine } => drop(self.orders.remove(&engine)),
-                record::Record::Added { fact } => {
-                    if let Err(why) = self.take(fact, true, &mut change) {
+                record::Record::Added { description } => {
+                    if let Err(why) = self.take(description, true, &mut change) {
                         change.words.push(why.to_string());
                     }
                 }
@@ -812,7 +819,7 @@
             .entries
             .values()
             .filter_map(|e| e.added.clone())
-            .map(|fact| Record::Added { fact });
+            .map(|description| Record::Added { description });
         let orders = self
             .orders
             .iter()
--- a/crates/engine-registry/src/record.rs
+++ b/crates/engine-registry/src/record.rs
@@ -33,7 +33,7 @@
     /// An operator added an engine.
     Added {
         /// Its facts.
-        fact: EngineDescription,
+        description: EngineDescription,
     },
     /// Where a roll stands; the last one counts. `None`: there is none any more.
     Roll {
@@ -162,11 +162,11 @@
             )
         }
         Record::Lifted { engine } => format!("lift\t{engine}"),
-        Record::Added { fact } => {
-            let addr = fact.addr.map_or("-".to_string(), |a| a.to_string());
+        Record::Added { description } => {
+            let addr = description.addr.map_or("-".to_string(), |a| a.to_string());
             format!(
                 "add\t{}\t{addr}\t{}\t{}\t{}",
-                fact.name, fact.zone, fact.kind, fact.cell
+                description.name, description.zone, description.kind, description.cell
             )
         }
         Record::Roll { roll: None } => "roll\tnone".into(),
@@ -207,7 +207,7 @@
             let mut number = || next()?.parse::<u16>().ok();
             let (zone, kind, cell) = (number()?, number()?, number()?);
             Some(Record::Added {
-                fact: EngineDescription {
+                description: EngineDescription {
                     name,
                     addr,
                     zone,
@@ -236,7 +236,7 @@
             since: 1_764_000_000_000_000,
             by: "operator".into(),
         };
-        let fact = EngineDescription {
+        let description = EngineDescription {
             name: "engine-9".into(),
             addr: Some("127.0.0.1:8123".parse().expect("an address")),
             zone: 1,
@@ -250,7 +250,7 @@
                 engine: "engine-1".into(),
                 standing: standing(Order::Drain),
             },
-            Record::Added { fact },
+            Record::Added { description },
             Record::Ordered {
                 engine: "engine-2".into(),
                 standing: standing(Order::Remove),
--- a/crates/engine-registry/tests/bans.rs
+++ b/crates/engine-registry/tests/bans.rs
@@ -4,7 +4,7 @@
 use driftfront_scheduler::interface::{ListKind, Phase};
 use quickcheck::{Gen, QuickCheck};
 
-fn fact(name: &str, phase: Phase, started_at: Option<u64>) -> EngineDescription {
+fn description(name: &str, phase: Phase, started_at: Option<u64>) -> EngineDescription {
     let addr = "127.0.0.1:1000".parse().ok();
     EngineDescription {
         name: name.into(),
@@ -22,7 +22,10 @@
     let mut roster = EngineRegistry::new();
     roster.source(
         ListKind::Full,
-        vec![fact("a", Phase::Ready, None), fact("b", Phase::Ready, None)],
+        vec![
+            description("a", Phase::Ready, None),
+            description("b", Phase::Ready, None),
+        ],
     );
     assert!(roster.suspend(10, "x", "a").unwrap().is_some());
     assert!(roster.suspend(11, "x", "a").unwrap().is_none());
@@ -34,18 +37,24 @@
     assert!(roster.restore_engine(21, "x", "a").unwrap().is_none());
     // The list learns late that it was started anew while it was out, and later of another start.
     assert!(roster
-        .source(ListKind::Changes, vec![fact("a", Phase::Ready, Some(15))])
+        .source(
+            ListKind::Changes,
+            vec![description("a", Phase::Ready, Some(15))]
+        )
         .lines
         .is_empty());
-    let change = roster.source(ListKind::Changes, vec![fact("a", Phase::Ready, Some(30))]);
+    let change = roster.source(
+        ListKind::Changes,
+        vec![description("a", Phase::Ready, Some(30))],
+    );
     assert_eq!(change.lines[0].started_at, Some(30));
 }
 
 #[test]
 fn an_engine_that_is_gone_can_be_taken_out_and_one_that_never_was_can_not() {
     let mut roster = EngineRegistry::new();
-    let change = roster.source(ListKind::Full, vec![fact("a", Phase::Ready, None)]);
-    roster.source(ListKind::Changes, vec![fact("a", Phase::Gone, None)]);
+    let change = roster.source(ListKind::Full, vec![description("a", Phase::Ready, None)]);
+    roster.source(ListKind::Changes, vec![description("a", Phase::Gone, None)]);
     roster.forget(change.lines[0].engine);
     assert!(matches!(
         roster.suspend(1, "x", "aa"),
@@ -56,21 +65,33 @@
         Err(Refusal::Unknown(..))
     ));
     assert!(roster.suspend(1, "x", "a").is_ok() && roster.orders().contains_key("a"));
-    let back = roster.source(ListKind::Changes, vec![fact("a", Phase::Ready, Some(5))]);
+    let back = roster.source(
+        ListKind::Changes,
+        vec![description("a", Phase::Ready, Some(5))],
+    );
     assert_eq!(back.lines[0].phase, Phase::Draining);
     // Names of old do not pile up for ever; the youngest are known.
     for n in 0..NAMES_MOST {
         let name = format!("n{n}");
         let line = roster
-            .source(ListKind::Changes, vec![fact(&name, Phase::Ready, None)])
+            .source(
+                ListKind::Changes,
+                vec![description(&name, Phase::Ready, None)],
+            )
             .lines[0];
-        roster.source(ListKind::Changes, vec![fact(&name, Phase::Gone, None)]);
+        roster.source(
+            ListKind::Changes,
+            vec![description(&name, Phase::Gone, None)],
+        );
         roster.forget(line.engine);
     }
     assert!(roster.restore_engine(1, "x", "n9").is_ok());
     assert!(
         roster
-            .source(ListKind::Changes, vec![fact("z", Phase::Ready, None)])
+            .source(
+                ListKind::Changes,
+                vec![description("z", Phase::Ready, None)]
+            )
             .lines
             .len()
             == 1
@@ -93,7 +114,7 @@
 fn agree_under(steps: Vec<(u8, u8, bool)>, ahead: [u64; 2]) -> bool {
     let lines = || {
         (0..3)
-            .map(|n| fact(&format!("e{n}"), Phase::Ready, None))
+            .map(|n| description(&format!("e{n}"), Phase::Ready, None))
             .collect::<Vec<_>>()
     };
     let mut two = [EngineRegistry::new(), EngineRegistry::new()];
--- a/crates/engine-registry/tests/golden.rs
+++ b/crates/engine-registry/tests/golden.rs
@@ -21,7 +21,7 @@
     }
 }
 
-fn fact(name: &str, addr: Option<&str>) -> EngineDescription {
+fn description(name: &str, addr: Option<&str>) -> EngineDescription {
     EngineDescription {
         name: name.into(),
         addr: addr.map(|a| a.parse().expect("an address")),
@@ -59,13 +59,13 @@
             engine: "engine-1".into(),
         },
         Record::Added {
-            fact: fact("engine-9", Some("127.0.0.1:8123")),
+            description: description("engine-9", Some("127.0.0.1:8123")),
         },
         Record::Added {
-            fact: fact("engine-é", Some("[::1]:8123")),
+            description: description("engine-é", Some("[::1]:8123")),
         },
         Record::Added {
-            fact: fact("engine-10", None),
+            description: description("engine-10", None),
         },
         Record::Roll { roll: None },
         Record::Roll {
@@ -239,7 +239,10 @@
     let addr = Some("127.0.0.1:1000");
     roster.source(
         ListKind::Full,
-        vec![fact("engine-1", addr), fact("s-00c41f7a", addr)],
+        vec![
+            description("engine-1", addr),
+            description("s-00c41f7a", addr),
+        ],
     );
     for seen in roster.engines() {
         let _ = writeln!(text, "engine {:?}: {:012x}", seen.name, seen.id.0);
@@ -272,13 +275,13 @@
     let change = roster.source(
         ListKind::Full,
         vec![
-            fact("engine-1", addr),
-            fact("engine-2", addr),
-            fact("engine-4", None),
-            fact("", addr),
+            description("engine-1", addr),
+            description("engine-2", addr),
+            description("engine-4", None),
+            description("", addr),
             EngineDescription {
                 phase: Phase::Draining,
-                ..fact("engine-3", addr)
+                ..description("engine-3", addr)
             },
         ],
     );
@@ -296,7 +299,7 @@
         engine: engine.into(),
         force,
     };
-    let add = |fact: EngineDescription| Command::Add { fact };
+    let add = |description: EngineDescription| Command::Add { description };
     for (n, (title, command)) in [
         ("drain unknown, one near", drain("engine-5", false)),
         ("drain unknown", drain("nothing-like-it", false)),
@@ -311,11 +314,11 @@
         ("remove again", remove("engine-1", true)),
         ("resume a removed one", resume("engine-1")),
         ("drain a removed one", drain("engine-1", false)),
-        ("add without an address", add(fact("engine-7", None))),
-        ("add", add(fact("engine-7", addr))),
-        ("add again", add(fact("engine-7", addr))),
-        ("add a removed one", add(fact("engine-1", None))),
-        ("add with a tab", add(fact("engine\t8", addr))),
+        ("add without an address", add(description("engine-7", None))),
+        ("add", add(description("engine-7", addr))),
+        ("add again", add(description("engine-7", addr))),
+        ("add a removed one", add(description("engine-1", None))),
+        ("add with a tab", add(description("engine\t8", addr))),
     ]
     .into_iter()
     .enumerate()
@@ -325,7 +328,7 @@
         say(&mut text, outcome);
     }
     let _ = writeln!(text, "gone:");
-    let change = roster.source(ListKind::Full, vec![fact("engine-2", addr)]);
+    let change = roster.source(ListKind::Full, vec![description("engine-2", addr)]);
     say(&mut text, Ok((change, Vec::new())));
     for refusal in [
         Refusal::TooMany,
--- a/crates/engine-registry/tests/model.rs
+++ b/crates/engine-registry/tests/model.rs
@@ -23,14 +23,14 @@
 impl Arbitrary for Step {
     fn arbitrary(g: &mut Gen) -> Step {
         let n = u8::arbitrary(g) % 5;
-        let facts = |g: &mut Gen| {
+        let descriptions = |g: &mut Gen| {
             (0..u8::arbitrary(g) % 5)
                 .map(|_| (u8::arbitrary(g) % 5, u8::arbitrary(g) % 4))
                 .collect()
         };
         match u8::arbitrary(g) % 14 {
-            0..=1 => Step::Full(facts(g)),
-            2..=4 => Step::Changes(facts(g)),
+            0..=1 => Step::Full(descriptions(g)),
+            2..=4 => Step::Changes(descriptions(g)),
             5..=6 => Step::Drain(n, bool::arbitrary(g)),
             7 => Step::Resume(n),
             8..=9 => Step::Add(n),
@@ -46,7 +46,7 @@
     format!("e{n}")
 }
 
-fn fact(n: u8, phase: u8) -> EngineDescription {
+fn description(n: u8, phase: u8) -> EngineDescription {
     let phase = [Phase::Ready, Phase::Ready, Phase::Draining, Phase::Gone][usize::from(phase % 4)];
     let addr = format!("127.0.0.1:{}", 1000 + u16::from(n)).parse().ok();
     EngineDescription {
@@ -110,23 +110,23 @@
     for (n, step) in steps.into_iter().enumerate() {
         let mut change = None;
         match step {
-            Step::Full(facts) => {
+            Step::Full(descriptions) => {
                 plain.source.clear();
-                for (n, phase) in &facts {
-                    plain.source.insert(name(*n), fact(*n, *phase).phase);
+                for (n, phase) in &descriptions {
+                    plain.source.insert(name(*n), description(*n, *phase).phase);
                 }
                 change = Some(roster.source(
                     ListKind::Full,
-                    facts.iter().map(|f| fact(f.0, f.1)).collect(),
+                    descriptions.iter().map(|f| description(f.0, f.1)).collect(),
                 ));
             }
-            Step::Changes(facts) => {
-                for (n, phase) in &facts {
-                    plain.source.insert(name(*n), fact(*n, *phase).phase);
+            Step::Changes(descriptions) => {
+                for (n, phase) in &descriptions {
+                    plain.source.insert(name(*n), description(*n, *phase).phase);
                 }
                 change = Some(roster.source(
                     ListKind::Changes,
-                    facts.iter().map(|f| fact(f.0, f.1)).collect(),
+                    descriptions.iter().map(|f| description(f.0, f.1)).collect(),
                 ));
             }
             Step::Restart(cut) => {
@@ -162,7 +162,9 @@
                         force,
                     },
                     Step::Resume(n) => Command::Resume { engine: name(n) },
-                    Step::Add(n) => Command::Add { fact: fact(n, 0) },
+                    Step::Add(n) => Command::Add {
+                        description: description(n, 0),
+                    },
                     Step::Remove(n, force) => Command::Remove {
                         engine: name(n),
                         force,
@@ -215,9 +217,9 @@
             plain.orders.insert(engine.clone(), standing.order);
         }
         Record::Lifted { engine } => drop(plain.orders.remove(engine)),
-        Record::Added { fact } => {
-            plain.added.retain(|a| *a != fact.name);
-            plain.added.push(fact.name.clone());
+        Record::Added { description } => {
+            plain.added.retain(|a| *a != description.name);
+            plain.added.push(description.name.clone());
         }
         Record::Roll { .. } => {}
     }
