--- a/crates/coordinator/src/node/control/views.rs
+++ b/crates/coordinator/src/node/control/views.rs
@@ -76,7 +76,7 @@
                 name: e.name.clone(),
                 ready: e.phase == Phase::Ready,
                 drained: e
-                    .standing
+                    .active_order
                     .as_ref()
                     .is_some_and(|s| s.order == Ordered::Drain),
                 running: there.out as usize,
@@ -188,7 +188,7 @@
                 listed: e.listed.map(|p| phase_word(p).into()),
                 added: e.added,
                 order: e
-                    .standing
+                    .active_order
                     .as_ref()
                     .map_or("", |s| {
                         if s.order == Ordered::Drain {
@@ -198,8 +198,11 @@
                         }
                     })
                     .into(),
-                order_by: e.standing.as_ref().map_or(String::new(), |s| s.by.clone()),
-                order_age_s: e.standing.as_ref().map_or(0, |s| seconds(s.since)),
+                order_by: e
+                    .active_order
+                    .as_ref()
+                    .map_or(String::new(), |s| s.by.clone()),
+                order_age_s: e.active_order.as_ref().map_or(0, |s| seconds(s.since)),
                 running: there.out,
                 imports: there.once,
                 heard_ms: (heard > 0).then(|| now.saturating_sub(heard) / 1000),
--- a/crates/coordinator/src/state.rs
+++ b/crates/coordinator/src/state.rs
@@ -122,14 +122,14 @@
     use std::sync::mpsc::channel;
 
     fn order(n: u64) -> Record {
-        let standing = ActiveOrder {
+        let active_order = ActiveOrder {
             order: Order::Drain,
             since: n,
             by: "operator".into(),
         };
         Record::Ordered {
             engine: format!("e{n}"),
-            standing,
+            active_order,
         }
     }
 
--- a/crates/engine-registry/src/handover.rs
+++ b/crates/engine-registry/src/handover.rs
@@ -132,12 +132,12 @@
             } else {
                 Order::Remove
             };
-            let standing = ActiveOrder {
+            let active_order = ActiveOrder {
                 order,
                 since: since.parse().ok()?,
                 by: by.into(),
             };
-            word.orders.insert(fits(engine)?, standing);
+            word.orders.insert(fits(engine)?, active_order);
         }
         ["lift", engine, at] => drop(word.lifted.insert(fits(engine)?, at.parse().ok()?)),
         ["name", engine] => word.names.push(fits(engine)?),
@@ -152,7 +152,7 @@
     use quickcheck::{Gen, QuickCheck};
 
     fn word() -> Word {
-        let standing = |order, since| ActiveOrder {
+        let active_order = |order, since| ActiveOrder {
             order,
             since,
             by: "the second address".into(),
@@ -160,8 +160,8 @@
         Word {
             ready: true,
             orders: [
-                ("a".into(), standing(Order::Drain, 7)),
-                ("b c".into(), standing(Order::Remove, u64::MAX)),
+                ("a".into(), active_order(Order::Drain, 7)),
+                ("b c".into(), active_order(Order::Remove, u64::MAX)),
             ]
             .into(),
             lifted: [("d".into(), 9)].into(),
--- a/crates/engine-registry/src/lib.rs
+++ b/crates/engine-registry/src/lib.rs
@@ -191,7 +191,7 @@
     /// An operator added it.
     pub added: bool,
     /// The order that stands.
-    pub standing: Option<ActiveOrder>,
+    pub active_order: Option<ActiveOrder>,
 }
 
 #[derive(Clone, Debug)]
@@ -269,7 +269,7 @@
                 phase: self.phase(name, e),
                 listed: e.source.as_ref().map(|s| s.phase),
                 added: e.added.is_some(),
-                standing: self.orders.get(name).cloned(),
+                active_order: self.orders.get(name).cloned(),
             })
         });
         each.collect()
@@ -528,10 +528,10 @@
         match command {
             Command::Drain { engine, force } => {
                 let phase = self.must_know(&engine)?;
-                if let Some(standing) = self.orders.get(&engine) {
+                if let Some(active_order) = self.orders.get(&engine) {
                     return Err(Refusal::Already(format!(
                         "{engine} {}",
-                        standing_words(standing)
+                        describe_active_order(active_order)
                     )));
                 }
                 if phase == Phase::Ready && !force && self.is_last_ready(&engine) {
@@ -617,16 +617,16 @@
             return Err(Refusal::TooMany);
         }
         let since = self.after_last_order(now, engine);
-        let standing = ActiveOrder {
+        let active_order = ActiveOrder {
             order,
             since,
             by: by.into(),
         };
         records.push(record::Record::Ordered {
             engine: engine.into(),
-            standing: standing.clone(),
+            active_order: active_order.clone(),
         });
-        self.orders.insert(engine.into(), standing);
+        self.orders.insert(engine.into(), active_order);
         Ok(())
     }
 
@@ -694,15 +694,15 @@
         };
         let mut records = Vec::new();
         word.names.iter().for_each(|name| self.remember(name));
-        for (engine, standing) in &word.orders {
+        for (engine, active_order) in &word.orders {
             let room = self.orders.len() < ORDERS_MOST || self.orders.contains_key(engine);
-            let same = self.orders.get(engine) == Some(standing);
-            if !same && room && Some(standing.since) >= self.last_order(engine) {
+            let same = self.orders.get(engine) == Some(active_order);
+            if !same && room && Some(active_order.since) >= self.last_order(engine) {
                 self.lifted.remove(engine);
-                self.orders.insert(engine.clone(), standing.clone());
+                self.orders.insert(engine.clone(), active_order.clone());
                 records.push(Record::Ordered {
                     engine: engine.clone(),
-                    standing: standing.clone(),
+                    active_order: active_order.clone(),
                 });
             }
         }
@@ -776,14 +776,17 @@
         };
         for record in records {
             match record {
-                record::Record::Ordered { engine, standing } => {
-                    if standing.order == Order::Remove {
+                record::Record::Ordered {
+                    engine,
+                    active_order,
+                } => {
+                    if active_order.order == Order::Remove {
                         if let Some(entry) = self.entries.get_mut(&engine) {
                             entry.added = None;
                         }
                     }
                     if self.orders.len() < ORDERS_MOST || self.orders.contains_key(&engine) {
-                        self.orders.insert(engine, standing);
+                        self.orders.insert(engine, active_order);
                     }
                 }
                 record::Record::Lifted { engine } => drop(self.orders.remove(&engine)),
@@ -823,19 +826,19 @@
         let orders = self
             .orders
             .iter()
-            .map(|(engine, standing)| Record::Ordered {
+            .map(|(engine, active_order)| Record::Ordered {
                 engine: engine.clone(),
-                standing: standing.clone(),
+                active_order: active_order.clone(),
             });
         added.chain(orders).collect()
     }
 }
 
 /// An order that stands, in words.
-pub fn standing_words(standing: &ActiveOrder) -> String {
-    match standing.order {
-        Order::Drain => format!("was drained before, by {}", standing.by),
-        Order::Remove => format!("was removed, by {}", standing.by),
+pub fn describe_active_order(active_order: &ActiveOrder) -> String {
+    match active_order.order {
+        Order::Drain => format!("was drained before, by {}", active_order.by),
+        Order::Remove => format!("was removed, by {}", active_order.by),
     }
 }
 
--- a/crates/engine-registry/src/record.rs
+++ b/crates/engine-registry/src/record.rs
@@ -23,7 +23,7 @@
         /// The engine.
         engine: String,
         /// The order.
-        standing: ActiveOrder,
+        active_order: ActiveOrder,
     },
     /// No order about this engine stands any more.
     Lifted {
@@ -150,15 +150,18 @@
 /// Words parted by tabs; names hold none, since control characters are refused.
 fn text(record: &Record) -> String {
     match record {
-        Record::Ordered { engine, standing } => {
-            let order = match standing.order {
+        Record::Ordered {
+            engine,
+            active_order,
+        } => {
+            let order = match active_order.order {
                 Order::Drain => "drain",
                 Order::Remove => "remove",
             };
             format!(
                 "{order}\t{engine}\t{}\t{}",
-                standing.since,
-                standing.by.replace(['\t', '\n'], " ")
+                active_order.since,
+                active_order.by.replace(['\t', '\n'], " ")
             )
         }
         Record::Lifted { engine } => format!("lift\t{engine}"),
@@ -190,7 +193,7 @@
             let by = next()?.to_string();
             Some(Record::Ordered {
                 engine,
-                standing: ActiveOrder { order, since, by },
+                active_order: ActiveOrder { order, since, by },
             })
         }
         "lift" => Some(Record::Lifted {
@@ -231,7 +234,7 @@
     use super::*;
 
     fn records() -> Vec<Record> {
-        let standing = |order| ActiveOrder {
+        let active_order = |order| ActiveOrder {
             order,
             since: 1_764_000_000_000_000,
             by: "operator".into(),
@@ -248,12 +251,12 @@
         vec![
             Record::Ordered {
                 engine: "engine-1".into(),
-                standing: standing(Order::Drain),
+                active_order: active_order(Order::Drain),
             },
             Record::Added { description },
             Record::Ordered {
                 engine: "engine-2".into(),
-                standing: standing(Order::Remove),
+                active_order: active_order(Order::Remove),
             },
             Record::Lifted {
                 engine: "engine-1".into(),
--- a/crates/engine-registry/tests/golden.rs
+++ b/crates/engine-registry/tests/golden.rs
@@ -3,7 +3,7 @@
 use driftfront_engine_registry::handover::{self, Word};
 use driftfront_engine_registry::record::{self, Record};
 use driftfront_engine_registry::roll::{Act, EngineSnapshot, ObservedState, Roll, Stage};
-use driftfront_engine_registry::{hash, phase_word, standing_words};
+use driftfront_engine_registry::{describe_active_order, hash, phase_word};
 use driftfront_engine_registry::{
     ActiveOrder, Command, EngineDescription, EngineRegistry, Order, Refusal,
 };
@@ -13,7 +13,7 @@
 
 const SECOND: u64 = 1_000_000;
 
-fn standing(order: Order, by: &str) -> ActiveOrder {
+fn active_order(order: Order, by: &str) -> ActiveOrder {
     ActiveOrder {
         order,
         since: 1_764_000_000_000_000,
@@ -49,11 +49,11 @@
     let mut all = vec![
         Record::Ordered {
             engine: "engine-1".into(),
-            standing: standing(Order::Drain, "operator"),
+            active_order: active_order(Order::Drain, "operator"),
         },
         Record::Ordered {
             engine: "engine-2".into(),
-            standing: standing(Order::Remove, "a roll"),
+            active_order: active_order(Order::Remove, "a roll"),
         },
         Record::Lifted {
             engine: "engine-1".into(),
@@ -144,10 +144,10 @@
     Word {
         ready,
         orders: [
-            ("engine 2".into(), standing(Order::Remove, "a\troll")),
+            ("engine 2".into(), active_order(Order::Remove, "a\troll")),
             (
                 "engine-1".into(),
-                standing(Order::Drain, "the second address"),
+                active_order(Order::Drain, "the second address"),
             ),
         ]
         .into(),
@@ -173,7 +173,7 @@
         // A control character in a name of who ordered is written as a space.
         expected
             .orders
-            .insert("engine 2".into(), standing(Order::Remove, "a roll"));
+            .insert("engine 2".into(), active_order(Order::Remove, "a roll"));
         assert_eq!(handover::decode(&read_golden!(name)), Ok(expected));
     }
     assert_eq!(
@@ -338,7 +338,7 @@
         let _ = writeln!(text, "refusal: {refusal}");
     }
     for order in [Order::Drain, Order::Remove] {
-        let words = standing_words(&standing(order, "operator"));
+        let words = describe_active_order(&active_order(order, "operator"));
         let _ = writeln!(text, "standing: {words}");
     }
     for phase in [Phase::Ready, Phase::Draining, Phase::Gone] {
--- a/crates/engine-registry/tests/model.rs
+++ b/crates/engine-registry/tests/model.rs
@@ -210,11 +210,14 @@
 
 fn follow(plain: &mut Plain, record: &Record) {
     match record {
-        Record::Ordered { engine, standing } => {
-            if standing.order == Order::Remove {
+        Record::Ordered {
+            engine,
+            active_order,
+        } => {
+            if active_order.order == Order::Remove {
                 plain.added.retain(|a| a != engine);
             }
-            plain.orders.insert(engine.clone(), standing.order);
+            plain.orders.insert(engine.clone(), active_order.order);
         }
         Record::Lifted { engine } => drop(plain.orders.remove(engine)),
         Record::Added { description } => {
