--- a/crates/coordinator/src/node/control/views.rs
+++ b/crates/coordinator/src/node/control/views.rs
@@ -8,7 +8,7 @@
 use driftfront_core::lifecycle::State;
 use driftfront_core::{EngineId, Micros, Phase};
 use driftfront_engine_registry::roll::{EngineSnapshot, ObservedState};
-use driftfront_engine_registry::{phase_word, Order as Ordered};
+use driftfront_engine_registry::{phase_name, Order as Ordered};
 use std::collections::BTreeMap;
 
 impl Node {
@@ -184,8 +184,8 @@
                 addr: e.addr.to_string(),
                 zone: name(&self.config.zones, e.place.0),
                 kind: name(&self.config.kinds, e.place.1),
-                phase: phase_word(e.phase).into(),
-                listed: e.listed.map(|p| phase_word(p).into()),
+                phase: phase_name(e.phase).into(),
+                listed: e.listed.map(|p| phase_name(p).into()),
                 added: e.added,
                 order: e
                     .active_order
--- a/crates/engine-registry/src/lib.rs
+++ b/crates/engine-registry/src/lib.rs
@@ -444,10 +444,10 @@
                 change.lines.push(line);
             }
             if !same {
-                let was = last.map_or("new", |told| phase_word(told.phase));
+                let was = last.map_or("new", |told| phase_name(told.phase));
                 change
                     .words
-                    .push(format!("{name}: {was} -> {}", phase_word(phase)));
+                    .push(format!("{name}: {was} -> {}", phase_name(phase)));
             }
             entry.told = Some(line);
         }
@@ -848,7 +848,7 @@
 }
 
 /// A phase in a word.
-pub fn phase_word(phase: Phase) -> &'static str {
+pub fn phase_name(phase: Phase) -> &'static str {
     match phase {
         Phase::Ready => "ready",
         Phase::Draining => "draining",
--- a/crates/engine-registry/tests/golden.rs
+++ b/crates/engine-registry/tests/golden.rs
@@ -3,7 +3,7 @@
 use driftfront_engine_registry::handover::{self, Word};
 use driftfront_engine_registry::record::{self, Record};
 use driftfront_engine_registry::roll::{Act, EngineSnapshot, ObservedState, Roll, Stage};
-use driftfront_engine_registry::{describe_active_order, hash, phase_word};
+use driftfront_engine_registry::{describe_active_order, hash, phase_name};
 use driftfront_engine_registry::{
     ActiveOrder, Command, EngineDescription, EngineRegistry, Order, Refusal,
 };
@@ -342,7 +342,7 @@
         let _ = writeln!(text, "standing: {words}");
     }
     for phase in [Phase::Ready, Phase::Draining, Phase::Gone] {
-        let _ = writeln!(text, "phase: {}", phase_word(phase));
+        let _ = writeln!(text, "phase: {}", phase_name(phase));
     }
     assert_golden!("commands.txt", text);
 }
