--- a/crates/coordinator/src/handover.rs
+++ b/crates/coordinator/src/handover.rs
@@ -4,7 +4,7 @@
 //! Used only where the platform passes the clients' socket. The folder is in `$TMPDIR`, which the platform keeps in
 //! memory: the few small reads and writes are done on the loop.
 
-use driftfront_engine_registry::handover::{decode, encode, Word, FILE_MOST};
+use driftfront_engine_registry::handover::{decode, encode, Word, MAX_HANDOVER_BYTES};
 use std::collections::BTreeMap;
 use std::fs::File;
 use std::io;
@@ -203,7 +203,7 @@
 
 fn read(path: &Path) -> Result<Word, String> {
     let size = std::fs::metadata(path).map_err(|e| e.to_string())?.len();
-    if size > FILE_MOST as u64 {
+    if size > MAX_HANDOVER_BYTES as u64 {
         return Err(format!("{size} bytes are too many"));
     }
     let bytes = std::fs::read(path).map_err(|e| e.to_string())?;
--- a/crates/coordinator/src/state.rs
+++ b/crates/coordinator/src/state.rs
@@ -1,7 +1,7 @@
 //! The state folder: operators' orders that outlive a restart. A command counts as done once its record is on the disk.
 
 use crate::file_writer::{Disk, Job};
-use driftfront_engine_registry::record::{self, Record, COMPACT_AT, HEADER};
+use driftfront_engine_registry::record::{self, Record, COMPACTION_THRESHOLD_BYTES, HEADER};
 use std::fs::OpenOptions;
 use std::io::{Read, Seek, SeekFrom, Write};
 use std::path::Path;
@@ -94,7 +94,7 @@
 
     /// Whether the file has grown so that it should be written anew.
     pub fn wants_compaction(&self) -> bool {
-        self.size > COMPACT_AT
+        self.size > COMPACTION_THRESHOLD_BYTES
     }
 
     /// Writes the file anew.
--- a/crates/engine-registry/src/handover.rs
+++ b/crates/engine-registry/src/handover.rs
@@ -7,7 +7,7 @@
 //! The file is [`HEADER`], then length and checksum (CRC-32) of the rest, both `u32` little endian, then lines of words
 //! parted by tabs. A file that is not whole to the last byte counts as none.
 
-use crate::{ActiveOrder, Order, NAME_MOST};
+use crate::{ActiveOrder, Order, MAX_NAME_BYTES};
 use driftfront_scheduler::interface::Micros;
 use std::collections::BTreeMap;
 use std::fmt;
@@ -15,7 +15,7 @@
 /// The file's beginning: what it is, and the version of its form.
 pub const HEADER: &[u8] = b"driftfront handover 1\n";
 /// Largest file read.
-pub const FILE_MOST: usize = 4 * 1024 * 1024;
+pub const MAX_HANDOVER_BYTES: usize = 4 * 1024 * 1024;
 
 /// What one process says.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -119,7 +119,7 @@
 fn read_line(word: &mut Word, line: &str) -> Option<()> {
     let words: Vec<&str> = line.split('\t').collect();
     let fits = |engine: &str| {
-        (1..=NAME_MOST)
+        (1..=MAX_NAME_BYTES)
             .contains(&engine.len())
             .then(|| engine.to_string())
     };
--- a/crates/engine-registry/src/lib.rs
+++ b/crates/engine-registry/src/lib.rs
@@ -25,16 +25,16 @@
 pub type Micros = u64;
 
 /// Most engines kept; more are left out, so that a list cannot exhaust the memory.
-pub const ENGINES_MOST: usize = 4096;
+pub const MAX_ENGINES: usize = 4096;
 /// Orders kept, also for engines that no source lists just now.
-pub const ORDERS_MOST: usize = 1024;
+pub const MAX_ORDERS: usize = 1024;
 /// Names that were ever listed, kept so that an order about an engine that is gone can be told from a mistyped one; the
 /// oldest go first.
-pub const NAMES_MOST: usize = 8192;
+pub const MAX_KNOWN_NAMES: usize = 8192;
 /// Lifted orders whose time is kept: until then an engine counts as just started.
-const LIFTED_MOST: usize = 1024;
+const MAX_LIFTED_ORDERS: usize = 1024;
 /// Longest name of an engine.
-pub const NAME_MOST: usize = 128;
+pub const MAX_NAME_BYTES: usize = 128;
 
 /// What a source says of one engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -146,7 +146,7 @@
             Refusal::TooMany => {
                 write!(
                     f,
-                    "there are too many engines ({ENGINES_MOST}) or orders ({ORDERS_MOST})"
+                    "there are too many engines ({MAX_ENGINES}) or orders ({MAX_ORDERS})"
                 )
             }
         }
@@ -336,9 +336,9 @@
         change: &mut RegistryChange,
     ) -> Result<(), Refusal> {
         let name = description.name.clone();
-        if name.is_empty() || name.len() > NAME_MOST || name.chars().any(char::is_control) {
+        if name.is_empty() || name.len() > MAX_NAME_BYTES || name.chars().any(char::is_control) {
             return Err(Refusal::Unusable(format!(
-                "an engine's name has 1 to {NAME_MOST} plain characters"
+                "an engine's name has 1 to {MAX_NAME_BYTES} plain characters"
             )));
         }
         let known = self.entries.get(&name);
@@ -347,7 +347,7 @@
             .addr
             .or(known.map(|k| k.addr))
             .ok_or_else(no_addr)?;
-        if known.is_none() && self.entries.len() >= ENGINES_MOST {
+        if known.is_none() && self.entries.len() >= MAX_ENGINES {
             return Err(Refusal::TooMany);
         }
         let id = known.map_or_else(|| self.new_id(&name), |k| k.id);
@@ -388,7 +388,7 @@
         if self.ever.insert(name.into()) {
             self.ever_order.push_back(name.into());
         }
-        while self.ever_order.len() > NAMES_MOST {
+        while self.ever_order.len() > MAX_KNOWN_NAMES {
             let oldest = self.ever_order.pop_front();
             oldest.map(|name| self.ever.remove(&name));
         }
@@ -613,7 +613,7 @@
         engine: &str,
         order: Order,
     ) -> Result<(), Refusal> {
-        if self.orders.len() >= ORDERS_MOST && !self.orders.contains_key(engine) {
+        if self.orders.len() >= MAX_ORDERS && !self.orders.contains_key(engine) {
             return Err(Refusal::TooMany);
         }
         let since = self.after_last_order(now, engine);
@@ -695,7 +695,7 @@
         let mut records = Vec::new();
         word.names.iter().for_each(|name| self.remember(name));
         for (engine, active_order) in &word.orders {
-            let room = self.orders.len() < ORDERS_MOST || self.orders.contains_key(engine);
+            let room = self.orders.len() < MAX_ORDERS || self.orders.contains_key(engine);
             let same = self.orders.get(engine) == Some(active_order);
             if !same && room && Some(active_order.since) >= self.last_order(engine) {
                 self.lifted.remove(engine);
@@ -737,7 +737,7 @@
 
     /// An order about an engine is over.
     fn lift(&mut self, now: Micros, engine: &str) {
-        if self.lifted.len() >= LIFTED_MOST && !self.lifted.contains_key(engine) {
+        if self.lifted.len() >= MAX_LIFTED_ORDERS && !self.lifted.contains_key(engine) {
             let oldest = self.lifted.iter().min_by_key(|l| *l.1).map(|l| l.0.clone());
             oldest.map(|name| self.lifted.remove(&name));
         }
@@ -785,7 +785,7 @@
                             entry.added = None;
                         }
                     }
-                    if self.orders.len() < ORDERS_MOST || self.orders.contains_key(&engine) {
+                    if self.orders.len() < MAX_ORDERS || self.orders.contains_key(&engine) {
                         self.orders.insert(engine, active_order);
                     }
                 }
--- a/crates/engine-registry/src/record.rs
+++ b/crates/engine-registry/src/record.rs
@@ -11,9 +11,9 @@
 /// The file's beginning: what it is, and the version of its form.
 pub const HEADER: &[u8] = b"driftfront state 1\n";
 /// Longest record.
-pub const RECORD_MOST: usize = 16 * 1024;
+pub const MAX_RECORD_BYTES: usize = 16 * 1024;
 /// Bytes of a file beyond which it is written anew with the fewest records.
-pub const COMPACT_AT: usize = 256 * 1024;
+pub const COMPACTION_THRESHOLD_BYTES: usize = 256 * 1024;
 
 /// One thing that is to outlive a restart.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -80,7 +80,7 @@
 /// A record's bytes in a file.
 pub fn encode(record: &Record) -> Vec<u8> {
     let text = text(record);
-    debug_assert!(text.len() <= RECORD_MOST);
+    debug_assert!(text.len() <= MAX_RECORD_BYTES);
     let mut bytes = (text.len() as u32).to_le_bytes().to_vec();
     bytes.extend(crc32fast::hash(text.as_bytes()).to_le_bytes());
     bytes.extend(text.bytes());
@@ -125,7 +125,7 @@
         };
         let length = u32::from_le_bytes([head[0], head[1], head[2], head[3]]) as usize;
         let sum = u32::from_le_bytes([head[4], head[5], head[6], head[7]]);
-        if length > RECORD_MOST {
+        if length > MAX_RECORD_BYTES {
             break Some(format!("a record of {length} bytes can't be"));
         }
         let Some(text) = rest.get(8..8 + length) else {
--- a/crates/engine-registry/tests/bans.rs
+++ b/crates/engine-registry/tests/bans.rs
@@ -1,6 +1,6 @@
 //! Engines taken out and put back by name, whatever lists say.
 
-use driftfront_engine_registry::{EngineDescription, EngineRegistry, Refusal, NAMES_MOST};
+use driftfront_engine_registry::{EngineDescription, EngineRegistry, Refusal, MAX_KNOWN_NAMES};
 use driftfront_scheduler::interface::{ListKind, Phase};
 use quickcheck::{Gen, QuickCheck};
 
@@ -71,7 +71,7 @@
     );
     assert_eq!(back.lines[0].phase, Phase::Draining);
     // Names of old do not pile up for ever; the youngest are known.
-    for n in 0..NAMES_MOST {
+    for n in 0..MAX_KNOWN_NAMES {
         let name = format!("n{n}");
         let line = roster
             .source(
