--- a/crates/coordinator/src/node/control/mod.rs
+++ b/crates/coordinator/src/node/control/mod.rs
@@ -11,7 +11,7 @@
 use calloop::RegistrationToken;
 use driftfront_control::{Lines, Reply};
 use driftfront_core::{EngineId, Micros};
-use driftfront_engine_registry::record::Record;
+use driftfront_engine_registry::record::StateRecord;
 use driftfront_engine_registry::roll::Roll;
 use std::collections::{BTreeMap, VecDeque};
 use std::io::{Read, Write};
@@ -191,7 +191,7 @@
                 .iter()
                 .rev()
                 .find_map(|r| match r {
-                    Record::Roll { roll } => Some(roll.clone()),
+                    StateRecord::Roll { roll } => Some(roll.clone()),
                     _ => None,
                 })
                 .flatten()
--- a/crates/coordinator/src/node/control/orders.rs
+++ b/crates/coordinator/src/node/control/orders.rs
@@ -4,7 +4,7 @@
 use crate::node::{ConnectionId, Node};
 use driftfront_control::Reply;
 use driftfront_core::Micros;
-use driftfront_engine_registry::record::Record;
+use driftfront_engine_registry::record::StateRecord;
 use driftfront_engine_registry::roll::{Act, ObservedState, Roll};
 use driftfront_engine_registry::Command as Order;
 
@@ -49,7 +49,7 @@
         }
     }
 
-    pub(in crate::node) fn write_down(&mut self, now: Micros, records: Vec<Record>) -> Kept {
+    pub(in crate::node) fn write_down(&mut self, now: Micros, records: Vec<StateRecord>) -> Kept {
         let Some(control) = &mut self.control else {
             return Kept::NoFolder;
         };
@@ -60,7 +60,7 @@
         // What a successor writes must not be left in a file that is no longer the folder's.
         if state.wants_compaction() && !self.lifecycle.is_succeeded() {
             let mut records = self.roster.records();
-            records.push(Record::Roll {
+            records.push(StateRecord::Roll {
                 roll: control.roll.clone(),
             });
             state.compact(records);
@@ -135,7 +135,7 @@
                     now,
                     format!("A roll over {} engines begins", roll.left.len()),
                 );
-                let _ = self.write_down(now, vec![Record::Roll { roll: Some(roll) }]);
+                let _ = self.write_down(now, vec![StateRecord::Roll { roll: Some(roll) }]);
             }
             Reply::Done(plan)
         };
@@ -183,7 +183,7 @@
                         .as_ref()
                         .and_then(|c| c.roll.clone())
                         .filter(|r| !r.is_over());
-                    let _ = self.write_down(now, vec![Record::Roll { roll }]);
+                    let _ = self.write_down(now, vec![StateRecord::Roll { roll }]);
                 }
                 Act::Drain(engine) => self.order_of_roll(
                     now,
--- a/crates/coordinator/src/state.rs
+++ b/crates/coordinator/src/state.rs
@@ -1,7 +1,7 @@
 //! The state folder: operators' orders that outlive a restart. A command counts as done once its record is on the disk.
 
 use crate::file_writer::{Disk, Job};
-use driftfront_engine_registry::record::{self, Record, COMPACTION_THRESHOLD_BYTES, HEADER};
+use driftfront_engine_registry::record::{self, StateRecord, COMPACTION_THRESHOLD_BYTES, HEADER};
 use std::fs::OpenOptions;
 use std::io::{Read, Seek, SeekFrom, Write};
 use std::path::Path;
@@ -23,7 +23,7 @@
 pub fn open(
     folder: &Path,
     written: impl Fn(Written) + Send + 'static,
-) -> Result<(State, Vec<Record>, Vec<String>), String> {
+) -> Result<(State, Vec<StateRecord>, Vec<String>), String> {
     let say = |what: &str, e: std::io::Error| format!("{}: {what}: {e}", folder.display());
     std::fs::create_dir_all(folder).map_err(|e| say("can't be made", e))?;
     let path = folder.join(NAME);
@@ -76,7 +76,7 @@
 
 impl State {
     /// Writes records down; their end is told under the number. `None`: too many wait for the disk.
-    pub fn append(&mut self, records: Vec<Record>) -> Option<u64> {
+    pub fn append(&mut self, records: Vec<StateRecord>) -> Option<u64> {
         let bytes: Vec<u8> = records.iter().flat_map(record::encode).collect();
         let size = bytes.len();
         self.last += 1;
@@ -98,7 +98,7 @@
     }
 
     /// Writes the file anew.
-    pub fn compact(&mut self, records: Vec<Record>) {
+    pub fn compact(&mut self, records: Vec<StateRecord>) {
         let bytes = record::file(&records);
         let size = bytes.len();
         if self
@@ -121,13 +121,13 @@
     use driftfront_engine_registry::{ActiveOrder, Order};
     use std::sync::mpsc::channel;
 
-    fn order(n: u64) -> Record {
+    fn order(n: u64) -> StateRecord {
         let active_order = ActiveOrder {
             order: Order::Drain,
             since: n,
             by: "operator".into(),
         };
-        Record::Ordered {
+        StateRecord::Ordered {
             engine: format!("e{n}"),
             active_order,
         }
--- a/crates/engine-registry/src/lib.rs
+++ b/crates/engine-registry/src/lib.rs
@@ -169,7 +169,7 @@
 }
 
 /// What a command has changed, and what is to be written down of it.
-pub type RegistryUpdate = (RegistryChange, Vec<record::Record>);
+pub type RegistryUpdate = (RegistryChange, Vec<record::StateRecord>);
 
 /// An engine as it counts, and why.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -517,7 +517,7 @@
         by: &str,
         command: Command,
     ) -> Result<RegistryUpdate, Refusal> {
-        use record::Record;
+        use record::StateRecord;
         let mut change = RegistryChange {
             kind: ListKind::Changes,
             lines: Vec::new(),
@@ -557,7 +557,7 @@
                 let at = self.after_last_order(now, &engine);
                 self.orders.remove(&engine);
                 self.lift(at, &engine);
-                records.push(Record::Lifted { engine });
+                records.push(StateRecord::Lifted { engine });
             }
             Command::Add { description } => {
                 let engine = description.name.clone();
@@ -574,13 +574,13 @@
                 }
                 if description.addr.is_some() {
                     self.take(description.clone(), true, &mut change)?;
-                    records.push(Record::Added { description });
+                    records.push(StateRecord::Added { description });
                 }
                 if removed {
                     let at = self.after_last_order(now, &engine);
                     self.orders.remove(&engine);
                     self.lift(at, &engine);
-                    records.push(Record::Lifted { engine });
+                    records.push(StateRecord::Lifted { engine });
                 }
             }
             Command::Remove { engine, force } => {
@@ -607,7 +607,7 @@
 
     fn order(
         &mut self,
-        records: &mut Vec<record::Record>,
+        records: &mut Vec<record::StateRecord>,
         now: Micros,
         by: &str,
         engine: &str,
@@ -622,7 +622,7 @@
             since,
             by: by.into(),
         };
-        records.push(record::Record::Ordered {
+        records.push(record::StateRecord::Ordered {
             engine: engine.into(),
             active_order: active_order.clone(),
         });
@@ -685,7 +685,7 @@
     /// Takes over what another process of this coordinator says: the later word about an engine holds, and of two at
     /// once the one that takes it out. What has changed, and what is to be written down of it.
     pub fn merge(&mut self, word: &handover::Word) -> RegistryUpdate {
-        use record::Record;
+        use record::StateRecord;
         let mut change = RegistryChange {
             kind: ListKind::Changes,
             lines: Vec::new(),
@@ -700,7 +700,7 @@
             if !same && room && Some(active_order.since) >= self.last_order(engine) {
                 self.lifted.remove(engine);
                 self.orders.insert(engine.clone(), active_order.clone());
-                records.push(Record::Ordered {
+                records.push(StateRecord::Ordered {
                     engine: engine.clone(),
                     active_order: active_order.clone(),
                 });
@@ -709,7 +709,7 @@
         for (engine, &at) in &word.lifted {
             if Some(at) > self.last_order(engine) {
                 if self.orders.remove(engine).is_some() {
-                    records.push(Record::Lifted {
+                    records.push(StateRecord::Lifted {
                         engine: engine.clone(),
                     });
                 }
@@ -767,7 +767,10 @@
     }
 
     /// Takes over what was written down in an earlier life, before any source has spoken.
-    pub fn restore(&mut self, records: impl IntoIterator<Item = record::Record>) -> RegistryChange {
+    pub fn restore(
+        &mut self,
+        records: impl IntoIterator<Item = record::StateRecord>,
+    ) -> RegistryChange {
         let mut change = RegistryChange {
             kind: ListKind::Changes,
             lines: Vec::new(),
@@ -776,7 +779,7 @@
         };
         for record in records {
             match record {
-                record::Record::Ordered {
+                record::StateRecord::Ordered {
                     engine,
                     active_order,
                 } => {
@@ -789,13 +792,13 @@
                         self.orders.insert(engine, active_order);
                     }
                 }
-                record::Record::Lifted { engine } => drop(self.orders.remove(&engine)),
-                record::Record::Added { description } => {
+                record::StateRecord::Lifted { engine } => drop(self.orders.remove(&engine)),
+                record::StateRecord::Added { description } => {
                     if let Err(why) = self.take(description, true, &mut change) {
                         change.words.push(why.to_string());
                     }
                 }
-                record::Record::Roll { .. } => {}
+                record::StateRecord::Roll { .. } => {}
             }
         }
         // Those that were added and removed again leave no trace but their order.
@@ -816,17 +819,17 @@
     }
 
     /// The fewest records that say the same, for a compacted file.
-    pub fn records(&self) -> Vec<record::Record> {
-        use record::Record;
+    pub fn records(&self) -> Vec<record::StateRecord> {
+        use record::StateRecord;
         let added = self
             .entries
             .values()
             .filter_map(|e| e.added.clone())
-            .map(|description| Record::Added { description });
+            .map(|description| StateRecord::Added { description });
         let orders = self
             .orders
             .iter()
-            .map(|(engine, active_order)| Record::Ordered {
+            .map(|(engine, active_order)| StateRecord::Ordered {
                 engine: engine.clone(),
                 active_order: active_order.clone(),
             });
--- a/crates/engine-registry/src/record.rs
+++ b/crates/engine-registry/src/record.rs
@@ -17,7 +17,7 @@
 
 /// One thing that is to outlive a restart.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Record {
+pub enum StateRecord {
     /// An operator's order about an engine.
     Ordered {
         /// The engine.
@@ -46,7 +46,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Read {
     /// The records, in order.
-    pub records: Vec<Record>,
+    pub records: Vec<StateRecord>,
     /// Bytes of it that are well; what stands behind them is to be cut.
     pub well: usize,
     /// What is wrong with the rest, if anything is.
@@ -78,7 +78,7 @@
 impl std::error::Error for Unusable {}
 
 /// A record's bytes in a file.
-pub fn encode(record: &Record) -> Vec<u8> {
+pub fn encode(record: &StateRecord) -> Vec<u8> {
     let text = text(record);
     debug_assert!(text.len() <= MAX_RECORD_BYTES);
     let mut bytes = (text.len() as u32).to_le_bytes().to_vec();
@@ -88,7 +88,7 @@
 }
 
 /// A whole file of these records.
-pub fn file(records: &[Record]) -> Vec<u8> {
+pub fn file(records: &[StateRecord]) -> Vec<u8> {
     let mut bytes = HEADER.to_vec();
     records.iter().for_each(|r| bytes.extend(encode(r)));
     bytes
@@ -148,9 +148,9 @@
 }
 
 /// Words parted by tabs; names hold none, since control characters are refused.
-fn text(record: &Record) -> String {
+fn text(record: &StateRecord) -> String {
     match record {
-        Record::Ordered {
+        StateRecord::Ordered {
             engine,
             active_order,
         } => {
@@ -164,20 +164,20 @@
                 active_order.by.replace(['\t', '\n'], " ")
             )
         }
-        Record::Lifted { engine } => format!("lift\t{engine}"),
-        Record::Added { description } => {
+        StateRecord::Lifted { engine } => format!("lift\t{engine}"),
+        StateRecord::Added { description } => {
             let addr = description.addr.map_or("-".to_string(), |a| a.to_string());
             format!(
                 "add\t{}\t{addr}\t{}\t{}\t{}",
                 description.name, description.zone, description.kind, description.cell
             )
         }
-        Record::Roll { roll: None } => "roll\tnone".into(),
-        Record::Roll { roll: Some(roll) } => format!("roll\t{}", roll.text()),
+        StateRecord::Roll { roll: None } => "roll\tnone".into(),
+        StateRecord::Roll { roll: Some(roll) } => format!("roll\t{}", roll.text()),
     }
 }
 
-fn parse(text: &str) -> Option<Record> {
+fn parse(text: &str) -> Option<StateRecord> {
     let (word, rest) = text.split_once('\t')?;
     let mut words = rest.split('\t');
     let mut next = || words.next();
@@ -191,12 +191,12 @@
             let engine = next()?.to_string();
             let since = next()?.parse().ok()?;
             let by = next()?.to_string();
-            Some(Record::Ordered {
+            Some(StateRecord::Ordered {
                 engine,
                 active_order: ActiveOrder { order, since, by },
             })
         }
-        "lift" => Some(Record::Lifted {
+        "lift" => Some(StateRecord::Lifted {
             engine: next()?.into(),
         }),
         "add" => {
@@ -209,7 +209,7 @@
             };
             let mut number = || next()?.parse::<u16>().ok();
             let (zone, kind, cell) = (number()?, number()?, number()?);
-            Some(Record::Added {
+            Some(StateRecord::Added {
                 description: EngineDescription {
                     name,
                     addr,
@@ -221,8 +221,8 @@
                 },
             })
         }
-        "roll" if rest == "none" => Some(Record::Roll { roll: None }),
-        "roll" => Some(Record::Roll {
+        "roll" if rest == "none" => Some(StateRecord::Roll { roll: None }),
+        "roll" => Some(StateRecord::Roll {
             roll: Some(Roll::of_text(rest)?),
         }),
         _ => None,
@@ -233,7 +233,7 @@
 mod tests {
     use super::*;
 
-    fn records() -> Vec<Record> {
+    fn records() -> Vec<StateRecord> {
         let active_order = |order| ActiveOrder {
             order,
             since: 1_764_000_000_000_000,
@@ -249,19 +249,19 @@
             phase: Phase::Ready,
         };
         vec![
-            Record::Ordered {
+            StateRecord::Ordered {
                 engine: "engine-1".into(),
                 active_order: active_order(Order::Drain),
             },
-            Record::Added { description },
-            Record::Ordered {
+            StateRecord::Added { description },
+            StateRecord::Ordered {
                 engine: "engine-2".into(),
                 active_order: active_order(Order::Remove),
             },
-            Record::Lifted {
+            StateRecord::Lifted {
                 engine: "engine-1".into(),
             },
-            Record::Roll { roll: None },
+            StateRecord::Roll { roll: None },
         ]
     }
 
--- a/crates/engine-registry/tests/golden.rs
+++ b/crates/engine-registry/tests/golden.rs
@@ -1,7 +1,7 @@
 //! The registry's stored forms and its sentences, byte for byte; see `golden/README.md`.
 
 use driftfront_engine_registry::handover::{self, Word};
-use driftfront_engine_registry::record::{self, Record};
+use driftfront_engine_registry::record::{self, StateRecord};
 use driftfront_engine_registry::roll::{Act, EngineSnapshot, ObservedState, Roll, Stage};
 use driftfront_engine_registry::{describe_active_order, hash, phase_name};
 use driftfront_engine_registry::{
@@ -45,30 +45,30 @@
     }
 }
 
-fn records() -> Vec<Record> {
+fn records() -> Vec<StateRecord> {
     let mut all = vec![
-        Record::Ordered {
+        StateRecord::Ordered {
             engine: "engine-1".into(),
             active_order: active_order(Order::Drain, "operator"),
         },
-        Record::Ordered {
+        StateRecord::Ordered {
             engine: "engine-2".into(),
             active_order: active_order(Order::Remove, "a roll"),
         },
-        Record::Lifted {
+        StateRecord::Lifted {
             engine: "engine-1".into(),
         },
-        Record::Added {
+        StateRecord::Added {
             description: description("engine-9", Some("127.0.0.1:8123")),
         },
-        Record::Added {
+        StateRecord::Added {
             description: description("engine-é", Some("[::1]:8123")),
         },
-        Record::Added {
+        StateRecord::Added {
             description: description("engine-10", None),
         },
-        Record::Roll { roll: None },
-        Record::Roll {
+        StateRecord::Roll { roll: None },
+        StateRecord::Roll {
             roll: Some(Roll::new(7, vec!["a".into()], None)),
         },
     ];
@@ -80,7 +80,7 @@
         Stage::Stopped,
         Stage::RegistryUpdate,
     ] {
-        all.push(Record::Roll {
+        all.push(StateRecord::Roll {
             roll: Some(roll(stage)),
         });
     }
--- a/crates/engine-registry/tests/model.rs
+++ b/crates/engine-registry/tests/model.rs
@@ -1,6 +1,6 @@
 //! The roster against random sources, commands and restarts.
 
-use driftfront_engine_registry::record::{self, Record};
+use driftfront_engine_registry::record::{self, StateRecord};
 use driftfront_engine_registry::{Command, EngineDescription, EngineRegistry, Order};
 use driftfront_scheduler::interface::{EngineId, ListKind, Phase};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
@@ -208,9 +208,9 @@
     true
 }
 
-fn follow(plain: &mut Plain, record: &Record) {
+fn follow(plain: &mut Plain, record: &StateRecord) {
     match record {
-        Record::Ordered {
+        StateRecord::Ordered {
             engine,
             active_order,
         } => {
@@ -219,17 +219,17 @@
             }
             plain.orders.insert(engine.clone(), active_order.order);
         }
-        Record::Lifted { engine } => drop(plain.orders.remove(engine)),
-        Record::Added { description } => {
+        StateRecord::Lifted { engine } => drop(plain.orders.remove(engine)),
+        StateRecord::Added { description } => {
             plain.added.retain(|a| *a != description.name);
             plain.added.push(description.name.clone());
         }
-        Record::Roll { .. } => {}
+        StateRecord::Roll { .. } => {}
     }
 }
 
 /// All records but the last.
-fn undo(plain: &mut Plain, records: &[Record]) {
+fn undo(plain: &mut Plain, records: &[StateRecord]) {
     (plain.added, plain.orders) = Default::default();
     records[..records.len() - 1]
         .iter()
