--- a/crates/coordinator/src/handover.rs
+++ b/crates/coordinator/src/handover.rs
@@ -4,7 +4,7 @@
 //! Used only where the platform passes the clients' socket. The folder is in `$TMPDIR`, which the platform keeps in
 //! memory: the few small reads and writes are done on the loop.
 
-use driftfront_engine_registry::handover::{decode, encode, Word, MAX_HANDOVER_BYTES};
+use driftfront_engine_registry::handover::{decode, encode, HandoverState, MAX_HANDOVER_BYTES};
 use std::collections::BTreeMap;
 use std::fs::File;
 use std::io;
@@ -21,7 +21,7 @@
 struct Other {
     /// What tells one state of its file from another.
     stamp: (u64, u64),
-    word: Option<Word>,
+    word: Option<HandoverState>,
 }
 
 /// This process's place in the folder.
@@ -32,14 +32,14 @@
     _lock: File,
     others: BTreeMap<Number, Other>,
     /// What this process last wrote.
-    written: Option<Word>,
+    written: Option<HandoverState>,
 }
 
 /// What a poll has found.
 #[derive(Debug, Default)]
 pub struct News {
     /// Words that are new, the earliest process first.
-    pub words: Vec<(Number, Word)>,
+    pub words: Vec<(Number, HandoverState)>,
     /// What went wrong, to be told in the log.
     pub told: Vec<String>,
 }
@@ -86,7 +86,7 @@
     }
 
     /// Tells the others; what was told already is not written again.
-    pub fn tell(&mut self, word: Word) -> io::Result<()> {
+    pub fn tell(&mut self, word: HandoverState) -> io::Result<()> {
         if self.written.as_ref() == Some(&word) {
             return Ok(());
         }
@@ -201,7 +201,7 @@
     Ok(numbers)
 }
 
-fn read(path: &Path) -> Result<Word, String> {
+fn read(path: &Path) -> Result<HandoverState, String> {
     let size = std::fs::metadata(path).map_err(|e| e.to_string())?.len();
     if size > MAX_HANDOVER_BYTES as u64 {
         return Err(format!("{size} bytes are too many"));
@@ -222,11 +222,11 @@
         path
     }
 
-    fn word(ready: bool, name: &str) -> Word {
-        Word {
+    fn word(ready: bool, name: &str) -> HandoverState {
+        HandoverState {
             ready,
             names: vec![name.into()],
-            ..Word::default()
+            ..HandoverState::default()
         }
     }
 
--- a/crates/engine-registry/src/handover.rs
+++ b/crates/engine-registry/src/handover.rs
@@ -19,7 +19,7 @@
 
 /// What one process says.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Word {
+pub struct HandoverState {
     /// It serves: those that started before it leave new connections to it.
     pub ready: bool,
     /// Orders that stand.
@@ -32,7 +32,7 @@
 
 /// Why a file counts as none.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Spoilt {
+pub enum HandoverError {
     /// It is of another version.
     Version(String),
     /// It is no such file.
@@ -45,25 +45,25 @@
     Line(usize),
 }
 
-impl fmt::Display for Spoilt {
+impl fmt::Display for HandoverError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Spoilt::Version(version) => write!(
+            HandoverError::Version(version) => write!(
                 f,
                 "it is of version {version}, this program knows version 1"
             ),
-            Spoilt::NotOurs => f.write_str("it is no handover file"),
-            Spoilt::Cut => f.write_str("it is not whole"),
-            Spoilt::Checksum => f.write_str("its checksum does not fit"),
-            Spoilt::Line(n) => write!(f, "line {n} can't be read"),
+            HandoverError::NotOurs => f.write_str("it is no handover file"),
+            HandoverError::Cut => f.write_str("it is not whole"),
+            HandoverError::Checksum => f.write_str("its checksum does not fit"),
+            HandoverError::Line(n) => write!(f, "line {n} can't be read"),
         }
     }
 }
 
-impl std::error::Error for Spoilt {}
+impl std::error::Error for HandoverError {}
 
 /// A word's bytes.
-pub fn encode(word: &Word) -> Vec<u8> {
+pub fn encode(word: &HandoverState) -> Vec<u8> {
     let mut text = format!("{}\n", if word.ready { "ready" } else { "starting" });
     for (engine, s) in &word.orders {
         let order = match s.order {
@@ -87,36 +87,36 @@
 }
 
 /// Reads a word; half of one, or another version's, is none.
-pub fn decode(bytes: &[u8]) -> Result<Word, Spoilt> {
+pub fn decode(bytes: &[u8]) -> Result<HandoverState, HandoverError> {
     let Some(rest) = bytes.strip_prefix(HEADER) else {
         let line = bytes.split(|&b| b == b'\n').next().unwrap_or_default();
         let line = String::from_utf8_lossy(&line[..line.len().min(60)]).into_owned();
         let whole = bytes.len() > line.len();
         return Err(match line.strip_prefix("driftfront handover ") {
-            Some(version) if whole && version != "1" => Spoilt::Version(version.into()),
-            _ if HEADER.starts_with(bytes) => Spoilt::Cut,
-            _ => Spoilt::NotOurs,
+            Some(version) if whole && version != "1" => HandoverError::Version(version.into()),
+            _ if HEADER.starts_with(bytes) => HandoverError::Cut,
+            _ => HandoverError::NotOurs,
         });
     };
-    let (head, text) = rest.split_at_checked(8).ok_or(Spoilt::Cut)?;
+    let (head, text) = rest.split_at_checked(8).ok_or(HandoverError::Cut)?;
     let number = |n: usize| u32::from_le_bytes([head[n], head[n + 1], head[n + 2], head[n + 3]]);
     match text.len().cmp(&(number(0) as usize)) {
-        std::cmp::Ordering::Less => return Err(Spoilt::Cut),
-        std::cmp::Ordering::Greater => return Err(Spoilt::NotOurs),
+        std::cmp::Ordering::Less => return Err(HandoverError::Cut),
+        std::cmp::Ordering::Greater => return Err(HandoverError::NotOurs),
         std::cmp::Ordering::Equal if crc32fast::hash(text) != number(4) => {
-            return Err(Spoilt::Checksum)
+            return Err(HandoverError::Checksum)
         }
         std::cmp::Ordering::Equal => {}
     }
-    let text = std::str::from_utf8(text).map_err(|_| Spoilt::Line(0))?;
-    let mut word = Word::default();
+    let text = std::str::from_utf8(text).map_err(|_| HandoverError::Line(0))?;
+    let mut word = HandoverState::default();
     for (n, line) in text.lines().enumerate() {
-        read_line(&mut word, line).ok_or(Spoilt::Line(n + 1))?;
+        read_line(&mut word, line).ok_or(HandoverError::Line(n + 1))?;
     }
     Ok(word)
 }
 
-fn read_line(word: &mut Word, line: &str) -> Option<()> {
+fn read_line(word: &mut HandoverState, line: &str) -> Option<()> {
     let words: Vec<&str> = line.split('\t').collect();
     let fits = |engine: &str| {
         (1..=MAX_NAME_BYTES)
@@ -151,13 +151,13 @@
     use super::*;
     use quickcheck::{Gen, QuickCheck};
 
-    fn word() -> Word {
+    fn word() -> HandoverState {
         let active_order = |order, since| ActiveOrder {
             order,
             since,
             by: "the second address".into(),
         };
-        Word {
+        HandoverState {
             ready: true,
             orders: [
                 ("a".into(), active_order(Order::Drain, 7)),
@@ -174,7 +174,11 @@
         let bytes = encode(&word());
         assert_eq!(decode(&bytes), Ok(word()));
         for cut in 0..bytes.len() {
-            assert_eq!(decode(&bytes[..cut]), Err(Spoilt::Cut), "cut at {cut}");
+            assert_eq!(
+                decode(&bytes[..cut]),
+                Err(HandoverError::Cut),
+                "cut at {cut}"
+            );
             let mut spoilt = bytes.clone();
             spoilt[cut] ^= 0x20;
             assert!(decode(&spoilt).is_err(), "spoilt at {cut}");
@@ -184,9 +188,12 @@
             &bytes[HEADER.len()..],
         ]
         .concat();
-        assert_eq!(decode(&newer), Err(Spoilt::Version("2".into())));
-        assert_eq!(decode(&[&bytes[..], b"x"].concat()), Err(Spoilt::NotOurs));
-        assert_eq!(decode(b"something else\n"), Err(Spoilt::NotOurs));
+        assert_eq!(decode(&newer), Err(HandoverError::Version("2".into())));
+        assert_eq!(
+            decode(&[&bytes[..], b"x"].concat()),
+            Err(HandoverError::NotOurs)
+        );
+        assert_eq!(decode(b"something else\n"), Err(HandoverError::NotOurs));
     }
 
     #[test]
--- a/crates/engine-registry/src/lib.rs
+++ b/crates/engine-registry/src/lib.rs
@@ -672,9 +672,9 @@
     }
 
     /// What another process of this coordinator has to know of orders.
-    pub fn word(&self, ready: bool) -> handover::Word {
+    pub fn word(&self, ready: bool) -> handover::HandoverState {
         let names = self.ever_order.iter().cloned().collect();
-        handover::Word {
+        handover::HandoverState {
             ready,
             orders: self.orders.clone(),
             lifted: self.lifted.clone(),
@@ -684,7 +684,7 @@
 
     /// Takes over what another process of this coordinator says: the later word about an engine holds, and of two at
     /// once the one that takes it out. What has changed, and what is to be written down of it.
-    pub fn merge(&mut self, word: &handover::Word) -> RegistryUpdate {
+    pub fn merge(&mut self, word: &handover::HandoverState) -> RegistryUpdate {
         use record::StateRecord;
         let mut change = RegistryChange {
             kind: ListKind::Changes,
--- a/crates/engine-registry/tests/golden.rs
+++ b/crates/engine-registry/tests/golden.rs
@@ -1,6 +1,6 @@
 //! The registry's stored forms and its sentences, byte for byte; see `golden/README.md`.
 
-use driftfront_engine_registry::handover::{self, Word};
+use driftfront_engine_registry::handover::{self, HandoverState};
 use driftfront_engine_registry::record::{self, StateRecord};
 use driftfront_engine_registry::roll::{Act, EngineSnapshot, ObservedState, Roll, Stage};
 use driftfront_engine_registry::{describe_active_order, hash, phase_name};
@@ -140,8 +140,8 @@
     assert_golden!("orders-damaged.txt", text);
 }
 
-fn word(ready: bool) -> Word {
-    Word {
+fn word(ready: bool) -> HandoverState {
+    HandoverState {
         ready,
         orders: [
             ("engine 2".into(), active_order(Order::Remove, "a\troll")),
@@ -164,7 +164,10 @@
 fn handover_file_is_written_and_read_as_before() {
     assert_golden!("handover-ready.bin", handover::encode(&word(true)));
     assert_golden!("handover-starting.bin", handover::encode(&word(false)));
-    assert_golden!("handover-empty.bin", handover::encode(&Word::default()));
+    assert_golden!(
+        "handover-empty.bin",
+        handover::encode(&HandoverState::default())
+    );
     for (name, ready) in [
         ("handover-ready.bin", true),
         ("handover-starting.bin", false),
@@ -178,7 +181,7 @@
     }
     assert_eq!(
         handover::decode(&read_golden!("handover-empty.bin")),
-        Ok(Word::default())
+        Ok(HandoverState::default())
     );
 }
 
