--- a/crates/coordinator/src/node/control/mod.rs
+++ b/crates/coordinator/src/node/control/mod.rs
@@ -12,7 +12,7 @@
 use driftfront_control::{Lines, Reply};
 use driftfront_core::{EngineId, Micros};
 use driftfront_engine_registry::record::StateRecord;
-use driftfront_engine_registry::roll::Roll;
+use driftfront_engine_registry::roll::RollingRestart;
 use std::collections::{BTreeMap, VecDeque};
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -88,7 +88,7 @@
     state: Option<state::State>,
     /// Commands whose records are on their way to the disk: who is told what then.
     waiting: BTreeMap<u64, (ConnectionId, u64, String)>,
-    roll: Option<Roll>,
+    roll: Option<RollingRestart>,
     next_roll: Micros,
     begun: Micros,
     /// Operators that were cut off since they did not read.
@@ -191,11 +191,11 @@
                 .iter()
                 .rev()
                 .find_map(|r| match r {
-                    StateRecord::Roll { roll } => Some(roll.clone()),
+                    StateRecord::RollingRestart { roll } => Some(roll.clone()),
                     _ => None,
                 })
                 .flatten()
-                .map(|roll: Roll| roll.restarted(now));
+                .map(|roll: RollingRestart| roll.restarted(now));
             control.state = Some(state);
             let change = self.roster.restore(records);
             self.control = Some(control);
--- a/crates/coordinator/src/node/control/orders.rs
+++ b/crates/coordinator/src/node/control/orders.rs
@@ -5,7 +5,7 @@
 use driftfront_control::Reply;
 use driftfront_core::Micros;
 use driftfront_engine_registry::record::StateRecord;
-use driftfront_engine_registry::roll::{Act, ObservedState, Roll};
+use driftfront_engine_registry::roll::{ObservedState, RollingRestart, RollingRestartAction};
 use driftfront_engine_registry::Command as Order;
 
 impl Node {
@@ -60,7 +60,7 @@
         // What a successor writes must not be left in a file that is no longer the folder's.
         if state.wants_compaction() && !self.lifecycle.is_succeeded() {
             let mut records = self.roster.records();
-            records.push(StateRecord::Roll {
+            records.push(StateRecord::RollingRestart {
                 roll: control.roll.clone(),
             });
             state.compact(records);
@@ -121,7 +121,7 @@
         } else if running && !dry {
             Reply::Refused("a roll is on its way: stop it first".into())
         } else {
-            let roll = Roll::new(
+            let roll = RollingRestart::new(
                 now,
                 if engines.is_empty() { all } else { engines },
                 sight.service,
@@ -135,7 +135,8 @@
                     now,
                     format!("A roll over {} engines begins", roll.left.len()),
                 );
-                let _ = self.write_down(now, vec![StateRecord::Roll { roll: Some(roll) }]);
+                let _ =
+                    self.write_down(now, vec![StateRecord::RollingRestart { roll: Some(roll) }]);
             }
             Reply::Done(plan)
         };
@@ -148,7 +149,7 @@
         conn: ConnectionId,
         id: u64,
         none: &str,
-        how: impl FnOnce(&mut Roll, &ObservedState) -> Vec<Act>,
+        how: impl FnOnce(&mut RollingRestart, &ObservedState) -> Vec<RollingRestartAction>,
     ) {
         let sight = self.sight(now);
         let acts = self
@@ -170,29 +171,31 @@
         self.tell_operator(conn, &reply.line(id));
     }
 
-    pub(super) fn carry_out_roll(&mut self, now: Micros, acts: Vec<Act>) {
+    pub(super) fn carry_out_roll(&mut self, now: Micros, acts: Vec<RollingRestartAction>) {
         if let Some(control) = self.control.as_mut().filter(|_| !acts.is_empty()) {
             control.snapshot = None;
         }
         for act in acts {
             match act {
-                Act::Say(words) => self.event(now, words),
-                Act::Write => {
+                RollingRestartAction::Say(words) => self.event(now, words),
+                RollingRestartAction::Write => {
                     let roll = self
                         .control
                         .as_ref()
                         .and_then(|c| c.roll.clone())
                         .filter(|r| !r.is_over());
-                    let _ = self.write_down(now, vec![StateRecord::Roll { roll }]);
+                    let _ = self.write_down(now, vec![StateRecord::RollingRestart { roll }]);
                 }
-                Act::Drain(engine) => self.order_of_roll(
+                RollingRestartAction::Drain(engine) => self.order_of_roll(
                     now,
                     Order::Drain {
                         engine,
                         force: false,
                     },
                 ),
-                Act::Resume(engine) => self.order_of_roll(now, Order::Resume { engine }),
+                RollingRestartAction::Resume(engine) => {
+                    self.order_of_roll(now, Order::Resume { engine })
+                }
             }
         }
     }
--- a/crates/engine-registry/src/lib.rs
+++ b/crates/engine-registry/src/lib.rs
@@ -798,7 +798,7 @@
                         change.words.push(why.to_string());
                     }
                 }
-                record::StateRecord::Roll { .. } => {}
+                record::StateRecord::RollingRestart { .. } => {}
             }
         }
         // Those that were added and removed again leave no trace but their order.
--- a/crates/engine-registry/src/record.rs
+++ b/crates/engine-registry/src/record.rs
@@ -4,7 +4,7 @@
 //! its text. A record counts once it is whole and its checksum fits; what stands behind the first that does not is a
 //! spoilt tail, to be cut. So a power cut at any byte leaves the records before it.
 
-use crate::roll::Roll;
+use crate::roll::RollingRestart;
 use crate::{ActiveOrder, EngineDescription, Order};
 use driftfront_scheduler::interface::Phase;
 
@@ -36,9 +36,9 @@
         description: EngineDescription,
     },
     /// Where a roll stands; the last one counts. `None`: there is none any more.
-    Roll {
+    RollingRestart {
         /// The roll.
-        roll: Option<Roll>,
+        roll: Option<RollingRestart>,
     },
 }
 
@@ -172,8 +172,8 @@
                 description.name, description.zone, description.kind, description.cell
             )
         }
-        StateRecord::Roll { roll: None } => "roll\tnone".into(),
-        StateRecord::Roll { roll: Some(roll) } => format!("roll\t{}", roll.text()),
+        StateRecord::RollingRestart { roll: None } => "roll\tnone".into(),
+        StateRecord::RollingRestart { roll: Some(roll) } => format!("roll\t{}", roll.text()),
     }
 }
 
@@ -221,9 +221,9 @@
                 },
             })
         }
-        "roll" if rest == "none" => Some(StateRecord::Roll { roll: None }),
-        "roll" => Some(StateRecord::Roll {
-            roll: Some(Roll::of_text(rest)?),
+        "roll" if rest == "none" => Some(StateRecord::RollingRestart { roll: None }),
+        "roll" => Some(StateRecord::RollingRestart {
+            roll: Some(RollingRestart::of_text(rest)?),
         }),
         _ => None,
     }
@@ -261,7 +261,7 @@
             StateRecord::Lifted {
                 engine: "engine-1".into(),
             },
-            StateRecord::Roll { roll: None },
+            StateRecord::RollingRestart { roll: None },
         ]
     }
 
--- a/crates/engine-registry/src/roll.rs
+++ b/crates/engine-registry/src/roll.rs
@@ -1,6 +1,6 @@
 //! Taking engines out one after another: drain, wait until nothing runs, hand over, wait until it is warm, next.
 //!
-//! Decisions only: the host says what it sees, [`Roll::step`] says what to do. Never two engines at once, so never
+//! Decisions only: the host says what it sees, [`RollingRestart::step`] says what to do. Never two engines at once, so never
 //! two of one building; not while the rest could not carry the load; it stops by itself when service falls, and goes
 //! on after a restart of the program from what was written down.
 
@@ -50,7 +50,7 @@
 
 /// A roll.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Roll {
+pub struct RollingRestart {
     /// The engines that are to go, the next one first.
     pub left: Vec<String>,
     /// Those that are through.
@@ -103,7 +103,7 @@
 
 /// What the host is to do.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Act {
+pub enum RollingRestartAction {
     /// Drain this engine.
     Drain(String),
     /// Lift the drain.
@@ -114,10 +114,10 @@
     Say(String),
 }
 
-impl Roll {
+impl RollingRestart {
     /// A roll over these engines, beginning with service as it is.
-    pub fn new(now: Micros, engines: Vec<String>, service: Option<f64>) -> Roll {
-        Roll {
+    pub fn new(now: Micros, engines: Vec<String>, service: Option<f64>) -> RollingRestart {
+        RollingRestart {
             left: engines,
             through: Vec::new(),
             stage: Stage::Next,
@@ -129,8 +129,8 @@
     }
 
     /// The same in a new process, whose clock has nothing to do with the last one's: what the stage waits for is waited for anew.
-    pub fn restarted(self, now: Micros) -> Roll {
-        Roll { since: now, ..self }
+    pub fn restarted(self, now: Micros) -> RollingRestart {
+        RollingRestart { since: now, ..self }
     }
 
     /// The engine at hand.
@@ -143,17 +143,23 @@
         self.stage == Stage::Done
     }
 
-    fn enter(&mut self, now: Micros, stage: Stage, why: String, acts: &mut Vec<Act>) {
+    fn enter(
+        &mut self,
+        now: Micros,
+        stage: Stage,
+        why: String,
+        acts: &mut Vec<RollingRestartAction>,
+    ) {
         (self.stage, self.since) = (stage, now);
-        acts.push(Act::Write);
+        acts.push(RollingRestartAction::Write);
         if !why.is_empty() {
-            acts.push(Act::Say(why.clone()));
+            acts.push(RollingRestartAction::Say(why.clone()));
         }
         self.why = why;
     }
 
     /// An operator stops it; an engine that is out stays out.
-    pub fn stop(&mut self, now: Micros, why: &str) -> Vec<Act> {
+    pub fn stop(&mut self, now: Micros, why: &str) -> Vec<RollingRestartAction> {
         let mut acts = Vec::new();
         self.enter(
             now,
@@ -165,7 +171,7 @@
     }
 
     /// An operator lets it go on.
-    pub fn go_on(&mut self, now: Micros, sight: &ObservedState) -> Vec<Act> {
+    pub fn go_on(&mut self, now: Micros, sight: &ObservedState) -> Vec<RollingRestartAction> {
         let mut acts = Vec::new();
         if self.stage != Stage::Stopped {
             return acts;
@@ -185,10 +191,10 @@
     }
 
     /// An operator has the engine back in order.
-    pub fn handed_back(&mut self, now: Micros) -> Vec<Act> {
+    pub fn handed_back(&mut self, now: Micros) -> Vec<RollingRestartAction> {
         let mut acts = Vec::new();
         if let (Stage::Handed, Some(engine)) = (self.stage, self.current().map(String::from)) {
-            acts.push(Act::Resume(engine.clone()));
+            acts.push(RollingRestartAction::Resume(engine.clone()));
             self.enter(
                 now,
                 Stage::Warming,
@@ -200,7 +206,7 @@
     }
 
     /// One look at things; time is an argument.
-    pub fn step(&mut self, now: Micros, sight: &ObservedState) -> Vec<Act> {
+    pub fn step(&mut self, now: Micros, sight: &ObservedState) -> Vec<RollingRestartAction> {
         let mut acts = Vec::new();
         if sight.engines.is_empty() {
             // No list has come yet, as after a restart: nothing can be told of any engine.
@@ -234,7 +240,7 @@
                 } else {
                     self.started_at = engine.started_at;
                     if !engine.drained {
-                        acts.push(Act::Drain(name.clone()));
+                        acts.push(RollingRestartAction::Drain(name.clone()));
                     }
                     self.enter(
                         now,
@@ -277,7 +283,7 @@
             Stage::Handed => {
                 let restarted = engine.started_at.is_some() && engine.started_at != self.started_at;
                 if restarted && engine.reachable {
-                    acts.push(Act::Resume(name.clone()));
+                    acts.push(RollingRestartAction::Resume(name.clone()));
                     self.enter(
                         now,
                         Stage::Warming,
@@ -395,8 +401,8 @@
         )
     }
 
-    /// Reads [`Roll::text`].
-    pub fn of_text(text: &str) -> Option<Roll> {
+    /// Reads [`RollingRestart::text`].
+    pub fn of_text(text: &str) -> Option<RollingRestart> {
         let mut words = text.split('\t');
         let stage = words.next()?;
         let stage = STAGES.iter().find(|s| s.1 == stage)?.0;
@@ -418,7 +424,7 @@
         };
         let (left, through) = (list()?, list()?);
         let why = words.next().unwrap_or_default().to_string();
-        Some(Roll {
+        Some(RollingRestart {
             left,
             through,
             stage,
@@ -464,9 +470,10 @@
         }
     }
 
-    fn apply(sight: &mut ObservedState, acts: &[Act]) {
+    fn apply(sight: &mut ObservedState, acts: &[RollingRestartAction]) {
         for act in acts {
-            let (Act::Drain(name) | Act::Resume(name)) = act else {
+            let (RollingRestartAction::Drain(name) | RollingRestartAction::Resume(name)) = act
+            else {
                 continue;
             };
             let engine = sight
@@ -474,7 +481,7 @@
                 .iter_mut()
                 .find(|e| e.name == *name)
                 .expect("known");
-            let drained = matches!(act, Act::Drain(_));
+            let drained = matches!(act, RollingRestartAction::Drain(_));
             (engine.drained, engine.ready) = (drained, !drained);
         }
     }
@@ -490,10 +497,10 @@
     #[test]
     fn engines_go_one_after_another_and_each_is_waited_for() {
         let mut sight = sight();
-        let mut roll = Roll::new(0, vec!["a".into(), "b".into()], sight.service);
+        let mut roll = RollingRestart::new(0, vec!["a".into(), "b".into()], sight.service);
         set(&mut sight, "a", |e| (e.running, e.loads) = (3, 1));
         let acts = roll.step(S, &sight);
-        assert!(acts.contains(&Act::Drain("a".into())));
+        assert!(acts.contains(&RollingRestartAction::Drain("a".into())));
         apply(&mut sight, &acts);
         roll.step(2 * S, &sight);
         assert!(roll.stage == Stage::Draining && roll.why.contains("1 imports"));
@@ -503,7 +510,7 @@
         // The operator restarts it; the next one waits until it is warm.
         set(&mut sight, "a", |e| e.started_at = Some(9));
         let acts = roll.step(9 * S, &sight);
-        assert!(acts.contains(&Act::Resume("a".into())));
+        assert!(acts.contains(&RollingRestartAction::Resume("a".into())));
         apply(&mut sight, &acts);
         assert!(roll.step(20 * S, &sight).is_empty());
         roll.step(25 * S, &sight);
@@ -519,7 +526,7 @@
 
     #[test]
     fn it_waits_while_another_is_out_or_the_rest_could_not_carry_the_load() {
-        let mut roll = Roll::new(0, vec!["a".into()], Some(0.95));
+        let mut roll = RollingRestart::new(0, vec!["a".into()], Some(0.95));
         let mut busy = sight();
         busy.load = 0.7;
         assert!(roll.step(S, &busy).is_empty() && roll.why.contains("the others have 75"));
@@ -538,7 +545,7 @@
     #[test]
     fn it_stops_when_service_falls_or_somebody_resumes_its_engine_and_goes_on_when_told() {
         let mut sight = sight();
-        let mut roll = Roll::new(0, vec!["a".into()], sight.service);
+        let mut roll = RollingRestart::new(0, vec!["a".into()], sight.service);
         let acts = roll.step(S, &sight);
         apply(&mut sight, &acts);
         sight.service = Some(0.8);
@@ -555,7 +562,7 @@
     #[test]
     fn a_clock_that_is_set_back_only_makes_it_wait() {
         let mut sight = sight();
-        let mut roll = Roll::new(100 * S, vec!["a".into()], sight.service);
+        let mut roll = RollingRestart::new(100 * S, vec!["a".into()], sight.service);
         let acts = roll.step(101 * S, &sight);
         apply(&mut sight, &acts);
         roll.step(S, &sight);
@@ -569,18 +576,18 @@
     #[test]
     fn a_roll_is_read_back_as_it_was_written_at_every_stage() {
         for (stage, _) in STAGES {
-            let roll = Roll {
+            let roll = RollingRestart {
                 stage,
                 started_at: Some(3),
                 why: "w\tx".into(),
-                ..Roll::new(7, vec!["a".into()], None)
+                ..RollingRestart::new(7, vec!["a".into()], None)
             };
-            let back = Roll::of_text(&roll.text()).expect("well formed");
+            let back = RollingRestart::of_text(&roll.text()).expect("well formed");
             assert_eq!(
                 (back.stage, back.left.clone(), back.started_at),
                 (stage, roll.left.clone(), Some(3))
             );
         }
-        assert_eq!(Roll::of_text("nonsense"), None);
+        assert_eq!(RollingRestart::of_text("nonsense"), None);
     }
 }
--- a/crates/engine-registry/tests/golden.rs
+++ b/crates/engine-registry/tests/golden.rs
@@ -2,7 +2,9 @@
 
 use driftfront_engine_registry::handover::{self, HandoverState};
 use driftfront_engine_registry::record::{self, StateRecord};
-use driftfront_engine_registry::roll::{Act, EngineSnapshot, ObservedState, Roll, Stage};
+use driftfront_engine_registry::roll::{
+    EngineSnapshot, ObservedState, RollingRestart, RollingRestartAction, Stage,
+};
 use driftfront_engine_registry::{describe_active_order, hash, phase_name};
 use driftfront_engine_registry::{
     ActiveOrder, Command, EngineDescription, EngineRegistry, Order, Refusal,
@@ -33,8 +35,8 @@
     }
 }
 
-fn roll(stage: Stage) -> Roll {
-    Roll {
+fn roll(stage: Stage) -> RollingRestart {
+    RollingRestart {
         left: vec!["engine-1".into(), "engine 2".into()],
         through: vec!["engine-0".into()],
         stage,
@@ -67,9 +69,9 @@
         StateRecord::Added {
             description: description("engine-10", None),
         },
-        StateRecord::Roll { roll: None },
-        StateRecord::Roll {
-            roll: Some(Roll::new(7, vec!["a".into()], None)),
+        StateRecord::RollingRestart { roll: None },
+        StateRecord::RollingRestart {
+            roll: Some(RollingRestart::new(7, vec!["a".into()], None)),
         },
     ];
     for stage in [
@@ -80,7 +82,7 @@
         Stage::Stopped,
         Stage::RegistryUpdate,
     ] {
-        all.push(StateRecord::Roll {
+        all.push(StateRecord::RollingRestart {
             roll: Some(roll(stage)),
         });
     }
@@ -379,7 +381,7 @@
 
 /// A rolling restart, its engines, and what was said of it.
 struct Script {
-    roll: Roll,
+    roll: RollingRestart,
     sight: ObservedState,
     text: String,
 }
@@ -388,7 +390,7 @@
     fn new(title: &str, engines: &[&str]) -> Script {
         let engines = engines.iter().map(ToString::to_string).collect();
         Script {
-            roll: Roll::new(0, engines, Some(0.95)),
+            roll: RollingRestart::new(0, engines, Some(0.95)),
             sight: sight(),
             text: format!("== {title}\n"),
         }
@@ -399,7 +401,7 @@
         how(engine.expect("known"));
     }
 
-    fn note(&mut self, now: u64, acts: Vec<Act>) {
+    fn note(&mut self, now: u64, acts: Vec<RollingRestartAction>) {
         let _ = writeln!(
             self.text,
             "{} s: {}; {}",
@@ -409,14 +411,14 @@
         );
         for act in acts {
             let line = match &act {
-                Act::Drain(name) => format!("drain {name}"),
-                Act::Resume(name) => format!("resume {name}"),
-                Act::Write => "write".into(),
-                Act::Say(words) => format!("say {words}"),
+                RollingRestartAction::Drain(name) => format!("drain {name}"),
+                RollingRestartAction::Resume(name) => format!("resume {name}"),
+                RollingRestartAction::Write => "write".into(),
+                RollingRestartAction::Say(words) => format!("say {words}"),
             };
             let _ = writeln!(self.text, "    {line}");
-            if let Act::Drain(name) | Act::Resume(name) = &act {
-                let drained = matches!(act, Act::Drain(_));
+            if let RollingRestartAction::Drain(name) | RollingRestartAction::Resume(name) = &act {
+                let drained = matches!(act, RollingRestartAction::Drain(_));
                 self.set(name, |e| (e.drained, e.ready) = (drained, !drained));
             }
         }
--- a/crates/engine-registry/tests/model.rs
+++ b/crates/engine-registry/tests/model.rs
@@ -224,7 +224,7 @@
             plain.added.retain(|a| *a != description.name);
             plain.added.push(description.name.clone());
         }
-        StateRecord::Roll { .. } => {}
+        StateRecord::RollingRestart { .. } => {}
     }
 }
 
--- a/crates/engine-registry/tests/roll.rs
+++ b/crates/engine-registry/tests/roll.rs
@@ -1,6 +1,8 @@
 //! A roll that goes on in a new process, whose clock has nothing to do with the last one's.
 
-use driftfront_engine_registry::roll::{Act, EngineSnapshot, ObservedState, Roll};
+use driftfront_engine_registry::roll::{
+    EngineSnapshot, ObservedState, RollingRestart, RollingRestartAction,
+};
 
 const SECOND: u64 = 1_000_000;
 const HOUR: u64 = 3_600 * SECOND;
@@ -27,14 +29,14 @@
 }
 
 /// A roll whose engine gets warm, as a process whose clock shows this time wrote it down.
-fn warming(now: u64) -> Roll {
-    let mut roll = Roll::new(now, vec!["a".into()], Some(0.9));
+fn warming(now: u64) -> RollingRestart {
+    let mut roll = RollingRestart::new(now, vec!["a".into()], Some(0.9));
     assert!(roll
         .step(now, &sight(false))
-        .contains(&Act::Drain("a".into())));
+        .contains(&RollingRestartAction::Drain("a".into())));
     roll.step(now, &sight(true));
     roll.handed_back(now);
-    Roll::of_text(&roll.text()).expect("as it was written")
+    RollingRestart::of_text(&roll.text()).expect("as it was written")
 }
 
 #[test]
