--- a/crates/coordinator/src/node/control/operators.rs
+++ b/crates/coordinator/src/node/control/operators.rs
@@ -225,7 +225,7 @@
             Request::Unhold(name) => self.unhold((conn, id), &name),
             Request::Roll(engines, dry) => self.begin_roll(now, conn, id, engines, dry),
             Request::Back => self.with_roll(now, conn, id, "no engine is handed over", |r, _| {
-                r.handed_back(now)
+                r.confirm_engine_returned(now)
             }),
             Request::RollStop => {
                 self.with_roll(now, conn, id, "there is no roll to stop", |r, _| {
@@ -233,7 +233,7 @@
                 });
             }
             Request::RollGoOn => {
-                self.with_roll(now, conn, id, "no roll is stopped", |r, s| r.go_on(now, s))
+                self.with_roll(now, conn, id, "no roll is stopped", |r, s| r.resume(now, s))
             }
         }
     }
--- a/crates/engine-registry/src/roll.rs
+++ b/crates/engine-registry/src/roll.rs
@@ -171,7 +171,7 @@
     }
 
     /// An operator lets it go on.
-    pub fn go_on(&mut self, now: Micros, sight: &ObservedState) -> Vec<RollingRestartAction> {
+    pub fn resume(&mut self, now: Micros, sight: &ObservedState) -> Vec<RollingRestartAction> {
         let mut acts = Vec::new();
         if self.stage != Stage::Stopped {
             return acts;
@@ -191,7 +191,7 @@
     }
 
     /// An operator has the engine back in order.
-    pub fn handed_back(&mut self, now: Micros) -> Vec<RollingRestartAction> {
+    pub fn confirm_engine_returned(&mut self, now: Micros) -> Vec<RollingRestartAction> {
         let mut acts = Vec::new();
         if let (Stage::Handed, Some(engine)) = (self.stage, self.current().map(String::from)) {
             acts.push(RollingRestartAction::Resume(engine.clone()));
@@ -518,7 +518,7 @@
         let acts = roll.step(26 * S, &sight);
         apply(&mut sight, &acts);
         roll.step(27 * S, &sight);
-        let acts = roll.handed_back(28 * S);
+        let acts = roll.confirm_engine_returned(28 * S);
         apply(&mut sight, &acts);
         roll.step(60 * S, &sight);
         assert!(roll.is_over() && roll.through == ["a", "b"]);
@@ -552,7 +552,7 @@
         roll.step(2 * S, &sight);
         assert!(roll.stage == Stage::Stopped && roll.why.contains("80 in 100"));
         assert!(roll.step(9 * S, &sight).is_empty());
-        roll.go_on(10 * S, &sight);
+        roll.resume(10 * S, &sight);
         assert_eq!(roll.stage, Stage::Draining);
         set(&mut sight, "a", |e| (e.drained, e.ready) = (false, true));
         roll.step(11 * S, &sight);
@@ -566,7 +566,7 @@
         let acts = roll.step(101 * S, &sight);
         apply(&mut sight, &acts);
         roll.step(S, &sight);
-        let acts = roll.handed_back(2 * S);
+        let acts = roll.confirm_engine_returned(2 * S);
         apply(&mut sight, &acts);
         assert!(roll.step(S, &sight).is_empty() && roll.stage == Stage::Warming);
         roll.step(30 * S, &sight);
--- a/crates/engine-registry/tests/golden.rs
+++ b/crates/engine-registry/tests/golden.rs
@@ -459,9 +459,9 @@
     s.step(90);
     s.step(91);
     s.step(92);
-    let acts = s.roll.handed_back(93 * SECOND);
+    let acts = s.roll.confirm_engine_returned(93 * SECOND);
     s.note(93 * SECOND, acts);
-    let acts = s.roll.handed_back(94 * SECOND);
+    let acts = s.roll.confirm_engine_returned(94 * SECOND);
     s.note(94 * SECOND, acts);
     s.step(120);
     s.step(121);
@@ -495,11 +495,11 @@
     s.sight.service = Some(0.8);
     s.step(2);
     s.step(3);
-    let acts = s.roll.go_on(4 * SECOND, &s.sight);
+    let acts = s.roll.resume(4 * SECOND, &s.sight);
     s.note(4 * SECOND, acts);
     s.set("a", |e| (e.drained, e.ready) = (false, true));
     s.step(5);
-    let acts = s.roll.go_on(6 * SECOND, &s.sight);
+    let acts = s.roll.resume(6 * SECOND, &s.sight);
     s.note(6 * SECOND, acts);
     s.step(7);
     s.step(8);
--- a/crates/engine-registry/tests/roll.rs
+++ b/crates/engine-registry/tests/roll.rs
@@ -35,7 +35,7 @@
         .step(now, &sight(false))
         .contains(&RollingRestartAction::Drain("a".into())));
     roll.step(now, &sight(true));
-    roll.handed_back(now);
+    roll.confirm_engine_returned(now);
     RollingRestart::of_text(&roll.text()).expect("as it was written")
 }
 
