--- a/crates/console/src/remote.rs
+++ b/crates/console/src/remote.rs
@@ -1,6 +1,6 @@
 //! Speaks to a running program, blocking: for commands and for the console's own thread.
 
-use driftfront_control::{challenge_in, key, Lines, Reply, Request, REPLY_MOST};
+use driftfront_control::{challenge_in, key, Lines, Reply, Request, MAX_REPLY_BYTES};
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::TcpStream;
 use std::os::unix::net::UnixStream;
@@ -83,7 +83,7 @@
         loop {
             if let Some(line) = self
                 .lines
-                .next_line(REPLY_MOST)
+                .next_line(MAX_REPLY_BYTES)
                 .map_err(|_| odd("a line without end"))?
             {
                 return Ok(line);
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -20,9 +20,9 @@
 /// The protocol's version: a client of another one is told so.
 pub const VERSION: u64 = 1;
 /// Longest line that the program reads.
-pub const LINE_MOST: usize = 16 * 1024;
+pub const MAX_REQUEST_BYTES: usize = 16 * 1024;
 /// Longest line that a client reads: a snapshot of thousands of engines.
-pub const REPLY_MOST: usize = 16 * 1024 * 1024;
+pub const MAX_REPLY_BYTES: usize = 16 * 1024 * 1024;
 
 /// What an operator asks for.
 #[derive(Clone, Debug, PartialEq)]
--- a/crates/control/src/management.rs
+++ b/crates/control/src/management.rs
@@ -14,7 +14,7 @@
 use std::fmt;
 
 /// Longest line read, its end not counted: the longest engine name and a word fit many times.
-pub const CALL_MOST: usize = 1024;
+pub const MAX_CALL_BYTES: usize = 1024;
 
 /// A call, read from its line.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -58,7 +58,7 @@
     NoEngine(&'static str),
     /// Something stands behind the call.
     TooMany(&'static str),
-    /// It is longer than [`CALL_MOST`].
+    /// It is longer than [`MAX_CALL_BYTES`].
     TooLong,
     /// It holds bytes that are no plain text.
     NotText,
@@ -77,7 +77,7 @@
             }
             BadCall::NoEngine(word) => write!(f, "{word} needs an engine's id behind it"),
             BadCall::TooMany(word) => write!(f, "{word} has a word too many behind it"),
-            BadCall::TooLong => write!(f, "a line has at most {CALL_MOST} bytes"),
+            BadCall::TooLong => write!(f, "a line has at most {MAX_CALL_BYTES} bytes"),
             BadCall::NotText => f.write_str("the line holds bytes that are no plain text"),
             BadCall::Unfinished => f.write_str("the connection ended before the line did"),
             BadCall::TooSlow => f.write_str("no whole line came in time"),
@@ -106,7 +106,7 @@
             None => (bytes, false),
         };
         // One byte more than a line may have: its end may be CR LF.
-        let room = CALL_MOST + 1 - self.held.len();
+        let room = MAX_CALL_BYTES + 1 - self.held.len();
         self.held.extend_from_slice(&line[..line.len().min(room)]);
         let text = self
             .held
@@ -114,7 +114,7 @@
             .filter(|_| whole)
             .unwrap_or(&self.held);
         let end = match whole {
-            _ if line.len() > room || text.len() > CALL_MOST && whole => Err(BadCall::TooLong),
+            _ if line.len() > room || text.len() > MAX_CALL_BYTES && whole => Err(BadCall::TooLong),
             true => read(text),
             false => return None,
         };
@@ -211,7 +211,7 @@
     #[test]
     fn a_line_without_an_end_is_held_no_longer_than_the_bound() {
         let mut reader = CallReader::default();
-        for _ in 0..CALL_MOST + 1 {
+        for _ in 0..MAX_CALL_BYTES + 1 {
             assert_eq!(reader.push(b"x"), None);
         }
         assert_eq!(reader.push(b"x"), Some(Err(BadCall::TooLong)));
@@ -219,10 +219,10 @@
             (reader.push(b"STATUS\n"), reader.end(BadCall::Unfinished)),
             (None, None)
         );
-        let longest = [b"SUSPEND ".as_slice(), &[b'e'; CALL_MOST - 8], b"\r\n"].concat();
+        let longest = [b"SUSPEND ".as_slice(), &[b'e'; MAX_CALL_BYTES - 8], b"\r\n"].concat();
         assert!(matches!(whole(&longest), Ok(Call::Suspend(_))));
         assert_eq!(
-            whole(&[&[b' '; CALL_MOST + 1][..], b"\n"].concat()),
+            whole(&[&[b' '; MAX_CALL_BYTES + 1][..], b"\n"].concat()),
             Err(BadCall::TooLong)
         );
     }
--- a/crates/control/tests/golden.rs
+++ b/crates/control/tests/golden.rs
@@ -7,7 +7,7 @@
     Class, Consensus, Engine, Held, Member, Query, Roll, Service, Snapshot, Voter,
 };
 use driftfront_control::{challenge_in, commands, greeting, key};
-use driftfront_control::{Bad, Lines, Reply, Request, LINE_MOST, REPLY_MOST, VERSION};
+use driftfront_control::{Bad, Lines, Reply, Request, MAX_REPLY_BYTES, MAX_REQUEST_BYTES, VERSION};
 use driftfront_test_support::{assert_golden, read_golden};
 use std::fmt::Write as _;
 use tinyjson::JsonValue;
@@ -191,7 +191,10 @@
     let read: Vec<_> = golden.lines().map(challenge_in).collect();
     assert_eq!(read, [Some(None), Some(Some("c0ffee".into()))]);
     assert_eq!(challenge_in("hello"), None);
-    assert_eq!((VERSION, LINE_MOST, REPLY_MOST), (1, 16_384, 16_777_216));
+    assert_eq!(
+        (VERSION, MAX_REQUEST_BYTES, MAX_REPLY_BYTES),
+        (1, 16_384, 16_777_216)
+    );
     assert_golden!("key-answer.txt", key::answer(b"a key", "c0ffee"));
     let answer = String::from_utf8(read_golden!("key-answer.txt")).expect("text");
     assert!(key::is_right(b"a key", "c0ffee", &answer));
@@ -514,7 +517,7 @@
     text += &management::reply(&Ok("two\nlines\t\u{7f} here ".into()));
     text += &management::reply(&Err(String::new()));
     assert_golden!("management.txt", text);
-    assert_eq!(management::CALL_MOST, 1024);
+    assert_eq!(management::MAX_CALL_BYTES, 1024);
 }
 
 #[test]
--- a/crates/coordinator/src/node/control/operators.rs
+++ b/crates/coordinator/src/node/control/operators.rs
@@ -2,7 +2,7 @@
 
 use super::{Listener, Operator, Stream, OPERATORS_MOST, READ_AT_ONCE, UNREAD_FOR, UNREAD_MOST};
 use crate::node::{ConnectionId, EventSource, Node};
-use driftfront_control::{greeting, key, Lines, Reply, Request, LINE_MOST};
+use driftfront_control::{greeting, key, Lines, Reply, Request, MAX_REQUEST_BYTES};
 use driftfront_core::{Micros, Phase};
 use driftfront_engine_registry::{Command as Order, EngineDescription};
 use std::io::{ErrorKind, Read};
@@ -129,7 +129,7 @@
             }
             while let Some(operator) = self.control.as_mut().and_then(|c| c.operators.get_mut(&id))
             {
-                match operator.lines.next_line(LINE_MOST) {
+                match operator.lines.next_line(MAX_REQUEST_BYTES) {
                     Ok(Some(line)) => self.operator_line(id, &line),
                     Ok(None) => break,
                     Err(_) => return self.drop_operator(id),
--- a/crates/coordinator/src/node/management.rs
+++ b/crates/coordinator/src/node/management.rs
@@ -8,7 +8,7 @@
 use super::{ConnectionId, EventSource, Node};
 use crate::net::{is_out_of_descriptors, BufferedStream, ReadOutcome};
 use calloop::RegistrationToken;
-use driftfront_control::management::{reply, BadCall, Call, CallReader, CALL_MOST, WORDS};
+use driftfront_control::management::{reply, BadCall, Call, CallReader, MAX_CALL_BYTES, WORDS};
 use driftfront_core::Micros;
 use driftfront_engine_registry::RegistryUpdate;
 use std::collections::BTreeMap;
@@ -159,7 +159,7 @@
             return;
         };
         let mut bytes = Vec::new();
-        let end = caller.link.read(&mut bytes, CALL_MOST * 4);
+        let end = caller.link.read(&mut bytes, MAX_CALL_BYTES * 4);
         let call = caller.reader.push(&bytes);
         let ended = match end {
             Ok(ReadOutcome::Closed) => caller
