--- a/crates/console/src/remote.rs
+++ b/crates/console/src/remote.rs
@@ -1,6 +1,6 @@
 //! Speaks to a running program, blocking: for commands and for the console's own thread.
 
-use driftfront_control::{challenge_in, key, Lines, Reply, Request, MAX_REPLY_BYTES};
+use driftfront_control::{challenge_in, key, LineReader, Reply, Request, MAX_REPLY_BYTES};
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::TcpStream;
 use std::os::unix::net::UnixStream;
@@ -42,7 +42,7 @@
 /// A connection to a program.
 pub struct Remote {
     stream: Box<dyn Stream>,
-    lines: Lines,
+    lines: LineReader,
     last: u64,
 }
 
@@ -59,7 +59,7 @@
         stream.wait(Some(PATIENCE))?;
         let mut remote = Remote {
             stream,
-            lines: Lines::default(),
+            lines: LineReader::default(),
             last: 0,
         };
         let challenge = challenge_in(&remote.line()?).ok_or_else(|| odd("no greeting"))?;
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -91,7 +91,7 @@
 
 /// Why a line was not taken.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Bad {
+pub enum RequestError {
     /// It is no JSON object.
     NotJson,
     /// Its version is another one.
@@ -102,21 +102,21 @@
     Missing(&'static str),
 }
 
-impl std::fmt::Display for Bad {
+impl std::fmt::Display for RequestError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Bad::NotJson => f.write_str("the line is no JSON object"),
-            Bad::Version(v) => write!(
+            RequestError::NotJson => f.write_str("the line is no JSON object"),
+            RequestError::Version(v) => write!(
                 f,
                 "this program speaks version {VERSION} of the protocol, not {v}"
             ),
-            Bad::Unknown(what) => write!(f, "nothing is called {what:?} here"),
-            Bad::Missing(what) => write!(f, "{what} is missing"),
+            RequestError::Unknown(what) => write!(f, "nothing is called {what:?} here"),
+            RequestError::Missing(what) => write!(f, "{what} is missing"),
         }
     }
 }
 
-impl std::error::Error for Bad {}
+impl std::error::Error for RequestError {}
 
 fn object(fields: Vec<(&str, JsonValue)>) -> JsonValue {
     JsonValue::Object(
@@ -225,9 +225,9 @@
     }
 
     /// Reads a line: its id, and what it asks for.
-    pub fn read(line: &str) -> (u64, Result<Request, Bad>) {
+    pub fn read(line: &str) -> (u64, Result<Request, RequestError>) {
         let Ok(JsonValue::Object(fields)) = line.parse::<JsonValue>() else {
-            return (0, Err(Bad::NotJson));
+            return (0, Err(RequestError::NotJson));
         };
         let id = number(&fields, "id").unwrap_or(0.0) as u64;
         (id, read(&fields))
@@ -238,16 +238,16 @@
     fields.get(name)?.get::<f64>().copied()
 }
 
-fn read(fields: &HashMap<String, JsonValue>) -> Result<Request, Bad> {
-    let version = number(fields, "v").ok_or(Bad::Missing("v"))? as u64;
+fn read(fields: &HashMap<String, JsonValue>) -> Result<Request, RequestError> {
+    let version = number(fields, "v").ok_or(RequestError::Missing("v"))? as u64;
     if version != VERSION {
-        return Err(Bad::Version(version));
+        return Err(RequestError::Version(version));
     }
     let text = |name: &'static str| fields.get(name).and_then(|v| v.get::<String>().cloned());
     let need = |name: &'static str| {
         text(name)
             .filter(|t| !t.is_empty())
-            .ok_or(Bad::Missing(name))
+            .ok_or(RequestError::Missing(name))
     };
     let flag = |name: &str| {
         fields
@@ -255,7 +255,7 @@
             .and_then(|v| v.get::<bool>().copied())
             .unwrap_or(false)
     };
-    let word = text("do").ok_or(Bad::Missing("do"))?;
+    let word = text("do").ok_or(RequestError::Missing("do"))?;
     Ok(match word.as_str() {
         "snapshot" => Request::Snapshot,
         "follow" => Request::Follow(
@@ -294,7 +294,7 @@
         }
         "hold" => Request::Hold {
             name: need("name")?,
-            for_s: number(fields, "for_s").ok_or(Bad::Missing("for_s"))? as u64,
+            for_s: number(fields, "for_s").ok_or(RequestError::Missing("for_s"))? as u64,
             stays: flag("stays"),
             note: text("note").unwrap_or_default(),
         },
@@ -303,7 +303,7 @@
         "roll_stop" => Request::RollStop,
         "roll_go_on" => Request::RollGoOn,
         "auth" => Request::Auth(need("answer")?),
-        other => return Err(Bad::Unknown(other.chars().take(40).collect())),
+        other => return Err(RequestError::Unknown(other.chars().take(40).collect())),
     })
 }
 
@@ -358,7 +358,7 @@
 
 /// Takes lines off bytes as they come.
 #[derive(Default)]
-pub struct Lines {
+pub struct LineReader {
     held: Vec<u8>,
 }
 
@@ -366,7 +366,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TooLong;
 
-impl Lines {
+impl LineReader {
     /// Bytes that have come.
     pub fn push(&mut self, bytes: &[u8]) {
         self.held.extend_from_slice(bytes);
@@ -438,18 +438,18 @@
 
     #[test]
     fn what_cannot_be_taken_is_told_with_its_id() {
-        assert_eq!(Request::read("nonsense"), (0, Err(Bad::NotJson)));
+        assert_eq!(Request::read("nonsense"), (0, Err(RequestError::NotJson)));
         assert_eq!(
             Request::read(r#"{"id":3,"v":2,"do":"snapshot"}"#),
-            (3, Err(Bad::Version(2)))
+            (3, Err(RequestError::Version(2)))
         );
         assert_eq!(
             Request::read(r#"{"id":4,"v":1,"do":"drain"}"#),
-            (4, Err(Bad::Missing("engine")))
+            (4, Err(RequestError::Missing("engine")))
         );
         assert_eq!(
             Request::read(r#"{"id":5,"v":1,"do":"dance"}"#),
-            (5, Err(Bad::Unknown("dance".into())))
+            (5, Err(RequestError::Unknown("dance".into())))
         );
     }
 
@@ -462,7 +462,7 @@
         ] {
             assert_eq!(Reply::read(reply.line(9).trim_end()), Some((9, reply)));
         }
-        let mut lines = Lines::default();
+        let mut lines = LineReader::default();
         lines.push(b"one\r\ntwo");
         assert_eq!(lines.next_line(100), Ok(Some("one".into())));
         assert_eq!(lines.next_line(100), Ok(None));
--- a/crates/control/src/management.rs
+++ b/crates/control/src/management.rs
@@ -49,7 +49,7 @@
 
 /// Why a line is no call.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum BadCall {
+pub enum CallError {
     /// It holds nothing.
     Empty,
     /// Its first word is none of [`WORDS`].
@@ -68,24 +68,24 @@
     TooSlow,
 }
 
-impl fmt::Display for BadCall {
+impl fmt::Display for CallError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            BadCall::Empty => write!(f, "an empty line; calls are {}", WORDS.join(", ")),
-            BadCall::Unknown(word) => {
+            CallError::Empty => write!(f, "an empty line; calls are {}", WORDS.join(", ")),
+            CallError::Unknown(word) => {
                 write!(f, "unknown call {word}; calls are {}", WORDS.join(", "))
             }
-            BadCall::NoEngine(word) => write!(f, "{word} needs an engine's id behind it"),
-            BadCall::TooMany(word) => write!(f, "{word} has a word too many behind it"),
-            BadCall::TooLong => write!(f, "a line has at most {MAX_CALL_BYTES} bytes"),
-            BadCall::NotText => f.write_str("the line holds bytes that are no plain text"),
-            BadCall::Unfinished => f.write_str("the connection ended before the line did"),
-            BadCall::TooSlow => f.write_str("no whole line came in time"),
+            CallError::NoEngine(word) => write!(f, "{word} needs an engine's id behind it"),
+            CallError::TooMany(word) => write!(f, "{word} has a word too many behind it"),
+            CallError::TooLong => write!(f, "a line has at most {MAX_CALL_BYTES} bytes"),
+            CallError::NotText => f.write_str("the line holds bytes that are no plain text"),
+            CallError::Unfinished => f.write_str("the connection ended before the line did"),
+            CallError::TooSlow => f.write_str("no whole line came in time"),
         }
     }
 }
 
-impl std::error::Error for BadCall {}
+impl std::error::Error for CallError {}
 
 /// Gathers one connection's bytes until its one line is there.
 #[derive(Debug, Default)]
@@ -97,7 +97,7 @@
 impl CallReader {
     /// Takes bytes; the call, or what is wrong with it, once its line is whole. What follows the line is dropped, as is
     /// all that comes once something was returned.
-    pub fn push(&mut self, bytes: &[u8]) -> Option<Result<Call, BadCall>> {
+    pub fn push(&mut self, bytes: &[u8]) -> Option<Result<Call, CallError>> {
         if self.over {
             return None;
         }
@@ -114,7 +114,9 @@
             .filter(|_| whole)
             .unwrap_or(&self.held);
         let end = match whole {
-            _ if line.len() > room || text.len() > MAX_CALL_BYTES && whole => Err(BadCall::TooLong),
+            _ if line.len() > room || text.len() > MAX_CALL_BYTES && whole => {
+                Err(CallError::TooLong)
+            }
             true => read(text),
             false => return None,
         };
@@ -123,7 +125,7 @@
     }
 
     /// The peer has ended its side, or its time has.
-    pub fn end(&mut self, why: BadCall) -> Option<BadCall> {
+    pub fn end(&mut self, why: CallError) -> Option<CallError> {
         (!std::mem::replace(&mut self.over, true)).then_some(why)
     }
 
@@ -133,21 +135,21 @@
     }
 }
 
-fn read(line: &[u8]) -> Result<Call, BadCall> {
-    let text = std::str::from_utf8(line).map_err(|_| BadCall::NotText)?;
+fn read(line: &[u8]) -> Result<Call, CallError> {
+    let text = std::str::from_utf8(line).map_err(|_| CallError::NotText)?;
     if text.chars().any(char::is_control) {
-        return Err(BadCall::NotText);
+        return Err(CallError::NotText);
     }
     let mut words = text.split(' ').filter(|w| !w.is_empty());
-    let word = words.next().ok_or(BadCall::Empty)?;
+    let word = words.next().ok_or(CallError::Empty)?;
     let place = WORDS.iter().position(|w| *w == word);
-    let place = place.ok_or_else(|| BadCall::Unknown(word.chars().take(40).collect()))?;
+    let place = place.ok_or_else(|| CallError::Unknown(word.chars().take(40).collect()))?;
     let word = WORDS[place];
     let mut engine = || {
         words
             .next()
             .map(String::from)
-            .ok_or(BadCall::NoEngine(word))
+            .ok_or(CallError::NoEngine(word))
     };
     let call = match place {
         0 => Call::Status,
@@ -158,7 +160,7 @@
     };
     match words.next() {
         None => Ok(call),
-        Some(_) => Err(BadCall::TooMany(word)),
+        Some(_) => Err(CallError::TooMany(word)),
     }
 }
 
@@ -180,7 +182,7 @@
     use super::*;
     use quickcheck::{Gen, QuickCheck};
 
-    fn whole(bytes: &[u8]) -> Result<Call, BadCall> {
+    fn whole(bytes: &[u8]) -> Result<Call, CallError> {
         CallReader::default().push(bytes).expect("a whole line")
     }
 
@@ -199,13 +201,13 @@
             (whole(b"PAUSE\n"), whole(b"RESUME\n")),
             (Ok(Call::Pause), Ok(Call::Resume))
         );
-        assert_eq!(whole(b"\r\n"), Err(BadCall::Empty));
-        assert_eq!(whole(b"status\n"), Err(BadCall::Unknown("status".into())));
-        assert_eq!(whole(b"SUSPEND\n"), Err(BadCall::NoEngine("SUSPEND")));
-        assert_eq!(whole(b"PAUSE now\n"), Err(BadCall::TooMany("PAUSE")));
-        assert_eq!(whole(b"RESTORE a b\n"), Err(BadCall::TooMany("RESTORE")));
-        assert_eq!(whole(b"STA\xffTUS\n"), Err(BadCall::NotText));
-        assert_eq!(whole(b"STATUS\tx\n"), Err(BadCall::NotText));
+        assert_eq!(whole(b"\r\n"), Err(CallError::Empty));
+        assert_eq!(whole(b"status\n"), Err(CallError::Unknown("status".into())));
+        assert_eq!(whole(b"SUSPEND\n"), Err(CallError::NoEngine("SUSPEND")));
+        assert_eq!(whole(b"PAUSE now\n"), Err(CallError::TooMany("PAUSE")));
+        assert_eq!(whole(b"RESTORE a b\n"), Err(CallError::TooMany("RESTORE")));
+        assert_eq!(whole(b"STA\xffTUS\n"), Err(CallError::NotText));
+        assert_eq!(whole(b"STATUS\tx\n"), Err(CallError::NotText));
     }
 
     #[test]
@@ -214,16 +216,16 @@
         for _ in 0..MAX_CALL_BYTES + 1 {
             assert_eq!(reader.push(b"x"), None);
         }
-        assert_eq!(reader.push(b"x"), Some(Err(BadCall::TooLong)));
+        assert_eq!(reader.push(b"x"), Some(Err(CallError::TooLong)));
         assert_eq!(
-            (reader.push(b"STATUS\n"), reader.end(BadCall::Unfinished)),
+            (reader.push(b"STATUS\n"), reader.end(CallError::Unfinished)),
             (None, None)
         );
         let longest = [b"SUSPEND ".as_slice(), &[b'e'; MAX_CALL_BYTES - 8], b"\r\n"].concat();
         assert!(matches!(whole(&longest), Ok(Call::Suspend(_))));
         assert_eq!(
             whole(&[&[b' '; MAX_CALL_BYTES + 1][..], b"\n"].concat()),
-            Err(BadCall::TooLong)
+            Err(CallError::TooLong)
         );
     }
 
--- a/crates/control/tests/golden.rs
+++ b/crates/control/tests/golden.rs
@@ -2,12 +2,14 @@
 //!
 //! The members of a JSON object have no order on this wire: lines are compared with their members sorted by name.
 
-use driftfront_control::management::{self, BadCall, CallReader};
+use driftfront_control::management::{self, CallError, CallReader};
 use driftfront_control::snapshot::{
     Class, Consensus, Engine, Held, Member, Query, Roll, Service, Snapshot, Voter,
 };
 use driftfront_control::{challenge_in, commands, greeting, key};
-use driftfront_control::{Bad, Lines, Reply, Request, MAX_REPLY_BYTES, MAX_REQUEST_BYTES, VERSION};
+use driftfront_control::{
+    LineReader, Reply, Request, RequestError, MAX_REPLY_BYTES, MAX_REQUEST_BYTES, VERSION,
+};
 use driftfront_test_support::{assert_golden, read_golden};
 use std::fmt::Write as _;
 use tinyjson::JsonValue;
@@ -173,7 +175,7 @@
         r#"{"id":-8,"v":1.5,"do":"pause"}"#,
     ] {
         let (id, request) = Request::read(line);
-        let answer = request.map_or_else(|bad: Bad| bad.to_string(), |_| "read".into());
+        let answer = request.map_or_else(|bad: RequestError| bad.to_string(), |_| "read".into());
         let _ = writeln!(text, "{line}\n    {id}: {answer}");
     }
     assert_golden!("bad-requests.txt", text);
@@ -471,7 +473,7 @@
 
 #[test]
 fn lines_are_taken_as_before() {
-    let mut lines = Lines::default();
+    let mut lines = LineReader::default();
     lines.push(b"one\r\ntwo\n\xff\nrest");
     for expected in [Some("one"), Some("two"), Some("\u{fffd}"), None] {
         assert_eq!(lines.next_line(4), Ok(expected.map(String::from)));
@@ -510,7 +512,11 @@
         let reply = management::reply(&outcome);
         let _ = write!(text, "{}\n    {reply}", line.escape_ascii());
     }
-    for bad in [BadCall::TooLong, BadCall::Unfinished, BadCall::TooSlow] {
+    for bad in [
+        CallError::TooLong,
+        CallError::Unfinished,
+        CallError::TooSlow,
+    ] {
         let _ = write!(text, "{}", management::reply(&Err(bad.to_string())));
     }
     text += &management::reply(&Ok(String::new()));
--- a/crates/coordinator/src/node/control/mod.rs
+++ b/crates/coordinator/src/node/control/mod.rs
@@ -9,7 +9,7 @@
 use crate::service::ServiceWindow;
 use crate::state;
 use calloop::RegistrationToken;
-use driftfront_control::{Lines, Reply};
+use driftfront_control::{LineReader, Reply};
 use driftfront_core::{EngineId, Micros};
 use driftfront_engine_registry::record::StateRecord;
 use driftfront_engine_registry::roll::RollingRestart;
@@ -62,7 +62,7 @@
 struct Operator {
     stream: Stream,
     token: Option<RegistrationToken>,
-    lines: Lines,
+    lines: LineReader,
     out: Vec<u8>,
     /// Since when something waits for it.
     unread: Option<Micros>,
--- a/crates/coordinator/src/node/control/operators.rs
+++ b/crates/coordinator/src/node/control/operators.rs
@@ -2,7 +2,7 @@
 
 use super::{Listener, Operator, Stream, OPERATORS_MOST, READ_AT_ONCE, UNREAD_FOR, UNREAD_MOST};
 use crate::node::{ConnectionId, EventSource, Node};
-use driftfront_control::{greeting, key, Lines, Reply, Request, MAX_REQUEST_BYTES};
+use driftfront_control::{greeting, key, LineReader, Reply, Request, MAX_REQUEST_BYTES};
 use driftfront_core::{Micros, Phase};
 use driftfront_engine_registry::{Command as Order, EngineDescription};
 use std::io::{ErrorKind, Read};
@@ -54,7 +54,7 @@
             let operator = Operator {
                 stream,
                 token: Some(token),
-                lines: Lines::default(),
+                lines: LineReader::default(),
                 out: greeting(env!("CARGO_PKG_VERSION"), challenge.as_deref()).into_bytes(),
                 unread: None,
                 challenge,
--- a/crates/coordinator/src/node/management.rs
+++ b/crates/coordinator/src/node/management.rs
@@ -8,7 +8,7 @@
 use super::{ConnectionId, EventSource, Node};
 use crate::net::{is_out_of_descriptors, BufferedStream, ReadOutcome};
 use calloop::RegistrationToken;
-use driftfront_control::management::{reply, BadCall, Call, CallReader, MAX_CALL_BYTES, WORDS};
+use driftfront_control::management::{reply, Call, CallError, CallReader, MAX_CALL_BYTES, WORDS};
 use driftfront_core::Micros;
 use driftfront_engine_registry::RegistryUpdate;
 use std::collections::BTreeMap;
@@ -164,7 +164,7 @@
         let ended = match end {
             Ok(ReadOutcome::Closed) => caller
                 .reader
-                .end(BadCall::Unfinished)
+                .end(CallError::Unfinished)
                 .filter(|_| !caller.answered),
             Ok(_) => None,
             Err(_) => return self.drop_caller(id),
@@ -191,7 +191,7 @@
     }
 
     /// Carries a call out; what to say of it.
-    fn call(&mut self, now: Micros, call: Result<Call, BadCall>) -> Result<String, String> {
+    fn call(&mut self, now: Micros, call: Result<Call, CallError>) -> Result<String, String> {
         let call = match call {
             Ok(call) => call,
             Err(bad) => {
@@ -257,7 +257,7 @@
                 .management
                 .callers
                 .get_mut(&id)
-                .and_then(|c| c.reader.end(BadCall::TooSlow));
+                .and_then(|c| c.reader.end(CallError::TooSlow));
             if let Some(bad) = bad {
                 let outcome = self.call(now, Err(bad));
                 self.answer_caller(now, id, &outcome);
