--- a/crates/cluster-harness/src/process.rs
+++ b/crates/cluster-harness/src/process.rs
@@ -1,7 +1,7 @@
 //! A process of the program, and what it says of itself.
 
 use crate::{Log, TEST_TIMEOUT};
-use driftfront_console::remote::{At, Remote};
+use driftfront_console::remote::{Endpoint, Remote};
 use driftfront_control::snapshot::{Member, Snapshot};
 use driftfront_control::{Reply, Request};
 use std::io::{BufRead, BufReader, Read, Write};
@@ -164,7 +164,7 @@
 
     /// All that it tells operators; nothing where it does not answer.
     pub fn snapshot(&self) -> Option<Snapshot> {
-        let at = At::Socket(self.socket.clone());
+        let at = Endpoint::Socket(self.socket.clone());
         match Remote::connect(&at).and_then(|mut r| r.ask(&Request::Snapshot)) {
             Ok(Reply::Snapshot(s)) => Some(*s),
             _ => None,
@@ -190,7 +190,7 @@
 
 /// Has the program that listens here for operators do something; what it says, as done or as refused.
 pub fn ask(socket: &Path, request: &Request) -> Result<String, String> {
-    match Remote::connect(&At::Socket(socket.into())).and_then(|mut r| r.ask(request)) {
+    match Remote::connect(&Endpoint::Socket(socket.into())).and_then(|mut r| r.ask(request)) {
         Ok(Reply::Done(words)) => Ok(words),
         Ok(Reply::Refused(why)) => Err(why),
         Ok(other) => Err(format!("{other:?}")),
--- a/crates/console/src/remote.rs
+++ b/crates/console/src/remote.rs
@@ -9,7 +9,7 @@
 
 /// Where a program listens for operators.
 #[derive(Clone, Debug)]
-pub enum At {
+pub enum Endpoint {
     /// A Unix socket.
     Socket(PathBuf),
     /// A loopback address, and the key.
@@ -51,10 +51,10 @@
 
 impl Remote {
     /// Connects, and proves the key where one is asked for.
-    pub fn connect(at: &At) -> io::Result<Remote> {
+    pub fn connect(at: &Endpoint) -> io::Result<Remote> {
         let (stream, secret): (Box<dyn Stream>, &[u8]) = match at {
-            At::Socket(path) => (Box::new(UnixStream::connect(path)?), &[]),
-            At::Port(addr, key) => (Box::new(TcpStream::connect(addr)?), key),
+            Endpoint::Socket(path) => (Box::new(UnixStream::connect(path)?), &[]),
+            Endpoint::Port(addr, key) => (Box::new(TcpStream::connect(addr)?), key),
         };
         stream.wait(Some(PATIENCE))?;
         let mut remote = Remote {
--- a/crates/console/src/run.rs
+++ b/crates/console/src/run.rs
@@ -1,7 +1,7 @@
 //! The console on a real terminal. A thread reads the program's words, the main one keys; neither holds up the other.
 
 use crate::app::{App, Intent, Key};
-use crate::remote::{At, Remote};
+use crate::remote::{Endpoint, Remote};
 use crate::screen::{draw, Look};
 use driftfront_control::{Reply, Request};
 use ratatui::crossterm::event::{self, Event, KeyCode, KeyEventKind, KeyModifiers};
@@ -30,7 +30,7 @@
 type Writer = Arc<Mutex<Option<Box<dyn Write + Send>>>>;
 
 /// Keeps a connection up, and passes on what it brings.
-fn listen(at: At, heard: Sender<Heard>, writer: Writer) {
+fn listen(at: Endpoint, heard: Sender<Heard>, writer: Writer) {
     loop {
         let lost = follow(&at, &heard, &writer)
             .err()
@@ -45,7 +45,7 @@
     }
 }
 
-fn follow(at: &At, heard: &Sender<Heard>, writer: &Writer) -> io::Result<()> {
+fn follow(at: &Endpoint, heard: &Sender<Heard>, writer: &Writer) -> io::Result<()> {
     let mut remote = Remote::connect(at)?;
     remote.send(&Request::Events(true))?;
     remote.send(&Request::Follow(FOLLOW_MS))?;
@@ -81,7 +81,7 @@
 }
 
 /// Runs until `q`, or until the terminal is gone.
-pub fn run(at: At, color: bool) -> io::Result<()> {
+pub fn run(at: Endpoint, color: bool) -> io::Result<()> {
     let (sender, heard) = channel();
     let writer: Writer = Arc::default();
     let listening = writer.clone();
--- a/crates/coordinator/benches/operators.rs
+++ b/crates/coordinator/benches/operators.rs
@@ -4,7 +4,7 @@
 //! `cargo bench -p driftfront --bench operators` prints a page. Nothing else should run on the machine meanwhile.
 
 use driftfront::service::{RequestOutcome, ServiceWindow};
-use driftfront_console::remote::{At, Remote};
+use driftfront_console::remote::{Endpoint, Remote};
 use driftfront_control::{Reply, Request};
 use driftfront_mock_servers::engine::{Engine, Options};
 use driftfront_mock_servers::ledger::RequestLog;
@@ -60,7 +60,7 @@
             file,
         };
         let begin = Instant::now();
-        while Remote::connect(&At::Socket(program.socket.clone())).is_err() {
+        while Remote::connect(&Endpoint::Socket(program.socket.clone())).is_err() {
             assert!(
                 begin.elapsed() < Duration::from_secs(20),
                 "it never got ready"
@@ -71,7 +71,7 @@
     }
 
     fn remote(&self) -> Remote {
-        Remote::connect(&At::Socket(self.socket.clone())).expect("it answers")
+        Remote::connect(&Endpoint::Socket(self.socket.clone())).expect("it answers")
     }
 
     fn cpu(&self) -> f64 {
--- a/crates/coordinator/src/demo.rs
+++ b/crates/coordinator/src/demo.rs
@@ -3,7 +3,7 @@
 use crate::config::Config;
 use crate::node::Node;
 use calloop::EventLoop;
-use driftfront_console::remote::{At, Remote};
+use driftfront_console::remote::{Endpoint, Remote};
 use driftfront_control::Request;
 use driftfront_mock_servers::engine::{Engine, Options};
 use driftfront_mock_servers::ledger::RequestLog;
@@ -61,7 +61,7 @@
             Node::new(config, &events)?.run(events)
         });
         let begin = Instant::now();
-        while Remote::connect(&At::Socket(socket.clone())).is_err() {
+        while Remote::connect(&Endpoint::Socket(socket.clone())).is_err() {
             if begin.elapsed() > Duration::from_secs(10) {
                 return Err("the demo's coordinator did not start".into());
             }
@@ -78,7 +78,7 @@
     /// Asks it to take an engine out, as an operator would.
     pub fn drain(&self, engine: &str) -> Result<(), String> {
         let mut remote =
-            Remote::connect(&At::Socket(self.socket.clone())).map_err(|e| e.to_string())?;
+            Remote::connect(&Endpoint::Socket(self.socket.clone())).map_err(|e| e.to_string())?;
         let drain = Request::Drain {
             engine: engine.into(),
             force: false,
--- a/crates/coordinator/src/main.rs
+++ b/crates/coordinator/src/main.rs
@@ -116,7 +116,7 @@
             let plain = args.contains("--plain");
             no_more(args)?;
             let demo = driftfront::demo::Demo::start()?;
-            let at = driftfront_console::remote::At::Socket(demo.socket.clone());
+            let at = driftfront_console::remote::Endpoint::Socket(demo.socket.clone());
             println!(
                 "a coordinator takes queries at {}, operators at {}",
                 demo.listen,
--- a/crates/coordinator/src/remote.rs
+++ b/crates/coordinator/src/remote.rs
@@ -1,7 +1,7 @@
 //! Commands that speak to a running program.
 
 use crate::{no_more, Failure};
-use driftfront_console::remote::{At, Remote};
+use driftfront_console::remote::{Endpoint, Remote};
 use driftfront_console::{messages, run as console};
 use driftfront_control::snapshot::Snapshot;
 use driftfront_control::{Field, Reply, Request};
@@ -10,22 +10,22 @@
 type Args = pico_args::Arguments;
 
 /// Where the program is: a socket's path, or a loopback address with a key.
-fn at(args: &mut Args) -> Result<At, Failure> {
+fn at(args: &mut Args) -> Result<Endpoint, Failure> {
     let told: Option<String> = args.opt_value_from_str("--at")?;
     let key: Option<std::path::PathBuf> = args.opt_value_from_str("--key-file")?;
     let told = told.or_else(|| std::env::var("DRIFTFRONT_CONTROL").ok());
     let told = told.unwrap_or("/tmp/driftfront.sock".into());
     if told.parse::<std::net::SocketAddr>().is_err() {
-        return Ok(At::Socket(told.into()));
+        return Ok(Endpoint::Socket(told.into()));
     }
     let file = key.ok_or(Failure::Usage(format!(
         "--at {told}: a port wants --key-file"
     )))?;
     let key = std::fs::read_to_string(&file).map_err(|e| format!("{}: {e}", file.display()))?;
-    Ok(At::Port(told, key.trim().as_bytes().to_vec()))
+    Ok(Endpoint::Port(told, key.trim().as_bytes().to_vec()))
 }
 
-fn connect(at: &At) -> Result<Remote, Failure> {
+fn connect(at: &Endpoint) -> Result<Remote, Failure> {
     Remote::connect(at).map_err(|e| match e.kind() {
         ErrorKind::NotFound | ErrorKind::ConnectionRefused => {
             Failure::Nobody(format!("no program answers at {}: {e}", place(at)))
@@ -34,10 +34,10 @@
     })
 }
 
-fn place(at: &At) -> String {
+fn place(at: &Endpoint) -> String {
     match at {
-        At::Socket(path) => path.display().to_string(),
-        At::Port(addr, _) => addr.clone(),
+        Endpoint::Socket(path) => path.display().to_string(),
+        Endpoint::Port(addr, _) => addr.clone(),
     }
 }
 
@@ -107,7 +107,7 @@
 }
 
 /// Says how things stand, once some requests have come.
-pub fn status(at: &At) -> Result<(), Failure> {
+pub fn status(at: &Endpoint) -> Result<(), Failure> {
     let mut remote = connect(at)?;
     let mut s = snapshot(&mut remote)?;
     while s.classes.iter().map(|c| c.minute.asked).sum::<u64>() < 10 {
--- a/crates/coordinator/tests/operators.rs
+++ b/crates/coordinator/tests/operators.rs
@@ -4,7 +4,7 @@
 
 use common::site::{Plan, Site};
 use common::{file, instance, post, read_answer, Coordinator};
-use driftfront_console::remote::{At, Remote};
+use driftfront_console::remote::{Endpoint, Remote};
 use driftfront_control::snapshot::Snapshot;
 use driftfront_control::{Reply, Request};
 use driftfront_mock_servers::engine::{Engine, Options};
@@ -54,7 +54,7 @@
     fn remote(&self) -> Remote {
         let begin = Instant::now();
         loop {
-            match Remote::connect(&At::Socket(self.socket.clone())) {
+            match Remote::connect(&Endpoint::Socket(self.socket.clone())) {
                 Ok(remote) => return remote,
                 Err(e) => assert!(begin.elapsed() < common::TEST_TIMEOUT, "{e}"),
             }
@@ -508,7 +508,8 @@
         );
     let coordinator = Coordinator::start(&config);
     coordinator.wait_until_ready();
-    let with = |key: &str| Remote::connect(&At::Port(port.to_string(), key.as_bytes().to_vec()));
+    let with =
+        |key: &str| Remote::connect(&Endpoint::Port(port.to_string(), key.as_bytes().to_vec()));
     assert!(with("another key altogether").is_err());
     let mut remote = with("a key of some length").expect("the right key");
     assert!(
