--- a/crates/engine-registry/tests/golden.rs
+++ b/crates/engine-registry/tests/golden.rs
@@ -80,7 +80,7 @@
         Stage::Handed,
         Stage::Warming,
         Stage::Stopped,
-        Stage::RegistryUpdate,
+        Stage::Done,
     ] {
         all.push(StateRecord::RollingRestart {
             roll: Some(roll(stage)),
