--- a/crates/cluster-harness/tests/golden.rs
+++ b/crates/cluster-harness/tests/golden.rs
@@ -9,7 +9,7 @@
 use std::process::Command;
 
 fn program() -> &'static Path {
-    Path::new(env!("CARGO_BIN_EXE_driftfront-rig"))
+    Path::new(env!("CARGO_BIN_EXE_driftfront-cluster-harness"))
 }
 
 #[test]
--- a/crates/coordinator/src/config.rs
+++ b/crates/coordinator/src/config.rs
@@ -307,7 +307,7 @@
             name: root.get("name").text().unwrap_or("driftfront").into(),
             listen,
             seed: u64::from_str_radix(seed, 16)
-                .unwrap_or_else(|_| crate::net::hash(seed.as_bytes())),
+                .unwrap_or_else(|_| crate::net::fnv1a_64(seed.as_bytes())),
             sockets,
             protocol,
             clickhouse: ClassRules {
--- a/crates/coordinator/src/discovery/backoff.rs
+++ b/crates/coordinator/src/discovery/backoff.rs
@@ -1,6 +1,6 @@
 //! When a source of engine lists that broke off is called again. No I/O; the time is an argument.
 
-use crate::net::hash;
+use crate::net::fnv1a_64;
 use driftfront_core::Micros;
 
 /// Wait before a new connection, doubled with each failure: 2 s after a break all counts as told.
@@ -59,7 +59,7 @@
         } else {
             (wait / 2, wait)
         };
-        let draw = hash(&[self.seed.to_be_bytes(), self.calls.to_be_bytes()].concat());
+        let draw = fnv1a_64(&[self.seed.to_be_bytes(), self.calls.to_be_bytes()].concat());
         now + least + draw % (most - least + 1)
     }
 }
--- a/crates/coordinator/src/frontends/clickhouse.rs
+++ b/crates/coordinator/src/frontends/clickhouse.rs
@@ -2,7 +2,7 @@
 
 use super::{ConnectionAction, Frontend, Intake, KillRequest, QueryClasses, ResponseWriter};
 use crate::backends::clickhouse::{FRAMES, HEADERS, TARGET};
-use crate::net::hash;
+use crate::net::fnv1a_64;
 use driftfront_clickhouse::exception::{marker, Exception, NETWORK_ERROR, TOO_MANY_QUERIES};
 use driftfront_clickhouse::keep::{Keep, SMALL};
 use driftfront_clickhouse::request::{self, Asked, Query};
@@ -134,13 +134,13 @@
             return Ok(self.kill(&query, names, &behind, class, writer));
         }
         let key = match &query.key {
-            Some(key) => Some(hash(key.as_bytes())),
+            Some(key) => Some(fnv1a_64(key.as_bytes())),
             // Batches into one table stay in order.
             None => query
                 .shape
                 .writes
                 .as_ref()
-                .map(|table| hash(table.as_bytes())),
+                .map(|table| fnv1a_64(table.as_bytes())),
         };
         let most = self.patience(class);
         let budget = query.wanted_within.map_or(most, |told| told.min(most));
@@ -216,7 +216,7 @@
                 call: format!(
                     "kill-{seed:016x}-{}-{:08x}",
                     engine.0,
-                    hash(name.as_bytes()) as u32
+                    fnv1a_64(name.as_bytes()) as u32
                 )
                 .into(),
                 class,
--- a/crates/coordinator/src/handover.rs
+++ b/crates/coordinator/src/handover.rs
@@ -62,7 +62,7 @@
             .collect();
         let folder = tmp.join(format!(
             "driftfront-{plain}-{:016x}",
-            crate::net::hash(name.as_bytes())
+            crate::net::fnv1a_64(name.as_bytes())
         ));
         std::fs::create_dir_all(&folder)?;
         let last = numbers(&folder)?
--- a/crates/coordinator/src/net/mod.rs
+++ b/crates/coordinator/src/net/mod.rs
@@ -4,5 +4,5 @@
 mod link;
 pub mod silence;
 
-pub use driftfront_engine_registry::hash;
+pub use driftfront_engine_registry::fnv1a_64;
 pub use link::{connect, is_out_of_descriptors, BufferedStream, ReadOutcome};
--- a/crates/coordinator/src/node/cluster.rs
+++ b/crates/coordinator/src/node/cluster.rs
@@ -102,7 +102,8 @@
         let socket = Rc::new(socket);
         let clock = self.clock();
         let drawn = self.config.seed ^ clock.rotate_left(32) ^ u64::from(std::process::id());
-        let session = Identity::session_at(clock, crate::net::hash(&drawn.to_le_bytes()) as u32);
+        let session =
+            Identity::session_at(clock, crate::net::fnv1a_64(&drawn.to_le_bytes()) as u32);
         let me = Identity {
             name: self.config.name.clone(),
             addr: advertise.unwrap_or(here),
@@ -121,7 +122,7 @@
             about: about.clone(),
             keys,
             seeds,
-            seed: crate::net::hash(&session.to_le_bytes()),
+            seed: crate::net::fnv1a_64(&session.to_le_bytes()),
             agreed: None,
         };
         let unit = Cluster::new(clock, options);
--- a/crates/coordinator/src/node/control/mod.rs
+++ b/crates/coordinator/src/node/control/mod.rs
@@ -12,7 +12,7 @@
 use driftfront_control::{LineReader, Reply};
 use driftfront_core::{EngineId, Micros};
 use driftfront_engine_registry::record::StateRecord;
-use driftfront_engine_registry::roll::RollingRestart;
+use driftfront_engine_registry::rolling_restart::RollingRestart;
 use std::collections::{BTreeMap, VecDeque};
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -197,7 +197,7 @@
                 .flatten()
                 .map(|roll: RollingRestart| roll.restarted(now));
             control.state = Some(state);
-            let change = self.roster.restore(records);
+            let change = self.roster.restore_records(records);
             self.control = Some(control);
             self.apply_registry_change(now, &change);
         } else {
--- a/crates/coordinator/src/node/control/orders.rs
+++ b/crates/coordinator/src/node/control/orders.rs
@@ -5,7 +5,9 @@
 use driftfront_control::Reply;
 use driftfront_core::Micros;
 use driftfront_engine_registry::record::StateRecord;
-use driftfront_engine_registry::roll::{ObservedState, RollingRestart, RollingRestartAction};
+use driftfront_engine_registry::rolling_restart::{
+    ObservedState, RollingRestart, RollingRestartAction,
+};
 use driftfront_engine_registry::Command as Order;
 
 impl Node {
@@ -18,7 +20,7 @@
         command: Order,
         words: String,
     ) {
-        let (change, records) = match self.roster.command(now, "operator", command) {
+        let (change, records) = match self.roster.execute_command(now, "operator", command) {
             Ok(done) => done,
             Err(refusal) => {
                 return self.tell_operator(conn, &Reply::Refused(refusal.to_string()).line(id))
@@ -59,7 +61,7 @@
         let number = state.append(records);
         // What a successor writes must not be left in a file that is no longer the folder's.
         if state.wants_compaction() && !self.lifecycle.is_succeeded() {
-            let mut records = self.roster.records();
+            let mut records = self.roster.compacted_records();
             records.push(StateRecord::RollingRestart {
                 roll: control.roll.clone(),
             });
@@ -133,7 +135,7 @@
                 }
                 self.event(
                     now,
-                    format!("A roll over {} engines begins", roll.left.len()),
+                    format!("A roll over {} engines begins", roll.remaining.len()),
                 );
                 let _ =
                     self.write_down(now, vec![StateRecord::RollingRestart { roll: Some(roll) }]);
@@ -164,7 +166,7 @@
                 self.control
                     .as_ref()
                     .and_then(|c| c.roll.as_ref())
-                    .map_or(String::new(), |r| r.why.clone()),
+                    .map_or(String::new(), |r| r.status.to_string()),
             ),
         };
         self.carry_out_roll(now, acts);
@@ -177,8 +179,8 @@
         }
         for act in acts {
             match act {
-                RollingRestartAction::Say(words) => self.event(now, words),
-                RollingRestartAction::Write => {
+                RollingRestartAction::Announce(words) => self.event(now, words),
+                RollingRestartAction::Persist => {
                     let roll = self
                         .control
                         .as_ref()
@@ -201,7 +203,7 @@
     }
 
     fn order_of_roll(&mut self, now: Micros, command: Order) {
-        match self.roster.command(now, "the roll", command) {
+        match self.roster.execute_command(now, "the roll", command) {
             Ok((change, records)) => {
                 self.apply_registry_change(now, &change);
                 self.publish_handover();
--- a/crates/coordinator/src/node/control/views.rs
+++ b/crates/coordinator/src/node/control/views.rs
@@ -7,7 +7,7 @@
 use driftfront_control::Field;
 use driftfront_core::lifecycle::State;
 use driftfront_core::{EngineId, Micros, Phase};
-use driftfront_engine_registry::roll::{EngineSnapshot, ObservedState};
+use driftfront_engine_registry::rolling_restart::{EngineSnapshot, ObservedState};
 use driftfront_engine_registry::{phase_name, Order as Ordered};
 use std::collections::BTreeMap;
 
@@ -58,7 +58,7 @@
         let whole: f64 = seen
             .iter()
             .filter(|e| e.phase != Phase::Gone)
-            .map(|e| cores(e.place.1))
+            .map(|e| cores(e.kind))
             .sum();
         let mut busy = 0.0;
         for (class, ..) in self.core.attempts_in_flight() {
@@ -74,17 +74,17 @@
             let up = self.engines.values().any(|c| c.is_up_on(e.id));
             EngineSnapshot {
                 name: e.name.clone(),
-                ready: e.phase == Phase::Ready,
-                drained: e
+                is_ready: e.phase == Phase::Ready,
+                is_drained: e
                     .active_order
                     .as_ref()
                     .is_some_and(|s| s.order == Ordered::Drain),
-                running: there.out as usize,
-                loads: there.once as usize,
+                running_queries: there.out as usize,
+                running_imports: there.once as usize,
                 started_at: e.started_at,
-                reachable: up || e.phase == Phase::Draining,
-                zone: e.place.0,
-                part: cores(e.place.1) / whole.max(1.0),
+                is_reachable: up || e.phase == Phase::Draining,
+                zone: e.zone,
+                capacity_share: cores(e.kind) / whole.max(1.0),
             }
         });
         let engines = engines.collect();
@@ -104,7 +104,7 @@
         }
         ObservedState {
             engines,
-            service: (asked > 0.0).then(|| got / asked),
+            service_level: (asked > 0.0).then(|| got / asked),
             load: busy / whole.max(1.0),
         }
     }
@@ -182,8 +182,8 @@
             Engine {
                 name: e.name,
                 addr: e.addr.to_string(),
-                zone: name(&self.config.zones, e.place.0),
-                kind: name(&self.config.kinds, e.place.1),
+                zone: name(&self.config.zones, e.zone),
+                kind: name(&self.config.kinds, e.kind),
                 phase: phase_name(e.phase).into(),
                 listed: e.listed.map(|p| phase_name(p).into()),
                 added: e.added,
@@ -256,11 +256,11 @@
         let classes = classes.collect();
         let control = self.control.as_ref();
         let roll = control.and_then(|c| c.roll.as_ref()).map(|r| RollView {
-            stage: r.stage.word().into(),
+            stage: r.stage.name().into(),
             engine: r.current().unwrap_or_default().into(),
-            left: r.left.clone(),
-            through: r.through.clone(),
-            why: r.why.clone(),
+            left: r.remaining.clone(),
+            through: r.completed.clone(),
+            why: r.status.to_string(),
         });
         let kept = control.is_some_and(|c| c.state.is_some());
         let (source, age) = self.feed.about(now);
--- a/crates/coordinator/src/node/discovery_client.rs
+++ b/crates/coordinator/src/node/discovery_client.rs
@@ -247,7 +247,7 @@
                     .for_each(|why| tracing::warn!("engine list: {why}"));
                 self.feed.told = now;
                 self.fleet_listed(&told);
-                let change = self.roster.source(told.kind, told.descriptions);
+                let change = self.roster.apply_listing(told.kind, told.descriptions);
                 self.apply_registry_change(now, &change);
             }
             Err(e) => tracing::warn!("engine list: {e}"),
--- a/crates/coordinator/src/node/engines/closing.rs
+++ b/crates/coordinator/src/node/engines/closing.rs
@@ -84,7 +84,7 @@
     /// The engine is gone from the list: what is out on it may still end.
     pub(in crate::node) fn forget_engine(&mut self, now: Micros, engine: EngineId) {
         self.retire_connections(engine);
-        self.roster.forget(engine);
+        self.roster.forget_engine(engine);
         self.forget_engine_window(engine);
         self.checks.remove(&engine);
         self.sweep_engines(now);
--- a/crates/coordinator/src/node/management.rs
+++ b/crates/coordinator/src/node/management.rs
@@ -210,7 +210,7 @@
             Call::Suspend(engine) => {
                 let done = self
                     .roster
-                    .suspend(now, by, &engine)
+                    .suspend_engine(now, by, &engine)
                     .map_err(|e| e.to_string());
                 let words = format!("{engine} is drained: nothing new goes there");
                 done.map(|done| self.ordered(now, done, words))
--- a/crates/coordinator/src/node/mod.rs
+++ b/crates/coordinator/src/node/mod.rs
@@ -528,14 +528,14 @@
                     told.rejected_entries
                         .iter()
                         .for_each(|why| tracing::warn!("known engines: {why}"));
-                    self.roster.source(told.kind, told.descriptions);
+                    self.roster.apply_listing(told.kind, told.descriptions);
                 }
                 Err(e) => tracing::warn!("known engines: {e}"),
             }
         }
-        let lines = self.roster.lines();
-        for engine in self.roster.gone() {
-            self.roster.forget(engine);
+        let lines = self.roster.announced_lines();
+        for engine in self.roster.departed_engines() {
+            self.roster.forget_engine(engine);
         }
         let now = self.clock();
         self.core.update_engines(now, ListKind::Cached, &lines);
@@ -559,7 +559,7 @@
             }
         }
         self.core.update_engines(now, change.kind, &change.lines);
-        for words in &change.words {
+        for words in &change.messages {
             self.event(now, words.clone());
         }
         self.update_lifecycle(now);
--- a/crates/coordinator/src/node/upgrade.rs
+++ b/crates/coordinator/src/node/upgrade.rs
@@ -64,7 +64,7 @@
             .iter()
             .for_each(|why| tracing::error!("handover: {why}"));
         for (number, word) in news.words {
-            let (change, records) = self.roster.merge(&word);
+            let (change, records) = self.roster.merge_handover(&word);
             if !records.is_empty() {
                 self.merged += records.len() as u64;
                 tracing::info!(
@@ -102,7 +102,7 @@
     pub(super) fn publish_handover(&mut self) {
         let ready = self.lifecycle.has_begun();
         let Some(post) = &mut self.post else { return };
-        if let Err(e) = post.tell(self.roster.word(ready)) {
+        if let Err(e) = post.tell(self.roster.handover_state(ready)) {
             tracing::error!("handover: orders can't be told to other processes: {e}");
         }
     }
--- a/crates/coordinator/src/operator_config.rs
+++ b/crates/coordinator/src/operator_config.rs
@@ -184,7 +184,7 @@
 }
 
 fn near<'a>(name: &str, known: impl Iterator<Item = &'a str>) -> Option<&'a str> {
-    let far = |k: &&str| driftfront_engine_registry::distance(k, name);
+    let far = |k: &&str| driftfront_engine_registry::edit_distance(k, name);
     known.min_by_key(far).filter(|k| far(k) <= 2)
 }
 
--- a/crates/coordinator/src/state.rs
+++ b/crates/coordinator/src/state.rs
@@ -39,18 +39,18 @@
         .map_err(|e| say("can't be read", e))?;
     let read = record::read(&bytes).map_err(|e| format!("{}: {e}", path.display()))?;
     let mut told = Vec::new();
-    if let Some(why) = &read.spoilt {
-        let cut = bytes.len() - read.well;
+    if let Some(why) = &read.damage {
+        let cut = bytes.len() - read.valid_bytes;
         told.push(format!(
             "{}: {why}; {cut} bytes behind the last whole record are cut",
             path.display()
         ));
     }
-    file.set_len(read.well as u64)
+    file.set_len(read.valid_bytes as u64)
         .map_err(|e| say("can't be cut", e))?;
     file.seek(SeekFrom::End(0))
         .map_err(|e| say("can't be written", e))?;
-    if read.well == 0 {
+    if read.valid_bytes == 0 {
         file.write_all(HEADER)
             .and_then(|()| file.sync_all())
             .map_err(|e| say("can't be written", e))?;
@@ -67,7 +67,7 @@
         State {
             disk,
             last: ANEW,
-            size: read.well.max(HEADER.len()),
+            size: read.valid_bytes.max(HEADER.len()),
         },
         read.records,
         told,
@@ -167,7 +167,7 @@
             let known = record::read(&whole[..cut]).expect("ours");
             assert_eq!(
                 (&records, words.is_empty()),
-                (&known.records, known.spoilt.is_none()),
+                (&known.records, known.damage.is_none()),
                 "cut at {cut}"
             );
             let number = state.append(vec![order(9)]).expect("room");
--- a/crates/coordinator/tests/clocks/spans.rs
+++ b/crates/coordinator/tests/clocks/spans.rs
@@ -10,7 +10,7 @@
 
 fn send(site: &Site, class: &str, patience_ms: u32, statement: &str) -> TcpStream {
     let mut stream = TcpStream::connect(site.coordinator.addr).expect("the coordinator listens");
-    let id = driftfront::net::hash(statement.as_bytes());
+    let id = driftfront::net::fnv1a_64(statement.as_bytes());
     let length = statement.len();
     write!(
         stream,
--- a/crates/coordinator/tests/common/lines.rs
+++ b/crates/coordinator/tests/common/lines.rs
@@ -255,7 +255,7 @@
     }
 
     pub fn ask(&self, class: &str, patience: u32, statement: &str) -> Answer {
-        let id = driftfront::net::hash(statement.as_bytes());
+        let id = driftfront::net::fnv1a_64(statement.as_bytes());
         let headers = format!(
             "X-Call-Id: {id:016x}\r\nX-Patience-Ms: {patience}\r\nX-Entity: 000000000000000a\r\n"
         );
--- a/crates/coordinator/tests/golden_operators/files.rs
+++ b/crates/coordinator/tests/golden_operators/files.rs
@@ -5,7 +5,7 @@
 use driftfront::handover::Post;
 use driftfront_engine_registry::handover::Word;
 use driftfront_engine_registry::record::Record;
-use driftfront_engine_registry::roll::Roll;
+use driftfront_engine_registry::rolling_restart::Roll;
 use driftfront_engine_registry::{Fact, MemberStatus, Order};
 use driftfront_scheduler::interface::Phase;
 use driftfront_test_support::{assert_golden, read_golden};
--- a/crates/coordinator/tests/wires.rs
+++ b/crates/coordinator/tests/wires.rs
@@ -455,7 +455,7 @@
 fn take(roster: &mut EngineRegistry, update: &JsonValue) -> RegistryChange {
     let names = (["a".to_string(), "b".to_string()], ["std-8".to_string()]);
     let told = read(&names.0, &names.1, Json(Some(update))).expect("an update");
-    roster.source(told.kind, told.descriptions)
+    roster.apply_listing(told.kind, told.descriptions)
 }
 
 #[test]
@@ -499,7 +499,7 @@
         (again.restarted.len(), again.lines[0].started_at),
         (1, Some(5000))
     );
-    table.forget(new.lines[0].engine);
+    table.forget_engine(new.lines[0].engine);
     assert!(table.addr(new.lines[0].engine).is_none() && table.addr(new.lines[1].engine).is_some());
 }
 
--- a/crates/engine-registry/src/lib.rs
+++ b/crates/engine-registry/src/lib.rs
@@ -14,7 +14,7 @@
 
 pub mod handover;
 pub mod record;
-pub mod roll;
+pub mod rolling_restart;
 
 use driftfront_scheduler::interface::{EngineId, ListKind, ListedEngine, Phase};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -165,7 +165,7 @@
     /// Engines whose process or address is another than before: old connections lead elsewhere.
     pub restarted: Vec<EngineId>,
     /// What changed, in words.
-    pub words: Vec<String>,
+    pub messages: Vec<String>,
 }
 
 /// What a command has changed, and what is to be written down of it.
@@ -180,8 +180,12 @@
     pub name: String,
     /// Where it listens.
     pub addr: SocketAddr,
-    /// Its zone, kind and cell.
-    pub place: (u16, u16, u16),
+    /// Its zone, by index in the settings.
+    pub zone: u16,
+    /// Its machine kind, by index in the settings.
+    pub kind: u16,
+    /// Its cell.
+    pub cell: u16,
     /// When it last started, if lately.
     pub started_at: Option<Micros>,
     /// The phase that counts.
@@ -264,7 +268,9 @@
                 id: e.id,
                 name: name.clone(),
                 addr: e.addr,
-                place: (description.zone, description.kind, description.cell),
+                zone: description.zone,
+                kind: description.kind,
+                cell: description.cell,
                 started_at: description.started_at,
                 phase: self.phase(name, e),
                 listed: e.source.as_ref().map(|s| s.phase),
@@ -293,7 +299,7 @@
     }
 
     /// A source has said something: its whole list, or changes to it.
-    pub fn source(
+    pub fn apply_listing(
         &mut self,
         kind: ListKind,
         descriptions: Vec<EngineDescription>,
@@ -302,7 +308,7 @@
             kind,
             lines: Vec::new(),
             restarted: Vec::new(),
-            words: Vec::new(),
+            messages: Vec::new(),
         };
         let mut named = BTreeSet::new();
         for description in descriptions {
@@ -311,7 +317,7 @@
                 Ok(()) => drop(named.insert(name)),
                 Err(why) => {
                     self.left_out += 1;
-                    change.words.push(why.to_string());
+                    change.messages.push(why.to_string());
                 }
             }
         }
@@ -396,7 +402,7 @@
 
     /// The same engine has the same number at every coordinator and in every life.
     fn new_id(&self, name: &str) -> EngineId {
-        let mut id = EngineId(hash(name.as_bytes()) & 0xffff_ffff_ffff);
+        let mut id = EngineId(fnv1a_64(name.as_bytes()) & 0xffff_ffff_ffff);
         while self.names.contains_key(&id) {
             id = EngineId((id.0 + 1) & 0xffff_ffff_ffff);
         }
@@ -446,7 +452,7 @@
             if !same {
                 let was = last.map_or("new", |told| phase_name(told.phase));
                 change
-                    .words
+                    .messages
                     .push(format!("{name}: {was} -> {}", phase_name(phase)));
             }
             entry.told = Some(line);
@@ -471,7 +477,7 @@
     }
 
     /// All lines as the module was last told, but for engines that are gone.
-    pub fn lines(&self) -> Vec<ListedEngine> {
+    pub fn announced_lines(&self) -> Vec<ListedEngine> {
         self.entries
             .values()
             .filter_map(|e| e.told)
@@ -480,7 +486,7 @@
     }
 
     /// Engines that the module was told are gone.
-    pub fn gone(&self) -> Vec<EngineId> {
+    pub fn departed_engines(&self) -> Vec<EngineId> {
         let gone = self
             .entries
             .values()
@@ -489,7 +495,7 @@
     }
 
     /// Nothing of a gone engine is out any more: it is forgotten, but for orders about it.
-    pub fn forget(&mut self, engine: EngineId) {
+    pub fn forget_engine(&mut self, engine: EngineId) {
         let Some(name) = self.names.get(&engine).cloned() else {
             return;
         };
@@ -511,7 +517,7 @@
     }
 
     /// Carries out an operator's command; what is to be written down, so that it outlives a restart.
-    pub fn command(
+    pub fn execute_command(
         &mut self,
         now: Micros,
         by: &str,
@@ -522,7 +528,7 @@
             kind: ListKind::Changes,
             lines: Vec::new(),
             restarted: Vec::new(),
-            words: Vec::new(),
+            messages: Vec::new(),
         };
         let mut records = Vec::new();
         match command {
@@ -631,7 +637,7 @@
     }
 
     /// Nothing more to an engine, be it the last one, gone or not reachable; `None` if that stood already.
-    pub fn suspend(
+    pub fn suspend_engine(
         &mut self,
         now: Micros,
         by: &str,
@@ -640,7 +646,7 @@
         if self.orders.contains_key(engine) {
             return Ok(None);
         }
-        self.command(
+        self.execute_command(
             now,
             by,
             Command::Drain {
@@ -661,7 +667,7 @@
         if !self.orders.contains_key(engine) {
             return self.must_know(engine).map(|_| None);
         }
-        self.command(
+        self.execute_command(
             now,
             by,
             Command::Resume {
@@ -672,7 +678,7 @@
     }
 
     /// What another process of this coordinator has to know of orders.
-    pub fn word(&self, ready: bool) -> handover::HandoverState {
+    pub fn handover_state(&self, ready: bool) -> handover::HandoverState {
         let names = self.ever_order.iter().cloned().collect();
         handover::HandoverState {
             ready,
@@ -684,13 +690,13 @@
 
     /// Takes over what another process of this coordinator says: the later word about an engine holds, and of two at
     /// once the one that takes it out. What has changed, and what is to be written down of it.
-    pub fn merge(&mut self, word: &handover::HandoverState) -> RegistryUpdate {
+    pub fn merge_handover(&mut self, word: &handover::HandoverState) -> RegistryUpdate {
         use record::StateRecord;
         let mut change = RegistryChange {
             kind: ListKind::Changes,
             lines: Vec::new(),
             restarted: Vec::new(),
-            words: Vec::new(),
+            messages: Vec::new(),
         };
         let mut records = Vec::new();
         word.names.iter().for_each(|name| self.remember(name));
@@ -752,9 +758,9 @@
                 let near = self
                     .entries
                     .keys()
-                    .min_by_key(|name| distance(name, engine))
+                    .min_by_key(|name| edit_distance(name, engine))
                     .cloned();
-                let near = near.filter(|name| distance(name, engine) <= 2);
+                let near = near.filter(|name| edit_distance(name, engine) <= 2);
                 Err(Refusal::Unknown(engine.into(), near))
             }
         }
@@ -767,7 +773,7 @@
     }
 
     /// Takes over what was written down in an earlier life, before any source has spoken.
-    pub fn restore(
+    pub fn restore_records(
         &mut self,
         records: impl IntoIterator<Item = record::StateRecord>,
     ) -> RegistryChange {
@@ -775,7 +781,7 @@
             kind: ListKind::Changes,
             lines: Vec::new(),
             restarted: Vec::new(),
-            words: Vec::new(),
+            messages: Vec::new(),
         };
         for record in records {
             match record {
@@ -795,7 +801,7 @@
                 record::StateRecord::Lifted { engine } => drop(self.orders.remove(&engine)),
                 record::StateRecord::Added { description } => {
                     if let Err(why) = self.take(description, true, &mut change) {
-                        change.words.push(why.to_string());
+                        change.messages.push(why.to_string());
                     }
                 }
                 record::StateRecord::RollingRestart { .. } => {}
@@ -819,7 +825,7 @@
     }
 
     /// The fewest records that say the same, for a compacted file.
-    pub fn records(&self) -> Vec<record::StateRecord> {
+    pub fn compacted_records(&self) -> Vec<record::StateRecord> {
         use record::StateRecord;
         let added = self
             .entries
@@ -860,14 +866,14 @@
 }
 
 /// A name's number (FNV-1a): the same at every coordinator and in every life.
-pub fn hash(name: &[u8]) -> u64 {
+pub fn fnv1a_64(name: &[u8]) -> u64 {
     name.iter().fold(0xcbf2_9ce4_8422_2325, |h, &b| {
         (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3)
     })
 }
 
 /// Changes of one letter from one name to another.
-pub fn distance(a: &str, b: &str) -> usize {
+pub fn edit_distance(a: &str, b: &str) -> usize {
     let b: Vec<char> = b.chars().collect();
     let mut row: Vec<usize> = (0..=b.len()).collect();
     for (i, x) in a.chars().enumerate() {
--- a/crates/engine-registry/src/record.rs
+++ b/crates/engine-registry/src/record.rs
@@ -4,7 +4,7 @@
 //! its text. A record counts once it is whole and its checksum fits; what stands behind the first that does not is a
 //! spoilt tail, to be cut. So a power cut at any byte leaves the records before it.
 
-use crate::roll::RollingRestart;
+use crate::rolling_restart::RollingRestart;
 use crate::{ActiveOrder, EngineDescription, Order};
 use driftfront_scheduler::interface::Phase;
 
@@ -44,38 +44,38 @@
 
 /// What a file held.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Read {
+pub struct StateFile {
     /// The records, in order.
     pub records: Vec<StateRecord>,
     /// Bytes of it that are well; what stands behind them is to be cut.
-    pub well: usize,
+    pub valid_bytes: usize,
     /// What is wrong with the rest, if anything is.
-    pub spoilt: Option<String>,
+    pub damage: Option<String>,
 }
 
 /// A file that can't be used at all.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Unusable {
+pub enum StateFileError {
     /// It is of a newer version, and must not be touched.
     Newer(String),
     /// It is no such file.
     NotOurs,
 }
 
-impl std::fmt::Display for Unusable {
+impl std::fmt::Display for StateFileError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Unusable::Newer(version) => {
+            StateFileError::Newer(version) => {
                 write!(f, "the state file is of version {version}, this program knows version 1: it is left as it is")
             }
-            Unusable::NotOurs => {
+            StateFileError::NotOurs => {
                 f.write_str("this is no state file of driftfront: it is left as it is")
             }
         }
     }
 }
 
-impl std::error::Error for Unusable {}
+impl std::error::Error for StateFileError {}
 
 /// A record's bytes in a file.
 pub fn encode(record: &StateRecord) -> Vec<u8> {
@@ -95,28 +95,28 @@
 }
 
 /// Reads a file's bytes.
-pub fn read(bytes: &[u8]) -> Result<Read, Unusable> {
+pub fn read(bytes: &[u8]) -> Result<StateFile, StateFileError> {
     if bytes.len() < HEADER.len() && HEADER.starts_with(bytes) {
         // Cut while it was begun: nothing had been written down yet.
-        let spoilt = (!bytes.is_empty()).then(|| "it was cut while it was begun".to_string());
-        return Ok(Read {
+        let damage = (!bytes.is_empty()).then(|| "it was cut while it was begun".to_string());
+        return Ok(StateFile {
             records: Vec::new(),
-            well: 0,
-            spoilt,
+            valid_bytes: 0,
+            damage,
         });
     }
     if !bytes.starts_with(HEADER) {
         let line = bytes.split(|&b| b == b'\n').next().unwrap_or_default();
         let line = String::from_utf8_lossy(&line[..line.len().min(60)]).into_owned();
         return Err(match line.strip_prefix("driftfront state ") {
-            Some(version) if version != "1" => Unusable::Newer(version.into()),
-            _ => Unusable::NotOurs,
+            Some(version) if version != "1" => StateFileError::Newer(version.into()),
+            _ => StateFileError::NotOurs,
         });
     }
-    let mut well = HEADER.len();
+    let mut valid_bytes = HEADER.len();
     let mut records = Vec::new();
-    let spoilt = loop {
-        let rest = &bytes[well..];
+    let damage = loop {
+        let rest = &bytes[valid_bytes..];
         if rest.is_empty() {
             break None;
         }
@@ -138,12 +138,12 @@
             Some(record) => records.push(record),
             None => break Some("a record can't be read".to_string()),
         }
-        well += 8 + length;
+        valid_bytes += 8 + length;
     };
-    Ok(Read {
+    Ok(StateFile {
         records,
-        well,
-        spoilt,
+        valid_bytes,
+        damage,
     })
 }
 
@@ -277,16 +277,16 @@
             let count = ends.iter().skip(1).filter(|&&end| end <= cut).count();
             assert_eq!(read.records, records[..count], "cut at {cut}");
             assert_eq!(
-                read.spoilt.is_none(),
+                read.damage.is_none(),
                 cut == 0 || ends.contains(&cut),
                 "cut at {cut}"
             );
-            assert!(read.well <= cut);
+            assert!(read.valid_bytes <= cut);
             // What is appended behind the cut is read again.
-            let mut mended = if read.well == 0 {
+            let mut mended = if read.valid_bytes == 0 {
                 HEADER.to_vec()
             } else {
-                whole[..read.well].to_vec()
+                whole[..read.valid_bytes].to_vec()
             };
             mended.extend(encode(&records[0]));
             assert_eq!(super::read(&mended).expect("ours").records.len(), count + 1);
@@ -301,7 +301,7 @@
             bad[at] ^= 0x10;
             let read = read(&bad).expect("ours");
             assert!(
-                read.spoilt.is_some() && read.records.len() < records.len(),
+                read.damage.is_some() && read.records.len() < records.len(),
                 "byte {at}"
             );
             assert_eq!(read.records, records[..read.records.len()]);
@@ -312,12 +312,12 @@
     fn files_of_another_version_or_kind_are_left_alone() {
         assert_eq!(
             read(b"driftfront state 2\nwhatever"),
-            Err(Unusable::Newer("2".into()))
+            Err(StateFileError::Newer("2".into()))
         );
         assert_eq!(
             read(b"{\"instances\":[]}, which is something else"),
-            Err(Unusable::NotOurs)
+            Err(StateFileError::NotOurs)
         );
-        assert!(read(b"").expect("new").spoilt.is_none());
+        assert!(read(b"").expect("new").damage.is_none());
     }
 }
--- a/crates/engine-registry/src/roll.rs
+++ b/crates/engine-registry/src/rolling_restart.rs
@@ -43,7 +43,7 @@
 
 impl Stage {
     /// In a word.
-    pub fn word(self) -> &'static str {
+    pub fn name(self) -> &'static str {
         STAGES.iter().find(|s| s.0 == self).map_or("", |s| s.1)
     }
 }
@@ -52,19 +52,19 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RollingRestart {
     /// The engines that are to go, the next one first.
-    pub left: Vec<String>,
+    pub remaining: Vec<String>,
     /// Those that are through.
-    pub through: Vec<String>,
-    /// Where it stands with the first of `left`.
+    pub completed: Vec<String>,
+    /// Where it stands with the first of `remaining`.
     pub stage: Stage,
     /// Since when, as Unix microseconds.
     pub since: Micros,
     /// The engine's start as it was when it was drained: another one means that it is a new process.
     pub started_at: Option<Micros>,
     /// Service at the beginning, in thousandths.
-    pub service: u32,
+    pub service_level: u32,
     /// Why it stopped, or what it waits for.
-    pub why: String,
+    pub status: String,
 }
 
 /// What the host sees of the engines, for one step.
@@ -73,7 +73,7 @@
     /// The engines of the roll and all others that take work.
     pub engines: Vec<EngineSnapshot>,
     /// Share of the worth asked for that was served lately, if anything was asked.
-    pub service: Option<f64>,
+    pub service_level: Option<f64>,
     /// Share of all engines' capacity that the load uses lately.
     pub load: f64,
 }
@@ -84,21 +84,21 @@
     /// Its name.
     pub name: String,
     /// It takes work.
-    pub ready: bool,
+    pub is_ready: bool,
     /// An operator's drain stands.
-    pub drained: bool,
+    pub is_drained: bool,
     /// Attempts out there.
-    pub running: usize,
+    pub running_queries: usize,
     /// Loads among them, which are never sent again.
-    pub loads: usize,
+    pub running_imports: usize,
     /// When it last started.
     pub started_at: Option<Micros>,
     /// It answers.
-    pub reachable: bool,
+    pub is_reachable: bool,
     /// Its building, and its cores.
     pub zone: u16,
     /// Its part of all capacity.
-    pub part: f64,
+    pub capacity_share: f64,
 }
 
 /// What the host is to do.
@@ -109,22 +109,22 @@
     /// Lift the drain.
     Resume(String),
     /// Write the roll down.
-    Write,
+    Persist,
     /// Tell the operators.
-    Say(String),
+    Announce(String),
 }
 
 impl RollingRestart {
     /// A roll over these engines, beginning with service as it is.
-    pub fn new(now: Micros, engines: Vec<String>, service: Option<f64>) -> RollingRestart {
+    pub fn new(now: Micros, engines: Vec<String>, service_level: Option<f64>) -> RollingRestart {
         RollingRestart {
-            left: engines,
-            through: Vec::new(),
+            remaining: engines,
+            completed: Vec::new(),
             stage: Stage::Next,
             since: now,
             started_at: None,
-            service: (service.unwrap_or(1.0) * 1000.0) as u32,
-            why: String::new(),
+            service_level: (service_level.unwrap_or(1.0) * 1000.0) as u32,
+            status: String::new(),
         }
     }
 
@@ -135,7 +135,7 @@
 
     /// The engine at hand.
     pub fn current(&self) -> Option<&str> {
-        self.left.first().map(String::as_str)
+        self.remaining.first().map(String::as_str)
     }
 
     /// Whether it has anything left to do.
@@ -147,24 +147,24 @@
         &mut self,
         now: Micros,
         stage: Stage,
-        why: String,
+        status: String,
         acts: &mut Vec<RollingRestartAction>,
     ) {
         (self.stage, self.since) = (stage, now);
-        acts.push(RollingRestartAction::Write);
-        if !why.is_empty() {
-            acts.push(RollingRestartAction::Say(why.clone()));
+        acts.push(RollingRestartAction::Persist);
+        if !status.is_empty() {
+            acts.push(RollingRestartAction::Announce(status.clone()));
         }
-        self.why = why;
+        self.status = status;
     }
 
     /// An operator stops it; an engine that is out stays out.
-    pub fn stop(&mut self, now: Micros, why: &str) -> Vec<RollingRestartAction> {
+    pub fn stop(&mut self, now: Micros, status: &str) -> Vec<RollingRestartAction> {
         let mut acts = Vec::new();
         self.enter(
             now,
             Stage::Stopped,
-            format!("The roll was stopped: {why}"),
+            format!("The roll was stopped: {status}"),
             &mut acts,
         );
         acts
@@ -176,12 +176,12 @@
         if self.stage != Stage::Stopped {
             return acts;
         }
-        let drained = self
+        let is_drained = self
             .current()
             .and_then(|c| sight.engines.iter().find(|e| e.name == c))
-            .is_some_and(|e| e.drained);
-        self.service = (sight.service.unwrap_or(1.0) * 1000.0) as u32;
-        let stage = if drained {
+            .is_some_and(|e| e.is_drained);
+        self.service_level = (sight.service_level.unwrap_or(1.0) * 1000.0) as u32;
+        let stage = if is_drained {
             Stage::Draining
         } else {
             Stage::Next
@@ -222,8 +222,8 @@
         let Some(engine) = sight.engines.iter().find(|e| e.name == name) else {
             // It left the list: nothing is to be done with it.
             if self.stage != Stage::Stopped {
-                let gone = self.left.remove(0);
-                self.through.push(gone);
+                let gone = self.remaining.remove(0);
+                self.completed.push(gone);
                 self.enter(
                     now,
                     Stage::Next,
@@ -235,11 +235,11 @@
         };
         match self.stage {
             Stage::Next => {
-                if let Some(why) = self.barred(engine, sight) {
-                    self.why = why;
+                if let Some(status) = self.barred(engine, sight) {
+                    self.status = status;
                 } else {
                     self.started_at = engine.started_at;
-                    if !engine.drained {
+                    if !engine.is_drained {
                         acts.push(RollingRestartAction::Drain(name.clone()));
                     }
                     self.enter(
@@ -250,7 +250,7 @@
                     );
                 }
             }
-            Stage::Draining if !engine.drained => {
+            Stage::Draining if !engine.is_drained => {
                 // Somebody else has lifted it: that wins.
                 self.enter(
                     now,
@@ -259,30 +259,33 @@
                     &mut acts,
                 );
             }
-            Stage::Draining if engine.running == 0 => {
+            Stage::Draining if engine.running_queries == 0 => {
                 let words =
                     format!("{name} is free: repair or restart it, then say that it is back");
                 self.enter(now, Stage::Handed, words, &mut acts);
             }
             Stage::Draining => {
-                self.why = match (engine.loads, spent > SLOW_DRAIN) {
+                self.status = match (engine.running_imports, spent > SLOW_DRAIN) {
                     (0, false) => {
-                        format!("{name} ends what runs there: {} queries", engine.running)
+                        format!(
+                            "{name} ends what runs there: {} queries",
+                            engine.running_queries
+                        )
                     }
                     (0, true) => {
                         format!(
                             "{name} still runs {} queries; their clients' time ends them",
-                            engine.running
+                            engine.running_queries
                         )
                     }
-                    (loads, _) => {
-                        format!("{name} still runs {loads} imports: they are not sent again, so it waits")
+                    (running_imports, _) => {
+                        format!("{name} still runs {running_imports} imports: they are not sent again, so it waits")
                     }
                 };
             }
             Stage::Handed => {
                 let restarted = engine.started_at.is_some() && engine.started_at != self.started_at;
-                if restarted && engine.reachable {
+                if restarted && engine.is_reachable {
                     acts.push(RollingRestartAction::Resume(name.clone()));
                     self.enter(
                         now,
@@ -290,7 +293,7 @@
                         format!("{name} has restarted and gets warm"),
                         &mut acts,
                     );
-                } else if !engine.drained {
+                } else if !engine.is_drained {
                     self.enter(
                         now,
                         Stage::Warming,
@@ -299,32 +302,32 @@
                     );
                 }
             }
-            Stage::Warming if !engine.ready => {
-                self.why = format!("{name} is not ready yet");
+            Stage::Warming if !engine.is_ready => {
+                self.status = format!("{name} is not ready yet");
             }
             Stage::Warming if spent >= WARM_AFTER => {
-                let done = self.left.remove(0);
-                self.through.push(done);
-                if self.left.is_empty() {
+                let done = self.remaining.remove(0);
+                self.completed.push(done);
+                if self.remaining.is_empty() {
                     self.enter(now, Stage::Done, "The roll is done".into(), &mut acts);
                 } else {
                     self.enter(now, Stage::Next, format!("{name} is warm"), &mut acts);
                 }
             }
             Stage::Warming => {
-                let left = (WARM_AFTER - spent).div_ceil(1_000_000);
-                self.why = format!("{name} gets warm: {left} s");
+                let remaining = (WARM_AFTER - spent).div_ceil(1_000_000);
+                self.status = format!("{name} gets warm: {remaining} s");
             }
             Stage::Stopped | Stage::Done => {}
         }
         let fell = sight
-            .service
-            .is_some_and(|s| s < f64::from(self.service) / 1000.0 - FALL);
+            .service_level
+            .is_some_and(|s| s < f64::from(self.service_level) / 1000.0 - FALL);
         if fell && !matches!(self.stage, Stage::Stopped | Stage::Done) {
-            let service = sight.service.unwrap_or(0.0) * 100.0;
-            let was = f64::from(self.service) / 10.0;
+            let service_level = sight.service_level.unwrap_or(0.0) * 100.0;
+            let was = f64::from(self.service_level) / 10.0;
             let words = format!(
-                "The roll stopped: service is {service:.0} in 100, it was {was:.0} when it began"
+                "The roll stopped: service is {service_level:.0} in 100, it was {was:.0} when it began"
             );
             self.enter(now, Stage::Stopped, words, &mut acts);
         }
@@ -335,7 +338,7 @@
     fn barred(&self, engine: &EngineSnapshot, sight: &ObservedState) -> Option<String> {
         let others = || sight.engines.iter().filter(|e| e.name != engine.name);
         // One that is out already, by whomever, is waited for: never two at once.
-        if let Some(out) = others().find(|e| e.drained || !e.ready) {
+        if let Some(out) = others().find(|e| e.is_drained || !e.is_ready) {
             let same = if out.zone == engine.zone {
                 ", in the same building"
             } else {
@@ -343,7 +346,10 @@
             };
             return Some(format!("waits: {} is out too{same}", out.name));
         }
-        let rest: f64 = others().filter(|e| e.ready).map(|e| e.part).sum();
+        let rest: f64 = others()
+            .filter(|e| e.is_ready)
+            .map(|e| e.capacity_share)
+            .sum();
         if rest <= 0.0 {
             return Some(format!(
                 "waits: {} is the last engine that takes work",
@@ -362,7 +368,7 @@
     /// What it would do, a line each.
     pub fn plan(&self, sight: &ObservedState) -> Vec<String> {
         let mut lines = Vec::new();
-        for (n, name) in self.left.iter().enumerate() {
+        for (n, name) in self.remaining.iter().enumerate() {
             let Some(engine) = sight.engines.iter().find(|e| e.name == *name) else {
                 lines.push(format!("{}. {name} is not listed: passed over", n + 1));
                 continue;
@@ -374,7 +380,7 @@
             lines.push(format!(
                 "{}. drain {name}{barred}, wait for {} queries, hand it over, wait until it is warm",
                 n + 1,
-                engine.running
+                engine.running_queries
             ));
         }
         lines
@@ -392,12 +398,12 @@
         };
         format!(
             "{}\t{}\t{started_at}\t{}\t{}\t{}\t{}",
-            self.stage.word(),
+            self.stage.name(),
             self.since,
-            self.service,
-            list(&self.left),
-            list(&self.through),
-            self.why.replace(['\t', '\n'], " ")
+            self.service_level,
+            list(&self.remaining),
+            list(&self.completed),
+            self.status.replace(['\t', '\n'], " ")
         )
     }
 
@@ -413,7 +419,7 @@
         } else {
             Some(started_at.parse().ok()?)
         };
-        let service = words.next()?.parse().ok()?;
+        let service_level = words.next()?.parse().ok()?;
         let mut list = || -> Option<Vec<String>> {
             let text = words.next()?;
             Some(if text == "-" {
@@ -422,16 +428,16 @@
                 text.split('\u{1f}').map(String::from).collect()
             })
         };
-        let (left, through) = (list()?, list()?);
-        let why = words.next().unwrap_or_default().to_string();
+        let (remaining, completed) = (list()?, list()?);
+        let status = words.next().unwrap_or_default().to_string();
         Some(RollingRestart {
-            left,
-            through,
+            remaining,
+            completed,
             stage,
             since,
             started_at,
-            service,
-            why,
+            service_level,
+            status,
         })
     }
 }
@@ -445,14 +451,14 @@
     fn engine(name: &str, zone: u16) -> EngineSnapshot {
         EngineSnapshot {
             name: name.into(),
-            ready: true,
-            drained: false,
-            running: 0,
-            loads: 0,
+            is_ready: true,
+            is_drained: false,
+            running_queries: 0,
+            running_imports: 0,
             started_at: Some(1),
-            reachable: true,
+            is_reachable: true,
             zone,
-            part: 0.25,
+            capacity_share: 0.25,
         }
     }
 
@@ -465,7 +471,7 @@
         ];
         ObservedState {
             engines,
-            service: Some(0.95),
+            service_level: Some(0.95),
             load: 0.4,
         }
     }
@@ -481,8 +487,8 @@
                 .iter_mut()
                 .find(|e| e.name == *name)
                 .expect("known");
-            let drained = matches!(act, RollingRestartAction::Drain(_));
-            (engine.drained, engine.ready) = (drained, !drained);
+            let is_drained = matches!(act, RollingRestartAction::Drain(_));
+            (engine.is_drained, engine.is_ready) = (is_drained, !is_drained);
         }
     }
 
@@ -497,14 +503,18 @@
     #[test]
     fn engines_go_one_after_another_and_each_is_waited_for() {
         let mut sight = sight();
-        let mut roll = RollingRestart::new(0, vec!["a".into(), "b".into()], sight.service);
-        set(&mut sight, "a", |e| (e.running, e.loads) = (3, 1));
+        let mut roll = RollingRestart::new(0, vec!["a".into(), "b".into()], sight.service_level);
+        set(&mut sight, "a", |e| {
+            (e.running_queries, e.running_imports) = (3, 1)
+        });
         let acts = roll.step(S, &sight);
         assert!(acts.contains(&RollingRestartAction::Drain("a".into())));
         apply(&mut sight, &acts);
         roll.step(2 * S, &sight);
-        assert!(roll.stage == Stage::Draining && roll.why.contains("1 imports"));
-        set(&mut sight, "a", |e| (e.running, e.loads) = (0, 0));
+        assert!(roll.stage == Stage::Draining && roll.status.contains("1 imports"));
+        set(&mut sight, "a", |e| {
+            (e.running_queries, e.running_imports) = (0, 0)
+        });
         roll.step(3 * S, &sight);
         assert_eq!(roll.stage, Stage::Handed);
         // The operator restarts it; the next one waits until it is warm.
@@ -521,7 +531,7 @@
         let acts = roll.confirm_engine_returned(28 * S);
         apply(&mut sight, &acts);
         roll.step(60 * S, &sight);
-        assert!(roll.is_over() && roll.through == ["a", "b"]);
+        assert!(roll.is_over() && roll.completed == ["a", "b"]);
     }
 
     #[test]
@@ -529,15 +539,15 @@
         let mut roll = RollingRestart::new(0, vec!["a".into()], Some(0.95));
         let mut busy = sight();
         busy.load = 0.7;
-        assert!(roll.step(S, &busy).is_empty() && roll.why.contains("the others have 75"));
+        assert!(roll.step(S, &busy).is_empty() && roll.status.contains("the others have 75"));
         let mut out = sight();
-        set(&mut out, "b", |e| e.drained = true);
-        assert!(roll.step(2 * S, &out).is_empty() && roll.why.contains("same building"));
+        set(&mut out, "b", |e| e.is_drained = true);
+        assert!(roll.step(2 * S, &out).is_empty() && roll.status.contains("same building"));
         let alone = ObservedState {
             engines: vec![engine("a", 0)],
             ..sight()
         };
-        assert!(roll.step(3 * S, &alone).is_empty() && roll.why.contains("last engine"));
+        assert!(roll.step(3 * S, &alone).is_empty() && roll.status.contains("last engine"));
         assert!(roll.plan(&alone)[0].contains("last engine"));
         assert_eq!(roll.step(4 * S, &sight()).len(), 3);
     }
@@ -545,24 +555,26 @@
     #[test]
     fn it_stops_when_service_falls_or_somebody_resumes_its_engine_and_goes_on_when_told() {
         let mut sight = sight();
-        let mut roll = RollingRestart::new(0, vec!["a".into()], sight.service);
+        let mut roll = RollingRestart::new(0, vec!["a".into()], sight.service_level);
         let acts = roll.step(S, &sight);
         apply(&mut sight, &acts);
-        sight.service = Some(0.8);
+        sight.service_level = Some(0.8);
         roll.step(2 * S, &sight);
-        assert!(roll.stage == Stage::Stopped && roll.why.contains("80 in 100"));
+        assert!(roll.stage == Stage::Stopped && roll.status.contains("80 in 100"));
         assert!(roll.step(9 * S, &sight).is_empty());
         roll.resume(10 * S, &sight);
         assert_eq!(roll.stage, Stage::Draining);
-        set(&mut sight, "a", |e| (e.drained, e.ready) = (false, true));
+        set(&mut sight, "a", |e| {
+            (e.is_drained, e.is_ready) = (false, true)
+        });
         roll.step(11 * S, &sight);
-        assert!(roll.stage == Stage::Stopped && roll.why.contains("resumed"));
+        assert!(roll.stage == Stage::Stopped && roll.status.contains("resumed"));
     }
 
     #[test]
     fn a_clock_that_is_set_back_only_makes_it_wait() {
         let mut sight = sight();
-        let mut roll = RollingRestart::new(100 * S, vec!["a".into()], sight.service);
+        let mut roll = RollingRestart::new(100 * S, vec!["a".into()], sight.service_level);
         let acts = roll.step(101 * S, &sight);
         apply(&mut sight, &acts);
         roll.step(S, &sight);
@@ -579,13 +591,13 @@
             let roll = RollingRestart {
                 stage,
                 started_at: Some(3),
-                why: "w\tx".into(),
+                status: "w\tx".into(),
                 ..RollingRestart::new(7, vec!["a".into()], None)
             };
             let back = RollingRestart::of_text(&roll.text()).expect("well formed");
             assert_eq!(
-                (back.stage, back.left.clone(), back.started_at),
-                (stage, roll.left.clone(), Some(3))
+                (back.stage, back.remaining.clone(), back.started_at),
+                (stage, roll.remaining.clone(), Some(3))
             );
         }
         assert_eq!(RollingRestart::of_text("nonsense"), None);
--- a/crates/engine-registry/tests/bans.rs
+++ b/crates/engine-registry/tests/bans.rs
@@ -20,15 +20,15 @@
 #[test]
 fn an_engine_that_is_put_back_counts_as_just_started_unless_the_list_knows_of_a_later_start() {
     let mut roster = EngineRegistry::new();
-    roster.source(
+    roster.apply_listing(
         ListKind::Full,
         vec![
             description("a", Phase::Ready, None),
             description("b", Phase::Ready, None),
         ],
     );
-    assert!(roster.suspend(10, "x", "a").unwrap().is_some());
-    assert!(roster.suspend(11, "x", "a").unwrap().is_none());
+    assert!(roster.suspend_engine(10, "x", "a").unwrap().is_some());
+    assert!(roster.suspend_engine(11, "x", "a").unwrap().is_none());
     let (change, _) = roster.restore_engine(20, "x", "a").unwrap().expect("news");
     assert_eq!(
         (change.lines[0].phase, change.lines[0].started_at),
@@ -37,13 +37,13 @@
     assert!(roster.restore_engine(21, "x", "a").unwrap().is_none());
     // The list learns late that it was started anew while it was out, and later of another start.
     assert!(roster
-        .source(
+        .apply_listing(
             ListKind::Changes,
             vec![description("a", Phase::Ready, Some(15))]
         )
         .lines
         .is_empty());
-    let change = roster.source(
+    let change = roster.apply_listing(
         ListKind::Changes,
         vec![description("a", Phase::Ready, Some(30))],
     );
@@ -53,19 +53,19 @@
 #[test]
 fn an_engine_that_is_gone_can_be_taken_out_and_one_that_never_was_can_not() {
     let mut roster = EngineRegistry::new();
-    let change = roster.source(ListKind::Full, vec![description("a", Phase::Ready, None)]);
-    roster.source(ListKind::Changes, vec![description("a", Phase::Gone, None)]);
-    roster.forget(change.lines[0].engine);
+    let change = roster.apply_listing(ListKind::Full, vec![description("a", Phase::Ready, None)]);
+    roster.apply_listing(ListKind::Changes, vec![description("a", Phase::Gone, None)]);
+    roster.forget_engine(change.lines[0].engine);
     assert!(matches!(
-        roster.suspend(1, "x", "aa"),
+        roster.suspend_engine(1, "x", "aa"),
         Err(Refusal::Unknown(..))
     ));
     assert!(matches!(
         roster.restore_engine(1, "x", "aa"),
         Err(Refusal::Unknown(..))
     ));
-    assert!(roster.suspend(1, "x", "a").is_ok() && roster.orders().contains_key("a"));
-    let back = roster.source(
+    assert!(roster.suspend_engine(1, "x", "a").is_ok() && roster.orders().contains_key("a"));
+    let back = roster.apply_listing(
         ListKind::Changes,
         vec![description("a", Phase::Ready, Some(5))],
     );
@@ -74,21 +74,21 @@
     for n in 0..MAX_KNOWN_NAMES {
         let name = format!("n{n}");
         let line = roster
-            .source(
+            .apply_listing(
                 ListKind::Changes,
                 vec![description(&name, Phase::Ready, None)],
             )
             .lines[0];
-        roster.source(
+        roster.apply_listing(
             ListKind::Changes,
             vec![description(&name, Phase::Gone, None)],
         );
-        roster.forget(line.engine);
+        roster.forget_engine(line.engine);
     }
     assert!(roster.restore_engine(1, "x", "n9").is_ok());
     assert!(
         roster
-            .source(
+            .apply_listing(
                 ListKind::Changes,
                 vec![description("z", Phase::Ready, None)]
             )
@@ -119,7 +119,7 @@
     };
     let mut two = [EngineRegistry::new(), EngineRegistry::new()];
     two.iter_mut()
-        .for_each(|r| drop(r.source(ListKind::Full, lines())));
+        .for_each(|r| drop(r.apply_listing(ListKind::Full, lines())));
     let mut last = [Phase::Ready; 3];
     for (now, (what, engine, which)) in steps.into_iter().enumerate() {
         let (n, which) = (usize::from(engine % 3), usize::from(which));
@@ -127,7 +127,7 @@
         let name = format!("e{n}");
         match what % 4 {
             0 => {
-                last[n] = if two[which].suspend(now, "x", &name).is_ok() {
+                last[n] = if two[which].suspend_engine(now, "x", &name).is_ok() {
                     Phase::Draining
                 } else {
                     return false;
@@ -143,10 +143,10 @@
             _ => {}
         }
         // An order is told to the other at once, as hosts do it; a word may come twice, and late ones change nothing.
-        let word = two[which].word(true);
-        let before = two[1 - which].word(true);
-        drop(two[1 - which].merge(&word));
-        drop(two[which].merge(&before));
+        let word = two[which].handover_state(true);
+        let before = two[1 - which].handover_state(true);
+        drop(two[1 - which].merge_handover(&word));
+        drop(two[which].merge_handover(&before));
     }
     let phases = |r: &EngineRegistry| r.engines().iter().map(|e| e.phase).collect::<Vec<_>>();
     phases(&two[0]) == last && phases(&two[1]) == last
--- a/crates/engine-registry/tests/golden.rs
+++ b/crates/engine-registry/tests/golden.rs
@@ -2,10 +2,10 @@
 
 use driftfront_engine_registry::handover::{self, HandoverState};
 use driftfront_engine_registry::record::{self, StateRecord};
-use driftfront_engine_registry::roll::{
+use driftfront_engine_registry::rolling_restart::{
     EngineSnapshot, ObservedState, RollingRestart, RollingRestartAction, Stage,
 };
-use driftfront_engine_registry::{describe_active_order, hash, phase_name};
+use driftfront_engine_registry::{describe_active_order, fnv1a_64, phase_name};
 use driftfront_engine_registry::{
     ActiveOrder, Command, EngineDescription, EngineRegistry, Order, Refusal,
 };
@@ -37,13 +37,13 @@
 
 fn roll(stage: Stage) -> RollingRestart {
     RollingRestart {
-        left: vec!["engine-1".into(), "engine 2".into()],
-        through: vec!["engine-0".into()],
+        remaining: vec!["engine-1".into(), "engine 2".into()],
+        completed: vec!["engine-0".into()],
         stage,
         since: 1_764_000_000_000_001,
         started_at: Some(1_763_999_999_000_000),
-        service: 987,
-        why: "engine-1 is drained: nothing new goes there".into(),
+        service_level: 987,
+        status: "engine-1 is drained: nothing new goes there".into(),
     }
 }
 
@@ -94,8 +94,8 @@
     assert_golden!("orders.state", record::file(&records()));
     let read = record::read(&read_golden!("orders.state")).expect("a state file");
     assert_eq!(read.records, records());
-    assert_eq!(read.well, read_golden!("orders.state").len());
-    assert_eq!(read.spoilt, None);
+    assert_eq!(read.valid_bytes, read_golden!("orders.state").len());
+    assert_eq!(read.damage, None);
 }
 
 #[test]
@@ -132,8 +132,8 @@
             Ok(read) => format!(
                 "{} records, {} bytes, {}",
                 read.records.len(),
-                read.well,
-                read.spoilt.unwrap_or_default()
+                read.valid_bytes,
+                read.damage.unwrap_or_default()
             ),
             Err(why) => format!("unusable: {why}"),
         };
@@ -238,11 +238,11 @@
 fn engine_numbers_are_as_before() {
     let mut text = String::new();
     for name in ["", "a", "engine-1", "engine-é", "s-00c41f7a"] {
-        let _ = writeln!(text, "hash {name:?}: {:016x}", hash(name.as_bytes()));
+        let _ = writeln!(text, "hash {name:?}: {:016x}", fnv1a_64(name.as_bytes()));
     }
     let mut roster = EngineRegistry::new();
     let addr = Some("127.0.0.1:1000");
-    roster.source(
+    roster.apply_listing(
         ListKind::Full,
         vec![
             description("engine-1", addr),
@@ -258,7 +258,7 @@
 fn say(text: &mut String, outcome: Result<driftfront_engine_registry::RegistryUpdate, Refusal>) {
     match outcome {
         Ok((change, records)) => {
-            for words in &change.words {
+            for words in &change.messages {
                 let _ = writeln!(text, "  change: {words}");
             }
             for record in &records {
@@ -277,7 +277,7 @@
     let mut roster = EngineRegistry::new();
     let mut text = String::new();
     let addr = Some("127.0.0.1:1000");
-    let change = roster.source(
+    let change = roster.apply_listing(
         ListKind::Full,
         vec![
             description("engine-1", addr),
@@ -290,7 +290,7 @@
             },
         ],
     );
-    for words in &change.words {
+    for words in &change.messages {
         let _ = writeln!(text, "list: {words}");
     }
     let drain = |engine: &str, force| Command::Drain {
@@ -329,11 +329,11 @@
     .enumerate()
     {
         let _ = writeln!(text, "{title}:");
-        let outcome = roster.command(1_000 + n as u64, "operator", command);
+        let outcome = roster.execute_command(1_000 + n as u64, "operator", command);
         say(&mut text, outcome);
     }
     let _ = writeln!(text, "gone:");
-    let change = roster.source(ListKind::Full, vec![description("engine-2", addr)]);
+    let change = roster.apply_listing(ListKind::Full, vec![description("engine-2", addr)]);
     say(&mut text, Ok((change, Vec::new())));
     for refusal in [
         Refusal::TooMany,
@@ -355,14 +355,14 @@
 fn engine(name: &str, zone: u16) -> EngineSnapshot {
     EngineSnapshot {
         name: name.into(),
-        ready: true,
-        drained: false,
-        running: 0,
-        loads: 0,
+        is_ready: true,
+        is_drained: false,
+        running_queries: 0,
+        running_imports: 0,
         started_at: Some(1),
-        reachable: true,
+        is_reachable: true,
         zone,
-        part: 0.25,
+        capacity_share: 0.25,
     }
 }
 
@@ -374,7 +374,7 @@
             engine("c", 1),
             engine("d", 1),
         ],
-        service: Some(0.95),
+        service_level: Some(0.95),
         load: 0.4,
     }
 }
@@ -406,20 +406,20 @@
             self.text,
             "{} s: {}; {}",
             now / SECOND,
-            self.roll.stage.word(),
-            self.roll.why
+            self.roll.stage.name(),
+            self.roll.status
         );
         for act in acts {
             let line = match &act {
                 RollingRestartAction::Drain(name) => format!("drain {name}"),
                 RollingRestartAction::Resume(name) => format!("resume {name}"),
-                RollingRestartAction::Write => "write".into(),
-                RollingRestartAction::Say(words) => format!("say {words}"),
+                RollingRestartAction::Persist => "write".into(),
+                RollingRestartAction::Announce(words) => format!("say {words}"),
             };
             let _ = writeln!(self.text, "    {line}");
             if let RollingRestartAction::Drain(name) | RollingRestartAction::Resume(name) = &act {
                 let drained = matches!(act, RollingRestartAction::Drain(_));
-                self.set(name, |e| (e.drained, e.ready) = (drained, !drained));
+                self.set(name, |e| (e.is_drained, e.is_ready) = (drained, !drained));
             }
         }
         let _ = writeln!(self.text, "    {}", self.roll.text().escape_debug());
@@ -441,21 +441,21 @@
 fn roll_decides_and_speaks_as_before() {
     let mut s = Script::new("two engines, one restarted, one handed back", &["a", "b"]);
     s.plan();
-    s.set("a", |e| (e.running, e.loads) = (3, 1));
+    s.set("a", |e| (e.running_queries, e.running_imports) = (3, 1));
     s.step(1);
     s.step(2);
-    s.set("a", |e| (e.running, e.loads) = (2, 0));
+    s.set("a", |e| (e.running_queries, e.running_imports) = (2, 0));
     s.step(3);
     s.step(70);
-    s.set("a", |e| e.running = 0);
+    s.set("a", |e| e.running_queries = 0);
     s.step(71);
     s.step(72);
     s.set("a", |e| e.started_at = Some(9));
     s.step(73);
     s.step(74);
-    s.set("a", |e| e.ready = false);
+    s.set("a", |e| e.is_ready = false);
     s.step(75);
-    s.set("a", |e| e.ready = true);
+    s.set("a", |e| e.is_ready = true);
     s.step(90);
     s.step(91);
     s.step(92);
@@ -475,35 +475,35 @@
     s.step(1);
     s.plan();
     s.sight.load = 0.4;
-    s.set("b", |e| e.drained = true);
+    s.set("b", |e| e.is_drained = true);
     s.step(2);
-    s.set("b", |e| e.drained = false);
-    s.set("c", |e| e.ready = false);
+    s.set("b", |e| e.is_drained = false);
+    s.set("c", |e| e.is_ready = false);
     s.step(3);
     s.sight.engines.truncate(1);
     s.step(4);
     s.sight.engines.clear();
     s.step(5);
     s.sight = sight();
-    s.roll.left = vec!["x".into()];
+    s.roll.remaining = vec!["x".into()];
     s.step(6);
     s.step(7);
     text += &s.text;
 
     let mut s = Script::new("stops: service, resumed, operator", &["a"]);
     s.step(1);
-    s.sight.service = Some(0.8);
+    s.sight.service_level = Some(0.8);
     s.step(2);
     s.step(3);
     let acts = s.roll.resume(4 * SECOND, &s.sight);
     s.note(4 * SECOND, acts);
-    s.set("a", |e| (e.drained, e.ready) = (false, true));
+    s.set("a", |e| (e.is_drained, e.is_ready) = (false, true));
     s.step(5);
     let acts = s.roll.resume(6 * SECOND, &s.sight);
     s.note(6 * SECOND, acts);
     s.step(7);
     s.step(8);
-    s.set("a", |e| (e.drained, e.ready) = (false, true));
+    s.set("a", |e| (e.is_drained, e.is_ready) = (false, true));
     s.step(9);
     let acts = s.roll.stop(10 * SECOND, "by an operator");
     s.note(10 * SECOND, acts);
--- a/crates/engine-registry/tests/model.rs
+++ b/crates/engine-registry/tests/model.rs
@@ -115,7 +115,7 @@
                 for (n, phase) in &descriptions {
                     plain.source.insert(name(*n), description(*n, *phase).phase);
                 }
-                change = Some(roster.source(
+                change = Some(roster.apply_listing(
                     ListKind::Full,
                     descriptions.iter().map(|f| description(f.0, f.1)).collect(),
                 ));
@@ -124,7 +124,7 @@
                 for (n, phase) in &descriptions {
                     plain.source.insert(name(*n), description(*n, *phase).phase);
                 }
-                change = Some(roster.source(
+                change = Some(roster.apply_listing(
                     ListKind::Changes,
                     descriptions.iter().map(|f| description(f.0, f.1)).collect(),
                 ));
@@ -138,21 +138,21 @@
                     undo(&mut plain, &before.records);
                 }
                 let read = record::read(&file).expect("ours");
-                file.truncate(read.well.max(record::HEADER.len()));
+                file.truncate(read.valid_bytes.max(record::HEADER.len()));
                 roster = EngineRegistry::new();
                 module = Module::default();
                 plain.source.clear();
-                change = Some(roster.restore(read.records));
+                change = Some(roster.restore_records(read.records));
             }
             Step::Compact => {
-                file = record::file(&roster.records());
+                file = record::file(&roster.compacted_records());
             }
             Step::Forget(n) => {
                 if let Some(id) = roster
                     .id(&name(n))
                     .filter(|&id| module.phase(Some(id)) == Phase::Gone)
                 {
-                    roster.forget(id);
+                    roster.forget_engine(id);
                 }
             }
             command => {
@@ -177,7 +177,9 @@
                         .count()
                 };
                 let before = ready(&plain);
-                if let Ok((c, records)) = roster.command(n as u64, "operator", command.clone()) {
+                if let Ok((c, records)) =
+                    roster.execute_command(n as u64, "operator", command.clone())
+                {
                     records.iter().for_each(|r| file.extend(record::encode(r)));
                     records.iter().for_each(|r| follow(&mut plain, r));
                     let forced = matches!(
--- a/crates/engine-registry/tests/roll.rs
+++ b/crates/engine-registry/tests/roll.rs
@@ -1,6 +1,6 @@
 //! A roll that goes on in a new process, whose clock has nothing to do with the last one's.
 
-use driftfront_engine_registry::roll::{
+use driftfront_engine_registry::rolling_restart::{
     EngineSnapshot, ObservedState, RollingRestart, RollingRestartAction,
 };
 
@@ -9,21 +9,21 @@
 /// Longer than an engine gets warm.
 const LONG: u64 = 20 * SECOND;
 
-fn sight(drained: bool) -> ObservedState {
+fn sight(is_drained: bool) -> ObservedState {
     let engine = |name: &str| EngineSnapshot {
         name: name.into(),
-        ready: !drained || name != "a",
-        drained: drained && name == "a",
-        running: 0,
-        loads: 0,
+        is_ready: !is_drained || name != "a",
+        is_drained: is_drained && name == "a",
+        running_queries: 0,
+        running_imports: 0,
         started_at: Some(1),
-        reachable: true,
+        is_reachable: true,
         zone: 0,
-        part: 0.3,
+        capacity_share: 0.3,
     };
     ObservedState {
         engines: ["a", "b", "c"].map(engine).to_vec(),
-        service: Some(0.9),
+        service_level: Some(0.9),
         load: 0.3,
     }
 }
