--- /dev/null
+++ b/crates/scheduler/src/controller.rs
@@ -0,0 +1,399 @@
+//! The controller: passes each event on to the modules that it concerns.
+
+use crate::actions::{Action, Actions};
+use crate::attempts::{record_end, record_progress, record_stream};
+use crate::demand_share::update_cluster_load;
+use crate::discovery::DiscoveryPolling;
+use crate::dispatch::Dispatcher;
+use crate::engines::{apply_list, drop_if_gone};
+use crate::events::{AttemptEnded, Event, ListKind, ListedEngine, Outcome};
+use crate::gossip::GossipSchedule;
+use crate::outlier_detection::FailureEffect;
+use crate::overruns::{self, OverrunResponse};
+use crate::queries::{PendingQuery, QueryState};
+use crate::quota::TenantQuotas;
+use crate::retry::{blame, Blame};
+use crate::retry_budget::RetryBudgetUsage;
+use crate::settings::Settings;
+use crate::state::SchedulerState;
+use crate::types::{EngineId, Micros, Query, QueryId, TICK_INTERVAL};
+use crate::{admission, capacity, gossip_exchange, health, learning, slow_start};
+
+/// Token of the timer for the tick; those of queries are their ids + 1.
+const TICK_TOKEN: u64 = 0;
+/// At most one log line in this time.
+const MIN_LOG_INTERVAL: Micros = 1_000_000;
+/// Decides for one coordinator.
+pub struct Controller {
+    dispatcher: Dispatcher,
+    quotas: TenantQuotas,
+    discovery: DiscoveryPolling,
+    gossip: GossipSchedule,
+    is_ticking: bool,
+    last_log_at: Micros,
+}
+
+impl Controller {
+    /// A controller that knows nothing but its settings. The same seed and events give the same actions.
+    pub fn new(settings: Settings, seed: u64) -> Controller {
+        Controller {
+            quotas: TenantQuotas::new(&settings.tenants),
+            discovery: DiscoveryPolling::new(&settings),
+            gossip: GossipSchedule::default(),
+            dispatcher: Dispatcher::new(SchedulerState::new(settings, seed), seed),
+            is_ticking: false,
+            last_log_at: 0,
+        }
+    }
+
+    /// Has the host ask [`Controller::may_go_out`] right before each attempt's first byte: limits count attempts from there.
+    /// Without this they count from the [`Action::StartAttempt`].
+    #[must_use]
+    pub fn awaiting_first_bytes(mut self) -> Controller {
+        self.dispatcher.awaits_first_bytes = true;
+        self
+    }
+
+    /// Whether the first byte of an attempt may go out now; if so, it is counted as sent.
+    pub fn may_go_out(&mut self, now: Micros, query: QueryId, attempt: u8) -> bool {
+        let Dispatcher {
+            state,
+            retry_budget,
+            ..
+        } = &mut self.dispatcher;
+        let may_go = retry_budget.allows_first_byte(now, query, attempt)
+            && slow_start::admit_first_byte(state, now, query, attempt);
+        if may_go {
+            retry_budget.mark_sent(now, query, attempt);
+        }
+        may_go
+    }
+
+    /// How far the retry budget is used; `None` where the settings have none.
+    pub fn retry_budget_usage(&self, now: Micros) -> Option<RetryBudgetUsage> {
+        self.dispatcher.retry_budget.usage(now)
+    }
+
+    /// Queries that are not over yet.
+    pub fn queries_open(&self) -> usize {
+        self.state().queries.len()
+    }
+
+    fn state(&self) -> &SchedulerState {
+        &self.dispatcher.state
+    }
+
+    fn state_mut(&mut self) -> &mut SchedulerState {
+        &mut self.dispatcher.state
+    }
+
+    /// Handles one event; what is to be done is appended to `actions`.
+    pub fn handle(&mut self, now: Micros, event: Event<'_>, actions: &mut Actions) {
+        if !std::mem::replace(&mut self.is_ticking, true) {
+            actions.push(Action::SetTimer(TICK_INTERVAL, TICK_TOKEN));
+            if self.discovery.is_polled() {
+                self.poll_discovery(now, actions);
+            }
+        }
+        match event {
+            Event::EnginesListed(kind, list) => self.on_list(now, kind, list, actions),
+            Event::DiscoveryFailed => self.discovery.record_failure(now),
+            Event::QueryArrived(query) => self.on_arrival(now, query, actions),
+            Event::StreamStarted(id, attempt) => self.on_stream(now, id, attempt, actions),
+            Event::ProgressReported(id, attempt, report) => {
+                record_progress(self.state_mut(), now, id, attempt, report);
+            }
+            Event::AttemptEnded(ended) => self.on_attempt_ended(now, &ended, actions),
+            Event::ClientLeft(id) => self.dispatcher.conclude(now, id, actions),
+            Event::TimerFired(TICK_TOKEN) => self.on_tick(now, actions),
+            Event::TimerFired(token) => {
+                self.dispatcher
+                    .end_unserved(now, QueryId(token - 1), actions);
+            }
+            Event::ProbeEnded(id, outcome, report) => {
+                self.on_probe(now, id, outcome, report, actions);
+            }
+            Event::GossipReceived(from, bytes) => {
+                gossip_exchange::receive(self.state_mut(), now, from, bytes);
+            }
+        }
+    }
+
+    fn poll_discovery(&mut self, now: Micros, actions: &mut Actions) {
+        actions.push(Action::WatchEngines);
+        self.discovery.record_poll(now);
+    }
+
+    fn on_list(
+        &mut self,
+        now: Micros,
+        kind: ListKind,
+        list: &[ListedEngine],
+        actions: &mut Actions,
+    ) {
+        self.discovery.record_list(kind);
+        let state = self.state_mut();
+        for id in apply_list(&mut state.engines, &mut state.lost_zones, now, kind, list) {
+            state.clear_queue(id);
+            drop_if_gone(&mut state.engines, &mut state.lost_zones, id);
+        }
+        self.dispatcher.route_unplaced(now, actions);
+    }
+
+    fn on_arrival(&mut self, now: Micros, query: Query, actions: &mut Actions) {
+        let id = query.id;
+        if usize::from(query.class) >= self.state().settings.classes.len() {
+            return actions.push(Action::Reject(id, 0));
+        }
+        self.record_arrival(now, query);
+        let margin = self.dispatcher.answer_margin();
+        if query.budget <= margin {
+            return self.dispatcher.end_unserved(now, id, actions);
+        }
+        actions.push(Action::SetTimer(query.budget - margin, id.0 + 1));
+        if let Some(key) = self.state().ordering_key(id) {
+            self.state_mut()
+                .set_query_state(id, QueryState::WaitingForKey);
+            self.dispatcher.key_queues.push(key, id);
+            return self.dispatcher.release_key(now, key, actions);
+        }
+        if admission::is_shed(self.state(), now, id) {
+            return self.dispatcher.end_unserved(now, id, actions);
+        }
+        if self.dispatcher.probe_candidates(now, id, actions) {
+            return self
+                .state_mut()
+                .set_query_state(id, QueryState::AwaitingProbes);
+        }
+        self.dispatcher.route_query(now, id, actions);
+    }
+
+    fn record_arrival(&mut self, now: Micros, query: Query) {
+        self.dispatcher.retry_budget.record_request(now);
+        let share = self.state().cluster.share;
+        let is_over_quota = self
+            .quotas
+            .is_exceeded_by_one_more(now, query.tenant, share);
+        let pending = PendingQuery::new(query, now, is_over_quota);
+        let state = self.state_mut();
+        state.queries.insert(query.id, pending);
+        let work = state.work(query.id);
+        state.cluster.record_arrival(work);
+        let (engines, coordinators) = (state.engines.len(), state.settings.coordinators);
+        self.dispatcher.probe_budget.record_query(engines);
+        self.gossip.record_query(coordinators);
+    }
+
+    fn on_stream(&mut self, now: Micros, id: QueryId, attempt: u8, actions: &mut Actions) {
+        let state = self.state_mut();
+        record_stream(state, now, id, attempt);
+        let may_cancel = state.settings.may_cancel;
+        if let Some(query) = state.queries.get_mut(&id).filter(|_| may_cancel) {
+            actions.extend(query.cancel_in_flight(Some(attempt)));
+        }
+    }
+
+    /// Handles the end of an attempt. What it says of its engine must be known before the query's next step is decided.
+    fn on_attempt_ended(&mut self, now: Micros, ended: &AttemptEnded<'_>, actions: &mut Actions) {
+        let Some(engine) = record_end(self.state_mut(), ended) else {
+            return;
+        };
+        self.dispatcher
+            .retry_budget
+            .record_end(ended.query, ended.attempt);
+        learning::record_answer(self.state_mut(), now, engine, ended);
+        self.record_outcome(now, engine, ended, actions);
+        if ended.outcome.may_still_run() {
+            self.hold_key(now, ended.query);
+        }
+        match self.state().queries[&ended.query].state {
+            QueryState::InFlight if !ended.last => {
+                self.dispatcher.retry_or_end(now, ended.query, actions);
+            }
+            state if ended.last || state == QueryState::Answered => {
+                self.dispatcher.conclude(now, ended.query, actions);
+            }
+            _ => {}
+        }
+        self.use_freed_room(now, engine, actions);
+    }
+
+    /// Records what an outcome says of its engine and of those that were tried before.
+    fn record_outcome(
+        &mut self,
+        now: Micros,
+        engine: EngineId,
+        ended: &AttemptEnded<'_>,
+        actions: &mut Actions,
+    ) {
+        let state = &mut self.dispatcher.state;
+        let query = &state.queries[&ended.query];
+        let blame = blame(ended.outcome, state.idempotency(query));
+        if ended.outcome == Outcome::Ok {
+            // Served here, so where it erred before the fault was the engine's.
+            let erred: Vec<EngineId> = query.engines_with_errors().collect();
+            for earlier in erred {
+                self.on_engine_failure(now, earlier, Outcome::Error, actions);
+            }
+            learning::learn_from_success(self.state_mut(), now, engine, ended);
+        }
+        if blame != Blame::Nobody {
+            if let Some(query) = self.state_mut().queries.get_mut(&ended.query) {
+                query.avoided.insert(engine);
+            }
+        }
+        if blame == Blame::Engine {
+            self.on_engine_failure(now, engine, ended.outcome, actions);
+        }
+    }
+
+    /// Holds a query's key for a while: what may still run must not be overtaken.
+    fn hold_key(&mut self, now: Micros, id: QueryId) {
+        let until = now + self.state().settings.settle_time;
+        if let Some(key) = self.state().ordering_key(id) {
+            self.dispatcher.key_queues.hold_key(key, until);
+        }
+    }
+
+    /// Starts what fits into the room that an ended attempt left.
+    fn use_freed_room(&mut self, now: Micros, id: EngineId, actions: &mut Actions) {
+        let state = self.state_mut();
+        drop_if_gone(&mut state.engines, &mut state.lost_zones, id);
+        if state.uses_subset {
+            self.dispatcher.start_all_queued(now, actions);
+        } else {
+            self.dispatcher.start_queued(now, id, actions);
+        }
+        // Room here and nobody waiting: those whose start slipped elsewhere need not wait for the tick.
+        let state = self.state();
+        let idle = state.engines.get(&id).filter(|e| e.queue.is_empty());
+        let has_room = idle.is_some_and(|engine| {
+            let bound = capacity::run_bound(state, now, engine);
+            bound.running < bound.threads
+        });
+        if has_room {
+            self.dispatcher.reroute_slipped(now, actions);
+        }
+    }
+
+    /// Handles a failure of the engine itself: it is ejected for a while, then tried with one query at a time.
+    fn on_engine_failure(
+        &mut self,
+        now: Micros,
+        id: EngineId,
+        outcome: Outcome,
+        actions: &mut Actions,
+    ) {
+        let state = self.state_mut();
+        let may_probe = state.settings.may_probe;
+        let Some(engine) = state.engines.get_mut(&id) else {
+            return;
+        };
+        if outcome == Outcome::Rejected {
+            return engine.health.record_rejection(now);
+        }
+        if matches!(outcome, Outcome::Unreachable | Outcome::TimedOut) {
+            state.lost_zones.record_loss(engine.zone, id);
+        }
+        match engine.health.record_failure(now, outcome, may_probe) {
+            FailureEffect::Unchanged => return,
+            FailureEffect::EjectedUntilProbe => {
+                self.dispatcher.probe_engines(now, &[id], actions);
+            }
+            FailureEffect::Ejected => {}
+        }
+        if now >= self.last_log_at + MIN_LOG_INTERVAL {
+            self.last_log_at = now;
+            let line = format!("engine {:x} shut after {outcome:?}", id.0);
+            actions.push(Action::Log(line));
+        }
+        self.state_mut().clear_queue(id);
+        self.dispatcher.route_unplaced(now, actions);
+    }
+
+    fn on_probe(
+        &mut self,
+        now: Micros,
+        id: EngineId,
+        outcome: Outcome,
+        report: &[f64],
+        actions: &mut Actions,
+    ) {
+        let is_answer = outcome == Outcome::Ok;
+        learning::record_report(self.state_mut(), now, id, report, is_answer);
+        match outcome {
+            Outcome::Ok => {
+                let engine = self.state_mut().engines.get_mut(&id);
+                if engine.is_some_and(|e| e.health.record_probe_success(now)) {
+                    self.dispatcher.route_unplaced(now, actions);
+                }
+            }
+            Outcome::Rejected | Outcome::Superseded => {}
+            Outcome::Error
+            | Outcome::TimedOut
+            | Outcome::Unreachable
+            | Outcome::Reset
+            | Outcome::Cancelled => self.on_engine_failure(now, id, outcome, actions),
+        }
+        self.dispatcher.route_probed(now, Some(id), now, actions);
+    }
+
+    fn on_tick(&mut self, now: Micros, actions: &mut Actions) {
+        actions.push(Action::SetTimer(TICK_INTERVAL, TICK_TOKEN));
+        let state = self.state_mut();
+        state.cluster.update_demand(state.uses_subset);
+        let may_gossip = state.settings.may_gossip;
+        if self.discovery.is_due(now) {
+            self.poll_discovery(now, actions);
+        }
+        if may_gossip && self.gossip.is_due(now) {
+            let Dispatcher { state, random, .. } = &mut self.dispatcher;
+            gossip_exchange::send_round(state, &mut self.gossip, random, now, actions);
+        }
+        let silent_zones = self.state().lost_zones.silent_zones();
+        self.dispatcher
+            .probe_budget
+            .record_silent_zones(silent_zones);
+        update_cluster_load(self.state_mut(), now);
+        let last_tick = now.saturating_sub(TICK_INTERVAL);
+        self.dispatcher.route_probed(now, None, last_tick, actions);
+        self.check_engines(now, actions);
+        self.check_overruns(now, actions);
+        self.dispatcher.reroute_slipped(now, actions);
+        for key in self.dispatcher.key_queues.keys() {
+            self.dispatcher.release_key(now, key, actions);
+        }
+        self.dispatcher.start_all_queued(now, actions);
+    }
+
+    /// Probes engines that are due, and counts silent ones as failed.
+    fn check_engines(&mut self, now: Micros, actions: &mut Actions) {
+        let credit = self.dispatcher.probe_budget.credit();
+        let check = health::check_engines(self.state_mut(), now, credit);
+        self.dispatcher
+            .probe_engines(now, &check.due_probes, actions);
+        for id in check.silent {
+            self.on_engine_failure(now, id, Outcome::TimedOut, actions);
+            for (query, attempt) in self.state().engines[&id].in_flight.clone() {
+                self.dispatcher
+                    .replace_attempt(now, query, attempt, actions);
+            }
+        }
+    }
+
+    /// Replaces or ends attempts that run far too long.
+    fn check_overruns(&mut self, now: Micros, actions: &mut Actions) {
+        let weight_of_work = overruns::mean_weight_of_work(self.state());
+        for overrun in overruns::find_overruns(self.state(), now) {
+            let id = overrun.query;
+            match overruns::respond(self.state(), now, &overrun, weight_of_work) {
+                OverrunResponse::Leave => {}
+                OverrunResponse::Replace => {
+                    self.dispatcher
+                        .replace_attempt(now, id, overrun.attempt, actions);
+                }
+                OverrunResponse::GiveUp => self.dispatcher.end_unserved(now, id, actions),
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/scheduler/src/demand_share.rs
@@ -0,0 +1,98 @@
+//! This coordinator's part of the cluster's demand, and the cluster's load: brought up to date with each tick.
+//!
+//! Input: own demand, what peers say of theirs, and load reports. Output: the figures of [`ClusterLoad`].
+//!
+//! [`ClusterLoad`]: crate::cluster_load::ClusterLoad
+
+use crate::capacity::{is_pressed, remaining_work};
+use crate::engines::Engine;
+use crate::slow_start::warmth;
+use crate::slowdown::{faded, PRESSURE_SLOWDOWN};
+use crate::state::SchedulerState;
+use crate::types::Micros;
+
+/// Weight of one tick in the share: some two seconds.
+const SHARE_WEIGHT: f64 = 0.03;
+/// Others that hold less than this part of one's own each are down, not quiet.
+const MIN_PART_OF_OTHERS: f64 = 0.12;
+/// The cluster is overloaded once one in so many engines that were heard is pressed ...
+const OVERLOAD_PART: usize = 2;
+/// ... or one in so many where none heals soon.
+const FINAL_OVERLOAD_PART: usize = 5;
+/// So few engines heard count as so many.
+const MIN_REPORTING_ENGINES: usize = 4;
+
+/// Brings the cluster's figures up to date.
+pub(crate) fn update_cluster_load(state: &mut SchedulerState, now: Micros) {
+    state.cluster.share = demand_share(state, now);
+    if !state.uses_subset {
+        for (&id, engine) in &mut state.engines {
+            engine.peer_threads = state.peers.threads_on(now, id);
+        }
+    }
+    let remaining = state
+        .engines
+        .values()
+        .map(|e| remaining_work(state, now, e));
+    state.cluster.remaining_work = remaining.sum();
+    let warm_cores = state
+        .ready_engines()
+        .map(|e| state.cores(e) * warmth(state, now, e));
+    state.cluster.cores = warm_cores.sum();
+    state.cluster.slowdown = faded(state.cluster.slowdown, 1.0);
+    state.cluster.is_overloaded = is_overloaded(state, now);
+}
+
+fn is_overloaded(state: &SchedulerState, now: Micros) -> bool {
+    if !state.has_load_reports || state.cluster.slowdown > PRESSURE_SLOWDOWN {
+        return true;
+    }
+    let (mut reporting, mut pressed) = (0, 0);
+    for engine in state.ready_engines() {
+        if engine.fresh_report(now).is_some() {
+            reporting += 1;
+            pressed += usize::from(is_pressed(state, now, engine));
+        }
+    }
+    let part = if state.is_paging_final {
+        FINAL_OVERLOAD_PART
+    } else {
+        OVERLOAD_PART
+    };
+    part * pressed > reporting.max(MIN_REPORTING_ENGINES)
+}
+
+/// This coordinator's part of the cluster's demand, taking the peers that gossip lately as a sample.
+fn demand_share(state: &SchedulerState, now: Micros) -> f64 {
+    let coordinators = f64::from(state.settings.coordinators.max(1));
+    let own = state.cluster.demand;
+    if state.peers.is_empty() || own <= 0.0 {
+        let share = reported_share(state, now).unwrap_or(1.0 / coordinators);
+        return state.cluster.share + SHARE_WEIGHT * (share - state.cluster.share);
+    }
+    let others = coordinators - 1.0;
+    let peers = state.peers.recent_demand(now);
+    if state.uses_subset {
+        // Those that gossip are a sample; few queries tell little of one's own part: half of it is the mean's.
+        let mean = peers.demand / (peers.count + 1e-9);
+        return (0.5 * own / (own + mean * others)) + 0.5 / coordinators;
+    }
+    let silent = (others - state.peers.len() as f64).max(0.0);
+    (own / (own + peers.demand + silent * own)).max(0.5 / coordinators)
+}
+
+/// Own part of the queries that engines report, where it says that other coordinators are down.
+fn reported_share(state: &SchedulerState, now: Micros) -> Option<f64> {
+    let active = |e: &Engine| e.fresh_report(now)?.active;
+    let (mut own, mut all) = (0.0, 0.0);
+    for engine in state.ready_engines() {
+        if let Some(active) = active(engine) {
+            let own_here = engine.in_flight.len() as f64;
+            own += own_here;
+            all += own_here.max(active);
+        }
+    }
+    let others = f64::from(state.settings.coordinators) - 1.0;
+    let are_down = all - own < MIN_PART_OF_OTHERS * own * others;
+    (!state.uses_subset && are_down).then_some(own / all)
+}
--- /dev/null
+++ b/crates/scheduler/src/engines.rs
@@ -0,0 +1,152 @@
+//! Engines as this coordinator sees them: what the list says of each, what is queued and in flight there, and what was learned.
+//!
+//! Bound: an engine is dropped once it is gone from the list and nothing is in flight there.
+
+use crate::events::{ListKind, ListedEngine, Phase};
+use crate::load_reports::LoadReport;
+use crate::outlier_detection::EngineHealth;
+use crate::send_ledger::SendLedger;
+use crate::slowdown::Slowdown;
+use crate::start_time::believed_start;
+use crate::types::{EngineId, Micros, QueryId};
+use crate::zone_failure::LostZones;
+use std::collections::{BTreeMap, BTreeSet};
+
+/// All engines that are known.
+pub(crate) type Engines = BTreeMap<EngineId, Engine>;
+
+/// A query in an engine's queue, with what routing reads over and over.
+#[derive(Clone, Copy)]
+pub(crate) struct QueuedQuery {
+    pub id: QueryId,
+    /// Estimated work, µs over all threads.
+    pub work: f64,
+    pub threads: f64,
+    /// What an answer in time is worth.
+    pub weight: f64,
+    /// Latest time at which an answer earns that.
+    pub objective: f64,
+    pub table_group: u32,
+    /// The start that was estimated when it was put there.
+    pub planned_start: f64,
+}
+
+impl QueuedQuery {
+    /// Whether it misses its objective on an engine of this slowdown if it starts then.
+    pub(crate) fn is_late(&self, start: f64, slowdown: f64) -> bool {
+        start + self.work / self.threads * slowdown > self.objective
+    }
+}
+
+/// One engine.
+pub(crate) struct Engine {
+    pub zone: u16,
+    /// Its machine kind, by place in the settings.
+    pub kind: u16,
+    pub cell: u16,
+    pub phase: Phase,
+    /// Believed last start, if lately.
+    pub started_at: Option<Micros>,
+    /// Last start as the list told it.
+    listed_start: Option<Micros>,
+    /// Queries that wait to start here, in their order.
+    pub queue: Vec<QueuedQuery>,
+    /// Table group of the query that started here last.
+    pub last_table_group: Option<u32>,
+    /// Attempts that are out here, by query and number.
+    pub in_flight: BTreeSet<(QueryId, u8)>,
+    /// Threads of those.
+    pub threads: f64,
+    /// Memory reckoned with for those, MB.
+    pub granted_mb: f64,
+    /// Threads of other coordinators, by their word.
+    pub peer_threads: f64,
+    pub slowdown: Slowdown,
+    pub report: Option<LoadReport>,
+    pub health: EngineHealth,
+    /// Work sent while it was warming up.
+    pub slow_start_sends: SendLedger,
+}
+
+impl Engine {
+    fn new(line: &ListedEngine, started_at: Option<Micros>, now: Micros) -> Engine {
+        Engine {
+            zone: line.zone,
+            kind: line.kind,
+            cell: line.cell,
+            phase: line.phase,
+            started_at,
+            listed_start: line.started_at,
+            queue: Vec::new(),
+            last_table_group: None,
+            in_flight: BTreeSet::new(),
+            threads: 0.0,
+            granted_mb: 0.0,
+            peer_threads: 0.0,
+            slowdown: Slowdown::none(now),
+            report: None,
+            health: EngineHealth::new(now),
+            slow_start_sends: SendLedger::default(),
+        }
+    }
+
+    /// Its load report, if it still says something.
+    pub(crate) fn fresh_report(&self, now: Micros) -> Option<&LoadReport> {
+        self.report.as_ref().filter(|r| r.is_fresh(now))
+    }
+
+    /// Takes a line of the list over. A new process of the engine starts with a clean record, but keeps what is queued and in
+    /// flight.
+    fn update(&mut self, line: &ListedEngine, started_at: Option<Micros>, now: Micros) {
+        (self.zone, self.kind, self.cell, self.phase) =
+            (line.zone, line.kind, line.cell, line.phase);
+        if self.listed_start != line.started_at {
+            let fresh = Engine::new(line, started_at, now);
+            let old = std::mem::replace(self, fresh);
+            (self.queue, self.in_flight) = (old.queue, old.in_flight);
+            (self.threads, self.granted_mb) = (old.threads, old.granted_mb);
+        }
+    }
+}
+
+/// Takes a list over; the engines that are not ready now.
+pub(crate) fn apply_list(
+    engines: &mut Engines,
+    lost_zones: &mut LostZones,
+    now: Micros,
+    kind: ListKind,
+    list: &[ListedEngine],
+) -> Vec<EngineId> {
+    for line in list {
+        if line.started_at.is_some() && line.phase == Phase::Ready {
+            // Somebody there started anew: the zone is no longer lost as a whole.
+            lost_zones.record_contact(line.zone);
+        }
+        let known = engines.get(&line.engine);
+        let is_news = known.is_none_or(|e| e.listed_start != line.started_at);
+        let started_at = line
+            .started_at
+            .map(|listed| believed_start(now, kind, listed, is_news));
+        engines
+            .entry(line.engine)
+            .or_insert_with(|| Engine::new(line, started_at, now))
+            .update(line, started_at, now);
+    }
+    if kind != ListKind::Changes {
+        let listed: BTreeSet<EngineId> = list.iter().map(|l| l.engine).collect();
+        for (_, engine) in engines.iter_mut().filter(|(id, _)| !listed.contains(id)) {
+            engine.phase = Phase::Gone;
+        }
+    }
+    let not_ready = engines.iter().filter(|(_, e)| e.phase != Phase::Ready);
+    not_ready.map(|(&id, _)| id).collect()
+}
+
+/// Drops an engine that is gone once nothing is in flight there.
+pub(crate) fn drop_if_gone(engines: &mut Engines, lost_zones: &mut LostZones, id: EngineId) {
+    let is_over = |e: &Engine| e.phase == Phase::Gone && e.in_flight.is_empty();
+    if engines.get(&id).is_some_and(is_over) {
+        engines.remove(&id);
+        lost_zones.forget_engine(id);
+    }
+}
--- /dev/null
+++ b/crates/scheduler/src/gossip.rs
@@ -0,0 +1,258 @@
+//! Gossip between decision modules: what a coordinator's peers are told, and what they said last.
+//!
+//! A message is the byte 2 (its version), the sender's demand as a big-endian `f32`, and as many entries as fit into 256 bytes. An
+//! entry: the engine's id (6 bytes), the sender's threads there, its slowdown in steps of 0.05, the age of its load report in
+//! 1/25 s (255: none), and the report's values in the order of the settings (255: absent; shares in steps of 0.005).
+//!
+//! Bound: one record for each coordinator that was heard.
+
+use crate::load_reports::LoadReport;
+use crate::settings::ReportField;
+use crate::types::{EngineId, Micros};
+use std::collections::BTreeMap;
+
+/// Peers are told this often, at most.
+pub(crate) const GOSSIP_INTERVAL: Micros = 1_000_000;
+/// What a peer said counts in full for so many intervals; it is halved with each after that.
+const FULL_TRUST_INTERVALS: f64 = 3.0;
+const VERSION: u8 = 2;
+const MAX_MESSAGE_BYTES: usize = 256;
+/// Bytes of an entry before the report's values.
+const ENTRY_HEAD_BYTES: usize = 9;
+/// Stands for a report that is missing, and for a value that is.
+const ABSENT: u8 = 255;
+const AGE_UNIT: Micros = 40_000;
+const SHARE_STEPS: f64 = 200.0;
+const SLOWDOWN_STEPS: f64 = 20.0;
+
+/// What a message says of one engine.
+pub(crate) struct EngineNews {
+    /// The engine.
+    pub engine: EngineId,
+    /// The sender's own threads there.
+    pub threads: f64,
+    /// How much longer queries run there than alone.
+    pub slowdown: f64,
+    /// Its newest load report.
+    pub report: Option<LoadReport>,
+}
+
+/// A message of a peer.
+pub(crate) struct Message {
+    /// The sender's demand, µs of work per µs.
+    pub demand: f64,
+    /// What it says of engines.
+    pub engines: Vec<EngineNews>,
+}
+
+/// How many engines fit into a message with so many report values each.
+pub(crate) fn max_engines(fields: &[ReportField]) -> usize {
+    let head_bytes = 1 + size_of::<f32>();
+    (MAX_MESSAGE_BYTES - head_bytes) / (ENTRY_HEAD_BYTES + fields.len())
+}
+
+/// Writes a message: demand, then the engines in the order given. The caller gives [`max_engines`] at most.
+#[allow(
+    clippy::cast_possible_truncation,
+    reason = "the form's bytes: whole steps, and no more than fit"
+)]
+pub(crate) fn encode(
+    now: Micros,
+    demand: f64,
+    fields: &[ReportField],
+    engines: impl Iterator<Item = EngineNews>,
+) -> Vec<u8> {
+    let mut bytes = vec![VERSION];
+    bytes.extend((demand as f32).to_be_bytes());
+    for news in engines {
+        let report = news.report.unwrap_or_default();
+        let age = news
+            .report
+            .map_or(u64::from(ABSENT), |r| now.saturating_sub(r.at) / AGE_UNIT);
+        bytes.extend(&news.engine.0.to_be_bytes()[2..]);
+        bytes.extend([
+            news.threads as u8,
+            (news.slowdown * SLOWDOWN_STEPS) as u8,
+            age.min(u64::from(ABSENT)) as u8,
+        ]);
+        bytes.extend(fields.iter().map(|&field| encode_value(field, &report)));
+    }
+    bytes
+}
+
+#[allow(
+    clippy::cast_possible_truncation,
+    reason = "the form's bytes: whole steps, and no more than fit"
+)]
+fn encode_value(field: ReportField, report: &LoadReport) -> u8 {
+    let count = |value: Option<f64>| value.map_or(ABSENT, |x| x.min(254.0) as u8);
+    let share = |value: Option<f64>| value.map_or(ABSENT, |x| (x * SHARE_STEPS) as u8);
+    match field {
+        ReportField::Active => count(report.active),
+        ReportField::Waiting => count(report.waiting),
+        ReportField::Busy => share(report.busy),
+        ReportField::Memory => share(report.memory),
+        ReportField::Disk => share(report.disk),
+        ReportField::ServiceMs | ReportField::Rate | ReportField::Errors | ReportField::Unknown => {
+            ABSENT
+        }
+    }
+}
+
+/// Reads a message; `None` if it is malformed or of another version.
+pub(crate) fn decode(now: Micros, fields: &[ReportField], bytes: &[u8]) -> Option<Message> {
+    let body = bytes.strip_prefix(&[VERSION])?;
+    let (demand, entries) = body.split_first_chunk::<4>()?;
+    let demand = f64::from(f32::from_be_bytes(*demand));
+    let entry_bytes = ENTRY_HEAD_BYTES + fields.len();
+    if !demand.is_finite() || demand < 0.0 || entries.len() % entry_bytes != 0 {
+        return None;
+    }
+    let entries = entries.chunks(entry_bytes);
+    let engines = entries.map(|entry| decode_entry(now, fields, entry));
+    Some(Message {
+        demand,
+        engines: engines.collect(),
+    })
+}
+
+fn decode_entry(now: Micros, fields: &[ReportField], entry: &[u8]) -> EngineNews {
+    let id = entry[..6]
+        .iter()
+        .fold(0u64, |id, &b| id << 8 | u64::from(b));
+    let (threads, slowdown, age) = (entry[6], entry[7], entry[8]);
+    let report = (age < ABSENT).then(|| {
+        let encoded = fields.iter().zip(&entry[ENTRY_HEAD_BYTES..]);
+        let values: Vec<f64> = encoded.map(|(&f, &byte)| decode_value(f, byte)).collect();
+        let at = now.saturating_sub(u64::from(age) * AGE_UNIT);
+        LoadReport::read(at, fields, &values)
+    });
+    EngineNews {
+        engine: EngineId(id),
+        threads: f64::from(threads),
+        slowdown: f64::from(slowdown) / SLOWDOWN_STEPS,
+        report,
+    }
+}
+
+/// A value of a report; one that is absent becomes negative, which counts as absent.
+fn decode_value(field: ReportField, byte: u8) -> f64 {
+    match field {
+        _ if byte == ABSENT => -1.0,
+        ReportField::Busy | ReportField::Memory | ReportField::Disk => {
+            f64::from(byte) / SHARE_STEPS
+        }
+        ReportField::Active
+        | ReportField::Waiting
+        | ReportField::ServiceMs
+        | ReportField::Rate
+        | ReportField::Errors
+        | ReportField::Unknown => f64::from(byte),
+    }
+}
+
+/// What a peer said last.
+struct Peer {
+    last_contact_at: Micros,
+    demand: f64,
+    threads: BTreeMap<EngineId, f64>,
+}
+
+impl Peer {
+    /// Weight of its word: 1 for a while, then halved with each interval.
+    fn trust(&self, now: Micros) -> f64 {
+        let age = now.saturating_sub(self.last_contact_at) as f64 / GOSSIP_INTERVAL as f64;
+        0.5f64.powf((age - FULL_TRUST_INTERVALS).max(0.0))
+    }
+}
+
+/// Sums over the peers that were heard, each by the weight of its word.
+pub(crate) struct PeerDemand {
+    /// Their demand, µs of work per µs.
+    pub demand: f64,
+    /// How many they are.
+    pub count: f64,
+}
+
+/// All peers that were ever heard.
+#[derive(Default)]
+pub(crate) struct Peers {
+    peers: BTreeMap<u32, Peer>,
+}
+
+impl Peers {
+    /// Records what a peer says of itself.
+    pub(crate) fn record(&mut self, now: Micros, from: u32, message: &Message) {
+        let threads = message.engines.iter().map(|e| (e.engine, e.threads));
+        let peer = Peer {
+            last_contact_at: now,
+            demand: message.demand,
+            threads: threads.collect(),
+        };
+        self.peers.insert(from, peer);
+    }
+
+    /// Whether none was ever heard.
+    pub(crate) fn is_empty(&self) -> bool {
+        self.peers.is_empty()
+    }
+
+    /// How many were ever heard.
+    pub(crate) fn len(&self) -> usize {
+        self.peers.len()
+    }
+
+    /// Their demand, and how many of them still count.
+    pub(crate) fn recent_demand(&self, now: Micros) -> PeerDemand {
+        let demand = self.peers.values().map(|p| p.demand * p.trust(now));
+        PeerDemand {
+            demand: demand.sum(),
+            count: self.peers.values().map(|p| p.trust(now)).sum(),
+        }
+    }
+
+    /// Their threads on an engine.
+    pub(crate) fn threads_on(&self, now: Micros, engine: EngineId) -> f64 {
+        let threads = |p: &Peer| p.threads.get(&engine).unwrap_or(&0.0) * p.trust(now);
+        self.peers.values().map(threads).sum()
+    }
+}
+
+/// Messages that an accepted query pays for, so that they don't grow with the peers.
+const MESSAGES_PER_QUERY: f64 = 0.5;
+
+/// When peers are told, and how many of them.
+#[derive(Default)]
+pub(crate) struct GossipSchedule {
+    last_round_at: Micros,
+    /// Messages that may go out, where not all peers are told.
+    credit: f64,
+}
+
+impl GossipSchedule {
+    /// Adds what an accepted query pays for.
+    pub(crate) fn record_query(&mut self, coordinators: u32) {
+        self.credit = (self.credit + MESSAGES_PER_QUERY).min(f64::from(coordinators));
+    }
+
+    /// Whether a round is due.
+    pub(crate) fn is_due(&self, now: Micros) -> bool {
+        now >= self.last_round_at + GOSSIP_INTERVAL
+    }
+
+    /// Begins a round; how many of so many peers are told: as many as queries have paid for, or all where they are few.
+    #[allow(
+        clippy::cast_possible_truncation,
+        reason = "whole messages, of no more than there are coordinators"
+    )]
+    pub(crate) fn begin_round(&mut self, now: Micros, peers: usize, uses_subset: bool) -> usize {
+        self.last_round_at = now;
+        let count = if uses_subset {
+            self.credit as usize
+        } else {
+            peers
+        };
+        self.credit = (self.credit - count as f64).max(0.0);
+        count
+    }
+}
--- /dev/null
+++ b/crates/scheduler/src/health.rs
@@ -0,0 +1,151 @@
+//! Health checks: what silence and attempts still out say of engines, and which engines are due for a probe.
+//!
+//! Input: the engines' records, once a tick. Output: engines that are silent, and engines to probe. Bound: one pass over the
+//! engines and what is out there.
+
+use crate::engines::Engine;
+use crate::events::Phase;
+use crate::load_reports::MAX_REPORT_AGE;
+use crate::overruns::OVERRUN_RATIO;
+use crate::probes::PROBES_PER_QUERY;
+use crate::slowdown::MAX_SLOWDOWN;
+use crate::state::SchedulerState;
+use crate::types::{EngineId, Micros};
+
+/// No word for this long with work out is silence, µs: longer than short stalls.
+const SILENCE_MICROS: f64 = 1_600_000.0;
+/// Progress reports are overdue after so many intervals.
+const OVERDUE_INTERVALS: f64 = 3.0;
+/// An engine on probation, or one that reports on probes only, is probed this often.
+const PROBE_INTERVAL: Micros = 1_000_000;
+
+/// What a health check found.
+pub(crate) struct HealthCheck {
+    /// Engines that count as failed, since they say nothing while others do.
+    pub silent: Vec<EngineId>,
+    /// Engines to probe, the most urgent first, as many as the budget allows.
+    pub due_probes: Vec<EngineId>,
+}
+
+/// What the attempts out on an engine show.
+struct InFlight {
+    attempts: usize,
+    /// Attempts from which word is overdue.
+    overdue: usize,
+    /// Least slowdown that any of them points to.
+    slowdown: f64,
+}
+
+/// Checks all engines; `probe_credit`: probes that may go out.
+pub(crate) fn check_engines(
+    state: &mut SchedulerState,
+    now: Micros,
+    probe_credit: f64,
+) -> HealthCheck {
+    let in_flight = |(&id, engine)| (id, observe_in_flight(state, now, engine));
+    let observed: Vec<(EngineId, InFlight)> = state.engines.iter().map(in_flight).collect();
+    update_slowdowns(state, now, &observed);
+    HealthCheck {
+        silent: silent_engines(state, now, &observed),
+        due_probes: due_probes(state, now, probe_credit),
+    }
+}
+
+fn observe_in_flight(state: &SchedulerState, now: Micros, engine: &Engine) -> InFlight {
+    let mut seen = InFlight {
+        attempts: 0,
+        overdue: 0,
+        slowdown: MAX_SLOWDOWN,
+    };
+    let attempts = state.attempts_on(engine).map(|(_, attempt)| attempt);
+    for attempt in attempts.filter(|a| a.is_running()) {
+        let age = attempt.age(now);
+        let max_silence = match state.settings.progress_interval {
+            Some(interval) => OVERDUE_INTERVALS * interval as f64,
+            None => OVERRUN_RATIO * attempt.expected_run,
+        };
+        let run = attempt.projected_run.unwrap_or(age).max(age);
+        let slowdown = run * engine.slowdown.ratio() / attempt.expected_run.max(1.0);
+        seen.slowdown = seen.slowdown.min(slowdown);
+        seen.attempts += 1;
+        seen.overdue += usize::from(age > max_silence.max(SILENCE_MICROS));
+    }
+    seen
+}
+
+/// Where all that is out runs long the engine is slow, though no answer says so yet.
+fn update_slowdowns(state: &mut SchedulerState, now: Micros, observed: &[(EngineId, InFlight)]) {
+    let uses_subset = state.uses_subset;
+    let usual = if uses_subset {
+        state.cluster.slowdown
+    } else {
+        1.0
+    };
+    // One attempt alone may be a bad plan, unless this coordinator hardly ever has more.
+    let min_attempts = if uses_subset { 1 } else { 2 };
+    for (engine, (_, seen)) in state.engines.values_mut().zip(observed) {
+        let shown = (seen.attempts >= min_attempts).then_some(seen.slowdown);
+        engine.slowdown.raise_or_fade(shown, usual, now);
+    }
+}
+
+/// Engines that say nothing though word is overdue. Silence of one engine is its own; silence of nearly all is ours or the
+/// cluster's: then none counts.
+fn silent_engines(
+    state: &SchedulerState,
+    now: Micros,
+    observed: &[(EngineId, InFlight)],
+) -> Vec<EngineId> {
+    let (mut silent, mut talking, mut waiting) = (Vec::new(), 0, 0);
+    // Without progress reports one long query alone says nothing: it may have a bad plan.
+    let min_overdue = if state.settings.progress_interval.is_none() {
+        2
+    } else {
+        1
+    };
+    for (engine, (id, seen)) in state.engines.values().zip(observed) {
+        let silence = now.saturating_sub(engine.health.last_contact_at) as f64;
+        waiting += usize::from(seen.attempts > 0);
+        talking += usize::from(seen.attempts > 0 && silence < SILENCE_MICROS);
+        let is_overdue = seen.overdue >= min_overdue && silence > SILENCE_MICROS;
+        if is_overdue && !engine.health.is_ejected(now) {
+            silent.push(*id);
+        }
+    }
+    if talking * 2 < waiting {
+        silent.clear();
+    }
+    silent
+}
+
+/// Engines to probe: those on probation first, then those that were not heard for longest.
+#[allow(
+    clippy::cast_possible_truncation,
+    reason = "whole probes, of no more than there are engines"
+)]
+fn due_probes(state: &SchedulerState, now: Micros, probe_credit: f64) -> Vec<EngineId> {
+    if !state.settings.may_probe {
+        return Vec::new();
+    }
+    let due = |(&id, engine): (&EngineId, &Engine)| {
+        let health = &engine.health;
+        let last = health.last_contact_at.max(health.probed_at);
+        let is_idle = now > last + MAX_REPORT_AGE;
+        let wants_probes =
+            state.settings.report_on_probe || health.is_on_probation() && !health.is_ejected(now);
+        let is_due = is_idle || wants_probes && now > health.probed_at + PROBE_INTERVAL;
+        (engine.phase == Phase::Ready && is_due).then_some((!health.is_on_probation(), last, id))
+    };
+    let mut probes: Vec<_> = state.engines.iter().filter_map(due).collect();
+    probes.sort();
+    // Queries that ask before they go come first.
+    let serves_queries = state.settings.report_on_probe && state.lost_zones.silent_zones() == 0;
+    let reserved = if serves_queries {
+        PROBES_PER_QUERY
+    } else {
+        0.0
+    };
+    let spare = probe_credit - reserved;
+    probes.truncate(spare.max(0.0) as usize);
+    probes.into_iter().map(|probe| probe.2).collect()
+}
--- /dev/null
+++ b/crates/scheduler/src/learning.rs
@@ -0,0 +1,89 @@
+//! Learning from answers: what an attempt's end says of its engine, its class and the cluster.
+
+use crate::estimates::{Sample, SAMPLE_WEIGHT};
+use crate::events::{AttemptEnded, Outcome};
+use crate::load_reports::LoadReport;
+use crate::slowdown::{blended, MAX_SLOWDOWN, MIN_SLOWDOWN};
+use crate::state::SchedulerState;
+use crate::types::{EngineId, Micros};
+
+/// Weight of an answer in an engine's slowdown where a coordinator has a small part of it: answers are rare, and each says more.
+const SUBSET_SLOWDOWN_WEIGHT: f64 = 3.0 * SAMPLE_WEIGHT;
+
+/// Takes over a load report; `is_answer`: the engine itself sent something just now.
+pub(crate) fn record_report(
+    state: &mut SchedulerState,
+    now: Micros,
+    id: EngineId,
+    values: &[f64],
+    is_answer: bool,
+) {
+    if is_answer {
+        state.record_contact(now, id);
+    }
+    if let Some(engine) = state.engines.get_mut(&id).filter(|_| !values.is_empty()) {
+        let fields = &state.settings.report_fields;
+        engine.report = Some(LoadReport::read(now, fields, values));
+    }
+}
+
+/// Records what an attempt's end says of its engine, whatever becomes of the query.
+pub(crate) fn record_answer(
+    state: &mut SchedulerState,
+    now: Micros,
+    id: EngineId,
+    ended: &AttemptEnded<'_>,
+) {
+    let is_answer = ended.outcome.is_answer();
+    record_report(state, now, id, ended.report, is_answer);
+    let uses_subset = state.uses_subset;
+    if let Some(engine) = state.engines.get_mut(&id).filter(|_| is_answer) {
+        let is_error = ended.outcome == Outcome::Error;
+        engine.health.record_answer(is_error);
+        if uses_subset && is_error {
+            engine.slowdown.penalize_error(now);
+        }
+    }
+}
+
+/// Learns from a query that was served: its class's work and memory, the engine's and the cluster's slowdown.
+pub(crate) fn learn_from_success(
+    state: &mut SchedulerState,
+    now: Micros,
+    id: EngineId,
+    ended: &AttemptEnded<'_>,
+) {
+    let query = &state.queries[&ended.query];
+    let threads = state.class_of(query).threads;
+    let spent = ended.spent as f64;
+    let sample = Sample {
+        work: ended.work,
+        memory_mb: ended.memory_mb,
+        spent,
+    };
+    let learned = state.estimates.learn(&query.query, &sample);
+    // Without any word of a query's work only its class's mean tells a slow engine from a large query.
+    let is_work_known = ended.work.or(query.query.work).is_some();
+    let work = if state.uses_subset && !is_work_known {
+        learned.usual
+    } else {
+        learned.of_this_query
+    };
+    let alone = work / threads + state.settings.tick as f64;
+    let ratio = (spent / alone).clamp(MIN_SLOWDOWN, MAX_SLOWDOWN);
+    let weight = if state.uses_subset {
+        SUBSET_SLOWDOWN_WEIGHT
+    } else {
+        SAMPLE_WEIGHT
+    };
+    let Some(engine) = state.engines.get_mut(&id) else {
+        return;
+    };
+    state.cluster.slowdown = blended(state.cluster.slowdown, ratio, SAMPLE_WEIGHT);
+    engine.slowdown.move_towards(ratio, weight, now);
+    if engine.health.may_have_restarted() {
+        // It may have restarted without word, so it counts as new.
+        engine.started_at = Some(now);
+    }
+    engine.health.record_success();
+}
--- /dev/null
+++ b/crates/scheduler/src/outlier_detection.rs
@@ -0,0 +1,156 @@
+//! Outlier detection: which engines are ejected after failures, and how they come back.
+//!
+//! Input: answers, failures and probes of one engine. Output: whether it takes queries. State: one record for each engine.
+//!
+//! | state | event | next |
+//! | --- | --- | --- |
+//! | healthy | an error, the first in a row | healthy |
+//! | healthy | the first connection reset, where probes are allowed | ejected; a probe is asked for |
+//! | healthy | any other failure | ejected, on probation behind that |
+//! | ejected | the ejection time is over | on probation, or healthy where a connection had only broken |
+//! | ejected, not on probation | a probe answers | healthy |
+//! | ejected, on probation | it can't be reached: the same failure | unchanged |
+//! | on probation: one attempt at a time | an answer, and fewer than half of the last were errors | healthy |
+//! | on probation | a failure | ejected, for longer |
+
+use crate::estimates::SAMPLE_WEIGHT;
+use crate::events::Outcome;
+use crate::types::Micros;
+
+/// A failed engine is ejected for this long, doubled with each failure: covers a restart.
+const BASE_EJECTION_TIME: Micros = 400_000;
+/// It is doubled so many times at most.
+const MAX_EJECTION_DOUBLINGS: u32 = 4;
+/// Errors in a row that make the engine an outlier: one may be the query's own.
+const ERRORS_TO_EJECT: u32 = 2;
+/// Weight of an answer in the error rate.
+const ERROR_RATE_WEIGHT: f64 = 3.0 * SAMPLE_WEIGHT;
+/// An engine stays on probation while more than this share of its last answers were errors.
+const MAX_PROBATION_ERROR_RATE: f64 = 0.5;
+/// Pressure for this long after a rejected query: the period of a load report.
+const REJECTION_PRESSURE_TIME: Micros = 1_000_000;
+
+/// What a failure did to its engine.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(crate) enum FailureEffect {
+    /// It takes queries as before, or was ejected already.
+    Unchanged,
+    /// It was ejected; on probation behind that.
+    Ejected,
+    /// It was ejected until a probe answers: only a connection may have broken.
+    EjectedUntilProbe,
+}
+
+/// What is known of one engine's health.
+#[derive(Clone, Copy)]
+pub(crate) struct EngineHealth {
+    /// When something last came from it.
+    pub last_contact_at: Micros,
+    /// When it was last probed.
+    pub probed_at: Micros,
+    /// When it last rejected a query for want of capacity.
+    rejected_at: Option<Micros>,
+    /// Failures in a row.
+    failures: u32,
+    /// Share of its last answers that were errors.
+    error_rate: f64,
+    /// It takes nothing before.
+    ejected_until: Micros,
+    /// It takes one attempt at a time until one succeeds.
+    is_on_probation: bool,
+    /// It could not be reached, so it may have restarted.
+    was_unreachable: bool,
+}
+
+impl EngineHealth {
+    /// An engine that is new.
+    pub(crate) fn new(now: Micros) -> EngineHealth {
+        EngineHealth {
+            last_contact_at: now,
+            probed_at: 0,
+            rejected_at: None,
+            failures: 0,
+            error_rate: 0.0,
+            ejected_until: 0,
+            is_on_probation: false,
+            was_unreachable: false,
+        }
+    }
+
+    /// Whether it takes nothing now.
+    pub(crate) fn is_ejected(&self, now: Micros) -> bool {
+        now < self.ejected_until
+    }
+
+    /// Whether it takes one attempt at a time.
+    pub(crate) fn is_on_probation(&self) -> bool {
+        self.is_on_probation
+    }
+
+    /// Whether it rejected a query a moment ago.
+    pub(crate) fn has_rejected_lately(&self, now: Micros) -> bool {
+        let is_lately = |at| now < at + REJECTION_PRESSURE_TIME;
+        self.rejected_at.is_some_and(is_lately)
+    }
+
+    /// Whether it answers again after it could not be reached: it may have restarted without word.
+    pub(crate) fn may_have_restarted(&self) -> bool {
+        self.is_on_probation && self.was_unreachable
+    }
+
+    /// Records that it has no capacity.
+    pub(crate) fn record_rejection(&mut self, now: Micros) {
+        self.rejected_at = Some(now);
+    }
+
+    /// Records whether an answer was an error.
+    pub(crate) fn record_answer(&mut self, is_error: bool) {
+        let error = f64::from(u8::from(is_error));
+        self.error_rate += ERROR_RATE_WEIGHT * (error - self.error_rate);
+    }
+
+    /// Records a query that it served. The odd answer of one that errs mostly does not make it well.
+    pub(crate) fn record_success(&mut self) {
+        self.is_on_probation &= self.error_rate > MAX_PROBATION_ERROR_RATE;
+        self.failures *= u32::from(self.is_on_probation);
+        self.was_unreachable = false;
+        self.ejected_until = 0;
+    }
+
+    /// Records a failure of the engine itself.
+    pub(crate) fn record_failure(
+        &mut self,
+        now: Micros,
+        outcome: Outcome,
+        may_probe: bool,
+    ) -> FailureEffect {
+        self.was_unreachable |= outcome == Outcome::Unreachable;
+        // What else ends while it is ejected is the same failure, unless it tells more: that it can't be reached.
+        if self.is_ejected(now) && (self.is_on_probation || outcome != Outcome::Unreachable) {
+            return FailureEffect::Unchanged;
+        }
+        self.failures += 1;
+        if outcome == Outcome::Error && self.failures < ERRORS_TO_EJECT {
+            return FailureEffect::Unchanged;
+        }
+        let doublings = (self.failures - 1).min(MAX_EJECTION_DOUBLINGS);
+        self.ejected_until = now + (BASE_EJECTION_TIME << doublings);
+        // A connection may break and its engine be well: a probe tells at once.
+        let may_be_well = outcome == Outcome::Reset && self.failures == 1 && may_probe;
+        self.is_on_probation = !may_be_well;
+        if may_be_well {
+            FailureEffect::EjectedUntilProbe
+        } else {
+            FailureEffect::Ejected
+        }
+    }
+
+    /// Records that a probe was answered; true if that ends an ejection, since only a connection had broken.
+    pub(crate) fn record_probe_success(&mut self, now: Micros) -> bool {
+        let is_well = !self.is_on_probation && self.is_ejected(now);
+        if is_well {
+            self.ejected_until = 0;
+        }
+        is_well
+    }
+}
--- /dev/null
+++ b/crates/scheduler/src/overruns.rs
@@ -0,0 +1,123 @@
+//! Overruns: attempts that run far too long, by bad plans or sick engines, and what is done about them.
+//!
+//! Input: the attempts in flight, once a tick. Output: which of them overrun, and for each whether another attempt would earn more.
+
+use crate::objectives;
+use crate::queries::{attempt_number, Attempt, PendingQuery};
+use crate::retry::may_reject;
+use crate::slowdown::MAX_SLOWDOWN;
+use crate::state::SchedulerState;
+use crate::types::{Micros, QueryId};
+
+/// An attempt that points to this many times its expected run is a bad plan or host ...
+pub(crate) const OVERRUN_RATIO: f64 = 3.5;
+/// ... once it is out for this long, µs: earlier, progress reports are too rough.
+const MIN_OVERRUN_AGE_MICROS: f64 = 400_000.0;
+/// A late run that earns under this part of what new work would is ended.
+const MIN_WORTHWHILE_SHARE: f64 = 0.5;
+
+/// An attempt that overruns.
+pub(crate) struct Overrun {
+    pub query: QueryId,
+    pub attempt: u8,
+    /// When it is expected to end.
+    finish: f64,
+}
+
+/// What is done about an overrun.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(crate) enum OverrunResponse {
+    /// Nothing: it earns most where it is.
+    Leave,
+    /// Another attempt takes its place.
+    Replace,
+    /// The query is ended.
+    GiveUp,
+}
+
+/// All attempts that overrun now.
+pub(crate) fn find_overruns(state: &SchedulerState, now: Micros) -> Vec<Overrun> {
+    let mut overruns = Vec::new();
+    for (&id, query) in &state.queries {
+        if !query.may_be_interrupted() {
+            continue;
+        }
+        for (number, attempt) in query.in_flight().filter(|(_, a)| a.is_running()) {
+            if let Some(finish) = overrun_finish(state, now, query, attempt) {
+                overruns.push(Overrun {
+                    query: id,
+                    attempt: attempt_number(number),
+                    finish,
+                });
+            }
+        }
+    }
+    overruns
+}
+
+/// When an attempt that overruns is expected to end; `None` if it does not overrun.
+fn overrun_finish(
+    state: &SchedulerState,
+    now: Micros,
+    query: &PendingQuery,
+    attempt: &Attempt,
+) -> Option<f64> {
+    let age = attempt.age(now);
+    if age < MIN_OVERRUN_AGE_MICROS {
+        return None;
+    }
+    let slowdown = if state.uses_subset {
+        state.cluster.slowdown
+    } else {
+        0.0
+    };
+    let alone = state.estimates.work(&query.query) / state.class_of(query).threads;
+    let usual = attempt.expected_run.max(alone * slowdown);
+    // Without progress reports, one that has overrun is taken to have as much again and more before it.
+    let long = if age > OVERRUN_RATIO * usual {
+        OVERRUN_RATIO * age
+    } else {
+        age
+    };
+    let run = attempt.projected_run.map_or(long, |run| run.max(age));
+    let finish = attempt.sent_at as f64 + run;
+    let is_late = || state.uses_subset && finish > objectives::objective(state, query);
+    (run > OVERRUN_RATIO * usual || is_late()).then_some(finish)
+}
+
+/// Mean weight that a µs of work earns.
+pub(crate) fn mean_weight_of_work(state: &SchedulerState) -> f64 {
+    let weight = |class: usize, _: f64| state.settings.classes[class].priority_weight;
+    state.estimates.mean(weight) / state.estimates.mean_work()
+}
+
+/// Decides about an overrun. `weight_of_work`: what a µs of new work earns.
+pub(crate) fn respond(
+    state: &SchedulerState,
+    now: Micros,
+    overrun: &Overrun,
+    weight_of_work: f64,
+) -> OverrunResponse {
+    let (id, finish) = (overrun.query, overrun.finish);
+    let query = &state.queries[&id];
+    let slowdowns = state.ready_engines().map(|e| e.slowdown.ratio());
+    let best_slowdown = slowdowns.fold(MAX_SLOWDOWN, f64::min);
+    let fresh_finish = now as f64 + state.run_alone(id) * best_slowdown;
+    let stay = objectives::value(state, id, finish);
+    let leave = objectives::value(state, id, fresh_finish);
+    if query.overruns == 0 && leave > 0.0 && leave >= stay && fresh_finish < finish {
+        return OverrunResponse::Replace;
+    }
+    // Under pressure late runs, bad plans too, keep the room of others; hurts if the late share is high.
+    let remaining = (finish - now as f64).max(1.0) * state.class_of(query).threads;
+    let holds_up_others = state.uses_subset
+        && state.settings.may_cancel
+        && stay < MIN_WORTHWHILE_SHARE * weight_of_work * remaining
+        && finish > objectives::objective(state, query);
+    let earns_nothing = stay + leave <= 0.0 && state.settings.progress_interval.is_some();
+    if (holds_up_others || earns_nothing) && may_reject(state, query) {
+        OverrunResponse::GiveUp
+    } else {
+        OverrunResponse::Leave
+    }
+}
--- /dev/null
+++ b/crates/scheduler/src/quota.rs
@@ -0,0 +1,56 @@
+//! Tenants' quotas: whether a query is within what its tenant may send through this coordinator.
+//!
+//! Input: arrivals with their tenant, and this coordinator's share of the cluster's demand. Output: yes or no. State: a token
+//! bucket for each tenant of the settings.
+
+use crate::settings::Tenant;
+use crate::types::Micros;
+
+/// A tenant's quota may be used ahead by this many seconds: ordinary bursts.
+const BURST_SECONDS: f64 = 2.0;
+/// The least size of a bucket, in queries: a small part of a quota comes in bursts.
+const MIN_BURST_QUERIES: f64 = 8.0;
+
+/// A token bucket; full at first.
+#[derive(Clone, Copy, Default)]
+struct TokenBucket {
+    /// Tokens at a time; `None` before the first use.
+    level: Option<(f64, Micros)>,
+}
+
+impl TokenBucket {
+    /// Takes one token, if there is one, from a bucket of this rate a second and this size.
+    fn take_token(&mut self, now: Micros, rate_per_s: f64, size: f64) -> bool {
+        let (level, at) = self.level.unwrap_or((size, now));
+        let level = (level + rate_per_s * now.saturating_sub(at) as f64 / 1e6).min(size);
+        let is_there = level >= 1.0;
+        self.level = Some((if is_there { level - 1.0 } else { level }, now));
+        is_there
+    }
+}
+
+/// The quotas of all tenants at this coordinator.
+pub(crate) struct TenantQuotas {
+    tenants: Vec<(Tenant, TokenBucket)>,
+}
+
+impl TenantQuotas {
+    /// Unused quotas.
+    pub(crate) fn new(tenants: &[Tenant]) -> TenantQuotas {
+        let unused = |&tenant: &Tenant| (tenant, TokenBucket::default());
+        TenantQuotas {
+            tenants: tenants.iter().map(unused).collect(),
+        }
+    }
+
+    /// Takes one query from a tenant's quota, of which this coordinator has `share`; true if the quota was used up. Where the
+    /// settings name tenants, one that they don't name has none.
+    pub(crate) fn is_exceeded_by_one_more(&mut self, now: Micros, tenant: u32, share: f64) -> bool {
+        let has_tenants = !self.tenants.is_empty();
+        let Some((tenant, bucket)) = self.tenants.get_mut(tenant as usize) else {
+            return has_tenants;
+        };
+        let rate = tenant.quota_per_s * share;
+        !bucket.take_token(now, rate, (rate * BURST_SECONDS).max(MIN_BURST_QUERIES))
+    }
+}
--- a/crates/scheduler/src/slow_start.rs
+++ b/crates/scheduler/src/slow_start.rs
@@ -1,189 +1,135 @@
-//! Decisions: since when an engine counts as started, and what may go to one that is cold.
+//! Slow start: what may go to an engine that is warming up.
 //!
-//! Input: the start that a list tells, in the Unix time of whoever tells it, and how it was told; the attempts sent while the
-//! engine was cold. Output: the start to reckon with, on the host's monotonic clock; whether one more attempt may go out.
-//! Bound: a clock that is off by an hour makes no engine warm that is told as new, and keeps none cold for longer than its
-//! warm-up; within any window of the settings' length a cold engine gets no more than this gateway's part of its budget, counted
-//! as attempts go out.
-
-use crate::interface::{ListKind, Micros, QueryId, SlowStart};
-use crate::state::{Engine, Random};
-use crate::Controller;
-use std::collections::VecDeque;
+//! Input: when the engine started, and the attempts sent to it since. Output: its present part of its capacity; whether one more
+//! query may go there; whether an attempt's first byte may go out. Bound: within any window of the settings' length an engine that
+//! warms up gets no more than this coordinator's part of its budget, counted as attempts go out.
+
+use crate::engines::Engine;
+use crate::queries::PendingQuery;
+use crate::random::Random;
+use crate::settings::SlowStart;
+use crate::state::SchedulerState;
+use crate::types::{Micros, QueryId};
+
+/// Part of the budget used: the rule weighs by usual work, not by ours.
+const BUDGET_USE: f64 = 0.7;
+/// Capacity is where cores are this busy (the rule's own definition).
+const CAPACITY_BUSY_SHARE: f64 = 0.85;
+/// The most demand an engine's chance counts with, as a multiple of capacity.
+const MAX_DEMAND: f64 = 1.5;
+/// Queries above this part of a window's budget have less chance: they scatter.
+const WHOLE_CHANCE_SHARE: f64 = 0.125;
+/// At least this part of all work counts as fit for engines that warm up.
+const MIN_FIT_SHARE: f64 = 0.5;
+/// Chances are drawn in steps of one in so many.
+const CHANCE_STEPS: usize = 1 << 20;
+
+/// Share of its capacity that an engine can be counted on for; 1 once it is warm.
+pub(crate) fn warmth(state: &SchedulerState, now: Micros, engine: &Engine) -> f64 {
+    let (Some(rule), Some(started_at)) = (state.settings.slow_start, engine.started_at) else {
+        return 1.0;
+    };
+    let age = now.saturating_sub(started_at) as f64 / rule.warm_up_time.max(1) as f64;
+    rule.from + (1.0 - rule.from) * (2.0 * age - 1.0).clamp(0.0, 1.0)
+}
 
-/// Changes of the list are told within this time of what they tell; the rules count them as told after 7 s.
-const TOLD_WITHIN: Micros = 10_000_000;
+/// Whether an engine is warming up.
+pub(crate) fn is_warming_up(state: &SchedulerState, now: Micros, engine: &Engine) -> bool {
+    warmth(state, now, engine) < 1.0
+}
 
-/// Part of the cold budget used: the rule weighs by usual work, not by ours.
-const COLD_CARE: f64 = 0.7;
-/// Capacity is where cores are this busy (the cold rule's own definition).
-const CAPACITY: f64 = 0.85;
-/// The most demand a cold engine's chance counts with, as a multiple of capacity.
-const RUSH: f64 = 1.5;
-/// Queries above this part of a cold window have less chance: they scatter.
-const COLD_WHOLE: f64 = 0.125;
-/// At least this part of all work counts as fit for cold engines.
-const COLD_LEAST: f64 = 0.5;
+/// What a query counts for: its class's usual work, as the rule weighs it.
+pub(crate) fn weight(state: &SchedulerState, query: &PendingQuery) -> f64 {
+    state.estimates.cautious_class_work(&query.query)
+}
 
-/// The start to reckon with. `is_news`: this start was not known before.
-pub(crate) fn believed_start(now: Micros, kind: ListKind, told: Micros, is_news: bool) -> Micros {
-    // A start in the future: this clock is behind. It has started by now.
-    let by_now = told.min(now);
-    // A start long ago that is news, told as a change: this clock is ahead, or the list came late. It may have started just now.
-    let is_odd = kind == ListKind::Changes && is_news && by_now + TOLD_WITHIN < now;
-    if is_odd {
-        now
-    } else {
-        by_now
+/// Whether an engine has room for a query: always once it is warm, else this coordinator's part of what it may be sent in any
+/// window. Against a thundering herd on engines just started; also covers those that answer again after failing, which may have
+/// restarted unannounced.
+pub(crate) fn has_room(
+    state: &SchedulerState,
+    now: Micros,
+    query: &PendingQuery,
+    engine: &Engine,
+) -> bool {
+    let (Some(rule), true) = (state.settings.slow_start, is_warming_up(state, now, engine)) else {
+        return true;
+    };
+    let begin = now.saturating_sub(rule.window);
+    let recent = engine.slow_start_sends.planned_weight_since(begin);
+    let (whole, weight) = (budget(state, now, engine, &rule), weight(state, query));
+    if !state.uses_subset {
+        return recent + weight <= whole / f64::from(state.settings.coordinators.max(1));
     }
+    recent <= WHOLE_CHANCE_SHARE * whole
+        && weight <= whole / 2.0
+        && wins_draw(state, now, query, engine, &rule, whole, weight)
 }
 
-/// An attempt that was sent to a cold engine.
-struct ColdSend {
-    query: QueryId,
-    attempt: u8,
-    /// Its part of the engine's budget.
+/// A part of an engine that is under one query can't be counted out: each query has a chance, and all fill the budget; small ones
+/// have what is left.
+fn wins_draw(
+    state: &SchedulerState,
+    now: Micros,
+    query: &PendingQuery,
+    engine: &Engine,
+    rule: &SlowStart,
+    whole: f64,
     weight: f64,
-    /// When its first byte went out; `None` while it waits for that.
-    at: Option<Micros>,
+) -> bool {
+    let fit = |work: f64| (WHOLE_CHANCE_SHARE * whole / work).min(1.0).powi(3);
+    let fits = state.estimates.mean(|_, work| work * fit(work)) / state.estimates.mean_work();
+    let relative_weight = state.draw_weight(engine) / state.cores(engine);
+    let fit = fit(weight) / fits.max(MIN_FIT_SHARE) * relative_weight.min(1.0);
+    let demand = state.cluster.cores * CAPACITY_BUSY_SHARE * MAX_DEMAND * rule.window as f64;
+    let chance = fit * whole / demand;
+    // The same query gets the same draw for an engine within a window: asking again is no second chance.
+    let window = (now / rule.window.max(1)) << 40;
+    let seed = state.salt ^ query.query.id.0 ^ engine.started_at.unwrap_or(0) ^ window;
+    let draw = Random(seed).below(CHANCE_STEPS);
+    (draw as f64) < chance * CHANCE_STEPS as f64
 }
 
-/// What one engine was sent while it was cold.
-#[derive(Default)]
-pub(crate) struct ColdSends(VecDeque<ColdSend>);
-
-impl ColdSends {
-    /// An attempt is planned. `at`: when it went out, where that is at once.
-    pub fn plan(&mut self, query: QueryId, attempt: u8, weight: f64, at: Option<Micros>) {
-        self.0.push_back(ColdSend {
-            query,
-            attempt,
-            weight,
-            at,
-        });
-    }
-
-    /// Drops what went out before this time.
-    pub fn forget_before(&mut self, begin: Micros) {
-        self.0.retain(|s| s.at.is_none_or(|at| at >= begin));
-    }
-
-    /// An attempt has ended: where no byte of it went out, its part is free again.
-    pub fn ended(&mut self, query: QueryId, attempt: u8) {
-        self.0
-            .retain(|s| s.at.is_some() || (s.query, s.attempt) != (query, attempt));
-    }
-
-    /// All weights that went out behind this time, and those that wait.
-    pub fn planned_since(&self, begin: Micros) -> f64 {
-        self.0
-            .iter()
-            .filter(|s| s.at.is_none_or(|at| at > begin))
-            .map(|s| s.weight)
-            .sum()
-    }
-
-    /// All weights that went out behind this time.
-    fn out_since(&self, begin: Micros) -> f64 {
-        self.0
-            .iter()
-            .filter(|s| s.at.is_some_and(|at| at > begin))
-            .map(|s| s.weight)
-            .sum()
-    }
-
-    fn waiting(&mut self, query: QueryId, attempt: u8) -> Option<&mut ColdSend> {
-        self.0
-            .iter_mut()
-            .find(|s| s.at.is_none() && (s.query, s.attempt) == (query, attempt))
-    }
+/// Work that an engine may be sent within the rule's window while it warms up, by all coordinators, µs.
+fn budget(state: &SchedulerState, now: Micros, engine: &Engine, rule: &SlowStart) -> f64 {
+    let warmth = warmth(state, now, engine);
+    let capacity = state.cores(engine) * CAPACITY_BUSY_SHARE * warmth * rule.window as f64;
+    BUDGET_USE * rule.multiple * capacity
 }
 
-impl Controller {
-    /// Whether the engine of an attempt that was planned while it was cold takes it now; if so, it goes out.
-    pub(crate) fn cold_engine_takes(&mut self, now: Micros, query: QueryId, attempt: u8) -> bool {
-        let Some(slow_start) = self.cfg.slow_start else {
-            return true;
-        };
-        let sent_to = self
-            .jobs
-            .get(&query)
-            .and_then(|j| j.tries.get(usize::from(attempt)))
-            .map(|t| t.engine);
-        let Some(engine) = sent_to else { return true };
-        let Some(e) = self.engines.get(&engine) else {
-            return true;
-        };
-        // A sliver's part is under one query: chance decides there, not a sum.
-        let bounded = !self.sliver() && self.warmth(now, e) < 1.0;
-        let part = self.cold_budget(now, e, &slow_start) / f64::from(self.cfg.coordinators.max(1));
-        let Some(e) = self.engines.get_mut(&engine) else {
-            return true;
-        };
-        let out = e
-            .cold_sends
-            .out_since(now.saturating_sub(slow_start.window));
-        let Some(send) = e.cold_sends.waiting(query, attempt) else {
-            return true;
-        };
-        if bounded && out > 0.0 && out + send.weight > part {
-            return false;
-        }
-        send.at = Some(now);
-        true
-    }
-
-    /// Share of its capacity that a young engine can be counted on for; 1 once warm.
-    pub(crate) fn warmth(&self, now: Micros, e: &Engine) -> f64 {
-        let (Some(slow_start), Some(started_at)) = (self.cfg.slow_start, e.started_at) else {
-            return 1.0;
-        };
-        let age = now.saturating_sub(started_at) as f64 / slow_start.warm_up_time.max(1) as f64;
-        slow_start.from + (1.0 - slow_start.from) * (2.0 * age - 1.0).clamp(0.0, 1.0)
-    }
-
-    /// Rule 4: our n-th of what a cold engine may be sent in any window. Against crowds on engines just
-    /// started; also covers those that answer again after failing, which may have restarted unannounced.
-    pub(crate) fn cold_room(&self, now: Micros, id: QueryId, e: &Engine) -> bool {
-        let (Some(slow_start), true) = (self.cfg.slow_start, self.warmth(now, e) < 1.0) else {
-            return true;
-        };
-        let recent = e
-            .cold_sends
-            .planned_since(now.saturating_sub(slow_start.window));
-        let (whole, weight) = (self.cold_budget(now, e, &slow_start), self.cold_weight(id));
-        if !self.sliver() {
-            return recent + weight <= whole / f64::from(self.cfg.coordinators.max(1));
-        }
-        // A sliver is under one query: each has a chance, all fill the budget; small ones have what is left.
-        let fit = |work: f64| (COLD_WHOLE * whole / work).min(1.0).powi(3);
-        let fits =
-            self.mean(|c| self.learned[c].work * fit(self.learned[c].work)) / self.mean_work();
-        let fit = fit(weight) / fits.max(COLD_LEAST) * (self.weight(e) / self.cores(e)).min(1.0);
-        let chance = fit * whole / (self.tally.cores * CAPACITY * RUSH * slow_start.window as f64);
-        let draw = Random(
-            self.salt ^ id.0 ^ e.started_at.unwrap_or(0) ^ ((now / slow_start.window.max(1)) << 40),
-        )
-        .below(1 << 20);
-        recent <= COLD_WHOLE * whole
-            && weight <= whole / 2.0
-            && (draw as f64) < chance * (1 << 20) as f64
-    }
-
-    /// Work that a cold engine may be sent within its window, by all gateways.
-    pub(crate) fn cold_budget(&self, now: Micros, e: &Engine, slow_start: &SlowStart) -> f64 {
-        let capacity = self.cores(e) * CAPACITY * self.warmth(now, e) * slow_start.window as f64;
-        COLD_CARE * slow_start.multiple * capacity
+/// Whether an engine takes the first byte of an attempt now that was planned while it was warming up; if so, it is counted as
+/// sent.
+pub(crate) fn admit_first_byte(
+    state: &mut SchedulerState,
+    now: Micros,
+    query: QueryId,
+    attempt: u8,
+) -> bool {
+    let Some(rule) = state.settings.slow_start else {
+        return true;
+    };
+    let attempts = state.queries.get(&query).map(|q| &q.attempts);
+    let Some(sent) = attempts.and_then(|a| a.get(usize::from(attempt))) else {
+        return true;
+    };
+    let id = sent.engine;
+    let Some(engine) = state.engines.get(&id) else {
+        return true;
+    };
+    let Some(weight) = engine.slow_start_sends.waiting_weight(query, attempt) else {
+        return true;
+    };
+    let begin = now.saturating_sub(rule.window);
+    let sent = engine.slow_start_sends.sent_weight_since(begin);
+    // A part of an engine that is under one query: chance decides there, not a sum.
+    let is_bounded = !state.uses_subset && is_warming_up(state, now, engine);
+    let coordinators = f64::from(state.settings.coordinators.max(1));
+    let part = budget(state, now, engine, &rule) / coordinators;
+    if is_bounded && sent > 0.0 && sent + weight > part {
+        return false;
     }
-
-    /// The rule weighs a query by its class's usual work; before any was seen, by all of its aim.
-    pub(crate) fn cold_weight(&self, id: QueryId) -> f64 {
-        let (class, c) = (self.jobs[&id].query.class, self.class(id));
-        let known = self.learned[usize::from(class)].seen >= 5.0;
-        self.learned[usize::from(class)].work.max(if known {
-            0.0
-        } else {
-            c.latency_objective as f64 * c.threads
-        })
+    if let Some(engine) = state.engines.get_mut(&id) {
+        engine.slow_start_sends.mark_sent(now, query, attempt);
     }
+    true
 }
