--- a/crates/scheduler/tests/common/mod.rs
+++ b/crates/scheduler/tests/common/mod.rs
@@ -1,12 +1,14 @@
-//! Settings and a small driver shared by the tests.
-#![allow(dead_code)]
+//! Settings and a harness around one controller, shared by the tests.
+#![allow(dead_code, reason = "not each test file uses all of it")]
+
 use driftfront_scheduler::interface::*;
 use driftfront_scheduler::Controller;
 
-pub const MS: u64 = 1000;
-pub const S: u64 = 1_000_000;
+pub(crate) const MS: u64 = 1000;
+pub(crate) const S: u64 = 1_000_000;
 
-pub fn class(latency_objective: u64, priority_weight: f64, threads: f64) -> QueryClass {
+/// A class of queries with an objective of so many µs, that may run any number of times.
+pub(crate) fn class(latency_objective: u64, priority_weight: f64, threads: f64) -> QueryClass {
     QueryClass {
         latency_objective,
         latency_objective_stretch: 0.0,
@@ -24,7 +26,8 @@
     }
 }
 
-pub fn settings(classes: Vec<QueryClass>) -> Settings {
+/// A lone coordinator, which may cancel but neither probe nor gossip; two kinds of machines with two cores.
+pub(crate) fn settings(classes: Vec<QueryClass>) -> Settings {
     Settings {
         coordinators: 1,
         number: 0,
@@ -64,13 +67,15 @@
     }
 }
 
-pub struct Rig {
-    pub c: Controller,
-    pub now: u64,
-    next: u64,
+/// One controller, its clock, and the next query's number.
+pub(crate) struct SchedulerHarness {
+    pub(crate) controller: Controller,
+    pub(crate) now: u64,
+    next_query: u64,
 }
 
-pub fn listed(engine: u64) -> ListedEngine {
+/// A ready engine of the list.
+pub(crate) fn listed(engine: u64) -> ListedEngine {
     ListedEngine {
         engine: EngineId(engine),
         zone: 0,
@@ -81,28 +86,38 @@
     }
 }
 
-impl Rig {
-    pub fn new(settings: Settings, engines: &[ListedEngine]) -> Rig {
-        Rig::seeded(settings, engines, 7)
+impl SchedulerHarness {
+    /// A harness whose controller knows these engines.
+    pub(crate) fn new(settings: Settings, engines: &[ListedEngine]) -> SchedulerHarness {
+        SchedulerHarness::seeded(settings, engines, 7)
     }
-    pub fn seeded(settings: Settings, engines: &[ListedEngine], seed: u64) -> Rig {
-        let mut rig = Rig {
-            c: Controller::new(settings, seed),
+
+    pub(crate) fn seeded(
+        settings: Settings,
+        engines: &[ListedEngine],
+        seed: u64,
+    ) -> SchedulerHarness {
+        let mut harness = SchedulerHarness {
+            controller: Controller::new(settings, seed),
             now: 100 * S,
-            next: 1,
+            next_query: 1,
         };
-        rig.event(Event::EnginesListed(ListKind::Cached, engines));
-        rig
+        harness.event(Event::EnginesListed(ListKind::Cached, engines));
+        harness
     }
-    pub fn event(&mut self, e: Event) -> Vec<Action> {
+
+    /// Handles an event; its actions, but for timers and log lines.
+    pub(crate) fn event(&mut self, e: Event) -> Vec<Action> {
         let mut act = Vec::new();
-        self.c.handle(self.now, e, &mut act);
+        self.controller.handle(self.now, e, &mut act);
         act.retain(|a| !matches!(a, Action::SetTimer(..) | Action::Log(..)));
         act
     }
-    pub fn query(&mut self, class: u16, work: u64, tables: u32) -> Query {
-        let id = QueryId(self.next);
-        self.next += 1;
+
+    /// A query that has not arrived yet.
+    pub(crate) fn query(&mut self, class: u16, work: u64, tables: u32) -> Query {
+        let id = QueryId(self.next_query);
+        self.next_query += 1;
         Query {
             id,
             class,
@@ -117,11 +132,21 @@
             budget: 60 * S,
         }
     }
-    pub fn arrive(&mut self, class: u16, work: u64, tables: u32) -> (QueryId, Vec<Action>) {
+
+    /// A query arrives.
+    pub(crate) fn arrive(&mut self, class: u16, work: u64, tables: u32) -> (QueryId, Vec<Action>) {
         let q = self.query(class, work, tables);
         (q.id, self.event(Event::QueryArrived(q)))
     }
-    pub fn end(&mut self, q: QueryId, attempt: u8, outcome: Outcome, spent: u64) -> Vec<Action> {
+
+    /// An attempt ends.
+    pub(crate) fn end(
+        &mut self,
+        q: QueryId,
+        attempt: u8,
+        outcome: Outcome,
+        spent: u64,
+    ) -> Vec<Action> {
         self.event(Event::AttemptEnded(AttemptEnded {
             query: q,
             attempt,
@@ -133,10 +158,14 @@
             report: &[],
         }))
     }
-    pub fn report(&mut self, e: u64, values: &[f64]) {
+
+    /// A probe is answered with a load report.
+    pub(crate) fn report(&mut self, e: u64, values: &[f64]) {
         self.event(Event::ProbeEnded(EngineId(e), Outcome::Ok, values));
     }
-    pub fn tick(&mut self, after: u64) -> Vec<Action> {
+
+    /// Time passes, with a tick every 50 ms.
+    pub(crate) fn tick(&mut self, after: u64) -> Vec<Action> {
         let mut all = Vec::new();
         let until = self.now + after;
         while self.now < until {
@@ -147,8 +176,10 @@
     }
 }
 
-pub fn sends(act: &[Action]) -> Vec<(u64, u64)> {
-    act.iter()
+/// The attempts among actions: query and engine.
+pub(crate) fn sends(actions: &[Action]) -> Vec<(u64, u64)> {
+    actions
+        .iter()
         .filter_map(|a| {
             if let Action::StartAttempt(q, e, _) = a {
                 Some((q.0, e.0))
--- a/crates/scheduler/tests/fleet.rs
+++ b/crates/scheduler/tests/coordinators.rs
@@ -1,27 +1,33 @@
-//! Many controllers side by side, each with a sliver of every engine.
+//! Many controllers side by side, each with a small part of every engine.
+#![allow(
+    clippy::cast_possible_truncation,
+    reason = "the numbers of these tests are small"
+)]
+
 mod common;
+
 use common::*;
 use driftfront_scheduler::interface::*;
 use driftfront_scheduler::Controller;
 
-struct Fleet {
+struct CoordinatorGroup {
     all: Vec<Controller>,
     now: u64,
     next: u64,
     /// Engine and class of what was sent, by query; taken off again when it ends.
     out: Vec<(usize, QueryId, u64, u16)>,
     probes: usize,
-    tells: usize,
+    messages: usize,
     sent: Vec<(u64, u64, u16)>,
 }
 
-impl Fleet {
-    fn new(coordinators: u32, cfg: Settings, engines: &[ListedEngine]) -> Fleet {
+impl CoordinatorGroup {
+    fn new(coordinators: u32, settings: &Settings, engines: &[ListedEngine]) -> CoordinatorGroup {
         let one = |number| {
             let settings = Settings {
                 coordinators,
                 number,
-                ..cfg.clone()
+                ..settings.clone()
             };
             let mut c = Controller::new(settings, u64::from(number) * 77 + 1);
             c.handle(
@@ -32,13 +38,13 @@
             c
         };
         let all = (0..coordinators).map(one).collect();
-        Fleet {
+        CoordinatorGroup {
             all,
             now: 100 * S,
             next: 1,
             out: vec![],
             probes: 0,
-            tells: 0,
+            messages: 0,
             sent: vec![],
         }
     }
@@ -53,7 +59,7 @@
                     self.sent.push((self.now, e.0, class));
                 }
                 Action::Probe(_) => self.probes += 1,
-                Action::SendGossip(..) => self.tells += 1,
+                Action::SendGossip(..) => self.messages += 1,
                 Action::Reject(q, _) | Action::Fail(q) => self.out.retain(|o| o.1 != q),
                 _ => {}
             }
@@ -104,7 +110,7 @@
     }
 }
 
-fn fleet_settings() -> Settings {
+fn group_settings() -> Settings {
     let mut s = settings(vec![class(S, 1.0, 1.0), class(3 * S, 10.0, 4.0)]);
     s.kinds = vec![MachineKind {
         cores: Some(8.0),
@@ -116,10 +122,10 @@
 }
 
 #[test]
-fn probes_and_messages_are_paid_by_queries_however_many_gateways_and_engines() {
+fn probes_and_gossip_are_bounded_by_queries() {
     for (coordinators, engines) in [(40, 10), (80, 40)] {
         let list: Vec<ListedEngine> = (1..=engines).map(listed).collect();
-        let mut f = Fleet::new(coordinators, fleet_settings(), &list);
+        let mut f = CoordinatorGroup::new(coordinators, &group_settings(), &list);
         for _ in 0..1000 {
             let g = f.next as usize % f.all.len();
             f.arrive(g);
@@ -129,9 +135,9 @@
             }
         }
         assert!(
-            f.tells > 0 && f.tells <= 500,
+            f.messages > 0 && f.messages <= 500,
             "{} messages for 1000 queries",
-            f.tells
+            f.messages
         );
         assert!(
             f.probes > 0 && f.probes <= 100,
@@ -142,8 +148,8 @@
 }
 
 #[test]
-fn a_cold_engine_is_used_by_all_together_but_within_the_rule() {
-    let mut cfg = fleet_settings();
+fn coordinators_together_keep_the_slow_start_budget() {
+    let mut cfg = group_settings();
     cfg.slow_start = Some(SlowStart {
         from: 0.3,
         warm_up_time: 12 * S,
@@ -151,9 +157,9 @@
         window: 2 * S,
     });
     let mut list: Vec<ListedEngine> = (1..=20).map(listed).collect();
-    let mut f = Fleet::new(100, cfg, &list);
+    let mut f = CoordinatorGroup::new(100, &cfg, &list);
     // Whom chance names differs by draw: six seconds see enough of them.
-    let step = |f: &mut Fleet| {
+    let step = |f: &mut CoordinatorGroup| {
         for _ in 0..10 {
             let g = (f.next * 37 % 100) as usize;
             f.arrive(g);
@@ -163,7 +169,7 @@
             f.finish(0);
         }
     };
-    // Ten seconds in which every gateway learns what its queries cost.
+    // Ten seconds in which every coordinator learns what its queries cost.
     (0..200).for_each(|_| step(&mut f));
     list[4].started_at = Some(f.now);
     for g in 0..f.all.len() {
@@ -179,7 +185,7 @@
         .collect();
     assert!(
         slow_start.len() >= 5,
-        "a cold engine got {} queries in 6 s",
+        "an engine in slow start got {} queries in 6 s",
         slow_start.len()
     );
     let budget = 2.5 * 0.3 * 8.0 * 0.85 * 2e6;
@@ -194,9 +200,9 @@
 }
 
 #[test]
-fn all_together_keep_the_threads_that_run_near_the_bound() {
+fn coordinators_together_keep_near_the_thread_bound() {
     let list: Vec<ListedEngine> = (1..=20).map(listed).collect();
-    let mut f = Fleet::new(100, fleet_settings(), &list);
+    let mut f = CoordinatorGroup::new(100, &group_settings(), &list);
     // A flood of which nothing ends: 2000 queries within a second on 160 cores.
     for n in 0..2000 {
         f.arrive(n % 100);
@@ -205,7 +211,7 @@
         }
     }
     let threads: f64 = f.out.iter().map(|o| if o.3 == 1 { 4.0 } else { 1.0 }).sum();
-    // Without a bound over the fleet each gateway may start a wide query on every engine: 3200 threads.
+    // Without a bound over the cluster each coordinator may start a wide query on every engine: 3200 threads.
     assert!(threads / 160.0 < 8.0, "{threads} threads on 160 cores");
     assert!(threads / 160.0 > 1.0, "{threads} threads on 160 cores");
 }
--- a/crates/scheduler/tests/golden.rs
+++ b/crates/scheduler/tests/golden.rs
@@ -1,4 +1,8 @@
 //! The bytes that a coordinator's decision module sends its peers, and what it takes from them.
+#![allow(
+    clippy::cast_possible_truncation,
+    reason = "the numbers of these tests are small"
+)]
 
 mod common;
 
@@ -128,7 +132,7 @@
 
 /// One that shares each engine with many takes a peer's word of the engines over, and passes it on.
 #[test]
-fn message_of_an_earlier_build_is_read_and_passed_on() {
+fn gossip_of_an_earlier_build_is_read_and_forwarded() {
     let mut reader = sender(14, &ALL_FIELDS, 2, 6);
     work(&mut reader);
     let bytes = read_golden!("message_all_fields.bin");
@@ -140,7 +144,7 @@
 }
 
 #[test]
-fn malformed_messages_and_those_of_another_version_change_nothing() {
+fn malformed_gossip_and_other_versions_change_nothing() {
     let golden = read_golden!("message_all_fields.bin");
     let mut other_version = golden.clone();
     other_version[0] = 3;
--- a/crates/scheduler/tests/limits.rs
+++ b/crates/scheduler/tests/limits.rs
@@ -47,7 +47,7 @@
 /// The modules that a module names behind `crate::`, by path or in braces, or behind `super::`.
 fn imports(text: &str, all: &BTreeSet<String>) -> BTreeSet<String> {
     let code = code(text);
-    let is_word = |c: char| c.is_alphanumeric() || c == '_';
+    let is_identifier_char = |c: char| c.is_alphanumeric() || c == '_';
     let mut found = BTreeSet::new();
     for part in code
         .split("crate::")
@@ -57,9 +57,12 @@
         let names: Vec<&str> = match part.strip_prefix('{') {
             Some(list) => {
                 let list = list.split(';').next().unwrap_or("");
-                list.split(|c: char| !is_word(c)).collect()
+                list.split(|c: char| !is_identifier_char(c)).collect()
             }
-            None => part.split(|c: char| !is_word(c)).take(1).collect(),
+            None => part
+                .split(|c: char| !is_identifier_char(c))
+                .take(1)
+                .collect(),
         };
         found.extend(
             names
@@ -114,8 +117,8 @@
 fn decisions_know_no_clock_and_do_no_io() {
     for (name, text) in modules() {
         let code = code(&text);
-        for word in FORBIDDEN {
-            assert!(!code.contains(word), "{name} names {word}");
+        for forbidden in FORBIDDEN {
+            assert!(!code.contains(forbidden), "{name} names {forbidden}");
         }
     }
     let manifest = include_str!("../Cargo.toml");
--- a/crates/scheduler/tests/mechanism.rs
+++ b/crates/scheduler/tests/mechanism.rs
@@ -1,34 +1,35 @@
 //! The design's mechanism on worked examples, through the interface.
 mod common;
+
 use common::*;
 use driftfront_scheduler::interface::*;
 
 /// One engine of 2 cores whose bound is 2 x 2.2 + 4 = 8.4 threads under pressure; a report of waiting work
 /// makes pressure, and three queries of 4 threads fill it, the last as one lighter than the mean.
-fn full_engine(classes: Vec<QueryClass>) -> Rig {
-    let mut rig = Rig::new(settings(classes), &[listed(1)]);
-    rig.report(1, &[1.0]);
+fn full_engine(classes: Vec<QueryClass>) -> SchedulerHarness {
+    let mut harness = SchedulerHarness::new(settings(classes), &[listed(1)]);
+    harness.report(1, &[1.0]);
     for tables in [90, 91, 92] {
-        let (_, act) = rig.arrive(0, 4 * S, tables);
+        let (_, act) = harness.arrive(0, 4 * S, tables);
         assert_eq!(sends(&act).len(), 1);
     }
-    rig
+    harness
 }
 
 /// Ends the running queries; the order in which the queue then starts.
-fn starts(rig: &mut Rig) -> Vec<u64> {
+fn starts(harness: &mut SchedulerHarness) -> Vec<u64> {
     let mut order = Vec::new();
     let mut act = Vec::new();
-    rig.now += S;
+    harness.now += S;
     for q in [1, 2, 3] {
-        act.extend(rig.end(QueryId(q), 0, Outcome::Ok, S));
+        act.extend(harness.end(QueryId(q), 0, Outcome::Ok, S));
     }
     while let Some((q, _)) = sends(&act).first().copied() {
         order.extend(sends(&act).iter().map(|s| s.0));
         act = order
             .clone()
             .iter()
-            .flat_map(|&q| rig.end(QueryId(q), 0, Outcome::Ok, S))
+            .flat_map(|&q| harness.end(QueryId(q), 0, Outcome::Ok, S))
             .collect();
         assert!(q > 3);
     }
@@ -36,38 +37,38 @@
 }
 
 #[test]
-fn an_urgent_query_is_inserted_before_one_that_can_wait() {
+fn urgent_query_is_queued_before_one_that_can_wait() {
     // The running work of 12 s leaves after about 1 s. The first takes 16 s / 8.4 = 1.9 s of queue, so behind
     // it the second would start near 3 s and miss its aim of 2 s; before it both are on time.
-    let mut rig = full_engine(vec![class(30 * S, 1.0, 4.0), class(2 * S, 1.0, 4.0)]);
-    let (patient, a) = rig.arrive(0, 16 * S, 1);
-    let (urgent, b) = rig.arrive(1, 2 * S, 2);
+    let mut harness = full_engine(vec![class(30 * S, 1.0, 4.0), class(2 * S, 1.0, 4.0)]);
+    let (patient, a) = harness.arrive(0, 16 * S, 1);
+    let (urgent, b) = harness.arrive(1, 2 * S, 2);
     assert!(
         sends(&a).is_empty() && sends(&b).is_empty(),
         "the bound holds both back"
     );
-    assert_eq!(starts(&mut rig), [urgent.0, patient.0]);
+    assert_eq!(starts(&mut harness), [urgent.0, patient.0]);
 }
 
 #[test]
-fn equal_balance_keeps_the_order_of_arrival_unless_tables_are_shared() {
-    let mut rig = full_engine(vec![class(60 * S, 1.0, 4.0)]);
-    let (a, _) = rig.arrive(0, 4 * S, 1);
-    let (b, _) = rig.arrive(0, 4 * S, 2);
-    let (c, _) = rig.arrive(0, 4 * S, 1);
+fn equal_balance_keeps_arrival_order_unless_tables_are_shared() {
+    let mut harness = full_engine(vec![class(60 * S, 1.0, 4.0)]);
+    let (a, _) = harness.arrive(0, 4 * S, 1);
+    let (b, _) = harness.arrive(0, 4 * S, 2);
+    let (c, _) = harness.arrive(0, 4 * S, 1);
     // c shares tables with a: next to a it gains 1 (Eq. 11), at the end 0.
-    let order = starts(&mut rig);
+    let order = starts(&mut harness);
     let at = |q: QueryId| order.iter().position(|&x| x == q.0).expect("all start");
     assert_eq!(at(a).abs_diff(at(c)), 1, "{order:?}");
     assert!(at(b) == 2 || at(b) == 0);
 }
 
 #[test]
-fn the_engine_with_the_higher_balance_gain_is_chosen() {
+fn engine_with_the_higher_balance_gain_is_chosen() {
     // Engine 1 is full for seconds, engine 2 is free: only there the aim can be met.
     let mut s = settings(vec![class(60 * S, 1.0, 4.0), class(S, 1.0, 4.0)]);
     s.classes[0].zones = Some(vec![1]);
-    let mut rig = Rig::new(
+    let mut harness = SchedulerHarness::new(
         s,
         &[
             ListedEngine {
@@ -77,38 +78,38 @@
             listed(2),
         ],
     );
-    rig.report(1, &[9.0]);
+    harness.report(1, &[9.0]);
     for _ in 0..4 {
-        rig.arrive(0, 20 * S, 1);
+        harness.arrive(0, 20 * S, 1);
     }
-    let (q, act) = rig.arrive(1, S, 1);
+    let (q, act) = harness.arrive(1, S, 1);
     assert_eq!(sends(&act), [(q.0, 2)]);
 }
 
 #[test]
-fn reports_of_waiting_work_turn_queries_away_and_shared_tables_do_not_pass_the_drain_guard() {
-    let mut rig = Rig::new(
+fn drain_guard_overrides_table_sharing_when_work_waits() {
+    let mut harness = SchedulerHarness::new(
         settings(vec![class(60 * S, 1.0, 1.0)]),
         &[listed(1), listed(2)],
     );
-    let (_, act) = rig.arrive(0, 200 * MS, 5);
+    let (_, act) = harness.arrive(0, 200 * MS, 5);
     let first = sends(&act)[0].1;
     let other = 3 - first;
-    rig.end(QueryId(1), 0, Outcome::Ok, 200 * MS);
+    harness.end(QueryId(1), 0, Outcome::Ok, 200 * MS);
     // Tables 5 were last read on `first`: interaction sends the next there while drains are alike.
     for n in 2..6 {
-        let (_, act) = rig.arrive(0, 200 * MS, 5);
+        let (_, act) = harness.arrive(0, 200 * MS, 5);
         assert_eq!(sends(&act)[0].1, first);
-        rig.end(QueryId(n), 0, Outcome::Ok, 200 * MS);
+        harness.end(QueryId(n), 0, Outcome::Ok, 200 * MS);
     }
-    rig.report(first, &[50.0]);
-    rig.report(other, &[0.0]);
-    let (_, act) = rig.arrive(0, 200 * MS, 5);
+    harness.report(first, &[50.0]);
+    harness.report(other, &[0.0]);
+    let (_, act) = harness.arrive(0, 200 * MS, 5);
     assert_eq!(sends(&act)[0].1, other);
 }
 
 #[test]
-fn full_ties_are_broken_by_the_seed_and_not_by_id() {
+fn full_ties_are_broken_by_the_seed() {
     let mut seen = std::collections::BTreeSet::new();
     for seed in 0..20 {
         let mut c =
@@ -116,7 +117,7 @@
         let mut act = Vec::new();
         let list: Vec<ListedEngine> = (1..5).map(listed).collect();
         c.handle(S, Event::EnginesListed(ListKind::Cached, &list), &mut act);
-        let q = Rig::new(settings(vec![class(S, 1.0, 1.0)]), &[]).query(0, S, 1);
+        let q = SchedulerHarness::new(settings(vec![class(S, 1.0, 1.0)]), &[]).query(0, S, 1);
         c.handle(S, Event::QueryArrived(q), &mut act);
         seen.extend(sends(&act).iter().map(|s| s.1));
     }
@@ -124,13 +125,13 @@
 }
 
 #[test]
-fn an_overrun_without_notes_is_cut_and_tried_again() {
-    let mut rig = Rig::new(
+fn overrun_without_progress_reports_is_cancelled_and_retried() {
+    let mut harness = SchedulerHarness::new(
         settings(vec![class(20 * S, 1.0, 1.0)]),
         &[listed(1), listed(2)],
     );
-    let (q, _) = rig.arrive(0, S, 1);
-    let act = rig.tick(5 * S);
+    let (q, _) = harness.arrive(0, S, 1);
+    let act = harness.tick(5 * S);
     assert_eq!(
         act.iter()
             .filter(|a| **a == Action::CancelAttempt(q, 0))
@@ -138,19 +139,23 @@
         1,
         "{act:?}"
     );
-    let act = rig.end(q, 0, Outcome::Cancelled, 4 * S);
+    let act = harness.end(q, 0, Outcome::Cancelled, 4 * S);
     assert_eq!(sends(&act).len(), 1);
 }
 
 #[test]
 fn one_long_query_is_not_silence() {
-    let mut rig = Rig::new(settings(vec![class(60 * S, 1.0, 1.0)]), &[listed(1)]);
+    let mut harness = SchedulerHarness::new(settings(vec![class(60 * S, 1.0, 1.0)]), &[listed(1)]);
     let mut act = Vec::new();
-    let q = rig.query(0, 100 * MS, 1);
-    rig.c.handle(rig.now, Event::QueryArrived(q), &mut act);
+    let q = harness.query(0, 100 * MS, 1);
+    harness
+        .controller
+        .handle(harness.now, Event::QueryArrived(q), &mut act);
     for _ in 0..60 {
-        rig.now += 50 * MS;
-        rig.c.handle(rig.now, Event::TimerFired(0), &mut act);
+        harness.now += 50 * MS;
+        harness
+            .controller
+            .handle(harness.now, Event::TimerFired(0), &mut act);
     }
     assert!(!act.iter().any(|a| matches!(a, Action::Log(_))), "{act:?}");
 }
@@ -159,14 +164,16 @@
 fn scatter_of_run_times_is_not_pressure() {
     // Answers take 0.7 or 2.5 times the estimate: against the quicker, a plain mean would see 2.3, past SLOW,
     // the mean of logs 1.9: the bound stays loose: not 2 x 2.2 + 1 threads may run but 2 x 2.2 x 2 + 1.
-    // A gateway's part of an engine held to 1.2 threads a core (4 here) leaves cores idle at usual load.
-    let mut rig = Rig::new(settings(vec![class(60 * S, 1.0, 1.0)]), &[listed(1)]);
+    // A coordinator's part of an engine held to 1.2 threads a core (4 here) leaves cores idle at usual load.
+    let mut harness = SchedulerHarness::new(settings(vec![class(60 * S, 1.0, 1.0)]), &[listed(1)]);
     for n in 0..60 {
-        let (q, _) = rig.arrive(0, S, 1);
+        let (q, _) = harness.arrive(0, S, 1);
         let spent = if n % 2 == 0 { 700 * MS } else { 2500 * MS };
-        rig.now += spent;
-        rig.end(q, 0, Outcome::Ok, spent);
+        harness.now += spent;
+        harness.end(q, 0, Outcome::Ok, spent);
     }
-    let started: usize = (0..20).map(|_| sends(&rig.arrive(0, S, 1).1).len()).sum();
+    let started: usize = (0..20)
+        .map(|_| sends(&harness.arrive(0, S, 1).1).len())
+        .sum();
     assert_eq!(started, 10);
 }
--- a/crates/scheduler/tests/crowd.rs
+++ b/crates/scheduler/tests/overload.rs
@@ -1,5 +1,6 @@
-//! Crowds of gateways with a sliver each, and engines that run out of memory.
+//! Many coordinators that each use a subset of the engines, and engines that run out of memory.
 mod common;
+
 use common::*;
 use driftfront_scheduler::interface::*;
 
@@ -15,8 +16,8 @@
         .collect()
 }
 
-/// One of a hundred gateways; classes: light, wide, and one between.
-fn sliver() -> Settings {
+/// One of a hundred coordinators; classes: light, wide, and one between.
+fn subset_settings() -> Settings {
     let mut s = settings(vec![
         class(S, 1.0, 1.0),
         class(4 * S, 10.0, 4.0),
@@ -34,66 +35,66 @@
     s
 }
 
-fn paging() -> Settings {
-    let mut s = sliver();
+fn paging_settings() -> Settings {
+    let mut s = subset_settings();
     (s.coordinators, s.out_of_memory) = (1, OutOfMemory::Page);
     s.report_fields = vec![ReportField::Busy, ReportField::Memory];
     s
 }
 
 #[test]
-fn an_engine_out_of_memory_draws_no_queries_by_its_idle_cores() {
-    let mut rig = Rig::new(paging(), &[listed(1), listed(2)]);
-    rig.report(1, &[0.1, 1.0]);
-    rig.report(2, &[0.6, 0.5]);
+fn engine_out_of_memory_gets_no_queries_despite_idle_cores() {
+    let mut harness = SchedulerHarness::new(paging_settings(), &[listed(1), listed(2)]);
+    harness.report(1, &[0.1, 1.0]);
+    harness.report(2, &[0.6, 0.5]);
     for _ in 0..4 {
-        let (q, act) = rig.arrive(0, 200 * MS, 3);
+        let (q, act) = harness.arrive(0, 200 * MS, 3);
         assert_eq!(sends(&act), [(q.0, 2)]);
-        rig.end(q, 0, Outcome::Ok, 200 * MS);
+        harness.end(q, 0, Outcome::Ok, 200 * MS);
     }
 }
 
 #[test]
-fn the_belief_that_memory_is_out_ends_with_its_report() {
-    let mut rig = Rig::new(paging(), &[listed(1)]);
-    rig.report(1, &[0.1, 1.0]);
-    let (q, act) = rig.arrive(1, 4 * S, 3);
+fn memory_exhaustion_ends_when_its_report_expires() {
+    let mut harness = SchedulerHarness::new(paging_settings(), &[listed(1)]);
+    harness.report(1, &[0.1, 1.0]);
+    let (q, act) = harness.arrive(1, 4 * S, 3);
     assert!(sends(&act).is_empty(), "held while the report is fresh");
-    assert!(sends(&rig.tick(2 * S)).is_empty());
-    assert_eq!(sends(&rig.tick(2 * S)), [(q.0, 1)]);
+    assert!(sends(&harness.tick(2 * S)).is_empty());
+    assert_eq!(sends(&harness.tick(2 * S)), [(q.0, 1)]);
 }
 
 #[test]
-fn homes_that_nobody_has_heard_do_not_take_a_whole_table_group() {
+fn preferred_engines_without_reports_get_no_whole_table_group() {
     let list: Vec<ListedEngine> = (1..=20).map(listed).collect();
-    let mut rig = Rig::new(sliver(), &list);
+    let mut harness = SchedulerHarness::new(subset_settings(), &list);
     let mut used = std::collections::BTreeSet::new();
     for _ in 0..40 {
-        let (q, act) = rig.arrive(0, 100 * MS, 3);
+        let (q, act) = harness.arrive(0, 100 * MS, 3);
         used.extend(sends(&act).iter().map(|s| s.1));
-        rig.end(q, 0, Outcome::Ok, 100 * MS);
+        harness.end(q, 0, Outcome::Ok, 100 * MS);
     }
     assert!(used.len() > 8, "{used:?}");
 }
 
-/// Engines used by a gateway of this seed, and how often, over many light queries.
+/// Engines used by a coordinator of this seed, and how often, over many light queries.
 fn used(seed: u64, list: &[ListedEngine]) -> std::collections::BTreeMap<u64, usize> {
-    let mut s = sliver();
+    let mut s = subset_settings();
     s.kinds[1].cores = Some(16.0);
-    let mut rig = Rig::seeded(s, list, seed);
+    let mut harness = SchedulerHarness::seeded(s, list, seed);
     let mut used = std::collections::BTreeMap::new();
     for _ in 0..200 {
-        let (q, act) = rig.arrive(0, 100 * MS, 3);
+        let (q, act) = harness.arrive(0, 100 * MS, 3);
         sends(&act)
             .iter()
             .for_each(|s| *used.entry(s.1).or_default() += 1);
-        rig.end(q, 0, Outcome::Ok, 100 * MS);
+        harness.end(q, 0, Outcome::Ok, 100 * MS);
     }
     used
 }
 
 #[test]
-fn a_sliver_connects_to_few_of_many_engines_and_each_gateway_to_others() {
+fn subset_uses_few_engines_and_each_coordinator_others() {
     let list: Vec<ListedEngine> = (1..=60).map(listed).collect();
     let (one, other) = (used(7, &list), used(8, &list));
     assert!(
@@ -120,7 +121,7 @@
 }
 
 #[test]
-fn two_lost_engines_of_a_zone_with_no_word_from_it_tell_of_the_whole_zone() {
+fn zone_is_lost_after_two_of_its_engines_are_lost() {
     let list: Vec<ListedEngine> = (1..=20)
         .map(|e| ListedEngine {
             zone: (e % 2) as u16,
@@ -132,94 +133,94 @@
         may_probe: true,
         probe_cost: 1e9,
         report_on_probe: true,
-        ..sliver()
+        ..subset_settings()
     };
-    let mut rig = Rig::new(s, &list);
+    let mut harness = SchedulerHarness::new(s, &list);
     let mut lost = std::collections::BTreeSet::new();
-    let mut ask = |rig: &mut Rig, down: bool| {
-        let (q, act) = rig.arrive(0, 100 * MS, 3);
+    let mut send_query = |harness: &mut SchedulerHarness, down: bool| {
+        let (q, act) = harness.arrive(0, 100 * MS, 3);
         let (mut to, mut attempt) = (sends(&act)[0].1, 0);
         while down && to % 2 == 1 {
             lost.insert(to);
-            to = sends(&rig.end(q, attempt, Outcome::Unreachable, 250 * MS))[0].1;
+            to = sends(&harness.end(q, attempt, Outcome::Unreachable, 250 * MS))[0].1;
             attempt += 1;
         }
-        rig.end(q, attempt, Outcome::Ok, 100 * MS);
+        harness.end(q, attempt, Outcome::Ok, 100 * MS);
         to
     };
-    let all: Vec<u64> = (0..60).map(|_| ask(&mut rig, true)).collect();
+    let all: Vec<u64> = (0..60).map(|_| send_query(&mut harness, true)).collect();
     assert!(all.iter().all(|e| e % 2 == 0));
-    // It is asked once a second whether it is back; anything heard from there ends the belief.
-    let asked = probes(&rig.tick(4 * S));
+    // It is probed once a second; anything that comes from there ends that.
+    let probed = probes(&harness.tick(4 * S));
     assert!(
-        (3..=5).contains(&asked.len()) && asked.iter().all(|e| e % 2 == 1),
-        "{asked:?}"
+        (3..=5).contains(&probed.len()) && probed.iter().all(|e| e % 2 == 1),
+        "{probed:?}"
     );
-    rig.event(Event::ProbeEnded(EngineId(asked[0]), Outcome::Ok, &[0.1]));
-    assert!((0..60).any(|_| ask(&mut rig, false) % 2 == 1));
+    harness.event(Event::ProbeEnded(EngineId(probed[0]), Outcome::Ok, &[0.1]));
+    assert!((0..60).any(|_| send_query(&mut harness, false) % 2 == 1));
     assert_eq!(lost.len(), 2, "{lost:?}");
 }
 
 #[test]
-fn an_engine_in_doubt_is_probed_at_once_and_left_alone_until_it_answers() {
+fn suspected_engine_is_probed_and_ejected_until_it_answers() {
     let list: Vec<ListedEngine> = (1..=2).map(listed).collect();
-    let mut rig = Rig::new(
+    let mut harness = SchedulerHarness::new(
         Settings {
             may_probe: true,
-            ..sliver()
+            ..subset_settings()
         },
         &list,
     );
     assert_eq!(
-        probes(&rig.event(Event::ProbeEnded(EngineId(1), Outcome::Reset, &[]))),
+        probes(&harness.event(Event::ProbeEnded(EngineId(1), Outcome::Reset, &[]))),
         [1]
     );
-    let ask = |rig: &mut Rig| {
-        let (q, act) = rig.arrive(0, 100 * MS, 3);
-        rig.end(q, 0, Outcome::Ok, 100 * MS);
+    let send_query = |harness: &mut SchedulerHarness| {
+        let (q, act) = harness.arrive(0, 100 * MS, 3);
+        harness.end(q, 0, Outcome::Ok, 100 * MS);
         sends(&act)[0].1
     };
-    assert!((0..20).all(|_| ask(&mut rig) == 2));
-    rig.event(Event::ProbeEnded(EngineId(1), Outcome::Ok, &[0.1]));
-    assert!((0..20).any(|_| ask(&mut rig) == 1));
+    assert!((0..20).all(|_| send_query(&mut harness) == 2));
+    harness.event(Event::ProbeEnded(EngineId(1), Outcome::Ok, &[0.1]));
+    assert!((0..20).any(|_| send_query(&mut harness) == 1));
 }
 
 #[test]
-fn an_engine_that_errs_or_runs_slow_now_and_then_draws_little() {
+fn engine_with_some_errors_or_slow_runs_gets_few_queries() {
     let list: Vec<ListedEngine> = (1..=10).map(listed).collect();
     for errs in [true, false] {
-        let mut rig = Rig::new(sliver(), &list);
+        let mut harness = SchedulerHarness::new(subset_settings(), &list);
         let (mut bad, mut all) = (0, 0);
         for _ in 0..600 {
             // Nobody tells its work.
             let query = Query {
                 work: None,
-                ..rig.query(0, 0, 3)
+                ..harness.query(0, 0, 3)
             };
-            let (q, act) = (query.id, rig.event(Event::QueryArrived(query)));
+            let (q, act) = (query.id, harness.event(Event::QueryArrived(query)));
             let mut to = sends(&act)[0].1;
             let mut attempt = 0;
             (bad, all) = (bad + usize::from(to == 1), all + 1);
             if errs && to == 1 && bad % 2 == 1 {
-                to = sends(&rig.end(q, attempt, Outcome::Error, 10 * MS))[0].1;
+                to = sends(&harness.end(q, attempt, Outcome::Error, 10 * MS))[0].1;
                 attempt += 1;
             }
             // Three times as slow: within the aim by its mean.
-            rig.end(
+            harness.end(
                 q,
                 attempt,
                 Outcome::Ok,
                 if !errs && to == 1 { 300 * MS } else { 100 * MS },
             );
-            rig.now += 50 * MS;
+            harness.now += 50 * MS;
         }
         assert!(bad * 20 < all, "{bad} of {all} went there, errs: {errs}");
     }
 }
 
 #[test]
-fn a_fleet_uses_cold_engines_well_and_keeps_their_budget() {
-    let mut s = sliver();
+fn cluster_uses_slow_start_budget_without_exceeding_it() {
+    let mut s = subset_settings();
     s.slow_start = Some(SlowStart {
         from: 0.35,
         warm_up_time: 15 * S,
@@ -237,12 +238,12 @@
     let mut budget = std::collections::BTreeMap::<u64, f64>::new();
     // So many of the hundred ask for a third more than the fleet can do.
     for seed in 0..50 {
-        let mut rig = Rig::seeded(
+        let mut harness = SchedulerHarness::seeded(
             s.clone(),
             &[old.clone(), young.clone()].concat(),
             1000 + seed,
         );
-        rig.tick(50 * MS);
+        harness.tick(50 * MS);
         for n in 0..60 {
             // What the classes usually need is known; then one window of eight small ones and a large one.
             let (class, work) = if n % 9 == 8 {
@@ -250,14 +251,14 @@
             } else {
                 (0, 100 * MS)
             };
-            let (q, act) = rig.arrive(class, work, n);
+            let (q, act) = harness.arrive(class, work, n);
             for (_, to) in sends(&act).into_iter().filter(|_| n >= 51) {
                 light += usize::from(class == 0);
                 light_there += usize::from(class == 0 && to > 10);
                 *budget.entry(to).or_default() += work as f64;
             }
-            rig.end(q, 0, Outcome::Ok, if class == 0 { work } else { work / 2 });
-            rig.tick(if n < 50 {
+            harness.end(q, 0, Outcome::Ok, if class == 0 { work } else { work / 2 });
+            harness.tick(if n < 50 {
                 0
             } else if n == 50 {
                 2 * S
@@ -266,7 +267,7 @@
             });
         }
     }
-    // Half of the light ones and more, though cold engines have a quarter of the capacity.
+    // Half of the light ones and more, though engines in slow start have a quarter of the capacity.
     assert!(light_there * 2 > light, "{light_there} of {light}");
     let most = 4.0 * 8.0 * 0.85 * 0.35 * 1.5 * S as f64;
     assert!(
@@ -276,7 +277,7 @@
 }
 
 #[test]
-fn engines_unheard_of_draw_queries_by_their_cores() {
+fn engines_without_reports_get_queries_by_their_cores() {
     let list: Vec<ListedEngine> = (1..=60)
         .map(|e| ListedEngine {
             kind: (e % 2) as u16,
@@ -293,35 +294,35 @@
 }
 
 #[test]
-fn under_pressure_wide_queries_wait_and_light_ones_pass() {
+fn wide_queries_wait_and_light_ones_pass_under_pressure() {
     // Pressure by a busy report, and by one of more queries than the bound has threads for.
     for (field, value) in [(ReportField::Busy, 1.0), (ReportField::Active, 40.0)] {
         let list: Vec<ListedEngine> = (1..=4).map(listed).collect();
-        let mut rig = Rig::new(
+        let mut harness = SchedulerHarness::new(
             Settings {
                 report_fields: vec![field],
-                ..sliver()
+                ..subset_settings()
             },
             &list,
         );
-        (1..=4).for_each(|e| rig.report(e, &[value]));
-        rig.tick(50 * MS);
-        let (_, first) = rig.arrive(2, 2 * S, 1);
+        (1..=4).for_each(|e| harness.report(e, &[value]));
+        harness.tick(50 * MS);
+        let (_, first) = harness.arrive(2, 2 * S, 1);
         assert_eq!(
             sends(&first).len(),
             1,
-            "an idle gateway may always start one"
+            "an idle coordinator may always start one"
         );
-        let (_, wide) = rig.arrive(1, 8 * S, 2);
+        let (_, wide) = harness.arrive(1, 8 * S, 2);
         assert!(sends(&wide).is_empty(), "{field:?}");
-        let (_, light) = rig.arrive(0, 100 * MS, 3);
+        let (_, light) = harness.arrive(0, 100 * MS, 3);
         assert_eq!(sends(&light).len(), 1, "{field:?}");
     }
 }
 
 #[test]
-fn room_in_the_fleet_goes_to_what_is_in_time_before_what_is_late() {
-    let mut s = sliver();
+fn cluster_room_goes_to_queries_in_time_before_late_ones() {
+    let mut s = subset_settings();
     s.classes = vec![
         class(4 * S, 10.0, 4.0),
         class(S, 1.0, 2.0),
@@ -338,63 +339,67 @@
         listed(3),
         listed(4),
     ];
-    let mut rig = Rig::new(s, &list);
-    (1..=4).for_each(|e| rig.report(e, &[1.0]));
-    rig.tick(50 * MS);
-    let (out, act) = rig.arrive(0, 4 * S, 1);
+    let mut harness = SchedulerHarness::new(s, &list);
+    (1..=4).for_each(|e| harness.report(e, &[1.0]));
+    harness.tick(50 * MS);
+    let (out, act) = harness.arrive(0, 4 * S, 1);
     assert_eq!(sends(&act).len(), 1);
-    let (_, late) = rig.arrive(1, 30 * S, 2);
-    let (timely, act) = rig.arrive(2, 30 * S, 3);
+    let (_, late) = harness.arrive(1, 30 * S, 2);
+    let (timely, act) = harness.arrive(2, 30 * S, 3);
     assert!(
         sends(&late).is_empty() && sends(&act).is_empty(),
         "no room for either"
     );
-    let act = rig.end(out, 0, Outcome::Ok, S);
+    let act = harness.end(out, 0, Outcome::Ok, S);
     assert_eq!(sends(&act).first(), Some(&(timely.0, 2)));
 }
 
 #[test]
-fn a_heavy_query_asks_first_where_answers_bring_no_reports() {
+fn heavy_query_probes_first_when_answers_bring_no_reports() {
     let list: Vec<ListedEngine> = (1..=4).map(listed).collect();
     let mut s = Settings {
         report_on_probe: true,
         may_probe: true,
-        ..sliver()
+        ..subset_settings()
     };
     s.classes[1].latency_objective = 20 * S;
     for answered in [true, false] {
-        let mut rig = Rig::new(s.clone(), &list);
+        let mut harness = SchedulerHarness::new(s.clone(), &list);
         // Forty pay for the probes of one that asks.
         for _ in 0..45 {
-            let (q, act) = rig.arrive(0, 100 * MS, 1);
-            assert_eq!(sends(&act).len(), 1, "a light one does not wait for word");
-            rig.end(q, 0, Outcome::Ok, 100 * MS);
+            let (q, act) = harness.arrive(0, 100 * MS, 1);
+            assert_eq!(
+                sends(&act).len(),
+                1,
+                "a light one does not wait for a probe"
+            );
+            harness.end(q, 0, Outcome::Ok, 100 * MS);
         }
-        let (q, act) = rig.arrive(1, 60 * S, 2);
-        let asked = probes(&act);
-        assert!(asked.len() >= 2 && sends(&act).is_empty(), "{act:?}");
+        let (q, act) = harness.arrive(1, 60 * S, 2);
+        let probed = probes(&act);
+        assert!(probed.len() >= 2 && sends(&act).is_empty(), "{act:?}");
         let mut act = Vec::new();
         if answered {
-            for (n, &e) in asked.iter().enumerate() {
-                let busy = if n + 1 == asked.len() { 0.1 } else { 0.9 };
-                act = rig.event(Event::ProbeEnded(EngineId(e), Outcome::Ok, &[busy]));
+            for (n, &e) in probed.iter().enumerate() {
+                let busy = if n + 1 == probed.len() { 0.1 } else { 0.9 };
+                act = harness.event(Event::ProbeEnded(EngineId(e), Outcome::Ok, &[busy]));
             }
-            assert_eq!(sends(&act), [(q.0, asked[asked.len() - 1])]);
+            assert_eq!(sends(&act), [(q.0, probed[probed.len() - 1])]);
         } else {
-            act.extend(rig.tick(200 * MS));
+            act.extend(harness.tick(200 * MS));
             assert_eq!(sends(&act).len(), 1, "silence does not hold it for long");
         }
     }
 }
 
 #[test]
-fn a_late_run_that_cannot_be_called_off_is_not_given_up() {
-    let mut s = sliver();
+fn late_attempt_that_cannot_be_cancelled_is_left_running() {
+    let mut s = subset_settings();
     s.may_cancel = false;
-    let mut rig = Rig::new(s, &[listed(1), listed(2)]);
-    let (q, act) = rig.arrive(0, 500 * MS, 1);
+    let mut harness = SchedulerHarness::new(s, &[listed(1), listed(2)]);
+    let (q, act) = harness.arrive(0, 500 * MS, 1);
     assert_eq!(sends(&act).len(), 1);
-    let act = rig.tick(8 * S);
+    let act = harness.tick(8 * S);
     assert!(
         !act.iter()
             .any(|a| matches!(a, Action::Reject(id, _) | Action::Fail(id) if *id == q)),
@@ -403,49 +408,49 @@
 }
 
 #[test]
-fn with_few_gateways_a_spill_is_no_reason_to_avoid_an_engine() {
-    let mut s = sliver();
+fn spill_does_not_exclude_engine_with_few_coordinators() {
+    let mut s = subset_settings();
     s.coordinators = 1;
-    let mut rig = Rig::new(s, &[listed(1), listed(2)]);
-    rig.report(1, &[0.1]);
-    rig.report(2, &[0.9]);
-    let (q, act) = rig.arrive(0, 200 * MS, 1);
+    let mut harness = SchedulerHarness::new(s, &[listed(1), listed(2)]);
+    harness.report(1, &[0.1]);
+    harness.report(2, &[0.9]);
+    let (q, act) = harness.arrive(0, 200 * MS, 1);
     assert_eq!(sends(&act), [(q.0, 1)]);
-    rig.event(Event::ProgressReported(q, 0, ProgressReport::Spills(100.0)));
-    let (next, act) = rig.arrive(0, 200 * MS, 2);
+    harness.event(Event::ProgressReported(q, 0, ProgressReport::Spills(100.0)));
+    let (next, act) = harness.arrive(0, 200 * MS, 2);
     assert_eq!(sends(&act), [(next.0, 1)], "the other is far busier");
 }
 
 #[test]
-fn light_queries_pass_the_bound_of_an_engine_full_of_wide_ones() {
+fn light_queries_pass_the_bound_of_engine_full_of_wide_ones() {
     // Pressed, 2 cores hold 2 x 2.2 + 2 = 6.4 threads: three wide ones. Light ones may pass by one widest.
     // The wide ones that wait are no hindrance: a light one goes in front and starts at once.
     let mut s = settings(vec![class(2 * S, 1.0, 1.0), class(10 * S, 1.0, 2.0)]);
     s.report_fields = vec![ReportField::Waiting];
-    let mut rig = Rig::new(s, &[listed(1)]);
-    rig.report(1, &[1.0]);
+    let mut harness = SchedulerHarness::new(s, &[listed(1)]);
+    harness.report(1, &[1.0]);
     let mut started = |class, work| -> usize {
         (0..8)
-            .map(|_| sends(&rig.arrive(class, work, 1).1).len())
+            .map(|_| sends(&harness.arrive(class, work, 1).1).len())
             .sum()
     };
     assert_eq!((started(1, 8 * S), started(0, 50 * MS)), (3, 2));
 }
 
 #[test]
-fn a_gateway_takes_the_part_of_others_that_are_down() {
-    // Of three gateways' run bound on 4 cores a third is 4 x 2.2 x 2 / 3 + 1 = 6.9 threads, and under
+fn coordinator_takes_the_share_of_others_that_are_down() {
+    // Of three coordinators' run bound on 4 cores a third is 4 x 2.2 x 2 / 3 + 1 = 6.9 threads, and under
     // pressure, which 9 active make, all of it is 4 x 2.2 + 1 = 9.8.
     let started = |others: f64| {
         let mut s = settings(vec![class(60 * S, 1.0, 1.0)]);
         (s.coordinators, s.report_fields) = (3, vec![ReportField::Active]);
         s.kinds[0].cores = Some(4.0);
-        let mut rig = Rig::new(s, &[listed(1)]);
+        let mut harness = SchedulerHarness::new(s, &[listed(1)]);
         let mut started = 0;
         for _ in 0..20 {
-            started += sends(&rig.arrive(0, 30 * S, 1).1).len();
-            rig.report(1, &[started as f64 + others]);
-            started += sends(&rig.tick(S)).len();
+            started += sends(&harness.arrive(0, 30 * S, 1).1).len();
+            harness.report(1, &[started as f64 + others]);
+            started += sends(&harness.tick(S)).len();
         }
         started
     };
--- a/crates/scheduler/tests/rules.rs
+++ b/crates/scheduler/tests/rules.rs
@@ -1,5 +1,11 @@
 //! The rules, one by one, and all of them under random legal event sequences with a fixed seed.
+#![allow(
+    clippy::cast_possible_truncation,
+    reason = "the numbers of these tests are small"
+)]
+
 mod common;
+
 use common::*;
 use driftfront_scheduler::interface::*;
 use std::collections::{BTreeMap, BTreeSet};
@@ -14,26 +20,26 @@
 }
 
 #[test]
-fn a_budget_of_almost_nothing_is_answered_at_once() {
-    let mut rig = Rig::new(settings(vec![class(S, 1.0, 1.0)]), &[listed(1)]);
+fn query_with_almost_no_time_is_answered_at_once() {
+    let mut harness = SchedulerHarness::new(settings(vec![class(S, 1.0, 1.0)]), &[listed(1)]);
     let q = Query {
         budget: 2 * MS,
-        ..rig.query(0, S, 1)
+        ..harness.query(0, S, 1)
     };
-    let act = rig.event(Event::QueryArrived(q));
+    let act = harness.event(Event::QueryArrived(q));
     assert!(refused(&act, q.id));
     assert!(
-        rig.end(q.id, 0, Outcome::Ok, S).is_empty(),
+        harness.end(q.id, 0, Outcome::Ok, S).is_empty(),
         "nothing more for it"
     );
 }
 
 #[test]
-fn an_empty_list_holds_a_query_and_answers_it_with_retry_advice() {
-    let mut rig = Rig::new(settings(vec![class(S, 1.0, 1.0)]), &[]);
-    let (q, act) = rig.arrive(0, 100 * MS, 1);
+fn query_waits_for_engines_and_is_rejected_with_retry_after() {
+    let mut harness = SchedulerHarness::new(settings(vec![class(S, 1.0, 1.0)]), &[]);
+    let (q, act) = harness.arrive(0, 100 * MS, 1);
     assert!(act.is_empty());
-    let act = rig.tick(2 * S);
+    let act = harness.tick(2 * S);
     assert!(
         act.iter()
             .any(|a| matches!(a, Action::Reject(x, after) if *x == q && *after > 0)),
@@ -42,7 +48,7 @@
 }
 
 #[test]
-fn a_pinned_query_goes_to_its_engine_alone_and_is_given_up_when_that_drains() {
+fn exclusive_session_uses_one_engine_until_it_drains() {
     let only = |engine| {
         Some(StickySession {
             engine: EngineId(engine),
@@ -50,24 +56,24 @@
         })
     };
     for n in 0..30 {
-        let mut rig = Rig::new(
+        let mut harness = SchedulerHarness::new(
             settings(vec![class(9 * S, 1.0, 1.0)]),
             &[listed(1), listed(2), listed(3)],
         );
         let pin = only(1 + n % 3);
         let q = Query {
             pin,
-            ..rig.query(0, 10 * MS, 1)
+            ..harness.query(0, 10 * MS, 1)
         };
         assert_eq!(
-            sends(&rig.event(Event::QueryArrived(q))),
+            sends(&harness.event(Event::QueryArrived(q))),
             [(q.id.0, 1 + n % 3)]
         );
         // Another attempt goes there too, though the engine failed it.
-        let again = sends(&rig.end(q.id, 0, Outcome::Unreachable, MS));
+        let again = sends(&harness.end(q.id, 0, Outcome::Unreachable, MS));
         assert!(again.iter().all(|s| s.1 == 1 + n % 3), "{again:?}");
     }
-    let mut rig = Rig::new(
+    let mut harness = SchedulerHarness::new(
         settings(vec![class(9 * S, 1.0, 1.0)]),
         &[listed(1), listed(2)],
     );
@@ -75,42 +81,42 @@
         phase: Phase::Draining,
         ..listed(1)
     };
-    rig.event(Event::EnginesListed(ListKind::Changes, &[drained]));
+    harness.event(Event::EnginesListed(ListKind::Changes, &[drained]));
     let q = Query {
         pin: only(1),
-        ..rig.query(0, 10 * MS, 1)
+        ..harness.query(0, 10 * MS, 1)
     };
-    let mut act = rig.event(Event::QueryArrived(q));
-    act.extend(rig.event(Event::EnginesListed(ListKind::Changes, &[drained])));
+    let mut act = harness.event(Event::QueryArrived(q));
+    act.extend(harness.event(Event::EnginesListed(ListKind::Changes, &[drained])));
     assert!(sends(&act).is_empty() && refused(&act, q.id), "{act:?}");
 }
 
 #[test]
-fn a_home_is_taken_first_and_left_once_it_fails_or_drains() {
+fn sticky_session_leaves_its_engine_once_that_fails_or_drains() {
     let home = Some(StickySession {
         engine: EngineId(2),
         only: false,
     });
-    let mut rig = Rig::new(
+    let mut harness = SchedulerHarness::new(
         settings(vec![class(9 * S, 1.0, 1.0)]),
         &[listed(1), listed(2), listed(3)],
     );
     for _ in 0..10 {
         let q = Query {
             pin: home,
-            ..rig.query(0, 10 * MS, 1)
+            ..harness.query(0, 10 * MS, 1)
         };
-        assert_eq!(sends(&rig.event(Event::QueryArrived(q))), [(q.id.0, 2)]);
+        assert_eq!(sends(&harness.event(Event::QueryArrived(q))), [(q.id.0, 2)]);
     }
     let q = Query {
         pin: home,
-        ..rig.query(0, 10 * MS, 1)
+        ..harness.query(0, 10 * MS, 1)
     };
-    rig.event(Event::QueryArrived(q));
-    assert!(sends(&rig.end(q.id, 0, Outcome::Unreachable, MS))
+    harness.event(Event::QueryArrived(q));
+    assert!(sends(&harness.end(q.id, 0, Outcome::Unreachable, MS))
         .iter()
         .all(|s| s.1 != 2));
-    rig.event(Event::EnginesListed(
+    harness.event(Event::EnginesListed(
         ListKind::Changes,
         &[ListedEngine {
             phase: Phase::Draining,
@@ -119,14 +125,14 @@
     ));
     let q = Query {
         pin: home,
-        ..rig.query(0, 10 * MS, 1)
+        ..harness.query(0, 10 * MS, 1)
     };
-    let sent = sends(&rig.event(Event::QueryArrived(q)));
+    let sent = sends(&harness.event(Event::QueryArrived(q)));
     assert!(sent.len() == 1 && sent[0].1 != 2);
 }
 
 #[test]
-fn an_unsafe_query_that_may_have_run_is_neither_sent_again_nor_refused() {
+fn non_idempotent_query_is_not_retried_or_rejected_after_a_run() {
     let mut s = settings(vec![class(9 * S, 1.0, 1.0)]);
     s.classes[0].idempotency = Idempotency::NotIdempotent;
     for (outcome, again) in [
@@ -134,143 +140,143 @@
         (Outcome::Error, false),
         (Outcome::Unreachable, true),
     ] {
-        let mut rig = Rig::new(s.clone(), &[listed(1), listed(2)]);
-        let (q, _) = rig.arrive(0, S, 1);
-        let act = rig.end(q, 0, outcome, 10 * MS);
+        let mut harness = SchedulerHarness::new(s.clone(), &[listed(1), listed(2)]);
+        let (q, _) = harness.arrive(0, S, 1);
+        let act = harness.end(q, 0, outcome, 10 * MS);
         assert_eq!(sends(&act).len(), usize::from(again), "{outcome:?}");
         assert_eq!(failed(&act, q), !again, "{outcome:?}");
     }
 }
 
 #[test]
-fn a_query_that_errs_everywhere_is_sent_twice_and_no_engine_is_blamed() {
-    let mut rig = Rig::new(
+fn query_that_errs_everywhere_is_sent_twice_without_ejection() {
+    let mut harness = SchedulerHarness::new(
         settings(vec![class(9 * S, 1.0, 1.0)]),
         &[listed(1), listed(2)],
     );
     for _ in 0..6 {
-        let (q, act) = rig.arrive(0, S, 1);
+        let (q, act) = harness.arrive(0, S, 1);
         let first = sends(&act)[0].1;
-        let again = sends(&rig.end(q, 0, Outcome::Error, MS));
+        let again = sends(&harness.end(q, 0, Outcome::Error, MS));
         assert_eq!(again, [(q.0, 3 - first)]);
-        assert!(refused(&rig.end(q, 1, Outcome::Error, MS), q));
+        assert!(refused(&harness.end(q, 1, Outcome::Error, MS), q));
     }
     // Where the other serves what engine 1 errs on, it is the engine: two in a row shut it.
     let mut errors = 0;
     for _ in 0..20 {
-        let (q, act) = rig.arrive(0, S, 1);
+        let (q, act) = harness.arrive(0, S, 1);
         let errs = sends(&act)[0].1 == 1;
         errors += usize::from(errs);
         if errs {
-            rig.end(q, 0, Outcome::Error, MS);
+            harness.end(q, 0, Outcome::Error, MS);
         }
-        rig.end(q, u8::from(errs), Outcome::Ok, S);
+        harness.end(q, u8::from(errs), Outcome::Ok, S);
     }
     assert_eq!(errors, 2);
 }
 
 #[test]
-fn a_tenant_without_a_share_is_turned_away_first_and_takes_nothing_of_the_others() {
+fn tenant_over_quota_is_shed_before_others() {
     let tenants = vec![Tenant { quota_per_s: 100.0 }];
     let with = Settings {
         tenants,
         over_quota_weight: 0.05,
         ..settings(vec![class(9 * S, 1.0, 1.0)])
     };
-    let mut rig = Rig::new(with, &[listed(1)]);
+    let mut harness = SchedulerHarness::new(with, &[listed(1)]);
     // A queue for memory: every engine is under pressure.
-    rig.report(1, &[5.0]);
+    harness.report(1, &[5.0]);
     for _ in 0..20 {
         let q = Query {
             tenant: u32::MAX,
-            ..rig.query(0, 10 * MS, 1)
+            ..harness.query(0, 10 * MS, 1)
         };
-        assert!(refused(&rig.event(Event::QueryArrived(q)), q.id));
+        assert!(refused(&harness.event(Event::QueryArrived(q)), q.id));
     }
-    let (q, act) = rig.arrive(0, 10 * MS, 1);
+    let (q, act) = harness.arrive(0, 10 * MS, 1);
     assert!(!refused(&act, q));
     // Where no tenant is named nobody's traffic is beyond anything.
-    let mut rig = Rig::new(settings(vec![class(9 * S, 1.0, 1.0)]), &[listed(1)]);
-    rig.report(1, &[5.0]);
+    let mut harness = SchedulerHarness::new(settings(vec![class(9 * S, 1.0, 1.0)]), &[listed(1)]);
+    harness.report(1, &[5.0]);
     let q = Query {
         tenant: u32::MAX,
-        ..rig.query(0, 10 * MS, 1)
+        ..harness.query(0, 10 * MS, 1)
     };
-    assert!(!refused(&rig.event(Event::QueryArrived(q)), q.id));
+    assert!(!refused(&harness.event(Event::QueryArrived(q)), q.id));
 }
 
 #[test]
-fn a_keyed_query_goes_again_only_while_engines_know_its_word() {
+fn keyed_query_is_retried_only_while_engines_know_its_key() {
     let keyed = || QueryClass {
         idempotency: Idempotency::WithKey,
         deduplication_window: 5 * S,
         ..class(9 * S, 1.0, 1.0)
     };
-    // Its word, an earlier query under it, and whether it goes again after a lost connection.
+    // Its key, an earlier query under it, and whether it goes again after a lost connection.
     for (token, idempotent_until, again) in [
         (true, None, true),
         (false, None, false),
         (true, Some(100 * S + MS), false),
     ] {
-        let mut rig = Rig::new(settings(vec![keyed()]), &[listed(1), listed(2)]);
+        let mut harness = SchedulerHarness::new(settings(vec![keyed()]), &[listed(1), listed(2)]);
         let q = Query {
             token,
             idempotent_until: None,
-            ..rig.query(0, S, 1)
+            ..harness.query(0, S, 1)
         };
-        assert_eq!(sends(&rig.event(Event::QueryArrived(q))).len(), 1);
-        rig.c.handle(
-            rig.now,
+        assert_eq!(sends(&harness.event(Event::QueryArrived(q))).len(), 1);
+        harness.controller.handle(
+            harness.now,
             Event::ProgressReported(q.id, 0, ProgressReport::Progress(0.1)),
             &mut Vec::new(),
         );
-        let act = rig.end(q.id, 0, Outcome::Reset, MS);
+        let act = harness.end(q.id, 0, Outcome::Reset, MS);
         if idempotent_until.is_none() {
             assert_eq!(sends(&act).len(), usize::from(again), "{token}");
             assert_eq!(act.contains(&Action::Fail(q.id)), !again);
         }
-        // One whose word is no longer known is not sent at all, and answered at once.
+        // One whose key is no longer known is not sent at all, and answered at once.
         let late = Query {
             token,
             idempotent_until,
-            ..rig.query(0, S, 2)
+            ..harness.query(0, S, 2)
         };
         if idempotent_until.is_some() {
-            assert!(sends(&rig.event(Event::QueryArrived(late))).is_empty());
-            assert!(refused(&rig.tick(50 * MS), late.id));
+            assert!(sends(&harness.event(Event::QueryArrived(late))).is_empty());
+            assert!(refused(&harness.tick(50 * MS), late.id));
         }
     }
 }
 
 #[test]
-fn the_odd_answer_of_an_engine_that_errs_mostly_does_not_make_it_well_but_a_run_of_them_does() {
+fn failing_engine_recovers_by_a_run_of_answers_not_by_one() {
     let list: Vec<ListedEngine> = (1..=4).map(listed).collect();
-    let mut rig = Rig::new(settings(vec![class(9 * S, 1.0, 1.0)]), &list);
+    let mut harness = SchedulerHarness::new(settings(vec![class(9 * S, 1.0, 1.0)]), &list);
     let (mut met, mut gone, mut tables) = (0, 0, 0);
-    let mut ask = |rig: &mut Rig, sick: bool| {
+    let mut send_query = |harness: &mut SchedulerHarness, sick: bool| {
         tables += 1;
-        let (q, act) = rig.arrive(0, 100 * MS, tables);
+        let (q, act) = harness.arrive(0, 100 * MS, tables);
         let there = sends(&act)[0].1 == 1;
         met += usize::from(there);
         // Four of five fail, at once, so that it looks idle.
         let errs = sick && there && met % 5 != 0;
         if errs {
-            rig.end(q, 0, Outcome::Error, MS);
+            harness.end(q, 0, Outcome::Error, MS);
         }
-        rig.end(q, u8::from(errs), Outcome::Ok, 100 * MS);
-        rig.tick(50 * MS);
+        harness.end(q, u8::from(errs), Outcome::Ok, 100 * MS);
+        harness.tick(50 * MS);
         there
     };
     for _ in 0..800 {
-        gone += usize::from(ask(&mut rig, true));
+        gone += usize::from(send_query(&mut harness, true));
     }
     assert!(gone * 40 < 800, "{gone} of 800 went to it");
-    let back = (0..800).filter(|_| ask(&mut rig, false)).count();
+    let back = (0..800).filter(|_| send_query(&mut harness, false)).count();
     assert!(back * 8 > 800, "{back} of 800 went to it once it was well");
 }
 
 #[test]
-fn a_broken_connection_rests_its_engine_until_a_probe_answers() {
+fn connection_reset_ejects_the_engine_until_a_probe_answers() {
     let mut s = settings(vec![class(9 * S, 1.0, 1.0)]);
     (s.may_probe, s.coordinators) = (true, 2);
     s.slow_start = Some(SlowStart {
@@ -279,12 +285,12 @@
         multiple: 0.1,
         window: 2 * S,
     });
-    let mut rig = Rig::new(s, &[listed(1)]);
-    let all: Vec<QueryId> = (0..4).map(|_| rig.arrive(0, 100 * MS, 1).0).collect();
+    let mut harness = SchedulerHarness::new(s, &[listed(1)]);
+    let all: Vec<QueryId> = (0..4).map(|_| harness.arrive(0, 100 * MS, 1).0).collect();
     // All on the connection end at once: one failure, and one probe.
     let mut act = Vec::new();
     for q in &all {
-        act.extend(rig.event(Event::AttemptEnded(AttemptEnded {
+        act.extend(harness.event(Event::AttemptEnded(AttemptEnded {
             query: *q,
             attempt: 0,
             outcome: Outcome::Reset,
@@ -302,16 +308,16 @@
         1,
         "{act:?}"
     );
-    rig.report(1, &[0.0]);
-    // It answers, so it was never gone: not on trial, and not cold, where hardly anything would fit.
+    harness.report(1, &[0.0]);
+    // It answers, so it was never gone: neither on probation nor warming up, where hardly anything would fit.
     let started: usize = (0..4)
-        .map(|_| sends(&rig.arrive(0, 100 * MS, 1).1).len())
+        .map(|_| sends(&harness.arrive(0, 100 * MS, 1).1).len())
         .sum();
     assert_eq!(started, 4);
 }
 
 #[test]
-fn a_keyed_query_is_repeated_only_inside_its_group_and_window() {
+fn keyed_query_is_retried_only_in_its_scope_and_window() {
     let mut s = settings(vec![class(40 * S, 1.0, 1.0)]);
     s.classes[0].idempotency = Idempotency::WithKey;
     s.classes[0].deduplication_scope = DeduplicationScope::Cell;
@@ -324,32 +330,32 @@
         listed(3),
     ];
     for seed in 0..6u64 {
-        let mut rig = Rig::new(s.clone(), &list);
-        rig.c = driftfront_scheduler::Controller::new(s.clone(), seed);
-        rig.event(Event::EnginesListed(ListKind::Cached, &list));
-        let (q, act) = rig.arrive(0, S, 1);
+        let mut harness = SchedulerHarness::new(s.clone(), &list);
+        harness.controller = driftfront_scheduler::Controller::new(s.clone(), seed);
+        harness.event(Event::EnginesListed(ListKind::Cached, &list));
+        let (q, act) = harness.arrive(0, S, 1);
         let first = sends(&act)[0].1;
-        let again = sends(&rig.end(q, 0, Outcome::Reset, S));
+        let again = sends(&harness.end(q, 0, Outcome::Reset, S));
         assert!(
             again.iter().all(|s| (s.1 == 2) == (first == 2)),
             "{first} then {again:?}"
         );
         // Past the window nothing may be sent, nor refused.
-        rig.now += 6 * S;
+        harness.now += 6 * S;
         let n = again.len() as u8;
-        let act = rig.end(q, n, Outcome::Reset, 6 * S);
+        let act = harness.end(q, n, Outcome::Reset, 6 * S);
         assert!(sends(&act).is_empty() && failed(&act, q), "{act:?}");
     }
 }
 
 #[test]
-fn nothing_goes_to_a_draining_engine_and_its_queue_moves() {
-    let mut rig = Rig::new(settings(vec![class(60 * S, 1.0, 4.0)]), &[listed(1)]);
-    rig.report(1, &[5.0]);
+fn draining_engine_gets_nothing_and_its_queue_moves() {
+    let mut harness = SchedulerHarness::new(settings(vec![class(60 * S, 1.0, 4.0)]), &[listed(1)]);
+    harness.report(1, &[5.0]);
     for _ in 0..4 {
-        rig.arrive(0, 4 * S, 1);
+        harness.arrive(0, 4 * S, 1);
     }
-    let act = rig.event(Event::EnginesListed(
+    let act = harness.event(Event::EnginesListed(
         ListKind::Changes,
         &[
             ListedEngine {
@@ -366,7 +372,7 @@
 }
 
 #[test]
-fn a_cold_engine_gets_no_more_than_its_part() {
+fn engine_in_slow_start_gets_no_more_than_its_part() {
     let mut s = settings(vec![class(60 * S, 1.0, 1.0)]);
     s.coordinators = 2;
     s.slow_start = Some(SlowStart {
@@ -375,63 +381,63 @@
         multiple: 2.0,
         window: 2 * S,
     });
-    let mut rig = Rig::new(s, &[listed(1)]);
+    let mut harness = SchedulerHarness::new(s, &[listed(1)]);
     for n in 1..=6 {
-        rig.arrive(0, 100 * MS, 1);
-        rig.end(QueryId(n), 0, Outcome::Ok, 100 * MS);
+        harness.arrive(0, 100 * MS, 1);
+        harness.end(QueryId(n), 0, Outcome::Ok, 100 * MS);
     }
-    let now = rig.now;
-    rig.event(Event::EnginesListed(
+    let now = harness.now;
+    harness.event(Event::EnginesListed(
         ListKind::Changes,
         &[ListedEngine {
             started_at: Some(now),
             ..listed(1)
         }],
     ));
-    // Half of two cores at 85%, twice that, over 2 s, by 2 gateways: 1.7 s of work; queries of 0.1 s.
+    // Half of two cores at 85%, twice that, over 2 s, by 2 coordinators: 1.7 s of work; queries of 0.1 s.
     let mut sent = 0;
     for _ in 0..60 {
-        let (q, act) = rig.arrive(0, 100 * MS, 1);
+        let (q, act) = harness.arrive(0, 100 * MS, 1);
         for s in sends(&act) {
             sent += 1;
-            rig.end(QueryId(s.0), 0, Outcome::Ok, 10 * MS);
+            harness.end(QueryId(s.0), 0, Outcome::Ok, 10 * MS);
         }
         let _ = q;
-        rig.now += 20 * MS;
+        harness.now += 20 * MS;
     }
     assert!((5..=17).contains(&sent), "{sent}");
 }
 
 #[test]
-fn queries_of_a_key_go_one_at_a_time_and_rest_after_doubt() {
+fn queries_of_a_key_run_in_order_and_rest_after_unknown_outcome() {
     let mut s = settings(vec![class(60 * S, 1.0, 1.0)]);
     s.classes[0].in_order = true;
     s.classes[0].idempotency = Idempotency::NotIdempotent;
     s.settle_time = S;
-    let mut rig = Rig::new(s, &[listed(1), listed(2)]);
-    let keyed = |rig: &mut Rig| {
+    let mut harness = SchedulerHarness::new(s, &[listed(1), listed(2)]);
+    let keyed = |harness: &mut SchedulerHarness| {
         let q = Query {
             key: Some(4),
-            ..rig.query(0, S, 1)
+            ..harness.query(0, S, 1)
         };
-        (q.id, rig.event(Event::QueryArrived(q)))
+        (q.id, harness.event(Event::QueryArrived(q)))
     };
-    let (a, act) = keyed(&mut rig);
+    let (a, act) = keyed(&mut harness);
     assert_eq!(sends(&act).len(), 1);
-    let (b, act) = keyed(&mut rig);
+    let (b, act) = keyed(&mut harness);
     assert!(act.is_empty());
-    let act = rig.end(a, 0, Outcome::Reset, S);
+    let act = harness.end(a, 0, Outcome::Reset, S);
     assert!(failed(&act, a) && sends(&act).is_empty());
-    assert!(sends(&rig.tick(900 * MS)).is_empty(), "the key rests");
-    let act = rig.tick(300 * MS);
+    assert!(sends(&harness.tick(900 * MS)).is_empty(), "the key rests");
+    let act = harness.tick(300 * MS);
     assert_eq!(sends(&act).iter().map(|s| s.0).collect::<Vec<_>>(), [b.0]);
 }
 
 #[test]
-fn placement_holds_even_when_the_only_place_is_down() {
+fn placement_holds_when_the_only_engine_is_down() {
     let mut s = settings(vec![class(60 * S, 1.0, 1.0)]);
     s.classes[0].kinds = Some(vec![1]);
-    let mut rig = Rig::new(
+    let mut harness = SchedulerHarness::new(
         s,
         &[
             listed(1),
@@ -441,50 +447,53 @@
             },
         ],
     );
-    let (q, act) = rig.arrive(0, S, 1);
+    let (q, act) = harness.arrive(0, S, 1);
     assert_eq!(sends(&act), [(q.0, 2)]);
-    let act = rig.end(q, 0, Outcome::Unreachable, 250 * MS);
+    let act = harness.end(q, 0, Outcome::Unreachable, 250 * MS);
     assert!(sends(&act).iter().all(|s| s.1 == 2));
 }
 
 #[test]
-fn further_attempts_stay_within_the_budget() {
+fn retries_stay_within_the_budget() {
     let mut s = settings(vec![class(60 * S, 1.0, 1.0)]);
     s.retry_budget = Some(RetryBudget {
         min_retries: 2.0,
         ratio: 0.0,
         window: 10 * S,
     });
-    let mut rig = Rig::new(s, &[listed(1), listed(2)]);
+    let mut harness = SchedulerHarness::new(s, &[listed(1), listed(2)]);
     let further: usize = (0..5)
         .map(|_| {
-            let (q, _) = rig.arrive(0, S, 1);
-            sends(&rig.end(q, 0, Outcome::Unreachable, MS)).len()
+            let (q, _) = harness.arrive(0, S, 1);
+            sends(&harness.end(q, 0, Outcome::Unreachable, MS)).len()
         })
         .sum();
     assert_eq!(further, 2);
 }
 
 #[test]
-fn what_was_taken_is_forgotten_behind_the_window_without_a_further_attempt() {
+fn requests_are_forgotten_after_the_budget_window() {
     let mut s = settings(vec![class(9 * S, 1.0, 1.0)]);
     s.retry_budget = Some(RetryBudget {
         min_retries: 5.0,
         ratio: 0.1,
         window: 10 * S,
     });
-    let mut rig = Rig::new(s, &[listed(1)]);
+    let mut harness = SchedulerHarness::new(s, &[listed(1)]);
     for _ in 0..500 {
-        let (q, _) = rig.arrive(0, 10 * MS, 1);
-        rig.end(q, 0, Outcome::Ok, 10 * MS);
-        rig.now += 100 * MS;
+        let (q, _) = harness.arrive(0, 10 * MS, 1);
+        harness.end(q, 0, Outcome::Ok, 10 * MS);
+        harness.now += 100 * MS;
     }
-    let usage = rig.c.retry_budget_usage(rig.now).expect("a budget");
-    assert_eq!((usage.held, rig.c.queries_open()), (100, 0));
+    let usage = harness
+        .controller
+        .retry_budget_usage(harness.now)
+        .expect("a budget");
+    assert_eq!((usage.held, harness.controller.queries_open()), (100, 0));
 }
 
 #[test]
-fn discovery_is_asked_for_and_asked_again_after_a_failure() {
+fn discovery_is_polled_again_after_a_failure() {
     let mut s = settings(vec![class(S, 1.0, 1.0)]);
     (s.poll_discovery, s.poll_timeout) = (true, Some(10 * S));
     let mut c = driftfront_scheduler::Controller::new(s, 1);
@@ -499,18 +508,19 @@
 }
 
 #[test]
-fn a_stream_is_neither_cut_nor_ended_by_the_deadline() {
-    let mut rig = Rig::new(settings(vec![class(S, 1.0, 1.0)]), &[listed(1), listed(2)]);
-    let (q, _) = rig.arrive(0, 100 * MS, 1);
-    rig.event(Event::StreamStarted(q, 0));
-    let mut act = rig.tick(70 * S);
-    act.extend(rig.event(Event::TimerFired(q.0 + 1)));
+fn stream_is_neither_cancelled_nor_ended_by_the_deadline() {
+    let mut harness =
+        SchedulerHarness::new(settings(vec![class(S, 1.0, 1.0)]), &[listed(1), listed(2)]);
+    let (q, _) = harness.arrive(0, 100 * MS, 1);
+    harness.event(Event::StreamStarted(q, 0));
+    let mut act = harness.tick(70 * S);
+    act.extend(harness.event(Event::TimerFired(q.0 + 1)));
     assert!(act.is_empty(), "{act:?}");
 }
 
 /// A world of random legal events; checks every action against the rules.
 struct World {
-    rig: Rig,
+    harness: SchedulerHarness,
     seed: u64,
     phase: BTreeMap<u64, Phase>,
     open: BTreeMap<QueryId, (Query, u64)>,
@@ -531,13 +541,15 @@
 
     fn event(&mut self, e: Event) {
         let mut act = Vec::new();
-        self.rig.c.handle(self.rig.now, e, &mut act);
+        self.harness
+            .controller
+            .handle(self.harness.now, e, &mut act);
         for a in act {
             match a {
                 Action::SetTimer(after, token) => {
-                    self.wakes.insert((self.rig.now + after, token));
+                    self.wakes.insert((self.harness.now + after, token));
                 }
-                Action::StartAttempt(q, e, patience) => self.check_send(q, e.0, patience),
+                Action::StartAttempt(q, e, timeout) => self.check_send(q, e.0, timeout),
                 Action::Reject(q, _) => {
                     let class = self.answer(q);
                     let clean = self.tries[&q]
@@ -559,13 +571,13 @@
     fn answer(&mut self, q: QueryId) -> u16 {
         assert!(self.answered.insert(q), "two answers");
         let (query, deadline) = self.open.remove(&q).expect("an answer for an open query");
-        assert!(self.rig.now <= deadline, "answered late");
+        assert!(self.harness.now <= deadline, "answered late");
         query.class
     }
 
-    fn check_send(&mut self, q: QueryId, e: u64, patience: u64) {
+    fn check_send(&mut self, q: QueryId, e: u64, timeout: u64) {
         let (query, deadline) = self.open.get(&q).expect("a send for an open query");
-        assert!(patience > 0 && self.rig.now + patience <= *deadline);
+        assert!(timeout > 0 && self.harness.now + timeout <= *deadline);
         assert_eq!(self.phase[&e], Phase::Ready, "sent to one that leaves");
         let tries = &self.tries[&q];
         assert!(tries.iter().all(|t| t.1.is_some()), "two attempts at once");
@@ -585,103 +597,112 @@
     }
 
     fn step(&mut self) {
-        let until = self.rig.now + 5 * MS;
+        let until = self.harness.now + 5 * MS;
         while let Some(&(at, token)) = self.wakes.first().filter(|w| w.0 <= until) {
             self.wakes.remove(&(at, token));
-            self.rig.now = self.rig.now.max(at);
+            self.harness.now = self.harness.now.max(at);
             self.event(Event::TimerFired(token));
         }
-        self.rig.now = until;
+        self.harness.now = until;
         match self.random(12) {
-            0..=3 => {
-                let class = self.random(2) as u16;
-                let work = 10 * MS + self.random(400) * MS;
-                let budget = 20 * MS + self.random(3000) * MS;
-                let key = Some(1 + self.random(3)).filter(|_| class == 1);
-                let q = Query {
-                    budget,
-                    key,
-                    ..self.rig.query(class, work, work as u32 % 5)
-                };
-                self.open.insert(q.id, (q, self.rig.now + budget));
-                self.tries.insert(q.id, Vec::new());
-                self.event(Event::QueryArrived(q));
-            }
-            4..=9 => {
-                let out: Vec<(QueryId, u8)> = self
-                    .tries
-                    .iter()
-                    .flat_map(|(q, t)| {
-                        t.iter()
-                            .enumerate()
-                            .filter(|t| t.1 .1.is_none())
-                            .map(|t| (*q, t.0 as u8))
-                    })
-                    .collect();
-                if out.is_empty() {
-                    return;
-                }
-                let (q, n) = out[self.random(out.len() as u64) as usize];
-                let outcome = match self.random(10) {
-                    0 => Outcome::Error,
-                    1 => Outcome::Rejected,
-                    2 => Outcome::Unreachable,
-                    3 => Outcome::Reset,
-                    4 => Outcome::TimedOut,
-                    _ => Outcome::Ok,
-                };
-                self.tries.get_mut(&q).expect("known")[usize::from(n)].1 = Some(outcome);
-                let mut last = self.answered.contains(&q);
-                if outcome == Outcome::Ok && !last {
-                    last = true;
-                    self.answered.insert(q);
-                    self.open.remove(&q);
-                    self.served += 1;
-                }
-                let spent = 10 * MS + self.random(300) * MS;
-                let (work, memory_mb) = (None, None);
-                let report = [f64::NAN, self.random(9) as f64];
-                let report = &report[self.random(2) as usize..];
-                let end = AttemptEnded {
-                    query: q,
-                    attempt: n,
-                    outcome,
-                    last,
-                    spent,
-                    work,
-                    memory_mb,
-                    report,
-                };
-                self.event(Event::AttemptEnded(end));
-            }
-            10 if self.random(12) == 0 => {
-                let e = 1 + self.random(6);
-                let phase = [Phase::Ready, Phase::Ready, Phase::Draining, Phase::Gone]
-                    [self.random(4) as usize];
-                let started_at = Some(self.rig.now).filter(|_| phase == Phase::Ready);
-                self.phase.insert(e, phase);
-                let line = ListedEngine {
-                    phase,
-                    started_at,
-                    ..listed(e)
-                };
-                let line = ListedEngine {
-                    kind: (e % 2) as u16,
-                    ..line
-                };
-                self.event(Event::EnginesListed(ListKind::Changes, &[line]));
-            }
-            _ => {
-                let open: Vec<QueryId> = self.open.keys().copied().collect();
-                let unknown = QueryId(1 << 40);
-                self.event(Event::ClientLeft(unknown));
-                if self.random(8) == 0 && !open.is_empty() {
-                    let q = open[self.random(open.len() as u64) as usize];
-                    self.open.remove(&q);
-                    self.answered.insert(q);
-                    self.event(Event::ClientLeft(q));
-                }
-            }
+            0..=3 => self.arrive(),
+            4..=9 => self.end_attempt(),
+            10 if self.random(12) == 0 => self.change_list(),
+            _ => self.client_leaves(),
+        }
+    }
+
+    fn arrive(&mut self) {
+        let class = self.random(2) as u16;
+        let work = 10 * MS + self.random(400) * MS;
+        let budget = 20 * MS + self.random(3000) * MS;
+        let key = Some(1 + self.random(3)).filter(|_| class == 1);
+        let q = Query {
+            budget,
+            key,
+            ..self.harness.query(class, work, work as u32 % 5)
+        };
+        self.open.insert(q.id, (q, self.harness.now + budget));
+        self.tries.insert(q.id, Vec::new());
+        self.event(Event::QueryArrived(q));
+    }
+
+    /// One of the attempts in flight ends.
+    fn end_attempt(&mut self) {
+        let out: Vec<(QueryId, u8)> = self
+            .tries
+            .iter()
+            .flat_map(|(q, t)| {
+                t.iter()
+                    .enumerate()
+                    .filter(|t| t.1 .1.is_none())
+                    .map(|t| (*q, t.0 as u8))
+            })
+            .collect();
+        if out.is_empty() {
+            return;
+        }
+        let (q, n) = out[self.random(out.len() as u64) as usize];
+        let outcome = match self.random(10) {
+            0 => Outcome::Error,
+            1 => Outcome::Rejected,
+            2 => Outcome::Unreachable,
+            3 => Outcome::Reset,
+            4 => Outcome::TimedOut,
+            _ => Outcome::Ok,
+        };
+        self.tries.get_mut(&q).expect("known")[usize::from(n)].1 = Some(outcome);
+        let mut last = self.answered.contains(&q);
+        if outcome == Outcome::Ok && !last {
+            last = true;
+            self.answered.insert(q);
+            self.open.remove(&q);
+            self.served += 1;
+        }
+        let spent = 10 * MS + self.random(300) * MS;
+        let (work, memory_mb) = (None, None);
+        let report = [f64::NAN, self.random(9) as f64];
+        let report = &report[self.random(2) as usize..];
+        let end = AttemptEnded {
+            query: q,
+            attempt: n,
+            outcome,
+            last,
+            spent,
+            work,
+            memory_mb,
+            report,
+        };
+        self.event(Event::AttemptEnded(end));
+    }
+
+    fn change_list(&mut self) {
+        let e = 1 + self.random(6);
+        let phase =
+            [Phase::Ready, Phase::Ready, Phase::Draining, Phase::Gone][self.random(4) as usize];
+        let started_at = Some(self.harness.now).filter(|_| phase == Phase::Ready);
+        self.phase.insert(e, phase);
+        let line = ListedEngine {
+            phase,
+            started_at,
+            ..listed(e)
+        };
+        let line = ListedEngine {
+            kind: (e % 2) as u16,
+            ..line
+        };
+        self.event(Event::EnginesListed(ListKind::Changes, &[line]));
+    }
+
+    fn client_leaves(&mut self) {
+        let open: Vec<QueryId> = self.open.keys().copied().collect();
+        let unknown = QueryId(1 << 40);
+        self.event(Event::ClientLeft(unknown));
+        if self.random(8) == 0 && !open.is_empty() {
+            let q = open[self.random(open.len() as u64) as usize];
+            self.open.remove(&q);
+            self.answered.insert(q);
+            self.event(Event::ClientLeft(q));
         }
     }
 }
@@ -705,7 +726,7 @@
         })
         .collect();
     let mut w = World {
-        rig: Rig::new(s.clone(), &[]),
+        harness: SchedulerHarness::new(s.clone(), &[]),
         seed,
         phase: (1..=6).map(|e| (e, Phase::Ready)).collect(),
         open: BTreeMap::new(),
@@ -714,7 +735,7 @@
         answered: BTreeSet::new(),
         served: 0,
     };
-    w.rig.c = driftfront_scheduler::Controller::new(s, seed);
+    w.harness.controller = driftfront_scheduler::Controller::new(s, seed);
     w.event(Event::EnginesListed(ListKind::Cached, &list));
     w
 }
@@ -731,7 +752,7 @@
         let last = w.open.values().map(|o| o.1).max().unwrap_or(0);
         while let Some(&(at, token)) = w.wakes.first().filter(|x| x.0 <= last) {
             w.wakes.remove(&(at, token));
-            w.rig.now = w.rig.now.max(at);
+            w.harness.now = w.harness.now.max(at);
             w.event(Event::TimerFired(token));
         }
         assert!(w.open.is_empty(), "unanswered: {:?}", w.open.keys());
--- a/crates/scheduler/tests/transcript.rs
+++ b/crates/scheduler/tests/transcript.rs
@@ -1,5 +1,9 @@
 //! Long seeded runs of whole groups of coordinators on simulated engines: every action that the decision module asks for is
 //! written as a line in this file's own fixed words, so that a rename changes nothing here and a changed decision does.
+#![allow(
+    clippy::cast_possible_truncation,
+    reason = "the numbers of these tests are small"
+)]
 
 mod common;
 
@@ -11,8 +15,14 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
 
+/// Mean work of a query, µs.
+fn mean_work(classes: &[QueryClass]) -> f64 {
+    let work = |c: &QueryClass| 0.25 * c.latency_objective as f64 * c.threads;
+    classes.iter().map(work).sum::<f64>() / classes.len() as f64
+}
+
 /// An action in fixed words, figures in full.
-fn in_words(action: &Action) -> String {
+fn describe(action: &Action) -> String {
     match action {
         Action::SetResources(q, grant, priority) => format!("terms {} {grant:?} {priority}", q.0),
         Action::StartAttempt(q, engine, timeout) => {
@@ -32,7 +42,7 @@
     }
 }
 
-fn outcome_word(outcome: Outcome) -> &'static str {
+fn outcome_name(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::Ok => "served",
         Outcome::Error => "error",
@@ -71,6 +81,19 @@
     threads: f64,
 }
 
+impl SimEngine {
+    fn new(line: ListedEngine, slowness: f64) -> SimEngine {
+        SimEngine {
+            line,
+            slowness,
+            down_until: 0,
+            error_percent: 0,
+            running: BTreeSet::new(),
+            threads: 0.0,
+        }
+    }
+}
+
 struct SimQuery {
     query: Query,
     true_work: f64,
@@ -125,18 +148,7 @@
                 started_at: dice.chance(30).then(|| 90 * S + dice.below(12) * S),
                 ..listed(e)
             };
-            let slowness = dice.between(0.8, 1.6);
-            (
-                e,
-                SimEngine {
-                    line,
-                    slowness,
-                    down_until: 0,
-                    error_percent: 0,
-                    running: BTreeSet::new(),
-                    threads: 0.0,
-                },
-            )
+            (e, SimEngine::new(line, dice.between(0.8, 1.6)))
         };
         let engines: BTreeMap<u64, SimEngine> = (1..=engines).map(sim).collect();
         let cores: f64 = engines
@@ -147,12 +159,7 @@
                     .unwrap_or(8.0)
             })
             .sum();
-        let mean = settings
-            .classes
-            .iter()
-            .map(|c| 0.25 * c.latency_objective as f64 * c.threads)
-            .sum::<f64>()
-            / settings.classes.len() as f64;
+        let mean = mean_work(&settings.classes);
         let mut world = World {
             dice,
             now: 100 * S,
@@ -234,14 +241,18 @@
         values
     }
 
-    fn tell(&mut self, g: usize, what: &str, event: Event) {
+    fn notify(&mut self, g: usize, what: &str, event: Event) {
         let mut actions = Vec::new();
         self.coordinators[g].handle(self.now, event, &mut actions);
         for action in actions {
-            let words = in_words(&action);
-            let kind = words.split(' ').next().unwrap_or_default().to_string();
+            let description = describe(&action);
+            let kind = description
+                .split(' ')
+                .next()
+                .unwrap_or_default()
+                .to_string();
             self.out
-                .line(&kind, &format!("{} {g} {what}: {words}", self.now));
+                .line(&kind, &format!("{} {g} {what}: {description}", self.now));
             self.obey(g, action);
         }
     }
@@ -379,8 +390,8 @@
                 };
             }
         }
-        let tells = !self.settings.report_on_probe && !outcome.never_ran();
-        let report = if tells && self.engines.contains_key(&engine) && self.dice.chance(60) {
+        let messages = !self.settings.report_on_probe && !outcome.never_ran();
+        let report = if messages && self.engines.contains_key(&engine) && self.dice.chance(60) {
             self.report(engine)
         } else {
             Vec::new()
@@ -398,8 +409,8 @@
             memory_mb,
             report: &report,
         };
-        let what = format!("{q}.{attempt} {}", outcome_word(outcome));
-        self.tell(g, &what, Event::AttemptEnded(ended));
+        let what = format!("{q}.{attempt} {}", outcome_name(outcome));
+        self.notify(g, &what, Event::AttemptEnded(ended));
     }
 
     fn list(&self) -> Vec<ListedEngine> {
@@ -409,28 +420,13 @@
     fn happen(&mut self, what: What) {
         match what {
             What::Arrival(g) => self.arrive(g),
-            What::SetTimer(g, token) => self.tell(g, "woken", Event::TimerFired(token)),
-            What::FirstByte(g, q, attempt, timeout) => {
-                let is_out = |s: &SimQuery| s.attempts[usize::from(attempt)].2;
-                if !self.queries.get(&(g, q)).is_some_and(is_out) {
-                    return;
-                }
-                let may = self.coordinators[g].may_go_out(self.now, QueryId(q), attempt);
-                self.out.line(
-                    "first byte",
-                    &format!("{} {g} first byte {q}.{attempt}: {may}", self.now),
-                );
-                if may {
-                    self.start(g, q, attempt, timeout);
-                } else {
-                    self.end(g, q, attempt, Outcome::Superseded);
-                }
-            }
+            What::SetTimer(g, token) => self.notify(g, "woken", Event::TimerFired(token)),
+            What::FirstByte(g, q, attempt, timeout) => self.first_byte(g, q, attempt, timeout),
             What::End(g, q, attempt, outcome) => self.end(g, q, attempt, outcome),
             What::ProgressReport(g, q, attempt, note) => {
                 let is_out = |s: &SimQuery| s.attempts[usize::from(attempt)].2;
                 if self.queries.get(&(g, q)).is_some_and(is_out) {
-                    self.tell(
+                    self.notify(
                         g,
                         "note",
                         Event::ProgressReported(QueryId(q), attempt, note),
@@ -440,68 +436,89 @@
             What::Stream(g, q, attempt) => {
                 let is_open = |s: &SimQuery| s.attempts[usize::from(attempt)].2 && !s.concluded;
                 if self.queries.get(&(g, q)).is_some_and(is_open) {
-                    self.tell(g, "stream", Event::StreamStarted(QueryId(q), attempt));
+                    self.notify(g, "stream", Event::StreamStarted(QueryId(q), attempt));
                 }
             }
-            What::ProbeEnd(g, engine) => {
-                let (outcome, report) = match self.engines.get(&engine) {
-                    None => (Outcome::Unreachable, vec![]),
-                    Some(e) if self.now < e.down_until => match self.dice.below(4) {
-                        0 => (Outcome::TimedOut, vec![]),
-                        1 => (Outcome::Reset, vec![]),
-                        _ => (Outcome::Unreachable, vec![]),
-                    },
-                    Some(_) => match self.dice.below(40) {
-                        0 => (Outcome::Error, vec![]),
-                        1 => (Outcome::Rejected, vec![]),
-                        _ => (Outcome::Ok, self.report(engine)),
-                    },
-                };
-                let what = format!("probe {engine} {}", outcome_word(outcome));
-                self.tell(
-                    g,
-                    &what,
-                    Event::ProbeEnded(EngineId(engine), outcome, &report),
-                );
-            }
+            What::ProbeEnd(g, engine) => self.probe_ends(g, engine),
             What::GossipReceived(to, from, mut bytes) => {
                 if self.dice.chance(2) {
                     bytes.truncate(self.dice.below(bytes.len() as u64) as usize);
                 }
-                self.tell(to, "message", Event::GossipReceived(from as u32, &bytes));
+                self.notify(to, "message", Event::GossipReceived(from as u32, &bytes));
             }
             What::List(g, kind) => {
                 let list = self.list();
-                self.tell(g, "list", Event::EnginesListed(kind, &list));
-            }
-            What::NoList(g) => self.tell(g, "no list", Event::DiscoveryFailed),
-            What::Change(engine) => {
-                let line = match self.engines.get(&engine) {
-                    Some(e) => e.line,
-                    None => ListedEngine {
-                        phase: Phase::Gone,
-                        ..listed(engine)
-                    },
-                };
-                for g in 0..self.coordinators.len() {
-                    self.tell(
-                        g,
-                        "change",
-                        Event::EnginesListed(ListKind::Changes, &[line]),
-                    );
-                }
+                self.notify(g, "list", Event::EnginesListed(kind, &list));
             }
+            What::NoList(g) => self.notify(g, "no list", Event::DiscoveryFailed),
+            What::Change(engine) => self.list_changes(engine),
             What::ClientLeaves(g, q) => {
                 let open = self.queries.get_mut(&(g, q)).filter(|s| !s.concluded);
                 if let Some(query) = open {
                     query.concluded = true;
-                    self.tell(g, "client left", Event::ClientLeft(QueryId(q)));
+                    self.notify(g, "client left", Event::ClientLeft(QueryId(q)));
                 }
             }
             What::Trouble => self.trouble(),
         }
     }
 
+    fn first_byte(&mut self, g: usize, q: u64, attempt: u8, timeout: u64) {
+        let is_out = |s: &SimQuery| s.attempts[usize::from(attempt)].2;
+        if !self.queries.get(&(g, q)).is_some_and(is_out) {
+            return;
+        }
+        let may = self.coordinators[g].may_go_out(self.now, QueryId(q), attempt);
+        self.out.line(
+            "first byte",
+            &format!("{} {g} first byte {q}.{attempt}: {may}", self.now),
+        );
+        if may {
+            self.start(g, q, attempt, timeout);
+        } else {
+            self.end(g, q, attempt, Outcome::Superseded);
+        }
+    }
+
+    fn probe_ends(&mut self, g: usize, engine: u64) {
+        let (outcome, report) = match self.engines.get(&engine) {
+            None => (Outcome::Unreachable, vec![]),
+            Some(e) if self.now < e.down_until => match self.dice.below(4) {
+                0 => (Outcome::TimedOut, vec![]),
+                1 => (Outcome::Reset, vec![]),
+                _ => (Outcome::Unreachable, vec![]),
+            },
+            Some(_) => match self.dice.below(40) {
+                0 => (Outcome::Error, vec![]),
+                1 => (Outcome::Rejected, vec![]),
+                _ => (Outcome::Ok, self.report(engine)),
+            },
+        };
+        let what = format!("probe {engine} {}", outcome_name(outcome));
+        self.notify(
+            g,
+            &what,
+            Event::ProbeEnded(EngineId(engine), outcome, &report),
+        );
+    }
+
+    fn list_changes(&mut self, engine: u64) {
+        let line = match self.engines.get(&engine) {
+            Some(e) => e.line,
+            None => ListedEngine {
+                phase: Phase::Gone,
+                ..listed(engine)
+            },
+        };
+        for g in 0..self.coordinators.len() {
+            self.notify(
+                g,
+                "change",
+                Event::EnginesListed(ListKind::Changes, &[line]),
+            );
+        }
+    }
+
     fn trouble(&mut self) {
         let again = S / 2 + self.dice.below(2 * S);
         self.at(again, What::Trouble);
@@ -548,15 +565,7 @@
                     started_at: Some(now),
                     ..listed(id)
                 };
-                let e = SimEngine {
-                    line,
-                    slowness: 1.0,
-                    down_until: 0,
-                    error_percent: 0,
-                    running: BTreeSet::new(),
-                    threads: 0.0,
-                };
-                self.engines.insert(id, e);
+                self.engines.insert(id, SimEngine::new(line, 1.0));
                 self.at(MS, What::Change(id));
             }
             _ => {
@@ -612,7 +621,7 @@
             concluded: false,
         };
         self.queries.insert((g, id), sim);
-        self.tell(g, &format!("arrival {id}"), Event::QueryArrived(query));
+        self.notify(g, &format!("arrival {id}"), Event::QueryArrived(query));
     }
 }
 
