--- a/crates/coordinator/src/node/control/orders.rs
+++ b/crates/coordinator/src/node/control/orders.rs
@@ -126,7 +126,7 @@
             let roll = RollingRestart::new(
                 now,
                 if engines.is_empty() { all } else { engines },
-                sight.service,
+                sight.service_level,
             );
             let plan = roll.plan(&sight).join("\n");
             if !dry {
