--- a/crates/coordinator/tests/golden_backends.rs
+++ b/crates/coordinator/tests/golden_backends.rs
@@ -23,7 +23,7 @@
         name: &ask.call,
         patience: 2_500_999,
         grant_mb: 0.0,
-        notes_every: None,
+        progress_interval: None,
     }
 }
 
@@ -56,7 +56,7 @@
                 piece.whole,
                 piece.rows.escape_ascii()
             ),
-            EngineEvent::Told(k, told) => format!(
+            EngineEvent::AttemptReport(k, told) => format!(
                 "{} report {:?} work {:?} memory {:?}\n",
                 k.request.0, told.report, told.work, told.memory_mb
             ),
@@ -64,7 +64,7 @@
             EngineEvent::Failed(k, cause) => {
                 format!("{} failed: {}\n", k.request.0, shown_cause(cause))
             }
-            EngineEvent::Probed(tag, outcome, report) => {
+            EngineEvent::ProbeEnded(tag, outcome, report) => {
                 format!("probe {tag} {outcome:?} {report:?}\n")
             }
         };
@@ -87,9 +87,9 @@
 fn shown_cause(cause: &driftfront_core::Cause) -> String {
     use driftfront_core::Cause;
     match cause {
-        Cause::TurnedAway => "turned away".into(),
+        Cause::Rejected => "turned away".into(),
         Cause::Engine(words) => format!("engine: {words}"),
-        Cause::Spoilt(words) => format!("spoilt: {words}"),
+        Cause::MalformedResponse(words) => format!("spoilt: {words}"),
         Cause::Statement(words) => format!("statement: {words}"),
         _ => "another cause".into(),
     }
@@ -220,7 +220,7 @@
     };
     let noted = AttemptRequest {
         name: "q-1-2",
-        notes_every: Some(250_000),
+        progress_interval: Some(250_000),
         patience: 30_000_000,
         grant_mb: 64.0,
         ..start(key(2), &full)
--- a/crates/coordinator/tests/golden_discovery.rs
+++ b/crates/coordinator/tests/golden_discovery.rs
@@ -58,11 +58,11 @@
         Err(e) => return format!("error: {e}"),
     };
     let mut text = match told.kind {
-        ListKind::Whole => "whole\n".to_string(),
+        ListKind::Full => "whole\n".to_string(),
         ListKind::Changes => "changes\n".to_string(),
         ListKind::Cached => "cached\n".to_string(),
     };
-    for f in &told.facts {
+    for f in &told.descriptions {
         text += &format!(
             "engine {} at {:?} zone {} kind {} cell {} born {:?} {:?}\n",
             f.name, f.addr, f.zone, f.kind, f.cell, f.started_at, f.phase
--- a/crates/coordinator/tests/golden_frontends.rs
+++ b/crates/coordinator/tests/golden_frontends.rs
@@ -6,7 +6,7 @@
 use driftfront::frontends::clickhouse::{ClassRules, ClickHouse};
 use driftfront::frontends::platform::Platform;
 use driftfront::frontends::{ConnectionAction, Frontend, Intake, QueryClasses, ResponseWriter};
-use driftfront_core::{EngineId, Fate, ParsedRequest, ResponseChunk};
+use driftfront_core::{EngineId, ParsedRequest, RequestFate, ResponseChunk};
 use driftfront_http::{HttpError, Request};
 use driftfront_test_support::assert_golden;
 use driftfront_test_support::message_transcript::MessageTranscript;
@@ -390,7 +390,7 @@
         "twin",
         front.duplicate_id_response(0, &twin).expect("it is told"),
     );
-    front.settle_request(0, 5, Fate::Ran(EngineId(4), true));
+    front.settle_request(0, 5, RequestFate::Ran(EngineId(4), true));
     let bound = request("POST", "/?query_id=q-8&session_id=s", &[], "SELECT 1");
     record(
         &mut wire,
--- a/crates/coordinator/tests/golden_operators/control.rs
+++ b/crates/coordinator/tests/golden_operators/control.rs
@@ -5,7 +5,7 @@
 use crate::common::site::Plan;
 use crate::common::{get, TEST_TIMEOUT};
 use crate::Folder;
-use driftfront_control::{Request, REPLY_MOST};
+use driftfront_control::{Request, MAX_REPLY_BYTES};
 use driftfront_test_support::assert_golden;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::os::unix::net::UnixStream;
@@ -66,7 +66,7 @@
     fn line(&mut self) -> String {
         let mut line = String::new();
         let got = (&mut self.0)
-            .take(REPLY_MOST as u64)
+            .take(MAX_REPLY_BYTES as u64)
             .read_line(&mut line)
             .expect("a line");
         assert!(got > 0, "it was cut off");
--- a/crates/coordinator/tests/golden_operators/files.rs
+++ b/crates/coordinator/tests/golden_operators/files.rs
@@ -2,19 +2,19 @@
 
 use crate::common::{file, TEST_TIMEOUT};
 use crate::{type_in, Folder};
-use driftfront::handover::Post;
-use driftfront_engine_registry::handover::Word;
-use driftfront_engine_registry::record::Record;
-use driftfront_engine_registry::rolling_restart::Roll;
-use driftfront_engine_registry::{Fact, MemberStatus, Order};
+use driftfront::handover::HandoverMailbox;
+use driftfront_engine_registry::handover::HandoverState;
+use driftfront_engine_registry::record::StateRecord;
+use driftfront_engine_registry::rolling_restart::RollingRestart;
+use driftfront_engine_registry::{ActiveOrder, EngineDescription, Order};
 use driftfront_scheduler::interface::Phase;
 use driftfront_test_support::{assert_golden, read_golden};
 use std::os::unix::fs::PermissionsExt;
 use std::path::Path;
 use std::sync::mpsc::channel;
 
-fn standing(order: Order) -> MemberStatus {
-    MemberStatus {
+fn active_order(order: Order) -> ActiveOrder {
+    ActiveOrder {
         order,
         since: 1_764_000_000_000_000,
         by: "operator".into(),
@@ -22,8 +22,8 @@
 }
 
 /// One of each kind.
-fn records() -> Vec<Record> {
-    let fact = |name: &str, addr: Option<&str>| Fact {
+fn records() -> Vec<StateRecord> {
+    let description = |name: &str, addr: Option<&str>| EngineDescription {
         name: name.into(),
         addr: addr.map(|a| a.parse().expect("an address")),
         zone: 0,
@@ -35,33 +35,33 @@
     let stages = ["next", "draining", "handed", "warming", "stopped", "done"];
     let rolls = stages.iter().map(|stage| {
         let text = format!("{stage}\t1764000000000000\t7\t995\te1\u{1f}e2\te0\tsomething fell");
-        Roll::of_text(&text).expect("a roll")
+        RollingRestart::of_text(&text).expect("a roll")
     });
     let mut all = vec![
-        Record::Ordered {
+        StateRecord::Ordered {
             engine: "e0".into(),
-            standing: standing(Order::Drain),
+            active_order: active_order(Order::Drain),
         },
-        Record::Ordered {
+        StateRecord::Ordered {
             engine: "e1".into(),
-            standing: standing(Order::Remove),
+            active_order: active_order(Order::Remove),
         },
-        Record::Added {
-            fact: fact("added", Some("127.0.0.1:9")),
+        StateRecord::Added {
+            description: description("added", Some("127.0.0.1:9")),
         },
-        Record::Added {
-            fact: fact("added-without-address", None),
+        StateRecord::Added {
+            description: description("added-without-address", None),
         },
-        Record::Ordered {
+        StateRecord::Ordered {
             engine: "e2".into(),
-            standing: standing(Order::Drain),
+            active_order: active_order(Order::Drain),
         },
-        Record::Lifted {
+        StateRecord::Lifted {
             engine: "e2".into(),
         },
     ];
-    all.extend(rolls.map(|roll| Record::Roll { roll: Some(roll) }));
-    all.push(Record::Roll { roll: None });
+    all.extend(rolls.map(|roll| StateRecord::RollingRestart { roll: Some(roll) }));
+    all.push(StateRecord::RollingRestart { roll: None });
     all
 }
 
@@ -264,8 +264,10 @@
 fn a_roll_of_today_s_state_folder_is_read_when_the_program_starts() {
     let folder = Folder::new("golden-roll");
     let text = "stopped\t1764000000000000\t7\t995\te1\u{1f}e2\te0\tsomething fell";
-    let roll = Roll::of_text(text).expect("a roll");
-    let bytes = driftfront_engine_registry::record::file(&[Record::Roll { roll: Some(roll) }]);
+    let roll = RollingRestart::of_text(text).expect("a roll");
+    let bytes = driftfront_engine_registry::record::file(&[StateRecord::RollingRestart {
+        roll: Some(roll),
+    }]);
     assert_golden!("operators/orders-roll", bytes);
     std::fs::create_dir_all(folder.0.join("state")).expect("a folder");
     std::fs::write(
@@ -308,12 +310,12 @@
     );
 }
 
-fn word() -> Word {
-    Word {
+fn word() -> HandoverState {
+    HandoverState {
         ready: true,
         orders: [
-            ("e0".to_string(), standing(Order::Drain)),
-            ("e1".to_string(), standing(Order::Remove)),
+            ("e0".to_string(), active_order(Order::Drain)),
+            ("e1".to_string(), active_order(Order::Remove)),
         ]
         .into(),
         lifted: [("e2".to_string(), 1_764_000_000_000_001)].into(),
@@ -324,8 +326,8 @@
 #[test]
 fn hand_over_files() {
     let tmp = Folder::new("handover");
-    let mut post = Post::open(&tmp.0, "region/coordinator 1").expect("a folder");
-    let mut other = Post::open(&tmp.0, "region/coordinator 1").expect("a folder");
+    let mut post = HandoverMailbox::open(&tmp.0, "region/coordinator 1").expect("a folder");
+    let mut other = HandoverMailbox::open(&tmp.0, "region/coordinator 1").expect("a folder");
     post.tell(word()).expect("written");
     let folder = names(&tmp.0);
     let pid = format!("-{}.", std::process::id());
@@ -334,9 +336,9 @@
     assert_golden!("operators/handover-names.txt", text);
     let bytes = std::fs::read(inside.join(format!("000000000001{pid}word"))).expect("the word");
     assert_golden!("operators/handover-ready", &bytes);
-    post.tell(Word {
+    post.tell(HandoverState {
         ready: false,
-        ..Word::default()
+        ..HandoverState::default()
     })
     .expect("written");
     let bytes = std::fs::read(inside.join(format!("000000000001{pid}word"))).expect("the word");
