--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -1,64 +1,71 @@
-//! Stage 2, admit: what the bounds allow goes to the module; the rest is answered at once.
+//! Stage 2, admission: what the bounds allow goes to the scheduler; the rest is answered at once.
 
-use crate::{Core, Due, RequestId};
+use crate::request::{ParsedRequest, RequestId};
+use crate::timers::Timer;
+use crate::Core;
 use driftfront_scheduler::interface::{Event, Micros, Query};
 
-/// Advice with a refusal that a bound here caused, not the engines.
-pub(crate) const FULL_ADVICE: Micros = 250_000;
+/// Retry-After of a rejection that a bound here caused, not the engines.
+pub(crate) const LIMIT_RETRY_AFTER: Micros = 250_000;
 /// Why a query under an idempotency key that may have run too long ago is not run.
-const TOKEN_LATE: &str =
+const KEY_EXPIRED_ERROR: &str =
     "Code: 389. DB::Exception: an earlier try under this deduplication token may have run, and \
                           engines no longer know it: it is not run again. (INSERT_WAS_DEDUPLICATED)";
 
 impl Core {
+    /// Admits a request that was accepted, or gives its final answer.
     pub(crate) fn admit(&mut self, now: Micros, id: RequestId) {
         let Some(request) = self.requests.get(&id) else {
             return;
         };
-        let forgetful = self
-            .tokens
-            .is_full(now, request.ask.class, request.ask.token.as_ref());
-        self.counters.tokens_full += u64::from(forgetful);
-        if forgetful
-            || self.leaves
-            || self.open > self.limits.open
-            || usize::from(request.ask.class) >= self.idempotencies.len()
+        let (class, key) = (request.parsed.class, request.parsed.token.as_ref());
+        let has_no_room_for_key = self.idempotency_keys.is_full(now, class, key);
+        self.counters.idempotency_keys_refused += u64::from(has_no_room_for_key);
+        if has_no_room_for_key
+            || self.is_shutting_down
+            || self.open_count > self.limits.open
+            || usize::from(class) >= self.class_idempotency.len()
         {
-            return self.refuse(id, FULL_ADVICE);
+            return self.reject(id, LIMIT_RETRY_AFTER);
         }
         // Two open under one name can't be told apart by what engines answer: the later one gets none of it.
-        if self.names.contains_key(&request.ask.call) {
+        if self.open_names.contains_key(&request.parsed.call) {
             return self.fail(id);
         }
-        let ask = &request.ask;
-        let idempotent_until = self.tokens.good_until(ask.class, ask.token.as_ref());
-        if idempotent_until.is_some_and(|t| now >= t) {
+        let known_until = self.idempotency_keys.known_until(class, key);
+        if known_until.is_some_and(|until| now >= until) {
             // What runs under its idempotency key may be running or done, and engines would take it for new.
-            self.counters.tokens_late += 1;
-            return self.fail_saying(id, Some(TOKEN_LATE.into()));
+            self.counters.idempotency_keys_expired += 1;
+            return self.fail_with(id, Some(KEY_EXPIRED_ERROR.into()));
         }
-        self.tokens
-            .taken(ask.class, ask.token.as_ref(), request.deadline);
-        self.names.insert(ask.call.clone(), id);
-        let query = Query {
-            id: crate::query(id),
-            class: ask.class,
-            tenant: ask.tenant.unwrap_or(u32::MAX),
-            work: ask.work,
-            memory_mb: ask.memory_mb,
-            tables: ask.tables,
-            key: ask.key,
-            token: ask.token.is_some(),
-            idempotent_until,
-            pin: ask.pin,
-            budget: ask.budget,
-        };
-        self.counters.tenants_unnamed += u64::from(self.has_tenants && ask.tenant.is_none());
-        self.counters.tokens_missing +=
-            u64::from(!query.token && self.tokens.is_keyed(query.class));
-        // The module answers in time by itself; this guards the promise should it ever not.
+        self.idempotency_keys
+            .record_request(class, key, request.deadline);
+        self.open_names.insert(request.parsed.call.clone(), id);
+        let query = query_of(id, &request.parsed, known_until);
+        let has_unknown_tenant = self.has_tenants && request.parsed.tenant.is_none();
+        let lacks_key = !query.token && self.idempotency_keys.is_keyed(class);
+        self.counters.tenants_unknown += u64::from(has_unknown_tenant);
+        self.counters.idempotency_keys_missing += u64::from(lacks_key);
+        // The scheduler answers in time by itself; this guards the promise should it ever not.
         let last = request.deadline.saturating_sub(self.limits.answer_margin);
-        self.set_timer(last, Due::Answer(id));
-        self.tell(now, Event::QueryArrived(query));
+        self.set_timer(last, Timer::Answer(id));
+        self.notify_scheduler(now, Event::QueryArrived(query));
+    }
+}
+
+/// A request as the scheduler sees it.
+fn query_of(id: RequestId, parsed: &ParsedRequest, known_until: Option<Micros>) -> Query {
+    Query {
+        id: id.query(),
+        class: parsed.class,
+        tenant: parsed.tenant.unwrap_or(u32::MAX),
+        work: parsed.work,
+        memory_mb: parsed.memory_mb,
+        tables: parsed.tables,
+        key: parsed.key,
+        token: parsed.token.is_some(),
+        idempotent_until: known_until,
+        pin: parsed.pin,
+        budget: parsed.budget,
     }
 }
--- /dev/null
+++ b/crates/core/src/attempt_end.rs
@@ -0,0 +1,138 @@
+//! Ends of attempts: what each means for the request, and for the scheduler.
+
+use crate::admission::LIMIT_RETRY_AFTER;
+use crate::attempt::{AttemptError, AttemptReport, Cause, Progress};
+use crate::request::{AttemptKey, RequestId};
+use crate::timers::Timer;
+use crate::{Command, Core};
+use driftfront_scheduler::interface::{AttemptEnded, Event, Micros, Outcome};
+
+/// The way of a notice to an engine, at most, with room for what holds it up. An attempt that we abandon ourselves is in flight
+/// until the notice is there: a further attempt that overtook it would be a second copy.
+const NOTICE_DELAY: Micros = 40_000;
+
+impl Core {
+    /// Records that an attempt ended without serving. Where its engine has to learn of that first, it ends a little later; `None`
+    /// then, as for one that is not in flight.
+    pub fn attempt_failed(
+        &mut self,
+        now: Micros,
+        key: AttemptKey,
+        cause: Cause,
+    ) -> Option<AttemptError> {
+        let request = self.requests.get(&key.request);
+        let has_time = request.is_some_and(|r| {
+            let is_unanswered = !r.is_closed && r.forwarded_attempt.is_none();
+            is_unanswered && now + 2 * NOTICE_DELAY < r.deadline
+        });
+        let attempt = self.in_flight(key)?;
+        if attempt.abandoned_for.is_some() {
+            return None;
+        }
+        if has_time && cause.is_ours() && attempt.progress >= Progress::PartWritten {
+            attempt.abandoned_for = Some(cause);
+            self.set_timer(now + NOTICE_DELAY, Timer::Abandoned(key));
+            return None;
+        }
+        self.conclude_attempt(now, key, cause)
+    }
+
+    /// Ends an abandoned attempt: its engine knows of that by now.
+    pub(crate) fn finish_abandoned_attempt(&mut self, now: Micros, key: AttemptKey) {
+        let attempt = self.in_flight(key);
+        if let Some(cause) = attempt.and_then(|a| a.abandoned_for.take()) {
+            self.conclude_attempt(now, key, cause);
+        }
+    }
+
+    /// Ends an attempt whose time has run out.
+    pub(crate) fn time_out_attempt(&mut self, now: Micros, key: AttemptKey) {
+        let Some(attempt) = self.in_flight(key) else {
+            return;
+        };
+        if attempt.timeout_at > now || attempt.abandoned_for.is_some() {
+            return;
+        }
+        let engine = attempt.engine;
+        self.commands
+            .push_back(Command::AbandonAttempt(key, engine));
+        self.attempt_failed(now, key, Cause::TimedOut);
+    }
+
+    fn conclude_attempt(
+        &mut self,
+        now: Micros,
+        key: AttemptKey,
+        cause: Cause,
+    ) -> Option<AttemptError> {
+        let attempt = self.in_flight(key)?;
+        let (engine, progress) = (attempt.engine, attempt.progress);
+        let error = AttemptError { progress, cause };
+        let request = self.requests.get_mut(&key.request)?;
+        if let Cause::Engine(text) | Cause::Statement(text) = &error.cause {
+            request.error_text = Some(text.as_str().into());
+        }
+        request.last_failure = Some((engine, error.clone()));
+        let is_last = request.is_body_forwarded || request.is_cancelled;
+        let is_forwarding = request.is_forwarding(key.number);
+        if is_last {
+            self.end_without_retry(key.request, error.outcome());
+        }
+        if is_forwarding || matches!(error.cause, Cause::Statement(_)) {
+            // Once the client has a chunk nothing is begun again: another run could give other rows.
+            self.fail(key.request);
+        }
+        self.record_end(now, key, error.outcome());
+        Some(error)
+    }
+
+    /// Answers a request that no further attempt can be made for: the body that it would need is not retained, or its client has
+    /// cancelled it. A rejection where it never ran, else a failure.
+    fn end_without_retry(&mut self, id: RequestId, outcome: Outcome) {
+        let is_cancelled = self.requests.get(&id).is_some_and(|r| r.is_cancelled);
+        if outcome.never_ran() && !is_cancelled {
+            self.reject(id, LIMIT_RETRY_AFTER);
+        } else {
+            self.fail(id);
+        }
+    }
+
+    /// Records an attempt's end and notifies the scheduler.
+    pub(crate) fn record_end(&mut self, now: Micros, key: AttemptKey, outcome: Outcome) {
+        if matches!(outcome, Outcome::Ok | Outcome::Error) {
+            self.record_contact(now, key);
+        }
+        let Some(attempt) = self.in_flight(key) else {
+            return;
+        };
+        attempt.outcome = Some(outcome);
+        let AttemptReport {
+            report,
+            work,
+            memory_mb,
+        } = std::mem::take(&mut attempt.report);
+        let spent = now.saturating_sub(attempt.sent_at);
+        if attempt.may_still_run() {
+            let engine = attempt.engine;
+            self.record_unknown_outcome(now, key, engine);
+        }
+        let request = self.requests.get(&key.request);
+        let token = request.and_then(|r| r.parsed.token.as_ref());
+        if let Some(token) = token.filter(|_| outcome.never_ran()) {
+            self.idempotency_keys.forget_write(token, key);
+        }
+        self.counters.record_attempt_end(outcome);
+        let ended = AttemptEnded {
+            query: key.request.query(),
+            attempt: key.number,
+            outcome,
+            last: request.is_some_and(|r| r.is_closed),
+            spent,
+            work,
+            memory_mb,
+            report: &report,
+        };
+        self.notify_scheduler(now, Event::AttemptEnded(ended));
+        self.drop_if_settled(key.request);
+    }
+}
--- /dev/null
+++ b/crates/core/src/engine_list.rs
@@ -0,0 +1,72 @@
+//! The list of engines: which take work, and what becomes of requests that could only go to one that does not.
+
+use crate::request::{Request, RequestId};
+use crate::{Command, Core};
+use driftfront_scheduler::interface::{EngineId, Event, ListKind, ListedEngine, Micros, Phase};
+
+impl Core {
+    /// Applies a list of engines, or changes to it.
+    pub fn update_engines(&mut self, now: Micros, kind: ListKind, list: &[ListedEngine]) {
+        self.counters.lists_applied += 1;
+        if kind != ListKind::Changes {
+            for phase in self.engine_phases.values_mut() {
+                *phase = Phase::Gone;
+            }
+        }
+        for listed in list {
+            self.engine_phases.insert(listed.engine, listed.phase);
+        }
+        self.end_stranded_requests(now);
+        self.notify_scheduler(now, Event::EnginesListed(kind, list));
+        self.forget_gone_engines();
+    }
+
+    fn forget_gone_engines(&mut self) {
+        let is_gone = |(_, phase): &(&EngineId, &Phase)| **phase == Phase::Gone;
+        let gone = self.engine_phases.iter().filter(is_gone);
+        let gone: Vec<EngineId> = gone.map(|(id, _)| *id).collect();
+        for engine in gone {
+            self.engine_phases.remove(&engine);
+            self.lost_attempts.forget_engine(engine);
+            self.commands.push_back(Command::ForgetEngine(engine));
+        }
+    }
+
+    /// Ends what could only go to an engine that takes nothing more and is not there yet: no choice is left that the scheduler
+    /// could make, and the client is told why.
+    fn end_stranded_requests(&mut self, now: Micros) {
+        let stranded = self.requests.iter().filter(|(_, r)| self.is_stranded(r));
+        let stranded: Vec<RequestId> = stranded.map(|(id, _)| *id).collect();
+        for id in stranded {
+            let request = self.requests.get(&id);
+            let error_text = request.and_then(|r| r.parsed.lost.clone());
+            self.fail_with(id, error_text);
+            self.notify_scheduler(now, Event::ClientLeft(id.query()));
+        }
+    }
+
+    fn is_stranded(&self, request: &Request) -> bool {
+        let only_engine = request.parsed.pin.filter(|session| session.only);
+        let takes_nothing =
+            |engine: EngineId| self.engine_phases.get(&engine) != Some(&Phase::Ready);
+        !request.is_closed
+            && only_engine.is_some_and(|session| takes_nothing(session.engine))
+            && request.in_flight().is_none()
+    }
+
+    /// All engines of the list.
+    pub fn listed_engines(&self) -> Vec<EngineId> {
+        self.engine_phases.keys().copied().collect()
+    }
+
+    /// An engine's phase; `None` if it is gone or was never listed.
+    pub fn engine_phase(&self, engine: EngineId) -> Option<Phase> {
+        self.engine_phases.get(&engine).copied()
+    }
+
+    /// Whether any engine takes work.
+    pub fn has_engines(&self) -> bool {
+        let mut phases = self.engine_phases.values();
+        phases.any(|&phase| phase == Phase::Ready)
+    }
+}
--- a/crates/core/tests/keyed.rs
+++ b/crates/core/tests/keyed.rs
@@ -168,7 +168,7 @@
     let again = rig.wait(50 * MS).sent;
     assert_eq!((again.len(), again[0].request), (1, first.request));
     assert!(!rig.core.is_in_flight(first));
-    assert_eq!(rig.core.counters().stopped, 1);
+    assert_eq!(rig.core.counters().attempts_cancelled, 1);
 }
 
 #[test]
@@ -212,7 +212,7 @@
         (
             third.sent.len(),
             third.refused,
-            rig.core.counters().tokens_full
+            rig.core.counters().idempotency_keys_refused
         ),
         (0, 1, 1)
     );
@@ -226,7 +226,7 @@
         (
             late.sent.len(),
             late.failed,
-            rig.core.counters().tokens_late
+            rig.core.counters().idempotency_keys_expired
         ),
         (0, 1, 1)
     );
@@ -251,5 +251,8 @@
     // Behind the engines' window of what never ran.
     rig.wait(13 * S);
     let (_, again) = rig.ask(LOAD, Some("w"));
-    assert_eq!((again.failed, rig.core.counters().tokens_late), (0, 0));
+    assert_eq!(
+        (again.failed, rig.core.counters().idempotency_keys_expired),
+        (0, 0)
+    );
 }
--- a/crates/core/tests/model.rs
+++ b/crates/core/tests/model.rs
@@ -501,8 +501,12 @@
     );
     assert_eq!(model.core.open_requests(), 0);
     let c = model.core.counters();
-    let answers = c.served + c.refused + c.failed + c.broken + c.left;
-    assert_eq!(c.taken, answers);
+    let answers = c.answers_served
+        + c.answers_rejected
+        + c.answers_failed
+        + c.answers_aborted
+        + c.clients_left;
+    assert_eq!(c.requests_accepted, answers);
     true
 }
 
--- a/crates/core/tests/unheard.rs
+++ b/crates/core/tests/unheard.rs
@@ -91,7 +91,7 @@
     let (again, left) = rig.wait(begin + 19 * S / 10);
     assert_eq!((left, again.len()), (vec![first], 1));
     assert_eq!((again[0].request, again[0].number), (first.request, 1));
-    assert_eq!(rig.core.counters().unheard, 1);
+    assert_eq!(rig.core.counters().attempts_lost, 1);
     // The second was heard of since, and is let be for as long again.
     assert!(rig.wait(begin + 27 * S / 10).1.is_empty());
 }
