--- a/crates/core/tests/golden.rs
+++ b/crates/core/tests/golden.rs
@@ -1,5 +1,9 @@
 //! What the core sends out, shows to operators and tells clients, in long seeded runs and case by case. Commands are written in
 //! this file's own fixed words, so that a rename changes nothing here.
+#![allow(
+    clippy::cast_possible_truncation,
+    reason = "the numbers of these tests are small"
+)]
 
 mod common;
 
@@ -18,11 +22,11 @@
 const MS: Micros = 1_000;
 const ENGINES: u64 = 4;
 
-fn says(words: &Option<Rc<str>>) -> String {
-    words.as_ref().map_or("-".into(), |w| format!("{w:?}"))
+fn describe_text(error_text: &Option<Rc<str>>) -> String {
+    error_text.as_ref().map_or("-".into(), |w| format!("{w:?}"))
 }
 
-fn fate_in_words(fate: RequestFate) -> String {
+fn describe_fate(fate: RequestFate) -> String {
     match fate {
         RequestFate::NeverRan => "never ran".into(),
         RequestFate::Ran(engine, served) => format!("ran on {}, served {served}", engine.0),
@@ -31,7 +35,7 @@
 }
 
 /// A kind and the whole command in fixed words.
-fn in_words(command: &Command) -> (&'static str, String) {
+fn describe(command: &Command) -> (&'static str, String) {
     match command {
         Command::StartAttempt(key, engine) => (
             "send",
@@ -42,10 +46,13 @@
             format!("{}.{} at {}", key.request.0, key.number, engine.0),
         ),
         Command::Probe(engine, tag) => ("probe", format!("{} tag {tag}", engine.0)),
-        Command::Reject(id, advice, words) => {
-            ("refuse", format!("{} {advice} {}", id.0, says(words)))
+        Command::Reject(id, advice, error_text) => (
+            "refuse",
+            format!("{} {advice} {}", id.0, describe_text(error_text)),
+        ),
+        Command::Fail(id, error_text) => {
+            ("fail", format!("{} {}", id.0, describe_text(error_text)))
         }
-        Command::Fail(id, words) => ("fail", format!("{} {}", id.0, says(words))),
         Command::ForwardChunk(id, piece) => (
             "chunk",
             format!(
@@ -57,8 +64,10 @@
             ),
         ),
         Command::Finish(id) => ("finish", id.0.to_string()),
-        Command::Abort(id, words) => ("break", format!("{} {}", id.0, says(words))),
-        Command::Settled(ticket, fate) => ("over", format!("{ticket} {}", fate_in_words(*fate))),
+        Command::Abort(id, error_text) => {
+            ("break", format!("{} {}", id.0, describe_text(error_text)))
+        }
+        Command::Settled(ticket, fate) => ("over", format!("{ticket} {}", describe_fate(*fate))),
         Command::ForgetEngine(engine) => ("forget", engine.0.to_string()),
         Command::Log(line) => ("log", line.clone()),
     }
@@ -106,8 +115,8 @@
 
     fn commands(&mut self, what: &str) {
         while let Some(command) = self.core.next_command() {
-            let (kind, words) = in_words(&command);
-            let line = format!("{} {what}: {kind} {words}", self.now);
+            let (kind, description) = describe(&command);
+            let line = format!("{} {what}: {kind} {description}", self.now);
             self.transcript.line(kind, &line);
             match command {
                 Command::StartAttempt(key, _) => self.out.push((key, false)),
@@ -144,7 +153,7 @@
             self.names
         };
         let pinned = dice.below(12);
-        let ask = ParsedRequest {
+        let parsed = ParsedRequest {
             call: format!("q{name}").as_str().into(),
             class: [LOOKUP, LOOKUP, 1, LOAD, 9]
                 [dice.below(4) as usize + usize::from(dice.chance(1))],
@@ -175,11 +184,11 @@
             once: dice.chance(10),
             ticket: if dice.chance(80) { self.names } else { 0 },
         };
-        let class = ask.class;
+        let class = parsed.class;
         if dice.chance(1) {
-            self.core.accept_disconnected_request(self.now, ask);
+            self.core.accept_disconnected_request(self.now, parsed);
         } else {
-            let id = self.core.accept_request(self.now, ask);
+            let id = self.core.accept_request(self.now, parsed);
             self.open.push(id);
         }
         self.commands(&format!("take class {class}"));
@@ -230,12 +239,12 @@
                 .forward_chunk(key, ResponseChunk { about, rows, whole });
         }
         if self.dice.chance(70) {
-            let told = AttemptReport {
+            let report = AttemptReport {
                 report: vec![],
                 work: self.dice.chance(50).then_some(90_000.0),
                 memory_mb: self.dice.chance(50).then_some(80.0),
             };
-            self.core.record_attempt_report(key, told);
+            self.core.record_attempt_report(key, report);
             self.core.complete_attempt(self.now, key);
             self.out.retain(|o| o.0 != key);
         }
@@ -259,11 +268,14 @@
         ];
         let among = if written { causes.len() as u64 } else { 3 };
         let cause = causes[self.dice.below(among) as usize].clone();
-        let words = match self.core.attempt_failed(self.now, key, cause) {
-            Some(error) => format!("{error} / {}", outcome_word(error.outcome())),
+        let description = match self.core.attempt_failed(self.now, key, cause) {
+            Some(error) => format!("{error} / {}", outcome_name(error.outcome())),
             None => "later".into(),
         };
-        let line = format!("{} end {}.{}: {words}", self.now, key.request.0, key.number);
+        let line = format!(
+            "{} end {}.{}: {description}",
+            self.now, key.request.0, key.number
+        );
         self.transcript.line("end", &line);
         self.out.retain(|o| o.0 != key);
         self.commands("end");
@@ -372,7 +384,7 @@
     }
 }
 
-fn outcome_word(outcome: Outcome) -> &'static str {
+fn outcome_name(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::Ok => "served",
         Outcome::Error => "error",
@@ -396,7 +408,7 @@
 }
 
 #[test]
-fn commands_and_counters_with_idempotency_keys_grants_and_cancelling() {
+fn commands_and_counters_with_keys_grants_and_cancelling() {
     let edit = |text: &str| {
         text.replace(
             "\"single_shot\"",
@@ -425,9 +437,9 @@
     assert_golden!("counters_empty.txt", text);
 }
 
-/// Every cause at every stage: the words that go to logs, and what the decision module is told.
+/// Every cause at every stage: the texts that go to logs, and what the scheduler is told.
 #[test]
-fn words_and_outcomes_of_failed_attempts() {
+fn texts_and_outcomes_of_failed_attempts() {
     let causes = [
         Cause::Connection("reset by peer".into()),
         Cause::Closed("silent".into()),
@@ -453,15 +465,15 @@
                 progress,
                 cause: cause.clone(),
             };
-            let _ = writeln!(text, "{error} = {}", outcome_word(error.outcome()));
+            let _ = writeln!(text, "{error} = {}", outcome_name(error.outcome()));
         }
     }
     assert_golden!("attempt_errors.txt", text);
 }
 
-/// The words for what a process is doing, and its times, in one life of each kind.
+/// The names of what a process is doing, and its times, in one life of each kind.
 #[test]
-fn lifecycle_words_and_times() {
+fn lifecycle_names_and_times() {
     let mut text = String::new();
     for state in [
         State::Starting,
--- a/crates/core/tests/lifecycle.rs
+++ b/crates/core/tests/lifecycle.rs
@@ -32,7 +32,7 @@
 }
 
 /// What holds after any steps: see the single checks.
-fn holds(steps: Vec<Step>, succeeds: bool, held: bool) -> bool {
+fn keeps_promises(steps: Vec<Step>, succeeds: bool, held: bool) -> bool {
     let (mut life, mut now) = (Lifecycle::new(succeeds, held, 25 * S, false), S);
     let (mut begun, mut paused, mut successor, mut ending) = (false, None, None, None);
     for step in steps {
@@ -75,13 +75,13 @@
         let leaves = ending
             .filter(|_| left.is_none())
             .is_some_and(|at| now >= at + GRACE);
-        let told = life.sends_away(now) == (away.is_some() || leaves);
+        let outcome = life.sends_away(now) == (away.is_some() || leaves);
         // Once it leaves for good nothing more is taken, kept or, a little later, listened for.
         let gone = life.takes(now) != leaves && !(leaves && life.keeps_alive(now, 0));
         let listens = life.listens(now) || leaves && ending.is_some_and(|at| now >= at + LISTENS);
         let stays = ending.is_some() || !life.may_end(now, 0, 0, false);
         let answers = !life.may_end(now, 1, 1, false) && !life.may_end(now, 0, 1, true);
-        if !(ready && accepts && kept && told && stays && answers && gone && listens) {
+        if !(ready && accepts && kept && outcome && stays && answers && gone && listens) {
             return false;
         }
     }
@@ -89,15 +89,15 @@
 }
 
 #[test]
-fn yes_is_said_and_connections_are_kept_only_while_it_serves() {
+fn ready_and_keep_alive_only_while_serving() {
     let mut check = QuickCheck::new()
         .tests(20_000)
         .rng(Gen::from_size_and_seed(40, 18));
-    check.quickcheck(holds as fn(Vec<Step>, bool, bool) -> bool);
+    check.quickcheck(keeps_promises as fn(Vec<Step>, bool, bool) -> bool);
 }
 
 #[test]
-fn a_drain_closes_quiet_connections_first_and_ends_with_a_call_back() {
+fn drain_closes_idle_connections_first_and_ends_on_resume() {
     let mut life = Lifecycle::new(false, false, 25 * S, false);
     assert!(life.begin() && life.is_ready() && life.keeps_alive(0, 5 * S));
     assert!(life.pause(10 * S) && !life.pause(11 * S) && life.accepts());
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn what_hands_over_gives_its_last_answers_before_it_is_killed_and_stays_while_clients_do() {
+fn handover_answers_before_the_kill_and_waits_for_clients() {
     let mut life = Lifecycle::new(false, false, 25 * S, false);
     life.begin();
     assert!(life.succeeded(S, true) && !life.succeeded(S, true) && !life.accepts());
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn who_rests_on_a_connection_has_time_to_close_it_behind_the_last_answer() {
+fn idle_clients_have_time_to_close_after_the_last_answer() {
     let mut life = Lifecycle::new(false, false, 25 * S, true);
     life.begin();
     life.end(S);
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn what_a_restart_s_kill_would_find_is_not_taken_and_what_is_open_is_answered_before_it() {
+fn restart_answers_open_requests_before_the_kill() {
     let mut life = Lifecycle::new(false, false, 25 * S, true);
     life.begin();
     life.end(S);
--- a/crates/core/tests/unheard.rs
+++ b/crates/core/tests/lost_attempts.rs
@@ -8,29 +8,31 @@
 };
 use std::rc::Rc;
 
-struct Rig {
+struct CoreHarness {
     core: Core,
     now: u64,
-    asked: u64,
+    last_name: u64,
 }
 
-impl Rig {
-    fn new(tells_each: bool) -> Rig {
+impl CoreHarness {
+    fn new(tells_each: bool) -> CoreHarness {
         let mut settings = common::settings(str::to_string);
         settings.progress_interval = Some(S);
         let limits = Limits {
             tells_each,
             ..LIMITS
         };
-        let mut rig = Rig {
+        let mut harness = CoreHarness {
             core: core(settings, limits),
             now: 1000 * S,
-            asked: 0,
+            last_name: 0,
         };
         let line = listed(1, Phase::Ready);
-        rig.core.update_engines(rig.now, ListKind::Full, &[line]);
-        rig.commands();
-        rig
+        harness
+            .core
+            .update_engines(harness.now, ListKind::Full, &[line]);
+        harness.commands();
+        harness
     }
 
     /// Sends and what was given up.
@@ -50,17 +52,17 @@
         (sent, left)
     }
 
-    fn ask(&mut self, class: u16) -> AttemptKey {
-        self.asked += 1;
-        let call = format!("c{}", self.asked);
-        let ask = ParsedRequest {
+    fn send_request(&mut self, class: u16) -> AttemptKey {
+        self.last_name += 1;
+        let call = format!("c{}", self.last_name);
+        let parsed = ParsedRequest {
             call: call.as_str().into(),
             class,
             budget: 20 * S,
             statement: Rc::from(*b"x"),
             ..ParsedRequest::default()
         };
-        self.core.accept_request(self.now, ask);
+        self.core.accept_request(self.now, parsed);
         self.commands().0[0]
     }
 
@@ -78,42 +80,45 @@
 }
 
 #[test]
-fn an_attempt_without_word_is_given_up_and_made_again_once_a_later_one_was_heard_of() {
-    let mut rig = Rig::new(true);
-    let begin = rig.now;
-    let first = rig.ask(LOOKUP);
-    rig.wait(begin + 100_000);
-    let second = rig.ask(LOOKUP);
-    rig.wait(begin + S);
-    rig.core
-        .record_progress_report(rig.now, second, ProgressReport::Progress(0.1));
-    assert!(rig.wait(begin + 17 * S / 10).1.is_empty());
-    let (again, left) = rig.wait(begin + 19 * S / 10);
+fn lost_attempt_is_retried_once_a_later_one_is_reported() {
+    let mut harness = CoreHarness::new(true);
+    let begin = harness.now;
+    let first = harness.send_request(LOOKUP);
+    harness.wait(begin + 100_000);
+    let second = harness.send_request(LOOKUP);
+    harness.wait(begin + S);
+    harness
+        .core
+        .record_progress_report(harness.now, second, ProgressReport::Progress(0.1));
+    assert!(harness.wait(begin + 17 * S / 10).1.is_empty());
+    let (again, left) = harness.wait(begin + 19 * S / 10);
     assert_eq!((left, again.len()), (vec![first], 1));
     assert_eq!((again[0].request, again[0].number), (first.request, 1));
-    assert_eq!(rig.core.counters().attempts_lost, 1);
+    assert_eq!(harness.core.counters().attempts_lost, 1);
     // The second was heard of since, and is let be for as long again.
-    assert!(rig.wait(begin + 27 * S / 10).1.is_empty());
+    assert!(harness.wait(begin + 27 * S / 10).1.is_empty());
 }
 
 #[test]
-fn what_may_wait_its_turn_must_not_run_twice_or_is_told_nothing_of_is_let_be() {
+fn waiting_or_non_idempotent_attempt_is_not_given_up() {
     // Nothing was heard of a later one: it may wait for memory, of which engines say nothing.
-    let mut rig = Rig::new(true);
-    let begin = rig.now;
-    let first = rig.ask(LOOKUP);
-    rig.core
-        .record_progress_report(rig.now, first, ProgressReport::Progress(0.1));
-    assert!(rig.wait(begin + 4 * S).1.is_empty());
+    let mut harness = CoreHarness::new(true);
+    let begin = harness.now;
+    let first = harness.send_request(LOOKUP);
+    harness
+        .core
+        .record_progress_report(harness.now, first, ProgressReport::Progress(0.1));
+    assert!(harness.wait(begin + 4 * S).1.is_empty());
     for (class, tells) in [(LOAD, true), (LOOKUP, false)] {
-        let mut rig = Rig::new(tells);
-        let begin = rig.now;
-        rig.ask(class);
-        rig.wait(begin + 100_000);
-        let second = rig.ask(LOOKUP);
-        rig.core
-            .record_progress_report(rig.now, second, ProgressReport::Progress(0.1));
-        rig.core.complete_attempt(rig.now, second);
-        assert!(rig.wait(begin + 4 * S).1.is_empty());
+        let mut harness = CoreHarness::new(tells);
+        let begin = harness.now;
+        harness.send_request(class);
+        harness.wait(begin + 100_000);
+        let second = harness.send_request(LOOKUP);
+        harness
+            .core
+            .record_progress_report(harness.now, second, ProgressReport::Progress(0.1));
+        harness.core.complete_attempt(harness.now, second);
+        assert!(harness.wait(begin + 4 * S).1.is_empty());
     }
 }
