--- a/crates/core/src/accept.rs
+++ b/crates/core/src/accept.rs
@@ -2,7 +2,7 @@
 
 use crate::request::{Accepted, ParsedRequest, Request, RequestId};
 use crate::Core;
-use driftfront_scheduler::interface::Micros;
+use driftfront_scheduler::Micros;
 
 impl Core {
     /// Accepts a request; from here on one final answer is owed.
--- a/crates/core/src/accounting.rs
+++ b/crates/core/src/accounting.rs
@@ -1,6 +1,6 @@
 //! Stage 6, accounting: what was accepted, sent and answered since the start.
 
-use driftfront_scheduler::interface::Outcome;
+use driftfront_scheduler::Outcome;
 use std::fmt;
 
 /// Outcomes of attempts, and their names among the counters.
--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -3,7 +3,7 @@
 use crate::request::{ParsedRequest, RequestId};
 use crate::timers::Timer;
 use crate::Core;
-use driftfront_scheduler::interface::{Event, Micros, Query};
+use driftfront_scheduler::{Event, Micros, Query};
 
 /// Retry-After of a rejection that a bound here caused, not the engines.
 pub(crate) const LIMIT_RETRY_AFTER: Micros = 250_000;
--- a/crates/core/src/attempt.rs
+++ b/crates/core/src/attempt.rs
@@ -1,6 +1,6 @@
 //! Attempts: how far each has come, how it ended, and what that proves.
 
-use driftfront_scheduler::interface::{EngineId, Micros, Outcome};
+use driftfront_scheduler::{EngineId, Micros, Outcome};
 use std::fmt;
 
 /// How far an attempt has come.
--- a/crates/core/src/attempt_end.rs
+++ b/crates/core/src/attempt_end.rs
@@ -5,7 +5,7 @@
 use crate::request::{AttemptKey, RequestId};
 use crate::timers::Timer;
 use crate::{Command, Core};
-use driftfront_scheduler::interface::{AttemptEnded, Event, Micros, Outcome};
+use driftfront_scheduler::{AttemptEnded, Event, Micros, Outcome};
 
 /// The way of a notice to an engine, at most, with room for what holds it up. An attempt that we abandon ourselves is in flight
 /// until the notice is there: a further attempt that overtook it would be a second copy.
--- a/crates/core/src/command.rs
+++ b/crates/core/src/command.rs
@@ -1,7 +1,7 @@
 //! Commands: what a host is to do for the core.
 
 use crate::request::{AttemptKey, RequestFate, RequestId, ResponseChunk};
-use driftfront_scheduler::interface::{EngineId, Micros};
+use driftfront_scheduler::{EngineId, Micros};
 use std::rc::Rc;
 
 /// What a host is to do, in order.
--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -4,7 +4,7 @@
 use crate::request::{AttemptKey, Request, RequestId};
 use crate::timers::Timer;
 use crate::Core;
-use driftfront_scheduler::interface::{EngineId, Event, Micros, Phase, ProgressReport};
+use driftfront_scheduler::{EngineId, Event, Micros, Phase, ProgressReport};
 
 impl Core {
     /// An attempt that is in flight.
--- a/crates/core/src/engine_list.rs
+++ b/crates/core/src/engine_list.rs
@@ -2,7 +2,7 @@
 
 use crate::request::{Request, RequestId};
 use crate::{Command, Core};
-use driftfront_scheduler::interface::{EngineId, Event, ListKind, ListedEngine, Micros, Phase};
+use driftfront_scheduler::{EngineId, Event, ListKind, ListedEngine, Micros, Phase};
 
 impl Core {
     /// Applies a list of engines, or changes to it.
--- a/crates/core/src/idempotency.rs
+++ b/crates/core/src/idempotency.rs
@@ -5,7 +5,7 @@
 //! retained with the moment of its first write, until none of its client's retries can still come.
 
 use crate::request::AttemptKey;
-use driftfront_scheduler::interface::{Idempotency, Micros, QueryClass, Settings};
+use driftfront_scheduler::{Idempotency, Micros, QueryClass, Settings};
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -30,10 +30,10 @@
 pub use accounting::Counters;
 pub use attempt::{AttemptError, AttemptReport, Cause, Progress, RetryContext};
 pub use command::Command;
-pub use driftfront_scheduler::interface::{
+pub use driftfront_scheduler::RetryBudgetUsage;
+pub use driftfront_scheduler::{
     EngineId, ListKind, ListedEngine, Micros, Outcome, Phase, ProgressReport, StickySession,
 };
-pub use driftfront_scheduler::RetryBudgetUsage;
 pub use request::{Accepted, AttemptKey, ParsedRequest, RequestFate, RequestId, ResponseChunk};
 pub use running::RunningQuery;
 
@@ -42,8 +42,8 @@
 use crate::request::Request;
 use crate::running::UnknownOutcomes;
 use crate::timers::Timer;
-use driftfront_scheduler::interface::{Idempotency, QueryId, Settings};
 use driftfront_scheduler::Controller;
+use driftfront_scheduler::{Idempotency, QueryId, Settings};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 use std::rc::Rc;
--- a/crates/core/src/lifecycle.rs
+++ b/crates/core/src/lifecycle.rs
@@ -17,7 +17,7 @@
 //! | handing over | left to the successor | as draining | SIGTERM, or the successor is gone |
 //! | ending | left to the next process, or accepted until [`GRACE`] is over | the same | all is answered |
 
-use driftfront_scheduler::interface::Micros;
+use driftfront_scheduler::Micros;
 
 /// For so long after this process has said that it is not ready nothing is closed: the load balancer asks ten times a second and
 /// stops new connections 0.2 s after a no; until then a client that is closed would only come back here.
--- a/crates/core/src/lost_attempts.rs
+++ b/crates/core/src/lost_attempts.rs
@@ -7,7 +7,7 @@
 use crate::attempt::{Cause, Progress};
 use crate::request::{AttemptKey, Request, RequestId};
 use crate::{Command, Core};
-use driftfront_scheduler::interface::{EngineId, Idempotency, Micros, Settings};
+use driftfront_scheduler::{EngineId, Idempotency, Micros, Settings};
 use std::collections::BTreeMap;
 
 /// A report is overdue after this many intervals, and the time of its way. The first comes after up to one and a half intervals,
--- a/crates/core/src/probes.rs
+++ b/crates/core/src/probes.rs
@@ -2,7 +2,7 @@
 
 use crate::timers::Timer;
 use crate::{Command, Core};
-use driftfront_scheduler::interface::{EngineId, Event, Micros, Outcome, Phase};
+use driftfront_scheduler::{EngineId, Event, Micros, Outcome, Phase};
 
 impl Core {
     /// Starts a probe.
--- a/crates/core/src/request.rs
+++ b/crates/core/src/request.rs
@@ -1,7 +1,7 @@
 //! Requests: as a frontend has read them, and what is kept of each until it is settled.
 
 use crate::attempt::{Attempt, AttemptError};
-use driftfront_scheduler::interface::{EngineId, Micros, Outcome, StickySession};
+use driftfront_scheduler::{EngineId, Micros, Outcome, StickySession};
 use std::fmt;
 use std::rc::Rc;
 
--- a/crates/core/src/response.rs
+++ b/crates/core/src/response.rs
@@ -4,7 +4,7 @@
 use crate::attempt::{Attempt, Progress};
 use crate::request::{AttemptKey, Request, RequestId, ResponseChunk};
 use crate::{Command, Core};
-use driftfront_scheduler::interface::{Event, Idempotency, Micros, Outcome};
+use driftfront_scheduler::{Event, Idempotency, Micros, Outcome};
 use std::rc::Rc;
 
 impl Core {
--- a/crates/core/src/routing.rs
+++ b/crates/core/src/routing.rs
@@ -4,7 +4,7 @@
 use crate::request::{attempt_number, AttemptKey, RequestId};
 use crate::timers::Timer;
 use crate::{Command, Core};
-use driftfront_scheduler::interface::{Action, AttemptEnded, EngineId, Event, Micros, Outcome};
+use driftfront_scheduler::{Action, AttemptEnded, EngineId, Event, Micros, Outcome};
 use std::collections::VecDeque;
 
 impl Core {
--- a/crates/core/src/running.rs
+++ b/crates/core/src/running.rs
@@ -3,7 +3,7 @@
 use crate::attempt::{Attempt, Cause};
 use crate::request::{AttemptKey, Request, RequestId};
 use crate::{Command, Core};
-use driftfront_scheduler::interface::{EngineId, Event, Micros};
+use driftfront_scheduler::{EngineId, Event, Micros};
 use std::borrow::Cow;
 use std::collections::VecDeque;
 use std::rc::Rc;
--- a/crates/core/src/timers.rs
+++ b/crates/core/src/timers.rs
@@ -2,7 +2,7 @@
 
 use crate::request::{AttemptKey, RequestId};
 use crate::Core;
-use driftfront_scheduler::interface::{Event, Micros, Outcome};
+use driftfront_scheduler::{Event, Micros, Outcome};
 use std::cmp::Reverse;
 
 /// What a timer is for.
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code, reason = "not each test file uses all of it")]
 
 use driftfront_core::{Core, EngineId, Limits, ListedEngine, Phase};
-use driftfront_scheduler::interface::Settings;
+use driftfront_scheduler::Settings;
 use driftfront_settings::json::{parse, Json};
 
 pub(crate) const S: u64 = 1_000_000;
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -5,7 +5,7 @@
 //!
 //! Modules, each of which imports only those above it:
 //!
-//! - vocabulary: [`types`], [`settings`], [`events`], [`actions`];
+//! - vocabulary: `types`, `settings`, `events`, `actions`;
 //! - records, each with the rules that change it: `random`, `send_ledger`, `retry_budget`, `quota`, `ordering`, `discovery`,
 //!   `zone_failure`, `start_time`, `load_reports`, `slowdown`, `estimates`, `outlier_detection`, `gossip`, `queries`, `engines`,
 //!   `cluster_load`;
@@ -16,7 +16,7 @@
 //! - `dispatch` takes a query from one state to the next, and `controller` passes events on.
 #![forbid(unsafe_code)]
 
-pub mod actions;
+mod actions;
 mod admission;
 mod attempts;
 mod candidates;
@@ -28,7 +28,7 @@
 mod dispatch;
 mod engines;
 mod estimates;
-pub mod events;
+mod events;
 mod gossip;
 mod gossip_exchange;
 mod health;
@@ -48,26 +48,31 @@
 mod retry_budget;
 mod routing;
 mod send_ledger;
-pub mod settings;
+mod settings;
 mod slow_start;
 mod slowdown;
 mod start_time;
 mod state;
-pub mod types;
+mod types;
 mod zone_failure;
 
-pub use actions::Action;
+pub use actions::{Action, Actions};
 pub use controller::Controller;
-pub use events::Event;
+pub use events::{AttemptEnded, Event, ListKind, ListedEngine, Outcome, Phase, ProgressReport};
 pub use retry_budget::RetryBudgetUsage;
-pub use settings::Settings;
+pub use settings::{
+    DeduplicationScope, Idempotency, MachineKind, OutOfMemory, QueryClass, ReportField,
+    RetryBudget, Settings, SlowStart, Tenant,
+};
+pub use types::{EngineId, Micros, Query, QueryId, StickySession};
 
-/// All that a host tells a [`Controller`] and is asked for.
+/// The vocabulary under its former path.
 pub mod interface {
-    pub use crate::actions::*;
-    pub use crate::events::*;
-    pub use crate::settings::*;
-    pub use crate::types::*;
+    pub use crate::{
+        Action, Actions, AttemptEnded, DeduplicationScope, EngineId, Event, Idempotency, ListKind,
+        ListedEngine, MachineKind, Micros, OutOfMemory, Outcome, Phase, ProgressReport, Query,
+        QueryClass, QueryId, ReportField, RetryBudget, Settings, SlowStart, StickySession, Tenant,
+    };
 }
 
 #[cfg(doctest)]
--- a/crates/scheduler/tests/common/mod.rs
+++ b/crates/scheduler/tests/common/mod.rs
@@ -1,8 +1,8 @@
 //! Settings and a harness around one controller, shared by the tests.
 #![allow(dead_code, reason = "not each test file uses all of it")]
 
-use driftfront_scheduler::interface::*;
 use driftfront_scheduler::Controller;
+use driftfront_scheduler::*;
 
 pub(crate) const MS: u64 = 1000;
 pub(crate) const S: u64 = 1_000_000;
--- a/crates/scheduler/tests/coordinators.rs
+++ b/crates/scheduler/tests/coordinators.rs
@@ -7,8 +7,8 @@
 mod common;
 
 use common::*;
-use driftfront_scheduler::interface::*;
 use driftfront_scheduler::Controller;
+use driftfront_scheduler::*;
 
 struct CoordinatorGroup {
     all: Vec<Controller>,
--- a/crates/scheduler/tests/golden.rs
+++ b/crates/scheduler/tests/golden.rs
@@ -7,8 +7,8 @@
 mod common;
 
 use common::{class, listed, settings, MS, S};
-use driftfront_scheduler::interface::*;
 use driftfront_scheduler::Controller;
+use driftfront_scheduler::*;
 use driftfront_test_support::{assert_golden, read_golden};
 use std::fmt::Write;
 
--- a/crates/scheduler/tests/mechanism.rs
+++ b/crates/scheduler/tests/mechanism.rs
@@ -2,7 +2,7 @@
 mod common;
 
 use common::*;
-use driftfront_scheduler::interface::*;
+use driftfront_scheduler::*;
 
 /// One engine of 2 cores whose bound is 2 x 2.2 + 4 = 8.4 threads under pressure; a report of waiting work
 /// makes pressure, and three queries of 4 threads fill it, the last as one lighter than the mean.
--- a/crates/scheduler/tests/overload.rs
+++ b/crates/scheduler/tests/overload.rs
@@ -2,7 +2,7 @@
 mod common;
 
 use common::*;
-use driftfront_scheduler::interface::*;
+use driftfront_scheduler::*;
 
 fn probes(act: &[Action]) -> Vec<u64> {
     act.iter()
--- a/crates/scheduler/tests/rules.rs
+++ b/crates/scheduler/tests/rules.rs
@@ -7,7 +7,7 @@
 mod common;
 
 use common::*;
-use driftfront_scheduler::interface::*;
+use driftfront_scheduler::*;
 use std::collections::{BTreeMap, BTreeSet};
 
 fn refused(act: &[Action], q: QueryId) -> bool {
--- a/crates/scheduler/tests/slow_start.rs
+++ b/crates/scheduler/tests/slow_start.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use driftfront_scheduler::interface::*;
+use driftfront_scheduler::*;
 
 const HOUR: u64 = 3_600 * S;
 const WARM_AFTER: u64 = 10 * S;
--- a/crates/scheduler/tests/transcript.rs
+++ b/crates/scheduler/tests/transcript.rs
@@ -8,8 +8,8 @@
 mod common;
 
 use common::{class, listed, settings, MS, S};
-use driftfront_scheduler::interface::*;
 use driftfront_scheduler::Controller;
+use driftfront_scheduler::*;
 use driftfront_test_support::assert_golden;
 use driftfront_test_support::transcript::{Dice, Transcript};
 use std::collections::{BTreeMap, BTreeSet};
