--- a/crates/cluster-simulation/src/main.rs
+++ b/crates/cluster-simulation/src/main.rs
@@ -608,6 +608,16 @@
     Ok(())
 }
 
+/// A status as scripts' readers know it.
+fn status_text(status: Option<MemberStatus>) -> &'static str {
+    match status {
+        None => "None",
+        Some(MemberStatus::Alive) => "Some(Alive)",
+        Some(MemberStatus::Suspected) => "Some(Doubted)",
+        Some(MemberStatus::Down) => "Some(Down)",
+    }
+}
+
 fn play(mut args: pico_args::Arguments) -> Result<(), String> {
     let path: String = args.free_from_str().map_err(|e| e.to_string())?;
     let text = std::fs::read_to_string(&path).map_err(|e| format!("{path}: {e}"))?;
@@ -617,11 +627,11 @@
     world.play(until, |_| false);
     for s in &world.seen {
         println!(
-            "{:8.3} s  m{} sees m{} {:?}",
+            "{:8.3} s  m{} sees m{} {}",
             s.at as f64 / 1e6,
             s.by,
             s.of,
-            s.standing
+            status_text(s.standing)
         );
     }
     println!("trace {:016x}", world.trace);
