--- a/crates/engine-registry/tests/golden.rs
+++ b/crates/engine-registry/tests/golden.rs
@@ -1,4 +1,9 @@
 //! The registry's stored forms and its sentences, byte for byte; see `golden/README.md`.
+#![allow(
+    clippy::too_many_lines,
+    clippy::cast_possible_truncation,
+    reason = "tests list their cases, and their sizes are small"
+)]
 
 use driftfront_engine_registry::handover::{self, HandoverState};
 use driftfront_engine_registry::record::{self, StateRecord};
@@ -77,8 +82,8 @@
     for stage in [
         Stage::Next,
         Stage::Draining,
-        Stage::Handed,
-        Stage::Warming,
+        Stage::HandedOver,
+        Stage::WarmingUp,
         Stage::Stopped,
         Stage::Done,
     ] {
@@ -133,7 +138,7 @@
                 "{} records, {} bytes, {}",
                 read.records.len(),
                 read.valid_bytes,
-                read.damage.unwrap_or_default()
+                read.damage.map_or(String::new(), |d| d.to_string())
             ),
             Err(why) => format!("unusable: {why}"),
         };
@@ -338,7 +343,10 @@
     for refusal in [
         Refusal::TooMany,
         Refusal::StillReady("e".into()),
-        Refusal::Unknown("e".into(), Some("f".into())),
+        Refusal::UnknownEngine {
+            engine: "e".into(),
+            nearest: Some("f".into()),
+        },
     ] {
         let _ = writeln!(text, "refusal: {refusal}");
     }
@@ -422,7 +430,7 @@
                 self.set(name, |e| (e.is_drained, e.is_ready) = (drained, !drained));
             }
         }
-        let _ = writeln!(self.text, "    {}", self.roll.text().escape_debug());
+        let _ = writeln!(self.text, "    {}", self.roll.to_text().escape_debug());
     }
 
     fn step(&mut self, now: u64) {
--- a/crates/engine-registry/tests/model.rs
+++ b/crates/engine-registry/tests/model.rs
@@ -1,4 +1,8 @@
-//! The roster against random sources, commands and restarts.
+//! The registry against random sources, commands and restarts.
+#![allow(
+    clippy::too_many_lines,
+    reason = "one match over all steps of the model"
+)]
 
 use driftfront_engine_registry::record::{self, StateRecord};
 use driftfront_engine_registry::{Command, EngineDescription, EngineRegistry, Order};
@@ -104,7 +108,7 @@
 }
 
 fn holds(steps: Vec<Step>) -> bool {
-    let (mut roster, mut module, mut plain) =
+    let (mut registry, mut module, mut plain) =
         (EngineRegistry::new(), Module::default(), Plain::default());
     let mut file = record::file(&[]);
     for (n, step) in steps.into_iter().enumerate() {
@@ -115,7 +119,7 @@
                 for (n, phase) in &descriptions {
                     plain.source.insert(name(*n), description(*n, *phase).phase);
                 }
-                change = Some(roster.apply_listing(
+                change = Some(registry.apply_listing(
                     ListKind::Full,
                     descriptions.iter().map(|f| description(f.0, f.1)).collect(),
                 ));
@@ -124,7 +128,7 @@
                 for (n, phase) in &descriptions {
                     plain.source.insert(name(*n), description(*n, *phase).phase);
                 }
-                change = Some(roster.apply_listing(
+                change = Some(registry.apply_listing(
                     ListKind::Changes,
                     descriptions.iter().map(|f| description(f.0, f.1)).collect(),
                 ));
@@ -139,20 +143,20 @@
                 }
                 let read = record::read(&file).expect("ours");
                 file.truncate(read.valid_bytes.max(record::HEADER.len()));
-                roster = EngineRegistry::new();
+                registry = EngineRegistry::new();
                 module = Module::default();
                 plain.source.clear();
-                change = Some(roster.restore_records(read.records));
+                change = Some(registry.restore_records(read.records));
             }
             Step::Compact => {
-                file = record::file(&roster.compacted_records());
+                file = record::file(&registry.compacted_records());
             }
             Step::Forget(n) => {
-                if let Some(id) = roster
+                if let Some(id) = registry
                     .id(&name(n))
                     .filter(|&id| module.phase(Some(id)) == Phase::Gone)
                 {
-                    roster.forget_engine(id);
+                    registry.forget_engine(id);
                 }
             }
             command => {
@@ -178,7 +182,7 @@
                 };
                 let before = ready(&plain);
                 if let Ok((c, records)) =
-                    roster.execute_command(n as u64, "operator", command.clone())
+                    registry.execute_command(n as u64, "operator", command.clone())
                 {
                     records.iter().for_each(|r| file.extend(record::encode(r)));
                     records.iter().for_each(|r| follow(&mut plain, r));
@@ -199,10 +203,12 @@
         for n in 0..5 {
             let name = name(n);
             // A restarted program knows no source's engines before a source has spoken.
-            if module.phase(roster.id(&name)) != plain.phase(&name) && roster.id(&name).is_some() {
+            if module.phase(registry.id(&name)) != plain.phase(&name)
+                && registry.id(&name).is_some()
+            {
                 return false;
             }
-            if plain.phase(&name) != Phase::Gone && roster.id(&name).is_none() {
+            if plain.phase(&name) != Phase::Gone && registry.id(&name).is_none() {
                 return false;
             }
         }
@@ -239,7 +245,7 @@
 }
 
 #[test]
-fn the_module_believes_what_sources_and_operators_say_through_any_restarts() {
+fn registry_agrees_with_the_model_through_any_restarts() {
     let mut check = QuickCheck::new()
         .tests(3000)
         .rng(Gen::from_size_and_seed(60, 20_261_201));
--- a/crates/engine-registry/tests/bans.rs
+++ b/crates/engine-registry/tests/orders.rs
@@ -18,32 +18,35 @@
 }
 
 #[test]
-fn an_engine_that_is_put_back_counts_as_just_started_unless_the_list_knows_of_a_later_start() {
-    let mut roster = EngineRegistry::new();
-    roster.apply_listing(
+fn restored_engine_counts_as_just_started_unless_listed_later() {
+    let mut registry = EngineRegistry::new();
+    registry.apply_listing(
         ListKind::Full,
         vec![
             description("a", Phase::Ready, None),
             description("b", Phase::Ready, None),
         ],
     );
-    assert!(roster.suspend_engine(10, "x", "a").unwrap().is_some());
-    assert!(roster.suspend_engine(11, "x", "a").unwrap().is_none());
-    let (change, _) = roster.restore_engine(20, "x", "a").unwrap().expect("news");
+    assert!(registry.suspend_engine(10, "x", "a").unwrap().is_some());
+    assert!(registry.suspend_engine(11, "x", "a").unwrap().is_none());
+    let (change, _) = registry
+        .restore_engine(20, "x", "a")
+        .unwrap()
+        .expect("news");
     assert_eq!(
         (change.lines[0].phase, change.lines[0].started_at),
         (Phase::Ready, Some(20))
     );
-    assert!(roster.restore_engine(21, "x", "a").unwrap().is_none());
+    assert!(registry.restore_engine(21, "x", "a").unwrap().is_none());
     // The list learns late that it was started anew while it was out, and later of another start.
-    assert!(roster
+    assert!(registry
         .apply_listing(
             ListKind::Changes,
             vec![description("a", Phase::Ready, Some(15))]
         )
         .lines
         .is_empty());
-    let change = roster.apply_listing(
+    let change = registry.apply_listing(
         ListKind::Changes,
         vec![description("a", Phase::Ready, Some(30))],
     );
@@ -51,21 +54,21 @@
 }
 
 #[test]
-fn an_engine_that_is_gone_can_be_taken_out_and_one_that_never_was_can_not() {
-    let mut roster = EngineRegistry::new();
-    let change = roster.apply_listing(ListKind::Full, vec![description("a", Phase::Ready, None)]);
-    roster.apply_listing(ListKind::Changes, vec![description("a", Phase::Gone, None)]);
-    roster.forget_engine(change.lines[0].engine);
+fn departed_engine_can_be_drained_and_an_unknown_one_can_not() {
+    let mut registry = EngineRegistry::new();
+    let change = registry.apply_listing(ListKind::Full, vec![description("a", Phase::Ready, None)]);
+    registry.apply_listing(ListKind::Changes, vec![description("a", Phase::Gone, None)]);
+    registry.forget_engine(change.lines[0].engine);
     assert!(matches!(
-        roster.suspend_engine(1, "x", "aa"),
-        Err(Refusal::Unknown(..))
+        registry.suspend_engine(1, "x", "aa"),
+        Err(Refusal::UnknownEngine { .. })
     ));
     assert!(matches!(
-        roster.restore_engine(1, "x", "aa"),
-        Err(Refusal::Unknown(..))
+        registry.restore_engine(1, "x", "aa"),
+        Err(Refusal::UnknownEngine { .. })
     ));
-    assert!(roster.suspend_engine(1, "x", "a").is_ok() && roster.orders().contains_key("a"));
-    let back = roster.apply_listing(
+    assert!(registry.suspend_engine(1, "x", "a").is_ok() && registry.orders().contains_key("a"));
+    let back = registry.apply_listing(
         ListKind::Changes,
         vec![description("a", Phase::Ready, Some(5))],
     );
@@ -73,21 +76,21 @@
     // Names of old do not pile up for ever; the youngest are known.
     for n in 0..MAX_KNOWN_NAMES {
         let name = format!("n{n}");
-        let line = roster
+        let line = registry
             .apply_listing(
                 ListKind::Changes,
                 vec![description(&name, Phase::Ready, None)],
             )
             .lines[0];
-        roster.apply_listing(
+        registry.apply_listing(
             ListKind::Changes,
             vec![description(&name, Phase::Gone, None)],
         );
-        roster.forget_engine(line.engine);
+        registry.forget_engine(line.engine);
     }
-    assert!(roster.restore_engine(1, "x", "n9").is_ok());
+    assert!(registry.restore_engine(1, "x", "n9").is_ok());
     assert!(
-        roster
+        registry
             .apply_listing(
                 ListKind::Changes,
                 vec![description("z", Phase::Ready, None)]
@@ -96,7 +99,7 @@
             .len()
             == 1
     );
-    assert!(roster.restore_engine(1, "x", "n0").is_err());
+    assert!(registry.restore_engine(1, "x", "n0").is_err());
 }
 
 /// Two processes get random orders and hear of each other in any order: once both have heard all, both say the same, and
@@ -142,10 +145,10 @@
             }
             _ => {}
         }
-        // An order is told to the other at once, as hosts do it; a word may come twice, and late ones change nothing.
-        let word = two[which].handover_state(true);
+        // An order is told to the other at once, as hosts do it; a state may come twice, and late ones change nothing.
+        let state = two[which].handover_state(true);
         let before = two[1 - which].handover_state(true);
-        drop(two[1 - which].merge_handover(&word));
+        drop(two[1 - which].merge_handover(&state));
         drop(two[which].merge_handover(&before));
     }
     let phases = |r: &EngineRegistry| r.engines().iter().map(|e| e.phase).collect::<Vec<_>>();
--- /dev/null
+++ b/crates/engine-registry/tests/record.rs
@@ -0,0 +1,98 @@
+//! The state file: what a power cut or a changed byte costs, and files that are left alone.
+
+use driftfront_engine_registry::record::{
+    self, encode, file, read, StateFileError, StateRecord, HEADER,
+};
+use driftfront_engine_registry::{ActiveOrder, EngineDescription, Order};
+use driftfront_scheduler::interface::Phase;
+
+fn records() -> Vec<StateRecord> {
+    let active_order = |order| ActiveOrder {
+        order,
+        since: 1_764_000_000_000_000,
+        by: "operator".into(),
+    };
+    let description = EngineDescription {
+        name: "engine-9".into(),
+        addr: Some("127.0.0.1:8123".parse().expect("an address")),
+        zone: 1,
+        kind: 0,
+        cell: 2,
+        started_at: None,
+        phase: Phase::Ready,
+    };
+    vec![
+        StateRecord::Ordered {
+            engine: "engine-1".into(),
+            active_order: active_order(Order::Drain),
+        },
+        StateRecord::Added { description },
+        StateRecord::Ordered {
+            engine: "engine-2".into(),
+            active_order: active_order(Order::Remove),
+        },
+        StateRecord::Lifted {
+            engine: "engine-1".into(),
+        },
+        StateRecord::RollingRestart { roll: None },
+    ]
+}
+
+#[test]
+fn power_cut_at_any_byte_leaves_the_records_before_it() {
+    let (records, complete) = (records(), file(&records()));
+    let mut ends = vec![HEADER.len()];
+    for record in &records {
+        ends.push(ends[ends.len() - 1] + encode(record).len());
+    }
+    for cut in 0..=complete.len() {
+        let read = read(&complete[..cut]).expect("ours");
+        let count = ends.iter().skip(1).filter(|&&end| end <= cut).count();
+        assert_eq!(read.records, records[..count], "cut at {cut}");
+        assert_eq!(
+            read.damage.is_none(),
+            cut == 0 || ends.contains(&cut),
+            "cut at {cut}"
+        );
+        assert!(read.valid_bytes <= cut);
+        // What is appended behind the cut is read again.
+        let mut repaired = if read.valid_bytes == 0 {
+            HEADER.to_vec()
+        } else {
+            complete[..read.valid_bytes].to_vec()
+        };
+        repaired.extend(encode(&records[0]));
+        assert_eq!(
+            record::read(&repaired).expect("ours").records.len(),
+            count + 1
+        );
+    }
+}
+
+#[test]
+fn changed_byte_costs_its_record_and_those_after_it_alone() {
+    let (records, complete) = (records(), file(&records()));
+    for at in HEADER.len()..complete.len() {
+        let mut bad = complete.clone();
+        bad[at] ^= 0x10;
+        let read = read(&bad).expect("ours");
+        assert!(
+            read.damage.is_some() && read.records.len() < records.len(),
+            "byte {at}"
+        );
+        assert_eq!(read.records, records[..read.records.len()]);
+    }
+}
+
+#[test]
+fn files_of_another_version_or_kind_are_left_alone() {
+    assert_eq!(
+        read(b"driftfront state 2\nwhatever"),
+        Err(StateFileError::Newer("2".into()))
+    );
+    assert_eq!(
+        read(b"{\"instances\":[]}, which is something else"),
+        Err(StateFileError::NotOurs)
+    );
+    assert!(read(b"").expect("new").damage.is_none());
+}
--- a/crates/engine-registry/tests/roll.rs
+++ b/crates/engine-registry/tests/rolling_restart_in_new_process.rs
@@ -1,4 +1,4 @@
-//! A roll that goes on in a new process, whose clock has nothing to do with the last one's.
+//! A rolling restart that continues in a new process, whose clock has nothing to do with the last one's.
 
 use driftfront_engine_registry::rolling_restart::{
     EngineSnapshot, ObservedState, RollingRestart, RollingRestartAction,
@@ -36,11 +36,11 @@
         .contains(&RollingRestartAction::Drain("a".into())));
     roll.step(now, &sight(true));
     roll.confirm_engine_returned(now);
-    RollingRestart::of_text(&roll.text()).expect("as it was written")
+    RollingRestart::from_text(&roll.to_text()).expect("as it was written")
 }
 
 #[test]
-fn a_roll_waits_once_more_for_its_engine_whatever_the_last_process_s_clock_said() {
+fn warm_up_begins_again_in_a_new_process_with_another_clock() {
     for written in [HOUR, 2 * HOUR, 3 * HOUR] {
         let now = 2 * HOUR;
         let mut roll = warming(written).restarted(now);
