--- a/crates/engine-registry/src/record.rs
+++ b/crates/engine-registry/src/record.rs
@@ -222,7 +222,7 @@
         }),
         "roll" if rest == "none" => Some(StateRecord::RollingRestart { roll: None }),
         "roll" => Some(StateRecord::RollingRestart {
-            roll: Some(RollingRestart::from_text(rest)?),
+            roll: Some(RollingRestart::of_text(rest)?),
         }),
         _ => None,
     }
