--- a/crates/coordinator/src/config.rs
+++ b/crates/coordinator/src/config.rs
@@ -65,21 +65,21 @@
     /// For random numbers.
     pub seed: u64,
     /// Descriptors that the process may hold.
-    pub sockets: usize,
+    pub max_descriptors: usize,
     /// Clients' and engines' interface.
     pub protocol: Protocol,
     /// What the ClickHouse front holds to.
     pub clickhouse: ClassRules,
     /// A result of a ClickHouse engine that stands still for this long is given up.
-    pub stall: Micros,
+    pub result_stall_timeout: Micros,
     /// Bytes of results that wait for their clients, all together, where they come as they are made.
-    pub unread: usize,
+    pub max_unread_bytes: usize,
     /// Where the list of engines comes from.
-    pub membership: DiscoverySource,
+    pub discovery: DiscoverySource,
     /// Number of the last event in `known`.
     pub known_index: u64,
     /// Events of the list so far.
-    pub known: Vec<JsonValue>,
+    pub known_updates: Vec<JsonValue>,
     /// The module's settings.
     pub settings: Settings,
     /// The classes as clients name them.
@@ -91,25 +91,25 @@
     /// See `zones`.
     pub kinds: Vec<String>,
     /// Names of a load report's values on the engines' wire, in order.
-    pub gauges: Rc<[String]>,
+    pub load_report_fields: Rc<[String]>,
     /// A connection not up by then has failed.
     pub connect_timeout: Micros,
     /// Engines close connections idle for this long.
-    pub idle: Micros,
+    pub engine_idle_timeout: Micros,
     /// Attempts that one connection carries.
-    pub streams: usize,
+    pub max_streams_per_connection: usize,
     /// Bounds for the core.
     pub limits: Limits,
     /// Where operators find the program: a Unix socket.
-    pub control: Option<PathBuf>,
+    pub control_socket: Option<PathBuf>,
     /// The same on loopback, and the key that has to be known there.
     pub control_port: Option<(SocketAddr, Vec<u8>)>,
     /// The second address, for the operators' line protocol.
-    pub management: Option<String>,
+    pub management_address: Option<String>,
     /// The folder for what is to outlive a restart.
-    pub state: Option<PathBuf>,
+    pub state_folder: Option<PathBuf>,
     /// Other coordinators, where the operator's file has a fleet.
-    pub fleet: Option<ClusterConfig>,
+    pub cluster: Option<ClusterConfig>,
 }
 
 /// A key's rest is lengthened by this: an attempt's end reaches the engine after we book it.
@@ -308,7 +308,7 @@
             listen,
             seed: u64::from_str_radix(seed, 16)
                 .unwrap_or_else(|_| crate::net::fnv1a_64(seed.as_bytes())),
-            sockets,
+            max_descriptors: sockets,
             protocol,
             clickhouse: ClassRules {
                 read: by_statement("read")?.unwrap_or(0),
@@ -317,11 +317,11 @@
                 upload: ms("upload_ms", 600_000)?,
                 keep: memory / KEEP_PART,
             },
-            stall: ms("stall_ms", 10_000)?,
-            unread: memory / UNREAD_PART,
-            membership,
+            result_stall_timeout: ms("stall_ms", 10_000)?,
+            max_unread_bytes: memory / UNREAD_PART,
+            discovery: membership,
             known_index: root.get("known").get("index").whole().unwrap_or(0),
-            known: root
+            known_updates: root
                 .get("known")
                 .get("updates")
                 .list()
@@ -340,10 +340,10 @@
                 .collect(),
             zones: names(json.get("FailureDomains")),
             kinds: names(json.get("MachineTypes")),
-            gauges: fields.into_iter().map(gauge).collect(),
+            load_report_fields: fields.into_iter().map(gauge).collect(),
             connect_timeout: span("ConnectTimeoutUs", 250_000),
-            idle: span("ConnIdleUs", 15_000_000),
-            streams: span("StreamsPerConn", 32) as usize,
+            engine_idle_timeout: span("ConnIdleUs", 15_000_000),
+            max_streams_per_connection: span("StreamsPerConn", 32) as usize,
             limits: Limits {
                 open: span("MaxOpen", 4096).min(4096) as usize,
                 probe_timeout: PROBE_TIMEOUT,
@@ -357,11 +357,11 @@
                 },
             },
             settings,
-            control: root.get("control").text().map(PathBuf::from),
+            control_socket: root.get("control").text().map(PathBuf::from),
             control_port,
-            management: management.filter(|at| !at.is_empty()),
-            state: root.get("state").text().map(PathBuf::from),
-            fleet,
+            management_address: management.filter(|at| !at.is_empty()),
+            state_folder: root.get("state").text().map(PathBuf::from),
+            cluster: fleet,
         })
     }
 }
--- a/crates/coordinator/src/console.rs
+++ b/crates/coordinator/src/console.rs
@@ -13,7 +13,7 @@
     let _ = writeln!(text, "listen      {}", config.listen);
     let _ = writeln!(text, "front       {:?}", config.protocol);
     let _ = writeln!(text, "classes     {}", config.classes.names.join(", "));
-    let membership = match &config.membership {
+    let membership = match &config.discovery {
         DiscoverySource::Stream(addr) => format!("event stream at {addr}"),
         DiscoverySource::Etcd(addr, prefix) => format!("etcd at {addr}, keys under {prefix}"),
         DiscoverySource::File(path) => format!("file {}", path.display()),
@@ -22,10 +22,10 @@
     let _ = writeln!(
         text,
         "membership  {membership}; {} updates known",
-        config.known.len()
+        config.known_updates.len()
     );
-    let _ = writeln!(text, "sockets     {}", config.sockets);
-    if let Some(fleet) = &config.fleet {
+    let _ = writeln!(text, "sockets     {}", config.max_descriptors);
+    if let Some(fleet) = &config.cluster {
         let keys = crate::node::read_keys(&fleet.key_file);
         let keys = keys.map_or_else(|why| why, |keys| format!("{} keys", keys.ids().len()));
         let _ = writeln!(
@@ -35,7 +35,7 @@
             fleet.seeds.len()
         );
         if !fleet.voters.is_empty() {
-            let kept = if config.state.is_some() {
+            let kept = if config.state_folder.is_some() {
                 "kept in the state folder"
             } else {
                 "not kept: no state folder"
--- a/crates/coordinator/src/handover.rs
+++ b/crates/coordinator/src/handover.rs
@@ -1,278 +1,316 @@
-//! The folder in which processes of one coordinator tell each other what they must know while an upgrade has two of
-//! them run: a file each, and a lock that shows whether its writer lives. The form is `driftfront_engine_registry::handover`.
+//! The folder in which processes of one coordinator exchange what they must know while an upgrade has two of them run.
 //!
-//! Used only where the platform passes the clients' socket. The folder is in `$TMPDIR`, which the platform keeps in
-//! memory: the few small reads and writes are done on the loop.
+//! Each process has two files there, named by its [`ProcessNumber`]: `.word` with its last message, in the form of
+//! `driftfront_engine_registry::handover`, and `.lock`, locked for as long as the process lives. Each writes only its own files.
+//!
+//! Used only where the platform passes the clients' socket. The folder is in `$TMPDIR`, which the platform keeps in memory:
+//! the few small reads and writes are done on the event loop.
 
-use driftfront_engine_registry::handover::{decode, encode, HandoverState, MAX_HANDOVER_BYTES};
+use driftfront_engine_registry::handover::{
+    decode, encode, HandoverError, HandoverState, MAX_HANDOVER_BYTES,
+};
 use std::collections::BTreeMap;
 use std::fs::File;
 use std::io;
 use std::os::unix::fs::MetadataExt;
 use std::path::{Path, PathBuf};
 
-/// Which process: a later one has a higher number. The second is the process id, for two that start at once.
-pub type Number = (u64, u32);
+/// Processes looked at with each poll: more than a few of one coordinator are a mistake somewhere.
+const MAX_PROCESSES: usize = 16;
 
-/// Files looked at with each poll: more than a few processes of one coordinator are a mistake somewhere.
-const FILES_MOST: usize = 16;
+/// Which process of the coordinator; later ones are greater.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct ProcessNumber {
+    /// One more than the greatest at its start.
+    pub sequence: u64,
+    /// Its process id, for two that start at once.
+    pub pid: u32,
+}
+
+impl ProcessNumber {
+    /// Reads it off the name of a lock file.
+    fn from_lock_name(name: &str) -> Option<ProcessNumber> {
+        let (sequence, pid) = name.strip_suffix(".lock")?.split_once('-')?;
+        Some(ProcessNumber {
+            sequence: sequence.parse().ok()?,
+            pid: pid.parse().ok()?,
+        })
+    }
+
+    fn file(self, folder: &Path, kind: FileKind) -> PathBuf {
+        let (sequence, pid) = (self.sequence, self.pid);
+        folder.join(format!("{sequence:012}-{pid}.{}", kind.extension()))
+    }
+}
+
+/// A process's files.
+#[derive(Clone, Copy)]
+enum FileKind {
+    /// Its last message.
+    Message,
+    /// Locked while it lives.
+    Lock,
+    /// A message or lock that has not got its name yet.
+    Temporary,
+}
+
+impl FileKind {
+    const ALL: [FileKind; 3] = [FileKind::Message, FileKind::Temporary, FileKind::Lock];
+
+    fn extension(self) -> &'static str {
+        match self {
+            FileKind::Message => "word",
+            FileKind::Lock => "lock",
+            FileKind::Temporary => "new",
+        }
+    }
+}
+
+/// Which state of a file was seen: two that differ were written at different times.
+#[derive(Clone, Copy, Default, PartialEq, Eq)]
+struct FileVersion {
+    inode: u64,
+    modified: u64,
+}
+
+impl FileVersion {
+    /// The default where there is no such file.
+    fn of(path: &Path) -> FileVersion {
+        std::fs::metadata(path).map_or(FileVersion::default(), |metadata| FileVersion {
+            inode: metadata.ino(),
+            modified: metadata.mtime_nsec() as u64
+                ^ metadata.size() << 32
+                ^ metadata.mtime() as u64,
+        })
+    }
+}
 
 /// Another process of this coordinator, as last seen.
-struct Other {
-    /// What tells one state of its file from another.
-    stamp: (u64, u64),
-    word: Option<HandoverState>,
+struct Peer {
+    version: FileVersion,
+    message: Option<HandoverState>,
+}
+
+impl Peer {
+    fn is_ready(&self) -> bool {
+        self.message.as_ref().is_some_and(|message| message.ready)
+    }
 }
 
 /// This process's place in the folder.
 pub struct HandoverMailbox {
     folder: PathBuf,
-    number: Number,
+    number: ProcessNumber,
     /// Held, and with it locked, for as long as this process lives.
     _lock: File,
-    others: BTreeMap<Number, Other>,
+    peers: BTreeMap<ProcessNumber, Peer>,
     /// What this process last wrote.
-    written: Option<HandoverState>,
+    published: Option<HandoverState>,
 }
 
-/// What a poll has found.
-#[derive(Debug, Default)]
-pub struct News {
-    /// Words that are new, the earliest process first.
-    pub words: Vec<(Number, HandoverState)>,
-    /// What went wrong, to be told in the log.
-    pub told: Vec<String>,
+/// A message that has changed since the last poll.
+#[derive(Debug, PartialEq)]
+pub struct Received {
+    /// Its writer.
+    pub from: ProcessNumber,
+    /// What it says.
+    pub message: HandoverState,
 }
 
-fn file(folder: &Path, number: Number, kind: &str) -> PathBuf {
-    folder.join(format!("{:012}-{}.{kind}", number.0, number.1))
+/// What a poll has found.
+#[derive(Debug, Default)]
+pub struct PollResult {
+    /// Messages that are new, the earliest process's first.
+    pub received: Vec<Received>,
+    /// What went wrong, for the log.
+    pub errors: Vec<String>,
 }
 
-fn number_of(name: &str) -> Option<Number> {
-    let (first, second) = name.strip_suffix(".lock")?.split_once('-')?;
-    Some((first.parse().ok()?, second.parse().ok()?))
+/// Why a message can't be read.
+#[derive(Debug, thiserror::Error)]
+enum ReadError {
+    #[error("{0} bytes are too many")]
+    TooLarge(u64),
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    #[error(transparent)]
+    Malformed(#[from] HandoverError),
 }
 
 impl HandoverMailbox {
-    /// Takes a place behind all that are there. The name of a coordinator keeps two of them apart in one folder.
+    /// Takes a place behind all processes of this name that are in the folder for it below `tmp`.
+    ///
+    /// # Errors
+    ///
+    /// The folder or a file in it can't be made, read or locked.
     pub fn open(tmp: &Path, name: &str) -> io::Result<HandoverMailbox> {
-        let plain: String = name
-            .chars()
-            .map(|c| if c.is_ascii_alphanumeric() { c } else { '-' })
-            .collect();
-        let folder = tmp.join(format!(
-            "driftfront-{plain}-{:016x}",
-            crate::net::fnv1a_64(name.as_bytes())
-        ));
+        let folder = tmp.join(folder_name(name));
         std::fs::create_dir_all(&folder)?;
-        let last = numbers(&folder)?
-            .into_iter()
-            .map(|n| n.0)
-            .max()
-            .unwrap_or(0);
-        let number = (last.saturating_add(1), std::process::id());
-        // Locked before it has the name that others look for: to them it would be a dead one's.
-        let beside = file(&folder, number, "new");
-        let lock = File::create(&beside)?;
+        let processes = list_processes(&folder)?;
+        let last = processes.last().map_or(0, |process| process.sequence);
+        let number = ProcessNumber {
+            sequence: last.saturating_add(1),
+            pid: std::process::id(),
+        };
+        // Locked before it has the name that others look for: to them it would be a dead process's.
+        let temporary = number.file(&folder, FileKind::Temporary);
+        let lock = File::create(&temporary)?;
         lock.lock()?;
-        std::fs::rename(&beside, file(&folder, number, "lock"))?;
+        std::fs::rename(&temporary, number.file(&folder, FileKind::Lock))?;
         Ok(HandoverMailbox {
             folder,
             number,
             _lock: lock,
-            others: BTreeMap::new(),
-            written: None,
+            peers: BTreeMap::new(),
+            published: None,
         })
     }
 
-    /// Tells the others; what was told already is not written again.
-    pub fn tell(&mut self, word: HandoverState) -> io::Result<()> {
-        if self.written.as_ref() == Some(&word) {
+    /// Writes this process's message for the others; one that has not changed is not written again.
+    ///
+    /// # Errors
+    ///
+    /// The file can't be written; the next call tries again.
+    pub fn publish(&mut self, message: HandoverState) -> io::Result<()> {
+        if self.published.as_ref() == Some(&message) {
             return Ok(());
         }
-        // Beside the old one, and put in its place when it is whole.
-        let beside = file(&self.folder, self.number, "new");
-        std::fs::write(&beside, encode(&word))?;
-        std::fs::rename(&beside, file(&self.folder, self.number, "word"))?;
-        self.written = Some(word);
+        // Renamed once it is complete: a reader sees the old message or the new one.
+        let temporary = self.number.file(&self.folder, FileKind::Temporary);
+        std::fs::write(&temporary, encode(&message))?;
+        std::fs::rename(
+            &temporary,
+            self.number.file(&self.folder, FileKind::Message),
+        )?;
+        self.published = Some(message);
         Ok(())
     }
 
-    /// Looks at the others. Files of those that have ended go, once their last word is read.
-    pub fn poll(&mut self) -> News {
-        let mut news = News::default();
-        let numbers = match numbers(&self.folder) {
-            Ok(numbers) => numbers,
+    /// Reads what the others have written since the last poll. Files of processes that have ended are removed, once their
+    /// last message is read.
+    pub fn poll(&mut self) -> PollResult {
+        let mut result = PollResult::default();
+        let processes = match list_processes(&self.folder) {
+            Ok(processes) => processes,
             Err(e) => {
-                news.told.push(format!("{}: {e}", self.folder.display()));
-                return news;
+                result
+                    .errors
+                    .push(format!("{}: {e}", self.folder.display()));
+                return result;
             }
         };
-        for &number in numbers
-            .iter()
-            .filter(|&&n| n != self.number)
-            .take(FILES_MOST)
-        {
-            let lives = self.lives(number);
-            let path = file(&self.folder, number, "word");
-            let stamp = std::fs::metadata(&path).map_or((0, 0), |m| {
-                (
-                    m.ino(),
-                    m.mtime_nsec() as u64 ^ m.size() << 32 ^ m.mtime() as u64,
-                )
-            });
-            let known = self.others.get(&number).map(|o| o.stamp);
-            if known != Some(stamp) {
-                let read = if stamp == (0, 0) {
-                    Ok(None)
-                } else {
-                    read(&path).map(Some)
-                };
-                let word = read.unwrap_or_else(|why| {
-                    news.told.push(format!(
-                        "what process {} wrote is not taken over: {why}",
-                        number.1
-                    ));
-                    None
-                });
-                news.words.extend(word.clone().map(|w| (number, w)));
-                self.others.insert(number, Other { stamp, word });
-            }
-            if !lives {
-                self.others.remove(&number);
-                for kind in ["word", "new", "lock"] {
-                    let _ = std::fs::remove_file(file(&self.folder, number, kind));
+        let own = self.number;
+        let others = processes.iter().filter(|&&number| number != own);
+        for &number in others.take(MAX_PROCESSES) {
+            // Asked before its message is read: what it wrote last is not missed.
+            let is_alive = self.is_alive(number);
+            self.read_message(number, &mut result);
+            if !is_alive {
+                self.peers.remove(&number);
+                for kind in FileKind::ALL {
+                    let _ = std::fs::remove_file(number.file(&self.folder, kind));
                 }
             }
         }
-        self.others.retain(|n, _| numbers.contains(n));
-        news
+        self.peers.retain(|number, _| processes.contains(number));
+        result
+    }
+
+    /// Reads a process's message, if its file has changed.
+    fn read_message(&mut self, number: ProcessNumber, result: &mut PollResult) {
+        let path = number.file(&self.folder, FileKind::Message);
+        let version = FileVersion::of(&path);
+        if self.peers.get(&number).map(|peer| peer.version) == Some(version) {
+            return;
+        }
+        let message = if version == FileVersion::default() {
+            None
+        } else {
+            read_file(&path)
+                .inspect_err(|error| {
+                    let pid = number.pid;
+                    let error = format!("what process {pid} wrote is not taken over: {error}");
+                    result.errors.push(error);
+                })
+                .ok()
+        };
+        result
+            .received
+            .extend(message.clone().map(|message| Received {
+                from: number,
+                message,
+            }));
+        self.peers.insert(number, Peer { version, message });
     }
 
     /// Whether a process still holds its lock.
-    fn lives(&self, number: Number) -> bool {
-        match File::open(file(&self.folder, number, "lock")) {
-            // Only a lock that can be had, or none, shows an end: any other trouble, as of descriptors, does not.
-            Ok(lock) => !matches!(lock.try_lock_shared(), Ok(())),
+    fn is_alive(&self, number: ProcessNumber) -> bool {
+        match File::open(number.file(&self.folder, FileKind::Lock)) {
+            // Only a lock that can be had, or none, shows an end: any other failure, as of descriptors, does not.
+            Ok(lock) => lock.try_lock_shared().is_err(),
             Err(e) => e.kind() != io::ErrorKind::NotFound,
         }
     }
 
-    /// Whether another process runs.
-    pub fn shares(&self) -> bool {
-        !self.others.is_empty()
+    /// Whether another process of this coordinator runs.
+    pub fn has_peers(&self) -> bool {
+        !self.peers.is_empty()
     }
 
     /// Whether an earlier process serves.
     pub fn has_predecessor(&self) -> bool {
-        self.others
+        self.peers
             .iter()
-            .any(|(&n, o)| n < self.number && o.word.as_ref().is_some_and(|w| w.ready))
+            .any(|(&number, peer)| number < self.number && peer.is_ready())
     }
 
     /// Whether a later process serves.
     pub fn has_successor(&self) -> bool {
-        self.others
+        self.peers
             .iter()
-            .any(|(&n, o)| n > self.number && o.word.as_ref().is_some_and(|w| w.ready))
+            .any(|(&number, peer)| number > self.number && peer.is_ready())
     }
 }
 
 impl Drop for HandoverMailbox {
     fn drop(&mut self) {
-        // The word stays where a successor may still have to read it: that one removes both.
-        let kinds: &[&str] = if self.shares() {
-            &["new"]
+        // Another process may still have to read the message: it removes that and the lock.
+        let kinds = if self.has_peers() {
+            &[FileKind::Temporary][..]
         } else {
-            &["word", "new", "lock"]
+            &FileKind::ALL
         };
-        for kind in kinds {
-            let _ = std::fs::remove_file(file(&self.folder, self.number, kind));
+        for &kind in kinds {
+            let _ = std::fs::remove_file(self.number.file(&self.folder, kind));
         }
     }
 }
 
-fn numbers(folder: &Path) -> io::Result<Vec<Number>> {
-    let mut numbers = Vec::new();
-    for entry in std::fs::read_dir(folder)? {
-        numbers.extend(entry?.file_name().to_str().and_then(number_of));
-    }
-    numbers.sort_unstable();
-    Ok(numbers)
+/// The folder's name: the coordinator's, legible, and its hash, so that names which differ in other characters stay apart.
+fn folder_name(coordinator: &str) -> String {
+    let legible: String = coordinator
+        .chars()
+        .map(|c| if c.is_ascii_alphanumeric() { c } else { '-' })
+        .collect();
+    let hash = crate::net::fnv1a_64(coordinator.as_bytes());
+    format!("driftfront-{legible}-{hash:016x}")
 }
 
-fn read(path: &Path) -> Result<HandoverState, String> {
-    let size = std::fs::metadata(path).map_err(|e| e.to_string())?.len();
-    if size > MAX_HANDOVER_BYTES as u64 {
-        return Err(format!("{size} bytes are too many"));
+/// The processes that have a lock file, the earliest first.
+fn list_processes(folder: &Path) -> io::Result<Vec<ProcessNumber>> {
+    let mut processes = Vec::new();
+    for entry in std::fs::read_dir(folder)? {
+        let name = entry?.file_name();
+        processes.extend(name.to_str().and_then(ProcessNumber::from_lock_name));
     }
-    let bytes = std::fs::read(path).map_err(|e| e.to_string())?;
-    decode(&bytes).map_err(|e| e.to_string())
+    processes.sort_unstable();
+    Ok(processes)
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn folder(name: &str) -> PathBuf {
-        let path =
-            std::env::temp_dir().join(format!("driftfront-post-{}-{name}", std::process::id()));
-        let _ = std::fs::remove_dir_all(&path);
-        std::fs::create_dir_all(&path).unwrap();
-        path
-    }
-
-    fn word(ready: bool, name: &str) -> HandoverState {
-        HandoverState {
-            ready,
-            names: vec![name.into()],
-            ..HandoverState::default()
-        }
-    }
-
-    #[test]
-    fn a_later_process_hears_an_earlier_one_and_succeeds_it_once_it_is_ready() {
-        let tmp = folder("two");
-        let mut old = HandoverMailbox::open(&tmp, "n/1").unwrap();
-        old.tell(word(true, "a")).unwrap();
-        assert!(old.poll().words.is_empty() && !old.shares());
-        let mut new = HandoverMailbox::open(&tmp, "n/1").unwrap();
-        assert_eq!(new.poll().words.len(), 1);
-        assert!(new.has_predecessor() && new.poll().words.is_empty());
-        new.tell(word(false, "b")).unwrap();
-        assert_eq!(old.poll().words.len(), 1);
-        assert!(!old.has_successor() && old.shares());
-        new.tell(word(true, "b")).unwrap();
-        assert!(old.poll().words.len() == 1 && old.has_successor());
-        // Another coordinator in the same folder is none of ours.
-        let mut other = HandoverMailbox::open(&tmp, "n-1").unwrap();
-        assert!(other.poll().words.is_empty() && !other.shares());
-        // The new one dies: the old one sees that it is alone, and nothing of the dead is left.
-        drop(new);
-        old.poll();
-        assert!(!old.has_successor() && !old.shares());
-        let left = std::fs::read_dir(&old.folder).unwrap().count();
-        assert_eq!(left, 2);
-        std::fs::remove_dir_all(&tmp).unwrap();
-    }
-
-    #[test]
-    fn a_spoilt_file_is_told_once_and_counts_as_none_until_it_is_well_again() {
-        let tmp = folder("spoilt");
-        let mut old = HandoverMailbox::open(&tmp, "n").unwrap();
-        let mut new = HandoverMailbox::open(&tmp, "n").unwrap();
-        old.tell(word(true, "a")).unwrap();
-        let path = file(&old.folder, old.number, "word");
-        let whole = std::fs::read(&path).unwrap();
-        std::fs::write(&path, &whole[..whole.len() - 1]).unwrap();
-        let news = new.poll();
-        assert!(
-            news.words.is_empty() && news.told.len() == 1 && !new.has_predecessor() && new.shares()
-        );
-        assert!(new.poll().told.is_empty());
-        old.written = None;
-        old.tell(word(true, "a")).unwrap();
-        assert!(new.poll().words.len() == 1 && new.has_predecessor());
-        std::fs::remove_dir_all(&tmp).unwrap();
+fn read_file(path: &Path) -> Result<HandoverState, ReadError> {
+    let size = std::fs::metadata(path)?.len();
+    if size > MAX_HANDOVER_BYTES as u64 {
+        return Err(ReadError::TooLarge(size));
     }
+    Ok(decode(&std::fs::read(path)?)?)
 }
--- a/crates/coordinator/src/node/clients/closing.rs
+++ b/crates/coordinator/src/node/clients/closing.rs
@@ -84,8 +84,8 @@
 impl Node {
     /// Clients' connections that may be open.
     pub(super) fn most_clients(&self) -> usize {
-        self.config.sockets
-            * if self.shares {
+        self.config.max_descriptors
+            * if self.handover.has_peers() {
                 PART_WHILE_SHARED
             } else {
                 PART_OF_SOCKETS
@@ -99,22 +99,27 @@
         for _ in 0..EVICTIONS_TRIED {
             let each = self
                 .clients
+                .connections
                 .iter()
                 .filter_map(|(&id, c)| Some((c.eviction(now)?, id)));
             let Some((_, id)) = each.max() else {
                 return false;
             };
-            if self.clients.get(&id).is_some_and(|c| !c.shut) {
+            if self.clients.connections.get(&id).is_some_and(|c| !c.shut) {
                 self.on_client_ready(now, id);
             }
-            match self.clients.get(&id) {
+            match self.clients.connections.get(&id) {
                 // It went by itself.
                 None => return true,
                 Some(client) if client.eviction(now).is_none() => {}
                 Some(_) => {
-                    self.dropped += 1;
+                    self.clients.evicted += 1;
                     self.tell_request_timeout(id);
-                    let _ = self.clients.get_mut(&id).map(|c| c.link.flush());
+                    let _ = self
+                        .clients
+                        .connections
+                        .get_mut(&id)
+                        .map(|c| c.link.flush());
                     self.drop_client(now, id);
                     return true;
                 }
@@ -125,7 +130,7 @@
 
     /// What a client whose request never became whole may still read before the close.
     fn tell_request_timeout(&mut self, id: ConnectionId) {
-        let Some(client) = self.clients.get_mut(&id) else {
+        let Some(client) = self.clients.connections.get_mut(&id) else {
             return;
         };
         if !client.shut && client.reader.is_mid_message() && client.current.is_none() {
@@ -136,11 +141,11 @@
     /// The connection is gone, or goes at once: by its peer's end, its reset, or since there is no waiting for it. Nobody is
     /// left to be answered on it; what is out of its request counts until it ends.
     pub(in crate::node) fn drop_client(&mut self, now: Micros, id: ConnectionId) {
-        let Some(mut client) = self.clients.remove(&id) else {
+        let Some(mut client) = self.clients.connections.remove(&id) else {
             return;
         };
         self.unregister(client.token.take());
-        self.front.release_body(client.kept);
+        self.frontend.release_body(client.kept);
         if let Some((request, _)) = client.current.take() {
             self.left(now, id, request);
         }
@@ -148,7 +153,12 @@
 
     /// The connection's open request is not wanted any more, or can't be.
     pub(super) fn leave(&mut self, now: Micros, id: ConnectionId) {
-        if let Some((request, _)) = self.clients.get_mut(&id).and_then(|c| c.current.take()) {
+        if let Some((request, _)) = self
+            .clients
+            .connections
+            .get_mut(&id)
+            .and_then(|c| c.current.take())
+        {
             self.left(now, id, request);
         }
     }
@@ -156,15 +166,15 @@
     fn left(&mut self, now: Micros, id: ConnectionId, request: RequestId) {
         tracing::debug!(request = request.0, conn = id, "client left");
         self.record_outcome(now, request, RequestOutcome::Left);
-        self.asking.remove(&request);
+        self.clients.requesters.remove(&request);
         let idempotency = self
             .core
             .accepted(request)
             .and_then(|t| self.idempotency(t.ask.class));
-        let fed = self.uploads.contains_key(&request);
+        let fed = self.engines.uploads.contains_key(&request);
         self.core.client_left(now, request);
         // A read is let go on its engine, and so is what waits there for a body that never comes.
-        if self.front.cancels_reads_of_gone_clients()
+        if self.frontend.cancels_reads_of_gone_clients()
             && idempotency == Some(Idempotency::Idempotent)
             || fed
         {
@@ -178,11 +188,11 @@
         let asked = self
             .core
             .find_request(call)
-            .and_then(|r| self.asking.get(&r))
+            .and_then(|r| self.clients.requesters.get(&r))
             .map(|a| a.0);
         let Some(id) = asked else { return false };
         self.leave(now, id);
-        if let Some(client) = self.clients.get_mut(&id) {
+        if let Some(client) = self.clients.connections.get_mut(&id) {
             (client.close, client.answering) = (true, false);
         }
         self.drive_client(now, id);
@@ -192,7 +202,7 @@
     /// Right before something of a request goes out that has waited: its client may have left meanwhile, and its end be found in
     /// the same turn as what let the request go, or not be read yet.
     pub(in crate::node) fn look_for_client(&mut self, now: Micros, request: RequestId) {
-        let Some(&(id, _, taken)) = self.asking.get(&request) else {
+        let Some(&(id, _, taken)) = self.clients.requesters.get(&request) else {
             return;
         };
         if taken < now {
@@ -204,6 +214,7 @@
     pub(super) fn drop_if_ended(&mut self, now: Micros, id: ConnectionId) {
         if self
             .clients
+            .connections
             .get(&id)
             .is_some_and(|c| c.link.peer_has_ended())
         {
@@ -215,10 +226,10 @@
     /// were held behind the open one go with it, as their connection closes behind the answer. One read at a time; the sweep
     /// goes on with it.
     pub(super) fn discard_pipelined(&mut self, now: Micros, id: ConnectionId) {
-        let Some(client) = self.clients.get_mut(&id) else {
+        let Some(client) = self.clients.connections.get_mut(&id) else {
             return;
         };
-        self.overruns += u64::from(!std::mem::replace(&mut client.overrun, true));
+        self.clients.overruns += u64::from(!std::mem::replace(&mut client.overrun, true));
         match client.link.read(&mut Vec::new(), LINGER_READ) {
             Ok(ReadOutcome::LimitReached) => {}
             Ok(ReadOutcome::WouldBlock) => client.more = false,
@@ -230,7 +241,7 @@
     /// malformed is told.
     pub(super) fn client_ended(&mut self, now: Micros, id: ConnectionId) {
         while self.next_request(now, id, true) {}
-        let Some(client) = self.clients.get_mut(&id) else {
+        let Some(client) = self.clients.connections.get_mut(&id) else {
             return;
         };
         if client.current.is_none()
@@ -249,8 +260,8 @@
     pub(in crate::node) fn sweep_clients(&mut self, now: Micros) {
         // Who has connected and not spoken once it leaves would speak to nobody.
         let (leaves, last) = (!self.lifecycle.takes(now), self.lifecycle.closes_last());
-        for id in self.clients.keys().copied().collect::<Vec<_>>() {
-            let Some(client) = self.clients.get_mut(&id) else {
+        for id in self.clients.connections.keys().copied().collect::<Vec<_>>() {
+            let Some(client) = self.clients.connections.get_mut(&id) else {
                 continue;
             };
             match client.expired(now) {
@@ -267,7 +278,7 @@
                         .lifecycle
                         .keeps_alive(now, now.saturating_sub(client.used)) =>
                 {
-                    self.sent_away += u64::from(self.close_at_rest(now, id));
+                    self.clients.sent_away += u64::from(self.close_at_rest(now, id));
                 }
                 None if client.shut => {
                     let end = client.link.read(&mut Vec::new(), LINGER_READ);
@@ -289,7 +300,11 @@
     /// once more by its client, elsewhere. True if the close has begun.
     fn close_at_rest(&mut self, now: Micros, id: ConnectionId) -> bool {
         self.on_client_ready(now, id);
-        let rests = self.clients.get(&id).is_some_and(Client::is_at_rest);
+        let rests = self
+            .clients
+            .connections
+            .get(&id)
+            .is_some_and(Client::is_at_rest);
         if rests {
             self.begin_close(now, id);
         }
@@ -297,7 +312,7 @@
     }
 
     fn begin_close(&mut self, now: Micros, id: ConnectionId) {
-        if let Some(client) = self.clients.get_mut(&id) {
+        if let Some(client) = self.clients.connections.get_mut(&id) {
             (client.close, client.used) = (true, now);
         }
         self.drive_client(now, id);
@@ -309,7 +324,7 @@
         let last = self.lifecycle.closes_last();
         let due =
             |c: &Client| c.is_half_read() && (last || c.expired(now) == Some(Expired::HalfRead));
-        if self.clients.get(&id).is_some_and(due) {
+        if self.clients.connections.get(&id).is_some_and(due) {
             self.tell_request_timeout(id);
             self.begin_close(now, id);
         }
--- a/crates/coordinator/src/node/clients/mod.rs
+++ b/crates/coordinator/src/node/clients/mod.rs
@@ -11,6 +11,7 @@
 use driftfront_core::{Micros, RequestId};
 use driftfront_http::{add_connection_close, HttpError, RequestReader};
 use socket2::{Domain, Protocol, Socket, Type};
+use std::collections::BTreeMap;
 use std::io::{self, ErrorKind};
 use std::net::{Shutdown, SocketAddr, TcpListener};
 use std::rc::Rc;
@@ -85,6 +86,44 @@
     }
 }
 
+/// Clients' connections.
+#[derive(Default)]
+pub(super) struct Clients {
+    pub(super) connections: BTreeMap<ConnectionId, Client>,
+    /// The connection on which each open request waits for its answer, the request's class, and when it was accepted.
+    pub(super) requesters: BTreeMap<RequestId, (ConnectionId, u16, Micros)>,
+    /// Connections closed since the process is paused or hands over.
+    pub(super) sent_away: u64,
+    /// Looks at the backlog while there was no room for another client.
+    pub(super) accepts_full: u64,
+    /// Connections closed to make room.
+    pub(super) evicted: u64,
+    /// Connections on which more was sent ahead than is held.
+    pub(super) overruns: u64,
+}
+
+/// The socket that clients connect to.
+pub(super) struct ClientListener {
+    /// `None` once the process leaves for good.
+    pub(super) socket: Option<Rc<TcpListener>>,
+    pub(super) token: Option<RegistrationToken>,
+    /// It was passed: other processes may hold it, too.
+    pub(super) is_passed: bool,
+    /// How often a passed socket was found blocking.
+    pub(super) unblocked: u64,
+}
+
+impl ClientListener {
+    pub(super) fn new(socket: TcpListener, is_passed: bool) -> ClientListener {
+        ClientListener {
+            socket: Some(Rc::new(socket)),
+            token: None,
+            is_passed,
+            unblocked: 0,
+        }
+    }
+}
+
 /// Listens with room for a burst of connects.
 pub(super) fn listen(addr: SocketAddr) -> io::Result<TcpListener> {
     let socket = Socket::new(Domain::for_address(addr), Type::STREAM, Some(Protocol::TCP))?;
@@ -100,15 +139,15 @@
     pub(super) fn accept_clients(&mut self, now: Micros) {
         let most = self.most_clients();
         while self.lifecycle.accepts() {
-            if self.clients.len() >= most && !self.evict_client(now) {
+            if self.clients.connections.len() >= most && !self.evict_client(now) {
                 // Counted with each look, whether somebody waits or not.
-                self.accepts_full += 1;
+                self.clients.accepts_full += 1;
                 return;
             }
-            if self.passed && !self.unblock_listener() {
+            if self.listener.is_passed && !self.unblock_listener() {
                 return;
             }
-            let Some(listener) = &self.listener else {
+            let Some(listener) = &self.listener.socket else {
                 return;
             };
             let stream = match listener.accept() {
@@ -151,7 +190,7 @@
                     let client = Client {
                         link: BufferedStream::new(stream),
                         token: Some(token),
-                        reader: RequestReader::with_limits(self.front.request_limits()),
+                        reader: RequestReader::with_limits(self.frontend.request_limits()),
                         current: None,
                         kept: 0,
                         close: false,
@@ -166,7 +205,7 @@
                         pause_until: 0,
                         used: now,
                     };
-                    self.clients.insert(id, client);
+                    self.clients.connections.insert(id, client);
                     // What came before the socket was registered brings no event of its own.
                     self.on_client_ready(now, id);
                 }
@@ -178,7 +217,7 @@
     /// Whoever else holds a passed socket may have let it block again, and the loop would stand still in `accept`. That
     /// is shared by all holders, so it is looked at before each call.
     fn unblock_listener(&mut self) -> bool {
-        let Some(listener) = &self.listener else {
+        let Some(listener) = &self.listener.socket else {
             return false;
         };
         if socket2::SockRef::from(&**listener)
@@ -187,30 +226,32 @@
         {
             return true;
         }
-        self.unblocked += 1;
+        self.listener.unblocked += 1;
         listener.set_nonblocking(true).is_ok()
     }
 
     /// Bytes that wait for a request's client to read them.
     pub(super) fn client_backlog(&self, request: RequestId) -> usize {
         let client = self
-            .asking
+            .clients
+            .requesters
             .get(&request)
-            .and_then(|a| self.clients.get(&a.0));
+            .and_then(|a| self.clients.connections.get(&a.0));
         client.map_or(0, |c| c.link.backlog())
     }
 
     pub(super) fn on_client_ready(&mut self, now: Micros, id: ConnectionId) {
-        if let Some(client) = self.clients.get_mut(&id) {
+        if let Some(client) = self.clients.connections.get_mut(&id) {
             client.more = true;
         }
         self.drive_client(now, id);
         let request = self
             .clients
+            .connections
             .get(&id)
             .and_then(|c| c.current.as_ref())
             .map(|c| c.0);
-        if let Some(&conn) = request.and_then(|r| self.uploads.get(&r)) {
+        if let Some(&conn) = request.and_then(|r| self.engines.uploads.get(&r)) {
             self.write_to_engine(now, conn);
         }
         self.resume_engines(now);
@@ -219,9 +260,10 @@
     /// Takes what has come of a body that is passed on as it comes, reading on as far as is needed.
     pub(super) fn more_body(&mut self, now: Micros, request: RequestId) -> Body {
         let client = self
-            .asking
+            .clients
+            .requesters
             .get(&request)
-            .and_then(|a| self.clients.get_mut(&a.0));
+            .and_then(|a| self.clients.connections.get_mut(&a.0));
         let Some(client) = client else {
             return Body::Broken;
         };
@@ -252,7 +294,7 @@
 
     /// A body that was passed on as it came can't be: its client is told, if it still can be.
     pub(super) fn body_broken(&mut self, now: Micros, request: RequestId) {
-        let Some(&(id, ..)) = self.asking.get(&request) else {
+        let Some(&(id, ..)) = self.clients.requesters.get(&request) else {
             return;
         };
         self.leave(now, id);
@@ -263,29 +305,32 @@
     /// Works on a connection, unless that is going on further up the stack: an answer given at once must not
     /// begin the next pipelined request inside the one before, each some frames deeper.
     pub(super) fn drive_client(&mut self, now: Micros, id: ConnectionId) {
-        let Some(client) = self.clients.get_mut(&id).filter(|c| !c.busy) else {
+        let Some(client) = self.clients.connections.get_mut(&id).filter(|c| !c.busy) else {
             return;
         };
         client.busy = true;
         self.client_loop(now, id);
-        if let Some(client) = self.clients.get_mut(&id) {
+        if let Some(client) = self.clients.connections.get_mut(&id) {
             client.busy = false;
         }
     }
 
     /// After a panic nothing is being worked on.
     pub(super) fn clear_busy_clients(&mut self) {
-        self.clients.values_mut().for_each(|c| c.busy = false);
+        self.clients
+            .connections
+            .values_mut()
+            .for_each(|c| c.busy = false);
     }
 
     /// Writes, takes requests and reads, as far as all three go.
     fn client_loop(&mut self, now: Micros, id: ConnectionId) {
         for turn in 0.. {
-            let Some(client) = self.clients.get_mut(&id) else {
+            let Some(client) = self.clients.connections.get_mut(&id) else {
                 return;
             };
             if turn >= TURN {
-                return self.later.push(EventSource::Client(id));
+                return self.deferred.push(EventSource::Client(id));
             }
             let flushed = match client.link.flush() {
                 Ok(flushed) => flushed,
@@ -303,7 +348,7 @@
             if self.next_request(now, id, false) || self.has_outgrown(now, id) {
                 continue;
             }
-            let Some(client) = self.clients.get_mut(&id) else {
+            let Some(client) = self.clients.connections.get_mut(&id) else {
                 return;
             };
             let ahead = client.current.is_some() || now < client.pause_until;
@@ -312,7 +357,7 @@
                 && !client.shut
                 && full
                 && client.current.is_some()
-                && self.front.is_sequential()
+                && self.frontend.is_sequential()
             {
                 return self.discard_pipelined(now, id);
             }
@@ -350,14 +395,14 @@
     /// A request that is being read has grown: what its body may hold is looked at anew. True if its bounds have
     /// changed so that it should be tried again.
     fn has_outgrown(&mut self, now: Micros, id: ConnectionId) -> bool {
-        let Some(client) = self.clients.get_mut(&id) else {
+        let Some(client) = self.clients.connections.get_mut(&id) else {
             return false;
         };
         if client.current.is_some() || client.close || now < client.pause_until {
             return false;
         }
         let size = client.reader.partial_request_bytes();
-        let Some((kept, most)) = self.front.reserve_body(client.kept, size) else {
+        let Some((kept, most)) = self.frontend.reserve_body(client.kept, size) else {
             return false;
         };
         client.kept = kept;
@@ -374,7 +419,7 @@
 
     fn reply(&mut self, now: Micros, id: ConnectionId, bytes: &[u8]) {
         let away = self.lifecycle.sends_away(now);
-        if let Some(client) = self.clients.get_mut(&id) {
+        if let Some(client) = self.clients.connections.get_mut(&id) {
             let mut bytes = bytes.to_vec();
             if away {
                 add_connection_close(&mut bytes);
@@ -387,10 +432,10 @@
 
     /// What can't be read is answered with its status, then the connection closes.
     fn client_fault(&mut self, now: Micros, id: ConnectionId, fault: HttpError) {
-        if let Some(client) = self.clients.get_mut(&id) {
+        if let Some(client) = self.clients.connections.get_mut(&id) {
             client.close = true;
             client.used = now;
-            client.link.push(&self.front.error_response(fault));
+            client.link.push(&self.frontend.error_response(fault));
         }
     }
 
@@ -403,10 +448,10 @@
         last: bool,
         write: impl FnOnce(&mut dyn ResponseWriter, &mut Vec<u8>) -> ConnectionAction,
     ) {
-        let Some(&(id, ..)) = self.asking.get(&request) else {
+        let Some(&(id, ..)) = self.clients.requesters.get(&request) else {
             return;
         };
-        let Some(client) = self.clients.get_mut(&id) else {
+        let Some(client) = self.clients.connections.get_mut(&id) else {
             return;
         };
         let Some((_, writer)) = &mut client.current else {
@@ -431,7 +476,7 @@
             client.current = None;
             client.answering = false;
             client.close |= away;
-            self.asking.remove(&request);
+            self.clients.requesters.remove(&request);
             // What of a body still comes could not be told from the next request.
             client.close |= after != ConnectionAction::KeepOpen || client.reader.is_body_open();
             if after != ConnectionAction::KeepOpen {
--- a/crates/coordinator/src/node/clients/requests.rs
+++ b/crates/coordinator/src/node/clients/requests.rs
@@ -10,7 +10,7 @@
     /// Takes the next request off the reader, if none is open; true if one was there. `ended`: its client has ended its side,
     /// and nothing that is still read is wanted any more.
     pub(super) fn next_request(&mut self, now: Micros, id: ConnectionId, ended: bool) -> bool {
-        let Some(client) = self.clients.get_mut(&id) else {
+        let Some(client) = self.clients.connections.get_mut(&id) else {
             return false;
         };
         let idle = client.reader.held() == 0 || now < client.pause_until;
@@ -38,7 +38,7 @@
         client.close = request.close;
         (client.used, client.begun, client.fresh) = (now, now, false);
         let (kept, has_more_body) = (std::mem::take(&mut client.kept), request.has_more_body);
-        let intake = self.front.parse_request(request, now, kept);
+        let intake = self.frontend.parse_request(request, now, kept);
         // Where it is not taken the rest of its body would be read as the next request.
         client.close |= has_more_body && !matches!(intake, Intake::Take(..));
         match intake {
@@ -64,12 +64,12 @@
             }
             Intake::Take(ask, writer) => {
                 let twin = if self.core.is_open(&ask.call) {
-                    self.front.duplicate_id_response(now, &ask)
+                    self.frontend.duplicate_id_response(now, &ask)
                 } else {
                     None
                 };
                 if let Some(bytes) = twin {
-                    if let Some(client) = self.clients.get_mut(&id) {
+                    if let Some(client) = self.clients.connections.get_mut(&id) {
                         client.close |= has_more_body;
                     }
                     self.reply(now, id, &bytes);
@@ -90,8 +90,8 @@
                 let (call, class, budget) = (ask.call.clone(), ask.class, ask.budget);
                 let request = self.core.accept_request(now, ask);
                 tracing::debug!(request = request.0, conn = id, %call, class, budget, "taken");
-                self.asking.insert(request, (id, class, now));
-                if let Some(client) = self.clients.get_mut(&id) {
+                self.clients.requesters.insert(request, (id, class, now));
+                if let Some(client) = self.clients.connections.get_mut(&id) {
                     client.current = Some((request, writer));
                 }
                 self.execute_commands();
@@ -140,7 +140,7 @@
         match sent.first() {
             None => self.reply(now, id, &kill.none),
             Some(&first) => {
-                self.asking.insert(
+                self.clients.requesters.insert(
                     first,
                     (
                         id,
@@ -148,7 +148,7 @@
                         now,
                     ),
                 );
-                if let Some(client) = self.clients.get_mut(&id) {
+                if let Some(client) = self.clients.connections.get_mut(&id) {
                     client.current = Some((first, kill.writer));
                 }
             }
--- a/crates/coordinator/src/node/cluster.rs
+++ b/crates/coordinator/src/node/cluster.rs
@@ -80,7 +80,7 @@
 impl Node {
     /// Takes part in the fleet, where the operator's file says so.
     pub(super) fn open_fleet(&mut self) -> Result<(), String> {
-        let Some(config) = self.config.fleet.clone() else {
+        let Some(config) = self.config.cluster.clone() else {
             return Ok(());
         };
         let ClusterConfig {
@@ -129,7 +129,7 @@
         self.watch(socket.clone(), EventSource::Cluster)
             .map_err(|e| format!("fleet: {e}"))?;
         tracing::info!(%here, "fleet");
-        self.fleet = Some(Box::new(ClusterRuntime {
+        self.cluster = Some(Box::new(ClusterRuntime {
             socket,
             unit,
             about,
@@ -147,7 +147,7 @@
 
     /// Datagrams have come.
     pub(super) fn fleet_ready(&mut self) {
-        let Some(fleet) = self.fleet.as_mut() else {
+        let Some(fleet) = self.cluster.as_mut() else {
             return;
         };
         let begun = Instant::now();
@@ -156,7 +156,7 @@
         for turn in 0.. {
             if turn >= TURN || begun.elapsed() >= TIME {
                 fleet.cut_short += 1;
-                self.later.push(EventSource::Cluster);
+                self.deferred.push(EventSource::Cluster);
                 break;
             }
             match fleet.socket.recv(&mut bytes) {
@@ -171,24 +171,28 @@
             }
         }
         self.fleet_sends();
-        if let Some(fleet) = self.fleet.as_mut() {
+        if let Some(fleet) = self.cluster.as_mut() {
             fleet.longest = fleet.longest.max(begun.elapsed().as_micros() as u64);
         }
     }
 
     /// The unit's time, once all that has come is read.
     pub(super) fn tend_fleet(&mut self) {
-        if self.fleet.is_none() {
+        if self.cluster.is_none() {
             return;
         }
         self.fleet_ready();
-        if self.later.iter().any(|s| matches!(s, EventSource::Cluster)) {
+        if self
+            .deferred
+            .iter()
+            .any(|s| matches!(s, EventSource::Cluster))
+        {
             // More lies in the socket than one turn holds: nobody is accused before it is read.
             return;
         }
         let state = state(self.lifecycle.state());
         let now = self.now;
-        let Some(fleet) = self.fleet.as_mut() else {
+        let Some(fleet) = self.cluster.as_mut() else {
             return;
         };
         if fleet.about.state != state {
@@ -204,7 +208,7 @@
 
     /// The engines' list has told of coordinators, or of some that are gone.
     pub(super) fn fleet_listed(&mut self, told: &EngineListUpdate) {
-        let Some(fleet) = self.fleet.as_mut() else {
+        let Some(fleet) = self.cluster.as_mut() else {
             return;
         };
         let before = fleet.listed.clone();
@@ -229,10 +233,10 @@
     fn change_seeds(&mut self) {
         let seeds = self
             .config
-            .fleet
+            .cluster
             .as_ref()
             .map_or(Vec::new(), |f| f.seeds.clone());
-        let Some(fleet) = self.fleet.as_mut() else {
+        let Some(fleet) = self.cluster.as_mut() else {
             return;
         };
         let listed = fleet.listed.values().copied();
@@ -243,7 +247,7 @@
 
     fn fleet_sends(&mut self) {
         self.keep_agreed();
-        let Some(fleet) = self.fleet.as_mut() else {
+        let Some(fleet) = self.cluster.as_mut() else {
             return;
         };
         while let Some((to, bytes)) = fleet.unit.next_outgoing() {
@@ -253,7 +257,7 @@
 
     /// The others need not find out that this process ends.
     pub(super) fn leave_fleet(&mut self) {
-        if let Some(fleet) = self.fleet.as_mut() {
+        if let Some(fleet) = self.cluster.as_mut() {
             let clock = fleet.clock();
             fleet.unit.leave(clock);
             self.fleet_sends();
@@ -262,14 +266,14 @@
 
     /// SIGHUP: keys and seeds are read again; a mistaken file leaves the old ones.
     pub(super) fn reload_fleet(&mut self, new: Option<&ClusterConfig>) {
-        let (Some(fleet), Some(new)) = (self.fleet.as_mut(), new) else {
+        let (Some(fleet), Some(new)) = (self.cluster.as_mut(), new) else {
             return;
         };
         match read_keys(&new.key_file) {
             Ok(keys) => {
                 tracing::info!(keys = ?keys.ids(), "fleet: keys read again");
                 fleet.unit.change_keys(keys);
-                if let Some(config) = &mut self.config.fleet {
+                if let Some(config) = &mut self.config.cluster {
                     config.seeds = new.seeds.clone();
                 }
                 self.change_seeds();
@@ -280,7 +284,7 @@
 
     /// The members, for operators.
     pub(super) fn fleet_members(&self) -> Vec<Member> {
-        let Some(fleet) = &self.fleet else {
+        let Some(fleet) = &self.cluster else {
             return Vec::new();
         };
         let member = |m: driftfront_cluster::MemberView| {
@@ -317,7 +321,7 @@
 
     /// Counts of the fleet, a line each; empty where there is none.
     pub(super) fn fleet_counters(&self) -> String {
-        let Some(fleet) = &self.fleet else {
+        let Some(fleet) = &self.cluster else {
             return String::new();
         };
         let c = fleet.unit.counters();
--- a/crates/coordinator/src/node/cluster/agreed.rs
+++ b/crates/coordinator/src/node/cluster/agreed.rs
@@ -88,10 +88,10 @@
 impl Node {
     /// Takes part in what is agreed, or waits for another process of ours to let go of the log.
     pub(super) fn open_consensus(&mut self) {
-        let Some(config) = self.config.fleet.clone() else {
+        let Some(config) = self.config.cluster.clone() else {
             return;
         };
-        let Some(fleet) = self.fleet.as_mut() else {
+        let Some(fleet) = self.cluster.as_mut() else {
             return;
         };
         if fleet.unit.agreed().is_some()
@@ -106,7 +106,7 @@
             zone: config.zone,
             file: None,
         };
-        let folder = self.config.state.clone();
+        let folder = self.config.state_folder.clone();
         let (mut opened, mut fails) = (None, None);
         match folder.as_deref().map(open).transpose() {
             Ok(None) => {}
@@ -131,7 +131,7 @@
             options.initial_voters.clear();
             self.log_fails(&why);
         }
-        let Some(fleet) = self.fleet.as_mut() else {
+        let Some(fleet) = self.cluster.as_mut() else {
             return;
         };
         fleet.log.disk = opened;
@@ -159,7 +159,7 @@
 
     fn log_fails(&mut self, why: &str) {
         let now = self.now;
-        if let Some(fleet) = self.fleet.as_mut() {
+        if let Some(fleet) = self.cluster.as_mut() {
             fleet.log.failed += 1;
         }
         tracing::error!("what is agreed: {why}");
@@ -169,13 +169,13 @@
     fn agreed_written(&mut self, number: u64, end: Result<(), String>) {
         match end {
             Ok(()) => {
-                if let Some(fleet) = self.fleet.as_mut() {
+                if let Some(fleet) = self.cluster.as_mut() {
                     fleet.unit.kept(number);
                 }
                 self.fleet_sends();
             }
             Err(why) => {
-                if let Some(fleet) = self.fleet.as_mut() {
+                if let Some(fleet) = self.cluster.as_mut() {
                     // What stands behind a write that failed is of no use: nothing more is kept, and so nothing more said.
                     (fleet.log.disk, fleet.log.closed) = (None, true);
                 }
@@ -186,7 +186,7 @@
 
     /// What is to be kept goes to the disk.
     pub(super) fn keep_agreed(&mut self) {
-        let Some(fleet) = self.fleet.as_mut() else {
+        let Some(fleet) = self.cluster.as_mut() else {
             return;
         };
         while let Some(write) = fleet.unit.next_write() {
@@ -223,14 +223,14 @@
     /// With each sweep.
     pub(super) fn tend_agreed(&mut self, state: State) {
         self.open_consensus();
-        let Some(fleet) = self.fleet.as_mut() else {
+        let Some(fleet) = self.cluster.as_mut() else {
             return;
         };
         if state == State::Ending && !fleet.log.closed {
             // The next process of this name needs the log; what was asked here is not waited for.
             fleet.log.closed = true;
             self.keep_agreed();
-            let Some(fleet) = self.fleet.as_mut() else {
+            let Some(fleet) = self.cluster.as_mut() else {
                 return;
             };
             fleet.unit.close_consensus();
@@ -241,7 +241,7 @@
 
     fn tell_outcomes(&mut self) {
         loop {
-            let Some(fleet) = self.fleet.as_mut() else {
+            let Some(fleet) = self.cluster.as_mut() else {
                 return;
             };
             let clock = fleet.clock();
@@ -265,7 +265,7 @@
             };
             self.tell_operator(conn, &reply.line(id));
         }
-        let Some(fleet) = self.fleet.as_mut() else {
+        let Some(fleet) = self.cluster.as_mut() else {
             return;
         };
         if fleet.unit.agreed().is_none() {
@@ -332,7 +332,7 @@
         let refuse = |node: &mut Node, why: String| {
             node.tell_operator(to.0, &Reply::Refused(why).line(to.1))
         };
-        let Some(fleet) = self.fleet.as_mut().filter(|f| f.unit.agreed().is_some()) else {
+        let Some(fleet) = self.cluster.as_mut().filter(|f| f.unit.agreed().is_some()) else {
             return refuse(self, "there is no fleet here that could agree on it".into());
         };
         match command(fleet) {
@@ -353,7 +353,7 @@
 
     /// What is agreed, for operators.
     pub(in crate::node) fn fleet_agreed(&self) -> Option<Shown> {
-        let view = self.fleet.as_ref()?.unit.agreed()?.view();
+        let view = self.cluster.as_ref()?.unit.agreed()?.view();
         let part = match view.part {
             Role::Bootstrapping => "founds",
             Role::Voting => "votes",
--- a/crates/coordinator/src/node/control/mod.rs
+++ b/crates/coordinator/src/node/control/mod.rs
@@ -164,14 +164,14 @@
     /// Opens what the configuration names: the state folder, then the control socket and port.
     pub(super) fn open_control(&mut self) -> Result<(), String> {
         let now = self.clock();
-        if self.config.control.is_none()
+        if self.config.control_socket.is_none()
             && self.config.control_port.is_none()
-            && self.config.state.is_none()
+            && self.config.state_folder.is_none()
         {
             return Ok(());
         }
         let mut control = Control::new(self.config.classes.names.len(), now);
-        if let Some(folder) = self.config.state.clone() {
+        if let Some(folder) = self.config.state_folder.clone() {
             let (sender, written) = calloop::channel::channel();
             let (state, records, told) = state::open(&folder, move |w| drop(sender.send(w)))?;
             let on_written =
@@ -197,13 +197,13 @@
                 .flatten()
                 .map(|roll: RollingRestart| roll.restarted(now));
             control.state = Some(state);
-            let change = self.roster.restore_records(records);
+            let change = self.registry.restore_records(records);
             self.control = Some(control);
             self.apply_registry_change(now, &change);
         } else {
             self.control = Some(control);
         }
-        if let Some(path) = self.config.control.clone() {
+        if let Some(path) = self.config.control_socket.clone() {
             let (listener, inode) = listen(&path, self.lifecycle.succeeds())?;
             let listener = Rc::new(listener);
             if let Some(control) = &mut self.control {
--- a/crates/coordinator/src/node/control/orders.rs
+++ b/crates/coordinator/src/node/control/orders.rs
@@ -20,7 +20,7 @@
         command: Order,
         words: String,
     ) {
-        let (change, records) = match self.roster.execute_command(now, "operator", command) {
+        let (change, records) = match self.registry.execute_command(now, "operator", command) {
             Ok(done) => done,
             Err(refusal) => {
                 return self.tell_operator(conn, &Reply::Refused(refusal.to_string()).line(id))
@@ -61,7 +61,7 @@
         let number = state.append(records);
         // What a successor writes must not be left in a file that is no longer the folder's.
         if state.wants_compaction() && !self.lifecycle.is_succeeded() {
-            let mut records = self.roster.compacted_records();
+            let mut records = self.registry.compacted_records();
             records.push(StateRecord::RollingRestart {
                 roll: control.roll.clone(),
             });
@@ -203,7 +203,7 @@
     }
 
     fn order_of_roll(&mut self, now: Micros, command: Order) {
-        match self.roster.execute_command(now, "the roll", command) {
+        match self.registry.execute_command(now, "the roll", command) {
             Ok((change, records)) => {
                 self.apply_registry_change(now, &change);
                 self.publish_handover();
--- a/crates/coordinator/src/node/control/views.rs
+++ b/crates/coordinator/src/node/control/views.rs
@@ -54,7 +54,7 @@
             let kind = self.config.settings.kinds.get(usize::from(kind));
             kind.and_then(|k| k.cores).unwrap_or(8.0)
         };
-        let seen = self.roster.engines();
+        let seen = self.registry.engines();
         let whole: f64 = seen
             .iter()
             .filter(|e| e.phase != Phase::Gone)
@@ -71,7 +71,7 @@
         }
         let engines = seen.iter().filter(|e| e.phase != Phase::Gone).map(|e| {
             let there = running.get(&e.id).copied().unwrap_or_default();
-            let up = self.engines.values().any(|c| c.is_up_on(e.id));
+            let up = self.engines.connections.values().any(|c| c.is_up_on(e.id));
             EngineSnapshot {
                 name: e.name.clone(),
                 is_ready: e.phase == Phase::Ready,
@@ -163,7 +163,7 @@
         let running = self.running();
         let mut connections: BTreeMap<EngineId, u64> = BTreeMap::new();
         let mut heard: BTreeMap<EngineId, Micros> = BTreeMap::new();
-        for (engine, read) in self.engines.values().map(|c| c.last_heard()) {
+        for (engine, read) in self.engines.connections.values().map(|c| c.last_heard()) {
             *connections.entry(engine).or_default() += 1;
             let last = heard.entry(engine).or_default();
             *last = (*last).max(read);
@@ -174,7 +174,7 @@
             .settings
             .slow_start
             .map_or(0, |c| c.warm_up_time);
-        let engines = self.roster.engines().into_iter().map(|e| {
+        let engines = self.registry.engines().into_iter().map(|e| {
             let there = running.get(&e.id).copied().unwrap_or_default();
             // Silence begins with the work that it should say something of.
             let heard = heard.get(&e.id).copied().unwrap_or(0).max(there.since);
@@ -224,7 +224,7 @@
                 call: call.chars().take(60).collect(),
                 class: name(&self.config.classes.names, class),
                 engine: engine
-                    .and_then(|e| self.roster.name(e))
+                    .and_then(|e| self.registry.name(e))
                     .unwrap_or_default()
                     .into(),
                 age_ms: now.saturating_sub(since) / 1000,
@@ -263,7 +263,7 @@
             why: r.status.to_string(),
         });
         let kept = control.is_some_and(|c| c.state.is_some());
-        let (source, age) = self.feed.about(now);
+        let (source, age) = self.discovery.about(now);
         Snapshot {
             version: env!("CARGO_PKG_VERSION").into(),
             name: self.config.name.clone(),
@@ -283,11 +283,11 @@
             }
             .into(),
             open: self.core.open_requests() as u64,
-            connections: vec![self.clients.len() as u64, self.engines.len() as u64],
+            connections: vec![self.clients.connections.len() as u64, self.engines.connections.len() as u64],
             engines,
             classes,
             queries,
-            sessions: self.front.session_counts(),
+            sessions: self.frontend.session_counts(),
             roll,
             members: self.fleet_members(),
             agreed: self.fleet_agreed(),
--- a/crates/coordinator/src/node/counters.rs
+++ b/crates/coordinator/src/node/counters.rs
@@ -6,34 +6,37 @@
     pub(super) fn counters(&self) -> String {
         let connections = format!(
             "connections_clients {}\nconnections_engines {}\n",
-            self.clients.len(),
-            self.engines.len()
+            self.clients.connections.len(),
+            self.engines.connections.len()
         );
         let bodies = format!(
             "bodies_passing {}\nresults_paused {}\n",
-            self.uploads.len(),
-            self.paused
+            self.engines.uploads.len(),
+            self.engines.paused
         );
-        let (core, front) = (self.core.counters(), self.front.counters());
+        let (core, front) = (self.core.counters(), self.frontend.counters());
         let control = self
             .control
             .as_ref()
             .map(|c| c.counters())
             .unwrap_or_default();
-        let bans = self.roster.orders().len();
+        let bans = self.registry.orders().len();
         let state = self.lifecycle.state().word().replace(' ', "_");
         let lifecycle = format!("state{{is=\"{state}\"}} 1\nengines_out_by_order {bans}\n");
         let away = format!(
             "connections_sent_away {}\naccepts_full {}\nclients_dropped {}\nclients_overrun {}\n",
-            self.sent_away, self.accepts_full, self.dropped, self.overruns
+            self.clients.sent_away,
+            self.clients.accepts_full,
+            self.clients.evicted,
+            self.clients.overruns
         );
         let management = self.management.counters();
         let succeeds = u8::from(self.lifecycle.succeeds());
         let upgrade = format!(
             "upgrade_succeeds {succeeds}\nupgrade_orders_merged {}\n",
-            self.merged
+            self.handover.merged_orders()
         );
-        let upgrade = format!("{upgrade}listener_unblocked {}\n", self.unblocked);
+        let upgrade = format!("{upgrade}listener_unblocked {}\n", self.listener.unblocked);
         let open = self.core.open_requests();
         let fleet = self.fleet_counters();
         let budget = self.budget_counters();
--- a/crates/coordinator/src/node/discovery_client.rs
+++ b/crates/coordinator/src/node/discovery_client.rs
@@ -124,31 +124,33 @@
             // A half-written or mistaken file must not end a coordinator that serves well.
             Err(e) => return tracing::error!("the old configuration stays: {e}"),
         };
-        self.reload_fleet(new.fleet.as_ref());
-        if new.membership == self.config.membership {
+        self.reload_fleet(new.cluster.as_ref());
+        if new.discovery == self.config.discovery {
             return tracing::info!(
                 "configuration read again; the list of engines stays where it is"
             );
         }
-        tracing::info!(from = ?self.config.membership, to = ?new.membership, "the list of engines moves");
-        if let Some(mut conn) = self.feed.conn.take() {
+        tracing::info!(from = ?self.config.discovery, to = ?new.discovery, "the list of engines moves");
+        if let Some(mut conn) = self.discovery.conn.take() {
             // The old address tells nothing more: waiting for its close would cost what is told meanwhile.
             self.unregister(conn.token.take());
         }
-        self.feed.follow(&self.config.membership, &new.membership);
-        self.config.membership = new.membership;
+        self.discovery
+            .follow(&self.config.discovery, &new.discovery);
+        self.config.discovery = new.discovery;
         self.check_discovery(now);
         self.execute_commands();
     }
 
     pub(super) fn check_discovery(&mut self, now: Micros) {
-        if let Some(update) = self.feed.file.as_mut().and_then(|f| f.poll(now)) {
+        if let Some(update) = self.discovery.file.as_mut().and_then(|f| f.poll(now)) {
             self.take_update(now, &update);
         }
-        let Some((addr, silence)) = self.feed.watch.as_ref().map(|w| (w.0, w.1.silence())) else {
+        let Some((addr, silence)) = self.discovery.watch.as_ref().map(|w| (w.0, w.1.silence()))
+        else {
             return;
         };
-        if let Some(conn) = &self.feed.conn {
+        if let Some(conn) = &self.discovery.conn {
             let most = if conn.up { silence } else { CONNECT_MOST };
             if now > conn.heard + most {
                 let why = if conn.up {
@@ -159,7 +161,7 @@
                 self.drop_discovery_connection(now, why, Disconnect::Silent);
             }
         }
-        if self.feed.conn.is_none() && now >= self.feed.next_try {
+        if self.discovery.conn.is_none() && now >= self.discovery.next_try {
             let id = self.next_connection_id();
             let opened = connect(addr).map_err(|e| e.to_string());
             match opened.and_then(|s| {
@@ -170,7 +172,7 @@
             }) {
                 Ok((stream, token)) => {
                     let (link, token) = (BufferedStream::new(stream), Some(token));
-                    self.feed.conn = Some(DiscoveryConnection {
+                    self.discovery.conn = Some(DiscoveryConnection {
                         id,
                         link,
                         token,
@@ -185,10 +187,10 @@
 
     pub(super) fn drop_discovery_connection(&mut self, now: Micros, why: &str, how: Disconnect) {
         tracing::info!("engine list: {why}");
-        if let Some(mut conn) = self.feed.conn.take() {
+        if let Some(mut conn) = self.discovery.conn.take() {
             self.unregister(conn.token.take());
         }
-        self.feed.next_try = self.feed.backoff.again(now, how);
+        self.discovery.next_try = self.discovery.backoff.again(now, how);
     }
 
     pub(super) fn on_discovery_ready(&mut self, now: Micros, id: ConnectionId) {
@@ -199,10 +201,10 @@
 
     fn read_discovery(&mut self, now: Micros, id: ConnectionId) -> Result<(), String> {
         loop {
-            let Some(conn) = self.feed.conn.as_mut().filter(|c| c.id == id) else {
+            let Some(conn) = self.discovery.conn.as_mut().filter(|c| c.id == id) else {
                 return Ok(());
             };
-            let Some((_, watch)) = self.feed.watch.as_mut() else {
+            let Some((_, watch)) = self.discovery.watch.as_mut() else {
                 return Ok(());
             };
             if !conn.up {
@@ -221,8 +223,8 @@
             let mut fed = Ok(());
             if !bytes.is_empty() {
                 conn.heard = now;
-                self.feed.first.get_or_insert(now);
-                self.feed.backoff.heard(now);
+                self.discovery.first.get_or_insert(now);
+                self.discovery.backoff.heard(now);
                 fed = watch.feed(&bytes, &mut out, &mut updates);
                 conn.link.push(&out);
                 conn.link.flush().map_err(|e| e.to_string())?;
@@ -245,9 +247,9 @@
                 told.rejected_entries
                     .iter()
                     .for_each(|why| tracing::warn!("engine list: {why}"));
-                self.feed.told = now;
+                self.discovery.told = now;
                 self.fleet_listed(&told);
-                let change = self.roster.apply_listing(told.kind, told.descriptions);
+                let change = self.registry.apply_listing(told.kind, told.descriptions);
                 self.apply_registry_change(now, &change);
             }
             Err(e) => tracing::warn!("engine list: {e}"),
--- a/crates/coordinator/src/node/engines/closing.rs
+++ b/crates/coordinator/src/node/engines/closing.rs
@@ -18,13 +18,13 @@
     }
 
     fn end_engine(&mut self, now: Micros, id: ConnectionId, cause: Cause) {
-        let Some(mut conn) = self.engines.remove(&id) else {
+        let Some(mut conn) = self.engines.connections.remove(&id) else {
             return;
         };
         self.unregister(conn.token.take());
-        self.paused -= usize::from(conn.paused);
+        self.engines.paused -= usize::from(conn.paused);
         if let Some(key) = conn.feeding {
-            self.uploads.remove(&key.request);
+            self.engines.uploads.remove(&key.request);
         }
         self.log_end(&conn, &cause);
         for key in conn.session.open() {
@@ -58,7 +58,7 @@
         if conn.is_idle() {
             return;
         }
-        let engine = self.roster.name(conn.engine);
+        let engine = self.registry.name(conn.engine);
         let (open, waiting) = (conn.session.load(), conn.waiting.len());
         match cause {
             Cause::Closed(why) if open > 0 => {
@@ -76,7 +76,12 @@
 
     /// Old connections of an engine lead to an earlier process, or elsewhere.
     pub(in crate::node) fn retire_connections(&mut self, engine: EngineId) {
-        for conn in self.engines.values_mut().filter(|c| c.engine == engine) {
+        for conn in self
+            .engines
+            .connections
+            .values_mut()
+            .filter(|c| c.engine == engine)
+        {
             conn.retired = true;
         }
     }
@@ -84,9 +89,9 @@
     /// The engine is gone from the list: what is out on it may still end.
     pub(in crate::node) fn forget_engine(&mut self, now: Micros, engine: EngineId) {
         self.retire_connections(engine);
-        self.roster.forget_engine(engine);
+        self.registry.forget_engine(engine);
         self.forget_engine_window(engine);
-        self.checks.remove(&engine);
+        self.engines.checks.remove(&engine);
         self.sweep_engines(now);
     }
 
@@ -94,7 +99,7 @@
     /// however long its queries take; one that does not is silent, and its reads are lost.
     fn check_engines(&mut self, now: Micros) {
         let mut quiet: BTreeMap<EngineId, Micros> = BTreeMap::new();
-        for conn in self.engines.values() {
+        for conn in self.engines.connections.values() {
             if conn.up && !conn.paused && conn.session.wants_checks() {
                 let heard = quiet.entry(conn.engine).or_insert(conn.heard);
                 *heard = (*heard).min(conn.heard);
@@ -102,11 +107,11 @@
         }
         for (engine, since) in quiet {
             let heard = self.heard_of(engine).max(since);
-            let last = self.checks.get(&engine).copied().unwrap_or(0);
+            let last = self.engines.checks.get(&engine).copied().unwrap_or(0);
             if now < heard + CHECK_AFTER || now < last + CHECK_AFTER {
                 continue;
             }
-            self.checks.insert(engine, now);
+            self.engines.checks.insert(engine, now);
             if let Ok(id) = self.engine_connection(now, engine, None, false) {
                 self.queue_work(now, id, Work::Probe(CHECK_TAG));
             }
@@ -114,7 +119,10 @@
     }
 
     pub(in crate::node) fn sweep_engines(&mut self, now: Micros) {
-        let (idle, stall) = (self.config.idle, self.config.stall);
+        let (idle, stall) = (
+            self.config.engine_idle_timeout,
+            self.config.result_stall_timeout,
+        );
         // What hands over has little more to send: idle connections are the successor's share of the descriptors.
         let idle = if self.lifecycle.is_succeeded() {
             idle.min(HANDED_OVER_IDLE)
@@ -122,8 +130,9 @@
             idle
         };
         self.check_engines(now);
-        self.streams = self
+        self.engines.streaming = self
             .engines
+            .connections
             .values()
             .filter(|c| c.session.is_streaming())
             .count();
@@ -149,13 +158,14 @@
         };
         let ends: Vec<_> = self
             .engines
+            .connections
             .iter()
             .filter_map(|(&id, c)| Some((id, over(c)?)))
             .collect();
         for (id, why) in ends {
             self.drop_engine(now, id, why);
         }
-        for id in self.engines.keys().copied().collect::<Vec<_>>() {
+        for id in self.engines.connections.keys().copied().collect::<Vec<_>>() {
             self.tend_engine(now, id);
         }
         self.resume_engines(now);
--- a/crates/coordinator/src/node/engines/mod.rs
+++ b/crates/coordinator/src/node/engines/mod.rs
@@ -9,8 +9,8 @@
 use crate::net::silence::{is_overdue, note_patience, NOTE_LATE, PROBE_LATE};
 use crate::net::{connect, is_out_of_descriptors, BufferedStream};
 use calloop::RegistrationToken;
-use driftfront_core::{AttemptKey, Cause, EngineId, Micros, Outcome};
-use std::collections::VecDeque;
+use driftfront_core::{AttemptKey, Cause, EngineId, Micros, Outcome, RequestId};
+use std::collections::{BTreeMap, VecDeque};
 
 /// Attempts out on one engine that its connections should carry; the bounds on their number that follow
 /// from how many one carries; and the part of all descriptors that engines' connections may hold.
@@ -112,6 +112,20 @@
     }
 }
 
+/// Connections to engines.
+#[derive(Default)]
+pub(super) struct Engines {
+    pub(super) connections: BTreeMap<ConnectionId, EngineConnection>,
+    /// The connection that the rest of each body goes to which is passed on as it comes.
+    pub(super) uploads: BTreeMap<RequestId, ConnectionId>,
+    /// When engines were last checked that say nothing, and a check has not been answered since.
+    pub(super) checks: BTreeMap<EngineId, Micros>,
+    /// Connections whose reading waits for a slow client.
+    pub(super) paused: usize,
+    /// Results that come as they are made, at the last periodic check.
+    pub(super) streaming: usize,
+}
+
 impl Node {
     /// A connection with room, the least loaded one; else a new one. What must not run twice goes alone, so
     /// that no answer to another can spoil it.
@@ -122,7 +136,7 @@
         call: Option<&str>,
         alone: bool,
     ) -> Result<ConnectionId, Cause> {
-        let (idle, notes) = (self.config.idle, self.notes_due(now, engine));
+        let (idle, notes) = (self.config.engine_idle_timeout, self.notes_due(now, engine));
         let heard = self.heard_of(engine);
         let fits = |c: &EngineConnection| {
             c.engine == engine
@@ -135,6 +149,7 @@
         };
         let each = self
             .engines
+            .connections
             .iter()
             .filter(|(_, c)| fits(c))
             .map(|(&id, c)| {
@@ -152,11 +167,12 @@
         let most = (PER_ENGINE / session.most()).clamp(CONNS.0, CONNS.1);
         if self
             .engines
+            .connections
             .values()
             .filter(|c| c.engine == engine && !c.retired)
             .count()
             >= most
-            || self.engines.len() >= self.sockets() / PART_OF_SOCKETS
+            || self.engines.connections.len() >= self.sockets() / PART_OF_SOCKETS
         {
             // Rather than wait without bound for a place, the attempt goes elsewhere; the engine is well.
             return best.map(|b| b.3).ok_or(Cause::Rejected);
@@ -181,7 +197,7 @@
             .map_err(|_| Cause::Rejected)?;
         let conn = EngineConnection {
             engine,
-            zone: self.roster.zone(engine),
+            zone: self.registry.zone(engine),
             link: BufferedStream::new(stream),
             token: Some(token),
             session,
@@ -197,13 +213,14 @@
             retired: false,
             alone: false,
         };
-        self.engines.insert(id, conn);
+        self.engines.connections.insert(id, conn);
         Ok(id)
     }
 
     /// When anything last came from an engine, on whatever connection.
     fn heard_of(&self, engine: EngineId) -> Micros {
         self.engines
+            .connections
             .values()
             .filter(|c| c.engine == engine)
             .map(|c| c.read)
@@ -214,10 +231,16 @@
     /// How often word is due of what is out on an engine, where notes come.
     fn notes_due(&self, now: Micros, engine: EngineId) -> Option<Micros> {
         let every = self.config.settings.progress_interval?;
-        let conns = || self.engines.values().filter(|c| c.engine == engine);
+        let conns = || {
+            self.engines
+                .connections
+                .values()
+                .filter(|c| c.engine == engine)
+        };
         let zone = conns().find_map(|c| c.zone);
         let heard = self
             .engines
+            .connections
             .values()
             .filter(|c| c.zone == zone && c.engine != engine)
             .map(|c| c.read)
@@ -244,7 +267,10 @@
         let alone = self.is_single_shot(ask.class);
         match self.engine_connection(now, engine, Some(&call), alone) {
             Ok(id) => {
-                self.engines.entry(id).and_modify(|c| c.alone = alone);
+                self.engines
+                    .connections
+                    .entry(id)
+                    .and_modify(|c| c.alone = alone);
                 self.queue_work(now, id, Work::Attempt(key, moves));
             }
             Err(cause) => self.attempt_failed(now, key, cause),
@@ -260,7 +286,7 @@
     }
 
     fn queue_work(&mut self, now: Micros, id: ConnectionId, work: Work) {
-        let Some(conn) = self.engines.get_mut(&id) else {
+        let Some(conn) = self.engines.connections.get_mut(&id) else {
             return;
         };
         if conn.waiting.len() < WAITING_MOST {
@@ -278,7 +304,7 @@
         let engine = self
             .core
             .attempt_engine(key)
-            .and_then(|s| self.roster.name(s.0))
+            .and_then(|s| self.registry.name(s.0))
             .map(String::from);
         if let Some(error) = self.core.attempt_failed(now, key, cause) {
             tracing::debug!(
@@ -294,12 +320,13 @@
     pub(super) fn abandon_attempt(&mut self, now: Micros, key: AttemptKey, engine: EngineId) {
         let ids: Vec<ConnectionId> = self
             .engines
+            .connections
             .iter()
             .filter(|(_, c)| c.engine == engine)
             .map(|(&id, _)| id)
             .collect();
         for id in ids {
-            let Some(conn) = self.engines.get_mut(&id) else {
+            let Some(conn) = self.engines.connections.get_mut(&id) else {
                 continue;
             };
             conn.waiting
--- a/crates/coordinator/src/node/engines/traffic.rs
+++ b/crates/coordinator/src/node/engines/traffic.rs
@@ -16,9 +16,9 @@
     pub(in crate::node) fn write_to_engine(&mut self, now: Micros, id: ConnectionId) {
         for turn in 0.. {
             if turn >= TURN * 4 {
-                return self.later.push(EventSource::Engine(id));
+                return self.deferred.push(EventSource::Engine(id));
             }
-            let Some(conn) = self.engines.get_mut(&id) else {
+            let Some(conn) = self.engines.connections.get_mut(&id) else {
                 return;
             };
             if !conn.up {
@@ -46,7 +46,7 @@
                 Ok(false) => return,
                 Ok(true) => {}
             }
-            let Some(conn) = self.engines.get_mut(&id) else {
+            let Some(conn) = self.engines.connections.get_mut(&id) else {
                 return;
             };
             if let Some(key) = conn.feeding {
@@ -58,7 +58,7 @@
             if let Some(&Work::Attempt(key, _)) = conn.waiting.front() {
                 self.look_for_client(now, key.request);
             }
-            let Some(conn) = self.engines.get_mut(&id) else {
+            let Some(conn) = self.engines.connections.get_mut(&id) else {
                 return;
             };
             let Some(work) = conn.waiting.pop_front() else {
@@ -81,7 +81,7 @@
                 }
                 Work::Probe(tag) => conn.session.probe(tag, &mut out),
                 Work::Attempt(key, _) => {
-                    let engine = self.roster.name(conn.engine);
+                    let engine = self.registry.name(conn.engine);
                     tracing::debug!(
                         request = key.request.0,
                         attempt = key.number,
@@ -137,7 +137,7 @@
                     if taken.ask.once {
                         // Its end is not known before the last of its body has come.
                         (conn.feeding, end) = (Some(key), u64::MAX);
-                        self.uploads.insert(key.request, id);
+                        self.engines.uploads.insert(key.request, id);
                     }
                     conn.marks.push_back((begin, end, key));
                 }
@@ -152,7 +152,7 @@
 
     /// Passes on what has come of the body of what is out; true if there may be more at once.
     fn feed_engine(&mut self, now: Micros, id: ConnectionId, key: AttemptKey) -> bool {
-        let Some(conn) = self.engines.get_mut(&id) else {
+        let Some(conn) = self.engines.connections.get_mut(&id) else {
             return false;
         };
         if !conn.session.has(key) {
@@ -173,8 +173,8 @@
         let within = self
             .core
             .accepted(key.request)
-            .and_then(|t| self.front.timeout_after_body(t.ask));
-        let Some(conn) = self.engines.get_mut(&id) else {
+            .and_then(|t| self.frontend.timeout_after_body(t.ask));
+        let Some(conn) = self.engines.connections.get_mut(&id) else {
             return false;
         };
         let mut out = Vec::with_capacity(bytes.len() + 16);
@@ -182,7 +182,7 @@
         if last {
             conn.session.no_more(&mut out);
             conn.feeding = None;
-            self.uploads.remove(&key.request);
+            self.engines.uploads.remove(&key.request);
         }
         conn.link.push(&out);
         conn.used = now;
@@ -199,7 +199,7 @@
     }
 
     pub(in crate::node) fn on_engine_ready(&mut self, now: Micros, id: ConnectionId) {
-        let Some(conn) = self.engines.get_mut(&id) else {
+        let Some(conn) = self.engines.connections.get_mut(&id) else {
             return;
         };
         if !conn.up {
@@ -213,7 +213,12 @@
                 }
             }
         }
-        if self.engines.get(&id).is_some_and(|c| c.feeding.is_some()) {
+        if self
+            .engines
+            .connections
+            .get(&id)
+            .is_some_and(|c| c.feeding.is_some())
+        {
             // An engine that answers before the body is over may close behind that: its words come first.
             self.read_from_engine(now, id);
         }
@@ -224,16 +229,16 @@
     pub(in crate::node) fn read_from_engine(&mut self, now: Micros, id: ConnectionId) {
         for turn in 0.. {
             if turn >= TURN {
-                return self.later.push(EventSource::Engine(id));
+                return self.deferred.push(EventSource::Engine(id));
             }
             let paused = self.is_ahead(id);
-            let Some(conn) = self.engines.get_mut(&id) else {
+            let Some(conn) = self.engines.connections.get_mut(&id) else {
                 return;
             };
             match (conn.paused, paused) {
-                (false, true) => self.paused += 1,
+                (false, true) => self.engines.paused += 1,
                 (true, false) => {
-                    self.paused -= 1;
+                    self.engines.paused -= 1;
                     // Its silence was our own.
                     conn.heard = now;
                 }
@@ -245,7 +250,7 @@
             }
             let mut bytes = Vec::new();
             // With many results under way each comes in smaller pieces: what was read has to be held.
-            let most = if self.streams > STREAMS_MANY {
+            let most = if self.engines.streaming > STREAMS_MANY {
                 READ_AT_ONCE / 4
             } else {
                 READ_AT_ONCE
@@ -255,7 +260,13 @@
                 Err(e) => {
                     let (engine, idle) = (conn.engine, conn.is_idle());
                     self.lose_engine(now, id, &e.to_string());
-                    if idle && !self.engines.values().any(|c| c.is_up_on(engine)) {
+                    if idle
+                        && !self
+                            .engines
+                            .connections
+                            .values()
+                            .any(|c| c.is_up_on(engine))
+                    {
                         // Nothing was out to be lost, so only this tells that its process may have ended.
                         self.core.suspect_engine(now, engine);
                         self.execute_commands();
@@ -276,6 +287,7 @@
             self.take_seen(now, seen);
             let answered = self
                 .engines
+                .connections
                 .get(&id)
                 .and_then(|c| c.feeding.filter(|&k| !c.session.has(k)));
             if answered.is_some() {
@@ -295,7 +307,7 @@
     /// Takes what has come on a connection that nothing can be written to any more.
     fn read_to_the_end(&mut self, now: Micros, id: ConnectionId) {
         for _ in 0..TURN {
-            let Some(conn) = self.engines.get_mut(&id).filter(|c| !c.paused) else {
+            let Some(conn) = self.engines.connections.get_mut(&id).filter(|c| !c.paused) else {
                 return;
             };
             let (mut bytes, mut seen) = (Vec::new(), Vec::new());
@@ -309,7 +321,7 @@
     }
 
     pub(super) fn tend_engine(&mut self, now: Micros, id: ConnectionId) {
-        let Some(conn) = self.engines.get_mut(&id) else {
+        let Some(conn) = self.engines.connections.get_mut(&id) else {
             return;
         };
         let (mut out, mut seen) = (Vec::new(), Vec::new());
@@ -326,11 +338,17 @@
     /// Whether the client of what streams here is far behind: nothing more is read for it then, so that a
     /// slow client does not fill the memory.
     fn is_ahead(&self, id: ConnectionId) -> bool {
-        let Some(conn) = self.engines.get(&id).filter(|c| c.session.is_streaming()) else {
+        let Some(conn) = self
+            .engines
+            .connections
+            .get(&id)
+            .filter(|c| c.session.is_streaming())
+        else {
             return false;
         };
         // Few slow clients may leave much, many only little each: their part of the memory is one.
-        let share = self.config.unread / self.streams.max(self.paused + 1);
+        let share =
+            self.config.max_unread_bytes / self.engines.streaming.max(self.engines.paused + 1);
         let most = share.clamp(BACKLOG_LEAST, BACKLOG_MOST);
         conn.session
             .open()
@@ -342,6 +360,7 @@
     pub(in crate::node) fn resume_engines(&mut self, now: Micros) {
         let paused = self
             .engines
+            .connections
             .iter()
             .filter(|(_, c)| c.paused)
             .map(|(&id, _)| id);
--- a/crates/coordinator/src/node/management.rs
+++ b/crates/coordinator/src/node/management.rs
@@ -69,7 +69,7 @@
 impl Node {
     /// Opens the second address, if one is given. One that can't be had is told; serving goes on.
     pub(super) fn open_management(&mut self) {
-        let Some(text) = self.config.management.clone() else {
+        let Some(text) = self.config.management_address.clone() else {
             return;
         };
         let opened = text.parse::<SocketAddr>().map_err(|e| e.to_string());
@@ -209,7 +209,7 @@
             },
             Call::Suspend(engine) => {
                 let done = self
-                    .roster
+                    .registry
                     .suspend_engine(now, by, &engine)
                     .map_err(|e| e.to_string());
                 let words = format!("{engine} is drained: nothing new goes there");
@@ -217,7 +217,7 @@
             }
             Call::Restore(engine) => {
                 let done = self
-                    .roster
+                    .registry
                     .restore_engine(now, by, &engine)
                     .map_err(|e| e.to_string());
                 let words = format!("{engine} is resumed: it takes work again");
--- a/crates/coordinator/src/node/mod.rs
+++ b/crates/coordinator/src/node/mod.rs
@@ -17,22 +17,23 @@
 use crate::discovery::read;
 use crate::frontends::clickhouse::ClickHouse;
 use crate::frontends::{platform::Platform, ConnectionAction, Frontend};
-use crate::handover::HandoverMailbox;
 use crate::service::RequestOutcome;
 
 use calloop::generic::Generic;
 use calloop::signals::{Signal, Signals};
 use calloop::{EventLoop, Interest, LoopHandle, Mode, PostAction, Readiness, RegistrationToken};
+use clients::{ClientListener, Clients};
 use driftfront_core::lifecycle::Lifecycle;
 use driftfront_core::{AttemptKey, Command, Core, EngineId, ListKind, Micros, Phase, RequestId};
 use driftfront_engine_registry::{EngineRegistry, RegistryChange};
 use driftfront_scheduler::interface::Idempotency;
 use driftfront_settings::json::Json;
-use std::collections::BTreeMap;
-use std::net::{SocketAddr, TcpListener, TcpStream};
+use engines::Engines;
+use std::net::{SocketAddr, TcpStream};
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::rc::Rc;
 use std::time::Duration;
+use upgrade::Handover;
 
 /// Connections are looked over this often: connect time-outs, idle ends, accepts that were put off.
 const SWEEP: Micros = 25_000;
@@ -49,55 +50,27 @@
     /// The time at the last look.
     now: Micros,
     wall: StepWatch,
-    last_conn: ConnectionId,
-    front: Box<dyn Frontend>,
-    /// `None` once the process leaves for good.
-    listener: Option<Rc<TcpListener>>,
-    listening: Option<RegistrationToken>,
-    /// It was passed: others hold it, too.
-    passed: bool,
-    clients: BTreeMap<ConnectionId, clients::Client>,
-    /// The connection on which each open request waits for its answer.
-    asking: BTreeMap<RequestId, (ConnectionId, u16, Micros)>,
-    engines: BTreeMap<ConnectionId, engines::EngineConnection>,
-    /// The engine's connection that the rest of each body goes to which is passed on as it comes.
-    uploads: BTreeMap<RequestId, ConnectionId>,
-    /// When engines were last checked that say nothing, and a check has not been answered since.
-    checks: BTreeMap<EngineId, Micros>,
-    /// Connections whose reading waits for a slow client.
-    paused: usize,
-    /// Results under way that come as they are made, at the last sweep.
-    streams: usize,
-    roster: EngineRegistry,
-    /// What is kept for operators, where the operator's file asks for that.
+    last_connection_id: ConnectionId,
+    frontend: Box<dyn Frontend>,
+    listener: ClientListener,
+    clients: Clients,
+    engines: Engines,
+    registry: EngineRegistry,
+    /// What is retained for operators, where the configuration asks for that.
     control: Option<control::Control>,
     operators: Vec<control::Listener>,
-    feed: discovery_client::DiscoveryClient,
-    /// Other coordinators, where the operator's file has a fleet.
-    fleet: Option<Box<cluster::ClusterRuntime>>,
+    discovery: discovery_client::DiscoveryClient,
+    /// Other coordinators, where the configuration names a cluster.
+    cluster: Option<Box<cluster::ClusterRuntime>>,
     next_sweep: Micros,
     /// Connections with more to do than one turn holds.
-    later: Vec<EventSource>,
+    deferred: Vec<EventSource>,
     /// Commands are being carried out.
     is_executing: bool,
     lifecycle: Lifecycle,
     management: management::Management,
     started: Micros,
-    /// Where other processes of this coordinator are heard, while an upgrade may have them run.
-    post: Option<HandoverMailbox>,
-    /// Another one runs.
-    shares: bool,
-    /// Orders taken over from others.
-    merged: u64,
-    /// How often the passed listener was found blocking.
-    unblocked: u64,
-    /// Clients' connections closed since the process is paused or hands over.
-    sent_away: u64,
-    /// Looks at the backlog while there was no room for another client, and clients dropped to make room.
-    accepts_full: u64,
-    dropped: u64,
-    /// Clients' connections on which more was sent ahead than is held.
-    overruns: u64,
+    handover: Handover,
 }
 
 /// What a readiness event is for.
@@ -117,7 +90,8 @@
 impl Node {
     /// Binds, takes the first list over and registers the sources of events.
     pub fn new(config: Config, events: &EventLoop<'static, Node>) -> Result<Node, String> {
-        let (listener, passed, post) = upgrade::listener(&config)?;
+        let start = upgrade::open_listener(&config)?;
+        let is_passed = start.is_passed;
         let classes = config.classes.clone();
         let front: Box<dyn Frontend> = match config.protocol {
             Protocol::Platform => Box::new(Platform {
@@ -139,41 +113,27 @@
             clock,
             now,
             wall: StepWatch::start(),
-            last_conn: 0,
-            front,
-            listener: Some(Rc::new(listener)),
-            listening: None,
-            passed,
-            clients: BTreeMap::new(),
-            asking: BTreeMap::new(),
-            engines: BTreeMap::new(),
-            uploads: BTreeMap::new(),
-            checks: BTreeMap::new(),
-            paused: 0,
-            streams: 0,
-            roster: EngineRegistry::new(),
+            last_connection_id: 0,
+            frontend: front,
+            listener: ClientListener::new(start.listener, start.is_passed),
+            clients: Clients::default(),
+            engines: Engines::default(),
+            registry: EngineRegistry::new(),
             control: None,
             operators: Vec::new(),
-            feed: discovery_client::DiscoveryClient::new(
-                &config.membership,
+            discovery: discovery_client::DiscoveryClient::new(
+                &config.discovery,
                 config.known_index,
                 Backoff::new(config.seed),
             ),
-            fleet: None,
+            cluster: None,
             next_sweep: now,
-            later: Vec::new(),
+            deferred: Vec::new(),
             is_executing: false,
             lifecycle: Lifecycle::new(false, false, longest, killed),
             management: management::Management::default(),
             started: now,
-            post,
-            shares: false,
-            merged: 0,
-            unblocked: 0,
-            sent_away: 0,
-            accepts_full: 0,
-            dropped: 0,
-            overruns: 0,
+            handover: Handover::new(start.mailbox),
             config,
         };
         // Before any thread is started: a signal goes to whichever thread does not block it, and would end the program there.
@@ -194,20 +154,17 @@
             .map_err(|e| format!("signals: {e}"))?;
         // Orders come before the list: nothing may go to what an earlier process was told to leave alone.
         node.poll_handover(now);
-        let succeeds = node
-            .post
-            .as_ref()
-            .is_some_and(HandoverMailbox::has_predecessor);
-        node.lifecycle = Lifecycle::new(succeeds, passed, longest, killed);
+        let succeeds = node.handover.has_predecessor();
+        node.lifecycle = Lifecycle::new(succeeds, is_passed, longest, killed);
         node.open_control()?;
         node.apply_configured_engines();
         node.open_management();
         node.open_fleet()?;
-        if let Some(socket) = node.listener.clone() {
+        if let Some(socket) = node.listener.socket.clone() {
             let token = node
                 .watch(socket, EventSource::Listener)
                 .map_err(|e| format!("event loop: {e}"))?;
-            node.listening = Some(token);
+            node.listener.token = Some(token);
         }
         Ok(node)
     }
@@ -227,7 +184,7 @@
                 .next_due()
                 .unwrap_or(u64::MAX)
                 .min(self.next_sweep);
-            let due = if self.later.is_empty() { due } else { 0 };
+            let due = if self.deferred.is_empty() { due } else { 0 };
             let wait = Duration::from_micros(due.saturating_sub(self.clock()).min(1_000_000));
             match events.dispatch(wait, &mut self) {
                 Ok(()) => {}
@@ -251,8 +208,8 @@
     }
 
     fn next_connection_id(&mut self) -> ConnectionId {
-        self.last_conn += 1;
-        self.last_conn
+        self.last_connection_id += 1;
+        self.last_connection_id
     }
 
     /// Lets no panic end the program: it ends what was at hand.
@@ -320,7 +277,7 @@
     fn on_time(&mut self) {
         let now = self.clock();
         self.core.fire_timers(now);
-        for source in std::mem::take(&mut self.later) {
+        for source in std::mem::take(&mut self.deferred) {
             match source {
                 EventSource::Client(id) => self.drive_client(now, id),
                 EventSource::Engine(id) => {
@@ -340,7 +297,7 @@
             self.sweep_engines(now);
             self.check_discovery(now);
             self.tend_fleet();
-            self.front.expire_sessions(now);
+            self.frontend.expire_sessions(now);
             self.tend_control(now);
             self.sweep_callers(now);
             self.poll_handover(now);
@@ -362,14 +319,14 @@
     }
 
     fn may_end(&mut self) -> bool {
-        let writing = self.clients.values().any(|c| c.is_writing());
+        let writing = self.clients.connections.values().any(|c| c.is_writing());
         let ends = self.lifecycle.may_end(
             self.now,
             self.core.open_requests(),
-            self.clients.len(),
+            self.clients.connections.len(),
             writing,
         );
-        if ends && self.listener.is_some() && !self.lifecycle.listens(self.now) {
+        if ends && self.listener.socket.is_some() && !self.lifecycle.listens(self.now) {
             // Who is in the backlog still has a connection, and maybe a request on it: looked at once more behind that.
             self.stop_listening(self.now);
             return false;
@@ -424,7 +381,7 @@
         if !self.lifecycle.listens(now) {
             self.stop_listening(now);
         }
-        if self.lifecycle.look(self.clients.len()) {
+        if self.lifecycle.look(self.clients.connections.len()) {
             self.told(now, "Drained: no client is left".into());
         }
     }
@@ -446,7 +403,7 @@
                 Command::Probe(engine, tag) => self.queue_probe(now, engine, tag),
                 Command::ForgetEngine(engine) => self.forget_engine(now, engine),
                 Command::Log(line) => tracing::info!("{line}"),
-                Command::Settled(ticket, fate) => self.front.settle_request(now, ticket, fate),
+                Command::Settled(ticket, fate) => self.frontend.settle_request(now, ticket, fate),
                 Command::ForwardChunk(id, piece) => {
                     self.write_response(now, id, false, |w, out| {
                         w.write_chunk(&piece, out);
@@ -485,7 +442,7 @@
         let Some(retry) = self.core.retry_context(key) else {
             return;
         };
-        let name = |engine| self.roster.name(engine).unwrap_or("gone");
+        let name = |engine| self.registry.name(engine).unwrap_or("gone");
         let usage = self.core.retry_budget_usage(now).unwrap_or_default();
         tracing::info!(
             call = retry.call,
@@ -515,27 +472,32 @@
 
     /// For operators: how a request ended.
     fn record_outcome(&mut self, now: Micros, id: RequestId, end: RequestOutcome) {
-        if let Some(&(_, class, began)) = self.asking.get(&id).filter(|_| self.control.is_some()) {
+        if let Some(&(_, class, began)) = self
+            .clients
+            .requesters
+            .get(&id)
+            .filter(|_| self.control.is_some())
+        {
             self.ended(now, class, began, end);
         }
     }
 
     /// Takes over what the configuration lists.
     fn apply_configured_engines(&mut self) {
-        for update in std::mem::take(&mut self.config.known) {
+        for update in std::mem::take(&mut self.config.known_updates) {
             match read(&self.config.zones, &self.config.kinds, Json(Some(&update))) {
                 Ok(told) => {
                     told.rejected_entries
                         .iter()
                         .for_each(|why| tracing::warn!("known engines: {why}"));
-                    self.roster.apply_listing(told.kind, told.descriptions);
+                    self.registry.apply_listing(told.kind, told.descriptions);
                 }
                 Err(e) => tracing::warn!("known engines: {e}"),
             }
         }
-        let lines = self.roster.announced_lines();
-        for engine in self.roster.departed_engines() {
-            self.roster.forget_engine(engine);
+        let lines = self.registry.announced_lines();
+        for engine in self.registry.departed_engines() {
+            self.registry.forget_engine(engine);
         }
         let now = self.clock();
         self.core.update_engines(now, ListKind::Cached, &lines);
@@ -547,15 +509,15 @@
         for &engine in &change.restarted {
             self.retire_connections(engine);
             // What was left in sessions went with the process.
-            self.front.engine_left(engine);
+            self.frontend.engine_left(engine);
         }
         for line in change.lines.iter().filter(|l| l.phase != Phase::Ready) {
-            self.front.engine_left(line.engine);
+            self.frontend.engine_left(line.engine);
         }
         if change.kind == ListKind::Full {
             let unlisted = |e: &EngineId| !change.lines.iter().any(|l| l.engine == *e);
             for engine in self.core.listed_engines().into_iter().filter(unlisted) {
-                self.front.engine_left(engine);
+                self.frontend.engine_left(engine);
             }
         }
         self.core.update_engines(now, change.kind, &change.lines);
@@ -569,15 +531,15 @@
     fn session(&self, addr: SocketAddr) -> Box<dyn EngineSession> {
         match self.config.protocol {
             Protocol::Platform => Box::new(LineSession::new(
-                self.config.streams,
-                self.config.gauges.clone(),
+                self.config.max_streams_per_connection,
+                self.config.load_report_fields.clone(),
             )),
             Protocol::ClickHouse => Box::new(HttpSession::new(addr.to_string())),
         }
     }
 
     fn addr(&self, engine: EngineId) -> Option<SocketAddr> {
-        self.roster.addr(engine)
+        self.registry.addr(engine)
     }
 
     /// Makes an orderly end unregister the socket too; its descriptor closes with the last holder.
@@ -590,6 +552,7 @@
     /// The address that clients use.
     fn listening_at(&self) -> SocketAddr {
         self.listener
+            .socket
             .as_ref()
             .and_then(|l| l.local_addr().ok())
             .unwrap_or(self.config.listen)
@@ -599,9 +562,9 @@
     fn stop_listening(&mut self, now: Micros) {
         self.accept_clients(now);
         self.execute_commands();
-        let token = self.listening.take();
+        let token = self.listener.token.take();
         self.unregister(token);
-        self.listener = None;
+        self.listener.socket = None;
     }
 
     /// Registers a socket, or says why not.
--- a/crates/coordinator/src/operator_config.rs
+++ b/crates/coordinator/src/operator_config.rs
@@ -763,7 +763,7 @@
             (Protocol::ClickHouse, 3)
         );
         assert_eq!(
-            (small.membership, small.known.len()),
+            (small.discovery, small.known_updates.len()),
             (DiscoverySource::Fixed, 1)
         );
         assert_eq!((small.clickhouse.read, small.clickhouse.write), (0, 2));
@@ -775,7 +775,7 @@
         );
         let etcd = config("engines { etcd \"127.0.0.1:2379\" prefix=\"/x/\"; }");
         assert_eq!(
-            etcd.membership,
+            etcd.discovery,
             DiscoverySource::Etcd("127.0.0.1:2379".parse().unwrap(), "/x/".into())
         );
     }
--- a/crates/coordinator/tests/golden_operators/commands.rs
+++ b/crates/coordinator/tests/golden_operators/commands.rs
@@ -238,30 +238,36 @@
 fn values(c: &Config) -> String {
     let mut text = format!(
         "name {}\nlisten {}\nseed {}\nsockets {}\nfront {:?}\n",
-        c.name, c.listen, c.seed, c.sockets, c.protocol
+        c.name, c.listen, c.seed, c.max_descriptors, c.protocol
     );
     let r = &c.clickhouse;
     text += &format!(
         "read {} write {} deduplicated {:?} upload {} keep {}\nstall {} unread {}\n",
-        r.read, r.write, r.deduplicated, r.upload, r.keep, c.stall, c.unread
+        r.read,
+        r.write,
+        r.deduplicated,
+        r.upload,
+        r.keep,
+        c.result_stall_timeout,
+        c.max_unread_bytes
     );
     text += &format!(
         "known {} {}\nclasses {:?} {:?}\ntenants {:?}\nzones {:?}\nkinds {:?}\ngauges {:?}\n",
         c.known_index,
-        c.known.len(),
+        c.known_updates.len(),
         c.classes.names,
         c.classes.patience,
         c.tenants,
         c.zones,
         c.kinds,
-        c.gauges
+        c.load_report_fields
     );
     let l = &c.limits;
     text += &format!(
         "connect {} idle {} streams {}\nopen {} probe {} margin {} each {} tokens {} doubts {}\n",
         c.connect_timeout,
-        c.idle,
-        c.streams,
+        c.engine_idle_timeout,
+        c.max_streams_per_connection,
         l.open,
         l.probe_timeout,
         l.answer_margin,
@@ -271,9 +277,9 @@
     );
     text += &format!(
         "control {:?} {:?}\nmanagement {:?}\nstate {:?}\n",
-        c.control, c.control_port, c.management, c.state
+        c.control_socket, c.control_port, c.management_address, c.state_folder
     );
-    if let Some(f) = &c.fleet {
+    if let Some(f) = &c.cluster {
         text += &format!(
             "fleet {} {:?} {:?} {:?} {} {} {:?} {}\n",
             f.listen, f.advertise, f.key_file, f.seeds, f.zone, f.region, f.voters, f.replace_after
--- a/crates/coordinator/tests/golden_operators/files.rs
+++ b/crates/coordinator/tests/golden_operators/files.rs
@@ -2,7 +2,7 @@
 
 use crate::common::{file, TEST_TIMEOUT};
 use crate::{type_in, Folder};
-use driftfront::handover::HandoverMailbox;
+use driftfront::handover::{HandoverMailbox, ProcessNumber, Received};
 use driftfront_engine_registry::handover::HandoverState;
 use driftfront_engine_registry::record::StateRecord;
 use driftfront_engine_registry::rolling_restart::RollingRestart;
@@ -328,7 +328,7 @@
     let tmp = Folder::new("handover");
     let mut post = HandoverMailbox::open(&tmp.0, "region/coordinator 1").expect("a folder");
     let mut other = HandoverMailbox::open(&tmp.0, "region/coordinator 1").expect("a folder");
-    post.tell(word()).expect("written");
+    post.publish(word()).expect("written");
     let folder = names(&tmp.0);
     let pid = format!("-{}.", std::process::id());
     let inside = tmp.0.join(&folder[0]);
@@ -336,7 +336,7 @@
     assert_golden!("operators/handover-names.txt", text);
     let bytes = std::fs::read(inside.join(format!("000000000001{pid}word"))).expect("the word");
     assert_golden!("operators/handover-ready", &bytes);
-    post.tell(HandoverState {
+    post.publish(HandoverState {
         ready: false,
         ..HandoverState::default()
     })
@@ -350,9 +350,16 @@
     )
     .expect("a word");
     std::fs::write(inside.join("000000000007-1.lock"), "").expect("a lock");
+    let seven = Received {
+        from: ProcessNumber {
+            sequence: 7,
+            pid: 1,
+        },
+        message: word(),
+    };
     let news = other.poll();
     assert!(
-        news.told.is_empty() && news.words.contains(&((7, 1), word())),
+        news.errors.is_empty() && news.received.contains(&seven),
         "{news:?}"
     );
 }
