--- a/crates/coordinator/tests/golden_operators/control.rs
+++ b/crates/coordinator/tests/golden_operators/control.rs
@@ -99,11 +99,19 @@
         .with("\"limits\"", "\"management\": \"127.0.0.1:0\", \"limits\"")
 }
 
+/// A client that keeps a paused coordinator in the state `draining`.
+fn half_a_request(addr: std::net::SocketAddr) -> std::net::TcpStream {
+    let mut client = std::net::TcpStream::connect(addr).expect("it listens");
+    client.write_all(b"POST / HTTP/1.1\r\n").expect("it reads");
+    client
+}
+
 #[test]
 fn replies_of_the_control_socket() {
     let folder = Folder::new("control");
     let site = site(&folder).start();
     assert_eq!(site.query("SELECT 1").status, 200);
+    let _client = half_a_request(site.coordinator.addr);
     let mut operator = Operator::connect(&folder);
     let mut text = shown(&operator.line());
     let add = Request::Add {
@@ -213,6 +221,7 @@
 fn calls_at_the_second_address() {
     let folder = Folder::new("second");
     let site = site(&folder).start();
+    let _client = half_a_request(site.coordinator.addr);
     let mut text = String::new();
     for call in [
         "STATUS\n",
--- a/crates/coordinator/tests/golden_operators/files.rs
+++ b/crates/coordinator/tests/golden_operators/files.rs
@@ -204,6 +204,9 @@
         &["events"],
     ] {
         text += &type_in(&folder.0, &[args, &["--at", "control"]].concat());
+        if args == ["pause"] {
+            wait_until_drained(&folder.0);
+        }
     }
     running.end();
     assert_golden!("operators/orders-said.txt", times_out(&text));
@@ -212,6 +215,16 @@
     assert_golden!("operators/orders-written.txt", order_lines(&orders));
 }
 
+/// A pause with no client ends in the state `drained`, and in an event, with the next periodic check.
+fn wait_until_drained(folder: &Path) {
+    let begin = std::time::Instant::now();
+    while !type_in(folder, &["status", "--json", "--at", "control"])
+        .contains("\"state\":\"drained\"")
+    {
+        assert!(begin.elapsed() < TEST_TIMEOUT, "never drained");
+    }
+}
+
 /// Numbers of at least ten digits, and those with a point in them, are times.
 fn times_out(text: &str) -> String {
     text.split_inclusive([' ', '\n'])
