--- /dev/null
+++ b/crates/coordinator/src/config/resolve.rs
@@ -0,0 +1,209 @@
+//! The third step: defaults, margins and derived bounds.
+
+use super::document::ValidDocument;
+use super::{Config, Environment, Protocol};
+use crate::frontends::clickhouse::ClassRules;
+use crate::frontends::QueryClasses;
+use driftfront_core::{Limits, Micros};
+use driftfront_scheduler::interface::Settings;
+use driftfront_settings::json::Json;
+use std::path::PathBuf;
+use std::rc::Rc;
+
+/// Added to the time that an ordering key rests: an attempt's end reaches the engine after it is accounted for here.
+const SETTLE_MARGIN: Micros = 40_000;
+/// Taken off the time for which engines drop repeats: their clock starts before the first attempt is known there, and a
+/// repeat is some time on its way.
+const DEDUPLICATION_MARGIN: Micros = 200_000;
+/// A health check that takes longer has failed.
+const PROBE_TIMEOUT: Micros = 300_000;
+/// A request that is still open is answered this long before its client gives up.
+const ANSWER_MARGIN: Micros = 3_000;
+
+const MIN_DESCRIPTORS: u64 = 64;
+const DEFAULT_DESCRIPTORS: u64 = 1024;
+const DEFAULT_MEMORY_MB: u64 = 192;
+const MIN_MEMORY_MB: u64 = 16;
+const MAX_MEMORY_MB: u64 = 64 * 1024;
+/// Retained request bodies may fill one part in so many of the memory.
+const RETAINED_BODIES_DIVISOR: usize = 6;
+/// Unread results may fill one part in so many of the memory.
+const UNREAD_RESULTS_DIVISOR: usize = 4;
+
+const MAX_OPEN_REQUESTS: u64 = 4096;
+/// Idempotency keys remembered at once: tens are written a second at most, and each is kept for less than a minute.
+const MAX_IDEMPOTENCY_KEYS: usize = 8192;
+/// Attempts with an unknown outcome that are remembered by name, so that a KILL finds them.
+const MAX_UNKNOWN_OUTCOMES: usize = 1024;
+
+const DEFAULT_CLIENT_TIMEOUT: Micros = 30_000_000;
+const DEFAULT_CONNECT_TIMEOUT: Micros = 250_000;
+const DEFAULT_ENGINE_IDLE_TIMEOUT: Micros = 15_000_000;
+const DEFAULT_STREAMS_PER_CONNECTION: u64 = 32;
+const DEFAULT_NAME: &str = "driftfront";
+
+/// Names of a load report's values in the settings, and in the engines' protocol where that is another one.
+const LOAD_REPORT_FIELD_NAMES: [(&str, &str); 5] = [
+    ("active", "inflight"),
+    ("waiting", "queue"),
+    ("cpu", "util"),
+    ("avg_ms", "latency_ms"),
+    ("rps", "qps"),
+];
+
+impl ValidDocument<'_> {
+    /// The configuration that the document stands for.
+    pub(super) fn into_config(self, environment: &Environment) -> Config {
+        let document = self.document;
+        let root = document.root;
+        let settings = root.get("settings");
+        let caps = Caps(settings.get("Caps"));
+        let memory = memory_bytes(root.get("limits"));
+        let known = root.get("known");
+        Config {
+            file: None,
+            name: root.get("name").text().unwrap_or(DEFAULT_NAME).into(),
+            listen: document.listen,
+            seed: seed(root.get("seed")),
+            max_descriptors: max_descriptors(root.get("limits")),
+            protocol: document.protocol,
+            clickhouse: ClassRules {
+                read: self.read_class,
+                write: self.write_class,
+                deduplicated: self.deduplicated_class,
+                upload: self.upload_timeout,
+                keep: memory / RETAINED_BODIES_DIVISOR,
+            },
+            result_stall_timeout: self.result_stall_timeout,
+            max_unread_bytes: memory / UNREAD_RESULTS_DIVISOR,
+            discovery: document.discovery,
+            known_index: known.get("index").whole().unwrap_or(0),
+            known_updates: known.get("updates").list().unwrap_or(&[]).to_vec(),
+            classes: QueryClasses {
+                names: self.classes.into(),
+                patience: client_timeouts(settings),
+            },
+            tenants: tenant_names(settings),
+            zones: texts(settings.get("FailureDomains")),
+            kinds: texts(settings.get("MachineTypes")),
+            load_report_fields: load_report_fields(settings),
+            connect_timeout: caps.positive("ConnectTimeoutUs", DEFAULT_CONNECT_TIMEOUT),
+            engine_idle_timeout: caps.positive("ConnIdleUs", DEFAULT_ENGINE_IDLE_TIMEOUT),
+            max_streams_per_connection: caps
+                .positive("StreamsPerConn", DEFAULT_STREAMS_PER_CONNECTION)
+                as usize,
+            limits: limits(document.protocol, caps),
+            settings: with_margins(document.settings),
+            control_socket: root.get("control").text().map(PathBuf::from),
+            control_port: document.control_port,
+            management_address: management_address(root.get("management"), environment),
+            state_folder: root.get("state").text().map(PathBuf::from),
+            cluster: document.cluster,
+        }
+    }
+}
+
+/// The settings' `Caps`.
+#[derive(Clone, Copy)]
+struct Caps<'j>(Json<'j>);
+
+impl Caps<'_> {
+    /// A whole number above zero, else the default.
+    fn positive(self, key: &str, default: u64) -> u64 {
+        let number = self.0.get(key).whole();
+        number.filter(|&number| number > 0).unwrap_or(default)
+    }
+}
+
+fn limits(protocol: Protocol, caps: Caps) -> Limits {
+    let is_clickhouse = protocol == Protocol::ClickHouse;
+    Limits {
+        open: caps
+            .positive("MaxOpen", MAX_OPEN_REQUESTS)
+            .min(MAX_OPEN_REQUESTS) as usize,
+        probe_timeout: PROBE_TIMEOUT,
+        answer_margin: ANSWER_MARGIN,
+        tells_each: protocol == Protocol::Platform,
+        tokens: MAX_IDEMPOTENCY_KEYS,
+        doubts: if is_clickhouse {
+            MAX_UNKNOWN_OUTCOMES
+        } else {
+            0
+        },
+    }
+}
+
+/// The scheduler's settings, less what is lost between here and the engines.
+fn with_margins(mut settings: Settings) -> Settings {
+    settings.settle_time += SETTLE_MARGIN;
+    for class in &mut settings.classes {
+        class.deduplication_window = class
+            .deduplication_window
+            .saturating_sub(DEDUPLICATION_MARGIN);
+    }
+    settings
+}
+
+/// The seed as hexadecimal digits; other texts are hashed.
+fn seed(json: Json) -> u64 {
+    let text = json.text().unwrap_or_default();
+    u64::from_str_radix(text, 16).unwrap_or_else(|_| crate::net::fnv1a_64(text.as_bytes()))
+}
+
+fn max_descriptors(limits: Json) -> usize {
+    let descriptors = limits.get("sockets").whole();
+    let descriptors = descriptors.filter(|&number| number >= MIN_DESCRIPTORS);
+    descriptors.unwrap_or(DEFAULT_DESCRIPTORS) as usize
+}
+
+fn memory_bytes(limits: Json) -> usize {
+    let megabytes = limits
+        .get("memory_mb")
+        .whole()
+        .unwrap_or(DEFAULT_MEMORY_MB)
+        .clamp(MIN_MEMORY_MB, MAX_MEMORY_MB);
+    megabytes as usize * 1024 * 1024
+}
+
+/// The file's word goes before the environment's; an empty one is none.
+fn management_address(json: Json, environment: &Environment) -> Option<String> {
+    let address = json.text().map(String::from);
+    address
+        .or_else(|| environment.management_address.clone())
+        .filter(|address| !address.is_empty())
+}
+
+fn client_timeouts(settings: Json) -> Rc<[Micros]> {
+    let timeout = |profile: Json| profile.get("DeadlineUs").whole();
+    settings
+        .get("Profiles")
+        .each()
+        .map(|profile| timeout(profile).unwrap_or(DEFAULT_CLIENT_TIMEOUT))
+        .collect()
+}
+
+fn tenant_names(settings: Json) -> Rc<[String]> {
+    settings
+        .get("Tenants")
+        .each()
+        .map(|tenant| tenant.get("Name").text().unwrap_or("").into())
+        .collect()
+}
+
+fn load_report_fields(settings: Json) -> Rc<[String]> {
+    let in_protocol = |name: String| {
+        let renamed = LOAD_REPORT_FIELD_NAMES.iter().find(|names| names.0 == name);
+        renamed.map_or(name, |names| names.1.to_string())
+    };
+    texts(settings.get("LoadReport").get("Fields"))
+        .into_iter()
+        .map(in_protocol)
+        .collect()
+}
+
+/// The texts of a list; an empty one for each value that is none.
+fn texts(list: Json) -> Vec<String> {
+    list.each()
+        .map(|value| value.text().unwrap_or_default().to_string())
+        .collect()
+}
--- a/crates/coordinator/src/demo.rs
+++ b/crates/coordinator/src/demo.rs
@@ -53,10 +53,10 @@
             "name \"demo\"\nlisten \"{port}\"\nengines {{\n{lines}}}\ncontrol \"{}\"\n",
             socket.display()
         );
-        Config::of_operator(&text)?;
+        Config::of_operator(&text).map_err(|error| error.to_string())?;
         std::thread::spawn(move || {
             // Read where it is used: a configuration stays on its thread.
-            let config = Config::of_operator(&text)?;
+            let config = Config::of_operator(&text).map_err(|error| error.to_string())?;
             let events = EventLoop::try_new().map_err(|e| e.to_string())?;
             Node::new(config, &events)?.run(events)
         });
--- a/crates/coordinator/src/main.rs
+++ b/crates/coordinator/src/main.rs
@@ -44,6 +44,12 @@
     }
 }
 
+impl From<driftfront::config::ConfigError> for Failure {
+    fn from(error: driftfront::config::ConfigError) -> Failure {
+        Failure::Wrong(error.to_string())
+    }
+}
+
 impl From<pico_args::Error> for Failure {
     fn from(e: pico_args::Error) -> Failure {
         Failure::Usage(e.to_string())
--- a/crates/coordinator/src/node/control/mod.rs
+++ b/crates/coordinator/src/node/control/mod.rs
@@ -213,7 +213,9 @@
             self.watch(listener, EventSource::Operators(0))
                 .map_err(|e| format!("event loop: {e}"))?;
         }
-        if let Some((addr, key)) = self.config.control_port.clone() {
+        if let Some(crate::config::ControlPort { address: addr, key }) =
+            self.config.control_port.clone()
+        {
             let listener = Rc::new(
                 super::clients::listen(addr).map_err(|e| format!("control port {addr}: {e}"))?,
             );
--- a/crates/coordinator/tests/fleet.rs
+++ b/crates/coordinator/tests/fleet.rs
@@ -192,7 +192,9 @@
     let barred = driftfront::config::Config::read(
         text.replace("\"clickhouse\",", "\"platform\",").as_bytes(),
     );
-    assert!(barred.err().is_some_and(|e| e.contains("bar talk")));
+    assert!(barred
+        .err()
+        .is_some_and(|e| e.to_string().contains("bar talk")));
     assert!(driftfront::config::Config::read(text.as_bytes()).is_ok_and(|c| c.cluster.is_some()));
 }
 
