--- /dev/null
+++ b/crates/coordinator/src/backends/clickhouse/cause.rs
@@ -0,0 +1,33 @@
+//! What an error of an engine says of the attempt.
+
+use driftfront_clickhouse::exception::{proof, Exception, Proof, NETWORK_ERROR};
+use driftfront_clickhouse::watch::Fault;
+use driftfront_core::Cause;
+
+/// ClickHouse's code for a result that can't be decoded.
+const CORRUPTED_DATA: u32 = 246;
+/// An exception without a code: the engine sent words that can't be read.
+const NO_CODE: u32 = 0;
+
+/// The cause of a failure told with a code, an HTTP status and words.
+pub(super) fn cause_of_error(code: Option<u32>, status: u16, text: &str) -> Cause {
+    match proof(code, status) {
+        Proof::NeverRan => Cause::Rejected,
+        Proof::OfTheStatement => Cause::Statement(text.into()),
+        Proof::MayHaveRun => Cause::Engine(text.into()),
+    }
+}
+
+/// The cause of a result that broke after its status said 200: the query has begun.
+pub(super) fn cause_of_broken_result(fault: &Fault) -> Cause {
+    match fault {
+        Fault::Exception(e) if e.code == NO_CODE => {
+            Cause::Engine(Exception::new(NETWORK_ERROR, &e.text).text)
+        }
+        Fault::Exception(e) => match cause_of_error(Some(e.code), 200, &e.text) {
+            Cause::Rejected => Cause::Engine(e.text.clone()),
+            cause => cause,
+        },
+        fault => Cause::Engine(Exception::new(CORRUPTED_DATA, &fault.to_string()).text),
+    }
+}
--- /dev/null
+++ b/crates/coordinator/src/backends/clickhouse/request.rs
@@ -0,0 +1,60 @@
+//! The bytes of a query to an engine.
+
+use super::{COMPRESSED_BLOCKS, REQUEST_HEADERS, URL_PARAMETERS};
+use crate::backends::AttemptRequest;
+use driftfront_clickhouse::params::encode;
+use driftfront_core::Micros;
+use driftfront_http::chunk;
+use std::fmt::Write as _;
+
+/// Usual heads are shorter.
+const HEAD_CAPACITY_BYTES: usize = 512;
+const MICROS_PER_SECOND: Micros = 1_000_000;
+
+/// Writes a query; of a streamed body only its beginning. True if the result was asked for in compressed blocks.
+pub(super) fn write_query(host: &str, attempt: &AttemptRequest, out: &mut Vec<u8>) -> bool {
+    let mut head = String::with_capacity(HEAD_CAPACITY_BYTES);
+    write_target(attempt, &mut head);
+    let (mut headers, mut has_blocks) = ("", false);
+    for (name, value) in attempt.request.about.iter() {
+        match name.as_str() {
+            URL_PARAMETERS => head.push_str(value),
+            REQUEST_HEADERS => headers = value,
+            COMPRESSED_BLOCKS => has_blocks = true,
+            _ => {}
+        }
+    }
+    let _ = write!(head, " HTTP/1.1\r\nHost: {host}\r\n{headers}");
+    let statement = &attempt.request.statement;
+    if attempt.request.once {
+        head.push_str("Transfer-Encoding: chunked\r\n\r\n");
+        out.extend(head.bytes());
+        out.extend(chunk(statement));
+    } else {
+        let _ = write!(head, "Content-Length: {}\r\n\r\n", statement.len());
+        out.extend(head.bytes());
+        out.extend_from_slice(statement);
+    }
+    has_blocks
+}
+
+/// Writes the method and what the coordinator itself puts into the URL. The engine's own limit follows the coordinator's wait: what
+/// nobody waits for should not run on.
+fn write_target(attempt: &AttemptRequest, head: &mut String) {
+    let seconds = attempt.timeout.div_ceil(MICROS_PER_SECOND).max(1);
+    head.push_str("POST /?query_id=");
+    encode(attempt.name, head);
+    let _ = write!(head, "&max_execution_time={seconds}");
+    if let Some(interval) = attempt.progress_interval {
+        let ms = interval / 1000;
+        let _ = write!(
+            head,
+            "&send_progress_in_http_headers=1&http_headers_progress_interval_ms={ms}"
+        );
+    }
+}
+
+/// Writes a probe.
+pub(super) fn write_ping(host: &str, out: &mut Vec<u8>) {
+    out.extend(format!("GET /ping HTTP/1.1\r\nHost: {host}\r\n\r\n").bytes());
+}
--- /dev/null
+++ b/crates/coordinator/src/backends/clickhouse/response.rs
@@ -0,0 +1,198 @@
+//! One response of an engine, from its head to its end.
+
+use super::cause::{cause_of_broken_result, cause_of_error};
+use super::{PROGRESS_HEADER, QUERY_ID_HEADER};
+use crate::backends::EngineEvent;
+use driftfront_clickhouse::exception::{code_of, MAX_TEXT_BYTES};
+use driftfront_clickhouse::watch::{Fault, Watch};
+use driftfront_core::{AttemptKey, ResponseChunk};
+use driftfront_http::{header, ResponseHead};
+
+/// Rows held back before the first is forwarded: an error found until then can still be answered by a further attempt or in full.
+const MAX_HELD_BYTES: usize = 32 * 1024;
+/// Headers that describe the result for its client, beside those of [`FORWARDED_PREFIXES`].
+const FORWARDED_HEADERS: [&str; 3] = ["content-type", "content-encoding", "content-disposition"];
+/// See [`FORWARDED_HEADERS`].
+const FORWARDED_PREFIXES: [&str; 2] = ["x-clickhouse-", "access-control-"];
+
+/// The response so far.
+#[derive(Default)]
+pub(super) struct Response {
+    /// The client's id of the query.
+    request_id: String,
+    head: Option<ResponseHead>,
+    /// Error text, or rows that are not forwarded yet.
+    held: Vec<u8>,
+    /// Checks the result; there once the head of a query's response is.
+    watch: Option<Watch>,
+    is_forwarding: bool,
+    /// The last progress reported.
+    progress: Option<String>,
+}
+
+impl Response {
+    /// The response to a query of this id of its client.
+    pub(super) fn to(request_id: &str) -> Response {
+        Response {
+            request_id: request_id.into(),
+            ..Response::default()
+        }
+    }
+
+    pub(super) fn has_head(&self) -> bool {
+        self.head.is_some()
+    }
+
+    pub(super) fn set_progress(&mut self, header_value: String) {
+        self.progress = Some(header_value);
+    }
+
+    /// Takes the head; a query's result is checked by `watch`.
+    pub(super) fn set_head(&mut self, head: ResponseHead, watch: Option<Watch>) {
+        self.head = Some(head);
+        if watch.is_some() {
+            self.watch = watch;
+        }
+    }
+
+    /// The exception's code in the head, if there is one.
+    fn code(&self) -> Option<u32> {
+        header(&self.head.as_ref()?.headers, "X-ClickHouse-Exception-Code")?
+            .trim()
+            .parse()
+            .ok()
+    }
+
+    /// Whether the head tells of an error.
+    pub(super) fn is_error(&self) -> bool {
+        self.code().is_some() || self.head.as_ref().is_some_and(|h| h.status != 200)
+    }
+
+    /// Headers that describe the result, for the client.
+    fn forwarded_headers(&mut self) -> Vec<(String, String)> {
+        let headers = self.head.iter().flat_map(|h| &h.headers);
+        let mut forwarded: Vec<_> = headers.filter(|h| is_forwarded(&h.0)).cloned().collect();
+        // A further attempt may have run under another name than its client's.
+        let request_id = std::mem::take(&mut self.request_id);
+        for (name, value) in &mut forwarded {
+            if name.eq_ignore_ascii_case(QUERY_ID_HEADER) {
+                value.clone_from(&request_id);
+            }
+        }
+        forwarded.extend(
+            self.progress
+                .take()
+                .map(|p| (PROGRESS_HEADER.to_string(), p)),
+        );
+        forwarded
+    }
+
+    /// Takes a part of the body.
+    ///
+    /// # Errors
+    ///
+    /// Where the result is broken: nothing of this response may be used any more.
+    pub(super) fn add_body(
+        &mut self,
+        key: AttemptKey,
+        bytes: Vec<u8>,
+        events: &mut Vec<EngineEvent>,
+    ) -> Result<(), Fault> {
+        if self.is_error() {
+            let room = MAX_TEXT_BYTES.saturating_sub(self.held.len());
+            self.held.extend_from_slice(&bytes[..bytes.len().min(room)]);
+            return Ok(());
+        }
+        if let Some(watch) = &mut self.watch {
+            watch.push(&bytes)?;
+        }
+        if self.held.is_empty() {
+            self.held = bytes;
+        } else {
+            self.held.extend(bytes);
+        }
+        if self.is_forwarding || self.held.len() > MAX_HELD_BYTES {
+            self.forward_held(key, false, events);
+        }
+        Ok(())
+    }
+
+    /// Forwards the rows that are held; with the first of them what describes the result.
+    fn forward_held(&mut self, key: AttemptKey, is_last: bool, events: &mut Vec<EngineEvent>) {
+        let is_first = !std::mem::replace(&mut self.is_forwarding, true);
+        let about = if is_first {
+            self.forwarded_headers()
+        } else {
+            Vec::new()
+        };
+        let chunk = ResponseChunk {
+            about,
+            rows: std::mem::take(&mut self.held),
+            whole: is_first && is_last,
+        };
+        events.push(EngineEvent::ResponseChunk(key, chunk));
+    }
+
+    /// Ends the response at its proper end.
+    pub(super) fn finish(&mut self, key: AttemptKey, events: &mut Vec<EngineEvent>) {
+        if self.is_error() {
+            return events.push(self.error_event(key));
+        }
+        if let Some(Err(fault)) = self.watch.as_mut().map(|w| w.end(false)) {
+            return events.push(EngineEvent::Failed(key, cause_of_broken_result(&fault)));
+        }
+        if !self.is_forwarding || !self.held.is_empty() {
+            self.forward_held(key, true, events);
+        }
+        events.push(EngineEvent::Served(key));
+    }
+
+    /// Ends the response where the connection was cut: servers cut the chunks after an error that came too late for the status. The
+    /// event, if the engine said why.
+    pub(super) fn finish_cut(&mut self, key: AttemptKey) -> Option<EngineEvent> {
+        if !self.has_head() || self.is_error() {
+            return None;
+        }
+        match self.watch.as_mut()?.end(true) {
+            Err(fault @ Fault::Exception(_)) => {
+                Some(EngineEvent::Failed(key, cause_of_broken_result(&fault)))
+            }
+            // A connection that is cut says by itself that the result is not complete.
+            _ => None,
+        }
+    }
+
+    fn error_event(&self, key: AttemptKey) -> EngineEvent {
+        let text = String::from_utf8_lossy(&self.held);
+        let text = text.trim_end();
+        let code = self.code().or_else(|| code_of(text));
+        let status = self.head.as_ref().map_or(0, |h| h.status);
+        EngineEvent::Failed(key, cause_of_error(code, status, text))
+    }
+}
+
+/// Whether a header is forwarded to the client.
+fn is_forwarded(name: &str) -> bool {
+    let has_prefix = |prefix: &&str| {
+        name.get(..prefix.len())
+            .is_some_and(|begin| begin.eq_ignore_ascii_case(prefix))
+    };
+    FORWARDED_PREFIXES.iter().any(has_prefix)
+        || FORWARDED_HEADERS
+            .iter()
+            .any(|h| name.eq_ignore_ascii_case(h))
+}
+
+/// The share of a query that is done, by the value of its progress header.
+pub(super) fn progress_share(value: &str) -> Option<f64> {
+    let number = |name: &str| {
+        let rest = &value[value.find(&format!("\"{name}\""))? + name.len() + 2..];
+        let digits = rest.trim_start_matches([':', ' ', '"']);
+        let end = digits
+            .find(|c: char| !c.is_ascii_digit())
+            .unwrap_or(digits.len());
+        digits[..end].parse::<f64>().ok()
+    };
+    let (read, total) = (number("read_rows")?, number("total_rows_to_read")?);
+    (total > 0.0).then(|| (read / total).clamp(0.0, 1.0))
+}
--- /dev/null
+++ b/crates/coordinator/src/backends/engine_protocol/pages.rs
@@ -0,0 +1,131 @@
+//! The pages of one attempt's result.
+
+use super::message::{Message, MessageKind};
+use driftfront_core::{AttemptKey, AttemptReport, Micros};
+
+/// Most pages of a result.
+const MAX_PAGES: usize = 16;
+
+/// Why a page can't be used.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum PageError {
+    /// Rows are cut, or have not three columns.
+    #[error("a page that is not whole rows of three columns")]
+    NotRows,
+    /// A first page without `fetches`: a cut result would look complete.
+    #[error("no number of pages")]
+    NoPageCount,
+    /// A result over the bound.
+    #[error("too many pages")]
+    TooManyPages,
+    /// A further page without `fetch_no`.
+    #[error("no page number")]
+    NoPageNumber,
+    /// A page beyond the result, or before its first one.
+    #[error("a page that was not asked for")]
+    Unrequested,
+}
+
+/// An attempt in flight, and the pages that have come.
+pub(super) struct OpenAttempt {
+    pub(super) key: AttemptKey,
+    /// Empty until the first page says how many there are.
+    pages: Vec<Option<Vec<u8>>>,
+    /// What the first page reported.
+    pub(super) report: AttemptReport,
+    /// When the first page came.
+    begun_at: Micros,
+    /// Missing pages have been requested a second time.
+    is_requested_again: bool,
+}
+
+impl OpenAttempt {
+    pub(super) fn new(key: AttemptKey) -> OpenAttempt {
+        OpenAttempt {
+            key,
+            pages: Vec::new(),
+            report: AttemptReport::default(),
+            begun_at: 0,
+            is_requested_again: false,
+        }
+    }
+
+    /// Adds a page; false if it is there already.
+    pub(super) fn add_page(
+        &mut self,
+        now: Micros,
+        message: Message,
+        report: impl FnOnce(&Message) -> AttemptReport,
+    ) -> Result<bool, PageError> {
+        let is_first = message.kind == MessageKind::Hit;
+        if is_first && !self.pages.is_empty() {
+            return Ok(false);
+        }
+        if !is_rows(&message.body) {
+            return Err(PageError::NotRows);
+        }
+        let index = if is_first {
+            let count = message.index("fetches").ok_or(PageError::NoPageCount)?;
+            if count > MAX_PAGES {
+                return Err(PageError::TooManyPages);
+            }
+            self.pages = vec![None; count.max(1)];
+            (self.report, self.begun_at) = (report(&message), now);
+            0
+        } else {
+            message.index("fetch_no").ok_or(PageError::NoPageNumber)?
+        };
+        let page = self.pages.get_mut(index).ok_or(PageError::Unrequested)?;
+        if page.is_some() {
+            return Ok(false);
+        }
+        *page = Some(message.body);
+        Ok(true)
+    }
+
+    /// Writes a request for each missing page.
+    pub(super) fn request_missing_pages(&self, id: &str, out: &mut Vec<u8>) {
+        for (index, page) in self.pages.iter().enumerate() {
+            if page.is_none() {
+                out.extend(format!("FETCH {id} {index}\r\n").bytes());
+            }
+        }
+    }
+
+    /// Requests missing pages a second time, once.
+    pub(super) fn request_missing_pages_again(&mut self, id: &str, out: &mut Vec<u8>) {
+        if !std::mem::replace(&mut self.is_requested_again, true) {
+            self.request_missing_pages(id, out);
+        }
+    }
+
+    /// Whether its first page came more than this long ago.
+    pub(super) fn has_waited(&self, now: Micros, time: Micros) -> bool {
+        !self.pages.is_empty() && now > self.begun_at + time
+    }
+
+    /// Whether all pages have come.
+    pub(super) fn is_complete(&self) -> bool {
+        self.pages.iter().all(Option::is_some)
+    }
+
+    /// How many pages the result has.
+    pub(super) fn page_count(&self) -> usize {
+        self.pages.len()
+    }
+
+    /// All rows, and what the first page reported.
+    pub(super) fn into_result(self) -> (Vec<u8>, AttemptReport) {
+        let rows = self.pages.into_iter().flatten().flatten().collect();
+        (rows, self.report)
+    }
+}
+
+/// Whether a page holds whole rows of three text columns.
+fn is_rows(page: &[u8]) -> bool {
+    let Ok(text) = std::str::from_utf8(page) else {
+        return false;
+    };
+    let is_row = |row: &str| row.ends_with('\n') && row.matches('\t').count() == 2;
+    text.split_inclusive('\n').all(is_row)
+}
--- /dev/null
+++ b/crates/coordinator/src/backends/engine_protocol/session.rs
@@ -0,0 +1,344 @@
+//! A connection's session in the line protocol.
+
+use super::message::{LineError, Message, MessageKind, MessageReader};
+use super::pages::OpenAttempt;
+use crate::backends::{AttemptRequest, EngineEvent, EngineSession, SessionError};
+use driftfront_core::{
+    AttemptKey, AttemptReport, Cause, Micros, Outcome, ProgressReport, ResponseChunk,
+};
+use std::collections::{BTreeMap, VecDeque};
+use std::fmt::Write as _;
+use std::rc::Rc;
+
+/// A message that has begun on the wire is complete by then, else its rest will never come, and nothing behind it either.
+const MESSAGE_STALL_TIMEOUT: Micros = 500_000;
+/// A page that has not come by then is requested again.
+const PAGE_RETRY_DELAY: Micros = 250_000;
+/// A result that is not complete by then never will be.
+const RESULT_TIMEOUT: Micros = 1_200_000;
+/// Ids of attempts that ended without being served, which this connection does not carry again.
+const MAX_CLOSED_IDS: usize = 64;
+/// Probes in flight: one that timed out is never answered.
+const MAX_OPEN_PROBES: usize = 8;
+/// The largest grant that is written, MB.
+const MAX_GRANT_MB: f64 = 1e9;
+/// Stands for a figure that was not reported: the scheduler takes values out of range as absent.
+const NOT_REPORTED: f64 = -1.0;
+
+/// The state of one connection.
+pub struct LineSession {
+    reader: MessageReader,
+    /// Attempts in flight, by the request's id.
+    open: BTreeMap<Rc<str>, OpenAttempt>,
+    /// Ids that ended here without being served, the oldest first. An answer to the earlier attempt may still come, or come a
+    /// second time, and would be taken for a later attempt's: that goes by another connection.
+    closed_ids: VecDeque<Rc<str>>,
+    /// Tags of the probes in flight, the oldest first.
+    probes: Vec<u64>,
+    max_attempts: usize,
+    gauges: Rc<[String]>,
+    /// The message on the wire that is not complete began, or went on from a complete one, then.
+    incomplete_since: Option<Micros>,
+}
+
+impl LineSession {
+    /// A session that carries at most `max_attempts`; `gauges` names the values of a load report in order.
+    pub fn new(max_attempts: usize, gauges: Rc<[String]>) -> LineSession {
+        LineSession {
+            reader: MessageReader::default(),
+            open: BTreeMap::new(),
+            closed_ids: VecDeque::new(),
+            probes: Vec::new(),
+            max_attempts,
+            gauges,
+            incomplete_since: None,
+        }
+    }
+
+    /// Applies a message. One of an unknown id changes nothing: what was given up may still be answered, as its answer crossed
+    /// our STOP, and some answers come twice, or under an id that nobody asked for. None of that may reach another request.
+    fn apply(
+        &mut self,
+        now: Micros,
+        message: Message,
+        out: &mut Vec<u8>,
+        events: &mut Vec<EngineEvent>,
+    ) -> Result<(), LineError> {
+        match message.kind {
+            MessageKind::Pong => self.end_probe(&message, Outcome::Ok, events),
+            MessageKind::Sick => self.end_probe(&message, Outcome::Error, events),
+            MessageKind::Shed | MessageKind::Late => {
+                self.fail_attempt(&message, Cause::Rejected, events);
+            }
+            MessageKind::Fault => {
+                self.fail_attempt(&message, Cause::Engine("FAULT".into()), events);
+            }
+            MessageKind::Info => self.report_progress(&message, events),
+            MessageKind::Hit | MessageKind::Part => {
+                return self.add_page(now, message, out, events);
+            }
+        }
+        Ok(())
+    }
+
+    fn end_probe(&mut self, message: &Message, outcome: Outcome, events: &mut Vec<EngineEvent>) {
+        let tag = message.id.strip_prefix('p').and_then(|t| t.parse().ok());
+        if let Some(index) = self.probes.iter().position(|p| Some(*p) == tag) {
+            let report = load_report(&self.gauges, message);
+            let tag = self.probes.swap_remove(index);
+            events.push(EngineEvent::ProbeEnded(tag, outcome, report));
+        }
+    }
+
+    fn fail_attempt(&mut self, message: &Message, cause: Cause, events: &mut Vec<EngineEvent>) {
+        let Some(key) = self.close_id(&message.id) else {
+            return;
+        };
+        let report = AttemptReport {
+            report: load_report(&self.gauges, message),
+            ..AttemptReport::default()
+        };
+        events.push(EngineEvent::AttemptReport(key, report));
+        events.push(EngineEvent::Failed(key, cause));
+    }
+
+    fn report_progress(&self, message: &Message, events: &mut Vec<EngineEvent>) {
+        if let Some(open) = self.open.get(&*message.id) {
+            let report = progress_report(message);
+            events.extend(report.map(|r| EngineEvent::ProgressReported(open.key, r)));
+        }
+    }
+
+    fn add_page(
+        &mut self,
+        now: Micros,
+        mut message: Message,
+        out: &mut Vec<u8>,
+        events: &mut Vec<EngineEvent>,
+    ) -> Result<(), LineError> {
+        let (id, kind) = (std::mem::take(&mut message.id), message.kind);
+        let Some(open) = self.open.get_mut(&*id) else {
+            return Ok(());
+        };
+        let key = open.key;
+        let report = |message: &Message| attempt_report(&self.gauges, message);
+        match open.add_page(now, message, report) {
+            Ok(false) => return Ok(()),
+            Ok(true) => events.push(EngineEvent::Begun(key)),
+            Err(error) => {
+                self.open.remove(&*id);
+                let cause = Cause::MalformedResponse(error.to_string());
+                events.push(EngineEvent::Failed(key, cause));
+                let word = kind.word();
+                return Err(LineError::Page { word, error });
+            }
+        }
+        if kind == MessageKind::Hit {
+            // All pages at once: they are lost with their engine.
+            open.request_missing_pages(&id, out);
+        }
+        if open.is_complete() {
+            self.complete_attempt(&id, out, events);
+        }
+        Ok(())
+    }
+
+    fn complete_attempt(&mut self, id: &str, out: &mut Vec<u8>, events: &mut Vec<EngineEvent>) {
+        let Some(open) = self.open.remove(id) else {
+            return;
+        };
+        if open.page_count() > 1 {
+            out.extend(format!("END {id}\r\n").bytes());
+        }
+        let key = open.key;
+        let (rows, report) = open.into_result();
+        let chunk = ResponseChunk {
+            about: Vec::new(),
+            rows,
+            whole: true,
+        };
+        events.push(EngineEvent::ResponseChunk(key, chunk));
+        events.push(EngineEvent::AttemptReport(key, report));
+        events.push(EngineEvent::Served(key));
+    }
+
+    /// Ends what was in flight under this id without being served, and keeps the id off this connection; which attempt it was.
+    fn close_id(&mut self, id: &str) -> Option<AttemptKey> {
+        let (id, open) = self.open.remove_entry(id)?;
+        if self.closed_ids.len() >= MAX_CLOSED_IDS {
+            self.closed_ids.pop_front();
+        }
+        self.closed_ids.push_back(id);
+        Some(open.key)
+    }
+}
+
+/// The load report of a message, in the order of the gauges' names; empty where it has none.
+fn load_report(gauges: &[String], message: &Message) -> Vec<f64> {
+    let Some(reported) = message.field("gauges") else {
+        return Vec::new();
+    };
+    let value = |name: &String| {
+        reported
+            .split(';')
+            .filter_map(|gauge| gauge.split_once(':'))
+            .filter(|gauge| gauge.0 == name)
+            .find_map(|gauge| gauge.1.parse::<f64>().ok())
+            .unwrap_or(NOT_REPORTED)
+    };
+    gauges.iter().map(value).collect()
+}
+
+/// What a result's first page reports of the engine and the query.
+fn attempt_report(gauges: &[String], message: &Message) -> AttemptReport {
+    AttemptReport {
+        report: load_report(gauges, message),
+        work: message.figure("effort").map(|ms| ms * 1000.0),
+        memory_mb: message.figure("high"),
+    }
+}
+
+fn progress_report(message: &Message) -> Option<ProgressReport> {
+    let figure: f64 = message.field("figure")?.parse().ok()?;
+    match message.field("res")? {
+        "p" if figure.is_finite() => Some(ProgressReport::Progress(figure.clamp(0.0, 1.0))),
+        "s" if figure.is_finite() => Some(ProgressReport::Spills(figure.max(0.0))),
+        "w" if figure == 1.0 => Some(ProgressReport::WaitsForMemory),
+        "w" if figure == 2.0 => Some(ProgressReport::WaitsForLoad),
+        _ => None,
+    }
+}
+
+/// The fields of an attempt's line.
+fn request_fields(attempt: &AttemptRequest) -> String {
+    let ms = (attempt.timeout / 1000).max(1);
+    let mut fields = format!("kind={},ms={ms}", attempt.class);
+    if let Some(token) = &attempt.request.token {
+        let _ = write!(fields, ",token={token}");
+    }
+    if attempt.grant_mb > 0.0 {
+        let grant_mb = attempt.grant_mb.min(MAX_GRANT_MB).ceil();
+        let _ = write!(fields, ",workmem={grant_mb}");
+    }
+    fields
+}
+
+impl EngineSession for LineSession {
+    fn max_attempts(&self) -> usize {
+        self.max_attempts
+    }
+
+    fn open_attempts(&self) -> Vec<AttemptKey> {
+        self.open.values().map(|o| o.key).collect()
+    }
+
+    fn has_attempt(&self, key: AttemptKey) -> bool {
+        self.open.values().any(|o| o.key == key)
+    }
+
+    fn attempt_count(&self) -> usize {
+        self.open.len()
+    }
+
+    fn can_start(&self, request_id: &str) -> bool {
+        let is_known = self.open.contains_key(request_id)
+            || self.closed_ids.iter().any(|id| **id == *request_id);
+        self.open.len() < self.max_attempts && !is_known
+    }
+
+    fn is_idle(&self) -> bool {
+        self.open.is_empty() && self.probes.is_empty()
+    }
+
+    fn start_attempt(&mut self, attempt: &AttemptRequest, out: &mut Vec<u8>) {
+        let request = attempt.request;
+        let fields = request_fields(attempt);
+        let length = request.statement.len();
+        out.extend(format!("REQ {} {fields} {length}\r\n", request.call).bytes());
+        out.extend_from_slice(&request.statement);
+        out.extend_from_slice(b"\r\n");
+        self.open
+            .insert(request.call.clone(), OpenAttempt::new(attempt.key));
+    }
+
+    fn stop_attempt(&mut self, key: AttemptKey, out: &mut Vec<u8>) -> bool {
+        let id = self
+            .open
+            .iter()
+            .find(|o| o.1.key == key)
+            .map(|o| o.0.clone());
+        if let Some(id) = id {
+            out.extend(format!("STOP {id}\r\n").bytes());
+            self.close_id(&id);
+        }
+        true
+    }
+
+    fn write_probe(&mut self, tag: u64, out: &mut Vec<u8>) {
+        out.extend(format!("STAT p{tag}\r\n").bytes());
+        if self.probes.len() >= MAX_OPEN_PROBES {
+            self.probes.remove(0);
+        }
+        self.probes.push(tag);
+    }
+
+    fn open_probes(&self) -> Vec<u64> {
+        self.probes.clone()
+    }
+
+    fn decode(
+        &mut self,
+        now: Micros,
+        input: &[u8],
+        out: &mut Vec<u8>,
+        events: &mut Vec<EngineEvent>,
+    ) -> Result<(), SessionError> {
+        self.reader.push(input);
+        while let Some(message) = self.reader.next_message()? {
+            self.incomplete_since = None;
+            self.apply(now, message, out, events)?;
+        }
+        self.incomplete_since = self
+            .reader
+            .is_mid_message()
+            .then_some(self.incomplete_since.unwrap_or(now));
+        Ok(())
+    }
+
+    fn check_timeouts(
+        &mut self,
+        now: Micros,
+        out: &mut Vec<u8>,
+        events: &mut Vec<EngineEvent>,
+    ) -> Result<(), SessionError> {
+        let is_over = |since: Micros, timeout: Micros| now > since + timeout;
+        if self
+            .incomplete_since
+            .is_some_and(|since| is_over(since, MESSAGE_STALL_TIMEOUT))
+        {
+            return Err(LineError::Stalled.into());
+        }
+        let mut lost = Vec::new();
+        for (id, open) in &mut self.open {
+            if open.has_waited(now, RESULT_TIMEOUT) {
+                lost.push(id.clone());
+            } else if open.has_waited(now, PAGE_RETRY_DELAY) {
+                open.request_missing_pages_again(id, out);
+            }
+        }
+        for id in lost {
+            let failed = |key| {
+                let cause = Cause::MalformedResponse("its pages never came".into());
+                EngineEvent::Failed(key, cause)
+            };
+            events.extend(self.close_id(&id).map(failed));
+        }
+        Ok(())
+    }
+
+    fn decode_close(&mut self, _events: &mut Vec<EngineEvent>) {}
+
+    fn is_spent(&self) -> bool {
+        false
+    }
+}
--- a/crates/coordinator/src/backends/mod.rs
+++ b/crates/coordinator/src/backends/mod.rs
@@ -1,4 +1,7 @@
-//! Back ends: what is spoken on engines' connections, without their sockets.
+//! Backends: the protocols spoken with engines, without their sockets.
+//!
+//! A backend is an [`EngineSession`]: it encodes attempts and probes for one connection and decodes what the engine sends back into
+//! [`EngineEvent`]s. [`engine_protocol`] is the platform's line protocol, [`clickhouse`] the ClickHouse HTTP interface.
 
 pub mod clickhouse;
 pub mod engine_protocol;
@@ -10,101 +13,120 @@
 /// What an engine's connection has brought.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EngineEvent {
-    /// Word on an attempt.
+    /// A progress report of an attempt.
     ProgressReported(AttemptKey, ProgressReport),
-    /// The answer has begun.
+    /// The response has begun.
     Begun(AttemptKey),
-    /// A piece of the answer, to be passed on.
+    /// A chunk of the response, to be forwarded.
     ResponseChunk(AttemptKey, ResponseChunk),
-    /// What an answer told of the engine and the query; comes before the attempt's end.
+    /// What a response reported of the engine and the query; comes before the attempt's end.
     AttemptReport(AttemptKey, AttemptReport),
-    /// The answer is whole.
+    /// The response is complete.
     Served(AttemptKey),
-    /// The attempt ended without serving.
+    /// The attempt ended without a usable response.
     Failed(AttemptKey, Cause),
-    /// A probe's result.
+    /// A probe's tag, its outcome and the engine's load report.
     ProbeEnded(u64, Outcome, Vec<f64>),
 }
 
 /// An attempt to be written.
 pub struct AttemptRequest<'a> {
-    /// Which.
+    /// Which attempt.
     pub key: AttemptKey,
     /// The request.
-    pub ask: &'a ParsedRequest,
+    pub request: &'a ParsedRequest,
     /// The name of its class.
     pub class: &'a str,
     /// Its name on the engine: the request's own, unless an earlier attempt may still run under that.
     pub name: &'a str,
     /// How long the coordinator will wait.
-    pub patience: Micros,
+    pub timeout: Micros,
     /// Memory granted, MB; 0 leaves it to the engine.
     pub grant_mb: f64,
-    /// How often it should tell of its progress; `None` where that is not wanted.
+    /// How often the engine should report progress; `None` where that is not wanted.
     pub progress_interval: Option<Micros>,
 }
 
-/// One connection's conversation.
+/// Why nothing more can be decoded on a connection.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum SessionError {
+    /// The platform's line protocol was violated.
+    #[error(transparent)]
+    Line(#[from] engine_protocol::LineError),
+    /// The ClickHouse interface was violated.
+    #[error(transparent)]
+    ClickHouse(#[from] clickhouse::ClickHouseError),
+}
+
+/// The protocol state of one connection to an engine.
 pub trait EngineSession {
-    /// Attempts that may be out on it at once.
-    fn most(&self) -> usize;
-    /// Attempts out on it.
-    fn open(&self) -> Vec<AttemptKey>;
-    /// Whether this attempt is out on it.
-    fn has(&self, key: AttemptKey) -> bool {
-        self.open().contains(&key)
+    /// Attempts that may be in flight on it at once.
+    fn max_attempts(&self) -> usize;
+    /// Attempts in flight on it.
+    fn open_attempts(&self) -> Vec<AttemptKey>;
+    /// Whether this attempt is in flight on it.
+    fn has_attempt(&self, key: AttemptKey) -> bool {
+        self.open_attempts().contains(&key)
     }
-    /// How many attempts are out on it.
-    fn load(&self) -> usize {
-        self.open().len()
+    /// How many attempts are in flight on it.
+    fn attempt_count(&self) -> usize {
+        self.open_attempts().len()
     }
-    /// Whether notes come as long as work is out, so that their want means silence.
-    fn tells_notes(&self) -> bool {
+    /// Whether progress reports come as long as work is in flight, so that their absence means silence.
+    fn reports_progress(&self) -> bool {
         true
     }
-    /// Whether what is out says nothing for as long as it likes, so that only a probe shows that the engine lives.
-    fn wants_checks(&self) -> bool {
+    /// Whether what is in flight may say nothing for as long as it likes, so that only a probe shows that the engine lives.
+    fn needs_liveness_probes(&self) -> bool {
         false
     }
-    /// Whether an answer has begun that comes as it is made.
+    /// Whether a response has begun that comes as it is made.
     fn is_streaming(&self) -> bool {
         false
     }
-    /// Writes more of the body of what is out, where that is passed on as it comes.
-    fn more(&mut self, _bytes: &[u8], _out: &mut Vec<u8>) {}
-    /// That body is over.
-    fn no_more(&mut self, _out: &mut Vec<u8>) {}
-    /// Whether it may take a request of this name now.
-    fn takes(&self, call: &str) -> bool;
-    /// Whether anything is out on it, probes too.
+    /// Writes more of the body of the attempt in flight, where that is streamed.
+    fn write_body_chunk(&mut self, _bytes: &[u8], _out: &mut Vec<u8>) {}
+    /// Writes the end of that body.
+    fn finish_body(&mut self, _out: &mut Vec<u8>) {}
+    /// Whether it can take an attempt of the request of this id now.
+    fn can_start(&self, request_id: &str) -> bool;
+    /// Whether nothing is in flight on it, probes included.
     fn is_idle(&self) -> bool;
     /// Writes an attempt.
-    fn start(&mut self, start: &AttemptRequest, out: &mut Vec<u8>);
+    fn start_attempt(&mut self, attempt: &AttemptRequest, out: &mut Vec<u8>);
     /// Gives an attempt up; false if only closing the connection does that.
-    fn stop(&mut self, key: AttemptKey, out: &mut Vec<u8>) -> bool;
+    fn stop_attempt(&mut self, key: AttemptKey, out: &mut Vec<u8>) -> bool;
     /// Writes a probe.
-    fn probe(&mut self, tag: u64, out: &mut Vec<u8>);
-    /// Probes out on it.
-    fn probes(&self) -> Vec<u64>;
-    /// Bytes have come; an error ends the connection.
-    fn feed(
+    fn write_probe(&mut self, tag: u64, out: &mut Vec<u8>);
+    /// Tags of the probes in flight on it.
+    fn open_probes(&self) -> Vec<u64>;
+    /// Decodes received bytes, in pieces of any size, into events; replies go to `out`.
+    ///
+    /// # Errors
+    ///
+    /// Where the engine violates the protocol: the connection can't be used any more.
+    fn decode(
         &mut self,
         now: Micros,
         input: &[u8],
         out: &mut Vec<u8>,
-        seen: &mut Vec<EngineEvent>,
-    ) -> Result<(), String>;
-    /// Time has passed: what should have come by now is asked for again or ended.
-    fn tend(
+        events: &mut Vec<EngineEvent>,
+    ) -> Result<(), SessionError>;
+    /// Asks again for what is overdue, or gives it up.
+    ///
+    /// # Errors
+    ///
+    /// Where a response stopped short and blocks all behind it: the connection can't be used any more.
+    fn check_timeouts(
         &mut self,
         _now: Micros,
         _out: &mut Vec<u8>,
-        _seen: &mut Vec<EngineEvent>,
-    ) -> Result<(), String> {
+        _events: &mut Vec<EngineEvent>,
+    ) -> Result<(), SessionError> {
         Ok(())
     }
-    /// The engine has ended its side.
-    fn ended(&mut self, seen: &mut Vec<EngineEvent>);
+    /// Takes note that the engine has ended its side, which may complete a response.
+    fn decode_close(&mut self, events: &mut Vec<EngineEvent>);
     /// Whether the connection can't be used again.
     fn is_spent(&self) -> bool;
 }
--- a/crates/coordinator/src/frontends/clickhouse.rs
+++ b/crates/coordinator/src/frontends/clickhouse.rs
@@ -1,7 +1,7 @@
 //! ClickHouse's HTTP interface towards clients, on the language in `driftfront_clickhouse`.
 
 use super::{ConnectionAction, Frontend, Intake, KillRequest, QueryClasses, ResponseWriter};
-use crate::backends::clickhouse::{FRAMES, HEADERS, TARGET};
+use crate::backends::clickhouse::{COMPRESSED_BLOCKS, REQUEST_HEADERS, URL_PARAMETERS};
 use crate::net::fnv1a_64;
 use driftfront_clickhouse::exception::{marker, Exception, NETWORK_ERROR, TOO_MANY_QUERIES};
 use driftfront_clickhouse::keep::{Keep, SMALL};
@@ -251,11 +251,11 @@
 /// What the back end is told.
 fn about(query: &Query, target: String) -> Rc<[(String, String)]> {
     let mut about = vec![
-        (TARGET.to_string(), target),
-        (HEADERS.to_string(), query.headers.0.clone()),
+        (URL_PARAMETERS.to_string(), target),
+        (REQUEST_HEADERS.to_string(), query.headers.0.clone()),
     ];
     if query.frames {
-        about.push((FRAMES.into(), String::new()));
+        about.push((COMPRESSED_BLOCKS.into(), String::new()));
     }
     about.into()
 }
--- a/crates/coordinator/src/frontends/mod.rs
+++ b/crates/coordinator/src/frontends/mod.rs
@@ -128,6 +128,13 @@
 }
 
 impl QueryClasses {
+    /// A class's name; empty for one that there is not.
+    pub fn name(&self, class: u16) -> &str {
+        self.names
+            .get(usize::from(class))
+            .map_or("", String::as_str)
+    }
+
     /// A class's place.
     pub fn place(&self, name: &str) -> Option<u16> {
         self.names.iter().position(|n| n == name).map(|n| n as u16)
--- a/crates/coordinator/src/node/clients/mod.rs
+++ b/crates/coordinator/src/node/clients/mod.rs
@@ -37,7 +37,7 @@
 const READ_AT_ONCE: usize = 64 * 1024;
 
 /// What there is of a body that is passed on as it comes.
-pub(super) enum Body {
+pub(super) enum BodyChunk {
     /// Some more of it.
     More(Vec<u8>),
     /// Its last bytes, maybe none.
@@ -217,19 +217,19 @@
     }
 
     /// Takes what has come of a body that is passed on as it comes, reading on as far as is needed.
-    pub(super) fn more_body(&mut self, now: Micros, request: RequestId) -> Body {
+    pub(super) fn more_body(&mut self, now: Micros, request: RequestId) -> BodyChunk {
         let client = self
             .asking
             .get(&request)
             .and_then(|a| self.clients.get_mut(&a.0));
         let Some(client) = client else {
-            return Body::Broken;
+            return BodyChunk::Broken;
         };
         let mut body = Vec::new();
         for _ in 0..2 {
             match client.reader.more_body(&mut body) {
-                Err(_) => return Body::Broken,
-                Ok(true) => return Body::Last(body),
+                Err(_) => return BodyChunk::Broken,
+                Ok(true) => return BodyChunk::Last(body),
                 Ok(false) => {}
             }
             if !client.more || body.len() >= READ_AT_ONCE {
@@ -237,16 +237,16 @@
             }
             let mut bytes = Vec::new();
             match client.link.read(&mut bytes, READ_AT_ONCE) {
-                Ok(ReadOutcome::Closed) | Err(_) => return Body::Broken,
+                Ok(ReadOutcome::Closed) | Err(_) => return BodyChunk::Broken,
                 Ok(end) => client.more = end == ReadOutcome::LimitReached,
             }
             client.used = now;
             client.reader.push(&bytes);
         }
         if body.is_empty() {
-            Body::WouldBlock
+            BodyChunk::WouldBlock
         } else {
-            Body::More(body)
+            BodyChunk::More(body)
         }
     }
 
--- a/crates/coordinator/src/node/engines/closing.rs
+++ b/crates/coordinator/src/node/engines/closing.rs
@@ -1,65 +1,73 @@
-//! How engines' connections end, and what is owed then: each attempt on one ends as far as it had come, and what waited for it
+//! How engines' connections end, and what is owed then: each attempt on one ends as far as it had come, and what was queued for it
 //! goes by another. The moments stand in `docs/endings.md`.
 
-use super::{EngineConnection, Work, CHECK_AFTER, CHECK_TAG, HANDED_OVER_IDLE, MOVES_MOST};
+use super::connection::{EngineConnection, QueuedWrite};
+use super::liveness::LIVENESS_PROBE_TAG;
 use crate::node::{ConnectionId, Node};
 use driftfront_core::{Cause, EngineId, Micros, Outcome};
-use std::collections::BTreeMap;
+
+/// Connections that may break under an attempt before a byte of it was written.
+const MAX_REQUEUES: u8 = 2;
+/// Idle timeout while a successor serves: idle connections are its share of the descriptors.
+const IDLE_TIMEOUT_AFTER_HANDOVER: Micros = 200_000;
 
 impl Node {
     /// We close a connection; each attempt on it ends as far as it had come, once the engine can know.
-    pub(in crate::node) fn drop_engine(&mut self, now: Micros, id: ConnectionId, why: &str) {
-        self.end_engine(now, id, Cause::Closed(why.into()));
+    pub(in crate::node) fn drop_engine(&mut self, now: Micros, id: ConnectionId, reason: &str) {
+        self.end_engine(now, id, &Cause::Closed(reason.into()));
     }
 
     /// A connection has ended; each attempt on it with it.
-    pub(super) fn lose_engine(&mut self, now: Micros, id: ConnectionId, why: &str) {
-        self.end_engine(now, id, Cause::Connection(why.into()));
+    pub(super) fn lose_engine(&mut self, now: Micros, id: ConnectionId, reason: &str) {
+        self.end_engine(now, id, &Cause::Connection(reason.into()));
     }
 
-    fn end_engine(&mut self, now: Micros, id: ConnectionId, cause: Cause) {
+    fn end_engine(&mut self, now: Micros, id: ConnectionId, cause: &Cause) {
         let Some(mut conn) = self.engines.remove(&id) else {
             return;
         };
-        self.unregister(conn.token.take());
-        self.paused -= usize::from(conn.paused);
-        if let Some(key) = conn.feeding {
+        self.unregister(conn.registration.take());
+        self.paused -= usize::from(conn.is_paused);
+        if let Some(key) = conn.upload {
             self.uploads.remove(&key.request);
         }
-        self.log_end(&conn, &cause);
-        for key in conn.session.open() {
+        self.log_engine_end(&conn, cause);
+        for key in conn.session.open_attempts() {
             self.attempt_failed(now, key, cause.clone());
         }
-        for tag in conn
-            .session
-            .probes()
-            .into_iter()
-            .filter(|&t| t != CHECK_TAG)
-        {
-            self.core.record_probe(now, tag, Outcome::Reset, &[]);
+        for tag in conn.session.open_probes() {
+            if tag != LIVENESS_PROBE_TAG {
+                self.core.record_probe(now, tag, Outcome::Reset, &[]);
+            }
         }
-        // Came up and broke before it carried this: that says nothing of the engine, another may do.
-        let moves_on = |moves: u8| conn.up && moves < MOVES_MOST;
-        for work in conn.waiting {
+        self.requeue_unwritten(now, conn, cause);
+        self.execute_commands();
+    }
+
+    /// Queues anew what was not written on a connection that came up and broke: that says nothing of the engine, another one may
+    /// do. Elsewhere, or too often, it fails.
+    fn requeue_unwritten(&mut self, now: Micros, conn: EngineConnection, cause: &Cause) {
+        for work in conn.queue {
             match work {
-                Work::Attempt(key, moves) if moves_on(moves) => {
-                    self.queue_attempt(now, key, conn.engine, moves + 1)
+                QueuedWrite::Attempt { key, requeues } if conn.is_up && requeues < MAX_REQUEUES => {
+                    self.queue_attempt(now, key, conn.engine, requeues + 1);
+                }
+                QueuedWrite::Attempt { key, .. } => self.attempt_failed(now, key, cause.clone()),
+                QueuedWrite::Probe { tag } if tag == LIVENESS_PROBE_TAG => {}
+                QueuedWrite::Probe { tag } => {
+                    self.core.record_probe(now, tag, Outcome::Unreachable, &[]);
                 }
-                Work::Attempt(key, _) => self.attempt_failed(now, key, cause.clone()),
-                Work::Probe(CHECK_TAG) => {}
-                Work::Probe(tag) => self.core.record_probe(now, tag, Outcome::Unreachable, &[]),
             }
         }
-        self.execute_commands();
     }
 
-    /// Why a connection to an engine ended that something was out on.
-    fn log_end(&self, conn: &EngineConnection, cause: &Cause) {
+    /// Logs why a connection ended that something was in flight on.
+    fn log_engine_end(&self, conn: &EngineConnection, cause: &Cause) {
         if conn.is_idle() {
             return;
         }
         let engine = self.roster.name(conn.engine);
-        let (open, waiting) = (conn.session.load(), conn.waiting.len());
+        let (open, waiting) = (conn.session.attempt_count(), conn.queue.len());
         match cause {
             Cause::Closed(why) if open > 0 => {
                 tracing::info!(engine, open, waiting, why, "connection to an engine closed");
@@ -74,14 +82,14 @@
         }
     }
 
-    /// Old connections of an engine lead to an earlier process, or elsewhere.
+    /// Keeps new work off an engine's connections: they lead to an earlier process, or elsewhere.
     pub(in crate::node) fn retire_connections(&mut self, engine: EngineId) {
         for conn in self.engines.values_mut().filter(|c| c.engine == engine) {
-            conn.retired = true;
+            conn.is_retired = true;
         }
     }
 
-    /// The engine is gone from the list: what is out on it may still end.
+    /// The engine is gone from the list: what is in flight on it may still end.
     pub(in crate::node) fn forget_engine(&mut self, now: Micros, engine: EngineId) {
         self.retire_connections(engine);
         self.roster.forget_engine(engine);
@@ -90,74 +98,72 @@
         self.sweep_engines(now);
     }
 
-    /// Probes engines that have said nothing for a while and tell nothing by themselves: one that answers lives,
-    /// however long its queries take; one that does not is silent, and its reads are lost.
-    fn check_engines(&mut self, now: Micros) {
-        let mut quiet: BTreeMap<EngineId, Micros> = BTreeMap::new();
-        for conn in self.engines.values() {
-            if conn.up && !conn.paused && conn.session.wants_checks() {
-                let heard = quiet.entry(conn.engine).or_insert(conn.heard);
-                *heard = (*heard).min(conn.heard);
-            }
-        }
-        for (engine, since) in quiet {
-            let heard = self.heard_of(engine).max(since);
-            let last = self.checks.get(&engine).copied().unwrap_or(0);
-            if now < heard + CHECK_AFTER || now < last + CHECK_AFTER {
-                continue;
-            }
-            self.checks.insert(engine, now);
-            if let Ok(id) = self.engine_connection(now, engine, None, false) {
-                self.queue_work(now, id, Work::Probe(CHECK_TAG));
-            }
-        }
-    }
-
+    /// Ends connections that are silent, stuck or unused, probes silent engines, and reads on where clients have caught up.
     pub(in crate::node) fn sweep_engines(&mut self, now: Micros) {
-        let (idle, stall) = (self.config.idle, self.config.stall);
-        // What hands over has little more to send: idle connections are the successor's share of the descriptors.
-        let idle = if self.lifecycle.is_succeeded() {
-            idle.min(HANDED_OVER_IDLE)
-        } else {
-            idle
-        };
-        self.check_engines(now);
+        self.probe_silent_engines(now);
         self.streams = self
             .engines
             .values()
             .filter(|c| c.session.is_streaming())
             .count();
-        let over = |c: &EngineConnection| {
-            if !c.up {
-                return (now > c.connect_by).then_some("connect timed out");
-            }
-            // A probe that no answer comes to must not hold its connection for ever. Where notes come, what is
-            // out on a silent connection is lost: it ends, to be tried elsewhere, but for what must not run
-            // twice, which may still be answered once the engine can be reached again.
-            // Idle ones, nearly all in a large fleet, owe no word: who else is heard is not looked up for them.
-            let silent = !c.session.is_idle()
-                && c.is_silent(now, self.notes_due(now, c.engine), self.heard_of(c.engine));
-            if silent && (c.session.load() == 0 && c.waiting.is_empty() || !c.alone) {
-                return Some("silent");
-            }
-            if c.session.is_streaming() && !c.paused && now > c.heard + stall {
-                return Some("its result stands still");
-            }
-            let unused =
-                c.is_idle() && (c.retired || c.session.is_spent() || c.is_stale(now, idle));
-            unused.then_some("no longer used")
-        };
-        let ends: Vec<_> = self
+        let idle_timeout = self.engine_idle_timeout();
+        let ends: Vec<(ConnectionId, &str)> = self
             .engines
             .iter()
-            .filter_map(|(&id, c)| Some((id, over(c)?)))
+            .filter_map(|(&id, c)| Some((id, self.reason_to_end(now, c, idle_timeout)?)))
             .collect();
-        for (id, why) in ends {
-            self.drop_engine(now, id, why);
+        for (id, reason) in ends {
+            self.drop_engine(now, id, reason);
         }
-        for id in self.engines.keys().copied().collect::<Vec<_>>() {
-            self.tend_engine(now, id);
+        let ids: Vec<ConnectionId> = self.engines.keys().copied().collect();
+        for id in ids {
+            self.check_session_timeouts(now, id);
         }
         self.resume_engines(now);
     }
+
+    fn engine_idle_timeout(&self) -> Micros {
+        if self.lifecycle.is_succeeded() {
+            self.config.idle.min(IDLE_TIMEOUT_AFTER_HANDOVER)
+        } else {
+            self.config.idle
+        }
+    }
+
+    /// Why a connection should end now, if it should.
+    fn reason_to_end(
+        &self,
+        now: Micros,
+        conn: &EngineConnection,
+        idle_timeout: Micros,
+    ) -> Option<&'static str> {
+        if !conn.is_up {
+            return (now > conn.connect_deadline).then_some("connect timed out");
+        }
+        if self.is_lost_to_silence(now, conn) {
+            return Some("silent");
+        }
+        let is_streaming = conn.session.is_streaming() && !conn.is_paused;
+        if is_streaming && now > conn.silent_since + self.config.stall {
+            return Some("its result stands still");
+        }
+        let is_over =
+            conn.is_retired || conn.session.is_spent() || conn.is_stale(now, idle_timeout);
+        (conn.is_idle() && is_over).then_some("no longer used")
+    }
+
+    /// Whether what is in flight on a silent connection is given up: it ends, to be tried elsewhere, but for what must not run
+    /// twice, which may still be answered once the engine can be reached again. A probe that no answer comes to must not hold its
+    /// connection for ever.
+    fn is_lost_to_silence(&self, now: Micros, conn: &EngineConnection) -> bool {
+        // Idle ones, nearly all in a large cluster, owe no word: who else is heard is not looked up for them.
+        if conn.session.is_idle() {
+            return false;
+        }
+        let report_interval = self.report_interval(now, conn.engine);
+        let engine_heard = self.engine_last_heard(conn.engine);
+        let has_only_probes = conn.session.attempt_count() == 0 && conn.queue.is_empty();
+        conn.is_silent(now, report_interval, engine_heard)
+            && (has_only_probes || !conn.is_exclusive)
+    }
 }
--- /dev/null
+++ b/crates/coordinator/src/node/engines/write.rs
@@ -0,0 +1,146 @@
+//! Writes queued probes and attempts to engines.
+
+use super::connection::QueuedWrite;
+use super::liveness::LIVENESS_PROBE_TAG;
+use crate::backends::AttemptRequest;
+use crate::config::{Config, Protocol};
+use crate::node::{ConnectionId, EventSource, Node};
+use driftfront_core::{AttemptKey, Cause, Core, Micros, Outcome, Phase, Progress};
+use driftfront_scheduler::interface::Idempotency;
+use std::borrow::Cow;
+
+/// Writes on one connection before the others have their turn.
+const MAX_WRITES_PER_TURN: usize = 64;
+
+impl Node {
+    /// Writes queued work to one connection until it would block or its turn is over.
+    ///
+    /// Work enters the output only when that is empty, and is checked again right then: its engine may have begun to drain while
+    /// it was queued.
+    pub(in crate::node) fn write_to_engine(&mut self, now: Micros, id: ConnectionId) {
+        for _ in 0..MAX_WRITES_PER_TURN {
+            if !self.flush_engine(now, id) {
+                return;
+            }
+            let upload = self.engines.get(&id).and_then(|c| c.upload);
+            let has_progressed = match upload {
+                Some(key) => self.write_upload_chunk(now, id, key),
+                None => self.write_next_queued(now, id),
+            };
+            if !has_progressed {
+                return;
+            }
+        }
+        self.later.push(EventSource::Engine(id));
+    }
+
+    /// Hands the output to the system; true once none is left. A connection that fails here ends, but what its engine said before
+    /// is still there to be read: a response that has come must not go with the connection.
+    fn flush_engine(&mut self, now: Micros, id: ConnectionId) -> bool {
+        let Some(conn) = self.engines.get_mut(&id).filter(|c| c.is_up) else {
+            return false;
+        };
+        let flushed = conn.stream.flush();
+        conn.report_written(&mut self.core);
+        flushed.unwrap_or_else(|e| {
+            self.read_remaining(now, id);
+            self.lose_engine(now, id, &e.to_string());
+            false
+        })
+    }
+
+    /// Writes the first of the queue; false where there is none.
+    fn write_next_queued(&mut self, now: Micros, id: ConnectionId) -> bool {
+        let next = self.engines.get(&id).and_then(|c| c.queue.front());
+        if let Some(&QueuedWrite::Attempt { key, .. }) = next {
+            self.look_for_client(now, key.request);
+        }
+        let conn = self.engines.get_mut(&id);
+        match conn.and_then(|c| c.queue.pop_front()) {
+            Some(QueuedWrite::Probe { tag }) => self.write_probe(now, id, tag),
+            Some(QueuedWrite::Attempt { key, .. }) => self.write_attempt(now, id, key),
+            None => return false,
+        }
+        true
+    }
+
+    /// Writes a probe, unless its engine was taken out of use while the connection came up: it gets nothing new then.
+    fn write_probe(&mut self, now: Micros, id: ConnectionId, tag: u64) {
+        let Some(conn) = self.engines.get_mut(&id) else {
+            return;
+        };
+        let is_ready = || self.core.engine_phase(conn.engine) == Some(Phase::Ready);
+        if tag != LIVENESS_PROBE_TAG && !is_ready() {
+            return self.core.record_probe(now, tag, Outcome::Superseded, &[]);
+        }
+        let was_idle = conn.session.is_idle();
+        let mut out = Vec::new();
+        conn.session.write_probe(tag, &mut out);
+        conn.write_work(now, &out, was_idle);
+    }
+
+    /// Writes an attempt, if it may still be written at its first byte.
+    fn write_attempt(&mut self, now: Micros, id: ConnectionId, key: AttemptKey) {
+        let Some(conn) = self.engines.get_mut(&id) else {
+            return;
+        };
+        let engine = self.roster.name(conn.engine);
+        tracing::debug!(
+            request = key.request.0,
+            attempt = key.number,
+            engine,
+            "sent"
+        );
+        self.core.record_progress(key, Progress::Connected);
+        let Some(timeout) = self.core.may_write_attempt(now, key) else {
+            return;
+        };
+        let Some(request) = self.core.accepted(key.request).map(|a| a.ask) else {
+            return;
+        };
+        if !conn.session.can_start(&request.call) {
+            // A second request of the same id was accepted while the connection came up.
+            return self.attempt_failed(now, key, Cause::Rejected);
+        }
+        // A probe that still waits says nothing of when this should be heard of.
+        let was_idle = conn.session.attempt_count() == 0;
+        let attempt = AttemptRequest {
+            key,
+            request,
+            class: self.config.classes.name(request.class),
+            name: &name_on_engine(&self.config, &self.core, key, &request.call),
+            timeout,
+            grant_mb: self.core.grant_mb(key),
+            progress_interval: progress_interval(&self.config, request.class),
+        };
+        let mut out = Vec::new();
+        conn.session.start_attempt(&attempt, &mut out);
+        if request.once {
+            self.uploads.insert(key.request, id);
+        }
+        conn.begin_span(key, out.len(), request.once);
+        conn.write_work(now, &out, was_idle);
+    }
+}
+
+/// What an attempt is called on its engine. The platform's protocol has no other name than the request's own.
+fn name_on_engine<'a>(
+    config: &Config,
+    core: &'a Core,
+    key: AttemptKey,
+    request_id: &'a str,
+) -> Cow<'a, str> {
+    match config.protocol {
+        Protocol::Platform => Cow::Borrowed(request_id),
+        Protocol::ClickHouse => core.name_on_engine(key),
+    }
+}
+
+/// How often an engine should report the progress of a request of this class: only what may run again is worth it.
+fn progress_interval(config: &Config, class: u16) -> Option<Micros> {
+    let class = config.settings.classes.get(usize::from(class))?;
+    config
+        .settings
+        .progress_interval
+        .filter(|_| class.idempotency == Idempotency::Idempotent)
+}
--- a/crates/coordinator/tests/golden_backends.rs
+++ b/crates/coordinator/tests/golden_backends.rs
@@ -1,6 +1,8 @@
 //! What is written to engines, and what is read of their answers.
 
-use driftfront::backends::clickhouse::{HttpSession, FRAMES, HEADERS, TARGET};
+use driftfront::backends::clickhouse::{
+    HttpSession, COMPRESSED_BLOCKS, REQUEST_HEADERS, URL_PARAMETERS,
+};
 use driftfront::backends::engine_protocol::LineSession;
 use driftfront::backends::{AttemptRequest, EngineEvent, EngineSession};
 use driftfront_core::{AttemptKey, ParsedRequest, RequestId};
@@ -18,10 +20,10 @@
 fn start<'a>(key: AttemptKey, ask: &'a ParsedRequest) -> AttemptRequest<'a> {
     AttemptRequest {
         key,
-        ask,
+        request: ask,
         class: "member-load",
         name: &ask.call,
-        patience: 2_500_999,
+        timeout: 2_500_999,
         grant_mb: 0.0,
         progress_interval: None,
     }
@@ -101,7 +103,7 @@
     let mut out = Vec::new();
     let mut next = |out: &mut Vec<u8>, name: &str| wire.record(name, std::mem::take(out));
     let plain = ask("9b1f03aa5c7e2d41", b"SELECT 1");
-    lines.start(&start(key(1), &plain), &mut out);
+    lines.start_attempt(&start(key(1), &plain), &mut out);
     next(&mut out, "attempt");
     let token = ParsedRequest {
         token: Some("t-1".into()),
@@ -112,32 +114,32 @@
     };
     let granted = AttemptRequest {
         grant_mb: 511.2,
-        patience: 1,
+        timeout: 1,
         ..start(key(2), &token)
     };
-    lines.start(&granted, &mut out);
+    lines.start_attempt(&granted, &mut out);
     next(&mut out, "attempt with a token and a grant, out of time");
     let most = ask("9b1f03aa5c7e2d43", b"");
     let granted = AttemptRequest {
         grant_mb: 1e12,
-        patience: 25_000_000,
+        timeout: 25_000_000,
         ..start(key(3), &most)
     };
-    lines.start(&granted, &mut out);
+    lines.start_attempt(&granted, &mut out);
     next(&mut out, "attempt with the largest grant");
-    lines.probe(17, &mut out);
+    lines.write_probe(17, &mut out);
     next(&mut out, "probe");
     let answer = b"9b1f03aa5c7e2d41 HIT fetches=3 6\r\n1\ta\tb\n\r\n";
-    lines.feed(0, answer, &mut out, &mut seen).unwrap();
+    lines.decode(0, answer, &mut out, &mut seen).unwrap();
     next(&mut out, "pages are asked for");
-    lines.tend(300_000, &mut out, &mut seen).unwrap();
+    lines.check_timeouts(300_000, &mut out, &mut seen).unwrap();
     next(&mut out, "pages are asked for again");
     let pages = b"9b1f03aa5c7e2d41 PART fetch_no=1 6\r\n2\ta\tb\n\r\n9b1f03aa5c7e2d41 PART fetch_no=2 6\r\n3\ta\tb\n\r\n";
-    lines.feed(300_000, pages, &mut out, &mut seen).unwrap();
+    lines.decode(300_000, pages, &mut out, &mut seen).unwrap();
     next(&mut out, "all pages are there");
-    assert!(lines.stop(key(2), &mut out));
+    assert!(lines.stop_attempt(key(2), &mut out));
     next(&mut out, "stop");
-    assert!(lines.stop(key(2), &mut out));
+    assert!(lines.stop_attempt(key(2), &mut out));
     next(&mut out, "stop of what is not open");
     assert_golden!("wire/engine_lines_out.txt", wire.bytes());
 }
@@ -171,9 +173,9 @@
         "c1 WHAT - 0\r\n\r\n",
     ] {
         let (mut lines, mut out, mut seen) = (lines(), Vec::new(), Vec::new());
-        lines.start(&start(key(1), &ask("c1", b"x")), &mut out);
-        lines.probe(7, &mut out);
-        let ended = lines.feed(0, answer.as_bytes(), &mut Vec::new(), &mut seen);
+        lines.start_attempt(&start(key(1), &ask("c1", b"x")), &mut out);
+        lines.write_probe(7, &mut out);
+        let ended = lines.decode(0, answer.as_bytes(), &mut Vec::new(), &mut seen);
         let mut text = shown(&seen);
         if let Err(e) = ended {
             text += &format!("connection ends: {e}");
@@ -181,17 +183,19 @@
         read.record(&answer.escape_default().to_string(), text);
     }
     let (mut lines, mut out, mut seen) = (lines(), Vec::new(), Vec::new());
-    lines.start(&start(key(1), &ask("c1", b"x")), &mut out);
+    lines.start_attempt(&start(key(1), &ask("c1", b"x")), &mut out);
     let begun = b"c1 HIT fetches=2 0\r\n\r\n";
-    lines.feed(0, begun, &mut out, &mut seen).unwrap();
+    lines.decode(0, begun, &mut out, &mut seen).unwrap();
     seen.clear();
-    lines.tend(1_300_000, &mut out, &mut seen).unwrap();
+    lines
+        .check_timeouts(1_300_000, &mut out, &mut seen)
+        .unwrap();
     read.record("pages never come", shown(&seen));
     lines
-        .feed(0, b"c1 HIT fetches=2 0", &mut out, &mut seen)
+        .decode(0, b"c1 HIT fetches=2 0", &mut out, &mut seen)
         .unwrap();
-    let stalled = lines.tend(600_000, &mut out, &mut seen);
-    read.record("an answer stops short", stalled.unwrap_err());
+    let stalled = lines.check_timeouts(600_000, &mut out, &mut seen);
+    read.record("an answer stops short", stalled.unwrap_err().to_string());
     assert_golden!("wire/engine_lines_in.txt", read.bytes());
 }
 
@@ -201,18 +205,18 @@
     let mut http = HttpSession::new("127.0.0.1:8123".into());
     let mut out = Vec::new();
     let mut next = |out: &mut Vec<u8>, name: &str| wire.record(name, std::mem::take(out));
-    http.start(&start(key(1), &ask("a b/c", b"SELECT 1")), &mut out);
+    http.start_attempt(&start(key(1), &ask("a b/c", b"SELECT 1")), &mut out);
     next(&mut out, "query");
     let about = [
         (
-            TARGET.to_string(),
+            URL_PARAMETERS.to_string(),
             "&database=uni_4&session_id=s".to_string(),
         ),
         (
-            HEADERS.to_string(),
+            REQUEST_HEADERS.to_string(),
             "X-ClickHouse-User: jana\r\nX-ClickHouse-Key: secret\r\nUser-Agent: t\r\n".to_string(),
         ),
-        (FRAMES.to_string(), String::new()),
+        (COMPRESSED_BLOCKS.to_string(), String::new()),
     ];
     let full = ParsedRequest {
         about: Rc::from(about),
@@ -221,23 +225,23 @@
     let noted = AttemptRequest {
         name: "q-1-2",
         progress_interval: Some(250_000),
-        patience: 30_000_000,
+        timeout: 30_000_000,
         grant_mb: 64.0,
         ..start(key(2), &full)
     };
-    http.start(&noted, &mut out);
+    http.start_attempt(&noted, &mut out);
     next(&mut out, "query with everything");
     let once = ParsedRequest {
         once: true,
         ..ask("q-2", b"INSERT INTO t FORMAT CSV\n1,2\n")
     };
-    http.start(&start(key(3), &once), &mut out);
+    http.start_attempt(&start(key(3), &once), &mut out);
     next(&mut out, "upload");
-    http.more(b"3,4\n", &mut out);
+    http.write_body_chunk(b"3,4\n", &mut out);
     next(&mut out, "more of the upload");
-    http.no_more(&mut out);
+    http.finish_body(&mut out);
     next(&mut out, "end of the upload");
-    http.probe(5, &mut out);
+    http.write_probe(5, &mut out);
     next(&mut out, "probe");
     assert_golden!("wire/clickhouse_out.http", wire.bytes());
 }
@@ -297,10 +301,10 @@
             name: "q",
             ..start(key(1), &once)
         };
-        http.start(&started, &mut Vec::new());
+        http.start_attempt(&started, &mut Vec::new());
         let mut text = String::new();
-        match http.feed(0, answer.as_bytes(), &mut Vec::new(), &mut seen) {
-            Ok(()) => http.ended(&mut seen),
+        match http.decode(0, answer.as_bytes(), &mut Vec::new(), &mut seen) {
+            Ok(()) => http.decode_close(&mut seen),
             Err(e) => text = format!("connection ends: {e}\n"),
         }
         read.record(name, shown(&seen) + &text);
@@ -310,8 +314,8 @@
         ("probe, sick", whole("500 E", "", "oh\n")),
     ] {
         let (mut http, mut seen) = (HttpSession::new("h".into()), Vec::new());
-        http.probe(9, &mut Vec::new());
-        http.feed(0, answer.as_bytes(), &mut Vec::new(), &mut seen)
+        http.write_probe(9, &mut Vec::new());
+        http.decode(0, answer.as_bytes(), &mut Vec::new(), &mut seen)
             .unwrap();
         read.record(name, shown(&seen));
     }
--- a/crates/coordinator/tests/wires.rs
+++ b/crates/coordinator/tests/wires.rs
@@ -155,11 +155,11 @@
             match *step {
                 Step::AttemptRequest(id) if !model.contains_key(&id) => {
                     let ask = ask(&call(id));
-                    assert!(lines.takes(&ask.call));
-                    assert!(earlier(id).is_none_or(|call| !lines.takes(&call)));
-                    lines.start(
+                    assert!(lines.can_start(&ask.call));
+                    assert!(earlier(id).is_none_or(|call| !lines.can_start(&call)));
+                    lines.start_attempt(
                         &AttemptRequest {
-                            patience: 1_500_999,
+                            timeout: 1_500_999,
                             ..start(key(id), &ask)
                         },
                         &mut out,
@@ -170,7 +170,7 @@
                     );
                     model.insert(id, 0);
                 }
-                Step::AttemptRequest(id) => assert!(!lines.takes(&call(id))),
+                Step::AttemptRequest(id) => assert!(!lines.can_start(&call(id))),
                 Step::Page(id, twice) => {
                     let come = model.get(&id).copied().unwrap_or(0);
                     text = match come {
@@ -229,7 +229,7 @@
                     }
                 }
                 Step::Stop(id) => {
-                    assert!(lines.stop(key(id), &mut out));
+                    assert!(lines.stop_attempt(key(id), &mut out));
                     let was_open = model.remove(&id).is_some();
                     let stop = if was_open {
                         format!("STOP {}\r\n", call(id))
@@ -240,7 +240,7 @@
                     ended[usize::from(id)] += usize::from(was_open);
                 }
                 Step::Probe if probes.len() < 8 => {
-                    lines.probe(n as u64, &mut out);
+                    lines.write_probe(n as u64, &mut out);
                     probes.push(n as u64);
                 }
                 Step::Pong if !probes.is_empty() => {
@@ -256,15 +256,15 @@
                 Step::Nonsense => {
                     // The connection ends: what is open on it is what the model says.
                     assert!(lines
-                        .feed(0, b"c1 HIT fetches=x\r\n", &mut out, &mut seen)
+                        .decode(0, b"c1 HIT fetches=x\r\n", &mut out, &mut seen)
                         .is_err());
                     let open: Vec<AttemptKey> = model.keys().map(|&id| key(id)).collect();
-                    return lines.open() == open;
+                    return lines.open_attempts() == open;
                 }
             }
             for piece in cut(text.as_bytes(), &cuts) {
                 lines
-                    .feed(0, &piece, &mut out, &mut seen)
+                    .decode(0, &piece, &mut out, &mut seen)
                     .expect("well formed");
             }
             assert_eq!(seen, want, "{step:?}");
@@ -283,7 +283,7 @@
     };
     let open = || {
         let mut lines = LineSession::new(32, Rc::from([]));
-        lines.start(&start(key, &ask("c1")), &mut Vec::new());
+        lines.start_attempt(&start(key, &ask("c1")), &mut Vec::new());
         lines
     };
     for (answer, known) in [
@@ -300,14 +300,14 @@
         let (mut lines, mut seen) = (open(), Vec::new());
         assert!(
             lines
-                .feed(0, answer.as_bytes(), &mut Vec::new(), &mut seen)
+                .decode(0, answer.as_bytes(), &mut Vec::new(), &mut seen)
                 .is_err(),
             "{answer}"
         );
         let spoilt =
             matches!(seen[..], [EngineEvent::Failed(k, Cause::MalformedResponse(_))] if k == key);
         assert_eq!(
-            (spoilt, lines.open().is_empty()),
+            (spoilt, lines.open_attempts().is_empty()),
             (known, known),
             "{answer}"
         );
@@ -315,23 +315,27 @@
     // One that stops short on an open connection holds up all behind it; it is given some time.
     let (mut lines, mut out, mut seen) = (open(), Vec::new(), Vec::new());
     lines
-        .feed(0, b"c1 HIT fetches=1 600\r\na\tb", &mut out, &mut seen)
+        .decode(0, b"c1 HIT fetches=1 600\r\na\tb", &mut out, &mut seen)
         .unwrap();
-    assert!(lines.tend(400_000, &mut out, &mut seen).is_ok());
-    lines.feed(450_000, b"\tc\n", &mut out, &mut seen).unwrap();
-    assert!(lines.tend(600_000, &mut out, &mut seen).is_err());
+    assert!(lines.check_timeouts(400_000, &mut out, &mut seen).is_ok());
+    lines
+        .decode(450_000, b"\tc\n", &mut out, &mut seen)
+        .unwrap();
+    assert!(lines.check_timeouts(600_000, &mut out, &mut seen).is_err());
     // A page that never comes is asked for once more, then its attempt is over and the rest goes on.
     let mut lines = open();
     lines
-        .feed(0, b"c1 HIT fetches=2 0\r\n\r\n", &mut out, &mut seen)
+        .decode(0, b"c1 HIT fetches=2 0\r\n\r\n", &mut out, &mut seen)
         .unwrap();
     let mut again = Vec::new();
     for now in [200_000, 300_000, 400_000] {
-        lines.tend(now, &mut again, &mut seen).unwrap();
+        lines.check_timeouts(now, &mut again, &mut seen).unwrap();
     }
     assert_eq!(String::from_utf8(again).unwrap(), "FETCH c1 1\r\n");
     seen.clear();
-    lines.tend(1_300_000, &mut out, &mut seen).unwrap();
+    lines
+        .check_timeouts(1_300_000, &mut out, &mut seen)
+        .unwrap();
     assert!(
         matches!(seen[..], [EngineEvent::Failed(k, Cause::MalformedResponse(_))] if k == key)
             && lines.is_idle()
@@ -346,12 +350,12 @@
     };
     for (name, fine) in [("c1", true), ("c0", false)] {
         let (mut http, mut seen) = (HttpSession::new("h".into()), Vec::new());
-        http.start(&start(key, &ask("c1")), &mut Vec::new());
+        http.start_attempt(&start(key, &ask("c1")), &mut Vec::new());
         let answer = format!(
             "HTTP/1.1 200 OK\r\nX-ClickHouse-Query-Id: {name}\r\nContent-Length: 2\r\n\r\n1\n"
         );
         assert_eq!(
-            http.feed(0, answer.as_bytes(), &mut Vec::new(), &mut seen)
+            http.decode(0, answer.as_bytes(), &mut Vec::new(), &mut seen)
                 .is_ok(),
             fine
         );
@@ -363,10 +367,10 @@
 fn start(key: AttemptKey, ask: &ParsedRequest) -> AttemptRequest<'_> {
     AttemptRequest {
         key,
-        ask,
+        request: ask,
         class: "k",
         name: &ask.call,
-        patience: 1000,
+        timeout: 1000,
         grant_mb: 0.0,
         progress_interval: None,
     }
