--- a/crates/coordinator/tests/fleet.rs
+++ b/crates/coordinator/tests/fleet.rs
@@ -230,7 +230,7 @@
         },
     );
     // A field in its record, a kind of record and a kind of payload that nobody here has heard of.
-    let mut record = about.write();
+    let mut record = about.encode();
     record.extend([77, 2, 1, 2]);
     assert!(later.tell(1, &record) && later.tell(999, b"of a later build"));
     let mut seal = MessageAuthenticator::new(keys(), 1 << 51);
