--- a/crates/coordinator/src/discovery/file.rs
+++ b/crates/coordinator/src/discovery/file.rs
@@ -40,7 +40,7 @@
         let read = stamp.and_then(|stamp| {
             let text = std::fs::read(&self.path).map_err(|e| e.to_string())?;
             self.stamp = Some(stamp);
-            parse(&text)
+            parse(&text).map_err(String::from)
         });
         match read.and_then(|json| whole(&json)) {
             Ok(update) => Some(update),
--- a/crates/settings/src/json.rs
+++ b/crates/settings/src/json.rs
@@ -1,30 +1,62 @@
 //! A view of a JSON value that may be absent, so that unknown and missing keys need no care.
 
 use std::collections::HashMap;
-use tinyjson::JsonValue;
+use tinyjson::{JsonParseError, JsonValue};
 
 /// Deepest nesting read: the parser recurses, and a hostile text must not exhaust the stack.
-const DEEPEST: usize = 64;
+const MAX_DEPTH: usize = 64;
+/// Numbers from here on are no whole numbers of 64 bits.
+const WHOLE_NUMBERS_END: f64 = 1.8e19;
 
-/// Parses a text, or says in words what is wrong with it.
-pub fn parse(text: &[u8]) -> Result<JsonValue, String> {
-    let text = std::str::from_utf8(text).map_err(|_| "not UTF-8".to_string())?;
-    let (mut depth, mut quoted, mut escaped) = (0usize, false, false);
-    for b in text.bytes() {
-        match b {
-            _ if escaped => escaped = false,
-            b'\\' if quoted => escaped = true,
-            b'"' => quoted = !quoted,
-            b'[' | b'{' if !quoted => depth += 1,
-            b']' | b'}' if !quoted => depth = depth.saturating_sub(1),
+/// Why a text is no JSON.
+#[derive(Debug, thiserror::Error)]
+pub enum JsonError {
+    /// It is no text.
+    #[error("not UTF-8")]
+    NotUtf8,
+    /// It is nested more deeply than this program reads.
+    #[error("nested too deeply")]
+    TooDeep,
+    /// It is malformed.
+    #[error("{0}")]
+    Syntax(JsonParseError),
+}
+
+/// For callers that only show the error.
+impl From<JsonError> for String {
+    fn from(error: JsonError) -> String {
+        error.to_string()
+    }
+}
+
+/// Parses a text.
+///
+/// # Errors
+///
+/// A [`JsonError`] that says what is wrong, and where.
+pub fn parse(text: &[u8]) -> Result<JsonValue, JsonError> {
+    let text = std::str::from_utf8(text).map_err(|_| JsonError::NotUtf8)?;
+    check_depth(text)?;
+    text.parse().map_err(JsonError::Syntax)
+}
+
+/// Counts brackets outside strings.
+fn check_depth(text: &str) -> Result<(), JsonError> {
+    let (mut depth, mut is_in_string, mut is_escaped) = (0usize, false, false);
+    for byte in text.bytes() {
+        match byte {
+            _ if is_escaped => is_escaped = false,
+            b'\\' if is_in_string => is_escaped = true,
+            b'"' => is_in_string = !is_in_string,
+            b'[' | b'{' if !is_in_string => depth += 1,
+            b']' | b'}' if !is_in_string => depth = depth.saturating_sub(1),
             _ => {}
         }
-        if depth > DEEPEST {
-            return Err("nested too deeply".into());
+        if depth > MAX_DEPTH {
+            return Err(JsonError::TooDeep);
         }
     }
-    text.parse()
-        .map_err(|e: tinyjson::JsonParseError| e.to_string())
+    Ok(())
 }
 
 /// A JSON value, or none.
@@ -32,54 +64,51 @@
 pub struct Json<'a>(pub Option<&'a JsonValue>);
 
 impl<'a> Json<'a> {
-    /// The value under a key.
+    /// The value of a member; none where this is no object or has no such member.
     pub fn get(self, key: &str) -> Json<'a> {
-        Json(
-            self.0
-                .and_then(|v| v.get::<HashMap<String, JsonValue>>())
-                .and_then(|o| o.get(key)),
-        )
+        let members = self.0.and_then(|v| v.get::<HashMap<String, JsonValue>>());
+        Json(members.and_then(|members| members.get(key)))
     }
-    /// The values of a list, if it is one.
+    /// The values of a list; `None` where this is no list.
     pub fn list(self) -> Option<&'a [JsonValue]> {
-        self.0
-            .and_then(|v| v.get::<Vec<JsonValue>>())
-            .map(Vec::as_slice)
+        self.0?.get::<Vec<JsonValue>>().map(Vec::as_slice)
     }
     /// One value of a list.
-    pub fn at(self, i: usize) -> Json<'a> {
-        Json(self.list().and_then(|l| l.get(i)))
+    pub fn at(self, index: usize) -> Json<'a> {
+        Json(self.list().and_then(|list| list.get(index)))
     }
-    /// The values of a list; none if it is none.
+    /// The values of a list; none where this is no list.
     pub fn each(self) -> impl Iterator<Item = Json<'a>> {
-        self.list().unwrap_or(&[]).iter().map(|v| Json(Some(v)))
+        let list = self.list().unwrap_or(&[]);
+        list.iter().map(|value| Json(Some(value)))
     }
     /// A number.
     pub fn number(self) -> Option<f64> {
-        self.0.and_then(|v| v.get::<f64>()).copied()
+        self.0?.get::<f64>().copied()
     }
     /// A whole number of 0 or more.
+    #[allow(
+        clippy::cast_possible_truncation,
+        reason = "it has no fraction and is in range"
+    )]
     pub fn whole(self) -> Option<u64> {
-        self.number()
-            .filter(|n| *n >= 0.0 && n.fract() == 0.0 && *n < 1.8e19)
-            .map(|n| n as u64)
+        let is_whole = |n: &f64| *n >= 0.0 && n.fract() == 0.0 && *n < WHOLE_NUMBERS_END;
+        self.number().filter(is_whole).map(|n| n as u64)
     }
     /// A string.
     pub fn text(self) -> Option<&'a str> {
-        self.0.and_then(|v| v.get::<String>()).map(String::as_str)
+        self.0?.get::<String>().map(String::as_str)
     }
-    /// A truth value; false if it is none.
+    /// A truth value; false where this is none.
     pub fn flag(self) -> bool {
-        self.0
-            .and_then(|v| v.get::<bool>())
-            .copied()
-            .unwrap_or(false)
+        let flag = self.0.and_then(|v| v.get::<bool>());
+        flag.copied().unwrap_or(false)
     }
-    /// Absent or null.
+    /// Whether this is absent or null.
     pub fn is_null(self) -> bool {
         self.0.is_none_or(|v| v.is_null())
     }
-    /// An object.
+    /// Whether this is an object.
     pub fn is_object(self) -> bool {
         self.0.is_some_and(|v| v.is_object())
     }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,225 +1,191 @@
-//! Start settings: from JSON to the library's vocabulary. Unknown keys are ignored.
-#![warn(missing_docs)]
+//! A coordinator's settings: from the platform's JSON to the scheduler's types. Unknown keys are ignored.
+//!
+//! The keys are the platform's; this crate is the one place that maps them to the field's terms.
 #![forbid(unsafe_code)]
 
+mod class;
+mod error;
 pub mod json;
+mod value;
+
+pub use error::{KeyError, Problem, SettingsError};
 
 use driftfront_scheduler::interface::{
-    DeduplicationScope, Idempotency, MachineKind, OutOfMemory, QueryClass, ReportField,
-    RetryBudget, Settings, SlowStart, Tenant,
+    MachineKind, OutOfMemory, QueryClass, ReportField, RetryBudget, Settings, SlowStart, Tenant,
 };
 use json::Json;
+use value::{flag, number, optional_number, to_u16, to_u32, to_u64};
 
-/// Parses the settings; an error names the key that is missing or malformed.
-pub fn parse_settings(json: &[u8]) -> Result<Settings, String> {
-    let root = json::parse(json).map_err(|e| format!("Config is not JSON: {e}"))?;
+/// Parses the settings.
+///
+/// # Errors
+///
+/// A [`SettingsError`] that names the key which is missing or malformed.
+pub fn parse_settings(json: &[u8]) -> Result<Settings, SettingsError> {
+    let root = json::parse(json)?;
     from_json(Json(Some(&root)))
 }
 
 /// Reads the settings from a parsed object.
-pub fn from_json(root: Json) -> Result<Settings, String> {
+///
+/// # Errors
+///
+/// A [`SettingsError`] that names the key which is missing or malformed.
+pub fn from_json(root: Json) -> Result<Settings, SettingsError> {
     if !root.is_object() {
-        return Err("Config is not a JSON object".into());
+        return Err(SettingsError::NotAnObject);
     }
+    Ok(read_settings(root)?)
+}
+
+fn read_settings(root: Json) -> Result<Settings, KeyError> {
     let caps = root.get("Caps");
     let contract = root.get("Contract");
     let family = root.get("FamilyInfo");
+    let fees = root.get("Fees");
     let report = root.get("LoadReport");
-    let profiles = root.get("Profiles");
-    if profiles
-        .list()
-        .ok_or("Profiles is missing or not a list")?
-        .is_empty()
-    {
-        return Err("Profiles is empty".into());
-    }
-    let classes = profiles
-        .each()
-        .enumerate()
-        .map(|(i, p)| class(i, p, family).map_err(|e| format!("Profiles[{i}].{e}")))
-        .collect::<Result<_, _>>()?;
-    let sizes = family.get("SizeCores").each().count();
-    let kinds = root.get("MachineTypes").each().count().max(sizes);
-    let kinds = (0..kinds)
-        .map(|i| MachineKind {
-            cores: family.get("SizeCores").at(i).number().filter(|&c| c > 0.0),
-            memory_mb: family
-                .get("RamOfKindMb")
-                .at(i)
-                .number()
-                .filter(|&m| m > 0.0),
-        })
-        .collect();
-    let mut tenants = Vec::new();
-    for (i, t) in root.get("Tenants").each().enumerate() {
-        let key = format!("Tenants[{i}].");
-        let quota_per_s = number(t, "QuotaPerS").map_err(|e| key + &e)?;
-        tenants.push(Tenant { quota_per_s });
-    }
-    let in_contract = |key: &str| number(contract, key).map_err(|e| format!("Contract.{e}"));
-    let slow_start = if contract.get("FallMultiple").is_null() {
-        None
-    } else {
-        Some(SlowStart {
-            from: in_contract("ColdFrom")?,
-            warm_up_time: in_contract("WarmUpUs")? as u64,
-            multiple: in_contract("FallMultiple")?,
-            window: in_contract("OverloadForUs")? as u64,
-        })
-    };
-    let retry_budget = if contract.get("ExtraWindowUs").is_null() {
-        None
-    } else {
-        Some(RetryBudget {
-            min_retries: optional(contract, "MinExtra")?.unwrap_or(0.0),
-            ratio: optional(contract, "FurtherRatio")?.unwrap_or(0.0),
-            window: in_contract("ExtraWindowUs")? as u64,
-        })
-    };
-    let how = report.get("How").text().unwrap_or("off");
-    let report_fields = report
-        .get("Fields")
-        .each()
-        .map(|f| field(f, family))
-        .collect();
-    let zone = number(root, "Zone")? as u16;
+    let classes = read_classes(root, family)?;
+    let tenants = read_tenants(root)?;
+    let slow_start = read_slow_start(contract)?;
+    let retry_budget = read_retry_budget(contract)?;
+    let zone = to_u16(number(root, "Zone")?);
     Ok(Settings {
-        coordinators: number(root, "Balancers")?.max(1.0) as u32,
-        number: optional(root, "MyNumber")?.unwrap_or(0.0) as u32,
+        coordinators: to_u32(number(root, "Balancers")?.max(1.0)),
+        number: to_u32(optional_number(root, "MyNumber")?.unwrap_or(0.0)),
         zone,
         classes,
-        kinds,
+        kinds: read_kinds(root, family),
         tenants,
-        over_quota_weight: optional(root, "OverShareWorth")?.unwrap_or(1.0),
+        over_quota_weight: optional_number(root, "OverShareWorth")?.unwrap_or(1.0),
         weight_by_work: root.get("CountedBy").text() == Some("work"),
         poll_discovery: root.get("MembershipMode").text() == Some("ask"),
-        poll_timeout: optional(contract, "AskWithinUs")?.map(|t| t as u64),
+        poll_timeout: optional_number(contract, "AskWithinUs")?.map(to_u64),
         grants: flag(family, "GrantsCount"),
         priorities: flag(family, "Priorities"),
-        max_grant_share: optional(family, "LargestShare")?.filter(|&s| s > 0.0),
-        out_of_memory: match family.get("OutOfMemory").text() {
-            Some("line_up") | None => OutOfMemory::Wait,
-            Some("cut") => OutOfMemory::Shrink,
-            Some("overcommit") => OutOfMemory::Page,
-            Some(other) => return Err(format!("FamilyInfo.OutOfMemory is unknown: {other}")),
-        },
-        progress_interval: optional(family, "TellsEveryUs")?
-            .filter(|&t| t > 0.0)
-            .map(|t| t as u64),
-        report_fields,
-        report_on_probe: how == "on_probe",
+        max_grant_share: optional_number(family, "LargestShare")?.filter(|&share| share > 0.0),
+        out_of_memory: read_out_of_memory(family)?,
+        progress_interval: optional_number(family, "TellsEveryUs")?
+            .filter(|&interval| interval > 0.0)
+            .map(to_u64),
+        report_fields: read_report_fields(report, family),
+        report_on_probe: report.get("How").text() == Some("on_probe"),
         may_cancel: flag(caps, "Cancel"),
         may_probe: flag(caps, "MayProbe"),
         may_gossip: flag(caps, "Peers"),
         may_hedge: flag(caps, "ParallelTries"),
-        max_attempts: optional(caps, "MaxAttempts")?
-            .filter(|&n| n >= 1.0)
-            .map(|n| n as u32),
-        retry_after: optional(caps, "MaxRetryAfterUs")?
+        max_attempts: optional_number(caps, "MaxAttempts")?
+            .filter(|&attempts| attempts >= 1.0)
+            .map(to_u32),
+        retry_after: optional_number(caps, "MaxRetryAfterUs")?
             .filter(|_| flag(caps, "RetryAfter"))
-            .map(|t| t as u64),
-        cross_zone_costs: optional(root.get("Fees"), "CrossZone")?.unwrap_or(0.0) > 0.0,
-        probe_cost: optional(root.get("Fees"), "Probe")?.unwrap_or(0.0),
-        tick: optional(root, "TickUs")?.unwrap_or(0.0) as u64,
+            .map(to_u64),
+        cross_zone_costs: optional_number(fees, "CrossZone")?.unwrap_or(0.0) > 0.0,
+        probe_cost: optional_number(fees, "Probe")?.unwrap_or(0.0),
+        tick: to_u64(optional_number(root, "TickUs")?.unwrap_or(0.0)),
         retry_budget,
         slow_start,
-        settle_time: optional(contract, "SettleAfterDoubtUs")?.unwrap_or(0.0) as u64,
+        settle_time: to_u64(optional_number(contract, "SettleAfterDoubtUs")?.unwrap_or(0.0)),
     })
 }
 
-fn number(v: Json, key: &str) -> Result<f64, String> {
-    let n = v
-        .get(key)
-        .number()
-        .ok_or_else(|| format!("{key} is missing or not a number"))?;
-    (n >= 0.0)
-        .then_some(n)
-        .ok_or_else(|| format!("{key} is negative"))
+fn read_classes(root: Json, family: Json) -> Result<Vec<QueryClass>, KeyError> {
+    let profiles = root.get("Profiles");
+    match profiles.list() {
+        None => return Err(KeyError::new("Profiles", Problem::MissingOrNoList)),
+        Some([]) => return Err(KeyError::new("Profiles", Problem::Empty)),
+        Some(_) => {}
+    }
+    let read = |(index, profile)| {
+        class::read(index, profile, family)
+            .map_err(|error| error.within(&format!("Profiles[{index}]")))
+    };
+    profiles.each().enumerate().map(read).collect()
 }
 
-fn optional(v: Json, key: &str) -> Result<Option<f64>, String> {
-    if v.get(key).is_null() {
-        return Ok(None);
-    }
-    number(v, key).map(Some)
+fn read_kinds(root: Json, family: Json) -> Vec<MachineKind> {
+    let sizes = family.get("SizeCores").each().count();
+    let count = root.get("MachineTypes").each().count().max(sizes);
+    let positive = |key: &str, index: usize| {
+        let number = family.get(key).at(index).number();
+        number.filter(|&number| number > 0.0)
+    };
+    let kind = |index| MachineKind {
+        cores: positive("SizeCores", index),
+        memory_mb: positive("RamOfKindMb", index),
+    };
+    (0..count).map(kind).collect()
 }
 
-fn flag(v: Json, key: &str) -> bool {
-    v.get(key).flag()
+fn read_tenants(root: Json) -> Result<Vec<Tenant>, KeyError> {
+    let read = |(index, tenant)| {
+        let quota_per_s = number(tenant, "QuotaPerS")
+            .map_err(|error| error.within(&format!("Tenants[{index}]")))?;
+        Ok(Tenant { quota_per_s })
+    };
+    root.get("Tenants").each().enumerate().map(read).collect()
 }
 
-fn places(v: Json, key: &str) -> Result<Option<Vec<u16>>, String> {
-    if v.get(key).is_null() {
+/// The slow start rule, which is in force where its last figure is given.
+fn read_slow_start(contract: Json) -> Result<Option<SlowStart>, KeyError> {
+    if contract.get("FallMultiple").is_null() {
         return Ok(None);
     }
-    v.get(key)
-        .list()
-        .ok_or_else(|| format!("{key} is not a list"))?;
-    let each = v
-        .get(key)
-        .each()
-        .map(|x| x.whole().and_then(|n| u16::try_from(n).ok()));
-    each.collect::<Option<Vec<_>>>()
-        .map(Some)
-        .ok_or_else(|| format!("{key} holds no numbers"))
+    Ok(Some(SlowStart {
+        from: contract_number(contract, "ColdFrom")?,
+        warm_up_time: to_u64(contract_number(contract, "WarmUpUs")?),
+        multiple: contract_number(contract, "FallMultiple")?,
+        window: to_u64(contract_number(contract, "OverloadForUs")?),
+    }))
 }
 
-fn class(i: usize, p: Json, family: Json) -> Result<QueryClass, String> {
-    let idempotency = match p.get("Effect").text() {
-        Some("free") => Idempotency::Idempotent,
-        Some("guarded") => Idempotency::WithKey,
-        Some("single_shot") => Idempotency::NotIdempotent,
-        _ => return Err("Effect is missing or unknown".into()),
-    };
-    let deduplication_scope = match p.get("KeyScope").text() {
-        Some("all") => DeduplicationScope::All,
-        Some("zone") => DeduplicationScope::Zone,
-        Some("cell") => DeduplicationScope::Cell,
-        None if idempotency != Idempotency::WithKey => DeduplicationScope::All,
-        _ => return Err("KeyScope is missing or unknown".into()),
-    };
-    Ok(QueryClass {
-        latency_objective: number(p, "OnTimeUs")? as u64,
-        latency_objective_stretch: optional(p, "AimStretch")?.unwrap_or(0.0),
-        priority_weight: number(p, "Worth")?,
-        late_weight: optional(p, "LateWorth")?.unwrap_or(0.0),
-        idempotency,
-        deduplication_scope,
-        deduplication_window: optional(p, "RepeatWindowUs")?.unwrap_or(0.0) as u64,
-        in_order: flag(p, "ByArrival"),
-        zones: places(p, "ConfinedTo")?,
-        kinds: places(p, "MachineTypesAllowed")?,
-        threads: family
-            .get("WidthByClass")
-            .at(i)
-            .number()
-            .filter(|&t| t >= 1.0)
-            .unwrap_or(1.0),
-        load: family.get("Loads").at(i).flag(),
-        waits_for_loads: family.get("BlockedByLoads").at(i).flag(),
-    })
+/// The retry budget, which is in force where its window is given.
+fn read_retry_budget(contract: Json) -> Result<Option<RetryBudget>, KeyError> {
+    if contract.get("ExtraWindowUs").is_null() {
+        return Ok(None);
+    }
+    Ok(Some(RetryBudget {
+        min_retries: optional_number(contract, "MinExtra")?.unwrap_or(0.0),
+        ratio: optional_number(contract, "FurtherRatio")?.unwrap_or(0.0),
+        window: to_u64(contract_number(contract, "ExtraWindowUs")?),
+    }))
+}
+
+fn contract_number(contract: Json, key: &str) -> Result<f64, KeyError> {
+    number(contract, key).map_err(|error| error.within("Contract"))
 }
 
-fn field(f: Json, family: Json) -> ReportField {
-    let meaning = |key: &str| {
-        let text = family.get(key).text().unwrap_or_default();
-        if text.contains("memory") {
-            ReportField::Memory
-        } else if text.contains("disk") {
-            ReportField::Disk
-        } else {
-            ReportField::Unknown
+fn read_out_of_memory(family: Json) -> Result<OutOfMemory, KeyError> {
+    match family.get("OutOfMemory").text() {
+        Some("line_up") | None => Ok(OutOfMemory::Wait),
+        Some("cut") => Ok(OutOfMemory::Shrink),
+        Some("overcommit") => Ok(OutOfMemory::Page),
+        Some(other) => {
+            let problem = Problem::Unknown(other.into());
+            Err(KeyError::new("FamilyInfo.OutOfMemory", problem))
         }
-    };
-    match f.text() {
+    }
+}
+
+fn read_report_fields(report: Json, family: Json) -> Vec<ReportField> {
+    let field = |field: Json| match field.text() {
         Some("active") => ReportField::Active,
         Some("waiting") => ReportField::Waiting,
         Some("cpu") => ReportField::Busy,
         Some("avg_ms") => ReportField::ServiceMs,
         Some("rps") => ReportField::Rate,
         Some("err_rps") => ReportField::Errors,
-        Some("x0") => meaning("ReportX0"),
-        Some("x1") => meaning("ReportX1"),
+        Some("x0") => described_field(family.get("ReportX0")),
+        Some("x1") => described_field(family.get("ReportX1")),
+        _ => ReportField::Unknown,
+    };
+    report.get("Fields").each().map(field).collect()
+}
+
+/// A field whose meaning stands in a sentence of the settings.
+fn described_field(description: Json) -> ReportField {
+    match description.text().unwrap_or_default() {
+        text if text.contains("memory") => ReportField::Memory,
+        text if text.contains("disk") => ReportField::Disk,
         _ => ReportField::Unknown,
     }
 }
--- a/crates/settings/tests/golden.rs
+++ b/crates/settings/tests/golden.rs
@@ -1,4 +1,5 @@
 //! The platform's settings as they are read, and what is said of those that can't be; see `golden/README.md`.
+#![allow(clippy::too_many_lines, reason = "a line for each key")]
 
 use driftfront_scheduler::interface::{
     DeduplicationScope, Idempotency, OutOfMemory, ReportField, Settings,
