--- a/crates/engine-registry/src/change.rs
+++ b/crates/engine-registry/src/change.rs
@@ -1,7 +1,7 @@
 //! What a change of the registry means to the scheduler and to operators.
 
 use crate::record::StateRecord;
-use driftfront_scheduler::interface::{EngineId, ListKind, ListedEngine, Phase};
+use driftfront_scheduler::{EngineId, ListKind, ListedEngine, Phase};
 
 /// A change to the engine list, in the scheduler's terms.
 #[derive(Clone, Debug)]
--- a/crates/engine-registry/src/description.rs
+++ b/crates/engine-registry/src/description.rs
@@ -1,7 +1,7 @@
 //! What is known of one engine.
 
 use crate::Micros;
-use driftfront_scheduler::interface::Phase;
+use driftfront_scheduler::Phase;
 use std::net::SocketAddr;
 
 /// What a source, or an operator who adds it, says of one engine.
--- a/crates/engine-registry/src/handover.rs
+++ b/crates/engine-registry/src/handover.rs
@@ -8,7 +8,7 @@
 //! separated by tabs. A file that is not complete to the last byte counts as none.
 
 use crate::{ActiveOrder, Order, MAX_NAME_BYTES};
-use driftfront_scheduler::interface::Micros;
+use driftfront_scheduler::Micros;
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
 
--- a/crates/engine-registry/src/record.rs
+++ b/crates/engine-registry/src/record.rs
@@ -6,7 +6,7 @@
 
 use crate::rolling_restart::RollingRestart;
 use crate::{ActiveOrder, EngineDescription, Order};
-use driftfront_scheduler::interface::Phase;
+use driftfront_scheduler::Phase;
 
 /// The beginning of the file: what it is, and the version of its format.
 pub const HEADER: &[u8] = b"driftfront state 1\n";
--- a/crates/engine-registry/src/registry/commands.rs
+++ b/crates/engine-registry/src/registry/commands.rs
@@ -4,7 +4,7 @@
 use super::EngineRegistry;
 use crate::record::StateRecord;
 use crate::{Command, EngineDescription, Micros, Order, Refusal, RegistryChange, RegistryUpdate};
-use driftfront_scheduler::interface::{ListKind, Phase};
+use driftfront_scheduler::{ListKind, Phase};
 
 impl EngineRegistry {
     /// Executes an operator's command, given by `by` at `now` (Unix microseconds).
--- a/crates/engine-registry/src/registry/entry.rs
+++ b/crates/engine-registry/src/registry/entry.rs
@@ -1,7 +1,7 @@
 //! One engine of the registry.
 
 use crate::{EngineDescription, Micros, Order};
-use driftfront_scheduler::interface::{EngineId, ListedEngine, Phase};
+use driftfront_scheduler::{EngineId, ListedEngine, Phase};
 use std::net::SocketAddr;
 
 /// Who describes an engine.
--- a/crates/engine-registry/src/registry/mod.rs
+++ b/crates/engine-registry/src/registry/mod.rs
@@ -9,7 +9,7 @@
 use crate::name::{check_name, fnv1a_64, suggest_name};
 use crate::order::{ActiveOrder, OrderBook};
 use crate::{EngineDescription, Micros, Refusal};
-use driftfront_scheduler::interface::{EngineId, ListKind, ListedEngine, Phase};
+use driftfront_scheduler::{EngineId, ListKind, ListedEngine, Phase};
 use entry::{Entry, Origin};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
--- a/crates/engine-registry/src/registry/persistence.rs
+++ b/crates/engine-registry/src/registry/persistence.rs
@@ -5,7 +5,7 @@
 use crate::handover::HandoverState;
 use crate::record::StateRecord;
 use crate::{EngineDescription, Order, RegistryChange, RegistryUpdate};
-use driftfront_scheduler::interface::ListKind;
+use driftfront_scheduler::ListKind;
 
 impl EngineRegistry {
     /// Restores what an earlier process wrote down, before any source has listed engines.
--- a/crates/engine-registry/tests/golden.rs
+++ b/crates/engine-registry/tests/golden.rs
@@ -14,7 +14,7 @@
 use driftfront_engine_registry::{
     ActiveOrder, Command, EngineDescription, EngineRegistry, Order, Refusal,
 };
-use driftfront_scheduler::interface::{ListKind, Phase};
+use driftfront_scheduler::{ListKind, Phase};
 use driftfront_test_support::{assert_golden, read_golden};
 use std::fmt::Write as _;
 
--- a/crates/engine-registry/tests/model.rs
+++ b/crates/engine-registry/tests/model.rs
@@ -6,7 +6,7 @@
 
 use driftfront_engine_registry::record::{self, StateRecord};
 use driftfront_engine_registry::{Command, EngineDescription, EngineRegistry, Order};
-use driftfront_scheduler::interface::{EngineId, ListKind, Phase};
+use driftfront_scheduler::{EngineId, ListKind, Phase};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use std::collections::BTreeMap;
 
--- a/crates/engine-registry/tests/orders.rs
+++ b/crates/engine-registry/tests/orders.rs
@@ -1,7 +1,7 @@
 //! Engines taken out and put back by name, whatever lists say.
 
 use driftfront_engine_registry::{EngineDescription, EngineRegistry, Refusal, MAX_KNOWN_NAMES};
-use driftfront_scheduler::interface::{ListKind, Phase};
+use driftfront_scheduler::{ListKind, Phase};
 use quickcheck::{Gen, QuickCheck};
 
 fn description(name: &str, phase: Phase, started_at: Option<u64>) -> EngineDescription {
--- a/crates/engine-registry/tests/record.rs
+++ b/crates/engine-registry/tests/record.rs
@@ -4,7 +4,7 @@
     self, encode, file, read, StateFileError, StateRecord, HEADER,
 };
 use driftfront_engine_registry::{ActiveOrder, EngineDescription, Order};
-use driftfront_scheduler::interface::Phase;
+use driftfront_scheduler::Phase;
 
 fn records() -> Vec<StateRecord> {
     let active_order = |order| ActiveOrder {
--- a/crates/settings/src/class.rs
+++ b/crates/settings/src/class.rs
@@ -3,7 +3,7 @@
 use crate::json::Json;
 use crate::value::{flag, number, optional_indexes, optional_number, to_u64};
 use crate::{KeyError, Problem};
-use driftfront_scheduler::interface::{DeduplicationScope, Idempotency, QueryClass};
+use driftfront_scheduler::{DeduplicationScope, Idempotency, QueryClass};
 
 /// Reads the class at an index. Some of its properties are lists by class in `family`.
 pub(crate) fn read(index: usize, profile: Json, family: Json) -> Result<QueryClass, KeyError> {
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -10,7 +10,7 @@
 
 pub use error::{KeyError, Problem, SettingsError};
 
-use driftfront_scheduler::interface::{
+use driftfront_scheduler::{
     MachineKind, OutOfMemory, QueryClass, ReportField, RetryBudget, Settings, SlowStart, Tenant,
 };
 use json::Json;
--- a/crates/settings/tests/golden.rs
+++ b/crates/settings/tests/golden.rs
@@ -1,9 +1,7 @@
 //! The platform's settings as they are read, and what is said of those that can't be; see `golden/README.md`.
 #![allow(clippy::too_many_lines, reason = "a line for each key")]
 
-use driftfront_scheduler::interface::{
-    DeduplicationScope, Idempotency, OutOfMemory, ReportField, Settings,
-};
+use driftfront_scheduler::{DeduplicationScope, Idempotency, OutOfMemory, ReportField, Settings};
 use driftfront_settings::parse_settings;
 use driftfront_test_support::{assert_golden, read_golden};
 use std::fmt::Write as _;
--- a/crates/simulator-adapter/tests/golden.rs
+++ b/crates/simulator-adapter/tests/golden.rs
@@ -3,6 +3,10 @@
 //!
 //! Requests, engines' answers and faults are drawn from a fixed seed; attempts are answered as they are sent, so a transcript
 //! shows changed decisions as well as a changed wire.
+#![allow(
+    clippy::cast_possible_truncation,
+    reason = "draws are below the bound that is asked for"
+)]
 
 use driftfront_simulator_adapter::{read_batch, Host};
 use driftfront_test_support::{assert_golden, read_golden};
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -1,4 +1,9 @@
 //! Hand-built and malformed frames.
+#![allow(
+    clippy::cast_possible_truncation,
+    reason = "sizes of the examples are small"
+)]
+
 use driftfront_simulator_adapter::{parse_settings, read_batch, Host};
 
 const SETTINGS: &str = r#"{"Balancers": 1, "Zone": 0, "Novelty": 7, "MembershipMode": "push",
@@ -111,10 +116,12 @@
 fn malformed_frames_are_errors_with_a_reason() {
     assert!(read_batch(&mut &[0, 0, 0][..])
         .unwrap_err()
+        .to_string()
         .contains("header"));
     assert!(
         read_batch(&mut &[0, 0, 0, 9, 0, 0, 0, 0, 0, 0, 0, 0, 1][..])
             .unwrap_err()
+            .to_string()
             .contains("1 of 9")
     );
     let mut host = Host::default();
@@ -122,13 +129,19 @@
     assert!(host
         .batch(5, &request(3, 5)[..30])
         .unwrap_err()
+        .to_string()
         .contains("cut short"));
     assert!(host
         .batch(5, &record(2, &[0, 3]))
         .unwrap_err()
+        .to_string()
         .contains("cut short"));
     let no_list = record(1, &[0, 3, 0, 0, 0, 9, 0, 0, 0, 0, 0, 0, 0, 0, 0]);
-    assert!(host.batch(5, &no_list).unwrap_err().contains("catalog"));
+    assert!(host
+        .batch(5, &no_list)
+        .unwrap_err()
+        .to_string()
+        .contains("catalog"));
 }
 
 #[test]
