--- a/crates/console/src/app.rs
+++ b/crates/console/src/app.rs
@@ -1,12 +1,12 @@
-//! The console's state: what it shows, what keys do. No terminal, no socket, no clock.
+//! The console's state: what it shows, and what keys do. No terminal, no socket, no clock.
 
 use crate::messages;
-use driftfront_control::snapshot::Snapshot;
+use driftfront_control::snapshot::{Engine, Snapshot};
 use driftfront_control::{Reply, Request};
 use std::collections::VecDeque;
 
-/// Events held for showing.
-const EVENTS_MOST: usize = 500;
+/// Events kept for showing; the oldest go first.
+pub const MAX_EVENTS: usize = 500;
 
 /// What is shown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -57,11 +57,11 @@
     Quit,
 }
 
-/// A question before something that matters.
+/// A question before an action that is not easily undone.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Question {
-    /// In words.
-    pub words: String,
+    /// The question itself.
+    pub text: String,
     /// What `y` sends.
     pub request: Request,
 }
@@ -69,22 +69,22 @@
 /// The console.
 #[derive(Debug)]
 pub struct App {
-    /// What was last told.
+    /// The last snapshot.
     pub snapshot: Option<Snapshot>,
     /// Why the program can't be reached, while it can't.
-    pub lost: Option<String>,
+    pub disconnected: Option<String>,
     /// The tab shown.
     pub tab: Tab,
-    /// The row chosen.
-    pub chosen: usize,
-    /// What happened, the latest last: when, and what.
+    /// The selected row.
+    pub selected_row: usize,
+    /// What happened, the latest last: when (Unix microseconds), and what.
     pub events: VecDeque<(u64, String)>,
     /// The question that waits for an answer.
     pub question: Option<Question>,
-    /// What was last said about a command.
-    pub said: Option<String>,
+    /// The answer to the last command.
+    pub answer: Option<String>,
     /// The help is shown.
-    pub help: bool,
+    pub is_help_shown: bool,
 }
 
 impl Default for App {
@@ -98,42 +98,42 @@
     pub fn new() -> App {
         App {
             snapshot: None,
-            lost: None,
+            disconnected: None,
             tab: Tab::Engines,
-            chosen: 0,
+            selected_row: 0,
             events: VecDeque::new(),
             question: None,
-            said: None,
-            help: false,
+            answer: None,
+            is_help_shown: false,
         }
     }
 
-    /// The program has said something.
-    pub fn reply(&mut self, reply: Reply) {
-        self.lost = None;
+    /// Takes over what the program has said.
+    pub fn handle_reply(&mut self, reply: Reply) {
+        self.disconnected = None;
         match reply {
             Reply::Snapshot(snapshot) => {
                 self.snapshot = Some(*snapshot);
-                self.chosen = self.chosen.min(self.rows().saturating_sub(1));
+                self.select_row(self.selected_row);
             }
-            Reply::Event(at, words) => {
-                if self.events.len() == EVENTS_MOST {
+            Reply::Event(at, text) => {
+                if self.events.len() == MAX_EVENTS {
                     self.events.pop_front();
                 }
-                self.events.push_back((at, words));
+                self.events.push_back((at, text));
             }
-            Reply::Done(words) | Reply::Refused(words) => self.said = Some(words),
+            Reply::Done(text) | Reply::Refused(text) => self.answer = Some(text),
         }
     }
 
-    /// The program can't be reached.
-    pub fn gone(&mut self, why: &str) {
-        self.lost = Some(why.into());
+    /// The program can't be reached; a question is dropped, since its answer could not be sent.
+    pub fn handle_disconnect(&mut self, reason: &str) {
+        self.disconnected = Some(reason.into());
         self.question = None;
     }
 
-    /// Rows of the tab shown.
-    pub fn rows(&self) -> usize {
+    /// The number of rows of the tab that is shown.
+    pub fn row_count(&self) -> usize {
         let Some(s) = &self.snapshot else { return 0 };
         match self.tab {
             Tab::Engines => s.engines.len(),
@@ -143,73 +143,90 @@
         }
     }
 
-    /// The engine chosen.
-    fn engine(&self) -> Option<&driftfront_control::snapshot::Engine> {
+    /// The selected engine, on the tab of engines.
+    fn selected_engine(&self) -> Option<&Engine> {
         self.snapshot
             .as_ref()
             .filter(|_| self.tab == Tab::Engines)?
             .engines
-            .get(self.chosen)
+            .get(self.selected_row)
     }
 
-    /// A key was pressed.
-    pub fn key(&mut self, key: Key) -> Intent {
+    /// Handles a key, and says what is to be done.
+    pub fn handle_key(&mut self, key: Key) -> Intent {
         if let Some(question) = self.question.take() {
-            return match key {
-                Key::Char('y' | 'Y') => Intent::Send(question.request),
-                _ => {
-                    self.said = Some("Left as it was.".into());
-                    Intent::Nothing
-                }
-            };
+            return self.answer_question(question, key);
         }
-        if self.help {
-            self.help = false;
+        if self.is_help_shown {
+            self.is_help_shown = false;
             return Intent::Nothing;
         }
         match key {
             Key::Char('q') | Key::Escape => return Intent::Quit,
-            Key::Char('?' | 'h') => self.help = true,
-            Key::Up | Key::Char('k') => self.chosen = self.chosen.saturating_sub(1),
-            Key::Down | Key::Char('j') => {
-                self.chosen = (self.chosen + 1).min(self.rows().saturating_sub(1))
-            }
-            Key::Tab => {
-                let at = TABS.iter().position(|t| t.0 == self.tab).unwrap_or(0);
-                self.show(TABS[(at + 1) % TABS.len()].0);
-            }
-            Key::Char(c @ '1'..='4') => self.show(TABS[c as usize - '1' as usize].0),
-            Key::Char('d') => self.ask_drain(),
-            Key::Char('r') => {
-                if let Some(engine) = self.engine().map(|e| e.name.clone()) {
-                    return Intent::Send(Request::Resume(engine));
-                }
-            }
+            Key::Char('?' | 'h') => self.is_help_shown = true,
+            Key::Up | Key::Char('k') => self.select_row(self.selected_row.saturating_sub(1)),
+            Key::Down | Key::Char('j') => self.select_row(self.selected_row + 1),
+            Key::Tab => self.show_next_tab(),
+            Key::Char('1') => self.show_tab(Tab::Engines),
+            Key::Char('2') => self.show_tab(Tab::Service),
+            Key::Char('3') => self.show_tab(Tab::Queries),
+            Key::Char('4') => self.show_tab(Tab::Events),
+            Key::Char('d') => self.ask_to_drain(),
+            Key::Char('r') => return self.resume_selected_engine(),
             Key::Char('b') => return Intent::Send(Request::Back),
             Key::Char('s') => return Intent::Send(Request::RollStop),
             Key::Char('g') => return Intent::Send(Request::RollGoOn),
-            Key::Char('R') => {
-                self.question = Some(Question {
-                    words: "Take all engines out one after another, for repair or restart? (y/n)"
-                        .into(),
-                    request: Request::Roll(Vec::new(), false),
-                });
-            }
+            Key::Char('R') => self.ask_to_roll(),
             _ => {}
         }
         Intent::Nothing
     }
 
-    fn show(&mut self, tab: Tab) {
-        (self.tab, self.chosen) = (tab, 0);
+    /// Selects a row, or the last one where there are fewer.
+    fn select_row(&mut self, row: usize) {
+        self.selected_row = row.min(self.row_count().saturating_sub(1));
+    }
+
+    fn resume_selected_engine(&self) -> Intent {
+        match self.selected_engine() {
+            Some(engine) => Intent::Send(Request::Resume(engine.name.clone())),
+            None => Intent::Nothing,
+        }
+    }
+
+    fn ask_to_roll(&mut self) {
+        self.question = Some(Question {
+            text: "Take all engines out one after another, for repair or restart? (y/n)".into(),
+            request: Request::Roll(Vec::new(), false),
+        });
+    }
+
+    fn answer_question(&mut self, question: Question, key: Key) -> Intent {
+        match key {
+            Key::Char('y' | 'Y') => Intent::Send(question.request),
+            _ => {
+                self.answer = Some("Left as it was.".into());
+                Intent::Nothing
+            }
+        }
+    }
+
+    fn show_next_tab(&mut self) {
+        let shown = TABS.iter().position(|(tab, _)| *tab == self.tab);
+        let next = shown.map_or(0, |index| index + 1) % TABS.len();
+        self.show_tab(TABS[next].0);
+    }
+
+    fn show_tab(&mut self, tab: Tab) {
+        (self.tab, self.selected_row) = (tab, 0);
         if tab == Tab::Events {
-            self.chosen = self.events.len().saturating_sub(1);
+            self.selected_row = self.events.len().saturating_sub(1);
         }
     }
 
-    fn ask_drain(&mut self) {
-        let Some(engine) = self.engine().cloned() else {
-            self.said = Some("Choose an engine first: 1, then up and down.".into());
+    fn ask_to_drain(&mut self) {
+        let Some(engine) = self.selected_engine().cloned() else {
+            self.answer = Some("Choose an engine first: 1, then up and down.".into());
             return;
         };
         let ready = self
@@ -218,12 +235,12 @@
             .flat_map(|s| &s.engines)
             .filter(|e| e.phase == "ready")
             .count();
-        let last = engine.phase == "ready" && ready == 1;
+        let is_last = engine.phase == "ready" && ready == 1;
         let running = match engine.running {
             0 => "nothing runs there".into(),
             n => format!("what runs there ({n}) may end"),
         };
-        let words = if last {
+        let text = if is_last {
             format!("{} is the LAST engine that takes work: all requests will be refused. Drain it all the same? (y/n)", engine.name)
         } else {
             format!(
@@ -232,16 +249,16 @@
             )
         };
         self.question = Some(Question {
-            words,
+            text,
             request: Request::Drain {
                 engine: engine.name,
-                force: last,
+                force: is_last,
             },
         });
     }
 
-    /// The keys that do something now, for the last line.
-    pub fn keys(&self, width: usize) -> String {
+    /// The keys, for the last line; fewer where the width is small.
+    pub fn key_line(&self, width: usize) -> String {
         let full =
             "1-4 tab  up/down  d drain  r resume  R roll  b back  s stop  g go on  ? help  q quit";
         let short = "1-4  d drain  r resume  ? help  q quit";
@@ -254,9 +271,9 @@
             .to_string()
     }
 
-    /// What needs an eye, or what was just said.
+    /// What needs an eye: alarms, or that the program can't be reached.
     pub fn alarms(&self) -> Vec<String> {
-        match (&self.lost, &self.snapshot) {
+        match (&self.disconnected, &self.snapshot) {
             (Some(why), _) => {
                 vec![format!(
                     "The program can't be reached: {why}. This is how things last stood."
@@ -267,78 +284,3 @@
         }
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use driftfront_control::snapshot::Engine;
-
-    fn app(phases: &[&str]) -> App {
-        let engine = |(n, phase): (usize, &&str)| Engine {
-            name: format!("engine-{n}"),
-            phase: phase.to_string(),
-            ..Engine::default()
-        };
-        let engines = phases.iter().enumerate().map(engine).collect();
-        let mut app = App::new();
-        app.reply(Reply::Snapshot(Box::new(Snapshot {
-            engines,
-            ..Snapshot::default()
-        })));
-        app
-    }
-
-    #[test]
-    fn a_drain_is_asked_for_and_only_y_sends_it() {
-        let mut app = app(&["ready", "ready"]);
-        app.key(Key::Down);
-        assert_eq!(app.key(Key::Char('d')), Intent::Nothing);
-        assert!(app
-            .question
-            .as_ref()
-            .is_some_and(|q| q.words.starts_with("Drain engine-1?")));
-        assert_eq!(app.key(Key::Char('x')), Intent::Nothing);
-        app.key(Key::Char('d'));
-        let drain = Request::Drain {
-            engine: "engine-1".into(),
-            force: false,
-        };
-        assert_eq!(app.key(Key::Char('y')), Intent::Send(drain));
-    }
-
-    #[test]
-    fn the_last_ready_engine_is_drained_only_after_a_plain_warning() {
-        let mut app = app(&["ready", "draining"]);
-        app.key(Key::Char('d'));
-        assert!(app
-            .question
-            .as_ref()
-            .is_some_and(|q| q.words.contains("LAST engine")));
-        let drain = Request::Drain {
-            engine: "engine-0".into(),
-            force: true,
-        };
-        assert_eq!(app.key(Key::Char('y')), Intent::Send(drain));
-    }
-
-    #[test]
-    fn the_choice_stays_inside_the_list_and_events_are_bounded() {
-        let mut app = app(&["ready", "ready", "ready"]);
-        (0..9).for_each(|_| drop(app.key(Key::Down)));
-        assert_eq!(app.chosen, 2);
-        app.reply(Reply::Snapshot(Box::default()));
-        assert_eq!(app.chosen, 0);
-        (0..2000).for_each(|n| app.reply(Reply::Event(n, "x".into())));
-        assert_eq!(app.events.len(), EVENTS_MOST);
-        app.gone("refused");
-        assert!(app.alarms()[0].contains("can't be reached"));
-        assert_eq!(app.key(Key::Char('q')), Intent::Quit);
-    }
-
-    #[test]
-    fn the_keys_fit_every_width() {
-        let app = App::new();
-        assert!((0..200).all(|width| app.keys(width).len() <= width));
-        assert!(app.keys(40).contains("d drain") && app.keys(120).contains("R roll"));
-    }
-}
--- /dev/null
+++ b/crates/console/src/messages/layout.rs
@@ -0,0 +1,68 @@
+//! Tables and paragraphs, laid out for a width.
+
+/// Widest column, in characters.
+const MAX_COLUMN_WIDTH: usize = 28;
+/// Characters between two columns.
+const COLUMN_GAP: &str = "  ";
+
+/// A table. Its columns are in the order of their importance: what does not fit the width is left out from the right.
+pub struct Table {
+    /// The heads of the columns.
+    pub heads: Vec<&'static str>,
+    /// The rows: a cell for each column.
+    pub rows: Vec<Vec<String>>,
+}
+
+/// The widths of the columns that fit a line, in characters; the first always does.
+pub fn widths(table: &Table, width: usize) -> Vec<usize> {
+    let mut widths = Vec::new();
+    let mut left = width;
+    for (column, head) in table.heads.iter().enumerate() {
+        let cells = table.rows.iter().filter_map(|row| row.get(column));
+        let longest = cells.map(|cell| cell.chars().count()).max().unwrap_or(0);
+        let wanted = longest.max(head.chars().count()).min(MAX_COLUMN_WIDTH);
+        let gap = if column == 0 { 0 } else { COLUMN_GAP.len() };
+        if column > 0 && wanted + gap > left {
+            break;
+        }
+        widths.push(wanted.min(left));
+        left = left.saturating_sub(wanted + gap);
+    }
+    widths
+}
+
+/// One row of a table, cut to the columns that fit.
+pub fn row_text(cells: &[String], widths: &[usize]) -> String {
+    let columns = widths.iter().enumerate().map(|(column, &width)| {
+        let cell = cells.get(column).map_or("", String::as_str);
+        let cut: String = cell.chars().take(width).collect();
+        format!("{cut:<width$}")
+    });
+    let columns: Vec<String> = columns.collect();
+    columns.join(COLUMN_GAP).trim_end().into()
+}
+
+/// Cuts text into lines of a width, at spaces where there are any.
+pub fn wrapped(text: &str, width: usize) -> Vec<String> {
+    let mut lines = Vec::new();
+    let mut line = String::new();
+    for word in text.split(' ') {
+        let mut word = word.to_string();
+        loop {
+            let gap = usize::from(!line.is_empty());
+            if line.chars().count() + gap + word.chars().count() <= width {
+                line += if gap == 1 { " " } else { "" };
+                line += &word;
+                break;
+            }
+            if line.is_empty() {
+                // The word alone is too long for a line.
+                line = word.chars().take(width.max(1)).collect();
+                word = word.chars().skip(width.max(1)).collect();
+            }
+            lines.push(std::mem::take(&mut line));
+        }
+    }
+    lines.push(line);
+    lines
+}
--- /dev/null
+++ b/crates/console/src/messages/plain.rs
@@ -0,0 +1,67 @@
+//! Everything as text, for pipes and screen readers.
+
+use super::units::span;
+use super::{alarms, classes, engines, queries, row_text, widths, wrapped, Table};
+use driftfront_control::snapshot::Snapshot;
+
+/// The first line: which coordinator this is, and how many engines take work.
+pub fn title(s: &Snapshot) -> String {
+    let phases = || s.engines.iter().map(|engine| engine.phase.as_str());
+    let ready = phases().filter(|&phase| phase == "ready").count();
+    let listed = phases().filter(|&phase| phase != "gone").count();
+    let a_minute: u64 = s.classes.iter().map(|class| class.minute.asked).sum();
+    format!(
+        "{}: {ready} of {listed} engines ready, {} open, {a_minute} a minute",
+        s.name, s.open
+    )
+}
+
+/// All of it as lines of a width.
+pub fn plain(s: &Snapshot, width: usize) -> String {
+    let mut lines = vec![title(s)];
+    lines.push(format!(
+        "up {}, clients at {}, {}",
+        span(s.up_s),
+        s.listen,
+        s.front
+    ));
+    let alarms = alarms(s);
+    if alarms.is_empty() {
+        lines.push("All is well.".into());
+    }
+    lines.extend(alarms.iter().flat_map(|alarm| wrapped(alarm, width)));
+    lines.extend(table_lines("Engines", &engines(s), width));
+    lines.extend(table_lines("Service", &classes(s), width));
+    lines.extend(table_lines("What runs", &queries(s), width));
+    if let Some(roll) = &s.roll {
+        let (left, through) = (roll.left.join(", "), roll.through.join(", "));
+        lines.push(String::new());
+        lines.push(format!(
+            "Roll: {}, at {}; left: {left}; through: {through}",
+            roll.stage, roll.engine
+        ));
+    }
+    if let [held, sticky] = s.sessions[..] {
+        lines.push(String::new());
+        lines.push(format!(
+            "Sessions: {held} held, {sticky} of them tied to their engine."
+        ));
+    }
+    if !s.forgets.is_empty() {
+        lines.push(String::new());
+        lines.extend(wrapped(&s.forgets, width));
+    }
+    lines.join("\n") + "\n"
+}
+
+/// A table under its name; nothing for one without rows.
+fn table_lines(name: &str, table: &Table, width: usize) -> Vec<String> {
+    if table.rows.is_empty() {
+        return Vec::new();
+    }
+    let widths = widths(table, width);
+    let heads: Vec<String> = table.heads.iter().map(ToString::to_string).collect();
+    let mut lines = vec![String::new(), format!("{name}:"), row_text(&heads, &widths)];
+    lines.extend(table.rows.iter().map(|row| row_text(row, &widths)));
+    lines
+}
--- a/crates/console/src/remote.rs
+++ b/crates/console/src/remote.rs
@@ -1,4 +1,4 @@
-//! Speaks to a running program, blocking: for commands and for the console's own thread.
+//! A connection to a running program, with blocking calls: for commands, and for a thread of the console.
 
 use driftfront_control::{challenge_in, key, LineReader, Reply, Request, MAX_REPLY_BYTES};
 use std::io::{self, ErrorKind, Read, Write};
@@ -7,6 +7,11 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
+/// Longest wait for a greeting or a reply, unless [`Remote::wait_for_ever`] was called.
+const REPLY_TIMEOUT: Duration = Duration::from_secs(10);
+/// Bytes read at once.
+const READ_BYTES: usize = 64 * 1024;
+
 /// Where a program listens for operators.
 #[derive(Clone, Debug)]
 pub enum Endpoint {
@@ -17,24 +22,26 @@
 }
 
 trait Stream: Read + Write + Send {
-    fn wait(&self, most: Option<Duration>) -> io::Result<()>;
-    fn copy(&self) -> io::Result<Box<dyn Stream>>;
+    /// Reads take at most this long; `None` for ever.
+    fn set_timeout(&self, timeout: Option<Duration>) -> io::Result<()>;
+    /// Another handle of the same connection.
+    fn duplicate(&self) -> io::Result<Box<dyn Stream>>;
 }
 
 impl Stream for UnixStream {
-    fn wait(&self, most: Option<Duration>) -> io::Result<()> {
-        self.set_read_timeout(most)
+    fn set_timeout(&self, timeout: Option<Duration>) -> io::Result<()> {
+        self.set_read_timeout(timeout)
     }
-    fn copy(&self) -> io::Result<Box<dyn Stream>> {
+    fn duplicate(&self) -> io::Result<Box<dyn Stream>> {
         Ok(Box::new(self.try_clone()?))
     }
 }
 
 impl Stream for TcpStream {
-    fn wait(&self, most: Option<Duration>) -> io::Result<()> {
-        self.set_read_timeout(most)
+    fn set_timeout(&self, timeout: Option<Duration>) -> io::Result<()> {
+        self.set_read_timeout(timeout)
     }
-    fn copy(&self) -> io::Result<Box<dyn Stream>> {
+    fn duplicate(&self) -> io::Result<Box<dyn Stream>> {
         Ok(Box::new(self.try_clone()?))
     }
 }
@@ -43,49 +50,51 @@
 pub struct Remote {
     stream: Box<dyn Stream>,
     lines: LineReader,
-    last: u64,
+    /// The id of the last request.
+    last_id: u64,
 }
 
-/// A connect or a plain answer takes at most this long.
-const PATIENCE: Duration = Duration::from_secs(10);
-
 impl Remote {
     /// Connects, and proves the key where one is asked for.
+    ///
+    /// # Errors
+    ///
+    /// The socket's errors; `PermissionDenied` where the key is not right, `InvalidData` where no program of this kind answers.
     pub fn connect(at: &Endpoint) -> io::Result<Remote> {
         let (stream, secret): (Box<dyn Stream>, &[u8]) = match at {
             Endpoint::Socket(path) => (Box::new(UnixStream::connect(path)?), &[]),
             Endpoint::Port(addr, key) => (Box::new(TcpStream::connect(addr)?), key),
         };
-        stream.wait(Some(PATIENCE))?;
+        stream.set_timeout(Some(REPLY_TIMEOUT))?;
         let mut remote = Remote {
             stream,
             lines: LineReader::default(),
-            last: 0,
+            last_id: 0,
         };
-        let challenge = challenge_in(&remote.line()?).ok_or_else(|| odd("no greeting"))?;
+        let greeting = remote.read_line()?;
+        let challenge = challenge_in(&greeting).ok_or_else(|| invalid_data("no greeting"))?;
         if let Some(challenge) = challenge {
-            let id = remote.send(&Request::Auth(key::answer(secret, &challenge)))?;
-            match remote.reply(id)? {
-                Reply::Done(_) => {}
-                _ => {
-                    return Err(io::Error::new(
-                        ErrorKind::PermissionDenied,
-                        "the key is not right",
-                    ))
-                }
-            }
+            remote.authenticate(secret, &challenge)?;
         }
         Ok(remote)
     }
 
-    fn line(&mut self) -> io::Result<String> {
-        let mut bytes = [0; 64 * 1024];
+    fn authenticate(&mut self, secret: &[u8], challenge: &str) -> io::Result<()> {
+        let answer = key::answer(secret, challenge);
+        match self.ask(&Request::Auth(answer))? {
+            Reply::Done(_) => Ok(()),
+            _ => Err(io::Error::new(
+                ErrorKind::PermissionDenied,
+                "the key is not right",
+            )),
+        }
+    }
+
+    fn read_line(&mut self) -> io::Result<String> {
+        let mut bytes = [0; READ_BYTES];
         loop {
-            if let Some(line) = self
-                .lines
-                .next_line(MAX_REPLY_BYTES)
-                .map_err(|_| odd("a line without end"))?
-            {
+            let line = self.lines.next_line(MAX_REPLY_BYTES);
+            if let Some(line) = line.map_err(|_| invalid_data("a line without end"))? {
                 return Ok(line);
             }
             match self.stream.read(&mut bytes) {
@@ -103,17 +112,26 @@
         }
     }
 
-    /// Sends a request; its id.
+    /// Sends a request, and returns its id.
+    ///
+    /// # Errors
+    ///
+    /// The connection's errors.
     pub fn send(&mut self, request: &Request) -> io::Result<u64> {
-        self.last += 1;
-        self.stream.write_all(request.line(self.last).as_bytes())?;
-        Ok(self.last)
+        self.last_id += 1;
+        let line = request.line(self.last_id);
+        self.stream.write_all(line.as_bytes())?;
+        Ok(self.last_id)
     }
 
-    /// The next reply, to whatever.
+    /// The next reply, to any request. Lines that are no reply are passed over.
+    ///
+    /// # Errors
+    ///
+    /// The connection's errors, `UnexpectedEof` where the program has ended, `InvalidData` for a line beyond the bound.
     pub fn next_reply(&mut self) -> io::Result<(u64, Reply)> {
         loop {
-            let line = self.line()?;
+            let line = self.read_line()?;
             if let Some(reply) = Reply::read(&line) {
                 return Ok(reply);
             }
@@ -121,32 +139,48 @@
     }
 
     /// The next reply to this request.
+    ///
+    /// # Errors
+    ///
+    /// As [`Remote::next_reply`].
     pub fn reply(&mut self, id: u64) -> io::Result<Reply> {
         loop {
-            let (of, reply) = self.next_reply()?;
-            if of == id {
+            let (reply_id, reply) = self.next_reply()?;
+            if reply_id == id {
                 return Ok(reply);
             }
         }
     }
 
-    /// Asks, and waits for the answer.
+    /// Sends a request, and waits for its reply.
+    ///
+    /// # Errors
+    ///
+    /// As [`Remote::send`] and [`Remote::next_reply`].
     pub fn ask(&mut self, request: &Request) -> io::Result<Reply> {
         let id = self.send(request)?;
         self.reply(id)
     }
 
     /// From now on replies may take as long as they like.
+    ///
+    /// # Errors
+    ///
+    /// The socket's errors.
     pub fn wait_for_ever(&self) -> io::Result<()> {
-        self.stream.wait(None)
+        self.stream.set_timeout(None)
     }
 
-    /// A second end of the same connection, to write from another thread.
+    /// Another handle of the same connection, to write from another thread.
+    ///
+    /// # Errors
+    ///
+    /// The socket's errors.
     pub fn writer(&self) -> io::Result<impl Write + Send> {
-        self.stream.copy()
+        self.stream.duplicate()
     }
 }
 
-fn odd(words: &str) -> io::Error {
-    io::Error::new(ErrorKind::InvalidData, words.to_string())
+fn invalid_data(message: &'static str) -> io::Error {
+    io::Error::new(ErrorKind::InvalidData, message)
 }
--- a/crates/console/src/run.rs
+++ b/crates/console/src/run.rs
@@ -1,4 +1,4 @@
-//! The console on a real terminal. A thread reads the program's words, the main one keys; neither holds up the other.
+//! The console on a real terminal. One thread reads the program's replies, the main one keys; neither holds up the other.
 
 use crate::app::{App, Intent, Key};
 use crate::remote::{Endpoint, Remote};
@@ -15,52 +15,58 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// How often the program is asked for everything, in milliseconds.
-const FOLLOW_MS: u64 = 500;
-/// How long keys are waited for before the screen is looked at again.
-const LOOK: Duration = Duration::from_millis(50);
-/// After the program was lost it is looked for again this often.
-const AGAIN: Duration = Duration::from_millis(500);
+/// Time between two snapshots of the program.
+const FOLLOW_MILLIS: u64 = 500;
+/// Longest wait for a key before replies are looked at again.
+const KEY_TIMEOUT: Duration = Duration::from_millis(50);
+/// Pause before the program is connected to again.
+const RECONNECT_DELAY: Duration = Duration::from_millis(500);
+/// The id of requests by keys: their replies are shown whatever their id is.
+const KEY_REQUEST_ID: u64 = 1000;
 
-enum Heard {
+/// What the reading thread passes on.
+enum Message {
     Reply(Reply),
-    Lost(String),
+    Disconnected(String),
 }
 
+/// The writing end of the connection, while there is one.
 type Writer = Arc<Mutex<Option<Box<dyn Write + Send>>>>;
 
-/// Keeps a connection up, and passes on what it brings.
-fn listen(at: Endpoint, heard: Sender<Heard>, writer: Writer) {
+/// Keeps a connection up, and passes on what comes; ends with the receiver.
+fn keep_connected(at: &Endpoint, messages: &Sender<Message>, writer: &Writer) {
     loop {
-        let lost = follow(&at, &heard, &writer)
-            .err()
-            .map_or("it has ended".to_string(), |e| e.to_string());
-        if let Ok(mut held) = writer.lock() {
-            *held = None;
+        let reason = match follow(at, messages, writer) {
+            Ok(()) => "it has ended".to_string(),
+            Err(e) => e.to_string(),
+        };
+        if let Ok(mut writer) = writer.lock() {
+            *writer = None;
         }
-        if heard.send(Heard::Lost(lost)).is_err() {
+        if messages.send(Message::Disconnected(reason)).is_err() {
             return;
         }
-        std::thread::sleep(AGAIN);
+        std::thread::sleep(RECONNECT_DELAY);
     }
 }
 
-fn follow(at: &Endpoint, heard: &Sender<Heard>, writer: &Writer) -> io::Result<()> {
+fn follow(at: &Endpoint, messages: &Sender<Message>, writer: &Writer) -> io::Result<()> {
     let mut remote = Remote::connect(at)?;
     remote.send(&Request::Events(true))?;
-    remote.send(&Request::Follow(FOLLOW_MS))?;
+    remote.send(&Request::Follow(FOLLOW_MILLIS))?;
     remote.wait_for_ever()?;
-    if let Ok(mut held) = writer.lock() {
-        *held = Some(Box::new(remote.writer()?));
+    if let Ok(mut writer) = writer.lock() {
+        *writer = Some(Box::new(remote.writer()?));
     }
     loop {
         let (_, reply) = remote.next_reply()?;
-        if heard.send(Heard::Reply(reply)).is_err() {
+        if messages.send(Message::Reply(reply)).is_err() {
             return Ok(());
         }
     }
 }
 
+/// The console's key for a terminal's event, if it knows one.
 fn key(event: &Event) -> Option<Key> {
     let Event::Key(key) = event else { return None };
     if key.kind == KeyEventKind::Release {
@@ -81,63 +87,77 @@
 }
 
 /// Runs until `q`, or until the terminal is gone.
+///
+/// # Errors
+///
+/// The terminal's errors. It is left as it was found.
 pub fn run(at: Endpoint, color: bool) -> io::Result<()> {
-    let (sender, heard) = channel();
+    let (sender, messages) = channel();
     let writer: Writer = Arc::default();
-    let listening = writer.clone();
-    std::thread::spawn(move || listen(at, sender, listening));
+    let thread_writer = writer.clone();
+    std::thread::spawn(move || keep_connected(&at, &sender, &thread_writer));
     enable_raw_mode()?;
-    let mut out = io::stdout();
-    execute!(out, EnterAlternateScreen, cursor::Hide)?;
-    let shown = show(&heard, &writer, Look { color });
+    execute!(io::stdout(), EnterAlternateScreen, cursor::Hide)?;
+    let result = show(&messages, &writer, Look { color });
     // Whatever happened, the terminal is left as it was found.
     let _ = execute!(io::stdout(), LeaveAlternateScreen, cursor::Show);
     let _ = disable_raw_mode();
-    shown
+    result
 }
 
-fn show(heard: &Receiver<Heard>, writer: &Writer, look: Look) -> io::Result<()> {
+fn show(messages: &Receiver<Message>, writer: &Writer, look: Look) -> io::Result<()> {
     let mut terminal = Terminal::new(CrosstermBackend::new(io::stdout()))?;
     let mut app = App::new();
-    let mut changed = true;
+    let mut is_changed = true;
     loop {
-        while let Ok(heard) = heard.try_recv() {
-            changed = true;
-            match heard {
-                Heard::Reply(reply) => app.reply(reply),
-                Heard::Lost(why) => app.gone(&why),
-            }
-        }
-        if changed {
+        is_changed |= handle_messages(&mut app, messages);
+        if is_changed {
             // Only what differs is written: a slow line carries little.
             terminal.draw(|frame| draw(&app, look, frame.area(), frame.buffer_mut()))?;
-            changed = false;
+            is_changed = false;
         }
-        if !event::poll(LOOK)? {
+        if !event::poll(KEY_TIMEOUT)? {
             continue;
         }
         let event = event::read()?;
-        changed = true;
+        is_changed = true;
         let Some(key) = key(&event) else { continue };
-        match app.key(key) {
+        match app.handle_key(key) {
             Intent::Nothing => {}
             Intent::Quit => return Ok(()),
             Intent::Send(request) => {
-                let mut held = writer
-                    .lock()
-                    .map_err(|_| io::Error::other("a thread has failed"))?;
-                let sent = held
-                    .as_mut()
-                    .map(|w| w.write_all(request.line(1000).as_bytes()));
-                if !matches!(sent, Some(Ok(()))) {
-                    app.said = Some("The program can't be reached: nothing was done.".into());
+                if !send(writer, &request)? {
+                    app.answer = Some("The program can't be reached: nothing was done.".into());
                 }
             }
         }
     }
 }
 
-/// How wide the terminal is, if there is one.
+/// Handles all that has come; true if anything has.
+fn handle_messages(app: &mut App, messages: &Receiver<Message>) -> bool {
+    let mut is_changed = false;
+    while let Ok(message) = messages.try_recv() {
+        is_changed = true;
+        match message {
+            Message::Reply(reply) => app.handle_reply(reply),
+            Message::Disconnected(reason) => app.handle_disconnect(&reason),
+        }
+    }
+    is_changed
+}
+
+/// Sends a request; false where the program can't be reached.
+fn send(writer: &Writer, request: &Request) -> io::Result<bool> {
+    let mut writer = writer
+        .lock()
+        .map_err(|_| io::Error::other("a thread has failed"))?;
+    let line = request.line(KEY_REQUEST_ID);
+    let sent = writer.as_mut().map(|w| w.write_all(line.as_bytes()));
+    Ok(matches!(sent, Some(Ok(()))))
+}
+
+/// The terminal's width in characters, if there is one.
 pub fn terminal_width() -> Option<usize> {
     ratatui::crossterm::terminal::size()
         .ok()
--- a/crates/console/tests/golden.rs
+++ b/crates/console/tests/golden.rs
@@ -1,4 +1,5 @@
 //! What staff see, character for character, for the snapshot of the protocol's golden files; see `golden/README.md`.
+#![allow(clippy::too_many_lines, reason = "tests list their cases")]
 
 use driftfront_console::app::{App, Intent, Key, Tab, TABS};
 use driftfront_console::messages;
@@ -252,9 +253,9 @@
 
 fn app() -> App {
     let mut app = App::new();
-    app.reply(Reply::Snapshot(Box::new(snapshot())));
+    app.handle_reply(Reply::Snapshot(Box::new(snapshot())));
     for n in 0..3 {
-        app.reply(Reply::Event(
+        app.handle_reply(Reply::Event(
             1_763_999_000_000_000 + n * 400_000_000,
             format!("engine-{n}: ready -> draining"),
         ));
@@ -268,7 +269,7 @@
         let mut text = String::new();
         for key in ['1', '2', '3', '4', '?'] {
             let mut app = app();
-            app.key(Key::Char(key));
+            app.handle_key(Key::Char(key));
             let _ = writeln!(text, "== {key}");
             text += &screen(&app, width, height, false, false);
         }
@@ -311,7 +312,7 @@
         Key::Enter,
         Key::Escape,
     ] {
-        let done = match app.key(key) {
+        let done = match app.handle_key(key) {
             Intent::Nothing => "nothing".to_string(),
             Intent::Quit => "quit".into(),
             Intent::Send(Request::Drain { engine, force }) => {
@@ -329,29 +330,29 @@
             text,
             "{key:?}: {done}; tab {}, row {}, help {}, said {:?}, asked {:?}",
             tab + 1,
-            app.chosen,
-            app.help,
-            app.said.as_deref().unwrap_or(""),
-            app.question.as_ref().map_or("", |q| &q.words)
+            app.selected_row,
+            app.is_help_shown,
+            app.answer.as_deref().unwrap_or(""),
+            app.question.as_ref().map_or("", |q| &q.text)
         );
     }
     app.tab = Tab::Engines;
-    app.chosen = 0;
+    app.selected_row = 0;
     if let Some(s) = &mut app.snapshot {
         s.engines.truncate(1);
     }
-    app.key(Key::Char('d'));
+    app.handle_key(Key::Char('d'));
     let _ = writeln!(
         text,
         "the last: {}",
-        app.question.as_ref().map_or("", |q| &q.words)
+        app.question.as_ref().map_or("", |q| &q.text)
     );
-    app.reply(Reply::Refused("no".into()));
-    let _ = writeln!(text, "said {:?}", app.said.as_deref().unwrap_or(""));
+    app.handle_reply(Reply::Refused("no".into()));
+    let _ = writeln!(text, "said {:?}", app.answer.as_deref().unwrap_or(""));
     for width in [10, 14, 37, 40, 84, 120] {
-        let _ = writeln!(text, "keys {width}: {}", app.keys(width));
+        let _ = writeln!(text, "keys {width}: {}", app.key_line(width));
     }
-    app.gone("connection refused");
+    app.handle_disconnect("connection refused");
     let _ = writeln!(text, "gone: {}", app.alarms().join(" | "));
     let _ = writeln!(text, "new: {}", App::new().alarms().join(" | "));
     assert_golden!("keys.txt", text);
