--- a/crates/core/src/attempt.rs
+++ b/crates/core/src/attempt.rs
@@ -34,7 +34,7 @@
     /// What came as its response can't be used: it has run, and no other response will come.
     MalformedResponse(String),
     /// The engine left, or the time ran out, before a byte was written.
-    Withheld,
+    NotSent,
     /// The statement itself is at fault: no other engine would do better.
     Statement(String),
     /// Its client left or wants it no more: nothing is wrong with the engine, where it may still run.
@@ -78,7 +78,7 @@
     pub fn outcome(&self) -> Outcome {
         match self.cause {
             Cause::Rejected => Outcome::Rejected,
-            Cause::Withheld => Outcome::Superseded,
+            Cause::NotSent => Outcome::Superseded,
             Cause::Engine(_) | Cause::MalformedResponse(_) => Outcome::Error,
             // Not written whole, it never was a query there.
             Cause::Released if self.progress < Progress::WrittenWhole => Outcome::Superseded,
@@ -117,7 +117,7 @@
             Cause::Rejected => write!(f, "{progress}: turned away"),
             Cause::Engine(why) => write!(f, "{progress}: engine error: {why}"),
             Cause::MalformedResponse(why) => write!(f, "{progress}: spoilt answer: {why}"),
-            Cause::Withheld => write!(f, "{progress}: withheld"),
+            Cause::NotSent => write!(f, "{progress}: withheld"),
             Cause::Statement(why) => write!(f, "{progress}: statement at fault: {why}"),
             Cause::Released => write!(f, "{progress}: released"),
             Cause::CancelledByScheduler => write!(f, "{progress}: called off"),
--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -63,9 +63,9 @@
             && known_until.is_none_or(|until| now < until)
             && self
                 .controller
-                .may_go_out(now, key.request.query(), key.number);
+                .may_send_first_byte(now, key.request.query(), key.number);
         if !may_go {
-            self.attempt_failed(now, key, Cause::Withheld);
+            self.attempt_failed(now, key, Cause::NotSent);
             return None;
         }
         if let Some(token) = token {
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -41,7 +41,7 @@
 use crate::lost_attempts::LostAttemptDetector;
 use crate::request::Request;
 use crate::running::UnknownOutcomes;
-use crate::timers::Timer;
+use crate::timers::ScheduledTimer;
 use driftfront_scheduler::Controller;
 use driftfront_scheduler::{Idempotency, QueryId, Settings};
 use std::cmp::Reverse;
@@ -93,8 +93,8 @@
     engine_phases: BTreeMap<EngineId, Phase>,
     /// Engines of the probes that are out, by tag.
     probes: BTreeMap<u64, EngineId>,
-    /// By time, then by the order in which they were set.
-    timers: BinaryHeap<Reverse<(Micros, u64, Timer)>>,
+    /// The next one first.
+    timers: BinaryHeap<Reverse<ScheduledTimer>>,
     /// One count for request ids, probe tags and the order of timers: none is ever used twice.
     last_number: u64,
     commands: VecDeque<Command>,
--- a/crates/core/src/lifecycle.rs
+++ b/crates/core/src/lifecycle.rs
@@ -15,13 +15,13 @@
 //! | ready | accepted | accepted | |
 //! | draining, drained | accepted | accepted; each answer closes its connection | an operator resumes it |
 //! | handing over | left to the successor | as draining | SIGTERM, or the successor is gone |
-//! | ending | left to the next process, or accepted until [`GRACE`] is over | the same | all is answered |
+//! | ending | left to the next process, or accepted until [`SHUTDOWN_GRACE`] is over | the same | all is answered |
 
 use driftfront_scheduler::Micros;
 
 /// For so long after this process has said that it is not ready nothing is closed: the load balancer asks ten times a second and
 /// stops new connections 0.2 s after a no; until then a client that is closed would only come back here.
-pub const FRONT_HEARS: Micros = 300_000;
+pub const READINESS_POLL_TIME: Micros = 300_000;
 /// A connection that was idle for this long is not in the middle of anything: it closes first.
 const MIN_IDLE_TIME: Micros = 300_000;
 /// From here on none stays open while idle. A request that comes later than 2 s after the no would still be open when the drain
@@ -29,9 +29,9 @@
 const MAX_IDLE_AFTER_DRAIN: Micros = 1_500_000;
 /// After SIGTERM new connections come for 0.4 s and requests on open ones for 0.2 s more. What is read later than this may be
 /// owed an answer still when SIGKILL comes, so it is rejected at once, and idle connections close.
-pub const GRACE: Micros = 700_000;
+pub const SHUTDOWN_GRACE: Micros = 700_000;
 /// The process listens for so long after SIGTERM: the grace, and spare for what is on its way.
-pub const LISTENS: Micros = 800_000;
+pub const LISTEN_TIME_AFTER_SIGNAL: Micros = 800_000;
 /// Clients have so long to close their side after our last answer: a connection that ends with the process while bytes come on it
 /// is reset, and what the client has not read yet goes with that.
 const LAST_CLOSE_TIME: Micros = 250_000;
@@ -201,7 +201,7 @@
     /// From when on nothing more is accepted: no successor or holder of its socket takes what comes, and the grace is over.
     fn grace_ends_at(&self) -> Option<Micros> {
         let ending_alone = self.ending_at.filter(|_| self.replaced_at().is_none());
-        ending_alone.map(|at| at + GRACE)
+        ending_alone.map(|at| at + SHUTDOWN_GRACE)
     }
 
     /// Whether new connections are accepted from the backlog. A successor that is not ready yet leaves them to the earlier
@@ -214,7 +214,7 @@
     /// Whether the listening socket stays open. Once nothing more is accepted, who connects is better told by the system
     /// that nobody is here.
     pub fn listens(&self, now: Micros) -> bool {
-        let is_early = |at| now < at + LISTENS;
+        let is_early = |at| now < at + LISTEN_TIME_AFTER_SIGNAL;
         self.grace_ends_at().is_none() || self.ending_at.is_some_and(is_early)
     }
 
@@ -237,7 +237,7 @@
             return true;
         };
         let age = now.saturating_sub(since);
-        age < FRONT_HEARS || age < MAX_IDLE_AFTER_DRAIN && idle < MIN_IDLE_TIME
+        age < READINESS_POLL_TIME || age < MAX_IDLE_AFTER_DRAIN && idle < MIN_IDLE_TIME
     }
 
     /// Whether the process may end, at each check, with so many requests and clients' connections open.
@@ -250,7 +250,7 @@
             // New connections are the successor's; those that are left here close in order.
             return is_answered && clients == 0;
         }
-        if !is_answered || now < ending_at + LISTENS {
+        if !is_answered || now < ending_at + LISTEN_TIME_AFTER_SIGNAL {
             self.answered_at = None;
             return false;
         }
--- a/crates/core/src/routing.rs
+++ b/crates/core/src/routing.rs
@@ -21,7 +21,7 @@
         while let Some(action) = actions.pop_front() {
             match action {
                 Action::StartAttempt(id, engine, timeout) => {
-                    if let Err(NotSent(ended)) =
+                    if let Err(NeverSent(ended)) =
                         self.start_attempt(now, RequestId(id.0), engine, timeout)
                     {
                         // The scheduler counts an attempt that was never sent, so it must learn of its end.
@@ -66,7 +66,7 @@
         id: RequestId,
         engine: EngineId,
         timeout: Micros,
-    ) -> Result<(), NotSent> {
+    ) -> Result<(), NeverSent> {
         let Some(request) = self.requests.get_mut(&id) else {
             return Ok(());
         };
@@ -83,7 +83,7 @@
         if is_barred {
             attempt.outcome = Some(Outcome::Superseded);
             request.attempts.push(attempt);
-            return Err(NotSent(superseded(key)));
+            return Err(NeverSent(superseded(key)));
         }
         request.attempts.push(attempt);
         self.counters.attempts_sent += 1;
@@ -112,7 +112,7 @@
 }
 
 /// An attempt that was over before it began, and what the scheduler is told of that.
-struct NotSent(AttemptEnded<'static>);
+struct NeverSent(AttemptEnded<'static>);
 
 fn superseded(key: AttemptKey) -> AttemptEnded<'static> {
     AttemptEnded {
--- a/crates/core/src/timers.rs
+++ b/crates/core/src/timers.rs
@@ -20,19 +20,27 @@
     Probe(u64),
 }
 
+/// A timer that is set; ordered by time, then by the order in which they were set.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct ScheduledTimer {
+    at: Micros,
+    order: u64,
+    timer: Timer,
+}
+
 impl Core {
     /// When [`Core::fire_timers`] is due next.
     pub fn next_due(&self) -> Option<Micros> {
-        self.timers.peek().map(|Reverse((at, _, _))| *at)
+        self.timers.peek().map(|Reverse(next)| next.at)
     }
 
     /// Fires all timers that should have fired by now.
     pub fn fire_timers(&mut self, now: Micros) {
         while self.next_due().is_some_and(|at| at <= now) {
-            let Some(Reverse((_, _, timer))) = self.timers.pop() else {
+            let Some(Reverse(next)) = self.timers.pop() else {
                 return;
             };
-            match timer {
+            match next.timer {
                 Timer::Scheduler(token) => self.notify_scheduler(now, Event::TimerFired(token)),
                 Timer::Attempt(key) => self.time_out_attempt(now, key),
                 Timer::Abandoned(key) => self.finish_abandoned_attempt(now, key),
@@ -46,6 +54,7 @@
     /// Sets a timer. Those of one time fire in the order in which they were set.
     pub(crate) fn set_timer(&mut self, at: Micros, timer: Timer) {
         let order = self.next_number();
-        self.timers.push(Reverse((at, order, timer)));
+        self.timers
+            .push(Reverse(ScheduledTimer { at, order, timer }));
     }
 }
--- a/crates/core/tests/golden.rs
+++ b/crates/core/tests/golden.rs
@@ -263,7 +263,7 @@
             Cause::Rejected,
             Cause::Engine("Code: 241. DB::Exception: memory".into()),
             Cause::MalformedResponse("noise".into()),
-            Cause::Withheld,
+            Cause::NotSent,
             Cause::Statement("Code: 62. DB::Exception: syntax".into()),
         ];
         let among = if written { causes.len() as u64 } else { 3 };
@@ -430,7 +430,7 @@
 }
 
 #[test]
-fn counters_of_a_core_that_has_taken_nothing() {
+fn counters_of_a_core_without_requests() {
     let text = core(settings(str::to_string), LIMITS)
         .counters()
         .to_string();
@@ -447,7 +447,7 @@
         Cause::Rejected,
         Cause::Engine("Code: 241".into()),
         Cause::MalformedResponse("noise".into()),
-        Cause::Withheld,
+        Cause::NotSent,
         Cause::Statement("Code: 62".into()),
         Cause::Released,
         Cause::CancelledByScheduler,
--- a/crates/core/tests/lifecycle.rs
+++ b/crates/core/tests/lifecycle.rs
@@ -1,6 +1,6 @@
 //! Whether a process serves, takes, keeps and may end: random steps against a model, and single cases.
 
-use driftfront_core::lifecycle::{Lifecycle, State, GRACE, LISTENS};
+use driftfront_core::lifecycle::{Lifecycle, State, LISTEN_TIME_AFTER_SIGNAL, SHUTDOWN_GRACE};
 use driftfront_core::Micros;
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
@@ -74,11 +74,12 @@
         let kept = !away.is_some_and(|at| now >= at + 2 * S && life.keeps_alive(now, 0));
         let leaves = ending
             .filter(|_| left.is_none())
-            .is_some_and(|at| now >= at + GRACE);
+            .is_some_and(|at| now >= at + SHUTDOWN_GRACE);
         let outcome = life.sends_away(now) == (away.is_some() || leaves);
         // Once it leaves for good nothing more is taken, kept or, a little later, listened for.
         let gone = life.takes(now) != leaves && !(leaves && life.keeps_alive(now, 0));
-        let listens = life.listens(now) || leaves && ending.is_some_and(|at| now >= at + LISTENS);
+        let listens = life.listens(now)
+            || leaves && ending.is_some_and(|at| now >= at + LISTEN_TIME_AFTER_SIGNAL);
         let stays = ending.is_some() || !life.may_end(now, 0, 0, false);
         let answers = !life.may_end(now, 1, 1, false) && !life.may_end(now, 0, 1, true);
         if !(ready && accepts && kept && outcome && stays && answers && gone && listens) {
@@ -154,14 +155,19 @@
     life.begin();
     life.end(S);
     assert!(
-        life.takes(S + GRACE - 1)
-            && life.keeps_alive(S + GRACE - 1, 5 * S)
-            && !life.sends_away(S + GRACE - 1)
+        life.takes(S + SHUTDOWN_GRACE - 1)
+            && life.keeps_alive(S + SHUTDOWN_GRACE - 1, 5 * S)
+            && !life.sends_away(S + SHUTDOWN_GRACE - 1)
     );
     assert!(
-        !life.takes(S + GRACE) && !life.keeps_alive(S + GRACE, 0) && life.sends_away(S + GRACE)
+        !life.takes(S + SHUTDOWN_GRACE)
+            && !life.keeps_alive(S + SHUTDOWN_GRACE, 0)
+            && life.sends_away(S + SHUTDOWN_GRACE)
+    );
+    assert!(
+        life.listens(S + LISTEN_TIME_AFTER_SIGNAL - 1)
+            && !life.listens(S + LISTEN_TIME_AFTER_SIGNAL)
     );
-    assert!(life.listens(S + LISTENS - 1) && !life.listens(S + LISTENS));
     assert_eq!(life.shutdown_deadline(), Some(4 * S + 400_000));
     // Where nobody is known to kill, what is open is served as long as its client waits.
     let mut unkilled = Lifecycle::new(false, false, 25 * S, false);
--- a/crates/scheduler/src/controller.rs
+++ b/crates/scheduler/src/controller.rs
@@ -5,24 +5,21 @@
 use crate::demand_share::update_cluster_load;
 use crate::discovery::DiscoveryPolling;
 use crate::dispatch::Dispatcher;
+use crate::ejection::Ejector;
 use crate::engines::{apply_list, drop_if_gone};
 use crate::events::{AttemptEnded, Event, ListKind, ListedEngine, Outcome};
 use crate::gossip::GossipSchedule;
-use crate::outlier_detection::FailureEffect;
 use crate::overruns::{self, OverrunResponse};
 use crate::queries::{PendingQuery, QueryState};
 use crate::quota::TenantQuotas;
-use crate::retry::{blame, Blame};
 use crate::retry_budget::RetryBudgetUsage;
 use crate::settings::Settings;
 use crate::state::SchedulerState;
 use crate::types::{EngineId, Micros, Query, QueryId, TICK_INTERVAL};
-use crate::{admission, capacity, gossip_exchange, health, learning, slow_start};
+use crate::{admission, capacity, gossip_exchange, learning, slow_start};
 
 /// Token of the timer for the tick; those of queries are their ids + 1.
 const TICK_TOKEN: u64 = 0;
-/// At most one log line in this time.
-const MIN_LOG_INTERVAL: Micros = 1_000_000;
 /// Decides for one coordinator.
 pub struct Controller {
     dispatcher: Dispatcher,
@@ -30,7 +27,7 @@
     discovery: DiscoveryPolling,
     gossip: GossipSchedule,
     is_ticking: bool,
-    last_log_at: Micros,
+    ejector: Ejector,
 }
 
 impl Controller {
@@ -42,12 +39,12 @@
             gossip: GossipSchedule::default(),
             dispatcher: Dispatcher::new(SchedulerState::new(settings, seed), seed),
             is_ticking: false,
-            last_log_at: 0,
+            ejector: Ejector::default(),
         }
     }
 
-    /// Has the host ask [`Controller::may_go_out`] right before each attempt's first byte: limits count attempts from there.
-    /// Without this they count from the [`Action::StartAttempt`].
+    /// Has the host ask [`Controller::may_send_first_byte`] right before each attempt's first byte: limits count attempts from
+    /// there. Without this they count from the [`Action::StartAttempt`].
     #[must_use]
     pub fn awaiting_first_bytes(mut self) -> Controller {
         self.dispatcher.awaits_first_bytes = true;
@@ -55,7 +52,7 @@
     }
 
     /// Whether the first byte of an attempt may go out now; if so, it is counted as sent.
-    pub fn may_go_out(&mut self, now: Micros, query: QueryId, attempt: u8) -> bool {
+    pub fn may_send_first_byte(&mut self, now: Micros, query: QueryId, attempt: u8) -> bool {
         let Dispatcher {
             state,
             retry_budget,
@@ -75,7 +72,7 @@
     }
 
     /// Queries that are not over yet.
-    pub fn queries_open(&self) -> usize {
+    pub fn open_queries(&self) -> usize {
         self.state().queries.len()
     }
 
@@ -202,7 +199,8 @@
             .retry_budget
             .record_end(ended.query, ended.attempt);
         learning::record_answer(self.state_mut(), now, engine, ended);
-        self.record_outcome(now, engine, ended, actions);
+        self.ejector
+            .handle_outcome(&mut self.dispatcher, now, engine, ended, actions);
         if ended.outcome.may_still_run() {
             self.hold_key(now, ended.query);
         }
@@ -218,35 +216,6 @@
         self.use_freed_room(now, engine, actions);
     }
 
-    /// Records what an outcome says of its engine and of those that were tried before.
-    fn record_outcome(
-        &mut self,
-        now: Micros,
-        engine: EngineId,
-        ended: &AttemptEnded<'_>,
-        actions: &mut Actions,
-    ) {
-        let state = &mut self.dispatcher.state;
-        let query = &state.queries[&ended.query];
-        let blame = blame(ended.outcome, state.idempotency(query));
-        if ended.outcome == Outcome::Ok {
-            // Served here, so where it erred before the fault was the engine's.
-            let erred: Vec<EngineId> = query.engines_with_errors().collect();
-            for earlier in erred {
-                self.on_engine_failure(now, earlier, Outcome::Error, actions);
-            }
-            learning::learn_from_success(self.state_mut(), now, engine, ended);
-        }
-        if blame != Blame::Nobody {
-            if let Some(query) = self.state_mut().queries.get_mut(&ended.query) {
-                query.avoided.insert(engine);
-            }
-        }
-        if blame == Blame::Engine {
-            self.on_engine_failure(now, engine, ended.outcome, actions);
-        }
-    }
-
     /// Holds a query's key for a while: what may still run must not be overtaken.
     fn hold_key(&mut self, now: Micros, id: QueryId) {
         let until = now + self.state().settings.settle_time;
@@ -276,41 +245,6 @@
         }
     }
 
-    /// Handles a failure of the engine itself: it is ejected for a while, then tried with one query at a time.
-    fn on_engine_failure(
-        &mut self,
-        now: Micros,
-        id: EngineId,
-        outcome: Outcome,
-        actions: &mut Actions,
-    ) {
-        let state = self.state_mut();
-        let may_probe = state.settings.may_probe;
-        let Some(engine) = state.engines.get_mut(&id) else {
-            return;
-        };
-        if outcome == Outcome::Rejected {
-            return engine.health.record_rejection(now);
-        }
-        if matches!(outcome, Outcome::Unreachable | Outcome::TimedOut) {
-            state.lost_zones.record_loss(engine.zone, id);
-        }
-        match engine.health.record_failure(now, outcome, may_probe) {
-            FailureEffect::Unchanged => return,
-            FailureEffect::EjectedUntilProbe => {
-                self.dispatcher.probe_engines(now, &[id], actions);
-            }
-            FailureEffect::Ejected => {}
-        }
-        if now >= self.last_log_at + MIN_LOG_INTERVAL {
-            self.last_log_at = now;
-            let line = format!("engine {:x} shut after {outcome:?}", id.0);
-            actions.push(Action::Log(line));
-        }
-        self.state_mut().clear_queue(id);
-        self.dispatcher.route_unplaced(now, actions);
-    }
-
     fn on_probe(
         &mut self,
         now: Micros,
@@ -321,20 +255,8 @@
     ) {
         let is_answer = outcome == Outcome::Ok;
         learning::record_report(self.state_mut(), now, id, report, is_answer);
-        match outcome {
-            Outcome::Ok => {
-                let engine = self.state_mut().engines.get_mut(&id);
-                if engine.is_some_and(|e| e.health.record_probe_success(now)) {
-                    self.dispatcher.route_unplaced(now, actions);
-                }
-            }
-            Outcome::Rejected | Outcome::Superseded => {}
-            Outcome::Error
-            | Outcome::TimedOut
-            | Outcome::Unreachable
-            | Outcome::Reset
-            | Outcome::Cancelled => self.on_engine_failure(now, id, outcome, actions),
-        }
+        self.ejector
+            .handle_probe(&mut self.dispatcher, now, id, outcome, actions);
         self.dispatcher.route_probed(now, Some(id), now, actions);
     }
 
@@ -357,7 +279,8 @@
         update_cluster_load(self.state_mut(), now);
         let last_tick = now.saturating_sub(TICK_INTERVAL);
         self.dispatcher.route_probed(now, None, last_tick, actions);
-        self.check_engines(now, actions);
+        self.ejector
+            .check_health(&mut self.dispatcher, now, actions);
         self.check_overruns(now, actions);
         self.dispatcher.reroute_slipped(now, actions);
         for key in self.dispatcher.key_queues.keys() {
@@ -366,21 +289,6 @@
         self.dispatcher.start_all_queued(now, actions);
     }
 
-    /// Probes engines that are due, and counts silent ones as failed.
-    fn check_engines(&mut self, now: Micros, actions: &mut Actions) {
-        let credit = self.dispatcher.probe_budget.credit();
-        let check = health::check_engines(self.state_mut(), now, credit);
-        self.dispatcher
-            .probe_engines(now, &check.due_probes, actions);
-        for id in check.silent {
-            self.on_engine_failure(now, id, Outcome::TimedOut, actions);
-            for (query, attempt) in self.state().engines[&id].in_flight.clone() {
-                self.dispatcher
-                    .replace_attempt(now, query, attempt, actions);
-            }
-        }
-    }
-
     /// Replaces or ends attempts that run far too long.
     fn check_overruns(&mut self, now: Micros, actions: &mut Actions) {
         let weight_of_work = overruns::mean_weight_of_work(self.state());
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -13,7 +13,7 @@
 //! - decisions: `admission`, `objectives`, `slow_start`, `capacity`, `retry`, `resources`, `queue`, `candidates`, `routing`,
 //!   `probes`, `overruns`, `health`, `demand_share`;
 //! - changes over several records: `attempts`, `learning`, `gossip_exchange`;
-//! - `dispatch` takes a query from one state to the next, and `controller` passes events on.
+//! - `dispatch` takes a query from one state to the next, `ejection` acts on engines' failures, and `controller` passes events on.
 #![forbid(unsafe_code)]
 
 mod actions;
@@ -26,6 +26,7 @@
 mod demand_share;
 mod discovery;
 mod dispatch;
+mod ejection;
 mod engines;
 mod estimates;
 mod events;
--- a/crates/scheduler/tests/rules.rs
+++ b/crates/scheduler/tests/rules.rs
@@ -489,7 +489,7 @@
         .controller
         .retry_budget_usage(harness.now)
         .expect("a budget");
-    assert_eq!((usage.held, harness.controller.queries_open()), (100, 0));
+    assert_eq!((usage.held, harness.controller.open_queries()), (100, 0));
 }
 
 #[test]
--- a/crates/scheduler/tests/slow_start.rs
+++ b/crates/scheduler/tests/slow_start.rs
@@ -128,7 +128,11 @@
     let now = harness.now;
     let out = planned
         .iter()
-        .filter(|(query, _)| harness.controller.may_go_out(now, QueryId(*query), 0))
+        .filter(|(query, _)| {
+            harness
+                .controller
+                .may_send_first_byte(now, QueryId(*query), 0)
+        })
         .count();
     assert!(
         (3..=MOST_IN_A_WINDOW).contains(&out),
--- a/crates/scheduler/tests/transcript.rs
+++ b/crates/scheduler/tests/transcript.rs
@@ -198,7 +198,7 @@
             self.happen(what);
         }
         for g in 0..self.coordinators.len() {
-            let open = self.coordinators[g].queries_open();
+            let open = self.coordinators[g].open_queries();
             let budget = self.coordinators[g].retry_budget_usage(self.now).map(|u| {
                 format!(
                     "{} {:?} {} {} {} {}",
@@ -468,7 +468,7 @@
         if !self.queries.get(&(g, q)).is_some_and(is_out) {
             return;
         }
-        let may = self.coordinators[g].may_go_out(self.now, QueryId(q), attempt);
+        let may = self.coordinators[g].may_send_first_byte(self.now, QueryId(q), attempt);
         self.out.line(
             "first byte",
             &format!("{} {g} first byte {q}.{attempt}: {may}", self.now),
