--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -87,7 +87,11 @@
     pub fn record_progress_report(&mut self, now: Micros, key: AttemptKey, report: ProgressReport) {
         if self.in_flight(key).is_some() {
             self.record_contact(now, key);
-            let event = Event::ProgressReported(key.request.query(), key.number, report);
+            let event = Event::ProgressReported {
+                query: key.request.query(),
+                attempt: key.number,
+                report,
+            };
             self.notify_scheduler(now, event);
         }
     }
--- a/crates/core/src/engine_list.rs
+++ b/crates/core/src/engine_list.rs
@@ -17,7 +17,13 @@
             self.engine_phases.insert(listed.engine, listed.phase);
         }
         self.end_stranded_requests(now);
-        self.notify_scheduler(now, Event::EnginesListed(kind, list));
+        self.notify_scheduler(
+            now,
+            Event::EnginesListed {
+                kind,
+                engines: list,
+            },
+        );
         self.forget_gone_engines();
     }
 
--- a/crates/core/src/probes.rs
+++ b/crates/core/src/probes.rs
@@ -18,7 +18,14 @@
     pub fn record_probe(&mut self, now: Micros, tag: u64, outcome: Outcome, report: &[f64]) {
         if let Some(engine) = self.probes.remove(&tag) {
             self.counters.probes_answered += u64::from(outcome == Outcome::Ok);
-            self.notify_scheduler(now, Event::ProbeEnded(engine, outcome, report));
+            self.notify_scheduler(
+                now,
+                Event::ProbeEnded {
+                    engine,
+                    outcome,
+                    report,
+                },
+            );
         }
     }
 
@@ -27,7 +34,14 @@
     pub fn suspect_engine(&mut self, now: Micros, engine: EngineId) {
         if self.engine_phase(engine) == Some(Phase::Ready) {
             self.counters.engines_suspected += 1;
-            self.notify_scheduler(now, Event::ProbeEnded(engine, Outcome::Reset, &[]));
+            self.notify_scheduler(
+                now,
+                Event::ProbeEnded {
+                    engine,
+                    outcome: Outcome::Reset,
+                    report: &[],
+                },
+            );
         }
     }
 }
--- a/crates/core/src/routing.rs
+++ b/crates/core/src/routing.rs
@@ -20,7 +20,11 @@
         let mut cancelled = Vec::new();
         while let Some(action) = actions.pop_front() {
             match action {
-                Action::StartAttempt(id, engine, timeout) => {
+                Action::StartAttempt {
+                    query: id,
+                    engine,
+                    timeout,
+                } => {
                     if let Err(NeverSent(ended)) =
                         self.start_attempt(now, RequestId(id.0), engine, timeout)
                     {
@@ -32,25 +36,35 @@
                         actions.extend(more);
                     }
                 }
-                Action::Reject(id, retry_after) => self.reject(RequestId(id.0), retry_after),
+                Action::Reject {
+                    query: id,
+                    retry_after,
+                } => self.reject(RequestId(id.0), retry_after),
                 Action::Fail(id) => self.fail(RequestId(id.0)),
-                Action::SetTimer(after, token) => {
+                Action::SetTimer { after, token } => {
                     self.set_timer(now.saturating_add(after), Timer::Scheduler(token));
                 }
                 Action::Probe(engine) => self.start_probe(now, engine),
                 Action::Log(line) => self.commands.push_back(Command::Log(line)),
-                Action::SetResources(id, grant_mb, _) => {
+                Action::SetResources {
+                    query: id,
+                    memory_mb: grant_mb,
+                    ..
+                } => {
                     // No wire here has a place for priorities.
                     if let Some(request) = self.requests.get_mut(&RequestId(id.0)) {
                         request.grant_mb = grant_mb;
                     }
                 }
-                Action::CancelAttempt(id, number) => cancelled.push(AttemptKey {
+                Action::CancelAttempt {
+                    query: id,
+                    attempt: number,
+                } => cancelled.push(AttemptKey {
                     request: RequestId(id.0),
                     number,
                 }),
                 // Coordinators share nothing, and lists are pushed: the settings keep the scheduler from polling.
-                Action::SendGossip(..) | Action::WatchEngines => {}
+                Action::SendGossip { .. } | Action::WatchEngines => {}
             }
         }
         // The scheduler learns of their ends as of an event of its own, after all that it asked for at once.
--- a/crates/scheduler/src/controller.rs
+++ b/crates/scheduler/src/controller.rs
@@ -87,17 +87,29 @@
     /// Handles one event; what is to be done is appended to `actions`.
     pub fn handle(&mut self, now: Micros, event: Event<'_>, actions: &mut Actions) {
         if !std::mem::replace(&mut self.is_ticking, true) {
-            actions.push(Action::SetTimer(TICK_INTERVAL, TICK_TOKEN));
+            actions.push(Action::SetTimer {
+                after: TICK_INTERVAL,
+                token: TICK_TOKEN,
+            });
             if self.discovery.is_polled() {
                 self.poll_discovery(now, actions);
             }
         }
         match event {
-            Event::EnginesListed(kind, list) => self.on_list(now, kind, list, actions),
+            Event::EnginesListed {
+                kind,
+                engines: list,
+            } => self.on_list(now, kind, list, actions),
             Event::DiscoveryFailed => self.discovery.record_failure(now),
             Event::QueryArrived(query) => self.on_arrival(now, query, actions),
-            Event::StreamStarted(id, attempt) => self.on_stream(now, id, attempt, actions),
-            Event::ProgressReported(id, attempt, report) => {
+            Event::StreamStarted { query: id, attempt } => {
+                self.on_stream(now, id, attempt, actions)
+            }
+            Event::ProgressReported {
+                query: id,
+                attempt,
+                report,
+            } => {
                 record_progress(self.state_mut(), now, id, attempt, report);
             }
             Event::AttemptEnded(ended) => self.on_attempt_ended(now, &ended, actions),
@@ -107,10 +119,17 @@
                 self.dispatcher
                     .end_unserved(now, QueryId(token - 1), actions);
             }
-            Event::ProbeEnded(id, outcome, report) => {
+            Event::ProbeEnded {
+                engine: id,
+                outcome,
+                report,
+            } => {
                 self.on_probe(now, id, outcome, report, actions);
             }
-            Event::GossipReceived(from, bytes) => {
+            Event::GossipReceived {
+                from,
+                message: bytes,
+            } => {
                 gossip_exchange::receive(self.state_mut(), now, from, bytes);
             }
         }
@@ -140,14 +159,20 @@
     fn on_arrival(&mut self, now: Micros, query: Query, actions: &mut Actions) {
         let id = query.id;
         if usize::from(query.class) >= self.state().settings.classes.len() {
-            return actions.push(Action::Reject(id, 0));
+            return actions.push(Action::Reject {
+                query: id,
+                retry_after: 0,
+            });
         }
         self.record_arrival(now, query);
         let margin = self.dispatcher.answer_margin();
         if query.budget <= margin {
             return self.dispatcher.end_unserved(now, id, actions);
         }
-        actions.push(Action::SetTimer(query.budget - margin, id.0 + 1));
+        actions.push(Action::SetTimer {
+            after: query.budget - margin,
+            token: id.0 + 1,
+        });
         if let Some(key) = self.state().ordering_key(id) {
             self.state_mut()
                 .set_query_state(id, QueryState::WaitingForKey);
@@ -261,7 +286,10 @@
     }
 
     fn on_tick(&mut self, now: Micros, actions: &mut Actions) {
-        actions.push(Action::SetTimer(TICK_INTERVAL, TICK_TOKEN));
+        actions.push(Action::SetTimer {
+            after: TICK_INTERVAL,
+            token: TICK_TOKEN,
+        });
         let state = self.state_mut();
         state.cluster.update_demand(state.uses_subset);
         let may_gossip = state.settings.may_gossip;
--- a/crates/scheduler/src/dispatch.rs
+++ b/crates/scheduler/src/dispatch.rs
@@ -138,12 +138,20 @@
         if state.settings.grants || state.settings.priorities {
             let grant = resources::memory_grant(state, now, id, engine);
             let priority = resources::priority(state, now, id, expected_run);
-            actions.push(Action::SetResources(id, grant, priority));
+            actions.push(Action::SetResources {
+                query: id,
+                memory_mb: grant,
+                priority,
+            });
         }
         // The time-out is answered before the client gives up.
         let spare = now + self.answer_margin() / 2;
         let timeout = query.deadline.saturating_sub(spare).max(1);
-        actions.push(Action::StartAttempt(id, engine_id, timeout));
+        actions.push(Action::StartAttempt {
+            query: id,
+            engine: engine_id,
+            timeout,
+        });
 
         let number = attempt_number(query.attempts.len());
         let first_byte_at = (!self.awaits_first_bytes).then_some(now);
@@ -166,7 +174,10 @@
         if retry::may_reject(&self.state, query) {
             let retry_after = self.state.settings.retry_after;
             let advice = retry_after.map_or(0, |max| self.retry_after(now).min(max));
-            actions.push(Action::Reject(id, advice));
+            actions.push(Action::Reject {
+                query: id,
+                retry_after: advice,
+            });
         } else {
             actions.push(Action::Fail(id));
         }
@@ -262,7 +273,10 @@
         let attempt = &mut query.attempts[usize::from(number)];
         if may_cancel {
             attempt.is_cancelled = true;
-            actions.push(Action::CancelAttempt(id, number));
+            actions.push(Action::CancelAttempt {
+                query: id,
+                attempt: number,
+            });
         } else if may_hedge && query.in_flight().count() < 2 {
             let engine = query.attempts[usize::from(number)].engine;
             query.avoided.insert(engine);
--- a/crates/scheduler/src/events.rs
+++ b/crates/scheduler/src/events.rs
@@ -123,23 +123,52 @@
 #[derive(Clone, Copy, Debug)]
 pub enum Event<'a> {
     /// A list of engines, or changes to it.
-    EnginesListed(ListKind, &'a [ListedEngine]),
+    EnginesListed {
+        /// What the list holds.
+        kind: ListKind,
+        /// Its entries.
+        engines: &'a [ListedEngine],
+    },
     /// A poll for the list of engines failed.
     DiscoveryFailed,
     /// A query was accepted.
     QueryArrived(Query),
     /// The client gets an attempt's rows: no other attempt may answer.
-    StreamStarted(QueryId, u8),
-    /// An engine reports on an attempt (by query and number).
-    ProgressReported(QueryId, u8, ProgressReport),
+    StreamStarted {
+        /// The query.
+        query: QueryId,
+        /// Number of the attempt.
+        attempt: u8,
+    },
+    /// An engine reports on an attempt in flight.
+    ProgressReported {
+        /// The query.
+        query: QueryId,
+        /// Number of the attempt.
+        attempt: u8,
+        /// What it says.
+        report: ProgressReport,
+    },
     /// An attempt ended.
     AttemptEnded(AttemptEnded<'a>),
     /// The client has left.
     ClientLeft(QueryId),
-    /// A timer that was asked for, by its token.
+    /// A timer that was asked for has fired; its token.
     TimerFired(u64),
-    /// A probe has ended; the load report that came with it.
-    ProbeEnded(EngineId, Outcome, &'a [f64]),
-    /// A message of a peer, by its number.
-    GossipReceived(u32, &'a [u8]),
+    /// A probe has ended.
+    ProbeEnded {
+        /// The engine.
+        engine: EngineId,
+        /// How it ended.
+        outcome: Outcome,
+        /// The engine's load report, values in the order of the settings; empty if none came.
+        report: &'a [f64],
+    },
+    /// A message came from another coordinator.
+    GossipReceived {
+        /// The sender's number.
+        from: u32,
+        /// The message, as it came.
+        message: &'a [u8],
+    },
 }
--- a/crates/scheduler/src/gossip_exchange.rs
+++ b/crates/scheduler/src/gossip_exchange.rs
@@ -33,7 +33,10 @@
     let message = gossip::encode(now, state.cluster.demand, fields, news);
     random.shuffle_front(&mut peers, count);
     let recipients = peers.into_iter().take(count);
-    actions.extend(recipients.map(|peer| Action::SendGossip(peer, message.clone())));
+    actions.extend(recipients.map(|peer| Action::SendGossip {
+        peer,
+        message: message.clone(),
+    }));
 }
 
 /// Takes a peer's message over. Its word of an engine counts where it is newer than our own and own answers are few.
--- a/crates/scheduler/src/queries.rs
+++ b/crates/scheduler/src/queries.rs
@@ -167,7 +167,10 @@
             let is_kept = keep.map(usize::from) == Some(n);
             if attempt.outcome.is_none() && !attempt.is_cancelled && !is_kept {
                 attempt.is_cancelled = true;
-                cancels.push(Action::CancelAttempt(self.query.id, attempt_number(n)));
+                cancels.push(Action::CancelAttempt {
+                    query: self.query.id,
+                    attempt: attempt_number(n),
+                });
             }
         }
         cancels
--- a/crates/scheduler/tests/common/mod.rs
+++ b/crates/scheduler/tests/common/mod.rs
@@ -102,7 +102,10 @@
             now: 100 * S,
             next_query: 1,
         };
-        harness.event(Event::EnginesListed(ListKind::Cached, engines));
+        harness.event(Event::EnginesListed {
+            kind: ListKind::Cached,
+            engines,
+        });
         harness
     }
 
@@ -110,7 +113,7 @@
     pub(crate) fn event(&mut self, e: Event) -> Vec<Action> {
         let mut act = Vec::new();
         self.controller.handle(self.now, e, &mut act);
-        act.retain(|a| !matches!(a, Action::SetTimer(..) | Action::Log(..)));
+        act.retain(|a| !matches!(a, Action::SetTimer { .. } | Action::Log(..)));
         act
     }
 
@@ -161,7 +164,11 @@
 
     /// A probe is answered with a load report.
     pub(crate) fn report(&mut self, e: u64, values: &[f64]) {
-        self.event(Event::ProbeEnded(EngineId(e), Outcome::Ok, values));
+        self.event(Event::ProbeEnded {
+            engine: EngineId(e),
+            outcome: Outcome::Ok,
+            report: values,
+        });
     }
 
     /// Time passes, with a tick every 50 ms.
@@ -181,7 +188,12 @@
     actions
         .iter()
         .filter_map(|a| {
-            if let Action::StartAttempt(q, e, _) = a {
+            if let Action::StartAttempt {
+                query: q,
+                engine: e,
+                ..
+            } = a
+            {
                 Some((q.0, e.0))
             } else {
                 None
--- a/crates/scheduler/tests/coordinators.rs
+++ b/crates/scheduler/tests/coordinators.rs
@@ -32,7 +32,10 @@
             let mut c = Controller::new(settings, u64::from(number) * 77 + 1);
             c.handle(
                 100 * S,
-                Event::EnginesListed(ListKind::Cached, engines),
+                Event::EnginesListed {
+                    kind: ListKind::Cached,
+                    engines,
+                },
                 &mut Vec::new(),
             );
             c
@@ -53,14 +56,18 @@
         self.all[coordinator].handle(self.now, event, &mut act);
         for a in act {
             match a {
-                Action::StartAttempt(q, e, _) => {
+                Action::StartAttempt {
+                    query: q,
+                    engine: e,
+                    ..
+                } => {
                     let class = (q.0 % 5 == 0) as u16;
                     self.out.push((coordinator, q, e.0, class));
                     self.sent.push((self.now, e.0, class));
                 }
                 Action::Probe(_) => self.probes += 1,
-                Action::SendGossip(..) => self.messages += 1,
-                Action::Reject(q, _) | Action::Fail(q) => self.out.retain(|o| o.1 != q),
+                Action::SendGossip { .. } => self.messages += 1,
+                Action::Reject { query: q, .. } | Action::Fail(q) => self.out.retain(|o| o.1 != q),
                 _ => {}
             }
         }
@@ -173,7 +180,13 @@
     (0..200).for_each(|_| step(&mut f));
     list[4].started_at = Some(f.now);
     for g in 0..f.all.len() {
-        f.give(g, Event::EnginesListed(ListKind::Full, &list));
+        f.give(
+            g,
+            Event::EnginesListed {
+                kind: ListKind::Full,
+                engines: &list,
+            },
+        );
     }
     let started_at = f.now;
     (0..120).for_each(|_| step(&mut f));
--- a/crates/scheduler/tests/golden.rs
+++ b/crates/scheduler/tests/golden.rs
@@ -38,7 +38,10 @@
     let list: Vec<ListedEngine> = [1, 2, 300, 0xffee_ddcc_bbaa, 0x1_0000_0000_0007]
         .map(listed)
         .to_vec();
-    let event = Event::EnginesListed(ListKind::Cached, &list);
+    let event = Event::EnginesListed {
+        kind: ListKind::Cached,
+        engines: &list,
+    };
     controller.handle(100 * S, event, &mut Vec::new());
     controller
 }
@@ -50,7 +53,10 @@
         let mut actions = Vec::new();
         controller.handle(from + n * 50 * MS, Event::TimerFired(0), &mut actions);
         all.extend(actions.into_iter().filter_map(|a| match a {
-            Action::SendGossip(peer, bytes) => Some((peer, bytes)),
+            Action::SendGossip {
+                peer,
+                message: bytes,
+            } => Some((peer, bytes)),
             _ => None,
         }));
     }
@@ -86,12 +92,20 @@
             [f64::NAN, -1.0, 7.0, 0.0, 0.0, 0.0, f64::INFINITY, 0.0, 0.0],
         ),
     ] {
-        let event = Event::ProbeEnded(EngineId(engine), Outcome::Ok, &values);
+        let event = Event::ProbeEnded {
+            engine: EngineId(engine),
+            outcome: Outcome::Ok,
+            report: &values,
+        };
         controller.handle(at, event, &mut Vec::new());
     }
     let mut few = [0.0; 9];
     few[0] = 2.0;
-    let event = Event::ProbeEnded(EngineId(0xffee_ddcc_bbaa), Outcome::Ok, &few[..2]);
+    let event = Event::ProbeEnded {
+        engine: EngineId(0xffee_ddcc_bbaa),
+        outcome: Outcome::Ok,
+        report: &few[..2],
+    };
     controller.handle(at - 3 * S, event, &mut Vec::new());
 }
 
@@ -121,7 +135,10 @@
     let list: Vec<ListedEngine> = (1..=40).map(listed).collect();
     controller.handle(
         100 * S,
-        Event::EnginesListed(ListKind::Full, &list),
+        Event::EnginesListed {
+            kind: ListKind::Full,
+            engines: &list,
+        },
         &mut Vec::new(),
     );
     reports(&mut controller, 100 * S);
@@ -136,7 +153,14 @@
     let mut reader = sender(14, &ALL_FIELDS, 2, 6);
     work(&mut reader);
     let bytes = read_golden!("message_all_fields.bin");
-    reader.handle(101 * S, Event::GossipReceived(0, &bytes), &mut Vec::new());
+    reader.handle(
+        101 * S,
+        Event::GossipReceived {
+            from: 0,
+            message: &bytes,
+        },
+        &mut Vec::new(),
+    );
     assert_golden!(
         "message_passed_on.bin",
         first(&messages(&mut reader, 101 * S))
@@ -156,7 +180,14 @@
         let mut reader = sender(14, &ALL_FIELDS, 2, 6);
         work(&mut reader);
         if let Some(bytes) = bytes {
-            reader.handle(101 * S, Event::GossipReceived(0, bytes), &mut Vec::new());
+            reader.handle(
+                101 * S,
+                Event::GossipReceived {
+                    from: 0,
+                    message: bytes,
+                },
+                &mut Vec::new(),
+            );
         }
         messages(&mut reader, 101 * S)
     };
@@ -193,7 +224,11 @@
         // Twice, as one error may be the query's own.
         for n in 0..2 {
             let now = 110 * S + n * S;
-            let event = Event::ProbeEnded(EngineId(300), outcome, &[]);
+            let event = Event::ProbeEnded {
+                engine: EngineId(300),
+                outcome,
+                report: &[],
+            };
             controller.handle(now, event, &mut actions);
         }
         for action in actions {
--- a/crates/scheduler/tests/mechanism.rs
+++ b/crates/scheduler/tests/mechanism.rs
@@ -116,7 +116,14 @@
             driftfront_scheduler::Controller::new(settings(vec![class(60 * S, 1.0, 1.0)]), seed);
         let mut act = Vec::new();
         let list: Vec<ListedEngine> = (1..5).map(listed).collect();
-        c.handle(S, Event::EnginesListed(ListKind::Cached, &list), &mut act);
+        c.handle(
+            S,
+            Event::EnginesListed {
+                kind: ListKind::Cached,
+                engines: &list,
+            },
+            &mut act,
+        );
         let q = SchedulerHarness::new(settings(vec![class(S, 1.0, 1.0)]), &[]).query(0, S, 1);
         c.handle(S, Event::QueryArrived(q), &mut act);
         seen.extend(sends(&act).iter().map(|s| s.1));
@@ -134,7 +141,11 @@
     let act = harness.tick(5 * S);
     assert_eq!(
         act.iter()
-            .filter(|a| **a == Action::CancelAttempt(q, 0))
+            .filter(|a| **a
+                == Action::CancelAttempt {
+                    query: q,
+                    attempt: 0
+                })
             .count(),
         1,
         "{act:?}"
--- a/crates/scheduler/tests/overload.rs
+++ b/crates/scheduler/tests/overload.rs
@@ -156,7 +156,11 @@
         (3..=5).contains(&probed.len()) && probed.iter().all(|e| e % 2 == 1),
         "{probed:?}"
     );
-    harness.event(Event::ProbeEnded(EngineId(probed[0]), Outcome::Ok, &[0.1]));
+    harness.event(Event::ProbeEnded {
+        engine: EngineId(probed[0]),
+        outcome: Outcome::Ok,
+        report: &[0.1],
+    });
     assert!((0..60).any(|_| send_query(&mut harness, false) % 2 == 1));
     assert_eq!(lost.len(), 2, "{lost:?}");
 }
@@ -172,7 +176,11 @@
         &list,
     );
     assert_eq!(
-        probes(&harness.event(Event::ProbeEnded(EngineId(1), Outcome::Reset, &[]))),
+        probes(&harness.event(Event::ProbeEnded {
+            engine: EngineId(1),
+            outcome: Outcome::Reset,
+            report: &[]
+        })),
         [1]
     );
     let send_query = |harness: &mut SchedulerHarness| {
@@ -181,7 +189,11 @@
         sends(&act)[0].1
     };
     assert!((0..20).all(|_| send_query(&mut harness) == 2));
-    harness.event(Event::ProbeEnded(EngineId(1), Outcome::Ok, &[0.1]));
+    harness.event(Event::ProbeEnded {
+        engine: EngineId(1),
+        outcome: Outcome::Ok,
+        report: &[0.1],
+    });
     assert!((0..20).any(|_| send_query(&mut harness) == 1));
 }
 
@@ -382,7 +394,11 @@
         if answered {
             for (n, &e) in probed.iter().enumerate() {
                 let busy = if n + 1 == probed.len() { 0.1 } else { 0.9 };
-                act = harness.event(Event::ProbeEnded(EngineId(e), Outcome::Ok, &[busy]));
+                act = harness.event(Event::ProbeEnded {
+                    engine: EngineId(e),
+                    outcome: Outcome::Ok,
+                    report: &[busy],
+                });
             }
             assert_eq!(sends(&act), [(q.0, probed[probed.len() - 1])]);
         } else {
@@ -402,7 +418,7 @@
     let act = harness.tick(8 * S);
     assert!(
         !act.iter()
-            .any(|a| matches!(a, Action::Reject(id, _) | Action::Fail(id) if *id == q)),
+            .any(|a| matches!(a, Action::Reject { query: id, .. } | Action::Fail(id) if *id == q)),
         "{act:?}"
     );
 }
@@ -416,7 +432,11 @@
     harness.report(2, &[0.9]);
     let (q, act) = harness.arrive(0, 200 * MS, 1);
     assert_eq!(sends(&act), [(q.0, 1)]);
-    harness.event(Event::ProgressReported(q, 0, ProgressReport::Spills(100.0)));
+    harness.event(Event::ProgressReported {
+        query: q,
+        attempt: 0,
+        report: ProgressReport::Spills(100.0),
+    });
     let (next, act) = harness.arrive(0, 200 * MS, 2);
     assert_eq!(sends(&act), [(next.0, 1)], "the other is far busier");
 }
--- a/crates/scheduler/tests/rules.rs
+++ b/crates/scheduler/tests/rules.rs
@@ -12,7 +12,7 @@
 
 fn refused(act: &[Action], q: QueryId) -> bool {
     act.iter()
-        .any(|a| matches!(a, Action::Reject(x, _) if *x == q))
+        .any(|a| matches!(a, Action::Reject { query: x, .. } if *x == q))
 }
 
 fn failed(act: &[Action], q: QueryId) -> bool {
@@ -42,7 +42,7 @@
     let act = harness.tick(2 * S);
     assert!(
         act.iter()
-            .any(|a| matches!(a, Action::Reject(x, after) if *x == q && *after > 0)),
+            .any(|a| matches!(a, Action::Reject { query: x, retry_after: after } if *x == q && *after > 0)),
         "{act:?}"
     );
 }
@@ -81,13 +81,19 @@
         phase: Phase::Draining,
         ..listed(1)
     };
-    harness.event(Event::EnginesListed(ListKind::Changes, &[drained]));
+    harness.event(Event::EnginesListed {
+        kind: ListKind::Changes,
+        engines: &[drained],
+    });
     let q = Query {
         pin: only(1),
         ..harness.query(0, 10 * MS, 1)
     };
     let mut act = harness.event(Event::QueryArrived(q));
-    act.extend(harness.event(Event::EnginesListed(ListKind::Changes, &[drained])));
+    act.extend(harness.event(Event::EnginesListed {
+        kind: ListKind::Changes,
+        engines: &[drained],
+    }));
     assert!(sends(&act).is_empty() && refused(&act, q.id), "{act:?}");
 }
 
@@ -116,13 +122,13 @@
     assert!(sends(&harness.end(q.id, 0, Outcome::Unreachable, MS))
         .iter()
         .all(|s| s.1 != 2));
-    harness.event(Event::EnginesListed(
-        ListKind::Changes,
-        &[ListedEngine {
+    harness.event(Event::EnginesListed {
+        kind: ListKind::Changes,
+        engines: &[ListedEngine {
             phase: Phase::Draining,
             ..listed(2)
         }],
-    ));
+    });
     let q = Query {
         pin: home,
         ..harness.query(0, 10 * MS, 1)
@@ -227,7 +233,11 @@
         assert_eq!(sends(&harness.event(Event::QueryArrived(q))).len(), 1);
         harness.controller.handle(
             harness.now,
-            Event::ProgressReported(q.id, 0, ProgressReport::Progress(0.1)),
+            Event::ProgressReported {
+                query: q.id,
+                attempt: 0,
+                report: ProgressReport::Progress(0.1),
+            },
             &mut Vec::new(),
         );
         let act = harness.end(q.id, 0, Outcome::Reset, MS);
@@ -332,7 +342,10 @@
     for seed in 0..6u64 {
         let mut harness = SchedulerHarness::new(s.clone(), &list);
         harness.controller = driftfront_scheduler::Controller::new(s.clone(), seed);
-        harness.event(Event::EnginesListed(ListKind::Cached, &list));
+        harness.event(Event::EnginesListed {
+            kind: ListKind::Cached,
+            engines: &list,
+        });
         let (q, act) = harness.arrive(0, S, 1);
         let first = sends(&act)[0].1;
         let again = sends(&harness.end(q, 0, Outcome::Reset, S));
@@ -355,16 +368,16 @@
     for _ in 0..4 {
         harness.arrive(0, 4 * S, 1);
     }
-    let act = harness.event(Event::EnginesListed(
-        ListKind::Changes,
-        &[
+    let act = harness.event(Event::EnginesListed {
+        kind: ListKind::Changes,
+        engines: &[
             ListedEngine {
                 phase: Phase::Draining,
                 ..listed(1)
             },
             listed(2),
         ],
-    ));
+    });
     assert!(
         !sends(&act).is_empty() && sends(&act).iter().all(|s| s.1 == 2),
         "{act:?}"
@@ -387,13 +400,13 @@
         harness.end(QueryId(n), 0, Outcome::Ok, 100 * MS);
     }
     let now = harness.now;
-    harness.event(Event::EnginesListed(
-        ListKind::Changes,
-        &[ListedEngine {
+    harness.event(Event::EnginesListed {
+        kind: ListKind::Changes,
+        engines: &[ListedEngine {
             started_at: Some(now),
             ..listed(1)
         }],
-    ));
+    });
     // Half of two cores at 85%, twice that, over 2 s, by 2 coordinators: 1.7 s of work; queries of 0.1 s.
     let mut sent = 0;
     for _ in 0..60 {
@@ -498,7 +511,14 @@
     (s.poll_discovery, s.poll_timeout) = (true, Some(10 * S));
     let mut c = driftfront_scheduler::Controller::new(s, 1);
     let mut act = Vec::new();
-    c.handle(0, Event::EnginesListed(ListKind::Cached, &[]), &mut act);
+    c.handle(
+        0,
+        Event::EnginesListed {
+            kind: ListKind::Cached,
+            engines: &[],
+        },
+        &mut act,
+    );
     assert!(act.contains(&Action::WatchEngines));
     act.clear();
     c.handle(S, Event::DiscoveryFailed, &mut act);
@@ -512,7 +532,10 @@
     let mut harness =
         SchedulerHarness::new(settings(vec![class(S, 1.0, 1.0)]), &[listed(1), listed(2)]);
     let (q, _) = harness.arrive(0, 100 * MS, 1);
-    harness.event(Event::StreamStarted(q, 0));
+    harness.event(Event::StreamStarted {
+        query: q,
+        attempt: 0,
+    });
     let mut act = harness.tick(70 * S);
     act.extend(harness.event(Event::TimerFired(q.0 + 1)));
     assert!(act.is_empty(), "{act:?}");
@@ -546,11 +569,15 @@
             .handle(self.harness.now, e, &mut act);
         for a in act {
             match a {
-                Action::SetTimer(after, token) => {
+                Action::SetTimer { after, token } => {
                     self.wakes.insert((self.harness.now + after, token));
                 }
-                Action::StartAttempt(q, e, timeout) => self.check_send(q, e.0, timeout),
-                Action::Reject(q, _) => {
+                Action::StartAttempt {
+                    query: q,
+                    engine: e,
+                    timeout,
+                } => self.check_send(q, e.0, timeout),
+                Action::Reject { query: q, .. } => {
                     let class = self.answer(q);
                     let clean = self.tries[&q]
                         .iter()
@@ -691,7 +718,10 @@
             kind: (e % 2) as u16,
             ..line
         };
-        self.event(Event::EnginesListed(ListKind::Changes, &[line]));
+        self.event(Event::EnginesListed {
+            kind: ListKind::Changes,
+            engines: &[line],
+        });
     }
 
     fn client_leaves(&mut self) {
@@ -736,7 +766,10 @@
         served: 0,
     };
     w.harness.controller = driftfront_scheduler::Controller::new(s, seed);
-    w.event(Event::EnginesListed(ListKind::Cached, &list));
+    w.event(Event::EnginesListed {
+        kind: ListKind::Cached,
+        engines: &list,
+    });
     w
 }
 
--- a/crates/scheduler/tests/slow_start.rs
+++ b/crates/scheduler/tests/slow_start.rs
@@ -41,7 +41,10 @@
     let mut harness = SchedulerHarness::new(slow_start_settings(), &[]);
     harness.controller = controller;
     harness.now += 2 * HOUR;
-    harness.event(Event::EnginesListed(ListKind::Cached, &[listed(1)]));
+    harness.event(Event::EnginesListed {
+        kind: ListKind::Cached,
+        engines: &[listed(1)],
+    });
     for n in 1..=6 {
         harness.arrive(0, WORK, 1);
         harness.end(QueryId(n), 0, Outcome::Ok, WORK);
@@ -72,13 +75,13 @@
 }
 
 fn list_engine(harness: &mut SchedulerHarness, started_at: u64) {
-    harness.event(Event::EnginesListed(
-        ListKind::Changes,
-        &[ListedEngine {
+    harness.event(Event::EnginesListed {
+        kind: ListKind::Changes,
+        engines: &[ListedEngine {
             started_at: Some(started_at),
             ..listed(1)
         }],
-    ));
+    });
 }
 
 #[test]
--- a/crates/scheduler/tests/transcript.rs
+++ b/crates/scheduler/tests/transcript.rs
@@ -24,16 +24,30 @@
 /// An action in fixed words, figures in full.
 fn describe(action: &Action) -> String {
     match action {
-        Action::SetResources(q, grant, priority) => format!("terms {} {grant:?} {priority}", q.0),
-        Action::StartAttempt(q, engine, timeout) => {
+        Action::SetResources {
+            query: q,
+            memory_mb: grant,
+            priority,
+        } => format!("terms {} {grant:?} {priority}", q.0),
+        Action::StartAttempt {
+            query: q,
+            engine,
+            timeout,
+        } => {
             format!("send {} to {} within {timeout}", q.0, engine.0)
         }
-        Action::CancelAttempt(q, attempt) => format!("cancel {} {attempt}", q.0),
-        Action::Reject(q, advice) => format!("refuse {} {advice}", q.0),
+        Action::CancelAttempt { query: q, attempt } => format!("cancel {} {attempt}", q.0),
+        Action::Reject {
+            query: q,
+            retry_after: advice,
+        } => format!("refuse {} {advice}", q.0),
         Action::Fail(q) => format!("fail {}", q.0),
-        Action::SetTimer(after, token) => format!("wake {after} {token}"),
+        Action::SetTimer { after, token } => format!("wake {after} {token}"),
         Action::Probe(engine) => format!("probe {}", engine.0),
-        Action::SendGossip(peer, bytes) => {
+        Action::SendGossip {
+            peer,
+            message: bytes,
+        } => {
             let hex: String = bytes.iter().map(|b| format!("{b:02x}")).collect();
             format!("message {peer} {hex}")
         }
@@ -259,14 +273,14 @@
 
     fn obey(&mut self, g: usize, action: Action) {
         match action {
-            Action::SetResources(..) | Action::Log(_) => {}
-            Action::SetTimer(after, token) => self.at(after, What::SetTimer(g, token)),
-            Action::Reject(q, _) | Action::Fail(q) => {
+            Action::SetResources { .. } | Action::Log(_) => {}
+            Action::SetTimer { after, token } => self.at(after, What::SetTimer(g, token)),
+            Action::Reject { query: q, .. } | Action::Fail(q) => {
                 if let Some(query) = self.queries.get_mut(&(g, q.0)) {
                     query.concluded = true;
                 }
             }
-            Action::CancelAttempt(q, attempt) => {
+            Action::CancelAttempt { query: q, attempt } => {
                 let after = self.dice.below(3 * MS);
                 self.at(after, What::End(g, q.0, attempt, Outcome::Cancelled));
             }
@@ -274,7 +288,10 @@
                 let after = MS + self.dice.below(8 * MS);
                 self.at(after, What::ProbeEnd(g, engine.0));
             }
-            Action::SendGossip(peer, bytes) => {
+            Action::SendGossip {
+                peer,
+                message: bytes,
+            } => {
                 if (peer as usize) < self.coordinators.len() && !self.dice.chance(10) {
                     let after = MS + self.dice.below(30 * MS);
                     self.at(after, What::GossipReceived(peer as usize, g, bytes));
@@ -288,7 +305,11 @@
                     _ => self.at(after, What::List(g, ListKind::Full)),
                 }
             }
-            Action::StartAttempt(q, engine, timeout) => {
+            Action::StartAttempt {
+                query: q,
+                engine,
+                timeout,
+            } => {
                 let query = self.queries.get_mut(&(g, q.0)).expect("it has arrived");
                 let attempt = query.attempts.len() as u8;
                 query.attempts.push((engine.0, self.now, true));
@@ -423,32 +444,32 @@
             What::SetTimer(g, token) => self.notify(g, "woken", Event::TimerFired(token)),
             What::FirstByte(g, q, attempt, timeout) => self.first_byte(g, q, attempt, timeout),
             What::End(g, q, attempt, outcome) => self.end(g, q, attempt, outcome),
-            What::ProgressReport(g, q, attempt, note) => {
-                let is_out = |s: &SimQuery| s.attempts[usize::from(attempt)].2;
-                if self.queries.get(&(g, q)).is_some_and(is_out) {
-                    self.notify(
-                        g,
-                        "note",
-                        Event::ProgressReported(QueryId(q), attempt, note),
-                    );
-                }
-            }
-            What::Stream(g, q, attempt) => {
-                let is_open = |s: &SimQuery| s.attempts[usize::from(attempt)].2 && !s.concluded;
-                if self.queries.get(&(g, q)).is_some_and(is_open) {
-                    self.notify(g, "stream", Event::StreamStarted(QueryId(q), attempt));
-                }
-            }
+            What::ProgressReport(g, q, attempt, note) => self.progress(g, q, attempt, note),
+            What::Stream(g, q, attempt) => self.stream_starts(g, q, attempt),
             What::ProbeEnd(g, engine) => self.probe_ends(g, engine),
             What::GossipReceived(to, from, mut bytes) => {
                 if self.dice.chance(2) {
                     bytes.truncate(self.dice.below(bytes.len() as u64) as usize);
                 }
-                self.notify(to, "message", Event::GossipReceived(from as u32, &bytes));
+                self.notify(
+                    to,
+                    "message",
+                    Event::GossipReceived {
+                        from: from as u32,
+                        message: &bytes,
+                    },
+                );
             }
             What::List(g, kind) => {
                 let list = self.list();
-                self.notify(g, "list", Event::EnginesListed(kind, &list));
+                self.notify(
+                    g,
+                    "list",
+                    Event::EnginesListed {
+                        kind,
+                        engines: &list,
+                    },
+                );
             }
             What::NoList(g) => self.notify(g, "no list", Event::DiscoveryFailed),
             What::Change(engine) => self.list_changes(engine),
@@ -498,7 +519,11 @@
         self.notify(
             g,
             &what,
-            Event::ProbeEnded(EngineId(engine), outcome, &report),
+            Event::ProbeEnded {
+                engine: EngineId(engine),
+                outcome,
+                report: &report,
+            },
         );
     }
 
@@ -514,7 +539,39 @@
             self.notify(
                 g,
                 "change",
-                Event::EnginesListed(ListKind::Changes, &[line]),
+                Event::EnginesListed {
+                    kind: ListKind::Changes,
+                    engines: &[line],
+                },
+            );
+        }
+    }
+
+    fn progress(&mut self, g: usize, q: u64, attempt: u8, note: ProgressReport) {
+        let is_out = |s: &SimQuery| s.attempts[usize::from(attempt)].2;
+        if self.queries.get(&(g, q)).is_some_and(is_out) {
+            self.notify(
+                g,
+                "note",
+                Event::ProgressReported {
+                    query: QueryId(q),
+                    attempt,
+                    report: note,
+                },
+            );
+        }
+    }
+
+    fn stream_starts(&mut self, g: usize, q: u64, attempt: u8) {
+        let is_open = |s: &SimQuery| s.attempts[usize::from(attempt)].2 && !s.concluded;
+        if self.queries.get(&(g, q)).is_some_and(is_open) {
+            self.notify(
+                g,
+                "stream",
+                Event::StreamStarted {
+                    query: QueryId(q),
+                    attempt,
+                },
             );
         }
     }
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -57,7 +57,10 @@
             InstanceRecord::Topology(kind, catalog) => {
                 let engines = self.catalogs.get(&catalog).ok_or(WireError::NoCatalog)?;
                 let engines = engines.clone();
-                let event = Event::EnginesListed(kind, &engines);
+                let event = Event::EnginesListed {
+                    kind,
+                    engines: &engines,
+                };
                 self.handle_event(now, instance, event, reply);
             }
             InstanceRecord::AttemptEnded(ended, report) => {
@@ -68,7 +71,11 @@
                 self.handle_event(now, instance, Event::AttemptEnded(ended), reply);
             }
             InstanceRecord::ProbeEnded(engine, outcome, report) => {
-                let event = Event::ProbeEnded(engine, outcome, &report);
+                let event = Event::ProbeEnded {
+                    engine,
+                    outcome,
+                    report: &report,
+                };
                 self.handle_event(now, instance, event, reply);
             }
             InstanceRecord::Event(event) => self.handle_event(now, instance, event, reply),
--- a/crates/simulator-adapter/src/record.rs
+++ b/crates/simulator-adapter/src/record.rs
@@ -93,13 +93,19 @@
         code::PROBE_ENDED => return decode_probe_ended(fields),
         code::PROGRESS_REPORTED => return decode_progress(fields),
         code::QUERY_ARRIVED => Event::QueryArrived(decode_query(fields)?),
-        code::STREAM_STARTED => Event::StreamStarted(QueryId(fields.u64()?), fields.u8()?),
+        code::STREAM_STARTED => Event::StreamStarted {
+            query: QueryId(fields.u64()?),
+            attempt: fields.u8()?,
+        },
         code::CLIENT_LEFT => Event::ClientLeft(QueryId(fields.u64()?)),
         code::TIMER_FIRED => Event::TimerFired(fields.u64()?),
         code::GOSSIP_RECEIVED => {
             let sender = u32::from(fields.u16()?);
             let length = usize::from(fields.u16()?);
-            Event::GossipReceived(sender, fields.bytes(length)?)
+            Event::GossipReceived {
+                from: sender,
+                message: fields.bytes(length)?,
+            }
         }
         _ => return Ok(InstanceRecord::Ignored),
     };
@@ -223,7 +229,11 @@
         3 if amount == 2.0 => ProgressReport::WaitsForLoad,
         _ => return Ok(InstanceRecord::Ignored),
     };
-    let event = Event::ProgressReported(query, attempt, report);
+    let event = Event::ProgressReported {
+        query,
+        attempt,
+        report,
+    };
     Ok(InstanceRecord::Event(event))
 }
 
--- a/crates/simulator-adapter/src/reply.rs
+++ b/crates/simulator-adapter/src/reply.rs
@@ -50,12 +50,20 @@
     /// Adds an action of an instance.
     pub(crate) fn push_action(&mut self, instance: u16, action: &Action) {
         match action {
-            Action::SetResources(query, memory_mb, priority) => {
+            Action::SetResources {
+                query,
+                memory_mb,
+                priority,
+            } => {
                 let fields: [&[u8]; 3] =
                     [&query_bytes(*query), &float_bytes(*memory_mb), &[*priority]];
                 self.push(code::SET_RESOURCES, instance, &fields);
             }
-            Action::StartAttempt(query, engine, timeout) => {
+            Action::StartAttempt {
+                query,
+                engine,
+                timeout,
+            } => {
                 let fields: [&[u8]; 3] = [
                     &query_bytes(*query),
                     &time_bytes(*timeout),
@@ -63,21 +71,21 @@
                 ];
                 self.push(code::START_ATTEMPT, instance, &fields);
             }
-            Action::CancelAttempt(query, attempt) => {
+            Action::CancelAttempt { query, attempt } => {
                 let fields: [&[u8]; 2] = [&query_bytes(*query), &[*attempt]];
                 self.push(code::CANCEL_ATTEMPT, instance, &fields);
             }
-            Action::Reject(query, retry_after) => {
+            Action::Reject { query, retry_after } => {
                 let fields: [&[u8]; 2] = [&query_bytes(*query), &time_bytes(*retry_after)];
                 self.push(code::REJECT, instance, &fields);
             }
             Action::Fail(query) => self.push(code::FAIL, instance, &[&query_bytes(*query)]),
-            Action::SetTimer(after, token) => {
+            Action::SetTimer { after, token } => {
                 let fields: [&[u8]; 2] = [&time_bytes(*after), &token.to_be_bytes()];
                 self.push(code::SET_TIMER, instance, &fields);
             }
             Action::Probe(engine) => self.push(code::PROBE, instance, &[&engine_bytes(*engine)]),
-            Action::SendGossip(peer, message) => {
+            Action::SendGossip { peer, message } => {
                 let message = cut(message, MAX_GOSSIP_BYTES);
                 let fields: [&[u8]; 3] = [&peer.to_be_bytes(), &length_bytes(message), message];
                 self.push(code::SEND_GOSSIP, instance, &fields);
