--- a/crates/core/src/routing.rs
+++ b/crates/core/src/routing.rs
@@ -21,47 +21,31 @@
         while let Some(action) = actions.pop_front() {
             match action {
                 Action::StartAttempt {
-                    query: id,
+                    query,
                     engine,
                     timeout,
                 } => {
-                    if let Err(NeverSent(ended)) =
-                        self.start_attempt(now, RequestId(id.0), engine, timeout)
-                    {
-                        // The scheduler counts an attempt that was never sent, so it must learn of its end.
-                        self.counters.record_attempt_end(ended.outcome);
-                        let mut more = Vec::new();
-                        let event = Event::AttemptEnded(ended);
-                        self.controller.handle(now, event, &mut more);
-                        actions.extend(more);
+                    let sent = self.start_attempt(now, RequestId(query.0), engine, timeout);
+                    if let Err(NeverSent(ended)) = sent {
+                        actions.extend(self.notify_never_sent(now, ended));
                     }
                 }
-                Action::Reject {
-                    query: id,
-                    retry_after,
-                } => self.reject(RequestId(id.0), retry_after),
-                Action::Fail(id) => self.fail(RequestId(id.0)),
+                Action::Reject { query, retry_after } => {
+                    self.reject(RequestId(query.0), retry_after);
+                }
+                Action::Fail(query) => self.fail(RequestId(query.0)),
                 Action::SetTimer { after, token } => {
                     self.set_timer(now.saturating_add(after), Timer::Scheduler(token));
                 }
                 Action::Probe(engine) => self.start_probe(now, engine),
                 Action::Log(line) => self.commands.push_back(Command::Log(line)),
+                // No wire here has a place for priorities.
                 Action::SetResources {
-                    query: id,
-                    memory_mb: grant_mb,
-                    ..
-                } => {
-                    // No wire here has a place for priorities.
-                    if let Some(request) = self.requests.get_mut(&RequestId(id.0)) {
-                        request.grant_mb = grant_mb;
-                    }
-                }
-                Action::CancelAttempt {
-                    query: id,
-                    attempt: number,
-                } => cancelled.push(AttemptKey {
-                    request: RequestId(id.0),
-                    number,
+                    query, memory_mb, ..
+                } => self.set_grant(RequestId(query.0), memory_mb),
+                Action::CancelAttempt { query, attempt } => cancelled.push(AttemptKey {
+                    request: RequestId(query.0),
+                    number: attempt,
                 }),
                 // Coordinators share nothing, and lists are pushed: the settings keep the scheduler from polling.
                 Action::SendGossip { .. } | Action::WatchEngines => {}
@@ -73,6 +57,22 @@
         }
     }
 
+    /// Notifies the scheduler of the end of an attempt that it counts, but that was never sent; what it asks for then.
+    fn notify_never_sent(&mut self, now: Micros, ended: AttemptEnded<'static>) -> Vec<Action> {
+        self.counters.record_attempt_end(ended.outcome);
+        let mut actions = Vec::new();
+        let event = Event::AttemptEnded(ended);
+        self.controller.handle(now, event, &mut actions);
+        actions
+    }
+
+    /// Sets the memory that a request's next attempts are granted.
+    fn set_grant(&mut self, id: RequestId, grant_mb: f64) {
+        if let Some(request) = self.requests.get_mut(&id) {
+            request.grant_mb = grant_mb;
+        }
+    }
+
     /// Starts an attempt, unless something has come first.
     fn start_attempt(
         &mut self,
