--- a/crates/coordinator/benches/operators.rs
+++ b/crates/coordinator/benches/operators.rs
@@ -3,7 +3,7 @@
 //!
 //! `cargo bench -p driftfront --bench operators` prints a page. Nothing else should run on the machine meanwhile.
 
-use driftfront::service::{RequestOutcome, ServiceWindow};
+use driftfront::service_window::{RequestOutcome, ServiceWindow};
 use driftfront_console::remote::{Endpoint, Remote};
 use driftfront_control::{Reply, Request};
 use driftfront_mock_servers::engine::{Engine, Options};
--- a/crates/coordinator/src/clock.rs
+++ b/crates/coordinator/src/clock.rs
@@ -1,58 +1,61 @@
 //! The program's time, and the wall clock beside it.
 //!
-//! Operators and time daemons set the wall clock while the program runs, by seconds or an hour, forwards or back. So every span
-//! (deadline, window, wait, grace, retry budget) is kept on the monotonic clock, as [`Clock`] tells it. The wall clock is read
-//! here alone: once at the start, so that the program's time agrees with the Unix times that others tell (`startedAtMs`), and
-//! from then on for words to people only. A step is told in the log and counted.
+//! Operators and time daemons set the wall clock while the program runs, by seconds or an hour, forwards or back. So every
+//! span (deadline, window, wait, grace, retry budget) is kept on the monotonic clock, by [`Clock`]. The wall clock is read in
+//! this module alone: once at the start, so that the program's time agrees with the Unix times of others (`startedAtMs`), and
+//! from then on for people only. A step is logged and counted.
 
 use driftfront_core::Micros;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// Wall and monotonic clock may drift apart by less than this between two looks without a word: time daemons slew by 0.5 ms a
-/// second, and a look comes every 25 ms; a process that stands still between its two readings adds what it stood still.
-const STEP_LEAST: i64 = 50_000;
+/// Smallest difference between two checks that counts as a step of the wall clock. Time daemons slew by 0.5 ms a second, and
+/// checks come every 25 ms; a process that stands still between its two readings adds the time that it stood still.
+const MIN_STEP_MICROS: i64 = 50_000;
 
 /// The program's time.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
-    began: Instant,
+    started: Instant,
     /// The wall clock at the start.
-    base: Micros,
+    started_at: Micros,
 }
 
 impl Clock {
-    /// Begins to run, at what the wall clock says.
+    /// Starts at what the wall clock says.
     pub fn start() -> Clock {
         Clock {
-            began: Instant::now(),
-            base: unix_now(),
+            started: Instant::now(),
+            started_at: unix_now(),
         }
     }
 
     /// Microseconds since the Unix epoch, as the wall clock would say had nobody set it since the start. Never runs backwards
     /// and never jumps.
     pub fn now(&self) -> Micros {
-        self.base + self.began.elapsed().as_micros() as Micros
+        self.started_at + self.started.elapsed().as_micros() as Micros
     }
 }
 
 /// Microseconds since the Unix epoch, as the system's wall clock says now.
-#[allow(clippy::disallowed_methods)]
+#[allow(
+    clippy::disallowed_methods,
+    reason = "the one place that reads the wall clock"
+)]
 fn unix_now() -> Micros {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
-        .map_or(0, |d| d.as_micros() as Micros)
+        .map_or(0, |since| since.as_micros() as Micros)
 }
 
 /// A step of the wall clock, in microseconds; negative where it was set back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Step(pub i64);
 
-/// Compares the wall clock with the monotonic one from one look to the next.
+/// Compares the wall clock with the monotonic one from one check to the next.
 pub struct StepWatch {
-    began: Instant,
-    /// Wall minus monotonic time at the last look.
-    offset: i64,
+    started: Instant,
+    /// Wall minus monotonic time at the last check.
+    offset_micros: i64,
     /// Steps seen.
     pub steps: u64,
     /// All steps together, in microseconds: how far the wall clock is from where it would be.
@@ -62,23 +65,23 @@
 impl StepWatch {
     /// Begins to watch.
     pub fn start() -> StepWatch {
-        let began = Instant::now();
+        let started = Instant::now();
         StepWatch {
-            began,
-            offset: offset(began),
+            started,
+            offset_micros: offset_micros(started),
             steps: 0,
             stepped_by: 0,
         }
     }
 
-    /// The step since the last look, if there was one.
-    pub fn look(&mut self) -> Option<Step> {
-        self.compare(offset(self.began))
+    /// The step since the last check, if there was one.
+    pub fn check(&mut self) -> Option<Step> {
+        self.compare(offset_micros(self.started))
     }
 
-    fn compare(&mut self, offset: i64) -> Option<Step> {
-        let step = offset - std::mem::replace(&mut self.offset, offset);
-        if step.abs() < STEP_LEAST {
+    fn compare(&mut self, offset_micros: i64) -> Option<Step> {
+        let step = offset_micros - std::mem::replace(&mut self.offset_micros, offset_micros);
+        if step.abs() < MIN_STEP_MICROS {
             return None;
         }
         self.steps += 1;
@@ -87,6 +90,6 @@
     }
 }
 
-fn offset(began: Instant) -> i64 {
-    unix_now() as i64 - began.elapsed().as_micros() as i64
+fn offset_micros(started: Instant) -> i64 {
+    unix_now() as i64 - started.elapsed().as_micros() as i64
 }
--- a/crates/coordinator/src/lib.rs
+++ b/crates/coordinator/src/lib.rs
@@ -14,5 +14,5 @@
 pub mod net;
 pub mod node;
 pub mod operator_config;
-pub mod service;
-pub mod state;
+pub mod service_window;
+pub mod state_folder;
--- a/crates/coordinator/src/node/clients/closing.rs
+++ b/crates/coordinator/src/node/clients/closing.rs
@@ -7,7 +7,7 @@
 use super::{Client, IDLE_MOST, PART_OF_SOCKETS, PART_WHILE_SHARED, READ_MOST};
 use crate::net::{eviction, ReadOutcome};
 use crate::node::{ConnectionId, Node};
-use crate::service::RequestOutcome;
+use crate::service_window::RequestOutcome;
 use driftfront_core::{Micros, RequestId};
 use driftfront_http::response;
 use driftfront_scheduler::interface::Idempotency;
--- a/crates/coordinator/src/node/cluster.rs
+++ b/crates/coordinator/src/node/cluster.rs
@@ -1,7 +1,9 @@
 //! The fleet's hands: a UDP socket, read before any of the unit's timers runs, and never for long at once. All of it is
 //! there only where the operator's file has a `fleet`.
 
-mod agreed;
+mod consensus;
+mod holds;
+mod log_file;
 
 use super::{EventSource, Node};
 use crate::config::ClusterConfig;
@@ -36,8 +38,8 @@
     clock: Micros,
     /// Coordinators that the engines' list names: seeds as those of the operator's file.
     listed: BTreeMap<String, SocketAddr>,
-    /// What is agreed: its file, and operators that wait for it.
-    log: agreed::Log,
+    /// The consensus log's file, and operators that wait for it.
+    consensus: consensus::ConsensusHost,
     /// Turns that ended with more to read.
     cut_short: u64,
     /// Datagrams that the system would not send.
@@ -136,12 +138,12 @@
             began: Instant::now(),
             clock,
             listed: BTreeMap::new(),
-            log: agreed::Log::default(),
+            consensus: consensus::ConsensusHost::default(),
             cut_short: 0,
             unsent: 0,
             longest: 0,
         }));
-        self.open_consensus();
+        self.open_log();
         Ok(())
     }
 
@@ -170,7 +172,7 @@
                 Err(_) => break,
             }
         }
-        self.fleet_sends();
+        self.send_datagrams();
         if let Some(fleet) = self.cluster.as_mut() {
             fleet.longest = fleet.longest.max(begun.elapsed().as_micros() as u64);
         }
@@ -202,8 +204,8 @@
         let clock = fleet.clock();
         // With each sweep: what is looked at seldom can't be told from what is held up.
         fleet.unit.tick(clock);
-        self.tend_agreed(state);
-        self.fleet_sends();
+        self.tend_consensus(state);
+        self.send_datagrams();
     }
 
     /// The engines' list has told of coordinators, or of some that are gone.
@@ -245,8 +247,8 @@
             .change_seeds(seeds.into_iter().chain(listed).collect());
     }
 
-    fn fleet_sends(&mut self) {
-        self.keep_agreed();
+    fn send_datagrams(&mut self) {
+        self.persist_log_writes();
         let Some(fleet) = self.cluster.as_mut() else {
             return;
         };
@@ -260,7 +262,7 @@
         if let Some(fleet) = self.cluster.as_mut() {
             let clock = fleet.clock();
             fleet.unit.leave(clock);
-            self.fleet_sends();
+            self.send_datagrams();
         }
     }
 
@@ -354,7 +356,7 @@
             ("turns_cut_short", fleet.cut_short),
             ("turn_longest_us", fleet.longest),
         ];
-        let agreed = agreed::counters(fleet);
+        let agreed = consensus::counters(fleet);
         lines
             .into_iter()
             .chain(agreed)
--- /dev/null
+++ b/crates/coordinator/src/node/cluster/consensus.rs
@@ -0,0 +1,213 @@
+//! This process's part in the consensus log: opened with the state folder's file, closed for a successor.
+
+use super::holds::PendingHold;
+use super::log_file::{LockedLogFile, LogWriter};
+use super::ClusterRuntime;
+use crate::file_writer::{FileWriter, WriteCompleted};
+use crate::node::Node;
+use driftfront_cluster::consensus::{Options, Role};
+use driftfront_cluster::State;
+use std::collections::BTreeMap;
+use std::time::{Duration, Instant};
+
+/// How often the lock is tried again while another process of this coordinator has it.
+const LOCK_RETRY_INTERVAL: Duration = Duration::from_millis(500);
+
+/// What the host keeps of the consensus log.
+#[derive(Default)]
+pub(super) struct ConsensusHost {
+    writer: LogWriter,
+    /// Operators that wait for an outcome, by the number of their request to the log.
+    pub(super) pending_holds: BTreeMap<u64, PendingHold>,
+    /// When to try the lock again.
+    next_attempt: Option<Instant>,
+    /// The log was released for a successor or at the process's end, or its disk failed: what can't be kept must not be said.
+    is_closed: bool,
+    /// Failures of the file.
+    failures: u64,
+}
+
+impl ConsensusHost {
+    fn may_open(&self) -> bool {
+        !self.is_closed && self.next_attempt.is_none_or(|at| Instant::now() >= at)
+    }
+}
+
+impl Node {
+    /// Takes part in the consensus log, or waits for another process of this coordinator to release it.
+    pub(super) fn open_log(&mut self) {
+        let Some(config) = self.config.cluster.clone() else {
+            return;
+        };
+        let Some(fleet) = self.cluster.as_mut() else {
+            return;
+        };
+        if fleet.unit.agreed().is_some() || !fleet.consensus.may_open() {
+            return;
+        }
+        let mut options = Options {
+            initial_voters: config.voters,
+            replace_after: config.replace_after,
+            zone: config.zone,
+            file: None,
+        };
+        match self.open_log_file() {
+            Ok(LogFile::None) => {}
+            Ok(LogFile::LockedElsewhere) => {
+                if let Some(fleet) = self.cluster.as_mut() {
+                    fleet.consensus.next_attempt = Some(Instant::now() + LOCK_RETRY_INTERVAL);
+                }
+                return;
+            }
+            Ok(LogFile::Open { bytes, writer }) => {
+                options.file = Some(bytes);
+                if let Some(fleet) = self.cluster.as_mut() {
+                    fleet.consensus.writer.open(writer);
+                }
+            }
+            Err(reason) => {
+                // It reads and asks: one that can't keep what it was told must not decide as if it did.
+                options.initial_voters.clear();
+                if let Some(fleet) = self.cluster.as_mut() {
+                    fleet.consensus.writer.close();
+                }
+                self.report_log_failure(&reason);
+            }
+        }
+        let fleet = self.cluster.as_mut();
+        if let Some(Some(wrong)) = fleet.map(|fleet| fleet.unit.open_consensus(options)) {
+            self.report_log_failure(&wrong.to_string());
+        }
+    }
+
+    /// Opens the log's file in the state folder, if there is one, and starts its writer.
+    fn open_log_file(&mut self) -> Result<LogFile, String> {
+        let Some(folder) = &self.config.state_folder else {
+            return Ok(LogFile::None);
+        };
+        let opened = LockedLogFile::open(folder).map_err(|error| error.to_string())?;
+        let Some(mut file) = opened else {
+            return Ok(LogFile::LockedElsewhere);
+        };
+        let bytes = std::mem::take(&mut file.bytes);
+        let writer = self.start_log_writer(file)?;
+        Ok(LogFile::Open { bytes, writer })
+    }
+
+    fn start_log_writer(&mut self, file: LockedLogFile) -> Result<FileWriter, String> {
+        let (sender, completions) = calloop::channel::channel();
+        let writer = file
+            .start_writer(move |completed| drop(sender.send(completed)))
+            .map_err(|e| e.to_string())?;
+        let on_written =
+            |event: calloop::channel::Event<WriteCompleted>, _: &mut (), node: &mut Node| {
+                if let calloop::channel::Event::Msg(completed) = event {
+                    node.guard("a write's end", |node| node.on_log_written(completed));
+                }
+            };
+        self.handle
+            .insert_source(completions, on_written)
+            .map_err(|e| format!("event loop: {e}"))?;
+        Ok(writer)
+    }
+
+    fn report_log_failure(&mut self, reason: &str) {
+        let now = self.now;
+        if let Some(fleet) = self.cluster.as_mut() {
+            fleet.consensus.failures += 1;
+        }
+        tracing::error!("what is agreed: {reason}");
+        self.event(now, format!("What is agreed can't be kept: {reason}"));
+    }
+
+    fn on_log_written(&mut self, completed: WriteCompleted) {
+        match completed.result {
+            Ok(()) => {
+                if let Some(fleet) = self.cluster.as_mut() {
+                    fleet.unit.kept(completed.id);
+                }
+                self.send_datagrams();
+            }
+            Err(error) => {
+                if let Some(fleet) = self.cluster.as_mut() {
+                    // What stands behind a write that failed is of no use: nothing more is kept, and so nothing more said.
+                    fleet.consensus.writer.close();
+                    fleet.consensus.is_closed = true;
+                }
+                self.report_log_failure(&error.to_string());
+            }
+        }
+    }
+
+    /// Hands what must be kept to the disk.
+    pub(super) fn persist_log_writes(&mut self) {
+        let Some(fleet) = self.cluster.as_mut() else {
+            return;
+        };
+        while let Some(write) = fleet.unit.next_write() {
+            fleet.consensus.writer.push(write);
+        }
+        fleet.consensus.writer.submit();
+    }
+
+    /// Periodic work: the log is opened, or released where this process ends, and outcomes are reported.
+    pub(super) fn tend_consensus(&mut self, state: State) {
+        self.open_log();
+        let is_closed = |fleet: &ClusterRuntime| fleet.consensus.is_closed;
+        if state == State::Ending && !self.cluster.as_deref().is_none_or(is_closed) {
+            self.close_log();
+        }
+        self.reply_to_decided_holds();
+    }
+
+    /// Releases the log: the next process of this name needs it. What was asked for here is not waited for.
+    fn close_log(&mut self) {
+        if let Some(fleet) = self.cluster.as_mut() {
+            fleet.consensus.is_closed = true;
+        }
+        self.persist_log_writes();
+        if let Some(fleet) = self.cluster.as_mut() {
+            fleet.unit.close_consensus();
+            fleet.consensus.writer.close();
+        }
+    }
+}
+
+/// The log's file, as far as there is one.
+enum LogFile {
+    /// There is no state folder.
+    None,
+    /// Another process of this coordinator has it.
+    LockedElsewhere,
+    /// This process has it.
+    Open { bytes: Vec<u8>, writer: FileWriter },
+}
+
+/// Counters of the consensus log, by name.
+pub(super) fn counters(fleet: &ClusterRuntime) -> Vec<(&'static str, u64)> {
+    let Some(agreed) = fleet.unit.agreed() else {
+        return Vec::new();
+    };
+    let counters = agreed.counters();
+    let view = agreed.view();
+    let is_leader = agreed.replica().is_some_and(|replica| replica.leads());
+    vec![
+        ("agreed_votes", u64::from(view.part == Role::Voting)),
+        ("agreed_leads", u64::from(is_leader)),
+        ("agreed_index", view.index),
+        ("agreed_lent_now", view.lent.len() as u64),
+        ("agreed_asked", counters.asked),
+        ("agreed_unanswered", counters.unanswered),
+        ("agreed_turned_away", counters.turned_away),
+        ("agreed_lent", counters.lent),
+        ("agreed_ended", counters.ended),
+        ("agreed_given_back_late", counters.given_back),
+        ("agreed_leaders_seen", counters.leaders),
+        ("agreed_replicas_lost", counters.replicas_lost),
+        ("agreed_voters_changed", counters.changes),
+        ("agreed_words_unread", counters.unread),
+        ("agreed_words_foreign", counters.foreign),
+        ("agreed_clock_back", counters.clock_back),
+        ("agreed_disk_failed", fleet.consensus.failures),
+    ]
+}
--- /dev/null
+++ b/crates/coordinator/src/node/control/connections.rs
@@ -0,0 +1,167 @@
+//! Operators' connections: accepted, read, written and cut off.
+
+use super::connection::{ConnectionClosed, OperatorConnection, ReadProgress, ReplyTo};
+use crate::node::{ConnectionId, EventSource, Node};
+use driftfront_control::{Reply, MAX_REQUEST_BYTES};
+use driftfront_core::Micros;
+
+/// Operators' connections at once; more are closed at once.
+const MAX_OPERATORS: usize = 16;
+const READ_BUFFER_BYTES: usize = 8 * 1024;
+/// Bytes that one turn may read of a connection: nobody types this much, so it is closed.
+const MAX_BYTES_PER_TURN: usize = 1024 * 1024;
+
+impl Node {
+    /// Accepts operators' connections on one of the listeners until none waits.
+    pub(in crate::node) fn accept_operators(&mut self, listener: usize) {
+        let Some(listener) = self.operators.get(listener).cloned() else {
+            return;
+        };
+        // An error, out of descriptors included, leaves the connection for the next periodic check.
+        while let Ok(stream) = listener.accept() {
+            let is_full = |control: &super::Control| control.connections.len() >= MAX_OPERATORS;
+            if self.control.as_ref().is_none_or(is_full) {
+                continue;
+            }
+            if stream.set_nonblocking().is_err() {
+                continue;
+            }
+            let id = self.next_connection_id();
+            let Ok(token) = self.watch_operator(id, &stream) else {
+                continue;
+            };
+            let operator = OperatorConnection::new(stream, token);
+            if let Some(control) = &mut self.control {
+                control.connections.insert(id, operator);
+            }
+            self.operator_ready(id);
+        }
+    }
+
+    fn watch_operator(
+        &mut self,
+        id: ConnectionId,
+        stream: &super::connection::OperatorStream,
+    ) -> Result<calloop::RegistrationToken, calloop::Error> {
+        use super::connection::OperatorStream;
+        match stream {
+            OperatorStream::Unix(stream) => self.watch(stream.clone(), EventSource::Operator(id)),
+            OperatorStream::Tcp(stream) => self.watch(stream.clone(), EventSource::Operator(id)),
+        }
+    }
+
+    fn operator(&mut self, id: ConnectionId) -> Option<&mut OperatorConnection> {
+        self.control.as_mut()?.connections.get_mut(&id)
+    }
+
+    /// Closes an operator's connection. Nothing is owed: what it has ordered is carried out all the same.
+    pub(in crate::node) fn drop_operator(&mut self, id: ConnectionId) {
+        let operator = self
+            .control
+            .as_mut()
+            .and_then(|control| control.connections.remove(&id));
+        if let Some(mut operator) = operator {
+            self.unregister(operator.token.take());
+        }
+    }
+
+    /// Sends a reply, if its connection is still there.
+    pub(in crate::node) fn send_reply(&mut self, to: ReplyTo, reply: &Reply) {
+        self.send_line(to.connection, &reply.line(to.request));
+    }
+
+    /// Queues a line and sends what the system takes. A connection that holds too much unread is cut off.
+    pub(super) fn send_line(&mut self, id: ConnectionId, line: &str) {
+        let now = self.now;
+        let Some(operator) = self.operator(id) else {
+            return;
+        };
+        operator.push(now, line);
+        if operator.is_over_limit() {
+            return self.cut_off_operator(id);
+        }
+        self.flush_operator(id);
+    }
+
+    fn flush_operator(&mut self, id: ConnectionId) {
+        if let Some(Err(ConnectionClosed)) = self.operator(id).map(OperatorConnection::flush) {
+            self.drop_operator(id);
+        }
+    }
+
+    fn cut_off_operator(&mut self, id: ConnectionId) {
+        if let Some(control) = &mut self.control {
+            control.cut_off += 1;
+        }
+        tracing::info!("an operator's connection is cut: it does not read");
+        self.drop_operator(id);
+    }
+
+    /// Handles a readiness event of an operator's connection.
+    pub(in crate::node) fn operator_ready(&mut self, id: ConnectionId) {
+        self.flush_operator(id);
+        let mut buffer = vec![0; READ_BUFFER_BYTES];
+        let mut bytes_read = 0;
+        while let Some(operator) = self.operator(id) {
+            match operator.read(&mut buffer) {
+                Ok(ReadProgress::Bytes(count)) => bytes_read += count,
+                Ok(ReadProgress::WouldBlock) => return,
+                Err(ConnectionClosed) => return self.drop_operator(id),
+            }
+            self.handle_operator_lines(id);
+            if bytes_read > MAX_BYTES_PER_TURN {
+                return self.drop_operator(id);
+            }
+        }
+    }
+
+    /// Handles the complete lines that have been read; a line that is too long closes the connection.
+    fn handle_operator_lines(&mut self, id: ConnectionId) {
+        while let Some(operator) = self.operator(id) {
+            match operator.lines.next_line(MAX_REQUEST_BYTES) {
+                Ok(Some(line)) => self.handle_operator_line(id, &line),
+                Ok(None) => return,
+                Err(_) => return self.drop_operator(id),
+            }
+        }
+    }
+
+    /// Cuts off operators that have not read for too long.
+    pub(super) fn cut_off_stuck_operators(&mut self, now: Micros) {
+        let stuck: Vec<ConnectionId> = self
+            .control
+            .iter()
+            .flat_map(|control| &control.connections)
+            .filter(|(_, operator)| operator.is_stuck(now))
+            .map(|(&id, _)| id)
+            .collect();
+        for id in stuck {
+            self.cut_off_operator(id);
+        }
+    }
+
+    /// Sends snapshots to the followers that are due. One that has not read the last snapshot yet is left out: a slow
+    /// connection gets fewer of them, not older ones.
+    pub(super) fn send_due_snapshots(&mut self, now: Micros) {
+        let Some(control) = &mut self.control else {
+            return;
+        };
+        let mut due = Vec::new();
+        for (&connection, operator) in &mut control.connections {
+            let is_flushed = operator.is_flushed();
+            if let Some(subscription) = &mut operator.subscription {
+                if now >= subscription.due && is_flushed {
+                    subscription.due = now + subscription.interval;
+                    due.push(ReplyTo {
+                        connection,
+                        request: subscription.request,
+                    });
+                }
+            }
+        }
+        for to in due {
+            let line = self.snapshot_line(now, to.request);
+            self.send_line(to.connection, &line);
+        }
+    }
+}
--- a/crates/coordinator/src/node/control/mod.rs
+++ b/crates/coordinator/src/node/control/mod.rs
@@ -1,283 +1,254 @@
-//! Operators: the control socket and who is connected (`operators.rs`), what they order (`orders.rs`), what they see (`views.rs`).
-//! A follower that does not read is cut off, and none of them holds up the loop.
-
-mod operators;
+//! Operators: the control socket and its connections, what they order, and what they see.
+//!
+//! | module | its job |
+//! | --- | --- |
+//! | `listener` | the sockets that operators connect to |
+//! | `connection` | one operator's connection, without the program |
+//! | `connections` | accepting, reading, writing and cutting off connections |
+//! | `requests` | from a request's line to the reply |
+//! | `orders` | orders about engines, and their records on the disk |
+//! | `rolling_restart` | the rolling restart over many engines |
+//! | `snapshot` | what operators see |
+//! | `service` | how well requests and engines are served |
+//!
+//! An operator that does not read is cut off, and none of them holds up the event loop.
+
+mod connection;
+mod connections;
+mod listener;
 mod orders;
-mod views;
-
-use crate::node::{ConnectionId, EventSource, Node};
-use crate::service::ServiceWindow;
-use crate::state;
-use calloop::RegistrationToken;
-use driftfront_control::{LineReader, Reply};
+mod requests;
+mod rolling_restart;
+mod service;
+mod snapshot;
+
+pub(in crate::node) use connection::ReplyTo;
+pub(in crate::node) use listener::OperatorListener;
+
+use crate::file_writer::WriteCompleted;
+use crate::node::{clients, ConnectionId, EventSource, Node};
+use crate::service_window::ServiceWindow;
+use crate::state_folder::{OpenedState, StateFolder};
+use connection::OperatorConnection;
+use driftfront_control::Reply;
 use driftfront_core::{EngineId, Micros};
 use driftfront_engine_registry::record::StateRecord;
 use driftfront_engine_registry::rolling_restart::RollingRestart;
+use listener::{open_control_socket, ControlSocketPath};
+use orders::PendingOrder;
 use std::collections::{BTreeMap, VecDeque};
-use std::io::{Read, Write};
-use std::net::{TcpListener, TcpStream};
-use std::os::unix::fs::{MetadataExt, PermissionsExt};
-use std::os::unix::net::{UnixListener, UnixStream};
-use std::path::{Path, PathBuf};
+use std::path::Path;
 use std::rc::Rc;
 
-/// Operators' connections at once; more are closed at once.
-const OPERATORS_MOST: usize = 16;
-/// Bytes that wait for an operator to read them: beyond that the connection is cut.
-const UNREAD_MOST: usize = 4 * 1024 * 1024;
-/// One that has left something unread for this long is cut, however little it is.
-const UNREAD_FOR: Micros = 3_000_000;
-/// Events held for those who ask for the last ones.
-const EVENTS_MOST: usize = 500;
-/// Queries in a snapshot.
-const QUERIES_MOST: usize = 50;
-/// A snapshot serves all who ask within this time.
-const SNAPSHOT_FOR: Micros = 50_000;
-/// A roll looks at things this often.
-const ROLL_EVERY: Micros = 500_000;
-/// Reads on one connection before the others have their turn.
-const READ_AT_ONCE: usize = 64 * 1024;
+/// Events retained for operators who ask for the last ones.
+const MAX_EVENTS: usize = 500;
 
-enum Stream {
-    Unix(Rc<UnixStream>),
-    Tcp(Rc<TcpStream>),
+/// Something that operators should know has happened.
+struct Event {
+    /// Unix time in microseconds, by the wall clock.
+    at: Micros,
+    message: String,
 }
 
-impl Stream {
-    fn read(&self, bytes: &mut [u8]) -> std::io::Result<usize> {
-        match self {
-            Stream::Unix(s) => (&**s).read(bytes),
-            Stream::Tcp(s) => (&**s).read(bytes),
-        }
-    }
-    fn write(&self, bytes: &[u8]) -> std::io::Result<usize> {
-        match self {
-            Stream::Unix(s) => (&**s).write(bytes),
-            Stream::Tcp(s) => (&**s).write(bytes),
-        }
-    }
+/// How well one class of queries was served.
+struct ClassService {
+    minute: ServiceWindow,
+    hour: ServiceWindow,
 }
 
-/// An operator's connection.
-struct Operator {
-    stream: Stream,
-    token: Option<RegistrationToken>,
-    lines: LineReader,
-    out: Vec<u8>,
-    /// Since when something waits for it.
-    unread: Option<Micros>,
-    /// The challenge that it has to answer first.
-    challenge: Option<String>,
-    /// Its request for everything again and again: the id, how often, and when it is due.
-    follow: Option<(u64, Micros, Micros)>,
-    /// Its request for events.
-    events: Option<u64>,
+/// A snapshot as JSON, and when it was made.
+struct CachedSnapshot {
+    made_at: Micros,
+    json: String,
 }
 
-/// What is kept for operators; only where the operator's file names a control socket.
+/// What is retained for operators; only where the configuration names a control socket, a control port or a state folder.
 pub(super) struct Control {
-    /// The socket's path, and its number in the file system: a successor puts its own there.
-    socket: Option<(PathBuf, u64)>,
+    /// Held for its removal.
+    _socket: Option<ControlSocketPath>,
+    /// The key of the control port.
     key: Vec<u8>,
-    operators: BTreeMap<ConnectionId, Operator>,
-    events: VecDeque<(Micros, String)>,
-    classes: Vec<(ServiceWindow, ServiceWindow)>,
-    engines: BTreeMap<EngineId, ServiceWindow>,
-    /// The last snapshot, as JSON.
-    snapshot: Option<(Micros, String)>,
-    state: Option<state::State>,
-    /// Commands whose records are on their way to the disk: who is told what then.
-    waiting: BTreeMap<u64, (ConnectionId, u64, String)>,
+    connections: BTreeMap<ConnectionId, OperatorConnection>,
+    events: VecDeque<Event>,
+    /// By class.
+    class_service: Vec<ClassService>,
+    engine_service: BTreeMap<EngineId, ServiceWindow>,
+    snapshot: Option<CachedSnapshot>,
+    state: Option<StateFolder>,
+    /// Orders whose records are on their way to the disk, by the write's number.
+    pending_orders: BTreeMap<u64, PendingOrder>,
     roll: Option<RollingRestart>,
-    next_roll: Micros,
-    begun: Micros,
+    next_roll_step: Micros,
+    started: Micros,
     /// Operators that were cut off since they did not read.
     cut_off: u64,
 }
 
-/// What an operator's listener is.
-#[derive(Clone)]
-pub(super) enum Listener {
-    Unix(Rc<UnixListener>),
-    Tcp(Rc<TcpListener>),
-}
-
 impl Control {
-    pub(super) fn new(classes: usize, now: Micros) -> Control {
+    fn new(classes: usize, now: Micros) -> Control {
+        let class_service = (0..classes).map(|_| ClassService {
+            minute: ServiceWindow::minute(),
+            hour: ServiceWindow::hour(),
+        });
         Control {
-            socket: None,
+            _socket: None,
             key: Vec::new(),
-            operators: BTreeMap::new(),
+            connections: BTreeMap::new(),
             events: VecDeque::new(),
-            classes: vec![(ServiceWindow::minute(), ServiceWindow::hour()); classes],
-            engines: BTreeMap::new(),
+            class_service: class_service.collect(),
+            engine_service: BTreeMap::new(),
             snapshot: None,
             state: None,
-            waiting: BTreeMap::new(),
+            pending_orders: BTreeMap::new(),
             roll: None,
-            next_roll: 0,
-            begun: now,
+            next_roll_step: 0,
+            started: now,
             cut_off: 0,
         }
     }
 
+    /// Counters, a line each.
     pub(super) fn counters(&self) -> String {
         format!(
             "operators {}\noperators_cut_off {}\n",
-            self.operators.len(),
+            self.connections.len(),
             self.cut_off
         )
     }
-}
 
-impl Drop for Control {
-    fn drop(&mut self) {
-        if let Some((path, inode)) = &self.socket {
-            if std::fs::metadata(path).is_ok_and(|m| m.ino() == *inode) {
-                let _ = std::fs::remove_file(path);
-            }
+    fn add_event(&mut self, at: Micros, message: String) {
+        if self.events.len() == MAX_EVENTS {
+            self.events.pop_front();
         }
+        self.events.push_back(Event { at, message });
     }
 }
 
-/// Opens a control socket of mode 0600, and its number in the file system. One that a dead program has left is taken
-/// over; one that answers is not, but by its successor: then operators' next connection comes here.
-fn listen(path: &Path, succeeds: bool) -> Result<(UnixListener, u64), String> {
-    let say = |e: std::io::Error| format!("control {}: {e}", path.display());
-    if !succeeds && UnixStream::connect(path).is_ok() {
-        return Err(format!(
-            "control {}: another program answers there",
-            path.display()
-        ));
-    }
-    let beside = path.with_extension(format!("{}.new", std::process::id()));
-    let _ = std::fs::remove_file(&beside);
-    let listener = UnixListener::bind(&beside).map_err(say)?;
-    std::fs::set_permissions(&beside, std::fs::Permissions::from_mode(0o600)).map_err(say)?;
-    listener.set_nonblocking(true).map_err(say)?;
-    std::fs::rename(&beside, path).map_err(say)?;
-    let inode = std::fs::metadata(path).map_err(say)?.ino();
-    Ok((listener, inode))
-}
-
 impl Node {
     /// Opens what the configuration names: the state folder, then the control socket and port.
     pub(super) fn open_control(&mut self) -> Result<(), String> {
         let now = self.clock();
-        if self.config.control_socket.is_none()
-            && self.config.control_port.is_none()
-            && self.config.state_folder.is_none()
+        let config = &self.config;
+        if config.control_socket.is_none()
+            && config.control_port.is_none()
+            && config.state_folder.is_none()
         {
             return Ok(());
         }
-        let mut control = Control::new(self.config.classes.names.len(), now);
+        self.control = Some(Control::new(config.classes.names.len(), now));
         if let Some(folder) = self.config.state_folder.clone() {
-            let (sender, written) = calloop::channel::channel();
-            let (state, records, told) = state::open(&folder, move |w| drop(sender.send(w)))?;
-            let on_written =
-                |event: calloop::channel::Event<state::Written>, _: &mut (), node: &mut Node| {
-                    if let calloop::channel::Event::Msg((number, end)) = event {
-                        node.guard("a write's end", |node| node.written(number, end));
-                    }
-                };
-            self.handle
-                .insert_source(written, on_written)
-                .map_err(|e| format!("event loop: {e}"))?;
-            for words in told {
-                tracing::warn!("{words}");
-                control.events.push_back((now, words));
-            }
-            control.roll = records
-                .iter()
-                .rev()
-                .find_map(|r| match r {
-                    StateRecord::RollingRestart { roll } => Some(roll.clone()),
-                    _ => None,
-                })
-                .flatten()
-                .map(|roll: RollingRestart| roll.restarted(now));
-            control.state = Some(state);
-            let change = self.registry.restore_records(records);
-            self.control = Some(control);
-            self.apply_registry_change(now, &change);
-        } else {
-            self.control = Some(control);
+            self.open_state_folder(now, &folder)?;
         }
         if let Some(path) = self.config.control_socket.clone() {
-            let (listener, inode) = listen(&path, self.lifecycle.succeeds())?;
-            let listener = Rc::new(listener);
+            let (listener, path) = open_control_socket(&path, self.lifecycle.succeeds())
+                .map_err(|error| error.to_string())?;
             if let Some(control) = &mut self.control {
-                control.socket = Some((path, inode));
+                control._socket = Some(path);
             }
-            self.operators = vec![Listener::Unix(listener.clone())];
-            self.watch(listener, EventSource::Operators(0))
-                .map_err(|e| format!("event loop: {e}"))?;
+            let listener = Rc::new(listener);
+            self.add_operator_listener(listener.clone(), OperatorListener::Unix(listener))?;
         }
-        if let Some(crate::config::ControlPort { address: addr, key }) =
-            self.config.control_port.clone()
-        {
-            let listener = Rc::new(
-                super::clients::listen(addr).map_err(|e| format!("control port {addr}: {e}"))?,
-            );
+        if let Some(port) = self.config.control_port.clone() {
+            let address = port.address;
+            let listener =
+                clients::listen(address).map_err(|e| format!("control port {address}: {e}"))?;
             if let Some(control) = &mut self.control {
-                control.key = key;
+                control.key = port.key;
             }
-            self.operators.push(Listener::Tcp(listener.clone()));
-            let place = self.operators.len() - 1;
-            self.watch(listener, EventSource::Operators(place))
-                .map_err(|e| format!("event loop: {e}"))?;
+            let listener = Rc::new(listener);
+            self.add_operator_listener(listener.clone(), OperatorListener::Tcp(listener))?;
         }
         Ok(())
     }
 
-    /// Something that operators should know has happened.
-    pub(super) fn event(&mut self, now: Micros, words: String) {
+    fn add_operator_listener<S: std::os::fd::AsFd + 'static>(
+        &mut self,
+        socket: Rc<S>,
+        listener: OperatorListener,
+    ) -> Result<(), String> {
+        let index = self.operators.len();
+        self.operators.push(listener);
+        self.watch(socket, EventSource::Operators(index))
+            .map(|_| ())
+            .map_err(|e| format!("event loop: {e}"))
+    }
+
+    /// Opens the state folder, and applies the orders and the rolling restart that it holds.
+    fn open_state_folder(&mut self, now: Micros, folder: &Path) -> Result<(), String> {
+        let (sender, completions) = calloop::channel::channel();
+        let opened = StateFolder::open(folder, move |completed| drop(sender.send(completed)));
+        let OpenedState {
+            folder,
+            records,
+            warnings,
+        } = opened.map_err(|error| error.to_string())?;
+        let on_written =
+            |event: calloop::channel::Event<WriteCompleted>, _: &mut (), node: &mut Node| {
+                if let calloop::channel::Event::Msg(completed) = event {
+                    node.guard("a write's end", |node| node.on_order_written(completed));
+                }
+            };
+        self.handle
+            .insert_source(completions, on_written)
+            .map_err(|e| format!("event loop: {e}"))?;
+        if let Some(control) = &mut self.control {
+            for warning in warnings {
+                tracing::warn!("{warning}");
+                control.add_event(now, warning);
+            }
+            control.roll = last_roll(&records).map(|roll| roll.restarted(now));
+            control.state = Some(folder);
+        }
+        let change = self.registry.restore_records(records);
+        self.apply_registry_change(now, &change);
+        Ok(())
+    }
+
+    /// Logs something that operators should know has happened, and sends it to those who follow events.
+    pub(super) fn event(&mut self, now: Micros, message: String) {
         let at = self.wall_time(now);
         let Some(control) = &mut self.control else {
             return;
         };
-        tracing::info!("{words}");
-        // What was told before is old now.
+        tracing::info!("{message}");
+        // What was shown before is out of date.
         control.snapshot = None;
-        if control.events.len() == EVENTS_MOST {
-            control.events.pop_front();
-        }
-        control.events.push_back((at, words.clone()));
-        let told: Vec<(ConnectionId, u64)> = control
-            .operators
+        control.add_event(at, message.clone());
+        let followers: Vec<ReplyTo> = control
+            .connections
             .iter()
-            .filter_map(|(&id, o)| Some((id, o.events?)))
+            .filter_map(|(&connection, operator)| {
+                let request = operator.events_request?;
+                Some(ReplyTo {
+                    connection,
+                    request,
+                })
+            })
             .collect();
-        for (conn, id) in told {
-            self.tell_operator(conn, &Reply::Event(at, words.clone()).line(id));
+        for follower in followers {
+            self.send_reply(follower, &Reply::Event(at, message.clone()));
         }
     }
 
-    /// Looks at the roll and at followers; called with each sweep.
+    /// Periodic work: the rolling restart, connections that wait to be accepted, and followers of snapshots.
     pub(super) fn tend_control(&mut self, now: Micros) {
-        let Some(control) = &mut self.control else {
+        if self.control.is_none() {
             return;
-        };
-        if control.roll.as_ref().is_some_and(|r| !r.is_over()) && now >= control.next_roll {
-            control.next_roll = now + ROLL_EVERY;
-            let sight = self.sight(now);
-            let acts = self
-                .control
-                .as_mut()
-                .and_then(|c| c.roll.as_mut())
-                .map(|r| r.step(now, &sight));
-            self.carry_out_roll(now, acts.unwrap_or_default());
         }
-        for place in 0..self.operators.len() {
-            self.accept_operators(place);
+        self.step_rolling_restart(now);
+        for listener in 0..self.operators.len() {
+            self.accept_operators(listener);
         }
-        self.follow_operators(now);
+        self.cut_off_stuck_operators(now);
+        self.send_due_snapshots(now);
     }
 }
 
-pub(super) enum Kept {
-    /// Its end is told under this number.
-    Coming(u64),
-    NoFolder,
-    Full,
+/// The rolling restart as last recorded; `None` where there was none, or none any more.
+fn last_roll(records: &[StateRecord]) -> Option<RollingRestart> {
+    let last = records.iter().rev().find_map(|record| match record {
+        StateRecord::RollingRestart { roll } => Some(roll.clone()),
+        _ => None,
+    });
+    last.flatten()
 }
--- /dev/null
+++ b/crates/coordinator/src/node/control/snapshot.rs
@@ -0,0 +1,259 @@
+//! What operators see of the program: the snapshot that the console and the commands show.
+
+use super::CachedSnapshot;
+use crate::node::Node;
+use crate::service_window::ServiceWindow;
+use driftfront_control::snapshot::{Class, Engine, Query, Roll as RollView, Service, Snapshot};
+use driftfront_control::Field;
+use driftfront_core::lifecycle::State;
+use driftfront_core::{EngineId, Micros};
+use driftfront_engine_registry::{phase_name, EngineState, Order as EngineOrder};
+use std::collections::BTreeMap;
+
+/// Queries in a snapshot.
+const MAX_QUERIES: usize = 50;
+/// Characters of a query's name.
+const MAX_QUERY_NAME_CHARACTERS: usize = 60;
+/// One snapshot serves all requests within this time.
+const SNAPSHOT_MAX_AGE: Micros = 50_000;
+/// Shown where orders do not outlive a restart.
+const NO_STATE_FOLDER: &str =
+    "There is no state folder: drains and other orders are forgotten when the program ends.";
+
+/// What runs on an engine.
+#[derive(Clone, Copy, Default)]
+pub(super) struct EngineLoad {
+    /// Attempts of queries.
+    pub(super) queries: u64,
+    /// Of these, what must not run twice.
+    pub(super) single_shot: u64,
+    /// When the first of them was sent.
+    oldest_sent: Micros,
+}
+
+/// An engine's connections.
+#[derive(Clone, Copy, Default)]
+struct EngineConnections {
+    count: u64,
+    /// When anything last came on one of them.
+    last_heard: Micros,
+}
+
+impl Node {
+    /// The line that answers a request for a snapshot.
+    pub(super) fn snapshot_line(&mut self, now: Micros, request: u64) -> String {
+        let cached = self
+            .control
+            .as_ref()
+            .and_then(|control| control.snapshot.as_ref());
+        let is_fresh = cached.is_some_and(|cached| now < cached.made_at + SNAPSHOT_MAX_AGE);
+        if !is_fresh {
+            let json = self.snapshot(now).to_json().stringify().unwrap_or_default();
+            if let Some(control) = &mut self.control {
+                control.snapshot = Some(CachedSnapshot { made_at: now, json });
+            }
+        }
+        let cached = self
+            .control
+            .as_ref()
+            .and_then(|control| control.snapshot.as_ref());
+        let json = cached.map_or("{}", |cached| &cached.json);
+        format!("{{\"id\":{request},\"snapshot\":{json}}}\n")
+    }
+
+    fn snapshot(&self, now: Micros) -> Snapshot {
+        let control = self.control.as_ref();
+        let has_state_folder = control.is_some_and(|control| control.state.is_some());
+        let (queries, open_by_class) = self.open_queries(now);
+        let (source, source_age) = self.discovery.about(now);
+        Snapshot {
+            version: env!("CARGO_PKG_VERSION").into(),
+            name: self.config.name.clone(),
+            at: now,
+            up_s: seconds_since(now, control.map_or(now, |control| control.started)),
+            listen: self.listening_at().to_string(),
+            front: format!("{:?}", self.config.protocol),
+            ready: self.is_ready(),
+            stopping: self.lifecycle.state() == State::Ending,
+            state: self.lifecycle.state().word().into(),
+            source,
+            source_age_s: source_age.map(|age| age / 1_000_000),
+            forgets: if has_state_folder {
+                ""
+            } else {
+                NO_STATE_FOLDER
+            }
+            .into(),
+            open: self.core.open_requests() as u64,
+            connections: vec![
+                self.clients.connections.len() as u64,
+                self.engines.connections.len() as u64,
+            ],
+            engines: self.engine_views(now),
+            classes: self.class_views(now, &open_by_class),
+            queries,
+            sessions: self.frontend.session_counts(),
+            roll: self.roll_view(),
+            members: self.fleet_members(),
+            agreed: self.consensus_view(),
+        }
+    }
+
+    /// What runs, by engine.
+    pub(super) fn engine_load(&self) -> BTreeMap<EngineId, EngineLoad> {
+        let mut all: BTreeMap<EngineId, EngineLoad> = BTreeMap::new();
+        for (class, engine, sent) in self.core.attempts_in_flight() {
+            let load = all.entry(engine).or_insert(EngineLoad {
+                queries: 0,
+                single_shot: 0,
+                oldest_sent: sent,
+            });
+            load.queries += 1;
+            load.single_shot += u64::from(self.is_single_shot(class));
+            load.oldest_sent = load.oldest_sent.min(sent);
+        }
+        all
+    }
+
+    fn engine_connections(&self) -> BTreeMap<EngineId, EngineConnections> {
+        let mut all: BTreeMap<EngineId, EngineConnections> = BTreeMap::new();
+        for (engine, heard) in self
+            .engines
+            .connections
+            .values()
+            .map(|connection| connection.last_heard())
+        {
+            let connections = all.entry(engine).or_default();
+            connections.count += 1;
+            connections.last_heard = connections.last_heard.max(heard);
+        }
+        all
+    }
+
+    fn engine_views(&self, now: Micros) -> Vec<Engine> {
+        let load = self.engine_load();
+        let connections = self.engine_connections();
+        let engines = self.registry.engines().into_iter().map(|engine| {
+            let load = load.get(&engine.id).copied().unwrap_or_default();
+            let connections = connections.get(&engine.id).copied().unwrap_or_default();
+            self.engine_view(now, engine, load, connections)
+        });
+        engines.collect()
+    }
+
+    fn engine_view(
+        &self,
+        now: Micros,
+        engine: EngineState,
+        load: EngineLoad,
+        connections: EngineConnections,
+    ) -> Engine {
+        // Silence begins with the work that the engine should say something of.
+        let heard = connections.last_heard.max(load.oldest_sent);
+        let control = self.control.as_ref();
+        let service = control.and_then(|control| control.engine_service.get(&engine.id));
+        let order = engine.active_order.as_ref();
+        Engine {
+            addr: engine.addr.to_string(),
+            zone: name_at(&self.config.zones, engine.zone),
+            kind: name_at(&self.config.kinds, engine.kind),
+            phase: phase_name(engine.phase).into(),
+            listed: engine.listed.map(|phase| phase_name(phase).into()),
+            added: engine.added,
+            order: order.map_or("", |order| order_word(order.order)).into(),
+            order_by: order.map_or(String::new(), |order| order.by.clone()),
+            order_age_s: order.map_or(0, |order| seconds_since(now, order.since)),
+            running: load.queries,
+            imports: load.single_shot,
+            heard_ms: (heard > 0).then(|| now.saturating_sub(heard) / 1000),
+            connections: connections.count,
+            warm_in_s: self.warm_in_seconds(now, engine.started_at),
+            minute: sum_of(service, now),
+            name: engine.name,
+        }
+    }
+
+    /// Seconds until an engine has warmed up that started at this time.
+    fn warm_in_seconds(&self, now: Micros, started: Option<Micros>) -> u64 {
+        let warm_up = self
+            .config
+            .settings
+            .slow_start
+            .map_or(0, |slow_start| slow_start.warm_up_time);
+        let remaining = started.map(|started| (started + warm_up).saturating_sub(now));
+        remaining.map_or(0, |remaining| remaining.div_ceil(1_000_000))
+    }
+
+    /// The open queries, what must not run twice first and then the oldest, as many as a snapshot holds; and how many are
+    /// open of each class.
+    fn open_queries(&self, now: Micros) -> (Vec<Query>, Vec<u64>) {
+        let mut open_by_class = vec![0; self.config.classes.names.len()];
+        let mut queries = Vec::new();
+        for (call, class, engine, since) in self.core.requests_in_progress() {
+            if let Some(count) = open_by_class.get_mut(usize::from(class)) {
+                *count += 1;
+            }
+            let engine = engine.and_then(|engine| self.registry.name(engine));
+            queries.push(Query {
+                call: call.chars().take(MAX_QUERY_NAME_CHARACTERS).collect(),
+                class: name_at(&self.config.classes.names, class),
+                engine: engine.unwrap_or_default().into(),
+                age_ms: now.saturating_sub(since) / 1000,
+                import: self.is_single_shot(class),
+            });
+        }
+        queries.sort_by_key(|query| (!query.import, std::cmp::Reverse(query.age_ms)));
+        queries.truncate(MAX_QUERIES);
+        (queries, open_by_class)
+    }
+
+    fn class_views(&self, now: Micros, open_by_class: &[u64]) -> Vec<Class> {
+        let control = self.control.as_ref();
+        let services = control.map_or(&[][..], |control| &control.class_service);
+        let names = self.config.classes.names.iter().zip(0u16..);
+        let classes = names.map(|(name, class)| {
+            let index = usize::from(class);
+            let settings = self.config.settings.classes.get(index);
+            let service = services.get(index);
+            Class {
+                name: name.clone(),
+                wanted_ms: settings.map_or(0, |settings| settings.latency_objective / 1000),
+                once: self.is_single_shot(class),
+                open: open_by_class[index],
+                minute: sum_of(service.map(|service| &service.minute), now),
+                hour: sum_of(service.map(|service| &service.hour), now),
+            }
+        });
+        classes.collect()
+    }
+
+    fn roll_view(&self) -> Option<RollView> {
+        let roll = self.control.as_ref()?.roll.as_ref()?;
+        Some(RollView {
+            stage: roll.stage.name().into(),
+            engine: roll.current().unwrap_or_default().into(),
+            left: roll.remaining.clone(),
+            through: roll.completed.clone(),
+            why: roll.status.clone(),
+        })
+    }
+}
+
+fn name_at(names: &[String], index: u16) -> String {
+    names.get(usize::from(index)).cloned().unwrap_or_default()
+}
+
+fn seconds_since(now: Micros, since: Micros) -> u64 {
+    now.saturating_sub(since) / 1_000_000
+}
+
+fn order_word(order: EngineOrder) -> &'static str {
+    match order {
+        EngineOrder::Drain => "drain",
+        EngineOrder::Remove => "remove",
+    }
+}
+
+fn sum_of(service: Option<&ServiceWindow>, now: Micros) -> Service {
+    service.map(|service| service.sum(now)).unwrap_or_default()
+}
--- a/crates/coordinator/src/node/mod.rs
+++ b/crates/coordinator/src/node/mod.rs
@@ -17,7 +17,7 @@
 use crate::discovery::read;
 use crate::frontends::clickhouse::ClickHouse;
 use crate::frontends::{platform::Platform, ConnectionAction, Frontend};
-use crate::service::RequestOutcome;
+use crate::service_window::RequestOutcome;
 
 use calloop::generic::Generic;
 use calloop::signals::{Signal, Signals};
@@ -58,7 +58,7 @@
     registry: EngineRegistry,
     /// What is retained for operators, where the configuration asks for that.
     control: Option<control::Control>,
-    operators: Vec<control::Listener>,
+    operators: Vec<control::OperatorListener>,
     discovery: discovery_client::DiscoveryClient,
     /// Other coordinators, where the configuration names a cluster.
     cluster: Option<Box<cluster::ClusterRuntime>>,
@@ -308,7 +308,7 @@
 
     /// Tells of a wall clock that was set: the log's stamps jump by that.
     fn watch_wall_clock(&mut self) {
-        if let Some(Step(by)) = self.wall.look() {
+        if let Some(Step(by)) = self.wall.check() {
             let seconds = by as f64 / 1e6;
             tracing::warn!(
                 seconds,
--- a/crates/coordinator/src/node/upgrade.rs
+++ b/crates/coordinator/src/node/upgrade.rs
@@ -125,7 +125,7 @@
             let (process, orders) = (received.from.pid, records.len());
             tracing::info!(process, orders, "orders of another process hold here");
             self.apply_registry_change(now, &change);
-            let _ = self.write_down(now, records);
+            let _ = self.persist(now, &records);
         }
         if std::mem::replace(&mut self.handover.has_peers, has_peers) != has_peers {
             if has_peers {
--- a/crates/coordinator/tests/golden_operators/files.rs
+++ b/crates/coordinator/tests/golden_operators/files.rs
@@ -3,6 +3,7 @@
 use crate::common::{file, TEST_TIMEOUT};
 use crate::{type_in, Folder};
 use driftfront::handover::{HandoverMailbox, ProcessNumber, Received};
+use driftfront::state_folder::StateFolder;
 use driftfront_engine_registry::handover::HandoverState;
 use driftfront_engine_registry::record::StateRecord;
 use driftfront_engine_registry::rolling_restart::RollingRestart;
@@ -69,10 +70,14 @@
 fn orders_as_the_folder_keeps_them() {
     let folder = Folder::new("orders");
     let (told, ends) = channel();
-    let (mut state, ..) =
-        driftfront::state::open(&folder.0, move |w| drop(told.send(w))).expect("a folder");
-    let number = state.append(records()).expect("room");
-    assert_eq!(ends.recv().expect("written"), (number, Ok(())));
+    let opened = StateFolder::open(&folder.0, move |w| drop(told.send(w)));
+    let mut state = opened.expect("a folder").folder;
+    let number = state.append(&records()).expect("room");
+    let written = ends.recv().expect("written");
+    assert!(
+        written.id == number && written.result.is_ok(),
+        "{written:?}"
+    );
     drop(state);
     assert_eq!(names(&folder.0), ["orders"]);
     assert_golden!(
@@ -81,8 +86,8 @@
     );
     // And back.
     std::fs::write(folder.0.join("orders"), read_golden!("operators/orders")).expect("the file");
-    let (_, read, words) = driftfront::state::open(&folder.0, |_| {}).expect("a folder");
-    assert_eq!((read, words), (records(), vec![]));
+    let opened = StateFolder::open(&folder.0, |_| {}).expect("a folder");
+    assert_eq!((opened.records, opened.warnings), (records(), vec![]));
 }
 
 fn names(folder: &Path) -> Vec<String> {
--- /dev/null
+++ b/crates/coordinator/tests/service_window.rs
@@ -0,0 +1,35 @@
+//! Service over the last minute and hour.
+
+use driftfront::service_window::{RequestOutcome, ServiceWindow};
+
+#[test]
+fn a_window_forgets_what_is_older_than_its_time_and_keeps_the_rest() {
+    let mut window = ServiceWindow::minute();
+    for n in 0..600 {
+        // One each second; every fourth late, every tenth rejected.
+        let outcome = if n % 10 == 9 {
+            RequestOutcome::Refused
+        } else {
+            RequestOutcome::Served
+        };
+        let latency = if n % 4 == 0 { 900_000 } else { 20_000 };
+        window.add(n * 1_000_000, outcome, latency, 500_000);
+    }
+    let sum = window.sum(599_000_000);
+    assert_eq!((sum.asked, sum.refused), (60, 6));
+    assert!(sum.in_time < sum.served && sum.p50_ms >= 19.0 && sum.p50_ms <= 21.0);
+    assert!((880.0..=920.0).contains(&sum.p99_ms), "{}", sum.p99_ms);
+    assert_eq!(window.sum(900_000_000).asked, 0);
+    // A clock that is set back finds only what is of its own time.
+    assert!(window.sum(580_000_000).asked <= 60);
+}
+
+#[test]
+fn memory_of_an_hour_is_bounded_under_any_traffic() {
+    let mut window = ServiceWindow::hour();
+    for n in 0..100_000u64 {
+        let latency = n * 7919 % 130_000_000;
+        window.add(n * 72_000, RequestOutcome::Served, latency, 1);
+    }
+    assert!(window.bytes() < 60 * 8 * 1024, "{}", window.bytes());
+}
