--- a/crates/cluster-simulation/src/main.rs
+++ b/crates/cluster-simulation/src/main.rs
@@ -277,7 +277,8 @@
             let peers = || {
                 let peer = |m: usize| Peer {
                     name: names[m].clone(),
-                    stands: (MemberStatus::Alive, now),
+                    status: MemberStatus::Alive,
+                    status_age: now,
                     zone: String::new(),
                     notice: Some(notices[m].clone()),
                 };
@@ -288,7 +289,7 @@
                 while let Some((_, outcome)) = one.outcome() {
                     if let Ok(Outcome::Granted { fence }) = outcome {
                         lent += 1;
-                        one.give(now, fence);
+                        one.release(fence);
                     }
                 }
                 if rng.random_bool(0.2) {
@@ -330,7 +331,7 @@
                 }
                 spoilt += u64::from(copy > 0);
                 let stood = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| {
-                    all[to].take(now, now, &names[from], &bytes);
+                    all[to].handle_message(now, now, &names[from], &bytes);
                 }));
                 stood.map_err(|_| format!("seed {seed}, input {spoilt}: {bytes:02x?}"))?;
             }
@@ -608,6 +609,16 @@
     Ok(())
 }
 
+/// A status as scripts' readers know it.
+fn status_text(status: Option<MemberStatus>) -> &'static str {
+    match status {
+        None => "None",
+        Some(MemberStatus::Alive) => "Some(Alive)",
+        Some(MemberStatus::Suspected) => "Some(Doubted)",
+        Some(MemberStatus::Down) => "Some(Down)",
+    }
+}
+
 fn play(mut args: pico_args::Arguments) -> Result<(), String> {
     let path: String = args.free_from_str().map_err(|e| e.to_string())?;
     let text = std::fs::read_to_string(&path).map_err(|e| format!("{path}: {e}"))?;
@@ -617,11 +628,11 @@
     world.play(until, |_| false);
     for s in &world.seen {
         println!(
-            "{:8.3} s  m{} sees m{} {:?}",
+            "{:8.3} s  m{} sees m{} {}",
             s.at as f64 / 1e6,
             s.by,
             s.of,
-            s.standing
+            status_text(s.standing)
         );
     }
     println!("trace {:016x}", world.trace);
