--- a/crates/coordinator/src/node/control/rolling_restart.rs
+++ b/crates/coordinator/src/node/control/rolling_restart.rs
@@ -83,7 +83,7 @@
             .as_mut()
             .and_then(|control| control.roll.as_mut());
         let (acts, message) = match roll {
-            Some(roll) => (change(roll, &observed), roll.status.clone()),
+            Some(roll) => (change(roll, &observed), roll.status.to_string()),
             None => (Vec::new(), String::new()),
         };
         let reply = if acts.is_empty() {
--- a/crates/coordinator/src/node/control/snapshot.rs
+++ b/crates/coordinator/src/node/control/snapshot.rs
@@ -234,7 +234,7 @@
             engine: roll.current().unwrap_or_default().into(),
             left: roll.remaining.clone(),
             through: roll.completed.clone(),
-            why: roll.status.clone(),
+            why: roll.status.to_string(),
         })
     }
 }
