--- /dev/null
+++ b/crates/mock-servers/src/engine/faults.rs
@@ -0,0 +1,33 @@
+//! Faults that a statement asks for.
+
+use std::collections::BTreeMap;
+
+/// Marks the comment of a statement that asks for faults.
+const COMMENT_START: &str = "/* standin:";
+
+/// The faults of one statement: names, and values where they have one.
+#[derive(Debug, Default)]
+pub(super) struct Faults(BTreeMap<String, String>);
+
+impl Faults {
+    /// Reads the comment of a statement.
+    pub(super) fn of(statement: &str) -> Faults {
+        let comment = statement.split(COMMENT_START).nth(1);
+        let comment = comment.and_then(|text| text.split("*/").next());
+        let words = comment.unwrap_or_default().split_whitespace();
+        let faults = words.map(|word| word.split_once('=').unwrap_or((word, "")));
+        Faults(
+            faults
+                .map(|(name, value)| (name.to_string(), value.to_string()))
+                .collect(),
+        )
+    }
+
+    pub(super) fn has(&self, name: &str) -> bool {
+        self.0.contains_key(name)
+    }
+
+    pub(super) fn number<T: std::str::FromStr>(&self, name: &str) -> Option<T> {
+        self.0.get(name)?.parse().ok()
+    }
+}
--- a/crates/mock-servers/src/engine/mod.rs
+++ b/crates/mock-servers/src/engine/mod.rs
@@ -1,33 +1,45 @@
-//! An engine that speaks ClickHouse's HTTP interface, a thread a connection.
+//! An engine that speaks ClickHouse's HTTP interface, with a thread a connection.
 //!
-//! Faults are asked for in a comment of the statement, `/* standin: NAME=VALUE NAME ... */`, or of the whole engine.
-//! With `first` among them they hold only the first time that this statement comes to any engine of the ledger.
-
-mod answer;
+//! Faults are asked for in a comment of the statement, `/* standin: NAME=VALUE NAME ... */`, or of the whole engine. With `first`
+//! among them they hold only the first time that this statement comes to any engine of the log.
+//!
+//! A request goes through `connection` (HTTP), `query` (statement, session, log entry), `execute` (what it computes) or `insert`,
+//! and `result` (what is written, with its faults).
+
+mod connection;
+mod exception;
+mod execute;
+mod faults;
+mod insert;
 mod output;
+mod query;
+mod result;
 mod sql;
+mod state;
 
 pub use output::FORMATS;
-pub use sql::{Rows, Value};
+pub use state::{fnv, Table};
 
-use crate::ledger::RequestLog;
-use std::collections::{BTreeMap, HashMap};
+use crate::request_log::RequestLog;
+use state::Shared;
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
-use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
-use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
-use std::time::{Duration, Instant};
+use std::sync::atomic::Ordering;
+use std::sync::Arc;
+
+/// Stack of a connection's thread: small, since hundreds of connections may stay open.
+const THREAD_STACK_BYTES: usize = 512 * 1024;
 
 /// What an engine is like.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Its name in the ledger.
+    /// Its name in the log.
     pub name: String,
-    /// It tells a tag in its heads, and writes exceptions behind rows with that; older servers write plain lines.
+    /// It sends a tag in its heads, and marks exceptions behind rows with that; older servers write plain lines.
     pub tags: bool,
-    /// A user's name and key that are asked for; others are turned away.
+    /// The name and key of a user; others are rejected.
     pub user: Option<(String, String)>,
-    /// Statements that it runs at once; more get code 202.
-    pub most: usize,
+    /// Statements that it runs at once; further ones get code 202.
+    pub max_statements: usize,
 }
 
 impl Default for Options {
@@ -36,102 +48,8 @@
             name: "engine".into(),
             tags: true,
             user: None,
-            most: usize::MAX,
-        }
-    }
-}
-
-/// A session on an engine.
-struct Session {
-    settings: BTreeMap<String, String>,
-    database: String,
-    tables: HashMap<String, Table>,
-    locked: bool,
-    timeout: Duration,
-    ends: Instant,
-}
-
-impl Session {
-    /// Its settings and its database.
-    fn scope(&self) -> (BTreeMap<String, String>, String) {
-        (self.settings.clone(), self.database.clone())
-    }
-}
-
-/// What was put into a table.
-#[derive(Clone, Debug, Default)]
-pub struct Table {
-    /// Rows, counted by line ends or by `Values`' brackets.
-    pub rows: u64,
-    /// Bytes.
-    pub bytes: u64,
-    /// FNV-1a over all bytes in order.
-    pub hash: u64,
-    /// The first bytes themselves.
-    pub data: Vec<u8>,
-}
-
-/// Bytes of a table that are kept.
-const DATA_MOST: usize = 8 * 1024 * 1024;
-
-impl Table {
-    fn push(&mut self, bytes: &[u8]) {
-        if self.bytes == 0 {
-            self.hash = 0xcbf2_9ce4_8422_2325;
-        }
-        self.bytes += bytes.len() as u64;
-        self.rows += bytes.iter().filter(|&&b| b == b'\n').count() as u64;
-        self.hash = fnv(self.hash, bytes);
-        let room = DATA_MOST.saturating_sub(self.data.len());
-        self.data.extend_from_slice(&bytes[..bytes.len().min(room)]);
-    }
-}
-
-/// FNV-1a, from a state of before.
-pub fn fnv(state: u64, bytes: &[u8]) -> u64 {
-    bytes.iter().fold(state, |h, &b| {
-        (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3)
-    })
-}
-
-#[derive(Default)]
-struct Held {
-    sessions: HashMap<String, Session>,
-    tables: HashMap<String, Table>,
-    running: HashMap<String, Arc<AtomicBool>>,
-    /// Open connections, so that an end reaches them.
-    connections: HashMap<u64, TcpStream>,
-}
-
-struct Shared {
-    options: Options,
-    ledger: Arc<RequestLog>,
-    held: Mutex<Held>,
-    /// Nothing is answered while this is set.
-    mute: AtomicBool,
-    stopped: AtomicBool,
-    last: AtomicU64,
-    changed: Condvar,
-    addr: SocketAddr,
-}
-
-impl Shared {
-    fn held(&self) -> MutexGuard<'_, Held> {
-        self.held.lock().unwrap_or_else(PoisonError::into_inner)
-    }
-
-    fn next(&self) -> u64 {
-        self.last.fetch_add(1, Ordering::SeqCst) + 1
-    }
-
-    /// Waits while the engine is mute; false once it has stopped.
-    fn speaks(&self) -> bool {
-        let mut held = self.held();
-        while self.mute.load(Ordering::SeqCst) && !self.stopped.load(Ordering::SeqCst) {
-            let waited = self.changed.wait_timeout(held, Duration::from_millis(100));
-            held = waited.unwrap_or_else(PoisonError::into_inner).0;
+            max_statements: usize::MAX,
         }
-        !self.stopped.load(Ordering::SeqCst)
     }
 }
 
@@ -142,49 +60,29 @@
 
 impl Engine {
     /// Starts one on a port of the system's choice.
-    pub fn start(options: Options, ledger: Arc<RequestLog>) -> Engine {
-        Engine::listen("127.0.0.1:0".parse().expect("an address"), options, ledger)
-            .expect("a port on loopback")
+    ///
+    /// # Panics
+    ///
+    /// Panics where loopback has no free port.
+    pub fn start(options: Options, log: Arc<RequestLog>) -> Engine {
+        let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
+        Engine::listen(any_port, options, log).expect("a port on loopback")
     }
 
     /// Starts one at an address.
+    ///
+    /// # Errors
+    ///
+    /// The system's, where the address can't be used.
     pub fn listen(
         addr: SocketAddr,
         options: Options,
-        ledger: Arc<RequestLog>,
+        log: Arc<RequestLog>,
     ) -> std::io::Result<Engine> {
         let listener = TcpListener::bind(addr)?;
-        let shared = Arc::new(Shared {
-            options,
-            ledger,
-            held: Mutex::default(),
-            mute: AtomicBool::new(false),
-            stopped: AtomicBool::new(false),
-            last: AtomicU64::new(0),
-            changed: Condvar::new(),
-            addr: listener.local_addr()?,
-        });
+        let shared = Arc::new(Shared::new(options, log, listener.local_addr()?));
         let accepting = shared.clone();
-        std::thread::spawn(move || {
-            for stream in listener.incoming() {
-                if accepting.stopped.load(Ordering::SeqCst) {
-                    return;
-                }
-                let Ok(stream) = stream else { continue };
-                let shared = accepting.clone();
-                // A thread of its own, with little stack: hundreds of connections may stay open.
-                let _ = std::thread::Builder::new()
-                    .stack_size(512 * 1024)
-                    .spawn(move || {
-                        let id = shared.next();
-                        if let Ok(copy) = stream.try_clone() {
-                            shared.held().connections.insert(id, copy);
-                        }
-                        answer::serve(&shared, stream);
-                        shared.held().connections.remove(&id);
-                    });
-            }
-        });
+        std::thread::spawn(move || accept_connections(&listener, &accepting));
         Ok(Engine { shared })
     }
 
@@ -198,58 +96,75 @@
         &self.shared.options.name
     }
 
-    /// From now on it takes everything and says nothing, not even to a ping; or speaks again.
+    /// From now on it accepts everything and answers nothing, not even a ping; or answers again.
     pub fn mute(&self, mute: bool) {
-        self.shared.mute.store(mute, Ordering::SeqCst);
+        self.shared.is_mute.store(mute, Ordering::SeqCst);
         self.shared.changed.notify_all();
     }
 
-    /// Its process ends and another takes its place: connections are reset, sessions and what ran are gone.
+    /// Its process ends and another takes its place: connections are reset, sessions and running queries are gone.
     pub fn restart(&self) {
-        let mut held = self.shared.held();
-        for cancelled in held.running.values() {
+        let mut state = self.shared.state();
+        for cancelled in state.running.values() {
             cancelled.store(true, Ordering::SeqCst);
         }
-        held.sessions.clear();
-        for stream in held.connections.values() {
+        state.sessions.clear();
+        for stream in state.connections.values() {
             let _ = stream.shutdown(Shutdown::Both);
         }
     }
 
-    /// A table of no session.
+    /// A table that belongs to no session.
     pub fn table(&self, name: &str) -> Table {
-        self.shared
-            .held()
-            .tables
-            .get(name)
-            .cloned()
-            .unwrap_or_default()
+        let state = self.shared.state();
+        state.tables.get(name).cloned().unwrap_or_default()
     }
 
-    /// Sessions that it holds.
+    /// The number of its sessions.
     pub fn sessions(&self) -> usize {
-        self.shared.held().sessions.len()
+        self.shared.state().sessions.len()
     }
 
-    /// Names of queries that run.
+    /// The ids of queries that run.
     pub fn running(&self) -> Vec<String> {
-        self.shared.held().running.keys().cloned().collect()
+        self.shared.state().running.keys().cloned().collect()
     }
 
-    /// Connections that are open.
+    /// The number of open connections.
     pub fn connections(&self) -> usize {
-        self.shared.held().connections.len()
+        self.shared.state().connections.len()
     }
 }
 
 impl Drop for Engine {
     fn drop(&mut self) {
-        self.shared.stopped.store(true, Ordering::SeqCst);
+        self.shared.is_stopped.store(true, Ordering::SeqCst);
         self.shared.changed.notify_all();
-        for stream in self.shared.held().connections.values() {
+        for stream in self.shared.state().connections.values() {
             let _ = stream.shutdown(Shutdown::Both);
         }
-        // Lets the accepting thread see it.
+        // Wakes the accepting thread, so that it sees the end.
         let _ = TcpStream::connect(self.shared.addr);
     }
 }
+
+fn accept_connections(listener: &TcpListener, shared: &Arc<Shared>) {
+    for stream in listener.incoming() {
+        if shared.is_stopped.load(Ordering::SeqCst) {
+            return;
+        }
+        let Ok(stream) = stream else { continue };
+        let shared = shared.clone();
+        let thread = std::thread::Builder::new().stack_size(THREAD_STACK_BYTES);
+        let _ = thread.spawn(move || serve_connection(&shared, stream));
+    }
+}
+
+fn serve_connection(shared: &Shared, stream: TcpStream) {
+    let id = shared.next_id();
+    if let Ok(copy) = stream.try_clone() {
+        shared.state().connections.insert(id, copy);
+    }
+    connection::serve(shared, stream);
+    shared.state().connections.remove(&id);
+}
--- /dev/null
+++ b/crates/mock-servers/src/engine/query.rs
@@ -0,0 +1,247 @@
+//! A query: its statement and session, from its request to its entry in the log.
+
+use super::connection::{After, Connection, FIRST_BODY_BYTES};
+use super::exception::{code, Exception, QueryError};
+use super::faults::Faults;
+use super::insert::unpack_blocks;
+use super::state::{Session, State};
+use driftfront_clickhouse::coding::{self, Coding};
+use driftfront_clickhouse::credentials::Credentials;
+use driftfront_clickhouse::params::Params;
+use driftfront_clickhouse::{multipart, sql::Shape};
+use driftfront_http::{header, Request};
+use std::collections::{BTreeMap, HashMap};
+use std::rc::Rc;
+use std::sync::atomic::AtomicBool;
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+/// The time-out of a session that names none.
+const DEFAULT_SESSION_TIMEOUT_S: u64 = 60;
+
+/// A query that runs.
+pub(super) struct Query {
+    pub(super) request: Rc<Request>,
+    pub(super) params: Params,
+    pub(super) id: String,
+    /// The statement: from the URL, or the beginning of the body.
+    pub(super) statement: String,
+    /// The statement stands in the body, with rows behind it.
+    pub(super) is_in_body: bool,
+    pub(super) faults: Faults,
+    /// Its session, by user and id.
+    pub(super) session: Option<String>,
+    /// Its entry in the log.
+    pub(super) entry: usize,
+    /// Set when it is cancelled.
+    pub(super) cancelled: Arc<AtomicBool>,
+}
+
+/// A statement, and where it stood.
+struct StatementText {
+    text: String,
+    is_in_body: bool,
+}
+
+impl Connection<'_> {
+    /// Runs a query, and writes its result. With an error nothing was written yet.
+    pub(super) fn run_query(
+        &mut self,
+        request: &Rc<Request>,
+        params: Params,
+        id: &str,
+    ) -> Result<After, QueryError> {
+        let statement = read_statement(request, &params)?;
+        let query = self.start_query(request.clone(), params, id, statement);
+        if let Err(error) = self.admit(&query) {
+            let has_run = match &error {
+                QueryError::Exception(exception) => exception.code != code::QUERY_ID_IN_USE,
+                QueryError::Rejected(_) | QueryError::Io(_) => false,
+            };
+            self.shared.log.end(query.entry, has_run);
+            return Err(error);
+        }
+        let result = self.execute(&query);
+        self.release(&query);
+        self.shared.log.end(query.entry, true);
+        result
+    }
+
+    /// Writes a query into the log.
+    fn start_query(
+        &self,
+        request: Rc<Request>,
+        params: Params,
+        id: &str,
+        statement: StatementText,
+    ) -> Query {
+        let log = &self.shared.log;
+        let StatementText { text, is_in_body } = statement;
+        let mut faults = Faults::of(&text);
+        if faults.has("first") && log.knows(&text) {
+            faults = Faults::default();
+        }
+        let credentials = Credentials::read(&params, &request.headers).ok();
+        let user = credentials.and_then(|credentials| credentials.user);
+        let user = user.unwrap_or_default();
+        let session = params.non_empty("session_id");
+        let session = session.map(|session| format!("{user}/{session}"));
+        let name = &self.shared.options.name;
+        let entry = log.begin(name, id, &text, session.as_deref());
+        Query {
+            request,
+            params,
+            id: id.into(),
+            statement: text,
+            is_in_body,
+            faults,
+            session,
+            entry,
+            cancelled: Arc::default(),
+        }
+    }
+
+    /// All that comes before a statement runs: the user, the limit of statements, the id, the session.
+    fn admit(&self, query: &Query) -> Result<(), QueryError> {
+        self.authenticate(query)?;
+        let mut state = self.shared.state();
+        let is_full = state.running.len() >= self.shared.options.max_statements;
+        if query.faults.has("full") || is_full {
+            return Err(QueryError::Rejected(Exception::new(
+                code::TOO_MANY_QUERIES,
+                "Too many simultaneous queries. Maximum: 0",
+            )));
+        }
+        let is_read = matches!(query.request.method.as_str(), "GET" | "HEAD");
+        if is_read && !Shape::of(&query.statement).reads {
+            return Err(Exception::new(
+                code::READONLY,
+                "Cannot execute query in readonly mode. For queries over HTTP, method GET implies readonly. You \
+                 should use method POST for modifying queries",
+            )
+            .into());
+        }
+        if state.running.contains_key(&query.id) {
+            let message = format!("Query with id = {} is already running", query.id);
+            return Err(Exception::new(code::QUERY_ID_IN_USE, message).into());
+        }
+        if let Some(session) = &query.session {
+            lock_session(&mut state, session, &query.params)?;
+        }
+        let cancelled = query.cancelled.clone();
+        state.running.insert(query.id.clone(), cancelled);
+        Ok(())
+    }
+
+    fn authenticate(&self, query: &Query) -> Result<(), Exception> {
+        let Some((user, key)) = &self.shared.options.user else {
+            return Ok(());
+        };
+        let credentials = Credentials::read(&query.params, &query.request.headers).ok();
+        let is_right = credentials.is_some_and(|credentials| {
+            let headers: BTreeMap<&str, &str> = credentials.headers().collect();
+            headers.get("X-ClickHouse-User") == Some(&user.as_str())
+                && headers.get("X-ClickHouse-Key") == Some(&key.as_str())
+        });
+        is_right.then_some(()).ok_or_else(|| {
+            let message = "Authentication failed: password is incorrect";
+            Exception::new(code::AUTHENTICATION_FAILED, message)
+        })
+    }
+
+    /// A query has ended: its id and its session are free again.
+    fn release(&self, query: &Query) {
+        let mut state = self.shared.state();
+        state.running.remove(&query.id);
+        let session = query.session.as_ref();
+        if let Some(session) = session.and_then(|id| state.sessions.get_mut(id)) {
+            session.is_locked = false;
+            session.expires_at = Instant::now() + session.timeout;
+        }
+    }
+}
+
+/// Locks a session for a query; makes it where it is new.
+fn lock_session(state: &mut State, id: &str, params: &Params) -> Result<(), Exception> {
+    let now = Instant::now();
+    state
+        .sessions
+        .retain(|_, session| session.is_locked || session.expires_at > now);
+    let timeout = params.non_empty("session_timeout");
+    let timeout = timeout.and_then(|text| text.parse().ok());
+    let timeout = Duration::from_secs(timeout.unwrap_or(DEFAULT_SESSION_TIMEOUT_S));
+    match state.sessions.get_mut(id) {
+        Some(session) if session.is_locked => {
+            let message = "Session is locked by a concurrent client";
+            Err(Exception::new(code::SESSION_IS_LOCKED, message))
+        }
+        Some(session) => {
+            (session.is_locked, session.timeout) = (true, timeout);
+            Ok(())
+        }
+        None if params.is_on("session_check") => {
+            Err(Exception::new(code::SESSION_NOT_FOUND, "Session not found"))
+        }
+        None => {
+            let session = Session {
+                settings: BTreeMap::new(),
+                database: "default".into(),
+                tables: HashMap::new(),
+                is_locked: true,
+                timeout,
+                expires_at: now + timeout,
+            };
+            state.sessions.insert(id.into(), session);
+            Ok(())
+        }
+    }
+}
+
+/// The statement of a request: a field of a form, the URL's, or the beginning of the body.
+fn read_statement(request: &Request, params: &Params) -> Result<StatementText, Exception> {
+    let form = read_form(request)?;
+    let in_url = params.get("query").unwrap_or_default();
+    let is_in_body = in_url.trim().is_empty() && form.is_empty();
+    let text = if !form.is_empty() {
+        form
+    } else if is_in_body {
+        read_body_start(request, params)?
+    } else {
+        in_url.to_string()
+    };
+    if Shape::of(&text).empty {
+        return Err(Exception::new(code::SYNTAX_ERROR, "Empty query"));
+    }
+    Ok(StatementText { text, is_in_body })
+}
+
+/// The field `query` of a form; empty where there is none.
+fn read_form(request: &Request) -> Result<String, Exception> {
+    let content_type = header(&request.headers, "content-type").unwrap_or_default();
+    if !multipart::is_form(content_type) {
+        return Ok(String::new());
+    }
+    let boundary = multipart::boundary(content_type).ok_or("no boundary");
+    let parts = boundary
+        .and_then(|boundary| multipart::parse(&request.body, &boundary))
+        .map_err(|why| Exception::new(code::BAD_ARGUMENTS, format!("multipart: {why}")))?;
+    let field = parts
+        .iter()
+        .find(|part| part.name == "query" && part.file.is_none());
+    Ok(field.map_or(String::new(), |part| {
+        String::from_utf8_lossy(&request.body[part.data.clone()]).into_owned()
+    }))
+}
+
+/// The beginning of a body, unpacked.
+fn read_body_start(request: &Request, params: &Params) -> Result<String, Exception> {
+    let mut body = request.body.clone();
+    let content_coding = header(&request.headers, "content-encoding").and_then(Coding::of);
+    if let Some(content_coding) = content_coding {
+        body = coding::beginning(content_coding, &body, FIRST_BODY_BYTES);
+    }
+    if params.is_on("decompress") {
+        body = unpack_blocks(&body)?;
+    }
+    Ok(String::from_utf8_lossy(&body).into_owned())
+}
--- /dev/null
+++ b/crates/mock-servers/src/engine/sql/mod.rs
@@ -0,0 +1,173 @@
+//! The few statements that the engine understands.
+
+mod expression;
+mod select;
+mod text;
+
+pub(super) use expression::{Column, Expression, Value};
+
+use super::exception::{code, Exception};
+use std::collections::BTreeMap;
+use text::{find_word, first_word, name, strip_words, without_comments};
+
+/// Characters of a statement that a syntax error repeats.
+const MAX_SHOWN_CHARS: usize = 30;
+
+/// What a SELECT gives: its columns, and how many rows.
+#[derive(Clone, Debug)]
+pub(super) struct Rows {
+    pub(super) columns: Vec<Column>,
+    pub(super) count: u64,
+}
+
+impl Rows {
+    /// One row of one value.
+    pub(super) fn one(name: &str, value: Value) -> Rows {
+        Rows {
+            columns: vec![Column::new(name.into(), Expression::Constant(value))],
+            count: 1,
+        }
+    }
+
+    /// The values of a row, by its number from 0; an exception where an expression fails on it.
+    pub(super) fn row(&self, number: u64) -> Result<Vec<Value>, Exception> {
+        let columns = self.columns.iter();
+        columns.map(|column| column.value(number)).collect()
+    }
+}
+
+/// A statement.
+#[derive(Clone, Debug)]
+pub(super) enum Statement {
+    /// Rows that are computed, after some seconds of sleep.
+    Select { rows: Rows, sleep: f64 },
+    /// What was inserted into a table, as it came.
+    Echo(String),
+    /// The number of rows in a table.
+    Count(String),
+    /// Rows into a table; with the data in the statement itself, if there are any.
+    Insert { table: String, inline: String },
+    /// A new table, of the engine or of the session.
+    Create { table: String, temporary: bool },
+    /// The end of a table.
+    Drop(String),
+    /// A setting of the session.
+    Set(String, String),
+    /// The database of the session.
+    Use(String),
+    /// The end of other queries.
+    Kill(Vec<String>),
+    /// The ids of the queries that run.
+    Processes,
+    /// The names of the tables.
+    ShowTables,
+    /// Whether a table exists: 1 or 0.
+    Exists(String),
+}
+
+/// What a statement may refer to.
+pub(super) struct Scope<'a> {
+    /// Query parameters, `param_x` as `x`.
+    pub(super) params: &'a BTreeMap<String, String>,
+    /// Settings in force.
+    pub(super) settings: &'a BTreeMap<String, String>,
+    /// The database in force.
+    pub(super) database: &'a str,
+    /// The query's id.
+    pub(super) id: &'a str,
+}
+
+/// A statement, and the format that it names.
+pub(super) struct Parsed {
+    pub(super) statement: Statement,
+    pub(super) format: Option<String>,
+}
+
+/// Parses a statement. Comments, settings and a semicolon at the end are ignored.
+pub(super) fn parse(text: &str, scope: &Scope) -> Result<Parsed, Exception> {
+    let text = without_comments(text);
+    let text = text.trim().trim_end_matches(';').trim();
+    if let Some(insert) = strip_words(text, &["insert", "into"]) {
+        return Ok(parse_insert(insert));
+    }
+    let (text, format) = match find_word(text, "format") {
+        Some(at) => {
+            let format = name(&text[at + "format".len()..]);
+            (text[..at].trim(), Some(format))
+        }
+        None => (text, None),
+    };
+    let text = find_word(text, "settings").map_or(text, |at| text[..at].trim());
+    let statement = parse_statement(text, scope)?;
+    Ok(Parsed { statement, format })
+}
+
+/// Parses what follows `INSERT INTO`.
+fn parse_insert(text: &str) -> Parsed {
+    let text = strip_words(text, &["table"]).unwrap_or(text);
+    let (_, behind) = first_word(text);
+    let format = find_word(behind, "format").map(|at| first_word(&behind[at + "format".len()..]));
+    let values = find_word(behind, "values").map(|at| &behind[at + "values".len()..]);
+    let inline = format.map(|(_, inline)| inline).or(values);
+    let format = format
+        .map(|(format, _)| format)
+        .or(values.map(|_| "Values"));
+    Parsed {
+        statement: Statement::Insert {
+            table: name(text),
+            inline: inline.unwrap_or_default().trim_start().into(),
+        },
+        format: format.map(String::from),
+    }
+}
+
+fn parse_statement(text: &str, scope: &Scope) -> Result<Statement, Exception> {
+    let (verb, rest) = first_word(text);
+    match verb.to_ascii_lowercase().as_str() {
+        "select" | "with" => select::parse(rest, scope),
+        "create" => parse_create(rest).ok_or_else(|| syntax_error(text)),
+        "drop" => {
+            let rest = strip_words(rest, &["table"]).ok_or_else(|| syntax_error(text))?;
+            let rest = strip_words(rest, &["if", "exists"]).unwrap_or(rest);
+            Ok(Statement::Drop(name(rest)))
+        }
+        "set" => {
+            let (name, value) = rest.split_once('=').ok_or_else(|| syntax_error(text))?;
+            let value = value.trim().trim_matches('\'');
+            Ok(Statement::Set(name.trim().into(), value.into()))
+        }
+        "use" => Ok(Statement::Use(name(rest))),
+        "show" if strip_words(rest, &["tables"]).is_some() => Ok(Statement::ShowTables),
+        "show" if strip_words(rest, &["processlist"]).is_some() => Ok(Statement::Processes),
+        "exists" => {
+            let rest = strip_words(rest, &["table"]).unwrap_or(rest);
+            Ok(Statement::Exists(name(rest)))
+        }
+        "kill" => {
+            // The ids stand between quotes.
+            let ids = rest.split('\'').skip(1).step_by(2);
+            Ok(Statement::Kill(ids.map(String::from).collect()))
+        }
+        _ => Err(syntax_error(text)),
+    }
+}
+
+/// Parses what follows `CREATE`.
+fn parse_create(text: &str) -> Option<Statement> {
+    let text = strip_words(text, &["or", "replace"]).unwrap_or(text);
+    let temporary = strip_words(text, &["temporary"]);
+    let text = strip_words(temporary.unwrap_or(text), &["table"])?;
+    let text = strip_words(text, &["if", "not", "exists"]).unwrap_or(text);
+    Some(Statement::Create {
+        table: name(text),
+        temporary: temporary.is_some(),
+    })
+}
+
+fn syntax_error(near: &str) -> Exception {
+    let near: String = near.chars().take(MAX_SHOWN_CHARS).collect();
+    Exception::new(
+        code::SYNTAX_ERROR,
+        format!("Syntax error: failed at position 1 ({near}): {near}. Expected one of: SELECT query, INSERT query"),
+    )
+}
--- a/crates/mock-servers/src/lib.rs
+++ b/crates/mock-servers/src/lib.rs
@@ -1,10 +1,11 @@
-//! Stand-ins for the systems that driftfront meets, written from public descriptions, on loopback alone.
+//! Mock servers: the systems that driftfront meets, written from public descriptions, on loopback alone.
 //!
-//! [`engine::Engine`] speaks ClickHouse's HTTP interface: it computes small results, holds sessions and tables, and is
-//! scripted to stall, cut, lie and err. What it was sent stands in a [`ledger::RequestLog`], on which every rule can be
-//! counted that shows from an engine.
-#![warn(missing_docs)]
+//! [`engine::Engine`] speaks ClickHouse's HTTP interface: it computes small results, holds sessions and tables, and is scripted
+//! to stall, cut, lie and fail. What it was sent stands in a [`request_log::RequestLog`], on which every rule can be counted that
+//! shows from an engine.
 #![forbid(unsafe_code)]
 
 pub mod engine;
-pub mod ledger;
+pub mod request_log;
+
+pub use request_log as ledger;
--- a/crates/mock-servers/src/main.rs
+++ b/crates/mock-servers/src/main.rs
@@ -2,7 +2,9 @@
 #![forbid(unsafe_code)]
 
 use driftfront_mock_servers::engine::{Engine, Options};
-use driftfront_mock_servers::ledger::RequestLog;
+use driftfront_mock_servers::request_log::RequestLog;
+use pico_args::Arguments;
+use std::error::Error;
 use std::net::SocketAddr;
 use std::process::ExitCode;
 use std::sync::Arc;
@@ -19,63 +21,63 @@
   silent_after=BYTES  cut_after=BYTES  bad_block_after=BYTES  slow_ms=N  error_after=BYTES (inserts)  first
 ";
 
+const DEFAULT_ADDRESS: &str = "127.0.0.1:9123";
+
 fn main() -> ExitCode {
     match run() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(words) => {
-            eprintln!("driftfront-mock-servers: {words}");
+        Err(error) => {
+            eprintln!("driftfront-mock-servers: {error}");
             ExitCode::FAILURE
         }
     }
 }
 
-fn run() -> Result<(), String> {
+fn run() -> Result<(), Box<dyn Error>> {
     let mut args = pico_args::Arguments::from_env();
     if args.contains(["-h", "--help"]) {
         print!("{HELP}");
         return Ok(());
     }
-    let command = args.subcommand().map_err(|e| e.to_string())?;
-    if command.as_deref() != Some("engine") {
+    if args.subcommand()?.as_deref() != Some("engine") {
         return Err("say what to stand in for: engine; see --help".into());
     }
-    let text =
-        |args: &mut pico_args::Arguments, name: &'static str| -> Result<Option<String>, String> {
-            args.opt_value_from_str(name)
-                .map_err(|e: pico_args::Error| e.to_string())
-        };
-    let listen = text(&mut args, "--listen")?.unwrap_or("127.0.0.1:9123".into());
-    let listen: SocketAddr = listen
-        .parse()
-        .map_err(|e| format!("--listen {listen}: {e}"))?;
-    if !listen.ip().is_loopback() {
-        return Err(format!("--listen {listen}: stand-ins stay on loopback"));
+    let listen = read_listen_address(&mut args)?;
+    let options = read_engine_options(&mut args)?;
+    if let Some(unknown) = args.finish().first() {
+        let unknown = unknown.to_string_lossy();
+        return Err(format!("unknown argument {unknown}; see --help").into());
     }
-    let user = text(&mut args, "--user")?.map(|u| {
-        let split = u
-            .split_once(':')
-            .map(|(n, k)| (n.to_string(), k.to_string()));
-        split.ok_or("--user takes NAME:KEY".to_string())
-    });
-    let options = Options {
-        name: text(&mut args, "--name")?.unwrap_or("engine".into()),
-        tags: !args.contains("--old"),
-        user: user.transpose()?,
-        most: args
-            .opt_value_from_str("--most")
-            .map_err(|e| e.to_string())?
-            .unwrap_or(usize::MAX),
-    };
-    if let Some(word) = args.finish().first() {
-        return Err(format!(
-            "unknown argument {}; see --help",
-            word.to_string_lossy()
-        ));
-    }
-    let engine = Engine::listen(listen, options, Arc::new(RequestLog::default()))
-        .map_err(|e| e.to_string())?;
+    let engine = Engine::listen(listen, options, Arc::new(RequestLog::default()))?;
     println!("engine {} listens on {}", engine.name(), engine.addr());
     loop {
         std::thread::park();
     }
 }
+
+fn read_listen_address(args: &mut Arguments) -> Result<SocketAddr, Box<dyn Error>> {
+    let text: Option<String> = args.opt_value_from_str("--listen")?;
+    let text = text.unwrap_or_else(|| DEFAULT_ADDRESS.into());
+    let addr: SocketAddr = text.parse().map_err(|e| format!("--listen {text}: {e}"))?;
+    if !addr.ip().is_loopback() {
+        return Err(format!("--listen {text}: stand-ins stay on loopback").into());
+    }
+    Ok(addr)
+}
+
+fn read_engine_options(args: &mut Arguments) -> Result<Options, Box<dyn Error>> {
+    let user: Option<String> = args.opt_value_from_str("--user")?;
+    let user = user.map(|user| {
+        let (name, key) = user.split_once(':').ok_or("--user takes NAME:KEY")?;
+        Ok::<_, &str>((name.to_string(), key.to_string()))
+    });
+    let default = Options::default();
+    Ok(Options {
+        name: args.opt_value_from_str("--name")?.unwrap_or(default.name),
+        tags: !args.contains("--old"),
+        user: user.transpose()?,
+        max_statements: args
+            .opt_value_from_str("--most")?
+            .unwrap_or(default.max_statements),
+    })
+}
--- a/crates/mock-servers/tests/golden.rs
+++ b/crates/mock-servers/tests/golden.rs
@@ -1,7 +1,8 @@
 //! The mock engine's answers, byte for byte: statements, formats, sessions, codings and each fault; see `golden/README.md`.
+#![allow(clippy::too_many_lines, reason = "tests list their cases")]
 
 use driftfront_mock_servers::engine::{Engine, Options, FORMATS};
-use driftfront_mock_servers::ledger::RequestLog;
+use driftfront_mock_servers::request_log::RequestLog;
 use driftfront_test_support::assert_golden;
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -283,7 +284,7 @@
     }
     let guarded = Options {
         user: Some(("u".into(), "k".into())),
-        most: 0,
+        max_statements: 0,
         ..Options::default()
     };
     let guarded = self::engine(guarded);
