--- a/crates/coordinator/src/discovery/etcd.rs
+++ b/crates/coordinator/src/discovery/etcd.rs
@@ -1,9 +1,15 @@
 //! Engines from etcd: its v3 JSON gateway, a range first, then a watch from the revision behind it.
 //!
-//! Each key under the prefix is one engine; its value is an object as the platform's list has it
-//! (`hostPort`, `zone`, `machineType`, `cell`, `lifecycle`), and the rest of the key is its instance id.
+//! Each key under the prefix is one engine; its value is an object as the platform's list has it (`hostPort`, `zone`, `machineType`,
+//! `cell`, `lifecycle`), and the rest of the key is its instance id.
+//!
+//! | state | next | when |
+//! | --- | --- | --- |
+//! | range, revision 0 | watch behind the range's revision | the range is complete |
+//! | watch | watch behind the last revision seen | a new connection |
+//! | watch | range | it was cancelled, or the status is not 200 |
 
-use super::EngineListWatch;
+use super::{DiscoveryError, EngineListWatch};
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine as _;
 use driftfront_core::Micros;
@@ -12,11 +18,11 @@
 use std::collections::HashMap;
 use tinyjson::JsonValue;
 
-/// A watch tells nothing while nothing changes: after this long it is opened anew, since a silent
-/// connection can't be told from a dead one.
-const SILENCE: Micros = 30_000_000;
+/// A watch says nothing while nothing changes: after this long it is opened anew, since a silent connection can't be told from a
+/// dead one.
+const SILENCE_TIMEOUT: Micros = 30_000_000;
 /// Longest message read.
-const MESSAGE_MOST: usize = 4 * 1024 * 1024;
+const MAX_MESSAGE_BYTES: usize = 4 * 1024 * 1024;
 
 /// The watch of one prefix.
 pub struct Etcd {
@@ -25,49 +31,21 @@
     /// Revision up to which the list is known; 0: the whole range is to be read.
     revision: u64,
     http: ResponseReader,
-    text: Vec<u8>,
-    watching: bool,
-}
-
-fn base(text: &[u8]) -> String {
-    STANDARD.encode(text)
-}
-
-/// The first key behind all that begin with the prefix.
-fn range_end(prefix: &str) -> Vec<u8> {
-    let mut end = prefix.as_bytes().to_vec();
-    while let Some(last) = end.pop() {
-        if last < 0xff {
-            end.push(last + 1);
-            return end;
-        }
-    }
-    vec![0]
-}
-
-fn object(pairs: Vec<(&str, JsonValue)>) -> JsonValue {
-    JsonValue::Object(pairs.into_iter().map(|(k, v)| (k.to_string(), v)).collect())
-}
-
-/// The gateway writes 64-bit numbers as strings.
-fn number(json: Json) -> u64 {
-    json.text()
-        .and_then(|t| t.parse().ok())
-        .or(json.whole())
-        .unwrap_or(0)
+    /// The message that is being read.
+    message: Vec<u8>,
+    is_watching: bool,
 }
 
 impl Etcd {
-    /// A watch of the keys under a prefix.
+    /// A watch of the keys under a prefix, at `host:port`.
     pub fn new(host: String, prefix: String) -> Etcd {
-        let (http, text) = Default::default();
         Etcd {
             host,
             prefix,
             revision: 0,
-            http,
-            text,
-            watching: false,
+            http: ResponseReader::default(),
+            message: Vec::new(),
+            is_watching: false,
         }
     }
 
@@ -80,157 +58,206 @@
         .into_bytes()
     }
 
-    fn range(&self) -> Vec<u8> {
-        let (key, end) = (base(self.prefix.as_bytes()), base(&range_end(&self.prefix)));
-        self.post(
-            "/v3/kv/range",
-            &format!("{{\"key\":\"{key}\",\"range_end\":\"{end}\"}}"),
-        )
+    /// The fields that name all keys under the prefix.
+    fn key_range(&self) -> String {
+        let key = STANDARD.encode(&self.prefix);
+        let end = STANDARD.encode(range_end(&self.prefix));
+        format!("\"key\":\"{key}\",\"range_end\":\"{end}\"")
     }
 
-    fn watch(&self) -> Vec<u8> {
-        let (key, end) = (base(self.prefix.as_bytes()), base(&range_end(&self.prefix)));
-        let start = self.revision + 1;
-        self.post(
-            "/v3/watch",
-            &format!(
-                "{{\"create_request\":{{\"key\":\"{key}\",\"range_end\":\"{end}\",\"start_revision\":\"{start}\"}}}}"
-            ),
-        )
+    fn range_request(&self) -> Vec<u8> {
+        self.post("/v3/kv/range", &format!("{{{}}}", self.key_range()))
+    }
+
+    fn watch_request(&self) -> Vec<u8> {
+        let (keys, start) = (self.key_range(), self.revision + 1);
+        let body = format!("{{\"create_request\":{{{keys},\"start_revision\":\"{start}\"}}}}");
+        self.post("/v3/watch", &body)
     }
 
-    /// An engine's line from a key and its value; one whose value can't be read is left out.
-    fn instance(&self, kv: Json, gone: bool) -> Option<JsonValue> {
-        let decoded = |key: &str| STANDARD.decode(kv.get(key).text()?).ok();
+    /// An engine's entry from a key and its value; one whose value can't be read is left out.
+    fn entry(&self, kv: Json, is_deleted: bool) -> Option<JsonValue> {
+        let decoded = |field: &str| STANDARD.decode(kv.get(field).text()?).ok();
         let key = String::from_utf8(decoded("key")?).ok()?;
         let name = key.strip_prefix(&self.prefix)?.to_string();
-        let mut line: HashMap<String, JsonValue> = match gone {
-            true => HashMap::from([("lifecycle".to_string(), JsonValue::String("gone".into()))]),
-            false => match parse(&decoded("value")?) {
-                Ok(JsonValue::Object(line)) => line,
-                _ => {
-                    tracing::warn!("etcd: the value of {key} is no JSON object");
-                    return None;
-                }
-            },
+        let mut entry: HashMap<String, JsonValue> = if is_deleted {
+            HashMap::from([("lifecycle".to_string(), JsonValue::String("gone".into()))])
+        } else if let Ok(JsonValue::Object(entry)) = parse(&decoded("value")?) {
+            entry
+        } else {
+            tracing::warn!("etcd: the value of {key} is no JSON object");
+            return None;
         };
-        line.insert("instanceId".into(), JsonValue::String(name));
-        line.entry("lifecycle".into())
+        entry.insert("instanceId".into(), JsonValue::String(name));
+        entry
+            .entry("lifecycle".into())
             .or_insert_with(|| JsonValue::String("ready".into()));
-        Some(JsonValue::Object(line))
-    }
-
-    fn update(reset: bool, instances: Vec<JsonValue>) -> JsonValue {
-        let body = object(vec![
-            ("reset", reset.into()),
-            ("instances", JsonValue::Array(instances)),
-        ]);
-        object(vec![("endpoints", body)])
+        Some(JsonValue::Object(entry))
     }
 
-    fn take_range(&mut self, text: &[u8], updates: &mut Vec<JsonValue>) -> Result<(), String> {
-        let json = parse(text)?;
+    fn apply_range(
+        &mut self,
+        message: &[u8],
+        updates: &mut Vec<JsonValue>,
+    ) -> Result<(), DiscoveryError> {
+        let json = parse_message(message)?;
         let json = Json(Some(&json));
         self.revision = number(json.get("header").get("revision"));
         if self.revision == 0 {
-            return Err("a range without a revision".into());
+            return Err(DiscoveryError::NoRevision);
         }
-        let lines = json
+        let entries = json
             .get("kvs")
             .each()
-            .filter_map(|kv| self.instance(kv, false))
+            .filter_map(|kv| self.entry(kv, false))
             .collect();
-        updates.push(Etcd::update(true, lines));
+        updates.push(update(true, entries));
         Ok(())
     }
 
-    fn take_watch(&mut self, text: &[u8], updates: &mut Vec<JsonValue>) -> Result<(), String> {
-        let json = parse(text)?;
+    fn apply_events(
+        &mut self,
+        message: &[u8],
+        updates: &mut Vec<JsonValue>,
+    ) -> Result<(), DiscoveryError> {
+        let json = parse_message(message)?;
         let result = Json(Some(&json)).get("result");
         if result.is_null() || result.get("canceled").flag() {
             // Compacted away, or an error: only the whole range is sure.
             self.revision = 0;
-            return Err("the watch was ended".into());
+            return Err(DiscoveryError::WatchCancelled);
         }
         let events = result.get("events");
-        let line = |e: Json| self.instance(e.get("kv"), e.get("type").text() == Some("DELETE"));
-        let lines: Vec<_> = events.each().filter_map(line).collect();
-        let seen = events
+        let entries: Vec<JsonValue> = events
+            .each()
+            .filter_map(|e| self.entry(e.get("kv"), e.get("type").text() == Some("DELETE")))
+            .collect();
+        let last_revision = events
             .each()
             .map(|e| number(e.get("kv").get("mod_revision")))
             .max()
             .unwrap_or(0);
-        self.revision = self.revision.max(seen);
-        if !lines.is_empty() {
-            updates.push(Etcd::update(false, lines));
+        self.revision = self.revision.max(last_revision);
+        if !entries.is_empty() {
+            updates.push(update(false, entries));
         }
         Ok(())
     }
+
+    /// Adds bytes of a message, and applies each that is complete: a watch's messages are JSON texts, one a line.
+    fn add_body(
+        &mut self,
+        bytes: &[u8],
+        updates: &mut Vec<JsonValue>,
+    ) -> Result<(), DiscoveryError> {
+        self.message.extend_from_slice(bytes);
+        if self.message.len() > MAX_MESSAGE_BYTES {
+            return Err(DiscoveryError::MessageTooLong);
+        }
+        if !self.is_watching {
+            return Ok(());
+        }
+        while let Some(end) = self.message.iter().position(|&b| b == b'\n') {
+            let line: Vec<u8> = self.message.drain(..=end).collect();
+            if !line.trim_ascii().is_empty() {
+                self.apply_events(&line, updates)?;
+            }
+        }
+        Ok(())
+    }
+
+    fn apply(
+        &mut self,
+        part: ResponsePart,
+        out: &mut Vec<u8>,
+        updates: &mut Vec<JsonValue>,
+    ) -> Result<(), DiscoveryError> {
+        match part {
+            ResponsePart::Head(head) if head.status != 200 => {
+                self.revision = 0;
+                Err(DiscoveryError::Status(head.status))
+            }
+            ResponsePart::Head(_) | ResponsePart::EarlyHeader(_) => Ok(()),
+            ResponsePart::Body(bytes) => self.add_body(&bytes, updates),
+            ResponsePart::End if self.is_watching => Err(DiscoveryError::WatchEnded),
+            ResponsePart::End => {
+                let message = std::mem::take(&mut self.message);
+                self.apply_range(&message, updates)?;
+                self.is_watching = true;
+                out.extend(self.watch_request());
+                Ok(())
+            }
+        }
+    }
 }
 
 impl EngineListWatch for Etcd {
-    fn open(&mut self) -> Vec<u8> {
+    fn open_request(&mut self) -> Vec<u8> {
         self.http = ResponseReader::default();
-        self.text.clear();
-        self.watching = self.revision > 0;
-        if self.watching {
-            self.watch()
+        self.message.clear();
+        self.is_watching = self.revision > 0;
+        if self.is_watching {
+            self.watch_request()
         } else {
-            self.range()
+            self.range_request()
         }
     }
 
-    fn feed(
+    fn decode(
         &mut self,
         bytes: &[u8],
         out: &mut Vec<u8>,
         updates: &mut Vec<JsonValue>,
-    ) -> Result<(), String> {
+    ) -> Result<(), DiscoveryError> {
         self.http.push(bytes);
-        while let Some(part) = self
-            .http
-            .next_part()
-            .map_err(|e| format!("bad HTTP: {e:?}"))?
-        {
-            match part {
-                ResponsePart::Head(head) if head.status != 200 => {
-                    self.revision = 0;
-                    return Err(format!("status {}", head.status));
-                }
-                ResponsePart::Head(_) => {}
-                ResponsePart::Body(bytes) => {
-                    self.text.extend(bytes);
-                    if self.text.len() > MESSAGE_MOST {
-                        return Err("a message of more than 4 MiB".into());
-                    }
-                    // A watch's messages are JSON texts, one a line.
-                    while let Some(end) =
-                        self.text.iter().position(|&b| self.watching && b == b'\n')
-                    {
-                        let line: Vec<u8> = self.text.drain(..=end).collect();
-                        if !line.trim_ascii().is_empty() {
-                            self.take_watch(&line, updates)?;
-                        }
-                    }
-                }
-                ResponsePart::End if self.watching => return Err("the watch ended".into()),
-                ResponsePart::EarlyHeader(_) => {}
-                ResponsePart::End => {
-                    let text = std::mem::take(&mut self.text);
-                    self.take_range(&text, updates)?;
-                    self.watching = true;
-                    out.extend(self.watch());
-                }
-            }
+        while let Some(part) = self.http.next_part().map_err(DiscoveryError::Http)? {
+            self.apply(part, out, updates)?;
         }
         Ok(())
     }
 
-    fn silence(&self) -> Micros {
-        SILENCE
+    fn silence_timeout(&self) -> Micros {
+        SILENCE_TIMEOUT
     }
 
-    fn moved(&mut self, host: String) {
+    fn set_host(&mut self, host: String) {
         self.host = host;
     }
 }
+
+/// The first key behind all that begin with the prefix.
+fn range_end(prefix: &str) -> Vec<u8> {
+    let mut end = prefix.as_bytes().to_vec();
+    while let Some(last) = end.pop() {
+        if last < 0xff {
+            end.push(last + 1);
+            return end;
+        }
+    }
+    vec![0]
+}
+
+fn parse_message(message: &[u8]) -> Result<JsonValue, DiscoveryError> {
+    parse(message).map_err(|e| DiscoveryError::Json(e.to_string()))
+}
+
+/// The gateway writes 64-bit numbers as strings.
+fn number(json: Json) -> u64 {
+    json.text()
+        .and_then(|t| t.parse().ok())
+        .or(json.whole())
+        .unwrap_or(0)
+}
+
+/// An update of the platform's form.
+fn update(is_reset: bool, instances: Vec<JsonValue>) -> JsonValue {
+    let endpoints = object(vec![
+        ("reset", is_reset.into()),
+        ("instances", JsonValue::Array(instances)),
+    ]);
+    object(vec![("endpoints", endpoints)])
+}
+
+fn object(pairs: Vec<(&str, JsonValue)>) -> JsonValue {
+    JsonValue::Object(pairs.into_iter().map(|(k, v)| (k.to_string(), v)).collect())
+}
--- a/crates/coordinator/src/discovery/file.rs
+++ b/crates/coordinator/src/discovery/file.rs
@@ -1,19 +1,21 @@
 //! Engines from an operator's file: a JSON object with `instances`, read again when it changes.
 
+use super::DiscoveryError;
 use driftfront_core::Micros;
 use driftfront_settings::json::{parse, Json};
 use std::path::PathBuf;
 use std::time::SystemTime;
 use tinyjson::JsonValue;
 
-/// The file is looked at this often.
-const EVERY: Micros = 500_000;
+/// How often the file is looked at.
+const POLL_INTERVAL: Micros = 500_000;
 
 /// The file and what was last read of it.
 pub struct File {
     path: PathBuf,
-    stamp: Option<(SystemTime, u64)>,
-    next: Micros,
+    /// When it was last written, and its size, as last read.
+    version: Option<(SystemTime, u64)>,
+    next_poll: Micros,
 }
 
 impl File {
@@ -21,47 +23,47 @@
     pub fn new(path: PathBuf) -> File {
         File {
             path,
-            stamp: None,
-            next: 0,
+            version: None,
+            next_poll: 0,
         }
     }
 
-    /// The whole list, if the file has changed since; a file that can't be read leaves the list as it is.
+    /// The whole list, if the file has changed since it was last read; a file that can't be read leaves the list as it is.
     pub fn poll(&mut self, now: Micros) -> Option<JsonValue> {
-        if now < self.next {
+        if now < self.next_poll {
             return None;
         }
-        self.next = now + EVERY;
-        let about = std::fs::metadata(&self.path).and_then(|m| Ok((m.modified()?, m.len())));
-        let stamp = about.map_err(|e| e.to_string());
-        if stamp.is_ok() && self.stamp == stamp.as_ref().ok().copied() {
-            return None;
-        }
-        let read = stamp.and_then(|stamp| {
-            let text = std::fs::read(&self.path).map_err(|e| e.to_string())?;
-            self.stamp = Some(stamp);
-            parse(&text).map_err(String::from)
-        });
-        match read.and_then(|json| whole(&json)) {
-            Ok(update) => Some(update),
-            Err(e) => {
-                tracing::warn!("{}: {e}", self.path.display());
-                None
-            }
+        self.next_poll = now + POLL_INTERVAL;
+        self.read_if_changed().unwrap_or_else(|e| {
+            tracing::warn!("{}: {e}", self.path.display());
+            None
+        })
+    }
+
+    fn read_if_changed(&mut self) -> Result<Option<JsonValue>, DiscoveryError> {
+        let metadata = std::fs::metadata(&self.path)?;
+        let version = (metadata.modified()?, metadata.len());
+        if self.version == Some(version) {
+            return Ok(None);
         }
+        let text = std::fs::read(&self.path)?;
+        self.version = Some(version);
+        let json = parse(&text).map_err(|e| DiscoveryError::Json(e.to_string()))?;
+        full_update(&json).map(Some)
     }
 }
 
-fn whole(json: &JsonValue) -> Result<JsonValue, String> {
+/// An update of the platform's form with the whole list.
+fn full_update(json: &JsonValue) -> Result<JsonValue, DiscoveryError> {
     let instances = Json(Some(json)).get("instances");
-    let list = instances.list().ok_or("no list under instances")?.to_vec();
-    let body = [
+    let list = instances.list().ok_or(DiscoveryError::NoList)?.to_vec();
+    let endpoints = [
         ("reset".to_string(), true.into()),
         ("instances".to_string(), JsonValue::Array(list)),
     ];
     let update = [(
         "endpoints".to_string(),
-        JsonValue::Object(body.into_iter().collect()),
+        JsonValue::Object(endpoints.into_iter().collect()),
     )];
     Ok(JsonValue::Object(update.into_iter().collect()))
 }
--- a/crates/coordinator/src/discovery/stream.rs
+++ b/crates/coordinator/src/discovery/stream.rs
@@ -1,15 +1,15 @@
 //! The platform's list: server-sent events over HTTP. Without sockets: bytes in, events out.
 
-use super::EngineListWatch;
+use super::{DiscoveryError, EngineListWatch};
 use driftfront_core::Micros;
 use driftfront_http::{ResponsePart, ResponseReader};
 use driftfront_settings::json::{parse, Json};
 use tinyjson::JsonValue;
 
 /// A comment comes each second: nothing for this long means a stream that has stopped, though it is open.
-const SILENCE: Micros = 2_000_000;
+const SILENCE_TIMEOUT: Micros = 2_000_000;
 /// Longest event read.
-const EVENT_MOST: usize = 4 * 1024 * 1024;
+const MAX_EVENT_BYTES: usize = 4 * 1024 * 1024;
 
 /// An event off the stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -26,32 +26,41 @@
     line: Vec<u8>,
     id: Option<u64>,
     data: String,
-    after_cr: bool,
+    /// The last byte ended a line as CR; an LF behind it belongs to that.
+    is_after_cr: bool,
 }
 
 impl EventReader {
-    /// Takes bytes in any pieces; an error if an event is beyond all bounds.
-    pub fn push(&mut self, bytes: &[u8], events: &mut Vec<ServerEvent>) -> Result<(), String> {
+    /// Adds bytes, in pieces of any size, and gives the events that are complete.
+    ///
+    /// # Errors
+    ///
+    /// Where an event is beyond its bound.
+    pub fn push(
+        &mut self,
+        bytes: &[u8],
+        events: &mut Vec<ServerEvent>,
+    ) -> Result<(), DiscoveryError> {
         for &b in bytes {
             // A line ends in LF, CR or CR LF.
-            let second = std::mem::replace(&mut self.after_cr, b == b'\r') && b == b'\n';
-            if second {
+            let is_second = std::mem::replace(&mut self.is_after_cr, b == b'\r') && b == b'\n';
+            if is_second {
                 continue;
             }
             if b == b'\n' || b == b'\r' {
                 let line = std::mem::take(&mut self.line);
-                self.take(&String::from_utf8_lossy(&line), events);
+                self.add_line(&String::from_utf8_lossy(&line), events);
             } else {
                 self.line.push(b);
             }
-            if self.line.len() + self.data.len() > EVENT_MOST {
-                return Err("an event of more than 4 MiB".into());
+            if self.line.len() + self.data.len() > MAX_EVENT_BYTES {
+                return Err(DiscoveryError::EventTooLong);
             }
         }
         Ok(())
     }
 
-    fn take(&mut self, line: &str, events: &mut Vec<ServerEvent>) {
+    fn add_line(&mut self, line: &str, events: &mut Vec<ServerEvent>) {
         if line.is_empty() {
             let data = std::mem::take(&mut self.data);
             let id = self.id.take();
@@ -78,49 +87,55 @@
 
 /// An event that can't be read is asked for again so often: a cut one is whole the next time, and without it a drain would stay
 /// unknown. One that is never whole must not keep the later ones out.
-const AGAIN_MOST: u8 = 3;
+const MAX_EVENT_RETRIES: u8 = 3;
 
 /// The platform's stream of changes.
 pub struct Stream {
     host: String,
-    /// Number of the last event taken over.
+    /// Number of the last event that was read.
     last: u64,
     /// How often the event behind that could not be read.
-    spoilt: u8,
+    retries: u8,
     http: ResponseReader,
     events: EventReader,
 }
 
 impl Stream {
-    /// The stream behind the event of this number.
+    /// The stream behind the event of this number, at `host:port`.
     pub fn new(host: String, last: u64) -> Stream {
-        let (http, events) = Default::default();
         Stream {
             host,
             last,
-            spoilt: 0,
-            http,
-            events,
+            retries: 0,
+            http: ResponseReader::default(),
+            events: EventReader::default(),
         }
     }
 
-    /// Takes an event over; an error if it has to be asked for again.
-    fn take(&mut self, event: ServerEvent, updates: &mut Vec<JsonValue>) -> Result<(), String> {
+    /// Applies an event; an error if it has to be asked for again.
+    fn apply(
+        &mut self,
+        event: &ServerEvent,
+        updates: &mut Vec<JsonValue>,
+    ) -> Result<(), DiscoveryError> {
         let json = parse(event.data.as_bytes());
-        let index = json
-            .as_ref()
-            .ok()
-            .and_then(|json| Json(Some(json)).get("index").whole());
-        let number = event.id.or(index);
+        let index = || {
+            let json = json.as_ref().ok()?;
+            Json(Some(json)).get("index").whole()
+        };
+        let number = event.id.or_else(index);
         // After a new connection events may come again.
         if number.is_some_and(|n| n <= self.last) {
             return Ok(());
         }
-        if let (Err(e), true) = (&json, self.spoilt < AGAIN_MOST) {
-            self.spoilt += 1;
-            return Err(format!("the event behind {} can't be read: {e}", self.last));
+        if json.is_err() && self.retries < MAX_EVENT_RETRIES {
+            self.retries += 1;
+            return json.map(drop).map_err(|e| DiscoveryError::BadEvent {
+                last: self.last,
+                error: e.to_string(),
+            });
         }
-        (self.last, self.spoilt) = (number.unwrap_or(self.last), 0);
+        (self.last, self.retries) = (number.unwrap_or(self.last), 0);
         match json {
             Ok(json) => updates.push(json),
             Err(e) => tracing::warn!("engine list: an event is left out: {e}"),
@@ -130,47 +145,44 @@
 }
 
 impl EngineListWatch for Stream {
-    fn open(&mut self) -> Vec<u8> {
+    fn open_request(&mut self) -> Vec<u8> {
         (self.http, self.events) = Default::default();
         let (host, last) = (&self.host, self.last);
-        format!("GET /v2/stream HTTP/1.1\r\nHost: {host}\r\nAccept: text/event-stream\r\nLast-Event-ID: {last}\r\n\r\n")
-            .into_bytes()
+        format!(
+            "GET /v2/stream HTTP/1.1\r\nHost: {host}\r\nAccept: text/event-stream\r\nLast-Event-ID: {last}\r\n\r\n"
+        )
+        .into_bytes()
     }
 
-    fn feed(
+    fn decode(
         &mut self,
         bytes: &[u8],
         _out: &mut Vec<u8>,
         updates: &mut Vec<JsonValue>,
-    ) -> Result<(), String> {
+    ) -> Result<(), DiscoveryError> {
         self.http.push(bytes);
         let mut events = Vec::new();
-        while let Some(part) = self
-            .http
-            .next_part()
-            .map_err(|e| format!("bad HTTP: {e:?}"))?
-        {
+        while let Some(part) = self.http.next_part().map_err(DiscoveryError::Http)? {
             match part {
                 ResponsePart::Head(head) if head.status != 200 => {
-                    return Err(format!("status {}", head.status));
+                    return Err(DiscoveryError::Status(head.status));
                 }
-                ResponsePart::Head(_) => {}
+                ResponsePart::Head(_) | ResponsePart::EarlyHeader(_) => {}
                 ResponsePart::Body(bytes) => self.events.push(&bytes, &mut events)?,
-                ResponsePart::EarlyHeader(_) => {}
-                ResponsePart::End => return Err("the stream ended".into()),
+                ResponsePart::End => return Err(DiscoveryError::StreamEnded),
             }
             for event in events.drain(..) {
-                self.take(event, updates)?;
+                self.apply(&event, updates)?;
             }
         }
         Ok(())
     }
 
-    fn silence(&self) -> Micros {
-        SILENCE
+    fn silence_timeout(&self) -> Micros {
+        SILENCE_TIMEOUT
     }
 
-    fn moved(&mut self, host: String) {
+    fn set_host(&mut self, host: String) {
         self.host = host;
     }
 }
--- a/crates/coordinator/src/node/discovery_client.rs
+++ b/crates/coordinator/src/node/discovery_client.rs
@@ -3,117 +3,147 @@
 use super::{ConnectionId, EventSource, Node};
 use crate::config::{Config, DiscoverySource};
 use crate::discovery::backoff::{Backoff, Disconnect};
-use crate::discovery::{etcd::Etcd, file::File, read, stream::Stream, EngineListWatch};
+use crate::discovery::{
+    etcd::Etcd, file::File, read, stream::Stream, DiscoveryError, EngineListWatch,
+};
 use crate::net::{connect, BufferedStream, ReadOutcome};
 use calloop::RegistrationToken;
 use driftfront_core::Micros;
 use driftfront_settings::json::Json;
+use std::io;
 use std::net::SocketAddr;
 use tinyjson::JsonValue;
 
 /// A connect that takes longer is begun anew.
-const CONNECT_MOST: Micros = 500_000;
-const READ_AT_ONCE: usize = 64 * 1024;
+const CONNECT_TIMEOUT: Micros = 500_000;
+/// Bytes of one read.
+const MAX_READ_BYTES: usize = 64 * 1024;
 
-/// The feed of engine lists.
+/// Follows the source of the engine list.
 pub(super) struct DiscoveryClient {
-    watch: Option<(SocketAddr, Box<dyn EngineListWatch>)>,
-    file: Option<File>,
-    conn: Option<DiscoveryConnection>,
-    next_try: Micros,
+    source: Source,
+    connection: Option<DiscoveryConnection>,
+    next_attempt_at: Micros,
     backoff: Backoff,
     /// When the source was first heard.
-    first: Option<Micros>,
-    /// When the source last said something of engines.
-    told: Micros,
-    /// What it is, in words.
-    about: String,
+    first_heard: Option<Micros>,
+    /// When the source last said something of engines; 0 if never.
+    last_update: Micros,
+    /// What the source is, for operators.
+    description: String,
+}
+
+/// What is followed.
+enum Source {
+    /// A list over a connection to this address.
+    Watch(SocketAddr, Box<dyn EngineListWatch>),
+    File(File),
+    /// The list is the operator's file alone.
+    Fixed,
 }
 
 struct DiscoveryConnection {
     id: ConnectionId,
-    link: BufferedStream,
-    token: Option<RegistrationToken>,
-    up: bool,
-    heard: Micros,
+    stream: BufferedStream,
+    registration: Option<RegistrationToken>,
+    is_up: bool,
+    last_heard: Micros,
+}
+
+/// Why a connection to the source ends.
+#[derive(Debug, thiserror::Error)]
+enum ConnectionError {
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    #[error(transparent)]
+    Protocol(#[from] DiscoveryError),
+    #[error("closed by the other side")]
+    Closed,
 }
 
 impl DiscoveryClient {
-    pub(super) fn new(from: &DiscoverySource, last: u64, backoff: Backoff) -> DiscoveryClient {
-        let (mut watch, mut file): (Option<(SocketAddr, Box<dyn EngineListWatch>)>, _) =
-            (None, None);
-        let about = match from {
-            DiscoverySource::Stream(addr) => format!("the platform's stream at {addr}"),
-            DiscoverySource::Etcd(addr, _) => format!("etcd at {addr}"),
-            DiscoverySource::File(path) => format!("the file {}", path.display()),
-            DiscoverySource::Fixed => "the operator's file".into(),
+    /// Follows a source; an event stream from behind the event of this number.
+    pub(super) fn new(
+        source: &DiscoverySource,
+        last_event: u64,
+        backoff: Backoff,
+    ) -> DiscoveryClient {
+        let (followed, description) = match source {
+            DiscoverySource::Stream(addr) => (
+                Source::Watch(*addr, Box::new(Stream::new(addr.to_string(), last_event))),
+                format!("the platform's stream at {addr}"),
+            ),
+            DiscoverySource::Etcd(addr, prefix) => (
+                Source::Watch(*addr, Box::new(Etcd::new(addr.to_string(), prefix.clone()))),
+                format!("etcd at {addr}"),
+            ),
+            DiscoverySource::File(path) => (
+                Source::File(File::new(path.clone())),
+                format!("the file {}", path.display()),
+            ),
+            DiscoverySource::Fixed => (Source::Fixed, "the operator's file".into()),
         };
-        match from {
-            DiscoverySource::Stream(addr) => {
-                watch = Some((*addr, Box::new(Stream::new(addr.to_string(), last))))
-            }
-            DiscoverySource::Etcd(addr, prefix) => {
-                watch = Some((*addr, Box::new(Etcd::new(addr.to_string(), prefix.clone()))));
-            }
-            DiscoverySource::File(path) => file = Some(File::new(path.clone())),
-            DiscoverySource::Fixed => {}
-        }
         DiscoveryClient {
-            watch,
-            file,
-            conn: None,
-            next_try: 0,
+            source: followed,
+            connection: None,
+            next_attempt_at: 0,
             backoff,
-            first: None,
-            told: 0,
-            about,
+            first_heard: None,
+            last_update: 0,
+            description,
         }
     }
 
-    /// Whether all that the source tells at once has come: so long after its first byte. One that can't be heard has.
+    /// Whether all that the source says at once has come: so long after its first byte. One that can't be heard has.
     pub(super) fn has_received_first_list(&self, now: Micros, after: Micros) -> bool {
-        self.watch.is_none() || self.first.is_some_and(|at| now >= at + after)
+        !matches!(self.source, Source::Watch(..))
+            || self.first_heard.is_some_and(|at| now >= at + after)
     }
 
     /// What the source is, and how long it has said nothing where it should be heard all the time.
     pub(super) fn about(&self, now: Micros) -> (String, Option<Micros>) {
-        let heard = self
-            .conn
-            .as_ref()
-            .filter(|c| c.up)
-            .map_or(self.told, |c| c.heard);
-        let age = self
-            .watch
-            .as_ref()
-            .map(|_| now.saturating_sub(heard))
-            .filter(|_| heard > 0);
-        (self.about.clone(), age)
+        let connection = self.connection.as_ref().filter(|c| c.is_up);
+        let heard_at = connection.map_or(self.last_update, |c| c.last_heard);
+        let is_watched = matches!(self.source, Source::Watch(..)) && heard_at > 0;
+        let age = is_watched.then(|| now.saturating_sub(heard_at));
+        (self.description.clone(), age)
     }
 
     /// Follows another source; at a new address of the same kind the list goes on behind its last event.
     fn follow(&mut self, from: &DiscoverySource, to: &DiscoverySource) {
-        let same = match (from, to) {
+        let same_list_at = match (from, to) {
             (DiscoverySource::Stream(_), DiscoverySource::Stream(addr)) => Some(*addr),
             (DiscoverySource::Etcd(_, old), DiscoverySource::Etcd(addr, new)) if old == new => {
                 Some(*addr)
             }
             _ => None,
         };
-        match (same, &mut self.watch) {
-            (Some(addr), Some((at, watch))) => {
-                *at = addr;
-                watch.moved(addr.to_string());
+        match (same_list_at, &mut self.source) {
+            (Some(addr), Source::Watch(address, watch)) => {
+                *address = addr;
+                watch.set_host(addr.to_string());
             }
             // Another kind of source numbers its events by itself: the whole list is read.
-            _ => *self = DiscoveryClient::new(to, 0, self.backoff.anew()),
+            _ => *self = DiscoveryClient::new(to, 0, self.backoff.for_new_source()),
         }
-        (self.next_try, self.backoff) = (0, self.backoff.anew());
+        (self.next_attempt_at, self.backoff) = (0, self.backoff.for_new_source());
+    }
+
+    /// Why the connection should end now, if it should.
+    fn reason_to_disconnect(&self, now: Micros, silence_timeout: Micros) -> Option<&'static str> {
+        let connection = self.connection.as_ref()?;
+        let (timeout, reason) = if connection.is_up {
+            (silence_timeout, "nothing heard, taken anew")
+        } else {
+            (CONNECT_TIMEOUT, "connect timed out")
+        };
+        (now > connection.last_heard + timeout).then_some(reason)
     }
 }
 
 impl Node {
-    /// SIGHUP: the configuration's file has been replaced. The list of engines moves to where it says;
-    /// what else it says holds from the next start on, and all connections stay as they are.
+    /// SIGHUP: the configuration's file has been replaced. The list of engines moves to where it says; what else it says holds from
+    /// the next start on, and all connections stay as they are.
     pub(super) fn reload(&mut self) {
         let now = self.clock();
         let Some(path) = self.config.file.clone() else {
@@ -131,9 +161,9 @@
             );
         }
         tracing::info!(from = ?self.config.discovery, to = ?new.discovery, "the list of engines moves");
-        if let Some(mut conn) = self.discovery.conn.take() {
-            // The old address tells nothing more: waiting for its close would cost what is told meanwhile.
-            self.unregister(conn.token.take());
+        if let Some(mut connection) = self.discovery.connection.take() {
+            // The old address says nothing more: waiting for its close would cost what is said meanwhile.
+            self.unregister(connection.registration.take());
         }
         self.discovery
             .follow(&self.config.discovery, &new.discovery);
@@ -142,114 +172,124 @@
         self.execute_commands();
     }
 
+    /// Reads a file that has changed; ends a connection that is silent, and opens one where its time has come.
     pub(super) fn check_discovery(&mut self, now: Micros) {
-        if let Some(update) = self.discovery.file.as_mut().and_then(|f| f.poll(now)) {
-            self.take_update(now, &update);
-        }
-        let Some((addr, silence)) = self.discovery.watch.as_ref().map(|w| (w.0, w.1.silence()))
-        else {
-            return;
-        };
-        if let Some(conn) = &self.discovery.conn {
-            let most = if conn.up { silence } else { CONNECT_MOST };
-            if now > conn.heard + most {
-                let why = if conn.up {
-                    "nothing heard, taken anew"
-                } else {
-                    "connect timed out"
-                };
-                self.drop_discovery_connection(now, why, Disconnect::Silent);
-            }
-        }
-        if self.discovery.conn.is_none() && now >= self.discovery.next_try {
-            let id = self.next_connection_id();
-            let opened = connect(addr).map_err(|e| e.to_string());
-            match opened.and_then(|s| {
-                Ok((
-                    s.clone(),
-                    self.register_stream(s, EventSource::DiscoveryClient(id))?,
-                ))
-            }) {
-                Ok((stream, token)) => {
-                    let (link, token) = (BufferedStream::new(stream), Some(token));
-                    self.discovery.conn = Some(DiscoveryConnection {
-                        id,
-                        link,
-                        token,
-                        up: false,
-                        heard: now,
-                    });
+        let (address, silence_timeout) = match &mut self.discovery.source {
+            Source::Watch(address, watch) => (*address, watch.silence_timeout()),
+            Source::File(file) => {
+                if let Some(update) = file.poll(now) {
+                    self.apply_list_update(now, &update);
                 }
-                Err(e) => self.drop_discovery_connection(now, &e, Disconnect::Closed),
+                return;
             }
+            Source::Fixed => return,
+        };
+        if let Some(reason) = self.discovery.reason_to_disconnect(now, silence_timeout) {
+            self.drop_discovery_connection(now, reason, Disconnect::Silent);
+        }
+        if self.discovery.connection.is_none() && now >= self.discovery.next_attempt_at {
+            self.connect_to_discovery(now, address);
         }
     }
 
-    pub(super) fn drop_discovery_connection(&mut self, now: Micros, why: &str, how: Disconnect) {
-        tracing::info!("engine list: {why}");
-        if let Some(mut conn) = self.discovery.conn.take() {
-            self.unregister(conn.token.take());
+    fn connect_to_discovery(&mut self, now: Micros, address: SocketAddr) {
+        let id = self.next_connection_id();
+        let opened = connect(address).map_err(|e| e.to_string());
+        let registered = opened.and_then(|stream| {
+            let registration = self
+                .register_stream(stream.clone(), EventSource::DiscoveryClient(id))
+                .map_err(|e| e.to_string())?;
+            Ok((stream, registration))
+        });
+        match registered {
+            Ok((stream, registration)) => {
+                self.discovery.connection = Some(DiscoveryConnection {
+                    id,
+                    stream: BufferedStream::new(stream),
+                    registration: Some(registration),
+                    is_up: false,
+                    last_heard: now,
+                });
+            }
+            Err(e) => self.drop_discovery_connection(now, &e, Disconnect::Closed),
         }
-        self.discovery.next_try = self.discovery.backoff.again(now, how);
     }
 
-    pub(super) fn on_discovery_ready(&mut self, now: Micros, id: ConnectionId) {
-        if let Err(why) = self.read_discovery(now, id) {
-            self.drop_discovery_connection(now, &why, Disconnect::Closed);
+    /// Ends the connection, and sets when the next is opened.
+    pub(super) fn drop_discovery_connection(
+        &mut self,
+        now: Micros,
+        reason: &str,
+        disconnect: Disconnect,
+    ) {
+        tracing::info!("engine list: {reason}");
+        if let Some(mut connection) = self.discovery.connection.take() {
+            self.unregister(connection.registration.take());
         }
+        self.discovery.next_attempt_at = self.discovery.backoff.next_attempt_at(now, disconnect);
     }
 
-    fn read_discovery(&mut self, now: Micros, id: ConnectionId) -> Result<(), String> {
+    /// Handles a readiness event of the connection.
+    pub(super) fn on_discovery_ready(&mut self, now: Micros, id: ConnectionId) {
         loop {
-            let Some(conn) = self.discovery.conn.as_mut().filter(|c| c.id == id) else {
-                return Ok(());
-            };
-            let Some((_, watch)) = self.discovery.watch.as_mut() else {
-                return Ok(());
-            };
-            if !conn.up {
-                if !conn.link.poll_connected().map_err(|e| e.to_string())? {
-                    return Ok(());
+            match self.read_discovery(now, id) {
+                Ok(true) => {}
+                Ok(false) => return,
+                Err(e) => {
+                    return self.drop_discovery_connection(now, &e.to_string(), Disconnect::Closed)
                 }
-                (conn.up, conn.heard) = (true, now);
-                conn.link.push(&watch.open());
             }
-            conn.link.flush().map_err(|e| e.to_string())?;
-            let (mut bytes, mut out, mut updates) = (Vec::new(), Vec::new(), Vec::new());
-            let end = conn
-                .link
-                .read(&mut bytes, READ_AT_ONCE)
-                .map_err(|e| e.to_string())?;
-            let mut fed = Ok(());
-            if !bytes.is_empty() {
-                conn.heard = now;
-                self.discovery.first.get_or_insert(now);
-                self.discovery.backoff.heard(now);
-                fed = watch.feed(&bytes, &mut out, &mut updates);
-                conn.link.push(&out);
-                conn.link.flush().map_err(|e| e.to_string())?;
-            }
-            for update in updates {
-                self.take_update(now, &update);
-            }
-            fed?;
-            match end {
-                ReadOutcome::WouldBlock => return Ok(()),
-                ReadOutcome::Closed => return Err("closed by the other side".into()),
-                ReadOutcome::LimitReached => {}
+        }
+    }
+
+    /// Writes and reads once; true if there may be more to read.
+    fn read_discovery(&mut self, now: Micros, id: ConnectionId) -> Result<bool, ConnectionError> {
+        let client = &mut self.discovery;
+        let Some(connection) = client.connection.as_mut().filter(|c| c.id == id) else {
+            return Ok(false);
+        };
+        let Source::Watch(_, watch) = &mut client.source else {
+            return Ok(false);
+        };
+        if !connection.is_up {
+            if !connection.stream.poll_connected()? {
+                return Ok(false);
             }
+            (connection.is_up, connection.last_heard) = (true, now);
+            connection.stream.push(&watch.open_request());
+        }
+        connection.stream.flush()?;
+        let (mut bytes, mut out, mut updates) = (Vec::new(), Vec::new(), Vec::new());
+        let outcome = connection.stream.read(&mut bytes, MAX_READ_BYTES)?;
+        let mut decoded = Ok(());
+        if !bytes.is_empty() {
+            connection.last_heard = now;
+            client.first_heard.get_or_insert(now);
+            client.backoff.record_heard(now);
+            decoded = watch.decode(&bytes, &mut out, &mut updates);
+            connection.stream.push(&out);
+            connection.stream.flush()?;
+        }
+        for update in updates {
+            self.apply_list_update(now, &update);
+        }
+        decoded?;
+        match outcome {
+            ReadOutcome::WouldBlock => Ok(false),
+            ReadOutcome::Closed => Err(ConnectionError::Closed),
+            ReadOutcome::LimitReached => Ok(true),
         }
     }
 
-    fn take_update(&mut self, now: Micros, update: &JsonValue) {
+    fn apply_list_update(&mut self, now: Micros, update: &JsonValue) {
         match read(&self.config.zones, &self.config.kinds, Json(Some(update))) {
-            Ok(told) => {
-                told.rejected_entries
-                    .iter()
-                    .for_each(|why| tracing::warn!("engine list: {why}"));
-                self.discovery.told = now;
-                self.fleet_listed(&told);
-                let change = self.registry.apply_listing(told.kind, told.descriptions);
+            Ok(read) => {
+                for error in &read.rejected_entries {
+                    tracing::warn!("engine list: {error}");
+                }
+                self.discovery.last_update = now;
+                self.fleet_listed(&read);
+                let change = self.registry.apply_listing(read.kind, read.descriptions);
                 self.apply_registry_change(now, &change);
             }
             Err(e) => tracing::warn!("engine list: {e}"),
--- a/crates/coordinator/tests/golden_discovery.rs
+++ b/crates/coordinator/tests/golden_discovery.rs
@@ -13,19 +13,19 @@
 fn etcd_is_asked_as_ever() {
     let mut wire = MessageTranscript::default();
     let mut etcd = Etcd::new("127.0.0.1:2379".into(), "/engines/".into());
-    wire.record("range", etcd.open());
+    wire.record("range", etcd.open_request());
     let range = r#"{"header":{"revision":"41"},"kvs":[{"key":"L2VuZ2luZXMveA==","value":"eyJob3N0UG9ydCI6IjEyNy4wLjAuMTo5In0="}]}"#;
     let answer = format!(
         "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{range}",
         range.len()
     );
     let (mut out, mut updates) = (Vec::new(), Vec::new());
-    etcd.feed(answer.as_bytes(), &mut out, &mut updates)
+    etcd.decode(answer.as_bytes(), &mut out, &mut updates)
         .unwrap();
     wire.record("watch", &out);
-    wire.record("watch on a new connection", etcd.open());
-    etcd.moved("127.0.0.2:2379".into());
-    wire.record("watch at another address", etcd.open());
+    wire.record("watch on a new connection", etcd.open_request());
+    etcd.set_host("127.0.0.2:2379".into());
+    wire.record("watch at another address", etcd.open_request());
     let events = concat!(
         r#"{"result":{"events":["#,
         r#"{"type":"DELETE","kv":{"key":"L2VuZ2luZXMveA==","mod_revision":"50"}},"#,
@@ -34,18 +34,18 @@
     );
     let head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     let answer = [&head[..], &chunk(events.as_bytes())].concat();
-    etcd.feed(&answer, &mut out, &mut updates).unwrap();
-    wire.record("watch behind events", etcd.open());
+    etcd.decode(&answer, &mut out, &mut updates).unwrap();
+    wire.record("watch behind events", etcd.open_request());
     for update in &updates {
         wire.record("update", shown(update));
     }
-    let every = Etcd::new("h".into(), String::new()).open();
+    let every = Etcd::new("h".into(), String::new()).open_request();
     wire.record("range of all keys", every);
     let cancelled = chunk(b"{\"result\":{\"canceled\":true}}\n");
     let answer = [&head[..], &cancelled].concat();
-    let ended = etcd.feed(&answer, &mut out, &mut updates);
-    wire.record("cancelled", ended.unwrap_err());
-    wire.record("range again", etcd.open());
+    let ended = etcd.decode(&answer, &mut out, &mut updates);
+    wire.record("cancelled", ended.unwrap_err().to_string());
+    wire.record("range again", etcd.open_request());
     assert_golden!("wire/etcd.http", wire.bytes());
 }
 
@@ -81,29 +81,29 @@
 fn the_event_stream_is_asked_as_ever() {
     let mut wire = MessageTranscript::default();
     let mut stream = Stream::new("127.0.0.1:9000".into(), 0);
-    wire.record("first", stream.open());
+    wire.record("first", stream.open_request());
     let events = "HTTP/1.1 200 OK\r\n\r\n: c\n\nid: 7\ndata: {\"n\":\ndata: 1}\n\ndata: {\"index\":9}\n\nevent: x\r\n\r\n";
     let (mut out, mut updates) = (Vec::new(), Vec::new());
     stream
-        .feed(events.as_bytes(), &mut out, &mut updates)
+        .decode(events.as_bytes(), &mut out, &mut updates)
         .unwrap();
-    wire.record("behind events", stream.open());
-    stream.moved("127.0.0.2:9000".into());
-    wire.record("at another address", stream.open());
+    wire.record("behind events", stream.open_request());
+    stream.set_host("127.0.0.2:9000".into());
+    wire.record("at another address", stream.open_request());
     wire.record("updates", updates.len().to_string());
     for bytes in [
         "HTTP/1.1 500 E\r\n\r\n",
         "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
         "no\r\n",
     ] {
-        stream.open();
-        let ended = stream.feed(bytes.as_bytes(), &mut out, &mut updates);
-        wire.record("ends", ended.unwrap_err());
+        stream.open_request();
+        let ended = stream.decode(bytes.as_bytes(), &mut out, &mut updates);
+        wire.record("ends", ended.unwrap_err().to_string());
     }
-    stream.open();
+    stream.open_request();
     let rejected_entries = b"HTTP/1.1 200 OK\r\n\r\nid: 10\ndata: {\n\n";
-    let ended = stream.feed(rejected_entries, &mut out, &mut updates);
-    wire.record("an event that is no JSON", ended.unwrap_err());
+    let ended = stream.decode(rejected_entries, &mut out, &mut updates);
+    wire.record("an event that is no JSON", ended.unwrap_err().to_string());
     assert_golden!("wire/event_stream.http", wire.bytes());
 }
 
--- a/crates/coordinator/tests/wires.rs
+++ b/crates/coordinator/tests/wires.rs
@@ -393,7 +393,7 @@
 fn the_list_s_events_are_the_same_in_whatever_pieces_they_come() {
     fn same(numbers: Vec<u8>, cuts: Vec<u8>) -> bool {
         let mut stream = Stream::new("h".into(), 0);
-        let opened = String::from_utf8(stream.open()).unwrap();
+        let opened = String::from_utf8(stream.open_request()).unwrap();
         assert!(opened.contains("\r\nLast-Event-ID: 0\r\n"));
         let mut bytes = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".to_vec();
         let (mut want, mut last) = (Vec::new(), 0);
@@ -408,14 +408,14 @@
         let (mut updates, mut out) = (Vec::new(), Vec::new());
         for piece in cut(&bytes, &cuts) {
             stream
-                .feed(&piece, &mut out, &mut updates)
+                .decode(&piece, &mut out, &mut updates)
                 .expect("well formed");
         }
         let seen: Vec<f64> = updates
             .iter()
             .filter_map(|u| Json(Some(u)).get("n").number())
             .collect();
-        assert!(String::from_utf8(stream.open())
+        assert!(String::from_utf8(stream.open_request())
             .unwrap()
             .contains(&format!("\r\nLast-Event-ID: {last}\r\n")));
         seen == want
@@ -427,7 +427,7 @@
 fn an_event_that_was_cut_is_asked_for_again_and_one_that_is_never_whole_keeps_no_later_one_out() {
     let mut stream = Stream::new("h".into(), 4);
     let mut connection = |events: &str| {
-        let asked = String::from_utf8(stream.open()).unwrap();
+        let asked = String::from_utf8(stream.open_request()).unwrap();
         let asked = asked
             .lines()
             .find_map(|l| l.strip_prefix("Last-Event-ID: "))
@@ -435,7 +435,7 @@
             .to_string();
         let bytes = [b"HTTP/1.1 200 OK\r\n\r\n", events.as_bytes()].concat();
         let (mut updates, mut out) = (Vec::new(), Vec::new());
-        let ended = stream.feed(&bytes, &mut out, &mut updates).is_err();
+        let ended = stream.decode(&bytes, &mut out, &mut updates).is_err();
         (asked, ended, updates.len())
     };
     // It breaks off in the middle, and the next one comes right behind it.
@@ -511,7 +511,7 @@
 fn etcd_s_keys_become_the_list_by_a_range_and_then_a_watch() {
     let mut etcd = Etcd::new("h".into(), "/e/".into());
     let (mut out, mut updates) = (Vec::new(), Vec::new());
-    let asked = String::from_utf8(etcd.open()).unwrap();
+    let asked = String::from_utf8(etcd.open_request()).unwrap();
     // "/e/" and "/e0" in base64: all keys under the prefix.
     assert!(
         asked.starts_with("POST /v3/kv/range ")
@@ -525,7 +525,7 @@
     };
     // Key "/e/x", value {"hostPort":"127.0.0.1:9"}.
     let range = r#"{"header":{"revision":"41"},"kvs":[{"key":"L2UveA==","value":"eyJob3N0UG9ydCI6IjEyNy4wLjAuMTo5In0="}]}"#;
-    etcd.feed(answer(range).as_bytes(), &mut out, &mut updates)
+    etcd.decode(answer(range).as_bytes(), &mut out, &mut updates)
         .unwrap();
     let mut table = EngineRegistry::new();
     let change = take(&mut table, &updates.remove(0));
@@ -541,30 +541,32 @@
         r#"{"result":{"events":[{"type":"DELETE","kv":{"key":"L2UveA==","mod_revision":"50"}}]}}"#;
     let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".to_string();
     let created = chunk(b"{\"result\":{\"created\":true}}\n");
-    etcd.feed(
+    etcd.decode(
         &[head.as_bytes(), &created, &chunk(event.as_bytes())].concat(),
         &mut out,
         &mut updates,
     )
     .unwrap();
     assert!(updates.is_empty(), "the line is not whole yet");
-    etcd.feed(&chunk(b"\n"), &mut out, &mut updates).unwrap();
+    etcd.decode(&chunk(b"\n"), &mut out, &mut updates).unwrap();
     let change = take(&mut table, &updates.remove(0));
     assert_eq!(
         (change.kind, change.lines[0].phase),
         (ListKind::Changes, Phase::Gone)
     );
     // A new connection goes on behind what was seen; a cancelled watch reads the whole range anew.
-    assert!(etcd.open().ends_with(b"\"start_revision\":\"51\"}}"));
+    assert!(etcd
+        .open_request()
+        .ends_with(b"\"start_revision\":\"51\"}}"));
     let cancelled = chunk(b"{\"result\":{\"canceled\":true,\"compact_revision\":\"90\"}}\n");
     assert!(etcd
-        .feed(
+        .decode(
             &[head.as_bytes(), &cancelled].concat(),
             &mut out,
             &mut updates
         )
         .is_err());
-    assert!(etcd.open().starts_with(b"POST /v3/kv/range "));
+    assert!(etcd.open_request().starts_with(b"POST /v3/kv/range "));
 }
 
 #[test]
@@ -601,7 +603,6 @@
         ["e-1"]
     );
     assert_eq!(told.rejected_entries.len(), 2);
-    assert!(
-        told.rejected_entries[0].contains("c-2") && told.rejected_entries[0].contains("nowhere")
-    );
+    let first = told.rejected_entries[0].to_string();
+    assert!(first.contains("c-2") && first.contains("nowhere"));
 }
