--- a/crates/clickhouse/src/lib.rs
+++ b/crates/clickhouse/src/lib.rs
@@ -3,10 +3,11 @@
 #![forbid(unsafe_code)]
 
 pub mod block;
+pub mod body_budget;
 pub mod coding;
 pub mod credentials;
 pub mod exception;
-pub mod keep;
+
 pub mod multipart;
 pub mod params;
 pub mod request;
--- /dev/null
+++ b/crates/clickhouse/tests/body_budget.rs
@@ -0,0 +1,53 @@
+//! The budget for bodies that are kept.
+
+use driftfront_clickhouse::body_budget::{
+    BodyBudget, Reservation, MAX_KEPT_BYTES, UNBUDGETED_BYTES,
+};
+
+fn reservation(reserved_bytes: usize, max_body_bytes: usize) -> Reservation {
+    Reservation {
+        reserved_bytes,
+        max_body_bytes,
+    }
+}
+
+#[test]
+fn small_bodies_always_find_room_and_large_ones_share_the_budget() {
+    let mut budget = BodyBudget::new(3 * MAX_KEPT_BYTES);
+    let mut held = Vec::new();
+    // Each grows by 64 KB until it must be streamed.
+    let mut last = reservation(0, MAX_KEPT_BYTES);
+    for _ in 0..10 {
+        let mut size = 0;
+        last.reserved_bytes = 0;
+        while size < MAX_KEPT_BYTES {
+            size += 64 * 1024;
+            last = budget.reserve(last.reserved_bytes, size);
+            if size > last.max_body_bytes {
+                break;
+            }
+        }
+        held.push(last.reserved_bytes);
+    }
+    assert!(budget.held() <= 3 * MAX_KEPT_BYTES && budget.held() > 2 * MAX_KEPT_BYTES);
+    assert!(last.max_body_bytes < MAX_KEPT_BYTES);
+    assert_eq!(
+        budget.reserve(0, UNBUDGETED_BYTES),
+        reservation(0, MAX_KEPT_BYTES)
+    );
+    assert!(budget.counts().no_room > 0);
+    held.into_iter().for_each(|r| budget.release(r));
+    assert_eq!(budget.held(), 0);
+}
+
+#[test]
+fn body_over_the_bound_for_one_is_streamed_with_what_it_holds() {
+    let mut budget = BodyBudget::new(64 * MAX_KEPT_BYTES);
+    let full = reservation(MAX_KEPT_BYTES - UNBUDGETED_BYTES, MAX_KEPT_BYTES);
+    assert_eq!(budget.reserve(0, MAX_KEPT_BYTES), full);
+    assert_eq!(
+        budget.reserve(full.reserved_bytes, MAX_KEPT_BYTES + 1),
+        full
+    );
+    assert_eq!(budget.counts().too_large, 1);
+}
--- /dev/null
+++ b/crates/coordinator/src/frontends/clickhouse/kill.rs
@@ -0,0 +1,81 @@
+//! KILL QUERY: carried out by the coordinator, on each engine that may run the query.
+
+use super::codes::QUERY_WAS_CANCELLED;
+use super::query::engine_parameters;
+use super::response::StreamWriter;
+use super::ClickHouse;
+use crate::frontends::{FrontendAction, KillRequest};
+use crate::net::fnv1a_64;
+use driftfront_clickhouse::exception::{Exception, NETWORK_ERROR};
+use driftfront_clickhouse::request::Query;
+use driftfront_clickhouse::session::keyed;
+use driftfront_core::{EngineId, ParsedRequest, StickySession};
+use driftfront_http::response;
+use std::rc::Rc;
+
+impl ClickHouse {
+    /// The order to end the queries of these names; `suffix` stands behind its condition.
+    pub(super) fn kill(
+        &mut self,
+        query: &Query,
+        names: Vec<String>,
+        suffix: &str,
+        class: u16,
+        writer: Box<StreamWriter>,
+    ) -> FrontendAction {
+        self.kills += 1;
+        let order = KillOrder {
+            seed: keyed(self.seed, &self.kills.to_le_bytes()),
+            suffix: suffix.to_string(),
+            template: ParsedRequest {
+                class,
+                budget: self.timeout(class),
+                tables: query.shape.tables,
+                about: engine_parameters(query, query.target.clone()),
+                ..ParsedRequest::default()
+            },
+        };
+        let head = [("Content-Type", "text/tab-separated-values; charset=UTF-8")];
+        FrontendAction::Kill(Box::new(KillRequest {
+            names,
+            is_test: suffix.to_ascii_lowercase().starts_with("test"),
+            message: Exception::new(QUERY_WAS_CANCELLED, "Query was cancelled by KILL QUERY").text,
+            none_running: response(200, &head, b"", false),
+            request_for: Box::new(move |engine, name| order.request_for(engine, name)),
+            writer,
+        }))
+    }
+}
+
+/// What the orders to all engines share.
+struct KillOrder {
+    /// Sets the ids of these orders apart from others'.
+    seed: u64,
+    suffix: String,
+    template: ParsedRequest,
+}
+
+impl KillOrder {
+    /// The order to one engine, for the query of this name there.
+    fn request_for(&self, engine: EngineId, name: &str) -> ParsedRequest {
+        let quoted = name.replace('\\', "\\\\").replace('\'', "\\'");
+        let statement = format!("KILL QUERY WHERE query_id = '{quoted}' {}", self.suffix);
+        let id = format!(
+            "kill-{:016x}-{}-{:08x}",
+            self.seed,
+            engine.0,
+            fnv1a_64(name.as_bytes()) as u32
+        );
+        let lost = Exception::new(
+            NETWORK_ERROR,
+            "The query's engine takes nothing more: it drains",
+        );
+        ParsedRequest {
+            call: id.into(),
+            statement: Rc::from(statement.trim_end().as_bytes()),
+            pin: Some(StickySession { engine, only: true }),
+            lost: Some(lost.text.into()),
+            ..self.template.clone()
+        }
+    }
+}
--- /dev/null
+++ b/crates/coordinator/src/frontends/clickhouse/query.rs
@@ -0,0 +1,156 @@
+//! Makes the core's request of a query, with its session and its order.
+
+use super::codes::{BAD_ARGUMENTS, NOT_IMPLEMENTED, SESSION_NOT_FOUND};
+use super::response::StreamWriter;
+use super::{replies, ClickHouse, OpenQuery};
+use crate::backends::clickhouse::{COMPRESSED_BLOCKS, REQUEST_HEADERS, URL_PARAMETERS};
+use crate::frontends::FrontendAction;
+use crate::net::fnv1a_64;
+use driftfront_clickhouse::exception::Exception;
+use driftfront_clickhouse::request::Query;
+use driftfront_clickhouse::session::{Home, Name};
+use driftfront_core::{EngineId, Micros, ParsedRequest, StickySession};
+use driftfront_http::Request;
+use std::rc::Rc;
+
+const LOST_SESSION: &str =
+    "Session not found: the engine that holds it takes nothing more, and what was set or \
+     created in the session is lost with it. Begin a new session and create that anew";
+const KILL_BY_ID_ALONE: &str =
+    "KILL QUERY is carried out by query_id alone here: WHERE query_id = '...', or \
+     query_id IN ('...')";
+
+impl ClickHouse {
+    /// Accepts a query; an error is the whole response that says why not.
+    pub(super) fn parse_query(
+        &mut self,
+        query: Query,
+        request: Request,
+        now: Micros,
+        reserved_bytes: usize,
+    ) -> Result<FrontendAction, Vec<u8>> {
+        let class = self.class(&query)?;
+        let call = match &query.id {
+            Some(id) => id.clone(),
+            None => self.generate_id(now),
+        };
+        let writer = Box::new(StreamWriter::new(&query, &call));
+        if let Some(kill) = &query.shape.kill {
+            let Some(names) = kill.ids.clone() else {
+                let e = Exception::new(NOT_IMPLEMENTED, KILL_BY_ID_ALONE);
+                return Err(replies::exception(&e, query.head_only));
+            };
+            return Ok(self.kill(&query, names, &kill.behind, class, writer));
+        }
+        let mut url_parameters = query.target.clone();
+        let session = self
+            .begin_session(now, &query)
+            .map_err(|e| replies::exception(&e, query.head_only))?;
+        let sticky = session.and_then(|s| s.home).map(sticky_session);
+        let is_bound = sticky.is_some_and(|s| s.only);
+        if is_bound {
+            // An engine that restarted unnoticed must say so, and not run this without what was set.
+            url_parameters.push_str("&session_check=1");
+        }
+        let ticket = self.next_number();
+        let open = OpenQuery {
+            session: session.map(|s| s.name),
+            reserved_bytes,
+        };
+        self.open.insert(ticket, open);
+        let parsed = ParsedRequest {
+            call: call.into(),
+            class,
+            tables: query.shape.tables,
+            key: ordering_key(&query),
+            token: query.token.as_deref().map(Rc::from),
+            budget: self.time_budget(&query, class, request.has_more_body),
+            about: engine_parameters(&query, url_parameters),
+            pin: sticky,
+            lost: is_bound.then(|| Exception::new(SESSION_NOT_FOUND, LOST_SESSION).text.into()),
+            once: request.has_more_body,
+            statement: Rc::from(request.body),
+            ticket,
+            ..ParsedRequest::default()
+        };
+        Ok(FrontendAction::Accept(parsed, writer))
+    }
+
+    /// The class that the client names, or the one of the statement's kind.
+    fn class(&self, query: &Query) -> Result<u16, Vec<u8>> {
+        let shape = &query.shape;
+        match &query.class {
+            Some(name) => self.classes.index(name).ok_or_else(|| {
+                let e = Exception::new(BAD_ARGUMENTS, &format!("There is no class {name}"));
+                replies::exception_with(404, &e, &[], query.head_only)
+            }),
+            None if shape.harmless => Ok(self.rules.read),
+            None if shape.inserts && query.token.is_some() => {
+                Ok(self.rules.deduplicated.unwrap_or(self.rules.write))
+            }
+            None => Ok(self.rules.write),
+        }
+    }
+
+    /// How long the client waits, with the time for a streamed body.
+    fn time_budget(&self, query: &Query, class: u16, has_more_body: bool) -> Micros {
+        let max = self.timeout(class);
+        let budget = query.wanted_within.map_or(max, |wanted| wanted.min(max));
+        if has_more_body {
+            budget + self.rules.upload
+        } else {
+            budget
+        }
+    }
+
+    /// Begins a query of its session, if it has one.
+    fn begin_session(
+        &mut self,
+        now: Micros,
+        query: &Query,
+    ) -> Result<Option<BegunSession>, Exception> {
+        let Some(session) = &query.session else {
+            return Ok(None);
+        };
+        let user = query.credentials.user.as_deref().unwrap_or_default();
+        let name = self.sessions.name(user, &session.id);
+        let leaves = query.shape.leaves();
+        let home = self
+            .sessions
+            .begin(now, name, session.check, session.timeout, leaves)?;
+        Ok(Some(BegunSession { name, home }))
+    }
+}
+
+/// A session with a query in flight.
+#[derive(Clone, Copy)]
+struct BegunSession {
+    name: Name,
+    /// Where it lives, if it does yet.
+    home: Option<Home<EngineId>>,
+}
+
+fn sticky_session(home: Home<EngineId>) -> StickySession {
+    StickySession {
+        engine: home.engine,
+        only: home.tied,
+    }
+}
+
+/// The key of a query's order: the client's, or the table that is written, so that batches into one table stay in order.
+fn ordering_key(query: &Query) -> Option<u64> {
+    let key = query.key.as_ref().or(query.shape.writes.as_ref())?;
+    Some(fnv1a_64(key.as_bytes()))
+}
+
+/// What the backend is told beside the statement.
+pub(super) fn engine_parameters(query: &Query, url_parameters: String) -> Rc<[(String, String)]> {
+    let mut parameters = vec![
+        (URL_PARAMETERS.to_string(), url_parameters),
+        (REQUEST_HEADERS.to_string(), query.headers.0.clone()),
+    ];
+    if query.frames {
+        parameters.push((COMPRESSED_BLOCKS.into(), String::new()));
+    }
+    parameters.into()
+}
--- /dev/null
+++ b/crates/coordinator/src/frontends/clickhouse/replies.rs
@@ -0,0 +1,87 @@
+//! Responses that need no engine: exceptions, pings, readiness.
+
+use super::codes::BAD_ARGUMENTS;
+use crate::frontends::FrontendAction;
+use driftfront_clickhouse::exception::Exception;
+use driftfront_clickhouse::request::Asked;
+use driftfront_http::{response, response_head, BodyFraming, HttpError};
+
+const TEXT: (&str, &str) = ("Content-Type", "text/plain; charset=UTF-8");
+const HTML: (&str, &str) = ("Content-Type", "text/html; charset=UTF-8");
+const EXCEPTION_CODE_HEADER: &str = "X-ClickHouse-Exception-Code";
+/// What a page of another origin may ask.
+const CROSS_ORIGIN_HEADERS: [(&str, &str); 4] = [
+    ("Access-Control-Allow-Origin", "*"),
+    ("Access-Control-Allow-Methods", "POST, GET, OPTIONS"),
+    (
+        "Access-Control-Allow-Headers",
+        "origin, x-requested-with, x-clickhouse-format, x-clickhouse-user, x-clickhouse-key, \
+         Authorization",
+    ),
+    ("Access-Control-Max-Age", "86400"),
+];
+
+/// The reply to what is no query.
+pub(super) fn reply_to(asked: &Asked, head_only: bool) -> FrontendAction {
+    let page = |status: u16, body: &str| whole(status, &[HTML], body, head_only);
+    match asked {
+        Asked::Ping => FrontendAction::Reply(page(200, "Ok.\n")),
+        Asked::ReplicasStatus => FrontendAction::ReportReadiness {
+            ready: page(200, "Ok.\n"),
+            not_ready: page(503, "No engine takes queries now.\n"),
+        },
+        Asked::Alive => FrontendAction::ReportReadiness {
+            ready: page(200, ""),
+            not_ready: page(503, ""),
+        },
+        Asked::Counters => FrontendAction::ReportCounters,
+        Asked::Options => FrontendAction::Reply(response(204, &CROSS_ORIGIN_HEADERS, b"", false)),
+        Asked::NoMethod => FrontendAction::RejectBadRequest(page(405, "")),
+        Asked::NoPath => {
+            FrontendAction::RejectBadRequest(page(404, "There is no such path here.\n"))
+        }
+        Asked::Query(_) => FrontendAction::RejectBadRequest(page(500, "")),
+    }
+}
+
+/// An exception as a whole response, with the status that goes with its code.
+pub(super) fn exception(e: &Exception, head_only: bool) -> Vec<u8> {
+    exception_with(e.status(), e, &[], head_only)
+}
+
+/// An exception as a whole response, with a status and more headers.
+pub(super) fn exception_with(
+    status: u16,
+    e: &Exception,
+    more_headers: &[(&str, &str)],
+    head_only: bool,
+) -> Vec<u8> {
+    let code = e.code.to_string();
+    let mut headers = vec![TEXT, (EXCEPTION_CODE_HEADER, code.as_str())];
+    headers.extend(more_headers);
+    whole(status, &headers, &format!("{e}\n"), head_only)
+}
+
+/// The response to what can't be read as a request.
+pub(super) fn http_error(error: HttpError) -> Vec<u8> {
+    let text = match error {
+        HttpError::Malformed => "The request can't be read as HTTP",
+        HttpError::BodyTooLarge => "The body is too large",
+        HttpError::HeadTooLarge => {
+            "The URL and headers are too long, or there is no room for them now"
+        }
+    };
+    let e = Exception::new(BAD_ARGUMENTS, text);
+    let code = e.code.to_string();
+    let headers = [TEXT, (EXCEPTION_CODE_HEADER, &code)];
+    response(error.status(), &headers, format!("{e}\n").as_bytes(), true)
+}
+
+/// A whole response, or its head alone.
+fn whole(status: u16, headers: &[(&str, &str)], body: &str, head_only: bool) -> Vec<u8> {
+    let mut bytes = response_head(status, headers, BodyFraming::Length(body.len()), false);
+    if !head_only {
+        bytes.extend(body.bytes());
+    }
+    bytes
+}
--- /dev/null
+++ b/crates/coordinator/src/frontends/clickhouse/response.rs
@@ -0,0 +1,148 @@
+//! Results as they come, in chunks where the client knows them.
+
+use super::replies::exception_with;
+use crate::frontends::{ConnectionAction, ResponseWriter};
+use driftfront_clickhouse::exception::{marker, Exception, NETWORK_ERROR, TOO_MANY_QUERIES};
+use driftfront_clickhouse::request::Query;
+use driftfront_core::{Micros, ResponseChunk};
+use driftfront_http::{chunk as http_chunk, response_head, BodyFraming, LAST_CHUNK};
+
+const MICROS_PER_SECOND: Micros = 1_000_000;
+
+/// Writes one query's result.
+pub(super) struct StreamWriter {
+    /// The client's id of the query.
+    call: String,
+    has_begun: bool,
+    /// The body's length was told: it is complete with its only chunk.
+    has_length: bool,
+    is_chunked: bool,
+    head_only: bool,
+    /// The client asked for progress in headers.
+    wants_progress: bool,
+    /// The exception tag that the client was told, where it reads the result as text.
+    exception_tag: Option<String>,
+    /// The result is packed: no words can stand in it.
+    is_packed: bool,
+}
+
+impl StreamWriter {
+    pub(super) fn new(query: &Query, call: &str) -> StreamWriter {
+        StreamWriter {
+            call: call.into(),
+            has_begun: false,
+            has_length: false,
+            is_chunked: query.chunks,
+            head_only: query.head_only,
+            wants_progress: query.progress,
+            exception_tag: None,
+            is_packed: query.frames,
+        }
+    }
+
+    /// An exception, with the query's id where its client knows it.
+    fn exception(&self, status: u16, e: &Exception, more_headers: &[(&str, &str)]) -> Vec<u8> {
+        let mut headers = vec![("X-ClickHouse-Query-Id", self.call.as_str())];
+        headers.extend(more_headers);
+        exception_with(status, e, &headers, self.head_only)
+    }
+
+    fn write_head(&mut self, first: &ResponseChunk, out: &mut Vec<u8>) {
+        // Engines are asked for progress for our own sake; only who asked for it is told.
+        let is_wanted =
+            |name: &str| self.wants_progress || !name.eq_ignore_ascii_case("X-ClickHouse-Progress");
+        let headers: Vec<(&str, &str)> = first
+            .about
+            .iter()
+            .filter(|(name, _)| is_wanted(name))
+            .map(|(name, value)| (name.as_str(), value.as_str()))
+            .collect();
+        let value = |name: &str| {
+            let mut all = headers.iter();
+            all.find(|h| h.0.eq_ignore_ascii_case(name)).map(|h| h.1)
+        };
+        self.exception_tag = value("X-ClickHouse-Exception-Tag").map(String::from);
+        self.is_packed |= value("Content-Encoding").is_some();
+        self.has_length = first.whole;
+        let framing = if first.whole {
+            BodyFraming::Length(first.rows.len())
+        } else if self.is_chunked {
+            BodyFraming::Chunked
+        } else {
+            BodyFraming::UntilClose
+        };
+        out.extend(response_head(200, &headers, framing, false));
+    }
+}
+
+impl ResponseWriter for StreamWriter {
+    fn write_chunk(&mut self, chunk: &ResponseChunk, out: &mut Vec<u8>) {
+        if !std::mem::replace(&mut self.has_begun, true) {
+            self.write_head(chunk, out);
+        }
+        if self.head_only {
+            return;
+        }
+        if self.is_chunked && !self.has_length {
+            out.extend(http_chunk(&chunk.rows));
+        } else {
+            out.extend_from_slice(&chunk.rows);
+        }
+    }
+
+    fn finish(&mut self, out: &mut Vec<u8>) -> ConnectionAction {
+        if self.is_chunked && !self.has_length && !self.head_only {
+            out.extend_from_slice(LAST_CHUNK);
+        }
+        if self.is_chunked || self.has_length || self.head_only {
+            ConnectionAction::KeepOpen
+        } else {
+            ConnectionAction::Close
+        }
+    }
+
+    fn reject(&mut self, retry_after: Micros, message: Option<&str>, out: &mut Vec<u8>) {
+        let ms = retry_after.div_ceil(1000).to_string();
+        let seconds = retry_after.div_ceil(MICROS_PER_SECOND).max(1).to_string();
+        let headers = [
+            ("X-Come-Back-Ms", ms.as_str()),
+            ("Retry-After", seconds.as_str()),
+        ];
+        // Where an engine erred on it, that is what its client wants to know.
+        let bytes = match message.and_then(Exception::of_text) {
+            Some(e) => self.exception(e.status(), &e, &headers),
+            None => {
+                let e = Exception::new(TOO_MANY_QUERIES, "Overloaded, try again later");
+                self.exception(429, &e, &headers)
+            }
+        };
+        out.extend(bytes);
+    }
+
+    fn fail(&mut self, message: Option<&str>, out: &mut Vec<u8>) {
+        let e = message.and_then(Exception::of_text).unwrap_or_else(|| {
+            Exception::new(
+                NETWORK_ERROR,
+                "The query failed, or its time ran out; it may have run",
+            )
+        });
+        out.extend(self.exception(e.status(), &e, &[]));
+    }
+
+    /// Without chunks a close is how a complete result ends, so only a reset shows that this one is not. In chunks, no last one
+    /// follows, which no client takes for a complete result; who was told a tag looks for the reason behind it.
+    fn abort(&mut self, message: Option<&str>, out: &mut Vec<u8>) -> ConnectionAction {
+        if !self.is_chunked || self.head_only {
+            return ConnectionAction::Reset;
+        }
+        if let Some(tag) = self.exception_tag.as_ref().filter(|_| !self.is_packed) {
+            let broken = Exception::new(
+                NETWORK_ERROR,
+                "The result breaks off here: its engine was lost",
+            );
+            let message = message.unwrap_or(&broken.text);
+            out.extend(http_chunk(marker(tag, message).as_bytes()));
+        }
+        ConnectionAction::Close
+    }
+}
--- /dev/null
+++ b/crates/coordinator/src/frontends/platform/mod.rs
@@ -0,0 +1,89 @@
+//! The platform's protocol towards clients: statements come as POSTs, results go as JSON.
+//!
+//! | module | job |
+//! | --- | --- |
+//! | `fields` | the header fields and the statement of a request |
+//! | `response` | results and errors as JSON |
+
+mod fields;
+mod response;
+
+use super::{Frontend, FrontendAction, QueryClasses};
+use driftfront_core::Micros;
+use driftfront_http::{header, response as http_response, Request, RequestLimits, MAX_HEAD_BYTES};
+use fields::is_hex16;
+use response::{json_error, JsonWriter};
+use std::rc::Rc;
+
+/// Largest statement accepted: with all connections that may be open, these must fit the smallest memory.
+const MAX_BODY_BYTES: usize = 64 * 1024;
+
+/// Reads the platform's requests.
+pub struct Platform {
+    /// The query classes.
+    pub classes: QueryClasses,
+    /// The tenants' names, by index in the settings.
+    pub tenants: Rc<[String]>,
+}
+
+impl Frontend for Platform {
+    fn request_limits(&self) -> RequestLimits {
+        RequestLimits {
+            max_head_bytes: MAX_HEAD_BYTES,
+            max_body_bytes: MAX_BODY_BYTES,
+            has_more_body: false,
+        }
+    }
+
+    fn is_sequential(&self) -> bool {
+        true
+    }
+
+    fn parse_request(
+        &mut self,
+        request: Request,
+        _now: Micros,
+        _reserved_bytes: usize,
+    ) -> FrontendAction {
+        let path = request.target.split('?').next().unwrap_or_default();
+        match path.strip_prefix("/ops/") {
+            Some(class) => match self.classes.index(class) {
+                Some(class) => self.parse_call(request, class),
+                None => reject(404, "no such class"),
+            },
+            None => match (request.method.as_str(), path) {
+                ("GET", "/alive") => FrontendAction::ReportReadiness {
+                    ready: http_response(200, &[], b"", false),
+                    not_ready: http_response(503, &[], b"", false),
+                },
+                ("GET", "/counters") => FrontendAction::ReportCounters,
+                _ => reject(404, "no such path"),
+            },
+        }
+    }
+}
+
+impl Platform {
+    /// A statement, or the withdrawal of one.
+    fn parse_call(&self, request: Request, class: u16) -> FrontendAction {
+        let call = header(&request.headers, "X-Call-Id").filter(|id| is_hex16(id));
+        if let ("DELETE", Some(call)) = (request.method.as_str(), call) {
+            return FrontendAction::Withdraw {
+                call: call.into(),
+                reply: http_response(200, &[], b"", false),
+            };
+        }
+        if request.method != "POST" {
+            return reject(405, "statements are posted");
+        }
+        match fields::parse_statement(request, class, &self.classes, &self.tenants) {
+            Ok(request) => FrontendAction::Accept(request, Box::new(JsonWriter::default())),
+            Err(error) => reject(400, &error.to_string()),
+        }
+    }
+}
+
+fn reject(status: u16, message: &str) -> FrontendAction {
+    tracing::debug!(status, "not taken: {message}");
+    FrontendAction::RejectBadRequest(json_error(status, message))
+}
--- a/crates/coordinator/src/node/clients/requests.rs
+++ b/crates/coordinator/src/node/clients/requests.rs
@@ -1,158 +1,149 @@
-//! Requests as they are read off a client's connection: taken in, answered at once, or withdrawn.
+//! Requests as they come off a client's connection: accepted, answered at once, or withdrawn.
 
-use super::BAD_PAUSE;
-use crate::frontends::{Intake, KillRequest};
+use super::connection::OpenRequest;
+use crate::frontends::{FrontendAction, ResponseWriter};
 use crate::node::{ConnectionId, Node};
-use driftfront_core::{Micros, Phase};
-use driftfront_http::response;
+use driftfront_core::{Micros, ParsedRequest, RequestId};
+use driftfront_http::{response, Request};
+
+/// After a reply to what could not be accepted the connection's next request waits this long: who sends the same again at once
+/// would take the others' share of the processor.
+const PAUSE_AFTER_BAD_REQUEST: Micros = 100_000;
 
 impl Node {
-    /// Takes the next request off the reader, if none is open; true if one was there. `ended`: its client has ended its side,
+    /// Takes the next request off a connection, if none is open; true if one was there. `has_ended`: its client has ended its side,
     /// and nothing that is still read is wanted any more.
-    pub(super) fn next_request(&mut self, now: Micros, id: ConnectionId, ended: bool) -> bool {
-        let Some(client) = self.clients.connections.get_mut(&id) else {
+    pub(super) fn next_request(&mut self, now: Micros, id: ConnectionId, has_ended: bool) -> bool {
+        let client = self.clients.connections.get_mut(&id);
+        let Some(client) = client.filter(|c| c.can_take_request(now)) else {
             return false;
         };
-        let idle = client.reader.held() == 0 || now < client.pause_until;
-        if client.current.is_some() || client.close || idle {
-            return false;
-        }
-        let request = match client.reader.next_request() {
-            Ok(Some(request)) => request,
+        match client.reader.next_request() {
+            Ok(Some(request)) => self.handle_request(now, id, request, has_ended),
             Ok(None) => {
-                if client.reader.expects_continue() && !client.continued {
-                    client.continued = true;
-                    client.link.push(b"HTTP/1.1 100 Continue\r\n\r\n");
-                    let _ = client.link.flush();
+                if client.reader.expects_continue() && !client.has_sent_continue {
+                    client.has_sent_continue = true;
+                    client.stream.push(b"HTTP/1.1 100 Continue\r\n\r\n");
+                    let _ = client.stream.flush();
                 }
                 return false;
             }
-            Err(fault) => {
-                self.client_fault(now, id, fault);
-                return true;
-            }
+            Err(error) => self.client_fault(now, id, error),
+        }
+        true
+    }
+
+    fn handle_request(&mut self, now: Micros, id: ConnectionId, request: Request, has_ended: bool) {
+        let Some(client) = self.clients.connections.get_mut(&id) else {
+            return;
         };
         // Behind unread bytes an end of the client's would come to light only once it is served.
-        let gone = ended || client.more && client.link.peer_has_ended();
-        client.continued = false;
-        client.close = request.close;
-        (client.used, client.begun, client.fresh) = (now, now, false);
-        let (kept, has_more_body) = (std::mem::take(&mut client.kept), request.has_more_body);
-        let intake = self.frontend.parse_request(request, now, kept);
-        // Where it is not taken the rest of its body would be read as the next request.
-        client.close |= has_more_body && !matches!(intake, Intake::Take(..));
-        match intake {
-            Intake::Reply(bytes) => self.reply(now, id, &bytes),
-            Intake::Bad(bytes) => {
-                client.pause_until = now + BAD_PAUSE;
+        let has_left = has_ended || client.has_more && client.stream.peer_has_ended();
+        client.has_sent_continue = false;
+        client.must_close = request.close;
+        (client.last_used, client.begun_at, client.is_fresh) = (now, now, false);
+        let reserved_bytes = std::mem::take(&mut client.reserved_bytes);
+        let has_more_body = request.has_more_body;
+        let action = self.frontend.parse_request(request, now, reserved_bytes);
+        // Where it is not accepted the rest of its body would be read as the next request.
+        client.must_close |= has_more_body && !matches!(action, FrontendAction::Accept(..));
+        match action {
+            FrontendAction::Reply(bytes) => self.reply(now, id, &bytes),
+            FrontendAction::RejectBadRequest(bytes) => {
+                client.paused_until = now + PAUSE_AFTER_BAD_REQUEST;
                 self.reply(now, id, &bytes);
             }
-            Intake::Ready(yes, no) => {
-                let ready = self.is_ready();
-                self.reply(now, id, if ready { &yes } else { &no });
+            FrontendAction::ReportReadiness { ready, not_ready } => {
+                let bytes = if self.is_ready() { &ready } else { &not_ready };
+                self.reply(now, id, bytes);
             }
-            Intake::Kill(kill) => self.kill(now, id, *kill),
-            Intake::Withdraw(call, bytes) => {
+            FrontendAction::ReportCounters => self.reply_with_counters(now, id),
+            FrontendAction::Kill(kill) => self.kill_queries(now, id, *kill),
+            FrontendAction::Withdraw { call, reply } => {
                 let known = self.withdraw(now, &call);
                 tracing::debug!(conn = id, %call, known, "withdrawn");
-                self.reply(now, id, &bytes);
+                self.reply(now, id, &reply);
             }
-            Intake::Counters => {
-                let text = self.counters();
-                let head = [("Content-Type", "text/plain; charset=utf-8")];
-                self.reply(now, id, &response(200, &head, text.as_bytes(), false));
-            }
-            Intake::Take(ask, writer) => {
-                let twin = if self.core.is_open(&ask.call) {
-                    self.frontend.duplicate_id_response(now, &ask)
-                } else {
-                    None
-                };
-                if let Some(bytes) = twin {
-                    if let Some(client) = self.clients.connections.get_mut(&id) {
-                        client.close |= has_more_body;
-                    }
-                    self.reply(now, id, &bytes);
-                    return true;
-                }
-                if gone {
-                    // It left before it was read: a waiting place is all that it had.
-                    tracing::debug!(conn = id, call = %ask.call, "client left before its request was read");
-                    self.core.accept_disconnected_request(now, ask);
-                    self.execute_commands();
-                    return true;
+            FrontendAction::Accept(request, writer) => {
+                if self.replied_to_duplicate(now, id, &request, has_more_body) {
+                    return;
                 }
-                // Asked with the clock as it is: the process may have stood still since this turn began.
-                let taken_at = self.clock();
-                if !self.lifecycle.takes(taken_at) {
-                    self.core.begin_shutdown();
+                if has_left {
+                    return self.accept_disconnected(now, id, request);
                 }
-                let (call, class, budget) = (ask.call.clone(), ask.class, ask.budget);
-                let request = self.core.accept_request(now, ask);
-                tracing::debug!(request = request.0, conn = id, %call, class, budget, "taken");
-                self.clients.requesters.insert(request, (id, class, now));
-                if let Some(client) = self.clients.connections.get_mut(&id) {
-                    client.current = Some((request, writer));
-                }
-                self.execute_commands();
+                self.accept(now, id, request, writer);
             }
         }
-        true
     }
 
-    /// Ends queries by their names: none gets a further attempt, and each engine that runs one, or may, is told.
-    fn kill(&mut self, now: Micros, id: ConnectionId, kill: KillRequest) {
-        let mut runs = Vec::new();
-        let mut known = false;
-        for name in &kill.names {
-            runs.extend(self.core.running_queries(now, name));
-            known |= self.core.is_open(name);
-        }
-        // The one whose answer is awaited speaks for the others.
-        runs.sort_by_key(|run| !run.awaited);
-        let mut sent = Vec::new();
-        for run in &runs {
-            if self.core.engine_phase(run.engine) != Some(Phase::Ready) {
-                continue;
-            }
-            let request = self
-                .core
-                .accept_request(now, (kill.for_engine)(run.engine, &run.name));
-            tracing::debug!(
-                request = request.0,
-                conn = id,
-                engine = run.engine.0,
-                "a kill, taken"
-            );
-            sent.push(request);
+    fn reply_with_counters(&mut self, now: Micros, id: ConnectionId) {
+        let text = self.counters();
+        let headers = [("Content-Type", "text/plain; charset=utf-8")];
+        self.reply(now, id, &response(200, &headers, text.as_bytes(), false));
+    }
+
+    /// Answers a request whose id an open one has, where the frontend wants that; true if it was answered.
+    fn replied_to_duplicate(
+        &mut self,
+        now: Micros,
+        id: ConnectionId,
+        request: &ParsedRequest,
+        has_more_body: bool,
+    ) -> bool {
+        if !self.core.is_open(&request.call) {
+            return false;
         }
-        if !kill.test {
-            for name in &kill.names {
-                self.core.cancel_request(now, name, &kill.words);
-            }
+        let Some(bytes) = self.frontend.duplicate_id_response(now, request) else {
+            return false;
+        };
+        if let Some(client) = self.clients.connections.get_mut(&id) {
+            client.must_close |= has_more_body;
         }
-        tracing::info!(
-            names = kill.names.len(),
-            known,
-            engines = sent.len(),
-            "queries are to be ended"
-        );
-        match sent.first() {
-            None => self.reply(now, id, &kill.none),
-            Some(&first) => {
-                self.clients.requesters.insert(
-                    first,
-                    (
-                        id,
-                        self.core.accepted(first).map_or(0, |t| t.ask.class),
-                        now,
-                    ),
-                );
-                if let Some(client) = self.clients.connections.get_mut(&id) {
-                    client.current = Some((first, kill.writer));
-                }
-            }
+        self.reply(now, id, &bytes);
+        true
+    }
+
+    /// Accepts a request whose client left before it was read: a waiting place is all that it had.
+    fn accept_disconnected(&mut self, now: Micros, id: ConnectionId, request: ParsedRequest) {
+        tracing::debug!(conn = id, call = %request.call, "client left before its request was read");
+        self.core.accept_disconnected_request(now, request);
+        self.execute_commands();
+    }
+
+    fn accept(
+        &mut self,
+        now: Micros,
+        id: ConnectionId,
+        request: ParsedRequest,
+        writer: Box<dyn ResponseWriter>,
+    ) {
+        // Asked with the clock as it is: the process may have stood still since this turn began.
+        let accepted_at = self.clock();
+        if !self.lifecycle.takes(accepted_at) {
+            self.core.begin_shutdown();
         }
+        let (call, class, budget) = (request.call.clone(), request.class, request.budget);
+        let request = self.core.accept_request(now, request);
+        tracing::debug!(request = request.0, conn = id, %call, class, budget, "taken");
+        self.await_response(now, id, request, class, writer);
         self.execute_commands();
     }
+
+    /// From now on a connection waits for a request's response.
+    pub(super) fn await_response(
+        &mut self,
+        now: Micros,
+        id: ConnectionId,
+        request: RequestId,
+        class: u16,
+        writer: Box<dyn ResponseWriter>,
+    ) {
+        self.clients.requesters.insert(request, (id, class, now));
+        if let Some(client) = self.clients.connections.get_mut(&id) {
+            client.open = Some(OpenRequest {
+                id: request,
+                writer,
+            });
+        }
+    }
 }
--- a/crates/coordinator/src/node/engines/upload.rs
+++ b/crates/coordinator/src/node/engines/upload.rs
@@ -18,10 +18,10 @@
         if self.ends_with_answered_upload(now, id) {
             return false;
         }
-        match self.more_body(now, key.request) {
+        match self.read_body(now, key.request) {
             BodyChunk::WouldBlock => false,
             BodyChunk::Broken => {
-                self.body_broken(now, key.request);
+                self.abandon_broken_upload(now, key.request);
                 false
             }
             BodyChunk::More(bytes) => {
--- a/crates/coordinator/src/node/engines/write.rs
+++ b/crates/coordinator/src/node/engines/write.rs
@@ -57,7 +57,7 @@
             .get(&id)
             .and_then(|c| c.queue.front());
         if let Some(&QueuedWrite::Attempt { key, .. }) = next {
-            self.look_for_client(now, key.request);
+            self.check_requester(now, key.request);
         }
         let conn = self.engines.connections.get_mut(&id);
         match conn.and_then(|c| c.queue.pop_front()) {
--- a/crates/coordinator/tests/golden_frontends.rs
+++ b/crates/coordinator/tests/golden_frontends.rs
@@ -5,7 +5,9 @@
 use common::lines::Site;
 use driftfront::frontends::clickhouse::{ClassRules, ClickHouse};
 use driftfront::frontends::platform::Platform;
-use driftfront::frontends::{ConnectionAction, Frontend, Intake, QueryClasses, ResponseWriter};
+use driftfront::frontends::{
+    ConnectionAction, Frontend, FrontendAction, QueryClasses, ResponseWriter,
+};
 use driftfront_core::{EngineId, ParsedRequest, RequestFate, ResponseChunk};
 use driftfront_http::{HttpError, Request};
 use driftfront_test_support::assert_golden;
@@ -67,25 +69,30 @@
     request: Request,
 ) -> Option<Box<dyn ResponseWriter>> {
     match front.parse_request(request, 1_000_000, 0) {
-        Intake::Reply(bytes) => wire.record(&format!("{name}: reply"), bytes),
-        Intake::Bad(bytes) => wire.record(&format!("{name}: bad"), bytes),
-        Intake::Ready(yes, no) => {
-            wire.record(&format!("{name}: ready"), yes);
-            wire.record(&format!("{name}: not ready"), no);
+        FrontendAction::Reply(bytes) => wire.record(&format!("{name}: reply"), bytes),
+        FrontendAction::RejectBadRequest(bytes) => wire.record(&format!("{name}: bad"), bytes),
+        FrontendAction::ReportReadiness { ready, not_ready } => {
+            wire.record(&format!("{name}: ready"), ready);
+            wire.record(&format!("{name}: not ready"), not_ready);
         }
-        Intake::Counters => wire.record(&format!("{name}: counters"), ""),
-        Intake::Withdraw(call, bytes) => wire.record(&format!("{name}: withdraw {call}"), bytes),
-        Intake::Take(ask, writer) => {
+        FrontendAction::ReportCounters => wire.record(&format!("{name}: counters"), ""),
+        FrontendAction::Withdraw { call, reply } => {
+            wire.record(&format!("{name}: withdraw {call}"), reply)
+        }
+        FrontendAction::Accept(ask, writer) => {
             wire.record(&format!("{name}: taken"), shown_ask(&ask));
             return Some(writer);
         }
-        Intake::Kill(kill) => {
+        FrontendAction::Kill(kill) => {
             wire.record(
                 &format!("{name}: kill"),
-                format!("{:?} test {} told {}", kill.names, kill.test, kill.words),
+                format!(
+                    "{:?} test {} told {}",
+                    kill.names, kill.is_test, kill.message
+                ),
             );
-            wire.record("answer where none runs", &kill.none);
-            let ask = (kill.for_engine)(EngineId(3), "it's\\");
+            wire.record("answer where none runs", &kill.none_running);
+            let ask = (kill.request_for)(EngineId(3), "it's\\");
             wire.record("to an engine", shown_ask(&ask));
             return Some(kill.writer);
         }
