--- a/crates/coordinator/src/node/clients/closing.rs
+++ b/crates/coordinator/src/node/clients/closing.rs
@@ -7,7 +7,7 @@
 use super::connection::{Client, Expired};
 use crate::net::ReadOutcome;
 use crate::node::{ConnectionId, Node};
-use crate::service::RequestOutcome;
+use crate::service_window::RequestOutcome;
 use driftfront_core::{Micros, RequestId};
 use driftfront_http::response;
 use driftfront_scheduler::interface::Idempotency;
