--- /dev/null
+++ b/crates/http/src/header.rs
@@ -0,0 +1,30 @@
+//! Header fields.
+
+/// A header field's name and value.
+pub type Header = (String, String);
+
+/// Finds a header field's value; names are not case sensitive.
+pub fn header<'a>(headers: &'a [Header], name: &str) -> Option<&'a str> {
+    headers
+        .iter()
+        .find(|h| h.0.eq_ignore_ascii_case(name))
+        .map(|h| h.1.as_str())
+}
+
+/// Copies parsed fields; white space round values goes, and what is not UTF-8 is replaced.
+pub(crate) fn to_owned(headers: &[httparse::Header]) -> Vec<Header> {
+    let text = |value: &[u8]| String::from_utf8_lossy(value).trim().to_string();
+    headers
+        .iter()
+        .map(|h| (h.name.to_string(), text(h.value)))
+        .collect()
+}
+
+/// Whether the sender closes the connection after the message; `version` is the minor one.
+pub(crate) fn closes_connection(version: Option<u8>, headers: &[Header]) -> bool {
+    match header(headers, "connection") {
+        Some(value) if value.eq_ignore_ascii_case("close") => true,
+        Some(value) if value.eq_ignore_ascii_case("keep-alive") => false,
+        _ => version == Some(0),
+    }
+}
