--- a/crates/coordinator/src/net/buffered_stream.rs
+++ b/crates/coordinator/src/net/buffered_stream.rs
@@ -18,22 +18,35 @@
     Closed,
 }
 
+/// Bytes of one system call's read.
+const SCRATCH_BYTES: usize = 64 * 1024;
+/// Bytes that were written are held in front of those that wait up to this many.
+const MAX_WRITTEN_BYTES_HELD: usize = 32 * 1024;
+/// An emptied output buffer larger than this is given back: one large response must not keep its memory for the connection's life.
+const MAX_RETAINED_BYTES: usize = 64 * 1024;
+/// "Too many open files in system": the system is out of descriptors.
+const ENFILE: i32 = 23;
+/// "Too many open files": the process is out of descriptors.
+const EMFILE: i32 = 24;
+/// "Operation now in progress", which std has no name for on the stable channel.
+const EINPROGRESS: i32 = 115;
+
 thread_local! {
-    static SCRATCH: RefCell<Vec<u8>> = RefCell::new(vec![0; 64 * 1024]);
+    /// One buffer for all reads: a fresh one would be cleared for each.
+    static SCRATCH: RefCell<Vec<u8>> = RefCell::new(vec![0; SCRATCH_BYTES]);
 }
 
-/// Bytes that were written are held in front of those that wait up to this many.
-const TAKEN_MOST: usize = 32 * 1024;
-
-/// A connection's bytes.
+/// A non-blocking TCP connection with an output buffer.
 pub struct BufferedStream {
     stream: Rc<TcpStream>,
     out: Vec<u8>,
+    /// Bytes at the front of `out` that were written.
     start: usize,
-    /// Bytes ever put into the buffer, and ever taken by the system.
+    /// Bytes ever put into the buffer.
     queued: u64,
+    /// Bytes ever taken by the system.
     written: u64,
-    /// An error that came behind bytes that were read: told by the next read.
+    /// An error that came behind bytes that were read: returned by the next read.
     read_error: Option<io::Error>,
 }
 
@@ -55,7 +68,11 @@
         self.stream.clone()
     }
 
-    /// Whether a connect that was begun has come up; an error if it failed.
+    /// Whether a connect that was begun has come up.
+    ///
+    /// # Errors
+    ///
+    /// The connect's, if it failed.
     pub fn poll_connected(&self) -> io::Result<bool> {
         if let Some(e) = self.stream.take_error()? {
             return Err(e);
@@ -70,46 +87,45 @@
     /// Whether the peer has ended its side, or all of the connection, behind bytes that are not read yet. A system that can't
     /// tell says no: then it shows when those bytes are read.
     pub fn peer_has_ended(&self) -> bool {
-        let over = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
-        let mut fds = [PollFd::new(&*self.stream, over)];
-        let asked = poll(
-            &mut fds,
-            Some(&Timespec {
-                tv_sec: 0,
-                tv_nsec: 0,
-            }),
-        );
-        asked.is_ok() && fds[0].revents().intersects(over)
+        let ends = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
+        let at_once = Timespec {
+            tv_sec: 0,
+            tv_nsec: 0,
+        };
+        let mut fds = [PollFd::new(&*self.stream, ends)];
+        poll(&mut fds, Some(&at_once)).is_ok() && fds[0].revents().intersects(ends)
     }
 
-    /// Reads up to `most` bytes onto `into`. An error comes by itself: bytes that came before it, maybe a whole answer, are
-    /// given first.
-    pub fn read(&mut self, into: &mut Vec<u8>, most: usize) -> io::Result<ReadOutcome> {
-        // One buffer for all: a fresh one would be cleared for each read.
-        SCRATCH.with_borrow_mut(|chunk| self.read_by(chunk, into, most))
+    /// Appends up to `max_bytes` received bytes to `into`.
+    ///
+    /// # Errors
+    ///
+    /// The connection's. An error comes by itself: bytes that came before it, maybe a whole response, are given first.
+    pub fn read(&mut self, into: &mut Vec<u8>, max_bytes: usize) -> io::Result<ReadOutcome> {
+        SCRATCH.with_borrow_mut(|scratch| self.read_through(scratch, into, max_bytes))
     }
 
-    fn read_by(
+    fn read_through(
         &mut self,
-        chunk: &mut [u8],
+        scratch: &mut [u8],
         into: &mut Vec<u8>,
-        most: usize,
+        max_bytes: usize,
     ) -> io::Result<ReadOutcome> {
         if let Some(error) = self.read_error.take() {
             return Err(error);
         }
-        let mut left = most;
-        while left > 0 {
-            let room = left.min(chunk.len());
-            match (&*self.stream).read(&mut chunk[..room]) {
+        let mut remaining = max_bytes;
+        while remaining > 0 {
+            let room = remaining.min(scratch.len());
+            match (&*self.stream).read(&mut scratch[..room]) {
                 Ok(0) => return Ok(ReadOutcome::Closed),
                 Ok(n) => {
-                    into.extend_from_slice(&chunk[..n]);
-                    left -= n;
+                    into.extend_from_slice(&scratch[..n]);
+                    remaining -= n;
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return Ok(ReadOutcome::WouldBlock),
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                Err(e) if left < most => {
+                Err(e) if remaining < max_bytes => {
                     self.read_error = Some(e);
                     return Ok(ReadOutcome::LimitReached);
                 }
@@ -122,7 +138,7 @@
     /// Puts bytes behind what waits to be written.
     pub fn push(&mut self, bytes: &[u8]) {
         // What a slow peer has taken gives its memory back, though something always waits.
-        if self.start > TAKEN_MOST {
+        if self.start > MAX_WRITTEN_BYTES_HELD {
             self.out.drain(..self.start);
             self.start = 0;
         }
@@ -131,6 +147,10 @@
     }
 
     /// Writes what the system takes; true if nothing is left.
+    ///
+    /// # Errors
+    ///
+    /// The connection's.
     pub fn flush(&mut self) -> io::Result<bool> {
         while self.start < self.out.len() {
             match (&*self.stream).write(&self.out[self.start..]) {
@@ -146,8 +166,7 @@
         }
         self.start = 0;
         self.out.clear();
-        // One large answer must not keep its memory for the connection's life.
-        if self.out.capacity() > 64 * 1024 {
+        if self.out.capacity() > MAX_RETAINED_BYTES {
             self.out = Vec::new();
         }
         Ok(true)
@@ -169,20 +188,23 @@
     }
 }
 
-/// Whether an error says that the process (EMFILE, 24) or the system (ENFILE, 23) is out of descriptors.
+/// Whether an error says that the process or the system is out of descriptors.
 pub fn is_out_of_descriptors(e: &io::Error) -> bool {
-    matches!(e.raw_os_error(), Some(23 | 24))
+    matches!(e.raw_os_error(), Some(ENFILE | EMFILE))
 }
 
 /// Begins a connect; it comes up, or fails, later.
+///
+/// # Errors
+///
+/// Where it can't even be begun, as for want of descriptors.
 pub fn connect(addr: SocketAddr) -> io::Result<Rc<TcpStream>> {
     let socket = Socket::new(Domain::for_address(addr), Type::STREAM, Some(Protocol::TCP))?;
     socket.set_nonblocking(true)?;
     socket.set_tcp_nodelay(true)?;
     match socket.connect(&addr.into()) {
         Ok(()) => {}
-        // 115 is EINPROGRESS, which std has no name for on this tool chain's stable channel.
-        Err(e) if e.raw_os_error() == Some(115) || e.kind() == ErrorKind::WouldBlock => {}
+        Err(e) if e.raw_os_error() == Some(EINPROGRESS) || e.kind() == ErrorKind::WouldBlock => {}
         Err(e) => return Err(e),
     }
     Ok(Rc::new(socket.into()))
--- a/crates/coordinator/src/node/clients/requests.rs
+++ b/crates/coordinator/src/node/clients/requests.rs
@@ -19,7 +19,7 @@
             return false;
         };
         match client.reader.next_request() {
-            Ok(Some(request)) => self.handle_request(now, id, request, has_ended),
+            Ok(Some(request)) => self.handle_client_request(now, id, request, has_ended),
             Ok(None) => {
                 if client.reader.expects_continue() && !client.has_sent_continue {
                     client.has_sent_continue = true;
@@ -33,7 +33,13 @@
         true
     }
 
-    fn handle_request(&mut self, now: Micros, id: ConnectionId, request: Request, has_ended: bool) {
+    fn handle_client_request(
+        &mut self,
+        now: Micros,
+        id: ConnectionId,
+        request: Request,
+        has_ended: bool,
+    ) {
         let Some(client) = self.clients.connections.get_mut(&id) else {
             return;
         };
--- a/crates/coordinator/src/node/engines/connection.rs
+++ b/crates/coordinator/src/node/engines/connection.rs
@@ -2,7 +2,7 @@
 
 use super::liveness::{LIVENESS_PROBE_INTERVAL, LIVENESS_PROBE_TAG};
 use crate::backends::EngineSession;
-use crate::net::silence::{is_overdue, PROBE_LATE};
+use crate::net::silence::{is_overdue, PROBE_OVERDUE_AFTER};
 use crate::net::BufferedStream;
 use crate::node::ConnectionId;
 use calloop::RegistrationToken;
@@ -138,7 +138,7 @@
         }
         let heard = self.silent_since.max(engine_heard);
         if self.session.needs_liveness_probes() {
-            return now > heard + LIVENESS_PROBE_INTERVAL + PROBE_LATE;
+            return now > heard + LIVENESS_PROBE_INTERVAL + PROBE_OVERDUE_AFTER;
         }
         let report_interval = report_interval.filter(|_| self.session.reports_progress());
         is_overdue(
--- a/crates/coordinator/src/node/engines/liveness.rs
+++ b/crates/coordinator/src/node/engines/liveness.rs
@@ -1,7 +1,7 @@
 //! When an engine was last heard, when it should have been, and probes where nothing else shows that it lives.
 
 use super::connection::{EngineConnection, QueuedWrite};
-use crate::net::silence::{note_patience, NOTE_LATE};
+use crate::net::silence::{tolerated_interval, REPORT_OVERDUE_AFTER};
 use crate::node::{ConnectionId, Node};
 use driftfront_core::{EngineId, Micros};
 use std::collections::BTreeMap;
@@ -40,9 +40,10 @@
             .filter(|c| c.zone == zone && c.engine != engine)
             .map(|c| c.last_read)
             .max();
-        let is_zone_heard = zone_heard_at.is_some_and(|at| now < at + interval + NOTE_LATE);
+        let is_zone_heard =
+            zone_heard_at.is_some_and(|at| now < at + interval + REPORT_OVERDUE_AFTER);
         let load = connections().map(EngineConnection::load).sum();
-        Some(note_patience(interval, load, is_zone_heard))
+        Some(tolerated_interval(interval, load, is_zone_heard))
     }
 
     /// Probes engines that have said nothing for a while and report nothing by themselves: one that answers lives, however long
--- a/crates/coordinator/tests/silence.rs
+++ b/crates/coordinator/tests/silence.rs
@@ -1,13 +1,13 @@
 //! When an engine that says nothing counts as silent.
 
-use driftfront::net::silence::{is_overdue, note_patience};
+use driftfront::net::silence::{is_overdue, tolerated_interval};
 
 #[test]
 fn one_query_without_word_is_not_taken_back_from_an_engine_whose_zone_is_heard() {
     let overdue = |out, zone| {
         is_overdue(
             2_000_000,
-            Some(note_patience(1_000_000, out, zone)),
+            Some(tolerated_interval(1_000_000, out, zone)),
             0,
             false,
         )
