--- a/crates/clickhouse/src/block.rs
+++ b/crates/clickhouse/src/block.rs
@@ -4,14 +4,14 @@
 //! from that byte on and the size of what it holds, both `u32` little endian; then the data. Source: the published
 //! description of the native protocol's compression.
 
-use crate::coding::{Tail, TAIL};
+use crate::coding::{Tail, TAIL_BYTES};
 use crate::exception::MAX_TEXT_BYTES;
 use std::collections::VecDeque;
 use std::fmt;
 
 /// Bytes of checksum, and of the head that it covers.
-const CHECKSUM: usize = 16;
-const HEAD: usize = 9;
+const CHECKSUM_BYTES: usize = 16;
+const HEAD_BYTES: usize = 9;
 /// Largest frame, packed or not: servers make frames of 1 MiB at most, and 1 GiB is their own limit on reading.
 pub const MAX_FRAME_BYTES: usize = 16 * 1024 * 1024;
 
@@ -64,7 +64,7 @@
 
 impl std::error::Error for FrameError {}
 
-fn checksum(bytes: &[u8]) -> [u8; CHECKSUM] {
+fn checksum(bytes: &[u8]) -> [u8; CHECKSUM_BYTES] {
     cityhash_rs::cityhash_102_128(bytes)
         .rotate_right(64)
         .to_le_bytes()
@@ -76,13 +76,13 @@
 
 /// The whole size of the frame that these bytes begin, once its head is there.
 fn size(bytes: &[u8]) -> Result<Option<usize>, FrameError> {
-    let Some(head) = bytes.get(CHECKSUM..CHECKSUM + HEAD) else {
+    let Some(head) = bytes.get(CHECKSUM_BYTES..CHECKSUM_BYTES + HEAD_BYTES) else {
         return Ok(None);
     };
     let (packed, plain) = (u32_at(head, 1), u32_at(head, 5));
-    let fits = (HEAD..=MAX_FRAME_BYTES).contains(&packed) && plain <= MAX_FRAME_BYTES;
+    let fits = (HEAD_BYTES..=MAX_FRAME_BYTES).contains(&packed) && plain <= MAX_FRAME_BYTES;
     match Method::of(head[0]) {
-        Some(_) if fits => Ok(Some(CHECKSUM + packed)),
+        Some(_) if fits => Ok(Some(CHECKSUM_BYTES + packed)),
         _ => Err(FrameError::NoFrame),
     }
 }
@@ -109,7 +109,7 @@
 /// Checks a whole frame's checksum.
 fn check(frame: &[u8]) -> Result<(), FrameError> {
     let (told, rest) = frame
-        .split_at_checked(CHECKSUM)
+        .split_at_checked(CHECKSUM_BYTES)
         .ok_or(FrameError::NoFrame)?;
     if told == checksum(rest) {
         Ok(())
@@ -122,9 +122,9 @@
 pub fn unpack(frame: &[u8]) -> Result<Vec<u8>, FrameError> {
     check(frame)?;
     let head = frame
-        .get(CHECKSUM..CHECKSUM + HEAD)
+        .get(CHECKSUM_BYTES..CHECKSUM_BYTES + HEAD_BYTES)
         .ok_or(FrameError::NoFrame)?;
-    let (plain, data) = (u32_at(head, 5), &frame[CHECKSUM + HEAD..]);
+    let (plain, data) = (u32_at(head, 5), &frame[CHECKSUM_BYTES + HEAD_BYTES..]);
     if plain > MAX_FRAME_BYTES {
         return Err(FrameError::NoFrame);
     }
@@ -147,18 +147,18 @@
         Method::Lz4 => lz4_flex::block::compress(data),
         Method::Zstd => zstd::bulk::compress(data, 1).unwrap_or_default(),
     };
-    let mut frame = vec![0; CHECKSUM];
+    let mut frame = vec![0; CHECKSUM_BYTES];
     frame.push(method.byte());
-    frame.extend(((packed.len() + HEAD) as u32).to_le_bytes());
+    frame.extend(((packed.len() + HEAD_BYTES) as u32).to_le_bytes());
     frame.extend((data.len() as u32).to_le_bytes());
     frame.extend(packed);
-    let sum = checksum(&frame[CHECKSUM..]);
-    frame[..CHECKSUM].copy_from_slice(&sum);
+    let sum = checksum(&frame[CHECKSUM_BYTES..]);
+    frame[..CHECKSUM_BYTES].copy_from_slice(&sum);
     frame
 }
 
 /// Follows a stream of frames as its bytes come, in whatever pieces: each frame is checked once it is whole. Held are
-/// the one that comes and, of those before, as many as hold the last [`TAIL`] bytes between them.
+/// the one that comes and, of those before, as many as hold the last [`TAIL_BYTES`] bytes between them.
 #[derive(Default)]
 pub struct Frames {
     /// The frame that is coming.
@@ -170,13 +170,13 @@
 }
 
 /// Most frames held for their last bytes: servers that flush after each few bytes make small ones.
-const LAST_MOST: usize = 64;
+const MAX_LAST_FRAMES: usize = 64;
 
 impl Frames {
     /// Takes bytes. An error is for good: what stands behind a bad frame can't be told apart any more.
     pub fn push(&mut self, mut bytes: &[u8]) -> Result<(), FrameError> {
         while !bytes.is_empty() {
-            let wanted = size(&self.frame)?.unwrap_or(CHECKSUM + HEAD);
+            let wanted = size(&self.frame)?.unwrap_or(CHECKSUM_BYTES + HEAD_BYTES);
             debug_assert!(wanted > self.frame.len());
             let n = bytes.len().min(wanted - self.frame.len());
             self.frame.extend_from_slice(&bytes[..n]);
@@ -197,14 +197,14 @@
 
     /// The frame is whole: it joins the last ones, and those are let go that the last bytes don't reach.
     fn keep(&mut self) {
-        let plain = u32_at(&self.frame, CHECKSUM + 5);
+        let plain = u32_at(&self.frame, CHECKSUM_BYTES + 5);
         let mut behind = plain;
         let reach = self.last.iter().rev().take_while(|(size, _)| {
-            let reached = behind < TAIL;
+            let reached = behind < TAIL_BYTES;
             behind += size;
             reached
         });
-        let reach = reach.count().min(LAST_MOST - 1);
+        let reach = reach.count().min(MAX_LAST_FRAMES - 1);
         let mut buffer = Vec::new();
         while self.last.len() > reach {
             // Its memory serves the next frame.
@@ -283,7 +283,7 @@
     #[test]
     fn frames_that_the_last_bytes_do_not_reach_are_let_go() {
         let (large, small) = (
-            pack(Method::Lz4, &[b'x'; 3 * TAIL]),
+            pack(Method::Lz4, &[b'x'; 3 * TAIL_BYTES]),
             pack(Method::None, b"y"),
         );
         let mut frames = Frames::default();
@@ -294,7 +294,7 @@
         for _ in 0..1000 {
             frames.push(&small).expect("well formed");
         }
-        assert_eq!(frames.last.len(), LAST_MOST);
+        assert_eq!(frames.last.len(), MAX_LAST_FRAMES);
         frames
             .push(&large)
             .and_then(|()| frames.push(&small))
--- a/crates/clickhouse/src/coding.rs
+++ b/crates/clickhouse/src/coding.rs
@@ -25,7 +25,7 @@
     (Coding::Lz4, "lz4"),
 ];
 /// Largest window that is followed, as a power of two: what holds more memory for one result is turned away.
-const WINDOW_LOG_MOST: u32 = 23;
+const MAX_WINDOW_LOG: u32 = 23;
 
 impl Coding {
     /// By the name in a header; `None` for `identity` and for none that is known.
@@ -114,7 +114,7 @@
             Coding::Brotli => Kind::Brotli(Box::new(brotli::DecompressorWriter::new(to, 4096))),
             Coding::Zstd => {
                 let mut decoder = zstd::stream::write::Decoder::new(to)?;
-                decoder.window_log_max(WINDOW_LOG_MOST)?;
+                decoder.window_log_max(MAX_WINDOW_LOG)?;
                 Kind::Zstd(Box::new(decoder))
             }
             Coding::Lz4 => Kind::Lz4(Lz4::new(to)),
@@ -178,7 +178,7 @@
 }
 
 const LZ4_MAGIC: [u8; 4] = [0x04, 0x22, 0x4d, 0x18];
-const LZ4_WINDOW: usize = 64 * 1024;
+const LZ4_WINDOW_BYTES: usize = 64 * 1024;
 
 impl<W: Write> Lz4<W> {
     fn new(to: W) -> Lz4<W> {
@@ -281,7 +281,7 @@
                 self.to.write_all(out)?;
                 if self.linked {
                     self.window.extend_from_slice(out);
-                    let over = self.window.len().saturating_sub(LZ4_WINDOW);
+                    let over = self.window.len().saturating_sub(LZ4_WINDOW_BYTES);
                     self.window.drain(..over);
                 }
                 self.state = Lz4State::Size;
@@ -312,21 +312,21 @@
 }
 
 /// Bytes that a [`Tail`] holds at least, once so many were written.
-pub const TAIL: usize = crate::exception::MAX_TEXT_BYTES + 2 * 1024;
+pub const TAIL_BYTES: usize = crate::exception::MAX_TEXT_BYTES + 2 * 1024;
 
 impl Tail {
     /// The last bytes.
     pub fn bytes(&self) -> &[u8] {
-        &self.bytes[self.bytes.len().saturating_sub(TAIL)..]
+        &self.bytes[self.bytes.len().saturating_sub(TAIL_BYTES)..]
     }
 
     /// Takes bytes behind the others.
     pub fn push(&mut self, bytes: &[u8]) {
         self.total += bytes.len() as u64;
-        let bytes = &bytes[bytes.len().saturating_sub(TAIL)..];
+        let bytes = &bytes[bytes.len().saturating_sub(TAIL_BYTES)..];
         // Moved only now and then, so that small writes stay cheap.
-        if self.bytes.len() + bytes.len() > 2 * TAIL {
-            let keep = TAIL.saturating_sub(bytes.len()).min(self.bytes.len());
+        if self.bytes.len() + bytes.len() > 2 * TAIL_BYTES {
+            let keep = TAIL_BYTES.saturating_sub(bytes.len()).min(self.bytes.len());
             self.bytes.drain(..self.bytes.len() - keep);
         }
         self.bytes.extend_from_slice(bytes);
@@ -372,77 +372,3 @@
     let _ = unpacker.may_end();
     unpacker.get_ref().0.clone()
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    const ALL: [Coding; 5] = [
-        Coding::Gzip,
-        Coding::Deflate,
-        Coding::Brotli,
-        Coding::Zstd,
-        Coding::Lz4,
-    ];
-
-    fn text() -> Vec<u8> {
-        (0..40_000)
-            .flat_map(|n| format!("{n}\talumni of {}\n", n * 7919 % 1000).into_bytes())
-            .collect()
-    }
-
-    #[test]
-    fn every_coding_is_followed_in_any_pieces_and_its_end_is_known() {
-        let plain = text();
-        for coding in ALL {
-            let packed = pack(coding, &plain).expect("packs");
-            for step in [11, 1000, 1 << 20] {
-                let mut unpacker = Unpacker::new(coding, Tail::default()).expect("a decoder");
-                for piece in packed.chunks(step) {
-                    unpacker.push(piece).expect("well formed");
-                }
-                unpacker
-                    .may_end()
-                    .unwrap_or_else(|e| panic!("{coding:?}: {e}"));
-                assert_eq!(unpacker.get_ref().total, plain.len() as u64, "{coding:?}");
-                assert!(
-                    plain.ends_with(unpacker.get_ref().bytes())
-                        && unpacker.get_ref().bytes().len() >= 1000
-                );
-            }
-            assert_eq!(beginning(coding, &packed, 100), &plain[..100], "{coding:?}");
-            assert_eq!(Coding::of(coding.name()), Some(coding));
-        }
-    }
-
-    #[test]
-    fn a_spoilt_stream_is_an_error_or_shorter_and_never_a_panic() {
-        let plain = text();
-        for coding in ALL {
-            let packed = pack(coding, &plain).expect("packs");
-            for at in [0, 3, packed.len() / 2] {
-                let mut bad = packed.clone();
-                bad[at] ^= 0xff;
-                let mut unpacker = Unpacker::new(coding, Tail::default()).expect("a decoder");
-                let _ = unpacker.push(&bad).and_then(|()| unpacker.may_end());
-            }
-        }
-    }
-
-    #[test]
-    fn the_server_s_own_liking_decides_among_what_is_accepted() {
-        assert_eq!(Coding::negotiate("gzip, deflate, br"), Some(Coding::Brotli));
-        assert_eq!(Coding::negotiate("gzip;q=1.0, br;q=0"), Some(Coding::Gzip));
-        assert_eq!(Coding::negotiate("identity, *"), None);
-    }
-
-    #[test]
-    fn a_tail_keeps_the_last_bytes_however_they_come() {
-        let plain = text();
-        for step in [1, 100, TAIL, 3 * TAIL] {
-            let mut tail = Tail::default();
-            plain[..50_000].chunks(step).for_each(|p| tail.push(p));
-            assert_eq!(tail.bytes(), &plain[50_000 - TAIL..50_000]);
-        }
-    }
-}
--- a/crates/clickhouse/src/credentials.rs
+++ b/crates/clickhouse/src/credentials.rs
@@ -9,6 +9,15 @@
 const USER: &str = "X-ClickHouse-User";
 const KEY: &str = "X-ClickHouse-Key";
 const AUTHENTICATION_FAILED: u32 = 516;
+const SEVERAL_PLACES: &str =
+    "Invalid authentication: a user may be named in the URL, in X-ClickHouse headers or by Authorization, but only in one of them";
+
+fn unreadable() -> Exception {
+    Exception::new(
+        AUTHENTICATION_FAILED,
+        "Invalid authentication: Authorization can't be read",
+    )
+}
 
 /// A user's name and key. Neither is ever part of a URL sent on, nor of what is logged.
 #[derive(Clone, Default, PartialEq, Eq)]
@@ -28,10 +37,14 @@
 
 impl Credentials {
     /// Reads all three places. They exclude each other, as with the server itself.
+    ///
+    /// # Errors
+    ///
+    /// Where two of them are used, or `Authorization` can't be read.
     pub fn read(params: &Params, headers: &[(String, String)]) -> Result<Credentials, Exception> {
         let header = |name: &str| {
+            let mut headers = headers.iter();
             headers
-                .iter()
                 .find(|h| h.0.eq_ignore_ascii_case(name))
                 .map(|h| h.1.clone())
         };
@@ -41,49 +54,56 @@
             params.get("password").map(String::from),
         );
         let authorization = header("Authorization");
-        let ways = [
+        let is_used = [
             in_headers != (None, None),
             in_url != (None, None),
             authorization.is_some(),
         ];
-        if ways.iter().filter(|&&w| w).count() > 1 {
-            let words =
-                "Invalid authentication: a user may be named in the URL, in X-ClickHouse headers or by \
-                         Authorization, but only in one of them";
-            return Err(Exception::new(AUTHENTICATION_FAILED, words));
+        if is_used.iter().filter(|&&used| used).count() > 1 {
+            return Err(Exception::new(AUTHENTICATION_FAILED, SEVERAL_PLACES));
         }
-        let odd = || {
-            Exception::new(
-                AUTHENTICATION_FAILED,
-                "Invalid authentication: Authorization can't be read",
-            )
-        };
-        let (user, key, token) = match authorization {
-            None if ways[0] => (in_headers.0, in_headers.1, None),
-            None => (in_url.0, in_url.1, None),
-            Some(value) => match value.split_once(' ') {
-                Some((kind, token)) if kind.eq_ignore_ascii_case("basic") => {
-                    let plain = STANDARD
-                        .decode(token.trim())
-                        .ok()
-                        .and_then(|p| String::from_utf8(p).ok());
-                    let plain = plain.ok_or_else(odd)?;
-                    let (user, key) = plain.split_once(':').ok_or_else(odd)?;
-                    (Some(user.to_string()), Some(key.to_string()), None)
+        let credentials = match authorization {
+            Some(value) => Credentials::from_authorization(value).ok_or_else(unreadable)?,
+            None => {
+                let (user, key) = if is_used[0] { in_headers } else { in_url };
+                Credentials {
+                    user,
+                    key,
+                    token: None,
                 }
-                Some((kind, _)) if kind.eq_ignore_ascii_case("bearer") => (None, None, Some(value)),
-                _ => return Err(odd()),
-            },
+            }
         };
         // A line break would forge a header.
-        if [&user, &key, &token]
-            .into_iter()
-            .flatten()
-            .any(|v| v.chars().any(char::is_control))
+        if credentials
+            .headers()
+            .any(|(_, value)| value.chars().any(char::is_control))
         {
-            return Err(odd());
+            return Err(unreadable());
+        }
+        Ok(credentials)
+    }
+
+    /// Reads `Basic` and `Bearer`.
+    fn from_authorization(value: String) -> Option<Credentials> {
+        let (kind, token) = value.split_once(' ')?;
+        if kind.eq_ignore_ascii_case("bearer") {
+            return Some(Credentials {
+                user: None,
+                key: None,
+                token: Some(value),
+            });
+        }
+        if !kind.eq_ignore_ascii_case("basic") {
+            return None;
         }
-        Ok(Credentials { user, key, token })
+        let plain = STANDARD.decode(token.trim()).ok()?;
+        let plain = String::from_utf8(plain).ok()?;
+        let (user, key) = plain.split_once(':')?;
+        Some(Credentials {
+            user: Some(user.to_string()),
+            key: Some(key.to_string()),
+            token: None,
+        })
     }
 
     /// The headers that say so to an engine.
@@ -104,56 +124,3 @@
             .any(|n| n.eq_ignore_ascii_case(name))
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn read(query: &str, headers: &[(&str, &str)]) -> Result<Credentials, Exception> {
-        let headers: Vec<_> = headers
-            .iter()
-            .map(|h| (h.0.to_string(), h.1.to_string()))
-            .collect();
-        Credentials::read(&Params::parse(query).expect("few"), &headers)
-    }
-
-    #[test]
-    fn all_three_places_mean_the_same_and_are_told_by_headers_alone() {
-        let basic = format!("Basic {}", STANDARD.encode("jana:pa:ss"));
-        let all = [
-            read("user=jana&password=pa%3Ass", &[]),
-            read(
-                "",
-                &[("x-clickhouse-user", "jana"), ("X-ClickHouse-Key", "pa:ss")],
-            ),
-            read("", &[("Authorization", &basic)]),
-        ];
-        for one in all {
-            let one = one.expect("well formed");
-            assert_eq!(
-                one.headers().collect::<Vec<_>>(),
-                [(USER, "jana"), (KEY, "pa:ss")]
-            );
-            assert!(!format!("{one:?}").contains("ss"));
-        }
-        let bearer = read("", &[("Authorization", "Bearer a.b.c")]).expect("a token");
-        assert_eq!(
-            bearer.headers().collect::<Vec<_>>(),
-            [("Authorization", "Bearer a.b.c")]
-        );
-        assert_eq!(read("", &[]).expect("nobody").headers().count(), 0);
-    }
-
-    #[test]
-    fn two_places_at_once_and_what_cannot_be_read_are_refused() {
-        assert_eq!(read("user=a", &[(USER, "b")]).expect_err("both").code, 516);
-        for odd in ["Basic %%%", "Basic amFuYQ==", "Digest x", "Basic"] {
-            assert_eq!(
-                read("", &[("Authorization", odd)]).expect_err(odd).code,
-                516
-            );
-        }
-        let forged = STANDARD.encode("jana\r\nX-Evil: 1:x");
-        assert!(read("", &[("Authorization", &format!("Basic {forged}"))]).is_err());
-    }
-}
--- a/crates/clickhouse/src/params.rs
+++ b/crates/clickhouse/src/params.rs
@@ -5,14 +5,14 @@
 pub struct Params(Vec<(String, String)>);
 
 /// Most parameters in one URL: each is copied once for each attempt.
-pub const PARAMS_MOST: usize = 512;
+pub const MAX_PARAMS: usize = 512;
 
 impl Params {
-    /// Reads the part of a URL behind its `?`; `None` where there are more than [`PARAMS_MOST`].
+    /// Reads the part of a URL behind its `?`; `None` where there are more than [`MAX_PARAMS`].
     pub fn parse(query: &str) -> Option<Params> {
         let mut list = Vec::new();
         for pair in query.split('&').filter(|p| !p.is_empty()) {
-            if list.len() == PARAMS_MOST {
+            if list.len() == MAX_PARAMS {
                 return None;
             }
             let (name, value) = pair.split_once('=').unwrap_or((pair, ""));
@@ -95,33 +95,3 @@
         }
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::{decoded, encode, Params, PARAMS_MOST};
-
-    #[test]
-    fn what_is_encoded_is_read_back_and_odd_escapes_stay() {
-        for text in ["", "SELECT 1 + 2 -- žluťoučký", "a&b=c%%2", "\0\n"] {
-            let mut url = String::new();
-            encode(text, &mut url);
-            assert_eq!(decoded(&url), text);
-        }
-        assert_eq!(decoded("a+b%2"), "a b%2");
-        assert_eq!(decoded("%zz%+1%41"), "%zz% 1A");
-    }
-
-    #[test]
-    fn the_last_of_a_repeated_name_counts_and_a_flood_is_no_list() {
-        let params = Params::parse("a=1&a=2&b&&wait=TRUE").expect("few");
-        assert_eq!(
-            (params.get("a"), params.get("b"), params.non_empty("b")),
-            (Some("2"), Some(""), None)
-        );
-        assert!(params.is_on("wait") && !params.is_on("a"));
-        assert!(Params::parse(&"a&".repeat(PARAMS_MOST)).is_some());
-        assert!(Params::parse(&"a&".repeat(PARAMS_MOST + 1)).is_none());
-        let secret = Params::parse("password=hunter2").expect("one");
-        assert!(!format!("{secret:?}").contains("hunter2"));
-    }
-}
--- a/crates/clickhouse/src/request.rs
+++ b/crates/clickhouse/src/request.rs
@@ -5,15 +5,15 @@
 use crate::exception::Exception;
 use crate::multipart;
 use crate::params::{encode, Params};
-use crate::session::{Micros, TIMEOUT_MOST};
-use crate::sql::{Shape, LOOKED_AT};
+use crate::session::{Micros, MAX_SESSION_TIMEOUT};
+use crate::sql::{Shape, MAX_SCANNED_BYTES};
 use driftfront_http::{header, Request};
 use std::fmt::Write as _;
 
 /// Longest name of a query or a session.
-pub const NAME_MOST: usize = 256;
+pub const MAX_NAME_BYTES: usize = 256;
 /// Most rows of headers passed on, in bytes: an engine's own bound on a head is near.
-const HEADERS_MOST: usize = 8 * 1024;
+const MAX_HEADERS_BYTES: usize = 8 * 1024;
 
 const BAD_ARGUMENTS: u32 = 36;
 const SYNTAX_ERROR: u32 = 62;
@@ -149,9 +149,9 @@
 
 /// A name that a client gave: bounded, and nothing that could forge a line.
 fn named(what: &str, name: &str) -> Result<String, Exception> {
-    if name.len() > NAME_MOST || name.chars().any(char::is_control) {
+    if name.len() > MAX_NAME_BYTES || name.chars().any(char::is_control) {
         return Err(bad(&format!(
-            "{what} is longer than {NAME_MOST} bytes or holds control characters"
+            "{what} is longer than {MAX_NAME_BYTES} bytes or holds control characters"
         )));
     }
     Ok(name.into())
@@ -236,7 +236,7 @@
             let seconds: u64 = text
                 .parse()
                 .map_err(|_| bad(&format!("Invalid session timeout: '{text}'")))?;
-            let most = TIMEOUT_MOST / 1_000_000;
+            let most = MAX_SESSION_TIMEOUT / 1_000_000;
             if seconds > most {
                 let words = format!(
                     "Session timeout '{seconds}' is larger than max_session_timeout: {most}"
@@ -296,21 +296,21 @@
                     &format!("Content-Encoding {name} is not supported here"),
                 )
             })?;
-            beginning(coding, &request.body, LOOKED_AT)
+            beginning(coding, &request.body, MAX_SCANNED_BYTES)
         }
-        _ => request.body[..request.body.len().min(LOOKED_AT)].to_vec(),
+        _ => request.body[..request.body.len().min(MAX_SCANNED_BYTES)].to_vec(),
     };
     if params.is_on("decompress") {
-        let packed = if first.len() < LOOKED_AT {
+        let packed = if first.len() < MAX_SCANNED_BYTES {
             &first
         } else {
             &request.body
         };
-        let unpacked = crate::block::unpack_prefix(packed, LOOKED_AT)
+        let unpacked = crate::block::unpack_prefix(packed, MAX_SCANNED_BYTES)
             .map_err(|e| Exception::new(271, &format!("Cannot decompress the body: {e}")))?;
         first = unpacked.0;
     }
-    first.truncate(LOOKED_AT);
+    first.truncate(MAX_SCANNED_BYTES);
     Ok(String::from_utf8_lossy(&first).into_owned())
 }
 
@@ -353,177 +353,8 @@
     for (name, value) in credentials.headers() {
         let _ = write!(text, "{name}: {value}\r\n");
     }
-    if text.len() > HEADERS_MOST {
+    if text.len() > MAX_HEADERS_BYTES {
         return Err(bad("The headers to be passed on are too long"));
     }
     Ok(Secret(text))
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::block::{pack, Method};
-
-    fn request(method: &str, target: &str, headers: &[(&str, &str)], body: &[u8]) -> Request {
-        Request {
-            method: method.into(),
-            target: target.into(),
-            headers: headers
-                .iter()
-                .map(|h| (h.0.to_string(), h.1.to_string()))
-                .collect(),
-            body: body.to_vec(),
-            has_more_body: false,
-            version_1_1: true,
-            close: false,
-        }
-    }
-
-    fn query(
-        method: &str,
-        target: &str,
-        headers: &[(&str, &str)],
-        body: &[u8],
-    ) -> Result<Query, Exception> {
-        match read(&request(method, target, headers, body))? {
-            Asked::Query(query) => Ok(*query),
-            other => panic!("{other:?}"),
-        }
-    }
-
-    #[test]
-    fn the_statement_is_found_wherever_it_stands_and_however_packed() {
-        let insert = b"INSERT INTO uni_4.t FORMAT CSV\n1,2\n";
-        let gzip = crate::coding::pack(Coding::Gzip, insert).expect("packs");
-        let frames = [
-            pack(Method::Lz4, &insert[..9]),
-            pack(Method::Zstd, &insert[9..]),
-        ]
-        .concat();
-        let form = b"--b\r\nContent-Disposition: form-data; name=\"query\"\r\n\r\nINSERT INTO uni_4.t VALUES\r\n--b--";
-        for (target, headers, body) in [
-            ("/", vec![], &insert[..]),
-            ("/?query=INSERT+INTO+uni_4.t+FORMAT+CSV", vec![], b"1,2\n"),
-            ("/", vec![("Content-Encoding", "gzip")], &gzip),
-            ("/?decompress=1", vec![], &frames),
-            (
-                "/",
-                vec![("Content-Type", "multipart/form-data; boundary=b")],
-                form,
-            ),
-        ] {
-            let read =
-                query("POST", target, &headers, body).unwrap_or_else(|e| panic!("{target}: {e}"));
-            assert_eq!(
-                (read.shape.writes.as_deref(), read.shape.tables),
-                (Some("uni_4.t"), 4),
-                "{target}"
-            );
-        }
-    }
-
-    #[test]
-    fn what_cannot_be_read_is_told_with_a_code() {
-        let code = |method, target, headers: &[(&str, &str)], body: &[u8]| {
-            query(method, target, headers, body).expect_err(target).code
-        };
-        let form = ("Content-Type", "multipart/form-data; boundary=b");
-        assert_eq!(code("POST", "/", &[], b"  "), 62);
-        assert_eq!(code("GET", "/?query=DROP+TABLE+t", &[], b""), 164);
-        assert_eq!(
-            code(
-                "POST",
-                "/?decompress=1",
-                &[],
-                b"SELECT 1 -- and more than one frame's head"
-            ),
-            271
-        );
-        let mut frame = pack(Method::Lz4, b"SELECT 1");
-        frame[30] ^= 1;
-        assert_eq!(code("POST", "/?decompress=1", &[], &frame), 271);
-        assert_eq!(
-            code("POST", "/", &[("Content-Encoding", "snappy")], b"x"),
-            48
-        );
-        assert_eq!(code("POST", "/", &[form], b"nothing of the kind"), 36);
-        assert_eq!(
-            code(
-                "POST",
-                "/",
-                &[("Content-Type", "multipart/form-data")],
-                b"x"
-            ),
-            36
-        );
-        assert_eq!(
-            code(
-                "POST",
-                "/?session_id=a&session_timeout=99999",
-                &[],
-                b"SELECT 1"
-            ),
-            36
-        );
-        assert_eq!(
-            code("POST", "/?session_id=a&session_timeout=x", &[], b"SELECT 1"),
-            36
-        );
-        assert_eq!(
-            code(
-                "POST",
-                &format!("/?query_id={}", "a".repeat(300)),
-                &[],
-                b"SELECT 1"
-            ),
-            36
-        );
-    }
-
-    #[test]
-    fn settings_and_headers_are_passed_on_and_what_is_ours_or_secret_is_not_in_the_url() {
-        let target =
-            "/?database=uni&param_x=a%26b&password=hunter2&user=jana&query_id=q&max_execution_time=2.5\
-                      &driftfront_class=report&session_id=s&session_check=1&send_progress_in_http_headers=1";
-        let headers = [
-            ("X-ClickHouse-Format", "CSV"),
-            ("X-Evil", "1"),
-            ("Accept-Encoding", "gzip, snappy"),
-        ];
-        let read = query("POST", target, &headers, b"SELECT 1").expect("well formed");
-        assert_eq!(read.target, "&database=uni&param_x=a%26b&session_id=s");
-        let secret =
-            "X-ClickHouse-Format: CSV\r\nX-ClickHouse-User: jana\r\nX-ClickHouse-Key: hunter2\r\n";
-        assert_eq!(read.headers.0, secret);
-        assert_eq!(
-            (read.wanted_within, read.progress, read.frames),
-            (Some(2_500_000), true, false)
-        );
-        assert!(read
-            .session
-            .as_ref()
-            .is_some_and(|s| s.id == "s" && s.check));
-        assert!(!format!("{read:?}").contains("hunter2"));
-        let packed = query("POST", "/?enable_http_compression=1", &headers, b"SELECT 1")
-            .expect("well formed");
-        assert!(packed.headers.0.contains("Accept-Encoding: gzip\r\n"));
-    }
-
-    #[test]
-    fn paths_and_methods_that_are_not_there_are_told_apart() {
-        let asked = |method, target| read(&request(method, target, &[], b"")).expect("no query");
-        assert!(
-            matches!(asked("HEAD", "/"), Asked::Ping)
-                && matches!(asked("GET", "/ping"), Asked::Ping)
-        );
-        assert!(matches!(asked("OPTIONS", "/?query=x"), Asked::Options));
-        assert!(
-            matches!(asked("PUT", "/"), Asked::NoMethod)
-                && matches!(asked("GET", "/x"), Asked::NoPath)
-        );
-        assert!(matches!(
-            asked("GET", "/replicas_status"),
-            Asked::ReplicasStatus
-        ));
-    }
-}
--- a/crates/clickhouse/src/session.rs
+++ b/crates/clickhouse/src/session.rs
@@ -2,7 +2,7 @@
 //!
 //! A session is state on one engine. It is *loose* while it only read: then it has a home, where later queries go
 //! first, but may move when its home drains or dies. It is *tied* once a statement left something in it (a
-//! temporary table, SET, USE): then it lives and dies with its engine. This book holds no sockets and no clock; it
+//! temporary table, SET, USE): then it lives and dies with its engine. This table holds no sockets and no clock; it
 //! names engines by the caller's numbers.
 //!
 //! Ids are the clients' own, so a flood of ids made up anew for each call must not displace the sessions in use.
@@ -16,21 +16,23 @@
 pub type Micros = u64;
 
 /// Sessions held at most: each takes some 200 bytes.
-pub const SESSIONS_MOST: usize = 8192;
+pub const MAX_SESSIONS: usize = 8192;
 /// Of these, the most that may be on probation: used once, and leaving nothing.
-pub const PROBATION_MOST: usize = 2048;
+pub const MAX_PROBATION_SESSIONS: usize = 2048;
 /// Longest life told by a client (`session_timeout`); the server's own default bound.
-pub const TIMEOUT_MOST: Micros = 3600 * 1_000_000;
+pub const MAX_SESSION_TIMEOUT: Micros = 3600 * 1_000_000;
 /// Life without `session_timeout`; the server's own default.
-pub const TIMEOUT: Micros = 60 * 1_000_000;
+pub const DEFAULT_SESSION_TIMEOUT: Micros = 60 * 1_000_000;
 
 const NOT_FOUND: u32 = 372;
 const LOCKED: u32 = 373;
+const LOST_SESSION: &str = "Session not found: the engine that held it has left, with what was set or created in it. Begin a new \
+                            session and create that anew";
 const TOO_MANY: u32 = crate::exception::TOO_MANY_QUERIES;
 
 /// A session's name here: a hash of its user and id, keyed by the program's seed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Name(u128);
+pub struct SessionName(u128);
 
 /// Where a query of a session is to go.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -83,6 +85,20 @@
 }
 
 impl<E> Session<E> {
+    /// One that lives nowhere yet.
+    fn new(now: Micros, timeout: Micros) -> Session<E> {
+        Session {
+            home: None,
+            tied: false,
+            lost: false,
+            busy: None,
+            uses: 0,
+            used: now,
+            expires: now + timeout,
+            timeout,
+        }
+    }
+
     fn rank(&self) -> Rank {
         match () {
             () if self.busy.is_some() || self.tied && !self.lost => Rank::Fixed,
@@ -110,98 +126,89 @@
 }
 
 /// All sessions of one program.
-pub struct Book<E> {
-    sessions: HashMap<Name, Session<E>>,
+pub struct SessionTable<E> {
+    sessions: HashMap<SessionName, Session<E>>,
     /// By rank and last use, for displacing; and by their end.
-    order: BTreeSet<(Rank, Micros, Name)>,
-    ends: BTreeSet<(Micros, Name)>,
+    order: BTreeSet<(Rank, Micros, SessionName)>,
+    ends: BTreeSet<(Micros, SessionName)>,
     probation: usize,
-    most: (usize, usize),
+    max_sessions: usize,
+    max_probation: usize,
     hasher: siphasher::sip128::SipHasher13,
     counts: Counts,
 }
 
-impl<E: Copy + PartialEq> Book<E> {
-    /// An empty book; the seed keys the hash of names, so that nobody can aim two ids at one place.
-    pub fn new(seed: u64) -> Book<E> {
-        Book::sized(seed, SESSIONS_MOST, PROBATION_MOST)
+impl<E: Copy + PartialEq> SessionTable<E> {
+    /// An empty table; the seed keys the hash of names, so that nobody can aim two ids at one place.
+    pub fn new(seed: u64) -> SessionTable<E> {
+        SessionTable::sized(seed, MAX_SESSIONS, MAX_PROBATION_SESSIONS)
     }
 
     /// One with other bounds: on all sessions, and on those on probation.
-    pub fn sized(seed: u64, most: usize, probation: usize) -> Book<E> {
-        Book {
+    pub fn sized(seed: u64, max_sessions: usize, max_probation: usize) -> SessionTable<E> {
+        SessionTable {
             sessions: HashMap::new(),
             order: BTreeSet::new(),
             ends: BTreeSet::new(),
             probation: 0,
-            most: (most, probation),
+            max_sessions,
+            max_probation,
             hasher: siphasher::sip128::SipHasher13::new_with_keys(seed, !seed),
             counts: Counts::default(),
         }
     }
 
     /// A session's name; sessions of different users differ.
-    pub fn name(&self, user: &str, id: &str) -> Name {
+    pub fn name(&self, user: &str, id: &str) -> SessionName {
         use siphasher::sip128::Hasher128;
         use std::hash::Hasher;
         let mut hasher = self.hasher;
         hasher.write(user.as_bytes());
         hasher.write_u8(0xff);
         hasher.write(id.as_bytes());
-        Name(hasher.finish128().as_u128())
+        SessionName(hasher.finish128().as_u128())
     }
 
     /// A query of a session has come. Answers where it is to go, if the session has a home; it is then busy until
-    /// [`Book::over`]. `check`: the session must exist already.
+    /// [`SessionTable::over`]. `check`: the session must exist already.
     pub fn begin(
         &mut self,
         now: Micros,
-        name: Name,
+        name: SessionName,
         check: bool,
         timeout: Option<Micros>,
         leaves: Leaves,
     ) -> Result<Option<Home<E>>, Exception> {
         self.expire(now);
-        let timeout = timeout.unwrap_or(TIMEOUT).min(TIMEOUT_MOST);
-        if let Some(session) = self.sessions.get(&name) {
-            if session.busy.is_some() {
+        let timeout = timeout
+            .unwrap_or(DEFAULT_SESSION_TIMEOUT)
+            .min(MAX_SESSION_TIMEOUT);
+        match self.sessions.get(&name) {
+            Some(session) if session.busy.is_some() => {
                 return Err(Exception::new(
                     LOCKED,
                     "Session is locked by a concurrent client: one query at a time",
                 ));
             }
-            if session.lost {
+            Some(session) if session.lost => {
                 self.remove(name);
-                let words =
-                    "Session not found: the engine that held it has left, with what was set or created in \
-                             it. Begin a new session and create that anew";
-                return Err(Exception::new(NOT_FOUND, words));
+                return Err(Exception::new(NOT_FOUND, LOST_SESSION));
             }
-        } else {
-            if check {
-                return Err(Exception::new(NOT_FOUND, "Session not found"));
+            Some(_) => {}
+            None if check => return Err(Exception::new(NOT_FOUND, "Session not found")),
+            None => {
+                self.make_room()?;
+                self.counts.begun += 1;
+                self.insert(name, Session::new(now, timeout));
             }
-            self.make_room()?;
-            self.counts.begun += 1;
-            let (home, tied, lost, busy, uses) = (None, false, false, None, 0);
-            let new = Session {
-                home,
-                tied,
-                lost,
-                busy,
-                uses,
-                used: now,
-                expires: now + timeout,
-                timeout,
-            };
-            self.insert(name, new);
         }
         self.change(name, |s| {
             s.busy = Some(leaves);
             s.uses = s.uses.saturating_add(1);
             (s.used, s.timeout) = (now, timeout);
         });
-        Ok(self.sessions.get(&name).and_then(|s| {
+        let session = self.sessions.get(&name);
+        Ok(session.and_then(|s| {
             Some(Home {
                 engine: s.home?,
                 tied: s.tied,
@@ -210,7 +217,7 @@
     }
 
     /// A session's query is over, and nothing of it is out any more.
-    pub fn over(&mut self, now: Micros, name: Name, fate: Fate<E>) {
+    pub fn end_query(&mut self, now: Micros, name: SessionName, fate: Fate<E>) {
         let Some(session) = self.sessions.get(&name) else {
             return;
         };
@@ -244,7 +251,7 @@
 
     /// An engine drains or is gone: nothing new goes there. Loose sessions may move; tied ones are lost.
     pub fn engine_left(&mut self, engine: E) {
-        let there: Vec<Name> = self
+        let there: Vec<SessionName> = self
             .sessions
             .iter()
             .filter(|(_, s)| s.home == Some(engine))
@@ -255,7 +262,7 @@
             self.change(name, |s| {
                 lost = s.tied && !s.lost;
                 s.lost |= s.tied;
-                // A busy one that would leave something is lost once that has run: see `over`.
+                // A busy one that would leave something is lost once that has run: see `end_query`.
                 s.home = None;
             });
             self.counts.lost += u64::from(lost);
@@ -293,7 +300,7 @@
 
     /// Displaces what is least worth keeping, if there is no room for one more.
     fn make_room(&mut self) -> Result<(), Exception> {
-        if self.sessions.len() < self.most.0 && self.probation < self.most.1 {
+        if self.sessions.len() < self.max_sessions && self.probation < self.max_probation {
             return Ok(());
         }
         match self.order.first() {
@@ -303,7 +310,7 @@
                 Ok(())
             }
             // Those on probation are at their bound by being busy: there is room among all.
-            _ if self.sessions.len() < self.most.0 => Ok(()),
+            _ if self.sessions.len() < self.max_sessions => Ok(()),
             _ => {
                 self.counts.turned_away += 1;
                 Err(Exception::new(
@@ -314,14 +321,14 @@
         }
     }
 
-    fn insert(&mut self, name: Name, session: Session<E>) {
+    fn insert(&mut self, name: SessionName, session: Session<E>) {
         self.probation += usize::from(session.rank() == Rank::Probation);
         self.order.insert((session.rank(), session.used, name));
         self.ends.insert((session.expires, name));
         self.sessions.insert(name, session);
     }
 
-    fn take(&mut self, name: Name) -> Option<Session<E>> {
+    fn take(&mut self, name: SessionName) -> Option<Session<E>> {
         let session = self.sessions.remove(&name)?;
         self.probation -= usize::from(session.rank() == Rank::Probation);
         self.order.remove(&(session.rank(), session.used, name));
@@ -329,11 +336,11 @@
         Some(session)
     }
 
-    fn remove(&mut self, name: Name) {
+    fn remove(&mut self, name: SessionName) {
         let _ = self.take(name);
     }
 
-    fn change(&mut self, name: Name, how: impl FnOnce(&mut Session<E>)) {
+    fn change(&mut self, name: SessionName, how: impl FnOnce(&mut Session<E>)) {
         if let Some(mut session) = self.take(name) {
             how(&mut session);
             self.insert(name, session);
@@ -344,7 +351,7 @@
 }
 
 /// A hash that differs with each seed, for what needs no name of its own.
-pub fn keyed(seed: u64, bytes: &[u8]) -> u64 {
+pub fn keyed_hash(seed: u64, bytes: &[u8]) -> u64 {
     siphasher::sip::SipHasher13::new_with_keys(seed, !seed).hash(bytes)
 }
 
@@ -355,25 +362,25 @@
 
     const S: Micros = 1_000_000;
 
-    fn read(book: &mut Book<u8>, now: Micros, id: &str, on: u8) -> Option<Home<u8>> {
+    fn read(book: &mut SessionTable<u8>, now: Micros, id: &str, on: u8) -> Option<Home<u8>> {
         let name = book.name("u", id);
         let home = book
             .begin(now, name, false, None, Leaves::Nothing)
             .expect("room");
-        book.over(now, name, Fate::Ran(on, true));
+        book.end_query(now, name, Fate::Ran(on, true));
         home
     }
 
-    fn tie(book: &mut Book<u8>, now: Micros, id: &str, on: u8) {
+    fn tie(book: &mut SessionTable<u8>, now: Micros, id: &str, on: u8) {
         let name = book.name("u", id);
         book.begin(now, name, false, None, Leaves::Something)
             .expect("room");
-        book.over(now, name, Fate::Ran(on, true));
+        book.end_query(now, name, Fate::Ran(on, true));
     }
 
     #[test]
     fn a_session_stays_where_it_first_ran_and_one_that_only_read_moves_when_that_leaves() {
-        let mut book = Book::new(1);
+        let mut book = SessionTable::new(1);
         assert_eq!(read(&mut book, 0, "a", 3), None);
         assert_eq!(
             read(&mut book, 1, "a", 3),
@@ -395,7 +402,7 @@
 
     #[test]
     fn a_tied_session_is_lost_with_its_engine_and_its_client_is_told_once() {
-        let mut book = Book::new(1);
+        let mut book = SessionTable::new(1);
         tie(&mut book, 0, "a", 3);
         assert_eq!(
             read(&mut book, 1, "a", 3),
@@ -417,7 +424,7 @@
 
     #[test]
     fn a_statement_that_failed_ties_nothing_and_one_of_unknown_fate_does() {
-        let mut book = Book::new(1);
+        let mut book = SessionTable::new(1);
         for (id, fate, tied) in [
             ("a", Fate::Ran(3, false), false),
             ("b", Fate::Unknown(3), true),
@@ -425,7 +432,7 @@
             let name = book.name("u", id);
             book.begin(0, name, false, None, Leaves::Something)
                 .expect("room");
-            book.over(0, name, fate);
+            book.end_query(0, name, fate);
             let home = book.begin(1, name, true, None, Leaves::Nothing);
             assert_eq!(home, Ok(Some(Home { engine: 3, tied })), "{id}");
         }
@@ -433,9 +440,9 @@
 
     #[test]
     fn one_query_at_a_time_a_check_that_fails_and_an_end_by_time() {
-        let mut book: Book<u8> = Book::new(1);
+        let mut book: SessionTable<u8> = SessionTable::new(1);
         let (name, other) = (book.name("u", "a"), book.name("v", "a"));
-        let begin = |book: &mut Book<u8>, now, name, check| {
+        let begin = |book: &mut SessionTable<u8>, now, name, check| {
             book.begin(now, name, check, Some(10 * S), Leaves::Nothing)
                 .map_err(|e| e.code)
         };
@@ -449,19 +456,19 @@
         );
         // Busy beyond its time, it stays; its time begins anew when its query is over.
         assert_eq!(begin(&mut book, 30 * S, name, false), Err(373));
-        book.over(31 * S, name, Fate::Ran(1, true));
+        book.end_query(31 * S, name, Fate::Ran(1, true));
         assert!(begin(&mut book, 40 * S, name, true).is_ok());
-        book.over(40 * S, name, Fate::Ran(1, true));
+        book.end_query(40 * S, name, Fate::Ran(1, true));
         assert_eq!(begin(&mut book, 50 * S, name, true), Err(372));
         assert_eq!(book.counts().expired, 1);
         // One that was turned away before it ran anywhere never was.
-        book.over(51 * S, other, Fate::NeverRan);
+        book.end_query(51 * S, other, Fate::NeverRan);
         assert_eq!(begin(&mut book, 51 * S, other, true), Err(372));
     }
 
     #[test]
     fn a_million_ids_made_up_anew_displace_no_session_in_use_and_grow_nothing() {
-        let mut book = Book::new(7);
+        let mut book = SessionTable::new(7);
         for n in 0..100 {
             tie(&mut book, n, &format!("tied-{n}"), 1);
             read(&mut book, n, &format!("used-{n}"), 2);
@@ -470,17 +477,17 @@
         for n in 0..1_000_000 {
             read(&mut book, 100 + n, &format!("made-up-{n}"), 3);
         }
-        assert!(book.held().0 <= PROBATION_MOST + 200 && book.order.len() == book.held().0);
+        assert!(book.held().0 <= MAX_PROBATION_SESSIONS + 200 && book.order.len() == book.held().0);
         for n in 0..100 {
             assert!(read(&mut book, 2 * S, &format!("tied-{n}"), 1).is_some_and(|h| h.tied));
             assert!(read(&mut book, 2 * S, &format!("used-{n}"), 2).is_some());
         }
-        assert!(book.counts().displaced >= 1_000_000 - PROBATION_MOST as u64);
+        assert!(book.counts().displaced >= 1_000_000 - MAX_PROBATION_SESSIONS as u64);
     }
 
     #[test]
     fn where_all_are_tied_a_new_one_is_turned_away_and_none_is_displaced() {
-        let mut book = Book::sized(7, 20, 5);
+        let mut book = SessionTable::sized(7, 20, 5);
         for n in 0..20 {
             tie(&mut book, n, &format!("{n}"), 1);
         }
@@ -517,7 +524,7 @@
     #[test]
     fn random_steps_keep_what_is_promised() {
         fn holds(steps: Vec<Step>) -> bool {
-            let mut book: Book<u8> = Book::sized(3, 8, 3);
+            let mut book: SessionTable<u8> = SessionTable::sized(3, 8, 3);
             let mut busy: HashMap<u8, bool> = HashMap::new();
             let mut tied: HashMap<u8, (u8, Micros)> = HashMap::new();
             let mut now = 0;
@@ -567,7 +574,7 @@
                         };
                         let name = book.name("u", &id.to_string());
                         let known = book.sessions.get(&name).is_some_and(|s| !s.lost);
-                        book.over(now, name, fate);
+                        book.end_query(now, name, fate);
                         let ties = left && matches!(fate, Fate::Unknown(_) | Fate::Ran(_, true));
                         if known && (ties || tied.contains_key(&id)) {
                             tied.insert(id, (engine, now + 100 * S));
--- a/crates/clickhouse/src/sql.rs
+++ b/crates/clickhouse/src/sql.rs
@@ -4,7 +4,7 @@
 
 /// Bytes of a statement that are looked at: what stands behind them are rows, or a query larger than the server's own
 /// default bound on its size.
-pub const LOOKED_AT: usize = 16 * 1024;
+pub const MAX_SCANNED_BYTES: usize = 16 * 1024;
 
 /// What is seen of a statement.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -39,7 +39,7 @@
 impl Shape {
     /// Looks at a statement, or at its beginning.
     pub fn of(statement: &str) -> Shape {
-        let mut end = statement.len().min(LOOKED_AT);
+        let mut end = statement.len().min(MAX_SCANNED_BYTES);
         while !statement.is_char_boundary(end) {
             end -= 1;
         }
@@ -275,102 +275,3 @@
     }
     (text, i)
 }
-
-#[cfg(test)]
-mod tests {
-    use super::{table_group, Shape, LOOKED_AT};
-
-    #[test]
-    fn reads_and_the_tables_of_writes_are_told_apart() {
-        let reads = |s| Shape::of(s).reads;
-        assert!(reads("/* x */ with 1 as a SELECT a") && reads("(SELECT 1)"));
-        assert!(!reads("INSERT INTO t SELECT 1") && !reads("") && Shape::of(" -- x").empty);
-        let table = |s| Shape::of(s).writes.unwrap_or_default();
-        assert_eq!(
-            table("INSERT INTO TABLE uni_4.members FORMAT CSV\n1,2"),
-            "uni_4.members"
-        );
-        assert_eq!(table("insert into `members` values (1)"), "members");
-        assert_eq!(table("DROP VIEW v"), "");
-        let long = format!("INSERT INTO uni_4.t VALUES {}", "('é'),".repeat(LOOKED_AT));
-        assert_eq!(
-            (Shape::of(&long).writes.as_deref(), Shape::of(&long).tables),
-            (Some("uni_4.t"), 4)
-        );
-    }
-
-    #[test]
-    fn what_leaves_something_in_a_session_is_known() {
-        for tied in [
-            "SET max_threads = 1",
-            "use uni_4",
-            "CREATE TEMPORARY TABLE t (a Int8)",
-            "create or replace temporary table t as select 1",
-            "BEGIN TRANSACTION",
-        ] {
-            assert!(Shape::of(tied).leaves, "{tied}");
-        }
-        for loose in [
-            "SELECT 1",
-            "INSERT INTO t VALUES (1)",
-            "CREATE TABLE t (temporary Int8)",
-            "SHOW TABLES",
-        ] {
-            assert!(!Shape::of(loose).leaves, "{loose}");
-        }
-        assert!(
-            Shape::of("SET a = 1").harmless
-                && !Shape::of("CREATE TEMPORARY TABLE t (a Int8)").harmless
-        );
-    }
-
-    #[test]
-    fn a_kill_names_its_queries_or_is_known_to_choose_otherwise() {
-        let ids = |s: &str| Shape::of(s).kill.expect("a kill").ids;
-        let of = |ids: &[&str]| Some(ids.iter().map(|s| s.to_string()).collect::<Vec<_>>());
-        assert_eq!(ids("KILL QUERY WHERE query_id='a''b' SYNC"), of(&["a'b"]));
-        assert_eq!(
-            ids("kill query where query_id in ('a', 'b') test format JSON;"),
-            of(&["a", "b"])
-        );
-        assert_eq!(
-            Shape::of("KILL QUERY WHERE query_id = 'a' ASYNC")
-                .kill
-                .expect("one")
-                .behind,
-            "ASYNC"
-        );
-        for odd in [
-            "KILL QUERY WHERE user = 'a'",
-            "KILL QUERY WHERE query_id = 'a' OR 1",
-            "KILL QUERY WHERE query_id != 'a'",
-            "KILL QUERY ON CLUSTER c WHERE query_id = 'a'",
-            "KILL QUERY WHERE query_id IN ('a'",
-            "KILL QUERY",
-        ] {
-            assert_eq!(ids(odd), None, "{odd}");
-        }
-        assert_eq!(Shape::of("KILL MUTATION WHERE 1").kill, None);
-    }
-
-    #[test]
-    fn the_group_is_the_schema_s_number() {
-        for (statement, group) in [
-            ("SELECT day, count(*), max(note) FROM sales_17.orders WHERE tag = '3f9c' GROUP BY day", 17),
-            ("insert into \"sales_4\".\"orders\" select * from staging.new_rows", 4),
-            ("INSERT INTO sales_4.t SELECT * FROM staging_9.t", 4),
-            ("SELECT * FROM staging_9.t JOIN sales_5.t USING (id)", 5),
-            ("SELECT 'from sales_1.t' AS a FROM sales_2.t", 2),
-            ("SELECT 'it''s from sales_1.t' FROM sales_2.t", 2),
-            ("SELECT 1 -- from sales_1.t\nFROM sales_2.t", 2),
-            ("SELECT /* from sales_1.t */ 1 FROM sales_2.t", 2),
-            ("SELECT o_3.day FROM sales_2.t AS o_3", 2),
-            ("SELECT 1.5, x FROM t", 0),
-            ("", 0),
-            ("SELECT 'open", 0),
-            ("/* open", 0),
-        ] {
-            assert_eq!(table_group(statement), group, "{statement}");
-        }
-    }
-}
--- /dev/null
+++ b/crates/clickhouse/tests/credentials.rs
@@ -0,0 +1,58 @@
+//! Users and keys, wherever a client names them.
+
+use base64::engine::general_purpose::STANDARD;
+use base64::Engine as _;
+use driftfront_clickhouse::credentials::Credentials;
+use driftfront_clickhouse::exception::Exception;
+use driftfront_clickhouse::params::Params;
+
+const USER: &str = "X-ClickHouse-User";
+const KEY: &str = "X-ClickHouse-Key";
+
+fn read(query: &str, headers: &[(&str, &str)]) -> Result<Credentials, Exception> {
+    let headers: Vec<_> = headers
+        .iter()
+        .map(|h| (h.0.to_string(), h.1.to_string()))
+        .collect();
+    Credentials::read(&Params::parse(query).expect("few"), &headers)
+}
+
+#[test]
+fn all_three_places_mean_the_same_and_are_told_by_headers_alone() {
+    let basic = format!("Basic {}", STANDARD.encode("jana:pa:ss"));
+    let all = [
+        read("user=jana&password=pa%3Ass", &[]),
+        read(
+            "",
+            &[("x-clickhouse-user", "jana"), ("X-ClickHouse-Key", "pa:ss")],
+        ),
+        read("", &[("Authorization", &basic)]),
+    ];
+    for one in all {
+        let one = one.expect("well formed");
+        assert_eq!(
+            one.headers().collect::<Vec<_>>(),
+            [(USER, "jana"), (KEY, "pa:ss")]
+        );
+        assert!(!format!("{one:?}").contains("ss"));
+    }
+    let bearer = read("", &[("Authorization", "Bearer a.b.c")]).expect("a token");
+    assert_eq!(
+        bearer.headers().collect::<Vec<_>>(),
+        [("Authorization", "Bearer a.b.c")]
+    );
+    assert_eq!(read("", &[]).expect("nobody").headers().count(), 0);
+}
+
+#[test]
+fn two_places_at_once_and_what_cannot_be_read_are_refused() {
+    assert_eq!(read("user=a", &[(USER, "b")]).expect_err("both").code, 516);
+    for odd in ["Basic %%%", "Basic amFuYQ==", "Digest x", "Basic"] {
+        assert_eq!(
+            read("", &[("Authorization", odd)]).expect_err(odd).code,
+            516
+        );
+    }
+    let forged = STANDARD.encode("jana\r\nX-Evil: 1:x");
+    assert!(read("", &[("Authorization", &format!("Basic {forged}"))]).is_err());
+}
--- a/crates/clickhouse/tests/golden.rs
+++ b/crates/clickhouse/tests/golden.rs
@@ -6,7 +6,7 @@
     code_of, json_key, last_lines, marker, name, proof, status, tagged, Exception,
 };
 use driftfront_clickhouse::request::{self, Asked};
-use driftfront_clickhouse::session::{Book, Fate, Leaves};
+use driftfront_clickhouse::session::{Fate, Leaves, SessionTable};
 use driftfront_clickhouse::sql::Shape;
 use driftfront_clickhouse::watch::Watch;
 use driftfront_http::Request;
@@ -314,7 +314,7 @@
 
 #[test]
 fn sessions_are_refused_in_the_same_words() {
-    let mut book: Book<u32> = Book::sized(7, 1, 1);
+    let mut book: SessionTable<u32> = SessionTable::sized(7, 1, 1);
     let mut told = MessageTranscript::default();
     let name = book.name("jana", "s");
     let missing = book.begin(0, name, true, None, Leaves::Nothing);
@@ -329,7 +329,7 @@
     let other = book.name("jana", "t");
     let full = book.begin(1, other, false, None, Leaves::Nothing);
     told.record("full", full.err().map_or_else(String::new, |e| e.text));
-    book.over(2, name, Fate::Ran(1, true));
+    book.end_query(2, name, Fate::Ran(1, true));
     book.engine_left(1);
     let lost = book.begin(3, name, false, None, Leaves::Nothing);
     told.record("lost", lost.err().map_or_else(String::new, |e| e.text));
--- /dev/null
+++ b/crates/clickhouse/tests/multipart.rs
@@ -0,0 +1,43 @@
+//! `multipart/form-data` bodies.
+
+use driftfront_clickhouse::multipart::{boundary, is_form, parse, MAX_PARTS};
+
+const BODY: &str = "--b1\r\nContent-Disposition: form-data; name=\"query\"\r\n\r\nSELECT 1\r\n--b1\r\n\
+    content-disposition: form-data; name=\"t\"; filename=\"t.tsv\"\r\nContent-Type: text/plain\r\n\r\n1\t--b1\n\
+    \r\n--b1--\r\n";
+
+#[test]
+fn fields_and_tables_are_told_apart_and_data_may_hold_the_boundary_s_words() {
+    let kind = "multipart/form-data; charset=utf-8; boundary=\"b1\"";
+    let parts = parse(BODY.as_bytes(), &boundary(kind).expect("one")).expect("well formed");
+    let data = |n: usize| &BODY[parts[n].data.clone()];
+    assert_eq!(
+        (parts[0].name.as_str(), &parts[0].file, data(0)),
+        ("query", &None, "SELECT 1")
+    );
+    assert_eq!((parts[1].name.as_str(), data(1)), ("t", "1\t--b1\n"));
+    assert_eq!(parts[1].file.as_deref(), Some("t.tsv"));
+}
+
+#[test]
+fn every_cut_of_a_body_is_told_and_none_panics() {
+    let whole = BODY.trim_end().len();
+    for end in 0..whole {
+        assert!(
+            parse(&BODY.as_bytes()[..end], "b1").is_err(),
+            "cut at {end}"
+        );
+    }
+    assert!(parse(BODY.as_bytes(), "other").is_err());
+    assert!(parse(
+        b"--b\r\nContent-Disposition: form-data\r\n\r\n\r\n--b--",
+        "b"
+    )
+    .is_err());
+    let many = "--b\r\nContent-Disposition: form-data; name=\"a\"\r\n\r\n\r\n"
+        .repeat(MAX_PARTS + 1)
+        + "--b--";
+    assert_eq!(parse(many.as_bytes(), "b"), Err("there are too many parts"));
+    assert_eq!(boundary("multipart/form-data"), None);
+    assert!(is_form("Multipart/Form-Data") && boundary("text/plain; boundary=b").is_none());
+}
--- /dev/null
+++ b/crates/clickhouse/tests/request.rs
@@ -0,0 +1,168 @@
+//! Requests as they are read off the interface.
+
+use driftfront_clickhouse::block::{pack, Method};
+use driftfront_clickhouse::coding::Coding;
+use driftfront_clickhouse::exception::Exception;
+use driftfront_clickhouse::request::{read, Asked, Query};
+use driftfront_http::Request;
+
+fn request(method: &str, target: &str, headers: &[(&str, &str)], body: &[u8]) -> Request {
+    Request {
+        method: method.into(),
+        target: target.into(),
+        headers: headers
+            .iter()
+            .map(|h| (h.0.to_string(), h.1.to_string()))
+            .collect(),
+        body: body.to_vec(),
+        has_more_body: false,
+        version_1_1: true,
+        close: false,
+    }
+}
+
+fn query(
+    method: &str,
+    target: &str,
+    headers: &[(&str, &str)],
+    body: &[u8],
+) -> Result<Query, Exception> {
+    match read(&request(method, target, headers, body))? {
+        Asked::Query(query) => Ok(*query),
+        other => panic!("{other:?}"),
+    }
+}
+
+#[test]
+fn the_statement_is_found_wherever_it_stands_and_however_packed() {
+    let insert = b"INSERT INTO uni_4.t FORMAT CSV\n1,2\n";
+    let gzip = driftfront_clickhouse::coding::pack(Coding::Gzip, insert).expect("packs");
+    let frames = [
+        pack(Method::Lz4, &insert[..9]),
+        pack(Method::Zstd, &insert[9..]),
+    ]
+    .concat();
+    let form = b"--b\r\nContent-Disposition: form-data; name=\"query\"\r\n\r\nINSERT INTO uni_4.t VALUES\r\n--b--";
+    for (target, headers, body) in [
+        ("/", vec![], &insert[..]),
+        ("/?query=INSERT+INTO+uni_4.t+FORMAT+CSV", vec![], b"1,2\n"),
+        ("/", vec![("Content-Encoding", "gzip")], &gzip),
+        ("/?decompress=1", vec![], &frames),
+        (
+            "/",
+            vec![("Content-Type", "multipart/form-data; boundary=b")],
+            form,
+        ),
+    ] {
+        let read =
+            query("POST", target, &headers, body).unwrap_or_else(|e| panic!("{target}: {e}"));
+        assert_eq!(
+            (read.shape.writes.as_deref(), read.shape.tables),
+            (Some("uni_4.t"), 4),
+            "{target}"
+        );
+    }
+}
+
+#[test]
+fn what_cannot_be_read_is_told_with_a_code() {
+    let code = |method, target, headers: &[(&str, &str)], body: &[u8]| {
+        query(method, target, headers, body).expect_err(target).code
+    };
+    let form = ("Content-Type", "multipart/form-data; boundary=b");
+    assert_eq!(code("POST", "/", &[], b"  "), 62);
+    assert_eq!(code("GET", "/?query=DROP+TABLE+t", &[], b""), 164);
+    assert_eq!(
+        code(
+            "POST",
+            "/?decompress=1",
+            &[],
+            b"SELECT 1 -- and more than one frame's head"
+        ),
+        271
+    );
+    let mut frame = pack(Method::Lz4, b"SELECT 1");
+    frame[30] ^= 1;
+    assert_eq!(code("POST", "/?decompress=1", &[], &frame), 271);
+    assert_eq!(
+        code("POST", "/", &[("Content-Encoding", "snappy")], b"x"),
+        48
+    );
+    assert_eq!(code("POST", "/", &[form], b"nothing of the kind"), 36);
+    assert_eq!(
+        code(
+            "POST",
+            "/",
+            &[("Content-Type", "multipart/form-data")],
+            b"x"
+        ),
+        36
+    );
+    assert_eq!(
+        code(
+            "POST",
+            "/?session_id=a&session_timeout=99999",
+            &[],
+            b"SELECT 1"
+        ),
+        36
+    );
+    assert_eq!(
+        code("POST", "/?session_id=a&session_timeout=x", &[], b"SELECT 1"),
+        36
+    );
+    assert_eq!(
+        code(
+            "POST",
+            &format!("/?query_id={}", "a".repeat(300)),
+            &[],
+            b"SELECT 1"
+        ),
+        36
+    );
+}
+
+#[test]
+fn settings_and_headers_are_passed_on_and_what_is_ours_or_secret_is_not_in_the_url() {
+    let target =
+        "/?database=uni&param_x=a%26b&password=hunter2&user=jana&query_id=q&max_execution_time=2.5\
+                  &driftfront_class=report&session_id=s&session_check=1&send_progress_in_http_headers=1";
+    let headers = [
+        ("X-ClickHouse-Format", "CSV"),
+        ("X-Evil", "1"),
+        ("Accept-Encoding", "gzip, snappy"),
+    ];
+    let read = query("POST", target, &headers, b"SELECT 1").expect("well formed");
+    assert_eq!(read.target, "&database=uni&param_x=a%26b&session_id=s");
+    let secret =
+        "X-ClickHouse-Format: CSV\r\nX-ClickHouse-User: jana\r\nX-ClickHouse-Key: hunter2\r\n";
+    assert_eq!(read.headers.0, secret);
+    assert_eq!(
+        (read.wanted_within, read.progress, read.frames),
+        (Some(2_500_000), true, false)
+    );
+    assert!(read
+        .session
+        .as_ref()
+        .is_some_and(|s| s.id == "s" && s.check));
+    assert!(!format!("{read:?}").contains("hunter2"));
+    let packed =
+        query("POST", "/?enable_http_compression=1", &headers, b"SELECT 1").expect("well formed");
+    assert!(packed.headers.0.contains("Accept-Encoding: gzip\r\n"));
+}
+
+#[test]
+fn paths_and_methods_that_are_not_there_are_told_apart() {
+    let asked = |method, target| read(&request(method, target, &[], b"")).expect("no query");
+    assert!(
+        matches!(asked("HEAD", "/"), Asked::Ping) && matches!(asked("GET", "/ping"), Asked::Ping)
+    );
+    assert!(matches!(asked("OPTIONS", "/?query=x"), Asked::Options));
+    assert!(
+        matches!(asked("PUT", "/"), Asked::NoMethod) && matches!(asked("GET", "/x"), Asked::NoPath)
+    );
+    assert!(matches!(
+        asked("GET", "/replicas_status"),
+        Asked::ReplicasStatus
+    ));
+}
--- a/crates/coordinator/src/frontends/clickhouse/kill.rs
+++ b/crates/coordinator/src/frontends/clickhouse/kill.rs
@@ -8,7 +8,7 @@
 use crate::net::fnv1a_64;
 use driftfront_clickhouse::exception::{Exception, NETWORK_ERROR};
 use driftfront_clickhouse::request::Query;
-use driftfront_clickhouse::session::keyed;
+use driftfront_clickhouse::session::keyed_hash;
 use driftfront_core::{EngineId, ParsedRequest, StickySession};
 use driftfront_http::response;
 use std::rc::Rc;
@@ -25,7 +25,7 @@
     ) -> FrontendAction {
         self.kills += 1;
         let order = KillOrder {
-            seed: keyed(self.seed, &self.kills.to_le_bytes()),
+            seed: keyed_hash(self.seed, &self.kills.to_le_bytes()),
             suffix: suffix.to_string(),
             template: ParsedRequest {
                 class,
--- a/crates/coordinator/src/frontends/clickhouse/mod.rs
+++ b/crates/coordinator/src/frontends/clickhouse/mod.rs
@@ -16,7 +16,7 @@
 use driftfront_clickhouse::body_budget::{BodyBudget, Reservation, UNBUDGETED_BYTES};
 use driftfront_clickhouse::exception::Exception;
 use driftfront_clickhouse::request::{self, Asked};
-use driftfront_clickhouse::session::{keyed, Book, Fate, Name};
+use driftfront_clickhouse::session::{keyed_hash, Fate, SessionName, SessionTable};
 use driftfront_core::{EngineId, Micros, ParsedRequest, RequestFate};
 use driftfront_http::{HttpError, Request, RequestLimits};
 use std::collections::HashMap;
@@ -58,7 +58,7 @@
     seed: u64,
     /// The last query named here, and the last ticket.
     last_number: u64,
-    sessions: Book<EngineId>,
+    sessions: SessionTable<EngineId>,
     budget: BodyBudget,
     /// What is held for requests that are not settled, by ticket.
     open: HashMap<u64, OpenQuery>,
@@ -68,7 +68,7 @@
 /// What is held for a query until nothing of it is in flight.
 #[derive(Clone, Copy)]
 struct OpenQuery {
-    session: Option<Name>,
+    session: Option<SessionName>,
     reserved_bytes: usize,
 }
 
@@ -80,7 +80,7 @@
             rules,
             seed,
             last_number: 0,
-            sessions: Book::new(seed),
+            sessions: SessionTable::new(seed),
             budget: BodyBudget::new(rules.keep),
             open: HashMap::new(),
             kills: 0,
@@ -94,7 +94,7 @@
 
     /// An id for a query that its client gave none: it differs from those of other coordinators and earlier processes.
     fn generate_id(&mut self, now: Micros) -> String {
-        let random = keyed(self.seed, &now.to_le_bytes());
+        let random = keyed_hash(self.seed, &now.to_le_bytes());
         format!("{random:016x}{:016x}", self.next_number())
     }
 
@@ -152,7 +152,7 @@
                 RequestFate::Ran(engine, well) => Fate::Ran(engine, well),
                 RequestFate::Unknown(engine) => Fate::Unknown(engine),
             };
-            self.sessions.over(now, session, fate);
+            self.sessions.end_query(now, session, fate);
         }
     }
 
--- a/crates/coordinator/src/frontends/clickhouse/query.rs
+++ b/crates/coordinator/src/frontends/clickhouse/query.rs
@@ -8,7 +8,7 @@
 use crate::net::fnv1a_64;
 use driftfront_clickhouse::exception::Exception;
 use driftfront_clickhouse::request::Query;
-use driftfront_clickhouse::session::{Home, Name};
+use driftfront_clickhouse::session::{Home, SessionName};
 use driftfront_core::{EngineId, Micros, ParsedRequest, StickySession};
 use driftfront_http::Request;
 use std::rc::Rc;
@@ -125,7 +125,7 @@
 /// A session with a query in flight.
 #[derive(Clone, Copy)]
 struct BegunSession {
-    name: Name,
+    name: SessionName,
     /// Where it lives, if it does yet.
     home: Option<Home<EngineId>>,
 }
