--- a/crates/clickhouse/tests/coding.rs
+++ b/crates/clickhouse/tests/coding.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn every_coding_is_followed_in_any_pieces_and_its_end_is_known() {
+fn every_coding_is_decoded_however_fragmented() {
     let plain = text();
     for coding in ALL {
         let packed = pack(coding, &plain).expect("packs");
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_spoilt_stream_is_an_error_or_shorter_and_never_a_panic() {
+fn corrupt_stream_never_panics() {
     let plain = text();
     for coding in ALL {
         let packed = pack(coding, &plain).expect("packs");
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn the_server_s_own_liking_decides_among_what_is_accepted() {
+fn coding_is_negotiated_in_the_server_s_order() {
     assert_eq!(Coding::negotiate("gzip, deflate, br"), Some(Coding::Brotli));
     assert_eq!(Coding::negotiate("gzip;q=1.0, br;q=0"), Some(Coding::Gzip));
     assert_eq!(Coding::negotiate("identity, *"), None);
--- a/crates/clickhouse/tests/credentials.rs
+++ b/crates/clickhouse/tests/credentials.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn all_three_places_mean_the_same_and_are_told_by_headers_alone() {
+fn credentials_of_all_three_places_become_headers() {
     let basic = format!("Basic {}", STANDARD.encode("jana:pa:ss"));
     let all = [
         read("user=jana&password=pa%3Ass", &[]),
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn two_places_at_once_and_what_cannot_be_read_are_refused() {
+fn ambiguous_or_unreadable_credentials_are_rejected() {
     assert_eq!(read("user=a", &[(USER, "b")]).expect_err("both").code, 516);
     for odd in ["Basic %%%", "Basic amFuYQ==", "Digest x", "Basic"] {
         assert_eq!(
--- a/crates/clickhouse/tests/multipart.rs
+++ b/crates/clickhouse/tests/multipart.rs
@@ -7,7 +7,7 @@
     \r\n--b1--\r\n";
 
 #[test]
-fn fields_and_tables_are_told_apart_and_data_may_hold_the_boundary_s_words() {
+fn fields_and_tables_are_distinguished() {
     let kind = "multipart/form-data; charset=utf-8; boundary=\"b1\"";
     let parts = parse(BODY.as_bytes(), &boundary(kind).expect("one")).expect("well formed");
     let data = |n: usize| &BODY[parts[n].data.clone()];
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn every_cut_of_a_body_is_told_and_none_panics() {
+fn every_truncated_body_is_an_error() {
     let whole = BODY.trim_end().len();
     for end in 0..whole {
         assert!(
--- a/crates/clickhouse/tests/params.rs
+++ b/crates/clickhouse/tests/params.rs
@@ -3,7 +3,7 @@
 use driftfront_clickhouse::params::{decoded, encode, Params, MAX_PARAMS};
 
 #[test]
-fn what_is_encoded_is_read_back_and_odd_escapes_stay() {
+fn encoding_round_trips_and_invalid_escapes_stay() {
     for text in ["", "SELECT 1 + 2 -- žluťoučký", "a&b=c%%2", "\0\n"] {
         let mut url = String::new();
         encode(text, &mut url);
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn the_last_of_a_repeated_name_counts_and_a_flood_is_no_list() {
+fn last_value_of_a_repeated_name_counts() {
     let params = Params::parse("a=1&a=2&b&&wait=TRUE").expect("few");
     assert_eq!(
         (params.get("a"), params.get("b"), params.non_empty("b")),
--- a/crates/clickhouse/tests/request.rs
+++ b/crates/clickhouse/tests/request.rs
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn the_statement_is_found_wherever_it_stands_and_however_packed() {
+fn statement_is_found_in_every_place_and_packing() {
     let insert = b"INSERT INTO uni_4.t FORMAT CSV\n1,2\n";
     let gzip = driftfront_clickhouse::coding::pack(Coding::Gzip, insert).expect("packs");
     let frames = [
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn what_cannot_be_read_is_told_with_a_code() {
+fn unreadable_requests_get_a_code() {
     let code = |method, target, headers: &[(&str, &str)], body: &[u8]| {
         query(method, target, headers, body).expect_err(target).code
     };
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn settings_and_headers_are_passed_on_and_what_is_ours_or_secret_is_not_in_the_url() {
+fn settings_are_forwarded_and_secrets_stay_out_of_the_url() {
     let target =
         "/?database=uni&param_x=a%26b&password=hunter2&user=jana&query_id=q&max_execution_time=2.5\
                   &driftfront_class=report&session_id=s&session_check=1&send_progress_in_http_headers=1";
@@ -152,7 +152,7 @@
 }
 
 #[test]
-fn paths_and_methods_that_are_not_there_are_told_apart() {
+fn unknown_paths_and_methods_are_distinguished() {
     let asked = |method, target| read(&request(method, target, &[], b"")).expect("no query");
     assert!(
         matches!(asked("HEAD", "/"), Asked::Ping) && matches!(asked("GET", "/ping"), Asked::Ping)
--- a/crates/clickhouse/tests/sql.rs
+++ b/crates/clickhouse/tests/sql.rs
@@ -3,7 +3,7 @@
 use driftfront_clickhouse::sql::{table_group, Shape, MAX_SCANNED_BYTES};
 
 #[test]
-fn reads_and_the_tables_of_writes_are_told_apart() {
+fn reads_and_written_tables_are_recognized() {
     let reads = |s| Shape::of(s).reads;
     assert!(reads("/* x */ with 1 as a SELECT a") && reads("(SELECT 1)"));
     assert!(!reads("INSERT INTO t SELECT 1") && !reads("") && Shape::of(" -- x").empty);
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn what_leaves_something_in_a_session_is_known() {
+fn statements_with_session_effects_are_recognized() {
     for tied in [
         "SET max_threads = 1",
         "use uni_4",
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_kill_names_its_queries_or_is_known_to_choose_otherwise() {
+fn kill_conditions_by_id_are_recognized() {
     let ids = |s: &str| Shape::of(s).kill.expect("a kill").ids;
     let of = |ids: &[&str]| Some(ids.iter().map(|s| s.to_string()).collect::<Vec<_>>());
     assert_eq!(ids("KILL QUERY WHERE query_id='a''b' SYNC"), of(&["a'b"]));
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn the_group_is_the_schema_s_number() {
+fn table_group_is_the_schema_s_number() {
     for (statement, group) in [
         (
             "SELECT day, count(*), max(note) FROM sales_17.orders WHERE tag = '3f9c' GROUP BY day",
--- a/crates/clickhouse/tests/watch.rs
+++ b/crates/clickhouse/tests/watch.rs
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn an_error_behind_the_rows_is_found_in_all_three_forms_however_packed() {
+fn error_behind_the_rows_is_found_in_all_forms_and_packings() {
     for rows in [1, 400] {
         let rows = "1\ta\n".repeat(rows);
         each_form(&rows);
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_good_result_passes_whatever_its_rows_say() {
+fn good_result_passes_whatever_its_rows_say() {
     // Rows that hold an exception's words, and more rows.
     let rows = format!("{WORDS}\tin a log\n2\tb\n{{\"exception\":\"{WORDS}\"}}\n3\tc\n");
     for tag in [None, Some("tag")] {
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn a_cut_or_spoilt_stream_of_blocks_is_told() {
+fn cut_or_corrupt_blocks_are_errors() {
     let rows = "1\ta\n".repeat(4000);
     for (way, bytes, mut watch) in ways(&rows, None, None).into_iter().skip(1) {
         assert!(
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn plain_words_between_compressed_blocks_are_the_engine_s() {
+fn plain_text_between_compressed_blocks_is_an_exception() {
     let mut watch = Watch::new(true, None, None, None).expect("a decoder");
     let bytes = [block::pack(Method::Lz4, b"1\n"), WORDS.into()].concat();
     assert!(matches!(watch.push(&bytes), Err(Fault::Exception(e)) if e.code == 241));
--- a/crates/coordinator/tests/clickhouse.rs
+++ b/crates/coordinator/tests/clickhouse.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_query_s_whole_path() {
+fn query_runs_from_client_to_engine_and_back() {
     let site = Site::start(2);
     let addr = site.coordinator.addr;
     assert_eq!(get(addr, "/ping").text(), "Ok.\n");
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn credentials_reach_the_engine_from_all_three_places_and_no_url() {
+fn credentials_are_forwarded_in_headers_never_in_urls() {
     let options = Options {
         user: Some(("jana".into(), "pa:ss".into())),
         ..Options::default()
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn an_engine_silent_after_the_tenth_megabyte_breaks_the_result_before_the_deadline() {
+fn result_is_broken_before_the_deadline_when_its_engine_stalls() {
     // The engine answers pings, this result alone stands still.
     let site = Plan::of(2).stall_ms(400).start();
     let answer = post(
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn an_engine_that_says_nothing_at_all_is_noticed_and_its_read_runs_elsewhere() {
+fn read_runs_elsewhere_when_its_engine_is_silent() {
     let site = Site::start(2);
     let query = "SELECT 'nothing at all' /* standin: silent first */";
     let mut stream = site.begin("/?query_id=lost&driftfront_class=report", query);
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn an_engine_silent_in_the_middle_of_a_result_is_noticed_by_its_pings() {
+fn engine_silent_within_a_result_is_detected_by_pings() {
     let site = Plan::of(1).stall_ms(60_000).start();
     let query = "SELECT wide(20) FROM numbers(1000000) /* standin: silent_after=500000 */";
     let mut stream = site.begin("/?driftfront_class=report", query);
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn an_engine_silent_before_rows_ends_in_one_visible_failure_or_refusal() {
+fn silence_before_rows_ends_in_one_failure_or_rejection() {
     let site = Site::start(2);
     let target = "/?max_execution_time=1";
     let read = site.ask(target, "SELECT 1 /* standin: silent */");
@@ -202,7 +202,7 @@
 ];
 
 #[test]
-fn an_error_after_status_200_is_found_in_every_form_and_packing() {
+fn error_after_status_200_is_found_in_every_form() {
     let json = "&http_write_exception_in_output_format=1&default_format=JSONCompact";
     for (tags, form) in [(true, ""), (false, ""), (true, json), (false, json)] {
         let options = Options {
@@ -250,7 +250,7 @@
 }
 
 #[test]
-fn an_error_in_the_last_compressed_block_of_a_result_that_ends_well_breaks_it() {
+fn error_in_the_last_compressed_block_breaks_the_result() {
     let site = Site::start(1);
     for (n, (params, headers, _)) in WAYS.iter().enumerate() {
         let target = format!("/?driftfront_class=report{params}");
@@ -266,7 +266,7 @@
 }
 
 #[test]
-fn a_bad_compressed_block_is_never_passed_on_as_whole() {
+fn corrupt_compressed_block_is_never_forwarded_as_complete() {
     let site = Site::start(2);
     let target = "/?compress=1&driftfront_class=report";
     let early = site.ask(target, "SELECT 1 /* standin: bad_block first */");
@@ -281,7 +281,7 @@
 }
 
 #[test]
-fn an_answer_to_another_query_or_a_second_one_is_taken_for_nobody_s() {
+fn responses_of_other_queries_are_ignored() {
     let site = Site::start(2);
     assert_eq!(
         site.query("SELECT 5 /* standin: lie first */").text(),
@@ -298,7 +298,7 @@
 }
 
 #[test]
-fn a_lost_engine_costs_a_read_another_attempt_and_a_load_a_failure() {
+fn lost_engine_causes_a_read_retry_and_a_load_failure() {
     let site = Site::start(2);
     assert_eq!(
         site.query("SELECT 1 /* standin: cut first */").text(),
@@ -316,7 +316,7 @@
 }
 
 #[test]
-fn the_statement_s_own_error_is_passed_on_with_its_code_and_costs_no_engine() {
+fn statement_error_is_forwarded_and_blames_no_engine() {
     let site = Site::start(1);
     for n in 0..4 {
         let answer = site.query(&format!("SELECT nowhere{n}"));
@@ -331,7 +331,7 @@
 }
 
 #[test]
-fn loads_into_one_table_run_one_at_a_time_and_in_order() {
+fn loads_into_one_table_run_in_order() {
     let site = Site::start(2);
     let mut calls = Vec::new();
     for n in 0..6 {
@@ -355,7 +355,7 @@
 }
 
 #[test]
-fn nothing_new_goes_to_an_engine_that_drains() {
+fn draining_engine_gets_nothing_new() {
     let site = Site::start(2);
     site.list(&["draining", "ready"]);
     for n in 0..20 {
@@ -372,7 +372,7 @@
 }
 
 #[test]
-fn a_session_lives_on_one_engine_with_what_was_left_in_it() {
+fn session_stays_on_its_engine() {
     let site = Site::start(3);
     let target = "/?session_id=s1";
     assert_eq!(site.ask(target, "SET max_threads = 3").status, 200);
@@ -406,7 +406,7 @@
 }
 
 #[test]
-fn a_session_s_two_queries_at_once_an_unknown_one_and_an_odd_timeout_are_told() {
+fn session_errors_are_reported_with_their_codes() {
     let site = Site::start(2);
     let mut first = site.begin(
         "/?session_id=s1&driftfront_class=report",
@@ -441,7 +441,7 @@
 }
 
 #[test]
-fn two_hundred_tied_sessions_end_with_their_engine_s_drain_and_loose_ones_move() {
+fn drain_ends_bound_sessions_and_moves_the_others() {
     let site = Site::start(2);
     for n in 0..200 {
         // Each begins on tables of its own, so that nothing draws them all to one engine.
@@ -534,7 +534,7 @@
 }
 
 #[test]
-fn a_query_that_runs_is_killed_where_it_runs_and_only_there() {
+fn kill_reaches_only_the_engine_that_runs_the_query() {
     let site = Site::start(3);
     let mut victim = site.begin(
         "/?query_id=v1&driftfront_class=report",
@@ -566,7 +566,7 @@
 }
 
 #[test]
-fn a_kill_between_two_attempts_ends_the_query_and_no_other_attempt_follows() {
+fn kill_between_attempts_prevents_a_retry() {
     let site = Site::start(1);
     let query = "SELECT 'between' /* standin: cut sleep_ms=1500 first */";
     let mut victim = site.begin("/?query_id=b1&driftfront_class=report", query);
@@ -585,7 +585,7 @@
 }
 
 #[test]
-fn a_kill_finds_an_attempt_that_nobody_waits_for_any_more() {
+fn kill_finds_an_abandoned_attempt() {
     let site = Site::start(1);
     // The engine's own limit is longer than the client's patience, so it may still run.
     let query = "INSERT INTO o.t SELECT sleep(14), 'forgotten' /* standin: sleep_ms=14000 */";
@@ -606,7 +606,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_frees_what_its_read_held_on_the_engine() {
+fn client_disconnect_releases_its_read_on_the_engine() {
     let site = Site::start(1);
     let stream = site.begin("/?driftfront_class=report", "SELECT sleep(14), 'left'");
     site.ledger.wait_for("left", 1);
@@ -640,7 +640,7 @@
 }
 
 #[test]
-fn an_insert_far_larger_than_the_memory_arrives_whole_and_unchanged() {
+fn insert_larger_than_memory_arrives_unchanged() {
     const BYTES: usize = 256 * 1024 * 1024;
     let site = Plan::of(1).memory_mb(48).start();
     for (chunked, table) in [(true, "chunked"), (false, "counted")] {
@@ -698,7 +698,7 @@
 }
 
 #[test]
-fn an_insert_that_is_not_kept_is_sent_once_and_never_again() {
+fn streamed_insert_is_sent_once() {
     let site = Site::start(2);
     // The engine dies on it, errs in the middle of it, or its client leaves or writes nonsense.
     let mut err = half_an_insert(&site, "errs", "error_after=2000000");
@@ -728,7 +728,7 @@
 }
 
 #[test]
-fn an_insert_that_is_kept_goes_elsewhere_when_it_was_turned_away() {
+fn retained_insert_is_retried_when_rejected() {
     let site = Site::start(2);
     let rows = "1,2\n".repeat(100_000);
     let answer = site.query(&format!(
@@ -742,7 +742,7 @@
 }
 
 #[test]
-fn a_token_makes_an_insert_repeatable_only_where_the_operator_says_so() {
+fn deduplication_token_allows_retries_only_where_configured() {
     let keyed = "{\"Name\": \"deduplicated\", \"Effect\": \"guarded\", \"KeyScope\": \"all\", \"ByArrival\": true, \
                  \"RepeatWindowUs\": 60000000, \"OnTimeUs\": 3000000, \"DeadlineUs\": 25000000, \"Worth\": 7.5, \
                  \"LateWorth\": 0.6},\n      {\"Name\": \"member-load\"";
@@ -788,7 +788,7 @@
 }
 
 #[test]
-fn progress_is_asked_for_and_told_only_to_who_wants_it() {
+fn progress_is_sent_only_to_clients_that_ask() {
     let site = Plan::of(1)
         .with("\"TellsEveryUs\": 1000000", "\"TellsEveryUs\": 100000")
         .start();
@@ -807,7 +807,7 @@
 }
 
 #[test]
-fn a_cut_result_of_a_client_without_chunks_is_reset_not_closed() {
+fn broken_result_without_chunks_is_reset() {
     let site = Site::start(1);
     let mut stream = TcpStream::connect(site.coordinator.addr).unwrap();
     let query = "SELECT wide(20) FROM numbers(100000) /* standin: cut_after=1000000 */";
@@ -828,7 +828,7 @@
 }
 
 #[test]
-fn slow_readers_hold_little_memory_and_keep_nobody_else_waiting() {
+fn slow_readers_are_bounded_in_memory_and_delay_nobody() {
     let site = Plan::of(10).memory_mb(48).start();
     let slow: Vec<TcpStream> = (0..60)
         .map(|n| {
@@ -850,7 +850,7 @@
 }
 
 #[test]
-fn bad_input_gets_a_code_and_nothing_of_it_is_passed_on() {
+fn invalid_input_gets_a_code_and_is_not_forwarded() {
     let site = Site::start(1);
     let addr = site.coordinator.addr;
     assert_eq!(get(addr, "/other").status, 404);
@@ -895,7 +895,7 @@
 }
 
 #[test]
-fn a_ban_and_a_pause_let_a_session_s_result_and_a_streamed_insert_come_to_their_ends() {
+fn ban_and_pause_let_results_and_streamed_inserts_finish() {
     let second = "\"name\": \"appliance\", \"management\": \"127.0.0.1:0\"";
     let site = Plan::of(1).with("\"name\": \"appliance\"", second).start();
     assert_eq!(
@@ -940,7 +940,7 @@
 }
 
 #[test]
-fn a_stop_answers_all_that_was_taken_and_ends_well() {
+fn shutdown_answers_all_accepted_requests() {
     let mut site = Site::start(1);
     let mut stream = site.begin("/?max_execution_time=1", "SELECT 1 /* standin: silent */");
     site.coordinator.wait_for("requests_taken", 1);
@@ -952,7 +952,7 @@
 }
 
 #[test]
-fn out_of_descriptors_idle_clients_make_room_and_the_rest_is_served() {
+fn idle_clients_are_evicted_when_descriptors_run_out() {
     let site = Plan {
         descriptors: 30,
         ..Plan::of(1)
@@ -969,7 +969,7 @@
 }
 
 #[test]
-fn engines_come_and_go_by_etcd() {
+fn engines_are_added_and_removed_by_etcd() {
     use base64::engine::general_purpose::STANDARD;
     use base64::Engine as _;
     let ledger = Arc::new(RequestLog::default());
@@ -1043,7 +1043,7 @@
 }
 
 #[test]
-fn the_console_says_plainly_what_is_wrong() {
+fn console_says_what_is_wrong() {
     let run = |args: &[&str]| {
         let out = std::process::Command::new(env!("CARGO_BIN_EXE_driftfront"))
             .args(args)
--- a/crates/coordinator/tests/conformance.rs
+++ b/crates/coordinator/tests/conformance.rs
@@ -212,7 +212,7 @@
 }
 
 #[test]
-fn every_case_is_the_same_straight_and_through_or_on_the_list_with_its_reason() {
+fn every_case_is_the_same_direct_and_through_the_coordinator() {
     let folder = PathBuf::from(env!("CARGO_MANIFEST_DIR"));
     let text = std::fs::read(folder.join("tests/conformance/cases.json")).expect("the cases");
     let cases = parse(&text).expect("JSON");
--- a/crates/coordinator/tests/endings/clients.rs
+++ b/crates/coordinator/tests/endings/clients.rs
@@ -13,7 +13,7 @@
 const TERM: Duration = Duration::from_millis(300);
 
 #[test]
-fn a_client_that_leaves_while_its_key_is_taken_is_never_sent_on_however_it_leaves() {
+fn client_that_leaves_while_its_key_is_busy_is_not_forwarded() {
     let (site, mut first, gate) = with_key_taken();
     let wait = |id: u64| {
         let stream = open(&site, &load(id, &format!("INSERT gone {id}")));
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_client_that_left_before_it_was_read_is_not_sent_on() {
+fn client_that_left_before_its_request_was_read_is_not_forwarded() {
     let site = Site::start(1);
     // The way to its engine is open, so that what is taken would be there at once.
     assert_eq!(site.ask("lookup", 2500, "SELECT before").status, 200);
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn clients_that_leave_the_module_s_queue_all_at_once_are_not_sent_on() {
+fn clients_that_leave_the_queue_together_are_not_forwarded() {
     let (site, gate) = held(1);
     let all = 60;
     let ask = |id| report(id, &format!("SELECT held {id}"));
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_as_its_attempt_is_turned_away_is_not_tried_again() {
+fn client_that_leaves_as_its_attempt_is_rejected_is_not_retried() {
     let (site, gate) = held(1);
     // Enough at once for a second connection, so that a further attempt need not wait for one.
     let others: Vec<TcpStream> = (2..10)
@@ -196,7 +196,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_while_a_connection_comes_up_is_not_sent_on_once_it_has() {
+fn client_that_leaves_during_a_connect_is_not_forwarded() {
     let waits = Unreached::start();
     let leaves = open(&waits.site, &load(1, "INSERT left"));
     waits.site.coordinator.wait_for("attempts_sent", 1);
@@ -210,7 +210,7 @@
 }
 
 #[test]
-fn what_was_given_up_while_its_connection_came_up_is_not_sent_once_it_has() {
+fn attempt_abandoned_during_a_connect_is_not_sent() {
     let waits = Unreached::start();
     // Its time runs out: it never ran, so that it is refused.
     let mut late = open(
@@ -226,7 +226,7 @@
 }
 
 #[test]
-fn what_waits_for_an_engine_whose_address_passes_to_another_runs_once_there() {
+fn request_runs_once_when_its_engine_s_address_is_reused() {
     let waits = Unreached::start();
     let mut load = open(&waits.site, &load(1, "INSERT moved"));
     waits.site.coordinator.wait_for("attempts_sent", 1);
@@ -243,7 +243,7 @@
 }
 
 #[test]
-fn bad_clients_that_send_much_and_go_cost_a_waiting_request_nothing() {
+fn flooding_clients_do_not_delay_a_waiting_request() {
     let (site, mut first, gate) = with_key_taken();
     let site = Arc::new(site);
     let bad: Vec<_> = (0..4u64)
@@ -280,7 +280,7 @@
 }
 
 #[test]
-fn a_request_that_comes_as_its_connection_makes_room_for_another_is_served() {
+fn request_that_arrives_during_eviction_is_served() {
     let site = Site::set(1, |config| {
         config.replace("\"sockets\": 1024", "\"sockets\": 100")
     });
--- a/crates/coordinator/tests/endings/engines.rs
+++ b/crates/coordinator/tests/endings/engines.rs
@@ -9,7 +9,7 @@
 use std::sync::{Arc, Mutex};
 
 #[test]
-fn half_an_answer_and_then_silence_costs_a_read_one_attempt_and_a_load_its_answer() {
+fn half_a_response_fails_one_attempt() {
     let site = Site::start(2);
     for words in ["half", "half endless"] {
         assert_eq!(
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_second_answer_that_comes_late_does_not_end_the_next_attempt() {
+fn late_duplicate_response_does_not_end_the_next_attempt() {
     let tried = Arc::new(Mutex::new(Vec::<usize>::new()));
     let (seen, connections) = (tried.clone(), std::sync::atomic::AtomicUsize::new(0));
     let engine = stand_in(move |stream| {
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn an_answer_that_came_before_a_reset_counts_though_something_is_being_sent_there() {
+fn response_before_a_reset_counts_during_a_write() {
     let (go, goes) = channel::<()>();
     let goes = Mutex::new(goes);
     let asked = Arc::new(Mutex::new(Vec::<String>::new()));
--- a/crates/coordinator/tests/endings/lists.rs
+++ b/crates/coordinator/tests/endings/lists.rs
@@ -9,7 +9,7 @@
 use std::sync::{Arc, Mutex};
 
 #[test]
-fn a_list_that_falls_silent_though_connected_is_taken_anew_and_no_drain_is_missed() {
+fn silent_list_is_reconnected_and_no_drain_is_missed() {
     // It tells one event to each caller, the next of those behind its last, and then says nothing at all.
     let tells = Arc::new(Mutex::new(Vec::<String>::new()));
     let (told, asked) = (tells.clone(), Arc::new(Mutex::new(Vec::<usize>::new())));
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn with_the_list_away_it_serves_from_what_is_known_and_hears_of_a_drain_once_that_is_back() {
+fn known_engines_are_served_while_the_list_is_unreachable() {
     // Bound, so that nobody else gets the address, and refused until it listens.
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     socket
--- a/crates/coordinator/tests/endings/shutdown.rs
+++ b/crates/coordinator/tests/endings/shutdown.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn behind_the_grace_of_a_shutdown_a_request_is_refused_and_never_sent() {
+fn request_after_the_shutdown_grace_is_rejected() {
     let mut site = Site::start(1);
     let mut out = open(&site, &request("report", 1, "", "SELECT silent"));
     site.ledger.wait_for("SELECT silent", 1);
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn what_waits_when_a_restart_s_kill_is_near_is_refused_so_that_it_may_be_served_elsewhere() {
+fn queued_requests_are_rejected_before_a_restart_kills() {
     let (mut site, mut first, gate) = with_key_taken();
     let mut second = open(&site, &load(2, "INSERT second"));
     site.coordinator.wait_for("requests_taken", 2);
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn an_answer_written_as_the_process_ends_is_not_lost_to_bytes_behind_it() {
+fn response_written_at_exit_is_not_lost_to_unread_bytes() {
     let (mut site, mut first, gate) = with_key_taken();
     site.coordinator.terminate();
     // Once nobody listens only this request keeps the process.
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn what_comes_while_the_process_stands_still_past_its_grace_is_answered_and_not_reset() {
+fn requests_during_a_freeze_past_the_grace_are_answered() {
     let (mut site, gate) = held(1);
     let mut out = open(&site, &request("lookup", 1, "", "SELECT held"));
     site.ledger.wait_for("SELECT held", 1);
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn what_hangs_at_an_engine_is_answered_before_a_restart_s_kill() {
+fn hung_attempts_are_answered_before_a_restart_kills() {
     let (mut site, gate) = held(1);
     let mut read = open(
         &site,
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn a_request_half_read_as_the_process_ends_is_told_so() {
+fn request_half_read_at_exit_gets_408() {
     let mut site = Site::start(1);
     let mut half = open(&site, &request("lookup", 1, "", "SELECT half")[..40]);
     site.coordinator.wait_for("connections_clients", 2);
--- a/crates/coordinator/tests/eviction.rs
+++ b/crates/coordinator/tests/eviction.rs
@@ -3,7 +3,7 @@
 use driftfront::net::eviction::rank;
 
 #[test]
-fn a_newcomer_has_time_to_speak_while_others_idle() {
+fn fresh_connection_outranks_only_long_idle_ones() {
     let (closing, asked, fresh) = (
         |idle| rank(true, false, idle),
         |idle| rank(false, false, idle),
--- a/crates/coordinator/tests/link.rs
+++ b/crates/coordinator/tests/link.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn what_was_read_in_front_of_a_reset_is_given_before_the_reset_is_told() {
+fn bytes_before_a_reset_are_returned_before_its_error() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let near = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     let (mut far, _) = listener.accept().unwrap();
--- a/crates/coordinator/tests/platform.rs
+++ b/crates/coordinator/tests/platform.rs
@@ -10,7 +10,7 @@
 use std::sync::{Arc, Mutex};
 
 #[test]
-fn results_come_whole_with_all_their_pages() {
+fn result_is_complete_with_all_its_pages() {
     let site = Site::start(2);
     let one = site.ask("lookup", 2500, "SELECT 1");
     assert_eq!(
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn an_engine_whose_idle_connections_are_all_reset_is_doubted_before_an_attempt_is_lost() {
+fn engine_is_suspected_when_all_idle_connections_are_reset() {
     let (end, ends) = channel::<()>();
     let ends = Mutex::new(ends);
     let dies = stand_in(move |mut stream| {
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn each_end_of_an_attempt_leads_where_its_class_allows() {
+fn failed_attempt_is_retried_only_where_its_class_allows() {
     let site = Site::start(3);
     for (word, load) in [
         ("full", 200),
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn a_silent_engine_costs_one_answer_in_time_and_none_that_is_untrue() {
+fn silent_engine_costs_one_timely_response() {
     let site = Site::start(2);
     let load = site.ask("member-load", 700, "INSERT silent");
     // It may have run: not a refusal.
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn a_spoilt_answer_does_not_take_a_load_with_it() {
+fn malformed_response_does_not_end_a_load_beside_it() {
     let site = Arc::new(Site::start(1));
     let asking = site.clone();
     let load = std::thread::spawn(move || asking.ask("member-load", 900, "INSERT silent").status);
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn what_is_out_on_a_silent_connection_is_tried_elsewhere_but_for_loads() {
+fn reads_on_a_silent_connection_are_retried_elsewhere() {
     // Notes are due each 0.1 s, so a connection that brings none of them for long is dead.
     let site = Site::set(2, |config| {
         config.replace("\"TellsEveryUs\": 0", "\"TellsEveryUs\": 100000")
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_is_owed_nothing_and_its_key_s_order_stands() {
+fn key_order_holds_when_a_client_disconnects() {
     let site = Site::start(1);
     let head = "POST /ops/member-load HTTP/1.1\r\nX-Call-Id: 00000000000000ab\r\nX-Patience-Ms: 900\r\nX-Entity: 000000000000000a\r\n";
     let mut stream = TcpStream::connect(site.coordinator.addr).unwrap();
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn a_broken_list_stream_is_taken_up_behind_its_last_event() {
+fn event_stream_resumes_behind_its_last_event() {
     let site = Site::start(2);
     site.tell(&["ready", "ready"], ",\"x\":\"hang up\"");
     site.coordinator.wait_for("lists_taken", 3);
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn a_new_configuration_moves_the_list_and_keeps_all_that_is_open() {
+fn reload_moves_discovery_and_keeps_open_connections() {
     let mut site = Site::start(2);
     let mut open = TcpStream::connect(site.coordinator.addr).unwrap();
     open.write_all(b"POST /ops/lookup HTTP/1.1\r\nX-Call-Id: 00000000000000ab\r\n")
@@ -208,7 +208,7 @@
 }
 
 #[test]
-fn bytes_in_any_pieces_and_pipelined_calls_are_answered_in_turn() {
+fn fragmented_and_pipelined_requests_are_answered_in_order() {
     let site = Site::start(1);
     let mut text = String::new();
     for n in 0..3 {
@@ -244,7 +244,7 @@
 }
 
 #[test]
-fn what_is_no_request_is_told_so_and_nothing_of_it_reaches_an_engine() {
+fn invalid_requests_are_rejected_and_reach_no_engine() {
     let site = Site::start(1);
     let fields = "X-Call-Id: 00000000000000ab\r\nX-Patience-Ms: 2500\r\n";
     let post = |more: &str| format!("POST /ops/lookup HTTP/1.1\r\n{fields}{more}");
@@ -311,7 +311,7 @@
 }
 
 #[test]
-fn a_crowd_that_says_nothing_does_not_keep_usual_clients_out() {
+fn idle_connections_do_not_keep_clients_out() {
     let site = Site::set(1, |config| {
         config.replace("\"sockets\": 1024", "\"sockets\": 100")
     });
@@ -325,7 +325,7 @@
 }
 
 #[test]
-fn thousands_of_pipelined_calls_do_not_exhaust_the_stack() {
+fn thousands_of_pipelined_requests_do_not_exhaust_the_stack() {
     let site = Site::start(1);
     let head = "POST /ops/lookup HTTP/1.1\r\nX-Call-Id: 00000000000000ab\r\nX-Patience-Ms: 1\r\nContent-Length: 1\r\n\r\nx";
     let mut stream = TcpStream::connect(site.coordinator.addr).unwrap();
--- a/crates/coordinator/tests/retry_budget.rs
+++ b/crates/coordinator/tests/retry_budget.rs
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn retries_held_up_by_connections_that_come_up_late_stay_within_the_budget_as_they_go_out() {
+fn budget_is_not_exceeded_when_connections_are_slow() {
     let budget = Budget {
         free: 3.0,
         ratio: 0.0,
--- a/crates/coordinator/tests/rust_client.rs
+++ b/crates/coordinator/tests/rust_client.rs
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn inserts_arrive_with_and_without_compression_and_are_read_back() {
+fn inserts_are_read_back_with_and_without_compression() {
     let site = Plan::of(1).start();
     run(async {
         for (compression, table) in [(Compression::None, "plain"), (Compression::Lz4, "packed")] {
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn errors_keep_the_engine_s_words_and_a_broken_result_is_an_error() {
+fn errors_keep_the_engine_s_message() {
     let site = Plan::of(1).start();
     run(async {
         let client = client(&site).with_compression(Compression::None);
--- a/crates/coordinator/tests/second.rs
+++ b/crates/coordinator/tests/second.rs
@@ -220,7 +220,7 @@
 const TOKEN: &str = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
 
 #[test]
-fn a_keyed_load_goes_again_with_its_client_s_word_and_never_without() {
+fn load_is_retried_only_with_its_idempotency_key() {
     let site = Site::second(2);
     let key = ("X-Entity", "7f3a9c21e0b4d655");
     let answer = site.ask(
@@ -253,7 +253,7 @@
 }
 
 #[test]
-fn what_could_forge_a_field_of_the_engines_wire_is_no_key() {
+fn idempotency_key_that_could_forge_a_field_is_rejected() {
     let site = Site::second(1);
     let long = "k".repeat(129);
     for bad in ["a,ms=1", "a b", "", "a=b", "é", long.as_str()] {
@@ -276,7 +276,7 @@
 }
 
 #[test]
-fn a_retry_under_the_same_word_is_not_run_once_engines_have_forgotten_it() {
+fn client_retry_is_not_run_outside_the_deduplication_window() {
     let site = Site::start(2, |config| second(config).replace("12000000", "700000"));
     let headers = [("X-Dedupe-Key", TOKEN), ("X-Patience-Ms", "600")];
     // Its client gave up; it may have run, and may still.
@@ -295,7 +295,7 @@
 }
 
 #[test]
-fn memory_is_granted_by_the_estimate_and_by_what_engines_tell() {
+fn memory_is_granted_by_estimate_and_engine_reports() {
     let site = Site::second(1);
     let granted = |statement: &str| -> u64 {
         assert_eq!(
@@ -325,7 +325,7 @@
 }
 
 #[test]
-fn what_runs_far_too_long_is_stopped_before_it_is_made_again() {
+fn overlong_attempt_is_stopped_before_a_retry() {
     let site = Site::second(2);
     for n in 0..8 {
         assert_eq!(
@@ -352,7 +352,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_has_its_query_stopped_where_engines_heed_that() {
+fn client_disconnect_stops_its_query_where_engines_support_it() {
     let site = Site::second(1);
     let mut stream = TcpStream::connect(site.coordinator.addr).unwrap();
     let head =
@@ -370,7 +370,7 @@
 }
 
 #[test]
-fn a_tenant_that_the_settings_do_not_name_has_no_share_and_takes_none() {
+fn unnamed_tenant_has_no_quota_and_takes_none() {
     // A share of one query in a hundred seconds, used up by the eighth at once; engines say that they are full.
     let tenants =
         "\"Tenants\": [{\"Name\": \"red-centro\", \"QuotaPerS\": 50.0}], \"OverShareWorth\": 0.05";
@@ -509,7 +509,7 @@
 }
 
 #[test]
-fn under_any_settings_that_the_protocol_allows_it_starts_serves_and_writes_only_what_engines_can_read(
+fn under_any_valid_settings_it_serves_and_engines_can_read_it(
 ) {
     let mut g = Gen::from_size_and_seed(30, 20_261_201);
     for _ in 0..24 {
--- a/crates/coordinator/tests/silence.rs
+++ b/crates/coordinator/tests/silence.rs
@@ -3,7 +3,7 @@
 use driftfront::net::silence::{is_overdue, tolerated_interval};
 
 #[test]
-fn one_query_without_word_is_not_taken_back_from_an_engine_whose_zone_is_heard() {
+fn single_silent_query_is_tolerated_while_its_zone_is_heard() {
     let overdue = |out, zone| {
         is_overdue(
             2_000_000,
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn silence_is_an_engine_s_not_one_connection_s() {
+fn silence_is_judged_by_engine_not_by_connection() {
     let notes = Some(1_000_000);
     assert!(is_overdue(10_000_000, notes, 8_000_000, false));
     assert!(!is_overdue(10_000_000, notes, 9_900_000, false));
--- a/crates/coordinator/tests/wires.rs
+++ b/crates/coordinator/tests/wires.rs
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn requests_are_the_same_in_whatever_pieces_they_come() {
+fn requests_are_the_same_however_fragmented() {
     fn same(bodies: Vec<Vec<u8>>, chunked: Vec<bool>, cuts: Vec<u8>) -> bool {
         let mut bytes = Vec::new();
         for (n, body) in bodies.iter().enumerate() {
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn no_bytes_make_a_reader_panic_or_hold_without_bound() {
+fn readers_are_bounded_and_never_panic() {
     fn bounded(pieces: Vec<Vec<u8>>) -> bool {
         let (mut requests, mut responses) = (RequestReader::new(100), ResponseReader::default());
         responses.push(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn a_connection_in_lines_follows_its_model() {
+fn line_session_follows_its_model() {
     // The model: for each request open, how many of its three pages have come; and how often it ended without being served,
     // since its id goes by this connection no more then.
     fn follows(steps: Vec<Step>, cuts: Vec<u8>) -> bool {
@@ -276,7 +276,7 @@
 }
 
 #[test]
-fn a_spoilt_answer_ends_its_attempt_and_the_connection() {
+fn malformed_response_ends_its_attempt_and_the_connection() {
     let key = AttemptKey {
         request: RequestId(1),
         number: 0,
@@ -343,7 +343,7 @@
 }
 
 #[test]
-fn an_answer_to_another_query_is_not_taken_for_this_one_s() {
+fn response_of_another_query_ends_the_connection() {
     let key = AttemptKey {
         request: RequestId(1),
         number: 0,
@@ -390,7 +390,7 @@
 }
 
 #[test]
-fn the_list_s_events_are_the_same_in_whatever_pieces_they_come() {
+fn stream_events_are_the_same_however_fragmented() {
     fn same(numbers: Vec<u8>, cuts: Vec<u8>) -> bool {
         let mut stream = Stream::new("h".into(), 0);
         let opened = String::from_utf8(stream.open_request()).unwrap();
@@ -424,7 +424,7 @@
 }
 
 #[test]
-fn an_event_that_was_cut_is_asked_for_again_and_one_that_is_never_whole_keeps_no_later_one_out() {
+fn cut_event_is_requested_again_a_bounded_number_of_times() {
     let mut stream = Stream::new("h".into(), 4);
     let mut connection = |events: &str| {
         let asked = String::from_utf8(stream.open_request()).unwrap();
@@ -463,7 +463,7 @@
 }
 
 #[test]
-fn engines_are_told_apart_by_instance_not_by_address() {
+fn engines_are_distinguished_by_instance_not_address() {
     let mut table = EngineRegistry::new();
     let line = |id: &str, phase: &str, more: &str| {
         format!("{{\"instanceId\":\"{id}\",\"hostPort\":\"127.0.0.1:9\",\"zone\":\"b\",\"lifecycle\":\"{phase}\"{more}}}")
@@ -508,7 +508,7 @@
 }
 
 #[test]
-fn etcd_s_keys_become_the_list_by_a_range_and_then_a_watch() {
+fn etcd_list_is_a_range_followed_by_a_watch() {
     let mut etcd = Etcd::new("h".into(), "/e/".into());
     let (mut out, mut updates) = (Vec::new(), Vec::new());
     let asked = String::from_utf8(etcd.open_request()).unwrap();
@@ -570,7 +570,7 @@
 }
 
 #[test]
-fn a_response_without_its_end_is_not_whole() {
+fn response_without_its_end_is_not_complete() {
     let mut reader = ResponseReader::default();
     reader.push(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n");
     let mut parts = Vec::new();
@@ -581,7 +581,7 @@
 }
 
 #[test]
-fn coordinators_of_the_list_are_no_engines_and_one_without_an_address_is_told() {
+fn listed_coordinators_are_no_engines() {
     let update = parse(
         br#"{"endpoints":{"reset":true,"instances":[
             {"instanceId":"c-1","coordinator":"127.0.0.1:7946"},
