--- a/crates/cluster-harness/src/lib.rs
+++ b/crates/cluster-harness/src/lib.rs
@@ -9,12 +9,13 @@
 pub mod load;
 pub mod net;
 pub mod process;
+mod process_log;
 pub mod soak;
 pub mod tcp;
 pub mod wall_clock;
 
 pub use driftfront_cluster_simulation::world::{name, KEY};
-pub use driftfront_cluster_simulation::{Deed, Group, Link, Script};
+pub use driftfront_cluster_simulation::{FaultAction, Group, Link, Script};
 pub use driftfront_control::snapshot::{Consensus, Member};
 pub use driftfront_control::Request;
 pub use net::Net;
@@ -304,12 +305,12 @@
     }
 
     /// Does one thing now.
-    pub fn deed(&mut self, deed: &Deed) {
-        self.log.note(self.begun, format!("{deed:?}"));
-        match deed {
-            Deed::Link(from, to, link) => self.net.link(from, to, *link),
-            Deed::Part(groups, from, ways) => self.net.part(groups, from, *ways),
-            Deed::Reset(groups, from) => {
+    pub fn action(&mut self, action: &FaultAction) {
+        self.log.note(self.begun, format!("{action:?}"));
+        match action {
+            FaultAction::Link(from, to, link) => self.net.link(from, to, *link),
+            FaultAction::Part(groups, from, ways) => self.net.part(groups, from, *ways),
+            FaultAction::Reset(groups, from) => {
                 let (some, others) = (
                     self.net.all_of(groups),
                     self.net.all_of(std::slice::from_ref(from)),
@@ -318,51 +319,51 @@
                     wires.reset(&some, &others);
                 }
             }
-            Deed::Heal => self.net.heal(),
-            Deed::Cut(groups, ways) => self.net.cut(&self.script.members_of(groups), *ways),
-            Deed::Kill(groups) => self
+            FaultAction::Heal => self.net.heal(),
+            FaultAction::Cut(groups, ways) => self.net.cut(&self.script.members_of(groups), *ways),
+            FaultAction::Kill(groups) => self
                 .script
                 .members_of(groups)
                 .into_iter()
                 .for_each(|m| self.process(m).kill()),
-            Deed::Stop(groups) => self
+            FaultAction::Stop(groups) => self
                 .script
                 .members_of(groups)
                 .into_iter()
                 .for_each(|m| self.process(m).signal("-STOP")),
-            Deed::Wake(groups) => self
+            FaultAction::Wake(groups) => self
                 .script
                 .members_of(groups)
                 .into_iter()
                 .for_each(|m| self.process(m).signal("-CONT")),
-            Deed::Start(groups) => self
+            FaultAction::Start(groups) => self
                 .script
                 .members_of(groups)
                 .into_iter()
                 .for_each(|m| self.spawn(m)),
-            Deed::Leave(groups) => self
+            FaultAction::Leave(groups) => self
                 .script
                 .members_of(groups)
                 .into_iter()
                 .for_each(|m| self.process(m).signal("-TERM")),
             // Processes on one machine share its clock; the lab moves clocks.
-            Deed::Clock(..) => {}
+            FaultAction::Clock(..) => {}
         }
     }
 
     /// Does what this one line of a script says.
     pub fn now(&mut self, line: &str) {
         let script = Script::read(line).expect("a line of a script");
-        for (_, deed) in &script.deeds {
-            self.deed(deed);
+        for (_, action) in &script.actions {
+            self.action(action);
         }
     }
 
     /// Plays the script's deeds, each at its time.
     pub fn play(&mut self) {
-        for (at, deed) in self.script.deeds.clone() {
+        for (at, action) in self.script.actions.clone() {
             std::thread::sleep(Duration::from_micros(at).saturating_sub(self.begun.elapsed()));
-            self.deed(&deed);
+            self.action(&action);
         }
     }
 
--- a/crates/cluster-harness/src/process.rs
+++ b/crates/cluster-harness/src/process.rs
@@ -1,10 +1,11 @@
 //! A process of the program, and what it says of itself.
 
+use crate::process_log::{address_in, ProcessLog};
 use crate::{Log, TEST_TIMEOUT};
 use driftfront_console::remote::{Endpoint, Remote};
 use driftfront_control::snapshot::{Member, Snapshot};
 use driftfront_control::{Reply, Request};
-use std::io::{BufRead, BufReader, Read, Write};
+use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
@@ -47,37 +48,22 @@
             .stderr(Stdio::piped())
             .stdin(Stdio::null());
         let mut child = command.spawn().expect("the program starts");
-        let mut lines = BufReader::new(child.stderr.take().expect("piped"));
-        let mut fleet = None;
+        let mut lines = ProcessLog::of(&mut child);
+        let mut cluster = None;
         let (member, log) = (self.member, log.clone());
         let clients = loop {
-            let mut line = String::new();
-            assert!(
-                lines.read_line(&mut line).expect("a log") > 0,
-                "m{member} ended:\n{}",
-                log.text()
-            );
-            let after = |word: &str| {
-                line.trim()
-                    .split(word)
-                    .nth(1)
-                    .and_then(|a| a.split(' ').next()?.parse().ok())
+            let Some(line) = lines.next_line() else {
+                panic!("m{member} ended:\n{}", log.text());
             };
-            fleet = after("here=").or(fleet);
-            if let Some(addr) = after("listen=") {
+            cluster = address_in(&line, "here").or(cluster);
+            if let Some(addr) = address_in(&line, "listen") {
                 break addr;
             }
         };
         self.clients = Some(clients);
         self.child = Some(child);
-        std::thread::spawn(move || {
-            let mut line = String::new();
-            while lines.read_line(&mut line).is_ok_and(|n| n > 0) {
-                log.note(begun, format!("m{member} says {}", line.trim()));
-                line.clear();
-            }
-        });
-        fleet
+        lines.follow(move |line| log.note(begun, format!("m{member} says {}", line.trim())));
+        cluster
     }
 
     /// Whether it runs, or stands still.
--- a/crates/cluster-harness/src/soak/coordinator.rs
+++ b/crates/cluster-harness/src/soak/coordinator.rs
@@ -3,8 +3,8 @@
 use super::client::Target;
 use super::list::List;
 use super::plan::{Life, Plan, Signal};
+use crate::process_log::{address_in, ProcessLog};
 use crate::wall_clock::WallClock;
-use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, ExitStatus, Stdio};
@@ -92,103 +92,34 @@
 
     /// Lives through its signals and steps, then until the soak's end; how each of its processes ended.
     pub fn live(self, life: &Life, target: &Target, begun: Instant) -> Vec<Ended> {
-        let mut ends = Vec::new();
-        let mut process = self.start(0);
-        target.set(Some((process.listen, 0)));
-        let signals = life
-            .signals
-            .iter()
-            .map(|&(at, signal)| (at, Event::Signal(signal)));
-        let steps = life
-            .steps
-            .iter()
-            .map(|&(at, offset)| (at, Event::Step(offset)));
-        let mut events: Vec<(Duration, Event)> = signals.chain(steps).collect();
-        events.sort_by_key(|e| e.0);
-        let (mut told, mut list) = (None, 0);
-        for (at, event) in events {
-            // Behind the first SIGTERM the platform looks whether the process has ended, and kills it in time.
-            let until = begun + at;
-            if let Some(ended) = told.and_then(|told| self.wait(&mut process, told, until)) {
-                ends.push(ended);
-                process = self.start(process.number + 1);
-                target.set(Some((process.listen, process.number)));
-                told = None;
-            }
-            std::thread::sleep(until.saturating_duration_since(Instant::now()));
-            match event {
-                Event::Step(offset) => self.clock.set(offset),
-                Event::Signal(Signal::Hangup) => {
-                    list = 1 - list;
-                    self.follow(list);
-                    process.signal("-HUP");
-                }
-                Event::Signal(Signal::Terminate) => {
-                    process.signal("-TERM");
-                    told.get_or_insert(Instant::now());
-                }
-            }
-        }
-        let end = begun + self.length;
-        if let Some(ended) =
-            told.and_then(|told| self.wait(&mut process, told, end + self.kills_after))
-        {
-            ends.push(ended);
-            process = self.start(process.number + 1);
-            target.set(Some((process.listen, process.number)));
+        let mut running = Running::start(&self, target);
+        for (at, event) in events_of(life) {
+            running.restart_if_ended(begun + at);
+            sleep_until(begun + at);
+            running.apply(event);
         }
+        let end = begun + self.length + self.kills_after;
+        running.restart_if_ended(end);
         // At the end it has nothing open any more: clients' time is over.
-        std::thread::sleep((end + self.kills_after).saturating_duration_since(Instant::now()));
-        process.signal("-TERM");
-        let told = Instant::now();
-        ends.extend(self.wait(&mut process, told, told + self.kills_after * 2));
+        sleep_until(end);
+        let ends = running.end();
         let _ = std::fs::remove_file(&self.config);
         ends
     }
 
     fn start(&self, number: u32) -> Process {
-        let shell = format!(
-            "ulimit -n {}; exec \"$0\" serve --config \"$1\"",
-            self.descriptors
-        );
-        let mut command = Command::new("sh");
-        command
-            .args(["-c", &shell])
-            .arg(&self.binary)
-            .arg(&self.config);
-        let mut child = self
-            .clock
-            .give_to(&mut command)
-            .stderr(Stdio::piped())
-            .spawn()
-            .expect("the program starts");
-        let mut lines = BufReader::new(child.stderr.take().expect("piped"));
+        let mut child = self.spawn();
+        let mut lines = ProcessLog::of(&mut child);
         let log = Arc::new(Mutex::new(String::new()));
-        let mut line = String::new();
         let listen = loop {
-            line.clear();
-            assert!(
-                lines.read_line(&mut line).expect("a log") > 0,
-                "the program ended at its start"
-            );
+            let line = lines.next_line().expect("the program ended at its start");
             log.lock().expect("the log").push_str(&line);
-            if let Some(addr) = line
-                .trim()
-                .rsplit("listen=")
-                .next()
-                .and_then(|a| a.parse().ok())
-            {
+            if let Some(addr) = address_in(&line, "listen") {
                 break addr;
             }
         };
         let kept = log.clone();
-        std::thread::spawn(move || {
-            let mut line = String::new();
-            while lines.read_line(&mut line).is_ok_and(|n| n > 0) {
-                kept.lock().expect("the log").push_str(&line);
-                line.clear();
-            }
-        });
+        lines.follow(move |line| kept.lock().expect("the log").push_str(line));
         Process {
             child,
             number,
@@ -197,6 +128,24 @@
         }
     }
 
+    /// Starts the program with its limit on descriptors, under its wall clock.
+    fn spawn(&self) -> Child {
+        let shell = format!(
+            "ulimit -n {}; exec \"$0\" serve --config \"$1\"",
+            self.descriptors
+        );
+        let mut command = Command::new("sh");
+        command
+            .args(["-c", &shell])
+            .arg(&self.binary)
+            .arg(&self.config);
+        self.clock
+            .give_to(&mut command)
+            .stderr(Stdio::piped())
+            .spawn()
+            .expect("the program starts")
+    }
+
     /// Waits until a process that was told to end has done so, and kills it at the earliest moment; nothing where it still may
     /// run then.
     fn wait(&self, process: &mut Process, told: Instant, until: Instant) -> Option<Ended> {
@@ -242,6 +191,93 @@
     Step(i64),
 }
 
+/// All that happens to a coordinator, in order of time.
+fn events_of(life: &Life) -> Vec<(Duration, Event)> {
+    let signals = life.signals.iter();
+    let signals = signals.map(|&(at, signal)| (at, Event::Signal(signal)));
+    let steps = life.steps.iter();
+    let steps = steps.map(|&(at, offset)| (at, Event::Step(offset)));
+    let mut events: Vec<(Duration, Event)> = signals.chain(steps).collect();
+    events.sort_by_key(|e| e.0);
+    events
+}
+
+fn sleep_until(time: Instant) {
+    std::thread::sleep(time.saturating_duration_since(Instant::now()));
+}
+
+/// A coordinator with the process that runs now.
+struct Running<'a> {
+    coordinator: &'a Coordinator,
+    target: &'a Target,
+    process: Process,
+    /// When it got its first SIGTERM: from then on the platform looks whether it has ended, and kills it in time.
+    terminated_at: Option<Instant>,
+    /// Which list of engines it follows.
+    list: usize,
+    ends: Vec<Ended>,
+}
+
+impl<'a> Running<'a> {
+    fn start(coordinator: &'a Coordinator, target: &'a Target) -> Running<'a> {
+        let process = coordinator.start(0);
+        target.set(Some((process.listen, 0)));
+        Running {
+            coordinator,
+            target,
+            process,
+            terminated_at: None,
+            list: 0,
+            ends: Vec::new(),
+        }
+    }
+
+    /// Waits until this time for a process that got a SIGTERM; starts the next one where it has ended.
+    fn restart_if_ended(&mut self, until: Instant) {
+        let Some(terminated_at) = self.terminated_at else {
+            return;
+        };
+        let ended = self
+            .coordinator
+            .wait(&mut self.process, terminated_at, until);
+        let Some(ended) = ended else {
+            return;
+        };
+        self.ends.push(ended);
+        self.process = self.coordinator.start(self.process.number + 1);
+        self.target
+            .set(Some((self.process.listen, self.process.number)));
+        self.terminated_at = None;
+    }
+
+    fn apply(&mut self, event: Event) {
+        match event {
+            Event::Step(offset) => self.coordinator.clock.set(offset),
+            Event::Signal(Signal::Hangup) => {
+                self.list = 1 - self.list;
+                self.coordinator.follow(self.list);
+                self.process.signal("-HUP");
+            }
+            Event::Signal(Signal::Terminate) => {
+                self.process.signal("-TERM");
+                self.terminated_at.get_or_insert_with(Instant::now);
+            }
+        }
+    }
+
+    /// Ends the process; how each of the coordinator's ended.
+    fn end(mut self) -> Vec<Ended> {
+        self.process.signal("-TERM");
+        let terminated_at = Instant::now();
+        let until = terminated_at + self.coordinator.kills_after * 2;
+        let ended = self
+            .coordinator
+            .wait(&mut self.process, terminated_at, until);
+        self.ends.extend(ended);
+        self.ends
+    }
+}
+
 impl Process {
     fn signal(&self, name: &str) {
         let _ = Command::new("kill")
--- /dev/null
+++ b/crates/cluster-simulation/src/commands/datagram_fuzz.rs
@@ -0,0 +1,186 @@
+//! Feeds a member what no honest one sends, one input after another.
+//!
+//! Damaged datagrams, and authentic ones with damaged payloads, go into one member that goes on talking to another. An input
+//! that makes it panic ends the run with its number, which with the seed makes it again.
+
+use super::{number, CommandError, Outcome};
+use driftfront_cluster::message_authentication::{MessageAuthenticator, Payload};
+use driftfront_cluster::{Cluster, Identity, MemberMetadata, Micros, Options};
+use driftfront_cluster_simulation::world::{addr, keys, name};
+use pico_args::Arguments;
+use rand::rngs::SmallRng;
+use rand::seq::IndexedRandom;
+use rand::{Rng, SeedableRng};
+use std::panic::{catch_unwind, AssertUnwindSafe};
+
+/// Time between inputs.
+const INPUT_INTERVAL: Micros = 50;
+/// The two members talk after so many inputs.
+const INPUTS_PER_TALK: u64 = 500;
+/// Honest datagrams that are kept, to be damaged.
+const MAX_HONEST_DATAGRAMS: usize = 400;
+/// Bytes of an input drawn at random, fewer than.
+const MAX_RANDOM_BYTES: usize = 1300;
+/// A datagram's head and tag, and where its payload's kind stands.
+const HEAD_BYTES: usize = 29;
+const TAG_BYTES: usize = 16;
+const KIND_AT: usize = 28;
+/// Longest damaged payload.
+const MAX_PAYLOAD_BYTES: usize = 1150;
+const TARGET: u32 = 1;
+const PEER: u32 = 2;
+const FORGER_SESSION: u64 = 99;
+
+struct Fuzzer {
+    rng: SmallRng,
+    clock: Micros,
+    target: Cluster,
+    peer: Cluster,
+    forger: MessageAuthenticator,
+    /// Datagrams as honest members send them.
+    honest: Vec<Vec<u8>>,
+}
+
+pub(super) fn run(mut args: Arguments) -> Outcome {
+    let runs = number(&mut args, "--runs", 1_000_000u64)?;
+    let seed = number(&mut args, "--seed", 1u64)?;
+    let mut fuzzer = Fuzzer::new(seed);
+    for n in 0..runs {
+        fuzzer.clock += INPUT_INTERVAL;
+        if n % INPUTS_PER_TALK == 0 {
+            fuzzer.talk();
+        }
+        let input = fuzzer.draw_input();
+        if !fuzzer.survives(&input) {
+            let why = format!("seed {seed}, input {n}: {input:02x?}");
+            return Err(CommandError::Broken(why));
+        }
+    }
+    let counters = fuzzer.target.counters();
+    println!(
+        "{runs} inputs from seed {seed}: taken {}, spoilt {}, foreign {}, replayed {}",
+        counters.taken, counters.spoilt, counters.foreign, counters.replayed
+    );
+    println!(
+        "  unreadable {}, facts refused {}, of an unknown kind {}",
+        counters.unreadable, counters.refused, counters.unknown_kind
+    );
+    println!("  it stands, and sees {} others", fuzzer.target.others());
+    Ok(())
+}
+
+fn member(number: u32, rng: &mut SmallRng) -> Cluster {
+    let options = Options {
+        me: Identity {
+            name: name(number),
+            addr: addr(number),
+            session: u64::from(number),
+            back: 0,
+        },
+        about: MemberMetadata::default(),
+        keys: keys(),
+        seeds: vec![addr(TARGET), addr(PEER)],
+        seed: rng.random(),
+        agreed: None,
+    };
+    Cluster::new(0, options)
+}
+
+impl Fuzzer {
+    fn new(seed: u64) -> Fuzzer {
+        let mut rng = SmallRng::seed_from_u64(seed);
+        Fuzzer {
+            target: member(TARGET, &mut rng),
+            peer: member(PEER, &mut rng),
+            rng,
+            clock: 0,
+            forger: MessageAuthenticator::new(keys(), FORGER_SESSION),
+            honest: Vec::new(),
+        }
+    }
+
+    /// The two members talk; what the peer says is kept.
+    fn talk(&mut self) {
+        for _ in 0..2 {
+            self.target.tick(self.clock);
+            self.peer.tick(self.clock);
+            let kind = self.rng.random_range(2..6);
+            self.peer.tell(kind, &self.rng.random::<[u8; 8]>());
+            while let Some((_, bytes)) = self.target.next_outgoing() {
+                self.peer.take(self.clock, &bytes);
+            }
+            while let Some((_, bytes)) = self.peer.next_outgoing() {
+                self.target.take(self.clock, &bytes);
+                self.keep(bytes);
+            }
+        }
+    }
+
+    fn keep(&mut self, datagram: Vec<u8>) {
+        if self.honest.len() < MAX_HONEST_DATAGRAMS {
+            self.honest.push(datagram);
+        } else {
+            let replaced = self.rng.random_range(0..MAX_HONEST_DATAGRAMS);
+            self.honest[replaced] = datagram;
+        }
+    }
+
+    fn draw_input(&mut self) -> Vec<u8> {
+        let mut input = self.draw_datagram();
+        let kind = self.rng.random_range(0..4);
+        if kind < 3 && input.len() > HEAD_BYTES + TAG_BYTES {
+            return self.damage_payload(&input);
+        }
+        if !input.is_empty() {
+            let at = self.rng.random_range(0..input.len());
+            input[at] ^= 1 << self.rng.random_range(0..8);
+        }
+        input
+    }
+
+    /// Mostly an honest datagram, else any bytes.
+    fn draw_datagram(&mut self) -> Vec<u8> {
+        match self.honest.choose(&mut self.rng) {
+            Some(one) if self.rng.random_bool(0.9) => one.clone(),
+            _ => (0..self.rng.random_range(0..MAX_RANDOM_BYTES))
+                .map(|_| self.rng.random())
+                .collect(),
+        }
+    }
+
+    /// An authentic datagram with a damaged payload.
+    fn damage_payload(&mut self, datagram: &[u8]) -> Vec<u8> {
+        let payloads = [
+            Payload::Members,
+            Payload::GossipState,
+            Payload::Versions,
+            Payload::Unknown(77),
+        ];
+        let payload = payloads[usize::from(datagram[KIND_AT].clamp(1, 4)) - 1];
+        let mut bytes = datagram[HEAD_BYTES..datagram.len() - TAG_BYTES].to_vec();
+        for _ in 0..self.rng.random_range(0..6) {
+            let at = self.rng.random_range(0..bytes.len());
+            match self.rng.random_range(0..4) {
+                0 => bytes[at] = self.rng.random(),
+                1 => bytes[at] ^= 1 << self.rng.random_range(0..8),
+                2 => bytes.truncate(at.max(1)),
+                _ => bytes.insert(at, self.rng.random()),
+            }
+        }
+        bytes.truncate(MAX_PAYLOAD_BYTES);
+        let receiver = u64::from(self.rng.random_bool(0.5));
+        self.forger
+            .seal(payload, &bytes, receiver)
+            .unwrap_or_default()
+    }
+
+    /// Whether the target takes an input without a panic.
+    fn survives(&mut self, input: &[u8]) -> bool {
+        let (target, clock) = (&mut self.target, self.clock);
+        let taken = catch_unwind(AssertUnwindSafe(|| {
+            target.take(clock, input);
+            while target.next_outgoing().is_some() {}
+        }));
+        taken.is_ok()
+    }
+}
--- /dev/null
+++ b/crates/cluster-simulation/src/commands/failure_detection.rs
@@ -0,0 +1,162 @@
+//! A member is killed and the rest watched: how long until all know, and who was called down though it was there.
+
+use super::{number, traffic, Outcome, SECOND};
+use driftfront_cluster::{MemberStatus, Micros};
+use driftfront_cluster_simulation::world::Seen;
+use driftfront_cluster_simulation::{percentile, Script, ScriptError, World};
+use pico_args::Arguments;
+
+/// What is sent is counted for this long before the member is killed.
+const COUNTED_TIME: Micros = 10 * SECOND;
+/// The rest is watched for this long after.
+const WATCHED_TIME: Micros = 20 * SECOND;
+/// A witness that comes later than this is late.
+const LATE_AFTER: Micros = 6 * SECOND;
+
+struct Options {
+    members: u32,
+    runs: u64,
+    loss: f64,
+    first_seed: u64,
+    /// Time before anything is counted.
+    settle_time: Micros,
+    prints_late: bool,
+}
+
+impl Options {
+    fn killed_at(&self) -> Micros {
+        self.settle_time + COUNTED_TIME
+    }
+}
+
+/// What all runs showed.
+#[derive(Default)]
+struct Summary {
+    /// How long until the first member knew, and until the last did, in each run.
+    first_knew: Vec<Micros>,
+    all_knew: Vec<Micros>,
+    never_knew: u64,
+    false_deaths: u64,
+    datagrams: u64,
+    bytes: u64,
+}
+
+pub(super) fn run(mut args: Arguments) -> Outcome {
+    let prints_late = args.contains("--late");
+    let options = Options {
+        members: number(&mut args, "--members", 24)?,
+        runs: number(&mut args, "--runs", 20)?,
+        loss: number(&mut args, "--loss", 0.0)?,
+        first_seed: number(&mut args, "--seed", 1)?,
+        settle_time: number(&mut args, "--settle", 10u64)? * SECOND,
+        prints_late,
+    };
+    let mut summary = Summary::default();
+    for run in 0..options.runs {
+        summary.add_run(&options, run)?;
+    }
+    summary.print(&options);
+    Ok(())
+}
+
+impl Summary {
+    fn add_run(&mut self, options: &Options, run: u64) -> Outcome {
+        let seed = options.first_seed + run;
+        let victims = u64::from(options.members.saturating_sub(3).max(1));
+        let victim = options.members - 1 - (run % victims) as u32;
+        let mut world = World::new(read_script(options, seed, victim)?);
+        world.play(options.settle_time, |_| false);
+        let before = traffic(&world, options.members);
+        world.play(options.killed_at(), |_| false);
+        let after = traffic(&world, options.members);
+        self.datagrams += after.datagrams - before.datagrams;
+        self.bytes += after.bytes - before.bytes;
+        world.play(options.killed_at() + WATCHED_TIME, |_| false);
+        self.add_deaths(options, &world, victim);
+        if options.prints_late {
+            print_late_witnesses(options, &world, seed, victim);
+        }
+        Ok(())
+    }
+
+    fn add_deaths(&mut self, options: &Options, world: &World, victim: u32) {
+        let killed_at = options.killed_at();
+        let is_down = |s: &&Seen| s.standing == Some(MemberStatus::Down);
+        let deaths = || world.seen.iter().filter(is_down);
+        let known = deaths().filter(|s| s.of == victim && s.at >= killed_at);
+        let times: Vec<Micros> = known.map(|s| s.at - killed_at).collect();
+        self.first_knew.extend(times.iter().min());
+        self.all_knew.extend(times.iter().max());
+        let knows = |by: u32| world.standing(by, victim) == Some(MemberStatus::Down);
+        let others = (0..options.members).filter(|&by| by != victim);
+        self.never_knew += others.filter(|&by| !knows(by)).count() as u64;
+        let is_false = |s: &&Seen| s.of != victim && s.at > options.settle_time / 2;
+        self.false_deaths += deaths().filter(is_false).count() as u64;
+    }
+
+    fn print(&mut self, options: &Options) {
+        let Options {
+            members,
+            runs,
+            loss,
+            first_seed,
+            ..
+        } = options;
+        self.first_knew.sort_unstable();
+        self.all_knew.sort_unstable();
+        let member_seconds = *runs as f64 * 10.0 * f64::from(*members);
+        println!("members {members}, loss {loss}, {runs} runs from seed {first_seed}");
+        println!(
+            "  first knows of a death  p50 {:.2} s  p99 {:.2} s",
+            percentile(&self.first_knew, 0.5),
+            percentile(&self.first_knew, 0.99)
+        );
+        println!(
+            "  all know                p50 {:.2} s  p99 {:.2} s  max {:.2} s; {} never did in 20 s",
+            percentile(&self.all_knew, 0.5),
+            percentile(&self.all_knew, 0.99),
+            percentile(&self.all_knew, 1.0),
+            self.never_knew
+        );
+        println!(
+            "  called down though there {} times, by any of all",
+            self.false_deaths
+        );
+        println!(
+            "  each sends {:.1} datagrams, {:.0} bytes a second",
+            self.datagrams as f64 / member_seconds,
+            self.bytes as f64 / member_seconds
+        );
+    }
+}
+
+fn read_script(options: &Options, seed: u64, victim: u32) -> Result<Script, ScriptError> {
+    let text = format!(
+        "members {}\nseed {seed}\nlink \"all\" \"all\" loss={:.3} delay=\"1 ms\" jitter=\"1 ms\"\n\
+         at \"{} s\" {{ kill \"m{victim}\" }}",
+        options.members,
+        options.loss,
+        options.killed_at() / SECOND
+    );
+    Script::read(&text)
+}
+
+/// Prints what became of witnesses that came late: the next question is always how.
+fn print_late_witnesses(options: &Options, world: &World, seed: u64, victim: u32) {
+    let killed_at = options.killed_at();
+    for by in world.living() {
+        let is_about_victim =
+            |s: &&Seen| s.by == by && s.of == victim && s.at > killed_at - 2 * SECOND;
+        let views: Vec<&Seen> = world.seen.iter().filter(is_about_victim).collect();
+        let is_late = views.last().is_none_or(|s| {
+            s.at > killed_at + LATE_AFTER || s.standing != Some(MemberStatus::Down)
+        });
+        for seen in views.iter().filter(|_| is_late) {
+            println!(
+                "  seed {seed}: {:.2} s m{by} sees m{victim} {:?}",
+                seen.at as f64 / 1e6,
+                seen.standing
+            );
+        }
+    }
+}
--- /dev/null
+++ b/crates/cluster-simulation/src/commands/leases.rs
@@ -0,0 +1,142 @@
+//! Fault scenarios over members that request leases: whether any is ever held twice, and how long until one leads again.
+
+use super::{number, play_until_led, CommandError, Outcome, SECOND};
+use driftfront_cluster::Micros;
+use driftfront_cluster_simulation::rights::Load;
+use driftfront_cluster_simulation::{fault_scenario, percentile, World};
+use pico_args::Arguments;
+
+/// How often it is looked at whether somebody leads.
+const POLL_INTERVAL: Micros = SECOND / 10;
+/// A run goes on for this long behind the time in which one must lead.
+const TIME_BEHIND: Micros = 10 * SECOND;
+/// Violations that are printed.
+const MAX_PRINTED: usize = 20;
+
+struct Options {
+    members: u32,
+    voters: u32,
+    logs_are_kept: bool,
+    runs: u64,
+    first_seed: u64,
+}
+
+/// What all runs showed.
+#[derive(Default)]
+struct Summary {
+    violations: Vec<String>,
+    /// Seeds after which nobody led in time.
+    never_led: Vec<u64>,
+    led_after: Vec<Micros>,
+    granted: u64,
+    unanswered: u64,
+    leaders: u64,
+    voter_changes: u64,
+    replicas_lost: u64,
+}
+
+pub(super) fn run(mut args: Arguments) -> Outcome {
+    let logs_are_kept = args.contains("--keeps");
+    let options = Options {
+        members: number(&mut args, "--members", 6)?,
+        voters: number(&mut args, "--voters", 3)?,
+        runs: number(&mut args, "--runs", 100)?,
+        first_seed: number(&mut args, "--seed", 1)?,
+        logs_are_kept,
+    };
+    let mut summary = Summary::default();
+    for seed in options.first_seed..options.first_seed + options.runs {
+        summary.add_run(&options, seed);
+    }
+    summary.print(&options);
+    if summary.violations.is_empty() && summary.never_led.is_empty() {
+        Ok(())
+    } else {
+        let why = "a right was held twice, or nobody led";
+        Err(CommandError::Broken(why.into()))
+    }
+}
+
+impl Summary {
+    fn add_run(&mut self, options: &Options, seed: u64) {
+        let mut script = fault_scenario::storm(options.members, seed, true);
+        script.voters = options.voters;
+        script.keeps = options.logs_are_kept;
+        let mut world = World::new(script);
+        world.ask(Load {
+            one_in: 10,
+            ..Load::default()
+        });
+        world.play(fault_scenario::QUIET, |_| false);
+        let deadline = fault_scenario::QUIET + fault_scenario::OWED;
+        play_until_led(&mut world, POLL_INTERVAL, deadline);
+        if world.led().is_some() {
+            self.led_after.push(world.time() - fault_scenario::QUIET);
+        } else {
+            self.never_led.push(seed);
+            print_parts(&mut world, seed);
+        }
+        world.play(deadline + TIME_BEHIND, |_| false);
+        self.add_counts(&mut world, seed);
+    }
+
+    fn add_counts(&mut self, world: &mut World, seed: u64) {
+        if let Some(rights) = &world.rights {
+            let violations = rights.wrong.iter();
+            self.violations
+                .extend(violations.map(|w| format!("seed {seed}: {w}")));
+            self.granted += rights.lent;
+            self.unanswered += rights.unanswered;
+        }
+        for member in world.living() {
+            let Some(consensus) = world.fleet(member).and_then(|f| f.agreed()) else {
+                continue;
+            };
+            let counters = consensus.counters();
+            self.leaders += counters.leaders;
+            self.voter_changes += counters.changes;
+            self.replicas_lost += counters.replicas_lost;
+        }
+    }
+
+    fn print(&mut self, options: &Options) {
+        self.led_after.sort_unstable();
+        println!(
+            "members {}, voters {}, logs kept: {}, {} storms from seed {}",
+            options.members,
+            options.voters,
+            options.logs_are_kept,
+            options.runs,
+            options.first_seed
+        );
+        println!(
+            "  lent {} times, {} requests with no answer in time; held twice: {}",
+            self.granted,
+            self.unanswered,
+            self.violations.len()
+        );
+        println!(
+            "  leaders seen {}, steps in who decides {}, replicas let go {}",
+            self.leaders, self.voter_changes, self.replicas_lost
+        );
+        println!(
+            "  somebody leads again after p50 {:.2} s  p99 {:.2} s  max {:.2} s; never within the time owed: {:?}",
+            percentile(&self.led_after, 0.5),
+            percentile(&self.led_after, 0.99),
+            percentile(&self.led_after, 1.0),
+            self.never_led
+        );
+        for violation in self.violations.iter().take(MAX_PRINTED) {
+            println!("  {violation}");
+        }
+    }
+}
+
+fn print_parts(world: &mut World, seed: u64) {
+    for member in world.living() {
+        if let Some(consensus) = world.fleet(member).and_then(|f| f.agreed()) {
+            let (view, notice) = (consensus.view(), consensus.notice());
+            println!("  seed {seed}: m{member} {view:?} {notice:?}");
+        }
+    }
+}
--- /dev/null
+++ b/crates/cluster-simulation/src/commands/mod.rs
@@ -0,0 +1,111 @@
+//! The commands of the simulation, one in each module.
+
+mod consensus_fuzz;
+mod datagram_fuzz;
+mod failover;
+mod failure_detection;
+mod leases;
+mod model_check;
+mod play;
+mod scenarios;
+
+use driftfront_cluster::Micros;
+use driftfront_cluster_simulation::{ScriptError, World};
+use pico_args::Arguments;
+use std::fmt;
+use std::str::FromStr;
+
+const SECOND: Micros = 1_000_000;
+
+/// Why a command failed.
+pub(crate) enum CommandError {
+    /// An argument is missing, or can't be read.
+    Arguments(pico_args::Error),
+    /// A file can't be read.
+    File { path: String, error: std::io::Error },
+    /// A script is wrong: in which file, if it is in one, and why.
+    Script {
+        path: Option<String>,
+        error: ScriptError,
+    },
+    /// What was run did not hold what must: in words.
+    Broken(String),
+}
+
+impl fmt::Display for CommandError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            CommandError::Arguments(error) => error.fmt(f),
+            CommandError::File { path, error } => write!(f, "{path}: {error}"),
+            CommandError::Script {
+                path: Some(path),
+                error,
+            } => write!(f, "{path}: {error}"),
+            CommandError::Script { path: None, error } => error.fmt(f),
+            CommandError::Broken(why) => f.write_str(why),
+        }
+    }
+}
+
+impl From<pico_args::Error> for CommandError {
+    fn from(error: pico_args::Error) -> CommandError {
+        CommandError::Arguments(error)
+    }
+}
+
+impl From<ScriptError> for CommandError {
+    fn from(error: ScriptError) -> CommandError {
+        CommandError::Script { path: None, error }
+    }
+}
+
+/// What a command comes to.
+pub(crate) type Outcome = Result<(), CommandError>;
+
+/// Runs the command of this name; `None` where there is none.
+pub(crate) fn run(name: &str, mut args: Arguments) -> Option<Outcome> {
+    Some(match name {
+        "members" => failure_detection::run(args),
+        "storm" => scenarios::run(args),
+        "agreed" => leases::run(args),
+        "leader" => failover::run(args),
+        "check" => model_check::run(args),
+        "fuzz" if args.contains("--agreed") => consensus_fuzz::run(args),
+        "fuzz" => datagram_fuzz::run(args),
+        "play" => play::run(args),
+        _ => return None,
+    })
+}
+
+/// An option's number.
+fn number<T>(args: &mut Arguments, name: &'static str, default: T) -> Result<T, CommandError>
+where
+    T: FromStr<Err: fmt::Display>,
+{
+    let value = args.opt_value_from_str(name)?;
+    Ok(value.unwrap_or(default))
+}
+
+/// What members sent.
+#[derive(Clone, Copy, Default)]
+struct Traffic {
+    datagrams: u64,
+    bytes: u64,
+}
+
+/// What the first members of a world have sent in all.
+fn traffic(world: &World, members: u32) -> Traffic {
+    let each = (0..members).map(|m| world.counters(m));
+    each.fold(Traffic::default(), |sum, counters| Traffic {
+        datagrams: sum.datagrams + counters.sent,
+        bytes: sum.bytes + counters.sent_bytes,
+    })
+}
+
+/// Plays on in steps of this length until somebody leads, or this time has come.
+fn play_until_led(world: &mut World, step: Micros, until: Micros) {
+    while world.led().is_none() && world.time() < until {
+        let next = world.time() + step;
+        world.play(next, |_| false);
+    }
+}
--- /dev/null
+++ b/crates/cluster-simulation/src/commands/play.rs
@@ -0,0 +1,46 @@
+//! Plays a script and prints each change of a member's view of another.
+
+use super::{CommandError, Outcome};
+use driftfront_cluster::MemberStatus;
+use driftfront_cluster_simulation::{Script, World};
+use pico_args::Arguments;
+
+pub(super) fn run(mut args: Arguments) -> Outcome {
+    let path: String = args.free_from_str()?;
+    let script = read_script(&path)?;
+    let until = script.until;
+    let mut world = World::new(script);
+    world.play(until, |_| false);
+    for seen in &world.seen {
+        println!(
+            "{:8.3} s  m{} sees m{} {}",
+            seen.at as f64 / 1e6,
+            seen.by,
+            seen.of,
+            status_text(seen.standing)
+        );
+    }
+    println!("trace {:016x}", world.trace);
+    Ok(())
+}
+
+fn read_script(path: &str) -> Result<Script, CommandError> {
+    let text = std::fs::read_to_string(path).map_err(|error| CommandError::File {
+        path: path.into(),
+        error,
+    })?;
+    Script::read(&text).map_err(|error| CommandError::Script {
+        path: Some(path.into()),
+        error,
+    })
+}
+
+/// A status as scripts' readers know it.
+fn status_text(status: Option<MemberStatus>) -> &'static str {
+    match status {
+        None => "None",
+        Some(MemberStatus::Alive) => "Some(Alive)",
+        Some(MemberStatus::Suspected) => "Some(Doubted)",
+        Some(MemberStatus::Down) => "Some(Down)",
+    }
+}
--- a/crates/cluster-simulation/src/fault_scenario.rs
+++ b/crates/cluster-simulation/src/fault_scenario.rs
@@ -1,6 +1,6 @@
 //! Scripts drawn at random: a storm of faults, then quiet. What must hold after is the same for all: one view again.
 
-use crate::script::{Deed, Group, Link, Script};
+use crate::script::{FaultAction, Group, Link, Script};
 use driftfront_cluster::Micros;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -17,7 +17,7 @@
 pub fn storm(members: u32, seed: u64, clocks: bool) -> Script {
     let mut rng = SmallRng::seed_from_u64(seed);
     let zones = 1 + rng.random_range(0..3);
-    let mut deeds = Vec::new();
+    let mut actions = Vec::new();
     let some = |rng: &mut SmallRng| -> Vec<Group> {
         let most = 1 + members / 3;
         (0..1 + rng.random_range(0..most))
@@ -26,18 +26,20 @@
     };
     for _ in 0..3 + rng.random_range(0..8) {
         let at = 5 * S + rng.random_range(0..STORM);
-        let deed = match rng.random_range(0..12) {
-            0..=2 => Deed::Kill(some(&mut rng)),
-            3 => Deed::Start(vec![Group::All]),
-            4..=5 => Deed::Stop(some(&mut rng)),
-            6 => Deed::Wake(vec![Group::All]),
-            7 => Deed::Cut(
+        let action = match rng.random_range(0..12) {
+            0..=2 => FaultAction::Kill(some(&mut rng)),
+            3 => FaultAction::Start(vec![Group::All]),
+            4..=5 => FaultAction::Stop(some(&mut rng)),
+            6 => FaultAction::Wake(vec![Group::All]),
+            7 => FaultAction::Cut(
                 some(&mut rng),
                 [(true, true), (true, false), (false, true)][rng.random_range(0..3)],
             ),
-            8 => Deed::Cut(vec![Group::Zone(rng.random_range(0..zones))], (true, true)),
-            9 => Deed::Heal,
-            10 if clocks => Deed::Clock(some(&mut rng), rng.random_range(-4000..4000) * S as i64),
+            8 => FaultAction::Cut(vec![Group::Zone(rng.random_range(0..zones))], (true, true)),
+            9 => FaultAction::Heal,
+            10 if clocks => {
+                FaultAction::Clock(some(&mut rng), rng.random_range(-4000..4000) * S as i64)
+            }
             _ => {
                 let link = Link {
                     loss: rng.random_range(0.0..0.4),
@@ -47,14 +49,14 @@
                     cut: false,
                     throttle: 0,
                 };
-                Deed::Link(
+                FaultAction::Link(
                     Group::All,
                     Group::Member(rng.random_range(0..members)),
                     link,
                 )
             }
         };
-        deeds.push((at, deed));
+        actions.push((at, action));
     }
     let calm = Link {
         delay: 1_000,
@@ -62,13 +64,13 @@
         ..Link::default()
     };
     let last = [
-        Deed::Link(Group::All, Group::All, calm),
-        Deed::Heal,
-        Deed::Wake(vec![Group::All]),
-        Deed::Start(vec![Group::All]),
+        FaultAction::Link(Group::All, Group::All, calm),
+        FaultAction::Heal,
+        FaultAction::Wake(vec![Group::All]),
+        FaultAction::Start(vec![Group::All]),
     ];
-    deeds.extend(last.into_iter().map(|d| (QUIET, d)));
-    deeds.sort_by_key(|d| d.0);
+    actions.extend(last.into_iter().map(|d| (QUIET, d)));
+    actions.sort_by_key(|d| d.0);
     Script {
         members,
         zones,
@@ -77,6 +79,6 @@
         replace_after: 10 * S,
         seed,
         until: QUIET + OWED,
-        deeds,
+        actions,
     }
 }
--- a/crates/cluster-simulation/src/lib.rs
+++ b/crates/cluster-simulation/src/lib.rs
@@ -9,7 +9,7 @@
 pub mod script;
 pub mod world;
 
-pub use script::{Deed, Group, Link, Links, Script};
+pub use script::{FaultAction, Group, Link, Links, Script, ScriptError};
 pub use world::World;
 
 use driftfront_cluster::Micros;
--- a/crates/cluster-simulation/src/world.rs
+++ b/crates/cluster-simulation/src/world.rs
@@ -1,7 +1,7 @@
 //! Many members and the network between them, on virtual time: one thread, one seed, the same to the byte each time.
 
 use crate::rights::{Leases, Load};
-use crate::script::{Deed, Link, Links, Script};
+use crate::script::{FaultAction, Link, Links, Script};
 use driftfront_cluster::consensus::replica::Write;
 use driftfront_cluster::{
     consensus, Cluster, Counters, Identity, Key, Keyring, MemberMetadata, MemberStatus, Micros,
@@ -61,7 +61,7 @@
 pub struct World {
     now: Micros,
     script: Script,
-    next_deed: usize,
+    next_action: usize,
     processes: Vec<Process>,
     links: Links,
     queue: BTreeMap<(Micros, u64), Event>,
@@ -121,7 +121,7 @@
         };
         let mut world = World {
             now: BEGIN,
-            next_deed: 0,
+            next_action: 0,
             processes: (0..script.members).map(process).collect(),
             links: Links::new(script.members, script.zones, Link::default()),
             queue: BTreeMap::new(),
@@ -147,8 +147,8 @@
     /// Does what this line of a script says, now.
     pub fn now(&mut self, line: &str) {
         let script = Script::read(line).expect("a line of a script");
-        for (_, deed) in script.deeds {
-            self.deed(deed);
+        for (_, action) in script.actions {
+            self.action(action);
         }
     }
 
@@ -428,40 +428,42 @@
         }
     }
 
-    fn deed(&mut self, deed: Deed) {
-        match deed {
-            Deed::Link(from, to, link) => self.links.set(&from, &to, link),
-            Deed::Heal => self.links.heal(),
-            Deed::Cut(groups, ways) => self.links.cut(&self.script.members_of(&groups), ways),
-            Deed::Part(groups, from, ways) => {
+    fn action(&mut self, action: FaultAction) {
+        match action {
+            FaultAction::Link(from, to, link) => self.links.set(&from, &to, link),
+            FaultAction::Heal => self.links.heal(),
+            FaultAction::Cut(groups, ways) => {
+                self.links.cut(&self.script.members_of(&groups), ways)
+            }
+            FaultAction::Part(groups, from, ways) => {
                 let others = self.links.all_of(&[from]);
                 self.links
                     .part(&self.script.members_of(&groups), &others, ways);
             }
             // There are no connections here.
-            Deed::Reset(..) => {}
-            Deed::Kill(groups) => self
+            FaultAction::Reset(..) => {}
+            FaultAction::Kill(groups) => self
                 .script
                 .members_of(&groups)
                 .into_iter()
                 .for_each(|m| self.end(m)),
-            Deed::Stop(groups) => {
+            FaultAction::Stop(groups) => {
                 for m in self.script.members_of(&groups) {
                     self.processes[m as usize].stopped = true;
                 }
             }
-            Deed::Wake(groups) => {
+            FaultAction::Wake(groups) => {
                 for m in self.script.members_of(&groups) {
                     self.processes[m as usize].stopped = false;
                     self.work(m, false);
                 }
             }
-            Deed::Start(groups) => self
+            FaultAction::Start(groups) => self
                 .script
                 .members_of(&groups)
                 .into_iter()
                 .for_each(|m| self.start(m)),
-            Deed::Leave(groups) => {
+            FaultAction::Leave(groups) => {
                 for m in self.script.members_of(&groups) {
                     let clock = self.clock(m);
                     if let Some(fleet) = self.fleet(m) {
@@ -471,7 +473,7 @@
                     self.end(m);
                 }
             }
-            Deed::Clock(groups, by) => {
+            FaultAction::Clock(groups, by) => {
                 for m in self.script.members_of(&groups) {
                     self.processes[m as usize].clock += by;
                 }
@@ -482,7 +484,11 @@
     /// Plays on until this time of the script, or until this holds; whether it does.
     pub fn play(&mut self, until: Micros, holds: impl Fn(&World) -> bool) -> bool {
         while self.time() < until {
-            let due = self.script.deeds.get(self.next_deed).map(|d| d.0 + BEGIN);
+            let due = self
+                .script
+                .actions
+                .get(self.next_action)
+                .map(|d| d.0 + BEGIN);
             let next = self.queue.first_key_value().map(|e| e.0 .0);
             let end = until + BEGIN;
             let at = due.into_iter().chain(next).min().unwrap_or(end);
@@ -492,9 +498,9 @@
             }
             self.now = self.now.max(at);
             if due.is_some_and(|due| due <= at) {
-                let deed = self.script.deeds[self.next_deed].1.clone();
-                self.next_deed += 1;
-                self.deed(deed);
+                let action = self.script.actions[self.next_action].1.clone();
+                self.next_action += 1;
+                self.action(action);
                 continue;
             }
             match self.queue.pop_first().map(|e| e.1) {
--- a/crates/cluster-simulation/tests/golden.rs
+++ b/crates/cluster-simulation/tests/golden.rs
@@ -3,7 +3,7 @@
 
 use driftfront_cluster::MemberStatus;
 use driftfront_cluster_simulation::rights::Load;
-use driftfront_cluster_simulation::{fault_scenario, Deed, Group, Link, Script, World};
+use driftfront_cluster_simulation::{fault_scenario, FaultAction, Group, Link, Script, World};
 use driftfront_test_support::assert_golden;
 use std::fmt::Write;
 use std::process::Command;
@@ -43,25 +43,31 @@
         script.seed,
         script.until
     );
-    for (at, deed) in &script.deeds {
-        let words = match deed {
-            Deed::Link(from, to, of) => format!("link {} {} {}", group(from), group(to), link(of)),
-            Deed::Cut(some, (out, into)) => format!("cut {} out {out} in {into}", groups(some)),
-            Deed::Part(some, from, (out, into)) => {
+    for (at, action) in &script.actions {
+        let words = match action {
+            FaultAction::Link(from, to, of) => {
+                format!("link {} {} {}", group(from), group(to), link(of))
+            }
+            FaultAction::Cut(some, (out, into)) => {
+                format!("cut {} out {out} in {into}", groups(some))
+            }
+            FaultAction::Part(some, from, (out, into)) => {
                 format!(
                     "part {} from {} out {out} in {into}",
                     groups(some),
                     group(from)
                 )
             }
-            Deed::Reset(some, from) => format!("reset {} from {}", groups(some), group(from)),
-            Deed::Heal => "heal".into(),
-            Deed::Kill(some) => format!("kill {}", groups(some)),
-            Deed::Stop(some) => format!("stop {}", groups(some)),
-            Deed::Wake(some) => format!("wake {}", groups(some)),
-            Deed::Start(some) => format!("start {}", groups(some)),
-            Deed::Leave(some) => format!("leave {}", groups(some)),
-            Deed::Clock(some, by) => format!("clock {} by {by}", groups(some)),
+            FaultAction::Reset(some, from) => {
+                format!("reset {} from {}", groups(some), group(from))
+            }
+            FaultAction::Heal => "heal".into(),
+            FaultAction::Kill(some) => format!("kill {}", groups(some)),
+            FaultAction::Stop(some) => format!("stop {}", groups(some)),
+            FaultAction::Wake(some) => format!("wake {}", groups(some)),
+            FaultAction::Start(some) => format!("start {}", groups(some)),
+            FaultAction::Leave(some) => format!("leave {}", groups(some)),
+            FaultAction::Clock(some, by) => format!("clock {} by {by}", groups(some)),
         };
         let _ = writeln!(text, "{at} {words}");
     }
