--- a/crates/cluster-simulation/tests/agreed.rs
+++ b/crates/cluster-simulation/tests/consensus.rs
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn founders_agree_and_all_may_ask_and_read() {
+fn voters_agree_and_all_members_request_and_observe() {
     for (members, voters, keeps) in [(3, 3, true), (8, 3, false), (12, 5, true)] {
         let mut w = world(&format!(
             "members {members}\nvoters {voters} keeps=#{keeps}"
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn a_leader_that_dies_is_followed_by_another_and_nothing_is_lent_twice() {
+fn dead_leader_is_followed_and_no_lease_held_twice() {
     for seed in 1..=8 {
         let mut w = world(&format!("members 5\nvoters 3 keeps=#true\nseed {seed}"));
         let (leader, _) = led(&mut w, 10 * S);
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn a_leader_that_was_stopped_and_wakes_acts_on_nothing_and_leads_nobody() {
+fn resumed_leader_uses_no_lease_and_leads_nobody() {
     for seed in 1..=8 {
         let mut w = world(&format!("members 5\nvoters 3\nseed {seed}"));
         let (leader, _) = led(&mut w, 10 * S);
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn a_minority_agrees_on_nothing_new_and_what_it_holds_ends_by_itself() {
+fn minority_grants_nothing_and_its_leases_end() {
     let mut w = world("members 6\nvoters 3 keeps=#true\nseed 4");
     led(&mut w, 10 * S);
     w.ask(Load {
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn voters_that_lose_their_logs_one_after_another_get_their_seats_again() {
+fn voters_that_lose_their_logs_get_their_slots_again() {
     let mut w = world("members 5\nvoters 3\nseed 2");
     led(&mut w, 10 * S);
     w.ask(Load::default());
@@ -182,7 +182,7 @@
 }
 
 #[test]
-fn a_voter_that_is_gone_for_good_is_replaced_and_knows_it_when_it_comes_back() {
+fn lost_voter_is_replaced_and_observes_when_it_returns() {
     let mut w = world("members 6 zones=3\nvoters 3 keeps=#true replace-after=\"10 s\"\nseed 3");
     let (leader, _) = led(&mut w, 10 * S);
     let victim = (leader + 1) % 3;
@@ -210,7 +210,7 @@
 }
 
 #[test]
-fn all_that_are_killed_at_once_go_on_where_they_stood_from_their_disks() {
+fn voters_killed_at_once_go_on_from_their_disks() {
     for seed in 1..=5 {
         let mut w = world(&format!("members 3\nvoters 3 keeps=#true\nseed {seed}"));
         led(&mut w, 10 * S);
@@ -239,7 +239,7 @@
 }
 
 #[test]
-fn storms_over_voters_never_have_a_right_held_twice_and_leave_a_leader_behind() {
+fn fault_scenarios_hold_no_lease_twice_and_leave_a_leader() {
     for seed in 1..=16 {
         let mut script = driftfront_cluster_simulation::fault_scenario::storm(6, seed, true);
         (script.voters, script.keeps) = (if seed % 3 == 0 { 5 } else { 3 }, seed % 2 == 0);
@@ -259,7 +259,7 @@
 }
 
 #[test]
-fn a_leader_whose_clock_jumps_ends_nobody_s_right_before_its_holder_does() {
+fn leader_clock_step_ends_no_lease_before_its_holder() {
     // In these clocks are set ahead by 15 and by 51 minutes while something is lent for a second or two.
     for seed in [143, 285] {
         let mut script = driftfront_cluster_simulation::fault_scenario::storm(6, seed, true);
@@ -277,7 +277,7 @@
 }
 
 #[test]
-fn what_is_agreed_is_the_same_to_the_byte_on_one_seed() {
+fn same_seed_grants_the_same_leases() {
     let run = || {
         let mut w = world("members 6\nvoters 3 keeps=#true\nseed 9\nat \"40 s\" { kill \"m1\" }");
         w.ask(Load::default());
--- a/crates/cluster-simulation/tests/golden.rs
+++ b/crates/cluster-simulation/tests/golden.rs
@@ -258,7 +258,7 @@
 }
 
 #[test]
-fn members_do_the_same_when_a_voter_is_replaced_and_the_state_is_long() {
+fn members_do_the_same_when_a_voter_is_replaced() {
     let script = "members 7\nvoters 3 keeps=#true replace-after=\"5 s\"\nseed 9\nuntil \"70 s\"\n\
                   link \"all\" \"all\" loss=0.05 delay=\"2 ms\" jitter=\"2 ms\"\n\
                   at \"30 s\" { kill \"m1\" }\nat \"50 s\" { start \"m1\" }";
--- a/crates/cluster-simulation/tests/members.rs
+++ b/crates/cluster-simulation/tests/membership.rs
@@ -22,13 +22,13 @@
 }
 
 #[test]
-fn all_that_start_at_the_same_moment_know_each_other_soon() {
+fn members_that_start_together_know_each_other_soon() {
     let mut w = world("members 24 zones=3");
     assert!(w.play(5 * S, |w| w.agree(&all(24))), "not in five seconds");
 }
 
 #[test]
-fn three_of_eight_that_are_killed_at_once_are_known_to_be_gone_by_all_in_time() {
+fn deaths_of_three_of_eight_are_known_to_all_in_time() {
     for seed in 1..=20 {
         let mut w = world(&format!(
             "members 8\nseed {seed}\nat \"10 s\" {{ kill \"m1\" \"m4\" \"m6\" }}"
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn halves_that_were_cut_apart_know_only_themselves_and_find_each_other_again() {
+fn halves_of_a_partition_find_each_other_after_it() {
     for seed in 1..=5 {
         let script = "at \"5 s\" { cut \"m0\" \"m1\" \"m2\" \"m3\" }\nat \"15 s\" { heal }";
         let mut w = world(&format!("members 8\nseed {seed}\n{script}"));
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn one_that_hears_all_and_reaches_none_is_gone_for_them_and_comes_back() {
+fn member_that_reaches_nobody_is_down_until_the_cut_heals() {
     let mut w =
         world("members 8\nseed 3\nat \"5 s\" { cut \"m2\" ways=\"out\" }\nat \"20 s\" { heal }");
     assert!(w.play(5 * S, |w| w.agree(&all(8))));
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn a_process_that_was_stopped_and_wakes_accuses_nobody() {
+fn resumed_process_accuses_nobody() {
     for seed in 1..=10 {
         let mut w = world(&format!(
             "members 8\nseed {seed}\nat \"5 s\" {{ stop \"m3\" }}\nat \"13 s\" {{ wake \"m3\" }}"
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn a_clock_that_jumps_by_an_hour_harms_nobody() {
+fn clock_step_of_an_hour_harms_nobody() {
     for by in ["3600 s", "-900 s"] {
         let mut w = world(&format!(
             "members 8\nat \"5 s\" {{ clock \"m3\" by=\"{by}\" }}"
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn where_all_seeds_are_dead_at_the_start_the_others_wait_for_one_and_then_know_each_other() {
+fn members_wait_for_a_seed_and_then_know_each_other() {
     let mut w = world("members 8\nkill \"m0\" \"m1\" \"m2\"\nat \"10 s\" { start \"m1\" }");
     w.play(9 * S, |_| false);
     assert!((3..8).all(|m| w.standing(m, 7 - m % 2).is_none() || m == 7 - m % 2));
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn who_is_started_again_under_its_name_is_the_same_member_anew() {
+fn restarted_member_keeps_its_name() {
     let mut w = world("members 8\nat \"5 s\" { kill \"m3\" }\nat \"5500 ms\" { start \"m3\" }\nat \"12 s\" { kill \"m4\" }\nat \"20 s\" { start \"m4\" }");
     assert!(w.play(5 * S, |w| w.agree(&all(8))));
     w.play(12 * S, |_| false);
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn who_leaves_in_order_is_gone_at_once() {
+fn member_that_leaves_is_down_at_once() {
     let mut w = world("members 8\nat \"5 s\" { leave \"m3\" }");
     assert!(w.play(5 * S, |w| w.agree(&all(8))));
     assert!(w.play(5 * S + 700_000, |w| w.time() > 5 * S
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn a_third_of_all_datagrams_lost_kills_nobody_for_long_and_hides_no_death() {
+fn loss_of_a_third_hides_no_death_and_kills_nobody_for_long() {
     let mut w = world("members 16\nseed 5\nlink \"all\" \"all\" loss=0.3 repeat=0.1 delay=\"2 ms\" jitter=\"20 ms\"\nat \"20 s\" { kill \"m9\" }");
     assert!(w.play(10 * S, |w| w.agree(&all(16))));
     let rest: Vec<u32> = (0..16).filter(|&m| m != 9).collect();
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn a_fact_is_everybody_s_soon_also_behind_a_cut_and_is_marked_when_its_owner_is_gone() {
+fn record_reaches_all_and_is_marked_when_its_owner_is_gone() {
     let mut w = world(
         "members 12\nseed 2\nat \"5 s\" { cut \"m11\" }\nat \"12 s\" { heal }\nat \"30 s\" { kill \"m0\" }",
     );
@@ -183,7 +183,7 @@
 }
 
 #[test]
-fn the_same_script_is_the_same_to_the_byte() {
+fn same_script_and_seed_send_the_same_bytes() {
     let script = "members 40 zones=4\nseed 11\nlink \"z0\" \"z1\" loss=0.2 jitter=\"30 ms\"\nat \"3 s\" { kill \"m7\" }\nat \"4 s\" { cut \"z2\" }\nat \"8 s\" { heal }";
     let run = || {
         let mut w = world(script);
@@ -198,7 +198,7 @@
 }
 
 #[test]
-fn what_a_member_sends_does_not_grow_with_the_fleet() {
+fn traffic_per_member_does_not_grow_with_the_cluster() {
     let mut a_second = Vec::new();
     for members in [8, 96] {
         let mut w = world(&format!("members {members}"));
@@ -216,7 +216,7 @@
 }
 
 #[test]
-fn who_is_started_again_with_its_clock_set_back_is_let_in_all_the_same() {
+fn member_restarted_with_its_clock_set_back_is_let_in() {
     let script =
         "at \"5 s\" { clock \"m3\" by=\"-900 s\" }\nat \"8 s\" { kill \"m3\" }\nat \"14 s\" { start \"m3\" }";
     let mut w = world(&format!("members 8\nseed 4\n{script}"));
@@ -231,7 +231,7 @@
 }
 
 #[test]
-fn storms_drawn_by_their_seeds_leave_one_view_behind() {
+fn fault_scenarios_end_in_one_view() {
     for seed in 1..=25 {
         let mut w = World::new(driftfront_cluster_simulation::fault_scenario::storm(
             6, seed, true,
--- a/crates/cluster-simulation/tests/model.rs
+++ b/crates/cluster-simulation/tests/model.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn one_right_is_never_acted_on_by_two_whatever_crashes_or_is_cut() {
+fn lease_is_never_used_by_two_despite_crashes_and_cuts() {
     let found = found(Wrong::Nothing, 11);
     assert!(
         !found.contains(&"never both") && !found.contains(&"agreed once"),
--- a/crates/cluster/tests/golden_log.rs
+++ b/crates/cluster/tests/golden_log.rs
@@ -234,7 +234,7 @@
 }
 
 #[test]
-fn log_files_and_messages_are_as_they_were() {
+fn log_files_and_messages_keep_their_bytes() {
     let life = live();
     assert_golden!("log-founded.bin", life.founded);
     assert_golden!("log-entries.bin", life.entries);
@@ -254,7 +254,7 @@
 }
 
 #[test]
-fn every_golden_log_file_is_read_whole_and_can_be_gone_on_with() {
+fn golden_log_files_are_read_whole() {
     for (name, last) in [
         ("log-founded.bin", 2),
         ("log-entries.bin", 16),
@@ -297,7 +297,7 @@
 }
 
 #[test]
-fn a_site_goes_on_from_a_log_file_of_an_earlier_build() {
+fn member_goes_on_from_a_log_file_of_an_earlier_build() {
     let bytes = read_golden!("log-cut.bin");
     let id = store::read(&bytes)
         .unwrap()
@@ -337,7 +337,7 @@
 }
 
 #[test]
-fn what_is_wrong_with_a_log_file_is_said_in_the_same_words() {
+fn log_errors_keep_their_words() {
     let whole = read_golden!("log-entries.bin");
     let mut damage = whole.clone();
     *damage.last_mut().unwrap() ^= 1;
