--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -63,9 +63,9 @@
             && known_until.is_none_or(|until| now < until)
             && self
                 .controller
-                .may_go_out(now, key.request.query(), key.number);
+                .may_send_first_byte(now, key.request.query(), key.number);
         if !may_go {
-            self.attempt_failed(now, key, Cause::Withheld);
+            self.attempt_failed(now, key, Cause::NotSent);
             return None;
         }
         if let Some(token) = token {
@@ -87,7 +87,11 @@
     pub fn record_progress_report(&mut self, now: Micros, key: AttemptKey, report: ProgressReport) {
         if self.in_flight(key).is_some() {
             self.record_contact(now, key);
-            let event = Event::ProgressReported(key.request.query(), key.number, report);
+            let event = Event::ProgressReported {
+                query: key.request.query(),
+                attempt: key.number,
+                report,
+            };
             self.notify_scheduler(now, event);
         }
     }
--- a/crates/scheduler/tests/slow_start.rs
+++ b/crates/scheduler/tests/slow_start.rs
@@ -41,7 +41,10 @@
     let mut harness = SchedulerHarness::new(slow_start_settings(), &[]);
     harness.controller = controller;
     harness.now += 2 * HOUR;
-    harness.event(Event::EnginesListed(ListKind::Cached, &[listed(1)]));
+    harness.event(Event::EnginesListed {
+        kind: ListKind::Cached,
+        engines: &[listed(1)],
+    });
     for n in 1..=6 {
         harness.arrive(0, WORK, 1);
         harness.end(QueryId(n), 0, Outcome::Ok, WORK);
@@ -72,13 +75,13 @@
 }
 
 fn list_engine(harness: &mut SchedulerHarness, started_at: u64) {
-    harness.event(Event::EnginesListed(
-        ListKind::Changes,
-        &[ListedEngine {
+    harness.event(Event::EnginesListed {
+        kind: ListKind::Changes,
+        engines: &[ListedEngine {
             started_at: Some(started_at),
             ..listed(1)
         }],
-    ));
+    });
 }
 
 #[test]
@@ -128,7 +131,11 @@
     let now = harness.now;
     let out = planned
         .iter()
-        .filter(|(query, _)| harness.controller.may_go_out(now, QueryId(*query), 0))
+        .filter(|(query, _)| {
+            harness
+                .controller
+                .may_send_first_byte(now, QueryId(*query), 0)
+        })
         .count();
     assert!(
         (3..=MOST_IN_A_WINDOW).contains(&out),
