--- a/crates/cluster/tests/bootstrap.rs
+++ b/crates/cluster/tests/bootstrap.rs
@@ -1,4 +1,5 @@
 //! How a log comes to be.
+#![allow(clippy::too_many_lines, reason = "a scenario reads from top to bottom")]
 
 use driftfront_cluster::consensus::{Announcement, Bootstrap};
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/cluster/tests/golden_log.rs
+++ b/crates/cluster/tests/golden_log.rs
@@ -1,4 +1,5 @@
 //! The agreed log's file and the messages about it, compared with golden files and read from them.
+#![allow(clippy::too_many_lines, reason = "a scenario reads from top to bottom")]
 
 mod voters;
 
--- a/crates/cluster/tests/gossip.rs
+++ b/crates/cluster/tests/gossip.rs
@@ -1,4 +1,8 @@
 //! Records that members publish, and what others know of them.
+#![allow(
+    clippy::cast_possible_truncation,
+    reason = "numbers of a test are small"
+)]
 
 use driftfront_cluster::gossip::{GossipState, MAX_KINDS_PER_OWNER, MAX_OWNERS, MAX_VALUE_BYTES};
 use driftfront_cluster::{Kind, Micros};
--- a/crates/cluster/tests/member_metadata.rs
+++ b/crates/cluster/tests/member_metadata.rs
@@ -1,4 +1,8 @@
 //! What a member publishes of itself.
+#![allow(
+    clippy::needless_pass_by_value,
+    reason = "quickcheck hands values to a property"
+)]
 
 use driftfront_cluster::member_metadata::MAX_TEXT_BYTES;
 use driftfront_cluster::{MemberMetadata, State};
--- a/crates/cluster/tests/membership.rs
+++ b/crates/cluster/tests/membership.rs
@@ -1,4 +1,8 @@
 //! Who is there.
+#![allow(
+    clippy::cast_possible_truncation,
+    reason = "numbers of a test are small"
+)]
 
 use driftfront_cluster::membership::{Identity, Members, Output, MAX_MEMBERS};
 use std::net::SocketAddr;
--- a/crates/cluster/tests/message_authentication.rs
+++ b/crates/cluster/tests/message_authentication.rs
@@ -1,4 +1,8 @@
 //! The form of datagrams, the keys and the counts that are accepted once.
+#![allow(
+    clippy::needless_pass_by_value,
+    reason = "quickcheck hands values to a property"
+)]
 
 use driftfront_cluster::message_authentication::{
     AuthenticationError, MessageAuthenticator, Payload, MAX_PAYLOAD_BYTES, MAX_SESSIONS,
--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -61,6 +61,15 @@
     matches!(clock, libc::CLOCK_REALTIME | libc::CLOCK_REALTIME_COARSE)
 }
 
+/// A system call's result as the C library's function returns it: 0, or -1.
+#[allow(
+    clippy::cast_possible_truncation,
+    reason = "both results fit any integer"
+)]
+fn result_of(syscall: libc::c_long) -> c_int {
+    syscall as c_int
+}
+
 /// Moves a time by the offset, of which it has `per_second` parts.
 fn moved(seconds: time_t, part: i64, per_second: i64) -> (time_t, i64) {
     let parts_per_micro = per_second / MICROS_PER_SECOND;
@@ -77,7 +86,7 @@
 /// As the C library's.
 #[no_mangle]
 pub unsafe extern "C" fn clock_gettime(clock: clockid_t, time: *mut timespec) -> c_int {
-    let done = libc::syscall(libc::SYS_clock_gettime, clock, time) as c_int;
+    let done = result_of(libc::syscall(libc::SYS_clock_gettime, clock, time));
     if done == 0 && is_wall_clock(clock) {
         ((*time).tv_sec, (*time).tv_nsec) = moved((*time).tv_sec, (*time).tv_nsec, 1_000_000_000);
     }
@@ -90,7 +99,7 @@
 /// As the C library's.
 #[no_mangle]
 pub unsafe extern "C" fn gettimeofday(time: *mut timeval, zone: *mut c_void) -> c_int {
-    let done = libc::syscall(libc::SYS_gettimeofday, time, zone) as c_int;
+    let done = result_of(libc::syscall(libc::SYS_gettimeofday, time, zone));
     if done == 0 && !time.is_null() {
         ((*time).tv_sec, (*time).tv_usec) =
             moved((*time).tv_sec, (*time).tv_usec, MICROS_PER_SECOND);
--- a/crates/socket-activation/tests/golden.rs
+++ b/crates/socket-activation/tests/golden.rs
@@ -1,22 +1,22 @@
 //! What is said of a socket that can't be adopted, compared with a golden file.
 
-use driftfront_socket_activation::{adopt, Refusal, PASSED};
+use driftfront_socket_activation::{adopt, AdoptError, PASSED_DESCRIPTOR};
 use driftfront_test_support::assert_golden;
 
 #[test]
-fn refusals_are_said_in_the_same_words() {
-    assert_eq!(PASSED, 4);
+fn adopt_errors_keep_their_words() {
+    assert_eq!(PASSED_DESCRIPTOR, 4);
     let told = [
         adopt("5").unwrap_err(),
         adopt("").unwrap_err(),
         adopt(&"4".repeat(60)).unwrap_err(),
     ];
     let others = [
-        Refusal::Closed,
-        Refusal::NoSocket,
-        Refusal::NotListening,
-        Refusal::Taken,
-        Refusal::System("out of luck".into()),
+        AdoptError::Closed,
+        AdoptError::NotASocket,
+        AdoptError::NotListening,
+        AdoptError::AlreadyAdopted,
+        AdoptError::System("out of luck".into()),
     ];
     let text: String = told
         .iter()
