--- /dev/null
+++ b/crates/coordinator/src/cli/local.rs
@@ -0,0 +1,117 @@
+//! Sub-commands that need no running program, but `counters`, which asks one over its clients' address.
+
+use super::error::CommandError;
+use super::{expect_no_more, remote};
+use calloop::EventLoop;
+use driftfront::config::Config;
+use driftfront::node::Node;
+use driftfront_console::remote::Endpoint;
+use driftfront_control::commands;
+use pico_args::Arguments;
+use std::io::{IsTerminal, Write};
+use std::path::{Path, PathBuf};
+
+/// The file that `--config` names, else the one of `LB_CONFIG`.
+fn config_path(arguments: &mut Arguments) -> Result<PathBuf, CommandError> {
+    let named: Option<PathBuf> = arguments.opt_value_from_str("--config")?;
+    named
+        .or_else(|| std::env::var_os("LB_CONFIG").map(PathBuf::from))
+        .ok_or(CommandError::NoConfig)
+}
+
+/// Runs a coordinator until it is asked to end.
+pub(super) fn serve(mut arguments: Arguments) -> Result<(), CommandError> {
+    let path = config_path(&mut arguments)?;
+    let level: Option<tracing::Level> = arguments.opt_value_from_str("--log")?;
+    expect_no_more(arguments)?;
+    let config = Config::load(&path)?;
+    tracing_subscriber::fmt()
+        .with_max_level(level.unwrap_or(tracing::Level::INFO))
+        .with_writer(std::io::stderr)
+        .with_ansi(false)
+        .init();
+    let events =
+        EventLoop::try_new().map_err(|e| CommandError::Failed(format!("event loop: {e}")))?;
+    let node = Node::new(config, &events).map_err(CommandError::Failed)?;
+    node.run(events).map_err(CommandError::Failed)
+}
+
+/// Reads a configuration and says what it means.
+pub(super) fn check(mut arguments: Arguments) -> Result<(), CommandError> {
+    let path = config_path(&mut arguments)?;
+    expect_no_more(arguments)?;
+    let config = Config::load(&path)?;
+    print!("{}", driftfront::console::describe(&config));
+    Ok(())
+}
+
+/// Writes a commented operator's file, never over another.
+pub(super) fn init(mut arguments: Arguments) -> Result<(), CommandError> {
+    let named: Option<PathBuf> = arguments.opt_free_from_str()?;
+    expect_no_more(arguments)?;
+    let path = named.unwrap_or("driftfront.kdl".into());
+    let shown = path.display().to_string();
+    if let Err(source) = write_new_file(&path, driftfront::operator_config::EXAMPLE) {
+        let path = shown;
+        return Err(CommandError::File { path, source });
+    }
+    println!("{shown} is written: name your engines there, then driftfront serve --config {shown}");
+    Ok(())
+}
+
+fn write_new_file(path: &Path, text: &str) -> std::io::Result<()> {
+    let mut file = std::fs::OpenOptions::new()
+        .write(true)
+        .create_new(true)
+        .open(path)?;
+    file.write_all(text.as_bytes())
+}
+
+/// Runs a coordinator with mock engines and a gentle load, and the console on it.
+pub(super) fn demo(mut arguments: Arguments) -> Result<(), CommandError> {
+    let is_plain = arguments.contains("--plain");
+    expect_no_more(arguments)?;
+    let demo = driftfront::demo::Demo::start().map_err(CommandError::Failed)?;
+    let target = Endpoint::Socket(demo.socket.clone());
+    println!(
+        "a coordinator takes queries at {}, operators at {}",
+        demo.listen,
+        demo.socket.display()
+    );
+    if is_plain || !std::io::stdout().is_terminal() {
+        remote::print_status_under_load(&target)?;
+    } else {
+        let has_color = std::env::var_os("NO_COLOR").is_none();
+        driftfront_console::run::run(target, has_color)?;
+    }
+    let _ = std::fs::remove_file(&demo.socket);
+    Ok(())
+}
+
+/// Prints a running coordinator's counters.
+pub(super) fn counters(mut arguments: Arguments) -> Result<(), CommandError> {
+    let address: String = arguments.value_from_str("--at")?;
+    expect_no_more(arguments)?;
+    let text = driftfront::console::counters(&address).map_err(CommandError::Failed)?;
+    print!("{text}");
+    Ok(())
+}
+
+pub(super) fn completions(mut arguments: Arguments) -> Result<(), CommandError> {
+    let shell: String = arguments.free_from_str()?;
+    expect_no_more(arguments)?;
+    let text = commands::completions(&shell).ok_or(CommandError::UnknownShell(shell))?;
+    print!("{text}");
+    Ok(())
+}
+
+pub(super) fn manual() -> Result<(), CommandError> {
+    print!("{}", commands::manual());
+    Ok(())
+}
+
+pub(super) fn version(arguments: Arguments) -> Result<(), CommandError> {
+    expect_no_more(arguments)?;
+    println!("driftfront {}", env!("CARGO_PKG_VERSION"));
+    Ok(())
+}
--- /dev/null
+++ b/crates/coordinator/src/cli/mod.rs
@@ -0,0 +1,50 @@
+//! The sub-commands: those that run here (`local`), and those that speak to a running program (`remote`).
+//!
+//! `driftfront_control::commands` describes them all; help, completions and the manual are made from that.
+
+mod error;
+mod local;
+mod remote;
+mod target;
+
+use driftfront_control::commands;
+use error::CommandError;
+use pico_args::Arguments;
+
+/// Runs the sub-command that the arguments name.
+pub(crate) fn run(mut arguments: Arguments) -> Result<(), CommandError> {
+    if arguments.contains(["-h", "--help"]) {
+        print!("{}", commands::help());
+        return Ok(());
+    }
+    let Some(name) = arguments.subcommand()? else {
+        return Err(CommandError::NoCommand);
+    };
+    let Some(command) = commands::COMMANDS
+        .iter()
+        .find(|command| command.name == name)
+    else {
+        return Err(CommandError::UnknownCommand(name));
+    };
+    match command.name {
+        "serve" => local::serve(arguments),
+        "check" => local::check(arguments),
+        "init" => local::init(arguments),
+        "demo" => local::demo(arguments),
+        "counters" => local::counters(arguments),
+        "completions" => local::completions(arguments),
+        "manual" => local::manual(),
+        "version" => local::version(arguments),
+        name => remote::run(name, arguments),
+    }
+}
+
+/// Ends the reading of arguments: what is left is a mistake.
+fn expect_no_more(arguments: Arguments) -> Result<(), CommandError> {
+    match arguments.finish().first() {
+        Some(word) => Err(CommandError::UnknownArgument(
+            word.to_string_lossy().into_owned(),
+        )),
+        None => Ok(()),
+    }
+}
--- /dev/null
+++ b/crates/coordinator/src/cli/remote.rs
@@ -0,0 +1,280 @@
+//! Sub-commands that speak to a running program: they show a snapshot of it, or give it an order.
+
+use super::error::CommandError;
+use super::expect_no_more;
+use super::target::{connect, order, parse_target, snapshot};
+use driftfront_console::remote::{Endpoint, Remote};
+use driftfront_console::{messages, run as console};
+use driftfront_control::snapshot::Snapshot;
+use driftfront_control::{Field, Reply, Request};
+use pico_args::Arguments;
+use std::io::{ErrorKind, IsTerminal, Write};
+use std::time::Duration;
+
+/// How long a hold lasts where `--for` is not given.
+const DEFAULT_HOLD_TIME: &str = "10m";
+/// How often `drain --wait` is told of the engine's queries.
+const WAIT_INTERVAL_MILLIS: u64 = 200;
+/// Narrowest table.
+const MIN_TABLE_WIDTH: usize = 40;
+/// Requests that a demo must have taken before its status says something.
+const DEMO_MIN_REQUESTS: u64 = 10;
+const DEMO_POLL_INTERVAL: Duration = Duration::from_millis(100);
+
+/// Runs one of them.
+pub(super) fn run(name: &str, mut arguments: Arguments) -> Result<(), CommandError> {
+    let target = parse_target(&mut arguments)?;
+    let is_json = arguments.contains("--json");
+    match name {
+        "console" => show_console(target, arguments),
+        "status" | "engines" | "classes" | "queries" | "members" | "holds" => {
+            expect_no_more(arguments)?;
+            let snapshot = snapshot(&mut connect(&target)?)?;
+            print(&if is_json {
+                view_as_json(name, &snapshot)
+            } else {
+                view_as_text(name, &snapshot)
+            })
+        }
+        "events" => {
+            let is_following = arguments.contains("--follow");
+            expect_no_more(arguments)?;
+            print_events(&mut connect(&target)?, is_following, is_json)
+        }
+        "drain" => drain(&target, arguments),
+        name => {
+            let request = parse_order(name, arguments)?;
+            let message = order(&mut connect(&target)?, &request)?;
+            print(&(message + "\n"))
+        }
+    }
+}
+
+/// Reads the arguments of a sub-command that gives one order.
+fn parse_order(name: &str, arguments: Arguments) -> Result<Request, CommandError> {
+    match name {
+        "resume" => Ok(Request::Resume(only_argument(arguments)?)),
+        "unhold" => Ok(Request::Unhold(only_argument(arguments)?)),
+        "pause" => expect_no_more(arguments).map(|()| Request::Pause),
+        "unpause" => expect_no_more(arguments).map(|()| Request::Unpause),
+        "hold" => parse_hold(arguments),
+        "add" => parse_add(arguments),
+        "remove" => parse_remove(arguments),
+        "roll" => parse_roll(arguments),
+        other => Err(CommandError::UnknownRemoteCommand(other.into())),
+    }
+}
+
+fn only_argument(mut arguments: Arguments) -> Result<String, CommandError> {
+    let argument = arguments.free_from_str()?;
+    expect_no_more(arguments)?;
+    Ok(argument)
+}
+
+fn parse_hold(mut arguments: Arguments) -> Result<Request, CommandError> {
+    let stays = arguments.contains("--stays");
+    let time: Option<String> = arguments.opt_value_from_str("--for")?;
+    let note: Option<String> = arguments.opt_value_from_str("--note")?;
+    let name = only_argument(arguments)?;
+    let time = time.unwrap_or(DEFAULT_HOLD_TIME.into());
+    let Some(for_s) = parse_seconds(&time) else {
+        return Err(CommandError::InvalidTime(time));
+    };
+    Ok(Request::Hold {
+        name,
+        for_s,
+        stays,
+        note: note.unwrap_or_default(),
+    })
+}
+
+fn parse_add(mut arguments: Arguments) -> Result<Request, CommandError> {
+    let zone: Option<String> = arguments.opt_value_from_str("--zone")?;
+    let kind: Option<String> = arguments.opt_value_from_str("--kind")?;
+    let engine: String = arguments.free_from_str()?;
+    let address: Option<String> = arguments.opt_free_from_str()?;
+    expect_no_more(arguments)?;
+    Ok(Request::Add {
+        engine,
+        addr: address.unwrap_or_default(),
+        zone: zone.unwrap_or_default(),
+        kind: kind.unwrap_or_default(),
+    })
+}
+
+fn parse_remove(mut arguments: Arguments) -> Result<Request, CommandError> {
+    let force = arguments.contains("--force");
+    let engine = only_argument(arguments)?;
+    Ok(Request::Remove { engine, force })
+}
+
+fn parse_roll(mut arguments: Arguments) -> Result<Request, CommandError> {
+    let is_dry_run = arguments.contains("--dry-run");
+    let is_back = arguments.contains("--back");
+    let is_stop = arguments.contains("--stop");
+    let is_go_on = arguments.contains("--go-on");
+    let mut engines: Vec<String> = Vec::new();
+    while let Some(engine) = arguments.opt_free_from_str()? {
+        engines.push(engine);
+    }
+    expect_no_more(arguments)?;
+    match (is_back, is_stop, is_go_on) {
+        (true, false, false) => Ok(Request::Back),
+        (false, true, false) => Ok(Request::RollStop),
+        (false, false, true) => Ok(Request::RollGoOn),
+        (false, false, false) => Ok(Request::Roll(engines, is_dry_run)),
+        _ => Err(CommandError::ConflictingRollOptions),
+    }
+}
+
+/// A time as `30s`, `10m`, `2h`, in seconds; above zero.
+fn parse_seconds(text: &str) -> Option<u64> {
+    let (number, unit) = text.split_at(text.find(|c: char| !c.is_ascii_digit())?);
+    let seconds_per_unit = match unit {
+        "s" => 1,
+        "m" => 60,
+        "h" => 3600,
+        _ => return None,
+    };
+    let seconds = number.parse::<u64>().ok()?.checked_mul(seconds_per_unit)?;
+    (seconds > 0).then_some(seconds)
+}
+
+fn show_console(target: Endpoint, mut arguments: Arguments) -> Result<(), CommandError> {
+    let is_plain = arguments.contains("--plain");
+    let has_no_color = arguments.contains("--no-color") || std::env::var_os("NO_COLOR").is_some();
+    expect_no_more(arguments)?;
+    if is_plain || !std::io::stdout().is_terminal() {
+        let snapshot = snapshot(&mut connect(&target)?)?;
+        return print(&messages::plain(&snapshot, width()));
+    }
+    Ok(console::run(target, !has_no_color)?)
+}
+
+fn drain(target: &Endpoint, mut arguments: Arguments) -> Result<(), CommandError> {
+    let is_waiting = arguments.contains("--wait");
+    let force = arguments.contains("--force");
+    let engine = only_argument(arguments)?;
+    let mut remote = connect(target)?;
+    let request = Request::Drain {
+        engine: engine.clone(),
+        force,
+    };
+    let message = order(&mut remote, &request)?;
+    print(&(message + "\n"))?;
+    if is_waiting {
+        wait_until_idle(&mut remote, &engine)?;
+    }
+    Ok(())
+}
+
+/// Waits until nothing runs on an engine any more.
+fn wait_until_idle(remote: &mut Remote, engine: &str) -> Result<(), CommandError> {
+    let id = remote.send(&Request::Follow(WAIT_INTERVAL_MILLIS))?;
+    remote.wait_for_ever()?;
+    loop {
+        let Reply::Snapshot(snapshot) = remote.reply(id)? else {
+            continue;
+        };
+        match snapshot.engines.iter().find(|e| e.name == engine) {
+            Some(engine_view) if engine_view.phase == "ready" => {
+                let reason = format!("{engine} was resumed meanwhile");
+                return Err(CommandError::Refused(reason));
+            }
+            Some(engine_view) if engine_view.running > 0 => {}
+            _ => return print(&format!("{engine} is free: nothing runs there\n")),
+        }
+    }
+}
+
+fn print_events(
+    remote: &mut Remote,
+    is_following: bool,
+    is_json: bool,
+) -> Result<(), CommandError> {
+    let id = remote.send(&Request::Events(is_following))?;
+    if is_following {
+        remote.wait_for_ever()?;
+    }
+    while let Reply::Event(at, message) = remote.reply(id)? {
+        if is_json {
+            print(&Reply::Event(at, message).line(id))?;
+        } else {
+            let (seconds, millis) = (at / 1_000_000, at / 1000 % 1000);
+            print(&format!("{seconds}.{millis:03}  {message}\n"))?;
+        }
+    }
+    Ok(())
+}
+
+/// Prints how things stand, once the demo's load has brought some requests.
+pub(super) fn print_status_under_load(target: &Endpoint) -> Result<(), CommandError> {
+    let mut remote = connect(target)?;
+    loop {
+        let snapshot = snapshot(&mut remote)?;
+        let requests: u64 = snapshot.classes.iter().map(|c| c.minute.asked).sum();
+        if requests >= DEMO_MIN_REQUESTS {
+            return print(&messages::plain(&snapshot, width()));
+        }
+        std::thread::sleep(DEMO_POLL_INTERVAL);
+    }
+}
+
+fn view_as_json(view: &str, snapshot: &Snapshot) -> String {
+    let value = match view {
+        "status" => snapshot.to_json(),
+        "engines" => snapshot.engines.to_json(),
+        "classes" => snapshot.classes.to_json(),
+        "members" => snapshot.members.to_json(),
+        "holds" => snapshot.agreed.to_json(),
+        _ => snapshot.queries.to_json(),
+    };
+    value.stringify().unwrap_or_default() + "\n"
+}
+
+fn view_as_text(view: &str, snapshot: &Snapshot) -> String {
+    match view {
+        "status" => messages::plain(snapshot, width()),
+        "engines" => table(&messages::engines(snapshot)),
+        "classes" => table(&messages::classes(snapshot)),
+        "members" if snapshot.members.is_empty() => {
+            "There is no fleet: the operator's file has none.\n".into()
+        }
+        "members" => table(&messages::members(snapshot)),
+        "holds" => match &snapshot.agreed {
+            Some(agreed) => messages::agreed(agreed) + &table(&messages::holds(agreed)),
+            None => "There is no fleet: nothing is agreed.\n".into(),
+        },
+        _ => table(&messages::queries(snapshot)),
+    }
+}
+
+fn table(table: &messages::Table) -> String {
+    let widths = messages::widths(table, width().max(MIN_TABLE_WIDTH));
+    let heads: Vec<String> = table.heads.iter().map(|head| head.to_string()).collect();
+    let rows = table
+        .rows
+        .iter()
+        .map(|row| messages::row_text(row, &widths));
+    let lines: Vec<String> = std::iter::once(messages::row_text(&heads, &widths))
+        .chain(rows)
+        .collect();
+    lines.join("\n") + "\n"
+}
+
+/// The terminal's width in characters; `COLUMNS` goes before what the terminal says.
+fn width() -> usize {
+    let named = std::env::var("COLUMNS").ok();
+    named
+        .and_then(|columns| columns.parse().ok())
+        .or_else(console::terminal_width)
+        .unwrap_or(80)
+}
+
+fn print(text: &str) -> Result<(), CommandError> {
+    match std::io::stdout().write_all(text.as_bytes()) {
+        // A pipe that is closed early is no mistake.
+        Err(e) if e.kind() != ErrorKind::BrokenPipe => Err(e.into()),
+        _ => Ok(()),
+    }
+}
--- /dev/null
+++ b/crates/coordinator/src/cli/target.rs
@@ -0,0 +1,75 @@
+//! The running program that a sub-command speaks to, and requests to it.
+
+use super::error::CommandError;
+use driftfront_console::remote::{Endpoint, Remote};
+use driftfront_control::snapshot::Snapshot;
+use driftfront_control::{Reply, Request};
+use pico_args::Arguments;
+use std::io::ErrorKind;
+use std::net::SocketAddr;
+use std::path::PathBuf;
+
+/// Where the program is looked for if neither `--at` nor `DRIFTFRONT_CONTROL` says so.
+const DEFAULT_CONTROL_SOCKET: &str = "/tmp/driftfront.sock";
+
+/// Reads `--at` and `--key-file`: a control socket's path, or a loopback address with a key.
+pub(super) fn parse_target(arguments: &mut Arguments) -> Result<Endpoint, CommandError> {
+    let named: Option<String> = arguments.opt_value_from_str("--at")?;
+    let key_file: Option<PathBuf> = arguments.opt_value_from_str("--key-file")?;
+    let target = named
+        .or_else(|| std::env::var("DRIFTFRONT_CONTROL").ok())
+        .unwrap_or(DEFAULT_CONTROL_SOCKET.into());
+    if target.parse::<SocketAddr>().is_err() {
+        return Ok(Endpoint::Socket(target.into()));
+    }
+    let Some(key_file) = key_file else {
+        return Err(CommandError::NoKeyFile(target));
+    };
+    let key = std::fs::read_to_string(&key_file).map_err(|source| CommandError::File {
+        path: key_file.display().to_string(),
+        source,
+    })?;
+    Ok(Endpoint::Port(target, key.trim().as_bytes().to_vec()))
+}
+
+/// Connects to the program.
+pub(super) fn connect(target: &Endpoint) -> Result<Remote, CommandError> {
+    Remote::connect(target).map_err(|source| {
+        let address = match target {
+            Endpoint::Socket(path) => path.display().to_string(),
+            Endpoint::Port(address, _) => address.clone(),
+        };
+        match source.kind() {
+            ErrorKind::NotFound | ErrorKind::ConnectionRefused => {
+                CommandError::Unreachable { address, source }
+            }
+            _ => CommandError::File {
+                path: address,
+                source,
+            },
+        }
+    })
+}
+
+/// Gives an order; what the program says of it.
+pub(super) fn order(remote: &mut Remote, request: &Request) -> Result<String, CommandError> {
+    match remote.ask(request)? {
+        Reply::Done(message) => Ok(message),
+        other => Err(unexpected(other)),
+    }
+}
+
+/// Asks for everything as it stands.
+pub(super) fn snapshot(remote: &mut Remote) -> Result<Snapshot, CommandError> {
+    match remote.ask(&Request::Snapshot)? {
+        Reply::Snapshot(snapshot) => Ok(*snapshot),
+        other => Err(unexpected(other)),
+    }
+}
+
+fn unexpected(reply: Reply) -> CommandError {
+    match reply {
+        Reply::Refused(reason) => CommandError::Refused(reason),
+        other => CommandError::UnexpectedReply(format!("{other:?}")),
+    }
+}
