--- a/crates/coordinator/src/node/cluster.rs
+++ b/crates/coordinator/src/node/cluster.rs
@@ -81,7 +81,7 @@
 
 impl Node {
     /// Takes part in the fleet, where the operator's file says so.
-    pub(super) fn open_fleet(&mut self) -> Result<(), String> {
+    pub(super) fn join_cluster(&mut self) -> Result<(), String> {
         let Some(config) = self.config.cluster.clone() else {
             return Ok(());
         };
@@ -128,7 +128,7 @@
             agreed: None,
         };
         let unit = Cluster::new(clock, options);
-        self.watch(socket.clone(), EventSource::Cluster)
+        self.register_source(socket.clone(), EventSource::Cluster)
             .map_err(|e| format!("fleet: {e}"))?;
         tracing::info!(%here, "fleet");
         self.cluster = Some(Box::new(ClusterRuntime {
@@ -148,7 +148,7 @@
     }
 
     /// Datagrams have come.
-    pub(super) fn fleet_ready(&mut self) {
+    pub(super) fn read_datagrams(&mut self) {
         let Some(fleet) = self.cluster.as_mut() else {
             return;
         };
@@ -179,11 +179,11 @@
     }
 
     /// The unit's time, once all that has come is read.
-    pub(super) fn tend_fleet(&mut self) {
+    pub(super) fn update_cluster(&mut self) {
         if self.cluster.is_none() {
             return;
         }
-        self.fleet_ready();
+        self.read_datagrams();
         if self
             .deferred
             .iter()
@@ -204,12 +204,12 @@
         let clock = fleet.clock();
         // With each sweep: what is looked at seldom can't be told from what is held up.
         fleet.unit.tick(clock);
-        self.tend_consensus(state);
+        self.update_consensus(state);
         self.send_datagrams();
     }
 
     /// The engines' list has told of coordinators, or of some that are gone.
-    pub(super) fn fleet_listed(&mut self, told: &EngineListUpdate) {
+    pub(super) fn update_discovered_seeds(&mut self, told: &EngineListUpdate) {
         let Some(fleet) = self.cluster.as_mut() else {
             return;
         };
@@ -258,7 +258,7 @@
     }
 
     /// The others need not find out that this process ends.
-    pub(super) fn leave_fleet(&mut self) {
+    pub(super) fn leave_cluster(&mut self) {
         if let Some(fleet) = self.cluster.as_mut() {
             let clock = fleet.clock();
             fleet.unit.leave(clock);
@@ -267,7 +267,7 @@
     }
 
     /// SIGHUP: keys and seeds are read again; a mistaken file leaves the old ones.
-    pub(super) fn reload_fleet(&mut self, new: Option<&ClusterConfig>) {
+    pub(super) fn reload_cluster(&mut self, new: Option<&ClusterConfig>) {
         let (Some(fleet), Some(new)) = (self.cluster.as_mut(), new) else {
             return;
         };
@@ -285,7 +285,7 @@
     }
 
     /// The members, for operators.
-    pub(super) fn fleet_members(&self) -> Vec<Member> {
+    pub(super) fn member_views(&self) -> Vec<Member> {
         let Some(fleet) = &self.cluster else {
             return Vec::new();
         };
@@ -322,7 +322,7 @@
     }
 
     /// Counts of the fleet, a line each; empty where there is none.
-    pub(super) fn fleet_counters(&self) -> String {
+    pub(super) fn cluster_counters(&self) -> String {
         let Some(fleet) = &self.cluster else {
             return String::new();
         };
--- a/crates/coordinator/src/node/cluster/consensus.rs
+++ b/crates/coordinator/src/node/cluster/consensus.rs
@@ -102,7 +102,7 @@
         let on_written =
             |event: calloop::channel::Event<WriteCompleted>, _: &mut (), node: &mut Node| {
                 if let calloop::channel::Event::Msg(completed) = event {
-                    node.guard("a write's end", |node| node.on_log_written(completed));
+                    node.guard("a write's end", |node| node.handle_log_written(completed));
                 }
             };
         self.handle
@@ -120,7 +120,7 @@
         self.event(now, format!("What is agreed can't be kept: {reason}"));
     }
 
-    fn on_log_written(&mut self, completed: WriteCompleted) {
+    fn handle_log_written(&mut self, completed: WriteCompleted) {
         match completed.result {
             Ok(()) => {
                 if let Some(fleet) = self.cluster.as_mut() {
@@ -151,7 +151,7 @@
     }
 
     /// Periodic work: the log is opened, or released where this process ends, and outcomes are reported.
-    pub(super) fn tend_consensus(&mut self, state: State) {
+    pub(super) fn update_consensus(&mut self, state: State) {
         self.open_log();
         let is_closed = |fleet: &ClusterRuntime| fleet.consensus.is_closed;
         if state == State::Ending && !self.cluster.as_deref().is_none_or(is_closed) {
--- /dev/null
+++ b/crates/coordinator/src/node/commands.rs
@@ -0,0 +1,105 @@
+//! Commands of the request lifecycle, carried out on sockets.
+
+use super::Node;
+use crate::frontends::ConnectionAction;
+use crate::service_window::RequestOutcome;
+use driftfront_core::{AttemptKey, Command, EngineId, Micros, RequestId};
+use driftfront_scheduler::interface::Idempotency;
+
+impl Node {
+    /// Carries out what the core asks for, until it asks for nothing more.
+    pub(super) fn execute_commands(&mut self) {
+        // Further up the stack the rest is being carried out, in order.
+        if std::mem::replace(&mut self.is_executing, true) {
+            return;
+        }
+        while let Some(command) = self.core.next_command() {
+            let now = self.now;
+            match command {
+                Command::StartAttempt(key, engine) => {
+                    self.log_retry(now, key, engine);
+                    self.queue_attempt(now, key, engine, 0);
+                }
+                Command::AbandonAttempt(key, engine) => self.abandon_attempt(now, key, engine),
+                Command::Probe(engine, tag) => self.queue_probe(now, engine, tag),
+                Command::ForgetEngine(engine) => self.forget_engine(now, engine),
+                Command::Log(line) => tracing::info!("{line}"),
+                Command::Settled(ticket, fate) => self.frontend.settle_request(now, ticket, fate),
+                Command::ForwardChunk(id, piece) => {
+                    self.write_response(now, id, false, |w, out| {
+                        w.write_chunk(&piece, out);
+                        ConnectionAction::KeepOpen
+                    })
+                }
+                Command::Finish(id) => {
+                    self.record_outcome(now, id, RequestOutcome::Served);
+                    self.write_response(now, id, true, |w, out| w.finish(out));
+                }
+                Command::Reject(id, after, words) => {
+                    self.record_outcome(now, id, RequestOutcome::Refused);
+                    self.write_response(now, id, true, |w, out| {
+                        w.reject(after, words.as_deref(), out);
+                        ConnectionAction::KeepOpen
+                    });
+                }
+                Command::Fail(id, words) => {
+                    self.record_outcome(now, id, RequestOutcome::Failed);
+                    self.write_response(now, id, true, |w, out| {
+                        w.fail(words.as_deref(), out);
+                        ConnectionAction::KeepOpen
+                    });
+                }
+                Command::Abort(id, words) => {
+                    self.record_outcome(now, id, RequestOutcome::Failed);
+                    self.write_response(now, id, true, |w, out| w.abort(words.as_deref(), out));
+                }
+            }
+        }
+        self.is_executing = false;
+    }
+
+    /// A line for each attempt beyond a request's first: the retry budget bounds their number.
+    pub(super) fn log_retry(&self, now: Micros, key: AttemptKey, engine: EngineId) {
+        let Some(retry) = self.core.retry_context(key) else {
+            return;
+        };
+        let name = |engine| self.registry.name(engine).unwrap_or("gone");
+        let usage = self.core.retry_budget_usage(now).unwrap_or_default();
+        tracing::info!(
+            call = retry.call,
+            attempt = key.number,
+            engine = name(engine),
+            failed_on = name(retry.failed_on),
+            after = %retry.after,
+            used = usage.used,
+            allowed = %format_args!("{:.1}", usage.allowed),
+            "retry"
+        );
+    }
+
+    /// For operators: how a request ended.
+    pub(super) fn record_outcome(&mut self, now: Micros, id: RequestId, end: RequestOutcome) {
+        if let Some(&(_, class, began)) = self
+            .clients
+            .requesters
+            .get(&id)
+            .filter(|_| self.control.is_some())
+        {
+            self.ended(now, class, began, end);
+        }
+    }
+
+    /// How often a class's requests may run.
+    pub(super) fn idempotency(&self, class: u16) -> Option<Idempotency> {
+        self.config
+            .settings
+            .classes
+            .get(usize::from(class))
+            .map(|c| c.idempotency)
+    }
+
+    /// Whether a class's requests must not run twice.
+    pub(super) fn is_single_shot(&self, class: u16) -> bool {
+        self.idempotency(class) == Some(Idempotency::NotIdempotent)
+    }
+}
--- a/crates/coordinator/src/node/control/connections.rs
+++ b/crates/coordinator/src/node/control/connections.rs
@@ -34,7 +34,7 @@
             if let Some(control) = &mut self.control {
                 control.connections.insert(id, operator);
             }
-            self.operator_ready(id);
+            self.handle_operator_ready(id);
         }
     }
 
@@ -45,8 +45,12 @@
     ) -> Result<calloop::RegistrationToken, calloop::Error> {
         use super::connection::OperatorStream;
         match stream {
-            OperatorStream::Unix(stream) => self.watch(stream.clone(), EventSource::Operator(id)),
-            OperatorStream::Tcp(stream) => self.watch(stream.clone(), EventSource::Operator(id)),
+            OperatorStream::Unix(stream) => {
+                self.register_source(stream.clone(), EventSource::Operator(id))
+            }
+            OperatorStream::Tcp(stream) => {
+                self.register_source(stream.clone(), EventSource::Operator(id))
+            }
         }
     }
 
@@ -98,7 +102,7 @@
     }
 
     /// Handles a readiness event of an operator's connection.
-    pub(in crate::node) fn operator_ready(&mut self, id: ConnectionId) {
+    pub(in crate::node) fn handle_operator_ready(&mut self, id: ConnectionId) {
         self.flush_operator(id);
         let mut buffer = vec![0; READ_BUFFER_BYTES];
         let mut bytes_read = 0;
--- a/crates/coordinator/src/node/control/mod.rs
+++ b/crates/coordinator/src/node/control/mod.rs
@@ -168,7 +168,7 @@
     ) -> Result<(), String> {
         let index = self.operators.len();
         self.operators.push(listener);
-        self.watch(socket, EventSource::Operators(index))
+        self.register_source(socket, EventSource::Operators(index))
             .map(|_| ())
             .map_err(|e| format!("event loop: {e}"))
     }
@@ -185,7 +185,7 @@
         let on_written =
             |event: calloop::channel::Event<WriteCompleted>, _: &mut (), node: &mut Node| {
                 if let calloop::channel::Event::Msg(completed) = event {
-                    node.guard("a write's end", |node| node.on_order_written(completed));
+                    node.guard("a write's end", |node| node.handle_order_written(completed));
                 }
             };
         self.handle
@@ -231,7 +231,7 @@
     }
 
     /// Periodic work: the rolling restart, connections that wait to be accepted, and followers of snapshots.
-    pub(super) fn tend_control(&mut self, now: Micros) {
+    pub(super) fn update_operators(&mut self, now: Micros) {
         if self.control.is_none() {
             return;
         }
--- a/crates/coordinator/src/node/control/orders.rs
+++ b/crates/coordinator/src/node/control/orders.rs
@@ -85,7 +85,7 @@
     }
 
     /// An order's records are on the disk, or could not be written.
-    pub(super) fn on_order_written(&mut self, completed: WriteCompleted) {
+    pub(super) fn handle_order_written(&mut self, completed: WriteCompleted) {
         let now = self.clock();
         let pending_orders = self
             .control
--- a/crates/coordinator/src/node/control/requests.rs
+++ b/crates/coordinator/src/node/control/requests.rs
@@ -90,7 +90,7 @@
                 self.send_done(to, &state);
             }
             Request::Unpause => {
-                let state = self.back_to_work(now, "an operator");
+                let state = self.resume_work(now, "an operator");
                 self.send_done(to, &state);
             }
             Request::Hold {
--- a/crates/coordinator/src/node/control/snapshot.rs
+++ b/crates/coordinator/src/node/control/snapshot.rs
@@ -94,7 +94,7 @@
             queries,
             sessions: self.frontend.session_counts(),
             roll: self.roll_view(),
-            members: self.fleet_members(),
+            members: self.member_views(),
             agreed: self.consensus_view(),
         }
     }
--- a/crates/coordinator/src/node/counters.rs
+++ b/crates/coordinator/src/node/counters.rs
@@ -38,7 +38,7 @@
         );
         let upgrade = format!("{upgrade}listener_unblocked {}\n", self.listener.unblocked);
         let open = self.core.open_requests();
-        let fleet = self.fleet_counters();
+        let fleet = self.cluster_counters();
         let budget = self.budget_counters();
         let clock = format!(
             "wall_clock_steps {}\nwall_clock_stepped_by_us {}\n",
--- a/crates/coordinator/src/node/discovery_client.rs
+++ b/crates/coordinator/src/node/discovery_client.rs
@@ -124,7 +124,7 @@
             // A half-written or mistaken file must not end a coordinator that serves well.
             Err(e) => return tracing::error!("the old configuration stays: {e}"),
         };
-        self.reload_fleet(new.cluster.as_ref());
+        self.reload_cluster(new.cluster.as_ref());
         if new.discovery == self.config.discovery {
             return tracing::info!(
                 "configuration read again; the list of engines stays where it is"
@@ -248,7 +248,7 @@
                     .iter()
                     .for_each(|why| tracing::warn!("engine list: {why}"));
                 self.discovery.told = now;
-                self.fleet_listed(&told);
+                self.update_discovered_seeds(&told);
                 let change = self.registry.apply_listing(told.kind, told.descriptions);
                 self.apply_registry_change(now, &change);
             }
--- /dev/null
+++ b/crates/coordinator/src/node/event_loop.rs
@@ -0,0 +1,206 @@
+//! The event loop: readiness events, timers and periodic checks, each guarded so that no panic ends the program.
+
+use super::{ConnectionId, EventSource, Node};
+use crate::clock::Step;
+use crate::discovery::backoff::Disconnect;
+use calloop::generic::Generic;
+use calloop::signals::{Signal, Signals};
+use calloop::{EventLoop, Interest, Mode, PostAction, Readiness, RegistrationToken};
+use driftfront_core::Micros;
+use std::net::TcpStream;
+use std::panic::{catch_unwind, AssertUnwindSafe};
+use std::rc::Rc;
+use std::time::Duration;
+
+/// Connections are checked this often: connect time-outs, idle ends, accepts that were put off.
+const CHECK_INTERVAL: Micros = 25_000;
+/// The loop waits no longer than this for events.
+const MAX_WAIT: Micros = 1_000_000;
+
+impl Node {
+    /// Runs until a signal has asked for the end and all that was taken is answered.
+    pub fn run(mut self, mut events: EventLoop<'static, Node>) -> Result<(), String> {
+        let listen = self.listening_at();
+        let management = self.management.addr().map(tracing::field::display);
+        // Tests and the bench read this line, its target included.
+        tracing::info!(target: "driftfront::node", name = %self.config.name, management, %listen, "serving");
+        loop {
+            self.guard("timers", Node::handle_timers);
+            if self.can_end() {
+                break;
+            }
+            let due = self
+                .core
+                .next_due()
+                .unwrap_or(u64::MAX)
+                .min(self.next_check);
+            let due = if self.deferred.is_empty() { due } else { 0 };
+            let wait = Duration::from_micros(due.saturating_sub(self.clock()).min(MAX_WAIT));
+            match events.dispatch(wait, &mut self) {
+                Ok(()) => {}
+                Err(calloop::Error::IoError(e)) if e.kind() == std::io::ErrorKind::Interrupted => {}
+                Err(e) => tracing::error!("event loop: {e}"),
+            }
+        }
+        self.leave_cluster();
+        tracing::info!("all taken is answered\n{}", self.counters());
+        Ok(())
+    }
+
+    /// Handles a readiness event.
+    fn handle_event(&mut self, source: EventSource, _readiness: Readiness) {
+        let now = self.clock();
+        self.check_management(now);
+        match source {
+            EventSource::Listener => self.accept_clients(now),
+            EventSource::Client(id) => self.on_client_ready(now, id),
+            EventSource::Engine(id) => self.on_engine_ready(now, id),
+            EventSource::DiscoveryClient(id) => self.on_discovery_ready(now, id),
+            EventSource::Operators(place) => self.accept_operators(place),
+            EventSource::Operator(id) => self.handle_operator_ready(id),
+            EventSource::Management => self.accept_callers(now),
+            EventSource::Caller(id) => self.handle_caller_ready(now, id),
+            EventSource::Cluster => self.read_datagrams(),
+        }
+        self.execute_commands();
+    }
+
+    /// Closes the connection of a source whose work a panic has ended, with what was on it.
+    fn close_source(&mut self, source: EventSource) {
+        let now = self.clock();
+        match source {
+            EventSource::Listener => {}
+            EventSource::Client(id) => self.drop_client(now, id),
+            EventSource::Engine(id) => self.drop_engine(now, id, "a panic"),
+            EventSource::DiscoveryClient(_) => {
+                self.drop_discovery_connection(now, "a panic", Disconnect::Closed)
+            }
+            EventSource::Operators(_) | EventSource::Management | EventSource::Cluster => {}
+            EventSource::Operator(id) => self.drop_operator(id),
+            EventSource::Caller(id) => self.drop_caller(id),
+        }
+        self.execute_commands();
+    }
+
+    /// Fires due timers, goes on with deferred connections, and does the periodic work.
+    fn handle_timers(&mut self) {
+        let now = self.clock();
+        self.core.fire_timers(now);
+        for source in std::mem::take(&mut self.deferred) {
+            match source {
+                EventSource::Client(id) => self.drive_client(now, id),
+                EventSource::Engine(id) => {
+                    self.write_to_engine(now, id);
+                    self.read_from_engine(now, id);
+                }
+                EventSource::Cluster => self.read_datagrams(),
+                _ => {}
+            }
+        }
+        self.execute_commands();
+        if now >= self.next_check {
+            self.next_check = now + CHECK_INTERVAL;
+            self.check_periodically(now);
+        }
+    }
+
+    /// Work that is due with each [`CHECK_INTERVAL`].
+    fn check_periodically(&mut self, now: Micros) {
+        self.log_wall_clock_step();
+        self.accept_clients(now);
+        self.sweep_clients(now);
+        self.sweep_engines(now);
+        self.check_discovery(now);
+        self.update_cluster();
+        self.frontend.expire_sessions(now);
+        self.update_operators(now);
+        self.check_callers(now);
+        self.poll_handover(now);
+        self.update_lifecycle(now);
+        self.execute_commands();
+    }
+
+    /// Logs a step of the wall clock: the log's time stamps jump by that.
+    fn log_wall_clock_step(&mut self) {
+        if let Some(Step(by)) = self.wall.check() {
+            let seconds = by as f64 / 1e6;
+            tracing::warn!(
+                seconds,
+                open = self.core.open_requests(),
+                "the wall clock was set"
+            );
+        }
+    }
+
+    /// Does some work; a panic ends only that, and not the program. Returns whether it was done.
+    pub(super) fn guard(&mut self, what: &str, work: impl FnOnce(&mut Node)) -> bool {
+        let done = catch_unwind(AssertUnwindSafe(|| work(self))).is_ok();
+        if !done {
+            tracing::error!("panic in {what}");
+            self.is_executing = false;
+            self.clear_busy_clients();
+        }
+        done
+    }
+
+    /// Has readiness events of a socket handled as those of this source.
+    pub(super) fn register_source<S: std::os::fd::AsFd + 'static>(
+        &mut self,
+        socket: Rc<S>,
+        source: EventSource,
+    ) -> Result<RegistrationToken, calloop::Error> {
+        let generic = Generic::new(socket, Interest::BOTH, Mode::Edge);
+        let token = self
+            .handle
+            .insert_source(generic, move |readiness, _, node: &mut Node| {
+                if !node.guard("a connection", |node| node.handle_event(source, readiness)) {
+                    node.guard("a close", |node| node.close_source(source));
+                }
+                Ok(PostAction::Continue)
+            });
+        token.map_err(|e| e.error)
+    }
+
+    /// Registers a connection's socket.
+    pub(super) fn register_stream(
+        &mut self,
+        socket: Rc<TcpStream>,
+        source: EventSource,
+    ) -> Result<RegistrationToken, String> {
+        self.register_source(socket, source)
+            .map_err(|e| e.to_string())
+    }
+
+    /// Ends the events of a socket; its descriptor closes with the last holder.
+    pub(super) fn unregister(&mut self, token: Option<RegistrationToken>) {
+        if let Some(token) = token {
+            self.handle.remove(token);
+        }
+    }
+
+    /// A number for a new connection.
+    pub(super) fn next_connection_id(&mut self) -> ConnectionId {
+        self.last_connection_id += 1;
+        self.last_connection_id
+    }
+}
+
+/// SIGTERM and SIGINT end the program once all that was accepted is answered; SIGHUP reads the configuration again.
+pub(super) fn register_signals(events: &EventLoop<'static, Node>) -> Result<(), String> {
+    let signals = Signals::new(&[Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP])
+        .map_err(|e| format!("signals: {e}"))?;
+    let on_signal = |event: calloop::signals::Event, _: &mut (), node: &mut Node| {
+        if event.signal() == Signal::SIGHUP {
+            node.guard("a new configuration", Node::reload);
+            return;
+        }
+        tracing::info!(signal = ?event.signal(), "stopping once all taken is answered");
+        let now = node.clock();
+        node.lifecycle.end(now);
+    };
+    events
+        .handle()
+        .insert_source(signals, on_signal)
+        .map(|_| ())
+        .map_err(|e| format!("signals: {e}"))
+}
--- a/crates/coordinator/src/node/management.rs
+++ b/crates/coordinator/src/node/management.rs
@@ -135,20 +135,20 @@
             .map_err(|e: std::net::AddrParseError| e.to_string())?;
         let listener = clients::listen(address).map_err(|e| e.to_string())?;
         let listener = Rc::new(listener);
-        self.watch(listener.clone(), EventSource::Management)
+        self.register_source(listener.clone(), EventSource::Management)
             .map_err(|e| e.to_string())?;
         Ok(listener)
     }
 
     /// Looks at the management address between clients' connections, so that a backlog of theirs does not go first.
-    pub(super) fn look_at_management(&mut self, now: Micros) {
+    pub(super) fn check_management(&mut self, now: Micros) {
         if self.management.listener.is_none() || now < self.management.next_check {
             return;
         }
         self.management.next_check = now + CHECK_INTERVAL;
         self.accept_callers(now);
         for id in self.management.caller_ids(|caller| !caller.is_answered) {
-            self.caller_ready(now, id);
+            self.handle_caller_ready(now, id);
         }
     }
 
@@ -189,7 +189,7 @@
             is_answered: false,
         };
         self.management.callers.insert(id, caller);
-        self.caller_ready(now, id);
+        self.handle_caller_ready(now, id);
     }
 
     /// Closes a caller's connection.
@@ -202,7 +202,7 @@
     }
 
     /// Handles a readiness event of a caller's connection.
-    pub(super) fn caller_ready(&mut self, now: Micros, id: ConnectionId) {
+    pub(super) fn handle_caller_ready(&mut self, now: Micros, id: ConnectionId) {
         let Some(caller) = self.management.callers.get_mut(&id) else {
             return;
         };
@@ -249,7 +249,7 @@
             Call::Suspend(engine) => self.suspend_engine(now, &engine),
             Call::Restore(engine) => self.restore_engine(now, &engine),
             Call::Pause => Ok(self.pause(now, ORIGIN)),
-            Call::Resume => Ok(self.back_to_work(now, ORIGIN)),
+            Call::Resume => Ok(self.resume_work(now, ORIGIN)),
         };
         let counts = &mut self.management.calls[index];
         match outcome {
@@ -296,13 +296,13 @@
         };
         self.apply_registry_change(now, &change);
         self.publish_handover();
-        self.told(now, format!("{message}, by {ORIGIN}"));
+        self.notify_operators(now, format!("{message}, by {ORIGIN}"));
         let _ = self.persist(now, &records);
         message
     }
 
     /// Periodic work: callers whose time is up, and those that wait to be accepted.
-    pub(super) fn sweep_callers(&mut self, now: Micros) {
+    pub(super) fn check_callers(&mut self, now: Micros) {
         self.accept_callers(now);
         for id in self.management.caller_ids(|caller| caller.is_expired(now)) {
             let caller = self.management.callers.get_mut(&id);
--- a/crates/coordinator/src/node/upgrade.rs
+++ b/crates/coordinator/src/node/upgrade.rs
@@ -140,7 +140,7 @@
             } else {
                 "The successor is gone: this process serves again"
             };
-            self.told(now, message.into());
+            self.notify_operators(now, message.into());
         }
         self.publish_handover();
     }
