--- a/crates/coordinator/src/console.rs
+++ b/crates/coordinator/src/console.rs
@@ -27,7 +27,10 @@
     let _ = writeln!(text, "sockets     {}", config.max_descriptors);
     if let Some(fleet) = &config.cluster {
         let keys = crate::node::read_keys(&fleet.key_file);
-        let keys = keys.map_or_else(|why| why, |keys| format!("{} keys", keys.ids().len()));
+        let keys = keys.map_or_else(
+            |error| error.to_string(),
+            |keys| format!("{} keys", keys.ids().len()),
+        );
         let _ = writeln!(
             text,
             "fleet       {}, {} seeds, {keys}",
--- a/crates/coordinator/src/node/cluster.rs
+++ b/crates/coordinator/src/node/cluster.rs
@@ -1,76 +1,65 @@
-//! The fleet's hands: a UDP socket, read before any of the unit's timers runs, and never for long at once. All of it is
-//! there only where the operator's file has a `fleet`.
+//! Other coordinators: this process's part in the cluster, where the operator's file names one.
+//!
+//! | module | its job |
+//! | --- | --- |
+//! | `key_file` | the keys that members share |
+//! | `datagrams` | reading and sending |
+//! | `consensus`, `log_file` | the consensus log, and its file in the state folder |
+//! | `holds` | operators' holds, granted by the log |
+//! | `views` | members and counters, for operators |
 
 mod consensus;
+mod datagrams;
 mod holds;
+mod key_file;
 mod log_file;
+mod views;
+
+pub use key_file::{read_keys, KeyFileError};
 
 use super::{EventSource, Node};
 use crate::config::ClusterConfig;
 use crate::discovery::EngineListUpdate;
-use driftfront_cluster::{
-    Cluster, Identity, Keyring, MemberMetadata, MemberStatus, Options, State, MAX_DATAGRAM_BYTES,
-};
-use driftfront_control::snapshot::Member;
+use consensus::ConsensusHost;
+use driftfront_cluster::{Cluster, Identity, Keyring, MemberMetadata, Options, State};
 use driftfront_core::{lifecycle, ListKind, Micros, Phase};
 use std::collections::BTreeMap;
-use std::io::ErrorKind;
+use std::io;
 use std::net::{SocketAddr, UdpSocket};
-use std::os::unix::fs::PermissionsExt;
-use std::path::Path;
 use std::rc::Rc;
-use std::time::{Duration, Instant};
+use std::time::Instant;
 
-/// Datagrams read before other sources have their turn, and the time that they may take: the loop serves clients first.
-const TURN: usize = 128;
-const TIME: Duration = Duration::from_millis(2);
-/// Coordinators of the engines' list that are kept as seeds.
-const LISTED_MOST: usize = 256;
-/// Bytes that the socket holds while the loop is elsewhere.
-const SOCKET_HOLDS: usize = 1024 * 1024;
+/// Coordinators of the engines' list that are retained as seeds.
+const MAX_DISCOVERED_SEEDS: usize = 256;
+/// Bytes that the socket holds while the event loop is elsewhere.
+const RECEIVE_BUFFER_BYTES: usize = 1024 * 1024;
 
-/// The fleet as this process takes part in it.
+/// The cluster as this process takes part in it.
 pub(super) struct ClusterRuntime {
     socket: Rc<UdpSocket>,
-    unit: Cluster,
-    about: MemberMetadata,
-    began: Instant,
-    clock: Micros,
-    /// Coordinators that the engines' list names: seeds as those of the operator's file.
-    listed: BTreeMap<String, SocketAddr>,
-    /// The consensus log's file, and operators that wait for it.
-    consensus: consensus::ConsensusHost,
+    agent: Cluster,
+    /// What this process says of itself.
+    metadata: MemberMetadata,
+    started: Instant,
+    started_at: Micros,
+    /// Coordinators that the engines' list names, by name: seeds as those of the operator's file.
+    discovered_seeds: BTreeMap<String, SocketAddr>,
+    consensus: ConsensusHost,
     /// Turns that ended with more to read.
-    cut_short: u64,
+    turns_cut_short: u64,
     /// Datagrams that the system would not send.
-    unsent: u64,
-    /// The longest turn, in microseconds.
-    longest: u64,
+    unsent_datagrams: u64,
+    longest_turn_micros: u64,
 }
 
 impl ClusterRuntime {
-    /// A clock that no one sets: the fleet's time must not jump with the system's.
+    /// The cluster's time in microseconds. It must not jump with the system's: nobody can set it.
     fn clock(&self) -> Micros {
-        self.clock + self.began.elapsed().as_micros() as Micros
-    }
-}
-
-/// Reads a key file that nobody else can read.
-pub fn read_keys(path: &Path) -> Result<Keyring, String> {
-    let told = |e: String| format!("{}: {e}", path.display());
-    let meta = std::fs::metadata(path).map_err(|e| told(e.to_string()))?;
-    let mode = meta.permissions().mode();
-    if mode & 0o077 != 0 {
-        return Err(told(format!(
-            "its mode is {:03o}: others can read it; chmod 600 it",
-            mode & 0o777
-        )));
+        self.started_at + self.started.elapsed().as_micros() as Micros
     }
-    let text = std::fs::read_to_string(path).map_err(|e| told(e.to_string()))?;
-    Keyring::parse(&text).map_err(told)
 }
 
-fn state(state: lifecycle::State) -> State {
+fn member_state(state: lifecycle::State) -> State {
     match state {
         lifecycle::State::Starting => State::Starting,
         lifecycle::State::Ready => State::Serving,
@@ -79,311 +68,164 @@
     }
 }
 
+fn open_socket(listen: SocketAddr) -> io::Result<UdpSocket> {
+    let socket =
+        UdpSocket::bind(listen).map_err(|e| io::Error::new(e.kind(), format!("{listen}: {e}")))?;
+    socket.set_nonblocking(true)?;
+    // What others say while this process is held up should be there when it goes on.
+    let _ = socket2::SockRef::from(&socket).set_recv_buffer_size(RECEIVE_BUFFER_BYTES);
+    Ok(socket)
+}
+
 impl Node {
-    /// Takes part in the fleet, where the operator's file says so.
+    /// Takes part in the cluster, where the configuration names one.
     pub(super) fn join_cluster(&mut self) -> Result<(), String> {
         let Some(config) = self.config.cluster.clone() else {
             return Ok(());
         };
-        let ClusterConfig {
-            listen,
-            advertise,
-            key_file,
-            seeds,
-            zone,
-            region,
-            ..
-        } = config;
-        let keys = read_keys(&key_file).map_err(|e| format!("fleet: {e}"))?;
-        let socket = UdpSocket::bind(listen).map_err(|e| format!("fleet: {listen}: {e}"))?;
-        let shown = |e: std::io::Error| format!("fleet: {e}");
-        socket.set_nonblocking(true).map_err(shown)?;
-        // What others say while this process is held up should be there when it goes on.
-        let _ = socket2::SockRef::from(&socket).set_recv_buffer_size(SOCKET_HOLDS);
-        let here = socket.local_addr().map_err(shown)?;
+        let keys = read_keys(&config.key_file).map_err(|e| format!("fleet: {e}"))?;
+        let socket = open_socket(config.listen).map_err(|e| format!("fleet: {e}"))?;
+        let here = socket.local_addr().map_err(|e| format!("fleet: {e}"))?;
         let socket = Rc::new(socket);
-        let clock = self.clock();
-        let drawn = self.config.seed ^ clock.rotate_left(32) ^ u64::from(std::process::id());
-        let session =
-            Identity::session_at(clock, crate::net::fnv1a_64(&drawn.to_le_bytes()) as u32);
-        let me = Identity {
-            name: self.config.name.clone(),
-            addr: advertise.unwrap_or(here),
-            session,
-            back: 0,
-        };
-        let about = MemberMetadata {
-            zone,
-            region,
+        self.register_source(socket.clone(), EventSource::Cluster)
+            .map_err(|e| format!("fleet: {e}"))?;
+        tracing::info!(%here, "fleet");
+        self.cluster = Some(Box::new(self.new_runtime(config, keys, socket, here)));
+        self.open_log();
+        Ok(())
+    }
+
+    fn new_runtime(
+        &mut self,
+        config: ClusterConfig,
+        keys: Keyring,
+        socket: Rc<UdpSocket>,
+        here: SocketAddr,
+    ) -> ClusterRuntime {
+        let now = self.clock();
+        let drawn = self.config.seed ^ now.rotate_left(32) ^ u64::from(std::process::id());
+        let random = crate::net::fnv1a_64(&drawn.to_le_bytes()) as u32;
+        let session = Identity::session_at(now, random);
+        let metadata = MemberMetadata {
+            zone: config.zone,
+            region: config.region,
             build: env!("CARGO_PKG_VERSION").into(),
             state: State::Starting,
-            since_ms: clock / 1000,
+            since_ms: now / 1000,
         };
         let options = Options {
-            me,
-            about: about.clone(),
+            me: Identity {
+                name: self.config.name.clone(),
+                addr: config.advertise.unwrap_or(here),
+                session,
+                back: 0,
+            },
+            about: metadata.clone(),
             keys,
-            seeds,
+            seeds: config.seeds,
             seed: crate::net::fnv1a_64(&session.to_le_bytes()),
             agreed: None,
         };
-        let unit = Cluster::new(clock, options);
-        self.register_source(socket.clone(), EventSource::Cluster)
-            .map_err(|e| format!("fleet: {e}"))?;
-        tracing::info!(%here, "fleet");
-        self.cluster = Some(Box::new(ClusterRuntime {
+        ClusterRuntime {
             socket,
-            unit,
-            about,
-            began: Instant::now(),
-            clock,
-            listed: BTreeMap::new(),
-            consensus: consensus::ConsensusHost::default(),
-            cut_short: 0,
-            unsent: 0,
-            longest: 0,
-        }));
-        self.open_log();
-        Ok(())
-    }
-
-    /// Datagrams have come.
-    pub(super) fn read_datagrams(&mut self) {
-        let Some(fleet) = self.cluster.as_mut() else {
-            return;
-        };
-        let begun = Instant::now();
-        // One byte more than the longest shows what is too long.
-        let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
-        for turn in 0.. {
-            if turn >= TURN || begun.elapsed() >= TIME {
-                fleet.cut_short += 1;
-                self.deferred.push(EventSource::Cluster);
-                break;
-            }
-            match fleet.socket.recv(&mut bytes) {
-                Ok(n) => {
-                    let clock = fleet.clock();
-                    fleet.unit.take(clock, &bytes[..n]);
-                }
-                Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                // A refused one tells of an earlier send; none of it ends the socket.
-                Err(e) if e.kind() == ErrorKind::ConnectionRefused => {}
-                Err(_) => break,
-            }
-        }
-        self.send_datagrams();
-        if let Some(fleet) = self.cluster.as_mut() {
-            fleet.longest = fleet.longest.max(begun.elapsed().as_micros() as u64);
+            agent: Cluster::new(now, options),
+            metadata,
+            started: Instant::now(),
+            started_at: now,
+            discovered_seeds: BTreeMap::new(),
+            consensus: ConsensusHost::default(),
+            turns_cut_short: 0,
+            unsent_datagrams: 0,
+            longest_turn_micros: 0,
         }
     }
 
-    /// The unit's time, once all that has come is read.
+    /// Periodic work: the agent's timers, once all that has come is read.
     pub(super) fn update_cluster(&mut self) {
         if self.cluster.is_none() {
             return;
         }
         self.read_datagrams();
-        if self
-            .deferred
-            .iter()
-            .any(|s| matches!(s, EventSource::Cluster))
-        {
-            // More lies in the socket than one turn holds: nobody is accused before it is read.
+        if self.has_unread_datagrams() {
+            // Nobody is suspected before all is read.
             return;
         }
-        let state = state(self.lifecycle.state());
+        let state = member_state(self.lifecycle.state());
         let now = self.now;
-        let Some(fleet) = self.cluster.as_mut() else {
+        let Some(cluster) = self.cluster.as_mut() else {
             return;
         };
-        if fleet.about.state != state {
-            (fleet.about.state, fleet.about.since_ms) = (state, now / 1000);
-            fleet.unit.update_metadata(&fleet.about);
+        if cluster.metadata.state != state {
+            cluster.metadata.state = state;
+            cluster.metadata.since_ms = now / 1000;
+            cluster.agent.update_metadata(&cluster.metadata);
         }
-        let clock = fleet.clock();
-        // With each sweep: what is looked at seldom can't be told from what is held up.
-        fleet.unit.tick(clock);
+        // With each check: an agent that is looked at seldom could not tell that from being held up.
+        let clock = cluster.clock();
+        cluster.agent.tick(clock);
         self.update_consensus(state);
         self.send_datagrams();
     }
 
-    /// The engines' list has told of coordinators, or of some that are gone.
-    pub(super) fn update_discovered_seeds(&mut self, told: &EngineListUpdate) {
-        let Some(fleet) = self.cluster.as_mut() else {
+    /// The engines' list has named coordinators, or some that are gone.
+    pub(super) fn update_discovered_seeds(&mut self, update: &EngineListUpdate) {
+        let Some(cluster) = self.cluster.as_mut() else {
             return;
         };
-        let before = fleet.listed.clone();
-        if told.kind == ListKind::Full {
-            fleet.listed.clear();
+        let before = cluster.discovered_seeds.clone();
+        let seeds = &mut cluster.discovered_seeds;
+        if update.kind == ListKind::Full {
+            seeds.clear();
         }
         // A line that takes a coordinator out looks as one that takes an engine out.
-        for gone in told.descriptions.iter().filter(|f| f.phase == Phase::Gone) {
-            fleet.listed.remove(&gone.name);
+        let lines = update.descriptions.iter();
+        for gone in lines.filter(|line| line.phase == Phase::Gone) {
+            seeds.remove(&gone.name);
         }
-        fleet
-            .listed
-            .extend(told.coordinators.iter().take(LISTED_MOST).cloned());
-        while fleet.listed.len() > LISTED_MOST {
-            fleet.listed.pop_last();
+        let named = update.coordinators.iter().take(MAX_DISCOVERED_SEEDS);
+        seeds.extend(named.cloned());
+        while seeds.len() > MAX_DISCOVERED_SEEDS {
+            seeds.pop_last();
         }
-        if fleet.listed != before {
-            self.change_seeds();
+        if *seeds != before {
+            self.apply_seeds();
         }
     }
 
-    fn change_seeds(&mut self) {
-        let seeds = self
-            .config
-            .cluster
-            .as_ref()
-            .map_or(Vec::new(), |f| f.seeds.clone());
-        let Some(fleet) = self.cluster.as_mut() else {
-            return;
-        };
-        let listed = fleet.listed.values().copied();
-        fleet
-            .unit
-            .change_seeds(seeds.into_iter().chain(listed).collect());
-    }
-
-    fn send_datagrams(&mut self) {
-        self.persist_log_writes();
-        let Some(fleet) = self.cluster.as_mut() else {
-            return;
-        };
-        while let Some((to, bytes)) = fleet.unit.next_outgoing() {
-            fleet.unsent += u64::from(fleet.socket.send_to(&bytes, to).is_err());
+    /// Gives the agent the seeds of the operator's file and of the engines' list.
+    fn apply_seeds(&mut self) {
+        let config = self.config.cluster.as_ref();
+        let mut seeds = config.map_or(Vec::new(), |config| config.seeds.clone());
+        if let Some(cluster) = self.cluster.as_mut() {
+            seeds.extend(cluster.discovered_seeds.values());
+            cluster.agent.change_seeds(seeds);
         }
     }
 
-    /// The others need not find out that this process ends.
+    /// Says goodbye: the others need not find out that this process ends.
     pub(super) fn leave_cluster(&mut self) {
-        if let Some(fleet) = self.cluster.as_mut() {
-            let clock = fleet.clock();
-            fleet.unit.leave(clock);
+        if let Some(cluster) = self.cluster.as_mut() {
+            let clock = cluster.clock();
+            cluster.agent.leave(clock);
             self.send_datagrams();
         }
     }
 
     /// SIGHUP: keys and seeds are read again; a mistaken file leaves the old ones.
     pub(super) fn reload_cluster(&mut self, new: Option<&ClusterConfig>) {
-        let (Some(fleet), Some(new)) = (self.cluster.as_mut(), new) else {
+        let (Some(cluster), Some(new)) = (self.cluster.as_mut(), new) else {
             return;
         };
         match read_keys(&new.key_file) {
             Ok(keys) => {
                 tracing::info!(keys = ?keys.ids(), "fleet: keys read again");
-                fleet.unit.change_keys(keys);
+                cluster.agent.change_keys(keys);
                 if let Some(config) = &mut self.config.cluster {
                     config.seeds = new.seeds.clone();
                 }
-                self.change_seeds();
+                self.apply_seeds();
             }
             Err(e) => tracing::error!("fleet: the old keys stay: {e}"),
         }
     }
-
-    /// The members, for operators.
-    pub(super) fn member_views(&self) -> Vec<Member> {
-        let Some(fleet) = &self.cluster else {
-            return Vec::new();
-        };
-        let member = |m: driftfront_cluster::MemberView| {
-            let (about, age) = m.about.map_or((None, None), |(about, age)| {
-                (Some(about), Some(age / 1_000_000))
-            });
-            let about = about.unwrap_or_default();
-            Member {
-                name: m.name,
-                addr: m.addr.to_string(),
-                standing: match m.standing {
-                    MemberStatus::Alive => "there",
-                    MemberStatus::Suspected => "doubted",
-                    MemberStatus::Down => "gone",
-                }
-                .into(),
-                for_s: m.status_age / 1_000_000,
-                zone: about.zone,
-                region: about.region,
-                build: about.build,
-                state: if age.is_some() {
-                    about.state.word()
-                } else {
-                    ""
-                }
-                .into(),
-                since_ms: about.since_ms,
-                told_age_s: age,
-                me: m.is_self,
-            }
-        };
-        fleet.unit.members().into_iter().map(member).collect()
-    }
-
-    /// Counts of the fleet, a line each; empty where there is none.
-    pub(super) fn cluster_counters(&self) -> String {
-        let Some(fleet) = &self.cluster else {
-            return String::new();
-        };
-        let c = fleet.unit.counters();
-        let lines = [
-            ("members_there", fleet.unit.others() as u64 + 1),
-            ("datagrams_sent", c.sent),
-            ("bytes_sent", c.sent_bytes),
-            ("datagrams_taken", c.taken),
-            ("bytes_taken", c.received_bytes),
-            ("datagrams_refused{why=\"foreign\"}", c.foreign),
-            ("datagrams_refused{why=\"version\"}", c.version),
-            ("datagrams_refused{why=\"unknown key\"}", c.unknown_key),
-            ("datagrams_refused{why=\"spoilt\"}", c.spoilt),
-            ("datagrams_refused{why=\"replayed\"}", c.replayed),
-            ("datagrams_refused{why=\"stale\"}", c.stale),
-            ("datagrams_old_key", c.old_key),
-            ("datagrams_unknown_kind", c.unknown_kind),
-            ("datagrams_unreadable", c.unreadable),
-            ("datagrams_withheld", c.rate_limited),
-            ("datagrams_unsent", fleet.unsent),
-            ("facts_refused", c.refused),
-            ("sessions_forgotten", c.sessions_evicted),
-            ("members_up", c.members_up),
-            ("members_down", c.members_down),
-            ("came_back", c.rejoins),
-            ("started_over", c.membership_resets),
-            ("sessions_outdone", c.sessions_raised),
-            ("stumbles", c.stalls),
-            ("doubt", u64::from(fleet.unit.doubt())),
-            ("turns_cut_short", fleet.cut_short),
-            ("turn_longest_us", fleet.longest),
-        ];
-        let agreed = consensus::counters(fleet);
-        lines
-            .into_iter()
-            .chain(agreed)
-            .map(|(name, n)| format!("fleet_{name} {n}\n"))
-            .collect()
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::read_keys;
-    use std::os::unix::fs::PermissionsExt;
-
-    #[test]
-    fn a_key_file_that_others_can_read_or_that_holds_no_key_is_told() {
-        let path = std::env::temp_dir().join(format!("driftfront-keys-{}", std::process::id()));
-        let mode =
-            |mode| std::fs::set_permissions(&path, std::fs::Permissions::from_mode(mode)).unwrap();
-        std::fs::write(&path, "000102030405060708090a0b0c0d0e0f\n").unwrap();
-        mode(0o644);
-        assert!(read_keys(&path).unwrap_err().contains("chmod 600"));
-        mode(0o600);
-        assert_eq!(read_keys(&path).unwrap().ids().len(), 1);
-        std::fs::write(&path, "secret").unwrap();
-        let why = read_keys(&path).unwrap_err();
-        assert!(why.contains("line 1") && !why.contains("secret"), "{why}");
-        std::fs::remove_file(&path).unwrap();
-        assert!(read_keys(&path).is_err());
-    }
 }
--- a/crates/coordinator/src/node/cluster/consensus.rs
+++ b/crates/coordinator/src/node/cluster/consensus.rs
@@ -39,10 +39,10 @@
         let Some(config) = self.config.cluster.clone() else {
             return;
         };
-        let Some(fleet) = self.cluster.as_mut() else {
+        let Some(cluster) = self.cluster.as_mut() else {
             return;
         };
-        if fleet.unit.agreed().is_some() || !fleet.consensus.may_open() {
+        if cluster.agent.agreed().is_some() || !cluster.consensus.may_open() {
             return;
         }
         let mut options = Options {
@@ -54,28 +54,28 @@
         match self.open_log_file() {
             Ok(LogFile::None) => {}
             Ok(LogFile::LockedElsewhere) => {
-                if let Some(fleet) = self.cluster.as_mut() {
-                    fleet.consensus.next_attempt = Some(Instant::now() + LOCK_RETRY_INTERVAL);
+                if let Some(cluster) = self.cluster.as_mut() {
+                    cluster.consensus.next_attempt = Some(Instant::now() + LOCK_RETRY_INTERVAL);
                 }
                 return;
             }
             Ok(LogFile::Open { bytes, writer }) => {
                 options.file = Some(bytes);
-                if let Some(fleet) = self.cluster.as_mut() {
-                    fleet.consensus.writer.open(writer);
+                if let Some(cluster) = self.cluster.as_mut() {
+                    cluster.consensus.writer.open(writer);
                 }
             }
             Err(reason) => {
                 // It reads and asks: one that can't keep what it was told must not decide as if it did.
                 options.initial_voters.clear();
-                if let Some(fleet) = self.cluster.as_mut() {
-                    fleet.consensus.writer.close();
+                if let Some(cluster) = self.cluster.as_mut() {
+                    cluster.consensus.writer.close();
                 }
                 self.report_log_failure(&reason);
             }
         }
-        let fleet = self.cluster.as_mut();
-        if let Some(Some(wrong)) = fleet.map(|fleet| fleet.unit.open_consensus(options)) {
+        let cluster = self.cluster.as_mut();
+        if let Some(Some(wrong)) = cluster.map(|cluster| cluster.agent.open_consensus(options)) {
             self.report_log_failure(&wrong.to_string());
         }
     }
@@ -113,8 +113,8 @@
 
     fn report_log_failure(&mut self, reason: &str) {
         let now = self.now;
-        if let Some(fleet) = self.cluster.as_mut() {
-            fleet.consensus.failures += 1;
+        if let Some(cluster) = self.cluster.as_mut() {
+            cluster.consensus.failures += 1;
         }
         tracing::error!("what is agreed: {reason}");
         self.event(now, format!("What is agreed can't be kept: {reason}"));
@@ -123,16 +123,16 @@
     fn handle_log_written(&mut self, completed: WriteCompleted) {
         match completed.result {
             Ok(()) => {
-                if let Some(fleet) = self.cluster.as_mut() {
-                    fleet.unit.kept(completed.id);
+                if let Some(cluster) = self.cluster.as_mut() {
+                    cluster.agent.kept(completed.id);
                 }
                 self.send_datagrams();
             }
             Err(error) => {
-                if let Some(fleet) = self.cluster.as_mut() {
+                if let Some(cluster) = self.cluster.as_mut() {
                     // What stands behind a write that failed is of no use: nothing more is kept, and so nothing more said.
-                    fleet.consensus.writer.close();
-                    fleet.consensus.is_closed = true;
+                    cluster.consensus.writer.close();
+                    cluster.consensus.is_closed = true;
                 }
                 self.report_log_failure(&error.to_string());
             }
@@ -141,19 +141,19 @@
 
     /// Hands what must be kept to the disk.
     pub(super) fn persist_log_writes(&mut self) {
-        let Some(fleet) = self.cluster.as_mut() else {
+        let Some(cluster) = self.cluster.as_mut() else {
             return;
         };
-        while let Some(write) = fleet.unit.next_write() {
-            fleet.consensus.writer.push(write);
+        while let Some(write) = cluster.agent.next_write() {
+            cluster.consensus.writer.push(write);
         }
-        fleet.consensus.writer.submit();
+        cluster.consensus.writer.submit();
     }
 
     /// Periodic work: the log is opened, or released where this process ends, and outcomes are reported.
     pub(super) fn update_consensus(&mut self, state: State) {
         self.open_log();
-        let is_closed = |fleet: &ClusterRuntime| fleet.consensus.is_closed;
+        let is_closed = |cluster: &ClusterRuntime| cluster.consensus.is_closed;
         if state == State::Ending && !self.cluster.as_deref().is_none_or(is_closed) {
             self.close_log();
         }
@@ -162,13 +162,13 @@
 
     /// Releases the log: the next process of this name needs it. What was asked for here is not waited for.
     fn close_log(&mut self) {
-        if let Some(fleet) = self.cluster.as_mut() {
-            fleet.consensus.is_closed = true;
+        if let Some(cluster) = self.cluster.as_mut() {
+            cluster.consensus.is_closed = true;
         }
         self.persist_log_writes();
-        if let Some(fleet) = self.cluster.as_mut() {
-            fleet.unit.close_consensus();
-            fleet.consensus.writer.close();
+        if let Some(cluster) = self.cluster.as_mut() {
+            cluster.agent.close_consensus();
+            cluster.consensus.writer.close();
         }
     }
 }
@@ -184,8 +184,8 @@
 }
 
 /// Counters of the consensus log, by name.
-pub(super) fn counters(fleet: &ClusterRuntime) -> Vec<(&'static str, u64)> {
-    let Some(agreed) = fleet.unit.agreed() else {
+pub(super) fn counters(cluster: &ClusterRuntime) -> Vec<(&'static str, u64)> {
+    let Some(agreed) = cluster.agent.agreed() else {
         return Vec::new();
     };
     let counters = agreed.counters();
@@ -208,6 +208,6 @@
         ("agreed_words_unread", counters.unread),
         ("agreed_words_foreign", counters.foreign),
         ("agreed_clock_back", counters.clock_back),
-        ("agreed_disk_failed", fleet.consensus.failures),
+        ("agreed_disk_failed", cluster.consensus.failures),
     ]
 }
--- a/crates/coordinator/src/node/cluster/holds.rs
+++ b/crates/coordinator/src/node/cluster/holds.rs
@@ -25,8 +25,9 @@
     /// Replies to operators whose requests have been decided, or never will be.
     pub(super) fn reply_to_decided_holds(&mut self) {
         while let Some((request, outcome)) = self.next_outcome() {
-            let fleet = self.cluster.as_mut();
-            let pending = fleet.and_then(|fleet| fleet.consensus.pending_holds.remove(&request));
+            let cluster = self.cluster.as_mut();
+            let pending =
+                cluster.and_then(|cluster| cluster.consensus.pending_holds.remove(&request));
             let Some(pending) = pending else {
                 continue;
             };
@@ -44,23 +45,23 @@
     }
 
     fn next_outcome(&mut self) -> Option<(u64, Result<Outcome, RequestError>)> {
-        let fleet = self.cluster.as_mut()?;
-        let clock = fleet.clock();
-        let outcome = fleet
-            .unit
+        let cluster = self.cluster.as_mut()?;
+        let clock = cluster.clock();
+        let outcome = cluster
+            .agent
             .with_consensus(clock, |agreed, _| agreed.outcome());
         outcome.flatten()
     }
 
     /// Once the log is closed here, nothing that still waits will be decided.
     fn refuse_pending_after_close(&mut self) {
-        let Some(fleet) = self.cluster.as_mut() else {
+        let Some(cluster) = self.cluster.as_mut() else {
             return;
         };
-        if fleet.unit.agreed().is_some() {
+        if cluster.agent.agreed().is_some() {
             return;
         }
-        let pending = std::mem::take(&mut fleet.consensus.pending_holds);
+        let pending = std::mem::take(&mut cluster.consensus.pending_holds);
         for PendingHold { reply_to, name } in pending.into_values() {
             let reason = format!("this coordinator ends; whether {name} is held, see on another");
             self.send_reply(reply_to, &Reply::Refused(reason));
@@ -98,8 +99,8 @@
     /// Asks for a hold's end, whoever took it.
     pub(in crate::node) fn unhold(&mut self, to: ReplyTo, name: &str) {
         let resource = format!("{HOLD_PREFIX}{name}");
-        self.ask_for_hold(to, name.into(), |fleet| {
-            let view = fleet.unit.agreed().map(|agreed| agreed.view());
+        self.ask_for_hold(to, name.into(), |cluster| {
+            let view = cluster.agent.agreed().map(|agreed| agreed.view());
             let lent = view.map(|view| view.lent).unwrap_or_default();
             let held = lent
                 .into_iter()
@@ -115,22 +116,22 @@
         name: String,
         command: impl FnOnce(&ClusterRuntime) -> Result<Command, String>,
     ) {
-        let fleet = self.cluster.as_mut();
-        let Some(fleet) = fleet.filter(|fleet| fleet.unit.agreed().is_some()) else {
+        let cluster = self.cluster.as_mut();
+        let Some(cluster) = cluster.filter(|cluster| cluster.agent.agreed().is_some()) else {
             let reason = "there is no fleet here that could agree on it";
             return self.send_reply(to, &Reply::Refused(reason.into()));
         };
-        let command = match command(fleet) {
+        let command = match command(cluster) {
             Ok(command) => command,
             Err(reason) => return self.send_reply(to, &Reply::Refused(reason)),
         };
-        let clock = fleet.clock();
-        let request = fleet.unit.with_consensus(clock, |agreed, clock| {
+        let clock = cluster.clock();
+        let request = cluster.agent.with_consensus(clock, |agreed, clock| {
             agreed.ask(clock, command, MAJORITY_TIMEOUT)
         });
         if let Some(request) = request {
             let pending = PendingHold { reply_to: to, name };
-            fleet.consensus.pending_holds.insert(request, pending);
+            cluster.consensus.pending_holds.insert(request, pending);
         }
         self.reply_to_decided_holds();
         self.send_datagrams();
@@ -138,7 +139,7 @@
 
     /// The consensus log and its holds, for operators.
     pub(in crate::node) fn consensus_view(&self) -> Option<AgreedView> {
-        let view = self.cluster.as_ref()?.unit.agreed()?.view();
+        let view = self.cluster.as_ref()?.agent.agreed()?.view();
         let voters = view.voters.into_iter();
         let holds = view.lent.into_iter();
         Some(AgreedView {
--- /dev/null
+++ b/crates/coordinator/src/node/cluster/views.rs
@@ -0,0 +1,95 @@
+//! What operators see of the cluster: its members, and counters.
+
+use super::consensus;
+use crate::node::Node;
+use driftfront_cluster::{MemberStatus, MemberView};
+use driftfront_control::snapshot::Member;
+
+impl Node {
+    /// The members, as this process knows them; none without a cluster.
+    pub(in crate::node) fn member_views(&self) -> Vec<Member> {
+        let Some(cluster) = &self.cluster else {
+            return Vec::new();
+        };
+        let members = cluster.agent.members().into_iter();
+        members.map(member_view).collect()
+    }
+
+    /// Counters of the cluster, a line each; none without a cluster.
+    pub(in crate::node) fn cluster_counters(&self) -> String {
+        let Some(cluster) = &self.cluster else {
+            return String::new();
+        };
+        let counters = cluster.agent.counters();
+        let lines = [
+            ("members_there", cluster.agent.others() as u64 + 1),
+            ("datagrams_sent", counters.sent),
+            ("bytes_sent", counters.sent_bytes),
+            ("datagrams_taken", counters.taken),
+            ("bytes_taken", counters.received_bytes),
+            ("datagrams_refused{why=\"foreign\"}", counters.foreign),
+            ("datagrams_refused{why=\"version\"}", counters.version),
+            (
+                "datagrams_refused{why=\"unknown key\"}",
+                counters.unknown_key,
+            ),
+            ("datagrams_refused{why=\"spoilt\"}", counters.spoilt),
+            ("datagrams_refused{why=\"replayed\"}", counters.replayed),
+            ("datagrams_refused{why=\"stale\"}", counters.stale),
+            ("datagrams_old_key", counters.old_key),
+            ("datagrams_unknown_kind", counters.unknown_kind),
+            ("datagrams_unreadable", counters.unreadable),
+            ("datagrams_withheld", counters.rate_limited),
+            ("datagrams_unsent", cluster.unsent_datagrams),
+            ("facts_refused", counters.refused),
+            ("sessions_forgotten", counters.sessions_evicted),
+            ("members_up", counters.members_up),
+            ("members_down", counters.members_down),
+            ("came_back", counters.rejoins),
+            ("started_over", counters.membership_resets),
+            ("sessions_outdone", counters.sessions_raised),
+            ("stumbles", counters.stalls),
+            ("doubt", u64::from(cluster.agent.doubt())),
+            ("turns_cut_short", cluster.turns_cut_short),
+            ("turn_longest_us", cluster.longest_turn_micros),
+        ];
+        lines
+            .into_iter()
+            .chain(consensus::counters(cluster))
+            .map(|(name, count)| format!("fleet_{name} {count}\n"))
+            .collect()
+    }
+}
+
+fn member_view(member: MemberView) -> Member {
+    let (metadata, age) = match member.about {
+        Some((metadata, age)) => (metadata, Some(age / 1_000_000)),
+        None => Default::default(),
+    };
+    let state = if age.is_some() {
+        metadata.state.word()
+    } else {
+        ""
+    };
+    Member {
+        name: member.name,
+        addr: member.addr.to_string(),
+        standing: status_word(member.standing).into(),
+        for_s: member.status_age / 1_000_000,
+        zone: metadata.zone,
+        region: metadata.region,
+        build: metadata.build,
+        state: state.into(),
+        since_ms: metadata.since_ms,
+        told_age_s: age,
+        me: member.is_self,
+    }
+}
+
+fn status_word(status: MemberStatus) -> &'static str {
+    match status {
+        MemberStatus::Alive => "there",
+        MemberStatus::Suspected => "doubted",
+        MemberStatus::Down => "gone",
+    }
+}
--- a/crates/coordinator/src/node/counters.rs
+++ b/crates/coordinator/src/node/counters.rs
@@ -1,61 +1,59 @@
-//! What `/counters` tells, and the log at the end.
+//! The counters that `/counters` shows, and the log at the end: a line each, its name and its value. `docs/console.md` and
+//! `docs/daily.md` explain them; scripts read them, so that names and order stay.
 
 use super::Node;
+use std::fmt::{Display, Write as _};
+
+/// Adds a counter's line.
+fn add(text: &mut String, name: &str, value: impl Display) {
+    let _ = writeln!(text, "{name} {value}");
+}
 
 impl Node {
+    /// All counters.
     pub(super) fn counters(&self) -> String {
-        let connections = format!(
-            "connections_clients {}\nconnections_engines {}\n",
-            self.clients.connections.len(),
-            self.engines.connections.len()
-        );
-        let bodies = format!(
-            "bodies_passing {}\nresults_paused {}\n",
-            self.engines.uploads.len(),
-            self.engines.paused
-        );
-        let (core, front) = (self.core.counters(), self.frontend.counters());
-        let control = self
-            .control
-            .as_ref()
-            .map(|c| c.counters())
-            .unwrap_or_default();
-        let bans = self.registry.orders().len();
+        let mut text = self.core.counters().to_string();
+        let (clients, engines) = (&self.clients, &self.engines);
+        add(&mut text, "connections_clients", clients.connections.len());
+        add(&mut text, "connections_engines", engines.connections.len());
+        add(&mut text, "requests_open", self.core.open_requests());
+        add(&mut text, "bodies_passing", engines.uploads.len());
+        add(&mut text, "results_paused", engines.paused);
+        text += &self.frontend.counters();
+        if let Some(control) = &self.control {
+            text += &control.counters();
+        }
         let state = self.lifecycle.state().word().replace(' ', "_");
-        let lifecycle = format!("state{{is=\"{state}\"}} 1\nengines_out_by_order {bans}\n");
-        let away = format!(
-            "connections_sent_away {}\naccepts_full {}\nclients_dropped {}\nclients_overrun {}\n",
-            self.clients.sent_away,
-            self.clients.accepts_full,
-            self.clients.evicted,
-            self.clients.overruns
-        );
-        let management = self.management.counters();
-        let succeeds = u8::from(self.lifecycle.succeeds());
-        let upgrade = format!(
-            "upgrade_succeeds {succeeds}\nupgrade_orders_merged {}\n",
-            self.handover.merged_orders()
-        );
-        let upgrade = format!("{upgrade}listener_unblocked {}\n", self.listener.unblocked);
-        let open = self.core.open_requests();
-        let fleet = self.cluster_counters();
-        let budget = self.budget_counters();
-        let clock = format!(
-            "wall_clock_steps {}\nwall_clock_stepped_by_us {}\n",
-            self.wall.steps, self.wall.stepped_by
-        );
-        format!("{core}{connections}requests_open {open}\n{bodies}{front}{control}{lifecycle}{away}{management}{upgrade}{fleet}{budget}{clock}")
+        add(&mut text, &format!("state{{is=\"{state}\"}}"), 1);
+        let orders = self.registry.orders().len();
+        add(&mut text, "engines_out_by_order", orders);
+        add(&mut text, "connections_sent_away", clients.sent_away);
+        add(&mut text, "accepts_full", clients.accepts_full);
+        add(&mut text, "clients_dropped", clients.evicted);
+        add(&mut text, "clients_overrun", clients.overruns);
+        text += &self.management.counters();
+        let is_successor = u8::from(self.lifecycle.succeeds());
+        add(&mut text, "upgrade_succeeds", is_successor);
+        let merged_orders = self.handover.merged_orders();
+        add(&mut text, "upgrade_orders_merged", merged_orders);
+        add(&mut text, "listener_unblocked", self.listener.unblocked);
+        text += &self.cluster_counters();
+        self.add_retry_budget(&mut text);
+        add(&mut text, "wall_clock_steps", self.wall.steps);
+        add(&mut text, "wall_clock_stepped_by_us", self.wall.stepped_by);
+        text
     }
 
-    /// How far the retry budget is used.
-    fn budget_counters(&self) -> String {
+    /// How far the retry budget is used; nothing where the settings have none.
+    fn add_retry_budget(&self, text: &mut String) {
         let Some(usage) = self.core.retry_budget_usage(self.now) else {
-            return String::new();
+            return;
         };
-        format!(
-            "retry_budget_used {}\nretry_budget_allowed {:.1}\nretry_budget_taken {}\nretries_denied {}\n\
-             retries_withheld {}\n",
-            usage.used, usage.allowed, usage.taken, usage.denied, usage.withheld
-        )
+        add(text, "retry_budget_used", usage.used);
+        let allowed = format!("{:.1}", usage.allowed);
+        add(text, "retry_budget_allowed", allowed);
+        add(text, "retry_budget_taken", usage.taken);
+        add(text, "retries_denied", usage.denied);
+        add(text, "retries_withheld", usage.withheld);
     }
 }
--- a/crates/coordinator/src/node/mod.rs
+++ b/crates/coordinator/src/node/mod.rs
@@ -26,7 +26,7 @@
 mod registry;
 mod upgrade;
 
-pub use self::cluster::read_keys;
+pub use self::cluster::{read_keys, KeyFileError};
 use crate::backends::{clickhouse::HttpSession, engine_protocol::LineSession, EngineSession};
 use crate::clock::{Clock, StepWatch};
 use crate::config::{Config, Protocol};
