--- a/crates/cluster/src/consensus/view.rs
+++ b/crates/cluster/src/consensus/view.rs
@@ -3,7 +3,7 @@
 use super::leases::Lease;
 use crate::Micros;
 
-/// A member's part in consensus: see [`Participation`](super::participation) for how it changes.
+/// A member's part in consensus: the module `participation` has the table of how it changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     /// It waits for the other initial voters.
