--- a/crates/coordinator/src/clock.rs
+++ b/crates/coordinator/src/clock.rs
@@ -6,7 +6,7 @@
 //! from then on for people only. A step is logged and counted.
 
 use driftfront_core::Micros;
-use std::time::{Instant, SystemTime, UNIX_EPOCH};
+use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 /// Smallest difference between two checks that counts as a step of the wall clock. Time daemons slew by 0.5 ms a second, and
 /// checks come every 25 ms; a process that stands still between its two readings adds the time that it stood still.
@@ -32,10 +32,20 @@
     /// Microseconds since the Unix epoch, as the wall clock would say had nobody set it since the start. Never runs backwards
     /// and never jumps.
     pub fn now(&self) -> Micros {
-        self.started_at + self.started.elapsed().as_micros() as Micros
+        self.started_at + elapsed_micros(self.started)
     }
 }
 
+/// A duration in microseconds; one of half a million years is the longest.
+pub(crate) fn micros(duration: Duration) -> Micros {
+    Micros::try_from(duration.as_micros()).unwrap_or(Micros::MAX)
+}
+
+/// Microseconds since an instant.
+pub(crate) fn elapsed_micros(since: Instant) -> Micros {
+    micros(since.elapsed())
+}
+
 /// Microseconds since the Unix epoch, as the system's wall clock says now.
 #[allow(
     clippy::disallowed_methods,
@@ -44,7 +54,7 @@
 fn unix_now() -> Micros {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
-        .map_or(0, |since| since.as_micros() as Micros)
+        .map_or(0, micros)
 }
 
 /// A step of the wall clock, in microseconds; negative where it was set back.
@@ -91,5 +101,5 @@
 }
 
 fn offset_micros(started: Instant) -> i64 {
-    unix_now() as i64 - started.elapsed().as_micros() as i64
+    unix_now() as i64 - elapsed_micros(started) as i64
 }
--- a/crates/coordinator/src/config/resolve.rs
+++ b/crates/coordinator/src/config/resolve.rs
@@ -89,9 +89,9 @@
             load_report_fields: load_report_fields(settings),
             connect_timeout: caps.positive("ConnectTimeoutUs", DEFAULT_CONNECT_TIMEOUT),
             engine_idle_timeout: caps.positive("ConnIdleUs", DEFAULT_ENGINE_IDLE_TIMEOUT),
-            max_streams_per_connection: caps
-                .positive("StreamsPerConn", DEFAULT_STREAMS_PER_CONNECTION)
-                as usize,
+            max_streams_per_connection: to_usize(
+                caps.positive("StreamsPerConn", DEFAULT_STREAMS_PER_CONNECTION),
+            ),
             limits: limits(document.protocol, caps),
             settings: with_margins(document.settings),
             control_socket: root.get("control").text().map(PathBuf::from),
@@ -118,9 +118,10 @@
 fn limits(protocol: Protocol, caps: Caps) -> Limits {
     let is_clickhouse = protocol == Protocol::ClickHouse;
     Limits {
-        open: caps
-            .positive("MaxOpen", MAX_OPEN_REQUESTS)
-            .min(MAX_OPEN_REQUESTS) as usize,
+        open: to_usize(
+            caps.positive("MaxOpen", MAX_OPEN_REQUESTS)
+                .min(MAX_OPEN_REQUESTS),
+        ),
         probe_timeout: PROBE_TIMEOUT,
         answer_margin: ANSWER_MARGIN,
         tells_each: protocol == Protocol::Platform,
@@ -153,7 +154,7 @@
 fn max_descriptors(limits: Json) -> usize {
     let descriptors = limits.get("sockets").whole();
     let descriptors = descriptors.filter(|&number| number >= MIN_DESCRIPTORS);
-    descriptors.unwrap_or(DEFAULT_DESCRIPTORS) as usize
+    to_usize(descriptors.unwrap_or(DEFAULT_DESCRIPTORS))
 }
 
 fn memory_bytes(limits: Json) -> usize {
@@ -162,7 +163,7 @@
         .whole()
         .unwrap_or(DEFAULT_MEMORY_MB)
         .clamp(MIN_MEMORY_MB, MAX_MEMORY_MB);
-    megabytes as usize * 1024 * 1024
+    to_usize(megabytes * 1024 * 1024)
 }
 
 /// The file's word goes before the environment's; an empty one is none.
@@ -207,3 +208,8 @@
         .map(|value| value.text().unwrap_or_default().to_string())
         .collect()
 }
+
+/// A bound as the platform's word; a greater one is no bound.
+fn to_usize(bound: u64) -> usize {
+    usize::try_from(bound).unwrap_or(usize::MAX)
+}
--- a/crates/coordinator/src/console.rs
+++ b/crates/coordinator/src/console.rs
@@ -54,6 +54,10 @@
 }
 
 /// Asks a running coordinator for its counters.
+///
+/// # Errors
+///
+/// An address that is none, or where no coordinator answers, in the words that staff read.
 pub fn counters(at: &str) -> Result<String, String> {
     let addr: SocketAddr = at.parse().map_err(|e| format!("{at}: {e}"))?;
     let say = |e: std::io::Error| format!("{at}: {e}");
--- a/crates/coordinator/src/demo.rs
+++ b/crates/coordinator/src/demo.rs
@@ -27,6 +27,10 @@
 
 impl Demo {
     /// Starts all of it; the coordinator and the load go on until the process ends.
+    ///
+    /// # Errors
+    ///
+    /// No port is free, or the coordinator does not start.
     pub fn start() -> Result<Demo, String> {
         let ledger = Arc::new(RequestLog::forgetful());
         let options = |n: usize| Options {
@@ -76,6 +80,10 @@
     }
 
     /// Asks it to take an engine out, as an operator would.
+    ///
+    /// # Errors
+    ///
+    /// The coordinator does not answer.
     pub fn drain(&self, engine: &str) -> Result<(), String> {
         let mut remote =
             Remote::connect(&Endpoint::Socket(self.socket.clone())).map_err(|e| e.to_string())?;
--- a/crates/coordinator/src/node/cluster.rs
+++ b/crates/coordinator/src/node/cluster.rs
@@ -18,6 +18,7 @@
 pub use key_file::{read_keys, KeyFileError};
 
 use super::{EventSource, Node};
+use crate::clock::elapsed_micros;
 use crate::config::ClusterConfig;
 use crate::discovery::EngineListUpdate;
 use consensus::ConsensusHost;
@@ -55,7 +56,7 @@
 impl ClusterRuntime {
     /// The cluster's time in microseconds. It must not jump with the system's: nobody can set it.
     fn clock(&self) -> Micros {
-        self.started_at + self.started.elapsed().as_micros() as Micros
+        self.started_at + elapsed_micros(self.started)
     }
 }
 
@@ -104,6 +105,10 @@
     ) -> ClusterRuntime {
         let now = self.clock();
         let drawn = self.config.seed ^ now.rotate_left(32) ^ u64::from(std::process::id());
+        #[allow(
+            clippy::cast_possible_truncation,
+            reason = "a random number of 32 bits is wanted"
+        )]
         let random = crate::net::fnv1a_64(&drawn.to_le_bytes()) as u32;
         let session = Identity::session_at(now, random);
         let metadata = MemberMetadata {
--- a/crates/coordinator/src/node/cluster/datagrams.rs
+++ b/crates/coordinator/src/node/cluster/datagrams.rs
@@ -1,5 +1,6 @@
 //! Datagrams between coordinators: read before any of the agent's timers runs, and never for long at once.
 
+use crate::clock::elapsed_micros;
 use crate::node::{EventSource, Node};
 use driftfront_cluster::MAX_DATAGRAM_BYTES;
 use std::io::ErrorKind;
@@ -38,7 +39,7 @@
         }
         self.send_datagrams();
         if let Some(cluster) = self.cluster.as_mut() {
-            let micros = started.elapsed().as_micros() as u64;
+            let micros = elapsed_micros(started);
             cluster.longest_turn_micros = cluster.longest_turn_micros.max(micros);
         }
     }
--- a/crates/coordinator/src/node/cluster/holds.rs
+++ b/crates/coordinator/src/node/cluster/holds.rs
@@ -32,7 +32,7 @@
                 continue;
             };
             let now = self.now;
-            let reply = match outcome_message(&pending.name, outcome) {
+            let reply = match outcome_message(&pending.name, &outcome) {
                 Ok(message) => {
                     self.event(now, format!("{message}, by an operator"));
                     Reply::Done(message)
@@ -183,8 +183,8 @@
 }
 
 /// What became of a hold, in the words that staff read.
-fn outcome_message(name: &str, outcome: Result<Outcome, RequestError>) -> Result<String, String> {
-    let seconds = |time: Micros| time.div_ceil(1_000_000);
+fn outcome_message(name: &str, outcome: &Result<Outcome, RequestError>) -> Result<String, String> {
+    let seconds = |time: &Micros| time.div_ceil(1_000_000);
     match outcome {
         Ok(Outcome::Granted { fence }) => Ok(format!("{name} is held, under number {fence}")),
         Ok(Outcome::Released) => Ok(format!("{name} is given back")),
--- a/crates/coordinator/src/node/control/mod.rs
+++ b/crates/coordinator/src/node/control/mod.rs
@@ -214,6 +214,7 @@
         // What was shown before is out of date.
         control.snapshot = None;
         control.add_event(at, message.clone());
+        let reply = Reply::Event(at, message);
         let followers: Vec<ReplyTo> = control
             .connections
             .iter()
@@ -226,7 +227,7 @@
             })
             .collect();
         for follower in followers {
-            self.send_reply(follower, &Reply::Event(at, message.clone()));
+            self.send_reply(follower, &reply);
         }
     }
 
--- a/crates/coordinator/src/node/control/snapshot.rs
+++ b/crates/coordinator/src/node/control/snapshot.rs
@@ -24,9 +24,9 @@
 #[derive(Clone, Copy, Default)]
 pub(super) struct EngineLoad {
     /// Attempts of queries.
-    pub(super) queries: u64,
+    pub(super) queries: usize,
     /// Of these, what must not run twice.
-    pub(super) single_shot: u64,
+    pub(super) single_shot: usize,
     /// When the first of them was sent.
     oldest_sent: Micros,
 }
@@ -109,7 +109,7 @@
                 oldest_sent: sent,
             });
             load.queries += 1;
-            load.single_shot += u64::from(self.is_single_shot(class));
+            load.single_shot += usize::from(self.is_single_shot(class));
             load.oldest_sent = load.oldest_sent.min(sent);
         }
         all
@@ -163,8 +163,8 @@
             order: order.map_or("", |order| order_word(order.order)).into(),
             order_by: order.map_or(String::new(), |order| order.by.clone()),
             order_age_s: order.map_or(0, |order| seconds_since(now, order.since)),
-            running: load.queries,
-            imports: load.single_shot,
+            running: load.queries as u64,
+            imports: load.single_shot as u64,
             heard_ms: (heard > 0).then(|| now.saturating_sub(heard) / 1000),
             connections: connections.count,
             warm_in_s: self.warm_in_seconds(now, engine.started_at),
--- a/crates/coordinator/src/node/event_loop.rs
+++ b/crates/coordinator/src/node/event_loop.rs
@@ -18,7 +18,11 @@
 const MAX_WAIT: Micros = 1_000_000;
 
 impl Node {
-    /// Runs until a signal has asked for the end and all that was taken is answered.
+    /// Runs until a signal has asked for the end and all that was accepted is answered.
+    ///
+    /// # Errors
+    ///
+    /// None today: what fails is logged, and the loop goes on.
     pub fn run(mut self, mut events: EventLoop<'static, Node>) -> Result<(), String> {
         let listen = self.listening_at();
         let management = self.management.addr().map(tracing::field::display);
--- a/crates/coordinator/src/operator_config/node_reader.rs
+++ b/crates/coordinator/src/operator_config/node_reader.rs
@@ -125,7 +125,9 @@
     fn time(self, entry: &KdlEntry, property: &'static str) -> Parsed<Micros> {
         let micros = parse_time(entry.value().as_string().unwrap_or_default());
         if micros > 0.0 && micros <= MAX_TIME_MICROS {
-            return Ok(micros as Micros);
+            #[allow(clippy::cast_possible_truncation, reason = "a day at most")]
+            let micros = micros as Micros;
+            return Ok(micros);
         }
         let value = entry.value().to_string();
         Err(self.error_at_entry(entry, Mistake::NotTime { property, value }))
--- a/crates/coordinator/src/service_window.rs
+++ b/crates/coordinator/src/service_window.rs
@@ -97,6 +97,7 @@
         latency_objective: Micros,
     ) {
         let number = now / self.slot_micros;
+        #[allow(clippy::cast_possible_truncation, reason = "below the slots' number")]
         let index = (number % self.slots.len() as u64) as usize;
         let slot = &mut self.slots[index];
         if slot.number != number {
