--- a/crates/coordinator/tests/agreed.rs
+++ b/crates/coordinator/tests/agreed.rs
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn what_is_held_is_held_once_and_outlives_its_leader_a_sleeper_a_cut_and_the_end_of_all() {
+fn hold_is_granted_once_and_outlives_leaders_partitions_and_restarts() {
     let (mut rig, _engine) = rig("members 5\nvoters 3 keeps=#true");
     let voters = [0, 1, 2];
     let leader = rig.wait_for_leader(&voters, None);
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn voters_that_keep_no_log_get_their_seats_again_and_lend_for_a_short_time_only() {
+fn voters_without_a_state_folder_grant_short_leases_only() {
     let (mut rig, _engine) = rig("members 4\nvoters 3");
     let voters = [0, 1, 2];
     rig.wait_for_leader(&voters, None);
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn a_voter_that_is_gone_for_good_is_replaced_and_reads_when_it_comes_back() {
+fn lost_voter_is_replaced_and_observes_when_it_returns() {
     let (mut rig, _engine) = rig("members 4\nvoters 3 keeps=#true replace-after=\"3 s\"");
     let leader = rig.wait_for_leader(&[0, 1, 2], None);
     let gone = (leader + 1) % 3;
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn a_log_whose_end_is_torn_or_lost_is_cut_and_catches_up_and_one_that_is_not_ours_is_left_alone() {
+fn damaged_log_is_cut_and_catches_up_and_a_foreign_file_is_left() {
     let (mut rig, _engine) = rig("members 3\nvoters 3 keeps=#true");
     rig.wait_for_leader(&[0, 1, 2], None);
     let file = rig.state(2).join("agreed");
@@ -218,7 +218,7 @@
 }
 
 #[test]
-fn coordinators_find_each_other_by_the_engines_list_alone() {
+fn coordinators_find_each_other_by_the_engine_list() {
     let (mut rig, engine) = rig("members 3");
     let list = rig.state(0).with_extension("list");
     let public: Vec<_> = (0..3).map(|m| rig.net.public(m)).collect();
@@ -251,7 +251,7 @@
 }
 
 #[test]
-fn in_an_upgrade_the_log_is_one_process_s_and_the_next_takes_it_over_with_its_seat() {
+fn successor_takes_over_the_log_and_its_voter_slot() {
     let (mut rig, _engine) = rig("members 3\nvoters 3 keeps=#true");
     let leader = rig.wait_for_leader(&[0, 1, 2], None);
     let upgraded = (leader + 1) % 3;
--- a/crates/coordinator/tests/clocks/budget.rs
+++ b/crates/coordinator/tests/clocks/budget.rs
@@ -19,13 +19,13 @@
 }
 
 #[test]
-fn a_wall_clock_set_forward_does_not_renew_the_retry_budget() {
+fn wall_clock_set_forward_does_not_renew_the_retry_budget() {
     retries_stay_within_the_budget_across(20 * SECOND);
     retries_stay_within_the_budget_across(HOUR);
 }
 
 #[test]
-fn a_wall_clock_set_back_does_not_stretch_the_window_of_the_retry_budget() {
+fn wall_clock_set_back_does_not_stretch_the_retry_window() {
     let (site, clock, budget) = site(2, 2.0, Duration::from_secs(1));
     clock.set(-HOUR);
     let (begin, mut taken) = (Instant::now(), Vec::new());
--- a/crates/coordinator/tests/clocks/spans.rs
+++ b/crates/coordinator/tests/clocks/spans.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_request_is_answered_by_its_deadline_though_the_wall_clock_is_set_back() {
+fn deadline_holds_when_the_wall_clock_is_set_back() {
     let (site, clock, _) = site(1, 5.0, WINDOW);
     let mut hangs = send(&site, "lookup", 1500, "SELECT silent");
     site.ledger.wait_for("SELECT silent", 1);
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn nothing_that_is_out_ends_early_as_the_wall_clock_is_set_forward() {
+fn requests_do_not_end_early_when_the_wall_clock_is_set_forward() {
     for step in [3 * SECOND, 20 * SECOND, HOUR] {
         let (site, clock, _) = site(1, 5.0, WINDOW);
         let mut runs = send(&site, "report", 14_000, "SELECT silent");
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn a_shutdown_keeps_its_times_though_the_wall_clock_is_set() {
+fn shutdown_keeps_its_deadlines_when_the_wall_clock_is_set() {
     for step in [-HOUR, HOUR] {
         let (mut site, clock, _) = site(1, 5.0, WINDOW);
         let mut hangs = send(&site, "report", 14_000, "SELECT silent");
--- a/crates/coordinator/tests/daily.rs
+++ b/crates/coordinator/tests/daily.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_good_call_is_answered_beside_callers_that_say_nothing_or_nonsense() {
+fn management_call_is_answered_beside_silent_and_bad_callers() {
     let site = Site::set(1, managed);
     let addr = site.coordinator.management.unwrap();
     let mut stalled: Vec<TcpStream> = (0..40).map(|_| TcpStream::connect(addr).unwrap()).collect();
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn an_address_that_cannot_be_had_keeps_nobody_from_being_served() {
+fn unavailable_management_address_does_not_stop_serving() {
     let taken = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let at = format!("{{\"management\": \"{}\",", taken.local_addr().unwrap());
     let site = Site::set(1, |config| config.replacen('{', &at, 1));
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn an_engine_that_is_taken_out_gets_nothing_whatever_the_list_says_until_it_is_put_back() {
+fn suspended_engine_gets_no_query_until_it_is_restored() {
     let site = Site::set(2, managed);
     let manage = |call: &str| site.coordinator.manage(call);
     let asked = |from: u64, n: u64| {
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn a_paused_coordinator_sends_its_clients_away_loses_none_and_comes_back() {
+fn paused_coordinator_closes_idle_clients_and_answers_the_others() {
     let site = Site::set(1, managed);
     let mut idle = TcpStream::connect(site.coordinator.addr).unwrap();
     let mut fresh = TcpStream::connect(site.coordinator.addr).unwrap();
@@ -188,7 +188,7 @@
 }
 
 #[test]
-fn the_console_s_socket_and_the_second_address_give_the_same_orders() {
+fn control_socket_and_management_address_share_orders() {
     let socket = std::env::temp_dir().join(format!("driftfront-daily-{}.sock", std::process::id()));
     let named = format!("{{\"control\": \"{}\",", socket.display());
     let site = Site::set(2, |config| managed(config.replacen('{', &named, 1)));
@@ -224,7 +224,7 @@
 }
 
 #[test]
-fn nothing_goes_out_on_a_connection_that_comes_up_after_its_engine_was_taken_out() {
+fn connection_that_comes_up_after_a_suspend_carries_no_query() {
     // A backlog that is full: the next connect hangs until there is room again.
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     socket
--- a/crates/coordinator/tests/faults.rs
+++ b/crates/coordinator/tests/faults.rs
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn rules_hold_over_a_fleet_whose_links_and_members_fail_while_clients_ask() {
+fn rules_hold_while_links_and_members_fail() {
     let (engines, ledger) = engines(3);
     let mut rig = rig("members 4 zones=2\nvoters 3\nseed 5", &engines);
     rig.wait_until_members_are(&[0, 1, 2, 3], &[0, 1, 2, 3]);
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn a_member_whose_way_to_an_engine_is_cut_one_way_serves_by_the_others() {
+fn member_cut_off_from_an_engine_serves_by_the_others() {
     let (engines, ledger) = engines(2);
     let mut rig = rig("members 2", &engines);
     rig.wait_until_members_are(&[0, 1], &[0, 1]);
--- a/crates/coordinator/tests/fleet.rs
+++ b/crates/coordinator/tests/fleet.rs
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn coordinators_that_start_at_once_know_each_other_and_what_each_does() {
+fn coordinators_started_at_once_find_each_other() {
     let (mut rig, _engine) = rig("members 5 zones=2");
     rig.wait_until_members_are(&[0, 1, 2, 3, 4], &[0, 1, 2, 3, 4]);
     let served = |seen: &[driftfront_cluster_harness::Member]| {
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn killed_ones_are_gone_for_all_and_back_under_their_names_when_started_again() {
+fn killed_members_are_reported_down_and_rejoin_under_their_names() {
     let (mut rig, _engine) = rig("members 5");
     rig.wait_until_members_are(&[0, 1, 2, 3, 4], &[0, 1, 2, 3, 4]);
     // Both of the other seeds among them.
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn halves_that_are_cut_apart_serve_by_themselves_and_are_one_again_after() {
+fn partitioned_halves_keep_serving_and_merge_again() {
     let (mut rig, _engine) = rig("members 5");
     rig.wait_until_members_are(&[0, 1, 2, 3, 4], &[0, 1, 2, 3, 4]);
     rig.now("cut \"m0\" \"m1\"");
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn one_that_reaches_nobody_is_gone_for_the_others_and_nobody_else_with_it() {
+fn isolated_member_alone_is_reported_down() {
     let (mut rig, _engine) = rig("members 4");
     rig.wait_until_members_are(&[0, 1, 2, 3], &[0, 1, 2, 3]);
     rig.now("cut \"m3\" ways=\"out\"");
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn a_process_that_was_stopped_comes_back_and_accuses_nobody() {
+fn stopped_process_rejoins_and_suspects_nobody() {
     let (mut rig, _engine) = rig("members 4");
     rig.wait_until_members_are(&[0, 1, 2, 3], &[0, 1, 2, 3]);
     rig.now("stop \"m2\"");
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn keys_are_changed_while_all_serve_and_who_has_none_of_them_is_nobody() {
+fn keys_are_rotated_while_members_serve() {
     let (mut rig, _engine) = rig("members 3");
     rig.wait_until_members_are(&[0, 1, 2], &[0, 1, 2]);
     let (old, new) = (
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn a_flood_under_a_wrong_key_harms_neither_clients_nor_membership() {
+fn datagram_flood_with_a_wrong_key_harms_nobody() {
     let (rig, _engine) = rig("members 3");
     rig.wait_until_members_are(&[0, 1, 2], &[0, 1, 2]);
     let (over, sent) = (
@@ -173,7 +173,7 @@
 }
 
 #[test]
-fn a_third_of_all_datagrams_lost_and_some_twice_hides_nobody() {
+fn loss_of_a_third_of_datagrams_hides_no_member() {
     let (mut rig, _engine) =
         rig("members 4\nseed 9\nlink \"all\" \"all\" loss=0.3 repeat=0.2 delay=\"2 ms\" jitter=\"10 ms\"");
     rig.play();
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn where_the_settings_bar_talk_a_fleet_is_refused_at_the_start() {
+fn cluster_is_refused_when_the_settings_forbid_gossip() {
     let text = include_str!("common/site.json").replace(
         "\"limits\"",
         "\"fleet\": {\"listen\": \"127.0.0.1:0\", \"key_file\": \"/nowhere\"}, \"limits\"",
@@ -199,7 +199,7 @@
 }
 
 #[test]
-fn a_member_of_a_later_build_is_let_in_and_what_it_adds_is_passed_on_or_counted() {
+fn member_of_a_later_build_is_admitted() {
     let (rig, _engine) = rig("members 3");
     rig.wait_until_members_are(&[0, 1, 2], &[0, 1, 2]);
     // A member with the units themselves, that speaks a little more than this build knows.
--- a/crates/coordinator/tests/operators.rs
+++ b/crates/coordinator/tests/operators.rs
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn after_a_drain_by_command_nothing_new_reaches_the_engine_a_hundred_times() {
+fn drained_engine_gets_no_new_query_in_a_hundred_drains() {
     let o = Operated::start(3);
     assert_eq!(
         std::fs::metadata(&o.socket)
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn a_drain_outlives_a_restart_and_whatever_the_source_says() {
+fn drain_outlives_a_restart_and_later_engine_lists() {
     let (socket, state) = (path("control"), path("state"));
     {
         let o = Operated {
@@ -221,7 +221,7 @@
 }
 
 #[test]
-fn the_last_engine_is_kept_without_force_and_two_operators_are_told_apart() {
+fn last_ready_engine_is_drained_only_with_force() {
     let o = Operated::start(2);
     let answers: Vec<Reply> = std::thread::scope(|scope| {
         let each: Vec<_> = (0..2)
@@ -255,7 +255,7 @@
 }
 
 #[test]
-fn an_engine_that_an_operator_adds_or_removes_stays_so_whatever_the_source_does() {
+fn added_and_removed_engines_outlive_later_engine_lists() {
     let o = Operated::start(2);
     let third = Engine::start(
         Options {
@@ -298,7 +298,7 @@
 }
 
 #[test]
-fn an_engine_silent_during_an_import_is_told_in_plain_words() {
+fn silent_engine_is_shown_during_an_import() {
     let o = Operated::start(2);
     let _import = o.site.begin(
         "/?query_id=june",
@@ -325,7 +325,7 @@
 }
 
 #[test]
-fn an_operator_who_does_not_read_or_writes_nonsense_holds_up_nobody() {
+fn operator_that_does_not_read_holds_up_nobody() {
     let o = Operated::start(1);
     let mut silent: Vec<UnixStream> = (0..4)
         .map(|_| UnixStream::connect(&o.socket).expect("it listens"))
@@ -385,7 +385,7 @@
 }
 
 #[test]
-fn a_roll_takes_engines_out_one_after_another_and_goes_on_after_a_restart() {
+fn rolling_restart_drains_one_engine_at_a_time_and_outlives_a_restart() {
     let (socket, state) = (path("control"), path("state"));
     let plan = || {
         Operated::plan(3, &socket, &state).with("\"WarmUpUs\": 15000000", "\"WarmUpUs\": 1000000")
@@ -438,7 +438,7 @@
 }
 
 #[test]
-fn commands_say_what_went_wrong_by_their_exit_codes() {
+fn exit_codes_tell_what_went_wrong() {
     let o = Operated::start(1);
     let (code, text) = o.type_in(&["status"]);
     assert!(code == 0 && text.contains("1 of 1 engines ready"), "{text}");
@@ -656,7 +656,7 @@
 }
 
 #[test]
-fn a_console_whose_terminal_is_gone_ends_by_itself() {
+fn console_ends_when_its_terminal_is_gone() {
     let o = Operated::start(1);
     let size = portable_pty::PtySize {
         rows: 24,
--- a/crates/coordinator/tests/soak.rs
+++ b/crates/coordinator/tests/soak.rs
@@ -9,7 +9,7 @@
 const AT_ONCE: usize = 2;
 
 #[test]
-fn no_rule_is_broken_through_restarts_clocks_that_are_set_and_engines_that_fail() {
+fn rules_hold_through_restarts_clock_steps_and_engine_failures() {
     let binary = Path::new(env!("CARGO_BIN_EXE_driftfront"));
     let seeds: Vec<u64> = SEEDS.collect();
     std::thread::scope(|scope| {
--- a/crates/coordinator/tests/upgrade.rs
+++ b/crates/coordinator/tests/upgrade.rs
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn two_upgrades_in_quick_succession_lose_nothing_and_answer_nothing_twice() {
+fn two_quick_upgrades_answer_each_request_once() {
     let platform = Platform::new("load");
     let mut site = platform.site(3);
     let addr = site.coordinator.addr;
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn an_order_given_to_either_process_holds_in_both_and_outlives_the_old_one() {
+fn order_to_either_process_holds_in_both_during_an_upgrade() {
     let platform = Platform::new("orders");
     let mut site = platform.site(2);
     assert!(site.coordinator.manage("SUSPEND e0\n").starts_with("OK"));
@@ -182,7 +182,7 @@
 }
 
 #[test]
-fn who_has_connected_and_holds_its_request_back_is_answered_by_the_old_process() {
+fn late_request_on_an_old_connection_is_answered_by_the_old_process() {
     let platform = Platform::new("held");
     let mut site = platform.site(1);
     let mut held = TcpStream::connect(site.coordinator.addr).unwrap();
@@ -214,7 +214,7 @@
 }
 
 #[test]
-fn a_passed_socket_that_somebody_lets_block_again_does_not_stop_the_loop() {
+fn passed_socket_set_to_blocking_does_not_stop_the_event_loop() {
     let platform = Platform::new("blocks");
     let site = platform.site(1);
     for n in 0..20 {
@@ -229,7 +229,7 @@
 }
 
 #[test]
-fn when_a_successor_dies_the_old_process_serves_again() {
+fn old_process_serves_again_when_its_successor_dies() {
     let platform = Platform::new("dies");
     let site = platform.site(1);
     let mut new = platform.upgrade(&site);
@@ -253,7 +253,7 @@
 }
 
 #[test]
-fn a_descriptor_that_is_no_listener_is_left_alone_and_the_address_bound() {
+fn passed_descriptor_that_is_no_listener_is_ignored() {
     let platform = Platform::new("wrong");
     let plain = || std::fs::File::open("/dev/null").unwrap().into();
     let connected =
