--- a/crates/clickhouse/src/request.rs
+++ b/crates/clickhouse/src/request.rs
@@ -18,6 +18,9 @@
 const BAD_ARGUMENTS: u32 = 36;
 const SYNTAX_ERROR: u32 = 62;
 const READONLY: u32 = 164;
+const READONLY_METHOD: &str =
+    "Cannot execute query in readonly mode. For queries over HTTP, method GET implies readonly. You should use method POST for \
+     modifying queries";
 
 /// What a client asks for.
 #[derive(Debug)]
@@ -160,59 +163,26 @@
 fn read_query(request: &Request, query: &str, fetch: bool) -> Result<Query, Exception> {
     let mut params = Params::parse(query).ok_or_else(|| bad("There are too many parameters"))?;
     let credentials = Credentials::read(&params, &request.headers)?;
-    let content_type = header(&request.headers, "content-type").unwrap_or_default();
-    let form = multipart::is_form(content_type);
-    let mut in_form = String::new();
-    if form {
-        in_form = read_form(request, content_type, &mut params)?;
-    }
-    let body = if form {
-        String::new()
-    } else {
-        readable(request, &params)?
-    };
-    let in_url = params.get("query").unwrap_or_default();
-    // The server reads the URL's part first, and the body behind it.
-    let statement = match (in_url.trim().is_empty(), form) {
-        (true, true) => in_form,
-        (true, false) => body,
-        (false, _) => in_url.into(),
-    };
-    let shape = Shape::of(&statement);
-    if shape.empty {
-        return Err(Exception::new(SYNTAX_ERROR, "Empty query"));
-    }
-    if fetch && !shape.reads {
-        let words =
-            "Cannot execute query in readonly mode. For queries over HTTP, method GET implies readonly. \
-                     You should use method POST for modifying queries";
-        return Err(Exception::new(READONLY, words));
-    }
-    let told = |name: &str, in_header: &str| {
+    let shape = read_statement(request, &mut params, fetch)?;
+    let in_url_or_header = |name: &str, in_header: &str| {
         let found = params
             .non_empty(name)
             .or_else(|| header(&request.headers, in_header));
         found.filter(|v| !v.is_empty())
     };
-    let id = told("query_id", "X-ClickHouse-Query-Id")
+    let id = in_url_or_header("query_id", "X-ClickHouse-Query-Id")
         .map(|id| named("query_id", id))
         .transpose()?;
     let session = match params.non_empty("session_id") {
         Some(id) => Some(read_session(id, &params)?),
         None => None,
     };
-    let seconds = |name: &str| {
-        params
-            .get(name)
-            .and_then(|s| s.parse::<f64>().ok())
-            .filter(|s| *s > 0.0)
-    };
     let compressed = params.is_on("enable_http_compression");
     let query = Query {
         id,
-        class: told("driftfront_class", "X-Driftfront-Class").map(String::from),
-        key: told("driftfront_key", "X-Driftfront-Key").map(String::from),
-        wanted_within: seconds("max_execution_time").map(|s| (s * 1e6) as Micros),
+        class: in_url_or_header("driftfront_class", "X-Driftfront-Class").map(String::from),
+        key: in_url_or_header("driftfront_key", "X-Driftfront-Key").map(String::from),
+        wanted_within: seconds(&params, "max_execution_time").map(|s| (s * 1e6) as Micros),
         session,
         target: target(&params),
         headers: headers(request, &credentials, compressed)?,
@@ -229,6 +199,36 @@
     Ok(query)
 }
 
+/// What is seen of the statement, wherever it stands; fields of a form join the parameters. The server reads the URL's part first, and
+/// the body behind it.
+fn read_statement(request: &Request, params: &mut Params, fetch: bool) -> Result<Shape, Exception> {
+    let content_type = header(&request.headers, "content-type").unwrap_or_default();
+    let in_body = if multipart::is_form(content_type) {
+        read_form(request, content_type, params)?
+    } else {
+        readable(request, params)?
+    };
+    let in_url = params.get("query").unwrap_or_default();
+    let shape = if in_url.trim().is_empty() {
+        Shape::of(&in_body)
+    } else {
+        Shape::of(in_url)
+    };
+    if shape.empty {
+        return Err(Exception::new(SYNTAX_ERROR, "Empty query"));
+    }
+    if fetch && !shape.reads {
+        return Err(Exception::new(READONLY, READONLY_METHOD));
+    }
+    Ok(shape)
+}
+
+/// A parameter in seconds, above 0.
+fn seconds(params: &Params, name: &str) -> Option<f64> {
+    let seconds = params.get(name)?.parse::<f64>().ok()?;
+    (seconds > 0.0).then_some(seconds)
+}
+
 fn read_session(id: &str, params: &Params) -> Result<Told, Exception> {
     let timeout = match params.non_empty("session_timeout") {
         None => None,
