--- a/crates/coordinator/tests/clickhouse.rs
+++ b/crates/coordinator/tests/clickhouse.rs
@@ -517,8 +517,7 @@
 }
 
 #[test]
-fn a_tied_session_whose_engine_restarted_unnoticed_is_told_so_and_runs_nothing_without_its_settings(
-) {
+fn bound_session_is_lost_when_its_engine_restarted_unnoticed() {
     let site = Site::start(1);
     assert_eq!(
         site.ask("/?session_id=s", "SET max_threads = 3").status,
--- a/crates/coordinator/tests/second.rs
+++ b/crates/coordinator/tests/second.rs
@@ -509,8 +509,7 @@
 }
 
 #[test]
-fn under_any_valid_settings_it_serves_and_engines_can_read_it(
-) {
+fn under_any_valid_settings_it_serves_and_engines_can_read_it() {
     let mut g = Gen::from_size_and_seed(30, 20_261_201);
     for _ in 0..24 {
         let drawn = Drawn::arbitrary(&mut g);
