--- a/crates/coordinator/src/node/discovery_client.rs
+++ b/crates/coordinator/src/node/discovery_client.rs
@@ -154,7 +154,7 @@
             // A half-written or mistaken file must not end a coordinator that serves well.
             Err(e) => return tracing::error!("the old configuration stays: {e}"),
         };
-        self.reload_fleet(new.cluster.as_ref());
+        self.reload_cluster(new.cluster.as_ref());
         if new.discovery == self.config.discovery {
             return tracing::info!(
                 "configuration read again; the list of engines stays where it is"
@@ -288,7 +288,7 @@
                     tracing::warn!("engine list: {error}");
                 }
                 self.discovery.last_update = now;
-                self.fleet_listed(&read);
+                self.update_discovered_seeds(&read);
                 let change = self.registry.apply_listing(read.kind, read.descriptions);
                 self.apply_registry_change(now, &change);
             }
