--- a/crates/cluster-simulation/src/commands/leases.rs
+++ b/crates/cluster-simulation/src/commands/leases.rs
@@ -29,7 +29,7 @@
     never_led: Vec<u64>,
     led_after: Vec<Micros>,
     granted: u64,
-    unanswered: u64,
+    timed_out: u64,
     leaders: u64,
     voter_changes: u64,
     replicas_lost: u64,
@@ -86,7 +86,7 @@
             self.violations
                 .extend(violations.map(|w| format!("seed {seed}: {w}")));
             self.granted += rights.lent;
-            self.unanswered += rights.unanswered;
+            self.timed_out += rights.timed_out;
         }
         for member in world.living() {
             let Some(consensus) = world.fleet(member).and_then(|f| f.agreed()) else {
@@ -112,7 +112,7 @@
         println!(
             "  lent {} times, {} requests with no answer in time; held twice: {}",
             self.granted,
-            self.unanswered,
+            self.timed_out,
             self.violations.len()
         );
         println!(
--- a/crates/cluster-simulation/src/rights.rs
+++ b/crates/cluster-simulation/src/rights.rs
@@ -47,7 +47,7 @@
     /// How often something was lent.
     pub lent: u64,
     /// How often nobody answered in time.
-    pub unanswered: u64,
+    pub timed_out: u64,
     /// Fencing numbers that were lent, with their pots and owners.
     pub fences: BTreeMap<u64, (String, u32)>,
     /// What must never be, in words.
@@ -64,7 +64,7 @@
             acting: BTreeMap::new(),
             answered: Vec::new(),
             lent: 0,
-            unanswered: 0,
+            timed_out: 0,
             fences: BTreeMap::new(),
             wrong: Vec::new(),
         }
@@ -83,7 +83,7 @@
                 let since = self.waiting.remove(&(member, request));
                 match outcome {
                     Err(RequestError::TimedOut | RequestError::TooManyPending) => {
-                        self.unanswered += 1
+                        self.timed_out += 1
                     }
                     Ok(outcome) => {
                         self.answered.extend(since.map(|s| (now, now - s)));
--- a/crates/cluster-simulation/tests/golden.rs
+++ b/crates/cluster-simulation/tests/golden.rs
@@ -227,7 +227,7 @@
         let _ = writeln!(
             text,
             "lent {}, unanswered {}, wrong {:?}",
-            rights.lent, rights.unanswered, rights.wrong
+            rights.lent, rights.timed_out, rights.wrong
         );
         for (fence, (resource, owner)) in &rights.fences {
             let _ = writeln!(text, "{fence} {resource} m{owner}");
--- a/crates/cluster/src/consensus/requests.rs
+++ b/crates/cluster/src/consensus/requests.rs
@@ -155,7 +155,7 @@
     /// The host's clock was set back: leases end at an unknown time, so that none is used any more, and what is granted for
     /// a request on its way is released.
     pub(super) fn handle_clock_set_back(&mut self, counters: &mut Counters) {
-        counters.clock_back += 1;
+        counters.clock_set_back += 1;
         counters.ended += self.held.len() as u64;
         self.held.clear();
         for request in &mut self.queue {
@@ -182,7 +182,7 @@
             !(request.has_timed_out && request.sent_at.is_none())
         });
         for number in timed_out {
-            counters.unanswered += 1;
+            counters.timed_out += 1;
             self.reported
                 .push_back((number, Err(RequestError::TimedOut)));
         }
@@ -252,7 +252,7 @@
             ) => {
                 counters.lent += 1;
                 if request.has_timed_out {
-                    counters.given_back += 1;
+                    counters.released_late += 1;
                     self.submit_unreported(Command::Release { fence: *fence }, counters);
                 } else {
                     let lease = HeldLease {
--- a/crates/cluster/src/consensus/view.rs
+++ b/crates/cluster/src/consensus/view.rs
@@ -28,7 +28,7 @@
     /// Requests of this member that were sent.
     pub asked: u64,
     /// Requests of this member without an outcome in time.
-    pub unanswered: u64,
+    pub timed_out: u64,
     /// Requests and messages that found no room.
     pub turned_away: u64,
     /// Leases that were granted to this member.
@@ -36,7 +36,7 @@
     /// Leases that ended while this member held them.
     pub ended: u64,
     /// Leases granted after nobody waited for them any more.
-    pub given_back: u64,
+    pub released_late: u64,
     /// Leaders that this member has seen.
     pub leaders: u64,
     /// Replicas of this member that failed, or that others had replaced.
@@ -44,7 +44,7 @@
     /// Changes of voters that this member proposed as a leader.
     pub changes: u64,
     /// How often the host's clock was set back: all leases were let go.
-    pub clock_back: u64,
+    pub clock_set_back: u64,
 }
 
 /// How things stand, for operators.
