--- a/crates/cluster/src/agent/mod.rs
+++ b/crates/cluster/src/agent/mod.rs
@@ -207,7 +207,7 @@
     }
 
     /// How far this process suspects itself, from 0.
-    pub fn doubt(&self) -> u32 {
+    pub fn self_suspicion(&self) -> u32 {
         self.clock.self_suspicion()
     }
 
--- a/crates/cluster/tests/agent.rs
+++ b/crates/cluster/tests/agent.rs
@@ -30,7 +30,7 @@
         clock += 8_000_000;
         fleet.tick(clock);
     }
-    assert_eq!(fleet.doubt(), 2);
+    assert_eq!(fleet.self_suspicion(), 2);
     let end = clock + 20_000_000;
     let mut asked = 0;
     while clock < end {
@@ -40,6 +40,6 @@
             asked += 1;
         }
     }
-    assert_eq!((fleet.doubt(), fleet.counters().stalls), (0, 2));
+    assert_eq!((fleet.self_suspicion(), fleet.counters().stalls), (0, 2));
     assert!(asked > 30, "asked {asked} times in 20 s");
 }
--- a/crates/coordinator/src/node/cluster/views.rs
+++ b/crates/coordinator/src/node/cluster/views.rs
@@ -49,7 +49,7 @@
             ("started_over", counters.membership_resets),
             ("sessions_outdone", counters.sessions_raised),
             ("stumbles", counters.stalls),
-            ("doubt", u64::from(cluster.agent.doubt())),
+            ("doubt", u64::from(cluster.agent.self_suspicion())),
             ("turns_cut_short", cluster.turns_cut_short),
             ("turn_longest_us", cluster.longest_turn_micros),
         ];
