--- a/crates/coordinator/src/backends/clickhouse/request.rs
+++ b/crates/coordinator/src/backends/clickhouse/request.rs
@@ -16,7 +16,7 @@
     let mut head = String::with_capacity(HEAD_CAPACITY_BYTES);
     write_target(attempt, &mut head);
     let (mut headers, mut has_blocks) = ("", false);
-    for (name, value) in attempt.request.about.iter() {
+    for (name, value) in attempt.request.parameters.iter() {
         match name.as_str() {
             URL_PARAMETERS => head.push_str(value),
             REQUEST_HEADERS => headers = value,
@@ -26,7 +26,7 @@
     }
     let _ = write!(head, " HTTP/1.1\r\nHost: {host}\r\n{headers}");
     let statement = &attempt.request.statement;
-    if attempt.request.once {
+    if attempt.request.is_body_streamed {
         head.push_str("Transfer-Encoding: chunked\r\n\r\n");
         out.extend(head.bytes());
         out.extend(chunk(statement));
--- a/crates/coordinator/src/backends/clickhouse/response.rs
+++ b/crates/coordinator/src/backends/clickhouse/response.rs
@@ -126,9 +126,9 @@
             Vec::new()
         };
         let chunk = ResponseChunk {
-            about,
+            headers: about,
             rows: std::mem::take(&mut self.held),
-            whole: is_first && is_last,
+            is_whole: is_first && is_last,
         };
         events.push(EngineEvent::ResponseChunk(key, chunk));
     }
--- a/crates/coordinator/src/backends/clickhouse/session.rs
+++ b/crates/coordinator/src/backends/clickhouse/session.rs
@@ -208,7 +208,7 @@
         self.in_flight = InFlight::Query(attempt.key);
         self.query_name.clear();
         self.query_name.push_str(attempt.name);
-        self.response = Response::to(&attempt.request.call);
+        self.response = Response::to(&attempt.request.name);
     }
 
     fn write_body_chunk(&mut self, bytes: &[u8], out: &mut Vec<u8>) {
--- a/crates/coordinator/src/backends/engine_protocol/session.rs
+++ b/crates/coordinator/src/backends/engine_protocol/session.rs
@@ -153,9 +153,9 @@
         let key = open.key;
         let (rows, report) = open.into_result();
         let chunk = ResponseChunk {
-            about: Vec::new(),
+            headers: Vec::new(),
             rows,
-            whole: true,
+            is_whole: true,
         };
         events.push(EngineEvent::ResponseChunk(key, chunk));
         events.push(EngineEvent::AttemptReport(key, report));
@@ -213,7 +213,7 @@
 fn request_fields(attempt: &AttemptRequest) -> String {
     let ms = (attempt.timeout / 1000).max(1);
     let mut fields = format!("kind={},ms={ms}", attempt.class);
-    if let Some(token) = &attempt.request.token {
+    if let Some(token) = &attempt.request.idempotency_key {
         let _ = write!(fields, ",token={token}");
     }
     if attempt.grant_mb > 0.0 {
@@ -254,11 +254,11 @@
         let request = attempt.request;
         let fields = request_fields(attempt);
         let length = request.statement.len();
-        out.extend(format!("REQ {} {fields} {length}\r\n", request.call).bytes());
+        out.extend(format!("REQ {} {fields} {length}\r\n", request.name).bytes());
         out.extend_from_slice(&request.statement);
         out.extend_from_slice(b"\r\n");
         self.open
-            .insert(request.call.clone(), OpenAttempt::new(attempt.key));
+            .insert(request.name.clone(), OpenAttempt::new(attempt.key));
     }
 
     fn stop_attempt(&mut self, key: AttemptKey, out: &mut Vec<u8>) -> bool {
--- a/crates/coordinator/src/config/document.rs
+++ b/crates/coordinator/src/config/document.rs
@@ -3,7 +3,7 @@
 use super::error::{ConfigError, KeyPath};
 use super::{ClusterConfig, ControlPort, DiscoverySource, Protocol};
 use driftfront_core::Micros;
-use driftfront_scheduler::interface::Settings;
+use driftfront_scheduler::Settings;
 use driftfront_settings::json::Json;
 use std::net::SocketAddr;
 
--- a/crates/coordinator/src/config/mod.rs
+++ b/crates/coordinator/src/config/mod.rs
@@ -15,7 +15,7 @@
 use crate::operator_config;
 use document::Document;
 use driftfront_core::{Limits, Micros};
-use driftfront_scheduler::interface::Settings;
+use driftfront_scheduler::Settings;
 use driftfront_settings::json::parse;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
--- a/crates/coordinator/src/config/resolve.rs
+++ b/crates/coordinator/src/config/resolve.rs
@@ -5,7 +5,7 @@
 use crate::frontends::clickhouse::ClassRules;
 use crate::frontends::QueryClasses;
 use driftfront_core::{Limits, Micros};
-use driftfront_scheduler::interface::Settings;
+use driftfront_scheduler::Settings;
 use driftfront_settings::json::Json;
 use std::path::PathBuf;
 use std::rc::Rc;
@@ -118,15 +118,15 @@
 fn limits(protocol: Protocol, caps: Caps) -> Limits {
     let is_clickhouse = protocol == Protocol::ClickHouse;
     Limits {
-        open: to_usize(
+        max_open_requests: to_usize(
             caps.positive("MaxOpen", MAX_OPEN_REQUESTS)
                 .min(MAX_OPEN_REQUESTS),
         ),
         probe_timeout: PROBE_TIMEOUT,
         answer_margin: ANSWER_MARGIN,
-        tells_each: protocol == Protocol::Platform,
-        tokens: MAX_IDEMPOTENCY_KEYS,
-        doubts: if is_clickhouse {
+        engines_report_attempts: protocol == Protocol::Platform,
+        max_idempotency_keys: MAX_IDEMPOTENCY_KEYS,
+        max_unknown_outcomes: if is_clickhouse {
             MAX_UNKNOWN_OUTCOMES
         } else {
             0
--- a/crates/coordinator/src/frontends/clickhouse/kill.rs
+++ b/crates/coordinator/src/frontends/clickhouse/kill.rs
@@ -29,9 +29,9 @@
             suffix: suffix.to_string(),
             template: ParsedRequest {
                 class,
-                budget: self.timeout(class),
-                tables: query.shape.tables,
-                about: engine_parameters(query, query.target.clone()),
+                client_timeout: self.timeout(class),
+                table_group: query.shape.tables,
+                parameters: engine_parameters(query, query.target.clone()),
                 ..ParsedRequest::default()
             },
         };
@@ -71,10 +71,13 @@
             "The query's engine takes nothing more: it drains",
         );
         ParsedRequest {
-            call: id.into(),
+            name: id.into(),
             statement: Rc::from(statement.trim_end().as_bytes()),
-            pin: Some(StickySession { engine, only: true }),
-            lost: Some(lost.text.into()),
+            sticky_session: Some(StickySession {
+                engine,
+                is_exclusive: true,
+            }),
+            session_lost_error: Some(lost.text.into()),
             ..self.template.clone()
         }
     }
--- a/crates/coordinator/src/frontends/clickhouse/mod.rs
+++ b/crates/coordinator/src/frontends/clickhouse/mod.rs
@@ -17,7 +17,7 @@
 use driftfront_clickhouse::exception::Exception;
 use driftfront_clickhouse::request::{self, Asked};
 use driftfront_clickhouse::session::{keyed_hash, Fate, SessionName, SessionTable};
-use driftfront_core::{EngineId, Micros, ParsedRequest, RequestFate};
+use driftfront_core::{EngineId, Micros, ParsedRequest, SettledOutcome};
 use driftfront_http::{HttpError, Request, RequestLimits};
 use std::collections::HashMap;
 use std::fmt::Write as _;
@@ -141,16 +141,16 @@
         action
     }
 
-    fn settle_request(&mut self, now: Micros, ticket: u64, fate: RequestFate) {
+    fn settle_request(&mut self, now: Micros, ticket: u64, fate: SettledOutcome) {
         let Some(open) = self.open.remove(&ticket) else {
             return;
         };
         self.budget.release(open.reserved_bytes);
         if let Some(session) = open.session {
             let fate = match fate {
-                RequestFate::NeverRan => Fate::NeverRan,
-                RequestFate::Ran(engine, well) => Fate::Ran(engine, well),
-                RequestFate::Unknown(engine) => Fate::Unknown(engine),
+                SettledOutcome::NeverRan => Fate::NeverRan,
+                SettledOutcome::Ran(engine, well) => Fate::Ran(engine, well),
+                SettledOutcome::Unknown(engine) => Fate::Unknown(engine),
             };
             self.sessions.end_query(now, session, fate);
         }
@@ -161,8 +161,8 @@
     }
 
     fn duplicate_id_response(&mut self, now: Micros, request: &ParsedRequest) -> Option<Vec<u8>> {
-        self.settle_request(now, request.ticket, RequestFate::NeverRan);
-        let text = format!("Query with id = {} is already running", request.call);
+        self.settle_request(now, request.ticket, SettledOutcome::NeverRan);
+        let text = format!("Query with id = {} is already running", request.name);
         let e = Exception::new(codes::QUERY_WITH_SAME_ID_IS_ALREADY_RUNNING, &text);
         Some(replies::exception(&e, false))
     }
--- a/crates/coordinator/src/frontends/clickhouse/query.rs
+++ b/crates/coordinator/src/frontends/clickhouse/query.rs
@@ -47,7 +47,7 @@
             .begin_session(now, &query)
             .map_err(|e| replies::exception(&e, query.head_only))?;
         let sticky = session.and_then(|s| s.home).map(sticky_session);
-        let is_bound = sticky.is_some_and(|s| s.only);
+        let is_bound = sticky.is_some_and(|s| s.is_exclusive);
         if is_bound {
             // An engine that restarted unnoticed must say so, and not run this without what was set.
             url_parameters.push_str("&session_check=1");
@@ -59,16 +59,17 @@
         };
         self.open.insert(ticket, open);
         let parsed = ParsedRequest {
-            call: call.into(),
+            name: call.into(),
             class,
-            tables: query.shape.tables,
-            key: ordering_key(&query),
-            token: query.token.as_deref().map(Rc::from),
-            budget: self.time_budget(&query, class, request.has_more_body),
-            about: engine_parameters(&query, url_parameters),
-            pin: sticky,
-            lost: is_bound.then(|| Exception::new(SESSION_NOT_FOUND, LOST_SESSION).text.into()),
-            once: request.has_more_body,
+            table_group: query.shape.tables,
+            ordering_key: ordering_key(&query),
+            idempotency_key: query.token.as_deref().map(Rc::from),
+            client_timeout: self.time_budget(&query, class, request.has_more_body),
+            parameters: engine_parameters(&query, url_parameters),
+            sticky_session: sticky,
+            session_lost_error: is_bound
+                .then(|| Exception::new(SESSION_NOT_FOUND, LOST_SESSION).text.into()),
+            is_body_streamed: request.has_more_body,
             statement: Rc::from(request.body),
             ticket,
             ..ParsedRequest::default()
@@ -133,7 +134,7 @@
 fn sticky_session(home: Home<EngineId>) -> StickySession {
     StickySession {
         engine: home.engine,
-        only: home.tied,
+        is_exclusive: home.tied,
     }
 }
 
--- a/crates/coordinator/src/frontends/clickhouse/response.rs
+++ b/crates/coordinator/src/frontends/clickhouse/response.rs
@@ -52,7 +52,7 @@
         let is_wanted =
             |name: &str| self.wants_progress || !name.eq_ignore_ascii_case("X-ClickHouse-Progress");
         let headers: Vec<(&str, &str)> = first
-            .about
+            .headers
             .iter()
             .filter(|(name, _)| is_wanted(name))
             .map(|(name, value)| (name.as_str(), value.as_str()))
@@ -63,8 +63,8 @@
         };
         self.exception_tag = value("X-ClickHouse-Exception-Tag").map(String::from);
         self.is_packed |= value("Content-Encoding").is_some();
-        self.has_length = first.whole;
-        let framing = if first.whole {
+        self.has_length = first.is_whole;
+        let framing = if first.is_whole {
             BodyFraming::Length(first.rows.len())
         } else if self.is_chunked {
             BodyFraming::Chunked
--- a/crates/coordinator/src/frontends/mod.rs
+++ b/crates/coordinator/src/frontends/mod.rs
@@ -7,7 +7,7 @@
 pub mod platform;
 
 use driftfront_clickhouse::body_budget::Reservation;
-use driftfront_core::{EngineId, Micros, ParsedRequest, RequestFate, ResponseChunk};
+use driftfront_core::{EngineId, Micros, ParsedRequest, ResponseChunk, SettledOutcome};
 use driftfront_http::{response, HttpError, Request, RequestLimits};
 use std::rc::Rc;
 
@@ -101,7 +101,7 @@
     /// Releases what a request held of the budget.
     fn release_body(&mut self, _reserved_bytes: usize) {}
     /// Nothing of the request of this ticket is in flight any more.
-    fn settle_request(&mut self, _now: Micros, _ticket: u64, _fate: RequestFate) {}
+    fn settle_request(&mut self, _now: Micros, _ticket: u64, _fate: SettledOutcome) {}
     /// An engine takes nothing new, or has been replaced.
     fn engine_left(&mut self, _engine: EngineId) {}
     /// The reply to a request whose id an open one has; `None` accepts it, to fail.
--- a/crates/coordinator/src/frontends/platform/fields.rs
+++ b/crates/coordinator/src/frontends/platform/fields.rs
@@ -90,18 +90,18 @@
         None => 0.0,
     };
     Ok(ParsedRequest {
-        call: call.into(),
+        name: call.into(),
         class,
         work: fields
             .number("X-Weight-Ms")?
             .map(|ms| ms * MICROS_PER_MS)
             .filter(|&work| work > 0.0),
         memory_mb: fields.number("X-Need-Mb")?.filter(|&mb| mb > 0.0),
-        tables: table_group(statement),
-        key,
+        table_group: table_group(statement),
+        ordering_key: key,
         tenant: tenant.and_then(|index| u32::try_from(index).ok()),
-        token: token.map(Rc::from),
-        budget: ((timeout_ms - key_delay_ms) * MICROS_PER_MS) as Micros,
+        idempotency_key: token.map(Rc::from),
+        client_timeout: ((timeout_ms - key_delay_ms) * MICROS_PER_MS) as Micros,
         statement: Rc::from(&*request.body),
         ..ParsedRequest::default()
     })
--- a/crates/coordinator/src/node/clients/accept.rs
+++ b/crates/coordinator/src/node/clients/accept.rs
@@ -45,7 +45,7 @@
     /// Accepts connections while there is room; what has to wait is looked at again with each sweep.
     pub(in crate::node) fn accept_clients(&mut self, now: Micros) {
         let max_clients = self.max_clients();
-        while self.lifecycle.accepts() {
+        while self.lifecycle.accepts_connections() {
             if self.clients.connections.len() >= max_clients && !self.evict_client(now) {
                 // Counted with each look, whether somebody waits or not.
                 self.clients.accepts_full += 1;
--- a/crates/coordinator/src/node/clients/closing.rs
+++ b/crates/coordinator/src/node/clients/closing.rs
@@ -10,7 +10,7 @@
 use crate::service_window::RequestOutcome;
 use driftfront_core::{Micros, RequestId};
 use driftfront_http::response;
-use driftfront_scheduler::interface::Idempotency;
+use driftfront_scheduler::Idempotency;
 
 /// Bytes that are read and dropped with each sweep after a close of ours: 60 MB at full speed must not take the processor.
 const MAX_LINGER_READ_BYTES: usize = 128 * 1024;
@@ -100,7 +100,7 @@
         let idempotency = self
             .core
             .accepted(request)
-            .and_then(|a| self.idempotency(a.ask.class));
+            .and_then(|a| self.idempotency(a.request.class));
         let is_uploading = self.engines.uploads.contains_key(&request);
         self.core.client_left(now, request);
         // A read is let go on its engine, and so is what waits there for a body that never comes.
@@ -185,7 +185,10 @@
     /// Ends what has had its time, and reads closing connections out.
     pub(in crate::node) fn sweep_clients(&mut self, now: Micros) {
         // Who has connected and not spoken once it leaves would speak to nobody.
-        let (leaves, last) = (!self.lifecycle.takes(now), self.lifecycle.closes_last());
+        let (leaves, last) = (
+            !self.lifecycle.accepts_requests(now),
+            self.lifecycle.is_closing_last_connections(),
+        );
         for id in self.clients.connections.keys().copied().collect::<Vec<_>>() {
             let Some(client) = self.clients.connections.get_mut(&id) else {
                 continue;
@@ -202,7 +205,7 @@
                     && (leaves || !client.is_fresh)
                     && !self
                         .lifecycle
-                        .keeps_alive(now, now.saturating_sub(client.last_used)) =>
+                        .may_keep_alive(now, now.saturating_sub(client.last_used)) =>
                 {
                     self.clients.sent_away += u64::from(self.close_at_rest(now, id));
                 }
@@ -247,7 +250,7 @@
     /// Closes a connection in order whose request never became whole, unless its last bytes have just come.
     fn end_half_read(&mut self, now: Micros, id: ConnectionId) {
         self.on_client_ready(now, id);
-        let last = self.lifecycle.closes_last();
+        let last = self.lifecycle.is_closing_last_connections();
         let due =
             |c: &Client| c.is_half_read() && (last || c.expired(now) == Some(Expired::HalfRead));
         if self.clients.connections.get(&id).is_some_and(due) {
--- a/crates/coordinator/src/node/clients/kill.rs
+++ b/crates/coordinator/src/node/clients/kill.rs
@@ -23,7 +23,7 @@
         match sent.first() {
             None => self.reply(now, id, &kill.none_running),
             Some(&first) => {
-                let class = self.core.accepted(first).map_or(0, |a| a.ask.class);
+                let class = self.core.accepted(first).map_or(0, |a| a.request.class);
                 self.await_response(now, id, first, class, kill.writer);
             }
         }
@@ -37,7 +37,7 @@
         for name in &kill.names {
             running.extend(self.core.running_queries(now, name));
         }
-        running.sort_by_key(|query| !query.awaited);
+        running.sort_by_key(|query| !query.is_awaited);
         let mut sent = Vec::new();
         for query in running {
             if self.core.engine_phase(query.engine) != Some(Phase::Ready) {
--- a/crates/coordinator/src/node/clients/requests.rs
+++ b/crates/coordinator/src/node/clients/requests.rs
@@ -96,7 +96,7 @@
         request: &ParsedRequest,
         has_more_body: bool,
     ) -> bool {
-        if !self.core.is_open(&request.call) {
+        if !self.core.is_open(&request.name) {
             return false;
         }
         let Some(bytes) = self.frontend.duplicate_id_response(now, request) else {
@@ -111,7 +111,7 @@
 
     /// Accepts a request whose client left before it was read: a waiting place is all that it had.
     fn accept_disconnected(&mut self, now: Micros, id: ConnectionId, request: ParsedRequest) {
-        tracing::debug!(conn = id, call = %request.call, "client left before its request was read");
+        tracing::debug!(conn = id, call = %request.name, "client left before its request was read");
         self.core.accept_disconnected_request(now, request);
         self.execute_commands();
     }
@@ -125,10 +125,10 @@
     ) {
         // Asked with the clock as it is: the process may have stood still since this turn began.
         let accepted_at = self.clock();
-        if !self.lifecycle.takes(accepted_at) {
+        if !self.lifecycle.accepts_requests(accepted_at) {
             self.core.begin_shutdown();
         }
-        let (call, class, budget) = (request.call.clone(), request.class, request.budget);
+        let (call, class, budget) = (request.name.clone(), request.class, request.client_timeout);
         let request = self.core.accept_request(now, request);
         tracing::debug!(request = request.0, conn = id, %call, class, budget, "taken");
         self.await_response(now, id, request, class, writer);
--- a/crates/coordinator/src/node/clients/respond.rs
+++ b/crates/coordinator/src/node/clients/respond.rs
@@ -17,7 +17,7 @@
 
     /// Answers at once, without the core.
     pub(super) fn reply(&mut self, now: Micros, id: ConnectionId, bytes: &[u8]) {
-        let sends_away = self.lifecycle.sends_away(now);
+        let sends_away = self.lifecycle.closes_connections(now);
         if let Some(client) = self.clients.connections.get_mut(&id) {
             let mut bytes = bytes.to_vec();
             if sends_away {
@@ -46,7 +46,7 @@
         is_last: bool,
         write: impl FnOnce(&mut dyn ResponseWriter, &mut Vec<u8>) -> ConnectionAction,
     ) {
-        let sends_away = self.lifecycle.sends_away(now);
+        let sends_away = self.lifecycle.closes_connections(now);
         let Some(id) = self.requester(request) else {
             return;
         };
--- a/crates/coordinator/src/node/commands.rs
+++ b/crates/coordinator/src/node/commands.rs
@@ -4,7 +4,7 @@
 use crate::frontends::ConnectionAction;
 use crate::service_window::RequestOutcome;
 use driftfront_core::{AttemptKey, Command, EngineId, Micros, RequestId};
-use driftfront_scheduler::interface::Idempotency;
+use driftfront_scheduler::Idempotency;
 
 impl Node {
     /// Carries out what the core asks for, until it asks for nothing more.
@@ -66,11 +66,11 @@
         let name = |engine| self.registry.name(engine).unwrap_or("gone");
         let usage = self.core.retry_budget_usage(now).unwrap_or_default();
         tracing::info!(
-            call = retry.call,
+            call = retry.name,
             attempt = key.number,
             engine = name(engine),
             failed_on = name(retry.failed_on),
-            after = %retry.after,
+            after = %retry.error,
             used = usage.used,
             allowed = %format_args!("{:.1}", usage.allowed),
             "retry"
--- a/crates/coordinator/src/node/control/mod.rs
+++ b/crates/coordinator/src/node/control/mod.rs
@@ -140,7 +140,7 @@
             self.open_state_folder(now, &folder)?;
         }
         if let Some(path) = self.config.control_socket.clone() {
-            let (listener, path) = open_control_socket(&path, self.lifecycle.succeeds())
+            let (listener, path) = open_control_socket(&path, self.lifecycle.replaces_earlier())
                 .map_err(|error| error.to_string())?;
             if let Some(control) = &mut self.control {
                 control._socket = Some(path);
--- a/crates/coordinator/src/node/control/orders.rs
+++ b/crates/coordinator/src/node/control/orders.rs
@@ -67,7 +67,7 @@
         };
         let write = state.append(records);
         // What a successor writes must not be left in a file that is no longer the folder's.
-        if state.needs_compaction() && !self.lifecycle.is_succeeded() {
+        if state.needs_compaction() && !self.lifecycle.has_successor() {
             let mut records = self.registry.compacted_records();
             records.push(StateRecord::RollingRestart {
                 roll: control.roll.clone(),
--- a/crates/coordinator/src/node/control/snapshot.rs
+++ b/crates/coordinator/src/node/control/snapshot.rs
@@ -75,7 +75,7 @@
             front: format!("{:?}", self.config.protocol),
             ready: self.is_ready(),
             stopping: self.lifecycle.state() == State::Ending,
-            state: self.lifecycle.state().word().into(),
+            state: self.lifecycle.state().name().into(),
             source,
             source_age_s: source_age.map(|age| age / 1_000_000),
             forgets: if has_state_folder {
--- a/crates/coordinator/src/node/counters.rs
+++ b/crates/coordinator/src/node/counters.rs
@@ -23,7 +23,7 @@
         if let Some(control) = &self.control {
             text += &control.counters();
         }
-        let state = self.lifecycle.state().word().replace(' ', "_");
+        let state = self.lifecycle.state().name().replace(' ', "_");
         add(&mut text, &format!("state{{is=\"{state}\"}}"), 1);
         let orders = self.registry.orders().len();
         add(&mut text, "engines_out_by_order", orders);
@@ -32,7 +32,7 @@
         add(&mut text, "clients_dropped", clients.evicted);
         add(&mut text, "clients_overrun", clients.overruns);
         text += &self.management.counters();
-        let is_successor = u8::from(self.lifecycle.succeeds());
+        let is_successor = u8::from(self.lifecycle.replaces_earlier());
         add(&mut text, "upgrade_succeeds", is_successor);
         let merged_orders = self.handover.merged_orders();
         add(&mut text, "upgrade_orders_merged", merged_orders);
@@ -52,8 +52,8 @@
         add(text, "retry_budget_used", usage.used);
         let allowed = format!("{:.1}", usage.allowed);
         add(text, "retry_budget_allowed", allowed);
-        add(text, "retry_budget_taken", usage.taken);
+        add(text, "retry_budget_taken", usage.requests);
         add(text, "retries_denied", usage.denied);
-        add(text, "retries_withheld", usage.withheld);
+        add(text, "retries_withheld", usage.denied_at_send);
     }
 }
--- a/crates/coordinator/src/node/engines/closing.rs
+++ b/crates/coordinator/src/node/engines/closing.rs
@@ -130,7 +130,7 @@
     }
 
     fn engine_idle_timeout(&self) -> Micros {
-        if self.lifecycle.is_succeeded() {
+        if self.lifecycle.has_successor() {
             self.config
                 .engine_idle_timeout
                 .min(IDLE_TIMEOUT_AFTER_HANDOVER)
--- a/crates/coordinator/src/node/engines/pool.rs
+++ b/crates/coordinator/src/node/engines/pool.rs
@@ -39,10 +39,10 @@
         engine: EngineId,
         requeues: u8,
     ) {
-        let Some(request) = self.core.accepted(key.request).map(|a| a.ask) else {
+        let Some(request) = self.core.accepted(key.request).map(|a| a.request) else {
             return;
         };
-        let request_id = request.call.clone();
+        let request_id = request.name.clone();
         let is_exclusive = self.is_single_shot(request.class);
         match self.engine_connection(now, engine, Some(&request_id), is_exclusive) {
             Ok(id) => {
--- a/crates/coordinator/src/node/engines/upload.rs
+++ b/crates/coordinator/src/node/engines/upload.rs
@@ -72,7 +72,7 @@
         conn.upload = None;
         conn.end_upload(now, key);
         self.engines.uploads.remove(&key.request);
-        let request = self.core.accepted(key.request).map(|a| a.ask);
+        let request = self.core.accepted(key.request).map(|a| a.request);
         if let Some(timeout) = request.and_then(|r| self.frontend.timeout_after_body(r)) {
             self.core.shorten_timeout(now, key.request, timeout);
         }
--- a/crates/coordinator/src/node/engines/write.rs
+++ b/crates/coordinator/src/node/engines/write.rs
@@ -6,7 +6,7 @@
 use crate::config::{Config, Protocol};
 use crate::node::{ConnectionId, EventSource, Node};
 use driftfront_core::{AttemptKey, Cause, Core, Micros, Outcome, Phase, Progress};
-use driftfront_scheduler::interface::Idempotency;
+use driftfront_scheduler::Idempotency;
 use std::borrow::Cow;
 
 /// Writes on one connection before the others have their turn.
@@ -99,10 +99,10 @@
         let Some(timeout) = self.core.may_write_attempt(now, key) else {
             return;
         };
-        let Some(request) = self.core.accepted(key.request).map(|a| a.ask) else {
+        let Some(request) = self.core.accepted(key.request).map(|a| a.request) else {
             return;
         };
-        if !conn.session.can_start(&request.call) {
+        if !conn.session.can_start(&request.name) {
             // A second request of the same id was accepted while the connection came up.
             return self.attempt_failed(now, key, Cause::Rejected);
         }
@@ -112,17 +112,17 @@
             key,
             request,
             class: self.config.classes.name(request.class),
-            name: &name_on_engine(&self.config, &self.core, key, &request.call),
+            name: &name_on_engine(&self.config, &self.core, key, &request.name),
             timeout,
             grant_mb: self.core.grant_mb(key),
             progress_interval: progress_interval(&self.config, request.class),
         };
         let mut out = Vec::new();
         conn.session.start_attempt(&attempt, &mut out);
-        if request.once {
+        if request.is_body_streamed {
             self.engines.uploads.insert(key.request, id);
         }
-        conn.begin_span(key, out.len(), request.once);
+        conn.begin_span(key, out.len(), request.is_body_streamed);
         conn.write_work(now, &out, was_idle);
     }
 }
--- a/crates/coordinator/src/node/event_loop.rs
+++ b/crates/coordinator/src/node/event_loop.rs
@@ -200,7 +200,7 @@
         }
         tracing::info!(signal = ?event.signal(), "stopping once all taken is answered");
         let now = node.clock();
-        node.lifecycle.end(now);
+        node.lifecycle.begin_ending(now);
     };
     events
         .handle()
--- a/crates/coordinator/src/node/lifecycle.rs
+++ b/crates/coordinator/src/node/lifecycle.rs
@@ -8,13 +8,13 @@
 impl Node {
     pub(super) fn can_end(&mut self) -> bool {
         let writing = self.clients.connections.values().any(|c| c.is_writing());
-        let ends = self.lifecycle.may_end(
+        let ends = self.lifecycle.may_exit(
             self.now,
             self.core.open_requests(),
             self.clients.connections.len(),
             writing,
         );
-        if ends && self.listener.socket.is_some() && !self.lifecycle.listens(self.now) {
+        if ends && self.listener.socket.is_some() && !self.lifecycle.is_listening(self.now) {
             // Who is in the backlog still has a connection, and maybe a request on it: looked at once more behind that.
             self.stop_listening(self.now);
             return false;
@@ -35,7 +35,7 @@
                 format!("Paused by {by}: clients are sent away, what was taken is answered"),
             );
         }
-        self.lifecycle.state().word().into()
+        self.lifecycle.state().name().into()
     }
 
     /// An operator calls it back to work; what to tell of it.
@@ -43,12 +43,15 @@
         if self.lifecycle.resume() {
             self.notify_operators(now, format!("Back to work, by {by}"));
         }
-        self.lifecycle.state().word().into()
+        self.lifecycle.state().name().into()
     }
 
     pub(super) fn update_lifecycle(&mut self, now: Micros) {
-        if !self.lifecycle.has_begun() && self.knows_engines(now) && self.lifecycle.begin() {
-            tracing::info!(succeeds = self.lifecycle.succeeds(), "ready");
+        if !self.lifecycle.has_been_ready()
+            && self.knows_engines(now)
+            && self.lifecycle.record_ready()
+        {
+            tracing::info!(succeeds = self.lifecycle.replaces_earlier(), "ready");
             self.publish_handover();
         }
         if self
@@ -58,10 +61,13 @@
         {
             self.core.answer_all_requests(now);
         }
-        if !self.lifecycle.listens(now) {
+        if !self.lifecycle.is_listening(now) {
             self.stop_listening(now);
         }
-        if self.lifecycle.look(self.clients.connections.len()) {
+        if self
+            .lifecycle
+            .record_clients(self.clients.connections.len())
+        {
             self.notify_operators(now, "Drained: no client is left".into());
         }
     }
--- a/crates/coordinator/src/node/management.rs
+++ b/crates/coordinator/src/node/management.rs
@@ -260,7 +260,7 @@
     }
 
     fn status(&self) -> Result<String, String> {
-        let state = self.lifecycle.state().word().to_string();
+        let state = self.lifecycle.state().name().to_string();
         if self.is_ready() {
             Ok(state)
         } else if self.lifecycle.is_ready() {
--- a/crates/coordinator/src/node/upgrade.rs
+++ b/crates/coordinator/src/node/upgrade.rs
@@ -134,7 +134,7 @@
                 tracing::info!("alone again");
             }
         }
-        if self.lifecycle.succeeded(now, has_successor) {
+        if self.lifecycle.record_successor(now, has_successor) {
             let message = if has_successor {
                 "A successor is ready: new connections are its own, what was taken is answered"
             } else {
@@ -147,7 +147,7 @@
 
     /// Publishes the orders that hold here: before one is confirmed, and once this process is ready.
     pub(super) fn publish_handover(&mut self) {
-        let is_ready = self.lifecycle.has_begun();
+        let is_ready = self.lifecycle.has_been_ready();
         let Some(mailbox) = &mut self.handover.mailbox else {
             return;
         };
@@ -161,7 +161,7 @@
     pub(super) fn knows_engines(&self, now: Micros) -> bool {
         let is_late = now >= self.started + FIRST_LIST_TIMEOUT;
         self.core.has_engines()
-            && (!self.lifecycle.succeeds()
+            && (!self.lifecycle.replaces_earlier()
                 || is_late
                 || self
                     .discovery
--- a/crates/coordinator/tests/frontends.rs
+++ b/crates/coordinator/tests/frontends.rs
@@ -61,11 +61,11 @@
     );
     let request = accepted(keyed);
     assert_eq!(
-        (request.budget, request.key, request.class),
+        (request.client_timeout, request.ordering_key, request.class),
         (24_400_000, Some(0x7f3a_9c21_e0b4_d655), 1)
     );
     let lookup = post("/ops/lookup", &[CALL, ("X-Patience-Ms", "2500")], "x");
-    assert_eq!(accepted(lookup).budget, 2_500_000);
+    assert_eq!(accepted(lookup).client_timeout, 2_500_000);
 }
 
 #[test]
@@ -128,9 +128,9 @@
 fn rows_are_written_unchanged_and_in_order() {
     let (mut rows, mut out) = (writer(), Vec::new());
     let chunk = |rows: &str| ResponseChunk {
-        about: Vec::new(),
+        headers: Vec::new(),
         rows: rows.into(),
-        whole: false,
+        is_whole: false,
     };
     rows.write_chunk(&chunk("a\t1\t\"q\"\nb\t\t\u{e9}\n"), &mut out);
     rows.write_chunk(&chunk("c\t2\ty\n"), &mut out);
--- a/crates/coordinator/tests/golden_backends.rs
+++ b/crates/coordinator/tests/golden_backends.rs
@@ -22,7 +22,7 @@
         key,
         request: ask,
         class: "member-load",
-        name: &ask.call,
+        name: &ask.name,
         timeout: 2_500_999,
         grant_mb: 0.0,
         progress_interval: None,
@@ -31,7 +31,7 @@
 
 fn ask(call: &str, statement: &[u8]) -> ParsedRequest {
     ParsedRequest {
-        call: call.into(),
+        name: call.into(),
         statement: Rc::from(statement),
         ..ParsedRequest::default()
     }
@@ -54,8 +54,8 @@
             EngineEvent::ResponseChunk(k, piece) => format!(
                 "{} piece {:?} whole {} {}\n",
                 k.request.0,
-                piece.about,
-                piece.whole,
+                piece.headers,
+                piece.is_whole,
                 piece.rows.escape_ascii()
             ),
             EngineEvent::AttemptReport(k, told) => format!(
@@ -106,7 +106,7 @@
     lines.start_attempt(&start(key(1), &plain), &mut out);
     next(&mut out, "attempt");
     let token = ParsedRequest {
-        token: Some("t-1".into()),
+        idempotency_key: Some("t-1".into()),
         ..ask(
             "9b1f03aa5c7e2d42",
             "INSERT INTO t VALUES ('\u{e9}')\n".as_bytes(),
@@ -219,7 +219,7 @@
         (COMPRESSED_BLOCKS.to_string(), String::new()),
     ];
     let full = ParsedRequest {
-        about: Rc::from(about),
+        parameters: Rc::from(about),
         ..ask("q-1", b"SELECT 2")
     };
     let noted = AttemptRequest {
@@ -232,7 +232,7 @@
     http.start_attempt(&noted, &mut out);
     next(&mut out, "query with everything");
     let once = ParsedRequest {
-        once: true,
+        is_body_streamed: true,
         ..ask("q-2", b"INSERT INTO t FORMAT CSV\n1,2\n")
     };
     http.start_attempt(&start(key(3), &once), &mut out);
--- a/crates/coordinator/tests/golden_frontends.rs
+++ b/crates/coordinator/tests/golden_frontends.rs
@@ -8,7 +8,7 @@
 use driftfront::frontends::{
     ConnectionAction, Frontend, FrontendAction, QueryClasses, ResponseWriter,
 };
-use driftfront_core::{EngineId, ParsedRequest, RequestFate, ResponseChunk};
+use driftfront_core::{EngineId, ParsedRequest, ResponseChunk, SettledOutcome};
 use driftfront_http::{HttpError, Request};
 use driftfront_test_support::assert_golden;
 use driftfront_test_support::message_transcript::MessageTranscript;
@@ -43,20 +43,20 @@
     format!(
         "call {} class {} work {:?} memory {:?} tables {} key {:?} tenant {:?} token {:?} budget {}\n\
          about {:?}\nstatement {}\npin {:?} lost {:?} once {} ticket {}\n",
-        ask.call,
+        ask.name,
         ask.class,
         ask.work,
         ask.memory_mb,
-        ask.tables,
-        ask.key,
+        ask.table_group,
+        ask.ordering_key,
         ask.tenant,
-        ask.token,
-        ask.budget,
-        ask.about,
+        ask.idempotency_key,
+        ask.client_timeout,
+        ask.parameters,
         ask.statement.escape_ascii(),
-        ask.pin.map(|p| (p.engine.0, p.only)),
-        ask.lost,
-        ask.once,
+        ask.sticky_session.map(|p| (p.engine.0, p.is_exclusive)),
+        ask.session_lost_error,
+        ask.is_body_streamed,
         ask.ticket
     )
 }
@@ -102,12 +102,12 @@
 
 fn piece(about: &[(&str, &str)], rows: &str, whole: bool) -> ResponseChunk {
     ResponseChunk {
-        about: about
+        headers: about
             .iter()
             .map(|h| (h.0.to_string(), h.1.to_string()))
             .collect(),
         rows: rows.into(),
-        whole,
+        is_whole: whole,
     }
 }
 
@@ -389,7 +389,7 @@
     };
     record(&mut wire, "upload", &mut front, upload);
     let twin = ParsedRequest {
-        call: "q-1".into(),
+        name: "q-1".into(),
         ticket: 1,
         ..ParsedRequest::default()
     };
@@ -397,7 +397,7 @@
         "twin",
         front.duplicate_id_response(0, &twin).expect("it is told"),
     );
-    front.settle_request(0, 5, RequestFate::Ran(EngineId(4), true));
+    front.settle_request(0, 5, SettledOutcome::Ran(EngineId(4), true));
     let bound = request("POST", "/?query_id=q-8&session_id=s", &[], "SELECT 1");
     record(
         &mut wire,
--- a/crates/coordinator/tests/golden_operators/commands.rs
+++ b/crates/coordinator/tests/golden_operators/commands.rs
@@ -268,12 +268,12 @@
         c.connect_timeout,
         c.engine_idle_timeout,
         c.max_streams_per_connection,
-        l.open,
+        l.max_open_requests,
         l.probe_timeout,
         l.answer_margin,
-        l.tells_each,
-        l.tokens,
-        l.doubts
+        l.engines_report_attempts,
+        l.max_idempotency_keys,
+        l.max_unknown_outcomes
     );
     text += &format!(
         "control {:?} {:?}\nmanagement {:?}\nstate {:?}\n",
--- a/crates/coordinator/tests/golden_operators/files.rs
+++ b/crates/coordinator/tests/golden_operators/files.rs
@@ -8,7 +8,7 @@
 use driftfront_engine_registry::record::StateRecord;
 use driftfront_engine_registry::rolling_restart::RollingRestart;
 use driftfront_engine_registry::{ActiveOrder, EngineDescription, Order};
-use driftfront_scheduler::interface::Phase;
+use driftfront_scheduler::Phase;
 use driftfront_test_support::{assert_golden, read_golden};
 use std::os::unix::fs::PermissionsExt;
 use std::path::Path;
--- a/crates/coordinator/tests/wires.rs
+++ b/crates/coordinator/tests/wires.rs
@@ -155,7 +155,7 @@
             match *step {
                 Step::AttemptRequest(id) if !model.contains_key(&id) => {
                     let ask = ask(&call(id));
-                    assert!(lines.can_start(&ask.call));
+                    assert!(lines.can_start(&ask.name));
                     assert!(earlier(id).is_none_or(|call| !lines.can_start(&call)));
                     lines.start_attempt(
                         &AttemptRequest {
@@ -166,7 +166,7 @@
                     );
                     assert_eq!(
                         String::from_utf8_lossy(&out),
-                        format!("REQ {} kind=k,ms=1500 1\r\nx\r\n", ask.call)
+                        format!("REQ {} kind=k,ms=1500 1\r\nx\r\n", ask.name)
                     );
                     model.insert(id, 0);
                 }
@@ -191,9 +191,9 @@
                     if come == 2 {
                         let rows = b"0\ta\tb\n1\ta\tb\n2\ta\tb\n".to_vec();
                         let piece = driftfront_core::ResponseChunk {
-                            about: Vec::new(),
+                            headers: Vec::new(),
                             rows,
-                            whole: true,
+                            is_whole: true,
                         };
                         want.extend([
                             EngineEvent::ResponseChunk(key(id), piece),
@@ -369,7 +369,7 @@
         key,
         request: ask,
         class: "k",
-        name: &ask.call,
+        name: &ask.name,
         timeout: 1000,
         grant_mb: 0.0,
         progress_interval: None,
@@ -383,7 +383,7 @@
 
 fn ask(call: &str) -> ParsedRequest {
     ParsedRequest {
-        call: call.into(),
+        name: call.into(),
         statement: Rc::from(*b"x"),
         ..ParsedRequest::default()
     }
--- a/crates/core/src/accept.rs
+++ b/crates/core/src/accept.rs
@@ -38,7 +38,7 @@
     /// A request that is not settled, for its backend.
     pub fn accepted(&self, id: RequestId) -> Option<Accepted<'_>> {
         self.requests.get(&id).map(|request| Accepted {
-            ask: &request.parsed,
+            request: &request.parsed,
             deadline: request.deadline,
         })
     }
--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -18,18 +18,21 @@
         let Some(request) = self.requests.get(&id) else {
             return;
         };
-        let (class, key) = (request.parsed.class, request.parsed.token.as_ref());
+        let (class, key) = (
+            request.parsed.class,
+            request.parsed.idempotency_key.as_ref(),
+        );
         let has_no_room_for_key = self.idempotency_keys.is_full(now, class, key);
         self.counters.idempotency_keys_refused += u64::from(has_no_room_for_key);
         if has_no_room_for_key
             || self.is_shutting_down
-            || self.open_count > self.limits.open
+            || self.open_count > self.limits.max_open_requests
             || usize::from(class) >= self.class_idempotency.len()
         {
             return self.reject(id, LIMIT_RETRY_AFTER);
         }
         // Two open under one name can't be told apart by what engines answer: the later one gets none of it.
-        if self.open_names.contains_key(&request.parsed.call) {
+        if self.open_names.contains_key(&request.parsed.name) {
             return self.fail(id);
         }
         let known_until = self.idempotency_keys.known_until(class, key);
@@ -40,10 +43,10 @@
         }
         self.idempotency_keys
             .record_request(class, key, request.deadline);
-        self.open_names.insert(request.parsed.call.clone(), id);
+        self.open_names.insert(request.parsed.name.clone(), id);
         let query = query_of(id, &request.parsed, known_until);
         let has_unknown_tenant = self.has_tenants && request.parsed.tenant.is_none();
-        let lacks_key = !query.token && self.idempotency_keys.is_keyed(class);
+        let lacks_key = !query.has_idempotency_key && self.idempotency_keys.is_keyed(class);
         self.counters.tenants_unknown += u64::from(has_unknown_tenant);
         self.counters.idempotency_keys_missing += u64::from(lacks_key);
         // The scheduler answers in time by itself; this guards the promise should it ever not.
@@ -61,11 +64,11 @@
         tenant: parsed.tenant.unwrap_or(u32::MAX),
         work: parsed.work,
         memory_mb: parsed.memory_mb,
-        tables: parsed.tables,
-        key: parsed.key,
-        token: parsed.token.is_some(),
+        table_group: parsed.table_group,
+        ordering_key: parsed.ordering_key,
+        has_idempotency_key: parsed.idempotency_key.is_some(),
         idempotent_until: known_until,
-        pin: parsed.pin,
-        budget: parsed.budget,
+        sticky_session: parsed.sticky_session,
+        client_timeout: parsed.client_timeout,
     }
 }
--- a/crates/core/src/attempt.rs
+++ b/crates/core/src/attempt.rs
@@ -142,11 +142,11 @@
 #[derive(Debug)]
 pub struct RetryContext<'a> {
     /// The client's name for the request.
-    pub call: &'a str,
+    pub name: &'a str,
     /// The engine of the attempt before it.
     pub failed_on: EngineId,
     /// Why that one ended.
-    pub after: &'a AttemptError,
+    pub error: &'a AttemptError,
 }
 
 /// An attempt of a request that is not settled.
--- a/crates/core/src/attempt_end.rs
+++ b/crates/core/src/attempt_end.rs
@@ -117,7 +117,7 @@
             self.record_unknown_outcome(now, key, engine);
         }
         let request = self.requests.get(&key.request);
-        let token = request.and_then(|r| r.parsed.token.as_ref());
+        let token = request.and_then(|r| r.parsed.idempotency_key.as_ref());
         if let Some(token) = token.filter(|_| outcome.never_ran()) {
             self.idempotency_keys.forget_write(token, key);
         }
--- a/crates/core/src/command.rs
+++ b/crates/core/src/command.rs
@@ -1,6 +1,6 @@
 //! Commands: what a host is to do for the core.
 
-use crate::request::{AttemptKey, RequestFate, RequestId, ResponseChunk};
+use crate::request::{AttemptKey, RequestId, ResponseChunk, SettledOutcome};
 use driftfront_scheduler::{EngineId, Micros};
 use std::rc::Rc;
 
@@ -24,7 +24,7 @@
     /// Final answer: a response that has begun cannot be finished; the client must see that.
     Abort(RequestId, Option<Rc<str>>),
     /// Nothing of the request under this ticket of the frontend's is in flight any more.
-    Settled(u64, RequestFate),
+    Settled(u64, SettledOutcome),
     /// The engine is gone: its idle connections may close.
     ForgetEngine(EngineId),
     /// A line for the operators' log.
--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -40,9 +40,9 @@
         let request = self.requests.get(&key.request).filter(|_| key.number > 0)?;
         let (failed_on, after) = request.last_failure.as_ref()?;
         Some(RetryContext {
-            call: &request.parsed.call,
+            name: &request.parsed.name,
             failed_on: *failed_on,
-            after,
+            error: after,
         })
     }
 
@@ -53,7 +53,7 @@
         let (engine, remaining) = (attempt.engine, attempt.timeout_at.saturating_sub(now));
         let is_ready = self.engine_phases.get(&engine) == Some(&Phase::Ready);
         let request = self.requests.get(&key.request)?;
-        let (class, token) = (request.parsed.class, request.parsed.token.clone());
+        let (class, token) = (request.parsed.class, request.parsed.idempotency_key.clone());
         let deadline = request.deadline;
         let known_until = self.idempotency_keys.known_until(class, token.as_ref());
         let may_go = is_ready
--- a/crates/core/src/engine_list.rs
+++ b/crates/core/src/engine_list.rs
@@ -45,14 +45,17 @@
         let stranded: Vec<RequestId> = stranded.map(|(id, _)| *id).collect();
         for id in stranded {
             let request = self.requests.get(&id);
-            let error_text = request.and_then(|r| r.parsed.lost.clone());
+            let error_text = request.and_then(|r| r.parsed.session_lost_error.clone());
             self.fail_with(id, error_text);
             self.notify_scheduler(now, Event::ClientLeft(id.query()));
         }
     }
 
     fn is_stranded(&self, request: &Request) -> bool {
-        let only_engine = request.parsed.pin.filter(|session| session.only);
+        let only_engine = request
+            .parsed
+            .sticky_session
+            .filter(|session| session.is_exclusive);
         let takes_nothing =
             |engine: EngineId| self.engine_phases.get(&engine) != Some(&Phase::Ready);
         !request.is_closed
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -34,7 +34,7 @@
 pub use driftfront_scheduler::{
     EngineId, ListKind, ListedEngine, Micros, Outcome, Phase, ProgressReport, StickySession,
 };
-pub use request::{Accepted, AttemptKey, ParsedRequest, RequestFate, RequestId, ResponseChunk};
+pub use request::{Accepted, AttemptKey, ParsedRequest, RequestId, ResponseChunk, SettledOutcome};
 pub use running::RunningQuery;
 
 use crate::idempotency::IdempotencyKeys;
@@ -59,17 +59,17 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     /// Requests open at once; more are rejected.
-    pub open: usize,
+    pub max_open_requests: usize,
     /// A probe not answered by then has failed.
     pub probe_timeout: Micros,
     /// A final answer leaves at least this long before the client gives up.
     pub answer_margin: Micros,
     /// Attempts of unknown outcome that are remembered by name, so that they can be found and killed; 0 for none.
-    pub doubts: usize,
+    pub max_unknown_outcomes: usize,
     /// Idempotency keys that are remembered; requests with new ones are rejected beyond that.
-    pub tokens: usize,
+    pub max_idempotency_keys: usize,
     /// Engines report on each attempt by itself, as often as the settings say: one that nothing is reported of is lost.
-    pub tells_each: bool,
+    pub engines_report_attempts: bool,
 }
 
 /// The coordinator without its sockets.
@@ -112,9 +112,9 @@
             has_tenants: !settings.tenants.is_empty(),
             max_retry_after: settings.retry_after,
             is_shutting_down: false,
-            lost_attempts: LostAttemptDetector::new(&settings, limits.tells_each),
-            idempotency_keys: IdempotencyKeys::new(&settings, limits.tokens),
-            unknown_outcomes: UnknownOutcomes::new(limits.doubts),
+            lost_attempts: LostAttemptDetector::new(&settings, limits.engines_report_attempts),
+            idempotency_keys: IdempotencyKeys::new(&settings, limits.max_idempotency_keys),
+            unknown_outcomes: UnknownOutcomes::new(limits.max_unknown_outcomes),
             controller: Controller::new(settings, seed).awaiting_first_bytes(),
             limits,
             requests: BTreeMap::new(),
--- a/crates/core/src/lifecycle.rs
+++ b/crates/core/src/lifecycle.rs
@@ -62,7 +62,7 @@
 
 impl State {
     /// Its name, as operators see it.
-    pub fn word(self) -> &'static str {
+    pub fn name(self) -> &'static str {
         match self {
             State::Starting => "starting",
             State::Ready => "ready",
@@ -132,22 +132,22 @@
     }
 
     /// Records that the list of engines is known and what an earlier process knew is taken over. True if that is news.
-    pub fn begin(&mut self) -> bool {
+    pub fn record_ready(&mut self) -> bool {
         !std::mem::replace(&mut self.has_begun, true)
     }
 
     /// Whether it has ever been ready.
-    pub fn has_begun(&self) -> bool {
+    pub fn has_been_ready(&self) -> bool {
         self.has_begun
     }
 
     /// Whether it takes the place of an earlier process.
-    pub fn succeeds(&self) -> bool {
+    pub fn replaces_earlier(&self) -> bool {
         self.replaces_earlier
     }
 
     /// Whether a later process serves.
-    pub fn is_succeeded(&self) -> bool {
+    pub fn has_successor(&self) -> bool {
         self.successor_at.is_some()
     }
 
@@ -171,7 +171,7 @@
     }
 
     /// Records whether a successor is ready, at each check. True if that has changed.
-    pub fn succeeded(&mut self, now: Micros, by_one: bool) -> bool {
+    pub fn record_successor(&mut self, now: Micros, by_one: bool) -> bool {
         if by_one == self.successor_at.is_some() {
             return false;
         }
@@ -181,12 +181,12 @@
     }
 
     /// Records that a signal asks for the end.
-    pub fn end(&mut self, now: Micros) {
+    pub fn begin_ending(&mut self, now: Micros) {
         self.ending_at.get_or_insert(now);
     }
 
     /// Records how many connections clients have, at each check. True if the last of them has left a paused process.
-    pub fn look(&mut self, clients: usize) -> bool {
+    pub fn record_clients(&mut self, clients: usize) -> bool {
         let is_news = self.paused_at.is_some() && clients == 0 && !self.is_empty;
         self.is_empty |= is_news;
         is_news
@@ -207,30 +207,30 @@
     /// Whether new connections are accepted from the backlog. A successor that is not ready yet leaves them to the earlier
     /// process, and that one leaves them to its successor: the backlog is the same. A drained process still accepts what
     /// comes: it is asked here whether it is ready, and who comes all the same is served.
-    pub fn accepts(&self) -> bool {
+    pub fn accepts_connections(&self) -> bool {
         self.replaced_at().is_none() && (self.has_begun || !self.replaces_earlier)
     }
 
     /// Whether the listening socket stays open. Once nothing more is accepted, who connects is better told by the system
     /// that nobody is here.
-    pub fn listens(&self, now: Micros) -> bool {
+    pub fn is_listening(&self, now: Micros) -> bool {
         let is_early = |at| now < at + LISTEN_TIME_AFTER_SIGNAL;
         self.grace_ends_at().is_none() || self.ending_at.is_some_and(is_early)
     }
 
     /// Whether a request that is read now is accepted; else it is rejected at once.
-    pub fn takes(&self, now: Micros) -> bool {
+    pub fn accepts_requests(&self, now: Micros) -> bool {
         self.grace_ends_at().is_none_or(|at| now < at)
     }
 
     /// Whether each answer tells its client that the connection closes.
-    pub fn sends_away(&self, now: Micros) -> bool {
-        self.replaced_at().is_some() || self.paused_at.is_some() || !self.takes(now)
+    pub fn closes_connections(&self, now: Micros) -> bool {
+        self.replaced_at().is_some() || self.paused_at.is_some() || !self.accepts_requests(now)
     }
 
     /// Whether a connection may stay on which nothing was open for this long.
-    pub fn keeps_alive(&self, now: Micros, idle: Micros) -> bool {
-        if !self.takes(now) {
+    pub fn may_keep_alive(&self, now: Micros, idle: Micros) -> bool {
+        if !self.accepts_requests(now) {
             return false;
         }
         let Some(since) = self.replaced_at().into_iter().chain(self.paused_at).min() else {
@@ -241,7 +241,7 @@
     }
 
     /// Whether the process may end, at each check, with so many requests and clients' connections open.
-    pub fn may_end(&mut self, now: Micros, open: usize, clients: usize, writing: bool) -> bool {
+    pub fn may_exit(&mut self, now: Micros, open: usize, clients: usize, writing: bool) -> bool {
         let Some(ending_at) = self.ending_at else {
             return false;
         };
@@ -259,7 +259,7 @@
     }
 
     /// Whether all was answered after the signal, and only connections keep the process, for a moment.
-    pub fn closes_last(&self) -> bool {
+    pub fn is_closing_last_connections(&self) -> bool {
         self.answered_at.is_some()
     }
 
--- a/crates/core/src/lost_attempts.rs
+++ b/crates/core/src/lost_attempts.rs
@@ -121,7 +121,7 @@
     fn may_run_again(&self, request: &Request) -> bool {
         match self.idempotency(request.parsed.class) {
             Some(Idempotency::Idempotent) => true,
-            Some(Idempotency::WithKey) => request.parsed.token.is_some(),
+            Some(Idempotency::WithKey) => request.parsed.idempotency_key.is_some(),
             Some(Idempotency::NotIdempotent) | None => false,
         }
     }
--- a/crates/core/src/request.rs
+++ b/crates/core/src/request.rs
@@ -22,7 +22,7 @@
 #[derive(Clone)]
 pub struct ParsedRequest {
     /// The client's own name for it, passed on to engines.
-    pub call: Rc<str>,
+    pub name: Rc<str>,
     /// The class, by index in the settings.
     pub class: u16,
     /// Estimated work in µs on one core.
@@ -30,27 +30,27 @@
     /// Estimated memory, MB.
     pub memory_mb: Option<f64>,
     /// Table group of the statement; 0 if it names none.
-    pub tables: u32,
+    pub table_group: u32,
     /// Its ordering key.
-    pub key: Option<u64>,
+    pub ordering_key: Option<u64>,
     /// Its tenant, by index in the settings; `None` for one that they don't name.
     pub tenant: Option<u32>,
     /// The client's idempotency key, by which engines drop repeats, passed on unchanged: the same for all retries of one
     /// request.
-    pub token: Option<Rc<str>>,
+    pub idempotency_key: Option<Rc<str>>,
     /// Time until the client gives up.
-    pub budget: Micros,
+    pub client_timeout: Micros,
     /// Names and values that go with the statement, passed on unchanged.
-    pub about: Rc<[(String, String)]>,
+    pub parameters: Rc<[(String, String)]>,
     /// The statement, passed on unchanged; its beginning where `once` says so.
     pub statement: Rc<[u8]>,
     /// The engine that it has to go to, or should.
-    pub pin: Option<StickySession>,
+    pub sticky_session: Option<StickySession>,
     /// What a client is told whose request could only go to an engine that drains or is gone.
-    pub lost: Option<Rc<str>>,
+    pub session_lost_error: Option<Rc<str>>,
     /// The rest of the statement is forwarded as it comes and not retained: once some of that is out, there is no further
     /// attempt, and what an engine has of it may have run.
-    pub once: bool,
+    pub is_body_streamed: bool,
     /// The frontend's number for it, told again once it is settled; 0 where the frontend needs no notice.
     pub ticket: u64,
 }
@@ -62,7 +62,7 @@
         write!(
             f,
             "ParsedRequest({}, class {}, {size} bytes, budget {} µs)",
-            self.call, self.class, self.budget
+            self.name, self.class, self.client_timeout
         )
     }
 }
@@ -71,20 +71,20 @@
     /// An empty statement of the first class, with no time at all.
     fn default() -> ParsedRequest {
         ParsedRequest {
-            call: "".into(),
+            name: "".into(),
             class: 0,
             work: None,
             memory_mb: None,
-            tables: 0,
-            key: None,
+            table_group: 0,
+            ordering_key: None,
             tenant: None,
-            token: None,
-            budget: 0,
-            about: Rc::new([]),
+            idempotency_key: None,
+            client_timeout: 0,
+            parameters: Rc::new([]),
             statement: Rc::new([]),
-            pin: None,
-            lost: None,
-            once: false,
+            sticky_session: None,
+            session_lost_error: None,
+            is_body_streamed: false,
             ticket: 0,
         }
     }
@@ -94,24 +94,24 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ResponseChunk {
     /// Names and values that describe the response; with its first chunk only.
-    pub about: Vec<(String, String)>,
+    pub headers: Vec<(String, String)>,
     /// Rows in the engine's form.
     pub rows: Vec<u8>,
     /// It is all of the response.
-    pub whole: bool,
+    pub is_whole: bool,
 }
 
 /// What a backend needs of a request to send it.
 pub struct Accepted<'a> {
     /// The request as it was accepted.
-    pub ask: &'a ParsedRequest,
+    pub request: &'a ParsedRequest,
     /// When its client gives up.
     pub deadline: Micros,
 }
 
 /// What became of a request that is settled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RequestFate {
+pub enum SettledOutcome {
     /// It never ran on any engine.
     NeverRan,
     /// It ran there to its end; `true`: it was served.
@@ -146,7 +146,7 @@
     /// A request that is accepted now.
     pub(crate) fn new(parsed: ParsedRequest, now: Micros) -> Request {
         Request {
-            deadline: now.saturating_add(parsed.budget),
+            deadline: now.saturating_add(parsed.client_timeout),
             parsed,
             is_closed: false,
             forwarded_attempt: None,
@@ -161,7 +161,7 @@
 
     /// When it came.
     pub(crate) fn arrived_at(&self) -> Micros {
-        self.deadline.saturating_sub(self.parsed.budget)
+        self.deadline.saturating_sub(self.parsed.client_timeout)
     }
 
     /// The attempt that is in flight, with its number; there is one at most.
@@ -182,12 +182,12 @@
     }
 
     /// What became of it, by the last attempt that may have run.
-    pub(crate) fn fate(&self) -> RequestFate {
+    pub(crate) fn fate(&self) -> SettledOutcome {
         let may_have_run = |a: &&Attempt| a.outcome.is_some_and(|o| !o.never_ran());
         match self.attempts.iter().rev().find(may_have_run) {
-            None => RequestFate::NeverRan,
-            Some(a) if a.may_still_run() => RequestFate::Unknown(a.engine),
-            Some(a) => RequestFate::Ran(a.engine, a.outcome == Some(Outcome::Ok)),
+            None => SettledOutcome::NeverRan,
+            Some(a) if a.may_still_run() => SettledOutcome::Unknown(a.engine),
+            Some(a) => SettledOutcome::Ran(a.engine, a.outcome == Some(Outcome::Ok)),
         }
     }
 }
--- a/crates/core/src/response.rs
+++ b/crates/core/src/response.rs
@@ -132,8 +132,8 @@
         };
         request.is_closed = true;
         self.open_count -= 1;
-        if self.open_names.get(&request.parsed.call) == Some(&id) {
-            self.open_names.remove(&request.parsed.call);
+        if self.open_names.get(&request.parsed.name) == Some(&id) {
+            self.open_names.remove(&request.parsed.name);
         }
         true
     }
--- a/crates/core/src/running.rs
+++ b/crates/core/src/running.rs
@@ -19,7 +19,7 @@
     /// Its name there.
     pub name: String,
     /// Its response is still awaited.
-    pub awaited: bool,
+    pub is_awaited: bool,
 }
 
 /// An attempt that has ended, but may still run.
@@ -72,7 +72,7 @@
         of_name.map(|a| RunningQuery {
             engine: a.engine,
             name: a.name.clone(),
-            awaited: false,
+            is_awaited: false,
         })
     }
 }
@@ -86,9 +86,9 @@
         let mut earlier = request.attempts.iter().take(usize::from(key.number));
         let may_run = |a: &Attempt| a.outcome.is_none_or(|o| !o.never_ran());
         if earlier.any(may_run) {
-            Cow::Owned(format!("{}~{}", request.parsed.call, key.number))
+            Cow::Owned(format!("{}~{}", request.parsed.name, key.number))
         } else {
-            Cow::Borrowed(&request.parsed.call)
+            Cow::Borrowed(&request.parsed.name)
         }
     }
 
@@ -100,7 +100,7 @@
     /// Where queries of this name run, or may.
     pub fn running_queries(&self, now: Micros, name: &str) -> Vec<RunningQuery> {
         // All requests are looked at: those whose client has left have no name any more.
-        let named = |(_, r): &(&RequestId, &Request)| &*r.parsed.call == name;
+        let named = |(_, r): &(&RequestId, &Request)| &*r.parsed.name == name;
         let in_flight = |(&id, request): (&RequestId, &Request)| {
             let (number, attempt) = request.in_flight()?;
             let key = AttemptKey {
@@ -110,7 +110,7 @@
             Some(RunningQuery {
                 engine: attempt.engine,
                 name: self.name_on_engine(key).into_owned(),
-                awaited: !request.is_closed,
+                is_awaited: !request.is_closed,
             })
         };
         let known = self.requests.iter().filter(named).filter_map(in_flight);
@@ -132,7 +132,7 @@
         let open = self.requests.values().filter(|r| !r.is_closed);
         open.map(|request| {
             let engine = request.in_flight().map(|(_, attempt)| attempt.engine);
-            let (name, class) = (&*request.parsed.call, request.parsed.class);
+            let (name, class) = (&*request.parsed.name, request.parsed.class);
             (name, class, engine, request.arrived_at())
         })
     }
@@ -179,7 +179,7 @@
         key: AttemptKey,
         engine: EngineId,
     ) {
-        if self.limits.doubts == 0 {
+        if self.limits.max_unknown_outcomes == 0 {
             return;
         }
         let Some(request) = self.requests.get(&key.request) else {
@@ -187,7 +187,7 @@
         };
         let client_gone_at = request.deadline.max(now);
         let attempt = UnknownOutcome {
-            client_name: request.parsed.call.clone(),
+            client_name: request.parsed.name.clone(),
             name: self.name_on_engine(key).into_owned(),
             engine,
             forget_at: client_gone_at.saturating_add(UNKNOWN_OUTCOME_TIME),
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -11,12 +11,12 @@
 pub(crate) const LOAD: u16 = 2;
 
 pub(crate) const LIMITS: Limits = Limits {
-    open: 40,
+    max_open_requests: 40,
     probe_timeout: 300_000,
     answer_margin: 3_000,
-    doubts: 0,
-    tokens: 64,
-    tells_each: true,
+    max_unknown_outcomes: 0,
+    max_idempotency_keys: 64,
+    engines_report_attempts: true,
 };
 
 /// The example's settings, with another text in places.
--- a/crates/core/tests/golden.rs
+++ b/crates/core/tests/golden.rs
@@ -11,8 +11,8 @@
 use driftfront_core::lifecycle::{Lifecycle, State};
 use driftfront_core::{
     AttemptError, AttemptKey, AttemptReport, Cause, Command, Core, EngineId, Limits, ListKind,
-    ListedEngine, Micros, Outcome, ParsedRequest, Phase, Progress, ProgressReport, RequestFate,
-    RequestId, ResponseChunk, StickySession,
+    ListedEngine, Micros, Outcome, ParsedRequest, Phase, Progress, ProgressReport, RequestId,
+    ResponseChunk, SettledOutcome, StickySession,
 };
 use driftfront_test_support::assert_golden;
 use driftfront_test_support::transcript::{Dice, Transcript};
@@ -26,11 +26,11 @@
     error_text.as_ref().map_or("-".into(), |w| format!("{w:?}"))
 }
 
-fn describe_fate(fate: RequestFate) -> String {
+fn describe_fate(fate: SettledOutcome) -> String {
     match fate {
-        RequestFate::NeverRan => "never ran".into(),
-        RequestFate::Ran(engine, served) => format!("ran on {}, served {served}", engine.0),
-        RequestFate::Unknown(engine) => format!("unknown on {}", engine.0),
+        SettledOutcome::NeverRan => "never ran".into(),
+        SettledOutcome::Ran(engine, served) => format!("ran on {}, served {served}", engine.0),
+        SettledOutcome::Unknown(engine) => format!("unknown on {}", engine.0),
     }
 }
 
@@ -58,9 +58,9 @@
             format!(
                 "{} {:?} {} bytes, last {}",
                 id.0,
-                piece.about,
+                piece.headers,
                 piece.rows.len(),
-                piece.whole
+                piece.is_whole
             ),
         ),
         Command::Finish(id) => ("finish", id.0.to_string()),
@@ -154,34 +154,34 @@
         };
         let pinned = dice.below(12);
         let parsed = ParsedRequest {
-            call: format!("q{name}").as_str().into(),
+            name: format!("q{name}").as_str().into(),
             class: [LOOKUP, LOOKUP, 1, LOAD, 9]
                 [dice.below(4) as usize + usize::from(dice.chance(1))],
             work: dice.chance(50).then(|| dice.between(1e4, 4e5)),
             memory_mb: dice.chance(50).then(|| dice.between(10.0, 500.0)),
-            tables: dice.below(4) as u32,
-            key: dice.chance(60).then(|| dice.below(3)),
+            table_group: dice.below(4) as u32,
+            ordering_key: dice.chance(60).then(|| dice.below(3)),
             tenant: None,
-            token: dice.chance(70).then(|| {
+            idempotency_key: dice.chance(70).then(|| {
                 format!("t{}", dice.below(self.names / 2 + 1))
                     .as_str()
                     .into()
             }),
-            budget: if dice.chance(3) {
+            client_timeout: if dice.chance(3) {
                 dice.below(30 * MS)
             } else {
                 S + dice.below(5 * S)
             },
-            about: Rc::new([]),
+            parameters: Rc::new([]),
             statement: Rc::from(*b"select 1"),
-            pin: (pinned < 2).then(|| StickySession {
+            sticky_session: (pinned < 2).then(|| StickySession {
                 engine: EngineId(dice.below(ENGINES)),
-                only: pinned == 0,
+                is_exclusive: pinned == 0,
             }),
-            lost: dice
+            session_lost_error: dice
                 .chance(50)
                 .then(|| "Code: 1. DB::Exception: session lost".into()),
-            once: dice.chance(10),
+            is_body_streamed: dice.chance(10),
             ticket: if dice.chance(80) { self.names } else { 0 },
         };
         let class = parsed.class;
@@ -235,8 +235,14 @@
             let about = vec![("x".to_string(), "y".to_string())];
             let rows = b"1\n".to_vec();
             let whole = self.dice.chance(50);
-            self.core
-                .forward_chunk(key, ResponseChunk { about, rows, whole });
+            self.core.forward_chunk(
+                key,
+                ResponseChunk {
+                    headers: about,
+                    rows,
+                    is_whole: whole,
+                },
+            );
         }
         if self.dice.chance(70) {
             let report = AttemptReport {
@@ -317,7 +323,7 @@
         let name = format!("q{}", 1 + self.dice.below(self.names.max(1)));
         let mut line = format!("{} runs of {name}:", self.now);
         for run in self.core.running_queries(self.now, &name) {
-            let _ = write!(line, " {} {} {}", run.engine.0, run.name, run.awaited);
+            let _ = write!(line, " {} {} {}", run.engine.0, run.name, run.is_awaited);
         }
         self.transcript.line("runs", &line);
     }
@@ -400,7 +406,7 @@
 #[test]
 fn commands_and_counters_of_the_example_s_settings() {
     let limits = Limits {
-        doubts: 4,
+        max_unknown_outcomes: 4,
         ..LIMITS
     };
     let run = World::new(str::to_string, limits, 11).run(20_000);
@@ -421,8 +427,8 @@
         )
     };
     let limits = Limits {
-        doubts: 8,
-        tokens: 12,
+        max_unknown_outcomes: 8,
+        max_idempotency_keys: 12,
         ..LIMITS
     };
     let run = World::new(edit, limits, 12).run(20_000);
@@ -483,42 +489,42 @@
         State::HandingOver,
         State::Ending,
     ] {
-        let _ = writeln!(text, "state {}", state.word());
+        let _ = writeln!(text, "state {}", state.name());
     }
     for n in 0..8 {
         let (succeeds, held, killed) = (n & 1 > 0, n & 2 > 0, n & 4 > 0);
         let mut life = Lifecycle::new(succeeds, held, 25 * S, killed);
         let mut show = |what: &str, life: &mut Lifecycle, now: Micros| {
-            let idle = [0, 299 * MS, 300 * MS, 5 * S].map(|idle| life.keeps_alive(now, idle));
+            let idle = [0, 299 * MS, 300 * MS, 5 * S].map(|idle| life.may_keep_alive(now, idle));
             let ends = [(0, 0), (0, 1), (1, 1)]
-                .map(|(open, clients)| life.may_end(now, open, clients, false));
+                .map(|(open, clients)| life.may_exit(now, open, clients, false));
             let _ = writeln!(
                 text,
                 "{n} {what} {now}: {} accepts {} listens {} takes {} sends away {} keeps {idle:?} ends {ends:?} by {:?}",
-                life.state().word(),
-                life.accepts(),
-                life.listens(now),
-                life.takes(now),
-                life.sends_away(now),
+                life.state().name(),
+                life.accepts_connections(),
+                life.is_listening(now),
+                life.accepts_requests(now),
+                life.closes_connections(now),
                 life.shutdown_deadline(),
             );
         };
         show("new", &mut life, S);
-        life.begin();
+        life.record_ready();
         show("begun", &mut life, S);
         life.pause(2 * S);
         for after in [0, 299 * MS, 300 * MS, 1_499 * MS, 1_500 * MS, 3 * S] {
             show("paused", &mut life, 2 * S + after);
         }
-        life.look(0);
+        life.record_clients(0);
         show("empty", &mut life, 6 * S);
         life.resume();
         show("resumed", &mut life, 7 * S);
-        life.succeeded(8 * S, true);
+        life.record_successor(8 * S, true);
         show("succeeded", &mut life, 8 * S);
-        life.succeeded(9 * S, false);
+        life.record_successor(9 * S, false);
         show("alone again", &mut life, 9 * S);
-        life.end(10 * S);
+        life.begin_ending(10 * S);
         for after in [
             0,
             699 * MS,
--- a/crates/core/tests/idempotency.rs
+++ b/crates/core/tests/idempotency.rs
@@ -80,12 +80,12 @@
     fn send_request(&mut self, class: u16, token: Option<&str>) -> (RequestId, StepOutcome) {
         self.last_name += 1;
         let parsed = ParsedRequest {
-            call: format!("c{}", self.last_name).into(),
+            name: format!("c{}", self.last_name).into(),
             class,
-            budget: 20 * S,
+            client_timeout: 20 * S,
             work: Some(if class == LOAD { 8e6 } else { 100_000.0 }),
             memory_mb: Some(96.0),
-            token: token.map(Rc::from),
+            idempotency_key: token.map(Rc::from),
             statement: Rc::from(*b"x"),
             ..ParsedRequest::default()
         };
@@ -200,7 +200,7 @@
     let mut harness = CoreHarness::limited(
         1,
         Limits {
-            tokens: 2,
+            max_idempotency_keys: 2,
             ..LIMITS
         },
     );
--- a/crates/core/tests/lost_attempts.rs
+++ b/crates/core/tests/lost_attempts.rs
@@ -19,7 +19,7 @@
         let mut settings = common::settings(str::to_string);
         settings.progress_interval = Some(S);
         let limits = Limits {
-            tells_each,
+            engines_report_attempts: tells_each,
             ..LIMITS
         };
         let mut harness = CoreHarness {
@@ -56,9 +56,9 @@
         self.last_name += 1;
         let call = format!("c{}", self.last_name);
         let parsed = ParsedRequest {
-            call: call.as_str().into(),
+            name: call.as_str().into(),
             class,
-            budget: 20 * S,
+            client_timeout: 20 * S,
             statement: Rc::from(*b"x"),
             ..ParsedRequest::default()
         };
--- a/crates/core/tests/model.rs
+++ b/crates/core/tests/model.rs
@@ -11,7 +11,7 @@
 use common::{core, listed, settings, LIMITS, LOAD, LOOKUP};
 use driftfront_core::{
     AttemptKey, Cause, Command, Core, EngineId, Limits, ListKind, ListedEngine, Micros,
-    ParsedRequest, Phase, Progress, RequestFate, RequestId, ResponseChunk, StickySession,
+    ParsedRequest, Phase, Progress, RequestId, ResponseChunk, SettledOutcome, StickySession,
 };
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use std::collections::BTreeMap;
@@ -146,7 +146,7 @@
             core: core(
                 settings(str::to_string),
                 Limits {
-                    doubts: 8,
+                    max_unknown_outcomes: 8,
                     ..LIMITS
                 },
             ),
@@ -221,17 +221,17 @@
         let engine = EngineId(u64::from(pin) % ENGINES);
         let pin = (pin > 150).then_some(StickySession {
             engine,
-            only: pin > 200,
+            is_exclusive: pin > 200,
         });
         let parsed = ParsedRequest {
-            call: name.as_str().into(),
+            name: name.as_str().into(),
             class,
-            tables: 1,
-            key: load.then_some(u64::from(key) + 1),
-            budget,
+            table_group: 1,
+            ordering_key: load.then_some(u64::from(key) + 1),
+            client_timeout: budget,
             statement: Rc::from(*b"x"),
-            pin,
-            once,
+            sticky_session: pin,
+            is_body_streamed: once,
             ticket: order as u64 + 1,
             ..ParsedRequest::default()
         };
@@ -247,7 +247,7 @@
             chunks: 0,
             ran: false,
             sends: 0,
-            only: pin.filter(|p| p.only).map(|p| p.engine),
+            only: pin.filter(|p| p.is_exclusive).map(|p| p.engine),
             is_body_forwarded: false,
             is_cancelled: false,
             runs: 0,
@@ -301,9 +301,9 @@
             self.core.forward_chunk(
                 key,
                 ResponseChunk {
-                    about: Vec::new(),
+                    headers: Vec::new(),
                     rows: b"r".to_vec(),
-                    whole: false,
+                    is_whole: false,
                 },
             );
         }
@@ -451,7 +451,7 @@
                     let known = self.known_requests.get_mut(&id).expect("known");
                     assert!(!known.over && !out, "over twice, or with something out");
                     assert_eq!(
-                        fate == RequestFate::NeverRan,
+                        fate == SettledOutcome::NeverRan,
                         known.runs == 0,
                         "{fate:?} of {} runs",
                         known.runs
--- a/crates/scheduler/src/attempts.rs
+++ b/crates/scheduler/src/attempts.rs
@@ -36,7 +36,7 @@
     }
     engine.threads += threads;
     engine.granted_mb += attempt.memory_mb;
-    engine.last_table_group = Some(query.query.tables);
+    engine.last_table_group = Some(query.query.table_group);
     state.cluster.record_start(threads);
     query.state = QueryState::InFlight;
     (attempt.zone, attempt.cell) = (engine.zone, engine.cell);
--- a/crates/scheduler/src/candidates.rs
+++ b/crates/scheduler/src/candidates.rs
@@ -39,7 +39,7 @@
     allowed.retain(|a| a.1 == least);
     // A session's engine comes first while it is as well as any.
     let is_there = |engine: EngineId| allowed.iter().any(|a| a.0 == engine);
-    if let Some(session) = query.query.pin.filter(|s| is_there(s.engine)) {
+    if let Some(session) = query.query.sticky_session.filter(|s| is_there(s.engine)) {
         return vec![session.engine];
     }
     allowed.into_iter().map(|a| a.0).collect()
@@ -58,7 +58,10 @@
     engine.phase == Phase::Ready
         && is_named(&class.zones, engine.zone)
         && is_named(&class.kinds, engine.kind)
-        && query.query.pin.is_none_or(|s| !s.only || s.engine == id)
+        && query
+            .query
+            .sticky_session
+            .is_none_or(|s| !s.is_exclusive || s.engine == id)
         && !is_memory_exhausted(state, now, engine)
         && slow_start::has_room(state, now, query, engine)
         && may_send_to(state, now, query, engine)
@@ -79,8 +82,8 @@
     let health = &engine.health;
     let is_outlier = health.is_ejected(now) || health.is_on_probation() && is_occupied();
     let is_poor = query.avoided.contains(&id)
-        || (class.load || class.waits_for_loads)
-            && state.holds_table_group(engine, query.query.tables)
+        || (class.is_load || class.waits_for_loads)
+            && state.holds_table_group(engine, query.query.table_group)
         || state.uses_subset && health.has_rejected_lately(now)
         || state.lost_zones.is_lost(engine.zone);
     u8::from(is_outlier) * 2 + u8::from(is_poor)
@@ -108,7 +111,7 @@
         eligible.retain(is_first);
         return 0;
     }
-    let preferred = sort_preferred_first(state, now, query.query.tables, eligible);
+    let preferred = sort_preferred_first(state, now, query.query.table_group, eligible);
     // Each coordinator has a circle of its own, the same while its engines are well; large engines take more.
     let own_order = |e: &EngineId| Random(e.0 ^ state.salt).below(usize::MAX);
     eligible[preferred..].sort_by_cached_key(own_order);
--- a/crates/scheduler/src/controller.rs
+++ b/crates/scheduler/src/controller.rs
@@ -166,11 +166,11 @@
         }
         self.record_arrival(now, query);
         let margin = self.dispatcher.answer_margin();
-        if query.budget <= margin {
+        if query.client_timeout <= margin {
             return self.dispatcher.end_unserved(now, id, actions);
         }
         actions.push(Action::SetTimer {
-            after: query.budget - margin,
+            after: query.client_timeout - margin,
             token: id.0 + 1,
         });
         if let Some(key) = self.state().ordering_key(id) {
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -67,15 +67,6 @@
 };
 pub use types::{EngineId, Micros, Query, QueryId, StickySession};
 
-/// The vocabulary under its former path.
-pub mod interface {
-    pub use crate::{
-        Action, Actions, AttemptEnded, DeduplicationScope, EngineId, Event, Idempotency, ListKind,
-        ListedEngine, MachineKind, Micros, OutOfMemory, Outcome, Phase, ProgressReport, Query,
-        QueryClass, QueryId, ReportField, RetryBudget, Settings, SlowStart, StickySession, Tenant,
-    };
-}
-
 #[cfg(doctest)]
 #[doc = include_str!("../../../README.md")]
 struct ReadmeExample;
--- a/crates/scheduler/src/queries.rs
+++ b/crates/scheduler/src/queries.rs
@@ -126,7 +126,7 @@
         PendingQuery {
             query,
             arrived_at: now,
-            deadline: now.saturating_add(query.budget),
+            deadline: now.saturating_add(query.client_timeout),
             state: QueryState::Unplaced,
             attempts: Vec::new(),
             is_over_quota,
--- a/crates/scheduler/src/queue.rs
+++ b/crates/scheduler/src/queue.rs
@@ -26,7 +26,7 @@
         threads: state.class_of(query).threads,
         weight: objectives::weight(state, query),
         objective: objectives::objective(state, query),
-        table_group: query.query.tables,
+        table_group: query.query.table_group,
         planned_start: 0.0,
     }
 }
--- a/crates/scheduler/src/retry.rs
+++ b/crates/scheduler/src/retry.rs
@@ -100,7 +100,7 @@
 }
 
 fn has_lost_its_only_engine(state: &SchedulerState, query: &PendingQuery) -> bool {
-    let Some(session) = query.query.pin.filter(|s| s.only) else {
+    let Some(session) = query.query.sticky_session.filter(|s| s.is_exclusive) else {
         return false;
     };
     let engine = state.engines.get(&session.engine);
--- a/crates/scheduler/src/retry_budget.rs
+++ b/crates/scheduler/src/retry_budget.rs
@@ -24,13 +24,13 @@
     /// Retries that the requests accepted within the window allow.
     pub allowed: f64,
     /// Requests accepted within the window.
-    pub taken: u64,
+    pub requests: u64,
     /// Times held in memory: one window's worth at most.
-    pub held: usize,
+    pub times_held: usize,
     /// Retries that were not planned since the start, for want of budget.
     pub denied: u64,
     /// Those that were planned, and not made for want of budget when they were to go out.
-    pub withheld: u64,
+    pub denied_at_send: u64,
 }
 
 /// The budget of one coordinator over a sliding window. Without a budget in the settings everything is allowed and nothing kept.
@@ -118,10 +118,10 @@
         Some(RetryBudgetUsage {
             used: self.retries.count_within(is_within) as u64,
             allowed: budget.min_retries + budget.ratio * taken as f64,
-            taken: taken as u64,
-            held: self.requests.len() + self.retries.len(),
+            requests: taken as u64,
+            times_held: self.requests.len() + self.retries.len(),
             denied: self.denied,
-            withheld: self.withheld,
+            denied_at_send: self.withheld,
         })
     }
 
--- a/crates/scheduler/src/settings.rs
+++ b/crates/scheduler/src/settings.rs
@@ -52,7 +52,7 @@
     /// Threads that a query runs on, 1 or more.
     pub threads: f64,
     /// A query loads data, and holds its table group on its engine while it runs.
-    pub load: bool,
+    pub is_load: bool,
     /// A query waits while a load holds its table group.
     pub waits_for_loads: bool,
 }
@@ -92,11 +92,11 @@
 #[derive(Clone, Copy, Debug)]
 pub struct SlowStart {
     /// Share of its capacity that an engine starts with, 0 to 1.
-    pub from: f64,
+    pub initial_share: f64,
     /// It has all of it after this long.
     pub warm_up_time: Micros,
     /// It fails when it is sent more than this multiple of its present capacity ...
-    pub multiple: f64,
+    pub overload_multiple: f64,
     /// ... over a window of this length.
     pub window: Micros,
 }
--- a/crates/scheduler/src/slow_start.rs
+++ b/crates/scheduler/src/slow_start.rs
@@ -30,7 +30,7 @@
         return 1.0;
     };
     let age = now.saturating_sub(started_at) as f64 / rule.warm_up_time.max(1) as f64;
-    rule.from + (1.0 - rule.from) * (2.0 * age - 1.0).clamp(0.0, 1.0)
+    rule.initial_share + (1.0 - rule.initial_share) * (2.0 * age - 1.0).clamp(0.0, 1.0)
 }
 
 /// Whether an engine is warming up.
@@ -94,7 +94,7 @@
 fn budget(state: &SchedulerState, now: Micros, engine: &Engine, rule: &SlowStart) -> f64 {
     let warmth = warmth(state, now, engine);
     let capacity = state.cores(engine) * CAPACITY_BUSY_SHARE * warmth * rule.window as f64;
-    BUDGET_USE * rule.multiple * capacity
+    BUDGET_USE * rule.overload_multiple * capacity
 }
 
 /// Whether an engine takes the first byte of an attempt now that was planned while it was warming up; if so, it is counted as
--- a/crates/scheduler/src/state.rs
+++ b/crates/scheduler/src/state.rs
@@ -79,7 +79,7 @@
     /// How often a query's effect may happen: what engines can't know again must not run twice.
     pub(crate) fn idempotency(&self, query: &PendingQuery) -> Idempotency {
         match self.class_of(query).idempotency {
-            Idempotency::WithKey if !query.query.token => Idempotency::NotIdempotent,
+            Idempotency::WithKey if !query.query.has_idempotency_key => Idempotency::NotIdempotent,
             idempotency => idempotency,
         }
     }
@@ -87,7 +87,10 @@
     /// The key whose order a query keeps, if any.
     pub(crate) fn ordering_key(&self, id: QueryId) -> Option<u64> {
         let query = self.queries.get(&id)?;
-        query.query.key.filter(|_| self.class_of(query).in_order)
+        query
+            .query
+            .ordering_key
+            .filter(|_| self.class_of(query).in_order)
     }
 
     /// Estimated work of a query, µs over all threads.
@@ -145,7 +148,8 @@
     /// Whether a load of this coordinator holds the table group there, or one of its queries waits for somebody's.
     pub(crate) fn holds_table_group(&self, engine: &Engine, table_group: u32) -> bool {
         self.attempts_on(engine).any(|(query, attempt)| {
-            query.query.tables == table_group && (self.class_of(query).load || attempt.is_blocked)
+            query.query.table_group == table_group
+                && (self.class_of(query).is_load || attempt.is_blocked)
         })
     }
 
--- a/crates/scheduler/src/types.rs
+++ b/crates/scheduler/src/types.rs
@@ -20,7 +20,7 @@
     /// The engine.
     pub engine: EngineId,
     /// No other engine can serve it. Otherwise any may, once this one takes nothing.
-    pub only: bool,
+    pub is_exclusive: bool,
 }
 
 /// A query as it arrives. Estimates are `None` where its client gave none.
@@ -37,16 +37,16 @@
     /// Estimated memory, MB.
     pub memory_mb: Option<f64>,
     /// Table group that it reads or writes.
-    pub tables: u32,
+    pub table_group: u32,
     /// Ordering key: queries of one key run one at a time, if the class says so.
-    pub key: Option<u64>,
+    pub ordering_key: Option<u64>,
     /// It has an idempotency key, by which engines know its repeats. Without one a query of a class that needs keys must not run
     /// twice.
-    pub token: bool,
+    pub has_idempotency_key: bool,
     /// An earlier query under the same idempotency key may have run: engines know its repeats until then.
     pub idempotent_until: Option<Micros>,
     /// The engine that it is tied to, if any.
-    pub pin: Option<StickySession>,
+    pub sticky_session: Option<StickySession>,
     /// Time until the client gives up.
-    pub budget: Micros,
+    pub client_timeout: Micros,
 }
--- a/crates/scheduler/tests/common/mod.rs
+++ b/crates/scheduler/tests/common/mod.rs
@@ -21,7 +21,7 @@
         zones: None,
         kinds: None,
         threads,
-        load: false,
+        is_load: false,
         waits_for_loads: false,
     }
 }
@@ -127,12 +127,12 @@
             tenant: 0,
             work: Some(work as f64),
             memory_mb: None,
-            tables,
-            key: None,
-            token: true,
+            table_group: tables,
+            ordering_key: None,
+            has_idempotency_key: true,
             idempotent_until: None,
-            pin: None,
-            budget: 60 * S,
+            sticky_session: None,
+            client_timeout: 60 * S,
         }
     }
 
--- a/crates/scheduler/tests/coordinators.rs
+++ b/crates/scheduler/tests/coordinators.rs
@@ -84,12 +84,12 @@
             tenant: 0,
             work,
             memory_mb: None,
-            tables: 3,
-            key: None,
-            token: true,
+            table_group: 3,
+            ordering_key: None,
+            has_idempotency_key: true,
             idempotent_until: None,
-            pin: None,
-            budget: 20 * S,
+            sticky_session: None,
+            client_timeout: 20 * S,
         };
         self.give(coordinator, Event::QueryArrived(q));
     }
@@ -158,9 +158,9 @@
 fn coordinators_together_keep_the_slow_start_budget() {
     let mut cfg = group_settings();
     cfg.slow_start = Some(SlowStart {
-        from: 0.3,
+        initial_share: 0.3,
         warm_up_time: 12 * S,
-        multiple: 2.5,
+        overload_multiple: 2.5,
         window: 2 * S,
     });
     let mut list: Vec<ListedEngine> = (1..=20).map(listed).collect();
--- a/crates/scheduler/tests/golden.rs
+++ b/crates/scheduler/tests/golden.rs
@@ -71,12 +71,12 @@
             tenant: 0,
             work: Some((n * 300 * MS) as f64),
             memory_mb: None,
-            tables: n as u32,
-            key: None,
-            token: true,
+            table_group: n as u32,
+            ordering_key: None,
+            has_idempotency_key: true,
             idempotent_until: None,
-            pin: None,
-            budget: 60 * S,
+            sticky_session: None,
+            client_timeout: 60 * S,
         };
         let now = 100 * S + n * 7 * MS;
         controller.handle(now, Event::QueryArrived(query), &mut Vec::new());
--- a/crates/scheduler/tests/overload.rs
+++ b/crates/scheduler/tests/overload.rs
@@ -234,9 +234,9 @@
 fn cluster_uses_slow_start_budget_without_exceeding_it() {
     let mut s = subset_settings();
     s.slow_start = Some(SlowStart {
-        from: 0.35,
+        initial_share: 0.35,
         warm_up_time: 15 * S,
-        multiple: 4.0,
+        overload_multiple: 4.0,
         window: 3 * S / 2,
     });
     let old: Vec<ListedEngine> = (1..=10).map(listed).collect();
--- a/crates/scheduler/tests/rules.rs
+++ b/crates/scheduler/tests/rules.rs
@@ -23,7 +23,7 @@
 fn query_with_almost_no_time_is_answered_at_once() {
     let mut harness = SchedulerHarness::new(settings(vec![class(S, 1.0, 1.0)]), &[listed(1)]);
     let q = Query {
-        budget: 2 * MS,
+        client_timeout: 2 * MS,
         ..harness.query(0, S, 1)
     };
     let act = harness.event(Event::QueryArrived(q));
@@ -52,7 +52,7 @@
     let only = |engine| {
         Some(StickySession {
             engine: EngineId(engine),
-            only: true,
+            is_exclusive: true,
         })
     };
     for n in 0..30 {
@@ -62,7 +62,7 @@
         );
         let pin = only(1 + n % 3);
         let q = Query {
-            pin,
+            sticky_session: pin,
             ..harness.query(0, 10 * MS, 1)
         };
         assert_eq!(
@@ -86,7 +86,7 @@
         engines: &[drained],
     });
     let q = Query {
-        pin: only(1),
+        sticky_session: only(1),
         ..harness.query(0, 10 * MS, 1)
     };
     let mut act = harness.event(Event::QueryArrived(q));
@@ -101,7 +101,7 @@
 fn sticky_session_leaves_its_engine_once_that_fails_or_drains() {
     let home = Some(StickySession {
         engine: EngineId(2),
-        only: false,
+        is_exclusive: false,
     });
     let mut harness = SchedulerHarness::new(
         settings(vec![class(9 * S, 1.0, 1.0)]),
@@ -109,13 +109,13 @@
     );
     for _ in 0..10 {
         let q = Query {
-            pin: home,
+            sticky_session: home,
             ..harness.query(0, 10 * MS, 1)
         };
         assert_eq!(sends(&harness.event(Event::QueryArrived(q))), [(q.id.0, 2)]);
     }
     let q = Query {
-        pin: home,
+        sticky_session: home,
         ..harness.query(0, 10 * MS, 1)
     };
     harness.event(Event::QueryArrived(q));
@@ -130,7 +130,7 @@
         }],
     });
     let q = Query {
-        pin: home,
+        sticky_session: home,
         ..harness.query(0, 10 * MS, 1)
     };
     let sent = sends(&harness.event(Event::QueryArrived(q)));
@@ -226,7 +226,7 @@
     ] {
         let mut harness = SchedulerHarness::new(settings(vec![keyed()]), &[listed(1), listed(2)]);
         let q = Query {
-            token,
+            has_idempotency_key: token,
             idempotent_until: None,
             ..harness.query(0, S, 1)
         };
@@ -247,7 +247,7 @@
         }
         // One whose key is no longer known is not sent at all, and answered at once.
         let late = Query {
-            token,
+            has_idempotency_key: token,
             idempotent_until,
             ..harness.query(0, S, 2)
         };
@@ -290,9 +290,9 @@
     let mut s = settings(vec![class(9 * S, 1.0, 1.0)]);
     (s.may_probe, s.coordinators) = (true, 2);
     s.slow_start = Some(SlowStart {
-        from: 0.3,
+        initial_share: 0.3,
         warm_up_time: 10 * S,
-        multiple: 0.1,
+        overload_multiple: 0.1,
         window: 2 * S,
     });
     let mut harness = SchedulerHarness::new(s, &[listed(1)]);
@@ -389,9 +389,9 @@
     let mut s = settings(vec![class(60 * S, 1.0, 1.0)]);
     s.coordinators = 2;
     s.slow_start = Some(SlowStart {
-        from: 0.5,
+        initial_share: 0.5,
         warm_up_time: 10 * S,
-        multiple: 2.0,
+        overload_multiple: 2.0,
         window: 2 * S,
     });
     let mut harness = SchedulerHarness::new(s, &[listed(1)]);
@@ -430,7 +430,7 @@
     let mut harness = SchedulerHarness::new(s, &[listed(1), listed(2)]);
     let keyed = |harness: &mut SchedulerHarness| {
         let q = Query {
-            key: Some(4),
+            ordering_key: Some(4),
             ..harness.query(0, S, 1)
         };
         (q.id, harness.event(Event::QueryArrived(q)))
@@ -502,7 +502,10 @@
         .controller
         .retry_budget_usage(harness.now)
         .expect("a budget");
-    assert_eq!((usage.held, harness.controller.open_queries()), (100, 0));
+    assert_eq!(
+        (usage.times_held, harness.controller.open_queries()),
+        (100, 0)
+    );
 }
 
 #[test]
@@ -616,7 +619,8 @@
                 "an effect twice"
             );
             for (o, (other, _)) in &self.open {
-                let earlier = *o < q && other.class == 1 && other.key == query.key;
+                let earlier =
+                    *o < q && other.class == 1 && other.ordering_key == query.ordering_key;
                 assert!(!earlier, "out of turn");
             }
         }
@@ -645,8 +649,8 @@
         let budget = 20 * MS + self.random(3000) * MS;
         let key = Some(1 + self.random(3)).filter(|_| class == 1);
         let q = Query {
-            budget,
-            key,
+            client_timeout: budget,
+            ordering_key: key,
             ..self.harness.query(class, work, work as u32 % 5)
         };
         self.open.insert(q.id, (q, self.harness.now + budget));
@@ -744,9 +748,9 @@
     s.classes[1].kinds = Some(vec![0]);
     s.max_attempts = Some(3);
     s.slow_start = Some(SlowStart {
-        from: 0.3,
+        initial_share: 0.3,
         warm_up_time: 5 * S,
-        multiple: 2.0,
+        overload_multiple: 2.0,
         window: S,
     });
     let list: Vec<ListedEngine> = (1..=6)
--- a/crates/scheduler/tests/slow_start.rs
+++ b/crates/scheduler/tests/slow_start.rs
@@ -21,9 +21,9 @@
         memory_mb: None,
     }];
     s.slow_start = Some(SlowStart {
-        from: 0.5,
+        initial_share: 0.5,
         warm_up_time: WARM_AFTER,
-        multiple: 2.0,
+        overload_multiple: 2.0,
         window: S,
     });
     s
--- a/crates/scheduler/tests/transcript.rs
+++ b/crates/scheduler/tests/transcript.rs
@@ -216,7 +216,7 @@
             let budget = self.coordinators[g].retry_budget_usage(self.now).map(|u| {
                 format!(
                     "{} {:?} {} {} {} {}",
-                    u.used, u.allowed, u.taken, u.held, u.denied, u.withheld
+                    u.used, u.allowed, u.requests, u.times_held, u.denied, u.denied_at_send
                 )
             });
             self.out.line(
@@ -643,7 +643,7 @@
         let (memory_known, pinned) = (dice.chance(50), dice.below(20));
         let pin = (pinned < 2).then(|| StickySession {
             engine: EngineId(1 + dice.below(4)),
-            only: pinned == 0,
+            is_exclusive: pinned == 0,
         });
         let query = Query {
             id: QueryId(self.next_query),
@@ -651,12 +651,12 @@
             tenant: dice.below(4) as u32,
             work: (known < 7).then(|| true_work * dice.between(0.5, 2.0)),
             memory_mb: memory_known.then_some(true_work / 3_000.0),
-            tables: dice.below(6) as u32,
-            key: dice.chance(50).then(|| dice.below(5)),
-            token: dice.chance(80),
+            table_group: dice.below(6) as u32,
+            ordering_key: dice.chance(50).then(|| dice.below(5)),
+            has_idempotency_key: dice.chance(80),
             idempotent_until: dice.chance(10).then(|| self.now + dice.below(3 * S)),
-            pin,
-            budget: if dice.chance(2) {
+            sticky_session: pin,
+            client_timeout: if dice.chance(2) {
                 dice.below(30 * MS)
             } else {
                 c.latency_objective * 2 + dice.below(2 * S)
@@ -694,7 +694,7 @@
     ) = (Idempotency::WithKey, DeduplicationScope::Zone, 1.5);
     wide.waits_for_loads = true;
     let mut load = class(1_500 * MS, 4.0, 2.0);
-    (load.idempotency, load.in_order, load.load) = (Idempotency::NotIdempotent, true, true);
+    (load.idempotency, load.in_order, load.is_load) = (Idempotency::NotIdempotent, true, true);
     (load.late_weight, load.zones) = (0.6, Some(vec![0, 1]));
     vec![short, wide, load]
 }
@@ -718,9 +718,9 @@
 
 fn slow_start() -> SlowStart {
     SlowStart {
-        from: 0.3,
+        initial_share: 0.3,
         warm_up_time: 6 * S,
-        multiple: 2.0,
+        overload_multiple: 2.0,
         window: S,
     }
 }
--- a/crates/settings/src/class.rs
+++ b/crates/settings/src/class.rs
@@ -21,7 +21,7 @@
         zones: optional_indexes(profile, "ConfinedTo")?,
         kinds: optional_indexes(profile, "MachineTypesAllowed")?,
         threads: read_threads(family.get("WidthByClass").at(index)),
-        load: family.get("Loads").at(index).flag(),
+        is_load: family.get("Loads").at(index).flag(),
         waits_for_loads: family.get("BlockedByLoads").at(index).flag(),
     })
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -131,9 +131,9 @@
         return Ok(None);
     }
     Ok(Some(SlowStart {
-        from: contract_number(contract, "ColdFrom")?,
+        initial_share: contract_number(contract, "ColdFrom")?,
         warm_up_time: to_u64(contract_number(contract, "WarmUpUs")?),
-        multiple: contract_number(contract, "FallMultiple")?,
+        overload_multiple: contract_number(contract, "FallMultiple")?,
         window: to_u64(contract_number(contract, "OverloadForUs")?),
     }))
 }
--- a/crates/settings/tests/golden.rs
+++ b/crates/settings/tests/golden.rs
@@ -38,7 +38,7 @@
         let _ = writeln!(t, "Profiles[{i}].ConfinedTo {:?}", c.zones);
         let _ = writeln!(t, "Profiles[{i}].MachineTypesAllowed {:?}", c.kinds);
         let _ = writeln!(t, "FamilyInfo.WidthByClass[{i}] {}", c.threads);
-        let _ = writeln!(t, "FamilyInfo.Loads[{i}] {}", c.load);
+        let _ = writeln!(t, "FamilyInfo.Loads[{i}] {}", c.is_load);
         let _ = writeln!(t, "FamilyInfo.BlockedByLoads[{i}] {}", c.waits_for_loads);
     }
     for (i, k) in s.kinds.iter().enumerate() {
@@ -92,9 +92,9 @@
         let _ = writeln!(t, "Contract.ExtraWindowUs {}", budget.window);
     }
     if let Some(slow_start) = &s.slow_start {
-        let _ = writeln!(t, "Contract.ColdFrom {}", slow_start.from);
+        let _ = writeln!(t, "Contract.ColdFrom {}", slow_start.initial_share);
         let _ = writeln!(t, "Contract.WarmUpUs {}", slow_start.warm_up_time);
-        let _ = writeln!(t, "Contract.FallMultiple {}", slow_start.multiple);
+        let _ = writeln!(t, "Contract.FallMultiple {}", slow_start.overload_multiple);
         let _ = writeln!(t, "Contract.OverloadForUs {}", slow_start.window);
     }
     let _ = writeln!(t, "Contract.SettleAfterDoubtUs {}", s.settle_time);
--- a/crates/simulator-adapter/src/record.rs
+++ b/crates/simulator-adapter/src/record.rs
@@ -175,12 +175,12 @@
         tenant,
         work: work.filter(|_| flags & WORK_IS_KNOWN != 0),
         memory_mb,
-        tables,
-        key,
-        token: true,
+        table_group: tables,
+        ordering_key: key,
+        has_idempotency_key: true,
         idempotent_until: None,
-        pin: None,
-        budget,
+        sticky_session: None,
+        client_timeout: budget,
     })
 }
 
