--- a/crates/cluster-harness/src/lib.rs
+++ b/crates/cluster-harness/src/lib.rs
@@ -107,7 +107,7 @@
         let net = Net::start(script.members, count, script.zones, script.seed);
         let addrs: Vec<SocketAddr> = engines.iter().map(|e| e.1).collect();
         let wires = wired.then(|| Wires::start(script.members, &addrs, &net));
-        let mut rig = ClusterHarness {
+        let mut harness = ClusterHarness {
             net,
             processes: Vec::new(),
             script,
@@ -118,16 +118,16 @@
             begun: Instant::now(),
             log: Log::default(),
         };
-        rig.write_key(KEY);
-        for member in 0..rig.script.members {
-            let config = rig.config(member);
-            let process = Process::new(&rig.binary, &rig.folder, member, &config);
-            rig.processes.push(process);
+        harness.write_key(KEY);
+        for member in 0..harness.script.members {
+            let config = harness.config(member);
+            let process = Process::new(&harness.binary, &harness.folder, member, &config);
+            harness.processes.push(process);
         }
-        for member in 0..rig.script.members {
-            rig.spawn(member);
+        for member in 0..harness.script.members {
+            harness.spawn(member);
         }
-        rig
+        harness
     }
 
     /// The key file that all read.
--- a/crates/cluster-harness/src/soak/client.rs
+++ b/crates/cluster-harness/src/soak/client.rs
@@ -11,9 +11,9 @@
 use std::time::{Duration, Instant};
 
 /// A request that crosses the close of a resting connection within this time is the client's to send again.
-pub const CROSSES: Duration = Duration::from_millis(50);
+pub(super) const CROSSES: Duration = Duration::from_millis(50);
 /// A client waits so much longer than its time: what comes then is late, what does not come is lost.
-pub const LATE: Duration = Duration::from_millis(500);
+pub(super) const LATE: Duration = Duration::from_millis(500);
 /// Where nobody listens a client tries again after this.
 const RECONNECT: Duration = Duration::from_millis(10);
 /// A client rests for up to this long between its requests.
@@ -27,11 +27,11 @@
 
 /// Where a coordinator's clients connect, and which of its processes that is.
 #[derive(Clone, Default)]
-pub struct Target(Arc<Mutex<Option<(SocketAddr, u32)>>>);
+pub(super) struct Target(Arc<Mutex<Option<(SocketAddr, u32)>>>);
 
 impl Target {
     /// A process listens here from now on; nobody does with `None`.
-    pub fn set(&self, at: Option<(SocketAddr, u32)>) {
+    pub(super) fn set(&self, at: Option<(SocketAddr, u32)>) {
         *self.0.lock().expect("a target") = at;
     }
 
@@ -42,7 +42,7 @@
 
 /// What became of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub(super) enum End {
     /// It was answered: 200, and the status otherwise.
     Answered(u16),
     /// What came is no answer to it.
@@ -53,7 +53,7 @@
 
 /// One request, as its client saw it.
 #[derive(Clone, Debug)]
-pub struct Asked {
+pub(super) struct Asked {
     /// The coordinator, and which of its processes.
     pub process: (usize, u32),
     /// The statement, which names it everywhere.
@@ -69,13 +69,13 @@
 }
 
 /// All clients of a soak.
-pub struct Clients {
+pub(super) struct Clients {
     threads: Vec<JoinHandle<Vec<Asked>>>,
 }
 
 impl Clients {
     /// They ask until the plan's end.
-    pub fn start(plan: &Plan, targets: &[Target]) -> Clients {
+    pub(super) fn start(plan: &Plan, targets: &[Target]) -> Clients {
         let number = Arc::new(AtomicU64::new(plan.seed << 20));
         let until = Instant::now() + plan.length;
         let mut threads = Vec::new();
@@ -103,7 +103,7 @@
     }
 
     /// What they asked, once all are done.
-    pub fn end(self) -> Vec<Asked> {
+    pub(super) fn end(self) -> Vec<Asked> {
         self.threads
             .into_iter()
             .flat_map(|t| t.join().expect("a client"))
--- a/crates/cluster-harness/src/soak/coordinator.rs
+++ b/crates/cluster-harness/src/soak/coordinator.rs
@@ -18,7 +18,7 @@
 
 /// How one process ended.
 #[derive(Debug)]
-pub struct Ended {
+pub(super) struct Ended {
     /// The coordinator, and which of its processes.
     pub process: (usize, u32),
     /// When it was told to end, if it was.
@@ -32,7 +32,7 @@
 }
 
 /// A coordinator of the soak.
-pub struct Coordinator {
+pub(super) struct Coordinator {
     binary: PathBuf,
     number: usize,
     config: PathBuf,
@@ -54,7 +54,7 @@
 
 impl Coordinator {
     /// One that is not started yet.
-    pub fn new(binary: &Path, number: usize, plan: &Plan, list: &List) -> Coordinator {
+    pub(super) fn new(binary: &Path, number: usize, plan: &Plan, list: &List) -> Coordinator {
         let descriptors = plan.coordinators[number].descriptors;
         let micros = |time: Duration| time.as_micros().to_string();
         let text = CONFIG
@@ -91,7 +91,7 @@
     }
 
     /// Lives through its signals and steps, then until the soak's end; how each of its processes ended.
-    pub fn live(self, life: &Life, target: &Target, begun: Instant) -> Vec<Ended> {
+    pub(super) fn live(self, life: &Life, target: &Target, begun: Instant) -> Vec<Ended> {
         let mut running = Running::start(&self, target);
         for (at, event) in events_of(life) {
             running.restart_if_ended(begun + at);
--- a/crates/cluster-harness/src/soak/engine.rs
+++ b/crates/cluster-harness/src/soak/engine.rs
@@ -11,13 +11,17 @@
 const RUNS: Duration = Duration::from_millis(2);
 
 /// An engine that listens.
-pub struct Engine {
+pub(super) struct Engine {
     addr: SocketAddr,
 }
 
 impl Engine {
     /// Starts one; its troubles count from `begun`.
-    pub fn start(troubles: Vec<Trouble>, begun: Instant, ledger: &Arc<RequestLog>) -> Engine {
+    pub(super) fn start(
+        troubles: Vec<Trouble>,
+        begun: Instant,
+        ledger: &Arc<RequestLog>,
+    ) -> Engine {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let addr = listener.local_addr().expect("an address");
         let ledger = ledger.clone();
@@ -36,7 +40,7 @@
     }
 
     /// Where it listens, which is its name in the ledger, too.
-    pub fn addr(&self) -> SocketAddr {
+    pub(super) fn addr(&self) -> SocketAddr {
         self.addr
     }
 }
--- a/crates/cluster-harness/src/soak/list.rs
+++ b/crates/cluster-harness/src/soak/list.rs
@@ -16,7 +16,7 @@
 }
 
 /// The list.
-pub struct List {
+pub(super) struct List {
     /// Where it is told: a SIGHUP moves coordinators from one to the other.
     pub addrs: [SocketAddr; 2],
     engines: Vec<SocketAddr>,
@@ -27,7 +27,7 @@
 
 impl List {
     /// Tells that these engines are ready.
-    pub fn start(engines: Vec<SocketAddr>) -> List {
+    pub(super) fn start(engines: Vec<SocketAddr>) -> List {
         let told = Arc::<Told>::default();
         let addrs = [serve(&told), serve(&told)];
         let list = List {
@@ -44,7 +44,7 @@
     }
 
     /// Tells of these drains, each at its time.
-    pub fn play(&self, drains: &[(Duration, usize)], begun: Instant) {
+    pub(super) fn play(&self, drains: &[(Duration, usize)], begun: Instant) {
         for &(at, engine) in drains {
             std::thread::sleep(at.saturating_sub(begun.elapsed()));
             self.tell(&[self.line(engine, "draining")]);
@@ -56,7 +56,7 @@
     }
 
     /// Engines that drain, and when that was told.
-    pub fn drained(&self) -> Vec<(SocketAddr, Instant)> {
+    pub(super) fn drained(&self) -> Vec<(SocketAddr, Instant)> {
         self.drained.lock().expect("the drains").clone()
     }
 
--- a/crates/cluster-harness/src/soak/verdict.rs
+++ b/crates/cluster-harness/src/soak/verdict.rs
@@ -73,7 +73,7 @@
 }
 
 /// Judges a soak that is over.
-pub fn judge(
+pub(super) fn judge(
     plan: &Plan,
     asked: &[Asked],
     ledger: &RequestLog,
--- a/crates/cluster-harness/tests/golden.rs
+++ b/crates/cluster-harness/tests/golden.rs
@@ -116,20 +116,20 @@
         "members 2\nvoters 1",
     ];
     for script in scripts {
-        let mut rig = ClusterHarness::start(binary.to_str().unwrap(), "127.0.0.1:9", script);
+        let mut harness = ClusterHarness::start(binary.to_str().unwrap(), "127.0.0.1:9", script);
         let members = script.as_bytes()[8] - b'0';
-        let socket = rig.control(0);
+        let socket = harness.control(0);
         let own = socket.parent().unwrap().to_str().unwrap();
         let ports: Vec<String> = (0..u32::from(members))
-            .map(|m| rig.net.public(m).to_string())
+            .map(|m| harness.net.public(m).to_string())
             .collect();
         for member in 0..u32::from(members) {
-            let mut file = rig.process(member).file().replace(own, "FOLDER");
+            let mut file = harness.process(member).file().replace(own, "FOLDER");
             for (n, port) in ports.iter().enumerate() {
                 file = file.replace(port, &format!("ADDRESS-{n}"));
             }
             let _ = writeln!(text, "{file}");
-            assert_eq!(rig.clients(member).to_string(), "127.0.0.1:8");
+            assert_eq!(harness.clients(member).to_string(), "127.0.0.1:8");
         }
     }
     std::fs::remove_dir_all(&folder).expect("the folder");
--- a/crates/coordinator/benches/clickhouse.rs
+++ b/crates/coordinator/benches/clickhouse.rs
@@ -3,6 +3,12 @@
 //! `cargo bench -p driftfront --bench clickhouse` prints a page; `BASELINE=PROGRAM` runs that build of the program as
 //! well, in turns with this one, and prints ratios. Nothing else should run on the machine meanwhile. Options:
 //! `--quick` for a tenth of the work, `--only NAME` for one part.
+#![allow(
+    clippy::too_many_lines,
+    clippy::needless_pass_by_value,
+    clippy::cast_possible_truncation,
+    reason = "tests: long lists of cases, and numbers known to be small"
+)]
 
 #[path = "../tests/common/mod.rs"]
 mod common;
--- a/crates/coordinator/benches/operators.rs
+++ b/crates/coordinator/benches/operators.rs
@@ -2,6 +2,12 @@
 //! and 500 engines; a snapshot against the number of engines; the memory of an hour of history.
 //!
 //! `cargo bench -p driftfront --bench operators` prints a page. Nothing else should run on the machine meanwhile.
+#![allow(
+    clippy::too_many_lines,
+    clippy::needless_pass_by_value,
+    clippy::cast_possible_truncation,
+    reason = "tests: long lists of cases, and numbers known to be small"
+)]
 
 use driftfront::service_window::{RequestOutcome, ServiceWindow};
 use driftfront_console::remote::{Endpoint, Remote};
--- a/crates/coordinator/src/discovery/update.rs
+++ b/crates/coordinator/src/discovery/update.rs
@@ -72,7 +72,10 @@
         }),
     }
 }
-
+#[allow(
+    clippy::cast_possible_truncation,
+    reason = "cells are small numbers; a time in milliseconds after 1970 fits in microseconds"
+)]
 fn read_engine(
     zones: &[String],
     kinds: &[String],
--- a/crates/coordinator/src/frontends/clickhouse/kill.rs
+++ b/crates/coordinator/src/frontends/clickhouse/kill.rs
@@ -57,6 +57,10 @@
 
 impl KillOrder {
     /// The order to one engine, for the query of this name there.
+    #[allow(
+        clippy::cast_possible_truncation,
+        reason = "half of a hash is enough to tell names apart"
+    )]
     fn request_for(&self, engine: EngineId, name: &str) -> ParsedRequest {
         let quoted = name.replace('\\', "\\\\").replace('\'', "\\'");
         let statement = format!("KILL QUERY WHERE query_id = '{quoted}' {}", self.suffix);
--- a/crates/coordinator/src/frontends/clickhouse/mod.rs
+++ b/crates/coordinator/src/frontends/clickhouse/mod.rs
@@ -129,7 +129,7 @@
         let head_only = request.method == "HEAD";
         let action = match request::read(&request) {
             Ok(Asked::Query(query)) => self
-                .parse_query(*query, request, now, reserved_bytes)
+                .parse_query(&query, &request, now, reserved_bytes)
                 .unwrap_or_else(FrontendAction::RejectBadRequest),
             Ok(other) => replies::reply_to(&other, head_only),
             Err(e) => FrontendAction::RejectBadRequest(replies::exception(&e, head_only)),
--- a/crates/coordinator/src/frontends/clickhouse/query.rs
+++ b/crates/coordinator/src/frontends/clickhouse/query.rs
@@ -24,27 +24,27 @@
     /// Accepts a query; an error is the whole response that says why not.
     pub(super) fn parse_query(
         &mut self,
-        query: Query,
-        request: Request,
+        query: &Query,
+        request: &Request,
         now: Micros,
         reserved_bytes: usize,
     ) -> Result<FrontendAction, Vec<u8>> {
-        let class = self.class(&query)?;
+        let class = self.class(query)?;
         let call = match &query.id {
             Some(id) => id.clone(),
             None => self.generate_id(now),
         };
-        let writer = Box::new(StreamWriter::new(&query, &call));
+        let writer = Box::new(StreamWriter::new(query, &call));
         if let Some(kill) = &query.shape.kill {
             let Some(names) = kill.ids.clone() else {
                 let e = Exception::new(NOT_IMPLEMENTED, KILL_BY_ID_ALONE);
                 return Err(replies::exception(&e, query.head_only));
             };
-            return Ok(self.kill(&query, names, &kill.behind, class, writer));
+            return Ok(self.kill(query, names, &kill.behind, class, writer));
         }
         let mut url_parameters = query.target.clone();
         let session = self
-            .begin_session(now, &query)
+            .begin_session(now, query)
             .map_err(|e| replies::exception(&e, query.head_only))?;
         let sticky = session.and_then(|s| s.home).map(sticky_session);
         let is_bound = sticky.is_some_and(|s| s.is_exclusive);
@@ -62,15 +62,15 @@
             name: call.into(),
             class,
             table_group: query.shape.tables,
-            ordering_key: ordering_key(&query),
+            ordering_key: ordering_key(query),
             idempotency_key: query.token.as_deref().map(Rc::from),
-            client_timeout: self.time_budget(&query, class, request.has_more_body),
-            parameters: engine_parameters(&query, url_parameters),
+            client_timeout: self.time_budget(query, class, request.has_more_body),
+            parameters: engine_parameters(query, url_parameters),
             sticky_session: sticky,
             session_lost_error: is_bound
                 .then(|| Exception::new(SESSION_NOT_FOUND, LOST_SESSION).text.into()),
             is_body_streamed: request.has_more_body,
-            statement: Rc::from(request.body),
+            statement: Rc::from(&*request.body),
             ticket,
             ..ParsedRequest::default()
         };
--- a/crates/coordinator/src/frontends/platform/fields.rs
+++ b/crates/coordinator/src/frontends/platform/fields.rs
@@ -64,13 +64,17 @@
 }
 
 /// Parses a posted statement of a class.
+#[allow(
+    clippy::cast_possible_truncation,
+    reason = "a timeout is at most the class's deadline, and not negative"
+)]
 pub(super) fn parse_statement(
-    request: Request,
+    request: &Request,
     class: u16,
     classes: &QueryClasses,
     tenants: &[String],
 ) -> Result<ParsedRequest, FieldError> {
-    let fields = Fields(&request);
+    let fields = Fields(request);
     fields.check_single()?;
     let call = fields.call_id()?;
     if fields.get("X-Repeat").is_some_and(|r| r != "1") {
--- a/crates/coordinator/tests/agreed.rs
+++ b/crates/coordinator/tests/agreed.rs
@@ -1,11 +1,17 @@
 //! What several processes of the program agree on, with faults between them. Waits are for what they say.
+#![allow(
+    clippy::too_many_lines,
+    clippy::needless_pass_by_value,
+    clippy::cast_possible_truncation,
+    reason = "tests: long lists of cases, and numbers known to be small"
+)]
 
 use driftfront_cluster_harness::{ClusterHarness, Consensus, Request};
 use driftfront_mock_servers::engine::{Engine, Options};
 use driftfront_mock_servers::ledger::RequestLog;
 use std::sync::Arc;
 
-fn rig(script: &str) -> (ClusterHarness, Engine) {
+fn harness(script: &str) -> (ClusterHarness, Engine) {
     let engine = Engine::start(
         Options {
             name: "engine-1".into(),
@@ -13,19 +19,19 @@
         },
         Arc::new(RequestLog::default()),
     );
-    let rig = ClusterHarness::start(
+    let harness = ClusterHarness::start(
         env!("CARGO_BIN_EXE_driftfront"),
         &engine.addr().to_string(),
         script,
     );
-    (rig, engine)
+    (harness, engine)
 }
 
 /// Asks until it is held: nothing is lent for ten seconds after a founding, and a leader may be new.
-fn held(rig: &ClusterHarness, by: u32, name: &str, for_s: u64) -> u64 {
+fn held(harness: &ClusterHarness, by: u32, name: &str, for_s: u64) -> u64 {
     let since = std::time::Instant::now();
     loop {
-        let said = rig.hold(by, name, for_s);
+        let said = harness.hold(by, name, for_s);
         if let Some(fence) = said
             .as_ref()
             .ok()
@@ -38,29 +44,29 @@
         assert!(
             later && since.elapsed() < driftfront_cluster_harness::TEST_TIMEOUT * 2,
             "{words}\n{}",
-            rig.log().text()
+            harness.log().text()
         );
         std::thread::sleep(std::time::Duration::from_millis(300));
     }
 }
 
 /// Waits until this one knows that these are held, and nothing else.
-fn wait_until_held(rig: &ClusterHarness, by: u32, names: &[&str]) {
-    wait_until(rig, by, &format!("{names:?}"), |a| {
+fn wait_until_held(harness: &ClusterHarness, by: u32, names: &[&str]) {
+    wait_until(harness, by, &format!("{names:?}"), |a| {
         let mut holds: Vec<&str> = a.holds.iter().map(|h| h.name.as_str()).collect();
         holds.sort();
         holds == names
     });
 }
 
-fn wait_until(rig: &ClusterHarness, of: u32, what: &str, holds: impl Fn(&Consensus) -> bool) {
+fn wait_until(harness: &ClusterHarness, of: u32, what: &str, holds: impl Fn(&Consensus) -> bool) {
     let since = std::time::Instant::now();
-    while !rig.agreed(of).is_some_and(|a| holds(&a)) {
+    while !harness.agreed(of).is_some_and(|a| holds(&a)) {
         let late = || {
             format!(
                 "m{of}: {:?}, not {what}\n{}",
-                rig.agreed(of),
-                rig.log().text()
+                harness.agreed(of),
+                harness.log().text()
             )
         };
         assert!(
@@ -72,156 +78,158 @@
     }
 }
 
-fn wait_until_part(rig: &ClusterHarness, of: u32, part: &str) {
-    wait_until(rig, of, part, |a| a.part == part);
+fn wait_until_part(harness: &ClusterHarness, of: u32, part: &str) {
+    wait_until(harness, of, part, |a| a.part == part);
 }
 
 #[test]
 fn hold_is_granted_once_and_outlives_leaders_partitions_and_restarts() {
-    let (mut rig, _engine) = rig("members 5\nvoters 3 keeps=#true");
+    let (mut harness, _engine) = harness("members 5\nvoters 3 keeps=#true");
     let voters = [0, 1, 2];
-    let leader = rig.wait_for_leader(&voters, None);
+    let leader = harness.wait_for_leader(&voters, None);
     // At a reader; seen by all, and nobody else's until it is given back, by whomever.
-    let first = held(&rig, 4, "room-a", 600);
-    (0..5).for_each(|m| wait_until_held(&rig, m, &["room-a"]));
-    let taken = rig.hold(leader, "room-a", 5).unwrap_err();
+    let first = held(&harness, 4, "room-a", 600);
+    (0..5).for_each(|m| wait_until_held(&harness, m, &["room-a"]));
+    let taken = harness.hold(leader, "room-a", 5).unwrap_err();
     assert!(taken.contains("held already"), "{taken}");
-    rig.ask(3, &Request::Unhold("room-a".into()))
+    harness
+        .ask(3, &Request::Unhold("room-a".into()))
         .expect("anybody may");
-    let second = held(&rig, leader, "room-a", 600);
+    let second = held(&harness, leader, "room-a", 600);
     assert!(second > first, "numbers grow: {first}, {second}");
 
     // The leader dies: what is held stands, and another lends.
-    rig.now(&format!("kill \"m{leader}\""));
+    harness.now(&format!("kill \"m{leader}\""));
     let rest: Vec<u32> = voters.into_iter().filter(|&m| m != leader).collect();
-    let next = rig.wait_for_leader(&rest, Some(leader));
-    assert!(rig
+    let next = harness.wait_for_leader(&rest, Some(leader));
+    assert!(harness
         .hold(3, "room-a", 5)
         .unwrap_err()
         .contains("held already"));
-    held(&rig, 3, "room-b", 600);
-    rig.now(&format!("start \"m{leader}\""));
-    wait_until_part(&rig, leader, "votes");
-    wait_until_held(&rig, leader, &["room-a", "room-b"]);
+    held(&harness, 3, "room-b", 600);
+    harness.now(&format!("start \"m{leader}\""));
+    wait_until_part(&harness, leader, "votes");
+    wait_until_held(&harness, leader, &["room-a", "room-b"]);
 
     // It is stopped, others go on, and it wakes as a leader that knows of none of it.
-    rig.wait_for_leader(&voters, None);
-    rig.now(&format!("stop \"m{next}\""));
+    harness.wait_for_leader(&voters, None);
+    harness.now(&format!("stop \"m{next}\""));
     let rest: Vec<u32> = voters.into_iter().filter(|&m| m != next).collect();
-    let third = rig.wait_for_leader(&rest, Some(next));
-    rig.ask(third, &Request::Unhold("room-a".into()))
+    let third = harness.wait_for_leader(&rest, Some(next));
+    harness
+        .ask(third, &Request::Unhold("room-a".into()))
         .expect("given back");
-    let lent = held(&rig, 4, "room-a", 600);
-    rig.now(&format!("wake \"m{next}\""));
+    let lent = held(&harness, 4, "room-a", 600);
+    harness.now(&format!("wake \"m{next}\""));
     // It is asked at once, while it may still believe that it leads.
-    let said = rig.hold(next, "room-a", 600).unwrap_err();
+    let said = harness.hold(next, "room-a", 600).unwrap_err();
     assert!(said.contains("held already"), "{said}");
     // What it knew was the first of that name; it hears of the second.
-    wait_until(&rig, next, "the later number", |a| {
+    wait_until(&harness, next, "the later number", |a| {
         a.holds.iter().any(|h| h.fence == lent)
     });
 
     // A leader with a reader, cut off: a minority lends nothing, and says why.
-    let leader = rig.wait_for_leader(&voters, None);
-    rig.now(&format!("cut \"m{leader}\" \"m3\""));
+    let leader = harness.wait_for_leader(&voters, None);
+    harness.now(&format!("cut \"m{leader}\" \"m3\""));
     let rest: Vec<u32> = voters.into_iter().filter(|&m| m != leader).collect();
-    rig.wait_for_leader(&rest, Some(leader));
-    assert!(rig
+    harness.wait_for_leader(&rest, Some(leader));
+    assert!(harness
         .hold(3, "room-c", 5)
         .unwrap_err()
         .contains("no majority"));
-    assert!(rig
+    assert!(harness
         .hold(leader, "room-c", 5)
         .unwrap_err()
         .contains("no majority"));
-    held(&rig, 4, "room-c", 600);
-    rig.now("heal");
-    wait_until_held(&rig, 3, &["room-a", "room-b", "room-c"]);
+    held(&harness, 4, "room-c", 600);
+    harness.now("heal");
+    wait_until_held(&harness, 3, &["room-a", "room-b", "room-c"]);
 
     // All at once, with no word: what was agreed stands when they are back.
-    rig.now("kill \"all\"");
-    rig.now("start \"all\"");
-    rig.wait_for_leader(&voters, None);
-    assert!(rig
+    harness.now("kill \"all\"");
+    harness.now("start \"all\"");
+    harness.wait_for_leader(&voters, None);
+    assert!(harness
         .hold(4, "room-a", 5)
         .unwrap_err()
         .contains("held already"));
-    (0..5).for_each(|m| wait_until_held(&rig, m, &["room-a", "room-b", "room-c"]));
+    (0..5).for_each(|m| wait_until_held(&harness, m, &["room-a", "room-b", "room-c"]));
 }
 
 #[test]
 fn voters_without_a_state_folder_grant_short_leases_only() {
-    let (mut rig, _engine) = rig("members 4\nvoters 3");
+    let (mut harness, _engine) = harness("members 4\nvoters 3");
     let voters = [0, 1, 2];
-    rig.wait_for_leader(&voters, None);
-    held(&rig, 3, "room-a", 10);
-    assert!(rig.hold(3, "room-b", 11).unwrap_err().contains("10 s"));
+    harness.wait_for_leader(&voters, None);
+    held(&harness, 3, "room-a", 10);
+    assert!(harness.hold(3, "room-b", 11).unwrap_err().contains("10 s"));
     for m in voters {
-        rig.now(&format!("kill \"m{m}\""));
-        rig.now(&format!("start \"m{m}\""));
-        wait_until_part(&rig, m, "votes");
-        rig.wait_for_leader(&voters, None);
+        harness.now(&format!("kill \"m{m}\""));
+        harness.now(&format!("start \"m{m}\""));
+        wait_until_part(&harness, m, "votes");
+        harness.wait_for_leader(&voters, None);
     }
-    wait_until(&rig, 3, "three that decide", |a| {
+    wait_until(&harness, 3, "three that decide", |a| {
         a.voters.len() == 3 && a.voters.iter().all(|v| v.there)
     });
 }
 
 #[test]
 fn lost_voter_is_replaced_and_observes_when_it_returns() {
-    let (mut rig, _engine) = rig("members 4\nvoters 3 keeps=#true replace-after=\"3 s\"");
-    let leader = rig.wait_for_leader(&[0, 1, 2], None);
+    let (mut harness, _engine) = harness("members 4\nvoters 3 keeps=#true replace-after=\"3 s\"");
+    let leader = harness.wait_for_leader(&[0, 1, 2], None);
     let gone = (leader + 1) % 3;
-    rig.now(&format!("kill \"m{gone}\""));
-    wait_until_part(&rig, 3, "votes");
-    rig.now(&format!("start \"m{gone}\""));
-    wait_until_part(&rig, gone, "reads");
+    harness.now(&format!("kill \"m{gone}\""));
+    wait_until_part(&harness, 3, "votes");
+    harness.now(&format!("start \"m{gone}\""));
+    wait_until_part(&harness, gone, "reads");
     // What its file says now outlives another start, and it founds nothing.
-    rig.now(&format!("kill \"m{gone}\""));
-    rig.now(&format!("start \"m{gone}\""));
-    wait_until_part(&rig, gone, "reads");
-    rig.wait_for_leader(&[leader, 3], None);
+    harness.now(&format!("kill \"m{gone}\""));
+    harness.now(&format!("start \"m{gone}\""));
+    wait_until_part(&harness, gone, "reads");
+    harness.wait_for_leader(&[leader, 3], None);
 }
 
 #[test]
 fn damaged_log_is_cut_and_catches_up_and_a_foreign_file_is_left() {
-    let (mut rig, _engine) = rig("members 3\nvoters 3 keeps=#true");
-    rig.wait_for_leader(&[0, 1, 2], None);
-    let file = rig.state(2).join("agreed");
+    let (mut harness, _engine) = harness("members 3\nvoters 3 keeps=#true");
+    harness.wait_for_leader(&[0, 1, 2], None);
+    let file = harness.state(2).join("agreed");
     let length = std::fs::metadata(&file).unwrap().len();
     // Within the last record, within an earlier one.
     // The last is no power cut: the disk lost what it had said it kept, and the engine of the log finds that out.
     for cut in [3, 40, length / 2] {
-        rig.now("kill \"m2\"");
+        harness.now("kill \"m2\"");
         let bytes = std::fs::read(&file).unwrap();
         std::fs::write(
             &file,
             &bytes[..bytes.len() - cut.min(bytes.len() as u64) as usize],
         )
         .unwrap();
-        rig.now("start \"m2\"");
-        wait_until_part(&rig, 2, "votes");
-        let leader = rig.wait_for_leader(&[0, 1, 2], None);
-        let index = rig.agreed(leader).unwrap().index;
-        rig.wait_for(2, "fleet_agreed_index", index);
+        harness.now("start \"m2\"");
+        wait_until_part(&harness, 2, "votes");
+        let leader = harness.wait_for_leader(&[0, 1, 2], None);
+        let index = harness.agreed(leader).unwrap().index;
+        harness.wait_for(2, "fleet_agreed_index", index);
     }
-    rig.now("kill \"m2\"");
+    harness.now("kill \"m2\"");
     std::fs::write(&file, b"driftfront agreed 9\n of a later build").unwrap();
-    rig.now("start \"m2\"");
-    rig.wait_for(2, "fleet_agreed_disk_failed", 1);
-    wait_until_part(&rig, 2, "reads");
+    harness.now("start \"m2\"");
+    harness.wait_for(2, "fleet_agreed_disk_failed", 1);
+    wait_until_part(&harness, 2, "reads");
     assert_eq!(
         std::fs::read(&file).unwrap(),
         b"driftfront agreed 9\n of a later build"
     );
-    rig.wait_for_leader(&[0, 1], None);
+    harness.wait_for_leader(&[0, 1], None);
 }
 
 #[test]
 fn coordinators_find_each_other_by_the_engine_list() {
-    let (mut rig, engine) = rig("members 3");
-    let list = rig.state(0).with_extension("list");
-    let public: Vec<_> = (0..3).map(|m| rig.net.public(m)).collect();
+    let (mut harness, engine) = harness("members 3");
+    let list = harness.state(0).with_extension("list");
+    let public: Vec<_> = (0..3).map(|m| harness.net.public(m)).collect();
     let write = |names: &[usize]| {
         let engine = engine.addr();
         let mut lines = vec![format!(
@@ -234,7 +242,7 @@
     write(&[]);
     for m in 0..3 {
         // No seeds, and the engines of the list.
-        rig.change_config(m, |text| {
+        harness.change_config(m, |text| {
             let no_seeds = text.split("seed \"").next().unwrap_or_default().to_string() + "}\n";
             let engines = no_seeds.find("engines {").unwrap();
             let end = no_seeds[engines..].find('\n').unwrap() + engines;
@@ -242,37 +250,43 @@
             format!("{}{listed}{}", &no_seeds[..engines], &no_seeds[end..])
         });
     }
-    rig.now("kill \"all\"");
-    rig.now("start \"all\"");
-    rig.wait_until_members_are(&[0], &[0]);
+    harness.now("kill \"all\"");
+    harness.now("start \"all\"");
+    harness.wait_until_members_are(&[0], &[0]);
     // Two of the three are listed: the third is found through them, as it asks them.
     write(&[0, 1]);
-    rig.wait_until_members_are(&[0, 1, 2], &[0, 1, 2]);
+    harness.wait_until_members_are(&[0, 1, 2], &[0, 1, 2]);
 }
 
 #[test]
 fn successor_takes_over_the_log_and_its_voter_slot() {
-    let (mut rig, _engine) = rig("members 3\nvoters 3 keeps=#true");
-    let leader = rig.wait_for_leader(&[0, 1, 2], None);
+    let (mut harness, _engine) = harness("members 3\nvoters 3 keeps=#true");
+    let leader = harness.wait_for_leader(&[0, 1, 2], None);
     let upgraded = (leader + 1) % 3;
-    held(&rig, leader, "room-a", 600);
-    wait_until_held(&rig, upgraded, &["room-a"]);
-    let mut old = rig.start_successor(upgraded);
+    held(&harness, leader, "room-a", 600);
+    wait_until_held(&harness, upgraded, &["room-a"]);
+    let mut old = harness.start_successor(upgraded);
     // Both run; the new one is known by its name, and keeps its hands off the log.
-    rig.wait_until_members_are(&[leader], &[0, 1, 2]);
-    assert!(rig.agreed(upgraded).is_none() && old.snapshot().is_some_and(|s| s.agreed.is_some()));
+    harness.wait_until_members_are(&[leader], &[0, 1, 2]);
+    assert!(
+        harness.agreed(upgraded).is_none() && old.snapshot().is_some_and(|s| s.agreed.is_some())
+    );
     // Signals come to the loop, whatever threads write to the disk: either would have ended it with no word.
     old.signal("-HUP");
     assert!(old.snapshot().is_some_and(|s| s.agreed.is_some()));
     old.signal("-TERM");
-    assert!(old.wait(), "the old one ends well:\n{}", rig.log().text());
-    wait_until_part(&rig, upgraded, "votes");
-    wait_until_held(&rig, upgraded, &["room-a"]);
+    assert!(
+        old.wait(),
+        "the old one ends well:\n{}",
+        harness.log().text()
+    );
+    wait_until_part(&harness, upgraded, "votes");
+    wait_until_held(&harness, upgraded, &["room-a"]);
     let others: Vec<u32> = (0..3).filter(|&m| m != upgraded).collect();
     assert!(
         others
             .iter()
-            .all(|&m| rig.counter(m, "fleet_agreed_voters_changed") == 0),
+            .all(|&m| harness.counter(m, "fleet_agreed_voters_changed") == 0),
         "its seat is its own"
     );
 }
--- a/crates/coordinator/tests/clickhouse.rs
+++ b/crates/coordinator/tests/clickhouse.rs
@@ -1,4 +1,10 @@
 //! The ClickHouse front, whole: clients, the program, and stand-in engines that are scripted to fail.
+#![allow(
+    clippy::too_many_lines,
+    clippy::needless_pass_by_value,
+    clippy::cast_possible_truncation,
+    reason = "tests: long lists of cases, and numbers known to be small"
+)]
 
 mod common;
 
--- a/crates/coordinator/tests/common/lines.rs
+++ b/crates/coordinator/tests/common/lines.rs
@@ -1,4 +1,10 @@
 //! A site in the platform's form: stand-in engines that speak in lines, and a stand-in list of engines.
+#![allow(
+    clippy::too_many_lines,
+    clippy::needless_pass_by_value,
+    clippy::cast_possible_truncation,
+    reason = "tests: long lists of cases, and numbers known to be small"
+)]
 
 use super::{appliance, instance, post, stand_in, Answer, Coordinator};
 use driftfront_mock_servers::ledger::RequestLog;
@@ -9,14 +15,14 @@
 use std::sync::{Arc, Mutex};
 
 /// The statement behind a request's line, of the length told there.
-pub fn read_statement(input: &mut impl Read, length: &str) -> String {
+pub(crate) fn read_statement(input: &mut impl Read, length: &str) -> String {
     let mut body = vec![0; length.parse::<usize>().unwrap() + 2];
     input.read_exact(&mut body).unwrap();
     String::from_utf8_lossy(&body[..body.len() - 2]).into_owned()
 }
 
 /// A caller's whole head; `None` if it goes before that.
-pub fn read_head(input: &mut impl BufRead) -> Option<String> {
+pub(crate) fn read_head(input: &mut impl BufRead) -> Option<String> {
     let mut head = String::new();
     while !head.ends_with("\r\n\r\n") {
         if input.read_line(&mut head).unwrap_or(0) == 0 {
@@ -27,7 +33,7 @@
 }
 
 /// An engine that speaks in lines; a word in the statement says what it does.
-pub fn serve(stream: TcpStream, engine: usize, ledger: &RequestLog) {
+pub(crate) fn serve(stream: TcpStream, engine: usize, ledger: &RequestLog) {
     let mut out = stream.try_clone().unwrap();
     let mut input = BufReader::new(stream);
     let mut pages: BTreeMap<String, Vec<String>> = BTreeMap::new();
@@ -110,17 +116,17 @@
 }
 
 /// What has been told, and whom to wake with news.
-pub type Events = (Vec<String>, Vec<Sender<()>>);
+pub(crate) type Events = (Vec<String>, Vec<Sender<()>>);
 
 /// A list of engines as a stream of events; each connection gets what has come behind its last.
-pub struct List {
+pub(crate) struct List {
     pub addr: SocketAddr,
     pub events: Arc<Mutex<Events>>,
     pub asked: Arc<Mutex<Vec<String>>>,
 }
 
 impl List {
-    pub fn start() -> List {
+    pub(crate) fn start() -> List {
         let events: Arc<Mutex<Events>> = Arc::default();
         let asked: Arc<Mutex<Vec<String>>> = Arc::default();
         let (held, heads) = (events.clone(), asked.clone());
@@ -164,7 +170,7 @@
         }
     }
 
-    pub fn tell(&self, instances: &[String], more: &str) {
+    pub(crate) fn tell(&self, instances: &[String], more: &str) {
         let mut events = self.events.lock().unwrap();
         let event = event(events.0.len() + 1, instances, more);
         events.0.push(event);
@@ -175,14 +181,14 @@
 }
 
 /// The list's lines on these engines, e0 and on.
-pub fn instances(engines: &[SocketAddr], phases: &[&str]) -> Vec<String> {
+pub(crate) fn instances(engines: &[SocketAddr], phases: &[&str]) -> Vec<String> {
     let each = engines.iter().zip(phases).enumerate();
     each.map(|(n, (addr, phase))| instance(&format!("e{n}"), *addr, phase))
         .collect()
 }
 
 /// An event that tells these engines' lines, and more if that is not empty.
-pub fn event(index: usize, instances: &[String], more: &str) -> String {
+pub(crate) fn event(index: usize, instances: &[String], more: &str) -> String {
     let all = instances.join(",");
     format!(
         "{{\"index\":{index},\"endpoints\":{{\"generation\":1,\"reset\":false,\"instances\":[{all}]}}{more}}}"
@@ -190,7 +196,7 @@
 }
 
 /// So many engines that speak in lines, with one ledger.
-pub fn engines(number: usize, ledger: &Arc<RequestLog>) -> Vec<SocketAddr> {
+pub(crate) fn engines(number: usize, ledger: &Arc<RequestLog>) -> Vec<SocketAddr> {
     let engine = |n| {
         let ledger = ledger.clone();
         stand_in(move |stream| serve(stream, n, &ledger))
@@ -198,7 +204,7 @@
     (0..number).map(engine).collect()
 }
 
-pub struct Site {
+pub(crate) struct Site {
     pub coordinator: Coordinator,
     pub ledger: Arc<RequestLog>,
     pub engines: Vec<SocketAddr>,
@@ -206,7 +212,7 @@
 }
 
 /// What the platform tells a coordinator whose list of engines is told at this address.
-pub fn config(list: SocketAddr) -> String {
+pub(crate) fn config(list: SocketAddr) -> String {
     appliance()
         .replace("127.0.0.1:8123", "127.0.0.1:0")
         .replace(
@@ -217,23 +223,23 @@
 }
 
 impl Site {
-    pub fn start(engines: usize) -> Site {
+    pub(crate) fn start(engines: usize) -> Site {
         Site::set(engines, |config| config)
     }
 
-    pub fn set(engines: usize, edit: impl Fn(String) -> String) -> Site {
+    pub(crate) fn set(engines: usize, edit: impl Fn(String) -> String) -> Site {
         Site::with(engines, |config| Coordinator::start(&edit(config)))
     }
 
     /// A site whose coordinator is started in a way of its own.
-    pub fn with(engines: usize, start: impl FnOnce(String) -> Coordinator) -> Site {
+    pub(crate) fn with(engines: usize, start: impl FnOnce(String) -> Coordinator) -> Site {
         let ledger = Arc::new(RequestLog::default());
         let engines = self::engines(engines, &ledger);
         Site::of(ledger, engines, start)
     }
 
     /// A site of these engines, with its coordinator ready.
-    pub fn of(
+    pub(crate) fn of(
         ledger: Arc<RequestLog>,
         engines: Vec<SocketAddr>,
         start: impl FnOnce(String) -> Coordinator,
@@ -250,11 +256,11 @@
         site
     }
 
-    pub fn tell(&self, phases: &[&str], more: &str) {
+    pub(crate) fn tell(&self, phases: &[&str], more: &str) {
         self.list.tell(&instances(&self.engines, phases), more);
     }
 
-    pub fn ask(&self, class: &str, patience: u32, statement: &str) -> Answer {
+    pub(crate) fn ask(&self, class: &str, patience: u32, statement: &str) -> Answer {
         let id = driftfront::net::fnv1a_64(statement.as_bytes());
         let headers = format!(
             "X-Call-Id: {id:016x}\r\nX-Patience-Ms: {patience}\r\nX-Entity: 000000000000000a\r\n"
--- a/crates/coordinator/tests/common/mod.rs
+++ b/crates/coordinator/tests/common/mod.rs
@@ -1,8 +1,8 @@
 //! Runs the program itself on loopback against stand-ins. Waits are for events, never for a time.
-#![allow(dead_code)]
+#![allow(dead_code, reason = "each test file uses a part of this")]
 
-pub mod lines;
-pub mod site;
+pub(crate) mod lines;
+pub(crate) mod site;
 
 use driftfront_cluster_harness::wall_clock::WallClock;
 use driftfront_http::{header, Header, ResponsePart, ResponseReader};
@@ -15,10 +15,10 @@
 use std::time::Duration;
 
 /// A wait that long means that the test has failed; nothing is decided by it.
-pub const TEST_TIMEOUT: Duration = Duration::from_secs(60);
+pub(crate) const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// A configuration in the platform's form, for a site of one coordinator.
-pub fn appliance() -> String {
+pub(crate) fn appliance() -> String {
     let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/common/site.json");
     std::fs::read_to_string(path).expect("site.json")
 }
@@ -26,7 +26,7 @@
 static FILES: AtomicUsize = AtomicUsize::new(0);
 
 /// A file of this test's own.
-pub fn file(text: &str) -> PathBuf {
+pub(crate) fn file(text: &str) -> PathBuf {
     let n = FILES.fetch_add(1, Ordering::Relaxed);
     let path =
         std::env::temp_dir().join(format!("driftfront-test-{}-{n}.json", std::process::id()));
@@ -35,7 +35,7 @@
 }
 
 /// A coordinator, running as its operators run it.
-pub struct Coordinator {
+pub(crate) struct Coordinator {
     child: Child,
     pub addr: SocketAddr,
     /// Its second address, if it has one.
@@ -46,12 +46,12 @@
 }
 
 impl Coordinator {
-    pub fn start(config: &str) -> Coordinator {
+    pub(crate) fn start(config: &str) -> Coordinator {
         Coordinator::limited(config, 1024)
     }
 
     /// One that may hold only so many descriptors.
-    pub fn limited(config: &str, descriptors: usize) -> Coordinator {
+    pub(crate) fn limited(config: &str, descriptors: usize) -> Coordinator {
         let shell = format!(
             "ulimit -n {descriptors}; exec \"$0\" serve --config \"$1\" --log \"$DRIFTFRONT_LOG_LEVEL\""
         );
@@ -59,7 +59,7 @@
     }
 
     /// One that lives by this wall clock.
-    pub fn under(config: &str, clock: &WallClock) -> Coordinator {
+    pub(crate) fn under(config: &str, clock: &WallClock) -> Coordinator {
         let shell = "exec \"$0\" serve --config \"$1\" --log \"$DRIFTFRONT_LOG_LEVEL\"";
         Coordinator::spawn(
             config,
@@ -68,7 +68,7 @@
     }
 
     /// One that is started with this socket as descriptor 4, and told so in these words; `tmp` is its `$TMPDIR`.
-    pub fn inheriting(
+    pub(crate) fn inheriting(
         config: &str,
         socket: std::os::fd::OwnedFd,
         told: &str,
@@ -131,7 +131,7 @@
     }
 
     /// One of the counters, by name.
-    pub fn counter(&self, name: &str) -> u64 {
+    pub(crate) fn counter(&self, name: &str) -> u64 {
         let text = get(self.addr, "/counters").text();
         let line = text
             .lines()
@@ -144,7 +144,7 @@
     }
 
     /// Asks again and again until a counter has come this far.
-    pub fn wait_for(&self, name: &str, least: u64) {
+    pub(crate) fn wait_for(&self, name: &str, least: u64) {
         let begin = std::time::Instant::now();
         while self.counter(name) < least {
             assert!(
@@ -155,7 +155,7 @@
         }
     }
 
-    pub fn wait_until_ready(&self) {
+    pub(crate) fn wait_until_ready(&self) {
         let begin = std::time::Instant::now();
         while get(self.addr, "/alive").status != 200 {
             assert!(begin.elapsed() < TEST_TIMEOUT, "never ready");
@@ -164,7 +164,7 @@
     }
 
     /// The reply to one call at its second address.
-    pub fn manage(&self, line: &str) -> String {
+    pub(crate) fn manage(&self, line: &str) -> String {
         let mut stream =
             TcpStream::connect(self.management.expect("a second address")).expect("it listens");
         stream
@@ -177,34 +177,34 @@
     }
 
     /// What it has logged so far.
-    pub fn log(&self) -> String {
+    pub(crate) fn log(&self) -> String {
         self.log.lock().expect("the log").clone()
     }
 
     /// Asks it to end as the platform does.
-    pub fn terminate(&self) {
+    pub(crate) fn terminate(&self) {
         self.signal("-TERM");
     }
 
     /// Whether it has been asked to end and knows it; one that nobody can ask is not.
-    pub fn is_leaving(&self) -> bool {
+    pub(crate) fn is_leaving(&self) -> bool {
         get(self.addr, "/alive").status == 503
     }
 
     /// Replaces its configuration and tells it so.
-    pub fn reload(&self, config: &str) {
+    pub(crate) fn reload(&self, config: &str) {
         std::fs::write(&self.files[0], config).expect("a temporary file");
         self.signal("-HUP");
     }
 
     /// Ends it as a crash does.
-    pub fn kill(&mut self) {
+    pub(crate) fn kill(&mut self) {
         self.child.kill().expect("it runs");
         self.child.wait().expect("it ended");
     }
 
     /// It stands still until [`Coordinator::wake`]: what happens meanwhile it finds all at once.
-    pub fn freeze(&self) {
+    pub(crate) fn freeze(&self) {
         self.signal("-STOP");
         // The signal is sent, not yet taken: the state says when.
         let begin = std::time::Instant::now();
@@ -218,7 +218,7 @@
         }
     }
 
-    pub fn wake(&self) {
+    pub(crate) fn wake(&self) {
         self.signal("-CONT");
     }
 
@@ -231,7 +231,7 @@
     }
 
     /// Most memory that it ever held, in MB.
-    pub fn memory_mb(&self) -> u64 {
+    pub(crate) fn memory_mb(&self) -> u64 {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id()))
             .expect("its figures");
         let line = status
@@ -245,7 +245,7 @@
             / 1024
     }
 
-    pub fn wait(&mut self) -> ExitStatus {
+    pub(crate) fn wait(&mut self) -> ExitStatus {
         self.child.wait().expect("the program ends")
     }
 }
@@ -269,7 +269,7 @@
 
 /// An answer as a client sees it.
 #[derive(Debug)]
-pub struct Answer {
+pub(crate) struct Answer {
     pub status: u16,
     pub headers: Vec<Header>,
     pub body: Vec<u8>,
@@ -278,21 +278,21 @@
 }
 
 impl Answer {
-    pub fn text(&self) -> String {
+    pub(crate) fn text(&self) -> String {
         String::from_utf8_lossy(&self.body).into_owned()
     }
-    pub fn header(&self, name: &str) -> Option<&str> {
+    pub(crate) fn header(&self, name: &str) -> Option<&str> {
         header(&self.headers, name)
     }
 }
 
 /// Reads one answer off a connection.
-pub fn read_answer(stream: &mut TcpStream) -> Answer {
+pub(crate) fn read_answer(stream: &mut TcpStream) -> Answer {
     read_next(stream, &mut ResponseReader::default())
 }
 
 /// Reads the next of several answers off a connection.
-pub fn read_next(stream: &mut TcpStream, reader: &mut ResponseReader) -> Answer {
+pub(crate) fn read_next(stream: &mut TcpStream, reader: &mut ResponseReader) -> Answer {
     stream
         .set_read_timeout(Some(TEST_TIMEOUT))
         .expect("a timeout");
@@ -328,20 +328,20 @@
 }
 
 /// Sends these bytes on a new connection and reads the answer.
-pub fn call(addr: SocketAddr, bytes: &[u8]) -> Answer {
+pub(crate) fn call(addr: SocketAddr, bytes: &[u8]) -> Answer {
     let mut stream = TcpStream::connect(addr).expect("the coordinator listens");
     stream.write_all(bytes).expect("it reads");
     read_answer(&mut stream)
 }
 
-pub fn get(addr: SocketAddr, target: &str) -> Answer {
+pub(crate) fn get(addr: SocketAddr, target: &str) -> Answer {
     call(
         addr,
         format!("GET {target} HTTP/1.1\r\nHost: t\r\n\r\n").as_bytes(),
     )
 }
 
-pub fn post(addr: SocketAddr, target: &str, headers: &str, body: &str) -> Answer {
+pub(crate) fn post(addr: SocketAddr, target: &str, headers: &str, body: &str) -> Answer {
     let length = body.len();
     call(
         addr,
@@ -353,7 +353,7 @@
 }
 
 /// A stand-in that hands every connection to this function, each on a thread of its own.
-pub fn stand_in(serve: impl Fn(TcpStream) + Send + Sync + 'static) -> SocketAddr {
+pub(crate) fn stand_in(serve: impl Fn(TcpStream) + Send + Sync + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let addr = listener.local_addr().expect("an address");
     let serve = std::sync::Arc::new(serve);
@@ -367,7 +367,7 @@
 }
 
 /// An engine's line for a list.
-pub fn instance(name: &str, addr: SocketAddr, lifecycle: &str) -> String {
+pub(crate) fn instance(name: &str, addr: SocketAddr, lifecycle: &str) -> String {
     format!(
         "{{\"instanceId\":\"{name}\",\"hostPort\":\"{addr}\",\"zone\":\"building-a\",\
          \"machineType\":\"std-8\",\"cell\":0,\"lifecycle\":\"{lifecycle}\",\"startedAtMs\":0}}"
--- a/crates/coordinator/tests/common/site.rs
+++ b/crates/coordinator/tests/common/site.rs
@@ -8,7 +8,7 @@
 use std::path::PathBuf;
 use std::sync::Arc;
 
-pub struct Site {
+pub(crate) struct Site {
     pub coordinator: Coordinator,
     pub ledger: Arc<RequestLog>,
     pub engines: Vec<Engine>,
@@ -17,7 +17,7 @@
 
 /// How a site differs from the operator's example.
 #[derive(Clone)]
-pub struct Plan {
+pub(crate) struct Plan {
     pub engines: usize,
     pub descriptors: usize,
     pub options: Options,
@@ -26,7 +26,7 @@
 }
 
 impl Plan {
-    pub fn of(engines: usize) -> Plan {
+    pub(crate) fn of(engines: usize) -> Plan {
         Plan {
             engines,
             descriptors: 1024,
@@ -34,24 +34,24 @@
             changes: Vec::new(),
         }
     }
-    pub fn with(mut self, from: &str, to: &str) -> Plan {
+    pub(crate) fn with(mut self, from: &str, to: &str) -> Plan {
         self.changes.push((from.into(), to.into()));
         self
     }
     /// A result that stands still is given up after so long.
-    pub fn stall_ms(self, ms: u64) -> Plan {
+    pub(crate) fn stall_ms(self, ms: u64) -> Plan {
         self.with(
             "\"write\": \"member-load\"",
             &format!("\"write\": \"member-load\", \"stall_ms\": {ms}"),
         )
     }
-    pub fn memory_mb(self, mb: u64) -> Plan {
+    pub(crate) fn memory_mb(self, mb: u64) -> Plan {
         self.with(
             "\"sockets\": 1024",
             &format!("\"sockets\": 1024, \"memory_mb\": {mb}"),
         )
     }
-    pub fn start(self) -> Site {
+    pub(crate) fn start(self) -> Site {
         let ledger = Arc::new(RequestLog::default());
         let engine = |n| {
             Engine::start(
@@ -85,11 +85,11 @@
 }
 
 impl Site {
-    pub fn start(engines: usize) -> Site {
+    pub(crate) fn start(engines: usize) -> Site {
         Plan::of(engines).start()
     }
 
-    pub fn write_list(&self, phases: &[&str]) {
+    pub(crate) fn write_list(&self, phases: &[&str]) {
         let lines = self.engines.iter().zip(phases);
         let lines: Vec<String> = lines
             .map(|(e, phase)| instance(e.name(), e.addr(), phase))
@@ -102,22 +102,22 @@
     }
 
     /// Writes the list and waits until the coordinator has taken it.
-    pub fn list(&self, phases: &[&str]) {
+    pub(crate) fn list(&self, phases: &[&str]) {
         let before = self.coordinator.counter("lists_taken");
         self.write_list(phases);
         self.coordinator.wait_for("lists_taken", before + 1);
     }
 
-    pub fn query(&self, statement: &str) -> Answer {
+    pub(crate) fn query(&self, statement: &str) -> Answer {
         post(self.coordinator.addr, "/", "", statement)
     }
 
-    pub fn ask(&self, target: &str, statement: &str) -> Answer {
+    pub(crate) fn ask(&self, target: &str, statement: &str) -> Answer {
         post(self.coordinator.addr, target, "", statement)
     }
 
     /// Sends a query and leaves its answer on the connection.
-    pub fn begin(&self, target: &str, statement: &str) -> TcpStream {
+    pub(crate) fn begin(&self, target: &str, statement: &str) -> TcpStream {
         let mut stream =
             TcpStream::connect(self.coordinator.addr).expect("the coordinator listens");
         let length = statement.len();
@@ -130,11 +130,11 @@
     }
 
     /// Most memory that the coordinator ever held, in MB.
-    pub fn memory_mb(&self) -> u64 {
+    pub(crate) fn memory_mb(&self) -> u64 {
         self.coordinator.memory_mb()
     }
 
-    pub fn engine(&self, name: &str) -> &Engine {
+    pub(crate) fn engine(&self, name: &str) -> &Engine {
         self.engines
             .iter()
             .find(|e| e.name() == name)
@@ -149,7 +149,7 @@
 }
 
 /// Reads so many bytes, whatever they are.
-pub fn read_some(stream: &mut TcpStream, most: usize) -> usize {
+pub(crate) fn read_some(stream: &mut TcpStream, most: usize) -> usize {
     let (mut total, mut bytes) = (0, vec![0; 64 * 1024]);
     while total < most {
         match stream.read(&mut bytes[..(most - total).min(64 * 1024)]) {
--- a/crates/coordinator/tests/conformance.rs
+++ b/crates/coordinator/tests/conformance.rs
@@ -1,5 +1,11 @@
 //! The conformance suite: each case of `conformance/cases.json` straight against a stand-in engine, and through the
 //! program. What differs must be on the list, with its reason; the table is `docs/conformance.md`.
+#![allow(
+    clippy::too_many_lines,
+    clippy::needless_pass_by_value,
+    clippy::cast_possible_truncation,
+    reason = "tests: long lists of cases, and numbers known to be small"
+)]
 
 mod common;
 
--- a/crates/coordinator/tests/daily.rs
+++ b/crates/coordinator/tests/daily.rs
@@ -1,4 +1,10 @@
 //! Daily operation: calls at the second address, engines taken out and put back, clients sent away.
+#![allow(
+    clippy::too_many_lines,
+    clippy::needless_pass_by_value,
+    clippy::cast_possible_truncation,
+    reason = "tests: long lists of cases, and numbers known to be small"
+)]
 
 mod common;
 
--- a/crates/coordinator/tests/endings/clients.rs
+++ b/crates/coordinator/tests/endings/clients.rs
@@ -1,4 +1,10 @@
 //! Clients that leave while something of theirs waits, and connections that make room for others.
+#![allow(
+    clippy::too_many_lines,
+    clippy::needless_pass_by_value,
+    clippy::cast_possible_truncation,
+    reason = "tests: long lists of cases, and numbers known to be small"
+)]
 
 use super::{held, let_pass, load, open, ran, report, request, rest, until, with_key_taken};
 use crate::common::lines::{config, serve, List, Site};
--- a/crates/coordinator/tests/faults.rs
+++ b/crates/coordinator/tests/faults.rs
@@ -23,7 +23,7 @@
     ((0..n).map(engine).collect(), ledger)
 }
 
-fn rig(script: &str, engines: &[Engine]) -> ClusterHarness {
+fn harness(script: &str, engines: &[Engine]) -> ClusterHarness {
     let named = engines
         .iter()
         .map(|e| (e.name().to_string(), e.addr()))
@@ -31,19 +31,19 @@
     ClusterHarness::with_engines(env!("CARGO_BIN_EXE_driftfront"), named, script)
 }
 
-fn clients(rig: &ClusterHarness, members: u32, plan: &Plan) -> Load {
-    let addrs: BTreeMap<_, _> = (0..members).map(|m| (m, rig.clients(m))).collect();
+fn clients(harness: &ClusterHarness, members: u32, plan: &Plan) -> Load {
+    let addrs: BTreeMap<_, _> = (0..members).map(|m| (m, harness.clients(m))).collect();
     Load::start(addrs, plan)
 }
 
-fn wait_until_done(rig: &ClusterHarness, load: &Load, least: usize) {
+fn wait_until_done(harness: &ClusterHarness, load: &Load, least: usize) {
     let since = std::time::Instant::now();
     while load.done() < least {
         assert!(
             since.elapsed() < driftfront_cluster_harness::TEST_TIMEOUT,
             "{} of {least}\n{}",
             load.done(),
-            rig.log().text()
+            harness.log().text()
         );
         std::thread::sleep(Duration::from_millis(10));
     }
@@ -52,44 +52,44 @@
 #[test]
 fn rules_hold_while_links_and_members_fail() {
     let (engines, ledger) = engines(3);
-    let mut rig = rig("members 4 zones=2\nvoters 3\nseed 5", &engines);
-    rig.wait_until_members_are(&[0, 1, 2, 3], &[0, 1, 2, 3]);
+    let mut harness = harness("members 4 zones=2\nvoters 3\nseed 5", &engines);
+    harness.wait_until_members_are(&[0, 1, 2, 3], &[0, 1, 2, 3]);
     let plan = Plan {
         clients: 3,
         most: 400,
         inserts: 5,
         pause: Duration::from_millis(5),
     };
-    let load = clients(&rig, 4, &plan);
-    wait_until_done(&rig, &load, 100);
-    rig.now(
+    let load = clients(&harness, 4, &plan);
+    wait_until_done(&harness, &load, 100);
+    harness.now(
         "link \"all\" \"engines\" delay=\"3 ms\" jitter=\"4 ms\"; link \"engines\" \"all\" delay=\"3 ms\"",
     );
-    rig.now("cut \"m0\" \"m1\"");
-    rig.now("part \"m1\" from=\"e0\" ways=\"in\"");
-    wait_until_done(&rig, &load, 300);
-    rig.now("reset \"all\" from=\"e1\"");
-    rig.now("link \"m2\" \"engines\" throttle=20000");
-    wait_until_done(&rig, &load, 500);
-    rig.now("heal");
+    harness.now("cut \"m0\" \"m1\"");
+    harness.now("part \"m1\" from=\"e0\" ways=\"in\"");
+    wait_until_done(&harness, &load, 300);
+    harness.now("reset \"all\" from=\"e1\"");
+    harness.now("link \"m2\" \"engines\" throttle=20000");
+    wait_until_done(&harness, &load, 500);
+    harness.now("heal");
     // One is killed, and back where its clients find it; another stands still for a while.
-    rig.now("kill \"m3\"");
+    harness.now("kill \"m3\"");
     let killed = load.done();
-    rig.now("start \"m3\"");
-    load.moved(3, rig.clients(3));
-    rig.now("stop \"m2\"");
-    wait_until_done(&rig, &load, killed + 100);
-    rig.now("wake \"m2\"");
-    rig.now("reset \"all\" from=\"engines\"");
-    wait_until_done(&rig, &load, killed + 400);
-    rig.wait_until_members_are(&[0, 1, 2, 3], &[0, 1, 2, 3]);
+    harness.now("start \"m3\"");
+    load.moved(3, harness.clients(3));
+    harness.now("stop \"m2\"");
+    wait_until_done(&harness, &load, killed + 100);
+    harness.now("wake \"m2\"");
+    harness.now("reset \"all\" from=\"engines\"");
+    wait_until_done(&harness, &load, killed + 400);
+    harness.wait_until_members_are(&[0, 1, 2, 3], &[0, 1, 2, 3]);
     let all = load.end();
     // A reset may cost a statement that must not run twice; nothing is answered twice, or never.
     let odd = |a: &&driftfront_cluster_harness::load::Asked| {
         a.got == Got::Wrong || a.member != 3 && matches!(a.got, Got::Nothing | Got::NotTaken)
     };
     let wrong: Vec<_> = all.iter().filter(odd).collect();
-    assert!(wrong.is_empty(), "{wrong:#?}\n{}", rig.log().text());
+    assert!(wrong.is_empty(), "{wrong:#?}\n{}", harness.log().text());
     let counts = counts(&all);
     assert!(counts[&Got::Served] > all.len() / 2, "{counts:?}");
     // What a killed process had out its clients may ask again; here none does, so that the count is the fleet's.
@@ -99,12 +99,12 @@
 #[test]
 fn member_cut_off_from_an_engine_serves_by_the_others() {
     let (engines, ledger) = engines(2);
-    let mut rig = rig("members 2", &engines);
-    rig.wait_until_members_are(&[0, 1], &[0, 1]);
+    let mut harness = harness("members 2", &engines);
+    harness.wait_until_members_are(&[0, 1], &[0, 1]);
     // What the engine says is lost: it hears and runs, and nobody knows.
-    rig.now("part \"m0\" from=\"e0\" ways=\"in\"");
+    harness.now("part \"m0\" from=\"e0\" ways=\"in\"");
     let load = clients(
-        &rig,
+        &harness,
         2,
         &Plan {
             clients: 2,
@@ -113,13 +113,13 @@
             pause: Duration::from_millis(2),
         },
     );
-    wait_until_done(&rig, &load, 240);
+    wait_until_done(&harness, &load, 240);
     let all = load.end();
     let counts = counts(&all);
     assert!(
         counts.get(&Got::Served).copied().unwrap_or(0) >= 230,
         "{counts:?}\n{}",
-        rig.log().text()
+        harness.log().text()
     );
     assert!(
         counts
--- a/crates/coordinator/tests/fleet.rs
+++ b/crates/coordinator/tests/fleet.rs
@@ -1,4 +1,10 @@
 //! Several processes of the program with faults between them. Waits are for what they say they see.
+#![allow(
+    clippy::too_many_lines,
+    clippy::needless_pass_by_value,
+    clippy::cast_possible_truncation,
+    reason = "tests: long lists of cases, and numbers known to be small"
+)]
 
 use driftfront_cluster::message_authentication::{MessageAuthenticator, Payload};
 use driftfront_cluster::{Cluster, Identity, Key, Keyring, MemberMetadata};
@@ -10,7 +16,7 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::Arc;
 
-fn rig(script: &str) -> (ClusterHarness, Engine) {
+fn harness(script: &str) -> (ClusterHarness, Engine) {
     let engine = Engine::start(
         Options {
             name: "engine-1".into(),
@@ -18,139 +24,142 @@
         },
         Arc::new(RequestLog::default()),
     );
-    let rig = ClusterHarness::start(
+    let harness = ClusterHarness::start(
         env!("CARGO_BIN_EXE_driftfront"),
         &engine.addr().to_string(),
         script,
     );
-    (rig, engine)
+    (harness, engine)
 }
 
-fn query(rig: &ClusterHarness, member: u32) -> String {
+fn query(harness: &ClusterHarness, member: u32) -> String {
     let request = "GET /?query=SELECT%201 HTTP/1.1\r\nHost: t\r\nConnection: close\r\n\r\n";
-    call(rig.clients(member), request).expect("an answer")
+    call(harness.clients(member), request).expect("an answer")
 }
 
 #[test]
 fn coordinators_started_at_once_find_each_other() {
-    let (mut rig, _engine) = rig("members 5 zones=2");
-    rig.wait_until_members_are(&[0, 1, 2, 3, 4], &[0, 1, 2, 3, 4]);
+    let (mut harness, _engine) = harness("members 5 zones=2");
+    harness.wait_until_members_are(&[0, 1, 2, 3, 4], &[0, 1, 2, 3, 4]);
     let served = |seen: &[driftfront_cluster_harness::Member]| {
         seen.iter()
             .all(|m| m.state == "serving" && m.build == env!("CARGO_PKG_VERSION"))
     };
-    rig.wait(4, "all serve", served);
-    let zones: Vec<String> = rig.sees(3).into_iter().map(|m| m.zone).collect();
+    harness.wait(4, "all serve", served);
+    let zones: Vec<String> = harness.sees(3).into_iter().map(|m| m.zone).collect();
     assert_eq!(zones, ["z0", "z1", "z0", "z1", "z0"]);
     // One that ends in order is gone for the others before it could have been found out.
-    rig.now("leave \"m2\"");
-    assert!(rig.process(2).wait());
-    rig.wait_until_members_are(&[0, 1, 3, 4], &[0, 1, 3, 4]);
-    assert_eq!(rig.counter(0, "fleet_members_down"), 1);
+    harness.now("leave \"m2\"");
+    assert!(harness.process(2).wait());
+    harness.wait_until_members_are(&[0, 1, 3, 4], &[0, 1, 3, 4]);
+    assert_eq!(harness.counter(0, "fleet_members_down"), 1);
 }
 
 #[test]
 fn killed_members_are_reported_down_and_rejoin_under_their_names() {
-    let (mut rig, _engine) = rig("members 5");
-    rig.wait_until_members_are(&[0, 1, 2, 3, 4], &[0, 1, 2, 3, 4]);
+    let (mut harness, _engine) = harness("members 5");
+    harness.wait_until_members_are(&[0, 1, 2, 3, 4], &[0, 1, 2, 3, 4]);
     // Both of the other seeds among them.
-    rig.now("kill \"m1\" \"m2\"");
-    rig.wait_until_members_are(&[0, 3, 4], &[0, 3, 4]);
+    harness.now("kill \"m1\" \"m2\"");
+    harness.wait_until_members_are(&[0, 3, 4], &[0, 3, 4]);
     assert!(
-        query(&rig, 3).ends_with("1\n"),
+        query(&harness, 3).ends_with("1\n"),
         "a fleet that lost members serves on"
     );
-    rig.now("start \"m1\" \"m2\"");
-    rig.wait_until_members_are(&[0, 1, 2, 3, 4], &[0, 1, 2, 3, 4]);
+    harness.now("start \"m1\" \"m2\"");
+    harness.wait_until_members_are(&[0, 1, 2, 3, 4], &[0, 1, 2, 3, 4]);
 }
 
 #[test]
 fn partitioned_halves_keep_serving_and_merge_again() {
-    let (mut rig, _engine) = rig("members 5");
-    rig.wait_until_members_are(&[0, 1, 2, 3, 4], &[0, 1, 2, 3, 4]);
-    rig.now("cut \"m0\" \"m1\"");
-    rig.wait_until_members_are(&[0, 1], &[0, 1]);
-    rig.wait_until_members_are(&[2, 3, 4], &[2, 3, 4]);
+    let (mut harness, _engine) = harness("members 5");
+    harness.wait_until_members_are(&[0, 1, 2, 3, 4], &[0, 1, 2, 3, 4]);
+    harness.now("cut \"m0\" \"m1\"");
+    harness.wait_until_members_are(&[0, 1], &[0, 1]);
+    harness.wait_until_members_are(&[2, 3, 4], &[2, 3, 4]);
     for member in [0, 4] {
-        assert!(query(&rig, member).ends_with("1\n"));
+        assert!(query(&harness, member).ends_with("1\n"));
     }
-    rig.now("heal");
-    rig.wait_until_members_are(&[0, 1, 2, 3, 4], &[0, 1, 2, 3, 4]);
+    harness.now("heal");
+    harness.wait_until_members_are(&[0, 1, 2, 3, 4], &[0, 1, 2, 3, 4]);
 }
 
 #[test]
 fn isolated_member_alone_is_reported_down() {
-    let (mut rig, _engine) = rig("members 4");
-    rig.wait_until_members_are(&[0, 1, 2, 3], &[0, 1, 2, 3]);
-    rig.now("cut \"m3\" ways=\"out\"");
-    rig.wait_until_members_are(&[0, 1, 2], &[0, 1, 2]);
-    assert!(query(&rig, 3).ends_with("1\n"), "what is cut off serves");
-    rig.now("heal");
-    rig.wait_until_members_are(&[0, 1, 2, 3], &[0, 1, 2, 3]);
-    assert!((0..3).all(|m| rig.counter(m, "fleet_came_back") == 0));
+    let (mut harness, _engine) = harness("members 4");
+    harness.wait_until_members_are(&[0, 1, 2, 3], &[0, 1, 2, 3]);
+    harness.now("cut \"m3\" ways=\"out\"");
+    harness.wait_until_members_are(&[0, 1, 2], &[0, 1, 2]);
+    assert!(
+        query(&harness, 3).ends_with("1\n"),
+        "what is cut off serves"
+    );
+    harness.now("heal");
+    harness.wait_until_members_are(&[0, 1, 2, 3], &[0, 1, 2, 3]);
+    assert!((0..3).all(|m| harness.counter(m, "fleet_came_back") == 0));
 }
 
 #[test]
 fn stopped_process_rejoins_and_suspects_nobody() {
-    let (mut rig, _engine) = rig("members 4");
-    rig.wait_until_members_are(&[0, 1, 2, 3], &[0, 1, 2, 3]);
-    rig.now("stop \"m2\"");
-    rig.wait_until_members_are(&[0, 1, 3], &[0, 1, 3]);
-    rig.now("wake \"m2\"");
-    rig.wait_until_members_are(&[0, 1, 2, 3], &[0, 1, 2, 3]);
+    let (mut harness, _engine) = harness("members 4");
+    harness.wait_until_members_are(&[0, 1, 2, 3], &[0, 1, 2, 3]);
+    harness.now("stop \"m2\"");
+    harness.wait_until_members_are(&[0, 1, 3], &[0, 1, 3]);
+    harness.now("wake \"m2\"");
+    harness.wait_until_members_are(&[0, 1, 2, 3], &[0, 1, 2, 3]);
     // What it slept through it held against itself, not against them.
-    assert_eq!(rig.counter(2, "fleet_members_down"), 0);
-    assert!(rig.counter(2, "fleet_stumbles") > 0);
+    assert_eq!(harness.counter(2, "fleet_members_down"), 0);
+    assert!(harness.counter(2, "fleet_stumbles") > 0);
 }
 
 #[test]
 fn keys_are_rotated_while_members_serve() {
-    let (mut rig, _engine) = rig("members 3");
-    rig.wait_until_members_are(&[0, 1, 2], &[0, 1, 2]);
+    let (mut harness, _engine) = harness("members 3");
+    harness.wait_until_members_are(&[0, 1, 2], &[0, 1, 2]);
     let (old, new) = (
         driftfront_cluster_harness::KEY,
         "f0f1f2f3f4f5f6f7f8f9fafbfcfdfeff",
     );
     let before: Vec<u64> = (0..3)
-        .map(|m| rig.counter(m, "fleet_members_down"))
+        .map(|m| harness.counter(m, "fleet_members_down"))
         .collect();
     for step in [format!("{old}\n{new}"), format!("{new}\n{old}"), new.into()] {
-        rig.write_key(&step);
+        harness.write_key(&step);
         for member in 0..3 {
-            rig.process(member).signal("-HUP");
+            harness.process(member).signal("-HUP");
         }
         // Read, and used: datagrams go on to be taken by each.
         for member in 0..3 {
-            let taken = rig.counter(member, "fleet_datagrams_taken");
-            rig.wait_for(member, "fleet_datagrams_taken", taken + 8);
+            let taken = harness.counter(member, "fleet_datagrams_taken");
+            harness.wait_for(member, "fleet_datagrams_taken", taken + 8);
         }
     }
     assert_eq!(
         before,
         (0..3)
-            .map(|m| rig.counter(m, "fleet_members_down"))
+            .map(|m| harness.counter(m, "fleet_members_down"))
             .collect::<Vec<_>>()
     );
     // One that starts with the old key is let in by nobody, and serves by itself.
-    rig.now("kill \"m2\"");
-    rig.wait_until_members_are(&[0, 1], &[0, 1]);
-    rig.write_key(old);
-    rig.now("start \"m2\"");
-    rig.wait_for(0, "fleet_datagrams_refused{why=\"unknown key\"}", 1);
-    rig.wait_until_members_are(&[2], &[2]);
-    rig.wait_until_members_are(&[0, 1], &[0, 1]);
-    assert!(query(&rig, 2).ends_with("1\n"));
+    harness.now("kill \"m2\"");
+    harness.wait_until_members_are(&[0, 1], &[0, 1]);
+    harness.write_key(old);
+    harness.now("start \"m2\"");
+    harness.wait_for(0, "fleet_datagrams_refused{why=\"unknown key\"}", 1);
+    harness.wait_until_members_are(&[2], &[2]);
+    harness.wait_until_members_are(&[0, 1], &[0, 1]);
+    assert!(query(&harness, 2).ends_with("1\n"));
 }
 
 #[test]
 fn datagram_flood_with_a_wrong_key_harms_nobody() {
-    let (rig, _engine) = rig("members 3");
-    rig.wait_until_members_are(&[0, 1, 2], &[0, 1, 2]);
+    let (harness, _engine) = harness("members 3");
+    harness.wait_until_members_are(&[0, 1, 2], &[0, 1, 2]);
     let (over, sent) = (
         Arc::new(AtomicBool::new(false)),
         Arc::new(AtomicU64::new(0)),
     );
-    let target = rig.net.public(1);
+    let target = harness.net.public(1);
     let (done, count) = (over.clone(), sent.clone());
     let flood = std::thread::spawn(move || {
         let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
@@ -163,24 +172,24 @@
             count.fetch_add(1, Ordering::Relaxed);
         }
     });
-    rig.wait_for(1, "fleet_datagrams_refused{why=\"spoilt\"}", 2_000);
+    harness.wait_for(1, "fleet_datagrams_refused{why=\"spoilt\"}", 2_000);
     for _ in 0..100 {
-        assert!(query(&rig, 1).ends_with("1\n"));
+        assert!(query(&harness, 1).ends_with("1\n"));
     }
     over.store(true, Ordering::Relaxed);
     flood.join().unwrap();
-    rig.wait_until_members_are(&[0, 1, 2], &[0, 1, 2]);
+    harness.wait_until_members_are(&[0, 1, 2], &[0, 1, 2]);
 }
 
 #[test]
 fn loss_of_a_third_of_datagrams_hides_no_member() {
-    let (mut rig, _engine) =
-        rig("members 4\nseed 9\nlink \"all\" \"all\" loss=0.3 repeat=0.2 delay=\"2 ms\" jitter=\"10 ms\"");
-    rig.play();
-    rig.wait_until_members_are(&[0, 1, 2, 3], &[0, 1, 2, 3]);
-    rig.wait_for(0, "fleet_datagrams_refused{why=\"replayed\"}", 3);
-    rig.now("kill \"m3\"");
-    rig.wait_until_members_are(&[0, 1, 2], &[0, 1, 2]);
+    let (mut harness, _engine) =
+        harness("members 4\nseed 9\nlink \"all\" \"all\" loss=0.3 repeat=0.2 delay=\"2 ms\" jitter=\"10 ms\"");
+    harness.play();
+    harness.wait_until_members_are(&[0, 1, 2, 3], &[0, 1, 2, 3]);
+    harness.wait_for(0, "fleet_datagrams_refused{why=\"replayed\"}", 3);
+    harness.now("kill \"m3\"");
+    harness.wait_until_members_are(&[0, 1, 2], &[0, 1, 2]);
 }
 
 #[test]
@@ -200,8 +209,8 @@
 
 #[test]
 fn member_of_a_later_build_is_admitted() {
-    let (rig, _engine) = rig("members 3");
-    rig.wait_until_members_are(&[0, 1, 2], &[0, 1, 2]);
+    let (harness, _engine) = harness("members 3");
+    harness.wait_until_members_are(&[0, 1, 2], &[0, 1, 2]);
     // A member with the units themselves, that speaks a little more than this build knows.
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
     socket
@@ -218,7 +227,7 @@
         build: "9.9.9".into(),
         ..MemberMetadata::default()
     };
-    let seeds = vec![rig.net.public(0)];
+    let seeds = vec![harness.net.public(0)];
     let begun = std::time::Instant::now();
     let mut later = Cluster::new(
         0,
@@ -240,7 +249,8 @@
     let mut bytes = [0; 2048];
     let mut told = false;
     let seen = |m: u32| {
-        rig.sees(m)
+        harness
+            .sees(m)
             .iter()
             .any(|s| s.name == "later" && s.standing == "there" && s.build == "9.9.9")
     };
@@ -255,9 +265,9 @@
         }
         if !told && later.others() == 3 {
             told = true;
-            let _ = socket.send_to(&unknown, rig.net.public(1));
+            let _ = socket.send_to(&unknown, harness.net.public(1));
         }
     }
-    rig.wait_for(1, "fleet_datagrams_unknown_kind", 1);
-    assert!((0..3).all(|m| rig.counter(m, "fleet_facts_refused") == 0));
+    harness.wait_for(1, "fleet_datagrams_unknown_kind", 1);
+    assert!((0..3).all(|m| harness.counter(m, "fleet_facts_refused") == 0));
 }
--- a/crates/coordinator/tests/golden_backends.rs
+++ b/crates/coordinator/tests/golden_backends.rs
@@ -1,4 +1,10 @@
 //! What is written to engines, and what is read of their answers.
+#![allow(
+    clippy::too_many_lines,
+    clippy::needless_pass_by_value,
+    clippy::cast_possible_truncation,
+    reason = "tests: long lists of cases, and numbers known to be small"
+)]
 
 use driftfront::backends::clickhouse::{
     HttpSession, COMPRESSED_BLOCKS, REQUEST_HEADERS, URL_PARAMETERS,
@@ -81,7 +87,10 @@
         ProgressReport::Spills(figure) => format!("spills {figure}"),
         ProgressReport::WaitsForMemory => "waits for memory".into(),
         ProgressReport::WaitsForLoad => "waits for load".into(),
-        #[allow(unreachable_patterns)]
+        #[allow(
+            unreachable_patterns,
+            reason = "a later variant must not break the net"
+        )]
         _ => "another".into(),
     }
 }
--- a/crates/coordinator/tests/golden_frontends.rs
+++ b/crates/coordinator/tests/golden_frontends.rs
@@ -1,4 +1,10 @@
 //! What clients are answered, as the frontends make the bytes and as the program sends them.
+#![allow(
+    clippy::too_many_lines,
+    clippy::needless_pass_by_value,
+    clippy::cast_possible_truncation,
+    reason = "tests: long lists of cases, and numbers known to be small"
+)]
 
 mod common;
 
--- a/crates/coordinator/tests/golden_operators/commands.rs
+++ b/crates/coordinator/tests/golden_operators/commands.rs
@@ -1,4 +1,10 @@
 //! Sub-commands, their help and exit codes; the operator's file as `check` reads it, and what is said of a wrong one.
+#![allow(
+    clippy::too_many_lines,
+    clippy::needless_pass_by_value,
+    clippy::cast_possible_truncation,
+    reason = "tests: long lists of cases, and numbers known to be small"
+)]
 
 use crate::{common, type_in, Folder};
 use driftfront::config::Config;
@@ -156,7 +162,7 @@
 }
 
 /// JSON with its keys in order: tinyjson's maps have none.
-pub fn ordered(value: &JsonValue) -> String {
+pub(crate) fn ordered(value: &JsonValue) -> String {
     match value {
         JsonValue::Array(list) => format!(
             "[{}]",
--- a/crates/coordinator/tests/golden_operators/control.rs
+++ b/crates/coordinator/tests/golden_operators/control.rs
@@ -1,4 +1,10 @@
 //! The control socket's replies, the second address' calls, and the counters.
+#![allow(
+    clippy::too_many_lines,
+    clippy::needless_pass_by_value,
+    clippy::cast_possible_truncation,
+    reason = "tests: long lists of cases, and numbers known to be small"
+)]
 
 use crate::commands::ordered;
 use crate::common::lines::Site as LineSite;
--- a/crates/coordinator/tests/golden_operators/files.rs
+++ b/crates/coordinator/tests/golden_operators/files.rs
@@ -426,13 +426,13 @@
         },
         std::sync::Arc::default(),
     );
-    let rig = driftfront_cluster_harness::ClusterHarness::start(
+    let harness = driftfront_cluster_harness::ClusterHarness::start(
         env!("CARGO_BIN_EXE_driftfront"),
         &engine.addr().to_string(),
         "members 3\nvoters 3 keeps=#true",
     );
-    rig.wait_for_leader(&[0, 1, 2], None);
-    let folder = rig.state(0);
+    harness.wait_for_leader(&[0, 1, 2], None);
+    let folder = harness.state(0);
     assert_eq!(names(&folder), ["agreed", "agreed.lock", "orders"]);
     let bytes = std::fs::read(folder.join("agreed")).expect("the file");
     let header = bytes.iter().position(|&b| b == b'\n').expect("a header");
--- a/crates/coordinator/tests/golden_operators/main.rs
+++ b/crates/coordinator/tests/golden_operators/main.rs
@@ -11,10 +11,10 @@
 use std::process::Command;
 
 /// A folder that goes with the test.
-pub struct Folder(pub PathBuf);
+pub(crate) struct Folder(pub(crate) PathBuf);
 
 impl Folder {
-    pub fn new(name: &str) -> Folder {
+    pub(crate) fn new(name: &str) -> Folder {
         let path =
             std::env::temp_dir().join(format!("driftfront-golden-{}-{name}", std::process::id()));
         let _ = std::fs::remove_dir_all(&path);
@@ -22,7 +22,7 @@
         Folder(path)
     }
 
-    pub fn write(&self, name: &str, text: &str) {
+    pub(crate) fn write(&self, name: &str, text: &str) {
         std::fs::write(self.0.join(name), text).expect("a file");
     }
 }
@@ -34,7 +34,7 @@
 }
 
 /// What one run of the program says, typed in this folder: its exit code, standard output and standard error.
-pub fn type_in(folder: &Path, args: &[&str]) -> String {
+pub(crate) fn type_in(folder: &Path, args: &[&str]) -> String {
     let out = Command::new(env!("CARGO_BIN_EXE_driftfront"))
         .args(args)
         .current_dir(folder)
--- a/crates/coordinator/tests/operators.rs
+++ b/crates/coordinator/tests/operators.rs
@@ -1,4 +1,10 @@
 //! What operators do to a running program: the control socket, commands, drains that outlive a restart, the console.
+#![allow(
+    clippy::too_many_lines,
+    clippy::needless_pass_by_value,
+    clippy::cast_possible_truncation,
+    reason = "tests: long lists of cases, and numbers known to be small"
+)]
 
 mod common;
 
--- a/crates/coordinator/tests/second.rs
+++ b/crates/coordinator/tests/second.rs
@@ -1,5 +1,11 @@
 //! What a second deployment's settings bring, through the program itself: tenants, dedupe keys, memory grants, costs
 //! that engines tell, and words that end what runs. Nothing here depends on a name: only on settings and protocol.
+#![allow(
+    clippy::too_many_lines,
+    clippy::needless_pass_by_value,
+    clippy::cast_possible_truncation,
+    reason = "tests: long lists of cases, and numbers known to be small"
+)]
 
 mod common;
 
--- a/crates/coordinator/tests/wires.rs
+++ b/crates/coordinator/tests/wires.rs
@@ -1,4 +1,10 @@
 //! Wires without sockets: random pieces of bytes and random steps against models of a connection's states.
+#![allow(
+    clippy::too_many_lines,
+    clippy::needless_pass_by_value,
+    clippy::cast_possible_truncation,
+    reason = "tests: long lists of cases, and numbers known to be small"
+)]
 
 use driftfront::backends::clickhouse::HttpSession;
 use driftfront::backends::engine_protocol::LineSession;
