--- a/crates/clickhouse/src/sql.rs
+++ b/crates/clickhouse/src/sql.rs
@@ -1,4 +1,7 @@
-//! Statements, read just far enough: what kind one is, which tables it names, what it leaves behind.
+//! Scans statements, just far enough to route them: what kind one is, which tables it names, what it leaves in its session.
+//!
+//! This is no parser: it reads tokens of the first [`MAX_SCANNED_BYTES`] and knows the words that statements begin with. What it does not
+//! recognise counts as a statement that writes and must not run twice.
 
 use crate::session::Leaves;
 
--- a/crates/clickhouse/src/watch.rs
+++ b/crates/clickhouse/src/watch.rs
@@ -1,4 +1,15 @@
-//! A result on its way: what passes is looked at, so that an error behind status 200 is never taken for rows.
+//! Checks a result while it is forwarded, so that an error behind status 200 is never taken for rows.
+//!
+//! An engine that fails after the head was sent writes its exception behind the rows, in a form that depends on what the result is
+//! packed in. A [`Watch`] unpacks what passes without keeping it, remembers the last bytes, and looks there for an exception in
+//! all published forms (see [`crate::exception`]) once the result ends.
+//!
+//! | packed in | what is followed |
+//! | --- | --- |
+//! | nothing | the last bytes |
+//! | ClickHouse's compressed blocks (`compress=1`) | blocks and their checksums |
+//! | an HTTP content coding | the decoder's output |
+//! | both | the decoder's output, as blocks |
 
 use crate::block::{FrameError, Frames};
 use crate::coding::{Coding, Tail, Unpacker};
@@ -14,8 +25,8 @@
     Frame(FrameError),
     /// Its content coding can't be followed.
     Coding(String),
-    /// It ends in the middle of something.
-    Short,
+    /// It ends in the middle of a compressed block or of its content coding.
+    Truncated,
 }
 
 impl fmt::Display for Fault {
@@ -24,23 +35,23 @@
             Fault::Exception(e) => e.fmt(f),
             Fault::Frame(e) => e.fmt(f),
             Fault::Coding(why) => write!(f, "the result's content coding can't be followed: {why}"),
-            Fault::Short => f.write_str("the result ends in the middle of a compressed block"),
+            Fault::Truncated => f.write_str("the result ends in the middle of a compressed block"),
         }
     }
 }
 
 impl std::error::Error for Fault {}
 
-/// Follows one result.
+/// Follows one result from its first byte to its end.
 pub struct Watch {
     layer: Layer,
-    /// The tag that the head told.
-    tag: Option<String>,
-    /// The format writes an exception as a key of its own.
-    json: bool,
+    /// The tag that marks an exception, where the response's head announced one.
+    exception_tag: Option<String>,
+    /// The format is one of JSON's, which write an exception as a key of its own.
+    is_json: bool,
 }
 
-/// What rows are packed in: an HTTP coding outside, ClickHouse's frames inside, both, or neither.
+/// What rows are packed in: an HTTP content coding outside, ClickHouse's compressed blocks inside, both, or neither.
 enum Layer {
     Plain(Tail),
     Frames(Frames),
@@ -48,17 +59,17 @@
     Both(Box<Unpacker<Inner>>),
 }
 
-/// Frames inside a coding: what is wrong with them is kept, since a writer can say little.
+/// Blocks inside a content coding. The first error is kept here, since the decoder's writer can only report an I/O error.
 #[derive(Default)]
 struct Inner {
     frames: Frames,
-    bad: Option<FrameError>,
+    error: Option<FrameError>,
 }
 
 impl std::io::Write for Inner {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
-        if self.bad.is_none() {
-            self.bad = self.frames.push(bytes).err();
+        if self.error.is_none() {
+            self.error = self.frames.push(bytes).err();
         }
         Ok(bytes.len())
     }
@@ -68,16 +79,20 @@
 }
 
 impl Watch {
-    /// A watch on a result: packed in frames (`compress=1`), under a content coding, with a tag and in a format that
-    /// the head told. An error where no decoder could be made.
+    /// Starts with what the response's head announced. `has_frames`: packed in compressed blocks (`compress=1`); `exception_tag` and
+    /// `format`: its header fields of these names.
+    ///
+    /// # Errors
+    ///
+    /// [`Fault::Coding`] where no decoder could be made.
     pub fn new(
-        frames: bool,
+        has_frames: bool,
         coding: Option<Coding>,
-        tag: Option<&str>,
+        exception_tag: Option<&str>,
         format: Option<&str>,
     ) -> Result<Watch, Fault> {
         let fault = |e: std::io::Error| Fault::Coding(e.to_string());
-        let layer = match (frames, coding) {
+        let layer = match (has_frames, coding) {
             (false, None) => Layer::Plain(Tail::default()),
             (true, None) => Layer::Frames(Frames::default()),
             (false, Some(c)) => {
@@ -87,68 +102,77 @@
                 Layer::Both(Box::new(Unpacker::new(c, Inner::default()).map_err(fault)?))
             }
         };
-        let json = format.is_some_and(|f| f.starts_with("JSON"));
         Ok(Watch {
             layer,
-            tag: tag.map(String::from),
-            json,
+            exception_tag: exception_tag.map(String::from),
+            is_json: format.is_some_and(|f| f.starts_with("JSON")),
         })
     }
 
-    /// Takes bytes of the result; an error is for good.
+    /// Follows the next bytes of the result.
+    ///
+    /// # Errors
+    ///
+    /// What is wrong with the result; it stays so, whatever comes next.
     pub fn push(&mut self, bytes: &[u8]) -> Result<(), Fault> {
         let coding = |e: std::io::Error| Fault::Coding(e.to_string());
         match &mut self.layer {
             Layer::Plain(tail) => tail.push(bytes),
             Layer::Frames(frames) => {
                 if let Err(bad) = frames.push(bytes) {
-                    // An interrupted server may write plain words where a frame should begin.
-                    let words = frames.rest().to_vec();
+                    // An interrupted server may write plain text where a block should begin.
+                    let text = frames.rest().to_vec();
                     return Err(self
-                        .told(&words, true)
+                        .find_exception(&text, true)
                         .map_or(Fault::Frame(bad), Fault::Exception));
                 }
             }
             Layer::Coded(unpacker) => unpacker.push(bytes).map_err(coding)?,
             Layer::Both(unpacker) => {
                 unpacker.push(bytes).map_err(coding)?;
-                if let Some(bad) = unpacker.get_ref().bad {
-                    return Err(Fault::Frame(bad));
+                if let Some(error) = unpacker.get_ref().error {
+                    return Err(Fault::Frame(error));
                 }
             }
         }
         Ok(())
     }
 
-    fn told(&self, tail: &[u8], cut: bool) -> Option<Exception> {
-        match &self.tag {
-            Some(tag) => tagged(tail, tag).or_else(|| self.json.then(|| json_key(tail)).flatten()),
-            None => last_lines(tail, cut).or_else(|| self.json.then(|| json_key(tail)).flatten()),
-        }
+    /// Looks for an exception in the last bytes: by its tag where one was announced, else by its form; then as a key of JSON.
+    fn find_exception(&self, tail: &[u8], is_cut: bool) -> Option<Exception> {
+        let exception = match &self.exception_tag {
+            Some(tag) => tagged(tail, tag),
+            None => last_lines(tail, is_cut),
+        };
+        exception.or_else(|| self.is_json.then(|| json_key(tail)).flatten())
     }
 
-    /// The result has ended, well or (`cut`) without a proper end: what is wrong with it, if anything is.
-    pub fn end(&mut self, cut: bool) -> Result<(), Fault> {
-        let (tail, short) = match &mut self.layer {
+    /// Ends the result. `is_cut`: its connection ended before the body did.
+    ///
+    /// # Errors
+    ///
+    /// What is wrong with the result as a whole: an exception behind its rows, or an end in the middle of something.
+    pub fn end(&mut self, is_cut: bool) -> Result<(), Fault> {
+        let (tail, is_truncated) = match &mut self.layer {
             Layer::Plain(tail) => (tail.bytes().to_vec(), false),
             Layer::Frames(frames) => (frames.tail().map_err(Fault::Frame)?, !frames.may_end()),
             Layer::Coded(unpacker) => {
-                // Asked first: it lets out what the decoder still holds. Nothing at all is no stream, and ends well.
-                let short = unpacker.may_end().is_err() && unpacker.get_ref().total > 0;
-                (unpacker.get_ref().bytes().to_vec(), short)
+                // Asked first: that flushes what the decoder still holds. No byte at all is no stream, and ends well.
+                let is_truncated = unpacker.may_end().is_err() && unpacker.get_ref().total > 0;
+                (unpacker.get_ref().bytes().to_vec(), is_truncated)
             }
             Layer::Both(unpacker) => {
-                let short = unpacker.may_end().is_err();
+                let is_coding_open = unpacker.may_end().is_err();
                 let frames = &unpacker.get_ref().frames;
                 (
                     frames.tail().map_err(Fault::Frame)?,
-                    short || !frames.may_end(),
+                    is_coding_open || !frames.may_end(),
                 )
             }
         };
-        match self.told(&tail, cut) {
+        match self.find_exception(&tail, is_cut) {
             Some(e) => Err(Fault::Exception(e)),
-            None if short => Err(Fault::Short),
+            None if is_truncated => Err(Fault::Truncated),
             None => Ok(()),
         }
     }
--- a/crates/cluster-harness/src/net.rs
+++ b/crates/cluster-harness/src/net.rs
@@ -1,4 +1,7 @@
-//! Datagrams between processes, by the link between the two.
+//! Forwards datagrams between processes, as the link between the two allows: lost, late, repeated, throttled or cut.
+//!
+//! Each member has a public socket here, to which the others send. One thread per socket receives and draws what the link does to a
+//! datagram; one thread delivers what is due to where the member's process listens at that moment.
 
 use driftfront_cluster_simulation::{Group, Link, Links};
 use rand::rngs::SmallRng;
@@ -11,44 +14,54 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Datagrams under way at once; more are lost, as on a full link.
-const UNDER_WAY: usize = 10_000;
-const POLL: Duration = Duration::from_millis(50);
+/// Datagrams in flight at once; more are lost, as on a full link.
+const MAX_DATAGRAMS_IN_FLIGHT: usize = 10_000;
+/// The threads look this often whether the network has ended.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Time that a throttled link's queue takes to drain at most; what would wait longer is lost.
+const MAX_THROTTLED_QUEUE: Duration = Duration::from_millis(200);
 
-/// A datagram that is due then, for this member.
-type Due = (Instant, u64, u32, Vec<u8>);
+/// A datagram in flight. Ordered by when it is due, then by when it was received.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct InFlight {
+    due: Instant,
+    sequence: u64,
+    to: u32,
+    bytes: Vec<u8>,
+}
 
+/// What the network's threads share.
 struct Shared {
-    /// Where each process really listens.
-    inner: Vec<Option<SocketAddr>>,
+    /// Where each member's process listens; `None` while it does not run.
+    processes: Vec<Option<SocketAddr>>,
     links: Links,
     rng: SmallRng,
-    order: u64,
-    /// When a throttled link is free again.
-    free: BTreeMap<(u32, u32), Instant>,
+    /// Datagrams received so far.
+    sequence: u64,
+    /// When the queue of a throttled link is drained, by sender and receiver.
+    drained_at: BTreeMap<(u32, u32), Instant>,
 }
 
-/// A throttled link holds this much; more is lost.
-const THROTTLED_MOST: Duration = Duration::from_millis(200);
-
 impl Shared {
-    /// How long a throttled link takes for so many bytes behind all that it holds; nothing where they don't fit.
-    fn throttle(&mut self, from: u32, to: u32, rate: u64, bytes: usize) -> Option<Duration> {
+    /// Queues `bytes` on a throttled link (`rate`: bytes a second, 0 for no limit). The delay that this adds; `None` where the queue
+    /// is full.
+    fn queue_throttled(&mut self, from: u32, to: u32, rate: u64, bytes: usize) -> Option<Duration> {
         if rate == 0 {
             return Some(Duration::ZERO);
         }
         let now = Instant::now();
-        let begins = self.free.get(&(from, to)).copied().unwrap_or(now).max(now);
-        let takes = Duration::from_secs_f64(bytes as f64 / rate as f64);
-        (begins - now < THROTTLED_MOST).then(|| {
-            self.free.insert((from, to), begins + takes);
-            begins + takes - now
+        let drained_at = self.drained_at.get(&(from, to)).copied();
+        let begin = drained_at.unwrap_or(now).max(now);
+        let transfer = Duration::from_secs_f64(bytes as f64 / rate as f64);
+        (begin - now < MAX_THROTTLED_QUEUE).then(|| {
+            self.drained_at.insert((from, to), begin + transfer);
+            begin + transfer - now
         })
     }
 }
 
-/// Loopback by itself: the rig adds nothing where no script says so.
-fn bare() -> Link {
+/// A link that adds nothing to loopback: what holds where no script says otherwise.
+fn unimpaired_link() -> Link {
     Link {
         delay: 0,
         jitter: 0,
@@ -56,41 +69,48 @@
     }
 }
 
-/// The network between the members of a rig.
+/// The network between the members of a harness.
 #[derive(Clone)]
 pub struct Net {
+    /// Where others send each member's datagrams.
     public: Vec<SocketAddr>,
     shared: Arc<Mutex<Shared>>,
-    over: Arc<AtomicBool>,
+    has_ended: Arc<AtomicBool>,
 }
 
 impl Net {
-    /// For so many members; all that is drawn comes from this seed.
+    /// Starts the network of so many members and engines; all that is drawn at random comes from this seed.
+    ///
+    /// # Panics
+    ///
+    /// Panics where a socket can't be bound on loopback.
     pub fn start(members: u32, engines: u32, zones: u32, seed: u64) -> Net {
         let shared = Shared {
-            inner: vec![None; members as usize],
-            links: Links::new(members, zones, bare()).with_engines(engines),
+            processes: vec![None; members as usize],
+            links: Links::new(members, zones, unimpaired_link()).with_engines(engines),
             rng: SmallRng::seed_from_u64(seed),
-            order: 0,
-            free: BTreeMap::new(),
+            sequence: 0,
+            drained_at: BTreeMap::new(),
         };
         let shared = Arc::new(Mutex::new(shared));
-        let over = Arc::new(AtomicBool::new(false));
+        let has_ended = Arc::new(AtomicBool::new(false));
         let (send, due) = channel();
         let mut public = Vec::new();
         for member in 0..members {
             let socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
-            socket.set_read_timeout(Some(POLL)).expect("a timeout");
+            socket
+                .set_read_timeout(Some(POLL_INTERVAL))
+                .expect("a timeout");
             public.push(socket.local_addr().expect("an address"));
-            let (shared, over, send) = (shared.clone(), over.clone(), send.clone());
-            std::thread::spawn(move || receive(&socket, member, &shared, &over, &send));
+            let (shared, has_ended, send) = (shared.clone(), has_ended.clone(), send.clone());
+            std::thread::spawn(move || receive(&socket, member, &shared, &has_ended, &send));
         }
-        let (held, done) = (shared.clone(), over.clone());
-        std::thread::spawn(move || deliver(&due, &held, &done));
+        let (for_delivery, ended) = (shared.clone(), has_ended.clone());
+        std::thread::spawn(move || deliver(&due, &for_delivery, &ended));
         Net {
             public,
             shared,
-            over,
+            has_ended,
         }
     }
 
@@ -99,26 +119,26 @@
         self.public[member as usize]
     }
 
-    /// A member's process listens here now.
-    pub fn place(&self, member: u32, inner: SocketAddr) {
-        self.with(|s| s.inner[member as usize] = Some(inner));
+    /// Sets where a member's process listens from now on.
+    pub fn place(&self, member: u32, process: SocketAddr) {
+        self.with(|s| s.processes[member as usize] = Some(process));
     }
 
     fn with<T>(&self, work: impl FnOnce(&mut Shared) -> T) -> T {
         work(&mut self.shared.lock().expect("no thread panics with it"))
     }
 
-    /// Links from the first to the second become so.
+    /// Replaces the links from each member of `from` to each member of `to`.
     pub fn link(&self, from: &Group, to: &Group, link: Link) {
         self.with(|s| s.links.set(from, to, link));
     }
 
-    /// Nothing comes between these and all others: from them, to them.
+    /// Cuts the links between `some` and all others; `ways`: from them, to them.
     pub fn cut(&self, some: &[u32], ways: (bool, bool)) {
         self.with(|s| s.links.cut(some, ways));
     }
 
-    /// Nothing comes between the first and the second: from the first, to them.
+    /// Cuts the links between `some` and `from`; `ways`: from the first, to the first.
     pub fn part(&self, some: &[Group], from: &Group, ways: (bool, bool)) {
         self.with(|s| {
             let (some, others) = (
@@ -129,7 +149,7 @@
         });
     }
 
-    /// All of these groups, by number; engines behind the members.
+    /// The members of these groups, by number; engines are numbered after the members.
     pub fn all_of(&self, groups: &[Group]) -> Vec<u32> {
         self.with(|s| s.links.all_of(groups))
     }
@@ -139,7 +159,7 @@
         self.with(|s| s.links.between(from, to))
     }
 
-    /// How long a piece of a connection takes by this link, drawn anew; nothing while nothing comes through.
+    /// How long `bytes` of a connection take by this link, drawn at random each time; `None` while the link is cut.
     pub fn carries(&self, from: u32, to: u32, bytes: usize) -> Option<Duration> {
         self.with(|s| {
             let link = s.links.between(from, to);
@@ -160,74 +180,82 @@
         })
     }
 
-    /// No cut is left.
+    /// Mends all cuts.
     pub fn heal(&self) {
         self.with(|s| s.links.heal());
     }
 }
 
 impl Net {
-    /// Its threads end.
+    /// Ends the network's threads.
     pub fn end(&self) {
-        self.over.store(true, Ordering::Relaxed);
+        self.has_ended.store(true, Ordering::Relaxed);
     }
 
     /// Whether it has ended.
     pub fn is_over(&self) -> bool {
-        self.over.load(Ordering::Relaxed)
+        self.has_ended.load(Ordering::Relaxed)
     }
 }
 
+/// Receives what is sent to a member, and draws what the link does to it.
 fn receive(
     socket: &UdpSocket,
     to: u32,
     shared: &Mutex<Shared>,
-    over: &AtomicBool,
-    send: &Sender<Due>,
+    has_ended: &AtomicBool,
+    send: &Sender<InFlight>,
 ) {
     let mut bytes = [0; 2048];
-    while !over.load(Ordering::Relaxed) {
+    while !has_ended.load(Ordering::Relaxed) {
         let Ok((n, from)) = socket.recv_from(&mut bytes) else {
             continue;
         };
         let Ok(mut s) = shared.lock() else { return };
         // Who is no member, as a flood from elsewhere, comes through as it is.
         let sender = s
-            .inner
+            .processes
             .iter()
             .position(|i| *i == Some(from))
             .map(|m| m as u32);
-        let link = sender.map_or(bare(), |m| s.links.between(m, to));
-        let held = sender.map_or(Some(Duration::ZERO), |m| {
-            s.throttle(m, to, link.throttle, n)
+        let link = sender.map_or(unimpaired_link(), |m| s.links.between(m, to));
+        let queued = sender.map_or(Some(Duration::ZERO), |m| {
+            s.queue_throttled(m, to, link.throttle, n)
         });
         for after in link.carry(&mut s.rng) {
-            let Some(held) = held else { continue };
-            s.order += 1;
-            let at = Instant::now() + Duration::from_micros(after) + held;
-            let _ = send.send((at, s.order, to, bytes[..n].to_vec()));
+            let Some(queued) = queued else { continue };
+            s.sequence += 1;
+            let _ = send.send(InFlight {
+                due: Instant::now() + Duration::from_micros(after) + queued,
+                sequence: s.sequence,
+                to,
+                bytes: bytes[..n].to_vec(),
+            });
         }
     }
 }
 
-fn deliver(due: &Receiver<Due>, shared: &Mutex<Shared>, over: &AtomicBool) {
+/// Delivers each datagram once it is due.
+fn deliver(received: &Receiver<InFlight>, shared: &Mutex<Shared>, has_ended: &AtomicBool) {
     let socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
-    let mut waiting: BinaryHeap<Reverse<Due>> = BinaryHeap::new();
-    while !over.load(Ordering::Relaxed) {
+    let mut waiting: BinaryHeap<Reverse<InFlight>> = BinaryHeap::new();
+    while !has_ended.load(Ordering::Relaxed) {
         let next = waiting
             .peek()
-            .map(|d| d.0 .0.saturating_duration_since(Instant::now()));
-        match due.recv_timeout(next.unwrap_or(POLL).min(POLL)) {
-            Ok(one) if waiting.len() < UNDER_WAY => waiting.push(Reverse(one)),
+            .map(|d| d.0.due.saturating_duration_since(Instant::now()));
+        match received.recv_timeout(next.unwrap_or(POLL_INTERVAL).min(POLL_INTERVAL)) {
+            Ok(datagram) if waiting.len() < MAX_DATAGRAMS_IN_FLIGHT => {
+                waiting.push(Reverse(datagram))
+            }
             Ok(_) | Err(RecvTimeoutError::Timeout) => {}
             Err(RecvTimeoutError::Disconnected) => return,
         }
-        while waiting.peek().is_some_and(|d| d.0 .0 <= Instant::now()) {
-            let Some(Reverse((_, _, to, bytes))) = waiting.pop() else {
+        while waiting.peek().is_some_and(|d| d.0.due <= Instant::now()) {
+            let Some(Reverse(InFlight { to, bytes, .. })) = waiting.pop() else {
                 break;
             };
-            let inner = shared.lock().ok().and_then(|s| s.inner[to as usize]);
-            if let Some(inner) = inner {
+            let process = shared.lock().ok().and_then(|s| s.processes[to as usize]);
+            if let Some(inner) = process {
                 let _ = socket.send_to(&bytes, inner);
             }
         }
