--- a/crates/clickhouse/src/session.rs
+++ b/crates/clickhouse/src/session.rs
@@ -170,7 +170,7 @@
     }
 
     /// A query of a session has come. Answers where it is to go, if the session has a home; it is then busy until
-    /// [`SessionTable::over`]. `check`: the session must exist already.
+    /// [`SessionTable::end_query`]. `check`: the session must exist already.
     pub fn begin(
         &mut self,
         now: Micros,
--- a/crates/console/src/messages/mod.rs
+++ b/crates/console/src/messages/mod.rs
@@ -1,6 +1,6 @@
 //! Everything that operators read, as text: alarms, tables, units, and the whole of it for pipes and screen readers.
 //!
-//! [`alarms`] names what needs an eye; [`engines`], [`classes`], [`queries`], [`members`] and [`holds`] are the tables; [`plain`]
+//! [`alarms()`] names what needs an eye; [`engines`], [`classes`], [`queries`], [`members`] and [`holds`] are the tables; [`plain()`]
 //! puts it all together. Nothing here knows a terminal.
 
 mod alarms;
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,7 +1,7 @@
 //! The operators' protocol: one JSON object a line, both ways, over a Unix socket of mode 0600 (or, where the operator's file
 //! says so, loopback TCP with a key).
 //!
-//! The program greets with `{"driftfront":VERSION,"v":1}`, and on TCP with a challenge ([`greeting`], [`key`]). A client sends
+//! The program greets with `{"driftfront":VERSION,"v":1}`, and on TCP with a challenge ([`greeting()`], [`key`]). A client sends
 //! [`Request`]s with an `id` of its own; each is answered by a [`Reply`] under that id, `follow` and `events` again and again.
 //! A [`Snapshot`](snapshot::Snapshot) is all that an operator may want to see, at one moment.
 //!
--- a/crates/coordinator/src/backends/clickhouse/mod.rs
+++ b/crates/coordinator/src/backends/clickhouse/mod.rs
@@ -17,7 +17,7 @@
 
 pub use session::HttpSession;
 
-/// Names in [`driftfront_core::ParsedRequest::about`] of what the frontend tells this backend: URL parameters, encoded, each behind
+/// Names in [`driftfront_core::ParsedRequest::parameters`] of what the frontend tells this backend: URL parameters, encoded, each behind
 /// an `&`.
 pub const URL_PARAMETERS: &str = "target";
 /// Headers, each with its line's end. See [`URL_PARAMETERS`].
--- a/crates/coordinator/src/backends/engine_protocol/mod.rs
+++ b/crates/coordinator/src/backends/engine_protocol/mod.rs
@@ -10,7 +10,7 @@
 //! | `STOP id` | the attempt is given up |
 //! | `STAT tag` | a probe |
 //!
-//! From the engine come messages `id word fields length`, then `length` bytes and CR LF (see [`message`]). A result is a first page
+//! From the engine come messages `id word fields length`, then `length` bytes and CR LF (see `message`). A result is a first page
 //! (`HIT`, with the number of pages) and the others on request (`PART`).
 
 mod message;
--- a/crates/coordinator/src/config/mod.rs
+++ b/crates/coordinator/src/config/mod.rs
@@ -1,7 +1,7 @@
 //! A coordinator's configuration: what the platform, or an operator's file, says.
 //!
-//! Three steps: [`Document::parse`] (types: what the file says), [`Document::validate`] (names that must exist, settings that
-//! exclude each other) and [`ValidDocument::into_config`] (defaults and derived bounds, which cannot fail). An operator's file
+//! Three steps: `Document::parse` (types: what the file says), `Document::validate` (names that must exist, settings that
+//! exclude each other) and `ValidDocument::into_config` (defaults and derived bounds, which cannot fail). An operator's file
 //! is translated to the platform's JSON first, by [`crate::operator_config`].
 
 mod document;
--- a/crates/coordinator/src/operator_config/mod.rs
+++ b/crates/coordinator/src/operator_config/mod.rs
@@ -1,7 +1,7 @@
 //! The operator's file, in KDL, translated to the settings that the platform writes as JSON.
 //!
-//! Three steps: [`Document::parse`] (syntax, known nodes), [`Document::validate`] (types, ranges, names that must exist) and
-//! [`Site::into_platform_json`] (defaults and derived settings, which cannot fail). `crate::config` reads the JSON, so that
+//! Three steps: `Document::parse` (syntax, known nodes), `Document::validate` (types, ranges, names that must exist) and
+//! `Site::into_platform_json` (defaults and derived settings, which cannot fail). `crate::config` reads the JSON, so that
 //! both kinds of file go through the same checks. Only the first mistake of a file is reported, with its line and column
 //! and what to write instead.
 
--- a/crates/engine-registry/src/rolling_restart/mod.rs
+++ b/crates/engine-registry/src/rolling_restart/mod.rs
@@ -104,7 +104,7 @@
 /// | `HandedOver` | it was restarted and is reachable | `WarmingUp` | resume |
 /// | `HandedOver` | the operator says that it is back | `WarmingUp` | resume |
 /// | `HandedOver` | somebody lifted the drain | `WarmingUp` | |
-/// | `WarmingUp` | ready, for [`WARM_UP_MICROS`] | `Next`, or `Done` behind the last engine | |
+/// | `WarmingUp` | ready, for `WARM_UP_MICROS` | `Next`, or `Done` behind the last engine | |
 /// | any but `Stopped`, `Done` | its engine left the list | `Next` | |
 /// | any but `Stopped`, `Done` | service dropped | `Stopped` | |
 /// | any | an operator stops it | `Stopped` | |
