--- a/crates/cluster-harness/src/wall_clock.rs
+++ b/crates/cluster-harness/src/wall_clock.rs
@@ -1,4 +1,4 @@
-//! A process's wall clock, in the hands of a test: the fault shim is preloaded into the process and reads from a file by how much
+//! A process's wall clock, in the hands of a test: the fault injection library is preloaded into the process and reads from a file by how much
 //! its wall clock is off.
 
 use std::fs::File;
@@ -7,8 +7,8 @@
 use std::process::Command;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// The file that the shim is built as.
-const LIBRARY: &str = "libdriftfront_fault_shim.so";
+/// The file that the `driftfront-fault-injection` crate is built as.
+const LIBRARY: &str = "libdriftfront_fault_injection.so";
 /// The variable that names the file with the offset.
 const VARIABLE: &str = "DRIFTFRONT_WALL_CLOCK";
 
@@ -22,7 +22,7 @@
 }
 
 impl WallClock {
-    /// One that is right. `binary`: any program of the same build, beside which the shim lies.
+    /// One that is right. `binary`: any program of the same build, beside which the library lies.
     pub fn new(binary: &Path) -> WallClock {
         let n = CLOCKS.fetch_add(1, Ordering::Relaxed);
         let path =
