--- a/crates/clickhouse/src/lib.rs
+++ b/crates/clickhouse/src/lib.rs
@@ -7,7 +7,7 @@
 pub mod coding;
 pub mod credentials;
 pub mod exception;
-
+pub mod keyed_hash;
 pub mod multipart;
 pub mod params;
 pub mod request;
--- /dev/null
+++ b/crates/clickhouse/src/session/entry.rs
@@ -0,0 +1,123 @@
+//! The state of one session.
+
+use super::{Home, Micros, QueryOutcome, SessionEffect, SessionQuery};
+
+/// How early a session is evicted: the first class goes first.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) enum EvictionClass {
+    /// Used once, or of no use any more.
+    Probationary,
+    /// Used again.
+    Established,
+    /// Stateful, or running a query.
+    NotEvictable,
+}
+
+/// Uses from which a session counts as established.
+const ESTABLISHED_USES: u32 = 2;
+
+/// One session.
+pub(super) struct Session<E> {
+    home: Option<E>,
+    is_stateful: bool,
+    /// Its engine left, and its state with it.
+    is_lost: bool,
+    /// What the query that runs now would leave.
+    running: Option<SessionEffect>,
+    uses: u32,
+    last_used: Micros,
+    expires: Micros,
+    timeout: Micros,
+}
+
+impl<E: Copy + PartialEq> Session<E> {
+    /// A session that lives on no engine yet.
+    pub(super) fn new(now: Micros, timeout: Micros) -> Session<E> {
+        Session {
+            home: None,
+            is_stateful: false,
+            is_lost: false,
+            running: None,
+            uses: 0,
+            last_used: now,
+            expires: now + timeout,
+            timeout,
+        }
+    }
+
+    pub(super) fn eviction_class(&self) -> EvictionClass {
+        if self.is_running() || self.is_stateful() {
+            EvictionClass::NotEvictable
+        } else if self.uses < ESTABLISHED_USES || self.is_lost {
+            EvictionClass::Probationary
+        } else {
+            EvictionClass::Established
+        }
+    }
+
+    pub(super) fn last_used(&self) -> Micros {
+        self.last_used
+    }
+
+    pub(super) fn expires(&self) -> Micros {
+        self.expires
+    }
+
+    pub(super) fn is_running(&self) -> bool {
+        self.running.is_some()
+    }
+
+    pub(super) fn is_lost(&self) -> bool {
+        self.is_lost
+    }
+
+    /// Whether its engine holds state for it.
+    pub(super) fn is_stateful(&self) -> bool {
+        self.is_stateful && !self.is_lost
+    }
+
+    pub(super) fn lives_on(&self, engine: E) -> bool {
+        self.home == Some(engine)
+    }
+
+    pub(super) fn home(&self) -> Option<Home<E>> {
+        Some(Home {
+            engine: self.home?,
+            is_exclusive: self.is_stateful,
+        })
+    }
+
+    /// Whether a query that ran on `engine` moved the session there.
+    pub(super) fn migrates_to(&self, engine: E) -> bool {
+        let is_elsewhere = self.home.is_some_and(|home| home != engine);
+        is_elsewhere && !self.is_stateful && !self.is_lost
+    }
+
+    pub(super) fn begin_query(&mut self, now: Micros, timeout: Micros, query: &SessionQuery) {
+        self.running = Some(query.effect);
+        self.uses = self.uses.saturating_add(1);
+        self.last_used = now;
+        self.timeout = timeout;
+    }
+
+    pub(super) fn end_query(&mut self, now: Micros, outcome: QueryOutcome<E>) {
+        let leaves_state = self.running.take() == Some(SessionEffect::LeavesState);
+        if let Some(engine) = outcome.engine().filter(|_| !self.is_lost) {
+            self.home = Some(engine);
+            self.is_stateful |= leaves_state && outcome.may_have_succeeded();
+        }
+        self.last_used = now;
+        self.expires = now + self.timeout;
+    }
+
+    /// The session's engine takes no more queries. A query that still runs there may make it the home again.
+    pub(super) fn remove_home(&mut self) {
+        self.home = None;
+        self.is_lost |= self.is_stateful;
+    }
+
+    /// Moves the expiration of a session whose query runs longer than its timeout.
+    pub(super) fn postpone_expiration(&mut self, now: Micros) {
+        self.expires = now + self.timeout.max(super::MICROS_PER_SECOND);
+    }
+}
--- /dev/null
+++ b/crates/clickhouse/src/session/table.rs
@@ -0,0 +1,173 @@
+//! The sessions of a coordinator, and the rules for them.
+
+use super::entry::{EvictionClass, Session};
+use super::index::SessionIndex;
+use super::{
+    HeldSessions, Home, Micros, QueryOutcome, SessionCounters, SessionError, SessionName,
+    SessionQuery, DEFAULT_SESSION_TIMEOUT, MAX_PROBATIONARY_SESSIONS, MAX_SESSIONS,
+    MAX_SESSION_TIMEOUT,
+};
+use siphasher::sip128::{Hasher128, SipHasher13};
+use std::hash::Hasher;
+
+/// Stands between user and id where they are hashed: a byte that is in no UTF-8 text.
+const NAME_SEPARATOR: u8 = 0xff;
+
+/// All sessions of a coordinator. `E` names an engine.
+pub struct SessionTable<E> {
+    sessions: SessionIndex<E>,
+    max_sessions: usize,
+    max_probationary: usize,
+    hasher: SipHasher13,
+    counters: SessionCounters,
+}
+
+impl<E: Copy + PartialEq> SessionTable<E> {
+    /// An empty table. The seed keys the hash of names, so that no client can make two ids collide.
+    pub fn new(seed: u64) -> SessionTable<E> {
+        SessionTable::with_limits(seed, MAX_SESSIONS, MAX_PROBATIONARY_SESSIONS)
+    }
+
+    /// An empty table with other bounds on all sessions and on probationary ones.
+    pub fn with_limits(seed: u64, max_sessions: usize, max_probationary: usize) -> SessionTable<E> {
+        SessionTable {
+            sessions: SessionIndex::new(),
+            max_sessions,
+            max_probationary,
+            hasher: SipHasher13::new_with_keys(seed, !seed),
+            counters: SessionCounters::default(),
+        }
+    }
+
+    /// The name of a user's session; the same id of another user is another session.
+    pub fn name(&self, user: &str, id: &str) -> SessionName {
+        let mut hasher = self.hasher;
+        hasher.write(user.as_bytes());
+        hasher.write_u8(NAME_SEPARATOR);
+        hasher.write(id.as_bytes());
+        SessionName(hasher.finish128().as_u128())
+    }
+
+    /// Begins a query of a session, which is locked until [`SessionTable::end_query`]. Returns the session's engine,
+    /// if it lives on one already.
+    ///
+    /// # Errors
+    ///
+    /// Why the query can't run in this session.
+    pub fn begin_query(
+        &mut self,
+        now: Micros,
+        query: &SessionQuery,
+    ) -> Result<Option<Home<E>>, SessionError> {
+        self.expire(now);
+        let timeout = query
+            .timeout
+            .unwrap_or(DEFAULT_SESSION_TIMEOUT)
+            .min(MAX_SESSION_TIMEOUT);
+        match self.sessions.get(query.session) {
+            Some(session) if session.is_running() => return Err(SessionError::Locked),
+            Some(session) if session.is_lost() => {
+                self.sessions.remove(query.session);
+                return Err(SessionError::Lost);
+            }
+            Some(_) => {}
+            None if query.must_exist => return Err(SessionError::NotFound),
+            None => {
+                self.make_room()?;
+                self.counters.begun += 1;
+                self.sessions
+                    .insert(query.session, Session::new(now, timeout));
+            }
+        }
+        self.sessions
+            .update(query.session, |s| s.begin_query(now, timeout, query));
+        Ok(self.sessions.get(query.session).and_then(Session::home))
+    }
+
+    /// Ends a session's query, once nothing of it runs any more.
+    pub fn end_query(&mut self, now: Micros, name: SessionName, outcome: QueryOutcome<E>) {
+        let Some(session) = self.sessions.get(name) else {
+            return;
+        };
+        match outcome.engine() {
+            // The session's first query reached no engine: no engine knows the session.
+            None if session.home().is_none() => {
+                self.sessions.remove(name);
+                return;
+            }
+            Some(engine) if session.migrates_to(engine) => self.counters.migrated += 1,
+            _ => {}
+        }
+        self.sessions.update(name, |s| s.end_query(now, outcome));
+    }
+
+    /// Removes an engine that drains or is gone. Stateless sessions may migrate; stateful ones are lost.
+    pub fn remove_engine(&mut self, engine: E) {
+        let names: Vec<SessionName> = self
+            .sessions
+            .iter()
+            .filter(|(_, session)| session.lives_on(engine))
+            .map(|(name, _)| name)
+            .collect();
+        for name in names {
+            let is_stateful = self.sessions.get(name).is_some_and(Session::is_stateful);
+            self.counters.lost += u64::from(is_stateful);
+            self.sessions.update(name, Session::remove_home);
+        }
+    }
+
+    /// Ends the sessions whose timeout has passed, except those that run a query.
+    pub fn expire(&mut self, now: Micros) {
+        while let Some(name) = self.sessions.next_expired(now) {
+            if self.sessions.get(name).is_some_and(Session::is_running) {
+                self.sessions.update(name, |s| s.postpone_expiration(now));
+            } else {
+                self.counters.expired += 1;
+                self.sessions.remove(name);
+            }
+        }
+    }
+
+    /// How many sessions are held now; visits every session.
+    pub fn held(&self) -> HeldSessions {
+        let count = |is_counted: &dyn Fn(&Session<E>) -> bool| {
+            let all = self.sessions.iter();
+            all.filter(|(_, session)| is_counted(session)).count()
+        };
+        HeldSessions {
+            total: self.sessions.len(),
+            stateful: count(&|session| session.is_stateful()),
+            not_evictable: count(&|s| s.eviction_class() == EvictionClass::NotEvictable),
+        }
+    }
+
+    /// The counters so far.
+    pub fn counters(&self) -> SessionCounters {
+        self.counters
+    }
+
+    /// Whether the table's indexes agree with its sessions. For tests: visits every session.
+    pub fn is_consistent(&self) -> bool {
+        self.sessions.is_consistent()
+    }
+
+    /// Evicts the session of least use, if there is no room for one more.
+    fn make_room(&mut self) -> Result<(), SessionError> {
+        let has_room = self.sessions.len() < self.max_sessions;
+        if has_room && self.sessions.probationary() < self.max_probationary {
+            return Ok(());
+        }
+        match self.sessions.next_evictable() {
+            Some(name) => {
+                self.counters.evicted += 1;
+                self.sessions.remove(name);
+                Ok(())
+            }
+            None if has_room => Ok(()),
+            None => {
+                self.counters.rejected += 1;
+                Err(SessionError::TooManySessions)
+            }
+        }
+    }
+}
--- a/crates/clickhouse/src/sql.rs
+++ b/crates/clickhouse/src/sql.rs
@@ -3,7 +3,7 @@
 //! This is no parser: it reads tokens of the first [`MAX_SCANNED_BYTES`] and knows the words that statements begin with. What it does not
 //! recognise counts as a statement that writes and must not run twice.
 
-use crate::session::Leaves;
+use crate::session::SessionEffect;
 
 /// Bytes of a statement that are looked at: what stands behind them are rows, or a query larger than the server's own
 /// default bound on its size.
@@ -74,11 +74,11 @@
     }
 
     /// What it leaves in its session.
-    pub fn leaves(&self) -> Leaves {
+    pub fn session_effect(&self) -> SessionEffect {
         if self.leaves {
-            Leaves::Something
+            SessionEffect::LeavesState
         } else {
-            Leaves::Nothing
+            SessionEffect::None
         }
     }
 }
--- a/crates/clickhouse/tests/golden.rs
+++ b/crates/clickhouse/tests/golden.rs
@@ -6,7 +6,9 @@
     code_of, json_key, last_lines, marker, name, proof, status, tagged, Exception,
 };
 use driftfront_clickhouse::request::{self, Asked};
-use driftfront_clickhouse::session::{Fate, Leaves, SessionTable};
+use driftfront_clickhouse::session::{
+    QueryOutcome, SessionEffect, SessionError, SessionName, SessionQuery, SessionTable,
+};
 use driftfront_clickhouse::sql::Shape;
 use driftfront_clickhouse::watch::Watch;
 use driftfront_http::Request;
@@ -299,9 +301,9 @@
     ] {
         let s = Shape::of(statement);
         let kill = s.kill.as_ref().map(|k| (&k.ids, &k.behind));
-        let leaves = match s.leaves() {
-            Leaves::Nothing => "nothing",
-            Leaves::Something => "something",
+        let leaves = match s.session_effect() {
+            SessionEffect::None => "nothing",
+            SessionEffect::LeavesState => "something",
         };
         let _ = writeln!(
             text,
@@ -312,26 +314,42 @@
     assert_golden!("statements.txt", text);
 }
 
+fn session_query(session: SessionName, must_exist: bool, effect: SessionEffect) -> SessionQuery {
+    SessionQuery {
+        session,
+        must_exist,
+        timeout: None,
+        effect,
+    }
+}
+
 #[test]
 fn sessions_are_refused_in_the_same_words() {
-    let mut book: SessionTable<u32> = SessionTable::sized(7, 1, 1);
-    let mut told = MessageTranscript::default();
-    let name = book.name("jana", "s");
-    let missing = book.begin(0, name, true, None, Leaves::Nothing);
-    told.record(
+    let mut table: SessionTable<u32> = SessionTable::with_limits(7, 1, 1);
+    let mut transcript = MessageTranscript::default();
+    let text = |error: SessionError| Exception::from(error).text;
+    let name = table.name("jana", "s");
+    let read = session_query(name, false, SessionEffect::None);
+    let missing = session_query(name, true, SessionEffect::None);
+    let missing = table.begin_query(0, &missing);
+    transcript.record(
         "checked, none",
-        missing.err().map_or_else(String::new, |e| e.text),
+        missing.err().map_or_else(String::new, text),
     );
-    book.begin(0, name, false, None, Leaves::Something)
-        .expect("new");
-    let locked = book.begin(1, name, false, None, Leaves::Nothing);
-    told.record("locked", locked.err().map_or_else(String::new, |e| e.text));
-    let other = book.name("jana", "t");
-    let full = book.begin(1, other, false, None, Leaves::Nothing);
-    told.record("full", full.err().map_or_else(String::new, |e| e.text));
-    book.end_query(2, name, Fate::Ran(1, true));
-    book.engine_left(1);
-    let lost = book.begin(3, name, false, None, Leaves::Nothing);
-    told.record("lost", lost.err().map_or_else(String::new, |e| e.text));
-    assert_golden!("sessions.txt", told.bytes());
+    let set = session_query(name, false, SessionEffect::LeavesState);
+    table.begin_query(0, &set).expect("new");
+    let locked = table.begin_query(1, &read);
+    transcript.record("locked", locked.err().map_or_else(String::new, text));
+    let other = session_query(table.name("jana", "t"), false, SessionEffect::None);
+    let full = table.begin_query(1, &other);
+    transcript.record("full", full.err().map_or_else(String::new, text));
+    let outcome = QueryOutcome::Ran {
+        engine: 1,
+        succeeded: true,
+    };
+    table.end_query(2, name, outcome);
+    table.remove_engine(1);
+    let lost = table.begin_query(3, &read);
+    transcript.record("lost", lost.err().map_or_else(String::new, text));
+    assert_golden!("sessions.txt", transcript.bytes());
 }
--- /dev/null
+++ b/crates/clickhouse/tests/session.rs
@@ -0,0 +1,172 @@
+//! Sessions: where each lives, and which are evicted.
+
+use driftfront_clickhouse::exception::Exception;
+use driftfront_clickhouse::session::{
+    HeldSessions, Home, Micros, QueryOutcome, SessionEffect, SessionError, SessionName,
+    SessionQuery, SessionTable, MAX_PROBATIONARY_SESSIONS,
+};
+
+const SECOND: Micros = 1_000_000;
+
+fn query(session: SessionName, effect: SessionEffect) -> SessionQuery {
+    SessionQuery {
+        session,
+        must_exist: false,
+        timeout: None,
+        effect,
+    }
+}
+
+/// Runs a query that only reads; the home that the session had before.
+fn read(table: &mut SessionTable<u8>, now: Micros, id: &str, engine: u8) -> Option<Home<u8>> {
+    run(table, now, id, engine, SessionEffect::None)
+}
+
+/// Runs a statement that makes its session stateful.
+fn set(table: &mut SessionTable<u8>, now: Micros, id: &str, engine: u8) {
+    run(table, now, id, engine, SessionEffect::LeavesState);
+}
+
+fn run(
+    table: &mut SessionTable<u8>,
+    now: Micros,
+    id: &str,
+    engine: u8,
+    effect: SessionEffect,
+) -> Option<Home<u8>> {
+    let name = table.name("u", id);
+    let home = table.begin_query(now, &query(name, effect)).expect("room");
+    let outcome = QueryOutcome::Ran {
+        engine,
+        succeeded: true,
+    };
+    table.end_query(now, name, outcome);
+    home
+}
+
+fn home(engine: u8, is_exclusive: bool) -> Option<Home<u8>> {
+    Some(Home {
+        engine,
+        is_exclusive,
+    })
+}
+
+#[test]
+fn a_session_stays_where_it_first_ran_and_one_that_only_read_moves_when_that_leaves() {
+    let mut table = SessionTable::new(1);
+    assert_eq!(read(&mut table, 0, "a", 3), None);
+    assert_eq!(read(&mut table, 1, "a", 3), home(3, false));
+    table.remove_engine(3);
+    assert_eq!(read(&mut table, 2, "a", 4), None);
+    assert_eq!(read(&mut table, 3, "a", 4), home(4, false));
+}
+
+#[test]
+fn a_tied_session_is_lost_with_its_engine_and_its_client_is_told_once() {
+    let mut table = SessionTable::new(1);
+    set(&mut table, 0, "a", 3);
+    assert_eq!(read(&mut table, 1, "a", 3), home(3, true));
+    table.remove_engine(3);
+    let next = query(table.name("u", "a"), SessionEffect::None);
+    let lost = table.begin_query(2, &next).expect_err("lost");
+    let exception = Exception::from(lost);
+    assert!(exception.code == 372 && exception.text.contains("has left"));
+    // The client has been told and may begin a new session.
+    assert_eq!(table.begin_query(3, &next), Ok(None));
+    assert_eq!(table.counters().lost, 1);
+}
+
+#[test]
+fn a_statement_that_failed_ties_nothing_and_one_of_unknown_fate_does() {
+    let mut table = SessionTable::new(1);
+    let failed = QueryOutcome::Ran {
+        engine: 3,
+        succeeded: false,
+    };
+    let unknown = QueryOutcome::Unknown { engine: 3 };
+    for (id, outcome, is_exclusive) in [("a", failed, false), ("b", unknown, true)] {
+        let name = table.name("u", id);
+        table
+            .begin_query(0, &query(name, SessionEffect::LeavesState))
+            .expect("room");
+        table.end_query(0, name, outcome);
+        let next = SessionQuery {
+            must_exist: true,
+            ..query(name, SessionEffect::None)
+        };
+        assert_eq!(table.begin_query(1, &next), Ok(home(3, is_exclusive)));
+    }
+}
+
+#[test]
+fn one_query_at_a_time_a_check_that_fails_and_an_end_by_time() {
+    let mut table: SessionTable<u8> = SessionTable::new(1);
+    let (name, other) = (table.name("u", "a"), table.name("v", "a"));
+    let begin = |table: &mut SessionTable<u8>, now, session, must_exist| {
+        let next = SessionQuery {
+            must_exist,
+            timeout: Some(10 * SECOND),
+            ..query(session, SessionEffect::None)
+        };
+        table.begin_query(now, &next).map_err(SessionError::code)
+    };
+    let ran = QueryOutcome::Ran {
+        engine: 1,
+        succeeded: true,
+    };
+    assert_eq!(begin(&mut table, 0, name, true), Err(372));
+    assert_eq!(begin(&mut table, 0, name, false), Ok(None));
+    assert_eq!(begin(&mut table, 0, name, false), Err(373));
+    assert_eq!(
+        begin(&mut table, 0, other, false),
+        Ok(None),
+        "another user's"
+    );
+    // Running beyond its timeout, it stays; the timeout counts from the query's end.
+    assert_eq!(begin(&mut table, 30 * SECOND, name, false), Err(373));
+    table.end_query(31 * SECOND, name, ran);
+    assert!(begin(&mut table, 40 * SECOND, name, true).is_ok());
+    table.end_query(40 * SECOND, name, ran);
+    assert_eq!(begin(&mut table, 50 * SECOND, name, true), Err(372));
+    assert_eq!(table.counters().expired, 1);
+    // One that was rejected before it ran anywhere never was.
+    table.end_query(51 * SECOND, other, QueryOutcome::NeverRan);
+    assert_eq!(begin(&mut table, 51 * SECOND, other, true), Err(372));
+}
+
+#[test]
+fn a_million_ids_made_up_anew_displace_no_session_in_use_and_grow_nothing() {
+    let mut table = SessionTable::new(7);
+    for n in 0..100 {
+        set(&mut table, n, &format!("tied-{n}"), 1);
+        read(&mut table, n, &format!("used-{n}"), 2);
+        read(&mut table, n, &format!("used-{n}"), 2);
+    }
+    for n in 0..1_000_000 {
+        read(&mut table, 100 + n, &format!("made-up-{n}"), 3);
+    }
+    assert!(table.held().total <= MAX_PROBATIONARY_SESSIONS + 200 && table.is_consistent());
+    for n in 0..100 {
+        let now = 2 * SECOND;
+        assert!(read(&mut table, now, &format!("tied-{n}"), 1).is_some_and(|h| h.is_exclusive));
+        assert!(read(&mut table, now, &format!("used-{n}"), 2).is_some());
+    }
+    assert!(table.counters().evicted >= 1_000_000 - MAX_PROBATIONARY_SESSIONS as u64);
+}
+
+#[test]
+fn where_all_are_tied_a_new_one_is_turned_away_and_none_is_displaced() {
+    let mut table = SessionTable::with_limits(7, 20, 5);
+    for n in 0..20 {
+        set(&mut table, n, &format!("{n}"), 1);
+    }
+    let next = query(table.name("u", "more"), SessionEffect::None);
+    let rejected = table.begin_query(30, &next).map_err(SessionError::code);
+    assert_eq!(rejected, Err(202));
+    let held = HeldSessions {
+        total: 20,
+        stateful: 20,
+        not_evictable: 20,
+    };
+    assert_eq!((table.held(), table.counters().rejected), (held, 1));
+}
--- a/crates/coordinator/src/frontends/clickhouse/mod.rs
+++ b/crates/coordinator/src/frontends/clickhouse/mod.rs
@@ -15,8 +15,9 @@
 use super::{Frontend, FrontendAction, QueryClasses};
 use driftfront_clickhouse::body_budget::{BodyBudget, Reservation, UNBUDGETED_BYTES};
 use driftfront_clickhouse::exception::Exception;
+use driftfront_clickhouse::keyed_hash::keyed_hash;
 use driftfront_clickhouse::request::{self, Asked};
-use driftfront_clickhouse::session::{keyed_hash, Fate, SessionName, SessionTable};
+use driftfront_clickhouse::session::{QueryOutcome, SessionName, SessionTable};
 use driftfront_core::{EngineId, Micros, ParsedRequest, SettledOutcome};
 use driftfront_http::{HttpError, Request, RequestLimits};
 use std::collections::HashMap;
@@ -147,17 +148,17 @@
         };
         self.budget.release(open.reserved_bytes);
         if let Some(session) = open.session {
-            let fate = match fate {
-                SettledOutcome::NeverRan => Fate::NeverRan,
-                SettledOutcome::Ran(engine, well) => Fate::Ran(engine, well),
-                SettledOutcome::Unknown(engine) => Fate::Unknown(engine),
+            let outcome = match fate {
+                SettledOutcome::NeverRan => QueryOutcome::NeverRan,
+                SettledOutcome::Ran(engine, succeeded) => QueryOutcome::Ran { engine, succeeded },
+                SettledOutcome::Unknown(engine) => QueryOutcome::Unknown { engine },
             };
-            self.sessions.end_query(now, session, fate);
+            self.sessions.end_query(now, session, outcome);
         }
     }
 
     fn engine_left(&mut self, engine: EngineId) {
-        self.sessions.engine_left(engine);
+        self.sessions.remove_engine(engine);
     }
 
     fn duplicate_id_response(&mut self, now: Micros, request: &ParsedRequest) -> Option<Vec<u8>> {
@@ -180,18 +181,18 @@
     }
 
     fn counters(&self) -> String {
-        let (held, tied) = self.sessions.held();
-        let (sessions, bodies) = (self.sessions.counts(), self.budget.counts());
+        let (held, sessions) = (self.sessions.held(), self.sessions.counters());
+        let bodies = self.budget.counts();
         let mut text = String::new();
         for (name, count) in [
-            ("sessions_held", held as u64),
-            ("sessions_tied", tied as u64),
+            ("sessions_held", held.total as u64),
+            ("sessions_tied", held.stateful as u64),
             ("sessions_begun", sessions.begun),
             ("sessions_expired", sessions.expired),
-            ("sessions_displaced", sessions.displaced),
-            ("sessions_turned_away", sessions.turned_away),
+            ("sessions_displaced", sessions.evicted),
+            ("sessions_turned_away", sessions.rejected),
             ("sessions_lost", sessions.lost),
-            ("sessions_moved", sessions.moved),
+            ("sessions_moved", sessions.migrated),
             ("bodies_held_bytes", self.budget.held() as u64),
             ("bodies_held_bytes_most", bodies.max_held as u64),
             ("bodies_too_large_to_keep", bodies.too_large),
@@ -204,8 +205,8 @@
     }
 
     fn session_counts(&self) -> Vec<u64> {
-        let (held, tied) = self.sessions.held();
-        vec![held as u64, tied as u64]
+        let held = self.sessions.held();
+        vec![held.total as u64, held.stateful as u64]
     }
 
     fn expire_sessions(&mut self, now: Micros) {
--- a/crates/coordinator/src/frontends/clickhouse/query.rs
+++ b/crates/coordinator/src/frontends/clickhouse/query.rs
@@ -8,7 +8,7 @@
 use crate::net::fnv1a_64;
 use driftfront_clickhouse::exception::Exception;
 use driftfront_clickhouse::request::Query;
-use driftfront_clickhouse::session::{Home, SessionName};
+use driftfront_clickhouse::session::{Home, SessionName, SessionQuery};
 use driftfront_core::{EngineId, Micros, ParsedRequest, StickySession};
 use driftfront_http::Request;
 use std::rc::Rc;
@@ -115,10 +115,13 @@
         };
         let user = query.credentials.user.as_deref().unwrap_or_default();
         let name = self.sessions.name(user, &session.id);
-        let leaves = query.shape.leaves();
-        let home = self
-            .sessions
-            .begin(now, name, session.check, session.timeout, leaves)?;
+        let session_query = SessionQuery {
+            session: name,
+            must_exist: session.check,
+            timeout: session.timeout,
+            effect: query.shape.session_effect(),
+        };
+        let home = self.sessions.begin_query(now, &session_query)?;
         Ok(Some(BegunSession { name, home }))
     }
 }
@@ -134,7 +137,7 @@
 fn sticky_session(home: Home<EngineId>) -> StickySession {
     StickySession {
         engine: home.engine,
-        is_exclusive: home.tied,
+        is_exclusive: home.is_exclusive,
     }
 }
 
