--- a/crates/clickhouse/src/session/mod.rs
+++ b/crates/clickhouse/src/session/mod.rs
@@ -23,7 +23,8 @@
 
 pub use table::SessionTable;
 
-use crate::exception::{Exception, TOO_MANY_QUERIES};
+use crate::exception::codes::{SESSION_IS_LOCKED, SESSION_NOT_FOUND, TOO_MANY_QUERIES};
+use crate::exception::Exception;
 
 /// Time in microseconds.
 pub type Micros = u64;
@@ -39,9 +40,6 @@
 /// Timeout of a session without `session_timeout`, in microseconds; the server's own default.
 pub const DEFAULT_SESSION_TIMEOUT: Micros = 60 * MICROS_PER_SECOND;
 
-const SESSION_NOT_FOUND: u32 = 372;
-const SESSION_IS_LOCKED: u32 = 373;
-
 /// Identifies a session: a keyed hash of its user and id, so that memory is bounded however long the ids are.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SessionName(u128);
--- a/crates/clickhouse/src/watch.rs
+++ b/crates/clickhouse/src/watch.rs
@@ -13,7 +13,7 @@
 
 use crate::block::{FrameError, Frames};
 use crate::coding::{Coding, Tail, Unpacker};
-use crate::exception::{json_key, last_lines, tagged, Exception};
+use crate::exception::{find_in_last_lines, find_json_key, find_tagged, Exception};
 use std::fmt;
 
 /// Why a result can't be trusted.
@@ -141,10 +141,10 @@
     /// Looks for an exception in the last bytes: by its tag where one was announced, else by its form; then as a key of JSON.
     fn find_exception(&self, tail: &[u8], is_cut: bool) -> Option<Exception> {
         let exception = match &self.exception_tag {
-            Some(tag) => tagged(tail, tag),
-            None => last_lines(tail, is_cut),
+            Some(tag) => find_tagged(tail, tag),
+            None => find_in_last_lines(tail, is_cut),
         };
-        exception.or_else(|| self.is_json.then(|| json_key(tail)).flatten())
+        exception.or_else(|| self.is_json.then(|| find_json_key(tail)).flatten())
     }
 
     /// Ends the result. `is_cut`: its connection ended before the body did.
--- a/crates/clickhouse/tests/golden.rs
+++ b/crates/clickhouse/tests/golden.rs
@@ -3,7 +3,8 @@
 use driftfront_clickhouse::block::{self, Frames, Method};
 use driftfront_clickhouse::coding::{self, Coding};
 use driftfront_clickhouse::exception::{
-    code_of, json_key, last_lines, marker, name, proof, status, tagged, Exception,
+    classify, error_name, find_in_last_lines, find_json_key, find_tagged, http_status, marker,
+    parse_code, Exception,
 };
 use driftfront_clickhouse::request::{self, Asked};
 use driftfront_clickhouse::session::{
@@ -20,19 +21,19 @@
 fn codes_keep_their_names_statuses_and_what_they_prove() {
     let mut text = String::new();
     for code in 0..1000 {
-        let (name, status) = (name(code), status(code));
-        let proof = proof(Some(code), 500) as u8;
+        let (name, status) = (error_name(code), http_status(code));
+        let class = classify(Some(code), 500) as u8;
         if let Some(name) = name {
-            let _ = writeln!(text, "{code} {name} {status} proof {proof}");
+            let _ = writeln!(text, "{code} {name} {status} proof {class}");
         } else {
-            assert_eq!((status, proof), (500, 2), "{code}");
+            assert_eq!((status, class), (500, 2), "{code}");
         }
     }
     for status in [400, 404, 429, 500, 503] {
         let _ = writeln!(
             text,
             "no code, {status}: proof {}",
-            proof(None, status) as u8
+            classify(None, status) as u8
         );
     }
     assert_golden!("codes.txt", text);
@@ -55,11 +56,11 @@
         let text = format!(
             "{}\ncode {:?}\ntagged {}\nlast lines {}\nlast lines, cut {}\nJSON key {}",
             input.escape_default(),
-            code_of(input),
-            shown(tagged(bytes, "0a1b2c3d4e5f6789")),
-            shown(last_lines(bytes, false)),
-            shown(last_lines(bytes, true)),
-            shown(json_key(bytes)),
+            parse_code(input),
+            shown(find_tagged(bytes, "0a1b2c3d4e5f6789")),
+            shown(find_in_last_lines(bytes, false)),
+            shown(find_in_last_lines(bytes, true)),
+            shown(find_json_key(bytes)),
         );
         read.record("input", text);
     }
--- a/crates/coordinator/src/backends/clickhouse/cause.rs
+++ b/crates/coordinator/src/backends/clickhouse/cause.rs
@@ -1,6 +1,6 @@
 //! What an error of an engine says of the attempt.
 
-use driftfront_clickhouse::exception::{proof, Exception, Proof, NETWORK_ERROR};
+use driftfront_clickhouse::exception::{classify, ErrorClass, Exception, NETWORK_ERROR};
 use driftfront_clickhouse::watch::Fault;
 use driftfront_core::Cause;
 
@@ -11,10 +11,10 @@
 
 /// The cause of a failure told with a code, an HTTP status and words.
 pub(super) fn cause_of_error(code: Option<u32>, status: u16, text: &str) -> Cause {
-    match proof(code, status) {
-        Proof::NeverRan => Cause::Rejected,
-        Proof::OfTheStatement => Cause::Statement(text.into()),
-        Proof::MayHaveRun => Cause::Engine(text.into()),
+    match classify(code, status) {
+        ErrorClass::Rejected => Cause::Rejected,
+        ErrorClass::Statement => Cause::Statement(text.into()),
+        ErrorClass::Engine => Cause::Engine(text.into()),
     }
 }
 
--- a/crates/coordinator/src/backends/clickhouse/response.rs
+++ b/crates/coordinator/src/backends/clickhouse/response.rs
@@ -3,7 +3,7 @@
 use super::cause::{cause_of_broken_result, cause_of_error};
 use super::{PROGRESS_HEADER, QUERY_ID_HEADER};
 use crate::backends::EngineEvent;
-use driftfront_clickhouse::exception::{code_of, MAX_TEXT_BYTES};
+use driftfront_clickhouse::exception::{parse_code, MAX_TEXT_BYTES};
 use driftfront_clickhouse::watch::{Fault, Watch};
 use driftfront_core::{AttemptKey, ResponseChunk};
 use driftfront_http::{header, ResponseHead};
@@ -165,7 +165,7 @@
     fn error_event(&self, key: AttemptKey) -> EngineEvent {
         let text = String::from_utf8_lossy(&self.held);
         let text = text.trim_end();
-        let code = self.code().or_else(|| code_of(text));
+        let code = self.code().or_else(|| parse_code(text));
         let status = self.head.as_ref().map_or(0, |h| h.status);
         EngineEvent::Failed(key, cause_of_error(code, status, text))
     }
--- a/crates/coordinator/src/frontends/clickhouse/response.rs
+++ b/crates/coordinator/src/frontends/clickhouse/response.rs
@@ -109,7 +109,7 @@
             ("Retry-After", seconds.as_str()),
         ];
         // Where an engine erred on it, that is what its client wants to know.
-        let bytes = match message.and_then(Exception::of_text) {
+        let bytes = match message.and_then(Exception::parse) {
             Some(e) => self.exception(e.status(), &e, &headers),
             None => {
                 let e = Exception::new(TOO_MANY_QUERIES, "Overloaded, try again later");
@@ -120,7 +120,7 @@
     }
 
     fn fail(&mut self, message: Option<&str>, out: &mut Vec<u8>) {
-        let e = message.and_then(Exception::of_text).unwrap_or_else(|| {
+        let e = message.and_then(Exception::parse).unwrap_or_else(|| {
             Exception::new(
                 NETWORK_ERROR,
                 "The query failed, or its time ran out; it may have run",
--- a/crates/mock-servers/src/engine/exception.rs
+++ b/crates/mock-servers/src/engine/exception.rs
@@ -1,6 +1,6 @@
 //! Exceptions, as ClickHouse words them.
 
-use driftfront_clickhouse::exception::{name, status};
+use driftfront_clickhouse::exception::{error_name, http_status};
 use std::io;
 
 /// The version that the engine says it has.
@@ -58,7 +58,7 @@
     /// As it stands in a response.
     pub(super) fn text(&self) -> String {
         let (code, message) = (self.code, &self.message);
-        let name = name(code).unwrap_or("UNKNOWN");
+        let name = error_name(code).unwrap_or("UNKNOWN");
         format!(
             "Code: {code}. DB::Exception: {message}. ({name}) (version {VERSION} (official build))"
         )
@@ -80,7 +80,7 @@
     /// The status of the response with an exception.
     pub(super) fn http_status(&self) -> u16 {
         match self {
-            QueryError::Exception(exception) => status(exception.code),
+            QueryError::Exception(exception) => http_status(exception.code),
             QueryError::Rejected(_) | QueryError::Io(_) => SERVICE_UNAVAILABLE,
         }
     }
