--- a/crates/clickhouse/src/lib.rs
+++ b/crates/clickhouse/src/lib.rs
@@ -11,6 +11,7 @@
 pub mod multipart;
 pub mod params;
 pub mod request;
+pub mod result_checker;
 pub mod session;
 pub mod sql;
-pub mod watch;
+pub mod tail;
--- a/crates/clickhouse/src/request.rs
+++ b/crates/clickhouse/src/request.rs
@@ -1,6 +1,7 @@
 //! Requests of ClickHouse's HTTP interface: what a client asks for, wherever it wrote that.
 
-use crate::coding::{beginning, Coding};
+use crate::block;
+use crate::coding::{self, Coding};
 use crate::credentials::Credentials;
 use crate::exception::Exception;
 use crate::multipart;
@@ -290,13 +291,13 @@
     }
     let mut first: Vec<u8> = match header(&request.headers, "content-encoding") {
         Some(name) if !name.eq_ignore_ascii_case("identity") => {
-            let coding = Coding::of(name).ok_or_else(|| {
+            let coding = Coding::from_name(name).ok_or_else(|| {
                 Exception::new(
                     48,
                     &format!("Content-Encoding {name} is not supported here"),
                 )
             })?;
-            beginning(coding, &request.body, MAX_SCANNED_BYTES)
+            coding::decompress_prefix(coding, &request.body, MAX_SCANNED_BYTES)
         }
         _ => request.body[..request.body.len().min(MAX_SCANNED_BYTES)].to_vec(),
     };
@@ -306,9 +307,9 @@
         } else {
             &request.body
         };
-        let unpacked = crate::block::unpack_prefix(packed, MAX_SCANNED_BYTES)
+        let unpacked = block::decompress_prefix(packed, MAX_SCANNED_BYTES)
             .map_err(|e| Exception::new(271, &format!("Cannot decompress the body: {e}")))?;
-        first = unpacked.0;
+        first = unpacked.data;
     }
     first.truncate(MAX_SCANNED_BYTES);
     Ok(String::from_utf8_lossy(&first).into_owned())
@@ -344,7 +345,7 @@
         let told = header(&request.headers, "accept-encoding").unwrap_or_default();
         let known = told
             .split(',')
-            .filter(|c| Coding::of(c.split(';').next().unwrap_or_default()).is_some());
+            .filter(|c| Coding::from_name(c.split(';').next().unwrap_or_default()).is_some());
         let known: Vec<&str> = known.map(str::trim).collect();
         if !known.is_empty() {
             let _ = write!(text, "Accept-Encoding: {}\r\n", known.join(", "));
--- /dev/null
+++ b/crates/clickhouse/tests/block.rs
@@ -0,0 +1,87 @@
+//! Compressed blocks: compression, decompression, and streams of them.
+
+use driftfront_clickhouse::block::{
+    compress, decompress, BlockError, BlockStream, Method, MAX_RETAINED_BLOCKS,
+};
+use driftfront_clickhouse::tail::TAIL_BYTES;
+
+const ALL: [Method; 3] = [Method::None, Method::Lz4, Method::Zstd];
+
+#[test]
+fn what_is_packed_is_unpacked_by_every_method() {
+    for method in ALL {
+        for data in [
+            &b""[..],
+            b"a",
+            &[7; 70_000],
+            &(0..9999u32).flat_map(u32::to_le_bytes).collect::<Vec<_>>(),
+        ] {
+            assert_eq!(
+                decompress(&compress(method, data)).as_deref(),
+                Ok(data),
+                "{method:?}"
+            );
+        }
+    }
+}
+
+#[test]
+fn frames_come_in_any_pieces_and_only_the_last_are_held() {
+    let stream: Vec<u8> = ALL
+        .iter()
+        .flat_map(|&method| compress(method, format!("{method:?}").as_bytes()))
+        .collect();
+    for step in [1, 2, 7, 24, 25, 26, 1000] {
+        let mut blocks = BlockStream::default();
+        for piece in stream.chunks(step) {
+            blocks.push(piece).expect("well formed");
+        }
+        assert_eq!(blocks.complete_blocks(), 3);
+        assert!(blocks.is_at_block_boundary());
+        assert_eq!(blocks.tail(), Ok(b"NoneLz4Zstd".to_vec()));
+        blocks.push(&stream[..30]).expect("the next begins");
+        assert!(!blocks.is_at_block_boundary() && blocks.incomplete().len() <= 30);
+    }
+}
+
+#[test]
+fn frames_that_the_last_bytes_do_not_reach_are_let_go() {
+    let (large, small) = (
+        compress(Method::Lz4, &[b'x'; 3 * TAIL_BYTES]),
+        compress(Method::None, b"y"),
+    );
+    let mut blocks = BlockStream::default();
+    for _ in 0..10 {
+        blocks.push(&large).expect("well formed");
+    }
+    assert_eq!(blocks.retained_blocks(), 1);
+    for _ in 0..1000 {
+        blocks.push(&small).expect("well formed");
+    }
+    assert_eq!(blocks.retained_blocks(), MAX_RETAINED_BLOCKS);
+    blocks
+        .push(&large)
+        .and_then(|()| blocks.push(&small))
+        .expect("well formed");
+    assert_eq!(blocks.retained_blocks(), 2);
+    assert!(blocks.tail().expect("well").ends_with(b"xxy"));
+}
+
+#[test]
+fn any_changed_byte_is_noticed_and_none_panics() {
+    let good = compress(Method::Lz4, &[5; 400]);
+    for at in 0..good.len() {
+        let mut bad = good.clone();
+        bad[at] ^= 0x40;
+        let mut blocks = BlockStream::default();
+        let noticed = blocks.push(&bad).is_err() || !blocks.is_at_block_boundary();
+        assert!(noticed, "byte {at}");
+        assert!(decompress(&bad).is_err(), "byte {at}");
+    }
+    assert_eq!(decompress(b"short"), Err(BlockError::NotABlock));
+    let text = b"Code: 241. DB::Exception: Memory limit. (MEMORY_LIMIT_EXCEEDED)";
+    assert_eq!(
+        BlockStream::default().push(text),
+        Err(BlockError::NotABlock)
+    );
+}
--- a/crates/clickhouse/tests/coding.rs
+++ b/crates/clickhouse/tests/coding.rs
@@ -1,6 +1,7 @@
-//! Content codings: packing, unpacking in pieces, and what a server would choose.
+//! Content codings: compression, decoding however fragmented, and negotiation.
 
-use driftfront_clickhouse::coding::{beginning, pack, Coding, Tail, Unpacker, TAIL_BYTES};
+use driftfront_clickhouse::coding::{compress, decompress_prefix, Coding, Decoder};
+use driftfront_clickhouse::tail::{TailBuffer, TAIL_BYTES};
 
 const ALL: [Coding; 5] = [
     Coding::Gzip,
@@ -20,23 +21,31 @@
 fn every_coding_is_decoded_however_fragmented() {
     let plain = text();
     for coding in ALL {
-        let packed = pack(coding, &plain).expect("packs");
+        let packed = compress(coding, &plain).expect("compresses");
         for step in [11, 1000, 1 << 20] {
-            let mut unpacker = Unpacker::new(coding, Tail::default()).expect("a decoder");
+            let mut decoder = Decoder::new(coding, TailBuffer::default()).expect("a decoder");
             for piece in packed.chunks(step) {
-                unpacker.push(piece).expect("well formed");
+                decoder.push(piece).expect("well formed");
             }
-            unpacker
-                .may_end()
+            decoder
+                .finish()
                 .unwrap_or_else(|e| panic!("{coding:?}: {e}"));
-            assert_eq!(unpacker.get_ref().total, plain.len() as u64, "{coding:?}");
+            assert_eq!(
+                decoder.get_ref().written(),
+                plain.len() as u64,
+                "{coding:?}"
+            );
             assert!(
-                plain.ends_with(unpacker.get_ref().bytes())
-                    && unpacker.get_ref().bytes().len() >= 1000
+                plain.ends_with(decoder.get_ref().bytes())
+                    && decoder.get_ref().bytes().len() >= 1000
             );
         }
-        assert_eq!(beginning(coding, &packed, 100), &plain[..100], "{coding:?}");
-        assert_eq!(Coding::of(coding.name()), Some(coding));
+        assert_eq!(
+            decompress_prefix(coding, &packed, 100),
+            &plain[..100],
+            "{coding:?}"
+        );
+        assert_eq!(Coding::from_name(coding.name()), Some(coding));
     }
 }
 
@@ -44,12 +53,12 @@
 fn corrupt_stream_never_panics() {
     let plain = text();
     for coding in ALL {
-        let packed = pack(coding, &plain).expect("packs");
+        let packed = compress(coding, &plain).expect("compresses");
         for at in [0, 3, packed.len() / 2] {
             let mut bad = packed.clone();
             bad[at] ^= 0xff;
-            let mut unpacker = Unpacker::new(coding, Tail::default()).expect("a decoder");
-            let _ = unpacker.push(&bad).and_then(|()| unpacker.may_end());
+            let mut decoder = Decoder::new(coding, TailBuffer::default()).expect("a decoder");
+            let _ = decoder.push(&bad).and_then(|()| decoder.finish());
         }
     }
 }
@@ -65,7 +74,7 @@
 fn a_tail_keeps_the_last_bytes_however_they_come() {
     let plain = text();
     for step in [1, 100, TAIL_BYTES, 3 * TAIL_BYTES] {
-        let mut tail = Tail::default();
+        let mut tail = TailBuffer::default();
         plain[..50_000].chunks(step).for_each(|p| tail.push(p));
         assert_eq!(tail.bytes(), &plain[50_000 - TAIL_BYTES..50_000]);
     }
--- a/crates/clickhouse/tests/golden.rs
+++ b/crates/clickhouse/tests/golden.rs
@@ -1,17 +1,18 @@
 //! The forms of ClickHouse's interface: what is written stays as it is, and what other programs wrote is read as it was.
 
-use driftfront_clickhouse::block::{self, Frames, Method};
+use driftfront_clickhouse::block::{self, BlockStream, Method};
 use driftfront_clickhouse::coding::{self, Coding};
 use driftfront_clickhouse::exception::{
     classify, error_name, find_in_last_lines, find_json_key, find_tagged, http_status, marker,
     parse_code, Exception,
 };
 use driftfront_clickhouse::request::{self, Asked};
+use driftfront_clickhouse::result_checker::{ResultChecker, ResultDescription};
 use driftfront_clickhouse::session::{
     QueryOutcome, SessionEffect, SessionError, SessionName, SessionQuery, SessionTable,
 };
 use driftfront_clickhouse::sql::Shape;
-use driftfront_clickhouse::watch::Watch;
+
 use driftfront_http::Request;
 use driftfront_test_support::message_transcript::MessageTranscript;
 use driftfront_test_support::{assert_golden, read_golden};
@@ -80,23 +81,28 @@
         (Method::Zstd, "block_zstd.bin"),
     ] {
         if std::env::var_os("WRITE_GOLDEN").is_some() {
-            assert_golden!(name, block::pack(method, &rows()));
+            assert_golden!(name, block::compress(method, &rows()));
         }
         let golden = read_golden!(name);
-        assert_eq!(block::unpack(&golden), Ok(rows()), "{name}");
+        assert_eq!(block::decompress(&golden), Ok(rows()), "{name}");
         // The head's form is fixed; the packed bytes are the libraries'.
-        let made = block::pack(method, &rows());
+        let made = block::compress(method, &rows());
         assert_eq!(made[16], golden[16], "{name}: the method's byte");
         assert_eq!(made[21..25], golden[21..25], "{name}: the size unpacked");
-        let mut frames = Frames::default();
-        frames.push(&golden).expect("well formed");
-        assert_eq!((frames.count, frames.may_end()), (1, true));
-        let mut watch = Watch::new(true, None, None, None).expect("a decoder");
-        watch.push(&golden).expect("well formed");
-        assert_eq!(watch.end(false), Ok(()));
+        let mut blocks = BlockStream::default();
+        blocks.push(&golden).expect("well formed");
+        assert_eq!(blocks.complete_blocks(), 1);
+        assert!(blocks.is_at_block_boundary());
+        let description = ResultDescription {
+            has_blocks: true,
+            ..ResultDescription::default()
+        };
+        let mut checker = ResultChecker::new(&description).expect("a decoder");
+        checker.push(&golden).expect("well formed");
+        assert_eq!(checker.finish(false), Ok(()));
     }
     // Nothing is packed in this one: all of it is this crate's form.
-    assert_golden!("block_none.bin", block::pack(Method::None, &rows()));
+    assert_golden!("block_none.bin", block::compress(Method::None, &rows()));
 }
 
 #[test]
@@ -110,17 +116,21 @@
     ] {
         let name = format!("coding_{}.bin", coding.name());
         if std::env::var_os("WRITE_GOLDEN").is_some() {
-            assert_golden!(&name, coding::pack(coding, &rows()).expect("it packs"));
+            assert_golden!(&name, coding::compress(coding, &rows()).expect("it packs"));
         }
         let golden = read_golden!(&name);
         assert_eq!(
-            coding::beginning(coding, &golden, 1 << 20),
+            coding::decompress_prefix(coding, &golden, 1 << 20),
             rows(),
             "{name}"
         );
-        let mut watch = Watch::new(false, Some(coding), None, None).expect("a decoder");
-        watch.push(&golden).expect("well formed");
-        assert_eq!(watch.end(false), Ok(()), "{name}");
+        let description = ResultDescription {
+            coding: Some(coding),
+            ..ResultDescription::default()
+        };
+        let mut checker = ResultChecker::new(&description).expect("a decoder");
+        checker.push(&golden).expect("well formed");
+        assert_eq!(checker.finish(false), Ok(()), "{name}");
     }
 }
 
--- a/crates/clickhouse/tests/request.rs
+++ b/crates/clickhouse/tests/request.rs
@@ -1,6 +1,6 @@
 //! Requests as they are read off the interface.
 
-use driftfront_clickhouse::block::{pack, Method};
+use driftfront_clickhouse::block::{compress, Method};
 use driftfront_clickhouse::coding::Coding;
 use driftfront_clickhouse::exception::Exception;
 use driftfront_clickhouse::request::{read, Asked, Query};
@@ -36,10 +36,10 @@
 #[test]
 fn statement_is_found_in_every_place_and_packing() {
     let insert = b"INSERT INTO uni_4.t FORMAT CSV\n1,2\n";
-    let gzip = driftfront_clickhouse::coding::pack(Coding::Gzip, insert).expect("packs");
+    let gzip = driftfront_clickhouse::coding::compress(Coding::Gzip, insert).expect("packs");
     let frames = [
-        pack(Method::Lz4, &insert[..9]),
-        pack(Method::Zstd, &insert[9..]),
+        compress(Method::Lz4, &insert[..9]),
+        compress(Method::Zstd, &insert[9..]),
     ]
     .concat();
     let form = b"--b\r\nContent-Disposition: form-data; name=\"query\"\r\n\r\nINSERT INTO uni_4.t VALUES\r\n--b--";
@@ -81,7 +81,7 @@
         ),
         271
     );
-    let mut frame = pack(Method::Lz4, b"SELECT 1");
+    let mut frame = compress(Method::Lz4, b"SELECT 1");
     frame[30] ^= 1;
     assert_eq!(code("POST", "/?decompress=1", &[], &frame), 271);
     assert_eq!(
--- a/crates/coordinator/src/backends/clickhouse/cause.rs
+++ b/crates/coordinator/src/backends/clickhouse/cause.rs
@@ -1,7 +1,7 @@
 //! What an error of an engine says of the attempt.
 
 use driftfront_clickhouse::exception::{classify, ErrorClass, Exception, NETWORK_ERROR};
-use driftfront_clickhouse::watch::Fault;
+use driftfront_clickhouse::result_checker::ResultError;
 use driftfront_core::Cause;
 
 /// ClickHouse's code for a result that can't be decoded.
@@ -19,15 +19,15 @@
 }
 
 /// The cause of a result that broke after its status said 200: the query has begun.
-pub(super) fn cause_of_broken_result(fault: &Fault) -> Cause {
-    match fault {
-        Fault::Exception(e) if e.code == NO_CODE => {
+pub(super) fn cause_of_broken_result(error: &ResultError) -> Cause {
+    match error {
+        ResultError::Exception(e) if e.code == NO_CODE => {
             Cause::Engine(Exception::new(NETWORK_ERROR, &e.text).text)
         }
-        Fault::Exception(e) => match cause_of_error(Some(e.code), 200, &e.text) {
+        ResultError::Exception(e) => match cause_of_error(Some(e.code), 200, &e.text) {
             Cause::Rejected => Cause::Engine(e.text.clone()),
             cause => cause,
         },
-        fault => Cause::Engine(Exception::new(CORRUPTED_DATA, &fault.to_string()).text),
+        error => Cause::Engine(Exception::new(CORRUPTED_DATA, &error.to_string()).text),
     }
 }
--- a/crates/coordinator/src/backends/clickhouse/mod.rs
+++ b/crates/coordinator/src/backends/clickhouse/mod.rs
@@ -12,7 +12,7 @@
 mod response;
 mod session;
 
-use driftfront_clickhouse::watch;
+use driftfront_clickhouse::result_checker::ResultError;
 use driftfront_http::HttpError;
 
 pub use session::HttpSession;
@@ -47,5 +47,5 @@
     UnknownCoding(String),
     /// The result is broken.
     #[error(transparent)]
-    Result(#[from] watch::Fault),
+    Result(#[from] ResultError),
 }
--- a/crates/coordinator/src/backends/clickhouse/response.rs
+++ b/crates/coordinator/src/backends/clickhouse/response.rs
@@ -4,7 +4,7 @@
 use super::{PROGRESS_HEADER, QUERY_ID_HEADER};
 use crate::backends::EngineEvent;
 use driftfront_clickhouse::exception::{parse_code, MAX_TEXT_BYTES};
-use driftfront_clickhouse::watch::{Fault, Watch};
+use driftfront_clickhouse::result_checker::{ResultChecker, ResultError};
 use driftfront_core::{AttemptKey, ResponseChunk};
 use driftfront_http::{header, ResponseHead};
 
@@ -24,7 +24,7 @@
     /// Error text, or rows that are not forwarded yet.
     held: Vec<u8>,
     /// Checks the result; there once the head of a query's response is.
-    watch: Option<Watch>,
+    checker: Option<ResultChecker>,
     is_forwarding: bool,
     /// The last progress reported.
     progress: Option<String>,
@@ -47,11 +47,11 @@
         self.progress = Some(header_value);
     }
 
-    /// Takes the head; a query's result is checked by `watch`.
-    pub(super) fn set_head(&mut self, head: ResponseHead, watch: Option<Watch>) {
+    /// Takes the head; a query's result is checked by `checker`.
+    pub(super) fn set_head(&mut self, head: ResponseHead, checker: Option<ResultChecker>) {
         self.head = Some(head);
-        if watch.is_some() {
-            self.watch = watch;
+        if checker.is_some() {
+            self.checker = checker;
         }
     }
 
@@ -97,14 +97,14 @@
         key: AttemptKey,
         bytes: Vec<u8>,
         events: &mut Vec<EngineEvent>,
-    ) -> Result<(), Fault> {
+    ) -> Result<(), ResultError> {
         if self.is_error() {
             let room = MAX_TEXT_BYTES.saturating_sub(self.held.len());
             self.held.extend_from_slice(&bytes[..bytes.len().min(room)]);
             return Ok(());
         }
-        if let Some(watch) = &mut self.watch {
-            watch.push(&bytes)?;
+        if let Some(checker) = &mut self.checker {
+            checker.push(&bytes)?;
         }
         if self.held.is_empty() {
             self.held = bytes;
@@ -138,8 +138,8 @@
         if self.is_error() {
             return events.push(self.error_event(key));
         }
-        if let Some(Err(fault)) = self.watch.as_mut().map(|w| w.end(false)) {
-            return events.push(EngineEvent::Failed(key, cause_of_broken_result(&fault)));
+        if let Some(Err(error)) = self.checker.as_mut().map(|c| c.finish(false)) {
+            return events.push(EngineEvent::Failed(key, cause_of_broken_result(&error)));
         }
         if !self.is_forwarding || !self.held.is_empty() {
             self.forward_held(key, true, events);
@@ -153,9 +153,9 @@
         if !self.has_head() || self.is_error() {
             return None;
         }
-        match self.watch.as_mut()?.end(true) {
-            Err(fault @ Fault::Exception(_)) => {
-                Some(EngineEvent::Failed(key, cause_of_broken_result(&fault)))
+        match self.checker.as_mut()?.finish(true) {
+            Err(error @ ResultError::Exception(_)) => {
+                Some(EngineEvent::Failed(key, cause_of_broken_result(&error)))
             }
             // A connection that is cut says by itself that the result is not complete.
             _ => None,
--- a/crates/coordinator/src/backends/clickhouse/session.rs
+++ b/crates/coordinator/src/backends/clickhouse/session.rs
@@ -6,7 +6,7 @@
 use super::{ClickHouseError, PROGRESS_HEADER, QUERY_ID_HEADER};
 use crate::backends::{AttemptRequest, EngineEvent, EngineSession, SessionError};
 use driftfront_clickhouse::coding::Coding;
-use driftfront_clickhouse::watch::Watch;
+use driftfront_clickhouse::result_checker::{ResultChecker, ResultDescription};
 use driftfront_core::{AttemptKey, Micros, Outcome, ProgressReport};
 use driftfront_http::{chunk, header, ResponseHead, ResponsePart, ResponseReader, LAST_CHUNK};
 
@@ -87,17 +87,17 @@
     ) -> Result<(), ClickHouseError> {
         self.is_spent |= head.close;
         let coding = content_coding(&head);
-        let watch = match self.query() {
+        let checker = match self.query() {
             Some(_) => {
                 self.check_query_name(&head)?;
-                Some(self.watch_result(&head, coding?)?)
+                Some(self.check_result(&head, coding?)?)
             }
             None => {
                 coding?;
                 None
             }
         };
-        self.response.set_head(head, watch);
+        self.response.set_head(head, checker);
         match self.in_flight {
             InFlight::Query(key) => events.push(EngineEvent::Begun(key)),
             InFlight::Probe(_) => {}
@@ -114,14 +114,17 @@
         }
     }
 
-    fn watch_result(
+    fn check_result(
         &self,
         head: &ResponseHead,
         coding: Option<Coding>,
-    ) -> Result<Watch, ClickHouseError> {
-        let tag = header(&head.headers, "X-ClickHouse-Exception-Tag");
-        let format = header(&head.headers, "X-ClickHouse-Format");
-        Ok(Watch::new(self.has_blocks, coding, tag, format)?)
+    ) -> Result<ResultChecker, ClickHouseError> {
+        Ok(ResultChecker::new(&ResultDescription {
+            has_blocks: self.has_blocks,
+            coding,
+            exception_tag: header(&head.headers, "X-ClickHouse-Exception-Tag"),
+            format: header(&head.headers, "X-ClickHouse-Format"),
+        })?)
     }
 
     fn add_body(
@@ -159,7 +162,7 @@
 /// The content coding of a result, `None` for plain bytes.
 fn content_coding(head: &ResponseHead) -> Result<Option<Coding>, ClickHouseError> {
     match header(&head.headers, "Content-Encoding") {
-        Some(name) if !name.eq_ignore_ascii_case("identity") => Coding::of(name)
+        Some(name) if !name.eq_ignore_ascii_case("identity") => Coding::from_name(name)
             .map(Some)
             .ok_or_else(|| ClickHouseError::UnknownCoding(name.into())),
         _ => Ok(None),
--- a/crates/coordinator/tests/clickhouse.rs
+++ b/crates/coordinator/tests/clickhouse.rs
@@ -10,7 +10,7 @@
 
 use common::site::{read_some, Plan, Site};
 use common::{appliance, call, file, get, instance, post, read_answer, stand_in, Coordinator};
-use driftfront_clickhouse::block::{pack, unpack_prefix, Method};
+use driftfront_clickhouse::block::{compress, decompress_prefix, Method};
 use driftfront_clickhouse::coding::{self, Coding};
 use driftfront_http::{chunk, RequestReader};
 use driftfront_mock_servers::engine::{fnv, Options};
@@ -180,15 +180,17 @@
 }
 
 fn blocks(bytes: &[u8]) -> Vec<u8> {
-    unpack_prefix(bytes, usize::MAX).unwrap_or_default().0
+    decompress_prefix(bytes, usize::MAX)
+        .unwrap_or_default()
+        .data
 }
 
 fn gunzip(bytes: &[u8]) -> Vec<u8> {
-    coding::beginning(Coding::Gzip, bytes, usize::MAX / 2)
+    coding::decompress_prefix(Coding::Gzip, bytes, usize::MAX / 2)
 }
 
 fn brotli(bytes: &[u8]) -> Vec<u8> {
-    coding::beginning(Coding::Brotli, bytes, usize::MAX / 2)
+    coding::decompress_prefix(Coding::Brotli, bytes, usize::MAX / 2)
 }
 
 const WAYS: [Way; 5] = [
@@ -869,7 +871,7 @@
     );
     assert_eq!(code(&post(addr, "/", "", " ")), Some(62));
     assert_eq!(code(&get(addr, "/?query=DROP+TABLE+t")), Some(164));
-    let mut bad = pack(Method::Lz4, b"INSERT INTO o.t VALUES (1)");
+    let mut bad = compress(Method::Lz4, b"INSERT INTO o.t VALUES (1)");
     bad[20] ^= 1;
     let head = format!(
         "POST /?decompress=1 HTTP/1.1\r\nContent-Length: {}\r\n\r\n",
--- a/crates/coordinator/tests/conformance.rs
+++ b/crates/coordinator/tests/conformance.rs
@@ -61,7 +61,7 @@
 fn packed(how: &str, body: &[u8]) -> Vec<u8> {
     let blocks = |method| {
         body.chunks(40_000)
-            .flat_map(|c| block::pack(method, c))
+            .flat_map(|c| block::compress(method, c))
             .collect::<Vec<u8>>()
     };
     let spoilt = |mut bytes: Vec<u8>| {
@@ -69,7 +69,7 @@
         bytes[at] ^= 0x11;
         bytes
     };
-    let gzip = || coding::pack(Coding::Gzip, body).expect("packs");
+    let gzip = || coding::compress(Coding::Gzip, body).expect("packs");
     match how {
         "" => body.to_vec(),
         "blocks" => blocks(Method::Lz4),
@@ -77,7 +77,7 @@
         "plain blocks" => blocks(Method::None),
         "spoilt blocks" => spoilt(blocks(Method::Lz4)),
         "spoilt gzip" => spoilt(gzip()),
-        name => coding::pack(Coding::of(name).expect("a coding"), body).expect("packs"),
+        name => coding::compress(Coding::from_name(name).expect("a coding"), body).expect("packs"),
     }
 }
 
@@ -162,15 +162,15 @@
 fn seen(step: Json, status: u16, headers: &[Header], body: Vec<u8>, whole: bool) -> Seen {
     let told = |name: &str| header(headers, name);
     let mut body = body;
-    if let Some(coding) = told("content-encoding").and_then(Coding::of) {
-        body = coding::beginning(coding, &body, usize::MAX / 2);
+    if let Some(coding) = told("content-encoding").and_then(Coding::from_name) {
+        body = coding::decompress_prefix(coding, &body, usize::MAX / 2);
     }
     let exception = told("x-clickhouse-exception-code").is_some();
     let target = step.get("target").text().unwrap_or_default();
     if target.contains("compress=1") && !target.contains("decompress=1") && !exception {
-        body = block::unpack_prefix(&body, usize::MAX)
+        body = block::decompress_prefix(&body, usize::MAX)
             .unwrap_or_default()
-            .0;
+            .data;
     }
     if exception {
         let text = String::from_utf8_lossy(&body).into_owned();
--- a/crates/mock-servers/src/engine/insert.rs
+++ b/crates/mock-servers/src/engine/insert.rs
@@ -5,7 +5,7 @@
 use super::query::Query;
 use super::state::Table;
 use driftfront_clickhouse::block;
-use driftfront_clickhouse::coding::{Coding, Unpacker};
+use driftfront_clickhouse::coding::{Coding, Decoder};
 use driftfront_http::header;
 use std::time::Duration;
 
@@ -21,7 +21,7 @@
         inline: &str,
     ) -> Result<(), Exception> {
         let content_coding = header(&query.request.headers, "content-encoding");
-        let content_coding = content_coding.and_then(Coding::of);
+        let content_coding = content_coding.and_then(Coding::from_name);
         let is_in_blocks = query.params.is_on("decompress");
         let mut rows = Table::default();
         let body_bytes = if content_coding.is_some() || is_in_blocks {
@@ -133,23 +133,22 @@
 
 fn unpack(content_coding: Coding, body: &[u8]) -> Result<Vec<u8>, Exception> {
     let failed = |e: std::io::Error| Exception::new(code::CANNOT_INFLATE, e.to_string());
-    let mut unpacker = Unpacker::new(content_coding, Vec::new()).map_err(failed)?;
-    unpacker
+    let mut decoder = Decoder::new(content_coding, Vec::new()).map_err(failed)?;
+    decoder
         .push(body)
-        .and_then(|()| unpacker.may_end())
+        .and_then(|()| decoder.finish())
         .map_err(failed)?;
-    Ok(unpacker.get_ref().clone())
+    Ok(decoder.get_ref().clone())
 }
 
 /// Unpacks a body of compressed blocks.
 pub(super) fn unpack_blocks(body: &[u8]) -> Result<Vec<u8>, Exception> {
     let failed = |message: String| Exception::new(code::CANNOT_DECOMPRESS, message);
-    let (unpacked, used) =
-        block::unpack_prefix(body, usize::MAX).map_err(|e| failed(e.to_string()))?;
-    if used < body.len() {
+    let prefix = block::decompress_prefix(body, usize::MAX).map_err(|e| failed(e.to_string()))?;
+    if prefix.block_bytes < body.len() {
         return Err(failed("a block is cut".into()));
     }
-    Ok(unpacked)
+    Ok(prefix.data)
 }
 
 /// The rows behind `INSERT ... FORMAT name` or `VALUES` in a body.
--- a/crates/mock-servers/src/engine/output/body.rs
+++ b/crates/mock-servers/src/engine/output/body.rs
@@ -140,7 +140,7 @@
         }
         let mut bytes = std::mem::take(&mut self.buffer);
         if let Some(method) = self.block_method {
-            bytes = block::pack(method, &bytes);
+            bytes = block::compress(method, &bytes);
             if std::mem::take(&mut self.corrupts_next_block) {
                 if let Some(last) = bytes.last_mut() {
                     *last ^= CORRUPTION;
--- a/crates/mock-servers/src/engine/query.rs
+++ b/crates/mock-servers/src/engine/query.rs
@@ -236,9 +236,9 @@
 /// The beginning of a body, unpacked.
 fn read_body_start(request: &Request, params: &Params) -> Result<String, Exception> {
     let mut body = request.body.clone();
-    let content_coding = header(&request.headers, "content-encoding").and_then(Coding::of);
+    let content_coding = header(&request.headers, "content-encoding").and_then(Coding::from_name);
     if let Some(content_coding) = content_coding {
-        body = coding::beginning(content_coding, &body, FIRST_BODY_BYTES);
+        body = coding::decompress_prefix(content_coding, &body, FIRST_BODY_BYTES);
     }
     if params.is_on("decompress") {
         body = unpack_blocks(&body)?;
