--- a/crates/clickhouse/src/credentials.rs
+++ b/crates/clickhouse/src/credentials.rs
@@ -1,32 +1,54 @@
-//! Who asks: a user and a key, in the URL, in ClickHouse's own headers, or as HTTP's authorization.
+//! A client's credentials: in the URL, in ClickHouse's own header fields, or in `Authorization`.
 
+use crate::exception::codes::AUTHENTICATION_FAILED;
 use crate::exception::Exception;
 use crate::params::Params;
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine as _;
+use driftfront_http::header;
 use std::fmt;
 
-const USER: &str = "X-ClickHouse-User";
-const KEY: &str = "X-ClickHouse-Key";
-const AUTHENTICATION_FAILED: u32 = 516;
-const SEVERAL_PLACES: &str =
-    "Invalid authentication: a user may be named in the URL, in X-ClickHouse headers or by Authorization, but only in one of them";
+const USER_HEADER: &str = "X-ClickHouse-User";
+const KEY_HEADER: &str = "X-ClickHouse-Key";
+const AUTHORIZATION_HEADER: &str = "Authorization";
+const USER_PARAM: &str = "user";
+const PASSWORD_PARAM: &str = "password";
 
-fn unreadable() -> Exception {
-    Exception::new(
-        AUTHENTICATION_FAILED,
-        "Invalid authentication: Authorization can't be read",
-    )
+/// Why credentials can't be used.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum CredentialsError {
+    /// They are in more than one place.
+    #[error(
+        "Invalid authentication: a user may be named in the URL, in X-ClickHouse headers or by Authorization, but \
+         only in one of them"
+    )]
+    SeveralPlaces,
+    /// `Authorization` is of an unknown scheme or malformed, or a value holds control characters.
+    #[error("Invalid authentication: Authorization can't be read")]
+    Unreadable,
 }
 
-/// A user's name and key. Neither is ever part of a URL sent on, nor of what is logged.
+impl CredentialsError {
+    /// ClickHouse's error code.
+    pub fn code(self) -> u32 {
+        AUTHENTICATION_FAILED
+    }
+}
+
+impl From<CredentialsError> for Exception {
+    fn from(error: CredentialsError) -> Exception {
+        Exception::new(error.code(), &error.to_string())
+    }
+}
+
+/// A user's name and key, or a token. They are never part of a forwarded URL or of a log line.
 #[derive(Clone, Default, PartialEq, Eq)]
 pub struct Credentials {
     /// The user; `None` leaves it to the engine.
     pub user: Option<String>,
     key: Option<String>,
-    /// A token of another kind, passed on as it came: the value of `Authorization`.
-    token: Option<String>,
+    /// The value of an `Authorization` with a bearer token, forwarded as it came.
+    bearer: Option<String>,
 }
 
 impl fmt::Debug for Credentials {
@@ -36,91 +58,92 @@
 }
 
 impl Credentials {
-    /// Reads all three places. They exclude each other, as with the server itself.
+    /// Reads the credentials of a request. As with the server itself, the three places exclude each other.
     ///
     /// # Errors
     ///
-    /// Where two of them are used, or `Authorization` can't be read.
-    pub fn read(params: &Params, headers: &[(String, String)]) -> Result<Credentials, Exception> {
-        let header = |name: &str| {
-            let mut headers = headers.iter();
-            headers
-                .find(|h| h.0.eq_ignore_ascii_case(name))
-                .map(|h| h.1.clone())
+    /// Where two places are used, or the values are invalid.
+    pub fn parse(
+        params: &Params,
+        headers: &[(String, String)],
+    ) -> Result<Credentials, CredentialsError> {
+        let own = |value: Option<&str>| value.map(String::from);
+        let in_headers = Credentials {
+            user: own(header(headers, USER_HEADER)),
+            key: own(header(headers, KEY_HEADER)),
+            bearer: None,
         };
-        let in_headers = (header(USER), header(KEY));
-        let in_url = (
-            params.get("user").map(String::from),
-            params.get("password").map(String::from),
-        );
-        let authorization = header("Authorization");
-        let is_used = [
-            in_headers != (None, None),
-            in_url != (None, None),
-            authorization.is_some(),
-        ];
-        if is_used.iter().filter(|&&used| used).count() > 1 {
-            return Err(Exception::new(AUTHENTICATION_FAILED, SEVERAL_PLACES));
-        }
-        let credentials = match authorization {
-            Some(value) => Credentials::from_authorization(value).ok_or_else(unreadable)?,
-            None => {
-                let (user, key) = if is_used[0] { in_headers } else { in_url };
-                Credentials {
-                    user,
-                    key,
-                    token: None,
-                }
+        let in_url = Credentials {
+            user: own(params.get(USER_PARAM)),
+            key: own(params.get(PASSWORD_PARAM)),
+            bearer: None,
+        };
+        let credentials = match header(headers, AUTHORIZATION_HEADER) {
+            Some(_) if !in_headers.is_empty() || !in_url.is_empty() => {
+                return Err(CredentialsError::SeveralPlaces);
+            }
+            Some(value) => {
+                Credentials::parse_authorization(value).ok_or(CredentialsError::Unreadable)?
             }
+            None if in_headers.is_empty() => in_url,
+            None if in_url.is_empty() => in_headers,
+            None => return Err(CredentialsError::SeveralPlaces),
         };
-        // A line break would forge a header.
-        if credentials
-            .headers()
-            .any(|(_, value)| value.chars().any(char::is_control))
-        {
-            return Err(unreadable());
-        }
+        credentials.check_values()?;
         Ok(credentials)
     }
 
-    /// Reads `Basic` and `Bearer`.
-    fn from_authorization(value: String) -> Option<Credentials> {
-        let (kind, token) = value.split_once(' ')?;
-        if kind.eq_ignore_ascii_case("bearer") {
+    fn is_empty(&self) -> bool {
+        *self == Credentials::default()
+    }
+
+    /// A line break in a value would forge a header field.
+    fn check_values(&self) -> Result<(), CredentialsError> {
+        let has_control = |value: &str| value.chars().any(char::is_control);
+        if self.headers().any(|(_, value)| has_control(value)) {
+            return Err(CredentialsError::Unreadable);
+        }
+        Ok(())
+    }
+
+    /// Parses the schemes `Basic` and `Bearer`.
+    fn parse_authorization(value: &str) -> Option<Credentials> {
+        let (scheme, token) = value.split_once(' ')?;
+        if scheme.eq_ignore_ascii_case("bearer") {
             return Some(Credentials {
-                user: None,
-                key: None,
-                token: Some(value),
+                bearer: Some(value.into()),
+                ..Credentials::default()
             });
         }
-        if !kind.eq_ignore_ascii_case("basic") {
+        if !scheme.eq_ignore_ascii_case("basic") {
             return None;
         }
-        let plain = STANDARD.decode(token.trim()).ok()?;
-        let plain = String::from_utf8(plain).ok()?;
-        let (user, key) = plain.split_once(':')?;
+        let decoded = STANDARD.decode(token.trim()).ok()?;
+        let decoded = String::from_utf8(decoded).ok()?;
+        let (user, key) = decoded.split_once(':')?;
         Some(Credentials {
-            user: Some(user.to_string()),
-            key: Some(key.to_string()),
-            token: None,
+            user: Some(user.into()),
+            key: Some(key.into()),
+            bearer: None,
         })
     }
 
-    /// The headers that say so to an engine.
+    /// The header fields that carry them to an engine.
     pub fn headers(&self) -> impl Iterator<Item = (&'static str, &str)> {
-        let each = [
-            (USER, &self.user),
-            (KEY, &self.key),
-            ("Authorization", &self.token),
+        let fields = [
+            (USER_HEADER, &self.user),
+            (KEY_HEADER, &self.key),
+            (AUTHORIZATION_HEADER, &self.bearer),
         ];
-        each.into_iter()
+        fields
+            .into_iter()
             .filter_map(|(name, value)| Some((name, value.as_deref()?)))
     }
 
-    /// Whether this header or parameter carries credentials.
-    pub fn is_one(name: &str) -> bool {
-        [USER, KEY, "Authorization", "user", "password"]
+    /// Whether a header field of this name carries credentials.
+    pub fn is_credentials_header(name: &str) -> bool {
+        [USER_HEADER, KEY_HEADER, AUTHORIZATION_HEADER]
             .iter()
-            .any(|n| n.eq_ignore_ascii_case(name))
+            .any(|field| field.eq_ignore_ascii_case(name))
     }
 }
--- a/crates/clickhouse/src/multipart.rs
+++ b/crates/clickhouse/src/multipart.rs
@@ -1,108 +1,179 @@
-//! `multipart/form-data`: form fields and external tables, in one body.
+//! `multipart/form-data` bodies (RFC 7578): form fields and external tables.
 
+use memchr::memmem;
 use std::ops::Range;
 
 /// Most parts in one body.
 pub const MAX_PARTS: usize = 64;
-const MAX_PART_HEAD_BYTES: usize = 4 * 1024;
+const MAX_PART_HEADER_BYTES: usize = 4 * 1024;
+/// Longest boundary, as RFC 2046 bounds it.
+const MAX_BOUNDARY_BYTES: usize = 70;
+const MEDIA_TYPE: &str = "multipart/form-data";
+const LINE_END: &[u8] = b"\r\n";
+const HEADER_END: &[u8] = b"\r\n\r\n";
+/// Follows the last boundary.
+const CLOSE: &[u8] = b"--";
+
+/// What is wrong with a body.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum MultipartError {
+    /// The boundary does not occur.
+    #[error("the boundary never comes")]
+    NoBoundary,
+    /// A boundary is followed by something else on its line.
+    #[error("a boundary's line goes on")]
+    InvalidBoundaryLine,
+    /// There are more than [`MAX_PARTS`].
+    #[error("there are too many parts")]
+    TooManyParts,
+    /// A part's header is incomplete.
+    #[error("a part's head never ends")]
+    UnterminatedHeader,
+    /// A part's header is over its bound.
+    #[error("a part's head is too long")]
+    HeaderTooLong,
+    /// A part's header is not UTF-8.
+    #[error("a part's head is no text")]
+    HeaderNotText,
+    /// A part has no name.
+    #[error("a part has no name")]
+    NoName,
+    /// No boundary follows a part.
+    #[error("the last boundary never comes")]
+    UnterminatedPart,
+}
 
 /// A part of a body.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Part {
     /// The field's name, or the external table's.
     pub name: String,
-    /// The file's name, if it is one: external tables are files.
-    pub file: Option<String>,
-    /// Where its data stand in the body, in bytes.
-    pub data: Range<usize>,
+    /// The file's name: external tables are files.
+    pub file_name: Option<String>,
+    /// Where its content is in the body, in bytes.
+    pub content: Range<usize>,
 }
 
-/// The boundary that a `Content-Type` names; `None` if it is no form or names none that may be used.
-pub fn boundary(content_type: &str) -> Option<String> {
-    let (kind, rest) = content_type.split_once(';')?;
-    if !kind.trim().eq_ignore_ascii_case("multipart/form-data") {
+/// The boundary that a `Content-Type` names; `None` if it is no form's or names none that is valid.
+pub fn parse_boundary(content_type: &str) -> Option<String> {
+    if !is_form(content_type) {
         return None;
     }
-    let told = rest.split(';').find_map(|p| {
-        let (name, value) = p.split_once('=')?;
-        name.trim()
-            .eq_ignore_ascii_case("boundary")
-            .then(|| value.trim().trim_matches('"').to_string())
-    })?;
-    ((1..=70).contains(&told.len()) && told.bytes().all(|b| b.is_ascii_graphic() || b == b' '))
-        .then_some(told)
+    let boundary = parameter(content_type, "boundary")?;
+    let is_valid = (1..=MAX_BOUNDARY_BYTES).contains(&boundary.len())
+        && boundary.bytes().all(|b| b.is_ascii_graphic() || b == b' ');
+    is_valid.then_some(boundary)
 }
 
-/// Whether a `Content-Type` says that the body is a form, well or badly.
+/// Whether a `Content-Type` says that the body is a form, with or without a boundary.
 pub fn is_form(content_type: &str) -> bool {
-    let kind = content_type.split(';').next().unwrap_or_default();
-    kind.trim().eq_ignore_ascii_case("multipart/form-data")
+    let media_type = content_type.split(';').next().unwrap_or_default();
+    media_type.trim().eq_ignore_ascii_case(MEDIA_TYPE)
 }
 
-/// Takes a whole body apart; the error says what is wrong with it.
-pub fn parse(body: &[u8], boundary: &str) -> Result<Vec<Part>, &'static str> {
-    let open = format!("--{boundary}");
-    let between = format!("\r\n--{boundary}");
-    let mut parts = Vec::new();
-    let mut at = match body.strip_prefix(open.as_bytes()) {
-        Some(_) => open.len(),
-        None => find(body, between.as_bytes()).ok_or("the boundary never comes")? + between.len(),
+/// Splits a whole body into its parts.
+///
+/// # Errors
+///
+/// What is wrong with the body.
+pub fn parse(body: &[u8], boundary: &str) -> Result<Vec<Part>, MultipartError> {
+    let delimiter = format!("\r\n--{boundary}");
+    let mut parser = Parser {
+        body,
+        delimiter: delimiter.as_bytes(),
+        position: 0,
     };
-    loop {
-        let rest = &body[at..];
-        if rest.starts_with(b"--") {
-            return Ok(parts);
-        }
-        // White space may pad a boundary's line.
-        let pad = rest
-            .iter()
-            .take_while(|b| matches!(b, b' ' | b'\t'))
-            .count();
-        if !rest[pad..].starts_with(b"\r\n") {
-            return Err("a boundary's line goes on");
-        }
-        at += pad + 2;
+    parser.skip_preamble()?;
+    let mut parts = Vec::new();
+    while !parser.rest().starts_with(CLOSE) {
+        parser.skip_boundary_line()?;
         if parts.len() == MAX_PARTS {
-            return Err("there are too many parts");
+            return Err(MultipartError::TooManyParts);
+        }
+        parts.push(parser.read_part()?);
+    }
+    Ok(parts)
+}
+
+struct Parser<'a> {
+    body: &'a [u8],
+    /// Ends a part: the end of its last line, two hyphens and the boundary.
+    delimiter: &'a [u8],
+    position: usize,
+}
+
+impl<'a> Parser<'a> {
+    fn rest(&self) -> &'a [u8] {
+        &self.body[self.position..]
+    }
+
+    /// Moves behind the first boundary, which may be the body's first line.
+    fn skip_preamble(&mut self) -> Result<(), MultipartError> {
+        let first_line = &self.delimiter[LINE_END.len()..];
+        self.position = if self.body.starts_with(first_line) {
+            first_line.len()
+        } else {
+            let start = memmem::find(self.body, self.delimiter);
+            start.ok_or(MultipartError::NoBoundary)? + self.delimiter.len()
+        };
+        Ok(())
+    }
+
+    /// Moves to the line behind a boundary, which may be padded with white space.
+    fn skip_boundary_line(&mut self) -> Result<(), MultipartError> {
+        let rest = self.rest();
+        let padding = rest.iter().take_while(|b| matches!(b, b' ' | b'\t'));
+        let padding = padding.count();
+        if !rest[padding..].starts_with(LINE_END) {
+            return Err(MultipartError::InvalidBoundaryLine);
         }
-        let head_end = find(&body[at..], b"\r\n\r\n").ok_or("a part's head never ends")?;
-        if head_end > MAX_PART_HEAD_BYTES {
-            return Err("a part's head is too long");
+        self.position += padding + LINE_END.len();
+        Ok(())
+    }
+
+    /// Reads a part, and moves behind the boundary that ends it.
+    fn read_part(&mut self) -> Result<Part, MultipartError> {
+        let rest = self.rest();
+        let header_bytes =
+            memmem::find(rest, HEADER_END).ok_or(MultipartError::UnterminatedHeader)?;
+        if header_bytes > MAX_PART_HEADER_BYTES {
+            return Err(MultipartError::HeaderTooLong);
         }
-        let head = std::str::from_utf8(&body[at..at + head_end])
-            .map_err(|_| "a part's head is no text")?;
-        let (name, file) = disposition(head).ok_or("a part has no name")?;
-        let begin = at + head_end + 4;
-        let length =
-            find(&body[begin..], between.as_bytes()).ok_or("the last boundary never comes")?;
-        parts.push(Part {
+        let header = std::str::from_utf8(&rest[..header_bytes])
+            .map_err(|_| MultipartError::HeaderNotText)?;
+        let disposition = content_disposition(header).ok_or(MultipartError::NoName)?;
+        let name = parameter(disposition, "name")
+            .filter(|name| !name.is_empty())
+            .ok_or(MultipartError::NoName)?;
+        let start = self.position + header_bytes + HEADER_END.len();
+        let content_bytes = memmem::find(&self.body[start..], self.delimiter)
+            .ok_or(MultipartError::UnterminatedPart)?;
+        let end = start + content_bytes;
+        self.position = end + self.delimiter.len();
+        Ok(Part {
             name,
-            file,
-            data: begin..begin + length,
-        });
-        at = begin + length + between.len();
+            file_name: parameter(disposition, "filename"),
+            content: start..end,
+        })
     }
 }
 
-/// The name and file name in a part's head.
-fn disposition(head: &str) -> Option<(String, Option<String>)> {
-    let line = head.split("\r\n").find_map(|l| {
-        let (name, value) = l.split_once(':')?;
+/// The value of `Content-Disposition` in a part's header.
+fn content_disposition(header: &str) -> Option<&str> {
+    header.split("\r\n").find_map(|line| {
+        let (name, value) = line.split_once(':')?;
         name.trim()
             .eq_ignore_ascii_case("content-disposition")
             .then_some(value)
-    })?;
-    let value = |key: &str| {
-        line.split(';').skip(1).find_map(|p| {
-            let (name, value) = p.split_once('=')?;
-            name.trim()
-                .eq_ignore_ascii_case(key)
-                .then(|| value.trim().trim_matches('"').to_string())
-        })
-    };
-    Some((value("name").filter(|n| !n.is_empty())?, value("filename")))
+    })
 }
 
-fn find(hay: &[u8], needle: &[u8]) -> Option<usize> {
-    memchr::memmem::find(hay, needle)
+/// A parameter of a header field's value (`value; name="parameter"`), without its quotes.
+fn parameter(field: &str, name: &str) -> Option<String> {
+    field.split(';').skip(1).find_map(|parameter| {
+        let (key, value) = parameter.split_once('=')?;
+        key.trim()
+            .eq_ignore_ascii_case(name)
+            .then(|| value.trim().trim_matches('"').to_string())
+    })
 }
--- a/crates/clickhouse/src/params.rs
+++ b/crates/clickhouse/src/params.rs
@@ -1,97 +1,120 @@
-//! What stands behind the `?` of a URL: names and values, percent-encoded.
+//! The parameters in a URL's query string: names and values, percent-encoded.
 
-/// Names and values in the order in which the client gave them.
-#[derive(Clone, Default, PartialEq, Eq)]
-pub struct Params(Vec<(String, String)>);
+use std::fmt;
 
 /// Most parameters in one URL: each is copied once for each attempt.
 pub const MAX_PARAMS: usize = 512;
 
+/// Names and values in the order in which the client gave them.
+#[derive(Clone, Default, PartialEq, Eq)]
+pub struct Params(Vec<Param>);
+
+#[derive(Clone, PartialEq, Eq)]
+struct Param {
+    name: String,
+    value: String,
+}
+
 impl Params {
-    /// Reads the part of a URL behind its `?`; `None` where there are more than [`MAX_PARAMS`].
-    pub fn parse(query: &str) -> Option<Params> {
-        let mut list = Vec::new();
-        for pair in query.split('&').filter(|p| !p.is_empty()) {
-            if list.len() == MAX_PARAMS {
+    /// Parses what follows the `?` of a URL; `None` if there are more than [`MAX_PARAMS`].
+    pub fn parse(query_string: &str) -> Option<Params> {
+        let mut params = Vec::new();
+        for pair in query_string.split('&').filter(|pair| !pair.is_empty()) {
+            if params.len() == MAX_PARAMS {
                 return None;
             }
             let (name, value) = pair.split_once('=').unwrap_or((pair, ""));
-            list.push((decoded(name), decoded(value)));
+            params.push(Param {
+                name: decode(name),
+                value: decode(value),
+            });
         }
-        Some(Params(list))
+        Some(Params(params))
     }
 
-    /// The last value under a name: where a client repeats one, ClickHouse heeds the last too.
+    /// The value of a parameter; the last one if the name is repeated, as with ClickHouse.
     pub fn get(&self, name: &str) -> Option<&str> {
-        self.0
-            .iter()
-            .rev()
-            .find(|p| p.0 == name)
-            .map(|p| p.1.as_str())
+        let last = self.0.iter().rfind(|param| param.name == name)?;
+        Some(&last.value)
     }
 
-    /// The last value under a name that is not empty.
+    /// The value of a parameter, unless it is empty.
     pub fn non_empty(&self, name: &str) -> Option<&str> {
-        self.get(name).filter(|v| !v.is_empty())
+        self.get(name).filter(|value| !value.is_empty())
     }
 
-    /// Whether a switch is on: `1` or `true`.
+    /// Whether a boolean parameter is on: `1` or `true`.
     pub fn is_on(&self, name: &str) -> bool {
         self.get(name)
-            .is_some_and(|v| v == "1" || v.eq_ignore_ascii_case("true"))
+            .is_some_and(|value| value == "1" || value.eq_ignore_ascii_case("true"))
     }
 
-    /// Adds one behind the others.
+    /// Appends a parameter.
     pub fn push(&mut self, name: &str, value: &str) {
-        self.0.push((name.into(), value.into()));
+        self.0.push(Param {
+            name: name.into(),
+            value: value.into(),
+        });
     }
 
-    /// All of them.
+    /// All names with their values.
     pub fn iter(&self) -> impl Iterator<Item = (&str, &str)> {
-        self.0.iter().map(|(n, v)| (n.as_str(), v.as_str()))
+        self.0
+            .iter()
+            .map(|param| (param.name.as_str(), param.value.as_str()))
     }
 }
 
-impl std::fmt::Debug for Params {
+impl fmt::Debug for Params {
     /// Names alone: a value may be a password.
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_list().entries(self.0.iter().map(|p| &p.0)).finish()
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let names = self.0.iter().map(|param| &param.name);
+        f.debug_list().entries(names).finish()
     }
 }
 
-/// Undoes percent-encoding; what is no valid escape stays as it is, and what is no UTF-8 is replaced.
-pub fn decoded(text: &str) -> String {
+/// Decodes percent-encoding, and `+` as a space. Invalid escapes stay as they are; invalid UTF-8 is replaced.
+pub fn decode(text: &str) -> String {
     if !text.contains(['%', '+']) {
         return text.into();
     }
     let mut bytes = Vec::with_capacity(text.len());
     let mut rest = text.as_bytes();
-    while let Some((&b, after)) = rest.split_first() {
-        let digit = |n: usize| after.get(n).and_then(|&h| char::from(h).to_digit(16));
-        match (b, digit(0), digit(1)) {
-            (b'%', Some(high), Some(low)) => {
-                bytes.push((high * 16 + low) as u8);
-                rest = &after[2..];
+    while let Some((&byte, following)) = rest.split_first() {
+        match (byte, decode_hex_byte(following)) {
+            (b'%', Some(escaped)) => {
+                bytes.push(escaped);
+                rest = &following[2..];
+            }
+            (b'+', _) => {
+                bytes.push(b' ');
+                rest = following;
             }
             _ => {
-                bytes.push(if b == b'+' { b' ' } else { b });
-                rest = after;
+                bytes.push(byte);
+                rest = following;
             }
         }
     }
     String::from_utf8_lossy(&bytes).into_owned()
 }
 
-/// Percent-encodes a value for a URL behind what `into` holds.
-pub fn encode(text: &str, into: &mut String) {
-    const HEX: &[u8; 16] = b"0123456789ABCDEF";
-    for b in text.bytes() {
-        if b.is_ascii_alphanumeric() || b"-_.~".contains(&b) {
-            into.push(char::from(b));
+/// The byte that these begin with, as two hexadecimal digits.
+fn decode_hex_byte(bytes: &[u8]) -> Option<u8> {
+    let digit = |index: usize| char::from(*bytes.get(index)?).to_digit(16);
+    u8::try_from(digit(0)? * 16 + digit(1)?).ok()
+}
+
+/// Appends a value to a URL, percent-encoded.
+pub fn encode(text: &str, url: &mut String) {
+    const HEX_DIGITS: &[u8; 16] = b"0123456789ABCDEF";
+    for byte in text.bytes() {
+        if byte.is_ascii_alphanumeric() || b"-_.~".contains(&byte) {
+            url.push(char::from(byte));
         } else {
-            into.push('%');
-            into.push(char::from(HEX[usize::from(b >> 4)]));
-            into.push(char::from(HEX[usize::from(b & 15)]));
+            url.push('%');
+            url.push(char::from(HEX_DIGITS[usize::from(byte >> 4)]));
+            url.push(char::from(HEX_DIGITS[usize::from(byte & 0x0f)]));
         }
     }
 }
--- a/crates/clickhouse/src/session/mod.rs
+++ b/crates/clickhouse/src/session/mod.rs
@@ -29,7 +29,7 @@
 /// Time in microseconds.
 pub type Micros = u64;
 
-const MICROS_PER_SECOND: Micros = 1_000_000;
+pub(crate) const MICROS_PER_SECOND: Micros = 1_000_000;
 
 /// Bound on all sessions; each takes some 200 bytes.
 pub const MAX_SESSIONS: usize = 8192;
@@ -45,9 +45,10 @@
 pub struct SessionName(u128);
 
 /// What a statement leaves in its session.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum SessionEffect {
     /// Nothing.
+    #[default]
     None,
     /// Something that later statements depend on: a temporary table, a setting, a database, a transaction.
     LeavesState,
--- /dev/null
+++ b/crates/clickhouse/src/sql/kill.rs
@@ -0,0 +1,112 @@
+//! KILL QUERY and its condition.
+
+use super::tokenizer::Token;
+
+/// Keywords that may follow the condition.
+const OPTION_KEYWORDS: &[&str] = &["sync", "async", "test", "format", "settings"];
+
+/// A KILL QUERY.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct KillQuery {
+    /// The query ids that it names; `None` if its condition is any other than `query_id = '...'` or
+    /// `query_id IN ('...', ...)`.
+    pub ids: Option<Vec<String>>,
+    /// What follows the condition, to be passed on: `SYNC`, `FORMAT JSON`.
+    pub options: String,
+}
+
+impl KillQuery {
+    /// Parses the tokens of a KILL QUERY.
+    pub(super) fn parse(statement: &str, tokens: &[Token]) -> KillQuery {
+        let keyword = tokens.iter().position(|t| t.is_keyword(&["where"]));
+        let condition = Condition::parse(keyword.map_or(&[], |at| &tokens[at + 1..]));
+        let options = Options::parse(condition.rest);
+        let is_on_cluster = statement.to_ascii_lowercase().contains("on cluster");
+        let is_supported = !condition.ids.is_empty() && options.are_supported && !is_on_cluster;
+        KillQuery {
+            ids: is_supported.then_some(condition.ids),
+            options: options.words.join(" "),
+        }
+    }
+}
+
+/// The condition behind WHERE.
+struct Condition<'a> {
+    /// The ids; none where the condition is of another form.
+    ids: Vec<String>,
+    /// The tokens that follow.
+    rest: &'a [Token],
+}
+
+impl Condition<'_> {
+    fn parse(tokens: &[Token]) -> Condition<'_> {
+        let is_query_id = |token: &Token| token.is_keyword(&["query_id"]);
+        match tokens {
+            [column, Token::Sign('='), Token::String(id), rest @ ..] if is_query_id(column) => {
+                Condition {
+                    ids: vec![id.clone()],
+                    rest,
+                }
+            }
+            [column, operator, Token::Sign('('), list @ ..]
+                if is_query_id(column) && operator.is_keyword(&["in"]) =>
+            {
+                Condition::parse_list(list)
+            }
+            _ => Condition {
+                ids: Vec::new(),
+                rest: tokens.get(1..).unwrap_or_default(),
+            },
+        }
+    }
+
+    /// Parses a list behind its opening bracket.
+    fn parse_list(tokens: &[Token]) -> Condition<'_> {
+        let mut ids = Vec::new();
+        let mut rest = tokens;
+        while let [Token::String(id), following @ ..] = rest {
+            ids.push(id.clone());
+            rest = match following {
+                [Token::Sign(','), following @ ..] => following,
+                following => following,
+            };
+        }
+        match rest {
+            [Token::Sign(')'), rest @ ..] => Condition { ids, rest },
+            rest => Condition {
+                ids: Vec::new(),
+                rest,
+            },
+        }
+    }
+}
+
+/// What follows the condition.
+struct Options<'a> {
+    words: Vec<&'a str>,
+    /// They are words alone, and the first is a known one: `OR 1` would be part of the condition.
+    are_supported: bool,
+}
+
+impl Options<'_> {
+    fn parse(tokens: &[Token]) -> Options<'_> {
+        let mut words = Vec::new();
+        let mut are_words = true;
+        for token in tokens {
+            match token {
+                Token::Name(word) => words.push(word.as_str()),
+                Token::Sign(';') => {}
+                _ => are_words = false,
+            }
+        }
+        let is_known = words.first().is_none_or(|first| {
+            OPTION_KEYWORDS
+                .iter()
+                .any(|k| first.eq_ignore_ascii_case(k))
+        });
+        Options {
+            words,
+            are_supported: are_words && is_known,
+        }
+    }
+}
--- /dev/null
+++ b/crates/clickhouse/src/sql/tokenizer.rs
@@ -0,0 +1,116 @@
+//! Splits a statement into tokens.
+
+/// A token of a statement. Comments and white space are none.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub(super) enum Token {
+    /// A keyword, a number or an identifier; quoted identifiers without their quotes.
+    Name(String),
+    /// A string literal's content.
+    String(String),
+    /// A dot.
+    Dot,
+    /// Any other character.
+    Sign(char),
+}
+
+impl Token {
+    /// Whether it is one of these keywords, given in lower case.
+    pub(super) fn is_keyword(&self, keywords: &[&str]) -> bool {
+        match self {
+            Token::Name(name) => keywords.iter().any(|k| name.eq_ignore_ascii_case(k)),
+            _ => false,
+        }
+    }
+}
+
+/// The tokens of a statement. What is unterminated ends with the text.
+pub(super) fn tokenize(statement: &str) -> Vec<Token> {
+    let mut tokenizer = Tokenizer {
+        chars: statement.chars().collect(),
+        position: 0,
+    };
+    let mut tokens = Vec::new();
+    while let Some(c) = tokenizer.peek(0) {
+        tokens.extend(tokenizer.next_token(c));
+    }
+    tokens
+}
+
+struct Tokenizer {
+    chars: Vec<char>,
+    position: usize,
+}
+
+impl Tokenizer {
+    fn peek(&self, offset: usize) -> Option<char> {
+        self.chars.get(self.position + offset).copied()
+    }
+
+    /// Consumes a token, a comment or a character of white space that begins with `first`.
+    fn next_token(&mut self, first: char) -> Option<Token> {
+        let second = self.peek(1);
+        match first {
+            '#' => self.skip_line_comment(),
+            '-' if second == Some('-') => self.skip_line_comment(),
+            '/' if second == Some('*') => self.skip_block_comment(),
+            '\'' => return Some(Token::String(self.read_quoted('\''))),
+            '"' | '`' => return Some(Token::Name(self.read_quoted(first))),
+            c if is_name_start(c) => return Some(Token::Name(self.read_name())),
+            c => {
+                self.position += 1;
+                return match c {
+                    '.' => Some(Token::Dot),
+                    c if c.is_whitespace() => None,
+                    c => Some(Token::Sign(c)),
+                };
+            }
+        }
+        None
+    }
+
+    fn skip_line_comment(&mut self) {
+        while self.peek(0).is_some_and(|c| c != '\n') {
+            self.position += 1;
+        }
+    }
+
+    fn skip_block_comment(&mut self) {
+        self.position += 2;
+        while self.peek(0).is_some() && (self.peek(0), self.peek(1)) != (Some('*'), Some('/')) {
+            self.position += 1;
+        }
+        self.position += 2;
+    }
+
+    fn read_name(&mut self) -> String {
+        let start = self.position;
+        while self.peek(0).is_some_and(|c| is_name_start(c) || c == '$') {
+            self.position += 1;
+        }
+        self.chars[start..self.position].iter().collect()
+    }
+
+    /// Reads what stands between quotes. A doubled quote, and a character behind a backslash in a string literal,
+    /// stand for themselves.
+    fn read_quoted(&mut self, quote: char) -> String {
+        let mut content = String::new();
+        self.position += 1;
+        while let Some(c) = self.peek(0) {
+            if c == '\\' && quote == '\'' {
+                self.position += 1;
+            } else if c == quote {
+                self.position += 1;
+                if self.peek(0) != Some(quote) {
+                    return content;
+                }
+            }
+            content.extend(self.peek(0));
+            self.position += 1;
+        }
+        content
+    }
+}
+
+fn is_name_start(c: char) -> bool {
+    c.is_alphanumeric() || c == '_'
+}
--- a/crates/clickhouse/tests/credentials.rs
+++ b/crates/clickhouse/tests/credentials.rs
@@ -2,19 +2,18 @@
 
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine as _;
-use driftfront_clickhouse::credentials::Credentials;
-use driftfront_clickhouse::exception::Exception;
+use driftfront_clickhouse::credentials::{Credentials, CredentialsError};
 use driftfront_clickhouse::params::Params;
 
 const USER: &str = "X-ClickHouse-User";
 const KEY: &str = "X-ClickHouse-Key";
 
-fn read(query: &str, headers: &[(&str, &str)]) -> Result<Credentials, Exception> {
+fn read(query: &str, headers: &[(&str, &str)]) -> Result<Credentials, CredentialsError> {
     let headers: Vec<_> = headers
         .iter()
         .map(|h| (h.0.to_string(), h.1.to_string()))
         .collect();
-    Credentials::read(&Params::parse(query).expect("few"), &headers)
+    Credentials::parse(&Params::parse(query).expect("few"), &headers)
 }
 
 #[test]
@@ -46,10 +45,13 @@
 
 #[test]
 fn ambiguous_or_unreadable_credentials_are_rejected() {
-    assert_eq!(read("user=a", &[(USER, "b")]).expect_err("both").code, 516);
+    assert_eq!(
+        read("user=a", &[(USER, "b")]).expect_err("both").code(),
+        516
+    );
     for odd in ["Basic %%%", "Basic amFuYQ==", "Digest x", "Basic"] {
         assert_eq!(
-            read("", &[("Authorization", odd)]).expect_err(odd).code,
+            read("", &[("Authorization", odd)]).expect_err(odd).code(),
             516
         );
     }
--- a/crates/clickhouse/tests/golden.rs
+++ b/crates/clickhouse/tests/golden.rs
@@ -6,12 +6,12 @@
     classify, error_name, find_in_last_lines, find_json_key, find_tagged, http_status, marker,
     parse_code, Exception,
 };
-use driftfront_clickhouse::request::{self, Asked};
+use driftfront_clickhouse::request::{self, ClientRequest};
 use driftfront_clickhouse::result_checker::{ResultChecker, ResultDescription};
 use driftfront_clickhouse::session::{
     QueryOutcome, SessionEffect, SessionError, SessionName, SessionQuery, SessionTable,
 };
-use driftfront_clickhouse::sql::Shape;
+use driftfront_clickhouse::sql::Statement;
 
 use driftfront_http::Request;
 use driftfront_test_support::message_transcript::MessageTranscript;
@@ -151,117 +151,117 @@
 
 /// What is read of a request, a line each.
 fn shown(request: &Request) -> String {
-    let query = match request::read(request) {
-        Ok(Asked::Query(query)) => query,
-        Ok(Asked::Ping) => return "ping".into(),
-        Ok(Asked::ReplicasStatus) => return "replicas status".into(),
-        Ok(Asked::Alive) => return "alive".into(),
-        Ok(Asked::Counters) => return "counters".into(),
-        Ok(Asked::Options) => return "options".into(),
-        Ok(Asked::NoPath) => return "no path".into(),
-        Ok(Asked::NoMethod) => return "no method".into(),
-        Err(e) => return format!("{} {e}", e.status()),
+    let query = match request::parse(request) {
+        Ok(ClientRequest::Query(query)) => query,
+        Ok(ClientRequest::Ping) => return "ping".into(),
+        Ok(ClientRequest::ReplicasStatus) => return "replicas status".into(),
+        Ok(ClientRequest::Alive) => return "alive".into(),
+        Ok(ClientRequest::Counters) => return "counters".into(),
+        Ok(ClientRequest::Options) => return "options".into(),
+        Ok(ClientRequest::UnknownPath) => return "no path".into(),
+        Ok(ClientRequest::UnsupportedMethod) => return "no method".into(),
+        Err(e) => {
+            let e = Exception::from(e);
+            return format!("{} {e}", e.status());
+        }
     };
-    let session = query.session.as_ref().map(|s| (&s.id, s.check, s.timeout));
+    let session = query
+        .session
+        .as_ref()
+        .map(|s| (&s.id, s.must_exist, s.timeout));
     format!(
         "id {:?}\nclass {:?}\nkey {:?}\nwithin {:?}\nsession {session:?}\ntarget {}\nheaders {:?}\n\
          frames {} progress {} head {} chunks {}\ntoken {:?}\nuser {:?}",
         query.id,
         query.class,
-        query.key,
-        query.wanted_within,
-        query.target,
-        query.headers.0,
-        query.frames,
-        query.progress,
-        query.head_only,
-        query.chunks,
-        query.token,
+        query.ordering_key,
+        query.max_execution_time,
+        query.forwarded_params,
+        query.forwarded_headers.0,
+        query.wants_blocks,
+        query.wants_progress,
+        query.is_head,
+        query.supports_chunked,
+        query.deduplication_token,
         query.credentials.user,
     )
 }
 
-#[test]
-fn requests_are_read_and_passed_on_as_ever() {
-    let mut read = MessageTranscript::default();
-    let all = "/?query_id=q-1&max_execution_time=2.5&driftfront_class=report&driftfront_key=k%201&session_id=s&\
-               session_timeout=60&session_check=1&compress=1&send_progress_in_http_headers=1&database=uni_4&\
-               param_a=x%2Fy&insert_deduplication_token=t&user=jana&password=secret&http_headers_progress_interval_ms=9";
-    let passed = [
-        ("X-ClickHouse-User", "jana"),
-        ("X-ClickHouse-Key", "secret"),
-        ("X-ClickHouse-Format", "CSV"),
-        ("X-ClickHouse-Database", "uni_4"),
-        ("X-ClickHouse-Query-Id", "q-2"),
-        ("X-Driftfront-Class", "lookup"),
-        ("X-Driftfront-Key", "k2"),
-        ("User-Agent", "test"),
-        ("Traceparent", "00-1-2-3"),
-        ("Tracestate", "a=b"),
-        ("Origin", "http://o"),
-        ("Referer", "http://r"),
-        ("Content-Type", "text/plain"),
-        ("Accept-Encoding", "gzip, br;q=0"),
-        ("X-Other", "dropped"),
-    ];
-    let form = "--b\r\nContent-Disposition: form-data; name=\"query\"\r\n\r\nSELECT 1\r\n--b\r\n\
-                Content-Disposition: form-data; name=\"session_id\"\r\n\r\ns9\r\n--b--\r\n";
-    let multipart = [("Content-Type", "multipart/form-data; boundary=b")];
+const ALL_PARAMS: &str =
+    "/?query_id=q-1&max_execution_time=2.5&driftfront_class=report&driftfront_key=k%201&session_id=s&\
+     session_timeout=60&session_check=1&compress=1&send_progress_in_http_headers=1&database=uni_4&\
+     param_a=x%2Fy&insert_deduplication_token=t&user=jana&password=secret&http_headers_progress_interval_ms=9";
+
+const ALL_HEADERS: [(&str, &str); 15] = [
+    ("X-ClickHouse-User", "jana"),
+    ("X-ClickHouse-Key", "secret"),
+    ("X-ClickHouse-Format", "CSV"),
+    ("X-ClickHouse-Database", "uni_4"),
+    ("X-ClickHouse-Query-Id", "q-2"),
+    ("X-Driftfront-Class", "lookup"),
+    ("X-Driftfront-Key", "k2"),
+    ("User-Agent", "test"),
+    ("Traceparent", "00-1-2-3"),
+    ("Tracestate", "a=b"),
+    ("Origin", "http://o"),
+    ("Referer", "http://r"),
+    ("Content-Type", "text/plain"),
+    ("Accept-Encoding", "gzip, br;q=0"),
+    ("X-Other", "dropped"),
+];
+
+const FORM: &str =
+    "--b\r\nContent-Disposition: form-data; name=\"query\"\r\n\r\nSELECT 1\r\n--b\r\n\
+     Content-Disposition: form-data; name=\"session_id\"\r\n\r\ns9\r\n--b--\r\n";
+const FORM_TYPE: (&str, &str) = ("Content-Type", "multipart/form-data; boundary=b");
+const SELECT: &str = "SELECT 1";
+
+fn accepted_queries() -> Vec<(&'static str, Request)> {
+    let compressed = "/?enable_http_compression=1";
     let bearer = [("Authorization", "Bearer a.b.c")];
-    for (name, request) in [
-        ("all parameters", query("POST", all, &[], "SELECT 1")),
-        ("all headers", query("POST", "/", &passed, "SELECT 1")),
+    vec![
+        ("all parameters", query("POST", ALL_PARAMS, &[], SELECT)),
+        ("all headers", query("POST", "/", &ALL_HEADERS, SELECT)),
         (
             "compressed answer",
-            query("POST", "/?enable_http_compression=1", &passed, "SELECT 1"),
+            query("POST", compressed, &ALL_HEADERS, SELECT),
         ),
         (
             "bearer",
             query("HEAD", "/query?query=SELECT%201", &bearer, ""),
         ),
-        ("form", query("POST", "/", &multipart, form)),
-        (
-            "no boundary",
-            query(
-                "POST",
-                "/",
-                &[("Content-Type", "multipart/form-data")],
-                form,
-            ),
-        ),
-        ("not a form", query("POST", "/", &multipart, "x")),
-        (
-            "write by GET",
-            query("GET", "/?query=INSERT%20INTO%20t%20VALUES%20(1)", &[], ""),
-        ),
+        ("form", query("POST", "/", &[FORM_TYPE], FORM)),
+    ]
+}
+
+fn rejected_queries() -> Vec<(&'static str, Request)> {
+    let no_boundary = [("Content-Type", "multipart/form-data")];
+    let write = "/?query=INSERT%20INTO%20t%20VALUES%20(1)";
+    let bad_timeout = "/?session_id=s&session_timeout=x";
+    let long_timeout = "/?session_id=s&session_timeout=99999";
+    let digest = [("Authorization", "Digest x")];
+    let bad_coding = [("Content-Encoding", "zz")];
+    let bad_block = "x".repeat(40);
+    vec![
+        ("no boundary", query("POST", "/", &no_boundary, FORM)),
+        ("not a form", query("POST", "/", &[FORM_TYPE], "x")),
+        ("write by GET", query("GET", write, &[], "")),
         ("empty", query("POST", "/", &[], " -- nothing")),
-        ("bad id", query("POST", "/?query_id=a%0Ab", &[], "SELECT 1")),
-        (
-            "bad timeout",
-            query("POST", "/?session_id=s&session_timeout=x", &[], "SELECT 1"),
-        ),
-        (
-            "long timeout",
-            query(
-                "POST",
-                "/?session_id=s&session_timeout=99999",
-                &[],
-                "SELECT 1",
-            ),
-        ),
-        ("two users", query("POST", "/?user=a", &passed, "SELECT 1")),
-        (
-            "bad authorization",
-            query("POST", "/", &[("Authorization", "Digest x")], "SELECT 1"),
-        ),
-        (
-            "bad coding",
-            query("POST", "/", &[("Content-Encoding", "zz")], "SELECT 1"),
-        ),
+        ("bad id", query("POST", "/?query_id=a%0Ab", &[], SELECT)),
+        ("bad timeout", query("POST", bad_timeout, &[], SELECT)),
+        ("long timeout", query("POST", long_timeout, &[], SELECT)),
+        ("two users", query("POST", "/?user=a", &ALL_HEADERS, SELECT)),
+        ("bad authorization", query("POST", "/", &digest, SELECT)),
+        ("bad coding", query("POST", "/", &bad_coding, SELECT)),
         (
             "bad block",
-            query("POST", "/?decompress=1", &[], &"x".repeat(40)),
+            query("POST", "/?decompress=1", &[], &bad_block),
         ),
+    ]
+}
+
+fn other_requests() -> Vec<(&'static str, Request)> {
+    vec![
         ("ping", query("GET", "/ping", &[], "")),
         ("ping at the root", query("GET", "/", &[], "")),
         ("replicas", query("GET", "/replicas_status", &[], "")),
@@ -270,15 +270,20 @@
         ("options", query("OPTIONS", "/x", &[], "")),
         ("path", query("GET", "/x", &[], "")),
         ("method", query("PUT", "/", &[], "")),
-    ] {
-        read.record(name, shown(&request));
+    ]
+}
+
+#[test]
+fn requests_are_read_and_passed_on_as_ever() {
+    let mut transcript = MessageTranscript::default();
+    let requests = [accepted_queries(), rejected_queries(), other_requests()];
+    for (name, request) in requests.into_iter().flatten() {
+        transcript.record(name, shown(&request));
     }
     let many = format!("/?{}", "a=1&".repeat(2000));
-    read.record(
-        "many parameters",
-        shown(&query("POST", &many, &[], "SELECT 1")),
-    );
-    assert_golden!("requests.txt", read.bytes());
+    let many = query("POST", &many, &[], SELECT);
+    transcript.record("many parameters", shown(&many));
+    assert_golden!("requests.txt", transcript.bytes());
 }
 
 #[test]
@@ -310,16 +315,16 @@
         "KILL QUERY WHERE query_id IN ('a', 'b') TEST",
         "KILL QUERY WHERE user = 'x'",
     ] {
-        let s = Shape::of(statement);
-        let kill = s.kill.as_ref().map(|k| (&k.ids, &k.behind));
-        let leaves = match s.session_effect() {
+        let s = Statement::scan(statement);
+        let kill = s.kill.as_ref().map(|k| (&k.ids, &k.options));
+        let leaves = match s.session_effect {
             SessionEffect::None => "nothing",
             SessionEffect::LeavesState => "something",
         };
         let _ = writeln!(
             text,
             "{statement:?}: empty {} reads {} harmless {} inserts {} writes {:?} tables {} leaves {leaves} kill {kill:?}",
-            s.empty, s.reads, s.harmless, s.inserts, s.writes, s.tables
+            s.is_empty, s.is_read, s.is_idempotent, s.is_insert, s.written_table, s.table_group
         );
     }
     assert_golden!("statements.txt", text);
--- a/crates/clickhouse/tests/params.rs
+++ b/crates/clickhouse/tests/params.rs
@@ -1,16 +1,16 @@
 //! URL parameters.
 
-use driftfront_clickhouse::params::{decoded, encode, Params, MAX_PARAMS};
+use driftfront_clickhouse::params::{decode, encode, Params, MAX_PARAMS};
 
 #[test]
 fn encoding_round_trips_and_invalid_escapes_stay() {
     for text in ["", "SELECT 1 + 2 -- žluťoučký", "a&b=c%%2", "\0\n"] {
         let mut url = String::new();
         encode(text, &mut url);
-        assert_eq!(decoded(&url), text);
+        assert_eq!(decode(&url), text);
     }
-    assert_eq!(decoded("a+b%2"), "a b%2");
-    assert_eq!(decoded("%zz%+1%41"), "%zz% 1A");
+    assert_eq!(decode("a+b%2"), "a b%2");
+    assert_eq!(decode("%zz%+1%41"), "%zz% 1A");
 }
 
 #[test]
--- a/crates/clickhouse/tests/request.rs
+++ b/crates/clickhouse/tests/request.rs
@@ -2,8 +2,7 @@
 
 use driftfront_clickhouse::block::{compress, Method};
 use driftfront_clickhouse::coding::Coding;
-use driftfront_clickhouse::exception::Exception;
-use driftfront_clickhouse::request::{read, Asked, Query};
+use driftfront_clickhouse::request::{parse, ClientRequest, Query, RequestError};
 use driftfront_http::Request;
 
 fn request(method: &str, target: &str, headers: &[(&str, &str)], body: &[u8]) -> Request {
@@ -26,9 +25,9 @@
     target: &str,
     headers: &[(&str, &str)],
     body: &[u8],
-) -> Result<Query, Exception> {
-    match read(&request(method, target, headers, body))? {
-        Asked::Query(query) => Ok(*query),
+) -> Result<Query, RequestError> {
+    match parse(&request(method, target, headers, body))? {
+        ClientRequest::Query(query) => Ok(*query),
         other => panic!("{other:?}"),
     }
 }
@@ -57,7 +56,10 @@
         let read =
             query("POST", target, &headers, body).unwrap_or_else(|e| panic!("{target}: {e}"));
         assert_eq!(
-            (read.shape.writes.as_deref(), read.shape.tables),
+            (
+                read.statement.written_table.as_deref(),
+                read.statement.table_group
+            ),
             (Some("uni_4.t"), 4),
             "{target}"
         );
@@ -67,7 +69,9 @@
 #[test]
 fn unreadable_requests_get_a_code() {
     let code = |method, target, headers: &[(&str, &str)], body: &[u8]| {
-        query(method, target, headers, body).expect_err(target).code
+        query(method, target, headers, body)
+            .expect_err(target)
+            .code()
     };
     let form = ("Content-Type", "multipart/form-data; boundary=b");
     assert_eq!(code("POST", "/", &[], b"  "), 62);
@@ -133,36 +137,51 @@
         ("Accept-Encoding", "gzip, snappy"),
     ];
     let read = query("POST", target, &headers, b"SELECT 1").expect("well formed");
-    assert_eq!(read.target, "&database=uni&param_x=a%26b&session_id=s");
+    assert_eq!(
+        read.forwarded_params,
+        "&database=uni&param_x=a%26b&session_id=s"
+    );
     let secret =
         "X-ClickHouse-Format: CSV\r\nX-ClickHouse-User: jana\r\nX-ClickHouse-Key: hunter2\r\n";
-    assert_eq!(read.headers.0, secret);
+    assert_eq!(read.forwarded_headers.0, secret);
     assert_eq!(
-        (read.wanted_within, read.progress, read.frames),
+        (
+            read.max_execution_time,
+            read.wants_progress,
+            read.wants_blocks
+        ),
         (Some(2_500_000), true, false)
     );
     assert!(read
         .session
         .as_ref()
-        .is_some_and(|s| s.id == "s" && s.check));
+        .is_some_and(|s| s.id == "s" && s.must_exist));
     assert!(!format!("{read:?}").contains("hunter2"));
     let packed =
         query("POST", "/?enable_http_compression=1", &headers, b"SELECT 1").expect("well formed");
-    assert!(packed.headers.0.contains("Accept-Encoding: gzip\r\n"));
+    assert!(packed
+        .forwarded_headers
+        .0
+        .contains("Accept-Encoding: gzip\r\n"));
 }
 
 #[test]
 fn unknown_paths_and_methods_are_distinguished() {
-    let asked = |method, target| read(&request(method, target, &[], b"")).expect("no query");
+    let asked = |method, target| parse(&request(method, target, &[], b"")).expect("no query");
     assert!(
-        matches!(asked("HEAD", "/"), Asked::Ping) && matches!(asked("GET", "/ping"), Asked::Ping)
+        matches!(asked("HEAD", "/"), ClientRequest::Ping)
+            && matches!(asked("GET", "/ping"), ClientRequest::Ping)
     );
-    assert!(matches!(asked("OPTIONS", "/?query=x"), Asked::Options));
+    assert!(matches!(
+        asked("OPTIONS", "/?query=x"),
+        ClientRequest::Options
+    ));
     assert!(
-        matches!(asked("PUT", "/"), Asked::NoMethod) && matches!(asked("GET", "/x"), Asked::NoPath)
+        matches!(asked("PUT", "/"), ClientRequest::UnsupportedMethod)
+            && matches!(asked("GET", "/x"), ClientRequest::UnknownPath)
     );
     assert!(matches!(
         asked("GET", "/replicas_status"),
-        Asked::ReplicasStatus
+        ClientRequest::ReplicasStatus
     ));
 }
--- a/crates/clickhouse/tests/sql.rs
+++ b/crates/clickhouse/tests/sql.rs
@@ -1,13 +1,14 @@
 //! What is seen of a statement.
 
-use driftfront_clickhouse::sql::{table_group, Shape, MAX_SCANNED_BYTES};
+use driftfront_clickhouse::session::SessionEffect;
+use driftfront_clickhouse::sql::{table_group, Statement, MAX_SCANNED_BYTES};
 
 #[test]
 fn reads_and_written_tables_are_recognized() {
-    let reads = |s| Shape::of(s).reads;
+    let reads = |s| Statement::scan(s).is_read;
     assert!(reads("/* x */ with 1 as a SELECT a") && reads("(SELECT 1)"));
-    assert!(!reads("INSERT INTO t SELECT 1") && !reads("") && Shape::of(" -- x").empty);
-    let table = |s| Shape::of(s).writes.unwrap_or_default();
+    assert!(!reads("INSERT INTO t SELECT 1") && !reads("") && Statement::scan(" -- x").is_empty);
+    let table = |s| Statement::scan(s).written_table.unwrap_or_default();
     assert_eq!(
         table("INSERT INTO TABLE uni_4.members FORMAT CSV\n1,2"),
         "uni_4.members"
@@ -19,38 +20,44 @@
         "('é'),".repeat(MAX_SCANNED_BYTES)
     );
     assert_eq!(
-        (Shape::of(&long).writes.as_deref(), Shape::of(&long).tables),
+        (
+            Statement::scan(&long).written_table.as_deref(),
+            Statement::scan(&long).table_group
+        ),
         (Some("uni_4.t"), 4)
     );
 }
 
 #[test]
 fn statements_with_session_effects_are_recognized() {
-    for tied in [
+    for stateful in [
         "SET max_threads = 1",
         "use uni_4",
         "CREATE TEMPORARY TABLE t (a Int8)",
         "create or replace temporary table t as select 1",
         "BEGIN TRANSACTION",
     ] {
-        assert!(Shape::of(tied).leaves, "{tied}");
+        let effect = Statement::scan(stateful).session_effect;
+        assert_eq!(effect, SessionEffect::LeavesState, "{stateful}");
     }
-    for loose in [
+    for stateless in [
         "SELECT 1",
         "INSERT INTO t VALUES (1)",
         "CREATE TABLE t (temporary Int8)",
         "SHOW TABLES",
     ] {
-        assert!(!Shape::of(loose).leaves, "{loose}");
+        let effect = Statement::scan(stateless).session_effect;
+        assert_eq!(effect, SessionEffect::None, "{stateless}");
     }
     assert!(
-        Shape::of("SET a = 1").harmless && !Shape::of("CREATE TEMPORARY TABLE t (a Int8)").harmless
+        Statement::scan("SET a = 1").is_idempotent
+            && !Statement::scan("CREATE TEMPORARY TABLE t (a Int8)").is_idempotent
     );
 }
 
 #[test]
 fn kill_conditions_by_id_are_recognized() {
-    let ids = |s: &str| Shape::of(s).kill.expect("a kill").ids;
+    let ids = |s: &str| Statement::scan(s).kill.expect("a kill").ids;
     let of = |ids: &[&str]| Some(ids.iter().map(|s| s.to_string()).collect::<Vec<_>>());
     assert_eq!(ids("KILL QUERY WHERE query_id='a''b' SYNC"), of(&["a'b"]));
     assert_eq!(
@@ -58,10 +65,10 @@
         of(&["a", "b"])
     );
     assert_eq!(
-        Shape::of("KILL QUERY WHERE query_id = 'a' ASYNC")
+        Statement::scan("KILL QUERY WHERE query_id = 'a' ASYNC")
             .kill
             .expect("one")
-            .behind,
+            .options,
         "ASYNC"
     );
     for odd in [
@@ -74,7 +81,7 @@
     ] {
         assert_eq!(ids(odd), None, "{odd}");
     }
-    assert_eq!(Shape::of("KILL MUTATION WHERE 1").kill, None);
+    assert_eq!(Statement::scan("KILL MUTATION WHERE 1").kill, None);
 }
 
 #[test]
--- a/crates/coordinator/src/frontends/clickhouse/kill.rs
+++ b/crates/coordinator/src/frontends/clickhouse/kill.rs
@@ -30,8 +30,8 @@
             template: ParsedRequest {
                 class,
                 client_timeout: self.timeout(class),
-                table_group: query.shape.tables,
-                parameters: engine_parameters(query, query.target.clone()),
+                table_group: query.statement.table_group,
+                parameters: engine_parameters(query, query.forwarded_params.clone()),
                 ..ParsedRequest::default()
             },
         };
--- a/crates/coordinator/src/frontends/clickhouse/mod.rs
+++ b/crates/coordinator/src/frontends/clickhouse/mod.rs
@@ -16,7 +16,7 @@
 use driftfront_clickhouse::body_budget::{BodyBudget, Reservation, UNBUDGETED_BYTES};
 use driftfront_clickhouse::exception::Exception;
 use driftfront_clickhouse::keyed_hash::keyed_hash;
-use driftfront_clickhouse::request::{self, Asked};
+use driftfront_clickhouse::request::{self, ClientRequest};
 use driftfront_clickhouse::session::{QueryOutcome, SessionName, SessionTable};
 use driftfront_core::{EngineId, Micros, ParsedRequest, SettledOutcome};
 use driftfront_http::{HttpError, Request, RequestLimits};
@@ -128,12 +128,12 @@
         reserved_bytes: usize,
     ) -> FrontendAction {
         let head_only = request.method == "HEAD";
-        let action = match request::read(&request) {
-            Ok(Asked::Query(query)) => self
+        let action = match request::parse(&request) {
+            Ok(ClientRequest::Query(query)) => self
                 .parse_query(&query, &request, now, reserved_bytes)
                 .unwrap_or_else(FrontendAction::RejectBadRequest),
             Ok(other) => replies::reply_to(&other, head_only),
-            Err(e) => FrontendAction::RejectBadRequest(replies::exception(&e, head_only)),
+            Err(e) => FrontendAction::RejectBadRequest(replies::exception(&e.into(), head_only)),
         };
         // What is accepted holds its part until it is settled.
         if !matches!(action, FrontendAction::Accept(..)) {
--- a/crates/coordinator/src/frontends/clickhouse/query.rs
+++ b/crates/coordinator/src/frontends/clickhouse/query.rs
@@ -8,7 +8,8 @@
 use crate::net::fnv1a_64;
 use driftfront_clickhouse::exception::Exception;
 use driftfront_clickhouse::request::Query;
-use driftfront_clickhouse::session::{Home, SessionName, SessionQuery};
+use driftfront_clickhouse::session::{Home, SessionError, SessionName, SessionQuery};
+use driftfront_clickhouse::sql::KillQuery;
 use driftfront_core::{EngineId, Micros, ParsedRequest, StickySession};
 use driftfront_http::Request;
 use std::rc::Rc;
@@ -30,28 +31,17 @@
         reserved_bytes: usize,
     ) -> Result<FrontendAction, Vec<u8>> {
         let class = self.class(query)?;
-        let call = match &query.id {
+        let id = match &query.id {
             Some(id) => id.clone(),
             None => self.generate_id(now),
         };
-        let writer = Box::new(StreamWriter::new(query, &call));
-        if let Some(kill) = &query.shape.kill {
-            let Some(names) = kill.ids.clone() else {
-                let e = Exception::new(NOT_IMPLEMENTED, KILL_BY_ID_ALONE);
-                return Err(replies::exception(&e, query.head_only));
-            };
-            return Ok(self.kill(query, names, &kill.behind, class, writer));
+        let writer = Box::new(StreamWriter::new(query, &id));
+        if let Some(kill) = &query.statement.kill {
+            return self.parse_kill(query, kill, class, writer);
         }
-        let mut url_parameters = query.target.clone();
         let session = self
             .begin_session(now, query)
-            .map_err(|e| replies::exception(&e, query.head_only))?;
-        let sticky = session.and_then(|s| s.home).map(sticky_session);
-        let is_bound = sticky.is_some_and(|s| s.is_exclusive);
-        if is_bound {
-            // An engine that restarted unnoticed must say so, and not run this without what was set.
-            url_parameters.push_str("&session_check=1");
-        }
+            .map_err(|e| replies::exception(&e.into(), query.is_head))?;
         let ticket = self.next_number();
         let open = OpenQuery {
             session: session.map(|s| s.name),
@@ -59,34 +49,42 @@
         };
         self.open.insert(ticket, open);
         let parsed = ParsedRequest {
-            name: call.into(),
+            name: id.into(),
             class,
-            table_group: query.shape.tables,
-            ordering_key: ordering_key(query),
-            idempotency_key: query.token.as_deref().map(Rc::from),
             client_timeout: self.time_budget(query, class, request.has_more_body),
-            parameters: engine_parameters(query, url_parameters),
-            sticky_session: sticky,
-            session_lost_error: is_bound
-                .then(|| Exception::new(SESSION_NOT_FOUND, LOST_SESSION).text.into()),
             is_body_streamed: request.has_more_body,
             statement: Rc::from(&*request.body),
             ticket,
-            ..ParsedRequest::default()
+            ..engine_request(query, session.and_then(|s| s.home))
         };
         Ok(FrontendAction::Accept(parsed, writer))
     }
 
+    /// Accepts a KILL QUERY, where its condition names queries by id.
+    fn parse_kill(
+        &mut self,
+        query: &Query,
+        kill: &KillQuery,
+        class: u16,
+        writer: Box<StreamWriter>,
+    ) -> Result<FrontendAction, Vec<u8>> {
+        let Some(ids) = kill.ids.clone() else {
+            let e = Exception::new(NOT_IMPLEMENTED, KILL_BY_ID_ALONE);
+            return Err(replies::exception(&e, query.is_head));
+        };
+        Ok(self.kill(query, ids, &kill.options, class, writer))
+    }
+
     /// The class that the client names, or the one of the statement's kind.
     fn class(&self, query: &Query) -> Result<u16, Vec<u8>> {
-        let shape = &query.shape;
+        let statement = &query.statement;
         match &query.class {
             Some(name) => self.classes.index(name).ok_or_else(|| {
                 let e = Exception::new(BAD_ARGUMENTS, &format!("There is no class {name}"));
-                replies::exception_with(404, &e, &[], query.head_only)
+                replies::exception_with(404, &e, &[], query.is_head)
             }),
-            None if shape.harmless => Ok(self.rules.read),
-            None if shape.inserts && query.token.is_some() => {
+            None if statement.is_idempotent => Ok(self.rules.read),
+            None if statement.is_insert && query.deduplication_token.is_some() => {
                 Ok(self.rules.deduplicated.unwrap_or(self.rules.write))
             }
             None => Ok(self.rules.write),
@@ -96,7 +94,9 @@
     /// How long the client waits, with the time for a streamed body.
     fn time_budget(&self, query: &Query, class: u16, has_more_body: bool) -> Micros {
         let max = self.timeout(class);
-        let budget = query.wanted_within.map_or(max, |wanted| wanted.min(max));
+        let budget = query
+            .max_execution_time
+            .map_or(max, |wanted| wanted.min(max));
         if has_more_body {
             budget + self.rules.upload
         } else {
@@ -109,7 +109,7 @@
         &mut self,
         now: Micros,
         query: &Query,
-    ) -> Result<Option<BegunSession>, Exception> {
+    ) -> Result<Option<BegunSession>, SessionError> {
         let Some(session) = &query.session else {
             return Ok(None);
         };
@@ -117,9 +117,9 @@
         let name = self.sessions.name(user, &session.id);
         let session_query = SessionQuery {
             session: name,
-            must_exist: session.check,
+            must_exist: session.must_exist,
             timeout: session.timeout,
-            effect: query.shape.session_effect(),
+            effect: query.statement.session_effect,
         };
         let home = self.sessions.begin_query(now, &session_query)?;
         Ok(Some(BegunSession { name, home }))
@@ -134,16 +134,36 @@
     home: Option<Home<EngineId>>,
 }
 
-fn sticky_session(home: Home<EngineId>) -> StickySession {
-    StickySession {
+/// The part of a core request that follows from the query and its session's home.
+fn engine_request(query: &Query, home: Option<Home<EngineId>>) -> ParsedRequest {
+    let sticky_session = home.map(|home| StickySession {
         engine: home.engine,
         is_exclusive: home.is_exclusive,
+    });
+    let is_exclusive = home.is_some_and(|home| home.is_exclusive);
+    let mut url_parameters = query.forwarded_params.clone();
+    if is_exclusive {
+        // An engine that restarted unnoticed must say so, and not run this without what was set.
+        url_parameters.push_str("&session_check=1");
+    }
+    ParsedRequest {
+        table_group: query.statement.table_group,
+        ordering_key: ordering_key(query),
+        idempotency_key: query.deduplication_token.as_deref().map(Rc::from),
+        parameters: engine_parameters(query, url_parameters),
+        sticky_session,
+        session_lost_error: is_exclusive
+            .then(|| Exception::new(SESSION_NOT_FOUND, LOST_SESSION).text.into()),
+        ..ParsedRequest::default()
     }
 }
 
 /// The key of a query's order: the client's, or the table that is written, so that batches into one table stay in order.
 fn ordering_key(query: &Query) -> Option<u64> {
-    let key = query.key.as_ref().or(query.shape.writes.as_ref())?;
+    let key = query
+        .ordering_key
+        .as_ref()
+        .or(query.statement.written_table.as_ref())?;
     Some(fnv1a_64(key.as_bytes()))
 }
 
@@ -151,9 +171,12 @@
 pub(super) fn engine_parameters(query: &Query, url_parameters: String) -> Rc<[(String, String)]> {
     let mut parameters = vec![
         (URL_PARAMETERS.to_string(), url_parameters),
-        (REQUEST_HEADERS.to_string(), query.headers.0.clone()),
+        (
+            REQUEST_HEADERS.to_string(),
+            query.forwarded_headers.0.clone(),
+        ),
     ];
-    if query.frames {
+    if query.wants_blocks {
         parameters.push((COMPRESSED_BLOCKS.into(), String::new()));
     }
     parameters.into()
--- a/crates/coordinator/src/frontends/clickhouse/replies.rs
+++ b/crates/coordinator/src/frontends/clickhouse/replies.rs
@@ -3,7 +3,7 @@
 use super::codes::BAD_ARGUMENTS;
 use crate::frontends::FrontendAction;
 use driftfront_clickhouse::exception::Exception;
-use driftfront_clickhouse::request::Asked;
+use driftfront_clickhouse::request::ClientRequest;
 use driftfront_http::{response, response_head, BodyFraming, HttpError};
 
 const TEXT: (&str, &str) = ("Content-Type", "text/plain; charset=UTF-8");
@@ -22,25 +22,27 @@
 ];
 
 /// The reply to what is no query.
-pub(super) fn reply_to(asked: &Asked, head_only: bool) -> FrontendAction {
+pub(super) fn reply_to(request: &ClientRequest, head_only: bool) -> FrontendAction {
     let page = |status: u16, body: &str| whole(status, &[HTML], body, head_only);
-    match asked {
-        Asked::Ping => FrontendAction::Reply(page(200, "Ok.\n")),
-        Asked::ReplicasStatus => FrontendAction::ReportReadiness {
+    match request {
+        ClientRequest::Ping => FrontendAction::Reply(page(200, "Ok.\n")),
+        ClientRequest::ReplicasStatus => FrontendAction::ReportReadiness {
             ready: page(200, "Ok.\n"),
             not_ready: page(503, "No engine takes queries now.\n"),
         },
-        Asked::Alive => FrontendAction::ReportReadiness {
+        ClientRequest::Alive => FrontendAction::ReportReadiness {
             ready: page(200, ""),
             not_ready: page(503, ""),
         },
-        Asked::Counters => FrontendAction::ReportCounters,
-        Asked::Options => FrontendAction::Reply(response(204, &CROSS_ORIGIN_HEADERS, b"", false)),
-        Asked::NoMethod => FrontendAction::RejectBadRequest(page(405, "")),
-        Asked::NoPath => {
+        ClientRequest::Counters => FrontendAction::ReportCounters,
+        ClientRequest::Options => {
+            FrontendAction::Reply(response(204, &CROSS_ORIGIN_HEADERS, b"", false))
+        }
+        ClientRequest::UnsupportedMethod => FrontendAction::RejectBadRequest(page(405, "")),
+        ClientRequest::UnknownPath => {
             FrontendAction::RejectBadRequest(page(404, "There is no such path here.\n"))
         }
-        Asked::Query(_) => FrontendAction::RejectBadRequest(page(500, "")),
+        ClientRequest::Query(_) => FrontendAction::RejectBadRequest(page(500, "")),
     }
 }
 
--- a/crates/coordinator/src/frontends/clickhouse/response.rs
+++ b/crates/coordinator/src/frontends/clickhouse/response.rs
@@ -32,11 +32,11 @@
             call: call.into(),
             has_begun: false,
             has_length: false,
-            is_chunked: query.chunks,
-            head_only: query.head_only,
-            wants_progress: query.progress,
+            is_chunked: query.supports_chunked,
+            head_only: query.is_head,
+            wants_progress: query.wants_progress,
             exception_tag: None,
-            is_packed: query.frames,
+            is_packed: query.wants_blocks,
         }
     }
 
--- a/crates/mock-servers/src/engine/query.rs
+++ b/crates/mock-servers/src/engine/query.rs
@@ -8,7 +8,7 @@
 use driftfront_clickhouse::coding::{self, Coding};
 use driftfront_clickhouse::credentials::Credentials;
 use driftfront_clickhouse::params::Params;
-use driftfront_clickhouse::{multipart, sql::Shape};
+use driftfront_clickhouse::{multipart, sql::Statement};
 use driftfront_http::{header, Request};
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
@@ -81,7 +81,7 @@
         if faults.has("first") && log.knows(&text) {
             faults = Faults::default();
         }
-        let credentials = Credentials::read(&params, &request.headers).ok();
+        let credentials = Credentials::parse(&params, &request.headers).ok();
         let user = credentials.and_then(|credentials| credentials.user);
         let user = user.unwrap_or_default();
         let session = params.non_empty("session_id");
@@ -113,7 +113,7 @@
             )));
         }
         let is_read = matches!(query.request.method.as_str(), "GET" | "HEAD");
-        if is_read && !Shape::of(&query.statement).reads {
+        if is_read && !Statement::scan(&query.statement).is_read {
             return Err(Exception::new(
                 code::READONLY,
                 "Cannot execute query in readonly mode. For queries over HTTP, method GET implies readonly. You \
@@ -137,7 +137,7 @@
         let Some((user, key)) = &self.shared.options.user else {
             return Ok(());
         };
-        let credentials = Credentials::read(&query.params, &query.request.headers).ok();
+        let credentials = Credentials::parse(&query.params, &query.request.headers).ok();
         let is_right = credentials.is_some_and(|credentials| {
             let headers: BTreeMap<&str, &str> = credentials.headers().collect();
             headers.get("X-ClickHouse-User") == Some(&user.as_str())
@@ -209,7 +209,7 @@
     } else {
         in_url.to_string()
     };
-    if Shape::of(&text).empty {
+    if Statement::scan(&text).is_empty {
         return Err(Exception::new(code::SYNTAX_ERROR, "Empty query"));
     }
     Ok(StatementText { text, is_in_body })
@@ -221,15 +221,15 @@
     if !multipart::is_form(content_type) {
         return Ok(String::new());
     }
-    let boundary = multipart::boundary(content_type).ok_or("no boundary");
-    let parts = boundary
-        .and_then(|boundary| multipart::parse(&request.body, &boundary))
-        .map_err(|why| Exception::new(code::BAD_ARGUMENTS, format!("multipart: {why}")))?;
+    let malformed = |why: String| Exception::new(code::BAD_ARGUMENTS, format!("multipart: {why}"));
+    let boundary =
+        multipart::parse_boundary(content_type).ok_or_else(|| malformed("no boundary".into()))?;
+    let parts = multipart::parse(&request.body, &boundary).map_err(|e| malformed(e.to_string()))?;
     let field = parts
         .iter()
-        .find(|part| part.name == "query" && part.file.is_none());
+        .find(|part| part.name == "query" && part.file_name.is_none());
     Ok(field.map_or(String::new(), |part| {
-        String::from_utf8_lossy(&request.body[part.data.clone()]).into_owned()
+        String::from_utf8_lossy(&request.body[part.content.clone()]).into_owned()
     }))
 }
 
