--- a/crates/cluster-simulation/src/commands/consensus_fuzz.rs
+++ b/crates/cluster-simulation/src/commands/consensus_fuzz.rs
@@ -48,7 +48,7 @@
         done.map_err(|why| CommandError::Broken(format!("seed {seed}, {why}")))?;
     }
     let lost = fuzzer.sum(|counters| counters.replicas_lost);
-    let unread = fuzzer.sum(|counters| counters.unread);
+    let unread = fuzzer.sum(|counters| counters.malformed);
     println!(
         "{} spoilt words from seed {seed}: unread {unread}, replicas broken and let in again {lost}, rights lent {}",
         fuzzer.damaged, fuzzer.granted
@@ -114,7 +114,7 @@
         let now = self.now;
         let voter = &mut self.voters[number];
         voter.tick(now, now, || peers);
-        while let Some((_, outcome)) = voter.outcome() {
+        while let Some((_, outcome)) = voter.next_outcome() {
             if let Ok(LeaseOutcome::Granted { fence }) = outcome {
                 self.granted += 1;
                 voter.release(fence);
@@ -129,10 +129,10 @@
                 stays: false,
                 note: String::new(),
             };
-            voter.ask(now, command, SECOND);
+            voter.submit(now, command, SECOND);
         }
         while let Some(write) = voter.next_write() {
-            voter.kept(now, write.number);
+            voter.confirm_write(now, write.number);
         }
         while let Some((receiver, bytes)) = voter.next_outgoing() {
             let receiver = self.names.iter().position(|n| *n == receiver);
--- a/crates/cluster-simulation/src/commands/datagram_fuzz.rs
+++ b/crates/cluster-simulation/src/commands/datagram_fuzz.rs
@@ -59,29 +59,32 @@
     let counters = fuzzer.target.counters();
     println!(
         "{runs} inputs from seed {seed}: taken {}, spoilt {}, foreign {}, replayed {}",
-        counters.taken, counters.spoilt, counters.foreign, counters.replayed
+        counters.accepted, counters.wrong_tag, counters.unknown_protocol, counters.replayed
     );
     println!(
         "  unreadable {}, facts refused {}, of an unknown kind {}",
         counters.unreadable, counters.refused, counters.unknown_kind
     );
-    println!("  it stands, and sees {} others", fuzzer.target.others());
+    println!(
+        "  it stands, and sees {} others",
+        fuzzer.target.peer_count()
+    );
     Ok(())
 }
 
 fn member(number: u32, rng: &mut SmallRng) -> Cluster {
     let options = Options {
-        me: Identity {
+        identity: Identity {
             name: name(number),
             addr: addr(number),
             session: u64::from(number),
             back: 0,
         },
-        about: MemberMetadata::default(),
+        metadata: MemberMetadata::default(),
         keys: keys(),
         seeds: vec![addr(TARGET), addr(PEER)],
         seed: rng.random(),
-        agreed: None,
+        consensus: None,
     };
     Cluster::new(0, options)
 }
@@ -105,12 +108,12 @@
             self.target.tick(self.clock);
             self.peer.tick(self.clock);
             let kind = self.rng.random_range(2..6);
-            self.peer.tell(kind, &self.rng.random::<[u8; 8]>());
+            self.peer.publish(kind, &self.rng.random::<[u8; 8]>());
             while let Some((_, bytes)) = self.target.next_outgoing() {
-                self.peer.take(self.clock, &bytes);
+                self.peer.handle_datagram(self.clock, &bytes);
             }
             while let Some((_, bytes)) = self.peer.next_outgoing() {
-                self.target.take(self.clock, &bytes);
+                self.target.handle_datagram(self.clock, &bytes);
                 self.keep(bytes);
             }
         }
@@ -178,7 +181,7 @@
     fn survives(&mut self, input: &[u8]) -> bool {
         let (target, clock) = (&mut self.target, self.clock);
         let taken = catch_unwind(AssertUnwindSafe(|| {
-            target.take(clock, input);
+            target.handle_datagram(clock, input);
             while target.next_outgoing().is_some() {}
         }));
         taken.is_ok()
--- a/crates/cluster-simulation/src/commands/leases.rs
+++ b/crates/cluster-simulation/src/commands/leases.rs
@@ -89,12 +89,12 @@
             self.timed_out += rights.timed_out;
         }
         for member in world.living() {
-            let Some(consensus) = world.fleet(member).and_then(|f| f.agreed()) else {
+            let Some(consensus) = world.fleet(member).and_then(|f| f.consensus()) else {
                 continue;
             };
             let counters = consensus.counters();
             self.leaders += counters.leaders;
-            self.voter_changes += counters.changes;
+            self.voter_changes += counters.voter_changes;
             self.replicas_lost += counters.replicas_lost;
         }
     }
@@ -134,7 +134,7 @@
 
 fn print_parts(world: &mut World, seed: u64) {
     for member in world.living() {
-        if let Some(consensus) = world.fleet(member).and_then(|f| f.agreed()) {
+        if let Some(consensus) = world.fleet(member).and_then(|f| f.consensus()) {
             let (view, notice) = (consensus.view(), consensus.notice());
             println!("  seed {seed}: m{member} {view:?} {notice:?}");
         }
--- a/crates/cluster-simulation/src/rights.rs
+++ b/crates/cluster-simulation/src/rights.rs
@@ -79,7 +79,7 @@
     pub fn go_on(&mut self, member: u32, now: Micros, clock: Micros, fleet: &mut Cluster) {
         let wrong = &mut self.wrong;
         fleet.with_consensus(clock, |agreed, clock| {
-            while let Some((request, outcome)) = agreed.outcome() {
+            while let Some((request, outcome)) = agreed.next_outcome() {
                 let since = self.waiting.remove(&(member, request));
                 match outcome {
                     Err(RequestError::TimedOut | RequestError::TooManyPending) => {
@@ -123,7 +123,7 @@
                     stays: false,
                     note: String::new(),
                 };
-                let request = agreed.ask(clock, take, self.load.patience);
+                let request = agreed.submit(clock, take, self.load.patience);
                 self.waiting.insert((member, request), now);
             }
         });
--- a/crates/cluster-simulation/src/world.rs
+++ b/crates/cluster-simulation/src/world.rs
@@ -160,7 +160,7 @@
     /// Each has a replica of the log or a copy of what is agreed, and some member leads.
     pub fn led(&mut self) -> Option<u32> {
         let leads = |f: &Cluster| {
-            f.agreed()
+            f.consensus()
                 .and_then(|a| a.replica())
                 .is_some_and(|r| r.leads())
         };
@@ -200,12 +200,12 @@
         if let Some(c) = p.fleet.as_ref().map(Cluster::counters) {
             sum.sent += c.sent;
             sum.sent_bytes += c.sent_bytes;
-            sum.taken += c.taken;
+            sum.accepted += c.accepted;
             sum.members_down += c.members_down;
             sum.rejoins += c.rejoins;
             sum.rate_limited += c.rate_limited;
             sum.replayed += c.replayed;
-            sum.stale += c.stale;
+            sum.stale_session += c.stale_session;
             sum.unreadable += c.unreadable;
             sum.refused += c.refused;
         }
@@ -270,12 +270,12 @@
         };
         let agreed = (self.script.voters > 0).then_some(asked);
         let options = Options {
-            me,
-            about,
+            identity: me,
+            metadata: about,
             keys: keys(),
             seeds,
             seed,
-            agreed,
+            consensus: agreed,
         };
         p.life += 1;
         p.writes.clear();
@@ -334,7 +334,7 @@
             return;
         };
         for bytes in p.socket.drain(..) {
-            fleet.take(clock, &bytes);
+            fleet.handle_datagram(clock, &bytes);
         }
         if look {
             fleet.tick(clock);
@@ -385,7 +385,7 @@
         }
         // As the program opens it: whatever was torn is cut before anything is written behind it.
         p.disk.extend_from_slice(&write.bytes);
-        fleet.kept(write.number);
+        fleet.confirm_write(write.number);
         self.hand_on(member);
     }
 
@@ -399,7 +399,7 @@
             if let Some(agreed) = self.processes[member as usize]
                 .fleet
                 .as_ref()
-                .and_then(Cluster::agreed)
+                .and_then(Cluster::consensus)
             {
                 rights.holds(member, clock, agreed);
             }
@@ -417,12 +417,12 @@
             let Some(of) = view.name.strip_prefix('m').and_then(|n| n.parse().ok()) else {
                 continue;
             };
-            if self.views.insert((by, of), view.standing) != Some(view.standing) {
+            if self.views.insert((by, of), view.status) != Some(view.status) {
                 self.seen.push(Seen {
                     at: self.now - BEGIN,
                     by,
                     of,
-                    standing: Some(view.standing),
+                    standing: Some(view.status),
                 });
             }
         }
--- a/crates/cluster-simulation/tests/consensus.rs
+++ b/crates/cluster-simulation/tests/consensus.rs
@@ -12,7 +12,7 @@
 }
 
 fn role(w: &mut World, member: u32) -> Option<Role> {
-    w.fleet(member)?.agreed().map(|a| a.view().part)
+    w.fleet(member)?.consensus().map(|a| a.view().role)
 }
 
 /// Plays until some member leads; when that was.
@@ -57,7 +57,7 @@
                 Role::Observing
             };
             assert_eq!(role(&mut w, m), Some(wanted), "m{m}");
-            let view = w.fleet(m).unwrap().agreed().unwrap().view();
+            let view = w.fleet(m).unwrap().consensus().unwrap().view();
             assert_eq!(
                 (view.voters.len() as u32, view.leader.is_some()),
                 (voters, true),
@@ -129,7 +129,7 @@
     assert_right(&w);
     for m in [0, 3] {
         let clock = w.clock_of(m);
-        let agreed = w.fleet(m).unwrap().agreed().unwrap();
+        let agreed = w.fleet(m).unwrap().consensus().unwrap();
         assert!(
             agreed.held().keys().all(|&f| !agreed.holds(f, clock)),
             "m{m} acts on {:?}",
@@ -190,8 +190,8 @@
     w.play(40 * S, |_| false);
     w.now(&format!("kill \"m{victim}\""));
     w.play(70 * S, |_| false);
-    let voters = |w: &mut World| w.fleet(leader).unwrap().agreed().unwrap().view().voters;
-    let names: Vec<String> = voters(&mut w).into_iter().map(|v| v.0).collect();
+    let voters = |w: &mut World| w.fleet(leader).unwrap().consensus().unwrap().view().voters;
+    let names: Vec<String> = voters(&mut w).into_iter().map(|v| v.name).collect();
     assert!(
         names.len() == 3 && !names.contains(&format!("m{victim}")),
         "{names:?}"
@@ -225,7 +225,7 @@
         w.now("start \"all\"");
         led(&mut w, 60 * S);
         w.play(61 * S, |_| false);
-        let view = w.fleet(0).unwrap().agreed().unwrap().view();
+        let view = w.fleet(0).unwrap().consensus().unwrap().view();
         // Numbers go on above all that were lent, and no time of silence begins anew.
         assert!(view.index > 1);
         w.play(75 * S, |_| false);
--- a/crates/cluster-simulation/tests/golden.rs
+++ b/crates/cluster-simulation/tests/golden.rs
@@ -220,7 +220,7 @@
         let _ = writeln!(
             text,
             "m{m}: sent {} of {} bytes, taken {}, downs {}, backs {}, withheld {}, disk {} bytes {:016x}",
-            c.sent, c.sent_bytes, c.taken, c.members_down, c.rejoins, c.rate_limited, disk.len(), sum(&disk)
+            c.sent, c.sent_bytes, c.accepted, c.members_down, c.rejoins, c.rate_limited, disk.len(), sum(&disk)
         );
     }
     if let Some(rights) = &world.rights {
--- a/crates/cluster-simulation/tests/membership.rs
+++ b/crates/cluster-simulation/tests/membership.rs
@@ -163,23 +163,26 @@
     );
     assert!(w.play(5 * S, |w| w.agree(&all(12))));
     w.play(6 * S, |_| false);
-    assert!(w.fleet(0).unwrap().tell(9, b"told while one was cut off"));
+    assert!(w
+        .fleet(0)
+        .unwrap()
+        .publish(9, b"told while one was cut off"));
     w.play(9 * S, |_| false);
     for m in 1..11 {
-        assert!(w.fleet(m).unwrap().fact("m0", 9).is_some(), "m{m}");
+        assert!(w.fleet(m).unwrap().record("m0", 9).is_some(), "m{m}");
     }
-    assert!(w.fleet(11).unwrap().fact("m0", 9).is_none());
+    assert!(w.fleet(11).unwrap().record("m0", 9).is_none());
     w.play(29 * S, |_| false);
     let fleet = w.fleet(11).unwrap();
     let fact = fleet
-        .fact("m0", 9)
+        .record("m0", 9)
         .expect("comparisons bring what rumours missed");
     assert!(
         fact.reachable && fact.age >= 20 * S && fact.age < 25 * S,
         "{fact:?}"
     );
     w.play(36 * S, |_| false);
-    assert!(!w.fleet(11).unwrap().fact("m0", 9).unwrap().reachable);
+    assert!(!w.fleet(11).unwrap().record("m0", 9).unwrap().reachable);
 }
 
 #[test]
@@ -225,9 +228,9 @@
     assert_eq!(w.standing(0, 3), Some(MemberStatus::Down));
     assert!(w.play(19 * S, |w| w.time() > 14 * S && w.agree(&all(8))));
     // What it tells now counts, too.
-    assert!(w.fleet(3).unwrap().tell(9, b"anew"));
+    assert!(w.fleet(3).unwrap().publish(9, b"anew"));
     w.play(21 * S, |_| false);
-    assert!((0..8).all(|m| w.fleet(m).unwrap().fact("m3", 9).is_some()));
+    assert!((0..8).all(|m| w.fleet(m).unwrap().record("m3", 9).is_some()));
 }
 
 #[test]
--- a/crates/cluster/src/agent/incoming.rs
+++ b/crates/cluster/src/agent/incoming.rs
@@ -1,4 +1,4 @@
-//! Takes datagrams of other members.
+//! Handles datagrams of other members.
 
 use super::Cluster;
 use crate::membership::{Change, Identity};
@@ -9,15 +9,15 @@
 const MAX_DATAGRAMS_PER_COMPARISON: usize = 2;
 
 impl Cluster {
-    /// Takes a datagram. All that have come are to be taken before [`Cluster::tick`]: what others said while this process
-    /// was held up must be known before any of its timers runs.
-    pub fn take(&mut self, clock: Micros, datagram: &[u8]) {
+    /// Handles a received datagram. All that have arrived must be handled before [`Cluster::tick`]: what peers sent while
+    /// this process was held up must be known before any of its timers runs.
+    pub fn handle_datagram(&mut self, clock: Micros, datagram: &[u8]) {
         let now = self.clock.update(clock);
         let opened = match self.authenticator.open(datagram) {
             Ok(opened) => opened,
             Err(error) => return self.count_refused(error),
         };
-        self.counters.taken += 1;
+        self.counters.accepted += 1;
         self.counters.received_bytes += datagram.len() as u64;
         self.counters.old_key += u64::from(opened.old_key);
         if self.has_left {
@@ -39,12 +39,12 @@
 
     fn count_refused(&mut self, error: AuthenticationError) {
         let count = match error {
-            AuthenticationError::UnknownProtocol => &mut self.counters.foreign,
-            AuthenticationError::UnsupportedVersion => &mut self.counters.version,
+            AuthenticationError::UnknownProtocol => &mut self.counters.unknown_protocol,
+            AuthenticationError::UnsupportedVersion => &mut self.counters.unsupported_version,
             AuthenticationError::UnknownKey => &mut self.counters.unknown_key,
-            AuthenticationError::WrongTag => &mut self.counters.spoilt,
+            AuthenticationError::WrongTag => &mut self.counters.wrong_tag,
             AuthenticationError::Replayed => &mut self.counters.replayed,
-            AuthenticationError::StaleSession => &mut self.counters.stale,
+            AuthenticationError::StaleSession => &mut self.counters.stale_session,
         };
         *count += 1;
     }
@@ -72,7 +72,7 @@
             return;
         }
         self.counters.sessions_raised += 1;
-        let (session, rounds) = (self.me().session, self.gossip_rounds());
+        let (session, rounds) = (self.local_identity().session, self.gossip_rounds());
         self.authenticator.change_session(session);
         self.gossip.raise_session(now, session, rounds);
         if let Some(consensus) = &mut self.consensus {
--- a/crates/cluster/src/agent/mod.rs
+++ b/crates/cluster/src/agent/mod.rs
@@ -2,8 +2,8 @@
 //!
 //! | module | what it does |
 //! | --- | --- |
-//! | this | the agent's state, and what may be asked of it |
-//! | `incoming` | takes datagrams of other members |
+//! | this | the agent's state and interface |
+//! | `incoming` | handles datagrams of other members |
 //! | `timers` | does what is due |
 //! | `outgoing` | sends datagrams, within the rate limits |
 //! | `view` | what operators see |
@@ -37,18 +37,18 @@
 
 /// What a member starts with.
 pub struct Options {
-    /// Who it is.
-    pub me: Identity,
+    /// Its name, address and session.
+    pub identity: Identity,
     /// What it publishes of itself.
-    pub about: MemberMetadata,
+    pub metadata: MemberMetadata,
     /// The keys.
     pub keys: Keyring,
-    /// Whom to ask to be let in.
+    /// Addresses of members through which it joins.
     pub seeds: Vec<SocketAddr>,
     /// For all that is drawn at random.
     pub seed: u64,
     /// Its part in consensus; `None` where it is to be opened later ([`Cluster::open_consensus`]), or never.
-    pub agreed: Option<consensus::Options>,
+    pub consensus: Option<consensus::Options>,
 }
 
 /// The cluster, as one member takes part in it.
@@ -72,11 +72,11 @@
     /// A member that is alone, at this time of the host's clock.
     pub fn new(clock: Micros, options: Options) -> Cluster {
         let mut rng = SmallRng::seed_from_u64(options.seed);
-        let own = options.me;
+        let own = options.identity;
         let mut local_clock = LocalClock::default();
         let now = local_clock.update(clock);
         let mut gossip = GossipState::new(&own.name, own.session);
-        gossip.publish(now, METADATA, &options.about.encode(), MIN_GOSSIP_ROUNDS);
+        gossip.publish(now, METADATA, &options.metadata.encode(), MIN_GOSSIP_ROUNDS);
         let mut cluster = Cluster {
             gossip,
             authenticator: MessageAuthenticator::new(options.keys, own.session),
@@ -92,7 +92,7 @@
             has_left: false,
             log_error: None,
         };
-        if let Some(options) = options.agreed {
+        if let Some(options) = options.consensus {
             cluster.log_error = cluster.open_consensus(options);
         }
         cluster
@@ -114,16 +114,16 @@
         self.consensus = None;
         // Others must not see the replica of this process where there is another's.
         let bytes = Notice::default().encode();
-        self.tell(CONSENSUS, &bytes);
+        self.publish(CONSENSUS, &bytes);
     }
 
-    /// Why the log that was kept could not be used at the start.
-    pub fn wrong(&self) -> Option<&LogError> {
+    /// Why the persisted log could not be used at the start.
+    pub fn log_error(&self) -> Option<&LogError> {
         self.log_error.as_ref()
     }
 
     /// This member's part in consensus, if it takes part.
-    pub fn agreed(&self) -> Option<&Consensus> {
+    pub fn consensus(&self) -> Option<&Consensus> {
         self.consensus.as_ref()
     }
 
@@ -144,11 +144,11 @@
         self.consensus.as_mut()?.next_write()
     }
 
-    /// All up to this write outlives the process now.
-    pub fn kept(&mut self, number: u64) {
+    /// Confirms that this write, and all before it, are persistent.
+    pub fn confirm_write(&mut self, number: u64) {
         let now = self.clock.now();
         if let Some(consensus) = &mut self.consensus {
-            consensus.kept(now, number);
+            consensus.confirm_write(now, number);
         }
         self.send_consensus_messages(now);
     }
@@ -166,14 +166,14 @@
     }
 
     /// Publishes a gossip record of this member; false if it is beyond the bounds.
-    pub fn tell(&mut self, kind: Kind, value: &[u8]) -> bool {
+    pub fn publish(&mut self, kind: Kind, value: &[u8]) -> bool {
         let rounds = self.gossip_rounds();
         self.gossip.publish(self.clock.now(), kind, value, rounds)
     }
 
     /// Publishes what this member says of itself.
     pub fn update_metadata(&mut self, metadata: &MemberMetadata) -> bool {
-        self.tell(METADATA, &metadata.encode())
+        self.publish(METADATA, &metadata.encode())
     }
 
     /// Leaves in order: others know at once that this member is gone, and that it is no fault. Nothing is sent or accepted
@@ -196,13 +196,13 @@
         self.seeds = seeds;
     }
 
-    /// Who this member is.
-    pub fn me(&self) -> &Identity {
+    /// This member's name, address and session.
+    pub fn local_identity(&self) -> &Identity {
         self.members.own()
     }
 
-    /// How many other members are there.
-    pub fn others(&self) -> usize {
+    /// How many other members are reachable.
+    pub fn peer_count(&self) -> usize {
         self.members.reachable_count()
     }
 
@@ -215,7 +215,7 @@
     pub fn members(&self) -> Vec<MemberView> {
         let now = self.clock.now();
         let own = KnownMember {
-            identity: self.me(),
+            identity: self.local_identity(),
             status: MemberStatus::Alive,
             status_age: now,
         };
@@ -239,20 +239,20 @@
         MemberView {
             name: identity.name.clone(),
             addr: identity.addr,
-            standing: member.status,
+            status: member.status,
             status_age: member.status_age,
-            about: metadata.and_then(|r| Some((MemberMetadata::decode(r.value)?, r.age))),
-            is_self: std::ptr::eq(identity, self.me()),
+            metadata: metadata.and_then(|r| Some((MemberMetadata::decode(r.value)?, r.age))),
+            is_self: std::ptr::eq(identity, self.local_identity()),
         }
     }
 
     /// What an owner published under a kind.
-    pub fn fact(&self, owner: &str, kind: Kind) -> Option<GossipRecord<'_>> {
+    pub fn record(&self, owner: &str, kind: Kind) -> Option<GossipRecord<'_>> {
         self.gossip.get(self.clock.now(), owner, kind)
     }
 
     /// What each member published under a kind.
-    pub fn facts(&self, kind: Kind) -> impl Iterator<Item = (&str, GossipRecord<'_>)> + '_ {
+    pub fn records(&self, kind: Kind) -> impl Iterator<Item = (&str, GossipRecord<'_>)> + '_ {
         self.gossip.all(self.clock.now(), kind)
     }
 
--- a/crates/cluster/src/agent/timers.rs
+++ b/crates/cluster/src/agent/timers.rs
@@ -112,7 +112,7 @@
             _ => REJOIN_INTERVAL,
         };
         self.timers.join = now + interval;
-        let own = self.me().addr;
+        let own = self.local_identity().addr;
         let is_reachable = |addr: SocketAddr| self.members.reachable().any(|m| m.addr == addr);
         let seeds = self.seeds.iter().copied();
         let missing: Vec<SocketAddr> = seeds
@@ -180,7 +180,7 @@
             self.timers.notice = now + NOTICE_INTERVAL;
             let bytes = notice.encode();
             self.published_notice = notice;
-            self.tell(CONSENSUS, &bytes);
+            self.publish(CONSENSUS, &bytes);
         }
     }
 }
--- a/crates/cluster/src/agent/view.rs
+++ b/crates/cluster/src/agent/view.rs
@@ -13,21 +13,21 @@
     /// Bytes of datagrams sent.
     pub sent_bytes: u64,
     /// Datagrams accepted.
-    pub taken: u64,
+    pub accepted: u64,
     /// Bytes of datagrams accepted.
     pub received_bytes: u64,
     /// Datagrams refused: of another protocol.
-    pub foreign: u64,
+    pub unknown_protocol: u64,
     /// Datagrams refused: of another version.
-    pub version: u64,
+    pub unsupported_version: u64,
     /// Datagrams refused: under a key that is not in use.
     pub unknown_key: u64,
     /// Datagrams refused: damaged, or made without the key.
-    pub spoilt: u64,
+    pub wrong_tag: u64,
     /// Datagrams refused: accepted before.
     pub replayed: u64,
     /// Datagrams refused: for an earlier process here, or from this one.
-    pub stale: u64,
+    pub stale_session: u64,
     /// Datagrams accepted under the key on its way out.
     pub old_key: u64,
     /// Datagrams of a kind that this build does not know.
@@ -62,11 +62,11 @@
     /// Where its datagrams go.
     pub addr: SocketAddr,
     /// How sure it is to be there.
-    pub standing: MemberStatus,
+    pub status: MemberStatus,
     /// For how long it has been so, by this member's own time.
     pub status_age: Micros,
     /// What it publishes of itself, and how old that is.
-    pub about: Option<(MemberMetadata, Micros)>,
+    pub metadata: Option<(MemberMetadata, Micros)>,
     /// It is this member.
     pub is_self: bool,
 }
--- a/crates/cluster/src/consensus/mod.rs
+++ b/crates/cluster/src/consensus/mod.rs
@@ -16,7 +16,7 @@
 //! | `replica` | one replica of the log: `raft` |
 //! | `log`, `log_identity`, `store` | the log in memory, which log it is, its form in a file |
 //! | `state`, `leases` | the state that the log's entries make |
-//! | `command` | what may be asked of the lease table |
+//! | `command` | commands to the lease table, and their outcomes |
 //! | `messages`, `fragmentation` | what members send each other, and how it fits datagrams |
 //! | `peers` | the other members, as membership and gossip know them |
 //! | `view` | what operators see |
@@ -51,4 +51,4 @@
 pub use participant::{Consensus, Options};
 pub use peers::Peer;
 pub use requests::{HeldLease, Reported, RequestError};
-pub use view::{Counters, Role, View};
+pub use view::{Counters, GrantedLease, Role, View, VoterStatus};
--- a/crates/cluster/src/consensus/participant/incoming.rs
+++ b/crates/cluster/src/consensus/participant/incoming.rs
@@ -1,4 +1,4 @@
-//! Takes messages of other members.
+//! Handles messages of other members.
 
 use super::Consensus;
 use crate::consensus::leases::{Command, Outcome, RequestId};
@@ -16,10 +16,10 @@
 use rand::Rng;
 
 impl Consensus {
-    /// Takes another member's message.
+    /// Handles another member's message.
     pub fn handle_message(&mut self, now: Micros, clock: Micros, sender: &str, bytes: &[u8]) {
         let Ok(message) = postcard::from_bytes::<Message>(bytes) else {
-            self.counters.unread += 1;
+            self.counters.malformed += 1;
             return;
         };
         match message {
@@ -83,7 +83,7 @@
         match kind {
             Some(TransferKind::Raft) => self.handle_raft_message(now, cluster_id, bytes),
             Some(TransferKind::StateCopy) => self.handle_state_copy(sender, bytes),
-            None => self.counters.unread += 1,
+            None => self.counters.malformed += 1,
         }
     }
 
@@ -96,7 +96,7 @@
         }
         let replica = self.participation.replica_mut();
         let Some(replica) = replica.filter(|r| r.cluster_id() == cluster_id) else {
-            self.counters.foreign += 1;
+            self.counters.other_log += 1;
             return;
         };
         replica.handle_message(bytes);
@@ -125,7 +125,7 @@
         command: Command,
     ) {
         if cluster_id != self.cluster_id() {
-            self.counters.foreign += 1;
+            self.counters.other_log += 1;
             return;
         }
         if let Some(outcome) = self.state().leases.outcome(sender, request).cloned() {
@@ -163,7 +163,7 @@
         match proposed {
             Proposed::Pending => {}
             Proposed::Answered(outcome) => self.answer(clock, owner, request, outcome),
-            Proposed::NoRoom => self.counters.turned_away += 1,
+            Proposed::NoRoom => self.counters.rejected += 1,
         }
         true
     }
@@ -248,7 +248,7 @@
     /// any more. Its id is of no other life, so that nothing is lost but its part.
     fn handle_state_copy(&mut self, sender: &str, bytes: &[u8]) {
         let Some(copy) = StateCopy::decode(bytes) else {
-            self.counters.unread += 1;
+            self.counters.malformed += 1;
             return;
         };
         self.copy.update(copy);
--- a/crates/cluster/src/consensus/participant/mod.rs
+++ b/crates/cluster/src/consensus/participant/mod.rs
@@ -2,8 +2,8 @@
 //!
 //! | module | what it does |
 //! | --- | --- |
-//! | this | the part's state, and what may be asked of it |
-//! | `incoming` | takes messages of other members |
+//! | this | the part's state and interface |
+//! | `incoming` | handles messages of other members |
 //! | `timers` | does what is due |
 //! | `output` | hands on what the replica has to send, to write and to report |
 
@@ -24,7 +24,7 @@
 use super::state::State;
 use super::state_copy::StateCopy;
 use super::store;
-use super::view::{Counters, View};
+use super::view::{Counters, GrantedLease, View, VoterStatus};
 use super::voter_overview::{all_persistent, OwnMember};
 use crate::Micros;
 use rand::rngs::SmallRng;
@@ -157,7 +157,7 @@
     /// The counts so far.
     pub fn counters(&self) -> Counters {
         Counters {
-            turned_away: self.counters.turned_away + self.outbox.dropped,
+            rejected: self.counters.rejected + self.outbox.dropped,
             ..self.counters
         }
     }
@@ -262,19 +262,26 @@
             .bootstrap()
             .map(|bootstrap| bootstrap.missing(|name| self.peers.announcement(name)));
         View {
-            part: self.participation.role(),
-            cluster: self.known_position().cluster_id,
+            role: self.participation.role(),
+            cluster_id: self.known_position().cluster_id,
             leader: self.leader(),
             term: self.replica().map_or(0, Replica::term),
             index: self.known_position().index,
             voters: voters
-                .map(|(_, name)| (name.clone(), is_reachable(name)))
+                .map(|(_, name)| VoterStatus {
+                    name: name.clone(),
+                    is_reachable: is_reachable(name),
+                })
                 .collect(),
             missing: missing.unwrap_or_default(),
-            lent: state
+            leases: state
                 .leases
                 .all()
-                .map(|l| (l.fence, l.lease.clone(), l.left))
+                .map(|granted| GrantedLease {
+                    fence: granted.fence,
+                    lease: granted.lease.clone(),
+                    time_left: granted.left,
+                })
                 .collect(),
         }
     }
@@ -289,22 +296,22 @@
         self.writes.pop_front()
     }
 
-    /// All up to this write outlives the process now.
-    pub fn kept(&mut self, now: Micros, number: u64) {
+    /// Confirms that this write, and all before it, are persistent.
+    pub fn confirm_write(&mut self, now: Micros, number: u64) {
         if let Some(replica) = self.participation.replica_mut() {
             replica.confirm_write(number);
         }
         self.handle_replica_output(now);
     }
 
-    /// Requests that a command is agreed; the request's number, under which [`Consensus::outcome`] reports within `timeout`.
-    pub fn ask(&mut self, clock: Micros, command: Command, timeout: Micros) -> u64 {
+    /// Submits a command; returns the request's number, under which [`Consensus::next_outcome`] reports within `timeout`.
+    pub fn submit(&mut self, clock: Micros, command: Command, timeout: Micros) -> u64 {
         self.requests
             .submit(clock, command, timeout, &mut self.counters)
     }
 
-    /// The next outcome of a request.
-    pub fn outcome(&mut self) -> Option<Reported> {
+    /// The next outcome of a submitted request, if there is one.
+    pub fn next_outcome(&mut self) -> Option<Reported> {
         self.requests.next_reported()
     }
 
--- a/crates/cluster/src/consensus/participant/timers.rs
+++ b/crates/cluster/src/consensus/participant/timers.rs
@@ -178,7 +178,7 @@
         let overview = voter_overview(&self.own_member(), replica, &self.peers);
         let change = overview.next_change(self.options.replace_after);
         if let (Some(change), Some(replica)) = (change, self.participation.replica_mut()) {
-            self.counters.changes += u64::from(replica.propose_change(&change));
+            self.counters.voter_changes += u64::from(replica.propose_change(&change));
         }
     }
 
--- a/crates/cluster/src/consensus/requests.rs
+++ b/crates/cluster/src/consensus/requests.rs
@@ -93,7 +93,7 @@
     ) -> u64 {
         let (number, is_queued) = self.enqueue(clock.saturating_add(timeout), command, true);
         if !is_queued {
-            counters.turned_away += 1;
+            counters.rejected += 1;
             let error = RequestError::TooManyPending;
             self.reported.push_back((number, Err(error)));
         }
@@ -103,7 +103,7 @@
     /// Queues a request that nobody waits for, for as long as it takes.
     fn submit_unreported(&mut self, command: Command, counters: &mut Counters) {
         let (_, is_queued) = self.enqueue(Micros::MAX, command, false);
-        counters.turned_away += u64::from(!is_queued);
+        counters.rejected += u64::from(!is_queued);
     }
 
     /// The request's number, and whether there was room for it.
@@ -198,7 +198,7 @@
         let request = self.queue.front_mut().filter(|r| now >= r.next_send)?;
         request.next_send = now + RETRY_INTERVAL;
         if request.sent_at.is_none() {
-            counters.asked += 1;
+            counters.requests_sent += 1;
             request.sent_at = Some(clock);
         }
         Some(request.clone())
@@ -250,7 +250,7 @@
                     ..
                 },
             ) => {
-                counters.lent += 1;
+                counters.granted += 1;
                 if request.has_timed_out {
                     counters.released_late += 1;
                     self.submit_unreported(Command::Release { fence: *fence }, counters);
--- a/crates/cluster/src/consensus/view.rs
+++ b/crates/cluster/src/consensus/view.rs
@@ -22,17 +22,17 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
     /// Messages that this build can't decode.
-    pub unread: u64,
+    pub malformed: u64,
     /// Messages of another log.
-    pub foreign: u64,
+    pub other_log: u64,
     /// Requests of this member that were sent.
-    pub asked: u64,
+    pub requests_sent: u64,
     /// Requests of this member without an outcome in time.
     pub timed_out: u64,
     /// Requests and messages that found no room.
-    pub turned_away: u64,
+    pub rejected: u64,
     /// Leases that were granted to this member.
-    pub lent: u64,
+    pub granted: u64,
     /// Leases that ended while this member held them.
     pub ended: u64,
     /// Leases granted after nobody waited for them any more.
@@ -42,7 +42,7 @@
     /// Replicas of this member that failed, or that others had replaced.
     pub replicas_lost: u64,
     /// Changes of voters that this member proposed as a leader.
-    pub changes: u64,
+    pub voter_changes: u64,
     /// How often the host's clock was set back: all leases were let go.
     pub clock_set_back: u64,
 }
@@ -51,19 +51,39 @@
 #[derive(Clone, Debug)]
 pub struct View {
     /// This member's part.
-    pub part: Role,
+    pub role: Role,
     /// The log; 0 for none.
-    pub cluster: u64,
-    /// The leader's name, where anybody known here says that it hears it.
+    pub cluster_id: u64,
+    /// The leader's name, if a reachable voter knows one.
     pub leader: Option<String>,
     /// The term.
     pub term: u64,
     /// The last entry known.
     pub index: u64,
-    /// All voters by name, and whether each is reachable.
-    pub voters: Vec<(String, bool)>,
+    /// All voters.
+    pub voters: Vec<VoterStatus>,
     /// Initial voters that are missing, where no log is bootstrapped yet.
     pub missing: Vec<String>,
-    /// All leases: fencing number, lease, time left (`None` where it is over and the lease stays).
-    pub lent: Vec<(u64, Lease, Option<Micros>)>,
+    /// All leases.
+    pub leases: Vec<GrantedLease>,
+}
+
+/// A voter, as an operator sees it.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct VoterStatus {
+    /// The member's name.
+    pub name: String,
+    /// Whether it is reachable from the member that was queried.
+    pub is_reachable: bool,
+}
+
+/// A lease that is granted, as an operator sees it.
+#[derive(Clone, Debug)]
+pub struct GrantedLease {
+    /// Its fencing number.
+    pub fence: u64,
+    /// The lease.
+    pub lease: Lease,
+    /// The time until its end; `None` where that is past and the lease stays.
+    pub time_left: Option<Micros>,
 }
--- a/crates/cluster/src/keys.rs
+++ b/crates/cluster/src/keys.rs
@@ -47,6 +47,32 @@
     }
 }
 
+/// Why a key file holds no usable keys. The keys themselves are never part of the message.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum KeyringError {
+    /// A line holds something else than a key.
+    #[error("line {line}: a key has {KEY_DIGITS} hex digits")]
+    MalformedKey {
+        /// The line, from 1.
+        line: usize,
+    },
+    /// More keys than may be in use at once.
+    #[error("line {line}: {MAX_KEYS} keys at most")]
+    TooManyKeys {
+        /// The line of the first key too many, from 1.
+        line: usize,
+    },
+    /// A key has the same id as an earlier one: datagrams would not tell which of them to check with.
+    #[error("line {line}: this key can't be told from the one before; make another")]
+    SameId {
+        /// The line of the second key, from 1.
+        line: usize,
+    },
+    /// There is no key at all.
+    #[error("it holds no key")]
+    Empty,
+}
+
 /// The keys in use: the first authenticates what is sent, all what is received. Two at once while they are changed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Keyring {
@@ -60,27 +86,24 @@
     ///
     /// Fails where a line holds no key, where there are too many or none, and where two can't be told apart. The error
     /// names the line.
-    pub fn parse(text: &str) -> Result<Keyring, String> {
+    pub fn parse(text: &str) -> Result<Keyring, KeyringError> {
         let mut keys: Vec<Key> = Vec::new();
-        for (number, line) in (1..).zip(text.lines()) {
-            let line = line.split('#').next().unwrap_or_default().trim();
-            if line.is_empty() {
+        for (line, content) in (1..).zip(text.lines()) {
+            let content = content.split('#').next().unwrap_or_default().trim();
+            if content.is_empty() {
                 continue;
             }
-            let key = Key::parse(line)
-                .ok_or_else(|| format!("line {number}: a key has {KEY_DIGITS} hex digits"))?;
+            let key = Key::parse(content).ok_or(KeyringError::MalformedKey { line })?;
             if keys.len() == MAX_KEYS {
-                return Err(format!("line {number}: {MAX_KEYS} keys at most"));
+                return Err(KeyringError::TooManyKeys { line });
             }
             if keys.iter().any(|k| k.id() == key.id()) {
-                return Err(format!(
-                    "line {number}: this key can't be told from the one before; make another"
-                ));
+                return Err(KeyringError::SameId { line });
             }
             keys.push(key);
         }
         if keys.is_empty() {
-            return Err("it holds no key".into());
+            return Err(KeyringError::Empty);
         }
         Ok(Keyring { keys })
     }
--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -31,7 +31,7 @@
 pub use agent::{Cluster, Counters, MemberView, Options};
 pub use consensus::Consensus;
 pub use gossip::{GossipRecord, Kind};
-pub use keys::{Key, Keyring};
+pub use keys::{Key, Keyring, KeyringError};
 pub use member_metadata::{MemberMetadata, State};
 pub use membership::{Identity, MemberStatus};
 
--- a/crates/cluster/tests/agent.rs
+++ b/crates/cluster/tests/agent.rs
@@ -14,12 +14,12 @@
         back: 0,
     };
     let options = Options {
-        me,
-        about: MemberMetadata::default(),
+        identity: me,
+        metadata: MemberMetadata::default(),
         keys,
         seeds: vec![addr(2)],
         seed: 1,
-        agreed: None,
+        consensus: None,
     };
     let mut clock = 1_000_000_000;
     let mut fleet = Cluster::new(clock, options);
--- a/crates/cluster/tests/golden_datagrams.rs
+++ b/crates/cluster/tests/golden_datagrams.rs
@@ -286,8 +286,8 @@
             ..me
         };
         let options = Options {
-            me,
-            about: MemberMetadata {
+            identity: me,
+            metadata: MemberMetadata {
                 zone: "z0".into(),
                 state: State::Serving,
                 ..MemberMetadata::default()
@@ -295,7 +295,7 @@
             keys: keyring(&format!("{ONE}\n{TWO}")),
             seeds: vec![identity("", 1).addr, identity("", 2).addr],
             seed: u64::from(n),
-            agreed: None,
+            consensus: None,
         };
         Cluster::new(clock, options)
     };
@@ -321,7 +321,7 @@
             all[n].tick(clocks[n]);
             while let Some((to, bytes)) = all[n].next_outgoing() {
                 let _ = writeln!(text, "{step} m{} to {to}: {}", n + 1, hex(&bytes));
-                all[1 - n].take(clocks[1 - n], &bytes);
+                all[1 - n].handle_datagram(clocks[1 - n], &bytes);
             }
         }
     }
--- a/crates/cluster/tests/golden_log.rs
+++ b/crates/cluster/tests/golden_log.rs
@@ -57,22 +57,23 @@
     let view = agreed.view();
     let mut text = format!(
         "log {:x}, term {}, entry {}\n",
-        view.cluster, view.term, view.index
+        view.cluster_id, view.term, view.index
     );
-    for (voter, _) in view.voters {
-        let _ = writeln!(text, "voter {voter}");
+    for voter in view.voters {
+        let _ = writeln!(text, "voter {}", voter.name);
     }
-    for (fence, right, left) in view.lent {
+    for granted in view.leases {
+        let (fence, lease, left) = (granted.fence, granted.lease, granted.time_left);
         let _ = writeln!(
             text,
             "{fence}: {} of {} to {} of {:x} until {}, stays {}, left {left:?}, {:?}",
-            right.amount,
-            right.resource,
-            right.owner,
-            right.session,
-            right.end,
-            right.stays,
-            right.note
+            lease.amount,
+            lease.resource,
+            lease.owner,
+            lease.session,
+            lease.end,
+            lease.stays,
+            lease.note
         );
     }
     text
@@ -151,7 +152,7 @@
     ask(&mut site, leader, Command::Revoke { fence: 1 });
     // A request that reaches a voter which does not lead: it names the one that does.
     let clock = site.clock();
-    site.members[3].agreed.ask(
+    site.members[3].agreed.submit(
         clock,
         take("sent on", 1, 70 * SECOND, true, "asked of the wrong one"),
         9 * SECOND,
@@ -330,11 +331,11 @@
     for line in text.lines() {
         let (kind, bytes) = line.split_once(' ').unwrap();
         reader.handle_message(SECOND, SECOND, "a", &unhex(bytes));
-        assert_eq!(reader.counters().unread, 0, "kind {kind}: {bytes}");
+        assert_eq!(reader.counters().malformed, 0, "kind {kind}: {bytes}");
     }
     // One that nobody sends.
     reader.handle_message(SECOND, SECOND, "a", &[7, 0, 0]);
-    assert_eq!(reader.counters().unread, 1);
+    assert_eq!(reader.counters().malformed, 1);
 }
 
 #[test]
--- a/crates/cluster/tests/message_authentication.rs
+++ b/crates/cluster/tests/message_authentication.rs
@@ -104,10 +104,12 @@
         ("xyz", "line 1"),
         (&format!("{ONE}\n{ONE}"), "line 2"),
     ] {
-        assert!(Keyring::parse(text).unwrap_err().contains(why));
+        let error = Keyring::parse(text).unwrap_err();
+        assert!(error.to_string().contains(why));
     }
     assert!(Keyring::parse(&format!("{ONE}\n{TWO}\n{ONE}"))
         .unwrap_err()
+        .to_string()
         .contains("line 3"));
     assert!(
         !format!("{:?}", keys(ONE)).contains("0102"),
--- a/crates/cluster/tests/voters/mod.rs
+++ b/crates/cluster/tests/voters/mod.rs
@@ -144,7 +144,7 @@
             }
             file.extend(&write.bytes);
             member.written.extend(&write.bytes);
-            member.agreed.kept(now, write.number);
+            member.agreed.confirm_write(now, write.number);
         }
         while let Some((to, bytes)) = member.agreed.next_outgoing() {
             let to = all.iter().position(|n| *n == to).expect("a member");
@@ -154,7 +154,7 @@
                 bytes,
             });
         }
-        while let Some(outcome) = member.agreed.outcome() {
+        while let Some(outcome) = member.agreed.next_outcome() {
             member.outcomes.push(outcome);
         }
     }
@@ -162,7 +162,9 @@
     /// Has something agreed; what became of it.
     pub(crate) fn ask(&mut self, number: usize, command: Command) -> Outcome {
         let clock = self.clock();
-        let request = self.members[number].agreed.ask(clock, command, 10 * SECOND);
+        let request = self.members[number]
+            .agreed
+            .submit(clock, command, 10 * SECOND);
         for _ in 0..200 {
             self.play(STEP, |sent| Some(sent.to));
             let answer = self.members[number]
--- a/crates/coordinator/src/node/cluster.rs
+++ b/crates/coordinator/src/node/cluster.rs
@@ -119,17 +119,17 @@
             since_ms: now / 1000,
         };
         let options = Options {
-            me: Identity {
+            identity: Identity {
                 name: self.config.name.clone(),
                 addr: config.advertise.unwrap_or(here),
                 session,
                 back: 0,
             },
-            about: metadata.clone(),
+            metadata: metadata.clone(),
             keys,
             seeds: config.seeds,
             seed: crate::net::fnv1a_64(&session.to_le_bytes()),
-            agreed: None,
+            consensus: None,
         };
         ClusterRuntime {
             socket,
--- a/crates/coordinator/src/node/cluster/consensus.rs
+++ b/crates/coordinator/src/node/cluster/consensus.rs
@@ -42,7 +42,7 @@
         let Some(cluster) = self.cluster.as_mut() else {
             return;
         };
-        if cluster.agent.agreed().is_some() || !cluster.consensus.may_open() {
+        if cluster.agent.consensus().is_some() || !cluster.consensus.may_open() {
             return;
         }
         let mut options = Options {
@@ -124,7 +124,7 @@
         match completed.result {
             Ok(()) => {
                 if let Some(cluster) = self.cluster.as_mut() {
-                    cluster.agent.kept(completed.id);
+                    cluster.agent.confirm_write(completed.id);
                 }
                 self.send_datagrams();
             }
@@ -185,28 +185,28 @@
 
 /// Counters of the consensus log, by name.
 pub(super) fn counters(cluster: &ClusterRuntime) -> Vec<(&'static str, u64)> {
-    let Some(agreed) = cluster.agent.agreed() else {
+    let Some(consensus) = cluster.agent.consensus() else {
         return Vec::new();
     };
-    let counters = agreed.counters();
-    let view = agreed.view();
-    let is_leader = agreed.replica().is_some_and(|replica| replica.leads());
+    let counters = consensus.counters();
+    let view = consensus.view();
+    let is_leader = consensus.replica().is_some_and(|replica| replica.leads());
     vec![
-        ("agreed_votes", u64::from(view.part == Role::Voting)),
+        ("agreed_votes", u64::from(view.role == Role::Voting)),
         ("agreed_leads", u64::from(is_leader)),
         ("agreed_index", view.index),
-        ("agreed_lent_now", view.lent.len() as u64),
-        ("agreed_asked", counters.asked),
+        ("agreed_lent_now", view.leases.len() as u64),
+        ("agreed_asked", counters.requests_sent),
         ("agreed_unanswered", counters.timed_out),
-        ("agreed_turned_away", counters.turned_away),
-        ("agreed_lent", counters.lent),
+        ("agreed_turned_away", counters.rejected),
+        ("agreed_lent", counters.granted),
         ("agreed_ended", counters.ended),
         ("agreed_given_back_late", counters.released_late),
         ("agreed_leaders_seen", counters.leaders),
         ("agreed_replicas_lost", counters.replicas_lost),
-        ("agreed_voters_changed", counters.changes),
-        ("agreed_words_unread", counters.unread),
-        ("agreed_words_foreign", counters.foreign),
+        ("agreed_voters_changed", counters.voter_changes),
+        ("agreed_words_unread", counters.malformed),
+        ("agreed_words_foreign", counters.other_log),
         ("agreed_clock_back", counters.clock_set_back),
         ("agreed_disk_failed", cluster.consensus.failures),
     ]
--- a/crates/coordinator/src/node/cluster/datagrams.rs
+++ b/crates/coordinator/src/node/cluster/datagrams.rs
@@ -29,7 +29,7 @@
             match cluster.socket.recv(&mut buffer) {
                 Ok(length) => {
                     let now = cluster.clock();
-                    cluster.agent.take(now, &buffer[..length]);
+                    cluster.agent.handle_datagram(now, &buffer[..length]);
                 }
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 // A refused one tells of an earlier send; none of it ends the socket.
--- a/crates/coordinator/src/node/cluster/holds.rs
+++ b/crates/coordinator/src/node/cluster/holds.rs
@@ -3,8 +3,8 @@
 use super::ClusterRuntime;
 use crate::node::control::ReplyTo;
 use crate::node::Node;
-use driftfront_cluster::consensus::leases::{Command, Lease, Outcome, MAX_TEXT_BYTES};
-use driftfront_cluster::consensus::{RequestError, Role};
+use driftfront_cluster::consensus::leases::{Command, Outcome, MAX_TEXT_BYTES};
+use driftfront_cluster::consensus::{GrantedLease, RequestError, Role};
 use driftfront_control::snapshot::{Consensus as AgreedView, Held, Voter};
 use driftfront_control::Reply;
 use driftfront_core::Micros;
@@ -49,7 +49,7 @@
         let clock = cluster.clock();
         let outcome = cluster
             .agent
-            .with_consensus(clock, |agreed, _| agreed.outcome());
+            .with_consensus(clock, |consensus, _| consensus.next_outcome());
         outcome.flatten()
     }
 
@@ -58,7 +58,7 @@
         let Some(cluster) = self.cluster.as_mut() else {
             return;
         };
-        if cluster.agent.agreed().is_some() {
+        if cluster.agent.consensus().is_some() {
             return;
         }
         let pending = std::mem::take(&mut cluster.consensus.pending_holds);
@@ -100,13 +100,15 @@
     pub(in crate::node) fn unhold(&mut self, to: ReplyTo, name: &str) {
         let resource = format!("{HOLD_PREFIX}{name}");
         self.ask_for_hold(to, name.into(), |cluster| {
-            let view = cluster.agent.agreed().map(|agreed| agreed.view());
-            let lent = view.map(|view| view.lent).unwrap_or_default();
-            let held = lent
+            let view = cluster.agent.consensus().map(|consensus| consensus.view());
+            let leases = view.map(|view| view.leases).unwrap_or_default();
+            let held = leases
                 .into_iter()
-                .find(|(_, right, _)| right.resource == resource);
-            held.map(|(fence, ..)| Command::Revoke { fence })
-                .ok_or_else(|| format!("{name} is not held"))
+                .find(|granted| granted.lease.resource == resource);
+            held.map(|granted| Command::Revoke {
+                fence: granted.fence,
+            })
+            .ok_or_else(|| format!("{name} is not held"))
         });
     }
 
@@ -117,7 +119,7 @@
         command: impl FnOnce(&ClusterRuntime) -> Result<Command, String>,
     ) {
         let cluster = self.cluster.as_mut();
-        let Some(cluster) = cluster.filter(|cluster| cluster.agent.agreed().is_some()) else {
+        let Some(cluster) = cluster.filter(|cluster| cluster.agent.consensus().is_some()) else {
             let reason = "there is no fleet here that could agree on it";
             return self.send_reply(to, &Reply::Refused(reason.into()));
         };
@@ -126,8 +128,8 @@
             Err(reason) => return self.send_reply(to, &Reply::Refused(reason)),
         };
         let clock = cluster.clock();
-        let request = cluster.agent.with_consensus(clock, |agreed, clock| {
-            agreed.ask(clock, command, MAJORITY_TIMEOUT)
+        let request = cluster.agent.with_consensus(clock, |consensus, clock| {
+            consensus.submit(clock, command, MAJORITY_TIMEOUT)
         });
         if let Some(request) = request {
             let pending = PendingHold { reply_to: to, name };
@@ -139,19 +141,22 @@
 
     /// The consensus log and its holds, for operators.
     pub(in crate::node) fn consensus_view(&self) -> Option<AgreedView> {
-        let view = self.cluster.as_ref()?.agent.agreed()?.view();
+        let view = self.cluster.as_ref()?.agent.consensus()?.view();
         let voters = view.voters.into_iter();
-        let holds = view.lent.into_iter();
+        let holds = view.leases.into_iter();
         Some(AgreedView {
-            part: role_word(view.part).into(),
+            part: role_word(view.role).into(),
             leader: view.leader.unwrap_or_default(),
             term: view.term,
             index: view.index,
-            voters: voters.map(|(name, there)| Voter { name, there }).collect(),
-            missing: view.missing,
-            holds: holds
-                .map(|(fence, right, time_left)| held_view(fence, right, time_left))
+            voters: voters
+                .map(|voter| Voter {
+                    name: voter.name,
+                    there: voter.is_reachable,
+                })
                 .collect(),
+            missing: view.missing,
+            holds: holds.map(held_view).collect(),
         })
     }
 }
@@ -166,19 +171,20 @@
     }
 }
 
-fn held_view(fence: u64, right: Lease, time_left: Option<Micros>) -> Held {
-    let name = right
+fn held_view(granted: GrantedLease) -> Held {
+    let lease = granted.lease;
+    let name = lease
         .resource
         .strip_prefix(HOLD_PREFIX)
-        .unwrap_or(&right.resource);
+        .unwrap_or(&lease.resource);
     Held {
         name: name.into(),
-        fence,
-        owner: right.owner,
-        amount: right.amount.into(),
-        left_s: time_left.map(|left| left / 1_000_000),
-        stays: right.stays,
-        note: right.note,
+        fence: granted.fence,
+        owner: lease.owner,
+        amount: lease.amount.into(),
+        left_s: granted.time_left.map(|left| left / 1_000_000),
+        stays: lease.stays,
+        note: lease.note,
     }
 }
 
--- a/crates/coordinator/src/node/cluster/views.rs
+++ b/crates/coordinator/src/node/cluster/views.rs
@@ -22,20 +22,26 @@
         };
         let counters = cluster.agent.counters();
         let lines = [
-            ("members_there", cluster.agent.others() as u64 + 1),
+            ("members_there", cluster.agent.peer_count() as u64 + 1),
             ("datagrams_sent", counters.sent),
             ("bytes_sent", counters.sent_bytes),
-            ("datagrams_taken", counters.taken),
+            ("datagrams_taken", counters.accepted),
             ("bytes_taken", counters.received_bytes),
-            ("datagrams_refused{why=\"foreign\"}", counters.foreign),
-            ("datagrams_refused{why=\"version\"}", counters.version),
+            (
+                "datagrams_refused{why=\"foreign\"}",
+                counters.unknown_protocol,
+            ),
+            (
+                "datagrams_refused{why=\"version\"}",
+                counters.unsupported_version,
+            ),
             (
                 "datagrams_refused{why=\"unknown key\"}",
                 counters.unknown_key,
             ),
-            ("datagrams_refused{why=\"spoilt\"}", counters.spoilt),
+            ("datagrams_refused{why=\"spoilt\"}", counters.wrong_tag),
             ("datagrams_refused{why=\"replayed\"}", counters.replayed),
-            ("datagrams_refused{why=\"stale\"}", counters.stale),
+            ("datagrams_refused{why=\"stale\"}", counters.stale_session),
             ("datagrams_old_key", counters.old_key),
             ("datagrams_unknown_kind", counters.unknown_kind),
             ("datagrams_unreadable", counters.unreadable),
@@ -62,7 +68,7 @@
 }
 
 fn member_view(member: MemberView) -> Member {
-    let (metadata, age) = match member.about {
+    let (metadata, age) = match member.metadata {
         Some((metadata, age)) => (metadata, Some(age / 1_000_000)),
         None => Default::default(),
     };
@@ -74,7 +80,7 @@
     Member {
         name: member.name,
         addr: member.addr.to_string(),
-        standing: status_word(member.standing).into(),
+        standing: status_word(member.status).into(),
         for_s: member.status_age / 1_000_000,
         zone: metadata.zone,
         region: metadata.region,
--- a/crates/coordinator/tests/fleet.rs
+++ b/crates/coordinator/tests/fleet.rs
@@ -232,18 +232,18 @@
     let mut later = Cluster::new(
         0,
         driftfront_cluster::Options {
-            me,
-            about: about.clone(),
+            identity: me,
+            metadata: about.clone(),
             keys: keys(),
             seeds,
             seed: 3,
-            agreed: None,
+            consensus: None,
         },
     );
     // A field in its record, a kind of record and a kind of payload that nobody here has heard of.
     let mut record = about.encode();
     record.extend([77, 2, 1, 2]);
-    assert!(later.tell(1, &record) && later.tell(999, b"of a later build"));
+    assert!(later.publish(1, &record) && later.publish(999, b"of a later build"));
     let mut seal = MessageAuthenticator::new(keys(), 1 << 51);
     let unknown = seal.seal(Payload::Unknown(200), b"whatever", 0).unwrap();
     let mut bytes = [0; 2048];
@@ -257,13 +257,13 @@
     while !(0..3).all(seen) || !told {
         assert!(begun.elapsed() < driftfront_cluster_harness::TEST_TIMEOUT);
         while let Ok(n) = socket.recv(&mut bytes) {
-            later.take(begun.elapsed().as_micros() as u64, &bytes[..n]);
+            later.handle_datagram(begun.elapsed().as_micros() as u64, &bytes[..n]);
         }
         later.tick(begun.elapsed().as_micros() as u64);
         while let Some((to, datagram)) = later.next_outgoing() {
             let _ = socket.send_to(&datagram, to);
         }
-        if !told && later.others() == 3 {
+        if !told && later.peer_count() == 3 {
             told = true;
             let _ = socket.send_to(&unknown, harness.net.public(1));
         }
