--- a/crates/control/src/management.rs
+++ b/crates/control/src/management.rs
@@ -8,8 +8,9 @@
 //! | `PAUSE` | drain |
 //! | `RESUME` | back to work |
 //!
-//! The reply is one line that begins with `OK` or `ERR`. What is wrong with a call is a value, so that each kind of it can be
-//! counted; a line may come in any pieces, and ends with LF or CR LF.
+//! The reply is one line that begins with `OK` or `ERR`. A line may come in any pieces, and ends with LF or CR LF.
+
+use std::fmt::Display;
 
 /// Longest line read, without its end: the longest engine name and a call fit many times.
 pub const MAX_CALL_BYTES: usize = 1024;
@@ -31,12 +32,12 @@
     Resume,
 }
 
-/// The names of all calls, in the order of [`Call::place`].
-pub const WORDS: [&str; 5] = ["STATUS", "SUSPEND", "RESTORE", "PAUSE", "RESUME"];
+/// The names of all calls, in the order of [`Call::index`].
+pub const CALL_NAMES: [&str; 5] = ["STATUS", "SUSPEND", "RESTORE", "PAUSE", "RESUME"];
 
 impl Call {
-    /// The index of its name in [`WORDS`], for counting.
-    pub fn place(&self) -> usize {
+    /// The index of its name in [`CALL_NAMES`].
+    pub fn index(&self) -> usize {
         match self {
             Call::Status => 0,
             Call::Suspend(_) => 1,
@@ -47,14 +48,14 @@
     }
 }
 
-/// Why a line is no call. The reply says it with these words.
+/// Why a line is no call. `Display` is the text of the reply.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CallError {
     /// It holds nothing.
-    #[error("an empty line; calls are {}", WORDS.join(", "))]
+    #[error("an empty line; calls are {}", CALL_NAMES.join(", "))]
     Empty,
-    /// Its first word is none of [`WORDS`].
-    #[error("unknown call {0}; calls are {names}", names = WORDS.join(", "))]
+    /// It begins with none of [`CALL_NAMES`].
+    #[error("unknown call {0}; calls are {names}", names = CALL_NAMES.join(", "))]
     Unknown(String),
     /// The call needs the name of an engine.
     #[error("{0} needs an engine's id behind it")]
@@ -84,7 +85,7 @@
 }
 
 impl CallReader {
-    /// Takes bytes; returns the call, or what is wrong with it, once its line is complete. What follows the line is dropped,
+    /// Adds bytes; returns the call, or why the line is none, once the line is complete. What follows the line is dropped,
     /// as is all that comes once something was returned.
     pub fn push(&mut self, bytes: &[u8]) -> Option<Result<Call, CallError>> {
         if self.is_finished {
@@ -93,9 +94,10 @@
         let line_end = bytes.iter().position(|&b| b == b'\n');
         let line = &bytes[..line_end.unwrap_or(bytes.len())];
         // One byte more than a line may have: its end may be CR LF.
-        let room = MAX_CALL_BYTES + 1 - self.buffer.len();
-        let is_too_long = line.len() > room;
-        self.buffer.extend_from_slice(&line[..line.len().min(room)]);
+        let capacity = MAX_CALL_BYTES + 1 - self.buffer.len();
+        let is_too_long = line.len() > capacity;
+        self.buffer
+            .extend_from_slice(&line[..line.len().min(capacity)]);
         if !is_too_long && line_end.is_none() {
             return None;
         }
@@ -124,10 +126,10 @@
     if text.chars().any(char::is_control) {
         return Err(CallError::NotText);
     }
-    let mut words = text.split(' ').filter(|word| !word.is_empty());
-    let name = words.next().ok_or(CallError::Empty)?;
+    let mut parts = text.split(' ').filter(|part| !part.is_empty());
+    let name = parts.next().ok_or(CallError::Empty)?;
     let mut engine = |name| {
-        let engine = words.next().map(String::from);
+        let engine = parts.next().map(String::from);
         engine.ok_or(CallError::NoEngine(name))
     };
     let call = match name {
@@ -141,21 +143,21 @@
             return Err(CallError::Unknown(shown));
         }
     };
-    match words.next() {
+    match parts.next() {
         None => Ok(call),
-        Some(_) => Err(CallError::TooMany(WORDS[call.place()])),
+        Some(_) => Err(CallError::TooMany(CALL_NAMES[call.index()])),
     }
 }
 
-/// The reply to a call: one line, whatever the text holds.
-pub fn reply(outcome: &Result<String, String>) -> String {
-    let (status, text) = match outcome {
-        Ok(text) => ("OK", text),
-        Err(text) => ("ERR", text),
+/// The reply to a call, whose error becomes text here: one line, whatever that text holds.
+pub fn reply<E: Display>(outcome: &Result<String, E>) -> String {
+    let line = match outcome {
+        Ok(text) => format!("OK {text}"),
+        Err(error) => format!("ERR {error}"),
     };
-    let plain: String = text
+    let printable: String = line
         .chars()
         .map(|c| if c.is_control() { ' ' } else { c })
         .collect();
-    format!("{status} {plain}").trim_end().to_string() + "\n"
+    printable.trim_end().to_string() + "\n"
 }
--- a/crates/control/tests/golden.rs
+++ b/crates/control/tests/golden.rs
@@ -509,8 +509,8 @@
         let call = CallReader::default().push(line).expect("a whole line");
         let outcome = call
             .map(|call| {
-                let word = management::WORDS[call.place()];
-                format!("call {} {word}", call.place())
+                let name = management::CALL_NAMES[call.index()];
+                format!("call {} {name}", call.index())
             })
             .map_err(|bad| bad.to_string());
         let reply = management::reply(&outcome);
@@ -523,8 +523,8 @@
     ] {
         let _ = write!(text, "{}", management::reply(&Err(bad.to_string())));
     }
-    text += &management::reply(&Ok(String::new()));
-    text += &management::reply(&Ok("two\nlines\t\u{7f} here ".into()));
+    text += &management::reply::<String>(&Ok(String::new()));
+    text += &management::reply::<String>(&Ok("two\nlines\t\u{7f} here ".into()));
     text += &management::reply(&Err(String::new()));
     assert_golden!("management.txt", text);
     assert_eq!(management::MAX_CALL_BYTES, 1024);
--- a/crates/control/tests/management.rs
+++ b/crates/control/tests/management.rs
@@ -1,6 +1,8 @@
 //! The line language of the second address.
 
-use driftfront_control::management::{reply, Call, CallError, CallReader, MAX_CALL_BYTES, WORDS};
+use driftfront_control::management::{
+    reply, Call, CallError, CallReader, CALL_NAMES, MAX_CALL_BYTES,
+};
 use quickcheck::{Gen, QuickCheck};
 
 fn read_line(bytes: &[u8]) -> Result<Call, CallError> {
@@ -64,7 +66,7 @@
 fn gives_the_same_result_in_pieces(bytes: Vec<u8>, cuts: Vec<u8>, valid: u8) -> bool {
     let mut bytes = bytes;
     if valid.is_multiple_of(2) {
-        let call = format!("{} e{valid}\r\n", WORDS[usize::from(valid / 2) % 5]);
+        let call = format!("{} e{valid}\r\n", CALL_NAMES[usize::from(valid / 2) % 5]);
         bytes.splice(0..0, call.bytes());
     }
     let at_once = CallReader::default().push(&bytes);
--- a/crates/coordinator/src/node/management.rs
+++ b/crates/coordinator/src/node/management.rs
@@ -1,41 +1,48 @@
 //! The management address: operators' calls, one line a connection. The language is `driftfront_control::management`; the
 //! orders go to the same registry and lifecycle as those of the control socket.
 //!
-//! Calls come before the clients' backlog: the address is looked at between any two of their connections, so that a caller
-//! waits for one turn at most. Callers that connect and say nothing hold up nobody: places are many, and the one that has
-//! waited longest goes first.
+//! Calls come before the clients' backlog: the address is checked between any two of their connections, so that a caller
+//! waits for one turn at most. Callers that connect and send nothing hold up nobody: many may be connected, and the one that
+//! has waited longest is closed first.
+
+mod error;
 
 use super::{clients, ConnectionId, EventSource, Node};
 use crate::net::{is_out_of_descriptors, BufferedStream, ReadOutcome};
 use calloop::RegistrationToken;
-use driftfront_control::management::{reply, Call, CallError, CallReader, MAX_CALL_BYTES, WORDS};
+use driftfront_control::management::{
+    reply, Call, CallError, CallReader, CALL_NAMES, MAX_CALL_BYTES,
+};
 use driftfront_core::Micros;
 use driftfront_engine_registry::RegistryUpdate;
+use error::{CallRefusal, ListenError};
 use std::collections::BTreeMap;
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::rc::Rc;
 
-/// Callers at once; beyond that the one that has waited longest for its own words goes.
+/// Callers at once; beyond that the one that has waited longest is closed.
 const MAX_CALLERS: usize = 32;
 /// A call must be complete this long after the connect.
 const CALL_TIMEOUT: Micros = 5_000_000;
 /// After the reply the peer's end is awaited for this long: bytes that it still sends would reset the connection.
 const LINGER_TIME: Micros = 1_000_000;
-/// The address is looked at this often while clients keep the event loop busy.
+/// The address is checked this often while clients keep the event loop busy.
 const CHECK_INTERVAL: Micros = 5_000;
 /// Callers accepted before clients have their turn again.
 const MAX_ACCEPTS_PER_TURN: usize = 16;
-const READ_LIMIT: usize = MAX_CALL_BYTES * 4;
+/// Bytes read of a caller at once.
+const MAX_READ_BYTES: usize = MAX_CALL_BYTES * 4;
 /// Who gives the orders of this address, in the words that staff read.
 const ORIGIN: &str = "the second address";
 
-/// Replies to the calls of one word.
+/// Replies to the calls of one name.
 #[derive(Clone, Copy, Default)]
 struct CallCounts {
     ok: u64,
     err: u64,
 }
 
+/// A connection at the management address.
 struct Caller {
     link: BufferedStream,
     token: Option<RegistrationToken>,
@@ -57,7 +64,7 @@
     }
 
     /// Sends the reply, then ends our side: nothing more is read as a call.
-    fn send_reply(&mut self, now: Micros, outcome: &Result<String, String>) {
+    fn send_reply(&mut self, now: Micros, outcome: &Result<String, CallRefusal>) {
         self.link.push(reply(outcome).as_bytes());
         // A line fits into any socket's buffer: what is not sent at once has no reader.
         let _ = self.link.flush();
@@ -73,8 +80,8 @@
     listener: Option<Rc<TcpListener>>,
     callers: BTreeMap<ConnectionId, Caller>,
     next_check: Micros,
-    /// By word, in the order of `WORDS`.
-    calls: [CallCounts; WORDS.len()],
+    /// By call, in the order of [`CALL_NAMES`].
+    calls: [CallCounts; CALL_NAMES.len()],
     /// Lines that were no call.
     bad_calls: u64,
     /// Connections that brought no line in time, or were pushed out by newer ones.
@@ -85,9 +92,9 @@
     /// Counters, a line each.
     pub(super) fn counters(&self) -> String {
         let mut text = String::new();
-        for (word, CallCounts { ok, err }) in WORDS.iter().zip(self.calls) {
-            text += &format!("management_calls{{call=\"{word}\",reply=\"OK\"}} {ok}\n");
-            text += &format!("management_calls{{call=\"{word}\",reply=\"ERR\"}} {err}\n");
+        for (name, CallCounts { ok, err }) in CALL_NAMES.iter().zip(self.calls) {
+            text += &format!("management_calls{{call=\"{name}\",reply=\"OK\"}} {ok}\n");
+            text += &format!("management_calls{{call=\"{name}\",reply=\"ERR\"}} {err}\n");
         }
         text + &format!(
             "management_bad {}\nmanagement_silent {}\n",
@@ -100,7 +107,31 @@
         self.listener.as_ref()?.local_addr().ok()
     }
 
-    /// The caller that goes where there is no place for another: answered ones first, then the one that has waited longest.
+    /// Counts the reply to the call of this index in [`CALL_NAMES`].
+    fn count_reply(&mut self, call: usize, is_ok: bool) {
+        let counts = &mut self.calls[call];
+        if is_ok {
+            counts.ok += 1;
+        } else {
+            counts.err += 1;
+        }
+    }
+
+    /// Removes a caller; one that was not answered counts as silent.
+    fn remove_caller(&mut self, id: ConnectionId) -> Option<Caller> {
+        let caller = self.callers.remove(&id)?;
+        self.silent_callers += u64::from(!caller.is_answered);
+        Some(caller)
+    }
+
+    /// Sends a caller its reply, if it is still there.
+    fn send_reply(&mut self, now: Micros, id: ConnectionId, outcome: &Result<String, CallRefusal>) {
+        if let Some(caller) = self.callers.get_mut(&id) {
+            caller.send_reply(now, outcome);
+        }
+    }
+
+    /// The caller that is closed where there are too many: answered ones first, then the one that has waited longest.
     fn caller_to_replace(&self) -> Option<ConnectionId> {
         let oldest = self
             .callers
@@ -129,18 +160,13 @@
         }
     }
 
-    fn listen_for_calls(&mut self, address: &str) -> Result<Rc<TcpListener>, String> {
-        let address: SocketAddr = address
-            .parse()
-            .map_err(|e: std::net::AddrParseError| e.to_string())?;
-        let listener = clients::listen(address).map_err(|e| e.to_string())?;
-        let listener = Rc::new(listener);
-        self.register_source(listener.clone(), EventSource::Management)
-            .map_err(|e| e.to_string())?;
+    fn listen_for_calls(&mut self, address: &str) -> Result<Rc<TcpListener>, ListenError> {
+        let listener = Rc::new(clients::listen(address.parse()?)?);
+        self.register_source(listener.clone(), EventSource::Management)?;
         Ok(listener)
     }
 
-    /// Looks at the management address between clients' connections, so that a backlog of theirs does not go first.
+    /// Checks the management address between clients' connections, so that a backlog of theirs does not go first.
     pub(super) fn check_management(&mut self, now: Micros) {
         if self.management.listener.is_none() || now < self.management.next_check {
             return;
@@ -194,11 +220,9 @@
 
     /// Closes a caller's connection.
     pub(super) fn drop_caller(&mut self, id: ConnectionId) {
-        let Some(mut caller) = self.management.callers.remove(&id) else {
-            return;
-        };
-        self.management.silent_callers += u64::from(!caller.is_answered);
-        self.unregister(caller.token.take());
+        if let Some(caller) = self.management.remove_caller(id) {
+            self.unregister(caller.token);
+        }
     }
 
     /// Handles a readiness event of a caller's connection.
@@ -207,7 +231,7 @@
             return;
         };
         let mut bytes = Vec::new();
-        let Ok(end) = caller.link.read(&mut bytes, READ_LIMIT) else {
+        let Ok(end) = caller.link.read(&mut bytes, MAX_READ_BYTES) else {
             return self.drop_caller(id);
         };
         let is_closed = matches!(end, ReadOutcome::Closed);
@@ -225,25 +249,17 @@
 
     fn answer_call(&mut self, now: Micros, id: ConnectionId, call: Result<Call, CallError>) {
         let outcome = self.execute_call(now, call);
-        if let Some(caller) = self.management.callers.get_mut(&id) {
-            caller.send_reply(now, &outcome);
-        }
+        self.management.send_reply(now, id, &outcome);
     }
 
-    /// Carries a call out; what is replied behind `OK`, or behind `ERR`.
+    /// Carries a call out, and counts it. Returns the text of the reply.
     fn execute_call(
         &mut self,
         now: Micros,
         call: Result<Call, CallError>,
-    ) -> Result<String, String> {
-        let call = match call {
-            Ok(call) => call,
-            Err(bad) => {
-                self.management.bad_calls += 1;
-                return Err(bad.to_string());
-            }
-        };
-        let index = call.place();
+    ) -> Result<String, CallRefusal> {
+        let call = call.inspect_err(|_| self.management.bad_calls += 1)?;
+        let index = call.index();
         let outcome = match call {
             Call::Status => self.status(),
             Call::Suspend(engine) => self.suspend_engine(now, &engine),
@@ -251,47 +267,41 @@
             Call::Pause => Ok(self.pause(now, ORIGIN)),
             Call::Resume => Ok(self.resume_work(now, ORIGIN)),
         };
-        let counts = &mut self.management.calls[index];
-        match outcome {
-            Ok(_) => counts.ok += 1,
-            Err(_) => counts.err += 1,
-        }
+        self.management.count_reply(index, outcome.is_ok());
         outcome
     }
 
-    fn status(&self) -> Result<String, String> {
-        let state = self.lifecycle.state().name().to_string();
+    fn status(&self) -> Result<String, CallRefusal> {
+        let state = self.lifecycle.state().name();
         if self.is_ready() {
-            Ok(state)
+            Ok(state.into())
         } else if self.lifecycle.is_ready() {
-            Err("no engine takes work".into())
+            Err(CallRefusal::NoReadyEngine)
         } else {
-            Err(state)
+            Err(CallRefusal::NotServing(state))
         }
     }
 
-    fn suspend_engine(&mut self, now: Micros, engine: &str) -> Result<String, String> {
-        let done = self.registry.suspend_engine(now, ORIGIN, engine);
-        let done = done.map_err(|refusal| refusal.to_string())?;
+    fn suspend_engine(&mut self, now: Micros, engine: &str) -> Result<String, CallRefusal> {
+        let update = self.registry.suspend_engine(now, ORIGIN, engine)?;
         let message = format!("{engine} is drained: nothing new goes there");
-        Ok(self.apply_order(now, done, message))
+        Ok(self.apply_order(now, update, message))
     }
 
-    fn restore_engine(&mut self, now: Micros, engine: &str) -> Result<String, String> {
-        let done = self.registry.restore_engine(now, ORIGIN, engine);
-        let done = done.map_err(|refusal| refusal.to_string())?;
+    fn restore_engine(&mut self, now: Micros, engine: &str) -> Result<String, CallRefusal> {
+        let update = self.registry.restore_engine(now, ORIGIN, engine)?;
         let message = format!("{engine} is resumed: it takes work again");
-        Ok(self.apply_order(now, done, message))
+        Ok(self.apply_order(now, update, message))
     }
 
     /// Carries out what an order has changed, and records it where there is a state folder. Returns the reply.
     fn apply_order(
         &mut self,
         now: Micros,
-        done: Option<RegistryUpdate>,
+        update: Option<RegistryUpdate>,
         message: String,
     ) -> String {
-        let Some((change, records)) = done else {
+        let Some((change, records)) = update else {
             return format!("{message}, as before");
         };
         self.apply_registry_change(now, &change);
@@ -301,13 +311,13 @@
         message
     }
 
-    /// Periodic work: callers whose time is up, and those that wait to be accepted.
+    /// Periodic work: accepts the callers that wait, and closes those whose time is up.
     pub(super) fn check_callers(&mut self, now: Micros) {
         self.accept_callers(now);
         for id in self.management.caller_ids(|caller| caller.is_expired(now)) {
             let caller = self.management.callers.get_mut(&id);
-            if let Some(bad) = caller.and_then(|caller| caller.reader.end(CallError::TooSlow)) {
-                self.answer_call(now, id, Err(bad));
+            if let Some(error) = caller.and_then(|caller| caller.reader.end(CallError::TooSlow)) {
+                self.answer_call(now, id, Err(error));
             }
             self.drop_caller(id);
         }
