--- a/crates/coordinator/src/operator_config/error.rs
+++ b/crates/coordinator/src/operator_config/error.rs
@@ -228,12 +228,9 @@
                 ..
             } => format!("did you mean {similar}?"),
             Mistake::UnknownNode { similar: None, .. } => {
-                format!(
-                    "it may hold {}",
-                    node_names().collect::<Vec<_>>().join(", ")
-                )
+                let known: Vec<&str> = node_names().collect();
+                format!("it may hold {}", known.join(", "))
             }
-            Mistake::RepeatedNode { .. } => "leave one of the two out".into(),
             Mistake::NotText { node, .. }
             | Mistake::MissingText { node }
             | Mistake::SeveralTexts { node } => {
@@ -242,38 +239,52 @@
             Mistake::UnknownProperty { known, .. } => format!("it takes {}", known.join(", ")),
             Mistake::NumberOutOfRange {
                 range: (min, max), ..
-            } => {
-                format!("write a number from {min} to {max}")
-            }
-            Mistake::NotTime { .. } => r#"write it as "500 ms", "2.5 s" or "10 min""#.into(),
-            Mistake::NotFlag { .. } => "write #true or #false".into(),
-            Mistake::InvalidListenAddress { .. } => r#"write it as "127.0.0.1:8123""#.into(),
-            Mistake::UnknownFrontend { .. } => r#"write "clickhouse" or "platform""#.into(),
+            } => format!("write a number from {min} to {max}"),
             Mistake::UnknownClass { known, .. } => format!("the classes are {}", known.join(", ")),
             Mistake::MissingTime { property, .. } => format!(r#"add {property}="500 ms""#),
+            Mistake::InvalidClusterAddress { property, .. } => {
+                format!(r#"write {property}="127.0.0.1:7946""#)
+            }
+            other => other.fixed_advice().into(),
+        }
+    }
+
+    /// The advice where it is the same whatever the file says.
+    fn fixed_advice(&self) -> &'static str {
+        match self {
+            Mistake::RepeatedNode { .. } => "leave one of the two out",
+            Mistake::NotTime { .. } => r#"write it as "500 ms", "2.5 s" or "10 min""#,
+            Mistake::NotFlag { .. } => "write #true or #false",
+            Mistake::InvalidListenAddress { .. } => r#"write it as "127.0.0.1:8123""#,
+            Mistake::UnknownFrontend { .. } => r#"write "clickhouse" or "platform""#,
             Mistake::TimeoutBelowObjective { .. } => {
-                "clients must wait at least as long as the answer is wanted in".into()
+                "clients must wait at least as long as the answer is wanted in"
             }
-            Mistake::MissingClusterAddress => r#"add listen="127.0.0.1:7946""#.into(),
+            Mistake::MissingClusterAddress => r#"add listen="127.0.0.1:7946""#,
             Mistake::MissingKeyFile => {
                 r#"add key-file="/etc/driftfront/fleet.key", a file of mode 600 with 32 hex digits"#
-                    .into()
-            }
-            Mistake::InvalidClusterAddress { property, .. } => {
-                format!(r#"write {property}="127.0.0.1:7946""#)
             }
             Mistake::UnknownClusterNode { .. } => {
-                r#"it holds seed "127.0.0.1:7947" and voter "coordinator-a""#.into()
+                r#"it holds seed "127.0.0.1:7947" and voter "coordinator-a""#
             }
             Mistake::VoterCount { .. } => {
-                "name 3 or 5 coordinators, the same in all files, or none".into()
-            }
-            Mistake::RepeatedEngine { .. } => "give it another name".into(),
-            Mistake::InvalidEngineAddress { .. } => r#"write at="127.0.0.1:18123""#.into(),
-            Mistake::UnknownEnginesNode { .. } => "it holds engine, file or etcd".into(),
-            Mistake::NoEngines => {
-                r#"add engines { engine "engine-1" at="127.0.0.1:18123" }"#.into()
+                "name 3 or 5 coordinators, the same in all files, or none"
             }
+            Mistake::RepeatedEngine { .. } => "give it another name",
+            Mistake::InvalidEngineAddress { .. } => r#"write at="127.0.0.1:18123""#,
+            Mistake::UnknownEnginesNode { .. } => "it holds engine, file or etcd",
+            Mistake::NoEngines => r#"add engines { engine "engine-1" at="127.0.0.1:18123" }"#,
+            // Depends on what the file says: `advice` has it.
+            Mistake::Syntax { .. }
+            | Mistake::UnknownNode { .. }
+            | Mistake::NotText { .. }
+            | Mistake::MissingText { .. }
+            | Mistake::SeveralTexts { .. }
+            | Mistake::UnknownProperty { .. }
+            | Mistake::NumberOutOfRange { .. }
+            | Mistake::UnknownClass { .. }
+            | Mistake::MissingTime { .. }
+            | Mistake::InvalidClusterAddress { .. } => "",
         }
     }
 }
--- a/crates/coordinator/src/state_folder.rs
+++ b/crates/coordinator/src/state_folder.rs
@@ -22,8 +22,8 @@
     Io {
         /// The folder.
         folder: PathBuf,
-        /// What was tried, in words.
-        step: &'static str,
+        /// What was tried.
+        step: Step,
         /// What the system says.
         source: io::Error,
     },
@@ -37,6 +37,29 @@
     },
 }
 
+/// A step of opening a state folder that the system may refuse. `Display` completes the error's text.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum Step {
+    /// The folder is created.
+    #[error("can't be made")]
+    CreateFolder,
+    /// The file is opened, or created.
+    #[error("can't be opened")]
+    OpenFile,
+    /// The file is read.
+    #[error("can't be read")]
+    ReadFile,
+    /// A damaged end of the file is cut.
+    #[error("can't be cut")]
+    CutFile,
+    /// The file's header is written.
+    #[error("can't be written")]
+    WriteFile,
+    /// The writer's thread is started.
+    #[error("no thread for it")]
+    StartWriter,
+}
+
 /// The folder, open for writing.
 pub struct StateFolder {
     writer: FileWriter,
@@ -66,7 +89,7 @@
         on_written: impl Fn(WriteCompleted) + Send + 'static,
     ) -> Result<OpenedState, StateFolderError> {
         let path = folder.join(FILE_NAME);
-        let error = |step: &'static str| {
+        let io_error = |step: Step| {
             let folder = folder.to_path_buf();
             move |source| StateFolderError::Io {
                 folder,
@@ -74,11 +97,11 @@
                 source,
             }
         };
-        std::fs::create_dir_all(folder).map_err(error("can't be made"))?;
-        let mut file = open_for_appending(&path).map_err(error("can't be opened"))?;
+        std::fs::create_dir_all(folder).map_err(io_error(Step::CreateFolder))?;
+        let mut file = open_for_appending(&path).map_err(io_error(Step::OpenFile))?;
         let mut bytes = Vec::new();
         file.read_to_end(&mut bytes)
-            .map_err(error("can't be read"))?;
+            .map_err(io_error(Step::ReadFile))?;
         let read = record::read(&bytes).map_err(|source| StateFolderError::StateFileError {
             path: path.clone(),
             source,
@@ -90,21 +113,16 @@
         });
         let warnings = warnings.collect();
         file.set_len(read.valid_bytes as u64)
-            .map_err(error("can't be cut"))?;
-        file.seek(SeekFrom::End(0))
-            .map_err(error("can't be written"))?;
-        if read.valid_bytes == 0 {
-            file.write_all(HEADER)
-                .and_then(|()| file.sync_all())
-                .map_err(error("can't be written"))?;
-        }
+            .map_err(io_error(Step::CutFile))?;
+        let file_bytes =
+            begin_appending(&mut file, read.valid_bytes).map_err(io_error(Step::WriteFile))?;
         let on_completed = without_compactions(path.clone(), on_written);
-        let writer =
-            FileWriter::start(path, file, None, on_completed).map_err(error("no thread for it"))?;
+        let writer = FileWriter::start(path, file, None, on_completed)
+            .map_err(io_error(Step::StartWriter))?;
         let folder = StateFolder {
             writer,
             last_job: COMPACTION_JOB,
-            file_bytes: read.valid_bytes.max(HEADER.len()),
+            file_bytes,
         };
         Ok(OpenedState {
             folder,
@@ -157,6 +175,17 @@
         .open(path)
 }
 
+/// Prepares the file for appends behind its valid bytes; an empty one gets its header. Returns its size.
+fn begin_appending(file: &mut File, valid_bytes: usize) -> io::Result<usize> {
+    file.seek(SeekFrom::End(0))?;
+    if valid_bytes > 0 {
+        return Ok(valid_bytes);
+    }
+    file.write_all(HEADER)?;
+    file.sync_all()?;
+    Ok(HEADER.len())
+}
+
 /// Passes on the ends of appends. Nobody waits for a compaction: its failure is logged.
 fn without_compactions(
     path: PathBuf,
