--- a/crates/coordinator/src/handover.rs
+++ b/crates/coordinator/src/handover.rs
@@ -15,7 +15,7 @@
 use std::os::unix::fs::MetadataExt;
 use std::path::{Path, PathBuf};
 
-/// Processes looked at with each poll: more than a few of one coordinator are a mistake somewhere.
+/// Processes read with each poll: more than a few of one coordinator are a mistake somewhere.
 const MAX_PROCESSES: usize = 16;
 
 /// Which process of the coordinator; later ones are greater.
@@ -28,7 +28,7 @@
 }
 
 impl ProcessNumber {
-    /// Reads it off the name of a lock file.
+    /// Parses the name of a lock file.
     fn from_lock_name(name: &str) -> Option<ProcessNumber> {
         let (sequence, pid) = name.strip_suffix(".lock")?.split_once('-')?;
         Some(ProcessNumber {
@@ -66,7 +66,7 @@
     }
 }
 
-/// Which state of a file was seen: two that differ were written at different times.
+/// Tells two writings of a file apart.
 #[derive(Clone, Copy, Default, PartialEq, Eq)]
 struct FileVersion {
     inode: u64,
@@ -97,7 +97,7 @@
     }
 }
 
-/// This process's place in the folder.
+/// Exchanges messages with the other processes of this coordinator in their common folder.
 pub struct HandoverMailbox {
     folder: PathBuf,
     number: ProcessNumber,
@@ -123,22 +123,46 @@
     /// Messages that are new, the earliest process's first.
     pub received: Vec<Received>,
     /// What went wrong, for the log.
-    pub errors: Vec<String>,
+    pub errors: Vec<PollError>,
+}
+
+/// What went wrong in a poll.
+#[derive(Debug, thiserror::Error)]
+pub enum PollError {
+    /// The folder can't be listed.
+    #[error("{}: {source}", folder.display())]
+    Folder {
+        /// The folder.
+        folder: PathBuf,
+        /// What the system says.
+        source: io::Error,
+    },
+    /// A process's message can't be read.
+    #[error("what process {} wrote is not taken over: {source}", process.pid)]
+    Message {
+        /// The process.
+        process: ProcessNumber,
+        /// Why.
+        source: MessageError,
+    },
 }
 
 /// Why a message can't be read.
 #[derive(Debug, thiserror::Error)]
-enum ReadError {
+pub enum MessageError {
+    /// Its file has more bytes than any message.
     #[error("{0} bytes are too many")]
     TooLarge(u64),
+    /// The system can't read its file.
     #[error(transparent)]
     Io(#[from] io::Error),
+    /// Its file holds no message.
     #[error(transparent)]
     Malformed(#[from] HandoverError),
 }
 
 impl HandoverMailbox {
-    /// Takes a place behind all processes of this name that are in the folder for it below `tmp`.
+    /// Joins the processes of this name, in the folder for it below `tmp`, as the latest of them.
     ///
     /// # Errors
     ///
@@ -192,17 +216,16 @@
         let mut result = PollResult::default();
         let processes = match list_processes(&self.folder) {
             Ok(processes) => processes,
-            Err(e) => {
-                result
-                    .errors
-                    .push(format!("{}: {e}", self.folder.display()));
+            Err(source) => {
+                let folder = self.folder.clone();
+                result.errors.push(PollError::Folder { folder, source });
                 return result;
             }
         };
         let own = self.number;
         let others = processes.iter().filter(|&&number| number != own);
         for &number in others.take(MAX_PROCESSES) {
-            // Asked before its message is read: what it wrote last is not missed.
+            // Checked before its message is read: what it wrote last is not missed.
             let is_alive = self.is_alive(number);
             self.read_message(number, &mut result);
             if !is_alive {
@@ -223,23 +246,19 @@
         if self.peers.get(&number).map(|peer| peer.version) == Some(version) {
             return;
         }
-        let message = if version == FileVersion::default() {
+        let is_missing = version == FileVersion::default();
+        let read = (!is_missing).then(|| read_file(&path)).transpose();
+        let message = read.unwrap_or_else(|source| {
+            let process = number;
+            result.errors.push(PollError::Message { process, source });
             None
-        } else {
-            read_file(&path)
-                .inspect_err(|error| {
-                    let pid = number.pid;
-                    let error = format!("what process {pid} wrote is not taken over: {error}");
-                    result.errors.push(error);
-                })
-                .ok()
-        };
-        result
-            .received
-            .extend(message.clone().map(|message| Received {
+        });
+        if let Some(message) = message.clone() {
+            result.received.push(Received {
                 from: number,
                 message,
-            }));
+            });
+        }
         self.peers.insert(number, Peer { version, message });
     }
 
@@ -307,10 +326,10 @@
     Ok(processes)
 }
 
-fn read_file(path: &Path) -> Result<HandoverState, ReadError> {
+fn read_file(path: &Path) -> Result<HandoverState, MessageError> {
     let size = std::fs::metadata(path)?.len();
     if size > MAX_HANDOVER_BYTES as u64 {
-        return Err(ReadError::TooLarge(size));
+        return Err(MessageError::TooLarge(size));
     }
     Ok(decode(&std::fs::read(path)?)?)
 }
--- a/crates/coordinator/src/node/upgrade.rs
+++ b/crates/coordinator/src/node/upgrade.rs
@@ -2,16 +2,17 @@
 //! both run. When each of them accepts, keeps and closes connections is decided by the lifecycle; which order about an engine
 //! holds, by the registry.
 
-use super::{clients, Node};
+use super::{clients, Node, StartError};
 use crate::config::Config;
-use crate::handover::HandoverMailbox;
+use crate::handover::{HandoverMailbox, Received};
 use driftfront_core::Micros;
+use driftfront_engine_registry::handover::HandoverState;
 use std::net::TcpListener;
 use std::path::Path;
 
 /// The variable that names the passed socket.
 const PASSED_SOCKET_VARIABLE: &str = "LB_PASSED_SOCKET";
-/// A successor that has not heard the source of its engines by then serves with what it was told at its start.
+/// A successor that has not received its engine list by then serves with the engines known at its start.
 const FIRST_LIST_TIMEOUT: Micros = 2_000_000;
 /// What the source has ready is received this long after its first byte.
 const FIRST_LIST_SETTLE_TIME: Micros = 60_000;
@@ -30,10 +31,20 @@
     mailbox: Option<HandoverMailbox>,
     /// Another process runs.
     has_peers: bool,
-    /// Orders taken over from others.
+    /// Orders merged from other processes.
     merged_orders: u64,
 }
 
+/// What a poll says of the other processes.
+struct PeerUpdate {
+    /// Messages that are new, the earliest process's first.
+    received: Vec<Received>,
+    /// Another process runs.
+    has_peers: bool,
+    /// A later process serves.
+    has_successor: bool,
+}
+
 impl Handover {
     pub(super) fn new(mailbox: Option<HandoverMailbox>) -> Handover {
         Handover {
@@ -54,14 +65,50 @@
         mailbox.is_some_and(HandoverMailbox::has_predecessor)
     }
 
-    /// Orders taken over from others.
+    /// Orders merged from other processes.
     pub(super) fn merged_orders(&self) -> u64 {
         self.merged_orders
     }
+
+    /// Reads what the other processes have written; `None` where messages are not exchanged.
+    fn poll(&mut self) -> Option<PeerUpdate> {
+        let mailbox = self.mailbox.as_mut()?;
+        let polled = mailbox.poll();
+        for error in polled.errors {
+            tracing::error!("handover: {error}");
+        }
+        Some(PeerUpdate {
+            received: polled.received,
+            has_peers: mailbox.has_peers(),
+            has_successor: mailbox.has_successor(),
+        })
+    }
+
+    /// Records whether another process runs, and logs a change.
+    fn record_peers(&mut self, has_peers: bool) {
+        if std::mem::replace(&mut self.has_peers, has_peers) == has_peers {
+            return;
+        }
+        if has_peers {
+            tracing::info!("another process of this coordinator is running");
+        } else {
+            tracing::info!("no other process of this coordinator is running");
+        }
+    }
+
+    /// Publishes this process's message, where messages are exchanged.
+    fn publish(&mut self, message: impl FnOnce() -> HandoverState) {
+        let Some(mailbox) = &mut self.mailbox else {
+            return;
+        };
+        if let Err(error) = mailbox.publish(message()) {
+            tracing::error!(%error, "handover message can't be written");
+        }
+    }
 }
 
 /// Opens the clients' listener: the passed one, else one on the configured address.
-pub(super) fn open_listener(config: &Config) -> Result<StartSockets, String> {
+pub(super) fn open_listener(config: &Config) -> Result<StartSockets, StartError> {
     let passed = std::env::var(PASSED_SOCKET_VARIABLE).ok();
     if let Some(passed) = passed.filter(|passed| !passed.is_empty()) {
         match driftfront_socket_activation::adopt(&passed) {
@@ -73,14 +120,16 @@
                     mailbox: open_mailbox(config),
                 });
             }
-            Err(why) => {
-                tracing::error!("{PASSED_SOCKET_VARIABLE}: {why}; the address is bound anew");
+            Err(error) => {
+                tracing::error!("{PASSED_SOCKET_VARIABLE}: {error}; the address is bound anew");
             }
         }
     }
-    let listener = clients::listen(config.listen);
+    let address = config.listen;
+    let listener =
+        clients::listen(address).map_err(|source| StartError::Listen { address, source })?;
     Ok(StartSockets {
-        listener: listener.map_err(|e| format!("listen on {}: {e}", config.listen))?,
+        listener,
         is_passed: false,
         mailbox: None,
     })
@@ -90,52 +139,34 @@
     let configured = config.listen;
     let passed = listener.local_addr().unwrap_or(configured);
     if passed != configured {
-        tracing::warn!(told = %configured, %passed, "the passed socket listens elsewhere");
+        tracing::warn!(%configured, %passed, "passed socket is bound to another address");
     }
 }
 
 fn open_mailbox(config: &Config) -> Option<HandoverMailbox> {
     let Some(tmp) = std::env::var_os("TMPDIR").filter(|tmp| !tmp.is_empty()) else {
-        tracing::warn!("no TMPDIR: other processes of this coordinator hear nothing of orders");
+        tracing::warn!("TMPDIR is not set: no orders are exchanged with other processes");
         return None;
     };
     HandoverMailbox::open(Path::new(&tmp), &config.name)
-        .inspect_err(|e| tracing::error!("TMPDIR: {e}: other processes hear nothing of orders"))
+        .inspect_err(|error| {
+            tracing::error!(%error, "TMPDIR: no orders are exchanged with other processes");
+        })
         .ok()
 }
 
 impl Node {
-    /// Takes over what other processes of this coordinator have ordered, and publishes what is new here.
+    /// Merges what other processes of this coordinator have ordered, and publishes what is new here.
     pub(super) fn poll_handover(&mut self, now: Micros) {
-        let Some(mailbox) = &mut self.handover.mailbox else {
+        let Some(update) = self.handover.poll() else {
             return;
         };
-        let polled = mailbox.poll();
-        let has_peers = mailbox.has_peers();
-        let has_successor = mailbox.has_successor();
-        for error in polled.errors {
-            tracing::error!("handover: {error}");
-        }
-        for received in polled.received {
-            let (change, records) = self.registry.merge_handover(&received.message);
-            if records.is_empty() {
-                continue;
-            }
-            self.handover.merged_orders += records.len() as u64;
-            let (process, orders) = (received.from.pid, records.len());
-            tracing::info!(process, orders, "orders of another process hold here");
-            self.apply_registry_change(now, &change);
-            let _ = self.persist(now, &records);
-        }
-        if std::mem::replace(&mut self.handover.has_peers, has_peers) != has_peers {
-            if has_peers {
-                tracing::info!("another process runs beside this one");
-            } else {
-                tracing::info!("alone again");
-            }
+        for received in &update.received {
+            self.merge_orders(now, received);
         }
-        if self.lifecycle.record_successor(now, has_successor) {
-            let message = if has_successor {
+        self.handover.record_peers(update.has_peers);
+        if self.lifecycle.record_successor(now, update.has_successor) {
+            let message = if update.has_successor {
                 "A successor is ready: new connections are its own, what was taken is answered"
             } else {
                 "The successor is gone: this process serves again"
@@ -145,32 +176,42 @@
         self.publish_handover();
     }
 
+    /// Merges the orders of another process's message, and records them where there is a state folder.
+    fn merge_orders(&mut self, now: Micros, received: &Received) {
+        let (change, records) = self.registry.merge_handover(&received.message);
+        if records.is_empty() {
+            return;
+        }
+        let (process, orders) = (received.from.pid, records.len());
+        self.handover.merged_orders += orders as u64;
+        tracing::info!(process, orders, "orders of another process merged");
+        self.apply_registry_change(now, &change);
+        let _ = self.persist(now, &records);
+    }
+
     /// Publishes the orders that hold here: before one is confirmed, and once this process is ready.
     pub(super) fn publish_handover(&mut self) {
         let is_ready = self.lifecycle.has_been_ready();
-        let Some(mailbox) = &mut self.handover.mailbox else {
-            return;
-        };
-        if let Err(e) = mailbox.publish(self.registry.handover_state(is_ready)) {
-            tracing::error!("handover: orders can't be told to other processes: {e}");
-        }
+        let registry = &self.registry;
+        self.handover.publish(|| registry.handover_state(is_ready));
     }
 
-    /// Whether the list of engines is known well enough to serve by it. A successor waits until the source has spoken: what
-    /// the platform told at the start may be long out of date.
+    /// Whether the list of engines is known well enough to serve by it. A successor waits for its source: the list that the
+    /// platform gave it at its start may be long out of date.
     pub(super) fn knows_engines(&self, now: Micros) -> bool {
+        if !self.core.has_engines() {
+            return false;
+        }
         let is_late = now >= self.started + FIRST_LIST_TIMEOUT;
-        self.core.has_engines()
-            && (!self.lifecycle.replaces_earlier()
-                || is_late
-                || self
-                    .discovery
-                    .has_received_first_list(now, FIRST_LIST_SETTLE_TIME))
+        let discovery = &self.discovery;
+        !self.lifecycle.replaces_earlier()
+            || is_late
+            || discovery.has_received_first_list(now, FIRST_LIST_SETTLE_TIME)
     }
 
     /// Descriptors that this process may hold: half of the configured ones while another process runs beside it.
     pub(super) fn sockets(&self) -> usize {
-        let divisor = if self.handover.has_peers { 2 } else { 1 };
+        let divisor = if self.handover.has_peers() { 2 } else { 1 };
         self.config.max_descriptors / divisor
     }
 }
