--- a/crates/coordinator/src/cli/error.rs
+++ b/crates/coordinator/src/cli/error.rs
@@ -1,14 +1,26 @@
 //! Why a sub-command did not do what was asked, and the exit code for it.
 
 use driftfront::config::ConfigError;
+use driftfront::console::CountersError;
+use driftfront::demo::DemoError;
+use driftfront::node::StartError;
 use std::io;
 
 /// Why a sub-command failed. `Display` is what staff read; the exit codes are those of the manual.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum CommandError {
-    /// Something went wrong; the text says what.
-    #[error("{0}")]
-    Failed(String),
+    /// The system has no event loop for a coordinator.
+    #[error("event loop: {0}")]
+    EventLoop(#[source] calloop::Error),
+    /// The coordinator does not start.
+    #[error(transparent)]
+    Start(#[from] StartError),
+    /// The demo does not run.
+    #[error(transparent)]
+    Demo(#[from] DemoError),
+    /// A coordinator's counters can't be had.
+    #[error(transparent)]
+    Counters(#[from] CountersError),
     /// The configuration can't be used.
     #[error(transparent)]
     Config(#[from] ConfigError),
@@ -73,7 +85,10 @@
     /// The process's exit code: `driftfront_control::commands::EXIT_CODES`.
     pub(crate) fn exit_code(&self) -> u8 {
         match self {
-            CommandError::Failed(_)
+            CommandError::EventLoop(_)
+            | CommandError::Start(_)
+            | CommandError::Demo(_)
+            | CommandError::Counters(_)
             | CommandError::Config(_)
             | CommandError::Io(_)
             | CommandError::File { .. }
--- a/crates/coordinator/src/cli/local.rs
+++ b/crates/coordinator/src/cli/local.rs
@@ -30,10 +30,9 @@
         .with_writer(std::io::stderr)
         .with_ansi(false)
         .init();
-    let events =
-        EventLoop::try_new().map_err(|e| CommandError::Failed(format!("event loop: {e}")))?;
-    let node = Node::new(config, &events).map_err(CommandError::Failed)?;
-    node.run(events).map_err(CommandError::Failed)
+    let events = EventLoop::try_new().map_err(CommandError::EventLoop)?;
+    Node::new(config, &events)?.run(events);
+    Ok(())
 }
 
 /// Reads a configuration and says what it means.
@@ -51,10 +50,12 @@
     expect_no_more(arguments)?;
     let path = named.unwrap_or("driftfront.kdl".into());
     let shown = path.display().to_string();
-    if let Err(source) = write_new_file(&path, driftfront::operator_config::EXAMPLE) {
-        let path = shown;
-        return Err(CommandError::File { path, source });
-    }
+    write_new_file(&path, driftfront::operator_config::EXAMPLE).map_err(|source| {
+        CommandError::File {
+            path: shown.clone(),
+            source,
+        }
+    })?;
     println!("{shown} is written: name your engines there, then driftfront serve --config {shown}");
     Ok(())
 }
@@ -71,7 +72,7 @@
 pub(super) fn demo(mut arguments: Arguments) -> Result<(), CommandError> {
     let is_plain = arguments.contains("--plain");
     expect_no_more(arguments)?;
-    let demo = driftfront::demo::Demo::start().map_err(CommandError::Failed)?;
+    let demo = driftfront::demo::Demo::start()?;
     let target = Endpoint::Socket(demo.socket.clone());
     println!(
         "a coordinator takes queries at {}, operators at {}",
@@ -92,8 +93,7 @@
 pub(super) fn counters(mut arguments: Arguments) -> Result<(), CommandError> {
     let address: String = arguments.value_from_str("--at")?;
     expect_no_more(arguments)?;
-    let text = driftfront::console::counters(&address).map_err(CommandError::Failed)?;
-    print!("{text}");
+    print!("{}", driftfront::console::counters(&address)?);
     Ok(())
 }
 
--- a/crates/coordinator/src/demo.rs
+++ b/crates/coordinator/src/demo.rs
@@ -1,118 +1,169 @@
-//! `driftfront demo`: a coordinator, three stand-in engines and a gentle load in one process, and the console on it.
+//! `driftfront demo`: a coordinator, three mock engines and a gentle load in one process, and the console on it.
 
-use crate::config::Config;
-use crate::node::Node;
+use crate::config::{Config, ConfigError};
+use crate::node::{Node, StartError};
 use calloop::EventLoop;
 use driftfront_console::remote::{Endpoint, Remote};
 use driftfront_control::Request;
 use driftfront_mock_servers::engine::{Engine, Options};
 use driftfront_mock_servers::ledger::RequestLog;
-use std::io::{Read, Write};
+use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
+/// Mock engines of the demo.
+const ENGINES: usize = 3;
 /// Time between two requests of the load.
-const PACE: Duration = Duration::from_millis(120);
+const REQUEST_INTERVAL: Duration = Duration::from_millis(120);
+/// How long the coordinator may take to open its control socket.
+const START_TIMEOUT: Duration = Duration::from_secs(10);
+/// How often the control socket is looked for meanwhile.
+const START_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A demo that runs; its engines and its socket go with it.
+/// Why the demo does not run. `Display` is what staff read.
+#[derive(Debug, thiserror::Error)]
+pub enum DemoError {
+    /// No port is free on loopback.
+    #[error(transparent)]
+    Port(io::Error),
+    /// The configuration that the demo makes can't be used.
+    #[error(transparent)]
+    Config(#[from] ConfigError),
+    /// The system has no event loop for the coordinator.
+    #[error(transparent)]
+    EventLoop(#[from] calloop::Error),
+    /// The coordinator does not start.
+    #[error(transparent)]
+    Start(#[from] StartError),
+    /// The coordinator has not opened its control socket in time.
+    #[error("the demo's coordinator did not start")]
+    TimedOut,
+}
+
+/// A running demo. Its engines end when it is dropped.
 pub struct Demo {
-    /// Where operators find it.
+    /// The path of the control socket.
     pub socket: PathBuf,
-    /// Where its clients connect.
+    /// The clients' address.
     pub listen: SocketAddr,
     _engines: Vec<Engine>,
 }
 
 impl Demo {
-    /// Starts all of it; the coordinator and the load go on until the process ends.
+    /// Starts engines, coordinator and load; coordinator and load go on until the process ends.
     ///
     /// # Errors
     ///
     /// No port is free, or the coordinator does not start.
-    pub fn start() -> Result<Demo, String> {
-        let ledger = Arc::new(RequestLog::forgetful());
-        let options = |n: usize| Options {
-            name: format!("engine-{n}"),
-            ..Options::default()
-        };
-        let engines: Vec<Engine> = (1..=3)
-            .map(|n| Engine::start(options(n), ledger.clone()))
-            .collect();
-        let port = TcpListener::bind("127.0.0.1:0")
-            .and_then(|l| l.local_addr())
-            .map_err(|e| e.to_string())?;
+    pub fn start() -> Result<Demo, DemoError> {
+        let engines = start_engines();
+        let listen = free_address().map_err(DemoError::Port)?;
         let socket =
             std::env::temp_dir().join(format!("driftfront-demo-{}.sock", std::process::id()));
-        let line = |e: &Engine| {
-            format!(
-                "    engine \"{}\" at=\"{}\" building=\"main\" kind=\"std-8\"\n",
-                e.name(),
-                e.addr()
-            )
-        };
-        let lines: String = engines.iter().map(line).collect();
-        let text = format!(
-            "name \"demo\"\nlisten \"{port}\"\nengines {{\n{lines}}}\ncontrol \"{}\"\n",
-            socket.display()
-        );
-        Config::of_operator(&text).map_err(|error| error.to_string())?;
-        std::thread::spawn(move || {
-            // Read where it is used: a configuration stays on its thread.
-            let config = Config::of_operator(&text).map_err(|error| error.to_string())?;
-            let events = EventLoop::try_new().map_err(|e| e.to_string())?;
-            Node::new(config, &events)?.run(events)
-        });
-        let begin = Instant::now();
-        while Remote::connect(&Endpoint::Socket(socket.clone())).is_err() {
-            if begin.elapsed() > Duration::from_secs(10) {
-                return Err("the demo's coordinator did not start".into());
-            }
-            std::thread::sleep(Duration::from_millis(20));
-        }
-        std::thread::spawn(move || load(port));
+        let text = operator_file(listen, &socket, &engines);
+        Config::of_operator(&text)?;
+        std::thread::spawn(move || run_coordinator(&text));
+        wait_for_control_socket(&socket)?;
+        std::thread::spawn(move || send_load(listen));
         Ok(Demo {
             socket,
-            listen: port,
+            listen,
             _engines: engines,
         })
     }
 
-    /// Asks it to take an engine out, as an operator would.
+    /// Drains an engine, as an operator would.
     ///
     /// # Errors
     ///
     /// The coordinator does not answer.
-    pub fn drain(&self, engine: &str) -> Result<(), String> {
-        let mut remote =
-            Remote::connect(&Endpoint::Socket(self.socket.clone())).map_err(|e| e.to_string())?;
+    pub fn drain(&self, engine: &str) -> io::Result<()> {
+        let mut remote = Remote::connect(&Endpoint::Socket(self.socket.clone()))?;
         let drain = Request::Drain {
             engine: engine.into(),
             force: false,
         };
-        remote.ask(&drain).map(|_| ()).map_err(|e| e.to_string())
+        remote.ask(&drain)?;
+        Ok(())
+    }
+}
+
+fn start_engines() -> Vec<Engine> {
+    let request_log = Arc::new(RequestLog::forgetful());
+    let start = |number: usize| {
+        let options = Options {
+            name: format!("engine-{number}"),
+            ..Options::default()
+        };
+        Engine::start(options, request_log.clone())
+    };
+    (1..=ENGINES).map(start).collect()
+}
+
+/// An address on loopback whose port is free.
+fn free_address() -> io::Result<SocketAddr> {
+    TcpListener::bind("127.0.0.1:0")?.local_addr()
+}
+
+/// The operator's file of the demo's coordinator.
+fn operator_file(listen: SocketAddr, socket: &Path, engines: &[Engine]) -> String {
+    let engine_line = |engine: &Engine| {
+        let (name, address) = (engine.name(), engine.addr());
+        format!("    engine \"{name}\" at=\"{address}\" building=\"main\" kind=\"std-8\"\n")
+    };
+    let engine_lines: String = engines.iter().map(engine_line).collect();
+    format!(
+        "name \"demo\"\nlisten \"{listen}\"\nengines {{\n{engine_lines}}}\ncontrol \"{}\"\n",
+        socket.display()
+    )
+}
+
+/// Runs the coordinator until the process ends. The configuration is read again, since it can't move between threads.
+fn run_coordinator(operator_file: &str) -> Result<(), DemoError> {
+    let config = Config::of_operator(operator_file)?;
+    let events = EventLoop::try_new()?;
+    Node::new(config, &events)?.run(events);
+    Ok(())
+}
+
+fn wait_for_control_socket(socket: &Path) -> Result<(), DemoError> {
+    let started = Instant::now();
+    while Remote::connect(&Endpoint::Socket(socket.into())).is_err() {
+        if started.elapsed() > START_TIMEOUT {
+            return Err(DemoError::TimedOut);
+        }
+        std::thread::sleep(START_POLL_INTERVAL);
     }
+    Ok(())
 }
 
-/// Look-ups, now and then a report, now and then an import.
-fn load(addr: SocketAddr) {
-    for n in 0u64.. {
-        let statement = match n % 20 {
-            7 => format!("INSERT INTO graduates.list VALUES ({n}) /* standin: sleep_ms=1500 */"),
-            3 | 13 => format!("SELECT count() FROM numbers({n}) /* standin: sleep_ms=600 */"),
-            _ => format!("SELECT {n} /* standin: sleep_ms=40 */"),
+/// Sends look-ups, now and then a report, now and then an import.
+fn send_load(address: SocketAddr) {
+    for number in 0u64.. {
+        let statement = match number % 20 {
+            7 => {
+                format!("INSERT INTO graduates.list VALUES ({number}) /* standin: sleep_ms=1500 */")
+            }
+            3 | 13 => format!("SELECT count() FROM numbers({number}) /* standin: sleep_ms=600 */"),
+            _ => format!("SELECT {number} /* standin: sleep_ms=40 */"),
         };
-        let class = if n % 10 == 3 { "report" } else { "" };
-        std::thread::spawn(move || {
-            let Ok(mut stream) = TcpStream::connect(addr) else {
-                return;
-            };
-            let (target, length) = (format!("/?driftfront_class={class}"), statement.len());
-            let head = format!("POST {target} HTTP/1.1\r\nHost: demo\r\nConnection: close\r\nContent-Length: {length}\r\n\r\n");
-            let _ = stream.write_all((head + &statement).as_bytes());
-            let _ = stream.read_to_end(&mut Vec::new());
-        });
-        std::thread::sleep(PACE);
+        let class = if number % 10 == 3 { "report" } else { "" };
+        std::thread::spawn(move || send_query(address, class, &statement));
+        std::thread::sleep(REQUEST_INTERVAL);
     }
 }
+
+/// Sends a query on a connection of its own; how it ends is for the console to show.
+fn send_query(address: SocketAddr, class: &str, statement: &str) {
+    let Ok(mut stream) = TcpStream::connect(address) else {
+        return;
+    };
+    let length = statement.len();
+    let head = format!(
+        "POST /?driftfront_class={class} HTTP/1.1\r\nHost: demo\r\nConnection: close\r\nContent-Length: {length}\r\n\r\n"
+    );
+    let _ = stream.write_all((head + statement).as_bytes());
+    let _ = stream.read_to_end(&mut Vec::new());
+}
--- a/crates/coordinator/src/node/cluster.rs
+++ b/crates/coordinator/src/node/cluster.rs
@@ -5,6 +5,7 @@
 //! | `key_file` | the keys that members share |
 //! | `datagrams` | reading and sending |
 //! | `consensus`, `log_file` | the consensus log, and its file in the state folder |
+//! | `start_error` | why a process can't take part |
 //! | `holds` | operators' holds, granted by the log |
 //! | `views` | members and counters, for operators |
 
@@ -13,9 +14,12 @@
 mod holds;
 mod key_file;
 mod log_file;
+mod start_error;
 mod views;
 
+pub(super) use holds::{HoldError, HoldRequest};
 pub use key_file::{read_keys, KeyFileError};
+pub use start_error::ClusterStartError;
 
 use super::{EventSource, Node};
 use crate::clock::elapsed_micros;
@@ -25,7 +29,6 @@
 use driftfront_cluster::{Cluster, Identity, Keyring, MemberMetadata, Options, State};
 use driftfront_core::{lifecycle, ListKind, Micros, Phase};
 use std::collections::BTreeMap;
-use std::io;
 use std::net::{SocketAddr, UdpSocket};
 use std::rc::Rc;
 use std::time::Instant;
@@ -69,10 +72,14 @@
     }
 }
 
-fn open_socket(listen: SocketAddr) -> io::Result<UdpSocket> {
-    let socket =
-        UdpSocket::bind(listen).map_err(|e| io::Error::new(e.kind(), format!("{listen}: {e}")))?;
-    socket.set_nonblocking(true)?;
+fn open_socket(listen: SocketAddr) -> Result<UdpSocket, ClusterStartError> {
+    let socket = UdpSocket::bind(listen).map_err(|source| ClusterStartError::Bind {
+        address: listen,
+        source,
+    })?;
+    socket
+        .set_nonblocking(true)
+        .map_err(ClusterStartError::Socket)?;
     // What others say while this process is held up should be there when it goes on.
     let _ = socket2::SockRef::from(&socket).set_recv_buffer_size(RECEIVE_BUFFER_BYTES);
     Ok(socket)
@@ -80,16 +87,16 @@
 
 impl Node {
     /// Takes part in the cluster, where the configuration names one.
-    pub(super) fn join_cluster(&mut self) -> Result<(), String> {
+    pub(super) fn join_cluster(&mut self) -> Result<(), ClusterStartError> {
         let Some(config) = self.config.cluster.clone() else {
             return Ok(());
         };
-        let keys = read_keys(&config.key_file).map_err(|e| format!("fleet: {e}"))?;
-        let socket = open_socket(config.listen).map_err(|e| format!("fleet: {e}"))?;
-        let here = socket.local_addr().map_err(|e| format!("fleet: {e}"))?;
+        let keys = read_keys(&config.key_file)?;
+        let socket = open_socket(config.listen)?;
+        let here = socket.local_addr().map_err(ClusterStartError::Socket)?;
         let socket = Rc::new(socket);
         self.register_source(socket.clone(), EventSource::Cluster)
-            .map_err(|e| format!("fleet: {e}"))?;
+            .map_err(ClusterStartError::Register)?;
         tracing::info!(%here, "fleet");
         self.cluster = Some(Box::new(self.new_runtime(config, keys, socket, here)));
         self.open_log();
--- a/crates/coordinator/src/node/cluster/consensus.rs
+++ b/crates/coordinator/src/node/cluster/consensus.rs
@@ -1,13 +1,16 @@
 //! This process's part in the consensus log: opened with the state folder's file, closed for a successor.
 
 use super::holds::PendingHold;
-use super::log_file::{LockedLogFile, LogWriter};
+use super::log_file::{LockedLogFile, LogFileError, LogWriter};
 use super::ClusterRuntime;
 use crate::file_writer::{FileWriter, WriteCompleted};
 use crate::node::Node;
+use calloop::channel::{channel, Event};
 use driftfront_cluster::consensus::{Options, Role};
 use driftfront_cluster::State;
 use std::collections::BTreeMap;
+use std::fmt::Display;
+use std::io;
 use std::time::{Duration, Instant};
 
 /// How often the lock is tried again while another process of this coordinator has it.
@@ -27,6 +30,20 @@
     failures: u64,
 }
 
+/// Why the log's file can't be opened.
+#[derive(Debug, thiserror::Error)]
+enum OpenLogError {
+    /// It can't be opened, locked or read.
+    #[error(transparent)]
+    File(#[from] LogFileError),
+    /// The system starts no thread that writes it.
+    #[error("{0}")]
+    Thread(#[source] io::Error),
+    /// Completed writes can't be handled on the event loop.
+    #[error("event loop: error inserting event source: {0}")]
+    WriteEvents(#[source] calloop::Error),
+}
+
 impl ConsensusHost {
     fn may_open(&self) -> bool {
         !self.is_closed && self.next_attempt.is_none_or(|at| Instant::now() >= at)
@@ -76,16 +93,16 @@
         }
         let cluster = self.cluster.as_mut();
         if let Some(Some(wrong)) = cluster.map(|cluster| cluster.agent.open_consensus(options)) {
-            self.report_log_failure(&wrong.to_string());
+            self.report_log_failure(&wrong);
         }
     }
 
     /// Opens the log's file in the state folder, if there is one, and starts its writer.
-    fn open_log_file(&mut self) -> Result<LogFile, String> {
+    fn open_log_file(&mut self) -> Result<LogFile, OpenLogError> {
         let Some(folder) = &self.config.state_folder else {
             return Ok(LogFile::None);
         };
-        let opened = LockedLogFile::open(folder).map_err(|error| error.to_string())?;
+        let opened = LockedLogFile::open(folder)?;
         let Some(mut file) = opened else {
             return Ok(LogFile::LockedElsewhere);
         };
@@ -94,30 +111,29 @@
         Ok(LogFile::Open { bytes, writer })
     }
 
-    fn start_log_writer(&mut self, file: LockedLogFile) -> Result<FileWriter, String> {
-        let (sender, completions) = calloop::channel::channel();
+    fn start_log_writer(&mut self, file: LockedLogFile) -> Result<FileWriter, OpenLogError> {
+        let (sender, completions) = channel();
         let writer = file
             .start_writer(move |completed| drop(sender.send(completed)))
-            .map_err(|e| e.to_string())?;
-        let on_written =
-            |event: calloop::channel::Event<WriteCompleted>, _: &mut (), node: &mut Node| {
-                if let calloop::channel::Event::Msg(completed) = event {
-                    node.guard("a write's end", |node| node.handle_log_written(completed));
-                }
-            };
+            .map_err(OpenLogError::Thread)?;
+        let on_written = |event: Event<WriteCompleted>, _: &mut (), node: &mut Node| {
+            if let Event::Msg(completed) = event {
+                node.guard("a write's end", |node| node.handle_log_written(completed));
+            }
+        };
         self.handle
             .insert_source(completions, on_written)
-            .map_err(|e| format!("event loop: {e}"))?;
+            .map_err(|refused| OpenLogError::WriteEvents(refused.error))?;
         Ok(writer)
     }
 
-    fn report_log_failure(&mut self, reason: &str) {
+    fn report_log_failure(&mut self, reason: &dyn Display) {
         let now = self.now;
         if let Some(cluster) = self.cluster.as_mut() {
             cluster.consensus.failures += 1;
         }
         tracing::error!("what is agreed: {reason}");
-        self.event(now, format!("What is agreed can't be kept: {reason}"));
+        self.record_event(now, format!("What is agreed can't be kept: {reason}"));
     }
 
     fn handle_log_written(&mut self, completed: WriteCompleted) {
@@ -134,7 +150,7 @@
                     cluster.consensus.writer.close();
                     cluster.consensus.is_closed = true;
                 }
-                self.report_log_failure(&error.to_string());
+                self.report_log_failure(&error);
             }
         }
     }
--- a/crates/coordinator/src/node/cluster/holds.rs
+++ b/crates/coordinator/src/node/cluster/holds.rs
@@ -1,12 +1,11 @@
 //! Operators' holds: named leases over the whole cluster, asked for here and granted by the consensus log.
 
 use super::ClusterRuntime;
-use crate::node::control::ReplyTo;
+use crate::node::control::{reply_to_request, Answer, ReplyTo, RequestRefusal};
 use crate::node::Node;
 use driftfront_cluster::consensus::leases::{Command, Outcome, MAX_TEXT_BYTES};
 use driftfront_cluster::consensus::{GrantedLease, RequestError, Role};
 use driftfront_control::snapshot::{Consensus as AgreedView, Held, Voter};
-use driftfront_control::Reply;
 use driftfront_core::Micros;
 
 /// Before an operator's name of a hold: leases for other purposes have other names.
@@ -14,6 +13,72 @@
 /// How long an operator waits for a majority.
 const MAJORITY_TIMEOUT: Micros = 5_000_000;
 
+/// Bytes that a hold's name may have.
+const MAX_NAME_BYTES: usize = MAX_TEXT_BYTES - HOLD_PREFIX.len();
+
+/// A hold that an operator asks for.
+pub(in crate::node) struct HoldRequest {
+    pub(in crate::node) name: String,
+    /// How long it lasts.
+    pub(in crate::node) seconds: u64,
+    /// It lasts beyond that, until it is released.
+    pub(in crate::node) stays: bool,
+    /// Why, for other operators.
+    pub(in crate::node) note: String,
+}
+
+/// Why a hold is not granted, or not released. `Display` is what the operator reads.
+#[derive(Debug, thiserror::Error)]
+pub(in crate::node) enum HoldError {
+    /// Its name or note is too long.
+    #[error("a name has {MAX_NAME_BYTES} bytes at most, a note {MAX_TEXT_BYTES}")]
+    TextTooLong,
+    /// There is no consensus log here.
+    #[error("there is no fleet here that could agree on it")]
+    NoConsensus,
+    /// The consensus log was closed before it was decided; `name` may be held or not.
+    #[error("this coordinator ends; whether {name} is held, see on another")]
+    LogClosed { name: String },
+    /// It can't be released: nobody has it.
+    #[error("{name} is not held")]
+    NotHeld { name: String },
+    /// Somebody has it, for a known time.
+    #[error("{name} is held already, for {} s more", whole_seconds(*wait))]
+    HeldForTime { name: String, wait: Micros },
+    /// Somebody has it, until it is released.
+    #[error("{name} is held already, until it is given back")]
+    HeldUntilReleased { name: String },
+    /// The lease has ended, or is another owner's.
+    #[error("{name} is not held any more")]
+    NotOwner { name: String },
+    /// It exceeds the bounds on leases.
+    #[error(
+        "{name} can't be held so: too many are, or it is for over 10 s where not all who decide keep their log in a \
+         state folder, or for over a day"
+    )]
+    OutOfBounds { name: String },
+    /// Leases that an earlier log granted may still be in use.
+    #[error(
+        "nothing is lent for {} s yet: what an earlier log lent must have ended",
+        whole_seconds(*wait)
+    )]
+    TooEarly { wait: Micros },
+    /// Another process of this coordinator has taken part since.
+    #[error("this process is behind a later one of its name")]
+    Superseded,
+    /// No majority of the voters answered in time.
+    #[error("no majority of those who decide answered in time: {name} is not held by this")]
+    NoMajority { name: String },
+    /// Too many requests wait for the log.
+    #[error("too many wait already")]
+    TooManyPending,
+}
+
+/// A time in seconds, rounded up.
+fn whole_seconds(time: Micros) -> u64 {
+    time.div_ceil(1_000_000)
+}
+
 /// An operator that waits for an outcome.
 pub(super) struct PendingHold {
     reply_to: ReplyTo,
@@ -32,18 +97,22 @@
                 continue;
             };
             let now = self.now;
-            let reply = match outcome_message(&pending.name, &outcome) {
-                Ok(message) => {
-                    self.event(now, format!("{message}, by an operator"));
-                    Reply::Done(message)
-                }
-                Err(reason) => Reply::Refused(reason),
-            };
-            self.send_reply(pending.reply_to, &reply);
+            let outcome = describe_outcome(pending.name, &outcome);
+            if let Ok(message) = &outcome {
+                self.record_event(now, format!("{message}, by an operator"));
+            }
+            self.reply_to_hold(pending.reply_to, outcome);
         }
         self.refuse_pending_after_close();
     }
 
+    fn reply_to_hold(&mut self, to: ReplyTo, outcome: Result<String, HoldError>) {
+        let answer = outcome.map(Answer::Done).map_err(RequestRefusal::from);
+        if let Some(reply) = reply_to_request(answer) {
+            self.send_reply(to, &reply);
+        }
+    }
+
     fn next_outcome(&mut self) -> Option<(u64, Result<Outcome, RequestError>)> {
         let cluster = self.cluster.as_mut()?;
         let clock = cluster.clock();
@@ -63,70 +132,57 @@
         }
         let pending = std::mem::take(&mut cluster.consensus.pending_holds);
         for PendingHold { reply_to, name } in pending.into_values() {
-            let reason = format!("this coordinator ends; whether {name} is held, see on another");
-            self.send_reply(reply_to, &Reply::Refused(reason));
+            self.reply_to_hold(reply_to, Err(HoldError::LogClosed { name }));
         }
     }
 
-    /// Asks for a hold; the reply is sent once it is decided.
+    /// Requests a hold; the reply is sent once it is decided.
     pub(in crate::node) fn hold(
         &mut self,
         to: ReplyTo,
-        name: String,
-        seconds: u64,
-        stays: bool,
-        note: String,
-    ) {
-        let resource = format!("{HOLD_PREFIX}{name}");
-        if resource.len() > MAX_TEXT_BYTES || note.len() > MAX_TEXT_BYTES {
-            let reason = format!(
-                "a name has {} bytes at most, a note {MAX_TEXT_BYTES}",
-                MAX_TEXT_BYTES - HOLD_PREFIX.len()
-            );
-            return self.send_reply(to, &Reply::Refused(reason));
+        hold: HoldRequest,
+    ) -> Result<Answer, HoldError> {
+        let resource = format!("{HOLD_PREFIX}{}", hold.name);
+        if resource.len() > MAX_TEXT_BYTES || hold.note.len() > MAX_TEXT_BYTES {
+            return Err(HoldError::TextTooLong);
         }
         let command = Command::Acquire {
             resource,
             amount: 1,
             limit: 1,
-            duration: seconds.saturating_mul(1_000_000),
-            stays,
-            note,
+            duration: hold.seconds.saturating_mul(1_000_000),
+            stays: hold.stays,
+            note: hold.note,
         };
-        self.ask_for_hold(to, name, |_| Ok(command));
+        self.propose_hold_command(to, hold.name, |_| Ok(command))
     }
 
-    /// Asks for a hold's end, whoever took it.
-    pub(in crate::node) fn unhold(&mut self, to: ReplyTo, name: &str) {
+    /// Requests a hold's end, whoever took it.
+    pub(in crate::node) fn unhold(&mut self, to: ReplyTo, name: &str) -> Result<Answer, HoldError> {
         let resource = format!("{HOLD_PREFIX}{name}");
-        self.ask_for_hold(to, name.into(), |cluster| {
+        self.propose_hold_command(to, name.into(), |cluster| {
             let view = cluster.agent.consensus().map(|consensus| consensus.view());
-            let leases = view.map(|view| view.leases).unwrap_or_default();
-            let held = leases
+            let granted = view.map(|view| view.leases).unwrap_or_default();
+            let held = granted
                 .into_iter()
                 .find(|granted| granted.lease.resource == resource);
             held.map(|granted| Command::Revoke {
                 fence: granted.fence,
             })
-            .ok_or_else(|| format!("{name} is not held"))
-        });
+            .ok_or_else(|| HoldError::NotHeld { name: name.into() })
+        })
     }
 
-    fn ask_for_hold(
+    fn propose_hold_command(
         &mut self,
         to: ReplyTo,
         name: String,
-        command: impl FnOnce(&ClusterRuntime) -> Result<Command, String>,
-    ) {
+        command: impl FnOnce(&ClusterRuntime) -> Result<Command, HoldError>,
+    ) -> Result<Answer, HoldError> {
         let cluster = self.cluster.as_mut();
-        let Some(cluster) = cluster.filter(|cluster| cluster.agent.consensus().is_some()) else {
-            let reason = "there is no fleet here that could agree on it";
-            return self.send_reply(to, &Reply::Refused(reason.into()));
-        };
-        let command = match command(cluster) {
-            Ok(command) => command,
-            Err(reason) => return self.send_reply(to, &Reply::Refused(reason)),
-        };
+        let cluster = cluster.filter(|cluster| cluster.agent.consensus().is_some());
+        let cluster = cluster.ok_or(HoldError::NoConsensus)?;
+        let command = command(cluster)?;
         let clock = cluster.clock();
         let request = cluster.agent.with_consensus(clock, |consensus, clock| {
             consensus.submit(clock, command, MAJORITY_TIMEOUT)
@@ -137,6 +193,7 @@
         }
         self.reply_to_decided_holds();
         self.send_datagrams();
+        Ok(Answer::Deferred)
     }
 
     /// The consensus log and its holds, for operators.
@@ -145,7 +202,7 @@
         let voters = view.voters.into_iter();
         let holds = view.leases.into_iter();
         Some(AgreedView {
-            part: role_word(view.role).into(),
+            part: role_name(view.role).into(),
             leader: view.leader.unwrap_or_default(),
             term: view.term,
             index: view.index,
@@ -161,7 +218,7 @@
     }
 }
 
-fn role_word(role: Role) -> &'static str {
+fn role_name(role: Role) -> &'static str {
     match role {
         Role::Bootstrapping => "founds",
         Role::Voting => "votes",
@@ -188,35 +245,24 @@
     }
 }
 
-/// What became of a hold, in the words that staff read.
-fn outcome_message(name: &str, outcome: &Result<Outcome, RequestError>) -> Result<String, String> {
-    let seconds = |time: &Micros| time.div_ceil(1_000_000);
+/// What became of a request for a hold, in the words that staff read.
+fn describe_outcome(
+    name: String,
+    outcome: &Result<Outcome, RequestError>,
+) -> Result<String, HoldError> {
     match outcome {
         Ok(Outcome::Granted { fence }) => Ok(format!("{name} is held, under number {fence}")),
         Ok(Outcome::Released) => Ok(format!("{name} is given back")),
         Ok(Outcome::Renewed) => Ok(format!("{name} is held for longer")),
         Ok(Outcome::LimitReached {
             wait: Some(wait), ..
-        }) => Err(format!(
-            "{name} is held already, for {} s more",
-            seconds(wait)
-        )),
-        Ok(Outcome::LimitReached { wait: None, .. }) => Err(format!(
-            "{name} is held already, until it is given back"
-        )),
-        Ok(Outcome::NotOwner) => Err(format!("{name} is not held any more")),
-        Ok(Outcome::OutOfBounds) => Err(format!(
-            "{name} can't be held so: too many are, or it is for over 10 s where not all who decide keep their log in a \
-             state folder, or for over a day"
-        )),
-        Ok(Outcome::TooEarly { wait }) => Err(format!(
-            "nothing is lent for {} s yet: what an earlier log lent must have ended",
-            seconds(wait)
-        )),
-        Ok(Outcome::Stale) => Err("this process is behind a later one of its name".into()),
-        Err(RequestError::TimedOut) => Err(format!(
-            "no majority of those who decide answered in time: {name} is not held by this"
-        )),
-        Err(RequestError::TooManyPending) => Err("too many wait already".into()),
+        }) => Err(HoldError::HeldForTime { name, wait: *wait }),
+        Ok(Outcome::LimitReached { wait: None, .. }) => Err(HoldError::HeldUntilReleased { name }),
+        Ok(Outcome::NotOwner) => Err(HoldError::NotOwner { name }),
+        Ok(Outcome::OutOfBounds) => Err(HoldError::OutOfBounds { name }),
+        Ok(Outcome::TooEarly { wait }) => Err(HoldError::TooEarly { wait: *wait }),
+        Ok(Outcome::Stale) => Err(HoldError::Superseded),
+        Err(RequestError::TimedOut) => Err(HoldError::NoMajority { name }),
+        Err(RequestError::TooManyPending) => Err(HoldError::TooManyPending),
     }
 }
--- a/crates/coordinator/src/node/commands.rs
+++ b/crates/coordinator/src/node/commands.rs
@@ -85,7 +85,7 @@
             .get(&id)
             .filter(|_| self.control.is_some())
         {
-            self.ended(now, class, began, end);
+            self.record_class_service(now, class, began, end);
         }
     }
 
--- a/crates/coordinator/src/node/control/connections.rs
+++ b/crates/coordinator/src/node/control/connections.rs
@@ -1,7 +1,11 @@
 //! Operators' connections: accepted, read, written and cut off.
 
-use super::connection::{ConnectionClosed, OperatorConnection, ReadProgress, ReplyTo};
+use super::connection::{
+    ConnectionClosed, OperatorConnection, OperatorStream, ReadProgress, ReplyTo,
+};
+use super::Control;
 use crate::node::{ConnectionId, EventSource, Node};
+use calloop::RegistrationToken;
 use driftfront_control::{Reply, MAX_REQUEST_BYTES};
 use driftfront_core::Micros;
 
@@ -11,23 +15,73 @@
 /// Bytes that one turn may read of a connection: nobody types this much, so it is closed.
 const MAX_BYTES_PER_TURN: usize = 1024 * 1024;
 
+impl Control {
+    /// Whether no further operator may connect.
+    fn is_full(&self) -> bool {
+        self.connections.len() >= MAX_OPERATORS
+    }
+
+    /// Where events are sent as they happen.
+    pub(super) fn event_followers(&self) -> Vec<ReplyTo> {
+        let followers = self
+            .connections
+            .iter()
+            .filter_map(|(&connection, operator)| {
+                let request = operator.events_request?;
+                Some(ReplyTo {
+                    connection,
+                    request,
+                })
+            });
+        followers.collect()
+    }
+
+    /// Operators that have not read for too long.
+    fn stuck_operators(&self, now: Micros) -> Vec<ConnectionId> {
+        let connections = self.connections.iter();
+        let stuck = connections.filter(|(_, operator)| operator.is_stuck(now));
+        stuck.map(|(&id, _)| id).collect()
+    }
+
+    /// The subscriptions that get a snapshot now. One that has not read the last snapshot yet is left out: a slow connection
+    /// gets fewer of them, not older ones.
+    fn take_due_subscriptions(&mut self, now: Micros) -> Vec<ReplyTo> {
+        let mut due = Vec::new();
+        for (&connection, operator) in &mut self.connections {
+            let is_flushed = operator.is_flushed();
+            let Some(subscription) = &mut operator.subscription else {
+                continue;
+            };
+            if now >= subscription.due && is_flushed {
+                subscription.due = now + subscription.interval;
+                due.push(ReplyTo {
+                    connection,
+                    request: subscription.request,
+                });
+            }
+        }
+        due
+    }
+}
+
 impl Node {
     /// Accepts operators' connections on one of the listeners until none waits.
     pub(in crate::node) fn accept_operators(&mut self, listener: usize) {
-        let Some(listener) = self.operators.get(listener).cloned() else {
+        let control = self.control.as_ref();
+        let listener = control.and_then(|control| control.listeners.get(listener).cloned());
+        let Some(listener) = listener else {
             return;
         };
         // An error, out of descriptors included, leaves the connection for the next periodic check.
         while let Ok(stream) = listener.accept() {
-            let is_full = |control: &super::Control| control.connections.len() >= MAX_OPERATORS;
-            if self.control.as_ref().is_none_or(is_full) {
+            if self.control.as_ref().is_none_or(Control::is_full) {
                 continue;
             }
             if stream.set_nonblocking().is_err() {
                 continue;
             }
             let id = self.next_connection_id();
-            let Ok(token) = self.watch_operator(id, &stream) else {
+            let Ok(token) = self.register_operator(id, &stream) else {
                 continue;
             };
             let operator = OperatorConnection::new(stream, token);
@@ -38,12 +92,11 @@
         }
     }
 
-    fn watch_operator(
+    fn register_operator(
         &mut self,
         id: ConnectionId,
-        stream: &super::connection::OperatorStream,
-    ) -> Result<calloop::RegistrationToken, calloop::Error> {
-        use super::connection::OperatorStream;
+        stream: &OperatorStream,
+    ) -> Result<RegistrationToken, calloop::Error> {
         match stream {
             OperatorStream::Unix(stream) => {
                 self.register_source(stream.clone(), EventSource::Operator(id))
@@ -60,10 +113,8 @@
 
     /// Closes an operator's connection. Nothing is owed: what it has ordered is carried out all the same.
     pub(in crate::node) fn drop_operator(&mut self, id: ConnectionId) {
-        let operator = self
-            .control
-            .as_mut()
-            .and_then(|control| control.connections.remove(&id));
+        let control = self.control.as_mut();
+        let operator = control.and_then(|control| control.connections.remove(&id));
         if let Some(mut operator) = operator {
             self.unregister(operator.token.take());
         }
@@ -97,7 +148,7 @@
         if let Some(control) = &mut self.control {
             control.cut_off += 1;
         }
-        tracing::info!("an operator's connection is cut: it does not read");
+        tracing::info!("operator connection closed: it does not read");
         self.drop_operator(id);
     }
 
@@ -132,37 +183,17 @@
 
     /// Cuts off operators that have not read for too long.
     pub(super) fn cut_off_stuck_operators(&mut self, now: Micros) {
-        let stuck: Vec<ConnectionId> = self
-            .control
-            .iter()
-            .flat_map(|control| &control.connections)
-            .filter(|(_, operator)| operator.is_stuck(now))
-            .map(|(&id, _)| id)
-            .collect();
+        let control = self.control.as_ref();
+        let stuck = control.map_or(Vec::new(), |control| control.stuck_operators(now));
         for id in stuck {
             self.cut_off_operator(id);
         }
     }
 
-    /// Sends snapshots to the followers that are due. One that has not read the last snapshot yet is left out: a slow
-    /// connection gets fewer of them, not older ones.
+    /// Sends snapshots to the operators whose subscription is due.
     pub(super) fn send_due_snapshots(&mut self, now: Micros) {
-        let Some(control) = &mut self.control else {
-            return;
-        };
-        let mut due = Vec::new();
-        for (&connection, operator) in &mut control.connections {
-            let is_flushed = operator.is_flushed();
-            if let Some(subscription) = &mut operator.subscription {
-                if now >= subscription.due && is_flushed {
-                    subscription.due = now + subscription.interval;
-                    due.push(ReplyTo {
-                        connection,
-                        request: subscription.request,
-                    });
-                }
-            }
-        }
+        let control = self.control.as_mut();
+        let due = control.map_or(Vec::new(), |control| control.take_due_subscriptions(now));
         for to in due {
             let line = self.snapshot_line(now, to.request);
             self.send_line(to.connection, &line);
--- a/crates/coordinator/src/node/control/listener.rs
+++ b/crates/coordinator/src/node/control/listener.rs
@@ -13,7 +13,7 @@
 
 /// A listening socket for operators.
 #[derive(Clone)]
-pub(in crate::node) enum OperatorListener {
+pub(super) enum OperatorListener {
     Unix(Rc<UnixListener>),
     Tcp(Rc<TcpListener>),
 }
@@ -36,7 +36,7 @@
 
 /// Why the control socket can't be opened.
 #[derive(Debug, thiserror::Error)]
-pub(super) enum ControlSocketError {
+pub enum ControlSocketError {
     /// A running program has the socket.
     #[error("control {}: another program answers there", .0.display())]
     InUse(PathBuf),
--- a/crates/coordinator/src/node/control/mod.rs
+++ b/crates/coordinator/src/node/control/mod.rs
@@ -2,12 +2,15 @@
 //!
 //! | module | its job |
 //! | --- | --- |
+//! | `open` | opening state folder, control socket and control port at the start |
 //! | `listener` | the sockets that operators connect to |
 //! | `connection` | one operator's connection, without the program |
 //! | `connections` | accepting, reading, writing and cutting off connections |
 //! | `requests` | from a request's line to the reply |
+//! | `refusal` | why a request is refused |
 //! | `orders` | orders about engines, and their records on the disk |
-//! | `rolling_restart` | the rolling restart over many engines |
+//! | `rolling_restart`, `observed_state` | the rolling restart over many engines, and what it sees of them |
+//! | `events` | the last events |
 //! | `snapshot` | what operators see |
 //! | `service` | how well requests and engines are served |
 //!
@@ -15,70 +18,50 @@
 
 mod connection;
 mod connections;
+mod events;
 mod listener;
+mod observed_state;
+mod open;
 mod orders;
+mod refusal;
 mod requests;
 mod rolling_restart;
 mod service;
 mod snapshot;
 
 pub(in crate::node) use connection::ReplyTo;
-pub(in crate::node) use listener::OperatorListener;
+pub use listener::ControlSocketError;
+pub(in crate::node) use refusal::RequestRefusal;
+pub(in crate::node) use requests::{reply_to_request, Answer};
 
-use crate::file_writer::WriteCompleted;
-use crate::node::{clients, ConnectionId, EventSource, Node};
-use crate::service_window::ServiceWindow;
-use crate::state_folder::{OpenedState, StateFolder};
+use crate::node::{ConnectionId, Node};
+use crate::state_folder::StateFolder;
 use connection::OperatorConnection;
 use driftfront_control::Reply;
-use driftfront_core::{EngineId, Micros};
-use driftfront_engine_registry::record::StateRecord;
-use driftfront_engine_registry::rolling_restart::RollingRestart;
-use listener::{open_control_socket, ControlSocketPath};
+use driftfront_core::Micros;
+use events::EventLog;
+use listener::{ControlSocketPath, OperatorListener};
 use orders::PendingOrder;
-use std::collections::{BTreeMap, VecDeque};
-use std::path::Path;
-use std::rc::Rc;
-
-/// Events retained for operators who ask for the last ones.
-const MAX_EVENTS: usize = 500;
-
-/// Something that operators should know has happened.
-struct Event {
-    /// Unix time in microseconds, by the wall clock.
-    at: Micros,
-    message: String,
-}
-
-/// How well one class of queries was served.
-struct ClassService {
-    minute: ServiceWindow,
-    hour: ServiceWindow,
-}
-
-/// A snapshot as JSON, and when it was made.
-struct CachedSnapshot {
-    made_at: Micros,
-    json: String,
-}
+use rolling_restart::RollingRestartRunner;
+use service::ServiceRecords;
+use snapshot::CachedSnapshot;
+use std::collections::BTreeMap;
 
 /// What is retained for operators; only where the configuration names a control socket, a control port or a state folder.
 pub(super) struct Control {
     /// Held for its removal.
     _socket: Option<ControlSocketPath>,
+    listeners: Vec<OperatorListener>,
     /// The key of the control port.
     key: Vec<u8>,
     connections: BTreeMap<ConnectionId, OperatorConnection>,
-    events: VecDeque<Event>,
-    /// By class.
-    class_service: Vec<ClassService>,
-    engine_service: BTreeMap<EngineId, ServiceWindow>,
+    events: EventLog,
+    service: ServiceRecords,
     snapshot: Option<CachedSnapshot>,
     state: Option<StateFolder>,
     /// Orders whose records are on their way to the disk, by the write's number.
     pending_orders: BTreeMap<u64, PendingOrder>,
-    roll: Option<RollingRestart>,
-    next_roll_step: Micros,
+    rolling_restart: RollingRestartRunner,
     started: Micros,
     /// Operators that were cut off since they did not read.
     cut_off: u64,
@@ -86,22 +69,17 @@
 
 impl Control {
     fn new(classes: usize, now: Micros) -> Control {
-        let class_service = (0..classes).map(|_| ClassService {
-            minute: ServiceWindow::minute(),
-            hour: ServiceWindow::hour(),
-        });
         Control {
             _socket: None,
+            listeners: Vec::new(),
             key: Vec::new(),
             connections: BTreeMap::new(),
-            events: VecDeque::new(),
-            class_service: class_service.collect(),
-            engine_service: BTreeMap::new(),
+            events: EventLog::default(),
+            service: ServiceRecords::new(classes),
             snapshot: None,
             state: None,
             pending_orders: BTreeMap::new(),
-            roll: None,
-            next_roll_step: 0,
+            rolling_restart: RollingRestartRunner::default(),
             started: now,
             cut_off: 0,
         }
@@ -115,97 +93,11 @@
             self.cut_off
         )
     }
-
-    fn add_event(&mut self, at: Micros, message: String) {
-        if self.events.len() == MAX_EVENTS {
-            self.events.pop_front();
-        }
-        self.events.push_back(Event { at, message });
-    }
 }
 
 impl Node {
-    /// Opens what the configuration names: the state folder, then the control socket and port.
-    pub(super) fn open_control(&mut self) -> Result<(), String> {
-        let now = self.clock();
-        let config = &self.config;
-        if config.control_socket.is_none()
-            && config.control_port.is_none()
-            && config.state_folder.is_none()
-        {
-            return Ok(());
-        }
-        self.control = Some(Control::new(config.classes.names.len(), now));
-        if let Some(folder) = self.config.state_folder.clone() {
-            self.open_state_folder(now, &folder)?;
-        }
-        if let Some(path) = self.config.control_socket.clone() {
-            let (listener, path) = open_control_socket(&path, self.lifecycle.replaces_earlier())
-                .map_err(|error| error.to_string())?;
-            if let Some(control) = &mut self.control {
-                control._socket = Some(path);
-            }
-            let listener = Rc::new(listener);
-            self.add_operator_listener(listener.clone(), OperatorListener::Unix(listener))?;
-        }
-        if let Some(port) = self.config.control_port.clone() {
-            let address = port.address;
-            let listener =
-                clients::listen(address).map_err(|e| format!("control port {address}: {e}"))?;
-            if let Some(control) = &mut self.control {
-                control.key = port.key;
-            }
-            let listener = Rc::new(listener);
-            self.add_operator_listener(listener.clone(), OperatorListener::Tcp(listener))?;
-        }
-        Ok(())
-    }
-
-    fn add_operator_listener<S: std::os::fd::AsFd + 'static>(
-        &mut self,
-        socket: Rc<S>,
-        listener: OperatorListener,
-    ) -> Result<(), String> {
-        let index = self.operators.len();
-        self.operators.push(listener);
-        self.register_source(socket, EventSource::Operators(index))
-            .map(|_| ())
-            .map_err(|e| format!("event loop: {e}"))
-    }
-
-    /// Opens the state folder, and applies the orders and the rolling restart that it holds.
-    fn open_state_folder(&mut self, now: Micros, folder: &Path) -> Result<(), String> {
-        let (sender, completions) = calloop::channel::channel();
-        let opened = StateFolder::open(folder, move |completed| drop(sender.send(completed)));
-        let OpenedState {
-            folder,
-            records,
-            warnings,
-        } = opened.map_err(|error| error.to_string())?;
-        let on_written =
-            |event: calloop::channel::Event<WriteCompleted>, _: &mut (), node: &mut Node| {
-                if let calloop::channel::Event::Msg(completed) = event {
-                    node.guard("a write's end", |node| node.handle_order_written(completed));
-                }
-            };
-        self.handle
-            .insert_source(completions, on_written)
-            .map_err(|e| format!("event loop: {e}"))?;
-        if let Some(control) = &mut self.control {
-            for warning in warnings {
-                tracing::warn!("{warning}");
-                control.add_event(now, warning);
-            }
-            control.roll = last_roll(&records).map(|roll| roll.restarted(now));
-            control.state = Some(folder);
-        }
-        let change = self.registry.restore_records(records);
-        self.apply_registry_change(now, &change);
-        Ok(())
-    }
-
-    /// Logs something that operators should know has happened, and sends it to those who follow events.
-    pub(super) fn event(&mut self, now: Micros, message: String) {
+    /// Logs an event, and sends it to the operators who follow events; nothing where there are none to be.
+    pub(super) fn record_event(&mut self, now: Micros, message: String) {
         let at = self.wall_time(now);
         let Some(control) = &mut self.control else {
             return;
@@ -213,43 +105,24 @@
         tracing::info!("{message}");
         // What was shown before is out of date.
         control.snapshot = None;
-        control.add_event(at, message.clone());
+        control.events.add(at, message.clone());
         let reply = Reply::Event(at, message);
-        let followers: Vec<ReplyTo> = control
-            .connections
-            .iter()
-            .filter_map(|(&connection, operator)| {
-                let request = operator.events_request?;
-                Some(ReplyTo {
-                    connection,
-                    request,
-                })
-            })
-            .collect();
-        for follower in followers {
+        for follower in control.event_followers() {
             self.send_reply(follower, &reply);
         }
     }
 
     /// Periodic work: the rolling restart, connections that wait to be accepted, and followers of snapshots.
     pub(super) fn update_operators(&mut self, now: Micros) {
-        if self.control.is_none() {
+        let Some(control) = &self.control else {
             return;
-        }
+        };
+        let listeners = control.listeners.len();
         self.step_rolling_restart(now);
-        for listener in 0..self.operators.len() {
+        for listener in 0..listeners {
             self.accept_operators(listener);
         }
         self.cut_off_stuck_operators(now);
         self.send_due_snapshots(now);
     }
 }
-
-/// The rolling restart as last recorded; `None` where there was none, or none any more.
-fn last_roll(records: &[StateRecord]) -> Option<RollingRestart> {
-    let last = records.iter().rev().find_map(|record| match record {
-        StateRecord::RollingRestart { roll } => Some(roll.clone()),
-        _ => None,
-    });
-    last.flatten()
-}
--- /dev/null
+++ b/crates/coordinator/src/node/control/observed_state.rs
@@ -0,0 +1,85 @@
+//! The engines and the service as a rolling restart sees them.
+
+use super::snapshot::EngineLoad;
+use crate::node::Node;
+use driftfront_core::{EngineId, Micros, Phase};
+use driftfront_engine_registry::rolling_restart::{EngineSnapshot, ObservedState};
+use driftfront_engine_registry::{EngineState, Order as EngineOrder};
+
+/// Cores of an engine whose machine kind says nothing of them.
+const DEFAULT_CORES: f64 = 8.0;
+
+impl Node {
+    /// The engines and the service, as a rolling restart sees them.
+    pub(super) fn observed_state(&self, now: Micros) -> ObservedState {
+        let load = self.engine_load();
+        let engines = self.registry.engines();
+        let present = || engines.iter().filter(|engine| engine.phase != Phase::Gone);
+        let all_cores: f64 = present().map(|engine| self.cores(engine.kind)).sum();
+        let all_cores = all_cores.max(1.0);
+        let threads: f64 = self
+            .core
+            .attempts_in_flight()
+            .map(|(class, ..)| self.threads(class))
+            .sum();
+        let observed = present().map(|engine| {
+            let load = load.get(&engine.id).copied().unwrap_or_default();
+            self.observed_engine(engine, load, all_cores)
+        });
+        ObservedState {
+            engines: observed.collect(),
+            service_level: self.weighted_service_level(now),
+            load: threads / all_cores,
+        }
+    }
+
+    fn observed_engine(
+        &self,
+        engine: &EngineState,
+        load: EngineLoad,
+        all_cores: f64,
+    ) -> EngineSnapshot {
+        let order = engine
+            .active_order
+            .as_ref()
+            .map(|active_order| active_order.order);
+        EngineSnapshot {
+            name: engine.name.clone(),
+            is_ready: engine.phase == Phase::Ready,
+            is_drained: order == Some(EngineOrder::Drain),
+            running_queries: load.queries,
+            running_imports: load.single_shot,
+            started_at: engine.started_at,
+            is_reachable: engine.phase == Phase::Draining || self.is_connected_to(engine.id),
+            zone: engine.zone,
+            capacity_share: self.cores(engine.kind) / all_cores,
+        }
+    }
+
+    fn is_connected_to(&self, engine: EngineId) -> bool {
+        self.engines
+            .connections
+            .values()
+            .any(|connection| connection.is_up_on(engine))
+    }
+
+    fn cores(&self, kind: u16) -> f64 {
+        let kind = self.config.settings.kinds.get(usize::from(kind));
+        kind.and_then(|kind| kind.cores).unwrap_or(DEFAULT_CORES)
+    }
+
+    fn threads(&self, class: u16) -> f64 {
+        let class = self.config.settings.classes.get(usize::from(class));
+        class.map_or(1.0, |class| class.threads)
+    }
+
+    /// The part of the last minute's requests, weighted by their classes' priority, that were served in time.
+    fn weighted_service_level(&self, now: Micros) -> Option<f64> {
+        let class_weight = |class: usize| {
+            let class = self.config.settings.classes.get(class);
+            class.map_or(1.0, |class| class.priority_weight)
+        };
+        let control = self.control.as_ref()?;
+        control.service.weighted_service_level(now, class_weight)
+    }
+}
--- a/crates/coordinator/src/node/control/orders.rs
+++ b/crates/coordinator/src/node/control/orders.rs
@@ -1,12 +1,16 @@
 //! Operators' orders about engines: carried out at once, and done once their records are on the disk.
 
 use super::connection::ReplyTo;
+use super::refusal::RequestRefusal;
+use super::requests::Answer;
+use super::Control;
 use crate::file_writer::WriteCompleted;
 use crate::node::Node;
 use driftfront_control::Reply;
-use driftfront_core::Micros;
+use driftfront_core::{Micros, Phase};
 use driftfront_engine_registry::record::StateRecord;
-use driftfront_engine_registry::Command as Order;
+use driftfront_engine_registry::{Command as Order, EngineDescription};
+use std::io;
 
 /// An order whose records are on their way to the disk.
 pub(super) struct PendingOrder {
@@ -26,16 +30,122 @@
     Overloaded,
 }
 
+/// What the operator is told in addition where an order has not reached the disk, and a restart of the program forgets it.
+const NO_FOLDER_WARNING: &str =
+    "; there is no state folder, so a restart of the program forgets it";
+const OVERLOADED_WARNING: &str =
+    ", but the disk is too slow to write it down: a restart forgets it";
+
+impl PendingOrder {
+    /// What the operator is told once the write has ended.
+    fn into_message(self, written: io::Result<()>) -> String {
+        let message = self.message;
+        match written {
+            Ok(()) => message,
+            Err(error) => format!(
+                "{message}, but it could not be written down ({error}): a restart forgets it"
+            ),
+        }
+    }
+}
+
+impl Control {
+    /// Takes the order whose records this write holds, if an operator waits for it.
+    fn take_pending_order(&mut self, write: u64) -> Option<PendingOrder> {
+        self.pending_orders.remove(&write)
+    }
+}
+
 impl Node {
-    /// Carries out an operator's order; `message` says what it has done. The reply is sent once the order is on the disk.
-    pub(super) fn order(&mut self, now: Micros, to: ReplyTo, order: Order, message: String) {
-        let (change, records) = match self.registry.execute_command(now, "operator", order) {
-            Ok(done) => done,
-            Err(refusal) => return self.send_reply(to, &Reply::Refused(refusal.to_string())),
+    /// Drains an engine.
+    pub(super) fn drain_engine(
+        &mut self,
+        now: Micros,
+        to: ReplyTo,
+        engine: String,
+        force: bool,
+    ) -> Result<Answer, RequestRefusal> {
+        let message = format!("{engine} is drained: nothing new goes there");
+        self.execute_order(now, to, Order::Drain { engine, force }, message)
+    }
+
+    /// Lifts an engine's drain.
+    pub(super) fn resume_engine(
+        &mut self,
+        now: Micros,
+        to: ReplyTo,
+        engine: String,
+    ) -> Result<Answer, RequestRefusal> {
+        let message = format!("{engine} is resumed: it takes work again");
+        self.execute_order(now, to, Order::Resume { engine }, message)
+    }
+
+    /// Takes an engine out of the list.
+    pub(super) fn remove_engine(
+        &mut self,
+        now: Micros,
+        to: ReplyTo,
+        engine: String,
+        force: bool,
+    ) -> Result<Answer, RequestRefusal> {
+        let message = format!("{engine} is removed");
+        self.execute_order(now, to, Order::Remove { engine, force }, message)
+    }
+
+    /// Adds an engine to the list.
+    pub(super) fn add_engine(
+        &mut self,
+        now: Micros,
+        to: ReplyTo,
+        description: EngineDescription,
+    ) -> Result<Answer, RequestRefusal> {
+        let message = format!("{} is added", description.name);
+        self.execute_order(now, to, Order::Add { description }, message)
+    }
+
+    /// The engine that an operator adds: zone and machine kind by name, the first ones where none is named.
+    pub(super) fn parse_new_engine(
+        &self,
+        name: String,
+        address: &str,
+        zone: &str,
+        kind: &str,
+    ) -> Result<EngineDescription, RequestRefusal> {
+        let zone = index_of("building", zone, &self.config.zones)?;
+        let kind = index_of("machine kind", kind, &self.config.kinds)?;
+        let addr = match address {
+            "" => None,
+            text => {
+                let parsed = text.parse();
+                Some(parsed.map_err(|source| RequestRefusal::InvalidAddress {
+                    address: text.into(),
+                    source,
+                })?)
+            }
         };
+        Ok(EngineDescription {
+            name,
+            addr,
+            zone,
+            kind,
+            cell: 0,
+            started_at: None,
+            phase: Phase::Ready,
+        })
+    }
+
+    /// Carries out an operator's order; `message` says what it has done. The reply is sent once the order is on the disk.
+    fn execute_order(
+        &mut self,
+        now: Micros,
+        to: ReplyTo,
+        order: Order,
+        message: String,
+    ) -> Result<Answer, RequestRefusal> {
+        let (change, records) = self.registry.execute_command(now, "operator", order)?;
         self.apply_registry_change(now, &change);
         self.publish_handover();
-        self.event(now, format!("{message}, by an operator"));
+        self.record_event(now, format!("{message}, by an operator"));
         let warning = match self.persist(now, &records) {
             Persistence::Pending(write) => {
                 let pending = PendingOrder {
@@ -45,16 +155,12 @@
                 if let Some(control) = &mut self.control {
                     control.pending_orders.insert(write, pending);
                 }
-                return;
-            }
-            Persistence::NoFolder => {
-                "; there is no state folder, so a restart of the program forgets it"
-            }
-            Persistence::Overloaded => {
-                ", but the disk is too slow to write it down: a restart forgets it"
+                return Ok(Answer::Deferred);
             }
+            Persistence::NoFolder => NO_FOLDER_WARNING,
+            Persistence::Overloaded => OVERLOADED_WARNING,
         };
-        self.send_reply(to, &Reply::Done(message + warning));
+        Ok(Answer::Done(message + warning))
     }
 
     /// Queues records for the state folder's disk.
@@ -69,16 +175,14 @@
         // What a successor writes must not be left in a file that is no longer the folder's.
         if state.needs_compaction() && !self.lifecycle.has_successor() {
             let mut records = self.registry.compacted_records();
-            records.push(StateRecord::RollingRestart {
-                roll: control.roll.clone(),
-            });
+            records.push(control.rolling_restart.record());
             state.compact(&records);
         }
         match write {
             Some(write) => Persistence::Pending(write),
             None => {
                 let message = "The state folder's disk is too slow: an order was not written down";
-                self.event(now, message.into());
+                self.record_event(now, message.into());
                 Persistence::Overloaded
             }
         }
@@ -87,23 +191,30 @@
     /// An order's records are on the disk, or could not be written.
     pub(super) fn handle_order_written(&mut self, completed: WriteCompleted) {
         let now = self.clock();
-        let pending_orders = self
-            .control
-            .as_mut()
-            .map(|control| &mut control.pending_orders);
-        let pending = pending_orders.and_then(|orders| orders.remove(&completed.id));
+        let control = self.control.as_mut();
+        let pending = control.and_then(|control| control.take_pending_order(completed.id));
         if let Err(error) = &completed.result {
-            self.event(now, format!("The state folder can't be written: {error}"));
+            self.record_event(now, format!("The state folder can't be written: {error}"));
         }
-        if let Some(PendingOrder { reply_to, message }) = pending {
-            let message = match completed.result {
-                Ok(()) => message,
-                Err(error) => format!(
-                    "{message}, but it could not be written down ({error}): a restart forgets it"
-                ),
-            };
+        if let Some(pending) = pending {
+            let reply_to = pending.reply_to;
+            let message = pending.into_message(completed.result);
             self.send_reply(reply_to, &Reply::Done(message));
         }
         self.execute_commands();
     }
 }
+
+/// A name's index among those that are known; the first for an empty name.
+fn index_of(what: &'static str, name: &str, known: &[String]) -> Result<u16, RequestRefusal> {
+    if name.is_empty() {
+        return Ok(0);
+    }
+    let index = known.iter().position(|known| known == name);
+    let index = index.and_then(|index| u16::try_from(index).ok());
+    index.ok_or_else(|| RequestRefusal::UnknownName {
+        what,
+        name: name.into(),
+        known: known.to_vec(),
+    })
+}
--- a/crates/coordinator/src/node/control/requests.rs
+++ b/crates/coordinator/src/node/control/requests.rs
@@ -1,10 +1,73 @@
 //! An operator's request: read from its line, carried out, and answered.
 
 use super::connection::{ReplyTo, Subscription};
+use super::refusal::RequestRefusal;
+use super::Control;
+use crate::node::cluster::HoldRequest;
 use crate::node::{ConnectionId, Node};
 use driftfront_control::{key, Reply, Request};
-use driftfront_core::{Micros, Phase};
-use driftfront_engine_registry::{Command as Order, EngineDescription};
+use driftfront_core::Micros;
+
+/// Who gives the orders of the control socket, in the words that staff read.
+const ORIGIN: &str = "an operator";
+
+/// What an operator is sent for a request that is not refused.
+#[derive(Debug, PartialEq, Eq)]
+pub(in crate::node) enum Answer {
+    /// It was done; the text is for the operator.
+    Done(String),
+    /// It was answered already, or will be once a disk or other coordinators have answered.
+    Deferred,
+}
+
+/// The reply to a request on the control socket; `None` where it was answered already, or will be later.
+pub(in crate::node) fn reply_to_request(outcome: Result<Answer, RequestRefusal>) -> Option<Reply> {
+    match outcome {
+        Ok(Answer::Done(message)) => Some(Reply::Done(message)),
+        Ok(Answer::Deferred) => None,
+        Err(refusal) => Some(Reply::Refused(refusal.to_string())),
+    }
+}
+
+impl Control {
+    /// Whether the operator must answer a challenge before anything else.
+    fn is_challenged(&self, connection: ConnectionId) -> bool {
+        let operator = self.connections.get(&connection);
+        operator.is_some_and(|operator| operator.challenge.is_some())
+    }
+
+    /// Whether the first request on the control port answers its challenge, which is asked only once.
+    fn passes_challenge(&mut self, connection: ConnectionId, request: &Request) -> bool {
+        let Some(operator) = self.connections.get_mut(&connection) else {
+            return false;
+        };
+        let challenge = operator.challenge.take().unwrap_or_default();
+        match request {
+            Request::Auth(answer) => {
+                !challenge.is_empty() && key::is_right(&self.key, &challenge, answer)
+            }
+            _ => false,
+        }
+    }
+
+    /// Subscribes a connection to snapshots, the first one now.
+    fn subscribe_to_snapshots(&mut self, now: Micros, to: ReplyTo, interval: Micros) {
+        if let Some(operator) = self.connections.get_mut(&to.connection) {
+            operator.subscription = Some(Subscription {
+                request: to.request,
+                interval,
+                due: now,
+            });
+        }
+    }
+
+    /// Subscribes a connection to events as they happen.
+    fn subscribe_to_events(&mut self, to: ReplyTo) {
+        if let Some(operator) = self.connections.get_mut(&to.connection) {
+            operator.events_request = Some(to.request);
+        }
+    }
+}
 
 impl Node {
     /// Handles one line of an operator's.
@@ -15,19 +78,16 @@
             connection,
             request,
         };
-        match parsed {
-            Ok(request) if self.is_challenged(connection) => self.check_key(to, &request),
-            Ok(request) => self.handle_request(now, to, request),
-            Err(bad) => self.send_reply(to, &Reply::Refused(bad.to_string())),
-        }
-    }
-
-    /// Whether the operator must answer a challenge first.
-    fn is_challenged(&self, connection: ConnectionId) -> bool {
         let control = self.control.as_ref();
-        control
-            .and_then(|control| control.connections.get(&connection))
-            .is_some_and(|operator| operator.challenge.is_some())
+        let is_challenged = control.is_some_and(|control| control.is_challenged(connection));
+        let outcome = match parsed {
+            Ok(request) if is_challenged => return self.check_key(to, &request),
+            Ok(request) => self.execute_request(now, to, request),
+            Err(error) => Err(error.into()),
+        };
+        if let Some(reply) = reply_to_request(outcome) {
+            self.send_reply(to, &reply);
+        }
     }
 
     /// The first request on the control port must answer the challenge; any other closes the connection.
@@ -35,160 +95,92 @@
         let Some(control) = &mut self.control else {
             return;
         };
-        let Some(operator) = control.connections.get_mut(&to.connection) else {
-            return;
-        };
-        let challenge = operator.challenge.take().unwrap_or_default();
-        let is_right = match request {
-            Request::Auth(answer) => {
-                !challenge.is_empty() && key::is_right(&control.key, &challenge, answer)
-            }
-            _ => false,
-        };
-        if !is_right {
-            tracing::warn!("an operator's key was not right");
+        if !control.passes_challenge(to.connection, request) {
+            tracing::warn!("operator rejected: wrong key");
             return self.drop_operator(to.connection);
         }
         self.send_reply(to, &Reply::Done("welcome".into()));
     }
 
-    fn handle_request(&mut self, now: Micros, to: ReplyTo, request: Request) {
+    /// Carries a request out.
+    fn execute_request(
+        &mut self,
+        now: Micros,
+        to: ReplyTo,
+        request: Request,
+    ) -> Result<Answer, RequestRefusal> {
         match request {
-            Request::Auth(_) => self.send_done(to, "no key is needed here"),
-            Request::Snapshot => {
-                let line = self.snapshot_line(now, to.request);
-                self.send_line(to.connection, &line);
-            }
-            Request::Follow(millis) => self.follow_snapshots(now, to, millis * 1000),
-            Request::Events(follow) => self.send_events(to, follow),
-            Request::Drain { engine, force } => {
-                let message = format!("{engine} is drained: nothing new goes there");
-                self.order(now, to, Order::Drain { engine, force }, message);
-            }
-            Request::Resume(engine) => {
-                let message = format!("{engine} is resumed: it takes work again");
-                self.order(now, to, Order::Resume { engine }, message);
-            }
-            Request::Remove { engine, force } => {
-                let message = format!("{engine} is removed");
-                self.order(now, to, Order::Remove { engine, force }, message);
-            }
+            Request::Auth(_) => Ok(Answer::Done("no key is needed here".into())),
+            Request::Snapshot => Ok(self.send_snapshot(now, to)),
+            Request::Follow(millis) => Ok(self.follow_snapshots(now, to, millis * 1000)),
+            Request::Events(follow) => Ok(self.send_events(to, follow)),
+            Request::Drain { engine, force } => self.drain_engine(now, to, engine, force),
+            Request::Resume(engine) => self.resume_engine(now, to, engine),
+            Request::Remove { engine, force } => self.remove_engine(now, to, engine, force),
             Request::Add {
                 engine,
                 addr,
                 zone,
                 kind,
-            } => match self.parse_new_engine(engine, &addr, &zone, &kind) {
-                Ok(description) => {
-                    let message = format!("{} is added", description.name);
-                    self.order(now, to, Order::Add { description }, message);
-                }
-                Err(reason) => self.send_reply(to, &Reply::Refused(reason)),
-            },
-            Request::Pause => {
-                let state = self.pause(now, "an operator");
-                self.send_done(to, &state);
-            }
-            Request::Unpause => {
-                let state = self.resume_work(now, "an operator");
-                self.send_done(to, &state);
+            } => {
+                let description = self.parse_new_engine(engine, &addr, &zone, &kind)?;
+                self.add_engine(now, to, description)
             }
+            Request::Pause => Ok(Answer::Done(self.pause(now, ORIGIN))),
+            Request::Unpause => Ok(Answer::Done(self.resume_work(now, ORIGIN))),
             Request::Hold {
                 name,
                 for_s,
                 stays,
                 note,
-            } => self.hold(to, name, for_s, stays, note),
-            Request::Unhold(name) => self.unhold(to, &name),
-            Request::Roll(engines, is_dry_run) => self.begin_roll(now, to, engines, is_dry_run),
-            Request::Back => self.change_roll(now, to, "no engine is handed over", |roll, _| {
-                roll.confirm_engine_returned(now)
-            }),
-            Request::RollStop => {
-                self.change_roll(now, to, "there is no roll to stop", |roll, _| {
-                    roll.stop(now, "by an operator")
-                })
+            } => {
+                let hold = HoldRequest {
+                    name,
+                    seconds: for_s,
+                    stays,
+                    note,
+                };
+                Ok(self.hold(to, hold)?)
             }
-            Request::RollGoOn => self.change_roll(now, to, "no roll is stopped", |roll, state| {
-                roll.resume(now, state)
-            }),
+            Request::Unhold(name) => Ok(self.unhold(to, &name)?),
+            Request::Roll(engines, is_dry_run) => {
+                self.begin_rolling_restart(now, engines, is_dry_run)
+            }
+            Request::Back => self.confirm_engine_returned(now),
+            Request::RollStop => self.stop_rolling_restart(now),
+            Request::RollGoOn => self.resume_rolling_restart(now),
         }
     }
 
-    fn send_done(&mut self, to: ReplyTo, message: &str) {
-        self.send_reply(to, &Reply::Done(message.into()));
+    fn send_snapshot(&mut self, now: Micros, to: ReplyTo) -> Answer {
+        let line = self.snapshot_line(now, to.request);
+        self.send_line(to.connection, &line);
+        Answer::Deferred
     }
 
-    fn follow_snapshots(&mut self, now: Micros, to: ReplyTo, interval: Micros) {
-        let connections = self
-            .control
-            .as_mut()
-            .map(|control| &mut control.connections);
-        if let Some(operator) = connections.and_then(|all| all.get_mut(&to.connection)) {
-            operator.subscription = Some(Subscription {
-                request: to.request,
-                interval,
-                due: now,
-            });
+    fn follow_snapshots(&mut self, now: Micros, to: ReplyTo, interval: Micros) -> Answer {
+        if let Some(control) = &mut self.control {
+            control.subscribe_to_snapshots(now, to, interval);
         }
         self.cut_off_stuck_operators(now);
         self.send_due_snapshots(now);
+        Answer::Deferred
     }
 
     /// Sends the retained events; with `follow` also those that come, else the end of the list.
-    fn send_events(&mut self, to: ReplyTo, follow: bool) {
+    fn send_events(&mut self, to: ReplyTo, follow: bool) -> Answer {
         let Some(control) = &mut self.control else {
-            return;
+            return Answer::Deferred;
         };
-        if let Some(operator) = control.connections.get_mut(&to.connection) {
-            operator.events_request = follow.then_some(to.request).or(operator.events_request);
+        if follow {
+            control.subscribe_to_events(to);
         }
-        let lines: String = control
-            .events
-            .iter()
-            .map(|event| Reply::Event(event.at, event.message.clone()).line(to.request))
-            .collect();
+        let lines = control.events.lines(to.request);
         self.send_line(to.connection, &lines);
-        if !follow {
-            self.send_done(to, "");
+        if follow {
+            Answer::Deferred
+        } else {
+            Answer::Done(String::new())
         }
     }
-
-    /// The engine that an operator adds: zone and machine kind by name, the first ones where none is named.
-    fn parse_new_engine(
-        &self,
-        name: String,
-        address: &str,
-        zone: &str,
-        kind: &str,
-    ) -> Result<EngineDescription, String> {
-        let zone = index_of("building", zone, &self.config.zones)?;
-        let kind = index_of("machine kind", kind, &self.config.kinds)?;
-        let addr = match address {
-            "" => None,
-            text => Some(
-                text.parse()
-                    .map_err(|_| format!("{text} is no address; write it as 127.0.0.1:18123"))?,
-            ),
-        };
-        Ok(EngineDescription {
-            name,
-            addr,
-            zone,
-            kind,
-            cell: 0,
-            started_at: None,
-            phase: Phase::Ready,
-        })
-    }
-}
-
-/// A name's index among those that are known; the first for an empty name.
-fn index_of(what: &str, name: &str, known: &[String]) -> Result<u16, String> {
-    if name.is_empty() {
-        return Ok(0);
-    }
-    let index = known.iter().position(|known| known == name);
-    let index = index.and_then(|index| u16::try_from(index).ok());
-    index.ok_or_else(|| format!("there is no {what} {name}; there are {}", known.join(", ")))
 }
--- a/crates/coordinator/src/node/control/service.rs
+++ b/crates/coordinator/src/node/control/service.rs
@@ -1,12 +1,89 @@
-//! Records how well requests and engines are served, for operators.
+//! How well requests and engines are served, for operators and for rolling restarts.
 
 use crate::node::Node;
 use crate::service_window::{RequestOutcome, ServiceWindow};
 use driftfront_core::{EngineId, Micros};
+use std::collections::BTreeMap;
+
+/// How well one class of queries was served.
+pub(super) struct ClassService {
+    pub(super) minute: ServiceWindow,
+    pub(super) hour: ServiceWindow,
+}
+
+/// How well each class, and by each engine, was served.
+pub(super) struct ServiceRecords {
+    /// By the class's index.
+    classes: Vec<ClassService>,
+    /// The last minute of each engine that has served anything.
+    engines: BTreeMap<EngineId, ServiceWindow>,
+}
+
+impl ServiceRecords {
+    pub(super) fn new(classes: usize) -> ServiceRecords {
+        let classes = (0..classes).map(|_| ClassService {
+            minute: ServiceWindow::minute(),
+            hour: ServiceWindow::hour(),
+        });
+        ServiceRecords {
+            classes: classes.collect(),
+            engines: BTreeMap::new(),
+        }
+    }
+
+    /// The record of a class.
+    pub(super) fn class(&self, class: usize) -> Option<&ClassService> {
+        self.classes.get(class)
+    }
+
+    /// The record of an engine, if it has served anything.
+    pub(super) fn engine(&self, engine: EngineId) -> Option<&ServiceWindow> {
+        self.engines.get(&engine)
+    }
+
+    /// Records the end of a class's request.
+    fn record_request(
+        &mut self,
+        now: Micros,
+        class: usize,
+        outcome: RequestOutcome,
+        latency: Micros,
+        latency_objective: Micros,
+    ) {
+        if let Some(service) = self.classes.get_mut(class) {
+            service.minute.add(now, outcome, latency, latency_objective);
+            service.hour.add(now, outcome, latency, latency_objective);
+        }
+    }
+
+    /// Records an attempt that an engine has served.
+    fn record_engine_success(&mut self, now: Micros, engine: EngineId, latency: Micros) {
+        self.engines
+            .entry(engine)
+            .or_insert_with(ServiceWindow::minute)
+            .add(now, RequestOutcome::Served, latency, Micros::MAX);
+    }
+
+    /// The part of the last minute's requests that were served in time, each weighted by its class; `None` without requests.
+    pub(super) fn weighted_service_level(
+        &self,
+        now: Micros,
+        class_weight: impl Fn(usize) -> f64,
+    ) -> Option<f64> {
+        let mut requests = 0.0;
+        let mut served_in_time = 0.0;
+        for (class, service) in self.classes.iter().enumerate() {
+            let minute = service.minute.sum(now);
+            requests += class_weight(class) * minute.asked as f64;
+            served_in_time += class_weight(class) * minute.in_time as f64;
+        }
+        (requests > 0.0).then(|| served_in_time / requests)
+    }
+}
 
 impl Node {
-    /// A request of this class has ended that came in at `started`.
-    pub(in crate::node) fn ended(
+    /// Records the end of a class's request that came in at `started`.
+    pub(in crate::node) fn record_class_service(
         &mut self,
         now: Micros,
         class: u16,
@@ -16,18 +93,14 @@
         let class = usize::from(class);
         let settings = self.config.settings.classes.get(class);
         let objective = settings.map_or(0, |settings| settings.latency_objective);
-        let services = self
-            .control
-            .as_mut()
-            .map(|control| &mut control.class_service);
-        if let Some(service) = services.and_then(|services| services.get_mut(class)) {
+        if let Some(control) = &mut self.control {
             let latency = now.saturating_sub(started);
-            service.minute.add(now, outcome, latency, objective);
-            service.hour.add(now, outcome, latency, objective);
+            let service = &mut control.service;
+            service.record_request(now, class, outcome, latency, objective);
         }
     }
 
-    /// An engine has served an attempt.
+    /// Records an attempt that an engine has served.
     pub(in crate::node) fn record_engine_success(
         &mut self,
         now: Micros,
@@ -35,18 +108,14 @@
         latency: Micros,
     ) {
         if let Some(control) = &mut self.control {
-            control
-                .engine_service
-                .entry(engine)
-                .or_insert_with(ServiceWindow::minute)
-                .add(now, RequestOutcome::Served, latency, Micros::MAX);
+            control.service.record_engine_success(now, engine, latency);
         }
     }
 
-    /// An engine is gone for good.
+    /// Forgets the record of an engine that is gone for good.
     pub(in crate::node) fn forget_engine_window(&mut self, engine: EngineId) {
         if let Some(control) = &mut self.control {
-            control.engine_service.remove(&engine);
+            control.service.engines.remove(&engine);
         }
     }
 }
--- a/crates/coordinator/src/node/control/snapshot.rs
+++ b/crates/coordinator/src/node/control/snapshot.rs
@@ -1,6 +1,7 @@
 //! What operators see of the program: the snapshot that the console and the commands show.
 
-use super::CachedSnapshot;
+use super::service::ClassService;
+use super::Control;
 use crate::node::Node;
 use crate::service_window::ServiceWindow;
 use driftfront_control::snapshot::{Class, Engine, Query, Roll as RollView, Service, Snapshot};
@@ -20,6 +21,12 @@
 const NO_STATE_FOLDER: &str =
     "There is no state folder: drains and other orders are forgotten when the program ends.";
 
+/// A snapshot as JSON, and when it was made.
+pub(super) struct CachedSnapshot {
+    made_at: Micros,
+    json: String,
+}
+
 /// What runs on an engine.
 #[derive(Clone, Copy, Default)]
 pub(super) struct EngineLoad {
@@ -39,26 +46,39 @@
     last_heard: Micros,
 }
 
+impl Control {
+    /// The last snapshot's JSON, unless it is too old to be sent again.
+    fn fresh_snapshot(&self, now: Micros) -> Option<&str> {
+        let cached = self.snapshot.as_ref()?;
+        (now < cached.made_at + SNAPSHOT_MAX_AGE).then_some(&cached.json)
+    }
+
+    /// The rolling restart, as operators see it.
+    fn roll_view(&self) -> Option<RollView> {
+        let restart = self.rolling_restart.current()?;
+        Some(RollView {
+            stage: restart.stage.name().into(),
+            engine: restart.current().unwrap_or_default().into(),
+            left: restart.remaining.clone(),
+            through: restart.completed.clone(),
+            why: restart.status.to_string(),
+        })
+    }
+}
+
 impl Node {
     /// The line that answers a request for a snapshot.
     pub(super) fn snapshot_line(&mut self, now: Micros, request: u64) -> String {
-        let cached = self
-            .control
-            .as_ref()
-            .and_then(|control| control.snapshot.as_ref());
-        let is_fresh = cached.is_some_and(|cached| now < cached.made_at + SNAPSHOT_MAX_AGE);
-        if !is_fresh {
-            let json = self.snapshot(now).to_json().stringify().unwrap_or_default();
-            if let Some(control) = &mut self.control {
-                control.snapshot = Some(CachedSnapshot { made_at: now, json });
-            }
+        let control = self.control.as_ref();
+        if let Some(json) = control.and_then(|control| control.fresh_snapshot(now)) {
+            return snapshot_reply(request, json);
         }
-        let cached = self
-            .control
-            .as_ref()
-            .and_then(|control| control.snapshot.as_ref());
-        let json = cached.map_or("{}", |cached| &cached.json);
-        format!("{{\"id\":{request},\"snapshot\":{json}}}\n")
+        let json = self.snapshot(now).to_json().stringify().unwrap_or_default();
+        let line = snapshot_reply(request, &json);
+        if let Some(control) = &mut self.control {
+            control.snapshot = Some(CachedSnapshot { made_at: now, json });
+        }
+        line
     }
 
     fn snapshot(&self, now: Micros) -> Snapshot {
@@ -93,7 +113,7 @@
             classes: self.class_views(now, &open_by_class),
             queries,
             sessions: self.frontend.session_counts(),
-            roll: self.roll_view(),
+            roll: control.and_then(Control::roll_view),
             members: self.member_views(),
             agreed: self.consensus_view(),
         }
@@ -151,7 +171,7 @@
         // Silence begins with the work that the engine should say something of.
         let heard = connections.last_heard.max(load.oldest_sent);
         let control = self.control.as_ref();
-        let service = control.and_then(|control| control.engine_service.get(&engine.id));
+        let service = control.and_then(|control| control.service.engine(engine.id));
         let order = engine.active_order.as_ref();
         Engine {
             addr: engine.addr.to_string(),
@@ -160,7 +180,7 @@
             phase: phase_name(engine.phase).into(),
             listed: engine.listed.map(|phase| phase_name(phase).into()),
             added: engine.added,
-            order: order.map_or("", |order| order_word(order.order)).into(),
+            order: order.map_or("", |order| order_name(order.order)).into(),
             order_by: order.map_or(String::new(), |order| order.by.clone()),
             order_age_s: order.map_or(0, |order| seconds_since(now, order.since)),
             running: load.queries as u64,
@@ -209,34 +229,27 @@
 
     fn class_views(&self, now: Micros, open_by_class: &[u64]) -> Vec<Class> {
         let control = self.control.as_ref();
-        let services = control.map_or(&[][..], |control| &control.class_service);
         let names = self.config.classes.names.iter().zip(0u16..);
         let classes = names.map(|(name, class)| {
             let index = usize::from(class);
             let settings = self.config.settings.classes.get(index);
-            let service = services.get(index);
+            let service = control.and_then(|control| control.service.class(index));
             Class {
                 name: name.clone(),
                 wanted_ms: settings.map_or(0, |settings| settings.latency_objective / 1000),
                 once: self.is_single_shot(class),
                 open: open_by_class[index],
-                minute: sum_of(service.map(|service| &service.minute), now),
+                minute: sum_of(service.map(|service: &ClassService| &service.minute), now),
                 hour: sum_of(service.map(|service| &service.hour), now),
             }
         });
         classes.collect()
     }
+}
 
-    fn roll_view(&self) -> Option<RollView> {
-        let roll = self.control.as_ref()?.roll.as_ref()?;
-        Some(RollView {
-            stage: roll.stage.name().into(),
-            engine: roll.current().unwrap_or_default().into(),
-            left: roll.remaining.clone(),
-            through: roll.completed.clone(),
-            why: roll.status.to_string(),
-        })
-    }
+/// The reply that carries a snapshot's JSON.
+fn snapshot_reply(request: u64, json: &str) -> String {
+    format!("{{\"id\":{request},\"snapshot\":{json}}}\n")
 }
 
 fn name_at(names: &[String], index: u16) -> String {
@@ -247,7 +260,7 @@
     now.saturating_sub(since) / 1_000_000
 }
 
-fn order_word(order: EngineOrder) -> &'static str {
+fn order_name(order: EngineOrder) -> &'static str {
     match order {
         EngineOrder::Drain => "drain",
         EngineOrder::Remove => "remove",
--- a/crates/coordinator/src/node/event_loop.rs
+++ b/crates/coordinator/src/node/event_loop.rs
@@ -1,29 +1,27 @@
 //! The event loop: readiness events, timers and periodic checks, each guarded so that no panic ends the program.
 
-use super::{ConnectionId, EventSource, Node};
+use super::{ConnectionId, EventSource, Node, StartError};
 use crate::clock::Step;
 use crate::discovery::backoff::Disconnect;
 use calloop::generic::Generic;
 use calloop::signals::{Signal, Signals};
-use calloop::{EventLoop, Interest, Mode, PostAction, Readiness, RegistrationToken};
+use calloop::{EventLoop, Interest, Mode, PostAction, RegistrationToken};
 use driftfront_core::Micros;
+use std::io::ErrorKind;
 use std::net::TcpStream;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Connections are checked this often: connect time-outs, idle ends, accepts that were put off.
+/// Connections are checked this often: connect timeouts, idle ends, accepts that were put off.
 const CHECK_INTERVAL: Micros = 25_000;
 /// The loop waits no longer than this for events.
 const MAX_WAIT: Micros = 1_000_000;
 
 impl Node {
-    /// Runs until a signal has asked for the end and all that was accepted is answered.
-    ///
-    /// # Errors
-    ///
-    /// None today: what fails is logged, and the loop goes on.
-    pub fn run(mut self, mut events: EventLoop<'static, Node>) -> Result<(), String> {
+    /// Runs until a signal has asked for the end and all that was accepted is answered. What fails meanwhile is logged, and
+    /// the loop goes on.
+    pub fn run(mut self, mut events: EventLoop<'static, Node>) {
         let listen = self.listening_at();
         let management = self.management.addr().map(tracing::field::display);
         // Tests and the bench read this line, its target included.
@@ -33,26 +31,30 @@
             if self.can_end() {
                 break;
             }
-            let due = self
-                .core
-                .next_due()
-                .unwrap_or(u64::MAX)
-                .min(self.next_check);
-            let due = if self.deferred.is_empty() { due } else { 0 };
-            let wait = Duration::from_micros(due.saturating_sub(self.clock()).min(MAX_WAIT));
+            let wait = self.time_until_due();
             match events.dispatch(wait, &mut self) {
                 Ok(()) => {}
-                Err(calloop::Error::IoError(e)) if e.kind() == std::io::ErrorKind::Interrupted => {}
+                Err(calloop::Error::IoError(e)) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) => tracing::error!("event loop: {e}"),
             }
         }
         self.leave_cluster();
-        tracing::info!("all taken is answered\n{}", self.counters());
-        Ok(())
+        tracing::info!("all requests are answered\n{}", self.counters());
+    }
+
+    /// How long the loop may wait for events: until the next timer or periodic check, not at all with deferred connections.
+    fn time_until_due(&mut self) -> Duration {
+        let now = self.clock();
+        if !self.deferred.is_empty() {
+            return Duration::ZERO;
+        }
+        let next_timer = self.core.next_due().unwrap_or(Micros::MAX);
+        let due = next_timer.min(self.next_check);
+        Duration::from_micros(due.saturating_sub(now).min(MAX_WAIT))
     }
 
     /// Handles a readiness event.
-    fn handle_event(&mut self, source: EventSource, _readiness: Readiness) {
+    fn handle_event(&mut self, source: EventSource) {
         let now = self.clock();
         self.check_management(now);
         match source {
@@ -60,7 +62,7 @@
             EventSource::Client(id) => self.on_client_ready(now, id),
             EventSource::Engine(id) => self.on_engine_ready(now, id),
             EventSource::DiscoveryClient(id) => self.on_discovery_ready(now, id),
-            EventSource::Operators(place) => self.accept_operators(place),
+            EventSource::Operators(listener) => self.accept_operators(listener),
             EventSource::Operator(id) => self.handle_operator_ready(id),
             EventSource::Management => self.accept_callers(now),
             EventSource::Caller(id) => self.handle_caller_ready(now, id),
@@ -126,17 +128,14 @@
 
     /// Logs a step of the wall clock: the log's time stamps jump by that.
     fn log_wall_clock_step(&mut self) {
-        if let Some(Step(by)) = self.wall.check() {
-            let seconds = by as f64 / 1e6;
-            tracing::warn!(
-                seconds,
-                open = self.core.open_requests(),
-                "the wall clock was set"
-            );
+        if let Some(Step(step)) = self.wall.check() {
+            let step_seconds = step as f64 / 1e6;
+            let open_requests = self.core.open_requests();
+            tracing::warn!(step_seconds, open_requests, "wall clock step detected");
         }
     }
 
-    /// Does some work; a panic ends only that, and not the program. Returns whether it was done.
+    /// Does some work; a panic ends only that, and not the program. Returns whether the work was completed.
     pub(super) fn guard(&mut self, what: &str, work: impl FnOnce(&mut Node)) -> bool {
         let done = catch_unwind(AssertUnwindSafe(|| work(self))).is_ok();
         if !done {
@@ -147,7 +146,7 @@
         done
     }
 
-    /// Has readiness events of a socket handled as those of this source.
+    /// Registers a socket with the event loop: its readiness events are those of this source.
     pub(super) fn register_source<S: std::os::fd::AsFd + 'static>(
         &mut self,
         socket: Rc<S>,
@@ -156,8 +155,8 @@
         let generic = Generic::new(socket, Interest::BOTH, Mode::Edge);
         let token = self
             .handle
-            .insert_source(generic, move |readiness, _, node: &mut Node| {
-                if !node.guard("a connection", |node| node.handle_event(source, readiness)) {
+            .insert_source(generic, move |_readiness, _, node: &mut Node| {
+                if !node.guard("a connection", |node| node.handle_event(source)) {
                     node.guard("a close", |node| node.close_source(source));
                 }
                 Ok(PostAction::Continue)
@@ -170,12 +169,11 @@
         &mut self,
         socket: Rc<TcpStream>,
         source: EventSource,
-    ) -> Result<RegistrationToken, String> {
+    ) -> Result<RegistrationToken, calloop::Error> {
         self.register_source(socket, source)
-            .map_err(|e| e.to_string())
     }
 
-    /// Ends the events of a socket; its descriptor closes with the last holder.
+    /// Removes a socket from the event loop; its descriptor closes with the last holder.
     pub(super) fn unregister(&mut self, token: Option<RegistrationToken>) {
         if let Some(token) = token {
             self.handle.remove(token);
@@ -190,21 +188,21 @@
 }
 
 /// SIGTERM and SIGINT end the program once all that was accepted is answered; SIGHUP reads the configuration again.
-pub(super) fn register_signals(events: &EventLoop<'static, Node>) -> Result<(), String> {
+pub(super) fn register_signals(events: &EventLoop<'static, Node>) -> Result<(), StartError> {
     let signals = Signals::new(&[Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP])
-        .map_err(|e| format!("signals: {e}"))?;
+        .map_err(StartError::Signals)?;
     let on_signal = |event: calloop::signals::Event, _: &mut (), node: &mut Node| {
         if event.signal() == Signal::SIGHUP {
             node.guard("a new configuration", Node::reload);
             return;
         }
-        tracing::info!(signal = ?event.signal(), "stopping once all taken is answered");
+        tracing::info!(signal = ?event.signal(), "shutting down once all requests are answered");
         let now = node.clock();
         node.lifecycle.begin_ending(now);
     };
     events
         .handle()
         .insert_source(signals, on_signal)
-        .map(|_| ())
-        .map_err(|e| format!("signals: {e}"))
+        .map_err(|refused| StartError::SignalEvents(refused.error))?;
+    Ok(())
 }
--- a/crates/coordinator/src/node/mod.rs
+++ b/crates/coordinator/src/node/mod.rs
@@ -11,6 +11,7 @@
 //! | `lifecycle`, `upgrade` | ready, paused, handing over, ending; exchange with other processes of this coordinator |
 //! | `control`, `management` | operators: the control socket, and the line protocol |
 //! | `cluster` | other coordinators, and the consensus log |
+//! | `start_error` | why a coordinator does not start |
 //! | `counters` | what `/counters` shows |
 
 mod clients;
@@ -24,9 +25,12 @@
 mod lifecycle;
 mod management;
 mod registry;
+mod start_error;
 mod upgrade;
 
-pub use self::cluster::{read_keys, KeyFileError};
+pub use self::cluster::{read_keys, ClusterStartError, KeyFileError};
+pub use self::control::ControlSocketError;
+pub use self::start_error::StartError;
 use crate::backends::{clickhouse::HttpSession, engine_protocol::LineSession, EngineSession};
 use crate::clock::{Clock, StepWatch};
 use crate::config::{Config, Protocol};
@@ -63,7 +67,6 @@
     registry: EngineRegistry,
     /// What is retained for operators, where the configuration asks for that.
     control: Option<control::Control>,
-    operators: Vec<control::OperatorListener>,
     discovery: DiscoveryClient,
     /// Other coordinators, where the configuration names a cluster.
     cluster: Option<Box<cluster::ClusterRuntime>>,
@@ -97,8 +100,8 @@
     ///
     /// # Errors
     ///
-    /// An address, a socket, a state folder or a key that can't be had, in the words that staff read.
-    pub fn new(config: Config, events: &EventLoop<'static, Node>) -> Result<Node, String> {
+    /// An address, a socket, a state folder or a key that can't be had.
+    pub fn new(config: Config, events: &EventLoop<'static, Node>) -> Result<Node, StartError> {
         let start = upgrade::open_listener(&config)?;
         let is_passed = start.is_passed;
         let mut node = Node::with_sockets(config, start, events);
@@ -116,7 +119,7 @@
         if let Some(socket) = node.listener.socket.clone() {
             let token = node
                 .register_source(socket, EventSource::Listener)
-                .map_err(|e| format!("event loop: {e}"))?;
+                .map_err(StartError::RegisterSocket)?;
             node.listener.token = Some(token);
         }
         Ok(node)
@@ -144,7 +147,6 @@
             engines: Engines::default(),
             registry: EngineRegistry::new(),
             control: None,
-            operators: Vec::new(),
             discovery: DiscoveryClient::new(&config.discovery, config.known_index, backoff),
             cluster: None,
             next_check: now,
@@ -172,7 +174,7 @@
     /// For the log, and for operators.
     fn notify_operators(&mut self, now: Micros, words: String) {
         match self.control {
-            Some(_) => self.event(now, words),
+            Some(_) => self.record_event(now, words),
             None => tracing::info!("{words}"),
         }
     }
--- a/crates/coordinator/src/node/registry.rs
+++ b/crates/coordinator/src/node/registry.rs
@@ -48,7 +48,7 @@
         }
         self.core.update_engines(now, change.kind, &change.lines);
         for words in &change.messages {
-            self.event(now, words.clone());
+            self.record_event(now, words.clone());
         }
         self.update_lifecycle(now);
         self.execute_commands();
