--- a/crates/coordinator/src/node/cluster.rs
+++ b/crates/coordinator/src/node/cluster.rs
@@ -57,10 +57,59 @@
 }
 
 impl ClusterRuntime {
-    /// The cluster's time in microseconds. It must not jump with the system's: nobody can set it.
+    /// The cluster's time in microseconds. It does not jump with the wall clock: nobody can set it.
     fn clock(&self) -> Micros {
         self.started_at + elapsed_micros(self.started)
     }
+
+    /// Publishes this process's state, where it has changed.
+    fn update_state(&mut self, now: Micros, state: State) {
+        if self.metadata.state != state {
+            self.metadata.state = state;
+            self.metadata.since_ms = now / 1000;
+            self.agent.update_metadata(&self.metadata);
+        }
+    }
+
+    /// Runs the agent's timers.
+    fn tick(&mut self) {
+        let clock = self.clock();
+        self.agent.tick(clock);
+    }
+
+    /// Applies the coordinators that the engines' list names; returns whether that has changed them.
+    fn update_discovered_seeds(&mut self, update: &EngineListUpdate) -> bool {
+        let before = self.discovered_seeds.clone();
+        let seeds = &mut self.discovered_seeds;
+        if update.kind == ListKind::Full {
+            seeds.clear();
+        }
+        // A line that takes a coordinator out looks as one that takes an engine out.
+        let lines = update.descriptions.iter();
+        for gone in lines.filter(|line| line.phase == Phase::Gone) {
+            seeds.remove(&gone.name);
+        }
+        let named = update.coordinators.iter().take(MAX_DISCOVERED_SEEDS);
+        seeds.extend(named.cloned());
+        while seeds.len() > MAX_DISCOVERED_SEEDS {
+            seeds.pop_last();
+        }
+        *seeds != before
+    }
+
+    /// Gives the agent its seeds: those of the operator's file, and those of the engines' list.
+    fn apply_seeds(&mut self, configured: &[SocketAddr]) {
+        let discovered = self.discovered_seeds.values();
+        let seeds = configured.iter().chain(discovered).copied();
+        self.agent.change_seeds(seeds.collect());
+    }
+
+    /// Leaves the cluster: the others need not find out that this process ends.
+    fn leave(&mut self) {
+        let clock = self.clock();
+        self.agent.leave(clock);
+        self.send_datagrams();
+    }
 }
 
 fn member_state(state: lifecycle::State) -> State {
@@ -111,12 +160,12 @@
         here: SocketAddr,
     ) -> ClusterRuntime {
         let now = self.clock();
-        let drawn = self.config.seed ^ now.rotate_left(32) ^ u64::from(std::process::id());
+        let entropy = self.config.seed ^ now.rotate_left(32) ^ u64::from(std::process::id());
         #[allow(
             clippy::cast_possible_truncation,
             reason = "a random number of 32 bits is wanted"
         )]
-        let random = crate::net::fnv1a_64(&drawn.to_le_bytes()) as u32;
+        let random = crate::net::fnv1a_64(&entropy.to_le_bytes()) as u32;
         let session = Identity::session_at(now, random);
         let metadata = MemberMetadata {
             zone: config.zone,
@@ -164,68 +213,43 @@
         }
         let state = member_state(self.lifecycle.state());
         let now = self.now;
-        let Some(cluster) = self.cluster.as_mut() else {
+        let Some(cluster) = &mut self.cluster else {
             return;
         };
-        if cluster.metadata.state != state {
-            cluster.metadata.state = state;
-            cluster.metadata.since_ms = now / 1000;
-            cluster.agent.update_metadata(&cluster.metadata);
-        }
-        // With each check: an agent that is looked at seldom could not tell that from being held up.
-        let clock = cluster.clock();
-        cluster.agent.tick(clock);
+        cluster.update_state(now, state);
+        // With each check: an agent that ticks seldom could not tell that from being held up.
+        cluster.tick();
         self.update_consensus(state);
-        self.send_datagrams();
+        if let Some(cluster) = &mut self.cluster {
+            cluster.send_datagrams();
+        }
     }
 
     /// The engines' list has named coordinators, or some that are gone.
     pub(super) fn update_discovered_seeds(&mut self, update: &EngineListUpdate) {
-        let Some(cluster) = self.cluster.as_mut() else {
-            return;
-        };
-        let before = cluster.discovered_seeds.clone();
-        let seeds = &mut cluster.discovered_seeds;
-        if update.kind == ListKind::Full {
-            seeds.clear();
-        }
-        // A line that takes a coordinator out looks as one that takes an engine out.
-        let lines = update.descriptions.iter();
-        for gone in lines.filter(|line| line.phase == Phase::Gone) {
-            seeds.remove(&gone.name);
-        }
-        let named = update.coordinators.iter().take(MAX_DISCOVERED_SEEDS);
-        seeds.extend(named.cloned());
-        while seeds.len() > MAX_DISCOVERED_SEEDS {
-            seeds.pop_last();
-        }
-        if *seeds != before {
+        let cluster = self.cluster.as_mut();
+        if cluster.is_some_and(|cluster| cluster.update_discovered_seeds(update)) {
             self.apply_seeds();
         }
     }
 
     /// Gives the agent the seeds of the operator's file and of the engines' list.
     fn apply_seeds(&mut self) {
-        let config = self.config.cluster.as_ref();
-        let mut seeds = config.map_or(Vec::new(), |config| config.seeds.clone());
-        if let Some(cluster) = self.cluster.as_mut() {
-            seeds.extend(cluster.discovered_seeds.values());
-            cluster.agent.change_seeds(seeds);
+        if let (Some(cluster), Some(config)) = (&mut self.cluster, &self.config.cluster) {
+            cluster.apply_seeds(&config.seeds);
         }
     }
 
-    /// Says goodbye: the others need not find out that this process ends.
+    /// Leaves the cluster, at the end of this process.
     pub(super) fn leave_cluster(&mut self) {
-        if let Some(cluster) = self.cluster.as_mut() {
-            let clock = cluster.clock();
-            cluster.agent.leave(clock);
-            self.send_datagrams();
+        if let Some(cluster) = &mut self.cluster {
+            cluster.leave();
         }
     }
 
     /// SIGHUP: keys and seeds are read again; a mistaken file leaves the old ones.
     pub(super) fn reload_cluster(&mut self, new: Option<&ClusterConfig>) {
-        let (Some(cluster), Some(new)) = (self.cluster.as_mut(), new) else {
+        let (Some(cluster), Some(new)) = (&mut self.cluster, new) else {
             return;
         };
         match read_keys(&new.key_file) {
@@ -237,7 +261,7 @@
                 }
                 self.apply_seeds();
             }
-            Err(e) => tracing::error!("fleet: the old keys stay: {e}"),
+            Err(error) => tracing::error!("fleet: the old keys stay: {error}"),
         }
     }
 }
--- a/crates/coordinator/src/node/cluster/consensus.rs
+++ b/crates/coordinator/src/node/cluster/consensus.rs
@@ -16,7 +16,7 @@
 /// How often the lock is tried again while another process of this coordinator has it.
 const LOCK_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What the host keeps of the consensus log.
+/// What the host holds of the consensus log.
 #[derive(Default)]
 pub(super) struct ConsensusHost {
     writer: LogWriter,
@@ -45,55 +45,126 @@
 }
 
 impl ConsensusHost {
+    /// Whether the log may be opened now.
     fn may_open(&self) -> bool {
         !self.is_closed && self.next_attempt.is_none_or(|at| Instant::now() >= at)
     }
 }
 
+/// The log's file, as far as there is one.
+enum LogFile {
+    /// There is no state folder.
+    None,
+    /// Another process of this coordinator has it.
+    LockedElsewhere,
+    /// This process has it.
+    Open { bytes: Vec<u8>, writer: FileWriter },
+}
+
+impl ClusterRuntime {
+    /// Whether the log is not open, and may be opened now.
+    fn is_log_wanted(&self) -> bool {
+        self.agent.consensus().is_none() && self.consensus.may_open()
+    }
+
+    /// The log's disk has failed: nothing more is retained, and so nothing more said.
+    fn stop_log_writes(&mut self) {
+        self.consensus.writer.close();
+        self.consensus.is_closed = true;
+    }
+
+    /// Hands what must be retained to the disk.
+    pub(super) fn persist_log_writes(&mut self) {
+        while let Some(write) = self.agent.next_write() {
+            self.consensus.writer.push(write);
+        }
+        self.consensus.writer.submit();
+    }
+
+    /// Releases the log: the next process of this name needs it. What was requested here is not waited for.
+    fn close_log(&mut self) {
+        if std::mem::replace(&mut self.consensus.is_closed, true) {
+            return;
+        }
+        self.persist_log_writes();
+        self.agent.close_consensus();
+        self.consensus.writer.close();
+    }
+
+    /// Counters of the consensus log, by name; none where this process takes no part in it.
+    pub(super) fn consensus_counters(&self) -> Vec<(&'static str, u64)> {
+        let Some(consensus) = self.agent.consensus() else {
+            return Vec::new();
+        };
+        let counters = consensus.counters();
+        let view = consensus.view();
+        let is_leader = consensus.replica().is_some_and(|replica| replica.leads());
+        vec![
+            ("agreed_votes", u64::from(view.role == Role::Voting)),
+            ("agreed_leads", u64::from(is_leader)),
+            ("agreed_index", view.index),
+            ("agreed_lent_now", view.leases.len() as u64),
+            ("agreed_asked", counters.requests_sent),
+            ("agreed_unanswered", counters.timed_out),
+            ("agreed_turned_away", counters.rejected),
+            ("agreed_lent", counters.granted),
+            ("agreed_ended", counters.ended),
+            ("agreed_given_back_late", counters.released_late),
+            ("agreed_leaders_seen", counters.leaders),
+            ("agreed_replicas_lost", counters.replicas_lost),
+            ("agreed_voters_changed", counters.voter_changes),
+            ("agreed_words_unread", counters.malformed),
+            ("agreed_words_foreign", counters.other_log),
+            ("agreed_clock_back", counters.clock_set_back),
+            ("agreed_disk_failed", self.consensus.failures),
+        ]
+    }
+}
+
 impl Node {
     /// Takes part in the consensus log, or waits for another process of this coordinator to release it.
     pub(super) fn open_log(&mut self) {
         let Some(config) = self.config.cluster.clone() else {
             return;
         };
+        let cluster = self.cluster.as_ref();
+        if !cluster.is_some_and(|cluster| cluster.is_log_wanted()) {
+            return;
+        }
+        let opened = self.open_log_file();
         let Some(cluster) = self.cluster.as_mut() else {
             return;
         };
-        if cluster.agent.consensus().is_some() || !cluster.consensus.may_open() {
-            return;
-        }
         let mut options = Options {
             initial_voters: config.voters,
             replace_after: config.replace_after,
             zone: config.zone,
             file: None,
         };
-        match self.open_log_file() {
+        let mut file_error = None;
+        match opened {
             Ok(LogFile::None) => {}
             Ok(LogFile::LockedElsewhere) => {
-                if let Some(cluster) = self.cluster.as_mut() {
-                    cluster.consensus.next_attempt = Some(Instant::now() + LOCK_RETRY_INTERVAL);
-                }
+                cluster.consensus.next_attempt = Some(Instant::now() + LOCK_RETRY_INTERVAL);
                 return;
             }
             Ok(LogFile::Open { bytes, writer }) => {
                 options.file = Some(bytes);
-                if let Some(cluster) = self.cluster.as_mut() {
-                    cluster.consensus.writer.open(writer);
-                }
+                cluster.consensus.writer.open(writer);
             }
-            Err(reason) => {
-                // It reads and asks: one that can't keep what it was told must not decide as if it did.
+            Err(error) => {
+                // It only observes and requests: one that can't retain what it was sent must not vote as if it did.
                 options.initial_voters.clear();
-                if let Some(cluster) = self.cluster.as_mut() {
-                    cluster.consensus.writer.close();
-                }
-                self.report_log_failure(&reason);
+                cluster.consensus.writer.close();
+                file_error = Some(error);
             }
         }
-        let cluster = self.cluster.as_mut();
-        if let Some(Some(wrong)) = cluster.map(|cluster| cluster.agent.open_consensus(options)) {
-            self.report_log_failure(&wrong);
+        let log_error = cluster.agent.open_consensus(options);
+        if let Some(error) = file_error {
+            self.report_log_failure(&error);
+        }
+        if let Some(error) = log_error {
+            self.report_log_failure(&error);
         }
     }
 
@@ -102,8 +173,7 @@
         let Some(folder) = &self.config.state_folder else {
             return Ok(LogFile::None);
         };
-        let opened = LockedLogFile::open(folder)?;
-        let Some(mut file) = opened else {
+        let Some(mut file) = LockedLogFile::open(folder)? else {
             return Ok(LogFile::LockedElsewhere);
         };
         let bytes = std::mem::take(&mut file.bytes);
@@ -127,103 +197,39 @@
         Ok(writer)
     }
 
-    fn report_log_failure(&mut self, reason: &dyn Display) {
-        let now = self.now;
-        if let Some(cluster) = self.cluster.as_mut() {
+    fn report_log_failure(&mut self, error: &dyn Display) {
+        if let Some(cluster) = &mut self.cluster {
             cluster.consensus.failures += 1;
         }
-        tracing::error!("what is agreed: {reason}");
-        self.record_event(now, format!("What is agreed can't be kept: {reason}"));
+        tracing::error!(%error, "consensus log can't be used");
+        let message = format!("What is agreed can't be kept: {error}");
+        self.record_event(self.now, message);
     }
 
     fn handle_log_written(&mut self, completed: WriteCompleted) {
+        let Some(cluster) = self.cluster.as_mut() else {
+            return;
+        };
         match completed.result {
             Ok(()) => {
-                if let Some(cluster) = self.cluster.as_mut() {
-                    cluster.agent.confirm_write(completed.id);
-                }
-                self.send_datagrams();
+                cluster.agent.confirm_write(completed.id);
+                cluster.send_datagrams();
             }
             Err(error) => {
-                if let Some(cluster) = self.cluster.as_mut() {
-                    // What stands behind a write that failed is of no use: nothing more is kept, and so nothing more said.
-                    cluster.consensus.writer.close();
-                    cluster.consensus.is_closed = true;
-                }
+                cluster.stop_log_writes();
                 self.report_log_failure(&error);
             }
         }
     }
 
-    /// Hands what must be kept to the disk.
-    pub(super) fn persist_log_writes(&mut self) {
-        let Some(cluster) = self.cluster.as_mut() else {
-            return;
-        };
-        while let Some(write) = cluster.agent.next_write() {
-            cluster.consensus.writer.push(write);
-        }
-        cluster.consensus.writer.submit();
-    }
-
     /// Periodic work: the log is opened, or released where this process ends, and outcomes are reported.
     pub(super) fn update_consensus(&mut self, state: State) {
         self.open_log();
-        let is_closed = |cluster: &ClusterRuntime| cluster.consensus.is_closed;
-        if state == State::Ending && !self.cluster.as_deref().is_none_or(is_closed) {
-            self.close_log();
+        if state == State::Ending {
+            if let Some(cluster) = &mut self.cluster {
+                cluster.close_log();
+            }
         }
         self.reply_to_decided_holds();
     }
-
-    /// Releases the log: the next process of this name needs it. What was asked for here is not waited for.
-    fn close_log(&mut self) {
-        if let Some(cluster) = self.cluster.as_mut() {
-            cluster.consensus.is_closed = true;
-        }
-        self.persist_log_writes();
-        if let Some(cluster) = self.cluster.as_mut() {
-            cluster.agent.close_consensus();
-            cluster.consensus.writer.close();
-        }
-    }
-}
-
-/// The log's file, as far as there is one.
-enum LogFile {
-    /// There is no state folder.
-    None,
-    /// Another process of this coordinator has it.
-    LockedElsewhere,
-    /// This process has it.
-    Open { bytes: Vec<u8>, writer: FileWriter },
-}
-
-/// Counters of the consensus log, by name.
-pub(super) fn counters(cluster: &ClusterRuntime) -> Vec<(&'static str, u64)> {
-    let Some(consensus) = cluster.agent.consensus() else {
-        return Vec::new();
-    };
-    let counters = consensus.counters();
-    let view = consensus.view();
-    let is_leader = consensus.replica().is_some_and(|replica| replica.leads());
-    vec![
-        ("agreed_votes", u64::from(view.role == Role::Voting)),
-        ("agreed_leads", u64::from(is_leader)),
-        ("agreed_index", view.index),
-        ("agreed_lent_now", view.leases.len() as u64),
-        ("agreed_asked", counters.requests_sent),
-        ("agreed_unanswered", counters.timed_out),
-        ("agreed_turned_away", counters.rejected),
-        ("agreed_lent", counters.granted),
-        ("agreed_ended", counters.ended),
-        ("agreed_given_back_late", counters.released_late),
-        ("agreed_leaders_seen", counters.leaders),
-        ("agreed_replicas_lost", counters.replicas_lost),
-        ("agreed_voters_changed", counters.voter_changes),
-        ("agreed_words_unread", counters.malformed),
-        ("agreed_words_foreign", counters.other_log),
-        ("agreed_clock_back", counters.clock_set_back),
-        ("agreed_disk_failed", cluster.consensus.failures),
-    ]
 }
--- a/crates/coordinator/src/node/cluster/holds.rs
+++ b/crates/coordinator/src/node/cluster/holds.rs
@@ -5,7 +5,7 @@
 use crate::node::Node;
 use driftfront_cluster::consensus::leases::{Command, Outcome, MAX_TEXT_BYTES};
 use driftfront_cluster::consensus::{GrantedLease, RequestError, Role};
-use driftfront_control::snapshot::{Consensus as AgreedView, Held, Voter};
+use driftfront_control::snapshot::{Consensus as ConsensusView, Held, Voter};
 use driftfront_core::Micros;
 
 /// Before an operator's name of a hold: leases for other purposes have other names.
@@ -27,6 +27,24 @@
     pub(in crate::node) note: String,
 }
 
+impl HoldRequest {
+    /// The command that acquires the lease.
+    fn acquire_command(&self) -> Result<Command, HoldError> {
+        let resource = format!("{HOLD_PREFIX}{}", self.name);
+        if resource.len() > MAX_TEXT_BYTES || self.note.len() > MAX_TEXT_BYTES {
+            return Err(HoldError::TextTooLong);
+        }
+        Ok(Command::Acquire {
+            resource,
+            amount: 1,
+            limit: 1,
+            duration: self.seconds.saturating_mul(1_000_000),
+            stays: self.stays,
+            note: self.note.clone(),
+        })
+    }
+}
+
 /// Why a hold is not granted, or not released. `Display` is what the operator reads.
 #[derive(Debug, thiserror::Error)]
 pub(in crate::node) enum HoldError {
@@ -86,122 +104,77 @@
     name: String,
 }
 
-impl Node {
-    /// Replies to operators whose requests have been decided, or never will be.
-    pub(super) fn reply_to_decided_holds(&mut self) {
-        while let Some((request, outcome)) = self.next_outcome() {
-            let cluster = self.cluster.as_mut();
-            let pending =
-                cluster.and_then(|cluster| cluster.consensus.pending_holds.remove(&request));
-            let Some(pending) = pending else {
-                continue;
-            };
-            let now = self.now;
-            let outcome = describe_outcome(pending.name, &outcome);
-            if let Ok(message) = &outcome {
-                self.record_event(now, format!("{message}, by an operator"));
-            }
-            self.reply_to_hold(pending.reply_to, outcome);
-        }
-        self.refuse_pending_after_close();
-    }
+/// A request for a hold that was decided, or never will be.
+struct DecidedHold {
+    reply_to: ReplyTo,
+    outcome: Result<String, HoldError>,
+}
 
-    fn reply_to_hold(&mut self, to: ReplyTo, outcome: Result<String, HoldError>) {
-        let answer = outcome.map(Answer::Done).map_err(RequestRefusal::from);
-        if let Some(reply) = reply_to_request(answer) {
-            self.send_reply(to, &reply);
+impl ClusterRuntime {
+    /// Requests a hold's release, whoever has it.
+    fn request_release(&mut self, to: ReplyTo, name: String) -> Result<(), HoldError> {
+        let resource = format!("{HOLD_PREFIX}{name}");
+        let view = self.agent.consensus().ok_or(HoldError::NoConsensus)?.view();
+        let mut granted = view.leases.into_iter();
+        let held = granted.find(|granted| granted.lease.resource == resource);
+        match held {
+            Some(GrantedLease { fence, .. }) => self.propose(to, name, Command::Revoke { fence }),
+            None => Err(HoldError::NotHeld { name }),
         }
     }
 
-    fn next_outcome(&mut self) -> Option<(u64, Result<Outcome, RequestError>)> {
-        let cluster = self.cluster.as_mut()?;
-        let clock = cluster.clock();
-        let outcome = cluster
-            .agent
-            .with_consensus(clock, |consensus, _| consensus.next_outcome());
-        outcome.flatten()
-    }
-
-    /// Once the log is closed here, nothing that still waits will be decided.
-    fn refuse_pending_after_close(&mut self) {
-        let Some(cluster) = self.cluster.as_mut() else {
-            return;
-        };
-        if cluster.agent.consensus().is_some() {
-            return;
+    /// Proposes a command about the hold of this name to the log.
+    fn propose(&mut self, to: ReplyTo, name: String, command: Command) -> Result<(), HoldError> {
+        if self.agent.consensus().is_none() {
+            return Err(HoldError::NoConsensus);
         }
-        let pending = std::mem::take(&mut cluster.consensus.pending_holds);
-        for PendingHold { reply_to, name } in pending.into_values() {
-            self.reply_to_hold(reply_to, Err(HoldError::LogClosed { name }));
+        let clock = self.clock();
+        let request = self.agent.with_consensus(clock, |consensus, clock| {
+            consensus.submit(clock, command, MAJORITY_TIMEOUT)
+        });
+        if let Some(request) = request {
+            let pending = PendingHold { reply_to: to, name };
+            self.consensus.pending_holds.insert(request, pending);
         }
+        Ok(())
     }
 
-    /// Requests a hold; the reply is sent once it is decided.
-    pub(in crate::node) fn hold(
-        &mut self,
-        to: ReplyTo,
-        hold: HoldRequest,
-    ) -> Result<Answer, HoldError> {
-        let resource = format!("{HOLD_PREFIX}{}", hold.name);
-        if resource.len() > MAX_TEXT_BYTES || hold.note.len() > MAX_TEXT_BYTES {
-            return Err(HoldError::TextTooLong);
+    /// The next request of an operator that the log has decided.
+    fn next_decided_hold(&mut self) -> Option<DecidedHold> {
+        loop {
+            let clock = self.clock();
+            let outcome = self
+                .agent
+                .with_consensus(clock, |consensus, _| consensus.next_outcome());
+            let (request, outcome) = outcome.flatten()?;
+            if let Some(pending) = self.consensus.pending_holds.remove(&request) {
+                return Some(DecidedHold {
+                    reply_to: pending.reply_to,
+                    outcome: describe_outcome(pending.name, &outcome),
+                });
+            }
         }
-        let command = Command::Acquire {
-            resource,
-            amount: 1,
-            limit: 1,
-            duration: hold.seconds.saturating_mul(1_000_000),
-            stays: hold.stays,
-            note: hold.note,
-        };
-        self.propose_hold_command(to, hold.name, |_| Ok(command))
-    }
-
-    /// Requests a hold's end, whoever took it.
-    pub(in crate::node) fn unhold(&mut self, to: ReplyTo, name: &str) -> Result<Answer, HoldError> {
-        let resource = format!("{HOLD_PREFIX}{name}");
-        self.propose_hold_command(to, name.into(), |cluster| {
-            let view = cluster.agent.consensus().map(|consensus| consensus.view());
-            let granted = view.map(|view| view.leases).unwrap_or_default();
-            let held = granted
-                .into_iter()
-                .find(|granted| granted.lease.resource == resource);
-            held.map(|granted| Command::Revoke {
-                fence: granted.fence,
-            })
-            .ok_or_else(|| HoldError::NotHeld { name: name.into() })
-        })
     }
 
-    fn propose_hold_command(
-        &mut self,
-        to: ReplyTo,
-        name: String,
-        command: impl FnOnce(&ClusterRuntime) -> Result<Command, HoldError>,
-    ) -> Result<Answer, HoldError> {
-        let cluster = self.cluster.as_mut();
-        let cluster = cluster.filter(|cluster| cluster.agent.consensus().is_some());
-        let cluster = cluster.ok_or(HoldError::NoConsensus)?;
-        let command = command(cluster)?;
-        let clock = cluster.clock();
-        let request = cluster.agent.with_consensus(clock, |consensus, clock| {
-            consensus.submit(clock, command, MAJORITY_TIMEOUT)
-        });
-        if let Some(request) = request {
-            let pending = PendingHold { reply_to: to, name };
-            cluster.consensus.pending_holds.insert(request, pending);
+    /// Once the log is closed here, nothing that still waits will be decided.
+    fn take_undecidable_holds(&mut self) -> Vec<DecidedHold> {
+        if self.agent.consensus().is_some() {
+            return Vec::new();
         }
-        self.reply_to_decided_holds();
-        self.send_datagrams();
-        Ok(Answer::Deferred)
+        let pending = std::mem::take(&mut self.consensus.pending_holds);
+        let undecidable = pending.into_values().map(|pending| DecidedHold {
+            reply_to: pending.reply_to,
+            outcome: Err(HoldError::LogClosed { name: pending.name }),
+        });
+        undecidable.collect()
     }
 
-    /// The consensus log and its holds, for operators.
-    pub(in crate::node) fn consensus_view(&self) -> Option<AgreedView> {
-        let view = self.cluster.as_ref()?.agent.consensus()?.view();
+    /// The consensus log and its holds, for operators; `None` where this process takes no part in it.
+    fn consensus_view(&self) -> Option<ConsensusView> {
+        let view = self.agent.consensus()?.view();
         let voters = view.voters.into_iter();
         let holds = view.leases.into_iter();
-        Some(AgreedView {
+        Some(ConsensusView {
             part: role_name(view.role).into(),
             leader: view.leader.unwrap_or_default(),
             term: view.term,
@@ -218,6 +191,70 @@
     }
 }
 
+impl Node {
+    /// Requests a hold; the reply is sent once it is decided.
+    pub(in crate::node) fn hold(
+        &mut self,
+        to: ReplyTo,
+        hold: HoldRequest,
+    ) -> Result<Answer, HoldError> {
+        let command = hold.acquire_command()?;
+        let cluster = self.cluster.as_mut().ok_or(HoldError::NoConsensus)?;
+        cluster.propose(to, hold.name, command)?;
+        self.send_hold_request();
+        Ok(Answer::Deferred)
+    }
+
+    /// Requests a hold's release, whoever has it; the reply is sent once it is decided.
+    pub(in crate::node) fn unhold(
+        &mut self,
+        to: ReplyTo,
+        name: String,
+    ) -> Result<Answer, HoldError> {
+        let cluster = self.cluster.as_mut().ok_or(HoldError::NoConsensus)?;
+        cluster.request_release(to, name)?;
+        self.send_hold_request();
+        Ok(Answer::Deferred)
+    }
+
+    /// Sends a request to the other coordinators, once what is decided already is replied.
+    fn send_hold_request(&mut self) {
+        self.reply_to_decided_holds();
+        if let Some(cluster) = &mut self.cluster {
+            cluster.send_datagrams();
+        }
+    }
+
+    /// Replies to operators whose requests have been decided, or never will be.
+    pub(super) fn reply_to_decided_holds(&mut self) {
+        while let Some(decided) = self.cluster.as_mut().and_then(|c| c.next_decided_hold()) {
+            if let Ok(message) = &decided.outcome {
+                let event = format!("{message}, by an operator");
+                self.record_event(self.now, event);
+            }
+            self.reply_to_hold(decided);
+        }
+        let cluster = self.cluster.as_mut();
+        let undecidable = cluster.map_or(Vec::new(), |cluster| cluster.take_undecidable_holds());
+        for decided in undecidable {
+            self.reply_to_hold(decided);
+        }
+    }
+
+    fn reply_to_hold(&mut self, decided: DecidedHold) {
+        let outcome = decided.outcome;
+        let answer = outcome.map(Answer::Done).map_err(RequestRefusal::from);
+        if let Some(reply) = reply_to_request(answer) {
+            self.send_reply(decided.reply_to, &reply);
+        }
+    }
+
+    /// The consensus log and its holds, for operators.
+    pub(in crate::node) fn consensus_view(&self) -> Option<ConsensusView> {
+        self.cluster.as_ref()?.consensus_view()
+    }
+}
+
 fn role_name(role: Role) -> &'static str {
     match role {
         Role::Bootstrapping => "founds",
--- a/crates/coordinator/src/node/cluster/views.rs
+++ b/crates/coordinator/src/node/cluster/views.rs
@@ -1,28 +1,22 @@
 //! What operators see of the cluster: its members, and counters.
 
-use super::consensus;
+use super::ClusterRuntime;
 use crate::node::Node;
 use driftfront_cluster::{MemberStatus, MemberView};
 use driftfront_control::snapshot::Member;
 
-impl Node {
-    /// The members, as this process knows them; none without a cluster.
-    pub(in crate::node) fn member_views(&self) -> Vec<Member> {
-        let Some(cluster) = &self.cluster else {
-            return Vec::new();
-        };
-        let members = cluster.agent.members().into_iter();
+impl ClusterRuntime {
+    /// The members, as this process knows them.
+    fn member_views(&self) -> Vec<Member> {
+        let members = self.agent.members().into_iter();
         members.map(member_view).collect()
     }
 
-    /// Counters of the cluster, a line each; none without a cluster.
-    pub(in crate::node) fn cluster_counters(&self) -> String {
-        let Some(cluster) = &self.cluster else {
-            return String::new();
-        };
-        let counters = cluster.agent.counters();
+    /// Counters, a line each.
+    fn counters(&self) -> String {
+        let counters = self.agent.counters();
         let lines = [
-            ("members_there", cluster.agent.peer_count() as u64 + 1),
+            ("members_there", self.agent.peer_count() as u64 + 1),
             ("datagrams_sent", counters.sent),
             ("bytes_sent", counters.sent_bytes),
             ("datagrams_taken", counters.accepted),
@@ -46,7 +40,7 @@
             ("datagrams_unknown_kind", counters.unknown_kind),
             ("datagrams_unreadable", counters.unreadable),
             ("datagrams_withheld", counters.rate_limited),
-            ("datagrams_unsent", cluster.unsent_datagrams),
+            ("datagrams_unsent", self.unsent_datagrams),
             ("facts_refused", counters.refused),
             ("sessions_forgotten", counters.sessions_evicted),
             ("members_up", counters.members_up),
@@ -55,44 +49,54 @@
             ("started_over", counters.membership_resets),
             ("sessions_outdone", counters.sessions_raised),
             ("stumbles", counters.stalls),
-            ("doubt", u64::from(cluster.agent.self_suspicion())),
-            ("turns_cut_short", cluster.turns_cut_short),
-            ("turn_longest_us", cluster.longest_turn_micros),
+            ("doubt", u64::from(self.agent.self_suspicion())),
+            ("turns_cut_short", self.turns_cut_short),
+            ("turn_longest_us", self.longest_turn_micros),
         ];
         lines
             .into_iter()
-            .chain(consensus::counters(cluster))
+            .chain(self.consensus_counters())
             .map(|(name, count)| format!("fleet_{name} {count}\n"))
             .collect()
     }
 }
 
+impl Node {
+    /// The members of the cluster, as this process knows them; none without a cluster.
+    pub(in crate::node) fn member_views(&self) -> Vec<Member> {
+        let cluster = self.cluster.as_ref();
+        cluster.map_or(Vec::new(), |cluster| cluster.member_views())
+    }
+
+    /// Counters of the cluster, a line each; none without a cluster.
+    pub(in crate::node) fn cluster_counters(&self) -> String {
+        let cluster = self.cluster.as_ref();
+        cluster.map_or(String::new(), |cluster| cluster.counters())
+    }
+}
+
 fn member_view(member: MemberView) -> Member {
-    let (metadata, age) = match member.metadata {
-        Some((metadata, age)) => (metadata, Some(age / 1_000_000)),
-        None => Default::default(),
-    };
-    let state = if age.is_some() {
-        metadata.state.word()
-    } else {
-        ""
-    };
+    let (metadata, metadata_age) = member.metadata.unzip();
+    let state = metadata
+        .as_ref()
+        .map_or("", |metadata| metadata.state.word());
+    let metadata = metadata.unwrap_or_default();
     Member {
         name: member.name,
         addr: member.addr.to_string(),
-        standing: status_word(member.status).into(),
+        standing: status_name(member.status).into(),
         for_s: member.status_age / 1_000_000,
         zone: metadata.zone,
         region: metadata.region,
         build: metadata.build,
         state: state.into(),
         since_ms: metadata.since_ms,
-        told_age_s: age,
+        told_age_s: metadata_age.map(|age| age / 1_000_000),
         me: member.is_self,
     }
 }
 
-fn status_word(status: MemberStatus) -> &'static str {
+fn status_name(status: MemberStatus) -> &'static str {
     match status {
         MemberStatus::Alive => "there",
         MemberStatus::Suspected => "doubted",
--- a/crates/coordinator/src/node/control/requests.rs
+++ b/crates/coordinator/src/node/control/requests.rs
@@ -142,7 +142,7 @@
                 };
                 Ok(self.hold(to, hold)?)
             }
-            Request::Unhold(name) => Ok(self.unhold(to, &name)?),
+            Request::Unhold(name) => Ok(self.unhold(to, name)?),
             Request::Roll(engines, is_dry_run) => {
                 self.begin_rolling_restart(now, engines, is_dry_run)
             }
