--- a/crates/coordinator/src/cli/mod.rs
+++ b/crates/coordinator/src/cli/mod.rs
@@ -6,6 +6,7 @@
 mod local;
 mod remote;
 mod target;
+mod view;
 
 use driftfront_control::commands;
 use error::CommandError;
@@ -42,9 +43,10 @@
 /// Ends the reading of arguments: what is left is a mistake.
 fn expect_no_more(arguments: Arguments) -> Result<(), CommandError> {
     match arguments.finish().first() {
-        Some(word) => Err(CommandError::UnknownArgument(
-            word.to_string_lossy().into_owned(),
-        )),
+        Some(argument) => {
+            let argument = argument.to_string_lossy().into_owned();
+            Err(CommandError::UnknownArgument(argument))
+        }
         None => Ok(()),
     }
 }
--- a/crates/coordinator/src/cli/remote.rs
+++ b/crates/coordinator/src/cli/remote.rs
@@ -2,40 +2,32 @@
 
 use super::error::CommandError;
 use super::expect_no_more;
-use super::target::{connect, order, parse_target, snapshot};
+use super::target::{connect, parse_target, request_snapshot, send_order};
+use super::view::{width, View};
 use driftfront_console::remote::{Endpoint, Remote};
 use driftfront_console::{messages, run as console};
-use driftfront_control::snapshot::Snapshot;
-use driftfront_control::{Field, Reply, Request};
+use driftfront_control::{Reply, Request};
 use pico_args::Arguments;
 use std::io::{ErrorKind, IsTerminal, Write};
 use std::time::Duration;
 
 /// How long a hold lasts where `--for` is not given.
 const DEFAULT_HOLD_TIME: &str = "10m";
-/// How often `drain --wait` is told of the engine's queries.
+/// How often `drain --wait` receives a snapshot.
 const WAIT_INTERVAL_MILLIS: u64 = 200;
-/// Narrowest table.
-const MIN_TABLE_WIDTH: usize = 40;
-/// Requests that a demo must have taken before its status says something.
+/// Requests that a demo must have received before its status is printed.
 const DEMO_MIN_REQUESTS: u64 = 10;
 const DEMO_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Runs one of them.
+/// Runs the sub-command of this name.
 pub(super) fn run(name: &str, mut arguments: Arguments) -> Result<(), CommandError> {
     let target = parse_target(&mut arguments)?;
     let is_json = arguments.contains("--json");
+    if let Some(view) = View::of_command(name) {
+        return print_view(&target, arguments, view, is_json);
+    }
     match name {
         "console" => show_console(target, arguments),
-        "status" | "engines" | "classes" | "queries" | "members" | "holds" => {
-            expect_no_more(arguments)?;
-            let snapshot = snapshot(&mut connect(&target)?)?;
-            print(&if is_json {
-                view_as_json(name, &snapshot)
-            } else {
-                view_as_text(name, &snapshot)
-            })
-        }
         "events" => {
             let is_following = arguments.contains("--follow");
             expect_no_more(arguments)?;
@@ -44,12 +36,27 @@
         "drain" => drain(&target, arguments),
         name => {
             let request = parse_order(name, arguments)?;
-            let message = order(&mut connect(&target)?, &request)?;
+            let message = send_order(&mut connect(&target)?, &request)?;
             print(&(message + "\n"))
         }
     }
 }
 
+fn print_view(
+    target: &Endpoint,
+    arguments: Arguments,
+    view: View,
+    is_json: bool,
+) -> Result<(), CommandError> {
+    expect_no_more(arguments)?;
+    let snapshot = request_snapshot(&mut connect(target)?)?;
+    print(&if is_json {
+        view.as_json(&snapshot)
+    } else {
+        view.as_text(&snapshot)
+    })
+}
+
 /// Reads the arguments of a sub-command that gives one order.
 fn parse_order(name: &str, arguments: Arguments) -> Result<Request, CommandError> {
     match name {
@@ -145,7 +152,7 @@
     let has_no_color = arguments.contains("--no-color") || std::env::var_os("NO_COLOR").is_some();
     expect_no_more(arguments)?;
     if is_plain || !std::io::stdout().is_terminal() {
-        let snapshot = snapshot(&mut connect(&target)?)?;
+        let snapshot = request_snapshot(&mut connect(&target)?)?;
         return print(&messages::plain(&snapshot, width()));
     }
     Ok(console::run(target, !has_no_color)?)
@@ -160,7 +167,7 @@
         engine: engine.clone(),
         force,
     };
-    let message = order(&mut remote, &request)?;
+    let message = send_order(&mut remote, &request)?;
     print(&(message + "\n"))?;
     if is_waiting {
         wait_until_idle(&mut remote, &engine)?;
@@ -207,11 +214,11 @@
     Ok(())
 }
 
-/// Prints how things stand, once the demo's load has brought some requests.
+/// Prints the status, once the demo's load has sent some requests.
 pub(super) fn print_status_under_load(target: &Endpoint) -> Result<(), CommandError> {
     let mut remote = connect(target)?;
     loop {
-        let snapshot = snapshot(&mut remote)?;
+        let snapshot = request_snapshot(&mut remote)?;
         let requests: u64 = snapshot.classes.iter().map(|c| c.minute.asked).sum();
         if requests >= DEMO_MIN_REQUESTS {
             return print(&messages::plain(&snapshot, width()));
@@ -220,57 +227,6 @@
     }
 }
 
-fn view_as_json(view: &str, snapshot: &Snapshot) -> String {
-    let value = match view {
-        "status" => snapshot.to_json(),
-        "engines" => snapshot.engines.to_json(),
-        "classes" => snapshot.classes.to_json(),
-        "members" => snapshot.members.to_json(),
-        "holds" => snapshot.agreed.to_json(),
-        _ => snapshot.queries.to_json(),
-    };
-    value.stringify().unwrap_or_default() + "\n"
-}
-
-fn view_as_text(view: &str, snapshot: &Snapshot) -> String {
-    match view {
-        "status" => messages::plain(snapshot, width()),
-        "engines" => table(&messages::engines(snapshot)),
-        "classes" => table(&messages::classes(snapshot)),
-        "members" if snapshot.members.is_empty() => {
-            "There is no fleet: the operator's file has none.\n".into()
-        }
-        "members" => table(&messages::members(snapshot)),
-        "holds" => match &snapshot.agreed {
-            Some(agreed) => messages::agreed(agreed) + &table(&messages::holds(agreed)),
-            None => "There is no fleet: nothing is agreed.\n".into(),
-        },
-        _ => table(&messages::queries(snapshot)),
-    }
-}
-
-fn table(table: &messages::Table) -> String {
-    let widths = messages::widths(table, width().max(MIN_TABLE_WIDTH));
-    let heads: Vec<String> = table.heads.iter().map(|head| head.to_string()).collect();
-    let rows = table
-        .rows
-        .iter()
-        .map(|row| messages::row_text(row, &widths));
-    let lines: Vec<String> = std::iter::once(messages::row_text(&heads, &widths))
-        .chain(rows)
-        .collect();
-    lines.join("\n") + "\n"
-}
-
-/// The terminal's width in characters; `COLUMNS` goes before what the terminal says.
-fn width() -> usize {
-    let named = std::env::var("COLUMNS").ok();
-    named
-        .and_then(|columns| columns.parse().ok())
-        .or_else(console::terminal_width)
-        .unwrap_or(80)
-}
-
 fn print(text: &str) -> Result<(), CommandError> {
     match std::io::stdout().write_all(text.as_bytes()) {
         // A pipe that is closed early is no mistake.
--- a/crates/coordinator/src/cli/target.rs
+++ b/crates/coordinator/src/cli/target.rs
@@ -51,16 +51,16 @@
     })
 }
 
-/// Gives an order; what the program says of it.
-pub(super) fn order(remote: &mut Remote, request: &Request) -> Result<String, CommandError> {
+/// Sends an order; returns the text of the reply.
+pub(super) fn send_order(remote: &mut Remote, request: &Request) -> Result<String, CommandError> {
     match remote.ask(request)? {
         Reply::Done(message) => Ok(message),
         other => Err(unexpected(other)),
     }
 }
 
-/// Asks for everything as it stands.
-pub(super) fn snapshot(remote: &mut Remote) -> Result<Snapshot, CommandError> {
+/// Requests a snapshot of the program.
+pub(super) fn request_snapshot(remote: &mut Remote) -> Result<Snapshot, CommandError> {
     match remote.ask(&Request::Snapshot)? {
         Reply::Snapshot(snapshot) => Ok(*snapshot),
         other => Err(unexpected(other)),
--- /dev/null
+++ b/crates/coordinator/src/cli/view.rs
@@ -0,0 +1,91 @@
+//! What the sub-commands show of a snapshot, as text or JSON.
+
+use driftfront_console::{messages, run as console};
+use driftfront_control::snapshot::Snapshot;
+use driftfront_control::Field;
+
+/// Narrowest table, in characters.
+const MIN_TABLE_WIDTH: usize = 40;
+/// Width of the output where neither `COLUMNS` nor the terminal says one, in characters.
+const DEFAULT_WIDTH: usize = 80;
+
+/// A part of a snapshot that a sub-command shows.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum View {
+    Status,
+    Engines,
+    Classes,
+    Queries,
+    Members,
+    Holds,
+}
+
+impl View {
+    /// The view that the sub-command of this name shows.
+    pub(super) fn of_command(name: &str) -> Option<View> {
+        match name {
+            "status" => Some(View::Status),
+            "engines" => Some(View::Engines),
+            "classes" => Some(View::Classes),
+            "queries" => Some(View::Queries),
+            "members" => Some(View::Members),
+            "holds" => Some(View::Holds),
+            _ => None,
+        }
+    }
+
+    /// The view as one line of JSON.
+    pub(super) fn as_json(self, snapshot: &Snapshot) -> String {
+        let value = match self {
+            View::Status => snapshot.to_json(),
+            View::Engines => snapshot.engines.to_json(),
+            View::Classes => snapshot.classes.to_json(),
+            View::Queries => snapshot.queries.to_json(),
+            View::Members => snapshot.members.to_json(),
+            View::Holds => snapshot.agreed.to_json(),
+        };
+        value.stringify().unwrap_or_default() + "\n"
+    }
+
+    /// The view as lines for a terminal.
+    pub(super) fn as_text(self, snapshot: &Snapshot) -> String {
+        match self {
+            View::Status => messages::plain(snapshot, width()),
+            View::Engines => table(&messages::engines(snapshot)),
+            View::Classes => table(&messages::classes(snapshot)),
+            View::Queries => table(&messages::queries(snapshot)),
+            View::Members if snapshot.members.is_empty() => {
+                "There is no fleet: the operator's file has none.\n".into()
+            }
+            View::Members => table(&messages::members(snapshot)),
+            View::Holds => match &snapshot.agreed {
+                Some(consensus) => {
+                    messages::agreed(consensus) + &table(&messages::holds(consensus))
+                }
+                None => "There is no fleet: nothing is agreed.\n".into(),
+            },
+        }
+    }
+}
+
+fn table(table: &messages::Table) -> String {
+    let widths = messages::widths(table, width().max(MIN_TABLE_WIDTH));
+    let heads: Vec<String> = table.heads.iter().map(|head| head.to_string()).collect();
+    let rows = table
+        .rows
+        .iter()
+        .map(|row| messages::row_text(row, &widths));
+    let lines: Vec<String> = std::iter::once(messages::row_text(&heads, &widths))
+        .chain(rows)
+        .collect();
+    lines.join("\n") + "\n"
+}
+
+/// The width of the output in characters; `COLUMNS` goes before what the terminal says.
+pub(super) fn width() -> usize {
+    let named = std::env::var("COLUMNS").ok();
+    named
+        .and_then(|columns| columns.parse().ok())
+        .or_else(console::terminal_width)
+        .unwrap_or(DEFAULT_WIDTH)
+}
--- a/crates/coordinator/src/demo.rs
+++ b/crates/coordinator/src/demo.rs
@@ -14,7 +14,7 @@
 use std::time::{Duration, Instant};
 
 /// Mock engines of the demo.
-const ENGINES: usize = 3;
+const ENGINE_COUNT: usize = 3;
 /// Time between two requests of the load.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(120);
 /// How long the coordinator may take to open its control socket.
@@ -99,7 +99,7 @@
         };
         Engine::start(options, request_log.clone())
     };
-    (1..=ENGINES).map(start).collect()
+    (1..=ENGINE_COUNT).map(start).collect()
 }
 
 /// An address on loopback whose port is free.
--- a/crates/coordinator/src/node/clients/accept.rs
+++ b/crates/coordinator/src/node/clients/accept.rs
@@ -123,7 +123,7 @@
         }
         let id = self.next_connection_id();
         let stream = Rc::new(stream);
-        match self.register_stream(stream.clone(), EventSource::Client(id)) {
+        match self.register_source(stream.clone(), EventSource::Client(id)) {
             Ok(registration) => {
                 let limits = self.frontend.request_limits();
                 let client = Client::new(now, BufferedStream::new(stream), registration, limits);
--- a/crates/coordinator/src/node/cluster/key_file.rs
+++ b/crates/coordinator/src/node/cluster/key_file.rs
@@ -1,6 +1,6 @@
 //! The file with the cluster's keys.
 
-use driftfront_cluster::Keyring;
+use driftfront_cluster::{Keyring, KeyringError};
 use std::io;
 use std::os::unix::fs::PermissionsExt;
 use std::path::{Path, PathBuf};
@@ -28,12 +28,12 @@
         mode: u32,
     },
     /// It holds no key, or something else than keys.
-    #[error("{}: {reason}", path.display())]
+    #[error("{}: {source}", path.display())]
     Invalid {
         /// The file.
         path: PathBuf,
         /// What is wrong, with the line.
-        reason: String,
+        source: KeyringError,
     },
 }
 
@@ -58,8 +58,8 @@
         });
     }
     let text = std::fs::read_to_string(path).map_err(io_error)?;
-    Keyring::parse(&text).map_err(|reason| KeyFileError::Invalid {
+    Keyring::parse(&text).map_err(|source| KeyFileError::Invalid {
         path: path.into(),
-        reason: reason.to_string(),
+        source,
     })
 }
--- a/crates/coordinator/src/node/control/snapshot.rs
+++ b/crates/coordinator/src/node/control/snapshot.rs
@@ -42,8 +42,8 @@
 #[derive(Clone, Copy, Default)]
 struct EngineConnections {
     count: u64,
-    /// When anything last came on one of them.
-    last_heard: Micros,
+    /// When anything was last received on one of them.
+    last_received: Micros,
 }
 
 impl Control {
@@ -137,15 +137,11 @@
 
     fn engine_connections(&self) -> BTreeMap<EngineId, EngineConnections> {
         let mut all: BTreeMap<EngineId, EngineConnections> = BTreeMap::new();
-        for (engine, heard) in self
-            .engines
-            .connections
-            .values()
-            .map(|connection| connection.last_heard())
-        {
+        for connection in self.engines.connections.values() {
+            let (engine, last_received) = connection.last_heard();
             let connections = all.entry(engine).or_default();
             connections.count += 1;
-            connections.last_heard = connections.last_heard.max(heard);
+            connections.last_received = connections.last_received.max(last_received);
         }
         all
     }
@@ -168,8 +164,8 @@
         load: EngineLoad,
         connections: EngineConnections,
     ) -> Engine {
-        // Silence begins with the work that the engine should say something of.
-        let heard = connections.last_heard.max(load.oldest_sent);
+        // An idle engine sends nothing: its silence begins with the oldest attempt that runs there.
+        let silent_since = connections.last_received.max(load.oldest_sent);
         let control = self.control.as_ref();
         let service = control.and_then(|control| control.service.engine(engine.id));
         let order = engine.active_order.as_ref();
@@ -185,7 +181,7 @@
             order_age_s: order.map_or(0, |order| seconds_since(now, order.since)),
             running: load.queries as u64,
             imports: load.single_shot as u64,
-            heard_ms: (heard > 0).then(|| now.saturating_sub(heard) / 1000),
+            heard_ms: (silent_since > 0).then(|| now.saturating_sub(silent_since) / 1000),
             connections: connections.count,
             warm_in_s: self.warm_in_seconds(now, engine.started_at),
             minute: sum_of(service, now),
--- a/crates/coordinator/src/node/discovery_client.rs
+++ b/crates/coordinator/src/node/discovery_client.rs
@@ -197,7 +197,7 @@
         let opened = connect(address).map_err(|e| e.to_string());
         let registered = opened.and_then(|stream| {
             let registration = self
-                .register_stream(stream.clone(), EventSource::DiscoveryClient(id))
+                .register_source(stream.clone(), EventSource::DiscoveryClient(id))
                 .map_err(|e| e.to_string())?;
             Ok((stream, registration))
         });
--- a/crates/coordinator/src/node/engines/pool.rs
+++ b/crates/coordinator/src/node/engines/pool.rs
@@ -241,7 +241,7 @@
     ) -> Result<ConnectionId, Cause> {
         let id = self.next_connection_id();
         let registration = self
-            .register_stream(stream.clone(), EventSource::Engine(id))
+            .register_source(stream.clone(), EventSource::Engine(id))
             .map_err(|_| Cause::Rejected)?;
         let conn = EngineConnection::connecting(
             now,
--- a/crates/coordinator/src/node/event_loop.rs
+++ b/crates/coordinator/src/node/event_loop.rs
@@ -8,7 +8,6 @@
 use calloop::{EventLoop, Interest, Mode, PostAction, RegistrationToken};
 use driftfront_core::Micros;
 use std::io::ErrorKind;
-use std::net::TcpStream;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::rc::Rc;
 use std::time::Duration;
@@ -164,15 +163,6 @@
         token.map_err(|e| e.error)
     }
 
-    /// Registers a connection's socket.
-    pub(super) fn register_stream(
-        &mut self,
-        socket: Rc<TcpStream>,
-        source: EventSource,
-    ) -> Result<RegistrationToken, calloop::Error> {
-        self.register_source(socket, source)
-    }
-
     /// Removes a socket from the event loop; its descriptor closes with the last holder.
     pub(super) fn unregister(&mut self, token: Option<RegistrationToken>) {
         if let Some(token) = token {
--- a/crates/coordinator/src/node/management.rs
+++ b/crates/coordinator/src/node/management.rs
@@ -204,7 +204,7 @@
         }
         let id = self.next_connection_id();
         let stream = Rc::new(stream);
-        let Ok(token) = self.register_stream(stream.clone(), EventSource::Caller(id)) else {
+        let Ok(token) = self.register_source(stream.clone(), EventSource::Caller(id)) else {
             return;
         };
         let caller = Caller {
--- a/crates/coordinator/src/state_folder.rs
+++ b/crates/coordinator/src/state_folder.rs
@@ -29,7 +29,7 @@
     },
     /// The file is another program's, or a newer version's; it is left as it is.
     #[error("{}: {source}", path.display())]
-    StateFileError {
+    StateFile {
         /// The file.
         path: PathBuf,
         /// Why.
@@ -102,7 +102,7 @@
         let mut bytes = Vec::new();
         file.read_to_end(&mut bytes)
             .map_err(io_error(Step::ReadFile))?;
-        let read = record::read(&bytes).map_err(|source| StateFolderError::StateFileError {
+        let read = record::read(&bytes).map_err(|source| StateFolderError::StateFile {
             path: path.clone(),
             source,
         })?;
