--- a/crates/cluster-harness/src/commands/holds.rs
+++ b/crates/cluster-harness/src/commands/holds.rs
@@ -144,9 +144,9 @@
 }
 
 fn start(options: &Options, binary: &str, seed: u64) -> ClusterHarness {
-    let mut script = fault_scenario::storm(options.members, seed, false);
+    let mut script = fault_scenario::draw(options.members, seed, false);
     script.voters = options.voters;
-    script.keeps = options.logs_are_kept;
+    script.persists_log = options.logs_are_kept;
     let mut harness = ClusterHarness::of(binary, NO_ENGINE, script);
     if let Some(last_build) = &options.last_build {
         for member in options.voters..options.members {
@@ -180,7 +180,7 @@
 fn wait_for_leader(harness: &ClusterHarness, voters: u32) -> Option<Duration> {
     let quiet_since = Instant::now();
     let voters: Vec<u32> = (0..voters).collect();
-    while quiet_since.elapsed() < Duration::from_micros(fault_scenario::OWED) {
+    while quiet_since.elapsed() < Duration::from_micros(fault_scenario::CONVERGENCE_TIMEOUT) {
         if harness.leader(&voters).is_some() {
             return Some(quiet_since.elapsed());
         }
--- a/crates/cluster-harness/src/commands/scenarios.rs
+++ b/crates/cluster-harness/src/commands/scenarios.rs
@@ -36,7 +36,7 @@
 
 /// How long after the scenario's end all have one view; `None` where they don't in time: what they see is printed.
 fn play(binary: &str, members: u32, seed: u64) -> Option<Duration> {
-    let script = fault_scenario::storm(members, seed, false);
+    let script = fault_scenario::draw(members, seed, false);
     let mut harness = ClusterHarness::of(binary, NO_ENGINE, script);
     let all: Vec<u32> = (0..members).collect();
     harness.play();
@@ -45,7 +45,7 @@
         if all.iter().all(|&m| harness.sees_just(m, &all)) {
             return Some(quiet_since.elapsed());
         }
-        if quiet_since.elapsed() > Duration::from_micros(fault_scenario::OWED) {
+        if quiet_since.elapsed() > Duration::from_micros(fault_scenario::CONVERGENCE_TIMEOUT) {
             break;
         }
         std::thread::sleep(POLL_INTERVAL);
--- a/crates/cluster-harness/src/lib.rs
+++ b/crates/cluster-harness/src/lib.rs
@@ -14,8 +14,8 @@
 pub mod tcp;
 pub mod wall_clock;
 
-pub use driftfront_cluster_simulation::world::{name, KEY};
-pub use driftfront_cluster_simulation::{FaultAction, Group, Link, Script};
+pub use driftfront_cluster_simulation::world::{member_name as name, KEY};
+pub use driftfront_cluster_simulation::{FaultAction, Group, Link, Script, TimedAction};
 pub use driftfront_control::snapshot::{Consensus, Member};
 pub use driftfront_control::Request;
 pub use net::Net;
@@ -158,7 +158,7 @@
         let voters: String = (0..self.script.voters)
             .map(|m| format!("voter \"m{m}\"; "))
             .collect();
-        let state = match self.script.keeps {
+        let state = match self.script.persists_log {
             true => format!("state \"{}\"\n", self.state(member).display()),
             false => String::new(),
         };
@@ -309,7 +309,7 @@
         self.log.note(self.begun, format!("{action:?}"));
         match action {
             FaultAction::Link(from, to, link) => self.net.link(from, to, *link),
-            FaultAction::Part(groups, from, ways) => self.net.part(groups, from, *ways),
+            FaultAction::Part(groups, from, directions) => self.net.part(groups, from, *directions),
             FaultAction::Reset(groups, from) => {
                 let (some, others) = (
                     self.net.all_of(groups),
@@ -320,7 +320,9 @@
                 }
             }
             FaultAction::Heal => self.net.heal(),
-            FaultAction::Cut(groups, ways) => self.net.cut(&self.script.members_of(groups), *ways),
+            FaultAction::Cut(groups, directions) => {
+                self.net.cut(&self.script.members_of(groups), *directions)
+            }
             FaultAction::Kill(groups) => self
                 .script
                 .members_of(groups)
@@ -354,14 +356,14 @@
     /// Does what this one line of a script says.
     pub fn now(&mut self, line: &str) {
         let script = Script::read(line).expect("a line of a script");
-        for (_, action) in &script.actions {
+        for TimedAction { action, .. } in &script.actions {
             self.action(action);
         }
     }
 
     /// Plays the script's deeds, each at its time.
     pub fn play(&mut self) {
-        for (at, action) in self.script.actions.clone() {
+        for TimedAction { at, action } in self.script.actions.clone() {
             std::thread::sleep(Duration::from_micros(at).saturating_sub(self.begun.elapsed()));
             self.action(&action);
         }
--- a/crates/cluster-harness/src/net.rs
+++ b/crates/cluster-harness/src/net.rs
@@ -3,7 +3,7 @@
 //! Each member has a public socket here, to which the others send. One thread per socket receives and draws what the link does to a
 //! datagram; one thread delivers what is due to where the member's process listens at that moment.
 
-use driftfront_cluster_simulation::{Group, Link, Links};
+use driftfront_cluster_simulation::{Directions, Group, Link, Links};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::cmp::Reverse;
@@ -133,19 +133,19 @@
         self.with(|s| s.links.set(from, to, link));
     }
 
-    /// Cuts the links between `some` and all others; `ways`: from them, to them.
-    pub fn cut(&self, some: &[u32], ways: (bool, bool)) {
-        self.with(|s| s.links.cut(some, ways));
+    /// Cuts the links between `some` and all others.
+    pub fn cut(&self, some: &[u32], directions: Directions) {
+        self.with(|s| s.links.cut(some, directions));
     }
 
-    /// Cuts the links between `some` and `from`; `ways`: from the first, to the first.
-    pub fn part(&self, some: &[Group], from: &Group, ways: (bool, bool)) {
+    /// Cuts the links between `some` and `from`; directions are of the former.
+    pub fn part(&self, some: &[Group], from: &Group, directions: Directions) {
         self.with(|s| {
             let (some, others) = (
                 s.links.all_of(some),
                 s.links.all_of(std::slice::from_ref(from)),
             );
-            s.links.part(&some, &others, ways);
+            s.links.part(&some, &others, directions);
         });
     }
 
@@ -163,7 +163,7 @@
     pub fn carries(&self, from: u32, to: u32, bytes: usize) -> Option<Duration> {
         self.with(|s| {
             let link = s.links.between(from, to);
-            if link.cut {
+            if link.is_cut {
                 return None;
             }
             let jitter = if link.jitter > 0 {
@@ -171,8 +171,8 @@
             } else {
                 0
             };
-            let throttle = if link.throttle > 0 {
-                bytes as f64 / link.throttle as f64
+            let throttle = if link.bytes_per_second > 0 {
+                bytes as f64 / link.bytes_per_second as f64
             } else {
                 0.0
             };
@@ -220,9 +220,9 @@
             .map(|m| m as u32);
         let link = sender.map_or(unimpaired_link(), |m| s.links.between(m, to));
         let queued = sender.map_or(Some(Duration::ZERO), |m| {
-            s.queue_throttled(m, to, link.throttle, n)
+            s.queue_throttled(m, to, link.bytes_per_second, n)
         });
-        for after in link.carry(&mut s.rng) {
+        for after in link.draw_latencies(&mut s.rng) {
             let Some(queued) = queued else { continue };
             s.sequence += 1;
             let _ = send.send(InFlight {
--- a/crates/cluster-simulation/src/commands/consensus_fuzz.rs
+++ b/crates/cluster-simulation/src/commands/consensus_fuzz.rs
@@ -6,7 +6,7 @@
 use driftfront_cluster::consensus::leases::{Command, Outcome as LeaseOutcome};
 use driftfront_cluster::consensus::{self, Consensus, Notice, Peer};
 use driftfront_cluster::{MemberStatus, Micros};
-use driftfront_cluster_simulation::world::name;
+use driftfront_cluster_simulation::world::member_name;
 use pico_args::Arguments;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -62,7 +62,7 @@
 impl Fuzzer {
     fn new(seed: u64) -> Fuzzer {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let names: Vec<String> = (0..VOTERS as u32).map(name).collect();
+        let names: Vec<String> = (0..).take(VOTERS).map(member_name).collect();
         let mut voters = Vec::new();
         for (session, own) in (1..).zip(&names) {
             let options = consensus::Options {
--- a/crates/cluster-simulation/src/commands/datagram_fuzz.rs
+++ b/crates/cluster-simulation/src/commands/datagram_fuzz.rs
@@ -6,7 +6,7 @@
 use super::{number, CommandError, Outcome};
 use driftfront_cluster::message_authentication::{MessageAuthenticator, Payload};
 use driftfront_cluster::{Cluster, Identity, MemberMetadata, Micros, Options};
-use driftfront_cluster_simulation::world::{addr, keys, name};
+use driftfront_cluster_simulation::world::{keyring, member_addr, member_name};
 use pico_args::Arguments;
 use rand::rngs::SmallRng;
 use rand::seq::IndexedRandom;
@@ -75,14 +75,14 @@
 fn member(number: u32, rng: &mut SmallRng) -> Cluster {
     let options = Options {
         identity: Identity {
-            name: name(number),
-            addr: addr(number),
+            name: member_name(number),
+            addr: member_addr(number),
             session: u64::from(number),
             back: 0,
         },
         metadata: MemberMetadata::default(),
-        keys: keys(),
-        seeds: vec![addr(TARGET), addr(PEER)],
+        keys: keyring(),
+        seeds: vec![member_addr(TARGET), member_addr(PEER)],
         seed: rng.random(),
         consensus: None,
     };
@@ -97,7 +97,7 @@
             peer: member(PEER, &mut rng),
             rng,
             clock: 0,
-            forger: MessageAuthenticator::new(keys(), FORGER_SESSION),
+            forger: MessageAuthenticator::new(keyring(), FORGER_SESSION),
             honest: Vec::new(),
         }
     }
--- a/crates/cluster-simulation/src/commands/failover.rs
+++ b/crates/cluster-simulation/src/commands/failover.rs
@@ -2,7 +2,7 @@
 
 use super::{number, play_until_led, CommandError, Outcome, SECOND};
 use driftfront_cluster::Micros;
-use driftfront_cluster_simulation::rights::Load;
+use driftfront_cluster_simulation::lease_workload::LeaseLoad;
 use driftfront_cluster_simulation::{percentile, Script, World};
 use pico_args::Arguments;
 
@@ -50,24 +50,25 @@
 impl Times {
     fn add_run(&mut self, script: Script, seed: u64) -> Outcome {
         let mut world = World::new(script);
-        world.ask(Load {
-            one_in: 4,
+        world.start_lease_workload(LeaseLoad {
+            polls_per_request: 4,
             resources: 100,
-            duration: 2 * SECOND,
-            patience: 30 * SECOND,
+            max_duration: 2 * SECOND,
+            timeout: 30 * SECOND,
         });
         world.play(KILLED_AT, |_| false);
-        let Some(leader) = world.led() else {
+        let Some(leader) = world.leader() else {
             let why = format!("seed {seed}: nobody leads");
             return Err(CommandError::Broken(why));
         };
-        world.now(&format!("kill \"m{leader}\""));
+        world.apply_text(&format!("kill \"m{leader}\""));
         play_until_led(&mut world, POLL_INTERVAL, END);
         self.led_after.push(world.time() - KILLED_AT);
         world.play(END, |_| false);
-        if let Some(rights) = &world.rights {
-            self.usual.extend(rights.times(USUAL_FROM, KILLED_AT));
-            let answered = rights.answered.iter().map(|a| a.0);
+        if let Some(workload) = &world.lease_workload {
+            self.usual
+                .extend(workload.answer_times(USUAL_FROM, KILLED_AT));
+            let answered = workload.answered.iter().map(|request| request.at);
             let first = { answered }.find(|&at| at > KILLED_AT + ANSWERS_BEFORE);
             self.answered_after.extend(first.map(|at| at - KILLED_AT));
         }
--- a/crates/cluster-simulation/src/commands/failure_detection.rs
+++ b/crates/cluster-simulation/src/commands/failure_detection.rs
@@ -2,7 +2,7 @@
 
 use super::{number, traffic, Outcome, SECOND};
 use driftfront_cluster::{MemberStatus, Micros};
-use driftfront_cluster_simulation::world::Seen;
+use driftfront_cluster_simulation::world::ViewChange;
 use driftfront_cluster_simulation::{percentile, Script, ScriptError, World};
 use pico_args::Arguments;
 
@@ -15,7 +15,7 @@
 
 struct Options {
     members: u32,
-    runs: u64,
+    runs: u32,
     loss: f64,
     first_seed: u64,
     /// Time before anything is counted.
@@ -60,10 +60,10 @@
 }
 
 impl Summary {
-    fn add_run(&mut self, options: &Options, run: u64) -> Outcome {
-        let seed = options.first_seed + run;
-        let victims = u64::from(options.members.saturating_sub(3).max(1));
-        let victim = options.members - 1 - (run % victims) as u32;
+    fn add_run(&mut self, options: &Options, run: u32) -> Outcome {
+        let seed = options.first_seed + u64::from(run);
+        let victims = options.members.saturating_sub(3).max(1);
+        let victim = options.members - 1 - run % victims;
         let mut world = World::new(read_script(options, seed, victim)?);
         world.play(options.settle_time, |_| false);
         let before = traffic(&world, options.members);
@@ -81,16 +81,16 @@
 
     fn add_deaths(&mut self, options: &Options, world: &World, victim: u32) {
         let killed_at = options.killed_at();
-        let is_down = |s: &&Seen| s.standing == Some(MemberStatus::Down);
-        let deaths = || world.seen.iter().filter(is_down);
-        let known = deaths().filter(|s| s.of == victim && s.at >= killed_at);
+        let is_down = |s: &&ViewChange| s.status == MemberStatus::Down;
+        let deaths = || world.view_changes.iter().filter(is_down);
+        let known = deaths().filter(|s| s.subject == victim && s.at >= killed_at);
         let times: Vec<Micros> = known.map(|s| s.at - killed_at).collect();
         self.first_knew.extend(times.iter().min());
         self.all_knew.extend(times.iter().max());
-        let knows = |by: u32| world.standing(by, victim) == Some(MemberStatus::Down);
+        let knows = |by: u32| world.status(by, victim) == Some(MemberStatus::Down);
         let others = (0..options.members).filter(|&by| by != victim);
         self.never_knew += others.filter(|&by| !knows(by)).count() as u64;
-        let is_false = |s: &&Seen| s.of != victim && s.at > options.settle_time / 2;
+        let is_false = |s: &&ViewChange| s.subject != victim && s.at > options.settle_time / 2;
         self.false_deaths += deaths().filter(is_false).count() as u64;
     }
 
@@ -104,7 +104,7 @@
         } = options;
         self.first_knew.sort_unstable();
         self.all_knew.sort_unstable();
-        let member_seconds = *runs as f64 * 10.0 * f64::from(*members);
+        let member_seconds = f64::from(*runs) * 10.0 * f64::from(*members);
         println!("members {members}, loss {loss}, {runs} runs from seed {first_seed}");
         println!(
             "  first knows of a death  p50 {:.2} s  p99 {:.2} s",
@@ -144,18 +144,19 @@
 /// Prints what became of witnesses that came late: the next question is always how.
 fn print_late_witnesses(options: &Options, world: &World, seed: u64, victim: u32) {
     let killed_at = options.killed_at();
-    for by in world.living() {
-        let is_about_victim =
-            |s: &&Seen| s.by == by && s.of == victim && s.at > killed_at - 2 * SECOND;
-        let views: Vec<&Seen> = world.seen.iter().filter(is_about_victim).collect();
-        let is_late = views.last().is_none_or(|s| {
-            s.at > killed_at + LATE_AFTER || s.standing != Some(MemberStatus::Down)
-        });
+    for by in world.running_members() {
+        let is_about_victim = |s: &&ViewChange| {
+            s.observer == by && s.subject == victim && s.at > killed_at - 2 * SECOND
+        };
+        let views: Vec<&ViewChange> = world.view_changes.iter().filter(is_about_victim).collect();
+        let is_late = views
+            .last()
+            .is_none_or(|s| s.at > killed_at + LATE_AFTER || s.status != MemberStatus::Down);
         for seen in views.iter().filter(|_| is_late) {
             println!(
                 "  seed {seed}: {:.2} s m{by} sees m{victim} {:?}",
                 seen.at as f64 / 1e6,
-                seen.standing
+                Some(seen.status)
             );
         }
     }
--- a/crates/cluster-simulation/src/commands/leases.rs
+++ b/crates/cluster-simulation/src/commands/leases.rs
@@ -2,7 +2,7 @@
 
 use super::{number, play_until_led, CommandError, Outcome, SECOND};
 use driftfront_cluster::Micros;
-use driftfront_cluster_simulation::rights::Load;
+use driftfront_cluster_simulation::lease_workload::LeaseLoad;
 use driftfront_cluster_simulation::{fault_scenario, percentile, World};
 use pico_args::Arguments;
 
@@ -59,19 +59,20 @@
 
 impl Summary {
     fn add_run(&mut self, options: &Options, seed: u64) {
-        let mut script = fault_scenario::storm(options.members, seed, true);
+        let mut script = fault_scenario::draw(options.members, seed, true);
         script.voters = options.voters;
-        script.keeps = options.logs_are_kept;
+        script.persists_log = options.logs_are_kept;
         let mut world = World::new(script);
-        world.ask(Load {
-            one_in: 10,
-            ..Load::default()
+        world.start_lease_workload(LeaseLoad {
+            polls_per_request: 10,
+            ..LeaseLoad::default()
         });
-        world.play(fault_scenario::QUIET, |_| false);
-        let deadline = fault_scenario::QUIET + fault_scenario::OWED;
+        world.play(fault_scenario::QUIET_FROM, |_| false);
+        let deadline = fault_scenario::QUIET_FROM + fault_scenario::CONVERGENCE_TIMEOUT;
         play_until_led(&mut world, POLL_INTERVAL, deadline);
-        if world.led().is_some() {
-            self.led_after.push(world.time() - fault_scenario::QUIET);
+        if world.leader().is_some() {
+            self.led_after
+                .push(world.time() - fault_scenario::QUIET_FROM);
         } else {
             self.never_led.push(seed);
             print_parts(&mut world, seed);
@@ -81,15 +82,15 @@
     }
 
     fn add_counts(&mut self, world: &mut World, seed: u64) {
-        if let Some(rights) = &world.rights {
-            let violations = rights.wrong.iter();
+        if let Some(workload) = &world.lease_workload {
+            let violations = workload.violations.iter();
             self.violations
                 .extend(violations.map(|w| format!("seed {seed}: {w}")));
-            self.granted += rights.lent;
-            self.timed_out += rights.timed_out;
+            self.granted += workload.granted;
+            self.timed_out += workload.timed_out;
         }
-        for member in world.living() {
-            let Some(consensus) = world.fleet(member).and_then(|f| f.consensus()) else {
+        for member in world.running_members() {
+            let Some(consensus) = world.agent(member).and_then(|f| f.consensus()) else {
                 continue;
             };
             let counters = consensus.counters();
@@ -133,8 +134,8 @@
 }
 
 fn print_parts(world: &mut World, seed: u64) {
-    for member in world.living() {
-        if let Some(consensus) = world.fleet(member).and_then(|f| f.consensus()) {
+    for member in world.running_members() {
+        if let Some(consensus) = world.agent(member).and_then(|f| f.consensus()) {
             let (view, notice) = (consensus.view(), consensus.notice());
             println!("  seed {seed}: m{member} {view:?} {notice:?}");
         }
--- a/crates/cluster-simulation/src/commands/mod.rs
+++ b/crates/cluster-simulation/src/commands/mod.rs
@@ -104,7 +104,7 @@
 
 /// Plays on in steps of this length until somebody leads, or this time has come.
 fn play_until_led(world: &mut World, step: Micros, until: Micros) {
-    while world.led().is_none() && world.time() < until {
+    while world.leader().is_none() && world.time() < until {
         let next = world.time() + step;
         world.play(next, |_| false);
     }
--- a/crates/cluster-simulation/src/commands/model_check.rs
+++ b/crates/cluster-simulation/src/commands/model_check.rs
@@ -1,28 +1,29 @@
-//! The model of a lease, in all states that can be reached within the bounds, and whether the check finds what mistaken builds
-//! would do.
+//! Checks the model of the lease protocol in all states within the bounds, and whether the check finds what mistaken
+//! implementations would do.
 
 use super::{number, CommandError, Outcome};
-use driftfront_cluster_simulation::model::{Bounds, Wrong};
+use driftfront_cluster_simulation::model::{Bounds, Mistake, COMMITTED_ONCE, NEVER_BOTH};
 use pico_args::Arguments;
 use stateright::{Checker, HasDiscoveries, Model};
 
-/// Threads at most.
+/// Threads that check at once.
 const MAX_THREADS: usize = 3;
-/// The properties of the model that a mistaken build breaks.
-const NEVER_BOTH: &str = "never both";
-const AGREED_ONCE: &str = "agreed once";
 
 pub(super) fn run(mut args: Arguments) -> Outcome {
     let bounds = Bounds {
         time: number(&mut args, "--time", 2)?,
         terms: number(&mut args, "--terms", 2)?,
         entries: number(&mut args, "--entries", 3)?,
-        wrong: Wrong::Nothing,
+        mistake: Mistake::None,
     };
     let max_depth = number(&mut args, "--depth", 12usize)?;
     let mut is_as_expected = true;
-    for wrong in [Wrong::FromTheAnswer, Wrong::OwnClock, Wrong::Nothing] {
-        is_as_expected &= check(Bounds { wrong, ..bounds }, max_depth);
+    for mistake in [
+        Mistake::CountsFromResponse,
+        Mistake::UsesOwnClock,
+        Mistake::None,
+    ] {
+        is_as_expected &= check(Bounds { mistake, ..bounds }, max_depth);
     }
     if is_as_expected {
         Ok(())
@@ -47,17 +48,26 @@
         .spawn_bfs()
         .join();
     let found: Vec<String> = done.discoveries().into_keys().map(String::from).collect();
-    let wrong = bounds.wrong;
+    let mistake = mistake_text(bounds.mistake);
     println!(
-        "{wrong:?}: {} states, {} of them different, depth {}; found: {found:?}",
+        "{mistake}: {} states, {} of them different, depth {}; found: {found:?}",
         done.state_count(),
         done.unique_state_count(),
         done.max_depth()
     );
-    let is_correct = wrong == Wrong::Nothing;
+    let is_correct = bounds.mistake == Mistake::None;
     if let Some(path) = done.discovery(NEVER_BOTH).filter(|_| is_correct) {
         println!("{path:?}");
     }
-    let is_held_twice = found.iter().any(|f| f == NEVER_BOTH || f == AGREED_ONCE);
+    let is_held_twice = found.iter().any(|f| f == NEVER_BOTH || f == COMMITTED_ONCE);
     is_held_twice != is_correct
 }
+
+/// A mistake as the command prints it.
+fn mistake_text(mistake: Mistake) -> &'static str {
+    match mistake {
+        Mistake::None => "Nothing",
+        Mistake::CountsFromResponse => "FromTheAnswer",
+        Mistake::UsesOwnClock => "OwnClock",
+    }
+}
--- a/crates/cluster-simulation/src/commands/play.rs
+++ b/crates/cluster-simulation/src/commands/play.rs
@@ -11,13 +11,13 @@
     let until = script.until;
     let mut world = World::new(script);
     world.play(until, |_| false);
-    for seen in &world.seen {
+    for seen in &world.view_changes {
         println!(
             "{:8.3} s  m{} sees m{} {}",
             seen.at as f64 / 1e6,
-            seen.by,
-            seen.of,
-            status_text(seen.standing)
+            seen.observer,
+            seen.subject,
+            status_text(seen.status)
         );
     }
     println!("trace {:016x}", world.trace);
@@ -35,12 +35,11 @@
     })
 }
 
-/// A status as scripts' readers know it.
-fn status_text(status: Option<MemberStatus>) -> &'static str {
+/// A status as the command prints it.
+fn status_text(status: MemberStatus) -> &'static str {
     match status {
-        None => "None",
-        Some(MemberStatus::Alive) => "Some(Alive)",
-        Some(MemberStatus::Suspected) => "Some(Doubted)",
-        Some(MemberStatus::Down) => "Some(Down)",
+        MemberStatus::Alive => "Some(Alive)",
+        MemberStatus::Suspected => "Some(Doubted)",
+        MemberStatus::Down => "Some(Down)",
     }
 }
--- a/crates/cluster-simulation/src/commands/scenarios.rs
+++ b/crates/cluster-simulation/src/commands/scenarios.rs
@@ -2,7 +2,7 @@
 
 use super::{number, traffic, CommandError, Outcome, SECOND};
 use driftfront_cluster::{MemberStatus, Micros};
-use driftfront_cluster_simulation::{fault_scenario, percentile, World};
+use driftfront_cluster_simulation::{fault_scenario, percentile, TimedAction, World};
 use pico_args::Arguments;
 
 /// Deaths are counted for this long after all have one view again.
@@ -40,14 +40,14 @@
 
 impl Summary {
     fn add_run(&mut self, members: u32, seed: u64) {
-        let script = fault_scenario::storm(members, seed, true);
+        let script = fault_scenario::draw(members, seed, true);
         let until = script.until;
         let all: Vec<u32> = (0..members).collect();
-        let quiet = fault_scenario::QUIET;
+        let quiet = fault_scenario::QUIET_FROM;
         let mut world = World::new(script);
         world.play(quiet, |_| false);
         let sent_before = traffic(&world, members).datagrams;
-        if world.play(until, |w| w.time() > quiet && w.agree(&all)) {
+        if world.play(until, |w| w.time() > quiet && w.all_see_exactly(&all)) {
             self.took.push(world.time() - quiet);
         } else {
             self.never.push(seed);
@@ -58,8 +58,8 @@
         self.max_sent = self.max_sent.max(sent / seconds);
         let settled = world.time();
         world.play(settled + CALM_TIME, |_| false);
-        let deaths = world.seen.iter();
-        let deaths = deaths.filter(|s| s.at > settled && s.standing == Some(MemberStatus::Down));
+        let deaths = world.view_changes.iter();
+        let deaths = deaths.filter(|s| s.at > settled && s.status == MemberStatus::Down);
         self.deaths_after += deaths.count() as u64;
     }
 
@@ -84,14 +84,14 @@
 
 /// Prints what was done, and who sees whom otherwise than alive.
 fn print_disagreement(world: &World, members: u32, seed: u64) {
-    for (at, action) in &fault_scenario::storm(members, seed, true).actions {
+    for TimedAction { at, action } in &fault_scenario::draw(members, seed, true).actions {
         println!("  seed {seed}: {:6.2} s {action:?}", *at as f64 / 1e6);
     }
     for by in 0..members {
         let others = (0..members).filter(|&of| of != by);
         let odd: Vec<String> = others
-            .filter(|&of| world.standing(by, of) != Some(MemberStatus::Alive))
-            .map(|of| format!("m{of} {:?}", world.standing(by, of)))
+            .filter(|&of| world.status(by, of) != Some(MemberStatus::Alive))
+            .map(|of| format!("m{of} {:?}", world.status(by, of)))
             .collect();
         let seen = match odd.is_empty() {
             true => "all".into(),
--- a/crates/cluster-simulation/src/fault_scenario.rs
+++ b/crates/cluster-simulation/src/fault_scenario.rs
@@ -1,84 +1,137 @@
-//! Scripts drawn at random: a storm of faults, then quiet. What must hold after is the same for all: one view again.
+//! Random fault scenarios: a time of faults, then quiet, in which all members must agree on one view again.
 
-use crate::script::{FaultAction, Group, Link, Script};
+use crate::script::{Directions, FaultAction, Group, Link, Script, TimedAction};
 use driftfront_cluster::Micros;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-const S: Micros = 1_000_000;
-/// The storm lasts this long, from the script's fifth second on; then all is healed, woken and started again.
-pub const STORM: Micros = 20 * S;
-/// When it is quiet.
-pub const QUIET: Micros = 25 * S;
-/// One view again is owed this long after: what went down before the quiet is asked each two seconds, by each.
-pub const OWED: Micros = 30 * S;
+const SECOND: Micros = 1_000_000;
+/// When the first fault may happen: members know each other by then.
+const FAULTS_FROM: Micros = 5 * SECOND;
+/// For how long faults happen.
+const FAULTS_DURATION: Micros = 20 * SECOND;
+/// From here on there are no faults: all links are healed, and all processes resumed and started.
+pub const QUIET_FROM: Micros = FAULTS_FROM + FAULTS_DURATION;
+/// All members must have one view again within this time of quiet. Members that were down are probed by each every two
+/// seconds.
+pub const CONVERGENCE_TIMEOUT: Micros = 30 * SECOND;
+/// Largest step of a clock, in seconds.
+const MAX_CLOCK_STEP_SECONDS: i64 = 4000;
 
-/// A storm over so many members, by its seed. `clocks`: some are set, too, where the rig can do that.
-pub fn storm(members: u32, seed: u64, clocks: bool) -> Script {
+/// Draws a scenario over `members` members from a seed. `sets_clocks`: whether it may set members' clocks, which processes
+/// of the real program can't do.
+pub fn draw(members: u32, seed: u64, sets_clocks: bool) -> Script {
     let mut rng = SmallRng::seed_from_u64(seed);
     let zones = 1 + rng.random_range(0..3);
-    let mut actions = Vec::new();
-    let some = |rng: &mut SmallRng| -> Vec<Group> {
-        let most = 1 + members / 3;
-        (0..1 + rng.random_range(0..most))
-            .map(|_| Group::Member(rng.random_range(0..members)))
-            .collect()
+    let mut drawing = Drawing {
+        rng,
+        members,
+        zones,
+        sets_clocks,
     };
-    for _ in 0..3 + rng.random_range(0..8) {
-        let at = 5 * S + rng.random_range(0..STORM);
-        let action = match rng.random_range(0..12) {
-            0..=2 => FaultAction::Kill(some(&mut rng)),
-            3 => FaultAction::Start(vec![Group::All]),
-            4..=5 => FaultAction::Stop(some(&mut rng)),
-            6 => FaultAction::Wake(vec![Group::All]),
-            7 => FaultAction::Cut(
-                some(&mut rng),
-                [(true, true), (true, false), (false, true)][rng.random_range(0..3)],
-            ),
-            8 => FaultAction::Cut(vec![Group::Zone(rng.random_range(0..zones))], (true, true)),
-            9 => FaultAction::Heal,
-            10 if clocks => {
-                FaultAction::Clock(some(&mut rng), rng.random_range(-4000..4000) * S as i64)
-            }
-            _ => {
-                let link = Link {
-                    loss: rng.random_range(0.0..0.4),
-                    repeat: rng.random_range(0.0..0.2),
-                    delay: rng.random_range(0..20_000),
-                    jitter: rng.random_range(0..30_000),
-                    cut: false,
-                    throttle: 0,
-                };
-                FaultAction::Link(
-                    Group::All,
-                    Group::Member(rng.random_range(0..members)),
-                    link,
-                )
-            }
-        };
-        actions.push((at, action));
+    let mut actions = drawing.draw_actions();
+    actions.extend(recovery());
+    actions.sort_by_key(|timed| timed.at);
+    Script {
+        members,
+        zones,
+        voters: 0,
+        persists_log: false,
+        replace_after: 10 * SECOND,
+        seed,
+        until: QUIET_FROM + CONVERGENCE_TIMEOUT,
+        actions,
     }
+}
+
+/// The end of all faults.
+fn recovery() -> impl Iterator<Item = TimedAction> {
     let calm = Link {
         delay: 1_000,
         jitter: 1_000,
         ..Link::default()
     };
-    let last = [
+    let actions = [
         FaultAction::Link(Group::All, Group::All, calm),
         FaultAction::Heal,
         FaultAction::Wake(vec![Group::All]),
         FaultAction::Start(vec![Group::All]),
     ];
-    actions.extend(last.into_iter().map(|d| (QUIET, d)));
-    actions.sort_by_key(|d| d.0);
-    Script {
-        members,
-        zones,
-        voters: 0,
-        keeps: false,
-        replace_after: 10 * S,
-        seed,
-        until: QUIET + OWED,
-        actions,
+    actions.into_iter().map(|action| TimedAction {
+        at: QUIET_FROM,
+        action,
+    })
+}
+
+/// Draws faults. The order and the types of all draws stay, so that a seed keeps its scenario.
+struct Drawing {
+    rng: SmallRng,
+    members: u32,
+    zones: u32,
+    sets_clocks: bool,
+}
+
+impl Drawing {
+    fn draw_actions(&mut self) -> Vec<TimedAction> {
+        let count: i32 = 3 + self.rng.random_range(0..8);
+        (0..count)
+            .map(|_| TimedAction {
+                at: FAULTS_FROM + self.rng.random_range(0..FAULTS_DURATION),
+                action: self.draw_action(),
+            })
+            .collect()
+    }
+
+    fn draw_action(&mut self) -> FaultAction {
+        let kind: i32 = self.rng.random_range(0..12);
+        match kind {
+            0..=2 => FaultAction::Kill(self.draw_members()),
+            3 => FaultAction::Start(vec![Group::All]),
+            4..=5 => FaultAction::Stop(self.draw_members()),
+            6 => FaultAction::Wake(vec![Group::All]),
+            7 => FaultAction::Cut(self.draw_members(), self.draw_directions()),
+            8 => {
+                let zone = Group::Zone(self.rng.random_range(0..self.zones));
+                FaultAction::Cut(vec![zone], Directions::BOTH)
+            }
+            9 => FaultAction::Heal,
+            10 if self.sets_clocks => {
+                let members = self.draw_members();
+                let steps = -MAX_CLOCK_STEP_SECONDS..MAX_CLOCK_STEP_SECONDS;
+                let seconds: i64 = self.rng.random_range(steps);
+                FaultAction::Clock(members, seconds * SECOND as i64)
+            }
+            _ => {
+                let link = self.draw_link();
+                let receiver = Group::Member(self.rng.random_range(0..self.members));
+                FaultAction::Link(Group::All, receiver, link)
+            }
+        }
+    }
+
+    /// Up to a third of all members, some perhaps more than once.
+    fn draw_members(&mut self) -> Vec<Group> {
+        let max = 1 + self.members / 3;
+        let count: u32 = 1 + self.rng.random_range(0..max);
+        (0..count)
+            .map(|_| Group::Member(self.rng.random_range(0..self.members)))
+            .collect()
+    }
+
+    fn draw_directions(&mut self) -> Directions {
+        let choices = [Directions::BOTH, Directions::OUTGOING, Directions::INCOMING];
+        let chosen: usize = self.rng.random_range(0..choices.len());
+        choices[chosen]
+    }
+
+    fn draw_link(&mut self) -> Link {
+        Link {
+            loss: self.rng.random_range(0.0..0.4),
+            duplication: self.rng.random_range(0.0..0.2),
+            delay: self.rng.random_range(0..20_000),
+            jitter: self.rng.random_range(0..30_000),
+            is_cut: false,
+            bytes_per_second: 0,
+        }
     }
 }
--- a/crates/cluster-simulation/src/script/links.rs
+++ b/crates/cluster-simulation/src/script/links.rs
@@ -1,93 +1,115 @@
-//! The links between members as actions change them.
+//! The links between members, as fault actions change them.
 
-use super::{Group, Link};
+use super::{Directions, Group, Link};
 use std::collections::BTreeMap;
 
-/// The links between all members, and engines behind them by number, as deeds change them.
+/// The links between all members, and engines numbered behind them, as fault actions change them.
 pub struct Links {
     members: u32,
     engines: u32,
     zones: u32,
-    /// Where no deed says anything.
-    otherwise: Link,
-    usual: Vec<(Group, Group, Link)>,
-    cuts: BTreeMap<(u32, u32), Link>,
+    /// Links that no action has changed.
+    unchanged: Link,
+    /// Changed links; the latest that matches counts.
+    changed: Vec<ChangedLink>,
+    cuts: BTreeMap<Direction, Link>,
+}
+
+struct ChangedLink {
+    from: Group,
+    to: Group,
+    link: Link,
+}
+
+/// One direction between two members or engines.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct Direction {
+    from: u32,
+    to: u32,
 }
 
 impl Links {
-    /// All are so.
-    pub fn new(members: u32, zones: u32, otherwise: Link) -> Links {
+    /// Links between members, none of them changed yet.
+    pub fn new(members: u32, zones: u32, unchanged: Link) -> Links {
         Links {
             members,
             engines: 0,
             zones,
-            otherwise,
-            usual: Vec::new(),
+            unchanged,
+            changed: Vec::new(),
             cuts: BTreeMap::new(),
         }
     }
 
-    /// With so many engines: the first has the number behind the last member's.
+    /// Adds engines: the first has the number behind the last member's.
     pub fn with_engines(self, engines: u32) -> Links {
         Links { engines, ..self }
     }
 
-    fn has(&self, group: &Group, one: u32) -> bool {
-        match one.checked_sub(self.members) {
-            Some(engine) => group.has_engine(engine),
-            None => group.has(one, self.zones),
+    fn contains(&self, group: &Group, number: u32) -> bool {
+        match number.checked_sub(self.members) {
+            Some(engine) => group.contains_engine(engine),
+            None => group.contains_member(number, self.zones),
         }
     }
 
-    /// All of these groups, by number.
+    /// All members and engines of these groups, by number.
     pub fn all_of(&self, groups: &[Group]) -> Vec<u32> {
-        (0..self.members + self.engines)
-            .filter(|&one| groups.iter().any(|g| self.has(g, one)))
-            .collect()
+        let is_named = |number: &u32| groups.iter().any(|group| self.contains(group, *number));
+        (0..self.members + self.engines).filter(is_named).collect()
     }
 
     /// The link from one member to another.
     pub fn between(&self, from: u32, to: u32) -> Link {
-        let usual = || {
-            self.usual
-                .iter()
-                .rev()
-                .find(|u| self.has(&u.0, from) && self.has(&u.1, to))
-        };
-        let cut = self.cuts.get(&(from, to)).copied();
-        cut.unwrap_or_else(|| usual().map_or(self.otherwise, |u| u.2))
+        if let Some(cut) = self.cuts.get(&Direction { from, to }) {
+            return *cut;
+        }
+        let mut latest_first = self.changed.iter().rev();
+        let changed = latest_first
+            .find(|changed| self.contains(&changed.from, from) && self.contains(&changed.to, to));
+        changed.map_or(self.unchanged, |changed| changed.link)
     }
 
-    /// Links from the first to the second become so.
+    /// Changes the links from one group to another.
     pub fn set(&mut self, from: &Group, to: &Group, link: Link) {
-        self.usual.push((from.clone(), to.clone(), link));
+        self.changed.push(ChangedLink {
+            from: from.clone(),
+            to: to.clone(),
+            link,
+        });
     }
 
-    /// Nothing comes between these and all others: from them, to them.
-    pub fn cut(&mut self, some: &[u32], ways: (bool, bool)) {
-        let others: Vec<u32> = (0..self.members).filter(|m| !some.contains(m)).collect();
-        self.part(some, &others, ways);
+    /// Blocks traffic between these members and all others.
+    pub fn cut(&mut self, members: &[u32], directions: Directions) {
+        let others: Vec<u32> = (0..self.members)
+            .filter(|member| !members.contains(member))
+            .collect();
+        self.part(members, &others, directions);
     }
 
-    /// Nothing comes between these and those: from these, to these.
-    pub fn part(&mut self, some: &[u32], others: &[u32], (out, into): (bool, bool)) {
-        for &one in some {
+    /// Blocks traffic between these members and others; directions are of the former.
+    pub fn part(&mut self, members: &[u32], others: &[u32], directions: Directions) {
+        for &member in members {
             for &other in others {
-                for (way, _) in [((one, other), out), ((other, one), into)]
-                    .into_iter()
-                    .filter(|w| w.1)
-                {
-                    let link = Link {
-                        cut: true,
-                        ..self.between(way.0, way.1)
-                    };
-                    self.cuts.insert(way, link);
+                if directions.outgoing {
+                    self.block(member, other);
+                }
+                if directions.incoming {
+                    self.block(other, member);
                 }
             }
         }
     }
 
-    /// No cut is left.
+    fn block(&mut self, from: u32, to: u32) {
+        let link = Link {
+            is_cut: true,
+            ..self.between(from, to)
+        };
+        self.cuts.insert(Direction { from, to }, link);
+    }
+
+    /// Ends all cuts.
     pub fn heal(&mut self) {
         self.cuts.clear();
     }
--- a/crates/cluster-simulation/src/script/reader.rs
+++ b/crates/cluster-simulation/src/script/reader.rs
@@ -1,54 +1,84 @@
 //! Reads scripts from KDL.
 
-use super::{FaultAction, Group, Link, Script};
+use super::{Directions, FaultAction, Group, Link, Script, TimedAction};
 use driftfront_cluster::Micros;
 use kdl::{KdlDocument, KdlEntry, KdlNode};
-use std::fmt;
 
 /// Members of a script at most.
 const MAX_MEMBERS: u64 = 1000;
 /// Voters of a script at most.
 const MAX_VOTERS: u64 = 5;
 
-/// Why a script can't be read.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ScriptError {
-    /// The line, from 1.
-    pub line: usize,
-    /// The name of the node that is wrong; `None` where the text is no KDL.
-    pub node: Option<String>,
-    /// What is wrong with it.
-    pub problem: &'static str,
+/// Why a script can't be read. Lines count from 1.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum ScriptError {
+    /// The text is not KDL.
+    #[error("line {line}: no KDL")]
+    NotKdl {
+        /// The line.
+        line: usize,
+    },
+    /// A node is unknown, or its arguments are wrong.
+    #[error("line {line}: {node}: {problem}")]
+    WrongNode {
+        /// The line.
+        line: usize,
+        /// The node's name.
+        node: String,
+        /// What is wrong with it.
+        problem: ScriptProblem,
+    },
 }
 
-impl fmt::Display for ScriptError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "line {}: ", self.line)?;
-        if let Some(node) = &self.node {
-            write!(f, "{node}: ")?;
-        }
-        f.write_str(self.problem)
-    }
+/// What is wrong with a node of a script.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum ScriptProblem {
+    /// The number is missing or malformed.
+    #[error("it takes a number")]
+    NumberExpected,
+    /// The time is missing or malformed.
+    #[error("it takes a time, as \"5 s\"")]
+    TimeExpected,
+    /// There are no groups, or one of them is malformed.
+    #[error("write \"m0\", \"z1\" or \"all\"")]
+    GroupsExpected,
+    /// A link has not two groups.
+    #[error("it takes two groups, from and to")]
+    TwoGroupsExpected,
+    /// A property that is a time is malformed.
+    #[error("a time is \"5 ms\" or \"2 s\"")]
+    MalformedTime,
+    /// A probability is malformed or out of range.
+    #[error("a part is 0 to 1")]
+    MalformedProbability,
+    /// The directions are malformed.
+    #[error("ways is \"both\", \"out\" or \"in\"")]
+    MalformedDirections,
+    /// The group of the other side is missing or malformed.
+    #[error("write from=\"engines\", \"e0\" or \"m3\"")]
+    FromExpected,
+    /// The step of a clock is missing or malformed.
+    #[error("write by=\"3600 s\" or by=\"-3600 s\"")]
+    ClockStepExpected,
+    /// There is no such fault action.
+    #[error("no such deed")]
+    UnknownAction,
 }
 
-impl std::error::Error for ScriptError {}
-
 /// Reads a script.
 pub(super) fn read_script(text: &str) -> Result<Script, ScriptError> {
     let document = KdlDocument::parse(text).map_err(|error| {
         let diagnostic = error.diagnostics.first();
         let offset = diagnostic.map_or(0, |d| d.span.offset());
-        ScriptError {
+        ScriptError::NotKdl {
             line: line_at(text, offset),
-            node: None,
-            problem: "no KDL",
         }
     })?;
     let mut script = Script {
         members: 3,
         zones: 1,
         voters: 0,
-        keeps: false,
+        persists_log: false,
         replace_after: 300_000_000,
         seed: 1,
         until: 30_000_000,
@@ -57,7 +87,7 @@
     for node in document.nodes() {
         NodeReader { text, node }.read_into(&mut script)?;
     }
-    script.actions.sort_by_key(|d| d.0);
+    script.actions.sort_by_key(|timed| timed.at);
     Ok(script)
 }
 
@@ -74,13 +104,13 @@
 }
 
 impl NodeReader<'_> {
-    fn error(&self, problem: &'static str) -> ScriptError {
+    fn error(&self, problem: ScriptProblem) -> ScriptError {
         let offset = self.node.span().offset().min(self.text.len());
         let behind = &self.text[offset..];
         let skipped = behind.find(|c: char| !c.is_whitespace()).unwrap_or(0);
-        ScriptError {
+        ScriptError::WrongNode {
             line: line_at(self.text, offset + skipped),
-            node: Some(self.node.name().value().into()),
+            node: self.node.name().value().into(),
             problem,
         }
     }
@@ -96,7 +126,7 @@
             "voters" => {
                 script.voters = self.number()?.min(MAX_VOTERS) as u32;
                 let keeps = self.node.get("keeps").and_then(|k| k.as_bool());
-                script.keeps = keeps.unwrap_or(false);
+                script.persists_log = keeps.unwrap_or(false);
                 script.replace_after = self.time_of("replace-after", script.replace_after)?;
             }
             "seed" => script.seed = self.number()?,
@@ -105,10 +135,14 @@
                 let at = self.time()?;
                 for node in self.node.children().map_or(&[][..], |c| c.nodes()) {
                     let reader = NodeReader { node, ..*self };
-                    script.actions.push((at, reader.action()?));
+                    let action = reader.action()?;
+                    script.actions.push(TimedAction { at, action });
                 }
             }
-            _ => script.actions.push((0, self.action()?)),
+            _ => script.actions.push(TimedAction {
+                at: 0,
+                action: self.action()?,
+            }),
         }
         Ok(())
     }
@@ -122,14 +156,14 @@
         let number = first.and_then(|e| e.value().as_integer());
         number
             .and_then(|n| u64::try_from(n).ok())
-            .ok_or_else(|| self.error("it takes a number"))
+            .ok_or_else(|| self.error(ScriptProblem::NumberExpected))
     }
 
     fn time(&self) -> Result<Micros, ScriptError> {
         let first = self.arguments().next();
         first
             .and_then(|e| e.value().as_string().and_then(parse_time))
-            .ok_or_else(|| self.error("it takes a time, as \"5 s\""))
+            .ok_or_else(|| self.error(ScriptProblem::TimeExpected))
     }
 
     fn groups(&self) -> Result<Vec<Group>, ScriptError> {
@@ -137,7 +171,7 @@
         let groups: Option<Vec<Group>> = self.arguments().map(group).collect();
         groups
             .filter(|g| !g.is_empty())
-            .ok_or_else(|| self.error("write \"m0\", \"z1\" or \"all\""))
+            .ok_or_else(|| self.error(ScriptProblem::GroupsExpected))
     }
 
     fn time_of(&self, key: &str, default: Micros) -> Result<Micros, ScriptError> {
@@ -145,40 +179,41 @@
             return Ok(default);
         };
         let time = value.as_string().and_then(parse_time);
-        time.ok_or_else(|| self.error("a time is \"5 ms\" or \"2 s\""))
+        time.ok_or_else(|| self.error(ScriptProblem::MalformedTime))
     }
 
-    /// A part of all, from 0 to 1.
-    fn part_of(&self, key: &str) -> Result<f64, ScriptError> {
+    /// A property that is a probability; 0 without it.
+    fn probability_of(&self, key: &str) -> Result<f64, ScriptError> {
         let Some(value) = self.node.get(key) else {
             return Ok(0.0);
         };
         let integer = || value.as_integer().map(|n| n as f64);
-        let part = value.as_float().or_else(integer);
-        part.filter(|p| (0.0..=1.0).contains(p))
-            .ok_or_else(|| self.error("a part is 0 to 1"))
+        let probability = value.as_float().or_else(integer);
+        probability
+            .filter(|p| (0.0..=1.0).contains(p))
+            .ok_or_else(|| self.error(ScriptProblem::MalformedProbability))
     }
 
-    fn ways(&self) -> Result<(bool, bool), ScriptError> {
+    fn directions(&self) -> Result<Directions, ScriptError> {
         match self.node.get("ways").map(|w| w.as_string()) {
-            None | Some(Some("both")) => Ok((true, true)),
-            Some(Some("out")) => Ok((true, false)),
-            Some(Some("in")) => Ok((false, true)),
-            _ => Err(self.error("ways is \"both\", \"out\" or \"in\"")),
+            None | Some(Some("both")) => Ok(Directions::BOTH),
+            Some(Some("out")) => Ok(Directions::OUTGOING),
+            Some(Some("in")) => Ok(Directions::INCOMING),
+            _ => Err(self.error(ScriptProblem::MalformedDirections)),
         }
     }
 
     fn from(&self) -> Result<Group, ScriptError> {
         let from = self.node.get("from").and_then(|f| f.as_string());
         from.and_then(parse_group)
-            .ok_or_else(|| self.error("write from=\"engines\", \"e0\" or \"m3\""))
+            .ok_or_else(|| self.error(ScriptProblem::FromExpected))
     }
 
     fn action(&self) -> Result<FaultAction, ScriptError> {
         Ok(match self.node.name().value() {
             "link" => self.link()?,
-            "cut" => FaultAction::Cut(self.groups()?, self.ways()?),
-            "part" => FaultAction::Part(self.groups()?, self.from()?, self.ways()?),
+            "cut" => FaultAction::Cut(self.groups()?, self.directions()?),
+            "part" => FaultAction::Part(self.groups()?, self.from()?, self.directions()?),
             "reset" => FaultAction::Reset(self.groups()?, self.from()?),
             "heal" => FaultAction::Heal,
             "kill" => FaultAction::Kill(self.groups()?),
@@ -190,24 +225,24 @@
                 let step = self.clock_step()?;
                 FaultAction::Clock(self.groups()?, step)
             }
-            _ => return Err(self.error("no such deed")),
+            _ => return Err(self.error(ScriptProblem::UnknownAction)),
         })
     }
 
     fn link(&self) -> Result<FaultAction, ScriptError> {
         let groups = self.groups()?;
         let [from, to] = &groups[..] else {
-            return Err(self.error("it takes two groups, from and to"));
+            return Err(self.error(ScriptProblem::TwoGroupsExpected));
         };
-        let usual = Link::default();
+        let default = Link::default();
         let throttle = self.node.get("throttle").and_then(|t| t.as_integer());
         let link = Link {
-            loss: self.part_of("loss")?,
-            repeat: self.part_of("repeat")?,
-            delay: self.time_of("delay", usual.delay)?,
-            jitter: self.time_of("jitter", usual.jitter)?,
-            cut: false,
-            throttle: throttle.map_or(0, |t| t.max(0) as u64),
+            loss: self.probability_of("loss")?,
+            duplication: self.probability_of("repeat")?,
+            delay: self.time_of("delay", default.delay)?,
+            jitter: self.time_of("jitter", default.jitter)?,
+            is_cut: false,
+            bytes_per_second: throttle.map_or(0, |t| u64::try_from(t.max(0)).unwrap_or(u64::MAX)),
         };
         Ok(FaultAction::Link(from.clone(), to.clone(), link))
     }
@@ -220,7 +255,7 @@
             Some(back) => parse_time(back).map(|t| -(t as i64)),
             None => parse_time(by).map(|t| t as i64),
         };
-        step.ok_or_else(|| self.error("write by=\"3600 s\" or by=\"-3600 s\""))
+        step.ok_or_else(|| self.error(ScriptProblem::ClockStepExpected))
     }
 }
 
@@ -250,8 +285,13 @@
         "s" => 1e6,
         _ => return None,
     };
-    let time = number.trim().parse::<f64>().ok()? * factor;
-    (0.0..=MAX_TIME_MICROS)
-        .contains(&time)
-        .then_some(time as Micros)
+    let micros = number.trim().parse::<f64>().ok()? * factor;
+    if !(0.0..=MAX_TIME_MICROS).contains(&micros) {
+        return None;
+    }
+    #[allow(
+        clippy::cast_possible_truncation,
+        reason = "bounded above, and what is less than a microsecond is cut"
+    )]
+    Some(micros as Micros)
 }
--- /dev/null
+++ b/crates/cluster-simulation/src/world/faults.rs
@@ -0,0 +1,56 @@
+//! Applies a script's fault actions.
+
+use super::World;
+use crate::script::FaultAction;
+
+impl World {
+    pub(super) fn apply_action(&mut self, action: FaultAction) {
+        match action {
+            FaultAction::Link(from, to, link) => self.links.set(&from, &to, link),
+            FaultAction::Cut(groups, directions) => {
+                let members = self.script.members_of(&groups);
+                self.links.cut(&members, directions);
+            }
+            FaultAction::Part(groups, other, directions) => {
+                let members = self.script.members_of(&groups);
+                let others = self.links.all_of(&[other]);
+                self.links.part(&members, &others, directions);
+            }
+            // The simulation has no connections.
+            FaultAction::Reset(..) => {}
+            FaultAction::Heal => self.links.heal(),
+            FaultAction::Kill(groups) => self.for_each_of(&groups, World::end),
+            FaultAction::Stop(groups) => self.for_each_of(&groups, World::suspend),
+            FaultAction::Wake(groups) => self.for_each_of(&groups, World::resume),
+            FaultAction::Start(groups) => self.for_each_of(&groups, World::start),
+            FaultAction::Leave(groups) => self.for_each_of(&groups, World::leave),
+            FaultAction::Clock(groups, step) => self.for_each_of(&groups, |world, member| {
+                world.process_mut(member).clock_offset += step;
+            }),
+        }
+    }
+
+    fn for_each_of(&mut self, groups: &[crate::script::Group], apply: impl Fn(&mut World, u32)) {
+        for member in self.script.members_of(groups) {
+            apply(self, member);
+        }
+    }
+
+    fn suspend(&mut self, member: u32) {
+        self.process_mut(member).is_suspended = true;
+    }
+
+    fn resume(&mut self, member: u32) {
+        self.process_mut(member).is_suspended = false;
+        self.handle_arrived(member);
+    }
+
+    fn leave(&mut self, member: u32) {
+        let clock = self.clock(member);
+        if let Some(agent) = self.agent(member) {
+            agent.leave(clock);
+        }
+        self.handle_arrived(member);
+        self.end(member);
+    }
+}
--- a/crates/cluster-simulation/tests/golden.rs
+++ b/crates/cluster-simulation/tests/golden.rs
@@ -2,8 +2,10 @@
 //! change of the code changed anything that members do: the sum over all that was sent differs with any byte.
 
 use driftfront_cluster::MemberStatus;
-use driftfront_cluster_simulation::rights::Load;
-use driftfront_cluster_simulation::{fault_scenario, FaultAction, Group, Link, Script, World};
+use driftfront_cluster_simulation::lease_workload::{AnsweredRequest, Grant, LeaseLoad};
+use driftfront_cluster_simulation::{
+    fault_scenario, Directions, FaultAction, Group, Link, Script, TimedAction, World,
+};
 use driftfront_test_support::assert_golden;
 use std::fmt::Write;
 use std::process::Command;
@@ -27,7 +29,7 @@
 fn link(link: &Link) -> String {
     format!(
         "loss {} repeat {} delay {} jitter {} cut {} throttle {}",
-        link.loss, link.repeat, link.delay, link.jitter, link.cut, link.throttle
+        link.loss, link.duplication, link.delay, link.jitter, link.is_cut, link.bytes_per_second
     )
 }
 
@@ -38,22 +40,24 @@
         script.members,
         script.zones,
         script.voters,
-        script.keeps,
+        script.persists_log,
         script.replace_after,
         script.seed,
         script.until
     );
-    for (at, action) in &script.actions {
+    for TimedAction { at, action } in &script.actions {
         let words = match action {
             FaultAction::Link(from, to, of) => {
                 format!("link {} {} {}", group(from), group(to), link(of))
             }
-            FaultAction::Cut(some, (out, into)) => {
-                format!("cut {} out {out} in {into}", groups(some))
+            FaultAction::Cut(some, directions) => {
+                let Directions { outgoing, incoming } = directions;
+                format!("cut {} out {outgoing} in {incoming}", groups(some))
             }
-            FaultAction::Part(some, from, (out, into)) => {
+            FaultAction::Part(some, from, directions) => {
+                let Directions { outgoing, incoming } = directions;
                 format!(
-                    "part {} from {} out {out} in {into}",
+                    "part {} from {} out {outgoing} in {incoming}",
                     groups(some),
                     group(from)
                 )
@@ -162,18 +166,17 @@
         let _ = writeln!(
             text,
             "{}",
-            describe(&fault_scenario::storm(members, seed, clocks))
+            describe(&fault_scenario::draw(members, seed, clocks))
         );
     }
     assert_golden!("storms.txt", text);
 }
 
-fn standing(standing: Option<MemberStatus>) -> &'static str {
-    match standing {
-        None => "not at all",
-        Some(MemberStatus::Alive) => "alive",
-        Some(MemberStatus::Suspected) => "doubted",
-        Some(MemberStatus::Down) => "down",
+fn status_text(status: MemberStatus) -> &'static str {
+    match status {
+        MemberStatus::Alive => "alive",
+        MemberStatus::Suspected => "doubted",
+        MemberStatus::Down => "down",
     }
 }
 
@@ -185,28 +188,28 @@
 }
 
 /// Plays a script and writes down, second by second, the sum over all that was sent and each change of a member's view.
-fn play(script: Script, load: Option<Load>) -> String {
+fn play(script: Script, load: Option<LeaseLoad>) -> String {
     let (members, until) = (script.members, script.until);
     let mut world = World::new(script);
     if let Some(load) = load {
-        world.ask(load);
+        world.start_lease_workload(load);
     }
     let (mut text, mut shown) = (String::new(), 0);
     while world.time() < until {
         let next = (world.time() + S).min(until);
         world.play(next, |_| false);
-        for seen in &world.seen[shown..] {
+        for seen in &world.view_changes[shown..] {
             let _ = writeln!(
                 text,
                 "{} m{} sees m{} {}",
                 seen.at,
-                seen.by,
-                seen.of,
-                standing(seen.standing)
+                seen.observer,
+                seen.subject,
+                status_text(seen.status)
             );
         }
-        shown = world.seen.len();
-        let leader = world.led();
+        shown = world.view_changes.len();
+        let leader = world.leader();
         let _ = writeln!(
             text,
             "{} trace {:016x} leader {leader:?}",
@@ -216,23 +219,23 @@
     }
     for m in 0..members {
         let c = world.counters(m);
-        let disk = world.disk(m).clone();
+        let disk = world.disk_mut(m).clone();
         let _ = writeln!(
             text,
             "m{m}: sent {} of {} bytes, taken {}, downs {}, backs {}, withheld {}, disk {} bytes {:016x}",
             c.sent, c.sent_bytes, c.accepted, c.members_down, c.rejoins, c.rate_limited, disk.len(), sum(&disk)
         );
     }
-    if let Some(rights) = &world.rights {
+    if let Some(workload) = &world.lease_workload {
         let _ = writeln!(
             text,
             "lent {}, unanswered {}, wrong {:?}",
-            rights.lent, rights.timed_out, rights.wrong
+            workload.granted, workload.timed_out, workload.violations
         );
-        for (fence, (resource, owner)) in &rights.fences {
+        for (fence, Grant { resource, owner }) in &workload.grants {
             let _ = writeln!(text, "{fence} {resource} m{owner}");
         }
-        for (at, took) in &rights.answered {
+        for AnsweredRequest { at, took } in &workload.answered {
             let _ = writeln!(text, "answered at {at} after {took}");
         }
     }
@@ -247,11 +250,11 @@
 #[test]
 fn members_do_the_same_in_storms_while_they_ask_for_rights() {
     for (seed, keeps) in [(1, true), (2, false), (3, true), (4, false), (5, true)] {
-        let mut script = fault_scenario::storm(6, seed, true);
-        (script.voters, script.keeps) = (3, keeps);
-        let load = Load {
-            one_in: 10,
-            ..Load::default()
+        let mut script = fault_scenario::draw(6, seed, true);
+        (script.voters, script.persists_log) = (3, keeps);
+        let load = LeaseLoad {
+            polls_per_request: 10,
+            ..LeaseLoad::default()
         };
         assert_golden!(&format!("run-storm-{seed}.txt"), play(script, Some(load)));
     }
@@ -262,11 +265,11 @@
     let script = "members 7\nvoters 3 keeps=#true replace-after=\"5 s\"\nseed 9\nuntil \"70 s\"\n\
                   link \"all\" \"all\" loss=0.05 delay=\"2 ms\" jitter=\"2 ms\"\n\
                   at \"30 s\" { kill \"m1\" }\nat \"50 s\" { start \"m1\" }";
-    let load = Load {
-        one_in: 1,
+    let load = LeaseLoad {
+        polls_per_request: 1,
         resources: 400,
-        duration: 60 * S,
-        ..Load::default()
+        max_duration: 60 * S,
+        ..LeaseLoad::default()
     };
     assert_golden!(
         "run-replaced.txt",
--- a/crates/cluster-simulation/tests/membership.rs
+++ b/crates/cluster-simulation/tests/membership.rs
@@ -15,16 +15,19 @@
 
 /// Those that some living member called down though they were there, but for these.
 fn false_deaths(world: &World, but: &[u32]) -> usize {
-    let false_ones = |s: &&driftfront_cluster_simulation::world::Seen| {
-        s.standing == Some(MemberStatus::Down) && !but.contains(&s.of)
+    let false_ones = |s: &&driftfront_cluster_simulation::world::ViewChange| {
+        s.status == MemberStatus::Down && !but.contains(&s.subject)
     };
-    world.seen.iter().filter(false_ones).count()
+    world.view_changes.iter().filter(false_ones).count()
 }
 
 #[test]
 fn members_that_start_together_know_each_other_soon() {
     let mut w = world("members 24 zones=3");
-    assert!(w.play(5 * S, |w| w.agree(&all(24))), "not in five seconds");
+    assert!(
+        w.play(5 * S, |w| w.all_see_exactly(&all(24))),
+        "not in five seconds"
+    );
 }
 
 #[test]
@@ -33,9 +36,10 @@
         let mut w = world(&format!(
             "members 8\nseed {seed}\nat \"10 s\" {{ kill \"m1\" \"m4\" \"m6\" }}"
         ));
-        assert!(w.play(10 * S, |w| w.agree(&all(8))));
+        assert!(w.play(10 * S, |w| w.all_see_exactly(&all(8))));
         assert!(
-            w.play(16 * S, |w| w.time() > 10 * S && w.agree(&[0, 2, 3, 5, 7])),
+            w.play(16 * S, |w| w.time() > 10 * S
+                && w.all_see_exactly(&[0, 2, 3, 5, 7])),
             "seed {seed}"
         );
         assert_eq!(false_deaths(&w, &[1, 4, 6]), 0, "seed {seed}");
@@ -47,14 +51,14 @@
     for seed in 1..=5 {
         let script = "at \"5 s\" { cut \"m0\" \"m1\" \"m2\" \"m3\" }\nat \"15 s\" { heal }";
         let mut w = world(&format!("members 8\nseed {seed}\n{script}"));
-        assert!(w.play(5 * S, |w| w.agree(&all(8))));
+        assert!(w.play(5 * S, |w| w.all_see_exactly(&all(8))));
         let apart = |w: &World| {
-            let sees = |by: u32, of: u32| w.standing(by, of) != Some(MemberStatus::Down);
+            let sees = |by: u32, of: u32| w.status(by, of) != Some(MemberStatus::Down);
             (0..8).all(|by| (0..8).all(|of| by == of || sees(by, of) == ((by < 4) == (of < 4))))
         };
         assert!(w.play(15 * S, apart), "seed {seed}: never apart");
         assert!(
-            w.play(26 * S, |w| w.time() > 15 * S && w.agree(&all(8))),
+            w.play(26 * S, |w| w.time() > 15 * S && w.all_see_exactly(&all(8))),
             "seed {seed}: never one again"
         );
     }
@@ -64,23 +68,23 @@
 fn member_that_reaches_nobody_is_down_until_the_cut_heals() {
     let mut w =
         world("members 8\nseed 3\nat \"5 s\" { cut \"m2\" ways=\"out\" }\nat \"20 s\" { heal }");
-    assert!(w.play(5 * S, |w| w.agree(&all(8))));
+    assert!(w.play(5 * S, |w| w.all_see_exactly(&all(8))));
     let gone = |w: &World| {
         (0..8)
             .filter(|&m| m != 2)
-            .all(|m| w.standing(m, 2) == Some(MemberStatus::Down))
+            .all(|m| w.status(m, 2) == Some(MemberStatus::Down))
     };
     assert!(w.play(12 * S, gone));
     // Nobody else is doubted for it for long.
     w.play(20 * S, |_| false);
     assert_eq!(
-        w.seen
+        w.view_changes
             .iter()
-            .filter(|s| s.by != 2 && s.of != 2 && s.standing == Some(MemberStatus::Down))
+            .filter(|s| s.observer != 2 && s.subject != 2 && s.status == MemberStatus::Down)
             .count(),
         0
     );
-    assert!(w.play(32 * S, |w| w.time() > 20 * S && w.agree(&all(8))));
+    assert!(w.play(32 * S, |w| w.time() > 20 * S && w.all_see_exactly(&all(8))));
 }
 
 #[test]
@@ -89,17 +93,17 @@
         let mut w = world(&format!(
             "members 8\nseed {seed}\nat \"5 s\" {{ stop \"m3\" }}\nat \"13 s\" {{ wake \"m3\" }}"
         ));
-        assert!(w.play(5 * S, |w| w.agree(&all(8))));
+        assert!(w.play(5 * S, |w| w.all_see_exactly(&all(8))));
         w.play(13 * S, |_| false);
-        assert_eq!(w.standing(0, 3), Some(MemberStatus::Down));
+        assert_eq!(w.status(0, 3), Some(MemberStatus::Down));
         assert!(
-            w.play(24 * S, |w| w.time() > 13 * S && w.agree(&all(8))),
+            w.play(24 * S, |w| w.time() > 13 * S && w.all_see_exactly(&all(8))),
             "seed {seed}"
         );
         assert_eq!(
-            w.seen
+            w.view_changes
                 .iter()
-                .filter(|s| s.by == 3 && s.standing == Some(MemberStatus::Down))
+                .filter(|s| s.observer == 3 && s.status == MemberStatus::Down)
                 .count(),
             0,
             "seed {seed}"
@@ -113,9 +117,12 @@
         let mut w = world(&format!(
             "members 8\nat \"5 s\" {{ clock \"m3\" by=\"{by}\" }}"
         ));
-        assert!(w.play(5 * S, |w| w.agree(&all(8))));
+        assert!(w.play(5 * S, |w| w.all_see_exactly(&all(8))));
         w.play(20 * S, |_| false);
-        assert!(w.agree(&all(8)) && false_deaths(&w, &[]) == 0, "{by}");
+        assert!(
+            w.all_see_exactly(&all(8)) && false_deaths(&w, &[]) == 0,
+            "{by}"
+        );
     }
 }
 
@@ -123,35 +130,35 @@
 fn members_wait_for_a_seed_and_then_know_each_other() {
     let mut w = world("members 8\nkill \"m0\" \"m1\" \"m2\"\nat \"10 s\" { start \"m1\" }");
     w.play(9 * S, |_| false);
-    assert!((3..8).all(|m| w.standing(m, 7 - m % 2).is_none() || m == 7 - m % 2));
+    assert!((3..8).all(|m| w.status(m, 7 - m % 2).is_none() || m == 7 - m % 2));
     assert!(w.play(18 * S, |w| w.time() > 10 * S
-        && w.agree(&[1, 3, 4, 5, 6, 7])));
+        && w.all_see_exactly(&[1, 3, 4, 5, 6, 7])));
 }
 
 #[test]
 fn restarted_member_keeps_its_name() {
     let mut w = world("members 8\nat \"5 s\" { kill \"m3\" }\nat \"5500 ms\" { start \"m3\" }\nat \"12 s\" { kill \"m4\" }\nat \"20 s\" { start \"m4\" }");
-    assert!(w.play(5 * S, |w| w.agree(&all(8))));
+    assert!(w.play(5 * S, |w| w.all_see_exactly(&all(8))));
     w.play(12 * S, |_| false);
-    assert!(w.agree(&all(8)));
-    assert!(w.play(30 * S, |w| w.time() > 20 * S && w.agree(&all(8))));
+    assert!(w.all_see_exactly(&all(8)));
+    assert!(w.play(30 * S, |w| w.time() > 20 * S && w.all_see_exactly(&all(8))));
     assert_eq!(false_deaths(&w, &[3, 4]), 0);
 }
 
 #[test]
 fn member_that_leaves_is_down_at_once() {
     let mut w = world("members 8\nat \"5 s\" { leave \"m3\" }");
-    assert!(w.play(5 * S, |w| w.agree(&all(8))));
+    assert!(w.play(5 * S, |w| w.all_see_exactly(&all(8))));
     assert!(w.play(5 * S + 700_000, |w| w.time() > 5 * S
-        && w.agree(&[0, 1, 2, 4, 5, 6, 7])));
+        && w.all_see_exactly(&[0, 1, 2, 4, 5, 6, 7])));
 }
 
 #[test]
 fn loss_of_a_third_hides_no_death_and_kills_nobody_for_long() {
     let mut w = world("members 16\nseed 5\nlink \"all\" \"all\" loss=0.3 repeat=0.1 delay=\"2 ms\" jitter=\"20 ms\"\nat \"20 s\" { kill \"m9\" }");
-    assert!(w.play(10 * S, |w| w.agree(&all(16))));
+    assert!(w.play(10 * S, |w| w.all_see_exactly(&all(16))));
     let rest: Vec<u32> = (0..16).filter(|&m| m != 9).collect();
-    assert!(w.play(28 * S, |w| w.time() > 20 * S && w.agree(&rest)));
+    assert!(w.play(28 * S, |w| w.time() > 20 * S && w.all_see_exactly(&rest)));
     // Repeated datagrams were taken once.
     assert!((0..8).all(|m| w.counters(m).replayed > 0));
 }
@@ -161,19 +168,19 @@
     let mut w = world(
         "members 12\nseed 2\nat \"5 s\" { cut \"m11\" }\nat \"12 s\" { heal }\nat \"30 s\" { kill \"m0\" }",
     );
-    assert!(w.play(5 * S, |w| w.agree(&all(12))));
+    assert!(w.play(5 * S, |w| w.all_see_exactly(&all(12))));
     w.play(6 * S, |_| false);
     assert!(w
-        .fleet(0)
+        .agent(0)
         .unwrap()
         .publish(9, b"told while one was cut off"));
     w.play(9 * S, |_| false);
     for m in 1..11 {
-        assert!(w.fleet(m).unwrap().record("m0", 9).is_some(), "m{m}");
+        assert!(w.agent(m).unwrap().record("m0", 9).is_some(), "m{m}");
     }
-    assert!(w.fleet(11).unwrap().record("m0", 9).is_none());
+    assert!(w.agent(11).unwrap().record("m0", 9).is_none());
     w.play(29 * S, |_| false);
-    let fleet = w.fleet(11).unwrap();
+    let fleet = w.agent(11).unwrap();
     let fact = fleet
         .record("m0", 9)
         .expect("comparisons bring what rumours missed");
@@ -182,7 +189,7 @@
         "{fact:?}"
     );
     w.play(36 * S, |_| false);
-    assert!(!w.fleet(11).unwrap().record("m0", 9).unwrap().reachable);
+    assert!(!w.agent(11).unwrap().record("m0", 9).unwrap().reachable);
 }
 
 #[test]
@@ -191,7 +198,7 @@
     let run = || {
         let mut w = world(script);
         w.play(12 * S, |_| false);
-        (w.trace, w.seen.len())
+        (w.trace, w.view_changes.len())
     };
     assert_eq!(run(), run());
     let other = script.replace("seed 11", "seed 12");
@@ -205,7 +212,10 @@
     let mut a_second = Vec::new();
     for members in [8, 96] {
         let mut w = world(&format!("members {members}"));
-        assert!(w.play(15 * S, |w| w.agree(&all(members))), "{members}");
+        assert!(
+            w.play(15 * S, |w| w.all_see_exactly(&all(members))),
+            "{members}"
+        );
         w.play(15 * S, |_| false);
         let before: u64 = (0..members).map(|m| w.counters(m).sent).sum();
         w.play(25 * S, |_| false);
@@ -223,27 +233,28 @@
     let script =
         "at \"5 s\" { clock \"m3\" by=\"-900 s\" }\nat \"8 s\" { kill \"m3\" }\nat \"14 s\" { start \"m3\" }";
     let mut w = world(&format!("members 8\nseed 4\n{script}"));
-    assert!(w.play(5 * S, |w| w.agree(&all(8))));
+    assert!(w.play(5 * S, |w| w.all_see_exactly(&all(8))));
     w.play(14 * S, |_| false);
-    assert_eq!(w.standing(0, 3), Some(MemberStatus::Down));
-    assert!(w.play(19 * S, |w| w.time() > 14 * S && w.agree(&all(8))));
+    assert_eq!(w.status(0, 3), Some(MemberStatus::Down));
+    assert!(w.play(19 * S, |w| w.time() > 14 * S && w.all_see_exactly(&all(8))));
     // What it tells now counts, too.
-    assert!(w.fleet(3).unwrap().publish(9, b"anew"));
+    assert!(w.agent(3).unwrap().publish(9, b"anew"));
     w.play(21 * S, |_| false);
-    assert!((0..8).all(|m| w.fleet(m).unwrap().record("m3", 9).is_some()));
+    assert!((0..8).all(|m| w.agent(m).unwrap().record("m3", 9).is_some()));
 }
 
 #[test]
 fn fault_scenarios_end_in_one_view() {
     for seed in 1..=25 {
-        let mut w = World::new(driftfront_cluster_simulation::fault_scenario::storm(
+        let mut w = World::new(driftfront_cluster_simulation::fault_scenario::draw(
             6, seed, true,
         ));
-        w.play(driftfront_cluster_simulation::fault_scenario::QUIET, |_| {
-            false
-        });
-        let until = driftfront_cluster_simulation::fault_scenario::QUIET
-            + driftfront_cluster_simulation::fault_scenario::OWED;
-        assert!(w.play(until, |w| w.agree(&all(6))), "seed {seed}");
+        w.play(
+            driftfront_cluster_simulation::fault_scenario::QUIET_FROM,
+            |_| false,
+        );
+        let until = driftfront_cluster_simulation::fault_scenario::QUIET_FROM
+            + driftfront_cluster_simulation::fault_scenario::CONVERGENCE_TIMEOUT;
+        assert!(w.play(until, |w| w.all_see_exactly(&all(6))), "seed {seed}");
     }
 }
--- a/crates/cluster-simulation/tests/model.rs
+++ b/crates/cluster-simulation/tests/model.rs
@@ -1,14 +1,14 @@
-//! The model of a right that is lent, as deep as a test has time for; `driftfront-cluster-simulation check` goes further.
+//! The model of the lease protocol, as deep as a test has time for; `driftfront-cluster-simulation check` goes further.
 
-use driftfront_cluster_simulation::model::{Bounds, Wrong};
+use driftfront_cluster_simulation::model::{Bounds, Mistake};
 use stateright::{Checker, HasDiscoveries, Model};
 
-fn found(wrong: Wrong, depth: usize) -> Vec<&'static str> {
+fn found(mistake: Mistake, depth: usize) -> Vec<&'static str> {
     let bounds = Bounds {
         time: 2,
         terms: 2,
         entries: 3,
-        wrong,
+        mistake,
     };
     let checker = bounds.checker().threads(2).target_max_depth(depth);
     let done = checker
@@ -20,7 +20,7 @@
 
 #[test]
 fn lease_is_never_used_by_two_despite_crashes_and_cuts() {
-    let found = found(Wrong::Nothing, 11);
+    let found = found(Mistake::None, 11);
     assert!(
         !found.contains(&"never both") && !found.contains(&"agreed once"),
         "{found:?}"
@@ -29,7 +29,7 @@
 
 #[test]
 fn mistaken_builds_are_found_out() {
-    for wrong in [Wrong::FromTheAnswer, Wrong::OwnClock] {
-        assert!(found(wrong, 12).contains(&"never both"), "{wrong:?}");
+    for mistake in [Mistake::CountsFromResponse, Mistake::UsesOwnClock] {
+        assert!(found(mistake, 12).contains(&"never both"), "{mistake:?}");
     }
 }
--- a/crates/cluster-simulation/tests/script.rs
+++ b/crates/cluster-simulation/tests/script.rs
@@ -1,6 +1,6 @@
 //! Scripts of faults.
 
-use driftfront_cluster_simulation::{FaultAction, Group, Link, Script};
+use driftfront_cluster_simulation::{Directions, FaultAction, Group, Link, Script, TimedAction};
 
 #[test]
 fn script_is_read_and_an_error_names_its_line() {
@@ -26,10 +26,14 @@
             ),
             (
                 5_000_000,
-                FaultAction::Cut(vec![Group::Member(0), Group::Member(1)], (true, false))
+                FaultAction::Cut(
+                    vec![Group::Member(0), Group::Member(1)],
+                    Directions::OUTGOING
+                )
             ),
             (5_000_000, FaultAction::Heal),
         ]
+        .map(|(at, action)| TimedAction { at, action })
     );
     for (text, line) in [
         ("members 3\n\nat \"x\" { heal }", "line 3: at"),
