--- a/crates/coordinator/src/node/clients/closing.rs
+++ b/crates/coordinator/src/node/clients/closing.rs
@@ -101,7 +101,7 @@
             .core
             .accepted(request)
             .and_then(|a| self.idempotency(a.request.class));
-        let is_uploading = self.engines.uploads.contains_key(&request);
+        let is_uploading = self.engines.upload_connection(request).is_some();
         self.core.client_left(now, request);
         // A read is let go on its engine, and so is what waits there for a body that never comes.
         let is_idempotent = idempotency == Some(Idempotency::Idempotent);
--- a/crates/coordinator/src/node/clients/read.rs
+++ b/crates/coordinator/src/node/clients/read.rs
@@ -23,7 +23,7 @@
             .connections
             .get(&id)
             .and_then(|c| c.open.as_ref());
-        if let Some(&engine) = open.and_then(|open| self.engines.uploads.get(&open.id)) {
+        if let Some(engine) = open.and_then(|open| self.engines.upload_connection(open.id)) {
             self.write_to_engine(now, engine);
         }
         self.resume_engines(now);
--- a/crates/coordinator/src/node/control/observed_state.rs
+++ b/crates/coordinator/src/node/control/observed_state.rs
@@ -2,7 +2,7 @@
 
 use super::snapshot::EngineLoad;
 use crate::node::Node;
-use driftfront_core::{EngineId, Micros, Phase};
+use driftfront_core::{Micros, Phase};
 use driftfront_engine_registry::rolling_restart::{EngineSnapshot, ObservedState};
 use driftfront_engine_registry::{EngineState, Order as EngineOrder};
 
@@ -50,19 +50,13 @@
             running_queries: load.queries,
             running_imports: load.single_shot,
             started_at: engine.started_at,
-            is_reachable: engine.phase == Phase::Draining || self.is_connected_to(engine.id),
+            is_reachable: engine.phase == Phase::Draining
+                || self.engines.is_connected_to(engine.id),
             zone: engine.zone,
             capacity_share: self.cores(engine.kind) / all_cores,
         }
     }
 
-    fn is_connected_to(&self, engine: EngineId) -> bool {
-        self.engines
-            .connections
-            .values()
-            .any(|connection| connection.is_up_on(engine))
-    }
-
     fn cores(&self, kind: u16) -> f64 {
         let kind = self.config.settings.kinds.get(usize::from(kind));
         kind.and_then(|kind| kind.cores).unwrap_or(DEFAULT_CORES)
--- a/crates/coordinator/src/node/control/snapshot.rs
+++ b/crates/coordinator/src/node/control/snapshot.rs
@@ -107,7 +107,7 @@
             open: self.core.open_requests() as u64,
             connections: vec![
                 self.clients.connections.len() as u64,
-                self.engines.connections.len() as u64,
+                self.engines.connection_count() as u64,
             ],
             engines: self.engine_views(now),
             classes: self.class_views(now, &open_by_class),
@@ -137,8 +137,7 @@
 
     fn engine_connections(&self) -> BTreeMap<EngineId, EngineConnections> {
         let mut all: BTreeMap<EngineId, EngineConnections> = BTreeMap::new();
-        for connection in self.engines.connections.values() {
-            let (engine, last_received) = connection.last_heard();
+        for (engine, last_received) in self.engines.receive_times() {
             let connections = all.entry(engine).or_default();
             connections.count += 1;
             connections.last_received = connections.last_received.max(last_received);
--- a/crates/coordinator/src/node/counters.rs
+++ b/crates/coordinator/src/node/counters.rs
@@ -15,10 +15,10 @@
         let mut text = self.core.counters().to_string();
         let (clients, engines) = (&self.clients, &self.engines);
         add(&mut text, "connections_clients", clients.connections.len());
-        add(&mut text, "connections_engines", engines.connections.len());
+        add(&mut text, "connections_engines", engines.connection_count());
         add(&mut text, "requests_open", self.core.open_requests());
-        add(&mut text, "bodies_passing", engines.uploads.len());
-        add(&mut text, "results_paused", engines.paused);
+        add(&mut text, "bodies_passing", engines.upload_count());
+        add(&mut text, "results_paused", engines.paused_count());
         text += &self.frontend.counters();
         if let Some(control) = &self.control {
             text += &control.counters();
--- a/crates/coordinator/src/node/engines/connection.rs
+++ b/crates/coordinator/src/node/engines/connection.rs
@@ -1,19 +1,24 @@
 //! One connection to an engine: what is queued for it, what is in flight on it, and since when it has been silent.
+//!
+//! [`EngineConnection`] owns the socket and the protocol session. It knows neither the core nor other connections: what its engine
+//! sends comes back as [`EngineEvent`]s, and the caller decides what follows.
 
 use super::liveness::{LIVENESS_PROBE_INTERVAL, LIVENESS_PROBE_TAG};
-use crate::backends::EngineSession;
+use crate::backends::{AttemptRequest, EngineEvent, EngineSession, SessionError};
 use crate::net::silence::{is_overdue, PROBE_OVERDUE_AFTER};
-use crate::net::BufferedStream;
-use crate::node::ConnectionId;
+use crate::net::{BufferedStream, ReadOutcome};
 use calloop::RegistrationToken;
-use driftfront_core::{AttemptKey, Core, EngineId, Micros, Progress, RequestId};
-use std::collections::{BTreeMap, VecDeque};
+use driftfront_core::{AttemptKey, Core, EngineId, Micros, Progress};
+use std::collections::VecDeque;
+use std::io::{self, ErrorKind};
 
-/// Work that waits for one connection.
+/// Probes and attempts that may wait for one connection.
 const MAX_QUEUED_WRITES: usize = 256;
 /// Share of the engines' idle timeout after which a connection is not used again: a request that crosses the engine's close
 /// would be lost without proof that it never ran.
 const REUSABLE_SHARE_OF_IDLE_TIMEOUT: f64 = 0.9;
+/// Capacity for the framing of a body chunk.
+const CHUNK_FRAMING_BYTES: usize = 16;
 
 /// What waits to be written.
 pub(super) enum QueuedWrite {
@@ -39,7 +44,7 @@
 }
 
 /// Where an attempt stands in the stream of bytes written to an engine.
-pub(super) struct AttemptSpan {
+struct AttemptSpan {
     key: AttemptKey,
     begin: u64,
     /// `u64::MAX` until the end of a streamed body is known.
@@ -48,30 +53,40 @@
 
 /// A connection to an engine.
 pub(in crate::node) struct EngineConnection {
-    pub(super) engine: EngineId,
-    pub(super) zone: Option<u16>,
-    pub(super) stream: BufferedStream,
-    pub(super) registration: Option<RegistrationToken>,
-    pub(super) session: Box<dyn EngineSession>,
-    pub(super) is_up: bool,
-    pub(super) connect_deadline: Micros,
-    pub(super) queue: VecDeque<QueuedWrite>,
-    /// Attempts that are not written whole, in the order of the stream.
-    pub(super) spans: VecDeque<AttemptSpan>,
-    /// When something was last received, or it last went from idle to busy: new work put on a connection must not make one that
-    /// is silent look alive.
-    pub(super) silent_since: Micros,
-    /// When something was last received.
-    pub(super) last_read: Micros,
-    pub(super) last_used: Micros,
-    /// Reading waits until a slow client has taken what it was sent.
-    pub(super) is_paused: bool,
+    engine: EngineId,
+    zone: Option<u16>,
+    stream: BufferedStream,
+    registration: Option<RegistrationToken>,
+    session: Box<dyn EngineSession>,
+    is_up: bool,
+    connect_deadline: Micros,
+    queue: VecDeque<QueuedWrite>,
+    /// Attempts that are not written completely, in the order of the stream.
+    spans: VecDeque<AttemptSpan>,
+    /// When bytes were last received, or it last went from idle to busy: new work queued on a silent connection must not make it
+    /// look alive.
+    silent_since: Micros,
+    /// When bytes were last received; 0 if never.
+    last_received: Micros,
+    last_used: Micros,
+    /// Reading waits until a slow client has read its response.
+    is_paused: bool,
     /// The attempt whose body is streamed as it comes.
-    pub(super) upload: Option<AttemptKey>,
+    upload: Option<AttemptKey>,
     /// Takes no new work: silent, or leads to an earlier process.
-    pub(super) is_retired: bool,
-    /// What was last put on it must not run twice: nothing joins that.
-    pub(super) is_exclusive: bool,
+    is_retired: bool,
+    /// The attempt last queued on it must not run twice: no other joins it.
+    is_exclusive: bool,
+}
+
+/// What became of an attempt that is not wanted any more.
+pub(super) enum StopOutcome {
+    /// It was not in flight here.
+    NotInFlight,
+    /// The engine is sent a message that stops it.
+    Stopped,
+    /// Only closing the connection stops it.
+    NeedsClose,
 }
 
 impl EngineConnection {
@@ -96,7 +111,7 @@
             queue: VecDeque::new(),
             spans: VecDeque::new(),
             silent_since: now,
-            last_read: 0,
+            last_received: 0,
             last_used: now,
             is_paused: false,
             upload: None,
@@ -105,14 +120,103 @@
         }
     }
 
-    /// Whether it is up, to this engine.
-    pub(in crate::node) fn is_up_on(&self, engine: EngineId) -> bool {
-        self.is_up && self.engine == engine
+    /// The engine that it leads to.
+    pub(super) fn engine(&self) -> EngineId {
+        self.engine
+    }
+
+    /// The engine's zone, if that is known.
+    pub(super) fn zone(&self) -> Option<u16> {
+        self.zone
+    }
+
+    /// Whether its connect has completed.
+    pub(super) fn is_up(&self) -> bool {
+        self.is_up
+    }
+
+    /// Whether its connect should have completed by now.
+    pub(super) fn is_connect_overdue(&self, now: Micros) -> bool {
+        !self.is_up && now > self.connect_deadline
+    }
+
+    /// Whether reading waits until a slow client has read its response.
+    pub(super) fn is_paused(&self) -> bool {
+        self.is_paused
+    }
+
+    /// Whether it takes no new work.
+    pub(super) fn is_retired(&self) -> bool {
+        self.is_retired
+    }
+
+    /// Keeps new work off it.
+    pub(super) fn retire(&mut self) {
+        self.is_retired = true;
+    }
+
+    /// Whether the attempt last queued on it must not run twice.
+    pub(super) fn is_exclusive(&self) -> bool {
+        self.is_exclusive
+    }
+
+    /// Sets whether the attempt that is queued next must not run twice.
+    pub(super) fn set_exclusive(&mut self, is_exclusive: bool) {
+        self.is_exclusive = is_exclusive;
+    }
+
+    /// When bytes were last received; 0 if never.
+    pub(super) fn last_received(&self) -> Micros {
+        self.last_received
+    }
+
+    /// When bytes were last received, or it last went from idle to busy.
+    pub(super) fn silent_since(&self) -> Micros {
+        self.silent_since
+    }
+
+    /// The attempt whose body is streamed as it comes.
+    pub(super) fn upload(&self) -> Option<AttemptKey> {
+        self.upload
+    }
+
+    /// Whether the attempt whose body is streamed has ended before the body.
+    pub(super) fn has_answered_upload(&self) -> bool {
+        self.upload
+            .is_some_and(|key| !self.session.has_attempt(key))
+    }
+
+    /// The protocol's state, to look at.
+    pub(super) fn session(&self) -> &dyn EngineSession {
+        self.session.as_ref()
     }
 
-    /// Its engine, and when that last said anything here.
-    pub(in crate::node) fn last_heard(&self) -> (EngineId, Micros) {
-        (self.engine, self.last_read)
+    /// Takes the registration with the event loop, to end it.
+    pub(super) fn take_registration(&mut self) -> Option<RegistrationToken> {
+        self.registration.take()
+    }
+
+    /// Whether the connect has completed.
+    ///
+    /// # Errors
+    ///
+    /// The connect's, if it failed.
+    pub(super) fn poll_connected(&mut self, now: Micros) -> io::Result<bool> {
+        if self.is_up {
+            return Ok(true);
+        }
+        match self.stream.poll_connected() {
+            Ok(true) => {
+                (self.is_up, self.silent_since, self.last_used) = (true, now, now);
+                Ok(true)
+            }
+            Ok(false) => Ok(false),
+            Err(e) => {
+                // Reset, not refused: the connect had completed, so the engine's process exists.
+                self.is_up = e.kind() == ErrorKind::ConnectionReset;
+                Err(e)
+            }
+        }
     }
 
     /// Whether nothing is queued, in flight or half written.
@@ -125,28 +229,30 @@
         self.queue.len() + self.session.attempt_count()
     }
 
-    /// Whether word from its engine is overdue. `report_interval`: how often progress reports are due; `engine_heard`: when the
-    /// engine was last heard on any connection.
+    /// Whether its engine should have sent something by now. `report_interval`: how often progress reports are due;
+    /// `engine_received_at`: when bytes last came from the engine on any connection.
     pub(super) fn is_silent(
         &self,
         now: Micros,
         report_interval: Option<Micros>,
-        engine_heard: Micros,
+        engine_received_at: Micros,
     ) -> bool {
         if !self.is_up || self.session.is_idle() || self.is_paused {
             return false;
         }
-        let heard = self.silent_since.max(engine_heard);
+        let received_at = self.silent_since.max(engine_received_at);
         if self.session.needs_liveness_probes() {
-            return now > heard + LIVENESS_PROBE_INTERVAL + PROBE_OVERDUE_AFTER;
+            return now > received_at + LIVENESS_PROBE_INTERVAL + PROBE_OVERDUE_AFTER;
         }
         let report_interval = report_interval.filter(|_| self.session.reports_progress());
-        is_overdue(
-            now,
-            report_interval,
-            heard,
-            self.session.attempt_count() == 0,
-        )
+        let has_only_probes = self.session.attempt_count() == 0;
+        is_overdue(now, report_interval, received_at, has_only_probes)
+    }
+
+    /// Whether a result is being received that nothing more has come of for longer than `timeout`.
+    pub(super) fn has_stalled_result(&self, now: Micros, timeout: Micros) -> bool {
+        let is_receiving = self.session.is_streaming() && !self.is_paused;
+        is_receiving && now > self.silent_since + timeout
     }
 
     /// Whether it was idle for so long that the engine may be about to close it.
@@ -164,8 +270,46 @@
         Ok(())
     }
 
-    /// Puts bytes of new work into the output. `was_idle`: nothing was awaited before, so that silence is counted from now.
-    pub(super) fn write_work(&mut self, now: Micros, bytes: &[u8], was_idle: bool) {
+    /// The work that is written next.
+    pub(super) fn next_queued(&self) -> Option<&QueuedWrite> {
+        self.queue.front()
+    }
+
+    /// Takes the work that is written next off the queue.
+    pub(super) fn pop_queued(&mut self) -> Option<QueuedWrite> {
+        self.queue.pop_front()
+    }
+
+    /// How much is queued.
+    pub(super) fn queue_length(&self) -> usize {
+        self.queue.len()
+    }
+
+    /// What was queued and never written, once the connection has ended.
+    pub(super) fn into_queue(self) -> VecDeque<QueuedWrite> {
+        self.queue
+    }
+
+    /// Writes a probe into the output.
+    pub(super) fn write_probe(&mut self, now: Micros, tag: u64) {
+        let was_idle = self.session.is_idle();
+        let mut out = Vec::new();
+        self.session.write_probe(tag, &mut out);
+        self.push_work(now, &out, was_idle);
+    }
+
+    /// Writes an attempt into the output. A streamed one stays open-ended until [`EngineConnection::finish_body`].
+    pub(super) fn start_attempt(&mut self, now: Micros, attempt: &AttemptRequest) {
+        // A probe in flight does not show when this attempt's first report is due.
+        let was_idle = self.session.attempt_count() == 0;
+        let mut out = Vec::new();
+        self.session.start_attempt(attempt, &mut out);
+        self.begin_span(attempt.key, out.len(), attempt.request.is_body_streamed);
+        self.push_work(now, &out, was_idle);
+    }
+
+    /// Puts bytes of new work into the output. `was_idle`: no response was awaited before, so that silence is counted from now.
+    fn push_work(&mut self, now: Micros, bytes: &[u8], was_idle: bool) {
         self.stream.push(bytes);
         if was_idle {
             self.silent_since = now;
@@ -173,9 +317,8 @@
         self.last_used = now;
     }
 
-    /// Notes where an attempt of `length` bytes will stand that is about to be put into the output. A streamed one is open-ended
-    /// until [`EngineConnection::end_upload`].
-    pub(super) fn begin_span(&mut self, key: AttemptKey, length: usize, is_streamed: bool) {
+    /// Records where an attempt of `length` bytes will stand that is about to be put into the output.
+    fn begin_span(&mut self, key: AttemptKey, length: usize, is_streamed: bool) {
         let begin = self.stream.queued();
         let mut end = begin + length as u64;
         if is_streamed {
@@ -184,16 +327,55 @@
         self.spans.push_back(AttemptSpan { key, begin, end });
     }
 
-    /// The last of a streamed body is in the output: from now on the engine's answer is awaited.
-    pub(super) fn end_upload(&mut self, now: Micros, key: AttemptKey) {
+    /// Writes bytes of the streamed body into the output.
+    pub(super) fn write_body_chunk(&mut self, now: Micros, bytes: &[u8]) {
+        let mut out = Vec::with_capacity(bytes.len() + CHUNK_FRAMING_BYTES);
+        self.session.write_body_chunk(bytes, &mut out);
+        self.stream.push(&out);
+        self.last_used = now;
+    }
+
+    /// Writes the end of the streamed body into the output: from now on the engine's response is awaited.
+    pub(super) fn finish_body(&mut self, now: Micros, key: AttemptKey) {
+        let mut out = Vec::new();
+        self.session.finish_body(&mut out);
+        self.stream.push(&out);
+        self.upload = None;
         if let Some(span) = self.spans.iter_mut().find(|span| span.key == key) {
             span.end = self.stream.queued();
         }
         self.silent_since = now;
     }
 
-    /// Tells the core how far attempts have been handed to the system.
-    pub(super) fn report_written(&mut self, core: &mut Core) {
+    /// Removes an attempt from the queue, and stops it if it is in flight.
+    pub(super) fn stop_attempt(&mut self, key: AttemptKey) -> StopOutcome {
+        self.queue
+            .retain(|w| !matches!(w, QueuedWrite::Attempt { key: queued, .. } if *queued == key));
+        if !self.session.has_attempt(key) {
+            return StopOutcome::NotInFlight;
+        }
+        let mut out = Vec::new();
+        let is_stopped = self.session.stop_attempt(key, &mut out);
+        self.stream.push(&out);
+        if is_stopped {
+            StopOutcome::Stopped
+        } else {
+            StopOutcome::NeedsClose
+        }
+    }
+
+    /// Hands the output to the system, and reports to the core how far attempts have come with it; true once no output is left.
+    ///
+    /// # Errors
+    ///
+    /// The connection's.
+    pub(super) fn flush(&mut self, core: &mut Core) -> io::Result<bool> {
+        let flushed = self.stream.flush();
+        self.report_written(core);
+        flushed
+    }
+
+    fn report_written(&mut self, core: &mut Core) {
         let written = self.stream.written();
         while let Some(span) = self.spans.front() {
             if written < span.end {
@@ -206,18 +388,76 @@
             self.spans.pop_front();
         }
     }
-}
 
-/// All connections to engines, and what is known of them together.
-#[derive(Default)]
-pub(in crate::node) struct Engines {
-    pub(in crate::node) connections: BTreeMap<ConnectionId, EngineConnection>,
-    /// The connection that receives the rest of each request body which is forwarded as it arrives.
-    pub(in crate::node) uploads: BTreeMap<RequestId, ConnectionId>,
-    /// When silent engines were last probed for liveness, while that probe is not answered.
-    pub(in crate::node) checks: BTreeMap<EngineId, Micros>,
-    /// Connections whose reading waits for a slow client.
-    pub(in crate::node) paused: usize,
-    /// Results that are streamed to clients, at the last periodic check.
-    pub(in crate::node) streaming: usize,
+    /// Appends up to `max_bytes` received bytes to `into`.
+    ///
+    /// # Errors
+    ///
+    /// The connection's.
+    pub(super) fn read(&mut self, into: &mut Vec<u8>, max_bytes: usize) -> io::Result<ReadOutcome> {
+        self.stream.read(into, max_bytes)
+    }
+
+    /// Decodes bytes that were read, and the end of the engine's side, into `events`.
+    ///
+    /// # Errors
+    ///
+    /// Where the engine violates the protocol; what came before that is in `events`.
+    pub(super) fn decode(
+        &mut self,
+        now: Micros,
+        bytes: &[u8],
+        outcome: ReadOutcome,
+        events: &mut Vec<EngineEvent>,
+    ) -> Result<(), SessionError> {
+        let mut decoded = Ok(());
+        if !bytes.is_empty() {
+            (self.silent_since, self.last_received, self.last_used) = (now, now, now);
+            let mut out = Vec::new();
+            decoded = self.session.decode(now, bytes, &mut out, events);
+            self.stream.push(&out);
+        }
+        if outcome == ReadOutcome::Closed {
+            self.session.decode_close(events);
+        }
+        decoded
+    }
+
+    /// Reads and decodes once where nothing can be written any more; true if there may be more to read.
+    pub(super) fn read_remaining(
+        &mut self,
+        now: Micros,
+        max_bytes: usize,
+        events: &mut Vec<EngineEvent>,
+    ) -> bool {
+        let mut bytes = Vec::new();
+        let outcome = self.stream.read(&mut bytes, max_bytes);
+        let decoded = self.session.decode(now, &bytes, &mut Vec::new(), events);
+        decoded.is_ok() && matches!(outcome, Ok(ReadOutcome::LimitReached))
+    }
+
+    /// Pauses or resumes reading.
+    pub(super) fn set_paused(&mut self, now: Micros, is_paused: bool) {
+        if self.is_paused && !is_paused {
+            // The silence was of this program's making.
+            self.silent_since = now;
+        }
+        self.is_paused = is_paused;
+    }
+
+    /// Lets the session ask again for what is overdue, or give it up; true if that put something into the output.
+    ///
+    /// # Errors
+    ///
+    /// Where a response stopped short: the connection can't be used any more.
+    pub(super) fn check_timeouts(
+        &mut self,
+        now: Micros,
+        events: &mut Vec<EngineEvent>,
+    ) -> Result<bool, SessionError> {
+        let mut out = Vec::new();
+        let checked = self.session.check_timeouts(now, &mut out, events);
+        self.stream.push(&out);
+        checked.map(|()| !out.is_empty())
+    }
 }
--- a/crates/coordinator/src/node/engines/liveness.rs
+++ b/crates/coordinator/src/node/engines/liveness.rs
@@ -1,92 +1,129 @@
-//! When an engine was last heard, when it should have been, and probes where nothing else shows that it lives.
+//! When bytes last came from an engine, when they should have, and probes where nothing else shows that it lives.
+//!
+//! [`Engines`] judges silence over all connections to an engine; the periodic check asks which engines are due for a probe.
 
 use super::connection::{EngineConnection, QueuedWrite};
+use super::pool::ConnectionRequest;
+use super::state::Engines;
 use crate::net::silence::{tolerated_interval, REPORT_OVERDUE_AFTER};
-use crate::node::{ConnectionId, Node};
+use crate::node::Node;
 use driftfront_core::{EngineId, Micros};
 use std::collections::BTreeMap;
 
-/// An engine that says nothing by itself while it works is probed after this long without a word.
+/// An engine that reports nothing by itself while it works is probed after this long of silence.
 pub(super) const LIVENESS_PROBE_INTERVAL: Micros = 1_000_000;
 /// The tag of such probes; the core's are never 0.
 pub(super) const LIVENESS_PROBE_TAG: u64 = 0;
 
-impl Node {
-    /// When anything was last received from an engine, on whatever connection.
-    pub(super) fn engine_last_heard(&self, engine: EngineId) -> Micros {
-        self.engines
-            .connections
-            .values()
-            .filter(|c| c.engine == engine)
-            .map(|c| c.last_read)
-            .max()
-            .unwrap_or(0)
+/// When silent engines were last probed for liveness.
+#[derive(Default)]
+pub(super) struct LivenessProbes {
+    probed_at: BTreeMap<EngineId, Micros>,
+}
+
+impl LivenessProbes {
+    /// Whether an engine is due for a probe from which bytes last came at `received_at`; if so, the probe counts as sent now.
+    fn begin_if_due(&mut self, now: Micros, engine: EngineId, received_at: Micros) -> bool {
+        let probed_at = self.probed_at.get(&engine).copied().unwrap_or(0);
+        if now < received_at.max(probed_at) + LIVENESS_PROBE_INTERVAL {
+            return false;
+        }
+        self.probed_at.insert(engine, now);
+        true
+    }
+
+    /// The engine is gone from the list.
+    pub(super) fn forget_engine(&mut self, engine: EngineId) {
+        self.probed_at.remove(&engine);
+    }
+}
+
+impl Engines {
+    /// When bytes last came from an engine, on whatever connection; 0 if never.
+    pub(super) fn last_received(&self, engine: EngineId) -> Micros {
+        let times = self.connections_to(engine).map(|(_, c)| c.last_received());
+        times.max().unwrap_or(0)
     }
 
-    /// How often progress reports of what is in flight on an engine are due, where engines send them.
-    pub(super) fn report_interval(&self, now: Micros, engine: EngineId) -> Option<Micros> {
-        let interval = self.config.settings.progress_interval?;
-        let connections = || {
-            self.engines
-                .connections
-                .values()
-                .filter(|c| c.engine == engine)
-        };
-        let zone = connections().find_map(|c| c.zone);
-        let zone_heard_at = self
-            .engines
-            .connections
-            .values()
-            .filter(|c| c.zone == zone && c.engine != engine)
-            .map(|c| c.last_read)
-            .max();
+    /// How often progress reports of what is in flight on an engine are due, where engines send them every `progress_interval`.
+    pub(super) fn report_interval(
+        &self,
+        now: Micros,
+        engine: EngineId,
+        progress_interval: Option<Micros>,
+    ) -> Option<Micros> {
+        let interval = progress_interval?;
+        let zone = self.connections_to(engine).find_map(|(_, c)| c.zone());
+        let others_in_zone = self
+            .iter()
+            .filter(|(_, c)| c.zone() == zone && c.engine() != engine);
+        let zone_received_at = others_in_zone.map(|(_, c)| c.last_received()).max();
         let is_zone_heard =
-            zone_heard_at.is_some_and(|at| now < at + interval + REPORT_OVERDUE_AFTER);
-        let load = connections().map(EngineConnection::load).sum();
+            zone_received_at.is_some_and(|at| now < at + interval + REPORT_OVERDUE_AFTER);
+        let load = self.connections_to(engine).map(|(_, c)| c.load()).sum();
         Some(tolerated_interval(interval, load, is_zone_heard))
     }
 
-    /// Probes engines that have said nothing for a while and report nothing by themselves: one that answers lives, however long
-    /// its queries take; one that does not is silent, and its reads are lost.
-    pub(super) fn probe_silent_engines(&mut self, now: Micros) {
-        for (engine, heard_at) in self.engines_without_reports() {
-            let heard_at = self.engine_last_heard(engine).max(heard_at);
-            let probed_at = self.engines.checks.get(&engine).copied().unwrap_or(0);
-            if now < heard_at.max(probed_at) + LIVENESS_PROBE_INTERVAL {
-                continue;
-            }
-            self.engines.checks.insert(engine, now);
-            if let Ok(id) = self.engine_connection(now, engine, None, false) {
-                self.queue_write(now, id, QueuedWrite::LIVENESS_PROBE);
-            }
+    /// Whether what is in flight on a silent connection is given up: the connection ends, and its attempts may run elsewhere. An
+    /// attempt that must not run twice is kept, since it may still be answered once the engine can be reached again. A probe that
+    /// is never answered must not hold its connection forever.
+    pub(super) fn is_lost_to_silence(
+        &self,
+        now: Micros,
+        conn: &EngineConnection,
+        progress_interval: Option<Micros>,
+    ) -> bool {
+        // Idle connections, nearly all in a large cluster, await nothing: the other connections are not searched for them.
+        if conn.session().is_idle() {
+            return false;
         }
+        let report_interval = self.report_interval(now, conn.engine(), progress_interval);
+        let engine_received_at = self.last_received(conn.engine());
+        let has_only_probes = conn.session().attempt_count() == 0 && conn.queue_length() == 0;
+        conn.is_silent(now, report_interval, engine_received_at)
+            && (has_only_probes || !conn.is_exclusive())
     }
 
     /// Engines whose work in flight reports nothing, and since when the longest silent of their connections is.
     fn engines_without_reports(&self) -> BTreeMap<EngineId, Micros> {
         let mut silent_since: BTreeMap<EngineId, Micros> = BTreeMap::new();
-        for conn in self.engines.connections.values() {
-            if conn.is_up && !conn.is_paused && conn.session.needs_liveness_probes() {
-                let since = silent_since.entry(conn.engine).or_insert(conn.silent_since);
-                *since = (*since).min(conn.silent_since);
+        for (_, conn) in self.iter() {
+            if conn.is_up() && !conn.is_paused() && conn.session().needs_liveness_probes() {
+                let since = silent_since
+                    .entry(conn.engine())
+                    .or_insert(conn.silent_since());
+                *since = (*since).min(conn.silent_since());
             }
         }
         silent_since
     }
 
-    /// Lets a connection's session ask again for what is overdue, or give it up.
-    pub(super) fn check_session_timeouts(&mut self, now: Micros, id: ConnectionId) {
-        let Some(conn) = self.engines.connections.get_mut(&id) else {
-            return;
-        };
-        let (mut out, mut events) = (Vec::new(), Vec::new());
-        let checked = conn.session.check_timeouts(now, &mut out, &mut events);
-        conn.stream.push(&out);
-        self.apply_engine_events(now, events);
-        match checked {
-            Err(e) => self.drop_engine(now, id, &e.to_string()),
-            Ok(()) if !out.is_empty() => self.write_to_engine(now, id),
-            Ok(()) => {}
+    /// Whether an engine without reports is due for a liveness probe; if so, the probe counts as sent now.
+    fn begin_liveness_probe_if_due(
+        &mut self,
+        now: Micros,
+        engine: EngineId,
+        silent_since: Micros,
+    ) -> bool {
+        let received_at = self.last_received(engine).max(silent_since);
+        self.liveness_probes.begin_if_due(now, engine, received_at)
+    }
+}
+
+impl Node {
+    /// Probes engines that have sent nothing for a while and report nothing by themselves: one that answers lives, however long
+    /// its queries run; one that does not is silent, and its reads are lost.
+    pub(super) fn probe_silent_engines(&mut self, now: Micros) {
+        for (engine, silent_since) in self.engines.engines_without_reports() {
+            if !self
+                .engines
+                .begin_liveness_probe_if_due(now, engine, silent_since)
+            {
+                continue;
+            }
+            if let Ok(id) = self.engine_connection(now, ConnectionRequest::for_probe(engine)) {
+                self.queue_write(now, id, QueuedWrite::LIVENESS_PROBE);
+            }
         }
     }
 }
--- a/crates/coordinator/src/node/engines/mod.rs
+++ b/crates/coordinator/src/node/engines/mod.rs
@@ -1,21 +1,34 @@
 //! Connections to engines.
 //!
+//! [`Engines`] owns them. Its modules need nothing but their own state and what they are passed:
+//!
 //! | module | job |
 //! | --- | --- |
-//! | `connection` | the state of one connection |
-//! | `pool` | choosing or opening a connection for an attempt or a probe |
-//! | `write` | what is written: queued probes and attempts |
-//! | `upload` | bodies that are streamed to an engine as their client sends them |
-//! | `read` | what is read, and what the core is told of it |
-//! | `liveness` | when an engine was last heard, and probes where nothing else shows that it lives |
-//! | `closing` | how connections end, and what is owed then (see `docs/endings.md`) |
+//! | `state` | all connections, and which of them receives which upload |
+//! | `connection` | one connection: its queue, its protocol session, its socket |
+//! | `pool` | choosing a connection for an attempt or a probe |
+//! | `liveness` | when an engine is silent, and when it is due for a liveness probe |
+//!
+//! The others connect it with the core, the clients and the event loop, as methods of `Node`:
+//!
+//! | module | event | what follows |
+//! | --- | --- | --- |
+//! | `attempts` | the core starts or stops an attempt, or starts a probe | it is queued on a connection, or fails |
+//! | `connect` | work needs a connection | one with capacity, else a new one |
+//! | `write` | a connection takes bytes | queued work is checked once more, and written |
+//! | `upload` | a client sends more of a streamed body | it is written to the engine |
+//! | `read` | a connection brings bytes | they are decoded, and the core is notified |
+//! | `closing` | a connection ends, or the periodic check finds it silent, stuck or unused | attempts on it end (see `docs/endings.md`) |
 
+mod attempts;
 mod closing;
+mod connect;
 mod connection;
 mod liveness;
 mod pool;
 mod read;
+mod state;
 mod upload;
 mod write;
 
-pub(super) use connection::Engines;
+pub(super) use state::Engines;
--- a/crates/coordinator/src/node/engines/read.rs
+++ b/crates/coordinator/src/node/engines/read.rs
@@ -1,11 +1,12 @@
-//! Reads from engines, and tells the core what has come.
+//! Reads from engines: readiness of a connection becomes [`EngineEvent`]s, and these become notifications to the core.
 
 use super::liveness::LIVENESS_PROBE_TAG;
+use super::state::Engines;
 use crate::backends::EngineEvent;
 use crate::net::ReadOutcome;
 use crate::node::{ConnectionId, EventSource, Node};
-use driftfront_core::{AttemptKey, Micros, Progress};
-use std::io::{self, ErrorKind};
+use driftfront_core::{AttemptKey, Micros, Progress, RequestId};
+use std::io;
 
 /// Reads on one connection before the others have their turn.
 const MAX_READS_PER_TURN: usize = 16;
@@ -20,18 +21,55 @@
 /// The same where many clients are slow.
 const MIN_CLIENT_BACKLOG_BYTES: usize = 16 * 1024;
 
+impl Engines {
+    /// Bytes of one read, by how many results are streamed.
+    fn max_read_bytes(&self) -> usize {
+        if self.streaming_count() > MANY_STREAMS {
+            MAX_READ_BYTES_OF_MANY
+        } else {
+            MAX_READ_BYTES
+        }
+    }
+
+    /// Whether a client of what is streamed on a connection is far behind: nothing more is read for it then, so that a slow client
+    /// does not fill the memory. `max_unread_bytes` bounds what all clients together leave unread; `client_backlog` is what one has.
+    fn is_ahead_of_clients(
+        &self,
+        id: ConnectionId,
+        max_unread_bytes: usize,
+        client_backlog: impl Fn(RequestId) -> usize,
+    ) -> bool {
+        let Some(conn) = self.get(id).filter(|c| c.session().is_streaming()) else {
+            return false;
+        };
+        // Few slow clients may leave much, many only little each: together they share one bound.
+        let share = max_unread_bytes / self.streaming_count().max(self.paused_count() + 1);
+        let max_backlog = share.clamp(MIN_CLIENT_BACKLOG_BYTES, MAX_CLIENT_BACKLOG_BYTES);
+        let attempts = conn.session().open_attempts();
+        attempts
+            .iter()
+            .any(|key| client_backlog(key.request) > max_backlog)
+    }
+
+    /// Connections whose reading waits for a slow client.
+    fn paused_connections(&self) -> Vec<ConnectionId> {
+        let paused = self.iter().filter(|(_, c)| c.is_paused());
+        paused.map(|(id, _)| id).collect()
+    }
+}
+
 impl Node {
     /// Handles a readiness event of a connection.
     pub(in crate::node) fn on_engine_ready(&mut self, now: Micros, id: ConnectionId) {
-        if !self.is_engine_up(now, id) {
+        let Some(conn) = self.engines.get_mut(id) else {
             return;
+        };
+        match conn.poll_connected(now) {
+            Ok(true) => {}
+            Ok(false) => return,
+            Err(e) => return self.lose_engine(now, id, &e.to_string()),
         }
-        if self
-            .engines
-            .connections
-            .get(&id)
-            .is_some_and(|c| c.upload.is_some())
-        {
+        if conn.upload().is_some() {
             // An engine that answers before the body is over may close behind that: its response is read first.
             self.read_from_engine(now, id);
         }
@@ -39,45 +77,18 @@
         self.read_from_engine(now, id);
     }
 
-    /// Whether a connection is up, or has just come up. One whose connect failed ends.
-    fn is_engine_up(&mut self, now: Micros, id: ConnectionId) -> bool {
-        let Some(conn) = self.engines.connections.get_mut(&id) else {
-            return false;
-        };
-        if conn.is_up {
-            return true;
-        }
-        match conn.stream.poll_connected() {
-            Ok(true) => {
-                (conn.is_up, conn.silent_since, conn.last_used) = (true, now, now);
-                true
-            }
-            Ok(false) => false,
-            Err(e) => {
-                // Reset, not refused: it had come up, so there is somebody.
-                conn.is_up = e.kind() == ErrorKind::ConnectionReset;
-                self.lose_engine(now, id, &e.to_string());
-                false
-            }
-        }
-    }
-
     /// Reads until nothing more has come, its clients are too far behind, or its turn is over.
     pub(in crate::node) fn read_from_engine(&mut self, now: Micros, id: ConnectionId) {
         for _ in 0..MAX_READS_PER_TURN {
             if self.update_pause(now, id) {
                 return;
             }
-            let max_bytes = if self.engines.streaming > MANY_STREAMS {
-                MAX_READ_BYTES_OF_MANY
-            } else {
-                MAX_READ_BYTES
-            };
-            let Some(conn) = self.engines.connections.get_mut(&id) else {
+            let max_bytes = self.engines.max_read_bytes();
+            let Some(conn) = self.engines.get_mut(id) else {
                 return;
             };
             let mut bytes = Vec::new();
-            let may_have_more = match conn.stream.read(&mut bytes, max_bytes) {
+            let may_have_more = match conn.read(&mut bytes, max_bytes) {
                 Ok(outcome) => self.on_engine_bytes(now, id, &bytes, outcome),
                 Err(e) => return self.on_engine_read_error(now, id, &e),
             };
@@ -88,44 +99,14 @@
         self.deferred.push(EventSource::Engine(id));
     }
 
-    /// Pauses or resumes reading by how far the clients of what streams here are behind; true while it is paused.
+    /// Pauses or resumes reading by how far the clients of what is streamed here are behind; true while it is paused.
     fn update_pause(&mut self, now: Micros, id: ConnectionId) -> bool {
-        let is_paused = self.is_ahead_of_clients(id);
-        let Some(conn) = self.engines.connections.get_mut(&id) else {
-            return true;
-        };
-        match (conn.is_paused, is_paused) {
-            (false, true) => self.engines.paused += 1,
-            (true, false) => {
-                self.engines.paused -= 1;
-                // Its silence was our own.
-                conn.silent_since = now;
-            }
-            _ => {}
-        }
-        conn.is_paused = is_paused;
-        is_paused
-    }
-
-    /// Whether the client of what streams here is far behind: nothing more is read for it then, so that a slow client does not
-    /// fill the memory.
-    fn is_ahead_of_clients(&self, id: ConnectionId) -> bool {
-        let Some(conn) = self
-            .engines
-            .connections
-            .get(&id)
-            .filter(|c| c.session.is_streaming())
-        else {
-            return false;
-        };
-        // Few slow clients may leave much, many only little each: together they share one bound.
-        let share =
-            self.config.max_unread_bytes / self.engines.streaming.max(self.engines.paused + 1);
-        let max_backlog = share.clamp(MIN_CLIENT_BACKLOG_BYTES, MAX_CLIENT_BACKLOG_BYTES);
-        conn.session
-            .open_attempts()
-            .iter()
-            .any(|key| self.client_backlog(key.request) > max_backlog)
+        let is_ahead =
+            self.engines
+                .is_ahead_of_clients(id, self.config.max_unread_bytes, |request| {
+                    self.client_backlog(request)
+                });
+        self.engines.set_paused(now, id, is_ahead)
     }
 
     /// Decodes what was read; true if there may be more to read.
@@ -136,19 +117,11 @@
         bytes: &[u8],
         outcome: ReadOutcome,
     ) -> bool {
-        let Some(conn) = self.engines.connections.get_mut(&id) else {
+        let Some(conn) = self.engines.get_mut(id) else {
             return false;
         };
-        let (mut out, mut events) = (Vec::new(), Vec::new());
-        let mut decoded = Ok(());
-        if !bytes.is_empty() {
-            (conn.silent_since, conn.last_read, conn.last_used) = (now, now, now);
-            decoded = conn.session.decode(now, bytes, &mut out, &mut events);
-            conn.stream.push(&out);
-        }
-        if outcome == ReadOutcome::Closed {
-            conn.session.decode_close(&mut events);
-        }
+        let mut events = Vec::new();
+        let decoded = conn.decode(now, bytes, outcome, &mut events);
         self.apply_engine_events(now, events);
         if self.ends_with_answered_upload(now, id) {
             return false;
@@ -165,18 +138,12 @@
     /// Ends a connection that failed. Where nothing was in flight and no other is up, only this shows that the engine's process
     /// may have ended.
     fn on_engine_read_error(&mut self, now: Micros, id: ConnectionId, error: &io::Error) {
-        let Some(conn) = self.engines.connections.get(&id) else {
+        let Some(conn) = self.engines.get(id) else {
             return;
         };
-        let (engine, was_idle) = (conn.engine, conn.is_idle());
+        let (engine, was_idle) = (conn.engine(), conn.is_idle());
         self.lose_engine(now, id, &error.to_string());
-        if was_idle
-            && !self
-                .engines
-                .connections
-                .values()
-                .any(|c| c.is_up_on(engine))
-        {
+        if was_idle && !self.engines.is_connected_to(engine) {
             self.core.suspect_engine(now, engine);
             self.execute_commands();
         }
@@ -185,21 +152,14 @@
     /// Reads what has come on a connection that nothing can be written to any more.
     pub(super) fn read_remaining(&mut self, now: Micros, id: ConnectionId) {
         for _ in 0..MAX_READS_PER_TURN {
-            let Some(conn) = self
-                .engines
-                .connections
-                .get_mut(&id)
-                .filter(|c| !c.is_paused)
-            else {
+            let conn = self.engines.get_mut(id);
+            let Some(conn) = conn.filter(|c| !c.is_paused()) else {
                 return;
             };
-            let (mut bytes, mut events) = (Vec::new(), Vec::new());
-            let outcome = conn.stream.read(&mut bytes, MAX_READ_BYTES);
-            let decoded = conn
-                .session
-                .decode(now, &bytes, &mut Vec::new(), &mut events);
+            let mut events = Vec::new();
+            let may_have_more = conn.read_remaining(now, MAX_READ_BYTES, &mut events);
             self.apply_engine_events(now, events);
-            if decoded.is_err() || !matches!(outcome, Ok(ReadOutcome::LimitReached)) {
+            if !may_have_more {
                 return;
             }
         }
@@ -207,19 +167,27 @@
 
     /// Reads on where a client has caught up.
     pub(in crate::node) fn resume_engines(&mut self, now: Micros) {
-        let paused: Vec<ConnectionId> = self
-            .engines
-            .connections
-            .iter()
-            .filter(|(_, c)| c.is_paused)
-            .map(|(&id, _)| id)
-            .collect();
-        for id in paused {
+        for id in self.engines.paused_connections() {
             self.read_from_engine(now, id);
         }
     }
 
-    /// Tells the core what a connection has brought, in order.
+    /// Lets a connection's session ask again for what is overdue, or give it up.
+    pub(super) fn check_session_timeouts(&mut self, now: Micros, id: ConnectionId) {
+        let Some(conn) = self.engines.get_mut(id) else {
+            return;
+        };
+        let mut events = Vec::new();
+        let checked = conn.check_timeouts(now, &mut events);
+        self.apply_engine_events(now, events);
+        match checked {
+            Err(e) => self.drop_engine(now, id, &e.to_string()),
+            Ok(true) => self.write_to_engine(now, id),
+            Ok(false) => {}
+        }
+    }
+
+    /// Notifies the core of a connection's events, in order.
     pub(super) fn apply_engine_events(&mut self, now: Micros, events: Vec<EngineEvent>) {
         for event in events {
             match event {
--- a/crates/coordinator/src/node/engines/upload.rs
+++ b/crates/coordinator/src/node/engines/upload.rs
@@ -1,12 +1,10 @@
-//! Bodies that are streamed to an engine as their client sends them.
+//! Bodies that are streamed to an engine as their client sends them: chunks come from the client's connection, and go to the engine's.
 
+use super::connection::EngineConnection;
 use crate::node::clients::BodyChunk;
 use crate::node::{ConnectionId, Node};
 use driftfront_core::{AttemptKey, Micros};
 
-/// Room for the framing of a chunk.
-const CHUNK_FRAMING_BYTES: usize = 16;
-
 impl Node {
     /// Forwards what has come of a body; true if there may be more at once.
     pub(super) fn write_upload_chunk(
@@ -35,14 +33,11 @@
         }
     }
 
-    /// Drops a connection whose streamed attempt was answered, or ended, before its body was over: the rest of that has no
-    /// meaning on it. True if it was dropped.
+    /// Drops a connection whose streamed attempt ended before its body was over: the engine would read the rest of the body as the
+    /// next request. True if it was dropped.
     pub(super) fn ends_with_answered_upload(&mut self, now: Micros, id: ConnectionId) -> bool {
-        let is_answered = self
-            .engines
-            .connections
-            .get(&id)
-            .is_some_and(|c| c.upload.is_some_and(|key| !c.session.has_attempt(key)));
+        let conn = self.engines.get(id);
+        let is_answered = conn.is_some_and(EngineConnection::has_answered_upload);
         if is_answered {
             self.drop_engine(now, id, "answered before the body was over");
         }
@@ -51,27 +46,18 @@
 
     /// Puts bytes of a body into the output; false if the connection is gone.
     fn push_upload(&mut self, now: Micros, id: ConnectionId, bytes: &[u8]) -> bool {
-        let Some(conn) = self.engines.connections.get_mut(&id) else {
+        let Some(conn) = self.engines.get_mut(id) else {
             return false;
         };
-        let mut out = Vec::with_capacity(bytes.len() + CHUNK_FRAMING_BYTES);
-        conn.session.write_body_chunk(bytes, &mut out);
-        conn.stream.push(&out);
-        conn.last_used = now;
+        conn.write_body_chunk(now, bytes);
         true
     }
 
     /// Ends a body; from here on the engine has its time to answer. False if the connection is gone.
     fn finish_upload(&mut self, now: Micros, id: ConnectionId, key: AttemptKey) -> bool {
-        let Some(conn) = self.engines.connections.get_mut(&id) else {
+        if !self.engines.finish_body(now, id, key) {
             return false;
-        };
-        let mut out = Vec::new();
-        conn.session.finish_body(&mut out);
-        conn.stream.push(&out);
-        conn.upload = None;
-        conn.end_upload(now, key);
-        self.engines.uploads.remove(&key.request);
+        }
         let request = self.core.accepted(key.request).map(|a| a.request);
         if let Some(timeout) = request.and_then(|r| self.frontend.timeout_after_body(r)) {
             self.core.shorten_timeout(now, key.request, timeout);
--- a/crates/coordinator/src/node/engines/write.rs
+++ b/crates/coordinator/src/node/engines/write.rs
@@ -1,6 +1,7 @@
-//! Writes queued probes and attempts to engines.
+//! Writes queued probes and attempts to engines. Whether an attempt may still be written is the core's decision, taken right before its
+//! first byte.
 
-use super::connection::QueuedWrite;
+use super::connection::{EngineConnection, QueuedWrite};
 use super::liveness::LIVENESS_PROBE_TAG;
 use crate::backends::AttemptRequest;
 use crate::config::{Config, Protocol};
@@ -22,7 +23,7 @@
             if !self.flush_engine(now, id) {
                 return;
             }
-            let upload = self.engines.connections.get(&id).and_then(|c| c.upload);
+            let upload = self.engines.get(id).and_then(EngineConnection::upload);
             let has_progressed = match upload {
                 Some(key) => self.write_upload_chunk(now, id, key),
                 None => self.write_next_queued(now, id),
@@ -34,15 +35,13 @@
         self.deferred.push(EventSource::Engine(id));
     }
 
-    /// Hands the output to the system; true once none is left. A connection that fails here ends, but what its engine said before
-    /// is still there to be read: a response that has come must not go with the connection.
+    /// Hands the output to the system; true once none is left. A connection that fails here ends, but what its engine sent before
+    /// is read first: a response that has come must not be lost with the connection.
     fn flush_engine(&mut self, now: Micros, id: ConnectionId) -> bool {
-        let Some(conn) = self.engines.connections.get_mut(&id).filter(|c| c.is_up) else {
+        let Some(conn) = self.engines.get_mut(id).filter(|c| c.is_up()) else {
             return false;
         };
-        let flushed = conn.stream.flush();
-        conn.report_written(&mut self.core);
-        flushed.unwrap_or_else(|e| {
+        conn.flush(&mut self.core).unwrap_or_else(|e| {
             self.read_remaining(now, id);
             self.lose_engine(now, id, &e.to_string());
             false
@@ -51,16 +50,12 @@
 
     /// Writes the first of the queue; false where there is none.
     fn write_next_queued(&mut self, now: Micros, id: ConnectionId) -> bool {
-        let next = self
-            .engines
-            .connections
-            .get(&id)
-            .and_then(|c| c.queue.front());
+        let next = self.engines.get(id).and_then(EngineConnection::next_queued);
         if let Some(&QueuedWrite::Attempt { key, .. }) = next {
             self.check_requester(now, key.request);
         }
-        let conn = self.engines.connections.get_mut(&id);
-        match conn.and_then(|c| c.queue.pop_front()) {
+        let conn = self.engines.get_mut(id);
+        match conn.and_then(EngineConnection::pop_queued) {
             Some(QueuedWrite::Probe { tag }) => self.write_probe(now, id, tag),
             Some(QueuedWrite::Attempt { key, .. }) => self.write_attempt(now, id, key),
             None => return false,
@@ -68,27 +63,24 @@
         true
     }
 
-    /// Writes a probe, unless its engine was taken out of use while the connection came up: it gets nothing new then.
+    /// Writes a probe, unless its engine left service while the connection came up: it gets nothing new then.
     fn write_probe(&mut self, now: Micros, id: ConnectionId, tag: u64) {
-        let Some(conn) = self.engines.connections.get_mut(&id) else {
+        let Some(conn) = self.engines.get_mut(id) else {
             return;
         };
-        let is_ready = || self.core.engine_phase(conn.engine) == Some(Phase::Ready);
+        let is_ready = || self.core.engine_phase(conn.engine()) == Some(Phase::Ready);
         if tag != LIVENESS_PROBE_TAG && !is_ready() {
             return self.core.record_probe(now, tag, Outcome::Superseded, &[]);
         }
-        let was_idle = conn.session.is_idle();
-        let mut out = Vec::new();
-        conn.session.write_probe(tag, &mut out);
-        conn.write_work(now, &out, was_idle);
+        conn.write_probe(now, tag);
     }
 
     /// Writes an attempt, if it may still be written at its first byte.
     fn write_attempt(&mut self, now: Micros, id: ConnectionId, key: AttemptKey) {
-        let Some(conn) = self.engines.connections.get_mut(&id) else {
+        let Some(conn) = self.engines.get(id) else {
             return;
         };
-        let engine = self.registry.name(conn.engine);
+        let engine = self.registry.name(conn.engine());
         tracing::debug!(
             request = key.request.0,
             attempt = key.number,
@@ -102,12 +94,10 @@
         let Some(request) = self.core.accepted(key.request).map(|a| a.request) else {
             return;
         };
-        if !conn.session.can_start(&request.name) {
+        if !conn.session().can_start(&request.name) {
             // A second request of the same id was accepted while the connection came up.
             return self.attempt_failed(now, key, Cause::Rejected);
         }
-        // A probe that still waits says nothing of when this should be heard of.
-        let was_idle = conn.session.attempt_count() == 0;
         let attempt = AttemptRequest {
             key,
             request,
@@ -117,13 +107,7 @@
             grant_mb: self.core.grant_mb(key),
             progress_interval: progress_interval(&self.config, request.class),
         };
-        let mut out = Vec::new();
-        conn.session.start_attempt(&attempt, &mut out);
-        if request.is_body_streamed {
-            self.engines.uploads.insert(key.request, id);
-        }
-        conn.begin_span(key, out.len(), request.is_body_streamed);
-        conn.write_work(now, &out, was_idle);
+        self.engines.start_attempt(now, id, &attempt);
     }
 }
 
--- a/crates/coordinator/src/node/mod.rs
+++ b/crates/coordinator/src/node/mod.rs
@@ -31,7 +31,6 @@
 pub use self::cluster::{read_keys, ClusterStartError, KeyFileError};
 pub use self::control::ControlSocketError;
 pub use self::start_error::StartError;
-use crate::backends::{clickhouse::HttpSession, engine_protocol::LineSession, EngineSession};
 use crate::clock::{Clock, StepWatch};
 use crate::config::{Config, Protocol};
 use crate::discovery::backoff::Backoff;
@@ -41,10 +40,9 @@
 use clients::{ClientListener, Clients};
 use discovery_client::DiscoveryClient;
 use driftfront_core::lifecycle::Lifecycle;
-use driftfront_core::{Core, EngineId, Micros};
+use driftfront_core::{Core, Micros};
 use driftfront_engine_registry::EngineRegistry;
 use engines::Engines;
-use std::net::SocketAddr;
 use upgrade::{Handover, StartSockets};
 
 /// A connection's number inside this program; never used twice.
@@ -178,20 +176,6 @@
             None => tracing::info!("{words}"),
         }
     }
-
-    fn session(&self, addr: SocketAddr) -> Box<dyn EngineSession> {
-        match self.config.protocol {
-            Protocol::Platform => Box::new(LineSession::new(
-                self.config.max_streams_per_connection,
-                self.config.load_report_fields.clone(),
-            )),
-            Protocol::ClickHouse => Box::new(HttpSession::new(addr.to_string())),
-        }
-    }
-
-    fn addr(&self, engine: EngineId) -> Option<SocketAddr> {
-        self.registry.addr(engine)
-    }
 }
 
 fn new_frontend(config: &Config) -> Box<dyn Frontend> {
--- a/crates/coordinator/src/node/registry.rs
+++ b/crates/coordinator/src/node/registry.rs
@@ -33,7 +33,7 @@
 
     pub(super) fn apply_registry_change(&mut self, now: Micros, change: &RegistryChange) {
         for &engine in &change.restarted {
-            self.retire_connections(engine);
+            self.engines.retire_connections(engine);
             // What was left in sessions went with the process.
             self.frontend.engine_left(engine);
         }
