--- /dev/null
+++ b/crates/coordinator/src/node/clients/connection/responses.rs
@@ -0,0 +1,107 @@
+//! Responses on a client's connection: those of open requests, part by part, and those that are given at once.
+
+use super::{ClientConnection, OpenRequest};
+use crate::frontends::{ConnectionAction, ResponseWriter};
+use driftfront_core::{Micros, RequestId};
+use driftfront_http::{add_connection_close, response};
+use std::time::Duration;
+
+/// A part of a response that waits to be written.
+pub(in crate::node::clients) struct ResponsePart {
+    /// What becomes of the connection behind the response.
+    pub(in crate::node::clients) action: ConnectionAction,
+    /// Bytes of this part.
+    pub(in crate::node::clients) length: usize,
+    /// The connection closes behind the response, whatever `action` says.
+    closes: bool,
+}
+
+impl ClientConnection {
+    /// A request's response is owed on it from now on.
+    pub(in crate::node::clients) fn open(
+        &mut self,
+        request: RequestId,
+        writer: Box<dyn ResponseWriter>,
+    ) {
+        self.open = Some(OpenRequest {
+            id: request,
+            writer,
+        });
+    }
+
+    /// Answers at once. `closes`: the connection closes behind the reply, which says so.
+    pub(in crate::node::clients) fn reply(&mut self, bytes: &[u8], closes: bool) {
+        let mut bytes = bytes.to_vec();
+        if closes {
+            add_connection_close(&mut bytes);
+            self.must_close = true;
+        }
+        self.stream.push(&bytes);
+        let _ = self.stream.flush();
+    }
+
+    /// Answers what can't be read as a request; the connection closes behind that.
+    pub(in crate::node::clients) fn reply_to_malformed(&mut self, now: Micros, bytes: &[u8]) {
+        self.must_close = true;
+        self.last_used = now;
+        self.stream.push(bytes);
+    }
+
+    /// Answers a request that was half read as its time was up; the caller closes the connection.
+    pub(in crate::node::clients) fn reply_request_timeout(&mut self) {
+        if !self.is_shut && self.reader.is_mid_message() && self.open.is_none() {
+            self.stream.push(&response(408, &[], b"", true));
+        }
+    }
+
+    /// Answers a request that was half read as its client ended its side: it may still read why there is no other answer.
+    pub(in crate::node::clients) fn reply_to_half_request(&mut self) {
+        let is_half_read = self.open.is_none() && self.reader.is_mid_message();
+        if is_half_read && !self.is_shut && !self.must_close {
+            self.stream.push(&response(400, &[], b"", true));
+        }
+    }
+
+    /// Puts a part of the open request's response into the output; `None` where no request is open. `closes`: the process closes
+    /// its clients' connections.
+    pub(in crate::node::clients) fn write_response(
+        &mut self,
+        now: Micros,
+        closes: bool,
+        write: impl FnOnce(&mut dyn ResponseWriter, &mut Vec<u8>) -> ConnectionAction,
+    ) -> Option<ResponsePart> {
+        let open = self.open.as_mut()?;
+        let mut bytes = Vec::new();
+        let action = write(open.writer.as_mut(), &mut bytes);
+        let is_first = !bytes.is_empty() && !std::mem::replace(&mut self.is_responding, true);
+        let closes = closes || self.is_overrun;
+        if closes && is_first {
+            add_connection_close(&mut bytes);
+        }
+        self.stream.push(&bytes);
+        (self.last_used, self.begun_at) = (now, now);
+        Some(ResponsePart {
+            action,
+            length: bytes.len(),
+            closes,
+        })
+    }
+
+    /// Ends the response whose last part waits to be written. Behind [`ConnectionAction::Reset`] the caller drops the connection.
+    pub(in crate::node::clients) fn finish_response(&mut self, last: &ResponsePart) {
+        let keeps_open = last.action == ConnectionAction::KeepOpen;
+        self.open = None;
+        self.is_responding = false;
+        // What still comes of a body could not be told from the next request.
+        self.must_close |= last.closes || !keeps_open || self.reader.is_body_open();
+        if !keeps_open {
+            // A result that is cut must not look complete, so nothing more may follow it.
+            self.has_more = false;
+        }
+        if last.action == ConnectionAction::Reset {
+            let _ = self.stream.flush();
+            let socket = self.stream.socket();
+            let _ = socket2::SockRef::from(&*socket).set_linger(Some(Duration::ZERO));
+        }
+    }
+}
--- a/crates/coordinator/src/node/clients/kill.rs
+++ b/crates/coordinator/src/node/clients/kill.rs
@@ -1,11 +1,12 @@
-//! A client's order to end queries.
+//! A client's order to end queries: carried to each engine that runs one as a request of its own.
 
+use super::state::Requester;
 use crate::frontends::KillRequest;
 use crate::node::{ConnectionId, Node};
 use driftfront_core::{Micros, Phase, RequestId};
 
 impl Node {
-    /// Ends queries by their names: none gets a further attempt, and each engine that runs one, or may, is told.
+    /// Ends queries by their names: none gets a further attempt, and each engine that runs one, or may, is sent a kill request.
     pub(super) fn kill_queries(&mut self, now: Micros, id: ConnectionId, kill: KillRequest) {
         let known = kill.names.iter().any(|name| self.core.is_open(name));
         let sent = self.send_kills(now, id, &kill);
@@ -24,14 +25,19 @@
             None => self.reply(now, id, &kill.none_running),
             Some(&first) => {
                 let class = self.core.accepted(first).map_or(0, |a| a.request.class);
-                self.await_response(now, id, first, class, kill.writer);
+                let requester = Requester {
+                    connection: id,
+                    class,
+                    accepted_at: now,
+                };
+                self.clients.await_response(first, requester, kill.writer);
             }
         }
         self.execute_commands();
     }
 
-    /// Sends the order to each engine that may run one of the queries; the requests that carry it. The one whose response is
-    /// awaited, the first, speaks for the others.
+    /// Sends the order to each engine that may run one of the queries; the requests that carry it. The first one's
+    /// response is forwarded to the client for all of them.
     fn send_kills(&mut self, now: Micros, id: ConnectionId, kill: &KillRequest) -> Vec<RequestId> {
         let mut running = Vec::new();
         for name in &kill.names {
@@ -49,7 +55,7 @@
                 request = request.0,
                 conn = id,
                 engine = query.engine.0,
-                "a kill, taken"
+                "kill request accepted"
             );
             sent.push(request);
         }
--- a/crates/coordinator/src/node/clients/requests.rs
+++ b/crates/coordinator/src/node/clients/requests.rs
@@ -1,33 +1,23 @@
-//! Requests as they come off a client's connection: accepted, answered at once, or withdrawn.
+//! Requests as they come off a client's connection: accepted, answered at once, or withdrawn. The frontend decides which
+//! ([`FrontendAction`]); what it accepts goes to the core.
 
-use super::connection::OpenRequest;
+use super::connection::BegunRequest;
+use super::state::Requester;
 use crate::frontends::{FrontendAction, ResponseWriter};
 use crate::node::{ConnectionId, Node};
-use driftfront_core::{Micros, ParsedRequest, RequestId};
+use driftfront_core::{Micros, ParsedRequest};
 use driftfront_http::{response, Request};
 
-/// After a reply to what could not be accepted the connection's next request waits this long: who sends the same again at once
-/// would take the others' share of the processor.
-const PAUSE_AFTER_BAD_REQUEST: Micros = 100_000;
-
 impl Node {
-    /// Takes the next request off a connection, if none is open; true if one was there. `has_ended`: its client has ended its side,
-    /// and nothing that is still read is wanted any more.
+    /// Begins the next request of a connection, if none is open; true if one was there. `has_ended`: its client has ended its
+    /// side, and nothing that is still read is wanted any more.
     pub(super) fn next_request(&mut self, now: Micros, id: ConnectionId, has_ended: bool) -> bool {
-        let client = self.clients.connections.get_mut(&id);
-        let Some(client) = client.filter(|c| c.can_take_request(now)) else {
+        let Some(client) = self.clients.get_mut(id) else {
             return false;
         };
-        match client.reader.next_request() {
+        match client.next_request(now) {
             Ok(Some(request)) => self.handle_client_request(now, id, request, has_ended),
-            Ok(None) => {
-                if client.reader.expects_continue() && !client.has_sent_continue {
-                    client.has_sent_continue = true;
-                    client.stream.push(b"HTTP/1.1 100 Continue\r\n\r\n");
-                    let _ = client.stream.flush();
-                }
-                return false;
-            }
+            Ok(None) => return false,
             Err(error) => self.client_fault(now, id, error),
         }
         true
@@ -40,23 +30,20 @@
         request: Request,
         has_ended: bool,
     ) {
-        let Some(client) = self.clients.connections.get_mut(&id) else {
+        let Some(client) = self.clients.get_mut(id) else {
             return;
         };
-        // Behind unread bytes an end of the client's would come to light only once it is served.
-        let has_left = has_ended || client.has_more && client.stream.peer_has_ended();
-        client.has_sent_continue = false;
-        client.must_close = request.close;
-        (client.last_used, client.begun_at, client.is_fresh) = (now, now, false);
-        let reserved_bytes = std::mem::take(&mut client.reserved_bytes);
-        let has_more_body = request.has_more_body;
-        let action = self.frontend.parse_request(request, now, reserved_bytes);
-        // Where it is not accepted the rest of its body would be read as the next request.
-        client.must_close |= has_more_body && !matches!(action, FrontendAction::Accept(..));
+        let begun = client.begin_request(now, &request, has_ended);
+        let action = self
+            .frontend
+            .parse_request(request, now, begun.reserved_bytes);
+        if !matches!(action, FrontendAction::Accept(..)) {
+            client.close_if_body_remains(&begun);
+        }
         match action {
             FrontendAction::Reply(bytes) => self.reply(now, id, &bytes),
             FrontendAction::RejectBadRequest(bytes) => {
-                client.paused_until = now + PAUSE_AFTER_BAD_REQUEST;
+                client.pause_after_bad_request(now);
                 self.reply(now, id, &bytes);
             }
             FrontendAction::ReportReadiness { ready, not_ready } => {
@@ -71,10 +58,10 @@
                 self.reply(now, id, &reply);
             }
             FrontendAction::Accept(request, writer) => {
-                if self.replied_to_duplicate(now, id, &request, has_more_body) {
+                if self.replied_to_duplicate(now, id, &request, &begun) {
                     return;
                 }
-                if has_left {
+                if begun.has_left {
                     return self.accept_disconnected(now, id, request);
                 }
                 self.accept(now, id, request, writer);
@@ -94,7 +81,7 @@
         now: Micros,
         id: ConnectionId,
         request: &ParsedRequest,
-        has_more_body: bool,
+        begun: &BegunRequest,
     ) -> bool {
         if !self.core.is_open(&request.name) {
             return false;
@@ -102,14 +89,14 @@
         let Some(bytes) = self.frontend.duplicate_id_response(now, request) else {
             return false;
         };
-        if let Some(client) = self.clients.connections.get_mut(&id) {
-            client.must_close |= has_more_body;
+        if let Some(client) = self.clients.get_mut(id) {
+            client.close_if_body_remains(begun);
         }
         self.reply(now, id, &bytes);
         true
     }
 
-    /// Accepts a request whose client left before it was read: a waiting place is all that it had.
+    /// Accepts a request whose client left before it was read: it is counted, and nothing of it goes to an engine.
     fn accept_disconnected(&mut self, now: Micros, id: ConnectionId, request: ParsedRequest) {
         tracing::debug!(conn = id, call = %request.name, "client left before its request was read");
         self.core.accept_disconnected_request(now, request);
@@ -123,33 +110,20 @@
         request: ParsedRequest,
         writer: Box<dyn ResponseWriter>,
     ) {
-        // Asked with the clock as it is: the process may have stood still since this turn began.
+        // The clock is read again: the process may have stood still since this turn began.
         let accepted_at = self.clock();
         if !self.lifecycle.accepts_requests(accepted_at) {
             self.core.begin_shutdown();
         }
         let (call, class, budget) = (request.name.clone(), request.class, request.client_timeout);
         let request = self.core.accept_request(now, request);
-        tracing::debug!(request = request.0, conn = id, %call, class, budget, "taken");
-        self.await_response(now, id, request, class, writer);
+        tracing::debug!(request = request.0, conn = id, %call, class, budget, "accepted");
+        let requester = Requester {
+            connection: id,
+            class,
+            accepted_at: now,
+        };
+        self.clients.await_response(request, requester, writer);
         self.execute_commands();
     }
-
-    /// From now on a connection waits for a request's response.
-    pub(super) fn await_response(
-        &mut self,
-        now: Micros,
-        id: ConnectionId,
-        request: RequestId,
-        class: u16,
-        writer: Box<dyn ResponseWriter>,
-    ) {
-        self.clients.requesters.insert(request, (id, class, now));
-        if let Some(client) = self.clients.connections.get_mut(&id) {
-            client.open = Some(OpenRequest {
-                id: request,
-                writer,
-            });
-        }
-    }
 }
--- a/crates/coordinator/src/node/commands.rs
+++ b/crates/coordinator/src/node/commands.rs
@@ -1,4 +1,4 @@
-//! Commands of the request lifecycle, carried out on sockets.
+//! The core's commands, carried out on the connections of clients and engines. The core decides; nothing is decided here.
 
 use super::Node;
 use crate::frontends::ConnectionAction;
@@ -7,59 +7,60 @@
 use driftfront_scheduler::Idempotency;
 
 impl Node {
-    /// Carries out what the core asks for, until it asks for nothing more.
+    /// Carries out the core's commands until there are no more.
     pub(super) fn execute_commands(&mut self) {
         // Further up the stack the rest is being carried out, in order.
         if std::mem::replace(&mut self.is_executing, true) {
             return;
         }
         while let Some(command) = self.core.next_command() {
-            let now = self.now;
-            match command {
-                Command::StartAttempt(key, engine) => {
-                    self.log_retry(now, key, engine);
-                    self.queue_attempt(now, key, engine, 0);
-                }
-                Command::AbandonAttempt(key, engine) => self.abandon_attempt(now, key, engine),
-                Command::Probe(engine, tag) => self.queue_probe(now, engine, tag),
-                Command::ForgetEngine(engine) => self.forget_engine(now, engine),
-                Command::Log(line) => tracing::info!("{line}"),
-                Command::Settled(ticket, fate) => self.frontend.settle_request(now, ticket, fate),
-                Command::ForwardChunk(id, piece) => {
-                    self.write_response(now, id, false, |w, out| {
-                        w.write_chunk(&piece, out);
-                        ConnectionAction::KeepOpen
-                    })
-                }
-                Command::Finish(id) => {
-                    self.record_outcome(now, id, RequestOutcome::Served);
-                    self.write_response(now, id, true, |w, out| w.finish(out));
-                }
-                Command::Reject(id, after, words) => {
-                    self.record_outcome(now, id, RequestOutcome::Refused);
-                    self.write_response(now, id, true, |w, out| {
-                        w.reject(after, words.as_deref(), out);
-                        ConnectionAction::KeepOpen
-                    });
-                }
-                Command::Fail(id, words) => {
-                    self.record_outcome(now, id, RequestOutcome::Failed);
-                    self.write_response(now, id, true, |w, out| {
-                        w.fail(words.as_deref(), out);
-                        ConnectionAction::KeepOpen
-                    });
-                }
-                Command::Abort(id, words) => {
-                    self.record_outcome(now, id, RequestOutcome::Failed);
-                    self.write_response(now, id, true, |w, out| w.abort(words.as_deref(), out));
-                }
-            }
+            self.execute_command(self.now, command);
         }
         self.is_executing = false;
     }
 
-    /// A line for each attempt beyond a request's first: the retry budget bounds their number.
-    pub(super) fn log_retry(&self, now: Micros, key: AttemptKey, engine: EngineId) {
+    fn execute_command(&mut self, now: Micros, command: Command) {
+        match command {
+            Command::StartAttempt(key, engine) => {
+                self.log_retry(now, key, engine);
+                self.queue_attempt(now, key, engine, 0);
+            }
+            Command::AbandonAttempt(key, engine) => self.abandon_attempt(now, key, engine),
+            Command::Probe(engine, tag) => self.queue_probe(now, engine, tag),
+            Command::ForgetEngine(engine) => self.forget_engine(now, engine),
+            Command::Log(line) => tracing::info!("{line}"),
+            Command::Settled(ticket, outcome) => self.frontend.settle_request(now, ticket, outcome),
+            Command::ForwardChunk(id, chunk) => self.write_response(now, id, false, |w, out| {
+                w.write_chunk(&chunk, out);
+                ConnectionAction::KeepOpen
+            }),
+            Command::Finish(id) => {
+                self.record_outcome(now, id, RequestOutcome::Served);
+                self.write_response(now, id, true, |w, out| w.finish(out));
+            }
+            Command::Reject(id, retry_after, message) => {
+                self.record_outcome(now, id, RequestOutcome::Refused);
+                self.write_response(now, id, true, |w, out| {
+                    w.reject(retry_after, message.as_deref(), out);
+                    ConnectionAction::KeepOpen
+                });
+            }
+            Command::Fail(id, message) => {
+                self.record_outcome(now, id, RequestOutcome::Failed);
+                self.write_response(now, id, true, |w, out| {
+                    w.fail(message.as_deref(), out);
+                    ConnectionAction::KeepOpen
+                });
+            }
+            Command::Abort(id, message) => {
+                self.record_outcome(now, id, RequestOutcome::Failed);
+                self.write_response(now, id, true, |w, out| w.abort(message.as_deref(), out));
+            }
+        }
+    }
+
+    /// Logs each attempt beyond a request's first: the retry budget bounds their number.
+    fn log_retry(&self, now: Micros, key: AttemptKey, engine: EngineId) {
         let Some(retry) = self.core.retry_context(key) else {
             return;
         };
@@ -77,25 +78,20 @@
         );
     }
 
-    /// For operators: how a request ended.
-    pub(super) fn record_outcome(&mut self, now: Micros, id: RequestId, end: RequestOutcome) {
-        if let Some(&(_, class, began)) = self
-            .clients
-            .requesters
-            .get(&id)
-            .filter(|_| self.control.is_some())
-        {
-            self.record_class_service(now, class, began, end);
+    /// Records how a request ended, for operators.
+    pub(super) fn record_outcome(&mut self, now: Micros, id: RequestId, outcome: RequestOutcome) {
+        if self.control.is_none() {
+            return;
+        }
+        if let Some(requester) = self.clients.requester(id) {
+            self.record_class_service(now, requester.class, requester.accepted_at, outcome);
         }
     }
 
     /// How often a class's requests may run.
     pub(super) fn idempotency(&self, class: u16) -> Option<Idempotency> {
-        self.config
-            .settings
-            .classes
-            .get(usize::from(class))
-            .map(|c| c.idempotency)
+        let class = self.config.settings.classes.get(usize::from(class));
+        class.map(|c| c.idempotency)
     }
 
     /// Whether a class's requests must not run twice.
--- a/crates/coordinator/src/node/control/snapshot.rs
+++ b/crates/coordinator/src/node/control/snapshot.rs
@@ -106,7 +106,7 @@
             .into(),
             open: self.core.open_requests() as u64,
             connections: vec![
-                self.clients.connections.len() as u64,
+                self.clients.connection_count() as u64,
                 self.engines.connection_count() as u64,
             ],
             engines: self.engine_views(now),
--- a/crates/coordinator/src/node/counters.rs
+++ b/crates/coordinator/src/node/counters.rs
@@ -1,5 +1,5 @@
-//! The counters that `/counters` shows, and the log at the end: a line each, its name and its value. `docs/console.md` and
-//! `docs/daily.md` explain them; scripts read them, so that names and order stay.
+//! The counters that `/counters` shows, and the log at the end: a line each, its name and its value. Each owner counts; this module
+//! prints. `docs/console.md` and `docs/daily.md` explain them; scripts read them, so that names and order stay.
 
 use super::Node;
 use std::fmt::{Display, Write as _};
@@ -13,8 +13,9 @@
     /// All counters.
     pub(super) fn counters(&self) -> String {
         let mut text = self.core.counters().to_string();
-        let (clients, engines) = (&self.clients, &self.engines);
-        add(&mut text, "connections_clients", clients.connections.len());
+        let (clients, engines) = (self.clients.counters(), &self.engines);
+        let client_connections = self.clients.connection_count();
+        add(&mut text, "connections_clients", client_connections);
         add(&mut text, "connections_engines", engines.connection_count());
         add(&mut text, "requests_open", self.core.open_requests());
         add(&mut text, "bodies_passing", engines.upload_count());
@@ -36,7 +37,8 @@
         add(&mut text, "upgrade_succeeds", is_successor);
         let merged_orders = self.handover.merged_orders();
         add(&mut text, "upgrade_orders_merged", merged_orders);
-        add(&mut text, "listener_unblocked", self.listener.unblocked);
+        let unblocked = self.listener.unblocked_count();
+        add(&mut text, "listener_unblocked", unblocked);
         text += &self.cluster_counters();
         self.add_retry_budget(&mut text);
         add(&mut text, "wall_clock_steps", self.wall.steps);
@@ -44,7 +46,7 @@
         text
     }
 
-    /// How far the retry budget is used; nothing where the settings have none.
+    /// How far the retry budget is used; no line where the settings have none.
     fn add_retry_budget(&self, text: &mut String) {
         let Some(usage) = self.core.retry_budget_usage(self.now) else {
             return;
--- a/crates/coordinator/src/node/discovery_client.rs
+++ b/crates/coordinator/src/node/discovery_client.rs
@@ -1,20 +1,21 @@
 //! Where the list of engines comes from: one watched connection, kept up, or a file.
+//!
+//! [`DiscoveryClient`] owns the connection, its backoff and the protocol's state. It returns updates as they come; `engine_list` applies
+//! them.
 
-use super::{ConnectionId, EventSource, Node};
-use crate::config::{Config, DiscoverySource};
+use super::ConnectionId;
+use crate::config::DiscoverySource;
 use crate::discovery::backoff::{Backoff, Disconnect};
-use crate::discovery::{
-    etcd::Etcd, file::File, read, stream::Stream, DiscoveryError, EngineListWatch,
-};
-use crate::net::{connect, BufferedStream, ReadOutcome};
+use crate::discovery::{etcd::Etcd, file::File, stream::Stream, DiscoveryError, EngineListWatch};
+use crate::net::{BufferedStream, ReadOutcome};
 use calloop::RegistrationToken;
 use driftfront_core::Micros;
-use driftfront_settings::json::Json;
 use std::io;
-use std::net::SocketAddr;
+use std::net::{SocketAddr, TcpStream};
+use std::rc::Rc;
 use tinyjson::JsonValue;
 
-/// A connect that takes longer is begun anew.
+/// A connect that takes longer is tried again.
 const CONNECT_TIMEOUT: Micros = 500_000;
 /// Bytes of one read.
 const MAX_READ_BYTES: usize = 64 * 1024;
@@ -25,9 +26,9 @@
     connection: Option<DiscoveryConnection>,
     next_attempt_at: Micros,
     backoff: Backoff,
-    /// When the source was first heard.
-    first_heard: Option<Micros>,
-    /// When the source last said something of engines; 0 if never.
+    /// When bytes first came from the source.
+    first_received: Option<Micros>,
+    /// When the list was last updated; 0 if never.
     last_update: Micros,
     /// What the source is, for operators.
     description: String,
@@ -47,12 +48,13 @@
     stream: BufferedStream,
     registration: Option<RegistrationToken>,
     is_up: bool,
-    last_heard: Micros,
+    /// When bytes last came, or the connect began.
+    last_received: Micros,
 }
 
 /// Why a connection to the source ends.
 #[derive(Debug, thiserror::Error)]
-enum ConnectionError {
+pub(super) enum ConnectionError {
     #[error(transparent)]
     Io(#[from] io::Error),
     #[error(transparent)]
@@ -61,6 +63,21 @@
     Closed,
 }
 
+/// What one exchange with the source has brought.
+pub(super) struct Exchange {
+    /// Updates of the list, to be applied in order.
+    pub(super) updates: Vec<JsonValue>,
+    /// Whether there may be more to read behind them, or why the connection ends.
+    pub(super) may_have_more: Result<bool, ConnectionError>,
+}
+
+impl Exchange {
+    const NOTHING: Exchange = Exchange {
+        updates: Vec::new(),
+        may_have_more: Ok(false),
+    };
+}
+
 impl DiscoveryClient {
     /// Follows a source; an event stream from behind the event of this number.
     pub(super) fn new(
@@ -88,29 +105,29 @@
             connection: None,
             next_attempt_at: 0,
             backoff,
-            first_heard: None,
+            first_received: None,
             last_update: 0,
             description,
         }
     }
 
-    /// Whether all that the source says at once has come: so long after its first byte. One that can't be heard has.
+    /// Whether the source's first list has come: `after` its first byte. A source without a connection is read at once.
     pub(super) fn has_received_first_list(&self, now: Micros, after: Micros) -> bool {
         !matches!(self.source, Source::Watch(..))
-            || self.first_heard.is_some_and(|at| now >= at + after)
+            || self.first_received.is_some_and(|at| now >= at + after)
     }
 
-    /// What the source is, and how long it has said nothing where it should be heard all the time.
+    /// What the source is and, where it is a connection, how long nothing has come from it.
     pub(super) fn about(&self, now: Micros) -> (String, Option<Micros>) {
         let connection = self.connection.as_ref().filter(|c| c.is_up);
-        let heard_at = connection.map_or(self.last_update, |c| c.last_heard);
-        let is_watched = matches!(self.source, Source::Watch(..)) && heard_at > 0;
-        let age = is_watched.then(|| now.saturating_sub(heard_at));
+        let received_at = connection.map_or(self.last_update, |c| c.last_received);
+        let is_watched = matches!(self.source, Source::Watch(..)) && received_at > 0;
+        let age = is_watched.then(|| now.saturating_sub(received_at));
         (self.description.clone(), age)
     }
 
-    /// Follows another source; at a new address of the same kind the list goes on behind its last event.
-    fn follow(&mut self, from: &DiscoverySource, to: &DiscoverySource) {
+    /// Follows another source; at a new address of the same kind the list continues behind its last event.
+    pub(super) fn follow(&mut self, from: &DiscoverySource, to: &DiscoverySource) {
         let same_list_at = match (from, to) {
             (DiscoverySource::Stream(_), DiscoverySource::Stream(addr)) => Some(*addr),
             (DiscoverySource::Etcd(_, old), DiscoverySource::Etcd(addr, new)) if old == new => {
@@ -129,133 +146,92 @@
         (self.next_attempt_at, self.backoff) = (0, self.backoff.for_new_source());
     }
 
+    /// The update in a watched file that has changed since it was last read.
+    pub(super) fn poll_file(&mut self, now: Micros) -> Option<JsonValue> {
+        match &mut self.source {
+            Source::File(file) => file.poll(now),
+            Source::Watch(..) | Source::Fixed => None,
+        }
+    }
+
     /// Why the connection should end now, if it should.
-    fn reason_to_disconnect(&self, now: Micros, silence_timeout: Micros) -> Option<&'static str> {
+    pub(super) fn reason_to_disconnect(&self, now: Micros) -> Option<&'static str> {
+        let Source::Watch(_, watch) = &self.source else {
+            return None;
+        };
         let connection = self.connection.as_ref()?;
         let (timeout, reason) = if connection.is_up {
-            (silence_timeout, "nothing heard, taken anew")
+            (watch.silence_timeout(), "nothing heard, taken anew")
         } else {
             (CONNECT_TIMEOUT, "connect timed out")
         };
-        (now > connection.last_heard + timeout).then_some(reason)
-    }
-}
-
-impl Node {
-    /// SIGHUP: the configuration's file has been replaced. The list of engines moves to where it says; what else it says holds from
-    /// the next start on, and all connections stay as they are.
-    pub(super) fn reload(&mut self) {
-        let now = self.clock();
-        let Some(path) = self.config.file.clone() else {
-            return tracing::warn!("no file to read again");
-        };
-        let new = match Config::load(&path) {
-            Ok(new) => new,
-            // A half-written or mistaken file must not end a coordinator that serves well.
-            Err(e) => return tracing::error!("the old configuration stays: {e}"),
-        };
-        self.reload_cluster(new.cluster.as_ref());
-        if new.discovery == self.config.discovery {
-            return tracing::info!(
-                "configuration read again; the list of engines stays where it is"
-            );
-        }
-        tracing::info!(from = ?self.config.discovery, to = ?new.discovery, "the list of engines moves");
-        if let Some(mut connection) = self.discovery.connection.take() {
-            // The old address says nothing more: waiting for its close would cost what is said meanwhile.
-            self.unregister(connection.registration.take());
-        }
-        self.discovery
-            .follow(&self.config.discovery, &new.discovery);
-        self.config.discovery = new.discovery;
-        self.check_discovery(now);
-        self.execute_commands();
+        (now > connection.last_received + timeout).then_some(reason)
     }
 
-    /// Reads a file that has changed; ends a connection that is silent, and opens one where its time has come.
-    pub(super) fn check_discovery(&mut self, now: Micros) {
-        let (address, silence_timeout) = match &mut self.discovery.source {
-            Source::Watch(address, watch) => (*address, watch.silence_timeout()),
-            Source::File(file) => {
-                if let Some(update) = file.poll(now) {
-                    self.apply_list_update(now, &update);
-                }
-                return;
+    /// The address to connect to, where a connection is due.
+    pub(super) fn address_to_connect(&self, now: Micros) -> Option<SocketAddr> {
+        match self.source {
+            Source::Watch(address, _) => {
+                let is_due = self.connection.is_none() && now >= self.next_attempt_at;
+                is_due.then_some(address)
             }
-            Source::Fixed => return,
-        };
-        if let Some(reason) = self.discovery.reason_to_disconnect(now, silence_timeout) {
-            self.drop_discovery_connection(now, reason, Disconnect::Silent);
-        }
-        if self.discovery.connection.is_none() && now >= self.discovery.next_attempt_at {
-            self.connect_to_discovery(now, address);
+            Source::File(_) | Source::Fixed => None,
         }
     }
 
-    fn connect_to_discovery(&mut self, now: Micros, address: SocketAddr) {
-        let id = self.next_connection_id();
-        let opened = connect(address).map_err(|e| e.to_string());
-        let registered = opened.and_then(|stream| {
-            let registration = self
-                .register_source(stream.clone(), EventSource::DiscoveryClient(id))
-                .map_err(|e| e.to_string())?;
-            Ok((stream, registration))
-        });
-        match registered {
-            Ok((stream, registration)) => {
-                self.discovery.connection = Some(DiscoveryConnection {
-                    id,
-                    stream: BufferedStream::new(stream),
-                    registration: Some(registration),
-                    is_up: false,
-                    last_heard: now,
-                });
-            }
-            Err(e) => self.drop_discovery_connection(now, &e, Disconnect::Closed),
-        }
-    }
-
-    /// Ends the connection, and sets when the next is opened.
-    pub(super) fn drop_discovery_connection(
+    /// Takes over a connection whose connect has begun.
+    pub(super) fn begin_connection(
         &mut self,
         now: Micros,
-        reason: &str,
-        disconnect: Disconnect,
+        id: ConnectionId,
+        stream: Rc<TcpStream>,
+        registration: RegistrationToken,
     ) {
-        tracing::info!("engine list: {reason}");
-        if let Some(mut connection) = self.discovery.connection.take() {
-            self.unregister(connection.registration.take());
-        }
-        self.discovery.next_attempt_at = self.discovery.backoff.next_attempt_at(now, disconnect);
+        self.connection = Some(DiscoveryConnection {
+            id,
+            stream: BufferedStream::new(stream),
+            registration: Some(registration),
+            is_up: false,
+            last_received: now,
+        });
     }
 
-    /// Handles a readiness event of the connection.
-    pub(super) fn on_discovery_ready(&mut self, now: Micros, id: ConnectionId) {
-        loop {
-            match self.read_discovery(now, id) {
-                Ok(true) => {}
-                Ok(false) => return,
-                Err(e) => {
-                    return self.drop_discovery_connection(now, &e.to_string(), Disconnect::Closed)
-                }
-            }
-        }
+    /// Ends the connection; its registration with the event loop, which the caller ends.
+    pub(super) fn take_connection(&mut self) -> Option<RegistrationToken> {
+        self.connection.take()?.registration
+    }
+
+    /// Sets when the next connection is opened, behind one that ended or could not be opened.
+    pub(super) fn back_off(&mut self, now: Micros, disconnect: Disconnect) {
+        self.next_attempt_at = self.backoff.next_attempt_at(now, disconnect);
+    }
+
+    /// The list was updated.
+    pub(super) fn record_update(&mut self, now: Micros) {
+        self.last_update = now;
     }
 
-    /// Writes and reads once; true if there may be more to read.
-    fn read_discovery(&mut self, now: Micros, id: ConnectionId) -> Result<bool, ConnectionError> {
-        let client = &mut self.discovery;
-        let Some(connection) = client.connection.as_mut().filter(|c| c.id == id) else {
-            return Ok(false);
+    /// Writes and reads once on a connection.
+    ///
+    /// # Errors
+    ///
+    /// The connection's, where nothing came before it that is to be applied.
+    pub(super) fn exchange(
+        &mut self,
+        now: Micros,
+        id: ConnectionId,
+    ) -> Result<Exchange, ConnectionError> {
+        let Some(connection) = self.connection.as_mut().filter(|c| c.id == id) else {
+            return Ok(Exchange::NOTHING);
         };
-        let Source::Watch(_, watch) = &mut client.source else {
-            return Ok(false);
+        let Source::Watch(_, watch) = &mut self.source else {
+            return Ok(Exchange::NOTHING);
         };
         if !connection.is_up {
             if !connection.stream.poll_connected()? {
-                return Ok(false);
+                return Ok(Exchange::NOTHING);
             }
-            (connection.is_up, connection.last_heard) = (true, now);
+            (connection.is_up, connection.last_received) = (true, now);
             connection.stream.push(&watch.open_request());
         }
         connection.stream.flush()?;
@@ -263,36 +239,22 @@
         let outcome = connection.stream.read(&mut bytes, MAX_READ_BYTES)?;
         let mut decoded = Ok(());
         if !bytes.is_empty() {
-            connection.last_heard = now;
-            client.first_heard.get_or_insert(now);
-            client.backoff.record_heard(now);
+            connection.last_received = now;
+            self.first_received.get_or_insert(now);
+            self.backoff.record_heard(now);
             decoded = watch.decode(&bytes, &mut out, &mut updates);
             connection.stream.push(&out);
             connection.stream.flush()?;
         }
-        for update in updates {
-            self.apply_list_update(now, &update);
-        }
-        decoded?;
-        match outcome {
-            ReadOutcome::WouldBlock => Ok(false),
-            ReadOutcome::Closed => Err(ConnectionError::Closed),
-            ReadOutcome::LimitReached => Ok(true),
-        }
-    }
-
-    fn apply_list_update(&mut self, now: Micros, update: &JsonValue) {
-        match read(&self.config.zones, &self.config.kinds, Json(Some(update))) {
-            Ok(read) => {
-                for error in &read.rejected_entries {
-                    tracing::warn!("engine list: {error}");
-                }
-                self.discovery.last_update = now;
-                self.update_discovered_seeds(&read);
-                let change = self.registry.apply_listing(read.kind, read.descriptions);
-                self.apply_registry_change(now, &change);
-            }
-            Err(e) => tracing::warn!("engine list: {e}"),
-        }
+        let may_have_more = match (decoded, outcome) {
+            (Err(e), _) => Err(e.into()),
+            (Ok(()), ReadOutcome::WouldBlock) => Ok(false),
+            (Ok(()), ReadOutcome::Closed) => Err(ConnectionError::Closed),
+            (Ok(()), ReadOutcome::LimitReached) => Ok(true),
+        };
+        Ok(Exchange {
+            updates,
+            may_have_more,
+        })
     }
 }
--- a/crates/coordinator/src/node/engines/attempts.rs
+++ b/crates/coordinator/src/node/engines/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts and probes that the core asks for: queued on a connection, and stopped again. An attempt that can't be queued, or whose
+//! Attempts and probes that the core starts: queued on a connection, and stopped again. An attempt that can't be queued, or whose
 //! connection ends, has failed; the core learns of it here.
 
 use super::connection::{QueuedWrite, StopOutcome};
--- a/crates/coordinator/src/node/engines/closing.rs
+++ b/crates/coordinator/src/node/engines/closing.rs
@@ -108,11 +108,11 @@
         self.execute_commands();
     }
 
-    /// Queues again what was not written on a connection that came up and broke: that says nothing of the engine, and another
-    /// connection may do. An attempt whose connection never came up, or that was requeued too often, fails.
-    fn requeue_unwritten(&mut self, now: Micros, conn: EngineConnection, cause: &Cause) {
+    /// Queues again what was not written on a connection that came up and broke: that is no sign of the engine's health, and
+    /// another connection may work. An attempt whose connection never came up, or that was requeued too often, fails.
+    fn requeue_unwritten(&mut self, now: Micros, mut conn: EngineConnection, cause: &Cause) {
         let (engine, was_up) = (conn.engine(), conn.is_up());
-        for work in conn.into_queue() {
+        for work in conn.take_queue() {
             match work {
                 QueuedWrite::Attempt { key, requeues } if was_up && requeues < MAX_REQUEUES => {
                     self.queue_attempt(now, key, engine, requeues + 1);
--- a/crates/coordinator/src/node/engines/connect.rs
+++ b/crates/coordinator/src/node/engines/connect.rs
@@ -44,7 +44,7 @@
         self.add_engine_connection(now, engine, stream, session)
     }
 
-    /// Begins a connect. Out of descriptors, an idle client's connection is closed for it; a shortage here says nothing of the
+    /// Begins a connect. Out of descriptors, an idle client's connection is closed for it; a shortage here is no fault of the
     /// engine.
     fn connect_to_engine(
         &mut self,
--- /dev/null
+++ b/crates/coordinator/src/node/engines/connection/transfer.rs
@@ -0,0 +1,202 @@
+//! What goes out on a connection to an engine, and what comes in: probes, attempts and bodies are encoded into the output, bytes
+//! received are decoded into [`EngineEvent`]s.
+
+use super::{AttemptSpan, EngineConnection, QueuedWrite};
+use crate::backends::{AttemptRequest, EngineEvent, SessionError};
+use crate::net::ReadOutcome;
+use driftfront_core::{AttemptKey, Core, Micros, Progress};
+use std::io;
+
+/// Capacity for the framing of a body chunk.
+const CHUNK_FRAMING_BYTES: usize = 16;
+
+/// What became of an attempt that is not wanted any more.
+pub(in crate::node::engines) enum StopOutcome {
+    /// It was not in flight here.
+    NotInFlight,
+    /// The engine is sent a message that stops it.
+    Stopped,
+    /// Only closing the connection stops it.
+    NeedsClose,
+}
+
+impl EngineConnection {
+    /// Writes a probe into the output.
+    pub(in crate::node::engines) fn write_probe(&mut self, now: Micros, tag: u64) {
+        let was_idle = self.session.is_idle();
+        let mut out = Vec::new();
+        self.session.write_probe(tag, &mut out);
+        self.push_work(now, &out, was_idle);
+    }
+
+    /// Writes an attempt into the output. A streamed one stays open-ended until [`EngineConnection::finish_body`].
+    pub(in crate::node::engines) fn start_attempt(
+        &mut self,
+        now: Micros,
+        attempt: &AttemptRequest,
+    ) {
+        // A probe in flight does not show when this attempt's first report is due.
+        let was_idle = self.session.attempt_count() == 0;
+        let mut out = Vec::new();
+        self.session.start_attempt(attempt, &mut out);
+        self.begin_span(attempt.key, out.len(), attempt.request.is_body_streamed);
+        self.push_work(now, &out, was_idle);
+    }
+
+    /// Puts bytes of new work into the output. `was_idle`: no response was awaited before, so that silence is counted from now.
+    fn push_work(&mut self, now: Micros, bytes: &[u8], was_idle: bool) {
+        self.stream.push(bytes);
+        if was_idle {
+            self.silent_since = now;
+        }
+        self.last_used = now;
+    }
+
+    /// Records where an attempt of `length` bytes will stand that is about to be put into the output.
+    fn begin_span(&mut self, key: AttemptKey, length: usize, is_streamed: bool) {
+        let begin = self.stream.queued();
+        let mut end = begin + length as u64;
+        if is_streamed {
+            (self.upload, end) = (Some(key), u64::MAX);
+        }
+        self.spans.push_back(AttemptSpan { key, begin, end });
+    }
+
+    /// Writes bytes of the streamed body into the output.
+    pub(in crate::node::engines) fn write_body_chunk(&mut self, now: Micros, bytes: &[u8]) {
+        let mut out = Vec::with_capacity(bytes.len() + CHUNK_FRAMING_BYTES);
+        self.session.write_body_chunk(bytes, &mut out);
+        self.stream.push(&out);
+        self.last_used = now;
+    }
+
+    /// Writes the end of the streamed body into the output: from now on the engine's response is awaited.
+    pub(in crate::node::engines) fn finish_body(&mut self, now: Micros, key: AttemptKey) {
+        let mut out = Vec::new();
+        self.session.finish_body(&mut out);
+        self.stream.push(&out);
+        self.upload = None;
+        if let Some(span) = self.spans.iter_mut().find(|span| span.key == key) {
+            span.end = self.stream.queued();
+        }
+        self.silent_since = now;
+    }
+
+    /// Removes an attempt from the queue, and stops it if it is in flight.
+    pub(in crate::node::engines) fn stop_attempt(&mut self, key: AttemptKey) -> StopOutcome {
+        self.queue
+            .retain(|w| !matches!(w, QueuedWrite::Attempt { key: queued, .. } if *queued == key));
+        if !self.session.has_attempt(key) {
+            return StopOutcome::NotInFlight;
+        }
+        let mut out = Vec::new();
+        let is_stopped = self.session.stop_attempt(key, &mut out);
+        self.stream.push(&out);
+        if is_stopped {
+            StopOutcome::Stopped
+        } else {
+            StopOutcome::NeedsClose
+        }
+    }
+
+    /// Hands the output to the system, and reports to the core how far attempts have come with it; true once no output is left.
+    ///
+    /// # Errors
+    ///
+    /// The connection's.
+    pub(in crate::node::engines) fn flush(&mut self, core: &mut Core) -> io::Result<bool> {
+        let flushed = self.stream.flush();
+        self.report_written(core);
+        flushed
+    }
+
+    fn report_written(&mut self, core: &mut Core) {
+        let written = self.stream.written();
+        while let Some(span) = self.spans.front() {
+            if written < span.end {
+                if written > span.begin {
+                    core.record_progress(span.key, Progress::PartWritten);
+                }
+                return;
+            }
+            core.record_progress(span.key, Progress::WrittenWhole);
+            self.spans.pop_front();
+        }
+    }
+
+    /// Appends up to `max_bytes` received bytes to `into`.
+    ///
+    /// # Errors
+    ///
+    /// The connection's.
+    pub(in crate::node::engines) fn read(
+        &mut self,
+        into: &mut Vec<u8>,
+        max_bytes: usize,
+    ) -> io::Result<ReadOutcome> {
+        self.stream.read(into, max_bytes)
+    }
+
+    /// Decodes bytes that were read, and the end of the engine's side, into `events`.
+    ///
+    /// # Errors
+    ///
+    /// Where the engine violates the protocol; what came before that is in `events`.
+    pub(in crate::node::engines) fn decode(
+        &mut self,
+        now: Micros,
+        bytes: &[u8],
+        outcome: ReadOutcome,
+        events: &mut Vec<EngineEvent>,
+    ) -> Result<(), SessionError> {
+        let mut decoded = Ok(());
+        if !bytes.is_empty() {
+            (self.silent_since, self.last_received, self.last_used) = (now, now, now);
+            let mut out = Vec::new();
+            decoded = self.session.decode(now, bytes, &mut out, events);
+            self.stream.push(&out);
+        }
+        if outcome == ReadOutcome::Closed {
+            self.session.decode_close(events);
+        }
+        decoded
+    }
+
+    /// Reads and decodes once where nothing can be written any more; true if there may be more to read.
+    pub(in crate::node::engines) fn read_remaining(
+        &mut self,
+        now: Micros,
+        max_bytes: usize,
+        events: &mut Vec<EngineEvent>,
+    ) -> bool {
+        let mut bytes = Vec::new();
+        let outcome = self.stream.read(&mut bytes, max_bytes);
+        let decoded = self.session.decode(now, &bytes, &mut Vec::new(), events);
+        decoded.is_ok() && matches!(outcome, Ok(ReadOutcome::LimitReached))
+    }
+
+    /// Pauses or resumes reading.
+    pub(in crate::node::engines) fn set_paused(&mut self, now: Micros, is_paused: bool) {
+        if self.is_paused && !is_paused {
+            // The silence was of this program's making.
+            self.silent_since = now;
+        }
+        self.is_paused = is_paused;
+    }
+
+    /// Lets the session ask again for what is overdue, or give it up; true if that put something into the output.
+    ///
+    /// # Errors
+    ///
+    /// Where a response stopped short: the connection can't be used any more.
+    pub(in crate::node::engines) fn check_timeouts(
+        &mut self,
+        now: Micros,
+        events: &mut Vec<EngineEvent>,
+    ) -> Result<bool, SessionError> {
+        let mut out = Vec::new();
+        let checked = self.session.check_timeouts(now, &mut out, events);
+        self.stream.push(&out);
+        checked.map(|()| !out.is_empty())
+    }
+}
--- a/crates/coordinator/src/node/engines/liveness.rs
+++ b/crates/coordinator/src/node/engines/liveness.rs
@@ -1,6 +1,6 @@
 //! When bytes last came from an engine, when they should have, and probes where nothing else shows that it lives.
 //!
-//! [`Engines`] judges silence over all connections to an engine; the periodic check asks which engines are due for a probe.
+//! [`Engines`] judges silence over all connections to an engine; the periodic check probes the engines that are due.
 
 use super::connection::{EngineConnection, QueuedWrite};
 use super::pool::ConnectionRequest;
--- a/crates/coordinator/src/node/engines/mod.rs
+++ b/crates/coordinator/src/node/engines/mod.rs
@@ -15,9 +15,9 @@
 //! | --- | --- | --- |
 //! | `attempts` | the core starts or stops an attempt, or starts a probe | it is queued on a connection, or fails |
 //! | `connect` | work needs a connection | one with capacity, else a new one |
-//! | `write` | a connection takes bytes | queued work is checked once more, and written |
+//! | `write` | a connection can be written | queued work is checked once more, and written |
 //! | `upload` | a client sends more of a streamed body | it is written to the engine |
-//! | `read` | a connection brings bytes | they are decoded, and the core is notified |
+//! | `read` | a connection can be read | they are decoded, and the core is notified |
 //! | `closing` | a connection ends, or the periodic check finds it silent, stuck or unused | attempts on it end (see `docs/endings.md`) |
 
 mod attempts;
--- a/crates/coordinator/src/node/engines/read.rs
+++ b/crates/coordinator/src/node/engines/read.rs
@@ -104,7 +104,7 @@
         let is_ahead =
             self.engines
                 .is_ahead_of_clients(id, self.config.max_unread_bytes, |request| {
-                    self.client_backlog(request)
+                    self.clients.backlog(request)
                 });
         self.engines.set_paused(now, id, is_ahead)
     }
--- a/crates/coordinator/src/node/engines/upload.rs
+++ b/crates/coordinator/src/node/engines/upload.rs
@@ -1,7 +1,7 @@
 //! Bodies that are streamed to an engine as their client sends them: chunks come from the client's connection, and go to the engine's.
 
 use super::connection::EngineConnection;
-use crate::node::clients::BodyChunk;
+use crate::node::clients::BodyUpdate;
 use crate::node::{ConnectionId, Node};
 use driftfront_core::{AttemptKey, Micros};
 
@@ -17,16 +17,16 @@
             return false;
         }
         match self.read_body(now, key.request) {
-            BodyChunk::WouldBlock => false,
-            BodyChunk::Broken => {
+            BodyUpdate::WouldBlock => false,
+            BodyUpdate::Broken => {
                 self.abandon_broken_upload(now, key.request);
                 false
             }
-            BodyChunk::More(bytes) => {
+            BodyUpdate::Chunk(bytes) => {
                 self.core.mark_body_forwarded(key.request);
                 self.push_upload(now, id, &bytes)
             }
-            BodyChunk::Last(bytes) => {
+            BodyUpdate::LastChunk(bytes) => {
                 self.core.mark_body_forwarded(key.request);
                 self.push_upload(now, id, &bytes) && self.finish_upload(now, id, key)
             }
--- a/crates/coordinator/src/node/engines/write.rs
+++ b/crates/coordinator/src/node/engines/write.rs
@@ -1,5 +1,5 @@
-//! Writes queued probes and attempts to engines. Whether an attempt may still be written is the core's decision, taken right before its
-//! first byte.
+//! Writes queued probes and attempts to engines. Whether an attempt may still be written is decided by the core right before its first
+//! byte.
 
 use super::connection::{EngineConnection, QueuedWrite};
 use super::liveness::LIVENESS_PROBE_TAG;
--- a/crates/coordinator/src/node/event_loop.rs
+++ b/crates/coordinator/src/node/event_loop.rs
@@ -140,7 +140,7 @@
         if !done {
             tracing::error!("panic in {what}");
             self.is_executing = false;
-            self.clear_busy_clients();
+            self.clients.clear_work();
         }
         done
     }
--- a/crates/coordinator/src/node/lifecycle.rs
+++ b/crates/coordinator/src/node/lifecycle.rs
@@ -1,21 +1,22 @@
-//! The process's lifecycle: when it is ready, pauses, hands over and ends. The states and their rules are
-//! `driftfront_core::lifecycle`'s; here they are carried out.
+//! Carries out the process's lifecycle: readiness, pauses, hand-over and the end. `driftfront_core::lifecycle` owns the state and its
+//! rules; these methods bring it the events, and act on the listener, the clients and the core.
 
 use super::Node;
 use driftfront_core::Micros;
 use std::net::SocketAddr;
 
 impl Node {
+    /// Whether the process may end now. Before it does, the listening socket is closed.
     pub(super) fn can_end(&mut self) -> bool {
-        let writing = self.clients.connections.values().any(|c| c.is_writing());
+        let writing = self.clients.has_unread_output();
         let ends = self.lifecycle.may_exit(
             self.now,
             self.core.open_requests(),
-            self.clients.connections.len(),
+            self.clients.connection_count(),
             writing,
         );
-        if ends && self.listener.socket.is_some() && !self.lifecycle.is_listening(self.now) {
-            // Who is in the backlog still has a connection, and maybe a request on it: looked at once more behind that.
+        if ends && self.listener.is_open() && !self.lifecycle.is_listening(self.now) {
+            // A client in the backlog still has a connection, and maybe a request on it: checked once more after the close.
             self.stop_listening(self.now);
             return false;
         }
@@ -27,7 +28,7 @@
         self.lifecycle.is_ready() && self.core.has_engines()
     }
 
-    /// An operator sends the clients away; what to tell of it.
+    /// An operator pauses this process, which sends its clients away; the state's name, for the reply.
     pub(super) fn pause(&mut self, now: Micros, by: &str) -> String {
         if self.lifecycle.pause(now) {
             self.notify_operators(
@@ -38,7 +39,7 @@
         self.lifecycle.state().name().into()
     }
 
-    /// An operator calls it back to work; what to tell of it.
+    /// An operator ends a pause; the state's name, for the reply.
     pub(super) fn resume_work(&mut self, now: Micros, by: &str) -> String {
         if self.lifecycle.resume() {
             self.notify_operators(now, format!("Back to work, by {by}"));
@@ -46,6 +47,7 @@
         self.lifecycle.state().name().into()
     }
 
+    /// Carries out what the lifecycle's state asks for now: readiness, the shutdown's deadline, the listener's end.
     pub(super) fn update_lifecycle(&mut self, now: Micros) {
         if !self.lifecycle.has_been_ready()
             && self.knows_engines(now)
@@ -66,7 +68,7 @@
         }
         if self
             .lifecycle
-            .record_clients(self.clients.connections.len())
+            .record_clients(self.clients.connection_count())
         {
             self.notify_operators(now, "Drained: no client is left".into());
         }
@@ -74,19 +76,15 @@
 
     /// The address that clients use.
     pub(super) fn listening_at(&self) -> SocketAddr {
-        self.listener
-            .socket
-            .as_ref()
-            .and_then(|l| l.local_addr().ok())
-            .unwrap_or(self.config.listen)
+        self.listener.local_addr().unwrap_or(self.config.listen)
     }
 
-    /// Closes the listening socket. What the system has accepted already is taken first: each gets an answer, or its close.
+    /// Closes the listening socket. What stands in its backlog is accepted first: each client gets an answer, or its close.
     pub(super) fn stop_listening(&mut self, now: Micros) {
         self.accept_clients(now);
         self.execute_commands();
-        let token = self.listener.token.take();
-        self.unregister(token);
-        self.listener.socket = None;
+        let registration = self.listener.take_registration();
+        self.unregister(registration);
+        self.listener.close();
     }
 }
--- a/crates/coordinator/src/node/mod.rs
+++ b/crates/coordinator/src/node/mod.rs
@@ -1,18 +1,25 @@
 //! The program itself: one thread, one event loop, and the request lifecycle's commands carried out on sockets.
 //!
-//! [`Node`] holds the state by owner. Each module below has the part of its methods that its owner needs:
+//! [`Node`] holds the state by owner. An owner's methods need its own state and what they are passed; they return what has come of
+//! it. Each module's methods of [`Node`] connect owners: an event goes to the owner that it concerns, and the outcome to the core, whose
+//! commands go back to connections.
 //!
-//! | module | its job |
-//! | --- | --- |
-//! | `event_loop` | readiness events, timers, periodic checks; panics end only what was at hand |
-//! | `commands` | what the request lifecycle asks for, carried out |
-//! | `clients`, `engines` | connections: reading, writing, endings |
-//! | `discovery_client`, `registry` | the list of engines: where it comes from, and what its changes do |
-//! | `lifecycle`, `upgrade` | ready, paused, handing over, ending; exchange with other processes of this coordinator |
-//! | `control`, `management` | operators: the control socket, and the line protocol |
-//! | `cluster` | other coordinators, and the consensus log |
-//! | `start_error` | why a coordinator does not start |
-//! | `counters` | what `/counters` shows |
+//! | module | owner | events that its methods of `Node` handle |
+//! | --- | --- | --- |
+//! | `event_loop` | | readiness, timers, periodic checks; a panic ends only the work it came from |
+//! | `commands` | | the core's commands |
+//! | `clients` | [`ClientListener`], [`Clients`] | clients connect, send requests, read responses, leave |
+//! | `engines` | [`Engines`] | engines answer, fall silent, close; attempts start and stop |
+//! | `discovery_client` | [`DiscoveryClient`] | |
+//! | `engine_list` | | the source of the engine list sends updates, or the configuration names another one |
+//! | `registry` | | the engine registry has changed |
+//! | `lifecycle` | | the process becomes ready, pauses, ends |
+//! | `upgrade` | [`Handover`] | another process of this coordinator starts, orders, ends |
+//! | `control` | [`control::Control`] | operators connect to the control socket or port |
+//! | `management` | [`management::Management`] | operators call the management address |
+//! | `cluster` | [`cluster::ClusterRuntime`] | datagrams of other coordinators |
+//! | `start_error` | | a coordinator does not start |
+//! | `counters` | | `/counters` is requested, or the process ends |
 
 mod clients;
 mod cluster;
@@ -20,6 +27,7 @@
 mod control;
 mod counters;
 mod discovery_client;
+mod engine_list;
 mod engines;
 mod event_loop;
 mod lifecycle;
@@ -54,7 +62,7 @@
     config: Config,
     handle: LoopHandle<'static, Node>,
     clock: Clock,
-    /// The time at the last look.
+    /// The time when the clock was last read.
     now: Micros,
     wall: StepWatch,
     last_connection_id: ConnectionId,
@@ -63,7 +71,7 @@
     clients: Clients,
     engines: Engines,
     registry: EngineRegistry,
-    /// What is retained for operators, where the configuration asks for that.
+    /// What is retained for operators, where the configuration names a control socket, a control port or a state folder.
     control: Option<control::Control>,
     discovery: DiscoveryClient,
     /// Other coordinators, where the configuration names a cluster.
@@ -71,7 +79,7 @@
     next_check: Micros,
     /// Connections with more to do than one turn holds.
     deferred: Vec<EventSource>,
-    /// Commands are being carried out.
+    /// The core's commands are being carried out further up the stack.
     is_executing: bool,
     lifecycle: Lifecycle,
     management: management::Management,
@@ -105,7 +113,7 @@
         let mut node = Node::with_sockets(config, start, events);
         // Before any thread is started: a signal goes to whichever thread does not block it, and would end the program there.
         event_loop::register_signals(events)?;
-        // Orders come before the list: nothing may go to what an earlier process was told to leave alone.
+        // Orders come before the list: nothing may go to an engine that an earlier process was ordered to drain.
         let now = node.now;
         node.poll_handover(now);
         let is_successor = node.handover.has_predecessor();
@@ -114,16 +122,16 @@
         node.apply_configured_engines();
         node.open_management();
         node.join_cluster()?;
-        if let Some(socket) = node.listener.socket.clone() {
-            let token = node
+        if let Some(socket) = node.listener.socket() {
+            let registration = node
                 .register_source(socket, EventSource::Listener)
                 .map_err(StartError::RegisterSocket)?;
-            node.listener.token = Some(token);
+            node.listener.set_registration(registration);
         }
         Ok(node)
     }
 
-    /// A node that has its sockets and knows nobody yet.
+    /// A node that has its sockets and knows no engine yet.
     fn with_sockets(
         config: Config,
         start: StartSockets,
@@ -158,22 +166,22 @@
         }
     }
 
-    /// Reads the clock; `now` is what it said last.
+    /// Reads the clock into `now`.
     fn clock(&mut self) -> Micros {
         self.now = self.clock.now();
         self.now
     }
 
-    /// A time of the program's as people read it off the wall clock now.
+    /// A time of the program's clock as the wall clock shows it now.
     fn wall_time(&self, time: Micros) -> Micros {
         time.saturating_add_signed(self.wall.stepped_by)
     }
 
-    /// For the log, and for operators.
-    fn notify_operators(&mut self, now: Micros, words: String) {
+    /// Logs a message, and sends it to operators who follow events.
+    fn notify_operators(&mut self, now: Micros, message: String) {
         match self.control {
-            Some(_) => self.record_event(now, words),
-            None => tracing::info!("{words}"),
+            Some(_) => self.record_event(now, message),
+            None => tracing::info!("{message}"),
         }
     }
 }
--- a/crates/coordinator/src/node/registry.rs
+++ b/crates/coordinator/src/node/registry.rs
@@ -1,22 +1,22 @@
-//! Changes of the engine registry, passed on to the request lifecycle and the frontend.
+//! Changes of the engine registry, which owns engines' names, addresses and phases: each is passed on to the core, the frontend and the
+//! connections to engines.
 
 use super::Node;
 use crate::discovery::read;
-use driftfront_core::Micros;
-use driftfront_core::{EngineId, ListKind, Phase};
+use driftfront_core::{EngineId, ListKind, Micros, Phase};
 use driftfront_engine_registry::RegistryChange;
 use driftfront_settings::json::Json;
 
 impl Node {
-    /// Takes over what the configuration lists.
+    /// Applies the engine list of the configuration, once at the start.
     pub(super) fn apply_configured_engines(&mut self) {
         for update in std::mem::take(&mut self.config.known_updates) {
             match read(&self.config.zones, &self.config.kinds, Json(Some(&update))) {
-                Ok(told) => {
-                    told.rejected_entries
-                        .iter()
-                        .for_each(|why| tracing::warn!("known engines: {why}"));
-                    self.registry.apply_listing(told.kind, told.descriptions);
+                Ok(list) => {
+                    for error in &list.rejected_entries {
+                        tracing::warn!("known engines: {error}");
+                    }
+                    self.registry.apply_listing(list.kind, list.descriptions);
                 }
                 Err(e) => tracing::warn!("known engines: {e}"),
             }
@@ -31,10 +31,11 @@
         self.execute_commands();
     }
 
+    /// Passes a change on: sessions bound to engines that leave end, then the core learns of it, then operators.
     pub(super) fn apply_registry_change(&mut self, now: Micros, change: &RegistryChange) {
         for &engine in &change.restarted {
             self.engines.retire_connections(engine);
-            // What was left in sessions went with the process.
+            // Sessions ended with the engine's process.
             self.frontend.engine_left(engine);
         }
         for line in change.lines.iter().filter(|l| l.phase != Phase::Ready) {
@@ -47,8 +48,8 @@
             }
         }
         self.core.update_engines(now, change.kind, &change.lines);
-        for words in &change.messages {
-            self.record_event(now, words.clone());
+        for message in &change.messages {
+            self.record_event(now, message.clone());
         }
         self.update_lifecycle(now);
         self.execute_commands();
