--- a/crates/clickhouse/src/block/mod.rs
+++ b/crates/clickhouse/src/block/mod.rs
@@ -151,12 +151,12 @@
     verify_checksum(block)?;
     let header = Header::parse(block)?.ok_or(BlockError::NotABlock)?;
     let compressed = &block[DATA_START..];
-    let invalid = |_| BlockError::InvalidData;
     let data = match header.method {
         Method::None => compressed.to_vec(),
         Method::Lz4 => lz4_flex::block::decompress(compressed, header.data_bytes)
             .map_err(|_| BlockError::InvalidData)?,
-        Method::Zstd => zstd::bulk::decompress(compressed, header.data_bytes).map_err(invalid)?,
+        Method::Zstd => zstd::bulk::decompress(compressed, header.data_bytes)
+            .map_err(|_| BlockError::InvalidData)?,
     };
     if data.len() == header.data_bytes {
         Ok(data)
--- a/crates/clickhouse/src/body_budget.rs
+++ b/crates/clickhouse/src/body_budget.rs
@@ -1,96 +1,99 @@
-//! How much of a request's body is kept, so that it may be sent again: one budget for all of them.
+//! The memory budget for request bodies that are kept, so that a query can be sent to another engine.
 //!
-//! A body that is kept whole may go to another engine where the rules allow it. One that is not is streamed as it comes, once, and
-//! never again. Small bodies always find room; larger ones share what the budget holds.
+//! A body that is kept in full may be sent again where the rules allow it. Any other is streamed to one engine as it
+//! arrives, and never sent again. The first [`UNBUDGETED_BYTES`] of each body are always kept; what exceeds them is
+//! reserved from a budget that all bodies share.
 
-/// Bytes of each body that are held outside the budget: usual statements are smaller, and with every descriptor that clients may
-/// have at once they fit the smallest machine.
+/// Bytes of each body that are held outside the budget. Usual statements are smaller, and with every descriptor that
+/// clients may have at once they fit the smallest machine.
 pub const UNBUDGETED_BYTES: usize = 32 * 1024;
-/// Bytes of one body that are kept at most.
+/// Largest body that is kept in full.
 pub const MAX_KEPT_BYTES: usize = 1024 * 1024;
 
-/// Counts, for the operators.
+/// Counters since the start of the program.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
-    /// Bodies that were not kept whole: too large for one.
+pub struct BodyCounters {
+    /// Bodies not kept in full since they were too large.
     pub too_large: u64,
-    /// Bodies that were not kept whole since the budget was used up by others.
+    /// Bodies not kept in full since others had used up the budget.
     pub no_room: u64,
-    /// Most bytes ever held.
+    /// Most bytes of the budget ever reserved.
     pub max_held: usize,
 }
 
-/// What one body holds of the budget.
+/// What one body has of the budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Reservation {
-    /// Bytes of the budget that it holds.
+    /// Bytes of the budget that are reserved for it.
     pub reserved_bytes: usize,
-    /// How long it may become before it has to be streamed as it comes.
+    /// Size up to which it is kept; beyond, it is streamed as it arrives.
     pub max_body_bytes: usize,
 }
 
-/// The budget.
+/// The budget that all bodies share.
 #[derive(Clone, Debug)]
 pub struct BodyBudget {
-    total: usize,
-    max_kept: usize,
-    held: usize,
-    counts: Counts,
+    total_bytes: usize,
+    max_kept_bytes: usize,
+    held_bytes: usize,
+    counters: BodyCounters,
 }
 
 impl BodyBudget {
-    /// A budget of so many bytes for what bodies hold beyond [`UNBUDGETED_BYTES`].
-    pub fn new(total: usize) -> BodyBudget {
+    /// A budget of `total_bytes` for what bodies hold beyond [`UNBUDGETED_BYTES`] each.
+    pub fn new(total_bytes: usize) -> BodyBudget {
         BodyBudget {
-            total,
-            max_kept: MAX_KEPT_BYTES.min(total / 2 + UNBUDGETED_BYTES),
-            held: 0,
-            counts: Counts::default(),
+            total_bytes,
+            max_kept_bytes: MAX_KEPT_BYTES.min(total_bytes / 2 + UNBUDGETED_BYTES),
+            held_bytes: 0,
+            counters: BodyCounters::default(),
         }
     }
 
-    /// A body that holds `reserved` bytes of the budget grows to `size`: what it holds then.
-    pub fn reserve(&mut self, reserved: usize, size: usize) -> Reservation {
-        let wanted = size.saturating_sub(UNBUDGETED_BYTES);
-        if wanted <= reserved {
+    /// Grows the reservation of a body that has `reserved_bytes` to a size of `body_bytes`. Where there is no room the
+    /// reservation stays as it is, and its bound on the body is below `body_bytes`.
+    pub fn reserve(&mut self, reserved_bytes: usize, body_bytes: usize) -> Reservation {
+        let wanted_bytes = body_bytes.saturating_sub(UNBUDGETED_BYTES);
+        if wanted_bytes <= reserved_bytes {
             return Reservation {
-                reserved_bytes: reserved,
-                max_body_bytes: self.max_kept,
+                reserved_bytes,
+                max_body_bytes: self.max_kept_bytes,
             };
         }
-        let full = Reservation {
-            reserved_bytes: reserved,
-            max_body_bytes: UNBUDGETED_BYTES + reserved,
+        let unchanged = Reservation {
+            reserved_bytes,
+            max_body_bytes: UNBUDGETED_BYTES + reserved_bytes,
         };
-        if size > self.max_kept {
-            self.counts.too_large += 1;
-            return full;
+        if body_bytes > self.max_kept_bytes {
+            self.counters.too_large += 1;
+            return unchanged;
         }
-        if self.held + wanted - reserved > self.total {
-            self.counts.no_room += 1;
-            return full;
+        let held_bytes = self.held_bytes + wanted_bytes - reserved_bytes;
+        if held_bytes > self.total_bytes {
+            self.counters.no_room += 1;
+            return unchanged;
         }
-        self.held += wanted - reserved;
-        self.counts.max_held = self.counts.max_held.max(self.held);
+        self.held_bytes = held_bytes;
+        self.counters.max_held = self.counters.max_held.max(held_bytes);
         Reservation {
-            reserved_bytes: wanted,
-            max_body_bytes: self.max_kept,
+            reserved_bytes: wanted_bytes,
+            max_body_bytes: self.max_kept_bytes,
         }
     }
 
-    /// What a body held is released.
-    pub fn release(&mut self, reserved: usize) {
-        debug_assert!(reserved <= self.held);
-        self.held = self.held.saturating_sub(reserved);
+    /// Releases the reservation of a body.
+    pub fn release(&mut self, reserved_bytes: usize) {
+        debug_assert!(reserved_bytes <= self.held_bytes);
+        self.held_bytes = self.held_bytes.saturating_sub(reserved_bytes);
     }
 
-    /// Bytes held now.
-    pub fn held(&self) -> usize {
-        self.held
+    /// Bytes reserved now.
+    pub fn held_bytes(&self) -> usize {
+        self.held_bytes
     }
 
-    /// The counts so far.
-    pub fn counts(&self) -> Counts {
-        self.counts
+    /// The counters so far.
+    pub fn counters(&self) -> BodyCounters {
+        self.counters
     }
 }
--- a/crates/clickhouse/tests/body_budget.rs
+++ b/crates/clickhouse/tests/body_budget.rs
@@ -29,15 +29,15 @@
         }
         held.push(last.reserved_bytes);
     }
-    assert!(budget.held() <= 3 * MAX_KEPT_BYTES && budget.held() > 2 * MAX_KEPT_BYTES);
+    assert!(budget.held_bytes() <= 3 * MAX_KEPT_BYTES && budget.held_bytes() > 2 * MAX_KEPT_BYTES);
     assert!(last.max_body_bytes < MAX_KEPT_BYTES);
     assert_eq!(
         budget.reserve(0, UNBUDGETED_BYTES),
         reservation(0, MAX_KEPT_BYTES)
     );
-    assert!(budget.counts().no_room > 0);
+    assert!(budget.counters().no_room > 0);
     held.into_iter().for_each(|r| budget.release(r));
-    assert_eq!(budget.held(), 0);
+    assert_eq!(budget.held_bytes(), 0);
 }
 
 #[test]
@@ -49,5 +49,5 @@
         budget.reserve(full.reserved_bytes, MAX_KEPT_BYTES + 1),
         full
     );
-    assert_eq!(budget.counts().too_large, 1);
+    assert_eq!(budget.counters().too_large, 1);
 }
--- a/crates/clickhouse/tests/golden.rs
+++ b/crates/clickhouse/tests/golden.rs
@@ -48,7 +48,7 @@
     forms.record("unknown code", Exception::new(9999, "words").text);
     forms.record("tagged", marker("0a1b2c3d4e5f6789", &own.text));
     assert_golden!("exceptions.txt", forms.bytes());
-    let mut read = MessageTranscript::default();
+    let mut found = MessageTranscript::default();
     let shown =
         |e: Option<Exception>| e.map_or("none".into(), |e| format!("{}: {}", e.code, e.text));
     let inputs = read_golden!("exceptions_in.txt");
@@ -63,9 +63,9 @@
             shown(find_in_last_lines(bytes, true)),
             shown(find_json_key(bytes)),
         );
-        read.record("input", text);
+        found.record("input", text);
     }
-    assert_golden!("exceptions_read.txt", read.bytes());
+    assert_golden!("exceptions_read.txt", found.bytes());
 }
 
 /// Rows of three columns, with a frame's worth of repetition.
--- a/crates/coordinator/src/frontends/clickhouse/mod.rs
+++ b/crates/coordinator/src/frontends/clickhouse/mod.rs
@@ -182,7 +182,7 @@
 
     fn counters(&self) -> String {
         let (held, sessions) = (self.sessions.held(), self.sessions.counters());
-        let bodies = self.budget.counts();
+        let bodies = self.budget.counters();
         let mut text = String::new();
         for (name, count) in [
             ("sessions_held", held.total as u64),
@@ -193,7 +193,7 @@
             ("sessions_turned_away", sessions.rejected),
             ("sessions_lost", sessions.lost),
             ("sessions_moved", sessions.migrated),
-            ("bodies_held_bytes", self.budget.held() as u64),
+            ("bodies_held_bytes", self.budget.held_bytes() as u64),
             ("bodies_held_bytes_most", bodies.max_held as u64),
             ("bodies_too_large_to_keep", bodies.too_large),
             ("bodies_without_room", bodies.no_room),
