--- a/crates/coordinator/src/node/cluster/log_file.rs
+++ b/crates/coordinator/src/node/cluster/log_file.rs
@@ -11,7 +11,9 @@
 use std::io::{self, Read};
 use std::path::{Path, PathBuf};
 
+/// The log's file in the state folder.
 const FILE_NAME: &str = "agreed";
+/// The file whose lock stands for the log's.
 const LOCK_NAME: &str = "agreed.lock";
 
 /// The log's file can't be used.
@@ -97,26 +99,27 @@
 #[derive(Default)]
 pub(super) struct LogWriter {
     writer: Option<FileWriter>,
-    /// What waits for room in the writer's queue.
+    /// Writes that wait for capacity in the writer's queue.
     waiting: VecDeque<Write>,
 }
 
 impl LogWriter {
-    /// Writes go to this file from now on.
+    /// Submits writes to this file from now on.
     pub(super) fn open(&mut self, writer: FileWriter) {
         self.writer = Some(writer);
     }
 
-    /// Lets go of the file; its lock is released once all that was submitted is written.
+    /// Closes the file; its lock is released once all that was submitted is written.
     pub(super) fn close(&mut self) {
         self.writer = None;
     }
 
+    /// Queues a write.
     pub(super) fn push(&mut self, write: Write) {
         self.waiting.push_back(write);
     }
 
-    /// Submits what the writer has room for. Without a file nothing is kept.
+    /// Submits what the writer has capacity for; without a file all writes are dropped.
     pub(super) fn submit(&mut self) {
         let Some(writer) = &self.writer else {
             return self.waiting.clear();
--- a/crates/coordinator/src/node/control/mod.rs
+++ b/crates/coordinator/src/node/control/mod.rs
@@ -49,7 +49,7 @@
 
 /// What is retained for operators; only where the configuration names a control socket, a control port or a state folder.
 pub(super) struct Control {
-    /// Held for its removal.
+    /// Removes the control socket's path when it is dropped.
     _socket: Option<ControlSocketPath>,
     listeners: Vec<OperatorListener>,
     /// The key of the control port.
@@ -96,7 +96,7 @@
 }
 
 impl Node {
-    /// Logs an event, and sends it to the operators who follow events; nothing where there are none to be.
+    /// Logs an event, and sends it to the operators who follow events; does nothing without [`Control`].
     pub(super) fn record_event(&mut self, now: Micros, message: String) {
         let at = self.wall_time(now);
         let Some(control) = &mut self.control else {
--- a/crates/coordinator/src/node/control/orders.rs
+++ b/crates/coordinator/src/node/control/orders.rs
@@ -30,9 +30,10 @@
     Overloaded,
 }
 
-/// What the operator is told in addition where an order has not reached the disk, and a restart of the program forgets it.
+/// Added to the reply where there is no state folder.
 const NO_FOLDER_WARNING: &str =
     "; there is no state folder, so a restart of the program forgets it";
+/// Added to the reply where too many writes wait for the disk.
 const OVERLOADED_WARNING: &str =
     ", but the disk is too slow to write it down: a restart forgets it";
 
@@ -50,9 +51,27 @@
 }
 
 impl Control {
-    /// Takes the order whose records this write holds, if an operator waits for it.
-    fn take_pending_order(&mut self, write: u64) -> Option<PendingOrder> {
-        self.pending_orders.remove(&write)
+    /// Queues records for the state folder's disk.
+    fn append_records(&mut self, records: &[StateRecord]) -> Persistence {
+        let Some(state) = &mut self.state else {
+            return Persistence::NoFolder;
+        };
+        match state.append(records) {
+            Some(write) => Persistence::Pending(write),
+            None => Persistence::Overloaded,
+        }
+    }
+
+    /// Replaces a state file that has grown by one of the engines' present records and the rolling restart.
+    fn compact_state_file(&mut self, engine_records: impl FnOnce() -> Vec<StateRecord>) {
+        let Some(state) = &mut self.state else {
+            return;
+        };
+        if state.needs_compaction() {
+            let mut records = engine_records();
+            records.push(self.rolling_restart.record());
+            state.compact(&records);
+        }
     }
 }
 
@@ -163,36 +182,28 @@
         Ok(Answer::Done(message + warning))
     }
 
-    /// Queues records for the state folder's disk.
+    /// Queues records for the state folder's disk, if there is one.
     pub(in crate::node) fn persist(&mut self, now: Micros, records: &[StateRecord]) -> Persistence {
         let Some(control) = &mut self.control else {
             return Persistence::NoFolder;
         };
-        let Some(state) = &mut control.state else {
-            return Persistence::NoFolder;
-        };
-        let write = state.append(records);
+        let persistence = control.append_records(records);
         // What a successor writes must not be left in a file that is no longer the folder's.
-        if state.needs_compaction() && !self.lifecycle.has_successor() {
-            let mut records = self.registry.compacted_records();
-            records.push(control.rolling_restart.record());
-            state.compact(&records);
+        if !self.lifecycle.has_successor() {
+            control.compact_state_file(|| self.registry.compacted_records());
         }
-        match write {
-            Some(write) => Persistence::Pending(write),
-            None => {
-                let message = "The state folder's disk is too slow: an order was not written down";
-                self.record_event(now, message.into());
-                Persistence::Overloaded
-            }
+        if persistence == Persistence::Overloaded {
+            let message = "The state folder's disk is too slow: an order was not written down";
+            self.record_event(now, message.into());
         }
+        persistence
     }
 
     /// An order's records are on the disk, or could not be written.
     pub(super) fn handle_order_written(&mut self, completed: WriteCompleted) {
         let now = self.clock();
         let control = self.control.as_mut();
-        let pending = control.and_then(|control| control.take_pending_order(completed.id));
+        let pending = control.and_then(|control| control.pending_orders.remove(&completed.id));
         if let Err(error) = &completed.result {
             self.record_event(now, format!("The state folder can't be written: {error}"));
         }
