--- a/crates/clickhouse/tests/coding.rs
+++ b/crates/clickhouse/tests/coding.rs
@@ -79,3 +79,16 @@
         assert_eq!(tail.bytes(), &plain[50_000 - TAIL_BYTES..50_000]);
     }
 }
+
+#[test]
+fn lz4_frame_goes_on_behind_an_empty_stored_block() {
+    let header = [0x04, 0x22, 0x4d, 0x18, 0x60, 0x40, 0x82];
+    let empty_block = [0, 0, 0, 0x80];
+    let block = [2, 0, 0, 0x80, b'a', b'b'];
+    let end_mark = [0; 4];
+    let frame = [&header[..], &empty_block, &block, &end_mark].concat();
+    let mut decoder = Decoder::new(Coding::Lz4, TailBuffer::default()).expect("a decoder");
+    decoder.push(&frame).expect("well formed");
+    decoder.finish().expect("complete");
+    assert_eq!(decoder.get_ref().bytes(), b"ab");
+}
