--- a/crates/cluster-simulation/src/commands/consensus_fuzz.rs
+++ b/crates/cluster-simulation/src/commands/consensus_fuzz.rs
@@ -1,6 +1,6 @@
-//! Three voters that go on talking and sending requests; of what they say to each other some arrives damaged as well.
+//! Three voters exchange messages and send requests; some messages arrive a second time, damaged.
 //!
-//! A replica may fail, and be let in again; nothing else may.
+//! A replica may fail and be admitted again; a voter must not panic.
 
 use super::{number, CommandError, Outcome, SECOND};
 use driftfront_cluster::consensus::leases::{Command, Outcome as LeaseOutcome};
@@ -45,18 +45,18 @@
     std::panic::set_hook(Box::new(|_| {}));
     while fuzzer.damaged < runs {
         let done = fuzzer.step();
-        done.map_err(|why| CommandError::Broken(format!("seed {seed}, {why}")))?;
+        done.map_err(|why| CommandError::Violated(format!("seed {seed}, {why}")))?;
     }
     let lost = fuzzer.sum(|counters| counters.replicas_lost);
-    let unread = fuzzer.sum(|counters| counters.malformed);
+    let malformed = fuzzer.sum(|counters| counters.malformed);
     println!(
-        "{} spoilt words from seed {seed}: unread {unread}, replicas broken and let in again {lost}, rights lent {}",
+        "{} spoilt words from seed {seed}: unread {malformed}, replicas broken and let in again {lost}, rights lent {}",
         fuzzer.damaged, fuzzer.granted
     );
     Ok(())
 }
 
-/// What made a voter panic, in words.
+/// The message that says which input made a voter panic.
 type Panicked = String;
 
 impl Fuzzer {
@@ -159,10 +159,10 @@
     fn hand_over(&mut self, message: &InFlight, bytes: &[u8]) -> Result<(), Panicked> {
         let sender = &self.names[message.sender];
         let (receiver, now) = (&mut self.voters[message.receiver], self.now);
-        let taken = catch_unwind(AssertUnwindSafe(|| {
+        let handled = catch_unwind(AssertUnwindSafe(|| {
             receiver.handle_message(now, now, sender, bytes);
         }));
-        taken.map_err(|_| format!("input {}: {bytes:02x?}", self.damaged))
+        handled.map_err(|_| format!("input {}: {bytes:02x?}", self.damaged))
     }
 
     fn damage(&mut self, bytes: &[u8]) -> Vec<u8> {
--- a/crates/cluster-simulation/src/commands/datagram_fuzz.rs
+++ b/crates/cluster-simulation/src/commands/datagram_fuzz.rs
@@ -1,7 +1,7 @@
 //! Feeds a member what no honest one sends, one input after another.
 //!
-//! Damaged datagrams, and authentic ones with damaged payloads, go into one member that goes on talking to another. An input
-//! that makes it panic ends the run with its number, which with the seed makes it again.
+//! Damaged datagrams, and authentic ones with damaged payloads, go into one member that goes on exchanging datagrams with
+//! another. An input that makes it panic ends the run; its number and the seed reproduce it.
 
 use super::{number, CommandError, Outcome};
 use driftfront_cluster::message_authentication::{MessageAuthenticator, Payload};
@@ -15,9 +15,9 @@
 
 /// Time between inputs.
 const INPUT_INTERVAL: Micros = 50;
-/// The two members talk after so many inputs.
-const INPUTS_PER_TALK: u64 = 500;
-/// Honest datagrams that are kept, to be damaged.
+/// The two members exchange datagrams after so many inputs.
+const INPUTS_PER_EXCHANGE: u64 = 500;
+/// Honest datagrams that are stored, to be damaged.
 const MAX_HONEST_DATAGRAMS: usize = 400;
 /// Bytes of an input drawn at random, fewer than.
 const MAX_RANDOM_BYTES: usize = 1300;
@@ -47,13 +47,13 @@
     let mut fuzzer = Fuzzer::new(seed);
     for n in 0..runs {
         fuzzer.clock += INPUT_INTERVAL;
-        if n % INPUTS_PER_TALK == 0 {
-            fuzzer.talk();
+        if n % INPUTS_PER_EXCHANGE == 0 {
+            fuzzer.exchange();
         }
         let input = fuzzer.draw_input();
         if !fuzzer.survives(&input) {
             let why = format!("seed {seed}, input {n}: {input:02x?}");
-            return Err(CommandError::Broken(why));
+            return Err(CommandError::Violated(why));
         }
     }
     let counters = fuzzer.target.counters();
@@ -102,8 +102,8 @@
         }
     }
 
-    /// The two members talk; what the peer says is kept.
-    fn talk(&mut self) {
+    /// The two members exchange datagrams; those of the peer are stored.
+    fn exchange(&mut self) {
         for _ in 0..2 {
             self.target.tick(self.clock);
             self.peer.tick(self.clock);
@@ -114,12 +114,12 @@
             }
             while let Some((_, bytes)) = self.peer.next_outgoing() {
                 self.target.handle_datagram(self.clock, &bytes);
-                self.keep(bytes);
+                self.store(bytes);
             }
         }
     }
 
-    fn keep(&mut self, datagram: Vec<u8>) {
+    fn store(&mut self, datagram: Vec<u8>) {
         if self.honest.len() < MAX_HONEST_DATAGRAMS {
             self.honest.push(datagram);
         } else {
@@ -177,13 +177,13 @@
             .unwrap_or_default()
     }
 
-    /// Whether the target takes an input without a panic.
+    /// Whether the target handles an input without a panic.
     fn survives(&mut self, input: &[u8]) -> bool {
         let (target, clock) = (&mut self.target, self.clock);
-        let taken = catch_unwind(AssertUnwindSafe(|| {
+        let handled = catch_unwind(AssertUnwindSafe(|| {
             target.handle_datagram(clock, input);
             while target.next_outgoing().is_some() {}
         }));
-        taken.is_ok()
+        handled.is_ok()
     }
 }
--- a/crates/cluster-simulation/src/commands/failover.rs
+++ b/crates/cluster-simulation/src/commands/failover.rs
@@ -10,7 +10,7 @@
 const KILLED_AT: Micros = 40 * SECOND;
 /// When a run ends.
 const END: Micros = 60 * SECOND;
-/// How often it is looked at whether somebody leads.
+/// How often it is checked whether a member leads.
 const POLL_INTERVAL: Micros = SECOND / 100;
 /// Answers from here on until the kill show how long a request takes otherwise.
 const USUAL_FROM: Micros = 33 * SECOND;
@@ -59,7 +59,7 @@
         world.play(KILLED_AT, |_| false);
         let Some(leader) = world.leader() else {
             let why = format!("seed {seed}: nobody leads");
-            return Err(CommandError::Broken(why));
+            return Err(CommandError::Violated(why));
         };
         world.apply_text(&format!("kill \"m{leader}\""));
         play_until_led(&mut world, POLL_INTERVAL, END);
--- a/crates/cluster-simulation/src/commands/leases.rs
+++ b/crates/cluster-simulation/src/commands/leases.rs
@@ -6,7 +6,7 @@
 use driftfront_cluster_simulation::{fault_scenario, percentile, World};
 use pico_args::Arguments;
 
-/// How often it is looked at whether somebody leads.
+/// How often it is checked whether a member leads.
 const POLL_INTERVAL: Micros = SECOND / 10;
 /// A run goes on for this long behind the time in which one must lead.
 const TIME_BEHIND: Micros = 10 * SECOND;
@@ -16,7 +16,7 @@
 struct Options {
     members: u32,
     voters: u32,
-    logs_are_kept: bool,
+    persists_logs: bool,
     runs: u64,
     first_seed: u64,
 }
@@ -36,13 +36,13 @@
 }
 
 pub(super) fn run(mut args: Arguments) -> Outcome {
-    let logs_are_kept = args.contains("--keeps");
+    let persists_logs = args.contains("--keeps");
     let options = Options {
         members: number(&mut args, "--members", 6)?,
         voters: number(&mut args, "--voters", 3)?,
         runs: number(&mut args, "--runs", 100)?,
         first_seed: number(&mut args, "--seed", 1)?,
-        logs_are_kept,
+        persists_logs,
     };
     let mut summary = Summary::default();
     for seed in options.first_seed..options.first_seed + options.runs {
@@ -53,7 +53,7 @@
         Ok(())
     } else {
         let why = "a right was held twice, or nobody led";
-        Err(CommandError::Broken(why.into()))
+        Err(CommandError::Violated(why.into()))
     }
 }
 
@@ -61,7 +61,7 @@
     fn add_run(&mut self, options: &Options, seed: u64) {
         let mut script = fault_scenario::draw(options.members, seed, true);
         script.voters = options.voters;
-        script.persists_log = options.logs_are_kept;
+        script.persists_log = options.persists_logs;
         let mut world = World::new(script);
         world.start_lease_workload(LeaseLoad {
             polls_per_request: 10,
@@ -106,7 +106,7 @@
             "members {}, voters {}, logs kept: {}, {} storms from seed {}",
             options.members,
             options.voters,
-            options.logs_are_kept,
+            options.persists_logs,
             options.runs,
             options.first_seed
         );
--- a/crates/cluster-simulation/src/commands/mod.rs
+++ b/crates/cluster-simulation/src/commands/mod.rs
@@ -18,45 +18,23 @@
 const SECOND: Micros = 1_000_000;
 
 /// Why a command failed.
+#[derive(Debug, thiserror::Error)]
 pub(crate) enum CommandError {
     /// An argument is missing, or can't be read.
-    Arguments(pico_args::Error),
+    #[error(transparent)]
+    Arguments(#[from] pico_args::Error),
     /// A file can't be read.
+    #[error("{path}: {error}")]
     File { path: String, error: std::io::Error },
-    /// A script is wrong: in which file, if it is in one, and why.
-    Script {
-        path: Option<String>,
-        error: ScriptError,
-    },
-    /// What was run did not hold what must: in words.
-    Broken(String),
-}
-
-impl fmt::Display for CommandError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            CommandError::Arguments(error) => error.fmt(f),
-            CommandError::File { path, error } => write!(f, "{path}: {error}"),
-            CommandError::Script {
-                path: Some(path),
-                error,
-            } => write!(f, "{path}: {error}"),
-            CommandError::Script { path: None, error } => error.fmt(f),
-            CommandError::Broken(why) => f.write_str(why),
-        }
-    }
-}
-
-impl From<pico_args::Error> for CommandError {
-    fn from(error: pico_args::Error) -> CommandError {
-        CommandError::Arguments(error)
-    }
-}
-
-impl From<ScriptError> for CommandError {
-    fn from(error: ScriptError) -> CommandError {
-        CommandError::Script { path: None, error }
-    }
+    /// A script file is wrong.
+    #[error("{path}: {error}")]
+    ScriptFile { path: String, error: ScriptError },
+    /// A command's own script is wrong.
+    #[error(transparent)]
+    Script(#[from] ScriptError),
+    /// A run violated what must hold; the message says what.
+    #[error("{0}")]
+    Violated(String),
 }
 
 /// What a command comes to.
--- a/crates/cluster-simulation/src/commands/model_check.rs
+++ b/crates/cluster-simulation/src/commands/model_check.rs
@@ -29,7 +29,7 @@
         Ok(())
     } else {
         let why = "the model lends twice, or does not find what a mistaken build would do";
-        Err(CommandError::Broken(why.into()))
+        Err(CommandError::Violated(why.into()))
     }
 }
 
--- a/crates/cluster-simulation/src/commands/play.rs
+++ b/crates/cluster-simulation/src/commands/play.rs
@@ -29,8 +29,8 @@
         path: path.into(),
         error,
     })?;
-    Script::read(&text).map_err(|error| CommandError::Script {
-        path: Some(path.into()),
+    Script::read(&text).map_err(|error| CommandError::ScriptFile {
+        path: path.into(),
         error,
     })
 }
--- a/crates/cluster-simulation/src/commands/scenarios.rs
+++ b/crates/cluster-simulation/src/commands/scenarios.rs
@@ -34,7 +34,9 @@
     if summary.never.is_empty() {
         Ok(())
     } else {
-        Err(CommandError::Broken("some never had one view again".into()))
+        Err(CommandError::Violated(
+            "some never had one view again".into(),
+        ))
     }
 }
 
--- a/crates/cluster-simulation/src/world/faults.rs
+++ b/crates/cluster-simulation/src/world/faults.rs
@@ -1,9 +1,10 @@
 //! Applies a script's fault actions.
 
 use super::World;
-use crate::script::FaultAction;
+use crate::script::{FaultAction, Group};
 
 impl World {
+    /// Applies an action at the present time.
     pub(super) fn apply_action(&mut self, action: FaultAction) {
         match action {
             FaultAction::Link(from, to, link) => self.links.set(&from, &to, link),
@@ -30,27 +31,9 @@
         }
     }
 
-    fn for_each_of(&mut self, groups: &[crate::script::Group], apply: impl Fn(&mut World, u32)) {
+    fn for_each_of(&mut self, groups: &[Group], apply: impl Fn(&mut World, u32)) {
         for member in self.script.members_of(groups) {
             apply(self, member);
         }
     }
-
-    fn suspend(&mut self, member: u32) {
-        self.process_mut(member).is_suspended = true;
-    }
-
-    fn resume(&mut self, member: u32) {
-        self.process_mut(member).is_suspended = false;
-        self.handle_arrived(member);
-    }
-
-    fn leave(&mut self, member: u32) {
-        let clock = self.clock(member);
-        if let Some(agent) = self.agent(member) {
-            agent.leave(clock);
-        }
-        self.handle_arrived(member);
-        self.end(member);
-    }
 }
--- a/crates/cluster-simulation/src/world/mod.rs
+++ b/crates/cluster-simulation/src/world/mod.rs
@@ -2,12 +2,18 @@
 //!
 //! | module | what it does |
 //! | --- | --- |
-//! | this | the event loop, and what a run shows |
+//! | this | the main loop, and what a run shows |
+//! | `events` | the queue of events |
 //! | `process` | one process: agent, socket, clock, disk |
+//! | `lifecycle` | starts, suspends and ends processes |
+//! | `input_output` | what processes do at an event: ticks, datagrams, writes |
 //! | `faults` | applies fault actions |
 //! | `members` | names, addresses and the key of members |
 
+mod events;
 mod faults;
+mod input_output;
+mod lifecycle;
 mod members;
 mod process;
 
@@ -15,44 +21,19 @@
 
 use crate::lease_workload::{LeaseLoad, LeaseWorkload};
 use crate::script::{FaultAction, Link, Links, Script};
-use driftfront_cluster::{
-    consensus, Cluster, Counters, Identity, MemberMetadata, MemberStatus, Micros, Options,
-};
-use members::{member_at, member_named};
+use driftfront_cluster::{Cluster, Counters, MemberStatus, Micros};
+use events::{Event, EventQueue};
+use input_output::FNV_OFFSET_BASIS;
+use members::member_named;
 use process::Process;
 use rand::rngs::SmallRng;
-use rand::{Rng, SeedableRng};
+use rand::SeedableRng;
 use std::collections::BTreeMap;
-use std::net::SocketAddr;
-use std::ops::Range;
 
 /// What clocks show when a script starts: later than any script sets one back.
 const START: Micros = 100_000_000_000;
 /// A process checks its timers this often.
 const TICK_INTERVAL: Micros = 25_000;
-/// How long a write to the disk takes.
-const WRITE_TIME: Range<Micros> = 500..8_000;
-/// The first members, whose addresses all members know at their start.
-const SEEDS: u32 = 3;
-/// Offset basis and prime of the 64-bit FNV-1a hash.
-const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
-const FNV_PRIME: u64 = 0x0100_0000_01b3;
-
-enum Event {
-    /// The member checks its timers.
-    Tick(u32),
-    /// A datagram arrives at a member.
-    Arrival { receiver: u32, bytes: Vec<u8> },
-    /// The disk has completed the next write of a member's process of this incarnation.
-    WriteCompleted { member: u32, incarnation: u32 },
-}
-
-/// Events happen by time, and at the same time in the order in which they were scheduled.
-#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-struct EventKey {
-    at: Micros,
-    number: u64,
-}
 
 /// What happens next.
 enum Step {
@@ -80,8 +61,7 @@
     next_action: usize,
     processes: Vec<Process>,
     links: Links,
-    events: BTreeMap<EventKey, Event>,
-    events_scheduled: u64,
+    events: EventQueue,
     rng: SmallRng,
     /// How members see each other, by observer and subject.
     views: BTreeMap<(u32, u32), MemberStatus>,
@@ -102,8 +82,7 @@
             next_action: 0,
             processes: processes.collect(),
             links: Links::new(script.members, script.zones, Link::default()),
-            events: BTreeMap::new(),
-            events_scheduled: 0,
+            events: EventQueue::default(),
             rng: SmallRng::seed_from_u64(script.seed),
             views: BTreeMap::new(),
             view_changes: Vec::new(),
@@ -220,7 +199,7 @@
             .actions
             .get(self.next_action)
             .map(|timed| START + timed.at);
-        let event_at = self.events.first_key_value().map(|(key, _)| key.at);
+        let event_at = self.events.next_at();
         let at = action_at.into_iter().chain(event_at).min()?;
         if at > end {
             return None;
@@ -231,31 +210,7 @@
             self.next_action += 1;
             return Some(Step::Action(action));
         }
-        let (_, event) = self.events.pop_first()?;
-        Some(Step::Event(event))
-    }
-
-    /// Whether a member has checked its timers.
-    fn handle_event(&mut self, event: Event) -> bool {
-        match event {
-            Event::Tick(member) => return self.handle_tick(member),
-            Event::Arrival { receiver, bytes } => {
-                if self.process_mut(receiver).buffer_datagram(bytes) {
-                    self.handle_arrived(receiver);
-                }
-            }
-            Event::WriteCompleted {
-                member,
-                incarnation,
-            } => self.handle_write_completed(member, incarnation),
-        }
-        false
-    }
-
-    fn schedule(&mut self, at: Micros, event: Event) {
-        self.events_scheduled += 1;
-        let number = self.events_scheduled;
-        self.events.insert(EventKey { at, number }, event);
+        self.events.pop().map(Step::Event)
     }
 
     fn process(&self, member: u32) -> &Process {
@@ -266,145 +221,6 @@
         &mut self.processes[member as usize]
     }
 
-    /// Starts a member's process, unless it runs.
-    fn start(&mut self, member: u32) {
-        // Drawn for those that run as well: a seed keeps its run.
-        let seed = self.rng.random();
-        let first_tick = self.rng.random_range(0..TICK_INTERVAL);
-        let session = Identity::session_at(self.clock(member), self.rng.random());
-        if self.process(member).agent.is_some() {
-            return;
-        }
-        let clock = self.clock(member);
-        let options = self.agent_options(member, session, seed);
-        self.process_mut(member).start(clock, options);
-        self.schedule(self.now + first_tick, Event::Tick(member));
-    }
-
-    fn agent_options(&self, member: u32, session: u64, seed: u64) -> Options {
-        let script = &self.script;
-        let process = self.process(member);
-        let zone = format!("z{}", member % script.zones);
-        let consensus = (script.voters > 0).then(|| consensus::Options {
-            initial_voters: (0..script.voters).map(member_name).collect(),
-            replace_after: script.replace_after,
-            zone: zone.clone(),
-            file: script.persists_log.then(|| process.disk.clone()),
-        });
-        Options {
-            identity: Identity {
-                name: member_name(member),
-                addr: member_addr(member),
-                session,
-                back: 0,
-            },
-            metadata: MemberMetadata {
-                zone,
-                build: "lab".into(),
-                since_ms: process.clock(self.now) / 1000,
-                ..MemberMetadata::default()
-            },
-            keys: keyring(),
-            seeds: (0..SEEDS.min(script.members)).map(member_addr).collect(),
-            seed,
-            consensus,
-        }
-    }
-
-    /// Ends a member's process without leaving the cluster.
-    fn end(&mut self, member: u32) {
-        let rng = &mut self.rng;
-        let process = &mut self.processes[member as usize];
-        process.end(|length| rng.random_range(0..=length));
-        if let Some(workload) = &mut self.lease_workload {
-            workload.forget_requests(member);
-        }
-        self.views.retain(|(observer, _), _| *observer != member);
-    }
-
-    /// A process does what is due; whether it runs and is not suspended.
-    fn handle_tick(&mut self, member: u32) -> bool {
-        if self.process(member).agent.is_some() {
-            self.schedule(self.now + TICK_INTERVAL, Event::Tick(member));
-        }
-        if self.process(member).is_suspended {
-            return false;
-        }
-        let (time, clock) = (self.time(), self.clock(member));
-        let process = &mut self.processes[member as usize];
-        process.read_socket(clock);
-        if let Some(agent) = process.running_agent() {
-            agent.tick(clock);
-            if let Some(workload) = &mut self.lease_workload {
-                workload.poll(member, time, clock, agent);
-            }
-        }
-        self.collect_output(member);
-        self.record_view_changes(member);
-        true
-    }
-
-    /// A process reads what has arrived, unless it is suspended.
-    fn handle_arrived(&mut self, member: u32) {
-        let clock = self.clock(member);
-        if self.process(member).is_running() {
-            self.process_mut(member).read_socket(clock);
-            self.collect_output(member);
-        }
-    }
-
-    fn handle_write_completed(&mut self, member: u32, incarnation: u32) {
-        let process = self.process_mut(member);
-        if process.incarnation != incarnation {
-            return;
-        }
-        if process.is_suspended {
-            let event = Event::WriteCompleted {
-                member,
-                incarnation,
-            };
-            return self.schedule(self.now + TICK_INTERVAL, event);
-        }
-        process.complete_write();
-        self.collect_output(member);
-    }
-
-    /// Sends and writes what a process has ready.
-    fn collect_output(&mut self, member: u32) {
-        let process = self.process_mut(member);
-        let Some(agent) = &mut process.agent else {
-            return;
-        };
-        let datagrams: Vec<_> = std::iter::from_fn(|| agent.next_outgoing()).collect();
-        let (writes, incarnation) = (process.queue_writes(), process.incarnation);
-        for _ in 0..writes {
-            let at = self.now + self.rng.random_range(WRITE_TIME);
-            let event = Event::WriteCompleted {
-                member,
-                incarnation,
-            };
-            self.schedule(at, event);
-        }
-        for (receiver, bytes) in datagrams {
-            self.send_datagram(member, receiver, &bytes);
-        }
-    }
-
-    fn send_datagram(&mut self, sender: u32, receiver: SocketAddr, bytes: &[u8]) {
-        for byte in bytes {
-            self.trace = (self.trace ^ u64::from(*byte)).wrapping_mul(FNV_PRIME);
-        }
-        let receiver = member_at(receiver).filter(|&member| member < self.script.members);
-        let Some(receiver) = receiver else {
-            return;
-        };
-        let link = self.links.between(sender, receiver);
-        for latency in link.draw_latencies(&mut self.rng) {
-            let bytes = bytes.to_vec();
-            self.schedule(self.now + latency, Event::Arrival { receiver, bytes });
-        }
-    }
-
     /// Checks that of no resource more is held than there is, by what each running member may use now.
     fn check_leases(&mut self) {
         let time = self.now - START;
