--- a/crates/coordinator/src/node/clients/connection.rs
+++ b/crates/coordinator/src/node/clients/connection.rs
@@ -3,11 +3,11 @@
 //! [`ClientConnection`] owns the socket and the request that is being read. It knows neither the core nor the frontend's decisions: its
 //! methods say what has come of a step, and the caller decides what follows.
 
-mod requests;
-mod responses;
+mod input;
+mod output;
 
-pub(in crate::node) use requests::BodyUpdate;
-pub(super) use requests::{BegunRequest, BodyLimit, ReadStep};
+pub(in crate::node) use input::BodyUpdate;
+pub(super) use input::{BegunRequest, BodyLimit, ReadStep};
 
 use crate::frontends::ResponseWriter;
 use crate::net::{eviction, BufferedStream, ReadOutcome};
--- a/crates/coordinator/src/node/clients/requests.rs
+++ b/crates/coordinator/src/node/clients/requests.rs
@@ -23,6 +23,7 @@
         true
     }
 
+    /// Does what the frontend decides about a request.
     fn handle_client_request(
         &mut self,
         now: Micros,
@@ -58,17 +59,28 @@
                 self.reply(now, id, &reply);
             }
             FrontendAction::Accept(request, writer) => {
-                if self.replied_to_duplicate(now, id, &request, &begun) {
-                    return;
-                }
-                if begun.has_left {
-                    return self.accept_disconnected(now, id, request);
-                }
-                self.accept(now, id, request, writer);
+                self.accept_unless_duplicate(now, id, &begun, request, writer);
             }
         }
     }
 
+    fn accept_unless_duplicate(
+        &mut self,
+        now: Micros,
+        id: ConnectionId,
+        begun: &BegunRequest,
+        request: ParsedRequest,
+        writer: Box<dyn ResponseWriter>,
+    ) {
+        if self.replied_to_duplicate(now, id, &request, begun) {
+            return;
+        }
+        if begun.has_left {
+            return self.accept_disconnected(now, id, request);
+        }
+        self.accept(now, id, request, writer);
+    }
+
     fn reply_with_counters(&mut self, now: Micros, id: ConnectionId) {
         let text = self.counters();
         let headers = [("Content-Type", "text/plain; charset=utf-8")];
--- a/crates/coordinator/src/node/commands.rs
+++ b/crates/coordinator/src/node/commands.rs
@@ -1,7 +1,7 @@
 //! The core's commands, carried out on the connections of clients and engines. The core decides; nothing is decided here.
 
 use super::Node;
-use crate::frontends::ConnectionAction;
+use crate::frontends::{ConnectionAction, ResponseWriter};
 use crate::service_window::RequestOutcome;
 use driftfront_core::{AttemptKey, Command, EngineId, Micros, RequestId};
 use driftfront_scheduler::Idempotency;
@@ -35,30 +35,40 @@
                 ConnectionAction::KeepOpen
             }),
             Command::Finish(id) => {
-                self.record_outcome(now, id, RequestOutcome::Served);
-                self.write_response(now, id, true, |w, out| w.finish(out));
+                self.give_final_response(now, id, RequestOutcome::Served, |w, out| w.finish(out));
             }
             Command::Reject(id, retry_after, message) => {
-                self.record_outcome(now, id, RequestOutcome::Refused);
-                self.write_response(now, id, true, |w, out| {
+                self.give_final_response(now, id, RequestOutcome::Refused, |w, out| {
                     w.reject(retry_after, message.as_deref(), out);
                     ConnectionAction::KeepOpen
                 });
             }
             Command::Fail(id, message) => {
-                self.record_outcome(now, id, RequestOutcome::Failed);
-                self.write_response(now, id, true, |w, out| {
+                self.give_final_response(now, id, RequestOutcome::Failed, |w, out| {
                     w.fail(message.as_deref(), out);
                     ConnectionAction::KeepOpen
                 });
             }
             Command::Abort(id, message) => {
-                self.record_outcome(now, id, RequestOutcome::Failed);
-                self.write_response(now, id, true, |w, out| w.abort(message.as_deref(), out));
+                self.give_final_response(now, id, RequestOutcome::Failed, |w, out| {
+                    w.abort(message.as_deref(), out)
+                });
             }
         }
     }
 
+    /// Writes the last part of a request's response, and records how the request ended.
+    fn give_final_response(
+        &mut self,
+        now: Micros,
+        id: RequestId,
+        outcome: RequestOutcome,
+        write: impl FnOnce(&mut dyn ResponseWriter, &mut Vec<u8>) -> ConnectionAction,
+    ) {
+        self.record_outcome(now, id, outcome);
+        self.write_response(now, id, true, write);
+    }
+
     /// Logs each attempt beyond a request's first: the retry budget bounds their number.
     fn log_retry(&self, now: Micros, key: AttemptKey, engine: EngineId) {
         let Some(retry) = self.core.retry_context(key) else {
--- a/crates/coordinator/src/node/discovery_client.rs
+++ b/crates/coordinator/src/node/discovery_client.rs
@@ -52,6 +52,17 @@
     last_received: Micros,
 }
 
+impl DiscoveryConnection {
+    /// Whether the connect has completed; once it has, the request for the list waits to be written.
+    fn poll_connected(&mut self, now: Micros, watch: &mut dyn EngineListWatch) -> io::Result<bool> {
+        if !self.is_up && self.stream.poll_connected()? {
+            (self.is_up, self.last_received) = (true, now);
+            self.stream.push(&watch.open_request());
+        }
+        Ok(self.is_up)
+    }
+}
+
 /// Why a connection to the source ends.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ConnectionError {
@@ -227,12 +238,8 @@
         let Source::Watch(_, watch) = &mut self.source else {
             return Ok(Exchange::NOTHING);
         };
-        if !connection.is_up {
-            if !connection.stream.poll_connected()? {
-                return Ok(Exchange::NOTHING);
-            }
-            (connection.is_up, connection.last_received) = (true, now);
-            connection.stream.push(&watch.open_request());
+        if !connection.poll_connected(now, watch.as_mut())? {
+            return Ok(Exchange::NOTHING);
         }
         connection.stream.flush()?;
         let (mut bytes, mut out, mut updates) = (Vec::new(), Vec::new(), Vec::new());
--- a/crates/coordinator/src/node/engines/liveness.rs
+++ b/crates/coordinator/src/node/engines/liveness.rs
@@ -58,10 +58,10 @@
             .iter()
             .filter(|(_, c)| c.zone() == zone && c.engine() != engine);
         let zone_received_at = others_in_zone.map(|(_, c)| c.last_received()).max();
-        let is_zone_heard =
+        let is_zone_alive =
             zone_received_at.is_some_and(|at| now < at + interval + REPORT_OVERDUE_AFTER);
         let load = self.connections_to(engine).map(|(_, c)| c.load()).sum();
-        Some(tolerated_interval(interval, load, is_zone_heard))
+        Some(tolerated_interval(interval, load, is_zone_alive))
     }
 
     /// Whether what is in flight on a silent connection is given up: the connection ends, and its attempts may run elsewhere. An
--- a/crates/coordinator/src/node/mod.rs
+++ b/crates/coordinator/src/node/mod.rs
@@ -1,23 +1,23 @@
 //! The program itself: one thread, one event loop, and the request lifecycle's commands carried out on sockets.
 //!
-//! [`Node`] holds the state by owner. An owner's methods need its own state and what they are passed; they return what has come of
-//! it. Each module's methods of [`Node`] connect owners: an event goes to the owner that it concerns, and the outcome to the core, whose
+//! `Node` holds the state by owner. An owner's methods need its own state and what they are passed; they return what has come of
+//! it. Each module's methods of `Node` connect owners: an event goes to the owner that it concerns, and the outcome to the core, whose
 //! commands go back to connections.
 //!
 //! | module | owner | events that its methods of `Node` handle |
 //! | --- | --- | --- |
 //! | `event_loop` | | readiness, timers, periodic checks; a panic ends only the work it came from |
 //! | `commands` | | the core's commands |
-//! | `clients` | [`ClientListener`], [`Clients`] | clients connect, send requests, read responses, leave |
-//! | `engines` | [`Engines`] | engines answer, fall silent, close; attempts start and stop |
-//! | `discovery_client` | [`DiscoveryClient`] | |
+//! | `clients` | `ClientListener`, `Clients` | clients connect, send requests, read responses, leave |
+//! | `engines` | `Engines` | engines answer, fall silent, close; attempts start and stop |
+//! | `discovery_client` | `DiscoveryClient` | |
 //! | `engine_list` | | the source of the engine list sends updates, or the configuration names another one |
 //! | `registry` | | the engine registry has changed |
 //! | `lifecycle` | | the process becomes ready, pauses, ends |
-//! | `upgrade` | [`Handover`] | another process of this coordinator starts, orders, ends |
-//! | `control` | [`control::Control`] | operators connect to the control socket or port |
-//! | `management` | [`management::Management`] | operators call the management address |
-//! | `cluster` | [`cluster::ClusterRuntime`] | datagrams of other coordinators |
+//! | `upgrade` | `Handover` | another process of this coordinator starts, orders, ends |
+//! | `control` | `Control` | operators connect to the control socket or port |
+//! | `management` | `Management` | operators call the management address |
+//! | `cluster` | `ClusterRuntime` | datagrams of other coordinators |
 //! | `start_error` | | a coordinator does not start |
 //! | `counters` | | `/counters` is requested, or the process ends |
 
