--- a/crates/coordinator/src/cli/remote.rs
+++ b/crates/coordinator/src/cli/remote.rs
@@ -17,6 +17,7 @@
 const WAIT_INTERVAL_MILLIS: u64 = 200;
 /// Requests that a demo must have received before its status is printed.
 const DEMO_MIN_REQUESTS: u64 = 10;
+/// How often the demo's status is requested until then.
 const DEMO_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Runs the sub-command of this name.
--- a/crates/coordinator/src/node/control/connections.rs
+++ b/crates/coordinator/src/node/control/connections.rs
@@ -146,7 +146,7 @@
 
     fn cut_off_operator(&mut self, id: ConnectionId) {
         if let Some(control) = &mut self.control {
-            control.cut_off += 1;
+            control.operators_cut_off += 1;
         }
         tracing::info!("operator connection closed: it does not read");
         self.drop_operator(id);
--- a/crates/coordinator/src/node/control/mod.rs
+++ b/crates/coordinator/src/node/control/mod.rs
@@ -52,19 +52,20 @@
     /// Removes the control socket's path when it is dropped.
     _socket: Option<ControlSocketPath>,
     listeners: Vec<OperatorListener>,
-    /// The key of the control port.
-    key: Vec<u8>,
+    /// The key that operators on the control port must have.
+    port_key: Vec<u8>,
     connections: BTreeMap<ConnectionId, OperatorConnection>,
     events: EventLog,
     service: ServiceRecords,
+    /// The last snapshot, until an event outdates it.
     snapshot: Option<CachedSnapshot>,
-    state: Option<StateFolder>,
+    state_folder: Option<StateFolder>,
     /// Orders whose records are on their way to the disk, by the write's number.
     pending_orders: BTreeMap<u64, PendingOrder>,
     rolling_restart: RollingRestartRunner,
     started: Micros,
     /// Operators that were cut off since they did not read.
-    cut_off: u64,
+    operators_cut_off: u64,
 }
 
 impl Control {
@@ -72,16 +73,16 @@
         Control {
             _socket: None,
             listeners: Vec::new(),
-            key: Vec::new(),
+            port_key: Vec::new(),
             connections: BTreeMap::new(),
             events: EventLog::default(),
             service: ServiceRecords::new(classes),
             snapshot: None,
-            state: None,
+            state_folder: None,
             pending_orders: BTreeMap::new(),
             rolling_restart: RollingRestartRunner::default(),
             started: now,
-            cut_off: 0,
+            operators_cut_off: 0,
         }
     }
 
@@ -90,7 +91,7 @@
         format!(
             "operators {}\noperators_cut_off {}\n",
             self.connections.len(),
-            self.cut_off
+            self.operators_cut_off
         )
     }
 }
--- a/crates/coordinator/src/node/control/open.rs
+++ b/crates/coordinator/src/node/control/open.rs
@@ -53,7 +53,7 @@
         let listener = clients::listen(address)
             .map_err(|source| StartError::ControlPort { address, source })?;
         if let Some(control) = &mut self.control {
-            control.key = port.key;
+            control.port_key = port.key;
         }
         let listener = Rc::new(listener);
         self.add_operator_listener(listener.clone(), OperatorListener::Tcp(listener))
@@ -100,7 +100,7 @@
             control
                 .rolling_restart
                 .load(restart.map(|restart| restart.restarted(now)));
-            control.state = Some(folder);
+            control.state_folder = Some(folder);
         }
         let change = self.registry.restore_records(records);
         self.apply_registry_change(now, &change);
--- a/crates/coordinator/src/node/control/orders.rs
+++ b/crates/coordinator/src/node/control/orders.rs
@@ -15,7 +15,7 @@
 /// An order whose records are on their way to the disk.
 pub(super) struct PendingOrder {
     reply_to: ReplyTo,
-    /// What the operator is told once they are there.
+    /// The reply's text once they are there.
     message: String,
 }
 
@@ -38,7 +38,7 @@
     ", but the disk is too slow to write it down: a restart forgets it";
 
 impl PendingOrder {
-    /// What the operator is told once the write has ended.
+    /// The reply's text once the write has ended.
     fn into_message(self, written: io::Result<()>) -> String {
         let message = self.message;
         match written {
@@ -53,7 +53,7 @@
 impl Control {
     /// Queues records for the state folder's disk.
     fn append_records(&mut self, records: &[StateRecord]) -> Persistence {
-        let Some(state) = &mut self.state else {
+        let Some(state) = &mut self.state_folder else {
             return Persistence::NoFolder;
         };
         match state.append(records) {
@@ -64,7 +64,7 @@
 
     /// Replaces a state file that has grown by one of the engines' present records and the rolling restart.
     fn compact_state_file(&mut self, engine_records: impl FnOnce() -> Vec<StateRecord>) {
-        let Some(state) = &mut self.state else {
+        let Some(state) = &mut self.state_folder else {
             return;
         };
         if state.needs_compaction() {
--- a/crates/coordinator/src/node/control/snapshot.rs
+++ b/crates/coordinator/src/node/control/snapshot.rs
@@ -83,7 +83,7 @@
 
     fn snapshot(&self, now: Micros) -> Snapshot {
         let control = self.control.as_ref();
-        let has_state_folder = control.is_some_and(|control| control.state.is_some());
+        let has_state_folder = control.is_some_and(|control| control.state_folder.is_some());
         let (queries, open_by_class) = self.open_queries(now);
         let (source, source_age) = self.discovery.about(now);
         Snapshot {
