--- a/crates/cluster-simulation/src/commands/consensus_fuzz.rs
+++ b/crates/cluster-simulation/src/commands/consensus_fuzz.rs
@@ -114,8 +114,8 @@
         let now = self.now;
         let voter = &mut self.voters[number];
         voter.tick(now, now, || peers);
-        while let Some((_, outcome)) = voter.next_outcome() {
-            if let Ok(LeaseOutcome::Granted { fence }) = outcome {
+        while let Some(completed) = voter.next_outcome() {
+            if let Ok(LeaseOutcome::Granted { fence }) = completed.result {
                 self.granted += 1;
                 voter.release(fence);
             }
--- a/crates/cluster-simulation/src/lease_workload.rs
+++ b/crates/cluster-simulation/src/lease_workload.rs
@@ -145,9 +145,10 @@
     /// A member takes the outcomes of its requests, and may request or release a lease.
     pub fn poll(&mut self, member: u32, now: Micros, clock: Micros, agent: &mut Cluster) {
         agent.with_consensus(clock, |consensus, clock| {
-            while let Some((number, outcome)) = consensus.next_outcome() {
+            while let Some(completed) = consensus.next_outcome() {
+                let number = completed.number;
                 let submitted_at = self.pending.remove(&PendingRequest { member, number });
-                match outcome {
+                match completed.result {
                     Ok(outcome) => {
                         self.answered
                             .extend(submitted_at.map(|submitted_at| AnsweredRequest {
--- a/crates/cluster/src/agent/timers.rs
+++ b/crates/cluster/src/agent/timers.rs
@@ -19,13 +19,13 @@
 const GOSSIP_FANOUT: usize = 3;
 /// Versions are compared with one other member this often.
 const COMPARISON_INTERVAL: Micros = 400_000;
-/// A seed is asked to be let in this often while nobody else is there.
+/// A join request goes to a seed this often while no other member is reachable.
 const JOIN_INTERVAL: Micros = 500_000;
-/// Else one of the seeds that is not there is asked this often, in case the cluster is cut apart.
+/// Else one goes to an unreachable seed this often, in case the cluster is partitioned.
 const REJOIN_INTERVAL: Micros = 5_000_000;
-/// A member whose session is stale is told so this often at most: one sender after another, not each of its datagrams.
+/// A stale session is reported this often at most: to one sender after another, not for each datagram.
 const STALE_REPORT_INTERVAL: Micros = 50_000;
-/// Gossip is told who is reachable this often.
+/// Gossip is notified of reachable members this often.
 const REACHABILITY_INTERVAL: Micros = 500_000;
 /// A member's part in consensus is published this often at most: it changes with each entry.
 const NOTICE_INTERVAL: Micros = 200_000;
@@ -41,7 +41,7 @@
 }
 
 impl Timers {
-    /// Members that start at the same moment must not ask at the same moment for ever.
+    /// Timers start with a random offset: members that start at the same moment must not send at the same moment for ever.
     pub(super) fn start(now: Micros, rng: &mut SmallRng) -> Timers {
         Timers {
             notice: now,
@@ -105,7 +105,7 @@
         self.tick_consensus(now, clock);
     }
 
-    /// Asks a seed to be let in, or one that is not there whether it is back.
+    /// Sends a join request to a seed or a member that was down, one that is not reachable.
     fn join(&mut self, now: Micros) {
         let interval = match self.members.reachable_count() {
             0 => JOIN_INTERVAL,
--- a/crates/cluster/src/agent/view.rs
+++ b/crates/cluster/src/agent/view.rs
@@ -40,7 +40,7 @@
     pub members_down: u64,
     /// How often this member was called down and came back.
     pub rejoins: u64,
-    /// How often this member dropped what it held against others, as it was more likely itself that could not be heard.
+    /// How often this member dropped its suspicions of others, as it was more likely cut off itself.
     pub membership_resets: u64,
     /// How often this member's session was behind that of an earlier process of its name.
     pub sessions_raised: u64,
--- a/crates/cluster/src/consensus/command.rs
+++ b/crates/cluster/src/consensus/command.rs
@@ -5,7 +5,7 @@
 use crate::Micros;
 use serde::{Deserialize, Serialize};
 
-/// What a member asks for.
+/// A member's command to the lease table.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Command {
     /// Grants a lease to the requester.
@@ -42,7 +42,7 @@
     },
 }
 
-/// What became of a command.
+/// The outcome of a command.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Outcome {
     /// The lease is granted, under this number: later ones are higher.
@@ -74,7 +74,7 @@
     Stale,
 }
 
-/// A request of a member: its requests count up within a session, and one that comes twice counts once.
+/// Identifies a request of a member: numbers count up within a session, and a request that arrives twice is applied once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId {
     /// The session of the member's process.
@@ -88,13 +88,13 @@
 pub struct Entry {
     /// The log's time, by its leader.
     pub time: Micros,
-    /// The member that asks.
+    /// The member that requests it.
     pub owner: String,
     /// The session of its process.
     pub session: u64,
     /// The request's number in it.
     pub request: u64,
-    /// What it asks.
+    /// The command.
     pub command: Command,
 }
 
--- a/crates/cluster/src/consensus/leases.rs
+++ b/crates/cluster/src/consensus/leases.rs
@@ -6,10 +6,10 @@
 //!
 //! **Time.** An entry's time comes from its leader, whose time goes on no faster than any clock and begins at the last one
 //! that was applied. So whatever has ended here has lasted at least as long on the holder's clock, which counts from
-//! before it asked. Time that stands still between entries only makes leases end later.
+//! before its request. Time that stands still between entries only makes leases end later.
 //!
 //! A lease that *stays* is not free at its end: it counts until its owner releases it or an operator revokes it. That is for
-//! what must be seen before it is over: an engine that went out is out until it is seen back, whoever asked for it.
+//! what must be seen before it is over: an engine that went out is out until it is seen back, whoever requested that.
 //!
 //! The table is stored and sent in postcard's form: the order of fields stays.
 
@@ -143,7 +143,7 @@
         (last.id() == request).then_some(&last.outcome)
     }
 
-    /// Forgets what was asked: observers need not know it.
+    /// Forgets the outcomes of requests: observers don't need them.
     pub fn forget_requests(&mut self) {
         self.last_requests.clear();
     }
--- a/crates/cluster/src/consensus/log.rs
+++ b/crates/cluster/src/consensus/log.rs
@@ -172,7 +172,7 @@
     ///
     /// # Errors
     ///
-    /// Fails as `raft` asks: `Compacted` before the compaction point, `Unavailable` behind the last entry.
+    /// Fails as `raft` requires: `Compacted` before the compaction point, `Unavailable` behind the last entry.
     pub fn term_at(&self, index: u64) -> raft::Result<u64> {
         if index == self.compacted.index {
             return Ok(self.compacted.term);
--- a/crates/cluster/src/consensus/mod.rs
+++ b/crates/cluster/src/consensus/mod.rs
@@ -50,5 +50,5 @@
 pub use messages::{LogPosition, Notice};
 pub use participant::{Consensus, Options};
 pub use peers::Peer;
-pub use requests::{HeldLease, Reported, RequestError};
+pub use requests::{CompletedRequest, HeldLease, RequestError};
 pub use view::{Counters, GrantedLease, Role, View, VoterStatus};
--- a/crates/cluster/src/consensus/participant/incoming.rs
+++ b/crates/cluster/src/consensus/participant/incoming.rs
@@ -162,14 +162,14 @@
             .propose(replica, owner, request, command, all_persistent);
         match proposed {
             Proposed::Pending => {}
-            Proposed::Answered(outcome) => self.answer(clock, owner, request, outcome),
+            Proposed::Answered(outcome) => self.respond(clock, owner, request, outcome),
             Proposed::NoRoom => self.counters.rejected += 1,
         }
         true
     }
 
-    /// Tells a member, or this one itself, what became of its request.
-    pub(super) fn answer(
+    /// Sends a member the outcome of its request; this member's own is completed at once.
+    pub(super) fn respond(
         &mut self,
         clock: Micros,
         owner: &str,
@@ -192,7 +192,7 @@
         self.outbox.push(receiver, &response);
     }
 
-    /// Takes the outcome of a request of this member.
+    /// Completes a request of this member.
     pub(super) fn complete_request(&mut self, clock: Micros, number: u64, outcome: Outcome) {
         self.requests
             .complete(clock, number, outcome, &mut self.counters);
--- a/crates/cluster/src/consensus/participant/mod.rs
+++ b/crates/cluster/src/consensus/participant/mod.rs
@@ -20,7 +20,7 @@
 use super::peers::Peers;
 use super::proposals::Proposals;
 use super::replica::{Replica, Write};
-use super::requests::{HeldLease, Reported, Requests};
+use super::requests::{CompletedRequest, HeldLease, Requests};
 use super::state::State;
 use super::state_copy::StateCopy;
 use super::store;
@@ -73,7 +73,7 @@
     next_tick: Micros,
     last_tick: Micros,
     next_copy_request: Micros,
-    /// When another replica was last heard.
+    /// When a message of another replica arrived last.
     last_heard: Micros,
     leaderless_since: Option<Micros>,
     last_leader: Option<u64>,
@@ -209,7 +209,8 @@
         own.or_else(|| self.copy.state.voters.get(&id))
     }
 
-    /// The leader by this member's own replica. A learner never asks to lead, and would believe in its last leader for ever.
+    /// The leader by this member's own replica. A learner never becomes a candidate, and would otherwise keep its last leader
+    /// for ever.
     fn own_leader(&self) -> Option<u64> {
         let replica = self.replica()?;
         let is_heard = || self.last_tick < self.last_heard + LEADERLESS_TIMEOUT;
@@ -218,7 +219,7 @@
             .filter(|_| replica.is_voter() || is_heard())
     }
 
-    /// The leader's name, as far as is known: by this member's own replica, else by the word of reachable voters.
+    /// The leader's name, as far as is known: by this member's own replica, else by what reachable voters announce.
     pub fn leader(&self) -> Option<String> {
         let name = match self.own_leader() {
             Some(id) => self.name_of_replica(id),
@@ -227,7 +228,7 @@
         name.cloned()
     }
 
-    /// What this member announces to all of its part.
+    /// What this member announces to all others of its part in consensus.
     pub fn notice(&self) -> Notice {
         let replica = self.replica();
         let leader = self.own_leader().and_then(|id| self.name_of_replica(id));
@@ -247,7 +248,7 @@
         }
     }
 
-    /// How things stand, for operators.
+    /// The present state, for operators.
     pub fn view(&self) -> View {
         let state = self.state();
         let voter_ids = self
@@ -310,12 +311,12 @@
             .submit(clock, command, timeout, &mut self.counters)
     }
 
-    /// The next outcome of a submitted request, if there is one.
-    pub fn next_outcome(&mut self) -> Option<Reported> {
+    /// The next submitted request that is completed, if there is one.
+    pub fn next_outcome(&mut self) -> Option<CompletedRequest> {
         self.requests.next_reported()
     }
 
-    /// Whether this member holds a lease at this moment of the host's clock: to be asked when it is used.
+    /// Whether this member holds a lease at this moment of the host's clock: to be checked at each use.
     pub fn holds(&self, fence: u64, clock: Micros) -> bool {
         // A clock that was set back knows of no end.
         clock >= self.clock && self.requests.holds(fence, clock)
--- a/crates/cluster/src/consensus/participant/output.rs
+++ b/crates/cluster/src/consensus/participant/output.rs
@@ -79,7 +79,7 @@
 
     fn report_applied(&mut self, applied: Applied) {
         if self.proposals.complete(&applied) {
-            self.answer(self.clock, &applied.owner, applied.request, applied.outcome);
+            self.respond(self.clock, &applied.owner, applied.request, applied.outcome);
         }
     }
 }
--- a/crates/cluster/src/consensus/participant/timers.rs
+++ b/crates/cluster/src/consensus/participant/timers.rs
@@ -136,7 +136,7 @@
             }
         }
         if self.replica().is_some_and(|r| !r.leads()) {
-            // Who leads next hears of them from the members.
+            // The next leader receives them from the members again.
             self.proposals.clear();
         }
     }
--- a/crates/cluster/src/consensus/peers.rs
+++ b/crates/cluster/src/consensus/peers.rs
@@ -68,7 +68,7 @@
         peer.notice.as_ref()?.announcement()
     }
 
-    /// The leader of a log by the word of its reachable voters: that of the highest term counts.
+    /// The leader of a log as its reachable voters announce it: that of the highest term counts.
     pub(super) fn leader_of(&self, cluster_id: u64) -> Option<&String> {
         let knows_leader =
             |n: &&Notice| n.is_voter && n.cluster_id == cluster_id && !n.leader.is_empty();
--- a/crates/cluster/src/consensus/proposals.rs
+++ b/crates/cluster/src/consensus/proposals.rs
@@ -58,7 +58,7 @@
         waited
     }
 
-    /// Forgets all: who leads next hears of them from the members.
+    /// Forgets all: the next leader receives them from the members again.
     pub(super) fn clear(&mut self) {
         self.0.clear();
     }
--- a/crates/cluster/src/consensus/replica/config.rs
+++ b/crates/cluster/src/consensus/replica/config.rs
@@ -4,7 +4,7 @@
 
 /// Ticks between a leader's heartbeats: 200 ms.
 const HEARTBEAT_TICKS: usize = 2;
-/// Ticks without a heartbeat after which a voter asks to lead, at least; at most twice as many: one to two seconds.
+/// Least ticks without a heartbeat after which a voter becomes a candidate; at most twice as many: one to two seconds.
 pub(super) const ELECTION_TICKS: usize = 10;
 /// Entries of one message: it must fit one datagram with its head.
 const MAX_ENTRY_BYTES_PER_MESSAGE: u64 = 600;
@@ -23,7 +23,7 @@
         max_size_per_msg: MAX_ENTRY_BYTES_PER_MESSAGE,
         max_inflight_msgs: MAX_IN_FLIGHT_MESSAGES,
         max_uncommitted_size: MAX_UNCOMMITTED_BYTES,
-        // A leader that a majority does not hear steps down, and who was cut off does not unseat one that is heard.
+        // A leader without a majority's responses steps down, and a voter that was cut off does not unseat a working leader.
         check_quorum: true,
         pre_vote: true,
         ..Config::default()
--- a/crates/cluster/src/consensus/replica/mod.rs
+++ b/crates/cluster/src/consensus/replica/mod.rs
@@ -3,11 +3,11 @@
 //! `raft` (the engine of TiKV) decides who leads and what is committed; it does no I/O, so that this does none either: what
 //! is to be sent and written is handed out, and what was written is confirmed. It panics where its invariants are broken: by a
 //! disk that lost what it confirmed, or a peer that has the key and lies. Such a panic ends this replica alone; its process
-//! asks to be let in again under another id, as one that lost its log.
+//! requests to be admitted again under another id, as one that lost its log.
 //!
 //! | module | what it does |
 //! | --- | --- |
-//! | this | the replica, what may be asked of it, and what it is told |
+//! | this | the replica's state and interface |
 //! | `config` | how `raft` is set up |
 //! | `conf_change` | changes of voters, as `raft` has them |
 //! | `ready` | does what `raft` has ready: writes, messages, entries to apply, snapshots |
@@ -55,11 +55,11 @@
 /// An entry that was applied.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Applied {
-    /// The member that asked for it.
+    /// The member that requested it.
     pub owner: String,
     /// Which of its requests.
     pub request: RequestId,
-    /// What became of it.
+    /// Its outcome.
     pub outcome: Outcome,
 }
 
@@ -359,12 +359,12 @@
         self.writes.pop_front()
     }
 
-    /// All entries that were applied since this was called last, for those that asked for them.
+    /// All entries that were applied since the last call, for their requesters.
     pub fn take_applied(&mut self) -> Vec<Applied> {
         self.applied.drain(..).collect()
     }
 
-    /// All up to this write outlives the process now.
+    /// Confirms that this write, and all before it, are persistent.
     pub fn confirm_write(&mut self, number: u64) {
         self.guard(|r| {
             while r.waiting.front().is_some_and(|w| w.write_number <= number) {
--- a/crates/cluster/src/consensus/replica/ready.rs
+++ b/crates/cluster/src/consensus/replica/ready.rs
@@ -92,7 +92,7 @@
         }
     }
 
-    /// `raft` draws the time after which a voter asks to lead from the system's randomness; this one's is seeded.
+    /// `raft` draws the election timeout from the system's randomness; this one's is seeded.
     fn draw_election_timeout(&mut self) {
         let now = (self.raft.raft.term, self.raft.raft.state);
         if now != self.timeout_drawn_for {
--- a/crates/cluster/src/consensus/requests.rs
+++ b/crates/cluster/src/consensus/requests.rs
@@ -32,8 +32,14 @@
     TooManyPending,
 }
 
-/// A request's number, and what became of it.
-pub type Reported = (u64, Result<Outcome, RequestError>);
+/// A request that is completed.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct CompletedRequest {
+    /// The request's number.
+    pub number: u64,
+    /// Its outcome.
+    pub result: Result<Outcome, RequestError>,
+}
 
 /// A lease that this member holds.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -68,7 +74,7 @@
     pub(super) session: u64,
     last_number: u64,
     queue: VecDeque<Request>,
-    reported: VecDeque<Reported>,
+    reported: VecDeque<CompletedRequest>,
     held: BTreeMap<u64, HeldLease>,
 }
 
@@ -94,8 +100,7 @@
         let (number, is_queued) = self.enqueue(clock.saturating_add(timeout), command, true);
         if !is_queued {
             counters.rejected += 1;
-            let error = RequestError::TooManyPending;
-            self.reported.push_back((number, Err(error)));
+            self.report(number, Err(RequestError::TooManyPending));
         }
         number
     }
@@ -128,8 +133,12 @@
         (number, has_room)
     }
 
-    /// The next request whose outcome is known, or will not be.
-    pub(super) fn next_reported(&mut self) -> Option<Reported> {
+    fn report(&mut self, number: u64, result: Result<Outcome, RequestError>) {
+        self.reported.push_back(CompletedRequest { number, result });
+    }
+
+    /// The next request that is completed: its outcome is known, or nobody waits for it any more.
+    pub(super) fn next_reported(&mut self) -> Option<CompletedRequest> {
         self.reported.pop_front()
     }
 
@@ -183,8 +192,7 @@
         });
         for number in timed_out {
             counters.timed_out += 1;
-            self.reported
-                .push_back((number, Err(RequestError::TimedOut)));
+            self.report(number, Err(RequestError::TimedOut));
         }
     }
 
@@ -228,7 +236,7 @@
         };
         self.update_held(clock, &request, &outcome, counters);
         if request.is_reported && !request.has_timed_out {
-            self.reported.push_back((number, Ok(outcome)));
+            self.report(number, Ok(outcome));
         }
     }
 
@@ -276,7 +284,7 @@
     }
 }
 
-/// How long a holder uses a lease of this duration, counted from when it first asked for it.
+/// How long a holder uses a lease of this duration, counted from when the request was first sent.
 fn usable_duration(duration: Micros) -> Micros {
     (duration - duration / CLOCK_DRIFT_DIVISOR).saturating_sub(CLOCK_MARGIN)
 }
--- a/crates/cluster/src/consensus/state.rs
+++ b/crates/cluster/src/consensus/state.rs
@@ -7,7 +7,7 @@
 /// A replica's id and the name of the process that holds it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Voter {
-    /// The replica's id: belongs to one log, and to one life of its process.
+    /// The replica's id: belongs to one log, and to one incarnation of its process.
     pub id: u64,
     /// The member's name, the same after a restart.
     pub name: String,
--- a/crates/cluster/src/consensus/state_copy.rs
+++ b/crates/cluster/src/consensus/state_copy.rs
@@ -13,7 +13,7 @@
 }
 
 impl StateCopy {
-    /// A copy for another member, who need not know what was asked.
+    /// A copy for another member, which needs no outcomes of requests.
     pub(super) fn for_observer(position: LogPosition, state: &State) -> StateCopy {
         let mut state = state.clone();
         state.leases.forget_requests();
--- a/crates/cluster/src/consensus/view.rs
+++ b/crates/cluster/src/consensus/view.rs
@@ -3,7 +3,7 @@
 use super::leases::Lease;
 use crate::Micros;
 
-/// A member's part in consensus: the module `participation` has the table of how it changes.
+/// A member's role in consensus: the module `participation` has the table of how it changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     /// It waits for the other initial voters.
@@ -47,10 +47,10 @@
     pub clock_set_back: u64,
 }
 
-/// How things stand, for operators.
+/// The present state of consensus, for operators.
 #[derive(Clone, Debug)]
 pub struct View {
-    /// This member's part.
+    /// This member's role.
     pub role: Role,
     /// The log; 0 for none.
     pub cluster_id: u64,
--- a/crates/cluster/src/membership/config.rs
+++ b/crates/cluster/src/membership/config.rs
@@ -7,11 +7,11 @@
 
 /// Each member probes one other in this time.
 const PROBE_INTERVAL: Duration = Duration::from_millis(400);
-/// An answer that has not come by then is asked for by way of others.
+/// After this time without a response, others are requested to probe the member as well.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(150);
-/// Others that are asked: where 30% of all datagrams are lost a way there and back fails by half.
+/// Others that probe as well: where 30% of all datagrams are lost, half of all round trips fail.
 const INDIRECT_PROBES: NonZeroUsize = NonZeroUsize::new(8).unwrap();
-/// Who is suspected and says nothing for this long is down: some eight ways that its word can take are lost by then.
+/// A suspected member that sends no refutation for this long is down: some eight paths of it have failed by then.
 const SUSPICION_TIMEOUT: Duration = Duration::from_millis(2_000);
 /// Who is down is remembered for this long, so that old messages bring nobody back.
 pub(super) const DOWN_RETENTION: Duration = Duration::from_secs(60);
--- a/crates/cluster/src/membership/mod.rs
+++ b/crates/cluster/src/membership/mod.rs
@@ -2,14 +2,14 @@
 //!
 //! | status | becomes | when |
 //! | --- | --- | --- |
-//! | unknown, `Down` | `Alive` | it joins, or somebody tells of it with a later incarnation or session |
+//! | unknown, `Down` | `Alive` | it joins, or an update has a later incarnation or session of it |
 //! | `Alive` | `Suspected` | a probe of it, and all indirect ones, have no answer in time |
-//! | `Suspected` | `Alive` | it hears of that and says that it is there |
-//! | `Suspected` | `Down` | it says nothing for two seconds |
+//! | `Suspected` | `Alive` | it refutes the suspicion |
+//! | `Suspected` | `Down` | it sends no refutation for two seconds |
 //! | `Alive`, `Suspected` | `Down` | it leaves, or a member calls it down |
 //!
-//! A member that dies is suspected by the first that probes it within a period and a half on average. What is called down
-//! is told of, and asked each two seconds whether it is back, so that halves that were cut apart find each other again.
+//! A member that dies is suspected by the first that probes it within a period and a half on average. Others are notified of
+//! a member that is down, and it is probed every two seconds, so that the halves of a partition find each other again.
 
 mod codec;
 mod config;
@@ -28,7 +28,7 @@
 pub use codec::DecodeError;
 pub use identity::Identity;
 
-/// Members known at once, gone ones among them; a datagram that tells of more is not read.
+/// Members known at once, gone ones among them; a datagram with updates of more is not read.
 pub const MAX_MEMBERS: usize = 1024;
 /// Longest name of a member, in bytes.
 pub const MAX_NAME_BYTES: usize = 48;
@@ -131,7 +131,7 @@
         self.swim.identity()
     }
 
-    /// Asks to be let in by whoever is at this address.
+    /// Requests to join from the member at this address.
     pub fn join(&mut self, now: Micros, at: SocketAddr, output: &mut Output) {
         self.handle(now, output, |swim, runtime| {
             swim.announce(Identity::at(at), runtime)
@@ -301,8 +301,8 @@
         }
     }
 
-    /// This member was called down, or all others are: more likely it could not be heard itself. What it holds against
-    /// others is dropped, so that once it is heard again it accuses nobody; those that are there stay, suspected by none.
+    /// This member was called down, or all others are: more likely it was cut off itself. Its suspicions of others are
+    /// dropped, so that it accuses nobody once it is connected again; those that are there stay, suspected by none.
     fn reset(&mut self, now: Micros, output: &mut Output) {
         let own = foca::Identity::renew(self.own()).unwrap_or_else(|| self.own().clone());
         self.reset_as(now, own, output);
--- a/crates/cluster/tests/voters/mod.rs
+++ b/crates/cluster/tests/voters/mod.rs
@@ -1,7 +1,7 @@
 //! Members that take part in what is agreed, on virtual time and with no faults: all that they send and store can be looked at.
 
 use driftfront_cluster::consensus::leases::{Command, Outcome};
-use driftfront_cluster::consensus::{Consensus, Notice, Options, Peer, RequestError};
+use driftfront_cluster::consensus::{CompletedRequest, Consensus, Notice, Options, Peer};
 use driftfront_cluster::{MemberStatus, Micros};
 
 pub(crate) const SECOND: Micros = 1_000_000;
@@ -16,7 +16,7 @@
     pub(crate) file: Option<Vec<u8>>,
     /// All that was written to the file since this was last emptied, what was written over included.
     pub(crate) written: Vec<u8>,
-    pub(crate) outcomes: Vec<(u64, Result<Outcome, RequestError>)>,
+    pub(crate) outcomes: Vec<CompletedRequest>,
 }
 
 /// A message on its way.
@@ -170,9 +170,9 @@
             let answer = self.members[number]
                 .outcomes
                 .iter()
-                .find(|o| o.0 == request);
-            if let Some((_, outcome)) = answer {
-                return outcome.clone().expect("an answer in time");
+                .find(|completed| completed.number == request);
+            if let Some(completed) = answer {
+                return completed.result.clone().expect("an answer in time");
             }
         }
         panic!("no answer to request {request}");
--- a/crates/coordinator/src/node/cluster/holds.rs
+++ b/crates/coordinator/src/node/cluster/holds.rs
@@ -143,14 +143,14 @@
     fn next_decided_hold(&mut self) -> Option<DecidedHold> {
         loop {
             let clock = self.clock();
-            let outcome = self
+            let completed = self
                 .agent
-                .with_consensus(clock, |consensus, _| consensus.next_outcome());
-            let (request, outcome) = outcome.flatten()?;
-            if let Some(pending) = self.consensus.pending_holds.remove(&request) {
+                .with_consensus(clock, |consensus, _| consensus.next_outcome())
+                .flatten()?;
+            if let Some(pending) = self.consensus.pending_holds.remove(&completed.number) {
                 return Some(DecidedHold {
                     reply_to: pending.reply_to,
-                    outcome: describe_outcome(pending.name, &outcome),
+                    outcome: describe_outcome(pending.name, &completed.result),
                 });
             }
         }
