--- a/crates/cluster-harness/src/commands/cost.rs
+++ b/crates/cluster-harness/src/commands/cost.rs
@@ -5,7 +5,7 @@
 use std::ops::{AddAssign, Sub};
 use std::time::Duration;
 
-/// Milliseconds of a clock tick of the system.
+/// Milliseconds of a clock tick of the system (`USER_HZ` is 100).
 const MILLIS_PER_TICK: f64 = 10.0;
 
 /// What processes have used.
@@ -66,12 +66,12 @@
 fn total_usage(harness: &mut ClusterHarness, members: u32) -> Usage {
     let mut total = Usage::default();
     for member in 0..members {
-        let (memory_kilobytes, processor_ticks) = harness.process(member).usage();
+        let process = harness.process(member).usage();
         total += Usage {
-            processor_ticks,
+            processor_ticks: process.processor_ticks,
             datagrams: harness.counter(member, "fleet_datagrams_sent"),
             bytes: harness.counter(member, "fleet_bytes_sent"),
-            memory_kilobytes,
+            memory_kilobytes: process.memory_kilobytes,
         };
     }
     total
--- a/crates/cluster-harness/src/commands/holds.rs
+++ b/crates/cluster-harness/src/commands/holds.rs
@@ -2,7 +2,7 @@
 //! leads again.
 
 use super::arguments::Arguments;
-use super::NO_ENGINE;
+use super::{exit_code, micros, NO_ENGINE};
 use driftfront_cluster_harness::{process, ClusterHarness, Request};
 use driftfront_cluster_simulation::{fault_scenario, percentile};
 use std::collections::BTreeMap;
@@ -20,7 +20,7 @@
 const HOLD_NAMES: u32 = 2;
 /// For how long a hold is requested.
 const HOLD_SECONDS: u64 = 2;
-/// What a holder may use of that, from before it asked: less a twentieth and 0.1 s.
+/// What a holder may use of that, counted from before its request: less a twentieth and 0.1 s.
 const USABLE_TIME: Duration = Duration::from_millis(1_800);
 /// Nothing is granted for ten seconds after a bootstrap, and a scenario may have had the voters bootstrap another log.
 const TIME_AFTER_BOOTSTRAP: Duration = Duration::from_secs(12);
@@ -82,7 +82,9 @@
 /// What all runs showed.
 #[derive(Default)]
 struct Summary {
+    /// Holds that were granted.
     granted: usize,
+    /// Requests that got no answer in time.
     unanswered: u64,
     /// Holds that two could act on at once, in words.
     held_twice: Vec<String>,
@@ -101,12 +103,10 @@
     }
     summary.print(&options);
     let all_led = summary.never_led.is_empty() || options.last_build.is_some();
-    match summary.held_twice.is_empty() && all_led {
-        true => ExitCode::SUCCESS,
-        false => ExitCode::FAILURE,
-    }
+    exit_code(summary.held_twice.is_empty() && all_led)
 }
 
+/// Plays the scenario of one seed, and adds what it showed to the summary.
 fn play(options: &Options, binary: &str, seed: u64, summary: &mut Summary) {
     let mut harness = start(options, binary, seed);
     let is_over = Arc::new(AtomicBool::new(false));
@@ -131,14 +131,14 @@
     if led_after.is_none() || !held_twice.is_empty() {
         eprintln!("seed {seed}:\n{}", harness.log().text());
         for member in 0..options.members {
-            eprintln!("  m{member}: {:?}", harness.agreed(member));
+            eprintln!("  m{member}: {:?}", harness.consensus(member));
         }
     }
     summary.granted += answers.held.len();
     summary.unanswered += answers.unanswered;
     summary.held_twice.extend(held_twice);
     match led_after {
-        Some(time) => summary.led_after.push(time.as_micros() as u64),
+        Some(time) => summary.led_after.push(micros(time)),
         None => summary.never_led.push(seed),
     }
 }
@@ -147,12 +147,12 @@
     let mut script = fault_scenario::draw(options.members, seed, false);
     script.voters = options.voters;
     script.persists_log = options.logs_are_kept;
-    let mut harness = ClusterHarness::of(binary, NO_ENGINE, script);
+    let mut harness = ClusterHarness::from_script(binary, NO_ENGINE, script);
     if let Some(last_build) = &options.last_build {
         for member in options.voters..options.members {
-            harness.give_build(member, last_build);
+            harness.set_binary(member, last_build);
             harness.change_config(member, |text| without_consensus(&text));
-            harness.now(&format!("kill \"m{member}\"; start \"m{member}\""));
+            harness.apply_script(&format!("kill \"m{member}\"; start \"m{member}\""));
         }
     }
     harness
@@ -196,7 +196,7 @@
     begun: Instant,
     is_over: &Arc<AtomicBool>,
 ) -> JoinHandle<Answers> {
-    let (socket, is_over): (PathBuf, _) = (harness.control(member), is_over.clone());
+    let (socket, is_over): (PathBuf, _) = (harness.control_socket(member), is_over.clone());
     let interval = Duration::from_millis(40 + u64::from(member) * 7);
     std::thread::spawn(move || {
         let mut answers = Answers::default();
@@ -211,27 +211,33 @@
     })
 }
 
+/// Requests a hold of the member at this control socket, and adds what it says to `answers`.
 fn request_hold(socket: &Path, number: u32, begun: Instant, answers: &mut Answers) {
     let name = format!("h{}", number % HOLD_NAMES);
-    let asked = begun.elapsed();
+    let requested_at = begun.elapsed();
     let request = Request::Hold {
         name: name.clone(),
         for_s: HOLD_SECONDS,
         stays: false,
         note: String::new(),
     };
-    match process::ask(socket, &request) {
-        Ok(words) => answers.held.push(Certain {
-            name,
-            fence: last_number(&words),
-            from: begun.elapsed(),
-            until: asked + USABLE_TIME,
-        }),
-        Err(why) if why.contains("in time") => answers.unanswered += 1,
-        Err(why) => {
-            let words = why.chars().filter(|c| !c.is_ascii_digit()).collect();
-            *answers.refused.entry(words).or_default() += 1;
+    let error = match process::send_request(socket, &request) {
+        Ok(words) => {
+            answers.held.push(Certain {
+                name,
+                fence: last_number(&words),
+                from: begun.elapsed(),
+                until: requested_at + USABLE_TIME,
+            });
+            return;
         }
+        Err(error) => error.to_string(),
+    };
+    if error.contains("in time") {
+        answers.unanswered += 1;
+    } else {
+        let words = error.chars().filter(|c| !c.is_ascii_digit()).collect();
+        *answers.refused.entry(words).or_default() += 1;
     }
 }
 
--- a/crates/cluster-harness/src/commands/pauses.rs
+++ b/crates/cluster-harness/src/commands/pauses.rs
@@ -1,6 +1,6 @@
 //! How long clients wait for an answer that needs nothing, by turns in a cluster and alone.
 
-use super::NO_ENGINE;
+use super::{micros, NO_ENGINE};
 use driftfront_cluster_harness::ClusterHarness;
 use driftfront_cluster_simulation::percentile;
 use std::io::{Read, Write};
@@ -9,6 +9,7 @@
 
 /// Turns, every other one in a cluster.
 const TURNS: usize = 4;
+/// A request that needs nothing but the event loop.
 const REQUEST: &[u8] = b"GET /alive HTTP/1.1\r\nHost: t\r\n\r\n";
 /// Time between requests.
 const REQUEST_INTERVAL: Duration = Duration::from_micros(700);
@@ -23,7 +24,7 @@
         } else {
             start_alone(binary)
         };
-        let waits = measure(harness.clients(0), Duration::from_secs(seconds));
+        let waits = measure(harness.client_addr(0), Duration::from_secs(seconds));
         if is_in_cluster {
             in_cluster.extend(waits);
         } else {
@@ -49,8 +50,8 @@
         let others = text.lines().filter(|l| !l.starts_with("fleet"));
         others.collect::<Vec<_>>().join("\n")
     });
-    harness.now("kill \"m0\"");
-    harness.start_alone(0);
+    harness.apply_script("kill \"m0\"");
+    harness.start_without_cluster(0);
     harness
 }
 
@@ -69,7 +70,7 @@
             break;
         }
         match stream.read(&mut bytes) {
-            Ok(n) if n > 0 => waits.push(sent.elapsed().as_micros() as u64),
+            Ok(n) if n > 0 => waits.push(micros(sent.elapsed())),
             _ => break,
         }
         std::thread::sleep(REQUEST_INTERVAL);
@@ -77,10 +78,10 @@
     waits
 }
 
-fn print_waits(of: &str, waits: &mut [u64]) {
+fn print_waits(processes: &str, waits: &mut [u64]) {
     waits.sort_unstable();
     println!(
-        "{of}: an answer after p50 {:.3} ms  p99.9 {:.3} ms  max {:.3} ms, of {}",
+        "{processes}: an answer after p50 {:.3} ms  p99.9 {:.3} ms  max {:.3} ms, of {}",
         percentile(waits, 0.5) * 1e3,
         percentile(waits, 0.999) * 1e3,
         percentile(waits, 1.0) * 1e3,
--- a/crates/cluster-harness/src/commands/soaks.rs
+++ b/crates/cluster-harness/src/commands/soaks.rs
@@ -1,7 +1,8 @@
 //! Soaks of restarts, some at once; each broken rule with its seed.
 
 use super::arguments::Arguments;
-use driftfront_cluster_harness::soak;
+use super::exit_code;
+use driftfront_cluster_harness::soak::{self, ProcessLog};
 use std::path::Path;
 use std::process::ExitCode;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -27,10 +28,7 @@
     });
     let broken = broken.into_inner().expect("the seeds");
     println!("{runs} soaks, rules broken in {}: {broken:?}", broken.len());
-    match broken.is_empty() {
-        true => ExitCode::SUCCESS,
-        false => ExitCode::FAILURE,
-    }
+    exit_code(broken.is_empty())
 }
 
 /// Whether all rules held.
@@ -40,8 +38,8 @@
     if report.breaches.is_empty() {
         return true;
     }
-    for (process, log) in &report.logs {
-        println!("seed {seed}: process {process:?} said\n{log}");
+    for ProcessLog { process, text } in &report.logs {
+        println!("seed {seed}: process {process} said\n{text}");
     }
     false
 }
--- /dev/null
+++ b/crates/cluster-harness/src/harness/faults.rs
@@ -0,0 +1,68 @@
+//! The actions of a script, done to processes and links.
+
+use super::ClusterHarness;
+use crate::process::{Process, Signal};
+use crate::{FaultAction, Group, Script, TimedAction};
+use std::time::Duration;
+
+impl ClusterHarness {
+    /// Does one action now.
+    pub fn apply(&mut self, action: &FaultAction) {
+        self.log.record(format!("{action:?}"));
+        match action {
+            FaultAction::Link(from, to, link) => self.net.set_link(from, to, *link),
+            FaultAction::Part(groups, from, directions) => {
+                self.net.partition(groups, from, *directions)
+            }
+            FaultAction::Reset(groups, from) => self.reset_connections(groups, from),
+            FaultAction::Heal => self.net.heal(),
+            FaultAction::Cut(groups, directions) => {
+                self.net.cut(&self.script.members_of(groups), *directions)
+            }
+            FaultAction::Kill(groups) => self.for_each(groups, Process::kill),
+            FaultAction::Stop(groups) => self.for_each(groups, |p| p.signal(Signal::Stop)),
+            FaultAction::Wake(groups) => self.for_each(groups, |p| p.signal(Signal::Continue)),
+            FaultAction::Leave(groups) => self.for_each(groups, |p| p.signal(Signal::Terminate)),
+            FaultAction::Start(groups) => self
+                .script
+                .members_of(groups)
+                .into_iter()
+                .for_each(|member| self.start_member(member)),
+            // Processes on one machine share its clock; the simulation moves clocks.
+            FaultAction::Clock(..) => {}
+        }
+    }
+
+    /// Does the actions of these lines of a script now.
+    pub fn apply_script(&mut self, lines: &str) {
+        let script = Script::read(lines).expect("a line of a script");
+        for TimedAction { action, .. } in &script.actions {
+            self.apply(action);
+        }
+    }
+
+    /// Plays the script's actions, each at its time.
+    pub fn play(&mut self) {
+        for TimedAction { at, action } in self.script.actions.clone() {
+            let at = Duration::from_micros(at);
+            std::thread::sleep(at.saturating_sub(self.log.elapsed()));
+            self.apply(&action);
+        }
+    }
+
+    fn for_each(&mut self, groups: &[Group], act: impl Fn(&mut Process)) {
+        for member in self.script.members_of(groups) {
+            act(self.process(member));
+        }
+    }
+
+    /// Ends all connections between these groups and `from`.
+    fn reset_connections(&self, groups: &[Group], from: &Group) {
+        let Some(links) = &self.engine_links else {
+            return;
+        };
+        let some = self.net.numbers_of(groups);
+        let others = self.net.numbers_of(std::slice::from_ref(from));
+        links.reset(&some, &others);
+    }
+}
--- a/crates/cluster-harness/src/net.rs
+++ b/crates/cluster-harness/src/net.rs
@@ -18,6 +18,8 @@
 const MAX_DATAGRAMS_IN_FLIGHT: usize = 10_000;
 /// The threads look this often whether the network has ended.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Longest datagram that is forwarded whole; members send shorter ones.
+const MAX_DATAGRAM_BYTES: usize = 2048;
 /// Time that a throttled link's queue takes to drain at most; what would wait longer is lost.
 const MAX_THROTTLED_QUEUE: Duration = Duration::from_millis(200);
 
@@ -43,6 +45,15 @@
 }
 
 impl Shared {
+    /// The member whose process sends from this address.
+    fn member_at(&self, addr: SocketAddr) -> Option<u32> {
+        let known = (0..).zip(&self.processes);
+        known
+            .filter(|(_, process)| **process == Some(addr))
+            .map(|(member, _)| member)
+            .next()
+    }
+
     /// Queues `bytes` on a throttled link (`rate`: bytes a second, 0 for no limit). The delay that this adds; `None` where the queue
     /// is full.
     fn queue_throttled(&mut self, from: u32, to: u32, rate: u64, bytes: usize) -> Option<Duration> {
@@ -52,7 +63,7 @@
         let now = Instant::now();
         let drained_at = self.drained_at.get(&(from, to)).copied();
         let begin = drained_at.unwrap_or(now).max(now);
-        let transfer = Duration::from_secs_f64(bytes as f64 / rate as f64);
+        let transfer = time_at_rate(bytes, rate);
         (begin - now < MAX_THROTTLED_QUEUE).then(|| {
             self.drained_at.insert((from, to), begin + transfer);
             begin + transfer - now
@@ -60,6 +71,11 @@
     }
 }
 
+/// How long `bytes` take at a rate in bytes a second.
+fn time_at_rate(bytes: usize, rate: u64) -> Duration {
+    Duration::from_secs_f64(bytes as f64 / rate as f64)
+}
+
 /// A link that adds nothing to loopback: what holds where no script says otherwise.
 fn unimpaired_link() -> Link {
     Link {
@@ -115,12 +131,12 @@
     }
 
     /// Where others send a member's datagrams.
-    pub fn public(&self, member: u32) -> SocketAddr {
+    pub fn public_addr(&self, member: u32) -> SocketAddr {
         self.public[member as usize]
     }
 
     /// Sets where a member's process listens from now on.
-    pub fn place(&self, member: u32, process: SocketAddr) {
+    pub fn set_process_addr(&self, member: u32, process: SocketAddr) {
         self.with(|s| s.processes[member as usize] = Some(process));
     }
 
@@ -129,7 +145,7 @@
     }
 
     /// Replaces the links from each member of `from` to each member of `to`.
-    pub fn link(&self, from: &Group, to: &Group, link: Link) {
+    pub fn set_link(&self, from: &Group, to: &Group, link: Link) {
         self.with(|s| s.links.set(from, to, link));
     }
 
@@ -139,18 +155,16 @@
     }
 
     /// Cuts the links between `some` and `from`; directions are of the former.
-    pub fn part(&self, some: &[Group], from: &Group, directions: Directions) {
+    pub fn partition(&self, some: &[Group], from: &Group, directions: Directions) {
         self.with(|s| {
-            let (some, others) = (
-                s.links.all_of(some),
-                s.links.all_of(std::slice::from_ref(from)),
-            );
+            let some = s.links.all_of(some);
+            let others = s.links.all_of(std::slice::from_ref(from));
             s.links.part(&some, &others, directions);
         });
     }
 
     /// The members of these groups, by number; engines are numbered after the members.
-    pub fn all_of(&self, groups: &[Group]) -> Vec<u32> {
+    pub fn numbers_of(&self, groups: &[Group]) -> Vec<u32> {
         self.with(|s| s.links.all_of(groups))
     }
 
@@ -159,24 +173,22 @@
         self.with(|s| s.links.between(from, to))
     }
 
-    /// How long `bytes` of a connection take by this link, drawn at random each time; `None` while the link is cut.
-    pub fn carries(&self, from: u32, to: u32, bytes: usize) -> Option<Duration> {
+    /// How long `bytes` of a connection take on this link, drawn at random each time; `None` while the link is cut.
+    pub fn transfer_time(&self, from: u32, to: u32, bytes: usize) -> Option<Duration> {
         self.with(|s| {
             let link = s.links.between(from, to);
             if link.is_cut {
                 return None;
             }
-            let jitter = if link.jitter > 0 {
-                s.rng.random_range(0..link.jitter)
-            } else {
-                0
+            let jitter = match link.jitter {
+                0 => 0,
+                most => s.rng.random_range(0..most),
             };
-            let throttle = if link.bytes_per_second > 0 {
-                bytes as f64 / link.bytes_per_second as f64
-            } else {
-                0.0
+            let throttled = match link.bytes_per_second {
+                0 => Duration::ZERO,
+                rate => time_at_rate(bytes, rate),
             };
-            Some(Duration::from_micros(link.delay + jitter) + Duration::from_secs_f64(throttle))
+            Some(Duration::from_micros(link.delay + jitter) + throttled)
         })
     }
 
@@ -184,16 +196,14 @@
     pub fn heal(&self) {
         self.with(|s| s.links.heal());
     }
-}
 
-impl Net {
     /// Ends the network's threads.
     pub fn end(&self) {
         self.has_ended.store(true, Ordering::Relaxed);
     }
 
     /// Whether it has ended.
-    pub fn is_over(&self) -> bool {
+    pub fn has_ended(&self) -> bool {
         self.has_ended.load(Ordering::Relaxed)
     }
 }
@@ -206,18 +216,14 @@
     has_ended: &AtomicBool,
     send: &Sender<InFlight>,
 ) {
-    let mut bytes = [0; 2048];
+    let mut bytes = [0; MAX_DATAGRAM_BYTES];
     while !has_ended.load(Ordering::Relaxed) {
         let Ok((n, from)) = socket.recv_from(&mut bytes) else {
             continue;
         };
         let Ok(mut s) = shared.lock() else { return };
-        // Who is no member, as a flood from elsewhere, comes through as it is.
-        let sender = s
-            .processes
-            .iter()
-            .position(|i| *i == Some(from))
-            .map(|m| m as u32);
+        // Datagrams of others than members, as a flood from elsewhere, are forwarded as they are.
+        let sender = s.member_at(from);
         let link = sender.map_or(unimpaired_link(), |m| s.links.between(m, to));
         let queued = sender.map_or(Some(Duration::ZERO), |m| {
             s.queue_throttled(m, to, link.bytes_per_second, n)
--- a/crates/cluster-harness/src/process.rs
+++ b/crates/cluster-harness/src/process.rs
@@ -1,7 +1,7 @@
-//! A process of the program, and what it says of itself.
+//! A process of the program, and what it reports of itself.
 
 use crate::process_log::{address_in, ProcessLog};
-use crate::{Log, TEST_TIMEOUT};
+use crate::{EventLog, RequestError, TEST_TIMEOUT};
 use driftfront_console::remote::{Endpoint, Remote};
 use driftfront_control::snapshot::{Member, Snapshot};
 use driftfront_control::{Reply, Request};
@@ -9,7 +9,6 @@
 use std::net::{SocketAddr, TcpStream};
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
-use std::time::Instant;
 
 /// A process, running or not.
 pub struct Process {
@@ -20,11 +19,53 @@
     member: u32,
     child: Option<Child>,
     /// Where its clients connect, while it runs.
-    pub clients: Option<SocketAddr>,
+    pub client_addr: Option<SocketAddr>,
+}
+
+/// A signal to a process.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Signal {
+    /// Read the configuration again.
+    Hangup,
+    /// End in order.
+    Terminate,
+    /// Stand still until [`Signal::Continue`].
+    Stop,
+    /// Run on.
+    Continue,
+}
+
+impl Signal {
+    /// Sends it to a process; nothing happens where that has ended.
+    pub(crate) fn send(self, child: &Child) {
+        let _ = Command::new("kill")
+            .args([self.option(), &child.id().to_string()])
+            .stderr(Stdio::null())
+            .status();
+    }
+
+    /// The option of `kill`.
+    fn option(self) -> &'static str {
+        match self {
+            Signal::Hangup => "-HUP",
+            Signal::Terminate => "-TERM",
+            Signal::Stop => "-STOP",
+            Signal::Continue => "-CONT",
+        }
+    }
+}
+
+/// What a process has used.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct ProcessUsage {
+    /// Its resident memory now.
+    pub memory_kilobytes: u64,
+    /// Processor time, in clock ticks of the system.
+    pub processor_ticks: u64,
 }
 
 impl Process {
-    /// One that is not started yet.
+    /// A process that is not started yet; its file and socket lie in `folder`.
     pub fn new(binary: &Path, folder: &Path, member: u32, config: &str) -> Process {
         let path = folder.join(format!("m{member}.kdl"));
         std::fs::write(&path, config).expect("a temporary file");
@@ -35,12 +76,12 @@
             socket,
             member,
             child: None,
-            clients: None,
+            client_addr: None,
         }
     }
 
-    /// Starts it; where its datagrams come in, if it takes part in a fleet.
-    pub fn start(&mut self, log: &Log, begun: Instant) -> Option<SocketAddr> {
+    /// Starts it, and waits until it serves; returns where its datagrams come in, if it takes part in a cluster.
+    pub fn start(&mut self, log: &EventLog) -> Option<SocketAddr> {
         let mut command = Command::new(&self.binary);
         command
             .args(["serve", "--config"])
@@ -49,33 +90,30 @@
             .stdin(Stdio::null());
         let mut child = command.spawn().expect("the program starts");
         let mut lines = ProcessLog::of(&mut child);
-        let mut cluster = None;
+        let mut datagram_addr = None;
         let (member, log) = (self.member, log.clone());
-        let clients = loop {
+        let client_addr = loop {
             let Some(line) = lines.next_line() else {
                 panic!("m{member} ended:\n{}", log.text());
             };
-            cluster = address_in(&line, "here").or(cluster);
+            datagram_addr = address_in(&line, "here").or(datagram_addr);
             if let Some(addr) = address_in(&line, "listen") {
                 break addr;
             }
         };
-        self.clients = Some(clients);
+        self.client_addr = Some(client_addr);
         self.child = Some(child);
-        lines.follow(move |line| log.note(begun, format!("m{member} says {}", line.trim())));
-        cluster
+        lines.follow(move |line| log.record(format!("m{member} says {}", line.trim())));
+        datagram_addr
     }
 
-    /// Whether it runs, or stands still.
-    pub fn runs(&mut self) -> bool {
-        let ended = self
-            .child
-            .as_mut()
-            .is_none_or(|c| c.try_wait().is_ok_and(|s| s.is_some()));
-        if ended {
+    /// Whether it runs, or is stopped by a signal.
+    pub fn is_running(&mut self) -> bool {
+        let has_ended = |child: &mut Child| child.try_wait().is_ok_and(|status| status.is_some());
+        if self.child.as_mut().is_none_or(has_ended) {
             self.child = None;
         }
-        !ended
+        self.child.is_some()
     }
 
     /// Ends it as a crash does.
@@ -86,84 +124,71 @@
         }
     }
 
-    /// Sends it a signal, by its id.
-    pub fn signal(&mut self, name: &str) {
+    /// Sends it a signal, where it runs.
+    pub fn signal(&mut self, signal: Signal) {
         if let Some(child) = &self.child {
-            let _ = Command::new("kill")
-                .args([name, &child.id().to_string()])
-                .status();
+            signal.send(child);
         }
     }
 
-    /// Waits until it has ended; whether it ended well.
+    /// Waits until it has ended; whether it ended with success.
     pub fn wait(&mut self) -> bool {
         self.child
             .take()
-            .is_some_and(|mut c| c.wait().is_ok_and(|s| s.success()))
+            .is_some_and(|mut child| child.wait().is_ok_and(|status| status.success()))
     }
 
-    /// Its resident memory in KB and the processor time that it has used, in clock ticks.
-    pub fn usage(&self) -> (u64, u64) {
-        let Some(id) = self.child.as_ref().map(Child::id) else {
-            return (0, 0);
+    /// What it has used; nothing where it does not run.
+    pub fn usage(&self) -> ProcessUsage {
+        let Some(child) = &self.child else {
+            return ProcessUsage::default();
         };
-        let text =
-            |name: &str| std::fs::read_to_string(format!("/proc/{id}/{name}")).unwrap_or_default();
-        let status = text("status");
-        let memory = status.lines().find_map(|l| {
-            l.strip_prefix("VmRSS:")?
-                .split_whitespace()
-                .next()?
-                .parse()
-                .ok()
-        });
-        let stat = text("stat");
-        let fields: Vec<&str> = stat
-            .rsplit(')')
-            .next()
-            .unwrap_or_default()
-            .split_whitespace()
-            .collect();
-        let ticks = |n: usize| {
-            fields
-                .get(n)
-                .and_then(|f| f.parse::<u64>().ok())
-                .unwrap_or(0)
+        let read = |name: &str| {
+            let path = format!("/proc/{}/{name}", child.id());
+            std::fs::read_to_string(path).unwrap_or_default()
         };
-        (memory.unwrap_or(0), ticks(11) + ticks(12))
+        ProcessUsage {
+            memory_kilobytes: resident_kilobytes(&read("status")).unwrap_or(0),
+            processor_ticks: processor_ticks(&read("stat")),
+        }
     }
 
-    /// Gives it another file, changed by this.
+    /// Replaces its file by what `change` makes of the text.
     pub fn change_config(&self, change: impl FnOnce(String) -> String) {
-        std::fs::write(&self.config, change(self.file())).expect("a temporary file");
+        std::fs::write(&self.config, change(self.config_text())).expect("a temporary file");
     }
 
-    /// Its file's text.
-    pub fn file(&self) -> String {
+    /// The text of its file.
+    pub fn config_text(&self) -> String {
         std::fs::read_to_string(&self.config).expect("its file")
     }
 
-    /// Whom it sees, by name; none where it does not answer, as one that is stopped.
+    /// The members that it sees, by name; none where it does not answer.
     pub fn members(&self) -> Vec<Member> {
-        self.snapshot().map_or(Vec::new(), |s| s.members)
+        self.snapshot()
+            .map_or(Vec::new(), |snapshot| snapshot.members)
     }
 
-    /// All that it tells operators; nothing where it does not answer.
+    /// The snapshot that operators get; `None` where it does not answer.
     pub fn snapshot(&self) -> Option<Snapshot> {
-        let at = Endpoint::Socket(self.socket.clone());
-        match Remote::connect(&at).and_then(|mut r| r.ask(&Request::Snapshot)) {
-            Ok(Reply::Snapshot(s)) => Some(*s),
+        let endpoint = Endpoint::Socket(self.socket.clone());
+        match Remote::connect(&endpoint).and_then(|mut remote| remote.ask(&Request::Snapshot)) {
+            Ok(Reply::Snapshot(snapshot)) => Some(*snapshot),
             _ => None,
         }
     }
 
-    /// Has it do what operators may ask; what it says, as done or as refused.
-    pub fn ask(&self, request: &Request) -> Result<String, String> {
-        ask(&self.socket, request)
+    /// Sends it an operator's request, and returns what it says when that is done.
+    ///
+    /// # Errors
+    ///
+    /// It refused the request, or did not answer.
+    pub fn request(&self, request: &Request) -> Result<String, RequestError> {
+        send_request(&self.socket, request)
     }
 
     /// Where operators connect.
-    pub fn control(&self) -> &Path {
+    pub fn control_socket(&self) -> &Path {
         &self.socket
     }
 }
@@ -174,35 +199,57 @@
     }
 }
 
-/// Has the program that listens here for operators do something; what it says, as done or as refused.
-pub fn ask(socket: &Path, request: &Request) -> Result<String, String> {
-    match Remote::connect(&Endpoint::Socket(socket.into())).and_then(|mut r| r.ask(request)) {
-        Ok(Reply::Done(words)) => Ok(words),
-        Ok(Reply::Refused(why)) => Err(why),
-        Ok(other) => Err(format!("{other:?}")),
-        Err(e) => Err(e.to_string()),
+/// The figure of `VmRSS` in the text of `/proc/PID/status`.
+fn resident_kilobytes(status: &str) -> Option<u64> {
+    let figure = status.lines().find_map(|l| l.strip_prefix("VmRSS:"))?;
+    figure.split_whitespace().next()?.parse().ok()
+}
+
+/// User and system time in the text of `/proc/PID/stat`, in clock ticks.
+fn processor_ticks(stat: &str) -> u64 {
+    /// Fields behind the name in brackets.
+    const USER_TIME: usize = 11;
+    const SYSTEM_TIME: usize = 12;
+    let behind_name = stat.rsplit(')').next().unwrap_or_default();
+    let fields: Vec<&str> = behind_name.split_whitespace().collect();
+    let ticks = |field: usize| fields.get(field).and_then(|f| f.parse::<u64>().ok());
+    ticks(USER_TIME).unwrap_or(0) + ticks(SYSTEM_TIME).unwrap_or(0)
+}
+
+/// Sends an operator's request to the program at this control socket, and returns what it says when that is done.
+///
+/// # Errors
+///
+/// The program refused the request, or did not answer.
+pub fn send_request(socket: &Path, request: &Request) -> Result<String, RequestError> {
+    match Remote::connect(&Endpoint::Socket(socket.into()))?.ask(request)? {
+        Reply::Done(words) => Ok(words),
+        Reply::Refused(why) => Err(RequestError::Refused(why)),
+        other => Err(RequestError::UnexpectedReply(Box::new(other))),
     }
 }
 
 /// Sends these bytes on a new connection and reads all that comes until its end.
+///
+/// # Errors
+///
+/// The socket's errors; a time-out behind [`TEST_TIMEOUT`].
 pub fn call(addr: SocketAddr, bytes: &str) -> std::io::Result<String> {
     let mut stream = TcpStream::connect(addr)?;
     stream.set_read_timeout(Some(TEST_TIMEOUT))?;
     stream.write_all(bytes.as_bytes())?;
-    let mut answer = Vec::new();
-    stream.read_to_end(&mut answer)?;
-    Ok(String::from_utf8_lossy(&answer).into_owned())
+    let mut response = Vec::new();
+    stream.read_to_end(&mut response)?;
+    Ok(String::from_utf8_lossy(&response).into_owned())
 }
 
-/// A counter of the program that listens here.
+/// A counter of the program whose clients connect at this address; `None` where it has none of this name, or does not answer.
 pub fn counter(addr: SocketAddr, name: &str) -> Option<u64> {
-    let text = call(
-        addr,
-        "GET /counters HTTP/1.1\r\nHost: t\r\nConnection: close\r\n\r\n",
-    )
-    .ok()?;
-    let line = text
-        .lines()
-        .find(|l| l.rsplit_once(' ').is_some_and(|(n, _)| n == name))?;
-    line.rsplit(' ').next()?.parse().ok()
+    let request = "GET /counters HTTP/1.1\r\nHost: t\r\nConnection: close\r\n\r\n";
+    let text = call(addr, request).ok()?;
+    let value_of = |line: &str| {
+        let (counter, value) = line.rsplit_once(' ')?;
+        (counter == name).then(|| value.parse().ok())
+    };
+    text.lines().find_map(value_of)?
 }
--- a/crates/cluster-harness/src/soak/client.rs
+++ b/crates/cluster-harness/src/soak/client.rs
@@ -1,41 +1,56 @@
-//! Clients that keep a connection each and use it until it ends, whatever the coordinator has been told.
+//! Clients that keep a connection each and use it until it ends, whatever signals the coordinator got.
 
 use super::plan::Plan;
+use super::response::{read_response, Received};
+use super::ProcessId;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
-use std::io::{ErrorKind, Read, Write};
+use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// A request that crosses the close of a resting connection within this time is the client's to send again.
-pub(super) const CROSSES: Duration = Duration::from_millis(50);
-/// A client waits so much longer than its time: what comes then is late, what does not come is lost.
-pub(super) const LATE: Duration = Duration::from_millis(500);
-/// Where nobody listens a client tries again after this.
-const RECONNECT: Duration = Duration::from_millis(10);
-/// A client rests for up to this long between its requests.
-const RESTS_MOST_MS: u64 = 40;
-/// The least time that a client gives.
-const PATIENCE_LEAST_MS: u64 = 250;
+/// A request that crosses the close of an idle connection within this time is the client's to send again.
+pub(super) const CLOSE_CROSSING_TIME: Duration = Duration::from_millis(50);
+/// A client waits so much longer than its timeout: what comes then is late, what does not come is lost.
+pub(super) const LATE_TIME: Duration = Duration::from_millis(500);
+/// Where nobody listens a client connects again after this.
+const RECONNECT_INTERVAL: Duration = Duration::from_millis(10);
+/// An idle client that was disconnected connects again after this.
+const IDLE_RECONNECT_INTERVAL: Duration = Duration::from_millis(50);
+/// A client pauses for up to this long between its requests.
+const MAX_PAUSE_MS: u64 = 40;
+/// The shortest timeout of a client.
+const MIN_TIMEOUT_MS: u64 = 250;
 /// Table groups that requests are spread over.
-const GROUPS: u64 = 16;
+const TABLE_GROUPS: u64 = 16;
 /// One request in so many must not run twice.
-const INSERTS: u64 = 5;
+const INSERT_INTERVAL: u64 = 5;
+/// Numbers of requests of one seed are below those of the next.
+const SEED_SHIFT: u32 = 20;
+
+/// A process that serves clients.
+#[derive(Clone, Copy)]
+pub(super) struct Listening {
+    /// Where its clients connect.
+    pub addr: SocketAddr,
+    /// Its number among the coordinator's processes.
+    pub process: u32,
+}
 
-/// Where a coordinator's clients connect, and which of its processes that is.
+/// The process of a coordinator to which clients connect at present.
 #[derive(Clone, Default)]
-pub(super) struct Target(Arc<Mutex<Option<(SocketAddr, u32)>>>);
+pub(super) struct Target(Arc<Mutex<Option<Listening>>>);
 
 impl Target {
-    /// A process listens here from now on; nobody does with `None`.
-    pub(super) fn set(&self, at: Option<(SocketAddr, u32)>) {
-        *self.0.lock().expect("a target") = at;
+    /// Clients connect to this process from now on.
+    pub(super) fn set(&self, listening: Listening) {
+        *self.0.lock().expect("a target") = Some(listening);
     }
 
-    fn get(&self) -> Option<(SocketAddr, u32)> {
+    fn get(&self) -> Option<Listening> {
         *self.0.lock().expect("a target")
     }
 }
@@ -43,40 +58,40 @@
 /// What became of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum End {
-    /// It was answered: 200, and the status otherwise.
+    /// A response came: 200 with its result, or another status.
     Answered(u16),
-    /// What came is no answer to it.
+    /// What came is no response to it.
     Wrong,
-    /// Its connection ended, or its time did, before a whole answer.
+    /// Its connection or its time ended before a complete response.
     Unanswered,
 }
 
 /// One request, as its client saw it.
 #[derive(Clone, Debug)]
-pub(super) struct Asked {
-    /// The coordinator, and which of its processes.
-    pub process: (usize, u32),
+pub(super) struct RequestRecord {
+    /// The process that it was sent to.
+    pub process: ProcessId,
     /// The statement, which names it everywhere.
     pub statement: String,
-    /// Its time.
-    pub patience: Duration,
+    /// How long its client waits.
+    pub timeout: Duration,
     /// When its last byte was written.
-    pub at: Instant,
+    pub sent_at: Instant,
     /// How long it took to its end.
-    pub took: Duration,
+    pub duration: Duration,
     /// Its end.
     pub end: End,
 }
 
 /// All clients of a soak.
 pub(super) struct Clients {
-    threads: Vec<JoinHandle<Vec<Asked>>>,
+    threads: Vec<JoinHandle<Vec<RequestRecord>>>,
 }
 
 impl Clients {
-    /// They ask until the plan's end.
+    /// Starts the clients of all coordinators; they send requests until the plan's end.
     pub(super) fn start(plan: &Plan, targets: &[Target]) -> Clients {
-        let number = Arc::new(AtomicU64::new(plan.seed << 20));
+        let next_number = Arc::new(AtomicU64::new(plan.seed << SEED_SHIFT));
         let until = Instant::now() + plan.length;
         let mut threads = Vec::new();
         for (coordinator, target) in targets.iter().enumerate() {
@@ -88,168 +103,127 @@
                         plan.seed ^ ((coordinator * 100 + n) as u64) << 32,
                     ),
                     deadline: plan.deadline,
-                    number: number.clone(),
+                    next_number: next_number.clone(),
                     until,
-                    asked: Vec::new(),
+                    records: Vec::new(),
                 };
                 threads.push(std::thread::spawn(move || client.run()));
             }
-            for _ in 0..plan.coordinators[coordinator].crowd {
+            for _ in 0..plan.coordinators[coordinator].idle_clients {
                 let target = target.clone();
-                std::thread::spawn(move || idle(&target, until));
+                std::thread::spawn(move || stay_idle(&target, until));
             }
         }
         Clients { threads }
     }
 
-    /// What they asked, once all are done.
-    pub(super) fn end(self) -> Vec<Asked> {
+    /// All requests, once all clients are done.
+    pub(super) fn end(self) -> Vec<RequestRecord> {
         self.threads
             .into_iter()
-            .flat_map(|t| t.join().expect("a client"))
+            .flat_map(|thread| thread.join().expect("a client"))
             .collect()
     }
 }
 
-/// A client of a crowd: it connects, says nothing, and comes again when it is shut out.
-fn idle(target: &Target, until: Instant) {
+/// Connects, sends nothing, and connects again when it is disconnected.
+fn stay_idle(target: &Target, until: Instant) {
     while Instant::now() < until {
-        if let Some(mut stream) = target
-            .get()
-            .and_then(|(addr, _)| TcpStream::connect(addr).ok())
-        {
-            let _ = stream.set_read_timeout(Some(
-                until
-                    .saturating_duration_since(Instant::now())
-                    .max(RECONNECT),
-            ));
+        let listening = target.get();
+        if let Some(mut stream) = listening.and_then(|l| TcpStream::connect(l.addr).ok()) {
+            let remaining = until.saturating_duration_since(Instant::now());
+            let _ = stream.set_read_timeout(Some(remaining.max(RECONNECT_INTERVAL)));
             let _ = stream.read(&mut [0; 64]);
         }
-        std::thread::sleep(RECONNECT * 5);
+        std::thread::sleep(IDLE_RECONNECT_INTERVAL);
     }
 }
 
+/// A client's connection, and the process at its other end.
+struct Connection {
+    stream: TcpStream,
+    process: u32,
+}
+
 struct Client {
     coordinator: usize,
     target: Target,
     rng: SmallRng,
+    /// The longest timeout of a request.
     deadline: Duration,
-    number: Arc<AtomicU64>,
+    next_number: Arc<AtomicU64>,
     until: Instant,
-    asked: Vec<Asked>,
+    records: Vec<RequestRecord>,
 }
 
 impl Client {
-    fn run(mut self) -> Vec<Asked> {
-        let mut open: Option<(TcpStream, u32)> = None;
+    fn run(mut self) -> Vec<RequestRecord> {
+        let mut open: Option<Connection> = None;
         while Instant::now() < self.until {
-            std::thread::sleep(Duration::from_millis(
-                self.rng.random_range(0..RESTS_MOST_MS),
-            ));
-            if open.is_none() {
-                open = self.connect();
-            }
-            let Some((mut stream, process)) = open.take() else {
-                std::thread::sleep(RECONNECT);
+            let pause = self.rng.random_range(0..MAX_PAUSE_MS);
+            std::thread::sleep(Duration::from_millis(pause));
+            let Some(mut connection) = open.take().or_else(|| self.connect()) else {
+                std::thread::sleep(RECONNECT_INTERVAL);
                 continue;
             };
-            if self.ask(&mut stream, process) {
-                open = Some((stream, process));
+            if self.send_request(&mut connection) {
+                open = Some(connection);
             }
         }
-        self.asked
+        self.records
     }
 
-    fn connect(&self) -> Option<(TcpStream, u32)> {
-        let (addr, process) = self.target.get()?;
+    fn connect(&self) -> Option<Connection> {
+        let Listening { addr, process } = self.target.get()?;
         let stream = TcpStream::connect(addr).ok()?;
         stream.set_nodelay(true).ok()?;
-        Some((stream, process))
+        Some(Connection { stream, process })
     }
 
-    /// Asks on a connection; true if that may be used again.
-    fn ask(&mut self, stream: &mut TcpStream, process: u32) -> bool {
-        let n = self.number.fetch_add(1, Ordering::Relaxed);
-        let (class, verb) = if n.is_multiple_of(INSERTS) {
-            ("load", "INSERT")
-        } else {
-            ("lookup", "SELECT")
+    /// Sends a request and waits for its end; whether the connection may be used again.
+    fn send_request(&mut self, connection: &mut Connection) -> bool {
+        let number = self.next_number.fetch_add(1, Ordering::Relaxed);
+        let (class, verb) = match number.is_multiple_of(INSERT_INTERVAL) {
+            true => ("load", "INSERT"),
+            false => ("lookup", "SELECT"),
         };
         // Table groups spread the requests over the engines.
-        let group = n % GROUPS;
+        let group = number % TABLE_GROUPS;
         let statement = format!(
-            "{verb} c{}p{process}n{n} FROM g_{group}.t",
-            self.coordinator
+            "{verb} c{}p{}n{number} FROM g_{group}.t",
+            self.coordinator, connection.process
         );
-        let most = self.deadline.as_millis() as u64;
-        let patience = self.rng.random_range(PATIENCE_LEAST_MS..=most);
+        let timeout = self.draw_timeout();
         let request = format!(
-            "POST /ops/{class} HTTP/1.1\r\nHost: soak\r\nX-Call-Id: {n:016x}\r\nX-Patience-Ms: {patience}\r\n\
+            "POST /ops/{class} HTTP/1.1\r\nHost: soak\r\nX-Call-Id: {number:016x}\r\nX-Patience-Ms: {}\r\n\
              Content-Length: {}\r\n\r\n{statement}",
+            timeout.as_millis(),
             statement.len()
         );
-        if stream.write_all(request.as_bytes()).is_err() {
-            // Not written whole: it was never taken.
+        if connection.stream.write_all(request.as_bytes()).is_err() {
+            // Not written completely: it was never accepted.
             return false;
         }
-        let at = Instant::now();
-        let patience = Duration::from_millis(patience);
-        let (end, stays) = read_answer(stream, at + patience + LATE, &statement);
-        let process = (self.coordinator, process);
-        self.asked.push(Asked {
-            process,
+        let sent_at = Instant::now();
+        let give_up_at = sent_at + timeout + LATE_TIME;
+        let Received { end, stays_open } =
+            read_response(&mut connection.stream, give_up_at, &statement);
+        self.records.push(RequestRecord {
+            process: ProcessId {
+                coordinator: self.coordinator,
+                process: connection.process,
+            },
             statement,
-            patience,
-            at,
-            took: at.elapsed(),
+            timeout,
+            sent_at,
+            duration: sent_at.elapsed(),
             end,
         });
-        stays
+        stays_open
     }
-}
 
-/// Reads one answer until this time; its end, and whether the connection stays open.
-fn read_answer(stream: &mut TcpStream, until: Instant, statement: &str) -> (End, bool) {
-    let mut bytes = Vec::new();
-    let mut chunk = [0; 4096];
-    loop {
-        if let Some((status, body, closes)) = whole(&bytes) {
-            let right = status != 200 || body.contains(statement);
-            return (
-                if right {
-                    End::Answered(status)
-                } else {
-                    End::Wrong
-                },
-                right && !closes,
-            );
-        }
-        let left = until.saturating_duration_since(Instant::now());
-        if left.is_zero() || stream.set_read_timeout(Some(left)).is_err() {
-            return (End::Unanswered, false);
-        }
-        match stream.read(&mut chunk) {
-            Ok(0) => return (End::Unanswered, false),
-            Ok(n) => bytes.extend_from_slice(&chunk[..n]),
-            Err(e) if e.kind() == ErrorKind::Interrupted => {}
-            Err(_) => return (End::Unanswered, false),
-        }
+    fn draw_timeout(&mut self) -> Duration {
+        let longest = u64::try_from(self.deadline.as_millis()).expect("a few seconds");
+        Duration::from_millis(self.rng.random_range(MIN_TIMEOUT_MS..=longest))
     }
 }
-
-/// An answer's status and body, and whether its connection closes, once all of it is there.
-fn whole(bytes: &[u8]) -> Option<(u16, String, bool)> {
-    let text = String::from_utf8_lossy(bytes);
-    let (head, body) = text.split_once("\r\n\r\n")?;
-    let field = |name: &str| {
-        head.lines().find_map(|l| {
-            l.split_once(':')
-                .filter(|f| f.0.eq_ignore_ascii_case(name))
-                .map(|f| f.1.trim())
-        })
-    };
-    let length: usize = field("content-length")?.parse().ok()?;
-    let status = head.split(' ').nth(1)?.parse().ok()?;
-    let closes = field("connection").is_some_and(|c| c.eq_ignore_ascii_case("close"));
-    (body.len() >= length).then(|| (status, body.to_string(), closes))
-}
--- a/crates/cluster-harness/src/soak/coordinator.rs
+++ b/crates/cluster-harness/src/soak/coordinator.rs
@@ -1,8 +1,10 @@
-//! One coordinator through its life: processes of the program, one after another, with signals and the platform's kill.
+//! One coordinator of a soak: processes of the program, one after another, with signals and the platform's kill.
 
-use super::client::Target;
-use super::list::List;
-use super::plan::{Life, Plan, Signal};
+use super::client::{Listening, Target};
+use super::list::EngineList;
+use super::plan::{Plan, Schedule};
+use super::ProcessId;
+use crate::process::Signal;
 use crate::process_log::{address_in, ProcessLog};
 use crate::wall_clock::WallClock;
 use std::net::SocketAddr;
@@ -13,31 +15,41 @@
 
 /// The settings, with words in capitals for what a plan sets.
 const CONFIG: &str = include_str!("config.json");
-/// How often a process is looked at while it ends.
-const POLL: Duration = Duration::from_millis(2);
+/// Time between looks at a process that is to end.
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 /// How one process ended.
 #[derive(Debug)]
-pub(super) struct Ended {
-    /// The coordinator, and which of its processes.
-    pub process: (usize, u32),
-    /// When it was told to end, if it was.
-    pub told: Option<Instant>,
-    /// It had to be killed.
-    pub killed: bool,
-    /// It ended by itself without having been told, or badly.
-    pub crashed: Option<String>,
+pub(super) struct EndedProcess {
+    pub id: ProcessId,
+    /// When it got its first SIGTERM.
+    pub terminated_at: Instant,
+    pub end: ProcessEnd,
     /// What it logged.
     pub log: String,
 }
 
+/// How a process ended that got a SIGTERM.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum ProcessEnd {
+    /// In order.
+    Success,
+    /// With an error, or by a signal of its own.
+    Crash(ExitStatus),
+    /// By the platform's kill, as it had not ended in time.
+    Killed,
+}
+
 /// A coordinator of the soak.
 pub(super) struct Coordinator {
     binary: PathBuf,
     number: usize,
     config: PathBuf,
-    text: String,
+    /// The text of the file, but for the list's address.
+    config_text: String,
+    /// The addresses between which a SIGHUP moves the list of engines.
     lists: [SocketAddr; 2],
+    /// How long after SIGTERM the platform kills.
     kills_after: Duration,
     length: Duration,
     descriptors: usize,
@@ -53,8 +65,8 @@
 }
 
 impl Coordinator {
-    /// One that is not started yet.
-    pub(super) fn new(binary: &Path, number: usize, plan: &Plan, list: &List) -> Coordinator {
+    /// A coordinator that is not started yet.
+    pub(super) fn new(binary: &Path, number: usize, plan: &Plan, list: &EngineList) -> Coordinator {
         let descriptors = plan.coordinators[number].descriptors;
         let micros = |time: Duration| time.as_micros().to_string();
         let text = CONFIG
@@ -73,40 +85,48 @@
             binary: binary.into(),
             number,
             config: std::env::temp_dir().join(name),
-            text,
+            config_text: text,
             lists: list.addrs,
             kills_after: plan.kills_after(),
             length: plan.length,
             descriptors,
             clock: WallClock::new(binary),
         };
-        coordinator.follow(0);
+        coordinator.write_config(0);
         coordinator
     }
 
-    /// From its next start, or SIGHUP, on it follows the list at this address.
-    fn follow(&self, list: usize) {
-        let text = self.text.replace("LIST", &self.lists[list].to_string());
+    /// Writes its file with one of the list's addresses; it is read at the next start or SIGHUP.
+    fn write_config(&self, list: usize) {
+        let text = self
+            .config_text
+            .replace("LIST", &self.lists[list].to_string());
         std::fs::write(&self.config, text).expect("a temporary file");
     }
 
-    /// Lives through its signals and steps, then until the soak's end; how each of its processes ended.
-    pub(super) fn live(self, life: &Life, target: &Target, begun: Instant) -> Vec<Ended> {
+    /// Runs through its signals and clock steps, then until the soak's end; how each of its processes ended.
+    pub(super) fn run(
+        self,
+        schedule: &Schedule,
+        target: &Target,
+        started: Instant,
+    ) -> Vec<EndedProcess> {
         let mut running = Running::start(&self, target);
-        for (at, event) in events_of(life) {
-            running.restart_if_ended(begun + at);
-            sleep_until(begun + at);
+        for (time, event) in events_of(schedule) {
+            running.restart_if_ended(started + time);
+            sleep_until(started + time);
             running.apply(event);
         }
-        let end = begun + self.length + self.kills_after;
+        let end = started + self.length + self.kills_after;
         running.restart_if_ended(end);
-        // At the end it has nothing open any more: clients' time is over.
+        // At the end it has nothing open any more: all clients have given up.
         sleep_until(end);
-        let ends = running.end();
+        let ended_processes = running.end();
         let _ = std::fs::remove_file(&self.config);
-        ends
+        ended_processes
     }
 
+    /// Starts a process, and waits until it serves.
     fn start(&self, number: u32) -> Process {
         let mut child = self.spawn();
         let mut lines = ProcessLog::of(&mut child);
@@ -118,8 +138,8 @@
                 break addr;
             }
         };
-        let kept = log.clone();
-        lines.follow(move |line| kept.lock().expect("the log").push_str(line));
+        let further_lines = log.clone();
+        lines.follow(move |line| further_lines.lock().expect("the log").push_str(line));
         Process {
             child,
             number,
@@ -140,65 +160,66 @@
             .arg(&self.binary)
             .arg(&self.config);
         self.clock
-            .give_to(&mut command)
+            .apply_to(&mut command)
             .stderr(Stdio::piped())
             .spawn()
             .expect("the program starts")
     }
 
-    /// Waits until a process that was told to end has done so, and kills it at the earliest moment; nothing where it still may
-    /// run then.
-    fn wait(&self, process: &mut Process, told: Instant, until: Instant) -> Option<Ended> {
+    /// Waits until a process that got a SIGTERM has ended, and kills it at the earliest moment that the platform allows; `None`
+    /// where it still runs at `until`.
+    fn wait(
+        &self,
+        process: &mut Process,
+        terminated_at: Instant,
+        until: Instant,
+    ) -> Option<EndedProcess> {
+        let ended = |process: &Process, end| EndedProcess {
+            id: ProcessId {
+                coordinator: self.number,
+                process: process.number,
+            },
+            terminated_at,
+            end,
+            log: process.log.lock().expect("the log").clone(),
+        };
         loop {
-            if let Some(status) = process.child.try_wait().expect("its state") {
-                return Some(self.ended(process, told, false, Some(status)));
+            match process.child.try_wait().expect("its state") {
+                Some(status) if status.success() => {
+                    return Some(ended(process, ProcessEnd::Success))
+                }
+                Some(status) => return Some(ended(process, ProcessEnd::Crash(status))),
+                None => {}
             }
-            if Instant::now() >= told + self.kills_after {
+            if Instant::now() >= terminated_at + self.kills_after {
                 process.child.kill().expect("it runs");
                 process.child.wait().expect("it ended");
-                return Some(self.ended(process, told, true, None));
+                return Some(ended(process, ProcessEnd::Killed));
             }
             if Instant::now() >= until {
                 return None;
             }
-            std::thread::sleep(POLL);
-        }
-    }
-
-    fn ended(
-        &self,
-        process: &Process,
-        told: Instant,
-        killed: bool,
-        status: Option<ExitStatus>,
-    ) -> Ended {
-        let crashed = status.filter(|s| !s.success()).map(|s| s.to_string());
-        let log = process.log.lock().expect("the log").clone();
-        Ended {
-            process: (self.number, process.number),
-            told: Some(told),
-            killed,
-            crashed,
-            log,
+            std::thread::sleep(POLL_INTERVAL);
         }
     }
 }
 
 /// What happens to a coordinator.
+#[derive(Clone, Copy)]
 enum Event {
     Signal(Signal),
-    /// Its wall clock is set, to be so many microseconds off.
-    Step(i64),
+    /// Its wall clock is set, and is off by so many microseconds from then on.
+    ClockStep(i64),
 }
 
 /// All that happens to a coordinator, in order of time.
-fn events_of(life: &Life) -> Vec<(Duration, Event)> {
-    let signals = life.signals.iter();
-    let signals = signals.map(|&(at, signal)| (at, Event::Signal(signal)));
-    let steps = life.steps.iter();
-    let steps = steps.map(|&(at, offset)| (at, Event::Step(offset)));
+fn events_of(schedule: &Schedule) -> Vec<(Duration, Event)> {
+    let signals = schedule.signals.iter();
+    let signals = signals.map(|&(time, signal)| (time, Event::Signal(signal)));
+    let steps = schedule.clock_steps.iter();
+    let steps = steps.map(|&(time, offset)| (time, Event::ClockStep(offset)));
     let mut events: Vec<(Duration, Event)> = signals.chain(steps).collect();
-    events.sort_by_key(|e| e.0);
+    events.sort_by_key(|event| event.0);
     events
 }
 
@@ -211,24 +232,24 @@
     coordinator: &'a Coordinator,
     target: &'a Target,
     process: Process,
-    /// When it got its first SIGTERM: from then on the platform looks whether it has ended, and kills it in time.
+    /// When it got its first SIGTERM: from then on the platform waits for its end, and kills it in time.
     terminated_at: Option<Instant>,
     /// Which list of engines it follows.
     list: usize,
-    ends: Vec<Ended>,
+    ended_processes: Vec<EndedProcess>,
 }
 
 impl<'a> Running<'a> {
     fn start(coordinator: &'a Coordinator, target: &'a Target) -> Running<'a> {
         let process = coordinator.start(0);
-        target.set(Some((process.listen, 0)));
+        target.set(process.listening());
         Running {
             coordinator,
             target,
             process,
             terminated_at: None,
             list: 0,
-            ends: Vec::new(),
+            ended_processes: Vec::new(),
         }
     }
 
@@ -243,47 +264,50 @@
         let Some(ended) = ended else {
             return;
         };
-        self.ends.push(ended);
+        self.ended_processes.push(ended);
         self.process = self.coordinator.start(self.process.number + 1);
-        self.target
-            .set(Some((self.process.listen, self.process.number)));
+        self.target.set(self.process.listening());
         self.terminated_at = None;
     }
 
     fn apply(&mut self, event: Event) {
         match event {
-            Event::Step(offset) => self.coordinator.clock.set(offset),
-            Event::Signal(Signal::Hangup) => {
-                self.list = 1 - self.list;
-                self.coordinator.follow(self.list);
-                self.process.signal("-HUP");
-            }
-            Event::Signal(Signal::Terminate) => {
-                self.process.signal("-TERM");
-                self.terminated_at.get_or_insert_with(Instant::now);
+            Event::ClockStep(offset) => self.coordinator.clock.set(offset),
+            Event::Signal(signal) => {
+                match signal {
+                    Signal::Hangup => {
+                        self.list = 1 - self.list;
+                        self.coordinator.write_config(self.list);
+                    }
+                    Signal::Terminate => {
+                        self.terminated_at.get_or_insert_with(Instant::now);
+                    }
+                    Signal::Stop | Signal::Continue => {}
+                }
+                signal.send(&self.process.child);
             }
         }
     }
 
     /// Ends the process; how each of the coordinator's ended.
-    fn end(mut self) -> Vec<Ended> {
-        self.process.signal("-TERM");
+    fn end(mut self) -> Vec<EndedProcess> {
+        Signal::Terminate.send(&self.process.child);
         let terminated_at = Instant::now();
         let until = terminated_at + self.coordinator.kills_after * 2;
         let ended = self
             .coordinator
             .wait(&mut self.process, terminated_at, until);
-        self.ends.extend(ended);
-        self.ends
+        self.ended_processes.extend(ended);
+        self.ended_processes
     }
 }
 
 impl Process {
-    fn signal(&self, name: &str) {
-        let _ = Command::new("kill")
-            .args([name, &self.child.id().to_string()])
-            .stderr(Stdio::null())
-            .status();
+    fn listening(&self) -> Listening {
+        Listening {
+            addr: self.listen,
+            process: self.number,
+        }
     }
 }
 
--- a/crates/cluster-harness/src/soak/engine.rs
+++ b/crates/cluster-harness/src/soak/engine.rs
@@ -1,14 +1,14 @@
-//! An engine in the platform's language that misbehaves by a plan.
+//! A mock engine that speaks the platform's line protocol and misbehaves by a plan.
 
-use super::plan::{Mode, Trouble};
-use driftfront_mock_servers::ledger::RequestLog;
+use super::plan::{EngineFault, Mode};
+use driftfront_mock_servers::request_log::RequestLog;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
 /// How long a request runs.
-const RUNS: Duration = Duration::from_millis(2);
+const RUN_TIME: Duration = Duration::from_millis(2);
 
 /// An engine that listens.
 pub(super) struct Engine {
@@ -16,21 +16,21 @@
 }
 
 impl Engine {
-    /// Starts one; its troubles count from `begun`.
+    /// Starts one; the times of its faults count from `started`.
     pub(super) fn start(
-        troubles: Vec<Trouble>,
-        begun: Instant,
-        ledger: &Arc<RequestLog>,
+        faults: Vec<EngineFault>,
+        started: Instant,
+        request_log: &Arc<RequestLog>,
     ) -> Engine {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let addr = listener.local_addr().expect("an address");
-        let ledger = ledger.clone();
+        let request_log = request_log.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let session = Session {
-                    troubles: troubles.clone(),
-                    begun,
-                    ledger: ledger.clone(),
+                    faults: faults.clone(),
+                    started,
+                    request_log: request_log.clone(),
                     addr,
                 };
                 std::thread::spawn(move || session.serve(stream));
@@ -39,7 +39,7 @@
         Engine { addr }
     }
 
-    /// Where it listens, which is its name in the ledger, too.
+    /// Where it listens, which is its name in the request log, too.
     pub(super) fn addr(&self) -> SocketAddr {
         self.addr
     }
@@ -47,22 +47,23 @@
 
 /// One connection to an engine.
 struct Session {
-    troubles: Vec<Trouble>,
-    begun: Instant,
-    ledger: Arc<RequestLog>,
+    faults: Vec<EngineFault>,
+    started: Instant,
+    request_log: Arc<RequestLog>,
     addr: SocketAddr,
 }
 
 impl Session {
+    /// The fault that it has now.
     fn mode(&self) -> Option<Mode> {
-        let now = self.begun.elapsed();
-        self.troubles
+        let now = self.started.elapsed();
+        self.faults
             .iter()
-            .find(|t| t.during.contains(&now))
-            .map(|t| t.mode)
+            .find(|fault| fault.during.contains(&now))
+            .map(|fault| fault.mode)
     }
 
-    /// Answers until the connection ends.
+    /// Responds until the connection ends.
     fn serve(&self, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
         let Ok(mut out) = stream.try_clone() else {
@@ -72,7 +73,7 @@
         let mut line = String::new();
         while input.read_line(&mut line).is_ok_and(|n| n > 0) {
             let words: Vec<&str> = line.trim_end().split(' ').collect();
-            let answer = match words[..] {
+            let response = match words[..] {
                 ["REQ", id, _, length] => match read_statement(&mut input, length) {
                     Some(statement) => self.run(id, &statement, &out),
                     None => return,
@@ -82,18 +83,18 @@
                 }
                 _ => None,
             };
-            if answer.is_some_and(|a| out.write_all(a.as_bytes()).is_err()) {
+            if response.is_some_and(|r| out.write_all(r.as_bytes()).is_err()) {
                 return;
             }
             line.clear();
         }
     }
 
-    /// What a request is answered, if it is.
+    /// Runs a request; the response, if there is one.
     fn run(&self, id: &str, statement: &str, stream: &TcpStream) -> Option<String> {
         let mode = self.mode();
         let entry = self
-            .ledger
+            .request_log
             .begin(&self.addr.to_string(), id, statement, None);
         match mode {
             Some(Mode::Hang) => None,
@@ -103,16 +104,16 @@
                 None
             }
             Some(Mode::Full) => {
-                self.ledger.end(entry, false);
+                self.request_log.end(entry, false);
                 Some(format!("{id} SHED - 0\r\n\r\n"))
             }
             Some(Mode::Fault) => {
-                self.ledger.end(entry, true);
+                self.request_log.end(entry, true);
                 Some(format!("{id} FAULT - 0\r\n\r\n"))
             }
             None => {
-                std::thread::sleep(RUNS);
-                self.ledger.end(entry, true);
+                std::thread::sleep(RUN_TIME);
+                self.request_log.end(entry, true);
                 let row = format!("{statement}\tx\ty\n");
                 Some(format!("{id} HIT fetches=1 {}\r\n{row}\r\n", row.len()))
             }
@@ -120,7 +121,7 @@
     }
 }
 
-/// The statement behind a request's line, of the length told there.
+/// Reads the statement behind a request's line, which gives its length.
 fn read_statement(input: &mut impl Read, length: &str) -> Option<String> {
     let mut body = vec![0; length.parse::<usize>().ok()? + 2];
     input.read_exact(&mut body).ok()?;
--- a/crates/cluster-harness/src/soak/list.rs
+++ b/crates/cluster-harness/src/soak/list.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the platform's list of engines, at two addresses: a stream of server-sent events.
+//! A mock of the platform's list of engines, at two addresses: a stream of server-sent events.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -6,60 +6,70 @@
 use std::time::{Duration, Instant};
 
 /// A comment goes out this often where nothing changes.
-const COMMENT_EVERY: Duration = Duration::from_secs(1);
+const COMMENT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What has been told so far.
+/// All events so far, which every connection gets.
 #[derive(Default)]
-struct Told {
+struct EventStream {
     events: Mutex<Vec<String>>,
-    news: Condvar,
+    added: Condvar,
 }
 
-/// The list.
-pub(super) struct List {
-    /// Where it is told: a SIGHUP moves coordinators from one to the other.
+/// An engine that was reported to drain.
+#[derive(Clone, Copy)]
+pub(super) struct Drain {
+    /// The engine.
+    pub engine: SocketAddr,
+    /// When the list reported it.
+    pub reported_at: Instant,
+}
+
+/// The list of engines.
+pub(super) struct EngineList {
+    /// Where the list is served: a SIGHUP moves coordinators from one to the other.
     pub addrs: [SocketAddr; 2],
     engines: Vec<SocketAddr>,
-    told: Arc<Told>,
-    /// Engines that drain, and when that was told.
-    drained: Mutex<Vec<(SocketAddr, Instant)>>,
+    stream: Arc<EventStream>,
+    drains: Mutex<Vec<Drain>>,
 }
 
-impl List {
-    /// Tells that these engines are ready.
-    pub(super) fn start(engines: Vec<SocketAddr>) -> List {
-        let told = Arc::<Told>::default();
-        let addrs = [serve(&told), serve(&told)];
-        let list = List {
+impl EngineList {
+    /// Serves a list on which all of these engines are ready.
+    pub(super) fn start(engines: Vec<SocketAddr>) -> EngineList {
+        let stream = Arc::<EventStream>::default();
+        let addrs = [serve(&stream), serve(&stream)];
+        let list = EngineList {
             addrs,
             engines,
-            told,
-            drained: Mutex::default(),
+            stream,
+            drains: Mutex::default(),
         };
-        let all: Vec<String> = (0..list.engines.len())
-            .map(|n| list.line(n, "ready"))
+        let lines: Vec<String> = (0..list.engines.len())
+            .map(|number| list.line(number, "ready"))
             .collect();
-        list.tell(&all);
+        list.add_event(&lines);
         list
     }
 
-    /// Tells of these drains, each at its time.
-    pub(super) fn play(&self, drains: &[(Duration, usize)], begun: Instant) {
-        for &(at, engine) in drains {
-            std::thread::sleep(at.saturating_sub(begun.elapsed()));
-            self.tell(&[self.line(engine, "draining")]);
-            self.drained
-                .lock()
-                .expect("the drains")
-                .push((self.engines[engine], Instant::now()));
+    /// Reports that engines drain, each at its time, counted from `started`.
+    pub(super) fn play(&self, drains: &[(Duration, usize)], started: Instant) {
+        for &(time, engine) in drains {
+            std::thread::sleep(time.saturating_sub(started.elapsed()));
+            self.add_event(&[self.line(engine, "draining")]);
+            let drain = Drain {
+                engine: self.engines[engine],
+                reported_at: Instant::now(),
+            };
+            self.drains.lock().expect("the drains").push(drain);
         }
     }
 
-    /// Engines that drain, and when that was told.
-    pub(super) fn drained(&self) -> Vec<(SocketAddr, Instant)> {
-        self.drained.lock().expect("the drains").clone()
+    /// All drains that were reported.
+    pub(super) fn drains(&self) -> Vec<Drain> {
+        self.drains.lock().expect("the drains").clone()
     }
 
+    /// An engine's line of an event.
     fn line(&self, engine: usize, lifecycle: &str) -> String {
         format!(
             "{{\"instanceId\":\"e{engine}\",\"hostPort\":\"{}\",\"zone\":\"a\",\"machineType\":\"std\",\"cell\":0,\
@@ -68,62 +78,75 @@
         )
     }
 
-    fn tell(&self, lines: &[String]) {
-        let mut events = self.told.events.lock().expect("the events");
+    /// Adds an event with these engines' lines.
+    fn add_event(&self, lines: &[String]) {
+        let mut events = self.stream.events.lock().expect("the events");
         let (index, lines) = (events.len() + 1, lines.join(","));
         events.push(format!(
             "{{\"index\":{index},\"endpoints\":{{\"generation\":1,\"reset\":false,\"instances\":[{lines}]}}}}"
         ));
-        self.told.news.notify_all();
+        self.stream.added.notify_all();
     }
 }
 
-fn serve(told: &Arc<Told>) -> SocketAddr {
+/// Serves the events at an address of its own.
+fn serve(events: &Arc<EventStream>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let addr = listener.local_addr().expect("an address");
-    let told = told.clone();
+    let events = events.clone();
     std::thread::spawn(move || {
-        for stream in listener.incoming().flatten() {
-            let told = told.clone();
-            std::thread::spawn(move || drop(stream_events(stream, &told)));
+        for connection in listener.incoming().flatten() {
+            let events = events.clone();
+            std::thread::spawn(move || drop(write_events(connection, &events)));
         }
     });
     addr
 }
 
 /// Writes events behind the last one that the caller knows, until the connection ends.
-fn stream_events(mut stream: TcpStream, told: &Told) -> std::io::Result<()> {
-    let mut input = BufReader::new(stream.try_clone()?);
-    let mut next = 0;
+fn write_events(mut connection: TcpStream, stream: &EventStream) -> std::io::Result<()> {
+    let Some(mut next) = read_last_event(&connection)? else {
+        return Ok(());
+    };
+    connection
+        .write_all(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n: hello\n\n")?;
+    loop {
+        let new = stream.wait_for_events_behind(next);
+        if new.is_empty() {
+            connection.write_all(b": still here\n\n")?;
+        }
+        for event in new {
+            next += 1;
+            connection.write_all(format!("id: {next}\ndata: {event}\n\n").as_bytes())?;
+        }
+    }
+}
+
+/// Reads a request's head; the number of the last event that the caller knows, `None` where it closes before the head's end.
+fn read_last_event(connection: &TcpStream) -> std::io::Result<Option<usize>> {
+    let mut input = BufReader::new(connection.try_clone()?);
+    let mut last = 0;
     let mut line = String::new();
     while line != "\r\n" {
         line.clear();
         if input.read_line(&mut line)? == 0 {
-            return Ok(());
+            return Ok(None);
         }
-        if let Some(last) = line.strip_prefix("Last-Event-ID: ") {
-            next = last.trim().parse().unwrap_or(0);
+        if let Some(number) = line.strip_prefix("Last-Event-ID: ") {
+            last = number.trim().parse().unwrap_or(0);
         }
     }
-    stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n: hello\n\n")?;
-    loop {
-        let events = told.events.lock().expect("the events");
-        let waited = told
-            .news
-            .wait_timeout_while(events, COMMENT_EVERY, |all| all.len() <= next);
-        let new: Vec<String> = waited
-            .expect("the events")
-            .0
-            .iter()
-            .skip(next)
-            .cloned()
-            .collect();
-        if new.is_empty() {
-            stream.write_all(b": still here\n\n")?;
-        }
-        for event in new {
-            next += 1;
-            stream.write_all(format!("id: {next}\ndata: {event}\n\n").as_bytes())?;
-        }
+    Ok(Some(last))
+}
+
+impl EventStream {
+    /// The events behind the first `known`; none where no other came in time.
+    fn wait_for_events_behind(&self, known: usize) -> Vec<String> {
+        let events = self.events.lock().expect("the events");
+        let waited = self
+            .added
+            .wait_timeout_while(events, COMMENT_INTERVAL, |all| all.len() <= known);
+        let (events, _) = waited.expect("the events");
+        events.iter().skip(known).cloned().collect()
     }
 }
--- a/crates/cluster-harness/src/wall_clock.rs
+++ b/crates/cluster-harness/src/wall_clock.rs
@@ -1,5 +1,5 @@
-//! A process's wall clock, in the hands of a test: the fault injection library is preloaded into the process and reads from a file by how much
-//! its wall clock is off.
+//! A process's wall clock, set by a test: the fault injection library is preloaded into the process, and reads from a file by how
+//! much its wall clock is off.
 
 use std::fs::File;
 use std::os::unix::fs::FileExt;
@@ -12,7 +12,8 @@
 /// The variable that names the file with the offset.
 const VARIABLE: &str = "DRIFTFRONT_WALL_CLOCK";
 
-static CLOCKS: AtomicUsize = AtomicUsize::new(0);
+/// Numbers the clocks of this process: each has a file of its own.
+static NEXT_CLOCK: AtomicUsize = AtomicUsize::new(0);
 
 /// The wall clock of the processes that are started under it.
 pub struct WallClock {
@@ -22,9 +23,9 @@
 }
 
 impl WallClock {
-    /// One that is right. `binary`: any program of the same build, beside which the library lies.
+    /// A clock that shows the right time. `binary`: any program of the same build, beside which the library lies.
     pub fn new(binary: &Path) -> WallClock {
-        let n = CLOCKS.fetch_add(1, Ordering::Relaxed);
+        let n = NEXT_CLOCK.fetch_add(1, Ordering::Relaxed);
         let path =
             std::env::temp_dir().join(format!("driftfront-clock-{}-{n}", std::process::id()));
         let open = File::options()
@@ -42,15 +43,15 @@
         clock
     }
 
-    /// From now on the clock is off by so many microseconds; negative: it is behind.
+    /// Sets the clock off by `offset` microseconds from now on; behind where that is negative.
     pub fn set(&self, offset: i64) {
         self.file
             .write_all_at(&offset.to_le_bytes(), 0)
             .expect("a temporary file");
     }
 
-    /// A process that this command starts lives by this clock.
-    pub fn give_to<'a>(&self, command: &'a mut Command) -> &'a mut Command {
+    /// Has the process that `command` starts read this clock.
+    pub fn apply_to<'a>(&self, command: &'a mut Command) -> &'a mut Command {
         command
             .env("LD_PRELOAD", &self.library)
             .env(VARIABLE, &self.path)
@@ -63,7 +64,7 @@
     }
 }
 
-/// Cargo lays a shared library beside the programs, or beside what they are linked of.
+/// Finds the library: Cargo puts it beside the programs, or beside what they are linked from.
 fn library(binary: &Path) -> PathBuf {
     let folder = binary.parent().expect("a program lies in a folder");
     let places = [folder.join(LIBRARY), folder.join("deps").join(LIBRARY)];
--- a/crates/cluster-harness/tests/golden.rs
+++ b/crates/cluster-harness/tests/golden.rs
@@ -1,7 +1,7 @@
 //! What the command prints, what soaks are drawn from a seed, and the operator's files that members get, compared with golden
 //! files.
 
-use driftfront_cluster_harness::soak::{Breach, Plan, Report};
+use driftfront_cluster_harness::soak::{Breach, Plan, Report, RuleBreach};
 use driftfront_cluster_harness::ClusterHarness;
 use driftfront_test_support::assert_golden;
 use std::fmt::Write;
@@ -48,20 +48,20 @@
             plan.drains,
             plan.kills_after()
         );
-        for (number, troubles) in plan.engines.iter().enumerate() {
-            for trouble in troubles {
+        for (number, faults) in plan.engines.iter().enumerate() {
+            for fault in faults {
                 let _ = writeln!(
                     text,
                     "  engine {number} {:?} {:?}",
-                    trouble.during, trouble.mode
+                    fault.during, fault.mode
                 );
             }
         }
-        for (number, life) in plan.coordinators.iter().enumerate() {
+        for (number, schedule) in plan.coordinators.iter().enumerate() {
             let _ = writeln!(
                 text,
                 "  coordinator {number} signals {:?} steps {:?} crowd {} descriptors {}",
-                life.signals, life.steps, life.crowd, life.descriptors
+                schedule.signals, schedule.clock_steps, schedule.idle_clients, schedule.descriptors
             );
         }
     }
@@ -79,15 +79,18 @@
         Breach::Killed,
     ];
     let report = Report {
-        asked: 100,
-        ends: [(200, 90), (503, 7)].into(),
+        requests: 100,
+        statuses: [(200, 90), (503, 7)].into(),
         late: 2,
-        crossed: 3,
-        further: 4,
+        crossed_a_close: 3,
+        retries: 4,
         processes: 5,
         breaches: all
             .into_iter()
-            .map(|breach| (breach, "in words".to_string()))
+            .map(|rule| RuleBreach {
+                rule,
+                description: "in words".to_string(),
+            })
             .collect(),
         logs: Vec::new(),
     };
@@ -107,7 +110,8 @@
 
 #[test]
 fn members_get_the_files_that_they_got() {
-    let folder = std::env::temp_dir().join(format!("driftfront-rig-golden-{}", std::process::id()));
+    let folder =
+        std::env::temp_dir().join(format!("driftfront-harness-golden-{}", std::process::id()));
     let binary = stand_in(&folder);
     let mut text = String::new();
     let scripts = [
@@ -118,18 +122,18 @@
     for script in scripts {
         let mut harness = ClusterHarness::start(binary.to_str().unwrap(), "127.0.0.1:9", script);
         let members = script.as_bytes()[8] - b'0';
-        let socket = harness.control(0);
+        let socket = harness.control_socket(0);
         let own = socket.parent().unwrap().to_str().unwrap();
         let ports: Vec<String> = (0..u32::from(members))
-            .map(|m| harness.net.public(m).to_string())
+            .map(|m| harness.net.public_addr(m).to_string())
             .collect();
         for member in 0..u32::from(members) {
-            let mut file = harness.process(member).file().replace(own, "FOLDER");
+            let mut file = harness.process(member).config_text().replace(own, "FOLDER");
             for (n, port) in ports.iter().enumerate() {
                 file = file.replace(port, &format!("ADDRESS-{n}"));
             }
             let _ = writeln!(text, "{file}");
-            assert_eq!(harness.clients(member).to_string(), "127.0.0.1:8");
+            assert_eq!(harness.client_addr(member).to_string(), "127.0.0.1:8");
         }
     }
     std::fs::remove_dir_all(&folder).expect("the folder");
--- a/crates/coordinator/tests/agreed.rs
+++ b/crates/coordinator/tests/agreed.rs
@@ -6,6 +6,7 @@
     reason = "tests: long lists of cases, and numbers known to be small"
 )]
 
+use driftfront_cluster_harness::process::Signal;
 use driftfront_cluster_harness::{ClusterHarness, Consensus, Request};
 use driftfront_mock_servers::engine::{Engine, Options};
 use driftfront_mock_servers::ledger::RequestLog;
@@ -31,7 +32,7 @@
 fn held(harness: &ClusterHarness, by: u32, name: &str, for_s: u64) -> u64 {
     let since = std::time::Instant::now();
     loop {
-        let said = harness.hold(by, name, for_s);
+        let said = harness.request_hold(by, name, for_s);
         if let Some(fence) = said
             .as_ref()
             .ok()
@@ -39,7 +40,7 @@
         {
             return fence;
         }
-        let words = said.unwrap_err();
+        let words = said.unwrap_err().to_string();
         let later = words.contains("yet") || words.contains("in time");
         assert!(
             later && since.elapsed() < driftfront_cluster_harness::TEST_TIMEOUT * 2,
@@ -61,11 +62,11 @@
 
 fn wait_until(harness: &ClusterHarness, of: u32, what: &str, holds: impl Fn(&Consensus) -> bool) {
     let since = std::time::Instant::now();
-    while !harness.agreed(of).is_some_and(|a| holds(&a)) {
+    while !harness.consensus(of).is_some_and(|a| holds(&a)) {
         let late = || {
             format!(
                 "m{of}: {:?}, not {what}\n{}",
-                harness.agreed(of),
+                harness.consensus(of),
                 harness.log().text()
             )
         };
@@ -90,39 +91,42 @@
     // At a reader; seen by all, and nobody else's until it is given back, by whomever.
     let first = held(&harness, 4, "room-a", 600);
     (0..5).for_each(|m| wait_until_held(&harness, m, &["room-a"]));
-    let taken = harness.hold(leader, "room-a", 5).unwrap_err();
+    let refusal = harness.request_hold(leader, "room-a", 5);
+    let taken = refusal.unwrap_err().to_string();
     assert!(taken.contains("held already"), "{taken}");
     harness
-        .ask(3, &Request::Unhold("room-a".into()))
+        .request(3, &Request::Unhold("room-a".into()))
         .expect("anybody may");
     let second = held(&harness, leader, "room-a", 600);
     assert!(second > first, "numbers grow: {first}, {second}");
 
     // The leader dies: what is held stands, and another lends.
-    harness.now(&format!("kill \"m{leader}\""));
+    harness.apply_script(&format!("kill \"m{leader}\""));
     let rest: Vec<u32> = voters.into_iter().filter(|&m| m != leader).collect();
     let next = harness.wait_for_leader(&rest, Some(leader));
     assert!(harness
-        .hold(3, "room-a", 5)
+        .request_hold(3, "room-a", 5)
         .unwrap_err()
+        .to_string()
         .contains("held already"));
     held(&harness, 3, "room-b", 600);
-    harness.now(&format!("start \"m{leader}\""));
+    harness.apply_script(&format!("start \"m{leader}\""));
     wait_until_part(&harness, leader, "votes");
     wait_until_held(&harness, leader, &["room-a", "room-b"]);
 
     // It is stopped, others go on, and it wakes as a leader that knows of none of it.
     harness.wait_for_leader(&voters, None);
-    harness.now(&format!("stop \"m{next}\""));
+    harness.apply_script(&format!("stop \"m{next}\""));
     let rest: Vec<u32> = voters.into_iter().filter(|&m| m != next).collect();
     let third = harness.wait_for_leader(&rest, Some(next));
     harness
-        .ask(third, &Request::Unhold("room-a".into()))
+        .request(third, &Request::Unhold("room-a".into()))
         .expect("given back");
     let lent = held(&harness, 4, "room-a", 600);
-    harness.now(&format!("wake \"m{next}\""));
+    harness.apply_script(&format!("wake \"m{next}\""));
     // It is asked at once, while it may still believe that it leads.
-    let said = harness.hold(next, "room-a", 600).unwrap_err();
+    let refusal = harness.request_hold(next, "room-a", 600);
+    let said = refusal.unwrap_err().to_string();
     assert!(said.contains("held already"), "{said}");
     // What it knew was the first of that name; it hears of the second.
     wait_until(&harness, next, "the later number", |a| {
@@ -131,28 +135,31 @@
 
     // A leader with a reader, cut off: a minority lends nothing, and says why.
     let leader = harness.wait_for_leader(&voters, None);
-    harness.now(&format!("cut \"m{leader}\" \"m3\""));
+    harness.apply_script(&format!("cut \"m{leader}\" \"m3\""));
     let rest: Vec<u32> = voters.into_iter().filter(|&m| m != leader).collect();
     harness.wait_for_leader(&rest, Some(leader));
     assert!(harness
-        .hold(3, "room-c", 5)
+        .request_hold(3, "room-c", 5)
         .unwrap_err()
+        .to_string()
         .contains("no majority"));
     assert!(harness
-        .hold(leader, "room-c", 5)
+        .request_hold(leader, "room-c", 5)
         .unwrap_err()
+        .to_string()
         .contains("no majority"));
     held(&harness, 4, "room-c", 600);
-    harness.now("heal");
+    harness.apply_script("heal");
     wait_until_held(&harness, 3, &["room-a", "room-b", "room-c"]);
 
     // All at once, with no word: what was agreed stands when they are back.
-    harness.now("kill \"all\"");
-    harness.now("start \"all\"");
+    harness.apply_script("kill \"all\"");
+    harness.apply_script("start \"all\"");
     harness.wait_for_leader(&voters, None);
     assert!(harness
-        .hold(4, "room-a", 5)
+        .request_hold(4, "room-a", 5)
         .unwrap_err()
+        .to_string()
         .contains("held already"));
     (0..5).for_each(|m| wait_until_held(&harness, m, &["room-a", "room-b", "room-c"]));
 }
@@ -163,10 +170,14 @@
     let voters = [0, 1, 2];
     harness.wait_for_leader(&voters, None);
     held(&harness, 3, "room-a", 10);
-    assert!(harness.hold(3, "room-b", 11).unwrap_err().contains("10 s"));
+    assert!(harness
+        .request_hold(3, "room-b", 11)
+        .unwrap_err()
+        .to_string()
+        .contains("10 s"));
     for m in voters {
-        harness.now(&format!("kill \"m{m}\""));
-        harness.now(&format!("start \"m{m}\""));
+        harness.apply_script(&format!("kill \"m{m}\""));
+        harness.apply_script(&format!("start \"m{m}\""));
         wait_until_part(&harness, m, "votes");
         harness.wait_for_leader(&voters, None);
     }
@@ -180,13 +191,13 @@
     let (mut harness, _engine) = harness("members 4\nvoters 3 keeps=#true replace-after=\"3 s\"");
     let leader = harness.wait_for_leader(&[0, 1, 2], None);
     let gone = (leader + 1) % 3;
-    harness.now(&format!("kill \"m{gone}\""));
+    harness.apply_script(&format!("kill \"m{gone}\""));
     wait_until_part(&harness, 3, "votes");
-    harness.now(&format!("start \"m{gone}\""));
+    harness.apply_script(&format!("start \"m{gone}\""));
     wait_until_part(&harness, gone, "reads");
     // What its file says now outlives another start, and it founds nothing.
-    harness.now(&format!("kill \"m{gone}\""));
-    harness.now(&format!("start \"m{gone}\""));
+    harness.apply_script(&format!("kill \"m{gone}\""));
+    harness.apply_script(&format!("start \"m{gone}\""));
     wait_until_part(&harness, gone, "reads");
     harness.wait_for_leader(&[leader, 3], None);
 }
@@ -195,28 +206,28 @@
 fn damaged_log_is_cut_and_catches_up_and_a_foreign_file_is_left() {
     let (mut harness, _engine) = harness("members 3\nvoters 3 keeps=#true");
     harness.wait_for_leader(&[0, 1, 2], None);
-    let file = harness.state(2).join("agreed");
+    let file = harness.state_folder(2).join("agreed");
     let length = std::fs::metadata(&file).unwrap().len();
     // Within the last record, within an earlier one.
     // The last is no power cut: the disk lost what it had said it kept, and the engine of the log finds that out.
     for cut in [3, 40, length / 2] {
-        harness.now("kill \"m2\"");
+        harness.apply_script("kill \"m2\"");
         let bytes = std::fs::read(&file).unwrap();
         std::fs::write(
             &file,
             &bytes[..bytes.len() - cut.min(bytes.len() as u64) as usize],
         )
         .unwrap();
-        harness.now("start \"m2\"");
+        harness.apply_script("start \"m2\"");
         wait_until_part(&harness, 2, "votes");
         let leader = harness.wait_for_leader(&[0, 1, 2], None);
-        let index = harness.agreed(leader).unwrap().index;
-        harness.wait_for(2, "fleet_agreed_index", index);
+        let index = harness.consensus(leader).unwrap().index;
+        harness.wait_for_counter(2, "fleet_agreed_index", index);
     }
-    harness.now("kill \"m2\"");
+    harness.apply_script("kill \"m2\"");
     std::fs::write(&file, b"driftfront agreed 9\n of a later build").unwrap();
-    harness.now("start \"m2\"");
-    harness.wait_for(2, "fleet_agreed_disk_failed", 1);
+    harness.apply_script("start \"m2\"");
+    harness.wait_for_counter(2, "fleet_agreed_disk_failed", 1);
     wait_until_part(&harness, 2, "reads");
     assert_eq!(
         std::fs::read(&file).unwrap(),
@@ -228,8 +239,8 @@
 #[test]
 fn coordinators_find_each_other_by_the_engine_list() {
     let (mut harness, engine) = harness("members 3");
-    let list = harness.state(0).with_extension("list");
-    let public: Vec<_> = (0..3).map(|m| harness.net.public(m)).collect();
+    let list = harness.state_folder(0).with_extension("list");
+    let public: Vec<_> = (0..3).map(|m| harness.net.public_addr(m)).collect();
     let write = |names: &[usize]| {
         let engine = engine.addr();
         let mut lines = vec![format!(
@@ -250,8 +261,8 @@
             format!("{}{listed}{}", &no_seeds[..engines], &no_seeds[end..])
         });
     }
-    harness.now("kill \"all\"");
-    harness.now("start \"all\"");
+    harness.apply_script("kill \"all\"");
+    harness.apply_script("start \"all\"");
     harness.wait_until_members_are(&[0], &[0]);
     // Two of the three are listed: the third is found through them, as it asks them.
     write(&[0, 1]);
@@ -269,12 +280,12 @@
     // Both run; the new one is known by its name, and keeps its hands off the log.
     harness.wait_until_members_are(&[leader], &[0, 1, 2]);
     assert!(
-        harness.agreed(upgraded).is_none() && old.snapshot().is_some_and(|s| s.agreed.is_some())
+        harness.consensus(upgraded).is_none() && old.snapshot().is_some_and(|s| s.agreed.is_some())
     );
     // Signals come to the loop, whatever threads write to the disk: either would have ended it with no word.
-    old.signal("-HUP");
+    old.signal(Signal::Hangup);
     assert!(old.snapshot().is_some_and(|s| s.agreed.is_some()));
-    old.signal("-TERM");
+    old.signal(Signal::Terminate);
     assert!(
         old.wait(),
         "the old one ends well:\n{}",
--- a/crates/coordinator/tests/common/mod.rs
+++ b/crates/coordinator/tests/common/mod.rs
@@ -63,7 +63,7 @@
         let shell = "exec \"$0\" serve --config \"$1\" --log \"$DRIFTFRONT_LOG_LEVEL\"";
         Coordinator::spawn(
             config,
-            clock.give_to(Command::new("sh").args(["-c", shell])),
+            clock.apply_to(Command::new("sh").args(["-c", shell])),
         )
     }
 
--- a/crates/coordinator/tests/faults.rs
+++ b/crates/coordinator/tests/faults.rs
@@ -1,8 +1,8 @@
 //! A fleet of processes before engines, with faults on all links at once, and the rules counted from outside: at the
 //! engines by their ledger, at the clients by what they got.
 
-use driftfront_cluster_harness::load::{counts, Got, Load, Plan};
-use driftfront_cluster_harness::ClusterHarness;
+use driftfront_cluster_harness::load::{count_outcomes, Load, LoadPlan, Outcome, RequestRecord};
+use driftfront_cluster_harness::{ClusterHarness, EngineEndpoint};
 use driftfront_mock_servers::engine::{Engine, Options};
 use driftfront_mock_servers::ledger::RequestLog;
 use std::collections::BTreeMap;
@@ -26,23 +26,26 @@
 fn harness(script: &str, engines: &[Engine]) -> ClusterHarness {
     let named = engines
         .iter()
-        .map(|e| (e.name().to_string(), e.addr()))
+        .map(|engine| EngineEndpoint {
+            name: engine.name().to_string(),
+            addr: engine.addr(),
+        })
         .collect();
     ClusterHarness::with_engines(env!("CARGO_BIN_EXE_driftfront"), named, script)
 }
 
-fn clients(harness: &ClusterHarness, members: u32, plan: &Plan) -> Load {
-    let addrs: BTreeMap<_, _> = (0..members).map(|m| (m, harness.clients(m))).collect();
+fn clients(harness: &ClusterHarness, members: u32, plan: &LoadPlan) -> Load {
+    let addrs: BTreeMap<_, _> = (0..members).map(|m| (m, harness.client_addr(m))).collect();
     Load::start(addrs, plan)
 }
 
 fn wait_until_done(harness: &ClusterHarness, load: &Load, least: usize) {
     let since = std::time::Instant::now();
-    while load.done() < least {
+    while load.completed() < least {
         assert!(
             since.elapsed() < driftfront_cluster_harness::TEST_TIMEOUT,
             "{} of {least}\n{}",
-            load.done(),
+            load.completed(),
             harness.log().text()
         );
         std::thread::sleep(Duration::from_millis(10));
@@ -54,44 +57,45 @@
     let (engines, ledger) = engines(3);
     let mut harness = harness("members 4 zones=2\nvoters 3\nseed 5", &engines);
     harness.wait_until_members_are(&[0, 1, 2, 3], &[0, 1, 2, 3]);
-    let plan = Plan {
-        clients: 3,
-        most: 400,
-        inserts: 5,
+    let plan = LoadPlan {
+        clients_per_member: 3,
+        max_requests: 400,
+        insert_interval: 5,
         pause: Duration::from_millis(5),
     };
     let load = clients(&harness, 4, &plan);
     wait_until_done(&harness, &load, 100);
-    harness.now(
+    harness.apply_script(
         "link \"all\" \"engines\" delay=\"3 ms\" jitter=\"4 ms\"; link \"engines\" \"all\" delay=\"3 ms\"",
     );
-    harness.now("cut \"m0\" \"m1\"");
-    harness.now("part \"m1\" from=\"e0\" ways=\"in\"");
+    harness.apply_script("cut \"m0\" \"m1\"");
+    harness.apply_script("part \"m1\" from=\"e0\" ways=\"in\"");
     wait_until_done(&harness, &load, 300);
-    harness.now("reset \"all\" from=\"e1\"");
-    harness.now("link \"m2\" \"engines\" throttle=20000");
+    harness.apply_script("reset \"all\" from=\"e1\"");
+    harness.apply_script("link \"m2\" \"engines\" throttle=20000");
     wait_until_done(&harness, &load, 500);
-    harness.now("heal");
+    harness.apply_script("heal");
     // One is killed, and back where its clients find it; another stands still for a while.
-    harness.now("kill \"m3\"");
-    let killed = load.done();
-    harness.now("start \"m3\"");
-    load.moved(3, harness.clients(3));
-    harness.now("stop \"m2\"");
+    harness.apply_script("kill \"m3\"");
+    let killed = load.completed();
+    harness.apply_script("start \"m3\"");
+    load.set_addr(3, harness.client_addr(3));
+    harness.apply_script("stop \"m2\"");
     wait_until_done(&harness, &load, killed + 100);
-    harness.now("wake \"m2\"");
-    harness.now("reset \"all\" from=\"engines\"");
+    harness.apply_script("wake \"m2\"");
+    harness.apply_script("reset \"all\" from=\"engines\"");
     wait_until_done(&harness, &load, killed + 400);
     harness.wait_until_members_are(&[0, 1, 2, 3], &[0, 1, 2, 3]);
     let all = load.end();
     // A reset may cost a statement that must not run twice; nothing is answered twice, or never.
-    let odd = |a: &&driftfront_cluster_harness::load::Asked| {
-        a.got == Got::Wrong || a.member != 3 && matches!(a.got, Got::Nothing | Got::NotTaken)
+    let odd = |a: &&RequestRecord| {
+        a.outcome == Outcome::Malformed
+            || a.member != 3 && matches!(a.outcome, Outcome::Incomplete | Outcome::NotConnected)
     };
     let wrong: Vec<_> = all.iter().filter(odd).collect();
     assert!(wrong.is_empty(), "{wrong:#?}\n{}", harness.log().text());
-    let counts = counts(&all);
-    assert!(counts[&Got::Served] > all.len() / 2, "{counts:?}");
+    let counts = count_outcomes(&all);
+    assert!(counts[&Outcome::Served] > all.len() / 2, "{counts:?}");
     // What a killed process had out its clients may ask again; here none does, so that the count is the fleet's.
     ledger.assert_rules(all.len());
 }
@@ -102,29 +106,29 @@
     let mut harness = harness("members 2", &engines);
     harness.wait_until_members_are(&[0, 1], &[0, 1]);
     // What the engine says is lost: it hears and runs, and nobody knows.
-    harness.now("part \"m0\" from=\"e0\" ways=\"in\"");
+    harness.apply_script("part \"m0\" from=\"e0\" ways=\"in\"");
     let load = clients(
         &harness,
         2,
-        &Plan {
-            clients: 2,
-            most: 60,
-            inserts: 0,
+        &LoadPlan {
+            clients_per_member: 2,
+            max_requests: 60,
+            insert_interval: 0,
             pause: Duration::from_millis(2),
         },
     );
     wait_until_done(&harness, &load, 240);
     let all = load.end();
-    let counts = counts(&all);
+    let counts = count_outcomes(&all);
     assert!(
-        counts.get(&Got::Served).copied().unwrap_or(0) >= 230,
+        counts.get(&Outcome::Served).copied().unwrap_or(0) >= 230,
         "{counts:?}\n{}",
         harness.log().text()
     );
     assert!(
         counts
             .keys()
-            .all(|g| matches!(g, Got::Served | Got::Refused | Got::Failed)),
+            .all(|g| matches!(g, Outcome::Served | Outcome::Rejected | Outcome::Failed)),
         "{counts:?}"
     );
     ledger.assert_rules(all.len());
--- a/crates/coordinator/tests/fleet.rs
+++ b/crates/coordinator/tests/fleet.rs
@@ -8,7 +8,7 @@
 
 use driftfront_cluster::message_authentication::{MessageAuthenticator, Payload};
 use driftfront_cluster::{Cluster, Identity, Key, Keyring, MemberMetadata};
-use driftfront_cluster_harness::process::call;
+use driftfront_cluster_harness::process::{call, Signal};
 use driftfront_cluster_harness::ClusterHarness;
 use driftfront_mock_servers::engine::{Engine, Options};
 use driftfront_mock_servers::ledger::RequestLog;
@@ -34,7 +34,7 @@
 
 fn query(harness: &ClusterHarness, member: u32) -> String {
     let request = "GET /?query=SELECT%201 HTTP/1.1\r\nHost: t\r\nConnection: close\r\n\r\n";
-    call(harness.clients(member), request).expect("an answer")
+    call(harness.client_addr(member), request).expect("an answer")
 }
 
 #[test]
@@ -45,11 +45,15 @@
         seen.iter()
             .all(|m| m.state == "serving" && m.build == env!("CARGO_PKG_VERSION"))
     };
-    harness.wait(4, "all serve", served);
-    let zones: Vec<String> = harness.sees(3).into_iter().map(|m| m.zone).collect();
+    harness.wait_until_members(4, "all serve", served);
+    let zones: Vec<String> = harness
+        .members_seen_by(3)
+        .into_iter()
+        .map(|m| m.zone)
+        .collect();
     assert_eq!(zones, ["z0", "z1", "z0", "z1", "z0"]);
     // One that ends in order is gone for the others before it could have been found out.
-    harness.now("leave \"m2\"");
+    harness.apply_script("leave \"m2\"");
     assert!(harness.process(2).wait());
     harness.wait_until_members_are(&[0, 1, 3, 4], &[0, 1, 3, 4]);
     assert_eq!(harness.counter(0, "fleet_members_down"), 1);
@@ -60,13 +64,13 @@
     let (mut harness, _engine) = harness("members 5");
     harness.wait_until_members_are(&[0, 1, 2, 3, 4], &[0, 1, 2, 3, 4]);
     // Both of the other seeds among them.
-    harness.now("kill \"m1\" \"m2\"");
+    harness.apply_script("kill \"m1\" \"m2\"");
     harness.wait_until_members_are(&[0, 3, 4], &[0, 3, 4]);
     assert!(
         query(&harness, 3).ends_with("1\n"),
         "a fleet that lost members serves on"
     );
-    harness.now("start \"m1\" \"m2\"");
+    harness.apply_script("start \"m1\" \"m2\"");
     harness.wait_until_members_are(&[0, 1, 2, 3, 4], &[0, 1, 2, 3, 4]);
 }
 
@@ -74,13 +78,13 @@
 fn partitioned_halves_keep_serving_and_merge_again() {
     let (mut harness, _engine) = harness("members 5");
     harness.wait_until_members_are(&[0, 1, 2, 3, 4], &[0, 1, 2, 3, 4]);
-    harness.now("cut \"m0\" \"m1\"");
+    harness.apply_script("cut \"m0\" \"m1\"");
     harness.wait_until_members_are(&[0, 1], &[0, 1]);
     harness.wait_until_members_are(&[2, 3, 4], &[2, 3, 4]);
     for member in [0, 4] {
         assert!(query(&harness, member).ends_with("1\n"));
     }
-    harness.now("heal");
+    harness.apply_script("heal");
     harness.wait_until_members_are(&[0, 1, 2, 3, 4], &[0, 1, 2, 3, 4]);
 }
 
@@ -88,13 +92,13 @@
 fn isolated_member_alone_is_reported_down() {
     let (mut harness, _engine) = harness("members 4");
     harness.wait_until_members_are(&[0, 1, 2, 3], &[0, 1, 2, 3]);
-    harness.now("cut \"m3\" ways=\"out\"");
+    harness.apply_script("cut \"m3\" ways=\"out\"");
     harness.wait_until_members_are(&[0, 1, 2], &[0, 1, 2]);
     assert!(
         query(&harness, 3).ends_with("1\n"),
         "what is cut off serves"
     );
-    harness.now("heal");
+    harness.apply_script("heal");
     harness.wait_until_members_are(&[0, 1, 2, 3], &[0, 1, 2, 3]);
     assert!((0..3).all(|m| harness.counter(m, "fleet_came_back") == 0));
 }
@@ -103,9 +107,9 @@
 fn stopped_process_rejoins_and_suspects_nobody() {
     let (mut harness, _engine) = harness("members 4");
     harness.wait_until_members_are(&[0, 1, 2, 3], &[0, 1, 2, 3]);
-    harness.now("stop \"m2\"");
+    harness.apply_script("stop \"m2\"");
     harness.wait_until_members_are(&[0, 1, 3], &[0, 1, 3]);
-    harness.now("wake \"m2\"");
+    harness.apply_script("wake \"m2\"");
     harness.wait_until_members_are(&[0, 1, 2, 3], &[0, 1, 2, 3]);
     // What it slept through it held against itself, not against them.
     assert_eq!(harness.counter(2, "fleet_members_down"), 0);
@@ -126,12 +130,12 @@
     for step in [format!("{old}\n{new}"), format!("{new}\n{old}"), new.into()] {
         harness.write_key(&step);
         for member in 0..3 {
-            harness.process(member).signal("-HUP");
+            harness.process(member).signal(Signal::Hangup);
         }
         // Read, and used: datagrams go on to be taken by each.
         for member in 0..3 {
             let taken = harness.counter(member, "fleet_datagrams_taken");
-            harness.wait_for(member, "fleet_datagrams_taken", taken + 8);
+            harness.wait_for_counter(member, "fleet_datagrams_taken", taken + 8);
         }
     }
     assert_eq!(
@@ -141,11 +145,11 @@
             .collect::<Vec<_>>()
     );
     // One that starts with the old key is let in by nobody, and serves by itself.
-    harness.now("kill \"m2\"");
+    harness.apply_script("kill \"m2\"");
     harness.wait_until_members_are(&[0, 1], &[0, 1]);
     harness.write_key(old);
-    harness.now("start \"m2\"");
-    harness.wait_for(0, "fleet_datagrams_refused{why=\"unknown key\"}", 1);
+    harness.apply_script("start \"m2\"");
+    harness.wait_for_counter(0, "fleet_datagrams_refused{why=\"unknown key\"}", 1);
     harness.wait_until_members_are(&[2], &[2]);
     harness.wait_until_members_are(&[0, 1], &[0, 1]);
     assert!(query(&harness, 2).ends_with("1\n"));
@@ -159,7 +163,7 @@
         Arc::new(AtomicBool::new(false)),
         Arc::new(AtomicU64::new(0)),
     );
-    let target = harness.net.public(1);
+    let target = harness.net.public_addr(1);
     let (done, count) = (over.clone(), sent.clone());
     let flood = std::thread::spawn(move || {
         let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
@@ -172,7 +176,7 @@
             count.fetch_add(1, Ordering::Relaxed);
         }
     });
-    harness.wait_for(1, "fleet_datagrams_refused{why=\"spoilt\"}", 2_000);
+    harness.wait_for_counter(1, "fleet_datagrams_refused{why=\"spoilt\"}", 2_000);
     for _ in 0..100 {
         assert!(query(&harness, 1).ends_with("1\n"));
     }
@@ -187,8 +191,8 @@
         harness("members 4\nseed 9\nlink \"all\" \"all\" loss=0.3 repeat=0.2 delay=\"2 ms\" jitter=\"10 ms\"");
     harness.play();
     harness.wait_until_members_are(&[0, 1, 2, 3], &[0, 1, 2, 3]);
-    harness.wait_for(0, "fleet_datagrams_refused{why=\"replayed\"}", 3);
-    harness.now("kill \"m3\"");
+    harness.wait_for_counter(0, "fleet_datagrams_refused{why=\"replayed\"}", 3);
+    harness.apply_script("kill \"m3\"");
     harness.wait_until_members_are(&[0, 1, 2], &[0, 1, 2]);
 }
 
@@ -227,7 +231,7 @@
         build: "9.9.9".into(),
         ..MemberMetadata::default()
     };
-    let seeds = vec![harness.net.public(0)];
+    let seeds = vec![harness.net.public_addr(0)];
     let begun = std::time::Instant::now();
     let mut later = Cluster::new(
         0,
@@ -250,7 +254,7 @@
     let mut told = false;
     let seen = |m: u32| {
         harness
-            .sees(m)
+            .members_seen_by(m)
             .iter()
             .any(|s| s.name == "later" && s.standing == "there" && s.build == "9.9.9")
     };
@@ -265,9 +269,9 @@
         }
         if !told && later.peer_count() == 3 {
             told = true;
-            let _ = socket.send_to(&unknown, harness.net.public(1));
+            let _ = socket.send_to(&unknown, harness.net.public_addr(1));
         }
     }
-    harness.wait_for(1, "fleet_datagrams_unknown_kind", 1);
+    harness.wait_for_counter(1, "fleet_datagrams_unknown_kind", 1);
     assert!((0..3).all(|m| harness.counter(m, "fleet_facts_refused") == 0));
 }
--- a/crates/coordinator/tests/golden_operators/files.rs
+++ b/crates/coordinator/tests/golden_operators/files.rs
@@ -432,7 +432,7 @@
         "members 3\nvoters 3 keeps=#true",
     );
     harness.wait_for_leader(&[0, 1, 2], None);
-    let folder = harness.state(0);
+    let folder = harness.state_folder(0);
     assert_eq!(names(&folder), ["agreed", "agreed.lock", "orders"]);
     let bytes = std::fs::read(folder.join("agreed")).expect("the file");
     let header = bytes.iter().position(|&b| b == b'\n').expect("a header");
--- a/crates/coordinator/tests/soak.rs
+++ b/crates/coordinator/tests/soak.rs
@@ -24,11 +24,11 @@
     let logs: String = report
         .logs
         .iter()
-        .map(|(process, log)| format!("{process:?} said\n{log}"))
+        .map(|log| format!("{} said\n{}", log.process, log.text))
         .collect();
     assert!(report.breaches.is_empty(), "seed {seed}: {report}\n{logs}");
     assert!(
-        report.asked > 0 && report.further > 0,
+        report.requests > 0 && report.retries > 0,
         "seed {seed} shows nothing: {report}"
     );
 }
