--- a/crates/control/tests/golden.rs
+++ b/crates/control/tests/golden.rs
@@ -530,14 +530,28 @@
     assert_eq!(management::MAX_CALL_BYTES, 1024);
 }
 
+/// What the program prints, as a golden file of the coordinator holds it behind the command line and its exit code.
+fn printed_by_program(name: &str) -> String {
+    let coordinator = concat!(env!("CARGO_MANIFEST_DIR"), "/../coordinator");
+    let bytes = driftfront_test_support::golden::read(coordinator, &format!("operators/{name}"));
+    let text = String::from_utf8(bytes).expect("text");
+    let mut parts = text.splitn(3, '\n');
+    let command_line = parts.next().expect("a command line");
+    assert!(command_line.starts_with("$ driftfront "), "{command_line}");
+    assert_eq!(parts.next(), Some("[0]"));
+    parts.next().expect("what it prints").to_string()
+}
+
 #[test]
 fn help_completions_and_manual_are_as_before() {
-    assert_golden!("help.txt", commands::help());
+    let help = printed_by_program("help.txt");
+    let (help, _) = help.split_once("the same: ").expect("help of commands");
+    assert_eq!(commands::help(), help);
     for shell in ["bash", "zsh", "fish"] {
         let text = commands::completions(shell).expect("known");
-        assert_golden!(&format!("completions.{shell}"), text);
+        assert_eq!(text, printed_by_program(&format!("completions.{shell}")));
     }
-    assert_golden!("driftfront.1", commands::manual());
+    assert_eq!(commands::manual(), printed_by_program("manual.1"));
     let mut text = String::new();
     for exit in commands::EXIT_CODES {
         let _ = writeln!(text, "{} {}", exit.code, exit.about);
--- a/crates/coordinator/benches/clickhouse.rs
+++ b/crates/coordinator/benches/clickhouse.rs
@@ -3,25 +3,17 @@
 //! `cargo bench -p driftfront --bench clickhouse` prints a page; `BASELINE=PROGRAM` runs that build of the program as
 //! well, in turns with this one, and prints ratios. Nothing else should run on the machine meanwhile. Options:
 //! `--quick` for a tenth of the work, `--only NAME` for one part.
-#![allow(
-    clippy::too_many_lines,
-    clippy::needless_pass_by_value,
-    clippy::cast_possible_truncation,
-    reason = "tests: long lists of cases, and numbers known to be small"
-)]
 
-#[path = "../tests/common/mod.rs"]
-mod common;
-
-use common::site::{read_some, Plan, Site};
-use common::{appliance, file, instance, read_answer};
 use driftfront_mock_servers::engine::{Engine, Options};
-use driftfront_mock_servers::ledger::RequestLog;
+use driftfront_mock_servers::request_log::RequestLog;
+use driftfront_test_support::coordinator::clickhouse_site::{read_some, Plan, Site};
+use driftfront_test_support::coordinator::{
+    appliance, file, instance, read_answer, unused_address, MeasuredProcess,
+};
 use hdrhistogram::Histogram;
 use std::io::{Read, Write};
-use std::net::{SocketAddr, TcpListener, TcpStream};
-use std::path::PathBuf;
-use std::process::{Child, Command, Stdio};
+use std::net::{SocketAddr, TcpStream};
+use std::process::Command;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
@@ -30,95 +22,44 @@
 
 /// A build of the program, in front of one engine.
 struct Through {
-    child: Child,
+    process: MeasuredProcess,
     addr: SocketAddr,
-    files: Vec<PathBuf>,
 }
 
 impl Through {
-    fn start(program: &str, engine: SocketAddr, more: &str) -> Through {
-        let port = TcpListener::bind("127.0.0.1:0")
-            .expect("a port")
-            .local_addr()
-            .expect("an address");
+    /// Starts `program`; `limits` is added to the limits of its configuration.
+    fn start(program: &str, engine: SocketAddr, limits: &str) -> Through {
+        let addr = unused_address();
         let list = file(&format!(
             "{{\"instances\":[{}]}}",
             instance("e0", engine, "ready")
         ));
         let config = appliance()
-            .replace("127.0.0.1:8123", &port.to_string())
+            .replace("127.0.0.1:8123", &addr.to_string())
             .replace("deploy/engines.json", &list.display().to_string())
-            .replace("\"sockets\": 1024", &format!("\"sockets\": 2048{more}"));
+            .replace("\"sockets\": 1024", &format!("\"sockets\": 2048{limits}"));
         let config = file(&config);
-        let child = Command::new("sh")
-            .args([
-                "-c",
-                "ulimit -n 4096; exec \"$0\" serve --log error --config \"$1\"",
-                program,
-            ])
-            .arg(&config)
-            .stderr(Stdio::null())
-            .spawn()
-            .expect("the program starts");
-        let through = Through {
-            child,
-            addr: port,
-            files: vec![list, config],
-        };
-        let begin = Instant::now();
-        loop {
-            if let Ok(mut stream) = TcpStream::connect(through.addr) {
-                let _ = stream.write_all(b"GET /alive HTTP/1.1\r\nHost: t\r\n\r\n");
-                if read_answer(&mut stream).status == 200 {
-                    return through;
-                }
-            }
-            assert!(
-                begin.elapsed() < Duration::from_secs(20),
-                "{program} never got ready"
-            );
-            std::thread::sleep(Duration::from_millis(5));
-        }
+        let shell = "ulimit -n 4096; exec \"$0\" serve --log error --config \"$1\"";
+        let process = MeasuredProcess::start(
+            Command::new("sh").args(["-c", shell, program]).arg(&config),
+            vec![list, config.clone()],
+            || is_alive(addr),
+        );
+        Through { process, addr }
     }
 
     /// Processor time that it has used, in seconds.
     fn cpu(&self) -> f64 {
-        let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id()))
-            .expect("its figures");
-        let fields: Vec<&str> = stat
-            .rsplit(") ")
-            .next()
-            .unwrap_or_default()
-            .split(' ')
-            .collect();
-        let ticks: f64 =
-            fields[11].parse::<f64>().expect("utime") + fields[12].parse::<f64>().expect("stime");
-        ticks / 100.0
-    }
-
-    fn status_mb(&self, name: &str) -> f64 {
-        let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id()))
-            .expect("its figures");
-        let line = status
-            .lines()
-            .find(|l| l.starts_with(name))
-            .unwrap_or_default();
-        line.split_whitespace()
-            .nth(1)
-            .and_then(|kb| kb.parse::<f64>().ok())
-            .unwrap_or(0.0)
-            / 1024.0
+        self.process.processor_seconds()
     }
 }
 
-impl Drop for Through {
-    fn drop(&mut self) {
-        let _ = self.child.kill();
-        let _ = self.child.wait();
-        self.files
-            .iter()
-            .for_each(|f| drop(std::fs::remove_file(f)));
-    }
+fn is_alive(addr: SocketAddr) -> bool {
+    let Ok(mut stream) = TcpStream::connect(addr) else {
+        return false;
+    };
+    let _ = stream.write_all(b"GET /alive HTTP/1.1\r\nHost: t\r\n\r\n");
+    read_answer(&mut stream).status == 200
 }
 
 /// Requests one after another on a kept connection.
@@ -132,9 +73,8 @@
         stream.write_all(request).expect("it reads");
         let answer = read_answer(&mut stream);
         assert_eq!(answer.body, b"1\n");
-        times
-            .record(begin.elapsed().as_nanos() as u64)
-            .expect("in range");
+        let nanos = u64::try_from(begin.elapsed().as_nanos()).expect("a few seconds");
+        times.record(nanos).expect("in range");
     }
     times
 }
@@ -282,7 +222,7 @@
     }
     println!(
         "| memory with 500 open clients, MB | {:.1} |",
-        now.status_mb("VmRSS")
+        now.process.resident_mb()
     );
     drop(open);
     // Each reads 1 KB a second; engines take 64 queries each, so there are more.
--- a/crates/coordinator/src/demo.rs
+++ b/crates/coordinator/src/demo.rs
@@ -6,7 +6,7 @@
 use driftfront_console::remote::{Endpoint, Remote};
 use driftfront_control::Request;
 use driftfront_mock_servers::engine::{Engine, Options};
-use driftfront_mock_servers::ledger::RequestLog;
+use driftfront_mock_servers::request_log::RequestLog;
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::path::{Path, PathBuf};
--- a/crates/coordinator/tests/agreed.rs
+++ b/crates/coordinator/tests/agreed.rs
@@ -1,32 +1,8 @@
 //! What several processes of the program agree on, with faults between them. Waits are for what they say.
-#![allow(
-    clippy::too_many_lines,
-    clippy::needless_pass_by_value,
-    clippy::cast_possible_truncation,
-    reason = "tests: long lists of cases, and numbers known to be small"
-)]
 
 use driftfront_cluster_harness::process::Signal;
 use driftfront_cluster_harness::{ClusterHarness, Consensus, Request};
-use driftfront_mock_servers::engine::{Engine, Options};
-use driftfront_mock_servers::ledger::RequestLog;
-use std::sync::Arc;
-
-fn harness(script: &str) -> (ClusterHarness, Engine) {
-    let engine = Engine::start(
-        Options {
-            name: "engine-1".into(),
-            ..Options::default()
-        },
-        Arc::new(RequestLog::default()),
-    );
-    let harness = ClusterHarness::start(
-        env!("CARGO_BIN_EXE_driftfront"),
-        &engine.addr().to_string(),
-        script,
-    );
-    (harness, engine)
-}
+use driftfront_test_support::coordinator::start_cluster;
 
 /// Asks until it is held: nothing is lent for ten seconds after a founding, and a leader may be new.
 fn held(harness: &ClusterHarness, by: u32, name: &str, for_s: u64) -> u64 {
@@ -84,8 +60,9 @@
 }
 
 #[test]
+#[allow(clippy::too_many_lines, reason = "a scenario reads from top to bottom")]
 fn hold_is_granted_once_and_outlives_leaders_partitions_and_restarts() {
-    let (mut harness, _engine) = harness("members 5\nvoters 3 keeps=#true");
+    let (mut harness, _engine) = start_cluster("members 5\nvoters 3 keeps=#true");
     let voters = [0, 1, 2];
     let leader = harness.wait_for_leader(&voters, None);
     // At a reader; seen by all, and nobody else's until it is given back, by whomever.
@@ -166,7 +143,7 @@
 
 #[test]
 fn voters_without_a_state_folder_grant_short_leases_only() {
-    let (mut harness, _engine) = harness("members 4\nvoters 3");
+    let (mut harness, _engine) = start_cluster("members 4\nvoters 3");
     let voters = [0, 1, 2];
     harness.wait_for_leader(&voters, None);
     held(&harness, 3, "room-a", 10);
@@ -188,7 +165,8 @@
 
 #[test]
 fn lost_voter_is_replaced_and_observes_when_it_returns() {
-    let (mut harness, _engine) = harness("members 4\nvoters 3 keeps=#true replace-after=\"3 s\"");
+    let (mut harness, _engine) =
+        start_cluster("members 4\nvoters 3 keeps=#true replace-after=\"3 s\"");
     let leader = harness.wait_for_leader(&[0, 1, 2], None);
     let gone = (leader + 1) % 3;
     harness.apply_script(&format!("kill \"m{gone}\""));
@@ -204,20 +182,17 @@
 
 #[test]
 fn damaged_log_is_cut_and_catches_up_and_a_foreign_file_is_left() {
-    let (mut harness, _engine) = harness("members 3\nvoters 3 keeps=#true");
+    let (mut harness, _engine) = start_cluster("members 3\nvoters 3 keeps=#true");
     harness.wait_for_leader(&[0, 1, 2], None);
     let file = harness.state_folder(2).join("agreed");
-    let length = std::fs::metadata(&file).unwrap().len();
+    let length = std::fs::read(&file).unwrap().len();
     // Within the last record, within an earlier one.
     // The last is no power cut: the disk lost what it had said it kept, and the engine of the log finds that out.
     for cut in [3, 40, length / 2] {
         harness.apply_script("kill \"m2\"");
         let bytes = std::fs::read(&file).unwrap();
-        std::fs::write(
-            &file,
-            &bytes[..bytes.len() - cut.min(bytes.len() as u64) as usize],
-        )
-        .unwrap();
+        let kept = bytes.len().saturating_sub(cut);
+        std::fs::write(&file, &bytes[..kept]).unwrap();
         harness.apply_script("start \"m2\"");
         wait_until_part(&harness, 2, "votes");
         let leader = harness.wait_for_leader(&[0, 1, 2], None);
@@ -238,7 +213,7 @@
 
 #[test]
 fn coordinators_find_each_other_by_the_engine_list() {
-    let (mut harness, engine) = harness("members 3");
+    let (mut harness, engine) = start_cluster("members 3");
     let list = harness.state_folder(0).with_extension("list");
     let public: Vec<_> = (0..3).map(|m| harness.net.public_addr(m)).collect();
     let write = |names: &[usize]| {
@@ -271,7 +246,7 @@
 
 #[test]
 fn successor_takes_over_the_log_and_its_voter_slot() {
-    let (mut harness, _engine) = harness("members 3\nvoters 3 keeps=#true");
+    let (mut harness, _engine) = start_cluster("members 3\nvoters 3 keeps=#true");
     let leader = harness.wait_for_leader(&[0, 1, 2], None);
     let upgraded = (leader + 1) % 3;
     held(&harness, leader, "room-a", 600);
--- a/crates/coordinator/tests/clickhouse.rs
+++ b/crates/coordinator/tests/clickhouse.rs
@@ -1,25 +1,19 @@
 //! The ClickHouse front, whole: clients, the program, and stand-in engines that are scripted to fail.
-#![allow(
-    clippy::too_many_lines,
-    clippy::needless_pass_by_value,
-    clippy::cast_possible_truncation,
-    reason = "tests: long lists of cases, and numbers known to be small"
-)]
 
-mod common;
-
-use common::site::{read_some, Plan, Site};
-use common::{appliance, call, file, get, instance, post, read_answer, stand_in, Coordinator};
 use driftfront_clickhouse::block::{compress, decompress_prefix, Method};
 use driftfront_clickhouse::coding::{self, Coding};
 use driftfront_http::{chunk, RequestReader};
 use driftfront_mock_servers::engine::{fnv, Options};
-use driftfront_mock_servers::ledger::RequestLog;
+use driftfront_mock_servers::request_log::RequestLog;
+use driftfront_test_support::coordinator::clickhouse_site::{read_some, Plan, Site};
+use driftfront_test_support::coordinator::{
+    appliance, call, file, get, instance, post, read_answer, stand_in, Answer, Coordinator,
+};
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::sync::Arc;
 
-fn code(answer: &common::Answer) -> Option<u32> {
+fn code(answer: &Answer) -> Option<u32> {
     answer
         .header("X-ClickHouse-Exception-Code")
         .and_then(|c| c.parse().ok())
@@ -449,6 +443,7 @@
 }
 
 #[test]
+#[allow(clippy::too_many_lines, reason = "a scenario reads from top to bottom")]
 fn drain_ends_bound_sessions_and_moves_the_others() {
     let site = Site::start(2);
     for n in 0..200 {
@@ -721,7 +716,7 @@
     nonsense.write_all(b"zz\r\n").unwrap();
     assert_eq!(read_answer(&mut nonsense).status, 400);
     for table in ["errs", "dies", "leaves", "nonsense"] {
-        let runs = |e: &[driftfront_mock_servers::ledger::Entry]| {
+        let runs = |e: &[driftfront_mock_servers::request_log::Entry]| {
             e.iter()
                 .filter(|e| e.statement.contains(&format!("o.{table}")))
                 .count()
@@ -976,6 +971,7 @@
 }
 
 #[test]
+#[allow(clippy::too_many_lines, reason = "a scenario reads from top to bottom")]
 fn engines_are_added_and_removed_by_etcd() {
     use base64::engine::general_purpose::STANDARD;
     use base64::Engine as _;
--- a/crates/coordinator/tests/clocks/main.rs
+++ b/crates/coordinator/tests/clocks/main.rs
@@ -1,16 +1,13 @@
 //! Wall clocks that are set while the program runs, by seconds and by an hour, forwards and back: every span that it keeps is one
 //! of a clock that nobody sets. The program runs on loopback with the fault shim preloaded.
 
-#[path = "../common/mod.rs"]
-mod common;
-
 mod budget;
 mod spans;
 
-use common::lines::Site;
-use common::Coordinator;
 use driftfront_cluster_harness::wall_clock::WallClock;
-use driftfront_mock_servers::ledger::Budget;
+use driftfront_mock_servers::request_log::Budget;
+use driftfront_test_support::coordinator::platform_site::Site;
+use driftfront_test_support::coordinator::Coordinator;
 use std::path::Path;
 use std::time::{Duration, Instant};
 
@@ -25,8 +22,8 @@
         ratio: 0.1,
         window,
     };
-    let site = Site::with(engines, |config| {
-        Coordinator::under(&with_budget(&config, &budget), &clock)
+    let site = Site::start_with(engines, |config| {
+        Coordinator::with_wall_clock(&with_budget(&config, &budget), &clock)
     });
     (site, clock, budget)
 }
--- a/crates/coordinator/tests/clocks/spans.rs
+++ b/crates/coordinator/tests/clocks/spans.rs
@@ -1,7 +1,7 @@
 //! Deadlines, waits and graces while the wall clock is set: nothing ends early, and nothing stands still.
 
 use super::{site, HOUR, SECOND};
-use crate::common::lines::Site;
+use driftfront_test_support::coordinator::platform_site::Site;
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
@@ -55,11 +55,7 @@
             "step {step}"
         );
         assert_eq!(site.ledger.of("SELECT silent").len(), 1, "step {step}");
-        assert_eq!(
-            site.list.asked.lock().expect("the list's calls").len(),
-            1,
-            "step {step}"
-        );
+        assert_eq!(site.list.last_event_ids().len(), 1, "step {step}");
     }
 }
 
--- a/crates/coordinator/tests/conformance.rs
+++ b/crates/coordinator/tests/conformance.rs
@@ -1,21 +1,14 @@
 //! The conformance suite: each case of `conformance/cases.json` straight against a stand-in engine, and through the
 //! program. What differs must be on the list, with its reason; the table is `docs/conformance.md`.
-#![allow(
-    clippy::too_many_lines,
-    clippy::needless_pass_by_value,
-    clippy::cast_possible_truncation,
-    reason = "tests: long lists of cases, and numbers known to be small"
-)]
 
-mod common;
-
-use common::site::{Plan, Site};
 use driftfront_clickhouse::block::{self, Method};
 use driftfront_clickhouse::coding::{self, Coding};
 use driftfront_http::{chunk, header, Header, ResponsePart, ResponseReader};
 use driftfront_mock_servers::engine::{Engine, Options};
-use driftfront_mock_servers::ledger::RequestLog;
+use driftfront_mock_servers::request_log::RequestLog;
 use driftfront_settings::json::{parse, Json};
+use driftfront_test_support::coordinator::clickhouse_site::{Plan, Site};
+use driftfront_test_support::coordinator::TEST_TIMEOUT;
 use std::fmt::Write as _;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -83,7 +76,8 @@
 
 fn request(step: Json) -> Vec<u8> {
     let text = |key: &str| step.get(key).text().unwrap_or_default();
-    let times = step.get("times").whole().unwrap_or(0) as usize;
+    let times = step.get("times").whole().unwrap_or(0);
+    let times = usize::try_from(times).expect("a few");
     let body = packed(
         text("pack"),
         (text("body").to_string() + &text("of").repeat(times)).as_bytes(),
@@ -124,7 +118,7 @@
     let (mut status, mut headers, mut body): (u16, Vec<Header>, Vec<u8>) = Default::default();
     let mut whole = false;
     stream
-        .set_read_timeout(Some(common::TEST_TIMEOUT))
+        .set_read_timeout(Some(TEST_TIMEOUT))
         .expect("a timeout");
     'read: loop {
         while let Ok(Some(part)) = reader.next_part() {
@@ -218,6 +212,7 @@
 }
 
 #[test]
+#[allow(clippy::too_many_lines, reason = "a scenario reads from top to bottom")]
 fn every_case_is_the_same_direct_and_through_the_coordinator() {
     let folder = PathBuf::from(env!("CARGO_MANIFEST_DIR"));
     let text = std::fs::read(folder.join("tests/conformance/cases.json")).expect("the cases");
--- a/crates/coordinator/tests/daily.rs
+++ b/crates/coordinator/tests/daily.rs
@@ -1,22 +1,19 @@
 //! Daily operation: calls at the second address, engines taken out and put back, clients sent away.
-#![allow(
-    clippy::too_many_lines,
-    clippy::needless_pass_by_value,
-    clippy::cast_possible_truncation,
-    reason = "tests: long lists of cases, and numbers known to be small"
-)]
-
-mod common;
 
-use common::lines::{config, List, Site};
-use common::{get, read_next, Coordinator, TEST_TIMEOUT};
 use driftfront_http::ResponseReader;
+use driftfront_test_support::coordinator::engine_list::EngineList;
+use driftfront_test_support::coordinator::platform_site::{config, Site};
+use driftfront_test_support::coordinator::{get, read_next, Coordinator, TEST_TIMEOUT};
 use socket2::{Domain, Socket, Type};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::Arc;
 
 /// A second address beside whatever else a site has.
+#[allow(
+    clippy::needless_pass_by_value,
+    reason = "a site hands over its configuration"
+)]
 fn managed(config: String) -> String {
     config.replacen('{', "{\"management\": \"127.0.0.1:0\",", 1)
 }
@@ -38,7 +35,7 @@
 
 #[test]
 fn management_call_is_answered_beside_silent_and_bad_callers() {
-    let site = Site::set(1, managed);
+    let site = Site::with_config(1, managed);
     let addr = site.coordinator.management.unwrap();
     let mut stalled: Vec<TcpStream> = (0..40).map(|_| TcpStream::connect(addr).unwrap()).collect();
     for stream in &mut stalled[..20] {
@@ -75,9 +72,9 @@
 fn unavailable_management_address_does_not_stop_serving() {
     let taken = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let at = format!("{{\"management\": \"{}\",", taken.local_addr().unwrap());
-    let site = Site::set(1, |config| config.replacen('{', &at, 1));
+    let site = Site::with_config(1, |config| config.replacen('{', &at, 1));
     assert_eq!(site.ask("lookup", 2500, "SELECT 1").status, 200);
-    let none = Site::set(1, |config| {
+    let none = Site::with_config(1, |config| {
         config.replacen('{', "{\"management\": \"nowhere\",", 1)
     });
     assert_eq!(
@@ -91,7 +88,7 @@
 
 #[test]
 fn suspended_engine_gets_no_query_until_it_is_restored() {
-    let site = Site::set(2, managed);
+    let site = Site::with_config(2, managed);
     let manage = |call: &str| site.coordinator.manage(call);
     let asked = |from: u64, n: u64| {
         for n in from..from + n {
@@ -118,10 +115,10 @@
     assert_eq!(asked(2000, 30), 0);
     // It goes, and comes back as a new process; an order about it may come while it is gone, too.
     let lists = site.coordinator.counter("lists_taken");
-    site.tell(&["gone", "ready"], "");
+    site.publish(&["gone", "ready"], "");
     site.coordinator.wait_for("lists_taken", lists + 1);
     assert!(manage("SUSPEND e0\n").starts_with("OK") && manage("SUSPEND e00\n").starts_with("ERR"));
-    site.tell(&["ready", "ready"], "");
+    site.publish(&["ready", "ready"], "");
     site.coordinator.wait_for("lists_taken", lists + 2);
     assert_eq!(asked(3000, 30), 0);
     assert_eq!(site.coordinator.counter("engines_out_by_order"), 1);
@@ -138,7 +135,7 @@
 
 #[test]
 fn paused_coordinator_closes_idle_clients_and_answers_the_others() {
-    let site = Site::set(1, managed);
+    let site = Site::with_config(1, managed);
     let mut idle = TcpStream::connect(site.coordinator.addr).unwrap();
     let mut fresh = TcpStream::connect(site.coordinator.addr).unwrap();
     let mut busy = TcpStream::connect(site.coordinator.addr).unwrap();
@@ -187,7 +184,7 @@
 
 #[test]
 fn a_paused_coordinator_ends_when_it_is_asked_to() {
-    let mut site = Site::set(1, managed);
+    let mut site = Site::with_config(1, managed);
     site.coordinator.manage("PAUSE\n");
     site.coordinator.terminate();
     assert!(site.coordinator.wait().success());
@@ -197,7 +194,7 @@
 fn control_socket_and_management_address_share_orders() {
     let socket = std::env::temp_dir().join(format!("driftfront-daily-{}.sock", std::process::id()));
     let named = format!("{{\"control\": \"{}\",", socket.display());
-    let site = Site::set(2, |config| managed(config.replacen('{', &named, 1)));
+    let site = Site::with_config(2, |config| managed(config.replacen('{', &named, 1)));
     let said = |words: &[&str]| {
         let mut command = std::process::Command::new(env!("CARGO_BIN_EXE_driftfront"));
         let out = command
@@ -240,7 +237,7 @@
     let listener: TcpListener = socket.into();
     let engine = listener.local_addr().unwrap();
     let _fill = TcpStream::connect(engine).unwrap();
-    let list = List::start();
+    let list = EngineList::start();
     let patient = config(list.addr).replace(
         "\"ConnectTimeoutUs\": 250000",
         "\"ConnectTimeoutUs\": 14000000",
@@ -252,7 +249,7 @@
         engines: vec![engine],
         list,
     };
-    site.tell(&["ready"], "");
+    site.publish(&["ready"], "");
     site.coordinator.wait_until_ready();
     let answer = std::thread::scope(|scope| {
         let asked = scope.spawn(|| site.ask("report", 2_000, "SELECT 1"));
--- a/crates/coordinator/tests/endings/clients.rs
+++ b/crates/coordinator/tests/endings/clients.rs
@@ -1,14 +1,10 @@
 //! Clients that leave while something of theirs waits, and connections that make room for others.
-#![allow(
-    clippy::too_many_lines,
-    clippy::needless_pass_by_value,
-    clippy::cast_possible_truncation,
-    reason = "tests: long lists of cases, and numbers known to be small"
-)]
 
 use super::{held, let_pass, load, open, ran, report, request, rest, until, with_key_taken};
-use crate::common::lines::{config, serve, List, Site};
-use crate::common::{self, read_answer, Coordinator};
+use driftfront_test_support::coordinator::engine_list::EngineList;
+use driftfront_test_support::coordinator::line_engine::serve;
+use driftfront_test_support::coordinator::platform_site::{config, Site};
+use driftfront_test_support::coordinator::{call, instance, read_answer, Coordinator};
 use socket2::{Domain, Socket, Type};
 use std::io::Write;
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -53,10 +49,7 @@
     // By a call on another connection: its own one closes, as nothing more is owed there.
     let mut taken_back = wait(6);
     let delete = "DELETE /ops/member-load HTTP/1.1\r\nX-Call-Id: 0000000000000006\r\n\r\n";
-    assert_eq!(
-        common::call(site.coordinator.addr, delete.as_bytes()).status,
-        200
-    );
+    assert_eq!(call(site.coordinator.addr, delete.as_bytes()).status, 200);
     assert_eq!(rest(&mut taken_back).unwrap(), b"");
     site.coordinator.wait_for("clients_left", 5);
     // The one behind them has its turn as soon as the first is over.
@@ -72,6 +65,7 @@
 /// until it has begun.
 fn leave(stream: TcpStream) {
     stream.shutdown(Shutdown::Both).expect("it is connected");
+    drop(stream);
 }
 
 #[test]
@@ -166,7 +160,7 @@
         let addr: SocketAddr = listener.local_addr().unwrap().as_socket().unwrap();
         // The backlog is full with this one.
         let filler = TcpStream::connect(addr).unwrap();
-        let list = List::start();
+        let list = EngineList::start();
         let config = config(list.addr).replace(
             "\"ConnectTimeoutUs\": 250000",
             "\"ConnectTimeoutUs\": 60000000",
@@ -178,7 +172,7 @@
             list,
             engines: vec![addr],
         };
-        site.tell(&["ready"], "");
+        site.publish(&["ready"], "");
         site.coordinator.wait_until_ready();
         Unreached {
             site,
@@ -237,11 +231,8 @@
     let mut load = open(&waits.site, &load(1, "INSERT moved"));
     waits.site.coordinator.wait_for("attempts_sent", 1);
     let addr = waits.site.engines[0];
-    let lines = [
-        common::instance("e0", addr, "gone"),
-        common::instance("e1", addr, "ready"),
-    ];
-    waits.site.list.tell(&lines, "");
+    let lines = [instance("e0", addr, "gone"), instance("e1", addr, "ready")];
+    waits.site.list.publish(&lines, "");
     waits.site.coordinator.wait_for("lists_taken", 3);
     let site = waits.make_room();
     assert_eq!(read_answer(&mut load).status, 200);
@@ -287,7 +278,7 @@
 
 #[test]
 fn request_that_arrives_during_eviction_is_served() {
-    let site = Site::set(1, |config| {
+    let site = Site::with_config(1, |config| {
         config.replace("\"sockets\": 1024", "\"sockets\": 100")
     });
     // 50 of 60 places are held by those that asked once and rest; the first of them is the longest idle.
--- a/crates/coordinator/tests/endings/engines.rs
+++ b/crates/coordinator/tests/endings/engines.rs
@@ -1,8 +1,9 @@
 //! Answers and connections of engines that end at a bad moment.
 
 use super::{open, report, until};
-use crate::common::lines::{read_statement, Site};
-use crate::common::{read_answer, stand_in, Coordinator};
+use driftfront_test_support::coordinator::line_engine::read_statement;
+use driftfront_test_support::coordinator::platform_site::Site;
+use driftfront_test_support::coordinator::{read_answer, stand_in, Coordinator};
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::mpsc::channel;
@@ -76,7 +77,7 @@
             line.clear();
         }
     });
-    let site = Site::of(Arc::default(), vec![engine], |config| {
+    let site = Site::with_engines(Arc::default(), vec![engine], |config| {
         Coordinator::start(&config)
     });
     assert_eq!(site.ask("lookup", 2500, "SELECT 1").status, 200);
@@ -116,7 +117,7 @@
         }
     });
     let edit = |config: String| config.replace("\"MayProbe\": true", "\"MayProbe\": false");
-    let site = Site::of(Arc::default(), vec![engine], |config| {
+    let site = Site::with_engines(Arc::default(), vec![engine], |config| {
         Coordinator::start(&edit(config))
     });
     let mut first = open(&site, &report(1, "SELECT first"));
--- a/crates/coordinator/tests/endings/lists.rs
+++ b/crates/coordinator/tests/endings/lists.rs
@@ -1,8 +1,10 @@
 //! The list of engines: silent, away, or back with news.
 
-use crate::common::lines::{config, engines, event, instances, read_head, List, Site};
-use crate::common::{self, stand_in, Coordinator};
-use driftfront_mock_servers::ledger::RequestLog;
+use driftfront_mock_servers::request_log::RequestLog;
+use driftfront_test_support::coordinator::engine_list::{event, instances, read_head, EngineList};
+use driftfront_test_support::coordinator::line_engine::engines;
+use driftfront_test_support::coordinator::platform_site::{config, Site};
+use driftfront_test_support::coordinator::{post, stand_in, Coordinator};
 use socket2::{Domain, Socket, Type};
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -32,11 +34,7 @@
         let _ = stream.write_all(format!("HTTP/1.1 200 OK\r\n\r\n{event}").as_bytes());
         let _ = input.read_line(&mut String::new());
     });
-    let list = List {
-        addr,
-        events: Arc::default(),
-        asked: Arc::default(),
-    };
+    let list = EngineList::at(addr);
     let coordinator = Coordinator::start(&config(addr));
     let ledger = Arc::default();
     let site = Site {
@@ -81,7 +79,7 @@
         let headers = format!("X-Call-Id: {n:016x}\r\nX-Patience-Ms: 2400\r\n");
         let statement = format!("SELECT {n}");
         assert_eq!(
-            common::post(coordinator.addr, "/ops/lookup", &headers, &statement).status,
+            post(coordinator.addr, "/ops/lookup", &headers, &statement).status,
             200
         );
         ledger.of(&statement)[0].engine.clone()
--- a/crates/coordinator/tests/endings/main.rs
+++ b/crates/coordinator/tests/endings/main.rs
@@ -1,17 +1,15 @@
 //! Moments in which something ends while something else is still owed: `docs/endings.md` names each. The program runs on
 //! loopback; a stand-in waits for events, and where two things have to be found at once the program is held still meanwhile.
 
-#[path = "../common/mod.rs"]
-mod common;
-
 mod clients;
 mod engines;
 mod lists;
 mod shutdown;
 
-use common::lines::{read_statement, Site};
-use common::{stand_in, Coordinator};
-use driftfront_mock_servers::ledger::RequestLog;
+use driftfront_mock_servers::request_log::RequestLog;
+use driftfront_test_support::coordinator::line_engine::read_statement;
+use driftfront_test_support::coordinator::platform_site::Site;
+use driftfront_test_support::coordinator::{stand_in, Coordinator, TEST_TIMEOUT};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::TcpStream;
 use std::sync::{Arc, Condvar, Mutex};
@@ -50,7 +48,7 @@
 
 /// Waits for the end of what the other side says; an error if that is a reset.
 fn rest(stream: &mut TcpStream) -> std::io::Result<Vec<u8>> {
-    stream.set_read_timeout(Some(common::TEST_TIMEOUT)).unwrap();
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     let mut rest = Vec::new();
     stream.read_to_end(&mut rest).map(|_| rest)
 }
@@ -67,7 +65,7 @@
 fn until(what: &str, mut so: impl FnMut() -> bool) {
     let begin = Instant::now();
     while !so() {
-        assert!(begin.elapsed() < common::TEST_TIMEOUT, "never: {what}");
+        assert!(begin.elapsed() < TEST_TIMEOUT, "never: {what}");
         std::thread::yield_now();
     }
 }
@@ -102,7 +100,7 @@
     };
     let engines = (0..engines).map(engine).collect();
     (
-        Site::of(ledger, engines, |config| Coordinator::start(&config)),
+        Site::with_engines(ledger, engines, |config| Coordinator::start(&config)),
         gate,
     )
 }
--- a/crates/coordinator/tests/endings/shutdown.rs
+++ b/crates/coordinator/tests/endings/shutdown.rs
@@ -1,8 +1,8 @@
 //! SIGTERM, and what comes while the process leaves.
 
 use super::{held, let_pass, load, open, request, rest, until, with_key_taken};
-use crate::common::lines::Site;
-use crate::common::{read_answer, read_next};
+use driftfront_test_support::coordinator::platform_site::Site;
+use driftfront_test_support::coordinator::{read_answer, read_next};
 use std::io::Write;
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
@@ -89,7 +89,9 @@
     let mut resting = open(&site, &request("lookup", 2, "", "SELECT 2"));
     assert_eq!(read_answer(&mut resting).status, 200);
     site.coordinator.terminate();
-    until("the signal is taken", || site.coordinator.is_leaving());
+    until("the signal is taken", || {
+        site.coordinator.is_shutting_down()
+    });
     site.coordinator.freeze();
     // One in the backlog of a listener, one on a connection at rest: both are to be closed as soon as it goes on.
     let mut backlog = open(&site, &request("lookup", 3, "", "SELECT late"));
--- a/crates/coordinator/tests/faults.rs
+++ b/crates/coordinator/tests/faults.rs
@@ -4,7 +4,7 @@
 use driftfront_cluster_harness::load::{count_outcomes, Load, LoadPlan, Outcome, RequestRecord};
 use driftfront_cluster_harness::{ClusterHarness, EngineEndpoint};
 use driftfront_mock_servers::engine::{Engine, Options};
-use driftfront_mock_servers::ledger::RequestLog;
+use driftfront_mock_servers::request_log::RequestLog;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/coordinator/tests/fleet.rs
+++ b/crates/coordinator/tests/fleet.rs
@@ -1,37 +1,15 @@
 //! Several processes of the program with faults between them. Waits are for what they say they see.
-#![allow(
-    clippy::too_many_lines,
-    clippy::needless_pass_by_value,
-    clippy::cast_possible_truncation,
-    reason = "tests: long lists of cases, and numbers known to be small"
-)]
 
 use driftfront_cluster::message_authentication::{MessageAuthenticator, Payload};
 use driftfront_cluster::{Cluster, Identity, Key, Keyring, MemberMetadata};
 use driftfront_cluster_harness::process::{call, Signal};
 use driftfront_cluster_harness::ClusterHarness;
-use driftfront_mock_servers::engine::{Engine, Options};
-use driftfront_mock_servers::ledger::RequestLog;
+use driftfront_test_support::coordinator::start_cluster;
+use driftfront_test_support::EXAMPLE_CONFIGURATION;
 use std::net::UdpSocket;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::Arc;
 
-fn harness(script: &str) -> (ClusterHarness, Engine) {
-    let engine = Engine::start(
-        Options {
-            name: "engine-1".into(),
-            ..Options::default()
-        },
-        Arc::new(RequestLog::default()),
-    );
-    let harness = ClusterHarness::start(
-        env!("CARGO_BIN_EXE_driftfront"),
-        &engine.addr().to_string(),
-        script,
-    );
-    (harness, engine)
-}
-
 fn query(harness: &ClusterHarness, member: u32) -> String {
     let request = "GET /?query=SELECT%201 HTTP/1.1\r\nHost: t\r\nConnection: close\r\n\r\n";
     call(harness.client_addr(member), request).expect("an answer")
@@ -39,7 +17,7 @@
 
 #[test]
 fn coordinators_started_at_once_find_each_other() {
-    let (mut harness, _engine) = harness("members 5 zones=2");
+    let (mut harness, _engine) = start_cluster("members 5 zones=2");
     harness.wait_until_members_are(&[0, 1, 2, 3, 4], &[0, 1, 2, 3, 4]);
     let served = |seen: &[driftfront_cluster_harness::Member]| {
         seen.iter()
@@ -61,7 +39,7 @@
 
 #[test]
 fn killed_members_are_reported_down_and_rejoin_under_their_names() {
-    let (mut harness, _engine) = harness("members 5");
+    let (mut harness, _engine) = start_cluster("members 5");
     harness.wait_until_members_are(&[0, 1, 2, 3, 4], &[0, 1, 2, 3, 4]);
     // Both of the other seeds among them.
     harness.apply_script("kill \"m1\" \"m2\"");
@@ -76,7 +54,7 @@
 
 #[test]
 fn partitioned_halves_keep_serving_and_merge_again() {
-    let (mut harness, _engine) = harness("members 5");
+    let (mut harness, _engine) = start_cluster("members 5");
     harness.wait_until_members_are(&[0, 1, 2, 3, 4], &[0, 1, 2, 3, 4]);
     harness.apply_script("cut \"m0\" \"m1\"");
     harness.wait_until_members_are(&[0, 1], &[0, 1]);
@@ -90,7 +68,7 @@
 
 #[test]
 fn isolated_member_alone_is_reported_down() {
-    let (mut harness, _engine) = harness("members 4");
+    let (mut harness, _engine) = start_cluster("members 4");
     harness.wait_until_members_are(&[0, 1, 2, 3], &[0, 1, 2, 3]);
     harness.apply_script("cut \"m3\" ways=\"out\"");
     harness.wait_until_members_are(&[0, 1, 2], &[0, 1, 2]);
@@ -105,7 +83,7 @@
 
 #[test]
 fn stopped_process_rejoins_and_suspects_nobody() {
-    let (mut harness, _engine) = harness("members 4");
+    let (mut harness, _engine) = start_cluster("members 4");
     harness.wait_until_members_are(&[0, 1, 2, 3], &[0, 1, 2, 3]);
     harness.apply_script("stop \"m2\"");
     harness.wait_until_members_are(&[0, 1, 3], &[0, 1, 3]);
@@ -118,7 +96,7 @@
 
 #[test]
 fn keys_are_rotated_while_members_serve() {
-    let (mut harness, _engine) = harness("members 3");
+    let (mut harness, _engine) = start_cluster("members 3");
     harness.wait_until_members_are(&[0, 1, 2], &[0, 1, 2]);
     let (old, new) = (
         driftfront_cluster_harness::KEY,
@@ -157,7 +135,7 @@
 
 #[test]
 fn datagram_flood_with_a_wrong_key_harms_nobody() {
-    let (harness, _engine) = harness("members 3");
+    let (harness, _engine) = start_cluster("members 3");
     harness.wait_until_members_are(&[0, 1, 2], &[0, 1, 2]);
     let (over, sent) = (
         Arc::new(AtomicBool::new(false)),
@@ -188,7 +166,7 @@
 #[test]
 fn loss_of_a_third_of_datagrams_hides_no_member() {
     let (mut harness, _engine) =
-        harness("members 4\nseed 9\nlink \"all\" \"all\" loss=0.3 repeat=0.2 delay=\"2 ms\" jitter=\"10 ms\"");
+        start_cluster("members 4\nseed 9\nlink \"all\" \"all\" loss=0.3 repeat=0.2 delay=\"2 ms\" jitter=\"10 ms\"");
     harness.play();
     harness.wait_until_members_are(&[0, 1, 2, 3], &[0, 1, 2, 3]);
     harness.wait_for_counter(0, "fleet_datagrams_refused{why=\"replayed\"}", 3);
@@ -198,7 +176,7 @@
 
 #[test]
 fn cluster_is_refused_when_the_settings_forbid_gossip() {
-    let text = include_str!("common/site.json").replace(
+    let text = EXAMPLE_CONFIGURATION.replace(
         "\"limits\"",
         "\"fleet\": {\"listen\": \"127.0.0.1:0\", \"key_file\": \"/nowhere\"}, \"limits\"",
     );
@@ -213,7 +191,7 @@
 
 #[test]
 fn member_of_a_later_build_is_admitted() {
-    let (harness, _engine) = harness("members 3");
+    let (harness, _engine) = start_cluster("members 3");
     harness.wait_until_members_are(&[0, 1, 2], &[0, 1, 2]);
     // A member with the units themselves, that speaks a little more than this build knows.
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
@@ -258,12 +236,13 @@
             .iter()
             .any(|s| s.name == "later" && s.standing == "there" && s.build == "9.9.9")
     };
+    let now = || u64::try_from(begun.elapsed().as_micros()).expect("a minute at most");
     while !(0..3).all(seen) || !told {
         assert!(begun.elapsed() < driftfront_cluster_harness::TEST_TIMEOUT);
         while let Ok(n) = socket.recv(&mut bytes) {
-            later.handle_datagram(begun.elapsed().as_micros() as u64, &bytes[..n]);
+            later.handle_datagram(now(), &bytes[..n]);
         }
-        later.tick(begun.elapsed().as_micros() as u64);
+        later.tick(now());
         while let Some((to, datagram)) = later.next_outgoing() {
             let _ = socket.send_to(&datagram, to);
         }
--- a/crates/coordinator/tests/golden_backends.rs
+++ b/crates/coordinator/tests/golden_backends.rs
@@ -1,10 +1,4 @@
 //! What is written to engines, and what is read of their answers.
-#![allow(
-    clippy::too_many_lines,
-    clippy::needless_pass_by_value,
-    clippy::cast_possible_truncation,
-    reason = "tests: long lists of cases, and numbers known to be small"
-)]
 
 use driftfront::backends::clickhouse::{
     HttpSession, COMPRESSED_BLOCKS, REQUEST_HEADERS, URL_PARAMETERS,
@@ -256,6 +250,7 @@
 }
 
 #[test]
+#[allow(clippy::too_many_lines, reason = "tests list their cases")]
 fn clickhouse_answers_of_engines_are_read_as_ever() {
     let mut read = MessageTranscript::default();
     let whole = |status: &str, headers: &str, body: &str| {
--- a/crates/coordinator/tests/golden_frontends.rs
+++ b/crates/coordinator/tests/golden_frontends.rs
@@ -1,14 +1,5 @@
 //! What clients are answered, as the frontends make the bytes and as the program sends them.
-#![allow(
-    clippy::too_many_lines,
-    clippy::needless_pass_by_value,
-    clippy::cast_possible_truncation,
-    reason = "tests: long lists of cases, and numbers known to be small"
-)]
 
-mod common;
-
-use common::lines::Site;
 use driftfront::frontends::clickhouse::{ClassRules, ClickHouse};
 use driftfront::frontends::platform::Platform;
 use driftfront::frontends::{
@@ -17,6 +8,8 @@
 use driftfront_core::{EngineId, ParsedRequest, ResponseChunk, SettledOutcome};
 use driftfront_http::{HttpError, Request};
 use driftfront_test_support::assert_golden;
+use driftfront_test_support::coordinator::platform_site::Site;
+use driftfront_test_support::coordinator::{clickhouse_site, TEST_TIMEOUT};
 use driftfront_test_support::message_transcript::MessageTranscript;
 use std::io::{Read as _, Write as _};
 use std::net::TcpStream;
@@ -129,6 +122,7 @@
 type Write<'a> = dyn Fn(&mut dyn ResponseWriter, &mut Vec<u8>) -> Option<ConnectionAction> + 'a;
 
 /// Every kind of answer that a writer may have to write.
+#[allow(clippy::too_many_lines, reason = "tests list their cases")]
 fn record_answers(
     wire: &mut MessageTranscript,
     name: &str,
@@ -200,6 +194,7 @@
 }
 
 #[test]
+#[allow(clippy::too_many_lines, reason = "tests list their cases")]
 fn the_platform_s_answers_are_made_as_ever() {
     let mut wire = MessageTranscript::default();
     let mut front = Platform {
@@ -290,6 +285,7 @@
 }
 
 #[test]
+#[allow(clippy::too_many_lines, reason = "tests list their cases")]
 fn clickhouse_s_answers_are_made_as_ever() {
     let mut wire = MessageTranscript::default();
     let mut front = clickhouse();
@@ -456,7 +452,7 @@
 fn exchange(addr: std::net::SocketAddr, bytes: &[u8]) -> Vec<u8> {
     let mut stream = TcpStream::connect(addr).expect("it listens");
     stream
-        .set_read_timeout(Some(common::TEST_TIMEOUT))
+        .set_read_timeout(Some(TEST_TIMEOUT))
         .expect("a timeout");
     stream.write_all(bytes).expect("it reads");
     let mut answer = Vec::new();
@@ -468,7 +464,7 @@
 fn expecting(addr: std::net::SocketAddr, fields: &str) -> Vec<u8> {
     let mut stream = TcpStream::connect(addr).expect("it listens");
     stream
-        .set_read_timeout(Some(common::TEST_TIMEOUT))
+        .set_read_timeout(Some(TEST_TIMEOUT))
         .expect("a timeout");
     let head = format!(
         "POST /ops/lookup HTTP/1.1\r\nExpect: 100-continue\r\nConnection: close\r\n{fields}Content-Length: 8\r\n\r\n"
@@ -486,6 +482,7 @@
 }
 
 #[test]
+#[allow(clippy::too_many_lines, reason = "tests list their cases")]
 fn the_program_sends_the_platform_s_answers_as_ever() {
     let site = Site::start(1);
     let addr = site.coordinator.addr;
@@ -553,7 +550,7 @@
 
 #[test]
 fn the_program_sends_clickhouse_s_answers_as_ever() {
-    let site = common::site::Site::start(1);
+    let site = clickhouse_site::Site::start(1);
     let addr = site.coordinator.addr;
     let mut wire = MessageTranscript::default();
     let close = "HTTP/1.1\r\nHost: t\r\nConnection: close\r\n\r\n";
--- a/crates/coordinator/tests/golden_operators/commands.rs
+++ b/crates/coordinator/tests/golden_operators/commands.rs
@@ -1,15 +1,10 @@
 //! Sub-commands, their help and exit codes; the operator's file as `check` reads it, and what is said of a wrong one.
-#![allow(
-    clippy::too_many_lines,
-    clippy::needless_pass_by_value,
-    clippy::cast_possible_truncation,
-    reason = "tests: long lists of cases, and numbers known to be small"
-)]
 
-use crate::{common, type_in, Folder};
+use crate::{type_in, Folder};
 use driftfront::config::Config;
 use driftfront_control::commands::COMMANDS;
 use driftfront_test_support::assert_golden;
+use driftfront_test_support::coordinator::{appliance, platform_site};
 use std::os::unix::fs::PermissionsExt;
 use tinyjson::JsonValue;
 
@@ -42,6 +37,7 @@
 }
 
 #[test]
+#[allow(clippy::too_many_lines, reason = "tests list their cases")]
 fn exit_codes_and_words_of_wrong_uses() {
     let folder = Folder::new("uses");
     folder.write("key", "0123456789abcdef\n");
@@ -117,13 +113,13 @@
         "fleet-and-state.kdl",
         &(deploy("fleet.kdl") + "state \"state\"\n"),
     );
-    folder.write("site.json", &common::appliance());
+    folder.write("site.json", &appliance());
     folder.write(
         "etcd.kdl",
         "engines { etcd \"127.0.0.1:2379\" prefix=\"/engines/\"; }\nfront \"platform\"\n",
     );
     folder.write("file.kdl", "engines { file \"engines.json\"; }\n");
-    let stream = common::lines::config("127.0.0.1:7".parse().expect("an address"));
+    let stream = platform_site::config("127.0.0.1:7".parse().expect("an address"));
     folder.write("stream.json", &stream);
     let check = |name: &str| type_in(&folder.0, &["check", "--config", name]);
     let mut text = check("fleet.kdl");
@@ -237,7 +233,7 @@
     ]
     .map(|text| values(&Config::of_operator(text).expect("well formed")))
     .join("\n");
-    let json = values(&Config::read(common::appliance().as_bytes()).expect("well formed"));
+    let json = values(&Config::read(appliance().as_bytes()).expect("well formed"));
     assert_golden!("operators/values.txt", text + "\n" + &json);
 }
 
@@ -295,6 +291,7 @@
 }
 
 #[test]
+#[allow(clippy::too_many_lines, reason = "tests list their cases")]
 fn what_is_said_of_a_wrong_file() {
     let folder = Folder::new("mistakes");
     folder.write("short.key", "short\n");
@@ -377,7 +374,7 @@
         ("\"Effect\": \"free\"", "\"Effect\": \"odd\""),
         ("\"OnTimeUs\": 500000", "\"OnTimeUs\": \"x\""),
     ] {
-        let whole = common::appliance();
+        let whole = appliance();
         assert!(whole.contains(from), "{from}");
         folder.write("wrong.json", &whole.replacen(from, to, 1));
         text += &format!("--- {from} -> {to}\n{}", type_in(&folder.0, &["check", "--config", "wrong.json"]));
--- a/crates/coordinator/tests/golden_operators/control.rs
+++ b/crates/coordinator/tests/golden_operators/control.rs
@@ -1,18 +1,12 @@
 //! The control socket's replies, the second address' calls, and the counters.
-#![allow(
-    clippy::too_many_lines,
-    clippy::needless_pass_by_value,
-    clippy::cast_possible_truncation,
-    reason = "tests: long lists of cases, and numbers known to be small"
-)]
 
 use crate::commands::ordered;
-use crate::common::lines::Site as LineSite;
-use crate::common::site::Plan;
-use crate::common::{get, TEST_TIMEOUT};
 use crate::Folder;
 use driftfront_control::{Request, MAX_REPLY_BYTES};
 use driftfront_test_support::assert_golden;
+use driftfront_test_support::coordinator::clickhouse_site::Plan;
+use driftfront_test_support::coordinator::platform_site::Site as LineSite;
+use driftfront_test_support::coordinator::{get, TEST_TIMEOUT};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::os::unix::net::UnixStream;
 use tinyjson::JsonValue;
@@ -113,6 +107,7 @@
 }
 
 #[test]
+#[allow(clippy::too_many_lines, reason = "tests list their cases")]
 fn replies_of_the_control_socket() {
     let folder = Folder::new("control");
     let site = site(&folder).start();
--- a/crates/coordinator/tests/golden_operators/files.rs
+++ b/crates/coordinator/tests/golden_operators/files.rs
@@ -1,6 +1,5 @@
 //! The state folder and the hand-over files: names, bytes, and that today's bytes are read.
 
-use crate::common::{file, TEST_TIMEOUT};
 use crate::{type_in, Folder};
 use driftfront::handover::{HandoverMailbox, ProcessNumber, Received};
 use driftfront::state_folder::StateFolder;
@@ -9,6 +8,7 @@
 use driftfront_engine_registry::rolling_restart::RollingRestart;
 use driftfront_engine_registry::{ActiveOrder, EngineDescription, Order};
 use driftfront_scheduler::Phase;
+use driftfront_test_support::coordinator::{appliance, file, TEST_TIMEOUT};
 use driftfront_test_support::{assert_golden, read_golden};
 use std::os::unix::fs::PermissionsExt;
 use std::path::Path;
@@ -384,7 +384,7 @@
 
 #[test]
 fn the_line_that_says_where_it_listens() {
-    let config = crate::common::appliance()
+    let config = appliance()
         .replace("127.0.0.1:8123", "127.0.0.1:0")
         .replacen('{', "{\"management\": \"127.0.0.1:0\",", 1);
     let path = file(&config);
--- a/crates/coordinator/tests/golden_operators/main.rs
+++ b/crates/coordinator/tests/golden_operators/main.rs
@@ -2,8 +2,6 @@
 //! control socket, the second address and the counters.
 
 mod commands;
-#[path = "../common/mod.rs"]
-mod common;
 mod control;
 mod files;
 
--- a/crates/coordinator/tests/operators.rs
+++ b/crates/coordinator/tests/operators.rs
@@ -1,20 +1,14 @@
 //! What operators do to a running program: the control socket, commands, drains that outlive a restart, the console.
-#![allow(
-    clippy::too_many_lines,
-    clippy::needless_pass_by_value,
-    clippy::cast_possible_truncation,
-    reason = "tests: long lists of cases, and numbers known to be small"
-)]
 
-mod common;
-
-use common::site::{Plan, Site};
-use common::{file, instance, post, read_answer, Coordinator};
 use driftfront_console::remote::{Endpoint, Remote};
 use driftfront_control::snapshot::Snapshot;
 use driftfront_control::{Reply, Request};
 use driftfront_mock_servers::engine::{Engine, Options};
-use driftfront_mock_servers::ledger::RequestLog;
+use driftfront_mock_servers::request_log::RequestLog;
+use driftfront_test_support::coordinator::clickhouse_site::{Plan, Site};
+use driftfront_test_support::coordinator::{
+    appliance, file, instance, post, read_answer, Coordinator, TEST_TIMEOUT,
+};
 use std::io::{Read, Write};
 use std::os::unix::fs::PermissionsExt;
 use std::os::unix::net::UnixStream;
@@ -62,24 +56,24 @@
         loop {
             match Remote::connect(&Endpoint::Socket(self.socket.clone())) {
                 Ok(remote) => return remote,
-                Err(e) => assert!(begin.elapsed() < common::TEST_TIMEOUT, "{e}"),
+                Err(e) => assert!(begin.elapsed() < TEST_TIMEOUT, "{e}"),
             }
         }
     }
 
-    fn ask(&self, request: Request) -> Reply {
-        self.remote().ask(&request).expect("an answer")
+    fn ask(&self, request: &Request) -> Reply {
+        self.remote().ask(request).expect("an answer")
     }
 
     fn drain(&self, engine: &str, force: bool) -> Reply {
-        self.ask(Request::Drain {
+        self.ask(&Request::Drain {
             engine: engine.into(),
             force,
         })
     }
 
     fn snapshot(&self) -> Snapshot {
-        match self.ask(Request::Snapshot) {
+        match self.ask(&Request::Snapshot) {
             Reply::Snapshot(s) => *s,
             other => panic!("{other:?}"),
         }
@@ -92,7 +86,7 @@
             if holds(&s) {
                 return s;
             }
-            assert!(begin.elapsed() < common::TEST_TIMEOUT, "{what}: {s:#?}");
+            assert!(begin.elapsed() < TEST_TIMEOUT, "{what}: {s:#?}");
             std::thread::sleep(Duration::from_millis(5));
         }
     }
@@ -166,7 +160,7 @@
         assert!(late
             .clone()
             .all(|e| e.at < told + Duration::from_millis(250) && !e.statement.contains("behind")));
-        assert!(matches!(o.ask(Request::Resume(engine)), Reply::Done(_)));
+        assert!(matches!(o.ask(&Request::Resume(engine)), Reply::Done(_)));
     }
     stop.store(true, Ordering::Relaxed);
     load.into_iter().for_each(|l| l.join().expect("no panic"));
@@ -220,7 +214,7 @@
         "{events}"
     );
     assert!(matches!(
-        o.ask(Request::Resume("e0".into())),
+        o.ask(&Request::Resume("e0".into())),
         Reply::Done(_)
     ));
     o.wait_until("e0 is back", |s| s.engines[0].phase == "ready");
@@ -276,13 +270,13 @@
     o.drain("e1", false);
     assert_eq!(o.site.query("SELECT 'extra'").status, 200);
     assert_eq!(o.site.ledger.of("'extra'")[0].engine, "extra");
-    assert!(refused(&o.ask(Request::Remove {
+    assert!(refused(&o.ask(&Request::Remove {
         engine: "extra".into(),
         force: false
     }))
     .contains("drain it first"));
     assert!(matches!(
-        o.ask(Request::Remove {
+        o.ask(&Request::Remove {
             engine: "e0".into(),
             force: false
         }),
@@ -371,7 +365,7 @@
     for n in 0..60 {
         let (engine, addr) = (format!("far-{n}"), format!("127.0.0.1:{}", 40_000 + n));
         let (zone, kind) = (String::new(), String::new());
-        o.ask(Request::Add {
+        o.ask(&Request::Add {
             engine: engine.clone(),
             addr,
             zone,
@@ -459,7 +453,7 @@
         .contains("complete -F"));
     // A control socket that answers is not taken over by a second program.
     let list = file("{\"instances\":[]}");
-    let config = common::appliance()
+    let config = appliance()
         .replace("127.0.0.1:8123", "127.0.0.1:0")
         .replace("deploy/engines.json", &list.display().to_string())
         .replace(
@@ -502,7 +496,7 @@
         "{{\"instances\":[{}]}}",
         instance("e0", engine.addr(), "ready")
     ));
-    let config = common::appliance()
+    let config = appliance()
         .replace("127.0.0.1:8123", "127.0.0.1:0")
         .replace("deploy/engines.json", &list.display().to_string())
         .replace(
@@ -591,7 +585,7 @@
         let begin = Instant::now();
         while !self.says(words) {
             assert!(
-                begin.elapsed() < common::TEST_TIMEOUT,
+                begin.elapsed() < TEST_TIMEOUT,
                 "{words:?} never came:\n{}",
                 self.text()
             );
@@ -683,7 +677,7 @@
     let begin = Instant::now();
     while child.try_wait().expect("a child").is_none() {
         assert!(
-            begin.elapsed() < common::TEST_TIMEOUT,
+            begin.elapsed() < TEST_TIMEOUT,
             "it goes on without a terminal"
         );
         std::thread::sleep(Duration::from_millis(10));
--- a/crates/coordinator/tests/platform.rs
+++ b/crates/coordinator/tests/platform.rs
@@ -1,9 +1,8 @@
 //! The platform's front, whole: clients, the program, stand-in engines and a stand-in list of engines.
 
-mod common;
-
-use common::lines::{config, List, Site};
-use common::{call, read_answer, read_next, stand_in, Coordinator};
+use driftfront_test_support::coordinator::engine_list::EngineList;
+use driftfront_test_support::coordinator::platform_site::{config, Site};
+use driftfront_test_support::coordinator::{call, read_answer, read_next, stand_in, Coordinator};
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::sync::mpsc::channel;
@@ -49,7 +48,7 @@
             .unwrap();
         let _ = ends.lock().unwrap().recv();
     });
-    let list = List::start();
+    let list = EngineList::start();
     let coordinator =
         Coordinator::start(&config(list.addr).replace("\"MayProbe\": true", "\"MayProbe\": false"));
     let site = Site {
@@ -58,7 +57,7 @@
         list,
         engines: vec![dies],
     };
-    site.tell(&["ready"], "");
+    site.publish(&["ready"], "");
     site.coordinator.wait_until_ready();
     assert_eq!(site.ask("lookup", 2500, "SELECT first").status, 200);
     assert_eq!(site.coordinator.counter("engines_doubted"), 0);
@@ -135,7 +134,7 @@
 #[test]
 fn reads_on_a_silent_connection_are_retried_elsewhere() {
     // Notes are due each 0.1 s, so a connection that brings none of them for long is dead.
-    let site = Site::set(2, |config| {
+    let site = Site::with_config(2, |config| {
         config.replace("\"TellsEveryUs\": 0", "\"TellsEveryUs\": 100000")
     });
     assert_eq!(site.ask("report", 15_000, "SELECT mute").status, 200);
@@ -168,11 +167,11 @@
 #[test]
 fn event_stream_resumes_behind_its_last_event() {
     let site = Site::start(2);
-    site.tell(&["ready", "ready"], ",\"x\":\"hang up\"");
+    site.publish(&["ready", "ready"], ",\"x\":\"hang up\"");
     site.coordinator.wait_for("lists_taken", 3);
-    site.tell(&["draining", "ready"], "");
+    site.publish(&["draining", "ready"], "");
     site.coordinator.wait_for("lists_taken", 4);
-    assert_eq!(*site.list.asked.lock().unwrap(), ["0", "2"]);
+    assert_eq!(site.list.last_event_ids(), ["0", "2"]);
     for n in 0..10 {
         assert_eq!(
             site.ask("lookup", 2500, &format!("SELECT drained {n}"))
@@ -191,16 +190,16 @@
         .unwrap();
     // A bad file is no reason to end, nor to forget where the list is told.
     site.coordinator.reload("{ half a fi");
-    site.tell(&["ready", "ready"], "");
+    site.publish(&["ready", "ready"], "");
     site.coordinator.wait_for("lists_taken", 3);
     // The new address has all events so far; the coordinator asks for those behind its last.
-    let moved = List::start();
-    moved.events.lock().unwrap().0 = site.list.events.lock().unwrap().0.clone();
+    let moved = EngineList::start();
+    moved.copy_events(&site.list);
     site.coordinator.reload(&config(moved.addr));
     site.list = moved;
-    site.tell(&["draining", "ready"], "");
+    site.publish(&["draining", "ready"], "");
     site.coordinator.wait_for("lists_taken", 4);
-    assert_eq!(*site.list.asked.lock().unwrap(), ["2"]);
+    assert_eq!(site.list.last_event_ids(), ["2"]);
     open.write_all(b"X-Patience-Ms: 2500\r\nContent-Length: 14\r\n\r\nSELECT drained")
         .unwrap();
     assert_eq!(read_answer(&mut open).status, 200);
@@ -312,7 +311,7 @@
 
 #[test]
 fn idle_connections_do_not_keep_clients_out() {
-    let site = Site::set(1, |config| {
+    let site = Site::with_config(1, |config| {
         config.replace("\"sockets\": 1024", "\"sockets\": 100")
     });
     // Clients may hold 60 of them; each new one takes the place of the longest idle.
--- a/crates/coordinator/tests/retry_budget.rs
+++ b/crates/coordinator/tests/retry_budget.rs
@@ -1,10 +1,10 @@
 //! The retry budget where attempts are held up between their choice and their first byte: it counts what goes out.
 
-mod common;
-
-use common::lines::{config, engines, instances, List, Site};
-use common::Coordinator;
-use driftfront_mock_servers::ledger::{Budget, RequestLog};
+use driftfront_mock_servers::request_log::{Budget, RequestLog};
+use driftfront_test_support::coordinator::engine_list::{instances, EngineList};
+use driftfront_test_support::coordinator::line_engine::engines;
+use driftfront_test_support::coordinator::platform_site::{config, Site};
+use driftfront_test_support::coordinator::{line_engine, Coordinator};
 use socket2::{Domain, Socket, Type};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::Arc;
@@ -44,7 +44,7 @@
         std::thread::spawn(move || {
             for stream in self.listener.incoming().flatten() {
                 let ledger = ledger.clone();
-                std::thread::spawn(move || common::lines::serve(stream, number, &ledger));
+                std::thread::spawn(move || line_engine::serve(stream, number, &ledger));
             }
         });
     }
@@ -59,7 +59,7 @@
     };
     let ledger = Arc::new(RequestLog::default());
     let (well, late) = (engines(1, &ledger), LateEngine::new());
-    let list = List::start();
+    let list = EngineList::start();
     let text = config(list.addr)
         .replace("\"MinExtra\": 5.0", "\"MinExtra\": 3.0")
         .replace("\"FurtherRatio\": 0.1", "\"FurtherRatio\": 0.0")
@@ -76,7 +76,7 @@
         engines: addrs,
     };
     site.list
-        .tell(&instances(&site.engines, &["ready", "ready"]), "");
+        .publish(&instances(&site.engines, &["ready", "ready"]), "");
     site.coordinator.wait_until_ready();
     // Each errs on the engine that is well, and its further attempt waits for the other one: three in each of five windows.
     let begin = Instant::now();
--- a/crates/coordinator/tests/rust_client.rs
+++ b/crates/coordinator/tests/rust_client.rs
@@ -1,9 +1,7 @@
 //! The official Rust client's usual calls, through the program.
 
-mod common;
-
 use clickhouse::{Client, Compression, Row};
-use common::site::{Plan, Site};
+use driftfront_test_support::coordinator::clickhouse_site::{Plan, Site};
 use serde::{Deserialize, Serialize};
 
 #[derive(Debug, PartialEq, Row, Serialize, Deserialize)]
--- a/crates/coordinator/tests/second.rs
+++ b/crates/coordinator/tests/second.rs
@@ -1,16 +1,11 @@
 //! What a second deployment's settings bring, through the program itself: tenants, dedupe keys, memory grants, costs
 //! that engines tell, and words that end what runs. Nothing here depends on a name: only on settings and protocol.
-#![allow(
-    clippy::too_many_lines,
-    clippy::needless_pass_by_value,
-    clippy::cast_possible_truncation,
-    reason = "tests: long lists of cases, and numbers known to be small"
-)]
-
-mod common;
 
-use common::lines::{config, List};
-use common::{instance, post, stand_in, Answer, Coordinator, TEST_TIMEOUT};
+use driftfront_test_support::coordinator::engine_list::EngineList;
+use driftfront_test_support::coordinator::platform_site::config;
+use driftfront_test_support::coordinator::{
+    instance, post, stand_in, Answer, Coordinator, TEST_TIMEOUT,
+};
 use quickcheck::{Arbitrary, Gen};
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -63,6 +58,7 @@
 }
 
 /// An engine that takes only what the protocol's page allows, and does what a word in the statement says.
+#[allow(clippy::too_many_lines, reason = "one engine, case by case")]
 fn engine(stream: TcpStream, engine: usize, record: &Record) {
     let mut out = stream.try_clone().unwrap();
     let mut input = BufReader::new(stream);
@@ -144,7 +140,7 @@
 struct Site {
     coordinator: Coordinator,
     record: Arc<Record>,
-    _list: List,
+    _list: EngineList,
     asked: Mutex<u64>,
 }
 
@@ -156,14 +152,14 @@
             stand_in(move |stream| engine(stream, n, &record))
         };
         let engines: Vec<SocketAddr> = (0..engines).map(one).collect();
-        let list = List::start();
+        let list = EngineList::start();
         let coordinator = Coordinator::start(&edit(config(list.addr)));
         let lines: Vec<String> = engines
             .iter()
             .enumerate()
             .map(|(n, a)| instance(&format!("e{n}"), *a, "ready"))
             .collect();
-        list.tell(&lines, "");
+        list.publish(&lines, "");
         coordinator.wait_until_ready();
         Site {
             coordinator,
@@ -202,6 +198,10 @@
     }
 }
 
+#[allow(
+    clippy::needless_pass_by_value,
+    reason = "a site hands over its configuration"
+)]
 fn second(config: String) -> String {
     config
         .replace(
@@ -416,6 +416,7 @@
 }
 
 impl Arbitrary for Drawn {
+    #[allow(clippy::too_many_lines, reason = "every setting is drawn")]
     fn arbitrary(g: &mut Gen) -> Drawn {
         let mut below = |n: usize| usize::arbitrary(g) % n;
         let word = |n: usize| format!("{}{n}", ["q", "load-", "x_", "Report", "a.b"][n % 5]);
--- a/crates/coordinator/tests/upgrade.rs
+++ b/crates/coordinator/tests/upgrade.rs
@@ -1,10 +1,8 @@
 //! A new version under load: two processes of one coordinator on one inherited listener, and the orders between them.
 
-mod common;
-
-use common::lines::{config, Site};
-use common::{get, read_next, Coordinator, TEST_TIMEOUT};
 use driftfront_http::ResponseReader;
+use driftfront_test_support::coordinator::platform_site::{config, Site};
+use driftfront_test_support::coordinator::{get, read_next, Coordinator, TEST_TIMEOUT};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::os::fd::OwnedFd;
@@ -38,11 +36,11 @@
         let at = self.listener.local_addr().unwrap();
         let config = config.replace("127.0.0.1:0", &at.to_string());
         let config = config.replacen('{', "{\"management\": \"127.0.0.1:0\",", 1);
-        Coordinator::inheriting(&config, self.socket(), "4", &self.tmp)
+        Coordinator::with_inherited_socket(&config, self.socket(), "4", &self.tmp)
     }
 
     fn site(&self, engines: usize) -> Site {
-        Site::with(engines, |config| self.start(&config))
+        Site::start_with(engines, |config| self.start(&config))
     }
 
     /// The next process; returns once it is ready.
@@ -264,8 +262,8 @@
         (plain(), "4"),
         (connected(), "4"),
     ] {
-        let site = Site::with(1, |config| {
-            Coordinator::inheriting(&config, socket, told, &platform.tmp)
+        let site = Site::start_with(1, |config| {
+            Coordinator::with_inherited_socket(&config, socket, told, &platform.tmp)
         });
         assert_ne!(
             site.coordinator.addr,
--- a/crates/coordinator/tests/wires.rs
+++ b/crates/coordinator/tests/wires.rs
@@ -1,10 +1,4 @@
 //! Wires without sockets: random pieces of bytes and random steps against models of a connection's states.
-#![allow(
-    clippy::too_many_lines,
-    clippy::needless_pass_by_value,
-    clippy::cast_possible_truncation,
-    reason = "tests: long lists of cases, and numbers known to be small"
-)]
 
 use driftfront::backends::clickhouse::HttpSession;
 use driftfront::backends::engine_protocol::LineSession;
@@ -46,6 +40,10 @@
 
 #[test]
 fn requests_are_the_same_however_fragmented() {
+    #[allow(
+        clippy::needless_pass_by_value,
+        reason = "quickcheck hands over values"
+    )]
     fn same(bodies: Vec<Vec<u8>>, chunked: Vec<bool>, cuts: Vec<u8>) -> bool {
         let mut bytes = Vec::new();
         for (n, body) in bodies.iter().enumerate() {
@@ -139,9 +137,15 @@
 }
 
 #[test]
+#[allow(clippy::too_many_lines, reason = "a model and its steps")]
 fn line_session_follows_its_model() {
     // The model: for each request open, how many of its three pages have come; and how often it ended without being served,
     // since its id goes by this connection no more then.
+    #[allow(
+        clippy::too_many_lines,
+        clippy::needless_pass_by_value,
+        reason = "a model and its steps, whose values quickcheck hands over"
+    )]
     fn follows(steps: Vec<Step>, cuts: Vec<u8>) -> bool {
         let mut lines = LineSession::new(32, Rc::from(["inflight".to_string()]));
         let (mut model, mut probes): (BTreeMap<u8, usize>, Vec<u64>) =
@@ -282,6 +286,7 @@
 }
 
 #[test]
+#[allow(clippy::too_many_lines, reason = "tests list their cases")]
 fn malformed_response_ends_its_attempt_and_the_connection() {
     let key = AttemptKey {
         request: RequestId(1),
@@ -397,6 +402,10 @@
 
 #[test]
 fn stream_events_are_the_same_however_fragmented() {
+    #[allow(
+        clippy::needless_pass_by_value,
+        reason = "quickcheck hands over values"
+    )]
     fn same(numbers: Vec<u8>, cuts: Vec<u8>) -> bool {
         let mut stream = Stream::new("h".into(), 0);
         let opened = String::from_utf8(stream.open_request()).unwrap();
--- a/crates/core/tests/golden.rs
+++ b/crates/core/tests/golden.rs
@@ -5,9 +5,6 @@
     reason = "the numbers of these tests are small"
 )]
 
-mod common;
-
-use common::{core, listed, settings, LIMITS, LOAD, LOOKUP, S};
 use driftfront_core::lifecycle::{Lifecycle, State};
 use driftfront_core::{
     AttemptError, AttemptKey, AttemptReport, Cause, Command, Core, EngineId, Limits, ListKind,
@@ -15,6 +12,7 @@
     ResponseChunk, SettledOutcome, StickySession,
 };
 use driftfront_test_support::assert_golden;
+use driftfront_test_support::request_core::{core, listed, settings, LIMITS, LOAD, LOOKUP, S};
 use driftfront_test_support::transcript::{Dice, Transcript};
 use std::fmt::Write;
 use std::rc::Rc;
--- a/crates/core/tests/idempotency.rs
+++ b/crates/core/tests/idempotency.rs
@@ -1,13 +1,11 @@
 //! What a second deployment's settings bring: keyed classes, memory grants, attempts that may be called off, and
 //! engines that tell what a query cost.
 
-mod common;
-
-use common::{core, listed, settings, LIMITS, LOAD, LOOKUP, S};
 use driftfront_core::{
     AttemptKey, Cause, Command, Core, Limits, ListKind, ListedEngine, Outcome, ParsedRequest,
     Phase, Progress, RequestId,
 };
+use driftfront_test_support::request_core::{core, listed, settings, LIMITS, LOAD, LOOKUP, S};
 use std::rc::Rc;
 
 const MS: u64 = 1_000;
--- a/crates/core/tests/lost_attempts.rs
+++ b/crates/core/tests/lost_attempts.rs
@@ -1,11 +1,9 @@
 //! Answers that are lost while their engine goes on answering others.
 
-mod common;
-
-use common::{core, listed, LIMITS, LOAD, LOOKUP, S};
 use driftfront_core::{
     AttemptKey, Command, Core, Limits, ListKind, ParsedRequest, Phase, Progress, ProgressReport,
 };
+use driftfront_test_support::request_core::{core, listed, LIMITS, LOAD, LOOKUP, S};
 use std::rc::Rc;
 
 struct CoreHarness {
@@ -16,7 +14,7 @@
 
 impl CoreHarness {
     fn new(tells_each: bool) -> CoreHarness {
-        let mut settings = common::settings(str::to_string);
+        let mut settings = driftfront_test_support::request_core::settings(str::to_string);
         settings.progress_interval = Some(S);
         let limits = Limits {
             engines_report_attempts: tells_each,
--- a/crates/core/tests/model.rs
+++ b/crates/core/tests/model.rs
@@ -6,13 +6,11 @@
     reason = "the numbers of this test are small; quickcheck calls by value"
 )]
 
-mod common;
-
-use common::{core, listed, settings, LIMITS, LOAD, LOOKUP};
 use driftfront_core::{
     AttemptKey, Cause, Command, Core, EngineId, Limits, ListKind, ListedEngine, Micros,
     ParsedRequest, Phase, Progress, RequestId, ResponseChunk, SettledOutcome, StickySession,
 };
+use driftfront_test_support::request_core::{core, listed, settings, LIMITS, LOAD, LOOKUP};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use std::collections::BTreeMap;
 use std::rc::Rc;
--- a/crates/mock-servers/src/lib.rs
+++ b/crates/mock-servers/src/lib.rs
@@ -7,5 +7,3 @@
 
 pub mod engine;
 pub mod request_log;
-
-pub use request_log as ledger;
--- a/crates/scheduler/tests/coordinators.rs
+++ b/crates/scheduler/tests/coordinators.rs
@@ -4,11 +4,9 @@
     reason = "the numbers of these tests are small"
 )]
 
-mod common;
-
-use common::*;
 use driftfront_scheduler::Controller;
 use driftfront_scheduler::*;
+use driftfront_test_support::scheduler::*;
 
 struct CoordinatorGroup {
     all: Vec<Controller>,
--- a/crates/scheduler/tests/golden.rs
+++ b/crates/scheduler/tests/golden.rs
@@ -4,11 +4,9 @@
     reason = "the numbers of these tests are small"
 )]
 
-mod common;
-
-use common::{class, listed, settings, MS, S};
 use driftfront_scheduler::Controller;
 use driftfront_scheduler::*;
+use driftfront_test_support::scheduler::{class, listed, settings, MS, S};
 use driftfront_test_support::{assert_golden, read_golden};
 use std::fmt::Write;
 
--- a/crates/scheduler/tests/mechanism.rs
+++ b/crates/scheduler/tests/mechanism.rs
@@ -1,8 +1,7 @@
 //! The design's mechanism on worked examples, through the interface.
-mod common;
 
-use common::*;
 use driftfront_scheduler::*;
+use driftfront_test_support::scheduler::*;
 
 /// One engine of 2 cores whose bound is 2 x 2.2 + 4 = 8.4 threads under pressure; a report of waiting work
 /// makes pressure, and three queries of 4 threads fill it, the last as one lighter than the mean.
--- a/crates/scheduler/tests/overload.rs
+++ b/crates/scheduler/tests/overload.rs
@@ -1,8 +1,7 @@
 //! Many coordinators that each use a subset of the engines, and engines that run out of memory.
-mod common;
 
-use common::*;
 use driftfront_scheduler::*;
+use driftfront_test_support::scheduler::*;
 
 fn probes(act: &[Action]) -> Vec<u64> {
     act.iter()
--- a/crates/scheduler/tests/rules.rs
+++ b/crates/scheduler/tests/rules.rs
@@ -4,10 +4,8 @@
     reason = "the numbers of these tests are small"
 )]
 
-mod common;
-
-use common::*;
 use driftfront_scheduler::*;
+use driftfront_test_support::scheduler::*;
 use std::collections::{BTreeMap, BTreeSet};
 
 fn refused(act: &[Action], q: QueryId) -> bool {
--- a/crates/scheduler/tests/slow_start.rs
+++ b/crates/scheduler/tests/slow_start.rs
@@ -1,9 +1,7 @@
 //! Slow start, with start times by a clock that is an hour ahead of this host's, or behind it.
 
-mod common;
-
-use common::*;
 use driftfront_scheduler::*;
+use driftfront_test_support::scheduler::*;
 
 const HOUR: u64 = 3_600 * S;
 const WARM_AFTER: u64 = 10 * S;
--- a/crates/scheduler/tests/transcript.rs
+++ b/crates/scheduler/tests/transcript.rs
@@ -5,12 +5,10 @@
     reason = "the numbers of these tests are small"
 )]
 
-mod common;
-
-use common::{class, listed, settings, MS, S};
 use driftfront_scheduler::Controller;
 use driftfront_scheduler::*;
 use driftfront_test_support::assert_golden;
+use driftfront_test_support::scheduler::{class, listed, settings, MS, S};
 use driftfront_test_support::transcript::{Dice, Transcript};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
--- a/crates/coordinator/tests/common/site.rs
+++ b/crates/test-support/src/coordinator/clickhouse_site.rs
@@ -1,32 +1,44 @@
-//! A coordinator in front of stand-in engines that speak ClickHouse's interface.
+//! A coordinator in front of mock engines that speak ClickHouse's interface, and a file with their list.
 
 use super::{appliance, file, instance, post, Answer, Coordinator};
 use driftfront_mock_servers::engine::{Engine, Options};
-use driftfront_mock_servers::ledger::RequestLog;
+use driftfront_mock_servers::request_log::RequestLog;
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::path::PathBuf;
 use std::sync::Arc;
 
-pub(crate) struct Site {
+/// Bytes read at once.
+const READ_BYTES: usize = 64 * 1024;
+
+/// A coordinator and its engines.
+pub struct Site {
+    /// The coordinator.
     pub coordinator: Coordinator,
+    /// What the engines were sent.
     pub ledger: Arc<RequestLog>,
+    /// The engines, `e0` and on.
     pub engines: Vec<Engine>,
+    /// The file with the list of engines.
     list: PathBuf,
 }
 
-/// How a site differs from the operator's example.
+/// How a site differs from the example.
 #[derive(Clone)]
-pub(crate) struct Plan {
+pub struct Plan {
+    /// How many engines it has.
     pub engines: usize,
+    /// Descriptors that the coordinator may hold.
     pub descriptors: usize,
+    /// The options of each engine, but for its name.
     pub options: Options,
     /// Texts of the configuration, and what stands there instead.
     pub changes: Vec<(String, String)>,
 }
 
 impl Plan {
-    pub(crate) fn of(engines: usize) -> Plan {
+    /// The example with so many engines.
+    pub fn of(engines: usize) -> Plan {
         Plan {
             engines,
             descriptors: 1024,
@@ -34,24 +46,31 @@
             changes: Vec::new(),
         }
     }
-    pub(crate) fn with(mut self, from: &str, to: &str) -> Plan {
+
+    /// Puts `to` in the place of `from` in the configuration.
+    pub fn with(mut self, from: &str, to: &str) -> Plan {
         self.changes.push((from.into(), to.into()));
         self
     }
-    /// A result that stands still is given up after so long.
-    pub(crate) fn stall_ms(self, ms: u64) -> Plan {
+
+    /// A result of which nothing comes for so long is given up.
+    pub fn stall_ms(self, ms: u64) -> Plan {
         self.with(
             "\"write\": \"member-load\"",
             &format!("\"write\": \"member-load\", \"stall_ms\": {ms}"),
         )
     }
-    pub(crate) fn memory_mb(self, mb: u64) -> Plan {
+
+    /// Limits the memory for what passes through.
+    pub fn memory_mb(self, mb: u64) -> Plan {
         self.with(
             "\"sockets\": 1024",
             &format!("\"sockets\": 1024, \"memory_mb\": {mb}"),
         )
     }
-    pub(crate) fn start(self) -> Site {
+
+    /// Starts the site, and waits until its coordinator is ready.
+    pub fn start(self) -> Site {
         let ledger = Arc::new(RequestLog::default());
         let engine = |n| {
             Engine::start(
@@ -71,7 +90,7 @@
             assert!(config.contains(from), "{from} is not in the example");
             config = config.replace(from, to);
         }
-        let coordinator = Coordinator::limited(&config, self.descriptors);
+        let coordinator = Coordinator::with_descriptor_limit(&config, self.descriptors);
         let site = Site {
             ledger,
             list,
@@ -85,11 +104,13 @@
 }
 
 impl Site {
-    pub(crate) fn start(engines: usize) -> Site {
+    /// Starts the example with so many engines.
+    pub fn start(engines: usize) -> Site {
         Plan::of(engines).start()
     }
 
-    pub(crate) fn write_list(&self, phases: &[&str]) {
+    /// Writes the list with each engine in its phase.
+    pub fn write_list(&self, phases: &[&str]) {
         let lines = self.engines.iter().zip(phases);
         let lines: Vec<String> = lines
             .map(|(e, phase)| instance(e.name(), e.addr(), phase))
@@ -101,23 +122,25 @@
         .expect("the list");
     }
 
-    /// Writes the list and waits until the coordinator has taken it.
-    pub(crate) fn list(&self, phases: &[&str]) {
+    /// As [`Site::write_list`], and waits until the coordinator has read it.
+    pub fn list(&self, phases: &[&str]) {
         let before = self.coordinator.counter("lists_taken");
         self.write_list(phases);
         self.coordinator.wait_for("lists_taken", before + 1);
     }
 
-    pub(crate) fn query(&self, statement: &str) -> Answer {
+    /// Sends a statement, and waits for its response.
+    pub fn query(&self, statement: &str) -> Answer {
         post(self.coordinator.addr, "/", "", statement)
     }
 
-    pub(crate) fn ask(&self, target: &str, statement: &str) -> Answer {
+    /// Sends a statement to this target, which carries its parameters, and waits for its response.
+    pub fn ask(&self, target: &str, statement: &str) -> Answer {
         post(self.coordinator.addr, target, "", statement)
     }
 
-    /// Sends a query and leaves its answer on the connection.
-    pub(crate) fn begin(&self, target: &str, statement: &str) -> TcpStream {
+    /// Sends a statement and returns the connection, from which its response can be read.
+    pub fn begin(&self, target: &str, statement: &str) -> TcpStream {
         let mut stream =
             TcpStream::connect(self.coordinator.addr).expect("the coordinator listens");
         let length = statement.len();
@@ -129,12 +152,13 @@
         stream
     }
 
-    /// Most memory that the coordinator ever held, in MB.
-    pub(crate) fn memory_mb(&self) -> u64 {
+    /// The most memory that the coordinator has held, in MB.
+    pub fn memory_mb(&self) -> u64 {
         self.coordinator.memory_mb()
     }
 
-    pub(crate) fn engine(&self, name: &str) -> &Engine {
+    /// The engine of this name.
+    pub fn engine(&self, name: &str) -> &Engine {
         self.engines
             .iter()
             .find(|e| e.name() == name)
@@ -148,11 +172,11 @@
     }
 }
 
-/// Reads so many bytes, whatever they are.
-pub(crate) fn read_some(stream: &mut TcpStream, most: usize) -> usize {
-    let (mut total, mut bytes) = (0, vec![0; 64 * 1024]);
-    while total < most {
-        match stream.read(&mut bytes[..(most - total).min(64 * 1024)]) {
+/// Reads up to `max` bytes and drops them; returns how many came.
+pub fn read_some(stream: &mut TcpStream, max: usize) -> usize {
+    let (mut total, mut bytes) = (0, vec![0; READ_BYTES]);
+    while total < max {
+        match stream.read(&mut bytes[..(max - total).min(READ_BYTES)]) {
             Ok(n) if n > 0 => total += n,
             _ => break,
         }
--- /dev/null
+++ b/crates/test-support/src/coordinator/engine_list.rs
@@ -0,0 +1,137 @@
+//! A mock of the platform's list of engines: a stream of server-sent events.
+
+use super::{instance, stand_in};
+use std::io::{BufRead, BufReader, Write};
+use std::net::{SocketAddr, TcpStream};
+use std::sync::mpsc::{channel, Receiver, Sender};
+use std::sync::{Arc, Mutex};
+use std::time::Duration;
+
+/// A comment goes out this often where nothing changes.
+const COMMENT_INTERVAL: Duration = Duration::from_secs(1);
+
+/// A list of engines; each connection gets the events behind the last one that it knows. An event with `"hang up"` closes its
+/// connections.
+pub struct EngineList {
+    /// Where it is served.
+    pub addr: SocketAddr,
+    state: Arc<Mutex<State>>,
+}
+
+#[derive(Default)]
+struct State {
+    events: Vec<String>,
+    /// One for each connection, to be notified of new events.
+    connections: Vec<Sender<()>>,
+    /// The `Last-Event-ID` of each connection so far.
+    last_event_ids: Vec<String>,
+}
+
+impl EngineList {
+    /// Serves a list without events.
+    pub fn start() -> EngineList {
+        let state: Arc<Mutex<State>> = Arc::default();
+        let served = state.clone();
+        let addr = stand_in(move |stream| serve(stream, &served));
+        EngineList { addr, state }
+    }
+
+    /// A list that the test serves itself at this address.
+    pub fn at(addr: SocketAddr) -> EngineList {
+        EngineList {
+            addr,
+            state: Arc::default(),
+        }
+    }
+
+    /// Publishes an event with these engines' lines, and `more` members of its object if that is not empty.
+    pub fn publish(&self, instances: &[String], more: &str) {
+        let mut state = self.state.lock().unwrap();
+        let event = event(state.events.len() + 1, instances, more);
+        state.events.push(event);
+        for connection in &state.connections {
+            let _ = connection.send(());
+        }
+    }
+
+    /// Takes over all events of another list.
+    pub fn copy_events(&self, from: &EngineList) {
+        let events = from.state.lock().unwrap().events.clone();
+        self.state.lock().unwrap().events = events;
+    }
+
+    /// The `Last-Event-ID` of each connection so far.
+    pub fn last_event_ids(&self) -> Vec<String> {
+        self.state.lock().unwrap().last_event_ids.clone()
+    }
+}
+
+fn serve(mut stream: TcpStream, state: &Mutex<State>) {
+    let mut input = BufReader::new(stream.try_clone().unwrap());
+    let Some(head) = read_head(&mut input) else {
+        return;
+    };
+    let last = head
+        .lines()
+        .find_map(|l| l.strip_prefix("Last-Event-ID: "))
+        .unwrap();
+    let known: usize = last.parse().unwrap();
+    let (sender, new_events) = channel();
+    {
+        let mut state = state.lock().unwrap();
+        state.last_event_ids.push(last.to_string());
+        state.connections.push(sender);
+    }
+    let _ =
+        stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n: hello\n\n");
+    let _ = write_events(&mut stream, known, state, &new_events);
+}
+
+/// Writes the events behind the first `known` until the connection closes, or an event has it closed.
+fn write_events(
+    stream: &mut TcpStream,
+    mut known: usize,
+    state: &Mutex<State>,
+    new_events: &Receiver<()>,
+) -> std::io::Result<()> {
+    loop {
+        let state = state.lock().unwrap();
+        let new: Vec<String> = state.events.iter().skip(known).cloned().collect();
+        drop(state);
+        for event in new {
+            known += 1;
+            stream.write_all(format!("id: {known}\ndata: {event}\n\n").as_bytes())?;
+            if event.contains("\"hang up\"") {
+                return Ok(());
+            }
+        }
+        let _ = new_events.recv_timeout(COMMENT_INTERVAL);
+        stream.write_all(b": still here\n\n")?;
+    }
+}
+
+/// Reads a request's whole head; `None` where the connection closes before its end.
+pub fn read_head(input: &mut impl BufRead) -> Option<String> {
+    let mut head = String::new();
+    while !head.ends_with("\r\n\r\n") {
+        if input.read_line(&mut head).unwrap_or(0) == 0 {
+            return None;
+        }
+    }
+    Some(head)
+}
+
+/// An event with these engines' lines, and `more` members of its object if that is not empty.
+pub fn event(index: usize, instances: &[String], more: &str) -> String {
+    let all = instances.join(",");
+    format!(
+        "{{\"index\":{index},\"endpoints\":{{\"generation\":1,\"reset\":false,\"instances\":[{all}]}}{more}}}"
+    )
+}
+
+/// The lines of these engines, `e0` and on, each in its phase.
+pub fn instances(engines: &[SocketAddr], phases: &[&str]) -> Vec<String> {
+    let each = engines.iter().zip(phases).enumerate();
+    each.map(|(n, (addr, phase))| instance(&format!("e{n}"), *addr, phase))
+        .collect()
+}
--- /dev/null
+++ b/crates/test-support/src/coordinator/platform_site.rs
@@ -0,0 +1,84 @@
+//! A coordinator on the platform's wire, in front of mock engines that speak the line protocol, and a mock list of engines.
+
+use super::engine_list::{instances, EngineList};
+use super::line_engine;
+use super::{appliance, post, Answer, Coordinator};
+use driftfront_engine_registry::fnv1a_64;
+use driftfront_mock_servers::request_log::RequestLog;
+use std::net::SocketAddr;
+use std::sync::Arc;
+
+/// A coordinator, its engines and its list of engines.
+pub struct Site {
+    /// The coordinator.
+    pub coordinator: Coordinator,
+    /// What the engines were sent.
+    pub ledger: Arc<RequestLog>,
+    /// Where the engines listen; the list names them `e0` and on.
+    pub engines: Vec<SocketAddr>,
+    /// The list of engines.
+    pub list: EngineList,
+}
+
+/// The platform's configuration of a coordinator whose list of engines is served at this address.
+pub fn config(list: SocketAddr) -> String {
+    appliance()
+        .replace("127.0.0.1:8123", "127.0.0.1:0")
+        .replace(
+            "\"front\": \"clickhouse\"",
+            &format!("\"coordinator\": \"{list}\""),
+        )
+        .replace("\"membership\"", "\"unknown\"")
+}
+
+impl Site {
+    /// Starts a site of so many engines, and waits until its coordinator is ready.
+    pub fn start(engines: usize) -> Site {
+        Site::with_config(engines, |config| config)
+    }
+
+    /// A site whose coordinator gets the configuration that `edit` makes.
+    pub fn with_config(engines: usize, edit: impl Fn(String) -> String) -> Site {
+        Site::start_with(engines, |config| Coordinator::start(&edit(config)))
+    }
+
+    /// A site whose coordinator `start` starts, from the configuration.
+    pub fn start_with(engines: usize, start: impl FnOnce(String) -> Coordinator) -> Site {
+        let ledger = Arc::new(RequestLog::default());
+        let engines = line_engine::engines(engines, &ledger);
+        Site::with_engines(ledger, engines, start)
+    }
+
+    /// A site of engines that run already, whose coordinator `start` starts, from the configuration.
+    pub fn with_engines(
+        ledger: Arc<RequestLog>,
+        engines: Vec<SocketAddr>,
+        start: impl FnOnce(String) -> Coordinator,
+    ) -> Site {
+        let list = EngineList::start();
+        let site = Site {
+            ledger,
+            coordinator: start(config(list.addr)),
+            list,
+            engines,
+        };
+        site.publish(&vec!["ready"; site.engines.len()], "");
+        site.coordinator.wait_until_ready();
+        site
+    }
+
+    /// Publishes the engines' phases, and `more` members of the event's object if that is not empty.
+    pub fn publish(&self, phases: &[&str], more: &str) {
+        self.list.publish(&instances(&self.engines, phases), more);
+    }
+
+    /// Sends a request, and waits for its response.
+    pub fn ask(&self, class: &str, client_timeout_ms: u32, statement: &str) -> Answer {
+        let id = fnv1a_64(statement.as_bytes());
+        let headers = format!(
+            "X-Call-Id: {id:016x}\r\nX-Patience-Ms: {client_timeout_ms}\r\nX-Entity: 000000000000000a\r\n"
+        );
+        let target = format!("/ops/{class}");
+        post(self.coordinator.addr, &target, &headers, statement)
+    }
+}
--- a/crates/scheduler/tests/common/mod.rs
+++ b/crates/test-support/src/scheduler.rs
@@ -1,14 +1,22 @@
-//! Settings and a harness around one controller, shared by the tests.
-#![allow(dead_code, reason = "not each test file uses all of it")]
+//! Settings of the scheduler, and a harness around one controller.
 
-use driftfront_scheduler::Controller;
-use driftfront_scheduler::*;
+use driftfront_scheduler::{
+    Action, AttemptEnded, Controller, DeduplicationScope, EngineId, Event, Idempotency, ListKind,
+    ListedEngine, MachineKind, OutOfMemory, Outcome, Phase, Query, QueryClass, QueryId,
+    ReportField, Settings,
+};
 
-pub(crate) const MS: u64 = 1000;
-pub(crate) const S: u64 = 1_000_000;
+/// A millisecond in the scheduler's unit, microseconds.
+pub const MS: u64 = 1000;
+/// A second in the scheduler's unit, microseconds.
+pub const S: u64 = 1_000_000;
+/// Time between the ticks of [`SchedulerHarness::tick`], in microseconds.
+const TICK_INTERVAL: u64 = 50 * MS;
+/// Seed of a harness for which the test names none.
+const DEFAULT_SEED: u64 = 7;
 
 /// A class of queries with an objective of so many µs, that may run any number of times.
-pub(crate) fn class(latency_objective: u64, priority_weight: f64, threads: f64) -> QueryClass {
+pub fn class(latency_objective: u64, priority_weight: f64, threads: f64) -> QueryClass {
     QueryClass {
         latency_objective,
         latency_objective_stretch: 0.0,
@@ -27,7 +35,7 @@
 }
 
 /// A lone coordinator, which may cancel but neither probe nor gossip; two kinds of machines with two cores.
-pub(crate) fn settings(classes: Vec<QueryClass>) -> Settings {
+pub fn settings(classes: Vec<QueryClass>) -> Settings {
     Settings {
         coordinators: 1,
         number: 0,
@@ -68,14 +76,16 @@
 }
 
 /// One controller, its clock, and the next query's number.
-pub(crate) struct SchedulerHarness {
-    pub(crate) controller: Controller,
-    pub(crate) now: u64,
+pub struct SchedulerHarness {
+    /// The controller under test.
+    pub controller: Controller,
+    /// The present time, in microseconds.
+    pub now: u64,
     next_query: u64,
 }
 
 /// A ready engine of the list.
-pub(crate) fn listed(engine: u64) -> ListedEngine {
+pub fn listed(engine: u64) -> ListedEngine {
     ListedEngine {
         engine: EngineId(engine),
         zone: 0,
@@ -88,15 +98,12 @@
 
 impl SchedulerHarness {
     /// A harness whose controller knows these engines.
-    pub(crate) fn new(settings: Settings, engines: &[ListedEngine]) -> SchedulerHarness {
-        SchedulerHarness::seeded(settings, engines, 7)
+    pub fn new(settings: Settings, engines: &[ListedEngine]) -> SchedulerHarness {
+        SchedulerHarness::seeded(settings, engines, DEFAULT_SEED)
     }
 
-    pub(crate) fn seeded(
-        settings: Settings,
-        engines: &[ListedEngine],
-        seed: u64,
-    ) -> SchedulerHarness {
+    /// A harness whose controller knows these engines and draws its random numbers from this seed.
+    pub fn seeded(settings: Settings, engines: &[ListedEngine], seed: u64) -> SchedulerHarness {
         let mut harness = SchedulerHarness {
             controller: Controller::new(settings, seed),
             now: 100 * S,
@@ -109,16 +116,16 @@
         harness
     }
 
-    /// Handles an event; its actions, but for timers and log lines.
-    pub(crate) fn event(&mut self, e: Event) -> Vec<Action> {
-        let mut act = Vec::new();
-        self.controller.handle(self.now, e, &mut act);
-        act.retain(|a| !matches!(a, Action::SetTimer { .. } | Action::Log(..)));
-        act
+    /// Handles an event and returns the actions it caused, without timers and log lines.
+    pub fn event(&mut self, event: Event) -> Vec<Action> {
+        let mut actions = Vec::new();
+        self.controller.handle(self.now, event, &mut actions);
+        actions.retain(|action| !matches!(action, Action::SetTimer { .. } | Action::Log(..)));
+        actions
     }
 
-    /// A query that has not arrived yet.
-    pub(crate) fn query(&mut self, class: u16, work: u64, tables: u32) -> Query {
+    /// A query that has not arrived yet, under the next free number.
+    pub fn query(&mut self, class: u16, work: u64, table_group: u32) -> Query {
         let id = QueryId(self.next_query);
         self.next_query += 1;
         Query {
@@ -127,7 +134,7 @@
             tenant: 0,
             work: Some(work as f64),
             memory_mb: None,
-            table_group: tables,
+            table_group,
             ordering_key: None,
             has_idempotency_key: true,
             idempotent_until: None,
@@ -136,22 +143,22 @@
         }
     }
 
-    /// A query arrives.
-    pub(crate) fn arrive(&mut self, class: u16, work: u64, tables: u32) -> (QueryId, Vec<Action>) {
-        let q = self.query(class, work, tables);
-        (q.id, self.event(Event::QueryArrived(q)))
+    /// A query arrives; its number, and what the controller does.
+    pub fn arrive(&mut self, class: u16, work: u64, table_group: u32) -> (QueryId, Vec<Action>) {
+        let query = self.query(class, work, table_group);
+        (query.id, self.event(Event::QueryArrived(query)))
     }
 
-    /// An attempt ends.
-    pub(crate) fn end(
+    /// An attempt ends after `spent` microseconds.
+    pub fn end(
         &mut self,
-        q: QueryId,
+        query: QueryId,
         attempt: u8,
         outcome: Outcome,
         spent: u64,
     ) -> Vec<Action> {
         self.event(Event::AttemptEnded(AttemptEnded {
-            query: q,
+            query,
             attempt,
             outcome,
             last: outcome == Outcome::Ok,
@@ -163,41 +170,33 @@
     }
 
     /// A probe is answered with a load report.
-    pub(crate) fn report(&mut self, e: u64, values: &[f64]) {
+    pub fn report(&mut self, engine: u64, values: &[f64]) {
         self.event(Event::ProbeEnded {
-            engine: EngineId(e),
+            engine: EngineId(engine),
             outcome: Outcome::Ok,
             report: values,
         });
     }
 
-    /// Time passes, with a tick every 50 ms.
-    pub(crate) fn tick(&mut self, after: u64) -> Vec<Action> {
-        let mut all = Vec::new();
-        let until = self.now + after;
-        while self.now < until {
-            self.now += 50 * MS;
-            all.extend(self.event(Event::TimerFired(0)));
+    /// Lets `duration` microseconds pass, with a tick every 50 ms, and returns the actions of all ticks.
+    pub fn tick(&mut self, duration: u64) -> Vec<Action> {
+        let mut actions = Vec::new();
+        let end = self.now + duration;
+        while self.now < end {
+            self.now += TICK_INTERVAL;
+            actions.extend(self.event(Event::TimerFired(0)));
         }
-        all
+        actions
     }
 }
 
-/// The attempts among actions: query and engine.
-pub(crate) fn sends(actions: &[Action]) -> Vec<(u64, u64)> {
+/// The attempts that are started among `actions`: query and engine of each.
+pub fn sends(actions: &[Action]) -> Vec<(u64, u64)> {
     actions
         .iter()
-        .filter_map(|a| {
-            if let Action::StartAttempt {
-                query: q,
-                engine: e,
-                ..
-            } = a
-            {
-                Some((q.0, e.0))
-            } else {
-                None
-            }
+        .filter_map(|action| match action {
+            Action::StartAttempt { query, engine, .. } => Some((query.0, engine.0)),
+            _ => None,
         })
         .collect()
 }
