--- a/crates/coordinator/tests/clickhouse.rs
+++ b/crates/coordinator/tests/clickhouse.rs
@@ -7,7 +7,8 @@
 use driftfront_mock_servers::request_log::RequestLog;
 use driftfront_test_support::coordinator::clickhouse_site::{read_some, Plan, Site};
 use driftfront_test_support::coordinator::{
-    appliance, call, file, get, instance, post, read_answer, stand_in, Answer, Coordinator,
+    appliance, call, file, get, instance, poll_until, post, read_answer, stand_in, Answer,
+    Coordinator,
 };
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -239,7 +240,9 @@
             );
             assert_eq!(site.ledger.of(&load).len(), 1, "{way}");
             // Once rows are out the result breaks where its client sees it.
-            let long = format!("SELECT wide(40), {n} FROM numbers(100000) /* standin: late=241 */");
+            let long = format!(
+                "SELECT wide(40), number, {n} FROM numbers(100000) /* standin: late=241 */"
+            );
             let broken = post(addr, &target, headers, &long);
             assert!(
                 broken.status == 200 && !broken.whole && !broken.body.is_empty(),
@@ -256,8 +259,9 @@
     let site = Site::start(1);
     for (n, (params, headers, _)) in WAYS.iter().enumerate() {
         let target = format!("/?driftfront_class=report{params}");
-        let long =
-            format!("SELECT wide(40), {n} FROM numbers(100000) /* standin: late=241 whole */");
+        let long = format!(
+            "SELECT wide(40), number, {n} FROM numbers(100000) /* standin: late=241 whole */"
+        );
         let broken = post(site.coordinator.addr, &target, headers, &long);
         assert!(broken.status == 200 && !broken.whole, "{params}");
     }
@@ -275,7 +279,9 @@
     assert_eq!((early.status, blocks(&early.body)), (200, b"1\n".to_vec()));
     let always = site.ask(target, "SELECT 2 /* standin: bad_block */");
     assert_eq!(code(&always), Some(246), "{}", always.text());
-    let long = "SELECT wide(40) FROM numbers(100000) /* standin: bad_block_after=1000000 */";
+    // Numbers hardly compress: what comes before the bad block is more than the coordinator takes in one read.
+    let long =
+        "SELECT wide(40), number FROM numbers(100000) /* standin: bad_block_after=1000000 */";
     let late = site.ask(target, long);
     assert!(late.status == 200 && !late.whole);
     assert_eq!(site.ledger.of("bad_block_after").len(), 1);
@@ -596,9 +602,10 @@
     let _ = stream.shutdown(std::net::Shutdown::Both);
     site.coordinator.wait_for("clients_left", 1);
     // A load runs on when its client leaves: the kill finds it there.
-    while site.engines[0].running() != ["f1"] {
-        std::thread::yield_now();
-    }
+    poll_until(
+        || site.engines[0].running() == ["f1"],
+        || "the load never ran on".into(),
+    );
     site.query("KILL QUERY WHERE query_id = 'f1'");
     site.ledger.wait_until("the killed load's end", |e| {
         e.iter()
--- a/crates/coordinator/tests/endings/main.rs
+++ b/crates/coordinator/tests/endings/main.rs
@@ -9,11 +9,11 @@
 use driftfront_mock_servers::request_log::RequestLog;
 use driftfront_test_support::coordinator::line_engine::read_statement;
 use driftfront_test_support::coordinator::platform_site::Site;
-use driftfront_test_support::coordinator::{stand_in, Coordinator, TEST_TIMEOUT};
+use driftfront_test_support::coordinator::{poll_until, stand_in, Coordinator, TEST_TIMEOUT};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::TcpStream;
 use std::sync::{Arc, Condvar, Mutex};
-use std::time::{Duration, Instant};
+use std::time::Duration;
 
 fn request(class: &str, id: u64, more: &str, statement: &str) -> String {
     let length = statement.len();
@@ -62,12 +62,8 @@
 }
 
 /// Waits until something is so.
-fn until(what: &str, mut so: impl FnMut() -> bool) {
-    let begin = Instant::now();
-    while !so() {
-        assert!(begin.elapsed() < TEST_TIMEOUT, "never: {what}");
-        std::thread::yield_now();
-    }
+fn until(what: &str, so: impl FnMut() -> bool) {
+    poll_until(so, || format!("never: {what}"));
 }
 
 /// Lets a time pass that a rule names: what comes behind it is what the test is about.
--- a/crates/coordinator/tests/upgrade.rs
+++ b/crates/coordinator/tests/upgrade.rs
@@ -2,13 +2,12 @@
 
 use driftfront_http::ResponseReader;
 use driftfront_test_support::coordinator::platform_site::{config, Site};
-use driftfront_test_support::coordinator::{get, read_next, Coordinator, TEST_TIMEOUT};
+use driftfront_test_support::coordinator::{get, poll_until, read_next, Coordinator};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::os::fd::OwnedFd;
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
-use std::time::Instant;
 
 /// What the platform holds: the clients' listener, and the folder that all processes of the coordinator share.
 struct Platform {
@@ -58,14 +57,10 @@
 }
 
 fn wait_for(coordinator: &Coordinator, call: &str, reply: &str) {
-    let begin = Instant::now();
-    while !coordinator.manage(call).starts_with(reply) {
-        assert!(
-            begin.elapsed() < TEST_TIMEOUT,
-            "{call:?} was never answered {reply}"
-        );
-        std::thread::yield_now();
-    }
+    poll_until(
+        || coordinator.manage(call).starts_with(reply),
+        || format!("{call:?} was never answered {reply}"),
+    );
 }
 
 /// A client that keeps its connection as long as it may: asks until it is told to stop, and counts what was turned back
--- a/crates/mock-servers/src/engine/query.rs
+++ b/crates/mock-servers/src/engine/query.rs
@@ -52,8 +52,12 @@
         id: &str,
     ) -> Result<After, QueryError> {
         let statement = read_statement(request, &params)?;
+        // One lock over both: whoever finds the query in the log finds it running, too.
+        let mut state = self.shared.state();
         let query = self.start_query(request.clone(), params, id, statement);
-        if let Err(error) = self.admit(&query) {
+        let admitted = self.admit(&mut state, &query);
+        drop(state);
+        if let Err(error) = admitted {
             let has_run = match &error {
                 QueryError::Exception(exception) => exception.code != code::QUERY_ID_IN_USE,
                 QueryError::Rejected(_) | QueryError::Io(_) => false,
@@ -102,9 +106,8 @@
     }
 
     /// All that comes before a statement runs: the user, the limit of statements, the id, the session.
-    fn admit(&self, query: &Query) -> Result<(), QueryError> {
+    fn admit(&self, state: &mut State, query: &Query) -> Result<(), QueryError> {
         self.authenticate(query)?;
-        let mut state = self.shared.state();
         let is_full = state.running.len() >= self.shared.options.max_statements;
         if query.faults.has("full") || is_full {
             return Err(QueryError::Rejected(Exception::new(
@@ -126,7 +129,7 @@
             return Err(Exception::new(code::QUERY_ID_IN_USE, message).into());
         }
         if let Some(session) = &query.session {
-            lock_session(&mut state, session, &query.params)?;
+            lock_session(state, session, &query.params)?;
         }
         let cancelled = query.cancelled.clone();
         state.running.insert(query.id.clone(), cancelled);
--- a/crates/test-support/src/coordinator/mod.rs
+++ b/crates/test-support/src/coordinator/mod.rs
@@ -19,7 +19,19 @@
 pub use mock_server::stand_in;
 pub use process::{program, Coordinator};
 
-use std::time::Duration;
+use std::time::{Duration, Instant};
 
 /// A wait that long means that the test has failed; nothing is decided by it.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(60);
+/// Time between two looks at something that gives no notice of its changes: without it, tests would take the processor from the
+/// program.
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
+
+/// Polls until `is_done`; fails behind [`TEST_TIMEOUT`].
+pub fn poll_until(mut is_done: impl FnMut() -> bool, failure: impl Fn() -> String) {
+    let started = Instant::now();
+    while !is_done() {
+        assert!(started.elapsed() < TEST_TIMEOUT, "{}", failure());
+        std::thread::sleep(POLL_INTERVAL);
+    }
+}
--- a/crates/test-support/src/coordinator/process.rs
+++ b/crates/test-support/src/coordinator/process.rs
@@ -1,14 +1,13 @@
 //! The program itself on loopback, as its operators run it. Waits are for events, never for a time.
 
 use super::process_figures::status_kilobytes;
-use super::{file, get, TEST_TIMEOUT};
+use super::{file, get, poll_until, TEST_TIMEOUT};
 use driftfront_cluster_harness::wall_clock::WallClock;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, ExitStatus, Stdio};
 use std::sync::{Arc, Mutex};
-use std::time::Instant;
 
 /// The coordinator's program, of the same build as the test that runs.
 pub fn program() -> PathBuf {
@@ -242,12 +241,3 @@
     let value = line.trim().split(&format!("{name}=")).nth(1)?;
     value.split(' ').next()?.parse().ok()
 }
-
-/// Polls until `is_done`; fails behind [`TEST_TIMEOUT`].
-fn poll_until(is_done: impl Fn() -> bool, failure: impl Fn() -> String) {
-    let started = Instant::now();
-    while !is_done() {
-        assert!(started.elapsed() < TEST_TIMEOUT, "{}", failure());
-        std::thread::yield_now();
-    }
-}
