--- a/crates/cluster/src/consensus/participant/incoming.rs
+++ b/crates/cluster/src/consensus/participant/incoming.rs
@@ -100,7 +100,7 @@
             return;
         };
         replica.handle_message(bytes);
-        self.last_heard = now;
+        self.last_message_at = now;
     }
 
     /// Whether this is a leader's message to the id that this member drew: it let it in.
@@ -252,7 +252,7 @@
             return;
         };
         self.copy.update(copy);
-        if self.was_replaced_by_word_of(sender) {
+        if self.was_replaced_according_to(sender) {
             // Others are the voters now: it bootstraps no log beside theirs.
             let identity = LogIdentity::replaced(self.copy.position.cluster_id);
             self.abandon_replica(store::encode_file(&Log::new(identity)));
@@ -260,7 +260,7 @@
     }
 
     /// Whether the copied state, sent by one of its voters, is newer than the replica's and has no voter of the replica's id.
-    fn was_replaced_by_word_of(&self, sender: &str) -> bool {
+    fn was_replaced_according_to(&self, sender: &str) -> bool {
         let Some(replica) = self.replica() else {
             return false;
         };
--- a/crates/cluster/src/consensus/participant/mod.rs
+++ b/crates/cluster/src/consensus/participant/mod.rs
@@ -74,7 +74,7 @@
     last_tick: Micros,
     next_copy_request: Micros,
     /// When a message of another replica arrived last.
-    last_heard: Micros,
+    last_message_at: Micros,
     leaderless_since: Option<Micros>,
     last_leader: Option<u64>,
     counters: Counters,
@@ -136,7 +136,7 @@
             next_tick: 0,
             last_tick: 0,
             next_copy_request: 0,
-            last_heard: 0,
+            last_message_at: 0,
             leaderless_since: None,
             last_leader: None,
             counters: Counters::default(),
@@ -213,10 +213,10 @@
     /// for ever.
     fn own_leader(&self) -> Option<u64> {
         let replica = self.replica()?;
-        let is_heard = || self.last_tick < self.last_heard + LEADERLESS_TIMEOUT;
+        let has_recent_message = || self.last_tick < self.last_message_at + LEADERLESS_TIMEOUT;
         replica
             .leader()
-            .filter(|_| replica.is_voter() || is_heard())
+            .filter(|_| replica.is_voter() || has_recent_message())
     }
 
     /// The leader's name, as far as is known: by this member's own replica, else by what reachable voters announce.
--- a/crates/cluster/src/member_metadata.rs
+++ b/crates/cluster/src/member_metadata.rs
@@ -7,10 +7,10 @@
 //! | 1 | zone, UTF-8 |
 //! | 2 | region, UTF-8 |
 //! | 3 | build, UTF-8 |
-//! | 4 | state, one of the words of [`State::word`] |
+//! | 4 | state, one of the names of [`State::name`] |
 //! | 5 | since when, in milliseconds since 1970, 8 bytes big endian |
 
-/// Where a member stands in its life.
+/// The lifecycle state of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
     /// It does not know its engines yet.
@@ -25,8 +25,8 @@
     Other,
 }
 
-/// The words that are sent.
-const STATE_WORDS: [(State, &str); 4] = [
+/// The names that are sent.
+const STATE_NAMES: [(State, &str); 4] = [
     (State::Starting, "starting"),
     (State::Serving, "serving"),
     (State::Paused, "paused"),
@@ -34,18 +34,18 @@
 ];
 
 impl State {
-    /// The state in plain words, as it is sent and as operators read it.
-    pub fn word(self) -> &'static str {
-        STATE_WORDS
+    /// The name of the state, as it is sent and as operators read it.
+    pub fn name(self) -> &'static str {
+        STATE_NAMES
             .iter()
             .find(|(state, _)| *state == self)
-            .map_or("in a state of a later build", |(_, word)| word)
+            .map_or("in a state of a later build", |(_, name)| name)
     }
 
-    fn from_word(sent: &[u8]) -> State {
-        STATE_WORDS
+    fn from_name(sent: &[u8]) -> State {
+        STATE_NAMES
             .iter()
-            .find(|(_, word)| word.as_bytes() == sent)
+            .find(|(_, name)| name.as_bytes() == sent)
             .map_or(State::Other, |(state, _)| *state)
     }
 }
@@ -107,7 +107,7 @@
         write_field(ZONE_FIELD, cut(&self.zone).as_bytes(), &mut out);
         write_field(REGION_FIELD, cut(&self.region).as_bytes(), &mut out);
         write_field(BUILD_FIELD, cut(&self.build).as_bytes(), &mut out);
-        write_field(STATE_FIELD, self.state.word().as_bytes(), &mut out);
+        write_field(STATE_FIELD, self.state.name().as_bytes(), &mut out);
         write_field(SINCE_FIELD, &self.since_ms.to_be_bytes(), &mut out);
         out
     }
@@ -132,7 +132,7 @@
             ZONE_FIELD => self.zone = text(),
             REGION_FIELD => self.region = text(),
             BUILD_FIELD => self.build = text(),
-            STATE_FIELD => self.state = State::from_word(value),
+            STATE_FIELD => self.state = State::from_name(value),
             SINCE_FIELD => self.since_ms = u64::from_be_bytes(value.try_into().ok()?),
             _ => {}
         }
--- a/crates/cluster/tests/golden_datagrams.rs
+++ b/crates/cluster/tests/golden_datagrams.rs
@@ -187,8 +187,8 @@
     }
 }
 
-fn state(word: State) -> &'static str {
-    word.word()
+fn state(state: State) -> &'static str {
+    state.name()
 }
 
 #[test]
--- a/crates/coordinator/src/node/cluster/views.rs
+++ b/crates/coordinator/src/node/cluster/views.rs
@@ -79,7 +79,7 @@
     let (metadata, metadata_age) = member.metadata.unzip();
     let state = metadata
         .as_ref()
-        .map_or("", |metadata| metadata.state.word());
+        .map_or("", |metadata| metadata.state.name());
     let metadata = metadata.unwrap_or_default();
     Member {
         name: member.name,
