--- a/crates/scheduler/src/dispatch.rs
+++ b/crates/scheduler/src/dispatch.rs
@@ -49,7 +49,7 @@
 
     /// How long before its client gives up a query has its final answer.
     pub(crate) fn answer_margin(&self) -> Micros {
-        ANSWER_MARGIN.max(2 * self.state.settings.tick)
+        ANSWER_MARGIN.max(2 * self.state.settings.clock_resolution)
     }
 
     /// Puts a query on the queue of the engine that routing chooses (Algorithm 7), then starts what may.
--- a/crates/scheduler/src/learning.rs
+++ b/crates/scheduler/src/learning.rs
@@ -69,7 +69,7 @@
     } else {
         learned.of_this_query
     };
-    let alone = work / threads + state.settings.tick as f64;
+    let alone = work / threads + state.settings.clock_resolution as f64;
     let ratio = (spent / alone).clamp(MIN_SLOWDOWN, MAX_SLOWDOWN);
     let weight = if state.uses_subset {
         SUBSET_SLOWDOWN_WEIGHT
--- a/crates/scheduler/src/retry.rs
+++ b/crates/scheduler/src/retry.rs
@@ -55,7 +55,7 @@
         return may_have_run.next().is_none();
     }
     let class = state.class_of(query);
-    let is_known = |until: Micros| now + 2 * state.settings.tick < until;
+    let is_known = |until: Micros| now + 2 * state.settings.clock_resolution < until;
     let is_in_scope = |a: &Attempt| match class.deduplication_scope {
         DeduplicationScope::All => true,
         DeduplicationScope::Zone => a.zone == engine.zone,
--- a/crates/scheduler/src/settings.rs
+++ b/crates/scheduler/src/settings.rs
@@ -185,7 +185,7 @@
     /// Share of the result that a probe for each query would cost.
     pub probe_cost: f64,
     /// Resolution of the host's clock and timers.
-    pub tick: Micros,
+    pub clock_resolution: Micros,
     /// The limit on retries, if any.
     pub retry_budget: Option<RetryBudget>,
     /// The slow-start rule, if any.
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -81,7 +81,7 @@
             .map(to_u64),
         cross_zone_costs: optional_number(fees, "CrossZone")?.unwrap_or(0.0) > 0.0,
         probe_cost: optional_number(fees, "Probe")?.unwrap_or(0.0),
-        tick: to_u64(optional_number(root, "TickUs")?.unwrap_or(0.0)),
+        clock_resolution: to_u64(optional_number(root, "TickUs")?.unwrap_or(0.0)),
         retry_budget,
         slow_start,
         settle_time: to_u64(optional_number(contract, "SettleAfterDoubtUs")?.unwrap_or(0.0)),
--- a/crates/settings/tests/golden.rs
+++ b/crates/settings/tests/golden.rs
@@ -85,7 +85,7 @@
     let _ = writeln!(t, "Caps.MaxRetryAfterUs {:?}", s.retry_after);
     let _ = writeln!(t, "Fees.CrossZone {}", s.cross_zone_costs);
     let _ = writeln!(t, "Fees.Probe {}", s.probe_cost);
-    let _ = writeln!(t, "TickUs {}", s.tick);
+    let _ = writeln!(t, "TickUs {}", s.clock_resolution);
     if let Some(budget) = &s.retry_budget {
         let _ = writeln!(t, "Contract.MinExtra {}", budget.min_retries);
         let _ = writeln!(t, "Contract.FurtherRatio {}", budget.ratio);
--- a/crates/test-support/src/scheduler.rs
+++ b/crates/test-support/src/scheduler.rs
@@ -68,7 +68,7 @@
         retry_after: Some(S),
         cross_zone_costs: false,
         probe_cost: 0.01,
-        tick: 5 * MS,
+        clock_resolution: 5 * MS,
         retry_budget: None,
         slow_start: None,
         settle_time: 0,
