--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -110,7 +110,7 @@
         Core {
             class_idempotency: settings.classes.iter().map(|c| c.idempotency).collect(),
             has_tenants: !settings.tenants.is_empty(),
-            max_retry_after: settings.retry_after,
+            max_retry_after: settings.max_retry_after,
             is_shutting_down: false,
             lost_attempts: LostAttemptDetector::new(&settings, limits.engines_report_attempts),
             idempotency_keys: IdempotencyKeys::new(&settings, limits.max_idempotency_keys),
--- a/crates/scheduler/src/dispatch.rs
+++ b/crates/scheduler/src/dispatch.rs
@@ -172,7 +172,7 @@
             return;
         }
         if retry::may_reject(&self.state, query) {
-            let retry_after = self.state.settings.retry_after;
+            let retry_after = self.state.settings.max_retry_after;
             let advice = retry_after.map_or(0, |max| self.retry_after(now).min(max));
             actions.push(Action::Reject {
                 query: id,
--- a/crates/scheduler/src/settings.rs
+++ b/crates/scheduler/src/settings.rs
@@ -179,7 +179,7 @@
     /// Most attempts of one query, the first included; `None` for no limit.
     pub max_attempts: Option<u32>,
     /// Longest Retry-After that clients heed; `None` where they heed none.
-    pub retry_after: Option<Micros>,
+    pub max_retry_after: Option<Micros>,
     /// Attempts in another zone than the coordinator's cost something.
     pub cross_zone_costs: bool,
     /// Share of the result that a probe for each query would cost.
--- a/crates/scheduler/tests/transcript.rs
+++ b/crates/scheduler/tests/transcript.rs
@@ -898,7 +898,7 @@
             poll_timeout: yes(50).then_some(3 * S),
             cross_zone_costs: yes(50),
             max_attempts: yes(50).then_some(3),
-            retry_after: yes(70).then_some(300 * MS),
+            max_retry_after: yes(70).then_some(300 * MS),
             progress_interval: yes(40).then_some(120 * MS),
             retry_budget: yes(50).then(retry_budget),
             slow_start: yes(60).then(slow_start),
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -76,7 +76,7 @@
         max_attempts: optional_number(caps, "MaxAttempts")?
             .filter(|&attempts| attempts >= 1.0)
             .map(to_u32),
-        retry_after: optional_number(caps, "MaxRetryAfterUs")?
+        max_retry_after: optional_number(caps, "MaxRetryAfterUs")?
             .filter(|_| flag(caps, "RetryAfter"))
             .map(to_u64),
         cross_zone_costs: optional_number(fees, "CrossZone")?.unwrap_or(0.0) > 0.0,
--- a/crates/settings/tests/golden.rs
+++ b/crates/settings/tests/golden.rs
@@ -82,7 +82,7 @@
     let _ = writeln!(t, "Caps.Peers {}", s.may_gossip);
     let _ = writeln!(t, "Caps.ParallelTries {}", s.may_hedge);
     let _ = writeln!(t, "Caps.MaxAttempts {:?}", s.max_attempts);
-    let _ = writeln!(t, "Caps.MaxRetryAfterUs {:?}", s.retry_after);
+    let _ = writeln!(t, "Caps.MaxRetryAfterUs {:?}", s.max_retry_after);
     let _ = writeln!(t, "Fees.CrossZone {}", s.cross_zone_costs);
     let _ = writeln!(t, "Fees.Probe {}", s.probe_cost);
     let _ = writeln!(t, "TickUs {}", s.clock_resolution);
--- a/crates/test-support/src/scheduler.rs
+++ b/crates/test-support/src/scheduler.rs
@@ -65,7 +65,7 @@
         may_gossip: false,
         may_hedge: false,
         max_attempts: None,
-        retry_after: Some(S),
+        max_retry_after: Some(S),
         cross_zone_costs: false,
         probe_cost: 0.01,
         clock_resolution: 5 * MS,
