--- a/crates/scheduler/src/settings.rs
+++ b/crates/scheduler/src/settings.rs
@@ -179,13 +179,13 @@
     /// Most attempts of one query, the first included; `None` for no limit.
     pub max_attempts: Option<u32>,
     /// Longest Retry-After that clients heed; `None` where they heed none.
-    pub retry_after: Option<Micros>,
+    pub max_retry_after: Option<Micros>,
     /// Attempts in another zone than the coordinator's cost something.
     pub cross_zone_costs: bool,
     /// Share of the result that a probe for each query would cost.
     pub probe_cost: f64,
     /// Resolution of the host's clock and timers.
-    pub tick: Micros,
+    pub clock_resolution: Micros,
     /// The limit on retries, if any.
     pub retry_budget: Option<RetryBudget>,
     /// The slow-start rule, if any.
