--- a/crates/coordinator/src/node/engines/connection/transfer.rs
+++ b/crates/coordinator/src/node/engines/connection/transfer.rs
@@ -115,11 +115,11 @@
         while let Some(span) = self.spans.front() {
             if written < span.end {
                 if written > span.begin {
-                    core.record_progress(span.key, Progress::PartWritten);
+                    core.record_progress(span.key, Progress::PartiallyWritten);
                 }
                 return;
             }
-            core.record_progress(span.key, Progress::WrittenWhole);
+            core.record_progress(span.key, Progress::FullyWritten);
             self.spans.pop_front();
         }
     }
--- a/crates/coordinator/src/node/engines/read.rs
+++ b/crates/coordinator/src/node/engines/read.rs
@@ -194,7 +194,9 @@
                 EngineEvent::ProgressReported(key, report) => {
                     self.core.record_progress_report(now, key, report);
                 }
-                EngineEvent::Begun(key) => self.core.record_progress(key, Progress::AnswerBegun),
+                EngineEvent::Begun(key) => {
+                    self.core.record_progress(key, Progress::ResponseStarted)
+                }
                 EngineEvent::ResponseChunk(key, chunk) => self.core.forward_chunk(key, chunk),
                 EngineEvent::AttemptReport(key, report) => {
                     self.core.record_attempt_report(key, report);
--- a/crates/core/src/attempt.rs
+++ b/crates/core/src/attempt.rs
@@ -11,11 +11,11 @@
     /// Connected; none of it written.
     Connected,
     /// Some of it written, not all: an engine cannot have run it.
-    PartWritten,
+    PartiallyWritten,
     /// All of it written: it may run.
-    WrittenWhole,
+    FullyWritten,
     /// Part of the response has come.
-    AnswerBegun,
+    ResponseStarted,
 }
 
 /// Why an attempt ended without serving.
@@ -81,20 +81,20 @@
             Cause::NotSent => Outcome::Superseded,
             Cause::Engine(_) | Cause::MalformedResponse(_) => Outcome::Error,
             // Not written whole, it never was a query there.
-            Cause::Released if self.progress < Progress::WrittenWhole => Outcome::Superseded,
+            Cause::Released if self.progress < Progress::FullyWritten => Outcome::Superseded,
             // A part already on its way becomes whole before the notice that ends it.
-            Cause::CancelledByScheduler if self.progress < Progress::PartWritten => {
+            Cause::CancelledByScheduler if self.progress < Progress::PartiallyWritten => {
                 Outcome::Superseded
             }
             Cause::Statement(_) | Cause::Released | Cause::CancelledByScheduler => {
                 Outcome::Cancelled
             }
             // Not written whole, it cannot have run: the connection's end gives up the written part.
-            Cause::Connection(_) | Cause::Closed(_) if self.progress < Progress::WrittenWhole => {
+            Cause::Connection(_) | Cause::Closed(_) if self.progress < Progress::FullyWritten => {
                 Outcome::Unreachable
             }
             Cause::Connection(_) | Cause::Closed(_) => Outcome::Reset,
-            Cause::TimedOut if self.progress < Progress::PartWritten => Outcome::Unreachable,
+            Cause::TimedOut if self.progress < Progress::PartiallyWritten => Outcome::Unreachable,
             // A part already on its way may still become whole behind our back.
             Cause::TimedOut => Outcome::TimedOut,
         }
@@ -106,9 +106,9 @@
         let progress = match self.progress {
             Progress::NotConnected => "not connected",
             Progress::Connected => "connected",
-            Progress::PartWritten => "part written",
-            Progress::WrittenWhole => "written whole",
-            Progress::AnswerBegun => "answer begun",
+            Progress::PartiallyWritten => "part written",
+            Progress::FullyWritten => "written whole",
+            Progress::ResponseStarted => "answer begun",
         };
         match &self.cause {
             Cause::Connection(why) => write!(f, "{progress}: connection failed: {why}"),
--- a/crates/core/src/attempt_end.rs
+++ b/crates/core/src/attempt_end.rs
@@ -29,7 +29,7 @@
         if attempt.abandoned_for.is_some() {
             return None;
         }
-        if has_time && cause.is_ours() && attempt.progress >= Progress::PartWritten {
+        if has_time && cause.is_ours() && attempt.progress >= Progress::PartiallyWritten {
             attempt.abandoned_for = Some(cause);
             self.set_timer(now + NOTICE_DELAY, Timer::Abandoned(key));
             return None;
--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -109,7 +109,7 @@
         if let Some(request) = self.requests.get_mut(&id) {
             request.is_body_forwarded = true;
             for attempt in request.attempts.iter_mut().filter(|a| a.is_in_flight()) {
-                attempt.progress = attempt.progress.max(Progress::WrittenWhole);
+                attempt.progress = attempt.progress.max(Progress::FullyWritten);
             }
         }
     }
--- a/crates/core/src/lost_attempts.rs
+++ b/crates/core/src/lost_attempts.rs
@@ -104,7 +104,7 @@
         let is_unanswered = !request.is_closed && request.forwarded_attempt.is_none();
         let last = attempt.reported_at.max(attempt.written_at);
         let is_lost = is_unanswered
-            && attempt.progress == Progress::WrittenWhole
+            && attempt.progress == Progress::FullyWritten
             && attempt.abandoned_for.is_none()
             && now > last + overdue_after
             && self
--- a/crates/core/src/response.rs
+++ b/crates/core/src/response.rs
@@ -10,7 +10,7 @@
 impl Core {
     /// Forwards a chunk of an attempt's response. From here on the request is tied to the attempt.
     pub fn forward_chunk(&mut self, key: AttemptKey, chunk: ResponseChunk) {
-        self.record_progress(key, Progress::AnswerBegun);
+        self.record_progress(key, Progress::ResponseStarted);
         let request = self.requests.get_mut(&key.request);
         let Some(request) = request.filter(|r| !r.is_closed) else {
             return;
@@ -162,6 +162,6 @@
 fn may_have_run(attempt: &Attempt) -> bool {
     match attempt.outcome {
         Some(outcome) => !outcome.never_ran(),
-        None => attempt.progress >= Progress::PartWritten,
+        None => attempt.progress >= Progress::PartiallyWritten,
     }
 }
--- a/crates/core/tests/golden.rs
+++ b/crates/core/tests/golden.rs
@@ -213,8 +213,8 @@
         );
         self.transcript.line("first byte", &line);
         if may.is_some() {
-            let whole =
-                [Progress::PartWritten, Progress::WrittenWhole][usize::from(self.dice.chance(80))];
+            let whole = [Progress::PartiallyWritten, Progress::FullyWritten]
+                [usize::from(self.dice.chance(80))];
             self.core.record_progress(key, whole);
             self.out
                 .iter_mut()
@@ -228,7 +228,7 @@
 
     fn serve(&mut self) {
         let Some(key) = self.pick(true) else { return };
-        self.core.record_progress(key, Progress::WrittenWhole);
+        self.core.record_progress(key, Progress::FullyWritten);
         if self.dice.chance(60) {
             let about = vec![("x".to_string(), "y".to_string())];
             let rows = b"1\n".to_vec();
@@ -461,9 +461,9 @@
         for progress in [
             Progress::NotConnected,
             Progress::Connected,
-            Progress::PartWritten,
-            Progress::WrittenWhole,
-            Progress::AnswerBegun,
+            Progress::PartiallyWritten,
+            Progress::FullyWritten,
+            Progress::ResponseStarted,
         ] {
             let error = AttemptError {
                 progress,
--- a/crates/core/tests/idempotency.rs
+++ b/crates/core/tests/idempotency.rs
@@ -62,7 +62,7 @@
                 Command::StartAttempt(key, _)
                     if self.core.may_write_attempt(self.now, key).is_some() =>
                 {
-                    self.core.record_progress(key, Progress::WrittenWhole);
+                    self.core.record_progress(key, Progress::FullyWritten);
                     step.sent.push(key);
                 }
                 Command::AbandonAttempt(key, _) => step.left.push(key),
--- a/crates/core/tests/lost_attempts.rs
+++ b/crates/core/tests/lost_attempts.rs
@@ -40,7 +40,7 @@
             match command {
                 Command::StartAttempt(key, _) => {
                     assert!(self.core.may_write_attempt(self.now, key).is_some());
-                    self.core.record_progress(key, Progress::WrittenWhole);
+                    self.core.record_progress(key, Progress::FullyWritten);
                     sent.push(key);
                 }
                 Command::AbandonAttempt(key, _) => left.push(key),
--- a/crates/core/tests/model.rs
+++ b/crates/core/tests/model.rs
@@ -283,7 +283,7 @@
                     !self.draining[engine.0 as usize],
                     "written to an engine that drains"
                 );
-                self.core.record_progress(key, Progress::WrittenWhole);
+                self.core.record_progress(key, Progress::FullyWritten);
                 self.out.insert(key, (engine, true));
                 let known = self.known_requests.get_mut(&key.request).expect("known");
                 assert!(!known.is_cancelled, "written after it was called off");
