--- a/crates/coordinator/src/backends/clickhouse/response.rs
+++ b/crates/coordinator/src/backends/clickhouse/response.rs
@@ -128,7 +128,7 @@
         let chunk = ResponseChunk {
             headers: about,
             rows: std::mem::take(&mut self.held),
-            is_whole: is_first && is_last,
+            is_only_chunk: is_first && is_last,
         };
         events.push(EngineEvent::ResponseChunk(key, chunk));
     }
--- a/crates/coordinator/src/backends/engine_protocol/session.rs
+++ b/crates/coordinator/src/backends/engine_protocol/session.rs
@@ -155,7 +155,7 @@
         let chunk = ResponseChunk {
             headers: Vec::new(),
             rows,
-            is_whole: true,
+            is_only_chunk: true,
         };
         events.push(EngineEvent::ResponseChunk(key, chunk));
         events.push(EngineEvent::AttemptReport(key, report));
--- a/crates/coordinator/src/frontends/clickhouse/response.rs
+++ b/crates/coordinator/src/frontends/clickhouse/response.rs
@@ -63,8 +63,8 @@
         };
         self.exception_tag = value("X-ClickHouse-Exception-Tag").map(String::from);
         self.is_packed |= value("Content-Encoding").is_some();
-        self.has_length = first.is_whole;
-        let framing = if first.is_whole {
+        self.has_length = first.is_only_chunk;
+        let framing = if first.is_only_chunk {
             BodyFraming::Length(first.rows.len())
         } else if self.is_chunked {
             BodyFraming::Chunked
--- a/crates/coordinator/tests/frontends.rs
+++ b/crates/coordinator/tests/frontends.rs
@@ -130,7 +130,7 @@
     let chunk = |rows: &str| ResponseChunk {
         headers: Vec::new(),
         rows: rows.into(),
-        is_whole: false,
+        is_only_chunk: false,
     };
     rows.write_chunk(&chunk("a\t1\t\"q\"\nb\t\t\u{e9}\n"), &mut out);
     rows.write_chunk(&chunk("c\t2\ty\n"), &mut out);
--- a/crates/coordinator/tests/golden_backends.rs
+++ b/crates/coordinator/tests/golden_backends.rs
@@ -55,7 +55,7 @@
                 "{} piece {:?} whole {} {}\n",
                 k.request.0,
                 piece.headers,
-                piece.is_whole,
+                piece.is_only_chunk,
                 piece.rows.escape_ascii()
             ),
             EngineEvent::AttemptReport(k, told) => format!(
--- a/crates/coordinator/tests/golden_frontends.rs
+++ b/crates/coordinator/tests/golden_frontends.rs
@@ -106,7 +106,7 @@
             .map(|h| (h.0.to_string(), h.1.to_string()))
             .collect(),
         rows: rows.into(),
-        is_whole: whole,
+        is_only_chunk: whole,
     }
 }
 
--- a/crates/coordinator/tests/wires.rs
+++ b/crates/coordinator/tests/wires.rs
@@ -203,7 +203,7 @@
                         let piece = driftfront_core::ResponseChunk {
                             headers: Vec::new(),
                             rows,
-                            is_whole: true,
+                            is_only_chunk: true,
                         };
                         want.extend([
                             EngineEvent::ResponseChunk(key(id), piece),
--- a/crates/core/src/request.rs
+++ b/crates/core/src/request.rs
@@ -98,7 +98,7 @@
     /// Rows in the engine's form.
     pub rows: Vec<u8>,
     /// It is all of the response.
-    pub is_whole: bool,
+    pub is_only_chunk: bool,
 }
 
 /// What a backend needs of a request to send it.
--- a/crates/core/tests/golden.rs
+++ b/crates/core/tests/golden.rs
@@ -58,7 +58,7 @@
                 id.0,
                 piece.headers,
                 piece.rows.len(),
-                piece.is_whole
+                piece.is_only_chunk
             ),
         ),
         Command::Finish(id) => ("finish", id.0.to_string()),
@@ -238,7 +238,7 @@
                 ResponseChunk {
                     headers: about,
                     rows,
-                    is_whole: whole,
+                    is_only_chunk: whole,
                 },
             );
         }
--- a/crates/core/tests/model.rs
+++ b/crates/core/tests/model.rs
@@ -301,7 +301,7 @@
                 ResponseChunk {
                     headers: Vec::new(),
                     rows: b"r".to_vec(),
-                    is_whole: false,
+                    is_only_chunk: false,
                 },
             );
         }
