--- a/crates/coordinator/src/node/cluster.rs
+++ b/crates/coordinator/src/node/cluster.rs
@@ -117,7 +117,7 @@
         lifecycle::State::Starting => State::Starting,
         lifecycle::State::Ready => State::Serving,
         lifecycle::State::Draining | lifecycle::State::Drained => State::Paused,
-        lifecycle::State::HandingOver | lifecycle::State::Ending => State::Ending,
+        lifecycle::State::HandingOver | lifecycle::State::ShuttingDown => State::Ending,
     }
 }
 
--- a/crates/coordinator/src/node/control/snapshot.rs
+++ b/crates/coordinator/src/node/control/snapshot.rs
@@ -94,7 +94,7 @@
             listen: self.listening_at().to_string(),
             front: format!("{:?}", self.config.protocol),
             ready: self.is_ready(),
-            stopping: self.lifecycle.state() == State::Ending,
+            stopping: self.lifecycle.state() == State::ShuttingDown,
             state: self.lifecycle.state().name().into(),
             source,
             source_age_s: source_age.map(|age| age / 1_000_000),
--- a/crates/coordinator/src/node/event_loop.rs
+++ b/crates/coordinator/src/node/event_loop.rs
@@ -188,7 +188,7 @@
         }
         tracing::info!(signal = ?event.signal(), "shutting down once all requests are answered");
         let now = node.clock();
-        node.lifecycle.begin_ending(now);
+        node.lifecycle.begin_shutdown(now);
     };
     events
         .handle()
--- a/crates/core/src/lifecycle.rs
+++ b/crates/core/src/lifecycle.rs
@@ -57,7 +57,7 @@
     /// A successor serves at the same address; what was accepted here is answered.
     HandingOver,
     /// A signal has asked for the end.
-    Ending,
+    ShuttingDown,
 }
 
 impl State {
@@ -69,7 +69,7 @@
             State::Draining => "draining",
             State::Drained => "drained",
             State::HandingOver => "handing over",
-            State::Ending => "ending",
+            State::ShuttingDown => "ending",
         }
     }
 }
@@ -117,7 +117,7 @@
     /// What it is doing.
     pub fn state(&self) -> State {
         if self.ending_at.is_some() {
-            State::Ending
+            State::ShuttingDown
         } else if self.successor_at.is_some() {
             State::HandingOver
         } else if self.paused_at.is_some() && self.is_empty {
@@ -181,7 +181,7 @@
     }
 
     /// Records that a signal asks for the end.
-    pub fn begin_ending(&mut self, now: Micros) {
+    pub fn begin_shutdown(&mut self, now: Micros) {
         self.ending_at.get_or_insert(now);
     }
 
--- a/crates/core/tests/golden.rs
+++ b/crates/core/tests/golden.rs
@@ -485,7 +485,7 @@
         State::Draining,
         State::Drained,
         State::HandingOver,
-        State::Ending,
+        State::ShuttingDown,
     ] {
         let _ = writeln!(text, "state {}", state.name());
     }
@@ -522,7 +522,7 @@
         show("succeeded", &mut life, 8 * S);
         life.record_successor(9 * S, false);
         show("alone again", &mut life, 9 * S);
-        life.begin_ending(10 * S);
+        life.begin_shutdown(10 * S);
         for after in [
             0,
             699 * MS,
--- a/crates/core/tests/lifecycle.rs
+++ b/crates/core/tests/lifecycle.rs
@@ -57,7 +57,7 @@
                 successor = there.then(|| successor.unwrap_or(now));
             }
             Step::End => {
-                life.begin_ending(now);
+                life.begin_shutdown(now);
                 ending.get_or_insert(now);
             }
             Step::Look(clients) => drop(life.record_clients(clients)),
@@ -125,18 +125,18 @@
     assert!(life.record_successor(2 * S, false) && life.is_ready() && life.accepts_connections());
     life.record_successor(3 * S, true);
     assert!(!life.may_exit(4 * S, 0, 0, false));
-    life.begin_ending(4 * S);
+    life.begin_shutdown(4 * S);
     assert!(life.may_exit(4 * S, 0, 0, false) && !life.may_exit(9 * S, 0, 1, false));
     assert_eq!(life.shutdown_deadline(), Some(9 * S + 400_000));
     // Without a successor a signal means what it meant.
     let mut alone = Lifecycle::new(false, false, 25 * S, false);
-    alone.begin_ending(S);
+    alone.begin_shutdown(S);
     assert!(!alone.may_exit(S + 700_000, 0, 0, false) && alone.may_exit(S + 800_000, 0, 0, false));
     assert_eq!(alone.shutdown_deadline(), None);
     // But where the socket is held, what comes is the next process's, whether that is heard of or not.
     let mut held = Lifecycle::new(false, true, 25 * S, false);
     held.record_ready();
-    held.begin_ending(4 * S);
+    held.begin_shutdown(4 * S);
     assert!(
         !held.accepts_connections()
             && held.closes_connections(4 * S)
@@ -149,7 +149,7 @@
 fn idle_clients_have_time_to_close_after_the_last_answer() {
     let mut life = Lifecycle::new(false, false, 25 * S, true);
     life.record_ready();
-    life.begin_ending(S);
+    life.begin_shutdown(S);
     // Nothing is open, but three clients rest; a request that is open again begins the time anew.
     assert!(!life.may_exit(2 * S, 0, 3, false) && !life.may_exit(2 * S + 200_000, 0, 3, false));
     assert!(
@@ -166,7 +166,7 @@
 fn restart_answers_open_requests_before_the_kill() {
     let mut life = Lifecycle::new(false, false, 25 * S, true);
     life.record_ready();
-    life.begin_ending(S);
+    life.begin_shutdown(S);
     assert!(
         life.accepts_requests(S + SHUTDOWN_GRACE - 1)
             && life.may_keep_alive(S + SHUTDOWN_GRACE - 1, 5 * S)
@@ -184,6 +184,6 @@
     assert_eq!(life.shutdown_deadline(), Some(4 * S + 400_000));
     // Where nobody is known to kill, what is open is served as long as its client waits.
     let mut unkilled = Lifecycle::new(false, false, 25 * S, false);
-    unkilled.begin_ending(S);
+    unkilled.begin_shutdown(S);
     assert_eq!(unkilled.shutdown_deadline(), None);
 }
