--- a/crates/coordinator/src/config/document.rs
+++ b/crates/coordinator/src/config/document.rs
@@ -175,7 +175,7 @@
         .each()
         .map(|seed| parse_cluster_address("fleet.seeds", seed.text().unwrap_or_default()));
     let voters = json.get("voters").each().filter_map(|voter| voter.text());
-    let replace_after_seconds = json.get("replace_after_s").whole();
+    let replace_after_seconds = json.get("replace_after_s").integer();
     Ok(Some(ClusterConfig {
         listen,
         advertise,
@@ -219,7 +219,7 @@
     if json.0.is_none() {
         return Ok(default * 1000);
     }
-    let millis = json.whole().filter(|&millis| millis > 0);
+    let millis = json.integer().filter(|&millis| millis > 0);
     millis
         .map(|millis| millis * 1000)
         .ok_or(ConfigError::InvalidTime(key))
--- a/crates/coordinator/src/config/resolve.rs
+++ b/crates/coordinator/src/config/resolve.rs
@@ -77,7 +77,7 @@
             result_stall_timeout: self.result_stall_timeout,
             max_unread_bytes: memory / UNREAD_RESULTS_DIVISOR,
             discovery: document.discovery,
-            known_index: known.get("index").whole().unwrap_or(0),
+            known_index: known.get("index").integer().unwrap_or(0),
             known_updates: known.get("updates").list().unwrap_or(&[]).to_vec(),
             classes: QueryClasses {
                 names: self.classes.into(),
@@ -110,7 +110,7 @@
 impl Caps<'_> {
     /// A whole number above zero, else the default.
     fn positive(self, key: &str, default: u64) -> u64 {
-        let number = self.0.get(key).whole();
+        let number = self.0.get(key).integer();
         number.filter(|&number| number > 0).unwrap_or(default)
     }
 }
@@ -152,7 +152,7 @@
 }
 
 fn max_descriptors(limits: Json) -> usize {
-    let descriptors = limits.get("sockets").whole();
+    let descriptors = limits.get("sockets").integer();
     let descriptors = descriptors.filter(|&number| number >= MIN_DESCRIPTORS);
     to_usize(descriptors.unwrap_or(DEFAULT_DESCRIPTORS))
 }
@@ -160,7 +160,7 @@
 fn memory_bytes(limits: Json) -> usize {
     let megabytes = limits
         .get("memory_mb")
-        .whole()
+        .integer()
         .unwrap_or(DEFAULT_MEMORY_MB)
         .clamp(MIN_MEMORY_MB, MAX_MEMORY_MB);
     to_usize(megabytes * 1024 * 1024)
@@ -175,7 +175,7 @@
 }
 
 fn client_timeouts(settings: Json) -> Rc<[Micros]> {
-    let timeout = |profile: Json| profile.get("DeadlineUs").whole();
+    let timeout = |profile: Json| profile.get("DeadlineUs").integer();
     settings
         .get("Profiles")
         .each()
--- a/crates/coordinator/src/discovery/etcd.rs
+++ b/crates/coordinator/src/discovery/etcd.rs
@@ -245,7 +245,7 @@
 fn number(json: Json) -> u64 {
     json.text()
         .and_then(|t| t.parse().ok())
-        .or(json.whole())
+        .or(json.integer())
         .unwrap_or(0)
 }
 
--- a/crates/coordinator/src/discovery/stream.rs
+++ b/crates/coordinator/src/discovery/stream.rs
@@ -121,7 +121,7 @@
         let json = parse(event.data.as_bytes());
         let index = || {
             let json = json.as_ref().ok()?;
-            Json(Some(json)).get("index").whole()
+            Json(Some(json)).get("index").integer()
         };
         let number = event.id.or_else(index);
         // After a new connection events may come again.
--- a/crates/coordinator/src/discovery/update.rs
+++ b/crates/coordinator/src/discovery/update.rs
@@ -102,7 +102,7 @@
         addr: entry.get("hostPort").text().and_then(|a| a.parse().ok()),
         zone: index_of(zones, entry.get("zone")),
         kind: index_of(kinds, entry.get("machineType")),
-        cell: entry.get("cell").whole().unwrap_or(0) as u16,
+        cell: entry.get("cell").integer().unwrap_or(0) as u16,
         started_at: started_at_ms.map(|ms| (ms * 1000.0) as u64),
         phase,
     })
--- a/crates/coordinator/tests/conformance.rs
+++ b/crates/coordinator/tests/conformance.rs
@@ -76,7 +76,7 @@
 
 fn request(step: Json) -> Vec<u8> {
     let text = |key: &str| step.get(key).text().unwrap_or_default();
-    let times = step.get("times").whole().unwrap_or(0);
+    let times = step.get("times").integer().unwrap_or(0);
     let times = usize::try_from(times).expect("a few");
     let body = packed(
         text("pack"),
--- a/crates/settings/src/json.rs
+++ b/crates/settings/src/json.rs
@@ -91,7 +91,7 @@
         clippy::cast_possible_truncation,
         reason = "it has no fraction and is in range"
     )]
-    pub fn whole(self) -> Option<u64> {
+    pub fn integer(self) -> Option<u64> {
         let is_whole = |n: &f64| *n >= 0.0 && n.fract() == 0.0 && *n < WHOLE_NUMBERS_END;
         self.number().filter(is_whole).map(|n| n as u64)
     }
--- a/crates/settings/src/value.rs
+++ b/crates/settings/src/value.rs
@@ -36,7 +36,7 @@
     if value.list().is_none() {
         return Err(KeyError::new(key, Problem::NoList));
     }
-    let index = |value: Json| u16::try_from(value.whole()?).ok();
+    let index = |value: Json| u16::try_from(value.integer()?).ok();
     let indexes: Option<Vec<u16>> = value.each().map(index).collect();
     let indexes = indexes.ok_or_else(|| KeyError::new(key, Problem::NoIndexes))?;
     Ok(Some(indexes))
