--- a/crates/settings/src/class.rs
+++ b/crates/settings/src/class.rs
@@ -1,11 +1,11 @@
-//! A query class of the settings.
+//! Parses the query classes.
 
 use crate::json::Json;
 use crate::value::{flag, number, optional_indexes, optional_number, to_u64};
 use crate::{KeyError, Problem};
 use driftfront_scheduler::{DeduplicationScope, Idempotency, QueryClass};
 
-/// Reads the class at an index. Some of its properties are lists by class in `family`.
+/// Reads the class at `index` from its `profile`. `family` holds further properties as lists indexed by class.
 pub(crate) fn read(index: usize, profile: Json, family: Json) -> Result<QueryClass, KeyError> {
     let idempotency = read_idempotency(profile)?;
     let deduplication_scope = read_deduplication_scope(profile, idempotency)?;
@@ -35,7 +35,7 @@
     }
 }
 
-/// Only queries with an idempotency key need a scope.
+/// The scope is required only where queries carry an idempotency key.
 fn read_deduplication_scope(
     profile: Json,
     idempotency: Idempotency,
@@ -49,7 +49,7 @@
     }
 }
 
-/// Threads that a query runs on: at least 1.
+/// Number of threads a query runs on; 1 if missing or less than 1.
 fn read_threads(width: Json) -> f64 {
     width
         .number()
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -1,14 +1,14 @@
-//! What is wrong with settings.
+//! Errors found while reading settings.
 
 use crate::json::JsonError;
 
-/// Why settings can't be read.
+/// The reason settings could not be read.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
-    /// The text is no JSON.
+    /// The text is not JSON.
     #[error("Config is not JSON: {0}")]
     NotJson(#[from] JsonError),
-    /// The JSON is no object.
+    /// The top-level JSON value is not an object.
     #[error("Config is not a JSON object")]
     NotAnObject,
     /// A key is missing or malformed.
@@ -20,43 +20,43 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{path} {problem}")]
 pub struct KeyError {
-    /// The key's path, as `Profiles[2].Worth`.
+    /// The key's path, for example `Profiles[2].Worth`.
     pub path: String,
-    /// What is wrong with it.
+    /// The problem with its value.
     pub problem: Problem,
 }
 
-/// What is wrong with a key, as the end of a sentence.
+/// The problem with a key, displayed as a predicate that follows the key's path.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Problem {
     /// A number is required.
     #[error("is missing or not a number")]
-    MissingOrNoNumber,
-    /// A number of 0 or more is required.
+    MissingOrNotNumber,
+    /// A non-negative number is required.
     #[error("is negative")]
     Negative,
     /// A list is required.
     #[error("is missing or not a list")]
-    MissingOrNoList,
-    /// A list with at least one element is required.
+    MissingOrNotList,
+    /// A non-empty list is required.
     #[error("is empty")]
     Empty,
-    /// The value is no list.
+    /// The value is not a list.
     #[error("is not a list")]
-    NoList,
-    /// The list holds something else than indexes.
-    #[error("holds no numbers")]
-    NoIndexes,
-    /// One of a few words is required.
+    NotList,
+    /// The list contains a value that is not an integer of 16 bits.
+    #[error("contains a value that is not an integer from 0 to 65535")]
+    NotIndexes,
+    /// One of a fixed set of names is required.
     #[error("is missing or unknown")]
     MissingOrUnknown,
-    /// The word is none of those known.
+    /// The value is none of the known names.
     #[error("is unknown: {0}")]
     Unknown(String),
 }
 
 impl KeyError {
-    /// An error of this key.
+    /// Creates the error for the key at `path`.
     pub(crate) fn new(path: &str, problem: Problem) -> KeyError {
         KeyError {
             path: path.into(),
@@ -64,7 +64,7 @@
         }
     }
 
-    /// The same error, with the key inside this section.
+    /// Prefixes the key's path with the section that contains it.
     pub(crate) fn within(self, section: &str) -> KeyError {
         KeyError {
             path: format!("{section}.{}", self.path),
@@ -73,7 +73,7 @@
     }
 }
 
-/// For callers that only show the error.
+/// For callers that only display the error.
 impl From<SettingsError> for String {
     fn from(error: SettingsError) -> String {
         error.to_string()
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,6 +1,6 @@
-//! A coordinator's settings: from the platform's JSON to the scheduler's types. Unknown keys are ignored.
+//! Parses a coordinator's settings from the platform's JSON into the scheduler's types. Unknown keys are ignored.
 //!
-//! The keys are the platform's; this crate is the one place that maps them to the field's terms.
+//! The platform defines the key names; only this crate maps them to the scheduler's terms.
 #![forbid(unsafe_code)]
 
 mod class;
@@ -20,17 +20,17 @@
 ///
 /// # Errors
 ///
-/// A [`SettingsError`] that names the key which is missing or malformed.
+/// A [`SettingsError`] that names the missing or malformed key.
 pub fn parse_settings(json: &[u8]) -> Result<Settings, SettingsError> {
     let root = json::parse(json)?;
     from_json(Json(Some(&root)))
 }
 
-/// Reads the settings from a parsed object.
+/// Reads the settings from parsed JSON.
 ///
 /// # Errors
 ///
-/// A [`SettingsError`] that names the key which is missing or malformed.
+/// A [`SettingsError`] that names the missing or malformed key.
 pub fn from_json(root: Json) -> Result<Settings, SettingsError> {
     if !root.is_object() {
         return Err(SettingsError::NotAnObject);
@@ -91,7 +91,7 @@
 fn read_classes(root: Json, family: Json) -> Result<Vec<QueryClass>, KeyError> {
     let profiles = root.get("Profiles");
     match profiles.list() {
-        None => return Err(KeyError::new("Profiles", Problem::MissingOrNoList)),
+        None => return Err(KeyError::new("Profiles", Problem::MissingOrNotList)),
         Some([]) => return Err(KeyError::new("Profiles", Problem::Empty)),
         Some(_) => {}
     }
@@ -125,7 +125,7 @@
     root.get("Tenants").each().enumerate().map(read).collect()
 }
 
-/// The slow start rule, which is in force where its last figure is given.
+/// Reads the slow start rule, which is enabled by the presence of `FallMultiple`.
 fn read_slow_start(contract: Json) -> Result<Option<SlowStart>, KeyError> {
     if contract.get("FallMultiple").is_null() {
         return Ok(None);
@@ -138,7 +138,7 @@
     }))
 }
 
-/// The retry budget, which is in force where its window is given.
+/// Reads the retry budget, which is enabled by the presence of `ExtraWindowUs`.
 fn read_retry_budget(contract: Json) -> Result<Option<RetryBudget>, KeyError> {
     if contract.get("ExtraWindowUs").is_null() {
         return Ok(None);
@@ -181,7 +181,7 @@
     report.get("Fields").each().map(field).collect()
 }
 
-/// A field whose meaning stands in a sentence of the settings.
+/// Derives a field's meaning from its free-text description in the settings.
 fn described_field(description: Json) -> ReportField {
     match description.text().unwrap_or_default() {
         text if text.contains("memory") => ReportField::Memory,
--- a/crates/settings/tests/golden.rs
+++ b/crates/settings/tests/golden.rs
@@ -1,13 +1,14 @@
-//! The platform's settings as they are read, and what is said of those that can't be; see `golden/README.md`.
-#![allow(clippy::too_many_lines, reason = "a line for each key")]
+//! Golden tests of the values parsed from the platform's settings, and of the errors for invalid settings; see
+//! `golden/README.md`.
+#![allow(clippy::too_many_lines, reason = "one line per key")]
 
 use driftfront_scheduler::{DeduplicationScope, Idempotency, OutOfMemory, ReportField, Settings};
 use driftfront_settings::parse_settings;
 use driftfront_test_support::{assert_golden, read_golden};
 use std::fmt::Write as _;
 
-/// What was read, a line for each key of the settings.
-fn text(s: &Settings) -> String {
+/// Formats parsed settings with one line per key.
+fn format_settings(s: &Settings) -> String {
     let mut t = String::new();
     let _ = writeln!(t, "Balancers {}", s.coordinators);
     let _ = writeln!(t, "MyNumber {}", s.number);
@@ -102,29 +103,29 @@
 }
 
 #[test]
-fn settings_are_read_as_before() {
-    for (json, read) in [("full.json", "full.txt"), ("least.json", "least.txt")] {
-        let settings = parse_settings(&read_golden!(json)).expect("settings");
-        assert_golden!(read, text(&settings));
+fn parsed_settings_match_golden_files() {
+    for (json, expected) in [("full.json", "full.txt"), ("least.json", "least.txt")] {
+        let settings = parse_settings(&read_golden!(json)).expect("valid settings");
+        assert_golden!(expected, format_settings(&settings));
     }
 }
 
 #[test]
-fn settings_that_cannot_be_read_are_described_as_before() {
-    let full = String::from_utf8(read_golden!("full.json")).expect("text");
+fn errors_of_invalid_settings_match_golden_file() {
+    let full = String::from_utf8(read_golden!("full.json")).expect("UTF-8");
     let mut text = String::new();
-    let mut note = |title: &str, json: &[u8]| {
-        let said = match parse_settings(json) {
+    let mut record_result = |title: &str, json: &[u8]| {
+        let result = match parse_settings(json) {
             Ok(_) => "read".into(),
-            Err(why) => why.to_string(),
+            Err(error) => error.to_string(),
         };
-        let _ = writeln!(text, "{title}: {said}");
+        let _ = writeln!(text, "{title}: {result}");
     };
-    note("not UTF-8", b"\xff");
-    note("not JSON", b"{");
-    note("not an object", b"[1]");
-    note("nested", &[b'['; 65]);
-    note(
+    record_result("not UTF-8", b"\xff");
+    record_result("not JSON", b"{");
+    record_result("not an object", b"[1]");
+    record_result("nested", &[b'['; 65]);
+    record_result(
         "nested in text",
         format!("{{\"x\": \"{}\"}}", "[".repeat(65)).as_bytes(),
     );
@@ -157,7 +158,7 @@
         ("\"TickUs\": 1000.9", "\"TickUs\": true"),
     ] {
         assert!(full.contains(from), "{from}");
-        note(
+        record_result(
             &format!("{from} -> {to}"),
             full.replace(from, to).as_bytes(),
         );
