--- a/crates/simulator-adapter/src/batch.rs
+++ b/crates/simulator-adapter/src/batch.rs
@@ -1,16 +1,16 @@
-//! Batches on the input.
+//! Reads batches from the input.
 
 use crate::WireError;
 use std::io::{ErrorKind, Read};
 
-/// Length (4 bytes) and clock (8 bytes).
+/// Size of the header: length (4 bytes) and clock (8 bytes).
 const HEADER_BYTES: usize = 12;
 
-/// Reads one batch: its clock in microseconds, and its records. `None` at a clean end of the input.
+/// Reads one batch and returns its clock in microseconds and its records; `None` if the input ends between batches.
 ///
 /// # Errors
 ///
-/// A [`WireError`] where the input ends inside a batch, or can't be read.
+/// A [`WireError`] if the input ends inside a batch or cannot be read.
 pub fn read_batch(input: &mut impl Read) -> Result<Option<(u64, Vec<u8>)>, WireError> {
     let Some(header) = read_header(input)? else {
         return Ok(None);
@@ -23,7 +23,7 @@
         .read_to_end(&mut body)
         .map_err(WireError::Batch)?;
     if got != length as usize {
-        return Err(WireError::BatchCut { got, length });
+        return Err(WireError::TruncatedBatch { got, length });
     }
     Ok(Some((u64::from_be_bytes(clock), body)))
 }
@@ -34,7 +34,7 @@
     while got < header.len() {
         match input.read(&mut header[got..]) {
             Ok(0) if got == 0 => return Ok(None),
-            Ok(0) => return Err(WireError::HeaderCut),
+            Ok(0) => return Err(WireError::TruncatedHeader),
             Ok(n) => got += n,
             Err(e) if e.kind() == ErrorKind::Interrupted => {}
             Err(e) => return Err(WireError::Header(e)),
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -1,4 +1,4 @@
-//! Controllers of many instances behind one pair of streams.
+//! Runs the controllers of many instances behind one pair of streams.
 
 use crate::fields::Fields;
 use crate::record::{decode, InstanceRecord, Record};
@@ -10,27 +10,27 @@
 use std::collections::BTreeMap;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-/// Many isolated controllers behind one pair of streams.
+/// The isolated controllers of all instances behind one pair of streams.
 #[derive(Default)]
 pub struct Host {
     instances: BTreeMap<u16, Controller>,
-    /// Lists of engines by their number; instances are told to use one.
+    /// Lists of engines by catalog number; topology records refer to them.
     catalogs: BTreeMap<u32, Vec<ListedEngine>>,
-    /// Reused between events.
+    /// Buffer for a controller's actions, reused between events.
     actions: Vec<Action>,
 }
 
 impl Host {
-    /// Handles the records of one batch at its clock (microseconds), and returns the complete reply.
+    /// Handles the records of one batch with clock `now` (microseconds) and returns the complete reply.
     ///
     /// # Errors
     ///
-    /// A [`WireError`] for a malformed record.
+    /// A [`WireError`] if a record is malformed.
     pub fn batch(&mut self, now: u64, mut body: &[u8]) -> Result<Vec<u8>, WireError> {
         let mut reply = Reply::new();
         while !body.is_empty() {
-            let (code, fields, behind) = Fields::split_record(body)?;
-            body = behind;
+            let (code, fields, rest) = Fields::split_record(body)?;
+            body = rest;
             match decode(code, fields)? {
                 Record::Catalog(number, engines) => {
                     self.catalogs.insert(number, engines);
@@ -94,14 +94,14 @@
         }
     }
 
-    /// Passes an event on to an instance; one that has ended, or never started, hears nothing.
+    /// Passes an event to an instance's controller. Events for instances that are not running are ignored.
     fn handle_event(&mut self, now: u64, instance: u16, event: Event, reply: &mut Reply) {
         let Some(controller) = self.instances.get_mut(&instance) else {
             return;
         };
         self.actions.clear();
         let actions = &mut self.actions;
-        // A controller that panicked is not used again.
+        // A controller that panicked may be inconsistent, so it is removed below.
         let handled = catch_unwind(AssertUnwindSafe(|| controller.handle(now, event, actions)));
         match handled {
             Ok(()) => {
@@ -120,5 +120,5 @@
 fn panic_message(panic: &(dyn Any + Send)) -> String {
     let owned = panic.downcast_ref::<String>().cloned();
     let message = owned.or_else(|| panic.downcast_ref::<&str>().map(ToString::to_string));
-    message.unwrap_or_else(|| "panic in the decision code".into())
+    message.unwrap_or_else(|| "panic in the controller".into())
 }
--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -1,12 +1,13 @@
-//! The simulator's wire: batches of records in, a reply of actions out, around [`driftfront_scheduler::Controller`].
+//! The simulator's wire protocol: decodes batches of records, passes them to [`driftfront_scheduler::Controller`] and encodes
+//! the resulting actions as a reply.
 //!
-//! All numbers are big endian. A batch is the length of its body (4 bytes), its clock (8 bytes, microseconds) and its records;
-//! a record is its code (1 byte), its length (4 bytes) and its fields. A reply is the number of its actions, the length of
-//! what follows (4 bytes each) and the actions, which have the form of records. [`Host`] keeps the controllers of many
-//! instances apart; records name theirs, but for lists of engines, which all instances share.
+//! All integers are big endian. A batch consists of the length of its body (4 bytes), its clock (8 bytes, microseconds) and its
+//! records; a record consists of its code (1 byte), its length (4 bytes) and its fields. A reply consists of the number of
+//! actions, the length of their encoding (4 bytes each) and the actions, which are encoded like records. [`Host`] runs one
+//! isolated controller per instance; every record names its instance, except catalogs of engines, which all instances share.
 //!
-//! Records of unknown codes are passed over. A malformed record ends the program: framing may be lost. Settings that can't be
-//! read, and a panic in a controller, end that instance alone.
+//! Records with unknown codes are ignored. A malformed record ends the program, because framing may be lost. Invalid settings
+//! and a panic in a controller end only the affected instance.
 #![forbid(unsafe_code)]
 
 mod batch;
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,4 +1,4 @@
-//! Reads batches on standard input and writes one reply for each on standard output.
+//! Reads batches from standard input and writes one reply per batch to standard output.
 #![forbid(unsafe_code)]
 
 use driftfront_simulator_adapter::{read_batch, Host};
--- a/crates/simulator-adapter/src/record.rs
+++ b/crates/simulator-adapter/src/record.rs
@@ -1,4 +1,4 @@
-//! Records of a batch, decoded.
+//! Decodes the records of a batch.
 
 use crate::fields::{positive, Fields};
 use crate::WireError;
@@ -7,7 +7,7 @@
     QueryId,
 };
 
-/// Codes of records.
+/// Record codes.
 mod code {
     pub(super) const START: u8 = 0;
     pub(super) const TOPOLOGY: u8 = 1;
@@ -23,42 +23,42 @@
     pub(super) const CATALOG: u8 = 11;
 }
 
-/// A list's relation to the earlier ones where discovery has failed.
+/// Topology scope that reports a failure of discovery.
 const SCOPE_FAILED: u8 = 3;
-/// The flag of a query whose work is estimated.
+/// Flag of a query that carries an estimate of its work.
 const WORK_IS_KNOWN: u8 = 1;
-/// Memory is told in steps of this many MB.
+/// Unit of memory usage, in MB.
 const MEMORY_STEP_MB: f64 = 4.0;
-/// Work is told in steps of this many microseconds.
+/// Unit of work, in microseconds.
 const WORK_STEP_MICROS: f64 = 1_000.0;
-/// Lists are given room for at most this many engines before they are read.
+/// Maximum capacity reserved for a list of engines from its declared length, before any entry has been decoded.
 const MAX_RESERVED_ENGINES: usize = 1 << 16;
 
-/// One record.
+/// A decoded record.
 pub(crate) enum Record<'a> {
-    /// Engines, under the number by which a topology refers to them.
+    /// A list of engines, with the catalog number by which topology records refer to it.
     Catalog(u32, Vec<ListedEngine>),
-    /// Something for one instance.
+    /// A record for one instance.
     ForInstance(u16, InstanceRecord<'a>),
-    /// A record of an unknown code.
+    /// A record with an unknown code.
     Unknown,
 }
 
 /// A record for one instance.
 pub(crate) enum InstanceRecord<'a> {
-    /// The instance starts, with a seed and its settings.
+    /// Start the instance with a seed and its settings.
     Start(u64, &'a [u8]),
-    /// It ends.
+    /// Stop the instance.
     Stop,
-    /// It is told a list: the number of its catalog.
+    /// Apply the list of engines with this catalog number.
     Topology(ListKind, u32),
-    /// An attempt has ended. The report of the event is empty, and stands beside it.
+    /// An attempt has ended. The event's own report is empty; the second field holds the load report.
     AttemptEnded(AttemptEnded<'static>, Vec<f64>),
-    /// A probe has ended, with its report.
+    /// A probe has ended, with its load report.
     ProbeEnded(EngineId, Outcome, Vec<f64>),
     /// Any other event.
     Event(Event<'a>),
-    /// A report of progress of an unknown kind.
+    /// A record without a meaning here, such as a progress report of an unknown kind.
     Ignored,
 }
 
@@ -157,7 +157,7 @@
 
 #[allow(
     clippy::cast_possible_truncation,
-    reason = "table groups are whole numbers; one out of range saturates"
+    reason = "table groups are integers; out of range values saturate"
 )]
 fn decode_query(fields: &mut Fields) -> Result<Query, WireError> {
     let id = QueryId(fields.u64()?);
@@ -166,21 +166,21 @@
     let tenant = fields.u32()?;
     let flags = fields.u8()?;
     let work = positive(f64::from(fields.u32()?));
-    let tables = fields.estimate()?.unwrap_or(0.0) as u32;
-    let key = Some(fields.u64()?).filter(|&key| key != 0);
-    let budget = u64::from(fields.u32()?);
+    let table_group = fields.estimate()?.unwrap_or(0.0) as u32;
+    let ordering_key = Some(fields.u64()?).filter(|&key| key != 0);
+    let client_timeout = u64::from(fields.u32()?);
     Ok(Query {
         id,
         class,
         tenant,
         work: work.filter(|_| flags & WORK_IS_KNOWN != 0),
         memory_mb,
-        table_group: tables,
-        ordering_key: key,
+        table_group,
+        ordering_key,
         has_idempotency_key: true,
         idempotent_until: None,
         sticky_session: None,
-        client_timeout: budget,
+        client_timeout,
     })
 }
 
@@ -193,7 +193,7 @@
     let _engine = fields.engine()?;
     let spent = u64::from(fields.u32()?);
     let report = fields.report()?;
-    // Work stands in the upper 20 bits, memory in the lower 12.
+    // The upper 20 bits hold the work, the lower 12 bits the memory.
     let (work_steps, memory_steps) = (cost >> 12, cost & 0xfff);
     let ended = AttemptEnded {
         query,
--- a/crates/simulator-adapter/src/reply.rs
+++ b/crates/simulator-adapter/src/reply.rs
@@ -1,8 +1,8 @@
-//! The reply to a batch.
+//! Encodes the reply to a batch.
 
 use driftfront_scheduler::{Action, EngineId, QueryId};
 
-/// Codes of actions.
+/// Action codes.
 mod code {
     pub(super) const START_ATTEMPT: u8 = 64;
     pub(super) const REJECT: u8 = 65;
@@ -17,21 +17,21 @@
     pub(super) const SET_RESOURCES: u8 = 76;
 }
 
-/// Number of actions and length of what follows.
+/// Size of the header: number of actions and length of their encoding (4 bytes each).
 const HEADER_BYTES: usize = 8;
-/// Longest text of a log line or a failure.
+/// Maximum length of a log line or of a failure's reason; longer texts are truncated.
 const MAX_TEXT_BYTES: usize = 1_000;
-/// Longest message to a peer.
+/// Maximum length of a gossip message; longer messages are truncated.
 const MAX_GOSSIP_BYTES: usize = 256;
 
-/// A reply that grows by actions.
+/// A reply under construction.
 pub(crate) struct Reply {
     bytes: Vec<u8>,
     count: u32,
 }
 
 impl Reply {
-    /// A reply without actions.
+    /// Creates a reply without actions.
     pub(crate) fn new() -> Reply {
         Reply {
             bytes: vec![0; HEADER_BYTES],
@@ -39,7 +39,7 @@
         }
     }
 
-    /// The complete frame.
+    /// Fills in the header and returns the encoded reply.
     pub(crate) fn into_frame(mut self) -> Vec<u8> {
         let length = saturating_u32(self.bytes.len() - HEADER_BYTES);
         self.bytes[..4].copy_from_slice(&self.count.to_be_bytes());
@@ -47,7 +47,7 @@
         self.bytes
     }
 
-    /// Adds an action of an instance.
+    /// Appends an action of an instance.
     pub(crate) fn push_action(&mut self, instance: u16, action: &Action) {
         match action {
             Action::SetResources {
@@ -86,7 +86,7 @@
             }
             Action::Probe(engine) => self.push(code::PROBE, instance, &[&engine_bytes(*engine)]),
             Action::SendGossip { peer, message } => {
-                let message = cut(message, MAX_GOSSIP_BYTES);
+                let message = truncate(message, MAX_GOSSIP_BYTES);
                 let fields: [&[u8]; 3] = [&peer.to_be_bytes(), &length_bytes(message), message];
                 self.push(code::SEND_GOSSIP, instance, &fields);
             }
@@ -95,13 +95,13 @@
         }
     }
 
-    /// Adds that an instance has failed, and why.
+    /// Appends a notice that an instance has failed for this reason.
     pub(crate) fn push_failure(&mut self, instance: u16, reason: &str) {
         self.push_text(code::INSTANCE_FAILED, instance, reason);
     }
 
     fn push_text(&mut self, code: u8, instance: u16, text: &str) {
-        let text = cut(text.as_bytes(), MAX_TEXT_BYTES);
+        let text = truncate(text.as_bytes(), MAX_TEXT_BYTES);
         self.push(code, instance, &[&length_bytes(text), text]);
     }
 
@@ -119,7 +119,7 @@
     }
 }
 
-fn cut(bytes: &[u8], max_bytes: usize) -> &[u8] {
+fn truncate(bytes: &[u8], max_bytes: usize) -> &[u8] {
     &bytes[..bytes.len().min(max_bytes)]
 }
 
@@ -135,20 +135,20 @@
     query.0.to_be_bytes()
 }
 
-/// The lower 6 bytes of an engine's number: its address.
+/// The engine's address, which is the lower 6 bytes of its id.
 fn engine_bytes(engine: EngineId) -> [u8; 6] {
     let [_, _, address @ ..] = engine.0.to_be_bytes();
     address
 }
 
-/// A time in microseconds; one beyond 32 bits saturates.
+/// Encodes a duration in microseconds, saturating at 32 bits.
 fn time_bytes(micros: u64) -> [u8; 4] {
     u32::try_from(micros).unwrap_or(u32::MAX).to_be_bytes()
 }
 
 #[allow(
     clippy::cast_possible_truncation,
-    reason = "the wire's floating point numbers have 32 bits"
+    reason = "the protocol's floating point numbers have 32 bits"
 )]
 fn float_bytes(number: f64) -> [u8; 4] {
     (number as f32).to_be_bytes()
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -1,7 +1,7 @@
-//! Hand-built and malformed frames.
+//! Tests of the wire protocol with hand-built and malformed frames.
 #![allow(
     clippy::cast_possible_truncation,
-    reason = "sizes of the examples are small"
+    reason = "the frames of these tests are small"
 )]
 
 use driftfront_simulator_adapter::{parse_settings, read_batch, Host};
@@ -18,7 +18,7 @@
     r
 }
 
-fn up(instance: u16, settings: &str) -> Vec<u8> {
+fn start(instance: u16, settings: &str) -> Vec<u8> {
     let mut f = instance.to_be_bytes().to_vec();
     f.extend(9u64.to_be_bytes());
     f.extend((settings.len() as u32).to_be_bytes());
@@ -50,7 +50,7 @@
     record(2, &f)
 }
 
-/// Codes of the actions in a reply, with their fields.
+/// Decodes a reply into the codes and fields of its actions.
 fn actions(reply: &[u8]) -> Vec<(u8, Vec<u8>)> {
     let count = u32::from_be_bytes(reply[..4].try_into().unwrap());
     let length = u32::from_be_bytes(reply[4..8].try_into().unwrap());
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn an_empty_batch_gets_an_empty_reply() {
+fn empty_batch_gets_an_empty_reply() {
     let frame = [0, 0, 0, 0, 0, 0, 0, 0, 0, 0x80, 0x5c, 0x5a];
     let (now, body) = read_batch(&mut &frame[..]).unwrap().unwrap();
     assert_eq!((now, body.len()), (0x80_5c5a, 0));
@@ -76,8 +76,8 @@
 }
 
 #[test]
-fn a_request_is_delivered_with_its_id_and_engine_unchanged() {
-    let mut body = up(3, SETTINGS);
+fn attempt_carries_the_query_id_and_engine_address_unchanged() {
+    let mut body = start(3, SETTINGS);
     body.extend(catalog_and_topology(3));
     body.extend(record(200, &[1, 2, 3]));
     body.extend(request(3, 0x0e_9a2c_5d3a_91c4));
@@ -90,12 +90,12 @@
 }
 
 #[test]
-fn instances_act_alike_in_one_host_and_in_several() {
-    let start = |i: u16| [up(i, SETTINGS), catalog_and_topology(i), request(i, 5)].concat();
+fn instances_behave_the_same_in_one_host_and_in_separate_hosts() {
+    let set_up = |i: u16| [start(i, SETTINGS), catalog_and_topology(i), request(i, 5)].concat();
     let both = Host::default()
-        .batch(5, &[start(0), start(1)].concat())
+        .batch(5, &[set_up(0), set_up(1)].concat())
         .unwrap();
-    let one = |i| Host::default().batch(5, &start(i)).unwrap();
+    let one = |i| Host::default().batch(5, &set_up(i)).unwrap();
     assert_eq!(
         actions(&both),
         [actions(&one(0)), actions(&one(1))].concat()
@@ -103,17 +103,17 @@
 }
 
 #[test]
-fn a_restart_in_one_batch_starts_with_no_state() {
+fn restart_in_one_batch_starts_without_state() {
     let mut host = Host::default();
     let stop = record(9, &[0, 3]);
-    let body = [up(3, SETTINGS), stop, up(3, SETTINGS), request(3, 5)].concat();
+    let body = [start(3, SETTINGS), stop, start(3, SETTINGS), request(3, 5)].concat();
     assert!(actions(&host.batch(5, &body).unwrap())
         .iter()
         .all(|a| a.0 == 68));
 }
 
 #[test]
-fn malformed_frames_are_errors_with_a_reason() {
+fn malformed_frames_return_descriptive_errors() {
     assert!(read_batch(&mut &[0, 0, 0][..])
         .unwrap_err()
         .to_string()
@@ -125,7 +125,7 @@
             .contains("1 of 9")
     );
     let mut host = Host::default();
-    host.batch(5, &up(3, SETTINGS)).unwrap();
+    host.batch(5, &start(3, SETTINGS)).unwrap();
     assert!(host
         .batch(5, &request(3, 5)[..30])
         .unwrap_err()
@@ -136,16 +136,16 @@
         .unwrap_err()
         .to_string()
         .contains("cut short"));
-    let no_list = record(1, &[0, 3, 0, 0, 0, 9, 0, 0, 0, 0, 0, 0, 0, 0, 0]);
+    let missing_catalog = record(1, &[0, 3, 0, 0, 0, 9, 0, 0, 0, 0, 0, 0, 0, 0, 0]);
     assert!(host
-        .batch(5, &no_list)
+        .batch(5, &missing_catalog)
         .unwrap_err()
         .to_string()
         .contains("catalog"));
 }
 
 #[test]
-fn bad_settings_bail_out_naming_the_key() {
+fn invalid_settings_fail_the_instance_and_name_the_key() {
     for (from, to, key) in [
         ("\"Balancers\": 1,", "", "Balancers"),
         ("\"OnTimeUs\": 1000000,", "", "Profiles[0].OnTimeUs"),
@@ -153,7 +153,7 @@
         ("\"Worth\": 1.0", "\"Worth\": \"x\"", "Profiles[0].Worth"),
     ] {
         let reply = Host::default()
-            .batch(5, &up(3, &SETTINGS.replace(from, to)))
+            .batch(5, &start(3, &SETTINGS.replace(from, to)))
             .unwrap();
         let all = actions(&reply);
         assert_eq!(all[0].0, 73);
