--- a/crates/core/tests/golden.rs
+++ b/crates/core/tests/golden.rs
@@ -58,7 +58,7 @@
                 id.0,
                 piece.headers,
                 piece.rows.len(),
-                piece.is_whole
+                piece.is_only_chunk
             ),
         ),
         Command::Finish(id) => ("finish", id.0.to_string()),
@@ -213,8 +213,8 @@
         );
         self.transcript.line("first byte", &line);
         if may.is_some() {
-            let whole =
-                [Progress::PartWritten, Progress::WrittenWhole][usize::from(self.dice.chance(80))];
+            let whole = [Progress::PartiallyWritten, Progress::FullyWritten]
+                [usize::from(self.dice.chance(80))];
             self.core.record_progress(key, whole);
             self.out
                 .iter_mut()
@@ -228,7 +228,7 @@
 
     fn serve(&mut self) {
         let Some(key) = self.pick(true) else { return };
-        self.core.record_progress(key, Progress::WrittenWhole);
+        self.core.record_progress(key, Progress::FullyWritten);
         if self.dice.chance(60) {
             let about = vec![("x".to_string(), "y".to_string())];
             let rows = b"1\n".to_vec();
@@ -238,7 +238,7 @@
                 ResponseChunk {
                     headers: about,
                     rows,
-                    is_whole: whole,
+                    is_only_chunk: whole,
                 },
             );
         }
@@ -461,9 +461,9 @@
         for progress in [
             Progress::NotConnected,
             Progress::Connected,
-            Progress::PartWritten,
-            Progress::WrittenWhole,
-            Progress::AnswerBegun,
+            Progress::PartiallyWritten,
+            Progress::FullyWritten,
+            Progress::ResponseStarted,
         ] {
             let error = AttemptError {
                 progress,
@@ -485,7 +485,7 @@
         State::Draining,
         State::Drained,
         State::HandingOver,
-        State::Ending,
+        State::ShuttingDown,
     ] {
         let _ = writeln!(text, "state {}", state.name());
     }
@@ -522,7 +522,7 @@
         show("succeeded", &mut life, 8 * S);
         life.record_successor(9 * S, false);
         show("alone again", &mut life, 9 * S);
-        life.begin_ending(10 * S);
+        life.begin_shutdown(10 * S);
         for after in [
             0,
             699 * MS,
