--- a/crates/cluster-simulation/src/commands/datagram_fuzz.rs
+++ b/crates/cluster-simulation/src/commands/datagram_fuzz.rs
@@ -78,7 +78,7 @@
             name: member_name(number),
             addr: member_addr(number),
             session: u64::from(number),
-            back: 0,
+            rejoins: 0,
         },
         metadata: MemberMetadata::default(),
         keys: keyring(),
--- a/crates/cluster-simulation/src/world/lifecycle.rs
+++ b/crates/cluster-simulation/src/world/lifecycle.rs
@@ -40,7 +40,7 @@
                 name: member_name(member),
                 addr: member_addr(member),
                 session,
-                back: 0,
+                rejoins: 0,
             },
             metadata: MemberMetadata {
                 zone,
--- a/crates/cluster/src/membership/identity.rs
+++ b/crates/cluster/src/membership/identity.rs
@@ -17,7 +17,7 @@
     /// Differs with each start of the process, and grows.
     pub session: u64,
     /// How often it was called down in this session and came back.
-    pub back: u16,
+    pub rejoins: u16,
 }
 
 impl Identity {
@@ -37,7 +37,7 @@
             name: String::new(),
             addr,
             session: 0,
-            back: 0,
+            rejoins: 0,
         }
     }
 }
@@ -47,7 +47,7 @@
 
     fn renew(&self) -> Option<Identity> {
         Some(Identity {
-            back: self.back.wrapping_add(1),
+            rejoins: self.rejoins.wrapping_add(1),
             ..self.clone()
         })
     }
@@ -57,6 +57,6 @@
     }
 
     fn win_addr_conflict(&self, other: &Identity) -> bool {
-        (self.session, self.back) > (other.session, other.back)
+        (self.session, self.rejoins) > (other.session, other.rejoins)
     }
 }
--- a/crates/cluster/src/membership/mod.rs
+++ b/crates/cluster/src/membership/mod.rs
@@ -184,7 +184,7 @@
         }
         let own = Identity {
             session: above + 1,
-            back: 0,
+            rejoins: 0,
             ..self.own().clone()
         };
         self.reset_as(now, own, output);
--- a/crates/cluster/tests/agent.rs
+++ b/crates/cluster/tests/agent.rs
@@ -11,7 +11,7 @@
         name: "m1".into(),
         addr: addr(1),
         session: 7,
-        back: 0,
+        rejoins: 0,
     };
     let options = Options {
         identity: me,
--- a/crates/cluster/tests/golden_datagrams.rs
+++ b/crates/cluster/tests/golden_datagrams.rs
@@ -117,7 +117,7 @@
         name: name.into(),
         addr,
         session: Identity::session_at(CLOCK + u64::from(n), 5),
-        back: u16::from(n),
+        rejoins: u16::from(n),
     }
 }
 
@@ -278,7 +278,7 @@
     let mut text = String::new();
     let member = |name: &str, n: u8, clock: u64| {
         let me = Identity {
-            back: 0,
+            rejoins: 0,
             ..identity(name, n)
         };
         let me = Identity {
--- a/crates/cluster/tests/membership.rs
+++ b/crates/cluster/tests/membership.rs
@@ -12,7 +12,7 @@
         name: name.into(),
         addr: SocketAddr::from(([127, 0, 0, 1], port)),
         session: 5,
-        back: 0,
+        rejoins: 0,
     }
 }
 
--- a/crates/coordinator/src/node/cluster.rs
+++ b/crates/coordinator/src/node/cluster.rs
@@ -179,7 +179,7 @@
                 name: self.config.name.clone(),
                 addr: config.advertise.unwrap_or(here),
                 session,
-                back: 0,
+                rejoins: 0,
             },
             metadata: metadata.clone(),
             keys,
--- a/crates/coordinator/tests/fleet.rs
+++ b/crates/coordinator/tests/fleet.rs
@@ -202,7 +202,7 @@
         name: "later".into(),
         addr: socket.local_addr().unwrap(),
         session: 1 << 50,
-        back: 0,
+        rejoins: 0,
     };
     let keys = || Keyring::of(Key::parse(driftfront_cluster_harness::KEY).unwrap());
     let about = MemberMetadata {
