--- a/crates/cluster-simulation/src/world/members.rs
+++ b/crates/cluster-simulation/src/world/members.rs
@@ -43,5 +43,5 @@
 ///
 /// Never: the key is well-formed.
 pub fn keyring() -> Keyring {
-    Keyring::of(Key::parse(KEY).expect("a key of 32 hex digits"))
+    Keyring::from_key(Key::parse(KEY).expect("a key of 32 hex digits"))
 }
--- a/crates/cluster/src/keys.rs
+++ b/crates/cluster/src/keys.rs
@@ -109,7 +109,7 @@
     }
 
     /// A ring of one key.
-    pub fn of(key: Key) -> Keyring {
+    pub fn from_key(key: Key) -> Keyring {
         Keyring { keys: vec![key] }
     }
 
--- a/crates/cluster/tests/agent.rs
+++ b/crates/cluster/tests/agent.rs
@@ -5,7 +5,7 @@
 
 #[test]
 fn lone_member_recovers_from_stalls_and_goes_on_joining() {
-    let keys = Keyring::of(Key::parse("000102030405060708090a0b0c0d0e0f").unwrap());
+    let keys = Keyring::from_key(Key::parse("000102030405060708090a0b0c0d0e0f").unwrap());
     let addr = |n: u8| SocketAddr::from(([127, 0, 0, n], 1));
     let me = Identity {
         name: "m1".into(),
--- a/crates/coordinator/tests/fleet.rs
+++ b/crates/coordinator/tests/fleet.rs
@@ -204,7 +204,7 @@
         session: 1 << 50,
         rejoins: 0,
     };
-    let keys = || Keyring::of(Key::parse(driftfront_cluster_harness::KEY).unwrap());
+    let keys = || Keyring::from_key(Key::parse(driftfront_cluster_harness::KEY).unwrap());
     let about = MemberMetadata {
         build: "9.9.9".into(),
         ..MemberMetadata::default()
