--- a/crates/coordinator/src/net/buffered_stream.rs
+++ b/crates/coordinator/src/net/buffered_stream.rs
@@ -86,7 +86,7 @@
 
     /// Whether the peer has ended its side, or all of the connection, behind bytes that are not read yet. A system that can't
     /// tell says no: then it shows when those bytes are read.
-    pub fn peer_has_ended(&self) -> bool {
+    pub fn peer_has_closed(&self) -> bool {
         let ends = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
         let at_once = Timespec {
             tv_sec: 0,
--- a/crates/coordinator/src/node/clients/closing.rs
+++ b/crates/coordinator/src/node/clients/closing.rs
@@ -105,7 +105,7 @@
     /// Drops a connection whose peer has ended its side behind bytes that are not read yet.
     pub(super) fn drop_if_ended(&mut self, now: Micros, id: ConnectionId) {
         let client = self.clients.get(id);
-        if client.is_some_and(ClientConnection::peer_has_ended) {
+        if client.is_some_and(ClientConnection::peer_has_closed) {
             self.drop_client(now, id);
         }
     }
--- a/crates/coordinator/src/node/clients/connection.rs
+++ b/crates/coordinator/src/node/clients/connection.rs
@@ -266,8 +266,8 @@
     }
 
     /// Whether the peer has ended its side, by a system call: behind bytes that are not read yet there is no event for it.
-    pub(super) fn peer_has_ended(&self) -> bool {
-        self.stream.peer_has_ended()
+    pub(super) fn peer_has_closed(&self) -> bool {
+        self.stream.peer_has_closed()
     }
 
     /// Writes what waits, and shuts this side where a close is due; true if requests may be begun. A client that does not read its
--- a/crates/coordinator/src/node/clients/connection/input.rs
+++ b/crates/coordinator/src/node/clients/connection/input.rs
@@ -118,7 +118,7 @@
         has_ended: bool,
     ) -> BegunRequest {
         // Behind unread bytes the client's end would be noticed only once the request is served.
-        let has_left = has_ended || self.has_more && self.peer_has_ended();
+        let has_left = has_ended || self.has_more && self.peer_has_closed();
         self.has_sent_continue = false;
         self.must_close = request.close;
         (self.last_used, self.begun_at, self.is_fresh) = (now, now, false);
--- a/crates/coordinator/tests/link.rs
+++ b/crates/coordinator/tests/link.rs
@@ -27,7 +27,7 @@
         .set_linger(Some(Duration::ZERO))
         .unwrap();
     drop(far);
-    while !link.peer_has_ended() {
+    while !link.peer_has_closed() {
         assert!(
             begin.elapsed() < Duration::from_secs(60),
             "the reset never came"
