--- a/crates/coordinator/src/node/clients/closing.rs
+++ b/crates/coordinator/src/node/clients/closing.rs
@@ -63,7 +63,7 @@
 
     fn on_request_abandoned(&mut self, now: Micros, id: ConnectionId, request: RequestId) {
         tracing::debug!(request = request.0, conn = id, "client left");
-        self.record_outcome(now, request, RequestOutcome::Left);
+        self.record_outcome(now, request, RequestOutcome::ClientDisconnected);
         self.clients.remove_requester(request);
         let accepted = self.core.accepted(request);
         let idempotency = accepted.and_then(|a| self.idempotency(a.request.class));
--- a/crates/coordinator/src/node/commands.rs
+++ b/crates/coordinator/src/node/commands.rs
@@ -38,7 +38,7 @@
                 self.give_final_response(now, id, RequestOutcome::Served, |w, out| w.finish(out));
             }
             Command::Reject(id, retry_after, message) => {
-                self.give_final_response(now, id, RequestOutcome::Refused, |w, out| {
+                self.give_final_response(now, id, RequestOutcome::Rejected, |w, out| {
                     w.reject(retry_after, message.as_deref(), out);
                     ConnectionAction::KeepOpen
                 });
--- a/crates/coordinator/src/service_window.rs
+++ b/crates/coordinator/src/service_window.rs
@@ -21,14 +21,14 @@
     /// It was served.
     Served,
     /// It was rejected.
-    Refused,
+    Rejected,
     /// It failed, before or behind some rows.
     Failed,
     /// Its client left.
-    Left,
+    ClientDisconnected,
 }
 
-const OUTCOMES: usize = 4;
+const OUTCOME_COUNT: usize = 4;
 
 /// Requests that ended within one stretch of time.
 #[derive(Clone)]
@@ -36,7 +36,7 @@
     /// The stretch: time since the epoch by the slots' length.
     number: u64,
     /// By outcome.
-    counts: [u64; OUTCOMES],
+    counts: [u64; OUTCOME_COUNT],
     /// Served within the latency objective.
     in_time: u64,
     /// Of the requests that were served; made with the first of them.
@@ -47,14 +47,14 @@
     fn new(number: u64, latencies: Option<Histogram<u32>>) -> Slot {
         Slot {
             number,
-            counts: [0; OUTCOMES],
+            counts: [0; OUTCOME_COUNT],
             in_time: 0,
             latencies,
         }
     }
 
     /// Empties the slot for another stretch; the histogram's memory is used again.
-    fn restart(&mut self, number: u64) {
+    fn reset(&mut self, number: u64) {
         let mut latencies = self.latencies.take();
         if let Some(latencies) = &mut latencies {
             latencies.reset();
@@ -101,7 +101,7 @@
         let index = (number % self.slots.len() as u64) as usize;
         let slot = &mut self.slots[index];
         if slot.number != number {
-            slot.restart(number);
+            slot.reset(number);
         }
         slot.counts[outcome as usize] += 1;
         if outcome == RequestOutcome::Served {
@@ -122,7 +122,7 @@
         for slot in slots.filter(|slot| (oldest..=newest).contains(&slot.number)) {
             sum.asked += slot.counts.iter().sum::<u64>();
             sum.served += slot.counts[RequestOutcome::Served as usize];
-            sum.refused += slot.counts[RequestOutcome::Refused as usize];
+            sum.refused += slot.counts[RequestOutcome::Rejected as usize];
             sum.failed += slot.counts[RequestOutcome::Failed as usize];
             sum.in_time += slot.in_time;
             if let Some(of_slot) = &slot.latencies {
--- a/crates/coordinator/tests/service_window.rs
+++ b/crates/coordinator/tests/service_window.rs
@@ -8,7 +8,7 @@
     for n in 0..600 {
         // One each second; every fourth late, every tenth rejected.
         let outcome = if n % 10 == 9 {
-            RequestOutcome::Refused
+            RequestOutcome::Rejected
         } else {
             RequestOutcome::Served
         };
