--- a/crates/coordinator/src/clock.rs
+++ b/crates/coordinator/src/clock.rs
@@ -59,10 +59,10 @@
 
 /// A step of the wall clock, in microseconds; negative where it was set back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Step(pub i64);
+pub struct ClockStep(pub i64);
 
 /// Compares the wall clock with the monotonic one from one check to the next.
-pub struct StepWatch {
+pub struct WallClockMonitor {
     started: Instant,
     /// Wall minus monotonic time at the last check.
     offset_micros: i64,
@@ -72,11 +72,11 @@
     pub stepped_by: i64,
 }
 
-impl StepWatch {
+impl WallClockMonitor {
     /// Begins to watch.
-    pub fn start() -> StepWatch {
+    pub fn start() -> WallClockMonitor {
         let started = Instant::now();
-        StepWatch {
+        WallClockMonitor {
             started,
             offset_micros: offset_micros(started),
             steps: 0,
@@ -85,18 +85,18 @@
     }
 
     /// The step since the last check, if there was one.
-    pub fn check(&mut self) -> Option<Step> {
+    pub fn check(&mut self) -> Option<ClockStep> {
         self.compare(offset_micros(self.started))
     }
 
-    fn compare(&mut self, offset_micros: i64) -> Option<Step> {
+    fn compare(&mut self, offset_micros: i64) -> Option<ClockStep> {
         let step = offset_micros - std::mem::replace(&mut self.offset_micros, offset_micros);
         if step.abs() < MIN_STEP_MICROS {
             return None;
         }
         self.steps += 1;
         self.stepped_by += step;
-        Some(Step(step))
+        Some(ClockStep(step))
     }
 }
 
--- a/crates/coordinator/src/node/event_loop.rs
+++ b/crates/coordinator/src/node/event_loop.rs
@@ -1,7 +1,7 @@
 //! The event loop: readiness events, timers and periodic checks, each guarded so that no panic ends the program.
 
 use super::{ConnectionId, EventSource, Node, StartError};
-use crate::clock::Step;
+use crate::clock::ClockStep;
 use crate::discovery::backoff::Disconnect;
 use calloop::generic::Generic;
 use calloop::signals::{Signal, Signals};
@@ -127,7 +127,7 @@
 
     /// Logs a step of the wall clock: the log's time stamps jump by that.
     fn log_wall_clock_step(&mut self) {
-        if let Some(Step(step)) = self.wall.check() {
+        if let Some(ClockStep(step)) = self.wall.check() {
             let step_seconds = step as f64 / 1e6;
             let open_requests = self.core.open_requests();
             tracing::warn!(step_seconds, open_requests, "wall clock step detected");
--- a/crates/coordinator/src/node/mod.rs
+++ b/crates/coordinator/src/node/mod.rs
@@ -39,7 +39,7 @@
 pub use self::cluster::{read_keys, ClusterStartError, KeyFileError};
 pub use self::control::ControlSocketError;
 pub use self::start_error::StartError;
-use crate::clock::{Clock, StepWatch};
+use crate::clock::{Clock, WallClockMonitor};
 use crate::config::{Config, Protocol};
 use crate::discovery::backoff::Backoff;
 use crate::frontends::clickhouse::ClickHouse;
@@ -64,7 +64,7 @@
     clock: Clock,
     /// The time when the clock was last read.
     now: Micros,
-    wall: StepWatch,
+    wall: WallClockMonitor,
     last_connection_id: ConnectionId,
     frontend: Box<dyn Frontend>,
     listener: ClientListener,
@@ -145,7 +145,7 @@
             handle: events.handle(),
             clock,
             now,
-            wall: StepWatch::start(),
+            wall: WallClockMonitor::start(),
             last_connection_id: 0,
             frontend: new_frontend(&config),
             listener: ClientListener::new(start.listener, start.is_passed),
