--- a/crates/coordinator/src/node/clients/accept.rs
+++ b/crates/coordinator/src/node/clients/accept.rs
@@ -1,7 +1,7 @@
 //! Accepts connections while there is capacity for them.
 
 use super::connection::ClientConnection;
-use super::listener::Accept;
+use super::listener::AcceptOutcome;
 use crate::net::BufferedStream;
 use crate::node::{EventSource, Node};
 use driftfront_core::Micros;
@@ -25,10 +25,10 @@
                 return;
             }
             match self.listener.accept() {
-                Accept::Connection(stream) => self.add_client(now, stream),
-                Accept::OutOfDescriptors if self.evict_client(now) => {}
-                Accept::Retry => {}
-                Accept::OutOfDescriptors | Accept::Stop => return,
+                AcceptOutcome::Connection(stream) => self.add_client(now, stream),
+                AcceptOutcome::OutOfDescriptors if self.evict_client(now) => {}
+                AcceptOutcome::Retry => {}
+                AcceptOutcome::OutOfDescriptors | AcceptOutcome::Stop => return,
             }
         }
     }
--- a/crates/coordinator/src/node/clients/closing.rs
+++ b/crates/coordinator/src/node/clients/closing.rs
@@ -21,7 +21,7 @@
             let Some(id) = self.clients.eviction_candidate(now) else {
                 return false;
             };
-            if self.clients.get(id).is_some_and(|c| !c.is_shut()) {
+            if self.clients.get(id).is_some_and(|c| !c.is_write_shut()) {
                 self.on_client_ready(now, id);
             }
             let Some(client) = self.clients.get_mut(id) else {
@@ -98,12 +98,12 @@
             return;
         };
         if requester.accepted_at < now {
-            self.drop_if_ended(now, requester.connection);
+            self.drop_if_peer_closed(now, requester.connection);
         }
     }
 
     /// Drops a connection whose peer has ended its side behind bytes that are not read yet.
-    pub(super) fn drop_if_ended(&mut self, now: Micros, id: ConnectionId) {
+    pub(super) fn drop_if_peer_closed(&mut self, now: Micros, id: ConnectionId) {
         let client = self.clients.get(id);
         if client.is_some_and(ClientConnection::peer_has_closed) {
             self.drop_client(now, id);
@@ -121,12 +121,12 @@
 
     /// The client has ended its side: what it requested is not wanted any more, nor what stands unread behind that. What is
     /// malformed is answered.
-    pub(super) fn on_client_ended(&mut self, now: Micros, id: ConnectionId) {
-        while self.next_request(now, id, true) {}
+    pub(super) fn on_client_closed(&mut self, now: Micros, id: ConnectionId) {
+        while self.start_next_request(now, id, true) {}
         let Some(client) = self.clients.get_mut(id) else {
             return;
         };
-        client.reply_to_half_request();
+        client.reply_to_truncated_request();
         client.flush_last();
         self.drop_client(now, id);
     }
@@ -140,11 +140,11 @@
             match client.due_step(now, &self.lifecycle) {
                 DueStep::None => {}
                 DueStep::Drop => self.drop_client(now, id),
-                DueStep::EndHalfRead => self.end_half_read(now, id),
-                DueStep::CloseIdle => drop(self.close_at_rest(now, id)),
-                DueStep::SendAway => {
-                    let is_closed = self.close_at_rest(now, id);
-                    self.clients.counters_mut().sent_away += u64::from(is_closed);
+                DueStep::TimeOutRequest => self.time_out_request(now, id),
+                DueStep::CloseIdle => drop(self.close_if_idle(now, id)),
+                DueStep::CloseForDrain => {
+                    let is_closed = self.close_if_idle(now, id);
+                    self.clients.counters_mut().closed_for_drain += u64::from(is_closed);
                 }
                 DueStep::Discard => {
                     if !client.discard_input() {
@@ -161,15 +161,15 @@
     }
 
     /// Closes a connection at rest in order. What has come already is handled first; a request that crosses the close is sent
-    /// once more by its client, elsewhere. True if the close has begun.
-    fn close_at_rest(&mut self, now: Micros, id: ConnectionId) -> bool {
+    /// once more by its client, elsewhere. True if the close has started.
+    fn close_if_idle(&mut self, now: Micros, id: ConnectionId) -> bool {
         self.on_client_ready(now, id);
         let client = self.clients.get(id);
-        let is_at_rest = client.is_some_and(ClientConnection::is_at_rest);
-        if is_at_rest {
+        let is_idle = client.is_some_and(ClientConnection::is_idle);
+        if is_idle {
             self.begin_close(now, id);
         }
-        is_at_rest
+        is_idle
     }
 
     fn begin_close(&mut self, now: Micros, id: ConnectionId) {
@@ -180,11 +180,11 @@
     }
 
     /// Closes a connection in order whose request never became complete, unless its last bytes have just come.
-    fn end_half_read(&mut self, now: Micros, id: ConnectionId) {
+    fn time_out_request(&mut self, now: Micros, id: ConnectionId) {
         self.on_client_ready(now, id);
         let closes_last = self.lifecycle.is_closing_last_connections();
         let client = self.clients.get_mut(id);
-        if let Some(client) = client.filter(|c| c.is_half_read_due(now, closes_last)) {
+        if let Some(client) = client.filter(|c| c.is_request_timed_out(now, closes_last)) {
             client.reply_request_timeout();
             self.begin_close(now, id);
         }
--- a/crates/coordinator/src/node/clients/connection.rs
+++ b/crates/coordinator/src/node/clients/connection.rs
@@ -7,7 +7,7 @@
 mod output;
 
 pub(in crate::node) use input::BodyUpdate;
-pub(super) use input::{BegunRequest, BodyLimit, ReadStep};
+pub(super) use input::{BodyLimit, ReadStep, StartedRequest};
 
 use crate::frontends::ResponseWriter;
 use crate::net::{eviction, BufferedStream, ReadOutcome};
@@ -52,19 +52,19 @@
     /// Bytes that the request which is being read holds of the budget for bodies.
     reserved_bytes: usize,
     /// Our side is shut; what still comes is dropped.
-    is_shut: bool,
+    is_write_shut: bool,
     /// More was sent behind the open request than is buffered: what comes is dropped, and the connection closes behind the response.
     is_overrun: bool,
     /// Reading stopped with more to come.
     has_more: bool,
     /// "100 Continue" was sent for the request that is being read.
     has_sent_continue: bool,
-    /// Being worked on further up the stack; see [`ClientConnection::begin_work`].
-    is_busy: bool,
+    /// Being worked on further up the stack; see [`ClientConnection::begin_turn`].
+    is_in_turn: bool,
     /// No complete request has been read from it yet.
-    is_fresh: bool,
+    awaits_first_request: bool,
     /// The connect, or the first byte of the request that is being read.
-    begun_at: Micros,
+    read_started_at: Micros,
     /// The next request is not begun before this.
     paused_until: Micros,
     last_used: Micros,
@@ -74,13 +74,13 @@
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Expired {
     /// Our side is shut, and the peer had its time to read and to close.
-    Lingered,
+    Linger,
     /// The peer reads nothing, or sends nothing that is awaited.
-    Stuck,
+    Stalled,
     /// A request began and never became complete.
-    HalfRead,
+    PartialRequest,
     /// Nothing was open.
-    AtRest,
+    Idle,
 }
 
 /// What the periodic check finds due on a connection.
@@ -91,11 +91,11 @@
     /// It ends at once: the peer had its time.
     Drop,
     /// The request that is half read is answered with a timeout, and the connection closes.
-    EndHalfRead,
+    TimeOutRequest,
     /// It has been idle for too long and closes in order.
     CloseIdle,
     /// It closes in order since the process sends its clients away.
-    SendAway,
+    CloseForDrain,
     /// This side is shut: what still comes is dropped.
     Discard,
     /// More may stand unread behind what is buffered.
@@ -120,13 +120,13 @@
             must_close: false,
             is_responding: false,
             reserved_bytes: 0,
-            is_shut: false,
+            is_write_shut: false,
             is_overrun: false,
             has_more: true,
             has_sent_continue: false,
-            is_busy: false,
-            is_fresh: true,
-            begun_at: now,
+            is_in_turn: false,
+            awaits_first_request: true,
+            read_started_at: now,
             paused_until: 0,
             last_used: now,
         }
@@ -137,68 +137,69 @@
         self.stream.backlog() > 0
     }
 
-    /// Whether no response is owed on it or on its way, and no close has begun.
-    fn is_free(&self) -> bool {
-        !(self.open.is_some() || self.must_close || self.is_shut || self.is_writing())
+    /// Whether no response is owed on it or on its way, and no close has started.
+    fn is_ready_for_request(&self) -> bool {
+        !(self.open.is_some() || self.must_close || self.is_write_shut || self.is_writing())
     }
 
     /// Whether nothing is open on it, or half read, that a close in order would hurt.
-    pub(super) fn is_at_rest(&self) -> bool {
-        self.is_free() && !self.reader.is_mid_message()
+    pub(super) fn is_idle(&self) -> bool {
+        self.is_ready_for_request() && !self.reader.is_mid_message()
     }
 
     /// Whether a request has begun on it and is not complete, and nothing else is open.
-    pub(super) fn is_half_read(&self) -> bool {
-        self.is_free() && !self.reader.is_body_open() && self.reader.is_mid_message()
+    pub(super) fn has_partial_request(&self) -> bool {
+        self.is_ready_for_request() && !self.reader.is_body_open() && self.reader.is_mid_message()
     }
 
     /// Its place among those that are closed where descriptors are short, the highest first; `None` if it must stay.
     pub(super) fn eviction_rank(&self, now: Micros) -> Option<Micros> {
         let is_needed = self.open.is_some()
             || self.is_writing()
-            || self.reader.is_mid_message() && !self.is_fresh;
+            || self.reader.is_mid_message() && !self.awaits_first_request;
         let idle = now.saturating_sub(self.last_used);
-        (self.is_shut || !is_needed).then(|| eviction::rank(self.is_shut, self.is_fresh, idle))
+        (self.is_write_shut || !is_needed)
+            .then(|| eviction::rank(self.is_write_shut, self.awaits_first_request, idle))
     }
 
     /// Why its time is up, if it is.
     fn expired(&self, now: Micros) -> Option<Expired> {
         let idle = now.saturating_sub(self.last_used);
-        let is_read_late = now > self.begun_at + REQUEST_READ_TIMEOUT;
-        if self.is_shut {
-            return (idle > LINGER_TIMEOUT).then_some(Expired::Lingered);
+        let is_read_late = now > self.read_started_at + REQUEST_READ_TIMEOUT;
+        if self.is_write_shut {
+            return (idle > LINGER_TIMEOUT).then_some(Expired::Linger);
         }
         if self.is_writing() {
-            return (idle > WRITE_STALL_TIMEOUT).then_some(Expired::Stuck);
+            return (idle > WRITE_STALL_TIMEOUT).then_some(Expired::Stalled);
         }
         if self.reader.is_body_open() {
             // A body that stands still while its engine waits for it.
             let is_awaited = self.reader.held() == 0;
-            return (is_awaited && idle > UPLOAD_STALL_TIMEOUT).then_some(Expired::Stuck);
+            return (is_awaited && idle > UPLOAD_STALL_TIMEOUT).then_some(Expired::Stalled);
         }
         if self.open.is_some() || self.must_close {
             return None;
         }
-        if self.is_half_read() {
-            return is_read_late.then_some(Expired::HalfRead);
+        if self.has_partial_request() {
+            return is_read_late.then_some(Expired::PartialRequest);
         }
-        if self.is_fresh {
-            return is_read_late.then_some(Expired::AtRest);
+        if self.awaits_first_request {
+            return is_read_late.then_some(Expired::Idle);
         }
-        (idle > IDLE_TIMEOUT).then_some(Expired::AtRest)
+        (idle > IDLE_TIMEOUT).then_some(Expired::Idle)
     }
 
     /// What is due on it now.
     pub(super) fn due_step(&self, now: Micros, lifecycle: &Lifecycle) -> DueStep {
         let closes_last = lifecycle.is_closing_last_connections();
         match self.expired(now) {
-            Some(Expired::Lingered | Expired::Stuck) => DueStep::Drop,
-            Some(Expired::HalfRead) => DueStep::EndHalfRead,
+            Some(Expired::Linger | Expired::Stalled) => DueStep::Drop,
+            Some(Expired::PartialRequest) => DueStep::TimeOutRequest,
             // The process ends before its time is up: it is answered now, as its last byte may come in that moment.
-            None if closes_last && self.is_half_read() => DueStep::EndHalfRead,
-            Some(Expired::AtRest) => DueStep::CloseIdle,
-            None if self.is_sent_away(now, lifecycle) => DueStep::SendAway,
-            None if self.is_shut => DueStep::Discard,
+            None if closes_last && self.has_partial_request() => DueStep::TimeOutRequest,
+            Some(Expired::Idle) => DueStep::CloseIdle,
+            None if self.should_close_for_drain(now, lifecycle) => DueStep::CloseForDrain,
+            None if self.is_write_shut => DueStep::Discard,
             None if self.is_overrun && self.open.is_some() => DueStep::Drive,
             None if self.paused_until > 0 && now >= self.paused_until => DueStep::EndPause,
             None => DueStep::None,
@@ -208,26 +209,27 @@
     /// Whether it closes in order since the process sends its clients away. A client that has just connected has a request to
     /// write, which it may hold back while its key's last one has only just gone out: it has its usual time, unless requests
     /// are not accepted any more.
-    fn is_sent_away(&self, now: Micros, lifecycle: &Lifecycle) -> bool {
+    fn should_close_for_drain(&self, now: Micros, lifecycle: &Lifecycle) -> bool {
         let idle = now.saturating_sub(self.last_used);
-        self.is_at_rest()
-            && (!self.is_fresh || !lifecycle.accepts_requests(now))
+        self.is_idle()
+            && (!self.awaits_first_request || !lifecycle.accepts_requests(now))
             && !lifecycle.may_keep_alive(now, idle)
     }
 
     /// Whether the request that is half read should be ended now.
-    pub(super) fn is_half_read_due(&self, now: Micros, closes_last: bool) -> bool {
-        self.is_half_read() && (closes_last || self.expired(now) == Some(Expired::HalfRead))
+    pub(super) fn is_request_timed_out(&self, now: Micros, closes_last: bool) -> bool {
+        self.has_partial_request()
+            && (closes_last || self.expired(now) == Some(Expired::PartialRequest))
     }
 
     /// Begins a turn of work; false if one is going on further up the stack.
-    pub(super) fn begin_work(&mut self) -> bool {
-        !std::mem::replace(&mut self.is_busy, true)
+    pub(super) fn begin_turn(&mut self) -> bool {
+        !std::mem::replace(&mut self.is_in_turn, true)
     }
 
     /// Ends a turn of work.
-    pub(super) fn end_work(&mut self) {
-        self.is_busy = false;
+    pub(super) fn end_turn(&mut self) {
+        self.is_in_turn = false;
     }
 
     /// The event loop reports that something may be read.
@@ -236,8 +238,8 @@
     }
 
     /// Whether this side is shut.
-    pub(super) fn is_shut(&self) -> bool {
-        self.is_shut
+    pub(super) fn is_write_shut(&self) -> bool {
+        self.is_write_shut
     }
 
     /// The request whose response is owed.
@@ -270,7 +272,7 @@
         self.stream.peer_has_closed()
     }
 
-    /// Writes what waits, and shuts this side where a close is due; true if requests may be begun. A client that does not read its
+    /// Writes what waits, and shuts this side where a close is due; true if requests may be started. A client that does not read its
     /// responses is not served further ones.
     ///
     /// # Errors
@@ -278,8 +280,8 @@
     /// The connection's.
     pub(super) fn flush(&mut self, now: Micros) -> io::Result<bool> {
         let is_flushed = self.stream.flush()?;
-        if is_flushed && self.must_close && self.open.is_none() && !self.is_shut {
-            self.is_shut = true;
+        if is_flushed && self.must_close && self.open.is_none() && !self.is_write_shut {
+            self.is_write_shut = true;
             self.last_used = now;
             let _ = self.stream.socket().shutdown(Shutdown::Write);
         }
--- a/crates/coordinator/src/node/clients/connection/input.rs
+++ b/crates/coordinator/src/node/clients/connection/input.rs
@@ -25,7 +25,7 @@
     /// Bytes came that belong to no request, behind one whose response is owed.
     StrayBytes,
     /// The peer has ended its side.
-    Ended,
+    Closed,
     /// The connection failed.
     Failed,
 }
@@ -35,15 +35,15 @@
     /// It is within its limit.
     Within,
     /// It has outgrown its limit, so that it may be begun with its body still coming.
-    Outgrown,
+    Exceeded,
     /// Its head alone has outgrown the limit, and a head can't be forwarded in parts.
     HeadTooLarge,
 }
 
-/// What is known of a request as it is begun.
-pub(in crate::node::clients) struct BegunRequest {
+/// What is known of a request as it is started.
+pub(in crate::node::clients) struct StartedRequest {
     /// Its client has ended its side: nobody awaits the response.
-    pub(in crate::node::clients) has_left: bool,
+    pub(in crate::node::clients) client_has_disconnected: bool,
     /// More of its body is to come.
     pub(in crate::node::clients) has_more_body: bool,
     /// Bytes that it holds of the budget for bodies.
@@ -63,7 +63,7 @@
 }
 
 impl ClientConnection {
-    /// Whether the next request may be begun.
+    /// Whether the next request may be started.
     fn can_begin_request(&self, now: Micros) -> bool {
         self.open.is_none()
             && !self.must_close
@@ -82,14 +82,14 @@
         if bytes.is_empty() {
             return;
         }
-        if !self.reader.is_mid_message() && !self.is_fresh {
-            self.begun_at = now;
+        if !self.reader.is_mid_message() && !self.awaits_first_request {
+            self.read_started_at = now;
         }
         self.last_used = now;
         self.reader.push(bytes);
     }
 
-    /// The next complete request, if one may be begun. One that waits to be allowed to send its body is allowed.
+    /// The next complete request, if one may be started. One that waits to be allowed to send its body is allowed.
     ///
     /// # Errors
     ///
@@ -110,28 +110,32 @@
         Ok(request)
     }
 
-    /// Begins a request that was read. `has_ended`: its client has ended its side.
-    pub(in crate::node::clients) fn begin_request(
+    /// Begins a request that was read. `peer_has_closed`: its client has ended its side.
+    pub(in crate::node::clients) fn start_request(
         &mut self,
         now: Micros,
         request: &Request,
-        has_ended: bool,
-    ) -> BegunRequest {
+        peer_has_closed: bool,
+    ) -> StartedRequest {
         // Behind unread bytes the client's end would be noticed only once the request is served.
-        let has_left = has_ended || self.has_more && self.peer_has_closed();
+        let client_has_disconnected = peer_has_closed || self.has_more && self.peer_has_closed();
         self.has_sent_continue = false;
         self.must_close = request.close;
-        (self.last_used, self.begun_at, self.is_fresh) = (now, now, false);
-        BegunRequest {
-            has_left,
+        (
+            self.last_used,
+            self.read_started_at,
+            self.awaits_first_request,
+        ) = (now, now, false);
+        StartedRequest {
+            client_has_disconnected,
             has_more_body: request.has_more_body,
             reserved_bytes: std::mem::take(&mut self.reserved_bytes),
         }
     }
 
     /// The request that was begun is not accepted: the rest of its body, where more is to come, would be read as the next request.
-    pub(in crate::node::clients) fn close_if_body_remains(&mut self, begun: &BegunRequest) {
-        self.must_close |= begun.has_more_body;
+    pub(in crate::node::clients) fn close_if_body_remains(&mut self, started: &StartedRequest) {
+        self.must_close |= started.has_more_body;
     }
 
     /// Lets the next request wait since this one was bad.
@@ -162,7 +166,7 @@
         if size <= reservation.max_body_bytes {
             BodyLimit::Within
         } else if self.reader.has_head() {
-            BodyLimit::Outgrown
+            BodyLimit::Exceeded
         } else {
             BodyLimit::HeadTooLarge
         }
@@ -170,7 +174,7 @@
 
     /// Reads once.
     pub(in crate::node::clients) fn read(&mut self, now: Micros) -> ReadStep {
-        if !self.has_more || self.is_shut {
+        if !self.has_more || self.is_write_shut {
             return ReadStep::Nothing;
         }
         if self.is_full(now) {
@@ -186,7 +190,7 @@
             return ReadStep::StrayBytes;
         }
         if outcome == ReadOutcome::Closed {
-            return ReadStep::Ended;
+            return ReadStep::Closed;
         }
         ReadStep::Received
     }
--- a/crates/coordinator/src/node/clients/connection/output.rs
+++ b/crates/coordinator/src/node/clients/connection/output.rs
@@ -49,15 +49,15 @@
 
     /// Answers a request that was half read as its time was up; the caller closes the connection.
     pub(in crate::node::clients) fn reply_request_timeout(&mut self) {
-        if !self.is_shut && self.reader.is_mid_message() && self.open.is_none() {
+        if !self.is_write_shut && self.reader.is_mid_message() && self.open.is_none() {
             self.stream.push(&response(408, &[], b"", true));
         }
     }
 
     /// Answers a request that was half read as its client ended its side: it may still read why there is no other answer.
-    pub(in crate::node::clients) fn reply_to_half_request(&mut self) {
-        let is_half_read = self.open.is_none() && self.reader.is_mid_message();
-        if is_half_read && !self.is_shut && !self.must_close {
+    pub(in crate::node::clients) fn reply_to_truncated_request(&mut self) {
+        let has_partial_request = self.open.is_none() && self.reader.is_mid_message();
+        if has_partial_request && !self.is_write_shut && !self.must_close {
             self.stream.push(&response(400, &[], b"", true));
         }
     }
@@ -79,7 +79,7 @@
             add_connection_close(&mut bytes);
         }
         self.stream.push(&bytes);
-        (self.last_used, self.begun_at) = (now, now);
+        (self.last_used, self.read_started_at) = (now, now);
         Some(ResponsePart {
             action,
             length: bytes.len(),
--- a/crates/coordinator/src/node/clients/listener.rs
+++ b/crates/coordinator/src/node/clients/listener.rs
@@ -25,7 +25,7 @@
 }
 
 /// What came of one accept.
-pub(super) enum Accept {
+pub(super) enum AcceptOutcome {
     /// A connection.
     Connection(TcpStream),
     /// Another accept may bring one.
@@ -94,27 +94,27 @@
     }
 
     /// Accepts the next connection of the backlog, if one can be accepted now.
-    pub(super) fn accept(&mut self) -> Accept {
+    pub(super) fn accept(&mut self) -> AcceptOutcome {
         if self.is_passed && !self.unblock() {
-            return Accept::Stop;
+            return AcceptOutcome::Stop;
         }
         let Some(socket) = &self.socket else {
-            return Accept::Stop;
+            return AcceptOutcome::Stop;
         };
         match socket.accept() {
-            Ok((stream, _)) => Accept::Connection(stream),
-            Err(e) if e.kind() == ErrorKind::WouldBlock => Accept::Stop,
+            Ok((stream, _)) => AcceptOutcome::Connection(stream),
+            Err(e) if e.kind() == ErrorKind::WouldBlock => AcceptOutcome::Stop,
             Err(e) if is_out_of_descriptors(&e) => {
                 tracing::warn!("out of descriptors");
-                Accept::OutOfDescriptors
+                AcceptOutcome::OutOfDescriptors
             }
             // A connection that ended in the backlog: the next may be well.
-            Err(e) if e.kind() == ErrorKind::ConnectionAborted => Accept::Retry,
-            Err(e) if e.kind() == ErrorKind::Interrupted => Accept::Retry,
+            Err(e) if e.kind() == ErrorKind::ConnectionAborted => AcceptOutcome::Retry,
+            Err(e) if e.kind() == ErrorKind::Interrupted => AcceptOutcome::Retry,
             // Any other error would come again at once; the next periodic check tries again.
             Err(e) => {
                 tracing::warn!("accept: {e}");
-                Accept::Stop
+                AcceptOutcome::Stop
             }
         }
     }
--- a/crates/coordinator/src/node/clients/read.rs
+++ b/crates/coordinator/src/node/clients/read.rs
@@ -27,18 +27,18 @@
     /// pipelined request inside the one before, each some frames deeper.
     pub(in crate::node) fn drive_client(&mut self, now: Micros, id: ConnectionId) {
         let client = self.clients.get_mut(id);
-        if !client.is_some_and(ClientConnection::begin_work) {
+        if !client.is_some_and(ClientConnection::begin_turn) {
             return;
         }
-        self.take_client_steps(now, id);
+        self.run_client_steps(now, id);
         if let Some(client) = self.clients.get_mut(id) {
-            client.end_work();
+            client.end_turn();
         }
     }
 
-    fn take_client_steps(&mut self, now: Micros, id: ConnectionId) {
+    fn run_client_steps(&mut self, now: Micros, id: ConnectionId) {
         for _ in 0..MAX_STEPS_PER_TURN {
-            if !self.take_client_step(now, id) {
+            if !self.run_client_step(now, id) {
                 return;
             }
         }
@@ -48,14 +48,14 @@
     }
 
     /// Writes, begins a request, or reads; true if there may be more to do at once.
-    fn take_client_step(&mut self, now: Micros, id: ConnectionId) -> bool {
+    fn run_client_step(&mut self, now: Micros, id: ConnectionId) -> bool {
         self.flush_client(now, id)
-            && (self.next_request(now, id, false)
-                || self.has_outgrown_limits(now, id)
+            && (self.start_next_request(now, id, false)
+                || self.update_request_limits(now, id)
                 || self.read_from_client(now, id))
     }
 
-    /// Writes what waits; true if requests may be begun.
+    /// Writes what waits; true if requests may be started.
     fn flush_client(&mut self, now: Micros, id: ConnectionId) -> bool {
         let Some(client) = self.clients.get_mut(id) else {
             return false;
@@ -67,15 +67,15 @@
     }
 
     /// Checks the size of a request that is being read; true if its limits have changed so that it should be tried again.
-    fn has_outgrown_limits(&mut self, now: Micros, id: ConnectionId) -> bool {
+    fn update_request_limits(&mut self, now: Micros, id: ConnectionId) -> bool {
         let Some(client) = self.clients.get_mut(id) else {
             return false;
         };
         match client.check_body_limit(now, self.frontend.as_mut()) {
             BodyLimit::Within => false,
-            BodyLimit::Outgrown => true,
+            BodyLimit::Exceeded => true,
             BodyLimit::HeadTooLarge => {
-                self.client_fault(now, id, HttpError::HeadTooLarge);
+                self.reject_malformed(now, id, HttpError::HeadTooLarge);
                 true
             }
         }
@@ -93,16 +93,16 @@
                 if client.open_request().is_some() && self.frontend.is_sequential() {
                     self.discard_pipelined(now, id);
                 } else {
-                    self.drop_if_ended(now, id);
+                    self.drop_if_peer_closed(now, id);
                 }
             }
             ReadStep::StrayBytes => {
                 // The length in its head was too small: what is in flight runs half a statement, and must not be served.
                 self.abandon_client_request(now, id);
-                self.client_fault(now, id, HttpError::Malformed);
+                self.reject_malformed(now, id, HttpError::Malformed);
                 return true;
             }
-            ReadStep::Ended => self.on_client_ended(now, id),
+            ReadStep::Closed => self.on_client_closed(now, id),
             ReadStep::Failed => self.drop_client(now, id),
         }
         false
--- a/crates/coordinator/src/node/clients/requests.rs
+++ b/crates/coordinator/src/node/clients/requests.rs
@@ -1,7 +1,7 @@
 //! Requests as they come off a client's connection: accepted, answered at once, or withdrawn. The frontend decides which
 //! ([`FrontendAction`]); what it accepts goes to the core.
 
-use super::connection::BegunRequest;
+use super::connection::StartedRequest;
 use super::state::Requester;
 use crate::frontends::{FrontendAction, ResponseWriter};
 use crate::node::{ConnectionId, Node};
@@ -9,16 +9,21 @@
 use driftfront_http::{response, Request};
 
 impl Node {
-    /// Begins the next request of a connection, if none is open; true if one was there. `has_ended`: its client has ended its
+    /// Begins the next request of a connection, if none is open; true if one was there. `peer_has_closed`: its client has ended its
     /// side, and nothing that is still read is wanted any more.
-    pub(super) fn next_request(&mut self, now: Micros, id: ConnectionId, has_ended: bool) -> bool {
+    pub(super) fn start_next_request(
+        &mut self,
+        now: Micros,
+        id: ConnectionId,
+        peer_has_closed: bool,
+    ) -> bool {
         let Some(client) = self.clients.get_mut(id) else {
             return false;
         };
         match client.next_request(now) {
-            Ok(Some(request)) => self.handle_client_request(now, id, request, has_ended),
+            Ok(Some(request)) => self.handle_client_request(now, id, request, peer_has_closed),
             Ok(None) => return false,
-            Err(error) => self.client_fault(now, id, error),
+            Err(error) => self.reject_malformed(now, id, error),
         }
         true
     }
@@ -29,17 +34,17 @@
         now: Micros,
         id: ConnectionId,
         request: Request,
-        has_ended: bool,
+        peer_has_closed: bool,
     ) {
         let Some(client) = self.clients.get_mut(id) else {
             return;
         };
-        let begun = client.begin_request(now, &request, has_ended);
+        let started = client.start_request(now, &request, peer_has_closed);
         let action = self
             .frontend
-            .parse_request(request, now, begun.reserved_bytes);
+            .parse_request(request, now, started.reserved_bytes);
         if !matches!(action, FrontendAction::Accept(..)) {
-            client.close_if_body_remains(&begun);
+            client.close_if_body_remains(&started);
         }
         match action {
             FrontendAction::Reply(bytes) => self.reply(now, id, &bytes),
@@ -59,7 +64,7 @@
                 self.reply(now, id, &reply);
             }
             FrontendAction::Accept(request, writer) => {
-                self.accept_unless_duplicate(now, id, &begun, request, writer);
+                self.accept_unless_duplicate(now, id, &started, request, writer);
             }
         }
     }
@@ -68,14 +73,14 @@
         &mut self,
         now: Micros,
         id: ConnectionId,
-        begun: &BegunRequest,
+        started: &StartedRequest,
         request: ParsedRequest,
         writer: Box<dyn ResponseWriter>,
     ) {
-        if self.replied_to_duplicate(now, id, &request, begun) {
+        if self.replied_to_duplicate(now, id, &request, started) {
             return;
         }
-        if begun.has_left {
+        if started.client_has_disconnected {
             return self.accept_disconnected(now, id, request);
         }
         self.accept(now, id, request, writer);
@@ -93,7 +98,7 @@
         now: Micros,
         id: ConnectionId,
         request: &ParsedRequest,
-        begun: &BegunRequest,
+        started: &StartedRequest,
     ) -> bool {
         if !self.core.is_open(&request.name) {
             return false;
@@ -102,7 +107,7 @@
             return false;
         };
         if let Some(client) = self.clients.get_mut(id) {
-            client.close_if_body_remains(begun);
+            client.close_if_body_remains(started);
         }
         self.reply(now, id, &bytes);
         true
--- a/crates/coordinator/src/node/clients/respond.rs
+++ b/crates/coordinator/src/node/clients/respond.rs
@@ -15,7 +15,7 @@
     }
 
     /// Answers what can't be read as a request with its status; then the connection closes.
-    pub(super) fn client_fault(&mut self, now: Micros, id: ConnectionId, error: HttpError) {
+    pub(super) fn reject_malformed(&mut self, now: Micros, id: ConnectionId, error: HttpError) {
         if let Some(client) = self.clients.get_mut(id) {
             client.reply_to_malformed(now, &self.frontend.error_response(error));
         }
--- a/crates/coordinator/src/node/clients/state.rs
+++ b/crates/coordinator/src/node/clients/state.rs
@@ -29,7 +29,7 @@
 #[derive(Clone, Copy, Default)]
 pub(in crate::node) struct ClientCounters {
     /// Connections closed since the process is paused or hands over.
-    pub(in crate::node) sent_away: u64,
+    pub(in crate::node) closed_for_drain: u64,
     /// Looks at the backlog while there was no capacity for another client.
     pub(in crate::node) accepts_full: u64,
     /// Connections closed to make room.
@@ -136,8 +136,8 @@
     }
 
     /// After a panic nothing is being worked on.
-    pub(in crate::node) fn clear_work(&mut self) {
+    pub(in crate::node) fn reset_turns(&mut self) {
         let connections = self.connections.values_mut();
-        connections.for_each(ClientConnection::end_work);
+        connections.for_each(ClientConnection::end_turn);
     }
 }
--- a/crates/coordinator/src/node/clients/upload.rs
+++ b/crates/coordinator/src/node/clients/upload.rs
@@ -19,7 +19,7 @@
             return;
         };
         self.abandon_client_request(now, id);
-        self.client_fault(now, id, HttpError::Malformed);
+        self.reject_malformed(now, id, HttpError::Malformed);
         self.drive_client(now, id);
     }
 }
--- a/crates/coordinator/src/node/counters.rs
+++ b/crates/coordinator/src/node/counters.rs
@@ -28,7 +28,7 @@
         add(&mut text, &format!("state{{is=\"{state}\"}}"), 1);
         let orders = self.registry.orders().len();
         add(&mut text, "engines_out_by_order", orders);
-        add(&mut text, "connections_sent_away", clients.sent_away);
+        add(&mut text, "connections_sent_away", clients.closed_for_drain);
         add(&mut text, "accepts_full", clients.accepts_full);
         add(&mut text, "clients_dropped", clients.evicted);
         add(&mut text, "clients_overrun", clients.overruns);
--- a/crates/coordinator/src/node/event_loop.rs
+++ b/crates/coordinator/src/node/event_loop.rs
@@ -140,7 +140,7 @@
         if !done {
             tracing::error!("panic in {what}");
             self.is_executing = false;
-            self.clients.clear_work();
+            self.clients.reset_turns();
         }
         done
     }
