--- a/crates/coordinator/src/node/discovery_client.rs
+++ b/crates/coordinator/src/node/discovery_client.rs
@@ -47,7 +47,7 @@
     id: ConnectionId,
     stream: BufferedStream,
     registration: Option<RegistrationToken>,
-    is_up: bool,
+    is_connected: bool,
     /// When bytes last came, or the connect began.
     last_received: Micros,
 }
@@ -55,11 +55,11 @@
 impl DiscoveryConnection {
     /// Whether the connect has completed; once it has, the request for the list waits to be written.
     fn poll_connected(&mut self, now: Micros, watch: &mut dyn EngineListWatch) -> io::Result<bool> {
-        if !self.is_up && self.stream.poll_connected()? {
-            (self.is_up, self.last_received) = (true, now);
+        if !self.is_connected && self.stream.poll_connected()? {
+            (self.is_connected, self.last_received) = (true, now);
             self.stream.push(&watch.open_request());
         }
-        Ok(self.is_up)
+        Ok(self.is_connected)
     }
 }
 
@@ -130,7 +130,7 @@
 
     /// What the source is and, where it is a connection, how long nothing has come from it.
     pub(super) fn about(&self, now: Micros) -> (String, Option<Micros>) {
-        let connection = self.connection.as_ref().filter(|c| c.is_up);
+        let connection = self.connection.as_ref().filter(|c| c.is_connected);
         let received_at = connection.map_or(self.last_update, |c| c.last_received);
         let is_watched = matches!(self.source, Source::Watch(..)) && received_at > 0;
         let age = is_watched.then(|| now.saturating_sub(received_at));
@@ -171,7 +171,7 @@
             return None;
         };
         let connection = self.connection.as_ref()?;
-        let (timeout, reason) = if connection.is_up {
+        let (timeout, reason) = if connection.is_connected {
             (watch.silence_timeout(), "nothing heard, taken anew")
         } else {
             (CONNECT_TIMEOUT, "connect timed out")
@@ -202,7 +202,7 @@
             id,
             stream: BufferedStream::new(stream),
             registration: Some(registration),
-            is_up: false,
+            is_connected: false,
             last_received: now,
         });
     }
--- a/crates/coordinator/src/node/engines/attempts.rs
+++ b/crates/coordinator/src/node/engines/attempts.rs
@@ -79,7 +79,9 @@
             match conn.stop_attempt(key) {
                 StopOutcome::NotInFlight => {}
                 StopOutcome::Stopped => self.write_to_engine(now, id),
-                StopOutcome::NeedsClose => self.drop_engine(now, id, "an attempt was given up"),
+                StopOutcome::NeedsClose => {
+                    self.close_engine_connection(now, id, "an attempt was given up")
+                }
             }
         }
     }
--- a/crates/coordinator/src/node/engines/closing.rs
+++ b/crates/coordinator/src/node/engines/closing.rs
@@ -16,62 +16,62 @@
 struct ConnectionTimeouts {
     idle: Micros,
     result_stall: Micros,
-    /// How often engines that send progress reports should; see [`Engines::is_lost_to_silence`].
+    /// How often engines that send progress reports should; see [`Engines::is_presumed_lost`].
     progress_interval: Option<Micros>,
 }
 
 /// Why a connection should end.
 #[derive(Clone, Copy)]
-enum EndReason {
+enum CloseReason {
     ConnectTimedOut,
     Silent,
     ResultStalled,
     Unused,
 }
 
-impl EndReason {
+impl CloseReason {
     /// The reason as it is logged.
     fn message(self) -> &'static str {
         match self {
-            EndReason::ConnectTimedOut => "connect timed out",
-            EndReason::Silent => "silent",
-            EndReason::ResultStalled => "its result stands still",
-            EndReason::Unused => "no longer used",
+            CloseReason::ConnectTimedOut => "connect timed out",
+            CloseReason::Silent => "silent",
+            CloseReason::ResultStalled => "its result stands still",
+            CloseReason::Unused => "no longer used",
         }
     }
 }
 
 impl Engines {
     /// Connections that should end now, each with its reason.
-    fn connections_to_end(
+    fn connections_to_close(
         &self,
         now: Micros,
         timeouts: &ConnectionTimeouts,
-    ) -> Vec<(ConnectionId, EndReason)> {
+    ) -> Vec<(ConnectionId, CloseReason)> {
         self.iter()
-            .filter_map(|(id, c)| Some((id, self.reason_to_end(now, c, timeouts)?)))
+            .filter_map(|(id, c)| Some((id, self.close_reason(now, c, timeouts)?)))
             .collect()
     }
 
-    fn reason_to_end(
+    fn close_reason(
         &self,
         now: Micros,
         conn: &EngineConnection,
         timeouts: &ConnectionTimeouts,
-    ) -> Option<EndReason> {
-        if !conn.is_up() {
+    ) -> Option<CloseReason> {
+        if !conn.is_connected() {
             let is_overdue = conn.is_connect_overdue(now);
-            return is_overdue.then_some(EndReason::ConnectTimedOut);
+            return is_overdue.then_some(CloseReason::ConnectTimedOut);
         }
-        if self.is_lost_to_silence(now, conn, timeouts.progress_interval) {
-            return Some(EndReason::Silent);
+        if self.is_presumed_lost(now, conn, timeouts.progress_interval) {
+            return Some(CloseReason::Silent);
         }
         if conn.has_stalled_result(now, timeouts.result_stall) {
-            return Some(EndReason::ResultStalled);
+            return Some(CloseReason::ResultStalled);
         }
-        let is_over =
+        let is_disposable =
             conn.is_retired() || conn.session().is_spent() || conn.is_stale(now, timeouts.idle);
-        (conn.is_idle() && is_over).then_some(EndReason::Unused)
+        (conn.is_idle() && is_disposable).then_some(CloseReason::Unused)
     }
 
     fn connection_ids(&self) -> Vec<ConnectionId> {
@@ -81,21 +81,31 @@
 
 impl Node {
     /// Closes a connection; each attempt on it ends as far as it had come, once the engine can know.
-    pub(in crate::node) fn drop_engine(&mut self, now: Micros, id: ConnectionId, reason: &str) {
-        self.end_engine(now, id, &Cause::Closed(reason.into()));
+    pub(in crate::node) fn close_engine_connection(
+        &mut self,
+        now: Micros,
+        id: ConnectionId,
+        reason: &str,
+    ) {
+        self.end_engine_connection(now, id, &Cause::Closed(reason.into()));
     }
 
     /// A connection has ended; each attempt on it with it.
-    pub(super) fn lose_engine(&mut self, now: Micros, id: ConnectionId, reason: &str) {
-        self.end_engine(now, id, &Cause::Connection(reason.into()));
+    pub(super) fn on_engine_connection_lost(
+        &mut self,
+        now: Micros,
+        id: ConnectionId,
+        reason: &str,
+    ) {
+        self.end_engine_connection(now, id, &Cause::Connection(reason.into()));
     }
 
-    fn end_engine(&mut self, now: Micros, id: ConnectionId, cause: &Cause) {
+    fn end_engine_connection(&mut self, now: Micros, id: ConnectionId, cause: &Cause) {
         let Some(mut conn) = self.engines.remove(id) else {
             return;
         };
         self.unregister(conn.take_registration());
-        self.log_engine_end(&conn, cause);
+        self.log_connection_end(&conn, cause);
         for key in conn.session().open_attempts() {
             self.attempt_failed(now, key, cause.clone());
         }
@@ -111,10 +121,12 @@
     /// Queues again what was not written on a connection that came up and broke: that is no sign of the engine's health, and
     /// another connection may work. An attempt whose connection never came up, or that was requeued too often, fails.
     fn requeue_unwritten(&mut self, now: Micros, mut conn: EngineConnection, cause: &Cause) {
-        let (engine, was_up) = (conn.engine(), conn.is_up());
+        let (engine, was_connected) = (conn.engine(), conn.is_connected());
         for work in conn.take_queue() {
             match work {
-                QueuedWrite::Attempt { key, requeues } if was_up && requeues < MAX_REQUEUES => {
+                QueuedWrite::Attempt { key, requeues }
+                    if was_connected && requeues < MAX_REQUEUES =>
+                {
                     self.queue_attempt(now, key, engine, requeues + 1);
                 }
                 QueuedWrite::Attempt { key, .. } => self.attempt_failed(now, key, cause.clone()),
@@ -127,7 +139,7 @@
     }
 
     /// Logs why a connection ended that something was in flight on.
-    fn log_engine_end(&self, conn: &EngineConnection, cause: &Cause) {
+    fn log_connection_end(&self, conn: &EngineConnection, cause: &Cause) {
         if conn.is_idle() {
             return;
         }
@@ -160,8 +172,8 @@
         self.probe_silent_engines(now);
         self.engines.count_streaming();
         let timeouts = self.engine_connection_timeouts();
-        for (id, reason) in self.engines.connections_to_end(now, &timeouts) {
-            self.drop_engine(now, id, reason.message());
+        for (id, reason) in self.engines.connections_to_close(now, &timeouts) {
+            self.close_engine_connection(now, id, reason.message());
         }
         for id in self.engines.connection_ids() {
             self.check_session_timeouts(now, id);
--- a/crates/coordinator/src/node/engines/connect.rs
+++ b/crates/coordinator/src/node/engines/connect.rs
@@ -25,7 +25,7 @@
         let best = self
             .engines
             .best_connection(now, request, idle_timeout, progress_interval);
-        if let Some(best) = best.as_ref().filter(|best| !best.is_crowded) {
+        if let Some(best) = best.as_ref().filter(|best| !best.prefers_new) {
             return Ok(best.id);
         }
         let address = self
--- a/crates/coordinator/src/node/engines/connection.rs
+++ b/crates/coordinator/src/node/engines/connection.rs
@@ -20,7 +20,7 @@
 const MAX_QUEUED_WRITES: usize = 256;
 /// Share of the engines' idle timeout after which a connection is not used again: a request that crosses the engine's close
 /// would be lost without proof that it never ran.
-const REUSABLE_SHARE_OF_IDLE_TIMEOUT: f64 = 0.9;
+const REUSABLE_IDLE_FRACTION: f64 = 0.9;
 
 /// What waits to be written.
 pub(super) enum QueuedWrite {
@@ -60,7 +60,7 @@
     stream: BufferedStream,
     registration: Option<RegistrationToken>,
     session: Box<dyn EngineSession>,
-    is_up: bool,
+    is_connected: bool,
     connect_deadline: Micros,
     queue: VecDeque<QueuedWrite>,
     /// Attempts that are not written completely, in the order of the stream.
@@ -98,7 +98,7 @@
             stream,
             registration: Some(registration),
             session,
-            is_up: false,
+            is_connected: false,
             connect_deadline,
             queue: VecDeque::new(),
             spans: VecDeque::new(),
@@ -123,13 +123,13 @@
     }
 
     /// Whether its connect has completed.
-    pub(super) fn is_up(&self) -> bool {
-        self.is_up
+    pub(super) fn is_connected(&self) -> bool {
+        self.is_connected
     }
 
     /// Whether its connect should have completed by now.
     pub(super) fn is_connect_overdue(&self, now: Micros) -> bool {
-        !self.is_up && now > self.connect_deadline
+        !self.is_connected && now > self.connect_deadline
     }
 
     /// Whether reading waits until a slow client has read its response.
@@ -173,7 +173,7 @@
     }
 
     /// Whether the attempt whose body is streamed has ended before the body.
-    pub(super) fn has_answered_upload(&self) -> bool {
+    pub(super) fn has_answered_early(&self) -> bool {
         self.upload
             .is_some_and(|key| !self.session.has_attempt(key))
     }
@@ -194,18 +194,18 @@
     ///
     /// The connect's, if it failed.
     pub(super) fn poll_connected(&mut self, now: Micros) -> io::Result<bool> {
-        if self.is_up {
+        if self.is_connected {
             return Ok(true);
         }
         match self.stream.poll_connected() {
             Ok(true) => {
-                (self.is_up, self.silent_since, self.last_used) = (true, now, now);
+                (self.is_connected, self.silent_since, self.last_used) = (true, now, now);
                 Ok(true)
             }
             Ok(false) => Ok(false),
             Err(e) => {
                 // Reset, not refused: the connect had completed, so the engine's process exists.
-                self.is_up = e.kind() == ErrorKind::ConnectionReset;
+                self.is_connected = e.kind() == ErrorKind::ConnectionReset;
                 Err(e)
             }
         }
@@ -229,7 +229,7 @@
         report_interval: Option<Micros>,
         engine_received_at: Micros,
     ) -> bool {
-        if !self.is_up || self.session.is_idle() || self.is_paused {
+        if !self.is_connected || self.session.is_idle() || self.is_paused {
             return false;
         }
         let received_at = self.silent_since.max(engine_received_at);
@@ -249,8 +249,8 @@
 
     /// Whether it was idle for so long that the engine may be about to close it.
     pub(super) fn is_stale(&self, now: Micros, idle_timeout: Micros) -> bool {
-        let reusable = idle_timeout as f64 * REUSABLE_SHARE_OF_IDLE_TIMEOUT;
-        self.is_up && self.is_idle() && now as f64 > self.last_used as f64 + reusable
+        let reusable = idle_timeout as f64 * REUSABLE_IDLE_FRACTION;
+        self.is_connected && self.is_idle() && now as f64 > self.last_used as f64 + reusable
     }
 
     /// Queues work; gives it back where the queue is full.
--- a/crates/coordinator/src/node/engines/liveness.rs
+++ b/crates/coordinator/src/node/engines/liveness.rs
@@ -23,7 +23,7 @@
 
 impl LivenessProbes {
     /// Whether an engine is due for a probe from which bytes last came at `received_at`; if so, the probe counts as sent now.
-    fn begin_if_due(&mut self, now: Micros, engine: EngineId, received_at: Micros) -> bool {
+    fn start_if_due(&mut self, now: Micros, engine: EngineId, received_at: Micros) -> bool {
         let probed_at = self.probed_at.get(&engine).copied().unwrap_or(0);
         if now < received_at.max(probed_at) + LIVENESS_PROBE_INTERVAL {
             return false;
@@ -67,7 +67,7 @@
     /// Whether what is in flight on a silent connection is given up: the connection ends, and its attempts may run elsewhere. An
     /// attempt that must not run twice is kept, since it may still be answered once the engine can be reached again. A probe that
     /// is never answered must not hold its connection forever.
-    pub(super) fn is_lost_to_silence(
+    pub(super) fn is_presumed_lost(
         &self,
         now: Micros,
         conn: &EngineConnection,
@@ -85,10 +85,10 @@
     }
 
     /// Engines whose work in flight reports nothing, and since when the longest silent of their connections is.
-    fn engines_without_reports(&self) -> BTreeMap<EngineId, Micros> {
+    fn engines_needing_probes(&self) -> BTreeMap<EngineId, Micros> {
         let mut silent_since: BTreeMap<EngineId, Micros> = BTreeMap::new();
         for (_, conn) in self.iter() {
-            if conn.is_up() && !conn.is_paused() && conn.session().needs_liveness_probes() {
+            if conn.is_connected() && !conn.is_paused() && conn.session().needs_liveness_probes() {
                 let since = silent_since
                     .entry(conn.engine())
                     .or_insert(conn.silent_since());
@@ -99,14 +99,14 @@
     }
 
     /// Whether an engine without reports is due for a liveness probe; if so, the probe counts as sent now.
-    fn begin_liveness_probe_if_due(
+    fn start_liveness_probe_if_due(
         &mut self,
         now: Micros,
         engine: EngineId,
         silent_since: Micros,
     ) -> bool {
         let received_at = self.last_received(engine).max(silent_since);
-        self.liveness_probes.begin_if_due(now, engine, received_at)
+        self.liveness_probes.start_if_due(now, engine, received_at)
     }
 }
 
@@ -114,10 +114,10 @@
     /// Probes engines that have sent nothing for a while and report nothing by themselves: one that answers lives, however long
     /// its queries run; one that does not is silent, and its reads are lost.
     pub(super) fn probe_silent_engines(&mut self, now: Micros) {
-        for (engine, silent_since) in self.engines.engines_without_reports() {
+        for (engine, silent_since) in self.engines.engines_needing_probes() {
             if !self
                 .engines
-                .begin_liveness_probe_if_due(now, engine, silent_since)
+                .start_liveness_probe_if_due(now, engine, silent_since)
             {
                 continue;
             }
--- a/crates/coordinator/src/node/engines/pool.rs
+++ b/crates/coordinator/src/node/engines/pool.rs
@@ -41,7 +41,7 @@
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Candidate {
     /// A failure would end other attempts with it: a new connection is better, if one may be opened.
-    pub(super) is_crowded: bool,
+    pub(super) prefers_new: bool,
     is_connecting: bool,
     load: usize,
     pub(super) id: ConnectionId,
@@ -52,8 +52,8 @@
         let load = conn.load();
         let may_share = !conn.is_exclusive() && !is_exclusive && load < MAX_SHARED_ATTEMPTS;
         Candidate {
-            is_crowded: load > 0 && !may_share,
-            is_connecting: !conn.is_up(),
+            prefers_new: load > 0 && !may_share,
+            is_connecting: !conn.is_connected(),
             load,
             id,
         }
--- a/crates/coordinator/src/node/engines/read.rs
+++ b/crates/coordinator/src/node/engines/read.rs
@@ -15,7 +15,7 @@
 /// Streamed results at once beyond which each is read in smaller pieces: what was read has to be held.
 const MANY_STREAMS: usize = 32;
 /// Bytes of one read then.
-const MAX_READ_BYTES_OF_MANY: usize = MAX_READ_BYTES / 4;
+const MAX_READ_BYTES_MANY_STREAMS: usize = MAX_READ_BYTES / 4;
 /// Bytes forwarded that a client may leave unread, where few clients do.
 const MAX_CLIENT_BACKLOG_BYTES: usize = 256 * 1024;
 /// The same where many clients are slow.
@@ -25,7 +25,7 @@
     /// Bytes of one read, by how many results are streamed.
     fn max_read_bytes(&self) -> usize {
         if self.streaming_count() > MANY_STREAMS {
-            MAX_READ_BYTES_OF_MANY
+            MAX_READ_BYTES_MANY_STREAMS
         } else {
             MAX_READ_BYTES
         }
@@ -33,7 +33,7 @@
 
     /// Whether a client of what is streamed on a connection is far behind: nothing more is read for it then, so that a slow client
     /// does not fill the memory. `max_unread_bytes` bounds what all clients together leave unread; `client_backlog` is what one has.
-    fn is_ahead_of_clients(
+    fn has_slow_client(
         &self,
         id: ConnectionId,
         max_unread_bytes: usize,
@@ -67,7 +67,7 @@
         match conn.poll_connected(now) {
             Ok(true) => {}
             Ok(false) => return,
-            Err(e) => return self.lose_engine(now, id, &e.to_string()),
+            Err(e) => return self.on_engine_connection_lost(now, id, &e.to_string()),
         }
         if conn.upload().is_some() {
             // An engine that answers before the body is over may close behind that: its response is read first.
@@ -101,12 +101,12 @@
 
     /// Pauses or resumes reading by how far the clients of what is streamed here are behind; true while it is paused.
     fn update_pause(&mut self, now: Micros, id: ConnectionId) -> bool {
-        let is_ahead =
+        let has_slow_client =
             self.engines
-                .is_ahead_of_clients(id, self.config.max_unread_bytes, |request| {
+                .has_slow_client(id, self.config.max_unread_bytes, |request| {
                     self.clients.backlog(request)
                 });
-        self.engines.set_paused(now, id, is_ahead)
+        self.engines.set_paused(now, id, has_slow_client)
     }
 
     /// Decodes what was read; true if there may be more to read.
@@ -123,12 +123,14 @@
         let mut events = Vec::new();
         let decoded = conn.decode(now, bytes, outcome, &mut events);
         self.apply_engine_events(now, events);
-        if self.ends_with_answered_upload(now, id) {
+        if self.close_if_answered_early(now, id) {
             return false;
         }
         match (decoded, outcome) {
-            (Err(e), _) => self.drop_engine(now, id, &e.to_string()),
-            (Ok(()), ReadOutcome::Closed) => self.lose_engine(now, id, "closed by the engine"),
+            (Err(e), _) => self.close_engine_connection(now, id, &e.to_string()),
+            (Ok(()), ReadOutcome::Closed) => {
+                self.on_engine_connection_lost(now, id, "closed by the engine")
+            }
             (Ok(()), ReadOutcome::WouldBlock) => self.write_to_engine(now, id),
             (Ok(()), ReadOutcome::LimitReached) => return true,
         }
@@ -142,7 +144,7 @@
             return;
         };
         let (engine, was_idle) = (conn.engine(), conn.is_idle());
-        self.lose_engine(now, id, &error.to_string());
+        self.on_engine_connection_lost(now, id, &error.to_string());
         if was_idle && !self.engines.is_connected_to(engine) {
             self.core.suspect_engine(now, engine);
             self.execute_commands();
@@ -181,7 +183,7 @@
         let checked = conn.check_timeouts(now, &mut events);
         self.apply_engine_events(now, events);
         match checked {
-            Err(e) => self.drop_engine(now, id, &e.to_string()),
+            Err(e) => self.close_engine_connection(now, id, &e.to_string()),
             Ok(true) => self.write_to_engine(now, id),
             Ok(false) => {}
         }
--- a/crates/coordinator/src/node/engines/state.rs
+++ b/crates/coordinator/src/node/engines/state.rs
@@ -61,7 +61,7 @@
 
     /// Whether a connection to an engine is up.
     pub(in crate::node) fn is_connected_to(&self, engine: EngineId) -> bool {
-        self.connections_to(engine).any(|(_, c)| c.is_up())
+        self.connections_to(engine).any(|(_, c)| c.is_connected())
     }
 
     /// The engine of each connection, and when bytes were last received on it; 0 if never.
--- a/crates/coordinator/src/node/engines/upload.rs
+++ b/crates/coordinator/src/node/engines/upload.rs
@@ -13,7 +13,7 @@
         id: ConnectionId,
         key: AttemptKey,
     ) -> bool {
-        if self.ends_with_answered_upload(now, id) {
+        if self.close_if_answered_early(now, id) {
             return false;
         }
         match self.read_body(now, key.request) {
@@ -35,11 +35,11 @@
 
     /// Drops a connection whose streamed attempt ended before its body was over: the engine would read the rest of the body as the
     /// next request. True if it was dropped.
-    pub(super) fn ends_with_answered_upload(&mut self, now: Micros, id: ConnectionId) -> bool {
+    pub(super) fn close_if_answered_early(&mut self, now: Micros, id: ConnectionId) -> bool {
         let conn = self.engines.get(id);
-        let is_answered = conn.is_some_and(EngineConnection::has_answered_upload);
+        let is_answered = conn.is_some_and(EngineConnection::has_answered_early);
         if is_answered {
-            self.drop_engine(now, id, "answered before the body was over");
+            self.close_engine_connection(now, id, "answered before the body was over");
         }
         is_answered
     }
--- a/crates/coordinator/src/node/engines/write.rs
+++ b/crates/coordinator/src/node/engines/write.rs
@@ -38,12 +38,12 @@
     /// Hands the output to the system; true once none is left. A connection that fails here ends, but what its engine sent before
     /// is read first: a response that has come must not be lost with the connection.
     fn flush_engine(&mut self, now: Micros, id: ConnectionId) -> bool {
-        let Some(conn) = self.engines.get_mut(id).filter(|c| c.is_up()) else {
+        let Some(conn) = self.engines.get_mut(id).filter(|c| c.is_connected()) else {
             return false;
         };
         conn.flush(&mut self.core).unwrap_or_else(|e| {
             self.read_remaining(now, id);
-            self.lose_engine(now, id, &e.to_string());
+            self.on_engine_connection_lost(now, id, &e.to_string());
             false
         })
     }
--- a/crates/coordinator/src/node/event_loop.rs
+++ b/crates/coordinator/src/node/event_loop.rs
@@ -76,7 +76,7 @@
         match source {
             EventSource::Listener => {}
             EventSource::Client(id) => self.drop_client(now, id),
-            EventSource::Engine(id) => self.drop_engine(now, id, "a panic"),
+            EventSource::Engine(id) => self.close_engine_connection(now, id, "a panic"),
             EventSource::DiscoveryClient(_) => {
                 self.drop_discovery_connection(now, "a panic", Disconnect::Closed)
             }
