--- a/crates/coordinator/src/node/cluster/consensus.rs
+++ b/crates/coordinator/src/node/cluster/consensus.rs
@@ -188,7 +188,7 @@
             .map_err(OpenLogError::Thread)?;
         let on_written = |event: Event<WriteCompleted>, _: &mut (), node: &mut Node| {
             if let Event::Msg(completed) = event {
-                node.guard("a write's end", |node| node.handle_log_written(completed));
+                node.catch_panic("a write's end", |node| node.handle_log_written(completed));
             }
         };
         self.handle
--- a/crates/coordinator/src/node/commands.rs
+++ b/crates/coordinator/src/node/commands.rs
@@ -35,22 +35,22 @@
                 ConnectionAction::KeepOpen
             }),
             Command::Finish(id) => {
-                self.give_final_response(now, id, RequestOutcome::Served, |w, out| w.finish(out));
+                self.write_final_response(now, id, RequestOutcome::Served, |w, out| w.finish(out));
             }
             Command::Reject(id, retry_after, message) => {
-                self.give_final_response(now, id, RequestOutcome::Rejected, |w, out| {
+                self.write_final_response(now, id, RequestOutcome::Rejected, |w, out| {
                     w.reject(retry_after, message.as_deref(), out);
                     ConnectionAction::KeepOpen
                 });
             }
             Command::Fail(id, message) => {
-                self.give_final_response(now, id, RequestOutcome::Failed, |w, out| {
+                self.write_final_response(now, id, RequestOutcome::Failed, |w, out| {
                     w.fail(message.as_deref(), out);
                     ConnectionAction::KeepOpen
                 });
             }
             Command::Abort(id, message) => {
-                self.give_final_response(now, id, RequestOutcome::Failed, |w, out| {
+                self.write_final_response(now, id, RequestOutcome::Failed, |w, out| {
                     w.abort(message.as_deref(), out)
                 });
             }
@@ -58,7 +58,7 @@
     }
 
     /// Writes the last part of a request's response, and records how the request ended.
-    fn give_final_response(
+    fn write_final_response(
         &mut self,
         now: Micros,
         id: RequestId,
@@ -105,7 +105,7 @@
     }
 
     /// Whether a class's requests must not run twice.
-    pub(super) fn is_single_shot(&self, class: u16) -> bool {
+    pub(super) fn is_non_idempotent(&self, class: u16) -> bool {
         self.idempotency(class) == Some(Idempotency::NotIdempotent)
     }
 }
--- a/crates/coordinator/src/node/control/connections.rs
+++ b/crates/coordinator/src/node/control/connections.rs
@@ -99,10 +99,10 @@
     ) -> Result<RegistrationToken, calloop::Error> {
         match stream {
             OperatorStream::Unix(stream) => {
-                self.register_source(stream.clone(), EventSource::Operator(id))
+                self.register_source(stream.clone(), EventSource::ControlConnection(id))
             }
             OperatorStream::Tcp(stream) => {
-                self.register_source(stream.clone(), EventSource::Operator(id))
+                self.register_source(stream.clone(), EventSource::ControlConnection(id))
             }
         }
     }
--- a/crates/coordinator/src/node/control/open.rs
+++ b/crates/coordinator/src/node/control/open.rs
@@ -69,7 +69,7 @@
         };
         let index = control.listeners.len();
         control.listeners.push(listener);
-        self.register_source(socket, EventSource::Operators(index))
+        self.register_source(socket, EventSource::ControlListener(index))
             .map_err(StartError::RegisterSocket)?;
         Ok(())
     }
@@ -80,7 +80,7 @@
         let opened = StateFolder::open(folder, move |completed| drop(sender.send(completed)))?;
         let on_written = |event: Event<WriteCompleted>, _: &mut (), node: &mut Node| {
             if let Event::Msg(completed) = event {
-                node.guard("a write's end", |node| node.handle_order_written(completed));
+                node.catch_panic("a write's end", |node| node.handle_order_written(completed));
             }
         };
         self.handle
--- a/crates/coordinator/src/node/control/snapshot.rs
+++ b/crates/coordinator/src/node/control/snapshot.rs
@@ -85,13 +85,13 @@
         let control = self.control.as_ref();
         let has_state_folder = control.is_some_and(|control| control.state_folder.is_some());
         let (queries, open_by_class) = self.open_queries(now);
-        let (source, source_age) = self.discovery.about(now);
+        let (source, source_age) = self.discovery.source_status(now);
         Snapshot {
             version: env!("CARGO_PKG_VERSION").into(),
             name: self.config.name.clone(),
             at: now,
             up_s: seconds_since(now, control.map_or(now, |control| control.started)),
-            listen: self.listening_at().to_string(),
+            listen: self.listen_address().to_string(),
             front: format!("{:?}", self.config.protocol),
             ready: self.is_ready(),
             stopping: self.lifecycle.state() == State::Ending,
@@ -129,7 +129,7 @@
                 oldest_sent: sent,
             });
             load.queries += 1;
-            load.single_shot += usize::from(self.is_single_shot(class));
+            load.single_shot += usize::from(self.is_non_idempotent(class));
             load.oldest_sent = load.oldest_sent.min(sent);
         }
         all
@@ -214,7 +214,7 @@
                 class: name_at(&self.config.classes.names, class),
                 engine: engine.unwrap_or_default().into(),
                 age_ms: now.saturating_sub(since) / 1000,
-                import: self.is_single_shot(class),
+                import: self.is_non_idempotent(class),
             });
         }
         queries.sort_by_key(|query| (!query.import, std::cmp::Reverse(query.age_ms)));
@@ -232,7 +232,7 @@
             Class {
                 name: name.clone(),
                 wanted_ms: settings.map_or(0, |settings| settings.latency_objective / 1000),
-                once: self.is_single_shot(class),
+                once: self.is_non_idempotent(class),
                 open: open_by_class[index],
                 minute: sum_of(service.map(|service: &ClassService| &service.minute), now),
                 hour: sum_of(service.map(|service| &service.hour), now),
--- a/crates/coordinator/src/node/discovery_client.rs
+++ b/crates/coordinator/src/node/discovery_client.rs
@@ -129,7 +129,7 @@
     }
 
     /// What the source is and, where it is a connection, how long nothing has come from it.
-    pub(super) fn about(&self, now: Micros) -> (String, Option<Micros>) {
+    pub(super) fn source_status(&self, now: Micros) -> (String, Option<Micros>) {
         let connection = self.connection.as_ref().filter(|c| c.is_connected);
         let received_at = connection.map_or(self.last_update, |c| c.last_received);
         let is_watched = matches!(self.source, Source::Watch(..)) && received_at > 0;
@@ -138,7 +138,7 @@
     }
 
     /// Follows another source; at a new address of the same kind the list continues behind its last event.
-    pub(super) fn follow(&mut self, from: &DiscoverySource, to: &DiscoverySource) {
+    pub(super) fn switch_source(&mut self, from: &DiscoverySource, to: &DiscoverySource) {
         let same_list_at = match (from, to) {
             (DiscoverySource::Stream(_), DiscoverySource::Stream(addr)) => Some(*addr),
             (DiscoverySource::Etcd(_, old), DiscoverySource::Etcd(addr, new)) if old == new => {
--- a/crates/coordinator/src/node/engine_list.rs
+++ b/crates/coordinator/src/node/engine_list.rs
@@ -35,7 +35,7 @@
         let registration = self.discovery.take_connection();
         self.unregister(registration);
         self.discovery
-            .follow(&self.config.discovery, &new.discovery);
+            .switch_source(&self.config.discovery, &new.discovery);
         self.config.discovery = new.discovery;
         self.check_discovery(now);
         self.execute_commands();
--- a/crates/coordinator/src/node/engines/attempts.rs
+++ b/crates/coordinator/src/node/engines/attempts.rs
@@ -20,7 +20,7 @@
             return;
         };
         let request_id = request.name.clone();
-        let is_exclusive = self.is_single_shot(request.class);
+        let is_exclusive = self.is_non_idempotent(request.class);
         let wanted = ConnectionRequest {
             engine,
             request_id: Some(&request_id),
--- a/crates/coordinator/src/node/event_loop.rs
+++ b/crates/coordinator/src/node/event_loop.rs
@@ -21,13 +21,13 @@
     /// Runs until a signal has asked for the end and all that was accepted is answered. What fails meanwhile is logged, and
     /// the loop goes on.
     pub fn run(mut self, mut events: EventLoop<'static, Node>) {
-        let listen = self.listening_at();
+        let listen = self.listen_address();
         let management = self.management.addr().map(tracing::field::display);
         // Tests and the bench read this line, its target included.
         tracing::info!(target: "driftfront::node", name = %self.config.name, management, %listen, "serving");
         loop {
-            self.guard("timers", Node::handle_timers);
-            if self.can_end() {
+            self.catch_panic("timers", Node::handle_timers);
+            if self.can_exit() {
                 break;
             }
             let wait = self.time_until_due();
@@ -61,10 +61,10 @@
             EventSource::Client(id) => self.on_client_ready(now, id),
             EventSource::Engine(id) => self.on_engine_ready(now, id),
             EventSource::DiscoveryClient(id) => self.on_discovery_ready(now, id),
-            EventSource::Operators(listener) => self.accept_operators(listener),
-            EventSource::Operator(id) => self.handle_operator_ready(id),
-            EventSource::Management => self.accept_callers(now),
-            EventSource::Caller(id) => self.handle_caller_ready(now, id),
+            EventSource::ControlListener(listener) => self.accept_operators(listener),
+            EventSource::ControlConnection(id) => self.handle_operator_ready(id),
+            EventSource::ManagementListener => self.accept_callers(now),
+            EventSource::ManagementConnection(id) => self.handle_caller_ready(now, id),
             EventSource::Cluster => self.read_datagrams(),
         }
         self.execute_commands();
@@ -80,9 +80,11 @@
             EventSource::DiscoveryClient(_) => {
                 self.drop_discovery_connection(now, "a panic", Disconnect::Closed)
             }
-            EventSource::Operators(_) | EventSource::Management | EventSource::Cluster => {}
-            EventSource::Operator(id) => self.drop_operator(id),
-            EventSource::Caller(id) => self.drop_caller(id),
+            EventSource::ControlListener(_)
+            | EventSource::ManagementListener
+            | EventSource::Cluster => {}
+            EventSource::ControlConnection(id) => self.drop_operator(id),
+            EventSource::ManagementConnection(id) => self.drop_caller(id),
         }
         self.execute_commands();
     }
@@ -135,7 +137,7 @@
     }
 
     /// Does some work; a panic ends only that, and not the program. Returns whether the work was completed.
-    pub(super) fn guard(&mut self, what: &str, work: impl FnOnce(&mut Node)) -> bool {
+    pub(super) fn catch_panic(&mut self, what: &str, work: impl FnOnce(&mut Node)) -> bool {
         let done = catch_unwind(AssertUnwindSafe(|| work(self))).is_ok();
         if !done {
             tracing::error!("panic in {what}");
@@ -155,8 +157,8 @@
         let token = self
             .handle
             .insert_source(generic, move |_readiness, _, node: &mut Node| {
-                if !node.guard("a connection", |node| node.handle_event(source)) {
-                    node.guard("a close", |node| node.close_source(source));
+                if !node.catch_panic("a connection", |node| node.handle_event(source)) {
+                    node.catch_panic("a close", |node| node.close_source(source));
                 }
                 Ok(PostAction::Continue)
             });
@@ -183,7 +185,7 @@
         .map_err(StartError::Signals)?;
     let on_signal = |event: calloop::signals::Event, _: &mut (), node: &mut Node| {
         if event.signal() == Signal::SIGHUP {
-            node.guard("a new configuration", Node::reload);
+            node.catch_panic("a new configuration", Node::reload);
             return;
         }
         tracing::info!(signal = ?event.signal(), "shutting down once all requests are answered");
--- a/crates/coordinator/src/node/lifecycle.rs
+++ b/crates/coordinator/src/node/lifecycle.rs
@@ -7,7 +7,7 @@
 
 impl Node {
     /// Whether the process may end now. Before it does, the listening socket is closed.
-    pub(super) fn can_end(&mut self) -> bool {
+    pub(super) fn can_exit(&mut self) -> bool {
         let writing = self.clients.has_unread_output();
         let ends = self.lifecycle.may_exit(
             self.now,
@@ -75,7 +75,7 @@
     }
 
     /// The address that clients use.
-    pub(super) fn listening_at(&self) -> SocketAddr {
+    pub(super) fn listen_address(&self) -> SocketAddr {
         self.listener.local_addr().unwrap_or(self.config.listen)
     }
 
--- a/crates/coordinator/src/node/management.rs
+++ b/crates/coordinator/src/node/management.rs
@@ -162,7 +162,7 @@
 
     fn listen_for_calls(&mut self, address: &str) -> Result<Rc<TcpListener>, ListenError> {
         let listener = Rc::new(clients::listen(address.parse()?)?);
-        self.register_source(listener.clone(), EventSource::Management)?;
+        self.register_source(listener.clone(), EventSource::ManagementListener)?;
         Ok(listener)
     }
 
@@ -204,7 +204,8 @@
         }
         let id = self.next_connection_id();
         let stream = Rc::new(stream);
-        let Ok(token) = self.register_source(stream.clone(), EventSource::Caller(id)) else {
+        let Ok(token) = self.register_source(stream.clone(), EventSource::ManagementConnection(id))
+        else {
             return;
         };
         let caller = Caller {
--- a/crates/coordinator/src/node/mod.rs
+++ b/crates/coordinator/src/node/mod.rs
@@ -94,10 +94,10 @@
     Client(ConnectionId),
     Engine(ConnectionId),
     DiscoveryClient(ConnectionId),
-    Operators(usize),
-    Operator(ConnectionId),
-    Management,
-    Caller(ConnectionId),
+    ControlListener(usize),
+    ControlConnection(ConnectionId),
+    ManagementListener,
+    ManagementConnection(ConnectionId),
     Cluster,
 }
 
@@ -200,11 +200,11 @@
 fn new_lifecycle(config: &Config, is_successor: bool, is_passed: bool) -> Lifecycle {
     let timeouts = config.classes.patience.iter().copied();
     // An operator's service manager has rules of its own.
-    let is_killed = config.protocol == Protocol::Platform;
+    let is_killed_after_sigterm = config.protocol == Protocol::Platform;
     Lifecycle::new(
         is_successor,
         is_passed,
         timeouts.max().unwrap_or(0),
-        is_killed,
+        is_killed_after_sigterm,
     )
 }
