--- a/crates/coordinator/src/node/engines/attempts.rs
+++ b/crates/coordinator/src/node/engines/attempts.rs
@@ -20,7 +20,7 @@
             return;
         };
         let request_id = request.name.clone();
-        let is_exclusive = self.is_single_shot(request.class);
+        let is_exclusive = self.is_non_idempotent(request.class);
         let wanted = ConnectionRequest {
             engine,
             request_id: Some(&request_id),
@@ -79,7 +79,9 @@
             match conn.stop_attempt(key) {
                 StopOutcome::NotInFlight => {}
                 StopOutcome::Stopped => self.write_to_engine(now, id),
-                StopOutcome::NeedsClose => self.drop_engine(now, id, "an attempt was given up"),
+                StopOutcome::NeedsClose => {
+                    self.close_engine_connection(now, id, "an attempt was given up")
+                }
             }
         }
     }
--- a/crates/coordinator/src/node/mod.rs
+++ b/crates/coordinator/src/node/mod.rs
@@ -39,7 +39,7 @@
 pub use self::cluster::{read_keys, ClusterStartError, KeyFileError};
 pub use self::control::ControlSocketError;
 pub use self::start_error::StartError;
-use crate::clock::{Clock, StepWatch};
+use crate::clock::{Clock, WallClockMonitor};
 use crate::config::{Config, Protocol};
 use crate::discovery::backoff::Backoff;
 use crate::frontends::clickhouse::ClickHouse;
@@ -64,7 +64,7 @@
     clock: Clock,
     /// The time when the clock was last read.
     now: Micros,
-    wall: StepWatch,
+    wall: WallClockMonitor,
     last_connection_id: ConnectionId,
     frontend: Box<dyn Frontend>,
     listener: ClientListener,
@@ -94,10 +94,10 @@
     Client(ConnectionId),
     Engine(ConnectionId),
     DiscoveryClient(ConnectionId),
-    Operators(usize),
-    Operator(ConnectionId),
-    Management,
-    Caller(ConnectionId),
+    ControlListener(usize),
+    ControlConnection(ConnectionId),
+    ManagementListener,
+    ManagementConnection(ConnectionId),
     Cluster,
 }
 
@@ -145,7 +145,7 @@
             handle: events.handle(),
             clock,
             now,
-            wall: StepWatch::start(),
+            wall: WallClockMonitor::start(),
             last_connection_id: 0,
             frontend: new_frontend(&config),
             listener: ClientListener::new(start.listener, start.is_passed),
@@ -200,11 +200,11 @@
 fn new_lifecycle(config: &Config, is_successor: bool, is_passed: bool) -> Lifecycle {
     let timeouts = config.classes.patience.iter().copied();
     // An operator's service manager has rules of its own.
-    let is_killed = config.protocol == Protocol::Platform;
+    let is_killed_after_sigterm = config.protocol == Protocol::Platform;
     Lifecycle::new(
         is_successor,
         is_passed,
         timeouts.max().unwrap_or(0),
-        is_killed,
+        is_killed_after_sigterm,
     )
 }
