--- a/crates/coordinator/src/handover.rs
+++ b/crates/coordinator/src/handover.rs
@@ -110,7 +110,7 @@
 
 /// A message that has changed since the last poll.
 #[derive(Debug, PartialEq)]
-pub struct Received {
+pub struct ReceivedMessage {
     /// Its writer.
     pub from: ProcessNumber,
     /// What it says.
@@ -121,7 +121,7 @@
 #[derive(Debug, Default)]
 pub struct PollResult {
     /// Messages that are new, the earliest process's first.
-    pub received: Vec<Received>,
+    pub received: Vec<ReceivedMessage>,
     /// What went wrong, for the log.
     pub errors: Vec<PollError>,
 }
@@ -254,7 +254,7 @@
             None
         });
         if let Some(message) = message.clone() {
-            result.received.push(Received {
+            result.received.push(ReceivedMessage {
                 from: number,
                 message,
             });
--- a/crates/coordinator/src/node/cluster/consensus.rs
+++ b/crates/coordinator/src/node/cluster/consensus.rs
@@ -23,7 +23,7 @@
     /// Operators that wait for an outcome, by the number of their request to the log.
     pub(super) pending_holds: BTreeMap<u64, PendingHold>,
     /// When to try the lock again.
-    next_attempt: Option<Instant>,
+    next_lock_attempt: Option<Instant>,
     /// The log was released for a successor or at the process's end, or its disk failed: what can't be kept must not be said.
     is_closed: bool,
     /// Failures of the file.
@@ -47,7 +47,7 @@
 impl ConsensusHost {
     /// Whether the log may be opened now.
     fn may_open(&self) -> bool {
-        !self.is_closed && self.next_attempt.is_none_or(|at| Instant::now() >= at)
+        !self.is_closed && self.next_lock_attempt.is_none_or(|at| Instant::now() >= at)
     }
 }
 
@@ -63,7 +63,7 @@
 
 impl ClusterRuntime {
     /// Whether the log is not open, and may be opened now.
-    fn is_log_wanted(&self) -> bool {
+    fn should_open_log(&self) -> bool {
         self.agent.consensus().is_none() && self.consensus.may_open()
     }
 
@@ -128,7 +128,7 @@
             return;
         };
         let cluster = self.cluster.as_ref();
-        if !cluster.is_some_and(|cluster| cluster.is_log_wanted()) {
+        if !cluster.is_some_and(|cluster| cluster.should_open_log()) {
             return;
         }
         let opened = self.open_log_file();
@@ -145,7 +145,7 @@
         match opened {
             Ok(LogFile::None) => {}
             Ok(LogFile::LockedElsewhere) => {
-                cluster.consensus.next_attempt = Some(Instant::now() + LOCK_RETRY_INTERVAL);
+                cluster.consensus.next_lock_attempt = Some(Instant::now() + LOCK_RETRY_INTERVAL);
                 return;
             }
             Ok(LogFile::Open { bytes, writer }) => {
--- a/crates/coordinator/src/node/cluster/holds.rs
+++ b/crates/coordinator/src/node/cluster/holds.rs
@@ -61,7 +61,7 @@
     #[error("{name} is not held")]
     NotHeld { name: String },
     /// Somebody has it, for a known time.
-    #[error("{name} is held already, for {} s more", whole_seconds(*wait))]
+    #[error("{name} is held already, for {} s more", seconds_rounded_up(*wait))]
     HeldForTime { name: String, wait: Micros },
     /// Somebody has it, until it is released.
     #[error("{name} is held already, until it is given back")]
@@ -78,7 +78,7 @@
     /// Leases that an earlier log granted may still be in use.
     #[error(
         "nothing is lent for {} s yet: what an earlier log lent must have ended",
-        whole_seconds(*wait)
+        seconds_rounded_up(*wait)
     )]
     TooEarly { wait: Micros },
     /// Another process of this coordinator has taken part since.
@@ -93,7 +93,7 @@
 }
 
 /// A time in seconds, rounded up.
-fn whole_seconds(time: Micros) -> u64 {
+fn seconds_rounded_up(time: Micros) -> u64 {
     time.div_ceil(1_000_000)
 }
 
@@ -157,16 +157,16 @@
     }
 
     /// Once the log is closed here, nothing that still waits will be decided.
-    fn take_undecidable_holds(&mut self) -> Vec<DecidedHold> {
+    fn take_abandoned_holds(&mut self) -> Vec<DecidedHold> {
         if self.agent.consensus().is_some() {
             return Vec::new();
         }
         let pending = std::mem::take(&mut self.consensus.pending_holds);
-        let undecidable = pending.into_values().map(|pending| DecidedHold {
+        let abandoned = pending.into_values().map(|pending| DecidedHold {
             reply_to: pending.reply_to,
             outcome: Err(HoldError::LogClosed { name: pending.name }),
         });
-        undecidable.collect()
+        abandoned.collect()
     }
 
     /// The consensus log and its holds, for operators; `None` where this process takes no part in it.
@@ -186,7 +186,7 @@
                 })
                 .collect(),
             missing: view.missing,
-            holds: holds.map(held_view).collect(),
+            holds: holds.map(hold_view).collect(),
         })
     }
 }
@@ -235,8 +235,8 @@
             self.reply_to_hold(decided);
         }
         let cluster = self.cluster.as_mut();
-        let undecidable = cluster.map_or(Vec::new(), |cluster| cluster.take_undecidable_holds());
-        for decided in undecidable {
+        let abandoned = cluster.map_or(Vec::new(), |cluster| cluster.take_abandoned_holds());
+        for decided in abandoned {
             self.reply_to_hold(decided);
         }
     }
@@ -265,7 +265,7 @@
     }
 }
 
-fn held_view(granted: GrantedLease) -> Held {
+fn hold_view(granted: GrantedLease) -> Held {
     let lease = granted.lease;
     let name = lease
         .resource
--- a/crates/coordinator/src/node/cluster/key_file.rs
+++ b/crates/coordinator/src/node/cluster/key_file.rs
@@ -6,7 +6,7 @@
 use std::path::{Path, PathBuf};
 
 /// Permissions of the group and of others.
-const FOREIGN_PERMISSIONS: u32 = 0o077;
+const GROUP_AND_OTHER_PERMISSIONS: u32 = 0o077;
 
 /// Why a key file can't be used. The keys themselves are never part of the message.
 #[derive(Debug, thiserror::Error)]
@@ -51,7 +51,7 @@
         .map_err(io_error)?
         .permissions()
         .mode();
-    if mode & FOREIGN_PERMISSIONS != 0 {
+    if mode & GROUP_AND_OTHER_PERMISSIONS != 0 {
         return Err(KeyFileError::ReadableByOthers {
             path: path.into(),
             mode: mode & 0o777,
--- a/crates/coordinator/src/node/cluster/log_file.rs
+++ b/crates/coordinator/src/node/cluster/log_file.rs
@@ -62,7 +62,7 @@
             .open(path)?;
         let mut bytes = Vec::new();
         file.read_to_end(&mut bytes)?;
-        cut_damaged_end(path, &file, &mut bytes)?;
+        truncate_damaged_tail(path, &file, &mut bytes)?;
         Ok(Some(LockedLogFile {
             path: path.into(),
             file,
@@ -81,7 +81,7 @@
 }
 
 /// A file that ends in the middle of a record is cut behind the last complete one.
-fn cut_damaged_end(path: &Path, file: &File, bytes: &mut Vec<u8>) -> io::Result<()> {
+fn truncate_damaged_tail(path: &Path, file: &File, bytes: &mut Vec<u8>) -> io::Result<()> {
     let Ok(loaded) = store::read(bytes) else {
         // Reported when the log is opened.
         return Ok(());
@@ -125,15 +125,15 @@
             return self.waiting.clear();
         };
         while let Some(write) = self.waiting.pop_front() {
-            if let Err(job) = writer.submit(job_of(write)) {
-                self.waiting.push_front(write_of(job));
+            if let Err(job) = writer.submit(to_job(write)) {
+                self.waiting.push_front(from_job(job));
                 return;
             }
         }
     }
 }
 
-fn job_of(write: Write) -> WriteJob {
+fn to_job(write: Write) -> WriteJob {
     WriteJob {
         id: write.number,
         mode: if write.replaces_file {
@@ -145,7 +145,7 @@
     }
 }
 
-fn write_of(job: WriteJob) -> Write {
+fn from_job(job: WriteJob) -> Write {
     Write {
         number: job.id,
         replaces_file: job.mode == WriteMode::Replace,
--- a/crates/coordinator/src/node/control/connection.rs
+++ b/crates/coordinator/src/node/control/connection.rs
@@ -159,7 +159,7 @@
     }
 
     /// Whether the operator has not read for too long.
-    pub(super) fn is_stuck(&self, now: Micros) -> bool {
+    pub(super) fn is_stalled(&self, now: Micros) -> bool {
         self.unsent_since
             .is_some_and(|since| now > since + MAX_UNSENT_TIME)
     }
--- a/crates/coordinator/src/node/control/connections.rs
+++ b/crates/coordinator/src/node/control/connections.rs
@@ -37,10 +37,10 @@
     }
 
     /// Operators that have not read for too long.
-    fn stuck_operators(&self, now: Micros) -> Vec<ConnectionId> {
+    fn stalled_operators(&self, now: Micros) -> Vec<ConnectionId> {
         let connections = self.connections.iter();
-        let stuck = connections.filter(|(_, operator)| operator.is_stuck(now));
-        stuck.map(|(&id, _)| id).collect()
+        let stalled = connections.filter(|(_, operator)| operator.is_stalled(now));
+        stalled.map(|(&id, _)| id).collect()
     }
 
     /// The subscriptions that get a snapshot now. One that has not read the last snapshot yet is left out: a slow connection
@@ -133,7 +133,7 @@
         };
         operator.push(now, line);
         if operator.is_over_limit() {
-            return self.cut_off_operator(id);
+            return self.close_stalled_operator(id);
         }
         self.flush_operator(id);
     }
@@ -144,7 +144,7 @@
         }
     }
 
-    fn cut_off_operator(&mut self, id: ConnectionId) {
+    fn close_stalled_operator(&mut self, id: ConnectionId) {
         if let Some(control) = &mut self.control {
             control.operators_cut_off += 1;
         }
@@ -182,11 +182,11 @@
     }
 
     /// Cuts off operators that have not read for too long.
-    pub(super) fn cut_off_stuck_operators(&mut self, now: Micros) {
+    pub(super) fn close_stalled_operators(&mut self, now: Micros) {
         let control = self.control.as_ref();
-        let stuck = control.map_or(Vec::new(), |control| control.stuck_operators(now));
-        for id in stuck {
-            self.cut_off_operator(id);
+        let stalled = control.map_or(Vec::new(), |control| control.stalled_operators(now));
+        for id in stalled {
+            self.close_stalled_operator(id);
         }
     }
 
--- a/crates/coordinator/src/node/control/mod.rs
+++ b/crates/coordinator/src/node/control/mod.rs
@@ -50,7 +50,7 @@
 /// What is retained for operators; only where the configuration names a control socket, a control port or a state folder.
 pub(super) struct Control {
     /// Removes the control socket's path when it is dropped.
-    _socket: Option<ControlSocketPath>,
+    _socket_path: Option<ControlSocketPath>,
     listeners: Vec<OperatorListener>,
     /// The key that operators on the control port must have.
     port_key: Vec<u8>,
@@ -71,7 +71,7 @@
 impl Control {
     fn new(classes: usize, now: Micros) -> Control {
         Control {
-            _socket: None,
+            _socket_path: None,
             listeners: Vec::new(),
             port_key: Vec::new(),
             connections: BTreeMap::new(),
@@ -123,7 +123,7 @@
         for listener in 0..listeners {
             self.accept_operators(listener);
         }
-        self.cut_off_stuck_operators(now);
+        self.close_stalled_operators(now);
         self.send_due_snapshots(now);
     }
 }
--- a/crates/coordinator/src/node/control/open.rs
+++ b/crates/coordinator/src/node/control/open.rs
@@ -42,7 +42,7 @@
     fn listen_on_control_socket(&mut self, path: &Path) -> Result<(), StartError> {
         let (listener, path) = open_control_socket(path, self.lifecycle.replaces_earlier())?;
         if let Some(control) = &mut self.control {
-            control._socket = Some(path);
+            control._socket_path = Some(path);
         }
         let listener = Rc::new(listener);
         self.add_operator_listener(listener.clone(), OperatorListener::Unix(listener))
--- a/crates/coordinator/src/node/control/refusal.rs
+++ b/crates/coordinator/src/node/control/refusal.rs
@@ -9,7 +9,7 @@
 pub(in crate::node) enum RequestRefusal {
     /// The line is no request.
     #[error(transparent)]
-    Unreadable(#[from] driftfront_control::RequestError),
+    Malformed(#[from] driftfront_control::RequestError),
     /// The engine registry refuses an order about an engine.
     #[error(transparent)]
     Order(#[from] Refusal),
--- a/crates/coordinator/src/node/control/requests.rs
+++ b/crates/coordinator/src/node/control/requests.rs
@@ -31,13 +31,13 @@
 
 impl Control {
     /// Whether the operator must answer a challenge before anything else.
-    fn is_challenged(&self, connection: ConnectionId) -> bool {
+    fn awaits_authentication(&self, connection: ConnectionId) -> bool {
         let operator = self.connections.get(&connection);
         operator.is_some_and(|operator| operator.challenge.is_some())
     }
 
     /// Whether the first request on the control port answers its challenge, which is asked only once.
-    fn passes_challenge(&mut self, connection: ConnectionId, request: &Request) -> bool {
+    fn verify_challenge_response(&mut self, connection: ConnectionId, request: &Request) -> bool {
         let Some(operator) = self.connections.get_mut(&connection) else {
             return false;
         };
@@ -79,9 +79,10 @@
             request,
         };
         let control = self.control.as_ref();
-        let is_challenged = control.is_some_and(|control| control.is_challenged(connection));
+        let awaits_authentication =
+            control.is_some_and(|control| control.awaits_authentication(connection));
         let outcome = match parsed {
-            Ok(request) if is_challenged => return self.check_key(to, &request),
+            Ok(request) if awaits_authentication => return self.authenticate(to, &request),
             Ok(request) => self.execute_request(now, to, request),
             Err(error) => Err(error.into()),
         };
@@ -91,11 +92,11 @@
     }
 
     /// The first request on the control port must answer the challenge; any other closes the connection.
-    fn check_key(&mut self, to: ReplyTo, request: &Request) {
+    fn authenticate(&mut self, to: ReplyTo, request: &Request) {
         let Some(control) = &mut self.control else {
             return;
         };
-        if !control.passes_challenge(to.connection, request) {
+        if !control.verify_challenge_response(to.connection, request) {
             tracing::warn!("operator rejected: wrong key");
             return self.drop_operator(to.connection);
         }
@@ -162,7 +163,7 @@
         if let Some(control) = &mut self.control {
             control.subscribe_to_snapshots(now, to, interval);
         }
-        self.cut_off_stuck_operators(now);
+        self.close_stalled_operators(now);
         self.send_due_snapshots(now);
         Answer::Deferred
     }
--- a/crates/coordinator/src/node/control/rolling_restart.rs
+++ b/crates/coordinator/src/node/control/rolling_restart.rs
@@ -178,10 +178,10 @@
                 RollingRestartAction::Persist => self.persist_rolling_restart(now),
                 RollingRestartAction::Drain(engine) => {
                     let force = false;
-                    self.order_for_rolling_restart(now, Order::Drain { engine, force });
+                    self.execute_rolling_restart_order(now, Order::Drain { engine, force });
                 }
                 RollingRestartAction::Resume(engine) => {
-                    self.order_for_rolling_restart(now, Order::Resume { engine });
+                    self.execute_rolling_restart_order(now, Order::Resume { engine });
                 }
             }
         }
@@ -195,7 +195,7 @@
         }
     }
 
-    fn order_for_rolling_restart(&mut self, now: Micros, order: Order) {
+    fn execute_rolling_restart_order(&mut self, now: Micros, order: Order) {
         match self.registry.execute_command(now, "the roll", order) {
             Ok((change, records)) => {
                 self.apply_registry_change(now, &change);
--- a/crates/coordinator/src/node/control/snapshot.rs
+++ b/crates/coordinator/src/node/control/snapshot.rs
@@ -183,7 +183,7 @@
             heard_ms: (silent_since > 0).then(|| now.saturating_sub(silent_since) / 1000),
             connections: connections.count,
             warm_in_s: self.warm_in_seconds(now, engine.started_at),
-            minute: sum_of(service, now),
+            minute: service_totals(service, now),
             name: engine.name,
         }
     }
@@ -234,8 +234,8 @@
                 wanted_ms: settings.map_or(0, |settings| settings.latency_objective / 1000),
                 once: self.is_single_shot(class),
                 open: open_by_class[index],
-                minute: sum_of(service.map(|service: &ClassService| &service.minute), now),
-                hour: sum_of(service.map(|service| &service.hour), now),
+                minute: service_totals(service.map(|service: &ClassService| &service.minute), now),
+                hour: service_totals(service.map(|service| &service.hour), now),
             }
         });
         classes.collect()
@@ -262,6 +262,6 @@
     }
 }
 
-fn sum_of(service: Option<&ServiceWindow>, now: Micros) -> Service {
+fn service_totals(service: Option<&ServiceWindow>, now: Micros) -> Service {
     service.map(|service| service.sum(now)).unwrap_or_default()
 }
--- a/crates/coordinator/src/node/engine_list.rs
+++ b/crates/coordinator/src/node/engine_list.rs
@@ -86,7 +86,7 @@
     }
 
     /// Handles a readiness event of the connection.
-    pub(super) fn on_discovery_ready(&mut self, now: Micros, id: ConnectionId) {
+    pub(super) fn handle_discovery_ready(&mut self, now: Micros, id: ConnectionId) {
         loop {
             match self.read_discovery(now, id) {
                 Ok(true) => {}
--- a/crates/coordinator/src/node/engines/connect.rs
+++ b/crates/coordinator/src/node/engines/connect.rs
@@ -35,7 +35,7 @@
         let session = new_session(&self.config, address);
         if !self
             .engines
-            .may_connect(engine, session.max_attempts(), self.sockets())
+            .may_connect(engine, session.max_attempts(), self.descriptor_limit())
         {
             // Rather than wait without bound for capacity, the attempt goes elsewhere; the engine is well.
             return best.map(|best| best.id).ok_or(Cause::Rejected);
--- a/crates/coordinator/src/node/event_loop.rs
+++ b/crates/coordinator/src/node/event_loop.rs
@@ -60,7 +60,7 @@
             EventSource::Listener => self.accept_clients(now),
             EventSource::Client(id) => self.on_client_ready(now, id),
             EventSource::Engine(id) => self.on_engine_ready(now, id),
-            EventSource::DiscoveryClient(id) => self.on_discovery_ready(now, id),
+            EventSource::DiscoveryClient(id) => self.handle_discovery_ready(now, id),
             EventSource::Operators(listener) => self.accept_operators(listener),
             EventSource::Operator(id) => self.handle_operator_ready(id),
             EventSource::Management => self.accept_callers(now),
--- a/crates/coordinator/src/node/lifecycle.rs
+++ b/crates/coordinator/src/node/lifecycle.rs
@@ -50,7 +50,7 @@
     /// Carries out what the lifecycle's state asks for now: readiness, the shutdown's deadline, the listener's end.
     pub(super) fn update_lifecycle(&mut self, now: Micros) {
         if !self.lifecycle.has_been_ready()
-            && self.knows_engines(now)
+            && self.has_current_engine_list(now)
             && self.lifecycle.record_ready()
         {
             tracing::info!(succeeds = self.lifecycle.replaces_earlier(), "ready");
--- a/crates/coordinator/src/node/management.rs
+++ b/crates/coordinator/src/node/management.rs
@@ -44,7 +44,7 @@
 
 /// A connection at the management address.
 struct Caller {
-    link: BufferedStream,
+    stream: BufferedStream,
     token: Option<RegistrationToken>,
     reader: CallReader,
     /// When it connected, or was answered.
@@ -54,7 +54,7 @@
 
 impl Caller {
     /// Whether it has had its time to call, or to close after the reply.
-    fn is_expired(&self, now: Micros) -> bool {
+    fn is_timed_out(&self, now: Micros) -> bool {
         let timeout = if self.is_answered {
             LINGER_TIME
         } else {
@@ -65,10 +65,10 @@
 
     /// Sends the reply, then ends our side: nothing more is read as a call.
     fn send_reply(&mut self, now: Micros, outcome: &Result<String, CallRefusal>) {
-        self.link.push(reply(outcome).as_bytes());
+        self.stream.push(reply(outcome).as_bytes());
         // A line fits into any socket's buffer: what is not sent at once has no reader.
-        let _ = self.link.flush();
-        let _ = self.link.socket().shutdown(Shutdown::Write);
+        let _ = self.stream.flush();
+        let _ = self.stream.socket().shutdown(Shutdown::Write);
         self.is_answered = true;
         self.since = now;
     }
@@ -83,9 +83,9 @@
     /// By call, in the order of [`CALL_NAMES`].
     calls: [CallCounts; CALL_NAMES.len()],
     /// Lines that were no call.
-    bad_calls: u64,
+    malformed_calls: u64,
     /// Connections that brought no line in time, or were pushed out by newer ones.
-    silent_callers: u64,
+    unanswered_callers: u64,
 }
 
 impl Management {
@@ -98,7 +98,7 @@
         }
         text + &format!(
             "management_bad {}\nmanagement_silent {}\n",
-            self.bad_calls, self.silent_callers
+            self.malformed_calls, self.unanswered_callers
         )
     }
 
@@ -120,7 +120,7 @@
     /// Removes a caller; one that was not answered counts as silent.
     fn remove_caller(&mut self, id: ConnectionId) -> Option<Caller> {
         let caller = self.callers.remove(&id)?;
-        self.silent_callers += u64::from(!caller.is_answered);
+        self.unanswered_callers += u64::from(!caller.is_answered);
         Some(caller)
     }
 
@@ -132,7 +132,7 @@
     }
 
     /// The caller that is closed where there are too many: answered ones first, then the one that has waited longest.
-    fn caller_to_replace(&self) -> Option<ConnectionId> {
+    fn caller_to_evict(&self) -> Option<ConnectionId> {
         let oldest = self
             .callers
             .iter()
@@ -142,9 +142,9 @@
             .map(|(&id, _)| id)
     }
 
-    fn caller_ids(&self, is_wanted: impl Fn(&Caller) -> bool) -> Vec<ConnectionId> {
-        let wanted = self.callers.iter().filter(|(_, caller)| is_wanted(caller));
-        wanted.map(|(&id, _)| id).collect()
+    fn caller_ids(&self, predicate: impl Fn(&Caller) -> bool) -> Vec<ConnectionId> {
+        let matching = self.callers.iter().filter(|(_, caller)| predicate(caller));
+        matching.map(|(&id, _)| id).collect()
     }
 }
 
@@ -199,7 +199,7 @@
         if is_set.is_err() {
             return;
         }
-        if let Some(id) = self.management.caller_to_replace() {
+        if let Some(id) = self.management.caller_to_evict() {
             self.drop_caller(id);
         }
         let id = self.next_connection_id();
@@ -208,7 +208,7 @@
             return;
         };
         let caller = Caller {
-            link: BufferedStream::new(stream),
+            stream: BufferedStream::new(stream),
             token: Some(token),
             reader: CallReader::default(),
             since: now,
@@ -231,7 +231,7 @@
             return;
         };
         let mut bytes = Vec::new();
-        let Ok(end) = caller.link.read(&mut bytes, MAX_READ_BYTES) else {
+        let Ok(end) = caller.stream.read(&mut bytes, MAX_READ_BYTES) else {
             return self.drop_caller(id);
         };
         let is_closed = matches!(end, ReadOutcome::Closed);
@@ -258,7 +258,7 @@
         now: Micros,
         call: Result<Call, CallError>,
     ) -> Result<String, CallRefusal> {
-        let call = call.inspect_err(|_| self.management.bad_calls += 1)?;
+        let call = call.inspect_err(|_| self.management.malformed_calls += 1)?;
         let index = call.index();
         let outcome = match call {
             Call::Status => self.status(),
@@ -314,7 +314,10 @@
     /// Periodic work: accepts the callers that wait, and closes those whose time is up.
     pub(super) fn check_callers(&mut self, now: Micros) {
         self.accept_callers(now);
-        for id in self.management.caller_ids(|caller| caller.is_expired(now)) {
+        for id in self
+            .management
+            .caller_ids(|caller| caller.is_timed_out(now))
+        {
             let caller = self.management.callers.get_mut(&id);
             if let Some(error) = caller.and_then(|caller| caller.reader.end(CallError::TooSlow)) {
                 self.answer_call(now, id, Err(error));
--- a/crates/coordinator/src/node/management/error.rs
+++ b/crates/coordinator/src/node/management/error.rs
@@ -10,7 +10,7 @@
 pub(super) enum CallRefusal {
     /// The line is no call.
     #[error(transparent)]
-    Unreadable(#[from] CallError),
+    Malformed(#[from] CallError),
     /// The engine registry refuses an order about an engine.
     #[error(transparent)]
     Order(#[from] Refusal),
--- a/crates/coordinator/src/node/upgrade.rs
+++ b/crates/coordinator/src/node/upgrade.rs
@@ -4,7 +4,7 @@
 
 use super::{clients, Node, StartError};
 use crate::config::Config;
-use crate::handover::{HandoverMailbox, Received};
+use crate::handover::{HandoverMailbox, ReceivedMessage};
 use driftfront_core::Micros;
 use driftfront_engine_registry::handover::HandoverState;
 use std::net::TcpListener;
@@ -38,7 +38,7 @@
 /// What a poll says of the other processes.
 struct PeerUpdate {
     /// Messages that are new, the earliest process's first.
-    received: Vec<Received>,
+    received: Vec<ReceivedMessage>,
     /// Another process runs.
     has_peers: bool,
     /// A later process serves.
@@ -113,7 +113,7 @@
     if let Some(passed) = passed.filter(|passed| !passed.is_empty()) {
         match driftfront_socket_activation::adopt(&passed) {
             Ok(listener) => {
-                warn_of_other_address(config, &listener);
+                warn_if_address_differs(config, &listener);
                 return Ok(StartSockets {
                     listener,
                     is_passed: true,
@@ -135,7 +135,7 @@
     })
 }
 
-fn warn_of_other_address(config: &Config, listener: &TcpListener) {
+fn warn_if_address_differs(config: &Config, listener: &TcpListener) {
     let configured = config.listen;
     let passed = listener.local_addr().unwrap_or(configured);
     if passed != configured {
@@ -177,7 +177,7 @@
     }
 
     /// Merges the orders of another process's message, and records them where there is a state folder.
-    fn merge_orders(&mut self, now: Micros, received: &Received) {
+    fn merge_orders(&mut self, now: Micros, received: &ReceivedMessage) {
         let (change, records) = self.registry.merge_handover(&received.message);
         if records.is_empty() {
             return;
@@ -198,7 +198,7 @@
 
     /// Whether the list of engines is known well enough to serve by it. A successor waits for its source: the list that the
     /// platform gave it at its start may be long out of date.
-    pub(super) fn knows_engines(&self, now: Micros) -> bool {
+    pub(super) fn has_current_engine_list(&self, now: Micros) -> bool {
         if !self.core.has_engines() {
             return false;
         }
@@ -210,7 +210,7 @@
     }
 
     /// Descriptors that this process may hold: half of the configured ones while another process runs beside it.
-    pub(super) fn sockets(&self) -> usize {
+    pub(super) fn descriptor_limit(&self) -> usize {
         let divisor = if self.handover.has_peers() { 2 } else { 1 };
         self.config.max_descriptors / divisor
     }
--- a/crates/coordinator/src/state_folder.rs
+++ b/crates/coordinator/src/state_folder.rs
@@ -23,7 +23,7 @@
         /// The folder.
         folder: PathBuf,
         /// What was tried.
-        step: Step,
+        step: OpenStep,
         /// What the system says.
         source: io::Error,
     },
@@ -39,7 +39,7 @@
 
 /// A step of opening a state folder that the system may refuse. `Display` completes the error's text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Step {
+pub enum OpenStep {
     /// The folder is created.
     #[error("can't be made")]
     CreateFolder,
@@ -51,7 +51,7 @@
     ReadFile,
     /// A damaged end of the file is cut.
     #[error("can't be cut")]
-    CutFile,
+    TruncateFile,
     /// The file's header is written.
     #[error("can't be written")]
     WriteFile,
@@ -89,7 +89,7 @@
         on_written: impl Fn(WriteCompleted) + Send + 'static,
     ) -> Result<OpenedState, StateFolderError> {
         let path = folder.join(FILE_NAME);
-        let io_error = |step: Step| {
+        let io_error = |step: OpenStep| {
             let folder = folder.to_path_buf();
             move |source| StateFolderError::Io {
                 folder,
@@ -97,11 +97,11 @@
                 source,
             }
         };
-        std::fs::create_dir_all(folder).map_err(io_error(Step::CreateFolder))?;
-        let mut file = open_for_appending(&path).map_err(io_error(Step::OpenFile))?;
+        std::fs::create_dir_all(folder).map_err(io_error(OpenStep::CreateFolder))?;
+        let mut file = open_for_appending(&path).map_err(io_error(OpenStep::OpenFile))?;
         let mut bytes = Vec::new();
         file.read_to_end(&mut bytes)
-            .map_err(io_error(Step::ReadFile))?;
+            .map_err(io_error(OpenStep::ReadFile))?;
         let read = record::read(&bytes).map_err(|source| StateFolderError::StateFile {
             path: path.clone(),
             source,
@@ -113,12 +113,12 @@
         });
         let warnings = warnings.collect();
         file.set_len(read.valid_bytes as u64)
-            .map_err(io_error(Step::CutFile))?;
-        let file_bytes =
-            begin_appending(&mut file, read.valid_bytes).map_err(io_error(Step::WriteFile))?;
-        let on_completed = without_compactions(path.clone(), on_written);
+            .map_err(io_error(OpenStep::TruncateFile))?;
+        let file_bytes = prepare_for_appending(&mut file, read.valid_bytes)
+            .map_err(io_error(OpenStep::WriteFile))?;
+        let on_completed = skip_compactions(path.clone(), on_written);
         let writer = FileWriter::start(path, file, None, on_completed)
-            .map_err(io_error(Step::StartWriter))?;
+            .map_err(io_error(OpenStep::StartWriter))?;
         let folder = StateFolder {
             writer,
             last_job: COMPACTION_JOB,
@@ -176,7 +176,7 @@
 }
 
 /// Prepares the file for appends behind its valid bytes; an empty one gets its header. Returns its size.
-fn begin_appending(file: &mut File, valid_bytes: usize) -> io::Result<usize> {
+fn prepare_for_appending(file: &mut File, valid_bytes: usize) -> io::Result<usize> {
     file.seek(SeekFrom::End(0))?;
     if valid_bytes > 0 {
         return Ok(valid_bytes);
@@ -187,7 +187,7 @@
 }
 
 /// Passes on the ends of appends. Nobody waits for a compaction: its failure is logged.
-fn without_compactions(
+fn skip_compactions(
     path: PathBuf,
     on_written: impl Fn(WriteCompleted) + Send + 'static,
 ) -> impl Fn(WriteCompleted) + Send + 'static {
--- a/crates/coordinator/tests/golden_operators/files.rs
+++ b/crates/coordinator/tests/golden_operators/files.rs
@@ -1,7 +1,7 @@
 //! The state folder and the hand-over files: names, bytes, and that today's bytes are read.
 
 use crate::{type_in, Folder};
-use driftfront::handover::{HandoverMailbox, ProcessNumber, Received};
+use driftfront::handover::{HandoverMailbox, ProcessNumber, ReceivedMessage};
 use driftfront::state_folder::StateFolder;
 use driftfront_engine_registry::handover::HandoverState;
 use driftfront_engine_registry::record::StateRecord;
@@ -368,7 +368,7 @@
     )
     .expect("a word");
     std::fs::write(inside.join("000000000007-1.lock"), "").expect("a lock");
-    let seven = Received {
+    let seven = ReceivedMessage {
         from: ProcessNumber {
             sequence: 7,
             pid: 1,
