--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -120,5 +120,5 @@
 fn panic_message(panic: &(dyn Any + Send)) -> String {
     let owned = panic.downcast_ref::<String>().cloned();
     let message = owned.or_else(|| panic.downcast_ref::<&str>().map(ToString::to_string));
-    message.unwrap_or_else(|| "panic in the controller".into())
+    message.unwrap_or_else(|| "panic in the decision code".into())
 }
