--- a/crates/core/src/attempt.rs
+++ b/crates/core/src/attempt.rs
@@ -1,51 +1,52 @@
-//! Attempts: how far each has come, how it ended, and what that proves.
+//! Attempts: their progress, their end, and the outcome derived from both.
 
 use driftfront_scheduler::{EngineId, Micros, Outcome};
 use std::fmt;
 
-/// How far an attempt has come.
+/// Progress of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Progress {
     /// No connection yet.
     NotConnected,
-    /// Connected; none of it written.
+    /// Connected, but nothing written.
     Connected,
-    /// Some of it written, not all: an engine cannot have run it.
+    /// Partially written: the engine cannot have run the query.
     PartiallyWritten,
-    /// All of it written: it may run.
+    /// Fully written: the query may run.
     FullyWritten,
-    /// Part of the response has come.
+    /// Part of the response has been received.
     ResponseStarted,
 }
 
-/// Why an attempt ended without serving.
+/// Why an attempt ended without a complete response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Cause {
-    /// The connection failed, or its peer closed it.
+    /// The connection failed or was closed by the engine.
     Connection(String),
-    /// We closed the connection: it was silent, or its peer broke the protocol.
+    /// The coordinator closed the connection, because it was silent or the engine violated the protocol.
     Closed(String),
-    /// Its time ran out.
+    /// The timeout expired.
     TimedOut,
-    /// The engine had no capacity for it.
+    /// The engine had no capacity for the query.
     Rejected,
-    /// The engine answered with an error.
+    /// The engine returned an error.
     Engine(String),
-    /// What came as its response can't be used: it has run, and no other response will come.
+    /// The response is malformed: the query has run, and no other response will follow.
     MalformedResponse(String),
-    /// The engine left, or the time ran out, before a byte was written.
+    /// Before the first byte was written, the engine stopped accepting queries, the timeout expired or the request ended.
     NotSent,
-    /// The statement itself is at fault: no other engine would do better.
+    /// The statement is invalid: it would fail on any other engine too.
     Statement(String),
-    /// Its client left or wants it no more: nothing is wrong with the engine, where it may still run.
+    /// The client disconnected or no longer needs the result. The engine is not at fault, and the query may still run there.
     Released,
-    /// The scheduler waits for it no longer, and its engine was told to end it.
+    /// The scheduler cancelled the attempt, and the engine was notified.
     CancelledByScheduler,
 }
 
 impl Cause {
-    /// Whether the engine learns of this end from us; of any other it knows before we do.
-    pub(crate) fn is_ours(&self) -> bool {
+    /// Whether the coordinator ended the attempt, so that the engine has to be notified. All other ends are initiated by the
+    /// engine or its connection.
+    pub(crate) fn is_initiated_locally(&self) -> bool {
         matches!(
             self,
             Cause::Closed(_) | Cause::TimedOut | Cause::Released | Cause::CancelledByScheduler
@@ -53,49 +54,49 @@
     }
 }
 
-/// The end of an attempt that did not serve: how far it had come, and why.
+/// The failure of an attempt: its progress and the cause.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AttemptError {
-    /// How far it had come.
+    /// Progress at the time of the failure.
     pub progress: Progress,
-    /// Why it ended.
+    /// Why the attempt ended.
     pub cause: Cause,
 }
 
 impl AttemptError {
-    /// What this proves, in the scheduler's terms.
+    /// The outcome that the scheduler is notified of.
     ///
-    /// | cause | not written | part written | written whole, or more |
+    /// | cause | not written | partially written | fully written or later |
     /// | --- | --- | --- | --- |
     /// | connection failed or closed | unreachable | unreachable | reset |
     /// | timed out | unreachable | timed out | timed out |
     /// | cancelled by the scheduler | superseded | cancelled | cancelled |
     /// | released | superseded | superseded | cancelled |
-    /// | withheld | superseded | superseded | superseded |
+    /// | not sent | superseded | superseded | superseded |
     /// | rejected | rejected | rejected | rejected |
     /// | engine error, malformed response | error | error | error |
-    /// | statement at fault | cancelled | cancelled | cancelled |
+    /// | invalid statement | cancelled | cancelled | cancelled |
     pub fn outcome(&self) -> Outcome {
         match self.cause {
             Cause::Rejected => Outcome::Rejected,
             Cause::NotSent => Outcome::Superseded,
             Cause::Engine(_) | Cause::MalformedResponse(_) => Outcome::Error,
-            // Not written whole, it never was a query there.
+            // The engine never received a complete query.
             Cause::Released if self.progress < Progress::FullyWritten => Outcome::Superseded,
-            // A part already on its way becomes whole before the notice that ends it.
+            // The rest of a partially written query may reach the engine before the cancellation does.
             Cause::CancelledByScheduler if self.progress < Progress::PartiallyWritten => {
                 Outcome::Superseded
             }
             Cause::Statement(_) | Cause::Released | Cause::CancelledByScheduler => {
                 Outcome::Cancelled
             }
-            // Not written whole, it cannot have run: the connection's end gives up the written part.
+            // A partially written query cannot run: the engine discards it when the connection ends.
             Cause::Connection(_) | Cause::Closed(_) if self.progress < Progress::FullyWritten => {
                 Outcome::Unreachable
             }
             Cause::Connection(_) | Cause::Closed(_) => Outcome::Reset,
             Cause::TimedOut if self.progress < Progress::PartiallyWritten => Outcome::Unreachable,
-            // A part already on its way may still become whole behind our back.
+            // The rest of a partially written query may still reach the engine after the timeout.
             Cause::TimedOut => Outcome::TimedOut,
         }
     }
@@ -106,46 +107,46 @@
         let progress = match self.progress {
             Progress::NotConnected => "not connected",
             Progress::Connected => "connected",
-            Progress::PartiallyWritten => "part written",
-            Progress::FullyWritten => "written whole",
-            Progress::ResponseStarted => "answer begun",
+            Progress::PartiallyWritten => "partially written",
+            Progress::FullyWritten => "fully written",
+            Progress::ResponseStarted => "response started",
         };
         match &self.cause {
             Cause::Connection(why) => write!(f, "{progress}: connection failed: {why}"),
             Cause::Closed(why) => write!(f, "{progress}: connection closed: {why}"),
             Cause::TimedOut => write!(f, "{progress}: timed out"),
-            Cause::Rejected => write!(f, "{progress}: turned away"),
+            Cause::Rejected => write!(f, "{progress}: rejected"),
             Cause::Engine(why) => write!(f, "{progress}: engine error: {why}"),
-            Cause::MalformedResponse(why) => write!(f, "{progress}: spoilt answer: {why}"),
-            Cause::NotSent => write!(f, "{progress}: withheld"),
-            Cause::Statement(why) => write!(f, "{progress}: statement at fault: {why}"),
+            Cause::MalformedResponse(why) => write!(f, "{progress}: malformed response: {why}"),
+            Cause::NotSent => write!(f, "{progress}: not sent"),
+            Cause::Statement(why) => write!(f, "{progress}: invalid statement: {why}"),
             Cause::Released => write!(f, "{progress}: released"),
-            Cause::CancelledByScheduler => write!(f, "{progress}: called off"),
+            Cause::CancelledByScheduler => write!(f, "{progress}: cancelled by the scheduler"),
         }
     }
 }
 
 impl std::error::Error for AttemptError {}
 
-/// What an engine says with a response, of itself and of the query.
+/// Statistics that an engine sends with a response, about itself and the query.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct AttemptReport {
-    /// Its load report, values in the order of the settings; empty where none came.
+    /// The engine's load report, with values in the order of the settings; empty if it sent none.
     pub report: Vec<f64>,
-    /// The work that the query took, µs over all threads.
+    /// The query's work in µs, summed over all threads.
     pub work: Option<f64>,
-    /// The memory that it needed, MB.
+    /// The query's memory usage in MB.
     pub memory_mb: Option<f64>,
 }
 
-/// What a retry follows, for the log.
+/// The failure that caused a retry, for the log.
 #[derive(Debug)]
 pub struct RetryContext<'a> {
     /// The client's name for the request.
     pub name: &'a str,
-    /// The engine of the attempt before it.
+    /// The engine of the previous attempt.
     pub failed_on: EngineId,
-    /// Why that one ended.
+    /// Why the previous attempt failed.
     pub error: &'a AttemptError,
 }
 
@@ -153,27 +154,26 @@
 pub(crate) struct Attempt {
     pub engine: EngineId,
     pub sent_at: Micros,
-    /// When it times out.
     pub timeout_at: Micros,
-    /// When its first byte was written; before that, when it was sent.
+    /// When the first byte was written; before that, when the attempt was sent.
     pub written_at: Micros,
-    /// When its engine last said something of it.
+    /// When the engine last reported on the attempt.
     pub reported_at: Micros,
     pub progress: Progress,
-    /// How it ended; `None` while it is in flight.
+    /// The final outcome; `None` while the attempt is in flight.
     pub outcome: Option<Outcome>,
-    /// It was released: its outcome doesn't tell whether it still runs.
+    /// Whether the attempt was released, so that the query may still run whatever the outcome says.
     pub is_released: bool,
-    /// It was abandoned for this cause, and its engine may not know that yet.
+    /// Set if the attempt was abandoned for this cause and the engine may not have been notified yet.
     pub abandoned_for: Option<Cause>,
-    /// Memory granted, MB; 0 leaves it to the engine.
+    /// Memory grant in MB; 0 leaves the limit to the engine.
     pub grant_mb: f64,
-    /// What came with its response.
+    /// Statistics received with the response.
     pub report: AttemptReport,
 }
 
 impl Attempt {
-    /// An attempt that is sent now.
+    /// Creates an attempt that is sent now.
     pub(crate) fn new(engine: EngineId, now: Micros, timeout_at: Micros, grant_mb: f64) -> Attempt {
         Attempt {
             engine,
@@ -190,14 +190,14 @@
         }
     }
 
-    /// Whether it has not ended.
+    /// Whether the attempt has not ended.
     pub(crate) fn is_in_flight(&self) -> bool {
         self.outcome.is_none()
     }
 
-    /// Whether it has ended, but may still run.
+    /// Whether the attempt has ended but the query may still run on the engine.
     pub(crate) fn may_still_run(&self) -> bool {
-        let was_let_go = self.is_released && self.outcome == Some(Outcome::Cancelled);
-        was_let_go || matches!(self.outcome, Some(Outcome::TimedOut | Outcome::Reset))
+        let was_released = self.is_released && self.outcome == Some(Outcome::Cancelled);
+        was_released || matches!(self.outcome, Some(Outcome::TimedOut | Outcome::Reset))
     }
 }
--- a/crates/core/src/attempt_end.rs
+++ b/crates/core/src/attempt_end.rs
@@ -1,4 +1,4 @@
-//! Ends of attempts: what each means for the request, and for the scheduler.
+//! The end of an attempt and its consequences for the request and the scheduler.
 
 use crate::admission::LIMIT_RETRY_AFTER;
 use crate::attempt::{AttemptError, AttemptReport, Cause, Progress};
@@ -7,13 +7,13 @@
 use crate::{Command, Core};
 use driftfront_scheduler::{AttemptEnded, Event, Micros, Outcome};
 
-/// The way of a notice to an engine, at most, with room for what holds it up. An attempt that we abandon ourselves is in flight
-/// until the notice is there: a further attempt that overtook it would be a second copy.
+/// Upper bound for the delivery of a cancellation to an engine, including delays on the way. An attempt that the coordinator ends
+/// stays in flight for this long: a retry that reached an engine before the cancellation would run the query twice at once.
 const NOTICE_DELAY: Micros = 40_000;
 
 impl Core {
-    /// Records that an attempt ended without serving. Where its engine has to learn of that first, it ends a little later; `None`
-    /// then, as for one that is not in flight.
+    /// Records that an attempt failed. If the engine has to be notified first, the attempt ends after [`NOTICE_DELAY`] and `None`
+    /// is returned, as it is for an attempt that is not in flight.
     pub fn attempt_failed(
         &mut self,
         now: Micros,
@@ -29,7 +29,10 @@
         if attempt.abandoned_for.is_some() {
             return None;
         }
-        if has_time && cause.is_ours() && attempt.progress >= Progress::PartiallyWritten {
+        if has_time
+            && cause.is_initiated_locally()
+            && attempt.progress >= Progress::PartiallyWritten
+        {
             attempt.abandoned_for = Some(cause);
             self.set_timer(now + NOTICE_DELAY, Timer::Abandoned(key));
             return None;
@@ -37,7 +40,7 @@
         self.conclude_attempt(now, key, cause)
     }
 
-    /// Ends an abandoned attempt: its engine knows of that by now.
+    /// Ends an abandoned attempt whose engine has been notified by now.
     pub(crate) fn finish_abandoned_attempt(&mut self, now: Micros, key: AttemptKey) {
         let attempt = self.in_flight(key);
         if let Some(cause) = attempt.and_then(|a| a.abandoned_for.take()) {
@@ -45,7 +48,7 @@
         }
     }
 
-    /// Ends an attempt whose time has run out.
+    /// Ends an attempt whose timeout has expired.
     pub(crate) fn time_out_attempt(&mut self, now: Micros, key: AttemptKey) {
         let Some(attempt) = self.in_flight(key) else {
             return;
@@ -73,21 +76,21 @@
             request.error_text = Some(text.as_str().into());
         }
         request.last_failure = Some((engine, error.clone()));
-        let is_last = request.is_body_forwarded || request.is_cancelled;
+        let cannot_retry = request.is_body_forwarded || request.is_cancelled;
         let is_forwarding = request.is_forwarding(key.number);
-        if is_last {
+        if cannot_retry {
             self.end_without_retry(key.request, error.outcome());
         }
         if is_forwarding || matches!(error.cause, Cause::Statement(_)) {
-            // Once the client has a chunk nothing is begun again: another run could give other rows.
+            // No retry once the client has received a chunk: another run could return different rows.
             self.fail(key.request);
         }
         self.record_end(now, key, error.outcome());
         Some(error)
     }
 
-    /// Answers a request that no further attempt can be made for: the body that it would need is not retained, or its client has
-    /// cancelled it. A rejection where it never ran, else a failure.
+    /// Answers a request that cannot be retried, because its body was not retained or its client cancelled it: with a rejection if
+    /// it never ran and was not cancelled, else with a failure.
     fn end_without_retry(&mut self, id: RequestId, outcome: Outcome) {
         let is_cancelled = self.requests.get(&id).is_some_and(|r| r.is_cancelled);
         if outcome.never_ran() && !is_cancelled {
@@ -97,7 +100,7 @@
         }
     }
 
-    /// Records an attempt's end and notifies the scheduler.
+    /// Records the end of an attempt and notifies the scheduler.
     pub(crate) fn record_end(&mut self, now: Micros, key: AttemptKey, outcome: Outcome) {
         if matches!(outcome, Outcome::Ok | Outcome::Error) {
             self.record_contact(now, key);
@@ -117,9 +120,9 @@
             self.record_unknown_outcome(now, key, engine);
         }
         let request = self.requests.get(&key.request);
-        let token = request.and_then(|r| r.parsed.idempotency_key.as_ref());
-        if let Some(token) = token.filter(|_| outcome.never_ran()) {
-            self.idempotency_keys.forget_write(token, key);
+        let idempotency_key = request.and_then(|r| r.parsed.idempotency_key.as_ref());
+        if let Some(idempotency_key) = idempotency_key.filter(|_| outcome.never_ran()) {
+            self.idempotency_keys.forget_write(idempotency_key, key);
         }
         self.counters.record_attempt_end(outcome);
         let ended = AttemptEnded {
