--- a/crates/core/src/command.rs
+++ b/crates/core/src/command.rs
@@ -1,38 +1,38 @@
-//! Commands: what a host is to do for the core.
+//! Commands that the core issues to its host.
 
 use crate::request::{AttemptKey, RequestId, ResponseChunk, SettledOutcome};
 use driftfront_scheduler::{EngineId, Micros};
 use std::rc::Rc;
 
-/// What a host is to do, in order.
+/// An operation for the host; commands have to be executed in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
-    /// Bring an attempt to an engine; ask [`Core::may_write_attempt`](crate::Core::may_write_attempt) before its first byte.
+    /// Send an attempt to an engine. Call [`Core::may_write_attempt`](crate::Core::may_write_attempt) before its first byte.
     StartAttempt(AttemptKey, EngineId),
     /// Stop waiting for an attempt.
     AbandonAttempt(AttemptKey, EngineId),
-    /// Probe an engine under this tag.
+    /// Probe an engine; the result carries this tag.
     Probe(EngineId, u64),
-    /// Final answer: rejected; the client should stay away for this long. What the last engine said, if it erred.
+    /// Final answer: rejected, with the Retry-After time and the last engine error, if there was one.
     Reject(RequestId, Micros, Option<Rc<str>>),
-    /// Final answer: failed, with what the engine said if it said anything.
+    /// Final answer: failed, with the engine's error text if there is one.
     Fail(RequestId, Option<Rc<str>>),
     /// Forward a chunk of the response.
     ForwardChunk(RequestId, ResponseChunk),
     /// Final answer: served; all chunks have been forwarded.
     Finish(RequestId),
-    /// Final answer: a response that has begun cannot be finished; the client must see that.
+    /// Final answer: a started response cannot be completed. The client must be able to detect that it is incomplete.
     Abort(RequestId, Option<Rc<str>>),
-    /// Nothing of the request under this ticket of the frontend's is in flight any more.
+    /// The request with this ticket, which the frontend assigned, is settled.
     Settled(u64, SettledOutcome),
-    /// The engine is gone: its idle connections may close.
+    /// The engine is gone; its idle connections may be closed.
     ForgetEngine(EngineId),
     /// A line for the operators' log.
     Log(String),
 }
 
 impl Command {
-    /// Whether it is a request's final answer.
+    /// Whether this is the final answer to `request`.
     pub(crate) fn is_answer_to(&self, request: RequestId) -> bool {
         match self {
             Command::Reject(id, ..)
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,12 +1,12 @@
-//! A request's life between a client's frontend and an engine's backend.
+//! The request lifecycle between a client's frontend and an engine's backend.
 //!
-//! [`Core`] owns what the [`driftfront_scheduler`] does not: internal ids, deadlines, attempts, timers, counters and the one final answer. It
-//! knows no wire, socket or clock: hosts pass the time in, report what their connections saw, and carry out the [`Command`]s that
-//! come back.
+//! [`Core`] owns the state that the [`driftfront_scheduler`] does not: internal ids, deadlines, attempts, timers, counters and the
+//! final answer of each request. It does no I/O and reads no clock: the host passes in the current time, reports events of its
+//! connections and executes the returned [`Command`]s.
 //!
-//! A request passes six stages, each a file: `accept`, `admission`, `routing`, `dispatch`, `response`, `accounting`. An attempt's
-//! end is in `attempt_end`. Each request has exactly one final answer: whoever closes it gives that. It is settled, and forgotten,
-//! once nothing of it is in flight either.
+//! A request passes six stages, one per module: `accept`, `admission`, `routing`, `dispatch`, `response` and `accounting`. The
+//! module `attempt_end` handles the end of an attempt. Each request gets exactly one final answer, from the code path that closes
+//! it. A request is settled, and dropped, once it is closed and no attempt is in flight.
 #![forbid(unsafe_code)]
 
 mod accept;
@@ -49,53 +49,55 @@
 use std::rc::Rc;
 
 impl RequestId {
-    /// The scheduler's number for it.
+    /// The scheduler's id for the request.
     fn query(self) -> QueryId {
         QueryId(self.0)
     }
 }
 
-/// Bounds that the host sets, beside the scheduler's settings.
+/// Limits set by the host in addition to the scheduler's settings.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Requests open at once; more are rejected.
+    /// Maximum number of open requests; further requests are rejected.
     pub max_open_requests: usize,
-    /// A probe not answered by then has failed.
+    /// A probe without an answer after this time has failed.
     pub probe_timeout: Micros,
-    /// A final answer leaves at least this long before the client gives up.
+    /// Every final answer is given at least this long before the client's timeout.
     pub answer_margin: Micros,
-    /// Attempts of unknown outcome that are remembered by name, so that they can be found and killed; 0 for none.
+    /// Maximum number of attempts with unknown outcome that are tracked by name, so that they can be found and killed; 0 disables
+    /// tracking.
     pub max_unknown_outcomes: usize,
-    /// Idempotency keys that are remembered; requests with new ones are rejected beyond that.
+    /// Maximum number of idempotency keys that are tracked; requests with further keys are rejected.
     pub max_idempotency_keys: usize,
-    /// Engines report on each attempt by itself, as often as the settings say: one that nothing is reported of is lost.
+    /// Whether engines report on each attempt separately, at the interval given in the settings; an attempt without reports is
+    /// then considered lost.
     pub engines_report_attempts: bool,
 }
 
-/// The coordinator without its sockets.
+/// The coordinator's request handling, without I/O.
 pub struct Core {
     controller: Controller,
     limits: Limits,
-    /// Whether queries may run more than once, by class.
+    /// Idempotency of queries, indexed by class.
     class_idempotency: Vec<Idempotency>,
-    /// The settings name tenants.
+    /// Whether the settings define tenants.
     has_tenants: bool,
-    /// The longest Retry-After; `None` where none is heeded.
+    /// Maximum Retry-After; `None` if clients do not honor it.
     max_retry_after: Option<Micros>,
-    /// Nothing more is accepted.
+    /// Whether new requests are rejected because the process shuts down.
     is_shutting_down: bool,
     /// Requests that are not settled.
     requests: BTreeMap<RequestId, Request>,
-    /// Names of requests that have no final answer yet; whoever closes one removes its name.
+    /// Names of open requests; closing a request removes its name.
     open_names: BTreeMap<Rc<str>, RequestId>,
-    /// Requests that have no final answer yet.
+    /// Number of open requests, which have no final answer yet.
     open_count: usize,
     engine_phases: BTreeMap<EngineId, Phase>,
-    /// Engines of the probes that are out, by tag.
+    /// Engines of the probes in flight, by tag.
     probes: BTreeMap<u64, EngineId>,
-    /// The next one first.
+    /// Min-heap: the timer that is due next comes first.
     timers: BinaryHeap<Reverse<ScheduledTimer>>,
-    /// One count for request ids, probe tags and the order of timers: none is ever used twice.
+    /// The last number from the counter shared by request ids, probe tags and timer order; numbers are never reused.
     last_number: u64,
     commands: VecDeque<Command>,
     counters: Counters,
@@ -105,7 +107,7 @@
 }
 
 impl Core {
-    /// A core that has accepted nothing yet. The same seed and calls give the same commands.
+    /// Creates a core without requests. The same seed and the same calls produce the same commands.
     pub fn new(settings: Settings, limits: Limits, seed: u64) -> Core {
         Core {
             class_idempotency: settings.classes.iter().map(|c| c.idempotency).collect(),
@@ -129,37 +131,37 @@
         }
     }
 
-    /// The next thing to do, if any.
+    /// The next command to execute, if any.
     pub fn next_command(&mut self) -> Option<Command> {
         self.commands.pop_front()
     }
 
-    /// From now on each request is rejected as it comes: the process shuts down.
+    /// Rejects all new requests from now on, because the process shuts down.
     pub fn begin_shutdown(&mut self) {
         self.is_shutting_down = true;
     }
 
-    /// Whether a class's queries may run more than once; `None` where there is no such class.
+    /// Idempotency of a class's queries; `None` if there is no such class.
     fn idempotency(&self, class: u16) -> Option<Idempotency> {
         self.class_idempotency.get(usize::from(class)).copied()
     }
 
-    /// Number of requests with no final answer yet.
+    /// Number of requests without a final answer.
     pub fn open_requests(&self) -> usize {
         self.open_count
     }
 
-    /// How far the retry budget is used; `None` where the settings have none.
+    /// Current use of the retry budget; `None` if the settings define none.
     pub fn retry_budget_usage(&self, now: Micros) -> Option<RetryBudgetUsage> {
         self.controller.retry_budget_usage(now)
     }
 
-    /// The counts so far.
+    /// The counters since the start.
     pub fn counters(&self) -> &Counters {
         &self.counters
     }
 
-    /// A number that was never used before.
+    /// Returns a number that was not used before.
     fn next_number(&mut self) -> u64 {
         self.last_number += 1;
         self.last_number
--- a/crates/core/src/lost_attempts.rs
+++ b/crates/core/src/lost_attempts.rs
@@ -1,8 +1,8 @@
-//! Lost attempts: those whose response will not come, though their engine answers others.
+//! Detects lost attempts, whose response will not arrive although their engine responds to other attempts.
 //!
-//! Where engines report every so often on each attempt, one that nothing is reported of any more is lost. An engine short of
-//! memory reports nothing of what waits there, but takes it in turn. So an attempt counts as lost only where something was
-//! reported of another that was written later to the same engine: then its own turn had come.
+//! Some engines report on each attempt at a fixed interval; an attempt whose reports stop may be lost. However, an engine short of
+//! memory does not report on queued queries, which it starts in the order of arrival. An attempt therefore counts as lost only if
+//! the engine has reported on another attempt that was written later, since the earlier one must have been started by then.
 
 use crate::attempt::{Cause, Progress};
 use crate::request::{AttemptKey, Request, RequestId};
@@ -10,25 +10,26 @@
 use driftfront_scheduler::{EngineId, Idempotency, Micros, Settings};
 use std::collections::BTreeMap;
 
-/// A report is overdue after this many intervals, and the time of its way. The first comes after up to one and a half intervals,
-/// the next after one each.
+/// A report is overdue after this many intervals plus [`REPORT_DELAY`]. The first report arrives after up to 1.5 intervals, each
+/// further one after 1 interval.
 const OVERDUE_INTERVALS: f64 = 1.75;
+/// Allowance for the delivery of a report.
 const REPORT_DELAY: Micros = 30_000;
-/// Attempts are checked this often.
+/// Minimum time between two checks of all attempts.
 const CHECK_INTERVAL: Micros = 25_000;
 
-/// What is known of reports on attempts.
+/// Tracks the engines' reports on attempts.
 pub(crate) struct LostAttemptDetector {
-    /// A report is overdue after this long; `None` where engines send none.
+    /// Time after which a report is overdue; `None` if engines send no reports.
     overdue_after: Option<Micros>,
-    /// When the latest attempt was written of which something was reported, by engine.
+    /// By engine, the latest write time among the attempts that were reported on.
     reported_up_to: BTreeMap<EngineId, Micros>,
     next_check_at: Micros,
 }
 
 impl LostAttemptDetector {
-    /// Nothing was reported yet. `reports_each`: engines report on each attempt by itself.
-    #[allow(clippy::cast_possible_truncation, reason = "whole µs of a few seconds")]
+    /// Creates a detector without reports. `reports_each`: whether engines report on each attempt separately.
+    #[allow(clippy::cast_possible_truncation, reason = "a few seconds in µs")]
     pub(crate) fn new(settings: &Settings, reports_each: bool) -> LostAttemptDetector {
         let interval = settings.progress_interval.filter(|_| reports_each);
         let overdue = |interval| (interval as f64 * OVERDUE_INTERVALS) as Micros + REPORT_DELAY;
@@ -39,12 +40,12 @@
         }
     }
 
-    /// Forgets an engine that is gone.
+    /// Removes an engine that is gone.
     pub(crate) fn forget_engine(&mut self, engine: EngineId) {
         self.reported_up_to.remove(&engine);
     }
 
-    /// Records that something was reported of an attempt that was written then.
+    /// Records a report on an attempt that was written at `written_at`.
     fn record_report(&mut self, engine: EngineId, written_at: Micros) {
         if self.overdue_after.is_some() {
             let up_to = self.reported_up_to.entry(engine).or_default();
@@ -52,13 +53,13 @@
         }
     }
 
-    /// Whether something was reported of an attempt on this engine that was written later.
+    /// Whether the engine has reported on an attempt that was written after `written_at`.
     fn has_report_of_later(&self, engine: EngineId, written_at: Micros) -> bool {
         let up_to = self.reported_up_to.get(&engine);
         up_to.is_some_and(|&up_to| up_to > written_at)
     }
 
-    /// After which time without a report an attempt is overdue, if attempts are to be checked now.
+    /// Starts a check if one is due; returns the time after which a report is overdue.
     fn begin_check(&mut self, now: Micros) -> Option<Micros> {
         let overdue_after = self.overdue_after.filter(|_| now >= self.next_check_at)?;
         self.next_check_at = now + CHECK_INTERVAL;
@@ -67,7 +68,7 @@
 }
 
 impl Core {
-    /// Records that something came of an attempt: a progress report, or its response.
+    /// Records that the engine has sent a progress report on an attempt or its response.
     pub(crate) fn record_contact(&mut self, now: Micros, key: AttemptKey) {
         let Some(attempt) = self.in_flight(key) else {
             return;
@@ -77,7 +78,7 @@
         self.lost_attempts.record_report(engine, written_at);
     }
 
-    /// Ends the attempts that are lost, so that the scheduler may try again while there is time.
+    /// Ends lost attempts, so that the scheduler can retry them before the deadline.
     pub(crate) fn end_lost_attempts(&mut self, now: Micros) {
         let Some(overdue_after) = self.lost_attempts.begin_check(now) else {
             return;
@@ -92,7 +93,7 @@
         }
     }
 
-    /// A request's attempt and its engine, if it is lost and the request may run again.
+    /// The request's attempt in flight and its engine, if it is lost and the query may run again.
     fn lost_attempt(
         &self,
         now: Micros,
@@ -102,11 +103,11 @@
     ) -> Option<(AttemptKey, EngineId)> {
         let (number, attempt) = request.in_flight()?;
         let is_unanswered = !request.is_closed && request.forwarded_attempt.is_none();
-        let last = attempt.reported_at.max(attempt.written_at);
+        let last_contact = attempt.reported_at.max(attempt.written_at);
         let is_lost = is_unanswered
             && attempt.progress == Progress::FullyWritten
             && attempt.abandoned_for.is_none()
-            && now > last + overdue_after
+            && now > last_contact + overdue_after
             && self
                 .lost_attempts
                 .has_report_of_later(attempt.engine, attempt.written_at)
--- a/crates/core/src/probes.rs
+++ b/crates/core/src/probes.rs
@@ -5,7 +5,7 @@
 use driftfront_scheduler::{EngineId, Event, Micros, Outcome, Phase};
 
 impl Core {
-    /// Starts a probe.
+    /// Starts a probe of an engine.
     pub(crate) fn start_probe(&mut self, now: Micros, engine: EngineId) {
         let tag = self.next_number();
         self.probes.insert(tag, engine);
@@ -14,7 +14,7 @@
         self.commands.push_back(Command::Probe(engine, tag));
     }
 
-    /// Records a probe's result, by its tag; only its first counts.
+    /// Records the result of the probe with this tag. Only the first result counts.
     pub fn record_probe(&mut self, now: Micros, tag: u64, outcome: Outcome, report: &[f64]) {
         if let Some(engine) = self.probes.remove(&tag) {
             self.counters.probes_answered += u64::from(outcome == Outcome::Ok);
@@ -29,8 +29,8 @@
         }
     }
 
-    /// Records that all idle connections to an engine were reset: its process may have ended, and the scheduler learns of it
-    /// before the next attempt is lost there.
+    /// Records that all idle connections to an engine were reset. Its process may have ended, so the scheduler is notified before
+    /// it sends another attempt there.
     pub fn suspect_engine(&mut self, now: Micros, engine: EngineId) {
         if self.engine_phase(engine) == Some(Phase::Ready) {
             self.counters.engines_suspected += 1;
--- a/crates/core/src/running.rs
+++ b/crates/core/src/running.rs
@@ -1,4 +1,4 @@
-//! Which queries run, and where: by their clients' names, also where nobody waits for them any more.
+//! Tracks which queries run on which engines, by the client's name, including queries whose response is no longer awaited.
 
 use crate::attempt::{Attempt, Cause};
 use crate::request::{AttemptKey, Request, RequestId};
@@ -8,7 +8,7 @@
 use std::collections::VecDeque;
 use std::rc::Rc;
 
-/// How much longer than its client's time an attempt of unknown outcome is remembered: engines end it by then.
+/// Time beyond the client's deadline for which an attempt with unknown outcome is tracked; engines have ended it by then.
 const UNKNOWN_OUTCOME_TIME: Micros = 2_000_000;
 
 /// A query on an engine.
@@ -16,13 +16,13 @@
 pub struct RunningQuery {
     /// The engine.
     pub engine: EngineId,
-    /// Its name there.
+    /// The query's name on the engine.
     pub name: String,
-    /// Its response is still awaited.
+    /// Whether the response is still awaited.
     pub is_awaited: bool,
 }
 
-/// An attempt that has ended, but may still run.
+/// An attempt that has ended here but may still run on its engine.
 struct UnknownOutcome {
     /// The client's name for the request.
     client_name: Rc<str>,
@@ -32,14 +32,14 @@
     forget_at: Micros,
 }
 
-/// Attempts of unknown outcome, the oldest first, up to a bound.
+/// A bounded list of attempts with unknown outcome, oldest first.
 pub(crate) struct UnknownOutcomes {
     attempts: VecDeque<UnknownOutcome>,
     max: usize,
 }
 
 impl UnknownOutcomes {
-    /// None yet. `max`: so many are remembered; 0 for none.
+    /// Creates an empty list that tracks at most `max` attempts.
     pub(crate) fn new(max: usize) -> UnknownOutcomes {
         UnknownOutcomes {
             attempts: VecDeque::new(),
@@ -47,10 +47,10 @@
         }
     }
 
-    /// Remembers an attempt; true if the bound made another one forgotten too early.
+    /// Adds an attempt; returns true if an unexpired one was dropped to make room.
     fn push(&mut self, now: Micros, attempt: UnknownOutcome) -> bool {
-        let is_over = |a: &UnknownOutcome| a.forget_at <= now;
-        while self.attempts.front().is_some_and(is_over) {
+        let is_expired = |a: &UnknownOutcome| a.forget_at <= now;
+        while self.attempts.front().is_some_and(is_expired) {
             self.attempts.pop_front();
         }
         let is_full = self.attempts.len() == self.max;
@@ -61,15 +61,16 @@
         is_full
     }
 
-    /// Those of a client's name that may still run.
-    fn of<'a>(
+    /// Unexpired attempts of requests with this name.
+    fn with_client_name<'a>(
         &'a self,
         now: Micros,
         client_name: &'a str,
     ) -> impl Iterator<Item = RunningQuery> + 'a {
         let attempts = self.attempts.iter();
-        let of_name = attempts.filter(move |a| &*a.client_name == client_name && a.forget_at > now);
-        of_name.map(|a| RunningQuery {
+        let matching =
+            attempts.filter(move |a| &*a.client_name == client_name && a.forget_at > now);
+        matching.map(|a| RunningQuery {
             engine: a.engine,
             name: a.name.clone(),
             is_awaited: false,
@@ -78,7 +79,7 @@
 }
 
 impl Core {
-    /// An attempt's name on its engine: the client's own, unless an earlier attempt may still run under that.
+    /// An attempt's query name on its engine: the client's name, unless an earlier attempt may still run under it.
     pub fn name_on_engine(&self, key: AttemptKey) -> Cow<'_, str> {
         let Some(request) = self.requests.get(&key.request) else {
             return Cow::default();
@@ -92,14 +93,14 @@
         }
     }
 
-    /// Whether a request under this name has no final answer yet.
+    /// Whether a request with this name is open.
     pub fn is_open(&self, name: &str) -> bool {
         self.open_names.contains_key(name)
     }
 
-    /// Where queries of this name run, or may.
+    /// Queries of requests with this name that run or may still run.
     pub fn running_queries(&self, now: Micros, name: &str) -> Vec<RunningQuery> {
-        // All requests are looked at: those whose client has left have no name any more.
+        // Scans all requests, because `open_names` no longer contains requests whose client has disconnected.
         let named = |(_, r): &(&RequestId, &Request)| &*r.parsed.name == name;
         let in_flight = |(&id, request): (&RequestId, &Request)| {
             let (number, attempt) = request.in_flight()?;
@@ -114,10 +115,12 @@
             })
         };
         let known = self.requests.iter().filter(named).filter_map(in_flight);
-        known.chain(self.unknown_outcomes.of(now, name)).collect()
+        known
+            .chain(self.unknown_outcomes.with_client_name(now, name))
+            .collect()
     }
 
-    /// Attempts that are in flight: their class, their engine, and when they were sent.
+    /// Class, engine and send time of each attempt in flight.
     pub fn attempts_in_flight(&self) -> impl Iterator<Item = (u16, EngineId, Micros)> + '_ {
         self.requests.values().filter_map(|request| {
             let (_, attempt) = request.in_flight()?;
@@ -125,7 +128,7 @@
         })
     }
 
-    /// Requests without a final answer: name, class, engine where one is in flight, and when each came.
+    /// Name, class, engine of the attempt in flight and arrival time of each open request.
     pub fn requests_in_progress(
         &self,
     ) -> impl Iterator<Item = (&str, u16, Option<EngineId>, Micros)> + '_ {
@@ -137,8 +140,8 @@
         })
     }
 
-    /// Cancels the request of this name, as its client wants: no further attempt is made, and if none is in flight it ends at once
-    /// with this text. True if there was one.
+    /// Cancels the open request with this name on its client's behalf. No further attempt is made; if none is in flight, the
+    /// request fails immediately with `error_text`. Returns whether there was such a request.
     pub fn cancel_request(&mut self, now: Micros, name: &str, error_text: &str) -> bool {
         let Some(&id) = self.open_names.get(name) else {
             return false;
@@ -156,7 +159,7 @@
         true
     }
 
-    /// Releases what is in flight for a read whose client has left, so that its engine may end it.
+    /// Releases the attempt in flight of a read whose client has disconnected, so that the engine can stop it.
     pub fn release_attempt(&mut self, now: Micros, id: RequestId) {
         let Some(key) = self.key_in_flight(id) else {
             return;
@@ -172,7 +175,7 @@
         self.attempt_failed(now, key, Cause::Released);
     }
 
-    /// Remembers an attempt that has ended, but may still run.
+    /// Tracks an attempt that has ended here but may still run on its engine.
     pub(crate) fn record_unknown_outcome(
         &mut self,
         now: Micros,
@@ -185,12 +188,12 @@
         let Some(request) = self.requests.get(&key.request) else {
             return;
         };
-        let client_gone_at = request.deadline.max(now);
+        let client_gives_up_at = request.deadline.max(now);
         let attempt = UnknownOutcome {
             client_name: request.parsed.name.clone(),
             name: self.name_on_engine(key).into_owned(),
             engine,
-            forget_at: client_gone_at.saturating_add(UNKNOWN_OUTCOME_TIME),
+            forget_at: client_gives_up_at.saturating_add(UNKNOWN_OUTCOME_TIME),
         };
         if self.unknown_outcomes.push(now, attempt) {
             self.counters.unknown_outcomes_dropped += 1;
