--- a/crates/core/src/accept.rs
+++ b/crates/core/src/accept.rs
@@ -1,19 +1,18 @@
-//! Stage 1, accept: a request gets its number, and its client's time begins to run.
+//! Stage 1, accept: a request gets its id and its deadline.
 
 use crate::request::{Accepted, ParsedRequest, Request, RequestId};
 use crate::Core;
 use driftfront_scheduler::Micros;
 
 impl Core {
-    /// Accepts a request; from here on one final answer is owed.
+    /// Accepts a request. It will get exactly one final answer.
     pub fn accept_request(&mut self, now: Micros, parsed: ParsedRequest) -> RequestId {
         let id = self.record_request(now, parsed);
         self.admit(now, id);
         id
     }
 
-    /// Records a request whose client had left before it was read: nothing of it goes to an engine, and nobody is owed an
-    /// answer.
+    /// Counts a request whose client disconnected before it was read. It is not sent to an engine and gets no answer.
     pub fn accept_disconnected_request(&mut self, now: Micros, parsed: ParsedRequest) {
         let id = self.record_request(now, parsed);
         if self.close(id) {
@@ -30,12 +29,12 @@
         id
     }
 
-    /// The open request of this name, if there is one.
+    /// The open request with this name, if there is one.
     pub fn find_request(&self, name: &str) -> Option<RequestId> {
         self.open_names.get(name).copied()
     }
 
-    /// A request that is not settled, for its backend.
+    /// A request that is not settled, as its backend needs it.
     pub fn accepted(&self, id: RequestId) -> Option<Accepted<'_>> {
         self.requests.get(&id).map(|request| Accepted {
             request: &request.parsed,
--- a/crates/core/src/accounting.rs
+++ b/crates/core/src/accounting.rs
@@ -1,9 +1,9 @@
-//! Stage 6, accounting: what was accepted, sent and answered since the start.
+//! Stage 6, accounting: counters of requests, attempts and answers since the start.
 
 use driftfront_scheduler::Outcome;
 use std::fmt;
 
-/// Outcomes of attempts, and their names among the counters.
+/// Outcomes of attempts and their label values in the counters.
 const OUTCOME_NAMES: [(Outcome, &str); 8] = [
     (Outcome::Ok, "ok"),
     (Outcome::Error, "error"),
@@ -15,7 +15,7 @@
     (Outcome::Superseded, "moot"),
 ];
 
-/// Counts of what has passed through since the start.
+/// Counters since the start.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
     /// Requests accepted.
@@ -28,53 +28,53 @@
     pub answers_failed: u64,
     /// Final answers: failed after the response had begun.
     pub answers_aborted: u64,
-    /// Clients that left before their answer.
+    /// Clients that disconnected before their answer.
     pub clients_left: u64,
-    /// Answers that only the deadline's guard gave.
+    /// Requests failed by the deadline safeguard, because the scheduler had not answered them in time.
     pub answers_overdue: u64,
     /// Attempts sent.
     pub attempts_sent: u64,
     /// Attempts beyond a request's first.
     pub retries_sent: u64,
-    /// Attempts ended, by outcome in the order of their names.
+    /// Attempts ended, by outcome in the order of `OUTCOME_NAMES`.
     attempts_ended: [u64; OUTCOME_NAMES.len()],
     /// Probes sent.
     pub probes_sent: u64,
-    /// Probes answered well.
+    /// Probes with a successful result.
     pub probes_answered: u64,
     /// Engine lists and changes applied.
     pub lists_applied: u64,
-    /// Requests that their clients cancelled.
+    /// Requests cancelled by their clients.
     pub requests_cancelled: u64,
-    /// Attempts ended since their client left.
+    /// Attempts released because their client disconnected.
     pub attempts_released: u64,
-    /// Attempts of unknown outcome that could not be remembered: the bound on them bit.
+    /// Attempts with unknown outcome that were dropped early because of the limit on them.
     pub unknown_outcomes_dropped: u64,
-    /// Attempts ended since nothing was reported of them any more.
+    /// Attempts ended because the engine no longer reported on them.
     pub attempts_lost: u64,
     /// Engines whose idle connections were all reset.
     pub engines_suspected: u64,
     /// Attempts that the scheduler cancelled.
     pub attempts_cancelled: u64,
-    /// Requests not run, since one with their idempotency key may have run too long ago for engines to know.
+    /// Requests not run because an attempt with their idempotency key may have run before the deduplication window.
     pub idempotency_keys_expired: u64,
-    /// Requests of a tenant that the settings don't name, where they name some.
+    /// Requests of unknown tenants, where the settings define tenants.
     pub tenants_unknown: u64,
-    /// Requests rejected, since no more idempotency keys can be remembered.
+    /// Requests rejected because of the limit on idempotency keys.
     pub idempotency_keys_refused: u64,
-    /// Requests without an idempotency key of a class that needs one: they run once.
+    /// Requests without an idempotency key in a class that uses them; they run at most once.
     pub idempotency_keys_missing: u64,
 }
 
 impl Counters {
-    /// Counts an attempt's end.
+    /// Counts the end of an attempt.
     pub(crate) fn record_attempt_end(&mut self, outcome: Outcome) {
         let index = OUTCOME_NAMES.iter().position(|(o, _)| *o == outcome);
         self.attempts_ended[index.unwrap_or(0)] += 1;
     }
 }
 
-/// One line a counter: its name, as operators know it, and its value.
+/// Writes one line per counter with its external name, which differs from the field's for some, and its value.
 impl fmt::Display for Counters {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (name, count) in [
--- a/crates/core/src/engine_list.rs
+++ b/crates/core/src/engine_list.rs
@@ -1,11 +1,11 @@
-//! The list of engines: which take work, and what becomes of requests that could only go to one that does not.
+//! The list of engines and their phases; ends requests bound to an engine that no longer accepts queries.
 
 use crate::request::{Request, RequestId};
 use crate::{Command, Core};
 use driftfront_scheduler::{EngineId, Event, ListKind, ListedEngine, Micros, Phase};
 
 impl Core {
-    /// Applies a list of engines, or changes to it.
+    /// Applies a list of engines or changes to the current one.
     pub fn update_engines(&mut self, now: Micros, kind: ListKind, list: &[ListedEngine]) {
         self.counters.lists_applied += 1;
         if kind != ListKind::Changes {
@@ -38,8 +38,8 @@
         }
     }
 
-    /// Ends what could only go to an engine that takes nothing more and is not there yet: no choice is left that the scheduler
-    /// could make, and the client is told why.
+    /// Fails requests without an attempt in flight whose session is bound to an engine that no longer accepts queries. The
+    /// scheduler could not place them anywhere, and the client gets the reason.
     fn end_stranded_requests(&mut self, now: Micros) {
         let stranded = self.requests.iter().filter(|(_, r)| self.is_stranded(r));
         let stranded: Vec<RequestId> = stranded.map(|(id, _)| *id).collect();
@@ -56,24 +56,24 @@
             .parsed
             .sticky_session
             .filter(|session| session.is_exclusive);
-        let takes_nothing =
+        let is_unavailable =
             |engine: EngineId| self.engine_phases.get(&engine) != Some(&Phase::Ready);
         !request.is_closed
-            && only_engine.is_some_and(|session| takes_nothing(session.engine))
+            && only_engine.is_some_and(|session| is_unavailable(session.engine))
             && request.in_flight().is_none()
     }
 
-    /// All engines of the list.
+    /// All listed engines.
     pub fn listed_engines(&self) -> Vec<EngineId> {
         self.engine_phases.keys().copied().collect()
     }
 
-    /// An engine's phase; `None` if it is gone or was never listed.
+    /// An engine's phase; `None` if it is not listed.
     pub fn engine_phase(&self, engine: EngineId) -> Option<Phase> {
         self.engine_phases.get(&engine).copied()
     }
 
-    /// Whether any engine takes work.
+    /// Whether any engine accepts queries.
     pub fn has_engines(&self) -> bool {
         let mut phases = self.engine_phases.values();
         phases.any(|&phase| phase == Phase::Ready)
--- a/crates/core/src/idempotency.rs
+++ b/crates/core/src/idempotency.rs
@@ -1,36 +1,36 @@
-//! Idempotency keys, by which engines drop repeats, and when a query under each may have run first.
+//! Tracks idempotency keys, which engines use to deduplicate queries, and when each key was first used.
 //!
-//! Engines know a repeat for a while only, counted from the first attempt that may have run. A client's own retry is a
-//! request of its own here, under the same key: what the earlier one left running counts against it. So each key is
-//! retained with the moment of its first write, until none of its client's retries can still come.
+//! Engines deduplicate only within a window that starts with the first attempt that may have run. A client's own retry arrives as
+//! a separate request with the same key, but attempts of the earlier request count towards the window. So each key is retained
+//! with the time of its first write until none of its client's retries can arrive any more.
 
 use crate::request::AttemptKey;
 use driftfront_scheduler::{Idempotency, Micros, QueryClass, Settings};
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
-/// The first write under a key.
+/// The first attempt that was written with a key.
 struct FirstWrite {
     /// When its first byte was written.
     at: Micros,
-    /// By which attempt: if that proves never to have run, the key is new again.
+    /// The attempt. If it turns out never to have run, the key counts as unused again.
     by: AttemptKey,
-    /// No retry under the key comes later than this.
+    /// No retry with the key arrives after this time.
     retain_until: Micros,
 }
 
-/// Idempotency keys of queries that may have run, up to a bound.
+/// A bounded set of the idempotency keys of queries that may have run.
 pub(crate) struct IdempotencyKeys {
     first_writes: BTreeMap<Rc<str>, FirstWrite>,
-    /// In the order of their first write; a key may stand here after it was dropped.
+    /// Keys in the order of their first write; may contain keys that were removed from `first_writes`.
     by_time: VecDeque<(Micros, Rc<str>)>,
-    /// For how long engines drop repeats, by class; `None` where they don't.
+    /// Deduplication window by class; `None` for classes without idempotency keys.
     windows: Vec<Option<Micros>>,
     max_keys: usize,
 }
 
 impl IdempotencyKeys {
-    /// None yet.
+    /// Creates an empty set that holds `max_keys` keys.
     pub(crate) fn new(settings: &Settings, max_keys: usize) -> IdempotencyKeys {
         let window = |class: &QueryClass| {
             let has_keys = class.idempotency == Idempotency::WithKey;
@@ -48,18 +48,19 @@
         self.windows.get(usize::from(class)).copied().flatten()
     }
 
-    /// Whether engines know repeats of this class's queries by their key.
+    /// Whether engines deduplicate this class's queries by idempotency key.
     pub(crate) fn is_keyed(&self, class: u16) -> bool {
         self.window(class).is_some()
     }
 
-    /// Until when engines know a query of this class under this key; `None`: it never ran, and may go at any time.
-    pub(crate) fn known_until(&self, class: u16, key: Option<&Rc<str>>) -> Option<Micros> {
+    /// Until when engines deduplicate queries of this class with this key; `None` if no attempt with the key may have run, so that
+    /// one may be sent at any time.
+    pub(crate) fn deduplicated_until(&self, class: u16, key: Option<&Rc<str>>) -> Option<Micros> {
         let window = self.window(class)?;
         Some(self.first_writes.get(key?)?.at.saturating_add(window))
     }
 
-    /// Records a request under this key that may be tried until its deadline.
+    /// Extends a known key's retention for a request with this key that may be attempted until `deadline`.
     pub(crate) fn record_request(&mut self, class: u16, key: Option<&Rc<str>>, deadline: Micros) {
         let Some(window) = self.window(class) else {
             return;
@@ -70,8 +71,8 @@
         }
     }
 
-    /// Whether a query of this class under a key that is not known yet finds no room for it. It is not run then: a key that is
-    /// dropped early would let its client's late retry run again.
+    /// Whether a query of this class has a new key for which there is no room. Such a query must not run: evicting a key early
+    /// would let a late retry by its client run a second time.
     pub(crate) fn is_full(&mut self, now: Micros, class: u16, key: Option<&Rc<str>>) -> bool {
         let is_unknown = |key: &Rc<str>| !self.first_writes.contains_key(key);
         let needs_room = self.is_keyed(class) && key.is_some_and(is_unknown);
@@ -80,13 +81,13 @@
         }
         self.forget_oldest(now);
         if self.first_writes.len() >= self.max_keys {
-            self.forget_all_over(now);
+            self.forget_all_expired(now);
         }
         self.first_writes.len() >= self.max_keys
     }
 
-    /// Records that an attempt under this key goes out: from here on it may run. Those admitted before the room was used up find
-    /// their place all the same: they are bounded by the requests that may be open.
+    /// Records that an attempt with this key is being written and may run from now on. The key is added even if the set is full,
+    /// since requests admitted before it filled up must be tracked; the limit on open requests bounds the excess.
     pub(crate) fn record_write(
         &mut self,
         now: Micros,
@@ -111,17 +112,17 @@
         self.by_time.push_back((now, key.clone()));
     }
 
-    /// Forgets a key whose first write was by an attempt that proved never to have run.
+    /// Removes a key whose first write was by an attempt that turned out never to have run.
     pub(crate) fn forget_write(&mut self, key: &Rc<str>, by: AttemptKey) {
         if self.first_writes.get(key).is_some_and(|f| f.by == by) {
             self.first_writes.remove(key);
         }
     }
 
-    /// Forgets the oldest keys, as far as no retry can come under them.
+    /// Removes the oldest keys up to the first one whose retention has not expired.
     fn forget_oldest(&mut self, now: Micros) {
         while let Some((at, key)) = self.by_time.front() {
-            // A key that was dropped, or written anew since, is retained by its later entry.
+            // An entry whose key was removed or written again later is stale.
             let first = self.first_writes.get(key).filter(|f| f.at == *at);
             if let Some(first) = first {
                 if first.retain_until > now {
@@ -133,8 +134,8 @@
         }
     }
 
-    /// Forgets all keys that no retry can come under: behind one that is retained for long others may be over.
-    fn forget_all_over(&mut self, now: Micros) {
+    /// Removes all keys whose retention has expired, including those behind an older key with a longer retention.
+    fn forget_all_expired(&mut self, now: Micros) {
         let first_writes = &mut self.first_writes;
         first_writes.retain(|_, first| first.retain_until > now);
         self.by_time
--- a/crates/core/src/request.rs
+++ b/crates/core/src/request.rs
@@ -1,62 +1,63 @@
-//! Requests: as a frontend has read them, and what is kept of each until it is settled.
+//! Requests as parsed by a frontend, and the state kept for each until it is settled.
 
 use crate::attempt::{Attempt, AttemptError};
 use driftfront_scheduler::{EngineId, Micros, Outcome, StickySession};
 use std::fmt;
 use std::rc::Rc;
 
-/// A request's number inside this program; never used twice.
+/// A request's internal id, unique within the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// One attempt of a request.
+/// Identifies an attempt of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptKey {
     /// The request.
     pub request: RequestId,
-    /// The attempt's number, from 0.
+    /// The attempt's number, starting at 0.
     pub number: u8,
 }
 
-/// A request as a frontend has read it, whatever the wire.
+/// A request as parsed by a frontend, independent of the client's protocol.
 #[derive(Clone)]
 pub struct ParsedRequest {
-    /// The client's own name for it, passed on to engines.
+    /// The client's name for the request, passed on to engines.
     pub name: Rc<str>,
-    /// The class, by index in the settings.
+    /// Index of the class in the settings.
     pub class: u16,
     /// Estimated work in µs on one core.
     pub work: Option<f64>,
-    /// Estimated memory, MB.
+    /// Estimated memory in MB.
     pub memory_mb: Option<f64>,
-    /// Table group of the statement; 0 if it names none.
+    /// Table group of the statement; 0 for none.
     pub table_group: u32,
-    /// Its ordering key.
+    /// Requests with the same ordering key run in order of arrival if their class requires it.
     pub ordering_key: Option<u64>,
-    /// Its tenant, by index in the settings; `None` for one that they don't name.
+    /// Index of the tenant in the settings; `None` for an unknown tenant.
     pub tenant: Option<u32>,
-    /// The client's idempotency key, by which engines drop repeats, passed on unchanged: the same for all retries of one
-    /// request.
+    /// The client's idempotency key, passed on unchanged, by which engines deduplicate queries. It is the same for all retries of
+    /// a request.
     pub idempotency_key: Option<Rc<str>>,
     /// Time until the client gives up.
     pub client_timeout: Micros,
-    /// Names and values that go with the statement, passed on unchanged.
+    /// Names and values of the statement's parameters, passed on unchanged.
     pub parameters: Rc<[(String, String)]>,
-    /// The statement, passed on unchanged; its beginning where `once` says so.
+    /// The statement, passed on unchanged; only its first part if `is_body_streamed` is set.
     pub statement: Rc<[u8]>,
-    /// The engine that it has to go to, or should.
+    /// The engine that the request must or should be sent to.
     pub sticky_session: Option<StickySession>,
-    /// What a client is told whose request could only go to an engine that drains or is gone.
+    /// Error text for the case that the request is bound to an engine that drains or is gone.
     pub session_lost_error: Option<Rc<str>>,
-    /// The rest of the statement is forwarded as it comes and not retained: once some of that is out, there is no further
-    /// attempt, and what an engine has of it may have run.
+    /// Whether the rest of the statement is forwarded as it arrives and not retained. Once part of it has been forwarded, the
+    /// request cannot be retried, and the forwarded part may have run.
     pub is_body_streamed: bool,
-    /// The frontend's number for it, told again once it is settled; 0 where the frontend needs no notice.
+    /// The frontend's number for the request, reported in [`Command::Settled`](crate::Command::Settled); 0 if the frontend needs
+    /// no notification.
     pub ticket: u64,
 }
 
 impl fmt::Debug for ParsedRequest {
-    /// Neither the statement nor what goes with it is shown: both may hold secrets.
+    /// Omits the statement and its parameters, which may contain secrets.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let size = self.statement.len();
         write!(
@@ -68,7 +69,7 @@
 }
 
 impl Default for ParsedRequest {
-    /// An empty statement of the first class, with no time at all.
+    /// A request of the first class with an empty statement and a timeout of 0.
     fn default() -> ParsedRequest {
         ParsedRequest {
             name: "".into(),
@@ -90,60 +91,60 @@
     }
 }
 
-/// A piece of a response, to be forwarded.
+/// A chunk of a response that is forwarded to the client.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ResponseChunk {
-    /// Names and values that describe the response; with its first chunk only.
+    /// Names and values that describe the response; only in the first chunk.
     pub headers: Vec<(String, String)>,
-    /// Rows in the engine's form.
+    /// Rows in the engine's encoding.
     pub rows: Vec<u8>,
-    /// It is all of the response.
+    /// Whether this chunk is the complete response.
     pub is_only_chunk: bool,
 }
 
-/// What a backend needs of a request to send it.
+/// An accepted request, with what a backend needs to send it.
 pub struct Accepted<'a> {
     /// The request as it was accepted.
     pub request: &'a ParsedRequest,
-    /// When its client gives up.
+    /// When the client gives up.
     pub deadline: Micros,
 }
 
-/// What became of a request that is settled.
+/// The outcome of a settled request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SettledOutcome {
-    /// It never ran on any engine.
+    /// The query never ran on any engine.
     NeverRan,
-    /// It ran there to its end; `true`: it was served.
+    /// The query ran to its end on this engine; `true` if it succeeded.
     Ran(EngineId, bool),
-    /// It may have run there, and may still.
+    /// The query may have run on this engine and may still be running.
     Unknown(EngineId),
 }
 
-/// A request that is not settled yet: it has no final answer, or an attempt is in flight.
+/// A request that is not settled: it has no final answer, or an attempt is in flight.
 pub(crate) struct Request {
     pub parsed: ParsedRequest,
-    /// When its client gives up.
+    /// When the client gives up.
     pub deadline: Micros,
-    /// It has its final answer, or the client left and none is owed.
+    /// Whether the request has its final answer, or needs none because the client disconnected.
     pub is_closed: bool,
-    /// The attempt whose response the client is getting, once a chunk has been forwarded.
+    /// The attempt whose response is forwarded to the client; set with the first chunk.
     pub forwarded_attempt: Option<u8>,
     pub attempts: Vec<Attempt>,
-    /// What the last engine said of the error.
+    /// The most recent error text of an engine.
     pub error_text: Option<Rc<str>>,
-    /// The engine of the attempt that ended last without serving, and why it ended.
+    /// The engine and the error of the attempt that failed last.
     pub last_failure: Option<(EngineId, AttemptError)>,
-    /// Some of a body that is not retained has been forwarded.
+    /// Whether part of a streamed body, which is not retained, has been forwarded.
     pub is_body_forwarded: bool,
-    /// Its client wants it ended: no further attempt.
+    /// Whether the client has cancelled the request, so that no further attempt is made.
     pub is_cancelled: bool,
-    /// Memory that its next attempts are granted, MB; 0 leaves it to the engine.
+    /// Memory grant of the next attempts in MB; 0 leaves the limit to the engine.
     pub grant_mb: f64,
 }
 
 impl Request {
-    /// A request that is accepted now.
+    /// Creates a request that is accepted now.
     pub(crate) fn new(parsed: ParsedRequest, now: Micros) -> Request {
         Request {
             deadline: now.saturating_add(parsed.client_timeout),
@@ -159,19 +160,19 @@
         }
     }
 
-    /// When it came.
+    /// When the request arrived.
     pub(crate) fn arrived_at(&self) -> Micros {
         self.deadline.saturating_sub(self.parsed.client_timeout)
     }
 
-    /// The attempt that is in flight, with its number; there is one at most.
+    /// The attempt in flight and its number; there is at most one.
     pub(crate) fn in_flight(&self) -> Option<(u8, &Attempt)> {
         let mut attempts = self.attempts.iter().enumerate();
         let (number, attempt) = attempts.find(|(_, a)| a.is_in_flight())?;
         Some((attempt_number(number), attempt))
     }
 
-    /// Whether it is settled: closed, with nothing in flight.
+    /// Whether the request is settled: closed, with no attempt in flight.
     pub(crate) fn is_settled(&self) -> bool {
         self.is_closed && self.in_flight().is_none()
     }
@@ -181,8 +182,8 @@
         self.forwarded_attempt == Some(attempt)
     }
 
-    /// What became of it, by the last attempt that may have run.
-    pub(crate) fn fate(&self) -> SettledOutcome {
+    /// The request's outcome, determined by the last attempt that may have run.
+    pub(crate) fn settled_outcome(&self) -> SettledOutcome {
         let may_have_run = |a: &&Attempt| a.outcome.is_some_and(|o| !o.never_ran());
         match self.attempts.iter().rev().find(may_have_run) {
             None => SettledOutcome::NeverRan,
@@ -192,7 +193,7 @@
     }
 }
 
-/// An attempt's number, which is its index among its request's attempts. The scheduler makes fewer than don't fit.
+/// Converts an attempt's index among its request's attempts to its number. The scheduler makes too few attempts for an overflow.
 pub(crate) fn attempt_number(index: usize) -> u8 {
     u8::try_from(index).unwrap_or(u8::MAX)
 }
--- a/crates/core/src/response.rs
+++ b/crates/core/src/response.rs
@@ -1,4 +1,4 @@
-//! Stage 5, response: an engine's response goes to the client, and each request is answered once.
+//! Stage 5, response: forwards an engine's response to the client and gives each request its final answer.
 
 use crate::admission::LIMIT_RETRY_AFTER;
 use crate::attempt::{Attempt, Progress};
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 
 impl Core {
-    /// Forwards a chunk of an attempt's response. From here on the request is tied to the attempt.
+    /// Forwards a chunk of an attempt's response. The request cannot switch to another attempt from here on.
     pub fn forward_chunk(&mut self, key: AttemptKey, chunk: ResponseChunk) {
         self.record_progress(key, Progress::ResponseStarted);
         let request = self.requests.get_mut(&key.request);
@@ -35,7 +35,7 @@
         self.record_end(now, key, Outcome::Ok);
     }
 
-    /// Records that the client has left: no answer is owed. What is in flight still counts until it ends.
+    /// Records that the client has disconnected. It gets no answer, but an attempt in flight is tracked until it ends.
     pub fn client_left(&mut self, now: Micros, id: RequestId) {
         if self.close(id) {
             self.counters.clients_left += 1;
@@ -44,18 +44,16 @@
         }
     }
 
-    /// Gives the final answer that nothing was served, and that the client may retry after this time.
+    /// Gives the final answer that the request was rejected and may be retried after this time.
     pub(crate) fn reject(&mut self, id: RequestId, retry_after: Micros) {
         let request = self.requests.get(&id);
-        // A rejection promises that nothing was served: with a chunk forwarded it would be untrue.
+        // A rejection states that nothing was served, which would be wrong after a forwarded chunk.
         if request.is_some_and(|r| r.forwarded_attempt.is_some()) {
             return self.fail(id);
         }
         let error_text = request.and_then(|r| r.error_text.clone());
-        // Where the settings allow no Retry-After, or none that long, clients would not heed it.
-        let retry_after = self
-            .max_retry_after
-            .map_or(0, |longest| retry_after.min(longest));
+        // Clients ignore a Retry-After where the settings allow none, or one above the allowed maximum.
+        let retry_after = self.max_retry_after.map_or(0, |max| retry_after.min(max));
         if self.close(id) {
             self.counters.answers_rejected += 1;
             self.commands
@@ -64,7 +62,7 @@
         self.drop_if_settled(id);
     }
 
-    /// Fails a request with this text in place of an engine's.
+    /// Fails a request with this error text instead of an engine's.
     pub(crate) fn fail_with(&mut self, id: RequestId, error_text: Option<Rc<str>>) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.error_text = error_text;
@@ -72,15 +70,15 @@
         self.fail(id);
     }
 
-    /// Gives the final answer that a request failed; where a response has begun, that it can't be finished.
+    /// Gives the final answer that the request failed or, if chunks have been forwarded, that the response is aborted.
     pub(crate) fn fail(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else {
             return;
         };
-        let has_begun = request.forwarded_attempt.is_some();
+        let has_started = request.forwarded_attempt.is_some();
         let error_text = request.error_text.clone();
         if self.close(id) {
-            if has_begun {
+            if has_started {
                 self.counters.answers_aborted += 1;
                 self.commands.push_back(Command::Abort(id, error_text));
             } else {
@@ -91,7 +89,8 @@
         self.drop_if_settled(id);
     }
 
-    /// Fails a request at the last moment: the scheduler should have had it answered before.
+    /// Fails a request that is still open shortly before its deadline. This is a safeguard: the scheduler should have answered it
+    /// earlier.
     pub(crate) fn fail_overdue(&mut self, now: Micros, id: RequestId) {
         if self.requests.get(&id).is_some_and(|r| !r.is_closed) {
             self.counters.answers_overdue += 1;
@@ -100,8 +99,8 @@
         }
     }
 
-    /// Answers each open request now: the process ends, or is killed, before they could all be served. A rejection where it never
-    /// ran or may run again, so that its client tries elsewhere; else a failure.
+    /// Answers all open requests now, because the process exits or is killed before they could be served. Requests that never ran
+    /// or may run again are rejected, so that their clients retry elsewhere; others fail.
     pub fn answer_all_requests(&mut self, now: Micros) {
         let open = self.requests.iter().filter(|(_, r)| !r.is_closed);
         let open: Vec<RequestId> = open.map(|(id, _)| *id).collect();
@@ -124,7 +123,7 @@
         self.notify_scheduler(now, Event::ClientLeft(id.query()));
     }
 
-    /// Closes a request; false if it was closed before. Whoever closes it gives the one final answer.
+    /// Closes a request. Returns false if it was already closed; otherwise the caller has to give the final answer.
     pub(crate) fn close(&mut self, id: RequestId) -> bool {
         let request = self.requests.get_mut(&id);
         let Some(request) = request.filter(|r| !r.is_closed) else {
@@ -138,7 +137,7 @@
         true
     }
 
-    /// Forgets a request that is settled, and tells its frontend.
+    /// Drops a request that is settled and notifies its frontend.
     pub(crate) fn drop_if_settled(&mut self, id: RequestId) {
         if !self.requests.get(&id).is_some_and(Request::is_settled) {
             return;
@@ -150,15 +149,17 @@
         if ticket == 0 {
             return;
         }
-        // Before its own answer: the client's next request, which that lets come, may need what this one held.
+        // The notification precedes the final answer, because the client's next request may follow that answer at once and need
+        // a resource, such as the session, that this request held.
         let answer = self.commands.iter().position(|c| c.is_answer_to(id));
         let at = answer.unwrap_or(self.commands.len());
         self.commands
-            .insert(at, Command::Settled(ticket, request.fate()));
+            .insert(at, Command::Settled(ticket, request.settled_outcome()));
     }
 }
 
-/// Whether an attempt may have run by now. Of what waits for its connection nothing is written once the request is closed.
+/// Whether an attempt may have run. An attempt that still waits for its connection has not, since nothing is written for a closed
+/// request.
 fn may_have_run(attempt: &Attempt) -> bool {
     match attempt.outcome {
         Some(outcome) => !outcome.never_ran(),
--- a/crates/core/src/routing.rs
+++ b/crates/core/src/routing.rs
@@ -1,4 +1,4 @@
-//! Stage 3, routing: the scheduler's actions become attempts, answers, timers and probes.
+//! Stage 3, routing: turns the scheduler's actions into attempts, answers, timers and probes.
 
 use crate::attempt::{Attempt, Cause};
 use crate::request::{attempt_number, AttemptKey, RequestId};
@@ -8,7 +8,7 @@
 use std::collections::VecDeque;
 
 impl Core {
-    /// Notifies the scheduler, and executes what it asks for.
+    /// Notifies the scheduler of an event and executes the resulting actions.
     pub(crate) fn notify_scheduler(&mut self, now: Micros, event: Event<'_>) {
         let mut actions = Vec::new();
         self.controller.handle(now, event, &mut actions);
@@ -26,8 +26,8 @@
                     timeout,
                 } => {
                     let sent = self.start_attempt(now, RequestId(query.0), engine, timeout);
-                    if let Err(NeverSent(ended)) = sent {
-                        actions.extend(self.notify_never_sent(now, ended));
+                    if let Err(NotStarted(ended)) = sent {
+                        actions.extend(self.notify_not_started(now, ended));
                     }
                 }
                 Action::Reject { query, retry_after } => {
@@ -39,7 +39,7 @@
                 }
                 Action::Probe(engine) => self.start_probe(now, engine),
                 Action::Log(line) => self.commands.push_back(Command::Log(line)),
-                // No wire here has a place for priorities.
+                // The priority is ignored, because no supported engine protocol can carry it.
                 Action::SetResources {
                     query, memory_mb, ..
                 } => self.set_grant(RequestId(query.0), memory_mb),
@@ -47,18 +47,18 @@
                     request: RequestId(query.0),
                     number: attempt,
                 }),
-                // Coordinators share nothing, and lists are pushed: the settings keep the scheduler from polling.
+                // Never issued with these settings: coordinators exchange no gossip, and engine lists are pushed rather than polled.
                 Action::SendGossip { .. } | Action::WatchEngines => {}
             }
         }
-        // The scheduler learns of their ends as of an event of its own, after all that it asked for at once.
+        // Each cancellation notifies the scheduler of the attempt's end, so all other actions of this event are executed first.
         for key in cancelled {
             self.cancel_attempt(now, key);
         }
     }
 
-    /// Notifies the scheduler of the end of an attempt that it counts, but that was never sent; what it asks for then.
-    fn notify_never_sent(&mut self, now: Micros, ended: AttemptEnded<'static>) -> Vec<Action> {
+    /// Notifies the scheduler of the end of an attempt that it requested but that was not started; returns the resulting actions.
+    fn notify_not_started(&mut self, now: Micros, ended: AttemptEnded<'static>) -> Vec<Action> {
         self.counters.record_attempt_end(ended.outcome);
         let mut actions = Vec::new();
         let event = Event::AttemptEnded(ended);
@@ -66,21 +66,21 @@
         actions
     }
 
-    /// Sets the memory that a request's next attempts are granted.
+    /// Sets the memory grant of a request's next attempts.
     fn set_grant(&mut self, id: RequestId, grant_mb: f64) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.grant_mb = grant_mb;
         }
     }
 
-    /// Starts an attempt, unless something has come first.
+    /// Starts an attempt, unless the request is closed, its response is being forwarded, or another attempt is in flight.
     fn start_attempt(
         &mut self,
         now: Micros,
         id: RequestId,
         engine: EngineId,
         timeout: Micros,
-    ) -> Result<(), NeverSent> {
+    ) -> Result<(), NotStarted> {
         let Some(request) = self.requests.get_mut(&id) else {
             return Ok(());
         };
@@ -89,15 +89,15 @@
             request: id,
             number,
         };
-        let is_barred = request.is_closed
+        let is_superseded = request.is_closed
             || request.forwarded_attempt.is_some()
             || request.in_flight().is_some();
         let timeout_at = now.saturating_add(timeout).min(request.deadline);
         let mut attempt = Attempt::new(engine, now, timeout_at, request.grant_mb);
-        if is_barred {
+        if is_superseded {
             attempt.outcome = Some(Outcome::Superseded);
             request.attempts.push(attempt);
-            return Err(NeverSent(superseded(key)));
+            return Err(NotStarted(superseded(key)));
         }
         request.attempts.push(attempt);
         self.counters.attempts_sent += 1;
@@ -107,8 +107,8 @@
         Ok(())
     }
 
-    /// The scheduler waits no longer for an attempt: its engine is notified, and the attempt ends here at once. A response that
-    /// crosses the notice finds nobody.
+    /// Cancels an attempt for the scheduler and notifies its engine. The attempt is abandoned at once, so a response that arrives
+    /// later is discarded.
     fn cancel_attempt(&mut self, now: Micros, key: AttemptKey) {
         let attempt = self.in_flight(key).filter(|a| a.abandoned_for.is_none());
         let Some(engine) = attempt.map(|a| a.engine) else {
@@ -125,8 +125,8 @@
     }
 }
 
-/// An attempt that was over before it began, and what the scheduler is told of that.
-struct NeverSent(AttemptEnded<'static>);
+/// The end of an attempt that could not be started, as the scheduler is notified of it.
+struct NotStarted(AttemptEnded<'static>);
 
 fn superseded(key: AttemptKey) -> AttemptEnded<'static> {
     AttemptEnded {
--- a/crates/core/src/timers.rs
+++ b/crates/core/src/timers.rs
@@ -1,26 +1,26 @@
-//! Timers: what is due when. The host asks for the next time, and calls when it has come.
+//! Timers. The host queries when the next timer is due and calls [`Core::fire_timers`] at that time.
 
 use crate::request::{AttemptKey, RequestId};
 use crate::Core;
 use driftfront_scheduler::{Event, Micros, Outcome};
 use std::cmp::Reverse;
 
-/// What a timer is for.
+/// The purpose of a timer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Timer {
-    /// The scheduler asked for it, with this token.
+    /// Set by the scheduler, with this token.
     Scheduler(u64),
     /// An attempt times out.
     Attempt(AttemptKey),
-    /// The engine of an abandoned attempt knows of that by now.
+    /// The engine of an abandoned attempt has been notified by now.
     Abandoned(AttemptKey),
-    /// A request has to have its final answer.
+    /// Latest time for a request's final answer.
     Answer(RequestId),
-    /// The probe of this tag has failed.
+    /// The probe with this tag times out.
     Probe(u64),
 }
 
-/// A timer that is set; ordered by time, then by the order in which they were set.
+/// A scheduled timer. Timers are ordered by time, then by the order in which they were set.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct ScheduledTimer {
     at: Micros,
@@ -29,12 +29,12 @@
 }
 
 impl Core {
-    /// When [`Core::fire_timers`] is due next.
+    /// The time of the next timer, at which [`Core::fire_timers`] has to be called.
     pub fn next_due(&self) -> Option<Micros> {
         self.timers.peek().map(|Reverse(next)| next.at)
     }
 
-    /// Fires all timers that should have fired by now.
+    /// Fires all timers that are due.
     pub fn fire_timers(&mut self, now: Micros) {
         while self.next_due().is_some_and(|at| at <= now) {
             let Some(Reverse(next)) = self.timers.pop() else {
@@ -51,7 +51,7 @@
         self.end_lost_attempts(now);
     }
 
-    /// Sets a timer. Those of one time fire in the order in which they were set.
+    /// Sets a timer. Timers for the same time fire in the order in which they were set.
     pub(crate) fn set_timer(&mut self, at: Micros, timer: Timer) {
         let order = self.next_number();
         self.timers
