--- a/crates/core/src/lifecycle.rs
+++ b/crates/core/src/lifecycle.rs
@@ -1,67 +1,71 @@
-//! Whether this process serves, and what becomes of its clients' connections: one unit that `/alive`, STATUS, frontends
-//! and signals all ask. It knows no clock and does no I/O: time is an argument, and the host tells what happened.
+//! The lifecycle of the process: whether it is ready, accepts connections and requests, and may exit. `/alive`, STATUS, frontends
+//! and signal handling all use this state. It reads no clock and does no I/O: the host passes in the time and reports events.
 //!
 //! ```text
 //! starting ──► ready ◄──► draining ──► drained       PAUSE, RESUME
 //!                │            │           │
-//!                └────────────┴───────────┴──► handing over      a successor says that it is ready
-//!                                                    │ ▲ it is gone again: back
+//!                └────────────┴───────────┴──► handing over      a successor becomes ready
+//!                                                    │ ▲ the successor disappears
 //! any ──────────────────────────────────────────► ending         SIGTERM
 //! ```
 //!
-//! | state | new connections | requests | ends when |
+//! | state | new connections | requests | until |
 //! | --- | --- | --- | --- |
 //! | starting | accepted, unless an earlier process still serves | accepted | the list of engines is known |
 //! | ready | accepted | accepted | |
-//! | draining, drained | accepted | accepted; each answer closes its connection | an operator resumes it |
+//! | draining, drained | accepted | accepted; each answer closes its connection | an operator resumes the process |
 //! | handing over | left to the successor | as draining | SIGTERM, or the successor is gone |
-//! | ending | left to the next process, or accepted until [`SHUTDOWN_GRACE`] is over | the same | all is answered |
+//! | ending | left to the next process, or accepted for [`SHUTDOWN_GRACE`] | same as new connections | all requests are answered |
 
 use driftfront_scheduler::Micros;
 
-/// For so long after this process has said that it is not ready nothing is closed: the load balancer asks ten times a second and
-/// stops new connections 0.2 s after a no; until then a client that is closed would only come back here.
+/// Time after the process has become not ready during which no connection is closed. The load balancer polls readiness ten times a
+/// second and stops new connections 0.2 s after a negative answer; until then, a disconnected client would reconnect to this
+/// process.
 pub const READINESS_POLL_TIME: Micros = 300_000;
-/// A connection that was idle for this long is not in the middle of anything: it closes first.
+/// Idle time after which a connection is closed first in a drain, because its client is unlikely to be between two requests.
 const MIN_IDLE_TIME: Micros = 300_000;
-/// From here on none stays open while idle. A request that comes later than 2 s after the no would still be open when the drain
-/// is checked after 4 s; this leaves time for what crosses a close.
+/// Time after the start of a drain or hand-over from which all idle connections are closed. A request that arrives more than 2 s
+/// after the process became not ready would still be open when the drain is checked after 4 s; the difference allows for requests
+/// that are already on their way when their connection is closed.
 const MAX_IDLE_AFTER_DRAIN: Micros = 1_500_000;
-/// After SIGTERM new connections come for 0.4 s and requests on open ones for 0.2 s more. What is read later than this may be
-/// owed an answer still when SIGKILL comes, so it is rejected at once, and idle connections close.
+/// After SIGTERM, new connections arrive for 0.4 s and requests on open connections for another 0.2 s. A request read later than
+/// this might still be unanswered at SIGKILL, so it is rejected at once, and idle connections are closed.
 pub const SHUTDOWN_GRACE: Micros = 700_000;
-/// The process listens for so long after SIGTERM: the grace, and spare for what is on its way.
+/// Time after SIGTERM for which the process listens: [`SHUTDOWN_GRACE`] plus a reserve for connections being established.
 pub const LISTEN_TIME_AFTER_SIGNAL: Micros = 800_000;
-/// Clients have so long to close their side after our last answer: a connection that ends with the process while bytes come on it
-/// is reset, and what the client has not read yet goes with that.
+/// Time for clients to close their connections after the last answer. If the process exits while a client still sends, the
+/// connection is reset, and the client loses the part of the response that it has not read.
 const LAST_CLOSE_TIME: Micros = 250_000;
-/// SIGKILL comes this long after SIGTERM in an upgrade, or sooner where no deadline is that long; and the margin later.
+/// In an upgrade, SIGKILL follows SIGTERM after this time, or after the longest client timeout if that is shorter, plus
+/// [`KILL_MARGIN`].
 const UPGRADE_KILL_TIME: Micros = 5_000_000;
-/// The same at a planned restart, on a platform that kills.
+/// The same for a planned restart, on a platform that sends SIGKILL.
 const RESTART_KILL_TIME: Micros = 3_000_000;
+/// Added by the platform to the time before SIGKILL.
 const KILL_MARGIN: Micros = 700_000;
-/// The last answers go out so much before the kill.
+/// The last answers are sent at least this long before SIGKILL.
 const ANSWER_BEFORE_KILL: Micros = 300_000;
 
-/// What this process is doing.
+/// The state of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    /// No list of engines yet, or what an earlier process knows is not taken over yet.
+    /// The list of engines is not known yet, or the state of an earlier process has not been taken over yet.
     Starting,
-    /// It serves.
+    /// Serving.
     Ready,
-    /// An operator has paused it: clients are asked to go elsewhere.
+    /// Paused by an operator; clients are asked to connect elsewhere.
     Draining,
-    /// Paused, and no client is left.
+    /// Paused, with no clients left.
     Drained,
-    /// A successor serves at the same address; what was accepted here is answered.
+    /// A successor serves at the same address; requests accepted here are still answered.
     HandingOver,
-    /// A signal has asked for the end.
+    /// A signal has requested the shutdown.
     ShuttingDown,
 }
 
 impl State {
-    /// Its name, as operators see it.
+    /// The state's name, as shown to operators.
     pub fn name(self) -> &'static str {
         match self {
             State::Starting => "starting",
@@ -74,49 +78,58 @@
     }
 }
 
-/// The life of one process.
+/// The lifecycle of one process.
 #[derive(Clone, Debug)]
 pub struct Lifecycle {
-    has_begun: bool,
-    /// An earlier process serves at this address until this one is ready.
+    has_been_ready: bool,
+    /// Whether an earlier process serves at this address until this one is ready.
     replaces_earlier: bool,
-    /// Somebody else holds the listening socket, too: what is left in its backlog waits for the next process.
+    /// Whether another process also holds the listening socket, so that connections left in its backlog wait for the next
+    /// coordinator.
     shares_listener: bool,
     paused_at: Option<Micros>,
-    /// No client was left at the last check since it was paused.
+    /// Whether no client was connected at a check since the process was paused.
     is_empty: bool,
     successor_at: Option<Micros>,
-    ending_at: Option<Micros>,
-    /// When all was answered after the signal.
+    shutdown_at: Option<Micros>,
+    /// When all requests had been answered after the signal.
     answered_at: Option<Micros>,
-    /// The longest time that a client waits, for the time of SIGKILL.
+    /// The longest client timeout, which limits the time before SIGKILL.
     max_client_timeout: Micros,
-    /// SIGKILL follows SIGTERM at a planned restart, too.
+    /// Whether SIGKILL follows SIGTERM also in a planned restart.
     is_killed_at_restart: bool,
 }
 
 impl Lifecycle {
-    /// A process that starts. `succeeds`: another one serves meanwhile at its address. `held`: its listening socket is held
-    /// by somebody else, too. `longest`: the longest deadline. `killed`: whoever sends SIGTERM sends SIGKILL after it, by the
-    /// platform's rules.
-    pub fn new(succeeds: bool, held: bool, longest: Micros, killed: bool) -> Lifecycle {
+    /// Creates the lifecycle of a process that starts.
+    ///
+    /// - `replaces_earlier`: an earlier process serves at this address until this one is ready.
+    /// - `shares_listener`: another process also holds the listening socket.
+    /// - `max_client_timeout`: the longest client timeout.
+    /// - `is_killed_at_restart`: by the platform's rules, SIGKILL follows SIGTERM also in a planned restart.
+    pub fn new(
+        replaces_earlier: bool,
+        shares_listener: bool,
+        max_client_timeout: Micros,
+        is_killed_at_restart: bool,
+    ) -> Lifecycle {
         Lifecycle {
-            has_begun: false,
-            replaces_earlier: succeeds,
-            shares_listener: held,
+            has_been_ready: false,
+            replaces_earlier,
+            shares_listener,
             paused_at: None,
             is_empty: false,
             successor_at: None,
-            ending_at: None,
+            shutdown_at: None,
             answered_at: None,
-            max_client_timeout: longest,
-            is_killed_at_restart: killed,
+            max_client_timeout,
+            is_killed_at_restart,
         }
     }
 
-    /// What it is doing.
+    /// The current state.
     pub fn state(&self) -> State {
-        if self.ending_at.is_some() {
+        if self.shutdown_at.is_some() {
             State::ShuttingDown
         } else if self.successor_at.is_some() {
             State::HandingOver
@@ -124,111 +137,111 @@
             State::Drained
         } else if self.paused_at.is_some() {
             State::Draining
-        } else if self.has_begun {
+        } else if self.has_been_ready {
             State::Ready
         } else {
             State::Starting
         }
     }
 
-    /// Records that the list of engines is known and what an earlier process knew is taken over. True if that is news.
+    /// Records that the list of engines is known and an earlier process's state has been taken over. Returns true the first time.
     pub fn record_ready(&mut self) -> bool {
-        !std::mem::replace(&mut self.has_begun, true)
+        !std::mem::replace(&mut self.has_been_ready, true)
     }
 
-    /// Whether it has ever been ready.
+    /// Whether the process has ever been ready.
     pub fn has_been_ready(&self) -> bool {
-        self.has_begun
+        self.has_been_ready
     }
 
-    /// Whether it takes the place of an earlier process.
+    /// Whether the process replaces an earlier one.
     pub fn replaces_earlier(&self) -> bool {
         self.replaces_earlier
     }
 
-    /// Whether a later process serves.
+    /// Whether a successor is ready.
     pub fn has_successor(&self) -> bool {
         self.successor_at.is_some()
     }
 
-    /// Whether it says that it is ready to serve.
+    /// Whether the process reports that it is ready.
     pub fn is_ready(&self) -> bool {
         self.state() == State::Ready
     }
 
-    /// Records that an operator pauses it; true if that is news.
+    /// Pauses the process for an operator. Returns whether it was not paused before.
     pub fn pause(&mut self, now: Micros) -> bool {
-        let is_news = self.paused_at.is_none();
-        self.is_empty &= !is_news;
+        let has_changed = self.paused_at.is_none();
+        self.is_empty &= !has_changed;
         self.paused_at.get_or_insert(now);
-        is_news
+        has_changed
     }
 
-    /// Records that an operator resumes it; true if that is news.
+    /// Resumes the process for an operator. Returns whether it was paused before.
     pub fn resume(&mut self) -> bool {
         self.is_empty = false;
         self.paused_at.take().is_some()
     }
 
-    /// Records whether a successor is ready, at each check. True if that has changed.
-    pub fn record_successor(&mut self, now: Micros, by_one: bool) -> bool {
-        if by_one == self.successor_at.is_some() {
+    /// Records at each check whether a successor is ready. Returns whether that has changed.
+    pub fn record_successor(&mut self, now: Micros, is_ready: bool) -> bool {
+        if is_ready == self.successor_at.is_some() {
             return false;
         }
-        // A successor that is gone may have left nobody else: this process takes its place again.
-        self.successor_at = by_one.then_some(now);
+        // If the successor disappears, this process serves again, as there may be no other.
+        self.successor_at = is_ready.then_some(now);
         true
     }
 
-    /// Records that a signal asks for the end.
+    /// Records that a signal has requested the shutdown.
     pub fn begin_shutdown(&mut self, now: Micros) {
-        self.ending_at.get_or_insert(now);
+        self.shutdown_at.get_or_insert(now);
     }
 
-    /// Records how many connections clients have, at each check. True if the last of them has left a paused process.
+    /// Records at each check the number of client connections. Returns true once the last one to a paused process has closed.
     pub fn record_clients(&mut self, clients: usize) -> bool {
-        let is_news = self.paused_at.is_some() && clients == 0 && !self.is_empty;
-        self.is_empty |= is_news;
-        is_news
+        let has_drained = self.paused_at.is_some() && clients == 0 && !self.is_empty;
+        self.is_empty |= has_drained;
+        has_drained
     }
 
-    /// Since when new connections are another process's: a successor's or, after the signal, the next one's.
+    /// Since when new connections are left to another process: a ready successor or, after the signal, the next process.
     fn replaced_at(&self) -> Option<Micros> {
-        let after_signal = self.ending_at.filter(|_| self.shares_listener);
+        let after_signal = self.shutdown_at.filter(|_| self.shares_listener);
         self.successor_at.into_iter().chain(after_signal).min()
     }
 
-    /// From when on nothing more is accepted: no successor or holder of its socket takes what comes, and the grace is over.
+    /// When the process stops accepting requests after the signal; `None` before the signal, or if another process accepts them.
     fn grace_ends_at(&self) -> Option<Micros> {
-        let ending_alone = self.ending_at.filter(|_| self.replaced_at().is_none());
-        ending_alone.map(|at| at + SHUTDOWN_GRACE)
+        let unreplaced = self.shutdown_at.filter(|_| self.replaced_at().is_none());
+        unreplaced.map(|at| at + SHUTDOWN_GRACE)
     }
 
-    /// Whether new connections are accepted from the backlog. A successor that is not ready yet leaves them to the earlier
-    /// process, and that one leaves them to its successor: the backlog is the same. A drained process still accepts what
-    /// comes: it is asked here whether it is ready, and who comes all the same is served.
+    /// Whether new connections are accepted from the backlog, which is shared with an earlier process or a successor: a successor
+    /// leaves them to the earlier process until it is ready, and from then on the earlier process leaves them to the successor. A
+    /// drained process still accepts connections, since readiness checks arrive on them too, and serves any request.
     pub fn accepts_connections(&self) -> bool {
-        self.replaced_at().is_none() && (self.has_begun || !self.replaces_earlier)
+        self.replaced_at().is_none() && (self.has_been_ready || !self.replaces_earlier)
     }
 
-    /// Whether the listening socket stays open. Once nothing more is accepted, who connects is better told by the system
-    /// that nobody is here.
+    /// Whether the listening socket stays open. Once no more requests are accepted, it is closed so that the operating system
+    /// refuses new connections.
     pub fn is_listening(&self, now: Micros) -> bool {
         let is_early = |at| now < at + LISTEN_TIME_AFTER_SIGNAL;
-        self.grace_ends_at().is_none() || self.ending_at.is_some_and(is_early)
+        self.grace_ends_at().is_none() || self.shutdown_at.is_some_and(is_early)
     }
 
-    /// Whether a request that is read now is accepted; else it is rejected at once.
+    /// Whether a request that is read now is accepted; otherwise it is rejected at once.
     pub fn accepts_requests(&self, now: Micros) -> bool {
         self.grace_ends_at().is_none_or(|at| now < at)
     }
 
-    /// Whether each answer tells its client that the connection closes.
+    /// Whether each answer announces that the connection will be closed.
     pub fn closes_connections(&self, now: Micros) -> bool {
         self.replaced_at().is_some() || self.paused_at.is_some() || !self.accepts_requests(now)
     }
 
-    /// Whether a connection may stay on which nothing was open for this long.
+    /// Whether a connection that has been idle for this long may stay open.
     pub fn may_keep_alive(&self, now: Micros, idle: Micros) -> bool {
         if !self.accepts_requests(now) {
             return false;
@@ -240,17 +253,24 @@
         age < READINESS_POLL_TIME || age < MAX_IDLE_AFTER_DRAIN && idle < MIN_IDLE_TIME
     }
 
-    /// Whether the process may end, at each check, with so many requests and clients' connections open.
-    pub fn may_exit(&mut self, now: Micros, open: usize, clients: usize, writing: bool) -> bool {
-        let Some(ending_at) = self.ending_at else {
+    /// Whether the process may exit, determined at each check from the number of open requests, the number of client connections
+    /// and whether any answer is still being written.
+    pub fn may_exit(
+        &mut self,
+        now: Micros,
+        open_requests: usize,
+        clients: usize,
+        is_writing: bool,
+    ) -> bool {
+        let Some(shutdown_at) = self.shutdown_at else {
             return false;
         };
-        let is_answered = open == 0 && !writing;
+        let is_answered = open_requests == 0 && !is_writing;
         if self.replaced_at().is_some() {
-            // New connections are the successor's; those that are left here close in order.
+            // New connections go to the successor, so the remaining ones can be closed in an orderly way.
             return is_answered && clients == 0;
         }
-        if !is_answered || now < ending_at + LISTEN_TIME_AFTER_SIGNAL {
+        if !is_answered || now < shutdown_at + LISTEN_TIME_AFTER_SIGNAL {
             self.answered_at = None;
             return false;
         }
@@ -258,13 +278,13 @@
         clients == 0 || now >= answered_at + LAST_CLOSE_TIME
     }
 
-    /// Whether all was answered after the signal, and only connections keep the process, for a moment.
+    /// Whether all requests have been answered after the signal, and the process only waits briefly for connections to close.
     pub fn is_closing_last_connections(&self) -> bool {
         self.answered_at.is_some()
     }
 
-    /// When all that is still open has to be answered, since the process may be killed soon after: what hangs at an engine
-    /// until then would end with a reset. `None` where nobody kills it.
+    /// When all open requests have to be answered, because SIGKILL may follow soon after and would reset their connections; `None`
+    /// if the process is not killed.
     pub fn shutdown_deadline(&self) -> Option<Micros> {
         let kill_time = if self.replaced_at().is_some() {
             UPGRADE_KILL_TIME
@@ -274,6 +294,6 @@
             return None;
         };
         let answer_time = self.max_client_timeout.min(kill_time) + KILL_MARGIN - ANSWER_BEFORE_KILL;
-        self.ending_at.map(|at| at + answer_time)
+        self.shutdown_at.map(|at| at + answer_time)
     }
 }
