--- a/crates/core/tests/idempotency.rs
+++ b/crates/core/tests/idempotency.rs
@@ -1,5 +1,5 @@
-//! What a second deployment's settings bring: keyed classes, memory grants, attempts that may be called off, and
-//! engines that tell what a query cost.
+//! Tests with optional features enabled: classes with idempotency keys, memory grants, cancellation of attempts, and engines
+//! that report a query's cost.
 
 use driftfront_core::{
     AttemptKey, Cause, Command, Core, Limits, ListKind, ListedEngine, Outcome, ParsedRequest,
@@ -20,17 +20,17 @@
 #[derive(Default)]
 struct StepOutcome {
     sent: Vec<AttemptKey>,
-    left: Vec<AttemptKey>,
-    refused: usize,
+    abandoned: Vec<AttemptKey>,
+    rejected: usize,
     failed: usize,
 }
 
 impl CoreHarness {
     fn new(engines: u64) -> CoreHarness {
-        CoreHarness::limited(engines, LIMITS)
+        CoreHarness::with_limits(engines, LIMITS)
     }
 
-    fn limited(engines: u64, limits: Limits) -> CoreHarness {
+    fn with_limits(engines: u64, limits: Limits) -> CoreHarness {
         let settings = settings(|text| {
             text.replace(
                 "\"single_shot\"",
@@ -47,10 +47,10 @@
             now: 1000 * S,
             last_name: 0,
         };
-        let lines: Vec<ListedEngine> = (1..=engines).map(|n| listed(n, Phase::Ready)).collect();
+        let list: Vec<ListedEngine> = (1..=engines).map(|n| listed(n, Phase::Ready)).collect();
         harness
             .core
-            .update_engines(harness.now, ListKind::Full, &lines);
+            .update_engines(harness.now, ListKind::Full, &list);
         harness.commands();
         harness
     }
@@ -65,9 +65,9 @@
                     self.core.record_progress(key, Progress::FullyWritten);
                     step.sent.push(key);
                 }
-                Command::AbandonAttempt(key, _) => step.left.push(key),
+                Command::AbandonAttempt(key, _) => step.abandoned.push(key),
                 Command::Probe(_, tag) => self.core.record_probe(self.now, tag, Outcome::Ok, &[]),
-                Command::Reject(..) => step.refused += 1,
+                Command::Reject(..) => step.rejected += 1,
                 Command::Fail(..) => step.failed += 1,
                 _ => {}
             }
@@ -75,7 +75,7 @@
         step
     }
 
-    fn send_request(&mut self, class: u16, token: Option<&str>) -> (RequestId, StepOutcome) {
+    fn send_request(&mut self, class: u16, key: Option<&str>) -> (RequestId, StepOutcome) {
         self.last_name += 1;
         let parsed = ParsedRequest {
             name: format!("c{}", self.last_name).into(),
@@ -83,7 +83,7 @@
             client_timeout: 20 * S,
             work: Some(if class == LOAD { 8e6 } else { 100_000.0 }),
             memory_mb: Some(96.0),
-            idempotency_key: token.map(Rc::from),
+            idempotency_key: key.map(Rc::from),
             statement: Rc::from(*b"x"),
             ..ParsedRequest::default()
         };
@@ -91,23 +91,23 @@
         (id, self.commands())
     }
 
-    fn wait(&mut self, span: u64) -> StepOutcome {
-        let until = self.now + span;
+    fn wait(&mut self, time: u64) -> StepOutcome {
+        let until = self.now + time;
         let mut all = StepOutcome::default();
         while let Some(due) = self.core.next_due().filter(|&due| due <= until) {
             self.now = self.now.max(due);
             self.core.fire_timers(self.now);
             let step = self.commands();
             all.sent.extend(step.sent);
-            all.left.extend(step.left);
-            all.refused += step.refused;
+            all.abandoned.extend(step.abandoned);
+            all.rejected += step.rejected;
             all.failed += step.failed;
         }
         self.now = until;
         all
     }
 
-    fn lose(&mut self, key: AttemptKey) -> StepOutcome {
+    fn reset_connection(&mut self, key: AttemptKey) -> StepOutcome {
         self.core
             .attempt_failed(self.now, key, Cause::Connection("reset".into()));
         self.commands()
@@ -116,15 +116,15 @@
 
 #[test]
 fn keyed_load_is_retried_only_with_its_key() {
-    for (token, again) in [(Some("5c0f6e1a"), true), (None, false)] {
+    for (key, is_retried) in [(Some("5c0f6e1a"), true), (None, false)] {
         let mut harness = CoreHarness::new(2);
-        let first = harness.send_request(LOAD, token).1.sent[0];
+        let first = harness.send_request(LOAD, key).1.sent[0];
         harness.wait(S);
-        let step = harness.lose(first);
+        let step = harness.reset_connection(first);
         assert_eq!(
             (step.sent.len(), step.failed),
-            (usize::from(again), usize::from(!again)),
-            "{token:?}"
+            (usize::from(is_retried), usize::from(!is_retried)),
+            "{key:?}"
         );
     }
 }
@@ -134,15 +134,15 @@
     let mut harness = CoreHarness::new(2);
     let first = harness.send_request(LOAD, Some("5c0f6e1a")).1.sent[0];
     harness.wait(12 * S);
-    let step = harness.lose(first);
+    let step = harness.reset_connection(first);
     assert!(step.sent.is_empty());
-    assert_eq!(step.refused + step.failed, 1);
+    assert_eq!(step.rejected + step.failed, 1);
 }
 
 #[test]
-fn cancelled_attempt_is_retried_once_its_engine_can_know() {
+fn cancelled_attempt_is_retried_after_its_engine_is_notified() {
     let mut harness = CoreHarness::new(2);
-    // The class's usual run is learnt first, so that one that overruns can be told.
+    // The scheduler learns the class's usual run time first, so that it can detect an attempt that exceeds it.
     for _ in 0..8 {
         let key = harness.send_request(LOOKUP, None).1.sent[0];
         harness.wait(20 * MS);
@@ -150,29 +150,29 @@
         harness.commands();
     }
     let first = harness.send_request(LOOKUP, None).1.sent[0];
-    let mut left = Vec::new();
+    let mut abandoned = Vec::new();
     for _ in 0..200 {
         let step = harness.wait(10 * MS);
-        left.extend(step.left);
-        if !left.is_empty() {
+        abandoned.extend(step.abandoned);
+        if !abandoned.is_empty() {
             assert!(
                 step.sent.is_empty(),
-                "sent in the same moment as the notice that ends the one before"
+                "retried at the same time as the previous attempt is cancelled"
             );
             break;
         }
     }
-    assert_eq!(left, [first]);
+    assert_eq!(abandoned, [first]);
     assert!(harness.core.is_in_flight(first));
     assert!(harness.wait(25 * MS).sent.is_empty());
-    let again = harness.wait(50 * MS).sent;
-    assert_eq!((again.len(), again[0].request), (1, first.request));
+    let retries = harness.wait(50 * MS).sent;
+    assert_eq!((retries.len(), retries[0].request), (1, first.request));
     assert!(!harness.core.is_in_flight(first));
     assert_eq!(harness.core.counters().attempts_cancelled, 1);
 }
 
 #[test]
-fn attempt_on_a_connection_we_closed_is_retried_as_late() {
+fn attempt_on_a_locally_closed_connection_is_retried_after_the_same_delay() {
     let mut harness = CoreHarness::new(2);
     let first = harness.send_request(LOOKUP, None).1.sent[0];
     harness
@@ -180,9 +180,9 @@
         .attempt_failed(harness.now, first, Cause::Closed("nonsense".into()));
     assert!(harness.commands().sent.is_empty() && harness.wait(30 * MS).sent.is_empty());
     assert_eq!(harness.wait(20 * MS).sent.len(), 1);
-    // What the engine's side ended needs no such wait.
+    // An attempt whose connection the engine closed is retried at once.
     let second = harness.send_request(LOOKUP, None).1.sent[0];
-    assert_eq!(harness.lose(second).sent.len(), 1);
+    assert_eq!(harness.reset_connection(second).sent.len(), 1);
 }
 
 #[test]
@@ -195,7 +195,7 @@
 
 #[test]
 fn key_is_retained_while_its_client_may_retry() {
-    let mut harness = CoreHarness::limited(
+    let mut harness = CoreHarness::with_limits(
         1,
         Limits {
             max_idempotency_keys: 2,
@@ -207,17 +207,17 @@
         harness.core.complete_attempt(harness.now, step.sent[0]);
         harness.commands();
     }
-    // Dropping the oldest would let its client's late retry run again: who comes beyond the room is refused instead.
+    // Evicting the oldest key would let a late retry by its client run twice, so a request with a further key is rejected.
     let (_, third) = harness.send_request(LOAD, Some("c"));
     assert_eq!(
         (
             third.sent.len(),
-            third.refused,
+            third.rejected,
             harness.core.counters().idempotency_keys_refused
         ),
         (0, 1, 1)
     );
-    // Keys that are known need no room, and what is not keyed neither.
+    // Known keys and requests without a key need no room.
     harness.wait(5 * S);
     assert_eq!(harness.send_request(LOAD, Some("a")).1.sent.len(), 1);
     assert_eq!(harness.send_request(LOOKUP, None).1.sent.len(), 1);
@@ -231,7 +231,7 @@
         ),
         (0, 1, 1)
     );
-    // Once no try of theirs can come they make room.
+    // Keys make room once no retry with them can arrive.
     harness.wait(60 * S);
     assert_eq!(harness.send_request(LOAD, Some("c")).1.sent.len(), 1);
 }
@@ -240,7 +240,7 @@
 fn key_is_new_again_once_its_first_write_never_ran() {
     let mut harness = CoreHarness::new(1);
     let (_, step) = harness.send_request(LOAD, Some("w"));
-    // The engine drains and turns away what is out; nothing goes again under the key before its client leaves.
+    // The engine drains and rejects the attempt; no other attempt is written with the key before the client disconnects.
     harness.core.update_engines(
         harness.now,
         ListKind::Changes,
@@ -254,7 +254,7 @@
     harness
         .core
         .update_engines(harness.now, ListKind::Changes, &[listed(1, Phase::Ready)]);
-    // Behind the engines' window of what never ran.
+    // Past the deduplication window of the attempt that never ran.
     harness.wait(13 * S);
     let (_, again) = harness.send_request(LOAD, Some("w"));
     assert_eq!(
--- a/crates/core/tests/lost_attempts.rs
+++ b/crates/core/tests/lost_attempts.rs
@@ -1,4 +1,4 @@
-//! Answers that are lost while their engine goes on answering others.
+//! Tests of lost attempts, whose responses do not arrive while their engine responds to others.
 
 use driftfront_core::{
     AttemptKey, Command, Core, Limits, ListKind, ParsedRequest, Phase, Progress, ProgressReport,
@@ -13,11 +13,11 @@
 }
 
 impl CoreHarness {
-    fn new(tells_each: bool) -> CoreHarness {
+    fn new(engines_report_attempts: bool) -> CoreHarness {
         let mut settings = driftfront_test_support::request_core::settings(str::to_string);
         settings.progress_interval = Some(S);
         let limits = Limits {
-            engines_report_attempts: tells_each,
+            engines_report_attempts,
             ..LIMITS
         };
         let mut harness = CoreHarness {
@@ -25,17 +25,17 @@
             now: 1000 * S,
             last_name: 0,
         };
-        let line = listed(1, Phase::Ready);
+        let engine = listed(1, Phase::Ready);
         harness
             .core
-            .update_engines(harness.now, ListKind::Full, &[line]);
+            .update_engines(harness.now, ListKind::Full, &[engine]);
         harness.commands();
         harness
     }
 
-    /// Sends and what was given up.
+    /// Executes the core's commands; returns the attempts that were sent and those that were abandoned.
     fn commands(&mut self) -> (Vec<AttemptKey>, Vec<AttemptKey>) {
-        let (mut sent, mut left) = (Vec::new(), Vec::new());
+        let (mut sent, mut abandoned) = (Vec::new(), Vec::new());
         while let Some(command) = self.core.next_command() {
             match command {
                 Command::StartAttempt(key, _) => {
@@ -43,18 +43,18 @@
                     self.core.record_progress(key, Progress::FullyWritten);
                     sent.push(key);
                 }
-                Command::AbandonAttempt(key, _) => left.push(key),
+                Command::AbandonAttempt(key, _) => abandoned.push(key),
                 _ => {}
             }
         }
-        (sent, left)
+        (sent, abandoned)
     }
 
     fn send_request(&mut self, class: u16) -> AttemptKey {
         self.last_name += 1;
-        let call = format!("c{}", self.last_name);
+        let name = format!("c{}", self.last_name);
         let parsed = ParsedRequest {
-            name: call.as_str().into(),
+            name: name.as_str().into(),
             class,
             client_timeout: 20 * S,
             statement: Rc::from(*b"x"),
@@ -69,9 +69,9 @@
         while self.now < until {
             self.now += 25_000;
             self.core.fire_timers(self.now);
-            let (sent, left) = self.commands();
+            let (sent, abandoned) = self.commands();
             all.0.extend(sent);
-            all.1.extend(left);
+            all.1.extend(abandoned);
         }
         all
     }
@@ -89,17 +89,17 @@
         .core
         .record_progress_report(harness.now, second, ProgressReport::Progress(0.1));
     assert!(harness.wait(begin + 17 * S / 10).1.is_empty());
-    let (again, left) = harness.wait(begin + 19 * S / 10);
-    assert_eq!((left, again.len()), (vec![first], 1));
-    assert_eq!((again[0].request, again[0].number), (first.request, 1));
+    let (retries, abandoned) = harness.wait(begin + 19 * S / 10);
+    assert_eq!((abandoned, retries.len()), (vec![first], 1));
+    assert_eq!((retries[0].request, retries[0].number), (first.request, 1));
     assert_eq!(harness.core.counters().attempts_lost, 1);
-    // The second was heard of since, and is let be for as long again.
+    // The second attempt was reported on meanwhile, so it is not overdue yet.
     assert!(harness.wait(begin + 27 * S / 10).1.is_empty());
 }
 
 #[test]
-fn waiting_or_non_idempotent_attempt_is_not_given_up() {
-    // Nothing was heard of a later one: it may wait for memory, of which engines say nothing.
+fn queued_or_non_idempotent_attempt_is_not_abandoned() {
+    // No later attempt was reported on, so this one may be queued for memory, which engines do not report.
     let mut harness = CoreHarness::new(true);
     let begin = harness.now;
     let first = harness.send_request(LOOKUP);
@@ -107,8 +107,9 @@
         .core
         .record_progress_report(harness.now, first, ProgressReport::Progress(0.1));
     assert!(harness.wait(begin + 4 * S).1.is_empty());
-    for (class, tells) in [(LOAD, true), (LOOKUP, false)] {
-        let mut harness = CoreHarness::new(tells);
+    // Neither a class that may not be retried nor engines that do not report on each attempt allow the detection.
+    for (class, engines_report_attempts) in [(LOAD, true), (LOOKUP, false)] {
+        let mut harness = CoreHarness::new(engines_report_attempts);
         let begin = harness.now;
         harness.send_request(class);
         harness.wait(begin + 100_000);
