--- a/crates/core/tests/golden.rs
+++ b/crates/core/tests/golden.rs
@@ -1,5 +1,5 @@
-//! What the core sends out, shows to operators and tells clients, in long seeded runs and case by case. Commands are written in
-//! this file's own fixed words, so that a rename changes nothing here.
+//! Golden tests of the core's commands, counters and texts, in long seeded runs and single cases. Commands are described with
+//! fixed words of this file, so that renaming identifiers does not change the golden files.
 #![allow(
     clippy::cast_possible_truncation,
     reason = "the numbers of these tests are small"
@@ -21,18 +21,20 @@
 const ENGINES: u64 = 4;
 
 fn describe_text(error_text: &Option<Rc<str>>) -> String {
-    error_text.as_ref().map_or("-".into(), |w| format!("{w:?}"))
+    error_text
+        .as_ref()
+        .map_or("-".into(), |text| format!("{text:?}"))
 }
 
-fn describe_fate(fate: SettledOutcome) -> String {
-    match fate {
+fn describe_outcome(outcome: SettledOutcome) -> String {
+    match outcome {
         SettledOutcome::NeverRan => "never ran".into(),
         SettledOutcome::Ran(engine, served) => format!("ran on {}, served {served}", engine.0),
         SettledOutcome::Unknown(engine) => format!("unknown on {}", engine.0),
     }
 }
 
-/// A kind and the whole command in fixed words.
+/// The command's kind and its fields, in fixed words.
 fn describe(command: &Command) -> (&'static str, String) {
     match command {
         Command::StartAttempt(key, engine) => (
@@ -44,81 +46,87 @@
             format!("{}.{} at {}", key.request.0, key.number, engine.0),
         ),
         Command::Probe(engine, tag) => ("probe", format!("{} tag {tag}", engine.0)),
-        Command::Reject(id, advice, error_text) => (
+        Command::Reject(id, retry_after, error_text) => (
             "refuse",
-            format!("{} {advice} {}", id.0, describe_text(error_text)),
+            format!("{} {retry_after} {}", id.0, describe_text(error_text)),
         ),
         Command::Fail(id, error_text) => {
             ("fail", format!("{} {}", id.0, describe_text(error_text)))
         }
-        Command::ForwardChunk(id, piece) => (
+        Command::ForwardChunk(id, chunk) => (
             "chunk",
             format!(
                 "{} {:?} {} bytes, last {}",
                 id.0,
-                piece.headers,
-                piece.rows.len(),
-                piece.is_only_chunk
+                chunk.headers,
+                chunk.rows.len(),
+                chunk.is_only_chunk
             ),
         ),
         Command::Finish(id) => ("finish", id.0.to_string()),
         Command::Abort(id, error_text) => {
             ("break", format!("{} {}", id.0, describe_text(error_text)))
         }
-        Command::Settled(ticket, fate) => ("over", format!("{ticket} {}", describe_fate(*fate))),
+        Command::Settled(ticket, outcome) => {
+            ("over", format!("{ticket} {}", describe_outcome(*outcome)))
+        }
         Command::ForgetEngine(engine) => ("forget", engine.0.to_string()),
         Command::Log(line) => ("log", line.clone()),
     }
 }
 
-struct World {
+/// Drives a core with random clients and engines and records its commands.
+struct Simulation {
     core: Core,
     now: Micros,
     dice: Dice,
-    out: Vec<(AttemptKey, bool)>,
+    /// Attempts in flight, and whether each was written.
+    in_flight: Vec<(AttemptKey, bool)>,
     open: Vec<RequestId>,
-    names: u64,
+    /// Number of requests so far.
+    last_request: u64,
     probes: Vec<u64>,
     phases: Vec<Phase>,
     transcript: Transcript,
 }
 
-impl World {
-    fn new(edit: fn(&str) -> String, limits: Limits, seed: u64) -> World {
-        let mut world = World {
+impl Simulation {
+    fn new(edit: fn(&str) -> String, limits: Limits, seed: u64) -> Simulation {
+        let mut simulation = Simulation {
             core: Core::new(settings(edit), limits, seed),
             now: 1_000 * S,
             dice: Dice(seed),
-            out: Vec::new(),
+            in_flight: Vec::new(),
             open: Vec::new(),
-            names: 0,
+            last_request: 0,
             probes: Vec::new(),
             phases: vec![Phase::Ready; ENGINES as usize],
             transcript: Transcript::default(),
         };
-        world.list(ListKind::Full);
-        world
+        simulation.update_engines(ListKind::Full);
+        simulation
     }
 
-    fn list(&mut self, kind: ListKind) {
-        let lines: Vec<ListedEngine> = self
+    fn update_engines(&mut self, kind: ListKind) {
+        let engines: Vec<ListedEngine> = self
             .phases
             .iter()
             .enumerate()
             .map(|(n, &phase)| listed(n as u64, phase))
             .collect();
-        self.core.update_engines(self.now, kind, &lines);
-        self.commands("list");
+        self.core.update_engines(self.now, kind, &engines);
+        self.run_commands("list");
     }
 
-    fn commands(&mut self, what: &str) {
+    /// Executes and records the core's commands after the step of this name.
+    fn run_commands(&mut self, step: &str) {
         while let Some(command) = self.core.next_command() {
             let (kind, description) = describe(&command);
-            let line = format!("{} {what}: {kind} {description}", self.now);
+            let line = format!("{} {step}: {kind} {description}", self.now);
             self.transcript.line(kind, &line);
             match command {
-                Command::StartAttempt(key, _) => self.out.push((key, false)),
-                Command::AbandonAttempt(key, _) => self.out.retain(|o| o.0 != key),
+                Command::StartAttempt(key, _) => self.in_flight.push((key, false)),
+                Command::AbandonAttempt(key, _) => self.in_flight.retain(|a| a.0 != key),
                 Command::Probe(_, tag) => self.probes.push(tag),
                 Command::Reject(id, ..)
                 | Command::Fail(id, _)
@@ -132,25 +140,25 @@
         }
     }
 
-    fn pass(&mut self, time: Micros) {
+    fn pass_time(&mut self, time: Micros) {
         let end = self.now + time;
         while let Some(due) = self.core.next_due().filter(|&due| due <= end) {
             self.now = self.now.max(due);
             self.core.fire_timers(self.now);
-            self.commands("tick");
+            self.run_commands("tick");
         }
         self.now = end;
     }
 
-    fn take(&mut self) {
-        self.names += 1;
+    fn accept_request(&mut self) {
+        self.last_request += 1;
         let dice = &mut self.dice;
         let name = if dice.chance(4) {
-            1 + dice.below(self.names)
+            1 + dice.below(self.last_request)
         } else {
-            self.names
+            self.last_request
         };
-        let pinned = dice.below(12);
+        let session = dice.below(12);
         let parsed = ParsedRequest {
             name: format!("q{name}").as_str().into(),
             class: [LOOKUP, LOOKUP, 1, LOAD, 9]
@@ -161,7 +169,7 @@
             ordering_key: dice.chance(60).then(|| dice.below(3)),
             tenant: None,
             idempotency_key: dice.chance(70).then(|| {
-                format!("t{}", dice.below(self.names / 2 + 1))
+                format!("t{}", dice.below(self.last_request / 2 + 1))
                     .as_str()
                     .into()
             }),
@@ -172,15 +180,19 @@
             },
             parameters: Rc::new([]),
             statement: Rc::from(*b"select 1"),
-            sticky_session: (pinned < 2).then(|| StickySession {
+            sticky_session: (session < 2).then(|| StickySession {
                 engine: EngineId(dice.below(ENGINES)),
-                is_exclusive: pinned == 0,
+                is_exclusive: session == 0,
             }),
             session_lost_error: dice
                 .chance(50)
                 .then(|| "Code: 1. DB::Exception: session lost".into()),
             is_body_streamed: dice.chance(10),
-            ticket: if dice.chance(80) { self.names } else { 0 },
+            ticket: if dice.chance(80) {
+                self.last_request
+            } else {
+                0
+            },
         };
         let class = parsed.class;
         if dice.chance(1) {
@@ -189,58 +201,58 @@
             let id = self.core.accept_request(self.now, parsed);
             self.open.push(id);
         }
-        self.commands(&format!("take class {class}"));
+        self.run_commands(&format!("take class {class}"));
     }
 
+    /// A random attempt in flight that was written, or that was not.
     fn pick(&mut self, written: bool) -> Option<AttemptKey> {
-        let all: Vec<AttemptKey> = self
-            .out
+        let candidates: Vec<AttemptKey> = self
+            .in_flight
             .iter()
-            .filter(|o| o.1 == written)
-            .map(|o| o.0)
+            .filter(|a| a.1 == written)
+            .map(|a| a.0)
             .collect();
-        (!all.is_empty()).then(|| all[self.dice.below(all.len() as u64) as usize])
+        (!candidates.is_empty())
+            .then(|| candidates[self.dice.below(candidates.len() as u64) as usize])
     }
 
-    fn write(&mut self) {
+    fn write_attempt(&mut self) {
         let Some(key) = self.pick(false) else { return };
         self.core.record_progress(key, Progress::Connected);
-        let may = self.core.may_write_attempt(self.now, key);
+        let remaining = self.core.may_write_attempt(self.now, key);
         let name = self.core.name_on_engine(key).into_owned();
         let line = format!(
-            "{} first byte {}.{}: {may:?} as {name}",
+            "{} first byte {}.{}: {remaining:?} as {name}",
             self.now, key.request.0, key.number
         );
         self.transcript.line("first byte", &line);
-        if may.is_some() {
-            let whole = [Progress::PartiallyWritten, Progress::FullyWritten]
-                [usize::from(self.dice.chance(80))];
-            self.core.record_progress(key, whole);
-            self.out
+        if remaining.is_some() {
+            let progress = if self.dice.chance(80) {
+                Progress::FullyWritten
+            } else {
+                Progress::PartiallyWritten
+            };
+            self.core.record_progress(key, progress);
+            self.in_flight
                 .iter_mut()
-                .filter(|o| o.0 == key)
-                .for_each(|o| o.1 = true);
+                .filter(|a| a.0 == key)
+                .for_each(|a| a.1 = true);
         } else {
-            self.out.retain(|o| o.0 != key);
+            self.in_flight.retain(|a| a.0 != key);
         }
-        self.commands("write");
+        self.run_commands("write");
     }
 
-    fn serve(&mut self) {
+    fn respond(&mut self) {
         let Some(key) = self.pick(true) else { return };
         self.core.record_progress(key, Progress::FullyWritten);
         if self.dice.chance(60) {
-            let about = vec![("x".to_string(), "y".to_string())];
-            let rows = b"1\n".to_vec();
-            let whole = self.dice.chance(50);
-            self.core.forward_chunk(
-                key,
-                ResponseChunk {
-                    headers: about,
-                    rows,
-                    is_only_chunk: whole,
-                },
-            );
+            let chunk = ResponseChunk {
+                headers: vec![("x".to_string(), "y".to_string())],
+                rows: b"1\n".to_vec(),
+                is_only_chunk: self.dice.chance(50),
+            };
+            self.core.forward_chunk(key, chunk);
         }
         if self.dice.chance(70) {
             let report = AttemptReport {
@@ -250,12 +262,12 @@
             };
             self.core.record_attempt_report(key, report);
             self.core.complete_attempt(self.now, key);
-            self.out.retain(|o| o.0 != key);
+            self.in_flight.retain(|a| a.0 != key);
         }
-        self.commands("answer");
+        self.run_commands("answer");
     }
 
-    fn fail(&mut self) {
+    fn fail_attempt(&mut self) {
         let written = self.dice.chance(70);
         let Some(key) = self.pick(written) else {
             return;
@@ -270,8 +282,9 @@
             Cause::NotSent,
             Cause::Statement("Code: 62. DB::Exception: syntax".into()),
         ];
-        let among = if written { causes.len() as u64 } else { 3 };
-        let cause = causes[self.dice.below(among) as usize].clone();
+        // Before it is written, an attempt can only fail for one of the first three causes.
+        let possible_causes = if written { causes.len() as u64 } else { 3 };
+        let cause = causes[self.dice.below(possible_causes) as usize].clone();
         let description = match self.core.attempt_failed(self.now, key, cause) {
             Some(error) => format!("{error} / {}", outcome_name(error.outcome())),
             None => "later".into(),
@@ -281,11 +294,11 @@
             self.now, key.request.0, key.number
         );
         self.transcript.line("end", &line);
-        self.out.retain(|o| o.0 != key);
-        self.commands("end");
+        self.in_flight.retain(|a| a.0 != key);
+        self.run_commands("end");
     }
 
-    fn client(&mut self) {
+    fn client_action(&mut self) {
         if self.open.is_empty() {
             return;
         }
@@ -301,11 +314,11 @@
                 self.core.release_attempt(self.now, id);
             }
             2 => {
-                let name = format!("q{}", 1 + self.dice.below(self.names));
-                let was_there =
+                let name = format!("q{}", 1 + self.dice.below(self.last_request));
+                let was_open =
                     self.core
                         .cancel_request(self.now, &name, "Code: 394. DB::Exception: killed");
-                let line = format!("{} kill {name}: {was_there}", self.now);
+                let line = format!("{} kill {name}: {was_open}", self.now);
                 self.transcript.line("kill", &line);
             }
             3 => self.core.mark_body_forwarded(id),
@@ -314,40 +327,41 @@
                 self.core.shorten_timeout(self.now, id, within);
             }
         }
-        self.commands("client");
+        self.run_commands("client");
     }
 
-    fn look(&mut self) {
-        let name = format!("q{}", 1 + self.dice.below(self.names.max(1)));
+    fn show_running_queries(&mut self) {
+        let name = format!("q{}", 1 + self.dice.below(self.last_request.max(1)));
         let mut line = format!("{} runs of {name}:", self.now);
-        for run in self.core.running_queries(self.now, &name) {
-            let _ = write!(line, " {} {} {}", run.engine.0, run.name, run.is_awaited);
+        for query in self.core.running_queries(self.now, &name) {
+            let (engine, name, is_awaited) = (query.engine.0, query.name, query.is_awaited);
+            let _ = write!(line, " {engine} {name} {is_awaited}");
         }
         self.transcript.line("runs", &line);
     }
 
     fn step(&mut self) {
         match self.dice.below(40) {
-            0..=9 => self.take(),
+            0..=9 => self.accept_request(),
             10..=15 => {
                 let time = self.dice.below(60 * MS);
-                self.pass(time);
+                self.pass_time(time);
             }
-            16..=24 => self.write(),
-            25..=31 => self.serve(),
-            32..=33 => self.fail(),
-            34 => self.client(),
-            35 => self.look(),
+            16..=24 => self.write_attempt(),
+            25..=31 => self.respond(),
+            32..=33 => self.fail_attempt(),
+            34 => self.client_action(),
+            35 => self.show_running_queries(),
             36 => {
                 if let Some(key) = self.pick(true) {
-                    let note = [
+                    let report = [
                         ProgressReport::Progress(0.4),
                         ProgressReport::WaitsForMemory,
                         ProgressReport::WaitsForLoad,
                         ProgressReport::Spills(9.0),
                     ][self.dice.below(4) as usize];
-                    self.core.record_progress_report(self.now, key, note);
-                    self.commands("note");
+                    self.core.record_progress_report(self.now, key, report);
+                    self.run_commands("note");
                 }
             }
             37 => {
@@ -355,35 +369,35 @@
                     let outcome = [Outcome::Ok, Outcome::Ok, Outcome::Unreachable]
                         [self.dice.below(3) as usize];
                     self.core.record_probe(self.now, tag, outcome, &[]);
-                    self.commands("probed");
+                    self.run_commands("probed");
                 }
             }
             38 if self.dice.chance(30) => {
                 let n = self.dice.below(ENGINES) as usize;
                 self.phases[n] = [Phase::Ready, Phase::Ready, Phase::Draining, Phase::Gone]
                     [self.dice.below(4) as usize];
-                let changes = usize::from(self.dice.chance(50));
-                self.list([ListKind::Full, ListKind::Changes][changes]);
+                let is_change = usize::from(self.dice.chance(50));
+                self.update_engines([ListKind::Full, ListKind::Changes][is_change]);
             }
             39 if self.dice.chance(20) => {
                 let engine = EngineId(self.dice.below(ENGINES));
                 self.core.suspect_engine(self.now, engine);
-                self.commands("connections reset");
+                self.run_commands("connections reset");
             }
             _ => {}
         }
     }
 
-    /// Runs so many steps, ends as a process does, and gives the transcript and the counters' text.
+    /// Runs this many steps and a shutdown; returns the transcript and the counters.
     fn run(mut self, steps: usize) -> String {
         for _ in 0..steps {
             self.step();
         }
         self.core.answer_all_requests(self.now);
-        self.commands("answer all");
+        self.run_commands("answer all");
         self.core.begin_shutdown();
-        self.take();
-        self.pass(5 * S);
+        self.accept_request();
+        self.pass_time(5 * S);
         format!("{}{}", self.transcript.text(), self.core.counters())
     }
 }
@@ -402,17 +416,17 @@
 }
 
 #[test]
-fn commands_and_counters_of_the_example_s_settings() {
+fn commands_and_counters_with_example_settings() {
     let limits = Limits {
         max_unknown_outcomes: 4,
         ..LIMITS
     };
-    let run = World::new(str::to_string, limits, 11).run(20_000);
-    assert_golden!("commands_example.txt", run);
+    let transcript = Simulation::new(str::to_string, limits, 11).run(20_000);
+    assert_golden!("commands_example.txt", transcript);
 }
 
 #[test]
-fn commands_and_counters_with_keys_grants_and_cancelling() {
+fn commands_and_counters_with_keys_grants_and_cancellation() {
     let edit = |text: &str| {
         text.replace(
             "\"single_shot\"",
@@ -429,8 +443,8 @@
         max_idempotency_keys: 12,
         ..LIMITS
     };
-    let run = World::new(edit, limits, 12).run(20_000);
-    assert_golden!("commands_keyed.txt", run);
+    let transcript = Simulation::new(edit, limits, 12).run(20_000);
+    assert_golden!("commands_keyed.txt", transcript);
 }
 
 #[test]
@@ -441,7 +455,7 @@
     assert_golden!("counters_empty.txt", text);
 }
 
-/// Every cause at every stage: the texts that go to logs, and what the scheduler is told.
+/// The log text and the scheduler's outcome of every cause at every stage of progress.
 #[test]
 fn texts_and_outcomes_of_failed_attempts() {
     let causes = [
@@ -475,7 +489,7 @@
     assert_golden!("attempt_errors.txt", text);
 }
 
-/// The names of what a process is doing, and its times, in one life of each kind.
+/// The names of all states, and the answers of a lifecycle over time for each combination of options.
 #[test]
 fn lifecycle_names_and_times() {
     let mut text = String::new();
@@ -490,39 +504,40 @@
         let _ = writeln!(text, "state {}", state.name());
     }
     for n in 0..8 {
-        let (succeeds, held, killed) = (n & 1 > 0, n & 2 > 0, n & 4 > 0);
-        let mut life = Lifecycle::new(succeeds, held, 25 * S, killed);
-        let mut show = |what: &str, life: &mut Lifecycle, now: Micros| {
-            let idle = [0, 299 * MS, 300 * MS, 5 * S].map(|idle| life.may_keep_alive(now, idle));
-            let ends = [(0, 0), (0, 1), (1, 1)]
-                .map(|(open, clients)| life.may_exit(now, open, clients, false));
+        let (replaces_earlier, shares_listener, is_killed) = (n & 1 > 0, n & 2 > 0, n & 4 > 0);
+        let mut lifecycle = Lifecycle::new(replaces_earlier, shares_listener, 25 * S, is_killed);
+        let mut show = |event: &str, lifecycle: &mut Lifecycle, now: Micros| {
+            let kept =
+                [0, 299 * MS, 300 * MS, 5 * S].map(|idle| lifecycle.may_keep_alive(now, idle));
+            let exits = [(0, 0), (0, 1), (1, 1)]
+                .map(|(open, clients)| lifecycle.may_exit(now, open, clients, false));
             let _ = writeln!(
                 text,
-                "{n} {what} {now}: {} accepts {} listens {} takes {} sends away {} keeps {idle:?} ends {ends:?} by {:?}",
-                life.state().name(),
-                life.accepts_connections(),
-                life.is_listening(now),
-                life.accepts_requests(now),
-                life.closes_connections(now),
-                life.shutdown_deadline(),
+                "{n} {event} {now}: {} accepts {} listens {} takes {} sends away {} keeps {kept:?} ends {exits:?} by {:?}",
+                lifecycle.state().name(),
+                lifecycle.accepts_connections(),
+                lifecycle.is_listening(now),
+                lifecycle.accepts_requests(now),
+                lifecycle.closes_connections(now),
+                lifecycle.shutdown_deadline(),
             );
         };
-        show("new", &mut life, S);
-        life.record_ready();
-        show("begun", &mut life, S);
-        life.pause(2 * S);
+        show("new", &mut lifecycle, S);
+        lifecycle.record_ready();
+        show("begun", &mut lifecycle, S);
+        lifecycle.pause(2 * S);
         for after in [0, 299 * MS, 300 * MS, 1_499 * MS, 1_500 * MS, 3 * S] {
-            show("paused", &mut life, 2 * S + after);
+            show("paused", &mut lifecycle, 2 * S + after);
         }
-        life.record_clients(0);
-        show("empty", &mut life, 6 * S);
-        life.resume();
-        show("resumed", &mut life, 7 * S);
-        life.record_successor(8 * S, true);
-        show("succeeded", &mut life, 8 * S);
-        life.record_successor(9 * S, false);
-        show("alone again", &mut life, 9 * S);
-        life.begin_shutdown(10 * S);
+        lifecycle.record_clients(0);
+        show("empty", &mut lifecycle, 6 * S);
+        lifecycle.resume();
+        show("resumed", &mut lifecycle, 7 * S);
+        lifecycle.record_successor(8 * S, true);
+        show("succeeded", &mut lifecycle, 8 * S);
+        lifecycle.record_successor(9 * S, false);
+        show("alone again", &mut lifecycle, 9 * S);
+        lifecycle.begin_shutdown(10 * S);
         for after in [
             0,
             699 * MS,
@@ -533,7 +548,7 @@
             1_050 * MS,
             3 * S,
         ] {
-            show("ending", &mut life, 10 * S + after);
+            show("ending", &mut lifecycle, 10 * S + after);
         }
     }
     assert_golden!("lifecycle.txt", text);
