--- a/crates/core/tests/model.rs
+++ b/crates/core/tests/model.rs
@@ -1,5 +1,5 @@
-//! Random steps against a model of what a coordinator owes: one final answer for each request, the rules
-//! of its class for each attempt, and an order for each key.
+//! Random steps against a model of the core's guarantees: one final answer per request, retries only as the class allows, and the
+//! order of requests with the same ordering key.
 #![allow(
     clippy::cast_possible_truncation,
     clippy::needless_pass_by_value,
@@ -23,9 +23,10 @@
         load: bool,
         key: u8,
         ms: u16,
-        twin: bool,
-        pin: u8,
-        once: bool,
+        /// The request's name is shared with others.
+        shares_name: bool,
+        session: u8,
+        streams_body: bool,
     },
     PassTime {
         ms: u16,
@@ -45,12 +46,12 @@
     },
     Fail {
         pick: u8,
-        how: u8,
+        cause: u8,
     },
     ClientLeaves {
         pick: u8,
     },
-    /// Some of a body that is not kept goes out.
+    /// Part of a body that is not retained is forwarded.
     ForwardBody {
         pick: u8,
     },
@@ -61,7 +62,7 @@
         pick: u8,
     },
     ProbeEnded {
-        fine: bool,
+        succeeds: bool,
     },
 }
 
@@ -71,14 +72,14 @@
         match u8::arbitrary(g) % 17 {
             0..=3 => {
                 let (load, ms) = (bool::arbitrary(g), u16::arbitrary(g) % 3000);
-                let (pin, once) = (u8::arbitrary(g), u8::arbitrary(g) % 4 == 0);
+                let (session, streams_body) = (u8::arbitrary(g), u8::arbitrary(g) % 4 == 0);
                 Step::Accept {
                     load,
                     key: pick % 3,
                     ms,
-                    twin: pick > 220,
-                    pin,
-                    once,
+                    shares_name: pick > 220,
+                    session,
+                    streams_body,
                 }
             }
             4..=5 => Step::PassTime {
@@ -93,47 +94,48 @@
             10 => Step::Serve { pick },
             11 => Step::Fail {
                 pick,
-                how: u8::arbitrary(g),
+                cause: u8::arbitrary(g),
             },
             12 => Step::ClientLeaves { pick },
             13 => Step::ForwardBody { pick },
             14 => Step::Cancel { pick },
             15 => Step::Release { pick },
             _ => Step::ProbeEnded {
-                fine: bool::arbitrary(g),
+                succeeds: bool::arbitrary(g),
             },
         }
     }
 }
 
-/// What the model knows of a request.
-struct KnownRequest {
+/// The model's state of a request.
+struct ModelRequest {
     class: u16,
     name: String,
     key: u64,
     deadline: Micros,
-    order: usize,
-    answered: bool,
-    left: bool,
+    /// Number of requests accepted before it.
+    index: usize,
+    is_answered: bool,
+    client_left: bool,
     chunks: usize,
-    /// An attempt may have run.
-    ran: bool,
-    sends: usize,
-    /// The only engine that it may go to.
-    only: Option<EngineId>,
+    /// Whether an attempt may have run.
+    may_have_run: bool,
+    attempts: usize,
+    /// The engine that its session is bound to.
+    only_engine: Option<EngineId>,
     is_body_forwarded: bool,
     is_cancelled: bool,
-    /// Attempts that were written and not proven to have never run.
+    /// Number of attempts that were written and did not turn out never to have run.
     runs: usize,
-    over: bool,
+    is_settled: bool,
 }
 
 struct Model {
     core: Core,
     now: Micros,
-    known_requests: BTreeMap<RequestId, KnownRequest>,
-    /// Attempts out, and whether each was written.
-    out: BTreeMap<AttemptKey, (EngineId, bool)>,
+    requests: BTreeMap<RequestId, ModelRequest>,
+    /// Attempts in flight, their engines, and whether each was written.
+    in_flight: BTreeMap<AttemptKey, (EngineId, bool)>,
     draining: Vec<bool>,
     probes: Vec<u64>,
 }
@@ -149,17 +151,17 @@
                 },
             ),
             now: 1_000_000_000,
-            known_requests: BTreeMap::new(),
-            out: BTreeMap::new(),
+            requests: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             draining: vec![false; ENGINES as usize],
             probes: Vec::new(),
         };
-        model.list();
+        model.update_engines();
         model
     }
 
-    fn list(&mut self) {
-        let line = |(n, &draining): (usize, &bool)| {
+    fn update_engines(&mut self) {
+        let engine = |(n, &draining): (usize, &bool)| {
             listed(
                 n as u64,
                 if draining {
@@ -169,10 +171,11 @@
                 },
             )
         };
-        let lines: Vec<ListedEngine> = self.draining.iter().enumerate().map(line).collect();
-        self.core.update_engines(self.now, ListKind::Full, &lines);
+        let engines: Vec<ListedEngine> = self.draining.iter().enumerate().map(engine).collect();
+        self.core.update_engines(self.now, ListKind::Full, &engines);
     }
 
+    /// The candidate that a step's random number selects.
     fn pick<T: Clone>(from: impl Iterator<Item = T>, pick: u8) -> Option<T> {
         let all: Vec<T> = from.collect();
         all.get(usize::from(pick) % all.len().max(1)).cloned()
@@ -186,12 +189,12 @@
             Step::Write { pick } => self.write_attempt(pick),
             Step::ResponseChunk { pick } => self.forward_chunk(pick),
             Step::Serve { pick } => self.complete_attempt(pick),
-            Step::Fail { pick, how } => self.fail_attempt(pick, how),
+            Step::Fail { pick, cause } => self.fail_attempt(pick, cause),
             Step::ClientLeaves { pick } => self.client_leaves(pick),
             Step::ForwardBody { pick } => self.forward_body(pick),
             Step::Cancel { pick } => self.cancel_request(pick),
             Step::Release { pick } => self.release_attempt(pick),
-            Step::ProbeEnded { fine } => self.end_probe(fine),
+            Step::ProbeEnded { succeeds } => self.end_probe(succeeds),
         }
         self.commands();
     }
@@ -201,64 +204,64 @@
             load,
             key,
             ms,
-            twin,
-            pin,
-            once,
+            shares_name,
+            session,
+            streams_body,
         } = *step
         else {
             return;
         };
-        let order = self.known_requests.len();
-        let name = if twin {
-            "twin".into()
+        let index = self.requests.len();
+        let name = if shares_name {
+            "shared".into()
         } else {
-            format!("c{order}")
+            format!("c{index}")
         };
         let class = if load { LOAD } else { LOOKUP };
-        let budget = Micros::from(ms) * 1000;
-        let engine = EngineId(u64::from(pin) % ENGINES);
-        let pin = (pin > 150).then_some(StickySession {
+        let client_timeout = Micros::from(ms) * 1000;
+        let engine = EngineId(u64::from(session) % ENGINES);
+        let sticky_session = (session > 150).then_some(StickySession {
             engine,
-            is_exclusive: pin > 200,
+            is_exclusive: session > 200,
         });
         let parsed = ParsedRequest {
             name: name.as_str().into(),
             class,
             table_group: 1,
             ordering_key: load.then_some(u64::from(key) + 1),
-            client_timeout: budget,
+            client_timeout,
             statement: Rc::from(*b"x"),
-            sticky_session: pin,
-            is_body_streamed: once,
-            ticket: order as u64 + 1,
+            sticky_session,
+            is_body_streamed: streams_body,
+            ticket: index as u64 + 1,
             ..ParsedRequest::default()
         };
         let id = self.core.accept_request(self.now, parsed);
-        let known = KnownRequest {
+        let known = ModelRequest {
             class,
             name,
             key: u64::from(key) + 1,
-            deadline: self.now + budget,
-            order,
-            answered: false,
-            left: false,
+            deadline: self.now + client_timeout,
+            index,
+            is_answered: false,
+            client_left: false,
             chunks: 0,
-            ran: false,
-            sends: 0,
-            only: pin.filter(|p| p.is_exclusive).map(|p| p.engine),
+            may_have_run: false,
+            attempts: 0,
+            only_engine: sticky_session.filter(|s| s.is_exclusive).map(|s| s.engine),
             is_body_forwarded: false,
             is_cancelled: false,
             runs: 0,
-            over: false,
+            is_settled: false,
         };
         assert!(
-            self.known_requests.insert(id, known).is_none(),
-            "an id was used twice"
+            self.requests.insert(id, known).is_none(),
+            "request id reused"
         );
     }
 
     fn pass_time(&mut self, ms: u16) {
-        // Timers come due one by one, as the event loop lets them.
+        // Fires timers one by one when they are due, as the event loop does.
         let end = self.now + Micros::from(ms) * 1000;
         while let Some(due) = self.core.next_due().filter(|&due| due <= end) {
             self.now = self.now.max(due);
@@ -270,26 +273,26 @@
 
     fn change_phase(&mut self, engine: u8, draining: bool) {
         self.draining[usize::from(engine) % ENGINES as usize] = draining;
-        self.list();
+        self.update_engines();
     }
 
     fn write_attempt(&mut self, pick: u8) {
-        let unwritten = self.out.iter().filter(|o| !o.1 .1).map(|o| *o.0);
+        let unwritten = self.in_flight.iter().filter(|a| !a.1 .1).map(|a| *a.0);
         if let Some(key) = Model::pick(unwritten, pick) {
             self.core.record_progress(key, Progress::Connected);
-            let engine = self.out[&key].0;
+            let engine = self.in_flight[&key].0;
             if self.core.may_write_attempt(self.now, key).is_some() {
                 assert!(
                     !self.draining[engine.0 as usize],
-                    "written to an engine that drains"
+                    "written to a draining engine"
                 );
                 self.core.record_progress(key, Progress::FullyWritten);
-                self.out.insert(key, (engine, true));
-                let known = self.known_requests.get_mut(&key.request).expect("known");
-                assert!(!known.is_cancelled, "written after it was called off");
-                (known.ran, known.runs) = (true, known.runs + 1);
+                self.in_flight.insert(key, (engine, true));
+                let known = self.requests.get_mut(&key.request).expect("known");
+                assert!(!known.is_cancelled, "written after cancellation");
+                (known.may_have_run, known.runs) = (true, known.runs + 1);
             } else {
-                self.out.remove(&key);
+                self.in_flight.remove(&key);
             }
         }
     }
@@ -309,15 +312,15 @@
 
     fn complete_attempt(&mut self, pick: u8) {
         if let Some(key) = self.written(pick) {
-            self.out.remove(&key);
+            self.in_flight.remove(&key);
             self.core.complete_attempt(self.now, key);
         }
     }
 
-    fn fail_attempt(&mut self, pick: u8, how: u8) {
-        if let Some(key) = Model::pick(self.out.keys().copied(), pick) {
-            let (_, written) = self.out[&key];
-            let cause = match how % 5 {
+    fn fail_attempt(&mut self, pick: u8, cause: u8) {
+        if let Some(key) = Model::pick(self.in_flight.keys().copied(), pick) {
+            let (_, written) = self.in_flight[&key];
+            let cause = match cause % 5 {
                 0 => Cause::Connection("reset".into()),
                 1 if written => Cause::Rejected,
                 2 if written => Cause::Engine("fault".into()),
@@ -326,29 +329,29 @@
                 _ => Cause::Connection("reset".into()),
             };
             if cause == Cause::Rejected {
-                let known = self.known_requests.get_mut(&key.request).expect("known");
-                (known.ran, known.runs) = (false, known.runs - 1);
+                let known = self.requests.get_mut(&key.request).expect("known");
+                (known.may_have_run, known.runs) = (false, known.runs - 1);
             }
-            self.out.remove(&key);
+            self.in_flight.remove(&key);
             self.core.attempt_failed(self.now, key, cause);
         }
     }
 
     fn client_leaves(&mut self, pick: u8) {
         let open = self
-            .known_requests
+            .requests
             .iter()
-            .filter(|k| !k.1.answered && !k.1.left)
+            .filter(|k| !k.1.is_answered && !k.1.client_left)
             .map(|k| *k.0);
         if let Some(id) = Model::pick(open, pick) {
-            self.known_requests.get_mut(&id).expect("known").left = true;
+            self.requests.get_mut(&id).expect("known").client_left = true;
             self.core.client_left(self.now, id);
         }
     }
 
     fn forward_body(&mut self, pick: u8) {
         if let Some(key) = self.written(pick) {
-            self.known_requests
+            self.requests
                 .get_mut(&key.request)
                 .expect("known")
                 .is_body_forwarded = true;
@@ -358,15 +361,15 @@
 
     fn cancel_request(&mut self, pick: u8) {
         let open = self
-            .known_requests
+            .requests
             .iter()
-            .filter(|k| !k.1.answered && !k.1.left)
+            .filter(|k| !k.1.is_answered && !k.1.client_left)
             .map(|k| *k.0);
         if let Some(id) = Model::pick(open, pick) {
-            // Of two under one name the first is meant.
-            let name = self.known_requests[&id].name.clone();
-            let named = |k: &&mut KnownRequest| k.name == name && !k.answered && !k.left;
-            self.known_requests
+            // Of two requests with the same name, the first one is cancelled.
+            let name = self.requests[&id].name.clone();
+            let named = |k: &&mut ModelRequest| k.name == name && !k.is_answered && !k.client_left;
+            self.requests
                 .values_mut()
                 .find(named)
                 .expect("open")
@@ -379,18 +382,18 @@
 
     fn release_attempt(&mut self, pick: u8) {
         let reads = self
-            .known_requests
+            .requests
             .iter()
-            .filter(|k| k.1.class == LOOKUP && k.1.left)
+            .filter(|k| k.1.class == LOOKUP && k.1.client_left)
             .map(|k| *k.0);
         if let Some(id) = Model::pick(reads, pick) {
             self.core.release_attempt(self.now, id);
         }
     }
 
-    fn end_probe(&mut self, fine: bool) {
+    fn end_probe(&mut self, succeeds: bool) {
         if let Some(tag) = self.probes.pop() {
-            let outcome = if fine {
+            let outcome = if succeeds {
                 driftfront_core::Outcome::Ok
             } else {
                 driftfront_core::Outcome::Error
@@ -400,62 +403,48 @@
     }
 
     fn written(&self, pick: u8) -> Option<AttemptKey> {
-        Model::pick(self.out.iter().filter(|o| o.1 .1).map(|o| *o.0), pick)
+        Model::pick(self.in_flight.iter().filter(|a| a.1 .1).map(|a| *a.0), pick)
     }
 
     fn commands(&mut self) {
         while let Some(command) = self.core.next_command() {
             match command {
                 Command::StartAttempt(key, engine) => self.sent(key, engine),
-                Command::AbandonAttempt(key, _) => drop(self.out.remove(&key)),
+                Command::AbandonAttempt(key, _) => drop(self.in_flight.remove(&key)),
                 Command::Probe(_, tag) => self.probes.push(tag),
                 Command::ForwardChunk(id, _) => {
-                    let known = self.known_requests.get_mut(&id).expect("known");
-                    assert!(!known.answered && !known.left, "a piece behind the end");
+                    let known = self.requests.get_mut(&id).expect("known");
+                    assert!(
+                        !known.is_answered && !known.client_left,
+                        "chunk after the answer"
+                    );
                     known.chunks += 1;
                 }
                 Command::Reject(id, ..) => {
-                    let known = &self.known_requests[&id];
-                    assert_eq!(known.chunks, 0, "refused behind a piece");
+                    let known = &self.requests[&id];
+                    assert_eq!(known.chunks, 0, "rejected after a chunk");
                     assert!(
-                        known.class == LOOKUP || !known.ran,
-                        "refused, though it may have run"
+                        known.class == LOOKUP || !known.may_have_run,
+                        "rejected although it may have run"
                     );
-                    self.answered(id);
+                    self.record_answer(id);
                 }
                 Command::Fail(id, _) => {
                     assert_eq!(
-                        self.known_requests[&id].chunks, 0,
-                        "failed as if nothing had been passed on"
+                        self.requests[&id].chunks, 0,
+                        "failed instead of aborted after a chunk"
                     );
-                    self.answered(id);
+                    self.record_answer(id);
                 }
                 Command::Abort(id, _) => {
                     assert!(
-                        self.known_requests[&id].chunks > 0,
-                        "nothing there to break"
+                        self.requests[&id].chunks > 0,
+                        "aborted before the first chunk"
                     );
-                    self.answered(id);
-                }
-                Command::Finish(id) => self.answered(id),
-                Command::Settled(ticket, fate) => {
-                    let id = *self
-                        .known_requests
-                        .iter()
-                        .find(|k| k.1.order as u64 + 1 == ticket)
-                        .expect("taken")
-                        .0;
-                    let out = self.out.keys().any(|k| k.request == id);
-                    let known = self.known_requests.get_mut(&id).expect("known");
-                    assert!(!known.over && !out, "over twice, or with something out");
-                    assert_eq!(
-                        fate == SettledOutcome::NeverRan,
-                        known.runs == 0,
-                        "{fate:?} of {} runs",
-                        known.runs
-                    );
-                    known.over = true;
+                    self.record_answer(id);
                 }
+                Command::Finish(id) => self.record_answer(id),
+                Command::Settled(ticket, outcome) => self.record_settled(ticket, outcome),
                 Command::ForgetEngine(_) | Command::Log(_) => {}
             }
         }
@@ -464,83 +453,110 @@
     fn sent(&mut self, key: AttemptKey, engine: EngineId) {
         assert!(
             !self.draining[engine.0 as usize],
-            "sent to an engine that drains"
+            "sent to a draining engine"
         );
         assert!(
-            self.out.keys().all(|o| o.request != key.request),
-            "two attempts at once"
+            self.in_flight.keys().all(|a| a.request != key.request),
+            "two attempts in flight"
         );
-        let known = &self.known_requests[&key.request];
+        let known = &self.requests[&key.request];
         assert!(
-            !known.answered && !known.left && known.chunks == 0,
-            "sent behind the end"
+            !known.is_answered && !known.client_left && known.chunks == 0,
+            "sent after the answer or a chunk"
         );
-        assert!(known.sends < 6, "a seventh attempt");
+        assert!(known.attempts < 6, "more than 6 attempts");
         assert!(
-            known.only.is_none_or(|only| only == engine),
-            "sent to another engine than its only one"
+            known.only_engine.is_none_or(|only| only == engine),
+            "sent to another engine than its session's"
         );
-        assert!(!known.is_cancelled, "sent after it was called off");
+        assert!(!known.is_cancelled, "sent after cancellation");
         assert!(
             !known.is_body_forwarded,
-            "sent again, though its body is not kept"
+            "retried although its body was not retained"
         );
-        let namesake = |k: &KnownRequest| {
-            k.name == known.name && k.order < known.order && !k.answered && !k.left
+        let is_open_with_same_name = |k: &ModelRequest| {
+            k.name == known.name && k.index < known.index && !k.is_answered && !k.client_left
         };
         assert!(
-            !self.known_requests.values().any(namesake),
-            "sent under the name of another that is open"
+            !self.requests.values().any(is_open_with_same_name),
+            "sent under the name of another open request"
         );
         assert!(
-            known.class == LOOKUP || !known.ran,
-            "a load sent again, though it may have run"
+            known.class == LOOKUP || !known.may_have_run,
+            "load retried although it may have run"
         );
         if known.class == LOAD {
-            let same =
-                |k: &&KnownRequest| k.class == LOAD && k.key == known.key && k.order < known.order;
+            let is_earlier_with_same_key =
+                |k: &&ModelRequest| k.class == LOAD && k.key == known.key && k.index < known.index;
             assert!(
-                self.known_requests
+                self.requests
                     .values()
-                    .filter(same)
-                    .all(|k| k.answered || k.left),
-                "out of its key's order"
+                    .filter(is_earlier_with_same_key)
+                    .all(|k| k.is_answered || k.client_left),
+                "sent out of its ordering key's order"
             );
-            let out = self.out.keys().map(|o| &self.known_requests[&o.request]);
+            let in_flight = self.in_flight.keys().map(|a| &self.requests[&a.request]);
             assert!(
-                out.filter(|k| k.class == LOAD).all(|k| k.key != known.key),
-                "two of a key at once"
+                in_flight
+                    .filter(|k| k.class == LOAD)
+                    .all(|k| k.key != known.key),
+                "two attempts with the same ordering key in flight"
             );
         }
-        self.known_requests
-            .get_mut(&key.request)
+        self.requests.get_mut(&key.request).expect("known").attempts += 1;
+        self.in_flight.insert(key, (engine, false));
+    }
+
+    fn record_settled(&mut self, ticket: u64, outcome: SettledOutcome) {
+        let id = *self
+            .requests
+            .iter()
+            .find(|k| k.1.index as u64 + 1 == ticket)
             .expect("known")
-            .sends += 1;
-        self.out.insert(key, (engine, false));
+            .0;
+        let is_in_flight = self.in_flight.keys().any(|k| k.request == id);
+        let known = self.requests.get_mut(&id).expect("known");
+        assert!(
+            !known.is_settled && !is_in_flight,
+            "settled twice, or with an attempt in flight"
+        );
+        assert_eq!(
+            outcome == SettledOutcome::NeverRan,
+            known.runs == 0,
+            "{outcome:?} of {} runs",
+            known.runs
+        );
+        known.is_settled = true;
     }
 
-    fn answered(&mut self, id: RequestId) {
-        let known = self.known_requests.get_mut(&id).expect("known");
-        assert!(!known.answered && !known.left, "a second answer");
-        assert!(self.now <= known.deadline, "too late");
-        known.answered = true;
+    fn record_answer(&mut self, id: RequestId) {
+        let known = self.requests.get_mut(&id).expect("known");
+        assert!(
+            !known.is_answered && !known.client_left,
+            "answered twice, or after the client left"
+        );
+        assert!(self.now <= known.deadline, "answered after the deadline");
+        known.is_answered = true;
     }
 }
 
-fn keeps_promises(steps: Vec<Step>) -> bool {
+fn holds_guarantees(steps: Vec<Step>) -> bool {
     let mut model = Model::new();
     for step in &steps {
         model.step(step);
     }
-    // Whatever is still open is answered by itself.
+    // The longest client timeout is 3 s, so all open requests are answered by then.
     model.step(&Step::PassTime { ms: 3_100 });
     assert!(
-        model.known_requests.values().all(|k| k.answered || k.left),
-        "no answer"
+        model
+            .requests
+            .values()
+            .all(|k| k.is_answered || k.client_left),
+        "request without an answer"
     );
     assert!(
-        model.known_requests.values().all(|k| k.over),
-        "its end was never told"
+        model.requests.values().all(|k| k.is_settled),
+        "request not settled"
     );
     assert_eq!(model.core.open_requests(), 0);
     let c = model.core.counters();
@@ -554,9 +570,9 @@
 }
 
 #[test]
-fn random_steps_keep_every_promise() {
+fn random_steps_preserve_all_guarantees() {
     let mut check = QuickCheck::new()
         .tests(400)
         .rng(Gen::from_size_and_seed(250, 20_261_201));
-    check.quickcheck(keeps_promises as fn(Vec<Step>) -> bool);
+    check.quickcheck(holds_guarantees as fn(Vec<Step>) -> bool);
 }
