--- a/crates/core/src/attempt_end.rs
+++ b/crates/core/src/attempt_end.rs
@@ -12,7 +12,7 @@
 const NOTICE_DELAY: Micros = 40_000;
 
 impl Core {
-    /// Records that an attempt failed. If the engine has to be notified first, the attempt ends after [`NOTICE_DELAY`] and `None`
+    /// Records that an attempt failed. If the engine has to be notified first, the attempt ends after a delay for that, and `None`
     /// is returned, as it is for an attempt that is not in flight.
     pub fn attempt_failed(
         &mut self,
--- a/crates/core/tests/model.rs
+++ b/crates/core/tests/model.rs
@@ -196,7 +196,7 @@
             Step::Release { pick } => self.release_attempt(pick),
             Step::ProbeEnded { succeeds } => self.end_probe(succeeds),
         }
-        self.commands();
+        self.run_commands();
     }
 
     fn accept_request(&mut self, step: &Step) {
@@ -266,7 +266,7 @@
         while let Some(due) = self.core.next_due().filter(|&due| due <= end) {
             self.now = self.now.max(due);
             self.core.fire_timers(self.now);
-            self.commands();
+            self.run_commands();
         }
         self.now = end;
     }
@@ -406,7 +406,7 @@
         Model::pick(self.in_flight.iter().filter(|a| a.1 .1).map(|a| *a.0), pick)
     }
 
-    fn commands(&mut self) {
+    fn run_commands(&mut self) {
         while let Some(command) = self.core.next_command() {
             match command {
                 Command::StartAttempt(key, engine) => self.sent(key, engine),
