--- a/crates/coordinator/src/node/clients/accept.rs
+++ b/crates/coordinator/src/node/clients/accept.rs
@@ -1,4 +1,4 @@
-//! Accepts connections while there is capacity for them.
+//! Accepts client connections up to a limit derived from the descriptor limit.
 
 use super::connection::ClientConnection;
 use super::listener::AcceptOutcome;
@@ -8,19 +8,20 @@
 use std::net::TcpStream;
 use std::rc::Rc;
 
-/// Descriptors, in 100 of all, for clients; usual ones hold a third at most.
+/// Percentage of the descriptor limit that client connections may use. Normal load needs at most a third.
 const CLIENT_DESCRIPTORS_PERCENT: usize = 60;
-/// The same while another process of this coordinator runs. Usual clients hold a third with both together, and must all be accepted
-/// here: one that waits in the backlog while others are read loses its place in its key's order.
+/// The percentage while another process of this coordinator runs. Under normal load, clients of both processes together need a
+/// third, and all of them must be accepted here: a client that waits in the backlog while others are read loses its place in the
+/// order of its key.
 const CLIENT_DESCRIPTORS_PERCENT_WHILE_SHARED: usize = 40;
 
 impl Node {
-    /// Accepts connections while there is capacity; what has to wait in the backlog is tried again with each periodic check.
+    /// Accepts connections while there is capacity. Connections left in the backlog are retried by the periodic check.
     pub(in crate::node) fn accept_clients(&mut self, now: Micros) {
         let max_clients = self.max_clients();
         while self.lifecycle.accepts_connections() {
             if self.clients.connection_count() >= max_clients && !self.evict_client(now) {
-                // Counted each time, whether a client waits or not.
+                // Counted even if the backlog is empty.
                 self.clients.counters_mut().accepts_full += 1;
                 return;
             }
@@ -33,7 +34,7 @@
         }
     }
 
-    /// Clients' connections that may be open.
+    /// The maximum number of open client connections.
     fn max_clients(&self) -> usize {
         let percent = if self.handover.has_peers() {
             CLIENT_DESCRIPTORS_PERCENT_WHILE_SHARED
@@ -58,10 +59,10 @@
                 let stream = BufferedStream::new(stream);
                 let client = ClientConnection::new(now, stream, registration, limits);
                 self.clients.insert(id, client);
-                // What came before the socket was registered brings no event of its own.
+                // The loop is edge-triggered: data that arrived before the registration causes no event.
                 self.on_client_ready(now, id);
             }
-            Err(e) => tracing::warn!("a client's socket: {e}"),
+            Err(e) => tracing::warn!("registering a client's socket failed: {e}"),
         }
     }
 }
--- a/crates/coordinator/src/node/clients/closing.rs
+++ b/crates/coordinator/src/node/clients/closing.rs
@@ -1,8 +1,8 @@
-//! How a client's connection ends, and how its open request ends with it. What is owed at each of these moments stands in
-//! `docs/endings.md`.
+//! Closing of client connections, and what happens to the open request. `docs/endings.md` specifies the response due in each
+//! case.
 //!
-//! A close of ours is a lingering one: responses are flushed, our side is shut, and what still comes is read and dropped for a
-//! while. A close over unread bytes would reset the connection, and the response before it would be lost with that.
+//! The coordinator closes with a linger phase: it flushes responses, shuts down its write side, and for a while reads and
+//! discards further input. Closing a socket with unread input would reset the connection and could lose the last response.
 
 use super::connection::{ClientConnection, DueStep};
 use crate::node::{ConnectionId, Node};
@@ -10,12 +10,12 @@
 use driftfront_core::{Micros, RequestId};
 use driftfront_scheduler::Idempotency;
 
-/// Connections that are looked at for one eviction, where what came last on each shows that it must stay.
+/// Candidates examined per eviction. A candidate stays if its unread input turns out to contain a request.
 const MAX_EVICTION_TRIES: usize = 4;
 
 impl Node {
-    /// Frees a descriptor: the connection that can best be spared is closed. What has come on it and was not read yet is handled
-    /// first: a request in it keeps its place.
+    /// Frees a descriptor by closing the connection with the highest eviction rank. Its unread input is processed first; if that
+    /// contains a request, the connection stays.
     pub(in crate::node) fn evict_client(&mut self, now: Micros) -> bool {
         for _ in 0..MAX_EVICTION_TRIES {
             let Some(id) = self.clients.eviction_candidate(now) else {
@@ -25,7 +25,7 @@
                 self.on_client_ready(now, id);
             }
             let Some(client) = self.clients.get_mut(id) else {
-                // It ended by itself.
+                // Processing its input closed it.
                 return true;
             };
             if client.eviction_rank(now).is_none() {
@@ -40,8 +40,8 @@
         false
     }
 
-    /// The connection is gone, or ends at once: by its peer's end, its reset, or since there is no waiting for it. Nobody is
-    /// left to be answered on it; the attempts of its request count until they end.
+    /// Closes a connection at once: its peer closed or reset it, or a timeout expired. No response is sent. Attempts of its
+    /// request count against limits until they end.
     pub(in crate::node) fn drop_client(&mut self, now: Micros, id: ConnectionId) {
         let Some(mut client) = self.clients.remove(id) else {
             return;
@@ -53,7 +53,7 @@
         }
     }
 
-    /// The connection's open request is not wanted any more, or can't be.
+    /// Abandons the connection's open request, whose response can no longer be used or delivered.
     pub(super) fn abandon_client_request(&mut self, now: Micros, id: ConnectionId) {
         let client = self.clients.get_mut(id);
         if let Some(request) = client.and_then(ClientConnection::take_open_request) {
@@ -69,15 +69,15 @@
         let idempotency = accepted.and_then(|a| self.idempotency(a.request.class));
         let is_uploading = self.engines.upload_connection(request).is_some();
         self.core.client_left(now, request);
-        // A read is stopped on its engine, and so is an attempt that waits there for a body that never comes.
+        // Cancels reads on the engine, and attempts that wait there for a body that will not arrive.
         let is_idempotent = idempotency == Some(Idempotency::Idempotent);
         if self.frontend.cancels_reads_of_gone_clients() && is_idempotent || is_uploading {
             self.core.release_attempt(now, request);
         }
     }
 
-    /// A client withdraws its request by a call on another connection: no response is owed on the request's own one, which closes.
-    /// True if the request was open.
+    /// Withdraws a request by a call on another connection. No response is sent on the request's own connection, which closes.
+    /// Returns whether the request was open.
     pub(super) fn withdraw(&mut self, now: Micros, call: &str) -> bool {
         let request = self.core.find_request(call);
         let Some(id) = request.and_then(|r| self.clients.connection_of(r)) else {
@@ -91,8 +91,8 @@
         true
     }
 
-    /// Checks, right before a request that has waited is written to an engine, whether its client has left: that may be found only
-    /// later in this turn, or not be read yet.
+    /// Checks, just before a queued request is written to an engine, whether its client has disconnected: the event may come later
+    /// in this turn, or the close may follow unread input.
     pub(in crate::node) fn check_requester(&mut self, now: Micros, request: RequestId) {
         let Some(requester) = self.clients.requester(request) else {
             return;
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Drops a connection whose peer has ended its side behind bytes that are not read yet.
+    /// Drops a connection whose peer has closed its side, even if there is unread input before the close.
     pub(super) fn drop_if_peer_closed(&mut self, now: Micros, id: ConnectionId) {
         let client = self.clients.get(id);
         if client.is_some_and(ClientConnection::peer_has_closed) {
@@ -110,17 +110,17 @@
         }
     }
 
-    /// Reads what stands behind more than is buffered, and drops it: unread, it would hide that the client leaves. The requests that
-    /// are buffered behind the open one are dropped with it, as their connection closes behind the response. One read at a time;
-    /// the periodic check goes on with it.
+    /// Reads and discards pipelined input beyond the buffer limit, since unread input would hide a disconnect. Requests already
+    /// buffered behind the open one are dropped too, as the connection closes after the response. Reads once; the periodic check
+    /// continues.
     pub(super) fn discard_pipelined(&mut self, now: Micros, id: ConnectionId) {
         if !self.clients.discard_overrun(id) {
             self.drop_client(now, id);
         }
     }
 
-    /// The client has ended its side: what it requested is not wanted any more, nor what stands unread behind that. What is
-    /// malformed is answered.
+    /// The client has closed its side: its open request and buffered requests are abandoned. Malformed input still gets an error
+    /// response.
     pub(super) fn on_client_closed(&mut self, now: Micros, id: ConnectionId) {
         while self.start_next_request(now, id, true) {}
         let Some(client) = self.clients.get_mut(id) else {
@@ -131,7 +131,7 @@
         self.drop_client(now, id);
     }
 
-    /// Periodic check: ends what has had its time, and reads closing connections out.
+    /// Periodic check: applies timeouts, and discards input of closing connections.
     pub(in crate::node) fn sweep_clients(&mut self, now: Micros) {
         for id in self.clients.connection_ids() {
             let Some(client) = self.clients.get_mut(id) else {
@@ -160,8 +160,8 @@
         }
     }
 
-    /// Closes a connection at rest in order. What has come already is handled first; a request that crosses the close is sent
-    /// once more by its client, elsewhere. True if the close has started.
+    /// Closes an idle connection gracefully, after processing input that has already arrived. A client whose request crosses the
+    /// close sends it again on another connection. Returns whether the close has started.
     fn close_if_idle(&mut self, now: Micros, id: ConnectionId) -> bool {
         self.on_client_ready(now, id);
         let client = self.clients.get(id);
@@ -179,7 +179,8 @@
         self.drive_client(now, id);
     }
 
-    /// Closes a connection in order whose request never became complete, unless its last bytes have just come.
+    /// Sends a timeout response and closes gracefully a connection whose request is incomplete, unless its last bytes have just
+    /// arrived.
     fn time_out_request(&mut self, now: Micros, id: ConnectionId) {
         self.on_client_ready(now, id);
         let closes_last = self.lifecycle.is_closing_last_connections();
--- a/crates/coordinator/src/node/clients/connection.rs
+++ b/crates/coordinator/src/node/clients/connection.rs
@@ -1,7 +1,7 @@
-//! One client's connection: what is being read, which request is open on it, and when its time is up.
+//! One client connection: the request being read, the open request, and timeouts.
 //!
-//! [`ClientConnection`] owns the socket and the request that is being read. It knows neither the core nor the frontend's decisions: its
-//! methods say what has come of a step, and the caller decides what follows.
+//! [`ClientConnection`] owns the socket and the request parser. It does not use the core, and does not decide what to do with a
+//! request: its methods return the result of each step to the caller.
 
 mod input;
 mod output;
@@ -18,94 +18,94 @@
 use std::io;
 use std::net::Shutdown;
 
-/// A connection with no request open may idle for this long: usual clients close theirs after 4 s, and those that keep them for
-/// good would take the descriptors of the others.
+/// Timeout of idle connections. Typical clients close theirs after 4 s; connections kept open indefinitely would use up the
+/// descriptors.
 const IDLE_TIMEOUT: Micros = 6_000_000;
-/// The first request must be complete this long after the connect, a later one this long after its first byte: a client
+/// Time to read a complete request, from the connect for the first one and from the first byte for later ones. With it, a client
 /// that is not served gets a rejection, an error or a close within 3 s.
 const REQUEST_READ_TIMEOUT: Micros = 2_000_000;
-/// After a close of ours the peer's last bytes are read for this long.
+/// Time for which input is read and discarded after the write side was shut down.
 const LINGER_TIMEOUT: Micros = 1_000_000;
-/// A response that the client doesn't read for this long is given up.
+/// Time after which a response that the client does not read is abandoned.
 const WRITE_STALL_TIMEOUT: Micros = 10_000_000;
-/// A body that is streamed must not stand still for longer than this.
+/// Longest pause between parts of a streamed request body.
 const UPLOAD_STALL_TIMEOUT: Micros = 10_000_000;
-/// Bytes that are read and dropped with each sweep after a close of ours: 60 MB at full speed must not use up the processor.
+/// Bytes discarded per periodic check after the write side was shut down: a client that sends 60 MB at full speed must not use up
+/// the processor.
 const MAX_DISCARD_BYTES: usize = 128 * 1024;
 
-/// A request whose response is owed.
+/// A request whose response is pending.
 struct OpenRequest {
     id: RequestId,
     writer: Box<dyn ResponseWriter>,
 }
 
-/// A client's connection.
 pub(super) struct ClientConnection {
     stream: BufferedStream,
     registration: Option<RegistrationToken>,
     reader: RequestReader,
     open: Option<OpenRequest>,
-    /// It closes once all is written: the last request said so, or an error makes it due.
+    /// Whether it closes once all output is written, as the last request asked for or an error requires.
     must_close: bool,
-    /// Something of the open request's response has been written.
+    /// Whether part of the open request's response has been written.
     is_responding: bool,
-    /// Bytes that the request which is being read holds of the budget for bodies.
+    /// Bytes of the body budget reserved for the request being read.
     reserved_bytes: usize,
-    /// Our side is shut; what still comes is dropped.
+    /// Whether the write side is shut down; further input is discarded.
     is_write_shut: bool,
-    /// More was sent behind the open request than is buffered: what comes is dropped, and the connection closes behind the response.
+    /// Whether pipelined input exceeded the buffer limit: further input is discarded, and the connection closes after the response.
     is_overrun: bool,
-    /// Reading stopped with more to come.
+    /// Whether the socket may have unread input.
     has_more: bool,
-    /// "100 Continue" was sent for the request that is being read.
+    /// Whether "100 Continue" was sent for the request being read.
     has_sent_continue: bool,
-    /// Being worked on further up the stack; see [`ClientConnection::begin_turn`].
+    /// Whether a caller further up the stack is processing it; see [`ClientConnection::begin_turn`].
     is_in_turn: bool,
-    /// No complete request has been read from it yet.
+    /// Whether no complete request has been read yet.
     awaits_first_request: bool,
-    /// The connect, or the first byte of the request that is being read.
+    /// The time of the connect, or of the first byte of the request being read.
     read_started_at: Micros,
-    /// The next request is not begun before this.
+    /// The next request does not start before this time.
     paused_until: Micros,
     last_used: Micros,
 }
 
-/// What a connection was doing when its time was up.
+/// The timeout that a connection has exceeded.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Expired {
-    /// Our side is shut, and the peer had its time to read and to close.
+    /// The linger time after shutting down the write side.
     Linger,
-    /// The peer reads nothing, or sends nothing that is awaited.
+    /// The peer does not read its response, or does not send the awaited body.
     Stalled,
-    /// A request began and never became complete.
+    /// A request was not completed in time.
     PartialRequest,
-    /// Nothing was open.
+    /// The idle timeout, with no request open or partly read.
     Idle,
 }
 
-/// What the periodic check finds due on a connection.
+/// The action that the periodic check takes on a connection.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum DueStep {
-    /// Nothing.
+    /// No action.
     None,
-    /// It ends at once: the peer had its time.
+    /// Close at once after a timeout.
     Drop,
-    /// The request that is half read is answered with a timeout, and the connection closes.
+    /// Answer the incomplete request with a timeout, and close.
     TimeOutRequest,
-    /// It has been idle for too long and closes in order.
+    /// Close gracefully after the idle timeout.
     CloseIdle,
-    /// It closes in order since the process sends its clients away.
+    /// Close gracefully since the process is draining.
     CloseForDrain,
-    /// This side is shut: what still comes is dropped.
+    /// Discard input after the write side was shut down.
     Discard,
-    /// More may stand unread behind what is buffered.
+    /// Read on, as there may be input beyond the buffer limit.
     Drive,
-    /// The pause after a bad request is over.
+    /// End the pause after a bad request.
     EndPause,
 }
 
 impl ClientConnection {
-    /// A connection that was accepted just now, and registered with the event loop. `limits` bound the requests that are read.
+    /// Wraps a newly accepted connection that is registered with the event loop. `limits` bound its requests.
     pub(super) fn new(
         now: Micros,
         stream: BufferedStream,
@@ -132,27 +132,27 @@
         }
     }
 
-    /// Whether bytes wait for the client to read them.
+    /// Whether output is waiting to be written.
     pub(super) fn is_writing(&self) -> bool {
         self.stream.backlog() > 0
     }
 
-    /// Whether no response is owed on it or on its way, and no close has started.
+    /// Whether no response is pending or being written, and no close has started.
     fn is_ready_for_request(&self) -> bool {
         !(self.open.is_some() || self.must_close || self.is_write_shut || self.is_writing())
     }
 
-    /// Whether nothing is open on it, or half read, that a close in order would hurt.
+    /// Whether a graceful close would lose nothing: no request is open or partly read.
     pub(super) fn is_idle(&self) -> bool {
         self.is_ready_for_request() && !self.reader.is_mid_message()
     }
 
-    /// Whether a request has begun on it and is not complete, and nothing else is open.
+    /// Whether a request is partly read and none is open.
     pub(super) fn has_partial_request(&self) -> bool {
         self.is_ready_for_request() && !self.reader.is_body_open() && self.reader.is_mid_message()
     }
 
-    /// Its place among those that are closed where descriptors are short, the highest first; `None` if it must stay.
+    /// Its rank for eviction, the highest first; `None` if it must stay open.
     pub(super) fn eviction_rank(&self, now: Micros) -> Option<Micros> {
         let is_needed = self.open.is_some()
             || self.is_writing()
@@ -162,7 +162,7 @@
             .then(|| eviction::rank(self.is_write_shut, self.awaits_first_request, idle))
     }
 
-    /// Why its time is up, if it is.
+    /// The timeout that it has exceeded, if any.
     fn expired(&self, now: Micros) -> Option<Expired> {
         let idle = now.saturating_sub(self.last_used);
         let is_read_late = now > self.read_started_at + REQUEST_READ_TIMEOUT;
@@ -173,7 +173,7 @@
             return (idle > WRITE_STALL_TIMEOUT).then_some(Expired::Stalled);
         }
         if self.reader.is_body_open() {
-            // A body that stands still while its engine waits for it.
+            // The engine waits for the body only if nothing of it is buffered here.
             let is_awaited = self.reader.held() == 0;
             return (is_awaited && idle > UPLOAD_STALL_TIMEOUT).then_some(Expired::Stalled);
         }
@@ -189,13 +189,13 @@
         (idle > IDLE_TIMEOUT).then_some(Expired::Idle)
     }
 
-    /// What is due on it now.
+    /// The action that is due now.
     pub(super) fn due_step(&self, now: Micros, lifecycle: &Lifecycle) -> DueStep {
         let closes_last = lifecycle.is_closing_last_connections();
         match self.expired(now) {
             Some(Expired::Linger | Expired::Stalled) => DueStep::Drop,
             Some(Expired::PartialRequest) => DueStep::TimeOutRequest,
-            // The process ends before its time is up: it is answered now, as its last byte may come in that moment.
+            // The process exits before the request's timeout. It is answered now, as its last byte may arrive during the exit.
             None if closes_last && self.has_partial_request() => DueStep::TimeOutRequest,
             Some(Expired::Idle) => DueStep::CloseIdle,
             None if self.should_close_for_drain(now, lifecycle) => DueStep::CloseForDrain,
@@ -206,9 +206,8 @@
         }
     }
 
-    /// Whether it closes in order since the process sends its clients away. A client that has just connected has a request to
-    /// write, which it may hold back while its key's last one has only just gone out: it has its usual time, unless requests
-    /// are not accepted any more.
+    /// Whether to close it gracefully since the process is draining. A client that has just connected is about to send a request,
+    /// possibly delayed by the previous one of its ordering key, so it gets the usual time unless requests are no longer accepted.
     fn should_close_for_drain(&self, now: Micros, lifecycle: &Lifecycle) -> bool {
         let idle = now.saturating_sub(self.last_used);
         self.is_idle()
@@ -216,68 +215,68 @@
             && !lifecycle.may_keep_alive(now, idle)
     }
 
-    /// Whether the request that is half read should be ended now.
+    /// Whether the incomplete request has timed out, or the process closes its last connections.
     pub(super) fn is_request_timed_out(&self, now: Micros, closes_last: bool) -> bool {
         self.has_partial_request()
             && (closes_last || self.expired(now) == Some(Expired::PartialRequest))
     }
 
-    /// Begins a turn of work; false if one is going on further up the stack.
+    /// Marks it as being processed; false if a caller further up the stack is already processing it.
     pub(super) fn begin_turn(&mut self) -> bool {
         !std::mem::replace(&mut self.is_in_turn, true)
     }
 
-    /// Ends a turn of work.
+    /// Marks it as no longer being processed.
     pub(super) fn end_turn(&mut self) {
         self.is_in_turn = false;
     }
 
-    /// The event loop reports that something may be read.
+    /// Records a readiness event: there may be input.
     pub(super) fn mark_readable(&mut self) {
         self.has_more = true;
     }
 
-    /// Whether this side is shut.
+    /// Whether the write side is shut down.
     pub(super) fn is_write_shut(&self) -> bool {
         self.is_write_shut
     }
 
-    /// The request whose response is owed.
+    /// The request whose response is pending.
     pub(super) fn open_request(&self) -> Option<RequestId> {
         self.open.as_ref().map(|open| open.id)
     }
 
-    /// Forgets the request whose response is owed.
+    /// Removes the request whose response is pending.
     pub(super) fn take_open_request(&mut self) -> Option<RequestId> {
         self.open.take().map(|open| open.id)
     }
 
-    /// Takes the registration with the event loop, to end it.
+    /// Takes the event loop registration, for the caller to remove.
     pub(super) fn take_registration(&mut self) -> Option<RegistrationToken> {
         self.registration.take()
     }
 
-    /// Bytes that the request which is being read holds of the budget for bodies.
+    /// Bytes of the body budget reserved for the request being read.
     pub(super) fn reserved_bytes(&self) -> usize {
         self.reserved_bytes
     }
 
-    /// Bytes that wait for the client to read them.
+    /// Bytes of output waiting to be written.
     pub(super) fn backlog(&self) -> usize {
         self.stream.backlog()
     }
 
-    /// Whether the peer has ended its side, by a system call: behind bytes that are not read yet there is no event for it.
+    /// Whether the peer has closed its side. Asks the system, as a close after unread input causes no event.
     pub(super) fn peer_has_closed(&self) -> bool {
         self.stream.peer_has_closed()
     }
 
-    /// Writes what waits, and shuts this side where a close is due; true if requests may be started. A client that does not read its
-    /// responses is not served further ones.
+    /// Writes pending output, and shuts down the write side if a close is due. Returns whether requests may be started: while a
+    /// client does not read its responses, no further request is started.
     ///
     /// # Errors
     ///
-    /// The connection's.
+    /// The connection failed.
     pub(super) fn flush(&mut self, now: Micros) -> io::Result<bool> {
         let is_flushed = self.stream.flush()?;
         if is_flushed && self.must_close && self.open.is_none() && !self.is_write_shut {
@@ -288,28 +287,28 @@
         Ok(is_flushed || self.open.is_some())
     }
 
-    /// Writes what the system takes before the connection goes.
+    /// Writes as much output as possible before the connection closes.
     pub(super) fn flush_last(&mut self) {
         let _ = self.stream.flush();
     }
 
-    /// Closes in order once all is written.
+    /// Starts a graceful close, which follows once all output is written.
     pub(super) fn begin_close(&mut self, now: Micros) {
         (self.must_close, self.last_used) = (true, now);
     }
 
-    /// The open request was withdrawn: no response is owed, and the connection closes, as the response to a later request would be
-    /// read as that of the withdrawn one.
+    /// Closes the connection after its open request was withdrawn: without a response to that, the client would take the response to
+    /// a later request for it.
     pub(super) fn close_after_withdrawal(&mut self) {
         (self.must_close, self.is_responding) = (true, false);
     }
 
-    /// Marks that more was sent ahead than is buffered; true the first time.
+    /// Records that pipelined input exceeded the buffer limit; true the first time.
     pub(super) fn mark_overrun(&mut self) -> bool {
         !std::mem::replace(&mut self.is_overrun, true)
     }
 
-    /// Reads once and drops what was read; false once the connection has ended.
+    /// Reads once and discards the input; false once the peer has closed or the connection failed.
     pub(super) fn discard_input(&mut self) -> bool {
         match self.stream.read(&mut Vec::new(), MAX_DISCARD_BYTES) {
             Ok(ReadOutcome::LimitReached) => true,
--- a/crates/coordinator/src/node/clients/connection/input.rs
+++ b/crates/coordinator/src/node/clients/connection/input.rs
@@ -1,4 +1,4 @@
-//! Reading from a client's connection: bytes, the requests in them, and bodies that are forwarded as they arrive.
+//! Reading from a client connection: requests, and request bodies that are forwarded as they arrive.
 
 use super::ClientConnection;
 use crate::frontends::Frontend;
@@ -6,64 +6,64 @@
 use driftfront_core::Micros;
 use driftfront_http::{HttpError, Request};
 
-/// Bytes of one read.
+/// Maximum bytes per read.
 const MAX_READ_BYTES: usize = 64 * 1024;
-/// Bytes read ahead while a request is open.
+/// Maximum bytes buffered ahead while a request is open.
 const MAX_READ_AHEAD_BYTES: usize = 64 * 1024;
-/// After a reply to what could not be accepted the connection's next request waits this long: a client that sends the same again at
-/// once would use the others' share of the processor.
+/// Delay of a connection's next request after a bad one: a client that resends it at once would take processor time from the
+/// others.
 const PAUSE_AFTER_BAD_REQUEST: Micros = 100_000;
 
-/// What came of one read.
+/// The result of one read.
 pub(in crate::node::clients) enum ReadStep {
     /// Nothing can be read now.
     Nothing,
-    /// As much is buffered as may be while a request is open, or the connection is paused.
+    /// The buffer limit for an open request or a paused connection is reached.
     Full,
-    /// Bytes may have come; a request may be complete.
+    /// Input may have been read, and may complete a request.
     Received,
-    /// Bytes came that belong to no request, behind one whose response is owed.
+    /// Input after the open request does not begin a request.
     StrayBytes,
-    /// The peer has ended its side.
+    /// The peer has closed its side.
     Closed,
     /// The connection failed.
     Failed,
 }
 
-/// Whether the request that is being read may grow on.
+/// How the size of the request being read compares with its limit.
 pub(in crate::node::clients) enum BodyLimit {
     /// It is within its limit.
     Within,
-    /// It has outgrown its limit, so that it may be begun with its body still coming.
+    /// It exceeds its limit, so it may start before its body is complete.
     Exceeded,
-    /// Its head alone has outgrown the limit, and a head can't be forwarded in parts.
+    /// Its head alone exceeds the limit, and a head cannot be streamed.
     HeadTooLarge,
 }
 
-/// What is known of a request as it is started.
+/// State of a request when it starts.
 pub(in crate::node::clients) struct StartedRequest {
-    /// Its client has ended its side: nobody awaits the response.
+    /// The client has closed its side and does not await the response.
     pub(in crate::node::clients) client_has_disconnected: bool,
-    /// More of its body is to come.
+    /// Whether part of its body has not arrived yet.
     pub(in crate::node::clients) has_more_body: bool,
-    /// Bytes that it holds of the budget for bodies.
+    /// Bytes of the body budget reserved for it.
     pub(in crate::node::clients) reserved_bytes: usize,
 }
 
-/// What has come of a body that is forwarded as it arrives.
+/// New data of a body that is forwarded as it arrives.
 pub(in crate::node) enum BodyUpdate {
-    /// Some more of it.
+    /// The next part.
     Chunk(Vec<u8>),
-    /// Its last bytes, maybe none.
+    /// The last part, possibly empty.
     LastChunk(Vec<u8>),
-    /// Nothing for now.
+    /// Nothing available now.
     WouldBlock,
-    /// It is malformed, or its client has left.
+    /// The body is malformed, or the client has disconnected.
     Broken,
 }
 
 impl ClientConnection {
-    /// Whether the next request may be started.
+    /// Whether the next request may start.
     fn can_begin_request(&self, now: Micros) -> bool {
         self.open.is_none()
             && !self.must_close
@@ -71,13 +71,13 @@
             && now >= self.paused_until
     }
 
-    /// Whether no more may be read ahead of what is open or paused.
+    /// Whether the buffer limit for an open request or a paused connection is reached.
     fn is_full(&self, now: Micros) -> bool {
         let is_ahead = self.open.is_some() || now < self.paused_until;
         is_ahead && self.reader.held() > MAX_READ_AHEAD_BYTES
     }
 
-    /// Adds bytes that were read.
+    /// Passes input to the parser.
     fn push(&mut self, now: Micros, bytes: &[u8]) {
         if bytes.is_empty() {
             return;
@@ -89,11 +89,11 @@
         self.reader.push(bytes);
     }
 
-    /// The next complete request, if one may be started. One that waits to be allowed to send its body is allowed.
+    /// The next complete request, if one may start. Sends "100 Continue" to a client that waits for it.
     ///
     /// # Errors
     ///
-    /// Where what was read is no request.
+    /// The input is not a valid request.
     pub(in crate::node::clients) fn next_request(
         &mut self,
         now: Micros,
@@ -110,14 +110,14 @@
         Ok(request)
     }
 
-    /// Begins a request that was read. `peer_has_closed`: its client has ended its side.
+    /// Starts a request that was read. `peer_has_closed`: its client has closed its side.
     pub(in crate::node::clients) fn start_request(
         &mut self,
         now: Micros,
         request: &Request,
         peer_has_closed: bool,
     ) -> StartedRequest {
-        // Behind unread bytes the client's end would be noticed only once the request is served.
+        // A close after unread input would be noticed only once the request was served.
         let client_has_disconnected = peer_has_closed || self.has_more && self.peer_has_closed();
         self.has_sent_continue = false;
         self.must_close = request.close;
@@ -133,12 +133,13 @@
         }
     }
 
-    /// The request that was begun is not accepted: the rest of its body, where more is to come, would be read as the next request.
+    /// Closes the connection after a request that is not accepted if part of its body is still to come, which would be read as the
+    /// next request.
     pub(in crate::node::clients) fn close_if_body_remains(&mut self, started: &StartedRequest) {
         self.must_close |= started.has_more_body;
     }
 
-    /// Lets the next request wait since this one was bad.
+    /// Delays the next request after a bad one.
     pub(in crate::node::clients) fn pause_after_bad_request(&mut self, now: Micros) {
         self.paused_until = now + PAUSE_AFTER_BAD_REQUEST;
     }
@@ -148,7 +149,7 @@
         self.paused_until = 0;
     }
 
-    /// Checks the size of the request that is being read against what its body may hold now.
+    /// Reserves body memory for the request being read, and compares its size with the limit that results.
     pub(in crate::node::clients) fn check_body_limit(
         &mut self,
         now: Micros,
@@ -195,10 +196,10 @@
         ReadStep::Received
     }
 
-    /// Reads on in the body of the open request, as far as is needed to have something to forward.
+    /// Reads from the body of the open request until there is something to forward.
     pub(in crate::node::clients) fn read_body(&mut self, now: Micros) -> BodyUpdate {
         let mut body = Vec::new();
-        // What is buffered, then what one read brings.
+        // First the buffered input, then at most one read.
         for _ in 0..2 {
             match self.reader.more_body(&mut body) {
                 Err(_) => return BodyUpdate::Broken,
--- a/crates/coordinator/src/node/clients/connection/output.rs
+++ b/crates/coordinator/src/node/clients/connection/output.rs
@@ -1,4 +1,4 @@
-//! Responses on a client's connection: those of open requests, part by part, and those that are given at once.
+//! Responses on a client connection: streamed responses of open requests, and immediate replies.
 
 use super::{ClientConnection, OpenRequest};
 use crate::frontends::{ConnectionAction, ResponseWriter};
@@ -6,18 +6,18 @@
 use driftfront_http::{add_connection_close, response};
 use std::time::Duration;
 
-/// A part of a response that waits to be written.
+/// A part of a response, added to the output.
 pub(in crate::node::clients) struct ResponsePart {
-    /// What becomes of the connection behind the response.
+    /// What to do with the connection after the response.
     pub(in crate::node::clients) action: ConnectionAction,
     /// Bytes of this part.
     pub(in crate::node::clients) length: usize,
-    /// The connection closes behind the response, whatever `action` says.
+    /// Whether the connection closes after the response, whatever `action` says.
     closes: bool,
 }
 
 impl ClientConnection {
-    /// A request's response is owed on it from now on.
+    /// Opens a request, whose response is now pending.
     pub(in crate::node::clients) fn open(
         &mut self,
         request: RequestId,
@@ -29,7 +29,7 @@
         });
     }
 
-    /// Answers at once. `closes`: the connection closes behind the reply, which says so.
+    /// Sends an immediate reply. With `closes`, the reply says that the connection closes after it.
     pub(in crate::node::clients) fn reply(&mut self, bytes: &[u8], closes: bool) {
         let mut bytes = bytes.to_vec();
         if closes {
@@ -40,21 +40,21 @@
         let _ = self.stream.flush();
     }
 
-    /// Answers what can't be read as a request; the connection closes behind that.
+    /// Replies to input that is not a valid request, and closes the connection after that.
     pub(in crate::node::clients) fn reply_to_malformed(&mut self, now: Micros, bytes: &[u8]) {
         self.must_close = true;
         self.last_used = now;
         self.stream.push(bytes);
     }
 
-    /// Answers a request that was half read as its time was up; the caller closes the connection.
+    /// Replies 408 to a request that was not completed in time; the caller closes the connection.
     pub(in crate::node::clients) fn reply_request_timeout(&mut self) {
         if !self.is_write_shut && self.reader.is_mid_message() && self.open.is_none() {
             self.stream.push(&response(408, &[], b"", true));
         }
     }
 
-    /// Answers a request that was half read as its client ended its side: it may still read why there is no other answer.
+    /// Replies 400 to a request that was incomplete when the client closed its side, as the client may still read.
     pub(in crate::node::clients) fn reply_to_truncated_request(&mut self) {
         let has_partial_request = self.open.is_none() && self.reader.is_mid_message();
         if has_partial_request && !self.is_write_shut && !self.must_close {
@@ -62,8 +62,8 @@
         }
     }
 
-    /// Puts a part of the open request's response into the output; `None` where no request is open. `closes`: the process closes
-    /// its clients' connections.
+    /// Adds a part of the open request's response to the output; `None` if no request is open. `closes`: the process closes
+    /// client connections.
     pub(in crate::node::clients) fn write_response(
         &mut self,
         now: Micros,
@@ -87,15 +87,15 @@
         })
     }
 
-    /// Ends the response whose last part waits to be written. Behind [`ConnectionAction::Reset`] the caller drops the connection.
+    /// Ends the response with its last part. After [`ConnectionAction::Reset`] the caller drops the connection.
     pub(in crate::node::clients) fn finish_response(&mut self, last: &ResponsePart) {
         let keeps_open = last.action == ConnectionAction::KeepOpen;
         self.open = None;
         self.is_responding = false;
-        // What still comes of a body could not be told from the next request.
+        // The rest of an unfinished body could not be told from the next request.
         self.must_close |= last.closes || !keeps_open || self.reader.is_body_open();
         if !keeps_open {
-            // A result that is cut must not look complete, so nothing more may follow it.
+            // A truncated result must not look complete, so no further response may follow it.
             self.has_more = false;
         }
         if last.action == ConnectionAction::Reset {
--- a/crates/coordinator/src/node/clients/kill.rs
+++ b/crates/coordinator/src/node/clients/kill.rs
@@ -1,4 +1,4 @@
-//! A client's order to end queries: carried to each engine that runs one as a request of its own.
+//! `KILL QUERY` of clients: a kill request is sent to each engine that runs one of the queries.
 
 use super::state::Requester;
 use crate::frontends::KillRequest;
@@ -6,7 +6,7 @@
 use driftfront_core::{Micros, Phase, RequestId};
 
 impl Node {
-    /// Ends queries by their names: none gets a further attempt, and each engine that runs one, or may, is sent a kill request.
+    /// Kills queries by name: none gets a further attempt, and each engine that runs or may run one is sent a kill request.
     pub(super) fn kill_queries(&mut self, now: Micros, id: ConnectionId, kill: KillRequest) {
         let known = kill.names.iter().any(|name| self.core.is_open(name));
         let sent = self.send_kills(now, id, &kill);
@@ -19,7 +19,7 @@
             names = kill.names.len(),
             known,
             engines = sent.len(),
-            "queries are to be ended"
+            "kill requests sent"
         );
         match sent.first() {
             None => self.reply(now, id, &kill.none_running),
@@ -36,8 +36,8 @@
         self.execute_commands();
     }
 
-    /// Sends the order to each engine that may run one of the queries; the requests that carry it. The first one's
-    /// response is forwarded to the client for all of them.
+    /// Sends a kill request to each engine that may run one of the queries, and returns these requests. The response to the first
+    /// is forwarded to the client on behalf of all.
     fn send_kills(&mut self, now: Micros, id: ConnectionId, kill: &KillRequest) -> Vec<RequestId> {
         let mut running = Vec::new();
         for name in &kill.names {
--- a/crates/coordinator/src/node/clients/listener.rs
+++ b/crates/coordinator/src/node/clients/listener.rs
@@ -7,10 +7,10 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::rc::Rc;
 
-/// Connects that may wait to be accepted: a burst of them.
+/// Length of the listen backlog, sized for a burst of connects.
 const LISTEN_BACKLOG: i32 = 1024;
 
-/// Listens with a backlog for a burst of connects.
+/// Opens a non-blocking listening socket.
 pub(in crate::node) fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = Socket::new(
         Domain::for_address(address),
@@ -24,31 +24,31 @@
     Ok(socket.into())
 }
 
-/// What came of one accept.
+/// The result of one accept.
 pub(super) enum AcceptOutcome {
-    /// A connection.
+    /// A connection was accepted.
     Connection(TcpStream),
-    /// Another accept may bring one.
+    /// Nothing was accepted, but another connection may be waiting.
     Retry,
-    /// There is no descriptor for it: the connection stays in the backlog.
+    /// No descriptor is available; the connection stays in the backlog.
     OutOfDescriptors,
-    /// None can be accepted now.
+    /// No connection can be accepted now.
     Stop,
 }
 
 /// The socket that clients connect to.
 pub(in crate::node) struct ClientListener {
-    /// `None` once the process leaves for good.
+    /// `None` once closed, when the process shuts down.
     socket: Option<Rc<TcpListener>>,
     registration: Option<RegistrationToken>,
-    /// It was passed: other processes may hold it, too.
+    /// Whether the socket was passed to this process, so that other processes may hold it too.
     is_passed: bool,
-    /// How often a passed socket was found blocking.
+    /// How often a passed socket was found in blocking mode.
     unblocked_count: u64,
 }
 
 impl ClientListener {
-    /// Wraps a socket that is not registered with the event loop yet. `is_passed`: other processes may hold it, too.
+    /// Wraps a socket that is not registered with the event loop yet. `is_passed`: other processes may hold it too.
     pub(in crate::node) fn new(socket: TcpListener, is_passed: bool) -> ClientListener {
         ClientListener {
             socket: Some(Rc::new(socket)),
@@ -63,7 +63,6 @@
         self.socket.clone()
     }
 
-    /// Whether it is not closed yet.
     pub(in crate::node) fn is_open(&self) -> bool {
         self.socket.is_some()
     }
@@ -73,27 +72,26 @@
         self.socket.as_ref()?.local_addr().ok()
     }
 
-    /// How often a passed socket was found blocking.
+    /// How often a passed socket was found in blocking mode.
     pub(in crate::node) fn unblocked_count(&self) -> u64 {
         self.unblocked_count
     }
 
-    /// Keeps the registration with the event loop.
+    /// Stores the event loop registration.
     pub(in crate::node) fn set_registration(&mut self, registration: RegistrationToken) {
         self.registration = Some(registration);
     }
 
-    /// Takes the registration with the event loop, to end it.
+    /// Takes the event loop registration, for the caller to remove.
     pub(in crate::node) fn take_registration(&mut self) -> Option<RegistrationToken> {
         self.registration.take()
     }
 
-    /// Closes the socket.
     pub(in crate::node) fn close(&mut self) {
         self.socket = None;
     }
 
-    /// Accepts the next connection of the backlog, if one can be accepted now.
+    /// Accepts the next connection from the backlog.
     pub(super) fn accept(&mut self) -> AcceptOutcome {
         if self.is_passed && !self.unblock() {
             return AcceptOutcome::Stop;
@@ -105,13 +103,13 @@
             Ok((stream, _)) => AcceptOutcome::Connection(stream),
             Err(e) if e.kind() == ErrorKind::WouldBlock => AcceptOutcome::Stop,
             Err(e) if is_out_of_descriptors(&e) => {
-                tracing::warn!("out of descriptors");
+                tracing::warn!("accept: out of file descriptors");
                 AcceptOutcome::OutOfDescriptors
             }
-            // A connection that ended in the backlog: the next may be well.
+            // This connection was closed while in the backlog; the next one may succeed.
             Err(e) if e.kind() == ErrorKind::ConnectionAborted => AcceptOutcome::Retry,
             Err(e) if e.kind() == ErrorKind::Interrupted => AcceptOutcome::Retry,
-            // Any other error would come again at once; the next periodic check tries again.
+            // Other errors would recur at once; the next periodic check retries.
             Err(e) => {
                 tracing::warn!("accept: {e}");
                 AcceptOutcome::Stop
@@ -119,8 +117,8 @@
         }
     }
 
-    /// Another holder of a passed socket may have made it blocking again, and the loop would stand still in `accept`. The mode is
-    /// shared by all holders, so it is checked before each call. False if it can't be set.
+    /// Makes a passed socket non-blocking. All holders share its mode, and another holder may have made it blocking again, which
+    /// would block the event loop in `accept`; so the mode is checked before each call. False if it cannot be set.
     fn unblock(&mut self) -> bool {
         let Some(socket) = &self.socket else {
             return false;
--- a/crates/coordinator/src/node/clients/mod.rs
+++ b/crates/coordinator/src/node/clients/mod.rs
@@ -1,25 +1,25 @@
-//! Connections of clients.
+//! Client connections.
 //!
-//! [`ClientListener`] owns the socket they connect to, [`Clients`] their connections. The modules of both need nothing but their own
-//! state and what they are passed:
+//! [`ClientListener`] owns the listening socket, [`Clients`] the connections. These modules depend only on their own state and
+//! their arguments:
 //!
-//! | module | job |
+//! | module | responsibility |
 //! | --- | --- |
 //! | `listener` | the listening socket |
-//! | `state` | all connections, who awaits which response, counters |
-//! | `connection` | one connection: reading requests, writing responses, when its time is up |
+//! | `state` | all connections, the requester of each open request, counters |
+//! | `connection` | one connection: reading requests, writing responses, timeouts |
 //!
-//! The others connect them with the frontend, the core, the engines and the event loop, as methods of `Node`:
+//! The others connect them to the frontend, the core, the engines and the event loop, as methods of `Node`:
 //!
-//! | module | event | what follows |
+//! | module | event | action |
 //! | --- | --- | --- |
-//! | `accept` | a client connects | its connection is added while there is capacity |
-//! | `read` | a connection can be read or written | writes, begins requests and reads, as far as all three go |
-//! | `requests` | a request is complete | the frontend decides: accepted, answered at once, or withdrawn |
-//! | `kill` | a client orders queries to end | each engine that runs one is sent the order |
-//! | `upload` | an engine takes more of a streamed body | the client's connection is read on |
+//! | `accept` | a client connects | the connection is added if there is capacity |
+//! | `read` | a connection is readable or writable | output is written, requests are started, input is read |
+//! | `requests` | a request is complete | it is accepted, answered at once, or withdraws another, as the frontend decides |
+//! | `kill` | a client kills queries | each engine that runs one is sent a kill request |
+//! | `upload` | an engine accepts more of a streamed body | more of the body is read from the client |
 //! | `respond` | the core forwards a chunk, or ends a request | the response is written |
-//! | `closing` | a connection ends, or the periodic check finds its time up | what is owed is answered (see `docs/endings.md`) |
+//! | `closing` | a connection ends, or exceeds a timeout | pending requests are answered or abandoned (see `docs/endings.md`) |
 
 mod accept;
 mod closing;
--- a/crates/coordinator/src/node/clients/read.rs
+++ b/crates/coordinator/src/node/clients/read.rs
@@ -1,15 +1,15 @@
-//! Works on a client's connection: writes, begins requests and reads, as far as all three go.
+//! Drives a client connection: writes output, starts requests and reads input until none of these makes progress.
 
 use super::connection::{BodyLimit, ClientConnection, ReadStep};
 use crate::node::{ConnectionId, EventSource, Node};
 use driftfront_core::Micros;
 use driftfront_http::HttpError;
 
-/// Steps on one connection before the others have their turn.
+/// Steps on one connection per turn, so that the others are served too.
 const MAX_STEPS_PER_TURN: usize = 16;
 
 impl Node {
-    /// Handles a readiness event of a connection: something may be read, or written, on it.
+    /// Handles a readiness event of a connection.
     pub(in crate::node) fn on_client_ready(&mut self, now: Micros, id: ConnectionId) {
         if let Some(client) = self.clients.get_mut(id) {
             client.mark_readable();
@@ -23,8 +23,8 @@
         self.resume_engines(now);
     }
 
-    /// Works on a connection, unless that is going on further up the stack: a response given at once must not begin the next
-    /// pipelined request inside the one before, each some frames deeper.
+    /// Drives a connection, unless a caller further up the stack is doing so: an immediate reply must not start the next pipelined
+    /// request recursively, as the stack would grow with each.
     pub(in crate::node) fn drive_client(&mut self, now: Micros, id: ConnectionId) {
         let client = self.clients.get_mut(id);
         if !client.is_some_and(ClientConnection::begin_turn) {
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Writes, begins a request, or reads; true if there may be more to do at once.
+    /// Writes output, then starts a request or reads input; true if another step may make progress.
     fn run_client_step(&mut self, now: Micros, id: ConnectionId) -> bool {
         self.flush_client(now, id)
             && (self.start_next_request(now, id, false)
@@ -55,7 +55,7 @@
                 || self.read_from_client(now, id))
     }
 
-    /// Writes what waits; true if requests may be started.
+    /// Writes pending output; true if requests may be started.
     fn flush_client(&mut self, now: Micros, id: ConnectionId) -> bool {
         let Some(client) = self.clients.get_mut(id) else {
             return false;
@@ -66,7 +66,7 @@
         })
     }
 
-    /// Checks the size of a request that is being read; true if its limits have changed so that it should be tried again.
+    /// Checks the size of the request being read; true if parsing should be tried again with new limits.
     fn update_request_limits(&mut self, now: Micros, id: ConnectionId) -> bool {
         let Some(client) = self.clients.get_mut(id) else {
             return false;
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Reads once; true if there may be more to do at once.
+    /// Reads once; true if another step may make progress.
     fn read_from_client(&mut self, now: Micros, id: ConnectionId) -> bool {
         let Some(client) = self.clients.get_mut(id) else {
             return false;
@@ -97,7 +97,7 @@
                 }
             }
             ReadStep::StrayBytes => {
-                // The length in its head was too small: what is in flight runs half a statement, and must not be served.
+                // The declared content length was too small: the engine runs a truncated statement, whose result must not be served.
                 self.abandon_client_request(now, id);
                 self.reject_malformed(now, id, HttpError::Malformed);
                 return true;
--- a/crates/coordinator/src/node/clients/requests.rs
+++ b/crates/coordinator/src/node/clients/requests.rs
@@ -1,5 +1,5 @@
-//! Requests as they come off a client's connection: accepted, answered at once, or withdrawn. The frontend decides which
-//! ([`FrontendAction`]); what it accepts goes to the core.
+//! Handles complete requests of clients. The frontend decides whether a request is accepted, answered at once, or withdraws
+//! another ([`FrontendAction`]); accepted requests go to the core.
 
 use super::connection::StartedRequest;
 use super::state::Requester;
@@ -9,8 +9,8 @@
 use driftfront_http::{response, Request};
 
 impl Node {
-    /// Begins the next request of a connection, if none is open; true if one was there. `peer_has_closed`: its client has ended its
-    /// side, and nothing that is still read is wanted any more.
+    /// Starts the next request of a connection if none is open; true if there was one. `peer_has_closed`: the client has closed its
+    /// side, so its remaining requests are not executed.
     pub(super) fn start_next_request(
         &mut self,
         now: Micros,
@@ -28,7 +28,7 @@
         true
     }
 
-    /// Does what the frontend decides about a request.
+    /// Carries out the frontend's decision about a request.
     fn handle_client_request(
         &mut self,
         now: Micros,
@@ -92,7 +92,7 @@
         self.reply(now, id, &response(200, &headers, text.as_bytes(), false));
     }
 
-    /// Answers a request whose id an open one has, where the frontend wants that; true if it was answered.
+    /// Replies to a request with the id of an open one, if the frontend has a reply for it; true if it was answered.
     fn replied_to_duplicate(
         &mut self,
         now: Micros,
@@ -113,9 +113,9 @@
         true
     }
 
-    /// Accepts a request whose client left before it was read: it is counted, and nothing of it goes to an engine.
+    /// Accepts a request whose client disconnected before it was read: it is counted, but not sent to an engine.
     fn accept_disconnected(&mut self, now: Micros, id: ConnectionId, request: ParsedRequest) {
-        tracing::debug!(conn = id, call = %request.name, "client left before its request was read");
+        tracing::debug!(conn = id, call = %request.name, "client disconnected before its request was read");
         self.core.accept_disconnected_request(now, request);
         self.execute_commands();
     }
@@ -127,7 +127,7 @@
         request: ParsedRequest,
         writer: Box<dyn ResponseWriter>,
     ) {
-        // The clock is read again: the process may have stood still since this turn began.
+        // The clock is read again, since the process may have been stopped since this turn began.
         let accepted_at = self.clock();
         if !self.lifecycle.accepts_requests(accepted_at) {
             self.core.begin_shutdown();
--- a/crates/coordinator/src/node/clients/respond.rs
+++ b/crates/coordinator/src/node/clients/respond.rs
@@ -1,4 +1,4 @@
-//! Responses as they go out to clients.
+//! Writes responses to clients.
 
 use crate::frontends::{ConnectionAction, ResponseWriter};
 use crate::node::{ConnectionId, Node};
@@ -6,7 +6,7 @@
 use driftfront_http::HttpError;
 
 impl Node {
-    /// Answers at once, without the core.
+    /// Sends an immediate reply, without the core.
     pub(super) fn reply(&mut self, now: Micros, id: ConnectionId, bytes: &[u8]) {
         let closes = self.lifecycle.closes_connections(now);
         if let Some(client) = self.clients.get_mut(id) {
@@ -14,14 +14,14 @@
         }
     }
 
-    /// Answers what can't be read as a request with its status; then the connection closes.
+    /// Replies to input that is not a valid request with the status of the error; then the connection closes.
     pub(super) fn reject_malformed(&mut self, now: Micros, id: ConnectionId, error: HttpError) {
         if let Some(client) = self.clients.get_mut(id) {
             client.reply_to_malformed(now, &self.frontend.error_response(error));
         }
     }
 
-    /// Writes part of a request's response; with `is_last` the request is over. `write` says what becomes of the connection.
+    /// Writes part of a request's response; with `is_last` the request ends. `write` returns what to do with the connection.
     pub(in crate::node) fn write_response(
         &mut self,
         now: Micros,
