--- a/crates/coordinator/src/node/engines/attempts.rs
+++ b/crates/coordinator/src/node/engines/attempts.rs
@@ -1,5 +1,5 @@
-//! Attempts and probes that the core starts: queued on a connection, and stopped again. An attempt that can't be queued, or whose
-//! connection ends, has failed; the core learns of it here.
+//! Queues attempts and probes of the core on engine connections, and stops attempts. Reports to the core attempts that failed
+//! because they could not be queued or lost their connection.
 
 use super::connection::{QueuedWrite, StopOutcome};
 use super::liveness::LIVENESS_PROBE_TAG;
@@ -8,7 +8,7 @@
 use driftfront_core::{AttemptKey, Cause, EngineId, Micros, Outcome};
 
 impl Node {
-    /// Queues an attempt on a connection to its engine; one that can't be queued fails at once.
+    /// Queues an attempt on a connection to its engine; if that is not possible, the attempt fails at once.
     pub(in crate::node) fn queue_attempt(
         &mut self,
         now: Micros,
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Queues a probe of the core's.
+    /// Queues a probe of the core.
     pub(in crate::node) fn queue_probe(&mut self, now: Micros, engine: EngineId, tag: u64) {
         match self.engine_connection(now, ConnectionRequest::for_probe(engine)) {
             Ok(id) => self.queue_write(now, id, QueuedWrite::Probe { tag }),
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Queues work on a connection and writes what may be written.
+    /// Queues work on a connection, and writes as much as possible.
     pub(super) fn queue_write(&mut self, now: Micros, id: ConnectionId, work: QueuedWrite) {
         let Some(conn) = self.engines.get_mut(id) else {
             return;
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Stops an attempt, wherever it is.
+    /// Stops an attempt on whichever connection it is queued or in flight.
     pub(in crate::node) fn abandon_attempt(
         &mut self,
         now: Micros,
@@ -80,7 +80,7 @@
                 StopOutcome::NotInFlight => {}
                 StopOutcome::Stopped => self.write_to_engine(now, id),
                 StopOutcome::NeedsClose => {
-                    self.close_engine_connection(now, id, "an attempt was given up")
+                    self.close_engine_connection(now, id, "attempt abandoned")
                 }
             }
         }
--- a/crates/coordinator/src/node/engines/closing.rs
+++ b/crates/coordinator/src/node/engines/closing.rs
@@ -1,5 +1,5 @@
-//! How engines' connections end, and what is owed then: each attempt on one ends as far as it had come, and what was queued for it
-//! goes by another. The moments stand in `docs/endings.md`.
+//! Closing of engine connections: attempts in flight end according to their progress, and queued work moves to another
+//! connection. `docs/endings.md` lists the cases.
 
 use super::connection::{EngineConnection, QueuedWrite};
 use super::liveness::LIVENESS_PROBE_TAG;
@@ -7,20 +7,20 @@
 use crate::node::{ConnectionId, Node};
 use driftfront_core::{Cause, EngineId, Micros, Outcome};
 
-/// Connections that may break under an attempt before a byte of it was written.
+/// How often an attempt may be requeued after its connection failed before a byte of it was written.
 const MAX_REQUEUES: u8 = 2;
-/// Idle timeout while a successor serves: idle connections are its share of the descriptors.
+/// Idle timeout while a successor serves, which needs the descriptors of idle connections.
 const IDLE_TIMEOUT_AFTER_HANDOVER: Micros = 200_000;
 
-/// Times after which a connection ends.
+/// Timeouts of engine connections.
 struct ConnectionTimeouts {
     idle: Micros,
     result_stall: Micros,
-    /// How often engines that send progress reports should; see [`Engines::is_presumed_lost`].
+    /// Interval of progress reports, from engines that send them; see [`Engines::is_presumed_lost`].
     progress_interval: Option<Micros>,
 }
 
-/// Why a connection should end.
+/// Why a connection should be closed.
 #[derive(Clone, Copy)]
 enum CloseReason {
     ConnectTimedOut,
@@ -35,14 +35,14 @@
         match self {
             CloseReason::ConnectTimedOut => "connect timed out",
             CloseReason::Silent => "silent",
-            CloseReason::ResultStalled => "its result stands still",
-            CloseReason::Unused => "no longer used",
+            CloseReason::ResultStalled => "result stalled",
+            CloseReason::Unused => "unused",
         }
     }
 }
 
 impl Engines {
-    /// Connections that should end now, each with its reason.
+    /// Connections that should be closed now, each with the reason.
     fn connections_to_close(
         &self,
         now: Micros,
@@ -80,7 +80,7 @@
 }
 
 impl Node {
-    /// Closes a connection; each attempt on it ends as far as it had come, once the engine can know.
+    /// Closes a connection. Each attempt on it ends according to its progress, once the engine has had time to notice the close.
     pub(in crate::node) fn close_engine_connection(
         &mut self,
         now: Micros,
@@ -90,7 +90,7 @@
         self.end_engine_connection(now, id, &Cause::Closed(reason.into()));
     }
 
-    /// A connection has ended; each attempt on it with it.
+    /// Handles the loss of a connection. Each attempt on it ends according to its progress.
     pub(super) fn on_engine_connection_lost(
         &mut self,
         now: Micros,
@@ -118,8 +118,9 @@
         self.execute_commands();
     }
 
-    /// Queues again what was not written on a connection that came up and broke: that is no sign of the engine's health, and
-    /// another connection may work. An attempt whose connection never came up, or that was requeued too often, fails.
+    /// Requeues work that was not written before an established connection failed: such a failure says nothing about the engine's
+    /// health, and another connection may work. An attempt fails if its connection was never established or it was requeued too
+    /// often.
     fn requeue_unwritten(&mut self, now: Micros, mut conn: EngineConnection, cause: &Cause) {
         let (engine, was_connected) = (conn.engine(), conn.is_connected());
         for work in conn.take_queue() {
@@ -138,7 +139,7 @@
         }
     }
 
-    /// Logs why a connection ended that something was in flight on.
+    /// Logs why a connection ended, unless it was idle.
     fn log_connection_end(&self, conn: &EngineConnection, cause: &Cause) {
         if conn.is_idle() {
             return;
@@ -147,19 +148,13 @@
         let (open, waiting) = (conn.session().attempt_count(), conn.queue_length());
         match cause {
             Cause::Closed(why) if open > 0 => {
-                tracing::info!(engine, open, waiting, why, "connection to an engine closed");
+                tracing::info!(engine, open, waiting, why, "engine connection closed");
             }
-            _ => tracing::debug!(
-                engine,
-                open,
-                waiting,
-                ?cause,
-                "connection to an engine lost"
-            ),
+            _ => tracing::debug!(engine, open, waiting, ?cause, "engine connection lost"),
         }
     }
 
-    /// The engine is gone from the list: what is in flight on it may still end.
+    /// Removes an engine that is no longer listed; attempts in flight on it may still complete.
     pub(in crate::node) fn forget_engine(&mut self, now: Micros, engine: EngineId) {
         self.engines.forget_engine(engine);
         self.registry.forget_engine(engine);
@@ -167,7 +162,8 @@
         self.sweep_engines(now);
     }
 
-    /// Ends connections that are silent, stuck or unused, probes silent engines, and reads on where clients have caught up.
+    /// Periodic check: probes silent engines, closes connections that are silent, stalled or unused, and resumes reading where
+    /// clients have caught up.
     pub(in crate::node) fn sweep_engines(&mut self, now: Micros) {
         self.probe_silent_engines(now);
         self.engines.count_streaming();
--- a/crates/coordinator/src/node/engines/connect.rs
+++ b/crates/coordinator/src/node/engines/connect.rs
@@ -1,4 +1,4 @@
-//! Finds or opens the connection that an attempt or a probe goes to.
+//! Finds or opens a connection for an attempt or a probe.
 
 use super::connection::EngineConnection;
 use super::pool::ConnectionRequest;
@@ -13,7 +13,7 @@
 use std::rc::Rc;
 
 impl Node {
-    /// A connection with capacity, the least loaded one; else a new one.
+    /// Returns the best connection with capacity, or opens a new one.
     pub(super) fn engine_connection(
         &mut self,
         now: Micros,
@@ -37,15 +37,15 @@
             .engines
             .may_connect(engine, session.max_attempts(), self.sockets())
         {
-            // Rather than wait without bound for capacity, the attempt goes elsewhere; the engine is well.
+            // The engine is healthy, but the wait for capacity would be unbounded: the attempt goes to another engine.
             return best.map(|best| best.id).ok_or(Cause::Rejected);
         }
         let stream = self.connect_to_engine(now, address)?;
         self.add_engine_connection(now, engine, stream, session)
     }
 
-    /// Begins a connect. Out of descriptors, an idle client's connection is closed for it; a shortage here is no fault of the
-    /// engine.
+    /// Starts a connect. If descriptors have run out, an idle client connection is closed for it; a shortage of descriptors here
+    /// does not count as a failure of the engine.
     fn connect_to_engine(
         &mut self,
         now: Micros,
@@ -89,7 +89,7 @@
     }
 }
 
-/// The protocol's state of a new connection.
+/// The protocol session of a new connection.
 fn new_session(config: &Config, address: SocketAddr) -> Box<dyn EngineSession> {
     match config.protocol {
         Protocol::Platform => Box::new(LineSession::new(
--- a/crates/coordinator/src/node/engines/connection.rs
+++ b/crates/coordinator/src/node/engines/connection.rs
@@ -1,7 +1,7 @@
-//! One connection to an engine: what is queued for it, what is in flight on it, and since when it has been silent.
+//! One connection to an engine: its queue, the work in flight, and the time since which it has been silent.
 //!
-//! [`EngineConnection`] owns the socket and the protocol session. It knows neither the core nor other connections: what its engine
-//! sends comes back as [`EngineEvent`](crate::backends::EngineEvent)s, and the caller decides what follows.
+//! [`EngineConnection`] owns the socket and the protocol session, and is independent of other connections. Data from the engine
+//! is returned to the caller as [`EngineEvent`](crate::backends::EngineEvent)s.
 
 mod transfer;
 
@@ -16,36 +16,36 @@
 
 pub(super) use transfer::StopOutcome;
 
-/// Probes and attempts that may wait for one connection.
+/// Maximum number of probes and attempts queued on one connection.
 const MAX_QUEUED_WRITES: usize = 256;
-/// Share of the engines' idle timeout after which a connection is not used again: a request that crosses the engine's close
-/// would be lost without proof that it never ran.
+/// Fraction of the engine's idle timeout after which a connection is not reused: if a request crossed the engine's close, there
+/// would be no proof that it did not run.
 const REUSABLE_IDLE_FRACTION: f64 = 0.9;
 
-/// What waits to be written.
+/// Work that waits to be written.
 pub(super) enum QueuedWrite {
-    /// An attempt, and how often its connection broke before a byte of it was written.
+    /// An attempt.
     Attempt {
-        /// Which attempt.
+        /// The attempt.
         key: AttemptKey,
-        /// Connections lost so far.
+        /// How often its connection failed before a byte of it was written.
         requeues: u8,
     },
-    /// A probe of this tag; [`LIVENESS_PROBE_TAG`] marks one that the core does not know of.
+    /// A probe with this tag; [`LIVENESS_PROBE_TAG`] marks a probe that the core did not start.
     Probe {
-        /// Echoed by the answer.
+        /// Echoed by the response.
         tag: u64,
     },
 }
 
 impl QueuedWrite {
-    /// A probe that only shows whether the engine lives.
+    /// A probe that only checks whether the engine is alive.
     pub(super) const LIVENESS_PROBE: QueuedWrite = QueuedWrite::Probe {
         tag: LIVENESS_PROBE_TAG,
     };
 }
 
-/// Where an attempt stands in the stream of bytes written to an engine.
+/// The position of an attempt in the output stream.
 struct AttemptSpan {
     key: AttemptKey,
     begin: u64,
@@ -53,7 +53,6 @@
     end: u64,
 }
 
-/// A connection to an engine.
 pub(in crate::node) struct EngineConnection {
     engine: EngineId,
     zone: Option<u16>,
@@ -63,26 +62,26 @@
     is_connected: bool,
     connect_deadline: Micros,
     queue: VecDeque<QueuedWrite>,
-    /// Attempts that are not written completely, in the order of the stream.
+    /// Attempts that are not completely written, in stream order.
     spans: VecDeque<AttemptSpan>,
-    /// When bytes were last received, or it last went from idle to busy: new work queued on a silent connection must not make it
-    /// look alive.
+    /// When bytes were last received, or the connection last went from idle to busy. Further work on a busy connection does not
+    /// update it, since that would make a silent connection look alive.
     silent_since: Micros,
     /// When bytes were last received; 0 if never.
     last_received: Micros,
     last_used: Micros,
-    /// Reading waits until a slow client has read its response.
+    /// Whether reading is paused until a slow client has read its response.
     is_paused: bool,
-    /// The attempt whose body is streamed as it comes.
+    /// The attempt whose body is being streamed.
     upload: Option<AttemptKey>,
-    /// Takes no new work: silent, or leads to an earlier process.
+    /// Whether it takes no new work, as it leads to an earlier process or address of the engine.
     is_retired: bool,
-    /// The attempt last queued on it must not run twice: no other joins it.
+    /// Whether the attempt last queued on it is non-idempotent, so that no other attempt may share the connection.
     is_exclusive: bool,
 }
 
 impl EngineConnection {
-    /// A connection whose connect has begun and must be up by `connect_deadline`.
+    /// Wraps a connection that must be established by `connect_deadline`.
     pub(super) fn connecting(
         now: Micros,
         engine: EngineId,
@@ -112,47 +111,45 @@
         }
     }
 
-    /// The engine that it leads to.
     pub(super) fn engine(&self) -> EngineId {
         self.engine
     }
 
-    /// The engine's zone, if that is known.
+    /// The engine's zone, if known.
     pub(super) fn zone(&self) -> Option<u16> {
         self.zone
     }
 
-    /// Whether its connect has completed.
+    /// Whether the connection is established.
     pub(super) fn is_connected(&self) -> bool {
         self.is_connected
     }
 
-    /// Whether its connect should have completed by now.
+    /// Whether the connect deadline has passed.
     pub(super) fn is_connect_overdue(&self, now: Micros) -> bool {
         !self.is_connected && now > self.connect_deadline
     }
 
-    /// Whether reading waits until a slow client has read its response.
+    /// Whether reading is paused until a slow client has read its response.
     pub(super) fn is_paused(&self) -> bool {
         self.is_paused
     }
 
-    /// Whether it takes no new work.
     pub(super) fn is_retired(&self) -> bool {
         self.is_retired
     }
 
-    /// Keeps new work off it.
+    /// Excludes it from new work.
     pub(super) fn retire(&mut self) {
         self.is_retired = true;
     }
 
-    /// Whether the attempt last queued on it must not run twice.
+    /// Whether the attempt last queued on it is non-idempotent.
     pub(super) fn is_exclusive(&self) -> bool {
         self.is_exclusive
     }
 
-    /// Sets whether the attempt that is queued next must not run twice.
+    /// Sets whether the attempt that is queued next is non-idempotent.
     pub(super) fn set_exclusive(&mut self, is_exclusive: bool) {
         self.is_exclusive = is_exclusive;
     }
@@ -162,37 +159,37 @@
         self.last_received
     }
 
-    /// When bytes were last received, or it last went from idle to busy.
+    /// When bytes were last received, or the connection last went from idle to busy.
     pub(super) fn silent_since(&self) -> Micros {
         self.silent_since
     }
 
-    /// The attempt whose body is streamed as it comes.
+    /// The attempt whose body is being streamed.
     pub(super) fn upload(&self) -> Option<AttemptKey> {
         self.upload
     }
 
-    /// Whether the attempt whose body is streamed has ended before the body.
+    /// Whether the engine ended the streamed attempt before its body was complete.
     pub(super) fn has_answered_early(&self) -> bool {
         self.upload
             .is_some_and(|key| !self.session.has_attempt(key))
     }
 
-    /// The protocol's state, to look at.
+    /// The protocol session.
     pub(super) fn session(&self) -> &dyn EngineSession {
         self.session.as_ref()
     }
 
-    /// Takes the registration with the event loop, to end it.
+    /// Takes the event loop registration, for the caller to remove.
     pub(super) fn take_registration(&mut self) -> Option<RegistrationToken> {
         self.registration.take()
     }
 
-    /// Whether the connect has completed.
+    /// Checks whether the connect has completed.
     ///
     /// # Errors
     ///
-    /// The connect's, if it failed.
+    /// The connect failed.
     pub(super) fn poll_connected(&mut self, now: Micros) -> io::Result<bool> {
         if self.is_connected {
             return Ok(true);
@@ -204,25 +201,25 @@
             }
             Ok(false) => Ok(false),
             Err(e) => {
-                // Reset, not refused: the connect had completed, so the engine's process exists.
+                // A reset, unlike a refusal, means that the connect had completed, so the engine's process exists.
                 self.is_connected = e.kind() == ErrorKind::ConnectionReset;
                 Err(e)
             }
         }
     }
 
-    /// Whether nothing is queued, in flight or half written.
+    /// Whether nothing is queued, in flight or partly written.
     pub(super) fn is_idle(&self) -> bool {
         self.queue.is_empty() && self.session.is_idle() && self.stream.backlog() == 0
     }
 
-    /// Attempts in flight and everything queued.
+    /// Number of attempts in flight and of queued probes and attempts.
     pub(super) fn load(&self) -> usize {
         self.queue.len() + self.session.attempt_count()
     }
 
-    /// Whether its engine should have sent something by now. `report_interval`: how often progress reports are due;
-    /// `engine_received_at`: when bytes last came from the engine on any connection.
+    /// Whether a message from the engine is overdue. `report_interval`: the interval of progress reports; `engine_received_at`: when
+    /// bytes were last received from the engine on any connection.
     pub(super) fn is_silent(
         &self,
         now: Micros,
@@ -241,19 +238,19 @@
         is_overdue(now, report_interval, received_at, has_only_probes)
     }
 
-    /// Whether a result is being received that nothing more has come of for longer than `timeout`.
+    /// Whether a result is being received, but nothing of it has arrived for longer than `timeout`.
     pub(super) fn has_stalled_result(&self, now: Micros, timeout: Micros) -> bool {
         let is_receiving = self.session.is_streaming() && !self.is_paused;
         is_receiving && now > self.silent_since + timeout
     }
 
-    /// Whether it was idle for so long that the engine may be about to close it.
+    /// Whether it has been idle for so long that the engine may be about to close it.
     pub(super) fn is_stale(&self, now: Micros, idle_timeout: Micros) -> bool {
         let reusable = idle_timeout as f64 * REUSABLE_IDLE_FRACTION;
         self.is_connected && self.is_idle() && now as f64 > self.last_used as f64 + reusable
     }
 
-    /// Queues work; gives it back where the queue is full.
+    /// Queues work, or returns it if the queue is full.
     pub(super) fn enqueue(&mut self, work: QueuedWrite) -> Result<(), QueuedWrite> {
         if self.queue.len() >= MAX_QUEUED_WRITES {
             return Err(work);
@@ -262,22 +259,22 @@
         Ok(())
     }
 
-    /// The work that is written next.
+    /// The first entry of the queue.
     pub(super) fn next_queued(&self) -> Option<&QueuedWrite> {
         self.queue.front()
     }
 
-    /// Takes the work that is written next off the queue.
+    /// Removes the first entry of the queue.
     pub(super) fn pop_queued(&mut self) -> Option<QueuedWrite> {
         self.queue.pop_front()
     }
 
-    /// How much is queued.
+    /// Number of queued probes and attempts.
     pub(super) fn queue_length(&self) -> usize {
         self.queue.len()
     }
 
-    /// Takes what was queued and never written.
+    /// Takes the whole queue.
     pub(super) fn take_queue(&mut self) -> VecDeque<QueuedWrite> {
         std::mem::take(&mut self.queue)
     }
--- a/crates/coordinator/src/node/engines/connection/transfer.rs
+++ b/crates/coordinator/src/node/engines/connection/transfer.rs
@@ -1,5 +1,5 @@
-//! What goes out on a connection to an engine, and what comes in: probes, attempts and bodies are encoded into the output, bytes
-//! received are decoded into [`EngineEvent`]s.
+//! Input and output of an engine connection: encodes probes, attempts and bodies into the output, and decodes received bytes into
+//! [`EngineEvent`]s.
 
 use super::{AttemptSpan, EngineConnection, QueuedWrite};
 use crate::backends::{AttemptRequest, EngineEvent, SessionError};
@@ -7,21 +7,21 @@
 use driftfront_core::{AttemptKey, Core, Micros, Progress};
 use std::io;
 
-/// Capacity for the framing of a body chunk.
+/// Buffer capacity for the framing of a body chunk.
 const CHUNK_FRAMING_BYTES: usize = 16;
 
-/// What became of an attempt that is not wanted any more.
+/// The result of stopping an attempt.
 pub(in crate::node::engines) enum StopOutcome {
-    /// It was not in flight here.
+    /// It was not in flight on this connection.
     NotInFlight,
-    /// The engine is sent a message that stops it.
+    /// A message to the engine stops it.
     Stopped,
     /// Only closing the connection stops it.
     NeedsClose,
 }
 
 impl EngineConnection {
-    /// Writes a probe into the output.
+    /// Adds a probe to the output.
     pub(in crate::node::engines) fn write_probe(&mut self, now: Micros, tag: u64) {
         let was_idle = self.session.is_idle();
         let mut out = Vec::new();
@@ -29,13 +29,13 @@
         self.push_work(now, &out, was_idle);
     }
 
-    /// Writes an attempt into the output. A streamed one stays open-ended until [`EngineConnection::finish_body`].
+    /// Adds an attempt to the output. A streamed one is incomplete until [`EngineConnection::finish_body`].
     pub(in crate::node::engines) fn start_attempt(
         &mut self,
         now: Micros,
         attempt: &AttemptRequest,
     ) {
-        // A probe in flight does not show when this attempt's first report is due.
+        // The time of this attempt's first report does not depend on a probe in flight.
         let was_idle = self.session.attempt_count() == 0;
         let mut out = Vec::new();
         self.session.start_attempt(attempt, &mut out);
@@ -43,7 +43,7 @@
         self.push_work(now, &out, was_idle);
     }
 
-    /// Puts bytes of new work into the output. `was_idle`: no response was awaited before, so that silence is counted from now.
+    /// Adds bytes of new work to the output. `was_idle`: no response was awaited before, so silence is measured from now.
     fn push_work(&mut self, now: Micros, bytes: &[u8], was_idle: bool) {
         self.stream.push(bytes);
         if was_idle {
@@ -52,7 +52,7 @@
         self.last_used = now;
     }
 
-    /// Records where an attempt of `length` bytes will stand that is about to be put into the output.
+    /// Records the stream position of an attempt of `length` bytes that is about to be added to the output.
     fn begin_span(&mut self, key: AttemptKey, length: usize, is_streamed: bool) {
         let begin = self.stream.queued();
         let mut end = begin + length as u64;
@@ -62,7 +62,7 @@
         self.spans.push_back(AttemptSpan { key, begin, end });
     }
 
-    /// Writes bytes of the streamed body into the output.
+    /// Adds a chunk of the streamed body to the output.
     pub(in crate::node::engines) fn write_body_chunk(&mut self, now: Micros, bytes: &[u8]) {
         let mut out = Vec::with_capacity(bytes.len() + CHUNK_FRAMING_BYTES);
         self.session.write_body_chunk(bytes, &mut out);
@@ -70,7 +70,7 @@
         self.last_used = now;
     }
 
-    /// Writes the end of the streamed body into the output: from now on the engine's response is awaited.
+    /// Adds the end of the streamed body to the output; silence is measured from now on, as the engine's response is awaited.
     pub(in crate::node::engines) fn finish_body(&mut self, now: Micros, key: AttemptKey) {
         let mut out = Vec::new();
         self.session.finish_body(&mut out);
@@ -82,7 +82,7 @@
         self.silent_since = now;
     }
 
-    /// Removes an attempt from the queue, and stops it if it is in flight.
+    /// Removes an attempt from the queue, or stops it if it is in flight.
     pub(in crate::node::engines) fn stop_attempt(&mut self, key: AttemptKey) -> StopOutcome {
         self.queue
             .retain(|w| !matches!(w, QueuedWrite::Attempt { key: queued, .. } if *queued == key));
@@ -99,11 +99,11 @@
         }
     }
 
-    /// Hands the output to the system, and reports to the core how far attempts have come with it; true once no output is left.
+    /// Writes output to the socket, and reports the progress of attempts to the core; true once no output is left.
     ///
     /// # Errors
     ///
-    /// The connection's.
+    /// The connection failed.
     pub(in crate::node::engines) fn flush(&mut self, core: &mut Core) -> io::Result<bool> {
         let flushed = self.stream.flush();
         self.report_written(core);
@@ -128,7 +128,7 @@
     ///
     /// # Errors
     ///
-    /// The connection's.
+    /// The connection failed.
     pub(in crate::node::engines) fn read(
         &mut self,
         into: &mut Vec<u8>,
@@ -137,11 +137,11 @@
         self.stream.read(into, max_bytes)
     }
 
-    /// Decodes bytes that were read, and the end of the engine's side, into `events`.
+    /// Decodes received bytes, and a close by the engine, into `events`.
     ///
     /// # Errors
     ///
-    /// Where the engine violates the protocol; what came before that is in `events`.
+    /// The engine violates the protocol; events before the violation are in `events`.
     pub(in crate::node::engines) fn decode(
         &mut self,
         now: Micros,
@@ -162,7 +162,7 @@
         decoded
     }
 
-    /// Reads and decodes once where nothing can be written any more; true if there may be more to read.
+    /// Reads and decodes once on a connection that can no longer be written; true if there may be more to read.
     pub(in crate::node::engines) fn read_remaining(
         &mut self,
         now: Micros,
@@ -178,17 +178,17 @@
     /// Pauses or resumes reading.
     pub(in crate::node::engines) fn set_paused(&mut self, now: Micros, is_paused: bool) {
         if self.is_paused && !is_paused {
-            // The silence was of this program's making.
+            // Nothing was received because reading was paused.
             self.silent_since = now;
         }
         self.is_paused = is_paused;
     }
 
-    /// Lets the session ask again for what is overdue, or give it up; true if that put something into the output.
+    /// Lets the session repeat or abandon overdue exchanges; true if that added to the output.
     ///
     /// # Errors
     ///
-    /// Where a response stopped short: the connection can't be used any more.
+    /// A response is incomplete, so the connection cannot be used any more.
     pub(in crate::node::engines) fn check_timeouts(
         &mut self,
         now: Micros,
--- a/crates/coordinator/src/node/engines/liveness.rs
+++ b/crates/coordinator/src/node/engines/liveness.rs
@@ -1,6 +1,6 @@
-//! When bytes last came from an engine, when they should have, and probes where nothing else shows that it lives.
+//! Detects silent engines, and probes those that send nothing by themselves while they work.
 //!
-//! [`Engines`] judges silence over all connections to an engine; the periodic check probes the engines that are due.
+//! [`Engines`] determines silence over all connections to an engine; the periodic check sends the probes that are due.
 
 use super::connection::{EngineConnection, QueuedWrite};
 use super::pool::ConnectionRequest;
@@ -10,9 +10,9 @@
 use driftfront_core::{EngineId, Micros};
 use std::collections::BTreeMap;
 
-/// An engine that reports nothing by itself while it works is probed after this long of silence.
+/// Silence after which an engine that sends no progress reports is probed.
 pub(super) const LIVENESS_PROBE_INTERVAL: Micros = 1_000_000;
-/// The tag of such probes; the core's are never 0.
+/// The tag of liveness probes; tags of the core's probes are never 0.
 pub(super) const LIVENESS_PROBE_TAG: u64 = 0;
 
 /// When silent engines were last probed for liveness.
@@ -22,7 +22,7 @@
 }
 
 impl LivenessProbes {
-    /// Whether an engine is due for a probe from which bytes last came at `received_at`; if so, the probe counts as sent now.
+    /// Whether a probe of the engine is due, if bytes were last received at `received_at`; if so, it is recorded as sent now.
     fn start_if_due(&mut self, now: Micros, engine: EngineId, received_at: Micros) -> bool {
         let probed_at = self.probed_at.get(&engine).copied().unwrap_or(0);
         if now < received_at.max(probed_at) + LIVENESS_PROBE_INTERVAL {
@@ -32,20 +32,20 @@
         true
     }
 
-    /// The engine is gone from the list.
+    /// Removes an engine that is no longer listed.
     pub(super) fn forget_engine(&mut self, engine: EngineId) {
         self.probed_at.remove(&engine);
     }
 }
 
 impl Engines {
-    /// When bytes last came from an engine, on whatever connection; 0 if never.
+    /// When bytes were last received from an engine on any of its connections; 0 if never.
     pub(super) fn last_received(&self, engine: EngineId) -> Micros {
         let times = self.connections_to(engine).map(|(_, c)| c.last_received());
         times.max().unwrap_or(0)
     }
 
-    /// How often progress reports of what is in flight on an engine are due, where engines send them every `progress_interval`.
+    /// The tolerated interval of an engine's progress reports, if engines send them every `progress_interval`.
     pub(super) fn report_interval(
         &self,
         now: Micros,
@@ -64,16 +64,17 @@
         Some(tolerated_interval(interval, load, is_zone_alive))
     }
 
-    /// Whether what is in flight on a silent connection is given up: the connection ends, and its attempts may run elsewhere. An
-    /// attempt that must not run twice is kept, since it may still be answered once the engine can be reached again. A probe that
-    /// is never answered must not hold its connection forever.
+    /// Whether a connection is silent and should be closed, so that its attempts may run elsewhere. A connection with a
+    /// non-idempotent attempt is kept, since the attempt may still be answered once the engine is reachable again. A connection
+    /// with probes only is closed, as an unanswered probe must not hold it forever.
     pub(super) fn is_presumed_lost(
         &self,
         now: Micros,
         conn: &EngineConnection,
         progress_interval: Option<Micros>,
     ) -> bool {
-        // Idle connections, nearly all in a large cluster, await nothing: the other connections are not searched for them.
+        // Idle connections await nothing. In a large cluster nearly all are idle; returning here avoids a scan of all connections
+        // for each of them.
         if conn.session().is_idle() {
             return false;
         }
@@ -84,7 +85,8 @@
             && (has_only_probes || !conn.is_exclusive())
     }
 
-    /// Engines whose work in flight reports nothing, and since when the longest silent of their connections is.
+    /// Engines that send no progress reports for work in flight, each with the time since which its longest-silent connection has
+    /// been silent.
     fn engines_needing_probes(&self) -> BTreeMap<EngineId, Micros> {
         let mut silent_since: BTreeMap<EngineId, Micros> = BTreeMap::new();
         for (_, conn) in self.iter() {
@@ -98,7 +100,7 @@
         silent_since
     }
 
-    /// Whether an engine without reports is due for a liveness probe; if so, the probe counts as sent now.
+    /// Whether a liveness probe of an engine without progress reports is due; if so, it is recorded as sent now.
     fn start_liveness_probe_if_due(
         &mut self,
         now: Micros,
@@ -111,8 +113,8 @@
 }
 
 impl Node {
-    /// Probes engines that have sent nothing for a while and report nothing by themselves: one that answers lives, however long
-    /// its queries run; one that does not is silent, and its reads are lost.
+    /// Probes silent engines that send no progress reports. An engine that answers is alive, however long its queries run; one that
+    /// does not counts as silent, and its idempotent attempts are abandoned.
     pub(super) fn probe_silent_engines(&mut self, now: Micros) {
         for (engine, silent_since) in self.engines.engines_needing_probes() {
             if !self
--- a/crates/coordinator/src/node/engines/pool.rs
+++ b/crates/coordinator/src/node/engines/pool.rs
@@ -1,33 +1,34 @@
-//! Chooses a connection for an attempt or a probe, or decides that another one may be opened.
+//! Chooses a connection for an attempt or a probe, and limits the number of connections.
 
 use super::connection::EngineConnection;
 use super::state::Engines;
 use crate::node::ConnectionId;
 use driftfront_core::{EngineId, Micros};
 
-/// Attempts in flight on one engine that its connections should carry together.
+/// Number of attempts in flight that the connections to one engine should have capacity for.
 const ATTEMPTS_PER_ENGINE: usize = 512;
-/// Bounds on the number of connections to one engine, which follows from how many attempts one carries.
+/// Lower bound of the connection limit per engine, which depends on the number of attempts that one connection can carry.
 const MIN_CONNECTION_LIMIT: usize = 16;
-/// See [`MIN_CONNECTION_LIMIT`].
+/// Upper bound of the connection limit per engine; see [`MIN_CONNECTION_LIMIT`].
 const MAX_CONNECTION_LIMIT: usize = 64;
-/// Attempts that share a connection while others may be opened: a malformed response ends all on it.
+/// Maximum number of attempts that share a connection while others may be opened: a malformed response ends all attempts on it.
 const MAX_SHARED_ATTEMPTS: usize = 4;
-/// One descriptor in so many may be a connection to an engine.
+/// Engine connections may use one in this many descriptors.
 const DESCRIPTORS_PER_ENGINE_CONNECTION: usize = 3;
 
-/// What a connection is needed for.
+/// The work that needs a connection.
 #[derive(Clone, Copy)]
 pub(super) struct ConnectionRequest<'a> {
     pub(super) engine: EngineId,
-    /// The request's own id where the connection is for an attempt; `None` for a probe.
+    /// The id of the attempt's request; `None` for a probe.
     pub(super) request_id: Option<&'a str>,
-    /// It must not run twice, and goes alone, so that no response to another request can spoil it.
+    /// Whether the attempt is non-idempotent and needs a connection of its own, so that a malformed response to another attempt
+    /// cannot end it.
     pub(super) is_exclusive: bool,
 }
 
 impl ConnectionRequest<'_> {
-    /// A connection for a probe.
+    /// A request for a connection to send a probe on.
     pub(super) fn for_probe(engine: EngineId) -> ConnectionRequest<'static> {
         ConnectionRequest {
             engine,
@@ -37,10 +38,10 @@
     }
 }
 
-/// A connection with capacity. The least is the best.
+/// A connection with capacity. The smallest one is the best.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Candidate {
-    /// A failure would end other attempts with it: a new connection is better, if one may be opened.
+    /// Whether a new connection is better, if one may be opened, as a failure here would also end other attempts.
     pub(super) prefers_new: bool,
     is_connecting: bool,
     load: usize,
@@ -87,7 +88,7 @@
             .min()
     }
 
-    /// Whether another connection to an engine may be opened, where each carries at most `max_attempts` and this process may hold
+    /// Whether another connection to an engine may be opened, if each carries at most `max_attempts` and this process may use
     /// `max_descriptors`.
     pub(super) fn may_connect(
         &self,
--- a/crates/coordinator/src/node/engines/read.rs
+++ b/crates/coordinator/src/node/engines/read.rs
@@ -1,4 +1,4 @@
-//! Reads from engines: readiness of a connection becomes [`EngineEvent`]s, and these become notifications to the core.
+//! Reads from engines: decodes input into [`EngineEvent`]s, and notifies the core of them.
 
 use super::liveness::LIVENESS_PROBE_TAG;
 use super::state::Engines;
@@ -8,21 +8,21 @@
 use driftfront_core::{AttemptKey, Micros, Progress, RequestId};
 use std::io;
 
-/// Reads on one connection before the others have their turn.
+/// Reads on one connection per turn, so that the others are served too.
 const MAX_READS_PER_TURN: usize = 16;
-/// Bytes of one read.
+/// Maximum bytes per read.
 const MAX_READ_BYTES: usize = 64 * 1024;
-/// Streamed results at once beyond which each is read in smaller pieces: what was read has to be held.
+/// Number of concurrently streamed results above which reads are smaller, as input is held in memory.
 const MANY_STREAMS: usize = 32;
-/// Bytes of one read then.
+/// Maximum bytes per read with more than [`MANY_STREAMS`].
 const MAX_READ_BYTES_MANY_STREAMS: usize = MAX_READ_BYTES / 4;
-/// Bytes forwarded that a client may leave unread, where few clients do.
+/// Upper bound of the unread output per client, which applies while few clients are slow.
 const MAX_CLIENT_BACKLOG_BYTES: usize = 256 * 1024;
-/// The same where many clients are slow.
+/// Lower bound of the unread output per client, which applies while many clients are slow.
 const MIN_CLIENT_BACKLOG_BYTES: usize = 16 * 1024;
 
 impl Engines {
-    /// Bytes of one read, by how many results are streamed.
+    /// Maximum bytes per read, given the number of streamed results.
     fn max_read_bytes(&self) -> usize {
         if self.streaming_count() > MANY_STREAMS {
             MAX_READ_BYTES_MANY_STREAMS
@@ -31,8 +31,8 @@
         }
     }
 
-    /// Whether a client of what is streamed on a connection is far behind: nothing more is read for it then, so that a slow client
-    /// does not fill the memory. `max_unread_bytes` bounds what all clients together leave unread; `client_backlog` is what one has.
+    /// Whether a client of a result streamed on this connection is too slow. Reading pauses then, which bounds the memory for unread
+    /// output. `max_unread_bytes` bounds the unread output of all clients; `client_backlog` returns that of one request's client.
     fn has_slow_client(
         &self,
         id: ConnectionId,
@@ -42,7 +42,7 @@
         let Some(conn) = self.get(id).filter(|c| c.session().is_streaming()) else {
             return false;
         };
-        // Few slow clients may leave much, many only little each: together they share one bound.
+        // All slow clients share one bound.
         let share = max_unread_bytes / self.streaming_count().max(self.paused_count() + 1);
         let max_backlog = share.clamp(MIN_CLIENT_BACKLOG_BYTES, MAX_CLIENT_BACKLOG_BYTES);
         let attempts = conn.session().open_attempts();
@@ -51,7 +51,7 @@
             .any(|key| client_backlog(key.request) > max_backlog)
     }
 
-    /// Connections whose reading waits for a slow client.
+    /// Connections whose reading is paused for a slow client.
     fn paused_connections(&self) -> Vec<ConnectionId> {
         let paused = self.iter().filter(|(_, c)| c.is_paused());
         paused.map(|(id, _)| id).collect()
@@ -70,14 +70,14 @@
             Err(e) => return self.on_engine_connection_lost(now, id, &e.to_string()),
         }
         if conn.upload().is_some() {
-            // An engine that answers before the body is over may close behind that: its response is read first.
+            // An engine that answers before the end of the body may close after that: its response is read before a write fails.
             self.read_from_engine(now, id);
         }
         self.write_to_engine(now, id);
         self.read_from_engine(now, id);
     }
 
-    /// Reads until nothing more has come, its clients are too far behind, or its turn is over.
+    /// Reads until no input is left, a client is too slow, or the turn is over.
     pub(in crate::node) fn read_from_engine(&mut self, now: Micros, id: ConnectionId) {
         for _ in 0..MAX_READS_PER_TURN {
             if self.update_pause(now, id) {
@@ -99,7 +99,7 @@
         self.deferred.push(EventSource::Engine(id));
     }
 
-    /// Pauses or resumes reading by how far the clients of what is streamed here are behind; true while it is paused.
+    /// Pauses or resumes reading, depending on the clients' unread output; true while it is paused.
     fn update_pause(&mut self, now: Micros, id: ConnectionId) -> bool {
         let has_slow_client =
             self.engines
@@ -109,7 +109,7 @@
         self.engines.set_paused(now, id, has_slow_client)
     }
 
-    /// Decodes what was read; true if there may be more to read.
+    /// Decodes input; true if there may be more to read.
     fn on_engine_bytes(
         &mut self,
         now: Micros,
@@ -137,8 +137,8 @@
         false
     }
 
-    /// Ends a connection that failed. Where nothing was in flight and no other is up, only this shows that the engine's process
-    /// may have ended.
+    /// Handles the failure of a connection. If it was idle and the engine has no other established connection, this is the only sign
+    /// that the engine's process may have ended.
     fn on_engine_read_error(&mut self, now: Micros, id: ConnectionId, error: &io::Error) {
         let Some(conn) = self.engines.get(id) else {
             return;
@@ -151,7 +151,7 @@
         }
     }
 
-    /// Reads what has come on a connection that nothing can be written to any more.
+    /// Reads the remaining input of a connection that can no longer be written.
     pub(super) fn read_remaining(&mut self, now: Micros, id: ConnectionId) {
         for _ in 0..MAX_READS_PER_TURN {
             let conn = self.engines.get_mut(id);
@@ -167,14 +167,14 @@
         }
     }
 
-    /// Reads on where a client has caught up.
+    /// Resumes reading on paused connections whose clients have caught up.
     pub(in crate::node) fn resume_engines(&mut self, now: Micros) {
         for id in self.engines.paused_connections() {
             self.read_from_engine(now, id);
         }
     }
 
-    /// Lets a connection's session ask again for what is overdue, or give it up.
+    /// Lets a connection's session repeat or abandon overdue exchanges.
     pub(super) fn check_session_timeouts(&mut self, now: Micros, id: ConnectionId) {
         let Some(conn) = self.engines.get_mut(id) else {
             return;
@@ -189,7 +189,7 @@
         }
     }
 
-    /// Notifies the core of a connection's events, in order.
+    /// Notifies the core of a connection's events in order.
     pub(super) fn apply_engine_events(&mut self, now: Micros, events: Vec<EngineEvent>) {
         for event in events {
             match event {
--- a/crates/coordinator/src/node/engines/state.rs
+++ b/crates/coordinator/src/node/engines/state.rs
@@ -1,4 +1,4 @@
-//! What the program holds of all connections to engines.
+//! State of all engine connections.
 
 use super::connection::EngineConnection;
 use super::liveness::LivenessProbes;
@@ -7,26 +7,25 @@
 use driftfront_core::{AttemptKey, EngineId, Micros, RequestId};
 use std::collections::BTreeMap;
 
-/// All connections to engines.
+/// All engine connections, with the streamed request bodies.
 #[derive(Default)]
 pub(in crate::node) struct Engines {
     connections: BTreeMap<ConnectionId, EngineConnection>,
-    /// The connection that receives the rest of each request body which is forwarded as it arrives.
+    /// The connection that receives each streamed request body.
     uploads: BTreeMap<RequestId, ConnectionId>,
     pub(super) liveness_probes: LivenessProbes,
-    /// Connections whose reading waits for a slow client.
+    /// Number of connections whose reading is paused for a slow client.
     paused_count: usize,
-    /// Results that are streamed to clients, as last counted by [`Engines::count_streaming`].
+    /// Number of results being streamed to clients, as last counted by [`Engines::count_streaming`].
     streaming_count: usize,
 }
 
 impl Engines {
-    /// Adds a connection.
     pub(super) fn insert(&mut self, id: ConnectionId, connection: EngineConnection) {
         self.connections.insert(id, connection);
     }
 
-    /// Removes a connection that ends, with the upload on it.
+    /// Removes a connection, and the upload on it.
     pub(super) fn remove(&mut self, id: ConnectionId) -> Option<EngineConnection> {
         let connection = self.connections.remove(&id)?;
         self.paused_count -= usize::from(connection.is_paused());
@@ -36,22 +35,18 @@
         Some(connection)
     }
 
-    /// The connection of this number.
     pub(super) fn get(&self, id: ConnectionId) -> Option<&EngineConnection> {
         self.connections.get(&id)
     }
 
-    /// The connection of this number, to change.
     pub(super) fn get_mut(&mut self, id: ConnectionId) -> Option<&mut EngineConnection> {
         self.connections.get_mut(&id)
     }
 
-    /// All connections.
     pub(super) fn iter(&self) -> impl Iterator<Item = (ConnectionId, &EngineConnection)> {
         self.connections.iter().map(|(&id, conn)| (id, conn))
     }
 
-    /// The connections to one engine.
     pub(super) fn connections_to(
         &self,
         engine: EngineId,
@@ -59,7 +54,7 @@
         self.iter().filter(move |(_, c)| c.engine() == engine)
     }
 
-    /// Whether a connection to an engine is up.
+    /// Whether a connection to an engine is established.
     pub(in crate::node) fn is_connected_to(&self, engine: EngineId) -> bool {
         self.connections_to(engine).any(|(_, c)| c.is_connected())
     }
@@ -69,27 +64,26 @@
         self.iter().map(|(_, c)| (c.engine(), c.last_received()))
     }
 
-    /// Number of connections.
     pub(in crate::node) fn connection_count(&self) -> usize {
         self.connections.len()
     }
 
-    /// Number of request bodies that are being forwarded as they arrive.
+    /// Number of request bodies being streamed.
     pub(in crate::node) fn upload_count(&self) -> usize {
         self.uploads.len()
     }
 
-    /// Number of connections whose reading waits for a slow client.
+    /// Number of connections whose reading is paused for a slow client.
     pub(in crate::node) fn paused_count(&self) -> usize {
         self.paused_count
     }
 
-    /// The connection that receives the rest of a request's body, where that is forwarded as it arrives.
+    /// The connection that receives a request's body, if that is being streamed.
     pub(in crate::node) fn upload_connection(&self, request: RequestId) -> Option<ConnectionId> {
         self.uploads.get(&request).copied()
     }
 
-    /// Writes an attempt into a connection's output.
+    /// Adds an attempt to a connection's output.
     pub(super) fn start_attempt(
         &mut self,
         now: Micros,
@@ -105,7 +99,7 @@
         }
     }
 
-    /// Ends the body that is streamed on a connection; false if the connection is gone.
+    /// Ends the body streamed on a connection; false if the connection has ended.
     pub(super) fn finish_body(&mut self, now: Micros, id: ConnectionId, key: AttemptKey) -> bool {
         let Some(conn) = self.connections.get_mut(&id) else {
             return false;
@@ -115,7 +109,7 @@
         true
     }
 
-    /// Pauses or resumes reading on a connection; true while it is paused, or if it is gone.
+    /// Pauses or resumes reading on a connection; true if it is now paused, or has ended.
     pub(super) fn set_paused(&mut self, now: Micros, id: ConnectionId, is_paused: bool) -> bool {
         let Some(conn) = self.connections.get_mut(&id) else {
             return true;
@@ -126,7 +120,7 @@
         is_paused
     }
 
-    /// Keeps new work off an engine's connections: they lead to an earlier process, or to an earlier address.
+    /// Excludes an engine's connections from new work, as they lead to its earlier process or address.
     pub(in crate::node) fn retire_connections(&mut self, engine: EngineId) {
         let connections = self.connections.values_mut();
         connections
@@ -134,19 +128,19 @@
             .for_each(EngineConnection::retire);
     }
 
-    /// Forgets an engine that is gone from the list; what is in flight on its connections may still end.
+    /// Removes an engine that is no longer listed; attempts in flight on its connections may still complete.
     pub(super) fn forget_engine(&mut self, engine: EngineId) {
         self.retire_connections(engine);
         self.liveness_probes.forget_engine(engine);
     }
 
-    /// Counts the results that are streamed to clients.
+    /// Counts the results being streamed to clients.
     pub(super) fn count_streaming(&mut self) {
         let connections = self.connections.values();
         self.streaming_count = connections.filter(|c| c.session().is_streaming()).count();
     }
 
-    /// Results that are streamed to clients, as last counted.
+    /// Number of results being streamed to clients, as last counted.
     pub(super) fn streaming_count(&self) -> usize {
         self.streaming_count
     }
--- a/crates/coordinator/src/node/engines/upload.rs
+++ b/crates/coordinator/src/node/engines/upload.rs
@@ -1,4 +1,4 @@
-//! Bodies that are streamed to an engine as their client sends them: chunks come from the client's connection, and go to the engine's.
+//! Request bodies that are streamed to an engine: forwarding chunks from the client's connection to the engine's.
 
 use super::connection::EngineConnection;
 use crate::node::clients::BodyUpdate;
@@ -6,7 +6,7 @@
 use driftfront_core::{AttemptKey, Micros};
 
 impl Node {
-    /// Forwards what has come of a body; true if there may be more at once.
+    /// Forwards the next part of a body; true if more may be available.
     pub(super) fn write_upload_chunk(
         &mut self,
         now: Micros,
@@ -33,18 +33,18 @@
         }
     }
 
-    /// Drops a connection whose streamed attempt ended before its body was over: the engine would read the rest of the body as the
-    /// next request. True if it was dropped.
+    /// Closes a connection whose streamed attempt ended before its body: the engine would read the rest of the body as the next
+    /// request. Returns whether the connection was closed.
     pub(super) fn close_if_answered_early(&mut self, now: Micros, id: ConnectionId) -> bool {
         let conn = self.engines.get(id);
         let is_answered = conn.is_some_and(EngineConnection::has_answered_early);
         if is_answered {
-            self.close_engine_connection(now, id, "answered before the body was over");
+            self.close_engine_connection(now, id, "response before the end of the request body");
         }
         is_answered
     }
 
-    /// Puts bytes of a body into the output; false if the connection is gone.
+    /// Adds part of a body to the output; false if the connection has ended.
     fn push_upload(&mut self, now: Micros, id: ConnectionId, bytes: &[u8]) -> bool {
         let Some(conn) = self.engines.get_mut(id) else {
             return false;
@@ -53,7 +53,7 @@
         true
     }
 
-    /// Ends a body; from here on the engine has its time to answer. False if the connection is gone.
+    /// Ends a body and starts the timeout of the engine's response. False if the connection has ended.
     fn finish_upload(&mut self, now: Micros, id: ConnectionId, key: AttemptKey) -> bool {
         if !self.engines.finish_body(now, id, key) {
             return false;
--- a/crates/coordinator/src/node/engines/write.rs
+++ b/crates/coordinator/src/node/engines/write.rs
@@ -1,4 +1,4 @@
-//! Writes queued probes and attempts to engines. Whether an attempt may still be written is decided by the core right before its first
+//! Writes queued probes and attempts to engines. The core decides whether an attempt may still be written just before its first
 //! byte.
 
 use super::connection::{EngineConnection, QueuedWrite};
@@ -10,14 +10,14 @@
 use driftfront_scheduler::Idempotency;
 use std::borrow::Cow;
 
-/// Writes on one connection before the others have their turn.
+/// Writes on one connection per turn, so that the others are served too.
 const MAX_WRITES_PER_TURN: usize = 64;
 
 impl Node {
-    /// Writes queued work to one connection until it would block or its turn is over.
+    /// Writes queued work to one connection until the socket would block or the turn is over.
     ///
-    /// Work enters the output only when that is empty, and is checked again right then: its engine may have begun to drain while
-    /// it was queued.
+    /// Work is added to the output only when that is empty, and is checked again at that moment: its engine may have begun to
+    /// drain in the meantime.
     pub(in crate::node) fn write_to_engine(&mut self, now: Micros, id: ConnectionId) {
         for _ in 0..MAX_WRITES_PER_TURN {
             if !self.flush_engine(now, id) {
@@ -35,8 +35,8 @@
         self.deferred.push(EventSource::Engine(id));
     }
 
-    /// Hands the output to the system; true once none is left. A connection that fails here ends, but what its engine sent before
-    /// is read first: a response that has come must not be lost with the connection.
+    /// Writes output to the socket; true once none is left. If the connection fails, its remaining input is read before it ends, so
+    /// that a response that has arrived is not lost.
     fn flush_engine(&mut self, now: Micros, id: ConnectionId) -> bool {
         let Some(conn) = self.engines.get_mut(id).filter(|c| c.is_connected()) else {
             return false;
@@ -48,7 +48,7 @@
         })
     }
 
-    /// Writes the first of the queue; false where there is none.
+    /// Writes the first entry of the queue; false if the queue is empty.
     fn write_next_queued(&mut self, now: Micros, id: ConnectionId) -> bool {
         let next = self.engines.get(id).and_then(EngineConnection::next_queued);
         if let Some(&QueuedWrite::Attempt { key, .. }) = next {
@@ -63,7 +63,7 @@
         true
     }
 
-    /// Writes a probe, unless its engine left service while the connection came up: it gets nothing new then.
+    /// Writes a probe, unless its engine is no longer ready: an engine may leave service while its connection is being established.
     fn write_probe(&mut self, now: Micros, id: ConnectionId, tag: u64) {
         let Some(conn) = self.engines.get_mut(id) else {
             return;
@@ -75,7 +75,7 @@
         conn.write_probe(now, tag);
     }
 
-    /// Writes an attempt, if it may still be written at its first byte.
+    /// Writes an attempt, if the core still allows it.
     fn write_attempt(&mut self, now: Micros, id: ConnectionId, key: AttemptKey) {
         let Some(conn) = self.engines.get(id) else {
             return;
@@ -95,7 +95,7 @@
             return;
         };
         if !conn.session().can_start(&request.name) {
-            // A second request of the same id was accepted while the connection came up.
+            // Another request with the same id was accepted while the connection was being established.
             return self.attempt_failed(now, key, Cause::Rejected);
         }
         let attempt = AttemptRequest {
@@ -111,7 +111,7 @@
     }
 }
 
-/// What an attempt is called on its engine. The platform's protocol has no other name than the request's own.
+/// The name of an attempt on its engine. In the platform's protocol this is the request's own name.
 fn name_on_engine<'a>(
     config: &Config,
     core: &'a Core,
@@ -124,7 +124,7 @@
     }
 }
 
-/// How often an engine should report the progress of a request of this class: only what may run again is worth it.
+/// The interval of progress reports for a class. Only idempotent requests have one, as only they can run again elsewhere.
 fn progress_interval(config: &Config, class: u16) -> Option<Micros> {
     let class = config.settings.classes.get(usize::from(class))?;
     config
