--- a/crates/coordinator/src/node/lifecycle.rs
+++ b/crates/coordinator/src/node/lifecycle.rs
@@ -1,12 +1,12 @@
-//! Carries out the process's lifecycle: readiness, pauses, hand-over and the end. `driftfront_core::lifecycle` owns the state and its
-//! rules; these methods bring it the events, and act on the listener, the clients and the core.
+//! Applies the process's lifecycle: readiness, pause, hand-over and exit. `driftfront_core::lifecycle` owns the state and its
+//! rules; these methods pass events to it, and act on the listener, the clients and the core.
 
 use super::Node;
 use driftfront_core::Micros;
 use std::net::SocketAddr;
 
 impl Node {
-    /// Whether the process may end now. Before it does, the listening socket is closed.
+    /// Whether the process may exit now. The listening socket is closed before.
     pub(super) fn can_exit(&mut self) -> bool {
         let writing = self.clients.has_unread_output();
         let ends = self.lifecycle.may_exit(
@@ -16,38 +16,39 @@
             writing,
         );
         if ends && self.listener.is_open() && !self.lifecycle.is_listening(self.now) {
-            // A client in the backlog still has a connection, and maybe a request on it: checked once more after the close.
+            // Clients in the backlog are connected, and may have sent requests. They are accepted before the close, so the check is
+            // repeated after it.
             self.stop_listening(self.now);
             return false;
         }
         ends
     }
 
-    /// What `/alive` and STATUS both say.
+    /// The readiness reported by `/alive` and STATUS.
     pub(super) fn is_ready(&self) -> bool {
         self.lifecycle.is_ready() && self.core.has_engines()
     }
 
-    /// An operator pauses this process, which sends its clients away; the state's name, for the reply.
+    /// Pauses the process on an operator's request, which drains its clients. Returns the state's name for the reply.
     pub(super) fn pause(&mut self, now: Micros, by: &str) -> String {
         if self.lifecycle.pause(now) {
             self.notify_operators(
                 now,
-                format!("Paused by {by}: clients are sent away, what was taken is answered"),
+                format!("Paused by {by}: draining clients, accepted requests are answered"),
             );
         }
         self.lifecycle.state().name().into()
     }
 
-    /// An operator ends a pause; the state's name, for the reply.
+    /// Ends a pause on an operator's request. Returns the state's name for the reply.
     pub(super) fn resume_work(&mut self, now: Micros, by: &str) -> String {
         if self.lifecycle.resume() {
-            self.notify_operators(now, format!("Back to work, by {by}"));
+            self.notify_operators(now, format!("Resumed by {by}"));
         }
         self.lifecycle.state().name().into()
     }
 
-    /// Carries out what the lifecycle's state asks for now: readiness, the shutdown's deadline, the listener's end.
+    /// Applies the lifecycle's state: announces readiness, answers all requests at the shutdown deadline, and closes the listener.
     pub(super) fn update_lifecycle(&mut self, now: Micros) {
         if !self.lifecycle.has_been_ready()
             && self.knows_engines(now)
@@ -70,16 +71,17 @@
             .lifecycle
             .record_clients(self.clients.connection_count())
         {
-            self.notify_operators(now, "Drained: no client is left".into());
+            self.notify_operators(now, "Drained: no clients are connected".into());
         }
     }
 
-    /// The address that clients use.
+    /// The address that clients connect to.
     pub(super) fn listen_address(&self) -> SocketAddr {
         self.listener.local_addr().unwrap_or(self.config.listen)
     }
 
-    /// Closes the listening socket. What stands in its backlog is accepted first: each client gets an answer, or its close.
+    /// Closes the listening socket. Connections in its backlog are accepted first, so that each client gets a response or a
+    /// graceful close.
     pub(super) fn stop_listening(&mut self, now: Micros) {
         self.accept_clients(now);
         self.execute_commands();
