--- a/crates/coordinator/src/node/commands.rs
+++ b/crates/coordinator/src/node/commands.rs
@@ -1,4 +1,4 @@
-//! The core's commands, carried out on the connections of clients and engines. The core decides; nothing is decided here.
+//! Executes the core's commands on client and engine connections. All decisions are made in the core.
 
 use super::Node;
 use crate::frontends::{ConnectionAction, ResponseWriter};
@@ -7,9 +7,9 @@
 use driftfront_scheduler::Idempotency;
 
 impl Node {
-    /// Carries out the core's commands until there are no more.
+    /// Executes the core's commands until none is left.
     pub(super) fn execute_commands(&mut self) {
-        // Further up the stack the rest is being carried out, in order.
+        // The caller further up the stack executes the remaining commands in order.
         if std::mem::replace(&mut self.is_executing, true) {
             return;
         }
@@ -69,7 +69,7 @@
         self.write_response(now, id, true, write);
     }
 
-    /// Logs each attempt beyond a request's first: the retry budget bounds their number.
+    /// Logs each attempt after a request's first. The retry budget bounds the number of these lines.
     fn log_retry(&self, now: Micros, key: AttemptKey, engine: EngineId) {
         let Some(retry) = self.core.retry_context(key) else {
             return;
@@ -98,13 +98,13 @@
         }
     }
 
-    /// How often a class's requests may run.
+    /// Whether requests of a class may run more than once.
     pub(super) fn idempotency(&self, class: u16) -> Option<Idempotency> {
         let class = self.config.settings.classes.get(usize::from(class));
         class.map(|c| c.idempotency)
     }
 
-    /// Whether a class's requests must not run twice.
+    /// Whether requests of a class must not run more than once.
     pub(super) fn is_non_idempotent(&self, class: u16) -> bool {
         self.idempotency(class) == Some(Idempotency::NotIdempotent)
     }
--- a/crates/coordinator/src/node/counters.rs
+++ b/crates/coordinator/src/node/counters.rs
@@ -1,16 +1,16 @@
-//! The counters that `/counters` shows, and the log at the end: a line each, its name and its value. Each owner counts; this module
-//! prints. `docs/console.md` and `docs/daily.md` explain them; scripts read them, so that names and order stay.
+//! Formats the counters of all components for `/counters` and for the log at exit, one name and value per line. Names and order
+//! are stable, since scripts read them; `docs/console.md` and `docs/daily.md` describe them.
 
 use super::Node;
 use std::fmt::{Display, Write as _};
 
-/// Adds a counter's line.
+/// Appends the line of a counter.
 fn add(text: &mut String, name: &str, value: impl Display) {
     let _ = writeln!(text, "{name} {value}");
 }
 
 impl Node {
-    /// All counters.
+    /// All counters as text.
     pub(super) fn counters(&self) -> String {
         let mut text = self.core.counters().to_string();
         let (clients, engines) = (self.clients.counters(), &self.engines);
@@ -46,7 +46,7 @@
         text
     }
 
-    /// How far the retry budget is used; no line where the settings have none.
+    /// Appends the retry budget's usage, if the settings have a retry budget.
     fn add_retry_budget(&self, text: &mut String) {
         let Some(usage) = self.core.retry_budget_usage(self.now) else {
             return;
--- a/crates/coordinator/src/node/discovery_client.rs
+++ b/crates/coordinator/src/node/discovery_client.rs
@@ -1,7 +1,6 @@
-//! Where the list of engines comes from: one watched connection, kept up, or a file.
+//! Receives the engine list from a discovery source: over a connection that is reopened when it ends, or from a file.
 //!
-//! [`DiscoveryClient`] owns the connection, its backoff and the protocol's state. It returns updates as they come; `engine_list` applies
-//! them.
+//! [`DiscoveryClient`] owns the connection, its backoff and the protocol state. It returns updates, which `engine_list` applies.
 
 use super::ConnectionId;
 use crate::config::DiscoverySource;
@@ -15,9 +14,9 @@
 use std::rc::Rc;
 use tinyjson::JsonValue;
 
-/// A connect that takes longer is tried again.
+/// Connect timeout.
 const CONNECT_TIMEOUT: Micros = 500_000;
-/// Bytes of one read.
+/// Maximum bytes per read.
 const MAX_READ_BYTES: usize = 64 * 1024;
 
 /// Follows the source of the engine list.
@@ -26,20 +25,20 @@
     connection: Option<DiscoveryConnection>,
     next_attempt_at: Micros,
     backoff: Backoff,
-    /// When bytes first came from the source.
+    /// When bytes were first received from the source.
     first_received: Option<Micros>,
     /// When the list was last updated; 0 if never.
     last_update: Micros,
-    /// What the source is, for operators.
+    /// Description of the source, for operators.
     description: String,
 }
 
-/// What is followed.
+/// A discovery source.
 enum Source {
-    /// A list over a connection to this address.
+    /// A watch over a connection to this address.
     Watch(SocketAddr, Box<dyn EngineListWatch>),
     File(File),
-    /// The list is the operator's file alone.
+    /// No source: the operator's file alone defines the engines.
     Fixed,
 }
 
@@ -48,12 +47,12 @@
     stream: BufferedStream,
     registration: Option<RegistrationToken>,
     is_connected: bool,
-    /// When bytes last came, or the connect began.
+    /// When bytes were last received, or the connect started or completed.
     last_received: Micros,
 }
 
 impl DiscoveryConnection {
-    /// Whether the connect has completed; once it has, the request for the list waits to be written.
+    /// Whether the connect has completed. On completion, adds the request for the list to the output.
     fn poll_connected(&mut self, now: Micros, watch: &mut dyn EngineListWatch) -> io::Result<bool> {
         if !self.is_connected && self.stream.poll_connected()? {
             (self.is_connected, self.last_received) = (true, now);
@@ -63,22 +62,22 @@
     }
 }
 
-/// Why a connection to the source ends.
+/// Why a connection to the source ended.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ConnectionError {
     #[error(transparent)]
     Io(#[from] io::Error),
     #[error(transparent)]
     Protocol(#[from] DiscoveryError),
-    #[error("closed by the other side")]
+    #[error("closed by the peer")]
     Closed,
 }
 
-/// What one exchange with the source has brought.
+/// The result of one write and read.
 pub(super) struct Exchange {
-    /// Updates of the list, to be applied in order.
+    /// Updates of the list, in order.
     pub(super) updates: Vec<JsonValue>,
-    /// Whether there may be more to read behind them, or why the connection ends.
+    /// Whether there may be more to read, or why the connection ends.
     pub(super) may_have_more: Result<bool, ConnectionError>,
 }
 
@@ -90,7 +89,7 @@
 }
 
 impl DiscoveryClient {
-    /// Follows a source; an event stream from behind the event of this number.
+    /// A client of a source. An event stream continues after the event with number `last_event`.
     pub(super) fn new(
         source: &DiscoverySource,
         last_event: u64,
@@ -122,13 +121,14 @@
         }
     }
 
-    /// Whether the source's first list has come: `after` its first byte. A source without a connection is read at once.
+    /// Whether the first list has been received, which is assumed `after` its first byte. Sources without a connection are read at
+    /// once.
     pub(super) fn has_received_first_list(&self, now: Micros, after: Micros) -> bool {
         !matches!(self.source, Source::Watch(..))
             || self.first_received.is_some_and(|at| now >= at + after)
     }
 
-    /// What the source is and, where it is a connection, how long nothing has come from it.
+    /// The source's description and, for a source with a connection, the time since the last data from it.
     pub(super) fn source_status(&self, now: Micros) -> (String, Option<Micros>) {
         let connection = self.connection.as_ref().filter(|c| c.is_connected);
         let received_at = connection.map_or(self.last_update, |c| c.last_received);
@@ -137,7 +137,7 @@
         (self.description.clone(), age)
     }
 
-    /// Follows another source; at a new address of the same kind the list continues behind its last event.
+    /// Switches to another source. If only the address has changed, the list continues after the last event.
     pub(super) fn switch_source(&mut self, from: &DiscoverySource, to: &DiscoverySource) {
         let same_list_at = match (from, to) {
             (DiscoverySource::Stream(_), DiscoverySource::Stream(addr)) => Some(*addr),
@@ -151,13 +151,13 @@
                 *address = addr;
                 watch.set_host(addr.to_string());
             }
-            // Another kind of source numbers its events by itself: the whole list is read.
+            // A different source numbers its events independently: the whole list is read.
             _ => *self = DiscoveryClient::new(to, 0, self.backoff.for_new_source()),
         }
         (self.next_attempt_at, self.backoff) = (0, self.backoff.for_new_source());
     }
 
-    /// The update in a watched file that has changed since it was last read.
+    /// The update from a file source, if the file has changed since it was last read.
     pub(super) fn poll_file(&mut self, now: Micros) -> Option<JsonValue> {
         match &mut self.source {
             Source::File(file) => file.poll(now),
@@ -165,21 +165,21 @@
         }
     }
 
-    /// Why the connection should end now, if it should.
+    /// The reason to close the connection now, if there is one.
     pub(super) fn reason_to_disconnect(&self, now: Micros) -> Option<&'static str> {
         let Source::Watch(_, watch) = &self.source else {
             return None;
         };
         let connection = self.connection.as_ref()?;
         let (timeout, reason) = if connection.is_connected {
-            (watch.silence_timeout(), "nothing heard, taken anew")
+            (watch.silence_timeout(), "no data received")
         } else {
             (CONNECT_TIMEOUT, "connect timed out")
         };
         (now > connection.last_received + timeout).then_some(reason)
     }
 
-    /// The address to connect to, where a connection is due.
+    /// The address to connect to, if a connect is due.
     pub(super) fn address_to_connect(&self, now: Micros) -> Option<SocketAddr> {
         match self.source {
             Source::Watch(address, _) => {
@@ -190,7 +190,7 @@
         }
     }
 
-    /// Takes over a connection whose connect has begun.
+    /// Takes ownership of a connection that is being established.
     pub(super) fn begin_connection(
         &mut self,
         now: Micros,
@@ -207,17 +207,17 @@
         });
     }
 
-    /// Ends the connection; its registration with the event loop, which the caller ends.
+    /// Drops the connection and returns its event loop registration, for the caller to remove.
     pub(super) fn take_connection(&mut self) -> Option<RegistrationToken> {
         self.connection.take()?.registration
     }
 
-    /// Sets when the next connection is opened, behind one that ended or could not be opened.
+    /// Schedules the next connect after a connection ended or could not be opened.
     pub(super) fn back_off(&mut self, now: Micros, disconnect: Disconnect) {
         self.next_attempt_at = self.backoff.next_attempt_at(now, disconnect);
     }
 
-    /// The list was updated.
+    /// Records an update of the list.
     pub(super) fn record_update(&mut self, now: Micros) {
         self.last_update = now;
     }
@@ -226,7 +226,7 @@
     ///
     /// # Errors
     ///
-    /// The connection's, where nothing came before it that is to be applied.
+    /// The connection failed before any update was decoded.
     pub(super) fn exchange(
         &mut self,
         now: Micros,
--- a/crates/coordinator/src/node/event_loop.rs
+++ b/crates/coordinator/src/node/event_loop.rs
@@ -1,4 +1,4 @@
-//! The event loop: readiness events, timers and periodic checks, each guarded so that no panic ends the program.
+//! The event loop: readiness events, timers and periodic checks. Panics in handlers are caught, so that none ends the process.
 
 use super::{ConnectionId, EventSource, Node, StartError};
 use crate::clock::ClockStep;
@@ -12,18 +12,18 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Connections are checked this often: connect timeouts, idle ends, accepts that were put off.
+/// Interval of the periodic checks, such as connect timeouts, idle timeouts and postponed accepts.
 const CHECK_INTERVAL: Micros = 25_000;
-/// The loop waits no longer than this for events.
+/// Longest wait for events.
 const MAX_WAIT: Micros = 1_000_000;
 
 impl Node {
-    /// Runs until a signal has asked for the end and all that was accepted is answered. What fails meanwhile is logged, and
-    /// the loop goes on.
+    /// Runs until a signal requests the shutdown and all accepted requests are answered. Errors are logged, and the loop
+    /// continues.
     pub fn run(mut self, mut events: EventLoop<'static, Node>) {
         let listen = self.listen_address();
         let management = self.management.addr().map(tracing::field::display);
-        // Tests and the bench read this line, its target included.
+        // Tests and the benchmark parse this line and its target.
         tracing::info!(target: "driftfront::node", name = %self.config.name, management, %listen, "serving");
         loop {
             self.catch_panic("timers", Node::handle_timers);
@@ -41,7 +41,7 @@
         tracing::info!("all requests are answered\n{}", self.counters());
     }
 
-    /// How long the loop may wait for events: until the next timer or periodic check, not at all with deferred connections.
+    /// How long the loop may wait for events: until the next timer or periodic check, or not at all if sources are deferred.
     fn time_until_due(&mut self) -> Duration {
         let now = self.clock();
         if !self.deferred.is_empty() {
@@ -70,15 +70,15 @@
         self.execute_commands();
     }
 
-    /// Closes the connection of a source whose work a panic has ended, with what was on it.
+    /// Closes the connection of a source whose handler panicked; its requests or attempts end with it.
     fn close_source(&mut self, source: EventSource) {
         let now = self.clock();
         match source {
             EventSource::Listener => {}
             EventSource::Client(id) => self.drop_client(now, id),
-            EventSource::Engine(id) => self.close_engine_connection(now, id, "a panic"),
+            EventSource::Engine(id) => self.close_engine_connection(now, id, "panic"),
             EventSource::DiscoveryClient(_) => {
-                self.drop_discovery_connection(now, "a panic", Disconnect::Closed)
+                self.drop_discovery_connection(now, "panic", Disconnect::Closed)
             }
             EventSource::ControlListener(_)
             | EventSource::ManagementListener
@@ -89,7 +89,7 @@
         self.execute_commands();
     }
 
-    /// Fires due timers, goes on with deferred connections, and does the periodic work.
+    /// Fires due timers, continues with deferred sources, and runs the periodic checks when due.
     fn handle_timers(&mut self) {
         let now = self.clock();
         self.core.fire_timers(now);
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Work that is due with each [`CHECK_INTERVAL`].
+    /// Runs the checks that are due every [`CHECK_INTERVAL`].
     fn check_periodically(&mut self, now: Micros) {
         self.log_wall_clock_step();
         self.accept_clients(now);
@@ -127,7 +127,7 @@
         self.execute_commands();
     }
 
-    /// Logs a step of the wall clock: the log's time stamps jump by that.
+    /// Logs a step of the wall clock, which explains a jump of the log's timestamps.
     fn log_wall_clock_step(&mut self) {
         if let Some(ClockStep(step)) = self.wall.check() {
             let step_seconds = step as f64 / 1e6;
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Does some work; a panic ends only that, and not the program. Returns whether the work was completed.
+    /// Runs `work`, catching panics, so that none ends the process. Returns whether the work completed.
     pub(super) fn catch_panic(&mut self, what: &str, work: impl FnOnce(&mut Node)) -> bool {
         let done = catch_unwind(AssertUnwindSafe(|| work(self))).is_ok();
         if !done {
@@ -147,7 +147,7 @@
         done
     }
 
-    /// Registers a socket with the event loop: its readiness events are those of this source.
+    /// Registers a socket with the event loop as this source.
     pub(super) fn register_source<S: std::os::fd::AsFd + 'static>(
         &mut self,
         socket: Rc<S>,
@@ -157,35 +157,36 @@
         let token = self
             .handle
             .insert_source(generic, move |_readiness, _, node: &mut Node| {
-                if !node.catch_panic("a connection", |node| node.handle_event(source)) {
-                    node.catch_panic("a close", |node| node.close_source(source));
+                if !node.catch_panic("event handler", |node| node.handle_event(source)) {
+                    node.catch_panic("close after a panic", |node| node.close_source(source));
                 }
                 Ok(PostAction::Continue)
             });
         token.map_err(|e| e.error)
     }
 
-    /// Removes a socket from the event loop; its descriptor closes with the last holder.
+    /// Removes a socket from the event loop. The descriptor is closed when its last owner drops it.
     pub(super) fn unregister(&mut self, token: Option<RegistrationToken>) {
         if let Some(token) = token {
             self.handle.remove(token);
         }
     }
 
-    /// A number for a new connection.
+    /// An id for a new connection.
     pub(super) fn next_connection_id(&mut self) -> ConnectionId {
         self.last_connection_id += 1;
         self.last_connection_id
     }
 }
 
-/// SIGTERM and SIGINT end the program once all that was accepted is answered; SIGHUP reads the configuration again.
+/// Registers signal handlers: SIGTERM and SIGINT shut down once all accepted requests are answered; SIGHUP reloads the
+/// configuration.
 pub(super) fn register_signals(events: &EventLoop<'static, Node>) -> Result<(), StartError> {
     let signals = Signals::new(&[Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP])
         .map_err(StartError::Signals)?;
     let on_signal = |event: calloop::signals::Event, _: &mut (), node: &mut Node| {
         if event.signal() == Signal::SIGHUP {
-            node.catch_panic("a new configuration", Node::reload);
+            node.catch_panic("configuration reload", Node::reload);
             return;
         }
         tracing::info!(signal = ?event.signal(), "shutting down once all requests are answered");
--- a/crates/coordinator/src/node/mod.rs
+++ b/crates/coordinator/src/node/mod.rs
@@ -1,25 +1,25 @@
-//! The program itself: one thread, one event loop, and the request lifecycle's commands carried out on sockets.
+//! The coordinator process: a single-threaded event loop that executes the core's commands on sockets.
 //!
-//! `Node` holds the state by owner. An owner's methods need its own state and what they are passed; they return what has come of
-//! it. Each module's methods of `Node` connect owners: an event goes to the owner that it concerns, and the outcome to the core, whose
-//! commands go back to connections.
+//! `Node` is composed of components that own their state. A component's methods depend only on its own state and their
+//! arguments, and return their results. The methods of `Node` in each module connect the components: they pass an event to the
+//! component concerned, pass the result to the core, and execute the core's commands on connections.
 //!
-//! | module | owner | events that its methods of `Node` handle |
+//! | module | component | events that its methods of `Node` handle |
 //! | --- | --- | --- |
-//! | `event_loop` | | readiness, timers, periodic checks; a panic ends only the work it came from |
+//! | `event_loop` | | readiness, timers, periodic checks; a panic ends only the handler in which it occurs |
 //! | `commands` | | the core's commands |
-//! | `clients` | `ClientListener`, `Clients` | clients connect, send requests, read responses, leave |
-//! | `engines` | `Engines` | engines answer, fall silent, close; attempts start and stop |
+//! | `clients` | `ClientListener`, `Clients` | clients connect, send requests, read responses, disconnect |
+//! | `engines` | `Engines` | engines answer, become silent, close; attempts start and stop |
 //! | `discovery_client` | `DiscoveryClient` | |
-//! | `engine_list` | | the source of the engine list sends updates, or the configuration names another one |
+//! | `engine_list` | | the source of the engine list sends updates, or the configuration changes the source |
 //! | `registry` | | the engine registry has changed |
-//! | `lifecycle` | | the process becomes ready, pauses, ends |
-//! | `upgrade` | `Handover` | another process of this coordinator starts, orders, ends |
+//! | `lifecycle` | | the process becomes ready, pauses, exits |
+//! | `upgrade` | `Handover` | another process of this coordinator starts, sends orders, exits |
 //! | `control` | `Control` | operators connect to the control socket or port |
 //! | `management` | `Management` | operators call the management address |
 //! | `cluster` | `ClusterRuntime` | datagrams of other coordinators |
-//! | `start_error` | | a coordinator does not start |
-//! | `counters` | | `/counters` is requested, or the process ends |
+//! | `start_error` | | the process fails to start |
+//! | `counters` | | `/counters` is requested, or the process exits |
 
 mod clients;
 mod cluster;
@@ -53,16 +53,16 @@
 use engines::Engines;
 use upgrade::{Handover, StartSockets};
 
-/// A connection's number inside this program; never used twice.
+/// Identifies a connection within this process; never reused.
 type ConnectionId = u64;
 
-/// The coordinator on its sockets.
+/// A coordinator process.
 pub struct Node {
     core: Core,
     config: Config,
     handle: LoopHandle<'static, Node>,
     clock: Clock,
-    /// The time when the clock was last read.
+    /// The time at which the clock was last read.
     now: Micros,
     wall: WallClockMonitor,
     last_connection_id: ConnectionId,
@@ -71,15 +71,15 @@
     clients: Clients,
     engines: Engines,
     registry: EngineRegistry,
-    /// What is retained for operators, where the configuration names a control socket, a control port or a state folder.
+    /// The operators' interface, if a control socket, a control port or a state folder is configured.
     control: Option<control::Control>,
     discovery: DiscoveryClient,
-    /// Other coordinators, where the configuration names a cluster.
+    /// This process's membership in a cluster of coordinators, if one is configured.
     cluster: Option<Box<cluster::ClusterRuntime>>,
     next_check: Micros,
-    /// Connections with more to do than one turn holds.
+    /// Sources whose turn ended with work left; the next loop iteration continues with them.
     deferred: Vec<EventSource>,
-    /// The core's commands are being carried out further up the stack.
+    /// Whether a caller further up the stack is executing the core's commands.
     is_executing: bool,
     lifecycle: Lifecycle,
     management: management::Management,
@@ -87,7 +87,7 @@
     handover: Handover,
 }
 
-/// What a readiness event is for.
+/// The socket that a readiness event belongs to.
 #[derive(Clone, Copy)]
 enum EventSource {
     Listener,
@@ -102,18 +102,20 @@
 }
 
 impl Node {
-    /// Binds, opens what the configuration names, and registers the sources of events.
+    /// Opens the configured sockets and files, and registers all event sources.
     ///
     /// # Errors
     ///
-    /// An address, a socket, a state folder or a key that can't be had.
+    /// An address, a socket, a state folder or a key is not available.
     pub fn new(config: Config, events: &EventLoop<'static, Node>) -> Result<Node, StartError> {
         let start = upgrade::open_listener(&config)?;
         let is_passed = start.is_passed;
         let mut node = Node::with_sockets(config, start, events);
-        // Before any thread is started: a signal goes to whichever thread does not block it, and would end the program there.
+        // Signals are blocked before any thread is started: a thread that does not block them would receive them, and their default
+        // action ends the process.
         event_loop::register_signals(events)?;
-        // Orders come before the list: nothing may go to an engine that an earlier process was ordered to drain.
+        // Operators' orders are applied before the engine list: no request may go to an engine that an earlier process was ordered
+        // to drain.
         let now = node.now;
         node.poll_handover(now);
         let is_successor = node.handover.has_predecessor();
@@ -131,7 +133,7 @@
         Ok(node)
     }
 
-    /// A node that has its sockets and knows no engine yet.
+    /// A node with open sockets, and no engines yet.
     fn with_sockets(
         config: Config,
         start: StartSockets,
@@ -172,12 +174,12 @@
         self.now
     }
 
-    /// A time of the program's clock as the wall clock shows it now.
+    /// Converts a time of the monotonic clock to what the wall clock, with its steps so far, shows for it.
     fn wall_time(&self, time: Micros) -> Micros {
         time.saturating_add_signed(self.wall.stepped_by)
     }
 
-    /// Logs a message, and sends it to operators who follow events.
+    /// Logs a message, and sends it to operators that follow events.
     fn notify_operators(&mut self, now: Micros, message: String) {
         match self.control {
             Some(_) => self.record_event(now, message),
@@ -199,7 +201,7 @@
 
 fn new_lifecycle(config: &Config, is_successor: bool, is_passed: bool) -> Lifecycle {
     let timeouts = config.classes.patience.iter().copied();
-    // An operator's service manager has rules of its own.
+    // The platform sends SIGKILL after SIGTERM; a service manager outside it has rules of its own.
     let is_killed_after_sigterm = config.protocol == Protocol::Platform;
     Lifecycle::new(
         is_successor,
--- a/crates/coordinator/src/node/start_error.rs
+++ b/crates/coordinator/src/node/start_error.rs
@@ -1,4 +1,4 @@
-//! Why a coordinator does not start.
+//! Errors that prevent a coordinator from starting.
 
 use super::cluster::ClusterStartError;
 use super::control::ControlSocketError;
@@ -6,10 +6,10 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// Why [`Node::new`](super::Node::new) fails. `Display` is what staff read.
+/// An error of [`Node::new`](super::Node::new). Its `Display` text is shown to operators.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// The clients' address can't be bound.
+    /// The listen address for clients can't be bound.
     #[error("listen on {address}: {source}")]
     Listen {
         /// The configured address.
@@ -43,7 +43,7 @@
     /// The state folder can't be used.
     #[error(transparent)]
     StateFolder(#[from] StateFolderError),
-    /// The process can't take part in its cluster.
+    /// The process can't join its cluster.
     #[error("fleet: {0}")]
     Cluster(#[from] ClusterStartError),
 }
