--- a/crates/coordinator/src/clock.rs
+++ b/crates/coordinator/src/clock.rs
@@ -1,18 +1,19 @@
-//! The program's time, and the wall clock beside it.
+//! The process's monotonic time, and detection of wall clock steps.
 //!
-//! Operators and time daemons set the wall clock while the program runs, by seconds or an hour, forwards or back. So every
-//! span (deadline, window, wait, grace, retry budget) is kept on the monotonic clock, by [`Clock`]. The wall clock is read in
-//! this module alone: once at the start, so that the program's time agrees with the Unix times of others (`startedAtMs`), and
-//! from then on for people only. A step is logged and counted.
+//! Operators and time daemons may set the wall clock while the process runs, by seconds or an hour, forwards or back. So every
+//! duration (deadline, window, wait, grace, retry budget) is measured on the monotonic clock, by [`Clock`]. Only this module reads
+//! the wall clock: once at the start, so that the process's time agrees with the Unix times of others (`startedAtMs`), and after
+//! that only for times shown to people. Steps are logged and counted.
 
 use driftfront_core::Micros;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Smallest difference between two checks that counts as a step of the wall clock. Time daemons slew by 0.5 ms a second, and
-/// checks come every 25 ms; a process that stands still between its two readings adds the time that it stood still.
+/// Smallest change of the offset between two checks that counts as a step of the wall clock. Time daemons slew by 0.5 ms per
+/// second, and checks run every 25 ms; if the process is stopped between reading the two clocks, the offset changes by the
+/// length of the stop.
 const MIN_STEP_MICROS: i64 = 50_000;
 
-/// The program's time.
+/// The process's clock.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     started: Instant,
@@ -21,7 +22,7 @@
 }
 
 impl Clock {
-    /// Starts at what the wall clock says.
+    /// Starts a clock at the current wall clock time.
     pub fn start() -> Clock {
         Clock {
             started: Instant::now(),
@@ -29,14 +30,14 @@
         }
     }
 
-    /// Microseconds since the Unix epoch, as the wall clock would say had nobody set it since the start. Never runs backwards
-    /// and never jumps.
+    /// Microseconds since the Unix epoch, as the wall clock would show if it had not been set since the start. Monotonic, without
+    /// jumps.
     pub fn now(&self) -> Micros {
         self.started_at + elapsed_micros(self.started)
     }
 }
 
-/// A duration in microseconds; one of half a million years is the longest.
+/// A duration in microseconds, saturating at half a million years.
 pub(crate) fn micros(duration: Duration) -> Micros {
     Micros::try_from(duration.as_micros()).unwrap_or(Micros::MAX)
 }
@@ -46,7 +47,7 @@
     micros(since.elapsed())
 }
 
-/// Microseconds since the Unix epoch, as the system's wall clock says now.
+/// Microseconds since the Unix epoch by the system's wall clock.
 #[allow(
     clippy::disallowed_methods,
     reason = "the one place that reads the wall clock"
@@ -57,23 +58,23 @@
         .map_or(0, micros)
 }
 
-/// A step of the wall clock, in microseconds; negative where it was set back.
+/// A step of the wall clock in microseconds; negative if it was set back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClockStep(pub i64);
 
-/// Compares the wall clock with the monotonic one from one check to the next.
+/// Detects steps of the wall clock by its offset from the monotonic clock.
 pub struct WallClockMonitor {
     started: Instant,
-    /// Wall minus monotonic time at the last check.
+    /// Wall clock time minus monotonic time at the last check.
     offset_micros: i64,
-    /// Steps seen.
+    /// Number of steps detected.
     pub steps: u64,
-    /// All steps together, in microseconds: how far the wall clock is from where it would be.
+    /// Sum of all steps in microseconds.
     pub stepped_by: i64,
 }
 
 impl WallClockMonitor {
-    /// Begins to watch.
+    /// Starts monitoring from the current offset.
     pub fn start() -> WallClockMonitor {
         let started = Instant::now();
         WallClockMonitor {
@@ -84,7 +85,7 @@
         }
     }
 
-    /// The step since the last check, if there was one.
+    /// The step since the last check, if any.
     pub fn check(&mut self) -> Option<ClockStep> {
         self.compare(offset_micros(self.started))
     }
--- a/crates/coordinator/src/lib.rs
+++ b/crates/coordinator/src/lib.rs
@@ -1,4 +1,4 @@
-//! Sockets, wires and membership round [`driftfront_core`]: the coordinator as one program.
+//! The coordinator process: sockets, wire protocols and cluster membership around [`driftfront_core`].
 #![warn(missing_docs)]
 #![forbid(unsafe_code)]
 
--- a/crates/coordinator/src/main.rs
+++ b/crates/coordinator/src/main.rs
@@ -1,4 +1,4 @@
-//! driftfront: a query coordinator on real sockets. This is its command line; the program itself is `driftfront::node`.
+//! Command line of driftfront, a query coordinator. The coordinator itself is `driftfront::node`.
 #![forbid(unsafe_code)]
 
 mod cli;
--- a/crates/coordinator/src/net/buffered_stream.rs
+++ b/crates/coordinator/src/net/buffered_stream.rs
@@ -1,4 +1,4 @@
-//! A TCP connection with an output buffer; reads and writes may come in any pieces.
+//! A non-blocking TCP connection with an output buffer.
 
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
 use socket2::{Domain, Protocol, Socket, Type};
@@ -10,19 +10,19 @@
 /// Why reading stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadOutcome {
-    /// Nothing more for now.
+    /// No more input for now.
     WouldBlock,
-    /// As much as was asked for; there may be more.
+    /// The requested number of bytes was read; there may be more.
     LimitReached,
-    /// The peer has ended its side.
+    /// The peer has closed its side.
     Closed,
 }
 
-/// Bytes of one system call's read.
+/// Maximum bytes read per system call.
 const SCRATCH_BYTES: usize = 64 * 1024;
-/// Bytes that were written are held in front of those that wait up to this many.
+/// Written bytes at the front of the output buffer are removed once they exceed this size.
 const MAX_WRITTEN_BYTES_HELD: usize = 32 * 1024;
-/// An emptied output buffer larger than this is given back: one large response must not keep its memory for the connection's life.
+/// An empty output buffer with a larger capacity is freed: one large response must not occupy memory for the connection's life.
 const MAX_RETAINED_BYTES: usize = 64 * 1024;
 /// "Too many open files in system": the system is out of descriptors.
 const ENFILE: i32 = 23;
@@ -32,7 +32,7 @@
 const EINPROGRESS: i32 = 115;
 
 thread_local! {
-    /// One buffer for all reads: a fresh one would be cleared for each.
+    /// One buffer for all reads: a new one would have to be zeroed for each.
     static SCRATCH: RefCell<Vec<u8>> = RefCell::new(vec![0; SCRATCH_BYTES]);
 }
 
@@ -40,13 +40,13 @@
 pub struct BufferedStream {
     stream: Rc<TcpStream>,
     out: Vec<u8>,
-    /// Bytes at the front of `out` that were written.
+    /// Number of bytes at the front of `out` that were written.
     start: usize,
-    /// Bytes ever put into the buffer.
+    /// Total bytes put into the buffer.
     queued: u64,
-    /// Bytes ever taken by the system.
+    /// Total bytes written to the socket.
     written: u64,
-    /// An error that came behind bytes that were read: returned by the next read.
+    /// An error that occurred after some bytes had been read; the next read returns it.
     read_error: Option<io::Error>,
 }
 
@@ -68,11 +68,11 @@
         self.stream.clone()
     }
 
-    /// Whether a connect that was begun has come up.
+    /// Whether the connect has completed.
     ///
     /// # Errors
     ///
-    /// The connect's, if it failed.
+    /// The connect failed.
     pub fn poll_connected(&self) -> io::Result<bool> {
         if let Some(e) = self.stream.take_error()? {
             return Err(e);
@@ -84,8 +84,8 @@
         }
     }
 
-    /// Whether the peer has ended its side, or all of the connection, behind bytes that are not read yet. A system that can't
-    /// tell says no: then it shows when those bytes are read.
+    /// Whether the peer has closed its side or reset the connection, even if there is unread input before that. False if the system
+    /// cannot tell; the close is then noticed when the input has been read.
     pub fn peer_has_closed(&self) -> bool {
         let ends = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
         let at_once = Timespec {
@@ -100,7 +100,8 @@
     ///
     /// # Errors
     ///
-    /// The connection's. An error comes by itself: bytes that came before it, maybe a whole response, are given first.
+    /// The connection failed. Bytes read before the failure, possibly a whole response, are returned first, and the error by the
+    /// next read.
     pub fn read(&mut self, into: &mut Vec<u8>, max_bytes: usize) -> io::Result<ReadOutcome> {
         SCRATCH.with_borrow_mut(|scratch| self.read_through(scratch, into, max_bytes))
     }
@@ -135,9 +136,9 @@
         Ok(ReadOutcome::LimitReached)
     }
 
-    /// Puts bytes behind what waits to be written.
+    /// Appends bytes to the output buffer.
     pub fn push(&mut self, bytes: &[u8]) {
-        // What a slow peer has taken gives its memory back, though something always waits.
+        // Written bytes are removed even if a slow peer never lets the buffer become empty.
         if self.start > MAX_WRITTEN_BYTES_HELD {
             self.out.drain(..self.start);
             self.start = 0;
@@ -146,11 +147,11 @@
         self.queued += bytes.len() as u64;
     }
 
-    /// Writes what the system takes; true if nothing is left.
+    /// Writes until the socket would block; true if no output is left.
     ///
     /// # Errors
     ///
-    /// The connection's.
+    /// The connection failed.
     pub fn flush(&mut self) -> io::Result<bool> {
         while self.start < self.out.len() {
             match (&*self.stream).write(&self.out[self.start..]) {
@@ -172,32 +173,32 @@
         Ok(true)
     }
 
-    /// Bytes that wait to be written.
+    /// Number of bytes waiting to be written.
     pub fn backlog(&self) -> usize {
         self.out.len() - self.start
     }
 
-    /// Place in the stream behind the last byte queued.
+    /// Stream position after the last byte queued.
     pub fn queued(&self) -> u64 {
         self.queued
     }
 
-    /// Place in the stream behind the last byte that the system took.
+    /// Stream position after the last byte written to the socket.
     pub fn written(&self) -> u64 {
         self.written
     }
 }
 
-/// Whether an error says that the process or the system is out of descriptors.
+/// Whether an error means that the process or the system is out of file descriptors.
 pub fn is_out_of_descriptors(e: &io::Error) -> bool {
     matches!(e.raw_os_error(), Some(ENFILE | EMFILE))
 }
 
-/// Begins a connect; it comes up, or fails, later.
+/// Starts a non-blocking connect. [`BufferedStream::poll_connected`] reports its result.
 ///
 /// # Errors
 ///
-/// Where it can't even be begun, as for want of descriptors.
+/// The connect can't be started, for example for lack of descriptors.
 pub fn connect(addr: SocketAddr) -> io::Result<Rc<TcpStream>> {
     let socket = Socket::new(Domain::for_address(addr), Type::STREAM, Some(Protocol::TCP))?;
     socket.set_nonblocking(true)?;
--- a/crates/coordinator/src/net/mod.rs
+++ b/crates/coordinator/src/net/mod.rs
@@ -1,4 +1,4 @@
-//! What the connections share: buffered non-blocking streams, and when one is silent or may be closed for another.
+//! Shared connection code: buffered non-blocking streams, and rules for silent connections and for eviction.
 
 mod buffered_stream;
 pub mod eviction;
--- a/crates/coordinator/src/service_window.rs
+++ b/crates/coordinator/src/service_window.rs
@@ -1,5 +1,5 @@
-//! How well requests were served over the last minute and hour: rings of counts and latency histograms, bounded whatever the
-//! traffic.
+//! Service statistics of the last minute and hour: ring buffers of counts and latency histograms, whose memory does not depend on
+//! the traffic.
 
 use driftfront_control::snapshot::Service;
 use driftfront_core::Micros;
@@ -9,9 +9,9 @@
 const MINUTE_SLOT_MICROS: Micros = 5_000_000;
 const HOUR_SLOTS: usize = 60;
 const HOUR_SLOT_MICROS: Micros = 60_000_000;
-/// Resolution of the histograms. With [`MAX_LATENCY_STEPS`] and two digits a slot takes some 7 KB at most.
+/// Resolution of the histograms. With [`MAX_LATENCY_STEPS`] and two digits, a slot takes at most about 7 KB.
 const LATENCY_STEP_MICROS: Micros = 100;
-/// Greatest latency that is told apart, two minutes, in steps.
+/// Latencies above this many steps, two minutes, are recorded as this value.
 const MAX_LATENCY_STEPS: u64 = 1_200_000;
 const LATENCY_DIGITS: u8 = 2;
 
@@ -22,24 +22,24 @@
     Served,
     /// It was rejected.
     Rejected,
-    /// It failed, before or behind some rows.
+    /// It failed, before or after part of the result was sent.
     Failed,
-    /// Its client left.
+    /// Its client disconnected or withdrew it.
     ClientDisconnected,
 }
 
 const OUTCOME_COUNT: usize = 4;
 
-/// Requests that ended within one stretch of time.
+/// Statistics of the requests that ended within one interval.
 #[derive(Clone)]
 struct Slot {
-    /// The stretch: time since the epoch by the slots' length.
+    /// Number of the interval: its time since the epoch divided by the slot length.
     number: u64,
-    /// By outcome.
+    /// Number of requests by outcome.
     counts: [u64; OUTCOME_COUNT],
-    /// Served within the latency objective.
+    /// Requests served within the latency objective.
     in_time: u64,
-    /// Of the requests that were served; made with the first of them.
+    /// Latencies of served requests; allocated with the first one.
     latencies: Option<Histogram<u32>>,
 }
 
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Empties the slot for another stretch; the histogram's memory is used again.
+    /// Clears the slot for another interval, reusing the histogram's memory.
     fn reset(&mut self, number: u64) {
         let mut latencies = self.latencies.take();
         if let Some(latencies) = &mut latencies {
@@ -63,7 +63,7 @@
     }
 }
 
-/// Service over the last minute or hour.
+/// Service statistics of the last minute or hour.
 #[derive(Clone)]
 pub struct ServiceWindow {
     slots: Vec<Slot>,
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Adds a request that has ended.
+    /// Records a request that has ended.
     pub fn add(
         &mut self,
         now: Micros,
@@ -112,7 +112,7 @@
         }
     }
 
-    /// All requests of the window's time.
+    /// Totals and latency quantiles over the window.
     pub fn sum(&self, now: Micros) -> Service {
         let newest = now / self.slot_micros;
         let oldest = (newest + 1).saturating_sub(self.slots.len() as u64);
@@ -136,7 +136,7 @@
         sum
     }
 
-    /// Bytes that the histograms hold.
+    /// Memory used by the histograms in bytes.
     pub fn bytes(&self) -> usize {
         self.slots
             .iter()
