--- a/crates/coordinator/src/file_writer.rs
+++ b/crates/coordinator/src/file_writer.rs
@@ -1,57 +1,57 @@
-//! Writes a file on a thread of its own, so that the event loop never waits for a disk.
+//! Writes a file on a dedicated thread, so that the event loop never blocks on disk I/O.
 //!
-//! Bytes are appended, or the whole file is replaced: the new one is written beside it and renamed once it is on the disk.
-//! Completions are reported in the order of the jobs.
+//! A job either appends bytes or replaces the whole file. A replacement is written to a temporary file, synced and renamed.
+//! Completions are reported in the order of submission.
 
 use std::fs::{File, OpenOptions};
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 use std::sync::mpsc::{sync_channel, Receiver, SyncSender, TrySendError};
 
-/// Jobs that may wait for the disk; [`FileWriter::submit`] hands back what is beyond that.
+/// The maximum number of queued jobs; [`FileWriter::submit`] returns any further job to its caller.
 const MAX_QUEUED_JOBS: usize = 64;
 
 /// How a job's bytes change the file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteMode {
-    /// They are added at its end.
+    /// Appends them to the file.
     Append,
-    /// They become the whole file.
+    /// Replaces the file's contents with them.
     Replace,
 }
 
-/// A write.
+/// A write to the file.
 #[derive(Debug)]
 pub struct WriteJob {
-    /// Chosen by the caller, and reported with the completion.
+    /// Chosen by the caller and returned with the completion.
     pub id: u64,
-    /// Append or replace.
+    /// How the bytes change the file.
     pub mode: WriteMode,
-    /// What is written.
+    /// The bytes to write.
     pub bytes: Vec<u8>,
 }
 
-/// The end of a write.
+/// The completion of a write.
 #[derive(Debug)]
 pub struct WriteCompleted {
-    /// The job's.
+    /// The id of the job.
     pub id: u64,
-    /// Whether the bytes are on the disk, else the first failure.
+    /// `Ok` once the bytes are synced to disk, otherwise the first error.
     pub result: io::Result<()>,
 }
 
-/// The writer of one file. Once it is dropped the jobs that were submitted are still done, and then the lock is released.
+/// The writer of one file. After it is dropped, the thread completes the queued jobs and then releases the lock.
 pub struct FileWriter {
     jobs: SyncSender<WriteJob>,
 }
 
 impl FileWriter {
-    /// Starts the writer's thread for a file that is open for appending. `lock` is held for as long as anything may be
-    /// written. `on_completed` is called on the writer's thread.
+    /// Starts the writer thread for a file that is open for appending. `lock` is held until the last job is written.
+    /// `on_completed` is called on the writer thread.
     ///
     /// # Errors
     ///
-    /// The system starts no further thread.
+    /// The thread cannot be started.
     pub fn start(
         path: PathBuf,
         file: File,
@@ -68,11 +68,11 @@
         Ok(FileWriter { jobs })
     }
 
-    /// Queues a write.
+    /// Queues a write without blocking.
     ///
     /// # Errors
     ///
-    /// The job, where too many wait for the disk already.
+    /// Returns the job if the queue is full or the writer thread has ended.
     pub fn submit(&self, job: WriteJob) -> Result<(), WriteJob> {
         self.jobs
             .try_send(job)
@@ -95,7 +95,8 @@
     }
 }
 
-/// Writes a new file beside the old one, and renames it once it is on the disk. Returns the new one, open for appending.
+/// Replaces the file atomically: writes a temporary file in the same folder, syncs it and renames it. Returns the new file,
+/// open for appending.
 fn replace_file(path: &Path, bytes: &[u8]) -> io::Result<File> {
     let temporary: PathBuf = path.with_extension("new");
     let _ = std::fs::remove_file(&temporary);
--- a/crates/coordinator/src/handover.rs
+++ b/crates/coordinator/src/handover.rs
@@ -1,10 +1,11 @@
-//! The folder in which processes of one coordinator exchange what they must know while an upgrade has two of them run.
+//! The folder through which processes of the same coordinator exchange state while two of them run during an upgrade.
 //!
-//! Each process has two files there, named by its [`ProcessNumber`]: `.word` with its last message, in the form of
-//! `driftfront_engine_registry::handover`, and `.lock`, locked for as long as the process lives. Each writes only its own files.
+//! Each process has two files in it, named by its [`ProcessNumber`]: `.word` contains its last message, in the format of
+//! `driftfront_engine_registry::handover`, and `.lock` is locked while the process is alive. A process writes only its own
+//! files.
 //!
-//! Used only where the platform passes the clients' socket. The folder is in `$TMPDIR`, which the platform keeps in memory:
-//! the few small reads and writes are done on the event loop.
+//! This is used only if the platform passes the client listener. The folder is in `$TMPDIR`, which the platform keeps in
+//! memory, so the few small reads and writes are done on the event loop.
 
 use driftfront_engine_registry::handover::{
     decode, encode, HandoverError, HandoverState, MAX_HANDOVER_BYTES,
@@ -15,15 +16,15 @@
 use std::os::unix::fs::MetadataExt;
 use std::path::{Path, PathBuf};
 
-/// Processes read with each poll: more than a few of one coordinator are a mistake somewhere.
+/// The maximum number of other processes read in each poll. More than a few processes of one coordinator indicate a fault.
 const MAX_PROCESSES: usize = 16;
 
-/// Which process of the coordinator; later ones are greater.
+/// Identifies a process of the coordinator; processes that started later compare greater.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ProcessNumber {
-    /// One more than the greatest at its start.
+    /// One more than the greatest sequence number found at start.
     pub sequence: u64,
-    /// Its process id, for two that start at once.
+    /// The process id, which distinguishes two processes that start at the same time.
     pub pid: u32,
 }
 
@@ -43,14 +44,14 @@
     }
 }
 
-/// A process's files.
+/// The kinds of files that a process writes.
 #[derive(Clone, Copy)]
 enum FileKind {
-    /// Its last message.
+    /// The process's last message.
     Message,
-    /// Locked while it lives.
+    /// Locked while the process is alive.
     Lock,
-    /// A message or lock that has not got its name yet.
+    /// A message or lock file before it is renamed.
     Temporary,
 }
 
@@ -66,7 +67,7 @@
     }
 }
 
-/// Tells two writings of a file apart.
+/// Detects whether a file has been rewritten.
 #[derive(Clone, Copy, Default, PartialEq, Eq)]
 struct FileVersion {
     inode: u64,
@@ -74,7 +75,7 @@
 }
 
 impl FileVersion {
-    /// The default where there is no such file.
+    /// Returns the default if the file does not exist.
     fn of(path: &Path) -> FileVersion {
         std::fs::metadata(path).map_or(FileVersion::default(), |metadata| FileVersion {
             inode: metadata.ino(),
@@ -85,7 +86,7 @@
     }
 }
 
-/// Another process of this coordinator, as last seen.
+/// Another process of this coordinator, as of the last poll.
 struct Peer {
     version: FileVersion,
     message: Option<HandoverState>,
@@ -97,76 +98,76 @@
     }
 }
 
-/// Exchanges messages with the other processes of this coordinator in their common folder.
+/// Exchanges messages with the other processes of this coordinator through their shared folder.
 pub struct HandoverMailbox {
     folder: PathBuf,
     number: ProcessNumber,
-    /// Held, and with it locked, for as long as this process lives.
+    /// The lock file; the lock is held until this process ends.
     _lock: File,
     peers: BTreeMap<ProcessNumber, Peer>,
-    /// What this process last wrote.
+    /// The last message that this process wrote.
     published: Option<HandoverState>,
 }
 
 /// A message that has changed since the last poll.
 #[derive(Debug, PartialEq)]
 pub struct ReceivedMessage {
-    /// Its writer.
+    /// The process that wrote it.
     pub from: ProcessNumber,
-    /// What it says.
+    /// Its contents.
     pub message: HandoverState,
 }
 
-/// What a poll has found.
+/// The result of a poll.
 #[derive(Debug, Default)]
 pub struct PollResult {
-    /// Messages that are new, the earliest process's first.
+    /// New messages, ordered from the earliest process to the latest.
     pub received: Vec<ReceivedMessage>,
-    /// What went wrong, for the log.
+    /// Errors to be logged.
     pub errors: Vec<PollError>,
 }
 
-/// What went wrong in a poll.
+/// An error during a poll.
 #[derive(Debug, thiserror::Error)]
 pub enum PollError {
-    /// The folder can't be listed.
+    /// The folder cannot be listed.
     #[error("{}: {source}", folder.display())]
     Folder {
-        /// The folder.
+        /// The shared folder.
         folder: PathBuf,
-        /// What the system says.
+        /// The underlying error.
         source: io::Error,
     },
-    /// A process's message can't be read.
-    #[error("what process {} wrote is not taken over: {source}", process.pid)]
+    /// A process's message cannot be read.
+    #[error("ignoring the message of process {}: {source}", process.pid)]
     Message {
-        /// The process.
+        /// The process that wrote the message.
         process: ProcessNumber,
-        /// Why.
+        /// Why the message cannot be read.
         source: MessageError,
     },
 }
 
-/// Why a message can't be read.
+/// Why a message cannot be read.
 #[derive(Debug, thiserror::Error)]
 pub enum MessageError {
-    /// Its file has more bytes than any message.
-    #[error("{0} bytes are too many")]
+    /// The file exceeds the maximum size of a message.
+    #[error("the file has {0} bytes, more than {MAX_HANDOVER_BYTES}")]
     TooLarge(u64),
-    /// The system can't read its file.
+    /// The file cannot be read.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// Its file holds no message.
+    /// The file does not contain a valid message.
     #[error(transparent)]
     Malformed(#[from] HandoverError),
 }
 
 impl HandoverMailbox {
-    /// Joins the processes of this name, in the folder for it below `tmp`, as the latest of them.
+    /// Opens the folder of the coordinator `name` below `tmp`, and registers this process as the latest in it.
     ///
     /// # Errors
     ///
-    /// The folder or a file in it can't be made, read or locked.
+    /// The folder or a file in it cannot be created, read or locked.
     pub fn open(tmp: &Path, name: &str) -> io::Result<HandoverMailbox> {
         let folder = tmp.join(folder_name(name));
         std::fs::create_dir_all(&folder)?;
@@ -176,7 +177,7 @@
             sequence: last.saturating_add(1),
             pid: std::process::id(),
         };
-        // Locked before it has the name that others look for: to them it would be a dead process's.
+        // The file is locked before it gets its final name: others would take an unlocked file for one of a dead process.
         let temporary = number.file(&folder, FileKind::Temporary);
         let lock = File::create(&temporary)?;
         lock.lock()?;
@@ -190,16 +191,16 @@
         })
     }
 
-    /// Writes this process's message for the others; one that has not changed is not written again.
+    /// Writes this process's message for the others. An unchanged message is not written again.
     ///
     /// # Errors
     ///
-    /// The file can't be written; the next call tries again.
+    /// The file cannot be written; the next call tries again.
     pub fn publish(&mut self, message: HandoverState) -> io::Result<()> {
         if self.published.as_ref() == Some(&message) {
             return Ok(());
         }
-        // Renamed once it is complete: a reader sees the old message or the new one.
+        // Renamed once it is complete, so that a reader sees either the old message or the new one.
         let temporary = self.number.file(&self.folder, FileKind::Temporary);
         std::fs::write(&temporary, encode(&message))?;
         std::fs::rename(
@@ -210,8 +211,8 @@
         Ok(())
     }
 
-    /// Reads what the others have written since the last poll. Files of processes that have ended are removed, once their
-    /// last message is read.
+    /// Reads the messages that have changed since the last poll. Files of ended processes are removed after their last message
+    /// has been read.
     pub fn poll(&mut self) -> PollResult {
         let mut result = PollResult::default();
         let processes = match list_processes(&self.folder) {
@@ -225,7 +226,7 @@
         let own = self.number;
         let others = processes.iter().filter(|&&number| number != own);
         for &number in others.take(MAX_PROCESSES) {
-            // Checked before its message is read: what it wrote last is not missed.
+            // Checked before the message is read, so that the last message of an ending process is not missed.
             let is_alive = self.is_alive(number);
             self.read_message(number, &mut result);
             if !is_alive {
@@ -239,7 +240,7 @@
         result
     }
 
-    /// Reads a process's message, if its file has changed.
+    /// Reads a process's message if its file has changed.
     fn read_message(&mut self, number: ProcessNumber, result: &mut PollResult) {
         let path = number.file(&self.folder, FileKind::Message);
         let version = FileVersion::of(&path);
@@ -262,28 +263,29 @@
         self.peers.insert(number, Peer { version, message });
     }
 
-    /// Whether a process still holds its lock.
+    /// Whether the process still holds its lock.
     fn is_alive(&self, number: ProcessNumber) -> bool {
         match File::open(number.file(&self.folder, FileKind::Lock)) {
-            // Only a lock that can be had, or none, shows an end: any other failure, as of descriptors, does not.
+            // Only a free lock or a missing file means that the process has ended. Other errors, such as running out of file
+            // descriptors, do not.
             Ok(lock) => lock.try_lock_shared().is_err(),
             Err(e) => e.kind() != io::ErrorKind::NotFound,
         }
     }
 
-    /// Whether another process of this coordinator runs.
+    /// Whether another process of this coordinator is running.
     pub fn has_peers(&self) -> bool {
         !self.peers.is_empty()
     }
 
-    /// Whether an earlier process serves.
+    /// Whether an earlier process is ready.
     pub fn has_predecessor(&self) -> bool {
         self.peers
             .iter()
             .any(|(&number, peer)| number < self.number && peer.is_ready())
     }
 
-    /// Whether a later process serves.
+    /// Whether a later process is ready.
     pub fn has_successor(&self) -> bool {
         self.peers
             .iter()
@@ -293,7 +295,7 @@
 
 impl Drop for HandoverMailbox {
     fn drop(&mut self) {
-        // Another process may still have to read the message: it removes that and the lock.
+        // Another process may still need to read the message; it then removes the message and the lock file.
         let kinds = if self.has_peers() {
             &[FileKind::Temporary][..]
         } else {
@@ -305,7 +307,8 @@
     }
 }
 
-/// The folder's name: the coordinator's, legible, and its hash, so that names which differ in other characters stay apart.
+/// The folder's name: the coordinator's name with other characters replaced by `-`, and a hash of the original name, so that
+/// different names never share a folder.
 fn folder_name(coordinator: &str) -> String {
     let legible: String = coordinator
         .chars()
@@ -315,7 +318,7 @@
     format!("driftfront-{legible}-{hash:016x}")
 }
 
-/// The processes that have a lock file, the earliest first.
+/// The processes that have a lock file, ordered from the earliest to the latest.
 fn list_processes(folder: &Path) -> io::Result<Vec<ProcessNumber>> {
     let mut processes = Vec::new();
     for entry in std::fs::read_dir(folder)? {
--- a/crates/coordinator/src/state_folder.rs
+++ b/crates/coordinator/src/state_folder.rs
@@ -1,7 +1,8 @@
-//! The state folder: operators' orders that outlive a restart. An order counts as done once its record is on the disk.
+//! The state folder, which persists operators' orders across restarts. An order is acknowledged once its record is synced to
+//! disk.
 //!
-//! The folder holds one file of records, `orders`, in the form of `driftfront_engine_registry::record`. It is only appended to, and
-//! replaced by a shorter one when it has grown.
+//! The folder contains one file of records, `orders`, in the format of `driftfront_engine_registry::record`. Records are
+//! appended; once the file exceeds a threshold, it is compacted, that is, replaced by a shorter file with the same state.
 
 use crate::file_writer::{FileWriter, WriteCompleted, WriteJob, WriteMode};
 use driftfront_engine_registry::record::{self, StateRecord, COMPACTION_THRESHOLD_BYTES, HEADER};
@@ -11,79 +12,79 @@
 
 /// The file's name in the folder.
 const FILE_NAME: &str = "orders";
-/// The job that replaces the file by a shorter one; appends have higher numbers.
+/// The id of compaction jobs; appends have higher ids.
 const COMPACTION_JOB: u64 = 0;
 
-/// Why a state folder can't be used.
+/// Why the state folder cannot be opened.
 #[derive(Debug, thiserror::Error)]
 pub enum StateFolderError {
-    /// The system refuses a step.
+    /// An I/O operation failed.
     #[error("{}: {step}: {source}", folder.display())]
     Io {
-        /// The folder.
+        /// The state folder.
         folder: PathBuf,
-        /// What was tried.
+        /// The operation that failed.
         step: OpenStep,
-        /// What the system says.
+        /// The underlying error.
         source: io::Error,
     },
-    /// The file is another program's, or a newer version's; it is left as it is.
+    /// The file was written by another program or a newer version; it is left unchanged.
     #[error("{}: {source}", path.display())]
     StateFile {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// Why.
+        /// Why its header is rejected.
         source: record::StateFileError,
     },
 }
 
-/// A step of opening a state folder that the system may refuse. `Display` completes the error's text.
+/// A step of opening the state folder that may fail. `Display` is the part of the error message that names the step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum OpenStep {
-    /// The folder is created.
-    #[error("can't be made")]
+    /// Creating the folder.
+    #[error("cannot create the folder")]
     CreateFolder,
-    /// The file is opened, or created.
-    #[error("can't be opened")]
+    /// Opening or creating the file.
+    #[error("cannot open the file")]
     OpenFile,
-    /// The file is read.
-    #[error("can't be read")]
+    /// Reading the file.
+    #[error("cannot read the file")]
     ReadFile,
-    /// A damaged end of the file is cut.
-    #[error("can't be cut")]
+    /// Truncating a damaged tail of the file.
+    #[error("cannot truncate the file")]
     TruncateFile,
-    /// The file's header is written.
-    #[error("can't be written")]
+    /// Writing the header of a new file.
+    #[error("cannot write the file")]
     WriteFile,
-    /// The writer's thread is started.
-    #[error("no thread for it")]
+    /// Starting the writer thread.
+    #[error("cannot start the writer thread")]
     StartWriter,
 }
 
-/// The folder, open for writing.
+/// The state folder, open for writing.
 pub struct StateFolder {
     writer: FileWriter,
     last_job: u64,
     file_bytes: usize,
 }
 
-/// What opening a folder gives.
+/// The result of [`StateFolder::open`].
 pub struct OpenedState {
-    /// For what is to be written from now on.
+    /// The folder, open for further records.
     pub folder: StateFolder,
     /// The records of earlier processes, in the order in which they were written.
     pub records: Vec<StateRecord>,
-    /// What staff should know of the file: a damaged end that was cut.
+    /// Warnings for operators: a damaged tail that was truncated.
     pub warnings: Vec<String>,
 }
 
 impl StateFolder {
-    /// Opens the folder, which is made where it is missing. `on_written` is called on the writer's thread for each
-    /// [`StateFolder::append`].
+    /// Opens the folder, creating it if it does not exist. `on_written` is called on the writer thread when an
+    /// [`StateFolder::append`] completes.
     ///
     /// # Errors
     ///
-    /// A folder or file that can't be opened, read or written, and a file of another program or version.
+    /// The folder or file cannot be opened, read or written, or the file belongs to another program or version.
     pub fn open(
         folder: &Path,
         on_written: impl Fn(WriteCompleted) + Send + 'static,
@@ -109,7 +110,7 @@
         let warnings = read.damage.iter().map(|reason| {
             let cut = bytes.len() - read.valid_bytes;
             let path = path.display();
-            format!("{path}: {reason}; {cut} bytes behind the last whole record are cut")
+            format!("{path}: {reason}; truncated {cut} bytes after the last complete record")
         });
         let warnings = warnings.collect();
         file.set_len(read.valid_bytes as u64)
@@ -131,7 +132,8 @@
         })
     }
 
-    /// Queues records for the disk; the job's id is reported once they are there. `None`: too many jobs wait.
+    /// Queues records for writing and returns the job's id, which is reported once they are synced to disk. Returns `None` if
+    /// the writer's queue is full.
     pub fn append(&mut self, records: &[StateRecord]) -> Option<u64> {
         let bytes: Vec<u8> = records.iter().flat_map(record::encode).collect();
         let size = bytes.len();
@@ -146,12 +148,12 @@
         Some(self.last_job)
     }
 
-    /// Whether the file has grown so that it should be replaced.
+    /// Whether the file exceeds the compaction threshold.
     pub fn needs_compaction(&self) -> bool {
         self.file_bytes > COMPACTION_THRESHOLD_BYTES
     }
 
-    /// Replaces the file by one of these records; where too many jobs wait it is tried with the next order.
+    /// Replaces the file by one with only these records. If the writer's queue is full, the next order tries again.
     pub fn compact(&mut self, records: &[StateRecord]) {
         let bytes = record::file(records);
         let size = bytes.len();
@@ -166,7 +168,8 @@
     }
 }
 
-/// Opens the file so that whole records are added behind whatever is there: in an upgrade two processes write.
+/// Opens the file in append mode: during an upgrade two processes write to it, and each record must be added whole at the
+/// current end.
 fn open_for_appending(path: &Path) -> io::Result<File> {
     OpenOptions::new()
         .read(true)
@@ -175,7 +178,7 @@
         .open(path)
 }
 
-/// Prepares the file for appends behind its valid bytes; an empty one gets its header. Returns its size.
+/// Seeks to the end of the file, and writes the header if the file is empty. Returns the file's size.
 fn prepare_for_appending(file: &mut File, valid_bytes: usize) -> io::Result<usize> {
     file.seek(SeekFrom::End(0))?;
     if valid_bytes > 0 {
@@ -186,7 +189,7 @@
     Ok(HEADER.len())
 }
 
-/// Passes on the ends of appends. Nobody waits for a compaction: its failure is logged.
+/// Forwards the completions of appends. Nothing waits for a compaction, so its failure is only logged.
 fn skip_compactions(
     path: PathBuf,
     on_written: impl Fn(WriteCompleted) + Send + 'static,
@@ -197,7 +200,7 @@
             result,
         } => {
             if let Err(error) = result {
-                tracing::warn!("{}: not written anew: {error}", path.display());
+                tracing::warn!("{}: compaction failed: {error}", path.display());
             }
         }
         completed => on_written(completed),
--- a/crates/coordinator/tests/operators.rs
+++ b/crates/coordinator/tests/operators.rs
@@ -210,7 +210,7 @@
     assert!(o.site.ledger.of("SELECT").iter().all(|e| e.engine == "e1"));
     let (code, events) = o.type_in(&["events"]);
     assert!(
-        code == 0 && events.contains("5 bytes behind the last whole record are cut"),
+        code == 0 && events.contains("truncated 5 bytes after the last complete record"),
         "{events}"
     );
     assert!(matches!(
