--- a/crates/coordinator/src/node/cluster.rs
+++ b/crates/coordinator/src/node/cluster.rs
@@ -1,13 +1,13 @@
-//! Other coordinators: this process's part in the cluster, where the operator's file names one.
+//! This process's membership in the cluster of coordinators, if the configuration has one.
 //!
-//! | module | its job |
+//! | module | responsibility |
 //! | --- | --- |
-//! | `key_file` | the keys that members share |
-//! | `datagrams` | reading and sending |
-//! | `consensus`, `log_file` | the consensus log, and its file in the state folder |
-//! | `start_error` | why a process can't take part |
-//! | `holds` | operators' holds, granted by the log |
-//! | `views` | members and counters, for operators |
+//! | `key_file` | the keys shared by the members |
+//! | `datagrams` | receiving and sending datagrams |
+//! | `consensus`, `log_file` | the consensus log and its file in the state folder |
+//! | `start_error` | errors of joining the cluster |
+//! | `holds` | operators' holds, granted through the log |
+//! | `views` | members and counters for operators |
 
 mod consensus;
 mod datagrams;
@@ -33,36 +33,36 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// Coordinators of the engines' list that are retained as seeds.
+/// The maximum number of coordinators from the engine list that are retained as seeds.
 const MAX_DISCOVERED_SEEDS: usize = 256;
-/// Bytes that the socket holds while the event loop is elsewhere.
+/// The socket's receive buffer, which holds datagrams while the event loop is busy.
 const RECEIVE_BUFFER_BYTES: usize = 1024 * 1024;
 
-/// The cluster as this process takes part in it.
+/// The cluster agent with its socket.
 pub(super) struct ClusterRuntime {
     socket: Rc<UdpSocket>,
     agent: Cluster,
-    /// What this process says of itself.
+    /// The metadata that this process publishes about itself.
     metadata: MemberMetadata,
     started: Instant,
     started_at: Micros,
-    /// Coordinators that the engines' list names, by name: seeds as those of the operator's file.
+    /// Coordinators named by the engine list, by name. They are seeds in addition to the configured ones.
     discovered_seeds: BTreeMap<String, SocketAddr>,
     consensus: ConsensusHost,
-    /// Turns that ended with more to read.
+    /// Turns that ended before all datagrams were read.
     turns_cut_short: u64,
-    /// Datagrams that the system would not send.
+    /// Datagrams that could not be sent.
     unsent_datagrams: u64,
     longest_turn_micros: u64,
 }
 
 impl ClusterRuntime {
-    /// The cluster's time in microseconds. It does not jump with the wall clock: nobody can set it.
+    /// The cluster's time in microseconds. It is monotonic, so setting the wall clock does not affect it.
     fn clock(&self) -> Micros {
         self.started_at + elapsed_micros(self.started)
     }
 
-    /// Publishes this process's state, where it has changed.
+    /// Publishes this process's state if it has changed.
     fn update_state(&mut self, now: Micros, state: State) {
         if self.metadata.state != state {
             self.metadata.state = state;
@@ -77,14 +77,14 @@
         self.agent.tick(clock);
     }
 
-    /// Applies the coordinators that the engines' list names; returns whether that has changed them.
+    /// Applies the coordinators named by the engine list. Returns whether the discovered seeds changed.
     fn update_discovered_seeds(&mut self, update: &EngineListUpdate) -> bool {
         let before = self.discovered_seeds.clone();
         let seeds = &mut self.discovered_seeds;
         if update.kind == ListKind::Full {
             seeds.clear();
         }
-        // A line that takes a coordinator out looks as one that takes an engine out.
+        // A departed coordinator is listed in the same form as a departed engine.
         let lines = update.descriptions.iter();
         for gone in lines.filter(|line| line.phase == Phase::Gone) {
             seeds.remove(&gone.name);
@@ -97,14 +97,14 @@
         *seeds != before
     }
 
-    /// Gives the agent its seeds: those of the operator's file, and those of the engines' list.
+    /// Passes the configured seeds and those of the engine list to the agent.
     fn apply_seeds(&mut self, configured: &[SocketAddr]) {
         let discovered = self.discovered_seeds.values();
         let seeds = configured.iter().chain(discovered).copied();
         self.agent.change_seeds(seeds.collect());
     }
 
-    /// Leaves the cluster: the others need not find out that this process ends.
+    /// Leaves the cluster, so that the other members do not have to detect that this process has ended.
     fn leave(&mut self) {
         let clock = self.clock();
         self.agent.leave(clock);
@@ -129,25 +129,25 @@
     socket
         .set_nonblocking(true)
         .map_err(ClusterStartError::Socket)?;
-    // What others say while this process is held up should be there when it goes on.
+    // Datagrams that arrive while this process is delayed should not be lost.
     let _ = socket2::SockRef::from(&socket).set_recv_buffer_size(RECEIVE_BUFFER_BYTES);
     Ok(socket)
 }
 
 impl Node {
-    /// Takes part in the cluster, where the configuration names one.
+    /// Joins the cluster if the configuration has one.
     pub(super) fn join_cluster(&mut self) -> Result<(), ClusterStartError> {
         let Some(config) = self.config.cluster.clone() else {
             return Ok(());
         };
         let keys = read_keys(&config.key_file)?;
         let socket = open_socket(config.listen)?;
-        let here = socket.local_addr().map_err(ClusterStartError::Socket)?;
+        let local_addr = socket.local_addr().map_err(ClusterStartError::Socket)?;
         let socket = Rc::new(socket);
         self.register_source(socket.clone(), EventSource::Cluster)
             .map_err(ClusterStartError::Register)?;
-        tracing::info!(%here, "fleet");
-        self.cluster = Some(Box::new(self.new_runtime(config, keys, socket, here)));
+        tracing::info!(here = %local_addr, "fleet");
+        self.cluster = Some(Box::new(self.new_runtime(config, keys, socket, local_addr)));
         self.open_log();
         Ok(())
     }
@@ -157,13 +157,13 @@
         config: ClusterConfig,
         keys: Keyring,
         socket: Rc<UdpSocket>,
-        here: SocketAddr,
+        local_addr: SocketAddr,
     ) -> ClusterRuntime {
         let now = self.clock();
         let entropy = self.config.seed ^ now.rotate_left(32) ^ u64::from(std::process::id());
         #[allow(
             clippy::cast_possible_truncation,
-            reason = "a random number of 32 bits is wanted"
+            reason = "a 32-bit random number is needed"
         )]
         let random = crate::net::fnv1a_64(&entropy.to_le_bytes()) as u32;
         let session = Identity::session_at(now, random);
@@ -177,7 +177,7 @@
         let options = Options {
             identity: Identity {
                 name: self.config.name.clone(),
-                addr: config.advertise.unwrap_or(here),
+                addr: config.advertise.unwrap_or(local_addr),
                 session,
                 back: 0,
             },
@@ -201,14 +201,14 @@
         }
     }
 
-    /// Periodic work: the agent's timers, once all that has come is read.
+    /// Periodic work: runs the agent's timers once all received datagrams have been read.
     pub(super) fn update_cluster(&mut self) {
         if self.cluster.is_none() {
             return;
         }
         self.read_datagrams();
         if self.has_unread_datagrams() {
-            // Nobody is suspected before all is read.
+            // A member must not be suspected while its datagrams may still be unread.
             return;
         }
         let state = member_state(self.lifecycle.state());
@@ -217,7 +217,7 @@
             return;
         };
         cluster.update_state(now, state);
-        // With each check: an agent that ticks seldom could not tell that from being held up.
+        // Called on every check: an agent that ticks rarely could not tell the interval from a stall of its own.
         cluster.tick();
         self.update_consensus(state);
         if let Some(cluster) = &mut self.cluster {
@@ -225,7 +225,7 @@
         }
     }
 
-    /// The engines' list has named coordinators, or some that are gone.
+    /// Handles an engine list update, which may add coordinators or remove them.
     pub(super) fn update_discovered_seeds(&mut self, update: &EngineListUpdate) {
         let cluster = self.cluster.as_mut();
         if cluster.is_some_and(|cluster| cluster.update_discovered_seeds(update)) {
@@ -233,35 +233,35 @@
         }
     }
 
-    /// Gives the agent the seeds of the operator's file and of the engines' list.
+    /// Passes the configured seeds and those of the engine list to the agent.
     fn apply_seeds(&mut self) {
         if let (Some(cluster), Some(config)) = (&mut self.cluster, &self.config.cluster) {
             cluster.apply_seeds(&config.seeds);
         }
     }
 
-    /// Leaves the cluster, at the end of this process.
+    /// Leaves the cluster when this process ends.
     pub(super) fn leave_cluster(&mut self) {
         if let Some(cluster) = &mut self.cluster {
             cluster.leave();
         }
     }
 
-    /// SIGHUP: keys and seeds are read again; a mistaken file leaves the old ones.
+    /// Reloads keys and seeds on SIGHUP. If the key file is invalid, the old keys and seeds remain.
     pub(super) fn reload_cluster(&mut self, new: Option<&ClusterConfig>) {
         let (Some(cluster), Some(new)) = (&mut self.cluster, new) else {
             return;
         };
         match read_keys(&new.key_file) {
             Ok(keys) => {
-                tracing::info!(keys = ?keys.ids(), "fleet: keys read again");
+                tracing::info!(keys = ?keys.ids(), "fleet: keys reloaded");
                 cluster.agent.change_keys(keys);
                 if let Some(config) = &mut self.config.cluster {
                     config.seeds = new.seeds.clone();
                 }
                 self.apply_seeds();
             }
-            Err(error) => tracing::error!("fleet: the old keys stay: {error}"),
+            Err(error) => tracing::error!("fleet: keeping the old keys: {error}"),
         }
     }
 }
--- a/crates/coordinator/src/node/cluster/consensus.rs
+++ b/crates/coordinator/src/node/cluster/consensus.rs
@@ -1,4 +1,5 @@
-//! This process's part in the consensus log: opened with the state folder's file, closed for a successor.
+//! This process's participation in the consensus log: the log is opened with its file in the state folder, and closed when a
+//! successor takes over.
 
 use super::holds::PendingHold;
 use super::log_file::{LockedLogFile, LogFileError, LogWriter};
@@ -13,67 +14,68 @@
 use std::io;
 use std::time::{Duration, Instant};
 
-/// How often the lock is tried again while another process of this coordinator has it.
+/// The interval of attempts to take the log's lock while another process of this coordinator holds it.
 const LOCK_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What the host holds of the consensus log.
+/// The state around the agent's consensus log: its writer, and the operators waiting for decisions.
 #[derive(Default)]
 pub(super) struct ConsensusHost {
     writer: LogWriter,
-    /// Operators that wait for an outcome, by the number of their request to the log.
+    /// Operators waiting for an outcome, by the number of their request to the log.
     pub(super) pending_holds: BTreeMap<u64, PendingHold>,
-    /// When to try the lock again.
+    /// When to try to take the lock again.
     next_lock_attempt: Option<Instant>,
-    /// The log was released for a successor or at the process's end, or its disk failed: what can't be kept must not be said.
+    /// The log was released to a successor or at the end of the process, or a write failed. Nothing may be sent that depends
+    /// on state which cannot be persisted.
     is_closed: bool,
-    /// Failures of the file.
+    /// Failed operations on the file.
     failures: u64,
 }
 
-/// Why the log's file can't be opened.
+/// Why the log's file cannot be opened.
 #[derive(Debug, thiserror::Error)]
 enum OpenLogError {
-    /// It can't be opened, locked or read.
+    /// The file cannot be opened, locked or read.
     #[error(transparent)]
     File(#[from] LogFileError),
-    /// The system starts no thread that writes it.
+    /// The writer thread cannot be started.
     #[error("{0}")]
     Thread(#[source] io::Error),
-    /// Completed writes can't be handled on the event loop.
+    /// The channel of write completions cannot be registered with the event loop.
     #[error("event loop: error inserting event source: {0}")]
     WriteEvents(#[source] calloop::Error),
 }
 
 impl ConsensusHost {
-    /// Whether the log may be opened now.
+    /// Whether an attempt to open the log is permitted now.
     fn may_open(&self) -> bool {
         !self.is_closed && self.next_lock_attempt.is_none_or(|at| Instant::now() >= at)
     }
 }
 
-/// The log's file, as far as there is one.
+/// The result of opening the log's file.
 enum LogFile {
     /// There is no state folder.
     None,
-    /// Another process of this coordinator has it.
+    /// Another process of this coordinator holds the lock.
     LockedElsewhere,
-    /// This process has it.
+    /// This process holds the lock.
     Open { bytes: Vec<u8>, writer: FileWriter },
 }
 
 impl ClusterRuntime {
-    /// Whether the log is not open, and may be opened now.
+    /// Whether the log is closed and may be opened now.
     fn should_open_log(&self) -> bool {
         self.agent.consensus().is_none() && self.consensus.may_open()
     }
 
-    /// The log's disk has failed: nothing more is retained, and so nothing more said.
+    /// Closes the writer after a failed write: nothing more can be persisted, so nothing more may be sent.
     fn stop_log_writes(&mut self) {
         self.consensus.writer.close();
         self.consensus.is_closed = true;
     }
 
-    /// Hands what must be retained to the disk.
+    /// Submits the agent's pending writes to the log's writer.
     pub(super) fn persist_log_writes(&mut self) {
         while let Some(write) = self.agent.next_write() {
             self.consensus.writer.push(write);
@@ -81,7 +83,7 @@
         self.consensus.writer.submit();
     }
 
-    /// Releases the log: the next process of this name needs it. What was requested here is not waited for.
+    /// Releases the log for the next process of this coordinator. Pending requests are not waited for.
     fn close_log(&mut self) {
         if std::mem::replace(&mut self.consensus.is_closed, true) {
             return;
@@ -91,7 +93,7 @@
         self.consensus.writer.close();
     }
 
-    /// Counters of the consensus log, by name; none where this process takes no part in it.
+    /// Counters of the consensus log, by name; empty if this process does not take part in it.
     pub(super) fn consensus_counters(&self) -> Vec<(&'static str, u64)> {
         let Some(consensus) = self.agent.consensus() else {
             return Vec::new();
@@ -122,7 +124,7 @@
 }
 
 impl Node {
-    /// Takes part in the consensus log, or waits for another process of this coordinator to release it.
+    /// Opens the consensus log, or schedules another attempt if another process of this coordinator still holds it.
     pub(super) fn open_log(&mut self) {
         let Some(config) = self.config.cluster.clone() else {
             return;
@@ -153,7 +155,7 @@
                 cluster.consensus.writer.open(writer);
             }
             Err(error) => {
-                // It only observes and requests: one that can't retain what it was sent must not vote as if it did.
+                // Without its file this process only observes and sends requests: a voter must persist what it acknowledges.
                 options.initial_voters.clear();
                 cluster.consensus.writer.close();
                 file_error = Some(error);
@@ -168,7 +170,7 @@
         }
     }
 
-    /// Opens the log's file in the state folder, if there is one, and starts its writer.
+    /// Opens the log's file, if there is a state folder, and starts its writer.
     fn open_log_file(&mut self) -> Result<LogFile, OpenLogError> {
         let Some(folder) = &self.config.state_folder else {
             return Ok(LogFile::None);
@@ -188,7 +190,9 @@
             .map_err(OpenLogError::Thread)?;
         let on_written = |event: Event<WriteCompleted>, _: &mut (), node: &mut Node| {
             if let Event::Msg(completed) = event {
-                node.guard("a write's end", |node| node.handle_log_written(completed));
+                node.guard("a write completion", |node| {
+                    node.handle_log_written(completed)
+                });
             }
         };
         self.handle
@@ -201,8 +205,8 @@
         if let Some(cluster) = &mut self.cluster {
             cluster.consensus.failures += 1;
         }
-        tracing::error!(%error, "consensus log can't be used");
-        let message = format!("What is agreed can't be kept: {error}");
+        tracing::error!(%error, "consensus log cannot be used");
+        let message = format!("The consensus log cannot be stored: {error}");
         self.record_event(self.now, message);
     }
 
@@ -222,7 +226,7 @@
         }
     }
 
-    /// Periodic work: the log is opened, or released where this process ends, and outcomes are reported.
+    /// Periodic work: opens the log, or releases it if this process is ending, and reports outcomes to operators.
     pub(super) fn update_consensus(&mut self, state: State) {
         self.open_log();
         if state == State::Ending {
--- a/crates/coordinator/src/node/cluster/datagrams.rs
+++ b/crates/coordinator/src/node/cluster/datagrams.rs
@@ -1,4 +1,4 @@
-//! Datagrams between coordinators: read before any of the agent's timers runs, and never for long at once.
+//! Datagrams between coordinators. They are read before the agent's timers run, in turns of limited length.
 
 use super::ClusterRuntime;
 use crate::clock::elapsed_micros;
@@ -7,22 +7,22 @@
 use std::io::ErrorKind;
 use std::time::{Duration, Instant};
 
-/// Datagrams read before other sources have their turn.
+/// The maximum number of datagrams read per turn before other event sources are served.
 const MAX_DATAGRAMS_PER_TURN: usize = 128;
-/// Time that a turn may take: the event loop serves clients first.
+/// The maximum duration of a turn, so that clients are not delayed.
 const MAX_TURN_TIME: Duration = Duration::from_millis(2);
 
 /// How a turn of reading ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum TurnEnd {
-    /// All that has come is read.
+    /// All received datagrams were read.
     Drained,
-    /// There may be more to read.
+    /// There may be more datagrams to read.
     CutShort,
 }
 
 impl ClusterRuntime {
-    /// Reads until nothing waits or the turn is over, then sends what the agent has to say.
+    /// Reads until the socket is empty or the turn is over, then sends the agent's outgoing datagrams.
     fn run_turn(&mut self) -> TurnEnd {
         let started = Instant::now();
         let end = self.read_datagrams(started);
@@ -33,7 +33,7 @@
     }
 
     fn read_datagrams(&mut self, started: Instant) -> TurnEnd {
-        // One byte more than the longest shows what is too long.
+        // One byte longer than the maximum, to detect datagrams that exceed it.
         let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
         for _ in 0..MAX_DATAGRAMS_PER_TURN {
             if started.elapsed() >= MAX_TURN_TIME {
@@ -45,7 +45,7 @@
                     self.agent.handle_datagram(now, &buffer[..length]);
                 }
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                // A refused one tells of an earlier send; none of it ends the socket.
+                // Reports that an earlier datagram was refused; the socket remains usable.
                 Err(e) if e.kind() == ErrorKind::ConnectionRefused => {}
                 Err(_) => return TurnEnd::Drained,
             }
@@ -53,7 +53,7 @@
         TurnEnd::CutShort
     }
 
-    /// Sends what the agent has to say, once what it must retain is on its way to the disk.
+    /// Sends the agent's outgoing datagrams, after submitting the writes that must precede them.
     pub(super) fn send_datagrams(&mut self) {
         self.persist_log_writes();
         while let Some((to, bytes)) = self.agent.next_outgoing() {
@@ -64,7 +64,8 @@
 }
 
 impl Node {
-    /// Reads what has come from other coordinators; where the turn is over before all is read, the next one goes on.
+    /// Reads datagrams from other coordinators for one turn; a turn that ends early is continued on the next pass of the event
+    /// loop.
     pub(in crate::node) fn read_datagrams(&mut self) {
         let cluster = self.cluster.as_mut();
         if cluster.is_some_and(|cluster| cluster.run_turn() == TurnEnd::CutShort) {
@@ -72,7 +73,7 @@
         }
     }
 
-    /// Whether the last turn ended before all was read.
+    /// Whether the last turn ended before all datagrams were read.
     pub(super) fn has_unread_datagrams(&self) -> bool {
         let mut deferred = self.deferred.iter();
         deferred.any(|source| matches!(source, EventSource::Cluster))
--- a/crates/coordinator/src/node/cluster/holds.rs
+++ b/crates/coordinator/src/node/cluster/holds.rs
@@ -1,4 +1,4 @@
-//! Operators' holds: named leases over the whole cluster, asked for here and granted by the consensus log.
+//! Operators' holds: named, cluster-wide leases that are requested here and granted by the consensus log.
 
 use super::ClusterRuntime;
 use crate::node::control::{reply_to_request, Answer, ReplyTo, RequestRefusal};
@@ -8,27 +8,27 @@
 use driftfront_control::snapshot::{Consensus as ConsensusView, Held, Voter};
 use driftfront_core::Micros;
 
-/// Before an operator's name of a hold: leases for other purposes have other names.
+/// The prefix of holds' lease names, which separates them from leases for other purposes.
 const HOLD_PREFIX: &str = "hold/";
-/// How long an operator waits for a majority.
+/// How long a request waits for a majority of the voters.
 const MAJORITY_TIMEOUT: Micros = 5_000_000;
 
-/// Bytes that a hold's name may have.
+/// The maximum length of a hold's name.
 const MAX_NAME_BYTES: usize = MAX_TEXT_BYTES - HOLD_PREFIX.len();
 
-/// A hold that an operator asks for.
+/// An operator's request for a hold.
 pub(in crate::node) struct HoldRequest {
     pub(in crate::node) name: String,
-    /// How long it lasts.
+    /// The duration of the hold.
     pub(in crate::node) seconds: u64,
-    /// It lasts beyond that, until it is released.
+    /// The hold lasts beyond its duration, until it is released.
     pub(in crate::node) stays: bool,
-    /// Why, for other operators.
+    /// The reason, shown to other operators.
     pub(in crate::node) note: String,
 }
 
 impl HoldRequest {
-    /// The command that acquires the lease.
+    /// The log command that acquires the lease.
     fn acquire_command(&self) -> Result<Command, HoldError> {
         let resource = format!("{HOLD_PREFIX}{}", self.name);
         if resource.len() > MAX_TEXT_BYTES || self.note.len() > MAX_TEXT_BYTES {
@@ -45,50 +45,50 @@
     }
 }
 
-/// Why a hold is not granted, or not released. `Display` is what the operator reads.
+/// Why a hold is not granted or not released. `Display` is the message for the operator.
 #[derive(Debug, thiserror::Error)]
 pub(in crate::node) enum HoldError {
-    /// Its name or note is too long.
-    #[error("a name has {MAX_NAME_BYTES} bytes at most, a note {MAX_TEXT_BYTES}")]
+    /// The name or note is too long.
+    #[error("a name is limited to {MAX_NAME_BYTES} bytes, a note to {MAX_TEXT_BYTES}")]
     TextTooLong,
-    /// There is no consensus log here.
-    #[error("there is no fleet here that could agree on it")]
+    /// This process does not take part in a consensus log.
+    #[error("this coordinator has no fleet that could grant holds")]
     NoConsensus,
-    /// The consensus log was closed before it was decided; `name` may be held or not.
-    #[error("this coordinator ends; whether {name} is held, see on another")]
+    /// The consensus log was closed before the request was decided; `name` may or may not be held.
+    #[error("this coordinator is ending; check on another one whether {name} is held")]
     LogClosed { name: String },
-    /// It can't be released: nobody has it.
+    /// It cannot be released because nobody holds it.
     #[error("{name} is not held")]
     NotHeld { name: String },
-    /// Somebody has it, for a known time.
+    /// It is held by somebody for a known time.
     #[error("{name} is held already, for {} s more", seconds_rounded_up(*wait))]
     HeldForTime { name: String, wait: Micros },
-    /// Somebody has it, until it is released.
-    #[error("{name} is held already, until it is given back")]
+    /// It is held by somebody until it is released.
+    #[error("{name} is held already, until it is released")]
     HeldUntilReleased { name: String },
-    /// The lease has ended, or is another owner's.
+    /// The lease has ended or belongs to another owner.
     #[error("{name} is not held any more")]
     NotOwner { name: String },
-    /// It exceeds the bounds on leases.
+    /// It exceeds the limits on leases.
     #[error(
-        "{name} can't be held so: too many are, or it is for over 10 s where not all who decide keep their log in a \
-         state folder, or for over a day"
+        "{name} cannot be held: there are too many leases, or it would last over a day, or over 10 s while not all voters \
+         keep their log in a state folder"
     )]
     OutOfBounds { name: String },
-    /// Leases that an earlier log granted may still be in use.
+    /// Leases granted by an earlier log may still be in use.
     #[error(
-        "nothing is lent for {} s yet: what an earlier log lent must have ended",
+        "holds cannot be granted yet: leases of an earlier log may last for {} s more",
         seconds_rounded_up(*wait)
     )]
     TooEarly { wait: Micros },
-    /// Another process of this coordinator has taken part since.
-    #[error("this process is behind a later one of its name")]
+    /// A later process of this coordinator has joined the log since.
+    #[error("a later process of this coordinator has replaced this one")]
     Superseded,
     /// No majority of the voters answered in time.
-    #[error("no majority of those who decide answered in time: {name} is not held by this")]
+    #[error("no majority of the voters answered in time: {name} is not held by this request")]
     NoMajority { name: String },
-    /// Too many requests wait for the log.
-    #[error("too many wait already")]
+    /// Too many requests are pending.
+    #[error("too many requests are pending")]
     TooManyPending,
 }
 
@@ -97,21 +97,21 @@
     time.div_ceil(1_000_000)
 }
 
-/// An operator that waits for an outcome.
+/// An operator waiting for an outcome.
 pub(super) struct PendingHold {
     reply_to: ReplyTo,
     /// The hold's name.
     name: String,
 }
 
-/// A request for a hold that was decided, or never will be.
+/// A request for a hold that was decided, or that can no longer be decided.
 struct DecidedHold {
     reply_to: ReplyTo,
     outcome: Result<String, HoldError>,
 }
 
 impl ClusterRuntime {
-    /// Requests a hold's release, whoever has it.
+    /// Requests the release of a hold, whoever owns it.
     fn request_release(&mut self, to: ReplyTo, name: String) -> Result<(), HoldError> {
         let resource = format!("{HOLD_PREFIX}{name}");
         let view = self.agent.consensus().ok_or(HoldError::NoConsensus)?.view();
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Proposes a command about the hold of this name to the log.
+    /// Submits a command about the hold of this name to the log.
     fn propose(&mut self, to: ReplyTo, name: String, command: Command) -> Result<(), HoldError> {
         if self.agent.consensus().is_none() {
             return Err(HoldError::NoConsensus);
@@ -139,7 +139,7 @@
         Ok(())
     }
 
-    /// The next request of an operator that the log has decided.
+    /// The next operator request that the log has decided.
     fn next_decided_hold(&mut self) -> Option<DecidedHold> {
         loop {
             let clock = self.clock();
@@ -156,7 +156,7 @@
         }
     }
 
-    /// Once the log is closed here, nothing that still waits will be decided.
+    /// Takes all pending requests once the log is closed, since they can no longer be decided.
     fn take_abandoned_holds(&mut self) -> Vec<DecidedHold> {
         if self.agent.consensus().is_some() {
             return Vec::new();
@@ -169,7 +169,7 @@
         abandoned.collect()
     }
 
-    /// The consensus log and its holds, for operators; `None` where this process takes no part in it.
+    /// The consensus log and its holds, for operators; `None` if this process does not take part in it.
     fn consensus_view(&self) -> Option<ConsensusView> {
         let view = self.agent.consensus()?.view();
         let voters = view.voters.into_iter();
@@ -192,7 +192,7 @@
 }
 
 impl Node {
-    /// Requests a hold; the reply is sent once it is decided.
+    /// Requests a hold; the reply is sent once the log has decided.
     pub(in crate::node) fn hold(
         &mut self,
         to: ReplyTo,
@@ -205,7 +205,7 @@
         Ok(Answer::Deferred)
     }
 
-    /// Requests a hold's release, whoever has it; the reply is sent once it is decided.
+    /// Requests the release of a hold, whoever owns it; the reply is sent once the log has decided.
     pub(in crate::node) fn unhold(
         &mut self,
         to: ReplyTo,
@@ -217,7 +217,7 @@
         Ok(Answer::Deferred)
     }
 
-    /// Sends a request to the other coordinators, once what is decided already is replied.
+    /// Sends the request to the other coordinators, after replying to requests that are already decided.
     fn send_hold_request(&mut self) {
         self.reply_to_decided_holds();
         if let Some(cluster) = &mut self.cluster {
@@ -225,7 +225,7 @@
         }
     }
 
-    /// Replies to operators whose requests have been decided, or never will be.
+    /// Replies to operators whose requests have been decided or can no longer be decided.
     pub(super) fn reply_to_decided_holds(&mut self) {
         while let Some(decided) = self.cluster.as_mut().and_then(|c| c.next_decided_hold()) {
             if let Ok(message) = &decided.outcome {
@@ -282,14 +282,14 @@
     }
 }
 
-/// What became of a request for a hold, in the words that staff read.
+/// The outcome of a request for a hold as a message for the operator. A grant ends with the fencing number, which scripts read.
 fn describe_outcome(
     name: String,
     outcome: &Result<Outcome, RequestError>,
 ) -> Result<String, HoldError> {
     match outcome {
         Ok(Outcome::Granted { fence }) => Ok(format!("{name} is held, under number {fence}")),
-        Ok(Outcome::Released) => Ok(format!("{name} is given back")),
+        Ok(Outcome::Released) => Ok(format!("{name} is released")),
         Ok(Outcome::Renewed) => Ok(format!("{name} is held for longer")),
         Ok(Outcome::LimitReached {
             wait: Some(wait), ..
--- a/crates/coordinator/src/node/cluster/key_file.rs
+++ b/crates/coordinator/src/node/cluster/key_file.rs
@@ -5,43 +5,43 @@
 use std::os::unix::fs::PermissionsExt;
 use std::path::{Path, PathBuf};
 
-/// Permissions of the group and of others.
+/// The permission bits of the group and of others.
 const GROUP_AND_OTHER_PERMISSIONS: u32 = 0o077;
 
-/// Why a key file can't be used. The keys themselves are never part of the message.
+/// Why a key file cannot be used. The message never contains the keys.
 #[derive(Debug, thiserror::Error)]
 pub enum KeyFileError {
-    /// The system refuses to read it.
+    /// The file cannot be read.
     #[error("{}: {source}", path.display())]
     Io {
         /// The file.
         path: PathBuf,
-        /// What the system says.
+        /// The underlying error.
         source: io::Error,
     },
-    /// Others than its owner may read it.
+    /// Users other than the owner have access to the file.
     #[error("{}: its mode is {mode:03o}: others can read it; chmod 600 it", path.display())]
     ReadableByOthers {
         /// The file.
         path: PathBuf,
-        /// Its permissions.
+        /// Its permission bits.
         mode: u32,
     },
-    /// It holds no key, or something else than keys.
+    /// The file contains no key, or something other than keys.
     #[error("{}: {source}", path.display())]
     Invalid {
         /// The file.
         path: PathBuf,
-        /// What is wrong, with the line.
+        /// The parse error, with its line.
         source: KeyringError,
     },
 }
 
-/// Reads a key file that nobody but its owner can read.
+/// Reads a key file, which must be accessible to its owner only.
 ///
 /// # Errors
 ///
-/// A file that can't be read, that others can read, or that holds no keys.
+/// The file cannot be read, is accessible to others, or contains no valid keys.
 pub fn read_keys(path: &Path) -> Result<Keyring, KeyFileError> {
     let io_error = |source| KeyFileError::Io {
         path: path.into(),
--- a/crates/coordinator/src/node/cluster/log_file.rs
+++ b/crates/coordinator/src/node/cluster/log_file.rs
@@ -1,7 +1,7 @@
-//! The file of the consensus log in the state folder, written by a thread of its own.
+//! The file of the consensus log in the state folder, written on a dedicated thread.
 //!
-//! In an upgrade two processes of one name run. The log is one process's: the one that holds its lock. The process that hands
-//! over releases the lock as soon as it does, and the next takes the log up then.
+//! During an upgrade two processes of the same coordinator run. Only the one that holds the lock uses the log. The process that
+//! hands over releases the lock immediately, and its successor then opens the log.
 
 use crate::file_writer::{FileWriter, WriteCompleted, WriteJob, WriteMode};
 use driftfront_cluster::consensus::replica::Write;
@@ -11,18 +11,18 @@
 use std::io::{self, Read};
 use std::path::{Path, PathBuf};
 
-/// The log's file in the state folder.
+/// The name of the log's file in the state folder.
 const FILE_NAME: &str = "agreed";
-/// The file whose lock stands for the log's.
+/// The name of the file whose lock protects the log.
 const LOCK_NAME: &str = "agreed.lock";
 
-/// The log's file can't be used.
+/// The log's file cannot be used.
 #[derive(Debug, thiserror::Error)]
 #[error("{}: {source}", path.display())]
 pub(super) struct LogFileError {
-    /// The file.
+    /// The path of the file.
     path: PathBuf,
-    /// What the system says.
+    /// The underlying error.
     source: io::Error,
 }
 
@@ -32,12 +32,12 @@
     /// Open for appending.
     file: File,
     lock: File,
-    /// What it holds.
+    /// Its contents.
     pub(super) bytes: Vec<u8>,
 }
 
 impl LockedLogFile {
-    /// Opens the file below `folder` under its lock; `None` while another process has that.
+    /// Locks and opens the file in `folder`. Returns `None` while another process holds the lock.
     pub(super) fn open(folder: &Path) -> Result<Option<LockedLogFile>, LogFileError> {
         let path = folder.join(FILE_NAME);
         Self::open_at(folder, &path).map_err(|source| LogFileError { path, source })
@@ -71,7 +71,7 @@
         }))
     }
 
-    /// Starts the thread that writes the file. The lock is held for as long as anything may be written.
+    /// Starts the writer thread. The lock is held until the last write is done.
     pub(super) fn start_writer(
         self,
         on_completed: impl Fn(WriteCompleted) + Send + 'static,
@@ -80,36 +80,36 @@
     }
 }
 
-/// A file that ends in the middle of a record is cut behind the last complete one.
+/// Truncates a file that ends in the middle of a record after the last complete record.
 fn truncate_damaged_tail(path: &Path, file: &File, bytes: &mut Vec<u8>) -> io::Result<()> {
     let Ok(loaded) = store::read(bytes) else {
-        // Reported when the log is opened.
+        // An unreadable file is reported when the log is opened.
         return Ok(());
     };
     if let Some(damage) = loaded.damage {
         let cut = bytes.len() - loaded.valid_bytes;
-        tracing::warn!("{}: {damage}; {cut} bytes are cut", path.display());
+        tracing::warn!("{}: {damage}; truncated {cut} bytes", path.display());
         file.set_len(loaded.valid_bytes as u64)?;
         bytes.truncate(loaded.valid_bytes);
     }
     Ok(())
 }
 
-/// Writes of the log on their way to the disk, in order.
+/// The log's pending writes, in order.
 #[derive(Default)]
 pub(super) struct LogWriter {
     writer: Option<FileWriter>,
-    /// Writes that wait for capacity in the writer's queue.
+    /// Writes waiting for capacity in the writer's queue.
     waiting: VecDeque<Write>,
 }
 
 impl LogWriter {
-    /// Submits writes to this file from now on.
+    /// Uses this writer for all further writes.
     pub(super) fn open(&mut self, writer: FileWriter) {
         self.writer = Some(writer);
     }
 
-    /// Closes the file; its lock is released once all that was submitted is written.
+    /// Closes the file. Its lock is released once all submitted writes are done.
     pub(super) fn close(&mut self) {
         self.writer = None;
     }
@@ -119,7 +119,7 @@
         self.waiting.push_back(write);
     }
 
-    /// Submits what the writer has capacity for; without a file all writes are dropped.
+    /// Submits writes until the writer's queue is full. Without a writer all writes are discarded.
     pub(super) fn submit(&mut self) {
         let Some(writer) = &self.writer else {
             return self.waiting.clear();
--- a/crates/coordinator/src/node/cluster/start_error.rs
+++ b/crates/coordinator/src/node/cluster/start_error.rs
@@ -1,27 +1,27 @@
-//! Why a process can't take part in its cluster.
+//! Errors of joining the cluster.
 
 use super::KeyFileError;
 use std::io;
 use std::net::SocketAddr;
 
-/// Why a process can't take part in its cluster.
+/// Why a process cannot join its cluster.
 #[derive(Debug, thiserror::Error)]
 pub enum ClusterStartError {
-    /// The file of the cluster's keys can't be used.
+    /// The key file cannot be used.
     #[error(transparent)]
     KeyFile(#[from] KeyFileError),
-    /// The address for datagrams can't be bound.
+    /// The socket for datagrams cannot be bound.
     #[error("{address}: {source}")]
     Bind {
         /// The configured address.
         address: SocketAddr,
-        /// What the system says.
+        /// The underlying error.
         source: io::Error,
     },
-    /// The bound socket can't be used.
+    /// The bound socket cannot be configured.
     #[error("{0}")]
     Socket(#[source] io::Error),
-    /// The socket can't be registered with the event loop.
+    /// The socket cannot be registered with the event loop.
     #[error("{0}")]
     Register(#[source] calloop::Error),
 }
--- a/crates/coordinator/src/node/cluster/views.rs
+++ b/crates/coordinator/src/node/cluster/views.rs
@@ -1,4 +1,4 @@
-//! What operators see of the cluster: its members, and counters.
+//! The cluster's members and counters, as shown to operators.
 
 use super::ClusterRuntime;
 use crate::node::Node;
@@ -6,13 +6,13 @@
 use driftfront_control::snapshot::Member;
 
 impl ClusterRuntime {
-    /// The members, as this process knows them.
+    /// The members known to this process.
     fn member_views(&self) -> Vec<Member> {
         let members = self.agent.members().into_iter();
         members.map(member_view).collect()
     }
 
-    /// Counters, a line each.
+    /// The cluster's counters, one per line.
     fn counters(&self) -> String {
         let counters = self.agent.counters();
         let lines = [
@@ -62,13 +62,13 @@
 }
 
 impl Node {
-    /// The members of the cluster, as this process knows them; none without a cluster.
+    /// The members known to this process; empty without a cluster.
     pub(in crate::node) fn member_views(&self) -> Vec<Member> {
         let cluster = self.cluster.as_ref();
         cluster.map_or(Vec::new(), |cluster| cluster.member_views())
     }
 
-    /// Counters of the cluster, a line each; none without a cluster.
+    /// The cluster's counters, one per line; empty without a cluster.
     pub(in crate::node) fn cluster_counters(&self) -> String {
         let cluster = self.cluster.as_ref();
         cluster.map_or(String::new(), |cluster| cluster.counters())
