--- a/crates/coordinator/src/node/control/connection.rs
+++ b/crates/coordinator/src/node/control/connection.rs
@@ -1,4 +1,4 @@
-//! One operator's connection: lines come in, replies go out as fast as the operator reads them.
+//! An operator's connection: reads request lines and buffers replies until the operator reads them.
 
 use crate::node::ConnectionId;
 use calloop::RegistrationToken;
@@ -9,15 +9,15 @@
 use std::os::unix::net::UnixStream;
 use std::rc::Rc;
 
-/// Bytes that may wait for an operator to read them: beyond that the connection is cut off.
+/// The maximum number of unsent bytes; a connection that exceeds it is closed.
 const MAX_UNSENT_BYTES: usize = 4 * 1024 * 1024;
-/// A connection with something unsent for longer than this is cut off, however little it is.
+/// A connection with any unsent bytes for longer than this is closed.
 const MAX_UNSENT_TIME: Micros = 3_000_000;
-/// Memory that an empty buffer may keep.
+/// The capacity that an empty send buffer retains.
 const RETAINED_BUFFER_BYTES: usize = 64 * 1024;
 const CHALLENGE_BYTES: usize = 16;
 
-/// Where the reply to an operator's request goes.
+/// The destination of the reply to an operator's request.
 #[derive(Clone, Copy, Debug)]
 pub(in crate::node) struct ReplyTo {
     pub(in crate::node) connection: ConnectionId,
@@ -33,7 +33,7 @@
 }
 
 impl OperatorStream {
-    /// Makes reads and writes return at once.
+    /// Makes the socket non-blocking, and disables Nagle's algorithm on TCP.
     pub(super) fn set_nonblocking(&self) -> io::Result<()> {
         match self {
             OperatorStream::Unix(stream) => stream.set_nonblocking(true),
@@ -59,23 +59,23 @@
     }
 }
 
-/// A request for snapshots at an interval.
+/// A subscription to snapshots at an interval.
 pub(super) struct Subscription {
     pub(super) request: u64,
     pub(super) interval: Micros,
     pub(super) due: Micros,
 }
 
-/// The connection can't be used any more: its peer has closed it, or an error occurred.
+/// The connection was closed by the peer or failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct ConnectionClosed;
 
-/// What a read has brought.
+/// The result of a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ReadProgress {
-    /// So many bytes; more may wait.
+    /// This number of bytes was read; there may be more.
     Bytes(usize),
-    /// Nothing waits.
+    /// There is nothing to read.
     WouldBlock,
 }
 
@@ -85,17 +85,17 @@
     pub(super) token: Option<RegistrationToken>,
     pub(super) lines: LineReader,
     unsent: Vec<u8>,
-    /// Since when something is unsent.
+    /// Since when there have been unsent bytes.
     unsent_since: Option<Micros>,
-    /// The challenge that the operator must answer before anything else; only on the control port.
+    /// The challenge that the operator must answer before any other request; only on the control port.
     pub(super) challenge: Option<String>,
     pub(super) subscription: Option<Subscription>,
-    /// The request for events as they happen.
+    /// The id of the request that subscribed to events.
     pub(super) events_request: Option<u64>,
 }
 
 impl OperatorConnection {
-    /// A new connection, with the greeting as the first line to send.
+    /// Creates a connection with the greeting queued as its first line.
     pub(super) fn new(stream: OperatorStream, token: RegistrationToken) -> OperatorConnection {
         let challenge = matches!(stream, OperatorStream::Tcp(_)).then(random_challenge);
         let greeting = greeting(env!("CARGO_PKG_VERSION"), challenge.as_deref());
@@ -117,7 +117,7 @@
         self.unsent_since.get_or_insert(now);
     }
 
-    /// Sends what the system takes.
+    /// Sends as many bytes as the socket accepts.
     pub(super) fn flush(&mut self) -> Result<(), ConnectionClosed> {
         while !self.unsent.is_empty() {
             match self.stream.write(&self.unsent) {
@@ -132,7 +132,7 @@
         Ok(())
     }
 
-    /// Reads once into the lines; `buffer` is scratch space.
+    /// Reads once and passes the bytes to the line reader; `buffer` is scratch space.
     pub(super) fn read(&mut self, buffer: &mut [u8]) -> Result<ReadProgress, ConnectionClosed> {
         loop {
             match self.stream.read(buffer) {
@@ -148,24 +148,24 @@
         }
     }
 
-    /// Whether everything that was queued has been sent.
+    /// Whether all queued bytes have been sent.
     pub(super) fn is_flushed(&self) -> bool {
         self.unsent.is_empty()
     }
 
-    /// Whether more waits for the operator than a connection may hold.
+    /// Whether the unsent bytes exceed the limit.
     pub(super) fn is_over_limit(&self) -> bool {
         self.unsent.len() > MAX_UNSENT_BYTES
     }
 
-    /// Whether the operator has not read for too long.
+    /// Whether there have been unsent bytes for too long.
     pub(super) fn is_stalled(&self, now: Micros) -> bool {
         self.unsent_since
             .is_some_and(|since| now > since + MAX_UNSENT_TIME)
     }
 }
 
-/// Random hexadecimal digits. Empty where the system has no random numbers: no answer is right then.
+/// Random hexadecimal digits. Empty if the system provides no random numbers; no response is accepted then.
 fn random_challenge() -> String {
     let mut random = [0; CHALLENGE_BYTES];
     let read =
--- a/crates/coordinator/src/node/control/connections.rs
+++ b/crates/coordinator/src/node/control/connections.rs
@@ -1,4 +1,4 @@
-//! Operators' connections: accepted, read, written and cut off.
+//! Accepting, reading, writing and closing operators' connections.
 
 use super::connection::{
     ConnectionClosed, OperatorConnection, OperatorStream, ReadProgress, ReplyTo,
@@ -9,19 +9,19 @@
 use driftfront_control::{Reply, MAX_REQUEST_BYTES};
 use driftfront_core::Micros;
 
-/// Operators' connections at once; more are closed at once.
+/// The maximum number of concurrent operator connections; further ones are closed on accept.
 const MAX_OPERATORS: usize = 16;
 const READ_BUFFER_BYTES: usize = 8 * 1024;
-/// Bytes that one turn may read of a connection: nobody types this much, so it is closed.
+/// A connection that sends more than this in one turn is closed, since no operator sends that much.
 const MAX_BYTES_PER_TURN: usize = 1024 * 1024;
 
 impl Control {
-    /// Whether no further operator may connect.
+    /// Whether the limit of operator connections is reached.
     fn is_full(&self) -> bool {
         self.connections.len() >= MAX_OPERATORS
     }
 
-    /// Where events are sent as they happen.
+    /// The subscribers to events.
     pub(super) fn event_followers(&self) -> Vec<ReplyTo> {
         let followers = self
             .connections
@@ -36,15 +36,15 @@
         followers.collect()
     }
 
-    /// Operators that have not read for too long.
+    /// The operators that have not read for too long.
     fn stalled_operators(&self, now: Micros) -> Vec<ConnectionId> {
         let connections = self.connections.iter();
         let stalled = connections.filter(|(_, operator)| operator.is_stalled(now));
         stalled.map(|(&id, _)| id).collect()
     }
 
-    /// The subscriptions that get a snapshot now. One that has not read the last snapshot yet is left out: a slow connection
-    /// gets fewer of them, not older ones.
+    /// The subscriptions that are due for a snapshot. One that has not read the previous snapshot yet is skipped: a slow
+    /// connection gets fewer snapshots, not older ones.
     fn take_due_subscriptions(&mut self, now: Micros) -> Vec<ReplyTo> {
         let mut due = Vec::new();
         for (&connection, operator) in &mut self.connections {
@@ -65,14 +65,14 @@
 }
 
 impl Node {
-    /// Accepts operators' connections on one of the listeners until none waits.
+    /// Accepts all pending connections of one of the operator listeners.
     pub(in crate::node) fn accept_operators(&mut self, listener: usize) {
         let control = self.control.as_ref();
         let listener = control.and_then(|control| control.listeners.get(listener).cloned());
         let Some(listener) = listener else {
             return;
         };
-        // An error, out of descriptors included, leaves the connection for the next periodic check.
+        // After an error, such as running out of file descriptors, the next periodic check tries again.
         while let Ok(stream) = listener.accept() {
             if self.control.as_ref().is_none_or(Control::is_full) {
                 continue;
@@ -111,7 +111,7 @@
         self.control.as_mut()?.connections.get_mut(&id)
     }
 
-    /// Closes an operator's connection. Nothing is owed: what it has ordered is carried out all the same.
+    /// Closes an operator's connection. Orders that it has sent are still carried out.
     pub(in crate::node) fn drop_operator(&mut self, id: ConnectionId) {
         let control = self.control.as_mut();
         let operator = control.and_then(|control| control.connections.remove(&id));
@@ -120,12 +120,12 @@
         }
     }
 
-    /// Sends a reply, if its connection is still there.
+    /// Sends a reply if its connection is still open.
     pub(in crate::node) fn send_reply(&mut self, to: ReplyTo, reply: &Reply) {
         self.send_line(to.connection, &reply.line(to.request));
     }
 
-    /// Queues a line and sends what the system takes. A connection that holds too much unread is cut off.
+    /// Queues a line and sends as much as the socket accepts. A connection with too many unsent bytes is closed.
     pub(super) fn send_line(&mut self, id: ConnectionId, line: &str) {
         let now = self.now;
         let Some(operator) = self.operator(id) else {
@@ -148,7 +148,7 @@
         if let Some(control) = &mut self.control {
             control.operators_cut_off += 1;
         }
-        tracing::info!("operator connection closed: it does not read");
+        tracing::info!("operator connection closed: the operator does not read");
         self.drop_operator(id);
     }
 
@@ -170,7 +170,7 @@
         }
     }
 
-    /// Handles the complete lines that have been read; a line that is too long closes the connection.
+    /// Handles the complete lines that have been read. A line that is too long closes the connection.
     fn handle_operator_lines(&mut self, id: ConnectionId) {
         while let Some(operator) = self.operator(id) {
             match operator.lines.next_line(MAX_REQUEST_BYTES) {
@@ -181,7 +181,7 @@
         }
     }
 
-    /// Cuts off operators that have not read for too long.
+    /// Closes the connections of operators that have not read for too long.
     pub(super) fn close_stalled_operators(&mut self, now: Micros) {
         let control = self.control.as_ref();
         let stalled = control.map_or(Vec::new(), |control| control.stalled_operators(now));
@@ -190,7 +190,7 @@
         }
     }
 
-    /// Sends snapshots to the operators whose subscription is due.
+    /// Sends a snapshot to each operator whose subscription is due.
     pub(super) fn send_due_snapshots(&mut self, now: Micros) {
         let control = self.control.as_mut();
         let due = control.map_or(Vec::new(), |control| control.take_due_subscriptions(now));
--- a/crates/coordinator/src/node/control/events.rs
+++ b/crates/coordinator/src/node/control/events.rs
@@ -1,20 +1,20 @@
-//! The last events, retained for operators who ask for them.
+//! The most recent events, retained for operators.
 
 use driftfront_control::Reply;
 use driftfront_core::Micros;
 use std::collections::VecDeque;
 
-/// Events retained; the oldest go first.
+/// The maximum number of events retained; the oldest are discarded first.
 const MAX_EVENTS: usize = 500;
 
-/// Something that operators should know has happened.
+/// An event reported to operators.
 struct Event {
     /// Unix time in microseconds, by the wall clock.
     at: Micros,
     message: String,
 }
 
-/// The last events, the oldest first.
+/// The most recent events, the oldest first.
 #[derive(Default)]
 pub(super) struct EventLog {
     events: VecDeque<Event>,
@@ -29,7 +29,7 @@
         self.events.push_back(Event { at, message });
     }
 
-    /// All retained events as lines of replies to this request.
+    /// All retained events as reply lines to this request.
     pub(super) fn lines(&self, request: u64) -> String {
         self.events
             .iter()
--- a/crates/coordinator/src/node/control/listener.rs
+++ b/crates/coordinator/src/node/control/listener.rs
@@ -1,4 +1,4 @@
-//! Where operators connect: a Unix socket of mode 0600, and a port on loopback.
+//! The listeners for operators: a Unix socket with mode 0600, and a port on the loopback interface.
 
 use super::connection::OperatorStream;
 use std::io;
@@ -8,7 +8,7 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 
-/// Only the program's own user may connect.
+/// Only the user that runs the program may connect.
 const SOCKET_MODE: u32 = 0o600;
 
 /// A listening socket for operators.
@@ -34,23 +34,24 @@
     }
 }
 
-/// Why the control socket can't be opened.
+/// Why the control socket cannot be opened.
 #[derive(Debug, thiserror::Error)]
 pub enum ControlSocketError {
-    /// A running program has the socket.
+    /// Another running program listens on the socket.
     #[error("control {}: another program answers there", .0.display())]
     InUse(PathBuf),
-    /// The system refuses a step.
+    /// An I/O operation failed.
     #[error("control {}: {source}", path.display())]
     Io {
         /// The socket's path.
         path: PathBuf,
-        /// What the system says.
+        /// The underlying error.
         source: io::Error,
     },
 }
 
-/// The path of a control socket that this process has bound. Removed at its end, unless a successor has put its own there.
+/// The path of a control socket that this process has bound. The socket is removed on drop, unless a successor has replaced
+/// it.
 pub(super) struct ControlSocketPath {
     path: PathBuf,
     inode: u64,
@@ -65,8 +66,8 @@
     }
 }
 
-/// Opens a control socket. One that a dead program has left is replaced; one that answers is replaced only by a successor of
-/// the program that answers (`is_successor`): then operators' next connections come here.
+/// Opens a control socket. A stale socket of a dead process is replaced. A socket that accepts connections is replaced only if
+/// this process is the successor of its owner (`is_successor`); new operator connections then come to this process.
 pub(super) fn open_control_socket(
     path: &Path,
     is_successor: bool,
@@ -80,7 +81,7 @@
     })
 }
 
-/// Binds beside the path and renames: whoever connects meets the old socket or the new one, with its mode set.
+/// Binds to a temporary path and renames it, so that a client reaches either the old socket or the new one with its mode set.
 fn bind_control_socket(path: &Path) -> io::Result<(UnixListener, ControlSocketPath)> {
     let temporary = path.with_extension(format!("{}.new", std::process::id()));
     let _ = std::fs::remove_file(&temporary);
--- a/crates/coordinator/src/node/control/mod.rs
+++ b/crates/coordinator/src/node/control/mod.rs
@@ -1,20 +1,20 @@
-//! Operators: the control socket and its connections, what they order, and what they see.
+//! The control interface for operators: its connections, their orders, and the state shown to them.
 //!
-//! | module | its job |
+//! | module | responsibility |
 //! | --- | --- |
-//! | `open` | opening state folder, control socket and control port at the start |
-//! | `listener` | the sockets that operators connect to |
-//! | `connection` | one operator's connection, without the program |
-//! | `connections` | accepting, reading, writing and cutting off connections |
-//! | `requests` | from a request's line to the reply |
+//! | `open` | opening the state folder, control socket and control port at startup |
+//! | `listener` | the listeners that operators connect to |
+//! | `connection` | one operator's connection, independent of the node |
+//! | `connections` | accepting, reading, writing and closing connections |
+//! | `requests` | parsing, executing and answering requests |
 //! | `refusal` | why a request is refused |
-//! | `orders` | orders about engines, and their records on the disk |
-//! | `rolling_restart`, `observed_state` | the rolling restart over many engines, and what it sees of them |
-//! | `events` | the last events |
-//! | `snapshot` | what operators see |
-//! | `service` | how well requests and engines are served |
+//! | `orders` | orders about engines, and persisting them |
+//! | `rolling_restart`, `observed_state` | the rolling restart of engines, and its view of them |
+//! | `events` | the most recent events |
+//! | `snapshot` | the state shown to operators |
+//! | `service` | service statistics by class and engine |
 //!
-//! An operator that does not read is cut off, and none of them holds up the event loop.
+//! An operator that does not read is disconnected; no operator blocks the event loop.
 
 mod connection;
 mod connections;
@@ -47,24 +47,24 @@
 use snapshot::CachedSnapshot;
 use std::collections::BTreeMap;
 
-/// What is retained for operators; only where the configuration names a control socket, a control port or a state folder.
+/// The state of the control interface; present if the configuration has a control socket, a control port or a state folder.
 pub(super) struct Control {
-    /// Removes the control socket's path when it is dropped.
+    /// Removes the control socket on drop.
     _socket_path: Option<ControlSocketPath>,
     listeners: Vec<OperatorListener>,
-    /// The key that operators on the control port must have.
+    /// The key with which operators on the control port authenticate.
     port_key: Vec<u8>,
     connections: BTreeMap<ConnectionId, OperatorConnection>,
     events: EventLog,
     service: ServiceRecords,
-    /// The last snapshot, until an event outdates it.
+    /// The last snapshot, until an event invalidates it.
     snapshot: Option<CachedSnapshot>,
     state_folder: Option<StateFolder>,
-    /// Orders whose records are on their way to the disk, by the write's number.
+    /// Orders whose records are being written, by the id of the write.
     pending_orders: BTreeMap<u64, PendingOrder>,
     rolling_restart: RollingRestartRunner,
     started: Micros,
-    /// Operators that were cut off since they did not read.
+    /// Operators that were disconnected because they did not read.
     operators_cut_off: u64,
 }
 
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Counters, a line each.
+    /// Counters, one per line.
     pub(super) fn counters(&self) -> String {
         format!(
             "operators {}\noperators_cut_off {}\n",
@@ -97,14 +97,14 @@
 }
 
 impl Node {
-    /// Logs an event, and sends it to the operators who follow events; does nothing without [`Control`].
+    /// Logs an event and sends it to subscribed operators; does nothing without [`Control`].
     pub(super) fn record_event(&mut self, now: Micros, message: String) {
         let at = self.wall_time(now);
         let Some(control) = &mut self.control else {
             return;
         };
         tracing::info!("{message}");
-        // What was shown before is out of date.
+        // The cached snapshot is out of date.
         control.snapshot = None;
         control.events.add(at, message.clone());
         let reply = Reply::Event(at, message);
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Periodic work: the rolling restart, connections that wait to be accepted, and followers of snapshots.
+    /// Periodic work: steps the rolling restart, accepts connections and sends snapshots to subscribers.
     pub(super) fn update_operators(&mut self, now: Micros) {
         let Some(control) = &self.control else {
             return;
--- a/crates/coordinator/src/node/control/observed_state.rs
+++ b/crates/coordinator/src/node/control/observed_state.rs
@@ -1,4 +1,4 @@
-//! The engines and the service as a rolling restart sees them.
+//! The state of engines and service that the rolling restart observes.
 
 use super::snapshot::EngineLoad;
 use crate::node::Node;
@@ -6,11 +6,11 @@
 use driftfront_engine_registry::rolling_restart::{EngineSnapshot, ObservedState};
 use driftfront_engine_registry::{EngineState, Order as EngineOrder};
 
-/// Cores of an engine whose machine kind says nothing of them.
+/// The number of cores assumed if the machine kind does not specify it.
 const DEFAULT_CORES: f64 = 8.0;
 
 impl Node {
-    /// The engines and the service, as a rolling restart sees them.
+    /// The state of engines and service for the rolling restart.
     pub(super) fn observed_state(&self, now: Micros) -> ObservedState {
         let load = self.engine_load();
         let engines = self.registry.engines();
@@ -67,7 +67,7 @@
         class.map_or(1.0, |class| class.threads)
     }
 
-    /// The part of the last minute's requests, weighted by their classes' priority, that were served in time.
+    /// The fraction of the last minute's requests that were served in time, weighted by the priorities of their classes.
     fn weighted_service_level(&self, now: Micros) -> Option<f64> {
         let class_weight = |class: usize| {
             let class = self.config.settings.classes.get(class);
--- a/crates/coordinator/src/node/control/open.rs
+++ b/crates/coordinator/src/node/control/open.rs
@@ -1,4 +1,4 @@
-//! Opening, at the start, what the configuration names for operators: state folder, control socket and control port.
+//! Opens the configured state folder, control socket and control port at startup.
 
 use super::listener::{open_control_socket, OperatorListener};
 use super::Control;
@@ -16,7 +16,7 @@
 use std::rc::Rc;
 
 impl Node {
-    /// Opens what the configuration names: the state folder, then the control socket and port.
+    /// Opens the state folder, then the control socket and control port, as configured.
     pub(in crate::node) fn open_control(&mut self) -> Result<(), StartError> {
         let now = self.clock();
         let config = &self.config;
@@ -74,13 +74,15 @@
         Ok(())
     }
 
-    /// Opens the state folder, and applies the orders and the rolling restart that it holds.
+    /// Opens the state folder, and restores the orders and the rolling restart recorded in it.
     fn open_state_folder(&mut self, now: Micros, folder: &Path) -> Result<(), StartError> {
         let (sender, completions) = channel();
         let opened = StateFolder::open(folder, move |completed| drop(sender.send(completed)))?;
         let on_written = |event: Event<WriteCompleted>, _: &mut (), node: &mut Node| {
             if let Event::Msg(completed) = event {
-                node.guard("a write's end", |node| node.handle_order_written(completed));
+                node.guard("a write completion", |node| {
+                    node.handle_order_written(completed)
+                });
             }
         };
         self.handle
@@ -108,7 +110,7 @@
     }
 }
 
-/// The rolling restart as last recorded; `None` where there was none, or none any more.
+/// The last recorded rolling restart; `None` if none was recorded or the last one has ended.
 fn last_rolling_restart(records: &[StateRecord]) -> Option<RollingRestart> {
     let last = records.iter().rev().find_map(|record| match record {
         StateRecord::RollingRestart { roll } => Some(roll.clone()),
--- a/crates/coordinator/src/node/control/orders.rs
+++ b/crates/coordinator/src/node/control/orders.rs
@@ -1,4 +1,4 @@
-//! Operators' orders about engines: carried out at once, and done once their records are on the disk.
+//! Operators' orders about engines. They take effect immediately and are acknowledged once their records are synced to disk.
 
 use super::connection::ReplyTo;
 use super::refusal::RequestRefusal;
@@ -12,46 +12,46 @@
 use driftfront_engine_registry::{Command as Order, EngineDescription};
 use std::io;
 
-/// An order whose records are on their way to the disk.
+/// An order whose records are being written.
 pub(super) struct PendingOrder {
     reply_to: ReplyTo,
-    /// The reply's text once they are there.
+    /// The reply once they are written.
     message: String,
 }
 
-/// Whether records will outlive a restart.
+/// Whether records will survive a restart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::node) enum Persistence {
-    /// They are on their way; the end of the write is reported under this number.
+    /// They are being written; the completion is reported with this id.
     Pending(u64),
     /// There is no state folder.
     NoFolder,
-    /// Too many writes wait for the disk.
+    /// The writer's queue is full.
     Overloaded,
 }
 
-/// Added to the reply where there is no state folder.
+/// Appended to the reply if there is no state folder.
 const NO_FOLDER_WARNING: &str =
-    "; there is no state folder, so a restart of the program forgets it";
-/// Added to the reply where too many writes wait for the disk.
+    "; there is no state folder, so the order is lost when the program restarts";
+/// Appended to the reply if the writer's queue is full.
 const OVERLOADED_WARNING: &str =
-    ", but the disk is too slow to write it down: a restart forgets it";
+    ", but the disk is too slow to store the order: it is lost when the program restarts";
 
 impl PendingOrder {
-    /// The reply's text once the write has ended.
+    /// The reply once the write has completed.
     fn into_message(self, written: io::Result<()>) -> String {
         let message = self.message;
         match written {
             Ok(()) => message,
             Err(error) => format!(
-                "{message}, but it could not be written down ({error}): a restart forgets it"
+                "{message}, but the order could not be stored ({error}): it is lost when the program restarts"
             ),
         }
     }
 }
 
 impl Control {
-    /// Queues records for the state folder's disk.
+    /// Queues records to be written to the state folder.
     fn append_records(&mut self, records: &[StateRecord]) -> Persistence {
         let Some(state) = &mut self.state_folder else {
             return Persistence::NoFolder;
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Replaces a state file that has grown by one of the engines' present records and the rolling restart.
+    /// Compacts a state file that has grown too large to the current records of the engines and the rolling restart.
     fn compact_state_file(&mut self, engine_records: impl FnOnce() -> Vec<StateRecord>) {
         let Some(state) = &mut self.state_folder else {
             return;
@@ -99,7 +99,7 @@
         self.execute_order(now, to, Order::Resume { engine }, message)
     }
 
-    /// Takes an engine out of the list.
+    /// Removes an engine from the list.
     pub(super) fn remove_engine(
         &mut self,
         now: Micros,
@@ -122,7 +122,8 @@
         self.execute_order(now, to, Order::Add { description }, message)
     }
 
-    /// The engine that an operator adds: zone and machine kind by name, the first ones where none is named.
+    /// Parses the engine that an operator adds. Zone and machine kind are given by name and default to the first configured
+    /// ones.
     pub(super) fn parse_new_engine(
         &self,
         name: String,
@@ -153,7 +154,7 @@
         })
     }
 
-    /// Carries out an operator's order; `message` says what it has done. The reply is sent once the order is on the disk.
+    /// Executes an operator's order; `message` describes its effect. The reply is sent once the order is synced to disk.
     fn execute_order(
         &mut self,
         now: Micros,
@@ -182,30 +183,30 @@
         Ok(Answer::Done(message + warning))
     }
 
-    /// Queues records for the state folder's disk, if there is one.
+    /// Queues records to be written to the state folder, if there is one.
     pub(in crate::node) fn persist(&mut self, now: Micros, records: &[StateRecord]) -> Persistence {
         let Some(control) = &mut self.control else {
             return Persistence::NoFolder;
         };
         let persistence = control.append_records(records);
-        // What a successor writes must not be left in a file that is no longer the folder's.
+        // Compaction replaces the file: records that a successor appends to the old file would be lost.
         if !self.lifecycle.has_successor() {
             control.compact_state_file(|| self.registry.compacted_records());
         }
         if persistence == Persistence::Overloaded {
-            let message = "The state folder's disk is too slow: an order was not written down";
+            let message = "The state folder's disk is too slow: an order was not stored";
             self.record_event(now, message.into());
         }
         persistence
     }
 
-    /// An order's records are on the disk, or could not be written.
+    /// Handles the completion of writing an order's records.
     pub(super) fn handle_order_written(&mut self, completed: WriteCompleted) {
         let now = self.clock();
         let control = self.control.as_mut();
         let pending = control.and_then(|control| control.pending_orders.remove(&completed.id));
         if let Err(error) = &completed.result {
-            self.record_event(now, format!("The state folder can't be written: {error}"));
+            self.record_event(now, format!("The state folder cannot be written: {error}"));
         }
         if let Some(pending) = pending {
             let reply_to = pending.reply_to;
@@ -216,7 +217,7 @@
     }
 }
 
-/// A name's index among those that are known; the first for an empty name.
+/// The index of a name among the known ones; 0 for an empty name.
 fn index_of(what: &'static str, name: &str, known: &[String]) -> Result<u16, RequestRefusal> {
     if name.is_empty() {
         return Ok(0);
--- a/crates/coordinator/src/node/control/requests.rs
+++ b/crates/coordinator/src/node/control/requests.rs
@@ -1,4 +1,4 @@
-//! An operator's request: read from its line, carried out, and answered.
+//! Parses, executes and answers operators' requests.
 
 use super::connection::{ReplyTo, Subscription};
 use super::refusal::RequestRefusal;
@@ -8,19 +8,19 @@
 use driftfront_control::{key, Reply, Request};
 use driftfront_core::Micros;
 
-/// Who gives the orders of the control socket, in the words that staff read.
+/// The origin of orders given through the control interface, as shown in events.
 const ORIGIN: &str = "an operator";
 
-/// What an operator is sent for a request that is not refused.
+/// The answer to a request that is not refused.
 #[derive(Debug, PartialEq, Eq)]
 pub(in crate::node) enum Answer {
-    /// It was done; the text is for the operator.
+    /// The request was executed; the text is the message for the operator.
     Done(String),
-    /// It was answered already, or will be once a disk or other coordinators have answered.
+    /// The reply was sent already, or will be sent once a write or a decision of the cluster completes.
     Deferred,
 }
 
-/// The reply to a request on the control socket; `None` where it was answered already, or will be later.
+/// The reply to a request; `None` if it was sent already or will be sent later.
 pub(in crate::node) fn reply_to_request(outcome: Result<Answer, RequestRefusal>) -> Option<Reply> {
     match outcome {
         Ok(Answer::Done(message)) => Some(Reply::Done(message)),
@@ -30,13 +30,13 @@
 }
 
 impl Control {
-    /// Whether the operator must answer a challenge before anything else.
+    /// Whether the operator must answer a challenge before any other request.
     fn awaits_authentication(&self, connection: ConnectionId) -> bool {
         let operator = self.connections.get(&connection);
         operator.is_some_and(|operator| operator.challenge.is_some())
     }
 
-    /// Whether the first request on the control port answers its challenge, which is asked only once.
+    /// Whether the first request on the control port answers its challenge. There is only one attempt.
     fn verify_challenge_response(&mut self, connection: ConnectionId, request: &Request) -> bool {
         let Some(operator) = self.connections.get_mut(&connection) else {
             return false;
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Subscribes a connection to snapshots, the first one now.
+    /// Subscribes a connection to snapshots; the first is due immediately.
     fn subscribe_to_snapshots(&mut self, now: Micros, to: ReplyTo, interval: Micros) {
         if let Some(operator) = self.connections.get_mut(&to.connection) {
             operator.subscription = Some(Subscription {
@@ -70,7 +70,7 @@
 }
 
 impl Node {
-    /// Handles one line of an operator's.
+    /// Handles a request line of an operator.
     pub(super) fn handle_operator_line(&mut self, connection: ConnectionId, line: &str) {
         let now = self.clock();
         let (request, parsed) = Request::read(line);
@@ -91,7 +91,7 @@
         }
     }
 
-    /// The first request on the control port must answer the challenge; any other closes the connection.
+    /// Checks that the first request on the control port answers the challenge, and closes the connection otherwise.
     fn authenticate(&mut self, to: ReplyTo, request: &Request) {
         let Some(control) = &mut self.control else {
             return;
@@ -103,7 +103,7 @@
         self.send_reply(to, &Reply::Done("welcome".into()));
     }
 
-    /// Carries a request out.
+    /// Executes a request.
     fn execute_request(
         &mut self,
         now: Micros,
@@ -168,7 +168,7 @@
         Answer::Deferred
     }
 
-    /// Sends the retained events; with `follow` also those that come, else the end of the list.
+    /// Sends the retained events. With `follow` the connection also gets future events, otherwise a final reply ends the list.
     fn send_events(&mut self, to: ReplyTo, follow: bool) -> Answer {
         let Some(control) = &mut self.control else {
             return Answer::Deferred;
--- a/crates/coordinator/src/node/control/rolling_restart.rs
+++ b/crates/coordinator/src/node/control/rolling_restart.rs
@@ -1,5 +1,4 @@
-//! The rolling restart over many engines: its stages are `driftfront_engine_registry::rolling_restart`'s; here they are
-//! carried out.
+//! Executes the rolling restart of engines, whose state machine is `driftfront_engine_registry::rolling_restart`.
 
 use super::refusal::RequestRefusal;
 use super::requests::Answer;
@@ -11,10 +10,10 @@
 };
 use driftfront_engine_registry::Command as Order;
 
-/// How often a rolling restart looks at the engines.
+/// The interval at which a rolling restart observes the engines.
 const STEP_INTERVAL: Micros = 500_000;
 
-/// The rolling restart of this process, as far as there was one, and when it takes its next step.
+/// The current or last rolling restart of this process, if any, and the time of its next step.
 #[derive(Default)]
 pub(super) struct RollingRestartRunner {
     restart: Option<RollingRestart>,
@@ -22,24 +21,24 @@
 }
 
 impl RollingRestartRunner {
-    /// Takes up what an earlier process has recorded.
+    /// Restores a rolling restart recorded by an earlier process.
     pub(super) fn load(&mut self, restart: Option<RollingRestart>) {
         self.restart = restart;
     }
 
-    /// The rolling restart, be it over or not.
+    /// The rolling restart, whether or not it is over.
     pub(super) fn current(&self) -> Option<&RollingRestart> {
         self.restart.as_ref()
     }
 
-    /// Its record, be it over or not.
+    /// The record of the rolling restart, whether or not it is over.
     pub(super) fn record(&self) -> StateRecord {
         StateRecord::RollingRestart {
             roll: self.restart.clone(),
         }
     }
 
-    /// The record from which a restarted process goes on; one that is over leaves nothing to go on with.
+    /// The record from which a restarted process continues; empty if the rolling restart is over.
     fn unfinished_record(&self) -> StateRecord {
         let unfinished = self.current().filter(|restart| !restart.is_over());
         StateRecord::RollingRestart {
@@ -51,7 +50,7 @@
         self.current().is_some_and(|restart| !restart.is_over())
     }
 
-    /// Begins a rolling restart; its first step is due at once.
+    /// Starts a rolling restart; its first step is due immediately.
     fn start(&mut self, now: Micros, restart: RollingRestart) {
         self.restart = Some(restart);
         self.next_step = now;
@@ -61,7 +60,7 @@
         self.is_running() && now >= self.next_step
     }
 
-    /// Takes a step; returns what it is to do.
+    /// Takes a step and returns the actions to execute.
     fn step(&mut self, now: Micros, observed: &ObservedState) -> Vec<RollingRestartAction> {
         self.next_step = now + STEP_INTERVAL;
         let restart = self.restart.as_mut();
@@ -70,7 +69,7 @@
 }
 
 impl Node {
-    /// Begins a rolling restart over these engines, or over all where none is named. A dry run only says its plan.
+    /// Starts a rolling restart of these engines, or of all if none is named. A dry run only returns the plan.
     pub(super) fn begin_rolling_restart(
         &mut self,
         now: Micros,
@@ -102,12 +101,12 @@
         if let Some(control) = &mut self.control {
             control.rolling_restart.start(now, restart.clone());
         }
-        self.record_event(now, format!("A roll over {count} engines begins"));
+        self.record_event(now, format!("A rolling restart of {count} engines begins"));
         let roll = Some(restart);
         let _ = self.persist(now, &[StateRecord::RollingRestart { roll }]);
     }
 
-    /// An operator says that the engine which was handed over is back.
+    /// Handles an operator's confirmation that the engine which was handed over is back.
     pub(super) fn confirm_engine_returned(
         &mut self,
         now: Micros,
@@ -118,7 +117,7 @@
         status.ok_or(RequestRefusal::NoEngineHandedOver)
     }
 
-    /// An operator stops the rolling restart.
+    /// Stops the rolling restart on an operator's request.
     pub(super) fn stop_rolling_restart(&mut self, now: Micros) -> Result<Answer, RequestRefusal> {
         let stop =
             |restart: &mut RollingRestart, _: &ObservedState| restart.stop(now, "by an operator");
@@ -126,7 +125,7 @@
         status.ok_or(RequestRefusal::NothingToStop)
     }
 
-    /// An operator lets a stopped rolling restart go on.
+    /// Resumes a stopped rolling restart on an operator's request.
     pub(super) fn resume_rolling_restart(&mut self, now: Micros) -> Result<Answer, RequestRefusal> {
         let resume =
             |restart: &mut RollingRestart, observed: &ObservedState| restart.resume(now, observed);
@@ -134,7 +133,7 @@
         status.ok_or(RequestRefusal::NothingToResume)
     }
 
-    /// Changes the rolling restart by an operator's order; `None` where there is nothing to change.
+    /// Applies an operator's change to the rolling restart; returns `None` if it has no effect.
     fn change_rolling_restart(
         &mut self,
         now: Micros,
@@ -151,7 +150,7 @@
         Some(Answer::Done(status))
     }
 
-    /// Lets the rolling restart look at the engines, where that is due.
+    /// Steps the rolling restart if a step is due.
     pub(super) fn step_rolling_restart(&mut self, now: Micros) {
         let is_due = |control: &super::Control| control.rolling_restart.is_step_due(now);
         if !self.control.as_ref().is_some_and(is_due) {
@@ -187,7 +186,7 @@
         }
     }
 
-    /// Records where the rolling restart stands.
+    /// Persists the progress of the rolling restart.
     fn persist_rolling_restart(&mut self, now: Micros) {
         let control = self.control.as_ref();
         if let Some(record) = control.map(|control| control.rolling_restart.unfinished_record()) {
@@ -202,7 +201,7 @@
                 self.publish_handover();
                 let _ = self.persist(now, &records);
             }
-            Err(refusal) => self.record_event(now, format!("The roll: {refusal}")),
+            Err(refusal) => self.record_event(now, format!("Rolling restart: {refusal}")),
         }
     }
 }
--- a/crates/coordinator/src/node/control/service.rs
+++ b/crates/coordinator/src/node/control/service.rs
@@ -1,21 +1,21 @@
-//! How well requests and engines are served, for operators and for rolling restarts.
+//! Service statistics by class and engine, for operators and rolling restarts.
 
 use crate::node::Node;
 use crate::service_window::{RequestOutcome, ServiceWindow};
 use driftfront_core::{EngineId, Micros};
 use std::collections::BTreeMap;
 
-/// How well one class of queries was served.
+/// The service statistics of one class.
 pub(super) struct ClassService {
     pub(super) minute: ServiceWindow,
     pub(super) hour: ServiceWindow,
 }
 
-/// How well each class, and by each engine, was served.
+/// The service statistics of all classes and engines.
 pub(super) struct ServiceRecords {
     /// By the class's index.
     classes: Vec<ClassService>,
-    /// The last minute of each engine that has served anything.
+    /// The last minute of each engine that has served an attempt.
     engines: BTreeMap<EngineId, ServiceWindow>,
 }
 
@@ -31,17 +31,17 @@
         }
     }
 
-    /// The record of a class.
+    /// The statistics of a class.
     pub(super) fn class(&self, class: usize) -> Option<&ClassService> {
         self.classes.get(class)
     }
 
-    /// The record of an engine, if it has served anything.
+    /// The statistics of an engine, if it has served an attempt.
     pub(super) fn engine(&self, engine: EngineId) -> Option<&ServiceWindow> {
         self.engines.get(&engine)
     }
 
-    /// Records the end of a class's request.
+    /// Records a completed request of a class.
     fn record_request(
         &mut self,
         now: Micros,
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Records an attempt that an engine has served.
+    /// Records an attempt served by an engine.
     fn record_engine_success(&mut self, now: Micros, engine: EngineId, latency: Micros) {
         self.engines
             .entry(engine)
@@ -64,7 +64,7 @@
             .add(now, RequestOutcome::Served, latency, Micros::MAX);
     }
 
-    /// The part of the last minute's requests that were served in time, each weighted by its class; `None` without requests.
+    /// The fraction of the last minute's requests that were served in time, weighted by class; `None` if there were none.
     pub(super) fn weighted_service_level(
         &self,
         now: Micros,
@@ -82,7 +82,7 @@
 }
 
 impl Node {
-    /// Records the end of a class's request that came in at `started`.
+    /// Records a completed request of a class that arrived at `started`.
     pub(in crate::node) fn record_class_service(
         &mut self,
         now: Micros,
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Records an attempt that an engine has served.
+    /// Records an attempt served by an engine.
     pub(in crate::node) fn record_engine_success(
         &mut self,
         now: Micros,
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Forgets the record of an engine that is gone for good.
+    /// Removes the statistics of an engine that was removed.
     pub(in crate::node) fn forget_engine_window(&mut self, engine: EngineId) {
         if let Some(control) = &mut self.control {
             control.service.engines.remove(&engine);
--- a/crates/coordinator/src/node/control/snapshot.rs
+++ b/crates/coordinator/src/node/control/snapshot.rs
@@ -1,4 +1,4 @@
-//! What operators see of the program: the snapshot that the console and the commands show.
+//! Snapshots of the program's state, shown by the console and the operators' commands.
 
 use super::service::ClassService;
 use super::Control;
@@ -11,30 +11,30 @@
 use driftfront_engine_registry::{phase_name, EngineState, Order as EngineOrder};
 use std::collections::BTreeMap;
 
-/// Queries in a snapshot.
+/// The maximum number of queries in a snapshot.
 const MAX_QUERIES: usize = 50;
-/// Characters of a query's name.
+/// The maximum length of a query's name in a snapshot.
 const MAX_QUERY_NAME_CHARACTERS: usize = 60;
-/// One snapshot serves all requests within this time.
+/// A snapshot is reused for requests within this time.
 const SNAPSHOT_MAX_AGE: Micros = 50_000;
-/// Shown where orders do not outlive a restart.
+/// Shown if there is no state folder.
 const NO_STATE_FOLDER: &str =
-    "There is no state folder: drains and other orders are forgotten when the program ends.";
+    "There is no state folder: drains and other orders are lost when the program ends.";
 
-/// A snapshot as JSON, and when it was made.
+/// A snapshot as JSON, and the time at which it was taken.
 pub(super) struct CachedSnapshot {
     made_at: Micros,
     json: String,
 }
 
-/// What runs on an engine.
+/// The attempts that run on an engine.
 #[derive(Clone, Copy, Default)]
 pub(super) struct EngineLoad {
-    /// Attempts of queries.
+    /// All attempts.
     pub(super) queries: usize,
-    /// Of these, what must not run twice.
+    /// Those of them that must not be executed twice.
     pub(super) single_shot: usize,
-    /// When the first of them was sent.
+    /// When the oldest of them was sent.
     oldest_sent: Micros,
 }
 
@@ -42,18 +42,18 @@
 #[derive(Clone, Copy, Default)]
 struct EngineConnections {
     count: u64,
-    /// When anything was last received on one of them.
+    /// When data was last received on any of them.
     last_received: Micros,
 }
 
 impl Control {
-    /// The last snapshot's JSON, unless it is too old to be sent again.
+    /// The JSON of the cached snapshot, unless it is too old to be reused.
     fn fresh_snapshot(&self, now: Micros) -> Option<&str> {
         let cached = self.snapshot.as_ref()?;
         (now < cached.made_at + SNAPSHOT_MAX_AGE).then_some(&cached.json)
     }
 
-    /// The rolling restart, as operators see it.
+    /// The rolling restart, as shown to operators.
     fn roll_view(&self) -> Option<RollView> {
         let restart = self.rolling_restart.current()?;
         Some(RollView {
@@ -67,7 +67,7 @@
 }
 
 impl Node {
-    /// The line that answers a request for a snapshot.
+    /// The reply line to a request for a snapshot.
     pub(super) fn snapshot_line(&mut self, now: Micros, request: u64) -> String {
         let control = self.control.as_ref();
         if let Some(json) = control.and_then(|control| control.fresh_snapshot(now)) {
@@ -119,7 +119,7 @@
         }
     }
 
-    /// What runs, by engine.
+    /// The attempts in flight, by engine.
     pub(super) fn engine_load(&self) -> BTreeMap<EngineId, EngineLoad> {
         let mut all: BTreeMap<EngineId, EngineLoad> = BTreeMap::new();
         for (class, engine, sent) in self.core.attempts_in_flight() {
@@ -163,7 +163,7 @@
         load: EngineLoad,
         connections: EngineConnections,
     ) -> Engine {
-        // An idle engine sends nothing: its silence begins with the oldest attempt that runs there.
+        // An idle engine sends nothing, so its silence is measured from its oldest running attempt at the earliest.
         let silent_since = connections.last_received.max(load.oldest_sent);
         let control = self.control.as_ref();
         let service = control.and_then(|control| control.service.engine(engine.id));
@@ -188,7 +188,7 @@
         }
     }
 
-    /// Seconds until an engine has warmed up that started at this time.
+    /// Seconds until an engine that started at this time has warmed up.
     fn warm_in_seconds(&self, now: Micros, started: Option<Micros>) -> u64 {
         let warm_up = self
             .config
@@ -199,8 +199,8 @@
         remaining.map_or(0, |remaining| remaining.div_ceil(1_000_000))
     }
 
-    /// The open queries, what must not run twice first and then the oldest, as many as a snapshot holds; and how many are
-    /// open of each class.
+    /// The open queries, limited to [`MAX_QUERIES`] and sorted with those that must not be executed twice first, then by age;
+    /// and the number of open queries of each class.
     fn open_queries(&self, now: Micros) -> (Vec<Query>, Vec<u64>) {
         let mut open_by_class = vec![0; self.config.classes.names.len()];
         let mut queries = Vec::new();
@@ -242,7 +242,7 @@
     }
 }
 
-/// The reply that carries a snapshot's JSON.
+/// The reply line with a snapshot's JSON.
 fn snapshot_reply(request: u64, json: &str) -> String {
     format!("{{\"id\":{request},\"snapshot\":{json}}}\n")
 }
