--- a/crates/coordinator/src/node/management.rs
+++ b/crates/coordinator/src/node/management.rs
@@ -1,9 +1,9 @@
-//! The management address: operators' calls, one line a connection. The language is `driftfront_control::management`; the
-//! orders go to the same registry and lifecycle as those of the control socket.
+//! The management address, which accepts operators' calls, one line per connection. The protocol is
+//! `driftfront_control::management`; orders go to the same registry and lifecycle as those of the control socket.
 //!
-//! Calls come before the clients' backlog: the address is checked between any two of their connections, so that a caller
-//! waits for one turn at most. Callers that connect and send nothing hold up nobody: many may be connected, and the one that
-//! has waited longest is closed first.
+//! Calls take precedence over the clients' backlog: the address is checked between client connections, so that a caller waits
+//! for one turn at most. Callers that connect and send nothing block nobody: the number of connections is limited, and the one
+//! that has waited longest is closed first.
 
 mod error;
 
@@ -20,22 +20,23 @@
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::rc::Rc;
 
-/// Callers at once; beyond that the one that has waited longest is closed.
+/// The maximum number of concurrent callers; beyond it the one that has waited longest is closed.
 const MAX_CALLERS: usize = 32;
-/// A call must be complete this long after the connect.
+/// A call must be complete within this time after the connection is accepted.
 const CALL_TIMEOUT: Micros = 5_000_000;
-/// After the reply the peer's end is awaited for this long: bytes that it still sends would reset the connection.
+/// How long the connection stays open after the reply for the peer to close it: closing it while the peer still sends would
+/// reset the connection.
 const LINGER_TIME: Micros = 1_000_000;
-/// The address is checked this often while clients keep the event loop busy.
+/// The interval at which the address is checked while clients keep the event loop busy.
 const CHECK_INTERVAL: Micros = 5_000;
-/// Callers accepted before clients have their turn again.
+/// The maximum number of callers accepted before clients are served again.
 const MAX_ACCEPTS_PER_TURN: usize = 16;
-/// Bytes read of a caller at once.
+/// The maximum number of bytes read from a caller at a time.
 const MAX_READ_BYTES: usize = MAX_CALL_BYTES * 4;
-/// Who gives the orders of this address, in the words that staff read.
+/// The origin of orders given at this address, as shown in events and stored with the orders.
 const ORIGIN: &str = "the second address";
 
-/// Replies to the calls of one name.
+/// The numbers of replies to one kind of call.
 #[derive(Clone, Copy, Default)]
 struct CallCounts {
     ok: u64,
@@ -47,13 +48,13 @@
     stream: BufferedStream,
     token: Option<RegistrationToken>,
     reader: CallReader,
-    /// When it connected, or was answered.
+    /// When it connected or, once answered, when the reply was sent.
     since: Micros,
     is_answered: bool,
 }
 
 impl Caller {
-    /// Whether it has had its time to call, or to close after the reply.
+    /// Whether the time to send the call, or to close after the reply, has passed.
     fn is_timed_out(&self, now: Micros) -> bool {
         let timeout = if self.is_answered {
             LINGER_TIME
@@ -63,10 +64,10 @@
         now > self.since + timeout
     }
 
-    /// Sends the reply, then ends our side: nothing more is read as a call.
+    /// Sends the reply and shuts down the sending side.
     fn send_reply(&mut self, now: Micros, outcome: &Result<String, CallRefusal>) {
         self.stream.push(reply(outcome).as_bytes());
-        // A line fits into any socket's buffer: what is not sent at once has no reader.
+        // A line fits into any socket's send buffer, so bytes that cannot be sent at once are dropped.
         let _ = self.stream.flush();
         let _ = self.stream.socket().shutdown(Shutdown::Write);
         self.is_answered = true;
@@ -74,22 +75,22 @@
     }
 }
 
-/// The management address, where one is configured.
+/// The management address, if one is configured.
 #[derive(Default)]
 pub(super) struct Management {
     listener: Option<Rc<TcpListener>>,
     callers: BTreeMap<ConnectionId, Caller>,
     next_check: Micros,
-    /// By call, in the order of [`CALL_NAMES`].
+    /// Replies by call, in the order of [`CALL_NAMES`].
     calls: [CallCounts; CALL_NAMES.len()],
-    /// Lines that were no call.
+    /// Lines that were not a valid call.
     malformed_calls: u64,
-    /// Connections that brought no line in time, or were pushed out by newer ones.
+    /// Connections that sent no line in time, or were evicted by newer ones.
     unanswered_callers: u64,
 }
 
 impl Management {
-    /// Counters, a line each.
+    /// Counters, one per line.
     pub(super) fn counters(&self) -> String {
         let mut text = String::new();
         for (name, CallCounts { ok, err }) in CALL_NAMES.iter().zip(self.calls) {
@@ -102,7 +103,7 @@
         )
     }
 
-    /// Where it listens.
+    /// The address on which it listens.
     pub(super) fn addr(&self) -> Option<SocketAddr> {
         self.listener.as_ref()?.local_addr().ok()
     }
@@ -117,21 +118,21 @@
         }
     }
 
-    /// Removes a caller; one that was not answered counts as silent.
+    /// Removes a caller, and counts it if it was not answered.
     fn remove_caller(&mut self, id: ConnectionId) -> Option<Caller> {
         let caller = self.callers.remove(&id)?;
         self.unanswered_callers += u64::from(!caller.is_answered);
         Some(caller)
     }
 
-    /// Sends a caller its reply, if it is still there.
+    /// Sends a caller its reply if it is still connected.
     fn send_reply(&mut self, now: Micros, id: ConnectionId, outcome: &Result<String, CallRefusal>) {
         if let Some(caller) = self.callers.get_mut(&id) {
             caller.send_reply(now, outcome);
         }
     }
 
-    /// The caller that is closed where there are too many: answered ones first, then the one that has waited longest.
+    /// The caller to close if the limit is reached: answered callers first, then the one that has waited longest.
     fn caller_to_evict(&self) -> Option<ConnectionId> {
         let oldest = self
             .callers
@@ -149,14 +150,14 @@
 }
 
 impl Node {
-    /// Opens the management address, if one is configured. One that can't be had is logged; serving goes on.
+    /// Opens the management address, if one is configured. A failure is logged and does not prevent serving.
     pub(super) fn open_management(&mut self) {
         let Some(address) = self.config.management_address.clone() else {
             return;
         };
         match self.listen_for_calls(&address) {
             Ok(listener) => self.management.listener = Some(listener),
-            Err(e) => tracing::error!("management: {address}: {e}; nobody listens there"),
+            Err(e) => tracing::error!("cannot listen on the management address {address}: {e}"),
         }
     }
 
@@ -166,7 +167,7 @@
         Ok(listener)
     }
 
-    /// Checks the management address between clients' connections, so that a backlog of theirs does not go first.
+    /// Checks the management address between client connections, so that callers do not wait for the clients' backlog.
     pub(super) fn check_management(&mut self, now: Micros) {
         if self.management.listener.is_none() || now < self.management.next_check {
             return;
@@ -178,7 +179,7 @@
         }
     }
 
-    /// Accepts callers until none waits or their turn is over.
+    /// Accepts pending callers, up to the limit per turn.
     pub(super) fn accept_callers(&mut self, now: Micros) {
         for _ in 0..MAX_ACCEPTS_PER_TURN {
             let Some(listener) = &self.management.listener else {
@@ -252,7 +253,7 @@
         self.management.send_reply(now, id, &outcome);
     }
 
-    /// Carries a call out, and counts it. Returns the text of the reply.
+    /// Executes a call and counts it. Returns the text of the reply.
     fn execute_call(
         &mut self,
         now: Micros,
@@ -294,7 +295,7 @@
         Ok(self.apply_order(now, update, message))
     }
 
-    /// Carries out what an order has changed, and records it where there is a state folder. Returns the reply.
+    /// Applies the effects of an order, and persists it if there is a state folder. Returns the reply.
     fn apply_order(
         &mut self,
         now: Micros,
@@ -311,7 +312,7 @@
         message
     }
 
-    /// Periodic work: accepts the callers that wait, and closes those whose time is up.
+    /// Periodic work: accepts pending callers, and closes those that have timed out.
     pub(super) fn check_callers(&mut self, now: Micros) {
         self.accept_callers(now);
         for id in self
--- a/crates/coordinator/src/node/management/error.rs
+++ b/crates/coordinator/src/node/management/error.rs
@@ -1,37 +1,37 @@
-//! Why a call at the management address is refused, and why the address can't be had.
+//! Errors of calls at the management address, and of opening it.
 
 use driftfront_control::management::CallError;
 use driftfront_engine_registry::Refusal;
 use std::io;
 use std::net::AddrParseError;
 
-/// Why a call is answered with `ERR`. `Display` is the text behind that.
+/// Why a call is answered with `ERR`. `Display` is the text that follows.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum CallRefusal {
-    /// The line is no call.
+    /// The line is not a valid call.
     #[error(transparent)]
     Malformed(#[from] CallError),
     /// The engine registry refuses an order about an engine.
     #[error(transparent)]
     Order(#[from] Refusal),
-    /// The process is ready, but no engine is.
+    /// The process is ready, but no engine accepts queries.
     #[error("no engine takes work")]
     NoReadyEngine,
-    /// The process is in a state in which it does not serve; the state's name.
+    /// The process does not serve in its current state, which is named here.
     #[error("{0}")]
     NotServing(&'static str),
 }
 
-/// Why the management address can't be had.
+/// Why the management address cannot be opened.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ListenError {
-    /// It is no socket address.
+    /// It is not a valid socket address.
     #[error(transparent)]
     InvalidAddress(#[from] AddrParseError),
-    /// It can't be bound.
+    /// It cannot be bound.
     #[error(transparent)]
     Bind(#[from] io::Error),
-    /// Its socket can't be registered with the event loop.
+    /// Its socket cannot be registered with the event loop.
     #[error(transparent)]
     Register(#[from] calloop::Error),
 }
