--- a/crates/coordinator/src/node/engine_list.rs
+++ b/crates/coordinator/src/node/engine_list.rs
@@ -1,4 +1,4 @@
-//! The list of engines as it comes from discovery: the source is watched, and each update goes to the engine registry.
+//! The engine list from discovery: watches its source and passes each update to the engine registry.
 
 use super::{ConnectionId, EventSource, Node};
 use crate::config::Config;
@@ -12,26 +12,26 @@
 use tinyjson::JsonValue;
 
 impl Node {
-    /// SIGHUP: the configuration's file has been replaced. The list of engines moves to the source it names; the rest of it takes
-    /// effect at the next start, and all connections stay as they are.
+    /// Reloads the configuration file on SIGHUP. Only the source of the engine list and the cluster's keys and seeds are
+    /// applied; the rest takes effect at the next start. Client and engine connections are not affected.
     pub(super) fn reload(&mut self) {
         let now = self.clock();
         let Some(path) = self.config.file.clone() else {
-            return tracing::warn!("no file to read again");
+            return tracing::warn!("there is no configuration file to reload");
         };
         let new = match Config::load(&path) {
             Ok(new) => new,
-            // A half-written or mistaken file must not end a coordinator that serves well.
-            Err(e) => return tracing::error!("the old configuration stays: {e}"),
+            // A partially written or invalid file must not end a running coordinator.
+            Err(e) => return tracing::error!("keeping the old configuration: {e}"),
         };
         self.reload_cluster(new.cluster.as_ref());
         if new.discovery == self.config.discovery {
             return tracing::info!(
-                "configuration read again; the list of engines stays where it is"
+                "configuration reloaded; the source of the engine list is unchanged"
             );
         }
-        tracing::info!(from = ?self.config.discovery, to = ?new.discovery, "the list of engines moves");
-        // The old address has nothing more to send: waiting for its close would cost the updates that come meanwhile.
+        tracing::info!(from = ?self.config.discovery, to = ?new.discovery, "the source of the engine list has changed");
+        // The old source is not needed any more: updates would be missed while waiting for it to close the connection.
         let registration = self.discovery.take_connection();
         self.unregister(registration);
         self.discovery
@@ -41,7 +41,7 @@
         self.execute_commands();
     }
 
-    /// Reads a file that has changed; ends a connection that is silent, and opens one where its time has come.
+    /// Reads the list file if it has changed, closes a silent connection, and opens a new one when it is due.
     pub(super) fn check_discovery(&mut self, now: Micros) {
         if let Some(update) = self.discovery.poll_file(now) {
             self.apply_list_update(now, &update);
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Ends the connection, and sets when the next is opened.
+    /// Closes the connection, and schedules the next one.
     pub(super) fn drop_discovery_connection(
         &mut self,
         now: Micros,
@@ -85,7 +85,7 @@
         self.discovery.back_off(now, disconnect);
     }
 
-    /// Handles a readiness event of the connection.
+    /// Handles a readiness event of the connection to the source.
     pub(super) fn handle_discovery_ready(&mut self, now: Micros, id: ConnectionId) {
         loop {
             match self.read_discovery(now, id) {
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Writes and reads once, and applies what has come; true if there may be more to read.
+    /// Writes and reads once, and applies the received updates. Returns whether there may be more to read.
     fn read_discovery(&mut self, now: Micros, id: ConnectionId) -> Result<bool, ConnectionError> {
         let exchange = self.discovery.exchange(now, id)?;
         for update in exchange.updates {
--- a/crates/coordinator/src/node/registry.rs
+++ b/crates/coordinator/src/node/registry.rs
@@ -1,5 +1,5 @@
-//! Changes of the engine registry, which owns engines' names, addresses and phases: each is passed on to the core, the frontend and the
-//! connections to engines.
+//! Propagates changes of the engine registry, which owns the names, addresses and phases of engines, to the core, the frontend
+//! and the connections to engines.
 
 use super::Node;
 use crate::discovery::read;
@@ -8,7 +8,7 @@
 use driftfront_settings::json::Json;
 
 impl Node {
-    /// Applies the engine list of the configuration, once at the start.
+    /// Applies the engine list of the configuration at startup.
     pub(super) fn apply_configured_engines(&mut self) {
         for update in std::mem::take(&mut self.config.known_updates) {
             match read(&self.config.zones, &self.config.kinds, Json(Some(&update))) {
@@ -31,11 +31,11 @@
         self.execute_commands();
     }
 
-    /// Passes a change on: sessions bound to engines that leave end, then the core learns of it, then operators.
+    /// Propagates a change: ends sessions bound to departed or restarted engines, then updates the core, then reports events.
     pub(super) fn apply_registry_change(&mut self, now: Micros, change: &RegistryChange) {
         for &engine in &change.restarted {
             self.engines.retire_connections(engine);
-            // Sessions ended with the engine's process.
+            // The sessions were lost with the engine's process.
             self.frontend.engine_left(engine);
         }
         for line in change.lines.iter().filter(|l| l.phase != Phase::Ready) {
--- a/crates/coordinator/src/node/upgrade.rs
+++ b/crates/coordinator/src/node/upgrade.rs
@@ -1,6 +1,6 @@
-//! An upgrade under load: the listener that the platform passes, and what two processes of one coordinator exchange while
-//! both run. When each of them accepts, keeps and closes connections is decided by the lifecycle; which order about an engine
-//! holds, by the registry.
+//! Upgrades under load: the listener passed by the platform, and the exchange between two processes of one coordinator while
+//! both run. The lifecycle decides when each of them accepts, keeps and closes connections; the registry decides which order
+//! about an engine takes precedence.
 
 use super::{clients, Node, StartError};
 use crate::config::Config;
@@ -10,38 +10,38 @@
 use std::net::TcpListener;
 use std::path::Path;
 
-/// The variable that names the passed socket.
+/// The environment variable that names the passed socket.
 const PASSED_SOCKET_VARIABLE: &str = "LB_PASSED_SOCKET";
-/// A successor that has not received its engine list by then serves with the engines known at its start.
+/// A successor that has not received its engine list by this time serves with the engines known at its start.
 const FIRST_LIST_TIMEOUT: Micros = 2_000_000;
-/// What the source has ready is received this long after its first byte.
+/// The initial engine list is considered complete this long after its first byte.
 const FIRST_LIST_SETTLE_TIME: Micros = 60_000;
 
-/// What a process starts with: the clients' listener, and the exchange with other processes of this coordinator.
+/// The resources opened before the node: the client listener, and the mailbox shared with other processes of this coordinator.
 pub(super) struct StartSockets {
     pub(super) listener: TcpListener,
-    /// The listener was passed: other processes may hold it, too.
+    /// The listener was passed by the platform, so other processes may hold it too.
     pub(super) is_passed: bool,
-    /// Only beside a passed listener.
+    /// Present only with a passed listener.
     pub(super) mailbox: Option<HandoverMailbox>,
 }
 
-/// Exchange with other processes of this coordinator.
+/// The exchange with other processes of this coordinator.
 pub(super) struct Handover {
     mailbox: Option<HandoverMailbox>,
-    /// Another process runs.
+    /// Another process is running.
     has_peers: bool,
-    /// Orders merged from other processes.
+    /// The number of orders merged from other processes.
     merged_orders: u64,
 }
 
-/// What a poll says of the other processes.
+/// The state of the other processes after a poll.
 struct PeerUpdate {
-    /// Messages that are new, the earliest process's first.
+    /// New messages, ordered from the earliest process to the latest.
     received: Vec<ReceivedMessage>,
-    /// Another process runs.
+    /// Another process is running.
     has_peers: bool,
-    /// A later process serves.
+    /// A later process is ready.
     has_successor: bool,
 }
 
@@ -54,23 +54,23 @@
         }
     }
 
-    /// Whether another process of this coordinator runs, by the last poll.
+    /// Whether another process of this coordinator was running at the last poll.
     pub(super) fn has_peers(&self) -> bool {
         self.has_peers
     }
 
-    /// Whether an earlier process serves.
+    /// Whether an earlier process is ready.
     pub(super) fn has_predecessor(&self) -> bool {
         let mailbox = self.mailbox.as_ref();
         mailbox.is_some_and(HandoverMailbox::has_predecessor)
     }
 
-    /// Orders merged from other processes.
+    /// The number of orders merged from other processes.
     pub(super) fn merged_orders(&self) -> u64 {
         self.merged_orders
     }
 
-    /// Reads what the other processes have written; `None` where messages are not exchanged.
+    /// Reads the messages of the other processes; `None` if there is no mailbox.
     fn poll(&mut self) -> Option<PeerUpdate> {
         let mailbox = self.mailbox.as_mut()?;
         let polled = mailbox.poll();
@@ -84,7 +84,7 @@
         })
     }
 
-    /// Records whether another process runs, and logs a change.
+    /// Records whether another process is running, and logs changes.
     fn record_peers(&mut self, has_peers: bool) {
         if std::mem::replace(&mut self.has_peers, has_peers) == has_peers {
             return;
@@ -96,18 +96,18 @@
         }
     }
 
-    /// Publishes this process's message, where messages are exchanged.
+    /// Publishes this process's message if there is a mailbox.
     fn publish(&mut self, message: impl FnOnce() -> HandoverState) {
         let Some(mailbox) = &mut self.mailbox else {
             return;
         };
         if let Err(error) = mailbox.publish(message()) {
-            tracing::error!(%error, "handover message can't be written");
+            tracing::error!(%error, "handover message cannot be written");
         }
     }
 }
 
-/// Opens the clients' listener: the passed one, else one on the configured address.
+/// Opens the client listener: the passed one if there is one, otherwise one bound to the configured address.
 pub(super) fn open_listener(config: &Config) -> Result<StartSockets, StartError> {
     let passed = std::env::var(PASSED_SOCKET_VARIABLE).ok();
     if let Some(passed) = passed.filter(|passed| !passed.is_empty()) {
@@ -121,7 +121,9 @@
                 });
             }
             Err(error) => {
-                tracing::error!("{PASSED_SOCKET_VARIABLE}: {error}; the address is bound anew");
+                tracing::error!(
+                    "{PASSED_SOCKET_VARIABLE}: {error}; binding the configured address instead"
+                );
             }
         }
     }
@@ -145,18 +147,18 @@
 
 fn open_mailbox(config: &Config) -> Option<HandoverMailbox> {
     let Some(tmp) = std::env::var_os("TMPDIR").filter(|tmp| !tmp.is_empty()) else {
-        tracing::warn!("TMPDIR is not set: no orders are exchanged with other processes");
+        tracing::warn!("TMPDIR is not set; orders are not exchanged with other processes");
         return None;
     };
     HandoverMailbox::open(Path::new(&tmp), &config.name)
         .inspect_err(|error| {
-            tracing::error!(%error, "TMPDIR: no orders are exchanged with other processes");
+            tracing::error!(%error, "TMPDIR cannot be used; orders are not exchanged with other processes");
         })
         .ok()
 }
 
 impl Node {
-    /// Merges what other processes of this coordinator have ordered, and publishes what is new here.
+    /// Merges orders from other processes of this coordinator, and publishes this process's own.
     pub(super) fn poll_handover(&mut self, now: Micros) {
         let Some(update) = self.handover.poll() else {
             return;
@@ -167,16 +169,16 @@
         self.handover.record_peers(update.has_peers);
         if self.lifecycle.record_successor(now, update.has_successor) {
             let message = if update.has_successor {
-                "A successor is ready: new connections are its own, what was taken is answered"
+                "A successor is ready: it takes new connections, and this process completes its open requests"
             } else {
-                "The successor is gone: this process serves again"
+                "The successor has ended: this process serves again"
             };
             self.notify_operators(now, message.into());
         }
         self.publish_handover();
     }
 
-    /// Merges the orders of another process's message, and records them where there is a state folder.
+    /// Merges the orders of another process's message, and persists them if there is a state folder.
     fn merge_orders(&mut self, now: Micros, received: &ReceivedMessage) {
         let (change, records) = self.registry.merge_handover(&received.message);
         if records.is_empty() {
@@ -189,15 +191,15 @@
         let _ = self.persist(now, &records);
     }
 
-    /// Publishes the orders that hold here: before one is confirmed, and once this process is ready.
+    /// Publishes the orders in effect; called before an order is confirmed and once this process is ready.
     pub(super) fn publish_handover(&mut self) {
         let is_ready = self.lifecycle.has_been_ready();
         let registry = &self.registry;
         self.handover.publish(|| registry.handover_state(is_ready));
     }
 
-    /// Whether the list of engines is known well enough to serve by it. A successor waits for its source: the list that the
-    /// platform gave it at its start may be long out of date.
+    /// Whether the list of engines is current enough to serve. A successor waits for the list from its source, since the one
+    /// that the platform provided at its start may be out of date.
     pub(super) fn has_current_engine_list(&self, now: Micros) -> bool {
         if !self.core.has_engines() {
             return false;
@@ -209,7 +211,7 @@
             || discovery.has_received_first_list(now, FIRST_LIST_SETTLE_TIME)
     }
 
-    /// Descriptors that this process may hold: half of the configured ones while another process runs beside it.
+    /// The limit of file descriptors of this process: half of the configured limit while another process is running.
     pub(super) fn descriptor_limit(&self) -> usize {
         let divisor = if self.handover.has_peers() { 2 } else { 1 };
         self.config.max_descriptors / divisor
