--- a/crates/coordinator/src/node/cluster/holds.rs
+++ b/crates/coordinator/src/node/cluster/holds.rs
@@ -282,7 +282,8 @@
     }
 }
 
-/// The outcome of a request for a hold as a message for the operator. A grant ends with the fencing number, which scripts read.
+/// The outcome of a request for a hold as a message for the operator. A grant ends with the fencing number, which the cluster
+/// harness parses.
 fn describe_outcome(
     name: String,
     outcome: &Result<Outcome, RequestError>,
