--- a/crates/cluster/src/agent/mod.rs
+++ b/crates/cluster/src/agent/mod.rs
@@ -268,7 +268,7 @@
             unreadable: self.members.unreadable,
             membership_resets: self.members.membership_resets,
             refused: bounds + malformed + forged,
-            sessions_evicted: self.authenticator.forgotten,
+            sessions_evicted: self.authenticator.evicted_sessions,
             ..self.counters
         }
     }
--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -1,19 +1,20 @@
-//! The cluster: coordinators that know of each other, without their sockets.
+//! The coordinator cluster protocol, without I/O.
 //!
-//! Three layers, each plain data to the one above:
+//! Three layers, each independent of the ones above it:
 //!
-//! 1. [`membership`]: who is there, by SWIM (`foca`). Wrong at times, for a stated time.
-//! 2. [`gossip`]: each member's own records, newest wins, with their age. A wrong one costs service, never a rule.
-//! 3. [`consensus`]: what must never be decided twice, as leases that a majority of a few voters grants (`raft`).
+//! 1. [`membership`]: failure detection by SWIM (`foca`). Its view may be wrong for a bounded time.
+//! 2. [`gossip`]: records that each member publishes about itself, with their age; the newest wins. A wrong record may degrade
+//!    service, but never violates a limit.
+//! 3. [`consensus`]: decisions that must be made at most once, as leases granted by a majority of a few voters (`raft`).
 //!
-//! [`Cluster`] holds all three, one for each member, and makes and checks datagrams ([`message_authentication`]): they go in
-//! with the time, and come out. It has no clock, socket or random source of its own, so that the same code runs in the
-//! program and by hundreds on virtual time.
+//! [`Cluster`] holds all three for one member, and creates and verifies datagrams ([`message_authentication`]). Datagrams and
+//! the time are its inputs, datagrams its output. It has no clock, socket or random source of its own, so that the same code
+//! runs in production and, with hundreds of members, in a simulation on virtual time.
 //!
-//! **Alone.** A member that is alone, or cut off, has itself as its only member and its own records; nothing waits for an
-//! answer of anybody. **At most**, a peer that holds the key and lies can make living members look dead to others for the
-//! time that a refutation needs, and publish records of its own name; it can't publish records of another's name that
-//! outlive that one's next.
+//! **Isolation.** A member without reachable peers sees only itself and its own records; it never blocks on a response.
+//!
+//! **Malicious peers.** A peer that holds the key can make live members appear down to others until they refute it, and can
+//! publish any record under its own name. A record that it forges under another name lasts until that member publishes again.
 #![warn(missing_docs)]
 #![forbid(unsafe_code)]
 
--- a/crates/cluster/src/local_clock.rs
+++ b/crates/cluster/src/local_clock.rs
@@ -1,42 +1,42 @@
-//! A member's own time, by which it suspects others.
+//! A member's local time, which drives its failure detector.
 //!
-//! A process that was stopped, starved or whose clock jumped knows nothing of what others said meanwhile: their datagrams lie
-//! unread in its socket. Were its timers to run by the clock it would wake, find every probe overdue and accuse all that
-//! it knows. So this time goes on by small steps only, and slower still for a while after a stall: who is late suspects
-//! itself first (Lifeguard's local health). Answers to others' probes are sent at once, whatever this says.
+//! After a process was stopped or starved, or its clock jumped, the datagrams of its peers are still unread in its socket. If
+//! its timers followed the host's clock, every probe would be overdue and it would suspect all of its peers. Local time
+//! therefore advances in small steps only, and more slowly for a while after a stall: a late process suspects itself first
+//! (Lifeguard's local health). Probes of other members are answered at once, regardless of local time.
 
 use crate::Micros;
 
-/// One look moves the time on by this at most. Looks come each 25 ms; later ones mean that the process was held up.
+/// The most that one update advances local time. Updates come every 25 ms; a later one means that the process was stalled.
 const MAX_STEP: Micros = 100_000;
-/// A process that was held up for longer than this suspects itself.
+/// A gap between updates that is longer than this counts as a stall.
 const STALL_TIME: Micros = 250_000;
-/// The self-suspicion grows by one with each stall, up to so much.
+/// Upper bound of the self-suspicion, which grows by one with each stall.
 pub const MAX_SELF_SUSPICION: u32 = 7;
-/// It shrinks by one in so long without a stall.
+/// The self-suspicion shrinks by one after this long without a stall.
 const RECOVERY_TIME: Micros = 2_000_000;
 
-/// A member's own time, and how far it can be trusted.
+/// A member's local time and its self-suspicion.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LocalClock {
-    /// What the host's clock showed last.
+    /// The host's clock at the last update.
     host_clock: Option<Micros>,
     now: Micros,
     self_suspicion: u32,
-    /// When the self-suspicion changed last, by the host's clock.
+    /// When the self-suspicion last changed, by the host's clock.
     changed_at: Micros,
-    /// How often the process was held up.
+    /// How often the process was stalled.
     pub stalls: u64,
 }
 
 impl LocalClock {
-    /// Takes what the host's clock shows; the member's time.
+    /// Advances local time according to the host's clock, and returns it.
     pub fn update(&mut self, host_clock: Micros) -> Micros {
         let Some(last) = self.host_clock.replace(host_clock) else {
             self.changed_at = host_clock;
             return self.now;
         };
-        // A clock that was set back stands still until the next look.
+        // If the host's clock was set back, local time stands still until the next update.
         let passed = host_clock.saturating_sub(last);
         if passed > STALL_TIME || host_clock < last {
             self.record_stall(host_clock);
@@ -56,29 +56,29 @@
         self.changed_at = host_clock;
     }
 
-    /// How many times slower than the host's clock this time goes.
+    /// The factor by which local time is slower than the host's clock.
     fn slowdown(&self) -> Micros {
         u64::from(1 + self.self_suspicion)
     }
 
-    /// What the host's clock shows when this time comes, but soon enough that a look which comes late shows that the process
-    /// was held up, not that nobody wanted to look. `None` before the first look.
+    /// The host's clock at which to update for local `time`. It is capped so that a late update always means a stall, never
+    /// just the lack of a due timer. `None` before the first update.
     pub fn host_clock_at(&self, time: Micros) -> Option<Micros> {
         let after = time.saturating_sub(self.now) * self.slowdown();
         Some(self.host_clock? + after.min(MAX_STEP / 2))
     }
 
-    /// The member's time at the last look.
+    /// Local time at the last update.
     pub fn now(&self) -> Micros {
         self.now
     }
 
-    /// Others said that this member was gone while it was there: it is slow, or hard to reach.
+    /// Records that other members declared this one down although it runs: it is slow or hard to reach. Counts as a stall.
     pub fn record_accusation(&mut self) {
         self.record_stall(self.host_clock.unwrap_or(0));
     }
 
-    /// How far this process suspects itself, from 0: see [`MAX_SELF_SUSPICION`].
+    /// The self-suspicion, from 0 to [`MAX_SELF_SUSPICION`].
     pub fn self_suspicion(&self) -> u32 {
         self.self_suspicion
     }
--- a/crates/cluster/src/member_metadata.rs
+++ b/crates/cluster/src/member_metadata.rs
@@ -1,6 +1,6 @@
-//! What a member publishes of itself: a gossip record that later builds may add fields to.
+//! Metadata that a member publishes about itself: a gossip record to which later builds may add fields.
 //!
-//! The record is a sequence of fields, each a number, a length and that many bytes. Fields of a later build are skipped.
+//! The record is a sequence of fields, each a number, a length and that many bytes. Unknown fields are skipped.
 //!
 //! | number | field |
 //! | --- | --- |
@@ -8,24 +8,24 @@
 //! | 2 | region, UTF-8 |
 //! | 3 | build, UTF-8 |
 //! | 4 | state, one of the names of [`State::name`] |
-//! | 5 | since when, in milliseconds since 1970, 8 bytes big endian |
+//! | 5 | when the state was entered, in milliseconds since 1970, 8 bytes big endian |
 
 /// The lifecycle state of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    /// It does not know its engines yet.
+    /// It does not have its engine list yet.
     Starting,
-    /// It serves.
+    /// It serves requests.
     Serving,
-    /// An operator sends its clients away.
+    /// An operator paused it: it sends its clients away.
     Paused,
-    /// It answers what it accepted, and ends.
+    /// It completes the requests that it accepted, then exits.
     Ending,
-    /// A later build's state.
+    /// A state that this build does not know.
     Other,
 }
 
-/// The names that are sent.
+/// The names of the states on the wire.
 const STATE_NAMES: [(State, &str); 4] = [
     (State::Starting, "starting"),
     (State::Serving, "serving"),
@@ -34,7 +34,7 @@
 ];
 
 impl State {
-    /// The name of the state, as it is sent and as operators read it.
+    /// The name of the state, as it is sent and shown to operators.
     pub fn name(self) -> &'static str {
         STATE_NAMES
             .iter()
@@ -50,7 +50,7 @@
     }
 }
 
-/// Longest text of a field, in bytes; more is cut at a character.
+/// Longest text of a field, in bytes; longer text is truncated at a character boundary.
 pub const MAX_TEXT_BYTES: usize = 48;
 const ZONE_FIELD: u8 = 1;
 const REGION_FIELD: u8 = 2;
@@ -58,18 +58,18 @@
 const STATE_FIELD: u8 = 4;
 const SINCE_FIELD: u8 = 5;
 
-/// What a member publishes of itself.
+/// Metadata of a member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberMetadata {
-    /// Its zone; empty where it has none.
+    /// Its zone; empty if it has none.
     pub zone: String,
-    /// Its region; empty where it has none.
+    /// Its region; empty if it has none.
     pub region: String,
-    /// Its build.
+    /// The version of its build.
     pub build: String,
-    /// Where it stands.
+    /// Its lifecycle state.
     pub state: State,
-    /// Since when, by its own clock, in milliseconds since 1970.
+    /// When it entered that state, by its own clock, in milliseconds since 1970.
     pub since_ms: u64,
 }
 
@@ -85,8 +85,8 @@
     }
 }
 
-/// The text, cut at a character if it is too long.
-fn cut(text: &str) -> &str {
+/// Truncates a text to [`MAX_TEXT_BYTES`] at a character boundary.
+fn truncate(text: &str) -> &str {
     let mut end = text.len().min(MAX_TEXT_BYTES);
     while !text.is_char_boundary(end) {
         end -= 1;
@@ -95,24 +95,24 @@
 }
 
 fn write_field(number: u8, bytes: &[u8], out: &mut Vec<u8>) {
-    let length = u8::try_from(bytes.len()).expect("a field has MAX_TEXT_BYTES at most");
+    let length = u8::try_from(bytes.len()).expect("a field is at most MAX_TEXT_BYTES long");
     out.extend([number, length]);
     out.extend_from_slice(bytes);
 }
 
 impl MemberMetadata {
-    /// Encodes it as a gossip record.
+    /// Encodes the metadata as a gossip record.
     pub fn encode(&self) -> Vec<u8> {
         let mut out = Vec::new();
-        write_field(ZONE_FIELD, cut(&self.zone).as_bytes(), &mut out);
-        write_field(REGION_FIELD, cut(&self.region).as_bytes(), &mut out);
-        write_field(BUILD_FIELD, cut(&self.build).as_bytes(), &mut out);
+        write_field(ZONE_FIELD, truncate(&self.zone).as_bytes(), &mut out);
+        write_field(REGION_FIELD, truncate(&self.region).as_bytes(), &mut out);
+        write_field(BUILD_FIELD, truncate(&self.build).as_bytes(), &mut out);
         write_field(STATE_FIELD, self.state.name().as_bytes(), &mut out);
         write_field(SINCE_FIELD, &self.since_ms.to_be_bytes(), &mut out);
         out
     }
 
-    /// Decodes a gossip record; `None` where it ends within a field.
+    /// Decodes a gossip record; `None` if it ends within a field.
     pub fn decode(mut bytes: &[u8]) -> Option<MemberMetadata> {
         let mut metadata = MemberMetadata {
             state: State::Other,
@@ -127,7 +127,7 @@
     }
 
     fn read_field(&mut self, number: u8, value: &[u8]) -> Option<()> {
-        let text = || cut(&String::from_utf8_lossy(value)).to_string();
+        let text = || truncate(&String::from_utf8_lossy(value)).to_string();
         match number {
             ZONE_FIELD => self.zone = text(),
             REGION_FIELD => self.region = text(),
--- a/crates/cluster/src/message_authentication.rs
+++ b/crates/cluster/src/message_authentication.rs
@@ -1,21 +1,21 @@
-//! The form of datagrams: versioned, bounded, authenticated, and of no use a second time.
+//! The datagram format: versioned, bounded, authenticated and protected against replay.
 //!
 //! ```text
 //! 0   2  "DF"
 //! 2   1  version, 1
-//! 3   1  which key: the first byte of its fingerprint
+//! 3   1  key id: the first byte of the key's fingerprint
 //! 4   8  the sender's session: differs with each start of its process
-//! 12  8  the sender's count, never used twice in a session
-//! 20  8  the receiver's session, 0 where the sender does not know it
+//! 12  8  the sender's datagram count, never used twice in a session
+//! 20  8  the receiver's session, 0 if the sender does not know it
 //! 28  1  kind of the payload
 //! 29  n  payload
-//! ..  16 SipHash-2-4-128 over all before, under the key
+//! ..  16 SipHash-2-4-128 of all preceding bytes, under the key
 //! ```
 //!
-//! What costs least is looked at first: length and version before any hashing, so that foreign bytes cost a comparison
-//! and a wrong key costs one hash. SipHash is a keyed function made for short messages; with a 128-bit tag a forged
-//! datagram passes once in 2^128. HMAC-SHA-256 would do as well at some ten times the cost, which a flood would have us
-//! pay for each of its datagrams. Payloads are not encrypted: records hold nothing secret.
+//! The cheapest checks come first: length and version before any hashing, so that foreign bytes cost one comparison and a
+//! wrong key costs one hash. SipHash is a keyed function designed for short messages; with a 128-bit tag a forged datagram
+//! passes with probability 2^-128. HMAC-SHA-256 would serve as well at about ten times the cost, which would have to be paid
+//! for each datagram of a flood. Payloads are not encrypted: records contain no secrets.
 
 use crate::keys::{Keyring, TAG_BYTES};
 use crate::replay_window::ReplayWindow;
@@ -23,7 +23,7 @@
 use std::collections::BTreeMap;
 
 const MAGIC: &[u8; 2] = b"DF";
-/// The version written, and the only one read: payloads grow by kinds and fields, not by versions.
+/// The only version written and accepted. Payloads are extended by new kinds and fields, not by new versions.
 pub const VERSION: u8 = 1;
 /// Offsets of a datagram's fields.
 const VERSION_AT: usize = 2;
@@ -32,26 +32,26 @@
 const COUNT_AT: usize = 12;
 const RECEIVER_AT: usize = 20;
 const KIND_AT: usize = 28;
-const HEAD_BYTES: usize = 29;
+const HEADER_BYTES: usize = 29;
 /// Longest payload.
-pub const MAX_PAYLOAD_BYTES: usize = MAX_DATAGRAM_BYTES - HEAD_BYTES - TAG_BYTES;
-/// Sessions whose counts are remembered. Only who holds the key can make one be remembered.
+pub const MAX_PAYLOAD_BYTES: usize = MAX_DATAGRAM_BYTES - HEADER_BYTES - TAG_BYTES;
+/// Sessions whose counts are remembered. Only a holder of the key can add a session.
 pub const MAX_SESSIONS: usize = 2048;
 
 /// The kind of a datagram's payload.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Payload {
-    /// Membership, in `foca`'s form.
+    /// Membership, in the format of `foca`.
     Members,
     /// Gossip records.
     GossipState,
     /// Versions of gossip records.
     Versions,
-    /// To a member whose session is not above that of an earlier process of its name: which that was.
+    /// Tells a member that an earlier process of its name had a later session, and which.
     StaleSession,
-    /// Messages about consensus.
+    /// Consensus messages.
     Consensus,
-    /// Of a later build: counted and ignored.
+    /// A kind of a later build: counted and ignored.
     Unknown(u8),
 }
 
@@ -79,24 +79,24 @@
     }
 }
 
-/// Why a datagram is not accepted.
+/// Why a datagram is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum AuthenticationError {
-    /// It is not of this form, or too short or long.
+    /// It is too short or too long, or does not start with the magic bytes.
     UnknownProtocol,
-    /// It is of another version.
+    /// It has an unsupported version.
     UnsupportedVersion,
     /// Its key is not in use.
     UnknownKey,
-    /// It was damaged on its way, or made by somebody without the key.
+    /// It was damaged in transit, or created without the key.
     WrongTag,
-    /// It was accepted before, or is too old to tell.
+    /// It was accepted before, or is older than the replay window.
     Replayed,
-    /// It is for an earlier process at this address, or comes from this one.
+    /// It is addressed to an earlier process at this address, or was sent by this process.
     StaleSession,
 }
 
-/// An authentic datagram, received for the first time.
+/// The content of an authentic datagram that was received for the first time.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Opened<'a> {
     /// The kind of its payload.
@@ -105,31 +105,32 @@
     pub bytes: &'a [u8],
     /// The sender's session.
     pub session: u64,
-    /// Its key is on its way out.
+    /// Its key is the one being rotated out.
     pub old_key: bool,
 }
 
-/// Counts of a session that were accepted.
+/// The accepted counts of a session.
 #[derive(Default)]
 struct SessionCounts {
     window: ReplayWindow,
-    /// When it was last heard, in datagrams opened: the one that was not heard for longest is forgotten first.
-    last_heard: u64,
+    /// The value of `opened` at the session's last datagram: the least recently used session is evicted first.
+    last_used: u64,
 }
 
-/// Makes and checks the datagrams of one process.
+/// Creates and verifies the datagrams of one process.
 pub struct MessageAuthenticator {
     keys: Keyring,
     session: u64,
     last_count: u64,
     sessions: BTreeMap<u64, SessionCounts>,
+    /// Authentic datagrams received so far.
     opened: u64,
-    /// Sessions forgotten, since there were too many.
-    pub forgotten: u64,
+    /// Sessions evicted because there were more than [`MAX_SESSIONS`].
+    pub evicted_sessions: u64,
 }
 
 impl MessageAuthenticator {
-    /// For a process of this session; 0 is none.
+    /// Creates an authenticator for a process with this session. Session 0 is reserved and replaced by 1.
     pub fn new(keys: Keyring, session: u64) -> MessageAuthenticator {
         MessageAuthenticator {
             keys,
@@ -137,16 +138,16 @@
             last_count: 0,
             sessions: BTreeMap::new(),
             opened: 0,
-            forgotten: 0,
+            evicted_sessions: 0,
         }
     }
 
-    /// Takes another session from now on: what is for the one before is of no use any more.
+    /// Changes the session: datagrams addressed to the previous one are rejected from now on.
     pub fn change_session(&mut self, session: u64) {
         self.session = session.max(1);
     }
 
-    /// Takes other keys from now on.
+    /// Replaces the keys.
     pub fn change_keys(&mut self, keys: Keyring) {
         self.keys = keys;
     }
@@ -156,14 +157,14 @@
         self.sessions.keys().copied()
     }
 
-    /// Makes a datagram for the process of this session (0 where that is not known); `None` if the payload is too long.
+    /// Creates a datagram for the process with session `receiver` (0 if unknown); `None` if the payload is too long.
     pub fn seal(&mut self, payload: Payload, bytes: &[u8], receiver: u64) -> Option<Vec<u8>> {
         if bytes.len() > MAX_PAYLOAD_BYTES {
             return None;
         }
         self.last_count += 1;
         let key = self.keys.sending_key();
-        let mut datagram = Vec::with_capacity(HEAD_BYTES + bytes.len() + TAG_BYTES);
+        let mut datagram = Vec::with_capacity(HEADER_BYTES + bytes.len() + TAG_BYTES);
         datagram.extend_from_slice(MAGIC);
         datagram.extend([VERSION, key.id()]);
         for number in [self.session, self.last_count, receiver] {
@@ -175,13 +176,13 @@
         Some(datagram)
     }
 
-    /// Checks a datagram and opens it.
+    /// Verifies a datagram and returns its content.
     ///
     /// # Errors
     ///
-    /// Fails for a datagram that is not authentic, not for this process, or not new: it is to be counted and dropped.
+    /// Fails if the datagram is not authentic, not addressed to this process, or a replay. The caller counts and drops it.
     pub fn open<'a>(&mut self, datagram: &'a [u8]) -> Result<Opened<'a>, AuthenticationError> {
-        check_form(datagram)?;
+        check_header(datagram)?;
         let (content, old_key) = self.check_tag(datagram)?;
         let session = number_at(content, SESSION_AT);
         let receiver = number_at(content, RECEIVER_AT);
@@ -194,13 +195,13 @@
         }
         Ok(Opened {
             payload: Payload::from_code(content[KIND_AT]),
-            bytes: &content[HEAD_BYTES..],
+            bytes: &content[HEADER_BYTES..],
             session,
             old_key,
         })
     }
 
-    /// What the tag authenticates, and whether its key is on its way out.
+    /// Returns the authenticated bytes, and whether their key is the one being rotated out.
     fn check_tag<'a>(&self, datagram: &'a [u8]) -> Result<(&'a [u8], bool), AuthenticationError> {
         let (key, old_key) = self
             .keys
@@ -217,24 +218,24 @@
     fn accept_count(&mut self, session: u64, count: u64) -> bool {
         self.opened += 1;
         if !self.sessions.contains_key(&session) && self.sessions.len() >= MAX_SESSIONS {
-            self.forget_session();
+            self.evict_session();
         }
         let counts = self.sessions.entry(session).or_default();
-        counts.last_heard = self.opened;
+        counts.last_used = self.opened;
         counts.window.accept(count)
     }
 
-    fn forget_session(&mut self) {
-        let oldest = self.sessions.iter().min_by_key(|(_, c)| c.last_heard);
+    fn evict_session(&mut self) {
+        let oldest = self.sessions.iter().min_by_key(|(_, c)| c.last_used);
         if let Some(session) = oldest.map(|(session, _)| *session) {
             self.sessions.remove(&session);
-            self.forgotten += 1;
+            self.evicted_sessions += 1;
         }
     }
 }
 
-fn check_form(datagram: &[u8]) -> Result<(), AuthenticationError> {
-    let lengths = HEAD_BYTES + TAG_BYTES..=MAX_DATAGRAM_BYTES;
+fn check_header(datagram: &[u8]) -> Result<(), AuthenticationError> {
+    let lengths = HEADER_BYTES + TAG_BYTES..=MAX_DATAGRAM_BYTES;
     if !lengths.contains(&datagram.len()) || !datagram.starts_with(MAGIC) {
         return Err(AuthenticationError::UnknownProtocol);
     }
@@ -244,7 +245,7 @@
     Ok(())
 }
 
-/// Compares all bytes, so that the time it takes tells nothing of where tags differ.
+/// Compares all bytes, so that the time it takes does not reveal where the tags differ.
 fn is_same_tag(expected: &[u8], tag: &[u8]) -> bool {
     let pairs = expected.iter().zip(tag);
     pairs.fold(0, |differing, (a, b)| differing | (a ^ b)) == 0
--- a/crates/cluster/src/replay_window.rs
+++ b/crates/cluster/src/replay_window.rs
@@ -1,9 +1,9 @@
-//! Which datagrams of a session were accepted: each is accepted once.
+//! Replay protection: each datagram of a session is accepted once.
 
-/// Datagrams of one session may overtake each other by this many.
+/// Datagrams of one session may be reordered by up to this many.
 pub const REPLAY_WINDOW: u64 = 128;
 
-/// The counts of one session that were accepted.
+/// The datagram counts of one session that were accepted.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ReplayWindow {
     highest: u64,
@@ -12,16 +12,16 @@
 }
 
 impl ReplayWindow {
-    /// Accepts a count once; false if it was accepted before, or is too old to tell.
+    /// Accepts a count once; false if it was accepted before, or is older than the window.
     pub fn accept(&mut self, count: u64) -> bool {
         if count > self.highest {
             let ahead = count - self.highest;
-            let moved = match ahead >= REPLAY_WINDOW {
+            let shifted = match ahead >= REPLAY_WINDOW {
                 true => 0,
                 false => self.accepted << ahead,
             };
             self.highest = count;
-            self.accepted = moved | 1;
+            self.accepted = shifted | 1;
             return true;
         }
         let behind = self.highest - count;
@@ -32,7 +32,7 @@
         true
     }
 
-    /// The highest count that was accepted.
+    /// The highest accepted count.
     pub fn highest(&self) -> u64 {
         self.highest
     }
--- a/crates/cluster/src/token_bucket.rs
+++ b/crates/cluster/src/token_bucket.rs
@@ -1,12 +1,12 @@
-//! A limit on what a member sends in a second, whatever the size of the cluster.
+//! A rate limit on what a member sends, independent of the size of the cluster.
 
 use crate::Micros;
 
-/// Average bytes of a datagram that the limit allows.
+/// Average size of a datagram that the limit allows.
 const BYTES_PER_DATAGRAM: f64 = 600.0;
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// Tokens for datagrams and for their bytes: what one second allows may be saved up.
+/// Tokens for datagrams and for their bytes. The bucket holds at most the tokens of one second.
 pub(crate) struct TokenBucket {
     datagrams_per_second: f64,
     datagrams: f64,
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Takes the tokens for a datagram of so many bytes; false where there are too few.
+    /// Takes the tokens for a datagram of this size; false if there are too few.
     pub(crate) fn take(&mut self, now: Micros, bytes: usize) -> bool {
         self.refill(now);
         let bytes = bytes as f64;
--- a/crates/cluster/tests/message_authentication.rs
+++ b/crates/cluster/tests/message_authentication.rs
@@ -136,7 +136,10 @@
         own.open(&other.seal(Payload::GossipState, b"", 1).unwrap())
             .unwrap();
     }
-    assert_eq!((own.sessions().count(), own.forgotten), (MAX_SESSIONS, 5));
+    assert_eq!(
+        (own.sessions().count(), own.evicted_sessions),
+        (MAX_SESSIONS, 5)
+    );
     assert!(!own.sessions().any(|s| s == 10) && own.sessions().any(|s| s == 15));
 }
 
