--- a/crates/cluster/src/agent/incoming.rs
+++ b/crates/cluster/src/agent/incoming.rs
@@ -1,16 +1,16 @@
-//! Handles datagrams of other members.
+//! Handling of received datagrams.
 
 use super::Cluster;
 use crate::membership::{Change, Identity};
 use crate::message_authentication::{AuthenticationError, Payload, MAX_PAYLOAD_BYTES};
 use crate::Micros;
 
-/// Datagrams in which another member is sent what it lacks, for each comparison.
+/// Datagrams with missing records that are sent per comparison.
 const MAX_DATAGRAMS_PER_COMPARISON: usize = 2;
 
 impl Cluster {
-    /// Handles a received datagram. All that have arrived must be handled before [`Cluster::tick`]: what peers sent while
-    /// this process was held up must be known before any of its timers runs.
+    /// Handles a received datagram. All pending datagrams must be handled before [`Cluster::tick`], so that messages that
+    /// arrived while this process was stalled are known before any timer runs.
     pub fn handle_datagram(&mut self, clock: Micros, datagram: &[u8]) {
         let now = self.clock.update(clock);
         let opened = match self.authenticator.open(datagram) {
@@ -59,8 +59,8 @@
         });
     }
 
-    /// An earlier process of this member's name had a later session, as the host's clock was set back: this one's session is
-    /// raised above it.
+    /// Raises this member's session above that of an earlier process of its name, which is later because the host's clock was
+    /// set back.
     fn handle_stale_session(&mut self, now: Micros, bytes: &[u8]) {
         let Ok(later) = bytes.try_into().map(u64::from_be_bytes) else {
             return;
@@ -111,14 +111,14 @@
         self.send_consensus_messages(now);
     }
 
-    /// The member of this session, be it called down or not.
+    /// The member with this session, also if it is down.
     fn known_by_session(&self, session: u64) -> Option<&Identity> {
         let mut known = self.members.known(self.clock.now());
         let member = known.find(|m| m.identity.session == session)?;
         Some(member.identity)
     }
 
-    /// Counts a change of membership; records of members that came or went are to be marked at once.
+    /// Counts a membership change, and schedules an update of the reachability of gossip records.
     pub(super) fn record_change(&mut self, now: Micros, change: &Change) {
         match change {
             Change::Up(_) => self.counters.members_up += 1,
--- a/crates/cluster/src/agent/mod.rs
+++ b/crates/cluster/src/agent/mod.rs
@@ -1,12 +1,12 @@
-//! One member's agent: datagrams and time in, datagrams out.
+//! One member's agent. Its inputs are datagrams and time, its output is datagrams.
 //!
 //! | module | what it does |
 //! | --- | --- |
 //! | this | the agent's state and interface |
-//! | `incoming` | handles datagrams of other members |
-//! | `timers` | does what is due |
+//! | `incoming` | handles received datagrams |
+//! | `timers` | runs periodic work |
 //! | `outgoing` | sends datagrams, within the rate limits |
-//! | `view` | what operators see |
+//! | `view` | counters and members as operators see them |
 
 mod incoming;
 mod outgoing;
@@ -31,27 +31,27 @@
 
 pub use view::{Counters, MemberView};
 
-/// Rounds for which a record is passed on in a cluster of one, and one more with each doubling: what all have had by then but
-/// for a few, comparisons bring.
+/// Rounds for which a record is passed on in a cluster of one; each doubling of the cluster adds one. This reaches all but a
+/// few members; comparisons of versions reach the rest.
 const MIN_GOSSIP_ROUNDS: u32 = 3;
 
-/// What a member starts with.
+/// The start options of a member.
 pub struct Options {
     /// Its name, address and session.
     pub identity: Identity,
-    /// What it publishes of itself.
+    /// The metadata that it publishes.
     pub metadata: MemberMetadata,
-    /// The keys.
+    /// The keys that authenticate datagrams.
     pub keys: Keyring,
     /// Addresses of members through which it joins.
     pub seeds: Vec<SocketAddr>,
-    /// For all that is drawn at random.
+    /// The seed of its random number generator.
     pub seed: u64,
-    /// Its part in consensus; `None` where it is to be opened later ([`Cluster::open_consensus`]), or never.
+    /// Its consensus options; `None` if consensus is opened later ([`Cluster::open_consensus`]) or never.
     pub consensus: Option<consensus::Options>,
 }
 
-/// The cluster, as one member takes part in it.
+/// One member's participation in the cluster.
 pub struct Cluster {
     members: Members,
     gossip: GossipState,
@@ -69,7 +69,7 @@
 }
 
 impl Cluster {
-    /// A member that is alone, at this time of the host's clock.
+    /// A member without peers, at `clock` of the host's clock.
     pub fn new(clock: Micros, options: Options) -> Cluster {
         let mut rng = SmallRng::seed_from_u64(options.seed);
         let own = options.identity;
@@ -98,8 +98,8 @@
         cluster
     }
 
-    /// Takes part in consensus from now on. An error where the log that was kept can't be used: it is left as it is, and this
-    /// member only observes.
+    /// Starts to take part in consensus. Returns an error if the persisted log can't be used: the file is left unchanged, and
+    /// this member only observes.
     pub fn open_consensus(&mut self, options: consensus::Options) -> Option<LogError> {
         let own = self.members.own();
         let seed = self.rng.random();
@@ -108,26 +108,26 @@
         error
     }
 
-    /// Takes part in consensus no more: another process of this name may. What is still to be written is taken first, by
+    /// Stops taking part in consensus, so that another process of this name can. Pending writes must be drained first, by
     /// [`Cluster::next_write`].
     pub fn close_consensus(&mut self) {
         self.consensus = None;
-        // Others must not see the replica of this process where there is another's.
+        // Other members must no longer see this process's replica: another process may announce its own.
         let bytes = Notice::default().encode();
         self.publish(CONSENSUS, &bytes);
     }
 
-    /// Why the persisted log could not be used at the start.
+    /// Why the persisted log could not be used at the start, if so.
     pub fn log_error(&self) -> Option<&LogError> {
         self.log_error.as_ref()
     }
 
-    /// This member's part in consensus, if it takes part.
+    /// This member's consensus participant, if it takes part.
     pub fn consensus(&self) -> Option<&Consensus> {
         self.consensus.as_ref()
     }
 
-    /// Does something with this member's part in consensus, at this time of the host's clock, and sends what follows of it.
+    /// Calls `work` with this member's consensus participant and the host's clock, and sends the resulting messages.
     pub fn with_consensus<T>(
         &mut self,
         clock: Micros,
@@ -139,12 +139,12 @@
         done
     }
 
-    /// The next thing to write of the log.
+    /// The next pending write to the log file.
     pub fn next_write(&mut self) -> Option<Write> {
         self.consensus.as_mut()?.next_write()
     }
 
-    /// Confirms that this write, and all before it, are persistent.
+    /// Confirms that this write and all earlier ones are persistent.
     pub fn confirm_write(&mut self, number: u64) {
         let now = self.clock.now();
         if let Some(consensus) = &mut self.consensus {
@@ -160,24 +160,24 @@
         self.clock.host_clock_at(first).unwrap_or(0)
     }
 
-    /// The next datagram to send, and where.
+    /// The next datagram to send, and its destination.
     pub fn next_outgoing(&mut self) -> Option<(SocketAddr, Vec<u8>)> {
         self.outgoing.pop()
     }
 
-    /// Publishes a gossip record of this member; false if it is beyond the bounds.
+    /// Publishes a gossip record of this member; false if it exceeds a limit.
     pub fn publish(&mut self, kind: Kind, value: &[u8]) -> bool {
         let rounds = self.gossip_rounds();
         self.gossip.publish(self.clock.now(), kind, value, rounds)
     }
 
-    /// Publishes what this member says of itself.
+    /// Publishes this member's metadata.
     pub fn update_metadata(&mut self, metadata: &MemberMetadata) -> bool {
         self.publish(METADATA, &metadata.encode())
     }
 
-    /// Leaves in order: others know at once that this member is gone, and that it is no fault. Nothing is sent or accepted
-    /// after it but what [`Cluster::next_outgoing`] still holds.
+    /// Leaves the cluster gracefully: others learn at once that this member left and did not fail. Afterwards nothing is
+    /// accepted, and nothing is sent except what is still queued in [`Cluster::next_outgoing`].
     pub fn leave(&mut self, clock: Micros) {
         let now = self.clock.update(clock);
         if !self.has_left {
@@ -186,12 +186,12 @@
         }
     }
 
-    /// Takes other keys from now on.
+    /// Replaces the keys.
     pub fn change_keys(&mut self, keys: Keyring) {
         self.authenticator.change_keys(keys);
     }
 
-    /// Takes other seeds from now on.
+    /// Replaces the seed addresses.
     pub fn change_seeds(&mut self, seeds: Vec<SocketAddr>) {
         self.seeds = seeds;
     }
@@ -201,17 +201,17 @@
         self.members.own()
     }
 
-    /// How many other members are reachable.
+    /// The number of other reachable members.
     pub fn peer_count(&self) -> usize {
         self.members.reachable_count()
     }
 
-    /// How far this process suspects itself, from 0.
+    /// This process's self-suspicion, from 0.
     pub fn self_suspicion(&self) -> u32 {
         self.clock.self_suspicion()
     }
 
-    /// All that are known, by name; of one name the latest process.
+    /// All known members, by name; for each name the process with the best status, then the latest one.
     pub fn members(&self) -> Vec<MemberView> {
         let now = self.clock.now();
         let own = KnownMember {
@@ -246,20 +246,20 @@
         }
     }
 
-    /// What an owner published under a kind.
+    /// The record of a kind that an owner published.
     pub fn record(&self, owner: &str, kind: Kind) -> Option<GossipRecord<'_>> {
         self.gossip.get(self.clock.now(), owner, kind)
     }
 
-    /// What each member published under a kind.
+    /// The records of a kind, with their owners.
     pub fn records(&self, kind: Kind) -> impl Iterator<Item = (&str, GossipRecord<'_>)> + '_ {
         self.gossip.all(self.clock.now(), kind)
     }
 
-    /// The counts so far.
+    /// The counters since the start.
     pub fn counters(&self) -> Counters {
         let Refusals {
-            bounds,
+            over_limit,
             malformed,
             forged,
         } = self.gossip.refused;
@@ -267,19 +267,19 @@
             stalls: self.clock.stalls,
             unreadable: self.members.unreadable,
             membership_resets: self.members.membership_resets,
-            refused: bounds + malformed + forged,
+            refused: over_limit + malformed + forged,
             sessions_evicted: self.authenticator.evicted_sessions,
             ..self.counters
         }
     }
 
-    /// Rounds for which a new record is passed on.
+    /// The number of rounds for which a new record is passed on.
     fn gossip_rounds(&self) -> u32 {
         let members = self.members.reachable_count() + 1;
         MIN_GOSSIP_ROUNDS + members.ilog2()
     }
 
-    /// Does something with the members, counts the changes and sends what follows of it.
+    /// Calls `work` with the membership, counts the changes and sends the resulting datagrams.
     fn with_members<T>(
         &mut self,
         now: Micros,
--- a/crates/cluster/src/agent/outgoing.rs
+++ b/crates/cluster/src/agent/outgoing.rs
@@ -1,4 +1,4 @@
-//! Sends datagrams, within the rate limits.
+//! Sending of datagrams, within the rate limits.
 
 use super::Cluster;
 use crate::consensus::Consensus;
@@ -9,16 +9,16 @@
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-/// Limits on what a member sends, whatever the size of the cluster: one for membership and one for gossip, so that neither
-/// silences the other.
+/// Rate limits of a member, independent of the size of the cluster. Membership and gossip have separate limits, so that
+/// neither starves the other.
 const MEMBERSHIP_DATAGRAMS_PER_SECOND: f64 = 120.0;
 const GOSSIP_DATAGRAMS_PER_SECOND: f64 = 60.0;
-/// The same for consensus: five voters' heartbeats are 20, and each entry one to each of them and back.
+/// The rate limit for consensus: the heartbeats of five voters take 20, and each entry one datagram to each voter and back.
 const CONSENSUS_DATAGRAMS_PER_SECOND: f64 = 200.0;
-/// Datagrams that wait to be written.
+/// Datagrams that may wait to be written.
 const MAX_WAITING_DATAGRAMS: usize = 512;
 
-/// Datagrams that wait to be written, and the limits on them.
+/// Datagrams that wait to be written, and the rate limits.
 pub(super) struct Outgoing {
     queue: VecDeque<(SocketAddr, Vec<u8>)>,
     membership_limit: TokenBucket,
@@ -38,7 +38,7 @@
 }
 
 impl Outgoing {
-    /// Whether a payload of so many bytes may be sent now; takes its tokens.
+    /// Whether a payload of this size may be sent now; takes its tokens.
     fn admit(&mut self, now: Micros, payload: Payload, bytes: usize) -> bool {
         let limit = match payload {
             Payload::Members => &mut self.membership_limit,
@@ -78,8 +78,8 @@
         }
     }
 
-    /// Sends all that consensus has ready. A member that is called down may be cut off from others alone: what is for it goes
-    /// where it was last.
+    /// Sends all pending consensus messages. A member that was declared down may be unreachable for other members only, so
+    /// its messages are sent to its last address.
     pub(super) fn send_consensus_messages(&mut self, now: Micros) {
         while let Some((name, bytes)) = self.consensus.as_mut().and_then(Consensus::next_outgoing) {
             let of_name = self.members.known(now).filter(|m| m.identity.name == name);
--- a/crates/cluster/src/agent/timers.rs
+++ b/crates/cluster/src/agent/timers.rs
@@ -1,4 +1,4 @@
-//! Does what is due.
+//! Periodic work of the agent.
 
 use super::Cluster;
 use crate::consensus::{Consensus, Notice, Peer};
@@ -13,24 +13,24 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// Rumors are passed on this often.
+/// Interval between gossip rounds.
 const GOSSIP_INTERVAL: Micros = 100_000;
-/// Members that rumors are passed on to in a round.
+/// Members that receive the rumors of a round.
 const GOSSIP_FANOUT: usize = 3;
-/// Versions are compared with one other member this often.
+/// Interval between comparisons of versions with one other member.
 const COMPARISON_INTERVAL: Micros = 400_000;
-/// A join request goes to a seed this often while no other member is reachable.
+/// Interval between join requests to a seed while no other member is reachable.
 const JOIN_INTERVAL: Micros = 500_000;
-/// Else one goes to an unreachable seed this often, in case the cluster is partitioned.
+/// Interval between join requests to unreachable seeds otherwise, in case the cluster is partitioned.
 const REJOIN_INTERVAL: Micros = 5_000_000;
-/// A stale session is reported this often at most: to one sender after another, not for each datagram.
+/// Minimum interval between reports of stale sessions: senders are told one after another, not for each datagram.
 const STALE_REPORT_INTERVAL: Micros = 50_000;
-/// Gossip is notified of reachable members this often.
+/// Interval between updates of the reachability of gossip records.
 const REACHABILITY_INTERVAL: Micros = 500_000;
-/// A member's part in consensus is published this often at most: it changes with each entry.
+/// Minimum interval between publications of the consensus notice, which changes with each entry.
 const NOTICE_INTERVAL: Micros = 200_000;
 
-/// When things are due, by the member's own time.
+/// Due times of periodic work, in local time.
 pub(super) struct Timers {
     notice: Micros,
     gossip: Micros,
@@ -41,7 +41,7 @@
 }
 
 impl Timers {
-    /// Timers start with a random offset: members that start at the same moment must not send at the same moment for ever.
+    /// Starts the timers with random offsets, so that members that start together do not keep sending in lockstep.
     pub(super) fn start(now: Micros, rng: &mut SmallRng) -> Timers {
         Timers {
             notice: now,
@@ -53,7 +53,7 @@
         }
     }
 
-    /// When the first of those is due that nothing else brings about.
+    /// The earliest due time of the timers that need a wake-up of their own.
     pub(super) fn next_due(&self) -> Micros {
         let first = self.join.min(self.gossip);
         first.min(self.comparison).min(self.reachability)
@@ -73,7 +73,7 @@
     }
 }
 
-/// Whether a timer is due; sets it again if so.
+/// Whether a timer is due; restarts it if so.
 fn is_due(timer: &mut Micros, now: Micros, interval: Micros) -> bool {
     let is_due = now >= *timer;
     if is_due {
@@ -83,7 +83,7 @@
 }
 
 impl Cluster {
-    /// Does all that is due by the host's clock.
+    /// Runs all work that is due by the host's clock.
     pub fn tick(&mut self, clock: Micros) {
         let now = self.clock.update(clock);
         if self.has_left {
@@ -97,7 +97,7 @@
             self.pass_on_rumors(now);
         }
         if is_due(&mut self.timers.comparison, now, COMPARISON_INTERVAL) {
-            self.compare_with_one(now);
+            self.compare_with_random_member(now);
         }
         if is_due(&mut self.timers.reachability, now, REACHABILITY_INTERVAL) {
             self.update_reachability(now);
@@ -105,7 +105,7 @@
         self.tick_consensus(now, clock);
     }
 
-    /// Sends a join request to a seed or a member that was down, one that is not reachable.
+    /// Sends a join request to a random unreachable seed or down member.
     fn join(&mut self, now: Micros) {
         let interval = match self.members.reachable_count() {
             0 => JOIN_INTERVAL,
@@ -139,7 +139,7 @@
         }
     }
 
-    fn compare_with_one(&mut self, now: Micros) {
+    fn compare_with_random_member(&mut self, now: Micros) {
         let others: Vec<&Identity> = self.members.reachable().collect();
         let Some(receiver) = others.choose(&mut self.rng).map(|&m| m.clone()) else {
             return;
@@ -162,7 +162,7 @@
         consensus.tick(now, clock, || {
             let known = members.known(now);
             let mut peers: Vec<Peer> = known.map(|m| peer(now, m, gossip)).collect();
-            // Of one name the one that is there counts: it comes last.
+            // The last process of a name wins: sorting puts the one with the best status there.
             peers.sort_by(|a, b| (&a.name, b.status).cmp(&(&b.name, a.status)));
             peers
         });
@@ -170,7 +170,7 @@
         self.send_consensus_messages(now);
     }
 
-    /// Publishes this member's part in consensus, where it has changed.
+    /// Publishes this member's consensus notice if it has changed.
     fn publish_notice(&mut self, now: Micros) {
         if now < self.timers.notice {
             return;
@@ -185,7 +185,7 @@
     }
 }
 
-/// A member as consensus sees it.
+/// The view that consensus has of a member.
 fn peer(now: Micros, member: KnownMember, gossip: &GossipState) -> Peer {
     let name = &member.identity.name;
     let metadata = gossip.get(now, name, METADATA);
--- a/crates/cluster/src/gossip/comparison.rs
+++ b/crates/cluster/src/gossip/comparison.rs
@@ -1,21 +1,21 @@
-//! Comparing versions with one other member at a time, over a range of keys: finds what rumors missed.
+//! Anti-entropy: compares the versions of a range of keys with one other member at a time, to find records that rumors missed.
 
 use super::wire::{self, Reader, VersionRange};
 use super::{GossipState, RecordKey, RecordVersion, StoredRecord};
 use crate::Micros;
 
-/// What follows of a comparison with another member's versions.
+/// The result of a comparison with another member's versions.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Comparison {
-    /// Datagrams of records that the other lacks.
+    /// Datagrams of records that the other member lacks.
     pub records: Vec<Vec<u8>>,
-    /// A datagram of this member's versions, where the other knows more and wants a reply.
+    /// A datagram of this member's versions, if the other has newer records and wants a reply.
     pub reply: Option<Vec<u8>>,
 }
 
 impl GossipState {
-    /// A datagram of at most so many bytes with versions over the next range of keys, to compare with another member's. It
-    /// wants a reply where the other's are newer.
+    /// A datagram of at most `max_bytes` with the versions of the next range of keys, for comparison by another member. It
+    /// requests a reply if the other's records are newer.
     pub fn next_versions(&mut self, max_bytes: usize) -> Vec<u8> {
         let first = self.next_compared.clone();
         let (datagram, next) = self.versions_in(&first, None, max_bytes, true);
@@ -23,7 +23,7 @@
         datagram
     }
 
-    /// Versions over a range of keys, and the first key that did not fit.
+    /// A datagram with the versions of a range of keys, and the first key that did not fit.
     fn versions_in(
         &self,
         first: &RecordKey,
@@ -44,7 +44,7 @@
             }
             last_written = Some(key);
         }
-        // Where not all fitted the range ends with the last that did.
+        // If not all versions fit, the range ends with the last one that does.
         let last = match next {
             Some(_) => last_written.or(last),
             None => last,
@@ -65,8 +65,8 @@
             .take_while(move |(key, _)| last.is_none_or(|last| *key <= last))
     }
 
-    /// Compares another member's versions with this one's: what it lacks, in so many datagrams of at most `max_bytes`, and
-    /// this member's versions, where the other knows more.
+    /// Compares another member's versions with this one's. Returns the records that it lacks, in up to `max_datagrams`
+    /// datagrams of at most `max_bytes`, and this member's versions if the other has newer records.
     pub fn compare_versions(
         &mut self,
         now: Micros,
--- a/crates/cluster/src/gossip/mod.rs
+++ b/crates/cluster/src/gossip/mod.rs
@@ -1,11 +1,11 @@
-//! Gossip: records that each member publishes of itself, and what the others know of them.
+//! Gossip: records that each member publishes about itself and that all members replicate.
 //!
-//! A record belongs to its owner's name and has a kind; of two the one of the later session, then of the higher number
-//! counts. A new one is passed on as a rumor for some rounds; what rumors missed is found by comparing versions over a
-//! range of keys with one other member at a time. Records are bounded in size, by kind, and by owner; those of an owner that
-//! is gone are kept for a while, as the last that was heard, with their age, and then dropped.
+//! A record is identified by its owner's name and a kind. Of two records with the same key, the one with the later session,
+//! then with the higher number, wins. A new record is passed on as a rumor for some rounds; records that rumors missed are
+//! found by comparing versions with one other member at a time. The size of records and the numbers of kinds and owners are
+//! limited. Records of an owner that is gone are kept for a while, with their age, and then dropped.
 //!
-//! Kinds that this build does not know are kept and passed on as they are: in every release two builds run side by side.
+//! Records of unknown kinds are kept and passed on unchanged, since two builds run side by side during every release.
 
 mod comparison;
 mod wire;
@@ -19,23 +19,23 @@
 
 pub use comparison::Comparison;
 
-/// What a record is about: a number that all builds agree on.
+/// The kind of a record: a number that all builds agree on.
 pub type Kind = u16;
 
-/// What a member publishes of itself: [`crate::MemberMetadata`].
+/// A member's metadata: [`crate::MemberMetadata`].
 pub const METADATA: Kind = 1;
-/// A member's part in consensus: [`crate::consensus::Notice`].
+/// A member's consensus notice: [`crate::consensus::Notice`].
 pub const CONSENSUS: Kind = 2;
 
-/// Longest value.
+/// Longest value of a record.
 pub const MAX_VALUE_BYTES: usize = 256;
-/// Kinds of one owner.
+/// Most kinds of one owner.
 pub const MAX_KINDS_PER_OWNER: usize = 16;
-/// Owners, this member included.
+/// Most owners, this member included.
 pub const MAX_OWNERS: usize = 1024;
 /// Records of an owner that is gone are kept for this long.
 const GONE_OWNER_RETENTION: Micros = 60_000_000;
-/// Rounds for which a record is passed on again that another contradicted.
+/// Minimum rounds for which a record is passed on again to refute a forged one.
 const MIN_REFUTATION_ROUNDS: u32 = 8;
 
 /// A record's owner and kind.
@@ -63,7 +63,7 @@
     }
 }
 
-/// Of two records of a key the one of the higher version counts.
+/// The version of a record. Of two records with the same key, the one with the higher version wins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct RecordVersion {
     /// The session of the owner's process.
@@ -77,51 +77,51 @@
     version: RecordVersion,
     value: Rc<[u8]>,
     received_at: Micros,
-    /// How old it was then.
+    /// Its age when it was received.
     age_when_received: Micros,
-    /// Rounds for which it is still passed on.
+    /// Remaining rounds for which it is passed on.
     rounds_left: u32,
 }
 
-/// A record as a reader gets it.
+/// A record as returned to readers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GossipRecord<'a> {
     /// Its value.
     pub value: &'a [u8],
-    /// How long ago its owner published it, by as much as is known: at least what it took on its way.
+    /// A lower bound on the time since its owner published it.
     pub age: Micros,
-    /// Its owner is reachable; else it is the last that was heard.
+    /// Whether its owner is reachable; if not, this is the last known record.
     pub reachable: bool,
     /// Grows with each change of the value.
     pub version: u64,
 }
 
-/// Counts of what was refused.
+/// Counters of rejected input.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Refusals {
-    /// Records of an owner or kind beyond the bounds.
-    pub bounds: u64,
-    /// Datagrams that end within a record, or hold what can't be one.
+    /// Records over the limits on size, kinds or owners.
+    pub over_limit: u64,
+    /// Datagrams that are truncated or contain an invalid record.
     pub malformed: u64,
     /// Records under this member's name that it never published.
     pub forged: u64,
 }
 
-/// All records that one member knows.
+/// All records known to one member.
 pub struct GossipState {
     name: Rc<str>,
     session: u64,
     records: BTreeMap<RecordKey, StoredRecord>,
-    /// Owners, and since when each has been gone.
+    /// Owners, and since when each has been unreachable.
     owners: BTreeMap<Rc<str>, Option<Micros>>,
-    /// Where the next comparison begins.
+    /// The key at which the next comparison starts.
     next_compared: RecordKey,
-    /// What was refused.
+    /// Counters of rejected input.
     pub refused: Refusals,
 }
 
 impl GossipState {
-    /// No records yet, of a member of this name and session.
+    /// An empty state for a member with this name and session.
     pub fn new(name: &str, session: u64) -> GossipState {
         let name: Rc<str> = name.into();
         GossipState {
@@ -134,8 +134,8 @@
         }
     }
 
-    /// Publishes a record of this member, if it is new, and passes it on for so many rounds. False where it is too long or
-    /// of one kind too many.
+    /// Publishes a record of this member, unless it is unchanged, and passes it on for `rounds`. False if it is too long or
+    /// the member already has the maximum number of kinds.
     pub fn publish(&mut self, now: Micros, kind: Kind, value: &[u8], rounds: u32) -> bool {
         let key = RecordKey {
             owner: self.name.clone(),
@@ -147,7 +147,7 @@
         }
         let has_room = old.is_some() || self.kinds_of(&self.name) < MAX_KINDS_PER_OWNER;
         if value.len() > MAX_VALUE_BYTES || !has_room {
-            self.refused.bounds += 1;
+            self.refused.over_limit += 1;
             return false;
         }
         let record = StoredRecord {
@@ -168,7 +168,7 @@
         self.records.range(RecordKey::all_of(owner)).count()
     }
 
-    /// Takes a later session of this member: its records are published again under it.
+    /// Moves this member to a later session, and publishes its records again under it.
     pub fn raise_session(&mut self, now: Micros, session: u64, rounds: u32) {
         if session <= self.session {
             return;
@@ -181,7 +181,7 @@
         }
     }
 
-    /// What is known of an owner under a kind.
+    /// The known record of an owner and kind.
     pub fn get(&self, now: Micros, owner: &str, kind: Kind) -> Option<GossipRecord<'_>> {
         let owner = Rc::from(owner);
         let key = RecordKey { owner, kind };
@@ -199,7 +199,7 @@
         }
     }
 
-    /// A member's own record is as good as new for as long as it is there.
+    /// The age of a record. A member's own records are always current.
     fn age(&self, now: Micros, owner: &Rc<str>, record: &StoredRecord) -> Micros {
         if *owner == self.name {
             return 0;
@@ -207,7 +207,7 @@
         record.age_when_received + now.saturating_sub(record.received_at)
     }
 
-    /// All that is known under a kind, by owner.
+    /// All known records of a kind, by owner.
     pub fn all(
         &self,
         now: Micros,
@@ -217,17 +217,17 @@
         of_kind.map(move |(key, record)| (&*key.owner, self.view(now, &key.owner, record)))
     }
 
-    /// Records held.
+    /// The number of records.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether none is held.
+    /// Whether there are no records.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// Marks owners that are gone, and drops those long gone.
+    /// Marks unreachable owners, and drops those that have been unreachable for longer than [`GONE_OWNER_RETENTION`].
     pub fn update_reachability(&mut self, now: Micros, is_reachable: impl Fn(&str) -> bool) {
         for (owner, gone_since) in &mut self.owners {
             if *owner == self.name || is_reachable(owner) {
@@ -236,10 +236,10 @@
                 gone_since.get_or_insert(now);
             }
         }
-        let is_over = |since: Micros| now > since + GONE_OWNER_RETENTION;
+        let is_expired = |since: Micros| now > since + GONE_OWNER_RETENTION;
         let known = self.owners.len();
         self.owners
-            .retain(|_, gone_since| !gone_since.is_some_and(is_over));
+            .retain(|_, gone_since| !gone_since.is_some_and(is_expired));
         if self.owners.len() < known {
             let owners = &self.owners;
             self.records
@@ -247,7 +247,7 @@
         }
     }
 
-    /// Takes a datagram of records; how many were new. Each is passed on for so many rounds.
+    /// Handles a datagram of records, and passes new ones on for `rounds`. Returns how many were new.
     pub fn receive(&mut self, now: Micros, bytes: &[u8], rounds: u32) -> usize {
         let mut reader = Reader::new(bytes);
         let mut new_records = 0;
@@ -261,7 +261,7 @@
         new_records
     }
 
-    /// Takes a record; true if it was new.
+    /// Stores a received record; true if it was new.
     fn receive_record(&mut self, now: Micros, sent: SentRecord, rounds: u32) -> bool {
         let key = sent.key;
         let record = StoredRecord {
@@ -279,7 +279,7 @@
             Some(_) => {}
             None if self.has_room_for(&key.owner) => {}
             None => {
-                self.refused.bounds += 1;
+                self.refused.over_limit += 1;
                 return false;
             }
         }
@@ -296,7 +296,7 @@
         (is_known || self.owners.len() < MAX_OWNERS) && self.kinds_of(owner) < MAX_KINDS_PER_OWNER
     }
 
-    /// What an earlier process of an owner published says nothing any more. False where a later one is known.
+    /// Drops the records of earlier sessions of an owner. False if a record of a later session is known.
     fn drop_earlier_sessions(&mut self, owner: &Rc<str>, session: u64) -> bool {
         self.records
             .retain(|key, r| key.owner != *owner || r.version.session >= session);
@@ -304,7 +304,7 @@
         !of_owner.any(|(_, r)| r.version.session > session)
     }
 
-    /// Somebody sends a record that this member never published: its own are published again, so that they outdo that.
+    /// Refutes a received record that this member never published: publishes its own records again with higher versions.
     fn refute(&mut self, now: Micros, key: &RecordKey, sent: &StoredRecord) -> bool {
         let own = self.records.get(key);
         let is_known = own.is_some_and(|own| {
@@ -330,12 +330,12 @@
         wire::write_record(key, record.version, age, &record.value, out);
     }
 
-    /// A datagram of at most so many bytes with what is to be passed on in this round; `None` if nothing is.
+    /// A datagram of at most `max_bytes` with the records to pass on in this round; `None` if there are none.
     pub fn next_rumors(&mut self, now: Micros, max_bytes: usize) -> Option<Vec<u8>> {
         let is_due = |(_, record): &(&RecordKey, &StoredRecord)| record.rounds_left > 0;
         let due = self.records.iter().filter(is_due);
         let mut due: Vec<RecordKey> = due.map(|(key, _)| key.clone()).collect();
-        // What was passed on least goes first.
+        // Records that were passed on least often go first.
         due.sort_by_key(|key| Reverse(self.records[key].rounds_left));
         let mut datagram = Vec::new();
         for key in due {
--- a/crates/cluster/src/gossip/wire.rs
+++ b/crates/cluster/src/gossip/wire.rs
@@ -1,6 +1,6 @@
-//! The form of gossip datagrams. All numbers are big endian.
+//! The format of gossip datagrams. All numbers are big endian.
 //!
-//! A datagram of records holds one after another:
+//! A datagram of records is a sequence of:
 //!
 //! ```text
 //! 1  length of the owner's name   n  the owner's name     2  kind
@@ -11,8 +11,8 @@
 //! A datagram of versions holds a range of keys, and the versions of all records in it:
 //!
 //! ```text
-//! 1  1 where the receiver is to send its own versions if its records are older
-//! .. the first key of the range   1  1 where a last key follows, else the range is open
+//! 1  1 if the receiver should reply with its own versions when its records are older
+//! .. the first key of the range   1  1 if a last key follows, else the range is open-ended
 //! .. the last key of the range
 //! .. for each record: key         8  session              8  number
 //! ```
@@ -24,14 +24,14 @@
 
 /// Longest key: the name's length, the name, the kind.
 const MAX_KEY_BYTES: usize = 1 + MAX_NAME_BYTES + 2;
-/// Longest head of a datagram of versions: two flags and two keys.
+/// Longest header of a datagram of versions: two flags and two keys.
 pub(super) const MAX_RANGE_BYTES: usize = 2 + 2 * MAX_KEY_BYTES;
-/// An age that is sent saturates here, at some 50 days.
+/// Ages saturate at this value when sent, about 50 days.
 const MAX_AGE_MILLIS: u64 = u32::MAX as u64;
-/// Versions above this can't be outdone, so they are no honest owner's.
+/// Higher versions are rejected: an owner could not publish a higher one to refute a forged record.
 const MAX_VERSION_NUMBER: u64 = 1 << 62;
 
-/// A record as it is sent.
+/// A record on the wire.
 pub(super) struct SentRecord<'a> {
     pub(super) key: RecordKey,
     pub(super) version: RecordVersion,
@@ -43,12 +43,12 @@
 pub(super) struct VersionRange {
     pub(super) wants_reply: bool,
     pub(super) first: RecordKey,
-    /// The range is open where there is none.
+    /// `None` for an open-ended range.
     pub(super) last: Option<RecordKey>,
     pub(super) versions: BTreeMap<RecordKey, RecordVersion>,
 }
 
-/// Reads a datagram from its front.
+/// Reads a datagram front to back.
 pub(super) struct Reader<'a>(&'a [u8]);
 
 impl<'a> Reader<'a> {
@@ -99,7 +99,7 @@
         })
     }
 
-    /// The next record; `None` where the datagram ends within it, or holds what can't be one.
+    /// The next record; `None` if it is truncated or invalid.
     pub(super) fn record(&mut self) -> Option<SentRecord<'a>> {
         let key = self.key()?;
         let version = self.version()?;
@@ -118,7 +118,7 @@
         })
     }
 
-    /// The whole datagram, as one of versions.
+    /// Reads the whole datagram as a datagram of versions.
     pub(super) fn version_range(mut self) -> Option<VersionRange> {
         let wants_reply = self.u8()? == 1;
         let first = self.key()?;
@@ -141,7 +141,7 @@
 }
 
 fn write_key(key: &RecordKey, out: &mut Vec<u8>) {
-    let length = u8::try_from(key.owner.len()).expect("a name has MAX_NAME_BYTES at most");
+    let length = u8::try_from(key.owner.len()).expect("a name is at most MAX_NAME_BYTES long");
     out.push(length);
     out.extend_from_slice(key.owner.as_bytes());
     out.extend(key.kind.to_be_bytes());
@@ -154,7 +154,7 @@
     out.extend(version.number.to_be_bytes());
 }
 
-/// Writes the head of a datagram of versions.
+/// Writes the header of a datagram of versions.
 pub(super) fn write_range(
     wants_reply: bool,
     first: &RecordKey,
@@ -180,7 +180,7 @@
     write_version(key, version, out);
     let age_millis = u32::try_from((age / 1000).min(MAX_AGE_MILLIS)).unwrap_or(u32::MAX);
     out.extend(age_millis.to_be_bytes());
-    let length = u16::try_from(value.len()).expect("a value has MAX_VALUE_BYTES at most");
+    let length = u16::try_from(value.len()).expect("a value is at most MAX_VALUE_BYTES long");
     out.extend(length.to_be_bytes());
     out.extend_from_slice(value);
 }
--- a/crates/cluster/src/membership/codec.rs
+++ b/crates/cluster/src/membership/codec.rs
@@ -1,5 +1,5 @@
-//! The form of membership messages: `foca`'s own, with bounds on names and on how many there are, since who holds the key
-//! could tell of any number.
+//! The format of membership messages: that of `foca`, with limits on the length and number of names, since any holder of the
+//! key could otherwise announce an unlimited number of members.
 
 use super::{Identity, MAX_MEMBERS, MAX_NAME_BYTES};
 use bytes::{Buf, BufMut};
@@ -9,17 +9,17 @@
 use std::fmt;
 use std::rc::Rc;
 
-/// Names that are known, those of members that are gone among them.
+/// Known names, including those of members that are down.
 pub(super) type KnownNames = Rc<RefCell<BTreeSet<String>>>;
 
-/// Why a membership message is not read.
+/// Why a membership message is rejected.
 #[derive(Debug)]
 pub enum DecodeError {
-    /// It is not in `foca`'s form: what that says of it.
+    /// It is not in the format of `foca`, with the error of its decoder.
     Malformed(String),
     /// A member's name is longer than [`MAX_NAME_BYTES`].
     NameTooLong,
-    /// A new member would be one more than [`MAX_MEMBERS`].
+    /// It names a new member while [`MAX_MEMBERS`] are already known.
     TooManyMembers,
 }
 
@@ -27,7 +27,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             DecodeError::Malformed(why) => f.write_str(why),
-            DecodeError::NameTooLong => f.write_str("a name too long"),
+            DecodeError::NameTooLong => f.write_str("member name too long"),
             DecodeError::TooManyMembers => f.write_str("too many members"),
         }
     }
@@ -59,7 +59,7 @@
         }
     }
 
-    fn check_room(&self, id: &Identity) -> Result<(), DecodeError> {
+    fn check_member_limit(&self, id: &Identity) -> Result<(), DecodeError> {
         let names = self.names.borrow();
         if names.len() >= MAX_MEMBERS && !names.contains(&id.name) {
             return Err(DecodeError::TooManyMembers);
@@ -83,7 +83,7 @@
         let header: Header<Identity> = self.postcard.decode_header(buf).map_err(malformed)?;
         check_name(&header.src)?;
         check_name(&header.dst)?;
-        self.check_room(&header.src)?;
+        self.check_member_limit(&header.src)?;
         Ok(header)
     }
 
@@ -98,7 +98,7 @@
     fn decode_member(&mut self, buf: impl Buf) -> Result<Member<Identity>, DecodeError> {
         let member: Member<Identity> = self.postcard.decode_member(buf).map_err(malformed)?;
         check_name(member.id())?;
-        self.check_room(member.id())?;
+        self.check_member_limit(member.id())?;
         Ok(member)
     }
 }
--- a/crates/cluster/src/membership/config.rs
+++ b/crates/cluster/src/membership/config.rs
@@ -1,21 +1,21 @@
-//! How SWIM is set up.
+//! The SWIM configuration.
 
 use crate::message_authentication::MAX_PAYLOAD_BYTES;
 use foca::{Config, PeriodicParams};
 use std::num::{NonZeroU8, NonZeroUsize};
 use std::time::Duration;
 
-/// Each member probes one other in this time.
+/// Each member probes one other member per interval.
 const PROBE_INTERVAL: Duration = Duration::from_millis(400);
-/// After this time without a response, others are requested to probe the member as well.
+/// After this time without a response, other members are asked to probe the member as well.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(150);
-/// Others that probe as well: where 30% of all datagrams are lost, half of all round trips fail.
+/// Indirect probes: with 30% datagram loss, half of all round trips fail.
 const INDIRECT_PROBES: NonZeroUsize = NonZeroUsize::new(8).unwrap();
-/// A suspected member that sends no refutation for this long is down: some eight paths of it have failed by then.
+/// A suspected member that sends no refutation for this long is declared down: about eight paths to it have failed by then.
 const SUSPICION_TIMEOUT: Duration = Duration::from_millis(2_000);
-/// Who is down is remembered for this long, so that old messages bring nobody back.
+/// Members that are down are remembered for this long, so that old messages do not revive them.
 pub(super) const DOWN_RETENTION: Duration = Duration::from_secs(60);
-/// Each update is passed on so often by each: three times the logarithm of 300.
+/// How often each member retransmits an update: about three times the natural logarithm of 300 members.
 const UPDATE_TRANSMISSIONS: NonZeroU8 = NonZeroU8::new(18).unwrap();
 const MAX_PACKET_BYTES: NonZeroUsize = NonZeroUsize::new(MAX_PAYLOAD_BYTES).unwrap();
 const GOSSIP: PeriodicParams = PeriodicParams {
--- a/crates/cluster/src/membership/identity.rs
+++ b/crates/cluster/src/membership/identity.rs
@@ -1,37 +1,37 @@
-//! Who a member is.
+//! The identity of a member.
 
 use crate::Micros;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Bits of a session that are drawn; those above are the clock's milliseconds.
-const DRAWN_SESSION_BITS: u32 = 20;
+/// Random low bits of a session; the bits above are the clock's milliseconds.
+const RANDOM_SESSION_BITS: u32 = 20;
 
-/// A process of the cluster. Sent in postcard's form: the order of the fields stays.
+/// A process of the cluster. Sent in postcard format: the order of the fields must not change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Identity {
-    /// Its name, the same after a restart.
+    /// The member's name, stable across restarts.
     pub name: String,
-    /// Where its datagrams go.
+    /// The address for its datagrams.
     pub addr: SocketAddr,
-    /// Differs with each start of the process, and grows.
+    /// Grows with each start of the process.
     pub session: u64,
-    /// How often it was called down in this session and came back.
+    /// How often it was declared down in this session and rejoined.
     pub rejoins: u16,
 }
 
 impl Identity {
-    /// Sessions above this are no honest process's, and nobody is led to one: some 70 years from 1970.
+    /// Sessions from this one on are not valid, and no member raises its own session that far: about 70 years after 1970.
     pub const MAX_SESSION: u64 = 1 << 61;
 
-    /// A session for a process that starts now: grows with the clock, by milliseconds, and differs from those of others
-    /// that start in the same one.
-    pub fn session_at(clock: Micros, drawn: u32) -> u64 {
-        let mask = (1 << DRAWN_SESSION_BITS) - 1;
-        (clock / 1000) << DRAWN_SESSION_BITS | u64::from(drawn & mask)
+    /// The session of a process that starts at `clock`. It grows with each millisecond of the clock; the random bits
+    /// distinguish processes that start within the same one.
+    pub fn session_at(clock: Micros, random: u32) -> u64 {
+        let mask = (1 << RANDOM_SESSION_BITS) - 1;
+        (clock / 1000) << RANDOM_SESSION_BITS | u64::from(random & mask)
     }
 
-    /// Somebody unknown at an address.
+    /// The identity of an unknown member at an address.
     pub fn at(addr: SocketAddr) -> Identity {
         Identity {
             name: String::new(),
--- a/crates/cluster/src/membership/mod.rs
+++ b/crates/cluster/src/membership/mod.rs
@@ -1,15 +1,15 @@
-//! Membership: who is there, by SWIM with suspicion and incarnations (`foca`), which is free of I/O as this is.
+//! Membership and failure detection by SWIM with suspicion and incarnations. Like its implementation, `foca`, it does no I/O.
 //!
 //! | status | becomes | when |
 //! | --- | --- | --- |
-//! | unknown, `Down` | `Alive` | it joins, or an update has a later incarnation or session of it |
-//! | `Alive` | `Suspected` | a probe of it, and all indirect ones, have no answer in time |
+//! | unknown, `Down` | `Alive` | it joins, or an update carries a later incarnation or session of it |
+//! | `Alive` | `Suspected` | a probe of it and all indirect probes time out |
 //! | `Suspected` | `Alive` | it refutes the suspicion |
 //! | `Suspected` | `Down` | it sends no refutation for two seconds |
-//! | `Alive`, `Suspected` | `Down` | it leaves, or a member calls it down |
+//! | `Alive`, `Suspected` | `Down` | it leaves, or another member declares it down |
 //!
-//! A member that dies is suspected by the first that probes it within a period and a half on average. Others are notified of
-//! a member that is down, and it is probed every two seconds, so that the halves of a partition find each other again.
+//! A crashed member is suspected within one and a half probe periods on average. Members that are down are notified of it, and
+//! two of them are sent an announcement every two seconds, so that the halves of a partition find each other again.
 
 mod codec;
 mod config;
@@ -28,36 +28,36 @@
 pub use codec::DecodeError;
 pub use identity::Identity;
 
-/// Members known at once, gone ones among them; a datagram with updates of more is not read.
+/// Members known at once, including those that are down; a datagram that would add more is rejected.
 pub const MAX_MEMBERS: usize = 1024;
 /// Longest name of a member, in bytes.
 pub const MAX_NAME_BYTES: usize = 48;
-/// Sessions whose beginning is remembered.
+/// Sessions whose start time is remembered.
 const MAX_SESSIONS: usize = 4096;
 
-/// How sure a member is to be there.
+/// The failure detector's status of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum MemberStatus {
-    /// It is there.
+    /// It responds to probes.
     Alive,
-    /// Somebody had no answer of it, and it has not said yet that it is there.
+    /// It did not respond to a probe, and has not refuted the suspicion yet.
     Suspected,
-    /// It has been called down, or left.
+    /// It was declared down, or left.
     Down,
 }
 
 /// A change of membership.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// A member is there.
+    /// A member came up.
     Up(Identity),
-    /// A member is down.
+    /// A member went down.
     Down(Identity),
-    /// This member was called down, and is back under this identity.
+    /// This member was declared down, and rejoined under this identity.
     Rejoined(Identity),
 }
 
-/// What follows of an event.
+/// The effects of an event.
 #[derive(Debug, Default)]
 pub struct Output {
     /// Datagrams to send, and their receivers.
@@ -66,14 +66,14 @@
     pub changes: Vec<Change>,
 }
 
-/// A member that is known.
+/// A known member.
 #[derive(Clone, Copy, Debug)]
 pub struct KnownMember<'a> {
-    /// Who it is.
+    /// Its identity.
     pub identity: &'a Identity,
-    /// How sure it is to be there.
+    /// Its status.
     pub status: MemberStatus,
-    /// For how long it has been so: a suspected one, since it came up.
+    /// How long it has been up, suspected or not, or how long it has been down.
     pub status_age: Micros,
 }
 
@@ -86,21 +86,21 @@
 type Swim = Foca<Identity, Codec, SmallRng, foca::NoCustomBroadcast>;
 type Runtime = AccumulatingRuntime<Identity>;
 
-/// The members as one of them knows them.
+/// One member's view of the membership.
 pub struct Members {
     swim: Swim,
-    /// Timers by when they are due, and by the order in which they were set.
+    /// Timers by due time, then by the order in which they were set.
     timers: BTreeMap<(Micros, u64), Timer<Identity>>,
     timers_set: u64,
-    /// When each came up, by session.
+    /// When each member came up, by session.
     up_since: BTreeMap<u64, Micros>,
     /// Members that went down, by name.
     down: BTreeMap<String, DownMember>,
     names: KnownNames,
     rng: SmallRng,
-    /// How often this member dropped what it held against others.
+    /// How often this member dropped its suspicions of others.
     pub membership_resets: u64,
-    /// Datagrams that could not be used.
+    /// Datagrams that could not be decoded or were not valid.
     pub unreadable: u64,
 }
 
@@ -109,7 +109,7 @@
 }
 
 impl Members {
-    /// This member alone.
+    /// A membership that consists of this member only.
     pub fn new(own: Identity, seed: u64) -> Members {
         let mut rng = SmallRng::seed_from_u64(seed);
         let names = KnownNames::default();
@@ -131,26 +131,26 @@
         self.swim.identity()
     }
 
-    /// Requests to join from the member at this address.
+    /// Sends a join request to the member at this address.
     pub fn join(&mut self, now: Micros, at: SocketAddr, output: &mut Output) {
         self.handle(now, output, |swim, runtime| {
             swim.announce(Identity::at(at), runtime)
         });
     }
 
-    /// Leaves in order: the others need not find out.
+    /// Leaves gracefully: the others are told and need not detect it.
     pub fn leave(&mut self, now: Micros, output: &mut Output) {
         self.handle(now, output, |swim, runtime| swim.leave_cluster(runtime));
     }
 
-    /// Takes a datagram.
+    /// Handles a membership datagram.
     pub fn handle_datagram(&mut self, now: Micros, bytes: &[u8], output: &mut Output) {
         self.handle(now, output, |swim, runtime| {
             swim.handle_data(bytes, runtime)
         });
     }
 
-    /// Lets all timers come due that should have by now.
+    /// Runs all timers that are due.
     pub fn tick(&mut self, now: Micros, output: &mut Output) {
         while let Some(entry) = self.timers.first_entry().filter(|t| t.key().0 <= now) {
             let timer = entry.remove();
@@ -165,8 +165,8 @@
         self.timers.first_key_value().map(|(&(at, _), _)| at)
     }
 
-    /// The sender of a datagram, and the session of a later process of its name that is known here, if there is one: the
-    /// sender's clock was set back, and those who remember that other process would not let it in.
+    /// The sender of a datagram and a later known session of its name, if there is one. This happens if the sender restarted
+    /// with its clock set back; members that remember the other process would not admit it.
     pub fn later_session(&self, datagram: &[u8]) -> Option<(Identity, u64)> {
         let mut codec = Codec::new(self.names.clone());
         let header: Header<Identity> = foca::Codec::decode_header(&mut codec, datagram).ok()?;
@@ -177,7 +177,8 @@
         (latest > sender.session).then_some((sender, latest))
     }
 
-    /// Raises this member's session above that of an earlier process of its name. False where that can't be.
+    /// Raises this member's session above that of an earlier process of its name. Returns false if `above` is not later than
+    /// the current session, or not valid.
     pub fn raise_session(&mut self, now: Micros, above: u64, output: &mut Output) -> bool {
         if above <= self.own().session || above >= Identity::MAX_SESSION {
             return false;
@@ -191,7 +192,7 @@
         true
     }
 
-    /// All other members that are known.
+    /// All other known members.
     pub fn known(&self, now: Micros) -> impl Iterator<Item = KnownMember<'_>> + '_ {
         let reachable = self.swim.iter_members().map(move |member| {
             let identity = member.id();
@@ -213,22 +214,22 @@
         reachable.chain(down)
     }
 
-    /// Where members that went down were.
+    /// The last addresses of members that are down.
     pub fn down_addresses(&self) -> impl Iterator<Item = SocketAddr> + '_ {
         self.down.values().map(|d| d.identity.addr)
     }
 
-    /// Other members that are there, suspected or not.
+    /// Other members that are alive or suspected.
     pub fn reachable(&self) -> impl Iterator<Item = &Identity> + '_ {
         self.swim.iter_members().map(Member::id)
     }
 
-    /// How many other members are there.
+    /// The number of other members that are alive or suspected.
     pub fn reachable_count(&self) -> usize {
         self.swim.num_members()
     }
 
-    /// Lets SWIM handle an event, and takes note of the changes.
+    /// Runs an event through SWIM and records the resulting changes.
     fn handle(
         &mut self,
         now: Micros,
@@ -250,7 +251,7 @@
         self.forget_down(now);
     }
 
-    /// Lets SWIM handle an event, and collects what follows of it.
+    /// Runs an event through SWIM and collects its effects.
     fn run_swim(
         &mut self,
         now: Micros,
@@ -274,13 +275,13 @@
                 OwnedNotification::MemberUp(member) => Some(Change::Up(member)),
                 OwnedNotification::MemberDown(member) => Some(Change::Down(member)),
                 OwnedNotification::Rejoin(own) => Some(Change::Rejoined(own)),
-                // A new identity of one that is there, and this member's own ups and downs, change nobody's status.
+                // A new identity of a live member, and this member's own transitions, change no other member's status.
                 _ => None,
             });
         }
     }
 
-    /// Takes note of a change; whether it makes this member suspect itself: all others are down, or it was called down.
+    /// Records a change. Returns whether this member must suspect itself: all others are down, or it was declared down.
     fn record_change(&mut self, now: Micros, change: &Change) -> bool {
         match change {
             Change::Up(member) => {
@@ -301,8 +302,8 @@
         }
     }
 
-    /// This member was called down, or all others are: more likely it was cut off itself. Its suspicions of others are
-    /// dropped, so that it accuses nobody once it is connected again; those that are there stay, suspected by none.
+    /// Drops all suspicions of others. Called when this member was declared down or all others went down: most likely it was
+    /// cut off itself, and must not spread its suspicions once it is connected again. Live members stay, none suspected.
     fn reset(&mut self, now: Micros, output: &mut Output) {
         let own = foca::Identity::renew(self.own()).unwrap_or_else(|| self.own().clone());
         self.reset_as(now, own, output);
@@ -315,7 +316,7 @@
         self.membership_resets += 1;
         self.timers.clear();
         self.swim = new_swim(own, &mut self.rng, &self.names);
-        // That they are there is no news.
+        // These members were known before: they are not reported as changes.
         let mut no_changes = Output::default();
         self.run_swim(now, &mut no_changes, |swim, runtime| {
             swim.apply_many(members.into_iter(), false, runtime)
@@ -323,7 +324,7 @@
         output.datagrams.append(&mut no_changes.datagrams);
     }
 
-    /// Forgets members that have been down for long, and their names.
+    /// Forgets members that have been down for longer than [`DOWN_RETENTION`], and their names.
     fn forget_down(&mut self, now: Micros) {
         let oldest = now.saturating_sub(micros(DOWN_RETENTION));
         if self.down.values().all(|d| d.since >= oldest) {
--- a/crates/cluster/tests/gossip.rs
+++ b/crates/cluster/tests/gossip.rs
@@ -120,14 +120,14 @@
         assert!(a.publish(0, kind, b"x", 3));
     }
     assert!(!a.publish(0, 99, b"x", 3));
-    assert_eq!(a.refused.bounds, 2);
+    assert_eq!(a.refused.over_limit, 2);
     let mut b = GossipState::new("b", 6);
     for n in 0..MAX_OWNERS + 3 {
         let mut owner = GossipState::new(&format!("o{n}"), 1);
         owner.publish(0, 1, b"x", 1);
         b.receive(0, &owner.next_rumors(0, MAX_BYTES).unwrap(), 0);
     }
-    assert_eq!((b.len(), b.refused.bounds), (MAX_OWNERS - 1, 4));
+    assert_eq!((b.len(), b.refused.over_limit), (MAX_OWNERS - 1, 4));
 }
 
 #[test]
