--- a/crates/cluster/src/consensus/bootstrap.rs
+++ b/crates/cluster/src/consensus/bootstrap.rs
@@ -1,32 +1,33 @@
-//! How a log comes to be, once: by all of the initial voters whom the operator's file names.
+//! Bootstrap of a new log by all initial voters that the operator's configuration names.
 //!
-//! An initial voter with no log draws an id, a new one with each start of its process, and promises itself to the set of ids
-//! that it sees of all initial voters, when it sees all of them there and each without a log. Once it sees that all of a set
-//! have promised themselves to that very set, the log is bootstrapped: whoever sees it first is first. One that has a log
-//! promises nothing any more, and one whose id is in the set of a log that was bootstrapped joins that.
+//! An initial voter without a log draws a replica id, a new one with each start of its process. Once it sees that all initial
+//! voters are reachable and have no log, it promises to join the log of that set of ids. Once it sees that all of them have
+//! promised the same set, the log is bootstrapped; voters may notice this one after another. A voter that has a log makes no
+//! more promises. A voter whose id is in the set of a bootstrapped log that it promised joins that log.
 //!
-//! **Why two logs can't both agree on anything.** Let sets S and T both be bootstrapped, with a name's ids `b` in S and `b'` in
-//! T. Were `b = b'` for one that *has* S, it would never have promised itself to T. So all that have S are in T under other
-//! ids: those are other processes, and a majority of S and one of T working at the same time need two processes of one name
-//! at work for two of three names. Two processes of one name are an upgrade's, which share the state folder's log under a
-//! lock. What an earlier set may have granted ends within [`GRACE_AFTER_BOOTSTRAP`], in which nothing is granted.
+//! **Why two logs can't both make decisions.** Let sets S and T both be bootstrapped, with ids `b` in S and `b'` in T for the
+//! same name. If `b = b'` for a voter that *has* the log of S, it would never have promised T. So every voter that has S is in
+//! T under another id, as another process. Majorities of S and T that work at the same time thus need two running processes
+//! for each of two of three names. Two processes of one name run only during an upgrade, and share the log in the state folder
+//! under a lock. Leases that an earlier set may have granted end within [`GRACE_AFTER_BOOTSTRAP`], during which nothing is
+//! granted.
 //!
 //! [`GRACE_AFTER_BOOTSTRAP`]: super::log_identity::GRACE_AFTER_BOOTSTRAP
 
 use super::log_identity::LogIdentity;
 use super::state::Voter;
 
-/// Sets to which this member once promised itself and that may still be bootstrapped.
+/// Most promised sets that are remembered, since they may still be bootstrapped.
 const MAX_PROMISES: usize = 8;
 
-/// What a member announces of its replica to the others.
+/// What a member announces about its replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Announcement {
     /// Its replica's id.
     pub replica_id: u64,
-    /// Its log; 0 for none.
+    /// The id of its log; 0 for none.
     pub cluster_id: u64,
-    /// The set of initial voters to which it has promised itself; 0 for none.
+    /// The set of initial voters that it promised to join; 0 for none.
     pub promised: u64,
 }
 
@@ -40,7 +41,7 @@
 }
 
 impl Bootstrap {
-    /// Waits to bootstrap a log with these initial voters; `None` where this member is none of them.
+    /// Prepares to bootstrap a log with these initial voters; `None` if this member is not one of them.
     pub fn new(name: &str, replica_id: u64, initial_voters: &[String]) -> Option<Bootstrap> {
         let mut initial_voters = initial_voters.to_vec();
         initial_voters.sort();
@@ -53,15 +54,15 @@
         })
     }
 
-    /// The set to which this member has promised itself; 0 for none.
+    /// The set that this member promised to join; 0 for none.
     pub fn promised(&self) -> u64 {
         self.promises.last().map_or(0, |p| p.cluster_id)
     }
 
-    /// Looks at what the initial voters announce; the log, if it is bootstrapped now.
+    /// Evaluates the announcements of the initial voters. Returns the log's identity once it is bootstrapped.
     ///
-    /// The first look that sees all of them makes the promise; a later one that sees all promises to the same set completes
-    /// the bootstrap.
+    /// The first call that sees all initial voters makes the promise. A later call that sees that all of them promised the
+    /// same set completes the bootstrap.
     pub fn poll(
         &mut self,
         announced: impl Fn(&str) -> Option<Announcement>,
@@ -82,7 +83,7 @@
         all_promised.then_some(set)
     }
 
-    /// What each initial voter announces, this member included.
+    /// The announcement of each initial voter, this member included.
     fn announcements(
         &self,
         announced: impl Fn(&str) -> Option<Announcement>,
@@ -100,7 +101,7 @@
         names.map(|name| (name.clone(), of(name))).collect()
     }
 
-    /// A log that one of the others has and that this member promised itself to.
+    /// A log that this member promised to join and that another initial voter already has.
     fn promised_log_of_others(
         &self,
         all: &[(String, Option<Announcement>)],
@@ -119,7 +120,7 @@
         }
     }
 
-    /// Initial voters that announce nothing, or a log that this member has no part in.
+    /// Other initial voters that announce nothing, or that already have a log.
     pub fn missing(&self, announced: impl Fn(&str) -> Option<Announcement>) -> Vec<String> {
         let is_missing =
             |n: &&String| **n != self.name && announced(n).is_none_or(|a| a.cluster_id != 0);
@@ -131,7 +132,7 @@
     }
 }
 
-/// All initial voters with their ids, if each is there and has no log.
+/// All initial voters with their ids, if each is reachable and has no log.
 fn voters_without_log(all: &[(String, Option<Announcement>)]) -> Option<Vec<Voter>> {
     let voter = |(name, announcement): &(String, Option<Announcement>)| {
         let without_log = announcement.filter(|a| a.cluster_id == 0)?;
--- a/crates/cluster/src/consensus/command.rs
+++ b/crates/cluster/src/consensus/command.rs
@@ -1,6 +1,6 @@
-//! Commands about leases, and what became of them.
+//! Commands to the lease table, and their outcomes.
 //!
-//! All types here are stored or sent in postcard's form: the order of their fields and variants stays.
+//! All types here are stored or sent in postcard format: the order of their fields and variants must not change.
 
 use crate::Micros;
 use serde::{Deserialize, Serialize};
@@ -14,20 +14,20 @@
         resource: String,
         /// How much of it.
         amount: u32,
-        /// No more than this of it may be granted at once, by the requester's settings.
+        /// The most of it that may be granted at once, by the requester's settings.
         limit: u32,
-        /// For how long.
+        /// The duration of the lease.
         duration: Micros,
-        /// It counts beyond its end, until it is released or revoked.
+        /// Whether the lease counts beyond its end, until it is released or revoked.
         stays: bool,
         /// The reason, for operators.
         note: String,
     },
-    /// Moves the end of the requester's lease: so long from now.
+    /// Extends the requester's lease.
     Renew {
         /// The lease.
         fence: u64,
-        /// For how long.
+        /// The duration from now.
         duration: Micros,
     },
     /// Ends the requester's lease.
@@ -35,7 +35,7 @@
         /// The lease.
         fence: u64,
     },
-    /// Ends anybody's lease, by an operator's order.
+    /// Ends any member's lease, on an operator's command.
     Revoke {
         /// The lease.
         fence: u64,
@@ -45,61 +45,61 @@
 /// The outcome of a command.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Outcome {
-    /// The lease is granted, under this number: later ones are higher.
+    /// The lease is granted under this fencing number, which is higher than those of all earlier leases.
     Granted {
         /// The fencing number.
         fence: u64,
     },
-    /// It ends later now.
+    /// The lease was extended.
     Renewed,
-    /// It is ended.
+    /// The lease was ended.
     Released,
-    /// So much of the resource is granted already.
+    /// The grant would exceed the limit of the resource.
     LimitReached {
-        /// How much.
+        /// The amount that is granted already.
         granted: u32,
-        /// Until the first of it ends; `None` where all of it stays.
+        /// The time until the first of its leases ends; `None` if all of them stay beyond their end.
         wait: Option<Micros>,
     },
-    /// There is no such lease, or no more, or it is another's.
+    /// The lease does not exist, has ended, or belongs to another member.
     NotOwner,
-    /// A text, an amount, a time or the number of leases is beyond its bound.
+    /// A text, an amount, a duration or the number of leases is outside its limits.
     OutOfBounds,
-    /// Leases of an earlier log may still be held: none is granted for so long.
+    /// Leases of an earlier log may still be held, so that none is granted yet.
     TooEarly {
-        /// How long.
+        /// The time until leases are granted.
         wait: Micros,
     },
     /// The requester is an earlier process of its name.
     Stale,
 }
 
-/// Identifies a request of a member: numbers count up within a session, and a request that arrives twice is applied once.
+/// Identifies a request of a member. Numbers increase within a session, and a request that arrives twice is applied once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId {
     /// The session of the member's process.
     pub session: u64,
-    /// The request's number in it.
+    /// The request's number in the session.
     pub number: u64,
 }
 
 /// An entry of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Entry {
-    /// The log's time, by its leader.
+    /// The log time, assigned by the leader.
     pub time: Micros,
-    /// The member that requests it.
+    /// The member that sent the request.
     pub owner: String,
     /// The session of its process.
     pub session: u64,
-    /// The request's number in it.
+    /// The request's number in the session.
     pub request: u64,
     /// The command.
     pub command: Command,
 }
 
 impl Entry {
-    /// Which request of its owner this is.
+    /// The id of the owner's request.
     pub fn request_id(&self) -> RequestId {
         RequestId {
             session: self.session,
--- a/crates/cluster/src/consensus/fragmentation.rs
+++ b/crates/cluster/src/consensus/fragmentation.rs
@@ -1,59 +1,59 @@
-//! Transfers of what is longer than a datagram, in fragments.
+//! Transfer of content that exceeds a datagram, in fragments.
 //!
-//! The sender sends the first few, and the receiver requests what it lacks, so that the receiver sets the rate and a lost
-//! datagram costs one more request.
+//! The sender sends the first fragments, and the receiver requests the missing ones, so that the receiver controls the rate
+//! and a lost datagram costs one more request.
 
 use crate::Micros;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Bytes of a fragment's content.
+/// Content bytes of a fragment.
 pub const FRAGMENT_BYTES: usize = 1000;
-/// Longest content of a transfer: a state at all its bounds is a third of it.
+/// Longest content of a transfer. A state that reaches all its limits takes a third of it.
 pub const MAX_TRANSFER_BYTES: usize = 512 * 1024;
-/// Fragments sent unasked.
-const FIRST_FRAGMENTS: usize = 4;
-/// Fragments requested at once.
+/// Fragments that are sent without a request.
+const INITIAL_FRAGMENTS: usize = 4;
+/// Most fragments per request.
 const FRAGMENTS_PER_REQUEST: usize = 8;
-/// Transfers on their way, each way; the oldest is dropped first.
+/// Most transfers in progress in each direction; the oldest is dropped first.
 pub const MAX_TRANSFERS: usize = 8;
-/// A sender drops what nobody requests, and a receiver what does not come on, after this long.
+/// A sender drops a transfer after this long without a request, a receiver after this long without a fragment.
 pub const TRANSFER_TIMEOUT: Micros = 5_000_000;
-/// A receiver requests again after this long without a fragment.
+/// Interval at which a receiver requests missing fragments.
 const REQUEST_INTERVAL: Micros = 150_000;
 
-/// A fragment of a transfer. Sent in postcard's form: the order of the fields stays.
+/// A fragment of a transfer. Sent in postcard format: the order of the fields must not change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fragment {
-    /// The transfer, by the sender's count.
+    /// The transfer's number, assigned by the sender.
     pub transfer: u64,
-    /// What the content is, by the sender's code.
+    /// The code of the content's kind.
     pub kind: u8,
-    /// Which fragment, from 0.
+    /// The fragment's number, from 0.
     pub number: u16,
-    /// How many there are.
+    /// The number of fragments of the transfer.
     pub count: u16,
     /// Its part of the content.
     pub bytes: Vec<u8>,
 }
 
-/// A transfer that has arrived.
+/// A completely received transfer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Received {
-    /// What the content is, by the sender's code.
+    /// The code of the content's kind.
     pub kind: u8,
     /// The content.
     pub bytes: Vec<u8>,
 }
 
-/// Fragments that a receiver lacks.
+/// A request for missing fragments.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FragmentRequest {
     /// The sender of the transfer.
     pub sender: String,
-    /// The transfer, by the sender's count.
+    /// The transfer's number, assigned by the sender.
     pub transfer: u64,
-    /// Which fragments.
+    /// The numbers of the missing fragments.
     pub numbers: Vec<u16>,
 }
 
@@ -115,24 +115,24 @@
 /// An incoming transfer: its sender and number.
 type IncomingKey = (String, u64);
 
-/// All transfers on their way.
+/// All transfers in progress.
 #[derive(Default)]
 pub struct Transfers {
     last_number: u64,
     outgoing: BTreeMap<u64, Outgoing>,
     incoming: BTreeMap<IncomingKey, Incoming>,
-    /// Transfers given up, for their number, age or size, and fragments that contradict others.
+    /// Transfers dropped because of their number, age or size, and fragments that are invalid or contradict others.
     pub dropped: u64,
 }
 
 impl Transfers {
-    /// Begins a transfer; its first fragments. None where the content is empty or too long.
+    /// Starts a transfer and returns its first fragments; returns no fragments if the content is empty or too long.
     pub fn send(&mut self, now: Micros, receiver: &str, kind: u8, bytes: Vec<u8>) -> Vec<Fragment> {
         if bytes.is_empty() || bytes.len() > MAX_TRANSFER_BYTES {
             self.dropped += 1;
             return Vec::new();
         }
-        // What is on its way to the same receiver is out of date.
+        // An earlier transfer of this kind to the same receiver is outdated.
         self.outgoing
             .retain(|_, o| o.receiver != receiver || o.kind != kind);
         if self.outgoing.len() >= MAX_TRANSFERS {
@@ -146,7 +146,7 @@
             bytes,
             last_request: now,
         };
-        let numbers = (0..).take(FIRST_FRAGMENTS);
+        let numbers = (0..).take(INITIAL_FRAGMENTS);
         let first = numbers
             .filter_map(|n| outgoing.fragment(self.last_number, n))
             .collect();
@@ -154,7 +154,7 @@
         first
     }
 
-    /// Fragments that the receiver of a transfer requests.
+    /// The fragments that the receiver of a transfer requested.
     pub fn resend(
         &mut self,
         now: Micros,
@@ -174,7 +174,7 @@
             .collect()
     }
 
-    /// Takes a fragment; the whole transfer, if it was the last that lacked.
+    /// Stores a received fragment; returns the whole transfer once it is complete.
     pub fn receive(&mut self, now: Micros, sender: &str, fragment: Fragment) -> Option<Received> {
         if !is_valid(&fragment) {
             self.dropped += 1;
@@ -201,7 +201,7 @@
         self.incoming.remove(&key).map(Incoming::into_received)
     }
 
-    /// Makes room for a new incoming transfer: a later one of its kind takes the place of an earlier one.
+    /// Makes room for a new incoming transfer, which replaces earlier ones of its kind from the same sender.
     fn make_room(&mut self, sender: &str, fragment: &Fragment) {
         self.incoming.retain(|(from, number), incoming| {
             from != sender || *number > fragment.transfer || incoming.kind != fragment.kind
@@ -216,7 +216,7 @@
         }
     }
 
-    /// Drops transfers that do not come on, and requests what lacks of others.
+    /// Drops stalled transfers, and returns requests for the missing fragments of the others.
     pub fn tick(&mut self, now: Micros) -> Vec<FragmentRequest> {
         let before = self.outgoing.len() + self.incoming.len();
         self.outgoing
@@ -238,12 +238,12 @@
         requests
     }
 
-    /// Transfers on their way to others.
+    /// The number of outgoing transfers.
     pub fn outgoing_count(&self) -> usize {
         self.outgoing.len()
     }
 
-    /// Transfers on their way here.
+    /// The number of incoming transfers.
     pub fn incoming_count(&self) -> usize {
         self.incoming.len()
     }
--- a/crates/cluster/src/consensus/leases.rs
+++ b/crates/cluster/src/consensus/leases.rs
@@ -1,17 +1,18 @@
-//! The lease table: which leases are granted, each with an owner, an end and a fencing number.
+//! The lease table: all granted leases, each with an owner, an end and a fencing number.
 //!
-//! A lease is a part of a resource ("one coordinator of room-a is out"); of a resource no more is ever granted than the
-//! requester's figure says. This is the replicated state: it goes on by entries alone, each with the time that its leader gave
-//! it, so that all who applied the same entries hold the same.
+//! A lease takes an amount of a resource ("one coordinator of room-a is out"). The granted amount of a resource never exceeds
+//! the limit in the request. The table is replicated state: only log entries change it, each with the time that the leader
+//! assigned, so that all replicas that applied the same entries hold the same table.
 //!
-//! **Time.** An entry's time comes from its leader, whose time goes on no faster than any clock and begins at the last one
-//! that was applied. So whatever has ended here has lasted at least as long on the holder's clock, which counts from
-//! before its request. Time that stands still between entries only makes leases end later.
+//! **Time.** The leader assigns an entry's time. The leader's log time advances no faster than its clock and starts at the time
+//! of the last applied entry. A lease that has ended here has therefore lasted at least as long on its holder's clock, which
+//! counts from before the request. Time that stands still between entries only makes leases end later.
 //!
-//! A lease that *stays* is not free at its end: it counts until its owner releases it or an operator revokes it. That is for
-//! what must be seen before it is over: an engine that went out is out until it is seen back, whoever requested that.
+//! A lease that *stays* is not freed at its end: it counts until its owner releases it or an operator revokes it. It is used
+//! where recovery must be observed first: an engine that was taken out counts as out until it is seen back, whichever member
+//! requested it.
 //!
-//! The table is stored and sent in postcard's form: the order of fields stays.
+//! The table is stored and sent in postcard format: the order of fields must not change.
 
 pub use super::command::{Command, Entry, Outcome, RequestId};
 use crate::membership::MAX_NAME_BYTES;
@@ -20,25 +21,25 @@
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
 
-/// Longest name of a resource, and longest note, in bytes.
+/// Longest resource name and longest note, in bytes.
 pub const MAX_TEXT_BYTES: usize = 64;
-/// Leases at once, of all owners.
+/// Most concurrent leases of all owners.
 pub const MAX_LEASES: usize = 512;
-/// Leases at once, of one owner.
+/// Most concurrent leases of one owner.
 pub const MAX_LEASES_PER_OWNER: usize = 64;
-/// Owners whose last request is remembered.
+/// Most owners whose last request is remembered.
 pub const MAX_OWNERS: usize = 1024;
-/// Longest time for which a lease is granted at once.
+/// Longest duration of a grant or renewal.
 pub const MAX_DURATION: Micros = 24 * 3600 * 1_000_000;
-/// Bits of a fencing number that count entries of one log; those above are the second in which the log began.
+/// Low bits of a fencing number that count the entries of one log; the bits above are the second in which the log started.
 ///
-/// A million entries a second would have to pass for a number to come twice; and readers in JSON have 53 bits.
+/// A number could repeat only after a million entries per second. Numbers must fit the 53 bits of integers in JSON.
 const ENTRY_BITS: u32 = 20;
 
-/// A lease that is granted.
+/// A granted lease.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Lease {
-    /// Of which resource.
+    /// The resource.
     pub resource: String,
     /// How much of it.
     pub amount: u32,
@@ -46,9 +47,9 @@
     pub owner: String,
     /// The session of the owner's process.
     pub session: u64,
-    /// Its end, by the log's time.
+    /// Its end, in log time.
     pub end: Micros,
-    /// It counts beyond that.
+    /// Whether it counts beyond its end.
     pub stays: bool,
     /// The reason, for operators.
     pub note: String,
@@ -72,35 +73,35 @@
     }
 }
 
-/// The lease table that all agree on.
+/// The replicated lease table.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Leases {
-    /// The log's time.
+    /// The log time.
     time: Micros,
-    /// Fencing numbers are above this: they must not begin again where a log did.
+    /// Fencing numbers are above this, so that a new log does not reuse those of an earlier one.
     first_fence: u64,
-    /// Nothing is granted before.
+    /// Nothing is granted before this log time.
     grace_until: Micros,
-    /// By fencing number.
+    /// Granted leases by fencing number.
     granted: BTreeMap<u64, Lease>,
-    /// By owner.
+    /// The last request of each owner.
     last_requests: BTreeMap<String, LastRequest>,
 }
 
-/// A lease as a reader sees it.
+/// A lease as returned to readers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LeaseView<'a> {
     /// Its fencing number.
     pub fence: u64,
     /// The lease.
     pub lease: &'a Lease,
-    /// Until its end, by the log's time as it was last known; `None` where that is over and the lease stays.
-    pub left: Option<Micros>,
+    /// The time until its end, by the last known log time; `None` if the end has passed and the lease stays.
+    pub time_left: Option<Micros>,
 }
 
 impl Leases {
-    /// The table of a log that begins at this time of its first voters' clocks, in milliseconds since 1970. What an earlier
-    /// log may have granted, for `grace` at most, must have ended before anything is granted here.
+    /// The table of a log that starts at this time of the initial voters' clocks, in milliseconds since 1970. Nothing is
+    /// granted during `grace`, since leases of an earlier log may last that long.
     pub fn starting_at(clock_ms: u64, grace: Micros) -> Leases {
         Leases {
             first_fence: (clock_ms / 1000) << ENTRY_BITS,
@@ -109,27 +110,27 @@
         }
     }
 
-    /// When a log must begin, in milliseconds since 1970, for its fencing numbers to be above those of this one.
+    /// The earliest start of a new log, in milliseconds since 1970, whose fencing numbers are above those of this one.
     pub fn min_next_start_ms(&self) -> u64 {
         ((self.first_fence >> ENTRY_BITS) + 1) * 1000
     }
 
-    /// The log's time.
+    /// The log time.
     pub fn time(&self) -> Micros {
         self.time
     }
 
     /// All leases, by fencing number.
     pub fn all(&self) -> impl Iterator<Item = LeaseView<'_>> {
-        let left = |lease: &Lease| lease.end.checked_sub(self.time).filter(|&left| left > 0);
+        let time_left = |lease: &Lease| lease.end.checked_sub(self.time).filter(|&left| left > 0);
         self.granted.iter().map(move |(&fence, lease)| LeaseView {
             fence,
             lease,
-            left: left(lease),
+            time_left: time_left(lease),
         })
     }
 
-    /// How much of a resource is granted.
+    /// The granted amount of a resource.
     pub fn granted_of(&self, resource: &str) -> u32 {
         self.granted
             .values()
@@ -137,18 +138,18 @@
             .fold(0, |sum, lease| sum.saturating_add(lease.amount))
     }
 
-    /// What became of a request, if it is the last of its owner's.
+    /// The outcome of a request, if it is its owner's last one.
     pub fn outcome(&self, owner: &str, request: RequestId) -> Option<&Outcome> {
         let last = self.last_requests.get(owner)?;
         (last.id() == request).then_some(&last.outcome)
     }
 
-    /// Forgets the outcomes of requests: observers don't need them.
+    /// Drops the outcomes of requests, which observers don't need.
     pub fn forget_requests(&mut self) {
         self.last_requests.clear();
     }
 
-    /// Applies the entry of this index; what became of it. The same for all that apply the same.
+    /// Applies the entry at this index and returns its outcome. Deterministic: replicas that apply the same entries agree.
     pub fn apply(&mut self, index: u64, entry: Entry) -> Outcome {
         self.time = self.time.max(entry.time);
         self.remove_ended();
@@ -178,7 +179,7 @@
             .retain(|_, lease| lease.stays || lease.end > now);
     }
 
-    /// Forgets the owner whose last request is the oldest, where one more would be too many.
+    /// Drops the owner with the oldest last request if a new owner would exceed the limit.
     fn make_room_for_owner(&mut self, new: &str) {
         if self.last_requests.len() < MAX_OWNERS || self.last_requests.contains_key(new) {
             return;
@@ -262,7 +263,7 @@
             && of_owner < MAX_LEASES_PER_OWNER
     }
 
-    /// Until the first lease of a resource ends by itself; `None` where all of them stay.
+    /// The time until the first lease of a resource ends by itself; `None` if all of them stay.
     fn time_until_first_end(&self, resource: &str) -> Option<Micros> {
         self.granted
             .values()
--- a/crates/cluster/src/consensus/log.rs
+++ b/crates/cluster/src/consensus/log.rs
@@ -1,7 +1,7 @@
-//! A replica's log in memory, as `raft` reads it.
+//! A replica's in-memory log, as `raft` reads it.
 //!
-//! Entries count up from 1 without gaps. Those up to the compaction point are gone: the snapshot stands for them. A few entries
-//! before the snapshot stay after a compaction, for replicas that are a little behind.
+//! Entries are numbered from 1 without gaps. Entries up to the compaction point are dropped; the snapshot covers them. A few
+//! entries before the snapshot are kept after a compaction, for replicas that are slightly behind.
 
 use super::log_identity::LogIdentity;
 use raft::eraftpb::{ConfState, Entry, HardState, Snapshot};
@@ -10,19 +10,19 @@
 use std::fmt;
 use std::rc::Rc;
 
-/// Entries behind the last snapshot with which the log is compacted.
+/// Number of entries after the last snapshot at which the log is compacted.
 pub const COMPACT_AT_ENTRIES: u64 = 256;
-/// Applied entries that stay after a compaction.
+/// Applied entries that are kept after a compaction.
 const ENTRIES_KEPT: u64 = 64;
 
-/// Why a log's file can't be used. The file is left as it is.
+/// Why a log file can't be used. The file is left unchanged.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LogError {
-    /// A newer version's file: its version.
+    /// The file has a newer version, which is given.
     NewerVersion(String),
-    /// Another program's file.
+    /// The file is not a log file.
     UnknownFormat,
-    /// Complete records contradict each other, or one can't be read: a failing disk, or an edited file.
+    /// Complete records contradict each other, or one can't be decoded: the disk is failing, or the file was edited.
     Inconsistent(&'static str),
 }
 
@@ -37,7 +37,7 @@
                 f.write_str("this is no log of driftfront: it is left as it is")
             }
             LogError::Inconsistent(what) => {
-                write!(f, "the log contradicts itself: {what}; it is left as it is")
+                write!(f, "the log is inconsistent: {what}; it is left as it is")
             }
         }
     }
@@ -55,17 +55,17 @@
 /// A replica's log.
 #[derive(Clone, Debug, Default)]
 pub struct Log {
-    /// Which log this is, and which replica of it.
+    /// Identifies the log and the replica.
     pub identity: LogIdentity,
     hard_state: HardState,
     snapshot: Snapshot,
     compacted: CompactionPoint,
-    /// All entries behind the compaction point.
+    /// All entries after the compaction point.
     entries: Vec<Entry>,
 }
 
 impl Log {
-    /// An empty log: just bootstrapped, or of a replica that was let in.
+    /// An empty log, for a bootstrap or for a replica that was admitted to an existing log.
     pub fn new(identity: LogIdentity) -> Log {
         Log {
             identity,
@@ -73,18 +73,18 @@
         }
     }
 
-    /// The index of the last entry, or of what the snapshot stands for.
+    /// The index of the last entry, or of the last one that the snapshot covers.
     pub fn last_index(&self) -> u64 {
         let last = self.entries.last().map(|e| e.index);
         last.unwrap_or_else(|| self.compacted.index.max(self.snapshot_index()))
     }
 
-    /// The last snapshot; index 0 where there is none.
+    /// The last snapshot; its index is 0 if there is none.
     pub fn snapshot(&self) -> &Snapshot {
         &self.snapshot
     }
 
-    /// The index of the last entry that the snapshot stands for; 0 where there is none.
+    /// The index of the last entry that the snapshot covers; 0 if there is no snapshot.
     pub fn snapshot_index(&self) -> u64 {
         self.snapshot.get_metadata().index
     }
@@ -94,7 +94,7 @@
         &self.hard_state
     }
 
-    /// Entries that the snapshot does not stand for.
+    /// Entries that the snapshot does not cover.
     pub fn entries_after_snapshot(&self) -> impl Iterator<Item = &Entry> + '_ {
         let snapshot_index = self.snapshot_index();
         self.entries
@@ -107,16 +107,16 @@
         self.hard_state = hard_state;
     }
 
-    /// Adds entries behind those that are there, or in place of the last of them.
+    /// Appends entries. An entry whose index exists already replaces that entry and all after it.
     ///
     /// # Errors
     ///
-    /// Fails for an entry that was compacted, and for one behind a gap.
+    /// Fails for an entry before the compaction point, and for one that would leave a gap.
     pub fn append(&mut self, entries: Vec<Entry>) -> Result<(), LogError> {
         for entry in entries {
             if entry.index <= self.compacted.index {
                 return Err(LogError::Inconsistent(
-                    "an entry stands where all is agreed",
+                    "an entry overlaps the compacted log",
                 ));
             }
             let position = self.position_of(entry.index);
@@ -129,12 +129,12 @@
         Ok(())
     }
 
-    /// Where the entry of this index, which is behind the compaction point, is held.
+    /// The position in `entries` of an index after the compaction point.
     fn position_of(&self, index: u64) -> usize {
         usize::try_from(index - self.compacted.index - 1).unwrap_or(usize::MAX)
     }
 
-    /// Puts a leader's snapshot in place of all that was there.
+    /// Replaces the whole log by a leader's snapshot.
     pub fn install_snapshot(&mut self, snapshot: Snapshot) {
         let metadata = snapshot.get_metadata();
         self.compacted = CompactionPoint {
@@ -147,7 +147,7 @@
         self.snapshot = snapshot;
     }
 
-    /// Takes a snapshot of this replica's own: entries well before it are let go.
+    /// Installs this replica's own snapshot, and drops all but the last `ENTRIES_KEPT` entries before it.
     pub fn compact(&mut self, snapshot: Snapshot) {
         let index = snapshot.get_metadata().index;
         let keep_from = index.saturating_sub(ENTRIES_KEPT).max(self.compacted.index);
@@ -162,17 +162,17 @@
         self.snapshot = snapshot;
     }
 
-    /// Whether so many entries have gathered that the log should be compacted.
+    /// Whether the log has enough entries after the snapshot to be compacted.
     pub fn is_compaction_due(&self) -> bool {
-        let behind = self.last_index().saturating_sub(self.snapshot_index());
-        behind >= COMPACT_AT_ENTRIES
+        let since_snapshot = self.last_index().saturating_sub(self.snapshot_index());
+        since_snapshot >= COMPACT_AT_ENTRIES
     }
 
-    /// The term of the entry of this index.
+    /// The term of the entry at this index.
     ///
     /// # Errors
     ///
-    /// Fails as `raft` requires: `Compacted` before the compaction point, `Unavailable` behind the last entry.
+    /// Fails as `raft` requires: `Compacted` before the compaction point, `Unavailable` after the last entry.
     pub fn term_at(&self, index: u64) -> raft::Result<u64> {
         if index == self.compacted.index {
             return Ok(self.compacted.term);
@@ -189,22 +189,21 @@
             .ok_or(Error::Store(StorageError::Unavailable))
     }
 
-    /// Fails where entries are missing that the log says were committed. (The commit index is written late: entries behind
-    /// it are valid all the same.)
+    /// Fails if committed entries are missing. Entries after the commit index are valid, since that index is written late.
     pub(super) fn check(&self) -> Result<(), LogError> {
         if self.hard_state.commit > self.last_index() {
-            return Err(LogError::Inconsistent("it lacks what it says was agreed"));
+            return Err(LogError::Inconsistent("committed entries are missing"));
         }
         Ok(())
     }
 }
 
-/// The log as `raft` reads it, shared with the replica that writes it.
+/// The log that `raft` reads, shared with the replica that writes it.
 #[derive(Clone, Debug, Default)]
 pub struct SharedLog(pub Rc<RefCell<Log>>);
 
 impl SharedLog {
-    /// Shares a log.
+    /// Wraps a log for sharing.
     pub fn new(log: Log) -> SharedLog {
         SharedLog(Rc::new(RefCell::new(log)))
     }
--- a/crates/cluster/src/consensus/log_identity.rs
+++ b/crates/cluster/src/consensus/log_identity.rs
@@ -1,4 +1,4 @@
-//! Which log a file belongs to: the first record of a log file.
+//! The identity of a log, stored as the first record of a log file.
 
 use super::leases::Leases;
 use super::state::{State, Voter};
@@ -8,26 +8,26 @@
 use siphasher::sip::SipHasher24;
 use std::hash::Hasher;
 
-/// No lease is granted for this long after a bootstrap, by the log's time.
+/// No lease is granted for this long after a bootstrap, in log time.
 ///
-/// What a cluster without state folders had granted, all of whose voters were lost at once, must have ended by then. No
-/// lease is granted for longer at once where logs are not persistent.
+/// By then, all leases have ended that an earlier log without state folders granted before it lost all voters at once. Where
+/// logs are not persistent, no lease is granted for longer than this.
 pub const GRACE_AFTER_BOOTSTRAP: Micros = 10_000_000;
 
-/// The log that a replica belongs to, and its own id there.
+/// The log that a replica belongs to, and the replica's id in it.
 ///
-/// Stored in postcard's form: the order of the fields stays.
+/// Stored in postcard format: the order of the fields must not change.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogIdentity {
-    /// The replica's id; 0 in the file of one that was replaced, and takes part in no log any more.
+    /// The replica's id; 0 in the file of a replica that was replaced and takes part in no log any more.
     pub replica_id: u64,
-    /// The log: a hash over its initial voters.
+    /// The log's id: a hash of its initial voters.
     pub cluster_id: u64,
-    /// The voters that bootstrapped it, by name; none for a replica that was let in later.
+    /// The voters that bootstrapped it, sorted by name; empty for a replica that was admitted later.
     pub initial_voters: Vec<Voter>,
 }
 
-/// A hash over a set of initial voters, sorted by name; never 0, which stands for no log.
+/// A hash of the initial voters, sorted by name; never 0, which means no log.
 fn cluster_id_of(voters: &[Voter]) -> u64 {
     let mut hash = SipHasher24::new();
     for voter in voters {
@@ -49,7 +49,7 @@
         }
     }
 
-    /// A log that others bootstrapped, for a replica that its leader let in.
+    /// A log that others bootstrapped, for a replica that its leader admitted.
     pub fn joined(replica_id: u64, cluster_id: u64) -> LogIdentity {
         LogIdentity {
             replica_id,
@@ -58,29 +58,29 @@
         }
     }
 
-    /// A log in which this member's replica was replaced by another's.
+    /// A log in which another member replaced this one's replica.
     pub fn replaced(cluster_id: u64) -> LogIdentity {
         LogIdentity::joined(0, cluster_id)
     }
 
-    /// Whether the replica was replaced: nothing of its log is used any more, and it bootstraps no other.
+    /// Whether the replica was replaced: its log is not used any more, and the member bootstraps no other.
     pub fn is_replaced(&self) -> bool {
         self.replica_id == 0
     }
 
-    /// Encodes it for the log's file.
+    /// Encodes the identity for the log file.
     pub fn encode(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// Decodes what [`LogIdentity::encode`] made.
+    /// Decodes the output of [`LogIdentity::encode`].
     pub fn decode(bytes: &[u8]) -> Option<LogIdentity> {
         postcard::from_bytes(bytes).ok()
     }
 
-    /// The snapshot that all initial voters begin with, the same for each.
+    /// The initial snapshot, which is the same for all initial voters.
     pub fn first_snapshot(&self) -> Snapshot {
-        // Ids are drawn above the clock's milliseconds, moved by 20 bits.
+        // The bits of an id above the low 20 are the clock's milliseconds.
         let newest_ms = self.initial_voters.iter().map(|v| v.id >> 20).max();
         let leases = Leases::starting_at(newest_ms.unwrap_or(0), GRACE_AFTER_BOOTSTRAP);
         let voters = self.initial_voters.iter().cloned();
--- a/crates/cluster/src/consensus/messages.rs
+++ b/crates/cluster/src/consensus/messages.rs
@@ -1,7 +1,7 @@
-//! What members send to each other about consensus, and announce to all.
+//! Consensus messages between members, and the notice that each member publishes.
 //!
-//! All types here are sent in postcard's form: the order of their fields and variants stays. Later builds add variants behind
-//! the last one; a message that this build can't decode is counted and ignored.
+//! All types here are sent in postcard format: the order of their fields and variants must not change. Later builds append
+//! variants; a message that this build can't decode is counted and ignored.
 
 use super::bootstrap::Announcement;
 use super::fragmentation::Fragment;
@@ -10,40 +10,40 @@
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
-/// Longest `raft` message that goes in one datagram, with its head.
+/// Longest `raft` message that fits one datagram with its header.
 const MAX_UNFRAGMENTED_BYTES: usize = 1080;
-/// Messages that wait to be sent; beyond, new ones are dropped.
+/// Most messages that wait to be sent; further ones are dropped.
 const MAX_OUTGOING: usize = 512;
 
 /// A message to another member.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) enum Message {
-    /// From one replica of this log to another: `raft`'s own, in protobuf's form.
+    /// A `raft` message between replicas of this log, in protobuf format.
     Raft { cluster_id: u64, bytes: Vec<u8> },
-    /// A fragment of something longer, of this log.
+    /// A fragment of a longer message about this log.
     Fragment { cluster_id: u64, fragment: Fragment },
-    /// Requests fragments that lack.
+    /// Requests missing fragments.
     FragmentRequest { transfer: u64, numbers: Vec<u16> },
-    /// Requests that a command is agreed.
+    /// Requests that a command is committed.
     Request {
         cluster_id: u64,
         session: u64,
         request: u64,
         command: Command,
     },
-    /// What became of a request.
+    /// The outcome of a request.
     Response {
         session: u64,
         request: u64,
         outcome: Outcome,
     },
-    /// The request is to be sent to the leader instead.
+    /// Tells the requester to send the request to the leader instead.
     Redirect { request: u64, leader: String },
-    /// Requests a state that is newer than this.
+    /// Requests a copy of the state that is newer than this position.
     StateRequest { cluster_id: u64, index: u64 },
 }
 
-/// What a transfer in fragments holds.
+/// The content of a fragmented transfer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum TransferKind {
     /// A `raft` message.
@@ -61,7 +61,7 @@
         }
     }
 
-    /// The kind of this code; `None` for a later build's.
+    /// The kind with this code; `None` if it is unknown.
     pub(super) fn from_code(code: u8) -> Option<TransferKind> {
         match code {
             1 => Some(TransferKind::Raft),
@@ -71,57 +71,57 @@
     }
 }
 
-/// Whether a `raft` message goes in one datagram.
+/// Whether a `raft` message fits one datagram.
 pub(super) fn fits_one_datagram(raft_message: &[u8]) -> bool {
     raft_message.len() <= MAX_UNFRAGMENTED_BYTES
 }
 
-/// A place in a log.
+/// A position in a log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct LogPosition {
-    /// The log; 0 for none.
+    /// The log's id; 0 for none.
     pub cluster_id: u64,
-    /// The entry.
+    /// The index of the entry.
     pub index: u64,
 }
 
-/// What a member announces to all of its part in consensus, as a gossip record.
+/// What a member publishes about its participation in consensus, as a gossip record.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Notice {
-    /// Its replica's id: of its log, or drawn for one.
+    /// Its replica's id, or the id that it drew for a future replica.
     pub replica_id: u64,
-    /// The log of which it has a replica; 0 for none.
+    /// The id of the log of which it has a replica; 0 for none.
     pub cluster_id: u64,
-    /// The set of initial voters to which it promised itself; 0 for none.
+    /// The set of initial voters that it promised to join; 0 for none.
     pub promised: u64,
-    /// The state that it knows.
+    /// The position of the newest state that it knows.
     pub known: LogPosition,
     /// The term.
     pub term: u64,
-    /// The leader's name; empty where it knows of none.
+    /// The leader's name; empty if unknown.
     pub leader: String,
-    /// It is a voter.
+    /// Whether it is a voter.
     pub is_voter: bool,
-    /// Its log outlives its process.
+    /// Whether its log survives a restart of its process.
     pub is_persistent: bool,
-    /// It met what only a later build understands, or its replica failed.
+    /// Whether its replica failed, or found data that only a later build understands.
     pub is_unfit: bool,
 }
 
 impl Notice {
-    /// Encodes it as a gossip record.
+    /// Encodes the notice as a gossip record.
     pub fn encode(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// Decodes a gossip record; `None` where it can't be one.
+    /// Decodes a gossip record; `None` if it is not a valid notice.
     pub fn decode(bytes: &[u8]) -> Option<Notice> {
         postcard::from_bytes(bytes)
             .ok()
             .filter(|n: &Notice| n.leader.len() <= MAX_NAME_BYTES)
     }
 
-    /// What it says of its replica; `None` where it has no id.
+    /// The announcement of its replica; `None` without a replica id.
     pub fn announcement(&self) -> Option<Announcement> {
         (self.replica_id != 0).then_some(Announcement {
             replica_id: self.replica_id,
@@ -135,7 +135,7 @@
 #[derive(Default)]
 pub(super) struct Outbox {
     queue: VecDeque<(String, Vec<u8>)>,
-    /// Messages that found no room.
+    /// Messages dropped because the queue was full.
     pub(super) dropped: u64,
 }
 
--- a/crates/cluster/src/consensus/mod.rs
+++ b/crates/cluster/src/consensus/mod.rs
@@ -1,30 +1,34 @@
-//! Consensus: what must never be decided twice, as leases that a majority of a few voters grants.
+//! Consensus: decisions that must be made at most once, as leases granted by a majority of a few voters.
 //!
-//! The voters keep one log (`raft`); all members may send requests, and read. [`Consensus`] is one member's part in it, free
-//! of I/O as the rest: messages and time in; messages, and bytes to be written, out.
+//! The voters replicate one log (`raft`); all members can send requests and read the state. [`Consensus`] is one member's
+//! participant. It does no I/O: its inputs are messages and time, its outputs are messages and bytes to write.
 //!
 //! | module | what it does |
 //! | --- | --- |
-//! | `participant` | one member's part: passes messages and time on to the modules below |
-//! | `participation` | the state machine of that part: bootstrapping, replicating, observing |
+//! | `participant` | one member's participant: passes messages and time on to the modules below |
+//! | `participation` | the participant's state machine: bootstrapping, replicating, observing |
 //! | `requests` | this member's own requests and the leases that it holds |
-//! | `proposals` | as a leader: requests of members that wait to be agreed |
-//! | `reconfiguration` | as a leader: which voter is replaced, when, and by whom |
-//! | `voter_overview` | what that choice depends on, gathered |
+//! | `proposals` | on the leader: proposed requests that are not committed yet |
+//! | `reconfiguration` | on the leader: which voter is replaced, when, and by which member |
+//! | `voter_overview` | gathers the input of that decision |
 //! | `state_copy` | copies of the state for members without a replica |
-//! | `bootstrap` | how a log comes to be, once |
+//! | `bootstrap` | the bootstrap of a new log |
 //! | `replica` | one replica of the log: `raft` |
-//! | `log`, `log_identity`, `store` | the log in memory, which log it is, its form in a file |
-//! | `state`, `leases` | the state that the log's entries make |
+//! | `log`, `log_identity`, `store` | the in-memory log, its identity, its file format |
+//! | `state`, `leases` | the replicated state |
 //! | `command` | commands to the lease table, and their outcomes |
-//! | `messages`, `fragmentation` | what members send each other, and how it fits datagrams |
+//! | `messages`, `fragmentation` | messages between members, and their transfer in datagrams |
 //! | `peers` | the other members, as membership and gossip know them |
-//! | `view` | what operators see |
+//! | `view` | the state and counters as operators see them |
 //!
-//! **Alone**, or without a majority: nothing new is granted. What is held stays until its end by the holder's own clock; then
-//! the holder does what one does that never had it. **At most**, a peer with the key that lies can say that something is
-//! granted which is not, replace voters and end replicas; a site trusts who holds its key. A process that was stopped holds
-//! nothing when it wakes: ends are looked at when a lease is used ([`Consensus::holds`]), not when it was granted.
+//! **Isolation.** Without a majority nothing new is granted. A held lease remains valid until its end by the holder's own clock;
+//! after that the holder must act as if it never had it.
+//!
+//! **Malicious peers.** A peer that holds the key can claim that a lease is granted which is not, replace voters and terminate
+//! replicas; a site must trust the holders of its key.
+//!
+//! **Stopped processes.** A process that was stopped holds no expired lease when it resumes: the end of a lease is checked at
+//! each use ([`Consensus::holds`]), not only when it is granted.
 
 mod bootstrap;
 mod command;
--- a/crates/cluster/src/consensus/participant/mod.rs
+++ b/crates/cluster/src/consensus/participant/mod.rs
@@ -281,7 +281,7 @@
                 .map(|granted| GrantedLease {
                     fence: granted.fence,
                     lease: granted.lease.clone(),
-                    time_left: granted.left,
+                    time_left: granted.time_left,
                 })
                 .collect(),
         }
--- a/crates/cluster/src/gossip/mod.rs
+++ b/crates/cluster/src/gossip/mod.rs
@@ -227,7 +227,7 @@
         self.records.is_empty()
     }
 
-    /// Marks unreachable owners, and drops those that have been unreachable for longer than [`GONE_OWNER_RETENTION`].
+    /// Marks unreachable owners, and drops those that have been unreachable for longer than `GONE_OWNER_RETENTION`.
     pub fn update_reachability(&mut self, now: Micros, is_reachable: impl Fn(&str) -> bool) {
         for (owner, gone_since) in &mut self.owners {
             if *owner == self.name || is_reachable(owner) {
--- a/crates/cluster/tests/leases.rs
+++ b/crates/cluster/tests/leases.rs
@@ -106,7 +106,7 @@
         leases.apply(2, entry(900 * S, "b", 1, acquire("out", S, false))),
         full
     );
-    assert_eq!(leases.all().next().map(|s| s.left), Some(None));
+    assert_eq!(leases.all().next().map(|s| s.time_left), Some(None));
     assert_eq!(
         leases.apply(3, entry(901 * S, "b", 2, Command::Revoke { fence: 1 })),
         Outcome::Released
