--- a/crates/cluster/src/consensus/participant/incoming.rs
+++ b/crates/cluster/src/consensus/participant/incoming.rs
@@ -1,4 +1,4 @@
-//! Handles messages of other members.
+//! Handling of messages from other members.
 
 use super::Consensus;
 use crate::consensus::leases::{Command, Outcome, RequestId};
@@ -88,7 +88,7 @@
     }
 
     fn handle_raft_message(&mut self, now: Micros, cluster_id: u64, bytes: &[u8]) {
-        if self.replica().is_none() && self.is_let_in_by(bytes) {
+        if self.replica().is_none() && self.is_admitted_by(bytes) {
             let identity = LogIdentity::joined(self.replica_id, cluster_id);
             let replica = Replica::join(identity, self.rng.random());
             self.participation = Participation::replicating(replica);
@@ -103,19 +103,19 @@
         self.last_message_at = now;
     }
 
-    /// Whether this is a leader's message to the id that this member drew: it let it in.
-    fn is_let_in_by(&self, raft_message: &[u8]) -> bool {
-        let is_leaders = |kind: MessageType| {
+    /// Whether this is a leader's message to the replica id that this member drew, which means that the leader admitted it.
+    fn is_admitted_by(&self, raft_message: &[u8]) -> bool {
+        let is_from_leader = |kind: MessageType| {
             matches!(
                 kind,
                 MessageType::MsgAppend | MessageType::MsgHeartbeat | MessageType::MsgSnapshot
             )
         };
         RaftMessage::parse_from_bytes(raft_message)
-            .is_ok_and(|m| m.to == self.replica_id && is_leaders(m.get_msg_type()))
+            .is_ok_and(|m| m.to == self.replica_id && is_from_leader(m.get_msg_type()))
     }
 
-    /// Takes a member's request: answers it, proposes it as the leader, or names the leader.
+    /// Handles a member's request: responds if it was applied already, proposes it as the leader, or redirects to the leader.
     fn handle_request(
         &mut self,
         clock: Micros,
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Proposes a member's command as the leader; false where this member does not lead.
+    /// Proposes a member's command as the leader; false if this member is not the leader.
     pub(super) fn propose(
         &mut self,
         clock: Micros,
@@ -168,7 +168,7 @@
         true
     }
 
-    /// Sends a member the outcome of its request; this member's own is completed at once.
+    /// Sends a member the outcome of its request; a request of this member is completed at once.
     pub(super) fn respond(
         &mut self,
         clock: Micros,
@@ -198,7 +198,7 @@
             .complete(clock, number, outcome, &mut self.counters);
     }
 
-    /// Takes a voter's response to a request of this member.
+    /// Handles a voter's response to a request of this member.
     fn handle_response(
         &mut self,
         clock: Micros,
@@ -225,7 +225,7 @@
         }
     }
 
-    /// Sends the state to a member that knows an older one.
+    /// Sends a copy of the state to a member that knows an older one.
     fn send_newer_state(&mut self, now: Micros, receiver: &str, known: LogPosition) {
         let own = self.known_position();
         let has_newer = own.cluster_id != known.cluster_id || own.index > known.index;
@@ -244,8 +244,8 @@
         }
     }
 
-    /// Takes a copy of the state. A voter that others replaced while it was away hears nothing of the log: nobody sends it
-    /// any more. Its id is of no other life, so that nothing is lost but its part.
+    /// Handles a copy of the state. A voter that was replaced while it was offline receives no more log messages and learns of
+    /// its replacement from such a copy. Its id is never used again, so that it can drop its replica safely.
     fn handle_state_copy(&mut self, sender: &str, bytes: &[u8]) {
         let Some(copy) = StateCopy::decode(bytes) else {
             self.counters.malformed += 1;
@@ -253,13 +253,13 @@
         };
         self.copy.update(copy);
         if self.was_replaced_according_to(sender) {
-            // Others are the voters now: it bootstraps no log beside theirs.
+            // Other members are the voters now: this one must not bootstrap a second log.
             let identity = LogIdentity::replaced(self.copy.position.cluster_id);
             self.abandon_replica(store::encode_file(&Log::new(identity)));
         }
     }
 
-    /// Whether the copied state, sent by one of its voters, is newer than the replica's and has no voter of the replica's id.
+    /// Whether the copied state, sent by one of its voters, is newer than the replica's and does not contain the replica's id.
     fn was_replaced_according_to(&self, sender: &str) -> bool {
         let Some(replica) = self.replica() else {
             return false;
--- a/crates/cluster/src/consensus/participant/mod.rs
+++ b/crates/cluster/src/consensus/participant/mod.rs
@@ -1,11 +1,11 @@
-//! One member's part in consensus.
+//! One member's consensus participant.
 //!
 //! | module | what it does |
 //! | --- | --- |
-//! | this | the part's state and interface |
-//! | `incoming` | handles messages of other members |
-//! | `timers` | does what is due |
-//! | `output` | hands on what the replica has to send, to write and to report |
+//! | this | the participant's state and interface |
+//! | `incoming` | handles messages from other members |
+//! | `timers` | runs periodic work |
+//! | `output` | processes the replica's messages, writes and applied entries |
 
 mod incoming;
 mod output;
@@ -31,33 +31,33 @@
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Members without a replica look for a newer state this often.
+/// Interval at which members without a replica look for a newer state.
 const COPY_INTERVAL: Micros = 500_000;
-/// A voter that knows no leader for this long looks whether it is a voter still.
+/// A voter that has known no leader for this long checks whether it is still a voter.
 const LEADERLESS_TIMEOUT: Micros = 3_000_000;
-/// Bits of a replica's id that are drawn; those above are the clock's milliseconds.
-const DRAWN_ID_BITS: u32 = 20;
+/// Random low bits of a replica's id; the bits above are the clock's milliseconds.
+const RANDOM_ID_BITS: u32 = 20;
 
-/// What a member's part in consensus starts with.
+/// The start options of a consensus participant.
 #[derive(Clone, Debug, Default)]
 pub struct Options {
-    /// The voters that bootstrap the log, by name, as the operator's file has them; none where this member only observes.
+    /// The names of the voters that bootstrap the log, from the operator's configuration; empty if this member only observes.
     pub initial_voters: Vec<String>,
-    /// A voter that is down for so long is replaced.
+    /// A voter that is down for this long is replaced.
     pub replace_after: Micros,
     /// This member's zone; empty for none.
     pub zone: String,
-    /// What the state folder's file holds; `None` where nothing is persistent.
+    /// The content of the log file in the state folder; `None` without a state folder, so that nothing is persistent.
     pub file: Option<Vec<u8>>,
 }
 
-/// One member's part in consensus.
+/// One member's consensus participant.
 pub struct Consensus {
     name: String,
     options: Options,
-    /// The id of its replica, or drawn for one.
+    /// The id of its replica, or the id drawn for a future one.
     replica_id: u64,
-    /// Its log outlives its process.
+    /// Whether its log survives a restart of its process.
     is_persistent: bool,
     participation: Participation,
     copy: StateCopy,
@@ -68,27 +68,27 @@
     requests: Requests,
     proposals: Proposals,
     rng: SmallRng,
-    /// What the host's clock showed last.
+    /// The host's clock at the last tick.
     clock: Micros,
     next_tick: Micros,
     last_tick: Micros,
     next_copy_request: Micros,
-    /// When a message of another replica arrived last.
+    /// When the last message from another replica arrived.
     last_message_at: Micros,
     leaderless_since: Option<Micros>,
     last_leader: Option<u64>,
     counters: Counters,
 }
 
-/// A replica's id that is above all of earlier sessions.
+/// Draws a replica id that is above those of all earlier sessions.
 fn draw_replica_id(session: u64, rng: &mut SmallRng) -> u64 {
-    let mask = (1 << DRAWN_ID_BITS) - 1;
-    (session >> DRAWN_ID_BITS).max(1) << DRAWN_ID_BITS | u64::from(rng.random::<u32>() & mask)
+    let mask = (1 << RANDOM_ID_BITS) - 1;
+    (session >> RANDOM_ID_BITS).max(1) << RANDOM_ID_BITS | u64::from(rng.random::<u32>() & mask)
 }
 
 impl Consensus {
-    /// The part of a process of this name and session. With an error where the file that was kept can't be used: it is left
-    /// as it is, and this member only observes.
+    /// The participant of a process with this name and session. Also returns an error if the log file can't be used: the file
+    /// is left unchanged, and this member only observes.
     pub fn new(
         name: &str,
         session: u64,
@@ -102,7 +102,7 @@
         let replica = log.filter(|_| !is_replaced).and_then(|log| {
             let replica = Replica::open(log, rng.random());
             if replica.is_none() {
-                error = Some(LogError::Inconsistent("the engine of the log refuses it"));
+                error = Some(LogError::Inconsistent("raft rejects it"));
             }
             replica
         });
@@ -121,7 +121,7 @@
             name: name.into(),
             options,
             replica_id,
-            // What can't be used must not be written over.
+            // An unusable file must not be overwritten.
             is_persistent: is_persistent && error.is_none(),
             participation,
             copy: StateCopy::default(),
@@ -144,7 +144,7 @@
         (consensus, error)
     }
 
-    /// Takes another session from now on.
+    /// Changes the session of this process.
     pub fn change_session(&mut self, session: u64) {
         self.requests.session = session;
     }
@@ -154,7 +154,7 @@
         self.participation.replica()
     }
 
-    /// The counts so far.
+    /// The counters since the start.
     pub fn counters(&self) -> Counters {
         Counters {
             rejected: self.counters.rejected + self.outbox.dropped,
@@ -162,13 +162,13 @@
         }
     }
 
-    /// The log: of the replica, else of the state that was copied.
+    /// The id of the log: that of the replica, else of the copied state.
     fn cluster_id(&self) -> u64 {
         self.replica()
             .map_or(self.copy.position.cluster_id, Replica::cluster_id)
     }
 
-    /// The state as far as this member knows it: the replica's, or a copy that is newer.
+    /// The newest state that this member knows: the replica's, or a newer copy.
     fn state(&self) -> &State {
         let Some(replica) = self.replica() else {
             return &self.copy.state;
@@ -182,7 +182,7 @@
         }
     }
 
-    /// What this member announces of the state that it knows.
+    /// The position of the newest state that this member announces.
     fn known_position(&self) -> LogPosition {
         match self.replica().map(position_of) {
             Some(own) if own.index > 0 => own,
@@ -199,7 +199,7 @@
         }
     }
 
-    /// Whether the logs of all voters outlive their processes.
+    /// Whether the logs of all voters are persistent.
     fn all_persistent(&self) -> bool {
         all_persistent(&self.own_member(), self.state(), &self.peers)
     }
@@ -209,8 +209,8 @@
         own.or_else(|| self.copy.state.voters.get(&id))
     }
 
-    /// The leader by this member's own replica. A learner never becomes a candidate, and would otherwise keep its last leader
-    /// for ever.
+    /// The leader according to this member's own replica. A learner never starts an election and would keep its last leader
+    /// indefinitely, so its leader counts only while messages arrive.
     fn own_leader(&self) -> Option<u64> {
         let replica = self.replica()?;
         let has_recent_message = || self.last_tick < self.last_message_at + LEADERLESS_TIMEOUT;
@@ -219,7 +219,7 @@
             .filter(|_| replica.is_voter() || has_recent_message())
     }
 
-    /// The leader's name, as far as is known: by this member's own replica, else by what reachable voters announce.
+    /// The leader's name, if known: according to this member's replica, else to the announcements of reachable voters.
     pub fn leader(&self) -> Option<String> {
         let name = match self.own_leader() {
             Some(id) => self.name_of_replica(id),
@@ -228,7 +228,7 @@
         name.cloned()
     }
 
-    /// What this member announces to all others of its part in consensus.
+    /// The notice that this member publishes about its participation.
     pub fn notice(&self) -> Notice {
         let replica = self.replica();
         let leader = self.own_leader().and_then(|id| self.name_of_replica(id));
@@ -248,7 +248,7 @@
         }
     }
 
-    /// The present state, for operators.
+    /// The current state, for operators.
     pub fn view(&self) -> View {
         let state = self.state();
         let voter_ids = self
@@ -287,17 +287,17 @@
         }
     }
 
-    /// The next message to send, and to whom.
+    /// The next message to send, and its receiver.
     pub fn next_outgoing(&mut self) -> Option<(String, Vec<u8>)> {
         self.outbox.pop()
     }
 
-    /// The next thing to write; `None` where nothing is.
+    /// The next pending write, if there is one.
     pub fn next_write(&mut self) -> Option<Write> {
         self.writes.pop_front()
     }
 
-    /// Confirms that this write, and all before it, are persistent.
+    /// Confirms that this write and all earlier ones are persistent.
     pub fn confirm_write(&mut self, now: Micros, number: u64) {
         if let Some(replica) = self.participation.replica_mut() {
             replica.confirm_write(number);
@@ -311,14 +311,14 @@
             .submit(clock, command, timeout, &mut self.counters)
     }
 
-    /// The next submitted request that is completed, if there is one.
+    /// The next completed request, if there is one.
     pub fn next_outcome(&mut self) -> Option<CompletedRequest> {
         self.requests.next_reported()
     }
 
-    /// Whether this member holds a lease at this moment of the host's clock: to be checked at each use.
+    /// Whether this member holds a lease at `clock` of the host's clock. Must be checked at each use of the lease.
     pub fn holds(&self, fence: u64, clock: Micros) -> bool {
-        // A clock that was set back knows of no end.
+        // If the clock was set back, it is unknown whether the lease has ended.
         clock >= self.clock && self.requests.holds(fence, clock)
     }
 
@@ -327,7 +327,7 @@
         self.requests.held()
     }
 
-    /// Releases a lease: it is not used from this moment on, whenever that is agreed.
+    /// Releases a lease. It counts as not held from now on, even before the release is committed.
     pub fn release(&mut self, fence: u64) {
         self.requests.release(fence, &mut self.counters);
     }
@@ -340,7 +340,7 @@
     }
 }
 
-/// The log that a file holds, if it holds one, and why it can't be used, if so.
+/// Reads a log file: its log, if it has one, or why it can't be used.
 fn load(file: Option<Vec<u8>>) -> (Option<Log>, Option<LogError>) {
     match file.map(|bytes| store::read(&bytes)) {
         None => (None, None),
--- a/crates/cluster/src/consensus/participant/output.rs
+++ b/crates/cluster/src/consensus/participant/output.rs
@@ -1,4 +1,4 @@
-//! Hands on what the replica has to send, to write and to report.
+//! Processing of the replica's output: messages, writes and applied entries.
 
 use super::Consensus;
 use crate::consensus::messages::{fits_one_datagram, Message, TransferKind};
@@ -6,12 +6,12 @@
 use crate::Micros;
 
 impl Consensus {
-    /// Hands on what the replica has ready, until it has nothing more: what is written at once lets it go on.
+    /// Processes the replica's output until there is none left: writes that are confirmed at once produce more output.
     pub(super) fn handle_replica_output(&mut self, now: Micros) {
         while self.handle_some_output(now) {}
     }
 
-    /// Whether there was any.
+    /// Processes the pending output; returns whether there was any.
     fn handle_some_output(&mut self, now: Micros) -> bool {
         let had_writes = self.collect_writes();
         let Some(replica) = self.participation.replica_mut() else {
@@ -30,7 +30,7 @@
         had_any
     }
 
-    /// Takes the replica's writes; whether there were any. Where nothing is persistent they are confirmed at once.
+    /// Collects the replica's writes; returns whether there were any. Without persistence they are confirmed at once.
     fn collect_writes(&mut self) -> bool {
         let Some(replica) = self.participation.replica_mut() else {
             return false;
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Sends what is longer than a datagram.
+    /// Sends content that exceeds a datagram.
     pub(super) fn send_transfer(
         &mut self,
         now: Micros,
--- a/crates/cluster/src/consensus/participant/timers.rs
+++ b/crates/cluster/src/consensus/participant/timers.rs
@@ -1,6 +1,6 @@
-//! Does what is due.
+//! Periodic work of the participant.
 
-use super::{draw_replica_id, Consensus, COPY_INTERVAL, DRAWN_ID_BITS, LEADERLESS_TIMEOUT};
+use super::{draw_replica_id, Consensus, COPY_INTERVAL, LEADERLESS_TIMEOUT, RANDOM_ID_BITS};
 use crate::consensus::bootstrap::Bootstrap;
 use crate::consensus::leases::{Command, RequestId};
 use crate::consensus::messages::{LogPosition, Message};
@@ -15,17 +15,17 @@
 use rand::Rng;
 
 impl Consensus {
-    /// Does all that is due by the cluster's time and the host's clock. `peers`: all other members that are known.
+    /// Runs all work that is due by local time `now` and the host's clock. `peers` returns all other known members.
     pub fn tick(&mut self, now: Micros, clock: Micros, peers: impl FnOnce() -> Vec<Peer>) {
         self.observe_clock(clock);
         if now >= self.next_tick {
-            // One that was held up ticks once, not many times at once.
+            // After a stall the replica ticks once instead of catching up.
             self.next_tick = (self.next_tick + TICK).max(now + TICK / 2);
             self.last_tick = now;
             self.peers.replace(peers());
             self.tick_replica();
             self.try_bootstrap();
-            self.watch_leader(now);
+            self.track_leader(now);
             self.abandon_lost_log(now);
             self.propose_reconfiguration();
             self.request_fragments(now);
@@ -38,7 +38,7 @@
         self.handle_replica_output(now);
     }
 
-    /// Takes the host's clock: held leases end by it, and the log's time goes on by a leader's.
+    /// Records the host's clock, by which held leases end and a leader's log time advances.
     fn observe_clock(&mut self, clock: Micros) {
         if clock < self.clock {
             self.requests.handle_clock_set_back(&mut self.counters);
@@ -60,16 +60,16 @@
         }
     }
 
-    /// Lets go of the replica: its process may be let in again, under another id. `file`: what is written in place of its log.
+    /// Drops the replica and draws a new id, under which this process may be admitted again. `file` replaces the log file.
     pub(super) fn abandon_replica(&mut self, file: Vec<u8>) {
         self.counters.replicas_lost += 1;
         self.participation = Participation::Observing;
         self.proposals.clear();
-        let min_clock_ms = (self.replica_id >> DRAWN_ID_BITS) + 1;
+        let min_clock_ms = (self.replica_id >> RANDOM_ID_BITS) + 1;
         let clock_ms = (self.clock / 1000).max(min_clock_ms);
-        self.replica_id = draw_replica_id(clock_ms << DRAWN_ID_BITS, &mut self.rng);
+        self.replica_id = draw_replica_id(clock_ms << RANDOM_ID_BITS, &mut self.rng);
         if self.is_persistent {
-            // Writes of the replica that is gone are of no use any more.
+            // Pending writes of the dropped replica are obsolete.
             self.writes.clear();
             self.writes.push_back(Write {
                 number: 0,
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Bootstraps a log as soon as all initial voters have promised themselves to it.
+    /// Bootstraps a log once all initial voters have promised to join it.
     fn try_bootstrap(&mut self) {
         if self.has_foreign_voters() {
             return;
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Whether members that are no initial voters have a log: it is their leader that lets this one in.
+    /// Whether a voter that is not an initial voter has a log: then its leader admits this member.
     fn has_foreign_voters(&self) -> bool {
         self.peers.reachable().any(|(peer, notice)| {
             let is_voter = notice.is_voter && notice.cluster_id != 0;
@@ -103,15 +103,16 @@
         })
     }
 
-    /// Fencing numbers of the next log must be above those of one that is known, whatever this host's clock shows.
+    /// Raises the drawn replica id so that the fencing numbers of a new log are above those of a known one, regardless of this
+    /// host's clock.
     fn raise_replica_id(&mut self) {
         let is_bootstrapping = self.participation.bootstrap().is_some();
         let min_clock_ms = self.copy.state.leases.min_next_start_ms();
-        let is_above = self.replica_id >> DRAWN_ID_BITS >= min_clock_ms;
+        let is_above = self.replica_id >> RANDOM_ID_BITS >= min_clock_ms;
         if !is_bootstrapping || self.copy.position.cluster_id == 0 || is_above {
             return;
         }
-        self.replica_id = draw_replica_id(min_clock_ms << DRAWN_ID_BITS, &mut self.rng);
+        self.replica_id = draw_replica_id(min_clock_ms << RANDOM_ID_BITS, &mut self.rng);
         if let Some(bootstrap) = self.new_bootstrap() {
             self.participation = Participation::Bootstrapping(bootstrap);
         }
@@ -121,8 +122,8 @@
         Bootstrap::new(&self.name, self.replica_id, &self.options.initial_voters)
     }
 
-    /// Counts leaders, and notes since when none is known.
-    fn watch_leader(&mut self, now: Micros) {
+    /// Counts changes of the leader, and records since when none is known.
+    fn track_leader(&mut self, now: Micros) {
         match self.own_leader() {
             None => {
                 self.leaderless_since.get_or_insert(now);
@@ -136,16 +137,16 @@
             }
         }
         if self.replica().is_some_and(|r| !r.leads()) {
-            // The next leader receives them from the members again.
+            // The members send their requests to the next leader again.
             self.proposals.clear();
         }
     }
 
-    /// Lets go of a log that can't go on.
+    /// Drops the replica of a log that can't make progress any more.
     ///
-    /// A log of which a majority is lost for ever agrees on nothing any more: nobody brings back an id that its process does
-    /// not announce. Who has the rest of it lets go, so that the initial voters can bootstrap another; so does who was let in
-    /// by a leader that was not heard again before it sent anything.
+    /// A log that permanently lost a majority of its replicas can't commit anything: an id that its process no longer
+    /// announces never returns. The remaining replicas are dropped, so that the initial voters can bootstrap another log. A
+    /// replica is also dropped if its leader admitted it but became unreachable before sending any state.
     fn abandon_lost_log(&mut self, now: Micros) {
         let is_overdue = |since: Micros| now >= since + LEADERLESS_TIMEOUT;
         if !self.leaderless_since.is_some_and(is_overdue) {
@@ -163,14 +164,14 @@
         }
     }
 
-    /// Whether the process of another replica announces another id.
+    /// Whether another replica is lost: its process announces another id.
     fn is_lost(&self, replica: &Replica, id: u64) -> bool {
         let name = replica.state().voters.get(&id);
         let announcement = name.and_then(|name| self.peers.announcement(name));
         id != self.replica_id && announcement.is_some_and(|a| a.replica_id != id)
     }
 
-    /// As the leader: proposes the next change of voters, if one is due.
+    /// On the leader: proposes the next change of voters, if one is due.
     fn propose_reconfiguration(&mut self) {
         let Some(replica) = self.replica().filter(|r| r.leads()) else {
             return;
@@ -192,7 +193,7 @@
         }
     }
 
-    /// Requests a newer state, as a member without a replica, or with one that nobody sends anything.
+    /// Requests a newer state if this member is not a working voter, or is a voter without a leader.
     fn request_newer_state(&mut self, now: Micros) {
         let is_leaderless = self
             .leaderless_since
@@ -203,7 +204,7 @@
         if is_voting && !is_leaderless {
             return;
         }
-        // A voter that may have been replaced must hear it from one of the voters.
+        // Only a voter may tell a replica that it was replaced.
         let voters_only = self.replica().is_some();
         let Some(sources) = CopySources::find(&self.peers, self.known_position(), voters_only)
         else {
@@ -216,7 +217,7 @@
         }
     }
 
-    /// Sends this member's request, if one is due: to itself as the leader, else to the leader or any voter.
+    /// Sends this member's next request, if due: proposes it as the leader, else sends it to the leader or any voter.
     fn send_own_request(&mut self, now: Micros, clock: Micros) {
         self.requests.report_timed_out(clock, &mut self.counters);
         if self.cluster_id() == 0 {
@@ -239,7 +240,7 @@
         }
     }
 
-    /// The leader, else any other voter.
+    /// The leader if known, else a random other voter.
     fn request_receiver(&mut self) -> Option<String> {
         let leader = self.leader().filter(|l| *l != self.name);
         let voters = self.state().voters.values();
--- a/crates/cluster/src/consensus/participation.rs
+++ b/crates/cluster/src/consensus/participation.rs
@@ -1,36 +1,36 @@
-//! A member's part in the log, as a state machine.
+//! A member's participation in the log, as a state machine.
 
 use super::bootstrap::Bootstrap;
 use super::replica::Replica;
 use super::view::Role;
 
-/// What a member does for the log.
+/// A member's participation in the log.
 ///
 /// | from | to | when |
 /// | --- | --- | --- |
-/// | start | `Replicating` | its file holds a log that is not replaced |
+/// | start | `Replicating` | its file holds a log in which it was not replaced |
 /// | start | `Bootstrapping` | its file holds no log, and it is an initial voter |
-/// | start | `Observing` | otherwise; also where its file can't be used, or says that it was replaced |
-/// | `Bootstrapping` | `Replicating` | all initial voters have promised themselves to the same set |
-/// | `Bootstrapping`, `Observing` | `Replicating` | a leader sends to the id that this member drew: it let it in |
+/// | start | `Observing` | otherwise; also if its file can't be used, or says that it was replaced |
+/// | `Bootstrapping` | `Replicating` | all initial voters have promised the same set |
+/// | `Bootstrapping`, `Observing` | `Replicating` | a leader admitted it: it sent a message to the id that this member drew |
 /// | `Replicating` | `Observing` | the replica failed, or a voter's state says that it was replaced |
-/// | `Replicating` | `Bootstrapping` | a majority of its log is lost for ever, or its leader was not heard again before it sent anything; `Observing` for no initial voter |
+/// | `Replicating` | `Bootstrapping` (`Observing` if it is not an initial voter) | a majority of its log is permanently lost, or its leader became unreachable before sending any state |
 pub(super) enum Participation {
     /// It waits for the other initial voters.
     Bootstrapping(Bootstrap),
-    /// It has a replica: as a voter, or as a learner.
+    /// It has a replica, as a voter or as a learner.
     Replicating(Box<Replica>),
-    /// It reads the state from others, and sends requests.
+    /// It has no replica: it copies the state from others, and can send requests.
     Observing,
 }
 
 impl Participation {
-    /// Waits for the other initial voters, or observes where it is none of them.
+    /// Bootstraps, or observes if this member is not an initial voter.
     pub(super) fn bootstrapping(bootstrap: Option<Bootstrap>) -> Participation {
         bootstrap.map_or(Participation::Observing, Participation::Bootstrapping)
     }
 
-    /// Replicates, or observes where the replica could not be opened.
+    /// Replicates, or observes if the replica could not be opened.
     pub(super) fn replicating(replica: Option<Replica>) -> Participation {
         replica.map_or(Participation::Observing, |replica| {
             Participation::Replicating(Box::new(replica))
@@ -65,12 +65,12 @@
         }
     }
 
-    /// The replica while it leads.
+    /// The replica if it is the leader.
     pub(super) fn leading(&mut self) -> Option<&mut Replica> {
         self.replica_mut().filter(|r| r.leads())
     }
 
-    /// The role as operators know it.
+    /// The role as shown to operators.
     pub(super) fn role(&self) -> Role {
         match self {
             Participation::Bootstrapping(_) => Role::Bootstrapping,
--- a/crates/cluster/src/consensus/peers.rs
+++ b/crates/cluster/src/consensus/peers.rs
@@ -11,18 +11,18 @@
 pub struct Peer {
     /// Its name.
     pub name: String,
-    /// How sure it is to be there.
+    /// Its membership status.
     pub status: MemberStatus,
-    /// For how long it has been so.
+    /// How long it has been up or down.
     pub status_age: Micros,
     /// Its zone.
     pub zone: String,
-    /// What it announces of its part in consensus.
+    /// The notice that it published.
     pub notice: Option<Notice>,
 }
 
 impl Peer {
-    /// Whether nobody has called it down.
+    /// Whether it is alive or suspected.
     pub fn is_reachable(&self) -> bool {
         self.status != MemberStatus::Down
     }
@@ -33,7 +33,7 @@
 pub(super) struct Peers(BTreeMap<String, Peer>);
 
 impl Peers {
-    /// Puts these in place of all that were known.
+    /// Replaces all known peers.
     pub(super) fn replace(&mut self, peers: Vec<Peer>) {
         self.0 = peers.into_iter().map(|p| (p.name.clone(), p)).collect();
     }
@@ -50,25 +50,25 @@
         self.get(name).is_some_and(Peer::is_reachable)
     }
 
-    /// What a member announces, reachable or not.
+    /// The notice of a member, reachable or not.
     pub(super) fn notice(&self, name: &str) -> Option<&Notice> {
         self.get(name)?.notice.as_ref()
     }
 
-    /// Reachable members and what they announce.
+    /// Reachable members and their notices.
     pub(super) fn reachable(&self) -> impl Iterator<Item = (&Peer, &Notice)> + '_ {
         self.iter()
             .filter(|p| p.is_reachable())
             .filter_map(|p| Some((p, p.notice.as_ref()?)))
     }
 
-    /// What a reachable member announces of its replica.
+    /// The announcement of a reachable member's replica.
     pub(super) fn announcement(&self, name: &str) -> Option<Announcement> {
         let peer = self.get(name).filter(|p| p.is_reachable())?;
         peer.notice.as_ref()?.announcement()
     }
 
-    /// The leader of a log as its reachable voters announce it: that of the highest term counts.
+    /// The leader of a log according to its reachable voters; the one of the highest term wins.
     pub(super) fn leader_of(&self, cluster_id: u64) -> Option<&String> {
         let knows_leader =
             |n: &&Notice| n.is_voter && n.cluster_id == cluster_id && !n.leader.is_empty();
--- a/crates/cluster/src/consensus/proposals.rs
+++ b/crates/cluster/src/consensus/proposals.rs
@@ -1,4 +1,4 @@
-//! Requests of members, this one included, that a leader has proposed and that wait to be agreed.
+//! Requests of members, this one included, that the leader has proposed and that are not committed yet.
 
 use super::leases::{Command, Outcome, RequestId};
 use super::log_identity::GRACE_AFTER_BOOTSTRAP;
@@ -6,27 +6,27 @@
 use crate::Micros;
 use std::collections::BTreeMap;
 
-/// Requests that wait at once, one of each member.
+/// Most pending requests, one per member.
 const MAX_PENDING: usize = 256;
 
-/// What became of a request that came to a leader.
+/// The result of proposing a request.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) enum Proposed {
-    /// It waits to be agreed, or did already.
+    /// It was proposed, now or earlier, and is not committed yet.
     Pending,
-    /// It is answered without having been proposed.
+    /// Its outcome is known without a proposal.
     Answered(Outcome),
-    /// There is no room for it.
+    /// Too many requests are pending.
     NoRoom,
 }
 
-/// By member: its request that waits.
+/// The pending request of each member.
 #[derive(Default)]
 pub(super) struct Proposals(BTreeMap<String, RequestId>);
 
 impl Proposals {
-    /// Proposes a member's command to this replica, which leads. `all_persistent`: the logs of all voters outlive their
-    /// processes.
+    /// Proposes a member's command to this replica, which is the leader. `all_persistent`: whether the logs of all voters are
+    /// persistent.
     pub(super) fn propose(
         &mut self,
         replica: &mut Replica,
@@ -38,7 +38,7 @@
         if self.0.get(owner) == Some(&request) {
             return Proposed::Pending;
         }
-        // What a bootstrap after the loss of all voters has to wait for.
+        // After the loss of all voters, a new log waits for this long before it grants leases.
         if !all_persistent && duration_of(&command) > GRACE_AFTER_BOOTSTRAP {
             return Proposed::Answered(Outcome::OutOfBounds);
         }
@@ -49,22 +49,22 @@
         Proposed::Pending
     }
 
-    /// Takes an entry that was applied; whether its request waited here.
+    /// Removes the request of an applied entry; returns whether it was pending here.
     pub(super) fn complete(&mut self, applied: &Applied) -> bool {
-        let waited = self.0.get(&applied.owner) == Some(&applied.request);
-        if waited {
+        let was_pending = self.0.get(&applied.owner) == Some(&applied.request);
+        if was_pending {
             self.0.remove(&applied.owner);
         }
-        waited
+        was_pending
     }
 
-    /// Forgets all: the next leader receives them from the members again.
+    /// Removes all: the members send their requests to the next leader again.
     pub(super) fn clear(&mut self) {
         self.0.clear();
     }
 }
 
-/// For how long a command has a lease granted; 0 where it does not.
+/// The lease duration of a command; 0 if it has none.
 fn duration_of(command: &Command) -> Micros {
     match command {
         Command::Acquire { duration, .. } | Command::Renew { duration, .. } => *duration,
--- a/crates/cluster/src/consensus/reconfiguration.rs
+++ b/crates/cluster/src/consensus/reconfiguration.rs
@@ -1,41 +1,42 @@
-//! Which voter is replaced, when, and by whom.
+//! Replacement of lost voters.
 //!
-//! The leader looks at this with each tick; a step at a time, each agreed in the log: a candidate becomes a learner, takes the
-//! place of the voter that is lost once it has caught up, and is removed if it dies meanwhile.
+//! The leader evaluates this at each tick and proposes one change at a time, each committed in the log: a candidate becomes a
+//! learner, replaces the lost voter once it has caught up, and is removed if it becomes unreachable before that.
 //!
 //! | voter slots | learner | next change |
 //! | --- | --- | --- |
 //! | one is lost | none | a candidate becomes a learner, if there is one |
-//! | one is lost | has caught up | it takes the lost one's place |
+//! | one is lost | has caught up | it replaces the lost voter |
 //! | one is lost | reachable, behind | none yet |
 //! | one is lost | unreachable, behind | it is removed |
-//! | none is lost | any | it is removed: nobody needs it any more |
+//! | none is lost | any | it is removed, since it is not needed any more |
 //!
-//! A slot whose process came back without its log (it announces another id) is given to its new self at once: its old one
-//! can't come back, as ids are drawn anew. Whoever is only down keeps its slot for the operator's time, since its log will be
-//! back with it.
+//! If a voter's process came back without its log (it announces another id), its slot is given to its new id at once: the old
+//! replica can't return, since ids are drawn anew. A voter that is only down keeps its slot for the time that the operator
+//! configured, since its log returns with it.
 //!
-//! Other names come in only where all logs are persistent. Else the initial voters' names are the voters' for ever, so that
-//! initial voters that all have no log know that there is none; where logs are persistent, a replaced one's file says so.
+//! Members with other names become voters only if all logs are persistent. Otherwise the voters keep the names of the initial
+//! voters, so that initial voters which all have no log know that none exists. With persistent logs, the file of a replaced
+//! voter says that it was replaced.
 
 use super::state::Voter;
 use crate::membership::MemberStatus;
 use crate::Micros;
 use std::cmp::Reverse;
 
-/// A candidate must have been reachable for this long: who comes and goes is none.
+/// A candidate must have been reachable for this long, which excludes unstable members.
 const MIN_CANDIDATE_AGE: Micros = 5_000_000;
 
 /// A change of voters.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum VoterChange {
-    /// It becomes a learner, so that it may become a voter soon.
+    /// A candidate becomes a learner, which can become a voter.
     AddLearner(Voter),
-    /// The learner becomes a voter in place of another.
+    /// The learner replaces a voter.
     ReplaceVoter {
         /// The learner's id.
         new: u64,
-        /// The id of the voter whose place it takes.
+        /// The id of the replaced voter.
         old: u64,
     },
     /// The learner of this id is removed.
@@ -47,16 +48,16 @@
 pub struct VoterSlot {
     /// The voter.
     pub voter: Voter,
-    /// How the process of that name stands, and for how long; `None` where nobody knows it.
+    /// The status of the process with that name, and its age; `None` if it is unknown.
     pub status: Option<(MemberStatus, Micros)>,
-    /// The replica id that the process of that name announces now.
+    /// The replica id that the process with that name announces now.
     pub announced_id: Option<u64>,
-    /// The zone of the process of that name, where it is known.
+    /// The zone of the process with that name, if known.
     pub zone: Option<String>,
 }
 
 impl VoterSlot {
-    /// Whether it has to be given to another.
+    /// Whether the slot must be given to another replica.
     fn is_lost(&self, replace_after: Micros) -> bool {
         self.has_lost_its_log() || self.has_been_down_for(replace_after)
     }
@@ -75,14 +76,14 @@
     }
 }
 
-/// A member that could take a slot: it is reachable and has no log.
+/// A member that could become a voter: it is alive and has no log.
 #[derive(Clone, Debug)]
 pub struct Candidate {
     /// Its id and name.
     pub voter: Voter,
     /// Its zone.
     pub zone: String,
-    /// Its log would outlive its process.
+    /// Whether its log would be persistent.
     pub is_persistent: bool,
     /// How long it has been reachable.
     pub age: Micros,
@@ -93,13 +94,13 @@
 pub struct LearnerStatus {
     /// Its replica id.
     pub id: u64,
-    /// It has all but the latest entries.
+    /// Whether it has all but the latest entries.
     pub is_caught_up: bool,
-    /// Its process is reachable, and announces that id.
+    /// Whether its process is reachable and announces that id.
     pub is_reachable: bool,
 }
 
-/// All that the choice of the next change depends on.
+/// The input for the choice of the next change.
 #[derive(Clone, Debug)]
 pub struct VoterOverview {
     /// All voters.
@@ -108,12 +109,12 @@
     pub learner: Option<LearnerStatus>,
     /// Members that could become a voter.
     pub candidates: Vec<Candidate>,
-    /// Whether the logs of all voters outlive their processes.
+    /// Whether the logs of all voters are persistent.
     pub all_persistent: bool,
 }
 
 impl VoterOverview {
-    /// The next change, if one is due: voters that are down for `replace_after` are replaced.
+    /// The next change, if one is due. Voters that are down for `replace_after` are replaced.
     pub fn next_change(&self, replace_after: Micros) -> Option<VoterChange> {
         let lost = self.slots.iter().find(|s| s.is_lost(replace_after));
         match (lost, self.learner) {
@@ -137,14 +138,14 @@
         Some(VoterChange::AddLearner(candidate.voter.clone()))
     }
 
-    /// The slot's own new process comes first, so that the operator's choice of voters holds.
+    /// The candidate with the slot's own name, which is preferred to keep the operator's choice of voters.
     fn same_member(&self, slot: &VoterSlot) -> Option<&Candidate> {
         self.candidates
             .iter()
             .find(|c| c.voter.name == slot.voter.name)
     }
 
-    /// A candidate of a zone that has no reachable voter, then the one that has been reachable longest.
+    /// The best other candidate: first one in a zone without a reachable voter, then the one reachable for longest.
     fn best_candidate(&self) -> Option<&Candidate> {
         let reachable = self.slots.iter().filter(|s| s.is_reachable());
         let zones: Vec<&String> = reachable.filter_map(|s| s.zone.as_ref()).collect();
--- a/crates/cluster/src/consensus/replica/conf_change.rs
+++ b/crates/cluster/src/consensus/replica/conf_change.rs
@@ -1,4 +1,4 @@
-//! Changes of voters, as `raft` has them: names of new voters go with a change as its context.
+//! Encoding of voter changes as `raft` configuration changes, with the names of new voters as their context.
 
 use crate::consensus::reconfiguration::VoterChange;
 use crate::consensus::state::Voter;
@@ -36,7 +36,7 @@
     encoded
 }
 
-/// Decodes an entry's change, and the names that go with it.
+/// Decodes an entry's change and the names of its new voters.
 pub(super) fn decode(entry: &Entry) -> (ConfChangeV2, Vec<Voter>) {
     let change = ConfChangeV2::parse_from_bytes(&entry.data).unwrap_or_default();
     let new_names = postcard::from_bytes(&change.context).unwrap_or_default();
--- a/crates/cluster/src/consensus/replica/mod.rs
+++ b/crates/cluster/src/consensus/replica/mod.rs
@@ -1,16 +1,16 @@
-//! One replica of the log: `raft` and the state that its entries make.
+//! One replica of the log: `raft` and the replicated state.
 //!
-//! `raft` (the engine of TiKV) decides who leads and what is committed; it does no I/O, so that this does none either: what
-//! is to be sent and written is handed out, and what was written is confirmed. It panics where its invariants are broken: by a
-//! disk that lost what it confirmed, or a peer that has the key and lies. Such a panic ends this replica alone; its process
-//! requests to be admitted again under another id, as one that lost its log.
+//! `raft` (the implementation from TiKV) elects the leader and commits entries. It does no I/O, and neither does this module:
+//! messages and writes are returned to the caller, which confirms writes. `raft` panics if its invariants are violated, by a
+//! disk that lost confirmed writes or by a malicious peer that holds the key. Such a panic terminates this replica only; its
+//! process can be admitted again under another id, like one that lost its log.
 //!
 //! | module | what it does |
 //! | --- | --- |
 //! | this | the replica's state and interface |
-//! | `config` | how `raft` is set up |
-//! | `conf_change` | changes of voters, as `raft` has them |
-//! | `ready` | does what `raft` has ready: writes, messages, entries to apply, snapshots |
+//! | `config` | the `raft` configuration |
+//! | `conf_change` | encoding of voter changes |
+//! | `ready` | processes the output of `raft`: writes, messages, committed entries, snapshots |
 
 mod conf_change;
 mod config;
@@ -31,39 +31,41 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-/// Terms and indexes above this are refused: no honest log comes to them, and one that was led there could not count on.
+/// Terms and indexes above this are rejected: no valid log reaches them, and a forged message with such a number would exhaust
+/// the range.
 const MAX_TERM_OR_INDEX: u64 = 1 << 40;
 /// `raft`'s tick.
 pub const TICK: Micros = 100_000;
-/// Entries by which a learner may be behind and still become a voter.
+/// Most entries by which a learner may lag and still become a voter.
 const MAX_LEARNER_LAG_ENTRIES: u64 = 8;
-/// Where a leader's clock shows more than this between two looks its process was held up, or the clock jumped: nobody can
-/// tell, so that none of it counts. The log's time may stand still, but must never be ahead of a lease holder's.
+/// If a leader's clock advances by more than this between two observations, its process was stalled or the clock jumped. The
+/// two can't be distinguished, so the step is ignored: log time may stand still, but must never run ahead of a lease holder's
+/// clock.
 const MAX_CLOCK_STEP: Micros = 250_000;
 
-/// What is to be written before what waits for it may be sent.
+/// A write that must be persistent before the messages that depend on it are sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Write {
-    /// Confirmed by [`Replica::confirm_write`].
+    /// The number for [`Replica::confirm_write`].
     pub number: u64,
-    /// The complete file; else bytes to be appended.
+    /// Whether the bytes replace the whole file; otherwise they are appended.
     pub replaces_file: bool,
     /// The bytes.
     pub bytes: Vec<u8>,
 }
 
-/// An entry that was applied.
+/// An applied entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Applied {
     /// The member that requested it.
     pub owner: String,
-    /// Which of its requests.
+    /// The id of the request.
     pub request: RequestId,
     /// Its outcome.
     pub outcome: Outcome,
 }
 
-/// A learner that may become a voter, by what it confirmed to the leader.
+/// The progress of a learner, by the entries that it acknowledged to the leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LearnerProgress {
     /// Its replica's id.
@@ -74,17 +76,17 @@
 
 /// Messages that wait until a write is confirmed.
 struct WaitingMessages {
-    /// The number of `raft`'s own for what it had ready.
+    /// The number of the `raft` ready that the messages belong to.
     ready_number: u64,
     write_number: u64,
     messages: Vec<Message>,
 }
 
-/// The log's time while this replica leads.
+/// The log time while this replica is the leader.
 #[derive(Clone, Copy)]
 struct LeaderClock {
-    /// What the host's clock showed at the last look.
-    seen: Micros,
+    /// The host's clock at the last observation.
+    host_clock: Micros,
     log_time: Micros,
 }
 
@@ -95,7 +97,7 @@
     state: State,
     applied_index: u64,
     rng: SmallRng,
-    /// Term and role for which the election timeout was drawn.
+    /// The term and role for which the election timeout was drawn.
     timeout_drawn_for: (u64, StateRole),
     ticks: u64,
     leader_clock: Option<LeaderClock>,
@@ -104,14 +106,14 @@
     waiting: VecDeque<WaitingMessages>,
     outgoing: VecDeque<Message>,
     applied: VecDeque<Applied>,
-    /// Snapshots on their way, by replica, and since which tick.
+    /// The tick at which a snapshot was sent to each replica.
     snapshots_sent: BTreeMap<u64, u64>,
     has_failed: bool,
     is_outdated: bool,
 }
 
 impl Replica {
-    /// Starts a replica of a log that was just bootstrapped. `None` where `raft` refuses the log.
+    /// Starts a replica of a newly bootstrapped log. `None` if `raft` rejects the log.
     pub fn bootstrap(identity: LogIdentity, seed: u64) -> Option<Replica> {
         let snapshot = identity.first_snapshot();
         let mut log = Log::new(identity);
@@ -121,14 +123,14 @@
         Some(replica)
     }
 
-    /// Starts a replica that was let into a log that others bootstrapped: its leader sends the rest.
+    /// Starts an empty replica that was admitted to an existing log; the leader sends the content.
     pub fn join(identity: LogIdentity, seed: u64) -> Option<Replica> {
         let mut replica = Replica::open(Log::new(identity), seed)?;
         replica.write_file();
         Some(replica)
     }
 
-    /// Starts a replica with the log that its file holds. `None` where `raft` refuses the log.
+    /// Starts a replica with the log of its file. `None` if `raft` rejects the log.
     pub fn open(log: Log, seed: u64) -> Option<Replica> {
         let applied_index = log.snapshot_index();
         let state = match applied_index {
@@ -139,14 +141,14 @@
         let id = log.identity.replica_id;
         let log = SharedLog::new(log);
         let logger = slog::Logger::root(slog::Discard, slog::o!());
-        let made = catch_unwind(AssertUnwindSafe(|| {
+        let created = catch_unwind(AssertUnwindSafe(|| {
             RawNode::new(
                 &config::raft_config(id, applied_index),
                 log.clone(),
                 &logger,
             )
         }));
-        let raft = made.ok()?.ok()?;
+        let raft = created.ok()?.ok()?;
         Some(Replica {
             raft,
             log,
@@ -167,7 +169,7 @@
         })
     }
 
-    /// The log that this is a replica of.
+    /// The id of the log.
     pub fn cluster_id(&self) -> u64 {
         self.log.0.borrow().identity.cluster_id
     }
@@ -177,12 +179,12 @@
         self.raft.raft.id
     }
 
-    /// The state as far as entries are applied here.
+    /// The state after the last applied entry.
     pub fn state(&self) -> &State {
         &self.state
     }
 
-    /// The index of the last entry that was applied.
+    /// The index of the last applied entry.
     pub fn applied_index(&self) -> u64 {
         self.applied_index
     }
@@ -192,13 +194,13 @@
         self.raft.raft.term
     }
 
-    /// The leader's replica id, as far as is known.
+    /// The leader's replica id, if known.
     pub fn leader(&self) -> Option<u64> {
         Some(self.raft.raft.leader_id).filter(|&id| id != 0 && !self.has_failed)
     }
 
-    /// Whether it leads, and has applied all that was committed under earlier leaders: the last entry that it applied is one
-    /// of its own term.
+    /// Whether it is the leader and has applied all entries committed under earlier leaders: its last applied entry is of its
+    /// own term.
     pub fn leads(&self) -> bool {
         let raft = &self.raft.raft;
         let has_applied_own_term = || {
@@ -213,12 +215,12 @@
         self.raft.raft.promotable()
     }
 
-    /// Whether an invariant was broken: nothing of it works any more.
+    /// Whether an invariant was violated, so that the replica does nothing any more.
     pub fn has_failed(&self) -> bool {
         self.has_failed
     }
 
-    /// Whether it met an entry or snapshot of a later build: nothing behind that is applied, and it never leads.
+    /// Whether it found an entry or snapshot of a later build: it applies nothing after it, and never leads.
     pub fn is_outdated(&self) -> bool {
         self.is_outdated
     }
@@ -228,27 +230,28 @@
         !self.has_failed && !self.is_outdated
     }
 
-    /// All voters, by replica id: those of both sets while one takes another's place.
+    /// The replica ids of all voters; during a replacement, those of the old and the new set.
     pub fn voter_ids(&self) -> Vec<u64> {
         let voters = self.raft.raft.prs().conf().voters();
         voters.ids().iter().collect()
     }
 
-    /// The learner, as this leader sees it.
+    /// The learner's progress as known to the leader.
     pub fn learner(&self) -> Option<LearnerProgress> {
         let raft = &self.raft.raft;
         let id = *raft.prs().conf().learners().iter().min()?;
         let progress = raft.prs().get(id)?;
-        // Behind a snapshot it is probed until the next entry comes, which may be long: what it has is what counts.
+        // After a snapshot the learner stays in probe state until the next entry, which may take long, so that the state is no
+        // measure of whether it has caught up: the matched index is.
         let has_entries = progress.matched > 0 && progress.state != ProgressState::Snapshot;
-        let is_near = progress.matched + MAX_LEARNER_LAG_ENTRIES >= raft.raft_log.committed;
+        let is_within_lag = progress.matched + MAX_LEARNER_LAG_ENTRIES >= raft.raft_log.committed;
         Some(LearnerProgress {
             id,
-            is_caught_up: has_entries && is_near,
+            is_caught_up: has_entries && is_within_lag,
         })
     }
 
-    /// Runs something of `raft`'s; a panic ends this replica and nothing else.
+    /// Runs `work` on `raft` and processes its output; a panic terminates this replica only.
     fn guard<T>(&mut self, work: impl FnOnce(&mut Replica) -> T) -> Option<T> {
         if self.has_failed {
             return None;
@@ -270,7 +273,7 @@
     pub fn tick(&mut self) {
         self.ticks += 1;
         if self.is_outdated {
-            // It votes and stores what others decide, but leads nowhere.
+            // Without ticks it still votes and stores entries, but never becomes the leader.
             return;
         }
         self.guard(|r| {
@@ -279,31 +282,31 @@
         });
     }
 
-    /// Takes the host's clock: the log's time goes on by it while this replica leads.
+    /// Records the host's clock, which advances log time while this replica is the leader.
     pub fn observe_clock(&mut self, clock: Micros) {
         if !self.leads() {
             self.leader_clock = None;
             return;
         }
         let last = self.leader_clock.unwrap_or(LeaderClock {
-            seen: clock,
+            host_clock: clock,
             log_time: self.state.leases.time(),
         });
-        let step = clock.saturating_sub(last.seen);
-        let passed = if step <= MAX_CLOCK_STEP { step } else { 0 };
+        let step = clock.saturating_sub(last.host_clock);
+        let elapsed = if step <= MAX_CLOCK_STEP { step } else { 0 };
         self.leader_clock = Some(LeaderClock {
-            seen: clock,
-            log_time: last.log_time + passed,
+            host_clock: clock,
+            log_time: last.log_time + elapsed,
         });
     }
 
-    /// The log's time, while this replica leads.
+    /// The log time, while this replica is the leader.
     fn log_time(&self) -> Option<Micros> {
         let clock = self.leader_clock?;
         Some(clock.log_time.max(self.state.leases.time()))
     }
 
-    /// Takes another replica's message. Those that are not for this replica, and those that no honest one sends, are ignored.
+    /// Handles another replica's message. Messages for other replicas, and messages that no valid replica sends, are ignored.
     pub fn handle_message(&mut self, bytes: &[u8]) {
         let Ok(message) = Message::parse_from_bytes(bytes) else {
             return;
@@ -314,7 +317,7 @@
         }
     }
 
-    /// Proposes a command, if this replica leads; false where it does not, or too much waits.
+    /// Proposes a command as the leader; false if this replica is not the leader, or too much is uncommitted.
     pub fn propose(&mut self, owner: &str, request: RequestId, command: Command) -> bool {
         let Some(time) = self.log_time().filter(|_| self.leads()) else {
             return false;
@@ -333,7 +336,7 @@
             .unwrap_or(false)
     }
 
-    /// Proposes a change of voters, if this replica leads and no other change is under way; whether it did.
+    /// Proposes a change of voters, if this replica is the leader and no other change is in progress; returns whether it did.
     pub fn propose_change(&mut self, change: &VoterChange) -> bool {
         let raft = &self.raft.raft;
         let is_joint = || !raft.prs().conf().to_conf_state().voters_outgoing.is_empty();
@@ -345,7 +348,7 @@
             .unwrap_or(false)
     }
 
-    /// The next message to another replica: its id, and the bytes.
+    /// The next message to another replica: the replica's id, and the bytes.
     pub fn next_outgoing(&mut self) -> Option<(u64, Vec<u8>)> {
         let message = self.outgoing.pop_front()?;
         if message.get_msg_type() == MessageType::MsgSnapshot {
@@ -354,17 +357,17 @@
         Some((message.to, encode_protobuf(&message)))
     }
 
-    /// The next thing to write.
+    /// The next pending write.
     pub fn next_write(&mut self) -> Option<Write> {
         self.writes.pop_front()
     }
 
-    /// All entries that were applied since the last call, for their requesters.
+    /// All entries applied since the last call.
     pub fn take_applied(&mut self) -> Vec<Applied> {
         self.applied.drain(..).collect()
     }
 
-    /// Confirms that this write, and all before it, are persistent.
+    /// Confirms that this write and all earlier ones are persistent.
     pub fn confirm_write(&mut self, number: u64) {
         self.guard(|r| {
             while r.waiting.front().is_some_and(|w| w.write_number <= number) {
@@ -377,7 +380,8 @@
     }
 }
 
-/// False for what `raft` would take from anybody though only a member of the log may say it, and for a later build's snapshot.
+/// Returns false for messages that `raft` would accept from anyone although they must come from this replica itself, and for
+/// snapshots of a later build.
 fn is_acceptable(message: &Message) -> bool {
     let numbers = [
         message.term,
--- a/crates/cluster/src/consensus/replica/ready.rs
+++ b/crates/cluster/src/consensus/replica/ready.rs
@@ -1,7 +1,7 @@
-//! Does what `raft` has ready.
+//! Processing of the output of `raft`.
 //!
-//! Order matters: messages that promise something wait until what they promise is written; committed entries are applied at
-//! once, as a majority has them.
+//! Order matters: messages that acknowledge entries or votes are sent only once these are persistent. Committed entries are
+//! applied at once, since a majority has them.
 
 use super::config::ELECTION_TICKS;
 use super::{conf_change, Applied, Replica, WaitingMessages, Write};
@@ -12,13 +12,14 @@
 use raft::{ProgressState, Ready, SnapshotStatus};
 use rand::Rng;
 
-/// How often a vote, or a request for one, is sent: they are sent once in an election, and a lost one costs a second or two.
+/// How many copies of a vote or vote request are sent: `raft` sends each once per election, and a lost one delays the election
+/// by one or two seconds.
 const VOTE_COPIES: usize = 3;
-/// A snapshot that has not been taken in so many ticks is sent again.
+/// A snapshot that is not acknowledged within this many ticks is sent again.
 const SNAPSHOT_TIMEOUT_TICKS: u64 = 30;
 
 impl Replica {
-    /// Does all that `raft` has ready.
+    /// Processes all pending output of `raft`.
     pub(super) fn process_ready(&mut self) {
         self.draw_election_timeout();
         while self.raft.has_ready() {
@@ -60,7 +61,7 @@
         self.apply_committed(committed);
     }
 
-    /// Takes entries and the hard state into the log; their records, to be appended to its file.
+    /// Adds entries and the hard state to the log; returns their records, to be appended to its file.
     fn append_to_log(&mut self, ready: &mut Ready) -> Vec<u8> {
         let mut records = Vec::new();
         let entries = ready.take_entries();
@@ -73,7 +74,7 @@
             log.set_hard_state(hard_state.clone());
         }
         let appended = log.append(entries);
-        assert!(appended.is_ok(), "raft keeps its log whole: {appended:?}");
+        assert!(appended.is_ok(), "raft appends without gaps: {appended:?}");
         records
     }
 
@@ -92,7 +93,7 @@
         }
     }
 
-    /// `raft` draws the election timeout from the system's randomness; this one's is seeded.
+    /// Replaces the election timeout that `raft` draws from system randomness by one from the seeded generator.
     fn draw_election_timeout(&mut self) {
         let now = (self.raft.raft.term, self.raft.raft.state);
         if now != self.timeout_drawn_for {
@@ -116,11 +117,11 @@
         }
     }
 
-    /// What `raft` had ready under this number is written: messages that waited for it may go.
+    /// Handles that the `raft` ready with this number is persistent: sends the messages that waited for it.
     pub(super) fn handle_persisted(&mut self, ready_number: u64, messages: Vec<Message>) {
         self.raft.on_persist_ready(ready_number);
         self.send(messages);
-        // A snapshot counts as applied only once it is written.
+        // A snapshot counts as applied only once it is persistent.
         let log = &self.raft.raft.raft_log;
         let is_behind = log.applied() < self.applied_index;
         if is_behind && self.applied_index <= log.committed.min(log.persisted) {
@@ -128,7 +129,7 @@
         }
     }
 
-    /// Has `raft` send snapshots again that have not been taken in time.
+    /// Makes `raft` resend snapshots that were not acknowledged in time.
     pub(super) fn resend_late_snapshots(&mut self) {
         let now = self.ticks;
         let is_late = |since: u64| now > since + SNAPSHOT_TIMEOUT_TICKS;
@@ -157,7 +158,7 @@
         self.last_write
     }
 
-    /// Has the complete file written; the write's number.
+    /// Queues a write of the complete file; returns its number.
     pub(super) fn write_file(&mut self) -> u64 {
         let bytes = store::encode_file(&self.log.0.borrow());
         self.push_write(true, bytes)
@@ -172,7 +173,7 @@
         self.log.0.borrow_mut().install_snapshot(snapshot);
     }
 
-    /// Takes a snapshot of what is applied: what stands before it in the log is let go.
+    /// Takes a snapshot of the applied state, and compacts the log.
     fn compact(&mut self) {
         let mut snapshot = Snapshot {
             data: self.state.encode().into(),
@@ -205,7 +206,7 @@
         // A leader's first entry is empty.
         if !entry.data.is_empty() {
             let Ok(command) = postcard::from_bytes::<LeaseEntry>(&entry.data) else {
-                // All behind it would be applied to another state than the others'.
+                // Applying later entries without this one would make the state diverge from other replicas.
                 self.is_outdated = true;
                 return;
             };
--- a/crates/cluster/src/consensus/requests.rs
+++ b/crates/cluster/src/consensus/requests.rs
@@ -1,24 +1,24 @@
 //! This member's own requests, and the leases that it holds.
 //!
-//! One request is on its way at a time, the others wait behind it: the lease table remembers an owner's last request alone.
+//! Requests are sent one at a time, since the lease table remembers only an owner's last request. The others are queued.
 //!
-//! | request | goes on when |
+//! | request | next step |
 //! | --- | --- |
-//! | waits | all before it have their outcome: it is sent |
-//! | sent | the outcome comes: it is reported; no outcome within `RETRY_INTERVAL`: it is sent again |
-//! | waits, timed out | at once: it is dropped, and reported as without an outcome |
-//! | sent, timed out | reported as without an outcome; it stays until the outcome comes, since the lease may be granted all the same. Then the lease is released |
+//! | queued | it is sent once all earlier requests have their outcome |
+//! | sent | its outcome is reported; without one within `RETRY_INTERVAL` it is sent again |
+//! | queued, timed out | it is dropped, and reported as timed out |
+//! | sent, timed out | it is reported as timed out, but stays until its outcome arrives, since the lease may still be granted. The lease is then released |
 
 use super::leases::{Command, Outcome, RequestId};
 use super::view::Counters;
 use crate::Micros;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Requests of this member that wait at once.
+/// Most queued requests.
 const MAX_REQUESTS: usize = 64;
 /// A request is sent again after this long without an outcome.
 const RETRY_INTERVAL: Micros = 300_000;
-/// Part of a lease's time that its holder does not use, as clocks differ: one in so many, and [`CLOCK_MARGIN`].
+/// The holder does not use the last part of a lease, to allow for clock drift: 1/20 of its duration and [`CLOCK_MARGIN`].
 const CLOCK_DRIFT_DIVISOR: Micros = 20;
 /// See [`CLOCK_DRIFT_DIVISOR`].
 const CLOCK_MARGIN: Micros = 100_000;
@@ -26,13 +26,13 @@
 /// Why a request has no outcome.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestError {
-    /// No majority answered in time. A lease may be granted all the same; then it is released.
+    /// No outcome arrived in time. A lease may still be granted; it is then released.
     TimedOut,
-    /// Too many requests wait already.
+    /// Too many requests are queued already.
     TooManyPending,
 }
 
-/// A request that is completed.
+/// A completed request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CompletedRequest {
     /// The request's number.
@@ -48,23 +48,23 @@
     pub resource: String,
     /// How much of it.
     pub amount: u32,
-    /// Until when, by the host's clock.
+    /// The end of its use, by the host's clock.
     pub until: Micros,
 }
 
-/// A request that waits for its outcome.
+/// A request without an outcome yet.
 #[derive(Clone)]
 pub(super) struct Request {
     pub(super) id: RequestId,
     pub(super) command: Command,
-    /// When it was first sent, by the host's clock: the lease's time counts from then.
+    /// When it was first sent, by the host's clock. The lease's duration counts from then.
     sent_at: Option<Micros>,
-    /// It times out then, by the host's clock.
+    /// When it times out, by the host's clock.
     deadline: Micros,
     has_timed_out: bool,
-    /// When it is sent again, by the cluster's time.
+    /// When it is sent again, in local time.
     next_send: Micros,
-    /// Whether somebody waits for its outcome.
+    /// Whether its outcome is reported to a caller.
     is_reported: bool,
 }
 
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Queues a request whose outcome is reported within `timeout`; its number.
+    /// Queues a request whose outcome is reported within `timeout`; returns its number.
     pub(super) fn submit(
         &mut self,
         clock: Micros,
@@ -105,13 +105,13 @@
         number
     }
 
-    /// Queues a request that nobody waits for, for as long as it takes.
+    /// Queues a request without a timeout whose outcome is not reported.
     fn submit_unreported(&mut self, command: Command, counters: &mut Counters) {
         let (_, is_queued) = self.enqueue(Micros::MAX, command, false);
         counters.rejected += u64::from(!is_queued);
     }
 
-    /// The request's number, and whether there was room for it.
+    /// Queues a request; returns its number, and whether there was room for it.
     fn enqueue(&mut self, deadline: Micros, command: Command, is_reported: bool) -> (u64, bool) {
         self.last_number += 1;
         let number = self.last_number;
@@ -137,7 +137,7 @@
         self.reported.push_back(CompletedRequest { number, result });
     }
 
-    /// The next request that is completed: its outcome is known, or nobody waits for it any more.
+    /// The next completed request: its outcome is known, or it timed out.
     pub(super) fn next_reported(&mut self) -> Option<CompletedRequest> {
         self.reported.pop_front()
     }
@@ -147,7 +147,7 @@
         &self.held
     }
 
-    /// Whether a lease is held at this moment of the host's clock.
+    /// Whether a lease is held at `clock` of the host's clock.
     pub(super) fn holds(&self, fence: u64, clock: Micros) -> bool {
         self.held
             .get(&fence)
@@ -161,8 +161,8 @@
         }
     }
 
-    /// The host's clock was set back: leases end at an unknown time, so that none is used any more, and what is granted for
-    /// a request on its way is released.
+    /// Handles that the host's clock was set back. The ends of leases are unknown now, so that all held leases are dropped and
+    /// a lease granted for a request in flight will be released.
     pub(super) fn handle_clock_set_back(&mut self, counters: &mut Counters) {
         counters.clock_set_back += 1;
         counters.ended += self.held.len() as u64;
@@ -179,7 +179,7 @@
         counters.ended += (before - self.held.len()) as u64;
     }
 
-    /// Reports requests that have timed out, those that wait behind another included.
+    /// Reports requests that have timed out, including queued ones.
     pub(super) fn report_timed_out(&mut self, clock: Micros, counters: &mut Counters) {
         let mut timed_out = Vec::new();
         self.queue.retain_mut(|request| {
@@ -187,7 +187,7 @@
                 request.has_timed_out = true;
                 timed_out.push(request.id.number);
             }
-            // What was never sent is over with that.
+            // A request that was never sent can be dropped.
             !(request.has_timed_out && request.sent_at.is_none())
         });
         for number in timed_out {
@@ -196,7 +196,7 @@
         }
     }
 
-    /// The request that is on its way, or the next to be, if it is to be sent now.
+    /// The first request, if it is due to be sent now, for the first time or again.
     pub(super) fn next_to_send(
         &mut self,
         now: Micros,
@@ -212,15 +212,15 @@
         Some(request.clone())
     }
 
-    /// The request on its way, if it has this number: it is to be sent to another member at once. Each turn waits for its
-    /// datagram, so that redirections in a ring cost little.
+    /// The request in flight, if it has this number, to be sent to another member at once. Each redirect costs one datagram
+    /// round trip, so that a redirect loop is slow and cheap.
     pub(super) fn redirect(&mut self, now: Micros, number: u64) -> Option<Request> {
         let request = self.queue.front_mut().filter(|r| r.id.number == number)?;
         request.next_send = now + RETRY_INTERVAL;
         Some(request.clone())
     }
 
-    /// Takes the outcome of the request on its way.
+    /// Completes the request in flight with its outcome.
     pub(super) fn complete(
         &mut self,
         clock: Micros,
@@ -284,7 +284,7 @@
     }
 }
 
-/// How long a holder uses a lease of this duration, counted from when the request was first sent.
+/// How long a holder may use a lease of this duration, counted from when the request was first sent.
 fn usable_duration(duration: Micros) -> Micros {
     (duration - duration / CLOCK_DRIFT_DIVISOR).saturating_sub(CLOCK_MARGIN)
 }
--- a/crates/cluster/src/consensus/state.rs
+++ b/crates/cluster/src/consensus/state.rs
@@ -7,20 +7,20 @@
 /// A replica's id and the name of the process that holds it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Voter {
-    /// The replica's id: belongs to one log, and to one incarnation of its process.
+    /// The replica's id, which belongs to one log and one incarnation of its process.
     pub id: u64,
-    /// The member's name, the same after a restart.
+    /// The member's name, stable across restarts.
     pub name: String,
 }
 
-/// What all replicas hold once they applied the same entries.
+/// The replicated state.
 ///
-/// Stored in snapshots and sent to observers in postcard's form: the order of the fields stays.
+/// Stored in snapshots and sent to observers in postcard format: the order of the fields must not change.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct State {
-    /// All leases that are granted.
+    /// The lease table.
     pub leases: Leases,
-    /// Names of voters, and of the learner if there is one, by replica id.
+    /// The names of all voters, and of the learner if there is one, by replica id.
     pub voters: BTreeMap<u64, String>,
 }
 
@@ -30,7 +30,7 @@
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// Decodes a snapshot's state; `None` for that of a build that this one does not understand.
+    /// Decodes a snapshot's state; `None` if it is of a later build or malformed.
     pub fn decode(bytes: &[u8]) -> Option<State> {
         postcard::from_bytes(bytes).ok()
     }
--- a/crates/cluster/src/consensus/state_copy.rs
+++ b/crates/cluster/src/consensus/state_copy.rs
@@ -1,11 +1,11 @@
-//! Copies of the state, for members without a replica and for voters that nobody sends anything.
+//! Copies of the state, for members without a replica and for voters without a leader.
 
 use super::messages::{LogPosition, Notice};
 use super::peers::{Peer, Peers};
 use super::state::State;
 use serde::{Deserialize, Serialize};
 
-/// A copy of the state, and how far it goes. Sent in postcard's form: the order of the fields stays.
+/// A copy of the state at a log position. Sent in postcard format: the order of the fields must not change.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub(super) struct StateCopy {
     pub(super) position: LogPosition,
@@ -28,7 +28,7 @@
         postcard::from_bytes(bytes).ok()
     }
 
-    /// Takes another member's copy if it is of another log, or newer.
+    /// Adopts another member's copy if it is newer or of another log.
     pub(super) fn update(&mut self, other: StateCopy) {
         let is_newer = other.position.cluster_id != self.position.cluster_id
             || other.position.index > self.position.index;
@@ -38,16 +38,16 @@
     }
 }
 
-/// What to request a newer state of, and of whom.
+/// The members from which to request a newer state.
 pub(super) struct CopySources<'a> {
-    /// The state that is known of that log.
+    /// The known position in the log.
     pub(super) known: LogPosition,
-    /// Members that know a newer one.
+    /// Members that know a newer state.
     pub(super) members: Vec<&'a Peer>,
 }
 
 impl<'a> CopySources<'a> {
-    /// Reachable members that know more than `known`; `None` where nobody knows of a log.
+    /// Finds reachable members that know a newer state than `known`; `None` if no log is known.
     pub(super) fn find(
         peers: &'a Peers,
         known: LogPosition,
@@ -71,8 +71,8 @@
     }
 }
 
-/// The log that has a leader, that of the highest term if there are several; else the one that is known here, or the one that
-/// others know most of.
+/// The log to follow: the one with a leader, of the highest term if there are several; else the one known here; else the one
+/// of which other members know the highest index.
 fn newest_log(peers: &Peers, known: LogPosition) -> Option<u64> {
     let led = peers
         .reachable()
--- a/crates/cluster/src/consensus/store.rs
+++ b/crates/cluster/src/consensus/store.rs
@@ -1,51 +1,51 @@
-//! A log's form in a file.
+//! The format of log files.
 //!
-//! The file begins with [`HEADER`]; behind it stand records, each its length and its CRC-32 (both `u32` little endian), a
-//! kind and a body. A record counts once it is complete: what stands behind the first that is not is a damaged tail, and was
-//! never reported as written. A file that grows is written anew beside, and put in its place when it is complete.
+//! The file starts with [`HEADER`], followed by records. Each record consists of its length and its CRC-32 (both `u32` little
+//! endian), a kind and a body. Everything after the last complete record is a damaged tail, whose writes were never confirmed.
+//! When a file has grown, it is written anew under a temporary name and replaces the old file once it is complete.
 //!
 //! | kind | body |
 //! | --- | --- |
-//! | 1 | the log's identity, in postcard's form |
-//! | 2 | `raft`'s hard state: term, vote, commit index |
-//! | 3 | an entry; takes the place of all with its index and above |
-//! | 4 | a snapshot; takes the place of all before it |
+//! | 1 | the log's identity, in postcard format |
+//! | 2 | the hard state of `raft`: term, vote, commit index |
+//! | 3 | an entry; replaces all entries with its index and above |
+//! | 4 | a snapshot; replaces everything before it |
 //!
-//! Bodies of kinds 2 to 4 are `raft`'s own messages in their protobuf form, which later versions of it may add fields to.
+//! Bodies of kinds 2 to 4 are messages of `raft` in protobuf format, to which later versions of it may add fields.
 
 use super::log::{Log, LogError};
 use super::log_identity::LogIdentity;
 use protobuf::Message as _;
 use raft::eraftpb::{Entry, HardState, Snapshot};
 
-/// The file's beginning: what it is, and the version of its form.
+/// The header of a log file, which ends with the format version.
 pub const HEADER: &[u8] = b"driftfront agreed 1\n";
 /// The header before its version.
 const HEADER_PREFIX: &str = "driftfront agreed ";
-/// Longest first line that is looked at for a version.
+/// Longest first line that is parsed for a version.
 const MAX_HEADER_BYTES: usize = 40;
-/// Longest record: a snapshot at its bounds is a fifth of it.
+/// Longest record. A snapshot that reaches all its limits takes a fifth of it.
 const MAX_RECORD_BYTES: usize = 1024 * 1024;
-/// A record's length and checksum.
-const RECORD_HEAD_BYTES: usize = 8;
+/// Length of a record's header: its length and checksum.
+const RECORD_HEADER_BYTES: usize = 8;
 
 const IDENTITY_RECORD: u8 = 1;
 const HARD_STATE_RECORD: u8 = 2;
 const ENTRY_RECORD: u8 = 3;
 const SNAPSHOT_RECORD: u8 = 4;
 
-/// What a file held.
+/// The content of a log file.
 #[derive(Debug)]
 pub struct Loaded {
-    /// The log; none where nothing was bootstrapped yet.
+    /// The log; `None` if nothing was bootstrapped yet.
     pub log: Option<Log>,
-    /// Bytes of the file that are valid: the rest is to be cut before anything is appended.
+    /// The length of the valid part: the file must be truncated to it before anything is appended.
     pub valid_bytes: usize,
-    /// What is wrong with the rest, if anything is.
+    /// The damage of the rest, if there is any.
     pub damage: Option<&'static str>,
 }
 
-/// A record as it stands in the file.
+/// Encodes a record.
 fn record(kind: u8, body: &[u8]) -> Vec<u8> {
     let mut checksum = crc32fast::Hasher::new();
     checksum.update(&[kind]);
@@ -58,7 +58,7 @@
     bytes
 }
 
-/// A protobuf message's bytes: writing to memory fails for none that this builds.
+/// Encodes a protobuf message; writing the messages built here to memory can't fail.
 pub(super) fn encode_protobuf(message: &impl protobuf::Message) -> Vec<u8> {
     message.write_to_bytes().unwrap_or_default()
 }
@@ -91,11 +91,11 @@
     bytes
 }
 
-/// Reads a file's bytes. A damaged tail is no error: see [`Loaded::damage`].
+/// Reads a log file. A damaged tail is not an error: see [`Loaded::damage`].
 ///
 /// # Errors
 ///
-/// Fails for a file of another program or of a newer version, and where complete records contradict each other.
+/// Fails for a file of another program or of a newer version, and if complete records contradict each other.
 pub fn read(bytes: &[u8]) -> Result<Loaded, LogError> {
     if bytes.len() < HEADER.len() && HEADER.starts_with(bytes) {
         return Ok(Loaded {
@@ -115,7 +115,7 @@
             NextRecord::Damaged(what) => break Some(what),
             NextRecord::Complete { kind, body } => {
                 apply_record(&mut log, kind, body)?;
-                valid_bytes += RECORD_HEAD_BYTES + 1 + body.len();
+                valid_bytes += RECORD_HEADER_BYTES + 1 + body.len();
             }
         }
     };
@@ -171,15 +171,16 @@
 
 fn apply_record(log: &mut Option<Log>, kind: u8, body: &[u8]) -> Result<(), LogError> {
     if kind == IDENTITY_RECORD {
-        let identity =
-            LogIdentity::decode(body).ok_or(LogError::Inconsistent("whose it is can't be read"))?;
+        let identity = LogIdentity::decode(body).ok_or(LogError::Inconsistent(
+            "the identity record can't be decoded",
+        ))?;
         *log = Some(Log::new(identity));
         return Ok(());
     }
-    let unreadable = |_| LogError::Inconsistent("a record can't be read");
-    let log = log
-        .as_mut()
-        .ok_or(LogError::Inconsistent("it does not begin with whose it is"))?;
+    let unreadable = |_| LogError::Inconsistent("a record can't be decoded");
+    let log = log.as_mut().ok_or(LogError::Inconsistent(
+        "the first record is not its identity",
+    ))?;
     match kind {
         HARD_STATE_RECORD => {
             log.set_hard_state(HardState::parse_from_bytes(body).map_err(unreadable)?);
@@ -188,7 +189,7 @@
         SNAPSHOT_RECORD => {
             log.install_snapshot(Snapshot::parse_from_bytes(body).map_err(unreadable)?);
         }
-        // Of a later build: the header would have told of what must be understood.
+        // Kinds of a later build are skipped: one that must be understood comes with a new version in the header.
         _ => {}
     }
     Ok(())
--- a/crates/cluster/src/consensus/voter_overview.rs
+++ b/crates/cluster/src/consensus/voter_overview.rs
@@ -1,4 +1,4 @@
-//! Gathers what the choice of the next change of voters depends on.
+//! Gathers the input for the choice of the next change of voters.
 
 use super::messages::Notice;
 use super::peers::{Peer, Peers};
@@ -7,7 +7,7 @@
 use super::state::{State, Voter};
 use crate::membership::MemberStatus;
 
-/// This member, as the others see it.
+/// This member, as the other members see it.
 pub(super) struct OwnMember<'a> {
     pub(super) name: &'a str,
     pub(super) zone: &'a str,
@@ -15,7 +15,7 @@
     pub(super) is_persistent: bool,
 }
 
-/// What a leader sees of all voters, and of members that could become one.
+/// The leader's view of all voters, and of members that could become one.
 pub(super) fn voter_overview(own: &OwnMember, replica: &Replica, peers: &Peers) -> VoterOverview {
     let state = replica.state();
     let slot = |id: u64| voter_slot(own, state, peers, id);
@@ -27,7 +27,7 @@
     }
 }
 
-/// Whether the logs of all voters outlive their processes.
+/// Whether the logs of all voters are persistent.
 pub(super) fn all_persistent(own: &OwnMember, state: &State, peers: &Peers) -> bool {
     let is_persistent = |name: &String| match *name == own.name {
         true => own.is_persistent,
@@ -68,7 +68,7 @@
     })
 }
 
-/// A member that is alive and has no log, but could have one.
+/// The candidate for a member that is alive, has no log and is able to replicate one.
 fn candidate(peer: &Peer) -> Option<Candidate> {
     let notice = peer.notice.as_ref()?;
     let is_free = |n: &Notice| n.cluster_id == 0 && n.replica_id != 0 && !n.is_unfit;
