--- a/crates/cluster/tests/bootstrap.rs
+++ b/crates/cluster/tests/bootstrap.rs
@@ -1,4 +1,4 @@
-//! How a log comes to be.
+//! Bootstrap of a log.
 #![allow(clippy::too_many_lines, reason = "a scenario reads from top to bottom")]
 
 use driftfront_cluster::consensus::{Announcement, Bootstrap};
@@ -29,15 +29,15 @@
     assert!(a.poll(|n| empty(if n == "b" { 2 } else { 3 })).is_none());
     let set = a.promised();
     assert!(set != 0);
-    let half = |n: &str| {
+    let one_promised = |n: &str| {
         Some(Announcement {
             replica_id: if n == "b" { 2 } else { 3 },
             cluster_id: 0,
             promised: if n == "b" { set } else { 0 },
         })
     };
-    assert!(a.poll(half).is_none());
-    let all = |n: &str| {
+    assert!(a.poll(one_promised).is_none());
+    let all_promised = |n: &str| {
         Some(Announcement {
             replica_id: if n == "b" { 2 } else { 3 },
             cluster_id: 0,
@@ -45,19 +45,19 @@
         })
     };
     assert_eq!(
-        a.poll(all)
+        a.poll(all_promised)
             .map(|f| (f.cluster_id, f.replica_id, f.initial_voters.len())),
         Some((set, 1, 3))
     );
     assert!(Bootstrap::new("d", 1, &names()).is_none());
 }
 
-/// Initial voters that restart, and see each other late: of the sets that are bootstrapped no two have, at any time, both a
-/// majority of living processes.
+/// Initial voters restart and see each other's announcements late. At no time may two bootstrapped logs both have a majority
+/// of live processes, since both could then grant leases.
 #[test]
 fn two_logs_never_have_a_living_majority_each() {
     #[derive(Clone)]
-    struct One {
+    struct Process {
         id: u64,
         bootstrap: Bootstrap,
         cluster: u64,
@@ -67,38 +67,38 @@
         let mut next = 10;
         let mut fresh = |n: usize| {
             next += 1;
-            One {
+            Process {
                 id: next,
                 bootstrap: Bootstrap::new(&all[n], next, &all).unwrap(),
                 cluster: 0,
             }
         };
-        let mut ones: Vec<One> = (0..3).map(&mut fresh).collect();
-        // What each has last seen of each.
+        let mut processes: Vec<Process> = (0..3).map(&mut fresh).collect();
+        // The last announcement that each process has seen of each other one.
         let mut seen: BTreeMap<(usize, usize), Announcement> = BTreeMap::new();
         let mut sets: BTreeMap<u64, BTreeSet<u64>> = BTreeMap::new();
         steps.into_iter().all(|(what, who)| {
             let (n, m) = (usize::from(who) % 3, usize::from(who / 3) % 3);
             match what % 8 {
                 0 => {
-                    // It restarts, and has seen nobody.
-                    ones[n] = fresh(n);
+                    // The process restarts, and has seen no announcements.
+                    processes[n] = fresh(n);
                     seen.retain(|k, _| k.0 != n);
                 }
                 1..=3 => {
-                    let one = &ones[m];
-                    let shown = Announcement {
-                        replica_id: one.id,
-                        cluster_id: one.cluster,
-                        promised: one.bootstrap.promised(),
+                    let process = &processes[m];
+                    let announcement = Announcement {
+                        replica_id: process.id,
+                        cluster_id: process.cluster,
+                        promised: process.bootstrap.promised(),
                     };
-                    seen.insert((n, m), shown);
+                    seen.insert((n, m), announcement);
                 }
-                _ if ones[n].cluster == 0 => {
+                _ if processes[n].cluster == 0 => {
                     let view =
                         |name: &str| seen.get(&(n, all.iter().position(|a| a == name)?)).copied();
-                    if let Some(identity) = ones[n].bootstrap.poll(view) {
-                        ones[n].cluster = identity.cluster_id;
+                    if let Some(identity) = processes[n].bootstrap.poll(view) {
+                        processes[n].cluster = identity.cluster_id;
                         sets.insert(
                             identity.cluster_id,
                             identity.initial_voters.iter().map(|v| v.id).collect(),
@@ -108,7 +108,8 @@
                 _ => {}
             }
             let majority = |(cluster, set): (&u64, &BTreeSet<u64>)| {
-                ones.iter()
+                processes
+                    .iter()
                     .filter(|o| o.cluster == *cluster && set.contains(&o.id))
                     .count()
                     >= 2
--- a/crates/cluster/tests/fragmentation.rs
+++ b/crates/cluster/tests/fragmentation.rs
@@ -1,4 +1,4 @@
-//! Transfers in fragments.
+//! Fragmented transfers.
 
 use driftfront_cluster::consensus::fragmentation::{
     Fragment, Received, Transfers, FRAGMENT_BYTES, MAX_TRANSFERS, MAX_TRANSFER_BYTES,
@@ -9,13 +9,13 @@
 fn transfer_arrives_despite_loss_repeats_and_reordering() {
     let bytes: Vec<u8> = (0..25_300u32).map(|n| (n * 7 % 251) as u8).collect();
     let (mut a, mut b) = (Transfers::default(), Transfers::default());
-    let mut under_way = a.send(0, "b", 3, bytes.clone());
+    let mut in_flight = a.send(0, "b", 3, bytes.clone());
     let (mut now, mut n) = (0, 0);
     let received = loop {
         let mut received = None;
-        for fragment in under_way.drain(..).rev() {
+        for fragment in in_flight.drain(..).rev() {
             n += 1;
-            // Every third is lost, and every fifth comes twice.
+            // Every third fragment is lost, and every fifth arrives twice.
             if n % 3 == 0 {
                 continue;
             }
@@ -28,15 +28,15 @@
             break received;
         }
         now += 100_000;
-        assert!(now < 20_000_000, "never complete");
+        assert!(now < 20_000_000, "the transfer did not complete");
         for request in b.tick(now) {
             assert_eq!(request.sender, "a");
-            under_way.extend(a.resend(now, "b", request.transfer, &request.numbers));
+            in_flight.extend(a.resend(now, "b", request.transfer, &request.numbers));
         }
     };
     assert_eq!(received, Received { kind: 3, bytes });
     assert_eq!(b.incoming_count(), 0);
-    // Others get nothing of it, and it is forgotten when nobody requests it.
+    // Other members can't request its fragments, and it is dropped when there are no more requests.
     assert!(a.resend(now, "c", 1, &[0]).is_empty());
     a.tick(now + TRANSFER_TIMEOUT * 2);
     assert_eq!(a.outgoing_count(), 0);
--- a/crates/cluster/tests/golden_datagrams.rs
+++ b/crates/cluster/tests/golden_datagrams.rs
@@ -1,4 +1,4 @@
-//! Datagrams, records and key files, compared with golden files and read from them.
+//! Datagrams, records and key files: what this build writes matches the golden files, and it reads those files.
 
 use driftfront_cluster::gossip::{GossipState, CONSENSUS, METADATA};
 use driftfront_cluster::membership::{Members, Output};
@@ -13,7 +13,7 @@
 const ONE: &str = "000102030405060708090a0b0c0d0e0f";
 const TWO: &str = "f0f1f2f3f4f5f6f7f8f9fafbfcfdfeff";
 const SECOND: u64 = 1_000_000;
-const MOST: usize = 1100;
+const MAX_BYTES: usize = 1100;
 const CLOCK: u64 = 1_764_600_000_000_000;
 
 fn hex(bytes: &[u8]) -> String {
@@ -29,7 +29,7 @@
     digits.chunks(2).map(byte).collect()
 }
 
-/// The lines of a golden file: a name, and bytes in hex digits.
+/// The lines of a golden file: a name and hex-encoded bytes.
 fn lines(name: &str) -> Vec<(String, Vec<u8>)> {
     let text = String::from_utf8(match name {
         "datagrams-sealed.txt" => read_golden!("datagrams-sealed.txt"),
@@ -59,36 +59,41 @@
 }
 
 #[test]
-fn sealed_datagrams_keep_their_bytes() {
+fn sealed_datagrams_match_golden_bytes() {
     let mut text = String::new();
-    let mut seal = MessageAuthenticator::new(keyring(ONE), 0x1234_5678_9abc);
+    let mut authenticator = MessageAuthenticator::new(keyring(ONE), 0x1234_5678_9abc);
     for (name, payload) in PAYLOADS {
-        let sealed = seal
+        let sealed = authenticator
             .seal(payload, format!("payload of {name}").as_bytes(), 8)
             .unwrap();
         let _ = writeln!(text, "{name}: {}", hex(&sealed));
     }
-    seal.change_keys(keyring(&format!("{TWO}\n{ONE}")));
-    seal.change_session(0x1234_5678_9abd);
+    authenticator.change_keys(keyring(&format!("{TWO}\n{ONE}")));
+    authenticator.change_session(0x1234_5678_9abd);
     let _ = writeln!(
         text,
         "second key: {}",
-        hex(&seal.seal(Payload::GossipState, b"", 0).unwrap())
+        hex(&authenticator.seal(Payload::GossipState, b"", 0).unwrap())
     );
-    let longest = seal.seal(Payload::GossipState, &[7; 1155], 0).unwrap();
+    let longest = authenticator
+        .seal(Payload::GossipState, &[7; 1155], 0)
+        .unwrap();
     let _ = writeln!(text, "longest: {}", hex(&longest));
     assert_golden!("datagrams-sealed.txt", text);
     assert_eq!(longest.len(), 1200);
-    assert_eq!(seal.seal(Payload::GossipState, &[7; 1156], 0), None);
+    assert_eq!(
+        authenticator.seal(Payload::GossipState, &[7; 1156], 0),
+        None
+    );
 }
 
 #[test]
 fn sealed_datagrams_of_an_earlier_build_are_opened() {
     let all = lines("datagrams-sealed.txt");
-    let mut seal = MessageAuthenticator::new(keyring(&format!("{ONE}\n{TWO}")), 8);
+    let mut authenticator = MessageAuthenticator::new(keyring(&format!("{ONE}\n{TWO}")), 8);
     for ((name, bytes), (wanted, payload)) in all.iter().zip(PAYLOADS) {
         assert_eq!(name, wanted);
-        let opened = seal.open(bytes).unwrap();
+        let opened = authenticator.open(bytes).unwrap();
         let content = format!("payload of {name}");
         let expected = Opened {
             payload,
@@ -97,14 +102,17 @@
             old_key: false,
         };
         assert_eq!(opened, expected);
-        assert_eq!(seal.open(bytes), Err(AuthenticationError::Replayed));
+        assert_eq!(
+            authenticator.open(bytes),
+            Err(AuthenticationError::Replayed)
+        );
     }
-    let opened = seal.open(&all[6].1).unwrap();
+    let opened = authenticator.open(&all[6].1).unwrap();
     assert_eq!(
         (opened.session, opened.old_key, opened.bytes),
         (0x1234_5678_9abd, true, &b""[..])
     );
-    assert_eq!(seal.open(&all[7].1).unwrap().bytes, [7; 1155]);
+    assert_eq!(authenticator.open(&all[7].1).unwrap().bytes, [7; 1155]);
 }
 
 fn identity(name: &str, n: u8) -> Identity {
@@ -121,46 +129,46 @@
     }
 }
 
-/// What members that meet and leave say to each other.
+/// The messages of members that join, fail and leave.
 #[test]
-fn membership_messages_keep_their_bytes() {
+fn membership_messages_match_golden_bytes() {
     let mut text = String::new();
     let mut all = [
         Members::new(identity("m1", 1), 11),
         Members::new(identity("m2", 2), 12),
         Members::new(identity("room-c.m3", 3), 13),
     ];
-    let mut under_way: Vec<(usize, Identity, Vec<u8>)> = Vec::new();
+    let mut in_flight: Vec<(usize, Identity, Vec<u8>)> = Vec::new();
     for now in (0..5_200_000).step_by(50_000) {
-        for (n, one) in all.iter_mut().enumerate() {
+        for (n, member) in all.iter_mut().enumerate() {
             let mut output = Output::default();
             match now {
-                0 if n > 0 => one.join(now, identity("m1", 1).addr, &mut output),
-                5_000_000 if n == 1 => one.leave(now, &mut output),
+                0 if n > 0 => member.join(now, identity("m1", 1).addr, &mut output),
+                5_000_000 if n == 1 => member.leave(now, &mut output),
                 _ if n == 1 && now > 5_000_000 => {}
-                _ => one.tick(now, &mut output),
+                _ => member.tick(now, &mut output),
             }
-            under_way.extend(
+            in_flight.extend(
                 output
                     .datagrams
                     .into_iter()
                     .map(|(to, bytes)| (n, to, bytes)),
             );
         }
-        while let Some((from, to, bytes)) = under_way.pop() {
-            // The third says nothing from the first second on, so that it is doubted and called down.
-            let silent = from == 2 && now > 1_000_000;
+        while let Some((from, to, bytes)) = in_flight.pop() {
+            // After the first second all messages of the third are lost, so that it is suspected and declared down.
+            let is_lost = from == 2 && now > 1_000_000;
             let _ = writeln!(text, "{now} m{} to {}: {}", from + 1, to.addr, hex(&bytes));
             let Some(to) = all
                 .iter()
                 .position(|m| m.own().addr == to.addr)
-                .filter(|_| !silent)
+                .filter(|_| !is_lost)
             else {
                 continue;
             };
             let mut output = Output::default();
             all[to].handle_datagram(now, &bytes, &mut output);
-            under_way.extend(
+            in_flight.extend(
                 output
                     .datagrams
                     .into_iter()
@@ -192,7 +200,7 @@
 }
 
 #[test]
-fn records_keep_their_bytes_and_are_read() {
+fn records_match_golden_bytes_and_are_read() {
     let mut text = String::new();
     for (state_of, word) in [
         (State::Starting, "starting"),
@@ -202,35 +210,38 @@
         (State::Other, "in a state of a later build"),
     ] {
         assert_eq!(state(state_of), word);
-        let about = MemberMetadata {
+        let metadata = MemberMetadata {
             zone: "room-a".into(),
             region: "north".into(),
             build: "0.2.0".into(),
             state: state_of,
             since_ms: 1_764_600_000_123,
         };
-        assert_eq!(MemberMetadata::decode(&about.encode()), Some(about.clone()));
-        let _ = writeln!(text, "about, {word}: {}", hex(&about.encode()));
+        assert_eq!(
+            MemberMetadata::decode(&metadata.encode()),
+            Some(metadata.clone())
+        );
+        let _ = writeln!(text, "about, {word}: {}", hex(&metadata.encode()));
     }
     assert_eq!((METADATA, CONSENSUS), (1, 2));
-    let mut facts = GossipState::new("m1", 7 << 20);
-    facts.publish(0, METADATA, b"about m1", 5);
-    facts.publish(SECOND, CONSENSUS, b"its part", 2);
-    facts.publish(SECOND, 9, b"a kind of its own", 3);
-    let rumours = facts.next_rumors(3 * SECOND, MOST).unwrap();
-    let _ = writeln!(text, "records: {}", hex(&rumours));
+    let mut gossip = GossipState::new("m1", 7 << 20);
+    gossip.publish(0, METADATA, b"about m1", 5);
+    gossip.publish(SECOND, CONSENSUS, b"its part", 2);
+    gossip.publish(SECOND, 9, b"a kind of its own", 3);
+    let rumors = gossip.next_rumors(3 * SECOND, MAX_BYTES).unwrap();
+    let _ = writeln!(text, "records: {}", hex(&rumors));
     let mut other = GossipState::new("m2", 8 << 20);
     other.publish(0, METADATA, b"about m2", 5);
-    assert_eq!(other.receive(3 * SECOND, &rumours, 4), 3);
+    assert_eq!(other.receive(3 * SECOND, &rumors, 4), 3);
     let _ = writeln!(
         text,
         "records passed on: {}",
-        hex(&other.next_rumors(5 * SECOND, MOST).unwrap())
+        hex(&other.next_rumors(5 * SECOND, MAX_BYTES).unwrap())
     );
-    let digest = other.next_versions(MOST);
-    let _ = writeln!(text, "versions: {}", hex(&digest));
-    facts.publish(6 * SECOND, 9, b"a later word", 3);
-    let compared = facts.compare_versions(7 * SECOND, &digest, MOST, 2);
+    let versions = other.next_versions(MAX_BYTES);
+    let _ = writeln!(text, "versions: {}", hex(&versions));
+    gossip.publish(6 * SECOND, 9, b"a later word", 3);
+    let compared = gossip.compare_versions(7 * SECOND, &versions, MAX_BYTES, 2);
     let _ = writeln!(text, "what the other lacks: {}", hex(&compared.records[0]));
     let _ = writeln!(
         text,
@@ -244,49 +255,46 @@
 fn records_of_an_earlier_build_are_read() {
     let all = lines("records.txt");
     let of = |name: &str| &all.iter().find(|l| l.0 == name).unwrap().1;
-    let about = MemberMetadata::decode(of("about, paused")).unwrap();
+    let metadata = MemberMetadata::decode(of("about, paused")).unwrap();
     assert_eq!(
         (
-            about.zone.as_str(),
-            about.region.as_str(),
-            about.build.as_str()
+            metadata.zone.as_str(),
+            metadata.region.as_str(),
+            metadata.build.as_str()
         ),
         ("room-a", "north", "0.2.0")
     );
     assert_eq!(
-        (about.state, about.since_ms),
+        (metadata.state, metadata.since_ms),
         (State::Paused, 1_764_600_000_123)
     );
     let mut reader = GossipState::new("m3", 1);
     assert_eq!(reader.receive(0, of("records passed on"), 1), 4);
-    let fact = reader.get(SECOND, "m1", METADATA).unwrap();
+    let record = reader.get(SECOND, "m1", METADATA).unwrap();
     assert_eq!(
-        (fact.value, fact.age, fact.version),
+        (record.value, record.age, record.version),
         (&b"about m1"[..], 3 * SECOND, 1)
     );
     assert_eq!(reader.get(0, "m1", 9).unwrap().value, b"a kind of its own");
     assert_eq!(reader.receive(0, of("what the other lacks"), 1), 1);
     assert_eq!(reader.get(0, "m1", 9).unwrap().value, b"a later word");
-    let compared = reader.compare_versions(0, of("versions"), MOST, 2);
+    let compared = reader.compare_versions(0, of("versions"), MAX_BYTES, 2);
     assert_eq!((compared.records.len(), compared.reply), (1, None));
     assert_eq!(reader.refused.malformed, 0);
 }
 
-/// Two members find each other, one is behind an earlier process of its name, and one leaves: all that is sent.
+/// All datagrams between two members that find each other. One restarts with its clock set back, raises its session and leaves.
 #[test]
-fn a_conversation_keeps_its_bytes() {
+fn datagrams_of_a_conversation_match_golden_bytes() {
     let mut text = String::new();
     let member = |name: &str, n: u8, clock: u64| {
-        let me = Identity {
+        let identity_of_member = Identity {
             rejoins: 0,
-            ..identity(name, n)
-        };
-        let me = Identity {
             session: Identity::session_at(clock, u32::from(n)),
-            ..me
+            ..identity(name, n)
         };
         let options = Options {
-            identity: me,
+            identity: identity_of_member,
             metadata: MemberMetadata {
                 zone: "z0".into(),
                 state: State::Serving,
@@ -303,7 +311,7 @@
     for step in 0..200u64 {
         let clock = CLOCK + step * 25_000;
         if step == 100 {
-            // A process whose clock was set back by an hour takes the place of the second.
+            // The second member restarts with its clock set back by an hour.
             all[1] = member("m2", 2, CLOCK - 3_600 * SECOND);
         }
         if step == 180 {
@@ -339,7 +347,7 @@
 }
 
 #[test]
-fn key_files_are_read_and_refused_as_they_were() {
+fn key_files_are_parsed_and_rejected_as_before() {
     let mut text = String::new();
     let files = [
         ("one key", format!("{ONE}\n")),
--- a/crates/cluster/tests/golden_log.rs
+++ b/crates/cluster/tests/golden_log.rs
@@ -1,20 +1,20 @@
-//! The agreed log's file and the messages about it, compared with golden files and read from them.
+//! The log file and the consensus messages: what this build writes matches the golden files, and it reads those files.
 #![allow(clippy::too_many_lines, reason = "a scenario reads from top to bottom")]
 
-mod voters;
+mod test_cluster;
 
 use driftfront_cluster::consensus::leases::{Command, Entry, Outcome};
 use driftfront_cluster::consensus::replica::Replica;
 use driftfront_cluster::consensus::{store, Consensus, LogPosition, Notice};
 use driftfront_test_support::{assert_golden, read_golden};
 use std::fmt::Write;
-use voters::{names, open, Sent, Voters, SECOND};
+use test_cluster::{names, open, Sent, TestCluster, SECOND};
 
-fn everywhere(sent: &Sent) -> Option<usize> {
+fn deliver_all(sent: &Sent) -> Option<usize> {
     Some(sent.to)
 }
 
-fn take(resource: &str, amount: u32, duration: u64, stays: bool, note: &str) -> Command {
+fn acquire(resource: &str, amount: u32, duration: u64, stays: bool, note: &str) -> Command {
     Command::Acquire {
         resource: resource.into(),
         amount,
@@ -38,8 +38,8 @@
     digits.chunks(2).map(byte).collect()
 }
 
-/// What became of a command, in words of this test.
-fn outcome(outcome: &Outcome) -> String {
+/// Formats an outcome in the words of the golden files.
+fn describe_outcome(outcome: &Outcome) -> String {
     match outcome {
         Outcome::Granted { fence } => format!("lent {fence}"),
         Outcome::Renewed => "renewed".into(),
@@ -52,9 +52,9 @@
     }
 }
 
-/// How things stand at a member, in words of this test.
-fn standing(agreed: &Consensus) -> String {
-    let view = agreed.view();
+/// Formats a member's state in the words of the golden files.
+fn describe_state(consensus: &Consensus) -> String {
+    let view = consensus.view();
     let mut text = format!(
         "log {:x}, term {}, entry {}\n",
         view.cluster_id, view.term, view.index
@@ -79,104 +79,111 @@
     text
 }
 
-/// A site of three voters and two that read, with every kind of entry in its log, at some moments of its life.
-struct Life {
-    founded: Vec<u8>,
+/// Log files and messages of a cluster of three voters and two observers whose log gets every kind of entry.
+struct Scenario {
+    bootstrapped: Vec<u8>,
     entries: Vec<u8>,
-    changed: Vec<u8>,
-    /// What was written while a voter was replaced.
-    changes: Vec<u8>,
-    cut: Vec<u8>,
+    voter_replaced: Vec<u8>,
+    /// All writes of the leader while a voter was replaced.
+    replacement_writes: Vec<u8>,
+    compacted: Vec<u8>,
     outcomes: String,
-    standing: String,
-    /// One message of each kind, by the kind's number, and every request and its answer.
+    state: String,
+    /// Messages of each kind, each after its kind's number; includes all requests and responses.
     messages: String,
 }
 
-fn live() -> Life {
-    let kept = || Some(Vec::new());
-    let mut site = Voters::start(vec![kept(), kept(), kept(), None, None]);
-    site.play(5 * SECOND, everywhere);
-    let leader = site.leader().expect("a leader after 5 s");
+fn run_scenario() -> Scenario {
+    let empty_file = || Some(Vec::new());
+    let mut cluster =
+        TestCluster::start(vec![empty_file(), empty_file(), empty_file(), None, None]);
+    cluster.run_for(5 * SECOND, deliver_all);
+    let leader = cluster.leader().expect("a leader after 5 s");
     let follower = (leader + 1) % 3;
-    let founded = site.members[leader].file.clone().unwrap();
+    let bootstrapped = cluster.members[leader].file.clone().unwrap();
     let mut outcomes = String::new();
-    let mut ask = |site: &mut Voters, who: usize, command: Command| {
-        let became = site.ask(who, command);
-        let _ = writeln!(outcomes, "{}: {}", names(5)[who], outcome(&became));
-        became
+    let mut execute = |cluster: &mut TestCluster, who: usize, command: Command| {
+        let result = cluster.execute(who, command);
+        let _ = writeln!(outcomes, "{}: {}", names(5)[who], describe_outcome(&result));
+        result
     };
-    ask(
-        &mut site,
+    execute(
+        &mut cluster,
         3,
-        take("out", 1, 60 * SECOND, false, "too early"),
+        acquire("out", 1, 60 * SECOND, false, "too early"),
     );
-    site.play(10 * SECOND, everywhere);
-    let Outcome::Granted { fence } =
-        ask(&mut site, 3, take("out", 2, 60 * SECOND, false, "a while"))
-    else {
-        panic!("nothing lent");
+    cluster.run_for(10 * SECOND, deliver_all);
+    let Outcome::Granted { fence } = execute(
+        &mut cluster,
+        3,
+        acquire("out", 2, 60 * SECOND, false, "a while"),
+    ) else {
+        panic!("no lease was granted");
     };
-    ask(&mut site, 4, take("out", 2, 60 * SECOND, false, "full"));
-    ask(&mut site, 4, take("stays", 3, 5 * SECOND, true, ""));
-    ask(
-        &mut site,
+    execute(
+        &mut cluster,
+        4,
+        acquire("out", 2, 60 * SECOND, false, "full"),
+    );
+    execute(&mut cluster, 4, acquire("stays", 3, 5 * SECOND, true, ""));
+    execute(
+        &mut cluster,
         follower,
-        take("stays", 1, 5 * SECOND, false, "ü"),
+        acquire("stays", 1, 5 * SECOND, false, "ü"),
     );
-    ask(
-        &mut site,
+    execute(
+        &mut cluster,
         follower,
-        take("", 1, 5 * SECOND, false, "no pot"),
+        acquire("", 1, 5 * SECOND, false, "no pot"),
     );
-    ask(
-        &mut site,
+    execute(
+        &mut cluster,
         3,
         Command::Renew {
             fence,
             duration: 90 * SECOND,
         },
     );
-    ask(
-        &mut site,
+    execute(
+        &mut cluster,
         4,
         Command::Renew {
             fence,
             duration: 90 * SECOND,
         },
     );
-    ask(&mut site, 3, Command::Renew { fence, duration: 0 });
-    ask(&mut site, 3, Command::Release { fence });
-    ask(&mut site, 3, Command::Release { fence });
-    ask(&mut site, leader, Command::Revoke { fence: fence + 2 });
-    ask(&mut site, leader, Command::Revoke { fence: 1 });
-    // A request that reaches a voter which does not lead: it names the one that does.
-    let clock = site.clock();
-    site.members[3].agreed.submit(
+    execute(&mut cluster, 3, Command::Renew { fence, duration: 0 });
+    execute(&mut cluster, 3, Command::Release { fence });
+    execute(&mut cluster, 3, Command::Release { fence });
+    execute(&mut cluster, leader, Command::Revoke { fence: fence + 2 });
+    execute(&mut cluster, leader, Command::Revoke { fence: 1 });
+    // A request that reaches a voter which is not the leader is redirected to the leader.
+    let clock = cluster.clock();
+    cluster.members[3].consensus.submit(
         clock,
-        take("sent on", 1, 70 * SECOND, true, "asked of the wrong one"),
+        acquire("sent on", 1, 70 * SECOND, true, "asked of the wrong one"),
         9 * SECOND,
     );
     let mut first = true;
-    site.play(SECOND, |sent| {
-        let astray = first && sent.from == 3 && sent.bytes[0] == ASK;
-        first &= !astray;
-        Some(if astray { follower } else { sent.to })
+    cluster.run_for(SECOND, |sent| {
+        let is_misdirected = first && sent.from == 3 && sent.bytes[0] == REQUEST;
+        first &= !is_misdirected;
+        Some(if is_misdirected { follower } else { sent.to })
     });
-    let entries = site.members[leader].file.clone().unwrap();
-    // A voter that lost its log is let in again under another id.
+    let entries = cluster.members[leader].file.clone().unwrap();
+    // A voter that lost its log is admitted again under another id.
     let third = (leader + 2) % 3;
-    site.restart(third, kept());
-    site.members[leader].written.clear();
-    site.play(20 * SECOND, everywhere);
-    let changes = site.members[leader].written.clone();
-    let changed = site.members[leader].file.clone().unwrap();
-    // Many rights, so that the state is longer than a datagram; every fourth part of it is lost.
+    cluster.restart(third, empty_file());
+    cluster.members[leader].written.clear();
+    cluster.run_for(20 * SECOND, deliver_all);
+    let replacement_writes = cluster.members[leader].written.clone();
+    let voter_replaced = cluster.members[leader].file.clone().unwrap();
+    // Many leases make the state longer than a datagram; every fourth fragment of it is lost.
     for n in 0..40 {
-        ask(
-            &mut site,
+        execute(
+            &mut cluster,
             n % 5,
-            take(
+            acquire(
                 &format!("pot-{n}"),
                 1,
                 3_600 * SECOND,
@@ -185,47 +192,51 @@
             ),
         );
     }
-    let mut parts = 0;
-    site.play(3 * SECOND, |sent| {
-        parts += u32::from(sent.bytes[0] == PART);
-        (sent.bytes[0] != PART || parts % 4 != 0).then_some(sent.to)
+    let mut fragments = 0;
+    cluster.run_for(3 * SECOND, |sent| {
+        fragments += u32::from(sent.bytes[0] == FRAGMENT);
+        (sent.bytes[0] != FRAGMENT || fragments % 4 != 0).then_some(sent.to)
     });
-    let messages = messages(&site.sent);
-    // So many entries that the log is cut.
-    while !is_cut(site.members[leader].file.as_deref().unwrap()) {
-        site.ask(leader, Command::Revoke { fence: 1 });
+    let messages = messages(&cluster.sent);
+    // Enough entries for a compaction of the log.
+    while !is_compacted(cluster.members[leader].file.as_deref().unwrap()) {
+        cluster.execute(leader, Command::Revoke { fence: 1 });
     }
-    let cut = site.members[leader].file.clone().unwrap();
-    let standing = standing(&site.members[leader].agreed);
-    Life {
-        founded,
+    let compacted = cluster.members[leader].file.clone().unwrap();
+    let state = describe_state(&cluster.members[leader].consensus);
+    Scenario {
+        bootstrapped,
         entries,
-        changed,
-        changes,
-        cut,
+        voter_replaced,
+        replacement_writes,
+        compacted,
         outcomes,
-        standing,
+        state,
         messages,
     }
 }
 
-/// Whether it was written anew after more entries than are kept.
-fn is_cut(file: &[u8]) -> bool {
+/// Whether the file was rewritten after a compaction.
+fn is_compacted(file: &[u8]) -> bool {
     let log = store::read(file).unwrap().log.unwrap();
     log.snapshot().get_metadata().index > 256 && log.last_index() < 1_000
 }
 
 const RAFT: u8 = 0;
-const PART: u8 = 1;
-const ASK: u8 = 3;
+const FRAGMENT: u8 = 1;
+const REQUEST: u8 = 3;
 
-/// Messages in the order in which they were sent: of those between replicas and of parts few, else all that differ.
+/// Distinct messages in the order in which they were sent, with only a few `raft` messages and fragments.
 fn messages(sent: &[Sent]) -> String {
     let mut text = String::new();
     let mut seen: Vec<(u8, &[u8])> = Vec::new();
     for Sent { bytes, .. } in sent {
         let kind = bytes[0];
-        let limit = if kind == RAFT || kind == PART { 8 } else { 80 };
+        let limit = if kind == RAFT || kind == FRAGMENT {
+            8
+        } else {
+            80
+        };
         let of_kind = seen.iter().filter(|s| s.0 == kind).count();
         if of_kind < limit && !seen.contains(&(kind, bytes)) {
             seen.push((kind, bytes));
@@ -236,27 +247,30 @@
 }
 
 #[test]
-fn log_files_and_messages_keep_their_bytes() {
-    let life = live();
-    assert_golden!("log-founded.bin", life.founded);
-    assert_golden!("log-entries.bin", life.entries);
-    assert_golden!("log-voter-replaced.bin", life.changed);
-    assert_golden!("log-writes-of-a-replacement.bin", life.changes);
-    assert_golden!("log-cut.bin", life.cut);
-    assert_golden!("outcomes.txt", life.outcomes);
-    assert_golden!("agreed-standing.txt", life.standing);
-    assert_golden!("agreed-messages.txt", life.messages);
+fn log_files_and_messages_match_golden_bytes() {
+    let scenario = run_scenario();
+    assert_golden!("log-founded.bin", scenario.bootstrapped);
+    assert_golden!("log-entries.bin", scenario.entries);
+    assert_golden!("log-voter-replaced.bin", scenario.voter_replaced);
+    assert_golden!(
+        "log-writes-of-a-replacement.bin",
+        scenario.replacement_writes
+    );
+    assert_golden!("log-cut.bin", scenario.compacted);
+    assert_golden!("outcomes.txt", scenario.outcomes);
+    assert_golden!("agreed-standing.txt", scenario.state);
+    assert_golden!("agreed-messages.txt", scenario.messages);
     for kind in 0..=6 {
         let line = format!("{kind} ");
         assert!(
-            life.messages.lines().any(|l| l.starts_with(&line)),
+            scenario.messages.lines().any(|l| l.starts_with(&line)),
             "no message of kind {kind}"
         );
     }
 }
 
 #[test]
-fn golden_log_files_are_read_whole() {
+fn golden_log_files_are_read_completely() {
     for (name, last) in [
         ("log-founded.bin", 2),
         ("log-entries.bin", 16),
@@ -273,18 +287,18 @@
         let log = loaded.log.expect(name);
         assert_eq!(log.identity.initial_voters.len(), 3, "{name}");
         assert!(log.last_index() >= last, "{name}: {}", log.last_index());
-        // A cut tail loses the last record and nothing before it.
-        let torn = store::read(&bytes[..bytes.len() - 1]).expect(name);
+        // A truncated tail loses only the last record.
+        let truncated = store::read(&bytes[..bytes.len() - 1]).expect(name);
         assert_eq!(
-            torn.damage,
+            truncated.damage,
             Some("it ends in the middle of a record"),
             "{name}"
         );
         assert!(
-            torn.valid_bytes < bytes.len() - 1 && torn.log.is_some(),
+            truncated.valid_bytes < bytes.len() - 1 && truncated.log.is_some(),
             "{name}"
         );
-        // What an earlier build kept is written by this one to the letter, where it is written anew.
+        // Rewriting the log of an earlier build is stable: encoding it again yields the same bytes.
         if name == "log-cut.bin" {
             assert_eq!(
                 store::encode_file(&store::read(&store::encode_file(&log)).unwrap().log.unwrap()),
@@ -299,7 +313,7 @@
 }
 
 #[test]
-fn member_goes_on_from_a_log_file_of_an_earlier_build() {
+fn member_resumes_from_a_log_file_of_an_earlier_build() {
     let bytes = read_golden!("log-cut.bin");
     let id = store::read(&bytes)
         .unwrap()
@@ -307,20 +321,20 @@
         .unwrap()
         .identity
         .replica_id;
-    let agreed = open(0, 5_000, Some(bytes.clone()));
-    assert_eq!(agreed.notice().replica_id, id);
-    let replica = agreed.replica().expect("a replica");
-    let rights = replica.state().leases.all().count();
-    assert_eq!(rights, 41);
-    // The whole of it as it stood, but for what was agreed after the snapshot.
+    let consensus = open(0, 5_000, Some(bytes.clone()));
+    assert_eq!(consensus.notice().replica_id, id);
+    let replica = consensus.replica().expect("a replica");
+    let lease_count = replica.state().leases.all().count();
+    assert_eq!(lease_count, 41);
+    // All leases of the golden state, apart from the remaining time, which entries after the snapshot change.
     let golden = String::from_utf8(read_golden!("agreed-standing.txt")).unwrap();
     let lent: Vec<&str> = golden.lines().filter(|l| l.contains(" of pot-")).collect();
-    let now = standing(&agreed);
+    let current = describe_state(&consensus);
     assert_eq!(lent.len(), 40);
     assert!(
         lent.iter()
-            .all(|l| now.contains(l.split(", left").next().unwrap())),
-        "{now}"
+            .all(|l| current.contains(l.split(", left").next().unwrap())),
+        "{current}"
     );
 }
 
@@ -333,22 +347,22 @@
         reader.handle_message(SECOND, SECOND, "a", &unhex(bytes));
         assert_eq!(reader.counters().malformed, 0, "kind {kind}: {bytes}");
     }
-    // One that nobody sends.
+    // A message of an unknown kind.
     reader.handle_message(SECOND, SECOND, "a", &[7, 0, 0]);
     assert_eq!(reader.counters().malformed, 1);
 }
 
 #[test]
-fn log_errors_keep_their_words() {
+fn log_error_messages_are_unchanged() {
     let whole = read_golden!("log-entries.bin");
     let mut damage = whole.clone();
     *damage.last_mut().unwrap() ^= 1;
     let mut endless = whole.clone();
     endless.extend([0; 9]);
-    // Entries behind a hole.
-    let mut hole = read_golden!("log-founded.bin");
+    // Entries after a gap.
+    let mut gap = read_golden!("log-founded.bin");
     let tail = whole.len() - 60;
-    hole.extend(&whole[tail..]);
+    gap.extend(&whole[tail..]);
     let files: [(&str, &[u8]); 8] = [
         ("empty", b""),
         ("begun", b"driftfr"),
@@ -357,11 +371,11 @@
         ("header alone", b"driftfront agreed 1\n"),
         ("spoilt byte", &damage),
         ("endless record", &endless),
-        ("tail of another", &hole),
+        ("tail of another", &gap),
     ];
     let mut text = String::new();
     for (what, bytes) in files {
-        let said = match store::read(bytes) {
+        let result = match store::read(bytes) {
             Ok(loaded) => format!(
                 "{} bytes well, {:?}, log {}",
                 loaded.valid_bytes,
@@ -370,16 +384,16 @@
             ),
             Err(why) => why.to_string(),
         };
-        let _ = writeln!(text, "{what}: {said}");
+        let _ = writeln!(text, "{what}: {result}");
     }
     assert_golden!("log-wrong.txt", text);
 }
 
 #[test]
-fn commands_outcomes_and_notices_keep_their_bytes() {
+fn commands_outcomes_and_notices_match_golden_bytes() {
     let mut text = String::new();
     let commands = [
-        take("pot", 2, 60 * SECOND, true, "why"),
+        acquire("pot", 2, 60 * SECOND, true, "why"),
         Command::Renew {
             fence: 300,
             duration: 5,
--- a/crates/cluster/tests/gossip.rs
+++ b/crates/cluster/tests/gossip.rs
@@ -1,4 +1,4 @@
-//! Records that members publish, and what others know of them.
+//! Replication of gossip records.
 #![allow(
     clippy::cast_possible_truncation,
     reason = "numbers of a test are small"
@@ -11,18 +11,18 @@
 const S: Micros = 1_000_000;
 const MAX_BYTES: usize = 1100;
 
-/// Passes all of one's news on to another until neither has any.
+/// Compares versions often enough that both members have all records of each other.
 fn exchange(now: Micros, a: &mut GossipState, b: &mut GossipState) {
     for _ in 0..200 {
         let versions = b.next_versions(MAX_BYTES);
-        let for_b = a.compare_versions(now, &versions, MAX_BYTES, 2);
-        for d in &for_b.records {
+        let from_a = a.compare_versions(now, &versions, MAX_BYTES, 2);
+        for d in &from_a.records {
             b.receive(now, d, 0);
         }
-        if let Some(reply) = for_b.reply {
-            let for_a = b.compare_versions(now, &reply, MAX_BYTES, 2);
-            assert!(for_a.reply.is_none(), "a reply to a reply");
-            for d in &for_a.records {
+        if let Some(reply) = from_a.reply {
+            let from_b = b.compare_versions(now, &reply, MAX_BYTES, 2);
+            assert!(from_b.reply.is_none(), "a reply to a reply");
+            for d in &from_b.records {
                 a.receive(now, d, 0);
             }
         }
@@ -38,26 +38,30 @@
     let second = a.next_rumors(2 * S, MAX_BYTES).unwrap();
     b.update_reachability(2 * S, |name| name == "a");
     assert_eq!(b.receive(3 * S, &second, 3), 1);
-    assert_eq!(b.receive(3 * S, &second, 3), 0, "news twice");
-    let fact = b.get(5 * S, "a", 7).unwrap();
     assert_eq!(
-        (fact.value, fact.age, fact.reachable),
+        b.receive(3 * S, &second, 3),
+        0,
+        "a repeated record is not new"
+    );
+    let record = b.get(5 * S, "a", 7).unwrap();
+    assert_eq!(
+        (record.value, record.age, record.reachable),
         (&b"two"[..], 2 * S, true)
     );
-    // Through a third its age goes on.
+    // The age keeps growing when a third member relays the record.
     let mut c = GossipState::new("c", 1);
     c.receive(6 * S, &b.next_rumors(6 * S, MAX_BYTES).unwrap(), 3);
     assert_eq!(c.get(6 * S, "a", 7).unwrap().age, 3 * S);
-    // The owner's next process outdoes all of the one before, though it counts from one again.
-    let mut again = GossipState::new("a", 9);
-    again.publish(7 * S, 8, b"new", 3);
-    b.receive(7 * S, &again.next_rumors(7 * S, MAX_BYTES).unwrap(), 3);
+    // Records of the owner's next process replace all earlier ones, although their numbers start from one again.
+    let mut restarted = GossipState::new("a", 9);
+    restarted.publish(7 * S, 8, b"new", 3);
+    b.receive(7 * S, &restarted.next_rumors(7 * S, MAX_BYTES).unwrap(), 3);
     assert!(b.get(7 * S, "a", 7).is_none());
     assert_eq!(b.get(7 * S, "a", 8).unwrap().value, b"new");
     b.receive(8 * S, &second, 3);
     assert!(
         b.get(8 * S, "a", 7).is_none(),
-        "a word of an earlier process came late"
+        "a late record of an earlier process is ignored"
     );
 }
 
@@ -69,8 +73,8 @@
     b.update_reachability(S, |_| true);
     assert!(b.get(S, "a", 1).unwrap().reachable);
     b.update_reachability(2 * S, |_| false);
-    let fact = b.get(30 * S, "a", 1).unwrap();
-    assert_eq!((fact.reachable, fact.age), (false, 30 * S));
+    let record = b.get(30 * S, "a", 1).unwrap();
+    assert_eq!((record.reachable, record.age), (false, 30 * S));
     b.update_reachability(61 * S, |_| false);
     assert!(b.get(61 * S, "a", 1).is_some());
     b.update_reachability(63 * S, |_| false);
@@ -79,28 +83,28 @@
 
 #[test]
 fn forged_record_is_refuted_by_its_owner() {
-    let (mut a, mut liar, mut b) = (
+    let (mut a, mut forger, mut b) = (
         GossipState::new("a", 5),
         GossipState::new("a", 5),
         GossipState::new("b", 6),
     );
     a.publish(0, 1, b"true", 3);
     for n in 0..40u8 {
-        liar.publish(0, 1, &[n], 3);
+        forger.publish(0, 1, &[n], 3);
     }
-    let lie = liar.next_rumors(0, MAX_BYTES).unwrap();
-    b.receive(0, &lie, 3);
+    let forged = forger.next_rumors(0, MAX_BYTES).unwrap();
+    b.receive(0, &forged, 3);
     assert_eq!(b.get(0, "a", 1).unwrap().value, &[39]);
-    a.receive(S, &lie, 3);
+    a.receive(S, &forged, 3);
     assert_eq!(a.refused.forged, 1);
     b.receive(S, &a.next_rumors(S, MAX_BYTES).unwrap(), 3);
     assert_eq!(b.get(S, "a", 1).unwrap().value, b"true");
-    // Also under a session of the future; what nobody could outdo is no record.
+    // A forged record with a later session is refuted too; one with the highest session, which could not be, is invalid.
     let mut future = GossipState::new("a", 1 << 40);
     future.publish(0, 1, b"lie", 3);
-    let lie = future.next_rumors(0, MAX_BYTES).unwrap();
-    b.receive(2 * S, &lie, 3);
-    a.receive(2 * S, &lie, 3);
+    let forged = future.next_rumors(0, MAX_BYTES).unwrap();
+    b.receive(2 * S, &forged, 3);
+    a.receive(2 * S, &forged, 3);
     b.receive(2 * S, &a.next_rumors(2 * S, MAX_BYTES).unwrap(), 3);
     assert_eq!(b.get(2 * S, "a", 1).unwrap().value, b"true");
     let mut last = GossipState::new("a", u64::MAX);
@@ -131,7 +135,7 @@
 }
 
 #[test]
-fn comparing_versions_brings_both_members_to_the_same() {
+fn comparing_versions_makes_both_members_converge() {
     let (mut a, mut b) = (GossipState::new("a", 5), GossipState::new("b", 6));
     for n in 0..300 {
         let mut owner = GossipState::new(&format!("owner-{n:03}"), 1);
@@ -148,7 +152,7 @@
         }
     }
     exchange(S, &mut a, &mut b);
-    // All are of one session.
+    // All records have the same session.
     let all = |g: &GossipState| -> Vec<(String, u64, Vec<u8>)> {
         g.all(S, 1)
             .map(|(owner, r)| (owner.to_string(), r.version, r.value.to_vec()))
@@ -168,20 +172,20 @@
 }
 
 #[test]
-fn no_datagram_makes_it_panic_or_grow_beyond_bounds() {
-    fn stands(noise: Vec<Noise>) -> bool {
+fn arbitrary_datagrams_cause_no_panic_and_no_unbounded_growth() {
+    fn is_bounded(noise: Vec<Noise>) -> bool {
         let (mut a, mut b) = (GossipState::new("a", 5), GossipState::new("b", 6));
         b.publish(0, 1, b"value", 9);
         for Noise(bytes, at, with) in noise {
-            let mut told = b.next_rumors(0, MAX_BYTES).unwrap_or_default();
-            let mut digest = b.next_versions(MAX_BYTES);
-            for d in [&mut told, &mut digest] {
+            let mut rumors = b.next_rumors(0, MAX_BYTES).unwrap_or_default();
+            let mut versions = b.next_versions(MAX_BYTES);
+            for d in [&mut rumors, &mut versions] {
                 if !d.is_empty() {
                     let at = at % d.len();
                     d[at] ^= with;
                 }
             }
-            for d in [&bytes, &told, &digest] {
+            for d in [&bytes, &rumors, &versions] {
                 a.receive(0, d, 1);
                 let compared = a.compare_versions(0, d, MAX_BYTES, 2);
                 assert!(
@@ -196,5 +200,5 @@
         }
         a.len() < 2000
     }
-    quickcheck(stands as fn(Vec<Noise>) -> bool);
+    quickcheck(is_bounded as fn(Vec<Noise>) -> bool);
 }
--- a/crates/cluster/tests/leases.rs
+++ b/crates/cluster/tests/leases.rs
@@ -62,7 +62,7 @@
         ),
         Outcome::NotOwner
     );
-    // At its end, and not before.
+    // The resource is free at the lease's end, and not before.
     assert!(matches!(
         leases.apply(4, entry(11 * S - 1, "b", 3, acquire("out", S, false))),
         Outcome::LimitReached { .. }
@@ -120,9 +120,9 @@
 #[test]
 fn repeated_request_counts_once_and_earlier_session_is_stale() {
     let mut leases = Leases::default();
-    let ask = entry(S, "a", 5, acquire("out", 10 * S, false));
-    let first = leases.apply(1, ask.clone());
-    assert_eq!(leases.apply(2, ask), first);
+    let request = entry(S, "a", 5, acquire("out", 10 * S, false));
+    let first = leases.apply(1, request.clone());
+    assert_eq!(leases.apply(2, request), first);
     assert_eq!(
         leases.outcome(
             "a",
@@ -137,7 +137,7 @@
         leases.apply(3, entry(S, "a", 4, Command::Release { fence: 1 })),
         Outcome::Stale
     );
-    // The next process of that name may give back, or go on with, what is its name's; the one before may not.
+    // The next process of that name may release or renew the leases of its name; the earlier process may not.
     let later = Entry {
         session: 2,
         ..entry(
@@ -198,7 +198,7 @@
         let request = RequestId { session: 1, number };
         leases.outcome(owner, request).is_some()
     };
-    // The requests' numbers go on from owner to owner.
+    // Request numbers continue across owners.
     let of_first = MAX_LEASES_PER_OWNER + 1;
     let remembered =
         (0..MAX_OWNERS + 50).filter(|n| is_remembered(&format!("o{n}"), of_first + 1 + n));
@@ -212,13 +212,14 @@
 
 #[test]
 fn granted_amount_never_exceeds_the_limit() {
-    fn holds(asks: Vec<(u8, u8, u8, u8)>) -> bool {
+    fn is_within_limit(requests: Vec<(u8, u8, u8, u8)>) -> bool {
         let mut leases = Leases::default();
         let mut time = 0;
-        asks.into_iter()
+        requests
+            .into_iter()
             .enumerate()
-            .all(|(n, (what, who, amount, later))| {
-                time += Micros::from(later) * 100_000;
+            .all(|(n, (what, who, amount, delay))| {
+                time += Micros::from(delay) * 100_000;
                 let fence = 1 + u64::from(amount) % (n as u64 + 1);
                 let command = match what % 4 {
                     0 | 1 => Command::Acquire {
@@ -239,5 +240,5 @@
                 leases.granted_of("p") <= 5
             })
     }
-    quickcheck(holds as fn(Vec<(u8, u8, u8, u8)>) -> bool);
+    quickcheck(is_within_limit as fn(Vec<(u8, u8, u8, u8)>) -> bool);
 }
--- a/crates/cluster/tests/local_clock.rs
+++ b/crates/cluster/tests/local_clock.rs
@@ -1,9 +1,9 @@
-//! A member's own time.
+//! A member's local time.
 
 use driftfront_cluster::local_clock::{LocalClock, MAX_SELF_SUSPICION};
 
 #[test]
-fn stalled_process_goes_on_slowly_and_recovers() {
+fn local_time_is_slow_after_a_stall_and_recovers() {
     let mut time = LocalClock::default();
     let mut clock = 1_000_000_000;
     time.update(clock);
@@ -12,7 +12,7 @@
         time.update(clock);
     }
     assert_eq!((time.now(), time.self_suspicion()), (1_000_000, 0));
-    // Stopped for 8 s.
+    // A stall of 8 s.
     clock += 8_000_000;
     assert_eq!(time.update(clock), 1_050_000);
     assert_eq!((time.self_suspicion(), time.stalls), (1, 1));
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn clock_jump_moves_the_time_by_one_step_at_most() {
+fn clock_jump_advances_local_time_by_one_step_at_most() {
     let mut time = LocalClock::default();
     time.update(5_000_000_000);
     assert_eq!(time.update(8_600_000_000), 50_000);
--- a/crates/cluster/tests/log_file.rs
+++ b/crates/cluster/tests/log_file.rs
@@ -1,4 +1,4 @@
-//! A log's form in a file, and the log that it holds.
+//! The log file format, and compaction of the log.
 
 use driftfront_cluster::consensus::log::{Log, LogError, SharedLog};
 use driftfront_cluster::consensus::log_identity::LogIdentity;
@@ -36,50 +36,51 @@
 }
 
 #[test]
-fn file_cut_at_any_byte_holds_all_complete_records_before() {
+fn file_truncated_at_any_byte_keeps_all_complete_records() {
     let mut file = encode_file(&log());
-    let mut marks = vec![(file.len(), 1)];
+    // The end of each record in the file, and the log's last index there.
+    let mut record_ends = vec![(file.len(), 1)];
     for n in 2..6 {
         file.extend(entry_record(&entry(n, 1, "some words")));
-        marks.push((file.len(), n));
+        record_ends.push((file.len(), n));
     }
-    // An entry in place of two that were never agreed.
+    // An entry that replaces two uncommitted ones.
     file.extend(entry_record(&entry(4, 2, "other words")));
-    marks.push((file.len(), 4));
+    record_ends.push((file.len(), 4));
     for end in 0..=file.len() {
-        let loaded = read(&file[..end]).expect("ours");
-        let whole = marks.iter().rev().find(|m| m.0 <= end);
+        let loaded = read(&file[..end]).expect("a log file");
+        let last_end = record_ends.iter().rev().find(|r| r.0 <= end);
         let last = loaded.log.as_ref().map_or(0, Log::last_index);
-        match whole {
-            Some(mark) => {
+        match last_end {
+            Some(record_end) => {
                 assert_eq!(
                     (last, loaded.valid_bytes, loaded.damage.is_some()),
-                    (mark.1, mark.0, end > mark.0)
+                    (record_end.1, record_end.0, end > record_end.0)
                 )
             }
-            // Within the file as it was first written, which is put in its place only when whole.
+            // Within the initial file, which is moved to its place only once it is complete.
             None => assert!(last <= 1 && loaded.valid_bytes <= end, "cut at {end}"),
         }
     }
     let log = read(&file).unwrap().log.unwrap();
     assert_eq!((log.term_at(3).unwrap(), log.term_at(4).unwrap()), (1, 2));
     assert!(log.term_at(5).is_err());
-    // Written anew it says the same.
-    let again = read(&encode_file(&log)).unwrap().log.unwrap();
-    assert_eq!(encode_file(&again), encode_file(&log));
+    // Rewriting the file is stable.
+    let reread = read(&encode_file(&log)).unwrap().log.unwrap();
+    assert_eq!(encode_file(&reread), encode_file(&log));
 }
 
 #[test]
-fn damaged_byte_is_found_and_unknown_file_is_refused() {
+fn damaged_byte_is_detected_and_unknown_file_is_rejected() {
     let mut file = encode_file(&log());
     file.extend(entry_record(&entry(2, 1, "some words")));
-    let whole = read(&file).unwrap().valid_bytes;
+    let undamaged_bytes = read(&file).unwrap().valid_bytes;
     for at in HEADER.len()..file.len() {
         let mut damaged = file.clone();
         damaged[at] ^= 0x10;
         match read(&damaged) {
             Ok(loaded) => assert!(
-                loaded.valid_bytes < whole && loaded.damage.is_some(),
+                loaded.valid_bytes < undamaged_bytes && loaded.damage.is_some(),
                 "byte {at}"
             ),
             Err(e) => panic!("byte {at}: {e}"),
@@ -90,7 +91,7 @@
         read(b"something else"),
         Err(LogError::UnknownFormat)
     ));
-    // Whole records that can't stand so are no power cut.
+    // Complete records that contradict each other are not the damage of a power failure.
     let mut file = encode_file(&log());
     file.extend(entry_record(&entry(9, 1, "")));
     assert!(matches!(read(&file), Err(LogError::Inconsistent(_))));
@@ -123,11 +124,11 @@
         .entries(227, 301, None, GetEntriesContext::empty(false))
         .unwrap();
     assert_eq!((some.len(), some[0].index), (74, 227));
-    // What is read again after a restart begins at the snapshot.
-    let again = read(&encode_file(&shared.0.borrow())).unwrap().log.unwrap();
-    let again = SharedLog::new(again);
+    // After a restart the log starts at the snapshot.
+    let reread = read(&encode_file(&shared.0.borrow())).unwrap().log.unwrap();
+    let reread = SharedLog::new(reread);
     assert_eq!(
-        (again.first_index().unwrap(), again.last_index().unwrap()),
+        (reread.first_index().unwrap(), reread.last_index().unwrap()),
         (291, 300)
     );
 }
--- a/crates/cluster/tests/member_metadata.rs
+++ b/crates/cluster/tests/member_metadata.rs
@@ -1,7 +1,7 @@
-//! What a member publishes of itself.
+//! Encoding of member metadata.
 #![allow(
     clippy::needless_pass_by_value,
-    reason = "quickcheck hands values to a property"
+    reason = "quickcheck passes values to a property"
 )]
 
 use driftfront_cluster::member_metadata::MAX_TEXT_BYTES;
@@ -41,9 +41,9 @@
 }
 
 #[test]
-fn no_record_makes_it_panic() {
-    fn reads(bytes: Vec<u8>) -> bool {
+fn decoding_arbitrary_bytes_never_panics() {
+    fn is_bounded(bytes: Vec<u8>) -> bool {
         MemberMetadata::decode(&bytes).is_none_or(|a| a.zone.len() <= MAX_TEXT_BYTES)
     }
-    quickcheck(reads as fn(Vec<u8>) -> bool);
+    quickcheck(is_bounded as fn(Vec<u8>) -> bool);
 }
--- a/crates/cluster/tests/membership.rs
+++ b/crates/cluster/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Who is there.
+//! Limits of the membership.
 #![allow(
     clippy::cast_possible_truncation,
     reason = "numbers of a test are small"
@@ -17,20 +17,20 @@
 }
 
 #[test]
-fn members_are_bounded_and_known_ones_heard_beyond() {
-    let mut me = Members::new(id("me", 1), 1);
+fn member_count_is_limited_but_known_members_are_still_accepted() {
+    let mut own = Members::new(id("own", 1), 1);
     let mut output = Output::default();
-    // Each sends one datagram of its own: it asks to be let in.
-    let mut join = |me: &mut Members, name: &str, port: u16| {
+    // Each other member sends one datagram, a join request.
+    let mut join = |own: &mut Members, name: &str, port: u16| {
         let mut other = Members::new(id(name, port), 2);
         let mut sent = Output::default();
-        other.join(0, me.own().addr, &mut sent);
-        me.handle_datagram(0, &sent.datagrams[0].1, &mut output);
+        other.join(0, own.own().addr, &mut sent);
+        own.handle_datagram(0, &sent.datagrams[0].1, &mut output);
     };
     for n in 0..MAX_MEMBERS + 10 {
-        join(&mut me, &format!("m{n}"), n as u16 + 2);
+        join(&mut own, &format!("m{n}"), n as u16 + 2);
     }
-    assert_eq!((me.reachable_count(), me.unreadable), (MAX_MEMBERS, 10));
-    join(&mut me, "m3", 5);
-    assert_eq!(me.unreadable, 10);
+    assert_eq!((own.reachable_count(), own.unreadable), (MAX_MEMBERS, 10));
+    join(&mut own, "m3", 5);
+    assert_eq!(own.unreadable, 10);
 }
--- a/crates/cluster/tests/message_authentication.rs
+++ b/crates/cluster/tests/message_authentication.rs
@@ -1,7 +1,7 @@
-//! The form of datagrams, the keys and the counts that are accepted once.
+//! The datagram format, keys and replay protection.
 #![allow(
     clippy::needless_pass_by_value,
-    reason = "quickcheck hands values to a property"
+    reason = "quickcheck passes values to a property"
 )]
 
 use driftfront_cluster::message_authentication::{
@@ -19,7 +19,7 @@
 const TWO: &str = "f0f1f2f3f4f5f6f7f8f9fafbfcfdfeff";
 
 #[test]
-fn datagram_is_accepted_once_and_only_unchanged() {
+fn datagram_is_accepted_once_and_only_unmodified() {
     let (mut a, mut b) = (
         MessageAuthenticator::new(keys(ONE), 7),
         MessageAuthenticator::new(keys(ONE), 8),
@@ -31,12 +31,12 @@
         (Payload::GossipState, &b"hello"[..], 7)
     );
     assert_eq!(b.open(&sent), Err(AuthenticationError::Replayed));
-    // Every bit counts.
+    // Flipping any bit makes it invalid.
     let sent = a.seal(Payload::GossipState, b"hello", 8).unwrap();
     for n in 0..sent.len() * 8 {
-        let mut spoilt = sent.clone();
-        spoilt[n / 8] ^= 1 << (n % 8);
-        assert!(b.open(&spoilt).is_err(), "bit {n}");
+        let mut modified = sent.clone();
+        modified[n / 8] ^= 1 << (n % 8);
+        assert!(b.open(&modified).is_err(), "bit {n}");
     }
     for length in 0..sent.len() {
         assert!(b.open(&sent[..length]).is_err());
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn datagram_for_an_earlier_process_is_refused_by_the_next() {
+fn datagram_for_an_earlier_process_is_rejected_by_the_next() {
     let mut a = MessageAuthenticator::new(keys(ONE), 7);
     let sent = a.seal(Payload::Members, b"x", 8).unwrap();
     let mut restarted = MessageAuthenticator::new(keys(ONE), 9);
@@ -66,7 +66,7 @@
     assert!(restarted
         .open(&a.seal(Payload::Members, b"x", 0).unwrap())
         .is_ok());
-    // Its own words, sent back to it.
+    // Its own datagram, reflected to it.
     let own = restarted.seal(Payload::Members, b"x", 0).unwrap();
     assert_eq!(restarted.open(&own), Err(AuthenticationError::StaleSession));
 }
@@ -113,23 +113,23 @@
         .contains("line 3"));
     assert!(
         !format!("{:?}", keys(ONE)).contains("0102"),
-        "a key is not shown"
+        "debug output must not contain a key"
     );
 }
 
 #[test]
-fn datagrams_may_overtake_each_other_within_the_window() {
+fn datagrams_may_be_reordered_within_the_window() {
     let mut window = ReplayWindow::default();
     for count in [5, 3, 4, 200, 199, 73] {
         assert!(window.accept(count), "{count}");
         assert!(!window.accept(count), "{count} again");
     }
-    assert!(!window.accept(72), "too old to tell");
+    assert!(!window.accept(72), "older than the window");
     assert!(!window.accept(0));
 }
 
 #[test]
-fn sessions_are_bounded_and_the_oldest_is_forgotten_first() {
+fn sessions_are_limited_and_the_least_recent_is_evicted_first() {
     let mut own = MessageAuthenticator::new(keys(ONE), 1);
     for session in 10..10 + MAX_SESSIONS as u64 + 5 {
         let mut other = MessageAuthenticator::new(keys(ONE), session);
@@ -147,31 +147,30 @@
 fn count_is_accepted_once_in_any_order() {
     fn once(counts: Vec<u8>) -> bool {
         let mut window = ReplayWindow::default();
-        let mut taken = std::collections::BTreeSet::new();
+        let mut accepted = std::collections::BTreeSet::new();
         counts.iter().all(|&c| {
-            let fresh = c > 0 && !taken.contains(&c);
-            let held = window.highest();
-            let old = u64::from(c) + REPLAY_WINDOW <= held;
-            let took = window.accept(u64::from(c));
-            if took {
-                taken.insert(c);
+            let is_new = c > 0 && !accepted.contains(&c);
+            let is_too_old = u64::from(c) + REPLAY_WINDOW <= window.highest();
+            let is_accepted = window.accept(u64::from(c));
+            if is_accepted {
+                accepted.insert(c);
             }
-            c == 0 || took == (fresh && !old)
+            c == 0 || is_accepted == (is_new && !is_too_old)
         })
     }
     quickcheck(once as fn(Vec<u8>) -> bool);
 }
 
 #[test]
-fn no_datagram_makes_it_panic() {
-    fn opens(bytes: Vec<u8>, headed: bool) -> bool {
+fn opening_arbitrary_bytes_never_panics() {
+    fn is_rejected(bytes: Vec<u8>, has_magic: bool) -> bool {
         let mut own = MessageAuthenticator::new(keys(ONE), 1);
-        let bytes = if headed {
+        let bytes = if has_magic {
             [b"DF\x01", &bytes[..]].concat()
         } else {
             bytes
         };
         own.open(&bytes).is_err()
     }
-    quickcheck(opens as fn(Vec<u8>, bool) -> bool);
+    quickcheck(is_rejected as fn(Vec<u8>, bool) -> bool);
 }
--- a/crates/cluster/tests/reconfiguration.rs
+++ b/crates/cluster/tests/reconfiguration.rs
@@ -49,7 +49,7 @@
     })
 }
 
-/// Voters a, b and c, of which c has been down for so long, and some others that could take its place.
+/// Voters a, b and c, of which c has been down for `time`, and some candidates for its slot.
 fn with_c_down_for(time: Micros) -> VoterOverview {
     VoterOverview {
         slots: vec![
@@ -99,7 +99,7 @@
         ..with_c_down_for(300 * S)
     };
     assert_eq!(next(&not_persistent), None, "where logs are not persistent");
-    // Back before it was replaced.
+    // The voter came back before it was replaced.
     assert_eq!(
         next(&with_learner(0, learner(8, true, true))),
         Some(VoterChange::RemoveLearner(8))
