--- a/crates/cluster/src/consensus/replica/mod.rs
+++ b/crates/cluster/src/consensus/replica/mod.rs
@@ -380,8 +380,8 @@
     }
 }
 
-/// Returns false for messages that `raft` would accept from anyone although they must come from this replica itself, and for
-/// snapshots of a later build.
+/// Returns false for messages that `raft` would accept from anyone although only a member of the log may send them, for
+/// numbers out of range, and for snapshots of a later build.
 fn is_acceptable(message: &Message) -> bool {
     let numbers = [
         message.term,
--- a/crates/cluster/tests/bootstrap.rs
+++ b/crates/cluster/tests/bootstrap.rs
@@ -62,7 +62,7 @@
         bootstrap: Bootstrap,
         cluster: u64,
     }
-    fn holds(steps: Vec<(u8, u8)>) -> bool {
+    fn is_safe(steps: Vec<(u8, u8)>) -> bool {
         let all = names();
         let mut next = 10;
         let mut fresh = |n: usize| {
@@ -118,6 +118,6 @@
         })
     }
     let mut check = quickcheck::QuickCheck::new().tests(3000);
-    check.quickcheck(holds as fn(Vec<(u8, u8)>) -> bool);
-    quickcheck::quickcheck(holds as fn(Vec<(u8, u8)>) -> bool);
+    check.quickcheck(is_safe as fn(Vec<(u8, u8)>) -> bool);
+    quickcheck::quickcheck(is_safe as fn(Vec<(u8, u8)>) -> bool);
 }
--- a/crates/cluster/tests/golden_log.rs
+++ b/crates/cluster/tests/golden_log.rs
@@ -328,11 +328,12 @@
     assert_eq!(lease_count, 41);
     // All leases of the golden state, apart from the remaining time, which entries after the snapshot change.
     let golden = String::from_utf8(read_golden!("agreed-standing.txt")).unwrap();
-    let lent: Vec<&str> = golden.lines().filter(|l| l.contains(" of pot-")).collect();
+    let golden_leases: Vec<&str> = golden.lines().filter(|l| l.contains(" of pot-")).collect();
     let current = describe_state(&consensus);
-    assert_eq!(lent.len(), 40);
+    assert_eq!(golden_leases.len(), 40);
     assert!(
-        lent.iter()
+        golden_leases
+            .iter()
             .all(|l| current.contains(l.split(", left").next().unwrap())),
         "{current}"
     );
@@ -354,22 +355,22 @@
 
 #[test]
 fn log_error_messages_are_unchanged() {
-    let whole = read_golden!("log-entries.bin");
-    let mut damage = whole.clone();
-    *damage.last_mut().unwrap() ^= 1;
-    let mut endless = whole.clone();
+    let undamaged = read_golden!("log-entries.bin");
+    let mut flipped = undamaged.clone();
+    *flipped.last_mut().unwrap() ^= 1;
+    let mut endless = undamaged.clone();
     endless.extend([0; 9]);
     // Entries after a gap.
     let mut gap = read_golden!("log-founded.bin");
-    let tail = whole.len() - 60;
-    gap.extend(&whole[tail..]);
+    let tail = undamaged.len() - 60;
+    gap.extend(&undamaged[tail..]);
     let files: [(&str, &[u8]); 8] = [
         ("empty", b""),
         ("begun", b"driftfr"),
         ("newer", b"driftfront agreed 2\nand so on"),
         ("foreign", b"another file\n"),
         ("header alone", b"driftfront agreed 1\n"),
-        ("spoilt byte", &damage),
+        ("spoilt byte", &flipped),
         ("endless record", &endless),
         ("tail of another", &gap),
     ];
