--- a/crates/core/src/attempt_end.rs
+++ b/crates/core/src/attempt_end.rs
@@ -127,7 +127,7 @@
             attempt: key.number,
             outcome,
             last: request.is_some_and(|r| r.is_closed),
-            spent,
+            elapsed: spent,
             work,
             memory_mb,
             report: &report,
--- a/crates/core/src/routing.rs
+++ b/crates/core/src/routing.rs
@@ -134,7 +134,7 @@
         attempt: key.number,
         outcome: Outcome::Superseded,
         last: false,
-        spent: 0,
+        elapsed: 0,
         work: None,
         memory_mb: None,
         report: &[],
--- a/crates/scheduler/src/events.rs
+++ b/crates/scheduler/src/events.rs
@@ -110,7 +110,7 @@
     /// The query has its final answer, by this or before.
     pub last: bool,
     /// Time since it was sent.
-    pub spent: Micros,
+    pub elapsed: Micros,
     /// Work that the query took in µs over all threads, if the engine says.
     pub work: Option<f64>,
     /// Memory that it needed in MB, if the engine says.
--- a/crates/scheduler/src/learning.rs
+++ b/crates/scheduler/src/learning.rs
@@ -55,7 +55,7 @@
 ) {
     let query = &state.queries[&ended.query];
     let threads = state.class_of(query).threads;
-    let spent = ended.spent as f64;
+    let spent = ended.elapsed as f64;
     let sample = Sample {
         work: ended.work,
         memory_mb: ended.memory_mb,
--- a/crates/scheduler/tests/coordinators.rs
+++ b/crates/scheduler/tests/coordinators.rs
@@ -106,7 +106,7 @@
             attempt: 0,
             outcome,
             last: true,
-            spent,
+            elapsed: spent,
             work,
             memory_mb: None,
             report: &[0.5],
--- a/crates/scheduler/tests/transcript.rs
+++ b/crates/scheduler/tests/transcript.rs
@@ -423,7 +423,7 @@
             attempt,
             outcome,
             last,
-            spent: self.now - sent,
+            elapsed: self.now - sent,
             work,
             memory_mb,
             report: &report,
--- a/crates/simulator-adapter/src/record.rs
+++ b/crates/simulator-adapter/src/record.rs
@@ -200,7 +200,7 @@
         attempt,
         outcome,
         last,
-        spent,
+        elapsed: spent,
         work: positive(f64::from(work_steps) * WORK_STEP_MICROS),
         memory_mb: positive(f64::from(memory_steps) * MEMORY_STEP_MB),
         report: &[],
--- a/crates/test-support/src/scheduler.rs
+++ b/crates/test-support/src/scheduler.rs
@@ -162,7 +162,7 @@
             attempt,
             outcome,
             last: outcome == Outcome::Ok,
-            spent,
+            elapsed: spent,
             work: None,
             memory_mb: None,
             report: &[],
