--- a/crates/core/src/attempt_end.rs
+++ b/crates/core/src/attempt_end.rs
@@ -126,7 +126,7 @@
             query: key.request.query(),
             attempt: key.number,
             outcome,
-            last: request.is_some_and(|r| r.is_closed),
+            query_answered: request.is_some_and(|r| r.is_closed),
             elapsed: spent,
             work,
             memory_mb,
--- a/crates/core/src/routing.rs
+++ b/crates/core/src/routing.rs
@@ -133,7 +133,7 @@
         query: key.request.query(),
         attempt: key.number,
         outcome: Outcome::Superseded,
-        last: false,
+        query_answered: false,
         elapsed: 0,
         work: None,
         memory_mb: None,
--- a/crates/scheduler/src/controller.rs
+++ b/crates/scheduler/src/controller.rs
@@ -230,10 +230,10 @@
             self.hold_key(now, ended.query);
         }
         match self.state().queries[&ended.query].state {
-            QueryState::InFlight if !ended.last => {
+            QueryState::InFlight if !ended.query_answered => {
                 self.dispatcher.retry_or_end(now, ended.query, actions);
             }
-            state if ended.last || state == QueryState::Answered => {
+            state if ended.query_answered || state == QueryState::Answered => {
                 self.dispatcher.conclude(now, ended.query, actions);
             }
             _ => {}
--- a/crates/scheduler/src/events.rs
+++ b/crates/scheduler/src/events.rs
@@ -108,7 +108,7 @@
     /// How it ended.
     pub outcome: Outcome,
     /// The query has its final answer, by this or before.
-    pub last: bool,
+    pub query_answered: bool,
     /// Time since it was sent.
     pub elapsed: Micros,
     /// Work that the query took in µs over all threads, if the engine says.
--- a/crates/scheduler/tests/coordinators.rs
+++ b/crates/scheduler/tests/coordinators.rs
@@ -105,7 +105,7 @@
             query,
             attempt: 0,
             outcome,
-            last: true,
+            query_answered: true,
             elapsed: spent,
             work,
             memory_mb: None,
--- a/crates/scheduler/tests/transcript.rs
+++ b/crates/scheduler/tests/transcript.rs
@@ -422,7 +422,7 @@
             query: QueryId(q),
             attempt,
             outcome,
-            last,
+            query_answered: last,
             elapsed: self.now - sent,
             work,
             memory_mb,
--- a/crates/simulator-adapter/src/record.rs
+++ b/crates/simulator-adapter/src/record.rs
@@ -199,7 +199,7 @@
         query,
         attempt,
         outcome,
-        last,
+        query_answered: last,
         elapsed: spent,
         work: positive(f64::from(work_steps) * WORK_STEP_MICROS),
         memory_mb: positive(f64::from(memory_steps) * MEMORY_STEP_MB),
--- a/crates/test-support/src/scheduler.rs
+++ b/crates/test-support/src/scheduler.rs
@@ -161,7 +161,7 @@
             query,
             attempt,
             outcome,
-            last: outcome == Outcome::Ok,
+            query_answered: outcome == Outcome::Ok,
             elapsed: spent,
             work: None,
             memory_mb: None,
