--- a/crates/scheduler/src/actions.rs
+++ b/crates/scheduler/src/actions.rs
@@ -1,26 +1,26 @@
-//! Actions: what a [`Controller`](crate::Controller) asks for.
+//! Actions: the output of a [`Controller`](crate::Controller).
 
 use crate::types::{EngineId, Micros, QueryId};
 
-/// What a controller asks its host to do.
+/// What the controller asks its host to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Sets the resources of a query's next attempt.
+    /// Sets the memory grant and priority of the query's next attempt.
     SetResources {
         /// The query.
         query: QueryId,
-        /// Memory grant, MB; 0 leaves it to the engine.
+        /// Memory grant in MB; 0 leaves the choice to the engine.
         memory_mb: f64,
         /// Priority on the engine; 0 is the lowest.
         priority: u8,
     },
-    /// Starts an attempt. Attempts of a query are numbered from 0.
+    /// Starts an attempt. The attempts of a query are numbered from 0.
     StartAttempt {
         /// The query.
         query: QueryId,
-        /// The engine that it goes to.
+        /// The engine that runs the attempt.
         engine: EngineId,
-        /// Time until it is given up, from now.
+        /// Time from now after which the attempt is abandoned.
         timeout: Micros,
     },
     /// Cancels an attempt.
@@ -30,36 +30,36 @@
         /// Number of the attempt.
         attempt: u8,
     },
-    /// Final answer: rejected. Nothing has run, or a repeat does no harm.
+    /// Final answer: rejected. The query has not run, or repeating it is harmless.
     Reject {
         /// The query.
         query: QueryId,
-        /// The client may retry after this time.
+        /// Time after which the client may retry.
         retry_after: Micros,
     },
-    /// Final answer: failed; it may have run.
+    /// Final answer: failed. The query may have run.
     Fail(QueryId),
-    /// Asks for [`Event::TimerFired`](crate::Event::TimerFired).
+    /// Requests an [`Event::TimerFired`](crate::Event::TimerFired).
     SetTimer {
-        /// Time until then, from now.
+        /// Time from now until the timer fires.
         after: Micros,
-        /// The token that comes back with the event.
+        /// Token that the event carries.
         token: u64,
     },
     /// Probes an engine.
     Probe(EngineId),
     /// Sends a message to another coordinator.
     SendGossip {
-        /// Its number.
+        /// Index of the recipient.
         peer: u32,
-        /// The message, 256 bytes at most.
+        /// The message, at most 256 bytes.
         message: Vec<u8>,
     },
-    /// Asks discovery for the list of engines, and for changes from then on.
+    /// Requests the engine list from discovery, and its changes from then on.
     WatchEngines,
     /// A line for the operators' log.
     Log(String),
 }
 
-/// What is to be done, in order.
+/// Actions in the order in which they are to be carried out.
 pub type Actions = Vec<Action>;
--- a/crates/scheduler/src/attempts.rs
+++ b/crates/scheduler/src/attempts.rs
@@ -1,12 +1,12 @@
-//! Attempts' beginnings and ends, in the records of their query, their engine and the cluster.
+//! Starts and ends of attempts, recorded for their query, their engine and the cluster.
 
 use crate::events::{AttemptEnded, ProgressReport};
 use crate::queries::{attempt_number, Attempt, QueryState};
 use crate::state::SchedulerState;
 use crate::types::{EngineId, Micros, QueryId};
 
-/// Records an attempt that goes out. `slow_start_weight`: what it counts for if its engine is warming up; `first_byte_at`: when it
-/// goes out, where that is at once.
+/// Records an attempt that starts. `slow_start_weight` is its weight if its engine is warming up;
+/// `first_byte_at` is its send time, if it is sent at once.
 pub(crate) fn record_start(
     state: &mut SchedulerState,
     now: Micros,
@@ -26,7 +26,7 @@
     let number = attempt_number(query.attempts.len());
     engine.in_flight.insert((id, number));
     if engine.in_flight.len() == 1 {
-        // Silence counts from here on.
+        // Silence is measured from here.
         engine.health.last_contact_at = engine.health.last_contact_at.max(now);
     }
     let sends = &mut engine.slow_start_sends;
@@ -43,7 +43,7 @@
     query.attempts.push(attempt);
 }
 
-/// Records an attempt's outcome; its engine, unless the outcome is known already.
+/// Records an attempt's outcome. Returns its engine, unless the outcome was already known.
 pub(crate) fn record_end(state: &mut SchedulerState, ended: &AttemptEnded) -> Option<EngineId> {
     let query = state.queries.get_mut(&ended.query)?;
     let attempt = query.attempts.get_mut(usize::from(ended.attempt))?;
@@ -68,7 +68,7 @@
     Some(attempt.engine)
 }
 
-/// Records that the client gets an attempt's rows.
+/// Records that the client receives an attempt's rows.
 pub(crate) fn record_stream(state: &mut SchedulerState, now: Micros, id: QueryId, attempt: u8) {
     state.unqueue(id);
     let Some(query) = state.queries.get_mut(&id) else {
@@ -84,7 +84,7 @@
     }
 }
 
-/// Records what an engine says of an attempt in flight.
+/// Records an engine's report on an attempt in flight.
 pub(crate) fn record_progress(
     state: &mut SchedulerState,
     now: Micros,
--- a/crates/scheduler/src/candidates.rs
+++ b/crates/scheduler/src/candidates.rs
@@ -1,7 +1,7 @@
-//! Candidates: which engines are looked at at all for a query.
+//! Candidates: the engines that are considered for a query.
 //!
-//! Input: the query's class, what was tried, and the engines' records. Output: engine ids. Bound: where a coordinator has a small
-//! part of each engine, few engines; else all that the rules allow.
+//! Input: the query's class, its attempts, and the engine records. Output: engine ids. Bound: a few
+//! engines if the coordinator has a small share of each engine, otherwise all that the rules allow.
 
 use crate::capacity::is_memory_exhausted;
 use crate::engines::Engine;
@@ -14,14 +14,16 @@
 use crate::state::SchedulerState;
 use crate::types::{EngineId, Micros, QueryId};
 
-/// Engines drawn at random where many choose from stale views: two break the herd.
+/// Engines drawn at random if many coordinators choose from stale load reports: two choices prevent
+/// herding.
 pub(crate) const DRAWN_ENGINES: usize = 2;
-/// Engines that a coordinator with a small part draws from: few, so that connections and estimates last.
+/// Size of the subset that a coordinator with small shares draws from. A small subset keeps
+/// connections and estimates in use.
 const CIRCLE_ENGINES: usize = 10;
-/// Engines that all coordinators prefer for a table group, so that their caches stay warm.
+/// Number of engines that all coordinators prefer for a table group, which keeps their caches warm.
 pub(crate) const AFFINITY_ENGINES: usize = 2;
 
-/// Engines that may get a query: allowed by the rules, and healthy if any of those is.
+/// Engines that a query may be sent to: allowed by the rules, and healthy if any such engine is.
 pub(crate) fn eligible_engines(state: &SchedulerState, now: Micros, id: QueryId) -> Vec<EngineId> {
     let query = &state.queries[&id];
     let class = state.class_of(query);
@@ -34,10 +36,11 @@
             ));
         }
     }
-    // A fault that ejects every engine must not stop all traffic: then the least bad are eligible.
+    // A fault that ejects every engine must not stop all traffic, so the engines with the lowest
+    // penalty remain eligible.
     let least = allowed.iter().map(|a| a.1).min().unwrap_or(0);
     allowed.retain(|a| a.1 == least);
-    // A session's engine comes first while it is as well as any.
+    // The engine of a sticky session comes first while no other has a lower penalty.
     let is_there = |engine: EngineId| allowed.iter().any(|a| a.0 == engine);
     if let Some(session) = query.query.sticky_session.filter(|s| is_there(s.engine)) {
         return vec![session.engine];
@@ -67,8 +70,8 @@
         && may_send_to(state, now, query, engine)
 }
 
-/// What speaks against an engine, the heavier the higher: 2 if it is ejected, or on probation and taken; 1 if the query would do
-/// better elsewhere.
+/// Penalty of an engine: 2 if it is ejected, or on probation with an attempt in flight; plus 1 if
+/// the query would do better elsewhere.
 fn drawbacks(
     state: &SchedulerState,
     now: Micros,
@@ -89,8 +92,9 @@
     u8::from(is_outlier) * 2 + u8::from(is_poor)
 }
 
-/// Narrows eligible engines to a few, where many coordinators choose from equally stale views: those of the table group,
-/// which all coordinators compute alike, then some at random, against herds. The number of the former, which come first.
+/// Narrows eligible engines to a few, if many coordinators choose from equally stale load reports:
+/// the preferred engines of the table group, which all coordinators compute alike, then some at
+/// random to prevent herding. Returns the number of preferred engines, which come first.
 pub(crate) fn narrow_to_subset(
     state: &SchedulerState,
     random: &mut Random,
@@ -99,7 +103,8 @@
     eligible: &mut Vec<EngineId>,
 ) -> usize {
     let query = &state.queries[&id];
-    // Those that were probed; else one that warms up, here by a chance of its own: a second draw would leave it idle.
+    // Use the engines that were probed, otherwise engines that are warming up. The latter were
+    // already admitted by a random draw; a second one would leave them idle.
     let is_first = |engine: &EngineId| {
         if query.probed.is_empty() {
             slow_start::is_warming_up(state, now, &state.engines[engine])
@@ -112,7 +117,8 @@
         return 0;
     }
     let preferred = sort_preferred_first(state, now, query.query.table_group, eligible);
-    // Each coordinator has a circle of its own, the same while its engines are well; large engines take more.
+    // Each coordinator has its own stable subset while its engines are healthy. Large engines are
+    // drawn more often.
     let own_order = |e: &EngineId| Random(e.0 ^ state.salt).below(usize::MAX);
     eligible[preferred..].sort_by_cached_key(own_order);
     let circle_end = eligible.len().min(preferred + CIRCLE_ENGINES);
@@ -124,8 +130,9 @@
     preferred
 }
 
-/// Moves the engines of a table group to the front; their number. One without a load report is none of them: it would take a
-/// whole group's queries, however full.
+/// Moves the preferred engines of a table group to the front and returns their number. Engines
+/// without a recent load report are excluded: they would get all queries of the group even when
+/// full.
 fn sort_preferred_first(
     state: &SchedulerState,
     now: Micros,
--- a/crates/scheduler/src/capacity.rs
+++ b/crates/scheduler/src/capacity.rs
@@ -1,6 +1,7 @@
-//! Capacity: what an engine is held to, what runs there, and whether it is under pressure.
+//! Capacity: run bounds of engines, work running there, and whether an engine is under pressure.
 //!
-//! Input: load reports, own attempts, peers' word. Output: run bounds in threads, and work in µs over all threads.
+//! Input: load reports, own attempts, and peers' gossip. Output: run bounds in threads, and work in
+//! µs over all threads.
 
 use crate::engines::Engine;
 use crate::queries::{Attempt, PendingQuery};
@@ -10,35 +11,38 @@
 use crate::state::{SchedulerState, CLUSTER_THREADS_PER_CORE};
 use crate::types::Micros;
 
-/// Threads a core in a coordinator's part of one engine, plus one widest query.
+/// Threads per core in a coordinator's share of an engine, to which one widest query is added.
 const PART_THREADS_PER_CORE: f64 = 2.2;
-/// The bound without pressure, as a multiple: lets bursts through, but no flood.
+/// Multiplier of the bound on an engine that is not under pressure: admits bursts, but no flood.
 const UNPRESSED_BOUND: f64 = 2.0;
-/// The bound over the cluster of a coordinator with a small part, as a multiple; squared when nothing presses.
+/// Multiplier of the cluster-wide bound of a coordinator with small shares; squared when the
+/// cluster is not overloaded.
 const SUBSET_BOUND: f64 = 1.8;
-/// Queries that are lighter than the mean may pass an engine's bound by so many widest ones.
+/// Queries lighter than the mean may exceed an engine's bound by this many widest queries.
 const LIGHT_QUERY_PASS: f64 = 1.0;
-/// An overrunning attempt holds up those behind it: this share of its expected run at least counts as still to come.
+/// An attempt that overruns still delays the queries behind it, so its remaining work is at least
+/// this fraction of its expected run.
 const MIN_REMAINING_SHARE: f64 = 0.2;
-/// Resources busier than this mean pressure.
+/// A resource busier than this means pressure.
 const PRESSURE_SHARE: f64 = 0.88;
-/// Memory granted past this is all of it: reports are noisy and stop at the whole.
+/// Memory counts as exhausted above this fraction: reports are noisy and capped at 1.
 const EXHAUSTED_MEMORY_SHARE: f64 = 0.97;
 
-/// What an engine is held to, and what counts against that: this coordinator's part of it or, where it uses a subset, of the
-/// cluster, where one wide query is many times the part.
+/// Limit on running threads, and the usage that counts against it: of this coordinator's share of
+/// an engine or, if it uses a subset, of the cluster, as one wide query exceeds its share of an
+/// engine many times over.
 #[derive(Clone, Copy)]
 pub(crate) struct RunBound {
-    /// Threads that may run.
+    /// Maximum number of running threads.
     pub threads: f64,
-    /// Threads that do.
+    /// Threads that are running.
     pub running: f64,
-    /// Work still to come from those, µs.
+    /// Remaining work of the running attempts, µs.
     pub remaining_work: f64,
 }
 
 impl RunBound {
-    /// Whether so many threads more fit.
+    /// Whether this many more threads fit.
     pub(crate) fn has_room(&self, threads: f64) -> bool {
         self.running + threads <= self.threads
     }
@@ -61,7 +65,7 @@
 }
 
 fn cluster_run_bound(state: &SchedulerState) -> RunBound {
-    // What can't be cancelled on an engine that pages has to be right when it goes: no slack.
+    // On an engine that pages, an attempt that cannot be cancelled allows no slack.
     let (multiple, extra) = match (state.is_paging_final, state.cluster.is_overloaded) {
         (true, true) => (1.0, 0.0),
         (true, false) => (UNPRESSED_BOUND, 0.0),
@@ -76,7 +80,7 @@
     }
 }
 
-/// Threads a core that an engine is held to.
+/// Threads per core that an engine is limited to.
 pub(crate) fn threads_per_core(state: &SchedulerState) -> f64 {
     if state.uses_subset {
         CLUSTER_THREADS_PER_CORE
@@ -85,8 +89,10 @@
     }
 }
 
-/// Threads of a query that must fit under the bound: half its own. Light ones may pass it, as they would miss their objectives
-/// behind wide ones that run for seconds; a coordinator with a small part has slack for them, unless that is gone.
+/// Threads of a query that must fit under the bound: half of its own. Light queries may exceed the
+/// bound, since they would miss their objectives behind wide queries that run for seconds. A
+/// coordinator with small shares has slack for them, unless its engines page or the cluster is
+/// overloaded.
 pub(crate) fn threads_needed(state: &SchedulerState, work: f64, threads: f64) -> f64 {
     let may_pass = !state.uses_subset || state.is_paging_final || state.cluster.is_overloaded;
     let pass = if may_pass && work < state.estimates.mean_work() {
@@ -97,8 +103,8 @@
     threads / 2.0 - pass
 }
 
-/// Whether a query's memory fits into this coordinator's part of an engine. A small part is less than one query needs: there
-/// threads alone are bounded.
+/// Whether a query's memory fits into this coordinator's share of an engine. A small share is less
+/// than one query needs, so only threads are bounded there.
 pub(crate) fn has_memory_for(
     state: &SchedulerState,
     now: Micros,
@@ -112,7 +118,7 @@
     }
 }
 
-/// The bound's multiple, by pressure.
+/// Multiplier of the bound, depending on pressure.
 fn looseness(state: &SchedulerState, now: Micros, engine: &Engine) -> f64 {
     if is_pressed(state, now, engine) {
         1.0
@@ -121,8 +127,9 @@
     }
 }
 
-/// Whether an engine is under pressure: a busy report, or one of more queries than the bound has threads for; runs far longer
-/// than alone; a query rejected.
+/// Whether an engine is under pressure: it reports a busy resource, waiting queries, or more
+/// queries than the bound has threads for; its queries run far longer than alone; or it recently
+/// rejected a query.
 pub(crate) fn is_pressed(state: &SchedulerState, now: Micros, engine: &Engine) -> bool {
     is_reported_busy(state, now, engine)
         || engine.slowdown.ratio() > PRESSURE_SLOWDOWN
@@ -141,15 +148,16 @@
     threads > threads_per_core(state) * state.cores(engine)
 }
 
-/// Whether all memory is granted away where one query more slows all: nothing is to start there until a report says otherwise or
-/// is too old. By its idle cores an engine that pages would draw all traffic.
+/// Whether all memory of an engine that pages is granted. Nothing may start there until a newer
+/// report says otherwise or the report expires: its idle cores would otherwise attract all traffic.
 pub(crate) fn is_memory_exhausted(state: &SchedulerState, now: Micros, engine: &Engine) -> bool {
     let granted = engine.fresh_report(now).and_then(|r| r.memory);
     state.settings.out_of_memory == OutOfMemory::Page
         && granted.is_some_and(|share| share >= EXHAUSTED_MEMORY_SHARE)
 }
 
-/// Work still to come from what is out on an engine, by expectation or the last progress report, µs.
+/// Remaining work of the attempts in flight on an engine, from their expected run time or last
+/// progress report, µs.
 pub(crate) fn remaining_work(state: &SchedulerState, now: Micros, engine: &Engine) -> f64 {
     let remaining = |(query, attempt): (&PendingQuery, &Attempt)| {
         let run = attempt.projected_run.unwrap_or(attempt.expected_run);
@@ -160,8 +168,8 @@
     state.attempts_on(engine).map(remaining).sum()
 }
 
-/// Work that other coordinators have on an engine, from its last report and, if they are few, from their own word, µs; `None` if
-/// neither says anything.
+/// Work of other coordinators on an engine in µs, from its last load report and, with few
+/// coordinators, from their gossip; `None` if neither is available.
 pub(crate) fn work_of_others(state: &SchedulerState, now: Micros, engine: &Engine) -> Option<f64> {
     let has_peers = !state.peers.is_empty() && !state.uses_subset;
     let known_from_peers = has_peers.then_some(engine.peer_threads);
@@ -172,10 +180,10 @@
     Some(threads * state.estimates.mean_work() * engine.slowdown.ratio())
 }
 
-/// Threads of other coordinators, and queries that wait, by an engine's load report.
+/// Running threads of other coordinators plus waiting queries, from an engine's load report.
 fn reported_threads_of_others(state: &SchedulerState, now: Micros, engine: &Engine) -> Option<f64> {
     let reported = engine.fresh_report(now).and_then(|report| {
-        // The scarcest counts: an engine that pages or waits for its disks has idle cores.
+        // The scarcest resource counts: an engine that pages or waits for its disks has idle cores.
         let scarcest = report.shares().reduce(f64::max);
         let busy = scarcest.map(|share| (share * state.cores(engine) - engine.threads).max(0.0));
         let own = engine.in_flight.len() as f64;
@@ -186,7 +194,7 @@
             .chain(report.waiting)
             .reduce(|sum, part| sum + part)
     });
-    // Just started and unheard, an engine is empty, not like the rest.
+    // An engine that has just started and sent no report is empty rather than average.
     let is_new =
         || state.uses_subset && engine.report.is_none() && is_warming_up(state, now, engine);
     reported.or_else(|| is_new().then_some(0.0))
--- a/crates/scheduler/src/cluster_load.rs
+++ b/crates/scheduler/src/cluster_load.rs
@@ -1,10 +1,11 @@
-//! Figures of the whole cluster, as this coordinator believes them; they are brought up to date with each tick.
+//! Estimated load and capacity of the whole cluster, updated with each tick.
 
 use crate::types::TICK_INTERVAL;
 
-/// Weight of one tick in the smoothed demand: some five seconds.
+/// Weight of one tick in the smoothed demand: a time constant of about five seconds.
 const DEMAND_WEIGHT: f64 = 0.01;
-/// The same where this coordinator has a small part of each engine, and few queries of its own: four times as long.
+/// The same for a coordinator with a small share of each engine, which has few queries: four times
+/// as long.
 const SUBSET_DEMAND_WEIGHT: f64 = DEMAND_WEIGHT / 4.0;
 
 /// Load and capacity of the cluster.
@@ -13,22 +14,22 @@
     pub demand: f64,
     /// Work that arrived since the last tick, µs.
     new_work: f64,
-    /// This coordinator's part of the cluster's demand.
+    /// This coordinator's share of the cluster's demand.
     pub share: f64,
-    /// Cores of the ready engines, as far as they are warm.
+    /// Cores of the ready engines, each scaled by its warm-up.
     pub cores: f64,
-    /// This coordinator's own threads, over all engines.
+    /// Threads of this coordinator's attempts on all engines.
     pub threads: f64,
-    /// Work still to come from those, as of the last tick.
+    /// Remaining work of those attempts as of the last tick, µs.
     pub remaining_work: f64,
-    /// How much longer queries run lately than alone, over all engines.
+    /// Recent mean slowdown of queries on all engines.
     pub slowdown: f64,
-    /// The cluster as a whole is under pressure, as of the last tick.
+    /// Whether the cluster as a whole was under pressure at the last tick.
     pub is_overloaded: bool,
 }
 
 impl ClusterLoad {
-    /// Before anything is known: an equal part for each coordinator.
+    /// Initial state: an equal share for each coordinator.
     pub(crate) fn new(coordinators: u32) -> ClusterLoad {
         ClusterLoad {
             demand: 0.0,
@@ -42,12 +43,12 @@
         }
     }
 
-    /// Counts the work of a query that arrives.
+    /// Adds the work of an arriving query.
     pub(crate) fn record_arrival(&mut self, work: f64) {
         self.new_work += work;
     }
 
-    /// Takes the work of the last tick into the demand.
+    /// Adds the work that arrived in the last tick to the smoothed demand.
     pub(crate) fn update_demand(&mut self, uses_subset: bool) {
         let work = std::mem::take(&mut self.new_work) / TICK_INTERVAL as f64;
         let weight = if uses_subset {
@@ -58,12 +59,12 @@
         self.demand += weight * (work - self.demand);
     }
 
-    /// Counts the threads of an attempt that goes out.
+    /// Adds the threads of an attempt that starts.
     pub(crate) fn record_start(&mut self, threads: f64) {
         self.threads += threads;
     }
 
-    /// Counts the threads of an attempt that has ended.
+    /// Removes the threads of an attempt that has ended.
     pub(crate) fn record_end(&mut self, threads: f64) {
         self.threads = (self.threads - threads).max(0.0);
     }
--- a/crates/scheduler/src/controller.rs
+++ b/crates/scheduler/src/controller.rs
@@ -1,4 +1,4 @@
-//! The controller: passes each event on to the modules that it concerns.
+//! The controller: distributes each event to the modules that handle it.
 
 use crate::actions::{Action, Actions};
 use crate::attempts::{record_end, record_progress, record_stream};
@@ -18,9 +18,9 @@
 use crate::types::{EngineId, Micros, Query, QueryId, TICK_INTERVAL};
 use crate::{admission, capacity, gossip_exchange, learning, slow_start};
 
-/// Token of the timer for the tick; those of queries are their ids + 1.
+/// Timer token of the tick. The token of a query's timer is its id + 1.
 const TICK_TOKEN: u64 = 0;
-/// Decides for one coordinator.
+/// Scheduler of one coordinator.
 pub struct Controller {
     dispatcher: Dispatcher,
     quotas: TenantQuotas,
@@ -31,7 +31,8 @@
 }
 
 impl Controller {
-    /// A controller that knows nothing but its settings. The same seed and events give the same actions.
+    /// Creates a controller with no state besides its settings. The same seed and events give the
+    /// same actions.
     pub fn new(settings: Settings, seed: u64) -> Controller {
         Controller {
             quotas: TenantQuotas::new(&settings.tenants),
@@ -43,15 +44,16 @@
         }
     }
 
-    /// Has the host ask [`Controller::may_send_first_byte`] right before each attempt's first byte: limits count attempts from
-    /// there. Without this they count from the [`Action::StartAttempt`].
+    /// Makes limits count attempts from their first byte instead of from [`Action::StartAttempt`].
+    /// The host must then call [`Controller::may_send_first_byte`] right before each attempt's
+    /// first byte.
     #[must_use]
     pub fn awaiting_first_bytes(mut self) -> Controller {
         self.dispatcher.awaits_first_bytes = true;
         self
     }
 
-    /// Whether the first byte of an attempt may go out now; if so, it is counted as sent.
+    /// Whether the first byte of an attempt may be sent now; if so, records the attempt as sent.
     pub fn may_send_first_byte(&mut self, now: Micros, query: QueryId, attempt: u8) -> bool {
         let Dispatcher {
             state,
@@ -66,12 +68,12 @@
         may_go
     }
 
-    /// How far the retry budget is used; `None` where the settings have none.
+    /// Usage of the retry budget; `None` if the settings have no budget.
     pub fn retry_budget_usage(&self, now: Micros) -> Option<RetryBudgetUsage> {
         self.dispatcher.retry_budget.usage(now)
     }
 
-    /// Queries that are not over yet.
+    /// Number of queries that have not concluded.
     pub fn open_queries(&self) -> usize {
         self.state().queries.len()
     }
@@ -84,7 +86,7 @@
         &mut self.dispatcher.state
     }
 
-    /// Handles one event; what is to be done is appended to `actions`.
+    /// Handles one event and appends the resulting actions to `actions`.
     pub fn handle(&mut self, now: Micros, event: Event<'_>, actions: &mut Actions) {
         if !std::mem::replace(&mut self.is_ticking, true) {
             actions.push(Action::SetTimer {
@@ -215,7 +217,8 @@
         }
     }
 
-    /// Handles the end of an attempt. What it says of its engine must be known before the query's next step is decided.
+    /// Handles the end of an attempt. The engine's state must be updated before the query's next
+    /// step is decided.
     fn on_attempt_ended(&mut self, now: Micros, ended: &AttemptEnded<'_>, actions: &mut Actions) {
         let Some(engine) = record_end(self.state_mut(), ended) else {
             return;
@@ -241,7 +244,8 @@
         self.use_freed_room(now, engine, actions);
     }
 
-    /// Holds a query's key for a while: what may still run must not be overtaken.
+    /// Holds a query's ordering key for the settle time, so that no later query overtakes an
+    /// attempt that may still be running.
     fn hold_key(&mut self, now: Micros, id: QueryId) {
         let until = now + self.state().settings.settle_time;
         if let Some(key) = self.state().ordering_key(id) {
@@ -249,7 +253,7 @@
         }
     }
 
-    /// Starts what fits into the room that an ended attempt left.
+    /// Starts queries that fit into the room freed by an ended attempt.
     fn use_freed_room(&mut self, now: Micros, id: EngineId, actions: &mut Actions) {
         let state = self.state_mut();
         drop_if_gone(&mut state.engines, &mut state.lost_zones, id);
@@ -258,7 +262,8 @@
         } else {
             self.dispatcher.start_queued(now, id, actions);
         }
-        // Room here and nobody waiting: those whose start slipped elsewhere need not wait for the tick.
+        // This engine has room and no queue, so slipped queries on other engines need not wait for
+        // the tick.
         let state = self.state();
         let idle = state.engines.get(&id).filter(|e| e.queue.is_empty());
         let has_room = idle.is_some_and(|engine| {
--- a/crates/scheduler/src/demand_share.rs
+++ b/crates/scheduler/src/demand_share.rs
@@ -1,6 +1,7 @@
-//! This coordinator's part of the cluster's demand, and the cluster's load: brought up to date with each tick.
+//! This coordinator's share of the cluster's demand, and the cluster's load, updated with each
+//! tick.
 //!
-//! Input: own demand, what peers say of theirs, and load reports. Output: the figures of [`ClusterLoad`].
+//! Input: own demand, peers' gossip, and load reports. Output: the values of [`ClusterLoad`].
 //!
 //! [`ClusterLoad`]: crate::cluster_load::ClusterLoad
 
@@ -11,18 +12,20 @@
 use crate::state::SchedulerState;
 use crate::types::Micros;
 
-/// Weight of one tick in the share: some two seconds.
+/// Weight of one tick in the smoothed share: a time constant of about two seconds.
 const SHARE_WEIGHT: f64 = 0.03;
-/// Others that hold less than this part of one's own each are down, not quiet.
+/// If the other coordinators on average have less than this fraction of this coordinator's queries,
+/// they are down rather than idle.
 const MIN_PART_OF_OTHERS: f64 = 0.12;
-/// The cluster is overloaded once one in so many engines that were heard is pressed ...
+/// The cluster is overloaded once more than one in this many reporting engines is under pressure
+/// ...
 const OVERLOAD_PART: usize = 2;
-/// ... or one in so many where none heals soon.
+/// ... or one in this many, if an engine that pages cannot recover soon.
 const FINAL_OVERLOAD_PART: usize = 5;
-/// So few engines heard count as so many.
+/// Minimum for the number of reporting engines in this ratio.
 const MIN_REPORTING_ENGINES: usize = 4;
 
-/// Brings the cluster's figures up to date.
+/// Updates the cluster's load and this coordinator's share.
 pub(crate) fn update_cluster_load(state: &mut SchedulerState, now: Micros) {
     state.cluster.share = demand_share(state, now);
     if !state.uses_subset {
@@ -62,7 +65,8 @@
     part * pressed > reporting.max(MIN_REPORTING_ENGINES)
 }
 
-/// This coordinator's part of the cluster's demand, taking the peers that gossip lately as a sample.
+/// This coordinator's share of the cluster's demand, with the peers that sent gossip recently as a
+/// sample.
 fn demand_share(state: &SchedulerState, now: Micros) -> f64 {
     let coordinators = f64::from(state.settings.coordinators.max(1));
     let own = state.cluster.demand;
@@ -73,7 +77,8 @@
     let others = coordinators - 1.0;
     let peers = state.peers.recent_demand(now);
     if state.uses_subset {
-        // Those that gossip are a sample; few queries tell little of one's own part: half of it is the mean's.
+        // The peers heard are a sample, and few queries say little about this coordinator's own
+        // share, so half of it is the mean share.
         let mean = peers.demand / (peers.count + 1e-9);
         return (0.5 * own / (own + mean * others)) + 0.5 / coordinators;
     }
@@ -81,7 +86,8 @@
     (own / (own + peers.demand + silent * own)).max(0.5 / coordinators)
 }
 
-/// Own part of the queries that engines report, where it says that other coordinators are down.
+/// This coordinator's share of the queries that engines report, if it shows that other coordinators
+/// are down.
 fn reported_share(state: &SchedulerState, now: Micros) -> Option<f64> {
     let active = |e: &Engine| e.fresh_report(now)?.active;
     let (mut own, mut all) = (0.0, 0.0);
--- a/crates/scheduler/src/discovery.rs
+++ b/crates/scheduler/src/discovery.rs
@@ -1,27 +1,29 @@
-//! Discovery: when the list of engines is polled, where it does not come by itself.
+//! Discovery: decides when to poll the engine list, if it is not pushed.
 //!
-//! Input: lists, failures and the time. Output: whether a poll is due. Bound: polls back off after failures.
+//! Input: lists, failures and the time. Output: whether a poll is due. Bound: polls back off
+//! exponentially after failures.
 
 use crate::events::ListKind;
 use crate::settings::Settings;
 use crate::types::Micros;
 
-/// Wait after the first failed poll; doubled with each further one. Polling at once would feed the overload that made it fail.
+/// Delay after the first failed poll, doubled with each further one. An immediate retry would add
+/// to the overload that made the poll fail.
 const BASE_BACKOFF: Micros = 400_000;
-/// It is doubled so many times at most.
+/// Maximum number of doublings.
 const MAX_BACKOFF_DOUBLINGS: u32 = 4;
 
-/// When to poll.
+/// Schedule of polls.
 pub(crate) struct DiscoveryPolling {
     is_polled: bool,
-    /// A poll counts as answered after this long; `None` if it always is answered.
+    /// Time after which a poll is considered answered; `None` if every poll is answered.
     timeout: Option<Micros>,
     next_poll_at: Option<Micros>,
     failures: u32,
 }
 
 impl DiscoveryPolling {
-    /// Nothing was polled yet.
+    /// A schedule before the first poll.
     pub(crate) fn new(settings: &Settings) -> DiscoveryPolling {
         DiscoveryPolling {
             is_polled: settings.poll_discovery,
@@ -31,7 +33,7 @@
         }
     }
 
-    /// Whether the list has to be polled at all.
+    /// Whether the list must be polled at all.
     pub(crate) fn is_polled(&self) -> bool {
         self.is_polled
     }
@@ -41,13 +43,13 @@
         self.next_poll_at.is_some_and(|at| now >= at)
     }
 
-    /// Records a poll. It is answered by a list or a failure; should neither come, the next is due before this one counts as
-    /// answered.
+    /// Records a poll. It is answered by a list or a failure; if neither arrives, the next poll is
+    /// due before this one times out.
     pub(crate) fn record_poll(&mut self, now: Micros) {
         self.next_poll_at = self.timeout.map(|timeout| now + timeout / 2);
     }
 
-    /// Records a list; a cached one answers no poll.
+    /// Records a list. A cached list does not answer a poll.
     pub(crate) fn record_list(&mut self, kind: ListKind) {
         if kind != ListKind::Cached {
             (self.next_poll_at, self.failures) = (None, 0);
--- a/crates/scheduler/src/dispatch.rs
+++ b/crates/scheduler/src/dispatch.rs
@@ -1,7 +1,8 @@
-//! Dispatch: takes a query from one state to the next, and asks for what that needs.
+//! Dispatch: moves queries between states and emits the actions that this requires.
 //!
-//! Input: decisions of the other modules. Output: actions, in order. The steps call each other: a query that starts, or ends,
-//! makes room for others. Each call moves one query on, so that the chain is bounded by the open queries.
+//! Input: decisions of the other modules. Output: actions, in order. The steps call each other,
+//! since a query that starts or ends makes room for others. Each call advances one query, so the
+//! recursion is bounded by the number of open queries.
 
 use crate::actions::{Action, Actions};
 use crate::attempts::record_start;
@@ -15,26 +16,28 @@
 use crate::types::{EngineId, Micros, QueryId, TICK_INTERVAL};
 use crate::{queue, resources, retry, routing, slow_start};
 
-/// Final answers leave this long, and two ticks of the host, to the client.
+/// Final answers are sent this long before the client gives up, or two clock ticks of the host if
+/// that is longer.
 const ANSWER_MARGIN: Micros = 10_000;
-/// Shortest Retry-After.
+/// Minimum Retry-After.
 const MIN_RETRY_AFTER: Micros = 100_000;
 
-/// Moves queries on.
+/// Moves queries between states.
 pub(crate) struct Dispatcher {
     pub state: SchedulerState,
     pub random: Random,
     pub retry_budget: RetryBudgetWindow,
     pub key_queues: KeyQueues,
     pub probe_budget: ProbeBudget,
-    /// The host asks right before each attempt's first byte: limits count attempts from there, not from their sending.
+    /// The host asks right before each attempt's first byte; limits count attempts from then
+    /// instead of from the start action.
     pub awaits_first_bytes: bool,
-    /// Query that was routed again last.
+    /// The query that was routed again last.
     last_rerouted: QueryId,
 }
 
 impl Dispatcher {
-    /// Nothing is open yet.
+    /// A dispatcher without open queries.
     pub(crate) fn new(state: SchedulerState, seed: u64) -> Dispatcher {
         Dispatcher {
             random: Random(seed),
@@ -47,12 +50,13 @@
         }
     }
 
-    /// How long before its client gives up a query has its final answer.
+    /// How long before its client gives up a query gets its final answer.
     pub(crate) fn answer_margin(&self) -> Micros {
         ANSWER_MARGIN.max(2 * self.state.settings.clock_resolution)
     }
 
-    /// Puts a query on the queue of the engine that routing chooses (Algorithm 7), then starts what may.
+    /// Adds a query to the queue of the engine that routing chooses (Algorithm 7), then starts the
+    /// queries that may start.
     pub(crate) fn route_query(&mut self, now: Micros, id: QueryId, actions: &mut Actions) {
         let Some(offer) = routing::choose_engine(&self.state, &mut self.random, now, id) else {
             return self.state.set_query_state(id, QueryState::Unplaced);
@@ -68,7 +72,8 @@
         self.start_queued(now, offer.engine, actions);
     }
 
-    /// Routes again what is on no engine's queue: none was eligible, or its engine takes nothing now.
+    /// Routes all queries that are on no queue because no engine was eligible or their engine
+    /// accepts no work.
     pub(crate) fn route_unplaced(&mut self, now: Micros, actions: &mut Actions) {
         for id in self.state.unplaced_queries() {
             let query = self.state.queries.get(&id);
@@ -84,7 +89,7 @@
         }
     }
 
-    /// Routes again queued queries that have slipped, some at a time.
+    /// Routes a limited number of slipped queries again.
     pub(crate) fn reroute_slipped(&mut self, now: Micros, actions: &mut Actions) {
         for id in queue::slipped_queries(&self.state, now, self.last_rerouted) {
             self.last_rerouted = id;
@@ -100,7 +105,7 @@
             self.state.unqueue(id);
             let is_retry = !self.state.queries[&id].attempts.is_empty();
             if !eligible_engines(&self.state, now, id).contains(&engine) {
-                // No longer eligible since it was queued: the tick routes it again.
+                // No longer eligible; the next tick routes the query again.
                 self.state.set_query_state(id, QueryState::Unplaced);
             } else if is_retry && !self.retry_budget.allows_retry(now) {
                 self.end_unserved(now, id, actions);
@@ -144,7 +149,7 @@
                 priority,
             });
         }
-        // The time-out is answered before the client gives up.
+        // The time-out must be answered before the client gives up.
         let spare = now + self.answer_margin() / 2;
         let timeout = query.deadline.saturating_sub(spare).max(1);
         actions.push(Action::StartAttempt {
@@ -163,7 +168,8 @@
         record_start(state, now, id, attempt, slow_start_weight, first_byte_at);
     }
 
-    /// Ends a query unserved, at once: a rejection with Retry-After where that is true, else a failure.
+    /// Ends a query unserved, at once: with a rejection and Retry-After if that is correct,
+    /// otherwise with a failure.
     pub(crate) fn end_unserved(&mut self, now: Micros, id: QueryId, actions: &mut Actions) {
         let Some(query) = self.state.queries.get(&id) else {
             return;
@@ -184,7 +190,7 @@
         self.conclude(now, id, actions);
     }
 
-    /// How long a client should stay away, by the wait where that is shortest.
+    /// How long a client should wait before it retries: the shortest wait of any engine.
     #[allow(
         clippy::cast_possible_truncation,
         reason = "whole µs, and no more than fit"
@@ -194,7 +200,8 @@
         wait.max(MIN_RETRY_AFTER)
     }
 
-    /// Ends a query that has its final answer: cancels what is in flight, frees its place, and lets the next of its key go.
+    /// Concludes a query that has its final answer: cancels its attempts in flight, frees its
+    /// place, and releases the next query of its ordering key.
     pub(crate) fn conclude(&mut self, now: Micros, id: QueryId, actions: &mut Actions) {
         self.state.unqueue(id);
         let may_cancel = self.state.settings.may_cancel;
@@ -217,7 +224,8 @@
         }
     }
 
-    /// Lets the first query of a key go once the one before is over and the key has rested.
+    /// Routes the first query of a key once the previous one has concluded and the key is no longer
+    /// held.
     pub(crate) fn release_key(&mut self, now: Micros, key: u64, actions: &mut Actions) {
         let Some(id) = self.key_queues.first(now, key) else {
             return;
@@ -227,7 +235,8 @@
         }
     }
 
-    /// After an attempt that did not serve: another if rules, budget and hope allow, else the final answer at once.
+    /// After an attempt that did not serve the query: retries it if the rules and the budget allow
+    /// and an answer would still earn something, otherwise ends it at once.
     pub(crate) fn retry_or_end(&mut self, now: Micros, id: QueryId, actions: &mut Actions) {
         let query = &self.state.queries[&id];
         if query.state == QueryState::Answered || query.has_in_flight() {
@@ -244,7 +253,8 @@
         }
     }
 
-    /// Cancels an attempt so that another takes its place elsewhere, or hedges it, if the rules leave room for one more.
+    /// Cancels an attempt so that another can replace it elsewhere, or hedges it, if the rules
+    /// allow one more attempt.
     pub(crate) fn replace_attempt(
         &mut self,
         now: Micros,
@@ -284,7 +294,8 @@
         }
     }
 
-    /// A heavy query asks its candidates before it goes, where answers bring no reports; true if it waits for them.
+    /// Probes the candidates of a heavy query before it is routed, if load reports arrive only with
+    /// probes. Returns true if the query waits for the answers.
     pub(crate) fn probe_candidates(
         &mut self,
         now: Micros,
@@ -316,7 +327,8 @@
         must_wait
     }
 
-    /// Routes the queries that wait for no probe any more: an engine's answer is in, or they arrived before this time.
+    /// Routes queries whose probes are all answered, or that arrived before the given time.
+    /// `answered` is the engine whose probe just ended.
     pub(crate) fn route_probed(
         &mut self,
         now: Micros,
--- a/crates/scheduler/src/ejection.rs
+++ b/crates/scheduler/src/ejection.rs
@@ -1,7 +1,8 @@
-//! Ejection: what an engine's failure does to it and to the queries on its queue.
+//! Ejection: effects of engine failures on the engine and on the queries in its queue.
 //!
-//! Input: outcomes of attempts and probes, and the health check of each tick. Output: engines ejected, their queues routed again,
-//! probes, and a line for the operators' log. Bound: one pass over the queries that are on no queue, for each engine ejected.
+//! Input: outcomes of attempts and probes, and the health check of each tick. Output: ejected
+//! engines, rerouted queues, probes, and a line for the operators' log. Bound: one pass over the
+//! unplaced queries per ejected engine.
 
 use crate::actions::{Action, Actions};
 use crate::dispatch::Dispatcher;
@@ -12,17 +13,18 @@
 use crate::retry::{blame, Blame};
 use crate::types::{EngineId, Micros};
 
-/// At most one log line in this time.
+/// Minimum interval between log lines.
 const MIN_LOG_INTERVAL: Micros = 1_000_000;
 
-/// Ejects engines that fail.
+/// Ejects failing engines.
 #[derive(Default)]
 pub(crate) struct Ejector {
     last_log_at: Micros,
 }
 
 impl Ejector {
-    /// Records what an attempt's outcome says of its engine, and of those where the query was tried before.
+    /// Applies an attempt's outcome to its engine, and to the engines that returned errors for the
+    /// same query.
     pub(crate) fn handle_outcome(
         &mut self,
         dispatcher: &mut Dispatcher,
@@ -35,7 +37,8 @@
         let query = &state.queries[&ended.query];
         let blame = blame(ended.outcome, state.idempotency(query));
         if ended.outcome == Outcome::Ok {
-            // Served here, so where it erred before the fault was the engine's.
+            // This engine served the query, so the earlier errors were the fault of the other
+            // engines.
             let erred: Vec<EngineId> = query.engines_with_errors().collect();
             for earlier in erred {
                 self.handle_failure(dispatcher, now, earlier, Outcome::Error, actions);
@@ -77,7 +80,7 @@
         }
     }
 
-    /// Probes engines that are due, and ejects those that are silent; what is in flight there is replaced.
+    /// Probes engines that are due, ejects silent ones, and replaces their attempts in flight.
     pub(crate) fn check_health(
         &mut self,
         dispatcher: &mut Dispatcher,
@@ -95,7 +98,7 @@
         }
     }
 
-    /// Handles a failure of the engine itself: it is ejected for a while, then tried with one query at a time.
+    /// Handles a failure of an engine: it is ejected for a while, then gets one query at a time.
     fn handle_failure(
         &mut self,
         dispatcher: &mut Dispatcher,
--- a/crates/scheduler/src/engines.rs
+++ b/crates/scheduler/src/engines.rs
@@ -1,6 +1,7 @@
-//! Engines as this coordinator sees them: what the list says of each, what is queued and in flight there, and what was learned.
+//! Engines as this coordinator knows them: their list entries, their queues and attempts in flight,
+//! and what was learned about them.
 //!
-//! Bound: an engine is dropped once it is gone from the list and nothing is in flight there.
+//! Bound: an engine is dropped once it is gone from the list and no attempt is in flight there.
 
 use crate::events::{ListKind, ListedEngine, Phase};
 use crate::load_reports::LoadReport;
@@ -12,27 +13,28 @@
 use crate::zone_failure::LostZones;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// All engines that are known.
+/// All known engines.
 pub(crate) type Engines = BTreeMap<EngineId, Engine>;
 
-/// A query in an engine's queue, with what routing reads over and over.
+/// A query in an engine's queue, with the values that routing reads often.
 #[derive(Clone, Copy)]
 pub(crate) struct QueuedQuery {
     pub id: QueryId,
     /// Estimated work, µs over all threads.
     pub work: f64,
     pub threads: f64,
-    /// What an answer in time is worth.
+    /// Weight of an answer within the objective.
     pub weight: f64,
-    /// Latest time at which an answer earns that.
+    /// Latest time at which an answer earns that weight.
     pub objective: f64,
     pub table_group: u32,
-    /// The start that was estimated when it was put there.
+    /// Start time estimated when the query was queued.
     pub planned_start: f64,
 }
 
 impl QueuedQuery {
-    /// Whether it misses its objective on an engine of this slowdown if it starts then.
+    /// Whether the query misses its objective on an engine with this slowdown if it starts at this
+    /// time.
     pub(crate) fn is_late(&self, start: f64, slowdown: f64) -> bool {
         start + self.work / self.threads * slowdown > self.objective
     }
@@ -41,30 +43,30 @@
 /// One engine.
 pub(crate) struct Engine {
     pub zone: u16,
-    /// Its machine kind, by place in the settings.
+    /// Machine kind, as an index into the settings.
     pub kind: u16,
     pub cell: u16,
     pub phase: Phase,
-    /// Believed last start, if lately.
+    /// When it last started, if recently, as far as the listed time is plausible.
     pub started_at: Option<Micros>,
-    /// Last start as the list told it.
+    /// Last start as given by the list.
     listed_start: Option<Micros>,
-    /// Queries that wait to start here, in their order.
+    /// Queries that wait to start here, in order.
     pub queue: Vec<QueuedQuery>,
-    /// Table group of the query that started here last.
+    /// Table group of the query that started here most recently.
     pub last_table_group: Option<u32>,
-    /// Attempts that are out here, by query and number.
+    /// Attempts in flight here, by query and number.
     pub in_flight: BTreeSet<(QueryId, u8)>,
-    /// Threads of those.
+    /// Threads of those attempts.
     pub threads: f64,
-    /// Memory reckoned with for those, MB.
+    /// Estimated memory of those attempts, MB.
     pub granted_mb: f64,
-    /// Threads of other coordinators, by their word.
+    /// Threads of other coordinators, from their gossip.
     pub peer_threads: f64,
     pub slowdown: Slowdown,
     pub report: Option<LoadReport>,
     pub health: EngineHealth,
-    /// Work sent while it was warming up.
+    /// Work sent while the engine was warming up.
     pub slow_start_sends: SendLedger,
 }
 
@@ -90,13 +92,13 @@
         }
     }
 
-    /// Its load report, if it still says something.
+    /// The load report, if it is recent enough to be used.
     pub(crate) fn fresh_report(&self, now: Micros) -> Option<&LoadReport> {
         self.report.as_ref().filter(|r| r.is_fresh(now))
     }
 
-    /// Takes a line of the list over. A new process of the engine starts with a clean record, but keeps what is queued and in
-    /// flight.
+    /// Applies a list entry. A restarted engine begins with a new record, but keeps its queue and
+    /// its attempts in flight.
     fn update(&mut self, line: &ListedEngine, started_at: Option<Micros>, now: Micros) {
         (self.zone, self.kind, self.cell, self.phase) =
             (line.zone, line.kind, line.cell, line.phase);
@@ -109,7 +111,7 @@
     }
 }
 
-/// Takes a list over; the engines that are not ready now.
+/// Applies a list and returns the engines that are not ready.
 pub(crate) fn apply_list(
     engines: &mut Engines,
     lost_zones: &mut LostZones,
@@ -119,7 +121,7 @@
 ) -> Vec<EngineId> {
     for line in list {
         if line.started_at.is_some() && line.phase == Phase::Ready {
-            // Somebody there started anew: the zone is no longer lost as a whole.
+            // An engine of the zone has started, so the zone is not lost as a whole.
             lost_zones.record_contact(line.zone);
         }
         let known = engines.get(&line.engine);
@@ -142,7 +144,7 @@
     not_ready.map(|(&id, _)| id).collect()
 }
 
-/// Drops an engine that is gone once nothing is in flight there.
+/// Drops an engine that is gone once no attempt is in flight there.
 pub(crate) fn drop_if_gone(engines: &mut Engines, lost_zones: &mut LostZones, id: EngineId) {
     let is_over = |e: &Engine| e.phase == Phase::Gone && e.in_flight.is_empty();
     if engines.get(&id).is_some_and(is_over) {
--- a/crates/scheduler/src/estimates.rs
+++ b/crates/scheduler/src/estimates.rs
@@ -1,61 +1,63 @@
-//! Estimates: how much work and memory queries of a class need.
+//! Estimates of the work and memory that queries of a class need.
 //!
-//! Input: what clients say of a query, and what its answer tells. Output: believed work (µs over all threads) and memory (MB) of a
-//! query, and means over the classes. Bound: one record for each class of the settings.
+//! Input: clients' estimates, and measurements in answers. Output: estimated work (µs over all
+//! threads) and memory (MB) of a query, and means over the classes. Bound: one record per class in
+//! the settings.
 
 use crate::settings::QueryClass;
 use crate::types::Query;
 
-/// Weight of a new sample: some ten answers form an estimate.
+/// Weight of a new sample: about ten answers form an estimate.
 pub(crate) const SAMPLE_WEIGHT: f64 = 0.1;
-/// A sample counts at most this many times the estimate: outliers must not set it.
+/// A sample counts for at most this multiple of the estimate, which limits outliers.
 pub(crate) const MAX_SAMPLE_RATIO: f64 = 6.0;
-/// Work of a class before its first answer: this share of the latency objective, on all its threads.
+/// Work of a class before its first answer, as a fraction of the latency objective on all its
+/// threads.
 const INITIAL_WORK_SHARE: f64 = 0.25;
-/// Told work over true work is believed within these bounds.
+/// Bounds on a sample of the ratio of measured work to a client's estimate.
 const CORRECTION_RANGE: (f64, f64) = (0.05, 50.0);
-/// More answers than this don't count: the figure is a weight.
+/// Upper bound on the number of answers, which serves as a weight.
 const MAX_ANSWERS: f64 = 1e6;
-/// A class that was not seen counts in means as if it had been this often.
+/// Weight in means of a class without answers, as a number of answers.
 const MIN_CLASS_WEIGHT: f64 = 0.1;
-/// So many answers make a class's work known.
+/// Number of answers after which a class's work is considered known.
 const KNOWN_ANSWERS: f64 = 5.0;
 
-/// What was learned of a class.
+/// What was learned about a class.
 #[derive(Clone, Copy)]
 struct ClassEstimate {
-    /// Answers seen.
+    /// Number of answers.
     answers: f64,
     /// Mean work, µs over all threads.
     work: f64,
-    /// True over told work.
+    /// Ratio of measured work to clients' estimates.
     work_correction: f64,
-    /// Memory need on the high side, MB.
+    /// Memory need in MB, biased upwards.
     memory_mb: f64,
-    /// True over told memory.
+    /// Ratio of measured memory to clients' estimates.
     memory_correction: f64,
-    /// Threads that a query runs on, by the settings.
+    /// Threads per query, from the settings.
     threads: f64,
-    /// Its latency objective in µs, by the settings.
+    /// Latency objective in µs, from the settings.
     latency_objective: f64,
 }
 
-/// How a query ran, as its answer tells.
+/// Measurements of a served query.
 #[derive(Clone, Copy)]
 pub(crate) struct Sample {
-    /// Its work, µs over all threads, if told.
+    /// Its work in µs over all threads, if reported.
     pub work: Option<f64>,
-    /// Its memory need in MB, if told.
+    /// Its memory need in MB, if reported.
     pub memory_mb: Option<f64>,
-    /// Time from its sending to its answer, µs.
+    /// Time from sending the attempt to its answer, µs.
     pub spent: f64,
 }
 
-/// A query's work as its answer and its estimate show it, µs over all threads.
+/// Work of a served query, µs over all threads.
 pub(crate) struct LearnedWork {
     /// The class's mean before this answer.
     pub usual: f64,
-    /// What this query is believed to have needed.
+    /// Estimate for this query.
     pub of_this_query: f64,
 }
 
@@ -72,7 +74,7 @@
         }
     }
 
-    /// Learns from an answer: mean work and memory, and the bias of what clients say.
+    /// Learns from an answer: mean work and memory, and the bias of clients' estimates.
     fn learn(&mut self, query: &Query, sample: &Sample) -> LearnedWork {
         let usual = self.work;
         let weight = SAMPLE_WEIGHT.max(1.0 / (self.answers + 1.0));
@@ -102,7 +104,8 @@
             let ratio = ratio.min(MAX_SAMPLE_RATIO * self.work_correction);
             self.work_correction += weight * (ratio - self.work_correction);
         } else {
-            // No told work: the run times of the quicker quarter of answers stand for running alone.
+            // Without reported work, the run times of the faster quarter of answers approximate
+            // running alone.
             self.work_correction *= if ratio > self.work_correction {
                 1.0 + 0.25 * SAMPLE_WEIGHT
             } else {
@@ -112,7 +115,8 @@
     }
 
     fn learn_memory(&mut self, provided: Option<f64>, memory_mb: f64, weight: f64) {
-        // A little under-granting spills, a little over-granting is lost: the upper third is aimed at.
+        // Too small a grant spills and too large a grant wastes a little memory, so the estimate
+        // aims at the upper third.
         let step = if memory_mb > self.memory_mb {
             2.0 * weight
         } else {
@@ -126,13 +130,13 @@
     }
 }
 
-/// What was learned of all classes.
+/// What was learned about all classes.
 pub(crate) struct Estimates {
     classes: Vec<ClassEstimate>,
 }
 
 impl Estimates {
-    /// Before any answer.
+    /// Estimates before any answer.
     pub(crate) fn new(classes: &[QueryClass]) -> Estimates {
         Estimates {
             classes: classes.iter().map(ClassEstimate::new).collect(),
@@ -148,21 +152,24 @@
         self.classes[usize::from(query.class)].learn(query, sample)
     }
 
-    /// Work of a query, µs over all threads: what its client said, corrected by outcomes, else the class's mean.
+    /// Estimated work of a query, µs over all threads: the client's estimate with the learned
+    /// correction, otherwise the class's mean.
     pub(crate) fn work(&self, query: &Query) -> f64 {
         let class = self.of(query);
         let provided = query.work.map(|w| w * class.work_correction);
         provided.unwrap_or(class.work).max(1.0)
     }
 
-    /// Memory need of a query in MB: told and corrected, else learned; 0 if unknown.
+    /// Estimated memory need of a query in MB: the client's estimate with the learned correction,
+    /// otherwise the class's learned value; 0 if unknown.
     pub(crate) fn memory_mb(&self, query: &Query) -> f64 {
         let class = self.of(query);
         let provided = query.memory_mb.map(|m| m * class.memory_correction);
         provided.unwrap_or(class.memory_mb)
     }
 
-    /// Usual work of a query's class; before enough answers were seen, at least what takes all of its latency objective.
+    /// Usual work of a query's class. Before enough answers, at least what would take the whole
+    /// latency objective.
     pub(crate) fn cautious_class_work(&self, query: &Query) -> f64 {
         let class = self.of(query);
         class.work.max(if class.answers >= KNOWN_ANSWERS {
@@ -172,7 +179,8 @@
         })
     }
 
-    /// Mean of a figure over the classes, by how often they were seen. The figure gets the class's place and its mean work.
+    /// Mean of a figure over the classes, weighted by their number of answers. The figure is a
+    /// function of the class index and its mean work.
     pub(crate) fn mean(&self, figure: impl Fn(usize, f64) -> f64) -> f64 {
         let weight = |c: &ClassEstimate| c.answers.max(MIN_CLASS_WEIGHT);
         let classes = self.classes.iter().enumerate();
@@ -185,7 +193,7 @@
         self.mean(|_, work| work)
     }
 
-    /// Mean run time of a query alone, µs.
+    /// Mean run time of a query that runs alone, µs.
     pub(crate) fn mean_run(&self) -> f64 {
         self.mean(|n, work| work / self.classes[n].threads)
     }
--- a/crates/scheduler/src/events.rs
+++ b/crates/scheduler/src/events.rs
@@ -1,58 +1,58 @@
-//! Events: what a [`Controller`](crate::Controller) is told.
+//! Events: the input of a [`Controller`](crate::Controller).
 
 use crate::types::{EngineId, Micros, Query, QueryId};
 
-/// Whether an engine takes work.
+/// Whether an engine accepts work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// It takes work.
+    /// It accepts work.
     Ready,
-    /// It finishes what it has, and takes nothing new.
+    /// It finishes its current work and accepts no more.
     Draining,
-    /// It was removed from the list.
+    /// It was removed from the engine list.
     Gone,
 }
 
-/// An entry of the list of engines.
+/// One entry of the engine list.
 #[derive(Clone, Copy, Debug)]
 pub struct ListedEngine {
-    /// The engine.
+    /// Identifier of the engine.
     pub engine: EngineId,
-    /// Its zone.
+    /// Zone of the engine.
     pub zone: u16,
-    /// Its machine kind, by index in the settings.
+    /// Machine kind, as an index into the settings.
     pub kind: u16,
-    /// Its cell.
+    /// Cell of the engine.
     pub cell: u16,
-    /// Its phase.
+    /// Whether the engine accepts work.
     pub phase: Phase,
-    /// When it last started, if that was lately; by the clock of whoever tells it.
+    /// When it last started, if recently, by the clock of the list's source.
     pub started_at: Option<Micros>,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It served the query.
+    /// The engine served the query.
     Ok,
-    /// The engine answered with an error; it may have run.
+    /// The engine answered with an error; the attempt may have run.
     Error,
-    /// The engine had no capacity for it; it never ran.
+    /// The engine had no capacity; the attempt never ran.
     Rejected,
-    /// No answer came in time; it may still run.
+    /// No answer arrived in time; the attempt may still be running.
     TimedOut,
-    /// The engine could not be reached; it never ran.
+    /// The engine could not be reached; the attempt never ran.
     Unreachable,
-    /// The connection was lost; it may have run, or may still.
+    /// The connection was lost; the attempt may have run or may still be running.
     Reset,
-    /// It was cancelled; it may have run, or may still.
+    /// The attempt was cancelled; it may have run or may still be running.
     Cancelled,
-    /// It was never sent: something else had come first.
+    /// The attempt was never sent, because another event made it obsolete or a limit forbade it.
     Superseded,
 }
 
 impl Outcome {
-    /// Whether it proves that the attempt never ran.
+    /// Whether this outcome proves that the attempt never ran.
     pub fn never_ran(self) -> bool {
         matches!(
             self,
@@ -65,7 +65,7 @@
         matches!(self, Outcome::Ok | Outcome::Error | Outcome::Rejected)
     }
 
-    /// Whether the attempt may still run on its engine.
+    /// Whether the attempt may still be running on its engine.
     pub(crate) fn may_still_run(self) -> bool {
         matches!(
             self,
@@ -74,101 +74,102 @@
     }
 }
 
-/// What an engine says of an attempt in flight.
+/// What an engine reports about an attempt in flight.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ProgressReport {
-    /// Share of its work that is done, 0 to 1; rough.
+    /// Fraction of the work that is done, 0 to 1; approximate.
     Progress(f64),
-    /// It spills to disk: MB of memory missing.
+    /// The attempt spills to disk, with the missing memory in MB.
     Spills(f64),
-    /// It waits for memory.
+    /// The attempt waits for memory.
     WaitsForMemory,
-    /// It waits for a load of its table group to end.
+    /// The attempt waits for a load of its table group to finish.
     WaitsForLoad,
 }
 
-/// What a list of engines holds.
+/// What an engine list contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
     /// Changes only.
     Changes,
-    /// The whole list.
+    /// The complete list.
     Full,
-    /// The whole list as it was stored earlier; it may be out of date.
+    /// The complete list as stored earlier; it may be out of date.
     Cached,
 }
 
-/// The end of an attempt, and what the engine said with it.
+/// The end of an attempt, with the statistics that the engine sent.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptEnded<'a> {
-    /// The query.
+    /// The query that the attempt belongs to.
     pub query: QueryId,
     /// Number of the attempt, from 0.
     pub attempt: u8,
     /// How it ended.
     pub outcome: Outcome,
-    /// The query has its final answer, by this or before.
+    /// The query has its final answer, from this attempt or an earlier event.
     pub query_answered: bool,
-    /// Time since it was sent.
+    /// Time since the attempt was sent.
     pub elapsed: Micros,
-    /// Work that the query took in µs over all threads, if the engine says.
+    /// Work that the query took in µs, summed over all threads, if reported.
     pub work: Option<f64>,
-    /// Memory that it needed in MB, if the engine says.
+    /// Memory that the query needed in MB, if reported.
     pub memory_mb: Option<f64>,
-    /// The engine's load report, values in the order of the settings; empty if none came.
+    /// Load report of the engine, with values in the order of the settings; empty if none was sent.
     pub report: &'a [f64],
 }
 
-/// What a coordinator sees.
+/// Something that the coordinator observed.
 #[derive(Clone, Copy, Debug)]
 pub enum Event<'a> {
-    /// A list of engines, or changes to it.
+    /// The engine list, or changes to it.
     EnginesListed {
-        /// What the list holds.
+        /// What the list contains.
         kind: ListKind,
-        /// Its entries.
+        /// Entries of the list.
         engines: &'a [ListedEngine],
     },
-    /// A poll for the list of engines failed.
+    /// A poll of the engine list failed.
     DiscoveryFailed,
     /// A query was accepted.
     QueryArrived(Query),
-    /// The client gets an attempt's rows: no other attempt may answer.
+    /// The client started to receive an attempt's rows, so no other attempt may answer.
     StreamStarted {
         /// The query.
         query: QueryId,
         /// Number of the attempt.
         attempt: u8,
     },
-    /// An engine reports on an attempt in flight.
+    /// An engine reported on an attempt in flight.
     ProgressReported {
         /// The query.
         query: QueryId,
         /// Number of the attempt.
         attempt: u8,
-        /// What it says.
+        /// What the engine reported.
         report: ProgressReport,
     },
     /// An attempt ended.
     AttemptEnded(AttemptEnded<'a>),
-    /// The client has left.
+    /// The client has disconnected.
     ClientLeft(QueryId),
-    /// A timer that was asked for has fired; its token.
+    /// A requested timer fired; carries its token.
     TimerFired(u64),
-    /// A probe has ended.
+    /// A probe ended.
     ProbeEnded {
         /// The engine.
         engine: EngineId,
-        /// How it ended.
+        /// How the probe ended.
         outcome: Outcome,
-        /// The engine's load report, values in the order of the settings; empty if none came.
+        /// Load report of the engine, with values in the order of the settings; empty if none was
+        /// sent.
         report: &'a [f64],
     },
-    /// A message came from another coordinator.
+    /// A message from another coordinator arrived.
     GossipReceived {
-        /// The sender's number.
+        /// Index of the sender.
         from: u32,
-        /// The message, as it came.
+        /// The message as received.
         message: &'a [u8],
     },
 }
--- a/crates/scheduler/src/gossip.rs
+++ b/crates/scheduler/src/gossip.rs
@@ -1,57 +1,60 @@
-//! Gossip between decision modules: what a coordinator's peers are told, and what they said last.
+//! Gossip between coordinators: the message format, and the last message of each peer.
 //!
-//! A message is the byte 2 (its version), the sender's demand as a big-endian `f32`, and as many entries as fit into 256 bytes. An
-//! entry: the engine's id (6 bytes), the sender's threads there, its slowdown in steps of 0.05, the age of its load report in
-//! 1/25 s (255: none), and the report's values in the order of the settings (255: absent; shares in steps of 0.005).
+//! A message is the byte 2 (its version), the sender's demand as a big-endian `f32`, and as many
+//! entries as fit into 256 bytes. An entry consists of the engine's id (6 bytes), the sender's
+//! threads there, its slowdown in steps of 0.05, the age of its load report in units of 40 ms (255:
+//! no report), and the report's values in the order of the settings (255: absent; fractions in
+//! steps of 0.005).
 //!
-//! Bound: one record for each coordinator that was heard.
+//! Bound: one record per coordinator that has sent a message.
 
 use crate::load_reports::LoadReport;
 use crate::settings::ReportField;
 use crate::types::{EngineId, Micros};
 use std::collections::BTreeMap;
 
-/// Peers are told this often, at most.
+/// Minimum interval between messages to a peer.
 pub(crate) const GOSSIP_INTERVAL: Micros = 1_000_000;
-/// What a peer said counts in full for so many intervals; it is halved with each after that.
+/// A message has full weight for this many intervals; the weight halves with each further one.
 const FULL_TRUST_INTERVALS: f64 = 3.0;
 const VERSION: u8 = 2;
 const MAX_MESSAGE_BYTES: usize = 256;
 /// Bytes of an entry before the report's values.
 const ENTRY_HEAD_BYTES: usize = 9;
-/// Stands for a report that is missing, and for a value that is.
+/// Encodes a missing report or a missing value.
 const ABSENT: u8 = 255;
 const AGE_UNIT: Micros = 40_000;
 const SHARE_STEPS: f64 = 200.0;
 const SLOWDOWN_STEPS: f64 = 20.0;
 
-/// What a message says of one engine.
+/// Part of a message about one engine.
 pub(crate) struct EngineNews {
     /// The engine.
     pub engine: EngineId,
     /// The sender's own threads there.
     pub threads: f64,
-    /// How much longer queries run there than alone.
+    /// Slowdown of queries on the engine.
     pub slowdown: f64,
     /// Its newest load report.
     pub report: Option<LoadReport>,
 }
 
-/// A message of a peer.
+/// A decoded message of a peer.
 pub(crate) struct Message {
     /// The sender's demand, µs of work per µs.
     pub demand: f64,
-    /// What it says of engines.
+    /// Entries for individual engines.
     pub engines: Vec<EngineNews>,
 }
 
-/// How many engines fit into a message with so many report values each.
+/// Number of engines that fit into a message with this many report values per engine.
 pub(crate) fn max_engines(fields: &[ReportField]) -> usize {
     let head_bytes = 1 + size_of::<f32>();
     (MAX_MESSAGE_BYTES - head_bytes) / (ENTRY_HEAD_BYTES + fields.len())
 }
 
-/// Writes a message: demand, then the engines in the order given. The caller gives [`max_engines`] at most.
+/// Encodes a message: the demand, then the engines in the given order, at most [`max_engines`] of
+/// them.
 #[allow(
     clippy::cast_possible_truncation,
     reason = "the form's bytes: whole steps, and no more than fit"
@@ -99,7 +102,7 @@
     }
 }
 
-/// Reads a message; `None` if it is malformed or of another version.
+/// Decodes a message; `None` if it is malformed or has another version.
 pub(crate) fn decode(now: Micros, fields: &[ReportField], bytes: &[u8]) -> Option<Message> {
     let body = bytes.strip_prefix(&[VERSION])?;
     let (demand, entries) = body.split_first_chunk::<4>()?;
@@ -135,7 +138,8 @@
     }
 }
 
-/// A value of a report; one that is absent becomes negative, which counts as absent.
+/// Decodes a value of a report. An absent value becomes negative, which [`LoadReport::read`]
+/// ignores.
 fn decode_value(field: ReportField, byte: u8) -> f64 {
     match field {
         _ if byte == ABSENT => -1.0,
@@ -151,7 +155,7 @@
     }
 }
 
-/// What a peer said last.
+/// The last message of a peer.
 struct Peer {
     last_contact_at: Micros,
     demand: f64,
@@ -159,29 +163,29 @@
 }
 
 impl Peer {
-    /// Weight of its word: 1 for a while, then halved with each interval.
+    /// Weight of the message: 1 at first, then halved with each interval.
     fn trust(&self, now: Micros) -> f64 {
         let age = now.saturating_sub(self.last_contact_at) as f64 / GOSSIP_INTERVAL as f64;
         0.5f64.powf((age - FULL_TRUST_INTERVALS).max(0.0))
     }
 }
 
-/// Sums over the peers that were heard, each by the weight of its word.
+/// Sums over the known peers, weighted by the age of their messages.
 pub(crate) struct PeerDemand {
     /// Their demand, µs of work per µs.
     pub demand: f64,
-    /// How many they are.
+    /// Their number.
     pub count: f64,
 }
 
-/// All peers that were ever heard.
+/// All peers that have sent a message.
 #[derive(Default)]
 pub(crate) struct Peers {
     peers: BTreeMap<u32, Peer>,
 }
 
 impl Peers {
-    /// Records what a peer says of itself.
+    /// Records a peer's message.
     pub(crate) fn record(&mut self, now: Micros, from: u32, message: &Message) {
         let threads = message.engines.iter().map(|e| (e.engine, e.threads));
         let peer = Peer {
@@ -192,17 +196,17 @@
         self.peers.insert(from, peer);
     }
 
-    /// Whether none was ever heard.
+    /// Whether no peer has ever sent a message.
     pub(crate) fn is_empty(&self) -> bool {
         self.peers.is_empty()
     }
 
-    /// How many were ever heard.
+    /// Number of peers that have ever sent a message.
     pub(crate) fn len(&self) -> usize {
         self.peers.len()
     }
 
-    /// Their demand, and how many of them still count.
+    /// Demand and number of the peers, weighted by the age of their messages.
     pub(crate) fn recent_demand(&self, now: Micros) -> PeerDemand {
         let demand = self.peers.values().map(|p| p.demand * p.trust(now));
         PeerDemand {
@@ -211,26 +215,26 @@
         }
     }
 
-    /// Their threads on an engine.
+    /// Threads of the peers on an engine, weighted by the age of their messages.
     pub(crate) fn threads_on(&self, now: Micros, engine: EngineId) -> f64 {
         let threads = |p: &Peer| p.threads.get(&engine).unwrap_or(&0.0) * p.trust(now);
         self.peers.values().map(threads).sum()
     }
 }
 
-/// Messages that an accepted query pays for, so that they don't grow with the peers.
+/// Messages that an accepted query pays for, which bounds gossip regardless of the number of peers.
 const MESSAGES_PER_QUERY: f64 = 0.5;
 
-/// When peers are told, and how many of them.
+/// When gossip is sent, and to how many peers.
 #[derive(Default)]
 pub(crate) struct GossipSchedule {
     last_round_at: Micros,
-    /// Messages that may go out, where not all peers are told.
+    /// Messages that may be sent, if not all peers receive one.
     credit: f64,
 }
 
 impl GossipSchedule {
-    /// Adds what an accepted query pays for.
+    /// Adds the credit of an accepted query.
     pub(crate) fn record_query(&mut self, coordinators: u32) {
         self.credit = (self.credit + MESSAGES_PER_QUERY).min(f64::from(coordinators));
     }
@@ -240,7 +244,8 @@
         now >= self.last_round_at + GOSSIP_INTERVAL
     }
 
-    /// Begins a round; how many of so many peers are told: as many as queries have paid for, or all where they are few.
+    /// Begins a round and returns the number of recipients: all peers if they are few, otherwise as
+    /// many as queries have paid for.
     #[allow(
         clippy::cast_possible_truncation,
         reason = "whole messages, of no more than there are coordinators"
--- a/crates/scheduler/src/gossip_exchange.rs
+++ b/crates/scheduler/src/gossip_exchange.rs
@@ -1,4 +1,4 @@
-//! Exchange of gossip: what is made of the state for peers, and what their messages change in it.
+//! Gossip exchange: builds messages for peers from the state, and applies received ones to it.
 
 use crate::actions::{Action, Actions};
 use crate::gossip::{self, EngineNews, GossipSchedule};
@@ -8,7 +8,8 @@
 use crate::types::Micros;
 use std::cmp::Reverse;
 
-/// Sends peers this coordinator's demand and the newest word of engines, which spreads.
+/// Sends this coordinator's demand and the most recent engine reports to peers, which pass the
+/// reports on.
 pub(crate) fn send_round(
     state: &SchedulerState,
     schedule: &mut GossipSchedule,
@@ -39,7 +40,8 @@
     }));
 }
 
-/// Takes a peer's message over. Its word of an engine counts where it is newer than our own and own answers are few.
+/// Applies a peer's message. If this coordinator has few answers of its own, a newer report
+/// replaces its own.
 pub(crate) fn receive(state: &mut SchedulerState, now: Micros, from: u32, bytes: &[u8]) {
     let fields = &state.settings.report_fields;
     let Some(message) = gossip::decode(now, fields, bytes) else {
--- a/crates/scheduler/src/health.rs
+++ b/crates/scheduler/src/health.rs
@@ -1,7 +1,8 @@
-//! Health checks: what silence and attempts still out say of engines, and which engines are due for a probe.
+//! Health checks: finds silent engines, detects slow ones from attempts in flight, and selects
+//! engines to probe.
 //!
-//! Input: the engines' records, once a tick. Output: engines that are silent, and engines to probe. Bound: one pass over the
-//! engines and what is out there.
+//! Input: the engine records, once per tick. Output: silent engines, and engines to probe. Bound:
+//! one pass over the engines and their attempts in flight.
 
 use crate::engines::Engine;
 use crate::events::Phase;
@@ -12,31 +13,32 @@
 use crate::state::SchedulerState;
 use crate::types::{EngineId, Micros};
 
-/// No word for this long with work out is silence, µs: longer than short stalls.
+/// An engine with attempts in flight that sends nothing for this long is silent, in µs. Longer than
+/// short stalls.
 const SILENCE_MICROS: f64 = 1_600_000.0;
-/// Progress reports are overdue after so many intervals.
+/// Progress reports are overdue after this many intervals.
 const OVERDUE_INTERVALS: f64 = 3.0;
-/// An engine on probation, or one that reports on probes only, is probed this often.
+/// Probe interval of engines on probation, and of engines that report only in answers to probes.
 const PROBE_INTERVAL: Micros = 1_000_000;
 
-/// What a health check found.
+/// Result of a health check.
 pub(crate) struct HealthCheck {
-    /// Engines that count as failed, since they say nothing while others do.
+    /// Engines treated as failed because they are silent while others respond.
     pub silent: Vec<EngineId>,
-    /// Engines to probe, the most urgent first, as many as the budget allows.
+    /// Engines to probe, most urgent first, within the probe budget.
     pub due_probes: Vec<EngineId>,
 }
 
-/// What the attempts out on an engine show.
+/// Observations of the attempts in flight on one engine.
 struct InFlight {
     attempts: usize,
-    /// Attempts from which word is overdue.
+    /// Attempts whose next progress report or answer is overdue.
     overdue: usize,
-    /// Least slowdown that any of them points to.
+    /// Smallest slowdown that any of the attempts indicates.
     slowdown: f64,
 }
 
-/// Checks all engines; `probe_credit`: probes that may go out.
+/// Checks all engines. `probe_credit` is the number of probes that may be sent.
 pub(crate) fn check_engines(
     state: &mut SchedulerState,
     now: Micros,
@@ -73,7 +75,8 @@
     seen
 }
 
-/// Where all that is out runs long the engine is slow, though no answer says so yet.
+/// Raises the slowdown of an engine whose attempts in flight all run long, before any answer shows
+/// it.
 fn update_slowdowns(state: &mut SchedulerState, now: Micros, observed: &[(EngineId, InFlight)]) {
     let uses_subset = state.uses_subset;
     let usual = if uses_subset {
@@ -81,7 +84,8 @@
     } else {
         1.0
     };
-    // One attempt alone may be a bad plan, unless this coordinator hardly ever has more.
+    // A single attempt may have a bad query plan, but a coordinator with small shares rarely has
+    // more than one.
     let min_attempts = if uses_subset { 1 } else { 2 };
     for (engine, (_, seen)) in state.engines.values_mut().zip(observed) {
         let shown = (seen.attempts >= min_attempts).then_some(seen.slowdown);
@@ -89,15 +93,16 @@
     }
 }
 
-/// Engines that say nothing though word is overdue. Silence of one engine is its own; silence of nearly all is ours or the
-/// cluster's: then none counts.
+/// Engines whose attempts are overdue and that have sent nothing. If fewer than half of the engines
+/// with attempts in flight respond, the cause is more likely this coordinator or the whole cluster,
+/// and no engine is reported.
 fn silent_engines(
     state: &SchedulerState,
     now: Micros,
     observed: &[(EngineId, InFlight)],
 ) -> Vec<EngineId> {
     let (mut silent, mut talking, mut waiting) = (Vec::new(), 0, 0);
-    // Without progress reports one long query alone says nothing: it may have a bad plan.
+    // Without progress reports, a single long query is no evidence: it may have a bad plan.
     let min_overdue = if state.settings.progress_interval.is_none() {
         2
     } else {
@@ -118,7 +123,7 @@
     silent
 }
 
-/// Engines to probe: those on probation first, then those that were not heard for longest.
+/// Engines to probe: those on probation first, then those with the oldest contact.
 #[allow(
     clippy::cast_possible_truncation,
     reason = "whole probes, of no more than there are engines"
@@ -138,7 +143,7 @@
     };
     let mut probes: Vec<_> = state.engines.iter().filter_map(due).collect();
     probes.sort();
-    // Queries that ask before they go come first.
+    // Reserve probes for queries that probe their candidates before they are sent.
     let serves_queries = state.settings.report_on_probe && state.lost_zones.silent_zones() == 0;
     let reserved = if serves_queries {
         PROBES_PER_QUERY
--- a/crates/scheduler/src/learning.rs
+++ b/crates/scheduler/src/learning.rs
@@ -1,4 +1,4 @@
-//! Learning from answers: what an attempt's end says of its engine, its class and the cluster.
+//! Learning from answers: updates the estimates of an attempt's engine, its class and the cluster.
 
 use crate::estimates::{Sample, SAMPLE_WEIGHT};
 use crate::events::{AttemptEnded, Outcome};
@@ -7,10 +7,11 @@
 use crate::state::SchedulerState;
 use crate::types::{EngineId, Micros};
 
-/// Weight of an answer in an engine's slowdown where a coordinator has a small part of it: answers are rare, and each says more.
+/// Weight of an answer in an engine's slowdown for a coordinator with small shares: answers are
+/// rare there, so each counts for more.
 const SUBSET_SLOWDOWN_WEIGHT: f64 = 3.0 * SAMPLE_WEIGHT;
 
-/// Takes over a load report; `is_answer`: the engine itself sent something just now.
+/// Stores a load report. `is_answer`: the engine itself just sent a message.
 pub(crate) fn record_report(
     state: &mut SchedulerState,
     now: Micros,
@@ -27,7 +28,7 @@
     }
 }
 
-/// Records what an attempt's end says of its engine, whatever becomes of the query.
+/// Records what the end of an attempt shows about its engine, whatever happens to the query.
 pub(crate) fn record_answer(
     state: &mut SchedulerState,
     now: Micros,
@@ -46,7 +47,8 @@
     }
 }
 
-/// Learns from a query that was served: its class's work and memory, the engine's and the cluster's slowdown.
+/// Learns from a served query: the work and memory of its class, and the slowdown of the engine and
+/// the cluster.
 pub(crate) fn learn_from_success(
     state: &mut SchedulerState,
     now: Micros,
@@ -62,7 +64,8 @@
         spent,
     };
     let learned = state.estimates.learn(&query.query, &sample);
-    // Without any word of a query's work only its class's mean tells a slow engine from a large query.
+    // If neither the client nor the engine gave the query's work, the class's mean is the only way
+    // to tell a slow engine from a large query.
     let is_work_known = ended.work.or(query.query.work).is_some();
     let work = if state.uses_subset && !is_work_known {
         learned.usual
@@ -82,7 +85,7 @@
     state.cluster.slowdown = blended(state.cluster.slowdown, ratio, SAMPLE_WEIGHT);
     engine.slowdown.move_towards(ratio, weight, now);
     if engine.health.may_have_restarted() {
-        // It may have restarted without word, so it counts as new.
+        // It may have restarted unannounced, so treat it as newly started.
         engine.started_at = Some(now);
     }
     engine.health.record_success();
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -1,19 +1,21 @@
-//! The scheduler decides, for one coordinator, when and on which engine each query runs.
+//! Query scheduler of one coordinator: decides when each query runs, and on which engine.
 //!
-//! Feed a [`Controller`] what the coordinator sees as [`Event`]s; it answers with [`Action`]s. It has no clock, no threads and
-//! does no I/O, so the same seed and events give the same actions.
+//! The host passes what it observes to a [`Controller`] as [`Event`]s and carries out the
+//! [`Action`]s that it returns. The scheduler has no clock, starts no threads and does no I/O, so
+//! the same seed and the same events always give the same actions.
 //!
-//! Modules, each of which imports only those above it:
+//! Modules, in layers; each imports only from the lines above its own:
 //!
 //! - vocabulary: `types`, `settings`, `events`, `actions`;
-//! - records, each with the rules that change it: `random`, `send_ledger`, `retry_budget`, `quota`, `ordering`, `discovery`,
-//!   `zone_failure`, `start_time`, `load_reports`, `slowdown`, `estimates`, `outlier_detection`, `gossip`, `queries`, `engines`,
-//!   `cluster_load`;
-//! - `state`: all records that more than one decision reads;
-//! - decisions: `admission`, `objectives`, `slow_start`, `capacity`, `retry`, `resources`, `queue`, `candidates`, `routing`,
-//!   `probes`, `overruns`, `health`, `demand_share`;
-//! - changes over several records: `attempts`, `learning`, `gossip_exchange`;
-//! - `dispatch` takes a query from one state to the next, `ejection` acts on engines' failures, and `controller` passes events on.
+//! - records, each with the rules that change it: `random`, `send_ledger`, `retry_budget`, `quota`,
+//!   `ordering`, `discovery`, `zone_failure`, `start_time`, `load_reports`, `slowdown`,
+//!   `estimates`, `outlier_detection`, `gossip`, `queries`, `engines`, `cluster_load`;
+//! - `state`: the records that more than one decision reads;
+//! - decisions: `admission`, `objectives`, `slow_start`, `capacity`, `retry`, `resources`, `queue`,
+//!   `candidates`, `routing`, `probes`, `overruns`, `health`, `demand_share`;
+//! - changes that span several records: `attempts`, `learning`, `gossip_exchange`;
+//! - `dispatch` moves queries between states, `ejection` responds to engine failures, and
+//!   `controller` distributes events.
 #![forbid(unsafe_code)]
 
 mod actions;
--- a/crates/scheduler/src/load_reports.rs
+++ b/crates/scheduler/src/load_reports.rs
@@ -1,35 +1,36 @@
-//! Load reports: what an engine says of its own load.
+//! Load reports that engines send about themselves.
 //!
-//! Input: the values of a report, by position as the settings name them. Output: the values that decisions read. Bound: one
-//! report for each engine; an old one says nothing.
+//! Input: the values of a report, by position as named in the settings. Output: the values that
+//! decisions use. Bound: one report per engine; an old one is ignored.
 
 use crate::settings::ReportField;
 use crate::types::Micros;
 
-/// An older report says nothing: the engine counts as average.
+/// Older reports are ignored; the engine then counts as average.
 pub(crate) const MAX_REPORT_AGE: Micros = 3_000_000;
-/// Values outside of 0 to this count as absent.
+/// Values outside 0 to this maximum are treated as absent.
 const MAX_VALUE: f64 = 1e6;
 
-/// A load report, its own or as a peer passed it on. Values that it lacks are `None`; shares are from 0 to 1.
+/// A load report, received directly or through a peer. Absent values are `None`; fractions are from
+/// 0 to 1.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct LoadReport {
-    /// When it was made, on this host's clock.
+    /// Time of the report on this host's clock.
     pub at: Micros,
     /// Queries running.
     pub active: Option<f64>,
     /// Queries waiting for memory.
     pub waiting: Option<f64>,
-    /// Share of cores busy.
+    /// Fraction of cores that are busy.
     pub busy: Option<f64>,
-    /// Share of memory granted.
+    /// Fraction of memory that is granted.
     pub memory: Option<f64>,
-    /// Share of disks busy.
+    /// Fraction of disks that are busy.
     pub disk: Option<f64>,
 }
 
 impl LoadReport {
-    /// Reads a report's values; absurd ones count as absent.
+    /// Parses a report's values. Values out of range are treated as absent.
     pub(crate) fn read(at: Micros, fields: &[ReportField], values: &[f64]) -> LoadReport {
         let mut report = LoadReport {
             at,
@@ -54,12 +55,12 @@
         report
     }
 
-    /// Whether it still says something.
+    /// Whether the report is recent enough to be used.
     pub(crate) fn is_fresh(&self, now: Micros) -> bool {
         now < self.at + MAX_REPORT_AGE
     }
 
-    /// The shares of resources in use, as far as they are known.
+    /// The known fractions of resources in use.
     pub(crate) fn shares(&self) -> impl Iterator<Item = f64> {
         [self.busy, self.memory, self.disk].into_iter().flatten()
     }
--- a/crates/scheduler/src/objectives.rs
+++ b/crates/scheduler/src/objectives.rs
@@ -1,13 +1,13 @@
-//! What an answer is worth, and until when.
+//! Value of an answer as a function of its time.
 //!
-//! An answer by a query's latency objective earns its full weight, one by its deadline the late share of that, a later one
-//! nothing.
+//! An answer within the query's latency objective earns the full weight, a later one before the
+//! deadline earns the late fraction of it, and one after the deadline earns nothing.
 
 use crate::queries::PendingQuery;
 use crate::state::SchedulerState;
 use crate::types::QueryId;
 
-/// Weight of an answer in time.
+/// Weight of an answer within the objective.
 pub(crate) fn weight(state: &SchedulerState, query: &PendingQuery) -> f64 {
     let by_work = if state.settings.weight_by_work {
         state.estimates.work(&query.query) / 1e6
@@ -31,7 +31,7 @@
     objective.min(query.deadline as f64)
 }
 
-/// What an answer at this time earns.
+/// Value of an answer at this time.
 pub(crate) fn value(state: &SchedulerState, id: QueryId, finish: f64) -> f64 {
     let query = &state.queries[&id];
     let late_share = if finish <= query.deadline as f64 {
--- a/crates/scheduler/src/ordering.rs
+++ b/crates/scheduler/src/ordering.rs
@@ -1,7 +1,8 @@
-//! Order of queries by key: those of one key run one at a time, in the order in which they were accepted.
+//! Ordering of queries by key: queries with the same key run one at a time, in the order in which
+//! they were accepted.
 //!
-//! Input: arrivals, ends, and attempts that may still run. Output: the query of a key whose turn it is. Bound: one entry for
-//! each key with an open query or a rest that is not over.
+//! Input: arrivals, ends, and attempts that may still be running. Output: the next query of a key.
+//! Bound: one entry per key with an open query or a hold that has not expired.
 
 use crate::types::{Micros, QueryId};
 use std::collections::{BTreeMap, VecDeque};
@@ -9,9 +10,9 @@
 /// The queries of one key.
 #[derive(Default)]
 struct KeyQueue {
-    /// In the order in which they were accepted; the first is the one whose turn it is.
+    /// In acceptance order; the first is the next to run.
     queries: VecDeque<QueryId>,
-    /// An attempt that may still run holds the key until then.
+    /// The key is held until this time because of an attempt that may still be running.
     rests_until: Micros,
 }
 
@@ -27,18 +28,18 @@
         self.queues.entry(key).or_default().queries.push_back(query);
     }
 
-    /// Removes a query that is over.
+    /// Removes a query that has concluded.
     pub(crate) fn remove(&mut self, key: u64, query: QueryId) {
         let queue = self.queues.entry(key).or_default();
         queue.queries.retain(|&other| other != query);
     }
 
-    /// Holds a key until this time: an attempt of unknown outcome may still run.
+    /// Holds a key until this time: an attempt of unknown outcome may still be running.
     pub(crate) fn hold_key(&mut self, key: u64, until: Micros) {
         self.queues.entry(key).or_default().rests_until = until;
     }
 
-    /// The query whose turn it is, unless the key rests. Forgets a key that no query waits for.
+    /// The next query of a key, unless the key is held. Drops a key that has no queries.
     pub(crate) fn first(&mut self, now: Micros, key: u64) -> Option<QueryId> {
         let queue = self.queues.get(&key).filter(|q| now >= q.rests_until)?;
         let first = queue.queries.front().copied();
--- a/crates/scheduler/src/outlier_detection.rs
+++ b/crates/scheduler/src/outlier_detection.rs
@@ -17,53 +17,54 @@
 use crate::events::Outcome;
 use crate::types::Micros;
 
-/// A failed engine is ejected for this long, doubled with each failure: covers a restart.
+/// Ejection time after a failure, doubled with each further one. Long enough for a restart.
 const BASE_EJECTION_TIME: Micros = 400_000;
-/// It is doubled so many times at most.
+/// Maximum number of doublings.
 const MAX_EJECTION_DOUBLINGS: u32 = 4;
-/// Errors in a row that make the engine an outlier: one may be the query's own.
+/// Consecutive errors that eject an engine. A single one may be the query's own fault.
 const ERRORS_TO_EJECT: u32 = 2;
 /// Weight of an answer in the error rate.
 const ERROR_RATE_WEIGHT: f64 = 3.0 * SAMPLE_WEIGHT;
-/// An engine stays on probation while more than this share of its last answers were errors.
+/// An engine stays on probation while its recent error rate is above this.
 const MAX_PROBATION_ERROR_RATE: f64 = 0.5;
-/// Pressure for this long after a rejected query: the period of a load report.
+/// An engine is under pressure for this long after it rejects a query: the interval of load
+/// reports.
 const REJECTION_PRESSURE_TIME: Micros = 1_000_000;
 
-/// What a failure did to its engine.
+/// Effect of a failure on its engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum FailureEffect {
-    /// It takes queries as before, or was ejected already.
+    /// No effect: the engine accepts queries as before, or was already ejected.
     Unchanged,
-    /// It was ejected; on probation behind that.
+    /// The engine was ejected, and is on probation afterwards.
     Ejected,
-    /// It was ejected until a probe answers: only a connection may have broken.
+    /// The engine was ejected until it answers a probe: possibly only a connection was lost.
     EjectedUntilProbe,
 }
 
-/// What is known of one engine's health.
+/// Health of one engine.
 #[derive(Clone, Copy)]
 pub(crate) struct EngineHealth {
-    /// When something last came from it.
+    /// When a message last arrived from it.
     pub last_contact_at: Micros,
     /// When it was last probed.
     pub probed_at: Micros,
-    /// When it last rejected a query for want of capacity.
+    /// When it last rejected a query for lack of capacity.
     rejected_at: Option<Micros>,
-    /// Failures in a row.
+    /// Consecutive failures.
     failures: u32,
-    /// Share of its last answers that were errors.
+    /// Recent fraction of answers that were errors.
     error_rate: f64,
-    /// It takes nothing before.
+    /// It gets no attempts before this time.
     ejected_until: Micros,
-    /// It takes one attempt at a time until one succeeds.
+    /// It gets one attempt at a time until one succeeds.
     is_on_probation: bool,
     /// It could not be reached, so it may have restarted.
     was_unreachable: bool,
 }
 
 impl EngineHealth {
-    /// An engine that is new.
+    /// Health of a new engine.
     pub(crate) fn new(now: Micros) -> EngineHealth {
         EngineHealth {
             last_contact_at: now,
@@ -77,28 +78,28 @@
         }
     }
 
-    /// Whether it takes nothing now.
+    /// Whether it currently gets no attempts.
     pub(crate) fn is_ejected(&self, now: Micros) -> bool {
         now < self.ejected_until
     }
 
-    /// Whether it takes one attempt at a time.
+    /// Whether it gets one attempt at a time.
     pub(crate) fn is_on_probation(&self) -> bool {
         self.is_on_probation
     }
 
-    /// Whether it rejected a query a moment ago.
+    /// Whether it recently rejected a query.
     pub(crate) fn has_rejected_lately(&self, now: Micros) -> bool {
         let is_lately = |at| now < at + REJECTION_PRESSURE_TIME;
         self.rejected_at.is_some_and(is_lately)
     }
 
-    /// Whether it answers again after it could not be reached: it may have restarted without word.
+    /// Whether it may have restarted unannounced: it responds again after it could not be reached.
     pub(crate) fn may_have_restarted(&self) -> bool {
         self.is_on_probation && self.was_unreachable
     }
 
-    /// Records that it has no capacity.
+    /// Records that the engine has no capacity.
     pub(crate) fn record_rejection(&mut self, now: Micros) {
         self.rejected_at = Some(now);
     }
@@ -109,7 +110,8 @@
         self.error_rate += ERROR_RATE_WEIGHT * (error - self.error_rate);
     }
 
-    /// Records a query that it served. The odd answer of one that errs mostly does not make it well.
+    /// Records a served query. A single success does not end probation while most answers are
+    /// errors.
     pub(crate) fn record_success(&mut self) {
         self.is_on_probation &= self.error_rate > MAX_PROBATION_ERROR_RATE;
         self.failures *= u32::from(self.is_on_probation);
@@ -125,7 +127,8 @@
         may_probe: bool,
     ) -> FailureEffect {
         self.was_unreachable |= outcome == Outcome::Unreachable;
-        // What else ends while it is ejected is the same failure, unless it tells more: that it can't be reached.
+        // Further outcomes during an ejection belong to the same failure, unless they show that the
+        // engine cannot be reached.
         if self.is_ejected(now) && (self.is_on_probation || outcome != Outcome::Unreachable) {
             return FailureEffect::Unchanged;
         }
@@ -135,7 +138,7 @@
         }
         let doublings = (self.failures - 1).min(MAX_EJECTION_DOUBLINGS);
         self.ejected_until = now + (BASE_EJECTION_TIME << doublings);
-        // A connection may break and its engine be well: a probe tells at once.
+        // A connection may be lost while its engine is healthy; a probe finds out at once.
         let may_be_well = outcome == Outcome::Reset && self.failures == 1 && may_probe;
         self.is_on_probation = !may_be_well;
         if may_be_well {
@@ -145,7 +148,8 @@
         }
     }
 
-    /// Records that a probe was answered; true if that ends an ejection, since only a connection had broken.
+    /// Records that a probe was answered. Returns true if this ends an ejection, as only a
+    /// connection had been lost.
     pub(crate) fn record_probe_success(&mut self, now: Micros) -> bool {
         let is_well = !self.is_on_probation && self.is_ejected(now);
         if is_well {
--- a/crates/scheduler/src/overruns.rs
+++ b/crates/scheduler/src/overruns.rs
@@ -1,6 +1,8 @@
-//! Overruns: attempts that run far too long, by bad plans or sick engines, and what is done about them.
+//! Overruns: attempts that run far too long because of a bad plan or a failing engine, and the
+//! response to them.
 //!
-//! Input: the attempts in flight, once a tick. Output: which of them overrun, and for each whether another attempt would earn more.
+//! Input: the attempts in flight, once per tick. Output: the attempts that overrun, and for each
+//! whether another attempt would earn more.
 
 use crate::objectives;
 use crate::queries::{attempt_number, Attempt, PendingQuery};
@@ -9,33 +11,33 @@
 use crate::state::SchedulerState;
 use crate::types::{Micros, QueryId};
 
-/// An attempt that points to this many times its expected run is a bad plan or host ...
+/// An attempt overruns if its projected run time exceeds this multiple of the expected one ...
 pub(crate) const OVERRUN_RATIO: f64 = 3.5;
-/// ... once it is out for this long, µs: earlier, progress reports are too rough.
+/// ... and it has run for at least this long, in µs. Earlier progress reports are too inaccurate.
 const MIN_OVERRUN_AGE_MICROS: f64 = 400_000.0;
-/// A late run that earns under this part of what new work would is ended.
+/// A late query is ended if it would earn less than this fraction of what new work would.
 const MIN_WORTHWHILE_SHARE: f64 = 0.5;
 
 /// An attempt that overruns.
 pub(crate) struct Overrun {
     pub query: QueryId,
     pub attempt: u8,
-    /// When it is expected to end.
+    /// Projected finish time.
     finish: f64,
 }
 
-/// What is done about an overrun.
+/// Response to an overrun.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum OverrunResponse {
-    /// Nothing: it earns most where it is.
+    /// Keep the attempt: this earns most.
     Leave,
-    /// Another attempt takes its place.
+    /// Replace it with another attempt.
     Replace,
-    /// The query is ended.
+    /// End the query.
     GiveUp,
 }
 
-/// All attempts that overrun now.
+/// All attempts that currently overrun.
 pub(crate) fn find_overruns(state: &SchedulerState, now: Micros) -> Vec<Overrun> {
     let mut overruns = Vec::new();
     for (&id, query) in &state.queries {
@@ -55,7 +57,7 @@
     overruns
 }
 
-/// When an attempt that overruns is expected to end; `None` if it does not overrun.
+/// Projected finish time of an attempt that overruns; `None` if it does not overrun.
 fn overrun_finish(
     state: &SchedulerState,
     now: Micros,
@@ -73,7 +75,8 @@
     };
     let alone = state.estimates.work(&query.query) / state.class_of(query).threads;
     let usual = attempt.expected_run.max(alone * slowdown);
-    // Without progress reports, one that has overrun is taken to have as much again and more before it.
+    // Without progress reports, an attempt that has overrun is projected to run for this multiple
+    // of its age.
     let long = if age > OVERRUN_RATIO * usual {
         OVERRUN_RATIO * age
     } else {
@@ -85,13 +88,13 @@
     (run > OVERRUN_RATIO * usual || is_late()).then_some(finish)
 }
 
-/// Mean weight that a µs of work earns.
+/// Mean weight that one µs of work earns.
 pub(crate) fn mean_weight_of_work(state: &SchedulerState) -> f64 {
     let weight = |class: usize, _: f64| state.settings.classes[class].priority_weight;
     state.estimates.mean(weight) / state.estimates.mean_work()
 }
 
-/// Decides about an overrun. `weight_of_work`: what a µs of new work earns.
+/// Chooses the response to an overrun. `weight_of_work` is what one µs of new work earns.
 pub(crate) fn respond(
     state: &SchedulerState,
     now: Micros,
@@ -108,7 +111,8 @@
     if query.overruns == 0 && leave > 0.0 && leave >= stay && fresh_finish < finish {
         return OverrunResponse::Replace;
     }
-    // Under pressure late runs, bad plans too, keep the room of others; hurts if the late share is high.
+    // Under pressure, late queries take capacity from others, even if only their plan was bad.
+    // Ending them costs weight if the late fraction is high.
     let remaining = (finish - now as f64).max(1.0) * state.class_of(query).threads;
     let holds_up_others = state.uses_subset
         && state.settings.may_cancel
--- a/crates/scheduler/src/probes.rs
+++ b/crates/scheduler/src/probes.rs
@@ -1,29 +1,30 @@
-//! Probe budget: how many health checks the accepted queries pay for.
+//! Probe budget: how many probes the accepted queries pay for.
 //!
-//! Input: queries accepted, zones lost, probes sent. Output: how many probes may go out. Bound: one probe for each engine.
+//! Input: accepted queries, silent zones, and probes sent. Output: number of probes that may be
+//! sent. Bound: credit for at most one probe per engine from queries.
 
 use crate::candidates::{AFFINITY_ENGINES, DRAWN_ENGINES};
 use crate::gossip::GOSSIP_INTERVAL;
 use crate::settings::Settings;
 use crate::types::TICK_INTERVAL;
 
-/// Share of the result spent on probes, at most.
+/// Maximum fraction of the overall result spent on probes.
 const PROBE_SPEND: f64 = 0.001;
-/// The same where nothing else brings reports to a few coordinators.
+/// The same if probes are the only source of load reports for a few coordinators.
 const PROBE_SPEND_FOR_REPORTS: f64 = 10.0 * PROBE_SPEND;
-/// Probes a query pays for, at most.
+/// Maximum number of probes that one query pays for.
 const MAX_PROBES_PER_QUERY: f64 = 1.0;
-/// Probes that a query's candidates take, where they are asked first.
+/// Number of probes for a query that probes its candidates first.
 pub(crate) const PROBES_PER_QUERY: f64 = (AFFINITY_ENGINES + DRAWN_ENGINES) as f64;
 
-/// Probes that may go out.
+/// Credit for probes.
 pub(crate) struct ProbeBudget {
     credit: f64,
     per_query: f64,
 }
 
 impl ProbeBudget {
-    /// Without credit. `uses_subset`: this coordinator has a small part of each engine.
+    /// A budget without credit. `uses_subset`: this coordinator has a small share of each engine.
     pub(crate) fn new(settings: &Settings, uses_subset: bool) -> ProbeBudget {
         let spend = if settings.report_on_probe && !uses_subset {
             PROBE_SPEND_FOR_REPORTS
@@ -36,22 +37,22 @@
         }
     }
 
-    /// Adds what an accepted query pays for.
+    /// Adds the credit of an accepted query.
     pub(crate) fn record_query(&mut self, engines: usize) {
         self.credit = (self.credit + self.per_query).min(engines as f64);
     }
 
-    /// Adds a probe a second for each zone that may be lost, once a tick.
+    /// Adds credit for one probe per second for each silent zone. Called once per tick.
     pub(crate) fn record_silent_zones(&mut self, zones: usize) {
         self.credit += zones as f64 * TICK_INTERVAL as f64 / GOSSIP_INTERVAL as f64;
     }
 
-    /// Counts probes that go out.
+    /// Deducts probes that are sent.
     pub(crate) fn spend(&mut self, probes: usize) {
         self.credit -= probes as f64;
     }
 
-    /// Probes that may go out now.
+    /// Number of probes that may be sent.
     pub(crate) fn credit(&self) -> f64 {
         self.credit
     }
--- a/crates/scheduler/src/queue.rs
+++ b/crates/scheduler/src/queue.rs
@@ -1,6 +1,8 @@
-//! Engines' queues: when queries on them are estimated to start, which may start now, and which should be routed again.
+//! Engine queues: estimated start times, which query may start now, and which should be routed
+//! again.
 //!
-//! A queue is short, as queries go elsewhere or are given up where it grows; an estimate costs one pass over it.
+//! Queues stay short, since queries are routed elsewhere or abandoned as a queue grows. An estimate
+//! takes one pass over the queue.
 
 use crate::capacity::{has_memory_for, run_bound, threads_needed, RunBound};
 use crate::engines::{Engine, QueuedQuery};
@@ -8,16 +10,16 @@
 use crate::state::SchedulerState;
 use crate::types::{EngineId, Micros, QueryId};
 
-/// A start that is later by this much than estimated has slipped, µs.
+/// A query has slipped if its start is later than planned by more than this, in µs.
 const MAX_SLIP_MICROS: f64 = 150_000.0;
-/// Queued queries that are routed again in one go, so that the cost stays bounded.
+/// Maximum number of queued queries that are routed again at a time, which bounds the cost.
 const MAX_REROUTED: usize = 12;
-/// The same where a coordinator uses a subset: each costs more.
+/// The same for a coordinator that uses a subset, where each costs more.
 const MAX_REROUTED_WITH_SUBSET: usize = MAX_REROUTED / 4;
-/// Threads of a query that nothing is known of.
+/// Threads needed by an unspecified query.
 const UNKNOWN_THREADS_NEEDED: f64 = 0.5;
 
-/// A query as it stands in a queue; its planned start is filled in by routing.
+/// The queue entry of a query. Routing sets its planned start.
 pub(crate) fn queued_query(state: &SchedulerState, id: QueryId) -> QueuedQuery {
     let query = &state.queries[&id];
     QueuedQuery {
@@ -31,8 +33,8 @@
     }
 }
 
-/// Estimated starts of the queries on an engine's queue, and of whatever comes behind it (the design's Eq. 13). `threads_needed`:
-/// those of the query that the estimate is for.
+/// Estimated start times of the queries on an engine's queue, and of a query added at its end (Eq.
+/// 13). `threads_needed` is for the query that the estimate is made for.
 pub(crate) fn estimated_starts(
     now: Micros,
     engine: &Engine,
@@ -53,7 +55,7 @@
     starts
 }
 
-/// Time until a query that comes now could start, on the engine where that is soonest, µs.
+/// Time until a query that arrives now could start on the engine with the shortest wait, µs.
 pub(crate) fn shortest_wait(state: &SchedulerState, now: Micros) -> f64 {
     let wait = |engine: &Engine| {
         let bound = run_bound(state, now, engine);
@@ -63,7 +65,8 @@
     state.ready_engines().map(wait).fold(f64::MAX, f64::min)
 }
 
-/// The first query of an engine's queue, if it may start there now: the run bound and memory have room, or nothing runs.
+/// The first query of an engine's queue, if it may start now: the run bound and memory have room,
+/// or nothing is running.
 pub(crate) fn next_to_start(
     state: &SchedulerState,
     now: Micros,
@@ -78,8 +81,9 @@
     (!must_wait).then_some(front.id)
 }
 
-/// Engines with a queue, by the urgency of its first query. Where the cluster's room is shared, first to start is what is in time
-/// and worth most for its work.
+/// Engines with a queue, ordered by their first query: those in time come first, then those with
+/// the highest weight for their work. The cluster's room, where it is shared, is allocated in this
+/// order.
 pub(crate) fn engines_by_urgency(state: &SchedulerState, now: Micros) -> Vec<EngineId> {
     let urgency = |(&id, engine): (&EngineId, &Engine)| {
         let front = engine.queue.first()?;
@@ -91,8 +95,9 @@
     fronts.into_iter().map(|front| front.2).collect()
 }
 
-/// Queued queries that should be routed again: starts move only on insertions, and these have slipped or will be late. Takes up
-/// behind `last`, the query that was routed again last.
+/// Queued queries that should be routed again because their start slipped or they will be late;
+/// queue positions otherwise change only on insertion. Continues after `last`, the query that was
+/// routed again last.
 pub(crate) fn slipped_queries(state: &SchedulerState, now: Micros, last: QueryId) -> Vec<QueryId> {
     let mut slipped = Vec::new();
     for engine in state.engines.values().filter(|e| !e.queue.is_empty()) {
--- a/crates/scheduler/src/quota.rs
+++ b/crates/scheduler/src/quota.rs
@@ -1,25 +1,25 @@
-//! Tenants' quotas: whether a query is within what its tenant may send through this coordinator.
+//! Tenant quotas: whether a query is within its tenant's quota at this coordinator.
 //!
-//! Input: arrivals with their tenant, and this coordinator's share of the cluster's demand. Output: yes or no. State: a token
-//! bucket for each tenant of the settings.
+//! Input: arrivals with their tenant, and this coordinator's share of the cluster's demand. Output:
+//! yes or no. State: one token bucket per tenant in the settings.
 
 use crate::settings::Tenant;
 use crate::types::Micros;
 
-/// A tenant's quota may be used ahead by this many seconds: ordinary bursts.
+/// Bucket size in seconds of quota, which allows ordinary bursts.
 const BURST_SECONDS: f64 = 2.0;
-/// The least size of a bucket, in queries: a small part of a quota comes in bursts.
+/// Minimum bucket size in queries: a small share of a quota arrives in bursts.
 const MIN_BURST_QUERIES: f64 = 8.0;
 
-/// A token bucket; full at first.
+/// A token bucket, initially full.
 #[derive(Clone, Copy, Default)]
 struct TokenBucket {
-    /// Tokens at a time; `None` before the first use.
+    /// Number of tokens and the time at which it was computed; `None` before the first use.
     level: Option<(f64, Micros)>,
 }
 
 impl TokenBucket {
-    /// Takes one token, if there is one, from a bucket of this rate a second and this size.
+    /// Takes one token, if available, from a bucket with this refill rate per second and this size.
     fn take_token(&mut self, now: Micros, rate_per_s: f64, size: f64) -> bool {
         let (level, at) = self.level.unwrap_or((size, now));
         let level = (level + rate_per_s * now.saturating_sub(at) as f64 / 1e6).min(size);
@@ -43,8 +43,8 @@
         }
     }
 
-    /// Takes one query from a tenant's quota, of which this coordinator has `share`; true if the quota was used up. Where the
-    /// settings name tenants, one that they don't name has none.
+    /// Takes one query from a tenant's quota, of which this coordinator has `share`; true if the
+    /// quota was exhausted. If the settings list tenants, an unlisted tenant has no quota.
     pub(crate) fn is_exceeded_by_one_more(&mut self, now: Micros, tenant: u32, share: f64) -> bool {
         let has_tenants = !self.tenants.is_empty();
         let Some((tenant, bucket)) = self.tenants.get_mut(tenant as usize) else {
--- a/crates/scheduler/src/random.rs
+++ b/crates/scheduler/src/random.rs
@@ -1,14 +1,14 @@
 //! Seeded random draws.
 //!
-//! Kept in place of the crate `rand`: the same seed must give the same decisions in every build, so the generator's sequence is
-//! part of the behaviour.
+//! Used instead of the `rand` crate because the same seed must give the same decisions in every
+//! build: the generator's sequence is part of the behaviour.
 
-/// A small seeded generator (splitmix64).
+/// A small seeded generator (SplitMix64).
 #[derive(Clone, Debug)]
 pub(crate) struct Random(pub u64);
 
 impl Random {
-    /// A number under `n`; 0 where `n` is 0.
+    /// A number less than `n`; 0 if `n` is 0.
     #[allow(clippy::cast_possible_truncation, reason = "less than `n`, a `usize`")]
     pub(crate) fn below(&mut self, n: usize) -> usize {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
@@ -26,8 +26,8 @@
         }
     }
 
-    /// Moves `count` randomly chosen entries to the front of `list`, each with a chance in proportion to its weight. `weights` are
-    /// reordered along with `list`.
+    /// Moves `count` randomly chosen entries to the front of `list`, each with a probability
+    /// proportional to its weight. `weights` is reordered along with `list`.
     pub(crate) fn shuffle_front_weighted<T>(
         &mut self,
         list: &mut [T],
--- a/crates/scheduler/src/resources.rs
+++ b/crates/scheduler/src/resources.rs
@@ -1,4 +1,4 @@
-//! Resources of an attempt: the memory that it is granted and its priority on the engine.
+//! Resources of an attempt: its memory grant and its priority on the engine.
 
 use crate::capacity::is_pressed;
 use crate::engines::Engine;
@@ -7,23 +7,24 @@
 use crate::state::SchedulerState;
 use crate::types::{Micros, QueryId};
 
-/// Memory granted over the need: a spill costs more than a little idle memory.
+/// Factor on the estimated need: a spill costs more than some idle memory.
 const GRANT_MARGIN: f64 = 1.6;
-/// ... and more where nothing presses, or where only use counts.
+/// Further factor if the engine is not under pressure, or if only memory in use counts.
 const UNPRESSED_GRANT_MARGIN: f64 = 2.0;
-/// Priorities of light queries and of others in time; what is late gets the lowest, 0.
+/// Priorities of light queries, and of other queries that are in time. Late queries get the lowest,
+/// 0.
 const LIGHT_PRIORITY: u8 = 3;
 const HEAVY_PRIORITY: u8 = 1;
 
-/// The memory that an attempt is granted, MB: the believed need and some to spare, more while there is room. 0 leaves it to the
-/// engine.
+/// Memory grant of an attempt in MB: the estimated need plus a margin, larger while the engine has
+/// room. 0 leaves the choice to the engine.
 pub(crate) fn memory_grant(
     state: &SchedulerState,
     now: Micros,
     id: QueryId,
     engine: &Engine,
 ) -> f64 {
-    // Where memory pages, a grant beyond the need costs nothing: only use counts.
+    // On an engine that pages, a grant beyond the need is free: only memory in use counts.
     let pages = state.settings.out_of_memory == OutOfMemory::Page;
     let need = if state.settings.grants {
         state.memory_mb(id)
@@ -41,8 +42,8 @@
     (need * margin).min(state.engine_memory_mb(engine) * max_share)
 }
 
-/// The priority of an attempt that is expected to run so long: short queries first, since they hold an engine least; the lowest
-/// for what comes late anyway.
+/// Priority of an attempt with this expected run time. Short queries come first, since they occupy
+/// an engine least; queries that will be late anyway get the lowest priority.
 pub(crate) fn priority(state: &SchedulerState, now: Micros, id: QueryId, expected_run: f64) -> u8 {
     let query = &state.queries[&id];
     if now as f64 + expected_run > objectives::objective(state, query) {
--- a/crates/scheduler/src/retry.rs
+++ b/crates/scheduler/src/retry.rs
@@ -1,7 +1,9 @@
-//! Retries: whether a query may be sent again, where, and what its final answer may be if not.
+//! Retries: whether and where a query may be sent again, and which final answers are permitted
+//! otherwise.
 //!
-//! Input: the query's class and its attempts so far. Output: yes or no. What must not run twice never goes again; what engines
-//! deduplicate goes again only where they know it, and only for as long.
+//! Input: the query's class and its attempts so far. Output: yes or no. A query that must not run
+//! twice is never sent again after it may have run. A query with an idempotency key is sent again
+//! only to engines that recognize the key, and only while they do.
 
 use crate::engines::Engine;
 use crate::events::{Outcome, Phase};
@@ -11,9 +13,10 @@
 use crate::state::SchedulerState;
 use crate::types::{Micros, QueryId};
 
-/// Engines that answer a query with an error before the fault is taken for its own.
+/// Number of engines that must answer a query with an error before the query itself is considered
+/// faulty.
 const MAX_ERRORS: usize = 2;
-/// More attempts than this are never made: their number is a `u8`.
+/// Hard limit on attempts per query, since attempt numbers are `u8`.
 const MAX_ATTEMPTS: u32 = 200;
 
 /// Whether the settings allow no further attempt of a query.
@@ -22,12 +25,13 @@
     query.attempts.len() >= max_attempts.min(MAX_ATTEMPTS) as usize
 }
 
-/// Whether a query is taken to be at fault itself: it ended in errors on as many engines as that takes.
+/// Whether the query itself is considered faulty: it ended in errors on [`MAX_ERRORS`] engines.
 pub(crate) fn is_at_fault(query: &PendingQuery) -> bool {
     query.engines_with_errors().count() >= MAX_ERRORS
 }
 
-/// Whether an attempt of a query may go to an engine, by what is out and what may have run.
+/// Whether an attempt of a query may be sent to an engine, given the attempts in flight and those
+/// that may have run.
 pub(crate) fn may_send_to(
     state: &SchedulerState,
     now: Micros,
@@ -39,7 +43,7 @@
         && may_run_on(state, now, query, engine)
 }
 
-/// Whether a query may run on an engine, by what may have run of it before.
+/// Whether a query may run on an engine, given the attempts that may have run.
 pub(crate) fn may_run_on(
     state: &SchedulerState,
     now: Micros,
@@ -65,7 +69,7 @@
         && may_have_run.all(|a| is_in_scope(a) && is_known(a.sent_at + class.deduplication_window))
 }
 
-/// Whether any engine may run a query, by what may have run of it before.
+/// Whether any engine may run a query, given the attempts that may have run.
 pub(crate) fn may_run_anywhere(state: &SchedulerState, now: Micros, query: &PendingQuery) -> bool {
     state
         .engines
@@ -73,7 +77,7 @@
         .any(|engine| may_run_on(state, now, query, engine))
 }
 
-/// Whether a rejection would be true: nothing may have run, or a repeat does no harm.
+/// Whether a rejection would be correct: no attempt may have run, or a repeat is harmless.
 pub(crate) fn may_reject(state: &SchedulerState, query: &PendingQuery) -> bool {
     let idempotency = state.idempotency(query);
     let scope = state.class_of(query).deduplication_scope;
@@ -84,8 +88,9 @@
         || is_known_everywhere
 }
 
-/// Whether a query earns nothing any more, even if started now and run at the cluster's pace; or the only engine that holds what
-/// it needs takes nothing more; or none may run it again.
+/// Whether a query can no longer earn anything: it would finish too late even if it started now at
+/// the cluster's mean speed, its exclusive engine accepts no more work, or no engine may run it
+/// again.
 pub(crate) fn is_hopeless(state: &SchedulerState, now: Micros, id: QueryId) -> bool {
     let query = &state.queries[&id];
     if has_lost_its_only_engine(state, query)
@@ -107,19 +112,20 @@
     engine.is_none_or(|e| e.phase != Phase::Ready)
 }
 
-/// What an attempt's end says of its engine.
+/// What the end of an attempt implies about its engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Blame {
     /// Nothing.
     Nobody,
-    /// The query goes elsewhere, and the engine failed.
+    /// The engine failed, and the query is sent elsewhere.
     Engine,
-    /// The query goes elsewhere; whether the engine failed shows when another serves it.
+    /// The query is sent elsewhere; the engine failed if another engine serves it.
     QueryOrEngine,
 }
 
-/// Who is blamed for an attempt that did not serve. A query that no engine can use would eject them all: it is blamed until
-/// another engine serves it, where it may be tried on another.
+/// What an attempt's outcome implies about its engine. A faulty query would get every engine
+/// ejected, so where a query may be tried on another engine, errors count against the first engine
+/// only once another serves it.
 pub(crate) fn blame(outcome: Outcome, idempotency: Idempotency) -> Blame {
     match outcome {
         Outcome::Error if idempotency == Idempotency::Idempotent => Blame::QueryOrEngine,
--- a/crates/scheduler/src/retry_budget.rs
+++ b/crates/scheduler/src/retry_budget.rs
@@ -1,39 +1,41 @@
-//! Retry budget: whether one more attempt beyond a request's first may go out.
+//! Retry budget: whether another attempt beyond a request's first may be sent.
 //!
-//! Input: the time of each request accepted and of each retry, on the host's monotonic clock. Output: yes or no, and the figures
-//! behind it for logs and counters. Bound: within any window of the settings' length at most
-//! `min_retries + ratio * requests accepted` retries. State: the times of one window's requests and retries.
+//! Input: the time of each accepted request and of each retry, on the host's monotonic clock.
+//! Output: yes or no, and the figures for logs and counters. Bound: within any window of the
+//! configured length, at most `min_retries + ratio * accepted requests` retries. State: the times
+//! of one window's requests and retries.
 //!
-//! Retries count from their first byte (see [`SendLedger`]): a planned one takes its part of the budget at once, and is asked
-//! about once more right before its first byte.
+//! Retries count from their first byte (see [`SendLedger`]): a planned retry reserves its part of
+//! the budget at once, and is checked again right before its first byte.
 
 use crate::send_ledger::SendLedger;
 use crate::settings::RetryBudget;
 use crate::types::{Micros, QueryId};
 use std::collections::VecDeque;
 
-/// Whoever counts from outside sees an attempt, or a request, a moment earlier or later than this host: so much at the window's
-/// edge counts against the budget.
+/// An outside observer sees an attempt or request slightly earlier or later than this host. Events
+/// this close to the window's edge count against the budget.
 const WINDOW_EDGE: Micros = 20_000;
 
-/// How far the budget is used, for logs and counters.
+/// Usage of the retry budget, for logs and counters.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct RetryBudgetUsage {
     /// Retries within the window.
     pub used: u64,
-    /// Retries that the requests accepted within the window allow.
+    /// Retries allowed by the requests accepted within the window.
     pub allowed: f64,
     /// Requests accepted within the window.
     pub requests: u64,
-    /// Times held in memory: one window's worth at most.
+    /// Number of timestamps in memory, at most one window's worth.
     pub times_held: usize,
-    /// Retries that were not planned since the start, for want of budget.
+    /// Retries that were not planned because the budget was exhausted, since the start.
     pub denied: u64,
-    /// Those that were planned, and not made for want of budget when they were to go out.
+    /// Retries that were planned, but not sent because the budget was exhausted by then.
     pub denied_at_send: u64,
 }
 
-/// The budget of one coordinator over a sliding window. Without a budget in the settings everything is allowed and nothing kept.
+/// The budget of one coordinator over a sliding window. If the settings have no budget, every retry
+/// is allowed and nothing is recorded.
 pub(crate) struct RetryBudgetWindow {
     budget: Option<RetryBudget>,
     requests: VecDeque<Micros>,
@@ -62,7 +64,7 @@
         }
     }
 
-    /// Whether one more retry may be planned; a refusal is counted.
+    /// Whether another retry may be planned. Refusals are counted.
     pub(crate) fn allows_retry(&mut self, now: Micros) -> bool {
         let Some(budget) = self.budget else {
             return true;
@@ -73,7 +75,7 @@
         allows
     }
 
-    /// Records a planned retry. `first_byte_at`: when it went out, where that is at once.
+    /// Records a planned retry. `first_byte_at` is its send time, if it is sent at once.
     pub(crate) fn plan_retry(
         &mut self,
         query: QueryId,
@@ -85,8 +87,8 @@
         }
     }
 
-    /// Whether the first byte of an attempt may go out now. Only what did go out counts against it: what waits is asked about in
-    /// its turn.
+    /// Whether the first byte of an attempt may be sent now. Only retries already sent count
+    /// against it, since waiting ones are checked in turn.
     pub(crate) fn allows_first_byte(&mut self, now: Micros, query: QueryId, attempt: u8) -> bool {
         let Some(budget) = self.budget else {
             return true;
@@ -100,17 +102,17 @@
         allows
     }
 
-    /// Records that the first byte of an attempt goes out.
+    /// Records that the first byte of an attempt is sent.
     pub(crate) fn mark_sent(&mut self, now: Micros, query: QueryId, attempt: u8) {
         self.retries.mark_sent(now, query, attempt);
     }
 
-    /// Records the end of an attempt: where no byte of it went out, its part of the budget is free again.
+    /// Records the end of an attempt. Its part of the budget is released if no byte of it was sent.
     pub(crate) fn record_end(&mut self, query: QueryId, attempt: u8) {
         self.retries.release_unsent(query, attempt);
     }
 
-    /// The figures at this moment; `None` where the settings have no budget.
+    /// Current usage; `None` if the settings have no budget.
     pub(crate) fn usage(&self, now: Micros) -> Option<RetryBudgetUsage> {
         let budget = self.budget?;
         let is_within = |at: Micros| at + budget.window > now;
@@ -129,7 +131,7 @@
         budget.min_retries + budget.ratio * self.requests.len() as f64
     }
 
-    /// Drops what is behind the window: retries a little late, requests a little early.
+    /// Drops events outside the window: retries slightly late, and requests slightly early.
     fn forget(&mut self, now: Micros, budget: &RetryBudget) {
         self.retries
             .forget_before(now.saturating_sub(budget.window + WINDOW_EDGE));
--- a/crates/scheduler/src/routing.rs
+++ b/crates/scheduler/src/routing.rs
@@ -1,9 +1,12 @@
-//! Routing: which engine a query joins, and where in that engine's queue (QIDMaC).
+//! Routing: selects the engine that a query joins, and the position in that engine's queue
+//! (QIDMaC).
 //!
-//! A query joins the engine whose queue gains most estimated weight in time from it (balance gain); among equals with little to
-//! drain, sharing its table group with neighbours in the queue decides (interaction gain); among equals of that, the seed.
+//! A query joins the engine whose queue gains the most estimated weight in time from it (balance
+//! gain). Ties among engines with similarly short drain times are broken by sharing a table group
+//! with queue neighbours (interaction gain), and remaining ties by the seed.
 //!
-//! Input: the state and the query. Output: an engine and a place in its queue. Bound: one pass over the candidates' queues.
+//! Input: the state and the query. Output: an engine and a position in its queue. Bound: one pass
+//! over the candidates' queues.
 
 use crate::candidates::{eligible_engines, narrow_to_subset};
 use crate::capacity::{run_bound, threads_needed, threads_per_core, work_of_others, RunBound};
@@ -14,38 +17,40 @@
 use crate::state::SchedulerState;
 use crate::types::{EngineId, Micros, QueryId};
 
-/// Algorithm 5's c: interaction gain breaks ties up to (1 + c) times the shortest drain.
+/// Parameter c of Algorithm 5: interaction gain breaks ties among engines whose drain time is
+/// within (1 + c) times the shortest.
 const DRAIN_GUARD: f64 = 0.5;
-/// Drains under this are alike, µs: no client notices.
+/// Drain times below this, in µs, are considered equal: clients do not notice the difference.
 const MIN_DRAIN_MICROS: f64 = 4_000.0;
-/// Gains this close are equal: weights are float sums, and most tie.
+/// Gains within this tolerance are equal: weights are float sums, and most gains tie.
 const GAIN_TOLERANCE: f64 = 1e-6;
 
-/// An engine as one query sees it.
+/// An engine as a candidate for one query.
 pub(crate) struct Offer {
     /// The engine.
     pub engine: EngineId,
-    /// The best place in its queue.
+    /// The best position in its queue.
     pub position: Position,
-    /// Time until the engine has worked off what it has, µs.
+    /// Time until the engine has finished its current work, µs.
     drain: f64,
-    /// It lies in another zone, and that has a price.
+    /// The engine is in another zone, and crossing zones has a cost.
     is_far: bool,
 }
 
-/// A place in an engine's queue.
+/// A position in an engine's queue.
 pub(crate) struct Position {
     /// Index in the queue.
     pub index: usize,
-    /// Estimated start there.
+    /// Estimated start time at this position.
     pub start: f64,
-    /// Weight in time that the queue gains.
+    /// Balance gain: weight in time that the queue gains.
     gain: f64,
-    /// Table-group neighbours that it gains.
+    /// Interaction gain: neighbours of the same table group that the queue gains.
     interaction: f64,
 }
 
-/// Chooses an engine for a query (Algorithm 5): top balance gain, then the drain guard, then interaction gain, then the seed.
+/// Chooses an engine for a query (Algorithm 5): highest balance gain, then the drain guard, then
+/// interaction gain, then the seed.
 pub(crate) fn choose_engine(
     state: &SchedulerState,
     random: &mut Random,
@@ -65,7 +70,7 @@
     let closest = closest.fold(f64::MIN, f64::max);
     offers.retain(|o| o.position.interaction >= closest - GAIN_TOLERANCE);
 
-    // Not in the design: crossing zones has a price where settings say so; only between full ties.
+    // Not part of Algorithm 5: if crossing zones has a cost, ties go to the local zone.
     if offers.iter().any(|o| !o.is_far) {
         offers.retain(|o| !o.is_far);
     }
@@ -73,7 +78,7 @@
     (!offers.is_empty()).then(|| offers.swap_remove(pick))
 }
 
-/// What each candidate offers.
+/// Evaluates each candidate.
 fn offers(state: &SchedulerState, random: &mut Random, now: Micros, id: QueryId) -> Vec<Offer> {
     let mut candidates = eligible_engines(state, now, id);
     let preferred = if state.uses_subset {
@@ -96,8 +101,9 @@
     .collect()
 }
 
-/// What an engine offers a query (Algorithm 8). `work_of_others`: of other coordinators there, µs; `affinity`: interaction gain
-/// since the engine is one of the table group's own.
+/// Evaluates one engine for a query (Algorithm 8). `work_of_others` is the work of other
+/// coordinators there in µs; `affinity` is the interaction gain of the table group's preferred
+/// engines.
 fn offer(
     state: &SchedulerState,
     now: Micros,
@@ -112,7 +118,7 @@
     let mut starts = estimated_starts(now, engine, &bound, needed);
     let lost = weight_lost(own, engine, &bound, &starts);
     if bound.has_room(needed) {
-        // In front of those that wait for room it has enough.
+        // There is enough room for it ahead of the queries that wait for room.
         starts[0] = now as f64;
     }
     let held = if state.uses_subset {
@@ -130,7 +136,8 @@
     }
 }
 
-/// For each place in a queue, the weight lost by the queries from there on when they start later by the newcomer's run (Eq. 15).
+/// For each position in a queue, the weight lost by the queries from there on if they start later
+/// by the new query's run time (Eq. 15).
 fn weight_lost(own: &QueuedQuery, engine: &Engine, bound: &RunBound, starts: &[f64]) -> Vec<f64> {
     let shift = own.work * engine.slowdown.ratio() / bound.threads;
     let mut lost = vec![0.0; engine.queue.len() + 1];
@@ -142,7 +149,7 @@
     lost
 }
 
-/// What a query earns if it starts then.
+/// Weight that a query earns if it starts at this time.
 fn weight_in_time(query: &QueuedQuery, engine: &Engine, start: f64) -> f64 {
     if query.is_late(start, engine.slowdown.ratio()) {
         0.0
@@ -151,7 +158,8 @@
     }
 }
 
-/// The place of highest balance gain; among equals of highest interaction gain (Eq. 11), then the last.
+/// The position with the highest balance gain; ties go to the highest interaction gain (Eq. 11),
+/// then to the last position.
 fn best_position(
     own: &QueuedQuery,
     engine: &Engine,
@@ -182,7 +190,8 @@
     best
 }
 
-/// Neighbours of its table group that a query gains at a place in a queue, less those that it parts.
+/// Neighbours of its table group that a query gains at a position in a queue, less those that it
+/// separates.
 fn interaction_gain(own: &QueuedQuery, engine: &Engine, index: usize, affinity: f64) -> f64 {
     let before = match index {
         0 => engine.last_table_group,
--- a/crates/scheduler/src/send_ledger.rs
+++ b/crates/scheduler/src/send_ledger.rs
@@ -1,21 +1,22 @@
-//! Attempts that count against a limit from their first byte.
+//! Ledger of attempts that count against a limit from their first byte.
 //!
-//! The other side counts an attempt when it goes out, not when it was planned: a connection that comes up late, or a process that
-//! stood still, lies between the two. So a planned attempt counts at once, whatever the window, until its first byte goes out;
-//! from then on it counts by that moment. The retry budget and slow start both keep such a ledger.
+//! The engine counts an attempt when it is sent, not when it was planned; a connection that opens
+//! late, or a paused process, can lie between the two. A planned attempt therefore counts at once,
+//! independent of the window, until its first byte is sent, and from then on by that time. The
+//! retry budget and slow start each keep such a ledger.
 //!
-//! Bound: one window's worth of sent attempts, and what is on its way.
+//! Bound: the attempts sent within one window, and those that are planned.
 
 use crate::types::{Micros, QueryId};
 use std::collections::VecDeque;
 
-/// An attempt that was planned, and may have gone out.
+/// An attempt that was planned, and may have been sent.
 struct PlannedSend {
     query: QueryId,
     attempt: u8,
-    /// What it counts for.
+    /// What the attempt counts for.
     weight: f64,
-    /// When its first byte went out; `None` while it waits for that.
+    /// When its first byte was sent; `None` while it waits.
     first_byte_at: Option<Micros>,
 }
 
@@ -25,12 +26,12 @@
     }
 }
 
-/// Planned and sent attempts, in the order in which they were planned.
+/// Planned and sent attempts, in planning order.
 #[derive(Default)]
 pub(crate) struct SendLedger(VecDeque<PlannedSend>);
 
 impl SendLedger {
-    /// Records a planned attempt. `first_byte_at`: when it went out, where that is at once.
+    /// Records a planned attempt. `first_byte_at` is its send time, if it is sent at once.
     pub(crate) fn plan(
         &mut self,
         query: QueryId,
@@ -46,7 +47,7 @@
         });
     }
 
-    /// Records that the first byte of a waiting attempt goes out now.
+    /// Records that the first byte of a waiting attempt is sent now.
     pub(crate) fn mark_sent(&mut self, now: Micros, query: QueryId, attempt: u8) {
         let mut sends = self.0.iter_mut();
         if let Some(send) = sends.find(|s| s.is_waiting(query, attempt)) {
@@ -54,18 +55,18 @@
         }
     }
 
-    /// Frees what an ended attempt counts for, where no byte of it went out.
+    /// Removes an attempt that ended before any byte of it was sent.
     pub(crate) fn release_unsent(&mut self, query: QueryId, attempt: u8) {
         self.0.retain(|s| !s.is_waiting(query, attempt));
     }
 
-    /// Drops what went out before this time.
+    /// Drops attempts that were sent before this time.
     pub(crate) fn forget_before(&mut self, begin: Micros) {
         self.0
             .retain(|s| s.first_byte_at.is_none_or(|at| at >= begin));
     }
 
-    /// The weight of a planned attempt that waits for its first byte; `None` where it does not.
+    /// Weight of a planned attempt that waits for its first byte; `None` if it does not wait.
     pub(crate) fn waiting_weight(&self, query: QueryId, attempt: u8) -> Option<f64> {
         let mut sends = self.0.iter();
         sends
@@ -73,13 +74,13 @@
             .map(|s| s.weight)
     }
 
-    /// Sum of all weights that went out after this time, and of those that wait.
+    /// Total weight of the attempts sent after this time, and of those that wait.
     pub(crate) fn planned_weight_since(&self, begin: Micros) -> f64 {
         let counts = |s: &&PlannedSend| s.first_byte_at.is_none_or(|at| at > begin);
         self.0.iter().filter(counts).map(|s| s.weight).sum()
     }
 
-    /// Sum of all weights that went out after this time.
+    /// Total weight of the attempts sent after this time.
     pub(crate) fn sent_weight_since(&self, begin: Micros) -> f64 {
         let counts = |s: &&PlannedSend| s.first_byte_at.is_some_and(|at| at > begin);
         self.0.iter().filter(counts).map(|s| s.weight).sum()
@@ -90,12 +91,12 @@
         self.0.len()
     }
 
-    /// Number of attempts in the ledger whose first byte has gone out.
+    /// Number of attempts in the ledger whose first byte was sent.
     pub(crate) fn sent_count(&self) -> usize {
         self.0.iter().filter(|s| s.first_byte_at.is_some()).count()
     }
 
-    /// Number of attempts that wait, and of those whose first byte went out at a time of which `is_within` is true.
+    /// Number of attempts that wait, or whose send time satisfies `is_within`.
     pub(crate) fn count_within(&self, is_within: impl Fn(Micros) -> bool) -> usize {
         let counts = |s: &&PlannedSend| s.first_byte_at.is_none_or(&is_within);
         self.0.iter().filter(counts).count()
--- a/crates/scheduler/src/settings.rs
+++ b/crates/scheduler/src/settings.rs
@@ -1,6 +1,7 @@
-//! Settings: what a coordinator's scheduler is told at its start.
+//! Settings of a coordinator's scheduler, fixed when it is created.
 //!
-//! They come from the platform's configuration or an operator's file; the crate `driftfront-settings` reads them from JSON.
+//! They come from the platform's configuration or an operator's file; the crate
+//! `driftfront-settings` parses them from JSON.
 
 use crate::types::Micros;
 
@@ -9,187 +10,188 @@
 pub enum Idempotency {
     /// It may run any number of times.
     Idempotent,
-    /// Engines drop repeats that carry the same idempotency key: within a scope, for a while.
+    /// Engines drop repeats that carry the same idempotency key, within a scope and for a limited
+    /// time.
     WithKey,
     /// It must not run twice.
     NotIdempotent,
 }
 
-/// The engines that recognize each other's queries by their idempotency key.
+/// Set of engines that recognize each other's queries by their idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
     /// All engines.
     All,
-    /// Engines of one zone.
+    /// Engines in the same zone.
     Zone,
-    /// Engines of one cell.
+    /// Engines in the same cell.
     Cell,
 }
 
-/// A query class.
+/// Properties that the queries of a class have in common.
 #[derive(Clone, Debug)]
 pub struct QueryClass {
     /// An answer within this time earns the full weight.
     pub latency_objective: Micros,
-    /// The objective grows by this times the query's work over its threads.
+    /// Extends the objective by this multiple of the query's run time (work divided by threads).
     pub latency_objective_stretch: f64,
-    /// What an answer in time is worth.
+    /// Weight of an answer within the objective.
     pub priority_weight: f64,
-    /// Share of that which a late answer still earns, 0 to 1.
+    /// Fraction of that weight that a late answer earns, 0 to 1.
     pub late_weight: f64,
     /// Whether its queries may run more than once.
     pub idempotency: Idempotency,
-    /// Which engines drop repeats, where they do by key.
+    /// Engines that drop repeats of a query with an idempotency key.
     pub deduplication_scope: DeduplicationScope,
-    /// For how long after the first run they do.
+    /// How long after the first run those engines drop repeats.
     pub deduplication_window: Micros,
-    /// Queries with the same ordering key run one at a time, in the order of their arrival.
+    /// Queries with the same ordering key run one at a time, in arrival order.
     pub in_order: bool,
-    /// The only zones where its queries may run; `None` for all.
+    /// Zones in which the queries may run; `None` for all.
     pub zones: Option<Vec<u16>>,
-    /// The only machine kinds where they may run, by index; `None` for all.
+    /// Machine kinds on which the queries may run, by index; `None` for all.
     pub kinds: Option<Vec<u16>>,
-    /// Threads that a query runs on, 1 or more.
+    /// Threads that each query uses, at least 1.
     pub threads: f64,
-    /// A query loads data, and holds its table group on its engine while it runs.
+    /// Queries load data, and lock their table group on the engine while they run.
     pub is_load: bool,
-    /// A query waits while a load holds its table group.
+    /// Queries wait while a load has locked their table group.
     pub waits_for_loads: bool,
 }
 
-/// A kind of machine that engines run on.
+/// Hardware of one kind of machine that engines run on.
 #[derive(Clone, Copy, Debug)]
 pub struct MachineKind {
-    /// Cores, if known.
+    /// Number of cores, if known.
     pub cores: Option<f64>,
     /// Memory in MB, if known.
     pub memory_mb: Option<f64>,
 }
 
-/// What an engine does once its memory is granted away.
+/// What an engine does with another query once all its memory is granted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OutOfMemory {
-    /// A further query waits in the engine's own queue.
+    /// The query waits in the engine's own queue.
     Wait,
-    /// It gets what is left, and spills to disk.
+    /// The query gets the memory that is left and spills to disk.
     Shrink,
-    /// It is admitted, and all of them slow down.
+    /// The query is admitted, and paging slows all queries down.
     Page,
 }
 
-/// A limit on retries: attempts beyond each query's first.
+/// Limit on retries, that is, on attempts beyond the first of each query.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
-    /// Retries allowed within a window whatever the traffic.
+    /// Retries allowed in each window regardless of traffic.
     pub min_retries: f64,
-    /// Retries allowed for each query accepted within it.
+    /// Further retries allowed per query accepted in the window.
     pub ratio: f64,
     /// Length of the sliding window.
     pub window: Micros,
 }
 
-/// The slow-start rule: what an engine that has just started may be sent.
+/// Slow-start rule: limits what a recently started engine may be sent.
 #[derive(Clone, Copy, Debug)]
 pub struct SlowStart {
-    /// Share of its capacity that an engine starts with, 0 to 1.
+    /// Fraction of its capacity that an engine starts with, 0 to 1.
     pub initial_share: f64,
-    /// It has all of it after this long.
+    /// Time after its start at which the engine has its full capacity.
     pub warm_up_time: Micros,
-    /// It fails when it is sent more than this multiple of its present capacity ...
+    /// The engine fails if it is sent more than this multiple of its current capacity ...
     pub overload_multiple: f64,
-    /// ... over a window of this length.
+    /// ... within a window of this length.
     pub window: Micros,
 }
 
 /// A tenant's quota.
 #[derive(Clone, Copy, Debug)]
 pub struct Tenant {
-    /// Queries a second that it may send over all coordinators.
+    /// Queries per second that the tenant may send through all coordinators together.
     pub quota_per_s: f64,
 }
 
-/// One value of a load report, by position.
+/// Meaning of one value of a load report; values are identified by position.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportField {
     /// Queries running.
     Active,
     /// Queries waiting for memory.
     Waiting,
-    /// Share of cores busy, 0 to 1.
+    /// Fraction of cores that are busy, 0 to 1.
     Busy,
-    /// Recent service time, ms.
+    /// Recent service time in ms.
     ServiceMs,
-    /// Queries served a second.
+    /// Queries served per second.
     Rate,
-    /// Errors a second.
+    /// Errors per second.
     Errors,
-    /// Share of memory granted, 0 to 1.
+    /// Fraction of memory that is granted, 0 to 1.
     Memory,
-    /// Share of disks busy, 0 to 1.
+    /// Fraction of disks that are busy, 0 to 1.
     Disk,
-    /// A value that nothing is made of.
+    /// A value that the scheduler ignores.
     Unknown,
 }
 
-/// What a coordinator's scheduler is told at its start.
+/// Settings of a coordinator's scheduler.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Coordinators in all.
+    /// Total number of coordinators.
     pub coordinators: u32,
-    /// This coordinator's number among them, from 0.
+    /// Index of this coordinator, from 0.
     pub number: u32,
-    /// This coordinator's zone.
+    /// Zone of this coordinator.
     pub zone: u16,
-    /// The query classes; queries name them by index.
+    /// Query classes, which queries refer to by index.
     pub classes: Vec<QueryClass>,
-    /// The machine kinds; engines name them by index.
+    /// Machine kinds, which engines refer to by index.
     pub kinds: Vec<MachineKind>,
-    /// The tenants, which queries name by index; empty where there are none.
+    /// Tenants, which queries refer to by index; empty if tenants are not configured.
     pub tenants: Vec<Tenant>,
-    /// Share of its weight that a query beyond its tenant's quota keeps, 0 to 1.
+    /// Fraction of its weight that a query beyond its tenant's quota keeps, 0 to 1.
     pub over_quota_weight: f64,
-    /// Weights are by second of work instead of by query.
+    /// Weights apply per second of work instead of per query.
     pub weight_by_work: bool,
-    /// The list of engines has to be polled; otherwise it is pushed.
+    /// The engine list must be polled; otherwise it is pushed.
     pub poll_discovery: bool,
-    /// An unanswered poll counts as answered after this long.
+    /// Time after which an unanswered poll is considered answered.
     pub poll_timeout: Option<Micros>,
-    /// Engines heed memory grants.
+    /// Engines honour memory grants.
     pub grants: bool,
-    /// Engines heed priorities.
+    /// Engines honour priorities.
     pub priorities: bool,
-    /// Largest share of an engine's memory that one query gets, 0 to 1.
+    /// Largest fraction of an engine's memory that one query is granted, 0 to 1.
     pub max_grant_share: Option<f64>,
-    /// What an engine does once its memory is granted away.
+    /// What an engine does with another query once all its memory is granted.
     pub out_of_memory: OutOfMemory,
-    /// Time between an attempt's progress reports, where engines send any.
+    /// Interval of an attempt's progress reports; `None` if engines send none.
     pub progress_interval: Option<Micros>,
-    /// Meaning of the values of a load report.
+    /// Fields of a load report, in order.
     pub report_fields: Vec<ReportField>,
-    /// Load reports come with probes only.
+    /// Load reports are sent only in answers to probes.
     pub report_on_probe: bool,
     /// Attempts may be cancelled.
     pub may_cancel: bool,
     /// Engines may be probed.
     pub may_probe: bool,
-    /// Coordinators may send each other messages.
+    /// Coordinators may exchange messages.
     pub may_gossip: bool,
     /// Two attempts of one query may be in flight at once.
     pub may_hedge: bool,
-    /// Most attempts of one query, the first included; `None` for no limit.
+    /// Maximum number of attempts per query, including the first; `None` for no limit.
     pub max_attempts: Option<u32>,
-    /// Longest Retry-After that clients heed; `None` where they heed none.
+    /// Longest Retry-After that clients honour; `None` if they honour none.
     pub max_retry_after: Option<Micros>,
-    /// Attempts in another zone than the coordinator's cost something.
+    /// Attempts outside the coordinator's zone incur a cost.
     pub cross_zone_costs: bool,
-    /// Share of the result that a probe for each query would cost.
+    /// Cost of one probe per query, as a fraction of the overall result.
     pub probe_cost: f64,
     /// Resolution of the host's clock and timers.
     pub clock_resolution: Micros,
-    /// The limit on retries, if any.
+    /// Limit on retries, if any.
     pub retry_budget: Option<RetryBudget>,
-    /// The slow-start rule, if any.
+    /// Slow-start rule, if any.
     pub slow_start: Option<SlowStart>,
-    /// How long an ordering key rests after an attempt that may still run.
+    /// How long an ordering key is held after an attempt that may still be running.
     pub settle_time: Micros,
 }
--- a/crates/scheduler/src/slow_start.rs
+++ b/crates/scheduler/src/slow_start.rs
@@ -1,8 +1,9 @@
-//! Slow start: what may go to an engine that is warming up.
+//! Slow start: limits the work sent to an engine that is warming up.
 //!
-//! Input: when the engine started, and the attempts sent to it since. Output: its present part of its capacity; whether one more
-//! query may go there; whether an attempt's first byte may go out. Bound: within any window of the settings' length an engine that
-//! warms up gets no more than this coordinator's part of its budget, counted as attempts go out.
+//! Input: the engine's start time, and the attempts sent to it since. Output: its current fraction
+//! of full capacity, whether it has room for a query, and whether an attempt's first byte may be
+//! sent. Bound: within any window of the configured length, an engine that is warming up gets at
+//! most this coordinator's share of its budget, counted when attempts are sent.
 
 use crate::engines::Engine;
 use crate::queries::PendingQuery;
@@ -11,20 +12,22 @@
 use crate::state::SchedulerState;
 use crate::types::{Micros, QueryId};
 
-/// Part of the budget used: the rule weighs by usual work, not by ours.
+/// Fraction of the budget that is used. The rule weighs queries by their usual work, which differs
+/// from the estimates here.
 const BUDGET_USE: f64 = 0.7;
-/// Capacity is where cores are this busy (the rule's own definition).
+/// Capacity is defined at this fraction of busy cores, as in the rule itself.
 const CAPACITY_BUSY_SHARE: f64 = 0.85;
-/// The most demand an engine's chance counts with, as a multiple of capacity.
+/// Highest demand that an engine's probability of selection allows for, as a multiple of capacity.
 const MAX_DEMAND: f64 = 1.5;
-/// Queries above this part of a window's budget have less chance: they scatter.
+/// Queries above this fraction of a window's budget get a lower probability, as they would make its
+/// use vary widely.
 const WHOLE_CHANCE_SHARE: f64 = 0.125;
-/// At least this part of all work counts as fit for engines that warm up.
+/// Lower bound on the fraction of all work that is suitable for engines that are warming up.
 const MIN_FIT_SHARE: f64 = 0.5;
-/// Chances are drawn in steps of one in so many.
+/// Resolution of the random draws.
 const CHANCE_STEPS: usize = 1 << 20;
 
-/// Share of its capacity that an engine can be counted on for; 1 once it is warm.
+/// Fraction of its capacity that an engine provides; 1 once it is warm.
 pub(crate) fn warmth(state: &SchedulerState, now: Micros, engine: &Engine) -> f64 {
     let (Some(rule), Some(started_at)) = (state.settings.slow_start, engine.started_at) else {
         return 1.0;
@@ -38,14 +41,15 @@
     warmth(state, now, engine) < 1.0
 }
 
-/// What a query counts for: its class's usual work, as the rule weighs it.
+/// Weight of a query in the budget: the usual work of its class, as in the rule.
 pub(crate) fn weight(state: &SchedulerState, query: &PendingQuery) -> f64 {
     state.estimates.cautious_class_work(&query.query)
 }
 
-/// Whether an engine has room for a query: always once it is warm, else this coordinator's part of what it may be sent in any
-/// window. Against a thundering herd on engines just started; also covers those that answer again after failing, which may have
-/// restarted unannounced.
+/// Whether an engine has room for a query: always once it is warm, otherwise within this
+/// coordinator's share of the window's budget. Prevents a thundering herd on engines that have just
+/// started, and on engines that respond again after a failure, which may have restarted
+/// unannounced.
 pub(crate) fn has_room(
     state: &SchedulerState,
     now: Micros,
@@ -66,8 +70,9 @@
         && wins_draw(state, now, query, engine, &rule, whole, weight)
 }
 
-/// A part of an engine that is under one query can't be counted out: each query has a chance, and all fill the budget; small ones
-/// have what is left.
+/// Admits queries at random if this coordinator's share of an engine is less than one query and
+/// cannot be counted. The probabilities are such that all coordinators together use the budget;
+/// small queries use what large ones leave.
 fn wins_draw(
     state: &SchedulerState,
     now: Micros,
@@ -83,22 +88,22 @@
     let fit = fit(weight) / fits.max(MIN_FIT_SHARE) * relative_weight.min(1.0);
     let demand = state.cluster.cores * CAPACITY_BUSY_SHARE * MAX_DEMAND * rule.window as f64;
     let chance = fit * whole / demand;
-    // The same query gets the same draw for an engine within a window: asking again is no second chance.
+    // The draw for a query, engine and window is fixed, so a repeated call gives no second chance.
     let window = (now / rule.window.max(1)) << 40;
     let seed = state.salt ^ query.query.id.0 ^ engine.started_at.unwrap_or(0) ^ window;
     let draw = Random(seed).below(CHANCE_STEPS);
     (draw as f64) < chance * CHANCE_STEPS as f64
 }
 
-/// Work that an engine may be sent within the rule's window while it warms up, by all coordinators, µs.
+/// Work in µs that all coordinators together may send to an engine per window while it warms up.
 fn budget(state: &SchedulerState, now: Micros, engine: &Engine, rule: &SlowStart) -> f64 {
     let warmth = warmth(state, now, engine);
     let capacity = state.cores(engine) * CAPACITY_BUSY_SHARE * warmth * rule.window as f64;
     BUDGET_USE * rule.overload_multiple * capacity
 }
 
-/// Whether an engine takes the first byte of an attempt now that was planned while it was warming up; if so, it is counted as
-/// sent.
+/// Whether the first byte of an attempt that was planned while its engine was warming up may be
+/// sent now; if so, records it as sent.
 pub(crate) fn admit_first_byte(
     state: &mut SchedulerState,
     now: Micros,
@@ -121,7 +126,8 @@
     };
     let begin = now.saturating_sub(rule.window);
     let sent = engine.slow_start_sends.sent_weight_since(begin);
-    // A part of an engine that is under one query: chance decides there, not a sum.
+    // With a share of less than one query, admission is by random draw and there is no sum to
+    // check.
     let is_bounded = !state.uses_subset && is_warming_up(state, now, engine);
     let coordinators = f64::from(state.settings.coordinators.max(1));
     let part = budget(state, now, engine, &rule) / coordinators;
--- a/crates/scheduler/src/slowdown.rs
+++ b/crates/scheduler/src/slowdown.rs
@@ -1,23 +1,26 @@
-//! Slowdown: how much longer queries run on an engine than alone.
+//! Slowdown: ratio of a query's run time on an engine to its run time alone.
 //!
-//! Input: ratios of run time to work over threads, and their times. Output: a believed ratio; 1 is the pace of a query alone.
-//! Means are of logarithms: estimates scatter, and a plain mean would see pressure in mere scatter.
+//! Input: ratios of run time to work per thread, and when they were observed. Output: an estimated
+//! ratio; 1 is the speed of a query that runs alone. Averages are taken over logarithms: estimates
+//! scatter, and an arithmetic mean would mistake scatter for pressure.
 
 use crate::types::{Micros, TICK_INTERVAL};
 
-/// Queries that run this many times longer than alone mean pressure.
+/// An engine above this slowdown is under pressure.
 pub(crate) const PRESSURE_SLOWDOWN: f64 = 2.0;
-/// A believed slowdown lies within these bounds.
+/// Bounds of an estimated slowdown.
 pub(crate) const MIN_SLOWDOWN: f64 = 0.3;
 pub(crate) const MAX_SLOWDOWN: f64 = 6.0;
-/// An engine of a subset that errs counts as so much slower: it is met too seldom for its errors to be counted.
+/// Factor on the slowdown of an engine that returns an error, for a coordinator that uses a subset:
+/// it sends too few queries there to estimate an error rate.
 const ERROR_PENALTY: f64 = 3.0;
-/// A belief that nothing confirms is halved towards the usual in this time, µs: a slow engine's way back.
+/// Half-life of an unconfirmed estimate's distance from the usual value, in µs. Lets a slow engine
+/// recover.
 const HALF_LIFE_MICROS: f64 = 4e6;
-/// A belief stands for so long before that begins.
+/// An estimate is kept for this long before it starts to decay.
 const HOLD_TIME: Micros = 1_000_000;
 
-/// The believed slowdown of one engine, and when it was last seen.
+/// Estimated slowdown of one engine, and when it was last observed.
 #[derive(Clone, Copy)]
 pub(crate) struct Slowdown {
     ratio: f64,
@@ -25,7 +28,7 @@
 }
 
 impl Slowdown {
-    /// An engine that nothing is known of.
+    /// The estimate for an engine without observations.
     pub(crate) fn none(now: Micros) -> Slowdown {
         Slowdown {
             ratio: 1.0,
@@ -33,12 +36,12 @@
         }
     }
 
-    /// Run time over run time alone.
+    /// Run time divided by run time alone.
     pub(crate) fn ratio(&self) -> f64 {
         self.ratio
     }
 
-    /// Takes this ratio over.
+    /// Replaces the estimate.
     pub(crate) fn record(&mut self, ratio: f64, now: Micros) {
         *self = Slowdown {
             ratio,
@@ -46,17 +49,18 @@
         };
     }
 
-    /// Moves the belief towards a sample.
+    /// Moves the estimate towards a sample.
     pub(crate) fn move_towards(&mut self, sample: f64, weight: f64, now: Micros) {
         self.record(blended(self.ratio, sample, weight), now);
     }
 
-    /// Counts an error as slowness.
+    /// Treats an error as slowness.
     pub(crate) fn penalize_error(&mut self, now: Micros) {
         self.record((self.ratio * ERROR_PENALTY).min(MAX_SLOWDOWN), now);
     }
 
-    /// Raises the belief to what attempts show that are still out; else lets it fade towards `usual`, once a tick.
+    /// Raises the estimate to what attempts in flight show, otherwise lets it decay towards
+    /// `usual`. Called once per tick.
     pub(crate) fn raise_or_fade(&mut self, shown: Option<f64>, usual: f64, now: Micros) {
         match shown.filter(|&shown| shown > self.ratio) {
             Some(shown) => self.record(shown, now),
@@ -66,12 +70,12 @@
     }
 }
 
-/// A ratio moved towards a sample, in logarithms.
+/// Geometric interpolation between a ratio and a sample.
 pub(crate) fn blended(ratio: f64, sample: f64, weight: f64) -> f64 {
     ratio * (sample / ratio).powf(weight)
 }
 
-/// A ratio after one more tick without news.
+/// A ratio after one more tick without an observation.
 pub(crate) fn faded(ratio: f64, usual: f64) -> f64 {
     usual + (ratio - usual) * 0.5f64.powf(TICK_INTERVAL as f64 / HALF_LIFE_MICROS)
 }
--- a/crates/scheduler/src/start_time.rs
+++ b/crates/scheduler/src/start_time.rs
@@ -1,20 +1,23 @@
-//! Start times: since when an engine counts as started.
+//! Start times: decides when an engine is considered to have started.
 //!
-//! Input: the start that a list tells, in the Unix time of whoever tells it, and how it was told. Output: the start to reckon
-//! with, on the host's monotonic clock. Bound: a clock that is off by an hour makes no engine warm that is told as new, and keeps
-//! none cold for longer than its warm-up.
+//! Input: the listed start in Unix time by the list source's clock, and the kind of list. Output:
+//! the start on the host's monotonic clock. Bound: with a clock that is off by an hour, an engine
+//! listed as new still gets its slow start, and no engine stays in slow start for longer than its
+//! warm-up time.
 
 use crate::events::ListKind;
 use crate::types::Micros;
 
-/// Changes of the list are told within this time of what they tell; the rules count them as told after 7 s.
+/// Changes to the list arrive within this time of the event that they describe. The rules assume 7
+/// s.
 const MAX_LIST_DELAY: Micros = 10_000_000;
 
-/// The start to reckon with. `is_news`: this start was not known before.
+/// The start time to use. `is_news` says that this start was not known before.
 pub(crate) fn believed_start(now: Micros, kind: ListKind, listed: Micros, is_news: bool) -> Micros {
-    // A start in the future: this clock is behind. It has started by now.
+    // A start in the future means that this clock is behind; the engine has started by now.
     let by_now = listed.min(now);
-    // A start long ago that is news, told as a change: this clock is ahead, or the list came late. It may have started just now.
+    // A new start long ago, in a list of changes, means that this clock is ahead or that the list
+    // was delayed. The engine may have started just now.
     let is_odd = kind == ListKind::Changes && is_news && by_now + MAX_LIST_DELAY < now;
     if is_odd {
         now
--- a/crates/scheduler/src/state.rs
+++ b/crates/scheduler/src/state.rs
@@ -1,6 +1,7 @@
-//! What decisions read: the settings, and the records of engines, queries, classes and peers.
+//! State that decisions read: the settings, and the records of engines, queries, classes and peers.
 //!
-//! The records change by the functions of their own modules; this one looks up and derives, and decides nothing.
+//! The modules that own the records change them; this module provides lookups and derived values,
+//! and makes no decisions.
 
 use crate::cluster_load::ClusterLoad;
 use crate::engines::{Engine, Engines};
@@ -13,11 +14,12 @@
 use crate::zone_failure::LostZones;
 use std::collections::BTreeMap;
 
-/// Cores of an engine where none are told.
+/// Cores of an engine if the settings give none.
 const DEFAULT_CORES: f64 = 8.0;
-/// Threads a core that all coordinators together run on an engine under pressure; beyond it less is done.
+/// Threads per core that all coordinators together run on an engine under pressure. Throughput
+/// drops beyond it.
 pub(crate) const CLUSTER_THREADS_PER_CORE: f64 = 1.2;
-/// No engine counts as faster than this in draws, over the cluster's mean.
+/// Lower bound on an engine's slowdown relative to the cluster's mean in random draws.
 const MIN_RELATIVE_SLOWDOWN: f64 = 0.5;
 
 /// The state of one coordinator's scheduler.
@@ -31,19 +33,19 @@
     pub cluster: ClusterLoad,
     pub lost_zones: LostZones,
     pub peers: Peers,
-    /// This coordinator's part of an engine is under one thread: it counts over the whole cluster, and looks at a subset of the
-    /// engines for each query.
+    /// This coordinator's share of an engine is less than one thread. It limits threads over the
+    /// whole cluster, and considers a subset of the engines for each query.
     pub uses_subset: bool,
     /// Threads of the widest query.
     pub max_query_threads: f64,
-    /// Load reports tell how busy an engine is.
+    /// Load reports include how busy an engine is.
     pub has_load_reports: bool,
-    /// An engine that is out of memory stays so, as nothing can be cancelled.
+    /// An engine that pages cannot recover soon, since attempts cannot be cancelled.
     pub is_paging_final: bool,
 }
 
 impl SchedulerState {
-    /// Nothing is known but the settings.
+    /// Initial state.
     pub(crate) fn new(settings: Settings, salt: u64) -> SchedulerState {
         let cores = settings.kinds.iter().filter_map(|k| k.cores);
         let max_cores = cores.reduce(f64::max).unwrap_or(DEFAULT_CORES);
@@ -66,17 +68,18 @@
         }
     }
 
-    /// The class of a query that is not over.
+    /// Class of an open query.
     pub(crate) fn class(&self, id: QueryId) -> &QueryClass {
         self.class_of(&self.queries[&id])
     }
 
-    /// The class of a query.
+    /// Class of a query.
     pub(crate) fn class_of(&self, query: &PendingQuery) -> &QueryClass {
         &self.settings.classes[usize::from(query.query.class)]
     }
 
-    /// How often a query's effect may happen: what engines can't know again must not run twice.
+    /// Whether a query may run more than once: without an idempotency key, engines cannot recognize
+    /// repeats.
     pub(crate) fn idempotency(&self, query: &PendingQuery) -> Idempotency {
         match self.class_of(query).idempotency {
             Idempotency::WithKey if !query.query.has_idempotency_key => Idempotency::NotIdempotent,
@@ -84,7 +87,7 @@
         }
     }
 
-    /// The key whose order a query keeps, if any.
+    /// Ordering key of a query, if its class keeps the order.
     pub(crate) fn ordering_key(&self, id: QueryId) -> Option<u64> {
         let query = self.queries.get(&id)?;
         query
@@ -98,7 +101,7 @@
         self.estimates.work(&self.queries[&id].query)
     }
 
-    /// Estimated run time of a query where nothing slows it, µs.
+    /// Estimated run time of a query without other load, µs.
     pub(crate) fn run_alone(&self, id: QueryId) -> f64 {
         let query = &self.queries[&id];
         self.estimates.work(&query.query) / self.class_of(query).threads
@@ -109,7 +112,7 @@
         self.estimates.memory_mb(&self.queries[&id].query)
     }
 
-    /// Cores of an engine: of its kind, else of any kind that is told.
+    /// Cores of an engine: of its machine kind, otherwise of the first kind with a known number.
     pub(crate) fn cores(&self, engine: &Engine) -> f64 {
         let kinds = &self.settings.kinds;
         let own = kinds.get(usize::from(engine.kind)).and_then(|k| k.cores);
@@ -117,24 +120,26 @@
             .unwrap_or(DEFAULT_CORES)
     }
 
-    /// Memory of an engine in MB; unbounded where none is told.
+    /// Memory of an engine in MB; unbounded if unknown.
     pub(crate) fn engine_memory_mb(&self, engine: &Engine) -> f64 {
         let kind = self.settings.kinds.get(usize::from(engine.kind));
         kind.and_then(|k| k.memory_mb).unwrap_or(f64::MAX)
     }
 
-    /// Weight of an engine in draws: by cores and believed pace, as a mean run fits most objectives even on a slow engine.
+    /// Weight of an engine in random draws: its cores over the squared relative slowdown. A query
+    /// of mean run time meets most objectives even on a slow engine, so the objectives alone would
+    /// not steer queries away.
     pub(crate) fn draw_weight(&self, engine: &Engine) -> f64 {
         let relative = engine.slowdown.ratio() / self.cluster.slowdown;
         self.cores(engine) / relative.max(MIN_RELATIVE_SLOWDOWN).powi(2)
     }
 
-    /// Engines that take work.
+    /// Engines that accept work.
     pub(crate) fn ready_engines(&self) -> impl Iterator<Item = &Engine> {
         self.engines.values().filter(|e| e.phase == Phase::Ready)
     }
 
-    /// Attempts that are out on an engine.
+    /// Attempts in flight on an engine.
     pub(crate) fn attempts_on<'a>(
         &'a self,
         engine: &'a Engine,
@@ -145,7 +150,8 @@
         })
     }
 
-    /// Whether a load of this coordinator holds the table group there, or one of its queries waits for somebody's.
+    /// Whether a load of this coordinator has locked the table group on an engine, or one of its
+    /// attempts there waits for a load.
     pub(crate) fn holds_table_group(&self, engine: &Engine, table_group: u32) -> bool {
         self.attempts_on(engine).any(|(query, attempt)| {
             query.query.table_group == table_group
@@ -153,21 +159,21 @@
         })
     }
 
-    /// Queries that are on no engine's queue, since none was eligible.
+    /// Queries that are on no engine's queue because no engine was eligible.
     pub(crate) fn unplaced_queries(&self) -> Vec<QueryId> {
         let unplaced = |q: &PendingQuery| q.state == QueryState::Unplaced;
         let queries = self.queries.iter().filter(|(_, q)| unplaced(q));
         queries.map(|(&id, _)| id).collect()
     }
 
-    /// Moves a query to another state.
+    /// Sets the state of a query.
     pub(crate) fn set_query_state(&mut self, id: QueryId, state: QueryState) {
         if let Some(query) = self.queries.get_mut(&id) {
             query.state = state;
         }
     }
 
-    /// Takes a query off its engine's queue, if it is on one.
+    /// Removes a query from its engine's queue, if it is on one.
     pub(crate) fn unqueue(&mut self, id: QueryId) {
         let Some(QueryState::Queued(engine)) = self.queries.get(&id).map(|q| q.state) else {
             return;
@@ -177,7 +183,7 @@
         }
     }
 
-    /// Takes all queries off an engine's queue: they are on none then.
+    /// Removes all queries from an engine's queue; they become unplaced.
     pub(crate) fn clear_queue(&mut self, engine: EngineId) {
         let queue = self.engines.get_mut(&engine).map(|e| &mut e.queue);
         for queued in queue.map(std::mem::take).unwrap_or_default() {
@@ -185,7 +191,7 @@
         }
     }
 
-    /// Records that something came from an engine: it lives, and so does its zone.
+    /// Records a message from an engine: the engine and its zone are reachable.
     pub(crate) fn record_contact(&mut self, now: Micros, engine: EngineId) {
         if let Some(engine) = self.engines.get_mut(&engine) {
             engine.health.last_contact_at = now;
--- a/crates/scheduler/src/types.rs
+++ b/crates/scheduler/src/types.rs
@@ -1,52 +1,56 @@
-//! Ids, times and the query: what all modules have in common.
+//! Identifiers, time and the query type, shared by all modules.
 
 /// Time or duration in microseconds.
 pub type Micros = u64;
 
-/// The module does its periodic work this often; it asks the host for a timer each time.
+/// Interval of the controller's periodic work. Each tick asks the host for the next timer.
 pub(crate) const TICK_INTERVAL: Micros = 50_000;
 
-/// An engine. The number is the host's own; here it is compared, and seeds draws.
+/// Identifies an engine. The host assigns the number; the scheduler only compares it and uses it to
+/// seed draws.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EngineId(pub u64);
 
-/// A query accepted by this coordinator. No number is used twice.
+/// A query as it arrives. Estimates are `None` if the client gave none.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct QueryId(pub u64);
 
-/// A query's tie to the engine that holds what it needs, such as a session's temporary tables.
+/// Binds a query to the engine that holds its session state, such as temporary tables.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StickySession {
-    /// The engine.
+    /// The engine that holds the session.
     pub engine: EngineId,
-    /// No other engine can serve it. Otherwise any may, once this one takes nothing.
+    /// No other engine can serve the query. Otherwise any engine may, once this one accepts no
+    /// work.
     pub is_exclusive: bool,
 }
 
 /// A query as it arrives. Estimates are `None` where its client gave none.
 #[derive(Clone, Copy, Debug)]
 pub struct Query {
-    /// Its id.
+    /// Identifier of the query.
     pub id: QueryId,
-    /// Its class, by index in the settings.
+    /// Class, as an index into [`Settings::classes`](crate::Settings::classes).
     pub class: u16,
-    /// Its tenant, by index in the settings.
+    /// Tenant, as an index into [`Settings::tenants`](crate::Settings::tenants).
     pub tenant: u32,
-    /// Estimated work in µs, over all its threads.
+    /// Estimated CPU work in µs, summed over all threads.
     pub work: Option<f64>,
-    /// Estimated memory, MB.
+    /// Estimated memory in MB.
     pub memory_mb: Option<f64>,
-    /// Table group that it reads or writes.
+    /// Table group that the query reads or writes.
     pub table_group: u32,
-    /// Ordering key: queries of one key run one at a time, if the class says so.
+    /// Ordering key. Queries with the same key run one at a time if their class is `in_order`.
     pub ordering_key: Option<u64>,
-    /// It has an idempotency key, by which engines know its repeats. Without one a query of a class that needs keys must not run
+    /// The query carries an idempotency key, by which engines recognize repeats. Without one, a
+    /// query of a class with [`Idempotency::WithKey`](crate::Idempotency::WithKey) must not run
     /// twice.
     pub has_idempotency_key: bool,
-    /// An earlier query under the same idempotency key may have run: engines know its repeats until then.
+    /// An earlier query with the same idempotency key may have run; engines recognize repeats until
+    /// this time.
     pub idempotent_until: Option<Micros>,
-    /// The engine that it is tied to, if any.
+    /// Engine that the query is bound to, if any.
     pub sticky_session: Option<StickySession>,
-    /// Time until the client gives up.
+    /// Time from arrival until the client gives up.
     pub client_timeout: Micros,
 }
--- a/crates/scheduler/src/zone_failure.rs
+++ b/crates/scheduler/src/zone_failure.rs
@@ -1,11 +1,13 @@
-//! Zone failures: engines that were lost since anything of their zone was last heard.
+//! Zone failures: tracks engines lost since the last contact with any engine of their zone.
 //!
-//! Input: engines lost and heard. Output: whether a zone counts as lost as a whole, until one engine there answers.
+//! Input: engines lost, and contacts. Output: whether a zone as a whole is considered lost, until
+//! one of its engines responds.
 
 use crate::types::EngineId;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// So many engines of a zone lost, with no word from any there: the zone is.
+/// A zone is lost once this many of its engines are lost without contact from any other engine
+/// there.
 const MIN_LOST_ENGINES: usize = 2;
 
 /// Lost engines by zone.
@@ -15,31 +17,31 @@
 }
 
 impl LostZones {
-    /// Records that an engine can't be reached.
+    /// Records that an engine cannot be reached.
     pub(crate) fn record_loss(&mut self, zone: u16, engine: EngineId) {
         self.lost.entry(zone).or_default().insert(engine);
     }
 
-    /// Records that something came from a zone: it is not lost.
+    /// Records contact with an engine of a zone: the zone is not lost.
     pub(crate) fn record_contact(&mut self, zone: u16) {
         self.lost.remove(&zone);
     }
 
-    /// Forgets an engine that is gone.
+    /// Removes an engine that was dropped.
     pub(crate) fn forget_engine(&mut self, engine: EngineId) {
         for engines in self.lost.values_mut() {
             engines.remove(&engine);
         }
     }
 
-    /// Whether a zone counts as lost as a whole.
+    /// Whether a zone as a whole is considered lost.
     pub(crate) fn is_lost(&self, zone: u16) -> bool {
         self.lost
             .get(&zone)
             .is_some_and(|engines| engines.len() >= MIN_LOST_ENGINES)
     }
 
-    /// Zones from which nothing was heard since an engine there was lost.
+    /// Number of zones without contact since an engine there was lost.
     pub(crate) fn silent_zones(&self) -> usize {
         self.lost.len()
     }
