--- a/crates/scheduler/src/capacity.rs
+++ b/crates/scheduler/src/capacity.rs
@@ -6,20 +6,20 @@
 use crate::engines::Engine;
 use crate::queries::{Attempt, PendingQuery};
 use crate::settings::OutOfMemory;
-use crate::slow_start::{is_warming_up, warmth};
+use crate::slow_start::{is_warming_up, warm_capacity_share};
 use crate::slowdown::PRESSURE_SLOWDOWN;
 use crate::state::{SchedulerState, CLUSTER_THREADS_PER_CORE};
 use crate::types::Micros;
 
 /// Threads per core in a coordinator's share of an engine, to which one widest query is added.
-const PART_THREADS_PER_CORE: f64 = 2.2;
+const SHARE_THREADS_PER_CORE: f64 = 2.2;
 /// Multiplier of the bound on an engine that is not under pressure: admits bursts, but no flood.
-const UNPRESSED_BOUND: f64 = 2.0;
+const UNPRESSURED_BOUND_MULTIPLIER: f64 = 2.0;
 /// Multiplier of the cluster-wide bound of a coordinator with small shares; squared when the
 /// cluster is not overloaded.
-const SUBSET_BOUND: f64 = 1.8;
+const SUBSET_BOUND_MULTIPLIER: f64 = 1.8;
 /// Queries lighter than the mean may exceed an engine's bound by this many widest queries.
-const LIGHT_QUERY_PASS: f64 = 1.0;
+const LIGHT_QUERY_ALLOWANCE: f64 = 1.0;
 /// An attempt that overruns still delays the queries behind it, so its remaining work is at least
 /// this fraction of its expected run.
 const MIN_REMAINING_SHARE: f64 = 0.2;
@@ -55,10 +55,10 @@
     }
     let part = state.cores(engine)
         * threads_per_core(state)
-        * looseness(state, now, engine)
+        * bound_multiplier(state, now, engine)
         * state.cluster.share;
     RunBound {
-        threads: (part + state.max_query_threads) * warmth(state, now, engine),
+        threads: (part + state.max_query_threads) * warm_capacity_share(state, now, engine),
         running: engine.threads,
         remaining_work: remaining_work(state, now, engine),
     }
@@ -66,11 +66,14 @@
 
 fn cluster_run_bound(state: &SchedulerState) -> RunBound {
     // On an engine that pages, an attempt that cannot be cancelled allows no slack.
-    let (multiple, extra) = match (state.is_paging_final, state.cluster.is_overloaded) {
+    let (multiple, extra) = match (state.is_paging_permanent, state.cluster.is_overloaded) {
         (true, true) => (1.0, 0.0),
-        (true, false) => (UNPRESSED_BOUND, 0.0),
-        (false, true) => (SUBSET_BOUND, 0.0),
-        (false, false) => (SUBSET_BOUND * SUBSET_BOUND, state.max_query_threads),
+        (true, false) => (UNPRESSURED_BOUND_MULTIPLIER, 0.0),
+        (false, true) => (SUBSET_BOUND_MULTIPLIER, 0.0),
+        (false, false) => (
+            SUBSET_BOUND_MULTIPLIER * SUBSET_BOUND_MULTIPLIER,
+            state.max_query_threads,
+        ),
     };
     let pool = state.cluster.cores * CLUSTER_THREADS_PER_CORE * state.cluster.share;
     RunBound {
@@ -85,7 +88,7 @@
     if state.uses_subset {
         CLUSTER_THREADS_PER_CORE
     } else {
-        PART_THREADS_PER_CORE
+        SHARE_THREADS_PER_CORE
     }
 }
 
@@ -94,13 +97,13 @@
 /// coordinator with small shares has slack for them, unless its engines page or the cluster is
 /// overloaded.
 pub(crate) fn threads_needed(state: &SchedulerState, work: f64, threads: f64) -> f64 {
-    let may_pass = !state.uses_subset || state.is_paging_final || state.cluster.is_overloaded;
-    let pass = if may_pass && work < state.estimates.mean_work() {
-        LIGHT_QUERY_PASS * state.max_query_threads
+    let may_exceed = !state.uses_subset || state.is_paging_permanent || state.cluster.is_overloaded;
+    let allowance = if may_exceed && work < state.estimates.mean_work() {
+        LIGHT_QUERY_ALLOWANCE * state.max_query_threads
     } else {
         0.0
     };
-    threads / 2.0 - pass
+    threads / 2.0 - allowance
 }
 
 /// Whether a query's memory fits into this coordinator's share of an engine. A small share is less
@@ -114,23 +117,23 @@
     state.uses_subset || {
         let needed = engine.granted_mb + state.estimates.memory_mb(&query.query);
         let part = state.engine_memory_mb(engine) * state.cluster.share;
-        needed <= part * looseness(state, now, engine)
+        needed <= part * bound_multiplier(state, now, engine)
     }
 }
 
 /// Multiplier of the bound, depending on pressure.
-fn looseness(state: &SchedulerState, now: Micros, engine: &Engine) -> f64 {
-    if is_pressed(state, now, engine) {
+fn bound_multiplier(state: &SchedulerState, now: Micros, engine: &Engine) -> f64 {
+    if is_under_pressure(state, now, engine) {
         1.0
     } else {
-        UNPRESSED_BOUND
+        UNPRESSURED_BOUND_MULTIPLIER
     }
 }
 
 /// Whether an engine is under pressure: it reports a busy resource, waiting queries, or more
 /// queries than the bound has threads for; its queries run far longer than alone; or it recently
 /// rejected a query.
-pub(crate) fn is_pressed(state: &SchedulerState, now: Micros, engine: &Engine) -> bool {
+pub(crate) fn is_under_pressure(state: &SchedulerState, now: Micros, engine: &Engine) -> bool {
     is_reported_busy(state, now, engine)
         || engine.slowdown.ratio() > PRESSURE_SLOWDOWN
         || engine.health.has_rejected_lately(now)
--- a/crates/scheduler/src/demand_share.rs
+++ b/crates/scheduler/src/demand_share.rs
@@ -5,9 +5,9 @@
 //!
 //! [`ClusterLoad`]: crate::cluster_load::ClusterLoad
 
-use crate::capacity::{is_pressed, remaining_work};
+use crate::capacity::{is_under_pressure, remaining_work};
 use crate::engines::Engine;
-use crate::slow_start::warmth;
+use crate::slow_start::warm_capacity_share;
 use crate::slowdown::{faded, PRESSURE_SLOWDOWN};
 use crate::state::SchedulerState;
 use crate::types::Micros;
@@ -16,12 +16,12 @@
 const SHARE_WEIGHT: f64 = 0.03;
 /// If the other coordinators on average have less than this fraction of this coordinator's queries,
 /// they are down rather than idle.
-const MIN_PART_OF_OTHERS: f64 = 0.12;
+const MIN_PEER_ACTIVITY_SHARE: f64 = 0.12;
 /// The cluster is overloaded once more than one in this many reporting engines is under pressure
 /// ...
-const OVERLOAD_PART: usize = 2;
+const OVERLOAD_ONE_IN: usize = 2;
 /// ... or one in this many, if an engine that pages cannot recover soon.
-const FINAL_OVERLOAD_PART: usize = 5;
+const PERMANENT_OVERLOAD_ONE_IN: usize = 5;
 /// Minimum for the number of reporting engines in this ratio.
 const MIN_REPORTING_ENGINES: usize = 4;
 
@@ -40,7 +40,7 @@
     state.cluster.remaining_work = remaining.sum();
     let warm_cores = state
         .ready_engines()
-        .map(|e| state.cores(e) * warmth(state, now, e));
+        .map(|e| state.cores(e) * warm_capacity_share(state, now, e));
     state.cluster.cores = warm_cores.sum();
     state.cluster.slowdown = faded(state.cluster.slowdown, 1.0);
     state.cluster.is_overloaded = is_overloaded(state, now);
@@ -50,19 +50,19 @@
     if !state.has_load_reports || state.cluster.slowdown > PRESSURE_SLOWDOWN {
         return true;
     }
-    let (mut reporting, mut pressed) = (0, 0);
+    let (mut reporting, mut under_pressure) = (0, 0);
     for engine in state.ready_engines() {
         if engine.fresh_report(now).is_some() {
             reporting += 1;
-            pressed += usize::from(is_pressed(state, now, engine));
+            under_pressure += usize::from(is_under_pressure(state, now, engine));
         }
     }
-    let part = if state.is_paging_final {
-        FINAL_OVERLOAD_PART
+    let one_in = if state.is_paging_permanent {
+        PERMANENT_OVERLOAD_ONE_IN
     } else {
-        OVERLOAD_PART
+        OVERLOAD_ONE_IN
     };
-    part * pressed > reporting.max(MIN_REPORTING_ENGINES)
+    one_in * under_pressure > reporting.max(MIN_REPORTING_ENGINES)
 }
 
 /// This coordinator's share of the cluster's demand, with the peers that sent gossip recently as a
@@ -99,6 +99,6 @@
         }
     }
     let others = f64::from(state.settings.coordinators) - 1.0;
-    let are_down = all - own < MIN_PART_OF_OTHERS * own * others;
+    let are_down = all - own < MIN_PEER_ACTIVITY_SHARE * own * others;
     (!state.uses_subset && are_down).then_some(own / all)
 }
--- a/crates/scheduler/src/resources.rs
+++ b/crates/scheduler/src/resources.rs
@@ -1,6 +1,6 @@
 //! Resources of an attempt: its memory grant and its priority on the engine.
 
-use crate::capacity::is_pressed;
+use crate::capacity::is_under_pressure;
 use crate::engines::Engine;
 use crate::objectives;
 use crate::settings::OutOfMemory;
@@ -10,7 +10,7 @@
 /// Factor on the estimated need: a spill costs more than some idle memory.
 const GRANT_MARGIN: f64 = 1.6;
 /// Further factor if the engine is not under pressure, or if only memory in use counts.
-const UNPRESSED_GRANT_MARGIN: f64 = 2.0;
+const UNPRESSURED_GRANT_FACTOR: f64 = 2.0;
 /// Priorities of light queries, and of other queries that are in time. Late queries get the lowest,
 /// 0.
 const LIGHT_PRIORITY: u8 = 3;
@@ -31,10 +31,10 @@
     } else {
         0.0
     };
-    let has_room = pages || !is_pressed(state, now, engine);
+    let has_room = pages || !is_under_pressure(state, now, engine);
     let margin = GRANT_MARGIN
         * if has_room {
-            UNPRESSED_GRANT_MARGIN
+            UNPRESSURED_GRANT_FACTOR
         } else {
             1.0
         };
--- a/crates/scheduler/src/routing.rs
+++ b/crates/scheduler/src/routing.rs
@@ -13,7 +13,7 @@
 use crate::engines::{Engine, QueuedQuery};
 use crate::queue::{estimated_starts, queued_query};
 use crate::random::Random;
-use crate::slow_start::warmth;
+use crate::slow_start::warm_capacity_share;
 use crate::state::SchedulerState;
 use crate::types::{EngineId, Micros, QueryId};
 
@@ -127,7 +127,8 @@
         bound.remaining_work / bound.threads.max(bound.running)
     };
     let own_drain = (starts[engine.queue.len()] - now as f64).max(held);
-    let drain_rate = state.cores(engine) * threads_per_core(state) * warmth(state, now, engine);
+    let drain_rate =
+        state.cores(engine) * threads_per_core(state) * warm_capacity_share(state, now, engine);
     Offer {
         engine: id,
         position: best_position(own, engine, &starts, &lost, affinity),
--- a/crates/scheduler/src/slow_start.rs
+++ b/crates/scheduler/src/slow_start.rs
@@ -21,14 +21,14 @@
 const MAX_DEMAND: f64 = 1.5;
 /// Queries above this fraction of a window's budget get a lower probability, as they would make its
 /// use vary widely.
-const WHOLE_CHANCE_SHARE: f64 = 0.125;
+const FULL_CHANCE_SHARE: f64 = 0.125;
 /// Lower bound on the fraction of all work that is suitable for engines that are warming up.
-const MIN_FIT_SHARE: f64 = 0.5;
+const MIN_SUITABLE_SHARE: f64 = 0.5;
 /// Resolution of the random draws.
 const CHANCE_STEPS: usize = 1 << 20;
 
 /// Fraction of its capacity that an engine provides; 1 once it is warm.
-pub(crate) fn warmth(state: &SchedulerState, now: Micros, engine: &Engine) -> f64 {
+pub(crate) fn warm_capacity_share(state: &SchedulerState, now: Micros, engine: &Engine) -> f64 {
     let (Some(rule), Some(started_at)) = (state.settings.slow_start, engine.started_at) else {
         return 1.0;
     };
@@ -38,7 +38,7 @@
 
 /// Whether an engine is warming up.
 pub(crate) fn is_warming_up(state: &SchedulerState, now: Micros, engine: &Engine) -> bool {
-    warmth(state, now, engine) < 1.0
+    warm_capacity_share(state, now, engine) < 1.0
 }
 
 /// Weight of a query in the budget: the usual work of its class, as in the rule.
@@ -61,13 +61,13 @@
     };
     let begin = now.saturating_sub(rule.window);
     let recent = engine.slow_start_sends.planned_weight_since(begin);
-    let (whole, weight) = (budget(state, now, engine, &rule), weight(state, query));
+    let (window_budget, weight) = (budget(state, now, engine, &rule), weight(state, query));
     if !state.uses_subset {
-        return recent + weight <= whole / f64::from(state.settings.coordinators.max(1));
+        return recent + weight <= window_budget / f64::from(state.settings.coordinators.max(1));
     }
-    recent <= WHOLE_CHANCE_SHARE * whole
-        && weight <= whole / 2.0
-        && wins_draw(state, now, query, engine, &rule, whole, weight)
+    recent <= FULL_CHANCE_SHARE * window_budget
+        && weight <= window_budget / 2.0
+        && wins_draw(state, now, query, engine, &rule, window_budget, weight)
 }
 
 /// Admits queries at random if this coordinator's share of an engine is less than one query and
@@ -79,15 +79,17 @@
     query: &PendingQuery,
     engine: &Engine,
     rule: &SlowStart,
-    whole: f64,
+    window_budget: f64,
     weight: f64,
 ) -> bool {
-    let fit = |work: f64| (WHOLE_CHANCE_SHARE * whole / work).min(1.0).powi(3);
-    let fits = state.estimates.mean(|_, work| work * fit(work)) / state.estimates.mean_work();
+    let suitability = |work: f64| (FULL_CHANCE_SHARE * window_budget / work).min(1.0).powi(3);
+    let mean_suitability =
+        state.estimates.mean(|_, work| work * suitability(work)) / state.estimates.mean_work();
     let relative_weight = state.draw_weight(engine) / state.cores(engine);
-    let fit = fit(weight) / fits.max(MIN_FIT_SHARE) * relative_weight.min(1.0);
+    let suitability =
+        suitability(weight) / mean_suitability.max(MIN_SUITABLE_SHARE) * relative_weight.min(1.0);
     let demand = state.cluster.cores * CAPACITY_BUSY_SHARE * MAX_DEMAND * rule.window as f64;
-    let chance = fit * whole / demand;
+    let chance = suitability * window_budget / demand;
     // The draw for a query, engine and window is fixed, so a repeated call gives no second chance.
     let window = (now / rule.window.max(1)) << 40;
     let seed = state.salt ^ query.query.id.0 ^ engine.started_at.unwrap_or(0) ^ window;
@@ -97,8 +99,9 @@
 
 /// Work in µs that all coordinators together may send to an engine per window while it warms up.
 fn budget(state: &SchedulerState, now: Micros, engine: &Engine, rule: &SlowStart) -> f64 {
-    let warmth = warmth(state, now, engine);
-    let capacity = state.cores(engine) * CAPACITY_BUSY_SHARE * warmth * rule.window as f64;
+    let warm_capacity_share = warm_capacity_share(state, now, engine);
+    let capacity =
+        state.cores(engine) * CAPACITY_BUSY_SHARE * warm_capacity_share * rule.window as f64;
     BUDGET_USE * rule.overload_multiple * capacity
 }
 
@@ -130,8 +133,8 @@
     // check.
     let is_bounded = !state.uses_subset && is_warming_up(state, now, engine);
     let coordinators = f64::from(state.settings.coordinators.max(1));
-    let part = budget(state, now, engine, &rule) / coordinators;
-    if is_bounded && sent > 0.0 && sent + weight > part {
+    let coordinator_budget = budget(state, now, engine, &rule) / coordinators;
+    if is_bounded && sent > 0.0 && sent + weight > coordinator_budget {
         return false;
     }
     if let Some(engine) = state.engines.get_mut(&id) {
--- a/crates/scheduler/src/state.rs
+++ b/crates/scheduler/src/state.rs
@@ -41,7 +41,7 @@
     /// Load reports include how busy an engine is.
     pub has_load_reports: bool,
     /// An engine that pages cannot recover soon, since attempts cannot be cancelled.
-    pub is_paging_final: bool,
+    pub is_paging_permanent: bool,
 }
 
 impl SchedulerState {
@@ -63,7 +63,7 @@
             uses_subset: max_cores * CLUSTER_THREADS_PER_CORE < f64::from(settings.coordinators),
             max_query_threads: threads.fold(1.0, f64::max),
             has_load_reports: settings.report_fields.iter().any(is_load_field),
-            is_paging_final: pages && !settings.may_cancel,
+            is_paging_permanent: pages && !settings.may_cancel,
             settings,
         }
     }
