--- a/crates/scheduler/src/engines.rs
+++ b/crates/scheduler/src/engines.rs
@@ -8,7 +8,7 @@
 use crate::outlier_detection::EngineHealth;
 use crate::send_ledger::SendLedger;
 use crate::slowdown::Slowdown;
-use crate::start_time::believed_start;
+use crate::start_time::effective_start;
 use crate::types::{EngineId, Micros, QueryId};
 use crate::zone_failure::LostZones;
 use std::collections::{BTreeMap, BTreeSet};
@@ -71,14 +71,14 @@
 }
 
 impl Engine {
-    fn new(line: &ListedEngine, started_at: Option<Micros>, now: Micros) -> Engine {
+    fn new(entry: &ListedEngine, started_at: Option<Micros>, now: Micros) -> Engine {
         Engine {
-            zone: line.zone,
-            kind: line.kind,
-            cell: line.cell,
-            phase: line.phase,
+            zone: entry.zone,
+            kind: entry.kind,
+            cell: entry.cell,
+            phase: entry.phase,
             started_at,
-            listed_start: line.started_at,
+            listed_start: entry.started_at,
             queue: Vec::new(),
             last_table_group: None,
             in_flight: BTreeSet::new(),
@@ -99,11 +99,11 @@
 
     /// Applies a list entry. A restarted engine begins with a new record, but keeps its queue and
     /// its attempts in flight.
-    fn update(&mut self, line: &ListedEngine, started_at: Option<Micros>, now: Micros) {
+    fn update(&mut self, entry: &ListedEngine, started_at: Option<Micros>, now: Micros) {
         (self.zone, self.kind, self.cell, self.phase) =
-            (line.zone, line.kind, line.cell, line.phase);
-        if self.listed_start != line.started_at {
-            let fresh = Engine::new(line, started_at, now);
+            (entry.zone, entry.kind, entry.cell, entry.phase);
+        if self.listed_start != entry.started_at {
+            let fresh = Engine::new(entry, started_at, now);
             let old = std::mem::replace(self, fresh);
             (self.queue, self.in_flight) = (old.queue, old.in_flight);
             (self.threads, self.granted_mb) = (old.threads, old.granted_mb);
@@ -119,20 +119,20 @@
     kind: ListKind,
     list: &[ListedEngine],
 ) -> Vec<EngineId> {
-    for line in list {
-        if line.started_at.is_some() && line.phase == Phase::Ready {
+    for entry in list {
+        if entry.started_at.is_some() && entry.phase == Phase::Ready {
             // An engine of the zone has started, so the zone is not lost as a whole.
-            lost_zones.record_contact(line.zone);
+            lost_zones.record_contact(entry.zone);
         }
-        let known = engines.get(&line.engine);
-        let is_news = known.is_none_or(|e| e.listed_start != line.started_at);
-        let started_at = line
+        let known = engines.get(&entry.engine);
+        let is_new_start = known.is_none_or(|e| e.listed_start != entry.started_at);
+        let started_at = entry
             .started_at
-            .map(|listed| believed_start(now, kind, listed, is_news));
+            .map(|listed| effective_start(now, kind, listed, is_new_start));
         engines
-            .entry(line.engine)
-            .or_insert_with(|| Engine::new(line, started_at, now))
-            .update(line, started_at, now);
+            .entry(entry.engine)
+            .or_insert_with(|| Engine::new(entry, started_at, now))
+            .update(entry, started_at, now);
     }
     if kind != ListKind::Changes {
         let listed: BTreeSet<EngineId> = list.iter().map(|l| l.engine).collect();
--- a/crates/scheduler/src/gossip.rs
+++ b/crates/scheduler/src/gossip.rs
@@ -16,11 +16,11 @@
 /// Minimum interval between messages to a peer.
 pub(crate) const GOSSIP_INTERVAL: Micros = 1_000_000;
 /// A message has full weight for this many intervals; the weight halves with each further one.
-const FULL_TRUST_INTERVALS: f64 = 3.0;
+const FULL_WEIGHT_INTERVALS: f64 = 3.0;
 const VERSION: u8 = 2;
 const MAX_MESSAGE_BYTES: usize = 256;
 /// Bytes of an entry before the report's values.
-const ENTRY_HEAD_BYTES: usize = 9;
+const ENTRY_HEADER_BYTES: usize = 9;
 /// Encodes a missing report or a missing value.
 const ABSENT: u8 = 255;
 const AGE_UNIT: Micros = 40_000;
@@ -28,7 +28,7 @@
 const SLOWDOWN_STEPS: f64 = 20.0;
 
 /// Part of a message about one engine.
-pub(crate) struct EngineNews {
+pub(crate) struct EngineEntry {
     /// The engine.
     pub engine: EngineId,
     /// The sender's own threads there.
@@ -44,13 +44,13 @@
     /// The sender's demand, µs of work per µs.
     pub demand: f64,
     /// Entries for individual engines.
-    pub engines: Vec<EngineNews>,
+    pub engines: Vec<EngineEntry>,
 }
 
 /// Number of engines that fit into a message with this many report values per engine.
 pub(crate) fn max_engines(fields: &[ReportField]) -> usize {
-    let head_bytes = 1 + size_of::<f32>();
-    (MAX_MESSAGE_BYTES - head_bytes) / (ENTRY_HEAD_BYTES + fields.len())
+    let header_bytes = 1 + size_of::<f32>();
+    (MAX_MESSAGE_BYTES - header_bytes) / (ENTRY_HEADER_BYTES + fields.len())
 }
 
 /// Encodes a message: the demand, then the engines in the given order, at most [`max_engines`] of
@@ -63,19 +63,19 @@
     now: Micros,
     demand: f64,
     fields: &[ReportField],
-    engines: impl Iterator<Item = EngineNews>,
+    engines: impl Iterator<Item = EngineEntry>,
 ) -> Vec<u8> {
     let mut bytes = vec![VERSION];
     bytes.extend((demand as f32).to_be_bytes());
-    for news in engines {
-        let report = news.report.unwrap_or_default();
-        let age = news
+    for entry in engines {
+        let report = entry.report.unwrap_or_default();
+        let age = entry
             .report
             .map_or(u64::from(ABSENT), |r| now.saturating_sub(r.at) / AGE_UNIT);
-        bytes.extend(&news.engine.0.to_be_bytes()[2..]);
+        bytes.extend(&entry.engine.0.to_be_bytes()[2..]);
         bytes.extend([
-            news.threads as u8,
-            (news.slowdown * SLOWDOWN_STEPS) as u8,
+            entry.threads as u8,
+            (entry.slowdown * SLOWDOWN_STEPS) as u8,
             age.min(u64::from(ABSENT)) as u8,
         ]);
         bytes.extend(fields.iter().map(|&field| encode_value(field, &report)));
@@ -107,7 +107,7 @@
     let body = bytes.strip_prefix(&[VERSION])?;
     let (demand, entries) = body.split_first_chunk::<4>()?;
     let demand = f64::from(f32::from_be_bytes(*demand));
-    let entry_bytes = ENTRY_HEAD_BYTES + fields.len();
+    let entry_bytes = ENTRY_HEADER_BYTES + fields.len();
     if !demand.is_finite() || demand < 0.0 || entries.len() % entry_bytes != 0 {
         return None;
     }
@@ -119,18 +119,18 @@
     })
 }
 
-fn decode_entry(now: Micros, fields: &[ReportField], entry: &[u8]) -> EngineNews {
+fn decode_entry(now: Micros, fields: &[ReportField], entry: &[u8]) -> EngineEntry {
     let id = entry[..6]
         .iter()
         .fold(0u64, |id, &b| id << 8 | u64::from(b));
     let (threads, slowdown, age) = (entry[6], entry[7], entry[8]);
     let report = (age < ABSENT).then(|| {
-        let encoded = fields.iter().zip(&entry[ENTRY_HEAD_BYTES..]);
+        let encoded = fields.iter().zip(&entry[ENTRY_HEADER_BYTES..]);
         let values: Vec<f64> = encoded.map(|(&f, &byte)| decode_value(f, byte)).collect();
         let at = now.saturating_sub(u64::from(age) * AGE_UNIT);
         LoadReport::read(at, fields, &values)
     });
-    EngineNews {
+    EngineEntry {
         engine: EngineId(id),
         threads: f64::from(threads),
         slowdown: f64::from(slowdown) / SLOWDOWN_STEPS,
@@ -164,9 +164,9 @@
 
 impl Peer {
     /// Weight of the message: 1 at first, then halved with each interval.
-    fn trust(&self, now: Micros) -> f64 {
+    fn weight(&self, now: Micros) -> f64 {
         let age = now.saturating_sub(self.last_contact_at) as f64 / GOSSIP_INTERVAL as f64;
-        0.5f64.powf((age - FULL_TRUST_INTERVALS).max(0.0))
+        0.5f64.powf((age - FULL_WEIGHT_INTERVALS).max(0.0))
     }
 }
 
@@ -208,16 +208,16 @@
 
     /// Demand and number of the peers, weighted by the age of their messages.
     pub(crate) fn recent_demand(&self, now: Micros) -> PeerDemand {
-        let demand = self.peers.values().map(|p| p.demand * p.trust(now));
+        let demand = self.peers.values().map(|p| p.demand * p.weight(now));
         PeerDemand {
             demand: demand.sum(),
-            count: self.peers.values().map(|p| p.trust(now)).sum(),
+            count: self.peers.values().map(|p| p.weight(now)).sum(),
         }
     }
 
     /// Threads of the peers on an engine, weighted by the age of their messages.
     pub(crate) fn threads_on(&self, now: Micros, engine: EngineId) -> f64 {
-        let threads = |p: &Peer| p.threads.get(&engine).unwrap_or(&0.0) * p.trust(now);
+        let threads = |p: &Peer| p.threads.get(&engine).unwrap_or(&0.0) * p.weight(now);
         self.peers.values().map(threads).sum()
     }
 }
--- a/crates/scheduler/src/gossip_exchange.rs
+++ b/crates/scheduler/src/gossip_exchange.rs
@@ -1,7 +1,7 @@
 //! Gossip exchange: builds messages for peers from the state, and applies received ones to it.
 
 use crate::actions::{Action, Actions};
-use crate::gossip::{self, EngineNews, GossipSchedule};
+use crate::gossip::{self, EngineEntry, GossipSchedule};
 use crate::random::Random;
 use crate::slowdown::{MAX_SLOWDOWN, MIN_SLOWDOWN};
 use crate::state::SchedulerState;
@@ -25,13 +25,13 @@
     engines.sort_by_key(|(_, engine)| Reverse(engine.report.map_or(0, |r| r.at)));
     let fields = &settings.report_fields;
     let newest = engines.iter().take(gossip::max_engines(fields));
-    let news = newest.map(|(&id, engine)| EngineNews {
+    let entries = newest.map(|(&id, engine)| EngineEntry {
         engine: id,
         threads: engine.threads,
         slowdown: engine.slowdown.ratio(),
         report: engine.report,
     });
-    let message = gossip::encode(now, state.cluster.demand, fields, news);
+    let message = gossip::encode(now, state.cluster.demand, fields, entries);
     random.shuffle_front(&mut peers, count);
     let recipients = peers.into_iter().take(count);
     actions.extend(recipients.map(|peer| Action::SendGossip {
@@ -51,16 +51,16 @@
     if !state.uses_subset {
         return;
     }
-    for news in message.engines {
-        let engine = state.engines.get_mut(&news.engine);
-        let (Some(report), Some(engine)) = (news.report, engine) else {
+    for entry in message.engines {
+        let engine = state.engines.get_mut(&entry.engine);
+        let (Some(report), Some(engine)) = (entry.report, engine) else {
             continue;
         };
         if engine.report.is_none_or(|own| own.at < report.at)
             && engine.started_at.is_none_or(|start| start < report.at)
         {
             engine.report = Some(report);
-            let ratio = news.slowdown.clamp(MIN_SLOWDOWN, MAX_SLOWDOWN);
+            let ratio = entry.slowdown.clamp(MIN_SLOWDOWN, MAX_SLOWDOWN);
             engine.slowdown.record(ratio, report.at);
         }
     }
--- a/crates/scheduler/src/start_time.rs
+++ b/crates/scheduler/src/start_time.rs
@@ -12,16 +12,22 @@
 /// s.
 const MAX_LIST_DELAY: Micros = 10_000_000;
 
-/// The start time to use. `is_news` says that this start was not known before.
-pub(crate) fn believed_start(now: Micros, kind: ListKind, listed: Micros, is_news: bool) -> Micros {
+/// The start time to use. `is_new_start` says that this start was not known before.
+pub(crate) fn effective_start(
+    now: Micros,
+    kind: ListKind,
+    listed: Micros,
+    is_new_start: bool,
+) -> Micros {
     // A start in the future means that this clock is behind; the engine has started by now.
-    let by_now = listed.min(now);
+    let not_in_future = listed.min(now);
     // A new start long ago, in a list of changes, means that this clock is ahead or that the list
     // was delayed. The engine may have started just now.
-    let is_odd = kind == ListKind::Changes && is_news && by_now + MAX_LIST_DELAY < now;
-    if is_odd {
+    let is_implausible =
+        kind == ListKind::Changes && is_new_start && not_in_future + MAX_LIST_DELAY < now;
+    if is_implausible {
         now
     } else {
-        by_now
+        not_in_future
     }
 }
