--- a/crates/scheduler/src/candidates.rs
+++ b/crates/scheduler/src/candidates.rs
@@ -19,7 +19,7 @@
 pub(crate) const DRAWN_ENGINES: usize = 2;
 /// Size of the subset that a coordinator with small shares draws from. A small subset keeps
 /// connections and estimates in use.
-const CIRCLE_ENGINES: usize = 10;
+const SUBSET_ENGINES: usize = 10;
 /// Number of engines that all coordinators prefer for a table group, which keeps their caches warm.
 pub(crate) const AFFINITY_ENGINES: usize = 2;
 
@@ -32,17 +32,21 @@
         if is_allowed(state, now, query, class, engine_id, engine) {
             allowed.push((
                 engine_id,
-                drawbacks(state, now, query, class, engine_id, engine),
+                penalty(state, now, query, class, engine_id, engine),
             ));
         }
     }
     // A fault that ejects every engine must not stop all traffic, so the engines with the lowest
     // penalty remain eligible.
-    let least = allowed.iter().map(|a| a.1).min().unwrap_or(0);
-    allowed.retain(|a| a.1 == least);
+    let min_penalty = allowed.iter().map(|a| a.1).min().unwrap_or(0);
+    allowed.retain(|a| a.1 == min_penalty);
     // The engine of a sticky session comes first while no other has a lower penalty.
-    let is_there = |engine: EngineId| allowed.iter().any(|a| a.0 == engine);
-    if let Some(session) = query.query.sticky_session.filter(|s| is_there(s.engine)) {
+    let is_allowed_engine = |engine: EngineId| allowed.iter().any(|a| a.0 == engine);
+    if let Some(session) = query
+        .query
+        .sticky_session
+        .filter(|s| is_allowed_engine(s.engine))
+    {
         return vec![session.engine];
     }
     allowed.into_iter().map(|a| a.0).collect()
@@ -57,10 +61,10 @@
     id: EngineId,
     engine: &Engine,
 ) -> bool {
-    let is_named = |list: &Option<Vec<u16>>, x: u16| list.as_ref().is_none_or(|l| l.contains(&x));
+    let is_listed = |list: &Option<Vec<u16>>, x: u16| list.as_ref().is_none_or(|l| l.contains(&x));
     engine.phase == Phase::Ready
-        && is_named(&class.zones, engine.zone)
-        && is_named(&class.kinds, engine.kind)
+        && is_listed(&class.zones, engine.zone)
+        && is_listed(&class.kinds, engine.kind)
         && query
             .query
             .sticky_session
@@ -72,7 +76,7 @@
 
 /// Penalty of an engine: 2 if it is ejected, or on probation with an attempt in flight; plus 1 if
 /// the query would do better elsewhere.
-fn drawbacks(
+fn penalty(
     state: &SchedulerState,
     now: Micros,
     query: &PendingQuery,
@@ -84,12 +88,12 @@
         || !engine.in_flight.is_empty() || state.idempotency(query) == Idempotency::NotIdempotent;
     let health = &engine.health;
     let is_outlier = health.is_ejected(now) || health.is_on_probation() && is_occupied();
-    let is_poor = query.avoided.contains(&id)
+    let is_unfavourable = query.avoided.contains(&id)
         || (class.is_load || class.waits_for_loads)
             && state.holds_table_group(engine, query.query.table_group)
         || state.uses_subset && health.has_rejected_lately(now)
         || state.lost_zones.is_lost(engine.zone);
-    u8::from(is_outlier) * 2 + u8::from(is_poor)
+    u8::from(is_outlier) * 2 + u8::from(is_unfavourable)
 }
 
 /// Narrows eligible engines to a few, if many coordinators choose from equally stale load reports:
@@ -121,11 +125,11 @@
     // drawn more often.
     let own_order = |e: &EngineId| Random(e.0 ^ state.salt).below(usize::MAX);
     eligible[preferred..].sort_by_cached_key(own_order);
-    let circle_end = eligible.len().min(preferred + CIRCLE_ENGINES);
-    let circle = &mut eligible[preferred..circle_end];
+    let subset_end = eligible.len().min(preferred + SUBSET_ENGINES);
+    let subset = &mut eligible[preferred..subset_end];
     let weight = |e: &EngineId| state.draw_weight(&state.engines[e]);
-    let mut weights: Vec<f64> = circle.iter().map(weight).collect();
-    random.shuffle_front_weighted(circle, &mut weights, DRAWN_ENGINES);
+    let mut weights: Vec<f64> = subset.iter().map(weight).collect();
+    random.shuffle_front_weighted(subset, &mut weights, DRAWN_ENGINES);
     eligible.truncate(preferred + DRAWN_ENGINES);
     preferred
 }
--- a/crates/scheduler/src/ejection.rs
+++ b/crates/scheduler/src/ejection.rs
@@ -39,13 +39,13 @@
         if ended.outcome == Outcome::Ok {
             // This engine served the query, so the earlier errors were the fault of the other
             // engines.
-            let erred: Vec<EngineId> = query.engines_with_errors().collect();
-            for earlier in erred {
+            let failed_engines: Vec<EngineId> = query.engines_with_errors().collect();
+            for earlier in failed_engines {
                 self.handle_failure(dispatcher, now, earlier, Outcome::Error, actions);
             }
             learning::learn_from_success(&mut dispatcher.state, now, engine, ended);
         }
-        if blame != Blame::Nobody {
+        if blame != Blame::None {
             if let Some(query) = dispatcher.state.queries.get_mut(&ended.query) {
                 query.avoided.insert(engine);
             }
--- a/crates/scheduler/src/estimates.rs
+++ b/crates/scheduler/src/estimates.rs
@@ -50,7 +50,7 @@
     /// Its memory need in MB, if reported.
     pub memory_mb: Option<f64>,
     /// Time from sending the attempt to its answer, µs.
-    pub spent: f64,
+    pub elapsed: f64,
 }
 
 /// Work of a served query, µs over all threads.
@@ -78,13 +78,13 @@
     fn learn(&mut self, query: &Query, sample: &Sample) -> LearnedWork {
         let usual = self.work;
         let weight = SAMPLE_WEIGHT.max(1.0 / (self.answers + 1.0));
-        if let Some(provided) = query.work {
-            self.learn_work_correction(provided, sample, weight);
+        if let Some(client_estimate) = query.work {
+            self.learn_work_correction(client_estimate, sample, weight);
         }
         let of_this_query = sample
             .work
             .or(query.work.map(|w| w * self.work_correction))
-            .unwrap_or(sample.spent * self.threads);
+            .unwrap_or(sample.elapsed * self.threads);
         self.work += weight * (of_this_query.min(MAX_SAMPLE_RATIO * self.work) - self.work);
         if let Some(memory_mb) = sample.memory_mb {
             self.learn_memory(query.memory_mb, memory_mb, weight);
@@ -96,10 +96,10 @@
         }
     }
 
-    fn learn_work_correction(&mut self, provided: f64, sample: &Sample, weight: f64) {
+    fn learn_work_correction(&mut self, client_estimate: f64, sample: &Sample, weight: f64) {
         let (min, max) = CORRECTION_RANGE;
-        let seen = sample.work.unwrap_or(sample.spent * self.threads);
-        let ratio = (seen / provided).clamp(min, max);
+        let seen = sample.work.unwrap_or(sample.elapsed * self.threads);
+        let ratio = (seen / client_estimate).clamp(min, max);
         if sample.work.is_some() || self.answers < 1.0 {
             let ratio = ratio.min(MAX_SAMPLE_RATIO * self.work_correction);
             self.work_correction += weight * (ratio - self.work_correction);
@@ -114,7 +114,7 @@
         }
     }
 
-    fn learn_memory(&mut self, provided: Option<f64>, memory_mb: f64, weight: f64) {
+    fn learn_memory(&mut self, client_estimate: Option<f64>, memory_mb: f64, weight: f64) {
         // Too small a grant spills and too large a grant wastes a little memory, so the estimate
         // aims at the upper third.
         let step = if memory_mb > self.memory_mb {
@@ -123,8 +123,8 @@
             weight
         };
         self.memory_mb += step.min(1.0) * (memory_mb - self.memory_mb);
-        if let Some(provided) = provided {
-            let ratio = (memory_mb / provided).min(MAX_SAMPLE_RATIO);
+        if let Some(client_estimate) = client_estimate {
+            let ratio = (memory_mb / client_estimate).min(MAX_SAMPLE_RATIO);
             self.memory_correction += weight * (ratio - self.memory_correction);
         }
     }
@@ -156,16 +156,16 @@
     /// correction, otherwise the class's mean.
     pub(crate) fn work(&self, query: &Query) -> f64 {
         let class = self.of(query);
-        let provided = query.work.map(|w| w * class.work_correction);
-        provided.unwrap_or(class.work).max(1.0)
+        let client_estimate = query.work.map(|w| w * class.work_correction);
+        client_estimate.unwrap_or(class.work).max(1.0)
     }
 
     /// Estimated memory need of a query in MB: the client's estimate with the learned correction,
     /// otherwise the class's learned value; 0 if unknown.
     pub(crate) fn memory_mb(&self, query: &Query) -> f64 {
         let class = self.of(query);
-        let provided = query.memory_mb.map(|m| m * class.memory_correction);
-        provided.unwrap_or(class.memory_mb)
+        let client_estimate = query.memory_mb.map(|m| m * class.memory_correction);
+        client_estimate.unwrap_or(class.memory_mb)
     }
 
     /// Usual work of a query's class. Before enough answers, at least what would take the whole
--- a/crates/scheduler/src/learning.rs
+++ b/crates/scheduler/src/learning.rs
@@ -57,11 +57,11 @@
 ) {
     let query = &state.queries[&ended.query];
     let threads = state.class_of(query).threads;
-    let spent = ended.elapsed as f64;
+    let elapsed = ended.elapsed as f64;
     let sample = Sample {
         work: ended.work,
         memory_mb: ended.memory_mb,
-        spent,
+        elapsed,
     };
     let learned = state.estimates.learn(&query.query, &sample);
     // If neither the client nor the engine gave the query's work, the class's mean is the only way
@@ -73,7 +73,7 @@
         learned.of_this_query
     };
     let alone = work / threads + state.settings.clock_resolution as f64;
-    let ratio = (spent / alone).clamp(MIN_SLOWDOWN, MAX_SLOWDOWN);
+    let ratio = (elapsed / alone).clamp(MIN_SLOWDOWN, MAX_SLOWDOWN);
     let weight = if state.uses_subset {
         SUBSET_SLOWDOWN_WEIGHT
     } else {
--- a/crates/scheduler/src/ordering.rs
+++ b/crates/scheduler/src/ordering.rs
@@ -13,7 +13,7 @@
     /// In acceptance order; the first is the next to run.
     queries: VecDeque<QueryId>,
     /// The key is held until this time because of an attempt that may still be running.
-    rests_until: Micros,
+    held_until: Micros,
 }
 
 /// The queries of all keys.
@@ -36,12 +36,12 @@
 
     /// Holds a key until this time: an attempt of unknown outcome may still be running.
     pub(crate) fn hold_key(&mut self, key: u64, until: Micros) {
-        self.queues.entry(key).or_default().rests_until = until;
+        self.queues.entry(key).or_default().held_until = until;
     }
 
     /// The next query of a key, unless the key is held. Drops a key that has no queries.
     pub(crate) fn first(&mut self, now: Micros, key: u64) -> Option<QueryId> {
-        let queue = self.queues.get(&key).filter(|q| now >= q.rests_until)?;
+        let queue = self.queues.get(&key).filter(|q| now >= q.held_until)?;
         let first = queue.queries.front().copied();
         if first.is_none() {
             self.queues.remove(&key);
--- a/crates/scheduler/src/outlier_detection.rs
+++ b/crates/scheduler/src/outlier_detection.rs
@@ -139,9 +139,9 @@
         let doublings = (self.failures - 1).min(MAX_EJECTION_DOUBLINGS);
         self.ejected_until = now + (BASE_EJECTION_TIME << doublings);
         // A connection may be lost while its engine is healthy; a probe finds out at once.
-        let may_be_well = outcome == Outcome::Reset && self.failures == 1 && may_probe;
-        self.is_on_probation = !may_be_well;
-        if may_be_well {
+        let may_be_healthy = outcome == Outcome::Reset && self.failures == 1 && may_probe;
+        self.is_on_probation = !may_be_healthy;
+        if may_be_healthy {
             FailureEffect::EjectedUntilProbe
         } else {
             FailureEffect::Ejected
@@ -151,10 +151,10 @@
     /// Records that a probe was answered. Returns true if this ends an ejection, as only a
     /// connection had been lost.
     pub(crate) fn record_probe_success(&mut self, now: Micros) -> bool {
-        let is_well = !self.is_on_probation && self.is_ejected(now);
-        if is_well {
+        let is_recovered = !self.is_on_probation && self.is_ejected(now);
+        if is_recovered {
             self.ejected_until = 0;
         }
-        is_well
+        is_recovered
     }
 }
--- a/crates/scheduler/src/overruns.rs
+++ b/crates/scheduler/src/overruns.rs
@@ -105,10 +105,14 @@
     let query = &state.queries[&id];
     let slowdowns = state.ready_engines().map(|e| e.slowdown.ratio());
     let best_slowdown = slowdowns.fold(MAX_SLOWDOWN, f64::min);
-    let fresh_finish = now as f64 + state.run_alone(id) * best_slowdown;
-    let stay = objectives::value(state, id, finish);
-    let leave = objectives::value(state, id, fresh_finish);
-    if query.overruns == 0 && leave > 0.0 && leave >= stay && fresh_finish < finish {
+    let replacement_finish = now as f64 + state.run_alone(id) * best_slowdown;
+    let value_if_kept = objectives::value(state, id, finish);
+    let value_if_replaced = objectives::value(state, id, replacement_finish);
+    if query.overruns == 0
+        && value_if_replaced > 0.0
+        && value_if_replaced >= value_if_kept
+        && replacement_finish < finish
+    {
         return OverrunResponse::Replace;
     }
     // Under pressure, late queries take capacity from others, even if only their plan was bad.
@@ -116,9 +120,10 @@
     let remaining = (finish - now as f64).max(1.0) * state.class_of(query).threads;
     let holds_up_others = state.uses_subset
         && state.settings.may_cancel
-        && stay < MIN_WORTHWHILE_SHARE * weight_of_work * remaining
+        && value_if_kept < MIN_WORTHWHILE_SHARE * weight_of_work * remaining
         && finish > objectives::objective(state, query);
-    let earns_nothing = stay + leave <= 0.0 && state.settings.progress_interval.is_some();
+    let earns_nothing =
+        value_if_kept + value_if_replaced <= 0.0 && state.settings.progress_interval.is_some();
     if (holds_up_others || earns_nothing) && may_reject(state, query) {
         OverrunResponse::GiveUp
     } else {
--- a/crates/scheduler/src/queries.rs
+++ b/crates/scheduler/src/queries.rs
@@ -160,8 +160,8 @@
 
     /// Engines that answered the query with an error.
     pub(crate) fn engines_with_errors(&self) -> impl Iterator<Item = EngineId> + '_ {
-        let has_erred = |a: &&Attempt| a.outcome == Some(Outcome::Error);
-        self.attempts.iter().filter(has_erred).map(|a| a.engine)
+        let has_error = |a: &&Attempt| a.outcome == Some(Outcome::Error);
+        self.attempts.iter().filter(has_error).map(|a| a.engine)
     }
 
     /// Marks all attempts in flight as cancelled, except `keep`, and returns the actions that
--- a/crates/scheduler/src/queue.rs
+++ b/crates/scheduler/src/queue.rs
@@ -76,8 +76,8 @@
     let bound = run_bound(state, now, engine);
     let has_room = bound.has_room(threads_needed(state, front.work, front.threads))
         && has_memory_for(state, now, &state.queries[&front.id], engine);
-    let is_tried = engine.threads > 0.0 && engine.health.is_on_probation();
-    let must_wait = bound.running > 0.0 && !has_room || is_tried;
+    let is_on_trial = engine.threads > 0.0 && engine.health.is_on_probation();
+    let must_wait = bound.running > 0.0 && !has_room || is_on_trial;
     (!must_wait).then_some(front.id)
 }
 
--- a/crates/scheduler/src/quota.rs
+++ b/crates/scheduler/src/quota.rs
@@ -23,9 +23,9 @@
     fn take_token(&mut self, now: Micros, rate_per_s: f64, size: f64) -> bool {
         let (level, at) = self.level.unwrap_or((size, now));
         let level = (level + rate_per_s * now.saturating_sub(at) as f64 / 1e6).min(size);
-        let is_there = level >= 1.0;
-        self.level = Some((if is_there { level - 1.0 } else { level }, now));
-        is_there
+        let has_token = level >= 1.0;
+        self.level = Some((if has_token { level - 1.0 } else { level }, now));
+        has_token
     }
 }
 
--- a/crates/scheduler/src/retry.rs
+++ b/crates/scheduler/src/retry.rs
@@ -59,14 +59,15 @@
         return may_have_run.next().is_none();
     }
     let class = state.class_of(query);
-    let is_known = |until: Micros| now + 2 * state.settings.clock_resolution < until;
+    let is_recognized = |until: Micros| now + 2 * state.settings.clock_resolution < until;
     let is_in_scope = |a: &Attempt| match class.deduplication_scope {
         DeduplicationScope::All => true,
         DeduplicationScope::Zone => a.zone == engine.zone,
         DeduplicationScope::Cell => a.cell == engine.cell,
     };
-    query.query.idempotent_until.is_none_or(is_known)
-        && may_have_run.all(|a| is_in_scope(a) && is_known(a.sent_at + class.deduplication_window))
+    query.query.idempotent_until.is_none_or(is_recognized)
+        && may_have_run
+            .all(|a| is_in_scope(a) && is_recognized(a.sent_at + class.deduplication_window))
 }
 
 /// Whether any engine may run a query, given the attempts that may have run.
@@ -81,11 +82,11 @@
 pub(crate) fn may_reject(state: &SchedulerState, query: &PendingQuery) -> bool {
     let idempotency = state.idempotency(query);
     let scope = state.class_of(query).deduplication_scope;
-    let is_known_everywhere =
+    let is_recognized_everywhere =
         scope == DeduplicationScope::All && idempotency == Idempotency::WithKey;
     query.attempts.iter().all(Attempt::never_ran)
         || idempotency == Idempotency::Idempotent
-        || is_known_everywhere
+        || is_recognized_everywhere
 }
 
 /// Whether a query can no longer earn anything: it would finish too late even if it started now at
@@ -116,7 +117,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Blame {
     /// Nothing.
-    Nobody,
+    None,
     /// The engine failed, and the query is sent elsewhere.
     Engine,
     /// The query is sent elsewhere; the engine failed if another engine serves it.
@@ -130,6 +131,6 @@
     match outcome {
         Outcome::Error if idempotency == Idempotency::Idempotent => Blame::QueryOrEngine,
         Outcome::Error | Outcome::Rejected | Outcome::Unreachable | Outcome::Reset => Blame::Engine,
-        Outcome::Ok | Outcome::TimedOut | Outcome::Cancelled | Outcome::Superseded => Blame::Nobody,
+        Outcome::Ok | Outcome::TimedOut | Outcome::Cancelled | Outcome::Superseded => Blame::None,
     }
 }
--- a/crates/scheduler/src/retry_budget.rs
+++ b/crates/scheduler/src/retry_budget.rs
@@ -41,7 +41,7 @@
     requests: VecDeque<Micros>,
     retries: SendLedger,
     denied: u64,
-    withheld: u64,
+    denied_at_send: u64,
 }
 
 impl RetryBudgetWindow {
@@ -52,7 +52,7 @@
             requests: VecDeque::new(),
             retries: SendLedger::default(),
             denied: 0,
-            withheld: 0,
+            denied_at_send: 0,
         }
     }
 
@@ -98,7 +98,7 @@
             return true;
         }
         let allows = self.retries.sent_count() as f64 + 1.0 <= self.allowed(&budget);
-        self.withheld += u64::from(!allows);
+        self.denied_at_send += u64::from(!allows);
         allows
     }
 
@@ -116,14 +116,14 @@
     pub(crate) fn usage(&self, now: Micros) -> Option<RetryBudgetUsage> {
         let budget = self.budget?;
         let is_within = |at: Micros| at + budget.window > now;
-        let taken = self.requests.iter().filter(|&&at| is_within(at)).count();
+        let requests = self.requests.iter().filter(|&&at| is_within(at)).count();
         Some(RetryBudgetUsage {
             used: self.retries.count_within(is_within) as u64,
-            allowed: budget.min_retries + budget.ratio * taken as f64,
-            requests: taken as u64,
+            allowed: budget.min_retries + budget.ratio * requests as f64,
+            requests: requests as u64,
             times_held: self.requests.len() + self.retries.len(),
             denied: self.denied,
-            denied_at_send: self.withheld,
+            denied_at_send: self.denied_at_send,
         })
     }
 
--- a/crates/scheduler/src/routing.rs
+++ b/crates/scheduler/src/routing.rs
@@ -34,7 +34,7 @@
     /// Time until the engine has finished its current work, µs.
     drain: f64,
     /// The engine is in another zone, and crossing zones has a cost.
-    is_far: bool,
+    is_remote: bool,
 }
 
 /// A position in an engine's queue.
@@ -71,8 +71,8 @@
     offers.retain(|o| o.position.interaction >= closest - GAIN_TOLERANCE);
 
     // Not part of Algorithm 5: if crossing zones has a cost, ties go to the local zone.
-    if offers.iter().any(|o| !o.is_far) {
-        offers.retain(|o| !o.is_far);
+    if offers.iter().any(|o| !o.is_remote) {
+        offers.retain(|o| !o.is_remote);
     }
     let pick = random.below(offers.len());
     (!offers.is_empty()).then(|| offers.swap_remove(pick))
@@ -133,7 +133,7 @@
         engine: id,
         position: best_position(own, engine, &starts, &lost, affinity),
         drain: own_drain + work_of_others / drain_rate,
-        is_far: state.settings.cross_zone_costs && engine.zone != state.settings.zone,
+        is_remote: state.settings.cross_zone_costs && engine.zone != state.settings.zone,
     }
 }
 
