--- a/crates/scheduler/src/dispatch.rs
+++ b/crates/scheduler/src/dispatch.rs
@@ -193,7 +193,7 @@
     /// How long a client should wait before it retries: the shortest wait of any engine.
     #[allow(
         clippy::cast_possible_truncation,
-        reason = "whole µs, and no more than fit"
+        reason = "whole µs, within the range of Micros"
     )]
     fn retry_after(&self, now: Micros) -> Micros {
         let wait = queue::shortest_wait(&self.state, now) as Micros;
--- a/crates/scheduler/src/gossip.rs
+++ b/crates/scheduler/src/gossip.rs
@@ -57,7 +57,7 @@
 /// them.
 #[allow(
     clippy::cast_possible_truncation,
-    reason = "the form's bytes: whole steps, and no more than fit"
+    reason = "the message format stores whole steps that fit into its fields"
 )]
 pub(crate) fn encode(
     now: Micros,
@@ -85,7 +85,7 @@
 
 #[allow(
     clippy::cast_possible_truncation,
-    reason = "the form's bytes: whole steps, and no more than fit"
+    reason = "the message format stores whole steps that fit into its fields"
 )]
 fn encode_value(field: ReportField, report: &LoadReport) -> u8 {
     let count = |value: Option<f64>| value.map_or(ABSENT, |x| x.min(254.0) as u8);
@@ -248,7 +248,7 @@
     /// many as queries have paid for.
     #[allow(
         clippy::cast_possible_truncation,
-        reason = "whole messages, of no more than there are coordinators"
+        reason = "a whole number of messages, at most the number of coordinators"
     )]
     pub(crate) fn begin_round(&mut self, now: Micros, peers: usize, uses_subset: bool) -> usize {
         self.last_round_at = now;
--- a/crates/scheduler/src/health.rs
+++ b/crates/scheduler/src/health.rs
@@ -126,7 +126,7 @@
 /// Engines to probe: those on probation first, then those with the oldest contact.
 #[allow(
     clippy::cast_possible_truncation,
-    reason = "whole probes, of no more than there are engines"
+    reason = "a whole number of probes; excess ones are never used"
 )]
 fn due_probes(state: &SchedulerState, now: Micros, probe_credit: f64) -> Vec<EngineId> {
     if !state.settings.may_probe {
--- a/crates/scheduler/src/outlier_detection.rs
+++ b/crates/scheduler/src/outlier_detection.rs
@@ -1,17 +1,20 @@
-//! Outlier detection: which engines are ejected after failures, and how they come back.
+//! Outlier detection: when engines are ejected after failures, and how they recover.
 //!
-//! Input: answers, failures and probes of one engine. Output: whether it takes queries. State: one record for each engine.
+//! Input: answers, failures and probes of one engine. Output: whether it gets queries. State: one
+//! record per engine.
 //!
-//! | state | event | next |
+//! | state | event | next state |
 //! | --- | --- | --- |
-//! | healthy | an error, the first in a row | healthy |
-//! | healthy | the first connection reset, where probes are allowed | ejected; a probe is asked for |
-//! | healthy | any other failure | ejected, on probation behind that |
-//! | ejected | the ejection time is over | on probation, or healthy where a connection had only broken |
-//! | ejected, not on probation | a probe answers | healthy |
-//! | ejected, on probation | it can't be reached: the same failure | unchanged |
-//! | on probation: one attempt at a time | an answer, and fewer than half of the last were errors | healthy |
-//! | on probation | a failure | ejected, for longer |
+//! | healthy | a first error | healthy |
+//! | healthy | a first connection reset, if probes are allowed | ejected, not on probation; a probe is requested |
+//! | healthy | any other failure | ejected, then on probation |
+//! | ejected | the ejection time ends | on probation, or healthy if only a connection was lost |
+//! | ejected, not on probation | a probe is answered | healthy |
+//! | ejected, not on probation | the engine is unreachable | ejected for longer, then on probation |
+//! | ejected, not on probation | any other failure | unchanged |
+//! | ejected, on probation | any failure | unchanged |
+//! | on probation: one attempt at a time | a success, with a recent error rate of at most one half | healthy |
+//! | on probation | a failure | ejected for longer |
 
 use crate::estimates::SAMPLE_WEIGHT;
 use crate::events::Outcome;
