--- a/crates/scheduler/tests/coordinators.rs
+++ b/crates/scheduler/tests/coordinators.rs
@@ -13,7 +13,7 @@
     now: u64,
     next: u64,
     /// Engine and class of what was sent, by query; taken off again when it ends.
-    out: Vec<(usize, QueryId, u64, u16)>,
+    in_flight: Vec<(usize, QueryId, u64, u16)>,
     probes: usize,
     messages: usize,
     sent: Vec<(u64, u64, u16)>,
@@ -43,13 +43,13 @@
             all,
             now: 100 * S,
             next: 1,
-            out: vec![],
+            in_flight: vec![],
             probes: 0,
             messages: 0,
             sent: vec![],
         }
     }
-    fn give(&mut self, coordinator: usize, event: Event) {
+    fn deliver(&mut self, coordinator: usize, event: Event) {
         let mut act = Vec::new();
         self.all[coordinator].handle(self.now, event, &mut act);
         for a in act {
@@ -60,12 +60,14 @@
                     ..
                 } => {
                     let class = (q.0 % 5 == 0) as u16;
-                    self.out.push((coordinator, q, e.0, class));
+                    self.in_flight.push((coordinator, q, e.0, class));
                     self.sent.push((self.now, e.0, class));
                 }
                 Action::Probe(_) => self.probes += 1,
                 Action::SendGossip { .. } => self.messages += 1,
-                Action::Reject { query: q, .. } | Action::Fail(q) => self.out.retain(|o| o.1 != q),
+                Action::Reject { query: q, .. } | Action::Fail(q) => {
+                    self.in_flight.retain(|o| o.1 != q)
+                }
                 _ => {}
             }
         }
@@ -89,16 +91,16 @@
             sticky_session: None,
             client_timeout: 20 * S,
         };
-        self.give(coordinator, Event::QueryArrived(q));
+        self.deliver(coordinator, Event::QueryArrived(q));
     }
     fn tick(&mut self) {
         self.now += 50 * MS;
         for g in 0..self.all.len() {
-            self.give(g, Event::TimerFired(0));
+            self.deliver(g, Event::TimerFired(0));
         }
     }
     fn finish(&mut self, n: usize) {
-        let (coordinator, query, _, class) = self.out.remove(n);
+        let (coordinator, query, _, class) = self.in_flight.remove(n);
         let work = Some(if class == 1 { 2e6 } else { 2e5 });
         let (outcome, spent) = (Outcome::Ok, if class == 1 { 500 * MS } else { 200 * MS });
         let end = AttemptEnded {
@@ -111,7 +113,7 @@
             memory_mb: None,
             report: &[0.5],
         };
-        self.give(coordinator, Event::AttemptEnded(end));
+        self.deliver(coordinator, Event::AttemptEnded(end));
     }
 }
 
@@ -130,24 +132,24 @@
 fn probes_and_gossip_are_bounded_by_queries() {
     for (coordinators, engines) in [(40, 10), (80, 40)] {
         let list: Vec<ListedEngine> = (1..=engines).map(listed).collect();
-        let mut f = CoordinatorGroup::new(coordinators, &group_settings(), &list);
+        let mut group = CoordinatorGroup::new(coordinators, &group_settings(), &list);
         for _ in 0..1000 {
-            let g = f.next as usize % f.all.len();
-            f.arrive(g);
-            f.tick();
-            while !f.out.is_empty() {
-                f.finish(0);
+            let g = group.next as usize % group.all.len();
+            group.arrive(g);
+            group.tick();
+            while !group.in_flight.is_empty() {
+                group.finish(0);
             }
         }
         assert!(
-            f.messages > 0 && f.messages <= 500,
+            group.messages > 0 && group.messages <= 500,
             "{} messages for 1000 queries",
-            f.messages
+            group.messages
         );
         assert!(
-            f.probes > 0 && f.probes <= 100,
+            group.probes > 0 && group.probes <= 100,
             "{} probes for 1000 queries",
-            f.probes
+            group.probes
         );
     }
 }
@@ -162,23 +164,23 @@
         window: 2 * S,
     });
     let mut list: Vec<ListedEngine> = (1..=20).map(listed).collect();
-    let mut f = CoordinatorGroup::new(100, &cfg, &list);
+    let mut group = CoordinatorGroup::new(100, &cfg, &list);
     // Whom chance names differs by draw: six seconds see enough of them.
-    let step = |f: &mut CoordinatorGroup| {
+    let step = |group: &mut CoordinatorGroup| {
         for _ in 0..10 {
-            let g = (f.next * 37 % 100) as usize;
-            f.arrive(g);
+            let g = (group.next * 37 % 100) as usize;
+            group.arrive(g);
         }
-        f.tick();
-        while f.out.len() > 30 {
-            f.finish(0);
+        group.tick();
+        while group.in_flight.len() > 30 {
+            group.finish(0);
         }
     };
     // Ten seconds in which every coordinator learns what its queries cost.
-    (0..200).for_each(|_| step(&mut f));
-    list[4].started_at = Some(f.now);
-    for g in 0..f.all.len() {
-        f.give(
+    (0..200).for_each(|_| step(&mut group));
+    list[4].started_at = Some(group.now);
+    for g in 0..group.all.len() {
+        group.deliver(
             g,
             Event::EnginesListed {
                 kind: ListKind::Full,
@@ -186,9 +188,9 @@
             },
         );
     }
-    let started_at = f.now;
-    (0..120).for_each(|_| step(&mut f));
-    let slow_start: Vec<(u64, f64)> = f
+    let started_at = group.now;
+    (0..120).for_each(|_| step(&mut group));
+    let slow_start: Vec<(u64, f64)> = group
         .sent
         .iter()
         .filter(|s| s.0 > started_at && s.1 == 5)
@@ -213,15 +215,19 @@
 #[test]
 fn coordinators_together_keep_near_the_thread_bound() {
     let list: Vec<ListedEngine> = (1..=20).map(listed).collect();
-    let mut f = CoordinatorGroup::new(100, &group_settings(), &list);
+    let mut group = CoordinatorGroup::new(100, &group_settings(), &list);
     // A flood of which nothing ends: 2000 queries within a second on 160 cores.
     for n in 0..2000 {
-        f.arrive(n % 100);
+        group.arrive(n % 100);
         if n % 100 == 99 {
-            f.tick();
+            group.tick();
         }
     }
-    let threads: f64 = f.out.iter().map(|o| if o.3 == 1 { 4.0 } else { 1.0 }).sum();
+    let threads: f64 = group
+        .in_flight
+        .iter()
+        .map(|o| if o.3 == 1 { 4.0 } else { 1.0 })
+        .sum();
     // Without a bound over the cluster each coordinator may start a wide query on every engine: 3200 threads.
     assert!(threads / 160.0 < 8.0, "{threads} threads on 160 cores");
     assert!(threads / 160.0 > 1.0, "{threads} threads on 160 cores");
--- a/crates/scheduler/tests/mechanism.rs
+++ b/crates/scheduler/tests/mechanism.rs
@@ -16,7 +16,7 @@
 }
 
 /// Ends the running queries; the order in which the queue then starts.
-fn starts(harness: &mut SchedulerHarness) -> Vec<u64> {
+fn start_order(harness: &mut SchedulerHarness) -> Vec<u64> {
     let mut order = Vec::new();
     let mut act = Vec::new();
     harness.now += S;
@@ -46,7 +46,7 @@
         sends(&a).is_empty() && sends(&b).is_empty(),
         "the bound holds both back"
     );
-    assert_eq!(starts(&mut harness), [urgent.0, patient.0]);
+    assert_eq!(start_order(&mut harness), [urgent.0, patient.0]);
 }
 
 #[test]
@@ -56,7 +56,7 @@
     let (b, _) = harness.arrive(0, 4 * S, 2);
     let (c, _) = harness.arrive(0, 4 * S, 1);
     // c shares tables with a: next to a it gains 1 (Eq. 11), at the end 0.
-    let order = starts(&mut harness);
+    let order = start_order(&mut harness);
     let at = |q: QueryId| order.iter().position(|&x| x == q.0).expect("all start");
     assert_eq!(at(a).abs_diff(at(c)), 1, "{order:?}");
     assert!(at(b) == 2 || at(b) == 0);
--- a/crates/scheduler/tests/overload.rs
+++ b/crates/scheduler/tests/overload.rs
@@ -199,9 +199,9 @@
 #[test]
 fn engine_with_some_errors_or_slow_runs_gets_few_queries() {
     let list: Vec<ListedEngine> = (1..=10).map(listed).collect();
-    for errs in [true, false] {
+    for returns_errors in [true, false] {
         let mut harness = SchedulerHarness::new(subset_settings(), &list);
-        let (mut bad, mut all) = (0, 0);
+        let (mut to_faulty, mut all) = (0, 0);
         for _ in 0..600 {
             // Nobody tells its work.
             let query = Query {
@@ -211,8 +211,8 @@
             let (q, act) = (query.id, harness.event(Event::QueryArrived(query)));
             let mut to = sends(&act)[0].1;
             let mut attempt = 0;
-            (bad, all) = (bad + usize::from(to == 1), all + 1);
-            if errs && to == 1 && bad % 2 == 1 {
+            (to_faulty, all) = (to_faulty + usize::from(to == 1), all + 1);
+            if returns_errors && to == 1 && to_faulty % 2 == 1 {
                 to = sends(&harness.end(q, attempt, Outcome::Error, 10 * MS))[0].1;
                 attempt += 1;
             }
@@ -221,11 +221,18 @@
                 q,
                 attempt,
                 Outcome::Ok,
-                if !errs && to == 1 { 300 * MS } else { 100 * MS },
+                if !returns_errors && to == 1 {
+                    300 * MS
+                } else {
+                    100 * MS
+                },
             );
             harness.now += 50 * MS;
         }
-        assert!(bad * 20 < all, "{bad} of {all} went there, errs: {errs}");
+        assert!(
+            to_faulty * 20 < all,
+            "{to_faulty} of {all} went there, returns_errors: {returns_errors}"
+        );
     }
 }
 
@@ -238,20 +245,20 @@
         overload_multiple: 4.0,
         window: 3 * S / 2,
     });
-    let old: Vec<ListedEngine> = (1..=10).map(listed).collect();
-    let young: Vec<ListedEngine> = (11..=20)
+    let warm: Vec<ListedEngine> = (1..=10).map(listed).collect();
+    let warming_up: Vec<ListedEngine> = (11..=20)
         .map(|e| ListedEngine {
             started_at: Some(100 * S - e),
             ..listed(e)
         })
         .collect();
-    let (mut light, mut light_there) = (0, 0);
+    let (mut light, mut light_to_warming_up) = (0, 0);
     let mut budget = std::collections::BTreeMap::<u64, f64>::new();
     // So many of the hundred ask for a third more than the fleet can do.
     for seed in 0..50 {
         let mut harness = SchedulerHarness::seeded(
             s.clone(),
-            &[old.clone(), young.clone()].concat(),
+            &[warm.clone(), warming_up.clone()].concat(),
             1000 + seed,
         );
         harness.tick(50 * MS);
@@ -265,7 +272,7 @@
             let (q, act) = harness.arrive(class, work, n);
             for (_, to) in sends(&act).into_iter().filter(|_| n >= 51) {
                 light += usize::from(class == 0);
-                light_there += usize::from(class == 0 && to > 10);
+                light_to_warming_up += usize::from(class == 0 && to > 10);
                 *budget.entry(to).or_default() += work as f64;
             }
             harness.end(q, 0, Outcome::Ok, if class == 0 { work } else { work / 2 });
@@ -279,7 +286,10 @@
         }
     }
     // Half of the light ones and more, though engines in slow start have a quarter of the capacity.
-    assert!(light_there * 2 > light, "{light_there} of {light}");
+    assert!(
+        light_to_warming_up * 2 > light,
+        "{light_to_warming_up} of {light}"
+    );
     let most = 4.0 * 8.0 * 0.85 * 0.35 * 1.5 * S as f64;
     assert!(
         budget.iter().all(|(&e, &work)| e <= 10 || work < most),
--- a/crates/scheduler/tests/rules.rs
+++ b/crates/scheduler/tests/rules.rs
@@ -8,7 +8,7 @@
 use driftfront_test_support::scheduler::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-fn refused(act: &[Action], q: QueryId) -> bool {
+fn rejected(act: &[Action], q: QueryId) -> bool {
     act.iter()
         .any(|a| matches!(a, Action::Reject { query: x, .. } if *x == q))
 }
@@ -25,7 +25,7 @@
         ..harness.query(0, S, 1)
     };
     let act = harness.event(Event::QueryArrived(q));
-    assert!(refused(&act, q.id));
+    assert!(rejected(&act, q.id));
     assert!(
         harness.end(q.id, 0, Outcome::Ok, S).is_empty(),
         "nothing more for it"
@@ -68,8 +68,8 @@
             [(q.id.0, 1 + n % 3)]
         );
         // Another attempt goes there too, though the engine failed it.
-        let again = sends(&harness.end(q.id, 0, Outcome::Unreachable, MS));
-        assert!(again.iter().all(|s| s.1 == 1 + n % 3), "{again:?}");
+        let retries = sends(&harness.end(q.id, 0, Outcome::Unreachable, MS));
+        assert!(retries.iter().all(|s| s.1 == 1 + n % 3), "{retries:?}");
     }
     let mut harness = SchedulerHarness::new(
         settings(vec![class(9 * S, 1.0, 1.0)]),
@@ -92,7 +92,7 @@
         kind: ListKind::Changes,
         engines: &[drained],
     }));
-    assert!(sends(&act).is_empty() && refused(&act, q.id), "{act:?}");
+    assert!(sends(&act).is_empty() && rejected(&act, q.id), "{act:?}");
 }
 
 #[test]
@@ -139,7 +139,7 @@
 fn non_idempotent_query_is_not_retried_or_rejected_after_a_run() {
     let mut s = settings(vec![class(9 * S, 1.0, 1.0)]);
     s.classes[0].idempotency = Idempotency::NotIdempotent;
-    for (outcome, again) in [
+    for (outcome, is_retried) in [
         (Outcome::Reset, false),
         (Outcome::Error, false),
         (Outcome::Unreachable, true),
@@ -147,8 +147,8 @@
         let mut harness = SchedulerHarness::new(s.clone(), &[listed(1), listed(2)]);
         let (q, _) = harness.arrive(0, S, 1);
         let act = harness.end(q, 0, outcome, 10 * MS);
-        assert_eq!(sends(&act).len(), usize::from(again), "{outcome:?}");
-        assert_eq!(failed(&act, q), !again, "{outcome:?}");
+        assert_eq!(sends(&act).len(), usize::from(is_retried), "{outcome:?}");
+        assert_eq!(failed(&act, q), !is_retried, "{outcome:?}");
     }
 }
 
@@ -161,20 +161,20 @@
     for _ in 0..6 {
         let (q, act) = harness.arrive(0, S, 1);
         let first = sends(&act)[0].1;
-        let again = sends(&harness.end(q, 0, Outcome::Error, MS));
-        assert_eq!(again, [(q.0, 3 - first)]);
-        assert!(refused(&harness.end(q, 1, Outcome::Error, MS), q));
+        let retries = sends(&harness.end(q, 0, Outcome::Error, MS));
+        assert_eq!(retries, [(q.0, 3 - first)]);
+        assert!(rejected(&harness.end(q, 1, Outcome::Error, MS), q));
     }
     // Where the other serves what engine 1 errs on, it is the engine: two in a row shut it.
     let mut errors = 0;
     for _ in 0..20 {
         let (q, act) = harness.arrive(0, S, 1);
-        let errs = sends(&act)[0].1 == 1;
-        errors += usize::from(errs);
-        if errs {
+        let is_error = sends(&act)[0].1 == 1;
+        errors += usize::from(is_error);
+        if is_error {
             harness.end(q, 0, Outcome::Error, MS);
         }
-        harness.end(q, u8::from(errs), Outcome::Ok, S);
+        harness.end(q, u8::from(is_error), Outcome::Ok, S);
     }
     assert_eq!(errors, 2);
 }
@@ -195,10 +195,10 @@
             tenant: u32::MAX,
             ..harness.query(0, 10 * MS, 1)
         };
-        assert!(refused(&harness.event(Event::QueryArrived(q)), q.id));
+        assert!(rejected(&harness.event(Event::QueryArrived(q)), q.id));
     }
     let (q, act) = harness.arrive(0, 10 * MS, 1);
-    assert!(!refused(&act, q));
+    assert!(!rejected(&act, q));
     // Where no tenant is named nobody's traffic is beyond anything.
     let mut harness = SchedulerHarness::new(settings(vec![class(9 * S, 1.0, 1.0)]), &[listed(1)]);
     harness.report(1, &[5.0]);
@@ -206,7 +206,7 @@
         tenant: u32::MAX,
         ..harness.query(0, 10 * MS, 1)
     };
-    assert!(!refused(&harness.event(Event::QueryArrived(q)), q.id));
+    assert!(!rejected(&harness.event(Event::QueryArrived(q)), q.id));
 }
 
 #[test]
@@ -217,14 +217,14 @@
         ..class(9 * S, 1.0, 1.0)
     };
     // Its key, an earlier query under it, and whether it goes again after a lost connection.
-    for (token, idempotent_until, again) in [
+    for (has_key, idempotent_until, is_retried) in [
         (true, None, true),
         (false, None, false),
         (true, Some(100 * S + MS), false),
     ] {
         let mut harness = SchedulerHarness::new(settings(vec![keyed()]), &[listed(1), listed(2)]);
         let q = Query {
-            has_idempotency_key: token,
+            has_idempotency_key: has_key,
             idempotent_until: None,
             ..harness.query(0, S, 1)
         };
@@ -240,18 +240,18 @@
         );
         let act = harness.end(q.id, 0, Outcome::Reset, MS);
         if idempotent_until.is_none() {
-            assert_eq!(sends(&act).len(), usize::from(again), "{token}");
-            assert_eq!(act.contains(&Action::Fail(q.id)), !again);
+            assert_eq!(sends(&act).len(), usize::from(is_retried), "{has_key}");
+            assert_eq!(act.contains(&Action::Fail(q.id)), !is_retried);
         }
         // One whose key is no longer known is not sent at all, and answered at once.
         let late = Query {
-            has_idempotency_key: token,
+            has_idempotency_key: has_key,
             idempotent_until,
             ..harness.query(0, S, 2)
         };
         if idempotent_until.is_some() {
             assert!(sends(&harness.event(Event::QueryArrived(late))).is_empty());
-            assert!(refused(&harness.tick(50 * MS), late.id));
+            assert!(rejected(&harness.tick(50 * MS), late.id));
         }
     }
 }
@@ -260,27 +260,33 @@
 fn failing_engine_recovers_by_a_run_of_answers_not_by_one() {
     let list: Vec<ListedEngine> = (1..=4).map(listed).collect();
     let mut harness = SchedulerHarness::new(settings(vec![class(9 * S, 1.0, 1.0)]), &list);
-    let (mut met, mut gone, mut tables) = (0, 0, 0);
-    let mut send_query = |harness: &mut SchedulerHarness, sick: bool| {
+    let (mut seen, mut routed_while_failing, mut tables) = (0, 0, 0);
+    let mut send_query = |harness: &mut SchedulerHarness, failing: bool| {
         tables += 1;
         let (q, act) = harness.arrive(0, 100 * MS, tables);
         let there = sends(&act)[0].1 == 1;
-        met += usize::from(there);
+        seen += usize::from(there);
         // Four of five fail, at once, so that it looks idle.
-        let errs = sick && there && met % 5 != 0;
-        if errs {
+        let is_error = failing && there && seen % 5 != 0;
+        if is_error {
             harness.end(q, 0, Outcome::Error, MS);
         }
-        harness.end(q, u8::from(errs), Outcome::Ok, 100 * MS);
+        harness.end(q, u8::from(is_error), Outcome::Ok, 100 * MS);
         harness.tick(50 * MS);
         there
     };
     for _ in 0..800 {
-        gone += usize::from(send_query(&mut harness, true));
+        routed_while_failing += usize::from(send_query(&mut harness, true));
     }
-    assert!(gone * 40 < 800, "{gone} of 800 went to it");
-    let back = (0..800).filter(|_| send_query(&mut harness, false)).count();
-    assert!(back * 8 > 800, "{back} of 800 went to it once it was well");
+    assert!(
+        routed_while_failing * 40 < 800,
+        "{routed_while_failing} of 800 went to it"
+    );
+    let routed_after_recovery = (0..800).filter(|_| send_query(&mut harness, false)).count();
+    assert!(
+        routed_after_recovery * 8 > 800,
+        "{routed_after_recovery} of 800 went to it once it was well"
+    );
 }
 
 #[test]
@@ -346,14 +352,14 @@
         });
         let (q, act) = harness.arrive(0, S, 1);
         let first = sends(&act)[0].1;
-        let again = sends(&harness.end(q, 0, Outcome::Reset, S));
+        let retries = sends(&harness.end(q, 0, Outcome::Reset, S));
         assert!(
-            again.iter().all(|s| (s.1 == 2) == (first == 2)),
-            "{first} then {again:?}"
+            retries.iter().all(|s| (s.1 == 2) == (first == 2)),
+            "{first} then {retries:?}"
         );
         // Past the window nothing may be sent, nor refused.
         harness.now += 6 * S;
-        let n = again.len() as u8;
+        let n = retries.len() as u8;
         let act = harness.end(q, n, Outcome::Reset, 6 * S);
         assert!(sends(&act).is_empty() && failed(&act, q), "{act:?}");
     }
@@ -543,18 +549,18 @@
 }
 
 /// A world of random legal events; checks every action against the rules.
-struct World {
+struct RandomRun {
     harness: SchedulerHarness,
     seed: u64,
     phase: BTreeMap<u64, Phase>,
     open: BTreeMap<QueryId, (Query, u64)>,
-    tries: BTreeMap<QueryId, Vec<(u64, Option<Outcome>)>>,
-    wakes: BTreeSet<(u64, u64)>,
+    attempts: BTreeMap<QueryId, Vec<(u64, Option<Outcome>)>>,
+    timers: BTreeSet<(u64, u64)>,
     answered: BTreeSet<QueryId>,
     served: usize,
 }
 
-impl World {
+impl RandomRun {
     fn random(&mut self, n: u64) -> u64 {
         self.seed = self
             .seed
@@ -571,21 +577,21 @@
         for a in act {
             match a {
                 Action::SetTimer { after, token } => {
-                    self.wakes.insert((self.harness.now + after, token));
+                    self.timers.insert((self.harness.now + after, token));
                 }
                 Action::StartAttempt {
                     query: q,
                     engine: e,
                     timeout,
-                } => self.check_send(q, e.0, timeout),
+                } => self.check_start(q, e.0, timeout),
                 Action::Reject { query: q, .. } => {
                     let class = self.answer(q);
-                    let clean = self.tries[&q]
+                    let clean = self.attempts[&q]
                         .iter()
                         .all(|t| t.1.is_some_and(Outcome::never_ran));
                     assert!(
                         class == 0 || clean,
-                        "an unsafe query that may have run was refused"
+                        "an unsafe query that may have run was rejected"
                     );
                 }
                 Action::Fail(q) => {
@@ -603,17 +609,20 @@
         query.class
     }
 
-    fn check_send(&mut self, q: QueryId, e: u64, timeout: u64) {
+    fn check_start(&mut self, q: QueryId, e: u64, timeout: u64) {
         let (query, deadline) = self.open.get(&q).expect("a send for an open query");
         assert!(timeout > 0 && self.harness.now + timeout <= *deadline);
         assert_eq!(self.phase[&e], Phase::Ready, "sent to one that leaves");
-        let tries = &self.tries[&q];
-        assert!(tries.iter().all(|t| t.1.is_some()), "two attempts at once");
-        assert!(tries.len() < 3, "too many attempts");
+        let attempts = &self.attempts[&q];
+        assert!(
+            attempts.iter().all(|t| t.1.is_some()),
+            "two attempts at once"
+        );
+        assert!(attempts.len() < 3, "too many attempts");
         if query.class == 1 {
             assert!(e % 2 == 0, "misplaced");
             assert!(
-                tries.iter().all(|t| t.1.is_some_and(Outcome::never_ran)),
+                attempts.iter().all(|t| t.1.is_some_and(Outcome::never_ran)),
                 "an effect twice"
             );
             for (o, (other, _)) in &self.open {
@@ -622,13 +631,13 @@
                 assert!(!earlier, "out of turn");
             }
         }
-        self.tries.get_mut(&q).expect("known").push((e, None));
+        self.attempts.get_mut(&q).expect("known").push((e, None));
     }
 
     fn step(&mut self) {
         let until = self.harness.now + 5 * MS;
-        while let Some(&(at, token)) = self.wakes.first().filter(|w| w.0 <= until) {
-            self.wakes.remove(&(at, token));
+        while let Some(&(at, token)) = self.timers.first().filter(|w| w.0 <= until) {
+            self.timers.remove(&(at, token));
             self.harness.now = self.harness.now.max(at);
             self.event(Event::TimerFired(token));
         }
@@ -652,14 +661,14 @@
             ..self.harness.query(class, work, work as u32 % 5)
         };
         self.open.insert(q.id, (q, self.harness.now + budget));
-        self.tries.insert(q.id, Vec::new());
+        self.attempts.insert(q.id, Vec::new());
         self.event(Event::QueryArrived(q));
     }
 
     /// One of the attempts in flight ends.
     fn end_attempt(&mut self) {
         let out: Vec<(QueryId, u8)> = self
-            .tries
+            .attempts
             .iter()
             .flat_map(|(q, t)| {
                 t.iter()
@@ -680,7 +689,7 @@
             4 => Outcome::TimedOut,
             _ => Outcome::Ok,
         };
-        self.tries.get_mut(&q).expect("known")[usize::from(n)].1 = Some(outcome);
+        self.attempts.get_mut(&q).expect("known")[usize::from(n)].1 = Some(outcome);
         let mut last = self.answered.contains(&q);
         if outcome == Outcome::Ok && !last {
             last = true;
@@ -739,7 +748,7 @@
     }
 }
 
-fn world(seed: u64) -> World {
+fn random_run(seed: u64) -> RandomRun {
     let mut s = settings(vec![class(800 * MS, 1.0, 1.0), class(900 * MS, 4.0, 2.0)]);
     s.classes[1].idempotency = Idempotency::NotIdempotent;
     s.classes[1].in_order = true;
@@ -757,13 +766,13 @@
             ..listed(e)
         })
         .collect();
-    let mut w = World {
+    let mut w = RandomRun {
         harness: SchedulerHarness::new(s.clone(), &[]),
         seed,
         phase: (1..=6).map(|e| (e, Phase::Ready)).collect(),
         open: BTreeMap::new(),
-        tries: BTreeMap::new(),
-        wakes: BTreeSet::new(),
+        attempts: BTreeMap::new(),
+        timers: BTreeSet::new(),
         answered: BTreeSet::new(),
         served: 0,
     };
@@ -778,15 +787,15 @@
 #[test]
 fn random_legal_events_never_break_a_rule() {
     for seed in 1..=40 {
-        let mut w = world(seed);
+        let mut w = random_run(seed);
         for _ in 0..3000 {
             w.step();
         }
         assert!(w.served > 50, "{} served", w.served);
         // No arrivals any more: every open query is answered by its deadline.
         let last = w.open.values().map(|o| o.1).max().unwrap_or(0);
-        while let Some(&(at, token)) = w.wakes.first().filter(|x| x.0 <= last) {
-            w.wakes.remove(&(at, token));
+        while let Some(&(at, token)) = w.timers.first().filter(|x| x.0 <= last) {
+            w.timers.remove(&(at, token));
             w.harness.now = w.harness.now.max(at);
             w.event(Event::TimerFired(token));
         }
@@ -797,11 +806,11 @@
 #[test]
 fn same_events_give_same_actions() {
     let run = || {
-        let mut w = world(5);
+        let mut w = random_run(5);
         for _ in 0..2000 {
             w.step();
         }
-        (w.tries, w.answered)
+        (w.attempts, w.answered)
     };
     assert_eq!(run(), run());
 }
--- a/crates/scheduler/tests/slow_start.rs
+++ b/crates/scheduler/tests/slow_start.rs
@@ -4,12 +4,12 @@
 use driftfront_test_support::scheduler::*;
 
 const HOUR: u64 = 3_600 * S;
-const WARM_AFTER: u64 = 10 * S;
+const WARM_UP_TIME: u64 = 10 * S;
 
 /// A query's work.
 const WORK: u64 = S;
 /// Half of twenty cores at 85%, twice that, over 1 s, by 2 coordinators: 8.5 s of work.
-const MOST_IN_A_WINDOW: usize = 8;
+const MAX_PER_WINDOW: usize = 8;
 
 fn slow_start_settings() -> Settings {
     let mut s = settings(vec![class(60 * S, 1.0, 1.0)]);
@@ -20,7 +20,7 @@
     }];
     s.slow_start = Some(SlowStart {
         initial_share: 0.5,
-        warm_up_time: WARM_AFTER,
+        warm_up_time: WARM_UP_TIME,
         overload_multiple: 2.0,
         window: S,
     });
@@ -28,14 +28,14 @@
 }
 
 /// A coordinator that has learnt what its queries cost.
-fn learnt() -> SchedulerHarness {
-    learnt_by(driftfront_scheduler::Controller::new(
+fn trained_harness() -> SchedulerHarness {
+    train(driftfront_scheduler::Controller::new(
         slow_start_settings(),
         7,
     ))
 }
 
-fn learnt_by(controller: driftfront_scheduler::Controller) -> SchedulerHarness {
+fn train(controller: driftfront_scheduler::Controller) -> SchedulerHarness {
     let mut harness = SchedulerHarness::new(slow_start_settings(), &[]);
     harness.controller = controller;
     harness.now += 2 * HOUR;
@@ -62,7 +62,7 @@
 }
 
 /// Queries that go out within 0.9 s.
-fn sent(harness: &mut SchedulerHarness) -> usize {
+fn sent_within_900_ms(harness: &mut SchedulerHarness) -> usize {
     let mut sent = 0;
     for _ in 0..60 {
         let (_, act) = harness.arrive(0, WORK, 1);
@@ -84,34 +84,34 @@
 
 #[test]
 fn new_engine_warms_up_when_local_clock_is_an_hour_ahead() {
-    let mut harness = learnt();
+    let mut harness = trained_harness();
     let started_at = harness.now - HOUR;
     list_engine(&mut harness, started_at);
-    let sent = sent(&mut harness);
-    assert!((3..=MOST_IN_A_WINDOW).contains(&sent), "{sent}");
+    let sent = sent_within_900_ms(&mut harness);
+    assert!((3..=MAX_PER_WINDOW).contains(&sent), "{sent}");
 }
 
 #[test]
 fn engine_is_warm_in_time_when_local_clock_is_an_hour_behind() {
-    let mut harness = learnt();
+    let mut harness = trained_harness();
     let started_at = harness.now + HOUR;
     list_engine(&mut harness, started_at);
-    let slow_start = sent(&mut harness);
-    assert!((3..=MOST_IN_A_WINDOW).contains(&slow_start), "{slow_start}");
+    let slow_start = sent_within_900_ms(&mut harness);
+    assert!((3..=MAX_PER_WINDOW).contains(&slow_start), "{slow_start}");
     // What waited meanwhile goes out and ends.
-    for _ in 0..WARM_AFTER / (50 * MS) {
+    for _ in 0..WARM_UP_TIME / (50 * MS) {
         let act = harness.tick(50 * MS);
         serve(&mut harness, &act);
     }
     // The same line comes again, as after a new connection to the list: that is no new start.
     list_engine(&mut harness, started_at);
-    let warm = sent(&mut harness);
+    let warm = sent_within_900_ms(&mut harness);
     assert!(warm > 40, "{warm}");
 }
 
 #[test]
 fn slow_start_budget_holds_when_connections_are_late() {
-    let mut harness = learnt_by(
+    let mut harness = train(
         driftfront_scheduler::Controller::new(slow_start_settings(), 7).awaiting_first_bytes(),
     );
     let started_at = harness.now;
@@ -136,7 +136,7 @@
         })
         .count();
     assert!(
-        (3..=MOST_IN_A_WINDOW).contains(&out),
+        (3..=MAX_PER_WINDOW).contains(&out),
         "{out} of {} planned",
         planned.len()
     );
--- a/crates/scheduler/tests/transcript.rs
+++ b/crates/scheduler/tests/transcript.rs
@@ -68,25 +68,25 @@
 }
 
 #[derive(Clone, Debug)]
-enum What {
+enum SimEvent {
     Arrival(usize),
-    SetTimer(usize, u64),
+    TimerFired(usize, u64),
     FirstByte(usize, u64, u8, u64),
     End(usize, u64, u8, Outcome),
-    ProgressReport(usize, u64, u8, ProgressReport),
+    Progress(usize, u64, u8, ProgressReport),
     Stream(usize, u64, u8),
     ProbeEnd(usize, u64),
     GossipReceived(usize, usize, Vec<u8>),
     List(usize, ListKind),
-    NoList(usize),
+    DiscoveryFailed(usize),
     Change(u64),
     ClientLeaves(usize, u64),
-    Trouble,
+    Fault,
 }
 
 struct SimEngine {
     line: ListedEngine,
-    slowness: f64,
+    slowdown: f64,
     down_until: u64,
     error_percent: u64,
     running: BTreeSet<(usize, u64, u8)>,
@@ -94,10 +94,10 @@
 }
 
 impl SimEngine {
-    fn new(line: ListedEngine, slowness: f64) -> SimEngine {
+    fn new(line: ListedEngine, slowdown: f64) -> SimEngine {
         SimEngine {
             line,
-            slowness,
+            slowdown,
             down_until: 0,
             error_percent: 0,
             running: BTreeSet::new(),
@@ -114,11 +114,11 @@
     concluded: bool,
 }
 
-struct World {
+struct Simulation {
     dice: Dice,
     now: u64,
     order: u64,
-    due: BTreeMap<(u64, u64), What>,
+    pending: BTreeMap<(u64, u64), SimEvent>,
     settings: Settings,
     coordinators: Vec<Controller>,
     awaits_first_bytes: bool,
@@ -126,17 +126,17 @@
     queries: BTreeMap<(usize, u64), SimQuery>,
     next_query: u64,
     arrival_gap: f64,
-    out: Transcript,
+    transcript: Transcript,
 }
 
-impl World {
+impl Simulation {
     fn new(
         settings: Settings,
         seed: u64,
         engines: u64,
         awaits_first_bytes: bool,
         load: f64,
-    ) -> World {
+    ) -> Simulation {
         let mut dice = Dice(seed);
         let make = |n: u32| {
             let own = Settings {
@@ -172,11 +172,11 @@
             })
             .sum();
         let mean = mean_work(&settings.classes);
-        let mut world = World {
+        let mut simulation = Simulation {
             dice,
             now: 100 * S,
             order: 0,
-            due: BTreeMap::new(),
+            pending: BTreeMap::new(),
             coordinators,
             awaits_first_bytes,
             engines,
@@ -184,30 +184,30 @@
             next_query: 1,
             arrival_gap: mean / cores / load,
             settings,
-            out: Transcript::default(),
+            transcript: Transcript::default(),
         };
-        for g in 0..world.coordinators.len() {
-            let after = world.dice.below(20 * MS);
-            world.at(after, What::List(g, ListKind::Cached));
-            world.at(after + 40 * MS, What::Arrival(g));
+        for g in 0..simulation.coordinators.len() {
+            let after = simulation.dice.below(20 * MS);
+            simulation.schedule(after, SimEvent::List(g, ListKind::Cached));
+            simulation.schedule(after + 40 * MS, SimEvent::Arrival(g));
         }
-        world.at(2 * S, What::Trouble);
-        world
+        simulation.schedule(2 * S, SimEvent::Fault);
+        simulation
     }
 
-    fn at(&mut self, after: u64, what: What) {
+    fn schedule(&mut self, after: u64, event: SimEvent) {
         self.order += 1;
-        self.due.insert((self.now + after, self.order), what);
+        self.pending.insert((self.now + after, self.order), event);
     }
 
     fn run(mut self, seconds: u64) -> Transcript {
         let end = self.now + seconds * S;
-        while let Some(((at, _), what)) = self.due.pop_first() {
+        while let Some(((at, _), event)) = self.pending.pop_first() {
             if at > end {
                 break;
             }
             self.now = at;
-            self.happen(what);
+            self.handle(event);
         }
         for g in 0..self.coordinators.len() {
             let open = self.coordinators[g].open_queries();
@@ -217,12 +217,12 @@
                     u.used, u.allowed, u.requests, u.times_held, u.denied, u.denied_at_send
                 )
             });
-            self.out.line(
+            self.transcript.line(
                 "end",
                 &format!("end of {g}: open {open}, budget {budget:?}"),
             );
         }
-        self.out
+        self.transcript
     }
 
     fn report(&mut self, engine: u64) -> Vec<f64> {
@@ -263,16 +263,18 @@
                 .next()
                 .unwrap_or_default()
                 .to_string();
-            self.out
+            self.transcript
                 .line(&kind, &format!("{} {g} {what}: {description}", self.now));
-            self.obey(g, action);
+            self.apply(g, action);
         }
     }
 
-    fn obey(&mut self, g: usize, action: Action) {
+    fn apply(&mut self, g: usize, action: Action) {
         match action {
             Action::SetResources { .. } | Action::Log(_) => {}
-            Action::SetTimer { after, token } => self.at(after, What::SetTimer(g, token)),
+            Action::SetTimer { after, token } => {
+                self.schedule(after, SimEvent::TimerFired(g, token))
+            }
             Action::Reject { query: q, .. } | Action::Fail(q) => {
                 if let Some(query) = self.queries.get_mut(&(g, q.0)) {
                     query.concluded = true;
@@ -280,11 +282,11 @@
             }
             Action::CancelAttempt { query: q, attempt } => {
                 let after = self.dice.below(3 * MS);
-                self.at(after, What::End(g, q.0, attempt, Outcome::Cancelled));
+                self.schedule(after, SimEvent::End(g, q.0, attempt, Outcome::Cancelled));
             }
             Action::Probe(engine) => {
                 let after = MS + self.dice.below(8 * MS);
-                self.at(after, What::ProbeEnd(g, engine.0));
+                self.schedule(after, SimEvent::ProbeEnd(g, engine.0));
             }
             Action::SendGossip {
                 peer,
@@ -292,15 +294,15 @@
             } => {
                 if (peer as usize) < self.coordinators.len() && !self.dice.chance(10) {
                     let after = MS + self.dice.below(30 * MS);
-                    self.at(after, What::GossipReceived(peer as usize, g, bytes));
+                    self.schedule(after, SimEvent::GossipReceived(peer as usize, g, bytes));
                 }
             }
             Action::WatchEngines => {
                 let after = 5 * MS + self.dice.below(50 * MS);
                 match self.dice.below(4) {
-                    0 => self.at(after, What::NoList(g)),
+                    0 => self.schedule(after, SimEvent::DiscoveryFailed(g)),
                     1 => {}
-                    _ => self.at(after, What::List(g, ListKind::Full)),
+                    _ => self.schedule(after, SimEvent::List(g, ListKind::Full)),
                 }
             }
             Action::StartAttempt {
@@ -316,7 +318,7 @@
                         0 => self.dice.below(400 * MS),
                         _ => self.dice.below(2 * MS),
                     };
-                    self.at(after, What::FirstByte(g, q.0, attempt, timeout));
+                    self.schedule(after, SimEvent::FirstByte(g, q.0, attempt, timeout));
                 } else {
                     self.start(g, q.0, attempt, timeout);
                 }
@@ -329,70 +331,70 @@
         let threads = self.settings.classes[usize::from(self.queries[&(g, q)].query.class)].threads;
         let work = self.queries[&(g, q)].true_work;
         let Some(e) = self.engines.get(&id) else {
-            return self.at(MS, What::End(g, q, attempt, Outcome::Unreachable));
+            return self.schedule(MS, SimEvent::End(g, q, attempt, Outcome::Unreachable));
         };
         if self.now < e.down_until {
-            let how = match self.dice.below(5) {
+            let outcome = match self.dice.below(5) {
                 0 => Outcome::TimedOut,
                 1 => Outcome::Reset,
                 _ => Outcome::Unreachable,
             };
-            let after = if how == Outcome::TimedOut {
+            let after = if outcome == Outcome::TimedOut {
                 timeout
             } else {
                 MS + self.dice.below(250 * MS)
             };
-            return self.at(after, What::End(g, q, attempt, how));
+            return self.schedule(after, SimEvent::End(g, q, attempt, outcome));
         }
         let cores = self.settings.kinds[usize::from(e.line.kind)]
             .cores
             .unwrap_or(8.0);
         if e.threads > 4.0 * cores {
-            return self.at(MS, What::End(g, q, attempt, Outcome::Rejected));
+            return self.schedule(MS, SimEvent::End(g, q, attempt, Outcome::Rejected));
         }
-        let crowding = (e.threads / cores).max(1.0);
-        let (slowness, errors) = (e.slowness, e.error_percent);
+        let contention = (e.threads / cores).max(1.0);
+        let (slowdown, errors) = (e.slowdown, e.error_percent);
         let e = self.engines.get_mut(&id).expect("looked up above");
         e.threads += threads;
         e.running.insert((g, q, attempt));
-        let mut run = work / threads * slowness * crowding * self.dice.between(0.7, 1.5);
+        let mut run = work / threads * slowdown * contention * self.dice.between(0.7, 1.5);
         if self.dice.chance(2) {
             run *= 12.0;
         }
         let run = run as u64 + 1;
-        if let Some(every) = self.settings.progress_interval {
-            for n in 1..=(run / every).min(6) {
-                let done = n as f64 * every as f64 / run as f64;
-                let note = match self.dice.below(20) {
+        if let Some(interval) = self.settings.progress_interval {
+            for n in 1..=(run / interval).min(6) {
+                let done = n as f64 * interval as f64 / run as f64;
+                let report = match self.dice.below(20) {
                     0 => ProgressReport::WaitsForLoad,
                     1 => ProgressReport::WaitsForMemory,
                     2 => ProgressReport::Spills(100.0),
                     _ => ProgressReport::Progress(done * self.dice.between(0.8, 1.2)),
                 };
-                self.at(n * every, What::ProgressReport(g, q, attempt, note));
+                self.schedule(n * interval, SimEvent::Progress(g, q, attempt, report));
             }
         }
-        let errs = self.dice.chance(errors);
-        let (after, how) = match self.dice.below(100) {
-            _ if errs => (run / 8 + 1, Outcome::Error),
+        let fails = self.dice.chance(errors);
+        let (after, outcome) = match self.dice.below(100) {
+            _ if fails => (run / 8 + 1, Outcome::Error),
             0 => (run / 2 + 1, Outcome::Reset),
             1 => (run / 4 + 1, Outcome::Error),
             2 => (MS, Outcome::Rejected),
             _ if run > timeout => (timeout, Outcome::TimedOut),
             _ => (run, Outcome::Ok),
         };
-        if how == Outcome::Ok && self.dice.chance(10) {
-            self.at(after * 2 / 3, What::Stream(g, q, attempt));
+        if outcome == Outcome::Ok && self.dice.chance(10) {
+            self.schedule(after * 2 / 3, SimEvent::Stream(g, q, attempt));
         }
-        self.at(after, What::End(g, q, attempt, how));
+        self.schedule(after, SimEvent::End(g, q, attempt, outcome));
     }
 
     fn end(&mut self, g: usize, q: u64, attempt: u8, outcome: Outcome) {
         let Some(query) = self.queries.get_mut(&(g, q)) else {
             return;
         };
-        let (engine, sent, is_out) = query.attempts[usize::from(attempt)];
-        if !is_out {
+        let (engine, sent, is_in_flight) = query.attempts[usize::from(attempt)];
+        if !is_in_flight {
             return;
         }
         query.attempts[usize::from(attempt)].2 = false;
@@ -436,16 +438,18 @@
         self.engines.values().map(|e| e.line).collect()
     }
 
-    fn happen(&mut self, what: What) {
-        match what {
-            What::Arrival(g) => self.arrive(g),
-            What::SetTimer(g, token) => self.notify(g, "woken", Event::TimerFired(token)),
-            What::FirstByte(g, q, attempt, timeout) => self.first_byte(g, q, attempt, timeout),
-            What::End(g, q, attempt, outcome) => self.end(g, q, attempt, outcome),
-            What::ProgressReport(g, q, attempt, note) => self.progress(g, q, attempt, note),
-            What::Stream(g, q, attempt) => self.stream_starts(g, q, attempt),
-            What::ProbeEnd(g, engine) => self.probe_ends(g, engine),
-            What::GossipReceived(to, from, mut bytes) => {
+    fn handle(&mut self, event: SimEvent) {
+        match event {
+            SimEvent::Arrival(g) => self.arrive(g),
+            SimEvent::TimerFired(g, token) => self.notify(g, "woken", Event::TimerFired(token)),
+            SimEvent::FirstByte(g, q, attempt, timeout) => self.first_byte(g, q, attempt, timeout),
+            SimEvent::End(g, q, attempt, outcome) => self.end(g, q, attempt, outcome),
+            SimEvent::Progress(g, q, attempt, progress_report) => {
+                self.progress(g, q, attempt, progress_report)
+            }
+            SimEvent::Stream(g, q, attempt) => self.stream_starts(g, q, attempt),
+            SimEvent::ProbeEnd(g, engine) => self.probe_ends(g, engine),
+            SimEvent::GossipReceived(to, from, mut bytes) => {
                 if self.dice.chance(2) {
                     bytes.truncate(self.dice.below(bytes.len() as u64) as usize);
                 }
@@ -458,7 +462,7 @@
                     },
                 );
             }
-            What::List(g, kind) => {
+            SimEvent::List(g, kind) => {
                 let list = self.list();
                 self.notify(
                     g,
@@ -469,26 +473,26 @@
                     },
                 );
             }
-            What::NoList(g) => self.notify(g, "no list", Event::DiscoveryFailed),
-            What::Change(engine) => self.list_changes(engine),
-            What::ClientLeaves(g, q) => {
+            SimEvent::DiscoveryFailed(g) => self.notify(g, "no list", Event::DiscoveryFailed),
+            SimEvent::Change(engine) => self.list_changes(engine),
+            SimEvent::ClientLeaves(g, q) => {
                 let open = self.queries.get_mut(&(g, q)).filter(|s| !s.concluded);
                 if let Some(query) = open {
                     query.concluded = true;
                     self.notify(g, "client left", Event::ClientLeft(QueryId(q)));
                 }
             }
-            What::Trouble => self.trouble(),
+            SimEvent::Fault => self.inject_fault(),
         }
     }
 
     fn first_byte(&mut self, g: usize, q: u64, attempt: u8, timeout: u64) {
-        let is_out = |s: &SimQuery| s.attempts[usize::from(attempt)].2;
-        if !self.queries.get(&(g, q)).is_some_and(is_out) {
+        let is_in_flight = |s: &SimQuery| s.attempts[usize::from(attempt)].2;
+        if !self.queries.get(&(g, q)).is_some_and(is_in_flight) {
             return;
         }
         let may = self.coordinators[g].may_send_first_byte(self.now, QueryId(q), attempt);
-        self.out.line(
+        self.transcript.line(
             "first byte",
             &format!("{} {g} first byte {q}.{attempt}: {may}", self.now),
         );
@@ -545,16 +549,16 @@
         }
     }
 
-    fn progress(&mut self, g: usize, q: u64, attempt: u8, note: ProgressReport) {
-        let is_out = |s: &SimQuery| s.attempts[usize::from(attempt)].2;
-        if self.queries.get(&(g, q)).is_some_and(is_out) {
+    fn progress(&mut self, g: usize, q: u64, attempt: u8, progress_report: ProgressReport) {
+        let is_in_flight = |s: &SimQuery| s.attempts[usize::from(attempt)].2;
+        if self.queries.get(&(g, q)).is_some_and(is_in_flight) {
             self.notify(
                 g,
                 "note",
                 Event::ProgressReported {
                     query: QueryId(q),
                     attempt,
-                    report: note,
+                    report: progress_report,
                 },
             );
         }
@@ -574,15 +578,15 @@
         }
     }
 
-    fn trouble(&mut self) {
+    fn inject_fault(&mut self) {
         let again = S / 2 + self.dice.below(2 * S);
-        self.at(again, What::Trouble);
+        self.schedule(again, SimEvent::Fault);
         let count = self.engines.len() as u64;
         let id = 1 + self.dice.below(count + 2);
         let now = self.now;
         let dice = &mut self.dice;
         match (dice.below(7), self.engines.get_mut(&id)) {
-            (0, Some(e)) => e.slowness = dice.between(0.7, 6.0),
+            (0, Some(e)) => e.slowdown = dice.between(0.7, 6.0),
             (1, Some(e)) => e.error_percent = [0, 30, 85][dice.below(3) as usize],
             (2, Some(e)) => {
                 e.down_until = now + dice.below(4 * S);
@@ -591,20 +595,20 @@
                 let lost: Vec<_> = e.running.iter().copied().collect();
                 for (g, q, attempt) in lost {
                     let after = self.dice.below(20 * MS);
-                    self.at(after, What::End(g, q, attempt, Outcome::Reset));
+                    self.schedule(after, SimEvent::End(g, q, attempt, Outcome::Reset));
                 }
-                self.at(back, What::Change(id));
+                self.schedule(back, SimEvent::Change(id));
             }
             (3, Some(e)) => {
                 e.line.phase = match e.line.phase {
                     Phase::Ready => Phase::Draining,
                     Phase::Draining | Phase::Gone => Phase::Ready,
                 };
-                self.at(MS, What::Change(id));
+                self.schedule(MS, SimEvent::Change(id));
             }
             (4, Some(_)) if count > 3 => {
                 self.engines.remove(&id);
-                self.at(MS, What::Change(id));
+                self.schedule(MS, SimEvent::Change(id));
             }
             (5, Some(e)) => {
                 let zone = e.line.zone;
@@ -621,7 +625,7 @@
                     ..listed(id)
                 };
                 self.engines.insert(id, SimEngine::new(line, 1.0));
-                self.at(MS, What::Change(id));
+                self.schedule(MS, SimEvent::Change(id));
             }
             _ => {
                 self.arrival_gap *= [0.6, 0.8, 1.4, 1.5][self.dice.below(4) as usize];
@@ -632,16 +636,16 @@
     fn arrive(&mut self, g: usize) {
         let own_gap = self.arrival_gap * self.coordinators.len() as f64;
         let gap = own_gap * self.dice.between(0.1, 1.9);
-        self.at(gap as u64 + 1, What::Arrival(g));
+        self.schedule(gap as u64 + 1, SimEvent::Arrival(g));
         let dice = &mut self.dice;
         let class = dice.below(self.settings.classes.len() as u64) as u16;
         let c = &self.settings.classes[usize::from(class)];
         let true_work = 0.25 * c.latency_objective as f64 * c.threads * dice.between(0.2, 1.8);
         let known = dice.below(10);
-        let (memory_known, pinned) = (dice.chance(50), dice.below(20));
-        let pin = (pinned < 2).then(|| StickySession {
+        let (memory_known, session_draw) = (dice.chance(50), dice.below(20));
+        let sticky_session = (session_draw < 2).then(|| StickySession {
             engine: EngineId(1 + dice.below(4)),
-            is_exclusive: pinned == 0,
+            is_exclusive: session_draw == 0,
         });
         let query = Query {
             id: QueryId(self.next_query),
@@ -653,7 +657,7 @@
             ordering_key: dice.chance(50).then(|| dice.below(5)),
             has_idempotency_key: dice.chance(80),
             idempotent_until: dice.chance(10).then(|| self.now + dice.below(3 * S)),
-            sticky_session: pin,
+            sticky_session,
             client_timeout: if dice.chance(2) {
                 dice.below(30 * MS)
             } else {
@@ -664,7 +668,7 @@
         let id = query.id.0;
         if dice.chance(3) {
             let after = self.dice.below(S);
-            self.at(after, What::ClientLeaves(g, id));
+            self.schedule(after, SimEvent::ClientLeaves(g, id));
         }
         let sim = SimQuery {
             query: Query {
@@ -763,7 +767,7 @@
     };
     assert_golden!(
         "transcript_alone.txt",
-        World::new(alone, 1, 4, false, 1.1).run(60).text()
+        Simulation::new(alone, 1, 4, false, 1.1).run(60).text()
     );
 }
 
@@ -781,7 +785,7 @@
     };
     assert_golden!(
         "transcript_few_gossip.txt",
-        World::new(s, 2, 6, false, 1.2).run(40).text()
+        Simulation::new(s, 2, 6, false, 1.2).run(40).text()
     );
 }
 
@@ -798,7 +802,7 @@
     };
     assert_golden!(
         "transcript_slow_start.txt",
-        World::new(s, 3, 6, false, 1.0).run(40).text()
+        Simulation::new(s, 3, 6, false, 1.0).run(40).text()
     );
 }
 
@@ -812,7 +816,7 @@
     };
     assert_golden!(
         "transcript_first_bytes.txt",
-        World::new(s, 4, 6, true, 1.0).run(40).text()
+        Simulation::new(s, 4, 6, true, 1.0).run(40).text()
     );
 }
 
@@ -829,7 +833,7 @@
     };
     assert_golden!(
         "transcript_copies.txt",
-        World::new(s, 5, 6, false, 1.1).run(40).text()
+        Simulation::new(s, 5, 6, false, 1.1).run(40).text()
     );
 }
 
@@ -841,7 +845,7 @@
     };
     assert_golden!(
         "transcript_many.txt",
-        World::new(s, 6, 24, false, 0.9).run(25).text()
+        Simulation::new(s, 6, 24, false, 0.9).run(25).text()
     );
 }
 
@@ -855,7 +859,7 @@
     };
     assert_golden!(
         "transcript_many_paging.txt",
-        World::new(s, 7, 20, false, 1.2).run(25).text()
+        Simulation::new(s, 7, 20, false, 1.2).run(25).text()
     );
 }
 
@@ -873,7 +877,7 @@
     };
     assert_golden!(
         "transcript_many_answers.txt",
-        World::new(s, 8, 20, true, 1.1).run(25).text()
+        Simulation::new(s, 8, 20, true, 1.1).run(25).text()
     );
 }
 
@@ -916,7 +920,7 @@
             ..base
         };
         let awaits = yes(40);
-        let run = World::new(
+        let run = Simulation::new(
             s,
             seed,
             5 + seed % 9,
