--- a/crates/scheduler/src/demand_share.rs
+++ b/crates/scheduler/src/demand_share.rs
@@ -1,28 +1,31 @@
-//! This coordinator's part of the cluster's demand, and the cluster's load: brought up to date with each tick.
+//! This coordinator's share of the cluster's demand, and the cluster's load, updated with each
+//! tick.
 //!
-//! Input: own demand, what peers say of theirs, and load reports. Output: the figures of [`ClusterLoad`].
+//! Input: own demand, peers' gossip, and load reports. Output: the values of [`ClusterLoad`].
 //!
 //! [`ClusterLoad`]: crate::cluster_load::ClusterLoad
 
-use crate::capacity::{is_pressed, remaining_work};
+use crate::capacity::{is_under_pressure, remaining_work};
 use crate::engines::Engine;
-use crate::slow_start::warmth;
+use crate::slow_start::warm_capacity_share;
 use crate::slowdown::{faded, PRESSURE_SLOWDOWN};
 use crate::state::SchedulerState;
 use crate::types::Micros;
 
-/// Weight of one tick in the share: some two seconds.
+/// Weight of one tick in the smoothed share: a time constant of about two seconds.
 const SHARE_WEIGHT: f64 = 0.03;
-/// Others that hold less than this part of one's own each are down, not quiet.
-const MIN_PART_OF_OTHERS: f64 = 0.12;
-/// The cluster is overloaded once one in so many engines that were heard is pressed ...
-const OVERLOAD_PART: usize = 2;
-/// ... or one in so many where none heals soon.
-const FINAL_OVERLOAD_PART: usize = 5;
-/// So few engines heard count as so many.
+/// If the other coordinators on average have less than this fraction of this coordinator's queries,
+/// they are down rather than idle.
+const MIN_PEER_ACTIVITY_SHARE: f64 = 0.12;
+/// The cluster is overloaded once more than one in this many reporting engines is under pressure
+/// ...
+const OVERLOAD_ONE_IN: usize = 2;
+/// ... or one in this many, if an engine that pages cannot recover soon.
+const PERMANENT_OVERLOAD_ONE_IN: usize = 5;
+/// Minimum for the number of reporting engines in this ratio.
 const MIN_REPORTING_ENGINES: usize = 4;
 
-/// Brings the cluster's figures up to date.
+/// Updates the cluster's load and this coordinator's share.
 pub(crate) fn update_cluster_load(state: &mut SchedulerState, now: Micros) {
     state.cluster.share = demand_share(state, now);
     if !state.uses_subset {
@@ -37,7 +40,7 @@
     state.cluster.remaining_work = remaining.sum();
     let warm_cores = state
         .ready_engines()
-        .map(|e| state.cores(e) * warmth(state, now, e));
+        .map(|e| state.cores(e) * warm_capacity_share(state, now, e));
     state.cluster.cores = warm_cores.sum();
     state.cluster.slowdown = faded(state.cluster.slowdown, 1.0);
     state.cluster.is_overloaded = is_overloaded(state, now);
@@ -47,22 +50,23 @@
     if !state.has_load_reports || state.cluster.slowdown > PRESSURE_SLOWDOWN {
         return true;
     }
-    let (mut reporting, mut pressed) = (0, 0);
+    let (mut reporting, mut under_pressure) = (0, 0);
     for engine in state.ready_engines() {
         if engine.fresh_report(now).is_some() {
             reporting += 1;
-            pressed += usize::from(is_pressed(state, now, engine));
+            under_pressure += usize::from(is_under_pressure(state, now, engine));
         }
     }
-    let part = if state.is_paging_final {
-        FINAL_OVERLOAD_PART
+    let one_in = if state.is_paging_permanent {
+        PERMANENT_OVERLOAD_ONE_IN
     } else {
-        OVERLOAD_PART
+        OVERLOAD_ONE_IN
     };
-    part * pressed > reporting.max(MIN_REPORTING_ENGINES)
+    one_in * under_pressure > reporting.max(MIN_REPORTING_ENGINES)
 }
 
-/// This coordinator's part of the cluster's demand, taking the peers that gossip lately as a sample.
+/// This coordinator's share of the cluster's demand, with the peers that sent gossip recently as a
+/// sample.
 fn demand_share(state: &SchedulerState, now: Micros) -> f64 {
     let coordinators = f64::from(state.settings.coordinators.max(1));
     let own = state.cluster.demand;
@@ -73,7 +77,8 @@
     let others = coordinators - 1.0;
     let peers = state.peers.recent_demand(now);
     if state.uses_subset {
-        // Those that gossip are a sample; few queries tell little of one's own part: half of it is the mean's.
+        // The peers heard are a sample, and few queries say little about this coordinator's own
+        // share, so half of it is the mean share.
         let mean = peers.demand / (peers.count + 1e-9);
         return (0.5 * own / (own + mean * others)) + 0.5 / coordinators;
     }
@@ -81,7 +86,8 @@
     (own / (own + peers.demand + silent * own)).max(0.5 / coordinators)
 }
 
-/// Own part of the queries that engines report, where it says that other coordinators are down.
+/// This coordinator's share of the queries that engines report, if it shows that other coordinators
+/// are down.
 fn reported_share(state: &SchedulerState, now: Micros) -> Option<f64> {
     let active = |e: &Engine| e.fresh_report(now)?.active;
     let (mut own, mut all) = (0.0, 0.0);
@@ -93,6 +99,6 @@
         }
     }
     let others = f64::from(state.settings.coordinators) - 1.0;
-    let are_down = all - own < MIN_PART_OF_OTHERS * own * others;
+    let are_down = all - own < MIN_PEER_ACTIVITY_SHARE * own * others;
     (!state.uses_subset && are_down).then_some(own / all)
 }
