--- a/crates/scheduler/tests/coordinators.rs
+++ b/crates/scheduler/tests/coordinators.rs
@@ -1,4 +1,4 @@
-//! Many controllers side by side, each with a small part of every engine.
+//! Many controllers side by side, each with a small share of every engine.
 #![allow(
     clippy::cast_possible_truncation,
     reason = "the numbers of these tests are small"
@@ -12,7 +12,7 @@
     all: Vec<Controller>,
     now: u64,
     next: u64,
-    /// Engine and class of what was sent, by query; taken off again when it ends.
+    /// Coordinator, query, engine and class of each attempt in flight.
     in_flight: Vec<(usize, QueryId, u64, u16)>,
     probes: usize,
     messages: usize,
@@ -72,7 +72,7 @@
             }
         }
     }
-    /// Every fifth query is of class 1, wide; the rest are of class 0.
+    /// Every fifth query is of the wide class 1; the others are of class 0.
     fn arrive(&mut self, coordinator: usize) {
         let id = QueryId(self.next);
         self.next += 1;
@@ -165,7 +165,7 @@
     });
     let mut list: Vec<ListedEngine> = (1..=20).map(listed).collect();
     let mut group = CoordinatorGroup::new(100, &cfg, &list);
-    // Whom chance names differs by draw: six seconds see enough of them.
+    // The engines that random draws select differ by draw; six seconds cover enough draws.
     let step = |group: &mut CoordinatorGroup| {
         for _ in 0..10 {
             let g = (group.next * 37 % 100) as usize;
@@ -176,7 +176,7 @@
             group.finish(0);
         }
     };
-    // Ten seconds in which every coordinator learns what its queries cost.
+    // Ten seconds in which every coordinator learns the work of its queries.
     (0..200).for_each(|_| step(&mut group));
     list[4].started_at = Some(group.now);
     for g in 0..group.all.len() {
@@ -216,7 +216,7 @@
 fn coordinators_together_keep_near_the_thread_bound() {
     let list: Vec<ListedEngine> = (1..=20).map(listed).collect();
     let mut group = CoordinatorGroup::new(100, &group_settings(), &list);
-    // A flood of which nothing ends: 2000 queries within a second on 160 cores.
+    // A burst in which nothing ends: 2000 queries within a second on 160 cores.
     for n in 0..2000 {
         group.arrive(n % 100);
         if n % 100 == 99 {
@@ -228,7 +228,8 @@
         .iter()
         .map(|o| if o.3 == 1 { 4.0 } else { 1.0 })
         .sum();
-    // Without a bound over the cluster each coordinator may start a wide query on every engine: 3200 threads.
+    // Without a cluster-wide bound each coordinator could start a wide query on every engine: 3200
+    // threads.
     assert!(threads / 160.0 < 8.0, "{threads} threads on 160 cores");
     assert!(threads / 160.0 > 1.0, "{threads} threads on 160 cores");
 }
--- a/crates/scheduler/tests/golden.rs
+++ b/crates/scheduler/tests/golden.rs
@@ -1,4 +1,4 @@
-//! The bytes that a coordinator's decision module sends its peers, and what it takes from them.
+//! Byte format of gossip messages, handling of received ones, and log lines.
 #![allow(
     clippy::cast_possible_truncation,
     reason = "the numbers of these tests are small"
@@ -22,7 +22,7 @@
     ReportField::Unknown,
 ];
 
-/// One of many coordinators, or of two; each engine has two cores.
+/// A coordinator in a cluster of the given size. Each engine has two cores.
 fn sender(coordinators: u32, fields: &[ReportField], number: u32, seed: u64) -> Controller {
     let with = Settings {
         coordinators,
@@ -32,7 +32,7 @@
         ..settings(vec![class(9 * S, 1.0, 1.0)])
     };
     let mut controller = Controller::new(with, seed);
-    // Ids beyond six bytes are cut; a peer reads what is left.
+    // Ids are truncated to six bytes; the peer reads the truncated id.
     let list: Vec<ListedEngine> = [1, 2, 300, 0xffee_ddcc_bbaa, 0x1_0000_0000_0007]
         .map(listed)
         .to_vec();
@@ -44,7 +44,7 @@
     controller
 }
 
-/// Ticks until messages are due; each message's bytes, the peer before it.
+/// Ticks until messages are due, and returns each with its recipient.
 fn messages(controller: &mut Controller, from: Micros) -> Vec<(u32, Vec<u8>)> {
     let mut all = Vec::new();
     for n in 0..25 {
@@ -145,7 +145,7 @@
     assert_golden!("message_full.bin", first(&sent));
 }
 
-/// One that shares each engine with many takes a peer's word of the engines over, and passes it on.
+/// A coordinator that uses a subset applies a peer's engine entries and forwards them.
 #[test]
 fn gossip_of_an_earlier_build_is_read_and_forwarded() {
     let mut reader = sender(14, &ALL_FIELDS, 2, 6);
@@ -203,7 +203,7 @@
     assert_ne!(run(Some(&golden)), without);
 }
 
-/// Lines that operators read in the log.
+/// Lines in the operators' log.
 #[test]
 fn log_lines() {
     let mut lines = String::new();
@@ -219,7 +219,7 @@
     ] {
         let mut controller = sender(2, &ALL_FIELDS, 0, 3);
         let mut actions = Vec::new();
-        // Twice, as one error may be the query's own.
+        // Twice, since a single error may be the query's own fault.
         for n in 0..2 {
             let now = 110 * S + n * S;
             let event = Event::ProbeEnded {
--- a/crates/scheduler/tests/limits.rs
+++ b/crates/scheduler/tests/limits.rs
@@ -1,4 +1,5 @@
-//! The decision module keeps its shape: small modules, imports that run one way, and nothing of the world outside.
+//! Structural limits on the scheduler's sources: small modules, acyclic imports, and no access to
+//! clocks or I/O.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
@@ -6,7 +7,8 @@
 const MAX_LINES: usize = 400;
 const MAX_COLUMNS: usize = 132;
 
-/// What decisions must not touch: time is an argument, random numbers are seeded, and actions are all that goes out.
+/// Items that the scheduler must not use: time is an argument, random numbers are seeded, and
+/// actions are the only output.
 const FORBIDDEN: [&str; 14] = [
     "std::fs",
     "std::io",
@@ -24,13 +26,13 @@
     "print",
 ];
 
-/// The text of each module, by its name.
+/// Source text of each module, by name.
 fn modules() -> BTreeMap<String, String> {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("src");
     let mut modules = BTreeMap::new();
     for entry in std::fs::read_dir(folder).expect("the crate has sources") {
         let path = entry.expect("an entry").path();
-        assert!(path.is_file(), "modules of modules are not looked at here");
+        assert!(path.is_file(), "nested modules are not checked here");
         let name = path.file_stem().expect("a name").to_string_lossy();
         let text = std::fs::read_to_string(&path).expect("a source is text");
         modules.insert(name.into_owned(), text);
@@ -38,13 +40,13 @@
     modules
 }
 
-/// A module's text without its comments.
+/// Source text without comments.
 fn code(text: &str) -> String {
     let lines = text.lines().map(|l| l.split("//").next().unwrap_or(""));
     lines.collect::<Vec<_>>().join("\n")
 }
 
-/// The modules that a module names behind `crate::`, by path or in braces, or behind `super::`.
+/// Modules that a module names after `crate::`, as a path or in braces, or after `super::`.
 fn imports(text: &str, all: &BTreeSet<String>) -> BTreeSet<String> {
     let code = code(text);
     let is_identifier_char = |c: char| c.is_alphanumeric() || c == '_';
@@ -92,18 +94,19 @@
         .iter()
         .map(|(name, text)| (name, imports(text, &names)))
         .collect();
-    // The crate's root declares all and is imported by none.
+    // The crate root declares all modules and is imported by none.
     imports.retain(|name, _| *name != "lib");
     let edges: usize = imports.values().map(BTreeSet::len).sum();
-    assert!(edges > imports.len(), "imports are not seen: {edges}");
-    // Modules that import nothing that is left are taken away until none is left, unless there is a circle.
+    assert!(edges > imports.len(), "too few imports found: {edges}");
+    // Repeatedly remove modules without remaining imports. If none is left to remove, the imports
+    // have a cycle.
     while !imports.is_empty() {
         let free: Vec<&String> = imports
             .iter()
             .filter(|(_, used)| used.is_empty())
             .map(|(name, _)| *name)
             .collect();
-        assert!(!free.is_empty(), "an import circle among {imports:?}");
+        assert!(!free.is_empty(), "import cycle among {imports:?}");
         for name in free {
             imports.remove(name);
             for used in imports.values_mut() {
@@ -114,7 +117,7 @@
 }
 
 #[test]
-fn decisions_know_no_clock_and_do_no_io() {
+fn decisions_use_no_clock_and_no_io() {
     for (name, text) in modules() {
         let code = code(&text);
         for forbidden in FORBIDDEN {
@@ -124,6 +127,6 @@
     let manifest = include_str!("../Cargo.toml");
     assert!(
         !manifest.contains("[dependencies]"),
-        "a dependency may do what the modules must not"
+        "a dependency could use what the modules must not"
     );
 }
--- a/crates/scheduler/tests/mechanism.rs
+++ b/crates/scheduler/tests/mechanism.rs
@@ -1,10 +1,11 @@
-//! The design's mechanism on worked examples, through the interface.
+//! Routing algorithm on worked examples, through the public interface.
 
 use driftfront_scheduler::*;
 use driftfront_test_support::scheduler::*;
 
-/// One engine of 2 cores whose bound is 2 x 2.2 + 4 = 8.4 threads under pressure; a report of waiting work
-/// makes pressure, and three queries of 4 threads fill it, the last as one lighter than the mean.
+/// One engine of 2 cores, whose bound under pressure is 2 x 2.2 + 4 = 8.4 threads. A report of
+/// waiting queries causes pressure, and three queries of 4 threads fill the bound; the last passes
+/// as lighter than the mean.
 fn full_engine(classes: Vec<QueryClass>) -> SchedulerHarness {
     let mut harness = SchedulerHarness::new(settings(classes), &[listed(1)]);
     harness.report(1, &[1.0]);
@@ -15,7 +16,7 @@
     harness
 }
 
-/// Ends the running queries; the order in which the queue then starts.
+/// Ends the running queries and returns the order in which the queued ones start.
 fn start_order(harness: &mut SchedulerHarness) -> Vec<u64> {
     let mut order = Vec::new();
     let mut act = Vec::new();
@@ -37,14 +38,15 @@
 
 #[test]
 fn urgent_query_is_queued_before_one_that_can_wait() {
-    // The running work of 12 s leaves after about 1 s. The first takes 16 s / 8.4 = 1.9 s of queue, so behind
-    // it the second would start near 3 s and miss its aim of 2 s; before it both are on time.
+    // The running work of 12 s finishes after about 1 s. The first query takes 16 s / 8.4 = 1.9 s
+    // of queue time. Behind it the second would start near 3 s and miss its objective of 2 s; ahead
+    // of it both are in time.
     let mut harness = full_engine(vec![class(30 * S, 1.0, 4.0), class(2 * S, 1.0, 4.0)]);
     let (patient, a) = harness.arrive(0, 16 * S, 1);
     let (urgent, b) = harness.arrive(1, 2 * S, 2);
     assert!(
         sends(&a).is_empty() && sends(&b).is_empty(),
-        "the bound holds both back"
+        "the bound delays both"
     );
     assert_eq!(start_order(&mut harness), [urgent.0, patient.0]);
 }
@@ -64,7 +66,7 @@
 
 #[test]
 fn engine_with_the_higher_balance_gain_is_chosen() {
-    // Engine 1 is full for seconds, engine 2 is free: only there the aim can be met.
+    // Engine 1 is full for seconds and engine 2 is idle, so only engine 2 can meet the objective.
     let mut s = settings(vec![class(60 * S, 1.0, 4.0), class(S, 1.0, 4.0)]);
     s.classes[0].zones = Some(vec![1]);
     let mut harness = SchedulerHarness::new(
@@ -95,7 +97,8 @@
     let first = sends(&act)[0].1;
     let other = 3 - first;
     harness.end(QueryId(1), 0, Outcome::Ok, 200 * MS);
-    // Tables 5 were last read on `first`: interaction sends the next there while drains are alike.
+    // Table group 5 was last read on `first`: interaction gain keeps its queries there while drain
+    // times are equal.
     for n in 2..6 {
         let (_, act) = harness.arrive(0, 200 * MS, 5);
         assert_eq!(sends(&act)[0].1, first);
@@ -172,9 +175,11 @@
 
 #[test]
 fn scatter_of_run_times_is_not_pressure() {
-    // Answers take 0.7 or 2.5 times the estimate: against the quicker, a plain mean would see 2.3, past SLOW,
-    // the mean of logs 1.9: the bound stays loose: not 2 x 2.2 + 1 threads may run but 2 x 2.2 x 2 + 1.
-    // A coordinator's part of an engine held to 1.2 threads a core (4 here) leaves cores idle at usual load.
+    // Answers take 0.7 or 2.5 times the estimate. Relative to the faster ones, an arithmetic mean
+    // would be 2.3, above the pressure threshold of 2; the geometric mean is 1.9. The bound must
+    // stay that of an engine without pressure, 2 x 2.2 x 2 + 1 threads instead of 2 x 2.2 + 1. With
+    // 1.2 threads per core for its share of the engine (4 here), a coordinator would leave cores
+    // idle at normal load.
     let mut harness = SchedulerHarness::new(settings(vec![class(60 * S, 1.0, 1.0)]), &[listed(1)]);
     for n in 0..60 {
         let (q, _) = harness.arrive(0, S, 1);
--- a/crates/scheduler/tests/overload.rs
+++ b/crates/scheduler/tests/overload.rs
@@ -1,4 +1,5 @@
-//! Many coordinators that each use a subset of the engines, and engines that run out of memory.
+//! Overload: coordinators that each use a subset of the engines, and engines that run out of
+//! memory.
 
 use driftfront_scheduler::*;
 use driftfront_test_support::scheduler::*;
@@ -15,7 +16,7 @@
         .collect()
 }
 
-/// One of a hundred coordinators; classes: light, wide, and one between.
+/// One of a hundred coordinators, with a light class, a wide class and one in between.
 fn subset_settings() -> Settings {
     let mut s = settings(vec![
         class(S, 1.0, 1.0),
@@ -58,7 +59,10 @@
     let mut harness = SchedulerHarness::new(paging_settings(), &[listed(1)]);
     harness.report(1, &[0.1, 1.0]);
     let (q, act) = harness.arrive(1, 4 * S, 3);
-    assert!(sends(&act).is_empty(), "held while the report is fresh");
+    assert!(
+        sends(&act).is_empty(),
+        "no start while the report is recent"
+    );
     assert!(sends(&harness.tick(2 * S)).is_empty());
     assert_eq!(sends(&harness.tick(2 * S)), [(q.0, 1)]);
 }
@@ -76,7 +80,7 @@
     assert!(used.len() > 8, "{used:?}");
 }
 
-/// Engines used by a coordinator of this seed, and how often, over many light queries.
+/// Engines used by a coordinator with this seed for many light queries, with the number of queries.
 fn used(seed: u64, list: &[ListedEngine]) -> std::collections::BTreeMap<u64, usize> {
     let mut s = subset_settings();
     s.kinds[1].cores = Some(16.0);
@@ -104,7 +108,7 @@
         one.keys().filter(|e| other.contains_key(e)).count() < 7,
         "{one:?} {other:?}"
     );
-    // One that leaves is replaced by one other; all else stays as it was.
+    // An engine that leaves is replaced by one other, and the rest of the subset is unchanged.
     let left = *one.keys().next().unwrap();
     let rest: Vec<ListedEngine> = list
         .iter()
@@ -149,7 +153,7 @@
     };
     let all: Vec<u64> = (0..60).map(|_| send_query(&mut harness, true)).collect();
     assert!(all.iter().all(|e| e % 2 == 0));
-    // It is probed once a second; anything that comes from there ends that.
+    // The lost zone is probed once per second, until any of its engines answers.
     let probed = probes(&harness.tick(4 * S));
     assert!(
         (3..=5).contains(&probed.len()) && probed.iter().all(|e| e % 2 == 1),
@@ -203,7 +207,7 @@
         let mut harness = SchedulerHarness::new(subset_settings(), &list);
         let (mut to_faulty, mut all) = (0, 0);
         for _ in 0..600 {
-            // Nobody tells its work.
+            // Neither the client nor the engine gives the work.
             let query = Query {
                 work: None,
                 ..harness.query(0, 0, 3)
@@ -216,7 +220,7 @@
                 to = sends(&harness.end(q, attempt, Outcome::Error, 10 * MS))[0].1;
                 attempt += 1;
             }
-            // Three times as slow: within the aim by its mean.
+            // Three times slower, which still meets the objective on average.
             harness.end(
                 q,
                 attempt,
@@ -231,7 +235,7 @@
         }
         assert!(
             to_faulty * 20 < all,
-            "{to_faulty} of {all} went there, returns_errors: {returns_errors}"
+            "{to_faulty} of {all} went to the faulty engine, returns_errors: {returns_errors}"
         );
     }
 }
@@ -254,7 +258,7 @@
         .collect();
     let (mut light, mut light_to_warming_up) = (0, 0);
     let mut budget = std::collections::BTreeMap::<u64, f64>::new();
-    // So many of the hundred ask for a third more than the fleet can do.
+    // 50 of the 100 coordinators, which together demand a third more than the cluster's capacity.
     for seed in 0..50 {
         let mut harness = SchedulerHarness::seeded(
             s.clone(),
@@ -263,7 +267,8 @@
         );
         harness.tick(50 * MS);
         for n in 0..60 {
-            // What the classes usually need is known; then one window of eight small ones and a large one.
+            // First the work of each class is learned; then follows one window with eight light
+            // queries and one of the class in between.
             let (class, work) = if n % 9 == 8 {
                 (2, 3 * S)
             } else {
@@ -285,7 +290,8 @@
             });
         }
     }
-    // Half of the light ones and more, though engines in slow start have a quarter of the capacity.
+    // At least half of the light queries, although the engines in slow start have a quarter of the
+    // capacity.
     assert!(
         light_to_warming_up * 2 > light,
         "{light_to_warming_up} of {light}"
@@ -316,7 +322,8 @@
 
 #[test]
 fn wide_queries_wait_and_light_ones_pass_under_pressure() {
-    // Pressure by a busy report, and by one of more queries than the bound has threads for.
+    // Pressure from a busy report, and from a report of more queries than the bound has threads
+    // for.
     for (field, value) in [(ReportField::Busy, 1.0), (ReportField::Active, 40.0)] {
         let list: Vec<ListedEngine> = (1..=4).map(listed).collect();
         let mut harness = SchedulerHarness::new(
@@ -386,13 +393,13 @@
     s.classes[1].latency_objective = 20 * S;
     for answered in [true, false] {
         let mut harness = SchedulerHarness::new(s.clone(), &list);
-        // Forty pay for the probes of one that asks.
+        // About forty queries pay for the probes of one that probes first.
         for _ in 0..45 {
             let (q, act) = harness.arrive(0, 100 * MS, 1);
             assert_eq!(
                 sends(&act).len(),
                 1,
-                "a light one does not wait for a probe"
+                "a light query does not wait for a probe"
             );
             harness.end(q, 0, Outcome::Ok, 100 * MS);
         }
@@ -412,7 +419,11 @@
             assert_eq!(sends(&act), [(q.0, probed[probed.len() - 1])]);
         } else {
             act.extend(harness.tick(200 * MS));
-            assert_eq!(sends(&act).len(), 1, "silence does not hold it for long");
+            assert_eq!(
+                sends(&act).len(),
+                1,
+                "an unanswered probe does not delay it for long"
+            );
         }
     }
 }
@@ -447,13 +458,14 @@
         report: ProgressReport::Spills(100.0),
     });
     let (next, act) = harness.arrive(0, 200 * MS, 2);
-    assert_eq!(sends(&act), [(next.0, 1)], "the other is far busier");
+    assert_eq!(sends(&act), [(next.0, 1)], "the other engine is far busier");
 }
 
 #[test]
 fn light_queries_pass_the_bound_of_engine_full_of_wide_ones() {
-    // Pressed, 2 cores hold 2 x 2.2 + 2 = 6.4 threads: three wide ones. Light ones may pass by one widest.
-    // The wide ones that wait are no hindrance: a light one goes in front and starts at once.
+    // Under pressure, 2 cores allow 2 x 2.2 + 2 = 6.4 threads: three wide queries. Light queries
+    // may exceed that by one widest query. The queued wide queries do not block them: a light query
+    // goes ahead of them and starts at once.
     let mut s = settings(vec![class(2 * S, 1.0, 1.0), class(10 * S, 1.0, 2.0)]);
     s.report_fields = vec![ReportField::Waiting];
     let mut harness = SchedulerHarness::new(s, &[listed(1)]);
@@ -468,8 +480,8 @@
 
 #[test]
 fn coordinator_takes_the_share_of_others_that_are_down() {
-    // Of three coordinators' run bound on 4 cores a third is 4 x 2.2 x 2 / 3 + 1 = 6.9 threads, and under
-    // pressure, which 9 active make, all of it is 4 x 2.2 + 1 = 9.8.
+    // The share of one of three coordinators on 4 cores is 4 x 2.2 x 2 / 3 + 1 = 6.9 threads. Under
+    // pressure, which 9 active queries cause, the whole engine allows 4 x 2.2 + 1 = 9.8.
     let started = |others: f64| {
         let mut s = settings(vec![class(60 * S, 1.0, 1.0)]);
         (s.coordinators, s.report_fields) = (3, vec![ReportField::Active]);
--- a/crates/scheduler/tests/rules.rs
+++ b/crates/scheduler/tests/rules.rs
@@ -1,4 +1,5 @@
-//! The rules, one by one, and all of them under random legal event sequences with a fixed seed.
+//! Scheduling rules, one by one, and all of them under random legal event sequences with fixed
+//! seeds.
 #![allow(
     clippy::cast_possible_truncation,
     reason = "the numbers of these tests are small"
@@ -28,7 +29,7 @@
     assert!(rejected(&act, q.id));
     assert!(
         harness.end(q.id, 0, Outcome::Ok, S).is_empty(),
-        "nothing more for it"
+        "no further actions for it"
     );
 }
 
@@ -67,7 +68,7 @@
             sends(&harness.event(Event::QueryArrived(q))),
             [(q.id.0, 1 + n % 3)]
         );
-        // Another attempt goes there too, though the engine failed it.
+        // A retry goes to the same engine, although the engine failed.
         let retries = sends(&harness.end(q.id, 0, Outcome::Unreachable, MS));
         assert!(retries.iter().all(|s| s.1 == 1 + n % 3), "{retries:?}");
     }
@@ -165,7 +166,8 @@
         assert_eq!(retries, [(q.0, 3 - first)]);
         assert!(rejected(&harness.end(q, 1, Outcome::Error, MS), q));
     }
-    // Where the other serves what engine 1 errs on, it is the engine: two in a row shut it.
+    // If the other engine serves what engine 1 answers with an error, engine 1 is at fault: two
+    // errors in a row eject it.
     let mut errors = 0;
     for _ in 0..20 {
         let (q, act) = harness.arrive(0, S, 1);
@@ -188,7 +190,7 @@
         ..settings(vec![class(9 * S, 1.0, 1.0)])
     };
     let mut harness = SchedulerHarness::new(with, &[listed(1)]);
-    // A queue for memory: every engine is under pressure.
+    // Queries wait for memory, so every engine is under pressure.
     harness.report(1, &[5.0]);
     for _ in 0..20 {
         let q = Query {
@@ -199,7 +201,7 @@
     }
     let (q, act) = harness.arrive(0, 10 * MS, 1);
     assert!(!rejected(&act, q));
-    // Where no tenant is named nobody's traffic is beyond anything.
+    // If no tenants are configured, no query is over quota.
     let mut harness = SchedulerHarness::new(settings(vec![class(9 * S, 1.0, 1.0)]), &[listed(1)]);
     harness.report(1, &[5.0]);
     let q = Query {
@@ -216,7 +218,8 @@
         deduplication_window: 5 * S,
         ..class(9 * S, 1.0, 1.0)
     };
-    // Its key, an earlier query under it, and whether it goes again after a lost connection.
+    // Whether the query has an idempotency key, until when an earlier query with the key is
+    // recognized, and whether a lost connection leads to a retry.
     for (has_key, idempotent_until, is_retried) in [
         (true, None, true),
         (false, None, false),
@@ -243,7 +246,7 @@
             assert_eq!(sends(&act).len(), usize::from(is_retried), "{has_key}");
             assert_eq!(act.contains(&Action::Fail(q.id)), !is_retried);
         }
-        // One whose key is no longer known is not sent at all, and answered at once.
+        // A query whose key is no longer recognized is never sent, and is rejected.
         let late = Query {
             has_idempotency_key: has_key,
             idempotent_until,
@@ -266,7 +269,7 @@
         let (q, act) = harness.arrive(0, 100 * MS, tables);
         let there = sends(&act)[0].1 == 1;
         seen += usize::from(there);
-        // Four of five fail, at once, so that it looks idle.
+        // Four of five queries fail immediately, so the engine looks idle.
         let is_error = failing && there && seen % 5 != 0;
         if is_error {
             harness.end(q, 0, Outcome::Error, MS);
@@ -280,12 +283,12 @@
     }
     assert!(
         routed_while_failing * 40 < 800,
-        "{routed_while_failing} of 800 went to it"
+        "{routed_while_failing} of 800 went to the failing engine"
     );
     let routed_after_recovery = (0..800).filter(|_| send_query(&mut harness, false)).count();
     assert!(
         routed_after_recovery * 8 > 800,
-        "{routed_after_recovery} of 800 went to it once it was well"
+        "{routed_after_recovery} of 800 went to the engine after its recovery"
     );
 }
 
@@ -301,7 +304,7 @@
     });
     let mut harness = SchedulerHarness::new(s, &[listed(1)]);
     let all: Vec<QueryId> = (0..4).map(|_| harness.arrive(0, 100 * MS, 1).0).collect();
-    // All on the connection end at once: one failure, and one probe.
+    // All attempts on the connection end at once: this counts as one failure and causes one probe.
     let mut act = Vec::new();
     for q in &all {
         act.extend(harness.event(Event::AttemptEnded(AttemptEnded {
@@ -323,7 +326,8 @@
         "{act:?}"
     );
     harness.report(1, &[0.0]);
-    // It answers, so it was never gone: neither on probation nor warming up, where hardly anything would fit.
+    // It answers, so it was never down: it is neither on probation nor warming up, where almost
+    // nothing would fit.
     let started: usize = (0..4)
         .map(|_| sends(&harness.arrive(0, 100 * MS, 1).1).len())
         .sum();
@@ -357,7 +361,7 @@
             retries.iter().all(|s| (s.1 == 2) == (first == 2)),
             "{first} then {retries:?}"
         );
-        // Past the window nothing may be sent, nor refused.
+        // After the window a retry and a rejection are both forbidden.
         harness.now += 6 * S;
         let n = retries.len() as u8;
         let act = harness.end(q, n, Outcome::Reset, 6 * S);
@@ -411,7 +415,8 @@
             ..listed(1)
         }],
     });
-    // Half of two cores at 85%, twice that, over 2 s, by 2 coordinators: 1.7 s of work; queries of 0.1 s.
+    // Half of two cores at 85%, times 2, for 2 s, divided by 2 coordinators: 1.7 s of work, in
+    // queries of 0.1 s.
     let mut sent = 0;
     for _ in 0..60 {
         let (q, act) = harness.arrive(0, 100 * MS, 1);
@@ -445,7 +450,7 @@
     assert!(act.is_empty());
     let act = harness.end(a, 0, Outcome::Reset, S);
     assert!(failed(&act, a) && sends(&act).is_empty());
-    assert!(sends(&harness.tick(900 * MS)).is_empty(), "the key rests");
+    assert!(sends(&harness.tick(900 * MS)).is_empty(), "the key is held");
     let act = harness.tick(300 * MS);
     assert_eq!(sends(&act).iter().map(|s| s.0).collect::<Vec<_>>(), [b.0]);
 }
@@ -529,7 +534,7 @@
     assert!(act.contains(&Action::WatchEngines));
     act.clear();
     c.handle(S, Event::DiscoveryFailed, &mut act);
-    assert!(act.is_empty(), "not at once");
+    assert!(act.is_empty(), "no immediate retry");
     c.handle(2 * S, Event::TimerFired(0), &mut act);
     assert!(act.contains(&Action::WatchEngines));
 }
@@ -548,7 +553,7 @@
     assert!(act.is_empty(), "{act:?}");
 }
 
-/// A world of random legal events; checks every action against the rules.
+/// Random legal events, with every resulting action checked against the rules.
 struct RandomRun {
     harness: SchedulerHarness,
     seed: u64,
@@ -586,12 +591,12 @@
                 } => self.check_start(q, e.0, timeout),
                 Action::Reject { query: q, .. } => {
                     let class = self.answer(q);
-                    let clean = self.attempts[&q]
+                    let never_ran = self.attempts[&q]
                         .iter()
                         .all(|t| t.1.is_some_and(Outcome::never_ran));
                     assert!(
-                        class == 0 || clean,
-                        "an unsafe query that may have run was rejected"
+                        class == 0 || never_ran,
+                        "a non-idempotent query that may have run was rejected"
                     );
                 }
                 Action::Fail(q) => {
@@ -603,16 +608,20 @@
     }
 
     fn answer(&mut self, q: QueryId) -> u16 {
-        assert!(self.answered.insert(q), "two answers");
+        assert!(self.answered.insert(q), "answered twice");
         let (query, deadline) = self.open.remove(&q).expect("an answer for an open query");
-        assert!(self.harness.now <= deadline, "answered late");
+        assert!(self.harness.now <= deadline, "answered after the deadline");
         query.class
     }
 
     fn check_start(&mut self, q: QueryId, e: u64, timeout: u64) {
         let (query, deadline) = self.open.get(&q).expect("a send for an open query");
         assert!(timeout > 0 && self.harness.now + timeout <= *deadline);
-        assert_eq!(self.phase[&e], Phase::Ready, "sent to one that leaves");
+        assert_eq!(
+            self.phase[&e],
+            Phase::Ready,
+            "sent to an engine that is not ready"
+        );
         let attempts = &self.attempts[&q];
         assert!(
             attempts.iter().all(|t| t.1.is_some()),
@@ -620,15 +629,15 @@
         );
         assert!(attempts.len() < 3, "too many attempts");
         if query.class == 1 {
-            assert!(e % 2 == 0, "misplaced");
+            assert!(e % 2 == 0, "placed on a forbidden machine kind");
             assert!(
                 attempts.iter().all(|t| t.1.is_some_and(Outcome::never_ran)),
-                "an effect twice"
+                "a non-idempotent query may run twice"
             );
             for (o, (other, _)) in &self.open {
                 let earlier =
                     *o < q && other.class == 1 && other.ordering_key == query.ordering_key;
-                assert!(!earlier, "out of turn");
+                assert!(!earlier, "ordering key violated");
             }
         }
         self.attempts.get_mut(&q).expect("known").push((e, None));
@@ -665,7 +674,7 @@
         self.event(Event::QueryArrived(q));
     }
 
-    /// One of the attempts in flight ends.
+    /// Ends one of the attempts in flight.
     fn end_attempt(&mut self) {
         let out: Vec<(QueryId, u8)> = self
             .attempts
@@ -792,7 +801,7 @@
             w.step();
         }
         assert!(w.served > 50, "{} served", w.served);
-        // No arrivals any more: every open query is answered by its deadline.
+        // No more arrivals: every open query must be answered by its deadline.
         let last = w.open.values().map(|o| o.1).max().unwrap_or(0);
         while let Some(&(at, token)) = w.timers.first().filter(|x| x.0 <= last) {
             w.timers.remove(&(at, token));
--- a/crates/scheduler/tests/slow_start.rs
+++ b/crates/scheduler/tests/slow_start.rs
@@ -1,4 +1,5 @@
-//! Slow start, with start times by a clock that is an hour ahead of this host's, or behind it.
+//! Slow start when this host's clock is an hour ahead of the engine list's source or an hour behind
+//! it, and when connections open late.
 
 use driftfront_scheduler::*;
 use driftfront_test_support::scheduler::*;
@@ -6,9 +7,9 @@
 const HOUR: u64 = 3_600 * S;
 const WARM_UP_TIME: u64 = 10 * S;
 
-/// A query's work.
+/// Work of each query.
 const WORK: u64 = S;
-/// Half of twenty cores at 85%, twice that, over 1 s, by 2 coordinators: 8.5 s of work.
+/// Half of 20 cores at 85%, times 2, for 1 s, divided by 2 coordinators: 8.5 s of work.
 const MAX_PER_WINDOW: usize = 8;
 
 fn slow_start_settings() -> Settings {
@@ -27,7 +28,7 @@
     s
 }
 
-/// A coordinator that has learnt what its queries cost.
+/// A coordinator that has learned the work of its queries.
 fn trained_harness() -> SchedulerHarness {
     train(driftfront_scheduler::Controller::new(
         slow_start_settings(),
@@ -50,7 +51,8 @@
     harness
 }
 
-/// Ends what these actions send, and what that lets go in its turn; how many went out.
+/// Ends the attempts that these actions start, and those that start as a result. Returns their
+/// number.
 fn serve(harness: &mut SchedulerHarness, actions: &[Action]) -> usize {
     let mut waiting = sends(actions);
     let mut sent = 0;
@@ -61,7 +63,7 @@
     sent
 }
 
-/// Queries that go out within 0.9 s.
+/// Number of queries sent within 0.9 s.
 fn sent_within_900_ms(harness: &mut SchedulerHarness) -> usize {
     let mut sent = 0;
     for _ in 0..60 {
@@ -98,12 +100,13 @@
     list_engine(&mut harness, started_at);
     let slow_start = sent_within_900_ms(&mut harness);
     assert!((3..=MAX_PER_WINDOW).contains(&slow_start), "{slow_start}");
-    // What waited meanwhile goes out and ends.
+    // Queued queries are sent and end while the engine warms up.
     for _ in 0..WARM_UP_TIME / (50 * MS) {
         let act = harness.tick(50 * MS);
         serve(&mut harness, &act);
     }
-    // The same line comes again, as after a new connection to the list: that is no new start.
+    // The same entry is listed again, as after reconnecting to the list's source. It is not a new
+    // start.
     list_engine(&mut harness, started_at);
     let warm = sent_within_900_ms(&mut harness);
     assert!(warm > 40, "{warm}");
@@ -116,7 +119,7 @@
     );
     let started_at = harness.now;
     list_engine(&mut harness, started_at);
-    // Two windows' parts are planned while no connection is up.
+    // Two windows' budgets are planned while no connection is open.
     let mut planned = Vec::new();
     for _ in 0..2 {
         planned.extend(sends(&harness.tick(1050 * MS)));
@@ -125,7 +128,7 @@
             planned.extend(sends(&act));
         }
     }
-    // It comes up, and all that waits may go at one moment.
+    // The connections open, and everything that waits could be sent at the same moment.
     let now = harness.now;
     let out = planned
         .iter()
--- a/crates/scheduler/tests/transcript.rs
+++ b/crates/scheduler/tests/transcript.rs
@@ -1,5 +1,7 @@
-//! Long seeded runs of whole groups of coordinators on simulated engines: every action that the decision module asks for is
-//! written as a line in this file's own fixed words, so that a rename changes nothing here and a changed decision does.
+//! Long seeded simulations of groups of coordinators, with every action written as a line of text.
+//!
+//! The words of those lines are fixed in this file, so a rename in the crate leaves the golden
+//! files unchanged, and a changed decision does not.
 #![allow(
     clippy::cast_possible_truncation,
     reason = "the numbers of these tests are small"
@@ -19,7 +21,7 @@
     classes.iter().map(work).sum::<f64>() / classes.len() as f64
 }
 
-/// An action in fixed words, figures in full.
+/// Describes an action in fixed words, with exact numbers.
 fn describe(action: &Action) -> String {
     match action {
         Action::SetResources {
@@ -109,7 +111,7 @@
 struct SimQuery {
     query: Query,
     true_work: f64,
-    /// Engine, when sent, and whether it is out.
+    /// Engine, send time, and whether the attempt is in flight.
     attempts: Vec<(u64, u64, bool)>,
     concluded: bool,
 }
@@ -684,7 +686,7 @@
     }
 }
 
-/// Three classes that differ in all that matters to a decision.
+/// Three classes that differ in every property that decisions depend on.
 fn classes() -> Vec<QueryClass> {
     let mut short = class(200 * MS, 1.0, 1.0);
     short.late_weight = 0.2;
@@ -735,7 +737,7 @@
     }
 }
 
-/// Few coordinators with a large part of each engine, on few figures.
+/// Few coordinators, each with a large share of each engine.
 fn few() -> Settings {
     Settings {
         coordinators: 3,
@@ -747,7 +749,7 @@
     }
 }
 
-/// Many coordinators, so that each has a small part of each engine.
+/// Many coordinators, each with a small share of each engine.
 fn many() -> Settings {
     Settings {
         coordinators: 14,
@@ -881,7 +883,7 @@
     );
 }
 
-/// Settings drawn by the seed: what no test above combines.
+/// Random settings, for combinations that the other tests do not cover.
 #[test]
 fn transcript_of_settings_drawn_at_random() {
     let mut all = String::new();
