--- a/crates/scheduler/src/attempts.rs
+++ b/crates/scheduler/src/attempts.rs
@@ -30,7 +30,7 @@
         engine.health.last_contact_at = engine.health.last_contact_at.max(now);
     }
     let sends = &mut engine.slow_start_sends;
-    sends.forget_before(now.saturating_sub(window));
+    sends.prune_before(now.saturating_sub(window));
     if let Some(weight) = slow_start_weight {
         sends.plan(id, number, weight, first_byte_at);
     }
--- a/crates/scheduler/src/candidates.rs
+++ b/crates/scheduler/src/candidates.rs
@@ -91,7 +91,7 @@
     let is_unfavourable = query.avoided.contains(&id)
         || (class.is_load || class.waits_for_loads)
             && state.holds_table_group(engine, query.query.table_group)
-        || state.uses_subset && health.has_rejected_lately(now)
+        || state.uses_subset && health.has_rejected_recently(now)
         || state.lost_zones.is_lost(engine.zone);
     u8::from(is_outlier) * 2 + u8::from(is_unfavourable)
 }
--- a/crates/scheduler/src/capacity.rs
+++ b/crates/scheduler/src/capacity.rs
@@ -136,7 +136,7 @@
 pub(crate) fn is_under_pressure(state: &SchedulerState, now: Micros, engine: &Engine) -> bool {
     is_reported_busy(state, now, engine)
         || engine.slowdown.ratio() > PRESSURE_SLOWDOWN
-        || engine.health.has_rejected_lately(now)
+        || engine.health.has_rejected_recently(now)
 }
 
 fn is_reported_busy(state: &SchedulerState, now: Micros, engine: &Engine) -> bool {
@@ -165,8 +165,8 @@
     let remaining = |(query, attempt): (&PendingQuery, &Attempt)| {
         let run = attempt.projected_run.unwrap_or(attempt.expected_run);
         let remaining = run - attempt.age(now);
-        let least = MIN_REMAINING_SHARE * attempt.expected_run;
-        remaining.max(least) * state.class_of(query).threads
+        let min_remaining = MIN_REMAINING_SHARE * attempt.expected_run;
+        remaining.max(min_remaining) * state.class_of(query).threads
     };
     state.attempts_on(engine).map(remaining).sum()
 }
--- a/crates/scheduler/src/controller.rs
+++ b/crates/scheduler/src/controller.rs
@@ -195,9 +195,7 @@
     fn record_arrival(&mut self, now: Micros, query: Query) {
         self.dispatcher.retry_budget.record_request(now);
         let share = self.state().cluster.share;
-        let is_over_quota = self
-            .quotas
-            .is_exceeded_by_one_more(now, query.tenant, share);
+        let is_over_quota = self.quotas.take_query(now, query.tenant, share);
         let pending = PendingQuery::new(query, now, is_over_quota);
         let state = self.state_mut();
         state.queries.insert(query.id, pending);
@@ -308,7 +306,7 @@
         let silent_zones = self.state().lost_zones.silent_zones();
         self.dispatcher
             .probe_budget
-            .record_silent_zones(silent_zones);
+            .add_silent_zone_credit(silent_zones);
         update_cluster_load(self.state_mut(), now);
         let last_tick = now.saturating_sub(TICK_INTERVAL);
         self.dispatcher.route_probed(now, None, last_tick, actions);
--- a/crates/scheduler/src/demand_share.rs
+++ b/crates/scheduler/src/demand_share.rs
@@ -8,7 +8,7 @@
 use crate::capacity::{is_under_pressure, remaining_work};
 use crate::engines::Engine;
 use crate::slow_start::warm_capacity_share;
-use crate::slowdown::{faded, PRESSURE_SLOWDOWN};
+use crate::slowdown::{decayed, PRESSURE_SLOWDOWN};
 use crate::state::SchedulerState;
 use crate::types::Micros;
 
@@ -42,7 +42,7 @@
         .ready_engines()
         .map(|e| state.cores(e) * warm_capacity_share(state, now, e));
     state.cluster.cores = warm_cores.sum();
-    state.cluster.slowdown = faded(state.cluster.slowdown, 1.0);
+    state.cluster.slowdown = decayed(state.cluster.slowdown, 1.0);
     state.cluster.is_overloaded = is_overloaded(state, now);
 }
 
--- a/crates/scheduler/src/dispatch.rs
+++ b/crates/scheduler/src/dispatch.rs
@@ -136,7 +136,7 @@
     ) {
         let state = &self.state;
         let (query, engine) = (&state.queries[&id], &state.engines[&engine_id]);
-        let expected_run = state.run_alone(id) * engine.slowdown.ratio();
+        let expected_run = state.run_time_alone(id) * engine.slowdown.ratio();
         let memory_mb = state.memory_mb(id);
         let slow_start_weight =
             slow_start::is_warming_up(state, now, engine).then(|| slow_start::weight(state, query));
@@ -150,8 +150,8 @@
             });
         }
         // The time-out must be answered before the client gives up.
-        let spare = now + self.answer_margin() / 2;
-        let timeout = query.deadline.saturating_sub(spare).max(1);
+        let reserved = now + self.answer_margin() / 2;
+        let timeout = query.deadline.saturating_sub(reserved).max(1);
         actions.push(Action::StartAttempt {
             query: id,
             engine: engine_id,
@@ -178,11 +178,11 @@
             return;
         }
         if retry::may_reject(&self.state, query) {
-            let retry_after = self.state.settings.max_retry_after;
-            let advice = retry_after.map_or(0, |max| self.retry_after(now).min(max));
+            let max_retry_after = self.state.settings.max_retry_after;
+            let retry_after = max_retry_after.map_or(0, |max| self.retry_after(now).min(max));
             actions.push(Action::Reject {
                 query: id,
-                retry_after: advice,
+                retry_after,
             });
         } else {
             actions.push(Action::Fail(id));
--- a/crates/scheduler/src/engines.rs
+++ b/crates/scheduler/src/engines.rs
@@ -149,6 +149,6 @@
     let is_over = |e: &Engine| e.phase == Phase::Gone && e.in_flight.is_empty();
     if engines.get(&id).is_some_and(is_over) {
         engines.remove(&id);
-        lost_zones.forget_engine(id);
+        lost_zones.remove_engine(id);
     }
 }
--- a/crates/scheduler/src/estimates.rs
+++ b/crates/scheduler/src/estimates.rs
@@ -56,9 +56,9 @@
 /// Work of a served query, µs over all threads.
 pub(crate) struct LearnedWork {
     /// The class's mean before this answer.
-    pub usual: f64,
+    pub class_mean: f64,
     /// Estimate for this query.
-    pub of_this_query: f64,
+    pub this_query: f64,
 }
 
 impl ClassEstimate {
@@ -76,23 +76,23 @@
 
     /// Learns from an answer: mean work and memory, and the bias of clients' estimates.
     fn learn(&mut self, query: &Query, sample: &Sample) -> LearnedWork {
-        let usual = self.work;
+        let class_mean = self.work;
         let weight = SAMPLE_WEIGHT.max(1.0 / (self.answers + 1.0));
         if let Some(client_estimate) = query.work {
             self.learn_work_correction(client_estimate, sample, weight);
         }
-        let of_this_query = sample
+        let this_query = sample
             .work
             .or(query.work.map(|w| w * self.work_correction))
             .unwrap_or(sample.elapsed * self.threads);
-        self.work += weight * (of_this_query.min(MAX_SAMPLE_RATIO * self.work) - self.work);
+        self.work += weight * (this_query.min(MAX_SAMPLE_RATIO * self.work) - self.work);
         if let Some(memory_mb) = sample.memory_mb {
             self.learn_memory(query.memory_mb, memory_mb, weight);
         }
         self.answers = (self.answers + 1.0).min(MAX_ANSWERS);
         LearnedWork {
-            usual,
-            of_this_query,
+            class_mean,
+            this_query,
         }
     }
 
--- a/crates/scheduler/src/health.rs
+++ b/crates/scheduler/src/health.rs
@@ -79,7 +79,7 @@
 /// it.
 fn update_slowdowns(state: &mut SchedulerState, now: Micros, observed: &[(EngineId, InFlight)]) {
     let uses_subset = state.uses_subset;
-    let usual = if uses_subset {
+    let baseline = if uses_subset {
         state.cluster.slowdown
     } else {
         1.0
@@ -88,8 +88,8 @@
     // more than one.
     let min_attempts = if uses_subset { 1 } else { 2 };
     for (engine, (_, seen)) in state.engines.values_mut().zip(observed) {
-        let shown = (seen.attempts >= min_attempts).then_some(seen.slowdown);
-        engine.slowdown.raise_or_fade(shown, usual, now);
+        let slowdown = (seen.attempts >= min_attempts).then_some(seen.slowdown);
+        engine.slowdown.raise_or_decay(slowdown, baseline, now);
     }
 }
 
@@ -101,7 +101,7 @@
     now: Micros,
     observed: &[(EngineId, InFlight)],
 ) -> Vec<EngineId> {
-    let (mut silent, mut talking, mut waiting) = (Vec::new(), 0, 0);
+    let (mut silent, mut responding, mut with_attempts) = (Vec::new(), 0, 0);
     // Without progress reports, a single long query is no evidence: it may have a bad plan.
     let min_overdue = if state.settings.progress_interval.is_none() {
         2
@@ -110,14 +110,14 @@
     };
     for (engine, (id, seen)) in state.engines.values().zip(observed) {
         let silence = now.saturating_sub(engine.health.last_contact_at) as f64;
-        waiting += usize::from(seen.attempts > 0);
-        talking += usize::from(seen.attempts > 0 && silence < SILENCE_MICROS);
+        with_attempts += usize::from(seen.attempts > 0);
+        responding += usize::from(seen.attempts > 0 && silence < SILENCE_MICROS);
         let is_overdue = seen.overdue >= min_overdue && silence > SILENCE_MICROS;
         if is_overdue && !engine.health.is_ejected(now) {
             silent.push(*id);
         }
     }
-    if talking * 2 < waiting {
+    if responding * 2 < with_attempts {
         silent.clear();
     }
     silent
--- a/crates/scheduler/src/learning.rs
+++ b/crates/scheduler/src/learning.rs
@@ -68,9 +68,9 @@
     // to tell a slow engine from a large query.
     let is_work_known = ended.work.or(query.query.work).is_some();
     let work = if state.uses_subset && !is_work_known {
-        learned.usual
+        learned.class_mean
     } else {
-        learned.of_this_query
+        learned.this_query
     };
     let alone = work / threads + state.settings.clock_resolution as f64;
     let ratio = (elapsed / alone).clamp(MIN_SLOWDOWN, MAX_SLOWDOWN);
--- a/crates/scheduler/src/outlier_detection.rs
+++ b/crates/scheduler/src/outlier_detection.rs
@@ -92,9 +92,9 @@
     }
 
     /// Whether it recently rejected a query.
-    pub(crate) fn has_rejected_lately(&self, now: Micros) -> bool {
-        let is_lately = |at| now < at + REJECTION_PRESSURE_TIME;
-        self.rejected_at.is_some_and(is_lately)
+    pub(crate) fn has_rejected_recently(&self, now: Micros) -> bool {
+        let is_recent = |at| now < at + REJECTION_PRESSURE_TIME;
+        self.rejected_at.is_some_and(is_recent)
     }
 
     /// Whether it may have restarted unannounced: it responds again after it could not be reached.
--- a/crates/scheduler/src/overruns.rs
+++ b/crates/scheduler/src/overruns.rs
@@ -105,7 +105,7 @@
     let query = &state.queries[&id];
     let slowdowns = state.ready_engines().map(|e| e.slowdown.ratio());
     let best_slowdown = slowdowns.fold(MAX_SLOWDOWN, f64::min);
-    let replacement_finish = now as f64 + state.run_alone(id) * best_slowdown;
+    let replacement_finish = now as f64 + state.run_time_alone(id) * best_slowdown;
     let value_if_kept = objectives::value(state, id, finish);
     let value_if_replaced = objectives::value(state, id, replacement_finish);
     if query.overruns == 0
--- a/crates/scheduler/src/probes.rs
+++ b/crates/scheduler/src/probes.rs
@@ -43,7 +43,7 @@
     }
 
     /// Adds credit for one probe per second for each silent zone. Called once per tick.
-    pub(crate) fn record_silent_zones(&mut self, zones: usize) {
+    pub(crate) fn add_silent_zone_credit(&mut self, zones: usize) {
         self.credit += zones as f64 * TICK_INTERVAL as f64 / GOSSIP_INTERVAL as f64;
     }
 
--- a/crates/scheduler/src/quota.rs
+++ b/crates/scheduler/src/quota.rs
@@ -45,7 +45,7 @@
 
     /// Takes one query from a tenant's quota, of which this coordinator has `share`; true if the
     /// quota was exhausted. If the settings list tenants, an unlisted tenant has no quota.
-    pub(crate) fn is_exceeded_by_one_more(&mut self, now: Micros, tenant: u32, share: f64) -> bool {
+    pub(crate) fn take_query(&mut self, now: Micros, tenant: u32, share: f64) -> bool {
         let has_tenants = !self.tenants.is_empty();
         let Some((tenant, bucket)) = self.tenants.get_mut(tenant as usize) else {
             return has_tenants;
--- a/crates/scheduler/src/retry.rs
+++ b/crates/scheduler/src/retry.rs
@@ -101,7 +101,7 @@
     }
     let slowdowns = state.ready_engines().map(|e| e.slowdown.ratio());
     let mean_slowdown = slowdowns.sum::<f64>() / state.ready_engines().count().max(1) as f64;
-    let run = state.run_alone(id) * mean_slowdown;
+    let run = state.run_time_alone(id) * mean_slowdown;
     objectives::value(state, id, now as f64 + run) <= 0.0
 }
 
--- a/crates/scheduler/src/retry_budget.rs
+++ b/crates/scheduler/src/retry_budget.rs
@@ -60,7 +60,7 @@
     pub(crate) fn record_request(&mut self, now: Micros) {
         if let Some(budget) = self.budget {
             self.requests.push_back(now);
-            self.forget(now, &budget);
+            self.prune(now, &budget);
         }
     }
 
@@ -69,7 +69,7 @@
         let Some(budget) = self.budget else {
             return true;
         };
-        self.forget(now, &budget);
+        self.prune(now, &budget);
         let allows = self.retries.len() as f64 + 1.0 <= self.allowed(&budget);
         self.denied += u64::from(!allows);
         allows
@@ -93,7 +93,7 @@
         let Some(budget) = self.budget else {
             return true;
         };
-        self.forget(now, &budget);
+        self.prune(now, &budget);
         if self.retries.waiting_weight(query, attempt).is_none() {
             return true;
         }
@@ -132,9 +132,9 @@
     }
 
     /// Drops events outside the window: retries slightly late, and requests slightly early.
-    fn forget(&mut self, now: Micros, budget: &RetryBudget) {
+    fn prune(&mut self, now: Micros, budget: &RetryBudget) {
         self.retries
-            .forget_before(now.saturating_sub(budget.window + WINDOW_EDGE));
+            .prune_before(now.saturating_sub(budget.window + WINDOW_EDGE));
         self.requests
             .retain(|&at| at + budget.window > now + WINDOW_EDGE);
     }
--- a/crates/scheduler/src/routing.rs
+++ b/crates/scheduler/src/routing.rs
@@ -121,12 +121,12 @@
         // There is enough room for it ahead of the queries that wait for room.
         starts[0] = now as f64;
     }
-    let held = if state.uses_subset {
+    let draining = if state.uses_subset {
         0.0
     } else {
         bound.remaining_work / bound.threads.max(bound.running)
     };
-    let own_drain = (starts[engine.queue.len()] - now as f64).max(held);
+    let own_drain = (starts[engine.queue.len()] - now as f64).max(draining);
     let drain_rate =
         state.cores(engine) * threads_per_core(state) * warm_capacity_share(state, now, engine);
     Offer {
--- a/crates/scheduler/src/send_ledger.rs
+++ b/crates/scheduler/src/send_ledger.rs
@@ -61,7 +61,7 @@
     }
 
     /// Drops attempts that were sent before this time.
-    pub(crate) fn forget_before(&mut self, begin: Micros) {
+    pub(crate) fn prune_before(&mut self, begin: Micros) {
         self.0
             .retain(|s| s.first_byte_at.is_none_or(|at| at >= begin));
     }
--- a/crates/scheduler/src/slowdown.rs
+++ b/crates/scheduler/src/slowdown.rs
@@ -60,11 +60,11 @@
     }
 
     /// Raises the estimate to what attempts in flight show, otherwise lets it decay towards
-    /// `usual`. Called once per tick.
-    pub(crate) fn raise_or_fade(&mut self, shown: Option<f64>, usual: f64, now: Micros) {
-        match shown.filter(|&shown| shown > self.ratio) {
-            Some(shown) => self.record(shown, now),
-            None if now > self.seen_at + HOLD_TIME => self.ratio = faded(self.ratio, usual),
+    /// `baseline`. Called once per tick.
+    pub(crate) fn raise_or_decay(&mut self, observed: Option<f64>, baseline: f64, now: Micros) {
+        match observed.filter(|&observed| observed > self.ratio) {
+            Some(observed) => self.record(observed, now),
+            None if now > self.seen_at + HOLD_TIME => self.ratio = decayed(self.ratio, baseline),
             None => {}
         }
     }
@@ -76,6 +76,6 @@
 }
 
 /// A ratio after one more tick without an observation.
-pub(crate) fn faded(ratio: f64, usual: f64) -> f64 {
-    usual + (ratio - usual) * 0.5f64.powf(TICK_INTERVAL as f64 / HALF_LIFE_MICROS)
+pub(crate) fn decayed(ratio: f64, baseline: f64) -> f64 {
+    baseline + (ratio - baseline) * 0.5f64.powf(TICK_INTERVAL as f64 / HALF_LIFE_MICROS)
 }
--- a/crates/scheduler/src/start_time.rs
+++ b/crates/scheduler/src/start_time.rs
@@ -20,14 +20,14 @@
     is_new_start: bool,
 ) -> Micros {
     // A start in the future means that this clock is behind; the engine has started by now.
-    let not_in_future = listed.min(now);
+    let past_start = listed.min(now);
     // A new start long ago, in a list of changes, means that this clock is ahead or that the list
     // was delayed. The engine may have started just now.
     let is_implausible =
-        kind == ListKind::Changes && is_new_start && not_in_future + MAX_LIST_DELAY < now;
+        kind == ListKind::Changes && is_new_start && past_start + MAX_LIST_DELAY < now;
     if is_implausible {
         now
     } else {
-        not_in_future
+        past_start
     }
 }
--- a/crates/scheduler/src/state.rs
+++ b/crates/scheduler/src/state.rs
@@ -102,7 +102,7 @@
     }
 
     /// Estimated run time of a query without other load, µs.
-    pub(crate) fn run_alone(&self, id: QueryId) -> f64 {
+    pub(crate) fn run_time_alone(&self, id: QueryId) -> f64 {
         let query = &self.queries[&id];
         self.estimates.work(&query.query) / self.class_of(query).threads
     }
@@ -130,8 +130,8 @@
     /// of mean run time meets most objectives even on a slow engine, so the objectives alone would
     /// not steer queries away.
     pub(crate) fn draw_weight(&self, engine: &Engine) -> f64 {
-        let relative = engine.slowdown.ratio() / self.cluster.slowdown;
-        self.cores(engine) / relative.max(MIN_RELATIVE_SLOWDOWN).powi(2)
+        let relative_slowdown = engine.slowdown.ratio() / self.cluster.slowdown;
+        self.cores(engine) / relative_slowdown.max(MIN_RELATIVE_SLOWDOWN).powi(2)
     }
 
     /// Engines that accept work.
--- a/crates/scheduler/src/zone_failure.rs
+++ b/crates/scheduler/src/zone_failure.rs
@@ -28,7 +28,7 @@
     }
 
     /// Removes an engine that was dropped.
-    pub(crate) fn forget_engine(&mut self, engine: EngineId) {
+    pub(crate) fn remove_engine(&mut self, engine: EngineId) {
         for engines in self.lost.values_mut() {
             engines.remove(&engine);
         }
