--- a/crates/scheduler/src/candidates.rs
+++ b/crates/scheduler/src/candidates.rs
@@ -74,8 +74,8 @@
         && may_send_to(state, now, query, engine)
 }
 
-/// Penalty of an engine: 2 if it is ejected, or on probation with an attempt in flight; plus 1 if
-/// the query would do better elsewhere.
+/// Penalty of an engine: 2 if it is ejected, or on probation and either has an attempt in flight or
+/// the query is not idempotent; plus 1 if the query would do better elsewhere.
 fn penalty(
     state: &SchedulerState,
     now: Micros,
--- a/crates/scheduler/src/demand_share.rs
+++ b/crates/scheduler/src/demand_share.rs
@@ -17,10 +17,9 @@
 /// If the other coordinators on average have less than this fraction of this coordinator's queries,
 /// they are down rather than idle.
 const MIN_PEER_ACTIVITY_SHARE: f64 = 0.12;
-/// The cluster is overloaded once more than one in this many reporting engines is under pressure
-/// ...
+/// The cluster is overloaded if more than one in this many reporting engines is under pressure.
 const OVERLOAD_ONE_IN: usize = 2;
-/// ... or one in this many, if an engine that pages cannot recover soon.
+/// The same if engines that page cannot recover soon.
 const PERMANENT_OVERLOAD_ONE_IN: usize = 5;
 /// Minimum for the number of reporting engines in this ratio.
 const MIN_REPORTING_ENGINES: usize = 4;
--- a/crates/scheduler/src/dispatch.rs
+++ b/crates/scheduler/src/dispatch.rs
@@ -213,7 +213,7 @@
             actions.extend(query.cancel_in_flight(None));
         }
         if query.has_in_flight() {
-            // It is concluded again when that ends.
+            // Called again when the last attempt in flight ends.
             return;
         }
         let key = self.state.ordering_key(id);
