--- a/crates/scheduler/src/candidates.rs
+++ b/crates/scheduler/src/candidates.rs
@@ -74,8 +74,8 @@
         && may_send_to(state, now, query, engine)
 }
 
-/// Penalty of an engine: 2 if it is ejected, or on probation with an attempt in flight; plus 1 if
-/// the query would do better elsewhere.
+/// Penalty of an engine: 2 if it is ejected, or on probation and either has an attempt in flight or
+/// the query is not idempotent; plus 1 if the query would do better elsewhere.
 fn penalty(
     state: &SchedulerState,
     now: Micros,
@@ -91,7 +91,7 @@
     let is_unfavourable = query.avoided.contains(&id)
         || (class.is_load || class.waits_for_loads)
             && state.holds_table_group(engine, query.query.table_group)
-        || state.uses_subset && health.has_rejected_lately(now)
+        || state.uses_subset && health.has_rejected_recently(now)
         || state.lost_zones.is_lost(engine.zone);
     u8::from(is_outlier) * 2 + u8::from(is_unfavourable)
 }
