--- a/crates/coordinator/tests/agreed.rs
+++ b/crates/coordinator/tests/agreed.rs
@@ -1,83 +1,96 @@
-//! What several processes of the program agree on, with faults between them. Waits are for what they say.
+//! Consensus between several coordinator processes under crashes, stops and partitions. The tests wait for the state that the
+//! processes report.
 
 use driftfront_cluster_harness::process::Signal;
 use driftfront_cluster_harness::{ClusterHarness, Consensus, Request};
 use driftfront_test_support::coordinator::start_cluster;
 
-/// Asks until it is held: nothing is lent for ten seconds after a founding, and a leader may be new.
-fn held(harness: &ClusterHarness, by: u32, name: &str, for_s: u64) -> u64 {
-    let since = std::time::Instant::now();
+/// Requests a hold until it is granted and returns its fencing token. No hold is granted during the first ten seconds after the
+/// cluster has been founded, and a new leader may not answer in time.
+fn acquire_hold(harness: &ClusterHarness, by: u32, name: &str, for_s: u64) -> u64 {
+    let start = std::time::Instant::now();
     loop {
-        let said = harness.request_hold(by, name, for_s);
-        if let Some(fence) = said
+        let reply = harness.request_hold(by, name, for_s);
+        if let Some(fence) = reply
             .as_ref()
             .ok()
-            .and_then(|w| w.rsplit(' ').next()?.parse().ok())
+            .and_then(|text| text.rsplit(' ').next()?.parse().ok())
         {
             return fence;
         }
-        let words = said.unwrap_err().to_string();
-        let later = words.contains("yet") || words.contains("in time");
+        let error = reply.unwrap_err().to_string();
+        let is_temporary = error.contains("yet") || error.contains("in time");
         assert!(
-            later && since.elapsed() < driftfront_cluster_harness::TEST_TIMEOUT * 2,
-            "{words}\n{}",
+            is_temporary && start.elapsed() < driftfront_cluster_harness::TEST_TIMEOUT * 2,
+            "{error}\n{}",
             harness.log().text()
         );
         std::thread::sleep(std::time::Duration::from_millis(300));
     }
 }
 
-/// Waits until this one knows that these are held, and nothing else.
-fn wait_until_held(harness: &ClusterHarness, by: u32, names: &[&str]) {
-    wait_until(harness, by, &format!("{names:?}"), |a| {
-        let mut holds: Vec<&str> = a.holds.iter().map(|h| h.name.as_str()).collect();
+/// Waits until member `of` reports exactly these holds.
+fn wait_until_holds_are(harness: &ClusterHarness, of: u32, names: &[&str]) {
+    wait_until(harness, of, &format!("{names:?}"), |consensus| {
+        let mut holds: Vec<&str> = consensus.holds.iter().map(|h| h.name.as_str()).collect();
         holds.sort();
         holds == names
     });
 }
 
-fn wait_until(harness: &ClusterHarness, of: u32, what: &str, holds: impl Fn(&Consensus) -> bool) {
-    let since = std::time::Instant::now();
-    while !harness.consensus(of).is_some_and(|a| holds(&a)) {
-        let late = || {
+fn wait_until(
+    harness: &ClusterHarness,
+    of: u32,
+    expected: &str,
+    is_met: impl Fn(&Consensus) -> bool,
+) {
+    let start = std::time::Instant::now();
+    while !harness
+        .consensus(of)
+        .is_some_and(|consensus| is_met(&consensus))
+    {
+        let failure = || {
             format!(
-                "m{of}: {:?}, not {what}\n{}",
+                "m{of}: expected {expected}, got {:?}\n{}",
                 harness.consensus(of),
                 harness.log().text()
             )
         };
         assert!(
-            since.elapsed() < driftfront_cluster_harness::TEST_TIMEOUT,
+            start.elapsed() < driftfront_cluster_harness::TEST_TIMEOUT,
             "{}",
-            late()
+            failure()
         );
         std::thread::sleep(std::time::Duration::from_millis(20));
     }
 }
 
 fn wait_until_part(harness: &ClusterHarness, of: u32, part: &str) {
-    wait_until(harness, of, part, |a| a.part == part);
+    wait_until(harness, of, part, |consensus| consensus.part == part);
 }
 
 #[test]
-#[allow(clippy::too_many_lines, reason = "a scenario reads from top to bottom")]
+#[allow(clippy::too_many_lines, reason = "one scenario with several steps")]
 fn hold_is_granted_once_and_outlives_leaders_partitions_and_restarts() {
     let (mut harness, _engine) = start_cluster("members 5\nvoters 3 keeps=#true");
     let voters = [0, 1, 2];
     let leader = harness.wait_for_leader(&voters, None);
-    // At a reader; seen by all, and nobody else's until it is given back, by whomever.
-    let first = held(&harness, 4, "room-a", 600);
-    (0..5).for_each(|m| wait_until_held(&harness, m, &["room-a"]));
+    // A hold that a learner requested is visible to all members and refused to others until any member releases it.
+    let first = acquire_hold(&harness, 4, "room-a", 600);
+    (0..5).for_each(|m| wait_until_holds_are(&harness, m, &["room-a"]));
     let refusal = harness.request_hold(leader, "room-a", 5);
-    let taken = refusal.unwrap_err().to_string();
-    assert!(taken.contains("held already"), "{taken}");
+    let error = refusal.unwrap_err().to_string();
+    assert!(error.contains("held already"), "{error}");
     harness
         .request(3, &Request::Unhold("room-a".into()))
-        .expect("anybody may");
-    let second = held(&harness, leader, "room-a", 600);
-    assert!(second > first, "numbers grow: {first}, {second}");
+        .expect("any member can release a hold");
+    let second = acquire_hold(&harness, leader, "room-a", 600);
+    assert!(
+        second > first,
+        "fencing tokens must increase: {first}, {second}"
+    );
 
-    // The leader dies: what is held stands, and another lends.
+    // After the leader is killed, its holds remain and a new leader grants others.
     harness.apply_script(&format!("kill \"m{leader}\""));
     let rest: Vec<u32> = voters.into_iter().filter(|&m| m != leader).collect();
     let next = harness.wait_for_leader(&rest, Some(leader));
@@ -86,31 +99,31 @@
         .unwrap_err()
         .to_string()
         .contains("held already"));
-    held(&harness, 3, "room-b", 600);
+    acquire_hold(&harness, 3, "room-b", 600);
     harness.apply_script(&format!("start \"m{leader}\""));
     wait_until_part(&harness, leader, "votes");
-    wait_until_held(&harness, leader, &["room-a", "room-b"]);
+    wait_until_holds_are(&harness, leader, &["room-a", "room-b"]);
 
-    // It is stopped, others go on, and it wakes as a leader that knows of none of it.
+    // The leader is stopped while the others elect a new one. When it resumes, it still considers itself the leader.
     harness.wait_for_leader(&voters, None);
     harness.apply_script(&format!("stop \"m{next}\""));
     let rest: Vec<u32> = voters.into_iter().filter(|&m| m != next).collect();
     let third = harness.wait_for_leader(&rest, Some(next));
     harness
         .request(third, &Request::Unhold("room-a".into()))
-        .expect("given back");
-    let lent = held(&harness, 4, "room-a", 600);
+        .expect("the hold is released");
+    let fence = acquire_hold(&harness, 4, "room-a", 600);
     harness.apply_script(&format!("wake \"m{next}\""));
-    // It is asked at once, while it may still believe that it leads.
+    // The request is sent at once, while the old leader may still consider itself the leader.
     let refusal = harness.request_hold(next, "room-a", 600);
-    let said = refusal.unwrap_err().to_string();
-    assert!(said.contains("held already"), "{said}");
-    // What it knew was the first of that name; it hears of the second.
-    wait_until(&harness, next, "the later number", |a| {
-        a.holds.iter().any(|h| h.fence == lent)
+    let error = refusal.unwrap_err().to_string();
+    assert!(error.contains("held already"), "{error}");
+    // It knew the earlier hold of this name and learns of the later one.
+    wait_until(&harness, next, "the later fencing token", |consensus| {
+        consensus.holds.iter().any(|h| h.fence == fence)
     });
 
-    // A leader with a reader, cut off: a minority lends nothing, and says why.
+    // A leader that is partitioned with one learner is in a minority: it grants no hold and names the reason.
     let leader = harness.wait_for_leader(&voters, None);
     harness.apply_script(&format!("cut \"m{leader}\" \"m3\""));
     let rest: Vec<u32> = voters.into_iter().filter(|&m| m != leader).collect();
@@ -125,11 +138,11 @@
         .unwrap_err()
         .to_string()
         .contains("no majority"));
-    held(&harness, 4, "room-c", 600);
+    acquire_hold(&harness, 4, "room-c", 600);
     harness.apply_script("heal");
-    wait_until_held(&harness, 3, &["room-a", "room-b", "room-c"]);
+    wait_until_holds_are(&harness, 3, &["room-a", "room-b", "room-c"]);
 
-    // All at once, with no word: what was agreed stands when they are back.
+    // When all members are killed at once, committed state is still there after the restart.
     harness.apply_script("kill \"all\"");
     harness.apply_script("start \"all\"");
     harness.wait_for_leader(&voters, None);
@@ -138,7 +151,7 @@
         .unwrap_err()
         .to_string()
         .contains("held already"));
-    (0..5).for_each(|m| wait_until_held(&harness, m, &["room-a", "room-b", "room-c"]));
+    (0..5).for_each(|m| wait_until_holds_are(&harness, m, &["room-a", "room-b", "room-c"]));
 }
 
 #[test]
@@ -146,7 +159,7 @@
     let (mut harness, _engine) = start_cluster("members 4\nvoters 3");
     let voters = [0, 1, 2];
     harness.wait_for_leader(&voters, None);
-    held(&harness, 3, "room-a", 10);
+    acquire_hold(&harness, 3, "room-a", 10);
     assert!(harness
         .request_hold(3, "room-b", 11)
         .unwrap_err()
@@ -158,8 +171,8 @@
         wait_until_part(&harness, m, "votes");
         harness.wait_for_leader(&voters, None);
     }
-    wait_until(&harness, 3, "three that decide", |a| {
-        a.voters.len() == 3 && a.voters.iter().all(|v| v.there)
+    wait_until(&harness, 3, "three reachable voters", |consensus| {
+        consensus.voters.len() == 3 && consensus.voters.iter().all(|v| v.there)
     });
 }
 
@@ -168,15 +181,15 @@
     let (mut harness, _engine) =
         start_cluster("members 4\nvoters 3 keeps=#true replace-after=\"3 s\"");
     let leader = harness.wait_for_leader(&[0, 1, 2], None);
-    let gone = (leader + 1) % 3;
-    harness.apply_script(&format!("kill \"m{gone}\""));
+    let lost = (leader + 1) % 3;
+    harness.apply_script(&format!("kill \"m{lost}\""));
     wait_until_part(&harness, 3, "votes");
-    harness.apply_script(&format!("start \"m{gone}\""));
-    wait_until_part(&harness, gone, "reads");
-    // What its file says now outlives another start, and it founds nothing.
-    harness.apply_script(&format!("kill \"m{gone}\""));
-    harness.apply_script(&format!("start \"m{gone}\""));
-    wait_until_part(&harness, gone, "reads");
+    harness.apply_script(&format!("start \"m{lost}\""));
+    wait_until_part(&harness, lost, "reads");
+    // Its file records that it is no voter: after another restart it is still a learner and founds no cluster.
+    harness.apply_script(&format!("kill \"m{lost}\""));
+    harness.apply_script(&format!("start \"m{lost}\""));
+    wait_until_part(&harness, lost, "reads");
     harness.wait_for_leader(&[leader, 3], None);
 }
 
@@ -186,13 +199,13 @@
     harness.wait_for_leader(&[0, 1, 2], None);
     let file = harness.state_folder(2).join("agreed");
     let length = std::fs::read(&file).unwrap().len();
-    // Within the last record, within an earlier one.
-    // The last is no power cut: the disk lost what it had said it kept, and the engine of the log finds that out.
+    // The file is cut within its last record, within an earlier one, and at half its length. A power cut does not cause the third:
+    // there, the disk has lost records that it had confirmed, and the log implementation has to detect that.
     for cut in [3, 40, length / 2] {
         harness.apply_script("kill \"m2\"");
         let bytes = std::fs::read(&file).unwrap();
-        let kept = bytes.len().saturating_sub(cut);
-        std::fs::write(&file, &bytes[..kept]).unwrap();
+        let kept_length = bytes.len().saturating_sub(cut);
+        std::fs::write(&file, &bytes[..kept_length]).unwrap();
         harness.apply_script("start \"m2\"");
         wait_until_part(&harness, 2, "votes");
         let leader = harness.wait_for_leader(&[0, 1, 2], None);
@@ -215,31 +228,41 @@
 fn coordinators_find_each_other_by_the_engine_list() {
     let (mut harness, engine) = start_cluster("members 3");
     let list = harness.state_folder(0).with_extension("list");
-    let public: Vec<_> = (0..3).map(|m| harness.net.public_addr(m)).collect();
+    let addresses: Vec<_> = (0..3).map(|m| harness.net.public_addr(m)).collect();
     let write = |names: &[usize]| {
         let engine = engine.addr();
         let mut lines = vec![format!(
             r#"{{"instanceId":"engine-1","hostPort":"{engine}","lifecycle":"ready"}}"#
         )];
-        let line = |&m: &usize| format!(r#"{{"instanceId":"m{m}","coordinator":"{}"}}"#, public[m]);
+        let line = |&m: &usize| {
+            format!(
+                r#"{{"instanceId":"m{m}","coordinator":"{}"}}"#,
+                addresses[m]
+            )
+        };
         lines.extend(names.iter().map(line));
         std::fs::write(&list, format!(r#"{{"instances":[{}]}}"#, lines.join(","))).unwrap();
     };
     write(&[]);
     for m in 0..3 {
-        // No seeds, and the engines of the list.
+        // The configuration has no seeds and reads its engines from the list.
         harness.change_config(m, |text| {
-            let no_seeds = text.split("seed \"").next().unwrap_or_default().to_string() + "}\n";
-            let engines = no_seeds.find("engines {").unwrap();
-            let end = no_seeds[engines..].find('\n').unwrap() + engines;
-            let listed = format!("engines {{ file \"{}\" }}", list.display());
-            format!("{}{listed}{}", &no_seeds[..engines], &no_seeds[end..])
+            let without_seeds =
+                text.split("seed \"").next().unwrap_or_default().to_string() + "}\n";
+            let engines = without_seeds.find("engines {").unwrap();
+            let end = without_seeds[engines..].find('\n').unwrap() + engines;
+            let file_list = format!("engines {{ file \"{}\" }}", list.display());
+            format!(
+                "{}{file_list}{}",
+                &without_seeds[..engines],
+                &without_seeds[end..]
+            )
         });
     }
     harness.apply_script("kill \"all\"");
     harness.apply_script("start \"all\"");
     harness.wait_until_members_are(&[0], &[0]);
-    // Two of the three are listed: the third is found through them, as it asks them.
+    // Two of the three are listed. The third one contacts them and so becomes known to both.
     write(&[0, 1]);
     harness.wait_until_members_are(&[0, 1, 2], &[0, 1, 2]);
 }
@@ -249,30 +272,31 @@
     let (mut harness, _engine) = start_cluster("members 3\nvoters 3 keeps=#true");
     let leader = harness.wait_for_leader(&[0, 1, 2], None);
     let upgraded = (leader + 1) % 3;
-    held(&harness, leader, "room-a", 600);
-    wait_until_held(&harness, upgraded, &["room-a"]);
+    acquire_hold(&harness, leader, "room-a", 600);
+    wait_until_holds_are(&harness, upgraded, &["room-a"]);
     let mut old = harness.start_successor(upgraded);
-    // Both run; the new one is known by its name, and keeps its hands off the log.
+    // While both processes run, the new one is the member under that name and does not open the log.
     harness.wait_until_members_are(&[leader], &[0, 1, 2]);
     assert!(
         harness.consensus(upgraded).is_none() && old.snapshot().is_some_and(|s| s.agreed.is_some())
     );
-    // Signals come to the loop, whatever threads write to the disk: either would have ended it with no word.
+    // The event loop must receive the signals. If a thread that writes to the disk received one, either signal would kill the process
+    // without a shutdown.
     old.signal(Signal::Hangup);
     assert!(old.snapshot().is_some_and(|s| s.agreed.is_some()));
     old.signal(Signal::Terminate);
     assert!(
         old.wait(),
-        "the old one ends well:\n{}",
+        "the old process did not exit cleanly:\n{}",
         harness.log().text()
     );
     wait_until_part(&harness, upgraded, "votes");
-    wait_until_held(&harness, upgraded, &["room-a"]);
+    wait_until_holds_are(&harness, upgraded, &["room-a"]);
     let others: Vec<u32> = (0..3).filter(|&m| m != upgraded).collect();
     assert!(
         others
             .iter()
             .all(|&m| harness.counter(m, "fleet_agreed_voters_changed") == 0),
-        "its seat is its own"
+        "the upgrade must not change the set of voters"
     );
 }
--- a/crates/coordinator/tests/fleet.rs
+++ b/crates/coordinator/tests/fleet.rs
@@ -1,4 +1,5 @@
-//! Several processes of the program with faults between them. Waits are for what they say they see.
+//! Cluster membership between several coordinator processes, with faults injected between them. The tests wait for the
+//! membership that the processes report.
 
 use driftfront_cluster::message_authentication::{MessageAuthenticator, Payload};
 use driftfront_cluster::{Cluster, Identity, Key, Keyring, MemberMetadata};
@@ -12,25 +13,26 @@
 
 fn query(harness: &ClusterHarness, member: u32) -> String {
     let request = "GET /?query=SELECT%201 HTTP/1.1\r\nHost: t\r\nConnection: close\r\n\r\n";
-    call(harness.client_addr(member), request).expect("an answer")
+    call(harness.client_addr(member), request).expect("a response")
 }
 
 #[test]
 fn coordinators_started_at_once_find_each_other() {
     let (mut harness, _engine) = start_cluster("members 5 zones=2");
     harness.wait_until_members_are(&[0, 1, 2, 3, 4], &[0, 1, 2, 3, 4]);
-    let served = |seen: &[driftfront_cluster_harness::Member]| {
-        seen.iter()
+    let all_serving = |members: &[driftfront_cluster_harness::Member]| {
+        members
+            .iter()
             .all(|m| m.state == "serving" && m.build == env!("CARGO_PKG_VERSION"))
     };
-    harness.wait_until_members(4, "all serve", served);
+    harness.wait_until_members(4, "all members serve", all_serving);
     let zones: Vec<String> = harness
         .members_seen_by(3)
         .into_iter()
         .map(|m| m.zone)
         .collect();
     assert_eq!(zones, ["z0", "z1", "z0", "z1", "z0"]);
-    // One that ends in order is gone for the others before it could have been found out.
+    // A member that shuts down announces it: the others remove it without waiting for failure detection.
     harness.apply_script("leave \"m2\"");
     assert!(harness.process(2).wait());
     harness.wait_until_members_are(&[0, 1, 3, 4], &[0, 1, 3, 4]);
@@ -41,12 +43,12 @@
 fn killed_members_are_reported_down_and_rejoin_under_their_names() {
     let (mut harness, _engine) = start_cluster("members 5");
     harness.wait_until_members_are(&[0, 1, 2, 3, 4], &[0, 1, 2, 3, 4]);
-    // Both of the other seeds among them.
+    // The killed members are both of the other seeds.
     harness.apply_script("kill \"m1\" \"m2\"");
     harness.wait_until_members_are(&[0, 3, 4], &[0, 3, 4]);
     assert!(
         query(&harness, 3).ends_with("1\n"),
-        "a fleet that lost members serves on"
+        "a cluster that lost members keeps serving"
     );
     harness.apply_script("start \"m1\" \"m2\"");
     harness.wait_until_members_are(&[0, 1, 2, 3, 4], &[0, 1, 2, 3, 4]);
@@ -74,7 +76,7 @@
     harness.wait_until_members_are(&[0, 1, 2], &[0, 1, 2]);
     assert!(
         query(&harness, 3).ends_with("1\n"),
-        "what is cut off serves"
+        "an isolated member keeps serving"
     );
     harness.apply_script("heal");
     harness.wait_until_members_are(&[0, 1, 2, 3], &[0, 1, 2, 3]);
@@ -89,7 +91,7 @@
     harness.wait_until_members_are(&[0, 1, 3], &[0, 1, 3]);
     harness.apply_script("wake \"m2\"");
     harness.wait_until_members_are(&[0, 1, 2, 3], &[0, 1, 2, 3]);
-    // What it slept through it held against itself, not against them.
+    // It attributes the missed probes to its own pause and does not suspect the others.
     assert_eq!(harness.counter(2, "fleet_members_down"), 0);
     assert!(harness.counter(2, "fleet_stumbles") > 0);
 }
@@ -110,7 +112,7 @@
         for member in 0..3 {
             harness.process(member).signal(Signal::Hangup);
         }
-        // Read, and used: datagrams go on to be taken by each.
+        // Each member has read the new keys and still accepts datagrams.
         for member in 0..3 {
             let taken = harness.counter(member, "fleet_datagrams_taken");
             harness.wait_for_counter(member, "fleet_datagrams_taken", taken + 8);
@@ -122,7 +124,7 @@
             .map(|m| harness.counter(m, "fleet_members_down"))
             .collect::<Vec<_>>()
     );
-    // One that starts with the old key is let in by nobody, and serves by itself.
+    // A member that starts with the old key is admitted by nobody and serves alone.
     harness.apply_script("kill \"m2\"");
     harness.wait_until_members_are(&[0, 1], &[0, 1]);
     harness.write_key(old);
@@ -137,28 +139,28 @@
 fn datagram_flood_with_a_wrong_key_harms_nobody() {
     let (harness, _engine) = start_cluster("members 3");
     harness.wait_until_members_are(&[0, 1, 2], &[0, 1, 2]);
-    let (over, sent) = (
+    let (stop, sent) = (
         Arc::new(AtomicBool::new(false)),
         Arc::new(AtomicU64::new(0)),
     );
     let target = harness.net.public_addr(1);
-    let (done, count) = (over.clone(), sent.clone());
+    let (flood_stop, flood_sent) = (stop.clone(), sent.clone());
     let flood = std::thread::spawn(move || {
         let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
-        // Of this language, of its usual length, under the key that is in use by its name, but sealed with nothing.
+        // A datagram with a valid header, a usual length and the id of the key in use, but without a valid authentication tag.
         let mut datagram = vec![0x5a; 600];
         datagram[..3].copy_from_slice(b"DF\x01");
         datagram[3] = Key::parse(driftfront_cluster_harness::KEY).unwrap().id();
-        while !done.load(Ordering::Relaxed) && count.load(Ordering::Relaxed) < 400_000 {
+        while !flood_stop.load(Ordering::Relaxed) && flood_sent.load(Ordering::Relaxed) < 400_000 {
             let _ = socket.send_to(&datagram, target);
-            count.fetch_add(1, Ordering::Relaxed);
+            flood_sent.fetch_add(1, Ordering::Relaxed);
         }
     });
     harness.wait_for_counter(1, "fleet_datagrams_refused{why=\"spoilt\"}", 2_000);
     for _ in 0..100 {
         assert!(query(&harness, 1).ends_with("1\n"));
     }
-    over.store(true, Ordering::Relaxed);
+    stop.store(true, Ordering::Relaxed);
     flood.join().unwrap();
     harness.wait_until_members_are(&[0, 1, 2], &[0, 1, 2]);
 }
@@ -180,10 +182,10 @@
         "\"limits\"",
         "\"fleet\": {\"listen\": \"127.0.0.1:0\", \"key_file\": \"/nowhere\"}, \"limits\"",
     );
-    let barred = driftfront::config::Config::read(
+    let gossip_forbidden = driftfront::config::Config::read(
         text.replace("\"clickhouse\",", "\"platform\",").as_bytes(),
     );
-    assert!(barred
+    assert!(gossip_forbidden
         .err()
         .is_some_and(|e| e.to_string().contains("bar talk")));
     assert!(driftfront::config::Config::read(text.as_bytes()).is_ok_and(|c| c.cluster.is_some()));
@@ -193,7 +195,7 @@
 fn member_of_a_later_build_is_admitted() {
     let (harness, _engine) = start_cluster("members 3");
     harness.wait_until_members_are(&[0, 1, 2], &[0, 1, 2]);
-    // A member with the units themselves, that speaks a little more than this build knows.
+    // This member runs the same membership code, and adds fields and kinds that this build does not know.
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
     socket
         .set_read_timeout(Some(std::time::Duration::from_millis(10)))
@@ -205,40 +207,40 @@
         rejoins: 0,
     };
     let keys = || Keyring::from_key(Key::parse(driftfront_cluster_harness::KEY).unwrap());
-    let about = MemberMetadata {
+    let metadata = MemberMetadata {
         build: "9.9.9".into(),
         ..MemberMetadata::default()
     };
     let seeds = vec![harness.net.public_addr(0)];
-    let begun = std::time::Instant::now();
+    let start = std::time::Instant::now();
     let mut later = Cluster::new(
         0,
         driftfront_cluster::Options {
             identity: me,
-            metadata: about.clone(),
+            metadata: metadata.clone(),
             keys: keys(),
             seeds,
             seed: 3,
             consensus: None,
         },
     );
-    // A field in its record, a kind of record and a kind of payload that nobody here has heard of.
-    let mut record = about.encode();
+    // A field in the metadata, a record kind and a payload kind that this build does not know.
+    let mut record = metadata.encode();
     record.extend([77, 2, 1, 2]);
     assert!(later.publish(1, &record) && later.publish(999, b"of a later build"));
-    let mut seal = MessageAuthenticator::new(keys(), 1 << 51);
-    let unknown = seal.seal(Payload::Unknown(200), b"whatever", 0).unwrap();
+    let mut auth = MessageAuthenticator::new(keys(), 1 << 51);
+    let unknown = auth.seal(Payload::Unknown(200), b"whatever", 0).unwrap();
     let mut bytes = [0; 2048];
-    let mut told = false;
-    let seen = |m: u32| {
+    let mut unknown_sent = false;
+    let is_admitted_by = |m: u32| {
         harness
             .members_seen_by(m)
             .iter()
             .any(|s| s.name == "later" && s.standing == "there" && s.build == "9.9.9")
     };
-    let now = || u64::try_from(begun.elapsed().as_micros()).expect("a minute at most");
-    while !(0..3).all(seen) || !told {
-        assert!(begun.elapsed() < driftfront_cluster_harness::TEST_TIMEOUT);
+    let now = || u64::try_from(start.elapsed().as_micros()).expect("at most a minute");
+    while !(0..3).all(is_admitted_by) || !unknown_sent {
+        assert!(start.elapsed() < driftfront_cluster_harness::TEST_TIMEOUT);
         while let Ok(n) = socket.recv(&mut bytes) {
             later.handle_datagram(now(), &bytes[..n]);
         }
@@ -246,8 +248,8 @@
         while let Some((to, datagram)) = later.next_outgoing() {
             let _ = socket.send_to(&datagram, to);
         }
-        if !told && later.peer_count() == 3 {
-            told = true;
+        if !unknown_sent && later.peer_count() == 3 {
+            unknown_sent = true;
             let _ = socket.send_to(&unknown, harness.net.public_addr(1));
         }
     }
--- a/crates/coordinator/tests/key_file.rs
+++ b/crates/coordinator/tests/key_file.rs
@@ -1,4 +1,4 @@
-//! The file with a cluster's keys.
+//! Reading the key file of a cluster: file permissions and key syntax.
 
 use driftfront::node::read_keys;
 use std::os::unix::fs::PermissionsExt;
@@ -6,15 +6,16 @@
 #[test]
 fn a_key_file_that_others_can_read_or_that_holds_no_key_is_refused() {
     let path = std::env::temp_dir().join(format!("driftfront-keys-{}", std::process::id()));
-    let mode =
+    let set_mode =
         |mode| std::fs::set_permissions(&path, std::fs::Permissions::from_mode(mode)).unwrap();
     std::fs::write(&path, "000102030405060708090a0b0c0d0e0f\n").unwrap();
-    mode(0o644);
+    set_mode(0o644);
     let error = read_keys(&path).unwrap_err().to_string();
     assert!(error.contains("chmod 600"));
-    mode(0o600);
+    set_mode(0o600);
     assert_eq!(read_keys(&path).unwrap().ids().len(), 1);
     std::fs::write(&path, "secret").unwrap();
+    // The error names the line and does not print the invalid key.
     let error = read_keys(&path).unwrap_err().to_string();
     assert!(
         error.contains("line 1") && !error.contains("secret"),
