--- a/crates/coordinator/tests/state_folder.rs
+++ b/crates/coordinator/tests/state_folder.rs
@@ -1,4 +1,4 @@
-//! The state folder: what is written is read again, whatever a power cut leaves of it.
+//! The state folder: records survive a reopen, and complete records survive a file that a power cut has truncated.
 
 use driftfront::file_writer::WriteCompleted;
 use driftfront::state_folder::{OpenedState, StateFolder};
@@ -19,26 +19,26 @@
     }
 }
 
-/// A state folder that is opened again and again.
-struct Reopened<'p> {
+/// A state folder that the test opens several times.
+struct TestFolder<'p> {
     path: &'p Path,
     sender: Sender<WriteCompleted>,
     completions: Receiver<WriteCompleted>,
 }
 
-impl Reopened<'_> {
+impl TestFolder<'_> {
     fn open(&self) -> OpenedState {
         let sender = self.sender.clone();
         let opened = StateFolder::open(self.path, move |w| drop(sender.send(w)));
-        opened.expect("a folder")
+        opened.expect("the state folder opens")
     }
 
-    /// Appends records and waits until they are on the disk.
+    /// Appends records and waits until they have been written to disk.
     fn append(&self, folder: &mut StateFolder, records: &[StateRecord]) {
-        let id = folder.append(records).expect("room");
-        let completed = self.completions.recv().expect("written");
+        let id = folder.append(records).expect("the write queue has room");
+        let completed = self.completions.recv().expect("a write completion");
         assert_eq!(completed.id, id);
-        completed.result.expect("on the disk");
+        completed.result.expect("the write succeeds");
     }
 }
 
@@ -47,7 +47,7 @@
     let path = std::env::temp_dir().join(format!("driftfront-state-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&path);
     let (sender, completions) = channel();
-    let state = Reopened {
+    let state = TestFolder {
         path: &path,
         sender,
         completions,
@@ -57,41 +57,43 @@
     state.append(&mut opened.folder, &[order(1), order(2)]);
     drop(opened);
     let file = path.join("orders");
-    let mut bytes = std::fs::read(&file).expect("the file");
+    let mut bytes = std::fs::read(&file).expect("the file is read");
     bytes.truncate(bytes.len() - 3);
-    std::fs::write(&file, &bytes).expect("cut");
+    std::fs::write(&file, &bytes).expect("the truncated file is written");
     let mut opened = state.open();
     assert_eq!((opened.records, opened.warnings.len()), (vec![order(1)], 1));
-    // Replaced by a shorter file, and appended to.
+    // The file is compacted to a shorter one, and appended to.
     opened.folder.compact(&[order(7)]);
     state.append(&mut opened.folder, &[order(8)]);
     drop(opened.folder);
     assert_eq!(state.open().records, vec![order(7), order(8)]);
-    // A power cut at each byte: the complete records before it are read again, and the next order is appended to them.
-    let whole = std::fs::read(&file).expect("the file");
-    for cut in 0..=whole.len() {
-        std::fs::write(&file, &whole[..cut]).expect("a prefix");
+    // For a truncation at each byte: the complete records before it are read, and the next record is appended after them.
+    let complete_bytes = std::fs::read(&file).expect("the file is read");
+    for cut in 0..=complete_bytes.len() {
+        std::fs::write(&file, &complete_bytes[..cut]).expect("the truncated file is written");
         let mut opened = state.open();
-        let known = record::read(&whole[..cut]).expect("ours");
+        let expected = record::read(&complete_bytes[..cut]).expect("a supported version");
         assert_eq!(
             (&opened.records, opened.warnings.is_empty()),
-            (&known.records, known.damage.is_none()),
-            "cut at {cut}"
+            (&expected.records, expected.damage.is_none()),
+            "truncated at byte {cut}"
         );
         state.append(&mut opened.folder, &[order(9)]);
         drop(opened.folder);
         assert_eq!(
             state.open().records,
             [&opened.records[..], &[order(9)]].concat(),
-            "cut at {cut}"
+            "truncated at byte {cut}"
         );
     }
-    // A newer version's file is left as it is.
-    std::fs::write(&file, b"driftfront state 9\n").expect("newer");
-    let error = StateFolder::open(&path, |_| {}).err().expect("an error");
+    // A file of a newer format version is refused and not modified.
+    std::fs::write(&file, b"driftfront state 9\n").expect("the file is written");
+    let error = StateFolder::open(&path, |_| {})
+        .err()
+        .expect("a version error");
     assert!(error.to_string().contains("version 9"));
     assert_eq!(
-        std::fs::read(&file).expect("the file"),
+        std::fs::read(&file).expect("the file is read"),
         b"driftfront state 9\n"
     );
     let _ = std::fs::remove_dir_all(&path);
--- a/crates/coordinator/tests/upgrade.rs
+++ b/crates/coordinator/tests/upgrade.rs
@@ -1,4 +1,4 @@
-//! A new version under load: two processes of one coordinator on one inherited listener, and the orders between them.
+//! Upgrades under load: two processes of one coordinator share an inherited listener and exchange operators' orders.
 
 use driftfront_http::ResponseReader;
 use driftfront_test_support::coordinator::platform_site::{config, Site};
@@ -9,7 +9,7 @@
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 
-/// What the platform holds: the clients' listener, and the folder that all processes of the coordinator share.
+/// What the platform provides: the listener for clients, and the directory that all processes of the coordinator share.
 struct Platform {
     listener: TcpListener,
     tmp: PathBuf,
@@ -32,8 +32,8 @@
     }
 
     fn start(&self, config: &str) -> Coordinator {
-        let at = self.listener.local_addr().unwrap();
-        let config = config.replace("127.0.0.1:0", &at.to_string());
+        let addr = self.listener.local_addr().unwrap();
+        let config = config.replace("127.0.0.1:0", &addr.to_string());
         let config = config.replacen('{', "{\"management\": \"127.0.0.1:0\",", 1);
         Coordinator::with_inherited_socket(&config, self.socket(), "4", &self.tmp)
     }
@@ -42,10 +42,10 @@
         Site::start_with(engines, |config| self.start(&config))
     }
 
-    /// The next process; returns once it is ready.
+    /// Starts the next process and returns it once it is ready.
     fn upgrade(&self, site: &Site) -> Coordinator {
         let new = self.start(&config(site.list.addr));
-        wait_for(&new, "STATUS\n", "OK");
+        wait_for_reply(&new, "STATUS\n", "OK");
         new
     }
 }
@@ -56,21 +56,21 @@
     }
 }
 
-fn wait_for(coordinator: &Coordinator, call: &str, reply: &str) {
+fn wait_for_reply(coordinator: &Coordinator, call: &str, reply: &str) {
     poll_until(
         || coordinator.manage(call).starts_with(reply),
-        || format!("{call:?} was never answered {reply}"),
+        || format!("{call:?} was never answered with {reply}"),
     );
 }
 
-/// A client that keeps its connection as long as it may: asks until it is told to stop, and counts what was turned back
-/// with no answer and was sent once more.
-fn client(addr: SocketAddr, number: u64, stop: &AtomicBool, turned_back: &AtomicU64) -> u64 {
+/// A client that keeps its connection open until a response announces the close. It sends requests until `stop` is set, returns
+/// their number, and counts in `resent` the requests that it sent again because their connection closed without a response.
+fn client(addr: SocketAddr, number: u64, stop: &AtomicBool, resent: &AtomicU64) -> u64 {
     let mut conn: Option<(TcpStream, ResponseReader)> = None;
-    let mut asked = 0;
+    let mut sent = 0;
     while !stop.load(Ordering::Relaxed) {
-        asked += 1;
-        let id = number << 32 | asked;
+        sent += 1;
+        let id = number << 32 | sent;
         let statement = format!("SELECT {id}.");
         let head = format!(
             "POST /ops/lookup HTTP/1.1\r\nHost: t\r\nX-Call-Id: {id:016x}\r\nX-Patience-Ms: 2500\r\n"
@@ -79,11 +79,11 @@
             "{head}Content-Length: {}\r\n\r\n{statement}",
             statement.len()
         );
-        for again in 0.. {
-            assert!(again < 2, "turned back twice");
+        for retry in 0.. {
+            assert!(retry < 2, "two connections closed without a response");
             let (stream, reader) = conn.get_or_insert_with(|| {
                 (
-                    TcpStream::connect(addr).expect("somebody listens"),
+                    TcpStream::connect(addr).expect("a process listens"),
                     ResponseReader::default(),
                 )
             });
@@ -98,14 +98,14 @@
                     }
                     break;
                 }
-                Ok(answer) => assert_eq!(answer.status, 0, "half an answer"),
+                Ok(answer) => assert_eq!(answer.status, 0, "incomplete response"),
                 Err(_) => {}
             }
-            turned_back.fetch_add(1, Ordering::Relaxed);
+            resent.fetch_add(1, Ordering::Relaxed);
             conn = None;
         }
     }
-    asked
+    sent
 }
 
 #[test]
@@ -113,21 +113,21 @@
     let platform = Platform::new("load");
     let mut site = platform.site(3);
     let addr = site.coordinator.addr;
-    let (stop, turned_back) = (AtomicBool::new(false), AtomicU64::new(0));
-    let asked = std::thread::scope(|scope| {
+    let (stop, resent) = (AtomicBool::new(false), AtomicU64::new(0));
+    let sent = std::thread::scope(|scope| {
         let clients: Vec<_> = (1..=8)
             .map(|n| {
                 scope.spawn({
-                    let (s, t) = (&stop, &turned_back);
+                    let (s, t) = (&stop, &resent);
                     move || client(addr, n, s, t)
                 })
             })
             .collect();
         for _ in 0..2 {
             site.ledger
-                .wait_until("some load", |entries| entries.len() % 100 > 50);
+                .wait_until("more load", |entries| entries.len() % 100 > 50);
             let new = platform.upgrade(&site);
-            wait_for(&site.coordinator, "STATUS\n", "ERR handing over");
+            wait_for_reply(&site.coordinator, "STATUS\n", "ERR handing over");
             let mut old = std::mem::replace(&mut site.coordinator, new);
             old.terminate();
             assert!(old.wait().success());
@@ -135,18 +135,18 @@
         stop.store(true, Ordering::Relaxed);
         clients
             .into_iter()
-            .map(|c| c.join().expect("a client"))
+            .map(|c| c.join().expect("the client does not panic"))
             .sum::<u64>()
     });
     assert_eq!(
         site.ledger.of("SELECT").len() as u64,
-        asked,
-        "each ran once"
+        sent,
+        "each request must run once"
     );
     assert!(
-        turned_back.load(Ordering::Relaxed) <= 2,
-        "{} turned back",
-        turned_back.load(Ordering::Relaxed)
+        resent.load(Ordering::Relaxed) <= 2,
+        "{} requests were sent again",
+        resent.load(Ordering::Relaxed)
     );
     assert_eq!(site.coordinator.counter("upgrade_succeeds"), 1);
 }
@@ -157,7 +157,7 @@
     let mut site = platform.site(2);
     assert!(site.coordinator.manage("SUSPEND e0\n").starts_with("OK"));
     let new = platform.upgrade(&site);
-    // Taken over before it was ready.
+    // The new process has taken over the order before it reports that it is ready.
     assert_eq!(new.counter("engines_out_by_order"), 1);
     assert!(new.manage("SUSPEND e1\n").starts_with("OK"));
     let old = std::mem::replace(&mut site.coordinator, new);
@@ -171,14 +171,14 @@
     let next = platform.upgrade(&site);
     assert_eq!(next.counter("engines_out_by_order"), 1);
     assert!(next.manage("RESTORE e1\n").starts_with("OK"));
-    wait_for(&site.coordinator, "STATUS\n", "ERR handing over");
+    wait_for_reply(&site.coordinator, "STATUS\n", "ERR handing over");
 }
 
 #[test]
 fn late_request_on_an_old_connection_is_answered_by_the_old_process() {
     let platform = Platform::new("held");
     let mut site = platform.site(1);
-    let mut held = TcpStream::connect(site.coordinator.addr).unwrap();
+    let mut unused = TcpStream::connect(site.coordinator.addr).unwrap();
     let mut idle = TcpStream::connect(site.coordinator.addr).unwrap();
     let request = |id: u64| {
         format!(
@@ -193,15 +193,19 @@
     );
     let new = platform.upgrade(&site);
     let mut old = std::mem::replace(&mut site.coordinator, new);
-    // The one that has had its answer is closed; the other has said nothing for longer.
-    assert_eq!(idle.read(&mut [0; 16]).expect("an end in order"), 0);
-    held.write_all(request(2).as_bytes()).unwrap();
-    let answer = read_next(&mut held, &mut ResponseReader::default());
+    // The connection that has had its response is closed. The other one has never sent a request and stays open.
+    assert_eq!(
+        idle.read(&mut [0; 16])
+            .expect("the connection is closed without a reset"),
+        0
+    );
+    unused.write_all(request(2).as_bytes()).unwrap();
+    let answer = read_next(&mut unused, &mut ResponseReader::default());
     assert_eq!(
         (answer.status, answer.header("Connection")),
         (200, Some("close"))
     );
-    drop((held, idle));
+    drop((unused, idle));
     old.terminate();
     assert!(old.wait().success());
 }
@@ -211,9 +215,9 @@
     let platform = Platform::new("blocks");
     let site = platform.site(1);
     for n in 0..20 {
-        // The flag is shared by all who hold the socket; the loop looks for connections at least each 25 ms.
+        // All processes that hold the socket share its flags. The event loop checks for connections at least every 25 ms.
         platform.listener.set_nonblocking(false).unwrap();
-        // So many calls take longer than that.
+        // This number of calls takes longer than that.
         for _ in 0..200 {
             assert_eq!(site.coordinator.manage("STATUS\n"), "OK ready\n", "{n}");
         }
@@ -226,9 +230,9 @@
     let platform = Platform::new("dies");
     let site = platform.site(1);
     let mut new = platform.upgrade(&site);
-    wait_for(&site.coordinator, "STATUS\n", "ERR handing over");
+    wait_for_reply(&site.coordinator, "STATUS\n", "ERR handing over");
     new.kill();
-    wait_for(&site.coordinator, "STATUS\n", "OK ready");
+    wait_for_reply(&site.coordinator, "STATUS\n", "OK ready");
     assert_eq!(site.ask("lookup", 2500, "SELECT 1").status, 200);
 }
 
@@ -239,7 +243,7 @@
     assert!(site.coordinator.manage("PAUSE\n").starts_with("OK"));
     let new = platform.upgrade(&site);
     let mut old = std::mem::replace(&mut site.coordinator, new);
-    wait_for(&old, "STATUS\n", "ERR handing over");
+    wait_for_reply(&old, "STATUS\n", "ERR handing over");
     old.terminate();
     assert!(old.wait().success());
     assert_eq!(site.ask("lookup", 2500, "SELECT 1").status, 200);
@@ -251,19 +255,19 @@
     let plain = || std::fs::File::open("/dev/null").unwrap().into();
     let connected =
         || OwnedFd::from(TcpStream::connect(platform.listener.local_addr().unwrap()).unwrap());
-    for (socket, told) in [
+    for (socket, descriptor) in [
         (platform.socket(), "5"),
         (platform.socket(), "x"),
         (plain(), "4"),
         (connected(), "4"),
     ] {
         let site = Site::start_with(1, |config| {
-            Coordinator::with_inherited_socket(&config, socket, told, &platform.tmp)
+            Coordinator::with_inherited_socket(&config, socket, descriptor, &platform.tmp)
         });
         assert_ne!(
             site.coordinator.addr,
             platform.listener.local_addr().unwrap(),
-            "{told}"
+            "{descriptor}"
         );
         assert_eq!(get(site.coordinator.addr, "/alive").status, 200);
     }
