--- a/crates/coordinator/tests/daily.rs
+++ b/crates/coordinator/tests/daily.rs
@@ -1,4 +1,5 @@
-//! Daily operation: calls at the second address, engines taken out and put back, clients sent away.
+//! Management of a running coordinator: calls to the management address, draining and restoring engines, and pausing the
+//! coordinator, which closes its client connections.
 
 use driftfront_http::ResponseReader;
 use driftfront_test_support::coordinator::engine_list::EngineList;
@@ -9,16 +10,16 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::Arc;
 
-/// A second address beside whatever else a site has.
+/// Adds a management address to a site's configuration.
 #[allow(
     clippy::needless_pass_by_value,
-    reason = "a site hands over its configuration"
+    reason = "the signature that Site::with_config expects"
 )]
-fn managed(config: String) -> String {
+fn with_management_address(config: String) -> String {
     config.replacen('{', "{\"management\": \"127.0.0.1:0\",", 1)
 }
 
-fn lookup(n: u64) -> String {
+fn lookup_request(n: u64) -> String {
     let statement = format!("SELECT {n}");
     format!(
         "POST /ops/lookup HTTP/1.1\r\nHost: t\r\nX-Call-Id: {n:016x}\r\nX-Patience-Ms: 2500\r\n\
@@ -27,15 +28,20 @@
     )
 }
 
-/// Until the other side has ended the connection in order; nothing but that may come.
-fn wait_for_end(stream: &mut TcpStream) {
+/// Waits until the peer has closed the connection without a reset. Any data before that is an error.
+fn assert_clean_close(stream: &mut TcpStream) {
     stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
-    assert_eq!(stream.read(&mut [0; 16]).expect("an end in order"), 0);
+    assert_eq!(
+        stream
+            .read(&mut [0; 16])
+            .expect("the connection is closed without a reset"),
+        0
+    );
 }
 
 #[test]
 fn management_call_is_answered_beside_silent_and_bad_callers() {
-    let site = Site::with_config(1, managed);
+    let site = Site::with_config(1, with_management_address);
     let addr = site.coordinator.management.unwrap();
     let mut stalled: Vec<TcpStream> = (0..40).map(|_| TcpStream::connect(addr).unwrap()).collect();
     for stream in &mut stalled[..20] {
@@ -56,31 +62,31 @@
             "{bad:?}: {reply:?}"
         );
     }
-    let mut cut = TcpStream::connect(addr).unwrap();
-    cut.write_all(b"PAUSE").unwrap();
-    cut.shutdown(std::net::Shutdown::Write).unwrap();
+    let mut incomplete = TcpStream::connect(addr).unwrap();
+    incomplete.write_all(b"PAUSE").unwrap();
+    incomplete.shutdown(std::net::Shutdown::Write).unwrap();
     let mut reply = String::new();
-    cut.read_to_string(&mut reply).unwrap();
+    incomplete.read_to_string(&mut reply).unwrap();
     assert!(reply.starts_with("ERR the connection ended"), "{reply}");
     assert_eq!(site.coordinator.manage("STATUS\n"), "OK ready\n");
-    // 40 stalled ones do not fit beside the rest: the oldest made room.
+    // The 40 stalled connections exceed the connection limit: the oldest were closed to make room.
     assert!(site.coordinator.counter("management_silent") >= 8);
     assert_eq!(site.coordinator.counter("management_bad"), 5);
 }
 
 #[test]
 fn unavailable_management_address_does_not_stop_serving() {
-    let taken = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    let at = format!("{{\"management\": \"{}\",", taken.local_addr().unwrap());
-    let site = Site::with_config(1, |config| config.replacen('{', &at, 1));
+    let occupied = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
+    let setting = format!("{{\"management\": \"{}\",", occupied.local_addr().unwrap());
+    let site = Site::with_config(1, |config| config.replacen('{', &setting, 1));
     assert_eq!(site.ask("lookup", 2500, "SELECT 1").status, 200);
-    let none = Site::with_config(1, |config| {
+    let invalid = Site::with_config(1, |config| {
         config.replacen('{', "{\"management\": \"nowhere\",", 1)
     });
     assert_eq!(
         (
-            none.coordinator.management,
-            none.ask("lookup", 2500, "SELECT 1").status
+            invalid.coordinator.management,
+            invalid.ask("lookup", 2500, "SELECT 1").status
         ),
         (None, 200)
     );
@@ -88,13 +94,14 @@
 
 #[test]
 fn suspended_engine_gets_no_query_until_it_is_restored() {
-    let site = Site::with_config(2, managed);
+    let site = Site::with_config(2, with_management_address);
     let manage = |call: &str| site.coordinator.manage(call);
-    let asked = |from: u64, n: u64| {
-        for n in from..from + n {
+    // Sends `count` queries and returns how many of them e0 ran.
+    let run_on_e0 = |from: u64, count: u64| {
+        for n in from..from + count {
             assert_eq!(site.ask("lookup", 2500, &format!("SELECT {n}")).status, 200);
         }
-        (from..from + n)
+        (from..from + count)
             .filter(|n| {
                 site.ledger
                     .of(&format!("SELECT {n}"))
@@ -103,7 +110,7 @@
             })
             .count()
     };
-    assert!(asked(1000, 30) > 0);
+    assert!(run_on_e0(1000, 30) > 0);
     assert_eq!(
         manage("SUSPEND e0\n"),
         "OK e0 is drained: nothing new goes there\n"
@@ -112,61 +119,61 @@
         manage("SUSPEND e0\n"),
         "OK e0 is drained: nothing new goes there, as before\n"
     );
-    assert_eq!(asked(2000, 30), 0);
-    // It goes, and comes back as a new process; an order about it may come while it is gone, too.
+    assert_eq!(run_on_e0(2000, 30), 0);
+    // The engine leaves the list and returns as a new process. Orders for it are accepted while it is absent, too.
     let lists = site.coordinator.counter("lists_taken");
     site.publish(&["gone", "ready"], "");
     site.coordinator.wait_for("lists_taken", lists + 1);
     assert!(manage("SUSPEND e0\n").starts_with("OK") && manage("SUSPEND e00\n").starts_with("ERR"));
     site.publish(&["ready", "ready"], "");
     site.coordinator.wait_for("lists_taken", lists + 2);
-    assert_eq!(asked(3000, 30), 0);
+    assert_eq!(run_on_e0(3000, 30), 0);
     assert_eq!(site.coordinator.counter("engines_out_by_order"), 1);
-    // The last one too: refused at once, with the time to come back.
+    // Without any engine a query is rejected at once, with the time after which to retry.
     assert!(manage("SUSPEND e1\n").starts_with("OK"));
     let refused = site.ask("lookup", 2500, "SELECT none");
     assert!(refused.status == 429 && refused.header("X-Come-Back-Ms").is_some());
     assert_eq!(manage("STATUS\n"), "ERR no engine takes work\n");
     assert!(manage("RESTORE e0\n").starts_with("OK") && manage("RESTORE e0\n").starts_with("OK"));
-    assert_eq!(asked(4000, 10), 10);
+    assert_eq!(run_on_e0(4000, 10), 10);
     assert!(manage("RESTORE e1\n").starts_with("OK"));
     site.ledger.assert_rules(1000);
 }
 
 #[test]
 fn paused_coordinator_closes_idle_clients_and_answers_the_others() {
-    let site = Site::with_config(1, managed);
+    let site = Site::with_config(1, with_management_address);
     let mut idle = TcpStream::connect(site.coordinator.addr).unwrap();
     let mut fresh = TcpStream::connect(site.coordinator.addr).unwrap();
     let mut busy = TcpStream::connect(site.coordinator.addr).unwrap();
-    let (mut of_idle, mut of_busy) = (ResponseReader::default(), ResponseReader::default());
-    idle.write_all(lookup(1).as_bytes()).unwrap();
+    let (mut idle_reader, mut busy_reader) = (ResponseReader::default(), ResponseReader::default());
+    idle.write_all(lookup_request(1).as_bytes()).unwrap();
     assert_eq!(
-        read_next(&mut idle, &mut of_idle).header("Connection"),
+        read_next(&mut idle, &mut idle_reader).header("Connection"),
         None
     );
-    // Half of a request is out when the call comes: it is taken, answered, and told the close.
-    let (half, rest) = (lookup(2), 40);
-    busy.write_all(&half.as_bytes()[..rest]).unwrap();
+    // Half of a request has arrived before the pause: it is accepted and answered, and its response announces the close.
+    let (partial, split) = (lookup_request(2), 40);
+    busy.write_all(&partial.as_bytes()[..split]).unwrap();
     assert_eq!(site.coordinator.manage("PAUSE\n"), "OK draining\n");
     assert!(site.coordinator.manage("PAUSE\n").starts_with("OK"));
     assert!(site.coordinator.manage("STATUS\n").starts_with("ERR"));
-    let alive = get(site.coordinator.addr, "/alive");
+    let health = get(site.coordinator.addr, "/alive");
     assert_eq!(
-        (alive.status, alive.header("Connection")),
+        (health.status, health.header("Connection")),
         (503, Some("close"))
     );
-    busy.write_all(&half.as_bytes()[rest..]).unwrap();
-    let answer = read_next(&mut busy, &mut of_busy);
+    busy.write_all(&partial.as_bytes()[split..]).unwrap();
+    let answer = read_next(&mut busy, &mut busy_reader);
     assert_eq!(
         (answer.status, answer.header("Connection")),
         (200, Some("close"))
     );
     [&mut idle, &mut fresh, &mut busy]
         .into_iter()
-        .for_each(wait_for_end);
+        .for_each(assert_clean_close);
     drop((idle, fresh, busy));
-    // Who comes all the same is served, and sent away again.
+    // A client that connects during the pause is served, and its connection is closed after the response.
     let late = site.ask("lookup", 2500, "SELECT late");
     assert_eq!(
         (late.status, late.header("Connection")),
@@ -183,8 +190,8 @@
 }
 
 #[test]
-fn a_paused_coordinator_ends_when_it_is_asked_to() {
-    let mut site = Site::with_config(1, managed);
+fn paused_coordinator_exits_on_sigterm() {
+    let mut site = Site::with_config(1, with_management_address);
     site.coordinator.manage("PAUSE\n");
     site.coordinator.terminate();
     assert!(site.coordinator.wait().success());
@@ -193,12 +200,14 @@
 #[test]
 fn control_socket_and_management_address_share_orders() {
     let socket = std::env::temp_dir().join(format!("driftfront-daily-{}.sock", std::process::id()));
-    let named = format!("{{\"control\": \"{}\",", socket.display());
-    let site = Site::with_config(2, |config| managed(config.replacen('{', &named, 1)));
-    let said = |words: &[&str]| {
+    let setting = format!("{{\"control\": \"{}\",", socket.display());
+    let site = Site::with_config(2, |config| {
+        with_management_address(config.replacen('{', &setting, 1))
+    });
+    let run_command = |args: &[&str]| {
         let mut command = std::process::Command::new(env!("CARGO_BIN_EXE_driftfront"));
         let out = command
-            .args(words)
+            .args(args)
             .arg("--at")
             .arg(&socket)
             .output()
@@ -208,27 +217,27 @@
             String::from_utf8_lossy(&out.stdout).into_owned(),
         )
     };
-    assert_eq!(said(&["pause"]), (Some(0), "draining\n".into()));
+    assert_eq!(run_command(&["pause"]), (Some(0), "draining\n".into()));
     assert!(site.coordinator.manage("STATUS\n").starts_with("ERR dr"));
-    assert!(said(&["status"]).1.contains("Paused by an operator"));
+    assert!(run_command(&["status"]).1.contains("Paused by an operator"));
     assert_eq!(site.coordinator.manage("RESUME\n"), "OK ready\n");
-    assert_eq!(said(&["unpause"]), (Some(0), "ready\n".into()));
-    // Taken out by one, seen and put back by the other.
+    assert_eq!(run_command(&["unpause"]), (Some(0), "ready\n".into()));
+    // An engine that is drained through one interface is shown and restored through the other.
     assert!(site.coordinator.manage("SUSPEND e0\n").starts_with("OK"));
-    assert!(said(&["engines"])
+    assert!(run_command(&["engines"])
         .1
         .lines()
         .any(|l| l.starts_with("e0") && l.contains("drained")));
-    assert_eq!(said(&["drain", "e0"]).0, Some(3));
-    assert_eq!(said(&["resume", "e0"]).0, Some(0));
-    assert_eq!(said(&["drain", "e1"]).0, Some(0));
+    assert_eq!(run_command(&["drain", "e0"]).0, Some(3));
+    assert_eq!(run_command(&["resume", "e0"]).0, Some(0));
+    assert_eq!(run_command(&["drain", "e1"]).0, Some(0));
     assert!(site.coordinator.manage("RESTORE e1\n").starts_with("OK"));
     assert_eq!(site.coordinator.counter("engines_out_by_order"), 0);
 }
 
 #[test]
 fn connection_that_comes_up_after_a_suspend_carries_no_query() {
-    // A backlog that is full: the next connect hangs until there is room again.
+    // The listener's backlog is full: the next connect hangs until a connection is accepted.
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     socket
         .bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into())
@@ -236,13 +245,13 @@
     socket.listen(0).unwrap();
     let listener: TcpListener = socket.into();
     let engine = listener.local_addr().unwrap();
-    let _fill = TcpStream::connect(engine).unwrap();
+    let _filler = TcpStream::connect(engine).unwrap();
     let list = EngineList::start();
-    let patient = config(list.addr).replace(
+    let long_connect_timeout = config(list.addr).replace(
         "\"ConnectTimeoutUs\": 250000",
         "\"ConnectTimeoutUs\": 14000000",
     );
-    let coordinator = Coordinator::start(&managed(patient));
+    let coordinator = Coordinator::start(&with_management_address(long_connect_timeout));
     let mut site = Site {
         coordinator,
         ledger: Arc::default(),
@@ -252,16 +261,16 @@
     site.publish(&["ready"], "");
     site.coordinator.wait_until_ready();
     let answer = std::thread::scope(|scope| {
-        let asked = scope.spawn(|| site.ask("report", 2_000, "SELECT 1"));
+        let client = scope.spawn(|| site.ask("report", 2_000, "SELECT 1"));
         site.coordinator.wait_for("attempts_sent", 1);
         assert!(site.coordinator.manage("SUSPEND e0\n").starts_with("OK"));
         drop(listener.accept().unwrap());
-        // Held, so that it comes up and stays.
-        let poll_connected = listener.accept().unwrap().0;
-        (asked.join().unwrap(), poll_connected)
+        // Keeps the coordinator's connection open.
+        let engine_stream = listener.accept().unwrap().0;
+        (client.join().unwrap(), engine_stream)
     });
-    let (answer, mut poll_connected) = answer;
-    // No engine is left: it is answered at its deadline, and with a refusal, as it never ran.
+    let (answer, mut engine_stream) = answer;
+    // No engine is left. The request is answered at its deadline, with a rejection because it never ran.
     assert_eq!(answer.status, 429, "{}", answer.text());
     assert_eq!(
         site.coordinator.counter("attempts_ended{outcome=\"moot\"}"),
@@ -270,6 +279,6 @@
     site.coordinator.terminate();
     assert!(site.coordinator.wait().success());
     let mut bytes = Vec::new();
-    poll_connected.read_to_end(&mut bytes).unwrap();
+    engine_stream.read_to_end(&mut bytes).unwrap();
     assert_eq!(String::from_utf8_lossy(&bytes), "");
 }
--- a/crates/coordinator/tests/operator_config.rs
+++ b/crates/coordinator/tests/operator_config.rs
@@ -1,4 +1,4 @@
-//! The operator's file: what a short one means, and how mistakes are reported.
+//! The operator's configuration file: the defaults of a minimal file, and the position and advice in error messages.
 
 use driftfront::config::{Config, DiscoverySource, Protocol};
 use driftfront::operator_config::{read, Position, EXAMPLE};
@@ -9,18 +9,18 @@
 
 #[test]
 fn a_file_of_five_lines_and_the_example_are_complete() {
-    let small = config(
+    let minimal = config(
         "engines {\n engine \"e1\" at=\"127.0.0.1:1\"\n engine \"e2\" at=\"127.0.0.1:2\"\n}\n",
     );
     assert_eq!(
-        (small.protocol, small.classes.names.len()),
+        (minimal.protocol, minimal.classes.names.len()),
         (Protocol::ClickHouse, 3)
     );
     assert_eq!(
-        (small.discovery, small.known_updates.len()),
+        (minimal.discovery, minimal.known_updates.len()),
         (DiscoverySource::Fixed, 1)
     );
-    assert_eq!((small.clickhouse.read, small.clickhouse.write), (0, 2));
+    assert_eq!((minimal.clickhouse.read, minimal.clickhouse.write), (0, 2));
     let example = config(EXAMPLE);
     assert_eq!(example.listen, "127.0.0.1:8123".parse().unwrap());
     assert_eq!(
@@ -37,7 +37,7 @@
 #[test]
 fn each_mistake_is_reported_with_its_position_and_advice() {
     let engines = "engines { engine \"e\" at=\"127.0.0.1:1\"; }\n";
-    for (text, (line, column), words) in [
+    for (text, (line, column), message) in [
         ("lissten \"x\"\n", (1, 1), "did you mean listen?"),
         ("listen 5\n", (1, 8), "write it as listen"),
         ("\n  listen \"here\"\n", (2, 3), "127.0.0.1:8123"),
@@ -77,15 +77,15 @@
         ),
         ("", (1, 1), "add engines"),
     ] {
-        let whole = if text.contains("engines") || text.is_empty() {
+        let full_text = if text.contains("engines") || text.is_empty() {
             text.to_string()
         } else {
             text.to_string() + engines
         };
-        let error = read(&whole).expect_err(text);
+        let error = read(&full_text).expect_err(text);
         assert_eq!(error.position, Position { line, column }, "{text}: {error}");
-        assert!(error.to_string().contains(words), "{text}: {error}");
-        assert!(error.display_in_file("f.kdl", &whole).contains('^'));
+        assert!(error.to_string().contains(message), "{text}: {error}");
+        assert!(error.display_in_file("f.kdl", &full_text).contains('^'));
     }
     assert!(read("engines {").is_err() && read("\"").is_err());
 }
