--- a/crates/coordinator/tests/clocks/budget.rs
+++ b/crates/coordinator/tests/clocks/budget.rs
@@ -1,20 +1,20 @@
-//! The retry budget, counted at the engines on a clock that nobody sets.
+//! The retry budget while the wall clock is set. Retries are counted at the engines by the monotonic clock.
 
 use super::{ask, site, HOUR, SECOND};
 use std::time::{Duration, Instant};
 
-/// Requests whose first attempt errs until the budget is spent, then as many again behind a step.
+/// Sends requests whose first attempt fails until the budget is spent, and ten more after a step of the wall clock.
 fn retries_stay_within_the_budget_across(step: i64) {
     let (site, clock, budget) = site(2, 5.0, Duration::from_secs(10));
-    let mut taken = Vec::new();
+    let mut sent = Vec::new();
     while site.coordinator.counter("retries_denied") == 0 {
-        taken.push(ask(&site, &format!("SELECT fault before {}", taken.len())));
+        sent.push(ask(&site, &format!("SELECT fault before {}", sent.len())));
     }
     clock.set(step);
     for n in 0..10 {
-        taken.push(ask(&site, &format!("SELECT fault behind {n}")));
+        sent.push(ask(&site, &format!("SELECT fault after {n}")));
     }
-    let breaches = site.ledger.budget_breaches(&budget, &taken);
+    let breaches = site.ledger.budget_breaches(&budget, &sent);
     assert!(breaches.is_empty(), "{breaches:#?}");
 }
 
@@ -28,16 +28,16 @@
 fn wall_clock_set_back_does_not_stretch_the_retry_window() {
     let (site, clock, budget) = site(2, 2.0, Duration::from_secs(1));
     clock.set(-HOUR);
-    let (begin, mut taken) = (Instant::now(), Vec::new());
-    // Several windows of requests that are served: each window's count for that window alone.
-    while begin.elapsed() < 4 * budget.window {
-        taken.push(ask(&site, &format!("SELECT {}", taken.len())));
+    let (start, mut sent) = (Instant::now(), Vec::new());
+    // Successful requests over several windows: each request raises the budget of its own window only.
+    while start.elapsed() < 4 * budget.window {
+        sent.push(ask(&site, &format!("SELECT {}", sent.len())));
         std::thread::sleep(Duration::from_millis(2));
     }
-    let most = (taken.len() / 10).max(40);
-    for n in 0..most {
-        taken.push(ask(&site, &format!("SELECT fault {n}")));
+    let failures = (sent.len() / 10).max(40);
+    for n in 0..failures {
+        sent.push(ask(&site, &format!("SELECT fault {n}")));
     }
-    let breaches = site.ledger.budget_breaches(&budget, &taken);
+    let breaches = site.ledger.budget_breaches(&budget, &sent);
     assert!(breaches.is_empty(), "{breaches:#?}");
 }
--- a/crates/coordinator/tests/clocks/main.rs
+++ b/crates/coordinator/tests/clocks/main.rs
@@ -1,5 +1,5 @@
-//! Wall clocks that are set while the program runs, by seconds and by an hour, forwards and back: every span that it keeps is one
-//! of a clock that nobody sets. The program runs on loopback with the fault shim preloaded.
+//! Steps of the wall clock while the program runs, by seconds and by an hour, forward and back. All durations must come from the
+//! monotonic clock. The program runs on loopback with the fault-injection library preloaded.
 
 mod budget;
 mod spans;
@@ -14,7 +14,8 @@
 const SECOND: i64 = 1_000_000;
 const HOUR: i64 = 3_600 * SECOND;
 
-/// A site whose coordinator lives by a wall clock of its own. `window`: of the retry budget.
+/// Starts a site whose coordinator has its own wall clock. The retry budget allows `free` retries per `window`, plus a tenth of the
+/// requests.
 fn site(engines: usize, free: f64, window: Duration) -> (Site, WallClock, Budget) {
     let clock = WallClock::new(Path::new(env!("CARGO_BIN_EXE_driftfront")));
     let budget = Budget {
@@ -40,9 +41,9 @@
         )
 }
 
-/// Hands in a request and waits for its answer; when it was handed in.
+/// Sends a request, waits for its response and returns when the request was sent.
 fn ask(site: &Site, statement: &str) -> Instant {
-    let at = Instant::now();
+    let sent_at = Instant::now();
     site.ask("report", 10_000, statement);
-    at
+    sent_at
 }
--- a/crates/coordinator/tests/clocks/spans.rs
+++ b/crates/coordinator/tests/clocks/spans.rs
@@ -1,4 +1,4 @@
-//! Deadlines, waits and graces while the wall clock is set: nothing ends early, and nothing stands still.
+//! Deadlines, timeouts and grace periods while the wall clock is set: none ends early, and none is extended.
 
 use super::{site, HOUR, SECOND};
 use driftfront_test_support::coordinator::platform_site::Site;
@@ -8,34 +8,36 @@
 
 const WINDOW: Duration = Duration::from_secs(10);
 
-fn send(site: &Site, class: &str, patience_ms: u32, statement: &str) -> TcpStream {
+fn send(site: &Site, class: &str, client_timeout_ms: u32, statement: &str) -> TcpStream {
     let mut stream = TcpStream::connect(site.coordinator.addr).expect("the coordinator listens");
     let id = driftfront::net::fnv1a_64(statement.as_bytes());
     let length = statement.len();
     write!(
         stream,
-        "POST /ops/{class} HTTP/1.1\r\nX-Call-Id: {id:016x}\r\nX-Patience-Ms: {patience_ms}\r\n\
+        "POST /ops/{class} HTTP/1.1\r\nX-Call-Id: {id:016x}\r\nX-Patience-Ms: {client_timeout_ms}\r\n\
          Content-Length: {length}\r\n\r\n{statement}"
     )
-    .expect("it reads");
+    .expect("the coordinator accepts the request");
     stream
 }
 
-/// Whether an answer's first byte comes within this time.
-fn answers_within(stream: &mut TcpStream, time: Duration) -> bool {
-    stream.set_read_timeout(Some(time)).expect("a timeout");
+/// Whether the first byte of a response arrives within this time.
+fn responds_within(stream: &mut TcpStream, timeout: Duration) -> bool {
+    stream
+        .set_read_timeout(Some(timeout))
+        .expect("the timeout is set");
     matches!(stream.read(&mut [0; 1]), Ok(1))
 }
 
 #[test]
 fn deadline_holds_when_the_wall_clock_is_set_back() {
     let (site, clock, _) = site(1, 5.0, WINDOW);
-    let mut hangs = send(&site, "lookup", 1500, "SELECT silent");
+    let mut pending = send(&site, "lookup", 1500, "SELECT silent");
     site.ledger.wait_for("SELECT silent", 1);
     clock.set(-HOUR);
-    // Its time, the slack of the rules, and what a busy machine takes.
+    // The request's 1.5 s, the allowed delay of a response, and a margin for a busy machine.
     assert!(
-        answers_within(&mut hangs, Duration::from_millis(3000)),
+        responds_within(&mut pending, Duration::from_millis(3000)),
         "{}",
         site.coordinator.log()
     );
@@ -45,13 +47,13 @@
 fn requests_do_not_end_early_when_the_wall_clock_is_set_forward() {
     for step in [3 * SECOND, 20 * SECOND, HOUR] {
         let (site, clock, _) = site(1, 5.0, WINDOW);
-        let mut runs = send(&site, "report", 14_000, "SELECT silent");
+        let mut running = send(&site, "report", 14_000, "SELECT silent");
         site.ledger.wait_for("SELECT silent", 1);
         clock.set(step);
         site.coordinator.wait_for("wall_clock_steps", 1);
-        // Far longer than the sweep that would end it, far shorter than any time-out that is due.
+        // Much longer than the periodic check that would end the request early, and much shorter than any timeout that is due.
         assert!(
-            !answers_within(&mut runs, Duration::from_millis(400)),
+            !responds_within(&mut running, Duration::from_millis(400)),
             "step {step}"
         );
         assert_eq!(site.ledger.of("SELECT silent").len(), 1, "step {step}");
@@ -63,22 +65,22 @@
 fn shutdown_keeps_its_deadlines_when_the_wall_clock_is_set() {
     for step in [-HOUR, HOUR] {
         let (mut site, clock, _) = site(1, 5.0, WINDOW);
-        let mut hangs = send(&site, "report", 14_000, "SELECT silent");
+        let mut pending = send(&site, "report", 14_000, "SELECT silent");
         site.ledger.wait_for("SELECT silent", 1);
-        let begin = Instant::now();
+        let start = Instant::now();
         site.coordinator.terminate();
         clock.set(step);
-        // The platform kills 3.7 s behind its signal, and the answer goes out before that; not at once, though.
+        // The platform kills the process 3.7 s after its signal. The response must come before that, but not at once.
         assert!(
-            answers_within(&mut hangs, Duration::from_secs(6)),
+            responds_within(&mut pending, Duration::from_secs(6)),
             "step {step}"
         );
-        let answered = begin.elapsed();
-        drop(hangs);
+        let responded = start.elapsed();
+        drop(pending);
         assert!(site.coordinator.wait().success());
         assert!(
-            answered > Duration::from_secs(2),
-            "step {step}: answered after {answered:?}"
+            responded > Duration::from_secs(2),
+            "step {step}: responded after {responded:?}"
         );
     }
 }
--- a/crates/coordinator/tests/second.rs
+++ b/crates/coordinator/tests/second.rs
@@ -1,5 +1,6 @@
-//! What a second deployment's settings bring, through the program itself: tenants, dedupe keys, memory grants, costs
-//! that engines tell, and words that end what runs. Nothing here depends on a name: only on settings and protocol.
+//! Features that only some deployments enable, tested through the program: tenants, idempotency keys, memory grants, query costs
+//! that engines report, and the command that cancels a running query. The tests depend on settings and the protocol, not on the
+//! name of a deployment.
 
 use driftfront_test_support::coordinator::engine_list::EngineList;
 use driftfront_test_support::coordinator::platform_site::config;
@@ -12,54 +13,55 @@
 use std::net::{SocketAddr, TcpStream};
 use std::sync::{Arc, Condvar, Mutex};
 
-/// A command that an engine was sent.
+/// A command that an engine received.
 #[derive(Clone, Debug)]
-struct Said {
+struct Command {
     engine: usize,
-    word: String,
+    verb: String,
     id: String,
     fields: BTreeMap<String, String>,
     statement: String,
 }
 
-/// What all engines were sent, in the order in which it came.
+/// The commands that all engines received, in order of arrival.
 #[derive(Default)]
-struct Record {
-    said: Mutex<Vec<Said>>,
-    news: Condvar,
+struct CommandLog {
+    commands: Mutex<Vec<Command>>,
+    appended: Condvar,
 }
 
-impl Record {
-    fn note(&self, said: Said) {
-        self.said.lock().unwrap().push(said);
-        self.news.notify_all();
+impl CommandLog {
+    fn append(&self, command: Command) {
+        self.commands.lock().unwrap().push(command);
+        self.appended.notify_all();
     }
 
-    fn all(&self) -> Vec<Said> {
-        self.said.lock().unwrap().clone()
+    fn all(&self) -> Vec<Command> {
+        self.commands.lock().unwrap().clone()
     }
 
-    fn requests(&self, statement: &str) -> Vec<Said> {
+    /// The queries whose statement contains this text.
+    fn queries(&self, statement: &str) -> Vec<Command> {
         self.all()
             .into_iter()
-            .filter(|s| s.word == "REQ" && s.statement.contains(statement))
+            .filter(|c| c.verb == "REQ" && c.statement.contains(statement))
             .collect()
     }
 
-    /// Waits until this holds of all that was said.
-    fn wait(&self, what: &str, holds: impl Fn(&[Said]) -> bool) {
-        let said = self.said.lock().unwrap();
-        let (_said, late) = self
-            .news
-            .wait_timeout_while(said, TEST_TIMEOUT, |said| !holds(said))
+    /// Waits until the commands so far satisfy the condition.
+    fn wait_until(&self, what: &str, is_met: impl Fn(&[Command]) -> bool) {
+        let commands = self.commands.lock().unwrap();
+        let (_commands, result) = self
+            .appended
+            .wait_timeout_while(commands, TEST_TIMEOUT, |commands| !is_met(commands))
             .unwrap();
-        assert!(!late.timed_out(), "{what}: never");
+        assert!(!result.timed_out(), "timed out waiting for {what}");
     }
 }
 
-/// An engine that takes only what the protocol's page allows, and does what a word in the statement says.
-#[allow(clippy::too_many_lines, reason = "one engine, case by case")]
-fn engine(stream: TcpStream, engine: usize, record: &Record) {
+/// A mock engine that accepts only commands that the protocol allows. Words in a statement select how it responds.
+#[allow(clippy::too_many_lines, reason = "one branch per command")]
+fn serve_engine(stream: TcpStream, engine: usize, log: &CommandLog) {
     let mut out = stream.try_clone().unwrap();
     let mut input = BufReader::new(stream);
     loop {
@@ -69,11 +71,11 @@
         }
         let line = line
             .strip_suffix("\r\n")
-            .unwrap_or_else(|| panic!("a line without CR LF: {line:?}"));
+            .unwrap_or_else(|| panic!("line does not end with CR LF: {line:?}"));
         let words: Vec<&str> = line.split(' ').collect();
-        let mut said = Said {
+        let mut command = Command {
             engine,
-            word: words[0].into(),
+            verb: words[0].into(),
             id: words[1].into(),
             fields: BTreeMap::new(),
             statement: String::new(),
@@ -94,41 +96,41 @@
                     assert!(["kind", "ms", "token", "workmem"].contains(&name), "{line}");
                     assert!(!value.is_empty(), "{line}");
                     assert!(
-                        said.fields.insert(name.into(), value.into()).is_none(),
-                        "twice: {line}"
+                        command.fields.insert(name.into(), value.into()).is_none(),
+                        "duplicate field: {line}"
                     );
                 }
                 assert!(
-                    said.fields["ms"].parse::<u64>().is_ok_and(|ms| ms > 0),
+                    command.fields["ms"].parse::<u64>().is_ok_and(|ms| ms > 0),
                     "{line}"
                 );
-                let granted = said.fields.get("workmem").map(|mb| mb.parse::<u64>());
+                let granted = command.fields.get("workmem").map(|mb| mb.parse::<u64>());
                 assert!(granted.is_none_or(|mb| mb.is_ok_and(|mb| mb > 0)), "{line}");
                 let mut body = vec![0; length.parse::<usize>().unwrap() + 2];
                 input.read_exact(&mut body).unwrap();
                 assert!(body.ends_with(b"\r\n"));
-                said.statement = String::from_utf8(body[..body.len() - 2].to_vec()).unwrap();
-                let statement = said.statement.clone();
-                record.note(said.clone());
-                let first = record.requests(&statement).len() == 1;
-                let is = |word: &str| statement.contains(word);
-                if is("hangs") || is("mute") && first {
+                command.statement = String::from_utf8(body[..body.len() - 2].to_vec()).unwrap();
+                let statement = command.statement.clone();
+                log.append(command.clone());
+                let is_first = log.queries(&statement).len() == 1;
+                let has = |word: &str| statement.contains(word);
+                if has("hangs") || has("mute") && is_first {
                     continue;
                 }
-                if is("dies") && first {
+                if has("dies") && is_first {
                     return;
                 }
-                let cost = if is("hungry") {
+                let cost = if has("hungry") {
                     "effort=40,high=900,"
                 } else {
                     "effort=12.5,high=60,"
                 };
                 format!("{id} HIT {cost}gauges=queue:0;util:0.2,fetches=1 6\r\n1\ta\tb\n\r\n")
             }
-            _ => panic!("the coordinator wrote {line:?}"),
+            _ => panic!("unexpected command from the coordinator: {line:?}"),
         };
-        if said.word != "REQ" {
-            record.note(said);
+        if command.verb != "REQ" {
+            log.append(command);
         }
         if out.write_all(answer.as_bytes()).is_err() {
             return;
@@ -136,22 +138,22 @@
     }
 }
 
-/// A coordinator and its engines.
+/// A coordinator with its mock engines and engine list.
 struct Site {
     coordinator: Coordinator,
-    record: Arc<Record>,
+    log: Arc<CommandLog>,
     _list: EngineList,
-    asked: Mutex<u64>,
+    requests_sent: Mutex<u64>,
 }
 
 impl Site {
     fn start(engines: usize, edit: impl Fn(String) -> String) -> Site {
-        let record = Arc::new(Record::default());
-        let one = |n| {
-            let record = record.clone();
-            stand_in(move |stream| engine(stream, n, &record))
+        let log = Arc::new(CommandLog::default());
+        let start_engine = |n| {
+            let log = log.clone();
+            stand_in(move |stream| serve_engine(stream, n, &log))
         };
-        let engines: Vec<SocketAddr> = (0..engines).map(one).collect();
+        let engines: Vec<SocketAddr> = (0..engines).map(start_engine).collect();
         let list = EngineList::start();
         let coordinator = Coordinator::start(&edit(config(list.addr)));
         let lines: Vec<String> = engines
@@ -163,30 +165,30 @@
         coordinator.wait_until_ready();
         Site {
             coordinator,
-            record,
+            log,
             _list: list,
-            asked: Mutex::new(0),
+            requests_sent: Mutex::new(0),
         }
     }
 
-    /// A site as the second deployment's settings describe it.
-    fn second(engines: usize) -> Site {
-        Site::start(engines, second)
+    /// Starts a site with the optional features enabled.
+    fn with_optional_features(engines: usize) -> Site {
+        Site::start(engines, enable_optional_features)
     }
 
     fn ask(&self, class: &str, headers: &[(&str, &str)], statement: &str) -> Answer {
         let number = {
-            let mut asked = self.asked.lock().unwrap();
-            *asked += 1;
-            *asked
+            let mut requests_sent = self.requests_sent.lock().unwrap();
+            *requests_sent += 1;
+            *requests_sent
         };
         let mut text = format!("X-Call-Id: {number:016x}\r\n");
-        let patience = if headers.iter().any(|h| h.0 == "X-Patience-Ms") {
+        let default_client_timeout = if headers.iter().any(|h| h.0 == "X-Patience-Ms") {
             None
         } else {
             Some(("X-Patience-Ms", "2500"))
         };
-        for (name, value) in headers.iter().copied().chain(patience) {
+        for (name, value) in headers.iter().copied().chain(default_client_timeout) {
             text += &format!("{name}: {value}\r\n");
         }
         post(
@@ -200,9 +202,9 @@
 
 #[allow(
     clippy::needless_pass_by_value,
-    reason = "a site hands over its configuration"
+    reason = "the signature that Site::start expects"
 )]
-fn second(config: String) -> String {
+fn enable_optional_features(config: String) -> String {
     config
         .replace(
             "\"Effect\": \"single_shot\"",
@@ -227,7 +229,7 @@
 
 #[test]
 fn load_is_retried_only_with_its_idempotency_key() {
-    let site = Site::second(2);
+    let site = Site::with_optional_features(2);
     let key = ("X-Entity", "7f3a9c21e0b4d655");
     let answer = site.ask(
         "member-load",
@@ -235,7 +237,7 @@
         "INSERT dies one",
     );
     assert_eq!(answer.status, 200);
-    let sent = site.record.requests("dies one");
+    let sent = site.log.queries("dies one");
     assert_eq!(
         sent.iter()
             .map(|s| s.fields["token"].as_str())
@@ -243,24 +245,23 @@
         [TOKEN, TOKEN]
     );
     assert_ne!(sent[0].engine, sent[1].engine);
-    // Nobody could tell its repeat from another load: it is not repeated, and not called harmless to repeat.
+    // Without a key, a retry could not be told from another load: the load is not retried, and the error does not invite the
+    // client to repeat it.
     let answer = site.ask("member-load", &[key], "INSERT dies two");
     assert_eq!(
-        (answer.status, site.record.requests("dies two").len()),
+        (answer.status, site.log.queries("dies two").len()),
         (500, 1)
     );
-    assert!(!site.record.requests("dies two")[0]
-        .fields
-        .contains_key("token"));
+    assert!(!site.log.queries("dies two")[0].fields.contains_key("token"));
     assert_eq!(site.coordinator.counter("tokens_missing"), 1);
-    // In a class that is not keyed it passes, too, as it came.
+    // In a class that needs no key, the key is forwarded unchanged.
     site.ask("lookup", &[("X-Dedupe-Key", "a.B-9_z")], "SELECT three");
-    assert_eq!(site.record.requests("three")[0].fields["token"], "a.B-9_z");
+    assert_eq!(site.log.queries("three")[0].fields["token"], "a.B-9_z");
 }
 
 #[test]
 fn idempotency_key_that_could_forge_a_field_is_rejected() {
-    let site = Site::second(1);
+    let site = Site::with_optional_features(1);
     let long = "k".repeat(129);
     for bad in ["a,ms=1", "a b", "", "a=b", "é", long.as_str()] {
         let answer = site.ask("member-load", &[("X-Dedupe-Key", bad)], "INSERT x");
@@ -272,8 +273,8 @@
         "INSERT x",
     );
     assert_eq!(answer.status, 400);
-    assert!(site.record.requests("").is_empty());
-    // The longest that is one.
+    assert!(site.log.queries("").is_empty());
+    // The longest valid key has 128 characters.
     assert_eq!(
         site.ask("member-load", &[("X-Dedupe-Key", &long[1..])], "INSERT x")
             .status,
@@ -283,56 +284,58 @@
 
 #[test]
 fn client_retry_is_not_run_outside_the_deduplication_window() {
-    let site = Site::start(2, |config| second(config).replace("12000000", "700000"));
+    let site = Site::start(2, |config| {
+        enable_optional_features(config).replace("12000000", "700000")
+    });
     let headers = [("X-Dedupe-Key", TOKEN), ("X-Patience-Ms", "600")];
-    // Its client gave up; it may have run, and may still.
+    // The client's timeout has passed; the load may have run, or may still run.
     let answer = site.ask("member-load", &headers, "INSERT mute");
     assert_ne!(answer.status, 200);
-    // The window begins with its first byte, 0.2 s before the engines' own ends: a word that has been out for longer
-    // than that is not sent again, whoever asks.
-    let begin = std::time::Instant::now();
+    // The coordinator counts the window from the request's first byte and ends it 0.2 s before the engines end theirs. After that,
+    // no request with this key is sent again.
+    let start = std::time::Instant::now();
     while site.coordinator.counter("tokens_late") == 0 {
-        assert!(begin.elapsed() < TEST_TIMEOUT);
+        assert!(start.elapsed() < TEST_TIMEOUT);
         site.ask("member-load", &headers, "INSERT mute");
     }
-    let sent = site.record.requests("INSERT mute").len();
+    let sent = site.log.queries("INSERT mute").len();
     assert_eq!(site.ask("member-load", &headers, "INSERT mute").status, 500);
-    assert_eq!(site.record.requests("INSERT mute").len(), sent);
+    assert_eq!(site.log.queries("INSERT mute").len(), sent);
 }
 
 #[test]
 fn memory_is_granted_by_estimate_and_engine_reports() {
-    let site = Site::second(1);
-    let granted = |statement: &str| -> u64 {
+    let site = Site::with_optional_features(1);
+    let granted_mb = |statement: &str| -> u64 {
         assert_eq!(
             site.ask("report", &[("X-Need-Mb", "100")], statement)
                 .status,
             200
         );
-        let sent = site.record.requests(statement);
+        let sent = site.log.queries(statement);
         sent.last().unwrap().fields["workmem"].parse().unwrap()
     };
-    let before = granted("SELECT first");
+    let before = granted_mb("SELECT first");
     assert!((100..1000).contains(&before), "{before}");
     for n in 0..20 {
-        granted(&format!("SELECT hungry {n}"));
+        granted_mb(&format!("SELECT hungry {n}"));
     }
-    // Estimates were nine times too low, as engines told with each answer.
-    let after = granted("SELECT last");
+    // Each response reported 900 MB for an estimate of 100 MB, so the later grant must be larger.
+    let after = granted_mb("SELECT last");
     assert!(after > 2 * before, "{before} then {after}");
-    // Where grants are not heeded none is written.
+    // Where engines ignore grants, the coordinator sends none.
     let site = Site::start(1, |config| {
-        second(config).replace("\"GrantsCount\": true", "\"GrantsCount\": false")
+        enable_optional_features(config).replace("\"GrantsCount\": true", "\"GrantsCount\": false")
     });
     site.ask("report", &[("X-Need-Mb", "100")], "SELECT 1");
-    assert!(!site.record.requests("SELECT 1")[0]
+    assert!(!site.log.queries("SELECT 1")[0]
         .fields
         .contains_key("workmem"));
 }
 
 #[test]
 fn overlong_attempt_is_stopped_before_a_retry() {
-    let site = Site::second(2);
+    let site = Site::with_optional_features(2);
     for n in 0..8 {
         assert_eq!(
             site.ask(
@@ -346,30 +349,32 @@
     }
     let answer = site.ask("lookup", &[("X-Weight-Ms", "100")], "SELECT mute");
     assert_eq!(answer.status, 200);
-    let all = site.record.all();
-    let of_it: Vec<&Said> = all
+    let all = site.log.all();
+    let commands: Vec<&Command> = all
         .iter()
-        .filter(|s| s.statement.contains("mute") || s.word == "STOP")
+        .filter(|c| c.statement.contains("mute") || c.verb == "STOP")
         .collect();
-    let words: Vec<&str> = of_it.iter().map(|s| s.word.as_str()).collect();
-    assert_eq!(words, ["REQ", "STOP", "REQ"]);
-    assert!(of_it[0].id == of_it[1].id && of_it[0].engine == of_it[1].engine);
+    let verbs: Vec<&str> = commands.iter().map(|c| c.verb.as_str()).collect();
+    assert_eq!(verbs, ["REQ", "STOP", "REQ"]);
+    assert!(commands[0].id == commands[1].id && commands[0].engine == commands[1].engine);
     assert_eq!(site.coordinator.counter("attempts_called_off"), 1);
 }
 
 #[test]
 fn client_disconnect_stops_its_query_where_engines_support_it() {
-    let site = Site::second(1);
+    let site = Site::with_optional_features(1);
     let mut stream = TcpStream::connect(site.coordinator.addr).unwrap();
     let head =
         "POST /ops/report HTTP/1.1\r\nX-Call-Id: 00000000000000ab\r\nX-Patience-Ms: 9000\r\n";
     write!(stream, "{head}Content-Length: 12\r\n\r\nSELECT hangs").unwrap();
-    site.record
-        .wait("the query", |said| said.iter().any(|s| s.word == "REQ"));
+    site.log.wait_until("the query", |commands| {
+        commands.iter().any(|c| c.verb == "REQ")
+    });
     drop(stream);
-    site.record.wait("the word that ends it", |said| {
-        said.iter()
-            .any(|s| s.word == "STOP" && s.id == "00000000000000ab")
+    site.log.wait_until("the STOP command", |commands| {
+        commands
+            .iter()
+            .any(|c| c.verb == "STOP" && c.id == "00000000000000ab")
     });
     site.coordinator
         .wait_for("attempts_ended{outcome=\"cancelled\"}", 1);
@@ -377,11 +382,13 @@
 
 #[test]
 fn unnamed_tenant_has_no_quota_and_takes_none() {
-    // A share of one query in a hundred seconds, used up by the eighth at once; engines say that they are full.
+    // The one listed tenant may send 50 queries per second, and queries over a quota count with weight 0.05. Tenants that are not
+    // listed have no quota.
     let tenants =
         "\"Tenants\": [{\"Name\": \"red-centro\", \"QuotaPerS\": 50.0}], \"OverShareWorth\": 0.05";
     let site = Site::start(1, |config| {
-        second(config).replace("\"TickUs\": 5000", &format!("\"TickUs\": 5000, {tenants}"))
+        enable_optional_features(config)
+            .replace("\"TickUs\": 5000", &format!("\"TickUs\": 5000, {tenants}"))
     });
     let long = "t".repeat(3000);
     let unnamed = [
@@ -402,24 +409,24 @@
             .status,
         200
     );
-    let twice = [("X-Customer", "red-centro"), ("X-Customer", "red-centro")];
-    assert_eq!(site.ask("lookup", &twice, "SELECT 1").status, 400);
+    let duplicate = [("X-Customer", "red-centro"), ("X-Customer", "red-centro")];
+    assert_eq!(site.ask("lookup", &duplicate, "SELECT 1").status, 400);
     assert_eq!(site.coordinator.counter("tenants_unnamed"), 4);
 }
 
-/// Settings drawn from all that the protocol allows, and what clients ask under them.
+/// Random valid settings, with the classes and tenants that clients can name under them.
 #[derive(Clone, Debug)]
-struct Drawn {
+struct RandomSettings {
     settings: String,
     classes: Vec<(String, String)>,
     tenants: Vec<String>,
 }
 
-impl Arbitrary for Drawn {
-    #[allow(clippy::too_many_lines, reason = "every setting is drawn")]
-    fn arbitrary(g: &mut Gen) -> Drawn {
+impl Arbitrary for RandomSettings {
+    #[allow(clippy::too_many_lines, reason = "one expression per setting")]
+    fn arbitrary(g: &mut Gen) -> RandomSettings {
         let mut below = |n: usize| usize::arbitrary(g) % n;
-        let word = |n: usize| format!("{}{n}", ["q", "load-", "x_", "Report", "a.b"][n % 5]);
+        let class_name = |n: usize| format!("{}{n}", ["q", "load-", "x_", "Report", "a.b"][n % 5]);
         let mut classes = Vec::new();
         let mut profiles = Vec::new();
         let count = 1 + below(5);
@@ -429,7 +436,7 @@
             let mut profile = format!(
                 "{{\"Name\": \"{}\", \"Effect\": \"{effect}\", \"KeyScope\": \"{scope}\", \"RepeatWindowUs\": {}, \
                  \"OnTimeUs\": {}, \"DeadlineUs\": 3000000, \"Worth\": {}",
-                word(n),
+                class_name(n),
                 below(20_000_000),
                 200_000 + below(4_000_000),
                 below(20)
@@ -443,7 +450,7 @@
                 profile += if chance == 1 { more } else { "" };
             }
             profiles.push(profile + "}");
-            classes.push((word(n), effect.into()));
+            classes.push((class_name(n), effect.into()));
         }
         let tenants: Vec<String> = (0..below(5)).map(|n| format!("net {n}")).collect();
         let shares: Vec<String> = tenants
@@ -465,10 +472,10 @@
             .map(|_| format!("\"{}\"", fields[below(9)]))
             .collect();
         let flag = |n: usize| n == 1;
-        let cold =
+        let slow_start =
             "\"ColdFrom\": 0.34, \"WarmUpUs\": 14000000, \"FallMultiple\": 2.5, \"OverloadForUs\": 3000000,";
-        let ration = "\"ExtraWindowUs\": 10000000, \"FurtherRatio\": 0.1,";
-        let settle = "\"SettleAfterDoubtUs\": 500000,";
+        let retry_budget = "\"ExtraWindowUs\": 10000000, \"FurtherRatio\": 0.1,";
+        let settle_time = "\"SettleAfterDoubtUs\": 500000,";
         let grants = format!(
             "\"GrantsCount\": {}, \"SaysCost\": {},",
             flag(below(2)),
@@ -490,9 +497,9 @@
             flag(below(2)),
             if flag(below(2)) { ", \"MaxAttempts\": 6" } else { "" },
             if flag(below(2)) { ", \"RetryAfter\": true, \"MaxRetryAfterUs\": 2000000" } else { "" },
-            if flag(below(2)) { cold } else { "" },
-            if flag(below(2)) { ration } else { "" },
-            if flag(below(2)) { settle } else { "" },
+            if flag(below(2)) { slow_start } else { "" },
+            if flag(below(2)) { retry_budget } else { "" },
+            if flag(below(2)) { settle_time } else { "" },
             if flag(below(2)) { grants.as_str() } else { "" },
             if flag(below(2)) { "\"SizeCores\": [12, 8], \"RamOfKindMb\": [24576.0, 16384.0]," } else { "" },
             ["line_up", "cut", "overcommit"][below(3)],
@@ -507,7 +514,7 @@
             fields.join(", "),
             profiles.join(", ")
         );
-        Drawn {
+        RandomSettings {
             settings,
             classes,
             tenants,
@@ -516,18 +523,18 @@
 }
 
 #[test]
-fn under_any_valid_settings_it_serves_and_engines_can_read_it() {
+fn requests_are_served_under_random_valid_settings() {
     let mut g = Gen::from_size_and_seed(30, 20_261_201);
     for _ in 0..24 {
-        let drawn = Drawn::arbitrary(&mut g);
+        let random = RandomSettings::arbitrary(&mut g);
         let site = Site::start(2, |config| {
             let begin = config.find("\"settings\":").unwrap();
             let before = config[..begin].replace("\"clickhouse\"", "\"unused\"");
-            format!("{before}\"settings\": {}}}", drawn.settings)
+            format!("{before}\"settings\": {}}}", random.settings)
         });
-        for (n, (class, effect)) in drawn.classes.iter().enumerate() {
+        for (n, (class, effect)) in random.classes.iter().enumerate() {
             let token = format!("{:032x}", n + 1);
-            let tenant = drawn.tenants.first().map_or("nobody", |t| t);
+            let tenant = random.tenants.first().map_or("nobody", |t| t);
             let headers = [
                 ("X-Patience-Ms", "3000.0"),
                 ("X-Customer", tenant),
@@ -537,7 +544,7 @@
                 ("X-Need-Mb", "0.004"),
                 ("X-Entity", "7f3a9c21e0b4d655"),
             ];
-            // Some with all fields, some with none but the ones that must be there.
+            // One request with all headers, one with the required header only.
             for (headers, statement) in [
                 (&headers[..], "SELECT 1 FROM sales_17.a"),
                 (&headers[..1], "SELECT 2"),
@@ -548,12 +555,16 @@
                     [200, 429].contains(&answer.status),
                     "{} in {}",
                     answer.status,
-                    drawn.settings
+                    random.settings
                 );
-                for sent in site.record.requests(&statement) {
+                for sent in site.log.queries(&statement) {
                     assert_eq!((&sent.fields["kind"], &sent.statement), (class, &statement));
-                    let told = headers.len() > 1;
-                    assert_eq!(sent.fields.get("token"), told.then_some(&token), "{effect}");
+                    let has_token = headers.len() > 1;
+                    assert_eq!(
+                        sent.fields.get("token"),
+                        has_token.then_some(&token),
+                        "{effect}"
+                    );
                 }
             }
         }
