--- a/crates/coordinator/tests/endings/clients.rs
+++ b/crates/coordinator/tests/endings/clients.rs
@@ -1,6 +1,9 @@
-//! Clients that leave while something of theirs waits, and connections that make room for others.
+//! Clients that disconnect while a request of theirs is waiting, and connections that are evicted to make room for others.
 
-use super::{held, let_pass, load, open, ran, report, request, rest, until, with_key_taken};
+use super::{
+    load, open, read_to_close, received_statements, report, request, site_with_busy_key,
+    site_with_gate, wait_for_duration, wait_until,
+};
 use driftfront_test_support::coordinator::engine_list::EngineList;
 use driftfront_test_support::coordinator::line_engine::serve;
 use driftfront_test_support::coordinator::platform_site::{config, Site};
@@ -11,154 +14,158 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Nothing of a client that has left while its request waited goes out so much later.
-const TERM: Duration = Duration::from_millis(300);
+/// After this time, no waiting request of a disconnected client may be forwarded any more.
+const SETTLE_TIME: Duration = Duration::from_millis(300);
 
 #[test]
 fn client_that_leaves_while_its_key_is_busy_is_not_forwarded() {
-    let (site, mut first, gate) = with_key_taken();
-    let wait = |id: u64| {
+    let (site, mut first, gate) = site_with_busy_key();
+    let open_waiting = |id: u64| {
         let stream = open(&site, &load(id, &format!("INSERT gone {id}")));
         site.coordinator.wait_for("requests_taken", id);
         stream
     };
-    // By a close, by a reset, by half a close.
-    drop(wait(2));
-    let reset = wait(3);
+    // Clients disconnect by a close, by a reset and by a half-close.
+    drop(open_waiting(2));
+    let reset = open_waiting(3);
     socket2::SockRef::from(&reset)
         .set_linger(Some(std::time::Duration::ZERO))
         .unwrap();
     drop(reset);
-    let half = wait(4);
-    half.shutdown(Shutdown::Write).unwrap();
-    // With more behind it than is read ahead.
-    let mut loud = wait(5);
-    loud.set_nonblocking(true).unwrap();
+    let half_closed = open_waiting(4);
+    half_closed.shutdown(Shutdown::Write).unwrap();
+    // One disconnects after it has sent more pipelined data than the coordinator reads ahead.
+    let mut pipelining = open_waiting(5);
+    pipelining.set_nonblocking(true).unwrap();
     let junk = request("lookup", 6, "", &"x".repeat(1000)).repeat(64);
     let mut written = 0;
     while written < 200_000 {
-        match loud.write(junk.as_bytes()) {
+        match pipelining.write(junk.as_bytes()) {
             Ok(n) => written += n,
             Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => break,
             Err(e) => panic!("{e}"),
         }
     }
     assert!(written > 70_000, "{written}");
-    drop(loud);
+    drop(pipelining);
     site.coordinator.wait_for("clients_left", 4);
-    // By a call on another connection: its own one closes, as nothing more is owed there.
-    let mut taken_back = wait(6);
+    // One request is cancelled by a call on another connection. Its own connection closes, as no response is due there any more.
+    let mut cancelled = open_waiting(6);
     let delete = "DELETE /ops/member-load HTTP/1.1\r\nX-Call-Id: 0000000000000006\r\n\r\n";
     assert_eq!(call(site.coordinator.addr, delete.as_bytes()).status, 200);
-    assert_eq!(rest(&mut taken_back).unwrap(), b"");
+    assert_eq!(read_to_close(&mut cancelled).unwrap(), b"");
     site.coordinator.wait_for("clients_left", 5);
-    // The one behind them has its turn as soon as the first is over.
+    // The request behind them runs as soon as the first one has finished.
     let mut last = open(&site, &load(7, "INSERT last"));
     site.coordinator.wait_for("requests_taken", 7);
     gate.open();
     assert_eq!(read_answer(&mut first).status, 200);
     assert_eq!(read_answer(&mut last).status, 200);
-    assert_eq!(ran(&site), ["INSERT held", "INSERT last"]);
+    assert_eq!(received_statements(&site), ["INSERT held", "INSERT last"]);
 }
 
-/// Ends a client's connection at once. A mere drop would not: a process that another test starts holds a copy of the socket
-/// until it has begun.
-fn leave(stream: TcpStream) {
-    stream.shutdown(Shutdown::Both).expect("it is connected");
+/// Closes a client's connection at once. Dropping the stream is not enough: a process that another test forks holds a copy of the
+/// socket until its exec.
+fn disconnect(stream: TcpStream) {
+    stream
+        .shutdown(Shutdown::Both)
+        .expect("the stream is connected");
     drop(stream);
 }
 
 #[test]
 fn client_that_left_before_its_request_was_read_is_not_forwarded() {
     let site = Site::start(1);
-    // The way to its engine is open, so that what is taken would be there at once.
+    // A connection to the engine exists, so an accepted request would reach it at once.
     assert_eq!(site.ask("lookup", 2500, "SELECT before").status, 200);
-    // As one in a full backlog, or before a program that stood still.
+    // Clients disconnect before the coordinator reads, as with a full backlog or a stopped process.
     site.coordinator.freeze();
     for id in 1..=3 {
-        leave(open(
+        disconnect(open(
             &site,
             &request("lookup", id, "", &format!("SELECT left {id}")),
         ));
     }
-    // One sends more behind it than is read at once.
-    let much = request("lookup", 4, "", "SELECT left 4")
+    // One sends more pipelined data than the coordinator reads at once.
+    let pipelined = request("lookup", 4, "", "SELECT left 4")
         + &request("lookup", 5, "", &"y".repeat(900)).repeat(90);
-    leave(open(&site, &much));
+    disconnect(open(&site, &pipelined));
     site.coordinator.wake();
     site.coordinator.wait_for("clients_left", 4);
     assert_eq!(site.ask("lookup", 2500, "SELECT here").status, 200);
-    assert_eq!(ran(&site), ["SELECT before", "SELECT here"]);
+    assert_eq!(received_statements(&site), ["SELECT before", "SELECT here"]);
 }
 
 #[test]
 fn clients_that_leave_the_queue_together_are_not_forwarded() {
-    let (site, gate) = held(1);
-    let all = 60;
-    let ask = |id| report(id, &format!("SELECT held {id}"));
-    let waiting: Vec<TcpStream> = (1..=all).map(|id| open(&site, &ask(id))).collect();
-    site.coordinator.wait_for("requests_taken", all);
+    let (site, gate) = site_with_gate(1);
+    let clients = 60;
+    let held_request = |id| report(id, &format!("SELECT held {id}"));
+    let waiting: Vec<TcpStream> = (1..=clients)
+        .map(|id| open(&site, &held_request(id)))
+        .collect();
+    site.coordinator.wait_for("requests_taken", clients);
     site.ledger
-        .wait_until("some are out", |all| !all.is_empty());
-    // Found at one moment: else each that leaves makes room for one that has not left yet.
+        .wait_until("some queries have been sent", |entries| !entries.is_empty());
+    // The coordinator finds all disconnects at once. Otherwise, each one would make room for a client that is still connected.
     site.coordinator.freeze();
     drop(waiting);
     site.coordinator.wake();
-    site.coordinator.wait_for("clients_left", all);
-    let_pass(TERM);
-    // The engine had as much as it may; the others waited for one of these to end.
+    site.coordinator.wait_for("clients_left", clients);
+    wait_for_duration(SETTLE_TIME);
+    // The engine had its maximum number of queries, and the other requests waited for one of these to finish.
     let sent = site.ledger.of("held").len() as u64;
-    assert!(sent > 0 && sent < all, "{sent}");
+    assert!(sent > 0 && sent < clients, "{sent}");
     gate.open();
-    until("it serves as before", || {
+    wait_until("requests are served again", || {
         site.ask("lookup", 2400, "SELECT behind").status == 200
     });
-    let_pass(TERM);
+    wait_for_duration(SETTLE_TIME);
     assert_eq!(site.ledger.of("held").len() as u64, sent);
 }
 
 #[test]
 fn client_that_leaves_as_its_attempt_is_rejected_is_not_retried() {
-    let (site, gate) = held(1);
-    // Enough at once for a second connection, so that a further attempt need not wait for one.
+    let (site, gate) = site_with_gate(1);
+    // Enough concurrent queries for a second connection, so that a further attempt would not have to wait for one.
     let others: Vec<TcpStream> = (2..10)
         .map(|id| open(&site, &report(id, &format!("SELECT held {id}"))))
         .collect();
     site.coordinator.wait_for("connections_engines", 2);
-    let leaves = open(&site, &report(1, "SELECT held, then full"));
+    let disconnecting = open(&site, &report(1, "SELECT held, then full"));
     site.ledger.wait_for("SELECT held, then full", 1);
-    // The engine's no and the client's end are found at one moment.
+    // The coordinator finds the engine's rejection and the client's disconnect in one iteration of its event loop.
     site.coordinator.freeze();
     gate.open();
-    site.ledger.wait_until("the engine's no", |all| {
-        all.iter().all(|e| e.over.is_some())
+    site.ledger.wait_until("the engine's rejection", |entries| {
+        entries.iter().all(|e| e.over.is_some())
     });
-    leave(leaves);
+    disconnect(disconnecting);
     site.coordinator.wake();
     site.coordinator.wait_for("clients_left", 1);
-    let_pass(TERM);
+    wait_for_duration(SETTLE_TIME);
     assert_eq!(site.ledger.of("SELECT held, then full").len(), 1);
     others
         .into_iter()
         .for_each(|mut other| assert_eq!(read_answer(&mut other).status, 200));
 }
 
-/// A site whose one engine can't be connected to, and does not refuse either, until room is made.
-struct Unreached {
+/// A site with one engine, to which connection attempts hang until [`PendingConnect::accept_connections`] is called.
+struct PendingConnect {
     site: Site,
     listener: Socket,
     filler: TcpStream,
 }
 
-impl Unreached {
-    fn start() -> Unreached {
+impl PendingConnect {
+    fn start() -> PendingConnect {
         let listener = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         listener
             .bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into())
             .unwrap();
         listener.listen(0).unwrap();
         let addr: SocketAddr = listener.local_addr().unwrap().as_socket().unwrap();
-        // The backlog is full with this one.
+        // This connection fills the backlog.
         let filler = TcpStream::connect(addr).unwrap();
         let list = EngineList::start();
         let config = config(list.addr).replace(
@@ -174,15 +181,15 @@
         };
         site.publish(&["ready"], "");
         site.coordinator.wait_until_ready();
-        Unreached {
+        PendingConnect {
             site,
             listener,
             filler,
         }
     }
 
-    /// There is room now, and what has waited comes up.
-    fn make_room(self) -> Site {
+    /// Accepts the waiting connections and serves them.
+    fn accept_connections(self) -> Site {
         let (ledger, listener) = (self.site.ledger.clone(), self.listener);
         std::thread::spawn(move || {
             while let Ok((socket, _)) = listener.accept() {
@@ -197,53 +204,53 @@
 
 #[test]
 fn client_that_leaves_during_a_connect_is_not_forwarded() {
-    let waits = Unreached::start();
-    let leaves = open(&waits.site, &load(1, "INSERT left"));
-    waits.site.coordinator.wait_for("attempts_sent", 1);
-    drop(leaves);
-    waits.site.coordinator.wait_for("clients_left", 1);
-    let mut stays = open(&waits.site, &load(2, "INSERT stays"));
-    waits.site.coordinator.wait_for("requests_taken", 2);
-    let site = waits.make_room();
-    assert_eq!(read_answer(&mut stays).status, 200);
-    assert_eq!(ran(&site), ["INSERT stays"]);
+    let pending = PendingConnect::start();
+    let disconnecting = open(&pending.site, &load(1, "INSERT left"));
+    pending.site.coordinator.wait_for("attempts_sent", 1);
+    drop(disconnecting);
+    pending.site.coordinator.wait_for("clients_left", 1);
+    let mut waiting = open(&pending.site, &load(2, "INSERT stays"));
+    pending.site.coordinator.wait_for("requests_taken", 2);
+    let site = pending.accept_connections();
+    assert_eq!(read_answer(&mut waiting).status, 200);
+    assert_eq!(received_statements(&site), ["INSERT stays"]);
 }
 
 #[test]
 fn attempt_abandoned_during_a_connect_is_not_sent() {
-    let waits = Unreached::start();
-    // Its time runs out: it never ran, so that it is refused.
+    let pending = PendingConnect::start();
+    // The client timeout expires before the request ran, so it is rejected.
     let mut late = open(
-        &waits.site,
+        &pending.site,
         &request("lookup", 1, "", "SELECT late").replace("2400", "300"),
     );
     assert_eq!(read_answer(&mut late).status, 429);
-    let mut next = open(&waits.site, &load(2, "INSERT next"));
-    waits.site.coordinator.wait_for("requests_taken", 2);
-    let site = waits.make_room();
+    let mut next = open(&pending.site, &load(2, "INSERT next"));
+    pending.site.coordinator.wait_for("requests_taken", 2);
+    let site = pending.accept_connections();
     assert_eq!(read_answer(&mut next).status, 200);
-    assert_eq!(ran(&site), ["INSERT next"]);
+    assert_eq!(received_statements(&site), ["INSERT next"]);
 }
 
 #[test]
 fn request_runs_once_when_its_engine_s_address_is_reused() {
-    let waits = Unreached::start();
-    let mut load = open(&waits.site, &load(1, "INSERT moved"));
-    waits.site.coordinator.wait_for("attempts_sent", 1);
-    let addr = waits.site.engines[0];
+    let pending = PendingConnect::start();
+    let mut load = open(&pending.site, &load(1, "INSERT moved"));
+    pending.site.coordinator.wait_for("attempts_sent", 1);
+    let addr = pending.site.engines[0];
     let lines = [instance("e0", addr, "gone"), instance("e1", addr, "ready")];
-    waits.site.list.publish(&lines, "");
-    waits.site.coordinator.wait_for("lists_taken", 3);
-    let site = waits.make_room();
+    pending.site.list.publish(&lines, "");
+    pending.site.coordinator.wait_for("lists_taken", 3);
+    let site = pending.accept_connections();
     assert_eq!(read_answer(&mut load).status, 200);
-    assert_eq!(ran(&site), ["INSERT moved"]);
+    assert_eq!(received_statements(&site), ["INSERT moved"]);
 }
 
 #[test]
 fn flooding_clients_do_not_delay_a_waiting_request() {
-    let (site, mut first, gate) = with_key_taken();
+    let (site, mut first, gate) = site_with_busy_key();
     let site = Arc::new(site);
-    let bad: Vec<_> = (0..4u64)
+    let flood: Vec<_> = (0..4u64)
         .map(|n| {
             let site = site.clone();
             std::thread::spawn(move || {
@@ -262,16 +269,16 @@
             })
         })
         .collect();
-    bad.into_iter().for_each(|b| b.join().unwrap());
-    // A whole answer, if maybe a refusal while the flood's own requests are out.
+    flood.into_iter().for_each(|thread| thread.join().unwrap());
+    // The response must be complete. It may be a rejection while the flood's own requests are running.
     assert!([200, 429].contains(&site.ask("lookup", 2500, "SELECT beside").status));
     gate.open();
     assert_eq!(read_answer(&mut first).status, 200);
-    // All of them are gone, with what was held for them.
-    until("they are gone", || {
+    // The flood's connections are closed and their resources released.
+    wait_until("the flood's connections are closed", || {
         site.coordinator.counter("connections_clients") <= 2
     });
-    until("it serves as before", || {
+    wait_until("requests are served again", || {
         site.ask("lookup", 2500, "SELECT behind").status == 200
     });
 }
@@ -281,27 +288,27 @@
     let site = Site::with_config(1, |config| {
         config.replace("\"sockets\": 1024", "\"sockets\": 100")
     });
-    // 50 of 60 places are held by those that asked once and rest; the first of them is the longest idle.
-    let mut resting: Vec<TcpStream> = Vec::new();
+    // 50 of 60 client connections are idle after one request each. The first has been idle the longest.
+    let mut idle: Vec<TcpStream> = Vec::new();
     for n in 0..50 {
         let mut stream = open(
             &site,
             &request("lookup", 100 + n, "", &format!("SELECT {n}")),
         );
         assert_eq!(read_answer(&mut stream).status, 200);
-        resting.push(stream);
+        idle.push(stream);
     }
     site.coordinator.freeze();
-    // The newcomers are found first, then the request on the connection that would go for one of them.
-    let newcomer = |n| open(&site, &request("lookup", n, "", "SELECT new"));
-    let mut newcomers: Vec<TcpStream> = (1..15).map(newcomer).collect();
-    resting[0]
+    // The coordinator finds the new connections first, then the request on the connection that would be evicted for one of them.
+    let new_client = |n| open(&site, &request("lookup", n, "", "SELECT new"));
+    let mut new_clients: Vec<TcpStream> = (1..15).map(new_client).collect();
+    idle[0]
         .write_all(request("lookup", 99, "", "SELECT crossing").as_bytes())
         .unwrap();
     site.coordinator.wake();
-    assert_eq!(read_answer(&mut resting[0]).status, 200);
-    for newcomer in &mut newcomers {
-        assert_eq!(read_answer(newcomer).status, 200);
+    assert_eq!(read_answer(&mut idle[0]).status, 200);
+    for new_client in &mut new_clients {
+        assert_eq!(read_answer(new_client).status, 200);
     }
     assert!(site.coordinator.counter("clients_dropped") > 0);
 }
--- a/crates/coordinator/tests/endings/engines.rs
+++ b/crates/coordinator/tests/endings/engines.rs
@@ -1,6 +1,6 @@
-//! Answers and connections of engines that end at a bad moment.
+//! Responses of engines that end early, arrive twice, or precede a reset.
 
-use super::{open, report, until};
+use super::{open, report, wait_until};
 use driftfront_test_support::coordinator::line_engine::read_statement;
 use driftfront_test_support::coordinator::platform_site::Site;
 use driftfront_test_support::coordinator::{read_answer, stand_in, Coordinator};
@@ -23,7 +23,7 @@
             2,
             "{words}"
         );
-        // It has run, and what it gave is lost: no other run, and an answer at once.
+        // The load has run and its result is lost: it is not run again, and the error is sent at once.
         assert_eq!(
             site.ask("member-load", 25_000, &format!("INSERT {words}"))
                 .status,
@@ -40,8 +40,9 @@
 
 #[test]
 fn late_duplicate_response_does_not_end_the_next_attempt() {
-    let tried = Arc::new(Mutex::new(Vec::<usize>::new()));
-    let (seen, connections) = (tried.clone(), std::sync::atomic::AtomicUsize::new(0));
+    let attempts = Arc::new(Mutex::new(Vec::<usize>::new()));
+    let (recorded_attempts, connections) =
+        (attempts.clone(), std::sync::atomic::AtomicUsize::new(0));
     let engine = stand_in(move |stream| {
         let number = connections.fetch_add(1, std::sync::atomic::Ordering::SeqCst);
         let (mut input, mut out) = (BufReader::new(stream.try_clone().unwrap()), stream);
@@ -50,20 +51,21 @@
             let words: Vec<&str> = line.trim_end().split(' ').collect();
             if let ["REQ", id, _, length] = words[..] {
                 read_statement(&mut input, length);
-                let tries = {
-                    let mut seen = seen.lock().unwrap();
-                    seen.push(number);
-                    seen.len()
+                let attempt_count = {
+                    let mut attempts = recorded_attempts.lock().unwrap();
+                    attempts.push(number);
+                    attempts.len()
                 };
-                // The first attempt fails. Once the second is here the first one's end comes again, before any answer.
+                // The first attempt fails. When the second one arrives, the response of the first is sent again, before any other.
                 let fault = format!("{id} FAULT - 0\r\n\r\n");
                 let hit = format!("{id} HIT fetches=1 6\r\n1\ta\tb\n\r\n");
-                let answer = if tries == 1 {
+                let answer = if attempt_count == 1 {
                     fault
                 } else {
                     format!("{fault}{hit}")
                 };
-                let answer = if tries > 1 && seen.lock().unwrap()[0] != number {
+                let answer = if attempt_count > 1 && recorded_attempts.lock().unwrap()[0] != number
+                {
                     hit
                 } else {
                     answer
@@ -81,17 +83,20 @@
         Coordinator::start(&config)
     });
     assert_eq!(site.ask("lookup", 2500, "SELECT 1").status, 200);
-    // Each id goes once over a connection, so that what comes late has nobody to be taken for.
-    let tried = tried.lock().unwrap();
-    assert!(tried.len() == 2 && tried[0] != tried[1], "{tried:?}");
+    // An id is used once per connection, so a late response can't be matched to another attempt.
+    let attempts = attempts.lock().unwrap();
+    assert!(
+        attempts.len() == 2 && attempts[0] != attempts[1],
+        "{attempts:?}"
+    );
 }
 
 #[test]
 fn response_before_a_reset_counts_during_a_write() {
-    let (go, goes) = channel::<()>();
-    let goes = Mutex::new(goes);
-    let asked = Arc::new(Mutex::new(Vec::<String>::new()));
-    let seen = asked.clone();
+    let (release, released) = channel::<()>();
+    let released = Mutex::new(released);
+    let received = Arc::new(Mutex::new(Vec::<String>::new()));
+    let statements = received.clone();
     let engine = stand_in(move |mut stream| {
         let mut input = BufReader::new(stream.try_clone().unwrap());
         let mut line = String::new();
@@ -99,15 +104,15 @@
             let words: Vec<&str> = line.trim_end().split(' ').collect();
             if let ["REQ", id, _, length] = words[..] {
                 let statement = read_statement(&mut input, length);
-                seen.lock().unwrap().push(statement.clone());
+                statements.lock().unwrap().push(statement.clone());
                 let _ = stream.write_all(format!("{id} INFO - 0\r\n\r\n").as_bytes());
                 if statement == "SELECT first" {
-                    let _ = goes.lock().unwrap().recv();
+                    let _ = released.lock().unwrap().recv();
                     let _ = stream
                         .write_all(format!("{id} HIT fetches=1 6\r\n1\ta\tb\n\r\n").as_bytes());
                     let _ =
                         socket2::SockRef::from(&stream).set_linger(Some(std::time::Duration::ZERO));
-                    // The answer is there before the reset is.
+                    // The response is delivered before the reset.
                     return;
                 }
                 let _ =
@@ -121,31 +126,35 @@
         Coordinator::start(&edit(config))
     });
     let mut first = open(&site, &report(1, "SELECT first"));
-    until("it is asked", || !asked.lock().unwrap().is_empty());
+    wait_until("the engine has the first query", || {
+        !received.lock().unwrap().is_empty()
+    });
     let mut second = TcpStream::connect(site.coordinator.addr).unwrap();
     site.coordinator.wait_for("connections_clients", 3);
     site.coordinator.freeze();
-    // The program finds the second request first, and with it something to send where all has ended.
+    // The program finds the second request first and writes it to the connection that the engine has already reset.
     second
         .write_all(report(2, "SELECT second").as_bytes())
         .unwrap();
-    go.send(()).unwrap();
-    until("the engine has ended", || engine_has_ended(engine));
+    release.send(()).unwrap();
+    wait_until("the engine has closed its connections", || {
+        has_no_connections(engine)
+    });
     site.coordinator.wake();
     assert_eq!(read_answer(&mut first).status, 200);
     assert_eq!(read_answer(&mut second).status, 200);
-    assert_eq!(*asked.lock().unwrap(), ["SELECT first", "SELECT second"]);
+    assert_eq!(*received.lock().unwrap(), ["SELECT first", "SELECT second"]);
 }
 
-/// Whether no connection to this address is established any more, by the system's table.
-fn engine_has_ended(engine: SocketAddr) -> bool {
+/// Whether the system's TCP table has no established connection with this port.
+fn has_no_connections(engine: SocketAddr) -> bool {
     let port = format!(":{:04X}", engine.port());
     let table = std::fs::read_to_string("/proc/net/tcp").unwrap_or_default();
     let established = |line: &str| {
-        let words: Vec<&str> = line.split_whitespace().collect();
-        words.len() > 3
-            && words[3] == "01"
-            && (words[1].ends_with(&port) || words[2].ends_with(&port))
+        let columns: Vec<&str> = line.split_whitespace().collect();
+        columns.len() > 3
+            && columns[3] == "01"
+            && (columns[1].ends_with(&port) || columns[2].ends_with(&port))
     };
     !table.lines().any(established)
 }
--- a/crates/coordinator/tests/endings/lists.rs
+++ b/crates/coordinator/tests/endings/lists.rs
@@ -1,4 +1,4 @@
-//! The list of engines: silent, away, or back with news.
+//! The engine list: a silent source, an unreachable one, and one that returns with new events.
 
 use driftfront_mock_servers::request_log::RequestLog;
 use driftfront_test_support::coordinator::engine_list::{event, instances, read_head, EngineList};
@@ -12,10 +12,10 @@
 
 #[test]
 fn silent_list_is_reconnected_and_no_drain_is_missed() {
-    // It tells one event to each caller, the next of those behind its last, and then says nothing at all.
-    let tells = Arc::new(Mutex::new(Vec::<String>::new()));
-    let (told, asked) = (tells.clone(), Arc::new(Mutex::new(Vec::<usize>::new())));
-    let calls = asked.clone();
+    // The source sends each caller the one event that follows its Last-Event-ID, and then nothing more.
+    let published = Arc::new(Mutex::new(Vec::<String>::new()));
+    let (events, last_ids) = (published.clone(), Arc::new(Mutex::new(Vec::<usize>::new())));
+    let recorded_ids = last_ids.clone();
     let addr = stand_in(move |mut stream| {
         let mut input = BufReader::new(stream.try_clone().unwrap());
         let Some(head) = read_head(&mut input) else {
@@ -26,8 +26,8 @@
             .find_map(|l| l.strip_prefix("Last-Event-ID: "))
             .unwrap();
         let last: usize = last.parse().unwrap();
-        calls.lock().unwrap().push(last);
-        let event = told.lock().unwrap().get(last).cloned();
+        recorded_ids.lock().unwrap().push(last);
+        let event = events.lock().unwrap().get(last).cloned();
         let event = event
             .map(|e| format!("id: {}\ndata: {e}\n\n", last + 1))
             .unwrap_or_default();
@@ -43,24 +43,27 @@
         engines: engines(2, &ledger),
         ledger,
     };
-    let news = |index, phase| event(index, &instances(&site.engines, &[phase, "ready"]), "");
-    tells
+    let list_event = |index, phase| event(index, &instances(&site.engines, &[phase, "ready"]), "");
+    published
         .lock()
         .unwrap()
-        .extend([news(1, "ready"), news(2, "draining")]);
+        .extend([list_event(1, "ready"), list_event(2, "draining")]);
     site.coordinator.wait_for("lists_taken", 3);
     for n in 0..5 {
         assert_eq!(site.ask("lookup", 2500, &format!("SELECT {n}")).status, 200);
     }
     assert!(site.ledger.of("").iter().all(|e| e.engine == "1"));
-    // Behind the last event each time; the first call may have been given up before its event came.
-    let asked = asked.lock().unwrap();
-    assert!(asked.is_sorted() && asked.contains(&1), "{asked:?}");
+    // Each call asks for the events after the last received one. The first call may have been abandoned before its event arrived.
+    let last_ids = last_ids.lock().unwrap();
+    assert!(
+        last_ids.is_sorted() && last_ids.contains(&1),
+        "{last_ids:?}"
+    );
 }
 
 #[test]
 fn known_engines_are_served_while_the_list_is_unreachable() {
-    // Bound, so that nobody else gets the address, and refused until it listens.
+    // The socket is bound, so that no other process gets the address, and connections are refused until it listens.
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     socket
         .bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into())
@@ -68,14 +71,14 @@
     let addr = socket.local_addr().unwrap().as_socket().unwrap();
     let ledger = Arc::new(RequestLog::default());
     let engines = engines(2, &ledger);
-    let news = |index, phase| event(index, &instances(&engines, &[phase, "ready"]), "");
-    let known = format!(
+    let list_event = |index, phase| event(index, &instances(&engines, &[phase, "ready"]), "");
+    let known_list = format!(
         "\"known\": {{\"index\": 3, \"updates\": [{}]}}, \"limits\"",
-        news(3, "ready")
+        list_event(3, "ready")
     );
-    let coordinator = Coordinator::start(&config(addr).replace("\"limits\"", &known));
+    let coordinator = Coordinator::start(&config(addr).replace("\"limits\"", &known_list));
     coordinator.wait_until_ready();
-    let ask = |n: usize| {
+    let answering_engine = |n: usize| {
         let headers = format!("X-Call-Id: {n:016x}\r\nX-Patience-Ms: 2400\r\n");
         let statement = format!("SELECT {n}");
         assert_eq!(
@@ -84,19 +87,19 @@
         );
         ledger.of(&statement)[0].engine.clone()
     };
-    assert!((1..=8).map(ask).any(|engine| engine == "0"));
-    // It is back, with news from behind what was known.
+    assert!((1..=8).map(answering_engine).any(|engine| engine == "0"));
+    // The source is reachable again, with an event after the known ones.
     let before = coordinator.counter("lists_taken");
     socket.listen(8).unwrap();
     let (socket, _) = socket.accept().unwrap();
     let mut stream = TcpStream::from(socket);
     let head = read_head(&mut BufReader::new(stream.try_clone().unwrap())).unwrap();
     assert!(head.contains("\r\nLast-Event-ID: 3\r\n"), "{head}");
-    let told = format!(
+    let response = format!(
         "HTTP/1.1 200 OK\r\n\r\nid: 4\ndata: {}\n\n",
-        news(4, "draining")
+        list_event(4, "draining")
     );
-    stream.write_all(told.as_bytes()).unwrap();
+    stream.write_all(response.as_bytes()).unwrap();
     coordinator.wait_for("lists_taken", before + 1);
-    assert!((11..=18).map(ask).all(|engine| engine == "1"));
+    assert!((11..=18).map(answering_engine).all(|engine| engine == "1"));
 }
--- a/crates/coordinator/tests/endings/main.rs
+++ b/crates/coordinator/tests/endings/main.rs
@@ -1,5 +1,6 @@
-//! Moments in which something ends while something else is still owed: `docs/endings.md` names each. The program runs on
-//! loopback; a stand-in waits for events, and where two things have to be found at once the program is held still meanwhile.
+//! Connections and processes that end while a request or response is outstanding; `docs/endings.md` lists the cases. The program
+//! runs on loopback against mock servers that wait for events. Where the program has to find two events in one iteration of its
+//! event loop, the test stops the process until both have happened.
 
 mod clients;
 mod engines;
@@ -15,15 +16,15 @@
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::Duration;
 
-fn request(class: &str, id: u64, more: &str, statement: &str) -> String {
+fn request(class: &str, id: u64, headers: &str, statement: &str) -> String {
     let length = statement.len();
     format!(
-        "POST /ops/{class} HTTP/1.1\r\nX-Call-Id: {id:016x}\r\nX-Patience-Ms: 2400\r\n{more}\
+        "POST /ops/{class} HTTP/1.1\r\nX-Call-Id: {id:016x}\r\nX-Patience-Ms: 2400\r\n{headers}\
          Content-Length: {length}\r\n\r\n{statement}"
     )
 }
 
-/// A load of the one key that these tests use, with all the time that its class gives.
+/// A load with the one ordering key that these tests use, and the longest client timeout of its class.
 fn load(id: u64, statement: &str) -> String {
     request(
         "member-load",
@@ -34,11 +35,12 @@
     .replace("2400", "25000")
 }
 
-/// A read with all the time that its class gives: however long the program is held still, its deadline is not what is seen.
+/// A read with the longest client timeout of its class, so that it does not expire while the test stops the process.
 fn report(id: u64, statement: &str) -> String {
     request("report", id, "", statement).replace("2400", "15000")
 }
 
+/// Opens a connection and sends this text.
 fn open(site: &Site, text: &str) -> TcpStream {
     let mut stream = TcpStream::connect(site.coordinator.addr).unwrap();
     stream.set_nodelay(true).unwrap();
@@ -46,14 +48,15 @@
     stream
 }
 
-/// Waits for the end of what the other side says; an error if that is a reset.
-fn rest(stream: &mut TcpStream) -> std::io::Result<Vec<u8>> {
+/// Reads until the peer closes the connection; a reset is an error.
+fn read_to_close(stream: &mut TcpStream) -> std::io::Result<Vec<u8>> {
     stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
-    let mut rest = Vec::new();
-    stream.read_to_end(&mut rest).map(|_| rest)
+    let mut bytes = Vec::new();
+    stream.read_to_end(&mut bytes).map(|_| bytes)
 }
 
-fn ran(site: &Site) -> Vec<String> {
+/// The statements that the engines received, in order.
+fn received_statements(site: &Site) -> Vec<String> {
     site.ledger
         .of("")
         .into_iter()
@@ -61,17 +64,17 @@
         .collect()
 }
 
-/// Waits until something is so.
-fn until(what: &str, so: impl FnMut() -> bool) {
-    poll_until(so, || format!("never: {what}"));
+/// Waits until a condition holds.
+fn wait_until(what: &str, is_met: impl FnMut() -> bool) {
+    poll_until(is_met, || format!("timed out waiting until {what}"));
 }
 
-/// Lets a time pass that a rule names: what comes behind it is what the test is about.
-fn let_pass(time: Duration) {
-    std::thread::sleep(time);
+/// Waits for a fixed time, where a test checks what has or has not happened after it.
+fn wait_for_duration(duration: Duration) {
+    std::thread::sleep(duration);
 }
 
-/// What is held at an engine waits here until it is opened.
+/// Blocks responses of a mock engine until it is opened.
 #[derive(Default)]
 struct Gate(Mutex<bool>, Condvar);
 
@@ -81,18 +84,19 @@
         self.1.notify_all();
     }
 
-    fn pass(&self) {
-        let shut = self.0.lock().unwrap();
-        drop(self.1.wait_while(shut, |open| !*open).unwrap());
+    fn wait_until_open(&self) {
+        let is_open = self.0.lock().unwrap();
+        drop(self.1.wait_while(is_open, |open| !*open).unwrap());
     }
 }
 
-/// A site whose engines answer what says "held" behind the returned gate, "full" by a SHED, and all else at once.
-fn held(engines: usize) -> (Site, Arc<Gate>) {
+/// A site whose engines answer a statement with "held" only after the returned gate has opened, reject one with "full" by a SHED,
+/// and answer all others at once.
+fn site_with_gate(engines: usize) -> (Site, Arc<Gate>) {
     let (ledger, gate) = (Arc::new(RequestLog::default()), Arc::new(Gate::default()));
     let engine = |n: usize| {
-        let (runs, gate) = (ledger.clone(), gate.clone());
-        stand_in(move |stream| hold(stream, &n.to_string(), &runs, &gate))
+        let (ledger, gate) = (ledger.clone(), gate.clone());
+        stand_in(move |stream| serve_engine(stream, &n.to_string(), &ledger, &gate))
     };
     let engines = (0..engines).map(engine).collect();
     (
@@ -101,15 +105,16 @@
     )
 }
 
-/// The same, with the key of [`load`] taken until the gate opens; the load's client stays.
-fn with_key_taken() -> (Site, TcpStream, Arc<Gate>) {
-    let (site, gate) = held(1);
+/// Like [`site_with_gate`], with a running load that holds the ordering key of [`load`] until the gate opens. Also returns the
+/// connection of that load's client.
+fn site_with_busy_key() -> (Site, TcpStream, Arc<Gate>) {
+    let (site, gate) = site_with_gate(1);
     let first = open(&site, &load(1, "INSERT held"));
     site.ledger.wait_for("INSERT held", 1);
     (site, first, gate)
 }
 
-fn hold(stream: TcpStream, engine: &str, ledger: &Arc<RequestLog>, gate: &Arc<Gate>) {
+fn serve_engine(stream: TcpStream, engine: &str, ledger: &Arc<RequestLog>, gate: &Arc<Gate>) {
     let mut input = BufReader::new(stream.try_clone().unwrap());
     let out = stream;
     loop {
@@ -118,7 +123,7 @@
             return;
         }
         let words: Vec<&str> = line.trim_end().split(' ').collect();
-        let (answer, entry, waits) = match words[..] {
+        let (answer, entry, is_held) = match words[..] {
             ["STAT", tag] => (
                 format!("{tag} PONG gauges=inflight:1;queue:0;x0:0.1 0\r\n\r\n"),
                 None,
@@ -136,18 +141,18 @@
             }
             _ => continue,
         };
-        // On a thread of its own: what is held must not hold up what else comes here.
+        // A held response waits on its own thread, so that it does not delay other commands on this connection.
         let (mut out, ledger, gate) = (out.try_clone().unwrap(), ledger.clone(), gate.clone());
-        let mut answer = move || {
-            if waits {
-                gate.pass();
+        let mut send_answer = move || {
+            if is_held {
+                gate.wait_until_open();
             }
             let _ = out.write_all(answer.as_bytes());
             entry.into_iter().for_each(|entry| ledger.end(entry, true));
         };
-        match waits {
-            true => drop(std::thread::spawn(answer)),
-            false => answer(),
+        match is_held {
+            true => drop(std::thread::spawn(send_answer)),
+            false => send_answer(),
         }
     }
 }
--- a/crates/coordinator/tests/endings/shutdown.rs
+++ b/crates/coordinator/tests/endings/shutdown.rs
@@ -1,14 +1,17 @@
-//! SIGTERM, and what comes while the process leaves.
+//! SIGTERM, and requests that arrive while the process shuts down.
 
-use super::{held, let_pass, load, open, request, rest, until, with_key_taken};
+use super::{
+    load, open, read_to_close, request, site_with_busy_key, site_with_gate, wait_for_duration,
+    wait_until,
+};
 use driftfront_test_support::coordinator::platform_site::Site;
 use driftfront_test_support::coordinator::{read_answer, read_next};
 use std::io::Write;
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-fn until_nobody_listens(site: &Site) {
-    until("nobody listens", || {
+fn wait_until_listener_closed(site: &Site) {
+    wait_until("the listener is closed", || {
         TcpStream::connect(site.coordinator.addr).is_err()
     });
 }
@@ -16,66 +19,67 @@
 #[test]
 fn request_after_the_shutdown_grace_is_rejected() {
     let mut site = Site::start(1);
-    let mut out = open(&site, &request("report", 1, "", "SELECT silent"));
+    let mut running = open(&site, &request("report", 1, "", "SELECT silent"));
     site.ledger.wait_for("SELECT silent", 1);
-    let mut resting = open(&site, &request("lookup", 2, "", "SELECT 2"));
-    assert_eq!(read_answer(&mut resting).status, 200);
+    let mut idle = open(&site, &request("lookup", 2, "", "SELECT 2"));
+    assert_eq!(read_answer(&mut idle).status, 200);
     let late = request("lookup", 3, "", "SELECT late");
-    let mut half = open(&site, &late[..40]);
+    let mut partial = open(&site, &late[..40]);
     site.coordinator.wait_for("connections_clients", 4);
     site.coordinator.terminate();
-    // Whoever rests is sent away in order once nothing more is taken; the engine hangs, so that the process stays.
-    assert_eq!(rest(&mut resting).unwrap(), b"");
-    half.write_all(&late.as_bytes()[40..]).unwrap();
-    let answer = read_answer(&mut half);
+    // Once no more requests are accepted, idle connections are closed without a reset. The hanging engine keeps the process alive.
+    assert_eq!(read_to_close(&mut idle).unwrap(), b"");
+    partial.write_all(&late.as_bytes()[40..]).unwrap();
+    let answer = read_answer(&mut partial);
     assert_eq!(
         (answer.status, answer.header("Connection")),
         (429, Some("close"))
     );
     assert_eq!(site.ledger.of("SELECT late").len(), 0);
-    // Nobody listens any more, while what was taken before is answered all the same.
-    until_nobody_listens(&site);
-    assert_eq!(read_answer(&mut out).status, 429);
+    // The listener is closed, and the request that was accepted before is still answered.
+    wait_until_listener_closed(&site);
+    assert_eq!(read_answer(&mut running).status, 429);
     assert!(site.coordinator.wait().success());
 }
 
 #[test]
 fn queued_requests_are_rejected_before_a_restart_kills() {
-    let (mut site, mut first, gate) = with_key_taken();
+    let (mut site, mut first, gate) = site_with_busy_key();
     let mut second = open(&site, &load(2, "INSERT second"));
     site.coordinator.wait_for("requests_taken", 2);
-    let begin = Instant::now();
+    let start = Instant::now();
     site.coordinator.terminate();
-    // Its time is far from over, but the first of its key holds the only engine.
+    // Its client timeout is far away, but the first load of its key occupies the only engine.
     assert_eq!(read_answer(&mut second).status, 429);
-    // The first has begun, and may not run again elsewhere.
+    // The first load has started and must not run again on another engine.
     assert_eq!(read_answer(&mut first).status, 500);
     gate.open();
     assert!(site.coordinator.wait().success());
-    // Both have 25 s.
-    assert!(begin.elapsed() < Duration::from_secs(10));
+    // Both have a client timeout of 25 s.
+    assert!(start.elapsed() < Duration::from_secs(10));
     assert_eq!(site.ledger.of("INSERT").len(), 1);
 }
 
 #[test]
 fn response_written_at_exit_is_not_lost_to_unread_bytes() {
-    let (mut site, mut first, gate) = with_key_taken();
+    let (mut site, mut first, gate) = site_with_busy_key();
     site.coordinator.terminate();
-    // Once nobody listens only this request keeps the process.
-    until_nobody_listens(&site);
-    // The answer, and a request that nobody will take, come to the program at one moment.
+    // After the listener is closed, only this request keeps the process running.
+    wait_until_listener_closed(&site);
+    // The program finds two events at once: the engine's response, and a request that it won't accept any more.
     site.coordinator.freeze();
     gate.open();
-    site.ledger
-        .wait_until("the load's end", |all| all.iter().any(|e| e.over.is_some()));
+    site.ledger.wait_until("the load's end", |entries| {
+        entries.iter().any(|e| e.over.is_some())
+    });
     first
         .write_all(request("lookup", 9, "", "SELECT never").as_bytes())
         .unwrap();
     site.coordinator.wake();
     let mut reader = Default::default();
     assert_eq!(read_next(&mut first, &mut reader).status, 200);
-    // In order: an end, not a reset.
-    assert!(rest(&mut first).is_ok());
+    // The connection is closed without a reset.
+    assert!(read_to_close(&mut first).is_ok());
     drop(first);
     assert!(site.coordinator.wait().success());
     assert_eq!(site.ledger.of("SELECT never").len(), 0);
@@ -83,40 +87,40 @@
 
 #[test]
 fn requests_during_a_freeze_past_the_grace_are_answered() {
-    let (mut site, gate) = held(1);
-    let mut out = open(&site, &request("lookup", 1, "", "SELECT held"));
+    let (mut site, gate) = site_with_gate(1);
+    let mut running = open(&site, &request("lookup", 1, "", "SELECT held"));
     site.ledger.wait_for("SELECT held", 1);
-    let mut resting = open(&site, &request("lookup", 2, "", "SELECT 2"));
-    assert_eq!(read_answer(&mut resting).status, 200);
+    let mut idle = open(&site, &request("lookup", 2, "", "SELECT 2"));
+    assert_eq!(read_answer(&mut idle).status, 200);
     site.coordinator.terminate();
-    until("the signal is taken", || {
+    wait_until("the shutdown has begun", || {
         site.coordinator.is_shutting_down()
     });
     site.coordinator.freeze();
-    // One in the backlog of a listener, one on a connection at rest: both are to be closed as soon as it goes on.
+    // One request is on a connection in the listener's backlog, one on an idle connection. Both connections are due to be closed as
+    // soon as the process continues.
     let mut backlog = open(&site, &request("lookup", 3, "", "SELECT late"));
-    resting
-        .write_all(request("lookup", 4, "", "SELECT late").as_bytes())
+    idle.write_all(request("lookup", 4, "", "SELECT late").as_bytes())
         .unwrap();
-    let_pass(Duration::from_millis(1000));
+    wait_for_duration(Duration::from_millis(1000));
     site.coordinator.wake();
-    for late in [&mut backlog, &mut resting] {
+    for late in [&mut backlog, &mut idle] {
         let answer = read_answer(late);
         assert_eq!(
             (answer.status, answer.header("Connection")),
             (429, Some("close"))
         );
-        assert_eq!(rest(late).unwrap(), b"");
+        assert_eq!(read_to_close(late).unwrap(), b"");
     }
     gate.open();
-    assert_eq!(read_answer(&mut out).status, 200);
+    assert_eq!(read_answer(&mut running).status, 200);
     assert!(site.coordinator.wait().success());
     assert_eq!(site.ledger.of("SELECT late").len(), 0);
 }
 
 #[test]
 fn hung_attempts_are_answered_before_a_restart_kills() {
-    let (mut site, gate) = held(1);
+    let (mut site, gate) = site_with_gate(1);
     let mut read = open(
         &site,
         &request("report", 1, "", "SELECT held").replace("2400", "15000"),
@@ -124,30 +128,31 @@
     let mut load = open(&site, &load(2, "INSERT held"));
     site.ledger.wait_for("SELECT held", 1);
     site.ledger.wait_for("INSERT held", 1);
-    let begin = Instant::now();
+    let start = Instant::now();
     site.coordinator.terminate();
-    // A read may run again elsewhere; a load that has begun may not.
+    // A read may run again on another engine; a load that has started may not.
     assert_eq!(read_answer(&mut read).status, 429);
     assert_eq!(read_answer(&mut load).status, 500);
     assert!(site.coordinator.wait().success());
-    // The kill comes after 3.7 s; their own deadlines are far off.
-    assert!(begin.elapsed() < Duration::from_secs(10));
+    // The platform kills the process after 3.7 s; the requests' own deadlines are much later.
+    assert!(start.elapsed() < Duration::from_secs(10));
     gate.open();
 }
 
 #[test]
 fn request_half_read_at_exit_gets_408() {
     let mut site = Site::start(1);
-    let mut half = open(&site, &request("lookup", 1, "", "SELECT half")[..40]);
+    let mut partial = open(&site, &request("lookup", 1, "", "SELECT half")[..40]);
     site.coordinator.wait_for("connections_clients", 2);
     site.coordinator.terminate();
     let mut reader = Default::default();
-    assert_eq!(read_next(&mut half, &mut reader).status, 408);
-    // Its last bytes cross that: an end in order all the same.
-    half.write_all(&request("lookup", 1, "", "SELECT half").as_bytes()[40..])
+    assert_eq!(read_next(&mut partial, &mut reader).status, 408);
+    // The rest of the request arrives after the 408. The connection is still closed without a reset.
+    partial
+        .write_all(&request("lookup", 1, "", "SELECT half").as_bytes()[40..])
         .unwrap();
-    assert!(rest(&mut half).is_ok());
-    drop(half);
+    assert!(read_to_close(&mut partial).is_ok());
+    drop(partial);
     assert!(site.coordinator.wait().success());
     assert_eq!(site.ledger.of("SELECT half").len(), 0);
 }
