--- a/crates/coordinator/tests/golden_operators/commands.rs
+++ b/crates/coordinator/tests/golden_operators/commands.rs
@@ -1,6 +1,6 @@
-//! Sub-commands, their help and exit codes; the operator's file as `check` reads it, and what is said of a wrong one.
+//! Subcommands, their help and exit codes; the operator's configuration file as `check` reads it, and the errors for an invalid one.
 
-use crate::{type_in, Folder};
+use crate::{run_command, Folder};
 use driftfront::config::Config;
 use driftfront_control::commands::COMMANDS;
 use driftfront_test_support::assert_golden;
@@ -8,20 +8,25 @@
 use std::os::unix::fs::PermissionsExt;
 use tinyjson::JsonValue;
 
+/// The text of a file in `deploy/`.
 fn deploy(name: &str) -> String {
     let path = format!("{}/../../deploy/{name}", env!("CARGO_MANIFEST_DIR"));
-    std::fs::read_to_string(path).expect("a file of deploy/")
+    std::fs::read_to_string(path).expect("a file in deploy/")
 }
 
 #[test]
 fn help_completions_and_manual() {
     let folder = Folder::new("help");
-    let mut text = type_in(&folder.0, &["--help"]);
-    let help = text.split_once('\n').expect("a line").1.to_string();
+    let mut text = run_command(&folder.0, &["--help"]);
+    let help = text
+        .split_once('\n')
+        .expect("the command line")
+        .1
+        .to_string();
     for command in COMMANDS {
-        let of_command = type_in(&folder.0, &[command.name, "--help"]);
+        let command_help = run_command(&folder.0, &[command.name, "--help"]);
         assert_eq!(
-            of_command.split_once('\n').expect("a line").1,
+            command_help.split_once('\n').expect("the command line").1,
             help,
             "{}",
             command.name
@@ -30,18 +35,18 @@
     }
     assert_golden!("operators/help.txt", text);
     for shell in ["bash", "zsh", "fish", "tcsh"] {
-        let text = type_in(&folder.0, &["completions", shell]);
+        let text = run_command(&folder.0, &["completions", shell]);
         assert_golden!(&format!("operators/completions.{shell}"), text);
     }
-    assert_golden!("operators/manual.1", type_in(&folder.0, &["manual"]));
+    assert_golden!("operators/manual.1", run_command(&folder.0, &["manual"]));
 }
 
 #[test]
-#[allow(clippy::too_many_lines, reason = "tests list their cases")]
-fn exit_codes_and_words_of_wrong_uses() {
+#[allow(clippy::too_many_lines, reason = "a list of cases")]
+fn exit_codes_and_messages_of_invalid_command_lines() {
     let folder = Folder::new("uses");
     folder.write("key", "0123456789abcdef\n");
-    let uses: &[&[&str]] = &[
+    let command_lines: &[&[&str]] = &[
         &[],
         &["serv"],
         &["--config", "a"],
@@ -92,20 +97,23 @@
         &["hold", "a", "--for", "2h", "--at", "no.sock"],
         &["unhold", "--at", "no.sock"],
     ];
-    let text: String = uses.iter().map(|args| type_in(&folder.0, args)).collect();
+    let text: String = command_lines
+        .iter()
+        .map(|args| run_command(&folder.0, args))
+        .collect();
     assert_golden!("operators/uses.txt", text);
     assert_golden!(
         "operators/init.kdl",
-        std::fs::read(folder.0.join("a.kdl")).expect("init wrote it")
+        std::fs::read(folder.0.join("a.kdl")).expect("init has written the file")
     );
     assert_eq!(
         deploy("appliance.kdl").into_bytes(),
-        std::fs::read(folder.0.join("a.kdl")).expect("init wrote it")
+        std::fs::read(folder.0.join("a.kdl")).expect("init has written the file")
     );
 }
 
 #[test]
-fn check_of_the_files_in_deploy() {
+fn check_of_configuration_and_key_files() {
     let folder = Folder::new("check");
     folder.write("appliance.kdl", &deploy("appliance.kdl"));
     folder.write("fleet.kdl", &deploy("fleet.kdl"));
@@ -119,21 +127,21 @@
         "engines { etcd \"127.0.0.1:2379\" prefix=\"/engines/\"; }\nfront \"platform\"\n",
     );
     folder.write("file.kdl", "engines { file \"engines.json\"; }\n");
-    let stream = platform_site::config("127.0.0.1:7".parse().expect("an address"));
+    let stream = platform_site::config("127.0.0.1:7".parse().expect("a socket address"));
     folder.write("stream.json", &stream);
-    let check = |name: &str| type_in(&folder.0, &["check", "--config", name]);
+    let check = |name: &str| run_command(&folder.0, &["check", "--config", name]);
     let mut text = check("fleet.kdl");
     folder.write("fleet.key", "0123456789abcdef0123456789abcdef\n");
-    let mode = |mode| {
+    let set_mode = |mode| {
         std::fs::set_permissions(
             folder.0.join("fleet.key"),
             std::fs::Permissions::from_mode(mode),
         )
-        .expect("a mode")
+        .expect("the file mode is set")
     };
-    mode(0o644);
+    set_mode(0o644);
     text += &check("fleet.kdl");
-    mode(0o600);
+    set_mode(0o600);
     for name in [
         "fleet.kdl",
         "fleet-and-state.kdl",
@@ -157,12 +165,12 @@
     assert_golden!("operators/check.txt", text);
 }
 
-/// JSON with its keys in order: tinyjson's maps have none.
-pub(crate) fn ordered(value: &JsonValue) -> String {
+/// JSON with sorted keys. tinyjson uses hash maps, whose order varies.
+pub(crate) fn sorted_json(value: &JsonValue) -> String {
     match value {
         JsonValue::Array(list) => format!(
             "[{}]",
-            list.iter().map(ordered).collect::<Vec<_>>().join(",")
+            list.iter().map(sorted_json).collect::<Vec<_>>().join(",")
         ),
         JsonValue::Object(fields) => {
             let mut fields: Vec<String> = fields
@@ -171,7 +179,7 @@
                     format!(
                         "{}:{}",
                         JsonValue::from(k.clone()).stringify().expect("text"),
-                        ordered(v)
+                        sorted_json(v)
                     )
                 })
                 .collect();
@@ -182,8 +190,8 @@
     }
 }
 
-/// Every setting that an operator's file can hold.
-const EVERYTHING: &str = r#"
+/// A configuration file with every setting.
+const ALL_SETTINGS: &str = r#"
 name "school"
 listen "127.0.0.1:8200"
 front "clickhouse"
@@ -212,12 +220,13 @@
 "#;
 
 #[test]
-fn the_operator_s_file_as_the_platform_s_json() {
-    let json =
-        |text: &str| ordered(&driftfront::operator_config::read(text).expect("well formed")) + "\n";
+fn operator_file_converted_to_platform_json() {
+    let json = |text: &str| {
+        sorted_json(&driftfront::operator_config::read(text).expect("well formed")) + "\n"
+    };
     assert_golden!("operators/appliance.json", json(&deploy("appliance.kdl")));
     assert_golden!("operators/fleet.json", json(&deploy("fleet.kdl")));
-    assert_golden!("operators/everything.json", json(EVERYTHING));
+    assert_golden!("operators/everything.json", json(ALL_SETTINGS));
     assert_golden!(
         "operators/smallest.json",
         json("engines { file \"engines.json\"; }\n")
@@ -225,9 +234,9 @@
 }
 
 #[test]
-fn a_configuration_s_values() {
+fn values_of_a_configuration() {
     let text = [
-        EVERYTHING,
+        ALL_SETTINGS,
         &deploy("appliance.kdl"),
         "engines { file \"engines.json\"; }\n",
     ]
@@ -291,13 +300,13 @@
 }
 
 #[test]
-#[allow(clippy::too_many_lines, reason = "tests list their cases")]
-fn what_is_said_of_a_wrong_file() {
+#[allow(clippy::too_many_lines, reason = "a list of cases")]
+fn errors_of_invalid_configuration_files() {
     let folder = Folder::new("mistakes");
     folder.write("short.key", "short\n");
     let engines = "engines { engine \"e\" at=\"127.0.0.1:1\"; }\n";
     let mut text = String::new();
-    for wrong in [
+    for invalid in [
         "lissten \"x\"\n",
         "altogether \"x\"\n",
         "listen 5\n",
@@ -343,9 +352,9 @@
         "engines {",
         "\"",
     ] {
-        let whole = if wrong.contains("engines") || wrong.len() < 2 { wrong.to_string() } else { wrong.to_string() + engines };
-        folder.write("wrong.kdl", &whole);
-        text += &format!("--- {whole:?}\n{}", type_in(&folder.0, &["check", "--config", "wrong.kdl"]));
+        let full_text = if invalid.contains("engines") || invalid.len() < 2 { invalid.to_string() } else { invalid.to_string() + engines };
+        folder.write("wrong.kdl", &full_text);
+        text += &format!("--- {full_text:?}\n{}", run_command(&folder.0, &["check", "--config", "wrong.kdl"]));
     }
     assert_golden!("operators/mistakes.txt", text);
     let mut text = String::new();
@@ -374,10 +383,10 @@
         ("\"Effect\": \"free\"", "\"Effect\": \"odd\""),
         ("\"OnTimeUs\": 500000", "\"OnTimeUs\": \"x\""),
     ] {
-        let whole = appliance();
-        assert!(whole.contains(from), "{from}");
-        folder.write("wrong.json", &whole.replacen(from, to, 1));
-        text += &format!("--- {from} -> {to}\n{}", type_in(&folder.0, &["check", "--config", "wrong.json"]));
+        let valid = appliance();
+        assert!(valid.contains(from), "{from}");
+        folder.write("wrong.json", &valid.replacen(from, to, 1));
+        text += &format!("--- {from} -> {to}\n{}", run_command(&folder.0, &["check", "--config", "wrong.json"]));
     }
     assert_golden!("operators/mistakes-json.txt", text);
 }
--- a/crates/coordinator/tests/golden_operators/control.rs
+++ b/crates/coordinator/tests/golden_operators/control.rs
@@ -1,18 +1,18 @@
-//! The control socket's replies, the second address' calls, and the counters.
+//! Replies on the control socket, calls to the management address, and the counters.
 
-use crate::commands::ordered;
+use crate::commands::sorted_json;
 use crate::Folder;
 use driftfront_control::{Request, MAX_REPLY_BYTES};
 use driftfront_test_support::assert_golden;
 use driftfront_test_support::coordinator::clickhouse_site::Plan;
-use driftfront_test_support::coordinator::platform_site::Site as LineSite;
+use driftfront_test_support::coordinator::platform_site::Site as PlatformSite;
 use driftfront_test_support::coordinator::{get, TEST_TIMEOUT};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::os::unix::net::UnixStream;
 use tinyjson::JsonValue;
 
-/// Numbers and times made the same; what is said in words stays.
-fn plain(value: &JsonValue) -> JsonValue {
+/// Replaces numbers, times, ports and paths by placeholders and keeps all other text.
+fn normalized(value: &JsonValue) -> JsonValue {
     match value {
         JsonValue::Number(_) => JsonValue::String("NUMBER".into()),
         JsonValue::Array(list)
@@ -20,20 +20,25 @@
         {
             JsonValue::String("NUMBERS".into())
         }
-        JsonValue::Array(list) => JsonValue::Array(list.iter().map(plain).collect()),
+        JsonValue::Array(list) => JsonValue::Array(list.iter().map(normalized).collect()),
         JsonValue::Object(fields) => {
-            // When a probe was last answered, or none yet.
-            let of = |k: &str, v: &JsonValue| {
+            // The age of the last probe response, which is null before the first one.
+            let normalized_field = |k: &str, v: &JsonValue| {
                 if k == "heard_ms" {
                     JsonValue::Null
                 } else {
-                    plain(v)
+                    normalized(v)
                 }
             };
-            JsonValue::Object(fields.iter().map(|(k, v)| (k.clone(), of(k, v))).collect())
+            JsonValue::Object(
+                fields
+                    .iter()
+                    .map(|(k, v)| (k.clone(), normalized_field(k, v)))
+                    .collect(),
+            )
         }
         JsonValue::String(text) => {
-            let rest = text
+            let port = text
                 .strip_prefix("127.0.0.1:")
                 .filter(|p| p.parse::<u16>().is_ok());
             let text = if text.starts_with("the file ") {
@@ -41,35 +46,36 @@
             } else {
                 text
             };
-            JsonValue::String(rest.map_or(text, |_| "127.0.0.1:PORT").into())
+            JsonValue::String(port.map_or(text, |_| "127.0.0.1:PORT").into())
         }
         other => other.clone(),
     }
 }
 
-fn shown(line: &str) -> String {
+fn normalized_line(line: &str) -> String {
     let value = line.parse::<JsonValue>().expect("JSON");
-    ordered(&plain(&value)) + "\n"
+    sorted_json(&normalized(&value)) + "\n"
 }
 
+/// A connection to the control socket.
 struct Operator(BufReader<UnixStream>);
 
 impl Operator {
     fn connect(folder: &Folder) -> Operator {
-        let stream = UnixStream::connect(folder.0.join("control")).expect("it listens");
+        let stream = UnixStream::connect(folder.0.join("control")).expect("the socket accepts");
         stream
             .set_read_timeout(Some(TEST_TIMEOUT))
-            .expect("a timeout");
+            .expect("the timeout is set");
         Operator(BufReader::new(stream))
     }
 
-    fn line(&mut self) -> String {
+    fn read_line(&mut self) -> String {
         let mut line = String::new();
-        let got = (&mut self.0)
+        let bytes_read = (&mut self.0)
             .take(MAX_REPLY_BYTES as u64)
             .read_line(&mut line)
-            .expect("a line");
-        assert!(got > 0, "it was cut off");
+            .expect("a reply line");
+        assert!(bytes_read > 0, "the connection was closed");
         line
     }
 
@@ -77,44 +83,47 @@
         self.0
             .get_mut()
             .write_all(line.as_bytes())
-            .expect("it reads");
-        let reply = self.line();
-        format!("> {line}{}", shown(&reply))
+            .expect("the write succeeds");
+        let reply = self.read_line();
+        format!("> {line}{}", normalized_line(&reply))
     }
 }
 
-/// A request's line with its fields in order.
-fn line(request: &Request) -> String {
+/// The line of a request, with sorted fields.
+fn request_line(request: &Request) -> String {
     let value = request.line(7).parse::<JsonValue>().expect("JSON");
-    ordered(&value).replace('\n', "") + "\n"
+    sorted_json(&value).replace('\n', "") + "\n"
 }
 
-fn site(folder: &Folder) -> Plan {
-    let more = format!(
+/// A site with two engines, a control socket, a state folder and a management address.
+fn plan(folder: &Folder) -> Plan {
+    let settings = format!(
         "\"control\": \"{0}/control\", \"state\": \"{0}/state\", \"limits\"",
         folder.0.display()
     );
     Plan::of(2)
-        .with("\"limits\"", &more)
+        .with("\"limits\"", &settings)
         .with("\"limits\"", "\"management\": \"127.0.0.1:0\", \"limits\"")
 }
 
-/// A client that keeps a paused coordinator in the state `draining`.
-fn half_a_request(addr: std::net::SocketAddr) -> std::net::TcpStream {
-    let mut client = std::net::TcpStream::connect(addr).expect("it listens");
-    client.write_all(b"POST / HTTP/1.1\r\n").expect("it reads");
+/// Opens a client connection with an incomplete request, which keeps a paused coordinator in the state `draining`.
+fn open_incomplete_request(addr: std::net::SocketAddr) -> std::net::TcpStream {
+    let mut client = std::net::TcpStream::connect(addr).expect("the socket accepts");
+    client
+        .write_all(b"POST / HTTP/1.1\r\n")
+        .expect("the write succeeds");
     client
 }
 
 #[test]
-#[allow(clippy::too_many_lines, reason = "tests list their cases")]
-fn replies_of_the_control_socket() {
+#[allow(clippy::too_many_lines, reason = "a list of cases")]
+fn replies_on_the_control_socket() {
     let folder = Folder::new("control");
-    let site = site(&folder).start();
+    let site = plan(&folder).start();
     assert_eq!(site.query("SELECT 1").status, 200);
-    let _client = half_a_request(site.coordinator.addr);
+    let _client = open_incomplete_request(site.coordinator.addr);
     let mut operator = Operator::connect(&folder);
-    let mut text = shown(&operator.line());
+    let mut text = normalized_line(&operator.read_line());
     let add = Request::Add {
         engine: "e9".into(),
         addr: "127.0.0.1:9".into(),
@@ -176,9 +185,9 @@
         Request::RollStop,
         Request::Auth("x".into()),
     ] {
-        text += &operator.ask(&line(&request));
+        text += &operator.ask(&request_line(&request));
     }
-    for bad in [
+    for invalid in [
         "nonsense\n",
         "{}\n",
         "{\"v\":2,\"id\":3,\"do\":\"snapshot\"}\n",
@@ -191,38 +200,38 @@
         "{\"v\":1,\"id\":3,\"do\":\"add\",\"engine\":\"ab\",\"addr\":\"127.0.0.1:4\",\"zone\":\"none\"}\n",
         "{\"v\":1,\"id\":3,\"do\":\"add\",\"engine\":\"ab\",\"addr\":\"127.0.0.1:4\",\"kind\":\"none\"}\n",
     ] {
-        text += &operator.ask(bad);
+        text += &operator.ask(invalid);
     }
     assert_golden!("operators/control-replies.txt", text);
 }
 
 #[test]
-fn a_snapshot_and_events_on_the_control_socket() {
+fn snapshot_and_events_on_the_control_socket() {
     let folder = Folder::new("snapshot");
-    let site = site(&folder).start();
+    let site = plan(&folder).start();
     assert_eq!(site.query("SELECT 1").status, 200);
     let mut operator = Operator::connect(&folder);
-    operator.line();
-    operator.ask(&line(&Request::Drain {
+    operator.read_line();
+    operator.ask(&request_line(&Request::Drain {
         engine: "e0".into(),
         force: false,
     }));
-    let mut text = operator.ask(&line(&Request::Snapshot));
+    let mut text = operator.ask(&request_line(&Request::Snapshot));
     assert!(text.contains("\"snapshot\":{"), "{text}");
-    text += &operator.ask(&line(&Request::Events(false)));
+    text += &operator.ask(&request_line(&Request::Events(false)));
     while !text.contains("\"done\"") {
-        text += &shown(&operator.line());
+        text += &normalized_line(&operator.read_line());
     }
-    let follow = operator.ask(&line(&Request::Follow(200)));
+    let follow = operator.ask(&request_line(&Request::Follow(200)));
     assert!(follow.contains("\"snapshot\":{"), "{follow}");
     assert_golden!("operators/control-snapshot.txt", text);
 }
 
 #[test]
-fn calls_at_the_second_address() {
+fn calls_to_the_management_address() {
     let folder = Folder::new("second");
-    let site = site(&folder).start();
-    let _client = half_a_request(site.coordinator.addr);
+    let site = plan(&folder).start();
+    let _client = open_incomplete_request(site.coordinator.addr);
     let mut text = String::new();
     for call in [
         "STATUS\n",
@@ -251,12 +260,12 @@
     assert_golden!("operators/calls.txt", text);
     assert_golden!(
         "operators/counters-clickhouse.txt",
-        names_of(&get(site.coordinator.addr, "/counters").text())
+        counter_names(&get(site.coordinator.addr, "/counters").text())
     );
 }
 
-/// Names of counters, in order.
-fn names_of(counters: &str) -> String {
+/// The names of the counters, in their order.
+fn counter_names(counters: &str) -> String {
     counters
         .lines()
         .map(|l| {
@@ -270,8 +279,8 @@
 }
 
 #[test]
-fn counters_on_the_platform_s_wire() {
-    let site = LineSite::start(2);
+fn counters_of_the_platform_protocol() {
+    let site = PlatformSite::start(2);
     assert_eq!(site.ask("lookup", 2500, "SELECT 1").status, 200);
     let answer = get(site.coordinator.addr, "/counters");
     let text = format!(
@@ -281,32 +290,32 @@
             .iter()
             .map(|h| h.0.clone())
             .collect::<Vec<_>>(),
-        names_of(&answer.text())
+        counter_names(&answer.text())
     );
     assert_golden!("operators/counters-platform.txt", text);
 }
 
 #[test]
-fn counters_of_a_fleet_of_one() {
+fn counters_of_a_cluster_with_one_member() {
     use std::os::unix::fs::PermissionsExt;
     let folder = Folder::new("counters");
     folder.write("key", "0123456789abcdef0123456789abcdef\n");
     std::fs::set_permissions(folder.0.join("key"), std::fs::Permissions::from_mode(0o600))
-        .expect("a mode");
-    let fleet = format!(
+        .expect("the file mode is set");
+    let cluster_settings = format!(
         "\"fleet\": {{\"listen\": \"127.0.0.1:0\", \"key_file\": \"{}/key\", \"voters\": [\"a\", \"b\", \"c\"], \"zone\": \"z\"}}, \"limits\"",
         folder.0.display()
     );
-    let site = site(&folder).with("\"limits\"", &fleet).start();
+    let site = plan(&folder).with("\"limits\"", &cluster_settings).start();
     assert_eq!(site.query("SELECT 1").status, 200);
     assert_golden!(
         "operators/counters-fleet.txt",
-        names_of(&get(site.coordinator.addr, "/counters").text())
+        counter_names(&get(site.coordinator.addr, "/counters").text())
     );
     let mut operator = Operator::connect(&folder);
-    operator.line();
+    operator.read_line();
     assert_golden!(
         "operators/control-snapshot-fleet.txt",
-        operator.ask(&line(&Request::Snapshot))
+        operator.ask(&request_line(&Request::Snapshot))
     );
 }
--- a/crates/coordinator/tests/golden_operators/files.rs
+++ b/crates/coordinator/tests/golden_operators/files.rs
@@ -1,6 +1,6 @@
-//! The state folder and the hand-over files: names, bytes, and that today's bytes are read.
+//! The state folder and the hand-over files: their names and bytes, and reading files with the current format.
 
-use crate::{type_in, Folder};
+use crate::{run_command, Folder};
 use driftfront::handover::{HandoverMailbox, ProcessNumber, ReceivedMessage};
 use driftfront::state_folder::StateFolder;
 use driftfront_engine_registry::handover::HandoverState;
@@ -22,11 +22,11 @@
     }
 }
 
-/// One of each kind.
-fn records() -> Vec<StateRecord> {
+/// State records of each kind.
+fn sample_records() -> Vec<StateRecord> {
     let description = |name: &str, addr: Option<&str>| EngineDescription {
         name: name.into(),
-        addr: addr.map(|a| a.parse().expect("an address")),
+        addr: addr.map(|a| a.parse().expect("a socket address")),
         zone: 0,
         kind: 0,
         cell: 2,
@@ -34,9 +34,9 @@
         phase: Phase::Ready,
     };
     let stages = ["next", "draining", "handed", "warming", "stopped", "done"];
-    let rolls = stages.iter().map(|stage| {
+    let rolling_restarts = stages.iter().map(|stage| {
         let text = format!("{stage}\t1764000000000000\t7\t995\te1\u{1f}e2\te0\tsomething fell");
-        RollingRestart::of_text(&text).expect("a roll")
+        RollingRestart::of_text(&text).expect("a rolling restart")
     });
     let mut all = vec![
         StateRecord::Ordered {
@@ -61,57 +61,64 @@
             engine: "e2".into(),
         },
     ];
-    all.extend(rolls.map(|roll| StateRecord::RollingRestart { roll: Some(roll) }));
+    all.extend(rolling_restarts.map(|roll| StateRecord::RollingRestart { roll: Some(roll) }));
     all.push(StateRecord::RollingRestart { roll: None });
     all
 }
 
 #[test]
-fn orders_as_the_folder_keeps_them() {
+fn state_folder_format() {
     let folder = Folder::new("orders");
-    let (told, ends) = channel();
-    let opened = StateFolder::open(&folder.0, move |w| drop(told.send(w)));
-    let mut state = opened.expect("a folder").folder;
-    let number = state.append(&records()).expect("room");
-    let written = ends.recv().expect("written");
-    assert!(
-        written.id == number && written.result.is_ok(),
-        "{written:?}"
-    );
+    let (sender, completions) = channel();
+    let opened = StateFolder::open(&folder.0, move |w| drop(sender.send(w)));
+    let mut state = opened.expect("the state folder opens").folder;
+    let id = state
+        .append(&sample_records())
+        .expect("the write queue has room");
+    let written = completions.recv().expect("a write completion");
+    assert!(written.id == id && written.result.is_ok(), "{written:?}");
     drop(state);
     assert_eq!(names(&folder.0), ["orders"]);
     assert_golden!(
         "operators/orders",
-        std::fs::read(folder.0.join("orders")).expect("the file")
+        std::fs::read(folder.0.join("orders")).expect("the file is accessible")
+    );
+    // The same bytes are read back as the same records.
+    std::fs::write(folder.0.join("orders"), read_golden!("operators/orders"))
+        .expect("the file is accessible");
+    let opened = StateFolder::open(&folder.0, |_| {}).expect("the state folder opens");
+    assert_eq!(
+        (opened.records, opened.warnings),
+        (sample_records(), vec![])
     );
-    // And back.
-    std::fs::write(folder.0.join("orders"), read_golden!("operators/orders")).expect("the file");
-    let opened = StateFolder::open(&folder.0, |_| {}).expect("a folder");
-    assert_eq!((opened.records, opened.warnings), (records(), vec![]));
 }
 
 fn names(folder: &Path) -> Vec<String> {
     let mut names: Vec<String> = std::fs::read_dir(folder)
-        .expect("a folder")
+        .expect("the directory is read")
         .map(|e| {
-            e.expect("an entry")
+            e.expect("a directory entry")
                 .file_name()
                 .into_string()
-                .expect("text")
+                .expect("a UTF-8 name")
         })
         .collect();
     names.sort();
     names
 }
 
-/// The text of each record in a file of orders, its times made the same.
+/// The text of each record in an `orders` file, with times replaced by a placeholder.
 fn order_lines(bytes: &[u8]) -> String {
-    let header = bytes.iter().position(|&b| b == b'\n').expect("a header") + 1;
+    let header = bytes
+        .iter()
+        .position(|&b| b == b'\n')
+        .expect("a header line")
+        + 1;
     let mut text = String::from_utf8_lossy(&bytes[..header]).into_owned();
     let mut rest = &bytes[header..];
     while let Some(head) = rest.get(..8) {
         let length = u32::from_le_bytes(head[..4].try_into().expect("four bytes")) as usize;
-        let words: Vec<String> = String::from_utf8_lossy(&rest[8..8 + length])
+        let fields: Vec<String> = String::from_utf8_lossy(&rest[8..8 + length])
             .split('\t')
             .map(|w| {
                 if w.len() > 12 && w.parse::<u64>().is_ok() {
@@ -121,13 +128,14 @@
                 }
             })
             .collect();
-        text += &(words.join("|").escape_debug().to_string() + "\n");
+        text += &(fields.join("|").escape_debug().to_string() + "\n");
         rest = &rest[8 + length..];
     }
     text
 }
 
-fn operated(folder: &Folder, more: &str) -> String {
+/// A configuration with three engines, a control socket and a state folder, followed by `more`.
+fn configuration(folder: &Folder, more: &str) -> String {
     format!(
         "listen \"127.0.0.1:0\"\ncontrol \"{0}/control\"\nstate \"{0}/state\"\nengines {{\n  engine \"e0\" at=\"127.0.0.1:1\"\n  \
          engine \"e1\" at=\"127.0.0.1:2\"\n  engine \"e2\" at=\"127.0.0.1:3\"\n}}\n{more}",
@@ -135,44 +143,48 @@
     )
 }
 
-struct Running {
+/// A running coordinator process, killed when it is dropped.
+struct RunningProcess {
     child: std::process::Child,
 }
 
-impl Running {
-    fn start(folder: &Folder, config: &str) -> Running {
+impl RunningProcess {
+    fn start(folder: &Folder, config: &str) -> RunningProcess {
         folder.write("driftfront.kdl", config);
         let mut child = std::process::Command::new(env!("CARGO_BIN_EXE_driftfront"))
             .args(["serve", "--config"])
             .arg(folder.0.join("driftfront.kdl"))
             .stderr(std::process::Stdio::piped())
             .spawn()
-            .expect("it starts");
+            .expect("the program starts");
         let log = std::io::BufReader::new(child.stderr.take().expect("piped"));
-        let (told, listens) = channel();
+        let (sender, listen_lines) = channel();
         std::thread::spawn(move || {
             for line in std::io::BufRead::lines(log).map_while(Result::ok) {
                 if line.contains("listen=") {
-                    let _ = told.send(line);
+                    let _ = sender.send(line);
                 }
             }
         });
-        listens.recv_timeout(TEST_TIMEOUT).expect("it listens");
-        Running { child }
+        listen_lines
+            .recv_timeout(TEST_TIMEOUT)
+            .expect("the program listens");
+        RunningProcess { child }
     }
 
-    fn end(mut self) {
+    /// Sends SIGTERM and waits for a successful exit.
+    fn terminate(mut self) {
         let pid = self.child.id().to_string();
         assert!(std::process::Command::new("kill")
             .args(["-TERM", &pid])
             .status()
             .expect("kill")
             .success());
-        assert!(self.child.wait().expect("it ends").success());
+        assert!(self.child.wait().expect("the program exits").success());
     }
 }
 
-impl Drop for Running {
+impl Drop for RunningProcess {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -180,9 +192,9 @@
 }
 
 #[test]
-fn the_state_folder_as_a_run_of_the_program_leaves_it() {
+fn commands_and_the_state_folder_that_they_leave() {
     let folder = Folder::new("run");
-    let running = Running::start(&folder, &operated(&folder, ""));
+    let running = RunningProcess::start(&folder, &configuration(&folder, ""));
     let mut text = String::new();
     for args in [
         &["drain", "e0"][..],
@@ -208,30 +220,34 @@
         &["unpause"],
         &["events"],
     ] {
-        text += &type_in(&folder.0, &[args, &["--at", "control"]].concat());
+        text += &run_command(&folder.0, &[args, &["--at", "control"]].concat());
         if args == ["pause"] {
             wait_until_drained(&folder.0);
         }
     }
-    running.end();
-    assert_golden!("operators/orders-said.txt", times_out(&text));
+    running.terminate();
+    assert_golden!("operators/orders-said.txt", replace_times(&text));
     assert_eq!(names(&folder.0.join("state")), ["orders"]);
-    let orders = std::fs::read(folder.0.join("state/orders")).expect("the file");
+    let orders = std::fs::read(folder.0.join("state/orders")).expect("the file is accessible");
     assert_golden!("operators/orders-written.txt", order_lines(&orders));
 }
 
-/// A pause with no client ends in the state `drained`, and in an event, with the next periodic check.
+/// Waits until a paused coordinator without clients is in the state `drained`. The next periodic check sets that state and records
+/// the event.
 fn wait_until_drained(folder: &Path) {
-    let begin = std::time::Instant::now();
-    while !type_in(folder, &["status", "--json", "--at", "control"])
+    let start = std::time::Instant::now();
+    while !run_command(folder, &["status", "--json", "--at", "control"])
         .contains("\"state\":\"drained\"")
     {
-        assert!(begin.elapsed() < TEST_TIMEOUT, "never drained");
+        assert!(
+            start.elapsed() < TEST_TIMEOUT,
+            "the coordinator did not reach the state drained"
+        );
     }
 }
 
-/// Numbers of at least ten digits, and those with a point in them, are times.
-fn times_out(text: &str) -> String {
+/// Replaces times by a placeholder: all numbers of at least ten characters, counting a decimal point.
+fn replace_times(text: &str) -> String {
     text.split_inclusive([' ', '\n'])
         .map(|word| {
             let plain = word.trim_end();
@@ -246,17 +262,17 @@
 }
 
 #[test]
-fn a_state_folder_of_today_is_read_when_the_program_starts() {
+fn state_folder_of_the_current_format_is_read_at_start() {
     let folder = Folder::new("golden-state");
-    std::fs::create_dir_all(folder.0.join("state")).expect("a folder");
+    std::fs::create_dir_all(folder.0.join("state")).expect("the directory is created");
     std::fs::write(
         folder.0.join("state/orders"),
         read_golden!("operators/orders"),
     )
-    .expect("the file");
-    let running = Running::start(&folder, &operated(&folder, ""));
-    let json = type_in(&folder.0, &["engines", "--json", "--at", "control"]);
-    running.end();
+    .expect("the file is accessible");
+    let running = RunningProcess::start(&folder, &configuration(&folder, ""));
+    let json = run_command(&folder.0, &["engines", "--json", "--at", "control"]);
+    running.terminate();
     let engines = json
         .splitn(3, '\n')
         .nth(2)
@@ -268,35 +284,35 @@
         let engine: &std::collections::HashMap<String, tinyjson::JsonValue> =
             engine.get().expect("an object");
         let keys = ["name", "addr", "phase", "order", "order_by"];
-        let of = |key: &str| {
+        let field = |key: &str| {
             engine
                 .get(key)
                 .map_or("-".into(), |v| v.stringify().expect("JSON"))
         };
-        text += &(keys.map(|k| format!("{k}={}", of(k))).join(" ") + "\n");
+        text += &(keys.map(|k| format!("{k}={}", field(k))).join(" ") + "\n");
     }
     assert_golden!("operators/orders-read.txt", text);
 }
 
 #[test]
-fn a_roll_of_today_s_state_folder_is_read_when_the_program_starts() {
+fn rolling_restart_of_the_current_format_is_read_at_start() {
     let folder = Folder::new("golden-roll");
     let text = "stopped\t1764000000000000\t7\t995\te1\u{1f}e2\te0\tsomething fell";
-    let roll = RollingRestart::of_text(text).expect("a roll");
+    let roll = RollingRestart::of_text(text).expect("a rolling restart");
     let bytes = driftfront_engine_registry::record::file(&[StateRecord::RollingRestart {
         roll: Some(roll),
     }]);
     assert_golden!("operators/orders-roll", bytes);
-    std::fs::create_dir_all(folder.0.join("state")).expect("a folder");
+    std::fs::create_dir_all(folder.0.join("state")).expect("the directory is created");
     std::fs::write(
         folder.0.join("state/orders"),
         read_golden!("operators/orders-roll"),
     )
-    .expect("the file");
-    let running = Running::start(&folder, &operated(&folder, ""));
-    let json = type_in(&folder.0, &["status", "--json", "--at", "control"]);
-    let plan = type_in(&folder.0, &["roll", "--go-on", "--at", "control"]);
-    running.end();
+    .expect("the file is accessible");
+    let running = RunningProcess::start(&folder, &configuration(&folder, ""));
+    let json = run_command(&folder.0, &["status", "--json", "--at", "control"]);
+    let plan = run_command(&folder.0, &["roll", "--go-on", "--at", "control"]);
+    running.terminate();
     let status = json
         .splitn(3, '\n')
         .nth(2)
@@ -307,28 +323,28 @@
         status.get().expect("an object");
     assert_golden!(
         "operators/orders-roll-read.txt",
-        crate::commands::ordered(&status["roll"]) + "\n" + &plan
+        crate::commands::sorted_json(&status["roll"]) + "\n" + &plan
     );
 }
 
 #[test]
-fn names_of_the_files_of_what_is_agreed() {
+fn file_names_in_the_state_folder_of_a_voter() {
     let folder = Folder::new("agreed");
     folder.write("key", "0123456789abcdef0123456789abcdef\n");
     std::fs::set_permissions(folder.0.join("key"), std::fs::Permissions::from_mode(0o600))
-        .expect("a mode");
-    let fleet = format!(
+        .expect("the file mode is set");
+    let cluster_settings = format!(
         "name \"a\"\nfleet listen=\"127.0.0.1:0\" key-file=\"{}/key\" {{\n  voter \"a\"\n  voter \"b\"\n  voter \"c\"\n}}\n",
         folder.0.display()
     );
-    Running::start(&folder, &operated(&folder, &fleet)).end();
+    RunningProcess::start(&folder, &configuration(&folder, &cluster_settings)).terminate();
     assert_eq!(
         names(&folder.0.join("state")),
         ["agreed", "agreed.lock", "orders"]
     );
 }
 
-fn word() -> HandoverState {
+fn handover_state() -> HandoverState {
     HandoverState {
         ready: true,
         orders: [
@@ -342,48 +358,56 @@
 }
 
 #[test]
-fn hand_over_files() {
+fn handover_file_format() {
     let tmp = Folder::new("handover");
-    let mut post = HandoverMailbox::open(&tmp.0, "region/coordinator 1").expect("a folder");
-    let mut other = HandoverMailbox::open(&tmp.0, "region/coordinator 1").expect("a folder");
-    post.publish(word()).expect("written");
-    let folder = names(&tmp.0);
+    let mut mailbox =
+        HandoverMailbox::open(&tmp.0, "region/coordinator 1").expect("the mailbox opens");
+    let mut reader =
+        HandoverMailbox::open(&tmp.0, "region/coordinator 1").expect("the mailbox opens");
+    mailbox
+        .publish(handover_state())
+        .expect("the state is published");
+    let mailbox_names = names(&tmp.0);
     let pid = format!("-{}.", std::process::id());
-    let inside = tmp.0.join(&folder[0]);
-    let text = format!("{folder:?}\n{:?}\n", names(&inside)).replace(&pid, "-PID.");
+    let mailbox_folder = tmp.0.join(&mailbox_names[0]);
+    let text = format!("{mailbox_names:?}\n{:?}\n", names(&mailbox_folder)).replace(&pid, "-PID.");
     assert_golden!("operators/handover-names.txt", text);
-    let bytes = std::fs::read(inside.join(format!("000000000001{pid}word"))).expect("the word");
+    let bytes = std::fs::read(mailbox_folder.join(format!("000000000001{pid}word")))
+        .expect("the hand-over file is read");
     assert_golden!("operators/handover-ready", &bytes);
-    post.publish(HandoverState {
-        ready: false,
-        ..HandoverState::default()
-    })
-    .expect("written");
-    let bytes = std::fs::read(inside.join(format!("000000000001{pid}word"))).expect("the word");
+    mailbox
+        .publish(HandoverState {
+            ready: false,
+            ..HandoverState::default()
+        })
+        .expect("the state is published");
+    let bytes = std::fs::read(mailbox_folder.join(format!("000000000001{pid}word")))
+        .expect("the hand-over file is read");
     assert_golden!("operators/handover-starting", &bytes);
-    // A file of today is read, also when its writer has ended.
+    // A file with the current format is read, even if the process that wrote it has exited.
     std::fs::write(
-        inside.join("000000000007-1.word"),
+        mailbox_folder.join("000000000007-1.word"),
         read_golden!("operators/handover-ready"),
     )
-    .expect("a word");
-    std::fs::write(inside.join("000000000007-1.lock"), "").expect("a lock");
-    let seven = ReceivedMessage {
+    .expect("the hand-over file is written");
+    std::fs::write(mailbox_folder.join("000000000007-1.lock"), "")
+        .expect("the lock file is written");
+    let expected = ReceivedMessage {
         from: ProcessNumber {
             sequence: 7,
             pid: 1,
         },
-        message: word(),
+        message: handover_state(),
     };
-    let news = other.poll();
+    let polled = reader.poll();
     assert!(
-        news.errors.is_empty() && news.received.contains(&seven),
-        "{news:?}"
+        polled.errors.is_empty() && polled.received.contains(&expected),
+        "{polled:?}"
     );
 }
 
 #[test]
-fn the_line_that_says_where_it_listens() {
+fn log_line_with_the_listen_addresses() {
     let config = appliance()
         .replace("127.0.0.1:8123", "127.0.0.1:0")
         .replacen('{', "{\"management\": \"127.0.0.1:0\",", 1);
@@ -393,32 +417,32 @@
         .arg(&path)
         .stderr(std::process::Stdio::piped())
         .spawn()
-        .expect("it starts");
+        .expect("the program starts");
     let mut log = std::io::BufReader::new(child.stderr.take().expect("piped"));
     let mut line = String::new();
     while !line.contains("listen=") {
         line.clear();
         assert!(
-            std::io::BufRead::read_line(&mut log, &mut line).expect("a log") > 0,
-            "it ended"
+            std::io::BufRead::read_line(&mut log, &mut line).expect("the log is read") > 0,
+            "the program exited"
         );
     }
-    child.kill().expect("it runs");
-    child.wait().expect("it ended");
+    child.kill().expect("the program is running");
+    child.wait().expect("the program exits");
     let _ = std::fs::remove_file(path);
     let line: String = line
         .chars()
         .map(|c| if c.is_ascii_digit() { 'n' } else { c })
         .collect();
-    let mut short = line;
-    while short.contains("nn") {
-        short = short.replace("nn", "n");
+    let mut normalized = line;
+    while normalized.contains("nn") {
+        normalized = normalized.replace("nn", "n");
     }
-    assert_golden!("operators/listen-line.txt", short);
+    assert_golden!("operators/listen-line.txt", normalized);
 }
 
 #[test]
-fn first_line_of_the_log_of_what_is_agreed() {
+fn header_of_the_consensus_log() {
     let engine = driftfront_mock_servers::engine::Engine::start(
         driftfront_mock_servers::engine::Options {
             name: "engine-1".into(),
@@ -434,9 +458,12 @@
     harness.wait_for_leader(&[0, 1, 2], None);
     let folder = harness.state_folder(0);
     assert_eq!(names(&folder), ["agreed", "agreed.lock", "orders"]);
-    let bytes = std::fs::read(folder.join("agreed")).expect("the file");
-    let header = bytes.iter().position(|&b| b == b'\n').expect("a header");
+    let bytes = std::fs::read(folder.join("agreed")).expect("the file is accessible");
+    let header = bytes
+        .iter()
+        .position(|&b| b == b'\n')
+        .expect("a header line");
     assert_golden!("operators/agreed-header", &bytes[..=header]);
-    let lock = std::fs::read(folder.join("agreed.lock")).expect("the file");
+    let lock = std::fs::read(folder.join("agreed.lock")).expect("the file is accessible");
     assert!(lock.is_empty());
 }
--- a/crates/coordinator/tests/golden_operators/main.rs
+++ b/crates/coordinator/tests/golden_operators/main.rs
@@ -1,5 +1,5 @@
-//! Golden files of what operators write, read and type: commands, the operator's file, the state folder, hand-over files, the
-//! control socket, the second address and the counters.
+//! Golden files of the operators' interfaces: commands, the configuration file, the state folder, hand-over files, the control
+//! socket, the management address and the counters.
 
 mod commands;
 mod control;
@@ -8,7 +8,7 @@
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-/// A folder that goes with the test.
+/// A temporary directory that is removed when it is dropped.
 pub(crate) struct Folder(pub(crate) PathBuf);
 
 impl Folder {
@@ -16,12 +16,12 @@
         let path =
             std::env::temp_dir().join(format!("driftfront-golden-{}-{name}", std::process::id()));
         let _ = std::fs::remove_dir_all(&path);
-        std::fs::create_dir_all(&path).expect("a folder");
+        std::fs::create_dir_all(&path).expect("the directory is created");
         Folder(path)
     }
 
     pub(crate) fn write(&self, name: &str, text: &str) {
-        std::fs::write(self.0.join(name), text).expect("a file");
+        std::fs::write(self.0.join(name), text).expect("the file is written");
     }
 }
 
@@ -31,8 +31,8 @@
     }
 }
 
-/// What one run of the program says, typed in this folder: its exit code, standard output and standard error.
-pub(crate) fn type_in(folder: &Path, args: &[&str]) -> String {
+/// Runs the program in this directory and returns the command line, its exit code, standard output and standard error.
+pub(crate) fn run_command(folder: &Path, args: &[&str]) -> String {
     let out = Command::new(env!("CARGO_BIN_EXE_driftfront"))
         .args(args)
         .current_dir(folder)
