--- a/crates/coordinator/tests/clickhouse.rs
+++ b/crates/coordinator/tests/clickhouse.rs
@@ -1,4 +1,4 @@
-//! The ClickHouse front, whole: clients, the program, and stand-in engines that are scripted to fail.
+//! The ClickHouse frontend end to end: clients, the program, and mock engines with scripted failures.
 
 use driftfront_clickhouse::block::{compress, decompress_prefix, Method};
 use driftfront_clickhouse::coding::{self, Coding};
@@ -14,7 +14,7 @@
 use std::net::TcpStream;
 use std::sync::Arc;
 
-fn code(answer: &Answer) -> Option<u32> {
+fn exception_code(answer: &Answer) -> Option<u32> {
     answer
         .header("X-ClickHouse-Exception-Code")
         .and_then(|c| c.parse().ok())
@@ -38,7 +38,7 @@
     let many = site.query("SELECT number FROM numbers(50000)");
     let rows: String = (0..50_000).map(|n| format!("{n}\n")).collect();
     assert!(many.whole && many.text() == rows);
-    // Calls follow each other on one connection.
+    // Several requests share one connection.
     let mut stream = TcpStream::connect(addr).unwrap();
     for n in 0..3 {
         let body = format!("SELECT {n}");
@@ -75,22 +75,22 @@
     let headers = "X-ClickHouse-User: jana\r\nX-ClickHouse-Key: pa:ss\r\n";
     assert_eq!(post(addr, "/", headers, "SELECT 3").status, 200);
     assert_eq!(
-        code(&post(addr, "/", "X-ClickHouse-User: jana\r\n", "SELECT 4")),
+        exception_code(&post(addr, "/", "X-ClickHouse-User: jana\r\n", "SELECT 4")),
         Some(516)
     );
     assert_eq!(
-        code(&post(addr, "/?user=jana", basic, "SELECT 5")),
+        exception_code(&post(addr, "/?user=jana", basic, "SELECT 5")),
         Some(516)
     );
     assert!(
         site.ledger.of("SELECT 5").is_empty(),
-        "what names two users is not passed on"
+        "a request that names two users is not forwarded"
     );
 }
 
 #[test]
 fn result_is_broken_before_the_deadline_when_its_engine_stalls() {
-    // The engine answers pings, this result alone stands still.
+    // The engine answers pings; only this result stalls.
     let site = Plan::of(2).stall_ms(400).start();
     let answer = post(
         site.coordinator.addr,
@@ -120,7 +120,7 @@
     assert_eq!(read_answer(&mut stream).text(), "nothing at all\n");
     let runs = site.ledger.of("nothing at all");
     assert!(runs.len() == 2 && runs[1].engine != first);
-    // The first may still hold its id: the further attempt runs under another.
+    // The first attempt may still use its query id, so the further attempt has another.
     assert_eq!(
         (runs[0].id.as_str(), runs[1].id.as_str()),
         ("lost", "lost~1")
@@ -159,22 +159,22 @@
     let target = "/?max_execution_time=1";
     let read = site.ask(target, "SELECT 1 /* standin: silent */");
     let load = site.ask(target, "INSERT INTO o.t VALUES (1) /* standin: silent */");
-    assert!(read.status >= 400 && code(&read).is_some());
-    // It may have run, so it must not be called harmless to repeat.
-    assert_eq!((load.status, code(&load)), (500, Some(210)));
+    assert!(read.status >= 400 && exception_code(&read).is_some());
+    // The load may have run, so the error must not invite the client to repeat it.
+    assert_eq!((load.status, exception_code(&load)), (500, Some(210)));
     assert!(load.header("X-Come-Back-Ms").is_none());
     assert_eq!(site.ledger.of("INSERT").len(), 1);
     site.ledger.assert_rules(2);
 }
 
-/// Ways to take a result: parameters, headers, and how to read what comes.
-type Way = (&'static str, &'static str, fn(&[u8]) -> Vec<u8>);
+/// A way to encode a result: URL parameters, request headers, and the decoder of the response body.
+type Encoding = (&'static str, &'static str, fn(&[u8]) -> Vec<u8>);
 
-fn plain(bytes: &[u8]) -> Vec<u8> {
+fn identity(bytes: &[u8]) -> Vec<u8> {
     bytes.to_vec()
 }
 
-fn blocks(bytes: &[u8]) -> Vec<u8> {
+fn decompress_blocks(bytes: &[u8]) -> Vec<u8> {
     decompress_prefix(bytes, usize::MAX)
         .unwrap_or_default()
         .data
@@ -188,10 +188,14 @@
     coding::decompress_prefix(Coding::Brotli, bytes, usize::MAX / 2)
 }
 
-const WAYS: [Way; 5] = [
-    ("", "", plain),
-    ("&compress=1", "", blocks),
-    ("&compress=1&network_compression_method=zstd", "", blocks),
+const ENCODINGS: [Encoding; 5] = [
+    ("", "", identity),
+    ("&compress=1", "", decompress_blocks),
+    (
+        "&compress=1&network_compression_method=zstd",
+        "",
+        decompress_blocks,
+    ),
     (
         "&enable_http_compression=1",
         "Accept-Encoding: gzip\r\n",
@@ -205,9 +209,9 @@
 ];
 
 #[test]
-fn error_after_status_200_is_found_in_every_form() {
+fn error_after_status_200_is_detected_in_every_format_and_encoding() {
     let json = "&http_write_exception_in_output_format=1&default_format=JSONCompact";
-    for (tags, form) in [(true, ""), (false, ""), (true, json), (false, json)] {
+    for (tags, format) in [(true, ""), (false, ""), (true, json), (false, json)] {
         let options = Options {
             tags,
             ..Options::default()
@@ -218,37 +222,36 @@
         }
         .start();
         let addr = site.coordinator.addr;
-        for (n, (params, headers, read)) in WAYS.iter().enumerate() {
-            let way = format!("tags {tags}, {form}{params} {headers}");
-            let target = format!("/?driftfront_class=report{params}{form}");
-            // Before rows are out a read is tried once more, and its client sees no error at all.
-            let read_once =
-                format!("SELECT {n} FROM numbers(3) /* standin: late=241 whole first */");
-            let answer = post(addr, &target, headers, &read_once);
-            let rows = String::from_utf8(read(&answer.body)).unwrap();
+        for (n, (params, headers, decode)) in ENCODINGS.iter().enumerate() {
+            let context = format!("tags {tags}, {format}{params} {headers}");
+            let target = format!("/?driftfront_class=report{params}{format}");
+            // Before the first row has been sent, a read is retried and its client sees no error.
+            let read = format!("SELECT {n} FROM numbers(3) /* standin: late=241 whole first */");
+            let answer = post(addr, &target, headers, &read);
+            let rows = String::from_utf8(decode(&answer.body)).unwrap();
             assert!(
                 answer.status == 200 && answer.whole && !rows.contains("Code: 241"),
-                "{way}: {rows} {answer:?}"
+                "{context}: {rows} {answer:?}"
             );
-            // A load is not: it may have run.
+            // A load is not retried, because it may have run.
             let load = format!("INSERT INTO o.t{n} SELECT 1 /* standin: error=241 */");
             let as_load = target.replace("driftfront_class=report", "x=1");
             assert_eq!(
-                code(&post(addr, &as_load, headers, &load)),
+                exception_code(&post(addr, &as_load, headers, &load)),
                 Some(241),
-                "{way}"
+                "{context}"
             );
-            assert_eq!(site.ledger.of(&load).len(), 1, "{way}");
-            // Once rows are out the result breaks where its client sees it.
+            assert_eq!(site.ledger.of(&load).len(), 1, "{context}");
+            // After rows have been sent, the response is broken off so that the client detects the error.
             let long = format!(
                 "SELECT wide(40), number, {n} FROM numbers(100000) /* standin: late=241 */"
             );
             let broken = post(addr, &target, headers, &long);
             assert!(
                 broken.status == 200 && !broken.whole && !broken.body.is_empty(),
-                "{way}"
+                "{context}"
             );
-            assert_eq!(site.ledger.of(&long).len(), 1, "{way}");
+            assert_eq!(site.ledger.of(&long).len(), 1, "{context}");
         }
         site.ledger.assert_rules(15);
     }
@@ -257,7 +260,7 @@
 #[test]
 fn error_in_the_last_compressed_block_breaks_the_result() {
     let site = Site::start(1);
-    for (n, (params, headers, _)) in WAYS.iter().enumerate() {
+    for (n, (params, headers, _)) in ENCODINGS.iter().enumerate() {
         let target = format!("/?driftfront_class=report{params}");
         let long = format!(
             "SELECT wide(40), number, {n} FROM numbers(100000) /* standin: late=241 whole */"
@@ -267,7 +270,7 @@
     }
     assert_eq!(
         site.coordinator.counter("answers_broken"),
-        WAYS.len() as u64
+        ENCODINGS.len() as u64
     );
 }
 
@@ -275,15 +278,18 @@
 fn corrupt_compressed_block_is_never_forwarded_as_complete() {
     let site = Site::start(2);
     let target = "/?compress=1&driftfront_class=report";
-    let early = site.ask(target, "SELECT 1 /* standin: bad_block first */");
-    assert_eq!((early.status, blocks(&early.body)), (200, b"1\n".to_vec()));
+    let before_rows = site.ask(target, "SELECT 1 /* standin: bad_block first */");
+    assert_eq!(
+        (before_rows.status, decompress_blocks(&before_rows.body)),
+        (200, b"1\n".to_vec())
+    );
     let always = site.ask(target, "SELECT 2 /* standin: bad_block */");
-    assert_eq!(code(&always), Some(246), "{}", always.text());
-    // Numbers hardly compress: what comes before the bad block is more than the coordinator takes in one read.
+    assert_eq!(exception_code(&always), Some(246), "{}", always.text());
+    // The numbers hardly compress, so the data before the corrupt block is more than the coordinator reads at once.
     let long =
         "SELECT wide(40), number FROM numbers(100000) /* standin: bad_block_after=1000000 */";
-    let late = site.ask(target, long);
-    assert!(late.status == 200 && !late.whole);
+    let after_rows = site.ask(target, long);
+    assert!(after_rows.status == 200 && !after_rows.whole);
     assert_eq!(site.ledger.of("bad_block_after").len(), 1);
     site.ledger.assert_rules(3);
 }
@@ -317,18 +323,18 @@
             .status,
         500
     );
-    // Turned away unseen: a load too may go elsewhere.
+    // An engine that is full rejects the load before running it, so it can be sent to another one.
     let full = site.query("INSERT INTO o.u VALUES (1) /* standin: full first */");
     assert_eq!((full.status, site.ledger.of("full").len()), (200, 2));
     site.ledger.assert_rules(3);
 }
 
 #[test]
-fn statement_error_is_forwarded_and_blames_no_engine() {
+fn statement_error_is_forwarded_and_not_counted_against_the_engine() {
     let site = Site::start(1);
     for n in 0..4 {
         let answer = site.query(&format!("SELECT nowhere{n}"));
-        assert_eq!((answer.status, code(&answer)), (404, Some(47)));
+        assert_eq!((answer.status, exception_code(&answer)), (404, Some(47)));
         assert!(answer
             .text()
             .contains(&format!("Missing columns: 'nowhere{n}'")));
@@ -341,12 +347,12 @@
 #[test]
 fn loads_into_one_table_run_in_order() {
     let site = Site::start(2);
-    let mut calls = Vec::new();
+    let mut loads = Vec::new();
     for n in 0..6 {
-        calls.push(site.begin("/", &format!("INSERT INTO o.keyed VALUES ({n})")));
+        loads.push(site.begin("/", &format!("INSERT INTO o.keyed VALUES ({n})")));
         site.coordinator.wait_for("requests_taken", n + 1);
     }
-    assert!(calls
+    assert!(loads
         .iter_mut()
         .all(|stream| read_answer(stream).status == 200));
     let sent: Vec<String> = site
@@ -372,7 +378,7 @@
     assert!(site.ledger.of("drained").iter().all(|e| e.engine == "e1"));
     site.list(&["gone", "draining"]);
     let refused = site.ask("/?max_execution_time=1", "SELECT 'nowhere'");
-    assert_eq!((refused.status, code(&refused)), (429, Some(202)));
+    assert_eq!((refused.status, exception_code(&refused)), (429, Some(202)));
     assert!(refused
         .header("X-Come-Back-Ms")
         .is_some_and(|ms| ms.parse::<u64>().is_ok_and(|ms| ms > 0)));
@@ -395,21 +401,21 @@
         200
     );
     for n in 0..10 {
-        let seen = site.ask(
+        let answer = site.ask(
             target,
             &format!("SELECT getSetting('max_threads'), currentDatabase(), {n}"),
         );
-        assert_eq!(seen.text(), format!("3\tuni_4\t{n}\n"));
+        assert_eq!(answer.text(), format!("3\tuni_4\t{n}\n"));
         assert_eq!(site.ask(target, "SELECT count() FROM t").text(), "2\n");
     }
-    let home = &site.ledger.of("SET max_threads")[0].engine;
-    assert!(site.ledger.of("").iter().all(|e| e.engine == *home));
-    // Another user's session of the same id is another session.
+    let engine = &site.ledger.of("SET max_threads")[0].engine;
+    assert!(site.ledger.of("").iter().all(|e| e.engine == *engine));
+    // The same session id of another user is a different session.
     let other = site.ask(
         "/?session_id=s1&user=eva",
         "SELECT getSetting('max_threads')",
     );
-    assert_eq!(code(&other), Some(115));
+    assert_eq!(exception_code(&other), Some(115));
     assert_eq!(site.coordinator.counter("sessions_tied"), 1);
 }
 
@@ -422,7 +428,7 @@
     );
     site.ledger.wait_for("slow", 1);
     let second = site.ask("/?session_id=s1", "SELECT 2");
-    assert_eq!((second.status, code(&second)), (500, Some(373)));
+    assert_eq!((second.status, exception_code(&second)), (500, Some(373)));
     assert_eq!(read_answer(&mut first).status, 200);
     assert_eq!(
         site.ask("/?session_id=s1&session_check=1", "SELECT 3")
@@ -430,11 +436,11 @@
         200
     );
     assert_eq!(
-        code(&site.ask("/?session_id=s2&session_check=1", "SELECT 4")),
+        exception_code(&site.ask("/?session_id=s2&session_check=1", "SELECT 4")),
         Some(372)
     );
     assert_eq!(
-        code(&site.ask("/?session_id=s3&session_timeout=9999999", "SELECT 5")),
+        exception_code(&site.ask("/?session_id=s3&session_timeout=9999999", "SELECT 5")),
         Some(36)
     );
     assert_eq!(
@@ -444,19 +450,19 @@
     assert_eq!(
         site.ledger.of("SELECT 2").len(),
         0,
-        "what is locked is not passed on"
+        "a query of a locked session is not forwarded"
     );
 }
 
 #[test]
-#[allow(clippy::too_many_lines, reason = "a scenario reads from top to bottom")]
+#[allow(clippy::too_many_lines, reason = "one scenario with several steps")]
 fn drain_ends_bound_sessions_and_moves_the_others() {
     let site = Site::start(2);
     for n in 0..200 {
-        // Each begins on tables of its own, so that nothing draws them all to one engine.
+        // Each session uses its own tables, so that table affinity does not place them all on one engine.
         let begin = format!("SELECT * FROM uni_{n}.nothing");
         assert_eq!(
-            code(&site.ask(&format!("/?session_id=tied{n}"), &begin)),
+            exception_code(&site.ask(&format!("/?session_id=tied{n}"), &begin)),
             Some(60)
         );
         assert_eq!(
@@ -470,19 +476,22 @@
             200
         );
     }
-    let tied_to = |e: &str| {
+    let bound_sessions = |e: &str| {
         site.ledger
             .of("SET max_threads")
             .iter()
             .filter(|x| x.engine == e)
             .count()
     };
-    let on_first = tied_to("e0");
-    assert!(on_first > 0 && on_first < 200, "both engines hold some");
+    let on_first = bound_sessions("e0");
+    assert!(
+        on_first > 0 && on_first < 200,
+        "both engines must have sessions"
+    );
     let busy = "SELECT sleep(1), 'runs on'";
-    let busy_on = |n: usize| site.ledger.of("SET max_threads")[n].engine == "e0";
-    let n = (0..200).find(|&n| busy_on(n)).unwrap();
-    let mut runs = site.begin(
+    let is_on_e0 = |n: usize| site.ledger.of("SET max_threads")[n].engine == "e0";
+    let n = (0..200).find(|&n| is_on_e0(n)).unwrap();
+    let mut running = site.begin(
         &format!("/?session_id=tied{n}&driftfront_class=report"),
         busy,
     );
@@ -495,7 +504,7 @@
             &format!("/?session_id=tied{n}"),
             &format!("SELECT getSetting('max_threads'), {n}"),
         );
-        match code(&tied) {
+        match exception_code(&tied) {
             None => assert_eq!(tied.text(), format!("1\t{n}\n")),
             Some(372) => {
                 assert!(
@@ -505,7 +514,7 @@
                 );
                 lost += 1;
             }
-            // The one that still runs there.
+            // The session whose query is still running.
             Some(373) => lost += 1,
             other => panic!("{other:?}"),
         }
@@ -516,12 +525,12 @@
         );
     }
     assert_eq!(lost, on_first);
-    // What ran there when the drain was told may end well.
-    assert_eq!(read_answer(&mut runs).status, 200);
+    // A query that was running when the drain began can finish.
+    assert_eq!(read_answer(&mut running).status, 200);
     let later = site.ledger.of("").into_iter().filter(|e| e.begun > last);
     assert!(
         later.into_iter().all(|e| e.engine == "e1"),
-        "something new went to the engine that drains"
+        "a new query was sent to the draining engine"
     );
 }
 
@@ -533,11 +542,11 @@
         200
     );
     site.engines[0].restart();
-    let told = site.ask("/?session_id=s", "SELECT 'after'");
+    let answer = site.ask("/?session_id=s", "SELECT 'after'");
     assert!(
-        code(&told) == Some(372) || told.status == 429,
+        exception_code(&answer) == Some(372) || answer.status == 429,
         "{}",
-        told.text()
+        answer.text()
     );
 }
 
@@ -549,18 +558,28 @@
         "SELECT sleep(14), 'victim'",
     );
     site.ledger.wait_for("victim", 1);
-    let on = site.ledger.of("victim")[0].engine.clone();
-    // Its id is taken meanwhile.
-    let twin = site.ask("/?query_id=v1", "SELECT 'twin'");
-    assert_eq!((code(&twin), site.ledger.of("twin").len()), (Some(216), 0));
+    let engine = site.ledger.of("victim")[0].engine.clone();
+    // While it runs, another query with its id is refused.
+    let duplicate = site.ask("/?query_id=v1", "SELECT 'duplicate'");
+    assert_eq!(
+        (
+            exception_code(&duplicate),
+            site.ledger.of("duplicate").len()
+        ),
+        (Some(216), 0)
+    );
     let killed = site.query("KILL QUERY WHERE query_id = 'v1' SYNC");
     assert_eq!(killed.text(), "waiting\tv1\tdefault\t\n");
     let end = read_answer(&mut victim);
-    assert_eq!((end.status, code(&end)), (500, Some(394)));
+    assert_eq!((end.status, exception_code(&end)), (500, Some(394)));
     let kills = site.ledger.of("KILL");
-    assert!(kills.len() == 1 && kills[0].engine == on);
-    assert_eq!(site.ledger.of("victim").len(), 1, "it is not run again");
-    // Nobody runs it now: nobody is asked.
+    assert!(kills.len() == 1 && kills[0].engine == engine);
+    assert_eq!(
+        site.ledger.of("victim").len(),
+        1,
+        "a killed query is not run again"
+    );
+    // No engine runs the query any more, so no engine receives the KILL.
     let none = site.query("KILL QUERY WHERE query_id = 'v1'");
     assert_eq!(
         (
@@ -570,7 +589,10 @@
         ),
         (200, "", 1)
     );
-    assert_eq!(code(&site.query("KILL QUERY WHERE user = 'x'")), Some(48));
+    assert_eq!(
+        exception_code(&site.query("KILL QUERY WHERE user = 'x'")),
+        Some(48)
+    );
 }
 
 #[test]
@@ -580,31 +602,31 @@
     let mut victim = site.begin("/?query_id=b1&driftfront_class=report", query);
     site.ledger.wait_for("between", 1);
     site.list(&["draining"]);
-    // Its only attempt dies, and no engine takes another.
+    // Its only attempt fails, and no engine accepts another one.
     site.coordinator
         .wait_for("attempts_ended{outcome=\"reset\"}", 1);
     let killed = site.query("KILL QUERY WHERE query_id = 'b1'");
     assert_eq!(killed.status, 200);
     let end = read_answer(&mut victim);
-    assert_eq!(code(&end), Some(394), "{end:?}");
+    assert_eq!(exception_code(&end), Some(394), "{end:?}");
     site.list(&["ready"]);
-    assert_eq!(site.query("SELECT 'behind'").status, 200);
+    assert_eq!(site.query("SELECT 'after'").status, 200);
     assert_eq!(site.ledger.of("between").len(), 1);
 }
 
 #[test]
 fn kill_finds_an_abandoned_attempt() {
     let site = Site::start(1);
-    // The engine's own limit is longer than the client's patience, so it may still run.
+    // The engine's execution limit is longer than the client's timeout, so the load may still run.
     let query = "INSERT INTO o.t SELECT sleep(14), 'forgotten' /* standin: sleep_ms=14000 */";
     let mut stream = site.begin("/?query_id=f1", query);
     site.ledger.wait_for("forgotten", 1);
     let _ = stream.shutdown(std::net::Shutdown::Both);
     site.coordinator.wait_for("clients_left", 1);
-    // A load runs on when its client leaves: the kill finds it there.
+    // A load keeps running after its client disconnects, and the kill still finds it.
     poll_until(
         || site.engines[0].running() == ["f1"],
-        || "the load never ran on".into(),
+        || "the load did not keep running".into(),
     );
     site.query("KILL QUERY WHERE query_id = 'f1'");
     site.ledger.wait_until("the killed load's end", |e| {
@@ -620,28 +642,30 @@
     let stream = site.begin("/?driftfront_class=report", "SELECT sleep(14), 'left'");
     site.ledger.wait_for("left", 1);
     drop(stream);
-    site.ledger.wait_until("the end of what nobody wants", |e| {
-        e.iter().any(|e| e.left && e.over.is_some())
-    });
+    site.ledger
+        .wait_until("the end of the abandoned query", |e| {
+            e.iter().any(|e| e.left && e.over.is_some())
+        });
     assert_eq!(site.coordinator.counter("attempts_released"), 1);
-    // The engine did nothing wrong: it serves the next at once.
+    // The release is not counted as a failure of the engine: it serves the next query at once.
     assert_eq!(site.query("SELECT 2").text(), "2\n");
-    // In the middle of a result as well.
+    // The same holds in the middle of a result.
     let mut stream = site.begin(
         "/?driftfront_class=report",
         "SELECT wide(20), 'half' FROM numbers(100000000)",
     );
     assert!(read_some(&mut stream, 100_000) >= 100_000);
     drop(stream);
-    site.ledger.wait_until("the end of half a result", |e| {
-        e.iter()
-            .any(|e| e.statement.contains("half") && e.over.is_some())
-    });
+    site.ledger
+        .wait_until("the end of the interrupted result", |e| {
+            e.iter()
+                .any(|e| e.statement.contains("half") && e.over.is_some())
+        });
     site.ledger.assert_rules(3);
 }
 
-/// Rows of `bytes` in all, and their hash as the stand-in reckons it.
-fn body_of(bytes: usize) -> (impl Iterator<Item = Vec<u8>>, u64) {
+/// Generates rows with a total size of `bytes`, and their hash as the mock engine computes it.
+fn generate_rows(bytes: usize) -> (impl Iterator<Item = Vec<u8>>, u64) {
     let piece = |n: usize| format!("{n:015}\n").repeat(4096).into_bytes();
     let pieces = bytes / (16 * 4096);
     let hash = (0..pieces).fold(0xcbf2_9ce4_8422_2325, |h, n| fnv(h, &piece(n)));
@@ -653,7 +677,7 @@
     const BYTES: usize = 256 * 1024 * 1024;
     let site = Plan::of(1).memory_mb(48).start();
     for (chunked, table) in [(true, "chunked"), (false, "counted")] {
-        let (pieces, hash) = body_of(BYTES);
+        let (pieces, hash) = generate_rows(BYTES);
         let mut stream = TcpStream::connect(site.coordinator.addr).unwrap();
         let length = match chunked {
             true => "Transfer-Encoding: chunked".into(),
@@ -665,9 +689,9 @@
             "POST {target} HTTP/1.1\r\nHost: t\r\nExpect: 100-continue\r\n{length}\r\n\r\n"
         )
         .unwrap();
-        let mut go_on = [0; 25];
-        stream.read_exact(&mut go_on).unwrap();
-        assert_eq!(&go_on, b"HTTP/1.1 100 Continue\r\n\r\n");
+        let mut interim = [0; 25];
+        stream.read_exact(&mut interim).unwrap();
+        assert_eq!(&interim, b"HTTP/1.1 100 Continue\r\n\r\n");
         for piece in pieces {
             let bytes = if chunked { chunk(&piece) } else { piece };
             stream.write_all(&bytes).unwrap();
@@ -676,12 +700,12 @@
             stream.write_all(b"0\r\n\r\n").unwrap();
         }
         assert_eq!(read_answer(&mut stream).status, 200);
-        let seen = site.engines[0].table(&format!("o.{table}"));
+        let table = site.engines[0].table(&format!("o.{table}"));
         assert_eq!(
-            (seen.bytes, seen.hash, seen.rows),
+            (table.bytes, table.hash, table.rows),
             (BYTES as u64, hash, BYTES as u64 / 16)
         );
-        // The connection goes on behind it.
+        // The connection can be used for further requests.
         write!(stream, "GET /?query=SELECT+7 HTTP/1.1\r\nHost: t\r\n\r\n").unwrap();
         assert_eq!(read_answer(&mut stream).text(), "7\n");
     }
@@ -689,8 +713,8 @@
     site.ledger.assert_rules(4);
 }
 
-/// Sends the beginning of an insert that goes on.
-fn half_an_insert(site: &Site, table: &str, fault: &str) -> TcpStream {
+/// Starts a chunked insert and sends its first 8 MiB without ending it.
+fn begin_insert(site: &Site, table: &str, fault: &str) -> TcpStream {
     let mut stream = TcpStream::connect(site.coordinator.addr).unwrap();
     let target = format!("/?query=INSERT+INTO+o.{table}+FORMAT+CSV+/*+standin:+{fault}+*/");
     write!(
@@ -698,7 +722,7 @@
         "POST {target} HTTP/1.1\r\nHost: t\r\nTransfer-Encoding: chunked\r\n\r\n"
     )
     .unwrap();
-    for piece in body_of(8 * 1024 * 1024).0 {
+    for piece in generate_rows(8 * 1024 * 1024).0 {
         if stream.write_all(&chunk(&piece)).is_err() {
             break;
         }
@@ -709,20 +733,20 @@
 #[test]
 fn streamed_insert_is_sent_once() {
     let site = Site::start(2);
-    // The engine dies on it, errs in the middle of it, or its client leaves or writes nonsense.
-    let mut err = half_an_insert(&site, "errs", "error_after=2000000");
-    let told = read_answer(&mut err);
-    assert_eq!(code(&told), Some(241), "{}", told.text());
-    let mut dies = half_an_insert(&site, "dies", "cut");
-    assert_eq!(code(&read_answer(&mut dies)), Some(210));
-    let leaves = half_an_insert(&site, "leaves", "none");
-    site.ledger.wait_for("o.leaves", 1);
-    drop(leaves);
-    let mut nonsense = half_an_insert(&site, "nonsense", "none");
-    site.ledger.wait_for("o.nonsense", 1);
-    nonsense.write_all(b"zz\r\n").unwrap();
-    assert_eq!(read_answer(&mut nonsense).status, 400);
-    for table in ["errs", "dies", "leaves", "nonsense"] {
+    // The engine fails in the middle of the insert or exits, or its client disconnects or sends an invalid chunk.
+    let mut fails = begin_insert(&site, "fails", "error_after=2000000");
+    let answer = read_answer(&mut fails);
+    assert_eq!(exception_code(&answer), Some(241), "{}", answer.text());
+    let mut exits = begin_insert(&site, "exits", "cut");
+    assert_eq!(exception_code(&read_answer(&mut exits)), Some(210));
+    let disconnects = begin_insert(&site, "disconnects", "none");
+    site.ledger.wait_for("o.disconnects", 1);
+    drop(disconnects);
+    let mut invalid = begin_insert(&site, "invalid", "none");
+    site.ledger.wait_for("o.invalid", 1);
+    invalid.write_all(b"zz\r\n").unwrap();
+    assert_eq!(read_answer(&mut invalid).status, 400);
+    for table in ["fails", "exits", "disconnects", "invalid"] {
         let runs = |e: &[driftfront_mock_servers::request_log::Entry]| {
             e.iter()
                 .filter(|e| e.statement.contains(&format!("o.{table}")))
@@ -752,12 +776,12 @@
 
 #[test]
 fn deduplication_token_allows_retries_only_where_configured() {
-    let keyed = "{\"Name\": \"deduplicated\", \"Effect\": \"guarded\", \"KeyScope\": \"all\", \"ByArrival\": true, \
+    let keyed_class = "{\"Name\": \"deduplicated\", \"Effect\": \"guarded\", \"KeyScope\": \"all\", \"ByArrival\": true, \
                  \"RepeatWindowUs\": 60000000, \"OnTimeUs\": 3000000, \"DeadlineUs\": 25000000, \"Worth\": 7.5, \
                  \"LateWorth\": 0.6},\n      {\"Name\": \"member-load\"";
     let plan = || {
         Plan::of(2)
-            .with("{\"Name\": \"member-load\"", keyed)
+            .with("{\"Name\": \"member-load\"", keyed_class)
             .with(
                 "\"WidthByClass\": [1, 2, 2]",
                 "\"WidthByClass\": [1, 2, 2, 2]",
@@ -773,7 +797,7 @@
     };
     let target = "/?insert_deduplication_token=batch-7";
     let insert = "INSERT INTO o.t VALUES (1) /* standin: cut first */";
-    let honoured = plan()
+    let with_token_class = plan()
         .with(
             "\"write\": \"member-load\"",
             "\"write\": \"member-load\", \"deduplicated\": \"deduplicated\"",
@@ -781,16 +805,16 @@
         .start();
     assert_eq!(
         (
-            honoured.ask(target, insert).status,
-            honoured.ledger.of("INSERT").len()
+            with_token_class.ask(target, insert).status,
+            with_token_class.ledger.of("INSERT").len()
         ),
         (200, 2)
     );
-    let plain = plan().start();
+    let without_token_class = plan().start();
     assert_eq!(
         (
-            plain.ask(target, insert).status,
-            plain.ledger.of("INSERT").len()
+            without_token_class.ask(target, insert).status,
+            without_token_class.ledger.of("INSERT").len()
         ),
         (500, 1)
     );
@@ -802,17 +826,20 @@
         .with("\"TellsEveryUs\": 1000000", "\"TellsEveryUs\": 100000")
         .start();
     let query = "SELECT 1 /* standin: sleep_ms=600 */";
-    let quiet = site.ask("/?driftfront_class=report", query);
-    assert!(quiet.status == 200 && quiet.header("X-ClickHouse-Progress").is_none());
-    let told = site.ask(
+    let without_progress = site.ask("/?driftfront_class=report", query);
+    assert!(
+        without_progress.status == 200
+            && without_progress.header("X-ClickHouse-Progress").is_none()
+    );
+    let with_progress = site.ask(
         "/?driftfront_class=report&send_progress_in_http_headers=1",
         query,
     );
-    assert!(told
+    assert!(with_progress
         .header("X-ClickHouse-Progress")
         .is_some_and(|p| p.contains("total_rows_to_read")));
-    assert!(told.header("X-ClickHouse-Summary").is_some());
-    assert_eq!(told.text(), "1\n");
+    assert!(with_progress.header("X-ClickHouse-Summary").is_some());
+    assert_eq!(with_progress.text(), "1\n");
 }
 
 #[test]
@@ -829,15 +856,15 @@
     let mut bytes = Vec::new();
     let end = stream.read_to_end(&mut bytes);
     assert!(end.is_err_and(|e| e.kind() == std::io::ErrorKind::ConnectionReset));
-    let whole = call(
+    let complete = call(
         site.coordinator.addr,
         b"POST / HTTP/1.0\r\nContent-Length: 8\r\n\r\nSELECT 1",
     );
-    assert_eq!((whole.whole, whole.text().as_str()), (true, "1\n"));
+    assert_eq!((complete.whole, complete.text().as_str()), (true, "1\n"));
 }
 
 #[test]
-fn slow_readers_are_bounded_in_memory_and_delay_nobody() {
+fn slow_readers_use_bounded_memory_and_delay_no_other_client() {
     let site = Plan::of(10).memory_mb(48).start();
     let slow: Vec<TcpStream> = (0..60)
         .map(|n| {
@@ -849,8 +876,11 @@
         .collect();
     site.coordinator.wait_for("results_paused", 50);
     for n in 0..20 {
-        let quick = format!("SELECT 'quick', {n}");
-        assert_eq!(site.ask("/?driftfront_class=report", &quick).status, 200);
+        let statement = format!("SELECT 'quick', {n}");
+        assert_eq!(
+            site.ask("/?driftfront_class=report", &statement).status,
+            200
+        );
     }
     assert!(site.memory_mb() < 48, "{} MB", site.memory_mb());
     drop(slow);
@@ -871,48 +901,56 @@
         post(addr, "/", "X-Driftfront-Class: none\r\n", "SELECT 1").status,
         404
     );
-    assert_eq!(code(&post(addr, "/", "", " ")), Some(62));
-    assert_eq!(code(&get(addr, "/?query=DROP+TABLE+t")), Some(164));
-    let mut bad = compress(Method::Lz4, b"INSERT INTO o.t VALUES (1)");
-    bad[20] ^= 1;
+    assert_eq!(exception_code(&post(addr, "/", "", " ")), Some(62));
+    assert_eq!(
+        exception_code(&get(addr, "/?query=DROP+TABLE+t")),
+        Some(164)
+    );
+    let mut corrupt = compress(Method::Lz4, b"INSERT INTO o.t VALUES (1)");
+    corrupt[20] ^= 1;
     let head = format!(
         "POST /?decompress=1 HTTP/1.1\r\nContent-Length: {}\r\n\r\n",
-        bad.len()
+        corrupt.len()
     );
     assert_eq!(
-        code(&call(addr, &[head.as_bytes(), &bad].concat())),
+        exception_code(&call(addr, &[head.as_bytes(), &corrupt].concat())),
         Some(271)
     );
     let form = "Content-Type: multipart/form-data; boundary=b\r\n";
     assert_eq!(
-        code(&post(addr, "/?query=SELECT+1", form, "--b\r\nnonsense")),
+        exception_code(&post(addr, "/?query=SELECT+1", form, "--b\r\nnonsense")),
         Some(36)
     );
     assert_eq!(
-        code(&post(addr, "/", "Content-Encoding: snappy\r\n", "x")),
+        exception_code(&post(addr, "/", "Content-Encoding: snappy\r\n", "x")),
         Some(48)
     );
-    let odd = call(addr, b"nonsense\r\n\r\n");
-    assert_eq!((odd.status, code(&odd)), (400, Some(36)));
+    let malformed = call(addr, b"nonsense\r\n\r\n");
+    assert_eq!(
+        (malformed.status, exception_code(&malformed)),
+        (400, Some(36))
+    );
     let long = format!("GET / HTTP/1.1\r\nX: {}\r\n\r\n", "x".repeat(300_000));
     assert_eq!(call(addr, long.as_bytes()).status, 431);
     assert_eq!(site.ledger.of("").len(), 0);
     assert_eq!(site.coordinator.counter("requests_taken"), 0);
-    // A URL far over the usual bound is taken.
+    // A URL that is much longer than common limits is accepted.
     let url = format!("/?query=SELECT+'{}'", "x".repeat(100_000));
     assert_eq!(get(addr, &url).body.len(), 100_001);
 }
 
 #[test]
-fn ban_and_pause_let_results_and_streamed_inserts_finish() {
-    let second = "\"name\": \"appliance\", \"management\": \"127.0.0.1:0\"";
-    let site = Plan::of(1).with("\"name\": \"appliance\"", second).start();
+fn drain_and_pause_let_results_and_streamed_inserts_finish() {
+    let with_management = "\"name\": \"appliance\", \"management\": \"127.0.0.1:0\"";
+    let site = Plan::of(1)
+        .with("\"name\": \"appliance\"", with_management)
+        .start();
     assert_eq!(
         site.ask("/?session_id=s", "CREATE TEMPORARY TABLE t (n Int)")
             .status,
         200
     );
-    let mut insert = half_an_insert(&site, "half", "none");
+    let mut insert = begin_insert(&site, "half", "none");
     let mut result = site.begin(
         "/?session_id=s&driftfront_class=report",
         "SELECT wide(20), 1 FROM numbers(400000)",
@@ -926,22 +964,30 @@
         (refused.status, refused.header("Connection")),
         (429, Some("close"))
     );
-    // What is out ends whole, and its connection behind it.
+    // Running queries finish, and then their connections close.
     insert.write_all(b"0\r\n\r\n").unwrap();
-    let told = read_answer(&mut insert);
+    let answer = read_answer(&mut insert);
     assert_eq!(
-        (told.status, told.header("Connection")),
+        (answer.status, answer.header("Connection")),
         (200, Some("close")),
         "{}",
-        told.text()
+        answer.text()
     );
     let rows = read_answer(&mut result);
     assert!(rows.whole && rows.text().lines().count() == 400_000);
     for mut stream in [insert, result] {
-        assert_eq!(stream.read(&mut [0; 16]).expect("an end in order"), 0);
+        assert_eq!(
+            stream
+                .read(&mut [0; 16])
+                .expect("the connection is closed without a reset"),
+            0
+        );
     }
-    // The session is lost with its engine, and says so.
-    assert_eq!(code(&site.ask("/?session_id=s", "SELECT 2")), Some(372));
+    // The session was lost with its engine, and its next query gets the error for that.
+    assert_eq!(
+        exception_code(&site.ask("/?session_id=s", "SELECT 2")),
+        Some(372)
+    );
     assert!(site.coordinator.manage("RESTORE e0\n").starts_with("OK"));
     assert_eq!(site.coordinator.manage("RESUME\n"), "OK ready\n");
     assert_eq!(site.query("SELECT 3").status, 200);
@@ -954,7 +1000,7 @@
     let mut stream = site.begin("/?max_execution_time=1", "SELECT 1 /* standin: silent */");
     site.coordinator.wait_for("requests_taken", 1);
     site.coordinator.terminate();
-    // New requests are still answered for a while.
+    // New requests are still answered during the grace period.
     assert_eq!(site.query("SELECT 2").status, 200);
     assert!(read_answer(&mut stream).status >= 400);
     assert!(site.coordinator.wait().success());
@@ -978,16 +1024,16 @@
 }
 
 #[test]
-#[allow(clippy::too_many_lines, reason = "a scenario reads from top to bottom")]
+#[allow(clippy::too_many_lines, reason = "one scenario with several steps")]
 fn engines_are_added_and_removed_by_etcd() {
     use base64::engine::general_purpose::STANDARD;
     use base64::Engine as _;
     let ledger = Arc::new(RequestLog::default());
-    let running =
+    let mock_engine =
         driftfront_mock_servers::engine::Engine::start(Options::default(), ledger.clone());
-    let engine = running.addr();
-    let (told, tell) = std::sync::mpsc::channel::<()>();
-    let tell = std::sync::Mutex::new(tell);
+    let engine = mock_engine.addr();
+    let (send_event, event_requested) = std::sync::mpsc::channel::<()>();
+    let event_requested = std::sync::Mutex::new(event_requested);
     let key = STANDARD.encode("/uni/e0");
     let etcd = stand_in(move |mut stream| {
         let mut reader = RequestReader::new(4096);
@@ -1007,7 +1053,7 @@
                     continue;
                 }
                 assert_eq!(request.target, "/v3/watch");
-                let _ = tell.lock().unwrap().recv();
+                let _ = event_requested.lock().unwrap().recv();
                 let kv = format!("{{\"key\":\"{key}\",\"mod_revision\":\"6\"}}");
                 let event = format!(
                     "{{\"result\":{{\"events\":[{{\"type\":\"DELETE\",\"kv\":{kv}}}]}}}}\n"
@@ -1034,7 +1080,7 @@
     let coordinator = Coordinator::start(&config);
     coordinator.wait_until_ready();
     assert_eq!(post(coordinator.addr, "/", "", "SELECT 1").status, 200);
-    told.send(()).unwrap();
+    send_event.send(()).unwrap();
     coordinator.wait_for("lists_taken", 3);
     assert_eq!(
         post(
@@ -1053,7 +1099,7 @@
 }
 
 #[test]
-fn console_says_what_is_wrong() {
+fn commands_report_configuration_errors() {
     let run = |args: &[&str]| {
         let out = std::process::Command::new(env!("CARGO_BIN_EXE_driftfront"))
             .args(args)
@@ -1064,10 +1110,10 @@
         (out.status.success(), String::from_utf8(text).unwrap())
     };
     let site = Site::start(1);
-    let (fine, text) = run(&["counters", "--at", &site.coordinator.addr.to_string()]);
-    assert!(fine && text.contains("requests_taken 0\n"));
+    let (success, text) = run(&["counters", "--at", &site.coordinator.addr.to_string()]);
+    assert!(success && text.contains("requests_taken 0\n"));
     assert!(run(&["version"]).0 && run(&["--help"]).0);
-    for (config, word) in [
+    for (config, message) in [
         ("{", "JSON"),
         (
             "{\"listen\":\"127.0.0.1:0\",\"settings\":{\"Zone\":0}}",
@@ -1085,13 +1131,13 @@
     ] {
         let path = file(config);
         for command in ["check", "serve"] {
-            let (fine, text) = run(&[command, "--config", &path.display().to_string()]);
+            let (success, text) = run(&[command, "--config", &path.display().to_string()]);
             assert!(
-                !fine && text.contains(word) && !text.contains("panic"),
+                !success && text.contains(message) && !text.contains("panic"),
                 "{text}"
             );
         }
         std::fs::remove_file(path).unwrap();
     }
-    assert!(!run(&["serve"]).0 && !run(&["dance"]).0 && !run(&["version", "more"]).0);
+    assert!(!run(&["serve"]).0 && !run(&["unknown"]).0 && !run(&["version", "more"]).0);
 }
