--- a/crates/coordinator/tests/agreed.rs
+++ b/crates/coordinator/tests/agreed.rs
@@ -194,7 +194,7 @@
 }
 
 #[test]
-fn damaged_log_is_cut_and_catches_up_and_a_foreign_file_is_left() {
+fn damaged_log_is_truncated_and_catches_up_and_an_unknown_file_is_kept() {
     let (mut harness, _engine) = start_cluster("members 3\nvoters 3 keeps=#true");
     harness.wait_for_leader(&[0, 1, 2], None);
     let file = harness.state_folder(2).join("agreed");
@@ -280,8 +280,8 @@
     assert!(
         harness.consensus(upgraded).is_none() && old.snapshot().is_some_and(|s| s.agreed.is_some())
     );
-    // The event loop must receive the signals. If a thread that writes to the disk received one, either signal would kill the process
-    // without a shutdown.
+    // The event loop must receive the signals. If a thread that writes to the disk received one, either signal would kill the
+    // process without a shutdown.
     old.signal(Signal::Hangup);
     assert!(old.snapshot().is_some_and(|s| s.agreed.is_some()));
     old.signal(Signal::Terminate);
--- a/crates/coordinator/tests/clickhouse.rs
+++ b/crates/coordinator/tests/clickhouse.rs
@@ -488,29 +488,29 @@
         on_first > 0 && on_first < 200,
         "both engines must have sessions"
     );
-    let busy = "SELECT sleep(1), 'runs on'";
+    let running_query = "SELECT sleep(1), 'runs on'";
     let is_on_e0 = |n: usize| site.ledger.of("SET max_threads")[n].engine == "e0";
     let n = (0..200).find(|&n| is_on_e0(n)).unwrap();
     let mut running = site.begin(
         &format!("/?session_id=tied{n}&driftfront_class=report"),
-        busy,
+        running_query,
     );
     site.ledger.wait_for("runs on", 1);
     site.list(&["draining", "ready"]);
     let last = site.ledger.of("").iter().map(|e| e.begun).max().unwrap();
     let mut lost = 0;
     for n in 0..200 {
-        let tied = site.ask(
+        let answer = site.ask(
             &format!("/?session_id=tied{n}"),
             &format!("SELECT getSetting('max_threads'), {n}"),
         );
-        match exception_code(&tied) {
-            None => assert_eq!(tied.text(), format!("1\t{n}\n")),
+        match exception_code(&answer) {
+            None => assert_eq!(answer.text(), format!("1\t{n}\n")),
             Some(372) => {
                 assert!(
-                    tied.text().contains("the engine that held it has left"),
+                    answer.text().contains("the engine that held it has left"),
                     "{}",
-                    tied.text()
+                    answer.text()
                 );
                 lost += 1;
             }
@@ -733,12 +733,13 @@
 #[test]
 fn streamed_insert_is_sent_once() {
     let site = Site::start(2);
-    // The engine fails in the middle of the insert or exits, or its client disconnects or sends an invalid chunk.
+    // The engine reports an error in the middle of the insert or closes the connection, or the client disconnects or sends an
+    // invalid chunk.
     let mut fails = begin_insert(&site, "fails", "error_after=2000000");
     let answer = read_answer(&mut fails);
     assert_eq!(exception_code(&answer), Some(241), "{}", answer.text());
-    let mut exits = begin_insert(&site, "exits", "cut");
-    assert_eq!(exception_code(&read_answer(&mut exits)), Some(210));
+    let mut closes = begin_insert(&site, "closes", "cut");
+    assert_eq!(exception_code(&read_answer(&mut closes)), Some(210));
     let disconnects = begin_insert(&site, "disconnects", "none");
     site.ledger.wait_for("o.disconnects", 1);
     drop(disconnects);
@@ -746,7 +747,7 @@
     site.ledger.wait_for("o.invalid", 1);
     invalid.write_all(b"zz\r\n").unwrap();
     assert_eq!(read_answer(&mut invalid).status, 400);
-    for table in ["fails", "exits", "disconnects", "invalid"] {
+    for table in ["fails", "closes", "disconnects", "invalid"] {
         let runs = |e: &[driftfront_mock_servers::request_log::Entry]| {
             e.iter()
                 .filter(|e| e.statement.contains(&format!("o.{table}")))
--- a/crates/coordinator/tests/daily.rs
+++ b/crates/coordinator/tests/daily.rs
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn management_call_is_answered_beside_silent_and_bad_callers() {
+fn management_call_is_answered_despite_silent_and_invalid_callers() {
     let site = Site::with_config(1, with_management_address);
     let addr = site.coordinator.management.unwrap();
     let mut stalled: Vec<TcpStream> = (0..40).map(|_| TcpStream::connect(addr).unwrap()).collect();
--- a/crates/coordinator/tests/endings/clients.rs
+++ b/crates/coordinator/tests/endings/clients.rs
@@ -18,7 +18,7 @@
 const SETTLE_TIME: Duration = Duration::from_millis(300);
 
 #[test]
-fn client_that_leaves_while_its_key_is_busy_is_not_forwarded() {
+fn request_of_a_client_that_disconnects_while_its_key_is_busy_is_not_forwarded() {
     let (site, mut first, gate) = site_with_busy_key();
     let open_waiting = |id: u64| {
         let stream = open(&site, &load(id, &format!("INSERT gone {id}")));
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn client_that_left_before_its_request_was_read_is_not_forwarded() {
+fn request_of_a_client_that_disconnected_before_it_was_read_is_not_forwarded() {
     let site = Site::start(1);
     // A connection to the engine exists, so an accepted request would reach it at once.
     assert_eq!(site.ask("lookup", 2500, "SELECT before").status, 200);
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn clients_that_leave_the_queue_together_are_not_forwarded() {
+fn requests_of_clients_that_disconnect_together_are_not_forwarded() {
     let (site, gate) = site_with_gate(1);
     let clients = 60;
     let held_request = |id| report(id, &format!("SELECT held {id}"));
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn client_that_leaves_as_its_attempt_is_rejected_is_not_retried() {
+fn request_of_a_client_that_disconnects_as_its_attempt_is_rejected_is_not_retried() {
     let (site, gate) = site_with_gate(1);
     // Enough concurrent queries for a second connection, so that a further attempt would not have to wait for one.
     let others: Vec<TcpStream> = (2..10)
@@ -203,7 +203,7 @@
 }
 
 #[test]
-fn client_that_leaves_during_a_connect_is_not_forwarded() {
+fn request_of_a_client_that_disconnects_during_a_connect_is_not_forwarded() {
     let pending = PendingConnect::start();
     let disconnecting = open(&pending.site, &load(1, "INSERT left"));
     pending.site.coordinator.wait_for("attempts_sent", 1);
@@ -233,7 +233,7 @@
 }
 
 #[test]
-fn request_runs_once_when_its_engine_s_address_is_reused() {
+fn request_runs_once_when_its_engine_address_is_reused() {
     let pending = PendingConnect::start();
     let mut load = open(&pending.site, &load(1, "INSERT moved"));
     pending.site.coordinator.wait_for("attempts_sent", 1);
--- a/crates/coordinator/tests/endings/engines.rs
+++ b/crates/coordinator/tests/endings/engines.rs
@@ -10,7 +10,7 @@
 use std::sync::{Arc, Mutex};
 
 #[test]
-fn half_a_response_fails_one_attempt() {
+fn incomplete_response_fails_only_its_attempt() {
     let site = Site::start(2);
     for words in ["half", "half endless"] {
         assert_eq!(
--- a/crates/coordinator/tests/endings/shutdown.rs
+++ b/crates/coordinator/tests/endings/shutdown.rs
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn queued_requests_are_rejected_before_a_restart_kills() {
+fn queued_requests_are_rejected_before_the_process_is_killed() {
     let (mut site, mut first, gate) = site_with_busy_key();
     let mut second = open(&site, &load(2, "INSERT second"));
     site.coordinator.wait_for("requests_taken", 2);
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn requests_during_a_freeze_past_the_grace_are_answered() {
+fn requests_during_a_stop_past_the_grace_period_are_answered() {
     let (mut site, gate) = site_with_gate(1);
     let mut running = open(&site, &request("lookup", 1, "", "SELECT held"));
     site.ledger.wait_for("SELECT held", 1);
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn hung_attempts_are_answered_before_a_restart_kills() {
+fn hung_attempts_are_answered_before_the_process_is_killed() {
     let (mut site, gate) = site_with_gate(1);
     let mut read = open(
         &site,
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn request_half_read_at_exit_gets_408() {
+fn request_partially_received_at_exit_gets_408() {
     let mut site = Site::start(1);
     let mut partial = open(&site, &request("lookup", 1, "", "SELECT half")[..40]);
     site.coordinator.wait_for("connections_clients", 2);
--- a/crates/coordinator/tests/fleet.rs
+++ b/crates/coordinator/tests/fleet.rs
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn stopped_process_rejoins_and_suspects_nobody() {
+fn stopped_process_rejoins_without_suspecting_others() {
     let (mut harness, _engine) = start_cluster("members 4");
     harness.wait_until_members_are(&[0, 1, 2, 3], &[0, 1, 2, 3]);
     harness.apply_script("stop \"m2\"");
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn datagram_flood_with_a_wrong_key_harms_nobody() {
+fn forged_datagram_flood_does_not_affect_members() {
     let (harness, _engine) = start_cluster("members 3");
     harness.wait_until_members_are(&[0, 1, 2], &[0, 1, 2]);
     let (stop, sent) = (
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn loss_of_a_third_of_datagrams_hides_no_member() {
+fn members_stay_visible_when_a_third_of_datagrams_is_lost() {
     let (mut harness, _engine) =
         start_cluster("members 4\nseed 9\nlink \"all\" \"all\" loss=0.3 repeat=0.2 delay=\"2 ms\" jitter=\"10 ms\"");
     harness.play();
--- a/crates/coordinator/tests/golden_operators/commands.rs
+++ b/crates/coordinator/tests/golden_operators/commands.rs
@@ -1,4 +1,4 @@
-//! Subcommands, their help and exit codes; the operator's configuration file as `check` reads it, and the errors for an invalid one.
+//! Subcommands, their help and exit codes; the operator's configuration file as `check` reads it, and the errors for invalid files.
 
 use crate::{run_command, Folder};
 use driftfront::config::Config;
@@ -178,7 +178,9 @@
                 .map(|(k, v)| {
                     format!(
                         "{}:{}",
-                        JsonValue::from(k.clone()).stringify().expect("text"),
+                        JsonValue::from(k.clone())
+                            .stringify()
+                            .expect("a JSON string"),
                         sorted_json(v)
                     )
                 })
--- a/crates/coordinator/tests/golden_operators/control.rs
+++ b/crates/coordinator/tests/golden_operators/control.rs
@@ -270,7 +270,7 @@
         .lines()
         .map(|l| {
             l.rsplit_once(' ')
-                .expect("a name and a number")
+                .expect("a counter name and a value")
                 .0
                 .to_string()
                 + "\n"
--- a/crates/coordinator/tests/handover.rs
+++ b/crates/coordinator/tests/handover.rs
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_later_process_reads_an_earlier_one_and_succeeds_it_once_it_is_ready() {
+fn new_process_reads_the_old_ones_state_and_succeeds_it_once_ready() {
     let tmp = folder("two");
     let mut old = HandoverMailbox::open(&tmp, "n/1").unwrap();
     let old_folder = mailbox_folder(&tmp, "driftfront-n-1-");
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_damaged_file_is_reported_once_and_counts_as_none_until_it_is_complete_again() {
+fn damaged_file_is_reported_once_and_ignored_until_it_is_complete() {
     let tmp = folder("damaged");
     let mut old = HandoverMailbox::open(&tmp, "n").unwrap();
     let mut new = HandoverMailbox::open(&tmp, "n").unwrap();
--- a/crates/coordinator/tests/key_file.rs
+++ b/crates/coordinator/tests/key_file.rs
@@ -4,7 +4,7 @@
 use std::os::unix::fs::PermissionsExt;
 
 #[test]
-fn a_key_file_that_others_can_read_or_that_holds_no_key_is_refused() {
+fn key_file_readable_by_others_or_without_a_key_is_refused() {
     let path = std::env::temp_dir().join(format!("driftfront-keys-{}", std::process::id()));
     let set_mode =
         |mode| std::fs::set_permissions(&path, std::fs::Permissions::from_mode(mode)).unwrap();
--- a/crates/coordinator/tests/operator_config.rs
+++ b/crates/coordinator/tests/operator_config.rs
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn a_file_of_five_lines_and_the_example_are_complete() {
+fn minimal_file_and_example_are_valid() {
     let minimal = config(
         "engines {\n engine \"e1\" at=\"127.0.0.1:1\"\n engine \"e2\" at=\"127.0.0.1:2\"\n}\n",
     );
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn each_mistake_is_reported_with_its_position_and_advice() {
+fn errors_are_reported_with_position_and_advice() {
     let engines = "engines { engine \"e\" at=\"127.0.0.1:1\"; }\n";
     for (text, (line, column), message) in [
         ("lissten \"x\"\n", (1, 1), "did you mean listen?"),
--- a/crates/coordinator/tests/second.rs
+++ b/crates/coordinator/tests/second.rs
@@ -381,7 +381,7 @@
 }
 
 #[test]
-fn unnamed_tenant_has_no_quota_and_takes_none() {
+fn unlisted_tenant_has_no_quota_and_consumes_none() {
     // The one listed tenant may send 50 queries per second, and queries over a quota count with weight 0.05. Tenants that are not
     // listed have no quota.
     let tenants =
--- a/crates/coordinator/tests/upgrade.rs
+++ b/crates/coordinator/tests/upgrade.rs
@@ -152,7 +152,7 @@
 }
 
 #[test]
-fn order_to_either_process_holds_in_both_during_an_upgrade() {
+fn order_to_either_process_applies_to_both_during_an_upgrade() {
     let platform = Platform::new("orders");
     let mut site = platform.site(2);
     assert!(site.coordinator.manage("SUSPEND e0\n").starts_with("OK"));
@@ -237,7 +237,7 @@
 }
 
 #[test]
-fn the_successor_of_a_paused_process_serves() {
+fn successor_of_a_paused_process_serves() {
     let platform = Platform::new("paused");
     let mut site = platform.site(1);
     assert!(site.coordinator.manage("PAUSE\n").starts_with("OK"));
