--- a/crates/console/src/messages/alarms.rs
+++ b/crates/console/src/messages/alarms.rs
@@ -1,7 +1,7 @@
 //! What needs an operator's eye.
 
 use super::engine_state::{is_silent, running_sentence};
-use super::units::{capitalized, counted, millis, span};
+use super::units::{capitalized, counted, format_millis, format_seconds};
 use driftfront_control::snapshot::{Class, Consensus, Engine, Member, Snapshot};
 
 /// An engine list whose source has said nothing for longer than this is worth an alarm.
@@ -59,7 +59,7 @@
 }
 
 fn silence_alarm(engine: &Engine) -> String {
-    let silent_for = span(engine.heard_ms.unwrap_or(0) / 1000);
+    let silent_for = format_seconds(engine.heard_ms.unwrap_or(0) / 1000);
     let running = running_sentence(engine);
     format!(
         "{} has said nothing for {silent_for}.{running}",
@@ -89,7 +89,7 @@
     if class.minute.asked < MIN_JUDGED_REQUESTS || share >= MIN_IN_TIME_SHARE {
         return None;
     }
-    let wanted = millis(class.wanted_ms as f64);
+    let wanted = format_millis(class.wanted_ms as f64);
     Some(format!(
         "{}: only {:.0} in 100 were answered within {wanted} in the last minute.",
         class.name,
@@ -101,7 +101,7 @@
     let age = s.source_age_s.filter(|&age| age > OLD_SOURCE_S)?;
     Some(format!(
         "The list of engines is {} old: {} says nothing.",
-        span(age),
+        format_seconds(age),
         s.source
     ))
 }
--- a/crates/console/src/messages/engine_state.rs
+++ b/crates/console/src/messages/engine_state.rs
@@ -12,7 +12,7 @@
 }
 
 /// An engine's state, in a word or two.
-pub fn state(engine: &Engine) -> String {
+pub fn engine_state(engine: &Engine) -> String {
     let is_ordered = !engine.order.is_empty();
     let state = match (engine.phase.as_str(), engine.running) {
         _ if is_silent(engine) => "silent",
--- a/crates/console/src/messages/layout.rs
+++ b/crates/console/src/messages/layout.rs
@@ -14,7 +14,7 @@
 }
 
 /// The widths of the columns that fit a line, in characters; the first always does.
-pub fn widths(table: &Table, width: usize) -> Vec<usize> {
+pub fn column_widths(table: &Table, width: usize) -> Vec<usize> {
     let mut widths = Vec::new();
     let mut left = width;
     for (column, head) in table.heads.iter().enumerate() {
@@ -32,7 +32,7 @@
 }
 
 /// One row of a table, cut to the columns that fit.
-pub fn row_text(cells: &[String], widths: &[usize]) -> String {
+pub fn format_row(cells: &[String], widths: &[usize]) -> String {
     let columns = widths.iter().enumerate().map(|(column, &width)| {
         let cell = cells.get(column).map_or("", String::as_str);
         let cut: String = cell.chars().take(width).collect();
@@ -43,7 +43,7 @@
 }
 
 /// Cuts text into lines of a width, at spaces where there are any.
-pub fn wrapped(text: &str, width: usize) -> Vec<String> {
+pub fn wrap_text(text: &str, width: usize) -> Vec<String> {
     let mut lines = Vec::new();
     let mut line = String::new();
     for word in text.split(' ') {
--- a/crates/console/src/messages/mod.rs
+++ b/crates/console/src/messages/mod.rs
@@ -1,6 +1,6 @@
 //! Everything that operators read, as text: alarms, tables, units, and the whole of it for pipes and screen readers.
 //!
-//! [`alarms()`] names what needs an eye; [`engines`], [`classes`], [`queries`], [`members`] and [`holds`] are the tables; [`plain()`]
+//! [`alarms()`] names what needs an eye; [`engine_table`], [`class_table`], [`query_table`], [`member_table`] and [`lease_table`] are the tables; [`plain_text()`]
 //! puts it all together. Nothing here knows a terminal.
 
 mod alarms;
@@ -11,8 +11,10 @@
 mod units;
 
 pub use alarms::alarms;
-pub use engine_state::{is_silent, state, SILENT_MILLIS};
-pub use layout::{row_text, widths, wrapped, Table};
-pub use plain::{plain, title};
-pub use tables::{agreed, classes, engines, holds, members, queries};
-pub use units::{millis, span};
+pub use engine_state::{engine_state, is_silent, SILENT_MILLIS};
+pub use layout::{column_widths, format_row, wrap_text, Table};
+pub use plain::{plain_text, title};
+pub use tables::{
+    class_table, consensus_summary, engine_table, lease_table, member_table, query_table,
+};
+pub use units::{format_millis, format_seconds};
--- a/crates/console/src/messages/plain.rs
+++ b/crates/console/src/messages/plain.rs
@@ -1,7 +1,9 @@
 //! Everything as text, for pipes and screen readers.
 
-use super::units::span;
-use super::{alarms, classes, engines, queries, row_text, widths, wrapped, Table};
+use super::units::format_seconds;
+use super::{
+    alarms, class_table, column_widths, engine_table, format_row, query_table, wrap_text, Table,
+};
 use driftfront_control::snapshot::Snapshot;
 
 /// The first line: which coordinator this is, and how many engines take work.
@@ -17,11 +19,11 @@
 }
 
 /// All of it as lines of a width.
-pub fn plain(s: &Snapshot, width: usize) -> String {
+pub fn plain_text(s: &Snapshot, width: usize) -> String {
     let mut lines = vec![title(s)];
     lines.push(format!(
         "up {}, clients at {}, {}",
-        span(s.up_s),
+        format_seconds(s.up_s),
         s.listen,
         s.front
     ));
@@ -29,10 +31,10 @@
     if alarms.is_empty() {
         lines.push("All is well.".into());
     }
-    lines.extend(alarms.iter().flat_map(|alarm| wrapped(alarm, width)));
-    lines.extend(table_lines("Engines", &engines(s), width));
-    lines.extend(table_lines("Service", &classes(s), width));
-    lines.extend(table_lines("What runs", &queries(s), width));
+    lines.extend(alarms.iter().flat_map(|alarm| wrap_text(alarm, width)));
+    lines.extend(table_lines("Engines", &engine_table(s), width));
+    lines.extend(table_lines("Service", &class_table(s), width));
+    lines.extend(table_lines("What runs", &query_table(s), width));
     if let Some(roll) = &s.roll {
         let (left, through) = (roll.left.join(", "), roll.through.join(", "));
         lines.push(String::new());
@@ -49,7 +51,7 @@
     }
     if !s.forgets.is_empty() {
         lines.push(String::new());
-        lines.extend(wrapped(&s.forgets, width));
+        lines.extend(wrap_text(&s.forgets, width));
     }
     lines.join("\n") + "\n"
 }
@@ -59,9 +61,13 @@
     if table.rows.is_empty() {
         return Vec::new();
     }
-    let widths = widths(table, width);
+    let widths = column_widths(table, width);
     let heads: Vec<String> = table.heads.iter().map(ToString::to_string).collect();
-    let mut lines = vec![String::new(), format!("{name}:"), row_text(&heads, &widths)];
-    lines.extend(table.rows.iter().map(|row| row_text(row, &widths)));
+    let mut lines = vec![
+        String::new(),
+        format!("{name}:"),
+        format_row(&heads, &widths),
+    ];
+    lines.extend(table.rows.iter().map(|row| format_row(row, &widths)));
     lines
 }
--- a/crates/console/src/messages/tables.rs
+++ b/crates/console/src/messages/tables.rs
@@ -1,14 +1,14 @@
 //! The tables.
 
-use super::engine_state::state;
-use super::units::{millis, share, span};
+use super::engine_state::engine_state;
+use super::units::{format_millis, format_seconds, share};
 use super::Table;
 use driftfront_control::snapshot::{
     Class, Consensus, Engine, Held, Member, Query, Service, Snapshot, Voter,
 };
 
 /// The engines.
-pub fn engines(s: &Snapshot) -> Table {
+pub fn engine_table(s: &Snapshot) -> Table {
     let heads = vec![
         "engine", "state", "runs", "imports", "heard", "p99", "building", "kind", "address", "by",
     ];
@@ -20,15 +20,15 @@
     let heard = match engine.heard_ms {
         None => "never".into(),
         Some(ms) if ms < 1000 => "now".into(),
-        Some(ms) => span(ms / 1000),
+        Some(ms) => format_seconds(ms / 1000),
     };
     let by = match engine.order.as_str() {
         "" => String::new(),
-        _ => format!("{} {}", engine.order_by, span(engine.order_age_s)),
+        _ => format!("{} {}", engine.order_by, format_seconds(engine.order_age_s)),
     };
     vec![
         engine.name.clone(),
-        state(engine),
+        engine_state(engine),
         engine.running.to_string(),
         engine.imports.to_string(),
         heard,
@@ -41,7 +41,7 @@
 }
 
 /// The classes.
-pub fn classes(s: &Snapshot) -> Table {
+pub fn class_table(s: &Snapshot) -> Table {
     let heads = vec![
         "class",
         "in time",
@@ -70,7 +70,7 @@
         latency(minute, minute.p99_ms),
         minute.refused.to_string(),
         minute.failed.to_string(),
-        millis(class.wanted_ms as f64),
+        format_millis(class.wanted_ms as f64),
     ]
 }
 
@@ -78,12 +78,12 @@
 fn latency(service: &Service, ms: f64) -> String {
     match service.served {
         0 => "-".into(),
-        _ => millis(ms),
+        _ => format_millis(ms),
     }
 }
 
 /// The queries that run.
-pub fn queries(s: &Snapshot) -> Table {
+pub fn query_table(s: &Snapshot) -> Table {
     let heads = vec!["class", "engine", "for", "import", "query"];
     let rows = s.queries.iter().map(query_row).collect();
     Table { heads, rows }
@@ -97,14 +97,14 @@
     vec![
         query.class.clone(),
         engine.into(),
-        millis(query.age_ms as f64),
+        format_millis(query.age_ms as f64),
         if query.import { "yes" } else { "" }.into(),
         query.call.clone(),
     ]
 }
 
 /// The cluster's coordinators.
-pub fn members(s: &Snapshot) -> Table {
+pub fn member_table(s: &Snapshot) -> Table {
     let heads = vec![
         "COORDINATOR",
         "IS",
@@ -127,13 +127,13 @@
     };
     let reported = match member.told_age_s {
         _ if member.me => String::new(),
-        Some(age) => format!("{} ago", span(age)),
+        Some(age) => format!("{} ago", format_seconds(age)),
         None => "never".into(),
     };
     vec![
         name,
         member.standing.clone(),
-        span(member.for_s),
+        format_seconds(member.for_s),
         member.state.clone(),
         member.build.clone(),
         member.zone.clone(),
@@ -143,8 +143,8 @@
     ]
 }
 
-/// The state of consensus, in a line above the table of [`holds`].
-pub fn agreed(a: &Consensus) -> String {
+/// The state of consensus, in a line above the table of [`lease_table`].
+pub fn consensus_summary(a: &Consensus) -> String {
     if !a.missing.is_empty() {
         let missing = a.missing.join(", ");
         return format!("Nothing is agreed yet: {missing} must come, without a log.\n");
@@ -170,7 +170,7 @@
 }
 
 /// The leases that are granted.
-pub fn holds(a: &Consensus) -> Table {
+pub fn lease_table(a: &Consensus) -> Table {
     let heads = vec!["HELD", "BY", "FOR", "NUMBER", "WHY"];
     let rows = a.holds.iter().map(hold_row).collect();
     Table { heads, rows }
@@ -178,8 +178,8 @@
 
 fn hold_row(hold: &Held) -> Vec<String> {
     let duration = match hold.left_s {
-        Some(left) if hold.stays => format!("{}, and until given back", span(left)),
-        Some(left) => span(left),
+        Some(left) if hold.stays => format!("{}, and until given back", format_seconds(left)),
+        Some(left) => format_seconds(left),
         None => "until given back".into(),
     };
     vec![
--- a/crates/console/src/messages/units.rs
+++ b/crates/console/src/messages/units.rs
@@ -7,7 +7,7 @@
 const DAY_S: u64 = 24 * HOUR_S;
 
 /// A time in seconds, in the largest unit of which there are two.
-pub fn span(seconds: u64) -> String {
+pub fn format_seconds(seconds: u64) -> String {
     match seconds {
         s if s < 2 * MINUTE_S => format!("{s} s"),
         s if s < 2 * HOUR_S => format!("{} min", s / MINUTE_S),
@@ -17,7 +17,7 @@
 }
 
 /// A time in milliseconds, in the unit that fits.
-pub fn millis(ms: f64) -> String {
+pub fn format_millis(ms: f64) -> String {
     match ms {
         ms if ms >= 10_000.0 => format!("{:.0} s", ms / 1000.0),
         ms if ms >= 1000.0 => format!("{:.1} s", ms / 1000.0),
--- a/crates/console/src/screen.rs
+++ b/crates/console/src/screen.rs
@@ -1,7 +1,7 @@
 //! Draws the console: a title, the alarms, a table, what was asked or answered, the tabs, the keys.
 
 use crate::app::{App, Tab, TABS};
-use crate::messages::{self, row_text, span, widths, wrapped, Table};
+use crate::messages::{self, column_widths, format_row, format_seconds, wrap_text, Table};
 use ratatui::buffer::Buffer;
 use ratatui::layout::Rect;
 use ratatui::style::{Color, Modifier, Style};
@@ -116,7 +116,7 @@
     draw_alarms(app, look, &mut writer);
     let dialog = app.question.as_ref().map(|question| &question.text);
     let dialog = dialog.or(app.answer.as_ref());
-    let dialog = dialog.map_or(Vec::new(), |text| wrapped(text, writer.width()));
+    let dialog = dialog.map_or(Vec::new(), |text| wrap_text(text, writer.width()));
     let bottom = dialog.len() + FOOTER_LINES;
     let table_lines = writer.lines_left().saturating_sub(bottom);
     draw_tab(app, look, &mut writer, table_lines);
@@ -134,7 +134,7 @@
 
 fn draw_help(writer: &mut LineWriter) {
     let width = writer.width();
-    for line in HELP.iter().flat_map(|line| wrapped(line, width)) {
+    for line in HELP.iter().flat_map(|line| wrap_text(line, width)) {
         writer.write(&line, Style::default());
     }
 }
@@ -143,7 +143,7 @@
     let alarms = app.alarms();
     let max_lines = (usize::from(writer.area.height) / ALARMS_FRACTION).max(MIN_ALARM_LINES);
     let width = writer.width();
-    let lines: Vec<String> = alarms.iter().flat_map(|a| wrapped(a, width)).collect();
+    let lines: Vec<String> = alarms.iter().flat_map(|a| wrap_text(a, width)).collect();
     for line in lines.iter().take(max_lines) {
         writer.write(line, look.alarm());
     }
@@ -177,17 +177,17 @@
 fn draw_tab(app: &App, look: Look, writer: &mut LineWriter, max_lines: usize) {
     let Some(s) = &app.snapshot else { return };
     let table = match app.tab {
-        Tab::Engines => messages::engines(s),
-        Tab::Service => messages::classes(s),
-        Tab::Queries => messages::queries(s),
+        Tab::Engines => messages::engine_table(s),
+        Tab::Service => messages::class_table(s),
+        Tab::Queries => messages::query_table(s),
         Tab::Events => return draw_events(app, look, writer, max_lines),
     };
     if max_lines == 0 {
         return;
     }
-    let widths = widths(&table, writer.width());
+    let widths = column_widths(&table, writer.width());
     let heads: Vec<String> = table.heads.iter().map(ToString::to_string).collect();
-    writer.write(&row_text(&heads, &widths), look.head());
+    writer.write(&format_row(&heads, &widths), look.head());
     draw_rows(app, look, writer, &table, &widths, max_lines - 1);
 }
 
@@ -204,7 +204,7 @@
     let first = first_shown(app.selected_row, table.rows.len(), max_lines);
     let shown = table.rows.iter().enumerate().skip(first).take(max_lines);
     for (index, row) in shown {
-        let text = row_text(row, widths);
+        let text = format_row(row, widths);
         if has_selection && index == app.selected_row {
             // The mark shows the selection without colours or inversion as well.
             writer.write(&format!("{text} <"), look.selected());
@@ -228,7 +228,7 @@
     let now = app.snapshot.as_ref().map_or(0, |s| s.at);
     let first = first_shown(app.selected_row, app.events.len(), max_lines);
     for (at, text) in app.events.iter().skip(first).take(max_lines) {
-        let ago = span(now.saturating_sub(*at) / 1_000_000);
+        let ago = format_seconds(now.saturating_sub(*at) / 1_000_000);
         writer.write(&format!("{ago:>7} ago  {text}"), Style::default());
     }
     if app.events.is_empty() && max_lines > 0 {
--- a/crates/console/tests/golden.rs
+++ b/crates/console/tests/golden.rs
@@ -30,10 +30,13 @@
     for width in [20, 40, 80, 120, 200] {
         assert_golden!(
             &format!("plain-{width}.txt"),
-            messages::plain(&snapshot(), width)
+            messages::plain_text(&snapshot(), width)
         );
     }
-    assert_golden!("plain-empty.txt", messages::plain(&Snapshot::default(), 80));
+    assert_golden!(
+        "plain-empty.txt",
+        messages::plain_text(&Snapshot::default(), 80)
+    );
     let well = Snapshot {
         name: "school".into(),
         engines: vec![Engine {
@@ -43,15 +46,15 @@
         }],
         ..Snapshot::default()
     };
-    assert_golden!("plain-well.txt", messages::plain(&well, 80));
+    assert_golden!("plain-well.txt", messages::plain_text(&well, 80));
 }
 
 fn table(text: &mut String, title: &str, table: &messages::Table) {
-    let widths = messages::widths(table, 200);
+    let widths = messages::column_widths(table, 200);
     let heads: Vec<String> = table.heads.iter().map(ToString::to_string).collect();
-    let _ = writeln!(text, "{title}:\n{}", messages::row_text(&heads, &widths));
+    let _ = writeln!(text, "{title}:\n{}", messages::format_row(&heads, &widths));
     for row in &table.rows {
-        let _ = writeln!(text, "{}", messages::row_text(row, &widths));
+        let _ = writeln!(text, "{}", messages::format_row(row, &widths));
     }
 }
 
@@ -60,11 +63,11 @@
     let s = snapshot();
     let agreed = s.agreed.as_ref().expect("agreed");
     let mut text = String::new();
-    table(&mut text, "members", &messages::members(&s));
-    table(&mut text, "holds", &messages::holds(agreed));
-    table(&mut text, "engines", &messages::engines(&s));
-    table(&mut text, "classes", &messages::classes(&s));
-    table(&mut text, "queries", &messages::queries(&s));
+    table(&mut text, "members", &messages::member_table(&s));
+    table(&mut text, "holds", &messages::lease_table(agreed));
+    table(&mut text, "engines", &messages::engine_table(&s));
+    table(&mut text, "classes", &messages::class_table(&s));
+    table(&mut text, "queries", &messages::query_table(&s));
     let _ = writeln!(text, "title: {}", messages::title(&s));
     let missing = Consensus {
         missing: vec!["coordinator-b".into(), "coordinator-c".into()],
@@ -75,13 +78,17 @@
         ..agreed.clone()
     };
     for agreed in [agreed, &missing, &Consensus::default(), &nobody] {
-        let _ = write!(text, "agreed: {}", messages::agreed(agreed));
+        let _ = write!(text, "agreed: {}", messages::consensus_summary(agreed));
     }
     for seconds in [0, 119, 120, 7_199, 7_200, 172_799, 172_800] {
-        let _ = writeln!(text, "span {seconds}: {}", messages::span(seconds));
+        let _ = writeln!(
+            text,
+            "span {seconds}: {}",
+            messages::format_seconds(seconds)
+        );
     }
     for ms in [0.0, 9.96, 10.0, 999.4, 1_000.0, 9_999.0, 10_000.0] {
-        let _ = writeln!(text, "millis {ms}: {}", messages::millis(ms));
+        let _ = writeln!(text, "millis {ms}: {}", messages::format_millis(ms));
     }
     assert_golden!("tables.txt", text);
 }
@@ -225,7 +232,7 @@
                     let _ = writeln!(
                         text,
                         "{phase}, order {order:?}, {running} run, heard {heard_ms}, warm in {warm_in_s}: {}",
-                        messages::state(&engine)
+                        messages::engine_state(&engine)
                     );
                 }
             }
--- a/crates/console/tests/messages.rs
+++ b/crates/console/tests/messages.rs
@@ -1,6 +1,8 @@
 //! Alarms and tables.
 
-use driftfront_console::messages::{self, alarms, is_silent, plain, state, widths, wrapped};
+use driftfront_console::messages::{
+    self, alarms, column_widths, engine_state, is_silent, plain_text, wrap_text,
+};
 use driftfront_control::snapshot::{Class, Engine, Service, Snapshot};
 
 fn engine(name: &str, phase: &str, running: u64, imports: u64, heard_ms: u64) -> Engine {
@@ -28,7 +30,7 @@
     let expected =
         "engine-2 has said nothing for 12 s. One import runs there; it will not be sent again.";
     assert_eq!(alarms(&s), [expected]);
-    assert_eq!(state(&s.engines[1]), "silent");
+    assert_eq!(engine_state(&s.engines[1]), "silent");
     let both = Snapshot {
         engines: vec![engine("e", "ready", 5, 2, 9000)],
         ..Snapshot::default()
@@ -98,13 +100,16 @@
         ..Snapshot::default()
     };
     for width in [20, 40, 80, 200] {
-        let text = plain(&s, width);
-        let table = messages::engines(&s);
-        let fits = widths(&table, width);
+        let text = plain_text(&s, width);
+        let table = messages::engine_table(&s);
+        let fits = column_widths(&table, width);
         assert!(fits.iter().sum::<usize>() + 2 * (fits.len() - 1) <= width);
         assert!(text.contains("engine-2") && (width < 30 || text.contains("ready")));
     }
-    assert!(widths(&messages::engines(&s), 200).len() > widths(&messages::engines(&s), 40).len());
-    assert_eq!(wrapped("one two three", 7), ["one two", "three"]);
-    assert_eq!(wrapped("abcdefgh", 3), ["abc", "def", "gh"]);
+    assert!(
+        column_widths(&messages::engine_table(&s), 200).len()
+            > column_widths(&messages::engine_table(&s), 40).len()
+    );
+    assert_eq!(wrap_text("one two three", 7), ["one two", "three"]);
+    assert_eq!(wrap_text("abcdefgh", 3), ["abc", "def", "gh"]);
 }
--- a/crates/coordinator/src/cli/remote.rs
+++ b/crates/coordinator/src/cli/remote.rs
@@ -154,7 +154,7 @@
     expect_no_more(arguments)?;
     if is_plain || !std::io::stdout().is_terminal() {
         let snapshot = request_snapshot(&mut connect(&target)?)?;
-        return print(&messages::plain(&snapshot, width()));
+        return print(&messages::plain_text(&snapshot, width()));
     }
     Ok(console::run(target, !has_no_color)?)
 }
@@ -222,7 +222,7 @@
         let snapshot = request_snapshot(&mut remote)?;
         let requests: u64 = snapshot.classes.iter().map(|c| c.minute.asked).sum();
         if requests >= DEMO_MIN_REQUESTS {
-            return print(&messages::plain(&snapshot, width()));
+            return print(&messages::plain_text(&snapshot, width()));
         }
         std::thread::sleep(DEMO_POLL_INTERVAL);
     }
--- a/crates/coordinator/src/cli/view.rs
+++ b/crates/coordinator/src/cli/view.rs
@@ -50,17 +50,18 @@
     /// The view as lines for a terminal.
     pub(super) fn as_text(self, snapshot: &Snapshot) -> String {
         match self {
-            View::Status => messages::plain(snapshot, width()),
-            View::Engines => table(&messages::engines(snapshot)),
-            View::Classes => table(&messages::classes(snapshot)),
-            View::Queries => table(&messages::queries(snapshot)),
+            View::Status => messages::plain_text(snapshot, width()),
+            View::Engines => table(&messages::engine_table(snapshot)),
+            View::Classes => table(&messages::class_table(snapshot)),
+            View::Queries => table(&messages::query_table(snapshot)),
             View::Members if snapshot.members.is_empty() => {
                 "There is no fleet: the operator's file has none.\n".into()
             }
-            View::Members => table(&messages::members(snapshot)),
+            View::Members => table(&messages::member_table(snapshot)),
             View::Holds => match &snapshot.agreed {
                 Some(consensus) => {
-                    messages::agreed(consensus) + &table(&messages::holds(consensus))
+                    messages::consensus_summary(consensus)
+                        + &table(&messages::lease_table(consensus))
                 }
                 None => "There is no fleet: nothing is agreed.\n".into(),
             },
@@ -69,13 +70,13 @@
 }
 
 fn table(table: &messages::Table) -> String {
-    let widths = messages::widths(table, width().max(MIN_TABLE_WIDTH));
+    let widths = messages::column_widths(table, width().max(MIN_TABLE_WIDTH));
     let heads: Vec<String> = table.heads.iter().map(|head| head.to_string()).collect();
     let rows = table
         .rows
         .iter()
-        .map(|row| messages::row_text(row, &widths));
-    let lines: Vec<String> = std::iter::once(messages::row_text(&heads, &widths))
+        .map(|row| messages::format_row(row, &widths));
+    let lines: Vec<String> = std::iter::once(messages::format_row(&heads, &widths))
         .chain(rows)
         .collect();
     lines.join("\n") + "\n"
