--- a/crates/coordinator/src/state_folder.rs
+++ b/crates/coordinator/src/state_folder.rs
@@ -102,7 +102,7 @@
         let mut bytes = Vec::new();
         file.read_to_end(&mut bytes)
             .map_err(io_error(OpenStep::ReadFile))?;
-        let read = record::read(&bytes).map_err(|source| StateFolderError::StateFile {
+        let read = record::decode_file(&bytes).map_err(|source| StateFolderError::StateFile {
             path: path.clone(),
             source,
         })?;
@@ -153,7 +153,7 @@
 
     /// Replaces the file by one of these records; where too many jobs wait it is tried with the next order.
     pub fn compact(&mut self, records: &[StateRecord]) {
-        let bytes = record::file(records);
+        let bytes = record::encode_file(records);
         let size = bytes.len();
         let job = WriteJob {
             id: COMPACTION_JOB,
--- a/crates/coordinator/tests/golden_operators/files.rs
+++ b/crates/coordinator/tests/golden_operators/files.rs
@@ -36,7 +36,7 @@
     let stages = ["next", "draining", "handed", "warming", "stopped", "done"];
     let rolls = stages.iter().map(|stage| {
         let text = format!("{stage}\t1764000000000000\t7\t995\te1\u{1f}e2\te0\tsomething fell");
-        RollingRestart::of_text(&text).expect("a roll")
+        RollingRestart::from_text(&text).expect("a roll")
     });
     let mut all = vec![
         StateRecord::Ordered {
@@ -282,8 +282,8 @@
 fn a_roll_of_today_s_state_folder_is_read_when_the_program_starts() {
     let folder = Folder::new("golden-roll");
     let text = "stopped\t1764000000000000\t7\t995\te1\u{1f}e2\te0\tsomething fell";
-    let roll = RollingRestart::of_text(text).expect("a roll");
-    let bytes = driftfront_engine_registry::record::file(&[StateRecord::RollingRestart {
+    let roll = RollingRestart::from_text(text).expect("a roll");
+    let bytes = driftfront_engine_registry::record::encode_file(&[StateRecord::RollingRestart {
         roll: Some(roll),
     }]);
     assert_golden!("operators/orders-roll", bytes);
--- a/crates/coordinator/tests/state_folder.rs
+++ b/crates/coordinator/tests/state_folder.rs
@@ -72,7 +72,7 @@
     for cut in 0..=whole.len() {
         std::fs::write(&file, &whole[..cut]).expect("a prefix");
         let mut opened = state.open();
-        let known = record::read(&whole[..cut]).expect("ours");
+        let known = record::decode_file(&whole[..cut]).expect("ours");
         assert_eq!(
             (&opened.records, opened.warnings.is_empty()),
             (&known.records, known.damage.is_none()),
--- a/crates/engine-registry/src/record.rs
+++ b/crates/engine-registry/src/record.rs
@@ -104,7 +104,7 @@
 }
 
 /// A complete file of these records.
-pub fn file(records: &[StateRecord]) -> Vec<u8> {
+pub fn encode_file(records: &[StateRecord]) -> Vec<u8> {
     let mut bytes = HEADER.to_vec();
     records
         .iter()
@@ -118,7 +118,7 @@
 ///
 /// A [`StateFileError`] where the file is not a state file of this version. A damaged tail is no error: see
 /// [`StateFile::damage`].
-pub fn read(bytes: &[u8]) -> Result<StateFile, StateFileError> {
+pub fn decode_file(bytes: &[u8]) -> Result<StateFile, StateFileError> {
     if bytes.len() < HEADER.len() && HEADER.starts_with(bytes) {
         return Ok(StateFile {
             records: Vec::new(),
@@ -222,7 +222,7 @@
         }),
         "roll" if rest == "none" => Some(StateRecord::RollingRestart { roll: None }),
         "roll" => Some(StateRecord::RollingRestart {
-            roll: Some(RollingRestart::of_text(rest)?),
+            roll: Some(RollingRestart::from_text(rest)?),
         }),
         _ => None,
     }
--- a/crates/engine-registry/src/rolling_restart/text.rs
+++ b/crates/engine-registry/src/rolling_restart/text.rs
@@ -23,7 +23,7 @@
     }
 
     /// Reads [`RollingRestart::to_text`]; `None` for a text of another form.
-    pub fn of_text(text: &str) -> Option<RollingRestart> {
+    pub fn from_text(text: &str) -> Option<RollingRestart> {
         let mut fields = text.split('\t');
         let stage = Stage::from_name(fields.next()?)?;
         let since = fields.next()?.parse().ok()?;
--- a/crates/engine-registry/tests/golden.rs
+++ b/crates/engine-registry/tests/golden.rs
@@ -96,8 +96,8 @@
 
 #[test]
 fn orders_file_is_written_and_read_as_before() {
-    assert_golden!("orders.state", record::file(&records()));
-    let read = record::read(&read_golden!("orders.state")).expect("a state file");
+    assert_golden!("orders.state", record::encode_file(&records()));
+    let read = record::decode_file(&read_golden!("orders.state")).expect("a state file");
     assert_eq!(read.records, records());
     assert_eq!(read.valid_bytes, read_golden!("orders.state").len());
     assert_eq!(read.damage, None);
@@ -105,7 +105,7 @@
 
 #[test]
 fn damaged_and_foreign_orders_files_are_described_as_before() {
-    let whole = record::file(&records());
+    let whole = record::encode_file(&records());
     let changed = |at: usize| {
         let mut bytes = whole.clone();
         bytes[at] ^= 0x10;
@@ -133,7 +133,7 @@
         ("newer", b"driftfront state 2\nwhatever".to_vec()),
         ("foreign", b"{\"instances\":[]}".to_vec()),
     ] {
-        let line = match record::read(&bytes) {
+        let line = match record::decode_file(&bytes) {
             Ok(read) => format!(
                 "{} records, {} bytes, {}",
                 read.records.len(),
--- a/crates/engine-registry/tests/model.rs
+++ b/crates/engine-registry/tests/model.rs
@@ -110,7 +110,7 @@
 fn holds(steps: Vec<Step>) -> bool {
     let (mut registry, mut module, mut plain) =
         (EngineRegistry::new(), Module::default(), Plain::default());
-    let mut file = record::file(&[]);
+    let mut file = record::encode_file(&[]);
     for (n, step) in steps.into_iter().enumerate() {
         let mut change = None;
         match step {
@@ -135,13 +135,13 @@
             }
             Step::Restart(cut) => {
                 // The last record may be half written: then its command was never confirmed.
-                let before = record::read(&file).expect("ours");
+                let before = record::decode_file(&file).expect("ours");
                 if cut < 100 && !before.records.is_empty() {
                     let last = record::encode(before.records.last().expect("one")).len();
                     file.truncate(file.len() - 1 - usize::from(cut) % last);
                     undo(&mut plain, &before.records);
                 }
-                let read = record::read(&file).expect("ours");
+                let read = record::decode_file(&file).expect("ours");
                 file.truncate(read.valid_bytes.max(record::HEADER.len()));
                 registry = EngineRegistry::new();
                 module = Module::default();
@@ -149,7 +149,7 @@
                 change = Some(registry.restore_records(read.records));
             }
             Step::Compact => {
-                file = record::file(&registry.compacted_records());
+                file = record::encode_file(&registry.compacted_records());
             }
             Step::Forget(n) => {
                 if let Some(id) = registry
--- a/crates/engine-registry/tests/record.rs
+++ b/crates/engine-registry/tests/record.rs
@@ -1,7 +1,7 @@
 //! The state file: what a power cut or a changed byte costs, and files that are left alone.
 
 use driftfront_engine_registry::record::{
-    self, encode, file, read, StateFileError, StateRecord, HEADER,
+    self, decode_file, encode, encode_file, StateFileError, StateRecord, HEADER,
 };
 use driftfront_engine_registry::{ActiveOrder, EngineDescription, Order};
 use driftfront_scheduler::Phase;
@@ -40,13 +40,13 @@
 
 #[test]
 fn power_cut_at_any_byte_leaves_the_records_before_it() {
-    let (records, complete) = (records(), file(&records()));
+    let (records, complete) = (records(), encode_file(&records()));
     let mut ends = vec![HEADER.len()];
     for record in &records {
         ends.push(ends[ends.len() - 1] + encode(record).len());
     }
     for cut in 0..=complete.len() {
-        let read = read(&complete[..cut]).expect("ours");
+        let read = decode_file(&complete[..cut]).expect("ours");
         let count = ends.iter().skip(1).filter(|&&end| end <= cut).count();
         assert_eq!(read.records, records[..count], "cut at {cut}");
         assert_eq!(
@@ -63,7 +63,7 @@
         };
         repaired.extend(encode(&records[0]));
         assert_eq!(
-            record::read(&repaired).expect("ours").records.len(),
+            record::decode_file(&repaired).expect("ours").records.len(),
             count + 1
         );
     }
@@ -71,11 +71,11 @@
 
 #[test]
 fn changed_byte_costs_its_record_and_those_after_it_alone() {
-    let (records, complete) = (records(), file(&records()));
+    let (records, complete) = (records(), encode_file(&records()));
     for at in HEADER.len()..complete.len() {
         let mut bad = complete.clone();
         bad[at] ^= 0x10;
-        let read = read(&bad).expect("ours");
+        let read = decode_file(&bad).expect("ours");
         assert!(
             read.damage.is_some() && read.records.len() < records.len(),
             "byte {at}"
@@ -87,12 +87,12 @@
 #[test]
 fn files_of_another_version_or_kind_are_left_alone() {
     assert_eq!(
-        read(b"driftfront state 2\nwhatever"),
+        decode_file(b"driftfront state 2\nwhatever"),
         Err(StateFileError::Newer("2".into()))
     );
     assert_eq!(
-        read(b"{\"instances\":[]}, which is something else"),
+        decode_file(b"{\"instances\":[]}, which is something else"),
         Err(StateFileError::NotOurs)
     );
-    assert!(read(b"").expect("new").damage.is_none());
+    assert!(decode_file(b"").expect("new").damage.is_none());
 }
--- a/crates/engine-registry/tests/rolling_restart.rs
+++ b/crates/engine-registry/tests/rolling_restart.rs
@@ -163,11 +163,11 @@
             status: "w\tx".into(),
             ..RollingRestart::new(7, vec!["a".into()], None)
         };
-        let back = RollingRestart::of_text(&roll.to_text()).expect("well formed");
+        let back = RollingRestart::from_text(&roll.to_text()).expect("well formed");
         assert_eq!(
             (back.stage, back.remaining.clone(), back.started_at),
             (stage, roll.remaining.clone(), Some(3))
         );
     }
-    assert_eq!(RollingRestart::of_text("nonsense"), None);
+    assert_eq!(RollingRestart::from_text("nonsense"), None);
 }
--- a/crates/engine-registry/tests/rolling_restart_in_new_process.rs
+++ b/crates/engine-registry/tests/rolling_restart_in_new_process.rs
@@ -36,7 +36,7 @@
         .contains(&RollingRestartAction::Drain("a".into())));
     roll.step(now, &sight(true));
     roll.confirm_engine_returned(now);
-    RollingRestart::of_text(&roll.to_text()).expect("as it was written")
+    RollingRestart::from_text(&roll.to_text()).expect("as it was written")
 }
 
 #[test]
