--- a/crates/console/src/messages/tables.rs
+++ b/crates/console/src/messages/tables.rs
@@ -4,7 +4,7 @@
 use super::units::{format_millis, format_seconds, share};
 use super::Table;
 use driftfront_control::snapshot::{
-    Class, Consensus, Engine, Held, Member, Query, Service, Snapshot, Voter,
+    Class, Consensus, Engine, Lease, Member, Query, Service, Snapshot, Voter,
 };
 
 /// The engines.
@@ -176,7 +176,7 @@
     Table { heads, rows }
 }
 
-fn hold_row(hold: &Held) -> Vec<String> {
+fn hold_row(hold: &Lease) -> Vec<String> {
     let duration = match hold.left_s {
         Some(left) if hold.stays => format!("{}, and until given back", format_seconds(left)),
         Some(left) => format_seconds(left),
--- a/crates/control/src/snapshot.rs
+++ b/crates/control/src/snapshot.rs
@@ -69,7 +69,7 @@
         /// The initial voters that are missing while the log is not bootstrapped yet.
         missing: Vec<String>,
         /// All leases that are granted.
-        holds: Vec<Held>,
+        holds: Vec<Lease>,
     }
 }
 
@@ -85,7 +85,7 @@
 
 object! {
     /// A lease that is granted (a "hold" to operators).
-    Held {
+    Lease {
         /// The resource.
         name: String,
         /// Its fencing token: later leases have higher ones.
--- a/crates/control/tests/golden.rs
+++ b/crates/control/tests/golden.rs
@@ -4,7 +4,7 @@
 
 use driftfront_control::management::{self, CallError, CallReader};
 use driftfront_control::snapshot::{
-    Class, Consensus, Engine, Held, Member, Query, Roll, Service, Snapshot, Voter,
+    Class, Consensus, Engine, Lease, Member, Query, Roll, Service, Snapshot, Voter,
 };
 use driftfront_control::{challenge_in, commands, greeting, key};
 use driftfront_control::{
@@ -301,7 +301,7 @@
         name: name.into(),
         there,
     };
-    let held = |name: &str, left_s, stays| Held {
+    let held = |name: &str, left_s, stays| Lease {
         name: name.into(),
         fence: 17,
         owner: "coordinator-a".into(),
--- a/crates/coordinator/src/node/cluster/holds.rs
+++ b/crates/coordinator/src/node/cluster/holds.rs
@@ -5,7 +5,7 @@
 use crate::node::Node;
 use driftfront_cluster::consensus::leases::{Command, Outcome, MAX_TEXT_BYTES};
 use driftfront_cluster::consensus::{GrantedLease, RequestError, Role};
-use driftfront_control::snapshot::{Consensus as ConsensusView, Held, Voter};
+use driftfront_control::snapshot::{Consensus as ConsensusView, Lease, Voter};
 use driftfront_core::Micros;
 
 /// Before an operator's name of a hold: leases for other purposes have other names.
@@ -265,13 +265,13 @@
     }
 }
 
-fn hold_view(granted: GrantedLease) -> Held {
+fn hold_view(granted: GrantedLease) -> Lease {
     let lease = granted.lease;
     let name = lease
         .resource
         .strip_prefix(HOLD_PREFIX)
         .unwrap_or(&lease.resource);
-    Held {
+    Lease {
         name: name.into(),
         fence: granted.fence,
         owner: lease.owner,
