--- a/crates/coordinator/src/node/control/open.rs
+++ b/crates/coordinator/src/node/control/open.rs
@@ -99,7 +99,7 @@
             let restart = last_rolling_restart(&records);
             control
                 .rolling_restart
-                .load(restart.map(|restart| restart.restarted(now)));
+                .load(restart.map(|restart| restart.restart_stage_timer(now)));
             control.state_folder = Some(folder);
         }
         let change = self.registry.restore_records(records);
--- a/crates/coordinator/src/node/control/rolling_restart.rs
+++ b/crates/coordinator/src/node/control/rolling_restart.rs
@@ -41,14 +41,14 @@
 
     /// The record from which a restarted process goes on; one that is over leaves nothing to go on with.
     fn unfinished_record(&self) -> StateRecord {
-        let unfinished = self.current().filter(|restart| !restart.is_over());
+        let unfinished = self.current().filter(|restart| !restart.is_done());
         StateRecord::RollingRestart {
             roll: unfinished.cloned(),
         }
     }
 
     fn is_running(&self) -> bool {
-        self.current().is_some_and(|restart| !restart.is_over())
+        self.current().is_some_and(|restart| !restart.is_done())
     }
 
     /// Begins a rolling restart; its first step is due at once.
--- a/crates/engine-registry/src/rolling_restart/mod.rs
+++ b/crates/engine-registry/src/rolling_restart/mod.rs
@@ -144,7 +144,7 @@
     }
 
     /// The same in a new process, whose clock has nothing to do with the last one's: the time of the stage begins again.
-    pub fn restarted(self, now: Micros) -> RollingRestart {
+    pub fn restart_stage_timer(self, now: Micros) -> RollingRestart {
         RollingRestart { since: now, ..self }
     }
 
@@ -154,7 +154,7 @@
     }
 
     /// Whether all engines are completed.
-    pub fn is_over(&self) -> bool {
+    pub fn is_done(&self) -> bool {
         self.stage == Stage::Done
     }
 
--- a/crates/engine-registry/tests/rolling_restart.rs
+++ b/crates/engine-registry/tests/rolling_restart.rs
@@ -98,7 +98,7 @@
     let actions = roll.confirm_engine_returned(28 * S);
     apply(&mut observed, &actions);
     roll.step(60 * S, &observed);
-    assert!(roll.is_over() && roll.completed == ["a", "b"]);
+    assert!(roll.is_done() && roll.completed == ["a", "b"]);
 }
 
 #[test]
@@ -151,7 +151,7 @@
     apply(&mut observed, &actions);
     assert!(roll.step(S, &observed).is_empty() && roll.stage == Stage::WarmingUp);
     roll.step(30 * S, &observed);
-    assert!(roll.is_over());
+    assert!(roll.is_done());
 }
 
 #[test]
--- a/crates/engine-registry/tests/rolling_restart_in_new_process.rs
+++ b/crates/engine-registry/tests/rolling_restart_in_new_process.rs
@@ -43,12 +43,12 @@
 fn warm_up_begins_again_in_a_new_process_with_another_clock() {
     for written in [HOUR, 2 * HOUR, 3 * HOUR] {
         let now = 2 * HOUR;
-        let mut roll = warming(written).restarted(now);
+        let mut roll = warming(written).restart_stage_timer(now);
         roll.step(now + SECOND, &sight(false));
-        assert!(!roll.is_over(), "written at {written}: it is not warm yet");
+        assert!(!roll.is_done(), "written at {written}: it is not warm yet");
         roll.step(now + LONG, &sight(false));
         assert!(
-            roll.is_over(),
+            roll.is_done(),
             "written at {written}: it has been warm for long"
         );
     }
