--- a/crates/console/src/remote.rs
+++ b/crates/console/src/remote.rs
@@ -7,7 +7,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Longest wait for a greeting or a reply, unless [`Remote::wait_for_ever`] was called.
+/// Longest wait for a greeting or a reply, unless [`Remote::disable_timeout`] was called.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(10);
 /// Bytes read at once.
 const READ_BYTES: usize = 64 * 1024;
@@ -167,7 +167,7 @@
     /// # Errors
     ///
     /// The socket's errors.
-    pub fn wait_for_ever(&self) -> io::Result<()> {
+    pub fn disable_timeout(&self) -> io::Result<()> {
         self.stream.set_timeout(None)
     }
 
--- a/crates/console/src/run.rs
+++ b/crates/console/src/run.rs
@@ -54,7 +54,7 @@
     let mut remote = Remote::connect(at)?;
     remote.send(&Request::Events(true))?;
     remote.send(&Request::Follow(FOLLOW_MILLIS))?;
-    remote.wait_for_ever()?;
+    remote.disable_timeout()?;
     if let Ok(mut writer) = writer.lock() {
         *writer = Some(Box::new(remote.writer()?));
     }
--- a/crates/control/src/key.rs
+++ b/crates/control/src/key.rs
@@ -10,7 +10,7 @@
 }
 
 /// Whether an answer is right; takes the same time whatever is wrong with its digits.
-pub fn is_right(key: &[u8], challenge: &str, answer: &str) -> bool {
+pub fn verify_answer(key: &[u8], challenge: &str, answer: &str) -> bool {
     let digest = parse_hex(answer);
     digest.is_some_and(|digest| authenticate(key, challenge).verify_slice(&digest).is_ok())
 }
--- a/crates/control/tests/golden.rs
+++ b/crates/control/tests/golden.rs
@@ -199,7 +199,7 @@
     );
     assert_golden!("key-answer.txt", key::answer(b"a key", "c0ffee"));
     let answer = String::from_utf8(read_golden!("key-answer.txt")).expect("text");
-    assert!(key::is_right(b"a key", "c0ffee", &answer));
+    assert!(key::verify_answer(b"a key", "c0ffee", &answer));
 }
 
 fn service(asked: u64) -> Service {
--- a/crates/coordinator/src/cli/remote.rs
+++ b/crates/coordinator/src/cli/remote.rs
@@ -179,7 +179,7 @@
 /// Waits until nothing runs on an engine any more.
 fn wait_until_idle(remote: &mut Remote, engine: &str) -> Result<(), CommandError> {
     let id = remote.send(&Request::Follow(WAIT_INTERVAL_MILLIS))?;
-    remote.wait_for_ever()?;
+    remote.disable_timeout()?;
     loop {
         let Reply::Snapshot(snapshot) = remote.reply(id)? else {
             continue;
@@ -202,7 +202,7 @@
 ) -> Result<(), CommandError> {
     let id = remote.send(&Request::Events(is_following))?;
     if is_following {
-        remote.wait_for_ever()?;
+        remote.disable_timeout()?;
     }
     while let Reply::Event(at, message) = remote.reply(id)? {
         if is_json {
--- a/crates/coordinator/src/node/control/requests.rs
+++ b/crates/coordinator/src/node/control/requests.rs
@@ -44,7 +44,7 @@
         let challenge = operator.challenge.take().unwrap_or_default();
         match request {
             Request::Auth(answer) => {
-                !challenge.is_empty() && key::is_right(&self.port_key, &challenge, answer)
+                !challenge.is_empty() && key::verify_answer(&self.port_key, &challenge, answer)
             }
             _ => false,
         }
