--- a/crates/control/src/snapshot.rs
+++ b/crates/control/src/snapshot.rs
@@ -45,7 +45,7 @@
         /// Sessions, and the sticky ones among them.
         sessions: Vec<u64>,
         /// The rolling restart, if there is one.
-        roll: Option<Roll>,
+        roll: Option<RollingRestart>,
         /// The cluster's coordinators, by name, this one among them; empty where there is no cluster.
         members: Vec<Member>,
         /// The state of consensus; `None` where there is no cluster, or its log has not been opened yet.
@@ -225,7 +225,7 @@
 
 object! {
     /// A rolling restart.
-    Roll {
+    RollingRestart {
         /// Its stage: `next`, `draining`, `handed`, `warming`, `stopped` or `done`.
         stage: String,
         /// The current engine.
--- a/crates/control/tests/golden.rs
+++ b/crates/control/tests/golden.rs
@@ -4,7 +4,7 @@
 
 use driftfront_control::management::{self, CallError, CallReader};
 use driftfront_control::snapshot::{
-    Class, Consensus, Engine, Lease, Member, Query, Roll, Service, Snapshot, Voter,
+    Class, Consensus, Engine, Lease, Member, Query, RollingRestart, Service, Snapshot, Voter,
 };
 use driftfront_control::{challenge_in, commands, greeting, key};
 use driftfront_control::{
@@ -385,7 +385,7 @@
             },
         ],
         sessions: vec![12, 3],
-        roll: Some(Roll {
+        roll: Some(RollingRestart {
             stage: "draining".into(),
             engine: "engine-3".into(),
             left: vec!["engine-3".into(), "engine-5".into()],
--- a/crates/coordinator/src/node/control/snapshot.rs
+++ b/crates/coordinator/src/node/control/snapshot.rs
@@ -4,7 +4,9 @@
 use super::Control;
 use crate::node::Node;
 use crate::service_window::ServiceWindow;
-use driftfront_control::snapshot::{Class, Engine, Query, Roll as RollView, Service, Snapshot};
+use driftfront_control::snapshot::{
+    Class, Engine, Query, RollingRestart as RollView, Service, Snapshot,
+};
 use driftfront_control::Field;
 use driftfront_core::lifecycle::State;
 use driftfront_core::{EngineId, Micros};
