--- a/crates/coordinator/src/node/registry.rs
+++ b/crates/coordinator/src/node/registry.rs
@@ -21,7 +21,7 @@
                 Err(e) => tracing::warn!("known engines: {e}"),
             }
         }
-        let lines = self.registry.announced_lines();
+        let lines = self.registry.announced_engines();
         for engine in self.registry.departed_engines() {
             self.registry.forget_engine(engine);
         }
@@ -38,16 +38,16 @@
             // Sessions ended with the engine's process.
             self.frontend.engine_left(engine);
         }
-        for line in change.lines.iter().filter(|l| l.phase != Phase::Ready) {
+        for line in change.engines.iter().filter(|l| l.phase != Phase::Ready) {
             self.frontend.engine_left(line.engine);
         }
         if change.kind == ListKind::Full {
-            let unlisted = |e: &EngineId| !change.lines.iter().any(|l| l.engine == *e);
+            let unlisted = |e: &EngineId| !change.engines.iter().any(|l| l.engine == *e);
             for engine in self.core.listed_engines().into_iter().filter(unlisted) {
                 self.frontend.engine_left(engine);
             }
         }
-        self.core.update_engines(now, change.kind, &change.lines);
+        self.core.update_engines(now, change.kind, &change.engines);
         for message in &change.messages {
             self.record_event(now, message.clone());
         }
--- a/crates/coordinator/tests/wires.rs
+++ b/crates/coordinator/tests/wires.rs
@@ -491,7 +491,7 @@
         ),
     );
     assert_eq!(
-        (old.kind, old.lines[0].zone, old.lines[0].phase),
+        (old.kind, old.engines[0].zone, old.engines[0].phase),
         (ListKind::Full, 1, Phase::Ready)
     );
     let lines = [
@@ -502,10 +502,10 @@
     .join(",");
     let new = apply(&mut table, &format!("{{\"instances\":[{lines}]}}"));
     assert_eq!(
-        (new.kind, new.lines.len(), new.lines[0].phase),
+        (new.kind, new.engines.len(), new.engines[0].phase),
         (ListKind::Changes, 2, Phase::Gone)
     );
-    assert_ne!(new.lines[0].engine, new.lines[1].engine);
+    assert_ne!(new.engines[0].engine, new.engines[1].engine);
     // A new process of the same instance: old connections lead nowhere.
     let again = apply(
         &mut table,
@@ -515,11 +515,13 @@
         ),
     );
     assert_eq!(
-        (again.restarted.len(), again.lines[0].started_at),
+        (again.restarted.len(), again.engines[0].started_at),
         (1, Some(5000))
     );
-    table.forget_engine(new.lines[0].engine);
-    assert!(table.addr(new.lines[0].engine).is_none() && table.addr(new.lines[1].engine).is_some());
+    table.forget_engine(new.engines[0].engine);
+    assert!(
+        table.addr(new.engines[0].engine).is_none() && table.addr(new.engines[1].engine).is_some()
+    );
 }
 
 #[test]
@@ -545,7 +547,7 @@
     let mut table = EngineRegistry::new();
     let change = take(&mut table, &updates.remove(0));
     assert_eq!(
-        (change.kind, change.lines[0].phase),
+        (change.kind, change.engines[0].phase),
         (ListKind::Full, Phase::Ready)
     );
     assert!(
@@ -566,7 +568,7 @@
     etcd.decode(&chunk(b"\n"), &mut out, &mut updates).unwrap();
     let change = take(&mut table, &updates.remove(0));
     assert_eq!(
-        (change.kind, change.lines[0].phase),
+        (change.kind, change.engines[0].phase),
         (ListKind::Changes, Phase::Gone)
     );
     // A new connection goes on behind what was seen; a cancelled watch reads the whole range anew.
--- a/crates/engine-registry/src/change.rs
+++ b/crates/engine-registry/src/change.rs
@@ -9,7 +9,7 @@
     /// The full list, or changes to it.
     pub kind: ListKind,
     /// The lines of the list.
-    pub lines: Vec<ListedEngine>,
+    pub engines: Vec<ListedEngine>,
     /// Engines with another process or address than before: old connections lead elsewhere.
     pub restarted: Vec<EngineId>,
     /// What changed, a message each for operators.
@@ -21,7 +21,7 @@
     pub(crate) fn new(kind: ListKind) -> RegistryChange {
         RegistryChange {
             kind,
-            lines: Vec::new(),
+            engines: Vec::new(),
             restarted: Vec::new(),
             messages: Vec::new(),
         }
--- a/crates/engine-registry/src/registry/mod.rs
+++ b/crates/engine-registry/src/registry/mod.rs
@@ -112,7 +112,7 @@
     }
 
     /// All lines as the scheduler was last told them, without engines that are gone.
-    pub fn announced_lines(&self) -> Vec<ListedEngine> {
+    pub fn announced_engines(&self) -> Vec<ListedEngine> {
         let announced = self.entries.values().filter_map(|entry| entry.announced);
         announced.filter(|line| line.phase != Phase::Gone).collect()
     }
@@ -261,7 +261,7 @@
                 && line.phase == Phase::Gone
                 && (entry.description().is_none() || was_never_there);
             if !is_implied {
-                change.lines.push(line);
+                change.engines.push(line);
             }
             if !is_unchanged {
                 let before = previous.map_or("new", |previous| phase_name(previous.phase));
--- a/crates/engine-registry/tests/model.rs
+++ b/crates/engine-registry/tests/model.rs
@@ -73,7 +73,7 @@
         if change.kind != ListKind::Changes {
             self.0.values_mut().for_each(|p| *p = Phase::Gone);
         }
-        for line in &change.lines {
+        for line in &change.engines {
             self.0.insert(line.engine, line.phase);
         }
     }
--- a/crates/engine-registry/tests/orders.rs
+++ b/crates/engine-registry/tests/orders.rs
@@ -34,7 +34,7 @@
         .unwrap()
         .expect("news");
     assert_eq!(
-        (change.lines[0].phase, change.lines[0].started_at),
+        (change.engines[0].phase, change.engines[0].started_at),
         (Phase::Ready, Some(20))
     );
     assert!(registry.restore_engine(21, "x", "a").unwrap().is_none());
@@ -44,13 +44,13 @@
             ListKind::Changes,
             vec![description("a", Phase::Ready, Some(15))]
         )
-        .lines
+        .engines
         .is_empty());
     let change = registry.apply_listing(
         ListKind::Changes,
         vec![description("a", Phase::Ready, Some(30))],
     );
-    assert_eq!(change.lines[0].started_at, Some(30));
+    assert_eq!(change.engines[0].started_at, Some(30));
 }
 
 #[test]
@@ -58,7 +58,7 @@
     let mut registry = EngineRegistry::new();
     let change = registry.apply_listing(ListKind::Full, vec![description("a", Phase::Ready, None)]);
     registry.apply_listing(ListKind::Changes, vec![description("a", Phase::Gone, None)]);
-    registry.forget_engine(change.lines[0].engine);
+    registry.forget_engine(change.engines[0].engine);
     assert!(matches!(
         registry.suspend_engine(1, "x", "aa"),
         Err(Refusal::UnknownEngine { .. })
@@ -72,7 +72,7 @@
         ListKind::Changes,
         vec![description("a", Phase::Ready, Some(5))],
     );
-    assert_eq!(back.lines[0].phase, Phase::Draining);
+    assert_eq!(back.engines[0].phase, Phase::Draining);
     // Names of old do not pile up for ever; the youngest are known.
     for n in 0..MAX_KNOWN_NAMES {
         let name = format!("n{n}");
@@ -81,7 +81,7 @@
                 ListKind::Changes,
                 vec![description(&name, Phase::Ready, None)],
             )
-            .lines[0];
+            .engines[0];
         registry.apply_listing(
             ListKind::Changes,
             vec![description(&name, Phase::Gone, None)],
@@ -95,7 +95,7 @@
                 ListKind::Changes,
                 vec![description("z", Phase::Ready, None)]
             )
-            .lines
+            .engines
             .len()
             == 1
     );
