--- a/crates/console/src/app.rs
+++ b/crates/console/src/app.rs
@@ -173,9 +173,9 @@
             Key::Char('4') => self.show_tab(Tab::Events),
             Key::Char('d') => self.ask_to_drain(),
             Key::Char('r') => return self.resume_selected_engine(),
-            Key::Char('b') => return Intent::Send(Request::Back),
+            Key::Char('b') => return Intent::Send(Request::EngineReturned),
             Key::Char('s') => return Intent::Send(Request::RollStop),
-            Key::Char('g') => return Intent::Send(Request::RollGoOn),
+            Key::Char('g') => return Intent::Send(Request::RollResume),
             Key::Char('R') => self.ask_to_roll(),
             _ => {}
         }
--- a/crates/console/tests/golden.rs
+++ b/crates/console/tests/golden.rs
@@ -327,9 +327,9 @@
             }
             Intent::Send(Request::Resume(engine)) => format!("send resume {engine}"),
             Intent::Send(Request::Roll(engines, dry)) => format!("send roll {engines:?} {dry}"),
-            Intent::Send(Request::Back) => "send back".into(),
+            Intent::Send(Request::EngineReturned) => "send back".into(),
             Intent::Send(Request::RollStop) => "send roll stop".into(),
-            Intent::Send(Request::RollGoOn) => "send roll go on".into(),
+            Intent::Send(Request::RollResume) => "send roll go on".into(),
             Intent::Send(_) => panic!("no key sends this"),
         };
         let tab = TABS.iter().position(|t| t.0 == app.tab).expect("a tab");
--- a/crates/control/src/request.rs
+++ b/crates/control/src/request.rs
@@ -55,7 +55,7 @@
     /// `roll`: begins a rolling restart of these engines, or of all; with `true` only says what it would do.
     Roll(Vec<String>, bool),
     /// `back`: the engine that a rolling restart has handed over is back.
-    Back,
+    EngineReturned,
     /// `hold`: takes a hold over the whole cluster.
     Hold {
         /// Its name: of one name only one is held.
@@ -72,7 +72,7 @@
     /// `roll_stop`: stops the rolling restart.
     RollStop,
     /// `roll_go_on`: lets a stopped rolling restart continue.
-    RollGoOn,
+    RollResume,
     /// `auth`: the answer to a challenge.
     Auth(String),
 }
@@ -128,11 +128,11 @@
             Request::Add { .. } => "add",
             Request::Remove { .. } => "remove",
             Request::Roll(..) => "roll",
-            Request::Back => "back",
+            Request::EngineReturned => "back",
             Request::Hold { .. } => "hold",
             Request::Unhold(_) => "unhold",
             Request::RollStop => "roll_stop",
-            Request::RollGoOn => "roll_go_on",
+            Request::RollResume => "roll_go_on",
             Request::Auth(_) => "auth",
         }
     }
@@ -142,9 +142,9 @@
             Request::Snapshot
             | Request::Pause
             | Request::Unpause
-            | Request::Back
+            | Request::EngineReturned
             | Request::RollStop
-            | Request::RollGoOn => object,
+            | Request::RollResume => object,
             Request::Follow(millis) => object.with("every_ms", millis),
             Request::Events(follow) => object.with("follow", follow),
             Request::Drain { engine, force } | Request::Remove { engine, force } => {
@@ -214,7 +214,7 @@
                 force: flag("force"),
             },
             "roll" => Request::Roll(object.get_texts("engines"), flag("dry_run")),
-            "back" => Request::Back,
+            "back" => Request::EngineReturned,
             "hold" => Request::Hold {
                 name: required("name")?,
                 for_s: object
@@ -225,7 +225,7 @@
             },
             "unhold" => Request::Unhold(required("name")?),
             "roll_stop" => Request::RollStop,
-            "roll_go_on" => Request::RollGoOn,
+            "roll_go_on" => Request::RollResume,
             "auth" => Request::Auth(required("answer")?),
             other => {
                 let shown = other.chars().take(MAX_SHOWN_NAME_CHARS).collect();
--- a/crates/control/tests/golden.rs
+++ b/crates/control/tests/golden.rs
@@ -67,7 +67,7 @@
         },
         Request::Roll(vec![engine(), "b\"\n".into()], true),
         Request::Roll(Vec::new(), false),
-        Request::Back,
+        Request::EngineReturned,
         Request::Hold {
             name: "room-a".into(),
             for_s: 600,
@@ -76,7 +76,7 @@
         },
         Request::Unhold("room-a".into()),
         Request::RollStop,
-        Request::RollGoOn,
+        Request::RollResume,
         Request::Auth("00ff".into()),
     ]
 }
--- a/crates/control/tests/protocol.rs
+++ b/crates/control/tests/protocol.rs
@@ -34,9 +34,9 @@
             note: "a fan".into(),
         },
         Request::Unhold("room-a".into()),
-        Request::Back,
+        Request::EngineReturned,
         Request::RollStop,
-        Request::RollGoOn,
+        Request::RollResume,
         Request::Auth("00ff".into()),
     ] {
         assert_eq!(
--- a/crates/coordinator/src/cli/remote.rs
+++ b/crates/coordinator/src/cli/remote.rs
@@ -127,9 +127,9 @@
     }
     expect_no_more(arguments)?;
     match (is_back, is_stop, is_go_on) {
-        (true, false, false) => Ok(Request::Back),
+        (true, false, false) => Ok(Request::EngineReturned),
         (false, true, false) => Ok(Request::RollStop),
-        (false, false, true) => Ok(Request::RollGoOn),
+        (false, false, true) => Ok(Request::RollResume),
         (false, false, false) => Ok(Request::Roll(engines, is_dry_run)),
         _ => Err(CommandError::ConflictingRollOptions),
     }
--- a/crates/coordinator/src/node/control/requests.rs
+++ b/crates/coordinator/src/node/control/requests.rs
@@ -147,9 +147,9 @@
             Request::Roll(engines, is_dry_run) => {
                 self.begin_rolling_restart(now, engines, is_dry_run)
             }
-            Request::Back => self.confirm_engine_returned(now),
+            Request::EngineReturned => self.confirm_engine_returned(now),
             Request::RollStop => self.stop_rolling_restart(now),
-            Request::RollGoOn => self.resume_rolling_restart(now),
+            Request::RollResume => self.resume_rolling_restart(now),
         }
     }
 
