--- a/crates/console/src/messages/alarms.rs
+++ b/crates/console/src/messages/alarms.rs
@@ -85,7 +85,7 @@
 }
 
 fn service_alarm(class: &Class) -> Option<String> {
-    let share = class.minute.share();
+    let share = class.minute.in_time_share();
     if class.minute.asked < MIN_JUDGED_REQUESTS || share >= MIN_IN_TIME_SHARE {
         return None;
     }
--- a/crates/console/src/messages/units.rs
+++ b/crates/console/src/messages/units.rs
@@ -31,7 +31,7 @@
     if service.asked == 0 {
         return "-".into();
     }
-    format!("{:.0}%", service.share() * 100.0)
+    format!("{:.0}%", service.in_time_share() * 100.0)
 }
 
 /// A number of things; small ones in letters.
--- a/crates/control/src/snapshot.rs
+++ b/crates/control/src/snapshot.rs
@@ -241,7 +241,7 @@
 
 impl Service {
     /// Share served within the wanted time, of what was asked; 1 where nothing was.
-    pub fn share(&self) -> f64 {
+    pub fn in_time_share(&self) -> f64 {
         if self.asked == 0 {
             1.0
         } else {
