--- a/crates/console/src/app.rs
+++ b/crates/console/src/app.rs
@@ -48,7 +48,7 @@
 
 /// What is to be done after a key.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Intent {
+pub enum Action {
     /// Nothing but showing.
     Nothing,
     /// Ask the program.
@@ -59,7 +59,7 @@
 
 /// A question before an action that is not easily undone.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Question {
+pub struct Confirmation {
     /// The question itself.
     pub text: String,
     /// What `y` sends.
@@ -80,9 +80,9 @@
     /// What happened, the latest last: when (Unix microseconds), and what.
     pub events: VecDeque<(u64, String)>,
     /// The question that waits for an answer.
-    pub question: Option<Question>,
+    pub confirmation: Option<Confirmation>,
     /// The answer to the last command.
-    pub answer: Option<String>,
+    pub status_message: Option<String>,
     /// The help is shown.
     pub is_help_shown: bool,
 }
@@ -102,8 +102,8 @@
             tab: Tab::Engines,
             selected_row: 0,
             events: VecDeque::new(),
-            question: None,
-            answer: None,
+            confirmation: None,
+            status_message: None,
             is_help_shown: false,
         }
     }
@@ -122,14 +122,14 @@
                 }
                 self.events.push_back((at, text));
             }
-            Reply::Done(text) | Reply::Refused(text) => self.answer = Some(text),
+            Reply::Done(text) | Reply::Refused(text) => self.status_message = Some(text),
         }
     }
 
     /// The program can't be reached; a question is dropped, since its answer could not be sent.
     pub fn handle_disconnect(&mut self, reason: &str) {
         self.disconnected = Some(reason.into());
-        self.question = None;
+        self.confirmation = None;
     }
 
     /// The number of rows of the tab that is shown.
@@ -153,16 +153,16 @@
     }
 
     /// Handles a key, and says what is to be done.
-    pub fn handle_key(&mut self, key: Key) -> Intent {
-        if let Some(question) = self.question.take() {
-            return self.answer_question(question, key);
+    pub fn handle_key(&mut self, key: Key) -> Action {
+        if let Some(question) = self.confirmation.take() {
+            return self.resolve_confirmation(question, key);
         }
         if self.is_help_shown {
             self.is_help_shown = false;
-            return Intent::Nothing;
+            return Action::Nothing;
         }
         match key {
-            Key::Char('q') | Key::Escape => return Intent::Quit,
+            Key::Char('q') | Key::Escape => return Action::Quit,
             Key::Char('?' | 'h') => self.is_help_shown = true,
             Key::Up | Key::Char('k') => self.select_row(self.selected_row.saturating_sub(1)),
             Key::Down | Key::Char('j') => self.select_row(self.selected_row + 1),
@@ -173,13 +173,13 @@
             Key::Char('4') => self.show_tab(Tab::Events),
             Key::Char('d') => self.ask_to_drain(),
             Key::Char('r') => return self.resume_selected_engine(),
-            Key::Char('b') => return Intent::Send(Request::EngineReturned),
-            Key::Char('s') => return Intent::Send(Request::RollStop),
-            Key::Char('g') => return Intent::Send(Request::RollResume),
+            Key::Char('b') => return Action::Send(Request::EngineReturned),
+            Key::Char('s') => return Action::Send(Request::RollStop),
+            Key::Char('g') => return Action::Send(Request::RollResume),
             Key::Char('R') => self.ask_to_roll(),
             _ => {}
         }
-        Intent::Nothing
+        Action::Nothing
     }
 
     /// Selects a row, or the last one where there are fewer.
@@ -187,26 +187,26 @@
         self.selected_row = row.min(self.row_count().saturating_sub(1));
     }
 
-    fn resume_selected_engine(&self) -> Intent {
+    fn resume_selected_engine(&self) -> Action {
         match self.selected_engine() {
-            Some(engine) => Intent::Send(Request::Resume(engine.name.clone())),
-            None => Intent::Nothing,
+            Some(engine) => Action::Send(Request::Resume(engine.name.clone())),
+            None => Action::Nothing,
         }
     }
 
     fn ask_to_roll(&mut self) {
-        self.question = Some(Question {
+        self.confirmation = Some(Confirmation {
             text: "Take all engines out one after another, for repair or restart? (y/n)".into(),
             request: Request::Roll(Vec::new(), false),
         });
     }
 
-    fn answer_question(&mut self, question: Question, key: Key) -> Intent {
+    fn resolve_confirmation(&mut self, question: Confirmation, key: Key) -> Action {
         match key {
-            Key::Char('y' | 'Y') => Intent::Send(question.request),
+            Key::Char('y' | 'Y') => Action::Send(question.request),
             _ => {
-                self.answer = Some("Left as it was.".into());
-                Intent::Nothing
+                self.status_message = Some("Left as it was.".into());
+                Action::Nothing
             }
         }
     }
@@ -226,7 +226,7 @@
 
     fn ask_to_drain(&mut self) {
         let Some(engine) = self.selected_engine().cloned() else {
-            self.answer = Some("Choose an engine first: 1, then up and down.".into());
+            self.status_message = Some("Choose an engine first: 1, then up and down.".into());
             return;
         };
         let ready = self
@@ -248,7 +248,7 @@
                 engine.name
             )
         };
-        self.question = Some(Question {
+        self.confirmation = Some(Confirmation {
             text,
             request: Request::Drain {
                 engine: engine.name,
--- a/crates/console/src/run.rs
+++ b/crates/console/src/run.rs
@@ -1,8 +1,8 @@
 //! The console on a real terminal. One thread reads the program's replies, the main one keys; neither holds up the other.
 
-use crate::app::{App, Intent, Key};
+use crate::app::{Action, App, Key};
 use crate::remote::{Endpoint, Remote};
-use crate::screen::{draw, Look};
+use crate::screen::{draw, Theme};
 use driftfront_control::{Reply, Request};
 use ratatui::crossterm::event::{self, Event, KeyCode, KeyEventKind, KeyModifiers};
 use ratatui::crossterm::terminal::{
@@ -98,14 +98,14 @@
     std::thread::spawn(move || keep_connected(&at, &sender, &thread_writer));
     enable_raw_mode()?;
     execute!(io::stdout(), EnterAlternateScreen, cursor::Hide)?;
-    let result = show(&messages, &writer, Look { color });
+    let result = show(&messages, &writer, Theme { color });
     // Whatever happened, the terminal is left as it was found.
     let _ = execute!(io::stdout(), LeaveAlternateScreen, cursor::Show);
     let _ = disable_raw_mode();
     result
 }
 
-fn show(messages: &Receiver<Message>, writer: &Writer, look: Look) -> io::Result<()> {
+fn show(messages: &Receiver<Message>, writer: &Writer, theme: Theme) -> io::Result<()> {
     let mut terminal = Terminal::new(CrosstermBackend::new(io::stdout()))?;
     let mut app = App::new();
     let mut is_changed = true;
@@ -113,7 +113,7 @@
         is_changed |= handle_messages(&mut app, messages);
         if is_changed {
             // Only what differs is written: a slow line carries little.
-            terminal.draw(|frame| draw(&app, look, frame.area(), frame.buffer_mut()))?;
+            terminal.draw(|frame| draw(&app, theme, frame.area(), frame.buffer_mut()))?;
             is_changed = false;
         }
         if !event::poll(KEY_TIMEOUT)? {
@@ -123,11 +123,12 @@
         is_changed = true;
         let Some(key) = key(&event) else { continue };
         match app.handle_key(key) {
-            Intent::Nothing => {}
-            Intent::Quit => return Ok(()),
-            Intent::Send(request) => {
+            Action::Nothing => {}
+            Action::Quit => return Ok(()),
+            Action::Send(request) => {
                 if !send(writer, &request)? {
-                    app.answer = Some("The program can't be reached: nothing was done.".into());
+                    app.status_message =
+                        Some("The program can't be reached: nothing was done.".into());
                 }
             }
         }
--- a/crates/console/src/screen.rs
+++ b/crates/console/src/screen.rs
@@ -30,12 +30,12 @@
 
 /// How parts of the screen are set off from each other.
 #[derive(Clone, Copy, Debug)]
-pub struct Look {
+pub struct Theme {
     /// With colours; else by weight and inversion alone.
     pub color: bool,
 }
 
-impl Look {
+impl Theme {
     fn alarm(self) -> Style {
         let style = Style::default().add_modifier(Modifier::BOLD);
         if self.color {
@@ -103,7 +103,7 @@
 }
 
 /// Draws all of it.
-pub fn draw(app: &App, look: Look, area: Rect, buffer: &mut Buffer) {
+pub fn draw(app: &App, theme: Theme, area: Rect, buffer: &mut Buffer) {
     let line = 0;
     let mut writer = LineWriter { buffer, area, line };
     let title = app.snapshot.as_ref().map(messages::title);
@@ -113,23 +113,23 @@
         draw_help(&mut writer);
         return;
     }
-    draw_alarms(app, look, &mut writer);
-    let dialog = app.question.as_ref().map(|question| &question.text);
-    let dialog = dialog.or(app.answer.as_ref());
+    draw_alarms(app, theme, &mut writer);
+    let dialog = app.confirmation.as_ref().map(|question| &question.text);
+    let dialog = dialog.or(app.status_message.as_ref());
     let dialog = dialog.map_or(Vec::new(), |text| wrap_text(text, writer.width()));
     let bottom = dialog.len() + FOOTER_LINES;
     let table_lines = writer.lines_left().saturating_sub(bottom);
-    draw_tab(app, look, &mut writer, table_lines);
+    draw_tab(app, theme, &mut writer, table_lines);
     writer.skip_to_last(bottom);
-    let dialog_style = match app.question {
-        Some(_) => look.alarm(),
+    let dialog_style = match app.confirmation {
+        Some(_) => theme.alarm(),
         None => Style::default(),
     };
     for line in &dialog {
         writer.write(line, dialog_style);
     }
-    writer.write(&tab_line(app.tab, writer.width()), look.dim());
-    writer.write(&app.key_line(writer.width()), look.dim());
+    writer.write(&tab_line(app.tab, writer.width()), theme.dim());
+    writer.write(&app.key_line(writer.width()), theme.dim());
 }
 
 fn draw_help(writer: &mut LineWriter) {
@@ -139,17 +139,17 @@
     }
 }
 
-fn draw_alarms(app: &App, look: Look, writer: &mut LineWriter) {
+fn draw_alarms(app: &App, theme: Theme, writer: &mut LineWriter) {
     let alarms = app.alarms();
     let max_lines = (usize::from(writer.area.height) / ALARMS_FRACTION).max(MIN_ALARM_LINES);
     let width = writer.width();
     let lines: Vec<String> = alarms.iter().flat_map(|a| wrap_text(a, width)).collect();
     for line in lines.iter().take(max_lines) {
-        writer.write(line, look.alarm());
+        writer.write(line, theme.alarm());
     }
     if lines.len() > max_lines {
         let more = format!("... {} in all; --plain tells them", alarms.len());
-        writer.write(&more, look.dim());
+        writer.write(&more, theme.dim());
     }
     if alarms.is_empty() {
         writer.write("All is well.", Style::default());
@@ -174,27 +174,27 @@
     }
 }
 
-fn draw_tab(app: &App, look: Look, writer: &mut LineWriter, max_lines: usize) {
+fn draw_tab(app: &App, theme: Theme, writer: &mut LineWriter, max_lines: usize) {
     let Some(s) = &app.snapshot else { return };
     let table = match app.tab {
         Tab::Engines => messages::engine_table(s),
         Tab::Service => messages::class_table(s),
         Tab::Queries => messages::query_table(s),
-        Tab::Events => return draw_events(app, look, writer, max_lines),
+        Tab::Events => return draw_events(app, theme, writer, max_lines),
     };
     if max_lines == 0 {
         return;
     }
     let widths = column_widths(&table, writer.width());
     let heads: Vec<String> = table.heads.iter().map(ToString::to_string).collect();
-    writer.write(&format_row(&heads, &widths), look.head());
-    draw_rows(app, look, writer, &table, &widths, max_lines - 1);
+    writer.write(&format_row(&heads, &widths), theme.head());
+    draw_rows(app, theme, writer, &table, &widths, max_lines - 1);
 }
 
 /// Draws the rows around the selected one.
 fn draw_rows(
     app: &App,
-    look: Look,
+    theme: Theme,
     writer: &mut LineWriter,
     table: &Table,
     widths: &[usize],
@@ -207,10 +207,10 @@
         let text = format_row(row, widths);
         if has_selection && index == app.selected_row {
             // The mark shows the selection without colours or inversion as well.
-            writer.write(&format!("{text} <"), look.selected());
+            writer.write(&format!("{text} <"), theme.selected());
         } else if has_selection {
             let state = row.get(STATE_COLUMN).map_or("", String::as_str);
-            writer.write(&text, look.engine(state));
+            writer.write(&text, theme.engine(state));
         } else {
             writer.write(&text, Style::default());
         }
@@ -224,7 +224,7 @@
         .min(rows.saturating_sub(max_lines))
 }
 
-fn draw_events(app: &App, look: Look, writer: &mut LineWriter, max_lines: usize) {
+fn draw_events(app: &App, theme: Theme, writer: &mut LineWriter, max_lines: usize) {
     let now = app.snapshot.as_ref().map_or(0, |s| s.at);
     let first = first_shown(app.selected_row, app.events.len(), max_lines);
     for (at, text) in app.events.iter().skip(first).take(max_lines) {
@@ -232,6 +232,6 @@
         writer.write(&format!("{ago:>7} ago  {text}"), Style::default());
     }
     if app.events.is_empty() && max_lines > 0 {
-        writer.write("Nothing has happened yet.", look.dim());
+        writer.write("Nothing has happened yet.", theme.dim());
     }
 }
--- a/crates/console/tests/app.rs
+++ b/crates/console/tests/app.rs
@@ -1,6 +1,6 @@
 //! The console's state: what keys do.
 
-use driftfront_console::app::{App, Intent, Key, MAX_EVENTS};
+use driftfront_console::app::{Action, App, Key, MAX_EVENTS};
 use driftfront_control::snapshot::Engine;
 use driftfront_control::snapshot::Snapshot;
 use driftfront_control::{Reply, Request};
@@ -24,18 +24,18 @@
 fn drain_is_asked_for_and_only_y_sends_it() {
     let mut app = app(&["ready", "ready"]);
     app.handle_key(Key::Down);
-    assert_eq!(app.handle_key(Key::Char('d')), Intent::Nothing);
+    assert_eq!(app.handle_key(Key::Char('d')), Action::Nothing);
     assert!(app
-        .question
+        .confirmation
         .as_ref()
         .is_some_and(|q| q.text.starts_with("Drain engine-1?")));
-    assert_eq!(app.handle_key(Key::Char('x')), Intent::Nothing);
+    assert_eq!(app.handle_key(Key::Char('x')), Action::Nothing);
     app.handle_key(Key::Char('d'));
     let drain = Request::Drain {
         engine: "engine-1".into(),
         force: false,
     };
-    assert_eq!(app.handle_key(Key::Char('y')), Intent::Send(drain));
+    assert_eq!(app.handle_key(Key::Char('y')), Action::Send(drain));
 }
 
 #[test]
@@ -43,14 +43,14 @@
     let mut app = app(&["ready", "draining"]);
     app.handle_key(Key::Char('d'));
     assert!(app
-        .question
+        .confirmation
         .as_ref()
         .is_some_and(|q| q.text.contains("LAST engine")));
     let drain = Request::Drain {
         engine: "engine-0".into(),
         force: true,
     };
-    assert_eq!(app.handle_key(Key::Char('y')), Intent::Send(drain));
+    assert_eq!(app.handle_key(Key::Char('y')), Action::Send(drain));
 }
 
 #[test]
@@ -64,7 +64,7 @@
     assert_eq!(app.events.len(), MAX_EVENTS);
     app.handle_disconnect("refused");
     assert!(app.alarms()[0].contains("can't be reached"));
-    assert_eq!(app.handle_key(Key::Char('q')), Intent::Quit);
+    assert_eq!(app.handle_key(Key::Char('q')), Action::Quit);
 }
 
 #[test]
--- a/crates/console/tests/golden.rs
+++ b/crates/console/tests/golden.rs
@@ -1,9 +1,9 @@
 //! What staff see, character for character, for the snapshot of the protocol's golden files; see `golden/README.md`.
 #![allow(clippy::too_many_lines, reason = "tests list their cases")]
 
-use driftfront_console::app::{App, Intent, Key, Tab, TABS};
+use driftfront_console::app::{Action, App, Key, Tab, TABS};
 use driftfront_console::messages;
-use driftfront_console::screen::{draw, Look};
+use driftfront_console::screen::{draw, Theme};
 use driftfront_control::snapshot::{Class, Consensus, Engine, Service, Snapshot, Voter};
 use driftfront_control::{Reply, Request};
 use driftfront_test_support::assert_golden;
@@ -245,7 +245,7 @@
 fn screen(app: &App, width: u16, height: u16, color: bool, styles: bool) -> String {
     let area = Rect::new(0, 0, width, height);
     let mut buffer = Buffer::empty(area);
-    draw(app, Look { color }, area, &mut buffer);
+    draw(app, Theme { color }, area, &mut buffer);
     let mut text = String::new();
     for y in 0..height {
         let line: String = (0..width).map(|x| buffer[(x, y)].symbol()).collect();
@@ -320,17 +320,17 @@
         Key::Escape,
     ] {
         let done = match app.handle_key(key) {
-            Intent::Nothing => "nothing".to_string(),
-            Intent::Quit => "quit".into(),
-            Intent::Send(Request::Drain { engine, force }) => {
+            Action::Nothing => "nothing".to_string(),
+            Action::Quit => "quit".into(),
+            Action::Send(Request::Drain { engine, force }) => {
                 format!("send drain {engine} force {force}")
             }
-            Intent::Send(Request::Resume(engine)) => format!("send resume {engine}"),
-            Intent::Send(Request::Roll(engines, dry)) => format!("send roll {engines:?} {dry}"),
-            Intent::Send(Request::EngineReturned) => "send back".into(),
-            Intent::Send(Request::RollStop) => "send roll stop".into(),
-            Intent::Send(Request::RollResume) => "send roll go on".into(),
-            Intent::Send(_) => panic!("no key sends this"),
+            Action::Send(Request::Resume(engine)) => format!("send resume {engine}"),
+            Action::Send(Request::Roll(engines, dry)) => format!("send roll {engines:?} {dry}"),
+            Action::Send(Request::EngineReturned) => "send back".into(),
+            Action::Send(Request::RollStop) => "send roll stop".into(),
+            Action::Send(Request::RollResume) => "send roll go on".into(),
+            Action::Send(_) => panic!("no key sends this"),
         };
         let tab = TABS.iter().position(|t| t.0 == app.tab).expect("a tab");
         let _ = writeln!(
@@ -339,8 +339,8 @@
             tab + 1,
             app.selected_row,
             app.is_help_shown,
-            app.answer.as_deref().unwrap_or(""),
-            app.question.as_ref().map_or("", |q| &q.text)
+            app.status_message.as_deref().unwrap_or(""),
+            app.confirmation.as_ref().map_or("", |q| &q.text)
         );
     }
     app.tab = Tab::Engines;
@@ -352,10 +352,14 @@
     let _ = writeln!(
         text,
         "the last: {}",
-        app.question.as_ref().map_or("", |q| &q.text)
+        app.confirmation.as_ref().map_or("", |q| &q.text)
     );
     app.handle_reply(Reply::Refused("no".into()));
-    let _ = writeln!(text, "said {:?}", app.answer.as_deref().unwrap_or(""));
+    let _ = writeln!(
+        text,
+        "said {:?}",
+        app.status_message.as_deref().unwrap_or("")
+    );
     for width in [10, 14, 37, 40, 84, 120] {
         let _ = writeln!(text, "keys {width}: {}", app.key_line(width));
     }
--- a/crates/console/tests/screen.rs
+++ b/crates/console/tests/screen.rs
@@ -1,7 +1,7 @@
 //! The console's screens, drawn without a terminal.
 
 use driftfront_console::app::{App, Key};
-use driftfront_console::screen::{draw, Look};
+use driftfront_console::screen::{draw, Theme};
 use driftfront_control::snapshot::{Class, Engine, Service, Snapshot};
 use driftfront_control::Reply;
 use ratatui::buffer::Buffer;
@@ -47,7 +47,7 @@
 fn text(app: &App, width: u16, height: u16) -> Vec<String> {
     let area = Rect::new(0, 0, width, height);
     let mut buffer = Buffer::empty(area);
-    draw(app, Look { color: false }, area, &mut buffer);
+    draw(app, Theme { color: false }, area, &mut buffer);
     let line = |y| {
         (0..width)
             .map(|x| buffer[(x, y)].symbol())
@@ -91,7 +91,7 @@
         .any(|l| l.starts_with("engine-12") && l.ends_with('<')));
     app.handle_key(Key::Char('d'));
     assert!(text(&app, 40, 12).join(" ").contains("Drain engine-12?"));
-    app.question = None;
+    app.confirmation = None;
     app.handle_key(Key::Char('2'));
     assert!(text(&app, 80, 24).join(" ").contains("lookup"));
     app.handle_key(Key::Char('?'));
