--- a/crates/engine-registry/src/handover.rs
+++ b/crates/engine-registry/src/handover.rs
@@ -44,10 +44,10 @@
     Version(String),
     /// It is no hand-over file.
     #[error("it is no handover file")]
-    NotOurs,
+    NotHandoverFile,
     /// It is not complete.
     #[error("it is not whole")]
-    Cut,
+    Truncated,
     /// It is complete, but its bytes are not those that were written.
     #[error("its checksum does not fit")]
     Checksum,
@@ -76,12 +76,14 @@
     let Some(rest) = bytes.strip_prefix(HEADER) else {
         return Err(foreign_file(bytes));
     };
-    let (head, text) = rest.split_first_chunk::<8>().ok_or(HandoverError::Cut)?;
+    let (head, text) = rest
+        .split_first_chunk::<8>()
+        .ok_or(HandoverError::Truncated)?;
     let [a, b, c, d, checksum @ ..] = *head;
     let length = u32::from_le_bytes([a, b, c, d]) as usize;
     match text.len().cmp(&length) {
-        Ordering::Less => return Err(HandoverError::Cut),
-        Ordering::Greater => return Err(HandoverError::NotOurs),
+        Ordering::Less => return Err(HandoverError::Truncated),
+        Ordering::Greater => return Err(HandoverError::NotHandoverFile),
         Ordering::Equal => {}
     }
     if crc32fast::hash(text) != u32::from_le_bytes(checksum) {
@@ -103,8 +105,8 @@
         Some(version) if is_complete && version != VERSION => {
             HandoverError::Version(version.into())
         }
-        _ if HEADER.starts_with(bytes) => HandoverError::Cut,
-        _ => HandoverError::NotOurs,
+        _ if HEADER.starts_with(bytes) => HandoverError::Truncated,
+        _ => HandoverError::NotHandoverFile,
     }
 }
 
--- a/crates/engine-registry/src/record.rs
+++ b/crates/engine-registry/src/record.rs
@@ -66,10 +66,10 @@
 pub enum Damage {
     /// The file ends inside its header.
     #[error("it was cut while it was begun")]
-    HeaderCut,
+    TruncatedHeader,
     /// The file ends inside a record.
     #[error("it ends in the middle of a record")]
-    RecordCut,
+    TruncatedRecord,
     /// A record's length is beyond [`MAX_RECORD_BYTES`].
     #[error("a record of {0} bytes can't be")]
     RecordTooLong(usize),
@@ -78,7 +78,7 @@
     Checksum,
     /// A record's text is of no known form.
     #[error("a record can't be read")]
-    UnknownRecord,
+    InvalidRecord,
 }
 
 /// Why a file can't be used at all; it is left as it is.
@@ -89,7 +89,7 @@
     Newer(String),
     /// It is no state file.
     #[error("this is no state file of driftfront: it is left as it is")]
-    NotOurs,
+    NotStateFile,
 }
 
 /// A record's bytes in a file.
@@ -123,7 +123,7 @@
         return Ok(StateFile {
             records: Vec::new(),
             valid_bytes: 0,
-            damage: (!bytes.is_empty()).then_some(Damage::HeaderCut),
+            damage: (!bytes.is_empty()).then_some(Damage::TruncatedHeader),
         });
     }
     if !bytes.starts_with(HEADER) {
@@ -154,7 +154,7 @@
     let line = String::from_utf8_lossy(&line[..line.len().min(MAX_FOREIGN_LINE_BYTES)]);
     match line.strip_prefix(HEADER_NAME) {
         Some(version) if version != VERSION => StateFileError::Newer(version.into()),
-        _ => StateFileError::NotOurs,
+        _ => StateFileError::NotStateFile,
     }
 }
 
@@ -162,18 +162,18 @@
 fn read_record(bytes: &[u8]) -> Result<(StateRecord, usize), Damage> {
     let (head, rest) = bytes
         .split_first_chunk::<RECORD_HEAD_BYTES>()
-        .ok_or(Damage::RecordCut)?;
+        .ok_or(Damage::TruncatedRecord)?;
     let [a, b, c, d, checksum @ ..] = *head;
     let length = u32::from_le_bytes([a, b, c, d]) as usize;
     if length > MAX_RECORD_BYTES {
         return Err(Damage::RecordTooLong(length));
     }
-    let text = rest.get(..length).ok_or(Damage::RecordCut)?;
+    let text = rest.get(..length).ok_or(Damage::TruncatedRecord)?;
     if crc32fast::hash(text) != u32::from_le_bytes(checksum) {
         return Err(Damage::Checksum);
     }
     let record = std::str::from_utf8(text).ok().and_then(parse_record);
-    let record = record.ok_or(Damage::UnknownRecord)?;
+    let record = record.ok_or(Damage::InvalidRecord)?;
     Ok((record, RECORD_HEAD_BYTES + length))
 }
 
--- a/crates/engine-registry/src/registry/mod.rs
+++ b/crates/engine-registry/src/registry/mod.rs
@@ -55,7 +55,7 @@
     orders: OrderBook,
     known_names: KnownNames,
     /// Descriptions of sources that could not be used: the count shows that a bound was reached.
-    pub left_out: u64,
+    pub rejected_descriptions: u64,
 }
 
 impl EngineRegistry {
@@ -141,7 +141,7 @@
             match self.record_description(description, Origin::Source, &mut change) {
                 Ok(()) => drop(listed.insert(name)),
                 Err(refusal) => {
-                    self.left_out += 1;
+                    self.rejected_descriptions += 1;
                     change.messages.push(refusal.to_string());
                 }
             }
--- a/crates/engine-registry/tests/handover.rs
+++ b/crates/engine-registry/tests/handover.rs
@@ -29,7 +29,7 @@
     for cut in 0..bytes.len() {
         assert_eq!(
             decode(&bytes[..cut]),
-            Err(HandoverError::Cut),
+            Err(HandoverError::Truncated),
             "cut at {cut}"
         );
         let mut changed = bytes.clone();
@@ -44,9 +44,12 @@
     assert_eq!(decode(&newer), Err(HandoverError::Version("2".into())));
     assert_eq!(
         decode(&[&bytes[..], b"x"].concat()),
-        Err(HandoverError::NotOurs)
+        Err(HandoverError::NotHandoverFile)
+    );
+    assert_eq!(
+        decode(b"something else\n"),
+        Err(HandoverError::NotHandoverFile)
     );
-    assert_eq!(decode(b"something else\n"), Err(HandoverError::NotOurs));
 }
 
 #[test]
--- a/crates/engine-registry/tests/record.rs
+++ b/crates/engine-registry/tests/record.rs
@@ -92,7 +92,7 @@
     );
     assert_eq!(
         decode_file(b"{\"instances\":[]}, which is something else"),
-        Err(StateFileError::NotOurs)
+        Err(StateFileError::NotStateFile)
     );
     assert!(decode_file(b"").expect("new").damage.is_none());
 }
