--- a/crates/engine-registry/src/change.rs
+++ b/crates/engine-registry/src/change.rs
@@ -1,4 +1,4 @@
-//! What a change of the registry means to the scheduler and to operators.
+//! Changes of the registry, as reported to the scheduler and to operators.
 
 use crate::record::StateRecord;
 use driftfront_scheduler::{EngineId, ListKind, ListedEngine, Phase};
@@ -6,18 +6,18 @@
 /// A change to the engine list, in the scheduler's terms.
 #[derive(Clone, Debug)]
 pub struct RegistryChange {
-    /// The full list, or changes to it.
+    /// Whether `lines` is the full list or an update to it.
     pub kind: ListKind,
-    /// The lines of the list.
+    /// The listed engines.
     pub engines: Vec<ListedEngine>,
-    /// Engines with another process or address than before: old connections lead elsewhere.
+    /// Engines with another process or address than before: connections to the old one are obsolete.
     pub restarted: Vec<EngineId>,
-    /// What changed, a message each for operators.
+    /// One message per change, for operators.
     pub messages: Vec<String>,
 }
 
 impl RegistryChange {
-    /// A change of this kind without any line yet.
+    /// An empty change of this kind.
     pub(crate) fn new(kind: ListKind) -> RegistryChange {
         RegistryChange {
             kind,
@@ -28,10 +28,10 @@
     }
 }
 
-/// What a command has changed, and the records of it that the host writes down.
+/// The change that a command made, and the records that the host has to store for it.
 pub type RegistryUpdate = (RegistryChange, Vec<StateRecord>);
 
-/// A phase as operators read it.
+/// The phase as displayed to operators.
 pub fn phase_name(phase: Phase) -> &'static str {
     match phase {
         Phase::Ready => "ready",
--- a/crates/engine-registry/src/command.rs
+++ b/crates/engine-registry/src/command.rs
@@ -1,4 +1,4 @@
-//! Operators' commands, and why one is refused.
+//! Operators' commands, and the reasons for which they are refused.
 
 use crate::order::{describe_active_order, ActiveOrder};
 use crate::{EngineDescription, MAX_ENGINES, MAX_NAME_BYTES, MAX_ORDERS};
@@ -10,7 +10,7 @@
     Drain {
         /// The engine.
         engine: String,
-        /// Also the last engine that is ready.
+        /// Drain it even if it is the last ready engine.
         force: bool,
     },
     /// Lifts a drain.
@@ -20,14 +20,14 @@
     },
     /// Adds an engine that no source lists, or lifts its removal.
     Add {
-        /// What is known of it; its phase is ignored.
+        /// The description of the engine; its phase is ignored.
         description: EngineDescription,
     },
     /// See [`Order::Remove`](crate::Order::Remove).
     Remove {
         /// The engine.
         engine: String,
-        /// Also while it is ready.
+        /// Remove it even if it is ready.
         force: bool,
     },
 }
@@ -38,12 +38,12 @@
     /// There is no engine of this name.
     #[error("there is no engine {engine}{}", suggestion(.nearest.as_deref()))]
     UnknownEngine {
-        /// The name as it was given.
+        /// The name as given.
         engine: String,
-        /// The known name that may be meant, if one is near.
+        /// The closest known name, if there is a similar one.
         nearest: Option<String>,
     },
-    /// An order about the engine holds already.
+    /// An order for the engine is already in force.
     #[error("{engine} {}", describe_active_order(.active_order))]
     AlreadyOrdered {
         /// The engine.
@@ -51,37 +51,37 @@
         /// The order.
         active_order: ActiveOrder,
     },
-    /// The engine was removed, so that there is no drain to lift.
+    /// The engine is removed, so there is no drain to lift.
     #[error("{0} was removed: add it to use it again")]
     IsRemoved(String),
-    /// No drain of the engine holds.
+    /// The engine is not drained by an order.
     #[error("{0} is not drained by an operator")]
     NotDrained(String),
-    /// The engine was added before, just as described now.
+    /// The engine was already added with the same description.
     #[error("{0} is there already")]
     AlreadyAdded(String),
-    /// The engine was removed before.
+    /// The engine is already removed.
     #[error("{0} was removed before")]
     AlreadyRemoved(String),
-    /// It is the last engine that takes work.
+    /// It is the last ready engine.
     #[error(
         "{0} is the last engine that takes work: without it every request is refused. \
          Repeat the command with --force if that is what you want"
     )]
     LastReady(String),
-    /// It still takes work.
+    /// The engine is still ready.
     #[error("{0} still takes work: drain it first, or repeat the command with --force")]
     StillReady(String),
-    /// The name can't be used.
+    /// The name is empty, too long, or contains control characters.
     #[error("an engine's name has 1 to {MAX_NAME_BYTES} plain characters")]
     InvalidName,
-    /// A source lists an engine without an address, and none is known.
+    /// A source lists an engine without an address, and no earlier address is known.
     #[error("{0}: no usable address")]
     NoAddress(String),
     /// An operator adds an unknown engine without an address.
     #[error("{0}: say where it listens")]
     AddressRequired(String),
-    /// There are too many engines or orders.
+    /// The limit on engines or orders is reached.
     #[error("there are too many engines ({MAX_ENGINES}) or orders ({MAX_ORDERS})")]
     TooMany,
 }
--- a/crates/engine-registry/src/description.rs
+++ b/crates/engine-registry/src/description.rs
@@ -1,24 +1,24 @@
-//! What is known of one engine.
+//! The description of one engine.
 
 use crate::Micros;
 use driftfront_scheduler::Phase;
 use std::net::SocketAddr;
 
-/// What a source, or an operator who adds it, says of one engine.
+/// An engine as described by a source, or by the operator who adds it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineDescription {
-    /// Its name: 1 to [`MAX_NAME_BYTES`](crate::MAX_NAME_BYTES) bytes, no control characters.
+    /// The name: 1 to [`MAX_NAME_BYTES`](crate::MAX_NAME_BYTES) bytes, no control characters.
     pub name: String,
-    /// Where it listens; `None` leaves the address as it is known.
+    /// The address it listens on; `None` keeps the known address.
     pub addr: Option<SocketAddr>,
-    /// Its zone, by index in the settings.
+    /// The zone, as an index into the settings.
     pub zone: u16,
-    /// Its machine kind, by index in the settings.
+    /// The machine kind, as an index into the settings.
     pub kind: u16,
-    /// Its cell.
+    /// The cell.
     pub cell: u16,
-    /// When it last started, in microseconds, if that was lately.
+    /// When it last started, in microseconds, if that was recent.
     pub started_at: Option<Micros>,
-    /// Its phase. Ignored where an operator adds the engine.
+    /// The phase; ignored when an operator adds the engine.
     pub phase: Phase,
 }
--- a/crates/engine-registry/src/handover.rs
+++ b/crates/engine-registry/src/handover.rs
@@ -1,64 +1,64 @@
-//! What one process of a coordinator tells the other ones during an upgrade, as the bytes of a file.
+//! The file through which the processes of one coordinator exchange state during an upgrade.
 //!
-//! Each process writes a file of its own, complete each time, and reads those of the others; none writes into another's, so
-//! nothing is lost between two writers. Orders are merged by their times: the later one about an engine holds, and whoever
-//! reads in whatever order ends with the same.
+//! Each process rewrites its own file as a whole and reads the files of the others. No file has two writers, so no update is
+//! lost. Orders are merged by their timestamps: the latest order for an engine wins, so all processes converge regardless of
+//! the order in which they read.
 //!
-//! The file is [`HEADER`], then length and checksum (CRC-32) of the rest, both `u32` little endian, then lines of fields
-//! separated by tabs. A file that is not complete to the last byte counts as none.
+//! Format: [`HEADER`], the length and the CRC-32 of the remaining bytes (both `u32`, little endian), then lines of
+//! tab-separated fields. A file that is truncated or damaged is ignored as a whole.
 
 use crate::{ActiveOrder, Order, MAX_NAME_BYTES};
 use driftfront_scheduler::Micros;
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
 
-/// The beginning of the file: what it is, and the version of its format.
+/// The file header: the file type and the format version.
 pub const HEADER: &[u8] = b"driftfront handover 1\n";
-/// The header without the version.
+/// [`HEADER`] without the version.
 const HEADER_NAME: &str = "driftfront handover ";
-/// The version that this program writes and reads.
+/// The format version that this program writes and reads.
 const VERSION: &str = "1";
-/// Largest file read.
+/// Size limit of a file, in bytes.
 pub const MAX_HANDOVER_BYTES: usize = 4 * 1024 * 1024;
-/// Bytes of a foreign file's first line that are looked at.
+/// Length to which the first line of an unrecognized file is examined, in bytes.
 const MAX_FOREIGN_LINE_BYTES: usize = 60;
 
-/// The state of one process, as the others read it.
+/// The state that a process shares with the others.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct HandoverState {
-    /// It serves: those that started before it leave new connections to it.
+    /// The process serves; processes that started before it stop accepting connections.
     pub ready: bool,
-    /// Orders that hold, by engine.
+    /// Orders in force, by engine.
     pub orders: BTreeMap<String, ActiveOrder>,
     /// When orders were lifted, by engine.
     pub lifted: BTreeMap<String, Micros>,
-    /// Engines that were ever listed, the oldest first.
+    /// Names of engines that were ever listed, oldest first.
     pub names: Vec<String>,
 }
 
-/// Why a file counts as none.
+/// Why a file is ignored.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum HandoverError {
-    /// It is of another version.
-    #[error("it is of version {0}, this program knows version {VERSION}")]
+    /// The file has another format version.
+    #[error("unsupported version {0}, expected version {VERSION}")]
     Version(String),
-    /// It is no hand-over file.
-    #[error("it is no handover file")]
+    /// The file is not a hand-over file.
+    #[error("not a handover file")]
     NotHandoverFile,
-    /// It is not complete.
-    #[error("it is not whole")]
+    /// The file is truncated.
+    #[error("the file is truncated")]
     Truncated,
-    /// It is complete, but its bytes are not those that were written.
-    #[error("its checksum does not fit")]
+    /// The file has its full length, but the checksum does not match.
+    #[error("checksum mismatch")]
     Checksum,
-    /// A line, counted from 1, is of no known form; 0 where the file is no text.
-    #[error("line {0} can't be read")]
+    /// A line, counted from 1, has an unknown form; 0 if the file is not UTF-8.
+    #[error("invalid line {0}")]
     Line(usize),
 }
 
-/// The file's bytes.
+/// Encodes the state as the bytes of a file.
 pub fn encode(state: &HandoverState) -> Vec<u8> {
-    let text = state_text(state);
+    let text = format_state(state);
     let length = u32::try_from(text.len()).unwrap_or(u32::MAX);
     let mut bytes = HEADER.to_vec();
     bytes.extend(length.to_le_bytes());
@@ -67,14 +67,14 @@
     bytes
 }
 
-/// Reads [`encode`].
+/// Decodes the bytes of a file; the inverse of [`encode`].
 ///
 /// # Errors
 ///
-/// A [`HandoverError`] for a file that is cut, damaged, or of another version.
+/// A [`HandoverError`] if the file is truncated, damaged, or of another version.
 pub fn decode(bytes: &[u8]) -> Result<HandoverState, HandoverError> {
     let Some(rest) = bytes.strip_prefix(HEADER) else {
-        return Err(foreign_file(bytes));
+        return Err(unrecognized_file(bytes));
     };
     let (head, text) = rest
         .split_first_chunk::<8>()
@@ -92,12 +92,13 @@
     let text = std::str::from_utf8(text).map_err(|_| HandoverError::Line(0))?;
     let mut state = HandoverState::default();
     for (index, line) in text.lines().enumerate() {
-        read_line(&mut state, line).ok_or(HandoverError::Line(index + 1))?;
+        parse_line(&mut state, line).ok_or(HandoverError::Line(index + 1))?;
     }
     Ok(state)
 }
 
-fn foreign_file(bytes: &[u8]) -> HandoverError {
+/// Why a file that does not begin with [`HEADER`] is ignored.
+fn unrecognized_file(bytes: &[u8]) -> HandoverError {
     let line = bytes.split(|&b| b == b'\n').next().unwrap_or_default();
     let line = String::from_utf8_lossy(&line[..line.len().min(MAX_FOREIGN_LINE_BYTES)]);
     let is_complete = bytes.len() > line.len();
@@ -110,7 +111,8 @@
     }
 }
 
-fn state_text(state: &HandoverState) -> String {
+/// The lines of the file.
+fn format_state(state: &HandoverState) -> String {
     let mut text = format!("{}\n", if state.ready { "ready" } else { "starting" });
     for (engine, active) in &state.orders {
         let order = active.order.name();
@@ -126,8 +128,8 @@
     text
 }
 
-/// Reads one line into the state; `None` where it is of no known form.
-fn read_line(state: &mut HandoverState, line: &str) -> Option<()> {
+/// Parses a line into the state; `None` if its form is unknown.
+fn parse_line(state: &mut HandoverState, line: &str) -> Option<()> {
     let fields: Vec<&str> = line.split('\t').collect();
     match fields[..] {
         ["ready"] => state.ready = true,
@@ -138,18 +140,18 @@
                 since: since.parse().ok()?,
                 by: by.into(),
             };
-            state.orders.insert(read_name(engine)?, active_order);
+            state.orders.insert(parse_name(engine)?, active_order);
         }
         ["lift", engine, at] => {
-            state.lifted.insert(read_name(engine)?, at.parse().ok()?);
+            state.lifted.insert(parse_name(engine)?, at.parse().ok()?);
         }
-        ["name", engine] => state.names.push(read_name(engine)?),
+        ["name", engine] => state.names.push(parse_name(engine)?),
         _ => return None,
     }
     Some(())
 }
 
-fn read_name(name: &str) -> Option<String> {
+fn parse_name(name: &str) -> Option<String> {
     let is_valid = (1..=MAX_NAME_BYTES).contains(&name.len());
     is_valid.then(|| name.to_string())
 }
--- a/crates/engine-registry/src/lib.rs
+++ b/crates/engine-registry/src/lib.rs
@@ -1,18 +1,18 @@
-//! Which engines exist, where they listen, and in which phase they are.
+//! The registry of engines: which exist, which addresses they listen on, and which phase each is in.
 //!
 //! A *source* (the platform's stream, etcd, a file) lists engines with their descriptions. An operator adds engines and
-//! gives orders about them. An order holds until an operator lifts it, whatever sources say meanwhile, and outlives a restart
-//! of the program by [`record`]s that the host writes to a file. Nothing in this crate does I/O or reads a clock.
+//! gives orders about them. An order stays in force until an operator lifts it, regardless of what sources list, and survives
+//! a restart of the program through [`record`]s that the host stores in a file. This crate does no I/O and reads no clock.
 //!
-//! | property | who is believed |
+//! | property | which source takes precedence |
 //! | --- | --- |
-//! | phase | an operator's `drain` or `remove`; else the source; else an engine that an operator added is ready |
-//! | address, zone, kind, start | the source, while it lists the engine; else what the operator said when adding it |
-//! | that an engine is gone | the source, unless an operator added the engine |
+//! | phase | an operator's `drain` or `remove`, then the source; an engine known only from an operator is ready |
+//! | address, zone, kind, start time | the source while it lists the engine, then the operator who added it |
+//! | whether the engine is gone | the source, unless an operator added the engine |
 //!
-//! [`EngineRegistry`] holds the engines. Each of its changes yields a [`RegistryChange`]: the lines that the scheduler has to
-//! hear, in its own terms. [`rolling_restart`] takes engines out one after another; [`handover`] is how two processes of one
-//! coordinator agree on orders during an upgrade.
+//! [`EngineRegistry`] holds the engines. Each operation on it returns a [`RegistryChange`] with the update for the scheduler.
+//! [`rolling_restart`] restarts engines one at a time; [`handover`] lets two processes of one coordinator agree on orders
+//! during an upgrade.
 #![forbid(unsafe_code)]
 
 mod change;
--- a/crates/engine-registry/src/order.rs
+++ b/crates/engine-registry/src/order.rs
@@ -1,26 +1,26 @@
-//! Operators' orders about engines: which hold, and when earlier ones were lifted.
+//! Operators' orders about engines: those in force, and when earlier ones were lifted.
 
 use crate::handover::HandoverState;
 use crate::record::StateRecord;
 use crate::{Micros, Refusal};
 use std::collections::BTreeMap;
 
-/// Orders kept, also for engines that no source lists just now.
+/// Limit on orders in force, including those for engines that no source currently lists.
 pub const MAX_ORDERS: usize = 1024;
-/// Lifted orders whose time is kept; the oldest go first.
+/// Limit on remembered lifted orders; beyond it the oldest are dropped.
 const MAX_LIFTED_ORDERS: usize = 1024;
 
-/// What an operator has ordered about one engine.
+/// An order about one engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Order {
-    /// Nothing new goes to it until it is resumed.
+    /// The engine gets no new work until it is resumed.
     Drain,
-    /// It is not used, whatever sources list.
+    /// The engine is not used, even if sources list it.
     Remove,
 }
 
 impl Order {
-    /// The order as files name it.
+    /// The name of the order in files.
     pub(crate) fn name(self) -> &'static str {
         match self {
             Order::Drain => "drain",
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Reads [`Order::name`].
+    /// Parses [`Order::name`].
     pub(crate) fn from_name(name: &str) -> Option<Order> {
         match name {
             "drain" => Some(Order::Drain),
@@ -38,18 +38,18 @@
     }
 }
 
-/// An order that holds.
+/// An order in force.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ActiveOrder {
-    /// What was ordered.
+    /// The order.
     pub order: Order,
-    /// When, as Unix microseconds.
+    /// When it was given, in Unix microseconds.
     pub since: Micros,
-    /// Who ordered it, as operators read it: `operator`, or the name of a rolling restart.
+    /// Who gave it, as displayed to operators: `operator`, or the name of a rolling restart.
     pub by: String,
 }
 
-/// An order that holds, as a sentence's end for operators.
+/// The predicate of a sentence for operators whose subject is the engine.
 pub fn describe_active_order(active_order: &ActiveOrder) -> String {
     match active_order.order {
         Order::Drain => format!("was drained before, by {}", active_order.by),
@@ -57,18 +57,18 @@
     }
 }
 
-/// All orders by engine.
+/// All orders, by engine.
 ///
-/// Orders about one engine have strictly growing times, so that processes which exchange them agree on the latest.
+/// The timestamps of orders for one engine increase strictly, so that processes that exchange orders agree on the latest.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct OrderBook {
+pub(crate) struct OrderStore {
     active: BTreeMap<String, ActiveOrder>,
-    /// When orders were lifted: the engine may have been restarted meanwhile, whatever its source has heard of that.
+    /// When orders were lifted. The engine may have been restarted while its order was in force, without its source knowing.
     lifted: BTreeMap<String, Micros>,
 }
 
-impl OrderBook {
-    /// Orders that hold, by engine.
+impl OrderStore {
+    /// Orders in force, by engine.
     pub(crate) fn active(&self) -> &BTreeMap<String, ActiveOrder> {
         &self.active
     }
@@ -78,22 +78,22 @@
         &self.lifted
     }
 
-    /// The order that holds about an engine.
+    /// The order in force for an engine.
     pub(crate) fn active_order(&self, engine: &str) -> Option<&ActiveOrder> {
         self.active.get(engine)
     }
 
-    /// What is ordered about an engine.
+    /// The kind of order in force for an engine.
     pub(crate) fn order(&self, engine: &str) -> Option<Order> {
         self.active.get(engine).map(|active| active.order)
     }
 
-    /// When an order about an engine was last lifted.
+    /// When an order for an engine was last lifted.
     pub(crate) fn lifted_at(&self, engine: &str) -> Option<Micros> {
         self.lifted.get(engine).copied()
     }
 
-    /// Gives an order, in place of one that may hold.
+    /// Puts an order in force, replacing any earlier one for the engine.
     pub(crate) fn give(
         &mut self,
         now: Micros,
@@ -116,7 +116,7 @@
         })
     }
 
-    /// Lifts the order that holds about an engine.
+    /// Lifts the order in force for an engine.
     pub(crate) fn lift(&mut self, now: Micros, engine: &str) -> StateRecord {
         let at = self.next_time(now, engine);
         self.active.remove(engine);
@@ -126,20 +126,20 @@
         }
     }
 
-    /// Restores an order that was written down by an earlier process.
+    /// Restores an order recorded by an earlier process.
     pub(crate) fn restore(&mut self, engine: String, active_order: ActiveOrder) {
         if self.has_room_for(&engine) {
             self.active.insert(engine, active_order);
         }
     }
 
-    /// Restores that an earlier process lifted the order about an engine.
+    /// Replays that an earlier process lifted the order for an engine.
     pub(crate) fn restore_lift(&mut self, engine: &str) {
         self.active.remove(engine);
     }
 
-    /// Merges the orders of another process: the later one about an engine holds, and of two at the same time the one that
-    /// takes the engine out. Returns what is to be written down.
+    /// Merges the orders of another process: the latest one for an engine wins, and an order wins over a lift with the same
+    /// timestamp. Returns the records to store.
     pub(crate) fn merge(&mut self, other: &HandoverState) -> Vec<StateRecord> {
         let mut records = Vec::new();
         for (engine, active_order) in &other.orders {
@@ -171,14 +171,14 @@
         self.active.len() < MAX_ORDERS || self.active.contains_key(engine)
     }
 
-    /// When an order about an engine was last given or lifted.
+    /// When an order for an engine was last given or lifted.
     fn last_change(&self, engine: &str) -> Option<Micros> {
         let given = self.active.get(engine).map(|active| active.since);
         given.max(self.lifted_at(engine))
     }
 
-    /// The time of a new order about an engine: after the last known one, though another process may have given that by a
-    /// clock that is ahead of this one's.
+    /// The timestamp of a new order for an engine. It is later than the last known one, even if that was given by a process
+    /// whose clock is ahead.
     fn next_time(&self, now: Micros, engine: &str) -> Micros {
         self.last_change(engine)
             .map_or(now, |last| now.max(last + 1))
--- a/crates/engine-registry/src/record.rs
+++ b/crates/engine-registry/src/record.rs
@@ -1,100 +1,101 @@
-//! The state file: operators' orders and rolling restarts as records in a file that is only appended to.
+//! The state file: an append-only log of operators' orders and rolling restarts.
 //!
-//! The file begins with [`HEADER`]. Each record is the length and the checksum (CRC-32) of its text, both `u32` little endian,
-//! and the text: fields separated by tabs. A record counts once it is complete and its checksum fits; what follows the first
-//! one that does not is a damaged tail, to be cut. So a power cut at any byte leaves the records before it.
+//! The file begins with [`HEADER`]. Each record consists of the length and the CRC-32 of its text (both `u32`, little endian),
+//! followed by the text itself: tab-separated fields. A record is valid if it is complete and its checksum matches. Everything
+//! from the first invalid record on is a damaged tail, which the host truncates. After a power failure during a write, all
+//! earlier records are therefore still readable.
 
 use crate::rolling_restart::RollingRestart;
 use crate::{ActiveOrder, EngineDescription, Order};
 use driftfront_scheduler::Phase;
 
-/// The beginning of the file: what it is, and the version of its format.
+/// The file header: the file type and the format version.
 pub const HEADER: &[u8] = b"driftfront state 1\n";
-/// The header without the version.
+/// [`HEADER`] without the version.
 const HEADER_NAME: &str = "driftfront state ";
-/// The version that this program writes and reads.
+/// The format version that this program writes and reads.
 const VERSION: &str = "1";
-/// Longest text of a record.
+/// Maximum length of a record's text, in bytes.
 pub const MAX_RECORD_BYTES: usize = 16 * 1024;
-/// Size of a file beyond which it is rewritten with the fewest records.
+/// File size beyond which the file is compacted.
 pub const COMPACTION_THRESHOLD_BYTES: usize = 256 * 1024;
-/// Length and checksum before each record's text.
-const RECORD_HEAD_BYTES: usize = 8;
-/// Bytes of a foreign file's first line that are looked at.
+/// Size of a record's header (length and checksum), in bytes.
+const RECORD_HEADER_BYTES: usize = 8;
+/// Length to which the first line of an unrecognized file is examined, in bytes.
 const MAX_FOREIGN_LINE_BYTES: usize = 60;
 
-/// One thing that outlives a restart.
+/// A piece of state that survives a restart.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StateRecord {
-    /// An operator's order about an engine.
+    /// An order was given for an engine.
     Ordered {
         /// The engine.
         engine: String,
         /// The order.
         active_order: ActiveOrder,
     },
-    /// No order about this engine holds any more.
+    /// The order for an engine was lifted.
     Lifted {
         /// The engine.
         engine: String,
     },
     /// An operator added an engine.
     Added {
-        /// What is known of it.
+        /// The description of the engine.
         description: EngineDescription,
     },
-    /// The progress of a rolling restart; the last record counts. `None`: there is none any more.
+    /// The progress of a rolling restart; the last such record wins.
     RollingRestart {
-        /// The rolling restart.
+        /// The rolling restart; `None` if there is none any more.
         roll: Option<RollingRestart>,
     },
 }
 
-/// What a file held.
+/// The decoded contents of a state file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StateFile {
     /// The records, in order.
     pub records: Vec<StateRecord>,
-    /// Length of the valid part; what follows it is to be cut.
+    /// Length of the valid part, in bytes; the rest is to be truncated.
     pub valid_bytes: usize,
-    /// What is wrong with the rest, if anything is.
+    /// What is wrong with the tail, if it is damaged.
     pub damage: Option<Damage>,
 }
 
-/// Why the tail of a state file can't be used.
+/// Why the tail of a state file is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Damage {
     /// The file ends inside its header.
-    #[error("it was cut while it was begun")]
+    #[error("the file ends inside its header")]
     TruncatedHeader,
     /// The file ends inside a record.
-    #[error("it ends in the middle of a record")]
+    #[error("the file ends inside a record")]
     TruncatedRecord,
-    /// A record's length is beyond [`MAX_RECORD_BYTES`].
-    #[error("a record of {0} bytes can't be")]
+    /// The length of a record exceeds [`MAX_RECORD_BYTES`].
+    #[error("a record length of {0} bytes exceeds the limit of {MAX_RECORD_BYTES}")]
     RecordTooLong(usize),
-    /// A record's text is not the one that was written.
-    #[error("a record's checksum does not fit")]
+    /// The checksum of a record does not match its text.
+    #[error("record checksum mismatch")]
     Checksum,
-    /// A record's text is of no known form.
-    #[error("a record can't be read")]
+    /// The text of a record has an unknown form.
+    #[error("invalid record text")]
     InvalidRecord,
 }
 
-/// Why a file can't be used at all; it is left as it is.
+/// Why a file can't be used at all. The host leaves such a file unchanged.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StateFileError {
-    /// It is of a newer version.
-    #[error("the state file is of version {0}, this program knows version {VERSION}: it is left as it is")]
+    /// The file has another format version.
+    #[error("unsupported state file version {0}, expected version {VERSION}; the file is left unchanged")]
     Newer(String),
-    /// It is no state file.
-    #[error("this is no state file of driftfront: it is left as it is")]
+    /// The file is not a state file.
+    #[error("not a driftfront state file; the file is left unchanged")]
     NotStateFile,
 }
 
-/// A record's bytes in a file.
+/// Encodes a record as it is stored in the file.
 pub fn encode(record: &StateRecord) -> Vec<u8> {
-    let text = record_text(record);
+    let text = format_record(record);
     debug_assert!(text.len() <= MAX_RECORD_BYTES);
     let length = u32::try_from(text.len()).unwrap_or(u32::MAX);
     let mut bytes = length.to_le_bytes().to_vec();
@@ -103,7 +104,7 @@
     bytes
 }
 
-/// A complete file of these records.
+/// Encodes a complete file with these records.
 pub fn encode_file(records: &[StateRecord]) -> Vec<u8> {
     let mut bytes = HEADER.to_vec();
     records
@@ -112,11 +113,11 @@
     bytes
 }
 
-/// Reads a file's bytes.
+/// Decodes the bytes of a file.
 ///
 /// # Errors
 ///
-/// A [`StateFileError`] where the file is not a state file of this version. A damaged tail is no error: see
+/// A [`StateFileError`] if the file is not a state file of this version. A damaged tail is not an error; it is reported in
 /// [`StateFile::damage`].
 pub fn decode_file(bytes: &[u8]) -> Result<StateFile, StateFileError> {
     if bytes.len() < HEADER.len() && HEADER.starts_with(bytes) {
@@ -127,7 +128,7 @@
         });
     }
     if !bytes.starts_with(HEADER) {
-        return Err(foreign_file(bytes));
+        return Err(unrecognized_file(bytes));
     }
     let mut file = StateFile {
         records: Vec::new(),
@@ -135,7 +136,7 @@
         damage: None,
     };
     while file.valid_bytes < bytes.len() {
-        match read_record(&bytes[file.valid_bytes..]) {
+        match decode_record(&bytes[file.valid_bytes..]) {
             Ok((record, length)) => {
                 file.records.push(record);
                 file.valid_bytes += length;
@@ -149,7 +150,8 @@
     Ok(file)
 }
 
-fn foreign_file(bytes: &[u8]) -> StateFileError {
+/// Why a file that does not begin with [`HEADER`] is rejected.
+fn unrecognized_file(bytes: &[u8]) -> StateFileError {
     let line = bytes.split(|&b| b == b'\n').next().unwrap_or_default();
     let line = String::from_utf8_lossy(&line[..line.len().min(MAX_FOREIGN_LINE_BYTES)]);
     match line.strip_prefix(HEADER_NAME) {
@@ -158,12 +160,12 @@
     }
 }
 
-/// Reads the record at the beginning of these bytes: the record, and its length in the file.
-fn read_record(bytes: &[u8]) -> Result<(StateRecord, usize), Damage> {
-    let (head, rest) = bytes
-        .split_first_chunk::<RECORD_HEAD_BYTES>()
+/// Decodes the record at the start of these bytes. Returns it with its encoded length.
+fn decode_record(bytes: &[u8]) -> Result<(StateRecord, usize), Damage> {
+    let (header, rest) = bytes
+        .split_first_chunk::<RECORD_HEADER_BYTES>()
         .ok_or(Damage::TruncatedRecord)?;
-    let [a, b, c, d, checksum @ ..] = *head;
+    let [a, b, c, d, checksum @ ..] = *header;
     let length = u32::from_le_bytes([a, b, c, d]) as usize;
     if length > MAX_RECORD_BYTES {
         return Err(Damage::RecordTooLong(length));
@@ -174,11 +176,11 @@
     }
     let record = std::str::from_utf8(text).ok().and_then(parse_record);
     let record = record.ok_or(Damage::InvalidRecord)?;
-    Ok((record, RECORD_HEAD_BYTES + length))
+    Ok((record, RECORD_HEADER_BYTES + length))
 }
 
-/// A record's text. Names hold no tabs, since control characters are refused in them.
-fn record_text(record: &StateRecord) -> String {
+/// The text of a record. Names contain no tabs, since control characters are rejected in them.
+fn format_record(record: &StateRecord) -> String {
     match record {
         StateRecord::Ordered {
             engine,
@@ -201,7 +203,7 @@
     }
 }
 
-/// Reads [`record_text`].
+/// Parses the text of a record; the inverse of [`format_record`].
 fn parse_record(text: &str) -> Option<StateRecord> {
     let (kind, rest) = text.split_once('\t')?;
     let mut fields = rest.split('\t');
--- a/crates/engine-registry/src/registry/commands.rs
+++ b/crates/engine-registry/src/registry/commands.rs
@@ -1,4 +1,4 @@
-//! Operators' commands on the registry.
+//! Execution of operators' commands.
 
 use super::entry::Origin;
 use super::EngineRegistry;
@@ -11,7 +11,7 @@
     ///
     /// # Errors
     ///
-    /// A [`Refusal`], for the operator to read; nothing has changed then.
+    /// A [`Refusal`] to show to the operator; the registry is unchanged.
     pub fn execute_command(
         &mut self,
         now: Micros,
@@ -29,11 +29,11 @@
         Ok((change, records))
     }
 
-    /// Drains an engine, be it the last one, gone or not reachable; `None` if an order about it holds already.
+    /// Drains an engine, even if it is the last one, gone or unreachable; `None` if an order for it is already in force.
     ///
     /// # Errors
     ///
-    /// A [`Refusal`] where the engine was never known, or there are too many orders.
+    /// A [`Refusal`] if the engine was never known, or the limit on orders is reached.
     pub fn suspend_engine(
         &mut self,
         now: Micros,
@@ -50,11 +50,11 @@
         self.execute_command(now, by, drain).map(Some)
     }
 
-    /// Puts a drained engine back, so that it counts as just started; `None` if no order about it holds.
+    /// Resumes a drained engine, which is then treated as just started; `None` if no order for it is in force.
     ///
     /// # Errors
     ///
-    /// A [`Refusal`] where the engine was never known, or was removed.
+    /// A [`Refusal`] if the engine was never known, or is removed.
     pub fn restore_engine(
         &mut self,
         now: Micros,
--- a/crates/engine-registry/src/registry/entry.rs
+++ b/crates/engine-registry/src/registry/entry.rs
@@ -1,32 +1,33 @@
-//! One engine of the registry.
+//! An entry of the registry.
 
 use crate::{EngineDescription, Micros, Order};
 use driftfront_scheduler::{EngineId, ListedEngine, Phase};
 use std::net::SocketAddr;
 
-/// Who describes an engine.
+/// The origin of a description.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Origin {
-    /// A source that lists it.
+    /// A source that lists the engine.
     Source,
-    /// An operator who added it.
+    /// An operator who added the engine.
     Operator,
 }
 
+/// One engine, with its descriptions and what the scheduler knows of it.
 #[derive(Clone, Debug)]
 pub(super) struct Entry {
     pub(super) id: EngineId,
     pub(super) addr: SocketAddr,
-    /// As the source lists it now.
+    /// The description by the source that currently lists it.
     pub(super) listed: Option<EngineDescription>,
-    /// As an operator added it.
+    /// The description by the operator who added it.
     pub(super) added: Option<EngineDescription>,
-    /// What the scheduler was last told.
+    /// What was last announced to the scheduler.
     pub(super) announced: Option<ListedEngine>,
 }
 
 impl Entry {
-    /// An engine that nobody describes yet.
+    /// An entry without a description.
     pub(super) fn new(id: EngineId, addr: SocketAddr) -> Entry {
         Entry {
             id,
@@ -37,24 +38,24 @@
         }
     }
 
-    /// The description that counts: the source's before the operator's.
+    /// The effective description: the source's takes precedence over the operator's.
     pub(super) fn description(&self) -> Option<&EngineDescription> {
         self.listed.as_ref().or(self.added.as_ref())
     }
 
-    /// Whether it is there for its source or an operator, whatever is ordered.
+    /// Whether a source or an operator says that the engine exists, disregarding orders.
     pub(super) fn is_described(&self) -> bool {
         let is_listed = |listed: &EngineDescription| listed.phase != Phase::Gone;
         self.added.is_some() || self.listed.as_ref().is_some_and(is_listed)
     }
 
-    /// Whether a new description means another process or address than before.
+    /// Whether the new description implies another process or address than before.
     pub(super) fn is_restart(&self, addr: SocketAddr, new: &EngineDescription) -> bool {
-        let has_other_start = |old: &EngineDescription| old.started_at != new.started_at;
-        self.addr != addr || self.description().is_some_and(has_other_start)
+        let has_new_start = |old: &EngineDescription| old.started_at != new.started_at;
+        self.addr != addr || self.description().is_some_and(has_new_start)
     }
 
-    /// The phase that counts under an order.
+    /// The effective phase, given the order in force.
     pub(super) fn phase(&self, order: Option<Order>) -> Phase {
         let described = self.described_phase();
         match order {
@@ -64,10 +65,10 @@
         }
     }
 
-    /// The phase without any order.
+    /// The phase, disregarding orders.
     fn described_phase(&self) -> Phase {
         match (&self.listed, &self.added) {
-            // An operator's engine doesn't leave because a source has let it go.
+            // An engine added by an operator stays when its source drops it.
             (Some(listed), Some(_)) if listed.phase == Phase::Gone => Phase::Ready,
             (Some(listed), _) => listed.phase,
             (None, Some(_)) => Phase::Ready,
@@ -75,11 +76,15 @@
         }
     }
 
-    /// Its line on the scheduler's list; `None` for an engine that the scheduler never heard of and nobody describes.
+    /// The engine as listed for the scheduler; `None` if it has no description and was never announced.
     ///
-    /// While an order held, the engine may have been restarted: it counts as started at the later of what is listed and the
-    /// order's end.
-    pub(super) fn line(&self, phase: Phase, lifted_at: Option<Micros>) -> Option<ListedEngine> {
+    /// The engine may have been restarted while an order was in force, so its start time is the later of the listed one and
+    /// the time at which the order was lifted.
+    pub(super) fn listed_engine(
+        &self,
+        phase: Phase,
+        lifted_at: Option<Micros>,
+    ) -> Option<ListedEngine> {
         match self.description() {
             Some(description) => Some(ListedEngine {
                 engine: self.id,
--- a/crates/engine-registry/src/registry/mod.rs
+++ b/crates/engine-registry/src/registry/mod.rs
@@ -1,4 +1,4 @@
-//! The engines of one coordinator.
+//! The registry of the engines of one coordinator.
 
 mod commands;
 mod entry;
@@ -7,90 +7,90 @@
 use crate::change::{phase_name, RegistryChange};
 use crate::known_names::KnownNames;
 use crate::name::{check_name, fnv1a_64, suggest_name};
-use crate::order::{ActiveOrder, OrderBook};
+use crate::order::{ActiveOrder, OrderStore};
 use crate::{EngineDescription, Micros, Refusal};
 use driftfront_scheduler::{EngineId, ListKind, ListedEngine, Phase};
 use entry::{Entry, Origin};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// Engines kept at most; more are left out, so that a list cannot exhaust the memory.
+/// Limit on the number of engines, so that a list cannot exhaust the memory; further engines are rejected.
 pub const MAX_ENGINES: usize = 4096;
-/// Engines are numbered with 48 bits: that is what the platform's wire carries.
+/// Engine ids have 48 bits, the width of the field in the platform's wire protocol.
 const ENGINE_ID_MASK: u64 = 0xffff_ffff_ffff;
 
-/// An engine as it counts, and why.
+/// The effective state of an engine, and what it results from.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineState {
-    /// Its number.
+    /// The id.
     pub id: EngineId,
-    /// Its name.
+    /// The name.
     pub name: String,
-    /// Where it listens.
+    /// The address it listens on.
     pub addr: SocketAddr,
-    /// Its zone, by index in the settings.
+    /// The zone, as an index into the settings.
     pub zone: u16,
-    /// Its machine kind, by index in the settings.
+    /// The machine kind, as an index into the settings.
     pub kind: u16,
-    /// Its cell.
+    /// The cell.
     pub cell: u16,
-    /// When it last started, in microseconds, if that was lately.
+    /// When it last started, in microseconds, if that was recent.
     pub started_at: Option<Micros>,
-    /// The phase that counts.
+    /// The effective phase.
     pub phase: Phase,
-    /// The phase that the source says, if it lists the engine.
+    /// The phase according to the source, if it lists the engine.
     pub listed: Option<Phase>,
-    /// An operator added it.
+    /// Whether an operator added it.
     pub added: bool,
-    /// The operator's order that holds.
+    /// The operator's order in force.
     pub active_order: Option<ActiveOrder>,
 }
 
-/// The engines of one coordinator: what sources list, what operators add and order, and what the scheduler was told.
+/// The engines of one coordinator: what sources list, what operators add and order, and what was announced to the scheduler.
 #[derive(Clone, Debug, Default)]
 pub struct EngineRegistry {
     entries: BTreeMap<String, Entry>,
     addrs: BTreeMap<EngineId, SocketAddr>,
     names: BTreeMap<EngineId, String>,
-    orders: OrderBook,
+    orders: OrderStore,
     known_names: KnownNames,
-    /// Descriptions of sources that could not be used: the count shows that a bound was reached.
+    /// Number of sources' descriptions that were rejected, for instance because a limit was reached.
     pub rejected_descriptions: u64,
 }
 
 impl EngineRegistry {
-    /// A registry without engines.
+    /// Creates an empty registry.
     pub fn new() -> EngineRegistry {
         EngineRegistry::default()
     }
 
-    /// Where an engine listens.
+    /// The address that an engine listens on.
     pub fn addr(&self, engine: EngineId) -> Option<SocketAddr> {
         self.addrs.get(&engine).copied()
     }
 
-    /// An engine's zone, as the scheduler was last told.
+    /// The zone of an engine, as last announced to the scheduler.
     pub fn zone(&self, engine: EngineId) -> Option<u16> {
         let entry = self.entries.get(self.names.get(&engine)?)?;
         Some(entry.announced?.zone)
     }
 
-    /// An engine's name.
+    /// The name of an engine.
     pub fn name(&self, engine: EngineId) -> Option<&str> {
         self.names.get(&engine).map(String::as_str)
     }
 
-    /// An engine's number.
+    /// The id of an engine.
     pub fn id(&self, name: &str) -> Option<EngineId> {
         self.entries.get(name).map(|entry| entry.id)
     }
 
-    /// Orders that hold, by engine.
+    /// Orders in force, by engine.
     pub fn orders(&self) -> &BTreeMap<String, ActiveOrder> {
         self.orders.active()
     }
 
-    /// All engines as they count, by name.
+    /// The effective state of all engines, by name.
     pub fn engines(&self) -> Vec<EngineState> {
         let state = |(name, entry): (&String, &Entry)| {
             let description = entry.description()?;
@@ -111,13 +111,13 @@
         self.entries.iter().filter_map(state).collect()
     }
 
-    /// All lines as the scheduler was last told them, without engines that are gone.
+    /// All engines as last announced to the scheduler, except those that are gone.
     pub fn announced_engines(&self) -> Vec<ListedEngine> {
         let announced = self.entries.values().filter_map(|entry| entry.announced);
         announced.filter(|line| line.phase != Phase::Gone).collect()
     }
 
-    /// Engines that the scheduler was told are gone.
+    /// Engines last announced to the scheduler as gone.
     pub fn departed_engines(&self) -> Vec<EngineId> {
         let is_gone = |entry: &&Entry| {
             entry
@@ -128,7 +128,7 @@
         gone.map(|entry| entry.id).collect()
     }
 
-    /// Takes over what a source lists: all of its engines, or changes to them.
+    /// Applies a full list or an update from a source.
     pub fn apply_listing(
         &mut self,
         kind: ListKind,
@@ -157,7 +157,7 @@
         change
     }
 
-    /// Forgets an engine that is gone, once nothing runs there any more. Orders about it stay.
+    /// Removes the entry of a gone engine, once nothing runs there any more. Orders for it stay in force.
     pub fn forget_engine(&mut self, engine: EngineId) {
         let Some(name) = self.names.get(&engine) else {
             return;
@@ -165,7 +165,7 @@
         let Some(entry) = self.entries.get(name) else {
             return;
         };
-        // One that is only gone by an order may come back with that: its description stays.
+        // An engine that is gone only because of an order may come back when that is lifted, so its description is kept.
         if entry.is_described() {
             return;
         }
@@ -174,7 +174,7 @@
         self.names.remove(&engine);
     }
 
-    /// Takes over one engine's description.
+    /// Records the description of one engine.
     fn record_description(
         &mut self,
         description: EngineDescription,
@@ -192,7 +192,7 @@
             return Err(Refusal::TooMany);
         }
         let id = known.map_or_else(|| self.new_id(&name), |entry| entry.id);
-        // The source's address holds while it lists the engine.
+        // While a source lists the engine, the source's address takes precedence.
         let is_authoritative =
             origin == Origin::Source || known.is_none_or(|entry| entry.listed.is_none());
         let is_restart = known.is_some_and(|entry| entry.is_restart(addr, &description));
@@ -216,7 +216,7 @@
         Ok(())
     }
 
-    /// A new engine's number: by its name, so that it is the same at every coordinator and in every process.
+    /// The id of a new engine, derived from its name so that all coordinators and processes use the same one.
     fn new_id(&self, name: &str) -> EngineId {
         let mut id = EngineId(fnv1a_64(name.as_bytes()) & ENGINE_ID_MASK);
         while self.names.contains_key(&id) {
@@ -225,12 +225,12 @@
         id
     }
 
-    /// The phase that counts.
+    /// The effective phase.
     fn phase(&self, name: &str, entry: &Entry) -> Phase {
         entry.phase(self.orders.order(name))
     }
 
-    /// The phase of an engine that is, or was, known.
+    /// The phase of an engine that is or was known.
     fn known_phase(&self, engine: &str) -> Result<Phase, Refusal> {
         match self.entries.get(engine) {
             Some(entry) => Ok(self.phase(engine, entry)),
@@ -242,24 +242,24 @@
         }
     }
 
-    /// Puts into a change what the scheduler was not told yet, each thing once; into a full list all of it.
+    /// Adds what was not yet announced to the scheduler to the change; everything, if the change is a full list.
     fn announce(&mut self, change: &mut RegistryChange) {
         let is_full = change.kind != ListKind::Changes;
         for (name, entry) in &mut self.entries {
             let phase = entry.phase(self.orders.order(name));
-            let Some(line) = entry.line(phase, self.orders.lifted_at(name)) else {
+            let Some(line) = entry.listed_engine(phase, self.orders.lifted_at(name)) else {
                 continue;
             };
             let previous = entry.announced;
             let is_unchanged = previous.is_some_and(|previous| is_same_line(&previous, &line));
-            let was_never_there = previous.is_none() && line.phase == Phase::Gone;
-            if !is_full && (is_unchanged || was_never_there) {
+            let was_never_present = previous.is_none() && line.phase == Phase::Gone;
+            if !is_full && (is_unchanged || was_never_present) {
                 continue;
             }
-            // Not being on a full list says that an engine is gone.
+            // Absence from a full list implies that the engine is gone.
             let is_implied = is_full
                 && line.phase == Phase::Gone
-                && (entry.description().is_none() || was_never_there);
+                && (entry.description().is_none() || was_never_present);
             if !is_implied {
                 change.engines.push(line);
             }
@@ -270,7 +270,7 @@
             }
             entry.announced = Some(line);
         }
-        // What is gone and was never announced leaves nothing behind.
+        // Drop engines that are gone and were never announced.
         self.remove_entries(|entry| entry.announced.is_none() && !entry.is_described());
     }
 
--- a/crates/engine-registry/src/registry/persistence.rs
+++ b/crates/engine-registry/src/registry/persistence.rs
@@ -1,4 +1,4 @@
-//! What outlives a process: records of the state file, and what two processes of one coordinator exchange.
+//! State that outlives a process: the records of the state file, and the exchange between two processes of one coordinator.
 
 use super::entry::Origin;
 use super::EngineRegistry;
@@ -8,7 +8,7 @@
 use driftfront_scheduler::ListKind;
 
 impl EngineRegistry {
-    /// Restores what an earlier process wrote down, before any source has listed engines.
+    /// Replays the records of an earlier process. To be called before any source lists engines.
     pub fn restore_records(
         &mut self,
         records: impl IntoIterator<Item = StateRecord>,
@@ -34,7 +34,7 @@
                 StateRecord::RollingRestart { .. } => {}
             }
         }
-        // Engines that were added and removed again leave no trace but their order.
+        // Engines that were added and later removed keep their order, but no entry.
         self.remove_entries(|entry| entry.description().is_none());
         self.announce(&mut change);
         change
@@ -46,7 +46,7 @@
         }
     }
 
-    /// The fewest records that say the same, for a compacted file.
+    /// The minimal records that reproduce the current state, for compaction.
     pub fn compacted_records(&self) -> Vec<StateRecord> {
         let added = self.entries.values().filter_map(|entry| {
             Some(StateRecord::Added {
@@ -61,7 +61,7 @@
         added.chain(orders).collect()
     }
 
-    /// What another process of this coordinator has to know of orders.
+    /// The state to share with the other processes of this coordinator.
     pub fn handover_state(&self, is_ready: bool) -> HandoverState {
         HandoverState {
             ready: is_ready,
@@ -71,8 +71,8 @@
         }
     }
 
-    /// Merges the orders of another process of this coordinator: the later one about an engine holds, and of two at the same
-    /// time the one that takes the engine out.
+    /// Merges the orders of another process of this coordinator: the latest one for an engine wins, and an order wins over a
+    /// lift with the same timestamp.
     pub fn merge_handover(&mut self, other: &HandoverState) -> RegistryUpdate {
         let mut change = RegistryChange::new(ListKind::Changes);
         for name in &other.names {
--- a/crates/engine-registry/src/rolling_restart/mod.rs
+++ b/crates/engine-registry/src/rolling_restart/mod.rs
@@ -1,9 +1,10 @@
-//! Rolling restart: takes engines out one after another. Each is drained, handed over to the operator once nothing runs there,
-//! and warms up before the next one goes.
+//! Rolling restart of engines, one at a time. Each engine is drained, handed over to the operator once nothing runs there, and
+//! warmed up before the next one is drained.
 //!
-//! Decisions only: the host says what it observes, [`RollingRestart::step`] says what to do. Never two engines at once, so never
-//! two of one building; not while the others could not carry the load. It stops by itself when service drops, and continues
-//! after a restart of the program from what was written down.
+//! This module only decides: the host passes what it observes to [`RollingRestart::step`], and executes the returned actions.
+//! No engine is drained while another is out, so there are never two out in one building, nor while the others lack the
+//! capacity for the load. A rolling restart stops by itself when the service level drops. After a restart of the program it
+//! continues from its last record.
 
 mod observed;
 mod status;
@@ -14,27 +15,27 @@
 
 use crate::Micros;
 
-/// Work that runs on longer than this after a drain is reported as slow.
+/// A drain that takes longer than this is reported as slow.
 const SLOW_DRAIN_MICROS: Micros = 60_000_000;
-/// An engine that is back counts as warm after this time.
+/// Time for which a returned engine must be ready to be considered warm.
 const WARM_UP_MICROS: Micros = 15_000_000;
-/// A drop of the service level by this much since the beginning stops the rolling restart.
+/// The rolling restart stops if the service level drops by more than this since the start.
 const MAX_SERVICE_DROP: f64 = 0.10;
-/// The other engines must have this multiple of the capacity that the load uses.
+/// Minimum ratio of the other engines' capacity to the capacity in use.
 const MIN_CAPACITY_MARGIN: f64 = 1.25;
 
-/// Where a rolling restart stands with its current engine.
+/// The stage of the current engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
-    /// The next engine may be taken out as soon as the others can carry the load.
+    /// The engine is drained as soon as the others have the capacity for the load.
     Next,
-    /// The engine is drained: what runs there ends.
+    /// The engine is drained, and finishes its running queries.
     Draining,
-    /// Nothing runs there: the operator has it, until it comes back.
+    /// Nothing runs there. The operator may repair or restart the engine.
     HandedOver,
-    /// It is back, and warms up.
+    /// The engine is back, and warms up.
     WarmingUp,
-    /// Stopped; an operator may let it continue.
+    /// Stopped until an operator resumes it.
     Stopped,
     /// All engines are completed.
     Done,
@@ -50,13 +51,13 @@
         (Stage::Done, "done"),
     ];
 
-    /// The stage as records and snapshots name it.
+    /// The name of the stage in records and snapshots.
     pub fn name(self) -> &'static str {
         let named = Stage::NAMES.iter().find(|(stage, _)| *stage == self);
         named.map_or("", |(_, name)| name)
     }
 
-    /// Reads [`Stage::name`].
+    /// Parses [`Stage::name`].
     fn from_name(name: &str) -> Option<Stage> {
         let named = Stage::NAMES.iter().find(|(_, known)| *known == name);
         named.map(|(stage, _)| *stage)
@@ -67,70 +68,71 @@
     }
 }
 
-/// What the host is to do.
+/// An action for the host to execute.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RollingRestartAction {
     /// Drain this engine.
     Drain(String),
     /// Lift the drain of this engine.
     Resume(String),
-    /// Write the rolling restart down.
+    /// Store the rolling restart as a record.
     Persist,
-    /// Tell the operators.
+    /// Report this message to operators.
     Announce(String),
 }
 
-/// What one look at the cluster does to a rolling restart.
+/// The outcome of one step.
 enum Transition {
-    /// Nothing, and the status stays as it is.
+    /// Stage and status stay the same.
     Stay,
-    /// Nothing yet; the reason is shown to operators.
+    /// The stage stays the same; the reason is shown to operators.
     Wait(WaitReason),
-    /// The next stage.
+    /// Enters a stage.
     Enter(Stage, Milestone),
-    /// An order about the current engine, and the next stage.
+    /// Gives an order for the current engine, and enters a stage.
     OrderAndEnter(RollingRestartAction, Stage, Milestone),
-    /// Ends the rolling restart until an operator resumes it.
+    /// Stops the rolling restart until an operator resumes it.
     Halt(HaltReason),
 }
 
-/// A rolling restart.
+/// The state machine of a rolling restart.
 ///
-/// | stage | on | next stage | actions |
+/// | stage | event | next stage | actions |
 /// | --- | --- | --- | --- |
-/// | `Next` | the others can carry the load | `Draining` | drain, unless drained already |
+/// | `Next` | the other engines have enough capacity | `Draining` | drain, unless already drained |
 /// | `Draining` | somebody lifted the drain | `Stopped` | |
 /// | `Draining` | nothing runs there | `HandedOver` | |
-/// | `HandedOver` | it was restarted and is reachable | `WarmingUp` | resume |
-/// | `HandedOver` | the operator says that it is back | `WarmingUp` | resume |
+/// | `HandedOver` | the engine was restarted and is reachable | `WarmingUp` | resume |
+/// | `HandedOver` | the operator confirms that it is back | `WarmingUp` | resume |
 /// | `HandedOver` | somebody lifted the drain | `WarmingUp` | |
-/// | `WarmingUp` | ready, for `WARM_UP_MICROS` | `Next`, or `Done` behind the last engine | |
-/// | any but `Stopped`, `Done` | its engine left the list | `Next` | |
-/// | any but `Stopped`, `Done` | service dropped | `Stopped` | |
+/// | `WarmingUp` | ready, for `WARM_UP_MICROS` | `Next`, or `Done` after the last engine | |
+/// | any but `Stopped`, `Done` | the engine left the list | `Next` | |
+/// | any but `Stopped`, `Done` | the service level dropped | `Stopped` | |
 /// | any | an operator stops it | `Stopped` | |
 /// | `Stopped` | an operator resumes it | `Draining` if the engine is drained, else `Next` | |
 ///
-/// Each new stage is written down ([`RollingRestartAction::Persist`]) and announced.
+/// Each stage change is stored ([`RollingRestartAction::Persist`]) and announced.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RollingRestart {
-    /// The engines that are still to go, the current one first.
+    /// The engines still to be restarted, the current one first.
     pub remaining: Vec<String>,
-    /// Those that are completed, or were passed over.
+    /// The engines that are completed or were skipped.
     pub completed: Vec<String>,
-    /// Where it stands with the first of `remaining`.
+    /// The stage of the first engine in `remaining`.
     pub stage: Stage,
-    /// Since when, in microseconds of the host's clock.
+    /// When the stage was entered, in microseconds of the host's clock.
     pub since: Micros,
-    /// The engine's start as it was when it was drained: another one means a new process.
+    /// The engine's start time when it was drained; another start time indicates a new process.
     pub started_at: Option<Micros>,
-    /// Service level at the beginning, in thousandths.
+    /// Service level at the start of the rolling restart, in thousandths.
     pub service_level: u32,
     /// What it waits for, what it has just done, or why it stopped.
     pub status: Status,
 }
 
 impl RollingRestart {
-    /// A rolling restart of these engines. `service_level`: share of the priority weight that is served now, if it is known.
+    /// Creates a rolling restart of these engines. `service_level` is the share of the requested priority weight that is
+    /// currently served, if known.
     pub fn new(now: Micros, engines: Vec<String>, service_level: Option<f64>) -> RollingRestart {
         RollingRestart {
             remaining: engines,
@@ -143,7 +145,7 @@
         }
     }
 
-    /// The same in a new process, whose clock has nothing to do with the last one's: the time of the stage begins again.
+    /// Restarts the timer of the current stage. Used in a new process, whose clock is unrelated to that of the last one.
     pub fn restart_stage_timer(self, now: Micros) -> RollingRestart {
         RollingRestart { since: now, ..self }
     }
@@ -158,13 +160,13 @@
         self.stage == Stage::Done
     }
 
-    /// An operator stops it; an engine that is out stays out.
+    /// Stops the rolling restart on an operator's request. A drained engine stays drained.
     pub fn stop(&mut self, now: Micros, reason: &str) -> Vec<RollingRestartAction> {
         let halt = Transition::Halt(HaltReason::Operator(reason.into()));
         self.apply(now, halt)
     }
 
-    /// An operator lets it continue after a stop.
+    /// Continues after a stop, on an operator's request.
     pub fn resume(&mut self, now: Micros, observed: &ObservedState) -> Vec<RollingRestartAction> {
         if self.stage != Stage::Stopped {
             return Vec::new();
@@ -179,7 +181,7 @@
         self.apply(now, Transition::Enter(stage, Milestone::Continued))
     }
 
-    /// An operator says that the engine is back in order.
+    /// Records the operator's confirmation that the engine is back.
     pub fn confirm_engine_returned(&mut self, now: Micros) -> Vec<RollingRestartAction> {
         let (Stage::HandedOver, Some(engine)) = (self.stage, self.current()) else {
             return Vec::new();
@@ -195,9 +197,9 @@
         )
     }
 
-    /// Looks at the cluster once, and says what to do.
+    /// Evaluates the observed state once, and returns the actions to execute.
     pub fn step(&mut self, now: Micros, observed: &ObservedState) -> Vec<RollingRestartAction> {
-        // No list has come yet, as after a restart: nothing can be said of any engine.
+        // No list has arrived yet, as after a restart: nothing is known about any engine.
         if observed.engines.is_empty() {
             return Vec::new();
         }
@@ -221,7 +223,7 @@
         actions
     }
 
-    /// No engine is left.
+    /// Finishes after the last engine.
     fn finish(&mut self, now: Micros) -> Vec<RollingRestartAction> {
         if self.stage.is_halted() {
             return Vec::new();
@@ -229,7 +231,7 @@
         self.apply(now, Transition::Enter(Stage::Done, Milestone::Finished))
     }
 
-    /// The current engine has left the list: nothing is to be done with it.
+    /// Skips the current engine, which has left the list.
     fn skip_engine(&mut self, now: Micros, name: String) -> Vec<RollingRestartAction> {
         if self.stage == Stage::Stopped {
             return Vec::new();
@@ -261,7 +263,7 @@
 
     fn check_drained(&self, now: Micros, engine: &EngineSnapshot) -> Transition {
         let name = engine.name.clone();
-        // Somebody else has lifted the drain: that wins.
+        // Someone else has lifted the drain. That takes precedence.
         if !engine.is_drained {
             return Transition::Halt(HaltReason::Resumed(name));
         }
@@ -350,7 +352,7 @@
         ]
     }
 
-    /// The current engine is completed, or passed over.
+    /// Marks the current engine as completed or skipped.
     fn complete_engine(&mut self) {
         let engine = self.remaining.remove(0);
         self.completed.push(engine);
@@ -360,7 +362,7 @@
         now.saturating_sub(self.since)
     }
 
-    /// What it would do, a line for each engine.
+    /// Describes the planned actions, one line per engine.
     pub fn plan(&self, observed: &ObservedState) -> Vec<String> {
         let line = |(index, name): (usize, &String)| {
             let number = index + 1;
@@ -380,7 +382,7 @@
 
 #[allow(
     clippy::cast_possible_truncation,
-    reason = "a share from 0 to 1; more saturates"
+    reason = "a share between 0 and 1; larger values saturate"
 )]
 fn thousandths(share: f64) -> u32 {
     (share * 1000.0) as u32
--- a/crates/engine-registry/src/rolling_restart/observed.rs
+++ b/crates/engine-registry/src/rolling_restart/observed.rs
@@ -1,56 +1,56 @@
-//! What the host observes of the cluster, for one step of a rolling restart.
+//! The host's observations of the cluster, the input to one step of a rolling restart.
 
 use super::{WaitReason, MIN_CAPACITY_MARGIN};
 use crate::Micros;
 
-/// The cluster at one moment.
+/// The observed state of the cluster.
 #[derive(Clone, Debug, Default)]
 pub struct ObservedState {
     /// The engines of the rolling restart, and all others that take work.
     pub engines: Vec<EngineSnapshot>,
-    /// Share of the priority weight asked for that was served lately; `None` where nothing was asked.
+    /// Share of the recently requested priority weight that was served; `None` if there were no requests.
     pub service_level: Option<f64>,
-    /// Share of all engines' capacity that the load has used lately.
+    /// Share of the total capacity of all engines that was recently in use.
     pub load: f64,
 }
 
-/// One engine at that moment.
+/// The observed state of one engine.
 #[derive(Clone, Debug)]
 pub struct EngineSnapshot {
-    /// Its name.
+    /// The name.
     pub name: String,
-    /// It takes work.
+    /// Whether it takes work.
     pub is_ready: bool,
-    /// An operator's drain holds.
+    /// Whether it is drained by an operator's order.
     pub is_drained: bool,
-    /// Attempts that run there.
+    /// Number of attempts that run there.
     pub running_queries: usize,
-    /// Imports among them, which are never sent again.
+    /// Number of imports among them. Imports are never retried.
     pub running_imports: usize,
-    /// When it last started, in microseconds, if that is known.
+    /// When it last started, in microseconds, if known.
     pub started_at: Option<Micros>,
-    /// It answers.
+    /// Whether it answers.
     pub is_reachable: bool,
-    /// Its zone (a building), by index in the settings.
+    /// The zone (a building), as an index into the settings.
     pub zone: u16,
-    /// Its share of all engines' capacity.
+    /// Its share of the total capacity of all engines.
     pub capacity_share: f64,
 }
 
 impl ObservedState {
-    /// The engine of this name.
+    /// Looks up an engine by name.
     pub(super) fn engine(&self, name: &str) -> Option<&EngineSnapshot> {
         self.engines.iter().find(|engine| engine.name == name)
     }
 
-    /// Why this engine can't be taken out now, if it can't.
+    /// Why the engine can't be drained now; `None` if it can.
     pub(super) fn blocked_by(&self, engine: &EngineSnapshot) -> Option<WaitReason> {
         let others = || {
             self.engines
                 .iter()
                 .filter(|other| other.name != engine.name)
         };
-        // One that is out already, by whomever, is waited for: never two at once.
+        // At most one engine may be out at a time, whoever drained it.
         if let Some(out) = others().find(|other| other.is_drained || !other.is_ready) {
             return Some(WaitReason::EngineOut {
                 engine: out.name.clone(),
--- a/crates/engine-registry/src/rolling_restart/status.rs
+++ b/crates/engine-registry/src/rolling_restart/status.rs
@@ -1,23 +1,23 @@
-//! What operators read of a rolling restart: every sentence, in one place.
+//! The status of a rolling restart, and all its messages for operators.
 
 use std::fmt;
 
-/// What a rolling restart waits for, has just done, or was stopped by.
+/// What a rolling restart waits for, what it has just done, or why it stopped.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Status {
-    /// No step was made yet; shown as nothing.
+    /// No step was made yet; displayed as an empty text.
     NotStarted,
-    /// As an earlier process wrote it down.
+    /// The status text recorded by an earlier process.
     Recorded(String),
     /// It waits.
     Waiting(WaitReason),
-    /// It has entered its stage.
+    /// It has entered the current stage.
     Reached(Milestone),
-    /// It was stopped.
+    /// It has stopped.
     Halted(HaltReason),
 }
 
-/// Why the next step can't be made yet.
+/// What the current stage waits for.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum WaitReason {
     /// Another engine is out.
@@ -25,83 +25,83 @@
     EngineOut {
         /// The other engine.
         engine: String,
-        /// It stands in the same zone.
+        /// Whether it is in the same zone.
         is_same_zone: bool,
     },
     /// No other engine takes work.
     #[error("waits: {0} is the last engine that takes work")]
     LastReady(String),
-    /// The others could not carry the load. Both are shares of all engines' capacity.
+    /// The other engines lack the capacity for the load. Both values are shares of the total capacity.
     #[error(
         "waits: the load uses {:.0} in 100 of all engines, the others have {:.0}",
         .load * 100.0,
         .capacity * 100.0
     )]
     LoadTooHigh {
-        /// What the load uses.
+        /// Capacity in use.
         load: f64,
-        /// What the other engines have.
+        /// Capacity of the other engines.
         capacity: f64,
     },
-    /// Queries end on the drained engine: its name, and how many.
+    /// The drained engine still runs queries: its name, and the number of queries.
     #[error("{0} ends what runs there: {1} queries")]
     QueriesRunning(String, usize),
-    /// Queries run on for long after the drain: the engine, and how many.
+    /// The drain takes long: the engine, and the number of queries that still run.
     #[error("{0} still runs {1} queries; their clients' time ends them")]
     SlowDrain(String, usize),
-    /// Imports run on the drained engine: its name, and how many.
+    /// The drained engine still runs imports: its name, and the number of imports.
     #[error("{0} still runs {1} imports: they are not sent again, so it waits")]
     ImportsRunning(String, usize),
-    /// The engine is back, but takes no work yet.
+    /// The engine is back, but not ready yet.
     #[error("{0} is not ready yet")]
     NotReady(String),
-    /// The engine warms up: its name, and the seconds left.
+    /// The engine warms up: its name, and the remaining seconds.
     #[error("{0} gets warm: {1} s")]
     WarmingUp(String, u64),
 }
 
-/// How a stage was entered; with the engine's name.
+/// The event that led into the current stage, with the name of the engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Milestone {
     /// The engine is drained.
     Drained(String),
-    /// Nothing runs there any more.
+    /// Nothing runs on the engine any more.
     HandedOver(String),
-    /// It has another process.
+    /// The engine was restarted.
     Restarted(String),
-    /// Somebody lifted its drain.
+    /// Someone lifted the drain of the engine.
     Resumed(String),
-    /// The operator says that it is back.
+    /// The operator confirmed that the engine is back.
     Returned(String),
-    /// It is warm.
+    /// The engine is warm.
     Warm(String),
-    /// It has left the list.
+    /// The engine has left the list.
     Skipped(String),
-    /// An operator let the rolling restart continue.
+    /// An operator resumed the rolling restart.
     Continued,
     /// All engines are completed.
     Finished,
 }
 
-/// Why a rolling restart was stopped.
+/// Why a rolling restart has stopped.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum HaltReason {
-    /// An operator stopped it; the reason continues the sentence.
+    /// An operator stopped it. The reason completes the sentence.
     #[error("The roll was stopped: {0}")]
     Operator(String),
-    /// Somebody lifted the drain of the current engine while it ended its work.
+    /// Someone lifted the drain of the current engine while it finished its queries.
     #[error("The roll stopped: {0} was resumed meanwhile")]
     Resumed(String),
-    /// Service has dropped: served shares of the priority weight asked for.
+    /// The service level has dropped: the served share of the requested priority weight.
     #[error(
         "The roll stopped: service is {:.0} in 100, it was {:.0} when it began",
         .now * 100.0,
         f64::from(*.before_thousandths) / 10.0
     )]
     ServiceDropped {
-        /// The service level now, as a share.
+        /// Current service level, as a share.
         now: f64,
-        /// The service level at the beginning, in thousandths.
+        /// Service level at the start, in thousandths.
         before_thousandths: u32,
     },
 }
--- a/crates/engine-registry/src/rolling_restart/text.rs
+++ b/crates/engine-registry/src/rolling_restart/text.rs
@@ -1,14 +1,15 @@
-//! A rolling restart as the text of a state record.
+//! The text form of a rolling restart, as stored in a state record.
 
 use super::{RollingRestart, Stage};
 
-/// Separates names of engines: the ASCII unit separator, which no name holds.
+/// Separates engine names: the ASCII unit separator, a control character and therefore not part of any name.
 const NAME_SEPARATOR: char = '\u{1f}';
-/// Stands for an absent value or an empty list.
+/// Denotes an absent value or an empty list.
 const NONE: &str = "-";
 
 impl RollingRestart {
-    /// As one line: stage, since, start of the engine, service level, remaining, completed, status; separated by tabs.
+    /// Formats it as one line of tab-separated fields: stage, since, start time of the engine, service level, remaining,
+    /// completed, status.
     pub fn to_text(&self) -> String {
         let started_at = self.started_at.map_or(NONE.into(), |at| at.to_string());
         format!(
@@ -22,7 +23,7 @@
         )
     }
 
-    /// Reads [`RollingRestart::to_text`]; `None` for a text of another form.
+    /// Parses [`RollingRestart::to_text`]; `None` if the text is malformed.
     pub fn from_text(text: &str) -> Option<RollingRestart> {
         let mut fields = text.split('\t');
         let stage = Stage::from_name(fields.next()?)?;
--- a/crates/engine-registry/tests/golden.rs
+++ b/crates/engine-registry/tests/golden.rs
@@ -1,4 +1,4 @@
-//! The registry's stored forms and its sentences, byte for byte; see `golden/README.md`.
+//! Compares the registry's file formats and messages with golden files, byte for byte; see `golden/README.md`.
 #![allow(
     clippy::too_many_lines,
     clippy::cast_possible_truncation,
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn orders_file_is_written_and_read_as_before() {
+fn state_file_matches_golden_file() {
     assert_golden!("orders.state", record::encode_file(&records()));
     let read = record::decode_file(&read_golden!("orders.state")).expect("a state file");
     assert_eq!(read.records, records());
@@ -104,16 +104,16 @@
 }
 
 #[test]
-fn damaged_and_foreign_orders_files_are_described_as_before() {
-    let whole = record::encode_file(&records());
+fn state_file_errors_match_golden_file() {
+    let complete = record::encode_file(&records());
     let changed = |at: usize| {
-        let mut bytes = whole.clone();
+        let mut bytes = complete.clone();
         bytes[at] ^= 0x10;
         bytes
     };
     let unknown = {
         let text = b"dance\tengine-1";
-        let mut bytes = whole.clone();
+        let mut bytes = complete.clone();
         bytes.extend((text.len() as u32).to_le_bytes());
         bytes.extend(crc(text).to_le_bytes());
         bytes.extend(text);
@@ -122,10 +122,10 @@
     let mut text = String::new();
     for (name, bytes) in [
         ("empty", Vec::new()),
-        ("begun", whole[..5].to_vec()),
-        ("header alone", whole[..19].to_vec()),
-        ("length cut", whole[..22].to_vec()),
-        ("text cut", whole[..40].to_vec()),
+        ("begun", complete[..5].to_vec()),
+        ("header alone", complete[..19].to_vec()),
+        ("length cut", complete[..22].to_vec()),
+        ("text cut", complete[..40].to_vec()),
         ("length changed", changed(22)),
         ("checksum changed", changed(24)),
         ("text changed", changed(30)),
@@ -140,14 +140,14 @@
                 read.valid_bytes,
                 read.damage.map_or(String::new(), |d| d.to_string())
             ),
-            Err(why) => format!("unusable: {why}"),
+            Err(error) => format!("unusable: {error}"),
         };
         let _ = writeln!(text, "{name}: {line}");
     }
     assert_golden!("orders-damaged.txt", text);
 }
 
-fn word(ready: bool) -> HandoverState {
+fn handover_state(ready: bool) -> HandoverState {
     HandoverState {
         ready,
         orders: [
@@ -168,9 +168,15 @@
 }
 
 #[test]
-fn handover_file_is_written_and_read_as_before() {
-    assert_golden!("handover-ready.bin", handover::encode(&word(true)));
-    assert_golden!("handover-starting.bin", handover::encode(&word(false)));
+fn handover_file_matches_golden_files() {
+    assert_golden!(
+        "handover-ready.bin",
+        handover::encode(&handover_state(true))
+    );
+    assert_golden!(
+        "handover-starting.bin",
+        handover::encode(&handover_state(false))
+    );
     assert_golden!(
         "handover-empty.bin",
         handover::encode(&HandoverState::default())
@@ -179,8 +185,8 @@
         ("handover-ready.bin", true),
         ("handover-starting.bin", false),
     ] {
-        let mut expected = word(ready);
-        // A control character in a name of who ordered is written as a space.
+        let mut expected = handover_state(ready);
+        // Control characters in the name of who gave an order are written as spaces.
         expected
             .orders
             .insert("engine 2".into(), active_order(Order::Remove, "a roll"));
@@ -193,44 +199,47 @@
 }
 
 #[test]
-fn damaged_and_foreign_handover_files_are_described_as_before() {
-    let whole = handover::encode(&word(true));
-    let sealed = |text: &[u8], sum: u32| {
+fn handover_file_errors_match_golden_file() {
+    let complete = handover::encode(&handover_state(true));
+    let with_header = |text: &[u8], sum: u32| {
         let mut bytes = handover::HEADER.to_vec();
         bytes.extend((text.len() as u32).to_le_bytes());
         bytes.extend(sum.to_le_bytes());
         bytes.extend(text);
         bytes
     };
-    let mut changed = whole.clone();
+    let mut changed = complete.clone();
     changed[40] ^= 0x10;
     let mut text = String::new();
     for (name, bytes) in [
         ("empty", Vec::new()),
-        ("begun", whole[..5].to_vec()),
-        ("header cut", whole[..21].to_vec()),
-        ("length cut", whole[..24].to_vec()),
-        ("text cut", whole[..50].to_vec()),
+        ("begun", complete[..5].to_vec()),
+        ("header cut", complete[..21].to_vec()),
+        ("length cut", complete[..24].to_vec()),
+        ("text cut", complete[..50].to_vec()),
         ("text changed", changed),
-        ("bytes behind", [&whole[..], b"x"].concat()),
+        ("bytes behind", [&complete[..], b"x"].concat()),
         ("newer", b"driftfront handover 2\nwhatever".to_vec()),
         ("foreign", b"something else\n".to_vec()),
         (
             "unknown line",
-            sealed(b"ready\ndance\te\n", crc(b"ready\ndance\te\n")),
+            with_header(b"ready\ndance\te\n", crc(b"ready\ndance\te\n")),
+        ),
+        (
+            "not text",
+            with_header(b"ready\n\xff\n", crc(b"ready\n\xff\n")),
         ),
-        ("not text", sealed(b"ready\n\xff\n", crc(b"ready\n\xff\n"))),
     ] {
         let line = match handover::decode(&bytes) {
-            Ok(word) => format!("read, ready: {}", word.ready),
-            Err(why) => why.to_string(),
+            Ok(state) => format!("read, ready: {}", state.ready),
+            Err(error) => error.to_string(),
         };
         let _ = writeln!(text, "{name}: {line}");
     }
     assert_golden!("handover-damaged.txt", text);
 }
 
-/// CRC-32 (IEEE), bit by bit.
+/// CRC-32 (IEEE), computed bit by bit, independently of the library in use.
 fn crc(bytes: &[u8]) -> u32 {
     !bytes.iter().fold(!0u32, |sum, &byte| {
         (0..8).fold(sum ^ u32::from(byte), |s, _| {
@@ -240,49 +249,52 @@
 }
 
 #[test]
-fn engine_numbers_are_as_before() {
+fn engine_ids_match_golden_file() {
     let mut text = String::new();
     for name in ["", "a", "engine-1", "engine-é", "s-00c41f7a"] {
         let _ = writeln!(text, "hash {name:?}: {:016x}", fnv1a_64(name.as_bytes()));
     }
-    let mut roster = EngineRegistry::new();
+    let mut registry = EngineRegistry::new();
     let addr = Some("127.0.0.1:1000");
-    roster.apply_listing(
+    registry.apply_listing(
         ListKind::Full,
         vec![
             description("engine-1", addr),
             description("s-00c41f7a", addr),
         ],
     );
-    for seen in roster.engines() {
-        let _ = writeln!(text, "engine {:?}: {:012x}", seen.name, seen.id.0);
+    for engine in registry.engines() {
+        let _ = writeln!(text, "engine {:?}: {:012x}", engine.name, engine.id.0);
     }
     assert_golden!("engine-numbers.txt", text);
 }
 
-fn say(text: &mut String, outcome: Result<driftfront_engine_registry::RegistryUpdate, Refusal>) {
+fn write_outcome(
+    text: &mut String,
+    outcome: Result<driftfront_engine_registry::RegistryUpdate, Refusal>,
+) {
     match outcome {
         Ok((change, records)) => {
-            for words in &change.messages {
-                let _ = writeln!(text, "  change: {words}");
+            for message in &change.messages {
+                let _ = writeln!(text, "  change: {message}");
             }
             for record in &records {
                 let bytes = record::encode(record);
                 let _ = writeln!(text, "  record: {}", bytes[8..].escape_ascii());
             }
         }
-        Err(why) => {
-            let _ = writeln!(text, "  refused: {why}");
+        Err(error) => {
+            let _ = writeln!(text, "  refused: {error}");
         }
     }
 }
 
 #[test]
-fn commands_are_answered_as_before() {
-    let mut roster = EngineRegistry::new();
+fn command_results_match_golden_file() {
+    let mut registry = EngineRegistry::new();
     let mut text = String::new();
     let addr = Some("127.0.0.1:1000");
-    let change = roster.apply_listing(
+    let change = registry.apply_listing(
         ListKind::Full,
         vec![
             description("engine-1", addr),
@@ -295,8 +307,8 @@
             },
         ],
     );
-    for words in &change.messages {
-        let _ = writeln!(text, "list: {words}");
+    for message in &change.messages {
+        let _ = writeln!(text, "list: {message}");
     }
     let drain = |engine: &str, force| Command::Drain {
         engine: engine.into(),
@@ -334,12 +346,12 @@
     .enumerate()
     {
         let _ = writeln!(text, "{title}:");
-        let outcome = roster.execute_command(1_000 + n as u64, "operator", command);
-        say(&mut text, outcome);
+        let outcome = registry.execute_command(1_000 + n as u64, "operator", command);
+        write_outcome(&mut text, outcome);
     }
     let _ = writeln!(text, "gone:");
-    let change = roster.apply_listing(ListKind::Full, vec![description("engine-2", addr)]);
-    say(&mut text, Ok((change, Vec::new())));
+    let change = registry.apply_listing(ListKind::Full, vec![description("engine-2", addr)]);
+    write_outcome(&mut text, Ok((change, Vec::new())));
     for refusal in [
         Refusal::TooMany,
         Refusal::StillReady("e".into()),
@@ -351,8 +363,8 @@
         let _ = writeln!(text, "refusal: {refusal}");
     }
     for order in [Order::Drain, Order::Remove] {
-        let words = describe_active_order(&active_order(order, "operator"));
-        let _ = writeln!(text, "standing: {words}");
+        let description = describe_active_order(&active_order(order, "operator"));
+        let _ = writeln!(text, "standing: {description}");
     }
     for phase in [Phase::Ready, Phase::Draining, Phase::Gone] {
         let _ = writeln!(text, "phase: {}", phase_name(phase));
@@ -374,7 +386,7 @@
     }
 }
 
-fn sight() -> ObservedState {
+fn observed() -> ObservedState {
     ObservedState {
         engines: vec![
             engine("a", 0),
@@ -387,10 +399,10 @@
     }
 }
 
-/// A rolling restart, its engines, and what was said of it.
+/// Drives a rolling restart, and records its transcript.
 struct Script {
     roll: RollingRestart,
-    sight: ObservedState,
+    observed: ObservedState,
     text: String,
 }
 
@@ -399,17 +411,17 @@
         let engines = engines.iter().map(ToString::to_string).collect();
         Script {
             roll: RollingRestart::new(0, engines, Some(0.95)),
-            sight: sight(),
+            observed: observed(),
             text: format!("== {title}\n"),
         }
     }
 
-    fn set(&mut self, name: &str, how: impl FnOnce(&mut EngineSnapshot)) {
-        let engine = self.sight.engines.iter_mut().find(|e| e.name == name);
-        how(engine.expect("known"));
+    fn set(&mut self, name: &str, change: impl FnOnce(&mut EngineSnapshot)) {
+        let engine = self.observed.engines.iter_mut().find(|e| e.name == name);
+        change(engine.expect("known"));
     }
 
-    fn note(&mut self, now: u64, acts: Vec<RollingRestartAction>) {
+    fn note(&mut self, now: u64, actions: Vec<RollingRestartAction>) {
         let _ = writeln!(
             self.text,
             "{} s: {}; {}",
@@ -417,16 +429,17 @@
             self.roll.stage.name(),
             self.roll.status
         );
-        for act in acts {
-            let line = match &act {
+        for action in actions {
+            let line = match &action {
                 RollingRestartAction::Drain(name) => format!("drain {name}"),
                 RollingRestartAction::Resume(name) => format!("resume {name}"),
                 RollingRestartAction::Persist => "write".into(),
-                RollingRestartAction::Announce(words) => format!("say {words}"),
+                RollingRestartAction::Announce(message) => format!("say {message}"),
             };
             let _ = writeln!(self.text, "    {line}");
-            if let RollingRestartAction::Drain(name) | RollingRestartAction::Resume(name) = &act {
-                let drained = matches!(act, RollingRestartAction::Drain(_));
+            if let RollingRestartAction::Drain(name) | RollingRestartAction::Resume(name) = &action
+            {
+                let drained = matches!(action, RollingRestartAction::Drain(_));
                 self.set(name, |e| (e.is_drained, e.is_ready) = (drained, !drained));
             }
         }
@@ -434,19 +447,19 @@
     }
 
     fn step(&mut self, now: u64) {
-        let acts = self.roll.step(now * SECOND, &self.sight);
-        self.note(now * SECOND, acts);
+        let actions = self.roll.step(now * SECOND, &self.observed);
+        self.note(now * SECOND, actions);
     }
 
     fn plan(&mut self) {
-        for line in self.roll.plan(&self.sight) {
+        for line in self.roll.plan(&self.observed) {
             let _ = writeln!(self.text, "    plan {line}");
         }
     }
 }
 
 #[test]
-fn roll_decides_and_speaks_as_before() {
+fn rolling_restart_transcript_matches_golden_file() {
     let mut s = Script::new("two engines, one restarted, one handed back", &["a", "b"]);
     s.plan();
     s.set("a", |e| (e.running_queries, e.running_imports) = (3, 1));
@@ -467,10 +480,10 @@
     s.step(90);
     s.step(91);
     s.step(92);
-    let acts = s.roll.confirm_engine_returned(93 * SECOND);
-    s.note(93 * SECOND, acts);
-    let acts = s.roll.confirm_engine_returned(94 * SECOND);
-    s.note(94 * SECOND, acts);
+    let actions = s.roll.confirm_engine_returned(93 * SECOND);
+    s.note(93 * SECOND, actions);
+    let actions = s.roll.confirm_engine_returned(94 * SECOND);
+    s.note(94 * SECOND, actions);
     s.step(120);
     s.step(121);
     let mut text = s.text;
@@ -479,20 +492,20 @@
         "what bars an engine, and one that is not listed",
         &["a", "x"],
     );
-    s.sight.load = 0.7;
+    s.observed.load = 0.7;
     s.step(1);
     s.plan();
-    s.sight.load = 0.4;
+    s.observed.load = 0.4;
     s.set("b", |e| e.is_drained = true);
     s.step(2);
     s.set("b", |e| e.is_drained = false);
     s.set("c", |e| e.is_ready = false);
     s.step(3);
-    s.sight.engines.truncate(1);
+    s.observed.engines.truncate(1);
     s.step(4);
-    s.sight.engines.clear();
+    s.observed.engines.clear();
     s.step(5);
-    s.sight = sight();
+    s.observed = observed();
     s.roll.remaining = vec!["x".into()];
     s.step(6);
     s.step(7);
@@ -500,21 +513,21 @@
 
     let mut s = Script::new("stops: service, resumed, operator", &["a"]);
     s.step(1);
-    s.sight.service_level = Some(0.8);
+    s.observed.service_level = Some(0.8);
     s.step(2);
     s.step(3);
-    let acts = s.roll.resume(4 * SECOND, &s.sight);
-    s.note(4 * SECOND, acts);
+    let actions = s.roll.resume(4 * SECOND, &s.observed);
+    s.note(4 * SECOND, actions);
     s.set("a", |e| (e.is_drained, e.is_ready) = (false, true));
     s.step(5);
-    let acts = s.roll.resume(6 * SECOND, &s.sight);
-    s.note(6 * SECOND, acts);
+    let actions = s.roll.resume(6 * SECOND, &s.observed);
+    s.note(6 * SECOND, actions);
     s.step(7);
     s.step(8);
     s.set("a", |e| (e.is_drained, e.is_ready) = (false, true));
     s.step(9);
-    let acts = s.roll.stop(10 * SECOND, "by an operator");
-    s.note(10 * SECOND, acts);
+    let actions = s.roll.stop(10 * SECOND, "by an operator");
+    s.note(10 * SECOND, actions);
     text += &s.text;
     assert_golden!("roll.txt", text);
 }
--- a/crates/engine-registry/tests/handover.rs
+++ b/crates/engine-registry/tests/handover.rs
@@ -1,4 +1,4 @@
-//! The hand-over file: a cut or changed one counts as none.
+//! The hand-over file: truncated or damaged files are rejected.
 
 use driftfront_engine_registry::handover::{decode, encode, HandoverError, HandoverState, HEADER};
 use driftfront_engine_registry::{ActiveOrder, Order};
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn file_cut_or_changed_at_any_byte_counts_as_none() {
+fn truncation_or_damage_at_any_byte_is_rejected() {
     let bytes = encode(&state());
     assert_eq!(decode(&bytes), Ok(state()));
     for cut in 0..bytes.len() {
@@ -53,11 +53,11 @@
 }
 
 #[test]
-fn random_bytes_are_no_handover_state() {
-    let never =
+fn random_bytes_are_rejected() {
+    let is_rejected =
         |bytes: Vec<u8>| decode(&bytes).is_err() && decode(&[HEADER, &bytes].concat()).is_err();
     let mut check = QuickCheck::new()
         .tests(5_000)
         .rng(Gen::from_size_and_seed(60, 18));
-    check.quickcheck(never as fn(Vec<u8>) -> bool);
+    check.quickcheck(is_rejected as fn(Vec<u8>) -> bool);
 }
--- a/crates/engine-registry/tests/model.rs
+++ b/crates/engine-registry/tests/model.rs
@@ -1,4 +1,4 @@
-//! The registry against random sources, commands and restarts.
+//! Compares the registry with a simple model under random lists, commands and restarts.
 #![allow(
     clippy::too_many_lines,
     reason = "one match over all steps of the model"
@@ -18,7 +18,7 @@
     Resume(u8),
     Add(u8),
     Remove(u8, bool),
-    /// The program ends, maybe in the middle of writing, and starts again.
+    /// The program stops, possibly while it writes a record, and starts again.
     Restart(u8),
     Compact,
     Forget(u8),
@@ -64,12 +64,12 @@
     }
 }
 
-/// What the module believes, from the changes alone.
+/// The phases as the scheduler knows them from the changes alone.
 #[derive(Default)]
-struct Module(BTreeMap<EngineId, Phase>);
+struct SchedulerView(BTreeMap<EngineId, Phase>);
 
-impl Module {
-    fn take(&mut self, change: &driftfront_engine_registry::RegistryChange) {
+impl SchedulerView {
+    fn apply(&mut self, change: &driftfront_engine_registry::RegistryChange) {
         if change.kind != ListKind::Changes {
             self.0.values_mut().for_each(|p| *p = Phase::Gone);
         }
@@ -85,39 +85,42 @@
 }
 
 #[derive(Default)]
-struct Plain {
+struct Model {
     source: BTreeMap<String, Phase>,
     added: Vec<String>,
     orders: BTreeMap<String, Order>,
 }
 
-impl Plain {
+impl Model {
     fn phase(&self, name: &String) -> Phase {
         let added = self.added.contains(name);
-        let said = match self.source.get(name) {
+        let described = match self.source.get(name) {
             Some(Phase::Gone) | None if added => Phase::Ready,
             Some(&phase) => phase,
             None => Phase::Gone,
         };
         match self.orders.get(name) {
             Some(Order::Remove) => Phase::Gone,
-            Some(Order::Drain) if said == Phase::Ready => Phase::Draining,
-            _ => said,
+            Some(Order::Drain) if described == Phase::Ready => Phase::Draining,
+            _ => described,
         }
     }
 }
 
-fn holds(steps: Vec<Step>) -> bool {
-    let (mut registry, mut module, mut plain) =
-        (EngineRegistry::new(), Module::default(), Plain::default());
+fn registry_matches_model(steps: Vec<Step>) -> bool {
+    let (mut registry, mut scheduler, mut model) = (
+        EngineRegistry::new(),
+        SchedulerView::default(),
+        Model::default(),
+    );
     let mut file = record::encode_file(&[]);
     for (n, step) in steps.into_iter().enumerate() {
         let mut change = None;
         match step {
             Step::Full(descriptions) => {
-                plain.source.clear();
+                model.source.clear();
                 for (n, phase) in &descriptions {
-                    plain.source.insert(name(*n), description(*n, *phase).phase);
+                    model.source.insert(name(*n), description(*n, *phase).phase);
                 }
                 change = Some(registry.apply_listing(
                     ListKind::Full,
@@ -126,7 +129,7 @@
             }
             Step::Changes(descriptions) => {
                 for (n, phase) in &descriptions {
-                    plain.source.insert(name(*n), description(*n, *phase).phase);
+                    model.source.insert(name(*n), description(*n, *phase).phase);
                 }
                 change = Some(registry.apply_listing(
                     ListKind::Changes,
@@ -134,18 +137,18 @@
                 ));
             }
             Step::Restart(cut) => {
-                // The last record may be half written: then its command was never confirmed.
-                let before = record::decode_file(&file).expect("ours");
+                // The last record may be incomplete; its command was then never confirmed.
+                let before = record::decode_file(&file).expect("a state file");
                 if cut < 100 && !before.records.is_empty() {
                     let last = record::encode(before.records.last().expect("one")).len();
                     file.truncate(file.len() - 1 - usize::from(cut) % last);
-                    undo(&mut plain, &before.records);
+                    undo_last(&mut model, &before.records);
                 }
-                let read = record::decode_file(&file).expect("ours");
+                let read = record::decode_file(&file).expect("a state file");
                 file.truncate(read.valid_bytes.max(record::HEADER.len()));
                 registry = EngineRegistry::new();
-                module = Module::default();
-                plain.source.clear();
+                scheduler = SchedulerView::default();
+                model.source.clear();
                 change = Some(registry.restore_records(read.records));
             }
             Step::Compact => {
@@ -154,7 +157,7 @@
             Step::Forget(n) => {
                 if let Some(id) = registry
                     .id(&name(n))
-                    .filter(|&id| module.phase(Some(id)) == Phase::Gone)
+                    .filter(|&id| scheduler.phase(Some(id)) == Phase::Gone)
                 {
                     registry.forget_engine(id);
                 }
@@ -175,22 +178,22 @@
                     },
                     _ => unreachable!(),
                 };
-                let ready = |p: &Plain| {
+                let ready = |p: &Model| {
                     (0..5)
                         .filter(|&n| p.phase(&name(n)) == Phase::Ready)
                         .count()
                 };
-                let before = ready(&plain);
+                let before = ready(&model);
                 if let Ok((c, records)) =
                     registry.execute_command(n as u64, "operator", command.clone())
                 {
                     records.iter().for_each(|r| file.extend(record::encode(r)));
-                    records.iter().for_each(|r| follow(&mut plain, r));
+                    records.iter().for_each(|r| apply_record(&mut model, r));
                     let forced = matches!(
                         command,
                         Command::Drain { force: true, .. } | Command::Remove { force: true, .. }
                     );
-                    if before > 0 && !forced && ready(&plain) == 0 {
+                    if before > 0 && !forced && ready(&model) == 0 {
                         return false;
                     }
                     change = Some(c);
@@ -198,17 +201,17 @@
             }
         }
         if let Some(change) = change {
-            module.take(&change);
+            scheduler.apply(&change);
         }
         for n in 0..5 {
             let name = name(n);
-            // A restarted program knows no source's engines before a source has spoken.
-            if module.phase(registry.id(&name)) != plain.phase(&name)
+            // After a restart, engines of sources are unknown until a source lists them.
+            if scheduler.phase(registry.id(&name)) != model.phase(&name)
                 && registry.id(&name).is_some()
             {
                 return false;
             }
-            if plain.phase(&name) != Phase::Gone && registry.id(&name).is_none() {
+            if model.phase(&name) != Phase::Gone && registry.id(&name).is_none() {
                 return false;
             }
         }
@@ -216,38 +219,38 @@
     true
 }
 
-fn follow(plain: &mut Plain, record: &StateRecord) {
+fn apply_record(model: &mut Model, record: &StateRecord) {
     match record {
         StateRecord::Ordered {
             engine,
             active_order,
         } => {
             if active_order.order == Order::Remove {
-                plain.added.retain(|a| a != engine);
+                model.added.retain(|a| a != engine);
             }
-            plain.orders.insert(engine.clone(), active_order.order);
+            model.orders.insert(engine.clone(), active_order.order);
         }
-        StateRecord::Lifted { engine } => drop(plain.orders.remove(engine)),
+        StateRecord::Lifted { engine } => drop(model.orders.remove(engine)),
         StateRecord::Added { description } => {
-            plain.added.retain(|a| *a != description.name);
-            plain.added.push(description.name.clone());
+            model.added.retain(|a| *a != description.name);
+            model.added.push(description.name.clone());
         }
         StateRecord::RollingRestart { .. } => {}
     }
 }
 
-/// All records but the last.
-fn undo(plain: &mut Plain, records: &[StateRecord]) {
-    (plain.added, plain.orders) = Default::default();
+/// Rebuilds the model from all records except the last.
+fn undo_last(model: &mut Model, records: &[StateRecord]) {
+    (model.added, model.orders) = Default::default();
     records[..records.len() - 1]
         .iter()
-        .for_each(|r| follow(plain, r));
+        .for_each(|r| apply_record(model, r));
 }
 
 #[test]
-fn registry_agrees_with_the_model_through_any_restarts() {
+fn registry_agrees_with_the_model_across_restarts() {
     let mut check = QuickCheck::new()
         .tests(3000)
         .rng(Gen::from_size_and_seed(60, 20_261_201));
-    check.quickcheck(holds as fn(Vec<Step>) -> bool);
+    check.quickcheck(registry_matches_model as fn(Vec<Step>) -> bool);
 }
--- a/crates/engine-registry/tests/orders.rs
+++ b/crates/engine-registry/tests/orders.rs
@@ -1,4 +1,4 @@
-//! Engines taken out and put back by name, whatever lists say.
+//! Engines suspended and restored by name, independently of the lists of sources.
 
 use driftfront_engine_registry::{EngineDescription, EngineRegistry, Refusal, MAX_KNOWN_NAMES};
 use driftfront_scheduler::{ListKind, Phase};
@@ -32,13 +32,13 @@
     let (change, _) = registry
         .restore_engine(20, "x", "a")
         .unwrap()
-        .expect("news");
+        .expect("a change");
     assert_eq!(
         (change.engines[0].phase, change.engines[0].started_at),
         (Phase::Ready, Some(20))
     );
     assert!(registry.restore_engine(21, "x", "a").unwrap().is_none());
-    // The list learns late that it was started anew while it was out, and later of another start.
+    // The list reports late that the engine was restarted while it was suspended, and then another restart.
     assert!(registry
         .apply_listing(
             ListKind::Changes,
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn departed_engine_can_be_drained_and_an_unknown_one_can_not() {
+fn departed_engine_can_be_drained_and_an_unknown_one_cannot() {
     let mut registry = EngineRegistry::new();
     let change = registry.apply_listing(ListKind::Full, vec![description("a", Phase::Ready, None)]);
     registry.apply_listing(ListKind::Changes, vec![description("a", Phase::Gone, None)]);
@@ -73,7 +73,7 @@
         vec![description("a", Phase::Ready, Some(5))],
     );
     assert_eq!(back.engines[0].phase, Phase::Draining);
-    // Names of old do not pile up for ever; the youngest are known.
+    // The number of remembered names is bounded; the most recent ones are kept.
     for n in 0..MAX_KNOWN_NAMES {
         let name = format!("n{n}");
         let line = registry
@@ -102,42 +102,44 @@
     assert!(registry.restore_engine(1, "x", "n0").is_err());
 }
 
-/// Two processes get random orders and hear of each other in any order: once both have heard all, both say the same, and
-/// what was ordered last holds.
+/// Two processes get random orders and exchange their states in any order. Once both have received everything, both agree,
+/// and the last order for each engine is in force.
 fn processes_agree(steps: Vec<(u8, u8, bool)>) -> bool {
-    agree_under(steps, [0, 0])
+    processes_agree_with_offsets(steps, [0, 0])
 }
 
-/// The same where the wall clock was set between their starts: their times are an hour apart, either way.
-fn processes_agree_an_hour_apart(steps: Vec<(u8, u8, bool)>) -> bool {
+/// The same with clocks that differ by an hour in either direction, as after the wall clock was set between their starts.
+fn processes_agree_with_clock_skew(steps: Vec<(u8, u8, bool)>) -> bool {
     const HOUR: u64 = 3_600_000_000;
-    agree_under(steps.clone(), [HOUR, 0]) && agree_under(steps, [0, HOUR])
+    processes_agree_with_offsets(steps.clone(), [HOUR, 0])
+        && processes_agree_with_offsets(steps, [0, HOUR])
 }
 
-fn agree_under(steps: Vec<(u8, u8, bool)>, ahead: [u64; 2]) -> bool {
-    let lines = || {
+fn processes_agree_with_offsets(steps: Vec<(u8, u8, bool)>, clock_offsets: [u64; 2]) -> bool {
+    let engines = || {
         (0..3)
             .map(|n| description(&format!("e{n}"), Phase::Ready, None))
             .collect::<Vec<_>>()
     };
-    let mut two = [EngineRegistry::new(), EngineRegistry::new()];
-    two.iter_mut()
-        .for_each(|r| drop(r.apply_listing(ListKind::Full, lines())));
+    let mut processes = [EngineRegistry::new(), EngineRegistry::new()];
+    processes
+        .iter_mut()
+        .for_each(|r| drop(r.apply_listing(ListKind::Full, engines())));
     let mut last = [Phase::Ready; 3];
-    for (now, (what, engine, which)) in steps.into_iter().enumerate() {
+    for (now, (operation, engine, which)) in steps.into_iter().enumerate() {
         let (n, which) = (usize::from(engine % 3), usize::from(which));
-        let now = now as u64 + 1 + ahead[which];
+        let now = now as u64 + 1 + clock_offsets[which];
         let name = format!("e{n}");
-        match what % 4 {
+        match operation % 4 {
             0 => {
-                last[n] = if two[which].suspend_engine(now, "x", &name).is_ok() {
+                last[n] = if processes[which].suspend_engine(now, "x", &name).is_ok() {
                     Phase::Draining
                 } else {
                     return false;
                 }
             }
             1 => {
-                last[n] = if two[which].restore_engine(now, "x", &name).is_ok() {
+                last[n] = if processes[which].restore_engine(now, "x", &name).is_ok() {
                     Phase::Ready
                 } else {
                     return false;
@@ -145,14 +147,14 @@
             }
             _ => {}
         }
-        // An order is told to the other at once, as hosts do it; a state may come twice, and late ones change nothing.
-        let state = two[which].handover_state(true);
-        let before = two[1 - which].handover_state(true);
-        drop(two[1 - which].merge_handover(&state));
-        drop(two[which].merge_handover(&before));
+        // Like the hosts, exchange states after every order. Receiving a state twice or late must change nothing.
+        let state = processes[which].handover_state(true);
+        let before = processes[1 - which].handover_state(true);
+        drop(processes[1 - which].merge_handover(&state));
+        drop(processes[which].merge_handover(&before));
     }
     let phases = |r: &EngineRegistry| r.engines().iter().map(|e| e.phase).collect::<Vec<_>>();
-    phases(&two[0]) == last && phases(&two[1]) == last
+    phases(&processes[0]) == last && phases(&processes[1]) == last
 }
 
 #[test]
@@ -161,5 +163,5 @@
         .tests(5_000)
         .rng(Gen::from_size_and_seed(40, 18));
     check.quickcheck(processes_agree as fn(Vec<(u8, u8, bool)>) -> bool);
-    check.quickcheck(processes_agree_an_hour_apart as fn(Vec<(u8, u8, bool)>) -> bool);
+    check.quickcheck(processes_agree_with_clock_skew as fn(Vec<(u8, u8, bool)>) -> bool);
 }
--- a/crates/engine-registry/tests/record.rs
+++ b/crates/engine-registry/tests/record.rs
@@ -1,4 +1,4 @@
-//! The state file: what a power cut or a changed byte costs, and files that are left alone.
+//! The state file: recovery after truncation or damage, and rejection of unrecognized files.
 
 use driftfront_engine_registry::record::{
     self, decode_file, encode, encode_file, StateFileError, StateRecord, HEADER,
@@ -39,14 +39,14 @@
 }
 
 #[test]
-fn power_cut_at_any_byte_leaves_the_records_before_it() {
+fn truncation_at_any_byte_keeps_the_records_before_it() {
     let (records, complete) = (records(), encode_file(&records()));
     let mut ends = vec![HEADER.len()];
     for record in &records {
         ends.push(ends[ends.len() - 1] + encode(record).len());
     }
     for cut in 0..=complete.len() {
-        let read = decode_file(&complete[..cut]).expect("ours");
+        let read = decode_file(&complete[..cut]).expect("a state file");
         let count = ends.iter().skip(1).filter(|&&end| end <= cut).count();
         assert_eq!(read.records, records[..count], "cut at {cut}");
         assert_eq!(
@@ -55,7 +55,7 @@
             "cut at {cut}"
         );
         assert!(read.valid_bytes <= cut);
-        // What is appended behind the cut is read again.
+        // Records appended after the valid part are readable.
         let mut repaired = if read.valid_bytes == 0 {
             HEADER.to_vec()
         } else {
@@ -63,19 +63,22 @@
         };
         repaired.extend(encode(&records[0]));
         assert_eq!(
-            record::decode_file(&repaired).expect("ours").records.len(),
+            record::decode_file(&repaired)
+                .expect("a state file")
+                .records
+                .len(),
             count + 1
         );
     }
 }
 
 #[test]
-fn changed_byte_costs_its_record_and_those_after_it_alone() {
+fn changed_byte_loses_only_its_record_and_those_after_it() {
     let (records, complete) = (records(), encode_file(&records()));
     for at in HEADER.len()..complete.len() {
-        let mut bad = complete.clone();
-        bad[at] ^= 0x10;
-        let read = decode_file(&bad).expect("ours");
+        let mut damaged = complete.clone();
+        damaged[at] ^= 0x10;
+        let read = decode_file(&damaged).expect("a state file");
         assert!(
             read.damage.is_some() && read.records.len() < records.len(),
             "byte {at}"
@@ -85,7 +88,7 @@
 }
 
 #[test]
-fn files_of_another_version_or_kind_are_left_alone() {
+fn files_of_another_version_or_type_are_rejected() {
     assert_eq!(
         decode_file(b"driftfront state 2\nwhatever"),
         Err(StateFileError::Newer("2".into()))
@@ -94,5 +97,8 @@
         decode_file(b"{\"instances\":[]}, which is something else"),
         Err(StateFileError::NotStateFile)
     );
-    assert!(decode_file(b"").expect("new").damage.is_none());
+    assert!(decode_file(b"")
+        .expect("an empty file is valid")
+        .damage
+        .is_none());
 }
--- a/crates/engine-registry/tests/rolling_restart.rs
+++ b/crates/engine-registry/tests/rolling_restart.rs
@@ -1,4 +1,4 @@
-//! A rolling restart: its stages, what it waits for, and what stops it.
+//! The rolling restart: its stages, wait conditions and stop conditions.
 
 use driftfront_engine_registry::rolling_restart::{
     EngineSnapshot, ObservedState, RollingRestart, RollingRestartAction, Stage,
@@ -13,7 +13,7 @@
     Stage::Done,
 ];
 
-const S: u64 = 1_000_000;
+const SECOND: u64 = 1_000_000;
 
 fn engine(name: &str, zone: u16) -> EngineSnapshot {
     EngineSnapshot {
@@ -59,103 +59,110 @@
     }
 }
 
-fn set(observed: &mut ObservedState, name: &str, how: impl FnOnce(&mut EngineSnapshot)) {
-    how(observed
-        .engines
-        .iter_mut()
-        .find(|e| e.name == name)
-        .expect("known"));
+fn set(observed: &mut ObservedState, name: &str, change: impl FnOnce(&mut EngineSnapshot)) {
+    change(
+        observed
+            .engines
+            .iter_mut()
+            .find(|e| e.name == name)
+            .expect("known"),
+    );
 }
 
 #[test]
-fn engines_go_one_after_another_and_each_is_waited_for() {
+fn engines_are_restarted_one_at_a_time() {
     let mut observed = self::observed();
     let mut roll = RollingRestart::new(0, vec!["a".into(), "b".into()], observed.service_level);
     set(&mut observed, "a", |e| {
         (e.running_queries, e.running_imports) = (3, 1)
     });
-    let actions = roll.step(S, &observed);
+    let actions = roll.step(SECOND, &observed);
     assert!(actions.contains(&RollingRestartAction::Drain("a".into())));
     apply(&mut observed, &actions);
-    roll.step(2 * S, &observed);
+    roll.step(2 * SECOND, &observed);
     assert!(roll.stage == Stage::Draining && roll.status.to_string().contains("1 imports"));
     set(&mut observed, "a", |e| {
         (e.running_queries, e.running_imports) = (0, 0)
     });
-    roll.step(3 * S, &observed);
+    roll.step(3 * SECOND, &observed);
     assert_eq!(roll.stage, Stage::HandedOver);
-    // The operator restarts it; the next one waits until it is warm.
+    // The operator restarts it; the next engine waits until it is warm.
     set(&mut observed, "a", |e| e.started_at = Some(9));
-    let actions = roll.step(9 * S, &observed);
+    let actions = roll.step(9 * SECOND, &observed);
     assert!(actions.contains(&RollingRestartAction::Resume("a".into())));
     apply(&mut observed, &actions);
-    assert!(roll.step(20 * S, &observed).is_empty());
-    roll.step(25 * S, &observed);
+    assert!(roll.step(20 * SECOND, &observed).is_empty());
+    roll.step(25 * SECOND, &observed);
     assert_eq!((roll.current(), roll.stage), (Some("b"), Stage::Next));
-    let actions = roll.step(26 * S, &observed);
+    let actions = roll.step(26 * SECOND, &observed);
     apply(&mut observed, &actions);
-    roll.step(27 * S, &observed);
-    let actions = roll.confirm_engine_returned(28 * S);
+    roll.step(27 * SECOND, &observed);
+    let actions = roll.confirm_engine_returned(28 * SECOND);
     apply(&mut observed, &actions);
-    roll.step(60 * S, &observed);
+    roll.step(60 * SECOND, &observed);
     assert!(roll.is_done() && roll.completed == ["a", "b"]);
 }
 
 #[test]
-fn it_waits_while_another_engine_is_out_or_capacity_is_short() {
+fn it_waits_while_another_engine_is_out_or_capacity_is_insufficient() {
     let mut roll = RollingRestart::new(0, vec!["a".into()], Some(0.95));
     let mut busy = observed();
     busy.load = 0.7;
     assert!(
-        roll.step(S, &busy).is_empty() && roll.status.to_string().contains("the others have 75")
+        roll.step(SECOND, &busy).is_empty()
+            && roll.status.to_string().contains("the others have 75")
     );
     let mut out = observed();
     set(&mut out, "b", |e| e.is_drained = true);
-    assert!(roll.step(2 * S, &out).is_empty() && roll.status.to_string().contains("same building"));
+    assert!(
+        roll.step(2 * SECOND, &out).is_empty() && roll.status.to_string().contains("same building")
+    );
     let alone = ObservedState {
         engines: vec![engine("a", 0)],
         ..observed()
     };
-    assert!(roll.step(3 * S, &alone).is_empty() && roll.status.to_string().contains("last engine"));
+    assert!(
+        roll.step(3 * SECOND, &alone).is_empty() && roll.status.to_string().contains("last engine")
+    );
     assert!(roll.plan(&alone)[0].contains("last engine"));
-    assert_eq!(roll.step(4 * S, &observed()).len(), 3);
+    assert_eq!(roll.step(4 * SECOND, &observed()).len(), 3);
 }
 
 #[test]
 fn it_stops_on_a_service_drop_or_a_lifted_drain_and_resumes() {
     let mut observed = self::observed();
     let mut roll = RollingRestart::new(0, vec!["a".into()], observed.service_level);
-    let actions = roll.step(S, &observed);
+    let actions = roll.step(SECOND, &observed);
     apply(&mut observed, &actions);
     observed.service_level = Some(0.8);
-    roll.step(2 * S, &observed);
+    roll.step(2 * SECOND, &observed);
     assert!(roll.stage == Stage::Stopped && roll.status.to_string().contains("80 in 100"));
-    assert!(roll.step(9 * S, &observed).is_empty());
-    roll.resume(10 * S, &observed);
+    assert!(roll.step(9 * SECOND, &observed).is_empty());
+    roll.resume(10 * SECOND, &observed);
     assert_eq!(roll.stage, Stage::Draining);
     set(&mut observed, "a", |e| {
         (e.is_drained, e.is_ready) = (false, true)
     });
-    roll.step(11 * S, &observed);
+    roll.step(11 * SECOND, &observed);
     assert!(roll.stage == Stage::Stopped && roll.status.to_string().contains("resumed"));
 }
 
 #[test]
-fn clock_set_back_only_makes_it_wait() {
+fn clock_set_back_only_prolongs_the_wait() {
     let mut observed = self::observed();
-    let mut roll = RollingRestart::new(100 * S, vec!["a".into()], observed.service_level);
-    let actions = roll.step(101 * S, &observed);
+    let mut roll = RollingRestart::new(100 * SECOND, vec!["a".into()], observed.service_level);
+    let actions = roll.step(101 * SECOND, &observed);
     apply(&mut observed, &actions);
-    roll.step(S, &observed);
-    let actions = roll.confirm_engine_returned(2 * S);
+    roll.step(SECOND, &observed);
+    let actions = roll.confirm_engine_returned(2 * SECOND);
     apply(&mut observed, &actions);
-    assert!(roll.step(S, &observed).is_empty() && roll.stage == Stage::WarmingUp);
-    roll.step(30 * S, &observed);
+    assert!(roll.step(SECOND, &observed).is_empty() && roll.stage == Stage::WarmingUp);
+    roll.step(30 * SECOND, &observed);
     assert!(roll.is_done());
 }
 
 #[test]
-fn text_is_read_back_at_every_stage() {
+fn text_round_trips_at_every_stage() {
     for stage in STAGES {
         let roll = RollingRestart {
             stage,
