--- a/crates/console/src/app.rs
+++ b/crates/console/src/app.rs
@@ -1,27 +1,27 @@
-//! The console's state: what it shows, and what keys do. No terminal, no socket, no clock.
+//! The state of the console and its key handling, independent of terminal, socket and clock.
 
 use crate::messages;
 use driftfront_control::snapshot::{Engine, Snapshot};
 use driftfront_control::{Reply, Request};
 use std::collections::VecDeque;
 
-/// Events kept for showing; the oldest go first.
+/// Limit on the kept events; beyond it the oldest are dropped.
 pub const MAX_EVENTS: usize = 500;
 
-/// What is shown.
+/// A tab of the console.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Tab {
     /// Engines.
     Engines,
-    /// Classes and their service.
+    /// Classes and their service statistics.
     Service,
-    /// What runs.
+    /// Running and queued queries.
     Queries,
-    /// What happened.
+    /// Events.
     Events,
 }
 
-/// All tabs, in the order of their keys.
+/// All tabs with their titles, in the order of their keys.
 pub const TABS: [(Tab, &str); 4] = [
     (Tab::Engines, "engines"),
     (Tab::Service, "service"),
@@ -29,16 +29,16 @@
     (Tab::Events, "events"),
 ];
 
-/// A key, as far as the console knows any.
+/// A key that the console handles.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Key {
-    /// A letter or sign.
+    /// A character.
     Char(char),
-    /// Up.
+    /// Arrow up.
     Up,
-    /// Down.
+    /// Arrow down.
     Down,
-    /// To the next tab.
+    /// Tab.
     Tab,
     /// Enter.
     Enter,
@@ -46,44 +46,44 @@
     Escape,
 }
 
-/// What is to be done after a key.
+/// The action for the caller after a key.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Nothing but showing.
+    /// None, apart from redrawing.
     Nothing,
-    /// Ask the program.
+    /// Send a request to the program.
     Send(Request),
     /// Close the console.
     Quit,
 }
 
-/// A question before an action that is not easily undone.
+/// A confirmation dialog, for requests that are not easily undone.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Confirmation {
-    /// The question itself.
+    /// The question.
     pub text: String,
-    /// What `y` sends.
+    /// The request to send if the user confirms.
     pub request: Request,
 }
 
-/// The console.
+/// The state of the console.
 #[derive(Debug)]
 pub struct App {
     /// The last snapshot.
     pub snapshot: Option<Snapshot>,
-    /// Why the program can't be reached, while it can't.
-    pub disconnected: Option<String>,
-    /// The tab shown.
+    /// Why the program can't be reached; `None` while connected.
+    pub disconnect_reason: Option<String>,
+    /// The visible tab.
     pub tab: Tab,
     /// The selected row.
     pub selected_row: usize,
-    /// What happened, the latest last: when (Unix microseconds), and what.
+    /// Events with their times in Unix microseconds, latest last.
     pub events: VecDeque<(u64, String)>,
-    /// The question that waits for an answer.
+    /// The open confirmation dialog.
     pub confirmation: Option<Confirmation>,
-    /// The answer to the last command.
+    /// The reply to the last request, or a hint about the last key.
     pub status_message: Option<String>,
-    /// The help is shown.
+    /// Whether the help is shown.
     pub is_help_shown: bool,
 }
 
@@ -94,11 +94,11 @@
 }
 
 impl App {
-    /// A console that knows nothing yet.
+    /// Creates a console without a snapshot.
     pub fn new() -> App {
         App {
             snapshot: None,
-            disconnected: None,
+            disconnect_reason: None,
             tab: Tab::Engines,
             selected_row: 0,
             events: VecDeque::new(),
@@ -108,9 +108,9 @@
         }
     }
 
-    /// Takes over what the program has said.
+    /// Handles a reply of the program.
     pub fn handle_reply(&mut self, reply: Reply) {
-        self.disconnected = None;
+        self.disconnect_reason = None;
         match reply {
             Reply::Snapshot(snapshot) => {
                 self.snapshot = Some(*snapshot);
@@ -126,13 +126,13 @@
         }
     }
 
-    /// The program can't be reached; a question is dropped, since its answer could not be sent.
+    /// Handles a lost connection. An open dialog is closed, since its request could not be sent.
     pub fn handle_disconnect(&mut self, reason: &str) {
-        self.disconnected = Some(reason.into());
+        self.disconnect_reason = Some(reason.into());
         self.confirmation = None;
     }
 
-    /// The number of rows of the tab that is shown.
+    /// The number of rows of the visible tab.
     pub fn row_count(&self) -> usize {
         let Some(s) = &self.snapshot else { return 0 };
         match self.tab {
@@ -143,7 +143,7 @@
         }
     }
 
-    /// The selected engine, on the tab of engines.
+    /// The selected engine, if the engines tab is visible.
     fn selected_engine(&self) -> Option<&Engine> {
         self.snapshot
             .as_ref()
@@ -152,10 +152,10 @@
             .get(self.selected_row)
     }
 
-    /// Handles a key, and says what is to be done.
+    /// Handles a key, and returns the action for the caller.
     pub fn handle_key(&mut self, key: Key) -> Action {
-        if let Some(question) = self.confirmation.take() {
-            return self.resolve_confirmation(question, key);
+        if let Some(confirmation) = self.confirmation.take() {
+            return self.resolve_confirmation(confirmation, key);
         }
         if self.is_help_shown {
             self.is_help_shown = false;
@@ -182,7 +182,7 @@
         Action::Nothing
     }
 
-    /// Selects a row, or the last one where there are fewer.
+    /// Selects a row, or the last one if there are fewer.
     fn select_row(&mut self, row: usize) {
         self.selected_row = row.min(self.row_count().saturating_sub(1));
     }
@@ -201,9 +201,9 @@
         });
     }
 
-    fn resolve_confirmation(&mut self, question: Confirmation, key: Key) -> Action {
+    fn resolve_confirmation(&mut self, confirmation: Confirmation, key: Key) -> Action {
         match key {
-            Key::Char('y' | 'Y') => Action::Send(question.request),
+            Key::Char('y' | 'Y') => Action::Send(confirmation.request),
             _ => {
                 self.status_message = Some("Left as it was.".into());
                 Action::Nothing
@@ -257,7 +257,7 @@
         });
     }
 
-    /// The keys, for the last line; fewer where the width is small.
+    /// The key help for the last line, shortened to fit the width.
     pub fn key_line(&self, width: usize) -> String {
         let full =
             "1-4 tab  up/down  d drain  r resume  R roll  b back  s stop  g go on  ? help  q quit";
@@ -271,9 +271,9 @@
             .to_string()
     }
 
-    /// What needs an eye: alarms, or that the program can't be reached.
+    /// The alarms, or a message that the program can't be reached.
     pub fn alarms(&self) -> Vec<String> {
-        match (&self.disconnected, &self.snapshot) {
+        match (&self.disconnect_reason, &self.snapshot) {
             (Some(why), _) => {
                 vec![format!(
                     "The program can't be reached: {why}. This is how things last stood."
--- a/crates/console/src/lib.rs
+++ b/crates/console/src/lib.rs
@@ -1,9 +1,10 @@
-//! What an operator sees.
+//! The operator console.
 //!
-//! [`messages`] makes the texts, [`app`] is the console's state without a terminal, [`screen`] draws it, [`remote`] speaks to the
-//! program, and [`run`] joins them on a real terminal.
+//! [`messages`] formats the texts, [`app`] holds the state of the console, [`screen`] draws it, [`remote`] connects to the
+//! program, and [`run`] connects all of these to a terminal.
 //!
-//! The console only observes: closing or killing it changes nothing in the program, and several may run at once.
+//! The console changes the program only through requests: it can be closed or killed at any time, and several consoles can run
+//! at once.
 #![forbid(unsafe_code)]
 
 pub mod app;
--- a/crates/console/src/messages/alarms.rs
+++ b/crates/console/src/messages/alarms.rs
@@ -1,19 +1,19 @@
-//! What needs an operator's eye.
+//! Alarms: conditions that need the attention of an operator.
 
 use super::engine_state::{is_silent, running_sentence};
 use super::units::{capitalized, counted, format_millis, format_seconds};
 use driftfront_control::snapshot::{Class, Consensus, Engine, Member, Snapshot};
 
-/// An engine list whose source has said nothing for longer than this is worth an alarm.
-const OLD_SOURCE_S: u64 = 10;
-/// Fewer requests a minute say nothing about a class's service.
-const MIN_JUDGED_REQUESTS: u64 = 10;
-/// A smaller share in time is worth an alarm.
+/// Age of the last message from the source of the engine list, in seconds, beyond which an alarm is raised.
+const MAX_SOURCE_AGE_S: u64 = 10;
+/// Minimum number of requests per minute for a meaningful in-time share of a class.
+const MIN_SAMPLE_REQUESTS: u64 = 10;
+/// In-time share below which an alarm is raised.
 const MIN_IN_TIME_SHARE: f64 = 0.8;
-/// Coordinators that are named in one alarm.
+/// Maximum number of coordinators named in one alarm.
 const MAX_NAMED_MEMBERS: usize = 5;
 
-/// All alarms, the worst first, each a sentence or two.
+/// All alarms, most severe first, each of one or two sentences.
 pub fn alarms(s: &Snapshot) -> Vec<String> {
     let mut alarms: Vec<String> = Vec::new();
     alarms.extend(shutdown_alarm(s));
@@ -86,7 +86,7 @@
 
 fn service_alarm(class: &Class) -> Option<String> {
     let share = class.minute.in_time_share();
-    if class.minute.asked < MIN_JUDGED_REQUESTS || share >= MIN_IN_TIME_SHARE {
+    if class.minute.asked < MIN_SAMPLE_REQUESTS || share >= MIN_IN_TIME_SHARE {
         return None;
     }
     let wanted = format_millis(class.wanted_ms as f64);
@@ -98,7 +98,7 @@
 }
 
 fn source_alarm(s: &Snapshot) -> Option<String> {
-    let age = s.source_age_s.filter(|&age| age > OLD_SOURCE_S)?;
+    let age = s.source_age_s.filter(|&age| age > MAX_SOURCE_AGE_S)?;
     Some(format!(
         "The list of engines is {} old: {} says nothing.",
         format_seconds(age),
--- a/crates/console/src/messages/engine_state.rs
+++ b/crates/console/src/messages/engine_state.rs
@@ -1,17 +1,17 @@
-//! How an engine is.
+//! The displayed state of an engine.
 
 use super::units::{capitalized, counted};
 use driftfront_control::snapshot::Engine;
 
-/// An engine where queries run, and from which nothing came for this long, counts as silent.
+/// Time without any message from an engine that runs queries, in milliseconds, after which it is considered silent.
 pub const SILENT_MILLIS: u64 = 3_000;
 
-/// Whether queries run on an engine, and nothing comes from it.
+/// Whether an engine runs queries but sends nothing.
 pub fn is_silent(engine: &Engine) -> bool {
     engine.running > 0 && engine.heard_ms.is_some_and(|ms| ms >= SILENT_MILLIS)
 }
 
-/// An engine's state, in a word or two.
+/// The state of an engine, in a few words.
 pub fn engine_state(engine: &Engine) -> String {
     let is_ordered = !engine.order.is_empty();
     let state = match (engine.phase.as_str(), engine.running) {
@@ -27,7 +27,7 @@
     state.into()
 }
 
-/// What runs on an engine, as a sentence behind another one; empty where nothing does.
+/// A sentence, with a leading space, about what runs on an engine; empty if nothing does.
 pub(super) fn running_sentence(engine: &Engine) -> String {
     let queries = engine.running.saturating_sub(engine.imports);
     let queries_run = |queries| capitalized(&counted(queries, "query runs", "queries run"));
--- a/crates/console/src/messages/layout.rs
+++ b/crates/console/src/messages/layout.rs
@@ -1,19 +1,19 @@
-//! Tables and paragraphs, laid out for a width.
+//! Layout of tables and paragraphs for a given width.
 
-/// Widest column, in characters.
+/// Maximum width of a column, in characters.
 const MAX_COLUMN_WIDTH: usize = 28;
-/// Characters between two columns.
+/// Separator between two columns.
 const COLUMN_GAP: &str = "  ";
 
-/// A table. Its columns are in the order of their importance: what does not fit the width is left out from the right.
+/// A table, with its columns in order of importance: those at the right are omitted first if the width does not suffice.
 pub struct Table {
-    /// The heads of the columns.
+    /// The column headings.
     pub heads: Vec<&'static str>,
-    /// The rows: a cell for each column.
+    /// The rows, with one cell per column.
     pub rows: Vec<Vec<String>>,
 }
 
-/// The widths of the columns that fit a line, in characters; the first always does.
+/// The widths, in characters, of the columns that fit into a line. The first column is always included.
 pub fn column_widths(table: &Table, width: usize) -> Vec<usize> {
     let mut widths = Vec::new();
     let mut left = width;
@@ -31,18 +31,18 @@
     widths
 }
 
-/// One row of a table, cut to the columns that fit.
+/// Formats a row of a table, truncated to the columns that fit.
 pub fn format_row(cells: &[String], widths: &[usize]) -> String {
     let columns = widths.iter().enumerate().map(|(column, &width)| {
         let cell = cells.get(column).map_or("", String::as_str);
-        let cut: String = cell.chars().take(width).collect();
-        format!("{cut:<width$}")
+        let truncated: String = cell.chars().take(width).collect();
+        format!("{truncated:<width$}")
     });
     let columns: Vec<String> = columns.collect();
     columns.join(COLUMN_GAP).trim_end().into()
 }
 
-/// Cuts text into lines of a width, at spaces where there are any.
+/// Wraps text to a width, at spaces where possible.
 pub fn wrap_text(text: &str, width: usize) -> Vec<String> {
     let mut lines = Vec::new();
     let mut line = String::new();
@@ -56,7 +56,7 @@
                 break;
             }
             if line.is_empty() {
-                // The word alone is too long for a line.
+                // A single word exceeds the line: split it.
                 line = word.chars().take(width.max(1)).collect();
                 word = word.chars().skip(width.max(1)).collect();
             }
--- a/crates/console/src/messages/mod.rs
+++ b/crates/console/src/messages/mod.rs
@@ -1,7 +1,7 @@
-//! Everything that operators read, as text: alarms, tables, units, and the whole of it for pipes and screen readers.
+//! All texts for operators: alarms, tables, units, and the complete state as plain text for pipes and screen readers.
 //!
-//! [`alarms()`] names what needs an eye; [`engine_table`], [`class_table`], [`query_table`], [`member_table`] and [`lease_table`] are the tables; [`plain_text()`]
-//! puts it all together. Nothing here knows a terminal.
+//! [`alarms()`] lists conditions that need attention. [`engine_table`], [`class_table`], [`query_table`], [`member_table`] and
+//! [`lease_table`] are the tables. [`plain_text()`] combines them. This module does not depend on a terminal.
 
 mod alarms;
 mod engine_state;
--- a/crates/console/src/messages/plain.rs
+++ b/crates/console/src/messages/plain.rs
@@ -1,4 +1,4 @@
-//! Everything as text, for pipes and screen readers.
+//! The complete state as plain text, for pipes and screen readers.
 
 use super::units::format_seconds;
 use super::{
@@ -6,7 +6,7 @@
 };
 use driftfront_control::snapshot::Snapshot;
 
-/// The first line: which coordinator this is, and how many engines take work.
+/// The title line: the name of the coordinator, the number of ready engines, and the load.
 pub fn title(s: &Snapshot) -> String {
     let phases = || s.engines.iter().map(|engine| engine.phase.as_str());
     let ready = phases().filter(|&phase| phase == "ready").count();
@@ -18,7 +18,7 @@
     )
 }
 
-/// All of it as lines of a width.
+/// The complete state as text, wrapped to a width.
 pub fn plain_text(s: &Snapshot, width: usize) -> String {
     let mut lines = vec![title(s)];
     lines.push(format!(
@@ -56,7 +56,7 @@
     lines.join("\n") + "\n"
 }
 
-/// A table under its name; nothing for one without rows.
+/// The lines of a table under its name; none if it has no rows.
 fn table_lines(name: &str, table: &Table, width: usize) -> Vec<String> {
     if table.rows.is_empty() {
         return Vec::new();
--- a/crates/console/src/messages/tables.rs
+++ b/crates/console/src/messages/tables.rs
@@ -1,13 +1,13 @@
 //! The tables.
 
 use super::engine_state::engine_state;
-use super::units::{format_millis, format_seconds, share};
+use super::units::{format_in_time_share, format_millis, format_seconds};
 use super::Table;
 use driftfront_control::snapshot::{
     Class, Consensus, Engine, Lease, Member, Query, Service, Snapshot, Voter,
 };
 
-/// The engines.
+/// The table of engines.
 pub fn engine_table(s: &Snapshot) -> Table {
     let heads = vec![
         "engine", "state", "runs", "imports", "heard", "p99", "building", "kind", "address", "by",
@@ -40,7 +40,7 @@
     ]
 }
 
-/// The classes.
+/// The table of classes.
 pub fn class_table(s: &Snapshot) -> Table {
     let heads = vec![
         "class",
@@ -62,9 +62,9 @@
     let minute = &class.minute;
     vec![
         class.name.clone(),
-        share(minute),
+        format_in_time_share(minute),
         minute.asked.to_string(),
-        share(&class.hour),
+        format_in_time_share(&class.hour),
         class.open.to_string(),
         latency(minute, minute.p50_ms),
         latency(minute, minute.p99_ms),
@@ -74,7 +74,7 @@
     ]
 }
 
-/// A latency, where anything was served.
+/// A latency; `-` if no request was served.
 fn latency(service: &Service, ms: f64) -> String {
     match service.served {
         0 => "-".into(),
@@ -82,7 +82,7 @@
     }
 }
 
-/// The queries that run.
+/// The table of running and queued queries.
 pub fn query_table(s: &Snapshot) -> Table {
     let heads = vec!["class", "engine", "for", "import", "query"];
     let rows = s.queries.iter().map(query_row).collect();
@@ -103,7 +103,7 @@
     ]
 }
 
-/// The cluster's coordinators.
+/// The table of coordinators in the cluster.
 pub fn member_table(s: &Snapshot) -> Table {
     let heads = vec![
         "COORDINATOR",
@@ -143,7 +143,7 @@
     ]
 }
 
-/// The state of consensus, in a line above the table of [`lease_table`].
+/// A line about the state of the consensus, shown above the [`lease_table`].
 pub fn consensus_summary(a: &Consensus) -> String {
     if !a.missing.is_empty() {
         let missing = a.missing.join(", ");
@@ -169,24 +169,24 @@
     )
 }
 
-/// The leases that are granted.
+/// The table of granted leases.
 pub fn lease_table(a: &Consensus) -> Table {
     let heads = vec!["HELD", "BY", "FOR", "NUMBER", "WHY"];
-    let rows = a.holds.iter().map(hold_row).collect();
+    let rows = a.holds.iter().map(lease_row).collect();
     Table { heads, rows }
 }
 
-fn hold_row(hold: &Lease) -> Vec<String> {
-    let duration = match hold.left_s {
-        Some(left) if hold.stays => format!("{}, and until given back", format_seconds(left)),
+fn lease_row(lease: &Lease) -> Vec<String> {
+    let duration = match lease.left_s {
+        Some(left) if lease.stays => format!("{}, and until given back", format_seconds(left)),
         Some(left) => format_seconds(left),
         None => "until given back".into(),
     };
     vec![
-        hold.name.clone(),
-        hold.owner.clone(),
+        lease.name.clone(),
+        lease.owner.clone(),
         duration,
-        hold.fence.to_string(),
-        hold.note.clone(),
+        lease.fence.to_string(),
+        lease.note.clone(),
     ]
 }
--- a/crates/console/src/messages/units.rs
+++ b/crates/console/src/messages/units.rs
@@ -1,4 +1,4 @@
-//! Numbers and times as operators read them.
+//! Formatting of numbers and durations.
 
 use driftfront_control::snapshot::Service;
 
@@ -6,7 +6,7 @@
 const HOUR_S: u64 = 60 * MINUTE_S;
 const DAY_S: u64 = 24 * HOUR_S;
 
-/// A time in seconds, in the largest unit of which there are two.
+/// Formats a duration in the largest unit of which it has at least two.
 pub fn format_seconds(seconds: u64) -> String {
     match seconds {
         s if s < 2 * MINUTE_S => format!("{s} s"),
@@ -16,7 +16,7 @@
     }
 }
 
-/// A time in milliseconds, in the unit that fits.
+/// Formats a duration in milliseconds or seconds, depending on its size.
 pub fn format_millis(ms: f64) -> String {
     match ms {
         ms if ms >= 10_000.0 => format!("{:.0} s", ms / 1000.0),
@@ -26,15 +26,15 @@
     }
 }
 
-/// The share that was served in time.
-pub(super) fn share(service: &Service) -> String {
+/// Formats the share of requests that were served in time.
+pub(super) fn format_in_time_share(service: &Service) -> String {
     if service.asked == 0 {
         return "-".into();
     }
     format!("{:.0}%", service.in_time_share() * 100.0)
 }
 
-/// A number of things; small ones in letters.
+/// Formats a count with its noun; small numbers are spelled out.
 pub(super) fn counted(n: u64, one: &str, many: &str) -> String {
     match n {
         1 => format!("one {one}"),
@@ -44,7 +44,7 @@
     }
 }
 
-/// A text with its first letter in upper case.
+/// The text with its first letter in upper case.
 pub(super) fn capitalized(text: &str) -> String {
     let mut chars = text.chars();
     chars.next().map_or(String::new(), |first| {
--- a/crates/console/src/remote.rs
+++ b/crates/console/src/remote.rs
@@ -1,4 +1,4 @@
-//! A connection to a running program, with blocking calls: for commands, and for a thread of the console.
+//! A blocking connection to a running program, used by commands and by a thread of the console.
 
 use driftfront_control::{challenge_in, key, LineReader, Reply, Request, MAX_REPLY_BYTES};
 use std::io::{self, ErrorKind, Read, Write};
@@ -7,24 +7,25 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Longest wait for a greeting or a reply, unless [`Remote::disable_timeout`] was called.
+/// Timeout for the greeting and for replies, until [`Remote::disable_timeout`] is called.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(10);
-/// Bytes read at once.
+/// Size of the read buffer, in bytes.
 const READ_BYTES: usize = 64 * 1024;
 
-/// Where a program listens for operators.
+/// The address at which a program accepts control connections.
 #[derive(Clone, Debug)]
 pub enum Endpoint {
-    /// A Unix socket.
+    /// The path of a Unix socket.
     Socket(PathBuf),
-    /// A loopback address, and the key.
+    /// A loopback TCP address, and the key.
     Port(String, Vec<u8>),
 }
 
+/// A connected stream socket.
 trait Stream: Read + Write + Send {
-    /// Reads take at most this long; `None` for ever.
+    /// Sets the read timeout; `None` disables it.
     fn set_timeout(&self, timeout: Option<Duration>) -> io::Result<()>;
-    /// Another handle of the same connection.
+    /// Duplicates the handle of the connection.
     fn duplicate(&self) -> io::Result<Box<dyn Stream>>;
 }
 
@@ -55,11 +56,11 @@
 }
 
 impl Remote {
-    /// Connects, and proves the key where one is asked for.
+    /// Connects, and authenticates if the program requires it.
     ///
     /// # Errors
     ///
-    /// The socket's errors; `PermissionDenied` where the key is not right, `InvalidData` where no program of this kind answers.
+    /// The socket's errors; `PermissionDenied` if the key is rejected, `InvalidData` if the peer does not speak this protocol.
     pub fn connect(at: &Endpoint) -> io::Result<Remote> {
         let (stream, secret): (Box<dyn Stream>, &[u8]) = match at {
             Endpoint::Socket(path) => (Box::new(UnixStream::connect(path)?), &[]),
@@ -72,7 +73,8 @@
             last_id: 0,
         };
         let greeting = remote.read_line()?;
-        let challenge = challenge_in(&greeting).ok_or_else(|| invalid_data("no greeting"))?;
+        let challenge = challenge_in(&greeting)
+            .ok_or_else(|| invalid_data("the peer sent no valid greeting"))?;
         if let Some(challenge) = challenge {
             remote.authenticate(secret, &challenge)?;
         }
@@ -85,7 +87,7 @@
             Reply::Done(_) => Ok(()),
             _ => Err(io::Error::new(
                 ErrorKind::PermissionDenied,
-                "the key is not right",
+                "the key was rejected",
             )),
         }
     }
@@ -94,18 +96,20 @@
         let mut bytes = [0; READ_BYTES];
         loop {
             let line = self.lines.next_line(MAX_REPLY_BYTES);
-            if let Some(line) = line.map_err(|_| invalid_data("a line without end"))? {
+            if let Some(line) =
+                line.map_err(|_| invalid_data("a line exceeds the maximum length"))?
+            {
                 return Ok(line);
             }
             match self.stream.read(&mut bytes) {
                 Ok(0) => {
                     return Err(io::Error::new(
                         ErrorKind::UnexpectedEof,
-                        "the program has ended",
+                        "the program closed the connection",
                     ))
                 }
                 Ok(n) => self.lines.push(&bytes[..n]),
-                // A terminal that changes its size interrupts a wait.
+                // A resize of the terminal raises a signal, which interrupts a blocking read.
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) => return Err(e),
             }
@@ -124,11 +128,11 @@
         Ok(self.last_id)
     }
 
-    /// The next reply, to any request. Lines that are no reply are passed over.
+    /// Waits for the next reply to any request. Lines that are not a known reply are skipped.
     ///
     /// # Errors
     ///
-    /// The connection's errors, `UnexpectedEof` where the program has ended, `InvalidData` for a line beyond the bound.
+    /// The connection's errors; `UnexpectedEof` if the program closed the connection, `InvalidData` for a line that is too long.
     pub fn next_reply(&mut self) -> io::Result<(u64, Reply)> {
         loop {
             let line = self.read_line()?;
@@ -138,7 +142,7 @@
         }
     }
 
-    /// The next reply to this request.
+    /// Waits for the next reply to this request. Replies to other requests are dropped.
     ///
     /// # Errors
     ///
@@ -162,7 +166,7 @@
         self.reply(id)
     }
 
-    /// From now on replies may take as long as they like.
+    /// Disables the timeout: from now on reads wait for replies indefinitely.
     ///
     /// # Errors
     ///
@@ -171,7 +175,7 @@
         self.stream.set_timeout(None)
     }
 
-    /// Another handle of the same connection, to write from another thread.
+    /// A second handle of the connection, for writing from another thread.
     ///
     /// # Errors
     ///
--- a/crates/console/src/run.rs
+++ b/crates/console/src/run.rs
@@ -1,4 +1,5 @@
-//! The console on a real terminal. One thread reads the program's replies, the main one keys; neither holds up the other.
+//! Runs the console on a terminal. One thread reads replies of the program and the main thread reads keys, so that neither
+//! blocks the other.
 
 use crate::app::{Action, App, Key};
 use crate::remote::{Endpoint, Remote};
@@ -15,25 +16,25 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Time between two snapshots of the program.
+/// Interval between two snapshots.
 const FOLLOW_MILLIS: u64 = 500;
-/// Longest wait for a key before replies are looked at again.
+/// Maximum wait for a key before replies are processed.
 const KEY_TIMEOUT: Duration = Duration::from_millis(50);
-/// Pause before the program is connected to again.
+/// Delay before reconnecting.
 const RECONNECT_DELAY: Duration = Duration::from_millis(500);
-/// The id of requests by keys: their replies are shown whatever their id is.
+/// The id of all requests sent on keys. Their replies are shown without being matched by id.
 const KEY_REQUEST_ID: u64 = 1000;
 
-/// What the reading thread passes on.
+/// A message from the reader thread.
 enum Message {
     Reply(Reply),
     Disconnected(String),
 }
 
-/// The writing end of the connection, while there is one.
+/// The write handle of the connection, while connected.
 type Writer = Arc<Mutex<Option<Box<dyn Write + Send>>>>;
 
-/// Keeps a connection up, and passes on what comes; ends with the receiver.
+/// Connects again and again, and forwards replies until the receiver is dropped.
 fn keep_connected(at: &Endpoint, messages: &Sender<Message>, writer: &Writer) {
     loop {
         let reason = match follow(at, messages, writer) {
@@ -66,7 +67,7 @@
     }
 }
 
-/// The console's key for a terminal's event, if it knows one.
+/// Maps a terminal event to a key of the console.
 fn key(event: &Event) -> Option<Key> {
     let Event::Key(key) = event else { return None };
     if key.kind == KeyEventKind::Release {
@@ -86,11 +87,11 @@
     }
 }
 
-/// Runs until `q`, or until the terminal is gone.
+/// Runs until the user quits or the terminal is closed.
 ///
 /// # Errors
 ///
-/// The terminal's errors. It is left as it was found.
+/// The terminal's errors. The terminal is restored in any case.
 pub fn run(at: Endpoint, color: bool) -> io::Result<()> {
     let (sender, messages) = channel();
     let writer: Writer = Arc::default();
@@ -98,21 +99,21 @@
     std::thread::spawn(move || keep_connected(&at, &sender, &thread_writer));
     enable_raw_mode()?;
     execute!(io::stdout(), EnterAlternateScreen, cursor::Hide)?;
-    let result = show(&messages, &writer, Theme { color });
-    // Whatever happened, the terminal is left as it was found.
+    let result = event_loop(&messages, &writer, Theme { color });
+    // Restore the terminal even after an error.
     let _ = execute!(io::stdout(), LeaveAlternateScreen, cursor::Show);
     let _ = disable_raw_mode();
     result
 }
 
-fn show(messages: &Receiver<Message>, writer: &Writer, theme: Theme) -> io::Result<()> {
+fn event_loop(messages: &Receiver<Message>, writer: &Writer, theme: Theme) -> io::Result<()> {
     let mut terminal = Terminal::new(CrosstermBackend::new(io::stdout()))?;
     let mut app = App::new();
     let mut is_changed = true;
     loop {
         is_changed |= handle_messages(&mut app, messages);
         if is_changed {
-            // Only what differs is written: a slow line carries little.
+            // Only cells that changed are written, which keeps the console usable over a slow connection.
             terminal.draw(|frame| draw(&app, theme, frame.area(), frame.buffer_mut()))?;
             is_changed = false;
         }
@@ -135,7 +136,7 @@
     }
 }
 
-/// Handles all that has come; true if anything has.
+/// Handles all pending messages; true if there were any.
 fn handle_messages(app: &mut App, messages: &Receiver<Message>) -> bool {
     let mut is_changed = false;
     while let Ok(message) = messages.try_recv() {
@@ -148,17 +149,17 @@
     is_changed
 }
 
-/// Sends a request; false where the program can't be reached.
+/// Sends a request; false if the program can't be reached.
 fn send(writer: &Writer, request: &Request) -> io::Result<bool> {
     let mut writer = writer
         .lock()
-        .map_err(|_| io::Error::other("a thread has failed"))?;
+        .map_err(|_| io::Error::other("the reader thread panicked"))?;
     let line = request.line(KEY_REQUEST_ID);
     let sent = writer.as_mut().map(|w| w.write_all(line.as_bytes()));
     Ok(matches!(sent, Some(Ok(()))))
 }
 
-/// The terminal's width in characters, if there is one.
+/// The width of the terminal in characters, if there is a terminal.
 pub fn terminal_width() -> Option<usize> {
     ratatui::crossterm::terminal::size()
         .ok()
--- a/crates/console/src/screen.rs
+++ b/crates/console/src/screen.rs
@@ -1,4 +1,4 @@
-//! Draws the console: a title, the alarms, a table, what was asked or answered, the tabs, the keys.
+//! Draws the console: title, alarms, table, dialog, tabs and key help, from top to bottom.
 
 use crate::app::{App, Tab, TABS};
 use crate::messages::{self, column_widths, format_row, format_seconds, wrap_text, Table};
@@ -6,13 +6,13 @@
 use ratatui::layout::Rect;
 use ratatui::style::{Color, Modifier, Style};
 
-/// Alarms take at most this part of the height.
+/// Alarms take at most one part in this many of the height.
 const ALARMS_FRACTION: usize = 3;
-/// Lines of alarms that are shown on the smallest screen.
+/// Number of alarm lines shown even on the smallest screen.
 const MIN_ALARM_LINES: usize = 2;
-/// Lines of the tabs and the keys.
+/// Number of lines for the tabs and the key help.
 const FOOTER_LINES: usize = 2;
-/// The column of an engine's state.
+/// Index of the state column in the table of engines.
 const STATE_COLUMN: usize = 1;
 
 const HELP: [&str; 10] = [
@@ -28,10 +28,10 @@
     "Any key goes back.",
 ];
 
-/// How parts of the screen are set off from each other.
+/// The styles of the screen.
 #[derive(Clone, Copy, Debug)]
 pub struct Theme {
-    /// With colours; else by weight and inversion alone.
+    /// Whether to use colours; otherwise only text attributes are used.
     pub color: bool,
 }
 
@@ -49,7 +49,7 @@
         Style::default().add_modifier(Modifier::DIM)
     }
 
-    fn head(self) -> Style {
+    fn heading(self) -> Style {
         Style::default().add_modifier(Modifier::BOLD | Modifier::UNDERLINED)
     }
 
@@ -69,11 +69,11 @@
     }
 }
 
-/// Writes on the screen: one line after another, never past its edges.
+/// Writes lines from top to bottom, clipped to the area.
 struct LineWriter<'a> {
     buffer: &'a mut Buffer,
     area: Rect,
-    /// The next line.
+    /// Index of the next line.
     line: u16,
 }
 
@@ -86,7 +86,7 @@
         usize::from(self.area.height.saturating_sub(self.line))
     }
 
-    /// Goes to the line from which this many are left, unless it is behind that.
+    /// Moves to the line that leaves this many lines to the bottom, but never upwards.
     fn skip_to_last(&mut self, lines: usize) {
         let lines = u16::try_from(lines).unwrap_or(u16::MAX);
         self.line = self.area.height.saturating_sub(lines).max(self.line);
@@ -102,7 +102,7 @@
     }
 }
 
-/// Draws all of it.
+/// Draws the whole screen.
 pub fn draw(app: &App, theme: Theme, area: Rect, buffer: &mut Buffer) {
     let line = 0;
     let mut writer = LineWriter { buffer, area, line };
@@ -114,7 +114,10 @@
         return;
     }
     draw_alarms(app, theme, &mut writer);
-    let dialog = app.confirmation.as_ref().map(|question| &question.text);
+    let dialog = app
+        .confirmation
+        .as_ref()
+        .map(|confirmation| &confirmation.text);
     let dialog = dialog.or(app.status_message.as_ref());
     let dialog = dialog.map_or(Vec::new(), |text| wrap_text(text, writer.width()));
     let bottom = dialog.len() + FOOTER_LINES;
@@ -156,7 +159,7 @@
     }
 }
 
-/// The tabs with the one that is shown in brackets; closer together where the width is small.
+/// The tab line, with the shown tab in brackets; spacing is reduced if the width is too small.
 fn tab_line(shown: Tab, width: usize) -> String {
     let tab = |(index, (tab, name)): (usize, &(Tab, &str))| {
         let number = index + 1;
@@ -187,7 +190,7 @@
     }
     let widths = column_widths(&table, writer.width());
     let heads: Vec<String> = table.heads.iter().map(ToString::to_string).collect();
-    writer.write(&format_row(&heads, &widths), theme.head());
+    writer.write(&format_row(&heads, &widths), theme.heading());
     draw_rows(app, theme, writer, &table, &widths, max_lines - 1);
 }
 
@@ -201,12 +204,12 @@
     max_lines: usize,
 ) {
     let has_selection = app.tab == Tab::Engines;
-    let first = first_shown(app.selected_row, table.rows.len(), max_lines);
+    let first = first_visible_row(app.selected_row, table.rows.len(), max_lines);
     let shown = table.rows.iter().enumerate().skip(first).take(max_lines);
     for (index, row) in shown {
         let text = format_row(row, widths);
         if has_selection && index == app.selected_row {
-            // The mark shows the selection without colours or inversion as well.
+            // The mark makes the selection visible on terminals without colours and inversion.
             writer.write(&format!("{text} <"), theme.selected());
         } else if has_selection {
             let state = row.get(STATE_COLUMN).map_or("", String::as_str);
@@ -217,8 +220,8 @@
     }
 }
 
-/// The first of the rows that are shown, so that the selected one is about in the middle.
-fn first_shown(selected: usize, rows: usize, max_lines: usize) -> usize {
+/// Index of the first row to show, so that the selected one is near the middle.
+fn first_visible_row(selected: usize, rows: usize, max_lines: usize) -> usize {
     selected
         .saturating_sub(max_lines / 2)
         .min(rows.saturating_sub(max_lines))
@@ -226,7 +229,7 @@
 
 fn draw_events(app: &App, theme: Theme, writer: &mut LineWriter, max_lines: usize) {
     let now = app.snapshot.as_ref().map_or(0, |s| s.at);
-    let first = first_shown(app.selected_row, app.events.len(), max_lines);
+    let first = first_visible_row(app.selected_row, app.events.len(), max_lines);
     for (at, text) in app.events.iter().skip(first).take(max_lines) {
         let ago = format_seconds(now.saturating_sub(*at) / 1_000_000);
         writer.write(&format!("{ago:>7} ago  {text}"), Style::default());
--- a/crates/console/tests/app.rs
+++ b/crates/console/tests/app.rs
@@ -1,4 +1,4 @@
-//! The console's state: what keys do.
+//! Key handling and state of the console.
 
 use driftfront_console::app::{Action, App, Key, MAX_EVENTS};
 use driftfront_control::snapshot::Engine;
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn drain_is_asked_for_and_only_y_sends_it() {
+fn drain_is_sent_only_after_confirmation() {
     let mut app = app(&["ready", "ready"]);
     app.handle_key(Key::Down);
     assert_eq!(app.handle_key(Key::Char('d')), Action::Nothing);
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn last_ready_engine_is_drained_only_after_a_warning() {
+fn drain_of_the_last_ready_engine_shows_a_warning() {
     let mut app = app(&["ready", "draining"]);
     app.handle_key(Key::Char('d'));
     assert!(app
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn selection_stays_inside_the_list_and_events_are_bounded() {
+fn selection_stays_in_range_and_events_are_bounded() {
     let mut app = app(&["ready", "ready", "ready"]);
     (0..9).for_each(|_| drop(app.handle_key(Key::Down)));
     assert_eq!(app.selected_row, 2);
--- a/crates/console/tests/golden.rs
+++ b/crates/console/tests/golden.rs
@@ -1,4 +1,4 @@
-//! What staff see, character for character, for the snapshot of the protocol's golden files; see `golden/README.md`.
+//! Compares all texts and screens for the snapshot in the protocol's golden files with golden files; see `golden/README.md`.
 #![allow(clippy::too_many_lines, reason = "tests list their cases")]
 
 use driftfront_console::app::{Action, App, Key, Tab, TABS};
@@ -11,14 +11,14 @@
 use ratatui::layout::Rect;
 use std::fmt::Write as _;
 
-/// The snapshot with all fields filled.
+/// The snapshot with all members set.
 fn snapshot() -> Snapshot {
     let path = concat!(
         env!("CARGO_MANIFEST_DIR"),
         "/../control/tests/golden/replies.jsonl"
     );
     let text = std::fs::read_to_string(path).expect("the protocol's golden replies");
-    let line = text.lines().nth(3).expect("the snapshot with all fields");
+    let line = text.lines().nth(3).expect("the snapshot with all members");
     match Reply::read(line) {
         Some((_, Reply::Snapshot(snapshot))) => *snapshot,
         other => panic!("no snapshot: {other:?}"),
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn plain_screens_are_as_before() {
+fn plain_text_matches_golden_files() {
     for width in [20, 40, 80, 120, 200] {
         assert_golden!(
             &format!("plain-{width}.txt"),
@@ -37,7 +37,7 @@
         "plain-empty.txt",
         messages::plain_text(&Snapshot::default(), 80)
     );
-    let well = Snapshot {
+    let healthy = Snapshot {
         name: "school".into(),
         engines: vec![Engine {
             name: "engine-1".into(),
@@ -46,10 +46,10 @@
         }],
         ..Snapshot::default()
     };
-    assert_golden!("plain-well.txt", messages::plain_text(&well, 80));
+    assert_golden!("plain-well.txt", messages::plain_text(&healthy, 80));
 }
 
-fn table(text: &mut String, title: &str, table: &messages::Table) {
+fn write_table(text: &mut String, title: &str, table: &messages::Table) {
     let widths = messages::column_widths(table, 200);
     let heads: Vec<String> = table.heads.iter().map(ToString::to_string).collect();
     let _ = writeln!(text, "{title}:\n{}", messages::format_row(&heads, &widths));
@@ -59,26 +59,26 @@
 }
 
 #[test]
-fn tables_are_as_before() {
+fn tables_match_golden_file() {
     let s = snapshot();
-    let agreed = s.agreed.as_ref().expect("agreed");
+    let consensus = s.agreed.as_ref().expect("a consensus");
     let mut text = String::new();
-    table(&mut text, "members", &messages::member_table(&s));
-    table(&mut text, "holds", &messages::lease_table(agreed));
-    table(&mut text, "engines", &messages::engine_table(&s));
-    table(&mut text, "classes", &messages::class_table(&s));
-    table(&mut text, "queries", &messages::query_table(&s));
+    write_table(&mut text, "members", &messages::member_table(&s));
+    write_table(&mut text, "holds", &messages::lease_table(consensus));
+    write_table(&mut text, "engines", &messages::engine_table(&s));
+    write_table(&mut text, "classes", &messages::class_table(&s));
+    write_table(&mut text, "queries", &messages::query_table(&s));
     let _ = writeln!(text, "title: {}", messages::title(&s));
     let missing = Consensus {
         missing: vec!["coordinator-b".into(), "coordinator-c".into()],
         ..Consensus::default()
     };
-    let nobody = Consensus {
+    let no_leader = Consensus {
         leader: String::new(),
-        ..agreed.clone()
+        ..consensus.clone()
     };
-    for agreed in [agreed, &missing, &Consensus::default(), &nobody] {
-        let _ = write!(text, "agreed: {}", messages::consensus_summary(agreed));
+    for consensus in [consensus, &missing, &Consensus::default(), &no_leader] {
+        let _ = write!(text, "agreed: {}", messages::consensus_summary(consensus));
     }
     for seconds in [0, 119, 120, 7_199, 7_200, 172_799, 172_800] {
         let _ = writeln!(
@@ -93,7 +93,7 @@
     assert_golden!("tables.txt", text);
 }
 
-fn alarms(text: &mut String, title: &str, change: impl FnOnce(&mut Snapshot)) {
+fn write_alarms(text: &mut String, title: &str, change: impl FnOnce(&mut Snapshot)) {
     let mut s = snapshot();
     (s.roll, s.source_age_s) = (None, None);
     s.engines.truncate(1);
@@ -107,35 +107,35 @@
     }
 }
 
-/// Every sentence that may need an operator's eye.
+/// All alarms, each with the condition that raises it.
 fn all_alarms() -> String {
     let mut text = String::new();
     let t = &mut text;
-    alarms(t, "nothing", |_| {});
+    write_alarms(t, "nothing", |_| {});
     for open in [0, 1, 2, 3, 4] {
-        alarms(t, "ending", |s| (s.stopping, s.open) = (true, open));
+        write_alarms(t, "ending", |s| (s.stopping, s.open) = (true, open));
     }
     for state in ["draining", "drained", "handing over", "ending"] {
-        alarms(t, state, |s| s.state = state.into());
+        write_alarms(t, state, |s| s.state = state.into());
     }
-    alarms(t, "no engine", |s| s.engines.clear());
+    write_alarms(t, "no engine", |s| s.engines.clear());
     for (running, imports) in [(1, 0), (2, 0), (1, 1), (2, 2), (3, 1), (5, 4)] {
-        alarms(t, "silent", |s| {
+        write_alarms(t, "silent", |s| {
             let engine = &mut s.engines[0];
             (engine.running, engine.imports, engine.heard_ms) = (running, imports, Some(3_000));
         });
     }
     for (order, running) in [("", 1), ("drain", 2), ("drain", 0)] {
-        alarms(t, "drains", |s| {
+        write_alarms(t, "drains", |s| {
             let mut engine = s.engines[0].clone();
             (engine.phase, engine.running) = ("draining".into(), running);
             (engine.order, engine.order_by) = (order.into(), "operator".into());
             s.engines.push(engine);
         });
     }
-    alarms(t, "roll", |s| s.roll = snapshot().roll);
+    write_alarms(t, "roll", |s| s.roll = snapshot().roll);
     for asked in [9, 10, 20] {
-        alarms(t, "service", |s| {
+        write_alarms(t, "service", |s| {
             let minute = Service {
                 asked,
                 in_time: 5,
@@ -150,10 +150,10 @@
         });
     }
     for age in [10, 11, 8_000] {
-        alarms(t, "source", |s| s.source_age_s = Some(age));
+        write_alarms(t, "source", |s| s.source_age_s = Some(age));
     }
     for gone in [1, 2, 3, 6, 7] {
-        alarms(t, "members of eight", |s| {
+        write_alarms(t, "members of eight", |s| {
             for n in 0..8 {
                 let mut member = snapshot().members[usize::from(n != 0)].clone();
                 member.name = format!("coordinator-{n}");
@@ -164,7 +164,7 @@
             }
         });
     }
-    alarms(t, "the other of two", |s| {
+    write_alarms(t, "the other of two", |s| {
         s.members = snapshot().members;
         s.members.remove(1);
     });
@@ -204,18 +204,18 @@
             },
         ),
     ] {
-        alarms(t, title, |s| s.agreed = Some(agreed));
+        write_alarms(t, title, |s| s.agreed = Some(agreed));
     }
     text
 }
 
 #[test]
-fn alarms_are_worded_as_before() {
+fn alarms_match_golden_file() {
     assert_golden!("alarms.txt", all_alarms());
 }
 
 #[test]
-fn engine_states_are_worded_as_before() {
+fn engine_states_match_golden_file() {
     let mut text = String::new();
     for phase in ["ready", "draining", "gone"] {
         for order in ["", "drain", "remove"] {
@@ -241,7 +241,7 @@
     assert_golden!("engine-states.txt", text);
 }
 
-/// A screen's lines, with its styles where they are asked for.
+/// The lines of a screen, optionally with their styles.
 fn screen(app: &App, width: u16, height: u16, color: bool, styles: bool) -> String {
     let area = Rect::new(0, 0, width, height);
     let mut buffer = Buffer::empty(area);
@@ -271,7 +271,7 @@
 }
 
 #[test]
-fn drawn_screens_are_as_before() {
+fn screens_match_golden_files() {
     for (width, height) in [(40, 12), (80, 24), (120, 40)] {
         let mut text = String::new();
         for key in ['1', '2', '3', '4', '?'] {
@@ -291,7 +291,7 @@
 }
 
 #[test]
-fn keys_ask_and_send_as_before() {
+fn key_handling_matches_golden_file() {
     let mut text = String::new();
     let mut app = app();
     let names: Vec<&str> = TABS.iter().map(|t| t.1).collect();
--- a/crates/console/tests/messages.rs
+++ b/crates/console/tests/messages.rs
@@ -36,7 +36,7 @@
         ..Snapshot::default()
     };
     assert!(alarms(&both)[0].ends_with("they will not be sent again. Three queries run too."));
-    // With nothing out silence is no news.
+    // An engine without queries is expected to be silent.
     assert!(!is_silent(&engine("e", "ready", 0, 0, 90_000)));
 }
 
@@ -80,17 +80,17 @@
         ..Class::default()
     }];
     let alarms = alarms(&s).join("\n");
-    for words in [
+    for message in [
         "No engine takes work",
         "e drains, by operator. Two queries run there.",
         "only 25 in 100 were answered within 500 ms",
     ] {
-        assert!(alarms.contains(words), "{words}: {alarms}");
+        assert!(alarms.contains(message), "{message}: {alarms}");
     }
 }
 
 #[test]
-fn tables_lose_columns_from_the_right_and_fit_the_width() {
+fn tables_drop_columns_from_the_right_to_fit_the_width() {
     let engines = (0..3)
         .map(|n| engine(&format!("engine-{n}"), "ready", n, 0, 0))
         .collect();
@@ -102,8 +102,8 @@
     for width in [20, 40, 80, 200] {
         let text = plain_text(&s, width);
         let table = messages::engine_table(&s);
-        let fits = column_widths(&table, width);
-        assert!(fits.iter().sum::<usize>() + 2 * (fits.len() - 1) <= width);
+        let widths = column_widths(&table, width);
+        assert!(widths.iter().sum::<usize>() + 2 * (widths.len() - 1) <= width);
         assert!(text.contains("engine-2") && (width < 30 || text.contains("ready")));
     }
     assert!(
--- a/crates/console/tests/screen.rs
+++ b/crates/console/tests/screen.rs
@@ -1,4 +1,4 @@
-//! The console's screens, drawn without a terminal.
+//! Screens of the console, drawn without a terminal.
 
 use driftfront_console::app::{App, Key};
 use driftfront_console::screen::{draw, Theme};
@@ -44,7 +44,7 @@
     app
 }
 
-fn text(app: &App, width: u16, height: u16) -> Vec<String> {
+fn screen_lines(app: &App, width: u16, height: u16) -> Vec<String> {
     let area = Rect::new(0, 0, width, height);
     let mut buffer = Buffer::empty(area);
     draw(app, Theme { color: false }, area, &mut buffer);
@@ -59,9 +59,9 @@
 }
 
 #[test]
-fn alarm_engines_and_keys_are_there_at_every_size() {
+fn alarms_engines_and_keys_are_shown_at_every_size() {
     for (width, height) in [(40, 12), (80, 24), (120, 40), (200, 60)] {
-        let screen = text(&app(), width, height);
+        let screen = screen_lines(&app(), width, height);
         let all = screen.join(" ");
         assert!(
             all.contains("engine-2 has said nothing for 12 s."),
@@ -80,22 +80,24 @@
 }
 
 #[test]
-fn no_size_panics_and_the_selected_row_is_always_shown() {
+fn any_size_can_be_drawn_and_shows_the_selected_row() {
     let mut app = app();
     for (width, height) in [(0, 0), (1, 1), (5, 3), (10, 60), (200, 2)] {
-        text(&app, width, height);
+        screen_lines(&app, width, height);
     }
     app.selected_row = 11;
-    assert!(text(&app, 40, 14)
+    assert!(screen_lines(&app, 40, 14)
         .iter()
         .any(|l| l.starts_with("engine-12") && l.ends_with('<')));
     app.handle_key(Key::Char('d'));
-    assert!(text(&app, 40, 12).join(" ").contains("Drain engine-12?"));
+    assert!(screen_lines(&app, 40, 12)
+        .join(" ")
+        .contains("Drain engine-12?"));
     app.confirmation = None;
     app.handle_key(Key::Char('2'));
-    assert!(text(&app, 80, 24).join(" ").contains("lookup"));
+    assert!(screen_lines(&app, 80, 24).join(" ").contains("lookup"));
     app.handle_key(Key::Char('?'));
-    assert!(text(&app, 80, 24)
+    assert!(screen_lines(&app, 80, 24)
         .join(" ")
         .contains("nothing new goes there"));
 }
