--- a/crates/engine-registry/src/command.rs
+++ b/crates/engine-registry/src/command.rs
@@ -58,10 +58,10 @@
     #[error("{0} is not drained by an operator")]
     NotDrained(String),
     /// The engine was already added with the same description.
-    #[error("{0} is there already")]
+    #[error("{0} already exists")]
     AlreadyAdded(String),
     /// The engine is already removed.
-    #[error("{0} was removed before")]
+    #[error("{0} is already removed")]
     AlreadyRemoved(String),
     /// It is the last ready engine.
     #[error(
@@ -73,16 +73,16 @@
     #[error("{0} still takes work: drain it first, or repeat the command with --force")]
     StillReady(String),
     /// The name is empty, too long, or contains control characters.
-    #[error("an engine's name has 1 to {MAX_NAME_BYTES} plain characters")]
+    #[error("an engine name must have 1 to {MAX_NAME_BYTES} bytes and no control characters")]
     InvalidName,
     /// A source lists an engine without an address, and no earlier address is known.
     #[error("{0}: no usable address")]
     NoAddress(String),
     /// An operator adds an unknown engine without an address.
-    #[error("{0}: say where it listens")]
+    #[error("{0}: an address is required")]
     AddressRequired(String),
     /// The limit on engines or orders is reached.
-    #[error("there are too many engines ({MAX_ENGINES}) or orders ({MAX_ORDERS})")]
+    #[error("the limit of {MAX_ENGINES} engines or {MAX_ORDERS} orders is reached")]
     TooMany,
 }
 
--- a/crates/engine-registry/src/rolling_restart/mod.rs
+++ b/crates/engine-registry/src/rolling_restart/mod.rs
@@ -367,7 +367,7 @@
         let line = |(index, name): (usize, &String)| {
             let number = index + 1;
             let Some(engine) = observed.engine(name) else {
-                return format!("{number}. {name} is not listed: passed over");
+                return format!("{number}. {name} is not listed: skipped");
             };
             let blocked = observed.blocked_by(engine);
             let blocked = blocked.map_or(String::new(), |reason| format!(" ({reason})"));
