--- a/crates/console/src/messages/plain.rs
+++ b/crates/console/src/messages/plain.rs
@@ -1,10 +1,12 @@
-//! Everything as text, for pipes and screen readers.
+//! The complete state as plain text, for pipes and screen readers.
 
-use super::units::span;
-use super::{alarms, classes, engines, queries, row_text, widths, wrapped, Table};
+use super::units::format_seconds;
+use super::{
+    alarms, class_table, column_widths, engine_table, format_row, query_table, wrap_text, Table,
+};
 use driftfront_control::snapshot::Snapshot;
 
-/// The first line: which coordinator this is, and how many engines take work.
+/// The title line: the name of the coordinator, the number of ready engines, and the load.
 pub fn title(s: &Snapshot) -> String {
     let phases = || s.engines.iter().map(|engine| engine.phase.as_str());
     let ready = phases().filter(|&phase| phase == "ready").count();
@@ -16,12 +18,12 @@
     )
 }
 
-/// All of it as lines of a width.
-pub fn plain(s: &Snapshot, width: usize) -> String {
+/// The complete state as text, wrapped to a width.
+pub fn plain_text(s: &Snapshot, width: usize) -> String {
     let mut lines = vec![title(s)];
     lines.push(format!(
         "up {}, clients at {}, {}",
-        span(s.up_s),
+        format_seconds(s.up_s),
         s.listen,
         s.front
     ));
@@ -29,10 +31,10 @@
     if alarms.is_empty() {
         lines.push("All is well.".into());
     }
-    lines.extend(alarms.iter().flat_map(|alarm| wrapped(alarm, width)));
-    lines.extend(table_lines("Engines", &engines(s), width));
-    lines.extend(table_lines("Service", &classes(s), width));
-    lines.extend(table_lines("What runs", &queries(s), width));
+    lines.extend(alarms.iter().flat_map(|alarm| wrap_text(alarm, width)));
+    lines.extend(table_lines("Engines", &engine_table(s), width));
+    lines.extend(table_lines("Service", &class_table(s), width));
+    lines.extend(table_lines("What runs", &query_table(s), width));
     if let Some(roll) = &s.roll {
         let (left, through) = (roll.left.join(", "), roll.through.join(", "));
         lines.push(String::new());
@@ -49,19 +51,23 @@
     }
     if !s.forgets.is_empty() {
         lines.push(String::new());
-        lines.extend(wrapped(&s.forgets, width));
+        lines.extend(wrap_text(&s.forgets, width));
     }
     lines.join("\n") + "\n"
 }
 
-/// A table under its name; nothing for one without rows.
+/// The lines of a table under its name; none if it has no rows.
 fn table_lines(name: &str, table: &Table, width: usize) -> Vec<String> {
     if table.rows.is_empty() {
         return Vec::new();
     }
-    let widths = widths(table, width);
+    let widths = column_widths(table, width);
     let heads: Vec<String> = table.heads.iter().map(ToString::to_string).collect();
-    let mut lines = vec![String::new(), format!("{name}:"), row_text(&heads, &widths)];
-    lines.extend(table.rows.iter().map(|row| row_text(row, &widths)));
+    let mut lines = vec![
+        String::new(),
+        format!("{name}:"),
+        format_row(&heads, &widths),
+    ];
+    lines.extend(table.rows.iter().map(|row| format_row(row, &widths)));
     lines
 }
--- a/crates/console/src/messages/tables.rs
+++ b/crates/console/src/messages/tables.rs
@@ -1,14 +1,14 @@
 //! The tables.
 
-use super::engine_state::state;
-use super::units::{millis, share, span};
+use super::engine_state::engine_state;
+use super::units::{format_in_time_share, format_millis, format_seconds};
 use super::Table;
 use driftfront_control::snapshot::{
-    Class, Consensus, Engine, Held, Member, Query, Service, Snapshot, Voter,
+    Class, Consensus, Engine, Lease, Member, Query, Service, Snapshot, Voter,
 };
 
-/// The engines.
-pub fn engines(s: &Snapshot) -> Table {
+/// The table of engines.
+pub fn engine_table(s: &Snapshot) -> Table {
     let heads = vec![
         "engine", "state", "runs", "imports", "heard", "p99", "building", "kind", "address", "by",
     ];
@@ -20,15 +20,15 @@
     let heard = match engine.heard_ms {
         None => "never".into(),
         Some(ms) if ms < 1000 => "now".into(),
-        Some(ms) => span(ms / 1000),
+        Some(ms) => format_seconds(ms / 1000),
     };
     let by = match engine.order.as_str() {
         "" => String::new(),
-        _ => format!("{} {}", engine.order_by, span(engine.order_age_s)),
+        _ => format!("{} {}", engine.order_by, format_seconds(engine.order_age_s)),
     };
     vec![
         engine.name.clone(),
-        state(engine),
+        engine_state(engine),
         engine.running.to_string(),
         engine.imports.to_string(),
         heard,
@@ -40,8 +40,8 @@
     ]
 }
 
-/// The classes.
-pub fn classes(s: &Snapshot) -> Table {
+/// The table of classes.
+pub fn class_table(s: &Snapshot) -> Table {
     let heads = vec![
         "class",
         "in time",
@@ -62,28 +62,28 @@
     let minute = &class.minute;
     vec![
         class.name.clone(),
-        share(minute),
+        format_in_time_share(minute),
         minute.asked.to_string(),
-        share(&class.hour),
+        format_in_time_share(&class.hour),
         class.open.to_string(),
         latency(minute, minute.p50_ms),
         latency(minute, minute.p99_ms),
         minute.refused.to_string(),
         minute.failed.to_string(),
-        millis(class.wanted_ms as f64),
+        format_millis(class.wanted_ms as f64),
     ]
 }
 
-/// A latency, where anything was served.
+/// A latency; `-` if no request was served.
 fn latency(service: &Service, ms: f64) -> String {
     match service.served {
         0 => "-".into(),
-        _ => millis(ms),
+        _ => format_millis(ms),
     }
 }
 
-/// The queries that run.
-pub fn queries(s: &Snapshot) -> Table {
+/// The table of running and queued queries.
+pub fn query_table(s: &Snapshot) -> Table {
     let heads = vec!["class", "engine", "for", "import", "query"];
     let rows = s.queries.iter().map(query_row).collect();
     Table { heads, rows }
@@ -97,14 +97,14 @@
     vec![
         query.class.clone(),
         engine.into(),
-        millis(query.age_ms as f64),
+        format_millis(query.age_ms as f64),
         if query.import { "yes" } else { "" }.into(),
         query.call.clone(),
     ]
 }
 
-/// The cluster's coordinators.
-pub fn members(s: &Snapshot) -> Table {
+/// The table of coordinators in the cluster.
+pub fn member_table(s: &Snapshot) -> Table {
     let heads = vec![
         "COORDINATOR",
         "IS",
@@ -127,13 +127,13 @@
     };
     let reported = match member.told_age_s {
         _ if member.me => String::new(),
-        Some(age) => format!("{} ago", span(age)),
+        Some(age) => format!("{} ago", format_seconds(age)),
         None => "never".into(),
     };
     vec![
         name,
         member.standing.clone(),
-        span(member.for_s),
+        format_seconds(member.for_s),
         member.state.clone(),
         member.build.clone(),
         member.zone.clone(),
@@ -143,8 +143,8 @@
     ]
 }
 
-/// The state of consensus, in a line above the table of [`holds`].
-pub fn agreed(a: &Consensus) -> String {
+/// A line about the state of the consensus, shown above the [`lease_table`].
+pub fn consensus_summary(a: &Consensus) -> String {
     if !a.missing.is_empty() {
         let missing = a.missing.join(", ");
         return format!("Nothing is agreed yet: {missing} must come, without a log.\n");
@@ -169,24 +169,24 @@
     )
 }
 
-/// The leases that are granted.
-pub fn holds(a: &Consensus) -> Table {
+/// The table of granted leases.
+pub fn lease_table(a: &Consensus) -> Table {
     let heads = vec!["HELD", "BY", "FOR", "NUMBER", "WHY"];
-    let rows = a.holds.iter().map(hold_row).collect();
+    let rows = a.holds.iter().map(lease_row).collect();
     Table { heads, rows }
 }
 
-fn hold_row(hold: &Held) -> Vec<String> {
-    let duration = match hold.left_s {
-        Some(left) if hold.stays => format!("{}, and until given back", span(left)),
-        Some(left) => span(left),
+fn lease_row(lease: &Lease) -> Vec<String> {
+    let duration = match lease.left_s {
+        Some(left) if lease.stays => format!("{}, and until given back", format_seconds(left)),
+        Some(left) => format_seconds(left),
         None => "until given back".into(),
     };
     vec![
-        hold.name.clone(),
-        hold.owner.clone(),
+        lease.name.clone(),
+        lease.owner.clone(),
         duration,
-        hold.fence.to_string(),
-        hold.note.clone(),
+        lease.fence.to_string(),
+        lease.note.clone(),
     ]
 }
--- a/crates/console/src/screen.rs
+++ b/crates/console/src/screen.rs
@@ -1,18 +1,18 @@
-//! Draws the console: a title, the alarms, a table, what was asked or answered, the tabs, the keys.
+//! Draws the console: title, alarms, table, dialog, tabs and key help, from top to bottom.
 
 use crate::app::{App, Tab, TABS};
-use crate::messages::{self, row_text, span, widths, wrapped, Table};
+use crate::messages::{self, column_widths, format_row, format_seconds, wrap_text, Table};
 use ratatui::buffer::Buffer;
 use ratatui::layout::Rect;
 use ratatui::style::{Color, Modifier, Style};
 
-/// Alarms take at most this part of the height.
+/// Alarms take at most one part in this many of the height.
 const ALARMS_FRACTION: usize = 3;
-/// Lines of alarms that are shown on the smallest screen.
+/// Number of alarm lines shown even on the smallest screen.
 const MIN_ALARM_LINES: usize = 2;
-/// Lines of the tabs and the keys.
+/// Number of lines for the tabs and the key help.
 const FOOTER_LINES: usize = 2;
-/// The column of an engine's state.
+/// Index of the state column in the table of engines.
 const STATE_COLUMN: usize = 1;
 
 const HELP: [&str; 10] = [
@@ -28,14 +28,14 @@
     "Any key goes back.",
 ];
 
-/// How parts of the screen are set off from each other.
+/// The styles of the screen.
 #[derive(Clone, Copy, Debug)]
-pub struct Look {
-    /// With colours; else by weight and inversion alone.
+pub struct Theme {
+    /// Whether to use colours; otherwise only text attributes are used.
     pub color: bool,
 }
 
-impl Look {
+impl Theme {
     fn alarm(self) -> Style {
         let style = Style::default().add_modifier(Modifier::BOLD);
         if self.color {
@@ -49,7 +49,7 @@
         Style::default().add_modifier(Modifier::DIM)
     }
 
-    fn head(self) -> Style {
+    fn heading(self) -> Style {
         Style::default().add_modifier(Modifier::BOLD | Modifier::UNDERLINED)
     }
 
@@ -69,11 +69,11 @@
     }
 }
 
-/// Writes on the screen: one line after another, never past its edges.
+/// Writes lines from top to bottom, clipped to the area.
 struct LineWriter<'a> {
     buffer: &'a mut Buffer,
     area: Rect,
-    /// The next line.
+    /// Index of the next line.
     line: u16,
 }
 
@@ -86,7 +86,7 @@
         usize::from(self.area.height.saturating_sub(self.line))
     }
 
-    /// Goes to the line from which this many are left, unless it is behind that.
+    /// Moves to the line that leaves this many lines to the bottom, but never upwards.
     fn skip_to_last(&mut self, lines: usize) {
         let lines = u16::try_from(lines).unwrap_or(u16::MAX);
         self.line = self.area.height.saturating_sub(lines).max(self.line);
@@ -102,8 +102,8 @@
     }
 }
 
-/// Draws all of it.
-pub fn draw(app: &App, look: Look, area: Rect, buffer: &mut Buffer) {
+/// Draws the whole screen.
+pub fn draw(app: &App, theme: Theme, area: Rect, buffer: &mut Buffer) {
     let line = 0;
     let mut writer = LineWriter { buffer, area, line };
     let title = app.snapshot.as_ref().map(messages::title);
@@ -113,50 +113,53 @@
         draw_help(&mut writer);
         return;
     }
-    draw_alarms(app, look, &mut writer);
-    let dialog = app.question.as_ref().map(|question| &question.text);
-    let dialog = dialog.or(app.answer.as_ref());
-    let dialog = dialog.map_or(Vec::new(), |text| wrapped(text, writer.width()));
+    draw_alarms(app, theme, &mut writer);
+    let dialog = app
+        .confirmation
+        .as_ref()
+        .map(|confirmation| &confirmation.text);
+    let dialog = dialog.or(app.status_message.as_ref());
+    let dialog = dialog.map_or(Vec::new(), |text| wrap_text(text, writer.width()));
     let bottom = dialog.len() + FOOTER_LINES;
     let table_lines = writer.lines_left().saturating_sub(bottom);
-    draw_tab(app, look, &mut writer, table_lines);
+    draw_tab(app, theme, &mut writer, table_lines);
     writer.skip_to_last(bottom);
-    let dialog_style = match app.question {
-        Some(_) => look.alarm(),
+    let dialog_style = match app.confirmation {
+        Some(_) => theme.alarm(),
         None => Style::default(),
     };
     for line in &dialog {
         writer.write(line, dialog_style);
     }
-    writer.write(&tab_line(app.tab, writer.width()), look.dim());
-    writer.write(&app.key_line(writer.width()), look.dim());
+    writer.write(&tab_line(app.tab, writer.width()), theme.dim());
+    writer.write(&app.key_line(writer.width()), theme.dim());
 }
 
 fn draw_help(writer: &mut LineWriter) {
     let width = writer.width();
-    for line in HELP.iter().flat_map(|line| wrapped(line, width)) {
+    for line in HELP.iter().flat_map(|line| wrap_text(line, width)) {
         writer.write(&line, Style::default());
     }
 }
 
-fn draw_alarms(app: &App, look: Look, writer: &mut LineWriter) {
+fn draw_alarms(app: &App, theme: Theme, writer: &mut LineWriter) {
     let alarms = app.alarms();
     let max_lines = (usize::from(writer.area.height) / ALARMS_FRACTION).max(MIN_ALARM_LINES);
     let width = writer.width();
-    let lines: Vec<String> = alarms.iter().flat_map(|a| wrapped(a, width)).collect();
+    let lines: Vec<String> = alarms.iter().flat_map(|a| wrap_text(a, width)).collect();
     for line in lines.iter().take(max_lines) {
-        writer.write(line, look.alarm());
+        writer.write(line, theme.alarm());
     }
     if lines.len() > max_lines {
         let more = format!("... {} in all; --plain tells them", alarms.len());
-        writer.write(&more, look.dim());
+        writer.write(&more, theme.dim());
     }
     if alarms.is_empty() {
         writer.write("All is well.", Style::default());
     }
 }
 
-/// The tabs with the one that is shown in brackets; closer together where the width is small.
+/// The tab line, with the shown tab in brackets; spacing is reduced if the width is too small.
 fn tab_line(shown: Tab, width: usize) -> String {
     let tab = |(index, (tab, name)): (usize, &(Tab, &str))| {
         let number = index + 1;
@@ -174,64 +177,64 @@
     }
 }
 
-fn draw_tab(app: &App, look: Look, writer: &mut LineWriter, max_lines: usize) {
+fn draw_tab(app: &App, theme: Theme, writer: &mut LineWriter, max_lines: usize) {
     let Some(s) = &app.snapshot else { return };
     let table = match app.tab {
-        Tab::Engines => messages::engines(s),
-        Tab::Service => messages::classes(s),
-        Tab::Queries => messages::queries(s),
-        Tab::Events => return draw_events(app, look, writer, max_lines),
+        Tab::Engines => messages::engine_table(s),
+        Tab::Service => messages::class_table(s),
+        Tab::Queries => messages::query_table(s),
+        Tab::Events => return draw_events(app, theme, writer, max_lines),
     };
     if max_lines == 0 {
         return;
     }
-    let widths = widths(&table, writer.width());
+    let widths = column_widths(&table, writer.width());
     let heads: Vec<String> = table.heads.iter().map(ToString::to_string).collect();
-    writer.write(&row_text(&heads, &widths), look.head());
-    draw_rows(app, look, writer, &table, &widths, max_lines - 1);
+    writer.write(&format_row(&heads, &widths), theme.heading());
+    draw_rows(app, theme, writer, &table, &widths, max_lines - 1);
 }
 
 /// Draws the rows around the selected one.
 fn draw_rows(
     app: &App,
-    look: Look,
+    theme: Theme,
     writer: &mut LineWriter,
     table: &Table,
     widths: &[usize],
     max_lines: usize,
 ) {
     let has_selection = app.tab == Tab::Engines;
-    let first = first_shown(app.selected_row, table.rows.len(), max_lines);
+    let first = first_visible_row(app.selected_row, table.rows.len(), max_lines);
     let shown = table.rows.iter().enumerate().skip(first).take(max_lines);
     for (index, row) in shown {
-        let text = row_text(row, widths);
+        let text = format_row(row, widths);
         if has_selection && index == app.selected_row {
-            // The mark shows the selection without colours or inversion as well.
-            writer.write(&format!("{text} <"), look.selected());
+            // The mark makes the selection visible on terminals without colours and inversion.
+            writer.write(&format!("{text} <"), theme.selected());
         } else if has_selection {
             let state = row.get(STATE_COLUMN).map_or("", String::as_str);
-            writer.write(&text, look.engine(state));
+            writer.write(&text, theme.engine(state));
         } else {
             writer.write(&text, Style::default());
         }
     }
 }
 
-/// The first of the rows that are shown, so that the selected one is about in the middle.
-fn first_shown(selected: usize, rows: usize, max_lines: usize) -> usize {
+/// Index of the first row to show, so that the selected one is near the middle.
+fn first_visible_row(selected: usize, rows: usize, max_lines: usize) -> usize {
     selected
         .saturating_sub(max_lines / 2)
         .min(rows.saturating_sub(max_lines))
 }
 
-fn draw_events(app: &App, look: Look, writer: &mut LineWriter, max_lines: usize) {
+fn draw_events(app: &App, theme: Theme, writer: &mut LineWriter, max_lines: usize) {
     let now = app.snapshot.as_ref().map_or(0, |s| s.at);
-    let first = first_shown(app.selected_row, app.events.len(), max_lines);
+    let first = first_visible_row(app.selected_row, app.events.len(), max_lines);
     for (at, text) in app.events.iter().skip(first).take(max_lines) {
-        let ago = span(now.saturating_sub(*at) / 1_000_000);
+        let ago = format_seconds(now.saturating_sub(*at) / 1_000_000);
         writer.write(&format!("{ago:>7} ago  {text}"), Style::default());
     }
     if app.events.is_empty() && max_lines > 0 {
-        writer.write("Nothing has happened yet.", look.dim());
+        writer.write("Nothing has happened yet.", theme.dim());
     }
 }
--- a/crates/coordinator/src/cli/remote.rs
+++ b/crates/coordinator/src/cli/remote.rs
@@ -127,9 +127,9 @@
     }
     expect_no_more(arguments)?;
     match (is_back, is_stop, is_go_on) {
-        (true, false, false) => Ok(Request::Back),
+        (true, false, false) => Ok(Request::EngineReturned),
         (false, true, false) => Ok(Request::RollStop),
-        (false, false, true) => Ok(Request::RollGoOn),
+        (false, false, true) => Ok(Request::RollResume),
         (false, false, false) => Ok(Request::Roll(engines, is_dry_run)),
         _ => Err(CommandError::ConflictingRollOptions),
     }
@@ -154,7 +154,7 @@
     expect_no_more(arguments)?;
     if is_plain || !std::io::stdout().is_terminal() {
         let snapshot = request_snapshot(&mut connect(&target)?)?;
-        return print(&messages::plain(&snapshot, width()));
+        return print(&messages::plain_text(&snapshot, width()));
     }
     Ok(console::run(target, !has_no_color)?)
 }
@@ -179,7 +179,7 @@
 /// Waits until nothing runs on an engine any more.
 fn wait_until_idle(remote: &mut Remote, engine: &str) -> Result<(), CommandError> {
     let id = remote.send(&Request::Follow(WAIT_INTERVAL_MILLIS))?;
-    remote.wait_for_ever()?;
+    remote.disable_timeout()?;
     loop {
         let Reply::Snapshot(snapshot) = remote.reply(id)? else {
             continue;
@@ -202,7 +202,7 @@
 ) -> Result<(), CommandError> {
     let id = remote.send(&Request::Events(is_following))?;
     if is_following {
-        remote.wait_for_ever()?;
+        remote.disable_timeout()?;
     }
     while let Reply::Event(at, message) = remote.reply(id)? {
         if is_json {
@@ -222,7 +222,7 @@
         let snapshot = request_snapshot(&mut remote)?;
         let requests: u64 = snapshot.classes.iter().map(|c| c.minute.asked).sum();
         if requests >= DEMO_MIN_REQUESTS {
-            return print(&messages::plain(&snapshot, width()));
+            return print(&messages::plain_text(&snapshot, width()));
         }
         std::thread::sleep(DEMO_POLL_INTERVAL);
     }
--- a/crates/coordinator/src/node/control/rolling_restart.rs
+++ b/crates/coordinator/src/node/control/rolling_restart.rs
@@ -40,14 +40,14 @@
 
     /// The record from which a restarted process continues; empty if the rolling restart is over.
     fn unfinished_record(&self) -> StateRecord {
-        let unfinished = self.current().filter(|restart| !restart.is_over());
+        let unfinished = self.current().filter(|restart| !restart.is_done());
         StateRecord::RollingRestart {
             roll: unfinished.cloned(),
         }
     }
 
     fn is_running(&self) -> bool {
-        self.current().is_some_and(|restart| !restart.is_over())
+        self.current().is_some_and(|restart| !restart.is_done())
     }
 
     /// Starts a rolling restart; its first step is due immediately.
--- a/crates/coordinator/tests/golden_operators/files.rs
+++ b/crates/coordinator/tests/golden_operators/files.rs
@@ -36,7 +36,7 @@
     let stages = ["next", "draining", "handed", "warming", "stopped", "done"];
     let rolling_restarts = stages.iter().map(|stage| {
         let text = format!("{stage}\t1764000000000000\t7\t995\te1\u{1f}e2\te0\tsomething fell");
-        RollingRestart::of_text(&text).expect("a rolling restart")
+        RollingRestart::from_text(&text).expect("a rolling restart")
     });
     let mut all = vec![
         StateRecord::Ordered {
@@ -298,8 +298,8 @@
 fn rolling_restart_of_the_current_format_is_read_at_start() {
     let folder = Folder::new("golden-roll");
     let text = "stopped\t1764000000000000\t7\t995\te1\u{1f}e2\te0\tsomething fell";
-    let roll = RollingRestart::of_text(text).expect("a rolling restart");
-    let bytes = driftfront_engine_registry::record::file(&[StateRecord::RollingRestart {
+    let roll = RollingRestart::from_text(text).expect("a rolling restart");
+    let bytes = driftfront_engine_registry::record::encode_file(&[StateRecord::RollingRestart {
         roll: Some(roll),
     }]);
     assert_golden!("operators/orders-roll", bytes);
--- a/crates/coordinator/tests/state_folder.rs
+++ b/crates/coordinator/tests/state_folder.rs
@@ -72,7 +72,7 @@
     for cut in 0..=complete_bytes.len() {
         std::fs::write(&file, &complete_bytes[..cut]).expect("the truncated file is written");
         let mut opened = state.open();
-        let expected = record::read(&complete_bytes[..cut]).expect("a supported version");
+        let expected = record::decode_file(&complete_bytes[..cut]).expect("a supported version");
         assert_eq!(
             (&opened.records, opened.warnings.is_empty()),
             (&expected.records, expected.damage.is_none()),
--- a/crates/engine-registry/tests/handover.rs
+++ b/crates/engine-registry/tests/handover.rs
@@ -1,4 +1,4 @@
-//! The hand-over file: a cut or changed one counts as none.
+//! The hand-over file: truncated or damaged files are rejected.
 
 use driftfront_engine_registry::handover::{decode, encode, HandoverError, HandoverState, HEADER};
 use driftfront_engine_registry::{ActiveOrder, Order};
@@ -23,13 +23,13 @@
 }
 
 #[test]
-fn file_cut_or_changed_at_any_byte_counts_as_none() {
+fn truncation_or_damage_at_any_byte_is_rejected() {
     let bytes = encode(&state());
     assert_eq!(decode(&bytes), Ok(state()));
     for cut in 0..bytes.len() {
         assert_eq!(
             decode(&bytes[..cut]),
-            Err(HandoverError::Cut),
+            Err(HandoverError::Truncated),
             "cut at {cut}"
         );
         let mut changed = bytes.clone();
@@ -44,17 +44,20 @@
     assert_eq!(decode(&newer), Err(HandoverError::Version("2".into())));
     assert_eq!(
         decode(&[&bytes[..], b"x"].concat()),
-        Err(HandoverError::NotOurs)
+        Err(HandoverError::NotHandoverFile)
+    );
+    assert_eq!(
+        decode(b"something else\n"),
+        Err(HandoverError::NotHandoverFile)
     );
-    assert_eq!(decode(b"something else\n"), Err(HandoverError::NotOurs));
 }
 
 #[test]
-fn random_bytes_are_no_handover_state() {
-    let never =
+fn random_bytes_are_rejected() {
+    let is_rejected =
         |bytes: Vec<u8>| decode(&bytes).is_err() && decode(&[HEADER, &bytes].concat()).is_err();
     let mut check = QuickCheck::new()
         .tests(5_000)
         .rng(Gen::from_size_and_seed(60, 18));
-    check.quickcheck(never as fn(Vec<u8>) -> bool);
+    check.quickcheck(is_rejected as fn(Vec<u8>) -> bool);
 }
