--- a/crates/coordinator/src/config/mod.rs
+++ b/crates/coordinator/src/config/mod.rs
@@ -192,7 +192,7 @@
     /// # Errors
     ///
     /// The first mistake in it, with its position.
-    pub fn of_operator(text: &str) -> Result<Config, ConfigError> {
+    pub fn from_operator_text(text: &str) -> Result<Config, ConfigError> {
         let json = operator_config::read(text)?;
         Config::from_json(&json)
     }
--- a/crates/coordinator/src/demo.rs
+++ b/crates/coordinator/src/demo.rs
@@ -63,7 +63,7 @@
         let socket =
             std::env::temp_dir().join(format!("driftfront-demo-{}.sock", std::process::id()));
         let text = operator_file(listen, &socket, &engines);
-        Config::of_operator(&text)?;
+        Config::from_operator_text(&text)?;
         std::thread::spawn(move || run_coordinator(&text));
         wait_for_control_socket(&socket)?;
         std::thread::spawn(move || send_load(listen));
@@ -122,7 +122,7 @@
 
 /// Runs the coordinator until the process ends. The configuration is read again, since it can't move between threads.
 fn run_coordinator(operator_file: &str) -> Result<(), DemoError> {
-    let config = Config::of_operator(operator_file)?;
+    let config = Config::from_operator_text(operator_file)?;
     let events = EventLoop::try_new()?;
     Node::new(config, &events)?.run(events);
     Ok(())
--- a/crates/coordinator/tests/golden_operators/commands.rs
+++ b/crates/coordinator/tests/golden_operators/commands.rs
@@ -231,7 +231,7 @@
         &deploy("appliance.kdl"),
         "engines { file \"engines.json\"; }\n",
     ]
-    .map(|text| values(&Config::of_operator(text).expect("well formed")))
+    .map(|text| values(&Config::from_operator_text(text).expect("well formed")))
     .join("\n");
     let json = values(&Config::read(appliance().as_bytes()).expect("well formed"));
     assert_golden!("operators/values.txt", text + "\n" + &json);
--- a/crates/coordinator/tests/operator_config.rs
+++ b/crates/coordinator/tests/operator_config.rs
@@ -4,7 +4,7 @@
 use driftfront::operator_config::{read, Position, EXAMPLE};
 
 fn config(text: &str) -> Config {
-    Config::of_operator(text).unwrap_or_else(|e| panic!("{e}"))
+    Config::from_operator_text(text).unwrap_or_else(|e| panic!("{e}"))
 }
 
 #[test]
