--- a/crates/coordinator/benches/clickhouse.rs
+++ b/crates/coordinator/benches/clickhouse.rs
@@ -119,7 +119,7 @@
     let own = env!("CARGO_BIN_EXE_driftfront").to_string();
     let baseline = std::env::var("BASELINE").ok();
     println!("| what | figure, median of {ROUNDS} rounds (least to most) |\n| --- | --- |");
-    let engine = Engine::start(Options::default(), Arc::new(RequestLog::forgetful()));
+    let engine = Engine::start(Options::default(), Arc::new(RequestLog::discarding()));
     if wanted("requests") {
         requests(&own, baseline.as_deref(), &engine, 20_000 / scale);
     }
--- a/crates/coordinator/benches/operators.rs
+++ b/crates/coordinator/benches/operators.rs
@@ -110,7 +110,7 @@
 }
 
 fn main() {
-    let engine = Engine::start(Options::default(), Arc::new(RequestLog::forgetful()));
+    let engine = Engine::start(Options::default(), Arc::new(RequestLog::discarding()));
     measure_consoles(engine.addr());
     measure_snapshots(engine.addr());
     print_history_size();
--- a/crates/coordinator/src/demo.rs
+++ b/crates/coordinator/src/demo.rs
@@ -91,7 +91,7 @@
 }
 
 fn start_engines() -> Vec<Engine> {
-    let request_log = Arc::new(RequestLog::forgetful());
+    let request_log = Arc::new(RequestLog::discarding());
     let start = |number: usize| {
         let options = Options {
             name: format!("engine-{number}"),
--- a/crates/mock-servers/src/request_log/mod.rs
+++ b/crates/mock-servers/src/request_log/mod.rs
@@ -64,7 +64,7 @@
 
 impl RequestLog {
     /// A log that keeps nothing, for measurements.
-    pub fn forgetful() -> RequestLog {
+    pub fn discarding() -> RequestLog {
         RequestLog {
             is_discarding: true,
             ..RequestLog::default()
