--- a/crates/cluster-harness/src/soak/verdict.rs
+++ b/crates/cluster-harness/src/soak/verdict.rs
@@ -188,7 +188,7 @@
 /// An insert runs at most once.
 fn judge_duplicates(sent: &SentStatements, report: &mut Report) {
     for (statement, entries) in sent {
-        let may_have_run = entries.iter().filter(|entry| entry.ran).count();
+        let may_have_run = entries.iter().filter(|entry| entry.may_have_run).count();
         if statement.starts_with("INSERT") && may_have_run > 1 {
             report.add_breach(
                 Breach::Duplicate,
--- a/crates/coordinator/tests/clickhouse.rs
+++ b/crates/coordinator/tests/clickhouse.rs
@@ -131,7 +131,7 @@
         0
     );
     site.ledger
-        .wait_until("the end of both", |e| e.iter().all(|e| e.over.is_some()));
+        .wait_until("the end of both", |e| e.iter().all(|e| e.end_seq.is_some()));
     site.ledger.assert_rules(1);
 }
 
@@ -488,7 +488,13 @@
     );
     site.ledger.wait_for("runs on", 1);
     site.list(&["draining", "ready"]);
-    let last = site.ledger.of("").iter().map(|e| e.begun).max().unwrap();
+    let last = site
+        .ledger
+        .of("")
+        .iter()
+        .map(|e| e.start_seq)
+        .max()
+        .unwrap();
     let mut lost = 0;
     for n in 0..200 {
         let tied = site.ask(
@@ -518,7 +524,11 @@
     assert_eq!(lost, on_first);
     // What ran there when the drain was told may end well.
     assert_eq!(read_answer(&mut runs).status, 200);
-    let later = site.ledger.of("").into_iter().filter(|e| e.begun > last);
+    let later = site
+        .ledger
+        .of("")
+        .into_iter()
+        .filter(|e| e.start_seq > last);
     assert!(
         later.into_iter().all(|e| e.engine == "e1"),
         "something new went to the engine that drains"
@@ -609,7 +619,7 @@
     site.query("KILL QUERY WHERE query_id = 'f1'");
     site.ledger.wait_until("the killed load's end", |e| {
         e.iter()
-            .any(|e| e.statement.contains("forgotten") && e.over.is_some())
+            .any(|e| e.statement.contains("forgotten") && e.end_seq.is_some())
     });
     let _ = stream.read(&mut [0]);
 }
@@ -621,7 +631,7 @@
     site.ledger.wait_for("left", 1);
     drop(stream);
     site.ledger.wait_until("the end of what nobody wants", |e| {
-        e.iter().any(|e| e.left && e.over.is_some())
+        e.iter().any(|e| e.client_left && e.end_seq.is_some())
     });
     assert_eq!(site.coordinator.counter("attempts_released"), 1);
     // The engine did nothing wrong: it serves the next at once.
@@ -635,7 +645,7 @@
     drop(stream);
     site.ledger.wait_until("the end of half a result", |e| {
         e.iter()
-            .any(|e| e.statement.contains("half") && e.over.is_some())
+            .any(|e| e.statement.contains("half") && e.end_seq.is_some())
     });
     site.ledger.assert_rules(3);
 }
@@ -731,7 +741,7 @@
         site.ledger.wait_until(table, |e| runs(e) == 1);
     }
     site.ledger
-        .wait_until("the end of all", |e| e.iter().all(|e| e.over.is_some()));
+        .wait_until("the end of all", |e| e.iter().all(|e| e.end_seq.is_some()));
     assert_eq!(site.query("SELECT 1").status, 200);
     site.ledger.assert_rules(5);
 }
@@ -855,7 +865,7 @@
     assert!(site.memory_mb() < 48, "{} MB", site.memory_mb());
     drop(slow);
     site.ledger
-        .wait_until("the end of all", |e| e.iter().all(|e| e.over.is_some()));
+        .wait_until("the end of all", |e| e.iter().all(|e| e.end_seq.is_some()));
 }
 
 #[test]
--- a/crates/coordinator/tests/endings/clients.rs
+++ b/crates/coordinator/tests/endings/clients.rs
@@ -131,7 +131,7 @@
     site.coordinator.freeze();
     gate.open();
     site.ledger.wait_until("the engine's no", |all| {
-        all.iter().all(|e| e.over.is_some())
+        all.iter().all(|e| e.end_seq.is_some())
     });
     leave(leaves);
     site.coordinator.wake();
--- a/crates/coordinator/tests/endings/shutdown.rs
+++ b/crates/coordinator/tests/endings/shutdown.rs
@@ -66,8 +66,9 @@
     // The answer, and a request that nobody will take, come to the program at one moment.
     site.coordinator.freeze();
     gate.open();
-    site.ledger
-        .wait_until("the load's end", |all| all.iter().any(|e| e.over.is_some()));
+    site.ledger.wait_until("the load's end", |all| {
+        all.iter().any(|e| e.end_seq.is_some())
+    });
     first
         .write_all(request("lookup", 9, "", "SELECT never").as_bytes())
         .unwrap();
--- a/crates/coordinator/tests/operators.rs
+++ b/crates/coordinator/tests/operators.rs
@@ -412,7 +412,7 @@
             s.roll.as_ref().is_some_and(|r| r.stage == "handed")
         });
         // Handed over only once nothing runs there.
-        assert!(o.site.ledger.of("busy")[0].over.is_some());
+        assert!(o.site.ledger.of("busy")[0].end_seq.is_some());
         assert_eq!(read_answer(&mut busy).status, 200);
     }
     let o = Operated {
--- a/crates/mock-servers/src/engine/execute.rs
+++ b/crates/mock-servers/src/engine/execute.rs
@@ -230,7 +230,9 @@
             return Err(Exception::new(code::TIMEOUT_EXCEEDED, message));
         }
         if self.has_client_left() {
-            self.shared.log.note(query.entry, |entry| entry.left = true);
+            self.shared
+                .log
+                .note(query.entry, |entry| entry.client_left = true);
             return Err(Exception::new(code::NETWORK_ERROR, "Client has left"));
         }
         Ok(())
@@ -255,7 +257,9 @@
     pub(super) fn stay_silent(&mut self, query: &Query) -> After {
         let mut bytes = [0; 4096];
         while self.stream.read(&mut bytes).is_ok_and(|n| n > 0) {}
-        self.shared.log.note(query.entry, |entry| entry.left = true);
+        self.shared
+            .log
+            .note(query.entry, |entry| entry.client_left = true);
         After::Close
     }
 }
--- a/crates/mock-servers/src/engine/result.rs
+++ b/crates/mock-servers/src/engine/result.rs
@@ -65,7 +65,9 @@
         let status_line_end = head.iter().position(|&b| b == b'\n').map_or(0, |at| at + 1);
         if GIVEN_UP_FAULTS.iter().any(|fault| query.faults.has(fault)) {
             // That the client gives it up is nothing that its engine could know.
-            self.shared.log.note(query.entry, |entry| entry.left = true);
+            self.shared
+                .log
+                .note(query.entry, |entry| entry.client_left = true);
         }
         let copies = if query.faults.has("twice") { 2 } else { 1 };
         let request = &query.request;
@@ -207,7 +209,9 @@
             return Ok(true);
         }
         if index.is_multiple_of(CLIENT_CHECK_ROWS) && self.has_client_left() {
-            self.shared.log.note(query.entry, |entry| entry.left = true);
+            self.shared
+                .log
+                .note(query.entry, |entry| entry.client_left = true);
             return Ok(true);
         }
         Ok(false)
--- a/crates/mock-servers/src/request_log/mod.rs
+++ b/crates/mock-servers/src/request_log/mod.rs
@@ -21,17 +21,17 @@
     /// The session, if it named one.
     pub session: Option<String>,
     /// Its position in the order of all beginnings and ends.
-    pub begun: u64,
+    pub start_seq: u64,
     /// The position of its end, once it has ended.
-    pub over: Option<u64>,
+    pub end_seq: Option<u64>,
     /// When it began.
     pub at: Instant,
     /// When it ended.
-    pub over_at: Option<Instant>,
+    pub ended_at: Option<Instant>,
     /// It may have run.
-    pub ran: bool,
+    pub may_have_run: bool,
     /// It ended because its client had left.
-    pub left: bool,
+    pub client_left: bool,
     /// Bytes of its body.
     pub bytes: u64,
 }
@@ -92,12 +92,12 @@
                 id: id.into(),
                 statement: statement.chars().take(MAX_STATEMENT_CHARS).collect(),
                 session: session.map(String::from),
-                begun: self.tick(),
-                over: None,
+                start_seq: self.tick(),
+                end_seq: None,
                 at: Instant::now(),
-                over_at: None,
-                ran: true,
-                left: false,
+                ended_at: None,
+                may_have_run: true,
+                client_left: false,
                 bytes: 0,
             });
             entries.len() - 1
@@ -105,13 +105,14 @@
     }
 
     /// A statement has ended, in whatever way; only its first end counts.
-    pub fn end(&self, entry: usize, ran: bool) {
+    pub fn end(&self, entry: usize, may_have_run: bool) {
         if self.is_discarding {
             return;
         }
         self.with(|entries| {
-            if let Some(e) = entries.get_mut(entry).filter(|e| e.over.is_none()) {
-                (e.over, e.over_at, e.ran) = (Some(self.tick()), Some(Instant::now()), ran);
+            if let Some(e) = entries.get_mut(entry).filter(|e| e.end_seq.is_none()) {
+                (e.end_seq, e.ended_at, e.may_have_run) =
+                    (Some(self.tick()), Some(Instant::now()), may_have_run);
             }
         });
     }
--- a/crates/mock-servers/src/request_log/rules.rs
+++ b/crates/mock-servers/src/request_log/rules.rs
@@ -53,7 +53,7 @@
     if has_overlap(attempts) {
         breaches.push(format!("two attempts at once of {statement}"));
     }
-    let may_have_run = || attempts.iter().filter(|attempt| attempt.ran);
+    let may_have_run = || attempts.iter().filter(|attempt| attempt.may_have_run);
     if statement.starts_with("INSERT") && may_have_run().count() > 1 {
         breaches.push(format!("may have run twice: {statement}"));
     }
@@ -70,8 +70,8 @@
 /// which its engine sees a moment later.
 fn has_overlap(attempts: &[&Entry]) -> bool {
     let overlaps = |earlier: &Entry, later: &Entry| {
-        let has_ended = earlier.over.is_some_and(|over| over < later.begun);
-        !earlier.left && !has_ended
+        let has_ended = earlier.end_seq.is_some_and(|end| end < later.start_seq);
+        !earlier.client_left && !has_ended
     };
     attempts.windows(2).any(|pair| overlaps(pair[0], pair[1]))
 }
