--- a/crates/coordinator/src/config/document.rs
+++ b/crates/coordinator/src/config/document.rs
@@ -1,4 +1,4 @@
-//! The first two steps: what the platform's JSON says, typed and checked.
+//! Parses and validates the platform's JSON.
 
 use super::error::{ConfigError, KeyPath};
 use super::{ClusterConfig, ControlPort, DiscoverySource, Protocol};
@@ -7,17 +7,17 @@
 use driftfront_settings::json::Json;
 use std::net::SocketAddr;
 
-/// Fewest characters of the control port's key.
+/// Minimum length of the control port's key.
 pub(super) const MIN_CONTROL_KEY_CHARACTERS: usize = 16;
 
 const DEFAULT_ETCD_PREFIX: &str = "/driftfront/engines/";
-/// A voter that is gone for so long is replaced, where the file says nothing.
+/// How long a voter may be down before it is replaced, unless the file sets another time.
 const DEFAULT_REPLACE_AFTER_SECONDS: u64 = 300;
 const DEFAULT_UPLOAD_TIMEOUT_MILLIS: u64 = 600_000;
 const DEFAULT_STALL_TIMEOUT_MILLIS: u64 = 10_000;
 
-/// A configuration's JSON with the parts typed that may be wrong. What is optional and has a default is read from `root`
-/// when the configuration is built.
+/// A configuration's JSON. Values that can be invalid are parsed into their types; optional values with a default are read
+/// from `root` when the configuration is built.
 pub(super) struct Document<'j> {
     pub(super) root: Json<'j>,
     pub(super) listen: SocketAddr,
@@ -46,7 +46,7 @@
         })
     }
 
-    /// Checks what parts of the document say of each other.
+    /// Checks the values that depend on each other.
     pub(super) fn validate(self) -> Result<ValidDocument<'j>, ConfigError> {
         let is_platform = self.protocol == Protocol::Platform;
         if self.cluster.is_some() && is_platform && !self.settings.may_gossip {
@@ -86,7 +86,7 @@
     }
 }
 
-/// A document without mistakes. Classes are indexes into `classes`.
+/// A document without errors. Classes are indexes into `classes`.
 pub(super) struct ValidDocument<'j> {
     pub(super) document: Document<'j>,
     pub(super) classes: Vec<String>,
@@ -214,7 +214,7 @@
     })
 }
 
-/// A time in whole milliseconds above zero, as microseconds.
+/// Parses a positive whole number of milliseconds into microseconds.
 fn parse_millis(json: Json, key: KeyPath, default: u64) -> Result<Micros, ConfigError> {
     if json.0.is_none() {
         return Ok(default * 1000);
--- a/crates/coordinator/src/config/mod.rs
+++ b/crates/coordinator/src/config/mod.rs
@@ -1,8 +1,8 @@
-//! A coordinator's configuration: what the platform, or an operator's file, says.
+//! A coordinator's configuration, read from the platform's JSON or from an operator's file.
 //!
-//! Three steps: `Document::parse` (types: what the file says), `Document::validate` (names that must exist, settings that
-//! exclude each other) and `ValidDocument::into_config` (defaults and derived bounds, which cannot fail). An operator's file
-//! is translated to the platform's JSON first, by [`crate::operator_config`].
+//! Loading has three steps: `Document::parse` checks types, `Document::validate` checks that referenced names exist and that
+//! settings don't contradict each other, and `ValidDocument::into_config`, which cannot fail, applies defaults and derives
+//! bounds. [`crate::operator_config`] first translates an operator's file to the platform's JSON.
 
 mod document;
 mod error;
@@ -22,7 +22,7 @@
 use std::rc::Rc;
 use tinyjson::JsonValue;
 
-/// Which interface clients and engines speak.
+/// The interface that clients and engines use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Protocol {
     /// The platform's.
@@ -38,71 +38,71 @@
     Stream(SocketAddr),
     /// etcd's JSON gateway at this address, and the prefix of the engines' keys.
     Etcd(SocketAddr, String),
-    /// A file of the operator's.
+    /// A file that the operator maintains.
     File(PathBuf),
-    /// Only what the configuration lists.
+    /// Only the engines listed in the configuration.
     Fixed,
 }
 
-/// How a coordinator takes part in a cluster.
+/// A coordinator's membership in a cluster.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClusterConfig {
-    /// Where datagrams come in.
+    /// The address that receives datagrams.
     pub listen: SocketAddr,
-    /// Where others send them, if that is another address.
+    /// The address that other members send to, if it differs from `listen`.
     pub advertise: Option<SocketAddr>,
     /// The file with the keys.
     pub key_file: PathBuf,
-    /// Members that are asked to be let in.
+    /// Members that are contacted to join the cluster.
     pub seeds: Vec<SocketAddr>,
     /// The coordinator's own zone; empty for none.
     pub zone: String,
     /// The coordinator's own region; empty for none.
     pub region: String,
-    /// The initial voters of the consensus log, by name; none where there is no such log.
+    /// The names of the consensus log's initial voters; empty if there is no such log.
     pub voters: Vec<String>,
-    /// A voter that is gone for so long is replaced.
+    /// How long a voter may be down before it is replaced.
     pub replace_after: Micros,
 }
 
-/// The port of operators on loopback.
+/// The operators' control port, on loopback.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ControlPort {
-    /// Where it listens.
+    /// The listening address.
     pub address: SocketAddr,
-    /// The key that operators must know there.
+    /// The key that operators authenticate with.
     pub key: Vec<u8>,
 }
 
-/// All that a coordinator is told at its start.
+/// A coordinator's complete configuration.
 pub struct Config {
-    /// The file it was read from, to be read again on SIGHUP.
+    /// The file it was read from, which SIGHUP reloads.
     pub file: Option<PathBuf>,
     /// The coordinator's name.
     pub name: String,
-    /// Where clients connect.
+    /// The clients' address.
     pub listen: SocketAddr,
-    /// Seed of all random numbers.
+    /// The seed of all random numbers.
     pub seed: u64,
-    /// Descriptors that the process may hold.
+    /// The limit of open file descriptors.
     pub max_descriptors: usize,
     /// The interface of clients and engines.
     pub protocol: Protocol,
-    /// What the ClickHouse frontend holds to.
+    /// The ClickHouse frontend's rules for classes and bodies.
     pub clickhouse: ClassRules,
-    /// A result of a ClickHouse engine that makes no progress for this long is given up.
+    /// A result of a ClickHouse engine is abandoned after this long without progress.
     pub result_stall_timeout: Micros,
-    /// Bytes of streamed results that may wait for their clients, all together.
+    /// Total bytes of streamed results that may be buffered for slow clients.
     pub max_unread_bytes: usize,
     /// Where the list of engines comes from.
     pub discovery: DiscoverySource,
     /// Number of the last event in `known_updates`.
     pub known_index: u64,
-    /// Events of the endpoint list so far.
+    /// The endpoint list's events up to `known_index`.
     pub known_updates: Vec<JsonValue>,
     /// The scheduler's settings.
     pub settings: Settings,
-    /// The classes as clients name them.
+    /// The names and client timeouts of the classes.
     pub classes: QueryClasses,
     /// The tenants' names, by index.
     pub tenants: Rc<[String]>,
@@ -110,32 +110,32 @@
     pub zones: Vec<String>,
     /// The machine kinds' names, by index.
     pub kinds: Vec<String>,
-    /// Names of a load report's values in the engines' protocol, in order.
+    /// The fields of a load report by their names in the engines' protocol, in order.
     pub load_report_fields: Rc<[String]>,
-    /// A connection to an engine that is not up by then has failed.
+    /// Timeout for opening a connection to an engine.
     pub connect_timeout: Micros,
-    /// Engines close connections that are idle for this long.
+    /// The idle time after which engines close a connection.
     pub engine_idle_timeout: Micros,
-    /// Attempts that one connection carries at once.
+    /// Concurrent attempts on one connection.
     pub max_streams_per_connection: usize,
     /// Bounds of the request lifecycle.
     pub limits: Limits,
-    /// The Unix socket where operators find the program.
+    /// The path of the operators' control socket.
     pub control_socket: Option<PathBuf>,
-    /// The same on loopback.
+    /// The operators' control port.
     pub control_port: Option<ControlPort>,
     /// The address of the operators' line protocol.
     pub management_address: Option<String>,
-    /// The folder for what is to outlive a restart.
+    /// The folder for state that survives a restart.
     pub state_folder: Option<PathBuf>,
-    /// Other coordinators, where the operator's file names a cluster.
+    /// The cluster that the coordinator belongs to, if any.
     pub cluster: Option<ClusterConfig>,
 }
 
-/// What the process's environment adds to a configuration.
+/// Configuration that comes from environment variables.
 #[derive(Clone, Debug, Default)]
 struct Environment {
-    /// `LB_MANAGEMENT`: the management address, where the file names none.
+    /// `LB_MANAGEMENT`: the management address if the file has none.
     management_address: Option<String>,
 }
 
@@ -148,11 +148,11 @@
 }
 
 impl Config {
-    /// Reads a file: an operator's where its name ends in `.kdl`, else the platform's JSON.
+    /// Reads a file: an operator's file if its name ends in `.kdl`, otherwise the platform's JSON.
     ///
     /// # Errors
     ///
-    /// A file that can't be read, and the first mistake in it, both with the file's path.
+    /// Returns an error that names the file if it can't be read, or for the first error in it.
     pub fn load(path: &Path) -> Result<Config, ConfigError> {
         let in_file = |source| ConfigError::InFile {
             path: path.into(),
@@ -177,21 +177,21 @@
         })
     }
 
-    /// Reads the platform's JSON; keys that are not known are skipped.
+    /// Reads the platform's JSON; unknown keys are ignored.
     ///
     /// # Errors
     ///
-    /// Text that is not JSON, and the first key that is missing or mistaken.
+    /// Fails if the text is not JSON, or on the first missing or invalid key.
     pub fn read(text: &[u8]) -> Result<Config, ConfigError> {
         let json = parse(text).map_err(|e| ConfigError::NotJson(e.to_string()))?;
         Config::from_json(&json)
     }
 
-    /// Reads an operator's text.
+    /// Reads the text of an operator's file.
     ///
     /// # Errors
     ///
-    /// The first mistake in it, with its position.
+    /// Returns the first error in it, with its position.
     pub fn from_operator_text(text: &str) -> Result<Config, ConfigError> {
         let json = operator_config::read(text)?;
         Config::from_json(&json)
--- a/crates/coordinator/src/config/resolve.rs
+++ b/crates/coordinator/src/config/resolve.rs
@@ -1,4 +1,4 @@
-//! The third step: defaults, margins and derived bounds.
+//! Applies defaults and safety margins, and derives bounds.
 
 use super::document::ValidDocument;
 use super::{Config, Environment, Protocol};
@@ -10,14 +10,14 @@
 use std::path::PathBuf;
 use std::rc::Rc;
 
-/// Added to the time that an ordering key rests: an attempt's end reaches the engine after it is accounted for here.
+/// Added to the settle time of an ordering key: the engine learns that an attempt has ended later than the coordinator does.
 const SETTLE_MARGIN: Micros = 40_000;
-/// Taken off the time for which engines drop repeats: their clock starts before the first attempt is known there, and a
-/// repeat is some time on its way.
+/// Subtracted from the engines' deduplication window, which starts before the coordinator learns of the first attempt; a
+/// repeat also takes time to reach the engine.
 const DEDUPLICATION_MARGIN: Micros = 200_000;
-/// A health check that takes longer has failed.
+/// Timeout of a health check.
 const PROBE_TIMEOUT: Micros = 300_000;
-/// A request that is still open is answered this long before its client gives up.
+/// An open request is answered this long before its client times out.
 const ANSWER_MARGIN: Micros = 3_000;
 
 const MIN_DESCRIPTORS: u64 = 64;
@@ -25,15 +25,15 @@
 const DEFAULT_MEMORY_MB: u64 = 192;
 const MIN_MEMORY_MB: u64 = 16;
 const MAX_MEMORY_MB: u64 = 64 * 1024;
-/// Retained request bodies may fill one part in so many of the memory.
+/// Retained request bodies may take up to 1/6 of the memory.
 const RETAINED_BODIES_DIVISOR: usize = 6;
-/// Unread results may fill one part in so many of the memory.
+/// Unread results may take up to 1/4 of the memory.
 const UNREAD_RESULTS_DIVISOR: usize = 4;
 
 const MAX_OPEN_REQUESTS: u64 = 4096;
-/// Idempotency keys remembered at once: tens are written a second at most, and each is kept for less than a minute.
+/// Idempotency keys remembered at once. At most some tens arrive per second, and each is kept for less than a minute.
 const MAX_IDEMPOTENCY_KEYS: usize = 8192;
-/// Attempts with an unknown outcome that are remembered by name, so that a KILL finds them.
+/// Attempts with an unknown outcome whose query ids are remembered, so that a KILL finds them.
 const MAX_UNKNOWN_OUTCOMES: usize = 1024;
 
 const DEFAULT_CLIENT_TIMEOUT: Micros = 30_000_000;
@@ -42,7 +42,7 @@
 const DEFAULT_STREAMS_PER_CONNECTION: u64 = 32;
 const DEFAULT_NAME: &str = "driftfront";
 
-/// Names of a load report's values in the settings, and in the engines' protocol where that is another one.
+/// Load report fields whose name in the settings differs from that in the engines' protocol.
 const LOAD_REPORT_FIELD_NAMES: [(&str, &str); 5] = [
     ("active", "inflight"),
     ("waiting", "queue"),
@@ -52,7 +52,7 @@
 ];
 
 impl ValidDocument<'_> {
-    /// The configuration that the document stands for.
+    /// Builds the configuration.
     pub(super) fn into_config(self, environment: &Environment) -> Config {
         let document = self.document;
         let root = document.root;
@@ -103,12 +103,12 @@
     }
 }
 
-/// The settings' `Caps`.
+/// The `Caps` object of the settings.
 #[derive(Clone, Copy)]
 struct Caps<'j>(Json<'j>);
 
 impl Caps<'_> {
-    /// A whole number above zero, else the default.
+    /// Returns a positive whole number, or the default if the value is anything else.
     fn positive(self, key: &str, default: u64) -> u64 {
         let number = self.0.get(key).integer();
         number.filter(|&number| number > 0).unwrap_or(default)
@@ -134,7 +134,7 @@
     }
 }
 
-/// The scheduler's settings, less what is lost between here and the engines.
+/// Adjusts the scheduler's settings for the latency between coordinator and engines.
 fn with_margins(mut settings: Settings) -> Settings {
     settings.settle_time += SETTLE_MARGIN;
     for class in &mut settings.classes {
@@ -145,7 +145,7 @@
     settings
 }
 
-/// The seed as hexadecimal digits; other texts are hashed.
+/// Parses the seed as hexadecimal; any other string is hashed.
 fn seed(json: Json) -> u64 {
     let text = json.text().unwrap_or_default();
     u64::from_str_radix(text, 16).unwrap_or_else(|_| crate::net::fnv1a_64(text.as_bytes()))
@@ -166,7 +166,7 @@
     to_usize(megabytes * 1024 * 1024)
 }
 
-/// The file's word goes before the environment's; an empty one is none.
+/// The file takes precedence over the environment; an empty address counts as none.
 fn management_address(json: Json, environment: &Environment) -> Option<String> {
     let address = json.text().map(String::from);
     address
@@ -202,14 +202,14 @@
         .collect()
 }
 
-/// The texts of a list; an empty one for each value that is none.
+/// The strings of a list, with an empty one in place of any other value.
 fn texts(list: Json) -> Vec<String> {
     list.each()
         .map(|value| value.text().unwrap_or_default().to_string())
         .collect()
 }
 
-/// A bound as the platform's word; a greater one is no bound.
+/// Converts a bound to `usize`, saturating.
 fn to_usize(bound: u64) -> usize {
     usize::try_from(bound).unwrap_or(usize::MAX)
 }
--- a/crates/coordinator/tests/clickhouse.rs
+++ b/crates/coordinator/tests/clickhouse.rs
@@ -1086,7 +1086,7 @@
         ("{\"listen\":\"here\",\"settings\":{}}", "listen"),
         (
             &appliance().replace("\"clickhouse\",", "\"other\","),
-            "front: unknown: other",
+            "front: unknown interface other",
         ),
         (
             &appliance().replace("\"write\": \"member-load\"", "\"write\": \"x\""),
--- a/crates/coordinator/tests/fleet.rs
+++ b/crates/coordinator/tests/fleet.rs
@@ -185,7 +185,7 @@
     );
     assert!(barred
         .err()
-        .is_some_and(|e| e.to_string().contains("bar talk")));
+        .is_some_and(|e| e.to_string().contains("forbid traffic")));
     assert!(driftfront::config::Config::read(text.as_bytes()).is_ok_and(|c| c.cluster.is_some()));
 }
 
