--- a/crates/coordinator/src/operator_config/class.rs
+++ b/crates/coordinator/src/operator_config/class.rs
@@ -1,36 +1,36 @@
 //! Query classes and machine kinds of an operator's file.
 
-use super::error::Mistake;
+use super::error::ErrorKind;
 use super::node_reader::{NodeReader, Parsed};
 use super::EXAMPLE;
 use driftfront_core::Micros;
 use kdl::{KdlDocument, KdlNode};
 
-/// Engines drop repeats of an import for this long where the file says nothing.
+/// How long engines drop repeats of an import, unless the file sets another time.
 const DEFAULT_DEDUPLICATION_WINDOW: Micros = 5_000_000;
 
-/// A `class` node: what kind of query it is, and how soon it is wanted.
+/// A `class` node: the properties of a class of queries.
 pub(super) struct QueryClass {
     pub(super) name: String,
     /// `wanted`.
     pub(super) latency_objective: Micros,
-    /// `patience`: a client gives up after this.
+    /// `patience`: the time after which clients give up.
     pub(super) client_timeout: Micros,
-    /// `priority_weight`.
+    /// `worth`.
     pub(super) priority_weight: f64,
-    /// `late-priority_weight`: the part of the weight that a late answer is still given.
+    /// `late-worth`: the fraction of the weight that a late answer retains.
     pub(super) late_weight: f64,
     /// `stretch`.
     pub(super) objective_stretch: f64,
-    /// Threads that one query takes on an engine.
+    /// `threads`: the threads that one query uses on an engine.
     pub(super) threads: f64,
-    /// `once`: it must not run twice.
+    /// `once`: a query must not run twice.
     pub(super) is_single_shot: bool,
-    /// `in-order`: one at a time for each table, in the order in which they came.
+    /// `in-order`: queries on one table run one at a time, in order of arrival.
     pub(super) is_ordered: bool,
-    /// `holds-tables`: it locks the tables that it writes.
+    /// `holds-tables`: a query locks the tables that it writes.
     pub(super) holds_tables: bool,
-    /// `repeats-dropped`: engines drop repeats of one idempotency key for this long.
+    /// `repeats-dropped`: how long engines drop repeats of an idempotency key.
     pub(super) deduplication_window: Option<Micros>,
 }
 
@@ -54,13 +54,15 @@
         let required_time = |property| {
             properties.time(property)?.ok_or_else(|| {
                 let class = name.clone();
-                reader.error_at_node(node, Mistake::MissingTime { class, property })
+                reader.error_at_node(node, ErrorKind::MissingTime { class, property })
             })
         };
         let latency_objective = required_time("wanted")?;
         let client_timeout = required_time("patience")?;
         if client_timeout < latency_objective {
-            return Err(reader.error_at_node(node, Mistake::TimeoutBelowObjective { class: name }));
+            return Err(
+                reader.error_at_node(node, ErrorKind::TimeoutBelowObjective { class: name })
+            );
         }
         Ok(QueryClass {
             latency_objective,
@@ -77,7 +79,7 @@
         })
     }
 
-    /// The classes of [`EXAMPLE`], for files that name none.
+    /// The classes of [`EXAMPLE`], for files that define none.
     pub(super) fn defaults() -> Vec<QueryClass> {
         let document = KdlDocument::parse(EXAMPLE).expect("the example is KDL");
         let reader = NodeReader::new(EXAMPLE);
@@ -90,7 +92,7 @@
             .collect()
     }
 
-    /// How the platform names whether such a query may run again.
+    /// The platform's name for whether a query of this class may run again.
     pub(super) fn effect(&self) -> &'static str {
         match (self.is_single_shot, self.deduplication_window) {
             (_, Some(_)) => "guarded",
@@ -105,7 +107,7 @@
     }
 }
 
-/// A `kind` node: a kind of machine that engines run on.
+/// A `kind` node: a machine type that engines run on.
 pub(super) struct MachineKind {
     pub(super) name: String,
     pub(super) cores: f64,
@@ -124,7 +126,7 @@
         })
     }
 
-    /// A kind that only engines name: the number behind its last dash counts its cores, with 2 GB for each.
+    /// Derives a kind that has no node from its name: the number after the last dash is the number of cores, each with 2 GB.
     pub(super) fn from_name(name: &str) -> MachineKind {
         let cores = name
             .rsplit('-')
@@ -138,7 +140,7 @@
         }
     }
 
-    /// The kinds of a file that lists no engine and names no kind.
+    /// The kinds for files that have neither engines nor kinds.
     pub(super) fn defaults() -> Vec<MachineKind> {
         vec![
             MachineKind::from_name("std-8"),
--- a/crates/coordinator/src/operator_config/cluster.rs
+++ b/crates/coordinator/src/operator_config/cluster.rs
@@ -1,23 +1,23 @@
-//! The `fleet` node: other coordinators.
+//! The `fleet` node: the cluster of coordinators.
 
-use super::error::Mistake;
+use super::error::ErrorKind;
 use super::node_reader::{NodeReader, Parsed, Properties};
 use driftfront_core::Micros;
 use kdl::KdlNode;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// Numbers of voters that a file may name.
+/// The allowed numbers of voters.
 const VOTER_COUNTS: [usize; 3] = [0, 3, 5];
 
-/// How the coordinator takes part in a cluster.
+/// The coordinator's membership in a cluster.
 pub(super) struct Cluster {
     pub(super) listen: SocketAddr,
     pub(super) advertise: Option<SocketAddr>,
     pub(super) key_file: String,
     pub(super) zone: Option<String>,
     pub(super) region: Option<String>,
-    /// How long a voter may be gone before it is replaced.
+    /// How long a voter may be down before it is replaced.
     pub(super) replace_after: Option<Micros>,
     pub(super) seeds: Vec<SocketAddr>,
     pub(super) voters: Vec<String>,
@@ -35,11 +35,11 @@
         ];
         let properties = reader.properties(node, PROPERTIES)?;
         let Some(listen) = address_property(reader, &properties, "listen")? else {
-            return Err(reader.error_at_node(node, Mistake::MissingClusterAddress));
+            return Err(reader.error_at_node(node, ErrorKind::MissingClusterAddress));
         };
         let advertise = address_property(reader, &properties, "advertise")?;
         let Some(key_file) = properties.text("key-file") else {
-            return Err(reader.error_at_node(node, Mistake::MissingKeyFile));
+            return Err(reader.error_at_node(node, ErrorKind::MissingKeyFile));
         };
         let mut cluster = Cluster {
             listen,
@@ -69,7 +69,7 @@
             "voter" => self.voters.push(reader.text(child)?),
             other => {
                 let name = other.to_string();
-                return Err(reader.error_at_node(child, Mistake::UnknownClusterNode { name }));
+                return Err(reader.error_at_node(child, ErrorKind::UnknownClusterNode { name }));
             }
         }
         Ok(())
@@ -81,7 +81,7 @@
         if distinct == voters && VOTER_COUNTS.contains(&voters) {
             return Ok(());
         }
-        Err(reader.error_at_node(node, Mistake::VoterCount { voters, distinct }))
+        Err(reader.error_at_node(node, ErrorKind::VoterCount { voters, distinct }))
     }
 }
 
@@ -105,6 +105,9 @@
 ) -> Parsed<SocketAddr> {
     address.parse().map_err(|_| {
         let address = address.to_string();
-        reader.error_at_offset(offset, Mistake::InvalidClusterAddress { property, address })
+        reader.error_at_offset(
+            offset,
+            ErrorKind::InvalidClusterAddress { property, address },
+        )
     })
 }
--- a/crates/coordinator/src/operator_config/document.rs
+++ b/crates/coordinator/src/operator_config/document.rs
@@ -1,21 +1,21 @@
-//! The first step: KDL syntax, and which nodes stand at the top level.
+//! Parses the KDL syntax and checks the top-level nodes.
 
 use super::class::{MachineKind, QueryClass};
-use super::error::Mistake;
+use super::error::ErrorKind;
 use super::node_reader::{NodeReader, Parsed};
-use super::site::Site;
+use super::valid_config::ValidConfig;
 use driftfront_engine_registry::edit_distance;
 use kdl::{KdlDocument, KdlNode};
 use std::collections::BTreeMap;
 
-/// A node that may stand at the top level.
+/// A known top-level node.
 struct TopLevelNode {
     name: &'static str,
-    /// How it is written.
+    /// An example for error messages.
     example: &'static str,
 }
 
-/// All of them, in the order in which they are listed to staff.
+/// All top-level nodes, in the order in which error messages list them.
 const TOP_LEVEL: &[TopLevelNode] = &[
     TopLevelNode {
         name: "name",
@@ -75,7 +75,7 @@
     },
 ];
 
-/// Greatest edit distance at which a misspelt name is taken for a known one.
+/// Maximum edit distance at which a known name is suggested for an unknown one.
 const MAX_TYPO_DISTANCE: usize = 2;
 
 /// The names of all top-level nodes.
@@ -83,7 +83,7 @@
     TOP_LEVEL.iter().map(|node| node.name)
 }
 
-/// How a top-level node is written; `None` for names that stand elsewhere.
+/// Returns an example of a top-level node, or `None` if there is no such node.
 pub(super) fn example_of(name: &str) -> Option<&'static str> {
     let node = TOP_LEVEL.iter().find(|node| node.name == name)?;
     Some(node.example)
@@ -95,7 +95,7 @@
         .filter(|known| edit_distance(known, name) <= MAX_TYPO_DISTANCE)
 }
 
-/// An operator's file whose nodes are known, each of those that may stand only once doing so.
+/// An operator's file whose top-level nodes are known and not repeated, except for `class` and `kind`.
 pub(super) struct Document<'t> {
     pub(super) reader: NodeReader<'t>,
     pub(super) classes: Vec<QueryClass>,
@@ -127,8 +127,8 @@
         if example_of(name).is_none() {
             let similar = similar_name(name);
             let name = name.to_string();
-            let mistake = Mistake::UnknownNode { name, similar };
-            return Err(self.reader.error_at_node(node, mistake));
+            let kind = ErrorKind::UnknownNode { name, similar };
+            return Err(self.reader.error_at_node(node, kind));
         }
         match name {
             "class" => self.classes.push(QueryClass::parse(self.reader, node)?),
@@ -139,8 +139,8 @@
                 let earlier = self.nodes.insert(name.to_string(), node.clone());
                 if earlier.is_some() {
                     let name = name.to_string();
-                    let mistake = Mistake::RepeatedNode { name };
-                    return Err(self.reader.error_at_node(node, mistake));
+                    let kind = ErrorKind::RepeatedNode { name };
+                    return Err(self.reader.error_at_node(node, kind));
                 }
             }
         }
@@ -151,7 +151,7 @@
         self.nodes.get(name)
     }
 
-    /// The argument of a top-level node, if the file has that node.
+    /// Returns the argument of a top-level node, or `None` if the file does not have the node.
     pub(super) fn text(&self, name: &str) -> Parsed<Option<String>> {
         self.node(name)
             .map(|node| self.reader.text(node))
@@ -159,8 +159,8 @@
     }
 
     /// Checks types, ranges and names.
-    pub(super) fn validate(self) -> Parsed<Site> {
-        Site::from_document(self)
+    pub(super) fn validate(self) -> Parsed<ValidConfig> {
+        ValidConfig::from_document(self)
     }
 }
 
@@ -170,10 +170,10 @@
         let offset = first.map_or(0, |diagnostic| diagnostic.span.offset());
         let message = first.and_then(|diagnostic| diagnostic.message.clone());
         let help = first.and_then(|diagnostic| diagnostic.help.clone());
-        let mistake = Mistake::Syntax {
-            message: message.unwrap_or("it is no KDL".into()),
-            help: help.unwrap_or("texts stand in quotes, blocks in { }".into()),
+        let kind = ErrorKind::Syntax {
+            message: message.unwrap_or("not KDL".into()),
+            help: help.unwrap_or("strings are written in quotes, blocks in { }".into()),
         };
-        reader.error_at_offset(offset, mistake)
+        reader.error_at_offset(offset, kind)
     })
 }
--- a/crates/coordinator/src/operator_config/engines.rs
+++ b/crates/coordinator/src/operator_config/engines.rs
@@ -1,7 +1,7 @@
-//! The `engines` node: engines that the file lists, or the source that they come from.
+//! The `engines` node: a list of engines, or the source that lists them.
 
 use super::class::MachineKind;
-use super::error::Mistake;
+use super::error::ErrorKind;
 use super::node_reader::{NodeReader, Parsed};
 use kdl::KdlNode;
 use std::net::SocketAddr;
@@ -10,12 +10,12 @@
 const DEFAULT_ZONE: &str = "main";
 const DEFAULT_MACHINE_KIND: &str = "std-8";
 
-/// Where engines come from.
+/// The engines of a file, or their source.
 #[derive(Default)]
 pub(super) struct Engines {
     pub(super) listed: Vec<ListedEngine>,
     pub(super) source: Option<EngineSource>,
-    /// The zones of the listed engines, in the order of their first engine.
+    /// The zones of the listed engines, in order of first use.
     pub(super) zones: Vec<String>,
 }
 
@@ -36,7 +36,7 @@
 }
 
 impl Engines {
-    /// Reads the node, where the file has one. Machine kinds that only engines name are added to `machine_kinds`.
+    /// Parses the node, if the file has one. Machine kinds that engines use but no node defines are added to `machine_kinds`.
     pub(super) fn parse(
         reader: NodeReader,
         node: Option<&KdlNode>,
@@ -49,8 +49,8 @@
         }
         if engines.listed.is_empty() && engines.source.is_none() {
             return Err(match node {
-                Some(node) => reader.error_at_node(node, Mistake::NoEngines),
-                None => reader.error_at_offset(0, Mistake::NoEngines),
+                Some(node) => reader.error_at_node(node, ErrorKind::NoEngines),
+                None => reader.error_at_offset(0, ErrorKind::NoEngines),
             });
         }
         if engines.zones.is_empty() {
@@ -93,7 +93,7 @@
             }
             other => {
                 let name = other.to_string();
-                return Err(reader.error_at_node(child, Mistake::UnknownEnginesNode { name }));
+                return Err(reader.error_at_node(child, ErrorKind::UnknownEnginesNode { name }));
             }
         }
         Ok(())
@@ -102,16 +102,16 @@
     fn parse_engine(&self, reader: NodeReader, node: &KdlNode) -> Parsed<ListedEngine> {
         let name = reader.text(node)?;
         if self.listed.iter().any(|engine| engine.name == name) {
-            return Err(reader.error_at_node(node, Mistake::RepeatedEngine { engine: name }));
+            return Err(reader.error_at_node(node, ErrorKind::RepeatedEngine { engine: name }));
         }
         let properties = reader.properties(node, &["at", "building", "kind"])?;
         let address = properties.text("at").unwrap_or_default();
         let address = address.parse().map_err(|_| {
-            let mistake = Mistake::InvalidEngineAddress {
+            let kind = ErrorKind::InvalidEngineAddress {
                 engine: name.clone(),
                 address: address.into(),
             };
-            reader.error_at_node(node, mistake)
+            reader.error_at_node(node, kind)
         })?;
         Ok(ListedEngine {
             name,
--- a/crates/coordinator/src/operator_config/error.rs
+++ b/crates/coordinator/src/operator_config/error.rs
@@ -1,33 +1,33 @@
-//! What can be wrong with an operator's file, where it stands, and what to write instead.
+//! Errors in an operator's file, with their position and a suggested correction.
 
 use super::document::{example_of, node_names};
 use std::fmt::{self, Write as _};
 
-/// A place in a file; both numbers count from 1.
+/// A position in a file; both numbers start at 1.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Position {
-    /// Line.
+    /// The line.
     pub line: usize,
-    /// Column, in characters.
+    /// The column, in characters.
     pub column: usize,
 }
 
-/// A mistake in an operator's file, and where it stands.
+/// An error in an operator's file, with its position.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OperatorConfigError {
-    /// Where it stands.
+    /// The position of the error.
     pub position: Position,
-    /// What is wrong.
-    pub mistake: Mistake,
+    /// The kind of error.
+    pub kind: ErrorKind,
 }
 
 impl fmt::Display for OperatorConfigError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Position { line, column } = self.position;
-        write!(f, "line {line}, column {column}: {}", self.mistake)?;
-        let advice = self.mistake.advice();
-        if !advice.is_empty() {
-            write!(f, "; {advice}")?;
+        write!(f, "line {line}, column {column}: {}", self.kind)?;
+        let suggestion = self.kind.suggestion();
+        if !suggestion.is_empty() {
+            write!(f, "; {suggestion}")?;
         }
         Ok(())
     }
@@ -36,66 +36,66 @@
 impl std::error::Error for OperatorConfigError {}
 
 impl OperatorConfigError {
-    /// The mistake as a compiler would show it: file and position, the line with a mark under the place, and the advice.
+    /// Formats the error as compilers do: file and position, the line with a mark under the column, and the suggestion.
     pub fn display_in_file(&self, file: &str, text: &str) -> String {
         let Position { line, column } = self.position;
         let source_line = text.lines().nth(line - 1).unwrap_or_default();
-        let mut out = format!("{file}:{line}:{column}: {}\n", self.mistake);
+        let mut out = format!("{file}:{line}:{column}: {}\n", self.kind);
         let _ = writeln!(out, "  | {source_line}\n  | {}^", " ".repeat(column - 1));
-        let advice = self.mistake.advice();
-        if !advice.is_empty() {
-            let _ = writeln!(out, "  = {advice}");
+        let suggestion = self.kind.suggestion();
+        if !suggestion.is_empty() {
+            let _ = writeln!(out, "  = {suggestion}");
         }
         out
     }
 }
 
-/// What is wrong with an operator's file. `Display` says it in the words that staff read.
+/// The kinds of errors in an operator's file. `Display` gives the message that operators read.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
-pub enum Mistake {
-    /// The text is not KDL; both texts come from the parser.
+pub enum ErrorKind {
+    /// The text is not KDL; both strings come from the parser.
     #[error("{message}")]
     Syntax {
         /// What the parser expected.
         message: String,
-        /// How it may be mended.
+        /// How to correct it.
         help: String,
     },
-    /// A node at the top level has no known name.
-    #[error("nothing is called {name} here")]
+    /// A top-level node has an unknown name.
+    #[error("unknown node {name}")]
     UnknownNode {
-        /// Its name.
+        /// The name.
         name: String,
-        /// A known name that is spelt alike.
+        /// A known name with a similar spelling.
         similar: Option<&'static str>,
     },
-    /// A node that may stand once stands twice.
-    #[error("{name} stands here a second time")]
+    /// A node that may occur only once is repeated.
+    #[error("duplicate node {name}")]
     RepeatedNode {
-        /// Its name.
+        /// The name.
         name: String,
     },
-    /// A node's argument is of another type.
-    #[error("{node} takes a text, not {value}")]
-    NotText {
+    /// A node's argument is not a string.
+    #[error("{node} takes a string, not {value}")]
+    NotString {
         /// The node.
         node: String,
         /// The argument, as written.
         value: String,
     },
-    /// A node lacks its argument.
-    #[error("{node} needs a text")]
-    MissingText {
+    /// A node has no argument.
+    #[error("{node} requires a string")]
+    MissingString {
         /// The node.
         node: String,
     },
     /// A node has more than one argument.
-    #[error("{node} takes one text")]
-    SeveralTexts {
+    #[error("{node} takes a single string")]
+    SeveralStrings {
         /// The node.
         node: String,
     },
-    /// A node has a property that is not known.
+    /// A node has an unknown property.
     #[error("{node} has no property {property}")]
     UnknownProperty {
         /// The node.
@@ -105,18 +105,18 @@
         /// The node's known properties.
         known: &'static [&'static str],
     },
-    /// A property is no number, or outside its range.
-    #[error("{property} is {value}")]
+    /// A property is not a number, or outside its range.
+    #[error("{property} is {value}, which is not a number in its range")]
     NumberOutOfRange {
         /// The property.
         property: &'static str,
         /// The value, as written.
         value: String,
-        /// The least and the greatest that are allowed.
+        /// The minimum and the maximum.
         range: (f64, f64),
     },
-    /// A property is no time, or none above zero and up to a day.
-    #[error("{property} is {value}, which is no time")]
+    /// A property is not a time, or not above zero and at most a day.
+    #[error("{property} is {value}, which is not a valid time")]
     NotTime {
         /// The property.
         property: &'static str,
@@ -124,167 +124,169 @@
         value: String,
     },
     /// A property is neither `#true` nor `#false`.
-    #[error("{property} is {value}")]
-    NotFlag {
+    #[error("{property} is {value}, which is not a boolean")]
+    NotBoolean {
         /// The property.
         property: &'static str,
         /// The value, as written.
         value: String,
     },
-    /// `listen` is no socket address.
-    #[error("listen is {address:?}, which is no address")]
+    /// `listen` is not a socket address.
+    #[error("listen is {address:?}, which is not a socket address")]
     InvalidListenAddress {
-        /// As written.
+        /// The value as written.
         address: String,
     },
-    /// `front` names no known interface.
-    #[error("front is {name:?}")]
+    /// `front` is not a known interface.
+    #[error("unknown front {name:?}")]
     UnknownFrontend {
-        /// As written.
+        /// The value as written.
         name: String,
     },
-    /// `reads`, `writes` or `deduplicated` names no class of the file.
-    #[error("there is no class {class}")]
+    /// `reads`, `writes` or `deduplicated` names a class that the file does not define.
+    #[error("unknown class {class}")]
     UnknownClass {
-        /// As written.
+        /// The value as written.
         class: String,
-        /// The classes that there are.
+        /// The defined classes.
         known: Vec<String>,
     },
-    /// A class lacks a time that it must have.
-    #[error("class {class} says nothing of {property}")]
+    /// A class lacks a required time.
+    #[error("class {class} has no {property}")]
     MissingTime {
         /// The class.
         class: String,
-        /// The property that it lacks.
+        /// The missing property.
         property: &'static str,
     },
     /// A class's client timeout is below its latency objective.
-    #[error("class {class}: patience is shorter than what is wanted")]
+    #[error("class {class}: patience is shorter than wanted")]
     TimeoutBelowObjective {
         /// The class.
         class: String,
     },
     /// `fleet` lacks its address.
-    #[error("fleet says nothing of listen")]
+    #[error("fleet has no listen")]
     MissingClusterAddress,
     /// `fleet` lacks its key file.
-    #[error("fleet says nothing of key-file")]
+    #[error("fleet has no key-file")]
     MissingKeyFile,
-    /// An address of `fleet` is no socket address.
-    #[error("{property} is {address:?}, which is no address")]
+    /// An address in `fleet` is not a socket address.
+    #[error("{property} is {address:?}, which is not a socket address")]
     InvalidClusterAddress {
         /// `listen`, `advertise` or `seed`.
         property: &'static str,
-        /// As written.
+        /// The value as written.
         address: String,
     },
-    /// A node inside `fleet` has no known name.
-    #[error("fleet holds no {name}")]
+    /// A node inside `fleet` has an unknown name.
+    #[error("unknown node {name} in fleet")]
     UnknownClusterNode {
-        /// Its name.
+        /// The name.
         name: String,
     },
-    /// The voters are not 3 or 5 different ones.
-    #[error("fleet names {voters} voters, {distinct} of them different")]
+    /// The number of voters is not allowed, or a voter is listed twice.
+    #[error("fleet lists {voters} voters, {distinct} of them distinct")]
     VoterCount {
-        /// How many are named.
+        /// The number of listed voters.
         voters: usize,
-        /// How many of them are different.
+        /// The number of distinct names among them.
         distinct: usize,
     },
     /// Two engines have the same name.
-    #[error("engine {engine} stands here a second time")]
+    #[error("duplicate engine {engine}")]
     RepeatedEngine {
         /// The engine.
         engine: String,
     },
-    /// An engine's `at` is no socket address.
-    #[error("engine {engine} is at {address:?}, which is no address")]
+    /// An engine's `at` is not a socket address.
+    #[error("engine {engine}: at is {address:?}, which is not a socket address")]
     InvalidEngineAddress {
         /// The engine.
         engine: String,
-        /// As written.
+        /// The value as written.
         address: String,
     },
-    /// A node inside `engines` has no known name.
-    #[error("engines holds no {name}")]
+    /// A node inside `engines` has an unknown name.
+    #[error("unknown node {name} in engines")]
     UnknownEnginesNode {
-        /// Its name.
+        /// The name.
         name: String,
     },
-    /// No engine is listed and no source of engines is named.
-    #[error("no engine is named, and no place that they come from")]
+    /// The file has neither engines nor a source of engines.
+    #[error("no engines and no engine source")]
     NoEngines,
 }
 
-impl Mistake {
-    /// What to write instead; empty where nothing can be said.
-    pub fn advice(&self) -> String {
+impl ErrorKind {
+    /// Suggests a correction; empty if there is none.
+    pub fn suggestion(&self) -> String {
         match self {
-            Mistake::Syntax { help, .. } => help.clone(),
-            Mistake::UnknownNode {
+            ErrorKind::Syntax { help, .. } => help.clone(),
+            ErrorKind::UnknownNode {
                 similar: Some(similar),
                 ..
             } => format!("did you mean {similar}?"),
-            Mistake::UnknownNode { similar: None, .. } => {
+            ErrorKind::UnknownNode { similar: None, .. } => {
                 let known: Vec<&str> = node_names().collect();
-                format!("it may hold {}", known.join(", "))
+                format!("known nodes: {}", known.join(", "))
             }
-            Mistake::NotText { node, .. }
-            | Mistake::MissingText { node }
-            | Mistake::SeveralTexts { node } => {
+            ErrorKind::NotString { node, .. }
+            | ErrorKind::MissingString { node }
+            | ErrorKind::SeveralStrings { node } => {
                 example_of(node).map_or(String::new(), |example| format!("write it as {example}"))
             }
-            Mistake::UnknownProperty { known, .. } => format!("it takes {}", known.join(", ")),
-            Mistake::NumberOutOfRange {
+            ErrorKind::UnknownProperty { known, .. } => {
+                format!("known properties: {}", known.join(", "))
+            }
+            ErrorKind::NumberOutOfRange {
                 range: (min, max), ..
             } => format!("write a number from {min} to {max}"),
-            Mistake::UnknownClass { known, .. } => format!("the classes are {}", known.join(", ")),
-            Mistake::MissingTime { property, .. } => format!(r#"add {property}="500 ms""#),
-            Mistake::InvalidClusterAddress { property, .. } => {
+            ErrorKind::UnknownClass { known, .. } => format!("known classes: {}", known.join(", ")),
+            ErrorKind::MissingTime { property, .. } => format!(r#"add {property}="500 ms""#),
+            ErrorKind::InvalidClusterAddress { property, .. } => {
                 format!(r#"write {property}="127.0.0.1:7946""#)
             }
-            other => other.fixed_advice().into(),
+            other => other.fixed_suggestion().into(),
         }
     }
 
-    /// The advice where it is the same whatever the file says.
-    fn fixed_advice(&self) -> &'static str {
+    /// The suggestions that don't depend on the file.
+    fn fixed_suggestion(&self) -> &'static str {
         match self {
-            Mistake::RepeatedNode { .. } => "leave one of the two out",
-            Mistake::NotTime { .. } => r#"write it as "500 ms", "2.5 s" or "10 min""#,
-            Mistake::NotFlag { .. } => "write #true or #false",
-            Mistake::InvalidListenAddress { .. } => r#"write it as "127.0.0.1:8123""#,
-            Mistake::UnknownFrontend { .. } => r#"write "clickhouse" or "platform""#,
-            Mistake::TimeoutBelowObjective { .. } => {
-                "clients must wait at least as long as the answer is wanted in"
+            ErrorKind::RepeatedNode { .. } => "remove one of the two",
+            ErrorKind::NotTime { .. } => r#"write it as "500 ms", "2.5 s" or "10 min""#,
+            ErrorKind::NotBoolean { .. } => "write #true or #false",
+            ErrorKind::InvalidListenAddress { .. } => r#"write it as "127.0.0.1:8123""#,
+            ErrorKind::UnknownFrontend { .. } => r#"write "clickhouse" or "platform""#,
+            ErrorKind::TimeoutBelowObjective { .. } => {
+                "patience must be at least as long as wanted"
             }
-            Mistake::MissingClusterAddress => r#"add listen="127.0.0.1:7946""#,
-            Mistake::MissingKeyFile => {
+            ErrorKind::MissingClusterAddress => r#"add listen="127.0.0.1:7946""#,
+            ErrorKind::MissingKeyFile => {
                 r#"add key-file="/etc/driftfront/fleet.key", a file of mode 600 with 32 hex digits"#
             }
-            Mistake::UnknownClusterNode { .. } => {
-                r#"it holds seed "127.0.0.1:7947" and voter "coordinator-a""#
+            ErrorKind::UnknownClusterNode { .. } => {
+                r#"known nodes: seed "127.0.0.1:7947", voter "coordinator-a""#
             }
-            Mistake::VoterCount { .. } => {
-                "name 3 or 5 coordinators, the same in all files, or none"
+            ErrorKind::VoterCount { .. } => {
+                "list 3 or 5 coordinators, the same in all files, or none"
             }
-            Mistake::RepeatedEngine { .. } => "give it another name",
-            Mistake::InvalidEngineAddress { .. } => r#"write at="127.0.0.1:18123""#,
-            Mistake::UnknownEnginesNode { .. } => "it holds engine, file or etcd",
-            Mistake::NoEngines => r#"add engines { engine "engine-1" at="127.0.0.1:18123" }"#,
-            // Depends on what the file says: `advice` has it.
-            Mistake::Syntax { .. }
-            | Mistake::UnknownNode { .. }
-            | Mistake::NotText { .. }
-            | Mistake::MissingText { .. }
-            | Mistake::SeveralTexts { .. }
-            | Mistake::UnknownProperty { .. }
-            | Mistake::NumberOutOfRange { .. }
-            | Mistake::UnknownClass { .. }
-            | Mistake::MissingTime { .. }
-            | Mistake::InvalidClusterAddress { .. } => "",
+            ErrorKind::RepeatedEngine { .. } => "give it another name",
+            ErrorKind::InvalidEngineAddress { .. } => r#"write at="127.0.0.1:18123""#,
+            ErrorKind::UnknownEnginesNode { .. } => "known nodes: engine, file, etcd",
+            ErrorKind::NoEngines => r#"add engines { engine "engine-1" at="127.0.0.1:18123" }"#,
+            // These depend on the file; `suggestion` formats them.
+            ErrorKind::Syntax { .. }
+            | ErrorKind::UnknownNode { .. }
+            | ErrorKind::NotString { .. }
+            | ErrorKind::MissingString { .. }
+            | ErrorKind::SeveralStrings { .. }
+            | ErrorKind::UnknownProperty { .. }
+            | ErrorKind::NumberOutOfRange { .. }
+            | ErrorKind::UnknownClass { .. }
+            | ErrorKind::MissingTime { .. }
+            | ErrorKind::InvalidClusterAddress { .. } => "",
         }
     }
 }
--- a/crates/coordinator/src/operator_config/mod.rs
+++ b/crates/coordinator/src/operator_config/mod.rs
@@ -1,9 +1,9 @@
-//! The operator's file, in KDL, translated to the settings that the platform writes as JSON.
+//! Translates the operator's file, in KDL, to the JSON that the platform writes.
 //!
-//! Three steps: `Document::parse` (syntax, known nodes), `Document::validate` (types, ranges, names that must exist) and
-//! `Site::into_platform_json` (defaults and derived settings, which cannot fail). `crate::config` reads the JSON, so that
-//! both kinds of file go through the same checks. Only the first mistake of a file is reported, with its line and column
-//! and what to write instead.
+//! Translation has three steps: `Document::parse` checks the syntax and the top-level nodes, `Document::validate` checks types,
+//! ranges and references, and `ValidConfig::into_platform_json`, which cannot fail, applies defaults and derives settings.
+//! `crate::config` reads the JSON, so that both kinds of file go through the same checks. Only the first error in a file is
+//! reported, with its line, its column and a suggested correction.
 
 mod class;
 mod cluster;
@@ -12,23 +12,23 @@
 mod error;
 mod node_reader;
 mod platform_json;
-mod site;
+mod valid_config;
 
-pub use error::{Mistake, OperatorConfigError, Position};
+pub use error::{ErrorKind, OperatorConfigError, Position};
 
 use document::Document;
 use tinyjson::JsonValue;
 
-/// The file that `driftfront init` writes.
+/// The example file that `driftfront init` writes.
 pub const EXAMPLE: &str = include_str!("../../../../deploy/appliance.kdl");
 
 /// Translates an operator's file to the platform's JSON.
 ///
 /// # Errors
 ///
-/// The first mistake in the file, with its position.
+/// Returns the first error in the file, with its position.
 pub fn read(text: &str) -> Result<JsonValue, OperatorConfigError> {
     let document = Document::parse(text)?;
-    let site = document.validate()?;
-    Ok(site.into_platform_json())
+    let config = document.validate()?;
+    Ok(config.into_platform_json())
 }
--- a/crates/coordinator/src/operator_config/node_reader.rs
+++ b/crates/coordinator/src/operator_config/node_reader.rs
@@ -1,17 +1,17 @@
-//! Reads typed values off KDL nodes; each error carries its position in the file.
+//! Reads typed values from KDL nodes, with the position of each error in the file.
 
-use super::error::{Mistake, OperatorConfigError, Position};
+use super::error::{ErrorKind, OperatorConfigError, Position};
 use driftfront_core::Micros;
 use kdl::{KdlEntry, KdlNode, KdlValue};
 use std::collections::BTreeMap;
 
-/// A value, or the file's first mistake.
+/// A value, or the first error in the file.
 pub(super) type Parsed<T> = Result<T, OperatorConfigError>;
 
-/// Longest time that a property may hold: a day.
+/// Maximum of a time: one day.
 const MAX_TIME_MICROS: f64 = 86_400e6;
 
-/// Reads nodes of one file.
+/// Reads the nodes of one file.
 #[derive(Clone, Copy)]
 pub(super) struct NodeReader<'t> {
     text: &'t str,
@@ -33,30 +33,30 @@
         Position { line, column }
     }
 
-    /// A mistake at this byte of the text.
-    pub(super) fn error_at_offset(self, offset: usize, mistake: Mistake) -> OperatorConfigError {
+    /// An error at a byte offset.
+    pub(super) fn error_at_offset(self, offset: usize, kind: ErrorKind) -> OperatorConfigError {
         OperatorConfigError {
             position: self.position(offset),
-            mistake,
+            kind,
         }
     }
 
-    /// A mistake at a node's property or argument.
-    pub(super) fn error_at_entry(self, entry: &KdlEntry, mistake: Mistake) -> OperatorConfigError {
-        self.error_at_offset(entry.span().offset(), mistake)
+    /// An error at a property or argument.
+    pub(super) fn error_at_entry(self, entry: &KdlEntry, kind: ErrorKind) -> OperatorConfigError {
+        self.error_at_offset(entry.span().offset(), kind)
     }
 
-    /// A mistake at a node's name.
-    pub(super) fn error_at_node(self, node: &KdlNode, mistake: Mistake) -> OperatorConfigError {
-        // A node's span begins with the white space before it.
+    /// An error at a node's name.
+    pub(super) fn error_at_node(self, node: &KdlNode, kind: ErrorKind) -> OperatorConfigError {
+        // A node's span includes the white space before it.
         let offset = node.span().offset();
         let white_space = self.text[offset.min(self.text.len())..]
             .find(|c: char| !c.is_whitespace())
             .unwrap_or(0);
-        self.error_at_offset(offset + white_space, mistake)
+        self.error_at_offset(offset + white_space, kind)
     }
 
-    /// A node's only argument, a text.
+    /// Returns the node's only argument, a string.
     pub(super) fn text(self, node: &KdlNode) -> Parsed<String> {
         let name = || node.name().value().to_string();
         let arguments: Vec<&KdlEntry> = node
@@ -70,15 +70,15 @@
                 other => {
                     let value = other.to_string();
                     let node = name();
-                    Err(self.error_at_entry(argument, Mistake::NotText { node, value }))
+                    Err(self.error_at_entry(argument, ErrorKind::NotString { node, value }))
                 }
             },
-            [] => Err(self.error_at_node(node, Mistake::MissingText { node: name() })),
-            _ => Err(self.error_at_node(node, Mistake::SeveralTexts { node: name() })),
+            [] => Err(self.error_at_node(node, ErrorKind::MissingString { node: name() })),
+            _ => Err(self.error_at_node(node, ErrorKind::SeveralStrings { node: name() })),
         }
     }
 
-    /// A node's properties, each of which has to be known.
+    /// Returns the node's properties, all of which must be in `known`.
     pub(super) fn properties<'n>(
         self,
         node: &'n KdlNode,
@@ -90,12 +90,12 @@
                 continue;
             };
             if !known.contains(&name) {
-                let mistake = Mistake::UnknownProperty {
+                let kind = ErrorKind::UnknownProperty {
                     node: node.name().value().to_string(),
                     property: name.to_string(),
                     known,
                 };
-                return Err(self.error_at_entry(entry, mistake));
+                return Err(self.error_at_entry(entry, kind));
             }
             entries.insert(name, entry);
         }
@@ -113,12 +113,12 @@
             .filter(|number| (range.0..=range.1).contains(number))
             .ok_or_else(|| {
                 let value = value.to_string();
-                let mistake = Mistake::NumberOutOfRange {
+                let kind = ErrorKind::NumberOutOfRange {
                     property,
                     value,
                     range,
                 };
-                self.error_at_entry(entry, mistake)
+                self.error_at_entry(entry, kind)
             })
     }
 
@@ -130,18 +130,18 @@
             return Ok(micros);
         }
         let value = entry.value().to_string();
-        Err(self.error_at_entry(entry, Mistake::NotTime { property, value }))
+        Err(self.error_at_entry(entry, ErrorKind::NotTime { property, value }))
     }
 
     fn flag(self, entry: &KdlEntry, property: &'static str) -> Parsed<bool> {
         entry.value().as_bool().ok_or_else(|| {
             let value = entry.value().to_string();
-            self.error_at_entry(entry, Mistake::NotFlag { property, value })
+            self.error_at_entry(entry, ErrorKind::NotBoolean { property, value })
         })
     }
 }
 
-/// A time such as `500 ms`, in microseconds; zero or less where the text is none.
+/// Parses a time such as `500 ms` into microseconds; the result is zero or negative if the text is invalid.
 fn parse_time(text: &str) -> f64 {
     let text = text.trim();
     let split = text.find(|c: char| c.is_alphabetic()).unwrap_or(text.len());
@@ -156,7 +156,7 @@
     number.trim().parse::<f64>().unwrap_or(-1.0) * micros_per_unit
 }
 
-/// The properties of one node. What is missing is `None`, or the default that the caller names.
+/// The properties of one node.
 pub(super) struct Properties<'t, 'n> {
     reader: NodeReader<'t>,
     entries: BTreeMap<&'n str, &'n KdlEntry>,
@@ -167,7 +167,7 @@
         self.entries.get(property).copied()
     }
 
-    /// A text; a value of another type counts as missing.
+    /// Returns a string property; a value of another type counts as missing.
     pub(super) fn text(&self, property: &str) -> Option<&'n str> {
         self.entry(property)?.value().as_string()
     }
@@ -179,7 +179,7 @@
             .transpose()
     }
 
-    /// A time in microseconds, written as `"500 ms"`.
+    /// Returns a time such as `"500 ms"` in microseconds.
     pub(super) fn time(&self, property: &'static str) -> Parsed<Option<Micros>> {
         let entry = self.entry(property);
         entry
@@ -187,7 +187,7 @@
             .transpose()
     }
 
-    /// A flag; missing ones are off.
+    /// Returns a boolean property, `false` if it is missing.
     pub(super) fn flag(&self, property: &'static str) -> Parsed<bool> {
         self.entry(property)
             .map_or(Ok(false), |entry| self.reader.flag(entry, property))
--- a/crates/coordinator/src/operator_config/platform_json.rs
+++ b/crates/coordinator/src/operator_config/platform_json.rs
@@ -1,14 +1,14 @@
-//! The third step: a valid operator's file as the JSON that the platform would write for one coordinator alone.
+//! Writes a valid operator's file as the JSON that the platform would write for a single coordinator.
 
 use super::class::{MachineKind, QueryClass};
 use super::cluster::Cluster;
 use super::engines::{EngineSource, ListedEngine};
-use super::site::{Frontend, Limits, Results, Site, StatementClasses};
+use super::valid_config::{Frontend, Limits, Results, StatementClasses, ValidConfig};
 use driftfront_core::Micros;
 use tinyjson::JsonValue;
 
-impl Site {
-    /// The platform's JSON; settings that an operator does not choose get their defaults.
+impl ValidConfig {
+    /// Builds the platform's JSON, with defaults for the settings that operator's files don't have.
     pub(super) fn into_platform_json(self) -> JsonValue {
         let settings = settings(&self);
         let mut fields = vec![
@@ -74,7 +74,7 @@
     }
 }
 
-/// The listed engines, as the first event of the platform's endpoint list.
+/// The listed engines as the first event of the platform's endpoint list.
 fn known(engines: &[ListedEngine]) -> JsonValue {
     let endpoints = object(vec![
         ("reset", true.into()),
@@ -97,11 +97,11 @@
 }
 
 /// The scheduler's settings.
-fn settings(site: &Site) -> JsonValue {
-    let zones = site.engines.zones.iter().map(|zone| text(zone));
-    let kinds = site.machine_kinds.iter().map(|kind| text(&kind.name));
+fn settings(config: &ValidConfig) -> JsonValue {
+    let zones = config.engines.zones.iter().map(|zone| text(zone));
+    let kinds = config.machine_kinds.iter().map(|kind| text(&kind.name));
     let load_report = object(vec![("How", text("off")), ("Fields", list([]))]);
-    let reports_progress = site.frontend == Frontend::ClickHouse;
+    let reports_progress = config.frontend == Frontend::ClickHouse;
     object(vec![
         ("Balancers", 1.0.into()),
         ("Zone", 0.0.into()),
@@ -109,14 +109,14 @@
         ("MachineTypes", list(kinds)),
         ("MembershipMode", text("push")),
         ("TickUs", 5000.0.into()),
-        ("Caps", capabilities(site.limits.max_open_requests)),
+        ("Caps", capabilities(config.limits.max_open_requests)),
         ("Contract", contract()),
         (
             "FamilyInfo",
-            engine_family(&site.classes, &site.machine_kinds, reports_progress),
+            engine_family(&config.classes, &config.machine_kinds, reports_progress),
         ),
         ("LoadReport", load_report),
-        ("Profiles", list(site.classes.iter().map(profile))),
+        ("Profiles", list(config.classes.iter().map(profile))),
     ])
 }
 
--- a/crates/coordinator/src/operator_config/site.rs
+++ b/crates/coordinator/src/operator_config/valid_config.rs
@@ -1,13 +1,13 @@
-//! The second step: what an operator's file says, with all types, ranges and names checked.
+//! Checks the types, ranges and references of an operator's file.
 //!
-//! Sections are checked in a fixed order, whatever their order in the file, so that the same file always reports the same
-//! mistake.
+//! Sections are checked in a fixed order that does not depend on their order in the file, so that reordering a file does not
+//! change which error is reported.
 
 use super::class::{MachineKind, QueryClass};
 use super::cluster::Cluster;
 use super::document::Document;
 use super::engines::Engines;
-use super::error::Mistake;
+use super::error::ErrorKind;
 use super::node_reader::Parsed;
 use driftfront_core::Micros;
 use std::net::SocketAddr;
@@ -16,8 +16,8 @@
 const DEFAULT_MAX_DESCRIPTORS: f64 = 1024.0;
 const DEFAULT_MAX_OPEN_REQUESTS: f64 = 2000.0;
 
-/// A valid operator's file.
-pub(super) struct Site {
+/// The content of a valid operator's file.
+pub(super) struct ValidConfig {
     pub(super) name: String,
     pub(super) listen: SocketAddr,
     pub(super) frontend: Frontend,
@@ -32,7 +32,7 @@
     pub(super) machine_kinds: Vec<MachineKind>,
 }
 
-/// Which interface clients and engines speak.
+/// The interface that clients and engines use.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum Frontend {
     ClickHouse,
@@ -40,7 +40,7 @@
 }
 
 impl Frontend {
-    /// Its name in files.
+    /// The frontend's name in configuration files.
     pub(super) fn name(self) -> &'static str {
         match self {
             Frontend::ClickHouse => "clickhouse",
@@ -49,29 +49,29 @@
     }
 }
 
-/// Which class a statement is of that names none, by what it does.
+/// The default classes of statements, by what they do.
 pub(super) struct StatementClasses {
     pub(super) read: String,
     pub(super) write: String,
     pub(super) deduplicated: Option<String>,
 }
 
-/// `results`: times after which bodies are given up, in microseconds.
+/// `results`: timeouts of result and request bodies.
 #[derive(Default)]
 pub(super) struct Results {
     pub(super) stall: Option<Micros>,
     pub(super) upload: Option<Micros>,
 }
 
-/// `limits`: what the program may use.
+/// `limits`: resource limits of the coordinator.
 pub(super) struct Limits {
     pub(super) max_descriptors: f64,
     pub(super) memory_mb: Option<f64>,
     pub(super) max_open_requests: f64,
 }
 
-impl Site {
-    pub(super) fn from_document(mut document: Document) -> Parsed<Site> {
+impl ValidConfig {
+    pub(super) fn from_document(mut document: Document) -> Parsed<ValidConfig> {
         let listen = parse_listen(&document)?;
         let name = document.text("name")?.unwrap_or("driftfront".into());
         let frontend = parse_frontend(&document)?;
@@ -87,7 +87,7 @@
         let mut machine_kinds = std::mem::take(&mut document.machine_kinds);
         let engines = document.node("engines");
         let engines = Engines::parse(document.reader, engines, &mut machine_kinds)?;
-        Ok(Site {
+        Ok(ValidConfig {
             name,
             listen,
             frontend,
@@ -107,8 +107,8 @@
 fn parse_listen(document: &Document) -> Parsed<SocketAddr> {
     let address = document.text("listen")?.unwrap_or(DEFAULT_LISTEN.into());
     address.parse().map_err(|_| {
-        let mistake = Mistake::InvalidListenAddress { address };
-        error_at_top_level(document, "listen", mistake)
+        let kind = ErrorKind::InvalidListenAddress { address };
+        error_at_top_level(document, "listen", kind)
     })
 }
 
@@ -118,21 +118,21 @@
         None | Some("clickhouse") => Ok(Frontend::ClickHouse),
         Some("platform") => Ok(Frontend::Platform),
         Some(name) => {
-            let mistake = Mistake::UnknownFrontend { name: name.into() };
-            Err(error_at_top_level(document, "front", mistake))
+            let kind = ErrorKind::UnknownFrontend { name: name.into() };
+            Err(error_at_top_level(document, "front", kind))
         }
     }
 }
 
-/// A mistake in a top-level node; at the file's beginning where a default is to blame.
+/// An error at a top-level node, or at the start of the file if the value is a default.
 fn error_at_top_level(
     document: &Document,
     name: &str,
-    mistake: Mistake,
+    kind: ErrorKind,
 ) -> super::OperatorConfigError {
     match document.node(name) {
-        Some(node) => document.reader.error_at_node(node, mistake),
-        None => document.reader.error_at_offset(0, mistake),
+        Some(node) => document.reader.error_at_node(node, kind),
+        None => document.reader.error_at_offset(0, kind),
     }
 }
 
@@ -159,8 +159,8 @@
     }
     let known = document.classes.iter().map(|known| known.name.clone());
     let known = known.collect();
-    let mistake = Mistake::UnknownClass { class, known };
-    Err(error_at_top_level(document, node, mistake))
+    let kind = ErrorKind::UnknownClass { class, known };
+    Err(error_at_top_level(document, node, kind))
 }
 
 impl Results {
--- a/crates/coordinator/tests/operator_config.rs
+++ b/crates/coordinator/tests/operator_config.rs
@@ -62,9 +62,13 @@
             (1, 39),
             "#true or #false",
         ),
-        ("class \"a\" wonted=\"1 s\"\n", (1, 11), "it takes wanted"),
+        (
+            "class \"a\" wonted=\"1 s\"\n",
+            (1, 11),
+            "known properties: wanted",
+        ),
         ("limits sockets=3\n", (1, 8), "from 64"),
-        ("reads \"nothing\"\n", (1, 1), "the classes are"),
+        ("reads \"nothing\"\n", (1, 1), "known classes: "),
         (
             "engines {\n  engine \"e\" at=\"here\"\n}\n",
             (2, 3),
@@ -73,7 +77,7 @@
         (
             "listen \"127.0.0.1:1\"\nlisten \"127.0.0.1:1\"\n",
             (2, 1),
-            "leave one",
+            "remove one",
         ),
         ("", (1, 1), "add engines"),
     ] {
