--- a/crates/coordinator/src/discovery/backoff.rs
+++ b/crates/coordinator/src/discovery/backoff.rs
@@ -1,38 +1,39 @@
-//! When a source of engine lists that broke off is called again. No I/O; the time is an argument.
+//! Delays between connections to a source of the engine list. No I/O; the time is an argument.
 
 use crate::net::fnv1a_64;
 use driftfront_core::Micros;
 
-/// Longest wait before a new connection after a first failure, doubled with each further one: 2 s after a break all counts as told.
+/// Maximum delay before a new connection after the first failure; each further failure doubles it. All
+/// events count as delivered 2 s after a disconnect.
 pub const BASE_DELAY: Micros = 25_000;
-/// Longest wait before a new connection.
+/// Maximum delay before a new connection.
 pub const MAX_DELAY: Micros = 400_000;
-/// Only a connection that has brought something for this long counts as a success: a source that takes calls and breaks them off
-/// would else be called by the whole cluster without a pause.
+/// A connection counts as a success only once it has received data for this long. Otherwise the whole cluster would reconnect
+/// without a delay to a source that accepts connections and closes them.
 const STEADY_TIME: Micros = 1_000_000;
-/// Doublings beyond which the delay is at its bound in any case.
+/// Limits the exponent; the delay reaches [`MAX_DELAY`] at fewer doublings.
 const MAX_DOUBLINGS: u32 = 8;
 
 /// Why a connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Disconnect {
-    /// It was closed, refused, or broke.
+    /// It was closed, refused or broken.
     Closed,
-    /// Nothing came on it. A source falls silent for all coordinators at one moment, and all notice it at one.
+    /// Nothing was received. A source falls silent for all coordinators at once, and all of them notice it at the same time.
     Silent,
 }
 
-/// One coordinator's part in not calling a source in step with all the others.
+/// Exponential backoff with jitter, so that the coordinators of a cluster don't reconnect at the same time.
 pub struct Backoff {
     seed: u64,
     calls: u64,
     failures: u32,
-    /// When something first came on the connection that is up.
+    /// When the current connection first received data.
     heard_since: Option<Micros>,
 }
 
 impl Backoff {
-    /// With this seed for the spread.
+    /// Creates a backoff whose jitter is derived from this seed.
     pub fn new(seed: u64) -> Backoff {
         Backoff {
             seed,
@@ -42,19 +43,19 @@
         }
     }
 
-    /// A backoff for another source: what the last one did says nothing of it.
+    /// Creates a backoff for another source, without the failures of this one.
     pub fn for_new_source(&self) -> Backoff {
         Backoff::new(self.seed)
     }
 
-    /// Something has come on the connection.
+    /// Records that the connection has received data.
     pub fn record_heard(&mut self, now: Micros) {
         if now >= *self.heard_since.get_or_insert(now) + STEADY_TIME {
             self.failures = 0;
         }
     }
 
-    /// The connection has ended: when the next may be opened.
+    /// Records that the connection has ended, and returns when the next one may be opened.
     pub fn next_attempt_at(&mut self, now: Micros, reason: Disconnect) -> Micros {
         let delay = (BASE_DELAY << self.failures.min(MAX_DOUBLINGS)).min(MAX_DELAY);
         self.failures += 1;
--- a/crates/coordinator/src/discovery/error.rs
+++ b/crates/coordinator/src/discovery/error.rs
@@ -1,51 +1,51 @@
-//! What goes wrong with a source of the engine list.
+//! Errors of the engine list's sources.
 
 use driftfront_http::HttpError;
 use std::io;
 
-/// Why nothing more can be read from a source, or an update is left out.
+/// Why a connection to a source must be closed, or an update is skipped.
 #[derive(Debug, thiserror::Error)]
 pub enum DiscoveryError {
-    /// It is not HTTP.
+    /// The response is not valid HTTP.
     #[error("bad HTTP: {0:?}")]
     Http(HttpError),
-    /// The source answered with another status than 200.
+    /// The response's status is not 200.
     #[error("status {0}")]
     Status(u16),
-    /// A message that is no JSON; what the parser says.
+    /// A message is not JSON; holds the parser's message.
     #[error("{0}")]
     Json(String),
-    /// A message over its bound.
+    /// A message exceeds its maximum length.
     #[error("a message of more than 4 MiB")]
     MessageTooLong,
-    /// An event over its bound.
+    /// An event exceeds its maximum length.
     #[error("an event of more than 4 MiB")]
     EventTooLong,
-    /// The event behind one that was read is no JSON: it is asked for again.
-    #[error("the event behind {last} can't be read: {error}")]
+    /// The event after `last` is not JSON; it is requested again.
+    #[error("the event after {last} can't be parsed: {error}")]
     BadEvent {
         /// The number of the last event that was read.
         last: u64,
-        /// What the parser says.
+        /// The parser's message.
         error: String,
     },
-    /// The event stream came to its end.
+    /// The event stream ended.
     #[error("the stream ended")]
     StreamEnded,
-    /// A range of keys without the revision behind it.
+    /// The response to a range request has no revision.
     #[error("a range without a revision")]
     NoRevision,
-    /// The watch's response came to its end.
+    /// The watch's response ended.
     #[error("the watch ended")]
     WatchEnded,
-    /// etcd cancelled the watch: its revision is compacted away, or an error.
+    /// etcd cancelled the watch, because its revision is compacted or an error occurred.
     #[error("the watch was ended")]
     WatchCancelled,
     /// The file can't be read.
     #[error(transparent)]
     File(#[from] io::Error),
     /// The file's object has no list of engines.
-    #[error("no list under instances")]
+    #[error("instances is missing or not a list")]
     NoList,
     /// An update has no list of engines.
     #[error("an update without instances")]
@@ -55,26 +55,26 @@
 /// Why one entry of an update can't be used.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum EntryError {
-    /// An engine without a name.
+    /// An engine has no name.
     #[error("an instance without instanceId")]
     NoInstanceId,
-    /// A coordinator without a name.
+    /// A coordinator has no name.
     #[error("a coordinator without instanceId")]
     NoCoordinatorId,
     /// A coordinator's address can't be parsed.
-    #[error("{name}: coordinator {address:?} is no address")]
+    #[error("{name}: coordinator {address:?} is not a socket address")]
     BadCoordinatorAddress {
         /// The coordinator.
         name: String,
-        /// What stands as its address.
+        /// The value as received.
         address: String,
     },
-    /// An engine's phase is none that is known.
+    /// An engine's lifecycle phase is missing or unknown.
     #[error("{name}: unknown lifecycle {lifecycle:?}")]
     UnknownLifecycle {
         /// The engine.
         name: String,
-        /// What stands as its phase, if anything.
+        /// The value as received, if there is one.
         lifecycle: Option<String>,
     },
 }
--- a/crates/coordinator/src/discovery/etcd.rs
+++ b/crates/coordinator/src/discovery/etcd.rs
@@ -1,12 +1,12 @@
-//! Engines from etcd: its v3 JSON gateway, a range first, then a watch from the revision behind it.
+//! Reads engines from etcd's v3 JSON gateway: a range request, then a watch from the next revision.
 //!
-//! Each key under the prefix is one engine; its value is an object as the platform's list has it (`hostPort`, `zone`, `machineType`,
-//! `cell`, `lifecycle`), and the rest of the key is its instance id.
+//! Each key under the prefix is one engine. Its value is an object as in the platform's list (`hostPort`, `zone`, `machineType`,
+//! `cell`, `lifecycle`); the part of the key after the prefix is the instance id.
 //!
 //! | state | next | when |
 //! | --- | --- | --- |
-//! | range, revision 0 | watch behind the range's revision | the range is complete |
-//! | watch | watch behind the last revision seen | a new connection |
+//! | range, revision 0 | watch from after the range's revision | the range is complete |
+//! | watch | watch from after the last revision seen | a new connection |
 //! | watch | range | it was cancelled, or the status is not 200 |
 
 use super::{DiscoveryError, EngineListWatch};
@@ -18,26 +18,26 @@
 use std::collections::HashMap;
 use tinyjson::JsonValue;
 
-/// A watch says nothing while nothing changes: after this long it is opened anew, since a silent connection can't be told from a
-/// dead one.
+/// A watch sends nothing while nothing changes. It is reopened after this long, since a silent connection can't be distinguished
+/// from a broken one.
 const SILENCE_TIMEOUT: Micros = 30_000_000;
-/// Longest message read.
+/// Maximum length of a message.
 const MAX_MESSAGE_BYTES: usize = 4 * 1024 * 1024;
 
-/// The watch of one prefix.
+/// A watch on a key prefix.
 pub struct Etcd {
     host: String,
     prefix: String,
-    /// Revision up to which the list is known; 0: the whole range is to be read.
+    /// The revision up to which the list is known; 0 if the full range must be read.
     revision: u64,
     http: ResponseReader,
-    /// The message that is being read.
+    /// Received bytes of an incomplete message.
     message: Vec<u8>,
     is_watching: bool,
 }
 
 impl Etcd {
-    /// A watch of the keys under a prefix, at `host:port`.
+    /// Creates a watch on the keys under a prefix, at `host:port`.
     pub fn new(host: String, prefix: String) -> Etcd {
         Etcd {
             host,
@@ -58,7 +58,7 @@
         .into_bytes()
     }
 
-    /// The fields that name all keys under the prefix.
+    /// The request fields that select all keys under the prefix.
     fn key_range(&self) -> String {
         let key = STANDARD.encode(&self.prefix);
         let end = STANDARD.encode(range_end(&self.prefix));
@@ -75,7 +75,7 @@
         self.post("/v3/watch", &body)
     }
 
-    /// An engine's entry from a key and its value; one whose value can't be read is left out.
+    /// Builds an engine's entry from a key and its value; `None` if they can't be parsed.
     fn entry(&self, kv: Json, is_deleted: bool) -> Option<JsonValue> {
         let decoded = |field: &str| STANDARD.decode(kv.get(field).text()?).ok();
         let key = String::from_utf8(decoded("key")?).ok()?;
@@ -85,7 +85,7 @@
         } else if let Ok(JsonValue::Object(entry)) = parse(&decoded("value")?) {
             entry
         } else {
-            tracing::warn!("etcd: the value of {key} is no JSON object");
+            tracing::warn!("etcd: the value of {key} is not a JSON object");
             return None;
         };
         entry.insert("instanceId".into(), JsonValue::String(name));
@@ -123,7 +123,7 @@
         let json = parse_message(message)?;
         let result = Json(Some(&json)).get("result");
         if result.is_null() || result.get("canceled").flag() {
-            // Compacted away, or an error: only the whole range is sure.
+            // The revision is compacted, or an error occurred: the full range must be read again.
             self.revision = 0;
             return Err(DiscoveryError::WatchCancelled);
         }
@@ -144,7 +144,7 @@
         Ok(())
     }
 
-    /// Adds bytes of a message, and applies each that is complete: a watch's messages are JSON texts, one a line.
+    /// Buffers a part of the body. A watch sends one JSON message per line; complete ones are applied.
     fn add_body(
         &mut self,
         bytes: &[u8],
@@ -225,7 +225,7 @@
     }
 }
 
-/// The first key behind all that begin with the prefix.
+/// The first key after all keys that start with the prefix.
 fn range_end(prefix: &str) -> Vec<u8> {
     let mut end = prefix.as_bytes().to_vec();
     while let Some(last) = end.pop() {
@@ -241,7 +241,7 @@
     parse(message).map_err(|e| DiscoveryError::Json(e.to_string()))
 }
 
-/// The gateway writes 64-bit numbers as strings.
+/// Parses a number; the gateway writes 64-bit numbers as strings.
 fn number(json: Json) -> u64 {
     json.text()
         .and_then(|t| t.parse().ok())
@@ -249,7 +249,7 @@
         .unwrap_or(0)
 }
 
-/// An update of the platform's form.
+/// Builds an update in the platform's format.
 fn update(is_reset: bool, instances: Vec<JsonValue>) -> JsonValue {
     let endpoints = object(vec![
         ("reset", is_reset.into()),
--- a/crates/coordinator/src/discovery/file.rs
+++ b/crates/coordinator/src/discovery/file.rs
@@ -1,4 +1,4 @@
-//! Engines from an operator's file: a JSON object with `instances`, read again when it changes.
+//! Reads engines from an operator's file, a JSON object with `instances`, whenever it changes.
 
 use super::DiscoveryError;
 use driftfront_core::Micros;
@@ -7,19 +7,19 @@
 use std::time::SystemTime;
 use tinyjson::JsonValue;
 
-/// How often the file is looked at.
+/// Interval at which the file is checked for changes.
 const POLL_INTERVAL: Micros = 500_000;
 
-/// The file and what was last read of it.
+/// A watched file.
 pub struct File {
     path: PathBuf,
-    /// When it was last written, and its size, as last read.
+    /// The modification time and the size of the version that was last read.
     version: Option<(SystemTime, u64)>,
     next_poll: Micros,
 }
 
 impl File {
-    /// A file that has not been read yet.
+    /// Creates a watch on a file that has not been read yet.
     pub fn new(path: PathBuf) -> File {
         File {
             path,
@@ -28,7 +28,7 @@
         }
     }
 
-    /// The whole list, if the file has changed since it was last read; a file that can't be read leaves the list as it is.
+    /// Returns the full list if the file has changed since it was last read. If the file can't be read, the list is unchanged.
     pub fn poll(&mut self, now: Micros) -> Option<JsonValue> {
         if now < self.next_poll {
             return None;
@@ -53,7 +53,7 @@
     }
 }
 
-/// An update of the platform's form with the whole list.
+/// Builds an update with the full list, in the platform's format.
 fn full_update(json: &JsonValue) -> Result<JsonValue, DiscoveryError> {
     let instances = Json(Some(json)).get("instances");
     let list = instances.list().ok_or(DiscoveryError::NoList)?.to_vec();
--- a/crates/coordinator/src/discovery/mod.rs
+++ b/crates/coordinator/src/discovery/mod.rs
@@ -1,7 +1,7 @@
-//! Discovery: who the engines are, where, and in which phase. Sources: the platform's event stream, an operator's file, or etcd's
-//! watch API. The sources speak without sockets or clocks.
+//! Discovery: the names, addresses and phases of the engines, from the platform's event stream, an operator's file, or etcd's
+//! watch API. The stream and etcd are implemented without sockets or clocks.
 //!
-//! Every source gives updates of the platform's form, which [`read`] turns into an [`EngineListUpdate`].
+//! All sources produce updates in the platform's JSON format, which [`read`] parses into an [`EngineListUpdate`].
 
 pub mod backoff;
 mod error;
@@ -16,23 +16,23 @@
 use driftfront_core::Micros;
 use tinyjson::JsonValue;
 
-/// A list that is watched over one connection, which may be opened again and again.
+/// An engine list that is watched over a connection, which is reopened whenever it ends.
 pub trait EngineListWatch {
-    /// The request to write on a new connection.
+    /// Returns the request to send on a new connection.
     fn open_request(&mut self) -> Vec<u8>;
-    /// Decodes received bytes, in pieces of any size, into updates of the list; further requests go to `out`.
+    /// Decodes received bytes, in chunks of any size, into updates of the list. Further requests are appended to `out`.
     ///
     /// # Errors
     ///
-    /// Where nothing more can be read on the connection.
+    /// Fails if the connection must be closed.
     fn decode(
         &mut self,
         bytes: &[u8],
         out: &mut Vec<u8>,
         updates: &mut Vec<JsonValue>,
     ) -> Result<(), DiscoveryError>;
-    /// A connection on which nothing comes for this long is broken.
+    /// The time without received bytes after which a connection is considered broken.
     fn silence_timeout(&self) -> Micros;
-    /// The same list is served at another address from now on: what was read stays read.
+    /// Changes the address that serves the list; the position in the list is kept.
     fn set_host(&mut self, host: String);
 }
--- a/crates/coordinator/src/discovery/stream.rs
+++ b/crates/coordinator/src/discovery/stream.rs
@@ -1,4 +1,4 @@
-//! The platform's list: server-sent events over HTTP. Without sockets: bytes in, events out.
+//! Reads the platform's engine list from server-sent events over HTTP. Does no I/O: bytes in, events out.
 
 use super::{DiscoveryError, EngineListWatch};
 use driftfront_core::Micros;
@@ -6,36 +6,36 @@
 use driftfront_settings::json::{parse, Json};
 use tinyjson::JsonValue;
 
-/// A comment comes each second: nothing for this long means a stream that has stopped, though it is open.
+/// The platform sends a comment each second; a stream that is silent for this long is considered broken.
 const SILENCE_TIMEOUT: Micros = 2_000_000;
-/// Longest event read.
+/// Maximum length of an event.
 const MAX_EVENT_BYTES: usize = 4 * 1024 * 1024;
 
-/// An event off the stream.
+/// An event of the stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServerEvent {
-    /// Its number.
+    /// The event's number.
     pub id: Option<u64>,
-    /// Its data.
+    /// The event's data.
     pub data: String,
 }
 
-/// Reads the lines of a stream of server-sent events.
+/// Parses a stream of server-sent events.
 #[derive(Default)]
 pub struct EventReader {
     line: Vec<u8>,
     id: Option<u64>,
     data: String,
-    /// The last byte ended a line as CR; an LF behind it belongs to that.
+    /// Whether the last byte was a CR; an LF that follows it belongs to the same line end.
     is_after_cr: bool,
 }
 
 impl EventReader {
-    /// Adds bytes, in pieces of any size, and gives the events that are complete.
+    /// Parses bytes, in chunks of any size, and appends the complete events to `events`.
     ///
     /// # Errors
     ///
-    /// Where an event is beyond its bound.
+    /// Fails if an event exceeds its maximum length.
     pub fn push(
         &mut self,
         bytes: &[u8],
@@ -43,8 +43,8 @@
     ) -> Result<(), DiscoveryError> {
         for &b in bytes {
             // A line ends in LF, CR or CR LF.
-            let is_second = std::mem::replace(&mut self.is_after_cr, b == b'\r') && b == b'\n';
-            if is_second {
+            let is_lf_after_cr = std::mem::replace(&mut self.is_after_cr, b == b'\r') && b == b'\n';
+            if is_lf_after_cr {
                 continue;
             }
             if b == b'\n' || b == b'\r' {
@@ -79,29 +79,29 @@
                 }
                 self.data.push_str(value);
             }
-            // Comments have no name; other fields are not used here.
+            // Comments have no name; other fields are ignored.
             _ => {}
         }
     }
 }
 
-/// An event that can't be read is asked for again so often: a cut one is whole the next time, and without it a drain would stay
-/// unknown. One that is never whole must not keep the later ones out.
+/// How often an event that can't be parsed is requested again. A truncated event arrives complete the next time, and skipping it
+/// could miss a drain; an event that is never valid must not block the later ones.
 const MAX_EVENT_RETRIES: u8 = 3;
 
 /// The platform's stream of changes.
 pub struct Stream {
     host: String,
-    /// Number of the last event that was read.
+    /// The number of the last event that was read.
     last: u64,
-    /// How often the event behind that could not be read.
+    /// How often the event after that could not be parsed.
     retries: u8,
     http: ResponseReader,
     events: EventReader,
 }
 
 impl Stream {
-    /// The stream behind the event of this number, at `host:port`.
+    /// Creates a stream that starts after the event of this number, at `host:port`.
     pub fn new(host: String, last: u64) -> Stream {
         Stream {
             host,
@@ -112,7 +112,9 @@
         }
     }
 
-    /// Applies an event; an error if it has to be asked for again.
+    /// Applies an event.
+    ///
+    /// Fails if the event must be requested again.
     fn apply(
         &mut self,
         event: &ServerEvent,
@@ -124,7 +126,7 @@
             Json(Some(json)).get("index").integer()
         };
         let number = event.id.or_else(index);
-        // After a new connection events may come again.
+        // Events may be repeated on a new connection.
         if number.is_some_and(|n| n <= self.last) {
             return Ok(());
         }
@@ -138,7 +140,7 @@
         (self.last, self.retries) = (number.unwrap_or(self.last), 0);
         match json {
             Ok(json) => updates.push(json),
-            Err(e) => tracing::warn!("engine list: an event is left out: {e}"),
+            Err(e) => tracing::warn!("engine list: skipped an event that can't be parsed: {e}"),
         }
         Ok(())
     }
--- a/crates/coordinator/src/discovery/update.rs
+++ b/crates/coordinator/src/discovery/update.rs
@@ -1,4 +1,4 @@
-//! An update of the platform's form: `{"endpoints": {"reset": bool, "instances": [...]}}`.
+//! Parses updates in the platform's format: `{"endpoints": {"reset": bool, "instances": [...]}}`.
 
 use super::{DiscoveryError, EntryError};
 use driftfront_core::{ListKind, Phase};
@@ -6,26 +6,26 @@
 use driftfront_settings::json::Json;
 use std::net::SocketAddr;
 
-/// Index of a zone or a machine kind that the settings don't name.
+/// Index of a zone or a machine kind that is not in the settings.
 const UNKNOWN_INDEX: u16 = u16::MAX;
 
-/// What an update says.
+/// A parsed update.
 pub struct EngineListUpdate {
-    /// The whole list, or changes to it.
+    /// Whether this is the full list or changes to it.
     pub kind: ListKind,
-    /// Engines.
+    /// The engines.
     pub descriptions: Vec<EngineDescription>,
-    /// Other coordinators, and where their datagrams go: entries with `coordinator` instead of `hostPort`.
+    /// Other coordinators, which have `coordinator` instead of `hostPort`, with the address of their datagrams.
     pub coordinators: Vec<(String, SocketAddr)>,
-    /// Why entries can't be used.
+    /// The errors of the entries that were skipped.
     pub rejected_entries: Vec<EntryError>,
 }
 
-/// Reads an update; zones and machine kinds become indexes into these names.
+/// Parses an update. Zones and machine kinds become indexes into `zones` and `kinds`.
 ///
 /// # Errors
 ///
-/// Where it has no list of instances.
+/// Fails if the update has no list of instances.
 pub fn read(
     zones: &[String],
     kinds: &[String],
@@ -49,7 +49,7 @@
     };
     for entry in entries {
         let entry = Json(Some(entry));
-        // One bad entry must not cost the others.
+        // An invalid entry is skipped without affecting the others.
         let added = match entry.get("coordinator").text() {
             Some(address) => read_coordinator(entry, address).map(|c| read.coordinators.push(c)),
             None => read_engine(zones, kinds, entry).map(|d| read.descriptions.push(d)),
@@ -72,6 +72,7 @@
         }),
     }
 }
+
 #[allow(
     clippy::cast_possible_truncation,
     reason = "cells are small numbers; a time in milliseconds after 1970 fits in microseconds"
