--- a/crates/coordinator/src/cli/error.rs
+++ b/crates/coordinator/src/cli/error.rs
@@ -1,4 +1,4 @@
-//! Why a sub-command did not do what was asked, and the exit code for it.
+//! Errors of sub-commands, with their exit codes.
 
 use driftfront::config::ConfigError;
 use driftfront::console::CountersError;
@@ -6,25 +6,25 @@
 use driftfront::node::StartError;
 use std::io;
 
-/// Why a sub-command failed. `Display` is what staff read; the exit codes are those of the manual.
+/// Why a sub-command failed. `Display` gives the message that operators read; the manual documents the exit codes.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum CommandError {
-    /// The system has no event loop for a coordinator.
+    /// The coordinator's event loop can't be created.
     #[error("event loop: {0}")]
     EventLoop(#[source] calloop::Error),
     /// The coordinator does not start.
     #[error(transparent)]
     Start(#[from] StartError),
-    /// The demo does not run.
+    /// The demo does not start.
     #[error(transparent)]
     Demo(#[from] DemoError),
-    /// A coordinator's counters can't be had.
+    /// A coordinator's counters can't be read.
     #[error(transparent)]
     Counters(#[from] CountersError),
-    /// The configuration can't be used.
+    /// The configuration is invalid.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// A file or the connection to the program failed.
+    /// Standard output, the terminal or the connection to the coordinator failed.
     #[error(transparent)]
     Io(#[from] io::Error),
     /// A file that a command needs can't be read or written.
@@ -32,57 +32,57 @@
     File {
         /// The file.
         path: String,
-        /// What the system says.
+        /// The system's error.
         source: io::Error,
     },
-    /// The program sent a reply of another kind.
-    #[error("an answer that was not asked for: {0}")]
+    /// The coordinator sent a reply of the wrong kind.
+    #[error("unexpected reply: {0}")]
     UnexpectedReply(String),
-    /// The program refused the command, and says why.
+    /// The coordinator refused the command; holds its reason.
     #[error("{0}")]
     Refused(String),
-    /// No program answers there.
+    /// No coordinator accepts connections at the address.
     #[error("no program answers at {address}: {source}")]
     Unreachable {
-        /// Where it was looked for.
+        /// The address or the socket's path.
         address: String,
-        /// What the system says.
+        /// The system's error.
         source: io::Error,
     },
-    /// No sub-command is named.
+    /// No sub-command is given.
     #[error("no command; see driftfront --help")]
     NoCommand,
-    /// The sub-command has no known name.
+    /// The sub-command is unknown.
     #[error("unknown command {0}; see driftfront --help")]
     UnknownCommand(String),
-    /// An argument is not known, or one too many.
+    /// An argument is unknown or superfluous.
     #[error("unknown argument {0}; see driftfront --help")]
     UnknownArgument(String),
-    /// An argument is missing, or can't be read.
+    /// An argument is missing or invalid.
     #[error(transparent)]
     Argument(#[from] pico_args::Error),
-    /// No configuration is named.
+    /// No configuration file is given.
     #[error("no configuration: give --config FILE or set LB_CONFIG")]
     NoConfig,
-    /// A remote sub-command has no known name.
+    /// A remote sub-command is unknown.
     #[error("unknown command {0}")]
     UnknownRemoteCommand(String),
     /// There are no completions for this shell.
     #[error("no completions for {0}: bash, zsh or fish")]
     UnknownShell(String),
-    /// A control port is named without its key.
-    #[error("--at {0}: a port wants --key-file")]
+    /// A control port is given without its key.
+    #[error("--at {0}: a port requires --key-file")]
     NoKeyFile(String),
-    /// A time can't be read.
+    /// A time is invalid.
     #[error("--for {0}: write 30s, 10m or 2h")]
     InvalidTime(String),
-    /// Options of `roll` that exclude each other.
-    #[error("one of --back, --stop and --go-on")]
+    /// Options of `roll` that are mutually exclusive.
+    #[error("--back, --stop and --go-on are mutually exclusive")]
     ConflictingRollOptions,
 }
 
 impl CommandError {
-    /// The process's exit code: `driftfront_control::commands::EXIT_CODES`.
+    /// The process's exit code, one of `driftfront_control::commands::EXIT_CODES`.
     pub(crate) fn exit_code(&self) -> u8 {
         match self {
             CommandError::EventLoop(_)
--- a/crates/coordinator/src/cli/local.rs
+++ b/crates/coordinator/src/cli/local.rs
@@ -1,4 +1,4 @@
-//! Sub-commands that need no running program, but `counters`, which asks one over its clients' address.
+//! Sub-commands that don't use the control socket. `counters` contacts a coordinator at its clients' address.
 
 use super::error::CommandError;
 use super::{expect_no_more, remote};
@@ -11,7 +11,7 @@
 use std::io::{IsTerminal, Write};
 use std::path::{Path, PathBuf};
 
-/// The file that `--config` names, else the one of `LB_CONFIG`.
+/// Returns the path given by `--config`, otherwise that of `LB_CONFIG`.
 fn config_path(arguments: &mut Arguments) -> Result<PathBuf, CommandError> {
     let named: Option<PathBuf> = arguments.opt_value_from_str("--config")?;
     named
@@ -19,7 +19,7 @@
         .ok_or(CommandError::NoConfig)
 }
 
-/// Runs a coordinator until it is asked to end.
+/// Runs a coordinator until it is told to stop.
 pub(super) fn serve(mut arguments: Arguments) -> Result<(), CommandError> {
     let path = config_path(&mut arguments)?;
     let level: Option<tracing::Level> = arguments.opt_value_from_str("--log")?;
@@ -35,7 +35,7 @@
     Ok(())
 }
 
-/// Reads a configuration and says what it means.
+/// Validates a configuration and prints its settings.
 pub(super) fn check(mut arguments: Arguments) -> Result<(), CommandError> {
     let path = config_path(&mut arguments)?;
     expect_no_more(arguments)?;
@@ -44,7 +44,7 @@
     Ok(())
 }
 
-/// Writes a commented operator's file, never over another.
+/// Writes a commented example of an operator's file; an existing file is not overwritten.
 pub(super) fn init(mut arguments: Arguments) -> Result<(), CommandError> {
     let named: Option<PathBuf> = arguments.opt_free_from_str()?;
     expect_no_more(arguments)?;
@@ -56,7 +56,9 @@
             source,
         }
     })?;
-    println!("{shown} is written: name your engines there, then driftfront serve --config {shown}");
+    println!(
+        "{shown} is written; list your engines in it, then run driftfront serve --config {shown}"
+    );
     Ok(())
 }
 
@@ -68,14 +70,14 @@
     file.write_all(text.as_bytes())
 }
 
-/// Runs a coordinator with mock engines and a gentle load, and the console on it.
+/// Runs a coordinator with mock engines and a light load, and opens the console.
 pub(super) fn demo(mut arguments: Arguments) -> Result<(), CommandError> {
     let is_plain = arguments.contains("--plain");
     expect_no_more(arguments)?;
     let demo = driftfront::demo::Demo::start()?;
     let target = Endpoint::Socket(demo.socket.clone());
     println!(
-        "a coordinator takes queries at {}, operators at {}",
+        "demo coordinator: queries at {}, control socket at {}",
         demo.listen,
         demo.socket.display()
     );
--- a/crates/coordinator/src/cli/mod.rs
+++ b/crates/coordinator/src/cli/mod.rs
@@ -1,6 +1,6 @@
-//! The sub-commands: those that run here (`local`), and those that speak to a running program (`remote`).
+//! The sub-commands: `local` ones run in this process, `remote` ones use a coordinator's control socket or port.
 //!
-//! `driftfront_control::commands` describes them all; help, completions and the manual are made from that.
+//! `driftfront_control::commands` describes them all; help, completions and the manual are generated from it.
 
 mod error;
 mod local;
@@ -12,7 +12,7 @@
 use error::CommandError;
 use pico_args::Arguments;
 
-/// Runs the sub-command that the arguments name.
+/// Runs the sub-command given by the arguments.
 pub(crate) fn run(mut arguments: Arguments) -> Result<(), CommandError> {
     if arguments.contains(["-h", "--help"]) {
         print!("{}", commands::help());
@@ -40,7 +40,7 @@
     }
 }
 
-/// Ends the reading of arguments: what is left is a mistake.
+/// Fails if unread arguments remain.
 fn expect_no_more(arguments: Arguments) -> Result<(), CommandError> {
     match arguments.finish().first() {
         Some(argument) => {
--- a/crates/coordinator/src/cli/remote.rs
+++ b/crates/coordinator/src/cli/remote.rs
@@ -1,4 +1,4 @@
-//! Sub-commands that speak to a running program: they show a snapshot of it, or give it an order.
+//! Sub-commands for a running coordinator: they show its state or change it.
 
 use super::error::CommandError;
 use super::expect_no_more;
@@ -11,13 +11,13 @@
 use std::io::{ErrorKind, IsTerminal, Write};
 use std::time::Duration;
 
-/// How long a hold lasts where `--for` is not given.
+/// Duration of a hold without `--for`.
 const DEFAULT_HOLD_TIME: &str = "10m";
-/// How often `drain --wait` receives a snapshot.
+/// Interval of the snapshots that `drain --wait` receives.
 const WAIT_INTERVAL_MILLIS: u64 = 200;
-/// Requests that a demo must have received before its status is printed.
+/// Requests that the demo must have received before its status is printed.
 const DEMO_MIN_REQUESTS: u64 = 10;
-/// How often the demo's status is requested until then.
+/// Interval at which the demo's status is polled until then.
 const DEMO_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Runs the sub-command of this name.
@@ -58,7 +58,7 @@
     })
 }
 
-/// Reads the arguments of a sub-command that gives one order.
+/// Parses a sub-command that sends a single order.
 fn parse_order(name: &str, arguments: Arguments) -> Result<Request, CommandError> {
     match name {
         "resume" => Ok(Request::Resume(only_argument(arguments)?)),
@@ -135,7 +135,7 @@
     }
 }
 
-/// A time as `30s`, `10m`, `2h`, in seconds; above zero.
+/// Parses a positive time such as `30s`, `10m` or `2h` into seconds.
 fn parse_seconds(text: &str) -> Option<u64> {
     let (number, unit) = text.split_at(text.find(|c: char| !c.is_ascii_digit())?);
     let seconds_per_unit = match unit {
@@ -176,7 +176,7 @@
     Ok(())
 }
 
-/// Waits until nothing runs on an engine any more.
+/// Waits until no query is running on an engine.
 fn wait_until_idle(remote: &mut Remote, engine: &str) -> Result<(), CommandError> {
     let id = remote.send(&Request::Follow(WAIT_INTERVAL_MILLIS))?;
     remote.wait_for_ever()?;
@@ -186,11 +186,11 @@
         };
         match snapshot.engines.iter().find(|e| e.name == engine) {
             Some(engine_view) if engine_view.phase == "ready" => {
-                let reason = format!("{engine} was resumed meanwhile");
+                let reason = format!("{engine} was resumed while draining");
                 return Err(CommandError::Refused(reason));
             }
             Some(engine_view) if engine_view.running > 0 => {}
-            _ => return print(&format!("{engine} is free: nothing runs there\n")),
+            _ => return print(&format!("{engine} is idle: no query is running\n")),
         }
     }
 }
@@ -215,7 +215,7 @@
     Ok(())
 }
 
-/// Prints the status, once the demo's load has sent some requests.
+/// Prints the status once the demo has received some requests.
 pub(super) fn print_status_under_load(target: &Endpoint) -> Result<(), CommandError> {
     let mut remote = connect(target)?;
     loop {
@@ -230,7 +230,7 @@
 
 fn print(text: &str) -> Result<(), CommandError> {
     match std::io::stdout().write_all(text.as_bytes()) {
-        // A pipe that is closed early is no mistake.
+        // The reader of a pipe may close it early.
         Err(e) if e.kind() != ErrorKind::BrokenPipe => Err(e.into()),
         _ => Ok(()),
     }
--- a/crates/coordinator/src/cli/target.rs
+++ b/crates/coordinator/src/cli/target.rs
@@ -1,4 +1,4 @@
-//! The running program that a sub-command speaks to, and requests to it.
+//! The coordinator that a sub-command connects to, and requests to it.
 
 use super::error::CommandError;
 use driftfront_console::remote::{Endpoint, Remote};
@@ -9,10 +9,10 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Where the program is looked for if neither `--at` nor `DRIFTFRONT_CONTROL` says so.
+/// The control socket if neither `--at` nor `DRIFTFRONT_CONTROL` is given.
 const DEFAULT_CONTROL_SOCKET: &str = "/tmp/driftfront.sock";
 
-/// Reads `--at` and `--key-file`: a control socket's path, or a loopback address with a key.
+/// Parses `--at` and `--key-file`: the path of a control socket, or a loopback address with a key.
 pub(super) fn parse_target(arguments: &mut Arguments) -> Result<Endpoint, CommandError> {
     let named: Option<String> = arguments.opt_value_from_str("--at")?;
     let key_file: Option<PathBuf> = arguments.opt_value_from_str("--key-file")?;
@@ -32,7 +32,7 @@
     Ok(Endpoint::Port(target, key.trim().as_bytes().to_vec()))
 }
 
-/// Connects to the program.
+/// Connects to the coordinator.
 pub(super) fn connect(target: &Endpoint) -> Result<Remote, CommandError> {
     Remote::connect(target).map_err(|source| {
         let address = match target {
@@ -51,7 +51,7 @@
     })
 }
 
-/// Sends an order; returns the text of the reply.
+/// Sends an order and returns the message of the reply.
 pub(super) fn send_order(remote: &mut Remote, request: &Request) -> Result<String, CommandError> {
     match remote.ask(request)? {
         Reply::Done(message) => Ok(message),
@@ -59,7 +59,7 @@
     }
 }
 
-/// Requests a snapshot of the program.
+/// Requests a snapshot of the coordinator's state.
 pub(super) fn request_snapshot(remote: &mut Remote) -> Result<Snapshot, CommandError> {
     match remote.ask(&Request::Snapshot)? {
         Reply::Snapshot(snapshot) => Ok(*snapshot),
--- a/crates/coordinator/src/cli/view.rs
+++ b/crates/coordinator/src/cli/view.rs
@@ -1,12 +1,12 @@
-//! What the sub-commands show of a snapshot, as text or JSON.
+//! Formats parts of a snapshot as text or JSON.
 
 use driftfront_console::{messages, run as console};
 use driftfront_control::snapshot::Snapshot;
 use driftfront_control::Field;
 
-/// Narrowest table, in characters.
+/// Minimum width of a table, in characters.
 const MIN_TABLE_WIDTH: usize = 40;
-/// Width of the output where neither `COLUMNS` nor the terminal says one, in characters.
+/// Width of the output if neither `COLUMNS` nor the terminal gives one, in characters.
 const DEFAULT_WIDTH: usize = 80;
 
 /// A part of a snapshot that a sub-command shows.
@@ -21,7 +21,7 @@
 }
 
 impl View {
-    /// The view that the sub-command of this name shows.
+    /// Returns the view that a sub-command shows.
     pub(super) fn of_command(name: &str) -> Option<View> {
         match name {
             "status" => Some(View::Status),
@@ -54,15 +54,13 @@
             View::Engines => table(&messages::engines(snapshot)),
             View::Classes => table(&messages::classes(snapshot)),
             View::Queries => table(&messages::queries(snapshot)),
-            View::Members if snapshot.members.is_empty() => {
-                "There is no fleet: the operator's file has none.\n".into()
-            }
+            View::Members if snapshot.members.is_empty() => "No fleet is configured.\n".into(),
             View::Members => table(&messages::members(snapshot)),
             View::Holds => match &snapshot.agreed {
                 Some(consensus) => {
                     messages::agreed(consensus) + &table(&messages::holds(consensus))
                 }
-                None => "There is no fleet: nothing is agreed.\n".into(),
+                None => "No fleet is configured, so there are no holds.\n".into(),
             },
         }
     }
@@ -81,7 +79,7 @@
     lines.join("\n") + "\n"
 }
 
-/// The width of the output in characters; `COLUMNS` goes before what the terminal says.
+/// Returns the width of the output in characters; `COLUMNS` takes precedence over the terminal.
 pub(super) fn width() -> usize {
     let named = std::env::var("COLUMNS").ok();
     named
--- a/crates/coordinator/src/console.rs
+++ b/crates/coordinator/src/console.rs
@@ -1,4 +1,4 @@
-//! What `driftfront check` and `driftfront counters` show.
+//! The output of `driftfront check` and `driftfront counters`.
 
 use crate::config::{ClusterConfig, Config, DiscoverySource};
 use std::fmt::Write as _;
@@ -6,10 +6,10 @@
 use std::net::{AddrParseError, SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// How long a running coordinator may take to accept a connection, and to send more of its counters.
+/// Timeout for connecting to a coordinator, and for each read of its counters.
 const COUNTERS_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Describes what a configuration means, a line for each setting.
+/// Describes a configuration, one line per setting.
 pub fn describe(config: &Config) -> String {
     let mut text = String::new();
     let _ = writeln!(text, "name        {}", config.name);
@@ -20,7 +20,7 @@
         DiscoverySource::Stream(addr) => format!("event stream at {addr}"),
         DiscoverySource::Etcd(addr, prefix) => format!("etcd at {addr}, keys under {prefix}"),
         DiscoverySource::File(path) => format!("file {}", path.display()),
-        DiscoverySource::Fixed => "as listed".into(),
+        DiscoverySource::Fixed => "fixed list".into(),
     };
     let known_updates = config.known_updates.len();
     let _ = writeln!(
@@ -45,43 +45,43 @@
     if !cluster.voters.is_empty() {
         let voters = cluster.voters.join(", ");
         let storage = if has_state_folder {
-            "kept in the state folder"
+            "stored in the state folder"
         } else {
-            "not kept: no state folder"
+            "not stored: no state folder"
         };
         let _ = writeln!(text, "voters      {voters}; the log is {storage}");
     }
     text
 }
 
-/// Why a coordinator's counters can't be had. `Display` is what staff read.
+/// Why a coordinator's counters can't be read. `Display` gives the message that operators read.
 #[derive(Debug, thiserror::Error)]
 pub enum CountersError {
-    /// The address is no socket address.
+    /// The address is not a socket address.
     #[error("{address}: {source}")]
     InvalidAddress {
-        /// As it was given.
+        /// The address as given.
         address: String,
-        /// What the parser says.
+        /// The parser's error.
         source: AddrParseError,
     },
-    /// No coordinator answers there.
+    /// Connecting, sending the request or reading the response failed.
     #[error("{address}: {source}")]
     Io {
-        /// As it was given.
+        /// The address as given.
         address: String,
-        /// What the system says.
+        /// The system's error.
         source: io::Error,
     },
-    /// Whatever answers there sends no counters.
-    #[error("{address}: no counters in the answer")]
+    /// The response is not a successful HTTP response.
+    #[error("{address}: no counters in the response")]
     NoCounters {
-        /// As it was given.
+        /// The address as given.
         address: String,
     },
 }
 
-/// Reads the counters of a running coordinator from its clients' address.
+/// Reads the counters of a running coordinator at its clients' address.
 ///
 /// # Errors
 ///
@@ -105,7 +105,7 @@
     }
 }
 
-/// Sends `GET /counters` and reads the whole response.
+/// Requests `/counters` and reads the response until the connection closes.
 fn get_counters(address: SocketAddr, host: &str) -> io::Result<String> {
     let mut stream = TcpStream::connect_timeout(&address, COUNTERS_TIMEOUT)?;
     stream.set_read_timeout(Some(COUNTERS_TIMEOUT))?;
--- a/crates/coordinator/src/demo.rs
+++ b/crates/coordinator/src/demo.rs
@@ -1,4 +1,4 @@
-//! `driftfront demo`: a coordinator, three mock engines and a gentle load in one process, and the console on it.
+//! `driftfront demo`: a coordinator, three mock engines and a light load in one process.
 
 use crate::config::{Config, ConfigError};
 use crate::node::{Node, StartError};
@@ -13,36 +13,36 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Mock engines of the demo.
+/// The number of mock engines.
 const ENGINE_COUNT: usize = 3;
-/// Time between two requests of the load.
+/// Interval between requests of the load.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(120);
 /// How long the coordinator may take to open its control socket.
 const START_TIMEOUT: Duration = Duration::from_secs(10);
-/// How often the control socket is looked for meanwhile.
+/// Interval between attempts to connect to the control socket.
 const START_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Why the demo does not run. `Display` is what staff read.
+/// Why the demo does not start. `Display` gives the message that operators read.
 #[derive(Debug, thiserror::Error)]
 pub enum DemoError {
-    /// No port is free on loopback.
+    /// No loopback port is free.
     #[error(transparent)]
     Port(io::Error),
-    /// The configuration that the demo makes can't be used.
+    /// The generated configuration is invalid.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// The system has no event loop for the coordinator.
+    /// The coordinator's event loop can't be created.
     #[error(transparent)]
     EventLoop(#[from] calloop::Error),
     /// The coordinator does not start.
     #[error(transparent)]
     Start(#[from] StartError),
-    /// The coordinator has not opened its control socket in time.
-    #[error("the demo's coordinator did not start")]
+    /// The coordinator did not open its control socket in time.
+    #[error("the demo's coordinator did not open its control socket in time")]
     TimedOut,
 }
 
-/// A running demo. Its engines end when it is dropped.
+/// A running demo. Dropping it stops its engines.
 pub struct Demo {
     /// The path of the control socket.
     pub socket: PathBuf,
@@ -52,11 +52,11 @@
 }
 
 impl Demo {
-    /// Starts engines, coordinator and load; coordinator and load go on until the process ends.
+    /// Starts engines, coordinator and load. Coordinator and load run until the process exits.
     ///
     /// # Errors
     ///
-    /// No port is free, or the coordinator does not start.
+    /// Fails if no port is free or the coordinator does not start.
     pub fn start() -> Result<Demo, DemoError> {
         let engines = start_engines();
         let listen = free_address().map_err(DemoError::Port)?;
@@ -74,11 +74,11 @@
         })
     }
 
-    /// Drains an engine, as an operator would.
+    /// Drains an engine over the control socket.
     ///
     /// # Errors
     ///
-    /// The coordinator does not answer.
+    /// Fails if the coordinator does not reply.
     pub fn drain(&self, engine: &str) -> io::Result<()> {
         let mut remote = Remote::connect(&Endpoint::Socket(self.socket.clone()))?;
         let drain = Request::Drain {
@@ -102,12 +102,12 @@
     (1..=ENGINE_COUNT).map(start).collect()
 }
 
-/// An address on loopback whose port is free.
+/// Returns a loopback address with a free port.
 fn free_address() -> io::Result<SocketAddr> {
     TcpListener::bind("127.0.0.1:0")?.local_addr()
 }
 
-/// The operator's file of the demo's coordinator.
+/// Builds the operator's file of the demo's coordinator.
 fn operator_file(listen: SocketAddr, socket: &Path, engines: &[Engine]) -> String {
     let engine_line = |engine: &Engine| {
         let (name, address) = (engine.name(), engine.addr());
@@ -120,7 +120,7 @@
     )
 }
 
-/// Runs the coordinator until the process ends. The configuration is read again, since it can't move between threads.
+/// Runs the coordinator until the process exits. The configuration is parsed in this thread, since it is not `Send`.
 fn run_coordinator(operator_file: &str) -> Result<(), DemoError> {
     let config = Config::from_operator_text(operator_file)?;
     let events = EventLoop::try_new()?;
@@ -139,7 +139,7 @@
     Ok(())
 }
 
-/// Sends look-ups, now and then a report, now and then an import.
+/// Sends look-ups, with a report in every tenth request and an import in every twentieth.
 fn send_load(address: SocketAddr) {
     for number in 0u64.. {
         let statement = match number % 20 {
@@ -155,7 +155,7 @@
     }
 }
 
-/// Sends a query on a connection of its own; how it ends is for the console to show.
+/// Sends a query on its own connection. Errors are ignored here, since the console shows them.
 fn send_query(address: SocketAddr, class: &str, statement: &str) {
     let Ok(mut stream) = TcpStream::connect(address) else {
         return;
