--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -1,9 +1,9 @@
-//! Fault injection for tests: preloaded (`LD_PRELOAD`) into the built program, it sets that process's wall clock and leaves the
-//! monotonic clock as it is.
+//! Fault injection for tests: a library that is preloaded (`LD_PRELOAD`) into the built program to shift its wall clock. The
+//! monotonic clock is unchanged.
 //!
-//! `DRIFTFRONT_WALL_CLOCK` names a file of eight bytes: microseconds, little endian and signed, that are added to each reading
-//! of the wall clock. The file is mapped once and read with each call, so that whoever writes it steps the clock at once.
-//! Without the variable nothing is changed.
+//! `DRIFTFRONT_WALL_CLOCK` names a file of eight bytes, a signed little-endian number of microseconds that is added to each
+//! reading of the wall clock. The file is mapped once and read on each call, so a write to it steps the clock immediately.
+//! Without the variable, the clock is unchanged.
 #![warn(missing_docs)]
 
 use libc::{c_int, clockid_t, time_t, timespec, timeval};
@@ -13,33 +13,33 @@
 
 const MICROS_PER_SECOND: i64 = 1_000_000;
 
-/// What is added where no file is named.
-static NO_STEP: AtomicI64 = AtomicI64::new(0);
-/// The mapped file, once it was looked for.
+/// The offset if there is no file.
+static NO_OFFSET: AtomicI64 = AtomicI64::new(0);
+/// The mapped file or [`NO_OFFSET`]; null until the first call.
 static OFFSET: AtomicPtr<AtomicI64> = AtomicPtr::new(null_mut());
 
-/// Microseconds that the wall clock is off.
+/// Returns the offset of the wall clock in microseconds.
 fn offset() -> i64 {
-    let known = OFFSET.load(Ordering::Acquire);
-    let offset = if known.is_null() {
-        find_offset()
+    let cached = OFFSET.load(Ordering::Acquire);
+    let offset = if cached.is_null() {
+        init_offset()
     } else {
-        known
+        cached
     };
-    // SAFETY: either a static, or a mapping of eight bytes that is never undone.
+    // SAFETY: the pointer is to a static, or to a mapping of eight bytes that is never unmapped.
     unsafe { (*offset).load(Ordering::Relaxed) }
 }
 
-fn find_offset() -> *mut AtomicI64 {
-    let found = map_offset().unwrap_or((&raw const NO_STEP).cast_mut());
-    OFFSET.store(found, Ordering::Release);
-    found
+fn init_offset() -> *mut AtomicI64 {
+    let offset = map_offset().unwrap_or((&raw const NO_OFFSET).cast_mut());
+    OFFSET.store(offset, Ordering::Release);
+    offset
 }
 
-/// Maps the file that the environment names. Nothing here may ask for the time.
+/// Maps the file named by the environment variable. Must not read the clock, which would recurse.
 fn map_offset() -> Option<*mut AtomicI64> {
-    // SAFETY: plain calls of the C library on strings and descriptors that live long enough; the mapping is read only, and
-    // page-aligned, so that eight bytes at its beginning are a valid atomic.
+    // SAFETY: the C library's functions are called with valid strings and descriptors. The mapping is read-only and
+    // page-aligned, so its first eight bytes are a valid atomic for loads.
     unsafe {
         let path = libc::getenv(c"DRIFTFRONT_WALL_CLOCK".as_ptr());
         if path.is_null() {
@@ -50,10 +50,10 @@
             return None;
         }
         let size = size_of::<AtomicI64>();
-        let at: *mut c_void =
+        let mapping: *mut c_void =
             libc::mmap(null_mut(), size, libc::PROT_READ, libc::MAP_SHARED, file, 0);
         libc::close(file);
-        (at != libc::MAP_FAILED).then_some(at.cast())
+        (mapping != libc::MAP_FAILED).then_some(mapping.cast())
     }
 }
 
@@ -61,65 +61,65 @@
     matches!(clock, libc::CLOCK_REALTIME | libc::CLOCK_REALTIME_COARSE)
 }
 
-/// A system call's result as the C library's function returns it: 0, or -1.
+/// Converts a system call's result, 0 or -1, to the type that the C library's functions return.
 #[allow(
     clippy::cast_possible_truncation,
-    reason = "both results fit any integer"
+    reason = "0 and -1 fit any integer type"
 )]
-fn result_of(syscall: libc::c_long) -> c_int {
-    syscall as c_int
+fn to_c_int(result: libc::c_long) -> c_int {
+    result as c_int
 }
 
-/// Moves a time by the offset, of which it has `per_second` parts.
-fn moved(seconds: time_t, part: i64, per_second: i64) -> (time_t, i64) {
-    let parts_per_micro = per_second / MICROS_PER_SECOND;
-    let part = part + offset() % MICROS_PER_SECOND * parts_per_micro;
+/// Adds the offset to a time of seconds and a fraction in units of `1 / units_per_second` seconds.
+fn shift(seconds: time_t, fraction: i64, units_per_second: i64) -> (time_t, i64) {
+    let units_per_micro = units_per_second / MICROS_PER_SECOND;
+    let fraction = fraction + offset() % MICROS_PER_SECOND * units_per_micro;
     (
-        seconds + offset() / MICROS_PER_SECOND + part.div_euclid(per_second),
-        part.rem_euclid(per_second),
+        seconds + offset() / MICROS_PER_SECOND + fraction.div_euclid(units_per_second),
+        fraction.rem_euclid(units_per_second),
     )
 }
 
-/// The C library's `clock_gettime`, with the wall clock moved.
+/// Replaces the C library's `clock_gettime`, with the offset added to wall clocks.
 ///
 /// # Safety
-/// As the C library's.
+/// The same as for the C library's function.
 #[no_mangle]
 pub unsafe extern "C" fn clock_gettime(clock: clockid_t, time: *mut timespec) -> c_int {
-    let done = result_of(libc::syscall(libc::SYS_clock_gettime, clock, time));
-    if done == 0 && is_wall_clock(clock) {
-        ((*time).tv_sec, (*time).tv_nsec) = moved((*time).tv_sec, (*time).tv_nsec, 1_000_000_000);
+    let result = to_c_int(libc::syscall(libc::SYS_clock_gettime, clock, time));
+    if result == 0 && is_wall_clock(clock) {
+        ((*time).tv_sec, (*time).tv_nsec) = shift((*time).tv_sec, (*time).tv_nsec, 1_000_000_000);
     }
-    done
+    result
 }
 
-/// The C library's `gettimeofday`, with the wall clock moved.
+/// Replaces the C library's `gettimeofday`, with the offset added.
 ///
 /// # Safety
-/// As the C library's.
+/// The same as for the C library's function.
 #[no_mangle]
 pub unsafe extern "C" fn gettimeofday(time: *mut timeval, zone: *mut c_void) -> c_int {
-    let done = result_of(libc::syscall(libc::SYS_gettimeofday, time, zone));
-    if done == 0 && !time.is_null() {
+    let result = to_c_int(libc::syscall(libc::SYS_gettimeofday, time, zone));
+    if result == 0 && !time.is_null() {
         ((*time).tv_sec, (*time).tv_usec) =
-            moved((*time).tv_sec, (*time).tv_usec, MICROS_PER_SECOND);
+            shift((*time).tv_sec, (*time).tv_usec, MICROS_PER_SECOND);
     }
-    done
+    result
 }
 
-/// The C library's `time`, with the wall clock moved.
+/// Replaces the C library's `time`, with the offset added.
 ///
 /// # Safety
-/// As the C library's.
+/// The same as for the C library's function.
 #[no_mangle]
-pub unsafe extern "C" fn time(into: *mut time_t) -> time_t {
+pub unsafe extern "C" fn time(out: *mut time_t) -> time_t {
     let mut now = timespec {
         tv_sec: 0,
         tv_nsec: 0,
     };
     clock_gettime(libc::CLOCK_REALTIME, &mut now);
-    if !into.is_null() {
-        *into = now.tv_sec;
+    if !out.is_null() {
+        *out = now.tv_sec;
     }
     now.tv_sec
 }
--- a/crates/socket-activation/src/lib.rs
+++ b/crates/socket-activation/src/lib.rs
@@ -1,8 +1,8 @@
-//! Socket activation: a listening socket that this process was started with.
+//! Socket activation: takes over a listening socket that was passed to the process at its start.
 //!
-//! The standard library makes a value of a bare descriptor only in an unsafe step, since two owners of one descriptor
-//! would close it under each other. That step stands here alone: it is taken once in a process's life, before it has
-//! opened anything of its own under that number, and only for a descriptor that is a listening stream socket.
+//! The standard library turns a raw descriptor into an owned one only in unsafe code, since two owners of a descriptor would
+//! close it twice. That code is confined to this crate. It runs once in the life of a process, before the process has opened a
+//! descriptor of that number itself, and only a listening stream socket is adopted.
 #![warn(missing_docs)]
 #![deny(unsafe_code)]
 
@@ -15,37 +15,40 @@
 /// The descriptor under which the platform passes the clients' listening socket.
 pub const PASSED_DESCRIPTOR: i32 = 4;
 
-/// Why a descriptor is not adopted. It is left as it was.
+/// Characters of a wrong value that the error repeats.
+const MAX_SHOWN_CHARS: usize = 40;
+
+/// Why a descriptor is not adopted. It stays open and unchanged.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AdoptError {
-    /// The name it was told by is not the number of [`PASSED_DESCRIPTOR`].
+    /// The variable's value is not the number of [`PASSED_DESCRIPTOR`].
     WrongDescriptor(String),
-    /// Nothing is open under that number.
+    /// The descriptor is not open.
     Closed,
-    /// It is open, but no socket.
+    /// The descriptor is not a socket.
     NotASocket,
-    /// It is a socket on which nobody can connect.
+    /// The descriptor is not a listening TCP socket.
     NotListening,
-    /// It was adopted before.
+    /// The descriptor was adopted before.
     AlreadyAdopted,
-    /// The system says no.
+    /// A system call failed; holds the system's message.
     System(String),
 }
 
 impl fmt::Display for AdoptError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            AdoptError::WrongDescriptor(told) => {
-                write!(f, "{told:?} is not descriptor {PASSED_DESCRIPTOR}")
+            AdoptError::WrongDescriptor(value) => {
+                write!(f, "{value:?} is not descriptor {PASSED_DESCRIPTOR}")
             }
             AdoptError::Closed => write!(f, "descriptor {PASSED_DESCRIPTOR} is not open"),
-            AdoptError::NotASocket => write!(f, "descriptor {PASSED_DESCRIPTOR} is no socket"),
+            AdoptError::NotASocket => write!(f, "descriptor {PASSED_DESCRIPTOR} is not a socket"),
             AdoptError::NotListening => write!(
                 f,
-                "descriptor {PASSED_DESCRIPTOR} is no listening TCP socket"
+                "descriptor {PASSED_DESCRIPTOR} is not a listening TCP socket"
             ),
             AdoptError::AlreadyAdopted => {
-                write!(f, "descriptor {PASSED_DESCRIPTOR} is in use already")
+                write!(f, "descriptor {PASSED_DESCRIPTOR} is already in use")
             }
             AdoptError::System(why) => write!(f, "descriptor {PASSED_DESCRIPTOR}: {why}"),
         }
@@ -56,16 +59,17 @@
 
 static IS_ADOPTED: AtomicBool = AtomicBool::new(false);
 
-/// Adopts the passed socket. `told`: the text of the variable that names its descriptor.
+/// Adopts the passed socket. `value` is that of the environment variable with the descriptor's number.
 ///
-/// It is made non-blocking: every process that holds it shares that, and none of them wants to wait in `accept`.
+/// The socket is set to non-blocking mode. All processes that share it share this mode, and none of them blocks in `accept`.
 ///
 /// # Errors
 ///
-/// Fails where the descriptor is none that can be adopted; it is left as it was.
-pub fn adopt(told: &str) -> Result<TcpListener, AdoptError> {
-    if told.trim().parse() != Ok(PASSED_DESCRIPTOR) {
-        return Err(AdoptError::WrongDescriptor(told.chars().take(40).collect()));
+/// Fails if the descriptor can't be adopted; it stays open and unchanged.
+pub fn adopt(value: &str) -> Result<TcpListener, AdoptError> {
+    if value.trim().parse() != Ok(PASSED_DESCRIPTOR) {
+        let start = value.chars().take(MAX_SHOWN_CHARS).collect();
+        return Err(AdoptError::WrongDescriptor(start));
     }
     let link = std::fs::read_link(format!("/proc/self/fd/{PASSED_DESCRIPTOR}"))
         .map_err(|_| AdoptError::Closed)?;
@@ -75,11 +79,11 @@
     if IS_ADOPTED.swap(true, Ordering::SeqCst) {
         return Err(AdoptError::AlreadyAdopted);
     }
-    let socket = Socket::from(owned());
+    let socket = Socket::from(take_descriptor());
     match check(&socket) {
         Ok(()) => Ok(socket.into()),
         Err(error) => {
-            // Not ours: it stays open as it was.
+            // Releases the descriptor without closing it.
             let _ = socket.into_raw_fd();
             IS_ADOPTED.store(false, Ordering::SeqCst);
             Err(error)
@@ -88,27 +92,27 @@
 }
 
 fn check(socket: &Socket) -> Result<(), AdoptError> {
-    let system = |e: std::io::Error| AdoptError::System(e.to_string());
-    let stream = socket.r#type().map_err(system)? == Type::STREAM;
-    let domain = socket.domain().map_err(system)?;
-    if !stream
+    let system_error = |e: std::io::Error| AdoptError::System(e.to_string());
+    let is_stream = socket.r#type().map_err(system_error)? == Type::STREAM;
+    let domain = socket.domain().map_err(system_error)?;
+    if !is_stream
         || ![Domain::IPV4, Domain::IPV6].contains(&domain)
-        || !socket.is_listener().map_err(system)?
+        || !socket.is_listener().map_err(system_error)?
     {
         return Err(AdoptError::NotListening);
     }
     socket
         .set_nonblocking(true)
         .and_then(|()| socket.set_cloexec(true))
-        .map_err(system)
+        .map_err(system_error)
 }
 
 #[allow(
     unsafe_code,
-    reason = "the standard library makes an owned descriptor of a bare one in no other way"
+    reason = "the standard library has no safe conversion of a raw descriptor to an owned one"
 )]
-fn owned() -> OwnedFd {
-    // SAFETY: the caller has seen that the descriptor is open, and `IS_ADOPTED` lets one owner at a time be made of it. The
-    // program asks for this before anything else of it could hold that number.
+fn take_descriptor() -> OwnedFd {
+    // SAFETY: the caller has checked that the descriptor is open, and `IS_ADOPTED` allows one owner at a time. The program
+    // adopts the socket before it opens anything that could get this number.
     unsafe { OwnedFd::from_raw_fd(PASSED_DESCRIPTOR) }
 }
--- a/crates/socket-activation/tests/golden.rs
+++ b/crates/socket-activation/tests/golden.rs
@@ -1,12 +1,12 @@
-//! What is said of a socket that can't be adopted, compared with a golden file.
+//! The error messages for sockets that can't be adopted, compared with a golden file.
 
 use driftfront_socket_activation::{adopt, AdoptError, PASSED_DESCRIPTOR};
 use driftfront_test_support::assert_golden;
 
 #[test]
-fn adopt_errors_keep_their_words() {
+fn messages_of_adopt_errors() {
     assert_eq!(PASSED_DESCRIPTOR, 4);
-    let told = [
+    let wrong_descriptors = [
         adopt("5").unwrap_err(),
         adopt("").unwrap_err(),
         adopt(&"4".repeat(60)).unwrap_err(),
@@ -18,10 +18,10 @@
         AdoptError::AlreadyAdopted,
         AdoptError::System("out of luck".into()),
     ];
-    let text: String = told
+    let text: String = wrong_descriptors
         .iter()
         .chain(&others)
-        .map(|refusal| format!("{refusal}\n"))
+        .map(|error| format!("{error}\n"))
         .collect();
     assert_golden!("refusals.txt", text);
 }
