--- a/crates/mock-servers/src/engine/connection.rs
+++ b/crates/mock-servers/src/engine/connection.rs
@@ -1,4 +1,4 @@
-//! One connection: requests in, responses out.
+//! Reads requests from a connection and writes responses.
 
 use super::exception::{Exception, QueryError};
 use super::state::Shared;
@@ -11,13 +11,13 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Bytes of a body that are read before the statement is looked at.
+/// Bytes of a body that are read before the statement is parsed.
 pub(super) const FIRST_BODY_BYTES: usize = 64 * 1024;
-/// Longest head of a request.
+/// Maximum length of a request's head.
 const MAX_HEAD_BYTES: usize = 1024 * 1024;
-/// Bytes read at once.
+/// Size of the read buffer.
 const READ_BYTES: usize = 64 * 1024;
-/// Longest wait for a client that still sends a body which is not read.
+/// Timeout of each read while the rest of a body is discarded.
 const DISCARD_TIMEOUT: Duration = Duration::from_secs(1);
 
 const HTML: [(&str, &str); 1] = [("Content-Type", "text/html; charset=UTF-8")];
@@ -32,7 +32,7 @@
     ("Access-Control-Max-Age", "86400"),
 ];
 
-/// Whether a connection goes on after a response.
+/// Whether a connection stays open after a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum After {
     KeepOpen,
@@ -49,7 +49,7 @@
     }
 }
 
-/// Serves a connection until it ends.
+/// Serves a connection until it is closed.
 pub(super) fn serve(shared: &Shared, stream: TcpStream) {
     let _ = stream.set_nodelay(true);
     let mut connection = Connection {
@@ -77,7 +77,7 @@
 }
 
 impl Connection<'_> {
-    /// Reads bytes into the reader; false at the end of the stream.
+    /// Reads bytes into the reader. Returns `false` at the end of the stream.
     pub(super) fn read(&mut self) -> io::Result<bool> {
         let mut bytes = [0; READ_BYTES];
         loop {
@@ -113,7 +113,7 @@
     }
 
     fn handle_request(&mut self, request: Request) -> io::Result<After> {
-        if !self.shared.wait_until_speaking() {
+        if !self.shared.wait_while_mute() {
             return Ok(After::Close);
         }
         let request = Rc::new(request);
@@ -169,7 +169,7 @@
             ("X-ClickHouse-Query-Id", id),
             ("X-ClickHouse-Exception-Code", code.as_str()),
         ];
-        // What of the body has not been read would be taken for the next request.
+        // The unread part of the body would be parsed as the next request.
         let has_unread_body = self.reader.is_body_open();
         let text = exception.text() + "\n";
         let after = self.respond(request, status, &headers, &text)?;
@@ -180,7 +180,7 @@
         Ok(after)
     }
 
-    /// Reads until the client ends: unread bytes would reset the connection, and take the response with them.
+    /// Reads until the client closes: closing with unread bytes would reset the connection and lose the response.
     fn discard_input(&mut self) {
         let _ = self.stream.shutdown(Shutdown::Write);
         let _ = self.stream.set_read_timeout(Some(DISCARD_TIMEOUT));
@@ -203,7 +203,7 @@
         Ok(After::close_if(request.close))
     }
 
-    /// Whether the client has left.
+    /// Whether the client has closed the connection.
     pub(super) fn has_client_left(&self) -> bool {
         let _ = self.stream.set_nonblocking(true);
         let peeked = self.stream.peek(&mut [0]);
--- a/crates/mock-servers/src/engine/exception.rs
+++ b/crates/mock-servers/src/engine/exception.rs
@@ -1,12 +1,12 @@
-//! Exceptions, as ClickHouse words them.
+//! Exceptions in ClickHouse's format.
 
 use driftfront_clickhouse::exception::{error_name, http_status};
 use std::io;
 
-/// The version that the engine says it has.
+/// The server version in exceptions.
 const VERSION: &str = "24.8.4.13";
 
-/// Codes of exceptions, by their names on ClickHouse.
+/// Exception codes, by ClickHouse's names.
 pub(super) mod code {
     pub(in super::super) const UNKNOWN_FUNCTION: u32 = 46;
     pub(in super::super) const UNKNOWN_IDENTIFIER: u32 = 47;
@@ -32,10 +32,10 @@
     pub(in super::super) const AUTHENTICATION_FAILED: u32 = 516;
 }
 
-/// The status of a rejected query.
+/// The HTTP status of a rejected query.
 const SERVICE_UNAVAILABLE: u16 = 503;
 
-/// An exception that a query ends with.
+/// The exception of a failed query.
 #[derive(Clone, Debug)]
 pub(super) struct Exception {
     pub(super) code: u32,
@@ -50,12 +50,12 @@
         }
     }
 
-    /// One that a statement has asked for.
+    /// The exception that a statement requests as a fault.
     pub(super) fn requested(code: u32) -> Exception {
         Exception::new(code, "As was asked for")
     }
 
-    /// As it stands in a response.
+    /// Formats the exception for a response.
     pub(super) fn text(&self) -> String {
         let (code, message) = (self.code, &self.message);
         let name = error_name(code).unwrap_or("UNKNOWN");
@@ -68,16 +68,16 @@
 /// Why a query has no result.
 #[derive(Debug)]
 pub(super) enum QueryError {
-    /// An exception, in place of the result.
+    /// The query failed.
     Exception(Exception),
-    /// The same, before the query began: it never ran.
+    /// The query was rejected before it started.
     Rejected(Exception),
-    /// The connection has failed.
+    /// The connection failed.
     Io(io::Error),
 }
 
 impl QueryError {
-    /// The status of the response with an exception.
+    /// The HTTP status of the response.
     pub(super) fn http_status(&self) -> u16 {
         match self {
             QueryError::Exception(exception) => http_status(exception.code),
--- a/crates/mock-servers/src/engine/execute.rs
+++ b/crates/mock-servers/src/engine/execute.rs
@@ -1,4 +1,4 @@
-//! What statements do, and how long they take.
+//! Executes statements.
 
 use super::connection::{After, Connection};
 use super::exception::{code, Exception, QueryError};
@@ -13,14 +13,14 @@
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
-/// Time between two progress headers where the query names none.
+/// Interval of progress headers, unless the query sets another.
 const DEFAULT_PROGRESS_MILLIS: u64 = 100;
-/// A query that waits looks this often whether it was cancelled, timed out, or left by its client.
+/// Interval at which a sleeping query checks for cancellation, timeout and a disconnected client.
 const WAIT_STEP: Duration = Duration::from_millis(2);
-/// Rows that a query which sleeps seems to read.
+/// The total number of rows in the progress headers of a sleeping query.
 const PROGRESS_TOTAL_ROWS: f64 = 1e6;
 
-/// The settings, parameters and database that a statement may refer to.
+/// The settings, query parameters and database of a statement.
 struct Context {
     params: BTreeMap<String, String>,
     settings: BTreeMap<String, String>,
@@ -28,7 +28,7 @@
 }
 
 impl Connection<'_> {
-    /// Executes a query that was admitted, and writes its result.
+    /// Executes an admitted query and writes its result.
     pub(super) fn execute(&mut self, query: &Query) -> Result<After, QueryError> {
         if let Some(code) = query.faults.number("error") {
             return Err(Exception::requested(code).into());
@@ -56,13 +56,13 @@
         }
         let (result, sleep_seconds) = self.execute_statement(query, parsed.statement)?;
         let is_head_begun = self.wait(sleep_seconds + requested_sleep(query), query)?;
-        if !self.shared.wait_until_speaking() {
+        if !self.shared.wait_while_mute() {
             return Ok(After::Close);
         }
         Ok(self.write_result(query, &format, &result, is_head_begun)?)
     }
 
-    /// Settings and database: those of the session, and over them those of the request.
+    /// Collects the settings and the database of the session, overridden by those of the request.
     fn context(&self, query: &Query) -> Context {
         let mut context = Context {
             params: BTreeMap::new(),
@@ -89,7 +89,7 @@
         context
     }
 
-    /// The result of a statement, and the seconds that it sleeps before.
+    /// Executes a statement. Returns its result and how many seconds it sleeps first.
     fn execute_statement(
         &mut self,
         query: &Query,
@@ -147,7 +147,7 @@
         Ok((result, 0.0))
     }
 
-    /// A temporary table of the session, or one of the engine.
+    /// Finds a temporary table of the session or a table of the engine.
     fn table(&self, session: Option<&str>, table: &str) -> Result<Table, Exception> {
         let state = self.shared.state();
         let temporary = session
@@ -160,7 +160,7 @@
         })
     }
 
-    /// A temporary table without a session is lost at once.
+    /// Creates a table. A temporary table without a session is discarded.
     fn create_table(&self, session: Option<&str>, table: String, is_temporary: bool) {
         let mut state = self.shared.state();
         if !is_temporary {
@@ -170,7 +170,7 @@
         }
     }
 
-    /// Cancels queries; a line for each that runs.
+    /// Cancels queries. Returns a line for each that is running.
     fn cancel_queries(&self, ids: &[String]) -> Vec<u8> {
         let state = self.shared.state();
         let mut text = String::new();
@@ -183,8 +183,8 @@
         text.into_bytes()
     }
 
-    /// Waits as a query that takes its time, with progress headers where the client wants them. True if these have begun the
-    /// head of the response. An exception if the query is cancelled or out of time, or its client leaves.
+    /// Sleeps to simulate a long-running query and sends progress headers if the client requests them. Returns whether the
+    /// response's head has been started by them. Fails if the query is cancelled or times out, or its client disconnects.
     fn wait(&mut self, seconds: f64, query: &Query) -> Result<bool, Exception> {
         let params = &query.params;
         let time_limit = params.non_empty("max_execution_time");
@@ -203,8 +203,8 @@
             if elapsed.as_secs_f64() >= seconds {
                 return Ok(is_head_begun);
             }
-            self.check_still_wanted(query, elapsed, time_limit)?;
-            if sends_progress && elapsed >= next_progress && self.shared.wait_until_speaking() {
+            self.check_interrupted(query, elapsed, time_limit)?;
+            if sends_progress && elapsed >= next_progress && self.shared.wait_while_mute() {
                 next_progress = elapsed + interval;
                 let share = elapsed.as_secs_f64() / seconds;
                 let _ = self.write_progress(share, is_head_begun);
@@ -214,7 +214,7 @@
         }
     }
 
-    fn check_still_wanted(
+    fn check_interrupted(
         &self,
         query: &Query,
         elapsed: Duration,
@@ -232,7 +232,7 @@
         if self.has_client_left() {
             self.shared
                 .log
-                .note(query.entry, |entry| entry.client_left = true);
+                .update(query.entry, |entry| entry.client_left = true);
             return Err(Exception::new(code::NETWORK_ERROR, "Client has left"));
         }
         Ok(())
@@ -253,24 +253,24 @@
         self.stream.write_all(head.as_bytes())
     }
 
-    /// Sends nothing more until the client closes.
+    /// Sends nothing more and waits until the client closes the connection.
     pub(super) fn stay_silent(&mut self, query: &Query) -> After {
         let mut bytes = [0; 4096];
         while self.stream.read(&mut bytes).is_ok_and(|n| n > 0) {}
         self.shared
             .log
-            .note(query.entry, |entry| entry.client_left = true);
+            .update(query.entry, |entry| entry.client_left = true);
         After::Close
     }
 }
 
-/// Seconds that a fault asks a query to sleep.
+/// The seconds of sleep that a fault requests.
 fn requested_sleep(query: &Query) -> f64 {
     let millis: Option<u64> = query.faults.number("sleep_ms");
     millis.map_or(0.0, |millis| millis as f64 / 1000.0)
 }
 
-/// The format that a request names beside its statement.
+/// The format that a request sets outside its statement.
 fn default_format(query: &Query) -> Option<String> {
     let format = query.params.non_empty("default_format");
     let format = format.or(header(&query.request.headers, "X-ClickHouse-Format"));
--- a/crates/mock-servers/src/engine/faults.rs
+++ b/crates/mock-servers/src/engine/faults.rs
@@ -1,17 +1,17 @@
-//! Faults that a statement asks for.
+//! Faults that a statement requests.
 
 use std::collections::BTreeMap;
 
-/// Marks the comment of a statement that asks for faults.
+/// The start of a comment that requests faults.
 const COMMENT_START: &str = "/* standin:";
 
-/// The faults of one statement: names, and values where they have one.
+/// The faults of a statement by name, with their values or empty strings.
 #[derive(Debug, Default)]
 pub(super) struct Faults(BTreeMap<String, String>);
 
 impl Faults {
-    /// Reads the comment of a statement.
-    pub(super) fn of(statement: &str) -> Faults {
+    /// Parses the comment of a statement.
+    pub(super) fn parse(statement: &str) -> Faults {
         let comment = statement.split(COMMENT_START).nth(1);
         let comment = comment.and_then(|text| text.split("*/").next());
         let words = comment.unwrap_or_default().split_whitespace();
--- a/crates/mock-servers/src/engine/insert.rs
+++ b/crates/mock-servers/src/engine/insert.rs
@@ -1,4 +1,4 @@
-//! Inserts: rows behind the statement, and the rest of the body.
+//! Inserts: the rows after the statement and in the rest of the body.
 
 use super::connection::{Connection, FIRST_BODY_BYTES};
 use super::exception::{code, Exception};
@@ -9,11 +9,11 @@
 use driftfront_http::header;
 use std::time::Duration;
 
-/// Longest packed body that is unpacked.
-const MAX_PACKED_BYTES: usize = 64 * 1024 * 1024;
+/// Maximum length of a compressed body.
+const MAX_COMPRESSED_BYTES: usize = 64 * 1024 * 1024;
 
 impl Connection<'_> {
-    /// Takes rows into a table: `inline` ones, and those of the body.
+    /// Inserts rows into a table: those in `inline` and those of the body.
     pub(super) fn insert(
         &mut self,
         query: &Query,
@@ -25,19 +25,19 @@
         let is_in_blocks = query.params.is_on("decompress");
         let mut rows = Table::default();
         let body_bytes = if content_coding.is_some() || is_in_blocks {
-            self.read_packed_rows(query, content_coding, is_in_blocks, &mut rows)?
+            self.read_compressed_rows(query, content_coding, is_in_blocks, &mut rows)?
         } else {
             self.read_plain_rows(query, inline, &mut rows)?
         };
         self.shared
             .log
-            .note(query.entry, |entry| entry.bytes = body_bytes);
+            .update(query.entry, |entry| entry.bytes = body_bytes);
         self.append_rows(query, table, rows);
         Ok(())
     }
 
-    /// Reads the whole body, and unpacks it; returns its length.
-    fn read_packed_rows(
+    /// Reads the whole body and decompresses it. Returns its compressed length.
+    fn read_compressed_rows(
         &mut self,
         query: &Query,
         content_coding: Option<Coding>,
@@ -46,27 +46,27 @@
     ) -> Result<u64, Exception> {
         let mut body = query.request.body.clone();
         while self.read_more_body(&mut body)? {
-            if body.len() > MAX_PACKED_BYTES {
+            if body.len() > MAX_COMPRESSED_BYTES {
                 let message = "The body is too large to be unpacked here";
                 return Err(Exception::new(code::MEMORY_LIMIT_EXCEEDED, message));
             }
         }
         let length = body.len() as u64;
         if let Some(content_coding) = content_coding {
-            body = unpack(content_coding, &body)?;
+            body = decompress(content_coding, &body)?;
         }
         if is_in_blocks {
-            body = unpack_blocks(&body)?;
+            body = decompress_blocks(&body)?;
         }
         rows.push(if query.is_in_body {
-            behind_statement(&body)
+            after_statement(&body)
         } else {
             &body
         });
         Ok(length)
     }
 
-    /// Reads a body as it comes; returns its length.
+    /// Reads an uncompressed body in pieces. Returns its length.
     fn read_plain_rows(
         &mut self,
         query: &Query,
@@ -78,7 +78,7 @@
             rows.push(inline.as_bytes());
             rows.push(&request.body);
         } else if request.has_more_body || !inline.is_empty() {
-            rows.push(behind_statement(&request.body));
+            rows.push(after_statement(&request.body));
         }
         let pause = query.faults.number("slow_ms").map(Duration::from_millis);
         let max_bytes: Option<u64> = query.faults.number("error_after");
@@ -102,21 +102,21 @@
         }
     }
 
-    /// Reads more of a body that is not complete; false once it is.
+    /// Reads more of the body. Returns `false` once it is complete.
     fn read_more_body(&mut self, body: &mut Vec<u8>) -> Result<bool, Exception> {
-        let broken = |message: &str| Exception::new(code::NETWORK_ERROR, message);
+        let network_error = |message: &str| Exception::new(code::NETWORK_ERROR, message);
         if !self.reader.is_body_open() {
             return Ok(false);
         }
-        if !self.read().map_err(|e| broken(&e.to_string()))? {
-            return Err(broken("The body breaks off"));
+        if !self.read().map_err(|e| network_error(&e.to_string()))? {
+            return Err(network_error("The body breaks off"));
         }
         let is_complete = self.reader.more_body(body);
-        let is_complete = is_complete.map_err(|_| broken("The body can't be read"))?;
+        let is_complete = is_complete.map_err(|_| network_error("The body can't be read"))?;
         Ok(!is_complete)
     }
 
-    /// Adds rows to a temporary table of the session, or to one of the engine, which is made where it is missing.
+    /// Appends rows to a temporary table of the session or to a table of the engine, which is created if it is missing.
     fn append_rows(&self, query: &Query, table: &str, rows: Table) {
         let mut state = self.shared.state();
         let state = &mut *state;
@@ -131,7 +131,7 @@
     }
 }
 
-fn unpack(content_coding: Coding, body: &[u8]) -> Result<Vec<u8>, Exception> {
+fn decompress(content_coding: Coding, body: &[u8]) -> Result<Vec<u8>, Exception> {
     let failed = |e: std::io::Error| Exception::new(code::CANNOT_INFLATE, e.to_string());
     let mut decoder = Decoder::new(content_coding, Vec::new()).map_err(failed)?;
     decoder
@@ -141,8 +141,8 @@
     Ok(decoder.get_ref().clone())
 }
 
-/// Unpacks a body of compressed blocks.
-pub(super) fn unpack_blocks(body: &[u8]) -> Result<Vec<u8>, Exception> {
+/// Decompresses a body of compressed blocks.
+pub(super) fn decompress_blocks(body: &[u8]) -> Result<Vec<u8>, Exception> {
     let failed = |message: String| Exception::new(code::CANNOT_DECOMPRESS, message);
     let prefix = block::decompress_prefix(body, usize::MAX).map_err(|e| failed(e.to_string()))?;
     if prefix.block_bytes < body.len() {
@@ -151,8 +151,8 @@
     Ok(prefix.data)
 }
 
-/// The rows behind `INSERT ... FORMAT name` or `VALUES` in a body.
-fn behind_statement(body: &[u8]) -> &[u8] {
+/// The rows after `INSERT ... FORMAT name` or `VALUES` in a body.
+fn after_statement(body: &[u8]) -> &[u8] {
     let start = &body[..body.len().min(FIRST_BODY_BYTES)];
     let text = String::from_utf8_lossy(start).to_ascii_lowercase();
     let end_of = |word: &str| text.find(word).map(|at| at + word.len());
--- a/crates/mock-servers/src/engine/mod.rs
+++ b/crates/mock-servers/src/engine/mod.rs
@@ -1,10 +1,10 @@
-//! An engine that speaks ClickHouse's HTTP interface, with a thread a connection.
+//! A mock engine with ClickHouse's HTTP interface and one thread per connection.
 //!
-//! Faults are asked for in a comment of the statement, `/* standin: NAME=VALUE NAME ... */`, or of the whole engine. With `first`
-//! among them they hold only the first time that this statement comes to any engine of the log.
+//! A statement requests faults in a comment, `/* standin: NAME=VALUE NAME ... */`. With `first` among them, they apply only the
+//! first time that any engine of the log receives the statement.
 //!
-//! A request goes through `connection` (HTTP), `query` (statement, session, log entry), `execute` (what it computes) or `insert`,
-//! and `result` (what is written, with its faults).
+//! A request passes through `connection` (HTTP), `query` (statement, session and log entry), `execute` or `insert` (the work), and
+//! `result` (the response with its faults).
 
 mod connection;
 mod exception;
@@ -26,19 +26,19 @@
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 
-/// Stack of a connection's thread: small, since hundreds of connections may stay open.
+/// Stack size of a connection's thread. It is small, since hundreds of connections may stay open.
 const THREAD_STACK_BYTES: usize = 512 * 1024;
 
-/// What an engine is like.
+/// Options of an engine.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Its name in the log.
+    /// The engine's name in the log.
     pub name: String,
-    /// It sends a tag in its heads, and marks exceptions behind rows with that; older servers write plain lines.
+    /// Whether responses have an exception tag, which marks exceptions after rows. Older servers write them as plain lines.
     pub tags: bool,
-    /// The name and key of a user; others are rejected.
+    /// The name and key of the only accepted user, or `None` to accept all.
     pub user: Option<(String, String)>,
-    /// Statements that it runs at once; further ones get code 202.
+    /// The limit of concurrent statements; further ones fail with code 202.
     pub max_statements: usize,
 }
 
@@ -53,27 +53,27 @@
     }
 }
 
-/// A running engine; it stops when this is dropped.
+/// A running engine, which stops when it is dropped.
 pub struct Engine {
     shared: Arc<Shared>,
 }
 
 impl Engine {
-    /// Starts one on a port of the system's choice.
+    /// Starts an engine on a free loopback port.
     ///
     /// # Panics
     ///
-    /// Panics where loopback has no free port.
+    /// Panics if no port is free.
     pub fn start(options: Options, log: Arc<RequestLog>) -> Engine {
         let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
         Engine::listen(any_port, options, log).expect("a port on loopback")
     }
 
-    /// Starts one at an address.
+    /// Starts an engine at an address.
     ///
     /// # Errors
     ///
-    /// The system's, where the address can't be used.
+    /// Fails if the address can't be bound.
     pub fn listen(
         addr: SocketAddr,
         options: Options,
@@ -86,23 +86,23 @@
         Ok(Engine { shared })
     }
 
-    /// Where it listens.
+    /// The listening address.
     pub fn addr(&self) -> SocketAddr {
         self.shared.addr
     }
 
-    /// Its name.
+    /// The engine's name.
     pub fn name(&self) -> &str {
         &self.shared.options.name
     }
 
-    /// From now on it accepts everything and answers nothing, not even a ping; or answers again.
+    /// Sets whether the engine is mute: it accepts connections and requests, but sends no responses, not even to a ping.
     pub fn mute(&self, mute: bool) {
         self.shared.is_mute.store(mute, Ordering::SeqCst);
         self.shared.changed.notify_all();
     }
 
-    /// Its process ends and another takes its place: connections are reset, sessions and running queries are gone.
+    /// Simulates a restart of the engine's process: closes all connections, cancels running queries and discards sessions.
     pub fn restart(&self) {
         let mut state = self.shared.state();
         for cancelled in state.running.values() {
@@ -114,18 +114,18 @@
         }
     }
 
-    /// A table that belongs to no session.
+    /// Returns a table that is not temporary; an empty one if it does not exist.
     pub fn table(&self, name: &str) -> Table {
         let state = self.shared.state();
         state.tables.get(name).cloned().unwrap_or_default()
     }
 
-    /// The number of its sessions.
+    /// The number of sessions.
     pub fn sessions(&self) -> usize {
         self.shared.state().sessions.len()
     }
 
-    /// The ids of queries that run.
+    /// The ids of the running queries.
     pub fn running(&self) -> Vec<String> {
         self.shared.state().running.keys().cloned().collect()
     }
@@ -143,7 +143,7 @@
         for stream in self.shared.state().connections.values() {
             let _ = stream.shutdown(Shutdown::Both);
         }
-        // Wakes the accepting thread, so that it sees the end.
+        // Wakes the accepting thread, so that it stops.
         let _ = TcpStream::connect(self.shared.addr);
     }
 }
--- a/crates/mock-servers/src/engine/output/body.rs
+++ b/crates/mock-servers/src/engine/output/body.rs
@@ -1,19 +1,19 @@
-//! The body of a result: compressed blocks, content codings, chunks.
+//! Encodes the body of a result: compressed blocks, content coding and chunks.
 
 use driftfront_clickhouse::block::{self, Method};
 use driftfront_clickhouse::coding::Coding;
 use std::io::{self, Write};
 use std::net::{Shutdown, TcpStream};
 
-/// Bytes of one compressed block, or of one chunk.
+/// Buffered bytes at which a block is written.
 const BLOCK_BYTES: usize = 64 * 1024;
-/// The change to the last byte of a corrupted block.
+/// XORed with the last byte of a corrupted block.
 const CORRUPTION: u8 = 0x55;
 
-/// Writes chunks; the last one only when asked to.
+/// Writes chunks. The last chunk is written only by `finish`.
 pub(in super::super) struct Chunks {
     stream: TcpStream,
-    /// The body ends with the connection, without chunks.
+    /// Whether the body is not chunked and ends with the connection.
     is_plain: bool,
 }
 
@@ -22,7 +22,7 @@
         Chunks { stream, is_plain }
     }
 
-    /// The proper end.
+    /// Writes the end of the body.
     pub(in super::super) fn finish(mut self) -> io::Result<()> {
         if self.is_plain {
             return self.stream.shutdown(Shutdown::Write);
@@ -46,7 +46,7 @@
     }
 }
 
-/// The content coding over the chunks.
+/// The content coding, which writes to the chunks.
 enum CodingLayer {
     Plain(Chunks),
     Gzip(flate2::write::GzEncoder<Chunks>),
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Ends the coding; the chunks are still to be ended.
+    /// Finishes the coding, but not the chunks.
     fn finish(self) -> io::Result<Chunks> {
         match self {
             CodingLayer::Plain(chunks) => Ok(chunks),
@@ -103,10 +103,10 @@
 /// The body of a result.
 pub(in super::super) struct Body {
     coding: CodingLayer,
-    /// How blocks are compressed, if they are.
+    /// The compression method of blocks; `None` if the body is not in compressed blocks.
     block_method: Option<Method>,
     buffer: Vec<u8>,
-    /// The next block gets a wrong byte.
+    /// Whether the next block is corrupted.
     pub(in super::super) corrupts_next_block: bool,
 }
 
@@ -124,7 +124,7 @@
         })
     }
 
-    /// Adds bytes.
+    /// Adds bytes to the buffer, and writes it as a block if it is full.
     pub(in super::super) fn push(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.buffer.extend_from_slice(bytes);
         if self.buffer.len() >= BLOCK_BYTES {
@@ -133,7 +133,7 @@
         Ok(())
     }
 
-    /// Writes what is buffered, as one block.
+    /// Writes the buffer as one block.
     fn write_block(&mut self) -> io::Result<()> {
         if self.buffer.is_empty() {
             return Ok(());
@@ -150,13 +150,13 @@
         self.coding.writer().write_all(&bytes)
     }
 
-    /// Writes everything as far as it goes.
+    /// Writes all buffered bytes to the connection.
     pub(in super::super) fn flush(&mut self) -> io::Result<()> {
         self.write_block()?;
         self.coding.writer().flush()
     }
 
-    /// Ends the blocks and the coding; the chunks are still to be ended.
+    /// Finishes the blocks and the coding, but not the chunks.
     pub(in super::super) fn end(mut self) -> io::Result<Chunks> {
         self.write_block()?;
         self.coding.finish()
--- a/crates/mock-servers/src/engine/output/format.rs
+++ b/crates/mock-servers/src/engine/output/format.rs
@@ -1,8 +1,8 @@
-//! Formats of results.
+//! Output formats of results.
 
 use crate::engine::sql::{Column, Value};
 
-/// The formats that the engine writes.
+/// The formats that the engine supports.
 pub const FORMATS: &[&str] = &[
     "TabSeparated",
     "TSV",
@@ -22,7 +22,7 @@
     "Null",
 ];
 
-/// The content type that goes with a format.
+/// The content type of a format.
 pub(in super::super) fn content_type(format: &str) -> &'static str {
     match format {
         "CSV" => "text/csv; charset=UTF-8; header=absent",
@@ -43,7 +43,7 @@
 }
 
 impl<'a> Writer<'a> {
-    /// A writer for a result of these columns.
+    /// Creates a writer for a result with these columns.
     pub(in super::super) fn new(format: &'a str, columns: &'a [Column]) -> Writer<'a> {
         Writer {
             format,
@@ -52,12 +52,12 @@
         }
     }
 
-    /// Whether the format can hold an exception.
+    /// Whether the format has a key for an exception.
     pub(in super::super) fn has_exception_key(&self) -> bool {
         self.format.starts_with("JSON")
     }
 
-    /// What stands before the rows.
+    /// Writes the part before the rows.
     pub(in super::super) fn begin(&self, out: &mut Vec<u8>) {
         let names = || self.columns.iter().map(|column| column.name.as_str());
         let kinds = || self.columns.iter().map(|column| column.kind);
@@ -132,7 +132,7 @@
         row.iter().zip(self.columns).map(member).collect()
     }
 
-    /// What stands behind the rows, with an exception where the format has a key for one.
+    /// Writes the part after the rows, with the exception if the format has a key for it.
     pub(in super::super) fn end(&self, exception: Option<&str>, out: &mut Vec<u8>) {
         let exception = exception.map(json_text);
         let text = match (self.format, exception) {
@@ -188,7 +188,7 @@
 
 fn json(value: &Value) -> String {
     match value {
-        // 64-bit numbers are quoted, as servers did for long.
+        // 64-bit numbers are quoted, as older servers do by default.
         Value::Number(n) => format!("\"{n}\""),
         Value::Text(text) => json_text(text),
     }
@@ -214,13 +214,13 @@
     }
 }
 
-/// A text behind its length.
+/// Writes a string with its length as prefix.
 fn push_text(text: &str, out: &mut Vec<u8>) {
     push_leb128(text.len(), out);
     out.extend(text.bytes());
 }
 
-/// A number in groups of 7 bits, the lowest first.
+/// Writes a number in unsigned LEB128.
 fn push_leb128(mut n: usize, out: &mut Vec<u8>) {
     loop {
         let [group, ..] = (n & 0x7f).to_le_bytes();
--- a/crates/mock-servers/src/engine/output/mod.rs
+++ b/crates/mock-servers/src/engine/output/mod.rs
@@ -1,4 +1,4 @@
-//! The bytes of a result: formats, and the layers below them.
+//! Encoding of results: formats, compression and chunks.
 
 mod body;
 mod format;
--- a/crates/mock-servers/src/engine/query.rs
+++ b/crates/mock-servers/src/engine/query.rs
@@ -1,9 +1,9 @@
-//! A query: its statement and session, from its request to its entry in the log.
+//! Reads queries from requests, logs and admits them, and runs them.
 
 use super::connection::{After, Connection, FIRST_BODY_BYTES};
 use super::exception::{code, Exception, QueryError};
 use super::faults::Faults;
-use super::insert::unpack_blocks;
+use super::insert::decompress_blocks;
 use super::state::{Session, State};
 use driftfront_clickhouse::coding::{self, Coding};
 use driftfront_clickhouse::credentials::Credentials;
@@ -16,35 +16,35 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// The time-out of a session that names none.
+/// The default timeout of a session.
 const DEFAULT_SESSION_TIMEOUT_S: u64 = 60;
 
-/// A query that runs.
+/// A query.
 pub(super) struct Query {
     pub(super) request: Rc<Request>,
     pub(super) params: Params,
     pub(super) id: String,
-    /// The statement: from the URL, or the beginning of the body.
+    /// The statement from a form, the URL or the start of the body.
     pub(super) statement: String,
-    /// The statement stands in the body, with rows behind it.
+    /// Whether the statement is in the body, followed by the rows of an insert.
     pub(super) is_in_body: bool,
     pub(super) faults: Faults,
-    /// Its session, by user and id.
+    /// The user and the id of the session.
     pub(super) session: Option<String>,
-    /// Its entry in the log.
+    /// The index of the log entry.
     pub(super) entry: usize,
-    /// Set when it is cancelled.
+    /// Set to cancel the query.
     pub(super) cancelled: Arc<AtomicBool>,
 }
 
-/// A statement, and where it stood.
+/// A statement, and whether it comes from the body.
 struct StatementText {
     text: String,
     is_in_body: bool,
 }
 
 impl Connection<'_> {
-    /// Runs a query, and writes its result. With an error nothing was written yet.
+    /// Runs a query and writes its result. An exception is returned before any part of the result is written.
     pub(super) fn run_query(
         &mut self,
         request: &Rc<Request>,
@@ -52,7 +52,7 @@
         id: &str,
     ) -> Result<After, QueryError> {
         let statement = read_statement(request, &params)?;
-        // One lock over both: whoever finds the query in the log finds it running, too.
+        // Holds the lock across both calls, so that a query in the log is also in the list of running queries.
         let mut state = self.shared.state();
         let query = self.start_query(request.clone(), params, id, statement);
         let admitted = self.admit(&mut state, &query);
@@ -71,7 +71,7 @@
         result
     }
 
-    /// Writes a query into the log.
+    /// Logs the start of a query.
     fn start_query(
         &self,
         request: Rc<Request>,
@@ -81,8 +81,8 @@
     ) -> Query {
         let log = &self.shared.log;
         let StatementText { text, is_in_body } = statement;
-        let mut faults = Faults::of(&text);
-        if faults.has("first") && log.knows(&text) {
+        let mut faults = Faults::parse(&text);
+        if faults.has("first") && log.has_started(&text) {
             faults = Faults::default();
         }
         let credentials = Credentials::parse(&params, &request.headers).ok();
@@ -105,7 +105,7 @@
         }
     }
 
-    /// All that comes before a statement runs: the user, the limit of statements, the id, the session.
+    /// Checks the user, the limit of statements and the query id, and locks the session.
     fn admit(&self, state: &mut State, query: &Query) -> Result<(), QueryError> {
         self.authenticate(query)?;
         let is_full = state.running.len() >= self.shared.options.max_statements;
@@ -141,18 +141,18 @@
             return Ok(());
         };
         let credentials = Credentials::parse(&query.params, &query.request.headers).ok();
-        let is_right = credentials.is_some_and(|credentials| {
+        let is_valid = credentials.is_some_and(|credentials| {
             let headers: BTreeMap<&str, &str> = credentials.headers().collect();
             headers.get("X-ClickHouse-User") == Some(&user.as_str())
                 && headers.get("X-ClickHouse-Key") == Some(&key.as_str())
         });
-        is_right.then_some(()).ok_or_else(|| {
+        is_valid.then_some(()).ok_or_else(|| {
             let message = "Authentication failed: password is incorrect";
             Exception::new(code::AUTHENTICATION_FAILED, message)
         })
     }
 
-    /// A query has ended: its id and its session are free again.
+    /// Releases the id and the session of a query that has ended.
     fn release(&self, query: &Query) {
         let mut state = self.shared.state();
         state.running.remove(&query.id);
@@ -164,7 +164,7 @@
     }
 }
 
-/// Locks a session for a query; makes it where it is new.
+/// Locks a session for a query, and creates the session if it is new.
 fn lock_session(state: &mut State, id: &str, params: &Params) -> Result<(), Exception> {
     let now = Instant::now();
     state
@@ -200,7 +200,7 @@
     }
 }
 
-/// The statement of a request: a field of a form, the URL's, or the beginning of the body.
+/// Reads the statement of a request from a form's field, the URL, or the start of the body.
 fn read_statement(request: &Request, params: &Params) -> Result<StatementText, Exception> {
     let form = read_form(request)?;
     let in_url = params.get("query").unwrap_or_default();
@@ -218,13 +218,14 @@
     Ok(StatementText { text, is_in_body })
 }
 
-/// The field `query` of a form; empty where there is none.
+/// Reads the field `query` of a form. The result is empty if there is none.
 fn read_form(request: &Request) -> Result<String, Exception> {
     let content_type = header(&request.headers, "content-type").unwrap_or_default();
     if !multipart::is_form(content_type) {
         return Ok(String::new());
     }
-    let malformed = |why: String| Exception::new(code::BAD_ARGUMENTS, format!("multipart: {why}"));
+    let malformed =
+        |reason: String| Exception::new(code::BAD_ARGUMENTS, format!("multipart: {reason}"));
     let boundary =
         multipart::parse_boundary(content_type).ok_or_else(|| malformed("no boundary".into()))?;
     let parts = multipart::parse(&request.body, &boundary).map_err(|e| malformed(e.to_string()))?;
@@ -236,7 +237,7 @@
     }))
 }
 
-/// The beginning of a body, unpacked.
+/// Reads the start of a body, decompressed.
 fn read_body_start(request: &Request, params: &Params) -> Result<String, Exception> {
     let mut body = request.body.clone();
     let content_coding = header(&request.headers, "content-encoding").and_then(Coding::from_name);
@@ -244,7 +245,7 @@
         body = coding::decompress_prefix(content_coding, &body, FIRST_BODY_BYTES);
     }
     if params.is_on("decompress") {
-        body = unpack_blocks(&body)?;
+        body = decompress_blocks(&body)?;
     }
     Ok(String::from_utf8_lossy(&body).into_owned())
 }
--- a/crates/mock-servers/src/engine/result.rs
+++ b/crates/mock-servers/src/engine/result.rs
@@ -1,4 +1,4 @@
-//! Results on their way to the client, and what goes wrong there.
+//! Writes results to the client, with the requested faults.
 
 use super::connection::{After, Connection};
 use super::exception::Exception;
@@ -13,18 +13,18 @@
 use std::io::{self, Write};
 use std::time::Duration;
 
-/// Rows are written on when they have this many bytes.
+/// Buffered bytes of rows at which they are written to the body.
 const ROWS_BUFFER_BYTES: usize = 32 * 1024;
-/// Rows between two looks whether the client has left.
+/// Rows between two checks for a disconnected client.
 const CLIENT_CHECK_ROWS: u64 = 64;
-/// Faults by which a client gives a result up as soon as it sees them.
-const GIVEN_UP_FAULTS: [&str; 3] = ["lie", "bad_block", "bad_block_after"];
+/// Faults that make clients abandon a result as soon as they detect them.
+const ABANDONED_RESULT_FAULTS: [&str; 3] = ["lie", "bad_block", "bad_block_after"];
 
 /// The result of a statement.
 pub(super) enum QueryResult {
-    /// Rows, in the format that is asked for.
+    /// Rows to be written in the requested format.
     Rows(Rows),
-    /// Bytes as they are.
+    /// Bytes to be written unchanged.
     Raw(Vec<u8>),
 }
 
@@ -43,16 +43,16 @@
 
 /// How the body of a result ends.
 enum BodyEnd {
-    /// As it should.
+    /// The body is complete.
     Complete,
-    /// The connection is closed before the end.
+    /// The connection is closed before the end of the body.
     Cut,
-    /// Nothing more comes.
+    /// The connection stays open, but nothing more is sent.
     Silent,
 }
 
 impl Connection<'_> {
-    /// Writes a result. The status line may be out already, with progress behind it (`is_head_begun`).
+    /// Writes a result. With `is_head_begun`, the status line and progress headers have already been sent.
     pub(super) fn write_result(
         &mut self,
         query: &Query,
@@ -63,11 +63,14 @@
         let tag = exception_tag(&query.id);
         let head = self.result_head(query, format, result, &tag);
         let status_line_end = head.iter().position(|&b| b == b'\n').map_or(0, |at| at + 1);
-        if GIVEN_UP_FAULTS.iter().any(|fault| query.faults.has(fault)) {
-            // That the client gives it up is nothing that its engine could know.
+        if ABANDONED_RESULT_FAULTS
+            .iter()
+            .any(|fault| query.faults.has(fault))
+        {
+            // The engine can't observe that the client abandons the result, so it is logged in advance.
             self.shared
                 .log
-                .note(query.entry, |entry| entry.client_left = true);
+                .update(query.entry, |entry| entry.client_left = true);
         }
         let copies = if query.faults.has("twice") { 2 } else { 1 };
         let request = &query.request;
@@ -84,11 +87,11 @@
             let mut body = self.result_body(query)?;
             match self.write_body(query, format, result, &tag, &mut body)? {
                 BodyEnd::Complete => {
-                    // Logged before its last byte: who reads that may begin the next query at once.
+                    // Logged before the last byte is sent, since the client may start the next query as soon as it reads it.
                     self.shared.log.end(query.entry, true);
                     body.end()?.finish()?;
                 }
-                // Servers close the connection behind an exception that came too late.
+                // Servers close the connection after an exception that follows rows.
                 BodyEnd::Cut => {
                     body.flush()?;
                     return Ok(After::Close);
@@ -199,25 +202,25 @@
         Ok(BodyEnd::Complete)
     }
 
-    /// True if the result is not wanted any more.
+    /// Applies the delay between rows. Returns `true` if the client has disconnected or the engine has stopped.
     fn pause_between_rows(&self, query: &Query, index: u64, body: &mut Body) -> io::Result<bool> {
         if let Some(ms) = query.faults.number("crawl_ms") {
             body.flush()?;
             std::thread::sleep(Duration::from_millis(ms));
         }
-        if !self.shared.wait_until_speaking() {
+        if !self.shared.wait_while_mute() {
             return Ok(true);
         }
         if index.is_multiple_of(CLIENT_CHECK_ROWS) && self.has_client_left() {
             self.shared
                 .log
-                .note(query.entry, |entry| entry.client_left = true);
+                .update(query.entry, |entry| entry.client_left = true);
             return Ok(true);
         }
         Ok(false)
     }
 
-    /// Ends a result with an exception behind its rows, or inside the format where the client asked for that.
+    /// Ends a result with an exception after its rows, or inside the format if the client requests that.
     fn end_with_exception(
         &self,
         query: &Query,
@@ -250,7 +253,7 @@
     }
 }
 
-/// Ends a body that has reached the length at which a fault is asked for.
+/// Ends a body that has reached the length at which a fault is requested.
 fn apply_fault_after(
     query: &Query,
     length: u64,
@@ -279,7 +282,7 @@
     Ok(None)
 }
 
-/// The tag that marks an exception behind rows.
+/// The tag that marks an exception after rows.
 fn exception_tag(id: &str) -> String {
     const SEED: u64 = 7;
     format!("tag{:013x}", fnv(SEED, id.as_bytes()) >> 12)
@@ -292,7 +295,7 @@
     )
 }
 
-/// The content coding that the client accepts and has asked for.
+/// The content coding that the client accepts, if it requests compression.
 fn content_coding(query: &Query) -> Option<Coding> {
     if !query.params.is_on("enable_http_compression") {
         return None;
@@ -301,7 +304,7 @@
     Coding::negotiate(accept.unwrap_or_default())
 }
 
-/// The method of compressed blocks, if the client has asked for these.
+/// The compression method of blocks, if the client requests compressed blocks.
 fn block_method(query: &Query) -> Option<Method> {
     if !query.params.is_on("compress") {
         return None;
--- a/crates/mock-servers/src/engine/sql/expression.rs
+++ b/crates/mock-servers/src/engine/sql/expression.rs
@@ -1,9 +1,9 @@
-//! Columns, and the expressions that make their values.
+//! Columns and the expressions that compute their values.
 
 use super::{syntax_error, Scope};
 use crate::engine::exception::{code, Exception};
 
-/// The length of a text of [`Expression::Repeated`] that names none.
+/// The default number of repetitions of [`Expression::Repeated`].
 const DEFAULT_REPETITIONS: usize = 10;
 
 /// A value of a result.
@@ -19,7 +19,7 @@
 #[derive(Clone, Debug)]
 pub(in super::super) struct Column {
     pub(in super::super) name: String,
-    /// Its type, as ClickHouse names it.
+    /// ClickHouse's name of the column's type.
     pub(in super::super) kind: &'static str,
     expression: Expression,
 }
@@ -37,7 +37,7 @@
         }
     }
 
-    /// The value in a row, by its number from 0.
+    /// Computes the value in a row, numbered from 0.
     pub(super) fn value(&self, row: u64) -> Result<Value, Exception> {
         match &self.expression {
             Expression::Constant(value) => Ok(value.clone()),
@@ -52,20 +52,20 @@
     }
 }
 
-/// How a value is made.
+/// An expression that computes a column's value in each row.
 #[derive(Clone, Debug)]
 pub(in super::super) enum Expression {
     Constant(Value),
     /// The row's number.
     RowNumber,
-    /// The row's number as text, repeated.
+    /// The row's number as a string, repeated this many times.
     Repeated(usize),
-    /// Fails at this row.
+    /// Throws at this row; 0 in all others.
     ThrowAt(u64),
 }
 
 impl Expression {
-    /// Parses an expression; `sleep` grows by the seconds that it sleeps.
+    /// Parses an expression. The seconds that it sleeps are added to `sleep`.
     pub(super) fn parse(
         text: &str,
         scope: &Scope,
@@ -74,10 +74,10 @@
         if let Ok(number) = text.parse() {
             return Ok(Expression::Constant(Value::Number(number)));
         }
-        if let Some(literal) = strip_around(text, '\'', '\'') {
+        if let Some(literal) = strip_delimiters(text, '\'', '\'') {
             return Ok(constant_text(literal));
         }
-        if let Some(parameter) = strip_around(text, '{', '}') {
+        if let Some(parameter) = strip_delimiters(text, '{', '}') {
             let (name, kind) = parameter
                 .split_once(':')
                 .ok_or_else(|| syntax_error(text))?;
@@ -158,6 +158,6 @@
     Expression::Constant(Value::Text(text.into()))
 }
 
-fn strip_around(text: &str, start: char, end: char) -> Option<&str> {
+fn strip_delimiters(text: &str, start: char, end: char) -> Option<&str> {
     text.strip_prefix(start)?.strip_suffix(end)
 }
--- a/crates/mock-servers/src/engine/sql/mod.rs
+++ b/crates/mock-servers/src/engine/sql/mod.rs
@@ -1,4 +1,4 @@
-//! The few statements that the engine understands.
+//! Parses the subset of SQL that the engine supports.
 
 mod expression;
 mod select;
@@ -10,10 +10,10 @@
 use std::collections::BTreeMap;
 use text::{find_word, first_word, name, strip_words, without_comments};
 
-/// Characters of a statement that a syntax error repeats.
+/// Maximum length of the statement's text in a syntax error, in characters.
 const MAX_SHOWN_CHARS: usize = 30;
 
-/// What a SELECT gives: its columns, and how many rows.
+/// The result of a SELECT: its columns and the number of rows.
 #[derive(Clone, Debug)]
 pub(super) struct Rows {
     pub(super) columns: Vec<Column>,
@@ -21,7 +21,7 @@
 }
 
 impl Rows {
-    /// One row of one value.
+    /// Creates a result of one row with one value.
     pub(super) fn one(name: &str, value: Value) -> Rows {
         Rows {
             columns: vec![Column::new(name.into(), Expression::Constant(value))],
@@ -29,7 +29,7 @@
         }
     }
 
-    /// The values of a row, by its number from 0; an exception where an expression fails on it.
+    /// Computes the values of a row, numbered from 0. Fails if an expression throws on this row.
     pub(super) fn row(&self, number: u64) -> Result<Vec<Value>, Exception> {
         let columns = self.columns.iter();
         columns.map(|column| column.value(number)).collect()
@@ -39,45 +39,45 @@
 /// A statement.
 #[derive(Clone, Debug)]
 pub(super) enum Statement {
-    /// Rows that are computed, after some seconds of sleep.
+    /// Returns computed rows after sleeping for some seconds.
     Select { rows: Rows, sleep: f64 },
-    /// What was inserted into a table, as it came.
+    /// Returns the bytes that were inserted into a table.
     Echo(String),
-    /// The number of rows in a table.
+    /// Returns the number of rows in a table.
     Count(String),
-    /// Rows into a table; with the data in the statement itself, if there are any.
+    /// Inserts rows into a table; `inline` is the data in the statement itself.
     Insert { table: String, inline: String },
-    /// A new table, of the engine or of the session.
+    /// Creates a table of the engine, or a temporary one of the session.
     Create { table: String, temporary: bool },
-    /// The end of a table.
+    /// Drops a table.
     Drop(String),
-    /// A setting of the session.
+    /// Changes a setting of the session.
     Set(String, String),
-    /// The database of the session.
+    /// Changes the database of the session.
     Use(String),
-    /// The end of other queries.
+    /// Cancels the queries with these ids.
     Kill(Vec<String>),
-    /// The ids of the queries that run.
+    /// Returns the ids of the running queries.
     Processes,
-    /// The names of the tables.
+    /// Returns the names of the tables.
     ShowTables,
-    /// Whether a table exists: 1 or 0.
+    /// Returns 1 if a table exists, otherwise 0.
     Exists(String),
 }
 
-/// What a statement may refer to.
+/// The values that a statement can refer to.
 pub(super) struct Scope<'a> {
-    /// Query parameters, `param_x` as `x`.
+    /// Query parameters, without the prefix `param_`.
     pub(super) params: &'a BTreeMap<String, String>,
-    /// Settings in force.
+    /// Effective settings.
     pub(super) settings: &'a BTreeMap<String, String>,
-    /// The database in force.
+    /// The current database.
     pub(super) database: &'a str,
     /// The query's id.
     pub(super) id: &'a str,
 }
 
-/// A statement, and the format that it names.
+/// A statement and the format in its FORMAT clause.
 pub(super) struct Parsed {
     pub(super) statement: Statement,
     pub(super) format: Option<String>,
@@ -105,9 +105,9 @@
 /// Parses what follows `INSERT INTO`.
 fn parse_insert(text: &str) -> Parsed {
     let text = strip_words(text, &["table"]).unwrap_or(text);
-    let (_, behind) = first_word(text);
-    let format = find_word(behind, "format").map(|at| first_word(&behind[at + "format".len()..]));
-    let values = find_word(behind, "values").map(|at| &behind[at + "values".len()..]);
+    let (_, rest) = first_word(text);
+    let format = find_word(rest, "format").map(|at| first_word(&rest[at + "format".len()..]));
+    let values = find_word(rest, "values").map(|at| &rest[at + "values".len()..]);
     let inline = format.map(|(_, inline)| inline).or(values);
     let format = format
         .map(|(format, _)| format)
@@ -144,7 +144,7 @@
             Ok(Statement::Exists(name(rest)))
         }
         "kill" => {
-            // The ids stand between quotes.
+            // The ids are the quoted strings.
             let ids = rest.split('\'').skip(1).step_by(2);
             Ok(Statement::Kill(ids.map(String::from).collect()))
         }
--- a/crates/mock-servers/src/engine/sql/select.rs
+++ b/crates/mock-servers/src/engine/sql/select.rs
@@ -1,4 +1,4 @@
-//! SELECT statements.
+//! Parses SELECT statements.
 
 use super::expression::{Column, Expression, Value};
 use super::text::{find_word, first_word, name, split};
@@ -28,7 +28,7 @@
         let text = text.trim();
         let column_name = alias.unwrap_or_else(|| text.to_string());
         let expression = Expression::parse(text, scope, &mut sleep)?;
-        // Over all rows there is one number.
+        // An aggregate returns a single row.
         if let Some(total) = aggregate(text, count) {
             let rows = Rows::one(&column_name, Value::Number(total));
             return Ok(Statement::Select { rows, sleep });
@@ -39,11 +39,11 @@
     Ok(Statement::Select { rows, sleep })
 }
 
-/// Where rows come from.
+/// The source of a SELECT's rows.
 enum Source {
-    /// So many numbers.
+    /// The numbers from 0 up to this bound, exclusive.
     Numbers(u64),
-    /// A table, which the statement shows as a whole.
+    /// A table; holds the statement that returns its content.
     Table(Statement),
 }
 
@@ -53,9 +53,9 @@
     let limit = limit
         .map(|limit| limit.parse::<u64>().map_err(|_| syntax_error(from)))
         .transpose()?;
-    let (source, behind) = first_word(from);
+    let (source, rest) = first_word(from);
     let source = source.trim_matches('`');
-    let argument = behind.trim_start().strip_prefix('(');
+    let argument = rest.trim_start().strip_prefix('(');
     Ok(match source.to_ascii_lowercase().as_str() {
         "numbers" | "numbers_mt" if argument.is_some() => {
             let argument = argument.and_then(|text| text.split(')').next());
@@ -76,7 +76,7 @@
     })
 }
 
-/// The value of `count(...)` or `sum(...)` over so many numbers from 0.
+/// Computes `count(...)` or `sum(...)` over the first `count` numbers from 0.
 fn aggregate(expression: &str, count: u64) -> Option<u64> {
     let expression = expression.to_ascii_lowercase();
     if expression.starts_with("count(") {
--- a/crates/mock-servers/src/engine/sql/text.rs
+++ b/crates/mock-servers/src/engine/sql/text.rs
@@ -1,6 +1,6 @@
-//! Words, brackets and strings in the text of a statement.
+//! Finds words, brackets and strings in a statement's text.
 
-/// Leaves comments out; strings stay as they are.
+/// Removes comments outside strings.
 pub(super) fn without_comments(text: &str) -> String {
     let mut out = String::new();
     let mut remaining = text;
@@ -23,33 +23,33 @@
     out
 }
 
-/// The first word, which a space or a bracket ends, and what follows it.
+/// Splits the text after its first word, which ends at white space or an opening bracket.
 pub(super) fn first_word(text: &str) -> (&str, &str) {
     let text = text.trim_start();
     let end = text.find(|c: char| c.is_whitespace() || c == '(');
     text.split_at(end.unwrap_or(text.len()))
 }
 
-/// What follows these words, if the text begins with them in any case.
+/// Returns the text after these words if it starts with them, ignoring case.
 pub(super) fn strip_words<'a>(text: &'a str, words: &[&str]) -> Option<&'a str> {
     let mut remaining = text;
     for word in words {
-        let (first, behind) = first_word(remaining);
+        let (first, rest) = first_word(remaining);
         if !first.eq_ignore_ascii_case(word) {
             return None;
         }
-        remaining = behind;
+        remaining = rest;
     }
     Some(remaining)
 }
 
-/// The first word as a name, without quotes.
+/// Returns the first word as a name, without quotes.
 pub(super) fn name(text: &str) -> String {
     let (word, _) = first_word(text);
     word.trim_matches(['`', '"', ';']).to_string()
 }
 
-/// Splits at a separator outside brackets and strings.
+/// Splits the text at each separator outside brackets and strings.
 pub(super) fn split(text: &str, separator: char) -> Vec<&str> {
     let mut parts = Vec::new();
     let (mut start, mut depth, mut is_in_string) = (0, 0, false);
@@ -69,7 +69,7 @@
     parts
 }
 
-/// Where a word stands outside brackets and strings; `wanted` is in lower case.
+/// Finds a word outside brackets and strings, ignoring case; `wanted` must be in lower case.
 pub(super) fn find_word(text: &str, wanted: &str) -> Option<usize> {
     let is_in_word = |c: char| c.is_alphanumeric() || c == '_';
     let lower = text.to_ascii_lowercase();
@@ -84,8 +84,8 @@
         if depth != 0 || is_in_string || text[..at].ends_with(is_in_word) {
             continue;
         }
-        if let Some(behind) = lower[at..].strip_prefix(wanted) {
-            if !behind.starts_with(is_in_word) {
+        if let Some(rest) = lower[at..].strip_prefix(wanted) {
+            if !rest.starts_with(is_in_word) {
                 return Some(at);
             }
         }
--- a/crates/mock-servers/src/lib.rs
+++ b/crates/mock-servers/src/lib.rs
@@ -1,8 +1,8 @@
-//! Mock servers: the systems that driftfront meets, written from public descriptions, on loopback alone.
+//! Mock servers for the systems that driftfront talks to, written from public descriptions. They listen on loopback only.
 //!
-//! [`engine::Engine`] speaks ClickHouse's HTTP interface: it computes small results, holds sessions and tables, and is scripted
-//! to stall, cut, lie and fail. What it was sent stands in a [`request_log::RequestLog`], on which every rule can be counted that
-//! shows from an engine.
+//! [`engine::Engine`] implements ClickHouse's HTTP interface: it computes small results, keeps sessions and tables, and injects
+//! faults on request, such as stalls, truncated responses and wrong query ids. A [`request_log::RequestLog`] records the received
+//! statements and checks them against the rules that are visible to an engine.
 #![forbid(unsafe_code)]
 
 pub mod engine;
--- a/crates/mock-servers/src/main.rs
+++ b/crates/mock-servers/src/main.rs
@@ -1,4 +1,4 @@
-//! Stand-ins by hand: an engine for trying things out, on loopback alone.
+//! Runs a mock engine on loopback for manual tests.
 #![forbid(unsafe_code)]
 
 use driftfront_mock_servers::engine::{Engine, Options};
@@ -9,14 +9,15 @@
 use std::process::ExitCode;
 use std::sync::Arc;
 
-const HELP: &str = "driftfront-mock-servers: stand-ins for the systems that driftfront meets
+const HELP: &str = "driftfront-mock-servers: mock servers for the systems that driftfront talks to
 
 usage:
   driftfront-mock-servers engine [--listen ADDRESS] [--name NAME] [--old] [--user NAME:KEY] [--most N]
 
-An engine speaks ClickHouse's HTTP interface and computes small results. ADDRESS is on loopback, 127.0.0.1:9123 without
-it. --old: exceptions behind rows are plain lines, without a tag. --most: statements at once, more get code 202.
-Faults are asked for in a comment of the statement, as in SELECT 1 /* standin: sleep_ms=500 late=241 first */:
+An engine implements ClickHouse's HTTP interface and computes small results. ADDRESS must be on loopback; the default is
+127.0.0.1:9123. --old: exceptions after rows are plain lines, without a tag. --most: the limit of concurrent statements;
+further ones fail with code 202.
+Faults are requested in a comment of the statement, as in SELECT 1 /* standin: sleep_ms=500 late=241 first */:
   error=CODE  full  cut  silent  sleep_ms=N  late=CODE [whole]  lie  twice  bad_block  crawl_ms=N
   silent_after=BYTES  cut_after=BYTES  bad_block_after=BYTES  slow_ms=N  error_after=BYTES (inserts)  first
 ";
@@ -40,7 +41,7 @@
         return Ok(());
     }
     if args.subcommand()?.as_deref() != Some("engine") {
-        return Err("say what to stand in for: engine; see --help".into());
+        return Err("the command must be engine; see --help".into());
     }
     let listen = read_listen_address(&mut args)?;
     let options = read_engine_options(&mut args)?;
@@ -60,7 +61,7 @@
     let text = text.unwrap_or_else(|| DEFAULT_ADDRESS.into());
     let addr: SocketAddr = text.parse().map_err(|e| format!("--listen {text}: {e}"))?;
     if !addr.ip().is_loopback() {
-        return Err(format!("--listen {text}: stand-ins stay on loopback").into());
+        return Err(format!("--listen {text}: not a loopback address").into());
     }
     Ok(addr)
 }
--- a/crates/mock-servers/src/request_log/rules.rs
+++ b/crates/mock-servers/src/request_log/rules.rs
@@ -1,19 +1,19 @@
-//! Rules that show from the engines.
+//! Rules that can be checked on the statements that engines received.
 
 use super::{Budget, Entry};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Instant;
 
-/// Attempts that one request may have.
+/// Maximum number of attempts of a request.
 const MAX_ATTEMPTS: usize = 6;
-/// Further attempts that are allowed whatever the traffic.
+/// Further attempts that are allowed regardless of the traffic.
 const FREE_FURTHER_ATTEMPTS: f64 = 5.0;
-/// Further attempts that are allowed for each request.
+/// Further attempts that are allowed per request.
 const FURTHER_ATTEMPTS_RATIO: f64 = 0.1;
-/// What operators allow beyond a retry budget, as a multiple; one attempt comes on top.
-const BUDGET_SLACK: f64 = 1.15;
+/// The operators' tolerance for a retry budget: its multiple, plus one attempt.
+const BUDGET_TOLERANCE: f64 = 1.15;
 
-/// Checks all rules but retry budgets.
+/// Checks all rules except retry budgets.
 pub(super) fn check_all(entries: &[Entry], requests: usize) -> Vec<String> {
     let mut by_statement: BTreeMap<&str, Vec<&Entry>> = BTreeMap::new();
     let mut by_table: BTreeMap<&str, Vec<&Entry>> = BTreeMap::new();
@@ -66,8 +66,8 @@
     breaches
 }
 
-/// Whether an attempt began before the one before it had ended. One that was given up ended when its connection was closed,
-/// which its engine sees a moment later.
+/// Whether an attempt started before the previous one had ended. An attempt whose client disconnected is taken to have ended
+/// then, since its engine notices the disconnect with a delay.
 fn has_overlap(attempts: &[&Entry]) -> bool {
     let overlaps = |earlier: &Entry, later: &Entry| {
         let has_ended = earlier.end_seq.is_some_and(|end| end < later.start_seq);
@@ -76,7 +76,7 @@
     attempts.windows(2).any(|pair| overlaps(pair[0], pair[1]))
 }
 
-/// Checks a retry budget at each further attempt.
+/// Checks a retry budget for each further attempt.
 pub(super) fn check_budget(
     entries: &[Entry],
     budget: &Budget,
@@ -91,16 +91,16 @@
     for attempt in &further {
         let is_in_window =
             |at: &Instant| *at <= attempt.at && attempt.at.duration_since(*at) < budget.window;
-        let made = further
+        let attempts = further
             .iter()
             .filter(|other| is_in_window(&other.at))
             .count();
-        let taken = requests.iter().filter(|at| is_in_window(at)).count();
-        let allowed = (budget.free + budget.ratio * taken as f64) * BUDGET_SLACK + 1.0;
-        if made as f64 > allowed {
+        let requests = requests.iter().filter(|at| is_in_window(at)).count();
+        let allowed = (budget.free + budget.ratio * requests as f64) * BUDGET_TOLERANCE + 1.0;
+        if attempts as f64 > allowed {
             let statement = &attempt.statement;
             breaches.push(format!(
-                "{statement}: attempt {made} where {taken} taken allow {allowed:.1}"
+                "{statement}: attempt {attempts} in a window where {requests} requests allow {allowed:.1}"
             ));
         }
     }
--- a/crates/mock-servers/tests/golden.rs
+++ b/crates/mock-servers/tests/golden.rs
@@ -1,4 +1,5 @@
-//! The mock engine's answers, byte for byte: statements, formats, sessions, codings and each fault; see `golden/README.md`.
+//! Compares the mock engine's responses byte for byte with golden files: statements, formats, sessions, codings and each fault.
+//! See `golden/README.md`.
 #![allow(clippy::too_many_lines, reason = "tests list their cases")]
 
 use driftfront_mock_servers::engine::{Engine, Options, FORMATS};
@@ -12,13 +13,13 @@
     Engine::start(options, Arc::new(RequestLog::default()))
 }
 
-/// Sends these bytes, and reads all that comes until the engine closes.
+/// Sends these bytes and reads until the engine closes the connection.
 fn exchange(addr: SocketAddr, request: &[u8]) -> Vec<u8> {
     let mut stream = TcpStream::connect(addr).expect("the engine listens");
     stream.write_all(request).expect("it reads");
-    let mut answer = Vec::new();
-    let _ = stream.read_to_end(&mut answer);
-    answer
+    let mut response = Vec::new();
+    let _ = stream.read_to_end(&mut response);
+    response
 }
 
 fn post(target: &str, headers: &str, body: &[u8]) -> Vec<u8> {
@@ -29,42 +30,42 @@
     [head.as_bytes(), body].concat()
 }
 
-/// A text of requests and answers, with what is no text escaped.
-struct Talk {
+/// A transcript of requests and responses, with non-ASCII bytes escaped.
+struct Transcript {
     addr: SocketAddr,
     text: String,
 }
 
-impl Talk {
-    fn new(engine: &Engine) -> Talk {
-        Talk {
+impl Transcript {
+    fn new(engine: &Engine) -> Transcript {
+        Transcript {
             addr: engine.addr(),
             text: String::new(),
         }
     }
 
-    fn raw(&mut self, title: &str, request: &[u8]) {
-        let answer = exchange(self.addr, request);
-        let answer = answer.escape_ascii().to_string().replace("\\n", "\\n\n");
-        self.text += &format!("== {title}\n{answer}\n");
+    fn send(&mut self, title: &str, request: &[u8]) {
+        let response = exchange(self.addr, request);
+        let response = response.escape_ascii().to_string().replace("\\n", "\\n\n");
+        self.text += &format!("== {title}\n{response}\n");
     }
 
-    /// A statement in the body, under an id.
+    /// Sends a statement in the body, with a query id.
     fn query(&mut self, statement: &str) {
-        self.with("", statement);
+        self.query_with("", statement);
     }
 
-    fn with(&mut self, parameters: &str, statement: &str) {
+    fn query_with(&mut self, parameters: &str, statement: &str) {
         let target = format!("/?query_id=q1{parameters}");
         let title = format!("{parameters} {}", statement.escape_debug());
-        self.raw(title.trim(), &post(&target, "", statement.as_bytes()));
+        self.send(title.trim(), &post(&target, "", statement.as_bytes()));
     }
 }
 
 #[test]
-fn statements_are_answered_as_before() {
+fn responses_to_statements() {
     let engine = engine(Options::default());
-    let mut t = Talk::new(&engine);
+    let mut t = Transcript::new(&engine);
     for statement in [
         "SELECT 1",
         "SELECT 1, 'a\\'b' AS x",
@@ -101,9 +102,9 @@
 }
 
 #[test]
-fn formats_are_written_as_before() {
+fn result_formats() {
     let engine = engine(Options::default());
-    let mut t = Talk::new(&engine);
+    let mut t = Transcript::new(&engine);
     for format in FORMATS {
         t.query(&format!(
             "SELECT number, 'a\"b\\t' AS x FROM numbers(2) FORMAT {format}"
@@ -111,7 +112,7 @@
         t.query(&format!(
             "SELECT number FROM numbers(2) FORMAT {format} /* standin: late=241 */"
         ));
-        t.with(
+        t.query_with(
             "&http_write_exception_in_output_format=1",
             &format!("SELECT number FROM numbers(2) FORMAT {format} /* standin: late=241 */"),
         );
@@ -120,9 +121,9 @@
 }
 
 #[test]
-fn faults_are_shown_as_before() {
+fn injected_faults() {
     let engine = engine(Options::default());
-    let mut t = Talk::new(&engine);
+    let mut t = Transcript::new(&engine);
     for fault in [
         "error=60",
         "error=241",
@@ -147,7 +148,7 @@
         ));
         if fault.contains("block") {
             let statement = format!("SELECT number FROM numbers(9) /* standin: {fault} */");
-            t.with("&compress=1", &statement);
+            t.query_with("&compress=1", &statement);
         }
     }
     t.query("INSERT INTO t FORMAT TabSeparated /* standin: error_after=3 */\n1\n2\n3\n");
@@ -163,7 +164,7 @@
 }
 
 #[test]
-fn silence_is_kept_until_the_client_leaves() {
+fn silent_engine_sends_nothing_until_the_client_disconnects() {
     let engine = engine(Options::default());
     for fault in ["silent", "silent_after=20"] {
         let statement = format!("SELECT number FROM numbers(9) /* standin: {fault} */");
@@ -171,50 +172,50 @@
         let request = post("/?query_id=q2", "", statement.as_bytes());
         stream.write_all(&request).expect("it reads");
         stream.shutdown(Shutdown::Write).expect("still open");
-        let mut answer = Vec::new();
-        let _ = stream.read_to_end(&mut answer);
+        let mut response = Vec::new();
+        let _ = stream.read_to_end(&mut response);
         let name = format!("{}.txt", fault.split('=').next().expect("a word"));
-        assert_golden!(&name, answer.escape_ascii().to_string());
+        assert_golden!(&name, response.escape_ascii().to_string());
     }
 }
 
 #[test]
-fn requests_of_every_form_are_answered_as_before() {
+fn methods_paths_forms_and_codings() {
     let engine = engine(Options::default());
-    let mut t = Talk::new(&engine);
+    let mut t = Transcript::new(&engine);
     let get = |target: &str, version: &str| {
         format!("GET {target} HTTP/{version}\r\nHost: e\r\nConnection: close\r\n\r\n").into_bytes()
     };
-    t.raw("ping", &get("/ping", "1.1"));
-    t.raw("replicas", &get("/replicas_status", "1.1"));
-    t.raw("root", &get("/", "1.1"));
-    t.raw("no such path", &get("/x", "1.1"));
-    t.raw("in URL", &get("/?query_id=q1&query=SELECT%201", "1.1"));
-    t.raw("1.0", &get("/?query_id=q1&query=SELECT%201", "1.0"));
-    t.raw(
+    t.send("ping", &get("/ping", "1.1"));
+    t.send("replicas", &get("/replicas_status", "1.1"));
+    t.send("root", &get("/", "1.1"));
+    t.send("no such path", &get("/x", "1.1"));
+    t.send("in URL", &get("/?query_id=q1&query=SELECT%201", "1.1"));
+    t.send("1.0", &get("/?query_id=q1&query=SELECT%201", "1.0"));
+    t.send(
         "GET that writes",
         &get("/?query_id=q1&query=DROP%20TABLE%20t", "1.1"),
     );
-    t.raw(
+    t.send(
         "HEAD",
         b"HEAD /?query_id=q1&query=SELECT%201 HTTP/1.0\r\nHost: e\r\nConnection: close\r\n\r\n",
     );
-    t.raw(
+    t.send(
         "OPTIONS",
         b"OPTIONS / HTTP/1.1\r\nHost: e\r\nConnection: close\r\n\r\n",
     );
-    t.raw(
+    t.send(
         "PUT",
         b"PUT / HTTP/1.1\r\nHost: e\r\nConnection: close\r\nContent-Length: 0\r\n\r\n",
     );
-    t.raw("malformed", b"NONSENSE\r\n\r\n");
-    t.raw(
+    t.send("malformed", b"NONSENSE\r\n\r\n");
+    t.send(
         "chunked, awaited",
         b"POST /?query_id=q1 HTTP/1.1\r\nHost: e\r\nConnection: close\r\nTransfer-Encoding: chunked\r\n\
           Expect: 100-continue\r\n\r\n8\r\nSELECT 1\r\n0\r\n\r\n",
     );
     let form = "--b\r\nContent-Disposition: form-data; name=\"query\"\r\n\r\nSELECT 7\r\n--b--\r\n";
-    t.raw(
+    t.send(
         "form",
         &post(
             "/?query_id=q1",
@@ -222,7 +223,7 @@
             form.as_bytes(),
         ),
     );
-    t.raw(
+    t.send(
         "form without boundary",
         &post(
             "/?query_id=q1",
@@ -230,7 +231,7 @@
             b"x",
         ),
     );
-    t.raw(
+    t.send(
         "rows behind a statement in the URL",
         &post(
             "/?query_id=q1&query=INSERT%20INTO%20t%20FORMAT%20CSV",
@@ -238,7 +239,7 @@
             b"1\n2\n",
         ),
     );
-    t.raw(
+    t.send(
         "id, format, database and origin in headers",
         &post(
             "/?add_http_cors_header=1",
@@ -257,17 +258,17 @@
     ] {
         let title = format!("{parameters} {}", headers.trim_end());
         let target = format!("/?query_id=q1{parameters}");
-        t.raw(title.trim(), &post(&target, headers, b"SELECT 1"));
+        t.send(title.trim(), &post(&target, headers, b"SELECT 1"));
     }
-    t.with("&param_x=5", "SELECT {x:UInt64}");
-    t.with("&default_format=CSV", "SELECT 'a'");
+    t.query_with("&param_x=5", "SELECT {x:UInt64}");
+    t.query_with("&default_format=CSV", "SELECT 'a'");
     assert_golden!("requests.txt", t.text);
 }
 
 #[test]
-fn sessions_and_users_are_answered_as_before() {
+fn sessions_and_users() {
     let engine = engine(Options::default());
-    let mut t = Talk::new(&engine);
+    let mut t = Transcript::new(&engine);
     for (parameters, statement) in [
         ("&session_id=s&session_check=1", "SELECT 1"),
         ("&session_id=s", "SET max_threads = 7"),
@@ -280,7 +281,7 @@
         ("", "SELECT * FROM t"),
         ("&session_id=s&session_check=1", "SELECT 1"),
     ] {
-        t.with(parameters, statement);
+        t.query_with(parameters, statement);
     }
     let guarded = Options {
         user: Some(("u".into(), "k".into())),
@@ -290,9 +291,9 @@
     let guarded = self::engine(guarded);
     t.addr = guarded.addr();
     t.query("SELECT 1");
-    t.with("&user=u&password=x", "SELECT 1");
-    t.with("&user=u&password=k", "SELECT 1");
-    t.raw(
+    t.query_with("&user=u&password=x", "SELECT 1");
+    t.query_with("&user=u&password=k", "SELECT 1");
+    t.send(
         "basic",
         &post(
             "/?query_id=q1",
--- a/crates/mock-servers/tests/request_log.rs
+++ b/crates/mock-servers/tests/request_log.rs
@@ -1,4 +1,4 @@
-//! The rules that are checked on the log of requests.
+//! Tests that the request log detects each kind of breach.
 
 use driftfront_mock_servers::request_log::RequestLog;
 
