--- a/crates/coordinator/tests/endings/clients.rs
+++ b/crates/coordinator/tests/endings/clients.rs
@@ -138,7 +138,7 @@
     site.coordinator.freeze();
     gate.open();
     site.ledger.wait_until("the engine's rejection", |entries| {
-        entries.iter().all(|e| e.over.is_some())
+        entries.iter().all(|e| e.end_seq.is_some())
     });
     disconnect(disconnecting);
     site.coordinator.wake();
--- a/crates/coordinator/tests/endings/shutdown.rs
+++ b/crates/coordinator/tests/endings/shutdown.rs
@@ -70,7 +70,7 @@
     site.coordinator.freeze();
     gate.open();
     site.ledger.wait_until("the load's end", |entries| {
-        entries.iter().any(|e| e.over.is_some())
+        entries.iter().any(|e| e.end_seq.is_some())
     });
     first
         .write_all(request("lookup", 9, "", "SELECT never").as_bytes())
--- a/crates/coordinator/tests/fleet.rs
+++ b/crates/coordinator/tests/fleet.rs
@@ -187,7 +187,7 @@
     );
     assert!(gossip_forbidden
         .err()
-        .is_some_and(|e| e.to_string().contains("bar talk")));
+        .is_some_and(|e| e.to_string().contains("forbid traffic")));
     assert!(driftfront::config::Config::read(text.as_bytes()).is_ok_and(|c| c.cluster.is_some()));
 }
 
--- a/crates/coordinator/tests/operator_config.rs
+++ b/crates/coordinator/tests/operator_config.rs
@@ -4,7 +4,7 @@
 use driftfront::operator_config::{read, Position, EXAMPLE};
 
 fn config(text: &str) -> Config {
-    Config::of_operator(text).unwrap_or_else(|e| panic!("{e}"))
+    Config::from_operator_text(text).unwrap_or_else(|e| panic!("{e}"))
 }
 
 #[test]
@@ -62,9 +62,13 @@
             (1, 39),
             "#true or #false",
         ),
-        ("class \"a\" wonted=\"1 s\"\n", (1, 11), "it takes wanted"),
+        (
+            "class \"a\" wonted=\"1 s\"\n",
+            (1, 11),
+            "known properties: wanted",
+        ),
         ("limits sockets=3\n", (1, 8), "from 64"),
-        ("reads \"nothing\"\n", (1, 1), "the classes are"),
+        ("reads \"nothing\"\n", (1, 1), "known classes: "),
         (
             "engines {\n  engine \"e\" at=\"here\"\n}\n",
             (2, 3),
@@ -73,7 +77,7 @@
         (
             "listen \"127.0.0.1:1\"\nlisten \"127.0.0.1:1\"\n",
             (2, 1),
-            "leave one",
+            "remove one",
         ),
         ("", (1, 1), "add engines"),
     ] {
--- a/crates/coordinator/tests/operators.rs
+++ b/crates/coordinator/tests/operators.rs
@@ -434,7 +434,7 @@
             s.roll.as_ref().is_some_and(|r| r.stage == "handed")
         });
         // The engine is handed over only after its last query has finished.
-        assert!(operated.site.ledger.of("busy")[0].over.is_some());
+        assert!(operated.site.ledger.of("busy")[0].end_seq.is_some());
         assert_eq!(read_answer(&mut busy).status, 200);
     }
     let operated = OperatedSite {
