--- a/crates/control/src/request.rs
+++ b/crates/control/src/request.rs
@@ -81,16 +81,16 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RequestError {
     /// The line is not a JSON object.
-    #[error("the line is no JSON object")]
+    #[error("the line is not a JSON object")]
     NotJson,
     /// The request has another protocol version.
-    #[error("this program speaks version {VERSION} of the protocol, not {0}")]
+    #[error("unsupported protocol version {0}, expected version {VERSION}")]
     Version(u64),
     /// The name of the request is unknown.
-    #[error("nothing is called {0:?} here")]
+    #[error("unknown request {0:?}")]
     Unknown(String),
     /// A required member is missing.
-    #[error("{0} is missing")]
+    #[error("the member {0} is missing")]
     Missing(&'static str),
 }
 
