--- a/crates/console/src/app.rs
+++ b/crates/console/src/app.rs
@@ -205,7 +205,7 @@
         match key {
             Key::Char('y' | 'Y') => Action::Send(confirmation.request),
             _ => {
-                self.status_message = Some("Left as it was.".into());
+                self.status_message = Some("Cancelled.".into());
                 Action::Nothing
             }
         }
@@ -226,7 +226,7 @@
 
     fn ask_to_drain(&mut self) {
         let Some(engine) = self.selected_engine().cloned() else {
-            self.status_message = Some("Choose an engine first: 1, then up and down.".into());
+            self.status_message = Some("Select an engine first: press 1, then up or down.".into());
             return;
         };
         let ready = self
@@ -276,7 +276,7 @@
         match (&self.disconnect_reason, &self.snapshot) {
             (Some(why), _) => {
                 vec![format!(
-                    "The program can't be reached: {why}. This is how things last stood."
+                    "The program can't be reached: {why}. Showing the last known state."
                 )]
             }
             (None, Some(s)) => messages::alarms(s),
--- a/crates/console/src/messages/alarms.rs
+++ b/crates/console/src/messages/alarms.rs
@@ -33,7 +33,7 @@
 fn shutdown_alarm(s: &Snapshot) -> Option<String> {
     let left = counted(s.open, "request is", "requests are");
     s.stopping
-        .then(|| format!("The program is ending: {left} left to answer."))
+        .then(|| format!("The program is shutting down: {left} left to answer."))
 }
 
 fn pause_alarm(s: &Snapshot) -> Option<String> {
--- a/crates/console/src/screen.rs
+++ b/crates/console/src/screen.rs
@@ -17,15 +17,15 @@
 
 const HELP: [&str; 10] = [
     "1 2 3 4, Tab  engines, service, queries, events",
-    "up, down      choose an engine",
+    "up, down      select an engine",
     "d  drain it: nothing new goes there, what runs may end",
     "r  resume it: it takes work again",
     "R  roll: all engines, one after another",
-    "b  the engine that a roll handed over is back",
-    "s, g  stop a roll, let it go on",
-    "q  close this console; the program goes on",
+    "b  confirm that the engine a roll handed over is back",
+    "s, g  stop a roll, resume it",
+    "q  close this console; the program keeps running",
     "",
-    "Any key goes back.",
+    "Press any key to return.",
 ];
 
 /// The styles of the screen.
@@ -151,7 +151,7 @@
         writer.write(line, theme.alarm());
     }
     if lines.len() > max_lines {
-        let more = format!("... {} in all; --plain tells them", alarms.len());
+        let more = format!("... {} in total; --plain shows all", alarms.len());
         writer.write(&more, theme.dim());
     }
     if alarms.is_empty() {
@@ -235,6 +235,6 @@
         writer.write(&format!("{ago:>7} ago  {text}"), Style::default());
     }
     if app.events.is_empty() && max_lines > 0 {
-        writer.write("Nothing has happened yet.", theme.dim());
+        writer.write("No events yet.", theme.dim());
     }
 }
