--- a/crates/engine-registry/src/rolling_restart/mod.rs
+++ b/crates/engine-registry/src/rolling_restart/mod.rs
@@ -100,11 +100,11 @@
 /// | stage | event | next stage | actions |
 /// | --- | --- | --- | --- |
 /// | `Next` | the other engines have enough capacity | `Draining` | drain, unless already drained |
-/// | `Draining` | somebody lifted the drain | `Stopped` | |
+/// | `Draining` | someone lifted the drain | `Stopped` | |
 /// | `Draining` | nothing runs there | `HandedOver` | |
 /// | `HandedOver` | the engine was restarted and is reachable | `WarmingUp` | resume |
 /// | `HandedOver` | the operator confirms that it is back | `WarmingUp` | resume |
-/// | `HandedOver` | somebody lifted the drain | `WarmingUp` | |
+/// | `HandedOver` | someone lifted the drain | `WarmingUp` | |
 /// | `WarmingUp` | ready, for `WARM_UP_MICROS` | `Next`, or `Done` after the last engine | |
 /// | any but `Stopped`, `Done` | the engine left the list | `Next` | |
 /// | any but `Stopped`, `Done` | the service level dropped | `Stopped` | |
