--- a/crates/engine-registry/src/rolling_restart/mod.rs
+++ b/crates/engine-registry/src/rolling_restart/mod.rs
@@ -17,7 +17,7 @@
 
 /// A drain that takes longer than this is reported as slow.
 const SLOW_DRAIN_MICROS: Micros = 60_000_000;
-/// Time for which a returned engine must be ready to be considered warm.
+/// An engine that is back and ready is considered warm after this time in [`Stage::WarmingUp`].
 const WARM_UP_MICROS: Micros = 15_000_000;
 /// The rolling restart stops if the service level drops by more than this since the start.
 const MAX_SERVICE_DROP: f64 = 0.10;
@@ -105,7 +105,7 @@
 /// | `HandedOver` | the engine was restarted and is reachable | `WarmingUp` | resume |
 /// | `HandedOver` | the operator confirms that it is back | `WarmingUp` | resume |
 /// | `HandedOver` | someone lifted the drain | `WarmingUp` | |
-/// | `WarmingUp` | ready, for `WARM_UP_MICROS` | `Next`, or `Done` after the last engine | |
+/// | `WarmingUp` | the engine is ready, and `WARM_UP_MICROS` have passed | `Next`, or `Done` after the last engine | |
 /// | any but `Stopped`, `Done` | the engine left the list | `Next` | |
 /// | any but `Stopped`, `Done` | the service level dropped | `Stopped` | |
 /// | any | an operator stops it | `Stopped` | |
