--- a/crates/coordinator/tests/backends.rs
+++ b/crates/coordinator/tests/backends.rs
@@ -1,10 +1,10 @@
-//! The backends' sessions, fed bytes without a socket.
+//! Engine sessions of the backends, fed with bytes instead of sockets.
 
 use driftfront::backends::clickhouse::HttpSession;
 use driftfront::backends::{AttemptRequest, EngineEvent, EngineSession};
 use driftfront_core::{AttemptKey, ParsedRequest, ProgressReport, RequestId};
 
-/// The progress that a session reports of a query whose engine sends this header.
+/// Returns the progress that a session reports for a query when the engine sends this header value.
 fn reported_progress(header_value: &str) -> Option<f64> {
     let mut session = HttpSession::new("engine".into());
     let request = ParsedRequest::default();
--- a/crates/coordinator/tests/frontends.rs
+++ b/crates/coordinator/tests/frontends.rs
@@ -1,4 +1,4 @@
-//! The platform's frontend, given requests without a socket.
+//! Request parsing and response writing of the platform frontend, without sockets.
 
 use driftfront::frontends::platform::Platform;
 use driftfront::frontends::{Frontend, FrontendAction, QueryClasses, ResponseWriter};
@@ -13,14 +13,14 @@
         .collect();
     let (method, target, body) = ("POST".into(), path.into(), body.as_bytes().to_vec());
     let names: Vec<String> = vec!["lookup".into(), "member-load".into()];
-    let mut front = Platform {
+    let mut frontend = Platform {
         classes: QueryClasses {
             names: names.into(),
             patience: Rc::from([2_500_000, 25_000_000]),
         },
         tenants: Rc::from(["east".to_string(), "west".to_string(), "east".to_string()]),
     };
-    front.parse_request(
+    frontend.parse_request(
         Request {
             method,
             target,
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn keyed_request_has_its_client_s_delay_taken_off_its_time() {
+fn timeout_of_a_keyed_request_is_reduced_by_the_client_delay() {
     let patience = ("X-Patience-Ms", "25000");
     let keyed = post(
         "/ops/member-load",
@@ -69,44 +69,48 @@
 }
 
 #[test]
-fn requests_that_cannot_be_read_are_answered_with_their_status() {
+fn invalid_requests_are_rejected_with_400_or_404() {
     let patience = ("X-Patience-Ms", "2500");
     assert_eq!(status(post("/ops/other", &[CALL, patience], "x")), "404");
     assert_eq!(status(post("/other", &[CALL, patience], "x")), "404");
     assert_eq!(status(post("/ops/lookup", &[patience], "x")), "400");
     assert_eq!(status(post("/ops/lookup", &[CALL], "x")), "400");
-    for word in ["a STOP b", "9b1f03aa5c7e2d4", "+b1f03aa5c7e2d41", ""] {
+    for id in ["a STOP b", "9b1f03aa5c7e2d4", "+b1f03aa5c7e2d41", ""] {
         assert_eq!(
-            status(post("/ops/lookup", &[("X-Call-Id", word), patience], "x")),
+            status(post("/ops/lookup", &[("X-Call-Id", id), patience], "x")),
             "400",
-            "{word}"
+            "{id}"
         );
         assert_eq!(
             status(post(
                 "/ops/lookup",
-                &[CALL, patience, ("X-Entity", word)],
+                &[CALL, patience, ("X-Entity", id)],
                 "x"
             )),
             "400"
         );
     }
-    for figure in ["NaN", "inf", "-1", "0", "5001", "1e300", "12 34", ""] {
+    for timeout in ["NaN", "inf", "-1", "0", "5001", "1e300", "12 34", ""] {
         assert_eq!(
-            status(post("/ops/lookup", &[CALL, ("X-Patience-Ms", figure)], "x")),
+            status(post(
+                "/ops/lookup",
+                &[CALL, ("X-Patience-Ms", timeout)],
+                "x"
+            )),
             "400",
-            "{figure}"
+            "{timeout}"
         );
     }
-    for more in [
+    for header in [
         ("X-Weight-Ms", "1e10"),
         ("X-Need-Mb", "-3"),
         ("X-Repeat", "yes"),
         CALL,
     ] {
         assert_eq!(
-            status(post("/ops/lookup", &[CALL, patience, more], "x")),
+            status(post("/ops/lookup", &[CALL, patience, header], "x")),
             "400",
-            "{more:?}"
+            "{header:?}"
         );
     }
     for statement in ["", " \r\n", "SELECT \0"] {
@@ -126,21 +130,21 @@
 
 #[test]
 fn rows_are_written_unchanged_and_in_order() {
-    let (mut rows, mut out) = (writer(), Vec::new());
+    let (mut response, mut out) = (writer(), Vec::new());
     let chunk = |rows: &str| ResponseChunk {
         headers: Vec::new(),
         rows: rows.into(),
         is_only_chunk: false,
     };
-    rows.write_chunk(&chunk("a\t1\t\"q\"\nb\t\t\u{e9}\n"), &mut out);
-    rows.write_chunk(&chunk("c\t2\ty\n"), &mut out);
+    response.write_chunk(&chunk("a\t1\t\"q\"\nb\t\t\u{e9}\n"), &mut out);
+    response.write_chunk(&chunk("c\t2\ty\n"), &mut out);
     assert!(out.is_empty());
-    rows.finish(&mut out);
+    response.finish(&mut out);
     let text = String::from_utf8(out).unwrap();
-    let rows =
+    let body =
         "{\"data\":[[\"a\",\"1\",\"\\\"q\\\"\"],[\"b\",\"\",\"\u{e9}\"],[\"c\",\"2\",\"y\"]]}";
-    assert!(text.ends_with(rows), "{text}");
-    let mut none = Vec::new();
-    writer().finish(&mut none);
-    assert!(none.ends_with(b"{\"data\":[]}"));
+    assert!(text.ends_with(body), "{text}");
+    let mut empty = Vec::new();
+    writer().finish(&mut empty);
+    assert!(empty.ends_with(b"{\"data\":[]}"));
 }
--- a/crates/coordinator/tests/retry_budget.rs
+++ b/crates/coordinator/tests/retry_budget.rs
@@ -1,4 +1,5 @@
-//! The retry budget where attempts are held up between their choice and their first byte: it counts what goes out.
+//! The retry budget with slow connections. An attempt may wait for its connection between its placement and its first
+//! byte; if it were counted only when placed, many waiting attempts could be sent within one window and exceed the budget.
 
 use driftfront_mock_servers::request_log::{Budget, RequestLog};
 use driftfront_test_support::coordinator::engine_list::{instances, EngineList};
@@ -10,41 +11,41 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// An engine whose connections come up late: its queue of connections is full until it is opened.
+/// An engine that accepts connections late: its accept queue stays full until `open`.
 struct LateEngine {
     addr: SocketAddr,
     listener: TcpListener,
-    filling: Vec<TcpStream>,
+    queued: Vec<TcpStream>,
 }
 
 impl LateEngine {
     fn new() -> LateEngine {
-        let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
-        let any: SocketAddr = "127.0.0.1:0".parse().expect("an address");
-        socket.bind(&any.into()).expect("a port");
-        socket.listen(0).expect("it listens");
+        let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("create a socket");
+        let any_port: SocketAddr = "127.0.0.1:0".parse().expect("an address");
+        socket.bind(&any_port.into()).expect("bind a port");
+        socket.listen(0).expect("listen");
         let listener: TcpListener = socket.into();
         let addr = listener.local_addr().expect("an address");
-        let short = Duration::from_millis(100);
-        let mut filling = Vec::new();
-        while let Ok(stream) = TcpStream::connect_timeout(&addr, short) {
-            filling.push(stream);
+        let timeout = Duration::from_millis(100);
+        let mut queued = Vec::new();
+        while let Ok(stream) = TcpStream::connect_timeout(&addr, timeout) {
+            queued.push(stream);
         }
         LateEngine {
             addr,
             listener,
-            filling,
+            queued,
         }
     }
 
-    /// From now on it takes connections, and serves as engine `number` does.
-    fn open(self, number: usize, ledger: &Arc<RequestLog>) {
-        drop(self.filling);
-        let ledger = ledger.clone();
+    /// Starts accepting connections and serves them as engine `number`.
+    fn open(self, number: usize, request_log: &Arc<RequestLog>) {
+        drop(self.queued);
+        let request_log = request_log.clone();
         std::thread::spawn(move || {
             for stream in self.listener.incoming().flatten() {
-                let ledger = ledger.clone();
-                std::thread::spawn(move || line_engine::serve(stream, number, &ledger));
+                let request_log = request_log.clone();
+                std::thread::spawn(move || line_engine::serve(stream, number, &request_log));
             }
         });
     }
@@ -57,10 +58,10 @@
         ratio: 0.0,
         window: Duration::from_millis(500),
     };
-    let ledger = Arc::new(RequestLog::default());
-    let (well, late) = (engines(1, &ledger), LateEngine::new());
+    let request_log = Arc::new(RequestLog::default());
+    let (healthy, late) = (engines(1, &request_log), LateEngine::new());
     let list = EngineList::start();
-    let text = config(list.addr)
+    let config_text = config(list.addr)
         .replace("\"MinExtra\": 5.0", "\"MinExtra\": 3.0")
         .replace("\"FurtherRatio\": 0.1", "\"FurtherRatio\": 0.0")
         .replace("\"ExtraWindowUs\": 10000000", "\"ExtraWindowUs\": 500000")
@@ -68,18 +69,19 @@
             "\"ConnectTimeoutUs\": 250000",
             "\"ConnectTimeoutUs\": 20000000",
         );
-    let addrs = vec![well[0], late.addr];
+    let addrs = vec![healthy[0], late.addr];
     let site = Site {
-        ledger,
-        coordinator: Coordinator::start(&text),
+        ledger: request_log,
+        coordinator: Coordinator::start(&config_text),
         list,
         engines: addrs,
     };
     site.list
         .publish(&instances(&site.engines, &["ready", "ready"]), "");
     site.coordinator.wait_until_ready();
-    // Each errs on the engine that is well, and its further attempt waits for the other one: three in each of five windows.
-    let begin = Instant::now();
+    // Each request fails on the healthy engine, and its retry waits for a connection to the late one: the budget allows
+    // three retries in each of five windows.
+    let started = Instant::now();
     let site = Arc::new(site);
     let mut clients = Vec::new();
     for window in 0..5u32 {
@@ -91,7 +93,7 @@
         }
         std::thread::sleep(
             (budget.window * (window + 1) + Duration::from_millis(50))
-                .saturating_sub(begin.elapsed()),
+                .saturating_sub(started.elapsed()),
         );
     }
     late.open(1, &site.ledger);
--- a/crates/coordinator/tests/rust_client.rs
+++ b/crates/coordinator/tests/rust_client.rs
@@ -1,4 +1,4 @@
-//! The official Rust client's usual calls, through the program.
+//! Common calls of the official ClickHouse Rust client through the coordinator.
 
 use clickhouse::{Client, Compression, Row};
 use driftfront_test_support::coordinator::clickhouse_site::{Plan, Site};
@@ -16,18 +16,18 @@
         .with_option("driftfront_class", "report")
 }
 
-fn run(work: impl std::future::Future<Output = ()>) {
+fn block_on(future: impl std::future::Future<Output = ()>) {
     tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .expect("a runtime")
-        .block_on(work);
+        .block_on(future);
 }
 
 #[test]
 fn queries_fetch_rows_with_and_without_compression() {
     let site = Plan::of(2).start();
-    run(async {
+    block_on(async {
         for compression in [Compression::None, Compression::Lz4] {
             let client = client(&site).with_compression(compression);
             let query = client
@@ -62,7 +62,7 @@
 #[test]
 fn inserts_are_read_back_with_and_without_compression() {
     let site = Plan::of(1).start();
-    run(async {
+    block_on(async {
         for (compression, table) in [(Compression::None, "plain"), (Compression::Lz4, "packed")] {
             let client = client(&site).with_compression(compression);
             client
@@ -96,16 +96,16 @@
 #[test]
 fn errors_keep_the_engine_s_message() {
     let site = Plan::of(1).start();
-    run(async {
+    block_on(async {
         let client = client(&site).with_compression(Compression::None);
-        let wrong = client
+        let error = client
             .query("SELECT nothing")
             .fetch_all::<u64>()
             .await
             .expect_err("an error");
         assert!(
-            wrong.to_string().contains("Missing columns: 'nothing'"),
-            "{wrong}"
+            error.to_string().contains("Missing columns: 'nothing'"),
+            "{error}"
         );
         for (n, compression) in [Compression::None, Compression::Lz4]
             .into_iter()
--- a/crates/coordinator/tests/service_window.rs
+++ b/crates/coordinator/tests/service_window.rs
@@ -1,12 +1,12 @@
-//! Service over the last minute and hour.
+//! Request statistics over the last minute and the last hour.
 
 use driftfront::service_window::{RequestOutcome, ServiceWindow};
 
 #[test]
-fn a_window_forgets_what_is_older_than_its_time_and_keeps_the_rest() {
+fn window_drops_requests_older_than_its_length_and_keeps_the_rest() {
     let mut window = ServiceWindow::minute();
     for n in 0..600 {
-        // One each second; every fourth late, every tenth rejected.
+        // One request a second: every fourth is late, every tenth is rejected.
         let outcome = if n % 10 == 9 {
             RequestOutcome::Rejected
         } else {
@@ -20,12 +20,12 @@
     assert!(sum.in_time < sum.served && sum.p50_ms >= 19.0 && sum.p50_ms <= 21.0);
     assert!((880.0..=920.0).contains(&sum.p99_ms), "{}", sum.p99_ms);
     assert_eq!(window.sum(900_000_000).asked, 0);
-    // A clock that is set back finds only what is of its own time.
+    // After the clock is set back, only requests within the window that ends at the new time are counted.
     assert!(window.sum(580_000_000).asked <= 60);
 }
 
 #[test]
-fn memory_of_an_hour_is_bounded_under_any_traffic() {
+fn memory_of_an_hour_window_is_bounded() {
     let mut window = ServiceWindow::hour();
     for n in 0..100_000u64 {
         let latency = n * 7919 % 130_000_000;
