--- a/crates/coordinator/tests/conformance.rs
+++ b/crates/coordinator/tests/conformance.rs
@@ -1,5 +1,6 @@
-//! The conformance suite: each case of `conformance/cases.json` straight against a stand-in engine, and through the
-//! program. What differs must be on the list, with its reason; the table is `docs/conformance.md`.
+//! The conformance suite runs each case of `conformance/cases.json` directly against a mock engine and through the
+//! coordinator. A case whose results differ must give the reason in `differs`. The table of results is
+//! `docs/conformance.md`.
 
 use driftfront_clickhouse::block::{self, Method};
 use driftfront_clickhouse::coding::{self, Coding};
@@ -15,8 +16,8 @@
 use std::path::PathBuf;
 use std::sync::Arc;
 
-/// Headers that must be the same.
-const SAME: [&str; 9] = [
+/// Response headers that must be equal.
+const COMPARED_HEADERS: [&str; 9] = [
     "content-type",
     "content-encoding",
     "x-clickhouse-format",
@@ -28,49 +29,51 @@
     "access-control-max-age",
 ];
 
-/// What a client sees of one step.
+/// The client's view of the response to one step.
 #[derive(Debug, PartialEq)]
-struct Seen {
+struct ClientView {
     status: u16,
     headers: Vec<(String, String)>,
-    /// Unpacked; of an exception only its beginning, as servers' and our own words go on differently.
+    /// Decompressed. Of an exception only its prefix, because the engine's and the coordinator's messages differ after it.
     body: Vec<u8>,
-    whole: bool,
-    /// Its query's name, where the client gave it one.
-    named: bool,
+    is_complete: bool,
+    /// Whether the response names the query ID, where the client set one.
+    has_query_id: bool,
 }
 
-/// `@x20000@` in a URL stands for so many x.
-fn stretched(target: &str) -> String {
+/// Expands a placeholder such as `@x20000@` in a URL to that number of x.
+fn expand_target(target: &str) -> String {
     let mut parts = target.split('@');
     let mut out = parts.next().unwrap_or_default().to_string();
-    while let (Some(run), Some(rest)) = (parts.next(), parts.next()) {
-        out += &"x".repeat(run[1..].parse().expect("a number"));
+    while let (Some(placeholder), Some(rest)) = (parts.next(), parts.next()) {
+        out += &"x".repeat(placeholder[1..].parse().expect("a number"));
         out += rest;
     }
     out
 }
 
-fn packed(how: &str, body: &[u8]) -> Vec<u8> {
+fn encode_body(encoding: &str, body: &[u8]) -> Vec<u8> {
     let blocks = |method| {
         body.chunks(40_000)
             .flat_map(|c| block::compress(method, c))
             .collect::<Vec<u8>>()
     };
-    let spoilt = |mut bytes: Vec<u8>| {
-        let at = bytes.len() - 2;
-        bytes[at] ^= 0x11;
+    let corrupt = |mut bytes: Vec<u8>| {
+        let index = bytes.len() - 2;
+        bytes[index] ^= 0x11;
         bytes
     };
-    let gzip = || coding::compress(Coding::Gzip, body).expect("packs");
-    match how {
+    let gzip = || coding::compress(Coding::Gzip, body).expect("compress");
+    match encoding {
         "" => body.to_vec(),
         "blocks" => blocks(Method::Lz4),
         "zstd blocks" => blocks(Method::Zstd),
         "plain blocks" => blocks(Method::None),
-        "spoilt blocks" => spoilt(blocks(Method::Lz4)),
-        "spoilt gzip" => spoilt(gzip()),
-        name => coding::compress(Coding::from_name(name).expect("a coding"), body).expect("packs"),
+        "spoilt blocks" => corrupt(blocks(Method::Lz4)),
+        "spoilt gzip" => corrupt(gzip()),
+        name => {
+            coding::compress(Coding::from_name(name).expect("a coding"), body).expect("compress")
+        }
     }
 }
 
@@ -78,7 +81,7 @@
     let text = |key: &str| step.get(key).text().unwrap_or_default();
     let times = step.get("times").integer().unwrap_or(0);
     let times = usize::try_from(times).expect("a few");
-    let body = packed(
+    let body = encode_body(
         text("pack"),
         (text("body").to_string() + &text("of").repeat(times)).as_bytes(),
     );
@@ -86,7 +89,7 @@
     let mut head = format!(
         "{} {} HTTP/{version}\r\nHost: t\r\n",
         text("method"),
-        stretched(text("target"))
+        expand_target(text("target"))
     );
     for line in step.get("headers").each() {
         let _ = write!(head, "{}\r\n", line.text().unwrap_or_default());
@@ -107,16 +110,16 @@
     [head.as_bytes(), b"\r\n", &body].concat()
 }
 
-fn run(addr: SocketAddr, step: Json) -> Seen {
-    let mut stream = TcpStream::connect(addr).expect("it listens");
+fn run_step(addr: SocketAddr, step: Json) -> ClientView {
+    let mut stream = TcpStream::connect(addr).expect("connect");
     let bytes = request(step);
-    // One that is answered early stops reading.
-    let mut writer = stream.try_clone().expect("a copy");
+    // The server may respond early and stop reading, so the request is written by another thread.
+    let mut writer = stream.try_clone().expect("clone the socket");
     let writing = std::thread::spawn(move || writer.write_all(&bytes));
     let head_only = step.get("method").text() == Some("HEAD");
-    let (mut reader, mut all) = (ResponseReader::default(), [0; 64 * 1024]);
+    let (mut reader, mut buffer) = (ResponseReader::default(), [0; 64 * 1024]);
     let (mut status, mut headers, mut body): (u16, Vec<Header>, Vec<u8>) = Default::default();
-    let mut whole = false;
+    let mut is_complete = false;
     stream
         .set_read_timeout(Some(TEST_TIMEOUT))
         .expect("a timeout");
@@ -127,39 +130,45 @@
                 ResponsePart::Head(head) => {
                     (status, headers) = (head.status, head.headers);
                     if head_only {
-                        whole = true;
+                        is_complete = true;
                         break 'read;
                     }
                 }
                 ResponsePart::Body(bytes) => body.extend(bytes),
                 ResponsePart::End => {
-                    whole = true;
+                    is_complete = true;
                     break 'read;
                 }
             }
         }
-        match stream.read(&mut all) {
+        match stream.read(&mut buffer) {
             Ok(0) => {
-                whole = reader.is_complete_at_close();
+                is_complete = reader.is_complete_at_close();
                 break;
             }
-            Ok(n) => reader.push(&all[..n]),
+            Ok(n) => reader.push(&buffer[..n]),
             Err(e) if e.kind() == std::io::ErrorKind::Interrupted => {}
             Err(_) => break,
         }
     }
     drop(stream);
     let _ = writing.join();
-    seen(step, status, &headers, body, whole)
+    client_view(step, status, &headers, body, is_complete)
 }
 
-fn seen(step: Json, status: u16, headers: &[Header], body: Vec<u8>, whole: bool) -> Seen {
-    let told = |name: &str| header(headers, name);
+fn client_view(
+    step: Json,
+    status: u16,
+    headers: &[Header],
+    body: Vec<u8>,
+    is_complete: bool,
+) -> ClientView {
+    let response_header = |name: &str| header(headers, name);
     let mut body = body;
-    if let Some(coding) = told("content-encoding").and_then(Coding::from_name) {
+    if let Some(coding) = response_header("content-encoding").and_then(Coding::from_name) {
         body = coding::decompress_prefix(coding, &body, usize::MAX / 2);
     }
-    let exception = told("x-clickhouse-exception-code").is_some();
+    let exception = response_header("x-clickhouse-exception-code").is_some();
     let target = step.get("target").text().unwrap_or_default();
     if target.contains("compress=1") && !target.contains("decompress=1") && !exception {
         body = block::decompress_prefix(&body, usize::MAX)
@@ -173,35 +182,35 @@
             .map_or(text.clone(), |at| text[..at].into())
             .into_bytes();
     }
-    if !whole {
-        // How far a broken result came is a matter of time.
+    if !is_complete {
+        // How much of an incomplete result arrives depends on timing.
         body.clear();
     }
-    let named = target.contains("query_id=")
+    let has_query_id = target.contains("query_id=")
         || step.get("headers").each().any(|h| {
             h.text()
                 .is_some_and(|h| h.starts_with("X-ClickHouse-Query-Id"))
         });
-    let headers = SAME
+    let headers = COMPARED_HEADERS
         .iter()
-        .filter_map(|n| Some((n.to_string(), told(n)?.to_string())))
+        .filter_map(|n| Some((n.to_string(), response_header(n)?.to_string())))
         .collect();
-    Seen {
+    ClientView {
         status,
         headers,
         body,
-        whole,
-        named: named && told("x-clickhouse-query-id").is_some(),
+        is_complete,
+        has_query_id: has_query_id && response_header("x-clickhouse-query-id").is_some(),
     }
 }
 
-fn shortly(seen: &Seen) -> String {
-    let mut text = match (seen.whole, seen.status) {
+fn summary(view: &ClientView) -> String {
+    let mut text = match (view.is_complete, view.status) {
         (true, status) => status.to_string(),
         (false, 0) => "no answer".into(),
         (false, status) => format!("{status}, broken"),
     };
-    if let Some(code) = seen
+    if let Some(code) = view
         .headers
         .iter()
         .find(|h| h.0 == "x-clickhouse-exception-code")
@@ -212,12 +221,13 @@
 }
 
 #[test]
-#[allow(clippy::too_many_lines, reason = "a scenario reads from top to bottom")]
-fn every_case_is_the_same_direct_and_through_the_coordinator() {
-    let folder = PathBuf::from(env!("CARGO_MANIFEST_DIR"));
-    let text = std::fs::read(folder.join("tests/conformance/cases.json")).expect("the cases");
+#[allow(clippy::too_many_lines, reason = "one loop over all cases")]
+fn responses_are_equal_direct_and_through_the_coordinator() {
+    let crate_dir = PathBuf::from(env!("CARGO_MANIFEST_DIR"));
+    let text =
+        std::fs::read(crate_dir.join("tests/conformance/cases.json")).expect("read cases.json");
     let cases = parse(&text).expect("JSON");
-    let straight = Engine::start(Options::default(), Arc::new(RequestLog::default()));
+    let engine = Engine::start(Options::default(), Arc::new(RequestLog::default()));
     let site: Site = Plan::of(1).start();
     let mut table = String::from(
         "# Conformance of the ClickHouse front\n\nEach case of `crates/coordinator/tests/conformance/cases.json` runs straight \
@@ -225,68 +235,75 @@
          unpacked result, and whether it is whole. Made by\n`UPDATE=1 cargo test -p driftfront --test conformance`, and \
          checked by every run of the tests.\n\n",
     );
-    let (mut rows, mut same, mut listed, mut wrong) = (String::new(), 0, 0, Vec::new());
+    let (mut rows, mut same, mut expected_differences, mut unexpected) =
+        (String::new(), 0, 0, Vec::new());
     for case in Json(Some(&cases)).each() {
         let name = case.get("name").text().expect("a name");
         let reason = case.get("differs").text();
-        let (mut differs, mut short) = (Vec::new(), (Vec::new(), Vec::new()));
+        let (mut differences, mut summaries) = (Vec::new(), (Vec::new(), Vec::new()));
         for (n, step) in case.get("steps").each().enumerate() {
-            let (a, b) = (run(straight.addr(), step), run(site.coordinator.addr, step));
-            short.0.push(shortly(&a));
-            short.1.push(shortly(&b));
-            if a != b {
-                let cut = |s: &Seen| format!("{s:?}").chars().take(900).collect::<String>();
-                differs.push(format!(
-                    "step {n}\n  straight {}\n  through  {}",
-                    cut(&a),
-                    cut(&b)
+            let (direct, through) = (
+                run_step(engine.addr(), step),
+                run_step(site.coordinator.addr, step),
+            );
+            summaries.0.push(summary(&direct));
+            summaries.1.push(summary(&through));
+            if direct != through {
+                let truncate =
+                    |view: &ClientView| format!("{view:?}").chars().take(900).collect::<String>();
+                differences.push(format!(
+                    "step {n}\n  direct  {}\n  through  {}",
+                    truncate(&direct),
+                    truncate(&through)
                 ));
             }
         }
-        let verdict = match (differs.is_empty(), reason) {
+        let verdict = match (differences.is_empty(), reason) {
             (true, None) => {
                 same += 1;
                 "same".to_string()
             }
             (false, Some(reason)) => {
-                listed += 1;
+                expected_differences += 1;
                 format!("differs: {reason}")
             }
             (true, Some(_)) => {
-                wrong.push(format!("{name}: is on the list, but does not differ"));
+                unexpected.push(format!(
+                    "{name}: gives a reason to differ, but does not differ"
+                ));
                 String::new()
             }
             (false, None) => {
-                wrong.push(format!("{name}: {}", differs.join("\n")));
+                unexpected.push(format!("{name}: {}", differences.join("\n")));
                 String::new()
             }
         };
         let _ = writeln!(
             rows,
             "| {name} | {} | {} | {verdict} |",
-            short.0.join("; "),
-            short.1.join("; ")
+            summaries.0.join("; "),
+            summaries.1.join("; ")
         );
     }
     assert!(
-        wrong.is_empty(),
-        "{} cases:\n{}",
-        wrong.len(),
-        wrong.join("\n")
+        unexpected.is_empty(),
+        "{} cases with unexpected results:\n{}",
+        unexpected.len(),
+        unexpected.join("\n")
     );
     let _ = write!(
         table,
-        "{} cases: {same} the same, {listed} different for the reason given.\n\n| case | straight | through | |\n\
+        "{} cases: {same} the same, {expected_differences} different for the reason given.\n\n| case | straight | through | |\n\
          | --- | --- | --- | --- |\n{rows}",
-        same + listed
+        same + expected_differences
     );
-    let path = folder.join("../../docs/conformance.md");
+    let path = crate_dir.join("../../docs/conformance.md");
     if std::env::var_os("UPDATE").is_some() {
-        std::fs::write(&path, &table).expect("the table");
+        std::fs::write(&path, &table).expect("write docs/conformance.md");
     }
-    let kept = std::fs::read_to_string(&path).unwrap_or_default();
+    let stored = std::fs::read_to_string(&path).unwrap_or_default();
     assert!(
-        kept == table,
-        "docs/conformance.md is not of this run: make it with UPDATE=1"
+        stored == table,
+        "docs/conformance.md is out of date: regenerate it with UPDATE=1"
     );
 }
--- a/crates/coordinator/tests/platform.rs
+++ b/crates/coordinator/tests/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's front, whole: clients, the program, stand-in engines and a stand-in list of engines.
+//! End-to-end tests of the platform frontend: clients, the coordinator process, mock engines and a mock engine list.
 
 use driftfront_test_support::coordinator::engine_list::EngineList;
 use driftfront_test_support::coordinator::platform_site::{config, Site};
@@ -19,12 +19,15 @@
     let rows: Vec<String> = (0..8)
         .flat_map(|n| std::iter::repeat_n(format!("[\"{n}\",\"a\",\"b\"]"), 900))
         .collect();
-    let whole = format!("{{\"data\":[{}]}}", rows.join(","));
-    assert_eq!(site.ask("report", 15_000, "SELECT pages").text(), whole);
-    // Pages are lost with their engine: a read may be run again, before any row was passed on.
+    let complete_body = format!("{{\"data\":[{}]}}", rows.join(","));
+    assert_eq!(
+        site.ask("report", 15_000, "SELECT pages").text(),
+        complete_body
+    );
+    // The connection closes after the first page. A read may be retried, because no row has been sent to the client yet.
     assert_eq!(
         site.ask("report", 15_000, "SELECT pages lost").text(),
-        whole
+        complete_body
     );
     assert_eq!(site.ledger.of("pages lost").len(), 2);
     assert_eq!(
@@ -36,17 +39,17 @@
 
 #[test]
 fn engine_is_suspected_when_all_idle_connections_are_reset() {
-    let (end, ends) = channel::<()>();
-    let ends = Mutex::new(ends);
-    let dies = stand_in(move |mut stream| {
-        // The request is not read to its end, so that what is left makes the system reset the connection.
+    let (close, close_signal) = channel::<()>();
+    let close_signal = Mutex::new(close_signal);
+    let failing_engine = stand_in(move |mut stream| {
+        // The request is left partly unread, so that closing the socket resets the connection.
         let mut head = [0; 20];
         stream.read_exact(&mut head).unwrap();
         let id = head.split(|b| *b == b' ').nth(1).unwrap();
         stream
             .write_all(&[id, b" HIT fetches=1 6\r\n1\ta\tb\n\r\n"].concat())
             .unwrap();
-        let _ = ends.lock().unwrap().recv();
+        let _ = close_signal.lock().unwrap().recv();
     });
     let list = EngineList::start();
     let coordinator =
@@ -55,47 +58,48 @@
         ledger: Arc::default(),
         coordinator,
         list,
-        engines: vec![dies],
+        engines: vec![failing_engine],
     };
     site.publish(&["ready"], "");
     site.coordinator.wait_until_ready();
     assert_eq!(site.ask("lookup", 2500, "SELECT first").status, 200);
     assert_eq!(site.coordinator.counter("engines_doubted"), 0);
-    end.send(()).unwrap();
+    close.send(()).unwrap();
     site.coordinator.wait_for("engines_doubted", 1);
 }
 
 #[test]
 fn failed_attempt_is_retried_only_where_its_class_allows() {
     let site = Site::start(3);
-    for (word, load) in [
+    for (keyword, insert_status) in [
         ("full", 200),
         ("fault", 500),
         ("dies", 500),
         ("nonsense", 500),
     ] {
         assert_eq!(
-            site.ask("lookup", 2500, &format!("SELECT {word}")).status,
+            site.ask("lookup", 2500, &format!("SELECT {keyword}"))
+                .status,
             200,
-            "{word}"
+            "{keyword}"
         );
         assert_eq!(
-            site.ask("member-load", 25_000, &format!("INSERT {word}"))
+            site.ask("member-load", 25_000, &format!("INSERT {keyword}"))
                 .status,
-            load,
-            "{word}"
+            insert_status,
+            "{keyword}"
         );
     }
     site.ledger.assert_rules(8);
 }
 
 #[test]
-fn silent_engine_costs_one_timely_response() {
+fn request_to_a_silent_engine_is_answered_in_time_and_not_retried() {
     let site = Site::start(2);
-    let load = site.ask("member-load", 700, "INSERT silent");
-    // It may have run: not a refusal.
+    let insert = site.ask("member-load", 700, "INSERT silent");
+    // The load may have run, so the response is a failure and not a rejection.
     assert_eq!(
-        (load.status, load.text().as_str()),
+        (insert.status, insert.text().as_str()),
         (500, "{\"error\":\"Internal\"}")
     );
     let read = site.ask("lookup", 300, "SELECT silent");
@@ -116,10 +120,11 @@
 #[test]
 fn malformed_response_does_not_end_a_load_beside_it() {
     let site = Arc::new(Site::start(1));
-    let asking = site.clone();
-    let load = std::thread::spawn(move || asking.ask("member-load", 900, "INSERT silent").status);
+    let load_site = site.clone();
+    let load =
+        std::thread::spawn(move || load_site.ask("member-load", 900, "INSERT silent").status);
     site.ledger.wait_for("INSERT silent", 1);
-    // Its connection ends with all that is open on it; the load is on another.
+    // The malformed response ends its connection and every attempt on it; the load uses another connection.
     assert_eq!(site.ask("lookup", 2500, "SELECT nonsense").status, 200);
     assert_eq!(load.join().unwrap(), 500);
     site.coordinator
@@ -133,7 +138,7 @@
 
 #[test]
 fn reads_on_a_silent_connection_are_retried_elsewhere() {
-    // Notes are due each 0.1 s, so a connection that brings none of them for long is dead.
+    // Progress reports are due every 0.1 s, so a connection without any for long enough counts as dead.
     let site = Site::with_config(2, |config| {
         config.replace("\"TellsEveryUs\": 0", "\"TellsEveryUs\": 100000")
     });
@@ -146,16 +151,16 @@
 }
 
 #[test]
-fn key_order_holds_when_a_client_disconnects() {
+fn key_order_is_kept_when_a_client_disconnects() {
     let site = Site::start(1);
     let head = "POST /ops/member-load HTTP/1.1\r\nX-Call-Id: 00000000000000ab\r\nX-Patience-Ms: 900\r\nX-Entity: 000000000000000a\r\n";
     let mut stream = TcpStream::connect(site.coordinator.addr).unwrap();
     write!(stream, "{head}Content-Length: 13\r\n\r\nINSERT silent").unwrap();
-    // It must have reached its engine: what is not written yet is withheld when its client leaves.
+    // The statement must have reached its engine: one not yet written is not sent after its client disconnects.
     site.ledger.wait_for("INSERT silent", 1);
     drop(stream);
     site.coordinator.wait_for("clients_left", 1);
-    // The next of the key has to wait for the end of what is still out, and for the key's rest.
+    // The next statement of the key waits until the open attempt ends, and then for the key's settling time.
     assert_eq!(site.ask("member-load", 25_000, "INSERT 2").status, 200);
     assert_eq!(
         site.coordinator
@@ -165,7 +170,7 @@
 }
 
 #[test]
-fn event_stream_resumes_behind_its_last_event() {
+fn event_stream_resumes_after_its_last_event() {
     let site = Site::start(2);
     site.publish(&["ready", "ready"], ",\"x\":\"hang up\"");
     site.coordinator.wait_for("lists_taken", 3);
@@ -188,15 +193,15 @@
     let mut open = TcpStream::connect(site.coordinator.addr).unwrap();
     open.write_all(b"POST /ops/lookup HTTP/1.1\r\nX-Call-Id: 00000000000000ab\r\n")
         .unwrap();
-    // A bad file is no reason to end, nor to forget where the list is told.
+    // An invalid configuration file neither stops the coordinator nor drops its discovery source.
     site.coordinator.reload("{ half a fi");
     site.publish(&["ready", "ready"], "");
     site.coordinator.wait_for("lists_taken", 3);
-    // The new address has all events so far; the coordinator asks for those behind its last.
-    let moved = EngineList::start();
-    moved.copy_events(&site.list);
-    site.coordinator.reload(&config(moved.addr));
-    site.list = moved;
+    // The new source has all events so far; the coordinator requests those after its last one.
+    let new_list = EngineList::start();
+    new_list.copy_events(&site.list);
+    site.coordinator.reload(&config(new_list.addr));
+    site.list = new_list;
     site.publish(&["draining", "ready"], "");
     site.coordinator.wait_for("lists_taken", 4);
     assert_eq!(site.list.last_event_ids(), ["2"]);
@@ -225,13 +230,13 @@
     for _ in 0..3 {
         assert_eq!(read_next(&mut stream, &mut reader).status, 200);
     }
-    let cut = {
+    let truncated = {
         let mut stream = TcpStream::connect(site.coordinator.addr).unwrap();
         stream.write_all(&text.as_bytes()[..40]).unwrap();
         stream.shutdown(std::net::Shutdown::Write).unwrap();
         read_answer(&mut stream)
     };
-    assert_eq!(cut.status, 400);
+    assert_eq!(truncated.status, 400);
     assert_eq!(
         call(
             site.coordinator.addr,
@@ -246,8 +251,8 @@
 fn invalid_requests_are_rejected_and_reach_no_engine() {
     let site = Site::start(1);
     let fields = "X-Call-Id: 00000000000000ab\r\nX-Patience-Ms: 2500\r\n";
-    let post = |more: &str| format!("POST /ops/lookup HTTP/1.1\r\n{fields}{more}");
-    let hidden = post("Content-Length: 8\r\n\r\nSELECT 9");
+    let post = |rest: &str| format!("POST /ops/lookup HTTP/1.1\r\n{fields}{rest}");
+    let smuggled = post("Content-Length: 8\r\n\r\nSELECT 9");
     for (bytes, status) in [
         (
             post("Content-Length: 8\r\nContent-Length: 8\r\n\r\nSELECT 1"),
@@ -259,14 +264,14 @@
             413,
         ),
         (post("Content-Length: 60000000\r\n\r\nSELECT 1"), 413),
-        // The request that it hides in its body must not be taken either.
+        // The request smuggled in its body must not be accepted either.
         (
             post(&format!(
-                "Content-Length: 8\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n{hidden}"
+                "Content-Length: 8\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n{smuggled}"
             )),
             400,
         ),
-        // A length that is too small would run half a statement.
+        // With too small a length, half a statement would run.
         (post("Content-Length: 8\r\n\r\nSELECT 1 FROM b"), 400),
         (
             post("X-Entity: 0a\r\nContent-Length: 8\r\n\r\nSELECT 1"),
@@ -281,21 +286,21 @@
             "{bytes}"
         );
     }
-    // What says nothing, or never ends, is closed without being asked: reading ends.
-    let mut quiet = TcpStream::connect(site.coordinator.addr).unwrap();
-    let mut endless = TcpStream::connect(site.coordinator.addr).unwrap();
-    endless
+    // Connections that send nothing or an incomplete request are closed by the coordinator.
+    let mut silent = TcpStream::connect(site.coordinator.addr).unwrap();
+    let mut incomplete = TcpStream::connect(site.coordinator.addr).unwrap();
+    incomplete
         .write_all(post("Content-Length: 9\r\n\r\nSELECT 1").as_bytes())
         .unwrap();
-    assert_eq!(read_answer(&mut endless).status, 408);
-    assert_eq!(quiet.read(&mut [0]).unwrap(), 0);
+    assert_eq!(read_answer(&mut incomplete).status, 408);
+    assert_eq!(silent.read(&mut [0]).unwrap(), 0);
     assert_eq!(site.ledger.of("").len(), 0);
-    // The rest of a body whose length was too small may come later: what is out then is not served.
+    // If the rest of a body with too small a length arrives later, the open attempt's result is not sent.
     let mut late = TcpStream::connect(site.coordinator.addr).unwrap();
     late.write_all(post("Content-Length: 13\r\n\r\nSELECT silent").as_bytes())
         .unwrap();
     site.ledger.wait_for("SELECT silent", 1);
-    // Another under the name of one that is open is not mixed up with it.
+    // A second request with the ID of an open one is not confused with it.
     assert_eq!(
         call(
             site.coordinator.addr,
@@ -310,17 +315,17 @@
 }
 
 #[test]
-fn idle_connections_do_not_keep_clients_out() {
+fn idle_connections_are_replaced_by_new_clients() {
     let site = Site::with_config(1, |config| {
         config.replace("\"sockets\": 1024", "\"sockets\": 100")
     });
-    // Clients may hold 60 of them; each new one takes the place of the longest idle.
-    let crowd: Vec<TcpStream> = (0..200)
+    // Clients may use 60 of the 100; each further connection replaces the one idle for longest.
+    let idle_clients: Vec<TcpStream> = (0..200)
         .map(|_| TcpStream::connect(site.coordinator.addr).unwrap())
         .collect();
     assert_eq!(site.ask("lookup", 2500, "SELECT 1").status, 200);
     assert!(site.coordinator.counter("connections_clients") <= 60);
-    drop(crowd);
+    drop(idle_clients);
 }
 
 #[test]
@@ -331,7 +336,7 @@
     let mut writing = stream.try_clone().unwrap();
     let writer = std::thread::spawn(move || writing.write_all(head.repeat(5000).as_bytes()));
     let mut reader = Default::default();
-    // Each is refused at once, since its client hardly waits; each gets its own answer.
+    // Each is rejected at once, because its timeout of 1 ms is too short, and gets its own response.
     for _ in 0..5000 {
         assert_eq!(read_next(&mut stream, &mut reader).status, 429);
     }
--- a/crates/coordinator/tests/soak.rs
+++ b/crates/coordinator/tests/soak.rs
@@ -3,7 +3,7 @@
 use driftfront_cluster_harness::soak;
 use std::path::Path;
 
-/// These seeds include clock steps, series of signals and bursts of clients.
+/// These seeds include clock steps, series of signals and idle clients that use up the descriptors.
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=6;
 /// Number of concurrent soak runs; each starts two or three processes.
 const CONCURRENT_RUNS: usize = 2;
