--- a/crates/coordinator/tests/golden_backends.rs
+++ b/crates/coordinator/tests/golden_backends.rs
@@ -1,4 +1,4 @@
-//! What is written to engines, and what is read of their answers.
+//! Golden tests of the engine protocols: the requests written to engines and how their responses are decoded.
 
 use driftfront::backends::clickhouse::{
     HttpSession, COMPRESSED_BLOCKS, REQUEST_HEADERS, URL_PARAMETERS,
@@ -17,54 +17,54 @@
     }
 }
 
-fn start<'a>(key: AttemptKey, ask: &'a ParsedRequest) -> AttemptRequest<'a> {
+fn attempt_request<'a>(key: AttemptKey, request: &'a ParsedRequest) -> AttemptRequest<'a> {
     AttemptRequest {
         key,
-        request: ask,
+        request,
         class: "member-load",
-        name: &ask.name,
+        name: &request.name,
         timeout: 2_500_999,
         grant_mb: 0.0,
         progress_interval: None,
     }
 }
 
-fn ask(call: &str, statement: &[u8]) -> ParsedRequest {
+fn parsed_request(id: &str, statement: &[u8]) -> ParsedRequest {
     ParsedRequest {
-        name: call.into(),
+        name: id.into(),
         statement: Rc::from(statement),
         ..ParsedRequest::default()
     }
 }
 
-fn lines() -> LineSession {
+fn line_session() -> LineSession {
     let gauges = ["inflight".to_string(), "queue".into(), "x0".into()];
     LineSession::new(4, Rc::from(gauges))
 }
 
-/// What an answer brings, in words that do not hang on the names of types.
-fn shown(seen: &[EngineEvent]) -> String {
+/// Formats events without the names of Rust types, so that the golden files survive their renaming.
+fn format_events(events: &[EngineEvent]) -> String {
     let mut text = String::new();
-    for each in seen {
-        text += &match each {
-            EngineEvent::ProgressReported(k, note) => {
-                format!("{} note {}\n", k.request.0, shown_note(note))
+    for event in events {
+        text += &match event {
+            EngineEvent::ProgressReported(key, report) => {
+                format!("{} note {}\n", key.request.0, format_progress(report))
             }
-            EngineEvent::Begun(k) => format!("{} begun\n", k.request.0),
-            EngineEvent::ResponseChunk(k, piece) => format!(
+            EngineEvent::Begun(key) => format!("{} begun\n", key.request.0),
+            EngineEvent::ResponseChunk(key, chunk) => format!(
                 "{} piece {:?} whole {} {}\n",
-                k.request.0,
-                piece.headers,
-                piece.is_only_chunk,
-                piece.rows.escape_ascii()
+                key.request.0,
+                chunk.headers,
+                chunk.is_only_chunk,
+                chunk.rows.escape_ascii()
             ),
-            EngineEvent::AttemptReport(k, told) => format!(
+            EngineEvent::AttemptReport(key, report) => format!(
                 "{} report {:?} work {:?} memory {:?}\n",
-                k.request.0, told.report, told.work, told.memory_mb
+                key.request.0, report.report, report.work, report.memory_mb
             ),
-            EngineEvent::Served(k) => format!("{} served\n", k.request.0),
-            EngineEvent::Failed(k, cause) => {
-                format!("{} failed: {}\n", k.request.0, shown_cause(cause))
+            EngineEvent::Served(key) => format!("{} served\n", key.request.0),
+            EngineEvent::Failed(key, cause) => {
+                format!("{} failed: {}\n", key.request.0, format_cause(cause))
             }
             EngineEvent::ProbeEnded(tag, outcome, report) => {
                 format!("probe {tag} {outcome:?} {report:?}\n")
@@ -74,43 +74,41 @@
     text
 }
 
-fn shown_note(note: &driftfront_core::ProgressReport) -> String {
+fn format_progress(report: &driftfront_core::ProgressReport) -> String {
     use driftfront_core::ProgressReport;
-    match note {
+    match report {
         ProgressReport::Progress(share) => format!("progress {share}"),
-        ProgressReport::Spills(figure) => format!("spills {figure}"),
+        ProgressReport::Spills(count) => format!("spills {count}"),
         ProgressReport::WaitsForMemory => "waits for memory".into(),
         ProgressReport::WaitsForLoad => "waits for load".into(),
-        #[allow(
-            unreachable_patterns,
-            reason = "a later variant must not break the net"
-        )]
+        #[allow(unreachable_patterns, reason = "compiles even when a variant is added")]
         _ => "another".into(),
     }
 }
 
-fn shown_cause(cause: &driftfront_core::Cause) -> String {
+fn format_cause(cause: &driftfront_core::Cause) -> String {
     use driftfront_core::Cause;
     match cause {
         Cause::Rejected => "turned away".into(),
-        Cause::Engine(words) => format!("engine: {words}"),
-        Cause::MalformedResponse(words) => format!("spoilt: {words}"),
-        Cause::Statement(words) => format!("statement: {words}"),
+        Cause::Engine(message) => format!("engine: {message}"),
+        Cause::MalformedResponse(message) => format!("spoilt: {message}"),
+        Cause::Statement(message) => format!("statement: {message}"),
         _ => "another cause".into(),
     }
 }
 
 #[test]
-fn lines_to_engines_are_written_as_ever() {
-    let (mut wire, mut lines, mut seen) = (MessageTranscript::default(), lines(), Vec::new());
+fn line_protocol_requests_match_the_golden_file() {
+    let (mut transcript, mut session, mut events) =
+        (MessageTranscript::default(), line_session(), Vec::new());
     let mut out = Vec::new();
-    let mut next = |out: &mut Vec<u8>, name: &str| wire.record(name, std::mem::take(out));
-    let plain = ask("9b1f03aa5c7e2d41", b"SELECT 1");
-    lines.start_attempt(&start(key(1), &plain), &mut out);
-    next(&mut out, "attempt");
-    let token = ParsedRequest {
+    let mut record = |out: &mut Vec<u8>, name: &str| transcript.record(name, std::mem::take(out));
+    let plain = parsed_request("9b1f03aa5c7e2d41", b"SELECT 1");
+    session.start_attempt(&attempt_request(key(1), &plain), &mut out);
+    record(&mut out, "attempt");
+    let with_token = ParsedRequest {
         idempotency_key: Some("t-1".into()),
-        ..ask(
+        ..parsed_request(
             "9b1f03aa5c7e2d42",
             "INSERT INTO t VALUES ('\u{e9}')\n".as_bytes(),
         )
@@ -118,39 +116,43 @@
     let granted = AttemptRequest {
         grant_mb: 511.2,
         timeout: 1,
-        ..start(key(2), &token)
+        ..attempt_request(key(2), &with_token)
     };
-    lines.start_attempt(&granted, &mut out);
-    next(&mut out, "attempt with a token and a grant, out of time");
-    let most = ask("9b1f03aa5c7e2d43", b"");
+    session.start_attempt(&granted, &mut out);
+    record(&mut out, "attempt with a token and a grant, out of time");
+    let empty = parsed_request("9b1f03aa5c7e2d43", b"");
     let granted = AttemptRequest {
         grant_mb: 1e12,
         timeout: 25_000_000,
-        ..start(key(3), &most)
+        ..attempt_request(key(3), &empty)
     };
-    lines.start_attempt(&granted, &mut out);
-    next(&mut out, "attempt with the largest grant");
-    lines.write_probe(17, &mut out);
-    next(&mut out, "probe");
-    let answer = b"9b1f03aa5c7e2d41 HIT fetches=3 6\r\n1\ta\tb\n\r\n";
-    lines.decode(0, answer, &mut out, &mut seen).unwrap();
-    next(&mut out, "pages are asked for");
-    lines.check_timeouts(300_000, &mut out, &mut seen).unwrap();
-    next(&mut out, "pages are asked for again");
+    session.start_attempt(&granted, &mut out);
+    record(&mut out, "attempt with the largest grant");
+    session.write_probe(17, &mut out);
+    record(&mut out, "probe");
+    let response = b"9b1f03aa5c7e2d41 HIT fetches=3 6\r\n1\ta\tb\n\r\n";
+    session.decode(0, response, &mut out, &mut events).unwrap();
+    record(&mut out, "pages are asked for");
+    session
+        .check_timeouts(300_000, &mut out, &mut events)
+        .unwrap();
+    record(&mut out, "pages are asked for again");
     let pages = b"9b1f03aa5c7e2d41 PART fetch_no=1 6\r\n2\ta\tb\n\r\n9b1f03aa5c7e2d41 PART fetch_no=2 6\r\n3\ta\tb\n\r\n";
-    lines.decode(300_000, pages, &mut out, &mut seen).unwrap();
-    next(&mut out, "all pages are there");
-    assert!(lines.stop_attempt(key(2), &mut out));
-    next(&mut out, "stop");
-    assert!(lines.stop_attempt(key(2), &mut out));
-    next(&mut out, "stop of what is not open");
-    assert_golden!("wire/engine_lines_out.txt", wire.bytes());
+    session
+        .decode(300_000, pages, &mut out, &mut events)
+        .unwrap();
+    record(&mut out, "all pages are there");
+    assert!(session.stop_attempt(key(2), &mut out));
+    record(&mut out, "stop");
+    assert!(session.stop_attempt(key(2), &mut out));
+    record(&mut out, "stop of what is not open");
+    assert_golden!("wire/engine_lines_out.txt", transcript.bytes());
 }
 
 #[test]
-fn lines_of_engines_are_read_as_ever() {
-    let mut read = MessageTranscript::default();
-    for answer in [
+fn line_protocol_responses_are_decoded_as_in_the_golden_file() {
+    let mut transcript = MessageTranscript::default();
+    for response in [
         "c1 HIT fetches=1,gauges=inflight:2;queue:1;x0:0.25,effort=12.5,high=64 6\r\n1\ta\tb\n\r\n",
         "c1 HIT fetches=1,gauges=queue:3,effort=-1,high=1e12 0\r\n\r\n",
         "c1 HIT fetches=0,gauges=x0:x 0\r\n\r\n",
@@ -175,42 +177,48 @@
         "c1 HIT fetches=1 0\n",
         "c1 WHAT - 0\r\n\r\n",
     ] {
-        let (mut lines, mut out, mut seen) = (lines(), Vec::new(), Vec::new());
-        lines.start_attempt(&start(key(1), &ask("c1", b"x")), &mut out);
-        lines.write_probe(7, &mut out);
-        let ended = lines.decode(0, answer.as_bytes(), &mut Vec::new(), &mut seen);
-        let mut text = shown(&seen);
-        if let Err(e) = ended {
+        let (mut session, mut out, mut events) = (line_session(), Vec::new(), Vec::new());
+        session.start_attempt(&attempt_request(key(1), &parsed_request("c1", b"x")), &mut out);
+        session.write_probe(7, &mut out);
+        let result = session.decode(0, response.as_bytes(), &mut Vec::new(), &mut events);
+        let mut text = format_events(&events);
+        if let Err(e) = result {
             text += &format!("connection ends: {e}");
         }
-        read.record(&answer.escape_default().to_string(), text);
+        transcript.record(&response.escape_default().to_string(), text);
     }
-    let (mut lines, mut out, mut seen) = (lines(), Vec::new(), Vec::new());
-    lines.start_attempt(&start(key(1), &ask("c1", b"x")), &mut out);
+    let (mut session, mut out, mut events) = (line_session(), Vec::new(), Vec::new());
+    session.start_attempt(
+        &attempt_request(key(1), &parsed_request("c1", b"x")),
+        &mut out,
+    );
     let begun = b"c1 HIT fetches=2 0\r\n\r\n";
-    lines.decode(0, begun, &mut out, &mut seen).unwrap();
-    seen.clear();
-    lines
-        .check_timeouts(1_300_000, &mut out, &mut seen)
+    session.decode(0, begun, &mut out, &mut events).unwrap();
+    events.clear();
+    session
+        .check_timeouts(1_300_000, &mut out, &mut events)
         .unwrap();
-    read.record("pages never come", shown(&seen));
-    lines
-        .decode(0, b"c1 HIT fetches=2 0", &mut out, &mut seen)
+    transcript.record("pages never come", format_events(&events));
+    session
+        .decode(0, b"c1 HIT fetches=2 0", &mut out, &mut events)
         .unwrap();
-    let stalled = lines.check_timeouts(600_000, &mut out, &mut seen);
-    read.record("an answer stops short", stalled.unwrap_err().to_string());
-    assert_golden!("wire/engine_lines_in.txt", read.bytes());
+    let stalled = session.check_timeouts(600_000, &mut out, &mut events);
+    transcript.record("an answer stops short", stalled.unwrap_err().to_string());
+    assert_golden!("wire/engine_lines_in.txt", transcript.bytes());
 }
 
 #[test]
-fn clickhouse_requests_to_engines_are_written_as_ever() {
-    let mut wire = MessageTranscript::default();
-    let mut http = HttpSession::new("127.0.0.1:8123".into());
+fn clickhouse_requests_match_the_golden_file() {
+    let mut transcript = MessageTranscript::default();
+    let mut session = HttpSession::new("127.0.0.1:8123".into());
     let mut out = Vec::new();
-    let mut next = |out: &mut Vec<u8>, name: &str| wire.record(name, std::mem::take(out));
-    http.start_attempt(&start(key(1), &ask("a b/c", b"SELECT 1")), &mut out);
-    next(&mut out, "query");
-    let about = [
+    let mut record = |out: &mut Vec<u8>, name: &str| transcript.record(name, std::mem::take(out));
+    session.start_attempt(
+        &attempt_request(key(1), &parsed_request("a b/c", b"SELECT 1")),
+        &mut out,
+    );
+    record(&mut out, "query");
+    let parameters = [
         (
             URL_PARAMETERS.to_string(),
             "&database=uni_4&session_id=s".to_string(),
@@ -221,39 +229,39 @@
         ),
         (COMPRESSED_BLOCKS.to_string(), String::new()),
     ];
-    let full = ParsedRequest {
-        parameters: Rc::from(about),
-        ..ask("q-1", b"SELECT 2")
+    let all_fields = ParsedRequest {
+        parameters: Rc::from(parameters),
+        ..parsed_request("q-1", b"SELECT 2")
     };
-    let noted = AttemptRequest {
+    let with_progress = AttemptRequest {
         name: "q-1-2",
         progress_interval: Some(250_000),
         timeout: 30_000_000,
         grant_mb: 64.0,
-        ..start(key(2), &full)
+        ..attempt_request(key(2), &all_fields)
     };
-    http.start_attempt(&noted, &mut out);
-    next(&mut out, "query with everything");
-    let once = ParsedRequest {
+    session.start_attempt(&with_progress, &mut out);
+    record(&mut out, "query with everything");
+    let upload = ParsedRequest {
         is_body_streamed: true,
-        ..ask("q-2", b"INSERT INTO t FORMAT CSV\n1,2\n")
+        ..parsed_request("q-2", b"INSERT INTO t FORMAT CSV\n1,2\n")
     };
-    http.start_attempt(&start(key(3), &once), &mut out);
-    next(&mut out, "upload");
-    http.write_body_chunk(b"3,4\n", &mut out);
-    next(&mut out, "more of the upload");
-    http.finish_body(&mut out);
-    next(&mut out, "end of the upload");
-    http.write_probe(5, &mut out);
-    next(&mut out, "probe");
-    assert_golden!("wire/clickhouse_out.http", wire.bytes());
+    session.start_attempt(&attempt_request(key(3), &upload), &mut out);
+    record(&mut out, "upload");
+    session.write_body_chunk(b"3,4\n", &mut out);
+    record(&mut out, "more of the upload");
+    session.finish_body(&mut out);
+    record(&mut out, "end of the upload");
+    session.write_probe(5, &mut out);
+    record(&mut out, "probe");
+    assert_golden!("wire/clickhouse_out.http", transcript.bytes());
 }
 
 #[test]
-#[allow(clippy::too_many_lines, reason = "tests list their cases")]
-fn clickhouse_answers_of_engines_are_read_as_ever() {
-    let mut read = MessageTranscript::default();
-    let whole = |status: &str, headers: &str, body: &str| {
+#[allow(clippy::too_many_lines, reason = "a list of cases")]
+fn clickhouse_responses_are_decoded_as_in_the_golden_file() {
+    let mut transcript = MessageTranscript::default();
+    let http_response = |status: &str, headers: &str, body: &str| {
         let length = body.len();
         format!("HTTP/1.1 {status}\r\n{headers}Content-Length: {length}\r\n\r\n{body}")
     };
@@ -266,13 +274,13 @@
         "1\n{}",
         driftfront_clickhouse::exception::marker("0a1b2c3d4e5f6789", memory.trim_end())
     );
-    for (name, answer) in [
-        ("rows", whole("200 OK", headers, "1,2\n")),
-        ("no rows", whole("200 OK", headers, "")),
-        ("progress", whole("200 OK", &format!("{progress}{headers}"), "1,2\n")),
+    for (name, response) in [
+        ("rows", http_response("200 OK", headers, "1,2\n")),
+        ("no rows", http_response("200 OK", headers, "")),
+        ("progress", http_response("200 OK", &format!("{progress}{headers}"), "1,2\n")),
         (
             "turned away",
-            whole(
+            http_response(
                 "500 E",
                 "X-ClickHouse-Exception-Code: 202\r\n",
                 "Code: 202. DB::Exception: Too many. (TOO_MANY_SIMULTANEOUS_QUERIES)\n",
@@ -280,15 +288,15 @@
         ),
         (
             "statement",
-            whole("400 E", "", "Code: 62. DB::Exception: Syntax error. (SYNTAX_ERROR)\n"),
+            http_response("400 E", "", "Code: 62. DB::Exception: Syntax error. (SYNTAX_ERROR)\n"),
         ),
-        ("engine", whole("500 E", "", memory)),
-        ("no code, 503", whole("503 E", "", "busy\n")),
-        ("no code, 500", whole("500 E", "", "oh\n")),
-        ("tag", whole("200 OK", tagged, &marker)),
-        ("last lines", whole("200 OK", headers, &format!("1\n{memory}"))),
-        ("another query", whole("200 OK", "X-ClickHouse-Query-Id: r\r\n", "1\n")),
-        ("coding", whole("200 OK", "Content-Encoding: zz\r\n", "1\n")),
+        ("engine", http_response("500 E", "", memory)),
+        ("no code, 503", http_response("503 E", "", "busy\n")),
+        ("no code, 500", http_response("500 E", "", "oh\n")),
+        ("tag", http_response("200 OK", tagged, &marker)),
+        ("last lines", http_response("200 OK", headers, &format!("1\n{memory}"))),
+        ("another query", http_response("200 OK", "X-ClickHouse-Query-Id: r\r\n", "1\n")),
+        ("coding", http_response("200 OK", "Content-Encoding: zz\r\n", "1\n")),
         (
             "cut",
             format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\n1,2\r\n{:x}\r\n{memory}\r\n", memory.len()),
@@ -297,31 +305,32 @@
         ("to the close", "HTTP/1.0 200 OK\r\n\r\n1\n".into()),
         ("no HTTP", "what\r\n".into()),
     ] {
-        let (mut http, mut seen) = (HttpSession::new("h".into()), Vec::new());
-        let once = ParsedRequest {
-            ..ask("client-name", b"SELECT 1")
+        let (mut session, mut events) = (HttpSession::new("h".into()), Vec::new());
+        let request = ParsedRequest {
+            ..parsed_request("client-name", b"SELECT 1")
         };
-        let started = AttemptRequest {
+        let attempt = AttemptRequest {
             name: "q",
-            ..start(key(1), &once)
+            ..attempt_request(key(1), &request)
         };
-        http.start_attempt(&started, &mut Vec::new());
+        session.start_attempt(&attempt, &mut Vec::new());
         let mut text = String::new();
-        match http.decode(0, answer.as_bytes(), &mut Vec::new(), &mut seen) {
-            Ok(()) => http.decode_close(&mut seen),
+        match session.decode(0, response.as_bytes(), &mut Vec::new(), &mut events) {
+            Ok(()) => session.decode_close(&mut events),
             Err(e) => text = format!("connection ends: {e}\n"),
         }
-        read.record(name, shown(&seen) + &text);
+        transcript.record(name, format_events(&events) + &text);
     }
-    for (name, answer) in [
-        ("probe", whole("200 OK", "", "Ok.\n")),
-        ("probe, sick", whole("500 E", "", "oh\n")),
+    for (name, response) in [
+        ("probe", http_response("200 OK", "", "Ok.\n")),
+        ("probe, sick", http_response("500 E", "", "oh\n")),
     ] {
-        let (mut http, mut seen) = (HttpSession::new("h".into()), Vec::new());
-        http.write_probe(9, &mut Vec::new());
-        http.decode(0, answer.as_bytes(), &mut Vec::new(), &mut seen)
+        let (mut session, mut events) = (HttpSession::new("h".into()), Vec::new());
+        session.write_probe(9, &mut Vec::new());
+        session
+            .decode(0, response.as_bytes(), &mut Vec::new(), &mut events)
             .unwrap();
-        read.record(name, shown(&seen));
+        transcript.record(name, format_events(&events));
     }
-    assert_golden!("wire/clickhouse_in.txt", read.bytes());
+    assert_golden!("wire/clickhouse_in.txt", transcript.bytes());
 }
--- a/crates/coordinator/tests/golden_discovery.rs
+++ b/crates/coordinator/tests/golden_discovery.rs
@@ -1,4 +1,4 @@
-//! What is asked of the sources of the engine list, and what is read of their answers.
+//! Golden tests of discovery: the requests to each source of the engine list and how its responses are decoded.
 
 use driftfront::discovery::etcd::Etcd;
 use driftfront::discovery::stream::Stream;
@@ -10,22 +10,22 @@
 use driftfront_test_support::message_transcript::MessageTranscript;
 
 #[test]
-fn etcd_is_asked_as_ever() {
-    let mut wire = MessageTranscript::default();
+fn etcd_requests_and_updates_match_the_golden_file() {
+    let mut transcript = MessageTranscript::default();
     let mut etcd = Etcd::new("127.0.0.1:2379".into(), "/engines/".into());
-    wire.record("range", etcd.open_request());
+    transcript.record("range", etcd.open_request());
     let range = r#"{"header":{"revision":"41"},"kvs":[{"key":"L2VuZ2luZXMveA==","value":"eyJob3N0UG9ydCI6IjEyNy4wLjAuMTo5In0="}]}"#;
-    let answer = format!(
+    let response = format!(
         "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{range}",
         range.len()
     );
     let (mut out, mut updates) = (Vec::new(), Vec::new());
-    etcd.decode(answer.as_bytes(), &mut out, &mut updates)
+    etcd.decode(response.as_bytes(), &mut out, &mut updates)
         .unwrap();
-    wire.record("watch", &out);
-    wire.record("watch on a new connection", etcd.open_request());
+    transcript.record("watch", &out);
+    transcript.record("watch on a new connection", etcd.open_request());
     etcd.set_host("127.0.0.2:2379".into());
-    wire.record("watch at another address", etcd.open_request());
+    transcript.record("watch at another address", etcd.open_request());
     let events = concat!(
         r#"{"result":{"events":["#,
         r#"{"type":"DELETE","kv":{"key":"L2VuZ2luZXMveA==","mod_revision":"50"}},"#,
@@ -33,82 +33,88 @@
         "\n"
     );
     let head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-    let answer = [&head[..], &chunk(events.as_bytes())].concat();
-    etcd.decode(&answer, &mut out, &mut updates).unwrap();
-    wire.record("watch behind events", etcd.open_request());
+    let response = [&head[..], &chunk(events.as_bytes())].concat();
+    etcd.decode(&response, &mut out, &mut updates).unwrap();
+    transcript.record("watch behind events", etcd.open_request());
     for update in &updates {
-        wire.record("update", shown(update));
+        transcript.record("update", format_update(update));
     }
-    let every = Etcd::new("h".into(), String::new()).open_request();
-    wire.record("range of all keys", every);
+    let all_keys = Etcd::new("h".into(), String::new()).open_request();
+    transcript.record("range of all keys", all_keys);
     let cancelled = chunk(b"{\"result\":{\"canceled\":true}}\n");
-    let answer = [&head[..], &cancelled].concat();
-    let ended = etcd.decode(&answer, &mut out, &mut updates);
-    wire.record("cancelled", ended.unwrap_err().to_string());
-    wire.record("range again", etcd.open_request());
-    assert_golden!("wire/etcd.http", wire.bytes());
+    let response = [&head[..], &cancelled].concat();
+    let result = etcd.decode(&response, &mut out, &mut updates);
+    transcript.record("cancelled", result.unwrap_err().to_string());
+    transcript.record("range again", etcd.open_request());
+    assert_golden!("wire/etcd.http", transcript.bytes());
 }
 
-/// An update as it is read, in words that do not hang on the names of types.
-fn shown(update: &tinyjson::JsonValue) -> String {
+/// Formats a decoded update without the names of Rust types, so that the golden files survive their renaming.
+fn format_update(update: &tinyjson::JsonValue) -> String {
     let zones = ["building-a".to_string(), "building-b".into()];
     let kinds = ["std-8".to_string()];
-    let told = match read(&zones, &kinds, Json(Some(update))) {
-        Ok(told) => told,
+    let listing = match read(&zones, &kinds, Json(Some(update))) {
+        Ok(listing) => listing,
         Err(e) => return format!("error: {e}"),
     };
-    let mut text = match told.kind {
+    let mut text = match listing.kind {
         ListKind::Full => "whole\n".to_string(),
         ListKind::Changes => "changes\n".to_string(),
         ListKind::Cached => "cached\n".to_string(),
     };
-    for f in &told.descriptions {
+    for description in &listing.descriptions {
         text += &format!(
             "engine {} at {:?} zone {} kind {} cell {} born {:?} {:?}\n",
-            f.name, f.addr, f.zone, f.kind, f.cell, f.started_at, f.phase
+            description.name,
+            description.addr,
+            description.zone,
+            description.kind,
+            description.cell,
+            description.started_at,
+            description.phase
         );
     }
-    for (name, addr) in &told.coordinators {
+    for (name, addr) in &listing.coordinators {
         text += &format!("coordinator {name} at {addr}\n");
     }
-    for rejected_entries in &told.rejected_entries {
-        text += &format!("odd: {rejected_entries}\n");
+    for rejected_entry in &listing.rejected_entries {
+        text += &format!("odd: {rejected_entry}\n");
     }
     text
 }
 
 #[test]
-fn the_event_stream_is_asked_as_ever() {
-    let mut wire = MessageTranscript::default();
+fn event_stream_requests_and_errors_match_the_golden_file() {
+    let mut transcript = MessageTranscript::default();
     let mut stream = Stream::new("127.0.0.1:9000".into(), 0);
-    wire.record("first", stream.open_request());
+    transcript.record("first", stream.open_request());
     let events = "HTTP/1.1 200 OK\r\n\r\n: c\n\nid: 7\ndata: {\"n\":\ndata: 1}\n\ndata: {\"index\":9}\n\nevent: x\r\n\r\n";
     let (mut out, mut updates) = (Vec::new(), Vec::new());
     stream
         .decode(events.as_bytes(), &mut out, &mut updates)
         .unwrap();
-    wire.record("behind events", stream.open_request());
+    transcript.record("behind events", stream.open_request());
     stream.set_host("127.0.0.2:9000".into());
-    wire.record("at another address", stream.open_request());
-    wire.record("updates", updates.len().to_string());
+    transcript.record("at another address", stream.open_request());
+    transcript.record("updates", updates.len().to_string());
     for bytes in [
         "HTTP/1.1 500 E\r\n\r\n",
         "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
         "no\r\n",
     ] {
         stream.open_request();
-        let ended = stream.decode(bytes.as_bytes(), &mut out, &mut updates);
-        wire.record("ends", ended.unwrap_err().to_string());
+        let result = stream.decode(bytes.as_bytes(), &mut out, &mut updates);
+        transcript.record("ends", result.unwrap_err().to_string());
     }
     stream.open_request();
-    let rejected_entries = b"HTTP/1.1 200 OK\r\n\r\nid: 10\ndata: {\n\n";
-    let ended = stream.decode(rejected_entries, &mut out, &mut updates);
-    wire.record("an event that is no JSON", ended.unwrap_err().to_string());
-    assert_golden!("wire/event_stream.http", wire.bytes());
+    let invalid_event = b"HTTP/1.1 200 OK\r\n\r\nid: 10\ndata: {\n\n";
+    let result = stream.decode(invalid_event, &mut out, &mut updates);
+    transcript.record("an event that is no JSON", result.unwrap_err().to_string());
+    assert_golden!("wire/event_stream.http", transcript.bytes());
 }
 
 #[test]
-fn updates_of_the_list_are_read_as_ever() {
+fn engine_list_updates_are_decoded_as_in_the_golden_file() {
     let mut text = MessageTranscript::default();
     for update in [
         r#"{"endpoints":{"reset":true,"instances":[
@@ -124,7 +130,7 @@
         r#"{"endpoints":{"instances":[]}}"#,
         r#"{"endpoints":{}}"#,
     ] {
-        text.record("update", shown(&parse(update.as_bytes()).unwrap()));
+        text.record("update", format_update(&parse(update.as_bytes()).unwrap()));
     }
     assert_golden!("wire/engine_list.txt", text.bytes());
 }
--- a/crates/coordinator/tests/golden_frontends.rs
+++ b/crates/coordinator/tests/golden_frontends.rs
@@ -1,4 +1,5 @@
-//! What clients are answered, as the frontends make the bytes and as the program sends them.
+//! Golden tests of the responses to clients: the bytes that the frontends write, and those that the running coordinator
+//! sends.
 
 use driftfront::frontends::clickhouse::{ClassRules, ClickHouse};
 use driftfront::frontends::platform::Platform;
@@ -38,166 +39,172 @@
     }
 }
 
-fn shown_ask(ask: &ParsedRequest) -> String {
+fn format_request(request: &ParsedRequest) -> String {
     format!(
         "call {} class {} work {:?} memory {:?} tables {} key {:?} tenant {:?} token {:?} budget {}\n\
          about {:?}\nstatement {}\npin {:?} lost {:?} once {} ticket {}\n",
-        ask.name,
-        ask.class,
-        ask.work,
-        ask.memory_mb,
-        ask.table_group,
-        ask.ordering_key,
-        ask.tenant,
-        ask.idempotency_key,
-        ask.client_timeout,
-        ask.parameters,
-        ask.statement.escape_ascii(),
-        ask.sticky_session.map(|p| (p.engine.0, p.is_exclusive)),
-        ask.session_lost_error,
-        ask.is_body_streamed,
-        ask.ticket
+        request.name,
+        request.class,
+        request.work,
+        request.memory_mb,
+        request.table_group,
+        request.ordering_key,
+        request.tenant,
+        request.idempotency_key,
+        request.client_timeout,
+        request.parameters,
+        request.statement.escape_ascii(),
+        request.sticky_session.map(|p| (p.engine.0, p.is_exclusive)),
+        request.session_lost_error,
+        request.is_body_streamed,
+        request.ticket
     )
 }
 
-/// Records what a front makes of a request; gives its writer where it is taken.
+/// Records the frontend's action for a request. Returns the response writer if the request is accepted.
 fn record(
-    wire: &mut MessageTranscript,
+    transcript: &mut MessageTranscript,
     name: &str,
-    front: &mut dyn Frontend,
+    frontend: &mut dyn Frontend,
     request: Request,
 ) -> Option<Box<dyn ResponseWriter>> {
-    match front.parse_request(request, 1_000_000, 0) {
-        FrontendAction::Reply(bytes) => wire.record(&format!("{name}: reply"), bytes),
-        FrontendAction::RejectBadRequest(bytes) => wire.record(&format!("{name}: bad"), bytes),
+    match frontend.parse_request(request, 1_000_000, 0) {
+        FrontendAction::Reply(bytes) => transcript.record(&format!("{name}: reply"), bytes),
+        FrontendAction::RejectBadRequest(bytes) => {
+            transcript.record(&format!("{name}: bad"), bytes)
+        }
         FrontendAction::ReportReadiness { ready, not_ready } => {
-            wire.record(&format!("{name}: ready"), ready);
-            wire.record(&format!("{name}: not ready"), not_ready);
+            transcript.record(&format!("{name}: ready"), ready);
+            transcript.record(&format!("{name}: not ready"), not_ready);
         }
-        FrontendAction::ReportCounters => wire.record(&format!("{name}: counters"), ""),
+        FrontendAction::ReportCounters => transcript.record(&format!("{name}: counters"), ""),
         FrontendAction::Withdraw { call, reply } => {
-            wire.record(&format!("{name}: withdraw {call}"), reply)
+            transcript.record(&format!("{name}: withdraw {call}"), reply)
         }
-        FrontendAction::Accept(ask, writer) => {
-            wire.record(&format!("{name}: taken"), shown_ask(&ask));
+        FrontendAction::Accept(request, writer) => {
+            transcript.record(&format!("{name}: taken"), format_request(&request));
             return Some(writer);
         }
         FrontendAction::Kill(kill) => {
-            wire.record(
+            transcript.record(
                 &format!("{name}: kill"),
                 format!(
                     "{:?} test {} told {}",
                     kill.names, kill.is_test, kill.message
                 ),
             );
-            wire.record("answer where none runs", &kill.none_running);
-            let ask = (kill.request_for)(EngineId(3), "it's\\");
-            wire.record("to an engine", shown_ask(&ask));
+            transcript.record("answer where none runs", &kill.none_running);
+            let request = (kill.request_for)(EngineId(3), "it's\\");
+            transcript.record("to an engine", format_request(&request));
             return Some(kill.writer);
         }
     }
     None
 }
 
-fn piece(about: &[(&str, &str)], rows: &str, whole: bool) -> ResponseChunk {
+fn response_chunk(headers: &[(&str, &str)], rows: &str, is_only_chunk: bool) -> ResponseChunk {
     ResponseChunk {
-        headers: about
+        headers: headers
             .iter()
             .map(|h| (h.0.to_string(), h.1.to_string()))
             .collect(),
         rows: rows.into(),
-        is_only_chunk: whole,
+        is_only_chunk,
     }
 }
 
-fn shown_after(after: ConnectionAction) -> &'static str {
-    match after {
+fn format_connection_action(action: ConnectionAction) -> &'static str {
+    match action {
         ConnectionAction::KeepOpen => "stays open",
         ConnectionAction::Close => "closes",
         ConnectionAction::Reset => "is reset",
     }
 }
 
-/// Writes one answer; what becomes of the connection where the writer says so.
-type Write<'a> = dyn Fn(&mut dyn ResponseWriter, &mut Vec<u8>) -> Option<ConnectionAction> + 'a;
+/// Writes one response. Returns what happens to the connection, if the writer decides it.
+type WriteResponse<'a> =
+    dyn Fn(&mut dyn ResponseWriter, &mut Vec<u8>) -> Option<ConnectionAction> + 'a;
 
-/// Every kind of answer that a writer may have to write.
-#[allow(clippy::too_many_lines, reason = "tests list their cases")]
-fn record_answers(
-    wire: &mut MessageTranscript,
+/// Records every kind of response that a writer can write.
+#[allow(clippy::too_many_lines, reason = "a list of cases")]
+fn record_responses(
+    transcript: &mut MessageTranscript,
     name: &str,
     mut writer: impl FnMut() -> Box<dyn ResponseWriter>,
 ) {
-    let about = [
+    let headers = [
         ("X-ClickHouse-Query-Id", "q-1"),
         ("Content-Type", "text/tab-separated-values"),
         ("X-ClickHouse-Exception-Tag", "0a1b2c3d4e5f6789"),
         ("X-ClickHouse-Progress", "{}"),
     ];
-    let words = "Code: 241. DB::Exception: Memory limit. (MEMORY_LIMIT_EXCEEDED)";
-    let mut whole = |label: &str, write: &Write| {
+    let exception = "Code: 241. DB::Exception: Memory limit. (MEMORY_LIMIT_EXCEEDED)";
+    let mut record_response = |label: &str, write: &WriteResponse| {
         let mut out = Vec::new();
-        let after = write(&mut *writer(), &mut out);
-        let after = after.map_or("", shown_after);
-        wire.record(&format!("{name}: {label} {after}"), out);
+        let action = write(&mut *writer(), &mut out);
+        let action = action.map_or("", format_connection_action);
+        transcript.record(&format!("{name}: {label} {action}"), out);
     };
-    whole("one piece", &|w, out| {
-        w.write_chunk(&piece(&about, "1\ta\t\"q\"\n2\t\u{e9}\tc\n", true), out);
+    record_response("one piece", &|w, out| {
+        w.write_chunk(
+            &response_chunk(&headers, "1\ta\t\"q\"\n2\t\u{e9}\tc\n", true),
+            out,
+        );
         Some(w.finish(out))
     });
-    whole("two pieces", &|w, out| {
-        w.write_chunk(&piece(&about, "1\ta\tb\n", false), out);
-        w.write_chunk(&piece(&[], "2\ta\tb\n", false), out);
+    record_response("two pieces", &|w, out| {
+        w.write_chunk(&response_chunk(&headers, "1\ta\tb\n", false), out);
+        w.write_chunk(&response_chunk(&[], "2\ta\tb\n", false), out);
         Some(w.finish(out))
     });
-    whole("no rows", &|w, out| {
-        w.write_chunk(&piece(&[], "", true), out);
+    record_response("no rows", &|w, out| {
+        w.write_chunk(&response_chunk(&[], "", true), out);
         Some(w.finish(out))
     });
-    whole("refused", &|w, out| {
+    record_response("refused", &|w, out| {
         w.reject(0, None, out);
         None
     });
-    whole("refused, come back", &|w, out| {
+    record_response("refused, come back", &|w, out| {
         w.reject(1_234_567, None, out);
         None
     });
-    whole("refused, an engine's words", &|w, out| {
-        w.reject(1_000, Some(words), out);
+    record_response("refused, an engine's words", &|w, out| {
+        w.reject(1_000, Some(exception), out);
         None
     });
-    whole("failed", &|w, out| {
+    record_response("failed", &|w, out| {
         w.fail(None, out);
         None
     });
-    whole("failed, an engine's words", &|w, out| {
-        w.fail(Some(words), out);
+    record_response("failed, an engine's words", &|w, out| {
+        w.fail(Some(exception), out);
         None
     });
-    whole("failed, words without a code", &|w, out| {
+    record_response("failed, words without a code", &|w, out| {
         w.fail(Some("oh"), out);
         None
     });
-    whole("cut", &|w, out| {
-        w.write_chunk(&piece(&about, "1\ta\tb\n", false), out);
+    record_response("cut", &|w, out| {
+        w.write_chunk(&response_chunk(&headers, "1\ta\tb\n", false), out);
         Some(w.abort(None, out))
     });
-    whole("cut, an engine's words", &|w, out| {
-        w.write_chunk(&piece(&about, "1\ta\tb\n", false), out);
-        Some(w.abort(Some(words), out))
+    record_response("cut, an engine's words", &|w, out| {
+        w.write_chunk(&response_chunk(&headers, "1\ta\tb\n", false), out);
+        Some(w.abort(Some(exception), out))
     });
-    whole("cut, packed", &|w, out| {
-        let packed = [("Content-Encoding", "gzip"), about[2]];
-        w.write_chunk(&piece(&packed, "1\ta\tb\n", false), out);
+    record_response("cut, packed", &|w, out| {
+        let compressed = [("Content-Encoding", "gzip"), headers[2]];
+        w.write_chunk(&response_chunk(&compressed, "1\ta\tb\n", false), out);
         Some(w.abort(None, out))
     });
 }
 
 #[test]
-#[allow(clippy::too_many_lines, reason = "tests list their cases")]
-fn the_platform_s_answers_are_made_as_ever() {
-    let mut wire = MessageTranscript::default();
-    let mut front = Platform {
+#[allow(clippy::too_many_lines, reason = "a list of cases")]
+fn platform_frontend_responses_match_the_golden_file() {
+    let mut transcript = MessageTranscript::default();
+    let mut frontend = Platform {
         classes: classes(),
         tenants: Rc::from(["east".to_string(), "west".to_string()]),
     };
@@ -215,9 +222,9 @@
     ];
     let sql = "INSERT INTO sales_4.t SELECT 1";
     record(
-        &mut wire,
+        &mut transcript,
         "all fields",
-        &mut front,
+        &mut frontend,
         request("POST", "/ops/member-load", &all, sql),
     );
     let fields = |more: &[(&'static str, &'static str)]| [&[call, patience], more].concat();
@@ -237,13 +244,13 @@
         ("unknown tenant", fields(&[("X-Customer", "north")]), "x"),
     ] {
         let post = request("POST", "/ops/lookup", &headers, statement);
-        record(&mut wire, name, &mut front, post);
+        record(&mut transcript, name, &mut frontend, post);
     }
     let not_text = Request {
         body: vec![0xff],
         ..request("POST", "/ops/lookup", &fields(&[]), "")
     };
-    record(&mut wire, "not UTF-8", &mut front, not_text);
+    record(&mut transcript, "not UTF-8", &mut frontend, not_text);
     for (name, method, path) in [
         ("no path", "POST", "/what"),
         ("no class", "POST", "/ops/what"),
@@ -253,9 +260,9 @@
         ("counters", "GET", "/counters"),
     ] {
         record(
-            &mut wire,
+            &mut transcript,
             name,
-            &mut front,
+            &mut frontend,
             request(method, path, &[call], ""),
         );
     }
@@ -264,13 +271,14 @@
         HttpError::BodyTooLarge,
         HttpError::HeadTooLarge,
     ] {
-        wire.record("fault", front.error_response(fault));
+        transcript.record("fault", frontend.error_response(fault));
     }
-    record_answers(&mut wire, "answer", || {
+    record_responses(&mut transcript, "answer", || {
         let post = request("POST", "/ops/lookup", &[call, patience], "x");
-        record(&mut MessageTranscript::default(), "", &mut front, post).expect("it is taken")
+        record(&mut MessageTranscript::default(), "", &mut frontend, post)
+            .expect("an accepted request")
     });
-    assert_golden!("wire/platform.http", wire.bytes());
+    assert_golden!("wire/platform.http", transcript.bytes());
 }
 
 fn clickhouse() -> ClickHouse {
@@ -285,10 +293,10 @@
 }
 
 #[test]
-#[allow(clippy::too_many_lines, reason = "tests list their cases")]
-fn clickhouse_s_answers_are_made_as_ever() {
-    let mut wire = MessageTranscript::default();
-    let mut front = clickhouse();
+#[allow(clippy::too_many_lines, reason = "a list of cases")]
+fn clickhouse_frontend_responses_match_the_golden_file() {
+    let mut transcript = MessageTranscript::default();
+    let mut frontend = clickhouse();
     for (name, method, target, headers, body) in [
         ("read", "POST", "/", vec![], "SELECT 1"),
         (
@@ -379,9 +387,9 @@
         ("no path", "GET", "/what", vec![], ""),
     ] {
         record(
-            &mut wire,
+            &mut transcript,
             name,
-            &mut front,
+            &mut frontend,
             request(method, target, &headers, body),
         );
     }
@@ -389,32 +397,34 @@
         has_more_body: true,
         ..request("POST", "/?query_id=q-7", &[], "INSERT INTO t FORMAT CSV\n")
     };
-    record(&mut wire, "upload", &mut front, upload);
-    let twin = ParsedRequest {
+    record(&mut transcript, "upload", &mut frontend, upload);
+    let duplicate = ParsedRequest {
         name: "q-1".into(),
         ticket: 1,
         ..ParsedRequest::default()
     };
-    wire.record(
+    transcript.record(
         "twin",
-        front.duplicate_id_response(0, &twin).expect("it is told"),
+        frontend
+            .duplicate_id_response(0, &duplicate)
+            .expect("a response"),
     );
-    front.settle_request(0, 5, SettledOutcome::Ran(EngineId(4), true));
-    let bound = request("POST", "/?query_id=q-8&session_id=s", &[], "SELECT 1");
+    frontend.settle_request(0, 5, SettledOutcome::Ran(EngineId(4), true));
+    let in_session = request("POST", "/?query_id=q-8&session_id=s", &[], "SELECT 1");
     record(
-        &mut wire,
+        &mut transcript,
         "session is held by its engine",
-        &mut front,
-        bound,
+        &mut frontend,
+        in_session,
     );
     for fault in [
         HttpError::Malformed,
         HttpError::BodyTooLarge,
         HttpError::HeadTooLarge,
     ] {
-        wire.record("fault", front.error_response(fault));
+        transcript.record("fault", frontend.error_response(fault));
     }
-    wire.record("counters", front.counters());
+    transcript.record("counters", frontend.counters());
     for (name, method, target, version_1_1) in [
         ("answer", "POST", "/?query_id=q", true),
         (
@@ -431,7 +441,7 @@
             true,
         ),
     ] {
-        record_answers(&mut wire, name, || {
+        record_responses(&mut transcript, name, || {
             let query = Request {
                 version_1_1,
                 ..request(method, target, &[], "SELECT 1")
@@ -442,51 +452,51 @@
                 &mut clickhouse(),
                 query,
             )
-            .expect("it is taken")
+            .expect("an accepted request")
         });
     }
-    assert_golden!("wire/clickhouse.http", wire.bytes());
+    assert_golden!("wire/clickhouse.http", transcript.bytes());
 }
 
-/// Writes these bytes on a new connection and reads all until its close.
+/// Sends bytes on a new connection and reads until it is closed.
 fn exchange(addr: std::net::SocketAddr, bytes: &[u8]) -> Vec<u8> {
-    let mut stream = TcpStream::connect(addr).expect("it listens");
+    let mut stream = TcpStream::connect(addr).expect("connect");
     stream
         .set_read_timeout(Some(TEST_TIMEOUT))
-        .expect("a timeout");
-    stream.write_all(bytes).expect("it reads");
-    let mut answer = Vec::new();
-    stream.read_to_end(&mut answer).expect("an answer");
-    answer
+        .expect("set the timeout");
+    stream.write_all(bytes).expect("send");
+    let mut response = Vec::new();
+    stream.read_to_end(&mut response).expect("a response");
+    response
 }
 
-/// A request whose body is sent once the program says that it waits for it, and all that comes.
-fn expecting(addr: std::net::SocketAddr, fields: &str) -> Vec<u8> {
-    let mut stream = TcpStream::connect(addr).expect("it listens");
+/// Sends a request with `Expect: 100-continue` and its body after the interim response. Returns all bytes received.
+fn exchange_with_expect(addr: std::net::SocketAddr, fields: &str) -> Vec<u8> {
+    let mut stream = TcpStream::connect(addr).expect("connect");
     stream
         .set_read_timeout(Some(TEST_TIMEOUT))
-        .expect("a timeout");
+        .expect("set the timeout");
     let head = format!(
         "POST /ops/lookup HTTP/1.1\r\nExpect: 100-continue\r\nConnection: close\r\n{fields}Content-Length: 8\r\n\r\n"
     );
-    stream.write_all(head.as_bytes()).expect("it reads");
-    let mut answer = Vec::new();
-    while !answer.ends_with(b"\r\n\r\n") {
+    stream.write_all(head.as_bytes()).expect("send");
+    let mut response = Vec::new();
+    while !response.ends_with(b"\r\n\r\n") {
         let mut byte = [0];
-        stream.read_exact(&mut byte).expect("it says so");
-        answer.extend(byte);
+        stream.read_exact(&mut byte).expect("an interim response");
+        response.extend(byte);
     }
-    stream.write_all(b"SELECT 1").expect("it reads");
-    stream.read_to_end(&mut answer).expect("an answer");
-    answer
+    stream.write_all(b"SELECT 1").expect("send");
+    stream.read_to_end(&mut response).expect("a response");
+    response
 }
 
 #[test]
-#[allow(clippy::too_many_lines, reason = "tests list their cases")]
-fn the_program_sends_the_platform_s_answers_as_ever() {
+#[allow(clippy::too_many_lines, reason = "a list of cases")]
+fn platform_responses_on_the_wire_match_the_golden_files() {
     let site = Site::start(1);
     let addr = site.coordinator.addr;
-    let mut wire = MessageTranscript::default();
+    let mut transcript = MessageTranscript::default();
     let post = |path: &str, headers: &str, body: &str| {
         format!(
             "POST {path} HTTP/1.1\r\nHost: t\r\nConnection: close\r\n{headers}Content-Length: {}\r\n\r\n{body}",
@@ -495,15 +505,15 @@
     };
     let fields = |n: u32| format!("X-Call-Id: 9b1f03aa5c7e2d4{n}\r\nX-Patience-Ms: 2500\r\n");
     let close = "HTTP/1.1\r\nHost: t\r\nConnection: close\r\n\r\n";
-    let large = format!("{}\r\n\r\n", "Content-Length: 99999999");
-    let one = post("/ops/lookup", &fields(1), "SELECT 1");
+    let oversized = format!("{}\r\n\r\n", "Content-Length: 99999999");
+    let query = post("/ops/lookup", &fields(1), "SELECT 1");
     for (name, bytes) in [
-        ("result", one.clone()),
+        ("result", query.clone()),
         (
             "failure",
             post("/ops/member-load", &fields(2), "INSERT fault"),
         ),
-        ("half read", one[..one.len() - 1].into()),
+        ("half read", query[..query.len() - 1].into()),
         (
             "withdrawn",
             format!(
@@ -513,24 +523,27 @@
         ),
         (
             "two on one connection",
-            one.replace("Connection: close\r\n", "") + &one,
+            query.replace("Connection: close\r\n", "") + &query,
         ),
         ("bad", post("/ops/lookup", "", "SELECT 1")),
         ("alive", format!("GET /alive {close}")),
         ("malformed", "what is this\r\n\r\n".into()),
         (
             "too large a body",
-            format!("POST /ops/lookup HTTP/1.1\r\n{large}"),
+            format!("POST /ops/lookup HTTP/1.1\r\n{oversized}"),
         ),
         (
             "too large a head",
             format!("GET /{} {close}", "x".repeat(20_000)),
         ),
-        ("stray bytes", one.clone() + "stray"),
+        ("stray bytes", query.clone() + "stray"),
     ] {
-        wire.record(name, exchange(addr, bytes.as_bytes()));
+        transcript.record(name, exchange(addr, bytes.as_bytes()));
     }
-    wire.record("expects to be told to go on", expecting(addr, &fields(4)));
+    transcript.record(
+        "expects to be told to go on",
+        exchange_with_expect(addr, &fields(4)),
+    );
     let counters = exchange(addr, format!("GET /counters {close}").as_bytes());
     let counters = String::from_utf8(counters).expect("text");
     let (head, lines) = counters.split_once("\r\n\r\n").expect("a head");
@@ -538,9 +551,9 @@
         .split("\r\n")
         .filter(|l| !l.starts_with("Content-Length: "))
         .collect();
-    wire.record("counters, without its length", head.join("\r\n"));
-    assert_golden!("wire/platform_sent.http", wire.bytes());
-    // A name's value varies; the names and their order do not.
+    transcript.record("counters, without its length", head.join("\r\n"));
+    assert_golden!("wire/platform_sent.http", transcript.bytes());
+    // The counters' values vary between runs; their names and order do not.
     let names: Vec<&str> = lines
         .lines()
         .map(|l| l.rsplit_once(' ').map_or(l, |l| l.0))
@@ -549,10 +562,10 @@
 }
 
 #[test]
-fn the_program_sends_clickhouse_s_answers_as_ever() {
+fn clickhouse_responses_on_the_wire_match_the_golden_files() {
     let site = clickhouse_site::Site::start(1);
     let addr = site.coordinator.addr;
-    let mut wire = MessageTranscript::default();
+    let mut transcript = MessageTranscript::default();
     let close = "HTTP/1.1\r\nHost: t\r\nConnection: close\r\n\r\n";
     for (name, bytes) in [
         (
@@ -570,7 +583,7 @@
             format!("GET /{} {close}", "x".repeat(300_000)),
         ),
     ] {
-        wire.record(name, exchange(addr, bytes.as_bytes()));
+        transcript.record(name, exchange(addr, bytes.as_bytes()));
     }
     let counters = exchange(addr, format!("GET /counters {close}").as_bytes());
     let counters = String::from_utf8(counters).expect("text");
@@ -579,6 +592,6 @@
         .lines()
         .map(|l| l.rsplit_once(' ').map_or(l, |l| l.0))
         .collect();
-    assert_golden!("wire/clickhouse_sent.http", wire.bytes());
+    assert_golden!("wire/clickhouse_sent.http", transcript.bytes());
     assert_golden!("wire/clickhouse_counters.txt", names.join("\n"));
 }
