--- a/crates/coordinator/tests/wires.rs
+++ b/crates/coordinator/tests/wires.rs
@@ -1,4 +1,5 @@
-//! Wires without sockets: random pieces of bytes and random steps against models of a connection's states.
+//! Protocol decoders without sockets: randomly fragmented input, and random steps compared with a model of the
+//! connection's state.
 
 use driftfront::backends::clickhouse::HttpSession;
 use driftfront::backends::engine_protocol::LineSession;
@@ -26,25 +27,25 @@
         .quickcheck(test);
 }
 
-/// Cuts bytes where the numbers say.
-fn cut(bytes: &[u8], cuts: &[u8]) -> Vec<Vec<u8>> {
-    let (mut rest, mut pieces) = (bytes, Vec::new());
-    for &n in cuts {
-        let (piece, after) = rest.split_at(usize::from(n).min(rest.len()));
-        pieces.push(piece.to_vec());
+/// Splits bytes into fragments of the given lengths and the rest.
+fn split_into_fragments(bytes: &[u8], lengths: &[u8]) -> Vec<Vec<u8>> {
+    let (mut rest, mut fragments) = (bytes, Vec::new());
+    for &length in lengths {
+        let (fragment, after) = rest.split_at(usize::from(length).min(rest.len()));
+        fragments.push(fragment.to_vec());
         rest = after;
     }
-    pieces.push(rest.to_vec());
-    pieces
+    fragments.push(rest.to_vec());
+    fragments
 }
 
 #[test]
 fn requests_are_the_same_however_fragmented() {
     #[allow(
         clippy::needless_pass_by_value,
-        reason = "quickcheck hands over values"
+        reason = "quickcheck passes arguments by value"
     )]
-    fn same(bodies: Vec<Vec<u8>>, chunked: Vec<bool>, cuts: Vec<u8>) -> bool {
+    fn decodes_all_requests(bodies: Vec<Vec<u8>>, chunked: Vec<bool>, lengths: Vec<u8>) -> bool {
         let mut bytes = Vec::new();
         for (n, body) in bodies.iter().enumerate() {
             bytes.extend(format!("POST /{n} HTTP/1.1\r\nHost: t\r\n").bytes());
@@ -57,57 +58,61 @@
                 bytes.extend(body);
             }
         }
-        let (mut reader, mut read) = (RequestReader::new(1 << 16), Vec::new());
-        for piece in cut(&bytes, &cuts) {
-            reader.push(&piece);
+        let (mut reader, mut requests) = (RequestReader::new(1 << 16), Vec::new());
+        for fragment in split_into_fragments(&bytes, &lengths) {
+            reader.push(&fragment);
             while let Some(request) = reader.next_request().expect("well formed") {
-                read.push(request);
+                requests.push(request);
             }
         }
-        let fits = |(n, r): (usize, &Request)| r.target == format!("/{n}") && r.body == bodies[n];
-        read.len() == bodies.len() && read.iter().enumerate().all(fits) && !reader.is_mid_message()
+        let is_expected = |(n, request): (usize, &Request)| {
+            request.target == format!("/{n}") && request.body == bodies[n]
+        };
+        requests.len() == bodies.len()
+            && requests.iter().enumerate().all(is_expected)
+            && !reader.is_mid_message()
     }
-    check(same as fn(Vec<Vec<u8>>, Vec<bool>, Vec<u8>) -> bool);
+    check(decodes_all_requests as fn(Vec<Vec<u8>>, Vec<bool>, Vec<u8>) -> bool);
 }
 
 #[test]
 fn readers_are_bounded_and_never_panic() {
-    fn bounded(pieces: Vec<Vec<u8>>) -> bool {
+    fn never_panics(fragments: Vec<Vec<u8>>) -> bool {
         let (mut requests, mut responses) = (RequestReader::new(100), ResponseReader::default());
         responses.push(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-        for piece in pieces {
-            requests.push(&piece);
-            responses.push(&piece);
+        for fragment in fragments {
+            requests.push(&fragment);
+            responses.push(&fragment);
             while let Ok(Some(_)) = requests.next_request() {}
             while let Ok(Some(_)) = responses.next_part() {}
         }
         true
     }
-    check(bounded as fn(Vec<Vec<u8>>) -> bool);
-    let fault = |bytes: &[u8]| {
+    check(never_panics as fn(Vec<Vec<u8>>) -> bool);
+    let error_of = |bytes: &[u8]| {
         let mut reader = RequestReader::new(100);
         reader.push(bytes);
         reader.next_request().err()
     };
-    // Two ways to tell a body's end are how requests are smuggled past a front.
+    // Requests with two different framings of the body can be used for request smuggling.
     let both = b"POST / HTTP/1.1\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n";
-    assert_eq!(fault(both), Some(HttpError::Malformed));
+    assert_eq!(error_of(both), Some(HttpError::Malformed));
     assert_eq!(
-        fault(b"POST / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n"),
+        error_of(b"POST / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n"),
         Some(HttpError::Malformed)
     );
     assert_eq!(
-        fault(b"POST / HTTP/1.1\r\nContent-Length: +1\r\n\r\n"),
+        error_of(b"POST / HTTP/1.1\r\nContent-Length: +1\r\n\r\n"),
         Some(HttpError::Malformed)
     );
     assert_eq!(
-        fault(b"POST / HTTP/1.1\r\nContent-Length: 101\r\n\r\n"),
+        error_of(b"POST / HTTP/1.1\r\nContent-Length: 101\r\n\r\n"),
         Some(HttpError::BodyTooLarge)
     );
-    assert_eq!(fault(&[b'G'; 20_000]), Some(HttpError::HeadTooLarge));
+    assert_eq!(error_of(&[b'G'; 20_000]), Some(HttpError::HeadTooLarge));
 }
 
-/// What an engine or the coordinator does next on a connection in lines.
+/// One step of an engine or of the coordinator on a line protocol connection.
 #[derive(Clone, Debug)]
 enum Step {
     AttemptRequest(u8),
@@ -117,7 +122,7 @@
     Stop(u8),
     Probe,
     Pong,
-    Nonsense,
+    Malformed,
 }
 
 impl Arbitrary for Step {
@@ -131,7 +136,7 @@
             15..=16 => Step::Stop(id),
             17 => Step::Probe,
             18 => Step::Pong,
-            _ => Step::Nonsense,
+            _ => Step::Malformed,
         }
     }
 }
@@ -139,15 +144,15 @@
 #[test]
 #[allow(clippy::too_many_lines, reason = "a model and its steps")]
 fn line_session_follows_its_model() {
-    // The model: for each request open, how many of its three pages have come; and how often it ended without being served,
-    // since its id goes by this connection no more then.
+    // The model has the number of pages received, of three, for each open request. It also counts how often each request
+    // ended without being served, because an attempt name cannot be used again on the connection after that.
     #[allow(
         clippy::too_many_lines,
         clippy::needless_pass_by_value,
-        reason = "a model and its steps, whose values quickcheck hands over"
+        reason = "a model and its steps; quickcheck passes arguments by value"
     )]
-    fn follows(steps: Vec<Step>, cuts: Vec<u8>) -> bool {
-        let mut lines = LineSession::new(32, Rc::from(["inflight".to_string()]));
+    fn follows_model(steps: Vec<Step>, lengths: Vec<u8>) -> bool {
+        let mut session = LineSession::new(32, Rc::from(["inflight".to_string()]));
         let (mut model, mut probes): (BTreeMap<u8, usize>, Vec<u64>) =
             (BTreeMap::new(), Vec::new());
         let mut ended = [0usize; 4];
@@ -156,148 +161,156 @@
             number: 0,
         };
         for (n, step) in steps.iter().enumerate() {
-            let (mut out, mut seen, mut want, mut text) =
+            let (mut out, mut events, mut expected, mut text) =
                 (Vec::new(), Vec::new(), Vec::new(), String::new());
-            let times = ended;
-            let call = |id: u8| format!("c{id}.{}", times[usize::from(id)]);
-            let earlier =
-                |id: u8| Some(format!("c{id}.{}", times[usize::from(id)].checked_sub(1)?));
+            let ended_before = ended;
+            let name = |id: u8| format!("c{id}.{}", ended_before[usize::from(id)]);
+            let earlier_name = |id: u8| {
+                Some(format!(
+                    "c{id}.{}",
+                    ended_before[usize::from(id)].checked_sub(1)?
+                ))
+            };
             match *step {
                 Step::AttemptRequest(id) if !model.contains_key(&id) => {
-                    let ask = ask(&call(id));
-                    assert!(lines.can_start(&ask.name));
-                    assert!(earlier(id).is_none_or(|call| !lines.can_start(&call)));
-                    lines.start_attempt(
+                    let request = parsed_request(&name(id));
+                    assert!(session.can_start(&request.name));
+                    assert!(earlier_name(id).is_none_or(|name| !session.can_start(&name)));
+                    session.start_attempt(
                         &AttemptRequest {
                             timeout: 1_500_999,
-                            ..start(key(id), &ask)
+                            ..attempt_request(key(id), &request)
                         },
                         &mut out,
                     );
                     assert_eq!(
                         String::from_utf8_lossy(&out),
-                        format!("REQ {} kind=k,ms=1500 1\r\nx\r\n", ask.name)
+                        format!("REQ {} kind=k,ms=1500 1\r\nx\r\n", request.name)
                     );
                     model.insert(id, 0);
                 }
-                Step::AttemptRequest(id) => assert!(!lines.can_start(&call(id))),
-                Step::Page(id, twice) => {
-                    let come = model.get(&id).copied().unwrap_or(0);
-                    text = match come {
-                        0 => format!("{} HIT fetches=3 6\r\n0\ta\tb\n\r\n", call(id)),
-                        come => {
-                            format!("{} PART fetch_no={come} 6\r\n{come}\ta\tb\n\r\n", call(id))
+                Step::AttemptRequest(id) => assert!(!session.can_start(&name(id))),
+                Step::Page(id, is_duplicated) => {
+                    let received = model.get(&id).copied().unwrap_or(0);
+                    text = match received {
+                        0 => format!("{} HIT fetches=3 6\r\n0\ta\tb\n\r\n", name(id)),
+                        page => {
+                            format!("{} PART fetch_no={page} 6\r\n{page}\ta\tb\n\r\n", name(id))
                         }
                     };
-                    if twice {
-                        // The copy is not the model's, and neither is an answer under an unknown id, or to an attempt that ended.
-                        let other = earlier(id).unwrap_or("c9".into());
-                        text = format!("{text}{text}{other} HIT fetches=1 0\r\n\r\n");
+                    if is_duplicated {
+                        // Duplicate pages and responses under an unknown name or to an ended attempt must be ignored.
+                        let ignored = earlier_name(id).unwrap_or("c9".into());
+                        text = format!("{text}{text}{ignored} HIT fetches=1 0\r\n\r\n");
                     }
                     if model.contains_key(&id) {
-                        want.push(EngineEvent::Begun(key(id)));
-                        model.insert(id, come + 1);
+                        expected.push(EngineEvent::Begun(key(id)));
+                        model.insert(id, received + 1);
                     }
-                    if come == 2 {
+                    if received == 2 {
                         let rows = b"0\ta\tb\n1\ta\tb\n2\ta\tb\n".to_vec();
-                        let piece = driftfront_core::ResponseChunk {
+                        let chunk = driftfront_core::ResponseChunk {
                             headers: Vec::new(),
                             rows,
                             is_only_chunk: true,
                         };
-                        want.extend([
-                            EngineEvent::ResponseChunk(key(id), piece),
-                            told(key(id)),
+                        expected.extend([
+                            EngineEvent::ResponseChunk(key(id), chunk),
+                            empty_report(key(id)),
                             EngineEvent::Served(key(id)),
                         ]);
                         model.remove(&id);
                     }
                 }
                 Step::ProgressReport(id) => {
-                    text = format!("{} INFO res=w,figure=2 0\r\n\r\n", call(id));
-                    let note = driftfront_core::ProgressReport::WaitsForLoad;
-                    want.extend(
+                    text = format!("{} INFO res=w,figure=2 0\r\n\r\n", name(id));
+                    let report = driftfront_core::ProgressReport::WaitsForLoad;
+                    expected.extend(
                         model
                             .contains_key(&id)
-                            .then_some(EngineEvent::ProgressReported(key(id), note)),
+                            .then_some(EngineEvent::ProgressReported(key(id), report)),
                     );
                 }
-                Step::End(id, full) => {
+                Step::End(id, is_rejection) => {
                     text = format!(
                         "{} {} - 0\r\n\r\n",
-                        call(id),
-                        if full { "SHED" } else { "FAULT" }
+                        name(id),
+                        if is_rejection { "SHED" } else { "FAULT" }
                     );
-                    let cause = if full {
+                    let cause = if is_rejection {
                         Cause::Rejected
                     } else {
                         Cause::Engine("FAULT".into())
                     };
                     if model.remove(&id).is_some() {
                         ended[usize::from(id)] += 1;
-                        want.extend([told(key(id)), EngineEvent::Failed(key(id), cause)]);
+                        expected
+                            .extend([empty_report(key(id)), EngineEvent::Failed(key(id), cause)]);
                     }
                 }
                 Step::Stop(id) => {
-                    assert!(lines.stop_attempt(key(id), &mut out));
+                    assert!(session.stop_attempt(key(id), &mut out));
                     let was_open = model.remove(&id).is_some();
-                    let stop = if was_open {
-                        format!("STOP {}\r\n", call(id))
+                    let expected_line = if was_open {
+                        format!("STOP {}\r\n", name(id))
                     } else {
                         String::new()
                     };
-                    assert_eq!(String::from_utf8_lossy(&out), stop);
+                    assert_eq!(String::from_utf8_lossy(&out), expected_line);
                     ended[usize::from(id)] += usize::from(was_open);
                 }
                 Step::Probe if probes.len() < 8 => {
-                    lines.write_probe(n as u64, &mut out);
+                    session.write_probe(n as u64, &mut out);
                     probes.push(n as u64);
                 }
                 Step::Pong if !probes.is_empty() => {
                     let tag = probes.remove(0);
                     text = format!("p{tag} PONG gauges=inflight:7;queue:1 0\r\n\r\n");
-                    want.push(EngineEvent::ProbeEnded(
+                    expected.push(EngineEvent::ProbeEnded(
                         tag,
                         driftfront_core::Outcome::Ok,
                         vec![7.0],
                     ));
                 }
                 Step::Probe | Step::Pong => {}
-                Step::Nonsense => {
-                    // The connection ends: what is open on it is what the model says.
-                    assert!(lines
-                        .decode(0, b"c1 HIT fetches=x\r\n", &mut out, &mut seen)
+                Step::Malformed => {
+                    // The connection fails, and the open attempts are those of the model.
+                    assert!(session
+                        .decode(0, b"c1 HIT fetches=x\r\n", &mut out, &mut events)
                         .is_err());
                     let open: Vec<AttemptKey> = model.keys().map(|&id| key(id)).collect();
-                    return lines.open_attempts() == open;
+                    return session.open_attempts() == open;
                 }
             }
-            for piece in cut(text.as_bytes(), &cuts) {
-                lines
-                    .decode(0, &piece, &mut out, &mut seen)
+            for fragment in split_into_fragments(text.as_bytes(), &lengths) {
+                session
+                    .decode(0, &fragment, &mut out, &mut events)
                     .expect("well formed");
             }
-            assert_eq!(seen, want, "{step:?}");
-            assert_eq!(lines.is_idle(), model.is_empty() && probes.is_empty());
+            assert_eq!(events, expected, "{step:?}");
+            assert_eq!(session.is_idle(), model.is_empty() && probes.is_empty());
         }
         true
     }
-    check(follows as fn(Vec<Step>, Vec<u8>) -> bool);
+    check(follows_model as fn(Vec<Step>, Vec<u8>) -> bool);
 }
 
 #[test]
-#[allow(clippy::too_many_lines, reason = "tests list their cases")]
+#[allow(clippy::too_many_lines, reason = "a list of cases")]
 fn malformed_response_ends_its_attempt_and_the_connection() {
     let key = AttemptKey {
         request: RequestId(1),
         number: 0,
     };
     let open = || {
-        let mut lines = LineSession::new(32, Rc::from([]));
-        lines.start_attempt(&start(key, &ask("c1")), &mut Vec::new());
-        lines
+        let mut session = LineSession::new(32, Rc::from([]));
+        session.start_attempt(
+            &attempt_request(key, &parsed_request("c1")),
+            &mut Vec::new(),
+        );
+        session
     };
-    for (answer, known) in [
+    for (response, has_known_attempt) in [
         ("c1 HIT fetches=1 4\r\na\tb\n\r\n", true),
         ("c1 HIT fetches=1 5\r\na\tb\tc\r\n", true),
         ("c1 HIT - 6\r\na\tb\tc\n\r\n", true),
@@ -308,48 +321,57 @@
         ("c9 WHAT - 0\r\n\r\n", false),
         (&"x".repeat(5000), false),
     ] {
-        let (mut lines, mut seen) = (open(), Vec::new());
+        let (mut session, mut events) = (open(), Vec::new());
         assert!(
-            lines
-                .decode(0, answer.as_bytes(), &mut Vec::new(), &mut seen)
+            session
+                .decode(0, response.as_bytes(), &mut Vec::new(), &mut events)
                 .is_err(),
-            "{answer}"
+            "{response}"
         );
-        let spoilt =
-            matches!(seen[..], [EngineEvent::Failed(k, Cause::MalformedResponse(_))] if k == key);
+        let attempt_failed =
+            matches!(events[..], [EngineEvent::Failed(k, Cause::MalformedResponse(_))] if k == key);
         assert_eq!(
-            (spoilt, lines.open_attempts().is_empty()),
-            (known, known),
-            "{answer}"
+            (attempt_failed, session.open_attempts().is_empty()),
+            (has_known_attempt, has_known_attempt),
+            "{response}"
         );
     }
-    // One that stops short on an open connection holds up all behind it; it is given some time.
-    let (mut lines, mut out, mut seen) = (open(), Vec::new(), Vec::new());
-    lines
-        .decode(0, b"c1 HIT fetches=1 600\r\na\tb", &mut out, &mut seen)
+    // An incomplete response blocks those after it on its connection; the connection fails after a timeout.
+    let (mut session, mut out, mut events) = (open(), Vec::new(), Vec::new());
+    session
+        .decode(0, b"c1 HIT fetches=1 600\r\na\tb", &mut out, &mut events)
         .unwrap();
-    assert!(lines.check_timeouts(400_000, &mut out, &mut seen).is_ok());
-    lines
-        .decode(450_000, b"\tc\n", &mut out, &mut seen)
+    assert!(session
+        .check_timeouts(400_000, &mut out, &mut events)
+        .is_ok());
+    session
+        .decode(450_000, b"\tc\n", &mut out, &mut events)
         .unwrap();
-    assert!(lines.check_timeouts(600_000, &mut out, &mut seen).is_err());
-    // A page that never comes is asked for once more, then its attempt is over and the rest goes on.
-    let mut lines = open();
-    lines
-        .decode(0, b"c1 HIT fetches=2 0\r\n\r\n", &mut out, &mut seen)
+    assert!(session
+        .check_timeouts(600_000, &mut out, &mut events)
+        .is_err());
+    // A missing page is requested once more; then its attempt fails and the connection stays in use.
+    let mut session = open();
+    session
+        .decode(0, b"c1 HIT fetches=2 0\r\n\r\n", &mut out, &mut events)
         .unwrap();
-    let mut again = Vec::new();
+    let mut second_requests = Vec::new();
     for now in [200_000, 300_000, 400_000] {
-        lines.check_timeouts(now, &mut again, &mut seen).unwrap();
+        session
+            .check_timeouts(now, &mut second_requests, &mut events)
+            .unwrap();
     }
-    assert_eq!(String::from_utf8(again).unwrap(), "FETCH c1 1\r\n");
-    seen.clear();
-    lines
-        .check_timeouts(1_300_000, &mut out, &mut seen)
+    assert_eq!(
+        String::from_utf8(second_requests).unwrap(),
+        "FETCH c1 1\r\n"
+    );
+    events.clear();
+    session
+        .check_timeouts(1_300_000, &mut out, &mut events)
         .unwrap();
     assert!(
-        matches!(seen[..], [EngineEvent::Failed(k, Cause::MalformedResponse(_))] if k == key)
-            && lines.is_idle()
+        matches!(events[..], [EngineEvent::Failed(k, Cause::MalformedResponse(_))] if k == key)
+            && session.is_idle()
     );
 }
 
@@ -359,42 +381,45 @@
         request: RequestId(1),
         number: 0,
     };
-    for (name, fine) in [("c1", true), ("c0", false)] {
-        let (mut http, mut seen) = (HttpSession::new("h".into()), Vec::new());
-        http.start_attempt(&start(key, &ask("c1")), &mut Vec::new());
-        let answer = format!(
+    for (name, is_expected) in [("c1", true), ("c0", false)] {
+        let (mut http, mut events) = (HttpSession::new("h".into()), Vec::new());
+        http.start_attempt(
+            &attempt_request(key, &parsed_request("c1")),
+            &mut Vec::new(),
+        );
+        let response = format!(
             "HTTP/1.1 200 OK\r\nX-ClickHouse-Query-Id: {name}\r\nContent-Length: 2\r\n\r\n1\n"
         );
         assert_eq!(
-            http.decode(0, answer.as_bytes(), &mut Vec::new(), &mut seen)
+            http.decode(0, response.as_bytes(), &mut Vec::new(), &mut events)
                 .is_ok(),
-            fine
+            is_expected
         );
-        assert_eq!(seen.contains(&EngineEvent::Served(key)), fine);
+        assert_eq!(events.contains(&EngineEvent::Served(key)), is_expected);
     }
 }
 
-/// An attempt under its request's own name.
-fn start(key: AttemptKey, ask: &ParsedRequest) -> AttemptRequest<'_> {
+/// An attempt with the same name as its request.
+fn attempt_request(key: AttemptKey, request: &ParsedRequest) -> AttemptRequest<'_> {
     AttemptRequest {
         key,
-        request: ask,
+        request,
         class: "k",
-        name: &ask.name,
+        name: &request.name,
         timeout: 1000,
         grant_mb: 0.0,
         progress_interval: None,
     }
 }
 
-/// An engine that tells nothing of itself or the query.
-fn told(key: AttemptKey) -> EngineEvent {
+/// The report of an attempt whose engine sent no figures.
+fn empty_report(key: AttemptKey) -> EngineEvent {
     EngineEvent::AttemptReport(key, AttemptReport::default())
 }
 
-fn ask(call: &str) -> ParsedRequest {
+fn parsed_request(name: &str) -> ParsedRequest {
     ParsedRequest {
-        name: call.into(),
+        name: name.into(),
         statement: Rc::from(*b"x"),
         ..ParsedRequest::default()
     }
@@ -404,46 +429,46 @@
 fn stream_events_are_the_same_however_fragmented() {
     #[allow(
         clippy::needless_pass_by_value,
-        reason = "quickcheck hands over values"
+        reason = "quickcheck passes arguments by value"
     )]
-    fn same(numbers: Vec<u8>, cuts: Vec<u8>) -> bool {
+    fn decodes_all_events(numbers: Vec<u8>, lengths: Vec<u8>) -> bool {
         let mut stream = Stream::new("h".into(), 0);
         let opened = String::from_utf8(stream.open_request()).unwrap();
         assert!(opened.contains("\r\nLast-Event-ID: 0\r\n"));
         let mut bytes = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".to_vec();
-        let (mut want, mut last) = (Vec::new(), 0);
+        let (mut expected, mut last) = (Vec::new(), 0);
         for n in numbers {
             let text = format!(": c\n\nid: {n}\r\ndata: {{\"n\":\ndata: {n}}}\n\n");
             bytes.extend(chunk(text.as_bytes()));
-            // What has been told already comes again after a new connection, and must not count twice.
+            // A source may repeat events after a reconnection; repeated events must be skipped.
             if n > last {
-                (last, want) = (n, [want, vec![f64::from(n)]].concat());
+                (last, expected) = (n, [expected, vec![f64::from(n)]].concat());
             }
         }
         let (mut updates, mut out) = (Vec::new(), Vec::new());
-        for piece in cut(&bytes, &cuts) {
+        for fragment in split_into_fragments(&bytes, &lengths) {
             stream
-                .decode(&piece, &mut out, &mut updates)
+                .decode(&fragment, &mut out, &mut updates)
                 .expect("well formed");
         }
-        let seen: Vec<f64> = updates
+        let received: Vec<f64> = updates
             .iter()
             .filter_map(|u| Json(Some(u)).get("n").number())
             .collect();
         assert!(String::from_utf8(stream.open_request())
             .unwrap()
             .contains(&format!("\r\nLast-Event-ID: {last}\r\n")));
-        seen == want
+        received == expected
     }
-    check(same as fn(Vec<u8>, Vec<u8>) -> bool);
+    check(decodes_all_events as fn(Vec<u8>, Vec<u8>) -> bool);
 }
 
 #[test]
-fn cut_event_is_requested_again_a_bounded_number_of_times() {
+fn truncated_event_is_requested_again_a_bounded_number_of_times() {
     let mut stream = Stream::new("h".into(), 4);
     let mut connection = |events: &str| {
-        let asked = String::from_utf8(stream.open_request()).unwrap();
-        let asked = asked
+        let request = String::from_utf8(stream.open_request()).unwrap();
+        let last_event_id = request
             .lines()
             .find_map(|l| l.strip_prefix("Last-Event-ID: "))
             .unwrap()
@@ -451,88 +476,91 @@
         let bytes = [b"HTTP/1.1 200 OK\r\n\r\n", events.as_bytes()].concat();
         let (mut updates, mut out) = (Vec::new(), Vec::new());
         let ended = stream.decode(&bytes, &mut out, &mut updates).is_err();
-        (asked, ended, updates.len())
+        (last_event_id, ended, updates.len())
     };
-    // It breaks off in the middle, and the next one comes right behind it.
-    let cut = "id: 5\ndata: {\"index\":5,\"endp\nid: 6\ndata: {\"index\":6}\n\n";
-    let whole = "id: 5\ndata: {\"index\":5}\n\nid: 6\ndata: {\"index\":6}\n\n";
-    assert_eq!(connection(cut), ("4".into(), true, 0));
-    assert_eq!(connection(whole), ("4".into(), false, 2));
-    let never = "id: 7\ndata: {\n\nid: 8\ndata: {\"index\":8}\n\n";
+    // The data of event 5 is truncated, and event 6 follows directly.
+    let truncated = "id: 5\ndata: {\"index\":5,\"endp\nid: 6\ndata: {\"index\":6}\n\n";
+    let complete = "id: 5\ndata: {\"index\":5}\n\nid: 6\ndata: {\"index\":6}\n\n";
+    assert_eq!(connection(truncated), ("4".into(), true, 0));
+    assert_eq!(connection(complete), ("4".into(), false, 2));
+    let always_truncated = "id: 7\ndata: {\n\nid: 8\ndata: {\"index\":8}\n\n";
     for _ in 0..3 {
-        assert_eq!(connection(never), ("6".into(), true, 0));
+        assert_eq!(connection(always_truncated), ("6".into(), true, 0));
     }
-    assert_eq!(connection(never), ("6".into(), false, 1));
+    assert_eq!(connection(always_truncated), ("6".into(), false, 1));
     assert_eq!(connection(""), ("8".into(), false, 0));
 }
 
-fn apply(roster: &mut EngineRegistry, text: &str) -> RegistryChange {
+fn apply_endpoints(registry: &mut EngineRegistry, text: &str) -> RegistryChange {
     let json: JsonValue = format!("{{\"endpoints\":{text}}}").parse().expect("JSON");
-    take(roster, &json)
+    apply_update(registry, &json)
 }
 
-fn take(roster: &mut EngineRegistry, update: &JsonValue) -> RegistryChange {
+fn apply_update(registry: &mut EngineRegistry, update: &JsonValue) -> RegistryChange {
     let names = (["a".to_string(), "b".to_string()], ["std-8".to_string()]);
-    let told = read(&names.0, &names.1, Json(Some(update))).expect("an update");
-    roster.apply_listing(told.kind, told.descriptions)
+    let listing = read(&names.0, &names.1, Json(Some(update))).expect("a valid update");
+    registry.apply_listing(listing.kind, listing.descriptions)
 }
 
 #[test]
 fn engines_are_distinguished_by_instance_not_address() {
-    let mut table = EngineRegistry::new();
-    let line = |id: &str, phase: &str, more: &str| {
-        format!("{{\"instanceId\":\"{id}\",\"hostPort\":\"127.0.0.1:9\",\"zone\":\"b\",\"lifecycle\":\"{phase}\"{more}}}")
+    let mut registry = EngineRegistry::new();
+    let instance = |id: &str, lifecycle: &str, more_fields: &str| {
+        format!("{{\"instanceId\":\"{id}\",\"hostPort\":\"127.0.0.1:9\",\"zone\":\"b\",\"lifecycle\":\"{lifecycle}\"{more_fields}}}")
     };
-    let old = apply(
-        &mut table,
+    let old = apply_endpoints(
+        &mut registry,
         &format!(
             "{{\"reset\":true,\"instances\":[{}]}}",
-            line("x", "ready", "")
+            instance("x", "ready", "")
         ),
     );
     assert_eq!(
         (old.kind, old.lines[0].zone, old.lines[0].phase),
         (ListKind::Full, 1, Phase::Ready)
     );
-    let lines = [
-        line("x", "gone", ""),
-        line("y", "ready", ""),
+    let instances = [
+        instance("x", "gone", ""),
+        instance("y", "ready", ""),
         "{\"bad\":1}".into(),
     ]
     .join(",");
-    let new = apply(&mut table, &format!("{{\"instances\":[{lines}]}}"));
+    let new = apply_endpoints(&mut registry, &format!("{{\"instances\":[{instances}]}}"));
     assert_eq!(
         (new.kind, new.lines.len(), new.lines[0].phase),
         (ListKind::Changes, 2, Phase::Gone)
     );
     assert_ne!(new.lines[0].engine, new.lines[1].engine);
-    // A new process of the same instance: old connections lead nowhere.
-    let again = apply(
-        &mut table,
+    // A new start time means a new process of the same instance; connections to the old one are no longer valid.
+    let again = apply_endpoints(
+        &mut registry,
         &format!(
             "{{\"instances\":[{}]}}",
-            line("y", "ready", ",\"startedAtMs\":5")
+            instance("y", "ready", ",\"startedAtMs\":5")
         ),
     );
     assert_eq!(
         (again.restarted.len(), again.lines[0].started_at),
         (1, Some(5000))
     );
-    table.forget_engine(new.lines[0].engine);
-    assert!(table.addr(new.lines[0].engine).is_none() && table.addr(new.lines[1].engine).is_some());
+    registry.forget_engine(new.lines[0].engine);
+    assert!(
+        registry.addr(new.lines[0].engine).is_none()
+            && registry.addr(new.lines[1].engine).is_some()
+    );
 }
 
 #[test]
 fn etcd_list_is_a_range_followed_by_a_watch() {
     let mut etcd = Etcd::new("h".into(), "/e/".into());
     let (mut out, mut updates) = (Vec::new(), Vec::new());
-    let asked = String::from_utf8(etcd.open_request()).unwrap();
-    // "/e/" and "/e0" in base64: all keys under the prefix.
+    let request = String::from_utf8(etcd.open_request()).unwrap();
+    // "/e/" and "/e0" in base64: the range of all keys with the prefix.
     assert!(
-        asked.starts_with("POST /v3/kv/range ")
-            && asked.ends_with(r#"{"key":"L2Uv","range_end":"L2Uw"}"#)
+        request.starts_with("POST /v3/kv/range ")
+            && request.ends_with(r#"{"key":"L2Uv","range_end":"L2Uw"}"#)
     );
-    let answer = |body: &str| {
+    let response = |body: &str| {
         format!(
             "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
             body.len()
@@ -540,10 +568,10 @@
     };
     // Key "/e/x", value {"hostPort":"127.0.0.1:9"}.
     let range = r#"{"header":{"revision":"41"},"kvs":[{"key":"L2UveA==","value":"eyJob3N0UG9ydCI6IjEyNy4wLjAuMTo5In0="}]}"#;
-    etcd.decode(answer(range).as_bytes(), &mut out, &mut updates)
+    etcd.decode(response(range).as_bytes(), &mut out, &mut updates)
         .unwrap();
-    let mut table = EngineRegistry::new();
-    let change = take(&mut table, &updates.remove(0));
+    let mut registry = EngineRegistry::new();
+    let change = apply_update(&mut registry, &updates.remove(0));
     assert_eq!(
         (change.kind, change.lines[0].phase),
         (ListKind::Full, Phase::Ready)
@@ -562,14 +590,14 @@
         &mut updates,
     )
     .unwrap();
-    assert!(updates.is_empty(), "the line is not whole yet");
+    assert!(updates.is_empty(), "the line is incomplete");
     etcd.decode(&chunk(b"\n"), &mut out, &mut updates).unwrap();
-    let change = take(&mut table, &updates.remove(0));
+    let change = apply_update(&mut registry, &updates.remove(0));
     assert_eq!(
         (change.kind, change.lines[0].phase),
         (ListKind::Changes, Phase::Gone)
     );
-    // A new connection goes on behind what was seen; a cancelled watch reads the whole range anew.
+    // A new connection resumes after the last revision received; after a cancelled watch the whole range is read again.
     assert!(etcd
         .open_request()
         .ends_with(b"\"start_revision\":\"51\"}}"));
@@ -596,7 +624,7 @@
 }
 
 #[test]
-fn listed_coordinators_are_no_engines() {
+fn listed_coordinators_are_not_engines() {
     let update = parse(
         br#"{"endpoints":{"reset":true,"instances":[
             {"instanceId":"c-1","coordinator":"127.0.0.1:7946"},
@@ -605,19 +633,20 @@
             {"instanceId":"e-1","hostPort":"127.0.0.1:1","lifecycle":"ready"}]}}"#,
     )
     .unwrap();
-    let told = read(&[], &[], Json(Some(&update))).unwrap();
+    let listing = read(&[], &[], Json(Some(&update))).unwrap();
     assert_eq!(
-        told.coordinators,
+        listing.coordinators,
         [("c-1".to_string(), "127.0.0.1:7946".parse().unwrap())]
     );
     assert_eq!(
-        told.descriptions
+        listing
+            .descriptions
             .iter()
-            .map(|f| f.name.as_str())
+            .map(|description| description.name.as_str())
             .collect::<Vec<_>>(),
         ["e-1"]
     );
-    assert_eq!(told.rejected_entries.len(), 2);
-    let first = told.rejected_entries[0].to_string();
+    assert_eq!(listing.rejected_entries.len(), 2);
+    let first = listing.rejected_entries[0].to_string();
     assert!(first.contains("c-2") && first.contains("nowhere"));
 }
