--- a/crates/coordinator/benches/operators.rs
+++ b/crates/coordinator/benches/operators.rs
@@ -1,7 +1,8 @@
-//! What operators cost: the loop's longest pause and processor time with 0, 1 and 8 consoles at ten snapshots a second
-//! and 500 engines; a snapshot against the number of engines; the memory of an hour of history.
+//! Benchmarks of the operator interface: the event loop's longest pause and processor time with 0, 1 and 8 consoles at
+//! ten snapshots a second and 500 engines; the cost of a snapshot by the number of engines; the memory of an hour of
+//! history.
 //!
-//! `cargo bench -p driftfront --bench operators` prints a page. Nothing else should run on the machine meanwhile.
+//! `cargo bench -p driftfront --bench operators` prints tables. Run it on an otherwise idle machine.
 
 use driftfront::service_window::{RequestOutcome, ServiceWindow};
 use driftfront_console::remote::{Endpoint, Remote};
@@ -19,34 +20,34 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// How long each number of consoles is measured.
+/// Duration of the measurement for each number of consoles.
 const ROUND: Duration = Duration::from_secs(4);
-/// Engines of the program to which consoles connect.
+/// Number of engines of the coordinator to which consoles connect.
 const ENGINES: usize = 500;
-/// Time between the snapshots that a console follows, in milliseconds.
+/// Interval between the snapshots sent to a console, in milliseconds.
 const FOLLOW_INTERVAL_MS: u64 = 100;
-/// Snapshots of which the mean cost is told.
+/// Number of snapshots over which the mean cost is taken.
 const SNAPSHOTS: u32 = 50;
-/// Beyond the time for which one snapshot serves all who ask.
+/// Longer than the time for which a snapshot is cached, so that each request builds a new one.
 const SNAPSHOT_INTERVAL: Duration = Duration::from_millis(60);
-/// How long the program's own processor time is measured.
+/// Duration of the measurement of the idle processor time.
 const IDLE_TIME: Duration = Duration::from_secs(3);
 
-struct Program {
+struct RunningCoordinator {
     process: MeasuredProcess,
     addr: SocketAddr,
     socket: PathBuf,
 }
 
-impl Program {
-    /// Starts the program with so many engines, all at one address.
-    fn start(engines: usize, engine: SocketAddr) -> Program {
+impl RunningCoordinator {
+    /// Starts a coordinator with `engines` engines, all at one address.
+    fn start(engines: usize, engine: SocketAddr) -> RunningCoordinator {
         let addr = unused_address();
-        let name = |what: &str| {
+        let path = |extension: &str| {
             let process = std::process::id();
-            std::env::temp_dir().join(format!("driftfront-bench-{process}-{engines}.{what}"))
+            std::env::temp_dir().join(format!("driftfront-bench-{process}-{engines}.{extension}"))
         };
-        let (socket, file) = (name("sock"), name("kdl"));
+        let (socket, file) = (path("sock"), path("kdl"));
         let mut text = format!(
             "listen \"{addr}\"\ncontrol \"{}\"\nengines {{\n",
             socket.display()
@@ -55,7 +56,7 @@
             let _ = writeln!(text, "    engine \"engine-{n}\" at=\"{engine}\"");
         }
         text.push_str("}\n");
-        std::fs::write(&file, text).expect("a file");
+        std::fs::write(&file, text).expect("write the configuration");
         let process = MeasuredProcess::start(
             Command::new(env!("CARGO_BIN_EXE_driftfront"))
                 .args(["serve", "--log", "error", "--config"])
@@ -63,7 +64,7 @@
             vec![file.clone(), socket.clone()],
             || Remote::connect(&Endpoint::Socket(socket.clone())).is_ok(),
         );
-        Program {
+        RunningCoordinator {
             process,
             addr,
             socket,
@@ -71,32 +72,33 @@
     }
 
     fn remote(&self) -> Remote {
-        Remote::connect(&Endpoint::Socket(self.socket.clone())).expect("it answers")
+        Remote::connect(&Endpoint::Socket(self.socket.clone()))
+            .expect("connect to the control socket")
     }
 
-    /// Processor time that it has used, in seconds.
-    fn cpu(&self) -> f64 {
+    /// Processor time used so far, in seconds.
+    fn cpu_seconds(&self) -> f64 {
         self.process.processor_seconds()
     }
 }
 
-/// How long pings took over a round, in milliseconds: the loop's longest pause shows in the longest.
+/// Ping latencies over a round, in milliseconds. The longest shows the longest pause of the event loop.
 struct PingTimes {
     p99: f64,
     longest: f64,
 }
 
 fn measure_pings(addr: SocketAddr) -> PingTimes {
-    let mut stream = TcpStream::connect(addr).expect("it listens");
+    let mut stream = TcpStream::connect(addr).expect("connect");
     let (begin, mut times, mut bytes) = (Instant::now(), Vec::new(), [0; 512]);
     while begin.elapsed() < ROUND {
         let sent_at = Instant::now();
         stream
             .write_all(b"GET /ping HTTP/1.1\r\nHost: t\r\n\r\n")
-            .expect("it reads");
+            .expect("send");
         let mut text = Vec::new();
         while !text.ends_with(b"Ok.\n") {
-            let n = stream.read(&mut bytes).expect("an answer");
+            let n = stream.read(&mut bytes).expect("a response");
             text.extend_from_slice(&bytes[..n]);
         }
         times.push(sent_at.elapsed().as_secs_f64() * 1000.0);
@@ -116,18 +118,18 @@
     print_history_size();
 }
 
-/// Prints what 0, 1 and 8 consoles cost that follow the program.
+/// Prints the cost of 0, 1 and 8 consoles that follow the coordinator.
 fn measure_consoles(engine: SocketAddr) {
-    println!("| consoles at 10 a second, 500 engines | CPU, in 100 of a core | ping p99, ms | longest, ms |\n| --- | --- | --- | --- |");
-    let program = Program::start(ENGINES, engine);
+    println!("| consoles at 10 a second, 500 engines | CPU, % of a core | ping p99, ms | longest, ms |\n| --- | --- | --- | --- |");
+    let coordinator = RunningCoordinator::start(ENGINES, engine);
     for consoles in [0, 1, 8] {
         let stop = Arc::new(AtomicBool::new(false));
         let readers: Vec<_> = (0..consoles)
-            .map(|_| follow(program.remote(), stop.clone()))
+            .map(|_| follow(coordinator.remote(), stop.clone()))
             .collect();
-        let before = program.cpu();
-        let pings = measure_pings(program.addr);
-        let cpu = (program.cpu() - before) / ROUND.as_secs_f64() * 100.0;
+        let before = coordinator.cpu_seconds();
+        let pings = measure_pings(coordinator.addr);
+        let cpu = (coordinator.cpu_seconds() - before) / ROUND.as_secs_f64() * 100.0;
         stop.store(true, Ordering::Relaxed);
         let snapshots: u64 = readers
             .into_iter()
@@ -140,7 +142,7 @@
     }
 }
 
-/// A console that reads snapshots until `stop`; how many it read.
+/// Starts a console that reads snapshots until `stop` is set and returns their number.
 fn follow(mut remote: Remote, stop: Arc<AtomicBool>) -> JoinHandle<u64> {
     std::thread::spawn(move || {
         let id = remote
@@ -154,16 +156,16 @@
     })
 }
 
-/// Prints what a snapshot costs, by the number of engines.
+/// Prints the cost of a snapshot by the number of engines.
 fn measure_snapshots(engine: SocketAddr) {
-    println!("\n| engines | a snapshot, ms of processor time | bytes |\n| --- | --- | --- |");
+    println!("\n| engines | CPU time per snapshot, ms | bytes |\n| --- | --- | --- |");
     for engines in [10, 100, 1000] {
-        let program = Program::start(engines, engine);
-        let mut remote = program.remote();
-        let at_rest = program.cpu();
+        let coordinator = RunningCoordinator::start(engines, engine);
+        let mut remote = coordinator.remote();
+        let idle_start = coordinator.cpu_seconds();
         std::thread::sleep(IDLE_TIME);
-        let idle = (program.cpu() - at_rest) / IDLE_TIME.as_secs_f64();
-        let (before, begin) = (program.cpu(), Instant::now());
+        let idle_rate = (coordinator.cpu_seconds() - idle_start) / IDLE_TIME.as_secs_f64();
+        let (before, begin) = (coordinator.cpu_seconds(), Instant::now());
         let mut bytes = 0;
         for _ in 0..SNAPSHOTS {
             std::thread::sleep(SNAPSHOT_INTERVAL);
@@ -172,7 +174,7 @@
             };
             bytes = Reply::Snapshot(snapshot).line(1).len();
         }
-        let spent = program.cpu() - before - idle * begin.elapsed().as_secs_f64();
+        let spent = coordinator.cpu_seconds() - before - idle_rate * begin.elapsed().as_secs_f64();
         println!(
             "| {engines} | {:.2} | {bytes} |",
             spent.max(0.0) / f64::from(SNAPSHOTS) * 1000.0
@@ -180,7 +182,7 @@
     }
 }
 
-/// Prints the memory of an hour of one class's history.
+/// Prints the memory used by an hour of history of one class.
 fn print_history_size() {
     let mut hour = ServiceWindow::hour();
     for n in 0..360_000u64 {
