--- a/crates/control/src/commands/help.rs
+++ b/crates/control/src/commands/help.rs
@@ -11,7 +11,7 @@
         text += &format!("  driftfront {usage:<24} {}\n", command.about);
         text.extend(command.options.iter().map(option_line));
     }
-    text += "\nfor all commands that connect to a running program:\n";
+    text += "\nfor all commands that speak to a running program:\n";
     text.extend(REMOTE_OPTIONS.iter().map(option_line));
     let codes = EXIT_CODES
         .iter()
--- a/crates/control/src/commands/mod.rs
+++ b/crates/control/src/commands/mod.rs
@@ -62,12 +62,12 @@
 const CONFIG: CommandOption = option(
     "--config",
     "FILE",
-    "the configuration file (default $LB_CONFIG)",
+    "the operator's file; without it $LB_CONFIG names it",
 );
 const JSON: CommandOption = option(
     "--json",
     "",
-    "prints JSON objects, one per line, for scripts",
+    "for scripts: the protocol's own objects, one a line",
 );
 
 /// Options of every command that connects to a running program.
@@ -75,13 +75,9 @@
     option(
         "--at",
         "WHERE",
-        "the control socket, or ADDRESS of the control port (default $DRIFTFRONT_CONTROL)",
-    ),
-    option(
-        "--key-file",
-        "FILE",
-        "the file with the key of the control port",
+        "its control socket, or ADDRESS of its control port; $DRIFTFRONT_CONTROL without it",
     ),
+    option("--key-file", "FILE", "the key of its control port"),
 ];
 
 /// All commands, in the order of the help text.
@@ -92,49 +88,54 @@
         about: "runs a coordinator",
         options: &[
             CONFIG,
-            option("--log", "LEVEL", "error, warn, info (the default) or debug"),
+            option("--log", "LEVEL", "error, warn, info (without it) or debug"),
         ],
         remote: false,
     },
     Command {
         name: "check",
         arguments: "",
-        about: "checks a configuration and prints its settings, or its errors with their positions",
+        about: "reads a configuration and says what it means, or what is wrong and where",
         options: &[CONFIG],
         remote: false,
     },
     Command {
         name: "init",
         arguments: "[FILE]",
-        about: "writes a commented configuration file (default driftfront.kdl)",
+        about: "writes a commented operator's file, driftfront.kdl without a name",
         options: &[],
         remote: false,
     },
     Command {
         name: "demo",
         arguments: "",
-        about: "starts a coordinator, three mock engines and a light load, and opens the console",
-        options: &[option("--plain", "", "prints the state as text, and exits")],
+        about:
+            "starts a coordinator, three stand-in engines and a gentle load, and opens the console",
+        options: &[option(
+            "--plain",
+            "",
+            "says how things stand as text, and ends",
+        )],
         remote: false,
     },
     Command {
         name: "console",
         arguments: "",
-        about: "opens an interactive console with engines, classes, queries and events",
+        about: "shows engines, classes, service and drains, and takes commands by keys",
         options: &[
             option(
                 "--plain",
                 "",
-                "prints the state as text and exits, for pipes and screen readers",
+                "the same as text, once, for pipes and screen readers",
             ),
-            option("--no-color", "", "disables colours, like NO_COLOR"),
+            option("--no-color", "", "no colours; also by NO_COLOR"),
         ],
         remote: true,
     },
     Command {
         name: "status",
         arguments: "",
-        about: "prints a summary of the state",
+        about: "says in a few lines how things stand",
         options: &[JSON],
         remote: true,
     },
@@ -148,67 +149,59 @@
     Command {
         name: "members",
         arguments: "",
-        about: "lists the fleet's coordinators, as known to this one",
+        about: "lists the fleet's coordinators, as this one knows them",
         options: &[JSON],
         remote: true,
     },
     Command {
         name: "holds",
         arguments: "",
-        about: "lists the holds in the fleet, and the voters",
+        about: "lists what is held over the whole fleet, and who decides",
         options: &[JSON],
         remote: true,
     },
     Command {
         name: "hold",
         arguments: "NAME",
-        about: "takes a fleet-wide hold; each name can be held only once at a time",
+        about: "takes a hold over the whole fleet: of one name only one is held",
         options: &[
             option(
                 "--for",
                 "TIME",
-                "the duration, such as 30s, 10m or 2h (default 10m)",
+                "for how long, as 30s, 10m or 2h; 10m where nothing is said",
             ),
-            option(
-                "--stays",
-                "",
-                "keeps the hold after that time, until it is released",
-            ),
-            option("--note", "WORDS", "the reason, for other operators"),
+            option("--stays", "", "beyond that, until it is given back"),
+            option("--note", "WORDS", "why, for the others"),
         ],
         remote: true,
     },
     Command {
         name: "unhold",
         arguments: "NAME",
-        about: "releases a hold, whoever took it",
+        about: "gives a hold back, whoever took it",
         options: &[],
         remote: true,
     },
     Command {
         name: "classes",
         arguments: "",
-        about: "lists the classes and their service statistics",
+        about: "lists the classes and how well they are served",
         options: &[JSON],
         remote: true,
     },
     Command {
         name: "queries",
         arguments: "",
-        about: "lists the running queries, imports first",
+        about: "lists what runs, imports first",
         options: &[JSON],
         remote: true,
     },
     Command {
         name: "events",
         arguments: "",
-        about: "prints the recent events",
+        about: "says what has happened",
         options: &[
-            option(
-                "--follow",
-                "",
-                "keeps printing new events until interrupted",
-            ),
+            option("--follow", "", "and what happens, until it is interrupted"),
             JSON,
         ],
         remote: true,
@@ -216,35 +209,31 @@
     Command {
         name: "drain",
         arguments: "ENGINE",
-        about: "sends no new work to an engine until it is resumed",
+        about: "lets nothing new go to an engine, until it is resumed",
         options: &[
-            option("--wait", "", "waits until nothing runs there any more"),
-            option(
-                "--force",
-                "",
-                "drains it even if it is the last engine that takes work",
-            ),
+            option("--wait", "", "until nothing runs there any more"),
+            option("--force", "", "also the last engine that takes work"),
         ],
         remote: true,
     },
     Command {
         name: "resume",
         arguments: "ENGINE",
-        about: "lifts the drain of an engine",
+        about: "lifts a drain",
         options: &[],
         remote: true,
     },
     Command {
         name: "pause",
         arguments: "",
-        about: "disconnects the clients; the program keeps running, and answers accepted requests",
+        about: "sends the clients away; the program stays, and answers what it has taken",
         options: &[],
         remote: true,
     },
     Command {
         name: "unpause",
         arguments: "",
-        about: "ends a pause",
+        about: "back to work after a pause",
         options: &[],
         remote: true,
     },
@@ -253,7 +242,7 @@
         arguments: "ENGINE ADDRESS",
         about: "adds an engine that no source lists, or lifts its removal",
         options: &[
-            option("--zone", "NAME", "its zone (a building)"),
+            option("--zone", "NAME", "its building"),
             option("--kind", "NAME", "its machine kind"),
         ],
         remote: true,
@@ -261,35 +250,27 @@
     Command {
         name: "remove",
         arguments: "ENGINE",
-        about: "removes an engine from the list, even if sources list it",
-        options: &[option("--force", "", "removes it even if it takes work")],
+        about: "takes an engine out of the list, whatever sources say",
+        options: &[option("--force", "", "also one that takes work")],
         remote: true,
     },
     Command {
         name: "roll",
         arguments: "[ENGINE...]",
-        about: "drains engines one at a time for repair or restart; all if none is named",
+        about: "takes engines out one after another, all without a name",
         options: &[
-            option("--dry-run", "", "only prints the plan"),
-            option(
-                "--back",
-                "",
-                "confirms that the engine that was handed over is back",
-            ),
-            option("--stop", "", "stops the rolling restart"),
-            option("--go-on", "", "resumes a stopped rolling restart"),
+            option("--dry-run", "", "only says the plan"),
+            option("--back", "", "the engine that was handed over is back"),
+            option("--stop", "", "stops the roll"),
+            option("--go-on", "", "lets a stopped roll go on"),
         ],
         remote: true,
     },
     Command {
         name: "counters",
         arguments: "",
-        about: "prints the counters of a running coordinator",
-        options: &[option(
-            "--at",
-            "ADDRESS",
-            "the address that the coordinator's clients connect to",
-        )],
+        about: "prints a running coordinator's counters",
+        options: &[option("--at", "ADDRESS", "where its clients connect")],
         remote: false,
     },
     Command {
@@ -320,8 +301,8 @@
     exit_code(0, "done"),
     exit_code(1, "an error, described in the message"),
     exit_code(2, "invalid arguments"),
-    exit_code(3, "refused by the program, with the reason"),
-    exit_code(4, "no program answers at this address"),
+    exit_code(3, "the program refused it, and says why"),
+    exit_code(4, "no program answers there"),
 ];
 
 const fn exit_code(code: u8, about: &'static str) -> ExitCode {
