--- a/crates/control/src/commands/mod.rs
+++ b/crates/control/src/commands/mod.rs
@@ -299,8 +299,8 @@
 /// All exit codes.
 pub const EXIT_CODES: &[ExitCode] = &[
     exit_code(0, "done"),
-    exit_code(1, "an error, described in the message"),
-    exit_code(2, "invalid arguments"),
+    exit_code(1, "something went wrong: the words say what"),
+    exit_code(2, "the command's words are off"),
     exit_code(3, "the program refused it, and says why"),
     exit_code(4, "no program answers there"),
 ];
--- a/crates/control/src/management.rs
+++ b/crates/control/src/management.rs
@@ -52,28 +52,28 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CallError {
     /// The line is empty.
-    #[error("the line is empty; calls are {}", CALL_NAMES.join(", "))]
+    #[error("an empty line; calls are {}", CALL_NAMES.join(", "))]
     Empty,
     /// The first word is none of [`CALL_NAMES`].
     #[error("unknown call {0}; calls are {names}", names = CALL_NAMES.join(", "))]
     Unknown(String),
     /// The call needs the name of an engine.
-    #[error("{0} requires an engine id")]
+    #[error("{0} needs an engine's id behind it")]
     NoEngine(&'static str),
     /// There are extra words after the call.
-    #[error("{0} has too many arguments")]
+    #[error("{0} has a word too many behind it")]
     TooMany(&'static str),
     /// The line is longer than [`MAX_CALL_BYTES`].
-    #[error("the line is longer than {MAX_CALL_BYTES} bytes")]
+    #[error("a line has at most {MAX_CALL_BYTES} bytes")]
     TooLong,
     /// The line contains control characters or is not valid UTF-8.
-    #[error("the line contains control characters or invalid UTF-8")]
+    #[error("the line holds bytes that are no plain text")]
     NotText,
     /// The connection ended before the line was complete.
-    #[error("the connection ended before the line was complete")]
+    #[error("the connection ended before the line did")]
     Unfinished,
     /// No complete line arrived before the timeout.
-    #[error("no complete line was received in time")]
+    #[error("no whole line came in time")]
     TooSlow,
 }
 
--- a/crates/control/src/request.rs
+++ b/crates/control/src/request.rs
@@ -81,16 +81,16 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RequestError {
     /// The line is not a JSON object.
-    #[error("the line is not a JSON object")]
+    #[error("the line is no JSON object")]
     NotJson,
     /// The request has another protocol version.
-    #[error("unsupported protocol version {0}, expected version {VERSION}")]
+    #[error("this program speaks version {VERSION} of the protocol, not {0}")]
     Version(u64),
     /// The name of the request is unknown.
-    #[error("unknown request {0:?}")]
+    #[error("nothing is called {0:?} here")]
     Unknown(String),
     /// A required member is missing.
-    #[error("the member {0} is missing")]
+    #[error("{0} is missing")]
     Missing(&'static str),
 }
 
