--- a/crates/coordinator/src/node/cluster/holds.rs
+++ b/crates/coordinator/src/node/cluster/holds.rs
@@ -52,7 +52,7 @@
     #[error("a name is limited to {MAX_NAME_BYTES} bytes, a note to {MAX_TEXT_BYTES}")]
     TextTooLong,
     /// This process does not take part in a consensus log.
-    #[error("this coordinator has no fleet that could grant holds")]
+    #[error("there is no fleet here that could agree on it")]
     NoConsensus,
     /// The consensus log was closed before the request was decided; `name` may or may not be held.
     #[error("this coordinator is ending; check on another one whether {name} is held")]
--- a/crates/coordinator/src/node/control/refusal.rs
+++ b/crates/coordinator/src/node/control/refusal.rs
@@ -44,9 +44,9 @@
     #[error("no engine is handed over")]
     NoEngineHandedOver,
     /// There is no rolling restart to stop.
-    #[error("there is no rolling restart to stop")]
+    #[error("there is no roll to stop")]
     NothingToStop,
     /// There is no stopped rolling restart to resume.
-    #[error("there is no stopped rolling restart")]
+    #[error("no roll is stopped")]
     NothingToResume,
 }
--- a/crates/coordinator/tests/operators.rs
+++ b/crates/coordinator/tests/operators.rs
@@ -261,7 +261,7 @@
         .iter()
         .find(|a| matches!(a, Reply::Refused(_)))
         .expect("one of the two drains is refused");
-    assert!(refusal_text(second).contains("is already drained, by operator"));
+    assert!(refusal_text(second).contains("was drained before, by operator"));
     assert!(refusal_text(&operated.drain("e1", false)).contains("--force"));
     assert!(refusal_text(&operated.drain("e-1", false)).contains("did you mean e1"));
     let (code, output) = operated.run_command(&["drain", "e1"]);
--- a/crates/engine-registry/src/command.rs
+++ b/crates/engine-registry/src/command.rs
@@ -58,10 +58,10 @@
     #[error("{0} is not drained by an operator")]
     NotDrained(String),
     /// The engine was already added with the same description.
-    #[error("{0} already exists")]
+    #[error("{0} is there already")]
     AlreadyAdded(String),
     /// The engine is already removed.
-    #[error("{0} is already removed")]
+    #[error("{0} was removed before")]
     AlreadyRemoved(String),
     /// It is the last ready engine.
     #[error(
@@ -73,7 +73,7 @@
     #[error("{0} still takes work: drain it first, or repeat the command with --force")]
     StillReady(String),
     /// The name is empty, too long, or contains control characters.
-    #[error("an engine name must have 1 to {MAX_NAME_BYTES} bytes and no control characters")]
+    #[error("an engine's name has 1 to {MAX_NAME_BYTES} plain characters")]
     InvalidName,
     /// A source lists an engine without an address, and no earlier address is known.
     #[error("{0}: no usable address")]
--- a/crates/engine-registry/src/order.rs
+++ b/crates/engine-registry/src/order.rs
@@ -52,7 +52,7 @@
 /// The predicate of a sentence for operators whose subject is the engine.
 pub fn describe_active_order(active_order: &ActiveOrder) -> String {
     match active_order.order {
-        Order::Drain => format!("is already drained, by {}", active_order.by),
+        Order::Drain => format!("was drained before, by {}", active_order.by),
         Order::Remove => format!("is removed, by {}", active_order.by),
     }
 }
