--- a/crates/engine-registry/src/rolling_restart/status.rs
+++ b/crates/engine-registry/src/rolling_restart/status.rs
@@ -44,10 +44,10 @@
         capacity: f64,
     },
     /// The drained engine still runs queries: its name, and the number of queries.
-    #[error("{0} still runs {1} queries")]
+    #[error("{0} ends what runs there: {1} queries")]
     QueriesRunning(String, usize),
     /// The drain takes long: the engine, and the number of queries that still run.
-    #[error("{0} still runs {1} queries; they end at their clients' timeouts at the latest")]
+    #[error("{0} still runs {1} queries; their clients' time ends them")]
     SlowDrain(String, usize),
     /// The drained engine still runs imports: its name, and the number of imports.
     #[error("{0} still runs {1} imports: they are not sent again, so it waits")]
@@ -56,7 +56,7 @@
     #[error("{0} is not ready yet")]
     NotReady(String),
     /// The engine warms up: its name, and the remaining seconds.
-    #[error("{0} is warming up: {1} s left")]
+    #[error("{0} gets warm: {1} s")]
     WarmingUp(String, u64),
 }
 
@@ -115,15 +115,15 @@
             Milestone::HandedOver(engine) => {
                 write!(
                     f,
-                    "{engine} is idle: repair or restart it, then confirm that it is back"
+                    "{engine} is free: repair or restart it, then say that it is back"
                 )
             }
-            Milestone::Restarted(engine) => write!(f, "{engine} has restarted and is warming up"),
-            Milestone::Resumed(engine) => write!(f, "{engine} was resumed and is warming up"),
-            Milestone::Returned(engine) => write!(f, "{engine} is back and is warming up"),
+            Milestone::Restarted(engine) => write!(f, "{engine} has restarted and gets warm"),
+            Milestone::Resumed(engine) => write!(f, "{engine} was resumed and gets warm"),
+            Milestone::Returned(engine) => write!(f, "{engine} is back and gets warm"),
             Milestone::Warm(engine) => write!(f, "{engine} is warm"),
             Milestone::Skipped(engine) => {
-                write!(f, "{engine} is no longer listed: skipped")
+                write!(f, "{engine} is not listed any more: it is passed over")
             }
             Milestone::Continued => f.write_str("The roll goes on"),
             Milestone::Finished => f.write_str("The roll is done"),
