--- a/crates/coordinator/src/frontends/clickhouse/mod.rs
+++ b/crates/coordinator/src/frontends/clickhouse/mod.rs
@@ -109,7 +109,7 @@
         RequestLimits {
             max_head_bytes: MAX_HEAD_BYTES,
             max_body_bytes: UNBUDGETED_BYTES,
-            has_more_body: true,
+            streams_larger_bodies: true,
         }
     }
 
--- a/crates/coordinator/src/frontends/platform/mod.rs
+++ b/crates/coordinator/src/frontends/platform/mod.rs
@@ -31,7 +31,7 @@
         RequestLimits {
             max_head_bytes: MAX_HEAD_BYTES,
             max_body_bytes: MAX_BODY_BYTES,
-            has_more_body: false,
+            streams_larger_bodies: false,
         }
     }
 
--- a/crates/http/src/request.rs
+++ b/crates/http/src/request.rs
@@ -37,7 +37,7 @@
     /// Bytes of a body that are read before the request is handed out.
     pub max_body_bytes: usize,
     /// A longer body is streamed behind that; else it is an error.
-    pub has_more_body: bool,
+    pub streams_larger_bodies: bool,
 }
 
 /// A request whose head was read.
@@ -61,7 +61,7 @@
         RequestReader::with_limits(RequestLimits {
             max_head_bytes: MAX_HEAD_BYTES,
             max_body_bytes,
-            has_more_body: false,
+            streams_larger_bodies: false,
         })
     }
 
@@ -173,7 +173,7 @@
             .body
             .decode(&mut self.input, &mut partial.request.body)?;
         let is_long = partial.request.body.len() > self.limits.max_body_bytes;
-        if is_long && !self.limits.has_more_body {
+        if is_long && !self.limits.streams_larger_bodies {
             return Err(HttpError::BodyTooLarge);
         }
         if !is_over && !is_long {
@@ -207,7 +207,7 @@
         let body = BodyState::announced(&headers, BodyState::Over)?;
         let max_body_bytes = self.limits.max_body_bytes as u64;
         let is_long = matches!(body, BodyState::Length(n) if n > max_body_bytes);
-        if is_long && !self.limits.has_more_body {
+        if is_long && !self.limits.streams_larger_bodies {
             return Err(HttpError::BodyTooLarge);
         }
         let request = Request {
--- a/crates/http/tests/golden.rs
+++ b/crates/http/tests/golden.rs
@@ -49,7 +49,7 @@
     let mut reader = RequestReader::with_limits(RequestLimits {
         max_head_bytes: 16 * 1024,
         max_body_bytes: 16,
-        has_more_body: true,
+        streams_larger_bodies: true,
     });
     reader.push(&bytes);
     let mut read = MessageTranscript::default();
--- a/crates/mock-servers/src/engine/connection.rs
+++ b/crates/mock-servers/src/engine/connection.rs
@@ -58,7 +58,7 @@
         reader: RequestReader::with_limits(RequestLimits {
             max_head_bytes: MAX_HEAD_BYTES,
             max_body_bytes: FIRST_BODY_BYTES,
-            has_more_body: true,
+            streams_larger_bodies: true,
         }),
     };
     while let Ok(Some(request)) = connection.next_request() {
