--- a/crates/coordinator/src/node/clients/connection.rs
+++ b/crates/coordinator/src/node/clients/connection.rs
@@ -149,7 +149,9 @@
 
     /// Whether a request has begun on it and is not complete, and nothing else is open.
     pub(super) fn has_partial_request(&self) -> bool {
-        self.is_ready_for_request() && !self.reader.is_body_open() && self.reader.is_mid_message()
+        self.is_ready_for_request()
+            && !self.reader.has_unread_body()
+            && self.reader.is_mid_message()
     }
 
     /// Its place among those that are closed where descriptors are short, the highest first; `None` if it must stay.
@@ -172,9 +174,9 @@
         if self.is_writing() {
             return (idle > WRITE_STALL_TIMEOUT).then_some(Expired::Stalled);
         }
-        if self.reader.is_body_open() {
+        if self.reader.has_unread_body() {
             // A body that stands still while its engine waits for it.
-            let is_awaited = self.reader.held() == 0;
+            let is_awaited = self.reader.buffered_bytes() == 0;
             return (is_awaited && idle > UPLOAD_STALL_TIMEOUT).then_some(Expired::Stalled);
         }
         if self.open.is_some() || self.must_close {
--- a/crates/coordinator/src/node/clients/connection/input.rs
+++ b/crates/coordinator/src/node/clients/connection/input.rs
@@ -67,14 +67,14 @@
     fn can_begin_request(&self, now: Micros) -> bool {
         self.open.is_none()
             && !self.must_close
-            && self.reader.held() > 0
+            && self.reader.buffered_bytes() > 0
             && now >= self.paused_until
     }
 
     /// Whether no more may be read ahead of what is open or paused.
     fn is_full(&self, now: Micros) -> bool {
         let is_ahead = self.open.is_some() || now < self.paused_until;
-        is_ahead && self.reader.held() > MAX_READ_AHEAD_BYTES
+        is_ahead && self.reader.buffered_bytes() > MAX_READ_AHEAD_BYTES
     }
 
     /// Adds bytes that were read.
@@ -186,7 +186,7 @@
         };
         self.has_more = outcome == ReadOutcome::LimitReached;
         self.push(now, &bytes);
-        if self.open.is_some() && self.reader.holds_stray_bytes() {
+        if self.open.is_some() && self.reader.has_invalid_trailing_bytes() {
             return ReadStep::StrayBytes;
         }
         if outcome == ReadOutcome::Closed {
@@ -200,7 +200,7 @@
         let mut body = Vec::new();
         // What is buffered, then what one read brings.
         for _ in 0..2 {
-            match self.reader.more_body(&mut body) {
+            match self.reader.read_body(&mut body) {
                 Err(_) => return BodyUpdate::Broken,
                 Ok(true) => return BodyUpdate::LastChunk(body),
                 Ok(false) => {}
--- a/crates/coordinator/src/node/clients/connection/output.rs
+++ b/crates/coordinator/src/node/clients/connection/output.rs
@@ -93,7 +93,7 @@
         self.open = None;
         self.is_responding = false;
         // What still comes of a body could not be told from the next request.
-        self.must_close |= last.closes || !keeps_open || self.reader.is_body_open();
+        self.must_close |= last.closes || !keeps_open || self.reader.has_unread_body();
         if !keeps_open {
             // A result that is cut must not look complete, so nothing more may follow it.
             self.has_more = false;
--- a/crates/http/src/request.rs
+++ b/crates/http/src/request.rs
@@ -21,7 +21,7 @@
     pub headers: Vec<Header>,
     /// The body, decoded; its beginning where `has_more_body` says so.
     pub body: Vec<u8>,
-    /// More of the body follows, to be read with [`RequestReader::more_body`].
+    /// More of the body follows, to be read with [`RequestReader::read_body`].
     pub has_more_body: bool,
     /// HTTP/1.1, or an earlier one that knows no chunks.
     pub version_1_1: bool,
@@ -83,7 +83,7 @@
     /// Bytes of the request that is being read: its head so far, or what of its body is held.
     pub fn partial_request_bytes(&self) -> usize {
         let body = self.partial.as_ref().map_or(0, |p| p.request.body.len());
-        self.held() + body
+        self.buffered_bytes() + body
     }
 
     /// Whether the head of the request that is being read is complete.
@@ -92,7 +92,7 @@
     }
 
     /// Whether more is to come of the body of the request that was handed out.
-    pub fn is_body_open(&self) -> bool {
+    pub fn has_unread_body(&self) -> bool {
         self.streamed.is_some()
     }
 
@@ -101,14 +101,14 @@
     /// # Errors
     ///
     /// Where its framing is broken, or bytes behind it can't begin another request.
-    pub fn more_body(&mut self, body: &mut Vec<u8>) -> Result<bool, HttpError> {
+    pub fn read_body(&mut self, body: &mut Vec<u8>) -> Result<bool, HttpError> {
         let Some(streamed) = &mut self.streamed else {
             return Ok(true);
         };
         let is_over = streamed.decode(&mut self.input, body)?;
         if is_over {
             self.streamed = None;
-            if self.holds_stray_bytes() {
+            if self.has_invalid_trailing_bytes() {
                 return Err(HttpError::Malformed);
             }
         }
@@ -121,18 +121,18 @@
     }
 
     /// Bytes held that no request has used yet.
-    pub fn held(&self) -> usize {
+    pub fn buffered_bytes(&self) -> usize {
         self.input.rest().len()
     }
 
     /// Whether a request has begun and is not complete.
     pub fn is_mid_message(&self) -> bool {
-        self.partial.is_some() || self.streamed.is_some() || self.held() > 0
+        self.partial.is_some() || self.streamed.is_some() || self.buffered_bytes() > 0
     }
 
     /// Whether what stands behind the last request can't begin another: then that one's length was wrong, and what was read as its
     /// body is not what the client meant.
-    pub fn holds_stray_bytes(&self) -> bool {
+    pub fn has_invalid_trailing_bytes(&self) -> bool {
         let rest = self.input.rest();
         let line_ends = rest
             .iter()
@@ -151,7 +151,7 @@
     pub fn expects_continue(&self) -> bool {
         let headers = self.partial.as_ref().map(|p| &p.request.headers);
         let expect = headers.and_then(|h| header(h, "expect"));
-        self.held() == 0 && expect.is_some_and(|e| e.eq_ignore_ascii_case("100-continue"))
+        self.buffered_bytes() == 0 && expect.is_some_and(|e| e.eq_ignore_ascii_case("100-continue"))
     }
 
     /// The next request, if it is there: whole, or as much of it as is read before a streamed body.
@@ -185,7 +185,7 @@
         if !is_over {
             request.has_more_body = true;
             self.streamed = Some(body);
-        } else if self.holds_stray_bytes() {
+        } else if self.has_invalid_trailing_bytes() {
             // Half a statement must not run because the other half came behind a length that is too small.
             return Err(HttpError::Malformed);
         }
@@ -198,7 +198,7 @@
         let mut request = httparse::Request::new(&mut headers);
         let length = match request.parse(self.input.rest())? {
             httparse::Status::Complete(length) if length <= self.limits.max_head_bytes => length,
-            httparse::Status::Partial if self.held() <= self.limits.max_head_bytes => {
+            httparse::Status::Partial if self.buffered_bytes() <= self.limits.max_head_bytes => {
                 return Ok(None)
             }
             _ => return Err(HttpError::HeadTooLarge),
--- a/crates/http/tests/golden.rs
+++ b/crates/http/tests/golden.rs
@@ -60,7 +60,7 @@
         }
         let mut body = request.body.clone();
         if request.has_more_body {
-            assert_eq!(reader.more_body(&mut body), Ok(true));
+            assert_eq!(reader.read_body(&mut body), Ok(true));
         }
         text += &format!(
             "begun with {} bytes, goes on {}, 1.1 {}, close {}\n{}",
--- a/crates/mock-servers/src/engine/connection.rs
+++ b/crates/mock-servers/src/engine/connection.rs
@@ -170,7 +170,7 @@
             ("X-ClickHouse-Exception-Code", code.as_str()),
         ];
         // What of the body has not been read would be taken for the next request.
-        let has_unread_body = self.reader.is_body_open();
+        let has_unread_body = self.reader.has_unread_body();
         let text = exception.text() + "\n";
         let after = self.respond(request, status, &headers, &text)?;
         if has_unread_body {
--- a/crates/mock-servers/src/engine/insert.rs
+++ b/crates/mock-servers/src/engine/insert.rs
@@ -105,13 +105,13 @@
     /// Reads more of a body that is not complete; false once it is.
     fn read_more_body(&mut self, body: &mut Vec<u8>) -> Result<bool, Exception> {
         let broken = |message: &str| Exception::new(code::NETWORK_ERROR, message);
-        if !self.reader.is_body_open() {
+        if !self.reader.has_unread_body() {
             return Ok(false);
         }
         if !self.read().map_err(|e| broken(&e.to_string()))? {
             return Err(broken("The body breaks off"));
         }
-        let is_complete = self.reader.more_body(body);
+        let is_complete = self.reader.read_body(body);
         let is_complete = is_complete.map_err(|_| broken("The body can't be read"))?;
         Ok(!is_complete)
     }
