--- a/crates/clickhouse/src/exception/in_result.rs
+++ b/crates/clickhouse/src/exception/in_result.rs
@@ -16,12 +16,12 @@
 
 /// The bytes that report an exception behind rows, to a client that was told this tag:
 /// the marker, the tag, the text, its length and the tag again, and the marker.
-pub fn marker(tag: &str, text: &str) -> String {
+pub fn tagged_exception(tag: &str, text: &str) -> String {
     let length = text.len() + 1;
     format!("\r\n{MARKER}\r\n{tag}\r\n{text}\n{length} {tag}\r\n{MARKER}\r\n")
 }
 
-/// The exception between markers with this tag, see [`marker`].
+/// The exception between markers with this tag, see [`tagged_exception`].
 pub fn find_tagged(tail: &[u8], tag: &str) -> Option<Exception> {
     let opening = format!("{MARKER}\r\n{tag}\r\n");
     let start = memmem::rfind(tail, opening.as_bytes())? + opening.len();
--- a/crates/clickhouse/src/exception/mod.rs
+++ b/crates/clickhouse/src/exception/mod.rs
@@ -7,7 +7,7 @@
     classify, error_name, http_status, ErrorClass, ErrorCode, ERROR_CODES, NETWORK_ERROR,
     TOO_MANY_QUERIES,
 };
-pub use in_result::{find_in_last_lines, find_json_key, find_tagged, marker};
+pub use in_result::{find_in_last_lines, find_json_key, find_tagged, tagged_exception};
 
 use std::fmt;
 
--- a/crates/clickhouse/tests/exception.rs
+++ b/crates/clickhouse/tests/exception.rs
@@ -1,8 +1,8 @@
 //! Exceptions: their codes, and how they are found in results.
 
 use driftfront_clickhouse::exception::{
-    error_name, find_in_last_lines, find_json_key, find_tagged, http_status, marker, parse_code,
-    Exception, ERROR_CODES,
+    error_name, find_in_last_lines, find_json_key, find_tagged, http_status, parse_code,
+    tagged_exception, Exception, ERROR_CODES,
 };
 
 #[test]
@@ -42,7 +42,7 @@
     let words = "Code: 241. DB::Exception: Memory\nlimit. (MEMORY_LIMIT_EXCEEDED)";
     let tail = format!(
         "1\n__exception__\r\nother\r\nCode: 1\n{}",
-        marker("tag", words)
+        tagged_exception("tag", words)
     );
     assert_eq!(
         find_tagged(tail.as_bytes(), "tag").map(|e| (e.code, e.text)),
--- a/crates/clickhouse/tests/golden.rs
+++ b/crates/clickhouse/tests/golden.rs
@@ -3,8 +3,8 @@
 use driftfront_clickhouse::block::{self, BlockStream, Method};
 use driftfront_clickhouse::coding::{self, Coding};
 use driftfront_clickhouse::exception::{
-    classify, error_name, find_in_last_lines, find_json_key, find_tagged, http_status, marker,
-    parse_code, Exception,
+    classify, error_name, find_in_last_lines, find_json_key, find_tagged, http_status, parse_code,
+    tagged_exception, Exception,
 };
 use driftfront_clickhouse::request::{self, ClientRequest};
 use driftfront_clickhouse::result_checker::{ResultChecker, ResultDescription};
@@ -46,7 +46,7 @@
     let own = Exception::new(241, "Memory limit (for query) exceeded");
     forms.record("text", &own.text);
     forms.record("unknown code", Exception::new(9999, "words").text);
-    forms.record("tagged", marker("0a1b2c3d4e5f6789", &own.text));
+    forms.record("tagged", tagged_exception("0a1b2c3d4e5f6789", &own.text));
     assert_golden!("exceptions.txt", forms.bytes());
     let mut found = MessageTranscript::default();
     let shown =
--- a/crates/clickhouse/tests/result_checker.rs
+++ b/crates/clickhouse/tests/result_checker.rs
@@ -2,7 +2,7 @@
 
 use driftfront_clickhouse::block::{self, BlockError, Method};
 use driftfront_clickhouse::coding::{compress, Coding};
-use driftfront_clickhouse::exception::marker;
+use driftfront_clickhouse::exception::tagged_exception;
 use driftfront_clickhouse::result_checker::{ResultChecker, ResultDescription, ResultError};
 
 const WORDS: &str = "Code: 241. DB::Exception: Memory limit. (MEMORY_LIMIT_EXCEEDED)";
@@ -62,7 +62,7 @@
 
 fn each_form(rows: &str) {
     let json = format!("{{\"data\":[[1]],\"rows\":1,\"exception\":\"{WORDS}\"}}\n");
-    let tagged = rows.to_string() + &marker("tag", WORDS);
+    let tagged = rows.to_string() + &tagged_exception("tag", WORDS);
     let lines = format!("{rows}{WORDS}\n");
     for (text, tag, format) in [
         (&tagged, Some("tag"), None),
--- a/crates/coordinator/src/frontends/clickhouse/response.rs
+++ b/crates/coordinator/src/frontends/clickhouse/response.rs
@@ -2,7 +2,9 @@
 
 use super::replies::exception_with;
 use crate::frontends::{ConnectionAction, ResponseWriter};
-use driftfront_clickhouse::exception::{marker, Exception, NETWORK_ERROR, TOO_MANY_QUERIES};
+use driftfront_clickhouse::exception::{
+    tagged_exception, Exception, NETWORK_ERROR, TOO_MANY_QUERIES,
+};
 use driftfront_clickhouse::request::Query;
 use driftfront_core::{Micros, ResponseChunk};
 use driftfront_http::{chunk as http_chunk, response_head, BodyFraming, LAST_CHUNK};
@@ -141,7 +143,7 @@
                 "The result breaks off here: its engine was lost",
             );
             let message = message.unwrap_or(&broken.text);
-            out.extend(http_chunk(marker(tag, message).as_bytes()));
+            out.extend(http_chunk(tagged_exception(tag, message).as_bytes()));
         }
         ConnectionAction::Close
     }
--- a/crates/coordinator/tests/golden_backends.rs
+++ b/crates/coordinator/tests/golden_backends.rs
@@ -264,7 +264,7 @@
     let tagged = "X-ClickHouse-Exception-Tag: 0a1b2c3d4e5f6789\r\n";
     let marker = format!(
         "1\n{}",
-        driftfront_clickhouse::exception::marker("0a1b2c3d4e5f6789", memory.trim_end())
+        driftfront_clickhouse::exception::tagged_exception("0a1b2c3d4e5f6789", memory.trim_end())
     );
     for (name, answer) in [
         ("rows", whole("200 OK", headers, "1,2\n")),
--- a/crates/mock-servers/src/engine/result.rs
+++ b/crates/mock-servers/src/engine/result.rs
@@ -8,7 +8,7 @@
 use super::state::fnv;
 use driftfront_clickhouse::block::Method;
 use driftfront_clickhouse::coding::Coding;
-use driftfront_clickhouse::exception::marker;
+use driftfront_clickhouse::exception::tagged_exception;
 use driftfront_http::{header, response_head, BodyFraming};
 use std::io::{self, Write};
 use std::time::Duration;
@@ -233,7 +233,7 @@
         }
         body.push(&buffer)?;
         let text = if self.shared.options.tags {
-            marker(tag, &text)
+            tagged_exception(tag, &text)
         } else {
             format!("{text}\n")
         };
