--- a/crates/clickhouse/src/session/index.rs
+++ b/crates/clickhouse/src/session/index.rs
@@ -1,7 +1,7 @@
 //! The sessions by name, by eviction order and by expiration.
 
 use super::entry::{EvictionClass, Session};
-use super::{Micros, SessionName};
+use super::{Micros, SessionKey};
 use std::collections::{BTreeSet, HashMap};
 
 /// Place of a session in the eviction order: class, then last use.
@@ -9,19 +9,19 @@
 struct EvictionKey {
     class: EvictionClass,
     last_used: Micros,
-    name: SessionName,
+    session_key: SessionKey,
 }
 
 /// Place of a session in the order of expiration.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct ExpirationKey {
     expires: Micros,
-    name: SessionName,
+    session_key: SessionKey,
 }
 
 /// Owns the sessions; changes go through [`SessionIndex::update`], which keeps the orders up to date.
 pub(super) struct SessionIndex<E> {
-    sessions: HashMap<SessionName, Session<E>>,
+    sessions: HashMap<SessionKey, Session<E>>,
     eviction_order: BTreeSet<EvictionKey>,
     expiration_order: BTreeSet<ExpirationKey>,
     /// Sessions of [`EvictionClass::Probationary`].
@@ -46,49 +46,52 @@
         self.probationary
     }
 
-    pub(super) fn get(&self, name: SessionName) -> Option<&Session<E>> {
-        self.sessions.get(&name)
+    pub(super) fn get(&self, session_key: SessionKey) -> Option<&Session<E>> {
+        self.sessions.get(&session_key)
     }
 
-    pub(super) fn iter(&self) -> impl Iterator<Item = (SessionName, &Session<E>)> {
-        self.sessions.iter().map(|(&name, session)| (name, session))
+    pub(super) fn iter(&self) -> impl Iterator<Item = (SessionKey, &Session<E>)> {
+        self.sessions
+            .iter()
+            .map(|(&session_key, session)| (session_key, session))
     }
 
     /// The session to evict next, if any may be.
-    pub(super) fn next_evictable(&self) -> Option<SessionName> {
+    pub(super) fn next_evictable(&self) -> Option<SessionKey> {
         let first = self.eviction_order.first()?;
-        (first.class < EvictionClass::NotEvictable).then_some(first.name)
+        (first.class < EvictionClass::NotEvictable).then_some(first.session_key)
     }
 
     /// The session that expires first, if it has expired.
-    pub(super) fn next_expired(&self, now: Micros) -> Option<SessionName> {
+    pub(super) fn next_expired(&self, now: Micros) -> Option<SessionKey> {
         let first = self.expiration_order.first()?;
-        (first.expires <= now).then_some(first.name)
+        (first.expires <= now).then_some(first.session_key)
     }
 
-    pub(super) fn insert(&mut self, name: SessionName, session: Session<E>) {
-        let key = eviction_key(name, &session);
+    pub(super) fn insert(&mut self, session_key: SessionKey, session: Session<E>) {
+        let key = eviction_key(session_key, &session);
         self.probationary += usize::from(key.class == EvictionClass::Probationary);
         self.eviction_order.insert(key);
-        self.expiration_order.insert(expiration_key(name, &session));
-        self.sessions.insert(name, session);
+        self.expiration_order
+            .insert(expiration_key(session_key, &session));
+        self.sessions.insert(session_key, session);
     }
 
-    pub(super) fn remove(&mut self, name: SessionName) -> Option<Session<E>> {
-        let session = self.sessions.remove(&name)?;
-        let key = eviction_key(name, &session);
+    pub(super) fn remove(&mut self, session_key: SessionKey) -> Option<Session<E>> {
+        let session = self.sessions.remove(&session_key)?;
+        let key = eviction_key(session_key, &session);
         self.probationary -= usize::from(key.class == EvictionClass::Probationary);
         self.eviction_order.remove(&key);
         self.expiration_order
-            .remove(&expiration_key(name, &session));
+            .remove(&expiration_key(session_key, &session));
         Some(session)
     }
 
     /// Changes a session, if it is there.
-    pub(super) fn update(&mut self, name: SessionName, change: impl FnOnce(&mut Session<E>)) {
-        if let Some(mut session) = self.remove(name) {
+    pub(super) fn update(&mut self, session_key: SessionKey, change: impl FnOnce(&mut Session<E>)) {
+        if let Some(mut session) = self.remove(session_key) {
             change(&mut session);
-            self.insert(name, session);
+            self.insert(session_key, session);
         }
         debug_assert_eq!(self.eviction_order.len(), self.sessions.len());
         debug_assert_eq!(self.expiration_order.len(), self.sessions.len());
@@ -105,17 +108,20 @@
     }
 }
 
-fn eviction_key<E: Copy + PartialEq>(name: SessionName, session: &Session<E>) -> EvictionKey {
+fn eviction_key<E: Copy + PartialEq>(session_key: SessionKey, session: &Session<E>) -> EvictionKey {
     EvictionKey {
         class: session.eviction_class(),
         last_used: session.last_used(),
-        name,
+        session_key,
     }
 }
 
-fn expiration_key<E: Copy + PartialEq>(name: SessionName, session: &Session<E>) -> ExpirationKey {
+fn expiration_key<E: Copy + PartialEq>(
+    session_key: SessionKey,
+    session: &Session<E>,
+) -> ExpirationKey {
     ExpirationKey {
         expires: session.expires(),
-        name,
+        session_key,
     }
 }
--- a/crates/clickhouse/src/session/mod.rs
+++ b/crates/clickhouse/src/session/mod.rs
@@ -42,7 +42,7 @@
 
 /// Identifies a session: a keyed hash of its user and id, so that memory is bounded however long the ids are.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct SessionName(u128);
+pub struct SessionKey(u128);
 
 /// What a statement leaves in its session.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -57,8 +57,8 @@
 /// A query that is about to run in a session.
 #[derive(Clone, Copy, Debug)]
 pub struct SessionQuery {
-    /// The session, see [`SessionTable::name`].
-    pub session: SessionName,
+    /// The session, see [`SessionTable::key`].
+    pub session: SessionKey,
     /// The session must exist already (`session_check`).
     pub must_exist: bool,
     /// How long the session lives after its last query (`session_timeout`).
--- a/crates/clickhouse/src/session/table.rs
+++ b/crates/clickhouse/src/session/table.rs
@@ -3,7 +3,7 @@
 use super::entry::{EvictionClass, Session};
 use super::index::SessionIndex;
 use super::{
-    HeldSessions, Home, Micros, QueryOutcome, SessionCounters, SessionError, SessionName,
+    HeldSessions, Home, Micros, QueryOutcome, SessionCounters, SessionError, SessionKey,
     SessionQuery, DEFAULT_SESSION_TIMEOUT, MAX_PROBATIONARY_SESSIONS, MAX_SESSIONS,
     MAX_SESSION_TIMEOUT,
 };
@@ -40,12 +40,12 @@
     }
 
     /// The name of a user's session; the same id of another user is another session.
-    pub fn name(&self, user: &str, id: &str) -> SessionName {
+    pub fn key(&self, user: &str, id: &str) -> SessionKey {
         let mut hasher = self.hasher;
         hasher.write(user.as_bytes());
         hasher.write_u8(NAME_SEPARATOR);
         hasher.write(id.as_bytes());
-        SessionName(hasher.finish128().as_u128())
+        SessionKey(hasher.finish128().as_u128())
     }
 
     /// Begins a query of a session, which is locked until [`SessionTable::end_query`]. Returns the session's engine,
@@ -85,45 +85,54 @@
     }
 
     /// Ends a session's query, once nothing of it runs any more.
-    pub fn end_query(&mut self, now: Micros, name: SessionName, outcome: QueryOutcome<E>) {
-        let Some(session) = self.sessions.get(name) else {
+    pub fn end_query(&mut self, now: Micros, session_key: SessionKey, outcome: QueryOutcome<E>) {
+        let Some(session) = self.sessions.get(session_key) else {
             return;
         };
         match outcome.engine() {
             // The session's first query reached no engine: no engine knows the session.
             None if session.home().is_none() => {
-                self.sessions.remove(name);
+                self.sessions.remove(session_key);
                 return;
             }
             Some(engine) if session.migrates_to(engine) => self.counters.migrated += 1,
             _ => {}
         }
-        self.sessions.update(name, |s| s.end_query(now, outcome));
+        self.sessions
+            .update(session_key, |s| s.end_query(now, outcome));
     }
 
     /// Removes an engine that drains or is gone. Stateless sessions may migrate; stateful ones are lost.
     pub fn remove_engine(&mut self, engine: E) {
-        let names: Vec<SessionName> = self
+        let names: Vec<SessionKey> = self
             .sessions
             .iter()
             .filter(|(_, session)| session.lives_on(engine))
-            .map(|(name, _)| name)
+            .map(|(session_key, _)| session_key)
             .collect();
-        for name in names {
-            let is_stateful = self.sessions.get(name).is_some_and(Session::is_stateful);
+        for session_key in names {
+            let is_stateful = self
+                .sessions
+                .get(session_key)
+                .is_some_and(Session::is_stateful);
             self.counters.lost += u64::from(is_stateful);
-            self.sessions.update(name, Session::remove_home);
+            self.sessions.update(session_key, Session::remove_home);
         }
     }
 
     /// Ends the sessions whose timeout has passed, except those that run a query.
     pub fn expire(&mut self, now: Micros) {
-        while let Some(name) = self.sessions.next_expired(now) {
-            if self.sessions.get(name).is_some_and(Session::is_running) {
-                self.sessions.update(name, |s| s.postpone_expiration(now));
+        while let Some(session_key) = self.sessions.next_expired(now) {
+            if self
+                .sessions
+                .get(session_key)
+                .is_some_and(Session::is_running)
+            {
+                self.sessions
+                    .update(session_key, |s| s.postpone_expiration(now));
             } else {
                 self.counters.expired += 1;
-                self.sessions.remove(name);
+                self.sessions.remove(session_key);
             }
         }
     }
@@ -158,9 +167,9 @@
             return Ok(());
         }
         match self.sessions.next_evictable() {
-            Some(name) => {
+            Some(session_key) => {
                 self.counters.evicted += 1;
-                self.sessions.remove(name);
+                self.sessions.remove(session_key);
                 Ok(())
             }
             None if has_room => Ok(()),
--- a/crates/clickhouse/tests/golden.rs
+++ b/crates/clickhouse/tests/golden.rs
@@ -9,7 +9,7 @@
 use driftfront_clickhouse::request::{self, ClientRequest};
 use driftfront_clickhouse::result_checker::{ResultChecker, ResultDescription};
 use driftfront_clickhouse::session::{
-    QueryOutcome, SessionEffect, SessionError, SessionName, SessionQuery, SessionTable,
+    QueryOutcome, SessionEffect, SessionError, SessionKey, SessionQuery, SessionTable,
 };
 use driftfront_clickhouse::sql::Statement;
 
@@ -330,7 +330,7 @@
     assert_golden!("statements.txt", text);
 }
 
-fn session_query(session: SessionName, must_exist: bool, effect: SessionEffect) -> SessionQuery {
+fn session_query(session: SessionKey, must_exist: bool, effect: SessionEffect) -> SessionQuery {
     SessionQuery {
         session,
         must_exist,
@@ -344,7 +344,7 @@
     let mut table: SessionTable<u32> = SessionTable::with_limits(7, 1, 1);
     let mut transcript = MessageTranscript::default();
     let text = |error: SessionError| Exception::from(error).text;
-    let name = table.name("jana", "s");
+    let name = table.key("jana", "s");
     let read = session_query(name, false, SessionEffect::None);
     let missing = session_query(name, true, SessionEffect::None);
     let missing = table.begin_query(0, &missing);
@@ -356,7 +356,7 @@
     table.begin_query(0, &set).expect("new");
     let locked = table.begin_query(1, &read);
     transcript.record("locked", locked.err().map_or_else(String::new, text));
-    let other = session_query(table.name("jana", "t"), false, SessionEffect::None);
+    let other = session_query(table.key("jana", "t"), false, SessionEffect::None);
     let full = table.begin_query(1, &other);
     transcript.record("full", full.err().map_or_else(String::new, text));
     let outcome = QueryOutcome::Ran {
--- a/crates/clickhouse/tests/session.rs
+++ b/crates/clickhouse/tests/session.rs
@@ -2,13 +2,13 @@
 
 use driftfront_clickhouse::exception::Exception;
 use driftfront_clickhouse::session::{
-    HeldSessions, Home, Micros, QueryOutcome, SessionEffect, SessionError, SessionName,
+    HeldSessions, Home, Micros, QueryOutcome, SessionEffect, SessionError, SessionKey,
     SessionQuery, SessionTable, MAX_PROBATIONARY_SESSIONS,
 };
 
 const SECOND: Micros = 1_000_000;
 
-fn query(session: SessionName, effect: SessionEffect) -> SessionQuery {
+fn query(session: SessionKey, effect: SessionEffect) -> SessionQuery {
     SessionQuery {
         session,
         must_exist: false,
@@ -34,7 +34,7 @@
     engine: u8,
     effect: SessionEffect,
 ) -> Option<Home<u8>> {
-    let name = table.name("u", id);
+    let name = table.key("u", id);
     let home = table.begin_query(now, &query(name, effect)).expect("room");
     let outcome = QueryOutcome::Ran {
         engine,
@@ -67,7 +67,7 @@
     set(&mut table, 0, "a", 3);
     assert_eq!(read(&mut table, 1, "a", 3), home(3, true));
     table.remove_engine(3);
-    let next = query(table.name("u", "a"), SessionEffect::None);
+    let next = query(table.key("u", "a"), SessionEffect::None);
     let lost = table.begin_query(2, &next).expect_err("lost");
     let exception = Exception::from(lost);
     assert!(exception.code == 372 && exception.text.contains("has left"));
@@ -85,7 +85,7 @@
     };
     let unknown = QueryOutcome::Unknown { engine: 3 };
     for (id, outcome, is_exclusive) in [("a", failed, false), ("b", unknown, true)] {
-        let name = table.name("u", id);
+        let name = table.key("u", id);
         table
             .begin_query(0, &query(name, SessionEffect::LeavesState))
             .expect("room");
@@ -101,7 +101,7 @@
 #[test]
 fn one_query_at_a_time_a_check_that_fails_and_an_end_by_time() {
     let mut table: SessionTable<u8> = SessionTable::new(1);
-    let (name, other) = (table.name("u", "a"), table.name("v", "a"));
+    let (name, other) = (table.key("u", "a"), table.key("v", "a"));
     let begin = |table: &mut SessionTable<u8>, now, session, must_exist| {
         let next = SessionQuery {
             must_exist,
@@ -160,7 +160,7 @@
     for n in 0..20 {
         set(&mut table, n, &format!("{n}"), 1);
     }
-    let next = query(table.name("u", "more"), SessionEffect::None);
+    let next = query(table.key("u", "more"), SessionEffect::None);
     let rejected = table.begin_query(30, &next).map_err(SessionError::code);
     assert_eq!(rejected, Err(202));
     let held = HeldSessions {
--- a/crates/clickhouse/tests/session_model.rs
+++ b/crates/clickhouse/tests/session_model.rs
@@ -122,7 +122,7 @@
 
     fn begin(&mut self, id: u8, must_exist: bool, leaves_state: bool) -> bool {
         let query = SessionQuery {
-            session: self.table.name("u", &id.to_string()),
+            session: self.table.key("u", &id.to_string()),
             must_exist,
             timeout: Some(TIMEOUT),
             effect: if leaves_state {
@@ -167,7 +167,7 @@
             Outcome::Succeeded => (ran(true), true),
             Outcome::Failed => (ran(false), false),
         };
-        let name = self.table.name("u", &id.to_string());
+        let name = self.table.key("u", &id.to_string());
         self.table.end_query(self.now, name, outcome);
         let becomes_stateful = leaves_state && may_have_succeeded;
         if !self.lost.remove(&id) && (becomes_stateful || self.stateful.contains_key(&id)) {
--- a/crates/coordinator/src/frontends/clickhouse/mod.rs
+++ b/crates/coordinator/src/frontends/clickhouse/mod.rs
@@ -17,7 +17,7 @@
 use driftfront_clickhouse::exception::Exception;
 use driftfront_clickhouse::keyed_hash::keyed_hash;
 use driftfront_clickhouse::request::{self, ClientRequest};
-use driftfront_clickhouse::session::{QueryOutcome, SessionName, SessionTable};
+use driftfront_clickhouse::session::{QueryOutcome, SessionKey, SessionTable};
 use driftfront_core::{EngineId, Micros, ParsedRequest, SettledOutcome};
 use driftfront_http::{HttpError, Request, RequestLimits};
 use std::collections::HashMap;
@@ -69,7 +69,7 @@
 /// What is held for a query until nothing of it is in flight.
 #[derive(Clone, Copy)]
 struct OpenQuery {
-    session: Option<SessionName>,
+    session: Option<SessionKey>,
     reserved_bytes: usize,
 }
 
--- a/crates/coordinator/src/frontends/clickhouse/query.rs
+++ b/crates/coordinator/src/frontends/clickhouse/query.rs
@@ -8,7 +8,7 @@
 use crate::net::fnv1a_64;
 use driftfront_clickhouse::exception::Exception;
 use driftfront_clickhouse::request::Query;
-use driftfront_clickhouse::session::{Home, SessionError, SessionName, SessionQuery};
+use driftfront_clickhouse::session::{Home, SessionError, SessionKey, SessionQuery};
 use driftfront_clickhouse::sql::KillQuery;
 use driftfront_core::{EngineId, Micros, ParsedRequest, StickySession};
 use driftfront_http::Request;
@@ -44,7 +44,7 @@
             .map_err(|e| replies::exception(&e.into(), query.is_head))?;
         let ticket = self.next_number();
         let open = OpenQuery {
-            session: session.map(|s| s.name),
+            session: session.map(|s| s.key),
             reserved_bytes,
         };
         self.open.insert(ticket, open);
@@ -114,22 +114,22 @@
             return Ok(None);
         };
         let user = query.credentials.user.as_deref().unwrap_or_default();
-        let name = self.sessions.name(user, &session.id);
+        let key = self.sessions.key(user, &session.id);
         let session_query = SessionQuery {
-            session: name,
+            session: key,
             must_exist: session.must_exist,
             timeout: session.timeout,
             effect: query.statement.session_effect,
         };
         let home = self.sessions.begin_query(now, &session_query)?;
-        Ok(Some(BegunSession { name, home }))
+        Ok(Some(BegunSession { key, home }))
     }
 }
 
 /// A session with a query in flight.
 #[derive(Clone, Copy)]
 struct BegunSession {
-    name: SessionName,
+    key: SessionKey,
     /// Where it lives, if it does yet.
     home: Option<Home<EngineId>>,
 }
