--- a/crates/clickhouse/src/session/entry.rs
+++ b/crates/clickhouse/src/session/entry.rs
@@ -1,6 +1,6 @@
 //! The state of one session.
 
-use super::{Home, Micros, QueryOutcome, SessionEffect, SessionQuery};
+use super::{Micros, QueryOutcome, SessionAffinity, SessionEffect, SessionQuery};
 
 /// How early a session is evicted: the first class goes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -18,7 +18,7 @@
 
 /// One session.
 pub(super) struct Session<E> {
-    home: Option<E>,
+    engine: Option<E>,
     is_stateful: bool,
     /// Its engine left, and its state with it.
     is_lost: bool,
@@ -34,7 +34,7 @@
     /// A session that lives on no engine yet.
     pub(super) fn new(now: Micros, timeout: Micros) -> Session<E> {
         Session {
-            home: None,
+            engine: None,
             is_stateful: false,
             is_lost: false,
             running: None,
@@ -76,20 +76,20 @@
         self.is_stateful && !self.is_lost
     }
 
-    pub(super) fn lives_on(&self, engine: E) -> bool {
-        self.home == Some(engine)
+    pub(super) fn is_assigned_to(&self, engine: E) -> bool {
+        self.engine == Some(engine)
     }
 
-    pub(super) fn home(&self) -> Option<Home<E>> {
-        Some(Home {
-            engine: self.home?,
+    pub(super) fn affinity(&self) -> Option<SessionAffinity<E>> {
+        Some(SessionAffinity {
+            engine: self.engine?,
             is_exclusive: self.is_stateful,
         })
     }
 
     /// Whether a query that ran on `engine` moved the session there.
     pub(super) fn migrates_to(&self, engine: E) -> bool {
-        let is_elsewhere = self.home.is_some_and(|home| home != engine);
+        let is_elsewhere = self.engine.is_some_and(|current| current != engine);
         is_elsewhere && !self.is_stateful && !self.is_lost
     }
 
@@ -103,16 +103,16 @@
     pub(super) fn end_query(&mut self, now: Micros, outcome: QueryOutcome<E>) {
         let leaves_state = self.running.take() == Some(SessionEffect::LeavesState);
         if let Some(engine) = outcome.engine().filter(|_| !self.is_lost) {
-            self.home = Some(engine);
+            self.engine = Some(engine);
             self.is_stateful |= leaves_state && outcome.may_have_succeeded();
         }
         self.last_used = now;
         self.expires = now + self.timeout;
     }
 
-    /// The session's engine takes no more queries. A query that still runs there may make it the home again.
-    pub(super) fn remove_home(&mut self) {
-        self.home = None;
+    /// The session's engine takes no more queries. A query that still runs there may become its engine again.
+    pub(super) fn remove_engine(&mut self) {
+        self.engine = None;
         self.is_lost |= self.is_stateful;
     }
 
--- a/crates/clickhouse/src/session/mod.rs
+++ b/crates/clickhouse/src/session/mod.rs
@@ -69,7 +69,7 @@
 
 /// The engine that a session lives on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Home<E> {
+pub struct SessionAffinity<E> {
     /// The engine.
     pub engine: E,
     /// The session is stateful: its queries can run on no other engine.
--- a/crates/clickhouse/src/session/table.rs
+++ b/crates/clickhouse/src/session/table.rs
@@ -3,7 +3,7 @@
 use super::entry::{EvictionClass, Session};
 use super::index::SessionIndex;
 use super::{
-    HeldSessions, Home, Micros, QueryOutcome, SessionCounters, SessionError, SessionKey,
+    HeldSessions, Micros, QueryOutcome, SessionAffinity, SessionCounters, SessionError, SessionKey,
     SessionQuery, DEFAULT_SESSION_TIMEOUT, MAX_PROBATIONARY_SESSIONS, MAX_SESSIONS,
     MAX_SESSION_TIMEOUT,
 };
@@ -58,7 +58,7 @@
         &mut self,
         now: Micros,
         query: &SessionQuery,
-    ) -> Result<Option<Home<E>>, SessionError> {
+    ) -> Result<Option<SessionAffinity<E>>, SessionError> {
         self.expire(now);
         let timeout = query
             .timeout
@@ -81,7 +81,7 @@
         }
         self.sessions
             .update(query.session, |s| s.begin_query(now, timeout, query));
-        Ok(self.sessions.get(query.session).and_then(Session::home))
+        Ok(self.sessions.get(query.session).and_then(Session::affinity))
     }
 
     /// Ends a session's query, once nothing of it runs any more.
@@ -91,7 +91,7 @@
         };
         match outcome.engine() {
             // The session's first query reached no engine: no engine knows the session.
-            None if session.home().is_none() => {
+            None if session.affinity().is_none() => {
                 self.sessions.remove(session_key);
                 return;
             }
@@ -107,7 +107,7 @@
         let names: Vec<SessionKey> = self
             .sessions
             .iter()
-            .filter(|(_, session)| session.lives_on(engine))
+            .filter(|(_, session)| session.is_assigned_to(engine))
             .map(|(session_key, _)| session_key)
             .collect();
         for session_key in names {
@@ -116,7 +116,7 @@
                 .get(session_key)
                 .is_some_and(Session::is_stateful);
             self.counters.lost += u64::from(is_stateful);
-            self.sessions.update(session_key, Session::remove_home);
+            self.sessions.update(session_key, Session::remove_engine);
         }
     }
 
--- a/crates/clickhouse/tests/session.rs
+++ b/crates/clickhouse/tests/session.rs
@@ -2,7 +2,7 @@
 
 use driftfront_clickhouse::exception::Exception;
 use driftfront_clickhouse::session::{
-    HeldSessions, Home, Micros, QueryOutcome, SessionEffect, SessionError, SessionKey,
+    HeldSessions, Micros, QueryOutcome, SessionAffinity, SessionEffect, SessionError, SessionKey,
     SessionQuery, SessionTable, MAX_PROBATIONARY_SESSIONS,
 };
 
@@ -17,8 +17,13 @@
     }
 }
 
-/// Runs a query that only reads; the home that the session had before.
-fn read(table: &mut SessionTable<u8>, now: Micros, id: &str, engine: u8) -> Option<Home<u8>> {
+/// Runs a query that only reads; returns the session's affinity before it.
+fn read(
+    table: &mut SessionTable<u8>,
+    now: Micros,
+    id: &str,
+    engine: u8,
+) -> Option<SessionAffinity<u8>> {
     run(table, now, id, engine, SessionEffect::None)
 }
 
@@ -33,19 +38,19 @@
     id: &str,
     engine: u8,
     effect: SessionEffect,
-) -> Option<Home<u8>> {
+) -> Option<SessionAffinity<u8>> {
     let name = table.key("u", id);
-    let home = table.begin_query(now, &query(name, effect)).expect("room");
+    let affinity = table.begin_query(now, &query(name, effect)).expect("room");
     let outcome = QueryOutcome::Ran {
         engine,
         succeeded: true,
     };
     table.end_query(now, name, outcome);
-    home
+    affinity
 }
 
-fn home(engine: u8, is_exclusive: bool) -> Option<Home<u8>> {
-    Some(Home {
+fn affinity(engine: u8, is_exclusive: bool) -> Option<SessionAffinity<u8>> {
+    Some(SessionAffinity {
         engine,
         is_exclusive,
     })
@@ -55,17 +60,17 @@
 fn a_session_stays_where_it_first_ran_and_one_that_only_read_moves_when_that_leaves() {
     let mut table = SessionTable::new(1);
     assert_eq!(read(&mut table, 0, "a", 3), None);
-    assert_eq!(read(&mut table, 1, "a", 3), home(3, false));
+    assert_eq!(read(&mut table, 1, "a", 3), affinity(3, false));
     table.remove_engine(3);
     assert_eq!(read(&mut table, 2, "a", 4), None);
-    assert_eq!(read(&mut table, 3, "a", 4), home(4, false));
+    assert_eq!(read(&mut table, 3, "a", 4), affinity(4, false));
 }
 
 #[test]
 fn a_tied_session_is_lost_with_its_engine_and_its_client_is_told_once() {
     let mut table = SessionTable::new(1);
     set(&mut table, 0, "a", 3);
-    assert_eq!(read(&mut table, 1, "a", 3), home(3, true));
+    assert_eq!(read(&mut table, 1, "a", 3), affinity(3, true));
     table.remove_engine(3);
     let next = query(table.key("u", "a"), SessionEffect::None);
     let lost = table.begin_query(2, &next).expect_err("lost");
@@ -94,7 +99,7 @@
             must_exist: true,
             ..query(name, SessionEffect::None)
         };
-        assert_eq!(table.begin_query(1, &next), Ok(home(3, is_exclusive)));
+        assert_eq!(table.begin_query(1, &next), Ok(affinity(3, is_exclusive)));
     }
 }
 
--- a/crates/clickhouse/tests/session_model.rs
+++ b/crates/clickhouse/tests/session_model.rs
@@ -1,7 +1,7 @@
 //! The session table against a plain model, under random steps.
 
 use driftfront_clickhouse::session::{
-    Home, Micros, QueryOutcome, SessionEffect, SessionError, SessionQuery, SessionTable,
+    Micros, QueryOutcome, SessionAffinity, SessionEffect, SessionError, SessionQuery, SessionTable,
 };
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use std::collections::{HashMap, HashSet};
@@ -137,13 +137,13 @@
         }
         let stateful = self.stateful.get(&id).filter(|s| s.expires > self.now);
         match (begun, stateful) {
-            (Ok(home), Some(session)) => {
-                let expected = Home {
+            (Ok(affinity), Some(session)) => {
+                let expected = SessionAffinity {
                     engine: session.engine,
                     is_exclusive: true,
                 };
                 self.running.insert(id, leaves_state);
-                home == Some(expected)
+                affinity == Some(expected)
             }
             (Err(_), Some(_)) => false,
             (Ok(_), None) => {
@@ -158,7 +158,7 @@
         let Some(leaves_state) = self.running.remove(&id) else {
             return;
         };
-        // A stateful session's query can only have run at its home.
+        // A stateful session's query can only have run on its engine.
         let engine = self.stateful.get(&id).map_or(engine, |s| s.engine);
         let ran = |succeeded| QueryOutcome::Ran { engine, succeeded };
         let (outcome, may_have_succeeded) = match outcome {
--- a/crates/coordinator/src/frontends/clickhouse/query.rs
+++ b/crates/coordinator/src/frontends/clickhouse/query.rs
@@ -8,7 +8,7 @@
 use crate::net::fnv1a_64;
 use driftfront_clickhouse::exception::Exception;
 use driftfront_clickhouse::request::Query;
-use driftfront_clickhouse::session::{Home, SessionError, SessionKey, SessionQuery};
+use driftfront_clickhouse::session::{SessionAffinity, SessionError, SessionKey, SessionQuery};
 use driftfront_clickhouse::sql::KillQuery;
 use driftfront_core::{EngineId, Micros, ParsedRequest, StickySession};
 use driftfront_http::Request;
@@ -55,7 +55,7 @@
             is_body_streamed: request.has_more_body,
             statement: Rc::from(&*request.body),
             ticket,
-            ..engine_request(query, session.and_then(|s| s.home))
+            ..engine_request(query, session.and_then(|s| s.affinity))
         };
         Ok(FrontendAction::Accept(parsed, writer))
     }
@@ -121,8 +121,8 @@
             timeout: session.timeout,
             effect: query.statement.session_effect,
         };
-        let home = self.sessions.begin_query(now, &session_query)?;
-        Ok(Some(BegunSession { key, home }))
+        let affinity = self.sessions.begin_query(now, &session_query)?;
+        Ok(Some(BegunSession { key, affinity }))
     }
 }
 
@@ -131,16 +131,16 @@
 struct BegunSession {
     key: SessionKey,
     /// Where it lives, if it does yet.
-    home: Option<Home<EngineId>>,
+    affinity: Option<SessionAffinity<EngineId>>,
 }
 
-/// The part of a core request that follows from the query and its session's home.
-fn engine_request(query: &Query, home: Option<Home<EngineId>>) -> ParsedRequest {
-    let sticky_session = home.map(|home| StickySession {
-        engine: home.engine,
-        is_exclusive: home.is_exclusive,
+/// The part of a core request that follows from the query and its session's affinity.
+fn engine_request(query: &Query, affinity: Option<SessionAffinity<EngineId>>) -> ParsedRequest {
+    let sticky_session = affinity.map(|affinity| StickySession {
+        engine: affinity.engine,
+        is_exclusive: affinity.is_exclusive,
     });
-    let is_exclusive = home.is_some_and(|home| home.is_exclusive);
+    let is_exclusive = affinity.is_some_and(|affinity| affinity.is_exclusive);
     let mut url_parameters = query.forwarded_params.clone();
     if is_exclusive {
         // An engine that restarted unnoticed must say so, and not run this without what was set.
