--- a/crates/clickhouse/src/body_budget.rs
+++ b/crates/clickhouse/src/body_budget.rs
@@ -8,7 +8,7 @@
 /// clients may have at once they fit the smallest machine.
 pub const UNBUDGETED_BYTES: usize = 32 * 1024;
 /// Largest body that is kept in full.
-pub const MAX_KEPT_BYTES: usize = 1024 * 1024;
+pub const MAX_BUFFERED_BYTES: usize = 1024 * 1024;
 
 /// Counters since the start of the program.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -16,9 +16,9 @@
     /// Bodies not kept in full since they were too large.
     pub too_large: u64,
     /// Bodies not kept in full since others had used up the budget.
-    pub no_room: u64,
+    pub over_budget: u64,
     /// Most bytes of the budget ever reserved.
-    pub max_held: usize,
+    pub peak_reserved_bytes: usize,
 }
 
 /// What one body has of the budget.
@@ -34,8 +34,8 @@
 #[derive(Clone, Debug)]
 pub struct BodyBudget {
     total_bytes: usize,
-    max_kept_bytes: usize,
-    held_bytes: usize,
+    max_buffered_bytes: usize,
+    total_reserved_bytes: usize,
     counters: BodyCounters,
 }
 
@@ -44,8 +44,8 @@
     pub fn new(total_bytes: usize) -> BodyBudget {
         BodyBudget {
             total_bytes,
-            max_kept_bytes: MAX_KEPT_BYTES.min(total_bytes / 2 + UNBUDGETED_BYTES),
-            held_bytes: 0,
+            max_buffered_bytes: MAX_BUFFERED_BYTES.min(total_bytes / 2 + UNBUDGETED_BYTES),
+            total_reserved_bytes: 0,
             counters: BodyCounters::default(),
         }
     }
@@ -57,39 +57,40 @@
         if wanted_bytes <= reserved_bytes {
             return Reservation {
                 reserved_bytes,
-                max_body_bytes: self.max_kept_bytes,
+                max_body_bytes: self.max_buffered_bytes,
             };
         }
         let unchanged = Reservation {
             reserved_bytes,
             max_body_bytes: UNBUDGETED_BYTES + reserved_bytes,
         };
-        if body_bytes > self.max_kept_bytes {
+        if body_bytes > self.max_buffered_bytes {
             self.counters.too_large += 1;
             return unchanged;
         }
-        let held_bytes = self.held_bytes + wanted_bytes - reserved_bytes;
-        if held_bytes > self.total_bytes {
-            self.counters.no_room += 1;
+        let total_reserved_bytes = self.total_reserved_bytes + wanted_bytes - reserved_bytes;
+        if total_reserved_bytes > self.total_bytes {
+            self.counters.over_budget += 1;
             return unchanged;
         }
-        self.held_bytes = held_bytes;
-        self.counters.max_held = self.counters.max_held.max(held_bytes);
+        self.total_reserved_bytes = total_reserved_bytes;
+        self.counters.peak_reserved_bytes =
+            self.counters.peak_reserved_bytes.max(total_reserved_bytes);
         Reservation {
             reserved_bytes: wanted_bytes,
-            max_body_bytes: self.max_kept_bytes,
+            max_body_bytes: self.max_buffered_bytes,
         }
     }
 
     /// Releases the reservation of a body.
     pub fn release(&mut self, reserved_bytes: usize) {
-        debug_assert!(reserved_bytes <= self.held_bytes);
-        self.held_bytes = self.held_bytes.saturating_sub(reserved_bytes);
+        debug_assert!(reserved_bytes <= self.total_reserved_bytes);
+        self.total_reserved_bytes = self.total_reserved_bytes.saturating_sub(reserved_bytes);
     }
 
     /// Bytes reserved now.
-    pub fn held_bytes(&self) -> usize {
-        self.held_bytes
+    pub fn total_reserved_bytes(&self) -> usize {
+        self.total_reserved_bytes
     }
 
     /// The counters so far.
--- a/crates/clickhouse/tests/body_budget.rs
+++ b/crates/clickhouse/tests/body_budget.rs
@@ -1,7 +1,7 @@
 //! The budget for bodies that are kept.
 
 use driftfront_clickhouse::body_budget::{
-    BodyBudget, Reservation, MAX_KEPT_BYTES, UNBUDGETED_BYTES,
+    BodyBudget, Reservation, MAX_BUFFERED_BYTES, UNBUDGETED_BYTES,
 };
 
 fn reservation(reserved_bytes: usize, max_body_bytes: usize) -> Reservation {
@@ -13,14 +13,14 @@
 
 #[test]
 fn small_bodies_always_find_room_and_large_ones_share_the_budget() {
-    let mut budget = BodyBudget::new(3 * MAX_KEPT_BYTES);
+    let mut budget = BodyBudget::new(3 * MAX_BUFFERED_BYTES);
     let mut held = Vec::new();
     // Each grows by 64 KB until it must be streamed.
-    let mut last = reservation(0, MAX_KEPT_BYTES);
+    let mut last = reservation(0, MAX_BUFFERED_BYTES);
     for _ in 0..10 {
         let mut size = 0;
         last.reserved_bytes = 0;
-        while size < MAX_KEPT_BYTES {
+        while size < MAX_BUFFERED_BYTES {
             size += 64 * 1024;
             last = budget.reserve(last.reserved_bytes, size);
             if size > last.max_body_bytes {
@@ -29,24 +29,27 @@
         }
         held.push(last.reserved_bytes);
     }
-    assert!(budget.held_bytes() <= 3 * MAX_KEPT_BYTES && budget.held_bytes() > 2 * MAX_KEPT_BYTES);
-    assert!(last.max_body_bytes < MAX_KEPT_BYTES);
+    assert!(
+        budget.total_reserved_bytes() <= 3 * MAX_BUFFERED_BYTES
+            && budget.total_reserved_bytes() > 2 * MAX_BUFFERED_BYTES
+    );
+    assert!(last.max_body_bytes < MAX_BUFFERED_BYTES);
     assert_eq!(
         budget.reserve(0, UNBUDGETED_BYTES),
-        reservation(0, MAX_KEPT_BYTES)
+        reservation(0, MAX_BUFFERED_BYTES)
     );
-    assert!(budget.counters().no_room > 0);
+    assert!(budget.counters().over_budget > 0);
     held.into_iter().for_each(|r| budget.release(r));
-    assert_eq!(budget.held_bytes(), 0);
+    assert_eq!(budget.total_reserved_bytes(), 0);
 }
 
 #[test]
 fn body_over_the_bound_for_one_is_streamed_with_what_it_holds() {
-    let mut budget = BodyBudget::new(64 * MAX_KEPT_BYTES);
-    let full = reservation(MAX_KEPT_BYTES - UNBUDGETED_BYTES, MAX_KEPT_BYTES);
-    assert_eq!(budget.reserve(0, MAX_KEPT_BYTES), full);
+    let mut budget = BodyBudget::new(64 * MAX_BUFFERED_BYTES);
+    let full = reservation(MAX_BUFFERED_BYTES - UNBUDGETED_BYTES, MAX_BUFFERED_BYTES);
+    assert_eq!(budget.reserve(0, MAX_BUFFERED_BYTES), full);
     assert_eq!(
-        budget.reserve(full.reserved_bytes, MAX_KEPT_BYTES + 1),
+        budget.reserve(full.reserved_bytes, MAX_BUFFERED_BYTES + 1),
         full
     );
     assert_eq!(budget.counters().too_large, 1);
--- a/crates/coordinator/src/frontends/clickhouse/mod.rs
+++ b/crates/coordinator/src/frontends/clickhouse/mod.rs
@@ -193,10 +193,13 @@
             ("sessions_turned_away", sessions.rejected),
             ("sessions_lost", sessions.lost),
             ("sessions_moved", sessions.migrated),
-            ("bodies_held_bytes", self.budget.held_bytes() as u64),
-            ("bodies_held_bytes_most", bodies.max_held as u64),
+            (
+                "bodies_held_bytes",
+                self.budget.total_reserved_bytes() as u64,
+            ),
+            ("bodies_held_bytes_most", bodies.peak_reserved_bytes as u64),
             ("bodies_too_large_to_keep", bodies.too_large),
-            ("bodies_without_room", bodies.no_room),
+            ("bodies_without_room", bodies.over_budget),
             ("kills_asked", self.kills),
         ] {
             let _ = writeln!(text, "{name} {count}");
