--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -1,48 +1,48 @@
-//! How a body's end is known, and its decoding.
+//! Body framing: how the end of a body is determined, and decoding.
 //!
 //! | state | next | when |
 //! | --- | --- | --- |
-//! | `Length` | `Over` | its bytes have come |
-//! | `ChunkSize` | `Chunk`, or `Trailers` for size 0 | the line has come |
-//! | `Chunk` | `ChunkEnd` | its bytes have come |
-//! | `ChunkEnd` | `ChunkSize` | the empty line has come |
-//! | `Trailers` | `Over` | an empty line has come |
-//! | `UntilClose` | | the connection's close ends it |
+//! | `Length` | `Complete` | all bytes are received |
+//! | `ChunkSize` | `Chunk`, or `Trailers` for size 0 | the size line is received |
+//! | `Chunk` | `ChunkEnd` | the chunk's bytes are received |
+//! | `ChunkEnd` | `ChunkSize` | the line break after the chunk is received |
+//! | `Trailers` | `Complete` | an empty line is received |
+//! | `UntilClose` | | the body ends when the connection closes |
 
 use crate::buffer::Buffer;
 use crate::header::{header, Header};
 use crate::HttpError;
 
-/// Longest line of a chunk's size or of a trailer.
+/// Maximum length of a chunk size line or trailer line.
 const MAX_CHUNK_LINE_BYTES: usize = 1024;
-/// Most hex digits of a chunk's size.
+/// Maximum number of hex digits in a chunk size.
 const MAX_CHUNK_SIZE_DIGITS: usize = 15;
 
-/// How far a body has come, and how its end is known.
+/// The decoding state of a body, which also says how its end is determined.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum BodyState {
-    /// So many bytes are to come.
+    /// This many bytes remain.
     Length(u64),
-    /// A line with a chunk's size is to come.
+    /// The next line holds a chunk size.
     ChunkSize,
-    /// So many bytes of a chunk are to come.
+    /// This many bytes of the current chunk remain.
     Chunk(u64),
-    /// The end of a chunk is to come.
+    /// The line break that ends a chunk comes next.
     ChunkEnd,
-    /// Lines behind the last chunk, up to an empty one.
+    /// Trailer lines after the last chunk, up to an empty line.
     Trailers,
-    /// All up to the connection's close.
+    /// The body is everything up to the close of the connection.
     UntilClose,
-    /// Nothing more.
-    Over,
+    /// The body is complete.
+    Complete,
 }
 
 impl BodyState {
-    /// The body that a head announces; `otherwise` where it says nothing. A length and chunks together are how requests are
-    /// smuggled past a proxy: that is malformed.
-    pub(crate) fn announced(
+    /// Determines the framing from the header fields; `default` applies where they don't specify any. A message with both
+    /// `Content-Length` and `Transfer-Encoding` is rejected as malformed, because it allows request smuggling.
+    pub(crate) fn from_headers(
         headers: &[Header],
-        otherwise: BodyState,
+        default: BodyState,
     ) -> Result<BodyState, HttpError> {
         let mut lengths = headers
             .iter()
@@ -57,7 +57,7 @@
             };
         }
         let Some((_, length)) = length else {
-            return Ok(otherwise);
+            return Ok(default);
         };
         let digits = length.trim();
         let is_number = !digits.is_empty() && digits.bytes().all(|b| b.is_ascii_digit());
@@ -70,7 +70,7 @@
             .map_err(|_| HttpError::BodyTooLarge)
     }
 
-    /// Moves what there is of the body from `input` to `body`; true once it is over.
+    /// Moves the received part of the body from `input` to `body`; returns true once the body is complete.
     pub(crate) fn decode(
         &mut self,
         input: &mut Buffer,
@@ -78,8 +78,8 @@
     ) -> Result<bool, HttpError> {
         loop {
             match self {
-                BodyState::Over | BodyState::Length(0) => {
-                    *self = BodyState::Over;
+                BodyState::Complete | BodyState::Length(0) => {
+                    *self = BodyState::Complete;
                     return Ok(true);
                 }
                 BodyState::UntilClose => {
@@ -91,7 +91,7 @@
                     if !move_bytes(remaining, input, body) {
                         return Ok(false);
                     }
-                    *self = BodyState::Over;
+                    *self = BodyState::Complete;
                 }
                 BodyState::Chunk(remaining) => {
                     if !move_bytes(remaining, input, body) {
@@ -109,12 +109,12 @@
         }
     }
 
-    /// The state behind a line of the chunked coding.
+    /// The state that follows a line of the chunked coding.
     fn after_line(&self, line: &[u8]) -> Result<BodyState, HttpError> {
         match self {
             BodyState::ChunkEnd if line.is_empty() => Ok(BodyState::ChunkSize),
             BodyState::ChunkEnd => Err(HttpError::Malformed),
-            BodyState::Trailers if line.is_empty() => Ok(BodyState::Over),
+            BodyState::Trailers if line.is_empty() => Ok(BodyState::Complete),
             BodyState::Trailers => Ok(BodyState::Trailers),
             _ => match chunk_size(line)? {
                 0 => Ok(BodyState::Trailers),
@@ -124,7 +124,7 @@
     }
 }
 
-/// Moves up to `remaining` bytes; true once none remain.
+/// Moves up to `remaining` bytes; returns true once none remain.
 fn move_bytes(remaining: &mut u64, input: &mut Buffer, body: &mut Vec<u8>) -> bool {
     let available = input.rest().len();
     let count = usize::try_from(*remaining).map_or(available, |remaining| remaining.min(available));
@@ -134,7 +134,7 @@
     *remaining == 0
 }
 
-/// A chunk's size; an extension behind a semicolon is passed over.
+/// Parses a chunk size; extensions after a semicolon are ignored.
 fn chunk_size(line: &[u8]) -> Result<u64, HttpError> {
     let digits = line.split(|&b| b == b';').next().unwrap_or(&[]);
     let digits = std::str::from_utf8(digits)
--- a/crates/http/src/buffer.rs
+++ b/crates/http/src/buffer.rs
@@ -1,47 +1,47 @@
-//! Received bytes that were not used yet.
+//! A buffer for received bytes that are not consumed yet.
 
 use crate::HttpError;
 
-/// An emptied buffer larger than this is given back: one large body must not keep its memory for ever.
+/// An empty buffer shrinks to this capacity, so that one large body doesn't keep its memory for the life of the connection.
 const MAX_RETAINED_BYTES: usize = 16 * 1024;
 
-/// Received bytes that were not used yet.
+/// Received bytes that are not consumed yet.
 #[derive(Default)]
 pub(crate) struct Buffer {
     bytes: Vec<u8>,
-    /// Bytes at the front that were used.
-    used: usize,
+    /// Number of bytes at the front that are already consumed.
+    consumed: usize,
 }
 
 impl Buffer {
     pub(crate) fn push(&mut self, bytes: &[u8]) {
-        self.bytes.drain(..self.used);
-        self.used = 0;
+        self.bytes.drain(..self.consumed);
+        self.consumed = 0;
         self.bytes.extend_from_slice(bytes);
     }
 
-    /// What was not used yet.
+    /// The bytes that are not consumed yet.
     pub(crate) fn rest(&self) -> &[u8] {
-        &self.bytes[self.used..]
+        &self.bytes[self.consumed..]
     }
 
-    /// Marks the first `count` bytes of the rest as used.
+    /// Consumes the first `count` bytes of the rest.
     pub(crate) fn consume(&mut self, count: usize) {
-        self.used += count;
-        if self.used == self.bytes.len() {
+        self.consumed += count;
+        if self.consumed == self.bytes.len() {
             self.bytes.clear();
             self.bytes.shrink_to(MAX_RETAINED_BYTES);
-            self.used = 0;
+            self.consumed = 0;
         }
     }
 
-    /// Takes bytes out of the middle of the rest.
+    /// Removes a range of bytes from the rest.
     pub(crate) fn remove(&mut self, range: std::ops::Range<usize>) {
         self.bytes
-            .drain(self.used + range.start..self.used + range.end);
+            .drain(self.consumed + range.start..self.consumed + range.end);
     }
 
-    /// Takes a line off the rest, without its end, once it is there.
+    /// Consumes a line and returns it without its line break; `None` while it is incomplete.
     pub(crate) fn take_line(&mut self, max_bytes: usize) -> Result<Option<Vec<u8>>, HttpError> {
         let rest = self.rest();
         let Some(end) = rest.iter().position(|&b| b == b'\n') else {
--- a/crates/http/src/header.rs
+++ b/crates/http/src/header.rs
@@ -3,7 +3,7 @@
 /// A header field's name and value.
 pub type Header = (String, String);
 
-/// Finds a header field's value; names are not case sensitive.
+/// Returns the value of the first header field with this name; names are case-insensitive.
 pub fn header<'a>(headers: &'a [Header], name: &str) -> Option<&'a str> {
     headers
         .iter()
@@ -11,7 +11,7 @@
         .map(|h| h.1.as_str())
 }
 
-/// Copies parsed fields; white space round values goes, and what is not UTF-8 is replaced.
+/// Copies parsed fields, trims white space around values and replaces invalid UTF-8.
 pub(crate) fn to_owned(headers: &[httparse::Header]) -> Vec<Header> {
     let text = |value: &[u8]| String::from_utf8_lossy(value).trim().to_string();
     headers
@@ -20,7 +20,7 @@
         .collect()
 }
 
-/// Whether the sender closes the connection after the message; `version` is the minor one.
+/// Whether the sender closes the connection after the message; `version` is the minor HTTP version.
 pub(crate) fn closes_connection(version: Option<u8>, headers: &[Header]) -> bool {
     match header(headers, "connection") {
         Some(value) if value.eq_ignore_ascii_case("close") => true,
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,15 +1,15 @@
-//! HTTP/1.1 framing on both sides, without sockets: bytes in, messages out.
+//! HTTP/1.1 framing for clients and servers, without I/O: bytes in, messages out.
 //!
-//! | module | job |
+//! | module | purpose |
 //! | --- | --- |
 //! | `header` | header fields |
-//! | `body` | how a body's end is known, and its decoding |
-//! | `buffer` | received bytes that were not used yet |
+//! | `body` | body framing and decoding |
+//! | `buffer` | received bytes that are not consumed yet |
 //! | `request` | reads clients' requests |
 //! | `response_reader` | reads servers' responses |
 //! | `response_writer` | writes responses |
 //!
-//! The readers take bytes in pieces of any size, hold a bounded number of them and never panic on input.
+//! The readers accept input split at any byte, buffer a bounded amount of it and never panic on malformed input.
 #![warn(missing_docs)]
 #![forbid(unsafe_code)]
 
@@ -27,27 +27,27 @@
     add_connection_close, chunk, response, response_head, BodyFraming, LAST_CHUNK,
 };
 
-/// Longest head read by default; a longer one is answered 431.
+/// Default limit on the size of a message head; larger heads are answered with status 431.
 pub const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// Most header fields of a message.
+/// Maximum number of header fields in a message.
 const MAX_HEADERS: usize = 64;
 
-/// What is wrong with a message.
+/// Why a message is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum HttpError {
-    /// It can't be read, or its framing is ambiguous.
+    /// The message can't be parsed, or its framing is ambiguous.
     #[error("malformed message")]
     Malformed,
-    /// Its body is over the bound.
+    /// The body exceeds the limit.
     #[error("body too large")]
     BodyTooLarge,
-    /// Its head is over the bound.
+    /// The head exceeds the limit.
     #[error("head too large")]
     HeadTooLarge,
 }
 
 impl HttpError {
-    /// The status that a client is answered with.
+    /// The status code of the response to the client.
     pub fn status(self) -> u16 {
         match self {
             HttpError::Malformed => 400,
--- a/crates/http/src/request.rs
+++ b/crates/http/src/request.rs
@@ -1,62 +1,62 @@
-//! Reads requests off a client's connection.
+//! Parses requests from the bytes of a client connection.
 
 use crate::body::BodyState;
 use crate::buffer::Buffer;
 use crate::header::{closes_connection, header, to_owned, Header};
 use crate::{HttpError, MAX_HEADERS, MAX_HEAD_BYTES};
 
-/// Methods that a client may begin a request with.
+/// The methods that a request may start with, each followed by a space.
 const METHODS: [&str; 7] = [
     "GET ", "POST ", "DELETE ", "PUT ", "HEAD ", "OPTIONS ", "PATCH ",
 ];
 
-/// A request: whole, or with the beginning of a body that is streamed.
+/// A request, either complete or with the first part of a streamed body.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Request {
-    /// GET, POST, ...
+    /// The method: GET, POST, ...
     pub method: String,
-    /// Path and query as sent.
+    /// Path and query string as received.
     pub target: String,
     /// All header fields.
     pub headers: Vec<Header>,
-    /// The body, decoded; its beginning where `has_more_body` says so.
+    /// The decoded body, or its first part if `has_more_body` is set.
     pub body: Vec<u8>,
-    /// More of the body follows, to be read with [`RequestReader::read_body`].
+    /// The rest of the body has to be read with [`RequestReader::read_body`].
     pub has_more_body: bool,
-    /// HTTP/1.1, or an earlier one that knows no chunks.
+    /// True for HTTP/1.1, false for earlier versions, which lack the chunked coding.
     pub version_1_1: bool,
-    /// The client wants the connection closed after the response.
+    /// The connection is to be closed after the response.
     pub close: bool,
 }
 
-/// Bounds of the requests that are read.
+/// Limits on requests.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestLimits {
-    /// Longest head; a longer one is an error.
+    /// Maximum size of a head; a larger one is an error.
     pub max_head_bytes: usize,
-    /// Bytes of a body that are read before the request is handed out.
+    /// Number of body bytes that are read before the request is returned.
     pub max_body_bytes: usize,
-    /// A longer body is streamed behind that; else it is an error.
+    /// Whether the rest of a larger body is streamed; otherwise a larger body is an error.
     pub streams_larger_bodies: bool,
 }
 
-/// A request whose head was read.
+/// A request whose head is complete and whose body is being read.
 struct PartialRequest {
     request: Request,
     body: BodyState,
 }
 
-/// Reads requests off a client's connection.
+/// Parses requests from the bytes of a client connection.
 pub struct RequestReader {
     input: Buffer,
     partial: Option<PartialRequest>,
-    /// The body of the request that was handed out, while more of it is to come.
+    /// The body state of the last returned request, while its body is incomplete.
     streamed: Option<BodyState>,
     limits: RequestLimits,
 }
 
 impl RequestReader {
-    /// A reader of requests whose bodies have at most so many bytes.
+    /// Creates a reader with default limits that rejects bodies over `max_body_bytes`.
     pub fn new(max_body_bytes: usize) -> RequestReader {
         RequestReader::with_limits(RequestLimits {
             max_head_bytes: MAX_HEAD_BYTES,
@@ -65,7 +65,7 @@
         })
     }
 
-    /// A reader with bounds of its own.
+    /// Creates a reader with the given limits.
     pub fn with_limits(limits: RequestLimits) -> RequestReader {
         RequestReader {
             input: Buffer::default(),
@@ -75,44 +75,44 @@
         }
     }
 
-    /// From now on so many bytes of a body are read before its request is handed out.
+    /// Changes the number of body bytes that are read before a request is returned.
     pub fn set_max_body_bytes(&mut self, max_body_bytes: usize) {
         self.limits.max_body_bytes = max_body_bytes;
     }
 
-    /// Bytes of the request that is being read: its head so far, or what of its body is held.
+    /// Buffered bytes of the request that is being read: its partial head or its partial body.
     pub fn partial_request_bytes(&self) -> usize {
         let body = self.partial.as_ref().map_or(0, |p| p.request.body.len());
         self.buffered_bytes() + body
     }
 
-    /// Whether the head of the request that is being read is complete.
+    /// Whether the head of the request being read is complete.
     pub fn has_head(&self) -> bool {
         self.partial.is_some()
     }
 
-    /// Whether more is to come of the body of the request that was handed out.
+    /// Whether the last returned request has body bytes left to read.
     pub fn has_unread_body(&self) -> bool {
         self.streamed.is_some()
     }
 
-    /// Moves what has come of a streamed body to `body`; `true` once it is over.
+    /// Moves the received part of a streamed body to `body`; returns `true` once the body is complete.
     ///
     /// # Errors
     ///
-    /// Where its framing is broken, or bytes behind it can't begin another request.
+    /// If the framing is invalid, or the bytes after the body can't start another request.
     pub fn read_body(&mut self, body: &mut Vec<u8>) -> Result<bool, HttpError> {
         let Some(streamed) = &mut self.streamed else {
             return Ok(true);
         };
-        let is_over = streamed.decode(&mut self.input, body)?;
-        if is_over {
+        let is_complete = streamed.decode(&mut self.input, body)?;
+        if is_complete {
             self.streamed = None;
             if self.has_invalid_trailing_bytes() {
                 return Err(HttpError::Malformed);
             }
         }
-        Ok(is_over)
+        Ok(is_complete)
     }
 
     /// Adds received bytes.
@@ -120,18 +120,18 @@
         self.input.push(bytes);
     }
 
-    /// Bytes held that no request has used yet.
+    /// Number of buffered bytes that belong to no request yet.
     pub fn buffered_bytes(&self) -> usize {
         self.input.rest().len()
     }
 
-    /// Whether a request has begun and is not complete.
+    /// Whether a request has started and is incomplete.
     pub fn is_mid_message(&self) -> bool {
         self.partial.is_some() || self.streamed.is_some() || self.buffered_bytes() > 0
     }
 
-    /// Whether what stands behind the last request can't begin another: then that one's length was wrong, and what was read as its
-    /// body is not what the client meant.
+    /// Whether the bytes after the last request can't start another one. In that case the length of the last request was wrong, and
+    /// its body is not what the client intended to send.
     pub fn has_invalid_trailing_bytes(&self) -> bool {
         let rest = self.input.rest();
         let line_ends = rest
@@ -147,18 +147,18 @@
         is_between_requests && !METHODS.iter().any(may_begin)
     }
 
-    /// Whether the client waits for "100 Continue" before it sends the body.
+    /// Whether the client waits for `100 Continue` before it sends the body.
     pub fn expects_continue(&self) -> bool {
         let headers = self.partial.as_ref().map(|p| &p.request.headers);
         let expect = headers.and_then(|h| header(h, "expect"));
         self.buffered_bytes() == 0 && expect.is_some_and(|e| e.eq_ignore_ascii_case("100-continue"))
     }
 
-    /// The next request, if it is there: whole, or as much of it as is read before a streamed body.
+    /// Returns the next request, once it is complete or its body exceeds the limit and is streamed.
     ///
     /// # Errors
     ///
-    /// Where it can't be read or is over a bound; the connection must close.
+    /// If the request is malformed or exceeds a limit; the connection must be closed.
     pub fn next_request(&mut self) -> Result<Option<Request>, HttpError> {
         if self.streamed.is_some() {
             return Ok(None);
@@ -169,30 +169,30 @@
         let Some(partial) = &mut self.partial else {
             return Ok(None);
         };
-        let is_over = partial
+        let is_complete = partial
             .body
             .decode(&mut self.input, &mut partial.request.body)?;
         let is_long = partial.request.body.len() > self.limits.max_body_bytes;
         if is_long && !self.limits.streams_larger_bodies {
             return Err(HttpError::BodyTooLarge);
         }
-        if !is_over && !is_long {
+        if !is_complete && !is_long {
             return Ok(None);
         }
         let Some(PartialRequest { mut request, body }) = self.partial.take() else {
             return Ok(None);
         };
-        if !is_over {
+        if !is_complete {
             request.has_more_body = true;
             self.streamed = Some(body);
         } else if self.has_invalid_trailing_bytes() {
-            // Half a statement must not run because the other half came behind a length that is too small.
+            // The declared length is too small: the body may be half a statement and must not run.
             return Err(HttpError::Malformed);
         }
         Ok(Some(request))
     }
 
-    /// Reads a request's head, if it is there.
+    /// Parses a request head, once it is complete.
     fn read_head(&mut self) -> Result<Option<PartialRequest>, HttpError> {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut request = httparse::Request::new(&mut headers);
@@ -204,7 +204,7 @@
             _ => return Err(HttpError::HeadTooLarge),
         };
         let headers = to_owned(request.headers);
-        let body = BodyState::announced(&headers, BodyState::Over)?;
+        let body = BodyState::from_headers(&headers, BodyState::Complete)?;
         let max_body_bytes = self.limits.max_body_bytes as u64;
         let is_long = matches!(body, BodyState::Length(n) if n > max_body_bytes);
         if is_long && !self.limits.streams_larger_bodies {
--- a/crates/http/src/response_reader.rs
+++ b/crates/http/src/response_reader.rs
@@ -1,46 +1,46 @@
-//! Reads responses off a server's connection.
+//! Parses responses from the bytes of a server connection.
 
 use crate::body::BodyState;
 use crate::buffer::Buffer;
 use crate::header::{closes_connection, to_owned, Header};
 use crate::{HttpError, MAX_HEADERS, MAX_HEAD_BYTES};
 
-/// A response's head.
+/// The head of a response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ResponseHead {
-    /// The status.
+    /// The status code.
     pub status: u16,
     /// All header fields.
     pub headers: Vec<Header>,
-    /// The server will close the connection.
+    /// The server closes the connection after the response.
     pub close: bool,
 }
 
-/// What a response brings next.
+/// One part of a response, in the order of arrival.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ResponsePart {
-    /// The value of a header field that was asked for early, before the head is complete.
+    /// The value of the early header field, see [`ResponseReader::with_early_header`]; precedes the head.
     EarlyHeader(String),
-    /// Its head.
+    /// The complete head.
     Head(ResponseHead),
-    /// A part of its body.
+    /// Bytes of the body.
     Body(Vec<u8>),
-    /// Its end.
+    /// The end of the response.
     End,
 }
 
-/// Reads responses off a server's connection.
+/// Parses responses from the bytes of a server connection.
 #[derive(Default)]
 pub struct ResponseReader {
     input: Buffer,
-    /// The body of the response whose head was read.
+    /// The body state of the response whose head is complete.
     body: Option<BodyState>,
     early_header: Option<&'static str>,
 }
 
 impl ResponseReader {
-    /// A reader that gives this header field's values as they come, and takes them out of the head: servers that send one for each
-    /// step of their work would else fill it.
+    /// Creates a reader that returns values of this header field as they arrive, before the head is complete, and removes them from
+    /// the head. A server that sends the field for every step of its work would otherwise exceed the limit on the head.
     pub fn with_early_header(name: &'static str) -> ResponseReader {
         ResponseReader {
             early_header: Some(name),
@@ -53,37 +53,37 @@
         self.input.push(bytes);
     }
 
-    /// The next part, if it is there.
+    /// Returns the next part, once it has arrived.
     ///
     /// # Errors
     ///
-    /// Where the response can't be read or is over a bound.
+    /// If the response is malformed or exceeds a limit.
     pub fn next_part(&mut self) -> Result<Option<ResponsePart>, HttpError> {
         let Some(body) = &mut self.body else {
             return self.next_head_part();
         };
         let mut bytes = Vec::new();
-        let is_over = body.decode(&mut self.input, &mut bytes)?;
+        let is_complete = body.decode(&mut self.input, &mut bytes)?;
         if !bytes.is_empty() {
             return Ok(Some(ResponsePart::Body(bytes)));
         }
-        if is_over {
+        if is_complete {
             self.body = None;
             return Ok(Some(ResponsePart::End));
         }
         Ok(None)
     }
 
-    /// The server has ended its side: whether that is a proper end of the body.
+    /// Whether the response is complete if the server closes the connection now.
     pub fn is_complete_at_close(&self) -> bool {
         matches!(self.body, Some(BodyState::UntilClose))
     }
 
-    /// Takes an early header field out of a head that is not complete yet.
+    /// Removes an early header field from an incomplete head and returns its value.
     fn take_early_header(&mut self) -> Option<String> {
         let name = self.early_header?;
         let bytes = self.input.rest();
-        // The first line is the status; what stands behind an empty line is the body.
+        // The first line is the status line; an empty line separates head and body.
         let mut begin = line_length(bytes)?;
         loop {
             let end = begin + line_length(&bytes[begin..])?;
@@ -105,7 +105,7 @@
         }
     }
 
-    /// An early header field or the head, if it is there; interim responses (1xx) are passed over.
+    /// Returns an early header field or the head, once it has arrived; interim responses (1xx) are skipped.
     fn next_head_part(&mut self) -> Result<Option<ResponsePart>, HttpError> {
         loop {
             if let Some(value) = self.take_early_header() {
@@ -116,8 +116,8 @@
             };
             let body = match head.status {
                 100..=199 => continue,
-                204 | 304 => BodyState::Over,
-                _ => BodyState::announced(&head.headers, BodyState::UntilClose)?,
+                204 | 304 => BodyState::Complete,
+                _ => BodyState::from_headers(&head.headers, BodyState::UntilClose)?,
             };
             head.close |= body == BodyState::UntilClose;
             self.body = Some(body);
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Reads a head, if it is there.
+    /// Parses a head, once it is complete.
     fn read_head(&mut self) -> Result<Option<ResponseHead>, HttpError> {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut response = httparse::Response::new(&mut headers);
@@ -147,7 +147,7 @@
     }
 }
 
-/// Bytes up to and with the first line's end.
+/// Length of the first line, including its line break.
 fn line_length(bytes: &[u8]) -> Option<usize> {
     bytes.iter().position(|&b| b == b'\n').map(|at| at + 1)
 }
--- a/crates/http/src/response_writer.rs
+++ b/crates/http/src/response_writer.rs
@@ -1,15 +1,15 @@
-//! Writes responses.
+//! Serializes responses.
 
 use std::fmt::Write as _;
 
-/// How the end of a body is announced.
+/// How the end of a body is signalled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyFraming {
-    /// It has so many bytes.
+    /// By `Content-Length`, with this many bytes.
     Length(usize),
-    /// Its last chunk.
+    /// By the last chunk of the chunked coding.
     Chunked,
-    /// The connection's close: for clients that know no chunks.
+    /// By closing the connection, for clients without support for the chunked coding.
     UntilClose,
 }
 
@@ -35,7 +35,7 @@
     }
 }
 
-/// Writes a response's head.
+/// Serializes the head of a response.
 pub fn response_head(
     status: u16,
     headers: &[(&str, &str)],
@@ -45,7 +45,7 @@
     let mut head = String::with_capacity(256);
     let _ = write!(head, "HTTP/1.1 {status} {}\r\n", reason(status));
     for (name, value) in headers {
-        // A line break in a value would let it forge headers.
+        // Control characters are dropped: a line break in a value would inject header fields.
         if value.chars().any(char::is_control) {
             let value: String = value.chars().filter(|c| !c.is_control()).collect();
             let _ = write!(head, "{name}: {value}\r\n");
@@ -67,14 +67,14 @@
     head.into_bytes()
 }
 
-/// Writes a whole response.
+/// Serializes a complete response.
 pub fn response(status: u16, headers: &[(&str, &str)], body: &[u8], close: bool) -> Vec<u8> {
     let mut bytes = response_head(status, headers, BodyFraming::Length(body.len()), close);
     bytes.extend_from_slice(body);
     bytes
 }
 
-/// Makes a response's bytes, as [`response_head`] begins them, tell that the connection closes behind it.
+/// Adds `Connection: close` to a response serialized by [`response_head`], unless it is there already.
 pub fn add_connection_close(response: &mut Vec<u8>) {
     let Some(head) = response.windows(4).position(|w| w == b"\r\n\r\n") else {
         return;
@@ -84,16 +84,16 @@
     }
 }
 
-/// Writes one chunk of a body that comes in chunks; an empty one would end it, so it is left out.
-pub fn chunk(piece: &[u8]) -> Vec<u8> {
-    if piece.is_empty() {
+/// Serializes one chunk of a chunked body. An empty chunk would end the body, so nothing is written for empty data.
+pub fn chunk(data: &[u8]) -> Vec<u8> {
+    if data.is_empty() {
         return Vec::new();
     }
-    let mut bytes = format!("{:x}\r\n", piece.len()).into_bytes();
-    bytes.extend_from_slice(piece);
+    let mut bytes = format!("{:x}\r\n", data.len()).into_bytes();
+    bytes.extend_from_slice(data);
     bytes.extend_from_slice(b"\r\n");
     bytes
 }
 
-/// The end of a body that comes in chunks.
+/// The last chunk, which ends a chunked body.
 pub const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
--- a/crates/http/tests/golden.rs
+++ b/crates/http/tests/golden.rs
@@ -1,4 +1,4 @@
-//! The bytes of responses as this crate writes them, and messages as it reads them.
+//! Golden tests: serialized responses, parsed requests and parsed responses must not change.
 
 use driftfront_http::{
     add_connection_close, chunk, header, response, response_head, BodyFraming, HttpError,
@@ -8,7 +8,7 @@
 use driftfront_test_support::{assert_golden, read_golden};
 
 #[test]
-fn responses_are_written_as_ever() {
+fn serialized_responses_match_golden_file() {
     let mut written = MessageTranscript::default();
     for status in [
         200, 204, 400, 401, 403, 404, 405, 408, 411, 413, 429, 431, 500, 501, 503, 504, 418,
@@ -17,34 +17,34 @@
         written.record("whole", response(status, &headers, b"body", false));
     }
     written.record("whole, closing", response(503, &[], b"", true));
-    for (name, ends) in [
+    for (name, framing) in [
         ("length", BodyFraming::Length(7)),
         ("chunks", BodyFraming::Chunked),
         ("close", BodyFraming::UntilClose),
     ] {
-        written.record(name, response_head(200, &[("A", "b")], ends, false));
-        written.record(name, response_head(200, &[("A", "b")], ends, true));
+        written.record(name, response_head(200, &[("A", "b")], framing, false));
+        written.record(name, response_head(200, &[("A", "b")], framing, true));
     }
-    let mut told = response(200, &[], b"x", false);
-    add_connection_close(&mut told);
-    written.record("close told later", &told);
-    add_connection_close(&mut told);
-    written.record("close told twice", &told);
+    let mut closing = response(200, &[], b"x", false);
+    add_connection_close(&mut closing);
+    written.record("close told later", &closing);
+    add_connection_close(&mut closing);
+    written.record("close told twice", &closing);
     written.record("chunk", chunk(b"seventeen bytes.."));
     written.record("empty chunk", chunk(b""));
     written.record("last chunk", LAST_CHUNK);
-    for fault in [
+    for error in [
         HttpError::Malformed,
         HttpError::BodyTooLarge,
         HttpError::HeadTooLarge,
     ] {
-        written.record("fault", fault.status().to_string());
+        written.record("fault", error.status().to_string());
     }
     assert_golden!("responses.http", written.bytes());
 }
 
 #[test]
-fn requests_are_read_as_ever() {
+fn parsed_requests_match_golden_file() {
     let bytes = read_golden!("requests.http");
     let mut reader = RequestReader::with_limits(RequestLimits {
         max_head_bytes: 16 * 1024,
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn responses_are_read_as_ever() {
+fn parsed_responses_match_golden_file() {
     let bytes = read_golden!("responses_in.http");
     let mut reader = ResponseReader::with_early_header("X-Progress");
     let mut read = MessageTranscript::default();
