--- a/crates/clickhouse/src/block/mod.rs
+++ b/crates/clickhouse/src/block/mod.rs
@@ -1,12 +1,12 @@
-//! ClickHouse's own compression (`compress=1`, `decompress=1`): a stream of compressed blocks, each with a checksum.
+//! ClickHouse's native compression (`compress=1`, `decompress=1`): a stream of compressed blocks, each with a checksum.
 //!
-//! | bytes of a block | field |
+//! | size in bytes | field |
 //! | --- | --- |
-//! | 16 | CityHash128 (v1.0.2, low half first) of all that follows |
+//! | 16 | CityHash128 (v1.0.2, low half first) of the rest of the block |
 //! | 1 | compression method |
-//! | 4 | compressed size, from the method on; `u32`, little endian |
-//! | 4 | size of the data; `u32`, little endian |
-//! | the rest | the compressed data |
+//! | 4 | compressed size, counted from the method byte; `u32`, little endian |
+//! | 4 | uncompressed size; `u32`, little endian |
+//! | rest | the compressed data |
 //!
 //! Source: the published description of the native protocol's compression.
 
@@ -15,20 +15,20 @@
 pub use stream::{BlockStream, MAX_RETAINED_BLOCKS};
 
 const CHECKSUM_BYTES: usize = 16;
-/// Method and both sizes.
+/// The method and both sizes.
 const HEADER_BYTES: usize = 9;
-/// Where a block's data begins.
+/// Offset of the compressed data in a block.
 const DATA_START: usize = CHECKSUM_BYTES + HEADER_BYTES;
-/// Largest block, compressed or not. Servers write blocks of 1 MiB at most; they read up to 1 GiB.
+/// Maximum block size, compressed and uncompressed. Servers write blocks of at most 1 MiB, and read blocks of up to 1 GiB.
 pub const MAX_BLOCK_BYTES: usize = 16 * 1024 * 1024;
 const ZSTD_LEVEL: i32 = 1;
 
-/// How a block's data is compressed.
+/// The compression method of a block.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Method {
-    /// Not at all.
+    /// No compression.
     None,
-    /// LZ4, one block.
+    /// LZ4 block format.
     Lz4,
     /// ZSTD.
     Zstd,
@@ -52,16 +52,16 @@
     }
 }
 
-/// What is wrong with a compressed block.
+/// Why a compressed block is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum BlockError {
-    /// Its method is unknown or its sizes are out of range: these bytes are no block.
+    /// The method is unknown or a size is out of range, so the bytes are not a block.
     #[error("no compressed block begins where one should")]
     NotABlock,
-    /// Its checksum does not match its bytes.
+    /// The checksum does not match.
     #[error("a compressed block's checksum does not fit")]
     ChecksumMismatch,
-    /// Its data can't be decompressed, or has another size than its header says.
+    /// The data can't be decompressed, or its size differs from the one in the header.
     #[error("a compressed block can't be unpacked")]
     InvalidData,
 }
@@ -70,14 +70,14 @@
 #[derive(Clone, Copy)]
 struct Header {
     method: Method,
-    /// Size of the block, the checksum included.
+    /// Size of the block, including the checksum.
     block_bytes: usize,
-    /// Size of the data once decompressed.
+    /// Uncompressed size of the data.
     data_bytes: usize,
 }
 
 impl Header {
-    /// The header of the block that these bytes begin with; `None` while it is incomplete.
+    /// Parses the header of the block at the start of `bytes`; `None` while it is incomplete.
     fn parse(bytes: &[u8]) -> Result<Option<Header>, BlockError> {
         let Some(header) = bytes.get(CHECKSUM_BYTES..DATA_START) else {
             return Ok(None);
@@ -102,13 +102,13 @@
 }
 
 fn write_u32(value: usize, out: &mut Vec<u8>) {
-    // Blocks are bounded by `MAX_BLOCK_BYTES`, so that every size fits.
+    // Blocks are limited to `MAX_BLOCK_BYTES`, so every size fits into 32 bits.
     let value = u32::try_from(value).unwrap_or(u32::MAX);
     out.extend(value.to_le_bytes());
 }
 
 fn checksum(bytes: &[u8]) -> [u8; CHECKSUM_BYTES] {
-    // The library has the high half first.
+    // The library puts the high half first.
     cityhash_rs::cityhash_102_128(bytes)
         .rotate_right(64)
         .to_le_bytes()
@@ -125,7 +125,7 @@
     }
 }
 
-/// Compresses data as one block; more than [`MAX_BLOCK_BYTES`] must be split before.
+/// Compresses data into one block. The caller splits data larger than [`MAX_BLOCK_BYTES`].
 pub fn compress(method: Method, data: &[u8]) -> Vec<u8> {
     let compressed = match method {
         Method::None => data.to_vec(),
@@ -146,7 +146,7 @@
 ///
 /// # Errors
 ///
-/// What is wrong with the block.
+/// If the block is invalid.
 pub fn decompress(block: &[u8]) -> Result<Vec<u8>, BlockError> {
     verify_checksum(block)?;
     let header = Header::parse(block)?.ok_or(BlockError::NotABlock)?;
@@ -165,26 +165,23 @@
     }
 }
 
-/// What the blocks at the beginning of a body hold.
+/// The decompressed blocks at the start of a body.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct DecompressedPrefix {
-    /// Their data.
+    /// The data of the blocks.
     pub data: Vec<u8>,
-    /// How many bytes of the body they take.
+    /// Size of the compressed blocks in the body.
     pub block_bytes: usize,
 }
 
-/// Decompresses complete blocks from the beginning of `bytes` until their data has `enough_bytes` or more.
+/// Decompresses complete blocks from the start of `bytes` until there are at least `min_bytes` of data.
 ///
 /// # Errors
 ///
-/// What is wrong with one of these blocks.
-pub fn decompress_prefix(
-    bytes: &[u8],
-    enough_bytes: usize,
-) -> Result<DecompressedPrefix, BlockError> {
+/// If one of these blocks is invalid.
+pub fn decompress_prefix(bytes: &[u8], min_bytes: usize) -> Result<DecompressedPrefix, BlockError> {
     let mut prefix = DecompressedPrefix::default();
-    while prefix.data.len() < enough_bytes {
+    while prefix.data.len() < min_bytes {
         let rest = &bytes[prefix.block_bytes..];
         let Some(header) = Header::parse(rest)? else {
             break;
--- a/crates/clickhouse/src/block/stream.rs
+++ b/crates/clickhouse/src/block/stream.rs
@@ -5,18 +5,18 @@
 use crate::tail::{TailBuffer, TAIL_BYTES};
 use std::collections::VecDeque;
 
-/// Most blocks retained for the last bytes of their data: servers that flush often write small ones.
+/// Maximum number of blocks retained for the tail. Servers that flush often write many small blocks.
 pub const MAX_RETAINED_BLOCKS: usize = 64;
 
 /// A complete block.
 struct RetainedBlock {
     bytes: Vec<u8>,
-    /// Size of its data once decompressed.
+    /// Uncompressed size of the data.
     data_bytes: usize,
 }
 
-/// Verifies each block's checksum once the block is complete. Holds the incomplete block and the last complete ones:
-/// as many as hold the last [`TAIL_BYTES`] of data, up to [`MAX_RETAINED_BLOCKS`].
+/// Verifies the checksum of each block once the block is complete. Retains the incomplete block and as many of the last
+/// complete blocks as cover the last [`TAIL_BYTES`] of data, up to [`MAX_RETAINED_BLOCKS`].
 #[derive(Default)]
 pub struct BlockStream {
     incomplete: Vec<u8>,
@@ -25,11 +25,11 @@
 }
 
 impl BlockStream {
-    /// Takes the next bytes, however fragmented.
+    /// Processes the next bytes; blocks may be split at any byte.
     ///
     /// # Errors
     ///
-    /// What is wrong with a block. The stream is of no further use: nothing tells where the next block begins.
+    /// If a block is invalid. The stream can't be used any further, since the start of the next block is unknown.
     pub fn push(&mut self, mut bytes: &[u8]) -> Result<(), BlockError> {
         while !bytes.is_empty() {
             let wanted = match Header::parse(&self.incomplete)? {
@@ -42,7 +42,7 @@
             self.incomplete.extend_from_slice(next);
             bytes = rest;
             let header = Header::parse(&self.incomplete).inspect_err(|_| {
-                // An exception's text may stand here instead of a block: the caller will want to read it.
+                // The server may have sent the text of an exception instead of a block: keep it for the caller.
                 let text = &rest[..rest.len().min(MAX_TEXT_BYTES)];
                 self.incomplete.extend_from_slice(text);
             })?;
@@ -57,7 +57,7 @@
         verify_checksum(&self.incomplete)?;
         self.complete += 1;
         let needed = self.blocks_needed_before(data_bytes);
-        // The memory of a block that is released serves the next one.
+        // Reuse the allocation of a released block for the next one.
         let mut buffer = Vec::new();
         while self.retained.len() > needed {
             buffer = self.retained.pop_front().map_or(buffer, |b| b.bytes);
@@ -70,7 +70,7 @@
         Ok(())
     }
 
-    /// How many retained blocks are still needed for the tail, before a new one with `data_bytes` of data.
+    /// Number of retained blocks that the tail still needs before a new block with `data_bytes` of data.
     fn blocks_needed_before(&self, data_bytes: usize) -> usize {
         let mut following_bytes = data_bytes;
         let mut needed = 0;
@@ -84,17 +84,17 @@
         needed.min(MAX_RETAINED_BLOCKS - 1)
     }
 
-    /// How many blocks were complete and valid.
+    /// Number of complete, valid blocks so far.
     pub fn complete_blocks(&self) -> u64 {
         self.complete
     }
 
-    /// How many complete blocks are retained.
+    /// Number of retained blocks.
     pub fn retained_blocks(&self) -> usize {
         self.retained.len()
     }
 
-    /// Whether the stream may end here: no block is incomplete.
+    /// Whether the stream may end here, that is, no block is incomplete.
     pub fn is_at_block_boundary(&self) -> bool {
         self.incomplete.is_empty()
     }
@@ -103,7 +103,7 @@
     ///
     /// # Errors
     ///
-    /// [`BlockError::InvalidData`] where a block can't be decompressed.
+    /// [`BlockError::InvalidData`] if a block can't be decompressed.
     pub fn tail(&self) -> Result<Vec<u8>, BlockError> {
         let mut tail = TailBuffer::default();
         for block in &self.retained {
@@ -112,8 +112,8 @@
         Ok(tail.bytes().to_vec())
     }
 
-    /// The bytes behind the last complete block. They may be no block at all: a server that is interrupted may write
-    /// an exception's plain text.
+    /// The bytes after the last complete block. They may be plain text instead of a block: an interrupted server may
+    /// write an exception there.
     pub fn incomplete(&self) -> &[u8] {
         &self.incomplete
     }
--- a/crates/clickhouse/src/body_budget.rs
+++ b/crates/clickhouse/src/body_budget.rs
@@ -1,36 +1,36 @@
-//! The memory budget for request bodies that are kept, so that a query can be sent to another engine.
+//! The memory budget for buffered request bodies. A buffered body allows a query to be retried on another engine.
 //!
-//! A body that is kept in full may be sent again where the rules allow it. Any other is streamed to one engine as it
-//! arrives, and never sent again. The first [`UNBUDGETED_BYTES`] of each body are always kept; what exceeds them is
-//! reserved from a budget that all bodies share.
+//! A body that is buffered in full may be sent again if the retry rules allow it. Any other body is streamed to one
+//! engine as it arrives and can't be sent again. The first [`UNBUDGETED_BYTES`] of each body are always buffered; bytes
+//! beyond that are reserved from a budget shared by all bodies.
 
-/// Bytes of each body that are held outside the budget. Usual statements are smaller, and with every descriptor that
-/// clients may have at once they fit the smallest machine.
+/// Bytes of each body that don't count against the budget. Typical statements are smaller, and with the maximum number
+/// of client connections these bytes fit the memory of the smallest machine.
 pub const UNBUDGETED_BYTES: usize = 32 * 1024;
-/// Largest body that is kept in full.
+/// Maximum size of a body that is buffered in full.
 pub const MAX_BUFFERED_BYTES: usize = 1024 * 1024;
 
 /// Counters since the start of the program.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct BodyCounters {
-    /// Bodies not kept in full since they were too large.
+    /// Bodies not buffered in full because of their size.
     pub too_large: u64,
-    /// Bodies not kept in full since others had used up the budget.
+    /// Bodies not buffered in full because the budget was exhausted.
     pub over_budget: u64,
-    /// Most bytes of the budget ever reserved.
+    /// Highest number of bytes reserved at one time.
     pub peak_reserved_bytes: usize,
 }
 
-/// What one body has of the budget.
+/// One body's share of the budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Reservation {
-    /// Bytes of the budget that are reserved for it.
+    /// Bytes of the budget reserved for the body.
     pub reserved_bytes: usize,
-    /// Size up to which it is kept; beyond, it is streamed as it arrives.
+    /// Size up to which the body is buffered; beyond it, the body is streamed as it arrives.
     pub max_body_bytes: usize,
 }
 
-/// The budget that all bodies share.
+/// The budget shared by all bodies.
 #[derive(Clone, Debug)]
 pub struct BodyBudget {
     total_bytes: usize,
@@ -40,7 +40,7 @@
 }
 
 impl BodyBudget {
-    /// A budget of `total_bytes` for what bodies hold beyond [`UNBUDGETED_BYTES`] each.
+    /// Creates a budget of `total_bytes` for what bodies buffer beyond [`UNBUDGETED_BYTES`] each.
     pub fn new(total_bytes: usize) -> BodyBudget {
         BodyBudget {
             total_bytes,
@@ -50,8 +50,8 @@
         }
     }
 
-    /// Grows the reservation of a body that has `reserved_bytes` to a size of `body_bytes`. Where there is no room the
-    /// reservation stays as it is, and its bound on the body is below `body_bytes`.
+    /// Grows a reservation of `reserved_bytes` to fit a body of `body_bytes`. If the budget does not allow that, the
+    /// reservation is returned unchanged, with a `max_body_bytes` below `body_bytes`.
     pub fn reserve(&mut self, reserved_bytes: usize, body_bytes: usize) -> Reservation {
         let wanted_bytes = body_bytes.saturating_sub(UNBUDGETED_BYTES);
         if wanted_bytes <= reserved_bytes {
@@ -82,18 +82,18 @@
         }
     }
 
-    /// Releases the reservation of a body.
+    /// Releases a body's reservation.
     pub fn release(&mut self, reserved_bytes: usize) {
         debug_assert!(reserved_bytes <= self.total_reserved_bytes);
         self.total_reserved_bytes = self.total_reserved_bytes.saturating_sub(reserved_bytes);
     }
 
-    /// Bytes reserved now.
+    /// Number of bytes reserved now.
     pub fn total_reserved_bytes(&self) -> usize {
         self.total_reserved_bytes
     }
 
-    /// The counters so far.
+    /// The current counters.
     pub fn counters(&self) -> BodyCounters {
         self.counters
     }
--- a/crates/clickhouse/src/coding/decoder.rs
+++ b/crates/clickhouse/src/coding/decoder.rs
@@ -1,13 +1,13 @@
-//! Decodes a content coding as its bytes arrive.
+//! Incremental decoding of content codings.
 
 use super::lz4_frame::Lz4FrameDecoder;
 use super::{Coding, BROTLI_BUFFER_BYTES};
 use std::io::{self, Write};
 
-/// Largest zstd window accepted, as a power of two: it bounds the memory that one result takes.
+/// Maximum zstd window size, as a power of two; it limits the memory used per result.
 const ZSTD_MAX_WINDOW_LOG: u32 = 23;
 
-/// Decodes a stream as it arrives, and writes its content to a writer of the caller's.
+/// Decodes a stream incrementally and writes the output to the caller's writer.
 pub struct Decoder<W: Write>(Kind<W>);
 
 enum Kind<W: Write> {
@@ -19,11 +19,11 @@
 }
 
 impl<W: Write> Decoder<W> {
-    /// A decoder for a stream of this coding.
+    /// Creates a decoder for this coding.
     ///
     /// # Errors
     ///
-    /// The library's error where it can't make one.
+    /// If the library can't create a decoder.
     pub fn new(coding: Coding, writer: W) -> io::Result<Decoder<W>> {
         let kind = match coding {
             Coding::Gzip => Kind::Gzip(flate2::write::MultiGzDecoder::new(writer)),
@@ -42,11 +42,11 @@
         Ok(Decoder(kind))
     }
 
-    /// Decodes the next bytes, however fragmented.
+    /// Decodes the next bytes; the stream may be split at any byte.
     ///
     /// # Errors
     ///
-    /// What is wrong with the stream, or the writer's error. The decoder is of no further use.
+    /// If the stream is invalid or the writer fails. The decoder can't be used any further.
     pub fn push(&mut self, bytes: &[u8]) -> io::Result<()> {
         match &mut self.0 {
             Kind::Gzip(decoder) => decoder.write_all(bytes),
@@ -57,11 +57,11 @@
         }
     }
 
-    /// Writes out what the decoder still holds, and checks that the stream may end here.
+    /// Flushes the decoder and checks that the stream is complete.
     ///
     /// # Errors
     ///
-    /// Where the stream is incomplete.
+    /// If the stream is incomplete.
     pub fn finish(&mut self) -> io::Result<()> {
         match &mut self.0 {
             Kind::Gzip(decoder) => decoder.try_finish(),
@@ -84,10 +84,10 @@
     }
 }
 
-/// Bytes decoded at a time, so that what precedes a fault still counts.
+/// Number of input bytes decoded at a time, so that output before an error is kept.
 const PREFIX_STEP_BYTES: usize = 512;
 
-/// The beginning of a compressed body: at most `max_bytes` of its content, as far as `compressed` goes and is valid.
+/// Decodes the start of a compressed body: at most `max_bytes` of output, up to the end of `compressed` or an error.
 pub fn decompress_prefix(coding: Coding, compressed: &[u8], max_bytes: usize) -> Vec<u8> {
     let buffer = BoundedBuffer {
         bytes: Vec::new(),
@@ -101,12 +101,12 @@
             break;
         }
     }
-    // An incomplete stream is what is expected here; the call writes out what the decoder holds.
+    // The stream is usually incomplete, which is no error here; the call flushes the decoder.
     let _ = decoder.finish();
     decoder.get_ref().bytes.clone()
 }
 
-/// A writer that fails once it is full.
+/// A writer that fails once it holds `max_bytes`.
 struct BoundedBuffer {
     bytes: Vec<u8>,
     max_bytes: usize,
--- a/crates/clickhouse/src/coding/lz4_frame.rs
+++ b/crates/clickhouse/src/coding/lz4_frame.rs
@@ -1,5 +1,5 @@
-//! The LZ4 frame format, decoded as its bytes arrive: the library's own reader pulls from its source and can't wait
-//! for more. Blocks are decompressed by the library. Checksums are not verified, since the transport has its own.
+//! Incremental decoding of the LZ4 frame format. The library's frame reader needs a blocking source and can't resume
+//! when more bytes arrive, so it is used for blocks only. Checksums are not verified, since the transport has its own.
 //!
 //! Source: the published description of the LZ4 frame format (v1.6).
 
@@ -13,10 +13,10 @@
 const DICTIONARY_ID_BYTES: usize = 4;
 const CHECKSUM_BYTES: usize = 4;
 const BLOCK_SIZE_BYTES: usize = 4;
-/// How far back a linked block refers.
+/// Size of the history that a linked block may refer to.
 const WINDOW_BYTES: usize = 64 * 1024;
 
-/// The only version of the format, in the two highest bits of the flags.
+/// The supported version of the format, in the two highest bits of the flags.
 const VERSION: u8 = 1;
 const VERSION_SHIFT: u32 = 6;
 const FLAG_INDEPENDENT_BLOCKS: u8 = 0x20;
@@ -24,17 +24,17 @@
 const FLAG_CONTENT_SIZE: u8 = 0x08;
 const FLAG_CONTENT_CHECKSUM: u8 = 0x04;
 const FLAG_DICTIONARY_ID: u8 = 0x01;
-/// Set in the size of a block that is stored as it is.
+/// Set in the size field of a block that is stored uncompressed.
 const UNCOMPRESSED_BLOCK: u32 = 1 << 31;
 
-/// What is wrong with a frame.
+/// Why a frame is invalid.
 #[derive(Debug, thiserror::Error)]
 enum Lz4Error {
-    #[error("lz4: no frame")]
+    #[error("lz4: not a frame")]
     NotAFrame,
-    #[error("lz4: a block size that there is not")]
+    #[error("lz4: unknown maximum block size")]
     UnknownBlockSize,
-    #[error("lz4: a block over its frame's size")]
+    #[error("lz4: a block exceeds the frame's maximum block size")]
     BlockTooLarge,
     #[error("lz4: {0}")]
     InvalidBlock(#[from] lz4_flex::block::DecompressError),
@@ -46,19 +46,19 @@
     }
 }
 
-/// What a frame's header says.
+/// The header of a frame.
 #[derive(Clone, Copy, Default)]
 struct FrameHeader {
     header_bytes: usize,
     max_block_bytes: usize,
-    /// Blocks refer to the data of those before.
+    /// Blocks may refer to data of earlier blocks.
     has_linked_blocks: bool,
     has_block_checksums: bool,
     has_content_checksum: bool,
 }
 
 impl FrameHeader {
-    /// The header that these bytes begin with; `None` while it is incomplete.
+    /// Parses the header at the start of `bytes`; `None` while it is incomplete.
     fn parse(bytes: &[u8]) -> Result<Option<FrameHeader>, Lz4Error> {
         let Some(&[flags, block_descriptor]) = bytes.get(4..6) else {
             return Ok(None);
@@ -83,7 +83,7 @@
     }
 }
 
-/// The bound on a frame's blocks: 64 KiB, 256 KiB, 1 MiB or 4 MiB.
+/// The maximum block size of a frame: 64 KiB, 256 KiB, 1 MiB or 4 MiB.
 fn max_block_bytes(block_descriptor: u8) -> Result<usize, Lz4Error> {
     match (block_descriptor >> 4) & 7 {
         size @ 4..=7 => Ok(1 << (8 + 2 * size)),
@@ -91,7 +91,7 @@
     }
 }
 
-/// The part of the stream that comes next.
+/// The next part of the stream.
 #[derive(Clone, Copy, PartialEq)]
 enum Part {
     /// The first frame's header.
@@ -99,7 +99,7 @@
     BlockSize,
     Block(BlockSize),
     ContentChecksum,
-    /// The stream may end, or another frame may begin.
+    /// The stream may end here, or another frame may start.
     EndOrHeader,
 }
 
@@ -110,7 +110,7 @@
     is_compressed: bool,
 }
 
-/// Decodes frames and writes their content.
+/// Decodes frames and writes their contents.
 pub(super) struct Lz4FrameDecoder<W: Write> {
     writer: W,
     /// Received bytes of an incomplete part.
@@ -148,7 +148,7 @@
         Ok(())
     }
 
-    /// An error where the stream may not end here.
+    /// Fails if the stream is incomplete.
     pub(super) fn check_complete(&self) -> io::Result<()> {
         if self.next == Part::EndOrHeader && self.buffer.is_empty() {
             return Ok(());
@@ -156,7 +156,7 @@
         Err(io::ErrorKind::UnexpectedEof.into())
     }
 
-    /// Decodes the next part; the size of it, or `None` while it is incomplete.
+    /// Decodes the next part and returns its size, or `None` while it is incomplete.
     fn decode_part(&mut self, bytes: &[u8]) -> io::Result<Option<usize>> {
         match self.next {
             Part::FirstHeader | Part::EndOrHeader => Ok(self.decode_header(bytes)?),
--- a/crates/clickhouse/src/coding/mod.rs
+++ b/crates/clickhouse/src/coding/mod.rs
@@ -1,9 +1,9 @@
-//! HTTP's content codings (RFC 9110, section 8.4.1), as ClickHouse's interface uses them.
+//! HTTP content codings (RFC 9110, section 8.4.1) supported by ClickHouse.
 //!
-//! | module | job |
+//! | module | purpose |
 //! | --- | --- |
-//! | `decoder` | [`Decoder`]: decodes a stream as it arrives |
-//! | `lz4_frame` | the LZ4 frame format, for the decoder |
+//! | `decoder` | [`Decoder`]: incremental decoding |
+//! | `lz4_frame` | the LZ4 frame format |
 
 mod decoder;
 mod lz4_frame;
@@ -28,7 +28,7 @@
 }
 
 impl Coding {
-    /// In the order in which servers prefer them, as published.
+    /// All codings in the server's published order of preference.
     const BY_PREFERENCE: [Coding; 5] = [
         Coding::Brotli,
         Coding::Lz4,
@@ -37,7 +37,7 @@
         Coding::Deflate,
     ];
 
-    /// The coding of this name in a header field; `None` for `identity` and for unknown ones.
+    /// Looks up a coding by its name in header fields; `None` for `identity` and for unknown names.
     pub fn from_name(name: &str) -> Option<Coding> {
         let name = name.trim();
         Coding::BY_PREFERENCE
@@ -45,7 +45,7 @@
             .find(|coding| coding.name().eq_ignore_ascii_case(name))
     }
 
-    /// Its name in header fields.
+    /// The name in header fields.
     pub fn name(self) -> &'static str {
         match self {
             Coding::Gzip => "gzip",
@@ -56,8 +56,8 @@
         }
     }
 
-    /// The coding that a server would choose for an `Accept-Encoding`: the first one by its own preference that is
-    /// not excluded by a quality of 0. Other qualities count for nothing, as with the server.
+    /// The coding that a ClickHouse server chooses for an `Accept-Encoding`: the first one in its order of preference
+    /// that is listed without a quality of 0. Like the server, this ignores all other qualities.
     pub fn negotiate(accept_encoding: &str) -> Option<Coding> {
         let is_accepted = |coding: &Coding| {
             accept_encoding
@@ -68,7 +68,7 @@
     }
 }
 
-/// The coding in an item of `Accept-Encoding` (`gzip;q=0.5`), unless its quality is 0.
+/// The coding in one item of `Accept-Encoding` (`gzip;q=0.5`), unless its quality is 0.
 fn accepted_coding(item: &str) -> Option<Coding> {
     let (name, parameter) = item.split_once(';').unwrap_or((item, ""));
     let quality = parameter
@@ -84,11 +84,11 @@
 const BROTLI_WINDOW_LOG: u32 = 18;
 const ZSTD_LEVEL: i32 = 1;
 
-/// Compresses a whole body.
+/// Compresses a complete body.
 ///
 /// # Errors
 ///
-/// The library's error.
+/// If the library fails.
 pub fn compress(coding: Coding, data: &[u8]) -> io::Result<Vec<u8>> {
     let mut out = Vec::new();
     match coding {
--- a/crates/clickhouse/src/credentials.rs
+++ b/crates/clickhouse/src/credentials.rs
@@ -1,4 +1,4 @@
-//! A client's credentials: in the URL, in ClickHouse's own header fields, or in `Authorization`.
+//! Client credentials: in the URL, in ClickHouse's header fields, or in `Authorization`.
 
 use crate::exception::codes::AUTHENTICATION_FAILED;
 use crate::exception::Exception;
@@ -14,16 +14,16 @@
 const USER_PARAM: &str = "user";
 const PASSWORD_PARAM: &str = "password";
 
-/// Why credentials can't be used.
+/// Why credentials are rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CredentialsError {
-    /// They are in more than one place.
+    /// Credentials are given in more than one place.
     #[error(
         "Invalid authentication: a user may be named in the URL, in X-ClickHouse headers or by Authorization, but \
          only in one of them"
     )]
     SeveralPlaces,
-    /// `Authorization` is of an unknown scheme or malformed, or a value holds control characters.
+    /// `Authorization` has an unknown scheme or is malformed, or a value contains control characters.
     #[error("Invalid authentication: Authorization can't be read")]
     Unreadable,
 }
@@ -41,13 +41,13 @@
     }
 }
 
-/// A user's name and key, or a token. They are never part of a forwarded URL or of a log line.
+/// A user name and key, or a bearer token. They are never written to a forwarded URL or a log.
 #[derive(Clone, Default, PartialEq, Eq)]
 pub struct Credentials {
-    /// The user; `None` leaves it to the engine.
+    /// The user name; `None` leaves the choice to the engine.
     pub user: Option<String>,
     key: Option<String>,
-    /// The value of an `Authorization` with a bearer token, forwarded as it came.
+    /// The value of `Authorization` with a bearer token, forwarded unchanged.
     bearer: Option<String>,
 }
 
@@ -58,11 +58,11 @@
 }
 
 impl Credentials {
-    /// Reads the credentials of a request. As with the server itself, the three places exclude each other.
+    /// Extracts the credentials of a request. As in ClickHouse, only one of the three places may be used.
     ///
     /// # Errors
     ///
-    /// Where two places are used, or the values are invalid.
+    /// If more than one place is used, or a value is invalid.
     pub fn parse(
         params: &Params,
         headers: &[(String, String)],
@@ -97,7 +97,7 @@
         *self == Credentials::default()
     }
 
-    /// A line break in a value would forge a header field.
+    /// Rejects control characters: a line break in a value would inject a header field.
     fn check_values(&self) -> Result<(), CredentialsError> {
         let has_control = |value: &str| value.chars().any(char::is_control);
         if self.headers().any(|(_, value)| has_control(value)) {
@@ -128,7 +128,7 @@
         })
     }
 
-    /// The header fields that carry them to an engine.
+    /// The header fields that carry the credentials to an engine.
     pub fn headers(&self) -> impl Iterator<Item = (&'static str, &str)> {
         let fields = [
             (USER_HEADER, &self.user),
--- a/crates/clickhouse/src/exception/codes.rs
+++ b/crates/clickhouse/src/exception/codes.rs
@@ -1,45 +1,45 @@
-//! ClickHouse's error codes: their names, their HTTP statuses, and what each says of the query.
+//! ClickHouse's error codes: names, HTTP statuses, and what each code implies for the query.
 //!
 //! Source: ClickHouse's published list of error codes and its table from codes to HTTP statuses.
 
-/// The request can't mean what it says.
+/// The request or one of its parameters is invalid.
 pub const BAD_ARGUMENTS: u32 = 36;
-/// The server has no such feature.
+/// The feature is not supported.
 pub const NOT_IMPLEMENTED: u32 = 48;
 /// The statement can't be parsed.
 pub const SYNTAX_ERROR: u32 = 62;
-/// The statement writes where only reads are allowed.
+/// The statement writes, but only reads are allowed.
 pub const READONLY: u32 = 164;
-/// The server runs as many queries as it may: this one never ran.
+/// The server already runs its maximum number of queries; this one did not run.
 pub const TOO_MANY_QUERIES: u32 = 202;
-/// The query failed or timed out, and may have run: what this program answers where it can't know more.
+/// The query failed or timed out and may have run. The coordinator uses this code when the outcome is unknown.
 pub const NETWORK_ERROR: u32 = 210;
 /// A compressed body can't be decompressed.
 pub const CANNOT_DECOMPRESS: u32 = 271;
-/// There is no session of this id.
+/// No session has this id.
 pub const SESSION_NOT_FOUND: u32 = 372;
-/// The session runs another query.
+/// Another query of the session is running.
 pub const SESSION_IS_LOCKED: u32 = 373;
 /// The user or key is wrong, missing or ambiguous.
 pub const AUTHENTICATION_FAILED: u32 = 516;
 
-/// Status of an exception whose code has no other.
+/// Default status of an exception.
 const INTERNAL_SERVER_ERROR: u16 = 500;
 const TOO_MANY_REQUESTS: u16 = 429;
 const SERVICE_UNAVAILABLE: u16 = 503;
 
-/// What an engine's error says of the query.
+/// What an engine's error implies for the query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ErrorClass {
-    /// The engine rejected the query before it began: it may run elsewhere.
+    /// The engine rejected the query before it started; another engine may run it.
     Rejected,
-    /// Every engine would answer the same: the statement, its settings, its user or its session is at fault.
+    /// The statement, its settings, its user or its session is invalid; every engine would return the same error.
     Statement,
-    /// The engine failed: the query may have run, in part or in full.
+    /// The engine failed; the query may have run partially or completely.
     Engine,
 }
 
-/// An error code that this program knows.
+/// A known error code.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ErrorCode {
     /// The number.
@@ -48,7 +48,7 @@
     pub name: &'static str,
     /// The HTTP status of a response with this error.
     pub http_status: u16,
-    /// What the error says of the query.
+    /// What the error implies for the query.
     pub class: ErrorClass,
 }
 
@@ -78,7 +78,7 @@
     }
 }
 
-/// The codes that this program writes or distinguishes, in ascending order.
+/// The codes that the coordinator returns or distinguishes, in ascending order.
 pub const ERROR_CODES: &[ErrorCode] = &[
     statement_error(6, "CANNOT_PARSE_TEXT", 400),
     statement_error(8, "THERE_IS_NO_COLUMN", 500),
@@ -150,7 +150,7 @@
     index.ok().map(|index| &ERROR_CODES[index])
 }
 
-/// The published name of a code, if it is a known one.
+/// The published name of a code, if the code is known.
 pub fn error_name(code: u32) -> Option<&'static str> {
     find(code).map(|known| known.name)
 }
@@ -160,7 +160,7 @@
     find(code).map_or(INTERNAL_SERVER_ERROR, |known| known.http_status)
 }
 
-/// What an error says of the query: by its code, or by the response's HTTP status where there is no code.
+/// Classifies an error by its code, or by the HTTP status of the response if there is no code.
 pub fn classify(code: Option<u32>, http_status: u16) -> ErrorClass {
     match code {
         Some(code) => find(code).map_or(ErrorClass::Engine, |known| known.class),
--- a/crates/clickhouse/src/exception/in_result.rs
+++ b/crates/clickhouse/src/exception/in_result.rs
@@ -1,32 +1,33 @@
-//! Finds an exception at the end of a result: an engine that fails after its status line writes it behind the rows.
+//! Detects an exception at the end of a result: an engine that fails after it sent status 200 appends the exception to
+//! the rows.
 //!
-//! | form | written by servers | found by |
+//! | form | written by | detected by |
 //! | --- | --- | --- |
-//! | between markers with a tag | that announce the tag in `X-ClickHouse-Exception-Tag` | [`find_tagged`] |
-//! | as the last lines | that announce no tag | [`find_in_last_lines`] |
-//! | as the last key | in JSON formats | [`find_json_key`] |
+//! | between markers with a tag | servers that send the tag in `X-ClickHouse-Exception-Tag` | [`find_tagged`] |
+//! | as the last lines | servers that send no tag | [`find_in_last_lines`] |
+//! | as the last key | all servers, in JSON formats | [`find_json_key`] |
 
 use super::{parse_code, Exception};
 use memchr::memmem;
 
 const MARKER: &str = "__exception__";
 const JSON_KEY: &str = "\"exception\"";
-/// Digits of a `\uXXXX` escape in JSON.
+/// Number of digits in a `\uXXXX` escape in JSON.
 const JSON_ESCAPE_DIGITS: usize = 4;
 
-/// The bytes that report an exception behind rows, to a client that was told this tag:
+/// Formats an exception that follows rows, for a client that received this tag in the response head:
 /// the marker, the tag, the text, its length and the tag again, and the marker.
 pub fn tagged_exception(tag: &str, text: &str) -> String {
     let length = text.len() + 1;
     format!("\r\n{MARKER}\r\n{tag}\r\n{text}\n{length} {tag}\r\n{MARKER}\r\n")
 }
 
-/// The exception between markers with this tag, see [`tagged_exception`].
+/// Finds an exception between markers with this tag, see [`tagged_exception`].
 pub fn find_tagged(tail: &[u8], tag: &str) -> Option<Exception> {
     let opening = format!("{MARKER}\r\n{tag}\r\n");
     let start = memmem::rfind(tail, opening.as_bytes())? + opening.len();
     let rest = String::from_utf8_lossy(&tail[start..]);
-    // The text may have several lines; its length and the tag follow it.
+    // The text may span several lines; its length and the tag follow it.
     let end = rest.rfind(&format!(" {tag}\r\n")).unwrap_or(rest.len());
     let text = rest[..end]
         .trim_end_matches(|c: char| c.is_ascii_digit())
@@ -37,8 +38,8 @@
     }))
 }
 
-/// The exception in the last lines. Rows may hold the same words, so in a result that is not cut the text must also
-/// end like an exception's: with its name or the server's version in brackets.
+/// Finds an exception in the last lines. Rows may contain the same text, so in a result that was not cut off the text
+/// must also end like an exception: with the error's name or the server's version in parentheses.
 pub fn find_in_last_lines(tail: &[u8], is_cut: bool) -> Option<Exception> {
     let text = String::from_utf8_lossy(tail);
     let last = text
@@ -51,7 +52,7 @@
     (is_cut || ends_like_exception(&exception.text)).then_some(exception)
 }
 
-/// Whether a text ends with `(NAME)`, or with a bracket and names the server's version.
+/// Whether a text ends with `(NAME)`, or ends with a parenthesis and contains the server's version.
 fn ends_like_exception(text: &str) -> bool {
     let Some((_, name)) = text.strip_suffix(')').and_then(|t| t.rsplit_once('(')) else {
         return false;
@@ -61,7 +62,7 @@
     is_name || text.contains("(version ")
 }
 
-/// The exception under the `exception` key at the end of a JSON format's result.
+/// Finds the exception under the `exception` key at the end of a result in a JSON format.
 pub fn find_json_key(tail: &[u8]) -> Option<Exception> {
     let text = String::from_utf8_lossy(tail);
     let key = text.rfind(JSON_KEY)?;
@@ -71,7 +72,7 @@
         .trim_start()
         .strip_prefix('"')?;
     let string = JsonString::parse(value)?;
-    // As the result's last key it is followed by closing brackets alone; a row's column is not.
+    // Only closing brackets follow the last key of the result; a column of a row is followed by more.
     let is_last = string
         .rest
         .chars()
@@ -85,12 +86,12 @@
 /// A JSON string.
 struct JsonString<'a> {
     value: String,
-    /// What follows the closing quote.
+    /// The text after the closing quote.
     rest: &'a str,
 }
 
 impl JsonString<'_> {
-    /// Parses a string behind its opening quote.
+    /// Parses a string after its opening quote.
     fn parse(text: &str) -> Option<JsonString<'_>> {
         let mut value = String::new();
         let mut chars = text.char_indices();
--- a/crates/clickhouse/src/exception/mod.rs
+++ b/crates/clickhouse/src/exception/mod.rs
@@ -1,4 +1,4 @@
-//! ClickHouse's exceptions: their text, their codes, and how they are found behind the rows of a result.
+//! ClickHouse exceptions: text, error codes, and detection after the rows of a result.
 
 pub mod codes;
 mod in_result;
@@ -11,20 +11,20 @@
 
 use std::fmt;
 
-/// Longest exception text read; a longer one is cut.
+/// Maximum length of an exception text; longer ones are truncated.
 pub const MAX_TEXT_BYTES: usize = 8 * 1024;
 
-/// An exception, as clients read it.
+/// An exception in the form sent to clients.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Exception {
-    /// The error code; 0 where an engine's text names none.
+    /// The error code; 0 if an engine's text has none.
     pub code: u32,
-    /// The whole text: `Code: N. DB::Exception: message. (NAME)`.
+    /// The full text: `Code: N. DB::Exception: message. (NAME)`.
     pub text: String,
 }
 
 impl Exception {
-    /// An exception of this program. `message` has no full stop.
+    /// Creates an exception of the coordinator. `message` must not end with a full stop.
     pub fn new(code: u32, message: &str) -> Exception {
         let name = error_name(code).unwrap_or("UNKNOWN_EXCEPTION");
         Exception {
@@ -33,7 +33,7 @@
         }
     }
 
-    /// An engine's text, if it begins with a code.
+    /// Parses an engine's text; `None` if it does not start with a code.
     pub fn parse(text: &str) -> Option<Exception> {
         Some(Exception {
             code: parse_code(text)?,
@@ -55,7 +55,7 @@
 
 impl std::error::Error for Exception {}
 
-/// The code that an exception's text begins with: `Code: 62. DB::Exception: ...`.
+/// Parses the code at the start of an exception's text: `Code: 62. DB::Exception: ...`.
 pub fn parse_code(text: &str) -> Option<u32> {
     let rest = text.trim_start().strip_prefix("Code: ")?;
     let digits = rest.find(|c: char| !c.is_ascii_digit())?;
--- a/crates/clickhouse/src/lib.rs
+++ b/crates/clickhouse/src/lib.rs
@@ -1,17 +1,17 @@
-//! The ClickHouse HTTP interface as a language: bytes and texts in, meanings out; no sockets, no clock.
+//! The ClickHouse HTTP interface: parsing of requests, checks of results and session tracking, without I/O or clock.
 //!
-//! | module | job |
+//! | module | purpose |
 //! | --- | --- |
-//! | `request` | what a client asks for |
+//! | `request` | parses client requests |
 //! | `params`, `credentials`, `multipart`, `sql` | parts of a request: URL parameters, credentials, forms, statements |
-//! | `body_budget` | which request bodies are kept |
-//! | `session` | which engine each session lives on |
-//! | `exception` | error codes, and exceptions in responses |
-//! | `result_checker` | finds errors behind the rows of a result |
+//! | `body_budget` | the memory budget for buffered request bodies |
+//! | `session` | session affinity: the engine that each session is bound to |
+//! | `exception` | error codes and exceptions in responses |
+//! | `result_checker` | detects errors that follow the rows of a result |
 //! | `block`, `coding`, `tail` | compressed blocks, HTTP content codings, the last bytes of a stream |
-//! | `keyed_hash` | hashes that nobody can make collide |
+//! | `keyed_hash` | hashes that resist chosen collisions |
 //!
-//! Streams are read in pieces of any size, and a bounded number of their bytes is held.
+//! Streams may be split at any byte, and a bounded amount of them is buffered.
 #![forbid(unsafe_code)]
 
 pub mod block;
--- a/crates/clickhouse/src/multipart.rs
+++ b/crates/clickhouse/src/multipart.rs
@@ -3,33 +3,33 @@
 use memchr::memmem;
 use std::ops::Range;
 
-/// Most parts in one body.
+/// Maximum number of parts in a body.
 pub const MAX_PARTS: usize = 64;
 const MAX_PART_HEADER_BYTES: usize = 4 * 1024;
-/// Longest boundary, as RFC 2046 bounds it.
+/// Maximum length of a boundary (RFC 2046).
 const MAX_BOUNDARY_BYTES: usize = 70;
 const MEDIA_TYPE: &str = "multipart/form-data";
 const LINE_END: &[u8] = b"\r\n";
 const HEADER_END: &[u8] = b"\r\n\r\n";
-/// Follows the last boundary.
+/// Follows the final boundary.
 const CLOSE: &[u8] = b"--";
 
-/// What is wrong with a body.
+/// Why a body is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MultipartError {
-    /// The boundary does not occur.
+    /// The body does not contain the boundary.
     #[error("the boundary never comes")]
     NoBoundary,
-    /// A boundary is followed by something else on its line.
+    /// Other text follows a boundary on its line.
     #[error("a boundary's line goes on")]
     InvalidBoundaryLine,
-    /// There are more than [`MAX_PARTS`].
+    /// The body has more than [`MAX_PARTS`] parts.
     #[error("there are too many parts")]
     TooManyParts,
     /// A part's header is incomplete.
     #[error("a part's head never ends")]
     UnterminatedHeader,
-    /// A part's header is over its bound.
+    /// A part's header is too long.
     #[error("a part's head is too long")]
     HeaderTooLong,
     /// A part's header is not UTF-8.
@@ -46,15 +46,15 @@
 /// A part of a body.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Part {
-    /// The field's name, or the external table's.
+    /// The name of the field or external table.
     pub name: String,
-    /// The file's name: external tables are files.
+    /// The file name; external tables have one.
     pub file_name: Option<String>,
-    /// Where its content is in the body, in bytes.
+    /// The byte range of the content in the body.
     pub content: Range<usize>,
 }
 
-/// The boundary that a `Content-Type` names; `None` if it is no form's or names none that is valid.
+/// Extracts the boundary from a `Content-Type`; `None` if it is not a form's or has no valid boundary.
 pub fn parse_boundary(content_type: &str) -> Option<String> {
     if !is_form(content_type) {
         return None;
@@ -65,17 +65,17 @@
     is_valid.then_some(boundary)
 }
 
-/// Whether a `Content-Type` says that the body is a form, with or without a boundary.
+/// Whether a `Content-Type` is that of a form, with or without a boundary.
 pub fn is_form(content_type: &str) -> bool {
     let media_type = content_type.split(';').next().unwrap_or_default();
     media_type.trim().eq_ignore_ascii_case(MEDIA_TYPE)
 }
 
-/// Splits a whole body into its parts.
+/// Splits a complete body into its parts.
 ///
 /// # Errors
 ///
-/// What is wrong with the body.
+/// If the body is malformed.
 pub fn parse(body: &[u8], boundary: &str) -> Result<Vec<Part>, MultipartError> {
     let delimiter = format!("\r\n--{boundary}");
     let mut parser = Parser {
@@ -97,7 +97,7 @@
 
 struct Parser<'a> {
     body: &'a [u8],
-    /// Ends a part: the end of its last line, two hyphens and the boundary.
+    /// Ends a part: a line break, two hyphens and the boundary.
     delimiter: &'a [u8],
     position: usize,
 }
@@ -107,7 +107,7 @@
         &self.body[self.position..]
     }
 
-    /// Moves behind the first boundary, which may be the body's first line.
+    /// Moves past the first boundary, which may be the first line of the body.
     fn skip_preamble(&mut self) -> Result<(), MultipartError> {
         let first_line = &self.delimiter[LINE_END.len()..];
         self.position = if self.body.starts_with(first_line) {
@@ -119,7 +119,7 @@
         Ok(())
     }
 
-    /// Moves to the line behind a boundary, which may be padded with white space.
+    /// Moves to the line after a boundary, which may be padded with white space.
     fn skip_boundary_line(&mut self) -> Result<(), MultipartError> {
         let rest = self.rest();
         let padding = rest.iter().take_while(|b| matches!(b, b' ' | b'\t'));
@@ -131,7 +131,7 @@
         Ok(())
     }
 
-    /// Reads a part, and moves behind the boundary that ends it.
+    /// Reads a part and moves past the boundary that ends it.
     fn read_part(&mut self) -> Result<Part, MultipartError> {
         let rest = self.rest();
         let header_bytes =
@@ -168,7 +168,7 @@
     })
 }
 
-/// A parameter of a header field's value (`value; name="parameter"`), without its quotes.
+/// Returns a parameter of a header field's value (`value; name="parameter"`) without its quotes.
 fn parameter(field: &str, name: &str) -> Option<String> {
     field.split(';').skip(1).find_map(|parameter| {
         let (key, value) = parameter.split_once('=')?;
--- a/crates/clickhouse/src/params.rs
+++ b/crates/clickhouse/src/params.rs
@@ -1,11 +1,11 @@
-//! The parameters in a URL's query string: names and values, percent-encoded.
+//! The percent-encoded parameters in the query string of a URL.
 
 use std::fmt;
 
-/// Most parameters in one URL: each is copied once for each attempt.
+/// Maximum number of parameters in a URL. Every attempt copies all of them.
 pub const MAX_PARAMS: usize = 512;
 
-/// Names and values in the order in which the client gave them.
+/// Names and values in the order given by the client.
 #[derive(Clone, Default, PartialEq, Eq)]
 pub struct Params(Vec<Param>);
 
@@ -16,7 +16,7 @@
 }
 
 impl Params {
-    /// Parses what follows the `?` of a URL; `None` if there are more than [`MAX_PARAMS`].
+    /// Parses the part of a URL after the `?`; `None` if there are more than [`MAX_PARAMS`] parameters.
     pub fn parse(query_string: &str) -> Option<Params> {
         let mut params = Vec::new();
         for pair in query_string.split('&').filter(|pair| !pair.is_empty()) {
@@ -32,7 +32,7 @@
         Some(Params(params))
     }
 
-    /// The value of a parameter; the last one if the name is repeated, as with ClickHouse.
+    /// The value of a parameter; the last one if the name is repeated, as in ClickHouse.
     pub fn get(&self, name: &str) -> Option<&str> {
         let last = self.0.iter().rfind(|param| param.name == name)?;
         Some(&last.value)
@@ -43,7 +43,7 @@
         self.get(name).filter(|value| !value.is_empty())
     }
 
-    /// Whether a boolean parameter is on: `1` or `true`.
+    /// Whether a boolean parameter is set to `1` or `true`.
     pub fn is_on(&self, name: &str) -> bool {
         self.get(name)
             .is_some_and(|value| value == "1" || value.eq_ignore_ascii_case("true"))
@@ -57,7 +57,7 @@
         });
     }
 
-    /// All names with their values.
+    /// All names and values.
     pub fn iter(&self) -> impl Iterator<Item = (&str, &str)> {
         self.0
             .iter()
@@ -66,14 +66,14 @@
 }
 
 impl fmt::Debug for Params {
-    /// Names alone: a value may be a password.
+    /// Shows only the names, since a value may be a password.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let names = self.0.iter().map(|param| &param.name);
         f.debug_list().entries(names).finish()
     }
 }
 
-/// Decodes percent-encoding, and `+` as a space. Invalid escapes stay as they are; invalid UTF-8 is replaced.
+/// Decodes percent-encoding, and `+` as a space. Invalid escapes are kept as they are; invalid UTF-8 is replaced.
 pub fn decode(text: &str) -> String {
     if !text.contains(['%', '+']) {
         return text.into();
@@ -99,7 +99,7 @@
     String::from_utf8_lossy(&bytes).into_owned()
 }
 
-/// The byte that these begin with, as two hexadecimal digits.
+/// Decodes the two hexadecimal digits at the start of `bytes`.
 fn decode_hex_byte(bytes: &[u8]) -> Option<u8> {
     let digit = |index: usize| char::from(*bytes.get(index)?).to_digit(16);
     u8::try_from(digit(0)? * 16 + digit(1)?).ok()
--- a/crates/clickhouse/src/request/error.rs
+++ b/crates/clickhouse/src/request/error.rs
@@ -1,4 +1,4 @@
-//! Why a request can't be accepted.
+//! Errors in client requests.
 
 use super::MAX_ID_BYTES;
 use crate::block::BlockError;
@@ -9,57 +9,57 @@
 use crate::exception::Exception;
 use crate::multipart::MultipartError;
 
-/// Why a query can't be accepted. The texts are those that clients read.
+/// Why a query is rejected. The messages are sent to clients.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RequestError {
-    /// The URL has more than [`crate::params::MAX_PARAMS`].
+    /// The URL has more than [`crate::params::MAX_PARAMS`] parameters.
     #[error("There are too many parameters")]
     TooManyParams,
-    /// An id is too long, or could forge a header line.
+    /// An id is too long, or contains control characters that could inject a header line.
     #[error("{param} is longer than {MAX_ID_BYTES} bytes or holds control characters")]
     InvalidId {
-        /// The parameter's name.
+        /// The name of the parameter.
         param: &'static str,
     },
-    /// Its credentials can't be used.
+    /// The credentials are invalid.
     #[error(transparent)]
     Credentials(#[from] CredentialsError),
-    /// There is no statement.
+    /// The request has no statement.
     #[error("Empty query")]
     EmptyQuery,
-    /// A statement that writes came by GET or HEAD.
+    /// A GET or HEAD request has a statement that writes.
     #[error(
         "Cannot execute query in readonly mode. For queries over HTTP, method GET implies readonly. You should use \
          method POST for modifying queries"
     )]
     ReadOnlyMethod,
-    /// `session_timeout` is no number.
+    /// `session_timeout` is not a number.
     #[error("Invalid session timeout: '{0}'")]
     InvalidSessionTimeout(String),
-    /// `session_timeout` is over its bound.
+    /// `session_timeout` exceeds the maximum.
     #[error("Session timeout '{seconds}' is larger than max_session_timeout: {max_seconds}")]
     SessionTimeoutTooLong {
-        /// What the client asks for.
+        /// The requested timeout.
         seconds: u64,
-        /// The bound.
+        /// The maximum.
         max_seconds: u64,
     },
-    /// A form's `Content-Type` names no valid boundary.
+    /// The `Content-Type` of a form has no valid boundary.
     #[error("multipart/form-data without a boundary that can be used")]
     NoBoundary,
-    /// A form is not here in full, and its query is not in the URL.
+    /// A form is too large to be buffered, and the query is not in the URL.
     #[error("A form this large needs its query in the URL")]
     FormTooLarge,
     /// A form is malformed.
     #[error("multipart/form-data can't be read: {0}")]
     Form(#[from] MultipartError),
-    /// The body's content coding is unknown.
+    /// The content coding of the body is unknown.
     #[error("Content-Encoding {0} is not supported here")]
     UnsupportedCoding(String),
-    /// The body's compressed blocks are invalid.
+    /// A compressed block of the body is invalid.
     #[error("Cannot decompress the body: {0}")]
     Block(#[from] BlockError),
-    /// The forwarded header fields are over their bound.
+    /// The forwarded header fields are too long.
     #[error("The headers to be passed on are too long")]
     HeadersTooLong,
 }
--- a/crates/clickhouse/src/request/forwarded.rs
+++ b/crates/clickhouse/src/request/forwarded.rs
@@ -1,4 +1,4 @@
-//! The parameters and header fields that are forwarded to an engine.
+//! Parameters and header fields that are forwarded to engines.
 
 use super::{RequestError, Secret};
 use crate::coding::Coding;
@@ -7,10 +7,10 @@
 use driftfront_http::{header, Request};
 use std::fmt::Write as _;
 
-/// Bound on all forwarded header fields; an engine bounds the whole head at little more.
+/// Maximum total size of forwarded header fields. An engine's limit on the whole head is only slightly higher.
 const MAX_FORWARDED_HEADERS_BYTES: usize = 8 * 1024;
 
-/// Parameters that are handled here and not forwarded as they came.
+/// Parameters that the coordinator handles itself and doesn't forward unchanged.
 const OWN_PARAMS: [&str; 9] = [
     "query_id",
     "max_execution_time",
@@ -23,7 +23,7 @@
     "http_headers_progress_interval_ms",
 ];
 
-/// Header fields that are forwarded, beside those that begin with [`CLICKHOUSE_PREFIX`].
+/// Forwarded header fields, in addition to those that start with [`CLICKHOUSE_PREFIX`].
 const FORWARDED_HEADERS: [&str; 7] = [
     "content-encoding",
     "content-type",
@@ -34,10 +34,10 @@
     "tracestate",
 ];
 const CLICKHOUSE_PREFIX: &str = "x-clickhouse-";
-/// Not forwarded: each attempt has an id of its own.
+/// Not forwarded, since each attempt has its own id.
 const QUERY_ID_HEADER: &str = "x-clickhouse-query-id";
 
-/// The forwarded parameters, percent-encoded, each behind an `&`.
+/// The forwarded parameters, percent-encoded, each preceded by `&`.
 pub(super) fn params(params: &Params) -> String {
     let mut encoded = String::new();
     for (name, value) in params.iter().filter(|(name, _)| !OWN_PARAMS.contains(name)) {
@@ -49,8 +49,8 @@
     encoded
 }
 
-/// The forwarded header fields, each with its line's end. `accepts_compression`: the client asked for a content
-/// coding (`enable_http_compression`).
+/// The forwarded header fields, each followed by a line break. `accepts_compression` says whether the client enabled
+/// content codings (`enable_http_compression`).
 pub(super) fn headers(
     request: &Request,
     credentials: &Credentials,
@@ -88,7 +88,7 @@
     is_clickhouse || FORWARDED_HEADERS.contains(&name.as_str())
 }
 
-/// The items of an `Accept-Encoding` that can be decoded here: a result that can't be checked can't be trusted.
+/// Filters an `Accept-Encoding` for supported codings: a result that can't be decoded can't be checked for errors.
 fn known_codings(accept_encoding: &str) -> String {
     let is_known = |item: &&str| {
         let name = item.split(';').next().unwrap_or_default();
--- a/crates/clickhouse/src/request/mod.rs
+++ b/crates/clickhouse/src/request/mod.rs
@@ -1,11 +1,11 @@
-//! Requests of ClickHouse's HTTP interface: what a client asks for, wherever in the request it is written.
+//! Parsing of requests to the ClickHouse HTTP interface.
 //!
-//! | module | job |
+//! | module | purpose |
 //! | --- | --- |
 //! | `query` | a query's parameters, session and credentials |
 //! | `statement` | finds the statement: in the URL, in a form or in the body |
 //! | `forwarded` | the parameters and header fields that are forwarded to an engine |
-//! | `error` | why a request can't be accepted |
+//! | `error` | errors in requests |
 
 mod error;
 mod forwarded;
@@ -20,75 +20,75 @@
 use driftfront_http::Request;
 use std::fmt;
 
-/// Longest id of a query or a session.
+/// Maximum length of a query id or session id.
 pub const MAX_ID_BYTES: usize = 256;
 
-/// What a client asks for.
+/// A parsed client request.
 #[derive(Debug)]
 pub enum ClientRequest {
-    /// `/ping`, or `/` without a query.
+    /// `/ping`, or `/` without a query string.
     Ping,
     /// `/replicas_status`: whether queries can be served.
     ReplicasStatus,
-    /// `/alive`: whether queries can be served, in the platform's form.
+    /// `/alive`: whether queries can be served, with an empty body as in the platform's protocol.
     Alive,
-    /// `/counters`: this program's counters.
+    /// `/counters`: the coordinator's counters.
     Counters,
     /// OPTIONS: a cross-origin preflight request.
     Options,
     /// A query.
     Query(Box<Query>),
-    /// The path is unknown.
+    /// A request for an unknown path.
     UnknownPath,
-    /// The path does not support the method.
+    /// A known path with a method that it does not support.
     UnsupportedMethod,
 }
 
-/// The session that a query names.
+/// The session parameters of a query.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SessionParams {
-    /// `session_id`: the client's own.
+    /// `session_id`, chosen by the client.
     pub id: String,
     /// `session_check`: the session must exist already.
     pub must_exist: bool,
-    /// `session_timeout`: how long it lives after its last query.
+    /// `session_timeout`: how long the session lives after its last query.
     pub timeout: Option<Micros>,
 }
 
-/// A query and its parameters.
+/// A query with its parameters.
 #[derive(Clone, Debug)]
 pub struct Query {
-    /// What the statement is.
+    /// The scanned statement.
     pub statement: Statement,
-    /// `query_id`: the client's own id for it.
+    /// `query_id`, chosen by the client.
     pub id: Option<String>,
-    /// `driftfront_class`: its class.
+    /// `driftfront_class`: the class.
     pub class: Option<String>,
     /// `driftfront_key`: queries with the same key run in order.
     pub ordering_key: Option<String>,
     /// `max_execution_time`.
     pub max_execution_time: Option<Micros>,
-    /// Its session, if it names one.
+    /// The session, if the query names one.
     pub session: Option<SessionParams>,
-    /// Who asks.
+    /// The client's credentials.
     pub credentials: Credentials,
-    /// Parameters to forward, percent-encoded, each behind an `&`.
+    /// Parameters to forward, percent-encoded, each preceded by `&`.
     pub forwarded_params: String,
-    /// Header fields to forward, each with its line's end. They may hold secrets.
+    /// Header fields to forward, each followed by a line break. They may contain secrets.
     pub forwarded_headers: Secret,
-    /// `compress`: the result is to come in ClickHouse's compressed blocks.
+    /// `compress`: the result is requested in ClickHouse's compressed blocks.
     pub wants_blocks: bool,
     /// `send_progress_in_http_headers`.
     pub wants_progress: bool,
-    /// HEAD: the response has no body.
+    /// The method is HEAD: the response has no body.
     pub is_head: bool,
-    /// The client speaks HTTP/1.1 and understands chunked responses.
+    /// The client uses HTTP/1.1, which supports chunked responses.
     pub supports_chunked: bool,
     /// `insert_deduplication_token`.
     pub deduplication_token: Option<String>,
 }
 
-/// Text that is forwarded and never shown.
+/// Text that is forwarded but never logged.
 #[derive(Clone, Default, PartialEq, Eq)]
 pub struct Secret(pub String);
 
@@ -98,11 +98,11 @@
     }
 }
 
-/// Parses a request. Of a body that is still arriving, the beginning is enough.
+/// Parses a request. The first part of a streamed body is sufficient.
 ///
 /// # Errors
 ///
-/// Why a query can't be accepted.
+/// If a query is invalid.
 pub fn parse(request: &Request) -> Result<ClientRequest, RequestError> {
     let (path, query_string) = request
         .target
--- a/crates/clickhouse/src/request/query.rs
+++ b/crates/clickhouse/src/request/query.rs
@@ -1,4 +1,4 @@
-//! A query's parameters, session and credentials.
+//! Parsing of a query's parameters, session and credentials.
 
 use super::{forwarded, statement, Query, RequestError, SessionParams, MAX_ID_BYTES};
 use crate::credentials::Credentials;
@@ -6,7 +6,7 @@
 use crate::session::{Micros, MAX_SESSION_TIMEOUT, MICROS_PER_SECOND};
 use driftfront_http::{header, Request};
 
-/// Parses a query. Parameters of a form count like those of the URL.
+/// Parses a query. Some fields of a form are treated like parameters in the URL.
 pub(super) fn parse(request: &Request, query_string: &str) -> Result<Query, RequestError> {
     let mut params = Params::parse(query_string).ok_or(RequestError::TooManyParams)?;
     let credentials = Credentials::parse(&params, &request.headers)?;
@@ -43,7 +43,7 @@
     })
 }
 
-/// An id that a client chose: bounded, and without characters that could forge a header line.
+/// Checks an id chosen by a client: its length, and that no control characters could inject a header line.
 fn checked_id(param: &'static str, id: &str) -> Result<String, RequestError> {
     if id.len() > MAX_ID_BYTES || id.chars().any(char::is_control) {
         return Err(RequestError::InvalidId { param });
@@ -51,7 +51,7 @@
     Ok(id.into())
 }
 
-/// A parameter in seconds, with fractions; `None` unless it is a number above 0.
+/// Parses a parameter in fractional seconds; `None` unless it is a number above 0.
 #[allow(
     clippy::cast_possible_truncation,
     reason = "a float beyond the integer's range becomes its maximum"
--- a/crates/clickhouse/src/request/statement.rs
+++ b/crates/clickhouse/src/request/statement.rs
@@ -1,4 +1,4 @@
-//! Finds the statement of a query: in the URL, in a form or in the body.
+//! Extraction of a query's statement from the URL, a form or the body.
 
 use super::RequestError;
 use crate::block;
@@ -8,11 +8,11 @@
 use crate::sql::{Statement, MAX_SCANNED_BYTES};
 use driftfront_http::{header, Request};
 
-/// A form's fields that count like parameters of the URL begin so.
+/// Prefixes of form fields that are treated like parameters in the URL.
 const FORM_PARAM_PREFIXES: [&str; 2] = ["driftfront_", "session_"];
 
-/// Scans the statement; a form's fields join the parameters. Where URL and body both have text the server joins them,
-/// the URL's first.
+/// Finds and scans the statement, and adds fields of a form to the parameters. If both the URL and the body have text,
+/// the server concatenates them, starting with the URL's, so the URL's text is scanned.
 pub(super) fn find(request: &Request, params: &mut Params) -> Result<Statement, RequestError> {
     let content_type = header(&request.headers, "content-type").unwrap_or_default();
     let in_body = if multipart::is_form(content_type) {
@@ -37,7 +37,7 @@
     Ok(statement)
 }
 
-/// The form's field `query`; its other fields join the parameters.
+/// Returns the form's `query` field and adds fields with known prefixes to the parameters.
 fn read_form(
     request: &Request,
     content_type: &str,
@@ -45,7 +45,7 @@
 ) -> Result<String, RequestError> {
     let boundary = multipart::parse_boundary(content_type).ok_or(RequestError::NoBoundary)?;
     if request.has_more_body {
-        // Without the whole form its fields are unknown: the query has to be in the URL.
+        // The fields of an incomplete form are unknown, so the query has to be in the URL.
         if params.non_empty("query").is_none() {
             return Err(RequestError::FormTooLarge);
         }
@@ -65,15 +65,15 @@
     Ok(statement)
 }
 
-/// The beginning of a body as text, decoded and decompressed.
+/// The first part of a body as text, decoded and decompressed.
 fn read_body(request: &Request, params: &Params) -> Result<String, RequestError> {
-    // With the statement in the URL the body holds rows alone.
+    // If the statement is in the URL, the body only contains rows.
     if params.non_empty("query").is_some() || request.body.is_empty() {
         return Ok(String::new());
     }
     let mut text = decode_beginning(request)?;
     if params.is_on("decompress") {
-        // Blocks may be larger than what was decoded: then they are read from the body itself.
+        // A block may be larger than the decoded part; then blocks are read from the body directly.
         let blocks = if text.len() < MAX_SCANNED_BYTES {
             &text
         } else {
@@ -85,7 +85,7 @@
     Ok(String::from_utf8_lossy(&text).into_owned())
 }
 
-/// At most [`MAX_SCANNED_BYTES`] of the body, its content coding decoded.
+/// At most [`MAX_SCANNED_BYTES`] of the body, with the content coding decoded.
 fn decode_beginning(request: &Request) -> Result<Vec<u8>, RequestError> {
     match header(&request.headers, "content-encoding") {
         Some(name) if !name.eq_ignore_ascii_case("identity") => {
--- a/crates/clickhouse/src/result_checker.rs
+++ b/crates/clickhouse/src/result_checker.rs
@@ -1,8 +1,8 @@
-//! Checks a result while it is forwarded, so that an error behind status 200 is never taken for rows.
+//! Checks a result while it is forwarded, so that an error sent after status 200 is not mistaken for rows.
 //!
-//! An engine that fails after it sent the response's head writes an exception behind the rows, in a form that depends
-//! on how the result is compressed. A [`ResultChecker`] decodes what passes without keeping it, remembers the last
-//! bytes, and looks there for an exception in all published forms (see [`crate::exception`]) once the result ends.
+//! An engine that fails after it sent the response's head appends an exception to the rows, in a form that depends on
+//! how the result is compressed. A [`ResultChecker`] decodes the result, retains only its last bytes, and searches them
+//! for an exception in all published forms (see [`crate::exception`]) once the result ends.
 //!
 //! | compression | what is checked |
 //! | --- | --- |
@@ -17,19 +17,19 @@
 use crate::tail::TailBuffer;
 use std::io;
 
-/// Why a result can't be trusted.
+/// Why a result is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ResultError {
-    /// The engine reports an exception behind the rows.
+    /// An exception follows the rows.
     #[error(transparent)]
     Exception(Exception),
     /// A compressed block is invalid.
     #[error(transparent)]
     Block(BlockError),
-    /// Its content coding can't be decoded.
+    /// The content coding can't be decoded.
     #[error("the result's content coding can't be followed: {0}")]
     Coding(String),
-    /// It ends in the middle of a compressed block or of its content coding.
+    /// The result ends in the middle of a compressed block or of its content coding.
     #[error("the result ends in the middle of a compressed block")]
     Truncated,
 }
@@ -40,14 +40,14 @@
     }
 }
 
-/// What the response's head, and the query's parameters, say of a result.
+/// Properties of a result, known from the response's head and the query's parameters.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ResultDescription<'a> {
     /// The result is in ClickHouse's compressed blocks (`compress=1`).
     pub has_blocks: bool,
-    /// Its content coding.
+    /// The content coding.
     pub coding: Option<Coding>,
-    /// `X-ClickHouse-Exception-Tag`: the tag that marks an exception behind the rows.
+    /// `X-ClickHouse-Exception-Tag`: the tag that marks an exception after the rows.
     pub exception_tag: Option<&'a str>,
     /// `X-ClickHouse-Format`: the format of the rows.
     pub format: Option<&'a str>,
@@ -57,11 +57,11 @@
 pub struct ResultChecker {
     layers: Layers,
     exception_tag: Option<String>,
-    /// The format is one of JSON's, which report an exception under a key of its own.
+    /// The rows are in a JSON format, which reports an exception under a separate key.
     is_json: bool,
 }
 
-/// How the rows are compressed: ClickHouse's blocks inside, an HTTP content coding outside.
+/// How the rows are compressed: ClickHouse's blocks as the inner layer, an HTTP content coding as the outer layer.
 enum Layers {
     None(TailBuffer),
     Blocks(BlockStream),
@@ -69,7 +69,7 @@
     CodingAndBlocks(Box<Decoder<BlockWriter>>),
 }
 
-/// Blocks inside a content coding. Their first error is kept here, since a writer can only report an I/O error.
+/// Blocks inside a content coding. The first block error is stored, since a writer can only return I/O errors.
 #[derive(Default)]
 struct BlockWriter {
     blocks: BlockStream,
@@ -89,9 +89,9 @@
     }
 }
 
-/// How the rows end.
+/// The end of the rows.
 struct RowsEnd {
-    /// Their last bytes, decompressed.
+    /// The last bytes, decompressed.
     tail: Vec<u8>,
     is_truncated: bool,
 }
@@ -118,10 +118,10 @@
                 (tail, !blocks.is_at_block_boundary())
             }
             Layers::Coding(decoder) => {
-                // First of all: it writes out what the decoder still holds.
+                // Must come first, because it flushes the decoder.
                 let is_incomplete = decoder.finish().is_err();
                 let tail = decoder.get_ref();
-                // A result without a byte is no stream of the coding, and ends well.
+                // An empty result is not a valid stream of the coding, but is complete.
                 (tail.bytes().to_vec(), is_incomplete && tail.written() > 0)
             }
             Layers::CodingAndBlocks(decoder) => {
@@ -136,11 +136,11 @@
 }
 
 impl ResultChecker {
-    /// A checker for a result of this description.
+    /// Creates a checker for a result with these properties.
     ///
     /// # Errors
     ///
-    /// [`ResultError::Coding`] where there can be no decoder.
+    /// [`ResultError::Coding`] if the decoder can't be created.
     pub fn new(result: &ResultDescription<'_>) -> Result<ResultChecker, ResultError> {
         Ok(ResultChecker {
             layers: Layers::new(result.has_blocks, result.coding)?,
@@ -149,17 +149,17 @@
         })
     }
 
-    /// Takes the next bytes of the result.
+    /// Processes the next bytes of the result.
     ///
     /// # Errors
     ///
-    /// What is wrong with the result, whatever comes next.
+    /// If the result is invalid, regardless of the bytes that follow.
     pub fn push(&mut self, bytes: &[u8]) -> Result<(), ResultError> {
         match &mut self.layers {
             Layers::None(tail) => tail.push(bytes),
             Layers::Blocks(blocks) => {
                 if let Err(error) = blocks.push(bytes) {
-                    // An interrupted server may write plain text where a block should begin.
+                    // An interrupted server may write plain text in place of a block.
                     let text = blocks.incomplete().to_vec();
                     let exception = self.find_exception(&text, true);
                     return Err(exception.map_or(ResultError::Block(error), ResultError::Exception));
@@ -176,12 +176,11 @@
         Ok(())
     }
 
-    /// Ends the result. `is_cut`: its connection ended before the body did.
+    /// Ends the result. `is_cut` says that the connection closed before the end of the body.
     ///
     /// # Errors
     ///
-    /// What is wrong with the result as a whole: an exception behind its rows, or an end in the middle of a block or
-    /// of its content coding.
+    /// If an exception follows the rows, or the result ends in the middle of a block or of its content coding.
     pub fn finish(&mut self, is_cut: bool) -> Result<(), ResultError> {
         let end = self.layers.finish()?;
         match self.find_exception(&end.tail, is_cut) {
@@ -191,8 +190,8 @@
         }
     }
 
-    /// Looks for an exception in the last bytes: by its tag where one was announced, else by its form; then under
-    /// JSON's key.
+    /// Searches the last bytes for an exception: by its tag if the response's head has one, otherwise by its form; and
+    /// then under the key of JSON formats.
     fn find_exception(&self, tail: &[u8], is_cut: bool) -> Option<Exception> {
         let exception = match &self.exception_tag {
             Some(tag) => find_tagged(tail, tag),
--- a/crates/clickhouse/src/session/entry.rs
+++ b/crates/clickhouse/src/session/entry.rs
@@ -2,27 +2,27 @@
 
 use super::{Micros, QueryOutcome, SessionAffinity, SessionEffect, SessionQuery};
 
-/// How early a session is evicted: the first class goes first.
+/// Eviction priority: sessions of the first class are evicted first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum EvictionClass {
-    /// Used once, or of no use any more.
+    /// Used once, or lost.
     Probationary,
-    /// Used again.
+    /// Used more than once.
     Established,
     /// Stateful, or running a query.
     NotEvictable,
 }
 
-/// Uses from which a session counts as established.
+/// Number of uses from which a session is established.
 const ESTABLISHED_USES: u32 = 2;
 
 /// One session.
 pub(super) struct Session<E> {
     engine: Option<E>,
     is_stateful: bool,
-    /// Its engine left, and its state with it.
+    /// The engine that held its state was removed.
     is_lost: bool,
-    /// What the query that runs now would leave.
+    /// The effect of the running query.
     running: Option<SessionEffect>,
     uses: u32,
     last_used: Micros,
@@ -31,7 +31,7 @@
 }
 
 impl<E: Copy + PartialEq> Session<E> {
-    /// A session that lives on no engine yet.
+    /// Creates a session that is bound to no engine yet.
     pub(super) fn new(now: Micros, timeout: Micros) -> Session<E> {
         Session {
             engine: None,
@@ -71,7 +71,7 @@
         self.is_lost
     }
 
-    /// Whether its engine holds state for it.
+    /// Whether its engine holds state for the session.
     pub(super) fn is_stateful(&self) -> bool {
         self.is_stateful && !self.is_lost
     }
@@ -87,7 +87,7 @@
         })
     }
 
-    /// Whether a query that ran on `engine` moved the session there.
+    /// Whether a query that ran on `engine` moves the session there.
     pub(super) fn migrates_to(&self, engine: E) -> bool {
         let is_elsewhere = self.engine.is_some_and(|current| current != engine);
         is_elsewhere && !self.is_stateful && !self.is_lost
@@ -116,7 +116,7 @@
         self.is_lost |= self.is_stateful;
     }
 
-    /// Moves the expiration of a session whose query runs longer than its timeout.
+    /// Postpones the expiration of a session whose query runs longer than its timeout.
     pub(super) fn postpone_expiration(&mut self, now: Micros) {
         self.expires = now + self.timeout.max(super::MICROS_PER_SECOND);
     }
--- a/crates/clickhouse/src/session/index.rs
+++ b/crates/clickhouse/src/session/index.rs
@@ -1,10 +1,10 @@
-//! The sessions by name, by eviction order and by expiration.
+//! An index of sessions by key, eviction order and expiration.
 
 use super::entry::{EvictionClass, Session};
 use super::{Micros, SessionKey};
 use std::collections::{BTreeSet, HashMap};
 
-/// Place of a session in the eviction order: class, then last use.
+/// Position of a session in the eviction order: by class, then by last use.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct EvictionKey {
     class: EvictionClass,
@@ -12,19 +12,19 @@
     session_key: SessionKey,
 }
 
-/// Place of a session in the order of expiration.
+/// Position of a session in the expiration order.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct ExpirationKey {
     expires: Micros,
     session_key: SessionKey,
 }
 
-/// Owns the sessions; changes go through [`SessionIndex::update`], which keeps the orders up to date.
+/// Owns the sessions. They are modified through [`SessionIndex::update`], which maintains the orders.
 pub(super) struct SessionIndex<E> {
     sessions: HashMap<SessionKey, Session<E>>,
     eviction_order: BTreeSet<EvictionKey>,
     expiration_order: BTreeSet<ExpirationKey>,
-    /// Sessions of [`EvictionClass::Probationary`].
+    /// Number of sessions of [`EvictionClass::Probationary`].
     probationary: usize,
 }
 
@@ -56,13 +56,13 @@
             .map(|(&session_key, session)| (session_key, session))
     }
 
-    /// The session to evict next, if any may be.
+    /// The session to evict next, if any may be evicted.
     pub(super) fn next_evictable(&self) -> Option<SessionKey> {
         let first = self.eviction_order.first()?;
         (first.class < EvictionClass::NotEvictable).then_some(first.session_key)
     }
 
-    /// The session that expires first, if it has expired.
+    /// The session with the earliest expiration, if it has expired.
     pub(super) fn next_expired(&self, now: Micros) -> Option<SessionKey> {
         let first = self.expiration_order.first()?;
         (first.expires <= now).then_some(first.session_key)
@@ -87,7 +87,7 @@
         Some(session)
     }
 
-    /// Changes a session, if it is there.
+    /// Modifies a session, if it exists.
     pub(super) fn update(&mut self, session_key: SessionKey, change: impl FnOnce(&mut Session<E>)) {
         if let Some(mut session) = self.remove(session_key) {
             change(&mut session);
@@ -97,7 +97,7 @@
         debug_assert_eq!(self.expiration_order.len(), self.sessions.len());
     }
 
-    /// Whether orders and count agree with the sessions; visits every session.
+    /// Whether the orders and the count match the sessions; visits every session.
     pub(super) fn is_consistent(&self) -> bool {
         let is_probationary =
             |session: &&Session<E>| session.eviction_class() == EvictionClass::Probationary;
--- a/crates/clickhouse/src/session/mod.rs
+++ b/crates/clickhouse/src/session/mod.rs
@@ -1,21 +1,21 @@
-//! Sessions of ClickHouse's HTTP interface (`session_id`): which engine each lives on, whether it may migrate, and
-//! which are evicted.
+//! Sessions of ClickHouse's HTTP interface (`session_id`): the engine that each is bound to, whether it may migrate, and
+//! eviction.
 //!
-//! A session is state on one engine. While its statements only read it is *stateless*: its next query prefers the
-//! same engine, but may run elsewhere when that engine drains or fails. A statement that leaves something behind (a
-//! temporary table, SET, USE, a transaction) makes it *stateful*: it lives and ends with its engine.
+//! A session is bound to one engine. As long as its statements only read, it is *stateless*: its next query prefers the
+//! same engine, but may run on another one if that engine drains or fails. A statement that creates session state (a
+//! temporary table, SET, USE, a transaction) makes it *stateful*: it can't migrate and is lost with its engine.
 //!
-//! Clients choose session ids freely, so a flood of new ids must not evict the sessions in use. Eviction is that of a
-//! segmented LRU cache: a session that was used once is probationary and goes first, one that was used again is
-//! established, one that is stateful or runs a query is never evicted.
+//! Clients choose session ids freely, so a flood of new ids must not evict the sessions in use. Eviction follows a
+//! segmented LRU: a session that was used once is probationary and evicted first, one that was used again is
+//! established, and one that is stateful or runs a query is never evicted.
 //!
-//! | module | job |
+//! | module | purpose |
 //! | --- | --- |
 //! | `table` | [`SessionTable`]: the rules for all sessions of a coordinator |
 //! | `entry` | the state of one session |
-//! | `index` | the sessions by name, by eviction order and by expiration |
+//! | `index` | the sessions by key, eviction order and expiration |
 //!
-//! There are no sockets and no clock here; engines are named by a type of the caller's.
+//! The module does no I/O and reads no clock; the caller chooses the type that identifies engines.
 
 mod entry;
 mod index;
@@ -31,30 +31,30 @@
 
 pub(crate) const MICROS_PER_SECOND: Micros = 1_000_000;
 
-/// Bound on all sessions; each takes some 200 bytes.
+/// Maximum number of sessions; each takes about 200 bytes.
 pub const MAX_SESSIONS: usize = 8192;
-/// Bound on probationary sessions.
+/// Maximum number of probationary sessions.
 pub const MAX_PROBATIONARY_SESSIONS: usize = 2048;
-/// Largest `session_timeout`, in microseconds; the server's own default bound.
+/// Maximum `session_timeout`, in microseconds; the same as ClickHouse's default.
 pub const MAX_SESSION_TIMEOUT: Micros = 3600 * MICROS_PER_SECOND;
-/// Timeout of a session without `session_timeout`, in microseconds; the server's own default.
+/// Timeout of a session without `session_timeout`, in microseconds; the same as ClickHouse's default.
 pub const DEFAULT_SESSION_TIMEOUT: Micros = 60 * MICROS_PER_SECOND;
 
-/// Identifies a session: a keyed hash of its user and id, so that memory is bounded however long the ids are.
+/// Identifies a session: a keyed hash of user and session id, so that memory use doesn't depend on the length of ids.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SessionKey(u128);
 
-/// What a statement leaves in its session.
+/// The effect of a statement on its session.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum SessionEffect {
-    /// Nothing.
+    /// No effect.
     #[default]
     None,
-    /// Something that later statements depend on: a temporary table, a setting, a database, a transaction.
+    /// State that later statements depend on: a temporary table, a setting, a database, a transaction.
     LeavesState,
 }
 
-/// A query that is about to run in a session.
+/// A query to run in a session.
 #[derive(Clone, Copy, Debug)]
 pub struct SessionQuery {
     /// The session, see [`SessionTable::key`].
@@ -63,11 +63,11 @@
     pub must_exist: bool,
     /// How long the session lives after its last query (`session_timeout`).
     pub timeout: Option<Micros>,
-    /// What the statement leaves in the session.
+    /// The effect of the statement on the session.
     pub effect: SessionEffect,
 }
 
-/// The engine that a session lives on.
+/// The engine that a session is bound to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SessionAffinity<E> {
     /// The engine.
@@ -79,16 +79,16 @@
 /// How a query of a session ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QueryOutcome<E> {
-    /// It ran on no engine.
+    /// The query ran on no engine.
     NeverRan,
-    /// It ran to its end.
+    /// The query ran to completion.
     Ran {
         /// The engine.
         engine: E,
-        /// It ended without an exception.
+        /// It completed without an exception.
         succeeded: bool,
     },
-    /// It may have run, and may still be running.
+    /// The query may have run, and may still be running.
     Unknown {
         /// The engine.
         engine: E,
@@ -117,16 +117,16 @@
 /// Why a query can't run in its session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SessionError {
-    /// `session_check` was given, and there is no such session.
+    /// `session_check` was set, and the session does not exist.
     #[error("Session not found")]
     NotFound,
-    /// The session was stateful, and its engine left. Reported once: the next query begins a new session.
+    /// The session was stateful, and its engine was removed. Reported once; the next query starts a new session.
     #[error(
         "Session not found: the engine that held it has left, with what was set or created in it. Begin a new \
          session and create that anew"
     )]
     Lost,
-    /// Another query of the session runs.
+    /// Another query of the session is running.
     #[error("Session is locked by a concurrent client: one query at a time")]
     Locked,
     /// The table is full, and no session may be evicted.
@@ -154,27 +154,27 @@
 /// Counters since the start of the program.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SessionCounters {
-    /// Sessions begun.
+    /// Sessions created.
     pub begun: u64,
-    /// Sessions ended by their timeout.
+    /// Sessions that timed out.
     pub expired: u64,
-    /// Sessions evicted for new ones: the bounds were reached.
+    /// Sessions evicted because a limit was reached.
     pub evicted: u64,
-    /// Queries rejected since no session could be evicted.
+    /// Queries rejected because no session could be evicted.
     pub rejected: u64,
-    /// Stateful sessions whose engine left.
+    /// Stateful sessions whose engine was removed.
     pub lost: u64,
-    /// Times that a stateless session moved to another engine.
+    /// Migrations of stateless sessions to another engine.
     pub migrated: u64,
 }
 
-/// How many sessions are held now.
+/// Current number of sessions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HeldSessions {
-    /// All of them.
+    /// All sessions.
     pub total: usize,
-    /// Stateful ones whose engine is there.
+    /// Stateful sessions whose engine is still available.
     pub stateful: usize,
-    /// Those that may not be evicted: stateful, or running a query.
+    /// Sessions that can't be evicted: stateful, or running a query.
     pub not_evictable: usize,
 }
--- a/crates/clickhouse/src/session/table.rs
+++ b/crates/clickhouse/src/session/table.rs
@@ -1,4 +1,4 @@
-//! The sessions of a coordinator, and the rules for them.
+//! The session table of a coordinator.
 
 use super::entry::{EvictionClass, Session};
 use super::index::SessionIndex;
@@ -10,10 +10,10 @@
 use siphasher::sip128::{Hasher128, SipHasher13};
 use std::hash::Hasher;
 
-/// Stands between user and id where they are hashed: a byte that is in no UTF-8 text.
+/// Separates user and id in the hash input; the byte does not occur in UTF-8 text.
 const NAME_SEPARATOR: u8 = 0xff;
 
-/// All sessions of a coordinator. `E` names an engine.
+/// All sessions of a coordinator. `E` identifies an engine.
 pub struct SessionTable<E> {
     sessions: SessionIndex<E>,
     max_sessions: usize,
@@ -23,12 +23,12 @@
 }
 
 impl<E: Copy + PartialEq> SessionTable<E> {
-    /// An empty table. The seed keys the hash of names, so that no client can make two ids collide.
+    /// Creates an empty table. The seed keys the hash of session ids, so that clients can't choose colliding ids.
     pub fn new(seed: u64) -> SessionTable<E> {
         SessionTable::with_limits(seed, MAX_SESSIONS, MAX_PROBATIONARY_SESSIONS)
     }
 
-    /// An empty table with other bounds on all sessions and on probationary ones.
+    /// Creates an empty table with the given limits on all sessions and on probationary ones.
     pub fn with_limits(seed: u64, max_sessions: usize, max_probationary: usize) -> SessionTable<E> {
         SessionTable {
             sessions: SessionIndex::new(),
@@ -39,7 +39,7 @@
         }
     }
 
-    /// The name of a user's session; the same id of another user is another session.
+    /// The key of a user's session. The same id of another user is a different session.
     pub fn key(&self, user: &str, id: &str) -> SessionKey {
         let mut hasher = self.hasher;
         hasher.write(user.as_bytes());
@@ -48,12 +48,12 @@
         SessionKey(hasher.finish128().as_u128())
     }
 
-    /// Begins a query of a session, which is locked until [`SessionTable::end_query`]. Returns the session's engine,
-    /// if it lives on one already.
+    /// Starts a query of a session and locks the session until [`SessionTable::end_query`]. Returns the session's
+    /// affinity, if it is bound to an engine already.
     ///
     /// # Errors
     ///
-    /// Why the query can't run in this session.
+    /// If the query can't run in this session.
     pub fn begin_query(
         &mut self,
         now: Micros,
@@ -73,7 +73,7 @@
             Some(_) => {}
             None if query.must_exist => return Err(SessionError::NotFound),
             None => {
-                self.make_room()?;
+                self.evict_if_full()?;
                 self.counters.begun += 1;
                 self.sessions
                     .insert(query.session, Session::new(now, timeout));
@@ -84,13 +84,13 @@
         Ok(self.sessions.get(query.session).and_then(Session::affinity))
     }
 
-    /// Ends a session's query, once nothing of it runs any more.
+    /// Ends a session's query, once none of its attempts is running.
     pub fn end_query(&mut self, now: Micros, session_key: SessionKey, outcome: QueryOutcome<E>) {
         let Some(session) = self.sessions.get(session_key) else {
             return;
         };
         match outcome.engine() {
-            // The session's first query reached no engine: no engine knows the session.
+            // The session's first query reached no engine, so no engine has the session.
             None if session.affinity().is_none() => {
                 self.sessions.remove(session_key);
                 return;
@@ -102,15 +102,15 @@
             .update(session_key, |s| s.end_query(now, outcome));
     }
 
-    /// Removes an engine that drains or is gone. Stateless sessions may migrate; stateful ones are lost.
+    /// Removes an engine that drains or has failed. Stateless sessions may migrate; stateful ones are lost.
     pub fn remove_engine(&mut self, engine: E) {
-        let names: Vec<SessionKey> = self
+        let session_keys: Vec<SessionKey> = self
             .sessions
             .iter()
             .filter(|(_, session)| session.is_assigned_to(engine))
             .map(|(session_key, _)| session_key)
             .collect();
-        for session_key in names {
+        for session_key in session_keys {
             let is_stateful = self
                 .sessions
                 .get(session_key)
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Ends the sessions whose timeout has passed, except those that run a query.
+    /// Removes sessions whose timeout has passed, except those that run a query.
     pub fn expire(&mut self, now: Micros) {
         while let Some(session_key) = self.sessions.next_expired(now) {
             if self
@@ -137,7 +137,7 @@
         }
     }
 
-    /// How many sessions are held now; visits every session.
+    /// Current number of sessions; visits every session.
     pub fn held(&self) -> HeldSessions {
         let count = |is_counted: &dyn Fn(&Session<E>) -> bool| {
             let all = self.sessions.iter();
@@ -150,18 +150,18 @@
         }
     }
 
-    /// The counters so far.
+    /// The current counters.
     pub fn counters(&self) -> SessionCounters {
         self.counters
     }
 
-    /// Whether the table's indexes agree with its sessions. For tests: visits every session.
+    /// Whether the table's indexes match its sessions. For tests; visits every session.
     pub fn is_consistent(&self) -> bool {
         self.sessions.is_consistent()
     }
 
-    /// Evicts the session of least use, if there is no room for one more.
-    fn make_room(&mut self) -> Result<(), SessionError> {
+    /// Evicts a session if a limit is reached.
+    fn evict_if_full(&mut self) -> Result<(), SessionError> {
         let has_room = self.sessions.len() < self.max_sessions;
         if has_room && self.sessions.probationary() < self.max_probationary {
             return Ok(());
--- a/crates/clickhouse/src/sql/kill.rs
+++ b/crates/clickhouse/src/sql/kill.rs
@@ -1,22 +1,22 @@
-//! KILL QUERY and its condition.
+//! Parsing of KILL QUERY.
 
 use super::tokenizer::Token;
 
 /// Keywords that may follow the condition.
 const OPTION_KEYWORDS: &[&str] = &["sync", "async", "test", "format", "settings"];
 
-/// A KILL QUERY.
+/// A KILL QUERY statement.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KillQuery {
-    /// The query ids that it names; `None` if its condition is any other than `query_id = '...'` or
+    /// The ids of the queries to kill; `None` unless the condition is `query_id = '...'` or
     /// `query_id IN ('...', ...)`.
     pub ids: Option<Vec<String>>,
-    /// What follows the condition, to be passed on: `SYNC`, `FORMAT JSON`.
+    /// The text after the condition, to be forwarded: `SYNC`, `FORMAT JSON`.
     pub options: String,
 }
 
 impl KillQuery {
-    /// Parses the tokens of a KILL QUERY.
+    /// Parses the tokens of a KILL QUERY statement.
     pub(super) fn parse(statement: &str, tokens: &[Token]) -> KillQuery {
         let keyword = tokens.iter().position(|t| t.is_keyword(&["where"]));
         let condition = Condition::parse(keyword.map_or(&[], |at| &tokens[at + 1..]));
@@ -30,11 +30,11 @@
     }
 }
 
-/// The condition behind WHERE.
+/// The condition after WHERE.
 struct Condition<'a> {
-    /// The ids; none where the condition is of another form.
+    /// The ids; empty if the condition has an unsupported form.
     ids: Vec<String>,
-    /// The tokens that follow.
+    /// The tokens after the condition.
     rest: &'a [Token],
 }
 
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Parses a list behind its opening bracket.
+    /// Parses a list after its opening parenthesis.
     fn parse_list(tokens: &[Token]) -> Condition<'_> {
         let mut ids = Vec::new();
         let mut rest = tokens;
@@ -81,10 +81,10 @@
     }
 }
 
-/// What follows the condition.
+/// The options after the condition.
 struct Options<'a> {
     words: Vec<&'a str>,
-    /// They are words alone, and the first is a known one: `OR 1` would be part of the condition.
+    /// All tokens are words, and the first is a known option. Otherwise they may belong to the condition, as in `OR 1`.
     are_supported: bool,
 }
 
--- a/crates/clickhouse/src/sql/mod.rs
+++ b/crates/clickhouse/src/sql/mod.rs
@@ -1,13 +1,13 @@
-//! Scans statements, just far enough to route them: their kind, the tables they name, what they leave in a session.
+//! Scans statements as far as routing needs: their kind, the tables that they name, and their effect on a session.
 //!
-//! This is no SQL parser: it reads the tokens of the first [`MAX_SCANNED_BYTES`] and knows the keywords that
-//! statements begin with. A statement that it does not recognise counts as one that writes and must not run twice.
+//! This is not an SQL parser: it tokenizes the first [`MAX_SCANNED_BYTES`] and recognizes the keywords that statements
+//! start with. An unrecognized statement is treated as a write that must not run twice.
 //!
-//! | module | job |
+//! | module | purpose |
 //! | --- | --- |
 //! | `tokenizer` | splits a statement into tokens |
 //! | `tables` | the tables that a statement names |
-//! | `kill` | KILL QUERY and its condition |
+//! | `kill` | KILL QUERY |
 
 mod kill;
 mod tables;
@@ -18,7 +18,7 @@
 use crate::session::SessionEffect;
 use tokenizer::{tokenize, Token};
 
-/// Bytes of a statement that are scanned. What follows are rows, or a query larger than the server's default bound.
+/// Number of bytes of a statement that are scanned. Longer text contains rows, or exceeds the server's default limit on queries.
 pub const MAX_SCANNED_BYTES: usize = 16 * 1024;
 
 const READ_KEYWORDS: &[&str] = &[
@@ -27,32 +27,32 @@
 const SET_KEYWORDS: &[&str] = &["set", "use"];
 const CREATE_KEYWORDS: &[&str] = &["create", "replace"];
 const TRANSACTION_KEYWORDS: &[&str] = &["begin", "commit", "rollback"];
-/// Tokens behind CREATE among which TEMPORARY may be: `CREATE OR REPLACE TEMPORARY TABLE`.
+/// Token offsets from CREATE at which TEMPORARY may occur: `CREATE OR REPLACE TEMPORARY TABLE`.
 const TEMPORARY_OFFSETS: std::ops::Range<usize> = 1..4;
 
-/// What routing needs to know of a statement.
+/// The properties of a statement that routing needs.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Statement {
-    /// It only reads.
+    /// The statement only reads.
     pub is_read: bool,
-    /// Running it twice is the same as running it once: it reads, sets something or kills queries.
+    /// Running the statement twice has the same effect as running it once: it reads, sets something or kills queries.
     pub is_idempotent: bool,
-    /// It is an INSERT.
+    /// The statement is an INSERT.
     pub is_insert: bool,
-    /// What it leaves in its session.
+    /// The effect on the session.
     pub session_effect: SessionEffect,
-    /// The table that it writes, with the database if that is named.
+    /// The table that is written, with the database if the statement names it.
     pub written_table: Option<String>,
-    /// The number of the table group that it names; 0 if none. See [`table_group`].
+    /// The number of the table group; 0 if there is none. See [`table_group`].
     pub table_group: u32,
-    /// It is a KILL QUERY.
+    /// The parsed KILL QUERY, if the statement is one.
     pub kill: Option<KillQuery>,
-    /// It has no tokens.
+    /// The statement has no tokens.
     pub is_empty: bool,
 }
 
 impl Statement {
-    /// Scans a statement, or the beginning of one.
+    /// Scans a statement or the first part of one.
     pub fn scan(text: &str) -> Statement {
         let text = scanned_part(text);
         let tokens = tokenize(text);
@@ -95,7 +95,7 @@
     }
 }
 
-/// The first [`MAX_SCANNED_BYTES`], or a few less so that no character is split.
+/// The first [`MAX_SCANNED_BYTES`], rounded down to a character boundary.
 fn scanned_part(text: &str) -> &str {
     let mut end = text.len().min(MAX_SCANNED_BYTES);
     while !text.is_char_boundary(end) {
@@ -104,7 +104,7 @@
     &text[..end]
 }
 
-/// The number of the table group that a statement names, 0 if none: `4` for a table in the database `sales_4`.
+/// The number of the table group that a statement names: 4 for a table in the database `sales_4`, 0 if there is none.
 pub fn table_group(statement: &str) -> u32 {
     tables::table_group(&tokenize(statement))
 }
--- a/crates/clickhouse/src/sql/tables.rs
+++ b/crates/clickhouse/src/sql/tables.rs
@@ -1,15 +1,15 @@
-//! The tables that a statement names.
+//! Extraction of table names from statements.
 
 use super::tokenizer::Token;
 
-/// Keywords that a table's name follows.
+/// Keywords that precede a table name.
 const TABLE_KEYWORDS: &[&str] = &["from", "join", "into", "update", "table", "only"];
-/// Keywords that the name of a table to be written follows.
+/// Keywords that precede the name of a table that is written.
 const WRITE_KEYWORDS: &[&str] = &["into", "table", "update"];
-/// A database of this name is no table group, whatever its number.
+/// Databases with this name and a number are not table groups.
 const STAGING: &str = "staging";
 
-/// The table that a statement writes, with the database if that is named.
+/// The table that a statement writes, with the database if the statement names it.
 pub(super) fn written_table(tokens: &[Token]) -> Option<String> {
     let keyword = tokens.iter().position(|t| t.is_keyword(WRITE_KEYWORDS))?;
     let target = match &tokens[keyword + 1..] {
@@ -26,8 +26,8 @@
     }
 }
 
-/// The number of the first table group that a table is named in; 0 if none. A name behind one of [`TABLE_KEYWORDS`]
-/// takes precedence: elsewhere `alias_2.column` looks the same.
+/// The number of the first table group that a table name refers to; 0 if there is none. A name after one of
+/// [`TABLE_KEYWORDS`] takes precedence, because elsewhere `alias_2.column` looks the same.
 pub(super) fn table_group(tokens: &[Token]) -> u32 {
     let mut fallback = 0;
     for (index, window) in tokens.windows(3).enumerate() {
@@ -47,7 +47,7 @@
     fallback
 }
 
-/// The number at the end of a database's name: 4 for `sales_4`.
+/// The number at the end of a database name: 4 for `sales_4`.
 fn group_number(database: &str) -> Option<u32> {
     let (name, number) = database.rsplit_once('_')?;
     let is_number = !number.is_empty() && number.bytes().all(|b| b.is_ascii_digit());
--- a/crates/clickhouse/src/sql/tokenizer.rs
+++ b/crates/clickhouse/src/sql/tokenizer.rs
@@ -1,11 +1,11 @@
-//! Splits a statement into tokens.
+//! Tokenizer for statements.
 
-/// A token of a statement. Comments and white space are none.
+/// A token of a statement. Comments and white space produce no tokens.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Token {
-    /// A keyword, a number or an identifier; quoted identifiers without their quotes.
+    /// A keyword, number or identifier; quoted identifiers are stored without their quotes.
     Name(String),
-    /// A string literal's content.
+    /// The content of a string literal.
     String(String),
     /// A dot.
     Dot,
@@ -14,7 +14,7 @@
 }
 
 impl Token {
-    /// Whether it is one of these keywords, given in lower case.
+    /// Whether the token is one of these keywords, given in lower case.
     pub(super) fn is_keyword(&self, keywords: &[&str]) -> bool {
         match self {
             Token::Name(name) => keywords.iter().any(|k| name.eq_ignore_ascii_case(k)),
@@ -23,7 +23,7 @@
     }
 }
 
-/// The tokens of a statement. What is unterminated ends with the text.
+/// Splits a statement into tokens. Unterminated literals and comments end at the end of the text.
 pub(super) fn tokenize(statement: &str) -> Vec<Token> {
     let mut tokenizer = Tokenizer {
         chars: statement.chars().collect(),
@@ -46,7 +46,7 @@
         self.chars.get(self.position + offset).copied()
     }
 
-    /// Consumes a token, a comment or a character of white space that begins with `first`.
+    /// Consumes a token, a comment or a white space character that starts with `first`.
     fn next_token(&mut self, first: char) -> Option<Token> {
         let second = self.peek(1);
         match first {
@@ -90,8 +90,8 @@
         self.chars[start..self.position].iter().collect()
     }
 
-    /// Reads what stands between quotes. A doubled quote, and a character behind a backslash in a string literal,
-    /// stand for themselves.
+    /// Reads quoted text. A doubled quote stands for one quote, and a backslash in a string literal escapes the next
+    /// character.
     fn read_quoted(&mut self, quote: char) -> String {
         let mut content = String::new();
         self.position += 1;
--- a/crates/clickhouse/src/tail.rs
+++ b/crates/clickhouse/src/tail.rs
@@ -3,10 +3,10 @@
 use crate::exception::MAX_TEXT_BYTES;
 use std::io::{self, Write};
 
-/// Bytes that a [`TailBuffer`] keeps, once as many were written: an exception with what surrounds it.
+/// Number of bytes that a [`TailBuffer`] retains: enough for an exception with its surroundings.
 pub const TAIL_BYTES: usize = MAX_TEXT_BYTES + 2 * 1024;
 
-/// A writer that keeps the last [`TAIL_BYTES`] alone.
+/// A writer that retains only the last [`TAIL_BYTES`].
 #[derive(Default)]
 pub struct TailBuffer {
     bytes: Vec<u8>,
@@ -19,7 +19,7 @@
         &self.bytes[self.bytes.len().saturating_sub(TAIL_BYTES)..]
     }
 
-    /// How many bytes were ever written.
+    /// Total number of bytes written.
     pub fn written(&self) -> u64 {
         self.written
     }
@@ -28,7 +28,7 @@
     pub fn push(&mut self, bytes: &[u8]) {
         self.written += bytes.len() as u64;
         let bytes = &bytes[bytes.len().saturating_sub(TAIL_BYTES)..];
-        // The buffer grows to twice the tail before it is moved, so that small writes stay cheap.
+        // The buffer grows to twice the tail before it is compacted, so that small writes are cheap.
         if self.bytes.len() + bytes.len() > 2 * TAIL_BYTES {
             let kept = TAIL_BYTES.saturating_sub(bytes.len());
             let kept = kept.min(self.bytes.len());
