--- a/crates/clickhouse/src/block/mod.rs
+++ b/crates/clickhouse/src/block/mod.rs
@@ -19,7 +19,8 @@
 const HEADER_BYTES: usize = 9;
 /// Offset of the compressed data in a block.
 const DATA_START: usize = CHECKSUM_BYTES + HEADER_BYTES;
-/// Maximum block size, compressed and uncompressed. Servers write blocks of at most 1 MiB, and read blocks of up to 1 GiB.
+/// Maximum block size, compressed and uncompressed. Servers write blocks of at most 1 MiB and read
+/// blocks of up to 1 GiB.
 pub const MAX_BLOCK_BYTES: usize = 16 * 1024 * 1024;
 const ZSTD_LEVEL: i32 = 1;
 
--- a/crates/clickhouse/src/session/mod.rs
+++ b/crates/clickhouse/src/session/mod.rs
@@ -1,5 +1,4 @@
-//! Sessions of ClickHouse's HTTP interface (`session_id`): the engine that each is bound to, whether it may migrate, and
-//! eviction.
+//! Sessions of ClickHouse's HTTP interface (`session_id`): the engine that each is bound to, migration, and eviction.
 //!
 //! A session is bound to one engine. As long as its statements only read, it is *stateless*: its next query prefers the
 //! same engine, but may run on another one if that engine drains or fails. A statement that creates session state (a
--- a/crates/clickhouse/src/sql/mod.rs
+++ b/crates/clickhouse/src/sql/mod.rs
@@ -18,7 +18,8 @@
 use crate::session::SessionEffect;
 use tokenizer::{tokenize, Token};
 
-/// Number of bytes of a statement that are scanned. Longer text contains rows, or exceeds the server's default limit on queries.
+/// Number of bytes of a statement that are scanned. Longer text contains rows, or exceeds the server's default limit on
+/// the size of a query.
 pub const MAX_SCANNED_BYTES: usize = 16 * 1024;
 
 const READ_KEYWORDS: &[&str] = &[
--- a/crates/clickhouse/tests/block.rs
+++ b/crates/clickhouse/tests/block.rs
@@ -1,4 +1,4 @@
-//! Compressed blocks: compression, decompression, and streams of them.
+//! Compressed blocks: compression, decompression and streams.
 
 use driftfront_clickhouse::block::{
     compress, decompress, BlockError, BlockStream, Method, MAX_RETAINED_BLOCKS,
@@ -8,7 +8,7 @@
 const ALL: [Method; 3] = [Method::None, Method::Lz4, Method::Zstd];
 
 #[test]
-fn what_is_packed_is_unpacked_by_every_method() {
+fn every_method_round_trips() {
     for method in ALL {
         for data in [
             &b""[..],
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn frames_come_in_any_pieces_and_only_the_last_are_held() {
+fn stream_may_be_split_at_any_byte_and_its_tail_is_retained() {
     let stream: Vec<u8> = ALL
         .iter()
         .flat_map(|&method| compress(method, format!("{method:?}").as_bytes()))
@@ -39,13 +39,13 @@
         assert_eq!(blocks.complete_blocks(), 3);
         assert!(blocks.is_at_block_boundary());
         assert_eq!(blocks.tail(), Ok(b"NoneLz4Zstd".to_vec()));
-        blocks.push(&stream[..30]).expect("the next begins");
+        blocks.push(&stream[..30]).expect("the start of a block");
         assert!(!blocks.is_at_block_boundary() && blocks.incomplete().len() <= 30);
     }
 }
 
 #[test]
-fn frames_that_the_last_bytes_do_not_reach_are_let_go() {
+fn blocks_not_needed_for_the_tail_are_released() {
     let (large, small) = (
         compress(Method::Lz4, &[b'x'; 3 * TAIL_BYTES]),
         compress(Method::None, b"y"),
@@ -64,18 +64,18 @@
         .and_then(|()| blocks.push(&small))
         .expect("well formed");
     assert_eq!(blocks.retained_blocks(), 2);
-    assert!(blocks.tail().expect("well").ends_with(b"xxy"));
+    assert!(blocks.tail().expect("valid blocks").ends_with(b"xxy"));
 }
 
 #[test]
-fn any_changed_byte_is_noticed_and_none_panics() {
+fn every_corrupted_byte_is_detected_without_a_panic() {
     let good = compress(Method::Lz4, &[5; 400]);
     for at in 0..good.len() {
         let mut bad = good.clone();
         bad[at] ^= 0x40;
         let mut blocks = BlockStream::default();
-        let noticed = blocks.push(&bad).is_err() || !blocks.is_at_block_boundary();
-        assert!(noticed, "byte {at}");
+        let is_detected = blocks.push(&bad).is_err() || !blocks.is_at_block_boundary();
+        assert!(is_detected, "byte {at}");
         assert!(decompress(&bad).is_err(), "byte {at}");
     }
     assert_eq!(decompress(b"short"), Err(BlockError::NotABlock));
--- a/crates/clickhouse/tests/body_budget.rs
+++ b/crates/clickhouse/tests/body_budget.rs
@@ -1,4 +1,4 @@
-//! The budget for bodies that are kept.
+//! The budget for buffered bodies.
 
 use driftfront_clickhouse::body_budget::{
     BodyBudget, Reservation, MAX_BUFFERED_BYTES, UNBUDGETED_BYTES,
@@ -12,10 +12,10 @@
 }
 
 #[test]
-fn small_bodies_always_find_room_and_large_ones_share_the_budget() {
+fn small_bodies_are_always_buffered_and_large_ones_share_the_budget() {
     let mut budget = BodyBudget::new(3 * MAX_BUFFERED_BYTES);
-    let mut held = Vec::new();
-    // Each grows by 64 KB until it must be streamed.
+    let mut reserved = Vec::new();
+    // Each body grows by 64 KB until it has to be streamed.
     let mut last = reservation(0, MAX_BUFFERED_BYTES);
     for _ in 0..10 {
         let mut size = 0;
@@ -27,7 +27,7 @@
                 break;
             }
         }
-        held.push(last.reserved_bytes);
+        reserved.push(last.reserved_bytes);
     }
     assert!(
         budget.total_reserved_bytes() <= 3 * MAX_BUFFERED_BYTES
@@ -39,12 +39,12 @@
         reservation(0, MAX_BUFFERED_BYTES)
     );
     assert!(budget.counters().over_budget > 0);
-    held.into_iter().for_each(|r| budget.release(r));
+    reserved.into_iter().for_each(|r| budget.release(r));
     assert_eq!(budget.total_reserved_bytes(), 0);
 }
 
 #[test]
-fn body_over_the_bound_for_one_is_streamed_with_what_it_holds() {
+fn body_over_the_size_limit_keeps_its_reservation_and_is_streamed() {
     let mut budget = BodyBudget::new(64 * MAX_BUFFERED_BYTES);
     let full = reservation(MAX_BUFFERED_BYTES - UNBUDGETED_BYTES, MAX_BUFFERED_BYTES);
     assert_eq!(budget.reserve(0, MAX_BUFFERED_BYTES), full);
--- a/crates/clickhouse/tests/coding.rs
+++ b/crates/clickhouse/tests/coding.rs
@@ -1,4 +1,4 @@
-//! Content codings: compression, decoding however fragmented, and negotiation.
+//! Content codings: compression, incremental decoding and negotiation.
 
 use driftfront_clickhouse::coding::{compress, decompress_prefix, Coding, Decoder};
 use driftfront_clickhouse::tail::{TailBuffer, TAIL_BYTES};
@@ -18,14 +18,14 @@
 }
 
 #[test]
-fn every_coding_is_decoded_however_fragmented() {
+fn every_coding_is_decoded_in_chunks_of_any_size() {
     let plain = text();
     for coding in ALL {
-        let packed = compress(coding, &plain).expect("compresses");
+        let compressed = compress(coding, &plain).expect("compresses");
         for step in [11, 1000, 1 << 20] {
             let mut decoder = Decoder::new(coding, TailBuffer::default()).expect("a decoder");
-            for piece in packed.chunks(step) {
-                decoder.push(piece).expect("well formed");
+            for part in compressed.chunks(step) {
+                decoder.push(part).expect("well formed");
             }
             decoder
                 .finish()
@@ -41,7 +41,7 @@
             );
         }
         assert_eq!(
-            decompress_prefix(coding, &packed, 100),
+            decompress_prefix(coding, &compressed, 100),
             &plain[..100],
             "{coding:?}"
         );
@@ -53,12 +53,12 @@
 fn corrupt_stream_never_panics() {
     let plain = text();
     for coding in ALL {
-        let packed = compress(coding, &plain).expect("compresses");
-        for at in [0, 3, packed.len() / 2] {
-            let mut bad = packed.clone();
-            bad[at] ^= 0xff;
+        let compressed = compress(coding, &plain).expect("compresses");
+        for at in [0, 3, compressed.len() / 2] {
+            let mut corrupt = compressed.clone();
+            corrupt[at] ^= 0xff;
             let mut decoder = Decoder::new(coding, TailBuffer::default()).expect("a decoder");
-            let _ = decoder.push(&bad).and_then(|()| decoder.finish());
+            let _ = decoder.push(&corrupt).and_then(|()| decoder.finish());
         }
     }
 }
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_tail_keeps_the_last_bytes_however_they_come() {
+fn tail_buffer_retains_the_last_bytes_of_writes_of_any_size() {
     let plain = text();
     for step in [1, 100, TAIL_BYTES, 3 * TAIL_BYTES] {
         let mut tail = TailBuffer::default();
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn lz4_frame_goes_on_behind_an_empty_stored_block() {
+fn lz4_frame_continues_after_an_empty_uncompressed_block() {
     let header = [0x04, 0x22, 0x4d, 0x18, 0x60, 0x40, 0x82];
     let empty_block = [0, 0, 0, 0x80];
     let block = [2, 0, 0, 0x80, b'a', b'b'];
--- a/crates/clickhouse/tests/credentials.rs
+++ b/crates/clickhouse/tests/credentials.rs
@@ -1,4 +1,4 @@
-//! Users and keys, wherever a client names them.
+//! Credentials in the URL, in ClickHouse's header fields and in `Authorization`.
 
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine as _;
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn credentials_of_all_three_places_become_headers() {
+fn credentials_from_all_three_places_become_headers() {
     let basic = format!("Basic {}", STANDARD.encode("jana:pa:ss"));
     let all = [
         read("user=jana&password=pa%3Ass", &[]),
@@ -27,20 +27,20 @@
         ),
         read("", &[("Authorization", &basic)]),
     ];
-    for one in all {
-        let one = one.expect("well formed");
+    for credentials in all {
+        let credentials = credentials.expect("well formed");
         assert_eq!(
-            one.headers().collect::<Vec<_>>(),
+            credentials.headers().collect::<Vec<_>>(),
             [(USER, "jana"), (KEY, "pa:ss")]
         );
-        assert!(!format!("{one:?}").contains("ss"));
+        assert!(!format!("{credentials:?}").contains("ss"));
     }
     let bearer = read("", &[("Authorization", "Bearer a.b.c")]).expect("a token");
     assert_eq!(
         bearer.headers().collect::<Vec<_>>(),
         [("Authorization", "Bearer a.b.c")]
     );
-    assert_eq!(read("", &[]).expect("nobody").headers().count(), 0);
+    assert_eq!(read("", &[]).expect("no credentials").headers().count(), 0);
 }
 
 #[test]
@@ -49,12 +49,14 @@
         read("user=a", &[(USER, "b")]).expect_err("both").code(),
         516
     );
-    for odd in ["Basic %%%", "Basic amFuYQ==", "Digest x", "Basic"] {
+    for value in ["Basic %%%", "Basic amFuYQ==", "Digest x", "Basic"] {
         assert_eq!(
-            read("", &[("Authorization", odd)]).expect_err(odd).code(),
+            read("", &[("Authorization", value)])
+                .expect_err(value)
+                .code(),
             516
         );
     }
-    let forged = STANDARD.encode("jana\r\nX-Evil: 1:x");
-    assert!(read("", &[("Authorization", &format!("Basic {forged}"))]).is_err());
+    let injected = STANDARD.encode("jana\r\nX-Evil: 1:x");
+    assert!(read("", &[("Authorization", &format!("Basic {injected}"))]).is_err());
 }
--- a/crates/clickhouse/tests/exception.rs
+++ b/crates/clickhouse/tests/exception.rs
@@ -1,4 +1,4 @@
-//! Exceptions: their codes, and how they are found in results.
+//! Exceptions: error codes and detection in results.
 
 use driftfront_clickhouse::exception::{
     error_name, find_in_last_lines, find_json_key, find_tagged, http_status, parse_code,
@@ -6,7 +6,7 @@
 };
 
 #[test]
-fn the_list_is_in_order_so_that_codes_are_found() {
+fn error_codes_are_sorted_for_binary_search() {
     assert!(ERROR_CODES.windows(2).all(|w| w[0].code < w[1].code));
     assert!(ERROR_CODES
         .iter()
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn codes_are_read_and_what_only_looks_like_one_is_not() {
+fn codes_are_parsed_and_similar_text_is_not() {
     assert_eq!(
         parse_code("Code: 62. DB::Exception: Syntax error"),
         Some(62)
@@ -38,21 +38,21 @@
 }
 
 #[test]
-fn a_marker_is_found_with_all_its_lines_and_an_older_one_in_the_rows_is_not_mistaken() {
-    let words = "Code: 241. DB::Exception: Memory\nlimit. (MEMORY_LIMIT_EXCEEDED)";
+fn tagged_exception_with_several_lines_is_found_and_another_tag_in_the_rows_is_ignored() {
+    let text = "Code: 241. DB::Exception: Memory\nlimit. (MEMORY_LIMIT_EXCEEDED)";
     let tail = format!(
         "1\n__exception__\r\nother\r\nCode: 1\n{}",
-        tagged_exception("tag", words)
+        tagged_exception("tag", text)
     );
     assert_eq!(
         find_tagged(tail.as_bytes(), "tag").map(|e| (e.code, e.text)),
-        Some((241, words.into()))
+        Some((241, text.into()))
     );
     assert_eq!(find_tagged(tail.as_bytes(), "nope"), None);
 }
 
 #[test]
-fn last_lines_are_an_exception_only_where_they_end_like_one() {
+fn last_lines_are_an_exception_only_if_they_end_like_one() {
     let whole = b"1\n2\nCode: 241. DB::Exception: Memory limit. (MEMORY_LIMIT_EXCEEDED)\n";
     assert_eq!(find_in_last_lines(whole, false).map(|e| e.code), Some(241));
     let version = b"Code: 241. DB::Exception: Memory (version 22.3.1 (official build))\n";
@@ -60,7 +60,7 @@
         find_in_last_lines(version, false).map(|e| e.code),
         Some(241)
     );
-    // A row of a log table says the same words and goes on.
+    // A row of a log table contains the same text, followed by more columns.
     let rows = b"Code: 241. DB::Exception: Memory\tand more columns\n7\t8\n";
     assert_eq!(find_in_last_lines(rows, false), None);
     assert_eq!(find_in_last_lines(rows, true).map(|e| e.code), Some(241));
@@ -68,10 +68,10 @@
 }
 
 #[test]
-fn the_exception_key_counts_only_as_the_last_of_the_result() {
-    let told =
+fn exception_key_is_recognized_only_as_the_last_key_of_the_result() {
+    let reported =
         br#"{"data":[{"a":1}],"rows":1,"exception": "Code: 395. DB::Exception: Value \"x\"\n (N)"}"#;
-    assert_eq!(find_json_key(told).map(|e| e.code), Some(395));
+    assert_eq!(find_json_key(reported).map(|e| e.code), Some(395));
     let row = br#"{"data":[{"exception":"Code: 395. DB::Exception: in a row"}],"rows":1}"#;
     assert_eq!(find_json_key(row), None);
     assert_eq!(find_json_key(br#"{"exception":"Code: 395"#), None);
--- a/crates/clickhouse/tests/golden.rs
+++ b/crates/clickhouse/tests/golden.rs
@@ -1,4 +1,5 @@
-//! The forms of ClickHouse's interface: what is written stays as it is, and what other programs wrote is read as it was.
+//! Golden tests of the ClickHouse interface: output must not change, and data written by servers and earlier builds must
+//! be parsed as before.
 
 use driftfront_clickhouse::block::{self, BlockStream, Method};
 use driftfront_clickhouse::coding::{self, Coding};
@@ -19,7 +20,7 @@
 use std::fmt::Write as _;
 
 #[test]
-fn codes_keep_their_names_statuses_and_what_they_prove() {
+fn error_codes_keep_their_names_statuses_and_classes() {
     let mut text = String::new();
     for code in 0..1000 {
         let (name, status) = (error_name(code), http_status(code));
@@ -41,7 +42,7 @@
 }
 
 #[test]
-fn exceptions_are_written_and_read_in_all_published_forms() {
+fn exceptions_are_formatted_and_parsed_in_all_published_forms() {
     let mut forms = MessageTranscript::default();
     let own = Exception::new(241, "Memory limit (for query) exceeded");
     forms.record("text", &own.text);
@@ -68,13 +69,13 @@
     assert_golden!("exceptions_read.txt", found.bytes());
 }
 
-/// Rows of three columns, with a frame's worth of repetition.
+/// Rows of three columns, repetitive enough to compress.
 fn rows() -> Vec<u8> {
     "1\ta\tb\n2\tc\td\n".repeat(60).into_bytes()
 }
 
 #[test]
-fn compressed_blocks_of_earlier_builds_are_read() {
+fn compressed_blocks_of_earlier_builds_are_decompressed() {
     for (method, name) in [
         (Method::None, "block_none.bin"),
         (Method::Lz4, "block_lz4.bin"),
@@ -85,10 +86,14 @@
         }
         let golden = read_golden!(name);
         assert_eq!(block::decompress(&golden), Ok(rows()), "{name}");
-        // The head's form is fixed; the packed bytes are the libraries'.
+        // The header is fixed; the compressed bytes depend on the library's version.
         let made = block::compress(method, &rows());
-        assert_eq!(made[16], golden[16], "{name}: the method's byte");
-        assert_eq!(made[21..25], golden[21..25], "{name}: the size unpacked");
+        assert_eq!(made[16], golden[16], "{name}: the method byte");
+        assert_eq!(
+            made[21..25],
+            golden[21..25],
+            "{name}: the uncompressed size"
+        );
         let mut blocks = BlockStream::default();
         blocks.push(&golden).expect("well formed");
         assert_eq!(blocks.complete_blocks(), 1);
@@ -101,12 +106,12 @@
         checker.push(&golden).expect("well formed");
         assert_eq!(checker.finish(false), Ok(()));
     }
-    // Nothing is packed in this one: all of it is this crate's form.
+    // Without compression the whole block is defined by this crate.
     assert_golden!("block_none.bin", block::compress(Method::None, &rows()));
 }
 
 #[test]
-fn content_codings_of_earlier_builds_are_read() {
+fn content_codings_of_earlier_builds_are_decoded() {
     for coding in [
         Coding::Gzip,
         Coding::Deflate,
@@ -116,7 +121,10 @@
     ] {
         let name = format!("coding_{}.bin", coding.name());
         if std::env::var_os("WRITE_GOLDEN").is_some() {
-            assert_golden!(&name, coding::compress(coding, &rows()).expect("it packs"));
+            assert_golden!(
+                &name,
+                coding::compress(coding, &rows()).expect("compresses")
+            );
         }
         let golden = read_golden!(&name);
         assert_eq!(
@@ -149,7 +157,7 @@
     }
 }
 
-/// What is read of a request, a line each.
+/// The fields of a parsed request, one per line.
 fn shown(request: &Request) -> String {
     let query = match request::parse(request) {
         Ok(ClientRequest::Query(query)) => query,
@@ -274,7 +282,7 @@
 }
 
 #[test]
-fn requests_are_read_and_passed_on_as_ever() {
+fn parsed_and_forwarded_requests_match_golden_file() {
     let mut transcript = MessageTranscript::default();
     let requests = [accepted_queries(), rejected_queries(), other_requests()];
     for (name, request) in requests.into_iter().flatten() {
@@ -287,7 +295,7 @@
 }
 
 #[test]
-fn statements_are_told_apart_as_ever() {
+fn scanned_statements_match_golden_file() {
     let mut text = String::new();
     for statement in [
         "SELECT 1",
@@ -340,7 +348,7 @@
 }
 
 #[test]
-fn sessions_are_refused_in_the_same_words() {
+fn session_errors_match_golden_file() {
     let mut table: SessionTable<u32> = SessionTable::with_limits(7, 1, 1);
     let mut transcript = MessageTranscript::default();
     let text = |error: SessionError| Exception::from(error).text;
--- a/crates/clickhouse/tests/multipart.rs
+++ b/crates/clickhouse/tests/multipart.rs
@@ -8,8 +8,9 @@
 
 #[test]
 fn fields_and_tables_are_distinguished() {
-    let kind = "multipart/form-data; charset=utf-8; boundary=\"b1\"";
-    let parts = parse(BODY.as_bytes(), &parse_boundary(kind).expect("one")).expect("well formed");
+    let content_type = "multipart/form-data; charset=utf-8; boundary=\"b1\"";
+    let parts =
+        parse(BODY.as_bytes(), &parse_boundary(content_type).expect("one")).expect("well formed");
     let data = |n: usize| &BODY[parts[n].content.clone()];
     assert_eq!(
         (parts[0].name.as_str(), &parts[0].file_name, data(0)),
--- a/crates/clickhouse/tests/params.rs
+++ b/crates/clickhouse/tests/params.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn last_value_of_a_repeated_name_counts() {
+fn last_value_of_a_repeated_name_is_used() {
     let params = Params::parse("a=1&a=2&b&&wait=TRUE").expect("few");
     assert_eq!(
         (params.get("a"), params.get("b"), params.non_empty("b")),
--- a/crates/clickhouse/tests/request.rs
+++ b/crates/clickhouse/tests/request.rs
@@ -1,4 +1,4 @@
-//! Requests as they are read off the interface.
+//! Parsing of client requests.
 
 use driftfront_clickhouse::block::{compress, Method};
 use driftfront_clickhouse::coding::Coding;
@@ -33,10 +33,10 @@
 }
 
 #[test]
-fn statement_is_found_in_every_place_and_packing() {
+fn statement_is_found_in_every_place_and_encoding() {
     let insert = b"INSERT INTO uni_4.t FORMAT CSV\n1,2\n";
-    let gzip = driftfront_clickhouse::coding::compress(Coding::Gzip, insert).expect("packs");
-    let frames = [
+    let gzip = driftfront_clickhouse::coding::compress(Coding::Gzip, insert).expect("compresses");
+    let blocks = [
         compress(Method::Lz4, &insert[..9]),
         compress(Method::Zstd, &insert[9..]),
     ]
@@ -46,7 +46,7 @@
         ("/", vec![], &insert[..]),
         ("/?query=INSERT+INTO+uni_4.t+FORMAT+CSV", vec![], b"1,2\n"),
         ("/", vec![("Content-Encoding", "gzip")], &gzip),
-        ("/?decompress=1", vec![], &frames),
+        ("/?decompress=1", vec![], &blocks),
         (
             "/",
             vec![("Content-Type", "multipart/form-data; boundary=b")],
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn unreadable_requests_get_a_code() {
+fn invalid_requests_get_an_error_code() {
     let code = |method, target, headers: &[(&str, &str)], body: &[u8]| {
         query(method, target, headers, body)
             .expect_err(target)
@@ -81,13 +81,13 @@
             "POST",
             "/?decompress=1",
             &[],
-            b"SELECT 1 -- and more than one frame's head"
+            b"SELECT 1 -- and more than one block's header"
         ),
         271
     );
-    let mut frame = compress(Method::Lz4, b"SELECT 1");
-    frame[30] ^= 1;
-    assert_eq!(code("POST", "/?decompress=1", &[], &frame), 271);
+    let mut block = compress(Method::Lz4, b"SELECT 1");
+    block[30] ^= 1;
+    assert_eq!(code("POST", "/?decompress=1", &[], &block), 271);
     assert_eq!(
         code("POST", "/", &[("Content-Encoding", "snappy")], b"x"),
         48
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn settings_are_forwarded_and_secrets_stay_out_of_the_url() {
+fn settings_are_forwarded_and_secrets_are_not_in_the_url() {
     let target =
         "/?database=uni&param_x=a%26b&password=hunter2&user=jana&query_id=q&max_execution_time=2.5\
                   &driftfront_class=report&session_id=s&session_check=1&send_progress_in_http_headers=1";
@@ -157,9 +157,9 @@
         .as_ref()
         .is_some_and(|s| s.id == "s" && s.must_exist));
     assert!(!format!("{read:?}").contains("hunter2"));
-    let packed =
+    let compressed =
         query("POST", "/?enable_http_compression=1", &headers, b"SELECT 1").expect("well formed");
-    assert!(packed
+    assert!(compressed
         .forwarded_headers
         .0
         .contains("Accept-Encoding: gzip\r\n"));
@@ -167,21 +167,21 @@
 
 #[test]
 fn unknown_paths_and_methods_are_distinguished() {
-    let asked = |method, target| parse(&request(method, target, &[], b"")).expect("no query");
+    let parsed = |method, target| parse(&request(method, target, &[], b"")).expect("no query");
     assert!(
-        matches!(asked("HEAD", "/"), ClientRequest::Ping)
-            && matches!(asked("GET", "/ping"), ClientRequest::Ping)
+        matches!(parsed("HEAD", "/"), ClientRequest::Ping)
+            && matches!(parsed("GET", "/ping"), ClientRequest::Ping)
     );
     assert!(matches!(
-        asked("OPTIONS", "/?query=x"),
+        parsed("OPTIONS", "/?query=x"),
         ClientRequest::Options
     ));
     assert!(
-        matches!(asked("PUT", "/"), ClientRequest::UnsupportedMethod)
-            && matches!(asked("GET", "/x"), ClientRequest::UnknownPath)
+        matches!(parsed("PUT", "/"), ClientRequest::UnsupportedMethod)
+            && matches!(parsed("GET", "/x"), ClientRequest::UnknownPath)
     );
     assert!(matches!(
-        asked("GET", "/replicas_status"),
+        parsed("GET", "/replicas_status"),
         ClientRequest::ReplicasStatus
     ));
 }
--- a/crates/clickhouse/tests/result_checker.rs
+++ b/crates/clickhouse/tests/result_checker.rs
@@ -1,19 +1,19 @@
-//! Results on their way: errors behind the rows, and broken packing.
+//! Checks of results: exceptions after the rows, and corrupt compression.
 
 use driftfront_clickhouse::block::{self, BlockError, Method};
 use driftfront_clickhouse::coding::{compress, Coding};
 use driftfront_clickhouse::exception::tagged_exception;
 use driftfront_clickhouse::result_checker::{ResultChecker, ResultDescription, ResultError};
 
-const WORDS: &str = "Code: 241. DB::Exception: Memory limit. (MEMORY_LIMIT_EXCEEDED)";
+const EXCEPTION: &str = "Code: 241. DB::Exception: Memory limit. (MEMORY_LIMIT_EXCEEDED)";
 
-/// Every way to pack a result, and its checker.
-fn ways(
+/// The result in every compression, each with a checker.
+fn compressions(
     plain: &str,
     tag: Option<&str>,
     format: Option<&str>,
 ) -> Vec<(&'static str, Vec<u8>, ResultChecker)> {
-    let frames = |text: &str| -> Vec<u8> {
+    let blocks = |text: &str| -> Vec<u8> {
         let (a, b) = text.as_bytes().split_at(text.len() / 2);
         [
             block::compress(Method::Lz4, a),
@@ -21,7 +21,7 @@
         ]
         .concat()
     };
-    let gzip = |bytes: &[u8]| compress(Coding::Gzip, bytes).expect("packs");
+    let gzip = |bytes: &[u8]| compress(Coding::Gzip, bytes).expect("compresses");
     let checker = |has_blocks, coding| {
         let description = ResultDescription {
             has_blocks,
@@ -33,7 +33,7 @@
     };
     vec![
         ("plain", plain.into(), checker(false, None)),
-        ("frames", frames(plain), checker(true, None)),
+        ("blocks", blocks(plain), checker(true, None)),
         (
             "gzip",
             gzip(plain.as_bytes()),
@@ -41,35 +41,35 @@
         ),
         (
             "both",
-            gzip(&frames(plain)),
+            gzip(&blocks(plain)),
             checker(true, Some(Coding::Gzip)),
         ),
     ]
 }
 
-fn run(checker: &mut ResultChecker, bytes: &[u8], cut: bool) -> Result<(), ResultError> {
+fn run(checker: &mut ResultChecker, bytes: &[u8], is_cut: bool) -> Result<(), ResultError> {
     bytes.chunks(50).try_for_each(|p| checker.push(p))?;
-    checker.finish(cut)
+    checker.finish(is_cut)
 }
 
 #[test]
-fn error_behind_the_rows_is_found_in_all_forms_and_packings() {
+fn exception_after_the_rows_is_found_in_all_forms_and_compressions() {
     for rows in [1, 400] {
         let rows = "1\ta\n".repeat(rows);
-        each_form(&rows);
+        check_every_form(&rows);
     }
 }
 
-fn each_form(rows: &str) {
-    let json = format!("{{\"data\":[[1]],\"rows\":1,\"exception\":\"{WORDS}\"}}\n");
-    let tagged = rows.to_string() + &tagged_exception("tag", WORDS);
-    let lines = format!("{rows}{WORDS}\n");
+fn check_every_form(rows: &str) {
+    let json = format!("{{\"data\":[[1]],\"rows\":1,\"exception\":\"{EXCEPTION}\"}}\n");
+    let tagged = rows.to_string() + &tagged_exception("tag", EXCEPTION);
+    let lines = format!("{rows}{EXCEPTION}\n");
     for (text, tag, format) in [
         (&tagged, Some("tag"), None),
         (&lines, None, None),
         (&json, None, Some("JSONCompact")),
     ] {
-        for (way, bytes, mut checker) in ways(text, tag, format) {
+        for (compression, bytes, mut checker) in compressions(text, tag, format) {
             let found = run(&mut checker, &bytes, false);
             let code = |f: ResultError| {
                 if let ResultError::Exception(e) = f {
@@ -78,18 +78,26 @@
                     0
                 }
             };
-            assert_eq!(found.map_err(code), Err(241), "{way}, {tag:?}, {format:?}");
+            assert_eq!(
+                found.map_err(code),
+                Err(241),
+                "{compression}, {tag:?}, {format:?}"
+            );
         }
     }
 }
 
 #[test]
-fn good_result_passes_whatever_its_rows_say() {
-    // Rows that hold an exception's words, and more rows.
-    let rows = format!("{WORDS}\tin a log\n2\tb\n{{\"exception\":\"{WORDS}\"}}\n3\tc\n");
+fn valid_result_passes_even_if_its_rows_contain_an_exception_text() {
+    // Rows that contain an exception's text, followed by more rows.
+    let rows = format!("{EXCEPTION}\tin a log\n2\tb\n{{\"exception\":\"{EXCEPTION}\"}}\n3\tc\n");
     for tag in [None, Some("tag")] {
-        for (way, bytes, mut checker) in ways(&rows, tag, Some("JSONEachRow")) {
-            assert_eq!(run(&mut checker, &bytes, false), Ok(()), "{way}, {tag:?}");
+        for (compression, bytes, mut checker) in compressions(&rows, tag, Some("JSONEachRow")) {
+            assert_eq!(
+                run(&mut checker, &bytes, false),
+                Ok(()),
+                "{compression}, {tag:?}"
+            );
         }
     }
 }
@@ -97,13 +105,13 @@
 #[test]
 fn cut_or_corrupt_blocks_are_errors() {
     let rows = "1\ta\n".repeat(4000);
-    for (way, bytes, mut checker) in ways(&rows, None, None).into_iter().skip(1) {
+    for (compression, bytes, mut checker) in compressions(&rows, None, None).into_iter().skip(1) {
         assert!(
             run(&mut checker, &bytes[..bytes.len() - 5], true).is_err(),
-            "{way} cut"
+            "{compression} cut"
         );
     }
-    let (_, mut bytes, mut checker) = ways(&rows, None, None).remove(1);
+    let (_, mut bytes, mut checker) = compressions(&rows, None, None).remove(1);
     let at = bytes.len() - 3;
     bytes[at] ^= 1;
     assert_eq!(
@@ -113,12 +121,12 @@
 }
 
 #[test]
-fn plain_text_between_compressed_blocks_is_an_exception() {
+fn plain_text_in_place_of_a_compressed_block_is_an_exception() {
     let description = ResultDescription {
         has_blocks: true,
         ..ResultDescription::default()
     };
     let mut checker = ResultChecker::new(&description).expect("a decoder");
-    let bytes = [block::compress(Method::Lz4, b"1\n"), WORDS.into()].concat();
+    let bytes = [block::compress(Method::Lz4, b"1\n"), EXCEPTION.into()].concat();
     assert!(matches!(checker.push(&bytes), Err(ResultError::Exception(e)) if e.code == 241));
 }
--- a/crates/clickhouse/tests/session.rs
+++ b/crates/clickhouse/tests/session.rs
@@ -1,4 +1,4 @@
-//! Sessions: where each lives, and which are evicted.
+//! Sessions: affinity, loss, expiration and eviction.
 
 use driftfront_clickhouse::exception::Exception;
 use driftfront_clickhouse::session::{
@@ -17,7 +17,7 @@
     }
 }
 
-/// Runs a query that only reads; returns the session's affinity before it.
+/// Runs a query that only reads; returns the session's affinity before the query.
 fn read(
     table: &mut SessionTable<u8>,
     now: Micros,
@@ -39,13 +39,13 @@
     engine: u8,
     effect: SessionEffect,
 ) -> Option<SessionAffinity<u8>> {
-    let name = table.key("u", id);
-    let affinity = table.begin_query(now, &query(name, effect)).expect("room");
+    let key = table.key("u", id);
+    let affinity = table.begin_query(now, &query(key, effect)).expect("room");
     let outcome = QueryOutcome::Ran {
         engine,
         succeeded: true,
     };
-    table.end_query(now, name, outcome);
+    table.end_query(now, key, outcome);
     affinity
 }
 
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_session_stays_where_it_first_ran_and_one_that_only_read_moves_when_that_leaves() {
+fn session_stays_on_its_engine_and_a_stateless_one_migrates_when_the_engine_is_removed() {
     let mut table = SessionTable::new(1);
     assert_eq!(read(&mut table, 0, "a", 3), None);
     assert_eq!(read(&mut table, 1, "a", 3), affinity(3, false));
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_tied_session_is_lost_with_its_engine_and_its_client_is_told_once() {
+fn stateful_session_is_lost_with_its_engine_and_the_loss_is_reported_once() {
     let mut table = SessionTable::new(1);
     set(&mut table, 0, "a", 3);
     assert_eq!(read(&mut table, 1, "a", 3), affinity(3, true));
@@ -76,13 +76,13 @@
     let lost = table.begin_query(2, &next).expect_err("lost");
     let exception = Exception::from(lost);
     assert!(exception.code == 372 && exception.text.contains("has left"));
-    // The client has been told and may begin a new session.
+    // The loss has been reported, so the client may start a new session.
     assert_eq!(table.begin_query(3, &next), Ok(None));
     assert_eq!(table.counters().lost, 1);
 }
 
 #[test]
-fn a_statement_that_failed_ties_nothing_and_one_of_unknown_fate_does() {
+fn failed_statement_leaves_no_state_and_one_of_unknown_outcome_does() {
     let mut table = SessionTable::new(1);
     let failed = QueryOutcome::Ran {
         engine: 3,
@@ -90,23 +90,23 @@
     };
     let unknown = QueryOutcome::Unknown { engine: 3 };
     for (id, outcome, is_exclusive) in [("a", failed, false), ("b", unknown, true)] {
-        let name = table.key("u", id);
+        let key = table.key("u", id);
         table
-            .begin_query(0, &query(name, SessionEffect::LeavesState))
+            .begin_query(0, &query(key, SessionEffect::LeavesState))
             .expect("room");
-        table.end_query(0, name, outcome);
+        table.end_query(0, key, outcome);
         let next = SessionQuery {
             must_exist: true,
-            ..query(name, SessionEffect::None)
+            ..query(key, SessionEffect::None)
         };
         assert_eq!(table.begin_query(1, &next), Ok(affinity(3, is_exclusive)));
     }
 }
 
 #[test]
-fn one_query_at_a_time_a_check_that_fails_and_an_end_by_time() {
+fn session_is_locked_during_a_query_and_expires_after_its_timeout() {
     let mut table: SessionTable<u8> = SessionTable::new(1);
-    let (name, other) = (table.key("u", "a"), table.key("v", "a"));
+    let (key, other) = (table.key("u", "a"), table.key("v", "a"));
     let begin = |table: &mut SessionTable<u8>, now, session, must_exist| {
         let next = SessionQuery {
             must_exist,
@@ -119,48 +119,48 @@
         engine: 1,
         succeeded: true,
     };
-    assert_eq!(begin(&mut table, 0, name, true), Err(372));
-    assert_eq!(begin(&mut table, 0, name, false), Ok(None));
-    assert_eq!(begin(&mut table, 0, name, false), Err(373));
+    assert_eq!(begin(&mut table, 0, key, true), Err(372));
+    assert_eq!(begin(&mut table, 0, key, false), Ok(None));
+    assert_eq!(begin(&mut table, 0, key, false), Err(373));
     assert_eq!(
         begin(&mut table, 0, other, false),
         Ok(None),
         "another user's"
     );
-    // Running beyond its timeout, it stays; the timeout counts from the query's end.
-    assert_eq!(begin(&mut table, 30 * SECOND, name, false), Err(373));
-    table.end_query(31 * SECOND, name, ran);
-    assert!(begin(&mut table, 40 * SECOND, name, true).is_ok());
-    table.end_query(40 * SECOND, name, ran);
-    assert_eq!(begin(&mut table, 50 * SECOND, name, true), Err(372));
+    // A running query prevents expiration; the timeout counts from the end of the query.
+    assert_eq!(begin(&mut table, 30 * SECOND, key, false), Err(373));
+    table.end_query(31 * SECOND, key, ran);
+    assert!(begin(&mut table, 40 * SECOND, key, true).is_ok());
+    table.end_query(40 * SECOND, key, ran);
+    assert_eq!(begin(&mut table, 50 * SECOND, key, true), Err(372));
     assert_eq!(table.counters().expired, 1);
-    // One that was rejected before it ran anywhere never was.
+    // A session whose first query never ran does not exist.
     table.end_query(51 * SECOND, other, QueryOutcome::NeverRan);
     assert_eq!(begin(&mut table, 51 * SECOND, other, true), Err(372));
 }
 
 #[test]
-fn a_million_ids_made_up_anew_displace_no_session_in_use_and_grow_nothing() {
+fn million_new_ids_evict_no_session_in_use_and_memory_stays_bounded() {
     let mut table = SessionTable::new(7);
     for n in 0..100 {
-        set(&mut table, n, &format!("tied-{n}"), 1);
+        set(&mut table, n, &format!("stateful-{n}"), 1);
         read(&mut table, n, &format!("used-{n}"), 2);
         read(&mut table, n, &format!("used-{n}"), 2);
     }
     for n in 0..1_000_000 {
-        read(&mut table, 100 + n, &format!("made-up-{n}"), 3);
+        read(&mut table, 100 + n, &format!("new-{n}"), 3);
     }
     assert!(table.held().total <= MAX_PROBATIONARY_SESSIONS + 200 && table.is_consistent());
     for n in 0..100 {
         let now = 2 * SECOND;
-        assert!(read(&mut table, now, &format!("tied-{n}"), 1).is_some_and(|h| h.is_exclusive));
+        assert!(read(&mut table, now, &format!("stateful-{n}"), 1).is_some_and(|h| h.is_exclusive));
         assert!(read(&mut table, now, &format!("used-{n}"), 2).is_some());
     }
     assert!(table.counters().evicted >= 1_000_000 - MAX_PROBATIONARY_SESSIONS as u64);
 }
 
 #[test]
-fn where_all_are_tied_a_new_one_is_turned_away_and_none_is_displaced() {
+fn new_session_is_rejected_if_all_sessions_are_stateful() {
     let mut table = SessionTable::with_limits(7, 20, 5);
     for n in 0..20 {
         set(&mut table, n, &format!("{n}"), 1);
--- a/crates/clickhouse/tests/session_model.rs
+++ b/crates/clickhouse/tests/session_model.rs
@@ -1,4 +1,4 @@
-//! The session table against a plain model, under random steps.
+//! Compares the session table with a simple model under random steps.
 
 use driftfront_clickhouse::session::{
     Micros, QueryOutcome, SessionAffinity, SessionEffect, SessionError, SessionQuery, SessionTable,
@@ -24,7 +24,7 @@
         outcome: Outcome,
     },
     RemoveEngine(u8),
-    Pass(Micros),
+    AdvanceTime(Micros),
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -56,22 +56,22 @@
                 },
             },
             6 => Step::RemoveEngine(b % 3),
-            _ => Step::Pass(u64::from(b) * SECOND / 4),
+            _ => Step::AdvanceTime(u64::from(b) * SECOND / 4),
         }
     }
 }
 
-/// A stateful session, as the model knows it.
+/// A stateful session of the model.
 struct StatefulSession {
     engine: u8,
     expires: Micros,
 }
 
-/// What must hold of the table.
+/// The table under test and the expected state.
 struct Model {
     table: SessionTable<u8>,
     now: Micros,
-    /// Sessions with a query that runs, and whether it leaves state.
+    /// Sessions with a running query, and whether the query leaves state.
     running: HashMap<u8, bool>,
     stateful: HashMap<u8, StatefulSession>,
     /// Sessions whose state was lost while a query ran.
@@ -89,9 +89,9 @@
         }
     }
 
-    /// Takes a step; whether the table did what it must.
+    /// Applies a step; returns whether the table behaved as expected.
     fn step(&mut self, step: Step) -> bool {
-        let is_right = match step {
+        let is_expected = match step {
             Step::Begin {
                 id,
                 must_exist,
@@ -109,7 +109,7 @@
                 self.remove_engine(engine);
                 true
             }
-            Step::Pass(time) => {
+            Step::AdvanceTime(time) => {
                 self.now += time;
                 true
             }
@@ -117,7 +117,7 @@
         let (now, running) = (self.now, &self.running);
         self.stateful
             .retain(|id, session| session.expires > now || running.contains_key(id));
-        is_right && self.bounds_hold()
+        is_expected && self.limits_hold()
     }
 
     fn begin(&mut self, id: u8, must_exist: bool, leaves_state: bool) -> bool {
@@ -167,8 +167,8 @@
             Outcome::Succeeded => (ran(true), true),
             Outcome::Failed => (ran(false), false),
         };
-        let name = self.table.key("u", &id.to_string());
-        self.table.end_query(self.now, name, outcome);
+        let key = self.table.key("u", &id.to_string());
+        self.table.end_query(self.now, key, outcome);
         let becomes_stateful = leaves_state && may_have_succeeded;
         if !self.lost.remove(&id) && (becomes_stateful || self.stateful.contains_key(&id)) {
             let session = StatefulSession {
@@ -187,8 +187,8 @@
             .extend(lost.filter(|id| self.running.contains_key(id)));
     }
 
-    /// Running sessions are never evicted, and the bound on all holds.
-    fn bounds_hold(&self) -> bool {
+    /// Whether running sessions were not evicted and the limit on all sessions holds.
+    fn limits_hold(&self) -> bool {
         let held = self.table.held();
         held.total <= MAX_SESSIONS
             && held.not_evictable >= self.running.len()
@@ -196,9 +196,9 @@
     }
 }
 
-/// Stateful sessions are never forgotten before their time and never move, and the bounds hold.
+/// Stateful sessions never end before their timeout and never migrate, and the limits hold.
 #[test]
-fn random_steps_keep_what_is_promised() {
+fn random_steps_match_the_model() {
     fn holds(steps: Vec<Step>) -> bool {
         let mut model = Model::new();
         steps.into_iter().all(|step| model.step(step))
--- a/crates/clickhouse/tests/sql.rs
+++ b/crates/clickhouse/tests/sql.rs
@@ -1,4 +1,4 @@
-//! What is seen of a statement.
+//! Scanning of statements.
 
 use driftfront_clickhouse::session::SessionEffect;
 use driftfront_clickhouse::sql::{table_group, Statement, MAX_SCANNED_BYTES};
@@ -71,7 +71,7 @@
             .options,
         "ASYNC"
     );
-    for odd in [
+    for unsupported in [
         "KILL QUERY WHERE user = 'a'",
         "KILL QUERY WHERE query_id = 'a' OR 1",
         "KILL QUERY WHERE query_id != 'a'",
@@ -79,13 +79,13 @@
         "KILL QUERY WHERE query_id IN ('a'",
         "KILL QUERY",
     ] {
-        assert_eq!(ids(odd), None, "{odd}");
+        assert_eq!(ids(unsupported), None, "{unsupported}");
     }
     assert_eq!(Statement::scan("KILL MUTATION WHERE 1").kill, None);
 }
 
 #[test]
-fn table_group_is_the_schema_s_number() {
+fn table_group_is_the_number_of_the_database() {
     for (statement, group) in [
         (
             "SELECT day, count(*), max(note) FROM sales_17.orders WHERE tag = '3f9c' GROUP BY day",
