--- a/crates/coordinator/src/config/mod.rs
+++ b/crates/coordinator/src/config/mod.rs
@@ -10,7 +10,7 @@
 
 pub use error::{ConfigError, KeyPath};
 
-use crate::frontends::clickhouse::ClassRules;
+use crate::frontends::clickhouse::ClickHouseConfig;
 use crate::frontends::QueryClasses;
 use crate::operator_config;
 use document::Document;
@@ -89,7 +89,7 @@
     /// The interface of clients and engines.
     pub protocol: Protocol,
     /// What the ClickHouse frontend holds to.
-    pub clickhouse: ClassRules,
+    pub clickhouse: ClickHouseConfig,
     /// A result of a ClickHouse engine that makes no progress for this long is given up.
     pub result_stall_timeout: Micros,
     /// Bytes of streamed results that may wait for their clients, all together.
--- a/crates/coordinator/src/config/resolve.rs
+++ b/crates/coordinator/src/config/resolve.rs
@@ -2,7 +2,7 @@
 
 use super::document::ValidDocument;
 use super::{Config, Environment, Protocol};
-use crate::frontends::clickhouse::ClassRules;
+use crate::frontends::clickhouse::ClickHouseConfig;
 use crate::frontends::QueryClasses;
 use driftfront_core::{Limits, Micros};
 use driftfront_scheduler::Settings;
@@ -67,12 +67,12 @@
             seed: seed(root.get("seed")),
             max_descriptors: max_descriptors(root.get("limits")),
             protocol: document.protocol,
-            clickhouse: ClassRules {
-                read: self.read_class,
-                write: self.write_class,
-                deduplicated: self.deduplicated_class,
-                upload: self.upload_timeout,
-                keep: memory / RETAINED_BODIES_DIVISOR,
+            clickhouse: ClickHouseConfig {
+                read_class: self.read_class,
+                write_class: self.write_class,
+                deduplicated_class: self.deduplicated_class,
+                upload_timeout: self.upload_timeout,
+                body_budget_bytes: memory / RETAINED_BODIES_DIVISOR,
             },
             result_stall_timeout: self.result_stall_timeout,
             max_unread_bytes: memory / UNREAD_RESULTS_DIVISOR,
@@ -81,7 +81,7 @@
             known_updates: known.get("updates").list().unwrap_or(&[]).to_vec(),
             classes: QueryClasses {
                 names: self.classes.into(),
-                patience: client_timeouts(settings),
+                default_timeouts: client_timeouts(settings),
             },
             tenants: tenant_names(settings),
             zones: texts(settings.get("FailureDomains")),
--- a/crates/coordinator/src/frontends/clickhouse/kill.rs
+++ b/crates/coordinator/src/frontends/clickhouse/kill.rs
@@ -14,19 +14,19 @@
 use std::rc::Rc;
 
 impl ClickHouse {
-    /// The order to end the queries of these names; `suffix` stands behind its condition.
+    /// The order to end the queries of these names; `options` stands behind its condition.
     pub(super) fn kill(
         &mut self,
         query: &Query,
-        names: Vec<String>,
-        suffix: &str,
+        query_ids: Vec<String>,
+        options: &str,
         class: u16,
         writer: Box<StreamWriter>,
     ) -> FrontendAction {
-        self.kills += 1;
-        let order = KillOrder {
-            seed: keyed_hash(self.seed, &self.kills.to_le_bytes()),
-            suffix: suffix.to_string(),
+        self.kill_count += 1;
+        let engine_kill = EngineKill {
+            seed: keyed_hash(self.seed, &self.kill_count.to_le_bytes()),
+            options: options.to_string(),
             template: ParsedRequest {
                 class,
                 client_timeout: self.timeout(class),
@@ -37,25 +37,25 @@
         };
         let head = [("Content-Type", "text/tab-separated-values; charset=UTF-8")];
         FrontendAction::Kill(Box::new(KillRequest {
-            names,
-            is_test: suffix.to_ascii_lowercase().starts_with("test"),
+            query_ids,
+            is_test: options.to_ascii_lowercase().starts_with("test"),
             message: Exception::new(QUERY_WAS_CANCELLED, "Query was cancelled by KILL QUERY").text,
-            none_running: response(200, &head, b"", false),
-            request_for: Box::new(move |engine, name| order.request_for(engine, name)),
+            none_running_response: response(200, &head, b"", false),
+            request_for: Box::new(move |engine, name| engine_kill.request_for(engine, name)),
             writer,
         }))
     }
 }
 
 /// What the orders to all engines share.
-struct KillOrder {
+struct EngineKill {
     /// Sets the ids of these orders apart from others'.
     seed: u64,
-    suffix: String,
+    options: String,
     template: ParsedRequest,
 }
 
-impl KillOrder {
+impl EngineKill {
     /// The order to one engine, for the query of this name there.
     #[allow(
         clippy::cast_possible_truncation,
@@ -63,7 +63,7 @@
     )]
     fn request_for(&self, engine: EngineId, name: &str) -> ParsedRequest {
         let quoted = name.replace('\\', "\\\\").replace('\'', "\\'");
-        let statement = format!("KILL QUERY WHERE query_id = '{quoted}' {}", self.suffix);
+        let statement = format!("KILL QUERY WHERE query_id = '{quoted}' {}", self.options);
         let id = format!(
             "kill-{:016x}-{}-{:08x}",
             self.seed,
--- a/crates/coordinator/src/frontends/clickhouse/mod.rs
+++ b/crates/coordinator/src/frontends/clickhouse/mod.rs
@@ -39,23 +39,23 @@
 
 /// What the operator's file says of this frontend.
 #[derive(Clone, Copy, Debug)]
-pub struct ClassRules {
+pub struct ClickHouseConfig {
     /// Class of statements that only read, where the client names none.
-    pub read: u16,
+    pub read_class: u16,
     /// Class of the others, where the client names none.
-    pub write: u16,
+    pub write_class: u16,
     /// Class of inserts with a deduplication token: only where all engines honour that.
-    pub deduplicated: Option<u16>,
+    pub deduplicated_class: Option<u16>,
     /// Time beyond the class's own for a body that is streamed as it comes.
-    pub upload: Micros,
+    pub upload_timeout: Micros,
     /// Bytes that bodies may hold, beside the small part of each.
-    pub keep: usize,
+    pub body_budget_bytes: usize,
 }
 
 /// Reads ClickHouse clients' requests.
 pub struct ClickHouse {
     classes: QueryClasses,
-    rules: ClassRules,
+    config: ClickHouseConfig,
     seed: u64,
     /// The last query named here, and the last ticket.
     last_number: u64,
@@ -63,7 +63,7 @@
     budget: BodyBudget,
     /// What is held for requests that are not settled, by ticket.
     open: HashMap<u64, OpenQuery>,
-    kills: u64,
+    kill_count: u64,
 }
 
 /// What is held for a query until nothing of it is in flight.
@@ -75,16 +75,16 @@
 
 impl ClickHouse {
     /// A frontend with no sessions yet.
-    pub fn new(classes: QueryClasses, rules: ClassRules, seed: u64) -> ClickHouse {
+    pub fn new(classes: QueryClasses, config: ClickHouseConfig, seed: u64) -> ClickHouse {
         ClickHouse {
             classes,
-            rules,
+            config,
             seed,
             last_number: 0,
             sessions: SessionTable::new(seed),
-            budget: BodyBudget::new(rules.keep),
+            budget: BodyBudget::new(config.body_budget_bytes),
             open: HashMap::new(),
-            kills: 0,
+            kill_count: 0,
         }
     }
 
@@ -142,22 +142,22 @@
         action
     }
 
-    fn settle_request(&mut self, now: Micros, ticket: u64, fate: SettledOutcome) {
+    fn settle_request(&mut self, now: Micros, ticket: u64, outcome: SettledOutcome) {
         let Some(open) = self.open.remove(&ticket) else {
             return;
         };
         self.budget.release(open.reserved_bytes);
         if let Some(session) = open.session {
-            let outcome = match fate {
+            let query_outcome = match outcome {
                 SettledOutcome::NeverRan => QueryOutcome::NeverRan,
                 SettledOutcome::Ran(engine, succeeded) => QueryOutcome::Ran { engine, succeeded },
                 SettledOutcome::Unknown(engine) => QueryOutcome::Unknown { engine },
             };
-            self.sessions.end_query(now, session, outcome);
+            self.sessions.end_query(now, session, query_outcome);
         }
     }
 
-    fn engine_left(&mut self, engine: EngineId) {
+    fn remove_engine(&mut self, engine: EngineId) {
         self.sessions.remove_engine(engine);
     }
 
@@ -168,7 +168,7 @@
         Some(replies::exception(&e, false))
     }
 
-    fn cancels_reads_of_gone_clients(&self) -> bool {
+    fn cancels_reads_on_disconnect(&self) -> bool {
         true
     }
 
@@ -200,7 +200,7 @@
             ("bodies_held_bytes_most", bodies.peak_reserved_bytes as u64),
             ("bodies_too_large_to_keep", bodies.too_large),
             ("bodies_without_room", bodies.over_budget),
-            ("kills_asked", self.kills),
+            ("kills_asked", self.kill_count),
         ] {
             let _ = writeln!(text, "{name} {count}");
         }
--- a/crates/coordinator/src/frontends/clickhouse/query.rs
+++ b/crates/coordinator/src/frontends/clickhouse/query.rs
@@ -14,10 +14,10 @@
 use driftfront_http::Request;
 use std::rc::Rc;
 
-const LOST_SESSION: &str =
+const SESSION_LOST: &str =
     "Session not found: the engine that holds it takes nothing more, and what was set or \
      created in the session is lost with it. Begin a new session and create that anew";
-const KILL_BY_ID_ALONE: &str =
+const KILL_BY_ID_ONLY: &str =
     "KILL QUERY is carried out by query_id alone here: WHERE query_id = '...', or \
      query_id IN ('...')";
 
@@ -69,7 +69,7 @@
         writer: Box<StreamWriter>,
     ) -> Result<FrontendAction, Vec<u8>> {
         let Some(ids) = kill.ids.clone() else {
-            let e = Exception::new(NOT_IMPLEMENTED, KILL_BY_ID_ALONE);
+            let e = Exception::new(NOT_IMPLEMENTED, KILL_BY_ID_ONLY);
             return Err(replies::exception(&e, query.is_head));
         };
         Ok(self.kill(query, ids, &kill.options, class, writer))
@@ -83,11 +83,12 @@
                 let e = Exception::new(BAD_ARGUMENTS, &format!("There is no class {name}"));
                 replies::exception_with(404, &e, &[], query.is_head)
             }),
-            None if statement.is_idempotent => Ok(self.rules.read),
-            None if statement.is_insert && query.deduplication_token.is_some() => {
-                Ok(self.rules.deduplicated.unwrap_or(self.rules.write))
-            }
-            None => Ok(self.rules.write),
+            None if statement.is_idempotent => Ok(self.config.read_class),
+            None if statement.is_insert && query.deduplication_token.is_some() => Ok(self
+                .config
+                .deduplicated_class
+                .unwrap_or(self.config.write_class)),
+            None => Ok(self.config.write_class),
         }
     }
 
@@ -98,7 +99,7 @@
             .max_execution_time
             .map_or(max, |wanted| wanted.min(max));
         if has_more_body {
-            budget + self.rules.upload
+            budget + self.config.upload_timeout
         } else {
             budget
         }
@@ -153,7 +154,7 @@
         parameters: engine_parameters(query, url_parameters),
         sticky_session,
         session_lost_error: is_exclusive
-            .then(|| Exception::new(SESSION_NOT_FOUND, LOST_SESSION).text.into()),
+            .then(|| Exception::new(SESSION_NOT_FOUND, SESSION_LOST).text.into()),
         ..ParsedRequest::default()
     }
 }
--- a/crates/coordinator/src/frontends/clickhouse/replies.rs
+++ b/crates/coordinator/src/frontends/clickhouse/replies.rs
@@ -23,7 +23,7 @@
 
 /// The reply to what is no query.
 pub(super) fn reply_to(request: &ClientRequest, head_only: bool) -> FrontendAction {
-    let page = |status: u16, body: &str| whole(status, &[HTML], body, head_only);
+    let page = |status: u16, body: &str| complete_response(status, &[HTML], body, head_only);
     match request {
         ClientRequest::Ping => FrontendAction::Reply(page(200, "Ok.\n")),
         ClientRequest::ReplicasStatus => FrontendAction::ReportReadiness {
@@ -61,7 +61,7 @@
     let code = e.code.to_string();
     let mut headers = vec![TEXT, (EXCEPTION_CODE_HEADER, code.as_str())];
     headers.extend(more_headers);
-    whole(status, &headers, &format!("{e}\n"), head_only)
+    complete_response(status, &headers, &format!("{e}\n"), head_only)
 }
 
 /// The response to what can't be read as a request.
@@ -80,7 +80,12 @@
 }
 
 /// A whole response, or its head alone.
-fn whole(status: u16, headers: &[(&str, &str)], body: &str, head_only: bool) -> Vec<u8> {
+fn complete_response(
+    status: u16,
+    headers: &[(&str, &str)],
+    body: &str,
+    head_only: bool,
+) -> Vec<u8> {
     let mut bytes = response_head(status, headers, BodyFraming::Length(body.len()), false);
     if !head_only {
         bytes.extend(body.bytes());
--- a/crates/coordinator/src/frontends/clickhouse/response.rs
+++ b/crates/coordinator/src/frontends/clickhouse/response.rs
@@ -14,7 +14,7 @@
 /// Writes one query's result.
 pub(super) struct StreamWriter {
     /// The client's id of the query.
-    call: String,
+    query_id: String,
     has_begun: bool,
     /// The body's length was told: it is complete with its only chunk.
     has_length: bool,
@@ -25,26 +25,26 @@
     /// The exception tag that the client was told, where it reads the result as text.
     exception_tag: Option<String>,
     /// The result is packed: no words can stand in it.
-    is_packed: bool,
+    is_compressed: bool,
 }
 
 impl StreamWriter {
-    pub(super) fn new(query: &Query, call: &str) -> StreamWriter {
+    pub(super) fn new(query: &Query, query_id: &str) -> StreamWriter {
         StreamWriter {
-            call: call.into(),
+            query_id: query_id.into(),
             has_begun: false,
             has_length: false,
             is_chunked: query.supports_chunked,
             head_only: query.is_head,
             wants_progress: query.wants_progress,
             exception_tag: None,
-            is_packed: query.wants_blocks,
+            is_compressed: query.wants_blocks,
         }
     }
 
     /// An exception, with the query's id where its client knows it.
     fn exception(&self, status: u16, e: &Exception, more_headers: &[(&str, &str)]) -> Vec<u8> {
-        let mut headers = vec![("X-ClickHouse-Query-Id", self.call.as_str())];
+        let mut headers = vec![("X-ClickHouse-Query-Id", self.query_id.as_str())];
         headers.extend(more_headers);
         exception_with(status, e, &headers, self.head_only)
     }
@@ -64,7 +64,7 @@
             all.find(|h| h.0.eq_ignore_ascii_case(name)).map(|h| h.1)
         };
         self.exception_tag = value("X-ClickHouse-Exception-Tag").map(String::from);
-        self.is_packed |= value("Content-Encoding").is_some();
+        self.is_compressed |= value("Content-Encoding").is_some();
         self.has_length = first.is_only_chunk;
         let framing = if first.is_only_chunk {
             BodyFraming::Length(first.rows.len())
@@ -137,12 +137,12 @@
         if !self.is_chunked || self.head_only {
             return ConnectionAction::Reset;
         }
-        if let Some(tag) = self.exception_tag.as_ref().filter(|_| !self.is_packed) {
-            let broken = Exception::new(
+        if let Some(tag) = self.exception_tag.as_ref().filter(|_| !self.is_compressed) {
+            let engine_lost = Exception::new(
                 NETWORK_ERROR,
                 "The result breaks off here: its engine was lost",
             );
-            let message = message.unwrap_or(&broken.text);
+            let message = message.unwrap_or(&engine_lost.text);
             out.extend(http_chunk(tagged_exception(tag, message).as_bytes()));
         }
         ConnectionAction::Close
--- a/crates/coordinator/src/frontends/mod.rs
+++ b/crates/coordinator/src/frontends/mod.rs
@@ -31,9 +31,9 @@
     /// End queries, wherever they run.
     Kill(Box<KillRequest>),
     /// The client takes its request of this id back.
-    Withdraw {
+    CancelRequest {
         /// The request's id.
-        call: Rc<str>,
+        request_id: Rc<str>,
         /// The reply.
         reply: Vec<u8>,
     },
@@ -45,13 +45,13 @@
 /// A client's order to end queries.
 pub struct KillRequest {
     /// Their names.
-    pub names: Vec<String>,
+    pub query_ids: Vec<String>,
     /// Only try whether that could be done.
     pub is_test: bool,
     /// The message that their clients get.
     pub message: String,
     /// The reply where none of them runs.
-    pub none_running: Vec<u8>,
+    pub none_running_response: Vec<u8>,
     /// The request for one engine.
     pub request_for: KillRequestFor,
     /// Writes the response.
@@ -101,9 +101,9 @@
     /// Releases what a request held of the budget.
     fn release_body(&mut self, _reserved_bytes: usize) {}
     /// Nothing of the request of this ticket is in flight any more.
-    fn settle_request(&mut self, _now: Micros, _ticket: u64, _fate: SettledOutcome) {}
+    fn settle_request(&mut self, _now: Micros, _ticket: u64, _outcome: SettledOutcome) {}
     /// An engine takes nothing new, or has been replaced.
-    fn engine_left(&mut self, _engine: EngineId) {}
+    fn remove_engine(&mut self, _engine: EngineId) {}
     /// The reply to a request whose id an open one has; `None` accepts it, to fail.
     fn duplicate_id_response(&mut self, _now: Micros, _request: &ParsedRequest) -> Option<Vec<u8>> {
         None
@@ -113,7 +113,7 @@
         false
     }
     /// Whether a read is ended on its engine when its client leaves.
-    fn cancels_reads_of_gone_clients(&self) -> bool {
+    fn cancels_reads_on_disconnect(&self) -> bool {
         false
     }
     /// How long an engine may take once the whole of a streamed body is there.
@@ -142,7 +142,7 @@
     /// Names, by index.
     pub names: Rc<[String]>,
     /// How long a client waits that does not say, by index.
-    pub patience: Rc<[Micros]>,
+    pub default_timeouts: Rc<[Micros]>,
 }
 
 impl QueryClasses {
@@ -155,7 +155,7 @@
 
     /// How long a client of a class waits that does not say; `None` for an index that there is not.
     pub fn timeout(&self, class: u16) -> Option<Micros> {
-        self.patience.get(usize::from(class)).copied()
+        self.default_timeouts.get(usize::from(class)).copied()
     }
 
     /// A class's index.
--- a/crates/coordinator/src/frontends/platform/fields.rs
+++ b/crates/coordinator/src/frontends/platform/fields.rs
@@ -9,18 +9,18 @@
 /// Longest client timeout believed, in deadlines of the class: no usual client comes near it.
 const MAX_TIMEOUT_IN_DEADLINES: f64 = 2.0;
 /// The largest estimate: what can't be a figure must not be planned with.
-const MAX_FIGURE: f64 = 1e9;
+const MAX_NUMBER: f64 = 1e9;
 /// A keyed request may come this much late, since clients write requests that share a key one after another while their timeout
 /// runs; its client leaves that much before the timeout has passed here.
 const KEY_DELAY_MS: f64 = 600.0;
 /// For short timeouts the delay is at most one part in so many of these.
 const MIN_TIMEOUT_PER_KEY_DELAY: f64 = 10.0;
 /// Longest idempotency key accepted: the usual ones have 32 characters, and an engine's line has its bound.
-const MAX_TOKEN_BYTES: usize = 128;
+const MAX_IDEMPOTENCY_KEY_BYTES: usize = 128;
 const MICROS_PER_MS: f64 = 1000.0;
 
 /// Fields that may stand once: which of two would be meant can't be told.
-const SINGLE_FIELDS: [&str; 8] = [
+const UNIQUE_FIELDS: [&str; 8] = [
     "X-Call-Id",
     "X-Patience-Ms",
     "X-Customer",
@@ -53,9 +53,9 @@
     #[error("the statement is empty or no text")]
     StatementNotText,
     #[error("X-Entity is no key")]
-    BadKey,
+    BadOrderingKey,
     #[error("X-Dedupe-Key is no key")]
-    BadToken,
+    BadIdempotencyKey,
 }
 
 /// Whether a text is 16 hex digits, as ids and keys are.
@@ -75,26 +75,26 @@
     tenants: &[String],
 ) -> Result<ParsedRequest, FieldError> {
     let fields = Fields(request);
-    fields.check_single()?;
-    let call = fields.call_id()?;
+    fields.check_unique()?;
+    let id = fields.call_id()?;
     if fields.get("X-Repeat").is_some_and(|r| r != "1") {
         return Err(FieldError::BadRepeat);
     }
     let deadline = classes.timeout(class).unwrap_or(Micros::MAX);
     let timeout_ms = fields.timeout_ms(deadline)?;
     let statement = fields.statement()?;
-    let key = fields.ordering_key()?;
-    let token = fields.token()?;
+    let ordering_key = fields.ordering_key()?;
+    let idempotency_key = fields.idempotency_key()?;
     // One that the settings don't name has no share, and takes none of another's.
     let tenant = fields
         .get("X-Customer")
         .and_then(|name| tenants.iter().position(|n| n == name));
-    let key_delay_ms = match key {
+    let key_delay_ms = match ordering_key {
         Some(_) => KEY_DELAY_MS.min(timeout_ms / MIN_TIMEOUT_PER_KEY_DELAY),
         None => 0.0,
     };
     Ok(ParsedRequest {
-        name: call.into(),
+        name: id.into(),
         class,
         work: fields
             .number("X-Weight-Ms")?
@@ -102,9 +102,9 @@
             .filter(|&work| work > 0.0),
         memory_mb: fields.number("X-Need-Mb")?.filter(|&mb| mb > 0.0),
         table_group: table_group(statement),
-        ordering_key: key,
+        ordering_key,
         tenant: tenant.and_then(|index| u32::try_from(index).ok()),
-        idempotency_key: token.map(Rc::from),
+        idempotency_key: idempotency_key.map(Rc::from),
         client_timeout: ((timeout_ms - key_delay_ms) * MICROS_PER_MS) as Micros,
         statement: Rc::from(&*request.body),
         ..ParsedRequest::default()
@@ -119,12 +119,12 @@
         header(&self.0.headers, name)
     }
 
-    fn check_single(&self) -> Result<(), FieldError> {
+    fn check_unique(&self) -> Result<(), FieldError> {
         let count = |name: &&str| {
             let headers = self.0.headers.iter();
             headers.filter(|h| h.0.eq_ignore_ascii_case(name)).count()
         };
-        if SINGLE_FIELDS.iter().any(|name| count(name) > 1) {
+        if UNIQUE_FIELDS.iter().any(|name| count(name) > 1) {
             return Err(FieldError::Duplicate);
         }
         Ok(())
@@ -133,9 +133,9 @@
     /// The id becomes a word of the engines' protocol: a blank or a line break in it would forge commands, and an engine that can't
     /// read a line closes the connection with all that is open on it.
     fn call_id(&self) -> Result<&'a str, FieldError> {
-        let call = self.get("X-Call-Id").ok_or(FieldError::NoCallId)?;
-        if is_hex16(call) {
-            Ok(call)
+        let id = self.get("X-Call-Id").ok_or(FieldError::NoCallId)?;
+        if is_hex16(id) {
+            Ok(id)
         } else {
             Err(FieldError::BadCallId)
         }
@@ -144,7 +144,7 @@
     fn number(&self, name: &str) -> Result<Option<f64>, FieldError> {
         match self.get(name).map(str::parse::<f64>) {
             None => Ok(None),
-            Some(Ok(n)) if (0.0..=MAX_FIGURE).contains(&n) => Ok(Some(n)),
+            Some(Ok(n)) if (0.0..=MAX_NUMBER).contains(&n) => Ok(Some(n)),
             Some(_) => Err(FieldError::BadNumber),
         }
     }
@@ -161,8 +161,8 @@
     /// The statement as text. Engines answer what they can't use with an error, which would look like a fault of theirs.
     fn statement(&self) -> Result<&'a str, FieldError> {
         let text = std::str::from_utf8(&self.0.body).map_err(|_| FieldError::StatementNotUtf8)?;
-        let is_odd = |c: char| c.is_control() && !c.is_whitespace();
-        if text.trim().is_empty() || text.chars().any(is_odd) {
+        let is_invalid = |c: char| c.is_control() && !c.is_whitespace();
+        if text.trim().is_empty() || text.chars().any(is_invalid) {
             return Err(FieldError::StatementNotText);
         }
         Ok(text)
@@ -173,24 +173,25 @@
             return Ok(None);
         };
         if !is_hex16(key) {
-            return Err(FieldError::BadKey);
+            return Err(FieldError::BadOrderingKey);
         }
-        let key = u64::from_str_radix(key, 16).map_err(|_| FieldError::BadKey)?;
+        let key = u64::from_str_radix(key, 16).map_err(|_| FieldError::BadOrderingKey)?;
         Ok(Some(key))
     }
 
     /// The idempotency key, which can stand in a list of fields of the engines' protocol: a comma, a blank or a line break would
     /// forge others.
-    fn token(&self) -> Result<Option<&'a str>, FieldError> {
-        let Some(token) = self.get("X-Dedupe-Key") else {
+    fn idempotency_key(&self) -> Result<Option<&'a str>, FieldError> {
+        let Some(idempotency_key) = self.get("X-Dedupe-Key") else {
             return Ok(None);
         };
         let is_plain = |b: u8| b.is_ascii_alphanumeric() || b"-._".contains(&b);
-        let fits = (1..=MAX_TOKEN_BYTES).contains(&token.len()) && token.bytes().all(is_plain);
-        if fits {
-            Ok(Some(token))
+        let is_valid = (1..=MAX_IDEMPOTENCY_KEY_BYTES).contains(&idempotency_key.len())
+            && idempotency_key.bytes().all(is_plain);
+        if is_valid {
+            Ok(Some(idempotency_key))
         } else {
-            Err(FieldError::BadToken)
+            Err(FieldError::BadIdempotencyKey)
         }
     }
 }
--- a/crates/coordinator/src/frontends/platform/mod.rs
+++ b/crates/coordinator/src/frontends/platform/mod.rs
@@ -48,7 +48,7 @@
         let path = request.target.split('?').next().unwrap_or_default();
         match path.strip_prefix("/ops/") {
             Some(class) => match self.classes.index(class) {
-                Some(class) => self.parse_call(&request, class),
+                Some(class) => self.parse_query(&request, class),
                 None => reject(404, "no such class"),
             },
             None => match (request.method.as_str(), path) {
@@ -65,11 +65,11 @@
 
 impl Platform {
     /// A statement, or the withdrawal of one.
-    fn parse_call(&self, request: &Request, class: u16) -> FrontendAction {
+    fn parse_query(&self, request: &Request, class: u16) -> FrontendAction {
         let call = header(&request.headers, "X-Call-Id").filter(|id| is_hex16(id));
         if let ("DELETE", Some(call)) = (request.method.as_str(), call) {
-            return FrontendAction::Withdraw {
-                call: call.into(),
+            return FrontendAction::CancelRequest {
+                request_id: call.into(),
                 reply: http_response(200, &[], b"", false),
             };
         }
@@ -84,6 +84,6 @@
 }
 
 fn reject(status: u16, message: &str) -> FrontendAction {
-    tracing::debug!(status, "not taken: {message}");
+    tracing::debug!(status, "request rejected: {message}");
     FrontendAction::RejectBadRequest(json_error(status, message))
 }
--- a/crates/coordinator/src/frontends/platform/response.rs
+++ b/crates/coordinator/src/frontends/platform/response.rs
@@ -50,8 +50,12 @@
 
     fn reject(&mut self, retry_after: Micros, _message: Option<&str>, out: &mut Vec<u8>) {
         let ms = retry_after.div_ceil(1000).to_string();
-        let advice = [("X-Come-Back-Ms", ms.as_str())];
-        let headers = if retry_after > 0 { &advice[..] } else { &[] };
+        let retry_headers = [("X-Come-Back-Ms", ms.as_str())];
+        let headers = if retry_after > 0 {
+            &retry_headers[..]
+        } else {
+            &[]
+        };
         out.extend(response(429, headers, br#"{"error":"Overloaded"}"#, false));
     }
 
--- a/crates/coordinator/src/node/clients/closing.rs
+++ b/crates/coordinator/src/node/clients/closing.rs
@@ -71,7 +71,7 @@
         self.core.client_left(now, request);
         // A read is stopped on its engine, and so is an attempt that waits there for a body that never comes.
         let is_idempotent = idempotency == Some(Idempotency::Idempotent);
-        if self.frontend.cancels_reads_of_gone_clients() && is_idempotent || is_uploading {
+        if self.frontend.cancels_reads_on_disconnect() && is_idempotent || is_uploading {
             self.core.release_attempt(now, request);
         }
     }
--- a/crates/coordinator/src/node/clients/kill.rs
+++ b/crates/coordinator/src/node/clients/kill.rs
@@ -8,21 +8,21 @@
 impl Node {
     /// Ends queries by their names: none gets a further attempt, and each engine that runs one, or may, is sent a kill request.
     pub(super) fn kill_queries(&mut self, now: Micros, id: ConnectionId, kill: KillRequest) {
-        let known = kill.names.iter().any(|name| self.core.is_open(name));
+        let known = kill.query_ids.iter().any(|name| self.core.is_open(name));
         let sent = self.send_kills(now, id, &kill);
         if !kill.is_test {
-            for name in &kill.names {
+            for name in &kill.query_ids {
                 self.core.cancel_request(now, name, &kill.message);
             }
         }
         tracing::info!(
-            names = kill.names.len(),
+            names = kill.query_ids.len(),
             known,
             engines = sent.len(),
             "queries are to be ended"
         );
         match sent.first() {
-            None => self.reply(now, id, &kill.none_running),
+            None => self.reply(now, id, &kill.none_running_response),
             Some(&first) => {
                 let class = self.core.accepted(first).map_or(0, |a| a.request.class);
                 let requester = Requester {
@@ -40,7 +40,7 @@
     /// response is forwarded to the client for all of them.
     fn send_kills(&mut self, now: Micros, id: ConnectionId, kill: &KillRequest) -> Vec<RequestId> {
         let mut running = Vec::new();
-        for name in &kill.names {
+        for name in &kill.query_ids {
             running.extend(self.core.running_queries(now, name));
         }
         running.sort_by_key(|query| !query.is_awaited);
--- a/crates/coordinator/src/node/clients/requests.rs
+++ b/crates/coordinator/src/node/clients/requests.rs
@@ -58,9 +58,9 @@
             }
             FrontendAction::ReportCounters => self.reply_with_counters(now, id),
             FrontendAction::Kill(kill) => self.kill_queries(now, id, *kill),
-            FrontendAction::Withdraw { call, reply } => {
-                let known = self.withdraw(now, &call);
-                tracing::debug!(conn = id, %call, known, "withdrawn");
+            FrontendAction::CancelRequest { request_id, reply } => {
+                let known = self.withdraw(now, &request_id);
+                tracing::debug!(conn = id, call = %request_id, known, "withdrawn");
                 self.reply(now, id, &reply);
             }
             FrontendAction::Accept(request, writer) => {
--- a/crates/coordinator/src/node/mod.rs
+++ b/crates/coordinator/src/node/mod.rs
@@ -198,7 +198,7 @@
 }
 
 fn new_lifecycle(config: &Config, is_successor: bool, is_passed: bool) -> Lifecycle {
-    let timeouts = config.classes.patience.iter().copied();
+    let timeouts = config.classes.default_timeouts.iter().copied();
     // An operator's service manager has rules of its own.
     let is_killed_after_sigterm = config.protocol == Protocol::Platform;
     Lifecycle::new(
--- a/crates/coordinator/src/node/registry.rs
+++ b/crates/coordinator/src/node/registry.rs
@@ -36,15 +36,15 @@
         for &engine in &change.restarted {
             self.engines.retire_connections(engine);
             // Sessions ended with the engine's process.
-            self.frontend.engine_left(engine);
+            self.frontend.remove_engine(engine);
         }
         for line in change.lines.iter().filter(|l| l.phase != Phase::Ready) {
-            self.frontend.engine_left(line.engine);
+            self.frontend.remove_engine(line.engine);
         }
         if change.kind == ListKind::Full {
             let unlisted = |e: &EngineId| !change.lines.iter().any(|l| l.engine == *e);
             for engine in self.core.listed_engines().into_iter().filter(unlisted) {
-                self.frontend.engine_left(engine);
+                self.frontend.remove_engine(engine);
             }
         }
         self.core.update_engines(now, change.kind, &change.lines);
--- a/crates/coordinator/tests/frontends.rs
+++ b/crates/coordinator/tests/frontends.rs
@@ -16,7 +16,7 @@
     let mut front = Platform {
         classes: QueryClasses {
             names: names.into(),
-            patience: Rc::from([2_500_000, 25_000_000]),
+            default_timeouts: Rc::from([2_500_000, 25_000_000]),
         },
         tenants: Rc::from(["east".to_string(), "west".to_string(), "east".to_string()]),
     };
--- a/crates/coordinator/tests/golden_frontends.rs
+++ b/crates/coordinator/tests/golden_frontends.rs
@@ -1,6 +1,6 @@
 //! What clients are answered, as the frontends make the bytes and as the program sends them.
 
-use driftfront::frontends::clickhouse::{ClassRules, ClickHouse};
+use driftfront::frontends::clickhouse::{ClickHouse, ClickHouseConfig};
 use driftfront::frontends::platform::Platform;
 use driftfront::frontends::{
     ConnectionAction, Frontend, FrontendAction, QueryClasses, ResponseWriter,
@@ -34,7 +34,7 @@
     let names: Vec<String> = vec!["lookup".into(), "member-load".into()];
     QueryClasses {
         names: names.into(),
-        patience: Rc::from([2_500_000, 25_000_000]),
+        default_timeouts: Rc::from([2_500_000, 25_000_000]),
     }
 }
 
@@ -75,8 +75,8 @@
             wire.record(&format!("{name}: not ready"), not_ready);
         }
         FrontendAction::ReportCounters => wire.record(&format!("{name}: counters"), ""),
-        FrontendAction::Withdraw { call, reply } => {
-            wire.record(&format!("{name}: withdraw {call}"), reply)
+        FrontendAction::CancelRequest { request_id, reply } => {
+            wire.record(&format!("{name}: withdraw {request_id}"), reply)
         }
         FrontendAction::Accept(ask, writer) => {
             wire.record(&format!("{name}: taken"), shown_ask(&ask));
@@ -87,10 +87,10 @@
                 &format!("{name}: kill"),
                 format!(
                     "{:?} test {} told {}",
-                    kill.names, kill.is_test, kill.message
+                    kill.query_ids, kill.is_test, kill.message
                 ),
             );
-            wire.record("answer where none runs", &kill.none_running);
+            wire.record("answer where none runs", &kill.none_running_response);
             let ask = (kill.request_for)(EngineId(3), "it's\\");
             wire.record("to an engine", shown_ask(&ask));
             return Some(kill.writer);
@@ -274,14 +274,14 @@
 }
 
 fn clickhouse() -> ClickHouse {
-    let rules = ClassRules {
-        read: 0,
-        write: 1,
-        deduplicated: Some(0),
-        upload: 60_000_000,
-        keep: 1 << 20,
+    let config = ClickHouseConfig {
+        read_class: 0,
+        write_class: 1,
+        deduplicated_class: Some(0),
+        upload_timeout: 60_000_000,
+        body_budget_bytes: 1 << 20,
     };
-    ClickHouse::new(classes(), rules, 7)
+    ClickHouse::new(classes(), config, 7)
 }
 
 #[test]
--- a/crates/coordinator/tests/golden_operators/commands.rs
+++ b/crates/coordinator/tests/golden_operators/commands.rs
@@ -245,11 +245,11 @@
     let r = &c.clickhouse;
     text += &format!(
         "read {} write {} deduplicated {:?} upload {} keep {}\nstall {} unread {}\n",
-        r.read,
-        r.write,
-        r.deduplicated,
-        r.upload,
-        r.keep,
+        r.read_class,
+        r.write_class,
+        r.deduplicated_class,
+        r.upload_timeout,
+        r.body_budget_bytes,
         c.result_stall_timeout,
         c.max_unread_bytes
     );
@@ -258,7 +258,7 @@
         c.known_index,
         c.known_updates.len(),
         c.classes.names,
-        c.classes.patience,
+        c.classes.default_timeouts,
         c.tenants,
         c.zones,
         c.kinds,
--- a/crates/coordinator/tests/operator_config.rs
+++ b/crates/coordinator/tests/operator_config.rs
@@ -20,11 +20,14 @@
         (small.discovery, small.known_updates.len()),
         (DiscoverySource::Fixed, 1)
     );
-    assert_eq!((small.clickhouse.read, small.clickhouse.write), (0, 2));
+    assert_eq!(
+        (small.clickhouse.read_class, small.clickhouse.write_class),
+        (0, 2)
+    );
     let example = config(EXAMPLE);
     assert_eq!(example.listen, "127.0.0.1:8123".parse().unwrap());
     assert_eq!(
-        &*example.classes.patience,
+        &*example.classes.default_timeouts,
         [2_500_000, 15_000_000, 25_000_000]
     );
     let etcd = config("engines { etcd \"127.0.0.1:2379\" prefix=\"/x/\"; }");
