--- a/crates/coordinator/src/frontends/clickhouse/kill.rs
+++ b/crates/coordinator/src/frontends/clickhouse/kill.rs
@@ -1,4 +1,4 @@
-//! KILL QUERY: carried out by the coordinator, on each engine that may run the query.
+//! KILL QUERY, which the coordinator sends to each engine that may run the query.
 
 use super::codes::QUERY_WAS_CANCELLED;
 use super::query::engine_parameters;
@@ -14,7 +14,7 @@
 use std::rc::Rc;
 
 impl ClickHouse {
-    /// The order to end the queries of these names; `options` stands behind its condition.
+    /// Builds the kill request for these query ids; `options` follows the condition.
     pub(super) fn kill(
         &mut self,
         query: &Query,
@@ -47,19 +47,19 @@
     }
 }
 
-/// What the orders to all engines share.
+/// What the kill requests to all engines have in common.
 struct EngineKill {
-    /// Sets the ids of these orders apart from others'.
+    /// Distinguishes the ids of these kill requests from those of others.
     seed: u64,
     options: String,
     template: ParsedRequest,
 }
 
 impl EngineKill {
-    /// The order to one engine, for the query of this name there.
+    /// Builds the request to one engine for the query with this id there.
     #[allow(
         clippy::cast_possible_truncation,
-        reason = "half of a hash is enough to tell names apart"
+        reason = "half of a hash is enough to distinguish query ids"
     )]
     fn request_for(&self, engine: EngineId, name: &str) -> ParsedRequest {
         let quoted = name.replace('\\', "\\\\").replace('\'', "\\'");
--- a/crates/coordinator/src/frontends/clickhouse/query.rs
+++ b/crates/coordinator/src/frontends/clickhouse/query.rs
@@ -1,4 +1,4 @@
-//! Makes the core's request of a query, with its session and its order.
+//! Converts a query to a request of the core, with its session and ordering key.
 
 use super::codes::{BAD_ARGUMENTS, NOT_IMPLEMENTED, SESSION_NOT_FOUND};
 use super::response::StreamWriter;
@@ -22,7 +22,7 @@
      query_id IN ('...')";
 
 impl ClickHouse {
-    /// Accepts a query; an error is the whole response that says why not.
+    /// Accepts a query; the error is the complete response to a query that is rejected.
     pub(super) fn parse_query(
         &mut self,
         query: &Query,
@@ -60,7 +60,7 @@
         Ok(FrontendAction::Accept(parsed, writer))
     }
 
-    /// Accepts a KILL QUERY, where its condition names queries by id.
+    /// Accepts a KILL QUERY whose condition names queries by id.
     fn parse_kill(
         &mut self,
         query: &Query,
@@ -75,7 +75,7 @@
         Ok(self.kill(query, ids, &kill.options, class, writer))
     }
 
-    /// The class that the client names, or the one of the statement's kind.
+    /// The class that the client names, or the default class of the statement.
     fn class(&self, query: &Query) -> Result<u16, Vec<u8>> {
         let statement = &query.statement;
         match &query.class {
@@ -92,7 +92,7 @@
         }
     }
 
-    /// How long the client waits, with the time for a streamed body.
+    /// The client's timeout, including the time for a streamed body.
     fn time_budget(&self, query: &Query, class: u16, has_more_body: bool) -> Micros {
         let max = self.timeout(class);
         let budget = query
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Begins a query of its session, if it has one.
+    /// Starts the query in its session, if it has one.
     fn begin_session(
         &mut self,
         now: Micros,
@@ -127,15 +127,15 @@
     }
 }
 
-/// A session with a query in flight.
+/// A session in which a query was started.
 #[derive(Clone, Copy)]
 struct BegunSession {
     key: SessionKey,
-    /// Where it lives, if it does yet.
+    /// The session's engine, if it is bound to one.
     affinity: Option<SessionAffinity<EngineId>>,
 }
 
-/// The part of a core request that follows from the query and its session's affinity.
+/// The part of a core request that depends on the query and its session's affinity.
 fn engine_request(query: &Query, affinity: Option<SessionAffinity<EngineId>>) -> ParsedRequest {
     let sticky_session = affinity.map(|affinity| StickySession {
         engine: affinity.engine,
@@ -144,7 +144,8 @@
     let is_exclusive = affinity.is_some_and(|affinity| affinity.is_exclusive);
     let mut url_parameters = query.forwarded_params.clone();
     if is_exclusive {
-        // An engine that restarted unnoticed must say so, and not run this without what was set.
+        // An engine that restarted unnoticed has lost the session; it must report that instead of running the query without
+        // the session's state.
         url_parameters.push_str("&session_check=1");
     }
     ParsedRequest {
@@ -159,7 +160,7 @@
     }
 }
 
-/// The key of a query's order: the client's, or the table that is written, so that batches into one table stay in order.
+/// The ordering key: the client's, or the table that is written, so that batches into one table stay in order.
 fn ordering_key(query: &Query) -> Option<u64> {
     let key = query
         .ordering_key
@@ -168,7 +169,7 @@
     Some(fnv1a_64(key.as_bytes()))
 }
 
-/// What the backend is told beside the statement.
+/// Parameters for the backend, in addition to the statement.
 pub(super) fn engine_parameters(query: &Query, url_parameters: String) -> Rc<[(String, String)]> {
     let mut parameters = vec![
         (URL_PARAMETERS.to_string(), url_parameters),
--- a/crates/coordinator/src/frontends/clickhouse/replies.rs
+++ b/crates/coordinator/src/frontends/clickhouse/replies.rs
@@ -1,4 +1,4 @@
-//! Responses that need no engine: exceptions, pings, readiness.
+//! Responses without an engine: exceptions, pings, readiness.
 
 use super::codes::BAD_ARGUMENTS;
 use crate::frontends::FrontendAction;
@@ -9,7 +9,7 @@
 const TEXT: (&str, &str) = ("Content-Type", "text/plain; charset=UTF-8");
 const HTML: (&str, &str) = ("Content-Type", "text/html; charset=UTF-8");
 const EXCEPTION_CODE_HEADER: &str = "X-ClickHouse-Exception-Code";
-/// What a page of another origin may ask.
+/// CORS headers in the response to a preflight request.
 const CROSS_ORIGIN_HEADERS: [(&str, &str); 4] = [
     ("Access-Control-Allow-Origin", "*"),
     ("Access-Control-Allow-Methods", "POST, GET, OPTIONS"),
@@ -21,7 +21,7 @@
     ("Access-Control-Max-Age", "86400"),
 ];
 
-/// The reply to what is no query.
+/// The response to a request that is not a query.
 pub(super) fn reply_to(request: &ClientRequest, head_only: bool) -> FrontendAction {
     let page = |status: u16, body: &str| complete_response(status, &[HTML], body, head_only);
     match request {
@@ -46,12 +46,12 @@
     }
 }
 
-/// An exception as a whole response, with the status that goes with its code.
+/// A response with an exception and the status for its code.
 pub(super) fn exception(e: &Exception, head_only: bool) -> Vec<u8> {
     exception_with(e.status(), e, &[], head_only)
 }
 
-/// An exception as a whole response, with a status and more headers.
+/// A response with an exception, the given status and additional headers.
 pub(super) fn exception_with(
     status: u16,
     e: &Exception,
@@ -64,7 +64,7 @@
     complete_response(status, &headers, &format!("{e}\n"), head_only)
 }
 
-/// The response to what can't be read as a request.
+/// The response to a malformed request.
 pub(super) fn http_error(error: HttpError) -> Vec<u8> {
     let text = match error {
         HttpError::Malformed => "The request can't be read as HTTP",
@@ -79,7 +79,7 @@
     response(error.status(), &headers, format!("{e}\n").as_bytes(), true)
 }
 
-/// A whole response, or its head alone.
+/// A complete response, or only its head.
 fn complete_response(
     status: u16,
     headers: &[(&str, &str)],
--- a/crates/coordinator/src/frontends/clickhouse/response.rs
+++ b/crates/coordinator/src/frontends/clickhouse/response.rs
@@ -1,4 +1,4 @@
-//! Results as they come, in chunks where the client knows them.
+//! Streamed results, in the chunked coding if the client supports it.
 
 use super::replies::exception_with;
 use crate::frontends::{ConnectionAction, ResponseWriter};
@@ -11,20 +11,20 @@
 
 const MICROS_PER_SECOND: Micros = 1_000_000;
 
-/// Writes one query's result.
+/// Serializes the result of one query.
 pub(super) struct StreamWriter {
-    /// The client's id of the query.
+    /// The query id known to the client.
     query_id: String,
     has_begun: bool,
-    /// The body's length was told: it is complete with its only chunk.
+    /// The head had a `Content-Length`, so the body is complete after its only chunk.
     has_length: bool,
     is_chunked: bool,
     head_only: bool,
-    /// The client asked for progress in headers.
+    /// The client requested progress headers.
     wants_progress: bool,
-    /// The exception tag that the client was told, where it reads the result as text.
+    /// The exception tag in the head sent to the client.
     exception_tag: Option<String>,
-    /// The result is packed: no words can stand in it.
+    /// The result is compressed, so plain text can't be appended to it.
     is_compressed: bool,
 }
 
@@ -42,7 +42,7 @@
         }
     }
 
-    /// An exception, with the query's id where its client knows it.
+    /// A response with an exception and the query id.
     fn exception(&self, status: u16, e: &Exception, more_headers: &[(&str, &str)]) -> Vec<u8> {
         let mut headers = vec![("X-ClickHouse-Query-Id", self.query_id.as_str())];
         headers.extend(more_headers);
@@ -50,7 +50,7 @@
     }
 
     fn write_head(&mut self, first: &ResponseChunk, out: &mut Vec<u8>) {
-        // Engines are asked for progress for our own sake; only who asked for it is told.
+        // The coordinator always requests progress from engines; only clients that requested it receive the header.
         let is_wanted =
             |name: &str| self.wants_progress || !name.eq_ignore_ascii_case("X-ClickHouse-Progress");
         let headers: Vec<(&str, &str)> = first
@@ -110,7 +110,7 @@
             ("X-Come-Back-Ms", ms.as_str()),
             ("Retry-After", seconds.as_str()),
         ];
-        // Where an engine erred on it, that is what its client wants to know.
+        // If an engine reported an error, it is more useful to the client than the overload message.
         let bytes = match message.and_then(Exception::parse) {
             Some(e) => self.exception(e.status(), &e, &headers),
             None => {
@@ -131,8 +131,8 @@
         out.extend(self.exception(e.status(), &e, &[]));
     }
 
-    /// Without chunks a close is how a complete result ends, so only a reset shows that this one is not. In chunks, no last one
-    /// follows, which no client takes for a complete result; who was told a tag looks for the reason behind it.
+    /// Without the chunked coding a close ends a complete result, so the connection is reset to show that the result is incomplete.
+    /// With it, the missing last chunk shows that; a client that received an exception tag also gets the reason.
     fn abort(&mut self, message: Option<&str>, out: &mut Vec<u8>) -> ConnectionAction {
         if !self.is_chunked || self.head_only {
             return ConnectionAction::Reset;
--- a/crates/coordinator/src/frontends/mod.rs
+++ b/crates/coordinator/src/frontends/mod.rs
@@ -1,7 +1,7 @@
-//! Frontends: the protocols spoken with clients, without their sockets.
+//! Frontends: the client protocols, without I/O.
 //!
-//! A [`Frontend`] turns each HTTP request into a [`FrontendAction`]; a [`ResponseWriter`] writes one request's response in the
-//! client's form. [`platform`] is the platform's protocol, [`clickhouse`] the ClickHouse HTTP interface.
+//! A [`Frontend`] turns each HTTP request into a [`FrontendAction`]; a [`ResponseWriter`] serializes the response to one request.
+//! [`platform`] implements the platform's protocol, [`clickhouse`] the ClickHouse HTTP interface.
 
 pub mod clickhouse;
 pub mod platform;
@@ -11,154 +11,155 @@
 use driftfront_http::{response, HttpError, Request, RequestLimits};
 use std::rc::Rc;
 
-/// What is to be done with a client's request.
+/// What to do with a client's request.
 pub enum FrontendAction {
-    /// Reply at once with these bytes.
+    /// Send these bytes as the response.
     Reply(Vec<u8>),
-    /// It can't be accepted: reply with these bytes, and let the client wait before its next request.
+    /// Reject the request: send these bytes and delay the client's next request.
     RejectBadRequest(Vec<u8>),
-    /// Reply whether the coordinator is ready.
+    /// Respond according to whether the coordinator is ready.
     ReportReadiness {
-        /// The reply if it is.
+        /// The response if the coordinator is ready.
         ready: Vec<u8>,
-        /// The reply if it is not.
+        /// The response if the coordinator is not ready.
         not_ready: Vec<u8>,
     },
-    /// Reply with the counters.
+    /// Respond with the counters.
     ReportCounters,
-    /// Accept the request; its response is written with this writer.
+    /// Accept the request; the writer serializes its response.
     Accept(ParsedRequest, Box<dyn ResponseWriter>),
-    /// End queries, wherever they run.
+    /// Kill queries on every engine that runs them.
     Kill(Box<KillRequest>),
-    /// The client takes its request of this id back.
+    /// Cancel the client's request with this id.
     CancelRequest {
-        /// The request's id.
+        /// The id of the request.
         request_id: Rc<str>,
-        /// The reply.
+        /// The response.
         reply: Vec<u8>,
     },
 }
 
-/// Makes the request that ends a query on one engine, by the query's name there.
+/// Builds the request that kills a query on one engine, given the query's id on that engine.
 pub type KillRequestFor = Box<dyn Fn(EngineId, &str) -> ParsedRequest>;
 
-/// A client's order to end queries.
+/// A client's request to kill queries.
 pub struct KillRequest {
-    /// Their names.
+    /// The ids of the queries.
     pub query_ids: Vec<String>,
-    /// Only try whether that could be done.
+    /// Only check whether the queries can be killed (`TEST`).
     pub is_test: bool,
-    /// The message that their clients get.
+    /// The error message for the clients of the killed queries.
     pub message: String,
-    /// The reply where none of them runs.
+    /// The response if none of the queries is running.
     pub none_running_response: Vec<u8>,
-    /// The request for one engine.
+    /// Builds the request for one engine.
     pub request_for: KillRequestFor,
-    /// Writes the response.
+    /// Serializes the response.
     pub writer: Box<dyn ResponseWriter>,
 }
 
-/// What becomes of a client's connection after a response.
+/// What to do with a client's connection after a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionAction {
-    /// It may carry the next request.
+    /// Keep it open for the next request.
     KeepOpen,
-    /// It closes in order.
+    /// Close it.
     Close,
-    /// It is reset: an orderly close would make what was cut look complete.
+    /// Reset it: after a normal close an incomplete result would look complete.
     Reset,
 }
 
-/// Writes one request's response in the client's form.
+/// Serializes the response to one request.
 pub trait ResponseWriter {
     /// Writes a chunk of the result.
     fn write_chunk(&mut self, chunk: &ResponseChunk, out: &mut Vec<u8>);
-    /// Ends a complete result.
+    /// Writes the end of a complete result.
     fn finish(&mut self, out: &mut Vec<u8>) -> ConnectionAction;
-    /// Writes that the request was rejected: harmless to try again after this time. `message`: the last engine's error, if any.
+    /// Writes that the request was rejected and can safely be retried after `retry_after`. `message` is the last engine's error, if
+    /// there is one.
     fn reject(&mut self, retry_after: Micros, message: Option<&str>, out: &mut Vec<u8>);
-    /// Writes that the request failed before any chunk.
+    /// Writes that the request failed before any chunk was written.
     fn fail(&mut self, message: Option<&str>, out: &mut Vec<u8>);
-    /// Breaks a result off after a chunk: the client must see it.
+    /// Aborts a result after a chunk, in a way that the client can detect.
     fn abort(&mut self, message: Option<&str>, out: &mut Vec<u8>) -> ConnectionAction;
 }
 
-/// Reads clients' requests.
+/// Parses client requests.
 pub trait Frontend {
-    /// What is to be done with a request. `reserved_bytes`: what its body holds of the budget for bodies.
+    /// Parses a request. `reserved_bytes` is the part of the body budget that its body has reserved.
     fn parse_request(
         &mut self,
         request: Request,
         now: Micros,
         reserved_bytes: usize,
     ) -> FrontendAction;
-    /// Bounds of the requests that are read.
+    /// Limits on requests.
     fn request_limits(&self) -> RequestLimits;
-    /// A request that holds `reserved_bytes` of the budget has grown to `size`: what it holds then. `None` where there is no budget.
+    /// Grows the reservation of a request from `reserved_bytes` to fit `size` bytes. `None` if the frontend has no body budget.
     fn reserve_body(&mut self, _reserved_bytes: usize, _size: usize) -> Option<Reservation> {
         None
     }
-    /// Releases what a request held of the budget.
+    /// Releases a request's reservation.
     fn release_body(&mut self, _reserved_bytes: usize) {}
-    /// Nothing of the request of this ticket is in flight any more.
+    /// Called once no attempt of the request with this ticket is in flight any more.
     fn settle_request(&mut self, _now: Micros, _ticket: u64, _outcome: SettledOutcome) {}
-    /// An engine takes nothing new, or has been replaced.
+    /// Called when an engine stops accepting attempts or has been replaced.
     fn remove_engine(&mut self, _engine: EngineId) {}
-    /// The reply to a request whose id an open one has; `None` accepts it, to fail.
+    /// The response to a request whose id is already in use by an open request; with `None` it is accepted, and fails in the core.
     fn duplicate_id_response(&mut self, _now: Micros, _request: &ParsedRequest) -> Option<Vec<u8>> {
         None
     }
-    /// Whether a client makes one call at a time on a connection: what it sends far ahead is no use of its own then.
+    /// Whether clients send one request at a time on a connection, so that a lot of pipelined input is misuse.
     fn is_sequential(&self) -> bool {
         false
     }
-    /// Whether a read is ended on its engine when its client leaves.
+    /// Whether a read is cancelled on its engine when its client disconnects.
     fn cancels_reads_on_disconnect(&self) -> bool {
         false
     }
-    /// How long an engine may take once the whole of a streamed body is there.
+    /// How long an engine may take after the end of a streamed body.
     fn timeout_after_body(&self, _request: &ParsedRequest) -> Option<Micros> {
         None
     }
-    /// The response to what can't be read as a request; the connection closes behind it.
+    /// The response to a malformed request; the connection is closed after it.
     fn error_response(&self, error: HttpError) -> Vec<u8> {
         response(error.status(), &[], b"", true)
     }
-    /// Counters of its own, a line each.
+    /// The frontend's counters, one per line.
     fn counters(&self) -> String {
         String::new()
     }
-    /// Sessions held and, of these, those bound to their engine; empty where there are none.
+    /// Number of sessions, and how many of them are stateful; empty if the frontend has no sessions.
     fn session_counts(&self) -> Vec<u64> {
         Vec::new()
     }
-    /// Ends sessions whose time is over.
+    /// Removes expired sessions.
     fn expire_sessions(&mut self, _now: Micros) {}
 }
 
-/// The query classes as clients name them.
+/// The query classes, by the names that clients use.
 #[derive(Clone)]
 pub struct QueryClasses {
-    /// Names, by index.
+    /// Names by class index.
     pub names: Rc<[String]>,
-    /// How long a client waits that does not say, by index.
+    /// Default client timeouts by class index.
     pub default_timeouts: Rc<[Micros]>,
 }
 
 impl QueryClasses {
-    /// A class's name; empty for an index that there is not.
+    /// The name of a class; empty for an unknown index.
     pub fn name(&self, class: u16) -> &str {
         self.names
             .get(usize::from(class))
             .map_or("", String::as_str)
     }
 
-    /// How long a client of a class waits that does not say; `None` for an index that there is not.
+    /// The default client timeout of a class; `None` for an unknown index.
     pub fn timeout(&self, class: u16) -> Option<Micros> {
         self.default_timeouts.get(usize::from(class)).copied()
     }
 
-    /// A class's index.
+    /// The index of a class.
     pub fn index(&self, name: &str) -> Option<u16> {
         let index = self.names.iter().position(|n| n == name)?;
         u16::try_from(index).ok()
--- a/crates/coordinator/src/frontends/platform/fields.rs
+++ b/crates/coordinator/src/frontends/platform/fields.rs
@@ -1,4 +1,4 @@
-//! The header fields and the statement of a platform's request.
+//! Parsing of the header fields and the statement of a platform request.
 
 use crate::frontends::QueryClasses;
 use driftfront_clickhouse::sql::table_group;
@@ -6,20 +6,20 @@
 use driftfront_http::{header, Request};
 use std::rc::Rc;
 
-/// Longest client timeout believed, in deadlines of the class: no usual client comes near it.
+/// Maximum accepted client timeout, as a multiple of the class's deadline. Typical timeouts are far below it.
 const MAX_TIMEOUT_IN_DEADLINES: f64 = 2.0;
-/// The largest estimate: what can't be a figure must not be planned with.
+/// Maximum value of an estimate; larger ones are implausible and would distort scheduling.
 const MAX_NUMBER: f64 = 1e9;
-/// A keyed request may come this much late, since clients write requests that share a key one after another while their timeout
-/// runs; its client leaves that much before the timeout has passed here.
+/// A request with an ordering key may arrive this late: clients send requests that share a key one after another while the timeout
+/// is running. The client gives up this much earlier than the timeout counted here, so it is subtracted.
 const KEY_DELAY_MS: f64 = 600.0;
-/// For short timeouts the delay is at most one part in so many of these.
+/// For short timeouts the delay is at most this fraction (1/n) of the timeout.
 const MIN_TIMEOUT_PER_KEY_DELAY: f64 = 10.0;
-/// Longest idempotency key accepted: the usual ones have 32 characters, and an engine's line has its bound.
+/// Maximum length of an idempotency key. Typical keys have 32 characters, and the engine protocol limits the length of a line.
 const MAX_IDEMPOTENCY_KEY_BYTES: usize = 128;
 const MICROS_PER_MS: f64 = 1000.0;
 
-/// Fields that may stand once: which of two would be meant can't be told.
+/// Fields that may occur only once, since two values would be ambiguous.
 const UNIQUE_FIELDS: [&str; 8] = [
     "X-Call-Id",
     "X-Patience-Ms",
@@ -31,7 +31,7 @@
     "X-Entity",
 ];
 
-/// Why a request can't be accepted. Clients read these messages.
+/// Why a request is rejected. The messages are sent to clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum FieldError {
     #[error("a field stands twice")]
@@ -58,12 +58,12 @@
     BadIdempotencyKey,
 }
 
-/// Whether a text is 16 hex digits, as ids and keys are.
+/// Whether a text consists of 16 hex digits, like ids and ordering keys.
 pub(super) fn is_hex16(text: &str) -> bool {
     text.len() == 16 && text.bytes().all(|b| b.is_ascii_hexdigit())
 }
 
-/// Parses a posted statement of a class.
+/// Parses a POST request with a statement of a class.
 #[allow(
     clippy::cast_possible_truncation,
     reason = "a timeout is at most the class's deadline, and not negative"
@@ -85,7 +85,7 @@
     let statement = fields.statement()?;
     let ordering_key = fields.ordering_key()?;
     let idempotency_key = fields.idempotency_key()?;
-    // One that the settings don't name has no share, and takes none of another's.
+    // A tenant that is not configured has no share, and does not use the share of another tenant.
     let tenant = fields
         .get("X-Customer")
         .and_then(|name| tenants.iter().position(|n| n == name));
@@ -111,7 +111,7 @@
     })
 }
 
-/// A request's header fields.
+/// The header fields of a request.
 struct Fields<'a>(&'a Request);
 
 impl<'a> Fields<'a> {
@@ -130,8 +130,8 @@
         Ok(())
     }
 
-    /// The id becomes a word of the engines' protocol: a blank or a line break in it would forge commands, and an engine that can't
-    /// read a line closes the connection with all that is open on it.
+    /// The request id is a word of the engine protocol: a space or line break in it would inject commands, and an engine that
+    /// can't parse a line closes the connection with all attempts on it.
     fn call_id(&self) -> Result<&'a str, FieldError> {
         let id = self.get("X-Call-Id").ok_or(FieldError::NoCallId)?;
         if is_hex16(id) {
@@ -158,7 +158,8 @@
         Ok(timeout_ms)
     }
 
-    /// The statement as text. Engines answer what they can't use with an error, which would look like a fault of theirs.
+    /// The statement as text. Invalid text is rejected here, because the error that engines return for it would look like an engine
+    /// failure.
     fn statement(&self) -> Result<&'a str, FieldError> {
         let text = std::str::from_utf8(&self.0.body).map_err(|_| FieldError::StatementNotUtf8)?;
         let is_invalid = |c: char| c.is_control() && !c.is_whitespace();
@@ -179,8 +180,8 @@
         Ok(Some(key))
     }
 
-    /// The idempotency key, which can stand in a list of fields of the engines' protocol: a comma, a blank or a line break would
-    /// forge others.
+    /// The idempotency key. It becomes part of a list of fields in the engine protocol, where a comma, space or line break would
+    /// inject other fields.
     fn idempotency_key(&self) -> Result<Option<&'a str>, FieldError> {
         let Some(idempotency_key) = self.get("X-Dedupe-Key") else {
             return Ok(None);
--- a/crates/coordinator/src/frontends/platform/mod.rs
+++ b/crates/coordinator/src/frontends/platform/mod.rs
@@ -1,8 +1,8 @@
-//! The platform's protocol towards clients: statements come as POSTs, results go as JSON.
+//! The platform's client protocol: statements are sent by POST, results are returned as JSON.
 //!
-//! | module | job |
+//! | module | purpose |
 //! | --- | --- |
-//! | `fields` | the header fields and the statement of a request |
+//! | `fields` | parsing of header fields and statements |
 //! | `response` | results and errors as JSON |
 
 mod fields;
@@ -15,10 +15,10 @@
 use response::{json_error, JsonWriter};
 use std::rc::Rc;
 
-/// Largest statement accepted: with all connections that may be open, these must fit the smallest memory.
+/// Maximum size of a statement. With the maximum number of connections, all statements must fit the memory of the smallest machine.
 const MAX_BODY_BYTES: usize = 64 * 1024;
 
-/// Reads the platform's requests.
+/// The frontend for platform clients.
 pub struct Platform {
     /// The query classes.
     pub classes: QueryClasses,
@@ -64,7 +64,7 @@
 }
 
 impl Platform {
-    /// A statement, or the withdrawal of one.
+    /// Parses a statement, or the cancellation of one.
     fn parse_query(&self, request: &Request, class: u16) -> FrontendAction {
         let call = header(&request.headers, "X-Call-Id").filter(|id| is_hex16(id));
         if let ("DELETE", Some(call)) = (request.method.as_str(), call) {
--- a/crates/coordinator/src/frontends/platform/response.rs
+++ b/crates/coordinator/src/frontends/platform/response.rs
@@ -1,13 +1,13 @@
-//! Results and errors as JSON.
+//! Serialization of results and errors as JSON.
 
 use crate::frontends::{ConnectionAction, ResponseWriter};
 use driftfront_core::{Micros, ResponseChunk};
 use driftfront_http::response;
 
-/// Writes a result's rows as JSON. They go out only with the whole result, so nothing is written before its end.
+/// Serializes the rows of a result as JSON. Nothing is written before the result is complete.
 #[derive(Default)]
 pub(super) struct JsonWriter {
-    /// The rows so far, with their opening bracket.
+    /// The rows so far, including the opening bracket.
     body: Vec<u8>,
 }
 
@@ -69,7 +69,7 @@
     }
 }
 
-/// A response that says what is wrong with a request.
+/// The response to an invalid request.
 pub(super) fn json_error(status: u16, message: &str) -> Vec<u8> {
     let body = format!("{{\"error\":{}}}", json_string(message));
     response(status, &[], body.as_bytes(), false)
