--- a/crates/coordinator/src/backends/clickhouse/cause.rs
+++ b/crates/coordinator/src/backends/clickhouse/cause.rs
@@ -19,7 +19,7 @@
 }
 
 /// The cause of a result that broke after its status said 200: the query has begun.
-pub(super) fn cause_of_broken_result(error: &ResultError) -> Cause {
+pub(super) fn cause_of_invalid_result(error: &ResultError) -> Cause {
     match error {
         ResultError::Exception(e) if e.code == NO_CODE => {
             Cause::Engine(Exception::new(NETWORK_ERROR, &e.text).text)
--- a/crates/coordinator/src/backends/clickhouse/response.rs
+++ b/crates/coordinator/src/backends/clickhouse/response.rs
@@ -1,6 +1,6 @@
 //! One response of an engine, from its head to its end.
 
-use super::cause::{cause_of_broken_result, cause_of_error};
+use super::cause::{cause_of_error, cause_of_invalid_result};
 use super::{PROGRESS_HEADER, QUERY_ID_HEADER};
 use crate::backends::EngineEvent;
 use driftfront_clickhouse::exception::{parse_code, MAX_TEXT_BYTES};
@@ -9,7 +9,7 @@
 use driftfront_http::{header, ResponseHead};
 
 /// Rows held back before the first is forwarded: an error found until then can still be answered by a further attempt or in full.
-const MAX_HELD_BYTES: usize = 32 * 1024;
+const MAX_BUFFERED_BYTES: usize = 32 * 1024;
 /// Headers that describe the result for its client, beside those of [`FORWARDED_PREFIXES`].
 const FORWARDED_HEADERS: [&str; 3] = ["content-type", "content-encoding", "content-disposition"];
 /// See [`FORWARDED_HEADERS`].
@@ -22,7 +22,7 @@
     request_id: String,
     head: Option<ResponseHead>,
     /// Error text, or rows that are not forwarded yet.
-    held: Vec<u8>,
+    buffered: Vec<u8>,
     /// Checks the result; there once the head of a query's response is.
     checker: Option<ResultChecker>,
     is_forwarding: bool,
@@ -32,7 +32,7 @@
 
 impl Response {
     /// The response to a query of this id of its client.
-    pub(super) fn to(request_id: &str) -> Response {
+    pub(super) fn for_request(request_id: &str) -> Response {
         Response {
             request_id: request_id.into(),
             ..Response::default()
@@ -99,35 +99,36 @@
         events: &mut Vec<EngineEvent>,
     ) -> Result<(), ResultError> {
         if self.is_error() {
-            let room = MAX_TEXT_BYTES.saturating_sub(self.held.len());
-            self.held.extend_from_slice(&bytes[..bytes.len().min(room)]);
+            let available = MAX_TEXT_BYTES.saturating_sub(self.buffered.len());
+            self.buffered
+                .extend_from_slice(&bytes[..bytes.len().min(available)]);
             return Ok(());
         }
         if let Some(checker) = &mut self.checker {
             checker.push(&bytes)?;
         }
-        if self.held.is_empty() {
-            self.held = bytes;
+        if self.buffered.is_empty() {
+            self.buffered = bytes;
         } else {
-            self.held.extend(bytes);
+            self.buffered.extend(bytes);
         }
-        if self.is_forwarding || self.held.len() > MAX_HELD_BYTES {
-            self.forward_held(key, false, events);
+        if self.is_forwarding || self.buffered.len() > MAX_BUFFERED_BYTES {
+            self.forward_buffered(key, false, events);
         }
         Ok(())
     }
 
     /// Forwards the rows that are held; with the first of them what describes the result.
-    fn forward_held(&mut self, key: AttemptKey, is_last: bool, events: &mut Vec<EngineEvent>) {
+    fn forward_buffered(&mut self, key: AttemptKey, is_last: bool, events: &mut Vec<EngineEvent>) {
         let is_first = !std::mem::replace(&mut self.is_forwarding, true);
-        let about = if is_first {
+        let headers = if is_first {
             self.forwarded_headers()
         } else {
             Vec::new()
         };
         let chunk = ResponseChunk {
-            headers: about,
-            rows: std::mem::take(&mut self.held),
+            headers,
+            rows: std::mem::take(&mut self.buffered),
             is_only_chunk: is_first && is_last,
         };
         events.push(EngineEvent::ResponseChunk(key, chunk));
@@ -139,23 +140,23 @@
             return events.push(self.error_event(key));
         }
         if let Some(Err(error)) = self.checker.as_mut().map(|c| c.finish(false)) {
-            return events.push(EngineEvent::Failed(key, cause_of_broken_result(&error)));
+            return events.push(EngineEvent::Failed(key, cause_of_invalid_result(&error)));
         }
-        if !self.is_forwarding || !self.held.is_empty() {
-            self.forward_held(key, true, events);
+        if !self.is_forwarding || !self.buffered.is_empty() {
+            self.forward_buffered(key, true, events);
         }
         events.push(EngineEvent::Served(key));
     }
 
     /// Ends the response where the connection was cut: servers cut the chunks after an error that came too late for the status. The
     /// event, if the engine said why.
-    pub(super) fn finish_cut(&mut self, key: AttemptKey) -> Option<EngineEvent> {
+    pub(super) fn finish_truncated(&mut self, key: AttemptKey) -> Option<EngineEvent> {
         if !self.has_head() || self.is_error() {
             return None;
         }
         match self.checker.as_mut()?.finish(true) {
             Err(error @ ResultError::Exception(_)) => {
-                Some(EngineEvent::Failed(key, cause_of_broken_result(&error)))
+                Some(EngineEvent::Failed(key, cause_of_invalid_result(&error)))
             }
             // A connection that is cut says by itself that the result is not complete.
             _ => None,
@@ -163,7 +164,7 @@
     }
 
     fn error_event(&self, key: AttemptKey) -> EngineEvent {
-        let text = String::from_utf8_lossy(&self.held);
+        let text = String::from_utf8_lossy(&self.buffered);
         let text = text.trim_end();
         let code = self.code().or_else(|| parse_code(text));
         let status = self.head.as_ref().map_or(0, |h| h.status);
@@ -184,7 +185,7 @@
 }
 
 /// The share of a query that is done, by the value of its progress header.
-pub(super) fn progress_share(value: &str) -> Option<f64> {
+pub(super) fn progress_fraction(value: &str) -> Option<f64> {
     let number = |name: &str| {
         let rest = &value[value.find(&format!("\"{name}\""))? + name.len() + 2..];
         let digits = rest.trim_start_matches([':', ' ', '"']);
--- a/crates/coordinator/src/backends/clickhouse/session.rs
+++ b/crates/coordinator/src/backends/clickhouse/session.rs
@@ -1,8 +1,8 @@
 //! A connection's session over HTTP.
 
-use super::cause::cause_of_broken_result;
+use super::cause::cause_of_invalid_result;
 use super::request::{write_ping, write_query};
-use super::response::{progress_share, Response};
+use super::response::{progress_fraction, Response};
 use super::{ClickHouseError, PROGRESS_HEADER, QUERY_ID_HEADER};
 use crate::backends::{AttemptRequest, EngineEvent, EngineSession, SessionError};
 use driftfront_clickhouse::coding::Coding;
@@ -33,7 +33,7 @@
     /// Its result comes in compressed blocks.
     has_blocks: bool,
     response: Response,
-    is_spent: bool,
+    must_close: bool,
 }
 
 impl HttpSession {
@@ -46,7 +46,7 @@
             query_name: String::new(),
             has_blocks: false,
             response: Response::default(),
-            is_spent: false,
+            must_close: false,
         }
     }
 
@@ -73,8 +73,8 @@
 
     fn report_progress(&mut self, header_value: String, events: &mut Vec<EngineEvent>) {
         let Some(key) = self.query() else { return };
-        if let Some(share) = progress_share(&header_value) {
-            let report = ProgressReport::Progress(share);
+        if let Some(fraction) = progress_fraction(&header_value) {
+            let report = ProgressReport::Progress(fraction);
             events.push(EngineEvent::ProgressReported(key, report));
         }
         self.response.set_progress(header_value);
@@ -85,7 +85,7 @@
         head: ResponseHead,
         events: &mut Vec<EngineEvent>,
     ) -> Result<(), ClickHouseError> {
-        self.is_spent |= head.close;
+        self.must_close |= head.close;
         let coding = content_coding(&head);
         let checker = match self.query() {
             Some(_) => {
@@ -99,7 +99,7 @@
         };
         self.response.set_head(head, checker);
         match self.in_flight {
-            InFlight::Query(key) => events.push(EngineEvent::Begun(key)),
+            InFlight::Query(key) => events.push(EngineEvent::ResponseStarted(key)),
             InFlight::Probe(_) => {}
             InFlight::Nothing => return Err(ClickHouseError::Unsolicited),
         }
@@ -135,10 +135,10 @@
         let Some(key) = self.query() else {
             return Ok(());
         };
-        self.response.add_body(key, bytes, events).map_err(|fault| {
-            (self.in_flight, self.is_spent) = (InFlight::Nothing, true);
-            events.push(EngineEvent::Failed(key, cause_of_broken_result(&fault)));
-            fault.into()
+        self.response.add_body(key, bytes, events).map_err(|error| {
+            (self.in_flight, self.must_close) = (InFlight::Nothing, true);
+            events.push(EngineEvent::Failed(key, cause_of_invalid_result(&error)));
+            error.into()
         })
     }
 
@@ -211,7 +211,7 @@
         self.in_flight = InFlight::Query(attempt.key);
         self.query_name.clear();
         self.query_name.push_str(attempt.name);
-        self.response = Response::to(&attempt.request.name);
+        self.response = Response::for_request(&attempt.request.name);
     }
 
     fn write_body_chunk(&mut self, bytes: &[u8], out: &mut Vec<u8>) {
@@ -227,7 +227,7 @@
             return true;
         }
         self.in_flight = InFlight::Nothing;
-        self.is_spent = true;
+        self.must_close = true;
         false
     }
 
@@ -258,19 +258,19 @@
         Ok(())
     }
 
-    fn decode_close(&mut self, events: &mut Vec<EngineEvent>) {
+    fn handle_eof(&mut self, events: &mut Vec<EngineEvent>) {
         if self.reader.is_complete_at_close() {
             self.end_response(events);
         } else if let Some(key) = self.query() {
-            if let Some(event) = self.response.finish_cut(key) {
+            if let Some(event) = self.response.finish_truncated(key) {
                 events.push(event);
                 self.in_flight = InFlight::Nothing;
             }
         }
-        self.is_spent = true;
+        self.must_close = true;
     }
 
-    fn is_spent(&self) -> bool {
-        self.is_spent
+    fn must_close(&self) -> bool {
+        self.must_close
     }
 }
--- a/crates/coordinator/src/backends/engine_protocol/message.rs
+++ b/crates/coordinator/src/backends/engine_protocol/message.rs
@@ -7,7 +7,7 @@
 /// Longest page: rows are not split.
 const MAX_PAGE_BYTES: usize = 6_000;
 /// The largest figure that is believed, of work in ms and of memory in MB.
-const MAX_FIGURE: f64 = 1e9;
+const MAX_NUMBER: f64 = 1e9;
 
 /// What a message says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -30,7 +30,7 @@
     Info,
 }
 
-const WORDS: [(MessageKind, &str); 8] = [
+const KEYWORDS: [(MessageKind, &str); 8] = [
     (MessageKind::Pong, "PONG"),
     (MessageKind::Sick, "SICK"),
     (MessageKind::Shed, "SHED"),
@@ -42,13 +42,13 @@
 ];
 
 impl MessageKind {
-    fn parse(word: &str) -> Option<MessageKind> {
-        WORDS.iter().find(|w| w.1 == word).map(|w| w.0)
+    fn parse(keyword: &str) -> Option<MessageKind> {
+        KEYWORDS.iter().find(|w| w.1 == keyword).map(|w| w.0)
     }
 
     /// The word on the wire.
-    pub(super) fn word(self) -> &'static str {
-        WORDS.iter().find(|w| w.0 == self).map_or("", |w| w.1)
+    pub(super) fn keyword(self) -> &'static str {
+        KEYWORDS.iter().find(|w| w.0 == self).map_or("", |w| w.1)
     }
 }
 
@@ -78,12 +78,12 @@
     UnterminatedPage,
     /// A message of no known kind.
     #[error("unknown word {0}")]
-    UnknownWord(String),
+    UnknownKeyword(String),
     /// A page that can't be used: the word of its message, and why.
-    #[error("{word}: {error}")]
+    #[error("{keyword}: {error}")]
     Page {
         /// `HIT` or `PART`.
-        word: &'static str,
+        keyword: &'static str,
         /// What is wrong with it.
         error: PageError,
     },
@@ -110,11 +110,11 @@
     }
 
     /// A figure above 0 that can be planned with; any other counts as not reported.
-    pub(super) fn figure(&self, name: &str) -> Option<f64> {
+    pub(super) fn positive_number(&self, name: &str) -> Option<f64> {
         self.field(name)?
             .parse()
             .ok()
-            .filter(|n| *n > 0.0 && *n <= MAX_FIGURE)
+            .filter(|n| *n > 0.0 && *n <= MAX_NUMBER)
     }
 
     /// An index or a count.
@@ -128,25 +128,25 @@
 pub(super) struct MessageReader {
     bytes: Vec<u8>,
     /// Bytes at the front that were decoded already.
-    used: usize,
+    consumed: usize,
 }
 
 impl MessageReader {
     /// Adds received bytes.
     pub(super) fn push(&mut self, input: &[u8]) {
-        self.bytes.drain(..self.used);
-        self.used = 0;
+        self.bytes.drain(..self.consumed);
+        self.consumed = 0;
         self.bytes.extend_from_slice(input);
     }
 
     /// Whether a message has begun and is not complete.
     pub(super) fn is_mid_message(&self) -> bool {
-        self.used < self.bytes.len()
+        self.consumed < self.bytes.len()
     }
 
     /// The next whole message, if it is there.
     pub(super) fn next_message(&mut self) -> Result<Option<Message>, LineError> {
-        let rest = &self.bytes[self.used..];
+        let rest = &self.bytes[self.consumed..];
         let Some(line_end) = rest.iter().position(|&b| b == b'\n') else {
             return if rest.len() > MAX_LINE_BYTES {
                 Err(LineError::LineTooLong)
@@ -159,15 +159,15 @@
         let Some(body) = page(after_line, head.length)? else {
             return Ok(None);
         };
-        let kind = MessageKind::parse(head.word)
-            .ok_or_else(|| LineError::UnknownWord(head.word.into()))?;
+        let kind = MessageKind::parse(head.keyword)
+            .ok_or_else(|| LineError::UnknownKeyword(head.keyword.into()))?;
         let message = Message {
             id: head.id.into(),
             kind,
             fields: head.fields.into(),
             body: body.to_vec(),
         };
-        self.used += line_end + 1 + head.length + b"\r\n".len();
+        self.consumed += line_end + 1 + head.length + b"\r\n".len();
         Ok(Some(message))
     }
 }
@@ -175,7 +175,7 @@
 /// The words of a message's line.
 struct Head<'a> {
     id: &'a str,
-    word: &'a str,
+    keyword: &'a str,
     fields: &'a str,
     length: usize,
 }
@@ -191,7 +191,7 @@
         }
         let line = std::str::from_utf8(line).map_err(|_| LineError::NotText)?;
         let words: Vec<&str> = line.split(' ').collect();
-        let [id, word, fields, length] = words[..] else {
+        let [id, keyword, fields, length] = words[..] else {
             return Err(LineError::WordCount(words.len()));
         };
         let length: usize = length.parse().map_err(|_| LineError::BadLength)?;
@@ -200,7 +200,7 @@
         }
         Ok(Head {
             id,
-            word,
+            keyword,
             fields,
             length,
         })
--- a/crates/coordinator/src/backends/engine_protocol/pages.rs
+++ b/crates/coordinator/src/backends/engine_protocol/pages.rs
@@ -36,7 +36,7 @@
     /// When the first page came.
     begun_at: Micros,
     /// Missing pages have been requested a second time.
-    is_requested_again: bool,
+    is_retried: bool,
 }
 
 impl OpenAttempt {
@@ -46,7 +46,7 @@
             pages: Vec::new(),
             report: AttemptReport::default(),
             begun_at: 0,
-            is_requested_again: false,
+            is_retried: false,
         }
     }
 
@@ -93,14 +93,14 @@
     }
 
     /// Requests missing pages a second time, once.
-    pub(super) fn request_missing_pages_again(&mut self, id: &str, out: &mut Vec<u8>) {
-        if !std::mem::replace(&mut self.is_requested_again, true) {
+    pub(super) fn retry_missing_pages(&mut self, id: &str, out: &mut Vec<u8>) {
+        if !std::mem::replace(&mut self.is_retried, true) {
             self.request_missing_pages(id, out);
         }
     }
 
     /// Whether its first page came more than this long ago.
-    pub(super) fn has_waited(&self, now: Micros, time: Micros) -> bool {
+    pub(super) fn is_first_page_older_than(&self, now: Micros, time: Micros) -> bool {
         !self.pages.is_empty() && now > self.begun_at + time
     }
 
--- a/crates/coordinator/src/backends/engine_protocol/session.rs
+++ b/crates/coordinator/src/backends/engine_protocol/session.rs
@@ -17,7 +17,7 @@
 /// A result that is not complete by then never will be.
 const RESULT_TIMEOUT: Micros = 1_200_000;
 /// Ids of attempts that ended without being served, which this connection does not carry again.
-const MAX_CLOSED_IDS: usize = 64;
+const MAX_RETIRED_IDS: usize = 64;
 /// Probes in flight: one that timed out is never answered.
 const MAX_OPEN_PROBES: usize = 8;
 /// The largest grant that is written, MB.
@@ -32,7 +32,7 @@
     open: BTreeMap<Rc<str>, OpenAttempt>,
     /// Ids that ended here without being served, the oldest first. An answer to the earlier attempt may still come, or come a
     /// second time, and would be taken for a later attempt's: that goes by another connection.
-    closed_ids: VecDeque<Rc<str>>,
+    retired_ids: VecDeque<Rc<str>>,
     /// Tags of the probes in flight, the oldest first.
     probes: Vec<u64>,
     max_attempts: usize,
@@ -47,7 +47,7 @@
         LineSession {
             reader: MessageReader::default(),
             open: BTreeMap::new(),
-            closed_ids: VecDeque::new(),
+            retired_ids: VecDeque::new(),
             probes: Vec::new(),
             max_attempts,
             gauges,
@@ -91,7 +91,7 @@
     }
 
     fn fail_attempt(&mut self, message: &Message, cause: Cause, events: &mut Vec<EngineEvent>) {
-        let Some(key) = self.close_id(&message.id) else {
+        let Some(key) = self.retire_id(&message.id) else {
             return;
         };
         let report = AttemptReport {
@@ -124,13 +124,13 @@
         let report = |message: &Message| attempt_report(&self.gauges, message);
         match open.add_page(now, message, report) {
             Ok(false) => return Ok(()),
-            Ok(true) => events.push(EngineEvent::Begun(key)),
+            Ok(true) => events.push(EngineEvent::ResponseStarted(key)),
             Err(error) => {
                 self.open.remove(&*id);
                 let cause = Cause::MalformedResponse(error.to_string());
                 events.push(EngineEvent::Failed(key, cause));
-                let word = kind.word();
-                return Err(LineError::Page { word, error });
+                let keyword = kind.keyword();
+                return Err(LineError::Page { keyword, error });
             }
         }
         if kind == MessageKind::Hit {
@@ -163,12 +163,12 @@
     }
 
     /// Ends what was in flight under this id without being served, and keeps the id off this connection; which attempt it was.
-    fn close_id(&mut self, id: &str) -> Option<AttemptKey> {
+    fn retire_id(&mut self, id: &str) -> Option<AttemptKey> {
         let (id, open) = self.open.remove_entry(id)?;
-        if self.closed_ids.len() >= MAX_CLOSED_IDS {
-            self.closed_ids.pop_front();
+        if self.retired_ids.len() >= MAX_RETIRED_IDS {
+            self.retired_ids.pop_front();
         }
-        self.closed_ids.push_back(id);
+        self.retired_ids.push_back(id);
         Some(open.key)
     }
 }
@@ -193,18 +193,18 @@
 fn attempt_report(gauges: &[String], message: &Message) -> AttemptReport {
     AttemptReport {
         report: load_report(gauges, message),
-        work: message.figure("effort").map(|ms| ms * 1000.0),
-        memory_mb: message.figure("high"),
+        work: message.positive_number("effort").map(|ms| ms * 1000.0),
+        memory_mb: message.positive_number("high"),
     }
 }
 
 fn progress_report(message: &Message) -> Option<ProgressReport> {
-    let figure: f64 = message.field("figure")?.parse().ok()?;
+    let value: f64 = message.field("figure")?.parse().ok()?;
     match message.field("res")? {
-        "p" if figure.is_finite() => Some(ProgressReport::Progress(figure.clamp(0.0, 1.0))),
-        "s" if figure.is_finite() => Some(ProgressReport::Spills(figure.max(0.0))),
-        "w" if figure == 1.0 => Some(ProgressReport::WaitsForMemory),
-        "w" if figure == 2.0 => Some(ProgressReport::WaitsForLoad),
+        "p" if value.is_finite() => Some(ProgressReport::Progress(value.clamp(0.0, 1.0))),
+        "s" if value.is_finite() => Some(ProgressReport::Spills(value.max(0.0))),
+        "w" if value == 1.0 => Some(ProgressReport::WaitsForMemory),
+        "w" if value == 2.0 => Some(ProgressReport::WaitsForLoad),
         _ => None,
     }
 }
@@ -242,7 +242,7 @@
 
     fn can_start(&self, request_id: &str) -> bool {
         let is_known = self.open.contains_key(request_id)
-            || self.closed_ids.iter().any(|id| **id == *request_id);
+            || self.retired_ids.iter().any(|id| **id == *request_id);
         self.open.len() < self.max_attempts && !is_known
     }
 
@@ -269,7 +269,7 @@
             .map(|o| o.0.clone());
         if let Some(id) = id {
             out.extend(format!("STOP {id}\r\n").bytes());
-            self.close_id(&id);
+            self.retire_id(&id);
         }
         true
     }
@@ -320,10 +320,10 @@
         }
         let mut lost = Vec::new();
         for (id, open) in &mut self.open {
-            if open.has_waited(now, RESULT_TIMEOUT) {
+            if open.is_first_page_older_than(now, RESULT_TIMEOUT) {
                 lost.push(id.clone());
-            } else if open.has_waited(now, PAGE_RETRY_DELAY) {
-                open.request_missing_pages_again(id, out);
+            } else if open.is_first_page_older_than(now, PAGE_RETRY_DELAY) {
+                open.retry_missing_pages(id, out);
             }
         }
         for id in lost {
@@ -331,14 +331,14 @@
                 let cause = Cause::MalformedResponse("its pages never came".into());
                 EngineEvent::Failed(key, cause)
             };
-            events.extend(self.close_id(&id).map(failed));
+            events.extend(self.retire_id(&id).map(failed));
         }
         Ok(())
     }
 
-    fn decode_close(&mut self, _events: &mut Vec<EngineEvent>) {}
+    fn handle_eof(&mut self, _events: &mut Vec<EngineEvent>) {}
 
-    fn is_spent(&self) -> bool {
+    fn must_close(&self) -> bool {
         false
     }
 }
--- a/crates/coordinator/src/backends/mod.rs
+++ b/crates/coordinator/src/backends/mod.rs
@@ -16,7 +16,7 @@
     /// A progress report of an attempt.
     ProgressReported(AttemptKey, ProgressReport),
     /// The response has begun.
-    Begun(AttemptKey),
+    ResponseStarted(AttemptKey),
     /// A chunk of the response, to be forwarded.
     ResponseChunk(AttemptKey, ResponseChunk),
     /// What a response reported of the engine and the query; comes before the attempt's end.
@@ -126,7 +126,7 @@
         Ok(())
     }
     /// Takes note that the engine has ended its side, which may complete a response.
-    fn decode_close(&mut self, events: &mut Vec<EngineEvent>);
+    fn handle_eof(&mut self, events: &mut Vec<EngineEvent>);
     /// Whether the connection can't be used again.
-    fn is_spent(&self) -> bool;
+    fn must_close(&self) -> bool;
 }
--- a/crates/coordinator/src/node/engines/closing.rs
+++ b/crates/coordinator/src/node/engines/closing.rs
@@ -70,7 +70,7 @@
             return Some(CloseReason::ResultStalled);
         }
         let is_disposable =
-            conn.is_retired() || conn.session().is_spent() || conn.is_stale(now, timeouts.idle);
+            conn.is_retired() || conn.session().must_close() || conn.is_stale(now, timeouts.idle);
         (conn.is_idle() && is_disposable).then_some(CloseReason::Unused)
     }
 
--- a/crates/coordinator/src/node/engines/connection/transfer.rs
+++ b/crates/coordinator/src/node/engines/connection/transfer.rs
@@ -157,7 +157,7 @@
             self.stream.push(&out);
         }
         if outcome == ReadOutcome::Closed {
-            self.session.decode_close(events);
+            self.session.handle_eof(events);
         }
         decoded
     }
--- a/crates/coordinator/src/node/engines/pool.rs
+++ b/crates/coordinator/src/node/engines/pool.rs
@@ -73,7 +73,7 @@
         let engine_received_at = self.last_received(request.engine);
         let is_usable = |c: &EngineConnection| {
             !c.is_retired()
-                && !c.session().is_spent()
+                && !c.session().must_close()
                 && !c.is_silent(now, report_interval, engine_received_at)
                 && !c.is_stale(now, idle_timeout)
                 && c.load() < c.session().max_attempts()
--- a/crates/coordinator/src/node/engines/read.rs
+++ b/crates/coordinator/src/node/engines/read.rs
@@ -196,7 +196,7 @@
                 EngineEvent::ProgressReported(key, report) => {
                     self.core.record_progress_report(now, key, report);
                 }
-                EngineEvent::Begun(key) => {
+                EngineEvent::ResponseStarted(key) => {
                     self.core.record_progress(key, Progress::ResponseStarted)
                 }
                 EngineEvent::ResponseChunk(key, chunk) => self.core.forward_chunk(key, chunk),
--- a/crates/coordinator/tests/golden_backends.rs
+++ b/crates/coordinator/tests/golden_backends.rs
@@ -50,7 +50,7 @@
             EngineEvent::ProgressReported(k, note) => {
                 format!("{} note {}\n", k.request.0, shown_note(note))
             }
-            EngineEvent::Begun(k) => format!("{} begun\n", k.request.0),
+            EngineEvent::ResponseStarted(k) => format!("{} begun\n", k.request.0),
             EngineEvent::ResponseChunk(k, piece) => format!(
                 "{} piece {:?} whole {} {}\n",
                 k.request.0,
@@ -308,7 +308,7 @@
         http.start_attempt(&started, &mut Vec::new());
         let mut text = String::new();
         match http.decode(0, answer.as_bytes(), &mut Vec::new(), &mut seen) {
-            Ok(()) => http.decode_close(&mut seen),
+            Ok(()) => http.handle_eof(&mut seen),
             Err(e) => text = format!("connection ends: {e}\n"),
         }
         read.record(name, shown(&seen) + &text);
--- a/crates/coordinator/tests/wires.rs
+++ b/crates/coordinator/tests/wires.rs
@@ -195,7 +195,7 @@
                         text = format!("{text}{text}{other} HIT fetches=1 0\r\n\r\n");
                     }
                     if model.contains_key(&id) {
-                        want.push(EngineEvent::Begun(key(id)));
+                        want.push(EngineEvent::ResponseStarted(key(id)));
                         model.insert(id, come + 1);
                     }
                     if come == 2 {
