--- a/crates/coordinator/src/backends/clickhouse/cause.rs
+++ b/crates/coordinator/src/backends/clickhouse/cause.rs
@@ -1,4 +1,4 @@
-//! What an error of an engine says of the attempt.
+//! Maps engine errors to the cause of an attempt's failure.
 
 use driftfront_clickhouse::exception::{classify, ErrorClass, Exception, NETWORK_ERROR};
 use driftfront_clickhouse::result_checker::ResultError;
@@ -6,10 +6,10 @@
 
 /// ClickHouse's code for a result that can't be decoded.
 const CORRUPTED_DATA: u32 = 246;
-/// An exception without a code: the engine sent words that can't be read.
+/// The code of an exception whose text has no error code.
 const NO_CODE: u32 = 0;
 
-/// The cause of a failure told with a code, an HTTP status and words.
+/// The cause of a failure, given its error code, HTTP status and text.
 pub(super) fn cause_of_error(code: Option<u32>, status: u16, text: &str) -> Cause {
     match classify(code, status) {
         ErrorClass::Rejected => Cause::Rejected,
@@ -18,7 +18,7 @@
     }
 }
 
-/// The cause of a result that broke after its status said 200: the query has begun.
+/// The cause of an invalid result after status 200. The query has started, so it can't count as rejected.
 pub(super) fn cause_of_invalid_result(error: &ResultError) -> Cause {
     match error {
         ResultError::Exception(e) if e.code == NO_CODE => {
--- a/crates/coordinator/src/backends/clickhouse/mod.rs
+++ b/crates/coordinator/src/backends/clickhouse/mod.rs
@@ -1,11 +1,11 @@
-//! ClickHouse's HTTP interface towards engines: one query at a time on a connection.
+//! The ClickHouse HTTP interface for engines: one query at a time per connection.
 //!
-//! | module | job |
+//! | module | purpose |
 //! | --- | --- |
-//! | `session` | the connection's state: what is in flight, and its end |
-//! | `request` | the bytes of a query |
-//! | `response` | one response, from its head to its end |
-//! | `cause` | what an error of an engine says of the attempt |
+//! | `session` | the state of a connection |
+//! | `request` | serialization of queries |
+//! | `response` | processing of one response |
+//! | `cause` | maps engine errors to failure causes |
 
 mod cause;
 mod request;
@@ -17,35 +17,35 @@
 
 pub use session::HttpSession;
 
-/// Names in [`driftfront_core::ParsedRequest::parameters`] of what the frontend tells this backend: URL parameters, encoded, each behind
-/// an `&`.
+/// Name of a parameter in [`driftfront_core::ParsedRequest::parameters`] that the frontend sets for this backend: encoded URL
+/// parameters, each preceded by `&`.
 pub const URL_PARAMETERS: &str = "target";
-/// Headers, each with its line's end. See [`URL_PARAMETERS`].
+/// Parameter with header fields, each followed by a line break. See [`URL_PARAMETERS`].
 pub const REQUEST_HEADERS: &str = "headers";
-/// There where the result comes in compressed blocks. See [`URL_PARAMETERS`].
+/// Parameter that is present if the result is requested in compressed blocks. See [`URL_PARAMETERS`].
 pub const COMPRESSED_BLOCKS: &str = "frames";
 
-/// Header that engines send for as long as a query runs, before the head of the response is complete.
+/// Header that engines send repeatedly while a query runs, before the head of the response is complete.
 const PROGRESS_HEADER: &str = "X-ClickHouse-Progress";
-/// Header with the query's name on its engine.
+/// Header with the query id on the engine.
 const QUERY_ID_HEADER: &str = "X-ClickHouse-Query-Id";
 
-/// Why nothing more can be read on a connection.
+/// Why a connection can't be decoded any further.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ClickHouseError {
-    /// It is not HTTP.
+    /// The response is not valid HTTP.
     #[error("bad HTTP: {0:?}")]
     Http(HttpError),
-    /// A second copy of an earlier response, or somebody else's.
+    /// A duplicate of an earlier response, or a response to another query.
     #[error("an answer to another query")]
     OtherQuery,
     /// A response without a request.
     #[error("an answer that nobody asked for")]
     Unsolicited,
-    /// A content coding that the result can't be checked under.
+    /// An unknown content coding, so that the result can't be checked.
     #[error("content coding {0} can't be followed")]
     UnknownCoding(String),
-    /// The result is broken.
+    /// The result is invalid.
     #[error(transparent)]
     Result(#[from] ResultError),
 }
--- a/crates/coordinator/src/backends/clickhouse/request.rs
+++ b/crates/coordinator/src/backends/clickhouse/request.rs
@@ -1,4 +1,4 @@
-//! The bytes of a query to an engine.
+//! Serialization of queries and probes.
 
 use super::{COMPRESSED_BLOCKS, REQUEST_HEADERS, URL_PARAMETERS};
 use crate::backends::AttemptRequest;
@@ -7,11 +7,11 @@
 use driftfront_http::chunk;
 use std::fmt::Write as _;
 
-/// Usual heads are shorter.
+/// Initial capacity of the head's buffer; typical heads are shorter.
 const HEAD_CAPACITY_BYTES: usize = 512;
 const MICROS_PER_SECOND: Micros = 1_000_000;
 
-/// Writes a query; of a streamed body only its beginning. True if the result was asked for in compressed blocks.
+/// Writes a query, with only the first part of a streamed body. Returns whether the result is requested in compressed blocks.
 pub(super) fn write_query(host: &str, attempt: &AttemptRequest, out: &mut Vec<u8>) -> bool {
     let mut head = String::with_capacity(HEAD_CAPACITY_BYTES);
     write_target(attempt, &mut head);
@@ -38,8 +38,8 @@
     has_blocks
 }
 
-/// Writes the method and what the coordinator itself puts into the URL. The engine's own limit follows the coordinator's wait: what
-/// nobody waits for should not run on.
+/// Writes the method and the coordinator's own URL parameters. The engine's time limit is derived from the coordinator's timeout, so
+/// that a query does not continue to run after the coordinator stopped waiting for it.
 fn write_target(attempt: &AttemptRequest, head: &mut String) {
     let seconds = attempt.timeout.div_ceil(MICROS_PER_SECOND).max(1);
     head.push_str("POST /?query_id=");
--- a/crates/coordinator/src/backends/clickhouse/response.rs
+++ b/crates/coordinator/src/backends/clickhouse/response.rs
@@ -1,4 +1,4 @@
-//! One response of an engine, from its head to its end.
+//! Processing of one engine response.
 
 use super::cause::{cause_of_error, cause_of_invalid_result};
 use super::{PROGRESS_HEADER, QUERY_ID_HEADER};
@@ -8,30 +8,30 @@
 use driftfront_core::{AttemptKey, ResponseChunk};
 use driftfront_http::{header, ResponseHead};
 
-/// Rows held back before the first is forwarded: an error found until then can still be answered by a further attempt or in full.
+/// Number of bytes buffered before any row is forwarded. An error detected up to then can still be retried or reported in full.
 const MAX_BUFFERED_BYTES: usize = 32 * 1024;
-/// Headers that describe the result for its client, beside those of [`FORWARDED_PREFIXES`].
+/// Headers that are forwarded to the client, in addition to those with [`FORWARDED_PREFIXES`].
 const FORWARDED_HEADERS: [&str; 3] = ["content-type", "content-encoding", "content-disposition"];
-/// See [`FORWARDED_HEADERS`].
+/// Prefixes of forwarded headers. See [`FORWARDED_HEADERS`].
 const FORWARDED_PREFIXES: [&str; 2] = ["x-clickhouse-", "access-control-"];
 
-/// The response so far.
+/// The state of a response.
 #[derive(Default)]
 pub(super) struct Response {
-    /// The client's id of the query.
+    /// The query id known to the client.
     request_id: String,
     head: Option<ResponseHead>,
     /// Error text, or rows that are not forwarded yet.
     buffered: Vec<u8>,
-    /// Checks the result; there once the head of a query's response is.
+    /// Checks the result; present once the head of a query's response has arrived.
     checker: Option<ResultChecker>,
     is_forwarding: bool,
-    /// The last progress reported.
+    /// The value of the last progress header.
     progress: Option<String>,
 }
 
 impl Response {
-    /// The response to a query of this id of its client.
+    /// The response to the query that the client knows by this id.
     pub(super) fn for_request(request_id: &str) -> Response {
         Response {
             request_id: request_id.into(),
@@ -47,7 +47,7 @@
         self.progress = Some(header_value);
     }
 
-    /// Takes the head; a query's result is checked by `checker`.
+    /// Stores the head; `checker` checks the result of a query.
     pub(super) fn set_head(&mut self, head: ResponseHead, checker: Option<ResultChecker>) {
         self.head = Some(head);
         if checker.is_some() {
@@ -55,7 +55,7 @@
         }
     }
 
-    /// The exception's code in the head, if there is one.
+    /// The exception code in the head, if there is one.
     fn code(&self) -> Option<u32> {
         header(&self.head.as_ref()?.headers, "X-ClickHouse-Exception-Code")?
             .trim()
@@ -63,16 +63,16 @@
             .ok()
     }
 
-    /// Whether the head tells of an error.
+    /// Whether the head reports an error.
     pub(super) fn is_error(&self) -> bool {
         self.code().is_some() || self.head.as_ref().is_some_and(|h| h.status != 200)
     }
 
-    /// Headers that describe the result, for the client.
+    /// The headers to forward to the client.
     fn forwarded_headers(&mut self) -> Vec<(String, String)> {
         let headers = self.head.iter().flat_map(|h| &h.headers);
         let mut forwarded: Vec<_> = headers.filter(|h| is_forwarded(&h.0)).cloned().collect();
-        // A further attempt may have run under another name than its client's.
+        // A further attempt may have run under an id that differs from the client's.
         let request_id = std::mem::take(&mut self.request_id);
         for (name, value) in &mut forwarded {
             if name.eq_ignore_ascii_case(QUERY_ID_HEADER) {
@@ -87,11 +87,11 @@
         forwarded
     }
 
-    /// Takes a part of the body.
+    /// Processes a part of the body.
     ///
     /// # Errors
     ///
-    /// Where the result is broken: nothing of this response may be used any more.
+    /// If the result is invalid; the rest of the response must not be used.
     pub(super) fn add_body(
         &mut self,
         key: AttemptKey,
@@ -118,7 +118,7 @@
         Ok(())
     }
 
-    /// Forwards the rows that are held; with the first of them what describes the result.
+    /// Forwards the buffered rows; the first chunk also carries the headers.
     fn forward_buffered(&mut self, key: AttemptKey, is_last: bool, events: &mut Vec<EngineEvent>) {
         let is_first = !std::mem::replace(&mut self.is_forwarding, true);
         let headers = if is_first {
@@ -134,7 +134,7 @@
         events.push(EngineEvent::ResponseChunk(key, chunk));
     }
 
-    /// Ends the response at its proper end.
+    /// Ends a complete response.
     pub(super) fn finish(&mut self, key: AttemptKey, events: &mut Vec<EngineEvent>) {
         if self.is_error() {
             return events.push(self.error_event(key));
@@ -148,8 +148,8 @@
         events.push(EngineEvent::Served(key));
     }
 
-    /// Ends the response where the connection was cut: servers cut the chunks after an error that came too late for the status. The
-    /// event, if the engine said why.
+    /// Ends a response whose connection closed early. Servers close it without the last chunk after an error that occurred too late
+    /// for the status. Returns the failure if the engine reported a reason.
     pub(super) fn finish_truncated(&mut self, key: AttemptKey) -> Option<EngineEvent> {
         if !self.has_head() || self.is_error() {
             return None;
@@ -158,7 +158,7 @@
             Err(error @ ResultError::Exception(_)) => {
                 Some(EngineEvent::Failed(key, cause_of_invalid_result(&error)))
             }
-            // A connection that is cut says by itself that the result is not complete.
+            // The early close alone already fails the attempt.
             _ => None,
         }
     }
@@ -184,7 +184,7 @@
             .any(|h| name.eq_ignore_ascii_case(h))
 }
 
-/// The share of a query that is done, by the value of its progress header.
+/// The completed fraction of a query, parsed from its progress header.
 pub(super) fn progress_fraction(value: &str) -> Option<f64> {
     let number = |name: &str| {
         let rest = &value[value.find(&format!("\"{name}\""))? + name.len() + 2..];
--- a/crates/coordinator/src/backends/clickhouse/session.rs
+++ b/crates/coordinator/src/backends/clickhouse/session.rs
@@ -1,4 +1,4 @@
-//! A connection's session over HTTP.
+//! The protocol state of an HTTP connection.
 
 use super::cause::cause_of_invalid_result;
 use super::request::{write_ping, write_query};
@@ -21,23 +21,23 @@
 ///
 /// | from | to | when |
 /// | --- | --- | --- |
-/// | `Nothing` | `Query`, `Probe` | one is written |
-/// | `Query`, `Probe` | `Nothing` | its response ends, well or with an error |
-/// | `Query` | `Nothing`, spent | it is given up, its result is broken, or the engine closes behind an exception |
+/// | `Nothing` | `Query`, `Probe` | a query or probe is written |
+/// | `Query`, `Probe` | `Nothing` | the response ends, successfully or with an error |
+/// | `Query` | `Nothing`, must close | the query is stopped, its result is invalid, or the engine closes after an exception |
 pub struct HttpSession {
     host: String,
     reader: ResponseReader,
     in_flight: InFlight,
-    /// The name of the query in flight, on its engine.
+    /// The id of the query in flight, on its engine.
     query_name: String,
-    /// Its result comes in compressed blocks.
+    /// The result of the query in flight is in compressed blocks.
     has_blocks: bool,
     response: Response,
     must_close: bool,
 }
 
 impl HttpSession {
-    /// A session with the engine at this address, `host:port`.
+    /// Creates a session with the engine at this address, `host:port`.
     pub fn new(host: String) -> HttpSession {
         HttpSession {
             host,
@@ -106,7 +106,7 @@
         Ok(())
     }
 
-    /// A second copy of an earlier response must not be taken for this query's.
+    /// Rejects a response to another query: a duplicate of an earlier response must not be used for this query.
     fn check_query_name(&self, head: &ResponseHead) -> Result<(), ClickHouseError> {
         match header(&head.headers, QUERY_ID_HEADER) {
             Some(name) if name != self.query_name => Err(ClickHouseError::OtherQuery),
@@ -159,7 +159,7 @@
     }
 }
 
-/// The content coding of a result, `None` for plain bytes.
+/// The content coding of a result; `None` for uncompressed bytes.
 fn content_coding(head: &ResponseHead) -> Result<Option<Coding>, ClickHouseError> {
     match header(&head.headers, "Content-Encoding") {
         Some(name) if !name.eq_ignore_ascii_case("identity") => Coding::from_name(name)
--- a/crates/coordinator/src/backends/engine_protocol/message.rs
+++ b/crates/coordinator/src/backends/engine_protocol/message.rs
@@ -1,24 +1,24 @@
-//! Messages of an engine: `id word fields length`, then `length` bytes and CR LF.
+//! Messages of an engine: `id keyword fields length` and CR LF, then `length` bytes and CR LF.
 
 use super::pages::PageError;
 
-/// Longest line that an engine may send.
+/// Maximum length of a line from an engine.
 const MAX_LINE_BYTES: usize = 4 * 1024;
-/// Longest page: rows are not split.
+/// Maximum size of a page. Rows are not split across pages.
 const MAX_PAGE_BYTES: usize = 6_000;
-/// The largest figure that is believed, of work in ms and of memory in MB.
+/// Maximum plausible value of a number, for work in ms and memory in MB.
 const MAX_NUMBER: f64 = 1e9;
 
-/// What a message says.
+/// The kind of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum MessageKind {
-    /// A probe's answer: the engine is well.
+    /// The response to a probe: the engine is healthy.
     Pong,
-    /// A probe's answer: it is not.
+    /// The response to a probe: the engine is unhealthy.
     Sick,
-    /// The attempt was rejected for want of capacity.
+    /// The attempt was rejected because of overload.
     Shed,
-    /// The attempt was rejected since its time is too short.
+    /// The attempt was rejected because its remaining time is too short.
     Late,
     /// The attempt failed on the engine.
     Fault,
@@ -46,53 +46,53 @@
         KEYWORDS.iter().find(|w| w.1 == keyword).map(|w| w.0)
     }
 
-    /// The word on the wire.
+    /// The keyword on the wire.
     pub(super) fn keyword(self) -> &'static str {
         KEYWORDS.iter().find(|w| w.0 == self).map_or("", |w| w.1)
     }
 }
 
-/// How an engine violated the line protocol: where its next message begins is not known any more, or whose it was.
+/// A violation of the line protocol. Afterwards the start of the next message, or the attempt that it belongs to, is unknown.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LineError {
-    /// A line over its bound.
+    /// A line exceeds the maximum length.
     #[error("line too long")]
     LineTooLong,
-    /// A line that ends in a bare LF.
+    /// A line ends with LF instead of CR LF.
     #[error("line without CR")]
     NoCarriageReturn,
-    /// A line that is not UTF-8.
+    /// A line is not valid UTF-8.
     #[error("line is not text")]
     NotText,
-    /// A line that has not four words.
+    /// A line does not have four words.
     #[error("line of {0} words")]
     WordCount(usize),
-    /// A length that is no number.
+    /// The length is not a number.
     #[error("bad length")]
     BadLength,
-    /// A page over its bound; its size in bytes.
+    /// A page exceeds the maximum size; its size in bytes.
     #[error("page of {0} bytes")]
     PageTooLong(usize),
-    /// A page that is longer than its length says.
+    /// A page is longer than its declared length.
     #[error("no CR LF after a page")]
     UnterminatedPage,
-    /// A message of no known kind.
+    /// A message with an unknown keyword.
     #[error("unknown word {0}")]
     UnknownKeyword(String),
-    /// A page that can't be used: the word of its message, and why.
+    /// A page is invalid.
     #[error("{keyword}: {error}")]
     Page {
         /// `HIT` or `PART`.
         keyword: &'static str,
-        /// What is wrong with it.
+        /// Why the page is invalid.
         error: PageError,
     },
-    /// A message began and never became complete.
+    /// A message was not completed in time.
     #[error("an answer stopped short")]
     Stalled,
 }
 
-/// A whole message.
+/// A complete message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Message {
     pub(super) id: String,
@@ -109,7 +109,7 @@
             .find_map(|f| f.strip_prefix(name)?.strip_prefix('='))
     }
 
-    /// A figure above 0 that can be planned with; any other counts as not reported.
+    /// The value of a numeric field, if it is positive and plausible; other values count as not reported.
     pub(super) fn positive_number(&self, name: &str) -> Option<f64> {
         self.field(name)?
             .parse()
@@ -117,17 +117,17 @@
             .filter(|n| *n > 0.0 && *n <= MAX_NUMBER)
     }
 
-    /// An index or a count.
+    /// The value of a field with an index or a count.
     pub(super) fn index(&self, name: &str) -> Option<usize> {
         self.field(name)?.parse().ok()
     }
 }
 
-/// Cuts an engine's bytes into messages.
+/// Splits an engine's bytes into messages.
 #[derive(Default)]
 pub(super) struct MessageReader {
     bytes: Vec<u8>,
-    /// Bytes at the front that were decoded already.
+    /// Number of bytes at the front that are already decoded.
     consumed: usize,
 }
 
@@ -139,12 +139,12 @@
         self.bytes.extend_from_slice(input);
     }
 
-    /// Whether a message has begun and is not complete.
+    /// Whether a message has started and is incomplete.
     pub(super) fn is_mid_message(&self) -> bool {
         self.consumed < self.bytes.len()
     }
 
-    /// The next whole message, if it is there.
+    /// Returns the next message, once it is complete.
     pub(super) fn next_message(&mut self) -> Result<Option<Message>, LineError> {
         let rest = &self.bytes[self.consumed..];
         let Some(line_end) = rest.iter().position(|&b| b == b'\n') else {
@@ -172,7 +172,7 @@
     }
 }
 
-/// The words of a message's line.
+/// The first line of a message.
 struct Head<'a> {
     id: &'a str,
     keyword: &'a str,
@@ -181,7 +181,7 @@
 }
 
 impl Head<'_> {
-    /// Parses a line up to, and without, its LF.
+    /// Parses a line without its LF.
     fn parse(line: &[u8]) -> Result<Head<'_>, LineError> {
         let line = line
             .strip_suffix(b"\r")
@@ -207,7 +207,7 @@
     }
 }
 
-/// The page of `length` bytes that these bytes begin with, once it is there with its CR LF.
+/// Returns the page of `length` bytes at the start of `bytes`, once it has arrived with its CR LF.
 fn page(bytes: &[u8], length: usize) -> Result<Option<&[u8]>, LineError> {
     match bytes.get(length..length + 2) {
         None => Ok(None),
--- a/crates/coordinator/src/backends/engine_protocol/mod.rs
+++ b/crates/coordinator/src/backends/engine_protocol/mod.rs
@@ -1,17 +1,17 @@
-//! The platform's engine protocol: lines of words, many requests on one connection.
+//! The platform's engine protocol: a line protocol that multiplexes requests on one connection.
 //!
-//! To the engine, each line ending in CR LF:
+//! Lines to the engine, each terminated by CR LF:
 //!
 //! | line | meaning |
 //! | --- | --- |
-//! | `REQ id fields length`, then the statement and CR LF | an attempt; fields `kind`, `ms`, `token`, `workmem` |
-//! | `FETCH id page` | asks for a page of a result |
-//! | `END id` | all pages have come |
-//! | `STOP id` | the attempt is given up |
+//! | `REQ id fields length`, then the statement and CR LF | starts an attempt; fields `kind`, `ms`, `token`, `workmem` |
+//! | `FETCH id page` | requests a page of a result |
+//! | `END id` | all pages were received |
+//! | `STOP id` | stops the attempt |
 //! | `STAT tag` | a probe |
 //!
-//! From the engine come messages `id word fields length`, then `length` bytes and CR LF (see `message`). A result is a first page
-//! (`HIT`, with the number of pages) and the others on request (`PART`).
+//! The engine sends messages `id keyword fields length`, then `length` bytes and CR LF (see `message`). A result consists of a first
+//! page (`HIT`, with the number of pages) and further pages on request (`PART`).
 
 mod message;
 mod pages;
--- a/crates/coordinator/src/backends/engine_protocol/pages.rs
+++ b/crates/coordinator/src/backends/engine_protocol/pages.rs
@@ -1,41 +1,41 @@
-//! The pages of one attempt's result.
+//! The pages of an attempt's result.
 
 use super::message::{Message, MessageKind};
 use driftfront_core::{AttemptKey, AttemptReport, Micros};
 
-/// Most pages of a result.
+/// Maximum number of pages in a result.
 const MAX_PAGES: usize = 16;
 
-/// Why a page can't be used.
+/// Why a page is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PageError {
-    /// Rows are cut, or have not three columns.
+    /// A row is incomplete or does not have three columns.
     #[error("a page that is not whole rows of three columns")]
     NotRows,
-    /// A first page without `fetches`: a cut result would look complete.
+    /// The first page has no `fetches`. Without it an incomplete result would look complete.
     #[error("no number of pages")]
     NoPageCount,
-    /// A result over the bound.
+    /// The result exceeds the maximum number of pages.
     #[error("too many pages")]
     TooManyPages,
-    /// A further page without `fetch_no`.
+    /// A further page has no `fetch_no`.
     #[error("no page number")]
     NoPageNumber,
-    /// A page beyond the result, or before its first one.
+    /// A page is outside the result, or arrived before the first page.
     #[error("a page that was not asked for")]
     Unrequested,
 }
 
-/// An attempt in flight, and the pages that have come.
+/// An attempt in flight with its received pages.
 pub(super) struct OpenAttempt {
     pub(super) key: AttemptKey,
-    /// Empty until the first page says how many there are.
+    /// Empty until the first page reports the number of pages.
     pages: Vec<Option<Vec<u8>>>,
     /// What the first page reported.
     pub(super) report: AttemptReport,
-    /// When the first page came.
+    /// When the first page arrived.
     begun_at: Micros,
-    /// Missing pages have been requested a second time.
+    /// Missing pages were requested a second time.
     is_retried: bool,
 }
 
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Adds a page; false if it is there already.
+    /// Adds a page; returns false if it is a duplicate.
     pub(super) fn add_page(
         &mut self,
         now: Micros,
@@ -92,36 +92,36 @@
         }
     }
 
-    /// Requests missing pages a second time, once.
+    /// Requests missing pages a second time, at most once.
     pub(super) fn retry_missing_pages(&mut self, id: &str, out: &mut Vec<u8>) {
         if !std::mem::replace(&mut self.is_retried, true) {
             self.request_missing_pages(id, out);
         }
     }
 
-    /// Whether its first page came more than this long ago.
+    /// Whether the first page arrived longer than `time` ago.
     pub(super) fn is_first_page_older_than(&self, now: Micros, time: Micros) -> bool {
         !self.pages.is_empty() && now > self.begun_at + time
     }
 
-    /// Whether all pages have come.
+    /// Whether all pages have arrived.
     pub(super) fn is_complete(&self) -> bool {
         self.pages.iter().all(Option::is_some)
     }
 
-    /// How many pages the result has.
+    /// Number of pages in the result.
     pub(super) fn page_count(&self) -> usize {
         self.pages.len()
     }
 
-    /// All rows, and what the first page reported.
+    /// Returns all rows and the report of the first page.
     pub(super) fn into_result(self) -> (Vec<u8>, AttemptReport) {
         let rows = self.pages.into_iter().flatten().flatten().collect();
         (rows, self.report)
     }
 }
 
-/// Whether a page holds whole rows of three text columns.
+/// Whether a page consists of complete rows with three text columns.
 fn is_rows(page: &[u8]) -> bool {
     let Ok(text) = std::str::from_utf8(page) else {
         return false;
--- a/crates/coordinator/src/backends/engine_protocol/session.rs
+++ b/crates/coordinator/src/backends/engine_protocol/session.rs
@@ -1,4 +1,4 @@
-//! A connection's session in the line protocol.
+//! The protocol state of a connection that uses the line protocol.
 
 use super::message::{LineError, Message, MessageKind, MessageReader};
 use super::pages::OpenAttempt;
@@ -10,19 +10,19 @@
 use std::fmt::Write as _;
 use std::rc::Rc;
 
-/// A message that has begun on the wire is complete by then, else its rest will never come, and nothing behind it either.
+/// Timeout of an incomplete message. When it expires, the rest of the message and anything after it is lost.
 const MESSAGE_STALL_TIMEOUT: Micros = 500_000;
-/// A page that has not come by then is requested again.
+/// Delay after which missing pages are requested again.
 const PAGE_RETRY_DELAY: Micros = 250_000;
-/// A result that is not complete by then never will be.
+/// Timeout of an incomplete result, counted from its first page.
 const RESULT_TIMEOUT: Micros = 1_200_000;
-/// Ids of attempts that ended without being served, which this connection does not carry again.
+/// Number of retired ids that are remembered per connection.
 const MAX_RETIRED_IDS: usize = 64;
-/// Probes in flight: one that timed out is never answered.
+/// Maximum number of probes in flight. Timed-out probes may never be answered, so the oldest is dropped.
 const MAX_OPEN_PROBES: usize = 8;
-/// The largest grant that is written, MB.
+/// Maximum memory grant that is sent, in MB.
 const MAX_GRANT_MB: f64 = 1e9;
-/// Stands for a figure that was not reported: the scheduler takes values out of range as absent.
+/// Stands for a value that was not reported; the scheduler treats values out of range as absent.
 const NOT_REPORTED: f64 = -1.0;
 
 /// The state of one connection.
@@ -30,19 +30,19 @@
     reader: MessageReader,
     /// Attempts in flight, by the request's id.
     open: BTreeMap<Rc<str>, OpenAttempt>,
-    /// Ids that ended here without being served, the oldest first. An answer to the earlier attempt may still come, or come a
-    /// second time, and would be taken for a later attempt's: that goes by another connection.
+    /// Ids of attempts that ended on this connection without being served, oldest first. A late or duplicate response to such an
+    /// attempt would be mistaken for that of a later attempt with the same id, so later attempts use another connection.
     retired_ids: VecDeque<Rc<str>>,
-    /// Tags of the probes in flight, the oldest first.
+    /// Tags of the probes in flight, oldest first.
     probes: Vec<u64>,
     max_attempts: usize,
     gauges: Rc<[String]>,
-    /// The message on the wire that is not complete began, or went on from a complete one, then.
+    /// When the incomplete message started, or the message before it was completed.
     incomplete_since: Option<Micros>,
 }
 
 impl LineSession {
-    /// A session that carries at most `max_attempts`; `gauges` names the values of a load report in order.
+    /// Creates a session with at most `max_attempts` in flight; `gauges` names the values of a load report in order.
     pub fn new(max_attempts: usize, gauges: Rc<[String]>) -> LineSession {
         LineSession {
             reader: MessageReader::default(),
@@ -55,8 +55,8 @@
         }
     }
 
-    /// Applies a message. One of an unknown id changes nothing: what was given up may still be answered, as its answer crossed
-    /// our STOP, and some answers come twice, or under an id that nobody asked for. None of that may reach another request.
+    /// Processes a message. Messages with an unknown id are ignored: a response may cross our STOP, arrive twice, or have an id that
+    /// was never sent, and must not reach another request.
     fn apply(
         &mut self,
         now: Micros,
@@ -134,7 +134,7 @@
             }
         }
         if kind == MessageKind::Hit {
-            // All pages at once: they are lost with their engine.
+            // Request all pages at once, since they are lost if the engine fails.
             open.request_missing_pages(&id, out);
         }
         if open.is_complete() {
@@ -162,7 +162,7 @@
         events.push(EngineEvent::Served(key));
     }
 
-    /// Ends what was in flight under this id without being served, and keeps the id off this connection; which attempt it was.
+    /// Ends the attempt in flight under this id without it being served, and retires the id on this connection. Returns the attempt.
     fn retire_id(&mut self, id: &str) -> Option<AttemptKey> {
         let (id, open) = self.open.remove_entry(id)?;
         if self.retired_ids.len() >= MAX_RETIRED_IDS {
@@ -173,7 +173,7 @@
     }
 }
 
-/// The load report of a message, in the order of the gauges' names; empty where it has none.
+/// The load report of a message, in the order of `gauges`; empty if the message has none.
 fn load_report(gauges: &[String], message: &Message) -> Vec<f64> {
     let Some(reported) = message.field("gauges") else {
         return Vec::new();
@@ -189,7 +189,7 @@
     gauges.iter().map(value).collect()
 }
 
-/// What a result's first page reports of the engine and the query.
+/// What the first page of a result reports about the engine and the query.
 fn attempt_report(gauges: &[String], message: &Message) -> AttemptReport {
     AttemptReport {
         report: load_report(gauges, message),
@@ -209,7 +209,7 @@
     }
 }
 
-/// The fields of an attempt's line.
+/// The fields of a `REQ` line.
 fn request_fields(attempt: &AttemptRequest) -> String {
     let ms = (attempt.timeout / 1000).max(1);
     let mut fields = format!("kind={},ms={ms}", attempt.class);
--- a/crates/coordinator/src/backends/mod.rs
+++ b/crates/coordinator/src/backends/mod.rs
@@ -1,6 +1,6 @@
-//! Backends: the protocols spoken with engines, without their sockets.
+//! Backends: the engine protocols, without I/O.
 //!
-//! A backend is an [`EngineSession`]: it encodes attempts and probes for one connection and decodes what the engine sends back into
+//! A backend is an [`EngineSession`]: it encodes attempts and probes for one connection and decodes the engine's responses into
 //! [`EngineEvent`]s. [`engine_protocol`] is the platform's line protocol, [`clickhouse`] the ClickHouse HTTP interface.
 
 pub mod clickhouse;
@@ -10,16 +10,16 @@
     AttemptKey, AttemptReport, Cause, Micros, Outcome, ParsedRequest, ProgressReport, ResponseChunk,
 };
 
-/// What an engine's connection has brought.
+/// An event decoded from an engine's connection.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EngineEvent {
     /// A progress report of an attempt.
     ProgressReported(AttemptKey, ProgressReport),
-    /// The response has begun.
+    /// The response has started. May be repeated while the response arrives.
     ResponseStarted(AttemptKey),
     /// A chunk of the response, to be forwarded.
     ResponseChunk(AttemptKey, ResponseChunk),
-    /// What a response reported of the engine and the query; comes before the attempt's end.
+    /// What a response reported about the engine and the query; precedes the end of the attempt.
     AttemptReport(AttemptKey, AttemptReport),
     /// The response is complete.
     Served(AttemptKey),
@@ -29,82 +29,82 @@
     ProbeEnded(u64, Outcome, Vec<f64>),
 }
 
-/// An attempt to be written.
+/// An attempt to send.
 pub struct AttemptRequest<'a> {
-    /// Which attempt.
+    /// The key of the attempt.
     pub key: AttemptKey,
     /// The request.
     pub request: &'a ParsedRequest,
-    /// The name of its class.
+    /// The name of the request's class.
     pub class: &'a str,
-    /// Its name on the engine: the request's own, unless an earlier attempt may still run under that.
+    /// The query id on the engine: the request's own, unless an earlier attempt may still be running under it.
     pub name: &'a str,
-    /// How long the coordinator will wait.
+    /// How long the coordinator waits for the response.
     pub timeout: Micros,
-    /// Memory granted, MB; 0 leaves it to the engine.
+    /// Granted memory in MB; with 0 the engine decides.
     pub grant_mb: f64,
-    /// How often the engine should report progress; `None` where that is not wanted.
+    /// How often the engine should report progress; `None` for no reports.
     pub progress_interval: Option<Micros>,
 }
 
-/// Why nothing more can be decoded on a connection.
+/// Why a connection can't be decoded any further.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SessionError {
-    /// The platform's line protocol was violated.
+    /// A violation of the platform's line protocol.
     #[error(transparent)]
     Line(#[from] engine_protocol::LineError),
-    /// The ClickHouse interface was violated.
+    /// A violation of the ClickHouse interface.
     #[error(transparent)]
     ClickHouse(#[from] clickhouse::ClickHouseError),
 }
 
 /// The protocol state of one connection to an engine.
 pub trait EngineSession {
-    /// Attempts that may be in flight on it at once.
+    /// Maximum number of attempts in flight on the connection.
     fn max_attempts(&self) -> usize;
-    /// Attempts in flight on it.
+    /// The attempts in flight on the connection.
     fn open_attempts(&self) -> Vec<AttemptKey>;
-    /// Whether this attempt is in flight on it.
+    /// Whether this attempt is in flight on the connection.
     fn has_attempt(&self, key: AttemptKey) -> bool {
         self.open_attempts().contains(&key)
     }
-    /// How many attempts are in flight on it.
+    /// Number of attempts in flight on the connection.
     fn attempt_count(&self) -> usize {
         self.open_attempts().len()
     }
-    /// Whether progress reports come as long as work is in flight, so that their absence means silence.
+    /// Whether the engine sends progress reports as long as an attempt is in flight, so that their absence means silence.
     fn reports_progress(&self) -> bool {
         true
     }
-    /// Whether what is in flight may say nothing for as long as it likes, so that only a probe shows that the engine lives.
+    /// Whether an attempt in flight may be silent for any time, so that only a probe shows that the engine is alive.
     fn needs_liveness_probes(&self) -> bool {
         false
     }
-    /// Whether a response has begun that comes as it is made.
+    /// Whether a streamed response has started.
     fn is_streaming(&self) -> bool {
         false
     }
-    /// Writes more of the body of the attempt in flight, where that is streamed.
+    /// Writes a chunk of the streamed body of the attempt in flight.
     fn write_body_chunk(&mut self, _bytes: &[u8], _out: &mut Vec<u8>) {}
-    /// Writes the end of that body.
+    /// Writes the end of the streamed body.
     fn finish_body(&mut self, _out: &mut Vec<u8>) {}
-    /// Whether it can take an attempt of the request of this id now.
+    /// Whether an attempt of the request with this id can be started now.
     fn can_start(&self, request_id: &str) -> bool;
-    /// Whether nothing is in flight on it, probes included.
+    /// Whether neither attempts nor probes are in flight on the connection.
     fn is_idle(&self) -> bool;
     /// Writes an attempt.
     fn start_attempt(&mut self, attempt: &AttemptRequest, out: &mut Vec<u8>);
-    /// Gives an attempt up; false if only closing the connection does that.
+    /// Stops an attempt; returns false if that requires closing the connection.
     fn stop_attempt(&mut self, key: AttemptKey, out: &mut Vec<u8>) -> bool;
     /// Writes a probe.
     fn write_probe(&mut self, tag: u64, out: &mut Vec<u8>);
-    /// Tags of the probes in flight on it.
+    /// Tags of the probes in flight on the connection.
     fn open_probes(&self) -> Vec<u64>;
-    /// Decodes received bytes, in pieces of any size, into events; replies go to `out`.
+    /// Decodes received bytes, which may be split anywhere, into events; messages to the engine are written to `out`.
     ///
     /// # Errors
     ///
-    /// Where the engine violates the protocol: the connection can't be used any more.
+    /// If the engine violates the protocol; the connection can't be used any more.
     fn decode(
         &mut self,
         now: Micros,
@@ -112,11 +112,11 @@
         out: &mut Vec<u8>,
         events: &mut Vec<EngineEvent>,
     ) -> Result<(), SessionError>;
-    /// Asks again for what is overdue, or gives it up.
+    /// Retries or fails whatever is overdue.
     ///
     /// # Errors
     ///
-    /// Where a response stopped short and blocks all behind it: the connection can't be used any more.
+    /// If an incomplete response blocks the connection; the connection can't be used any more.
     fn check_timeouts(
         &mut self,
         _now: Micros,
@@ -125,8 +125,8 @@
     ) -> Result<(), SessionError> {
         Ok(())
     }
-    /// Takes note that the engine has ended its side, which may complete a response.
+    /// Handles the engine's close of the connection, which may complete a response.
     fn handle_eof(&mut self, events: &mut Vec<EngineEvent>);
-    /// Whether the connection can't be used again.
+    /// Whether the connection can't be reused and must be closed.
     fn must_close(&self) -> bool;
 }
