--- a/crates/coordinator/src/backends/clickhouse/mod.rs
+++ b/crates/coordinator/src/backends/clickhouse/mod.rs
@@ -34,16 +34,16 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ClickHouseError {
     /// The response is not valid HTTP.
-    #[error("bad HTTP: {0:?}")]
+    #[error("invalid HTTP: {0}")]
     Http(HttpError),
     /// A duplicate of an earlier response, or a response to another query.
-    #[error("an answer to another query")]
+    #[error("response to another query")]
     OtherQuery,
     /// A response without a request.
-    #[error("an answer that nobody asked for")]
+    #[error("response without a request")]
     Unsolicited,
     /// An unknown content coding, so that the result can't be checked.
-    #[error("content coding {0} can't be followed")]
+    #[error("unsupported content coding {0}")]
     UnknownCoding(String),
     /// The result is invalid.
     #[error(transparent)]
--- a/crates/coordinator/src/backends/engine_protocol/message.rs
+++ b/crates/coordinator/src/backends/engine_protocol/message.rs
@@ -56,28 +56,28 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LineError {
     /// A line exceeds the maximum length.
-    #[error("line too long")]
+    #[error("line exceeds the maximum length")]
     LineTooLong,
     /// A line ends with LF instead of CR LF.
-    #[error("line without CR")]
+    #[error("line does not end with CR LF")]
     NoCarriageReturn,
     /// A line is not valid UTF-8.
-    #[error("line is not text")]
+    #[error("line is not valid UTF-8")]
     NotText,
     /// A line does not have four words.
-    #[error("line of {0} words")]
+    #[error("line has {0} words instead of 4")]
     WordCount(usize),
     /// The length is not a number.
-    #[error("bad length")]
+    #[error("length is not a number")]
     BadLength,
     /// A page exceeds the maximum size; its size in bytes.
-    #[error("page of {0} bytes")]
+    #[error("page of {0} bytes exceeds the maximum size")]
     PageTooLong(usize),
     /// A page is longer than its declared length.
-    #[error("no CR LF after a page")]
+    #[error("page is not followed by CR LF")]
     UnterminatedPage,
     /// A message with an unknown keyword.
-    #[error("unknown word {0}")]
+    #[error("unknown message kind {0}")]
     UnknownKeyword(String),
     /// A page is invalid.
     #[error("{keyword}: {error}")]
@@ -88,7 +88,7 @@
         error: PageError,
     },
     /// A message was not completed in time.
-    #[error("an answer stopped short")]
+    #[error("incomplete message timed out")]
     Stalled,
 }
 
--- a/crates/coordinator/src/backends/engine_protocol/pages.rs
+++ b/crates/coordinator/src/backends/engine_protocol/pages.rs
@@ -10,19 +10,19 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PageError {
     /// A row is incomplete or does not have three columns.
-    #[error("a page that is not whole rows of three columns")]
+    #[error("page does not consist of complete rows with three columns")]
     NotRows,
     /// The first page has no `fetches`. Without it an incomplete result would look complete.
-    #[error("no number of pages")]
+    #[error("first page has no page count")]
     NoPageCount,
     /// The result exceeds the maximum number of pages.
-    #[error("too many pages")]
+    #[error("result has too many pages")]
     TooManyPages,
     /// A further page has no `fetch_no`.
-    #[error("no page number")]
+    #[error("page has no page number")]
     NoPageNumber,
     /// A page is outside the result, or arrived before the first page.
-    #[error("a page that was not asked for")]
+    #[error("page was not requested")]
     Unrequested,
 }
 
--- a/crates/coordinator/src/backends/engine_protocol/session.rs
+++ b/crates/coordinator/src/backends/engine_protocol/session.rs
@@ -328,7 +328,7 @@
         }
         for id in lost {
             let failed = |key| {
-                let cause = Cause::MalformedResponse("its pages never came".into());
+                let cause = Cause::MalformedResponse("missing pages timed out".into());
                 EngineEvent::Failed(key, cause)
             };
             events.extend(self.retire_id(&id).map(failed));
