--- a/crates/clickhouse/src/session/mod.rs
+++ b/crates/clickhouse/src/session/mod.rs
@@ -169,7 +169,7 @@
 
 /// Current number of sessions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct HeldSessions {
+pub struct SessionCounts {
     /// All sessions.
     pub total: usize,
     /// Stateful sessions whose engine is still available.
--- a/crates/clickhouse/src/session/table.rs
+++ b/crates/clickhouse/src/session/table.rs
@@ -3,8 +3,8 @@
 use super::entry::{EvictionClass, Session};
 use super::index::SessionIndex;
 use super::{
-    HeldSessions, Micros, QueryOutcome, SessionAffinity, SessionCounters, SessionError, SessionKey,
-    SessionQuery, DEFAULT_SESSION_TIMEOUT, MAX_PROBATIONARY_SESSIONS, MAX_SESSIONS,
+    Micros, QueryOutcome, SessionAffinity, SessionCounters, SessionCounts, SessionError,
+    SessionKey, SessionQuery, DEFAULT_SESSION_TIMEOUT, MAX_PROBATIONARY_SESSIONS, MAX_SESSIONS,
     MAX_SESSION_TIMEOUT,
 };
 use siphasher::sip128::{Hasher128, SipHasher13};
@@ -138,12 +138,12 @@
     }
 
     /// Current number of sessions; visits every session.
-    pub fn held(&self) -> HeldSessions {
+    pub fn counts(&self) -> SessionCounts {
         let count = |is_counted: &dyn Fn(&Session<E>) -> bool| {
             let all = self.sessions.iter();
             all.filter(|(_, session)| is_counted(session)).count()
         };
-        HeldSessions {
+        SessionCounts {
             total: self.sessions.len(),
             stateful: count(&|session| session.is_stateful()),
             not_evictable: count(&|s| s.eviction_class() == EvictionClass::NotEvictable),
--- a/crates/clickhouse/tests/session.rs
+++ b/crates/clickhouse/tests/session.rs
@@ -2,7 +2,7 @@
 
 use driftfront_clickhouse::exception::Exception;
 use driftfront_clickhouse::session::{
-    HeldSessions, Micros, QueryOutcome, SessionAffinity, SessionEffect, SessionError, SessionKey,
+    Micros, QueryOutcome, SessionAffinity, SessionCounts, SessionEffect, SessionError, SessionKey,
     SessionQuery, SessionTable, MAX_PROBATIONARY_SESSIONS,
 };
 
@@ -150,7 +150,7 @@
     for n in 0..1_000_000 {
         read(&mut table, 100 + n, &format!("new-{n}"), 3);
     }
-    assert!(table.held().total <= MAX_PROBATIONARY_SESSIONS + 200 && table.is_consistent());
+    assert!(table.counts().total <= MAX_PROBATIONARY_SESSIONS + 200 && table.is_consistent());
     for n in 0..100 {
         let now = 2 * SECOND;
         assert!(read(&mut table, now, &format!("stateful-{n}"), 1).is_some_and(|h| h.is_exclusive));
@@ -168,10 +168,10 @@
     let next = query(table.key("u", "more"), SessionEffect::None);
     let rejected = table.begin_query(30, &next).map_err(SessionError::code);
     assert_eq!(rejected, Err(202));
-    let held = HeldSessions {
+    let counts = SessionCounts {
         total: 20,
         stateful: 20,
         not_evictable: 20,
     };
-    assert_eq!((table.held(), table.counters().rejected), (held, 1));
+    assert_eq!((table.counts(), table.counters().rejected), (counts, 1));
 }
--- a/crates/clickhouse/tests/session_model.rs
+++ b/crates/clickhouse/tests/session_model.rs
@@ -189,9 +189,9 @@
 
     /// Whether running sessions were not evicted and the limit on all sessions holds.
     fn limits_hold(&self) -> bool {
-        let held = self.table.held();
-        held.total <= MAX_SESSIONS
-            && held.not_evictable >= self.running.len()
+        let counts = self.table.counts();
+        counts.total <= MAX_SESSIONS
+            && counts.not_evictable >= self.running.len()
             && self.table.is_consistent()
     }
 }
--- a/crates/coordinator/src/frontends/clickhouse/mod.rs
+++ b/crates/coordinator/src/frontends/clickhouse/mod.rs
@@ -181,12 +181,12 @@
     }
 
     fn counters(&self) -> String {
-        let (held, sessions) = (self.sessions.held(), self.sessions.counters());
+        let (counts, sessions) = (self.sessions.counts(), self.sessions.counters());
         let bodies = self.budget.counters();
         let mut text = String::new();
         for (name, count) in [
-            ("sessions_held", held.total as u64),
-            ("sessions_tied", held.stateful as u64),
+            ("sessions_held", counts.total as u64),
+            ("sessions_tied", counts.stateful as u64),
             ("sessions_begun", sessions.begun),
             ("sessions_expired", sessions.expired),
             ("sessions_displaced", sessions.evicted),
@@ -208,8 +208,8 @@
     }
 
     fn session_counts(&self) -> Vec<u64> {
-        let held = self.sessions.held();
-        vec![held.total as u64, held.stateful as u64]
+        let counts = self.sessions.counts();
+        vec![counts.total as u64, counts.stateful as u64]
     }
 
     fn expire_sessions(&mut self, now: Micros) {
