--- a/crates/clickhouse/src/session/entry.rs
+++ b/crates/clickhouse/src/session/entry.rs
@@ -110,7 +110,7 @@
         self.expires = now + self.timeout;
     }
 
-    /// The session's engine takes no more queries. A query that still runs there may become its engine again.
+    /// Unbinds the session from its engine, which accepts no more queries. A query that is still running there may bind it again.
     pub(super) fn remove_engine(&mut self) {
         self.engine = None;
         self.is_lost |= self.is_stateful;
--- a/crates/coordinator/src/frontends/clickhouse/kill.rs
+++ b/crates/coordinator/src/frontends/clickhouse/kill.rs
@@ -24,10 +24,10 @@
         writer: Box<StreamWriter>,
     ) -> FrontendAction {
         self.kill_count += 1;
-        let engine_kill = EngineKill {
+        let kill_template = KillTemplate {
             seed: keyed_hash(self.seed, &self.kill_count.to_le_bytes()),
             options: options.to_string(),
-            template: ParsedRequest {
+            request: ParsedRequest {
                 class,
                 client_timeout: self.timeout(class),
                 table_group: query.statement.table_group,
@@ -41,21 +41,21 @@
             is_test: options.to_ascii_lowercase().starts_with("test"),
             message: Exception::new(QUERY_WAS_CANCELLED, "Query was cancelled by KILL QUERY").text,
             none_running_response: response(200, &head, b"", false),
-            request_for: Box::new(move |engine, name| engine_kill.request_for(engine, name)),
+            request_for: Box::new(move |engine, name| kill_template.request_for(engine, name)),
             writer,
         }))
     }
 }
 
 /// What the kill requests to all engines have in common.
-struct EngineKill {
+struct KillTemplate {
     /// Distinguishes the ids of these kill requests from those of others.
     seed: u64,
     options: String,
-    template: ParsedRequest,
+    request: ParsedRequest,
 }
 
-impl EngineKill {
+impl KillTemplate {
     /// Builds the request to one engine for the query with this id there.
     #[allow(
         clippy::cast_possible_truncation,
@@ -82,7 +82,7 @@
                 is_exclusive: true,
             }),
             session_lost_error: Some(lost.text.into()),
-            ..self.template.clone()
+            ..self.request.clone()
         }
     }
 }
--- a/crates/coordinator/src/frontends/mod.rs
+++ b/crates/coordinator/src/frontends/mod.rs
@@ -40,7 +40,7 @@
 }
 
 /// Builds the request that kills a query on one engine, given the query's id on that engine.
-pub type KillRequestFor = Box<dyn Fn(EngineId, &str) -> ParsedRequest>;
+pub type KillRequestBuilder = Box<dyn Fn(EngineId, &str) -> ParsedRequest>;
 
 /// A client's request to kill queries.
 pub struct KillRequest {
@@ -53,7 +53,7 @@
     /// The response if none of the queries is running.
     pub none_running_response: Vec<u8>,
     /// Builds the request for one engine.
-    pub request_for: KillRequestFor,
+    pub request_for: KillRequestBuilder,
     /// Serializes the response.
     pub writer: Box<dyn ResponseWriter>,
 }
