--- a/crates/clickhouse/src/exception/in_result.rs
+++ b/crates/clickhouse/src/exception/in_result.rs
@@ -5,7 +5,7 @@
 //! | --- | --- | --- |
 //! | between markers with a tag | servers that send the tag in `X-ClickHouse-Exception-Tag` | [`find_tagged`] |
 //! | as the last lines | servers that send no tag | [`find_in_last_lines`] |
-//! | as the last key | all servers, in JSON formats | [`find_json_key`] |
+//! | as the last key | servers, in JSON formats | [`find_json_key`] |
 
 use super::{parse_code, Exception};
 use memchr::memmem;
--- a/crates/coordinator/src/backends/engine_protocol/session.rs
+++ b/crates/coordinator/src/backends/engine_protocol/session.rs
@@ -14,7 +14,7 @@
 const MESSAGE_STALL_TIMEOUT: Micros = 500_000;
 /// Delay after which missing pages are requested again.
 const PAGE_RETRY_DELAY: Micros = 250_000;
-/// Timeout of an incomplete result, counted from its first page.
+/// Timeout of an incomplete result, counted from its first page. A result that takes longer will never be complete.
 const RESULT_TIMEOUT: Micros = 1_200_000;
 /// Number of retired ids that are remembered per connection.
 const MAX_RETIRED_IDS: usize = 64;
