--- a/crates/clickhouse/src/body_budget.rs
+++ b/crates/clickhouse/src/body_budget.rs
@@ -1,98 +1,99 @@
-//! The memory budget for request bodies that are kept, so that a query can be sent to another engine.
+//! The memory budget for buffered request bodies. A buffered body allows a query to be retried on another engine.
 //!
-//! A body that is kept in full may be sent again where the rules allow it. Any other is streamed to one engine as it
-//! arrives, and never sent again. The first [`UNBUDGETED_BYTES`] of each body are always kept; what exceeds them is
-//! reserved from a budget that all bodies share.
+//! A body that is buffered in full may be sent again if the retry rules allow it. Any other body is streamed to one
+//! engine as it arrives and can't be sent again. The first [`UNBUDGETED_BYTES`] of each body are always buffered; bytes
+//! beyond that are reserved from a budget shared by all bodies.
 
-/// Bytes of each body that are held outside the budget. Usual statements are smaller, and with every descriptor that
-/// clients may have at once they fit the smallest machine.
+/// Bytes of each body that don't count against the budget. Typical statements are smaller, and with the maximum number
+/// of client connections these bytes fit the memory of the smallest machine.
 pub const UNBUDGETED_BYTES: usize = 32 * 1024;
-/// Largest body that is kept in full.
-pub const MAX_KEPT_BYTES: usize = 1024 * 1024;
+/// Maximum size of a body that is buffered in full.
+pub const MAX_BUFFERED_BYTES: usize = 1024 * 1024;
 
 /// Counters since the start of the program.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct BodyCounters {
-    /// Bodies not kept in full since they were too large.
+    /// Bodies not buffered in full because of their size.
     pub too_large: u64,
-    /// Bodies not kept in full since others had used up the budget.
-    pub no_room: u64,
-    /// Most bytes of the budget ever reserved.
-    pub max_held: usize,
+    /// Bodies not buffered in full because the budget was exhausted.
+    pub over_budget: u64,
+    /// Highest number of bytes reserved at one time.
+    pub peak_reserved_bytes: usize,
 }
 
-/// What one body has of the budget.
+/// One body's share of the budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Reservation {
-    /// Bytes of the budget that are reserved for it.
+    /// Bytes of the budget reserved for the body.
     pub reserved_bytes: usize,
-    /// Size up to which it is kept; beyond, it is streamed as it arrives.
+    /// Size up to which the body is buffered; beyond it, the body is streamed as it arrives.
     pub max_body_bytes: usize,
 }
 
-/// The budget that all bodies share.
+/// The budget shared by all bodies.
 #[derive(Clone, Debug)]
 pub struct BodyBudget {
     total_bytes: usize,
-    max_kept_bytes: usize,
-    held_bytes: usize,
+    max_buffered_bytes: usize,
+    total_reserved_bytes: usize,
     counters: BodyCounters,
 }
 
 impl BodyBudget {
-    /// A budget of `total_bytes` for what bodies hold beyond [`UNBUDGETED_BYTES`] each.
+    /// Creates a budget of `total_bytes` for what bodies buffer beyond [`UNBUDGETED_BYTES`] each.
     pub fn new(total_bytes: usize) -> BodyBudget {
         BodyBudget {
             total_bytes,
-            max_kept_bytes: MAX_KEPT_BYTES.min(total_bytes / 2 + UNBUDGETED_BYTES),
-            held_bytes: 0,
+            max_buffered_bytes: MAX_BUFFERED_BYTES.min(total_bytes / 2 + UNBUDGETED_BYTES),
+            total_reserved_bytes: 0,
             counters: BodyCounters::default(),
         }
     }
 
-    /// Grows the reservation of a body that has `reserved_bytes` to a size of `body_bytes`. Where there is no room the
-    /// reservation stays as it is, and its bound on the body is below `body_bytes`.
+    /// Grows a reservation of `reserved_bytes` to fit a body of `body_bytes`. If the budget does not allow that, the
+    /// reservation is returned unchanged, with a `max_body_bytes` below `body_bytes`.
     pub fn reserve(&mut self, reserved_bytes: usize, body_bytes: usize) -> Reservation {
         let wanted_bytes = body_bytes.saturating_sub(UNBUDGETED_BYTES);
         if wanted_bytes <= reserved_bytes {
             return Reservation {
                 reserved_bytes,
-                max_body_bytes: self.max_kept_bytes,
+                max_body_bytes: self.max_buffered_bytes,
             };
         }
         let unchanged = Reservation {
             reserved_bytes,
             max_body_bytes: UNBUDGETED_BYTES + reserved_bytes,
         };
-        if body_bytes > self.max_kept_bytes {
+        if body_bytes > self.max_buffered_bytes {
             self.counters.too_large += 1;
             return unchanged;
         }
-        let held_bytes = self.held_bytes + wanted_bytes - reserved_bytes;
-        if held_bytes > self.total_bytes {
-            self.counters.no_room += 1;
+        let total_reserved_bytes = self.total_reserved_bytes + wanted_bytes - reserved_bytes;
+        if total_reserved_bytes > self.total_bytes {
+            self.counters.over_budget += 1;
             return unchanged;
         }
-        self.held_bytes = held_bytes;
-        self.counters.max_held = self.counters.max_held.max(held_bytes);
+        self.total_reserved_bytes = total_reserved_bytes;
+        self.counters.peak_reserved_bytes =
+            self.counters.peak_reserved_bytes.max(total_reserved_bytes);
         Reservation {
             reserved_bytes: wanted_bytes,
-            max_body_bytes: self.max_kept_bytes,
+            max_body_bytes: self.max_buffered_bytes,
         }
     }
 
-    /// Releases the reservation of a body.
+    /// Releases a body's reservation.
     pub fn release(&mut self, reserved_bytes: usize) {
-        debug_assert!(reserved_bytes <= self.held_bytes);
-        self.held_bytes = self.held_bytes.saturating_sub(reserved_bytes);
+        debug_assert!(reserved_bytes <= self.total_reserved_bytes);
+        self.total_reserved_bytes = self.total_reserved_bytes.saturating_sub(reserved_bytes);
     }
 
-    /// Bytes reserved now.
-    pub fn held_bytes(&self) -> usize {
-        self.held_bytes
+    /// Number of bytes reserved now.
+    pub fn total_reserved_bytes(&self) -> usize {
+        self.total_reserved_bytes
     }
 
-    /// The counters so far.
+    /// The current counters.
     pub fn counters(&self) -> BodyCounters {
         self.counters
     }
--- a/crates/clickhouse/src/session/entry.rs
+++ b/crates/clickhouse/src/session/entry.rs
@@ -1,28 +1,28 @@
 //! The state of one session.
 
-use super::{Home, Micros, QueryOutcome, SessionEffect, SessionQuery};
+use super::{Micros, QueryOutcome, SessionAffinity, SessionEffect, SessionQuery};
 
-/// How early a session is evicted: the first class goes first.
+/// Eviction priority: sessions of the first class are evicted first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum EvictionClass {
-    /// Used once, or of no use any more.
+    /// Used once, or lost.
     Probationary,
-    /// Used again.
+    /// Used more than once.
     Established,
     /// Stateful, or running a query.
     NotEvictable,
 }
 
-/// Uses from which a session counts as established.
+/// Number of uses from which a session is established.
 const ESTABLISHED_USES: u32 = 2;
 
 /// One session.
 pub(super) struct Session<E> {
-    home: Option<E>,
+    engine: Option<E>,
     is_stateful: bool,
-    /// Its engine left, and its state with it.
+    /// The engine that held its state was removed.
     is_lost: bool,
-    /// What the query that runs now would leave.
+    /// The effect of the running query.
     running: Option<SessionEffect>,
     uses: u32,
     last_used: Micros,
@@ -31,10 +31,10 @@
 }
 
 impl<E: Copy + PartialEq> Session<E> {
-    /// A session that lives on no engine yet.
+    /// Creates a session that is bound to no engine yet.
     pub(super) fn new(now: Micros, timeout: Micros) -> Session<E> {
         Session {
-            home: None,
+            engine: None,
             is_stateful: false,
             is_lost: false,
             running: None,
@@ -71,25 +71,25 @@
         self.is_lost
     }
 
-    /// Whether its engine holds state for it.
+    /// Whether its engine holds state for the session.
     pub(super) fn is_stateful(&self) -> bool {
         self.is_stateful && !self.is_lost
     }
 
-    pub(super) fn lives_on(&self, engine: E) -> bool {
-        self.home == Some(engine)
+    pub(super) fn is_assigned_to(&self, engine: E) -> bool {
+        self.engine == Some(engine)
     }
 
-    pub(super) fn home(&self) -> Option<Home<E>> {
-        Some(Home {
-            engine: self.home?,
+    pub(super) fn affinity(&self) -> Option<SessionAffinity<E>> {
+        Some(SessionAffinity {
+            engine: self.engine?,
             is_exclusive: self.is_stateful,
         })
     }
 
-    /// Whether a query that ran on `engine` moved the session there.
+    /// Whether a query that ran on `engine` moves the session there.
     pub(super) fn migrates_to(&self, engine: E) -> bool {
-        let is_elsewhere = self.home.is_some_and(|home| home != engine);
+        let is_elsewhere = self.engine.is_some_and(|current| current != engine);
         is_elsewhere && !self.is_stateful && !self.is_lost
     }
 
@@ -103,20 +103,20 @@
     pub(super) fn end_query(&mut self, now: Micros, outcome: QueryOutcome<E>) {
         let leaves_state = self.running.take() == Some(SessionEffect::LeavesState);
         if let Some(engine) = outcome.engine().filter(|_| !self.is_lost) {
-            self.home = Some(engine);
+            self.engine = Some(engine);
             self.is_stateful |= leaves_state && outcome.may_have_succeeded();
         }
         self.last_used = now;
         self.expires = now + self.timeout;
     }
 
-    /// The session's engine takes no more queries. A query that still runs there may make it the home again.
-    pub(super) fn remove_home(&mut self) {
-        self.home = None;
+    /// Unbinds the session from its engine, which accepts no more queries. A query that is still running there may bind it again.
+    pub(super) fn remove_engine(&mut self) {
+        self.engine = None;
         self.is_lost |= self.is_stateful;
     }
 
-    /// Moves the expiration of a session whose query runs longer than its timeout.
+    /// Postpones the expiration of a session whose query runs longer than its timeout.
     pub(super) fn postpone_expiration(&mut self, now: Micros) {
         self.expires = now + self.timeout.max(super::MICROS_PER_SECOND);
     }
--- a/crates/clickhouse/tests/session_model.rs
+++ b/crates/clickhouse/tests/session_model.rs
@@ -1,7 +1,7 @@
-//! The session table against a plain model, under random steps.
+//! Compares the session table with a simple model under random steps.
 
 use driftfront_clickhouse::session::{
-    Home, Micros, QueryOutcome, SessionEffect, SessionError, SessionQuery, SessionTable,
+    Micros, QueryOutcome, SessionAffinity, SessionEffect, SessionError, SessionQuery, SessionTable,
 };
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use std::collections::{HashMap, HashSet};
@@ -24,7 +24,7 @@
         outcome: Outcome,
     },
     RemoveEngine(u8),
-    Pass(Micros),
+    AdvanceTime(Micros),
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -56,22 +56,22 @@
                 },
             },
             6 => Step::RemoveEngine(b % 3),
-            _ => Step::Pass(u64::from(b) * SECOND / 4),
+            _ => Step::AdvanceTime(u64::from(b) * SECOND / 4),
         }
     }
 }
 
-/// A stateful session, as the model knows it.
+/// A stateful session of the model.
 struct StatefulSession {
     engine: u8,
     expires: Micros,
 }
 
-/// What must hold of the table.
+/// The table under test and the expected state.
 struct Model {
     table: SessionTable<u8>,
     now: Micros,
-    /// Sessions with a query that runs, and whether it leaves state.
+    /// Sessions with a running query, and whether the query leaves state.
     running: HashMap<u8, bool>,
     stateful: HashMap<u8, StatefulSession>,
     /// Sessions whose state was lost while a query ran.
@@ -89,9 +89,9 @@
         }
     }
 
-    /// Takes a step; whether the table did what it must.
+    /// Applies a step; returns whether the table behaved as expected.
     fn step(&mut self, step: Step) -> bool {
-        let is_right = match step {
+        let is_expected = match step {
             Step::Begin {
                 id,
                 must_exist,
@@ -109,7 +109,7 @@
                 self.remove_engine(engine);
                 true
             }
-            Step::Pass(time) => {
+            Step::AdvanceTime(time) => {
                 self.now += time;
                 true
             }
@@ -117,12 +117,12 @@
         let (now, running) = (self.now, &self.running);
         self.stateful
             .retain(|id, session| session.expires > now || running.contains_key(id));
-        is_right && self.bounds_hold()
+        is_expected && self.limits_hold()
     }
 
     fn begin(&mut self, id: u8, must_exist: bool, leaves_state: bool) -> bool {
         let query = SessionQuery {
-            session: self.table.name("u", &id.to_string()),
+            session: self.table.key("u", &id.to_string()),
             must_exist,
             timeout: Some(TIMEOUT),
             effect: if leaves_state {
@@ -137,13 +137,13 @@
         }
         let stateful = self.stateful.get(&id).filter(|s| s.expires > self.now);
         match (begun, stateful) {
-            (Ok(home), Some(session)) => {
-                let expected = Home {
+            (Ok(affinity), Some(session)) => {
+                let expected = SessionAffinity {
                     engine: session.engine,
                     is_exclusive: true,
                 };
                 self.running.insert(id, leaves_state);
-                home == Some(expected)
+                affinity == Some(expected)
             }
             (Err(_), Some(_)) => false,
             (Ok(_), None) => {
@@ -158,7 +158,7 @@
         let Some(leaves_state) = self.running.remove(&id) else {
             return;
         };
-        // A stateful session's query can only have run at its home.
+        // A stateful session's query can only have run on its engine.
         let engine = self.stateful.get(&id).map_or(engine, |s| s.engine);
         let ran = |succeeded| QueryOutcome::Ran { engine, succeeded };
         let (outcome, may_have_succeeded) = match outcome {
@@ -167,8 +167,8 @@
             Outcome::Succeeded => (ran(true), true),
             Outcome::Failed => (ran(false), false),
         };
-        let name = self.table.name("u", &id.to_string());
-        self.table.end_query(self.now, name, outcome);
+        let key = self.table.key("u", &id.to_string());
+        self.table.end_query(self.now, key, outcome);
         let becomes_stateful = leaves_state && may_have_succeeded;
         if !self.lost.remove(&id) && (becomes_stateful || self.stateful.contains_key(&id)) {
             let session = StatefulSession {
@@ -187,18 +187,18 @@
             .extend(lost.filter(|id| self.running.contains_key(id)));
     }
 
-    /// Running sessions are never evicted, and the bound on all holds.
-    fn bounds_hold(&self) -> bool {
-        let held = self.table.held();
-        held.total <= MAX_SESSIONS
-            && held.not_evictable >= self.running.len()
+    /// Whether running sessions were not evicted and the limit on all sessions holds.
+    fn limits_hold(&self) -> bool {
+        let counts = self.table.counts();
+        counts.total <= MAX_SESSIONS
+            && counts.not_evictable >= self.running.len()
             && self.table.is_consistent()
     }
 }
 
-/// Stateful sessions are never forgotten before their time and never move, and the bounds hold.
+/// Stateful sessions never end before their timeout and never migrate, and the limits hold.
 #[test]
-fn random_steps_keep_what_is_promised() {
+fn random_steps_match_the_model() {
     fn holds(steps: Vec<Step>) -> bool {
         let mut model = Model::new();
         steps.into_iter().all(|step| model.step(step))
--- a/crates/coordinator/src/backends/engine_protocol/message.rs
+++ b/crates/coordinator/src/backends/engine_protocol/message.rs
@@ -1,24 +1,24 @@
-//! Messages of an engine: `id word fields length`, then `length` bytes and CR LF.
+//! Messages of an engine: `id keyword fields length` and CR LF, then `length` bytes and CR LF.
 
 use super::pages::PageError;
 
-/// Longest line that an engine may send.
+/// Maximum length of a line from an engine.
 const MAX_LINE_BYTES: usize = 4 * 1024;
-/// Longest page: rows are not split.
+/// Maximum size of a page. Rows are not split across pages.
 const MAX_PAGE_BYTES: usize = 6_000;
-/// The largest figure that is believed, of work in ms and of memory in MB.
-const MAX_FIGURE: f64 = 1e9;
+/// Maximum plausible value of a number, for work in ms and memory in MB.
+const MAX_NUMBER: f64 = 1e9;
 
-/// What a message says.
+/// The kind of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum MessageKind {
-    /// A probe's answer: the engine is well.
+    /// The response to a probe: the engine is healthy.
     Pong,
-    /// A probe's answer: it is not.
+    /// The response to a probe: the engine is unhealthy.
     Sick,
-    /// The attempt was rejected for want of capacity.
+    /// The attempt was rejected because of overload.
     Shed,
-    /// The attempt was rejected since its time is too short.
+    /// The attempt was rejected because its remaining time is too short.
     Late,
     /// The attempt failed on the engine.
     Fault,
@@ -30,7 +30,7 @@
     Info,
 }
 
-const WORDS: [(MessageKind, &str); 8] = [
+const KEYWORDS: [(MessageKind, &str); 8] = [
     (MessageKind::Pong, "PONG"),
     (MessageKind::Sick, "SICK"),
     (MessageKind::Shed, "SHED"),
@@ -42,57 +42,57 @@
 ];
 
 impl MessageKind {
-    fn parse(word: &str) -> Option<MessageKind> {
-        WORDS.iter().find(|w| w.1 == word).map(|w| w.0)
+    fn parse(keyword: &str) -> Option<MessageKind> {
+        KEYWORDS.iter().find(|w| w.1 == keyword).map(|w| w.0)
     }
 
-    /// The word on the wire.
-    pub(super) fn word(self) -> &'static str {
-        WORDS.iter().find(|w| w.0 == self).map_or("", |w| w.1)
+    /// The keyword on the wire.
+    pub(super) fn keyword(self) -> &'static str {
+        KEYWORDS.iter().find(|w| w.0 == self).map_or("", |w| w.1)
     }
 }
 
-/// How an engine violated the line protocol: where its next message begins is not known any more, or whose it was.
+/// A violation of the line protocol. Afterwards the start of the next message, or the attempt that it belongs to, is unknown.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LineError {
-    /// A line over its bound.
-    #[error("line too long")]
+    /// A line exceeds the maximum length.
+    #[error("line exceeds the maximum length")]
     LineTooLong,
-    /// A line that ends in a bare LF.
-    #[error("line without CR")]
+    /// A line ends with LF instead of CR LF.
+    #[error("line does not end with CR LF")]
     NoCarriageReturn,
-    /// A line that is not UTF-8.
-    #[error("line is not text")]
+    /// A line is not valid UTF-8.
+    #[error("line is not valid UTF-8")]
     NotText,
-    /// A line that has not four words.
-    #[error("line of {0} words")]
+    /// A line does not have four words.
+    #[error("line has {0} words instead of 4")]
     WordCount(usize),
-    /// A length that is no number.
-    #[error("bad length")]
+    /// The length is not a number.
+    #[error("length is not a number")]
     BadLength,
-    /// A page over its bound; its size in bytes.
-    #[error("page of {0} bytes")]
+    /// A page exceeds the maximum size; its size in bytes.
+    #[error("page of {0} bytes exceeds the maximum size")]
     PageTooLong(usize),
-    /// A page that is longer than its length says.
-    #[error("no CR LF after a page")]
+    /// A page is longer than its declared length.
+    #[error("page is not followed by CR LF")]
     UnterminatedPage,
-    /// A message of no known kind.
-    #[error("unknown word {0}")]
-    UnknownWord(String),
-    /// A page that can't be used: the word of its message, and why.
-    #[error("{word}: {error}")]
+    /// A message with an unknown keyword.
+    #[error("unknown message kind {0}")]
+    UnknownKeyword(String),
+    /// A page is invalid.
+    #[error("{keyword}: {error}")]
     Page {
         /// `HIT` or `PART`.
-        word: &'static str,
-        /// What is wrong with it.
+        keyword: &'static str,
+        /// Why the page is invalid.
         error: PageError,
     },
-    /// A message began and never became complete.
-    #[error("an answer stopped short")]
+    /// A message was not completed in time.
+    #[error("incomplete message timed out")]
     Stalled,
 }
 
-/// A whole message.
+/// A complete message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Message {
     pub(super) id: String,
@@ -109,44 +109,44 @@
             .find_map(|f| f.strip_prefix(name)?.strip_prefix('='))
     }
 
-    /// A figure above 0 that can be planned with; any other counts as not reported.
-    pub(super) fn figure(&self, name: &str) -> Option<f64> {
+    /// The value of a numeric field, if it is positive and plausible; other values count as not reported.
+    pub(super) fn positive_number(&self, name: &str) -> Option<f64> {
         self.field(name)?
             .parse()
             .ok()
-            .filter(|n| *n > 0.0 && *n <= MAX_FIGURE)
+            .filter(|n| *n > 0.0 && *n <= MAX_NUMBER)
     }
 
-    /// An index or a count.
+    /// The value of a field with an index or a count.
     pub(super) fn index(&self, name: &str) -> Option<usize> {
         self.field(name)?.parse().ok()
     }
 }
 
-/// Cuts an engine's bytes into messages.
+/// Splits an engine's bytes into messages.
 #[derive(Default)]
 pub(super) struct MessageReader {
     bytes: Vec<u8>,
-    /// Bytes at the front that were decoded already.
-    used: usize,
+    /// Number of bytes at the front that are already decoded.
+    consumed: usize,
 }
 
 impl MessageReader {
     /// Adds received bytes.
     pub(super) fn push(&mut self, input: &[u8]) {
-        self.bytes.drain(..self.used);
-        self.used = 0;
+        self.bytes.drain(..self.consumed);
+        self.consumed = 0;
         self.bytes.extend_from_slice(input);
     }
 
-    /// Whether a message has begun and is not complete.
+    /// Whether a message has started and is incomplete.
     pub(super) fn is_mid_message(&self) -> bool {
-        self.used < self.bytes.len()
+        self.consumed < self.bytes.len()
     }
 
-    /// The next whole message, if it is there.
+    /// Returns the next message, once it is complete.
     pub(super) fn next_message(&mut self) -> Result<Option<Message>, LineError> {
-        let rest = &self.bytes[self.used..];
+        let rest = &self.bytes[self.consumed..];
         let Some(line_end) = rest.iter().position(|&b| b == b'\n') else {
             return if rest.len() > MAX_LINE_BYTES {
                 Err(LineError::LineTooLong)
@@ -159,29 +159,29 @@
         let Some(body) = page(after_line, head.length)? else {
             return Ok(None);
         };
-        let kind = MessageKind::parse(head.word)
-            .ok_or_else(|| LineError::UnknownWord(head.word.into()))?;
+        let kind = MessageKind::parse(head.keyword)
+            .ok_or_else(|| LineError::UnknownKeyword(head.keyword.into()))?;
         let message = Message {
             id: head.id.into(),
             kind,
             fields: head.fields.into(),
             body: body.to_vec(),
         };
-        self.used += line_end + 1 + head.length + b"\r\n".len();
+        self.consumed += line_end + 1 + head.length + b"\r\n".len();
         Ok(Some(message))
     }
 }
 
-/// The words of a message's line.
+/// The first line of a message.
 struct Head<'a> {
     id: &'a str,
-    word: &'a str,
+    keyword: &'a str,
     fields: &'a str,
     length: usize,
 }
 
 impl Head<'_> {
-    /// Parses a line up to, and without, its LF.
+    /// Parses a line without its LF.
     fn parse(line: &[u8]) -> Result<Head<'_>, LineError> {
         let line = line
             .strip_suffix(b"\r")
@@ -191,7 +191,7 @@
         }
         let line = std::str::from_utf8(line).map_err(|_| LineError::NotText)?;
         let words: Vec<&str> = line.split(' ').collect();
-        let [id, word, fields, length] = words[..] else {
+        let [id, keyword, fields, length] = words[..] else {
             return Err(LineError::WordCount(words.len()));
         };
         let length: usize = length.parse().map_err(|_| LineError::BadLength)?;
@@ -200,14 +200,14 @@
         }
         Ok(Head {
             id,
-            word,
+            keyword,
             fields,
             length,
         })
     }
 }
 
-/// The page of `length` bytes that these bytes begin with, once it is there with its CR LF.
+/// Returns the page of `length` bytes at the start of `bytes`, once it has arrived with its CR LF.
 fn page(bytes: &[u8], length: usize) -> Result<Option<&[u8]>, LineError> {
     match bytes.get(length..length + 2) {
         None => Ok(None),
--- a/crates/coordinator/src/backends/engine_protocol/session.rs
+++ b/crates/coordinator/src/backends/engine_protocol/session.rs
@@ -1,4 +1,4 @@
-//! A connection's session in the line protocol.
+//! The protocol state of a connection that uses the line protocol.
 
 use super::message::{LineError, Message, MessageKind, MessageReader};
 use super::pages::OpenAttempt;
@@ -10,19 +10,19 @@
 use std::fmt::Write as _;
 use std::rc::Rc;
 
-/// A message that has begun on the wire is complete by then, else its rest will never come, and nothing behind it either.
+/// Timeout of an incomplete message. When it expires, the rest of the message and anything after it is lost.
 const MESSAGE_STALL_TIMEOUT: Micros = 500_000;
-/// A page that has not come by then is requested again.
+/// Delay after which missing pages are requested again.
 const PAGE_RETRY_DELAY: Micros = 250_000;
-/// A result that is not complete by then never will be.
+/// Timeout of an incomplete result, counted from its first page. A result that takes longer will never be complete.
 const RESULT_TIMEOUT: Micros = 1_200_000;
-/// Ids of attempts that ended without being served, which this connection does not carry again.
-const MAX_CLOSED_IDS: usize = 64;
-/// Probes in flight: one that timed out is never answered.
+/// Number of retired ids that are remembered per connection.
+const MAX_RETIRED_IDS: usize = 64;
+/// Maximum number of probes in flight. Timed-out probes may never be answered, so the oldest is dropped.
 const MAX_OPEN_PROBES: usize = 8;
-/// The largest grant that is written, MB.
+/// Maximum memory grant that is sent, in MB.
 const MAX_GRANT_MB: f64 = 1e9;
-/// Stands for a figure that was not reported: the scheduler takes values out of range as absent.
+/// Stands for a value that was not reported; the scheduler treats values out of range as absent.
 const NOT_REPORTED: f64 = -1.0;
 
 /// The state of one connection.
@@ -30,24 +30,24 @@
     reader: MessageReader,
     /// Attempts in flight, by the request's id.
     open: BTreeMap<Rc<str>, OpenAttempt>,
-    /// Ids that ended here without being served, the oldest first. An answer to the earlier attempt may still come, or come a
-    /// second time, and would be taken for a later attempt's: that goes by another connection.
-    closed_ids: VecDeque<Rc<str>>,
-    /// Tags of the probes in flight, the oldest first.
+    /// Ids of attempts that ended on this connection without being served, oldest first. A late or duplicate response to such an
+    /// attempt would be mistaken for that of a later attempt with the same id, so later attempts use another connection.
+    retired_ids: VecDeque<Rc<str>>,
+    /// Tags of the probes in flight, oldest first.
     probes: Vec<u64>,
     max_attempts: usize,
     gauges: Rc<[String]>,
-    /// The message on the wire that is not complete began, or went on from a complete one, then.
+    /// When the incomplete message started, or the message before it was completed.
     incomplete_since: Option<Micros>,
 }
 
 impl LineSession {
-    /// A session that carries at most `max_attempts`; `gauges` names the values of a load report in order.
+    /// Creates a session with at most `max_attempts` in flight; `gauges` names the values of a load report in order.
     pub fn new(max_attempts: usize, gauges: Rc<[String]>) -> LineSession {
         LineSession {
             reader: MessageReader::default(),
             open: BTreeMap::new(),
-            closed_ids: VecDeque::new(),
+            retired_ids: VecDeque::new(),
             probes: Vec::new(),
             max_attempts,
             gauges,
@@ -55,8 +55,8 @@
         }
     }
 
-    /// Applies a message. One of an unknown id changes nothing: what was given up may still be answered, as its answer crossed
-    /// our STOP, and some answers come twice, or under an id that nobody asked for. None of that may reach another request.
+    /// Processes a message. Messages with an unknown id are ignored: a response may cross our STOP, arrive twice, or have an id that
+    /// was never sent, and must not reach another request.
     fn apply(
         &mut self,
         now: Micros,
@@ -91,7 +91,7 @@
     }
 
     fn fail_attempt(&mut self, message: &Message, cause: Cause, events: &mut Vec<EngineEvent>) {
-        let Some(key) = self.close_id(&message.id) else {
+        let Some(key) = self.retire_id(&message.id) else {
             return;
         };
         let report = AttemptReport {
@@ -124,17 +124,17 @@
         let report = |message: &Message| attempt_report(&self.gauges, message);
         match open.add_page(now, message, report) {
             Ok(false) => return Ok(()),
-            Ok(true) => events.push(EngineEvent::Begun(key)),
+            Ok(true) => events.push(EngineEvent::ResponseStarted(key)),
             Err(error) => {
                 self.open.remove(&*id);
                 let cause = Cause::MalformedResponse(error.to_string());
                 events.push(EngineEvent::Failed(key, cause));
-                let word = kind.word();
-                return Err(LineError::Page { word, error });
+                let keyword = kind.keyword();
+                return Err(LineError::Page { keyword, error });
             }
         }
         if kind == MessageKind::Hit {
-            // All pages at once: they are lost with their engine.
+            // Request all pages at once, since they are lost if the engine fails.
             open.request_missing_pages(&id, out);
         }
         if open.is_complete() {
@@ -162,18 +162,18 @@
         events.push(EngineEvent::Served(key));
     }
 
-    /// Ends what was in flight under this id without being served, and keeps the id off this connection; which attempt it was.
-    fn close_id(&mut self, id: &str) -> Option<AttemptKey> {
+    /// Ends the attempt in flight under this id without it being served, and retires the id on this connection. Returns the attempt.
+    fn retire_id(&mut self, id: &str) -> Option<AttemptKey> {
         let (id, open) = self.open.remove_entry(id)?;
-        if self.closed_ids.len() >= MAX_CLOSED_IDS {
-            self.closed_ids.pop_front();
+        if self.retired_ids.len() >= MAX_RETIRED_IDS {
+            self.retired_ids.pop_front();
         }
-        self.closed_ids.push_back(id);
+        self.retired_ids.push_back(id);
         Some(open.key)
     }
 }
 
-/// The load report of a message, in the order of the gauges' names; empty where it has none.
+/// The load report of a message, in the order of `gauges`; empty if the message has none.
 fn load_report(gauges: &[String], message: &Message) -> Vec<f64> {
     let Some(reported) = message.field("gauges") else {
         return Vec::new();
@@ -189,27 +189,27 @@
     gauges.iter().map(value).collect()
 }
 
-/// What a result's first page reports of the engine and the query.
+/// What the first page of a result reports about the engine and the query.
 fn attempt_report(gauges: &[String], message: &Message) -> AttemptReport {
     AttemptReport {
         report: load_report(gauges, message),
-        work: message.figure("effort").map(|ms| ms * 1000.0),
-        memory_mb: message.figure("high"),
+        work: message.positive_number("effort").map(|ms| ms * 1000.0),
+        memory_mb: message.positive_number("high"),
     }
 }
 
 fn progress_report(message: &Message) -> Option<ProgressReport> {
-    let figure: f64 = message.field("figure")?.parse().ok()?;
+    let value: f64 = message.field("figure")?.parse().ok()?;
     match message.field("res")? {
-        "p" if figure.is_finite() => Some(ProgressReport::Progress(figure.clamp(0.0, 1.0))),
-        "s" if figure.is_finite() => Some(ProgressReport::Spills(figure.max(0.0))),
-        "w" if figure == 1.0 => Some(ProgressReport::WaitsForMemory),
-        "w" if figure == 2.0 => Some(ProgressReport::WaitsForLoad),
+        "p" if value.is_finite() => Some(ProgressReport::Progress(value.clamp(0.0, 1.0))),
+        "s" if value.is_finite() => Some(ProgressReport::Spills(value.max(0.0))),
+        "w" if value == 1.0 => Some(ProgressReport::WaitsForMemory),
+        "w" if value == 2.0 => Some(ProgressReport::WaitsForLoad),
         _ => None,
     }
 }
 
-/// The fields of an attempt's line.
+/// The fields of a `REQ` line.
 fn request_fields(attempt: &AttemptRequest) -> String {
     let ms = (attempt.timeout / 1000).max(1);
     let mut fields = format!("kind={},ms={ms}", attempt.class);
@@ -242,7 +242,7 @@
 
     fn can_start(&self, request_id: &str) -> bool {
         let is_known = self.open.contains_key(request_id)
-            || self.closed_ids.iter().any(|id| **id == *request_id);
+            || self.retired_ids.iter().any(|id| **id == *request_id);
         self.open.len() < self.max_attempts && !is_known
     }
 
@@ -269,7 +269,7 @@
             .map(|o| o.0.clone());
         if let Some(id) = id {
             out.extend(format!("STOP {id}\r\n").bytes());
-            self.close_id(&id);
+            self.retire_id(&id);
         }
         true
     }
@@ -320,25 +320,25 @@
         }
         let mut lost = Vec::new();
         for (id, open) in &mut self.open {
-            if open.has_waited(now, RESULT_TIMEOUT) {
+            if open.is_first_page_older_than(now, RESULT_TIMEOUT) {
                 lost.push(id.clone());
-            } else if open.has_waited(now, PAGE_RETRY_DELAY) {
-                open.request_missing_pages_again(id, out);
+            } else if open.is_first_page_older_than(now, PAGE_RETRY_DELAY) {
+                open.retry_missing_pages(id, out);
             }
         }
         for id in lost {
             let failed = |key| {
-                let cause = Cause::MalformedResponse("its pages never came".into());
+                let cause = Cause::MalformedResponse("missing pages timed out".into());
                 EngineEvent::Failed(key, cause)
             };
-            events.extend(self.close_id(&id).map(failed));
+            events.extend(self.retire_id(&id).map(failed));
         }
         Ok(())
     }
 
-    fn decode_close(&mut self, _events: &mut Vec<EngineEvent>) {}
+    fn handle_eof(&mut self, _events: &mut Vec<EngineEvent>) {}
 
-    fn is_spent(&self) -> bool {
+    fn must_close(&self) -> bool {
         false
     }
 }
--- a/crates/coordinator/src/config/mod.rs
+++ b/crates/coordinator/src/config/mod.rs
@@ -10,7 +10,7 @@
 
 pub use error::{ConfigError, KeyPath};
 
-use crate::frontends::clickhouse::ClassRules;
+use crate::frontends::clickhouse::ClickHouseConfig;
 use crate::frontends::QueryClasses;
 use crate::operator_config;
 use document::Document;
@@ -89,7 +89,7 @@
     /// The interface of clients and engines.
     pub protocol: Protocol,
     /// The ClickHouse frontend's rules for classes and bodies.
-    pub clickhouse: ClassRules,
+    pub clickhouse: ClickHouseConfig,
     /// A result of a ClickHouse engine is abandoned after this long without progress.
     pub result_stall_timeout: Micros,
     /// Total bytes of streamed results that may be buffered for slow clients.
--- a/crates/coordinator/src/frontends/clickhouse/kill.rs
+++ b/crates/coordinator/src/frontends/clickhouse/kill.rs
@@ -1,4 +1,4 @@
-//! KILL QUERY: carried out by the coordinator, on each engine that may run the query.
+//! KILL QUERY, which the coordinator sends to each engine that may run the query.
 
 use super::codes::QUERY_WAS_CANCELLED;
 use super::query::engine_parameters;
@@ -14,20 +14,20 @@
 use std::rc::Rc;
 
 impl ClickHouse {
-    /// The order to end the queries of these names; `suffix` stands behind its condition.
+    /// Builds the kill request for these query ids; `options` follows the condition.
     pub(super) fn kill(
         &mut self,
         query: &Query,
-        names: Vec<String>,
-        suffix: &str,
+        query_ids: Vec<String>,
+        options: &str,
         class: u16,
         writer: Box<StreamWriter>,
     ) -> FrontendAction {
-        self.kills += 1;
-        let order = KillOrder {
-            seed: keyed_hash(self.seed, &self.kills.to_le_bytes()),
-            suffix: suffix.to_string(),
-            template: ParsedRequest {
+        self.kill_count += 1;
+        let kill_template = KillTemplate {
+            seed: keyed_hash(self.seed, &self.kill_count.to_le_bytes()),
+            options: options.to_string(),
+            request: ParsedRequest {
                 class,
                 client_timeout: self.timeout(class),
                 table_group: query.statement.table_group,
@@ -37,33 +37,33 @@
         };
         let head = [("Content-Type", "text/tab-separated-values; charset=UTF-8")];
         FrontendAction::Kill(Box::new(KillRequest {
-            names,
-            is_test: suffix.to_ascii_lowercase().starts_with("test"),
+            query_ids,
+            is_test: options.to_ascii_lowercase().starts_with("test"),
             message: Exception::new(QUERY_WAS_CANCELLED, "Query was cancelled by KILL QUERY").text,
-            none_running: response(200, &head, b"", false),
-            request_for: Box::new(move |engine, name| order.request_for(engine, name)),
+            none_running_response: response(200, &head, b"", false),
+            request_for: Box::new(move |engine, name| kill_template.request_for(engine, name)),
             writer,
         }))
     }
 }
 
-/// What the orders to all engines share.
-struct KillOrder {
-    /// Sets the ids of these orders apart from others'.
+/// What the kill requests to all engines have in common.
+struct KillTemplate {
+    /// Distinguishes the ids of these kill requests from those of others.
     seed: u64,
-    suffix: String,
-    template: ParsedRequest,
+    options: String,
+    request: ParsedRequest,
 }
 
-impl KillOrder {
-    /// The order to one engine, for the query of this name there.
+impl KillTemplate {
+    /// Builds the request to one engine for the query with this id there.
     #[allow(
         clippy::cast_possible_truncation,
-        reason = "half of a hash is enough to tell names apart"
+        reason = "half of a hash is enough to distinguish query ids"
     )]
     fn request_for(&self, engine: EngineId, name: &str) -> ParsedRequest {
         let quoted = name.replace('\\', "\\\\").replace('\'', "\\'");
-        let statement = format!("KILL QUERY WHERE query_id = '{quoted}' {}", self.suffix);
+        let statement = format!("KILL QUERY WHERE query_id = '{quoted}' {}", self.options);
         let id = format!(
             "kill-{:016x}-{}-{:08x}",
             self.seed,
@@ -82,7 +82,7 @@
                 is_exclusive: true,
             }),
             session_lost_error: Some(lost.text.into()),
-            ..self.template.clone()
+            ..self.request.clone()
         }
     }
 }
--- a/crates/coordinator/src/frontends/clickhouse/mod.rs
+++ b/crates/coordinator/src/frontends/clickhouse/mod.rs
@@ -1,11 +1,11 @@
-//! ClickHouse's HTTP interface towards clients, on the language in `driftfront_clickhouse`.
+//! The ClickHouse HTTP interface for clients, based on the parsers in `driftfront_clickhouse`.
 //!
-//! | module | job |
+//! | module | purpose |
 //! | --- | --- |
-//! | `query` | makes the core's request of a query, with its session and its order |
+//! | `query` | converts a query to a request of the core, with its session and ordering key |
 //! | `kill` | KILL QUERY |
-//! | `replies` | responses that need no engine: exceptions, pings, readiness |
-//! | `response` | results as they come |
+//! | `replies` | responses without an engine: exceptions, pings, readiness |
+//! | `response` | streamed results |
 
 mod kill;
 mod query;
@@ -17,18 +17,18 @@
 use driftfront_clickhouse::exception::Exception;
 use driftfront_clickhouse::keyed_hash::keyed_hash;
 use driftfront_clickhouse::request::{self, ClientRequest};
-use driftfront_clickhouse::session::{QueryOutcome, SessionName, SessionTable};
+use driftfront_clickhouse::session::{QueryOutcome, SessionKey, SessionTable};
 use driftfront_core::{EngineId, Micros, ParsedRequest, SettledOutcome};
 use driftfront_http::{HttpError, Request, RequestLimits};
 use std::collections::HashMap;
 use std::fmt::Write as _;
 
-/// Longest head accepted, the URL with it. What is longer than usual shares the budget for bodies.
+/// Maximum size of a request head, including the URL. Heads above the usual size count against the body budget.
 pub const MAX_HEAD_BYTES: usize = 256 * 1024;
-/// How long a client waits where its class does not say.
+/// Client timeout for a class without a default timeout.
 const DEFAULT_TIMEOUT: Micros = 30_000_000;
 
-/// ClickHouse's codes of the exceptions that this frontend words itself.
+/// ClickHouse's codes for the exceptions that this frontend creates.
 mod codes {
     pub(super) const BAD_ARGUMENTS: u32 = 36;
     pub(super) const NOT_IMPLEMENTED: u32 = 48;
@@ -37,54 +37,54 @@
     pub(super) const QUERY_WAS_CANCELLED: u32 = 394;
 }
 
-/// What the operator's file says of this frontend.
+/// The operator's configuration of this frontend.
 #[derive(Clone, Copy, Debug)]
-pub struct ClassRules {
-    /// Class of statements that only read, where the client names none.
-    pub read: u16,
-    /// Class of the others, where the client names none.
-    pub write: u16,
-    /// Class of inserts with a deduplication token: only where all engines honour that.
-    pub deduplicated: Option<u16>,
-    /// Time beyond the class's own for a body that is streamed as it comes.
-    pub upload: Micros,
-    /// Bytes that bodies may hold, beside the small part of each.
-    pub keep: usize,
+pub struct ClickHouseConfig {
+    /// Default class of statements that only read.
+    pub read_class: u16,
+    /// Default class of all other statements.
+    pub write_class: u16,
+    /// Default class of inserts with a deduplication token; set only if all engines support deduplication.
+    pub deduplicated_class: Option<u16>,
+    /// Time added to the class's timeout for a streamed body.
+    pub upload_timeout: Micros,
+    /// Size of the body budget: bytes that all bodies may buffer beyond the unbudgeted part of each.
+    pub body_budget_bytes: usize,
 }
 
-/// Reads ClickHouse clients' requests.
+/// The frontend for ClickHouse clients.
 pub struct ClickHouse {
     classes: QueryClasses,
-    rules: ClassRules,
+    config: ClickHouseConfig,
     seed: u64,
-    /// The last query named here, and the last ticket.
+    /// The last number used in a generated query id or as a ticket.
     last_number: u64,
     sessions: SessionTable<EngineId>,
     budget: BodyBudget,
-    /// What is held for requests that are not settled, by ticket.
+    /// Resources of requests that are not settled, by ticket.
     open: HashMap<u64, OpenQuery>,
-    kills: u64,
+    kill_count: u64,
 }
 
-/// What is held for a query until nothing of it is in flight.
+/// Resources of a query until none of its attempts is in flight.
 #[derive(Clone, Copy)]
 struct OpenQuery {
-    session: Option<SessionName>,
+    session: Option<SessionKey>,
     reserved_bytes: usize,
 }
 
 impl ClickHouse {
-    /// A frontend with no sessions yet.
-    pub fn new(classes: QueryClasses, rules: ClassRules, seed: u64) -> ClickHouse {
+    /// Creates a frontend without sessions.
+    pub fn new(classes: QueryClasses, config: ClickHouseConfig, seed: u64) -> ClickHouse {
         ClickHouse {
             classes,
-            rules,
+            config,
             seed,
             last_number: 0,
             sessions: SessionTable::new(seed),
-            budget: BodyBudget::new(rules.keep),
+            budget: BodyBudget::new(config.body_budget_bytes),
             open: HashMap::new(),
-            kills: 0,
+            kill_count: 0,
         }
     }
 
@@ -93,7 +93,7 @@
         self.last_number
     }
 
-    /// An id for a query that its client gave none: it differs from those of other coordinators and earlier processes.
+    /// Generates an id for a query without one. It differs from ids generated by other coordinators and earlier processes.
     fn generate_id(&mut self, now: Micros) -> String {
         let random = keyed_hash(self.seed, &now.to_le_bytes());
         format!("{random:016x}{:016x}", self.next_number())
@@ -109,7 +109,7 @@
         RequestLimits {
             max_head_bytes: MAX_HEAD_BYTES,
             max_body_bytes: UNBUDGETED_BYTES,
-            has_more_body: true,
+            streams_larger_bodies: true,
         }
     }
 
@@ -135,29 +135,29 @@
             Ok(other) => replies::reply_to(&other, head_only),
             Err(e) => FrontendAction::RejectBadRequest(replies::exception(&e.into(), head_only)),
         };
-        // What is accepted holds its part until it is settled.
+        // An accepted request keeps its reservation until it is settled.
         if !matches!(action, FrontendAction::Accept(..)) {
             self.budget.release(reserved_bytes);
         }
         action
     }
 
-    fn settle_request(&mut self, now: Micros, ticket: u64, fate: SettledOutcome) {
+    fn settle_request(&mut self, now: Micros, ticket: u64, outcome: SettledOutcome) {
         let Some(open) = self.open.remove(&ticket) else {
             return;
         };
         self.budget.release(open.reserved_bytes);
         if let Some(session) = open.session {
-            let outcome = match fate {
+            let query_outcome = match outcome {
                 SettledOutcome::NeverRan => QueryOutcome::NeverRan,
                 SettledOutcome::Ran(engine, succeeded) => QueryOutcome::Ran { engine, succeeded },
                 SettledOutcome::Unknown(engine) => QueryOutcome::Unknown { engine },
             };
-            self.sessions.end_query(now, session, outcome);
+            self.sessions.end_query(now, session, query_outcome);
         }
     }
 
-    fn engine_left(&mut self, engine: EngineId) {
+    fn remove_engine(&mut self, engine: EngineId) {
         self.sessions.remove_engine(engine);
     }
 
@@ -168,7 +168,7 @@
         Some(replies::exception(&e, false))
     }
 
-    fn cancels_reads_of_gone_clients(&self) -> bool {
+    fn cancels_reads_on_disconnect(&self) -> bool {
         true
     }
 
@@ -181,23 +181,26 @@
     }
 
     fn counters(&self) -> String {
-        let (held, sessions) = (self.sessions.held(), self.sessions.counters());
+        let (counts, sessions) = (self.sessions.counts(), self.sessions.counters());
         let bodies = self.budget.counters();
         let mut text = String::new();
         for (name, count) in [
-            ("sessions_held", held.total as u64),
-            ("sessions_tied", held.stateful as u64),
+            ("sessions_held", counts.total as u64),
+            ("sessions_tied", counts.stateful as u64),
             ("sessions_begun", sessions.begun),
             ("sessions_expired", sessions.expired),
             ("sessions_displaced", sessions.evicted),
             ("sessions_turned_away", sessions.rejected),
             ("sessions_lost", sessions.lost),
             ("sessions_moved", sessions.migrated),
-            ("bodies_held_bytes", self.budget.held_bytes() as u64),
-            ("bodies_held_bytes_most", bodies.max_held as u64),
+            (
+                "bodies_held_bytes",
+                self.budget.total_reserved_bytes() as u64,
+            ),
+            ("bodies_held_bytes_most", bodies.peak_reserved_bytes as u64),
             ("bodies_too_large_to_keep", bodies.too_large),
-            ("bodies_without_room", bodies.no_room),
-            ("kills_asked", self.kills),
+            ("bodies_without_room", bodies.over_budget),
+            ("kills_asked", self.kill_count),
         ] {
             let _ = writeln!(text, "{name} {count}");
         }
@@ -205,8 +208,8 @@
     }
 
     fn session_counts(&self) -> Vec<u64> {
-        let held = self.sessions.held();
-        vec![held.total as u64, held.stateful as u64]
+        let counts = self.sessions.counts();
+        vec![counts.total as u64, counts.stateful as u64]
     }
 
     fn expire_sessions(&mut self, now: Micros) {
--- a/crates/coordinator/src/frontends/clickhouse/query.rs
+++ b/crates/coordinator/src/frontends/clickhouse/query.rs
@@ -1,4 +1,4 @@
-//! Makes the core's request of a query, with its session and its order.
+//! Converts a query to a request of the core, with its session and ordering key.
 
 use super::codes::{BAD_ARGUMENTS, NOT_IMPLEMENTED, SESSION_NOT_FOUND};
 use super::response::StreamWriter;
@@ -8,21 +8,21 @@
 use crate::net::fnv1a_64;
 use driftfront_clickhouse::exception::Exception;
 use driftfront_clickhouse::request::Query;
-use driftfront_clickhouse::session::{Home, SessionError, SessionName, SessionQuery};
+use driftfront_clickhouse::session::{SessionAffinity, SessionError, SessionKey, SessionQuery};
 use driftfront_clickhouse::sql::KillQuery;
 use driftfront_core::{EngineId, Micros, ParsedRequest, StickySession};
 use driftfront_http::Request;
 use std::rc::Rc;
 
-const LOST_SESSION: &str =
+const SESSION_LOST: &str =
     "Session not found: the engine that holds it takes nothing more, and what was set or \
      created in the session is lost with it. Begin a new session and create that anew";
-const KILL_BY_ID_ALONE: &str =
+const KILL_BY_ID_ONLY: &str =
     "KILL QUERY is carried out by query_id alone here: WHERE query_id = '...', or \
      query_id IN ('...')";
 
 impl ClickHouse {
-    /// Accepts a query; an error is the whole response that says why not.
+    /// Accepts a query; the error is the complete response to a query that is rejected.
     pub(super) fn parse_query(
         &mut self,
         query: &Query,
@@ -44,7 +44,7 @@
             .map_err(|e| replies::exception(&e.into(), query.is_head))?;
         let ticket = self.next_number();
         let open = OpenQuery {
-            session: session.map(|s| s.name),
+            session: session.map(|s| s.key),
             reserved_bytes,
         };
         self.open.insert(ticket, open);
@@ -55,12 +55,12 @@
             is_body_streamed: request.has_more_body,
             statement: Rc::from(&*request.body),
             ticket,
-            ..engine_request(query, session.and_then(|s| s.home))
+            ..engine_request(query, session.and_then(|s| s.affinity))
         };
         Ok(FrontendAction::Accept(parsed, writer))
     }
 
-    /// Accepts a KILL QUERY, where its condition names queries by id.
+    /// Accepts a KILL QUERY whose condition names queries by id.
     fn parse_kill(
         &mut self,
         query: &Query,
@@ -69,13 +69,13 @@
         writer: Box<StreamWriter>,
     ) -> Result<FrontendAction, Vec<u8>> {
         let Some(ids) = kill.ids.clone() else {
-            let e = Exception::new(NOT_IMPLEMENTED, KILL_BY_ID_ALONE);
+            let e = Exception::new(NOT_IMPLEMENTED, KILL_BY_ID_ONLY);
             return Err(replies::exception(&e, query.is_head));
         };
         Ok(self.kill(query, ids, &kill.options, class, writer))
     }
 
-    /// The class that the client names, or the one of the statement's kind.
+    /// The class that the client names, or the default class of the statement.
     fn class(&self, query: &Query) -> Result<u16, Vec<u8>> {
         let statement = &query.statement;
         match &query.class {
@@ -83,28 +83,29 @@
                 let e = Exception::new(BAD_ARGUMENTS, &format!("There is no class {name}"));
                 replies::exception_with(404, &e, &[], query.is_head)
             }),
-            None if statement.is_idempotent => Ok(self.rules.read),
-            None if statement.is_insert && query.deduplication_token.is_some() => {
-                Ok(self.rules.deduplicated.unwrap_or(self.rules.write))
-            }
-            None => Ok(self.rules.write),
+            None if statement.is_idempotent => Ok(self.config.read_class),
+            None if statement.is_insert && query.deduplication_token.is_some() => Ok(self
+                .config
+                .deduplicated_class
+                .unwrap_or(self.config.write_class)),
+            None => Ok(self.config.write_class),
         }
     }
 
-    /// How long the client waits, with the time for a streamed body.
+    /// The client's timeout, including the time for a streamed body.
     fn time_budget(&self, query: &Query, class: u16, has_more_body: bool) -> Micros {
         let max = self.timeout(class);
         let budget = query
             .max_execution_time
             .map_or(max, |wanted| wanted.min(max));
         if has_more_body {
-            budget + self.rules.upload
+            budget + self.config.upload_timeout
         } else {
             budget
         }
     }
 
-    /// Begins a query of its session, if it has one.
+    /// Starts the query in its session, if it has one.
     fn begin_session(
         &mut self,
         now: Micros,
@@ -114,36 +115,37 @@
             return Ok(None);
         };
         let user = query.credentials.user.as_deref().unwrap_or_default();
-        let name = self.sessions.name(user, &session.id);
+        let key = self.sessions.key(user, &session.id);
         let session_query = SessionQuery {
-            session: name,
+            session: key,
             must_exist: session.must_exist,
             timeout: session.timeout,
             effect: query.statement.session_effect,
         };
-        let home = self.sessions.begin_query(now, &session_query)?;
-        Ok(Some(BegunSession { name, home }))
+        let affinity = self.sessions.begin_query(now, &session_query)?;
+        Ok(Some(BegunSession { key, affinity }))
     }
 }
 
-/// A session with a query in flight.
+/// A session in which a query was started.
 #[derive(Clone, Copy)]
 struct BegunSession {
-    name: SessionName,
-    /// Where it lives, if it does yet.
-    home: Option<Home<EngineId>>,
+    key: SessionKey,
+    /// The session's engine, if it is bound to one.
+    affinity: Option<SessionAffinity<EngineId>>,
 }
 
-/// The part of a core request that follows from the query and its session's home.
-fn engine_request(query: &Query, home: Option<Home<EngineId>>) -> ParsedRequest {
-    let sticky_session = home.map(|home| StickySession {
-        engine: home.engine,
-        is_exclusive: home.is_exclusive,
+/// The part of a core request that depends on the query and its session's affinity.
+fn engine_request(query: &Query, affinity: Option<SessionAffinity<EngineId>>) -> ParsedRequest {
+    let sticky_session = affinity.map(|affinity| StickySession {
+        engine: affinity.engine,
+        is_exclusive: affinity.is_exclusive,
     });
-    let is_exclusive = home.is_some_and(|home| home.is_exclusive);
+    let is_exclusive = affinity.is_some_and(|affinity| affinity.is_exclusive);
     let mut url_parameters = query.forwarded_params.clone();
     if is_exclusive {
-        // An engine that restarted unnoticed must say so, and not run this without what was set.
+        // An engine that restarted unnoticed has lost the session; it must report that instead of running the query without
+        // the session's state.
         url_parameters.push_str("&session_check=1");
     }
     ParsedRequest {
@@ -153,12 +155,12 @@
         parameters: engine_parameters(query, url_parameters),
         sticky_session,
         session_lost_error: is_exclusive
-            .then(|| Exception::new(SESSION_NOT_FOUND, LOST_SESSION).text.into()),
+            .then(|| Exception::new(SESSION_NOT_FOUND, SESSION_LOST).text.into()),
         ..ParsedRequest::default()
     }
 }
 
-/// The key of a query's order: the client's, or the table that is written, so that batches into one table stay in order.
+/// The ordering key: the client's, or the table that is written, so that batches into one table stay in order.
 fn ordering_key(query: &Query) -> Option<u64> {
     let key = query
         .ordering_key
@@ -167,7 +169,7 @@
     Some(fnv1a_64(key.as_bytes()))
 }
 
-/// What the backend is told beside the statement.
+/// Parameters for the backend, in addition to the statement.
 pub(super) fn engine_parameters(query: &Query, url_parameters: String) -> Rc<[(String, String)]> {
     let mut parameters = vec![
         (URL_PARAMETERS.to_string(), url_parameters),
--- a/crates/coordinator/src/frontends/platform/response.rs
+++ b/crates/coordinator/src/frontends/platform/response.rs
@@ -1,13 +1,13 @@
-//! Results and errors as JSON.
+//! Serialization of results and errors as JSON.
 
 use crate::frontends::{ConnectionAction, ResponseWriter};
 use driftfront_core::{Micros, ResponseChunk};
 use driftfront_http::response;
 
-/// Writes a result's rows as JSON. They go out only with the whole result, so nothing is written before its end.
+/// Serializes the rows of a result as JSON. Nothing is written before the result is complete.
 #[derive(Default)]
 pub(super) struct JsonWriter {
-    /// The rows so far, with their opening bracket.
+    /// The rows so far, including the opening bracket.
     body: Vec<u8>,
 }
 
@@ -50,8 +50,12 @@
 
     fn reject(&mut self, retry_after: Micros, _message: Option<&str>, out: &mut Vec<u8>) {
         let ms = retry_after.div_ceil(1000).to_string();
-        let advice = [("X-Come-Back-Ms", ms.as_str())];
-        let headers = if retry_after > 0 { &advice[..] } else { &[] };
+        let retry_headers = [("X-Come-Back-Ms", ms.as_str())];
+        let headers = if retry_after > 0 {
+            &retry_headers[..]
+        } else {
+            &[]
+        };
         out.extend(response(429, headers, br#"{"error":"Overloaded"}"#, false));
     }
 
@@ -65,7 +69,7 @@
     }
 }
 
-/// A response that says what is wrong with a request.
+/// The response to an invalid request.
 pub(super) fn json_error(status: u16, message: &str) -> Vec<u8> {
     let body = format!("{{\"error\":{}}}", json_string(message));
     response(status, &[], body.as_bytes(), false)
--- a/crates/coordinator/src/node/clients/closing.rs
+++ b/crates/coordinator/src/node/clients/closing.rs
@@ -71,7 +71,7 @@
         self.core.client_left(now, request);
         // Cancels reads on the engine, and attempts that wait there for a body that will not arrive.
         let is_idempotent = idempotency == Some(Idempotency::Idempotent);
-        if self.frontend.cancels_reads_of_gone_clients() && is_idempotent || is_uploading {
+        if self.frontend.cancels_reads_on_disconnect() && is_idempotent || is_uploading {
             self.core.release_attempt(now, request);
         }
     }
--- a/crates/coordinator/src/node/clients/connection.rs
+++ b/crates/coordinator/src/node/clients/connection.rs
@@ -149,7 +149,9 @@
 
     /// Whether a request is partly read and none is open.
     pub(super) fn has_partial_request(&self) -> bool {
-        self.is_ready_for_request() && !self.reader.is_body_open() && self.reader.is_mid_message()
+        self.is_ready_for_request()
+            && !self.reader.has_unread_body()
+            && self.reader.is_mid_message()
     }
 
     /// Its rank for eviction, the highest first; `None` if it must stay open.
@@ -172,9 +174,9 @@
         if self.is_writing() {
             return (idle > WRITE_STALL_TIMEOUT).then_some(Expired::Stalled);
         }
-        if self.reader.is_body_open() {
+        if self.reader.has_unread_body() {
             // The engine waits for the body only if nothing of it is buffered here.
-            let is_awaited = self.reader.held() == 0;
+            let is_awaited = self.reader.buffered_bytes() == 0;
             return (is_awaited && idle > UPLOAD_STALL_TIMEOUT).then_some(Expired::Stalled);
         }
         if self.open.is_some() || self.must_close {
--- a/crates/coordinator/src/node/clients/connection/output.rs
+++ b/crates/coordinator/src/node/clients/connection/output.rs
@@ -93,7 +93,7 @@
         self.open = None;
         self.is_responding = false;
         // The rest of an unfinished body could not be told from the next request.
-        self.must_close |= last.closes || !keeps_open || self.reader.is_body_open();
+        self.must_close |= last.closes || !keeps_open || self.reader.has_unread_body();
         if !keeps_open {
             // A truncated result must not look complete, so no further response may follow it.
             self.has_more = false;
--- a/crates/coordinator/tests/golden_backends.rs
+++ b/crates/coordinator/tests/golden_backends.rs
@@ -50,7 +50,7 @@
             EngineEvent::ProgressReported(key, report) => {
                 format!("{} note {}\n", key.request.0, format_progress(report))
             }
-            EngineEvent::Begun(key) => format!("{} begun\n", key.request.0),
+            EngineEvent::ResponseStarted(key) => format!("{} begun\n", key.request.0),
             EngineEvent::ResponseChunk(key, chunk) => format!(
                 "{} piece {:?} whole {} {}\n",
                 key.request.0,
@@ -272,7 +272,7 @@
     let tagged = "X-ClickHouse-Exception-Tag: 0a1b2c3d4e5f6789\r\n";
     let marker = format!(
         "1\n{}",
-        driftfront_clickhouse::exception::marker("0a1b2c3d4e5f6789", memory.trim_end())
+        driftfront_clickhouse::exception::tagged_exception("0a1b2c3d4e5f6789", memory.trim_end())
     );
     for (name, response) in [
         ("rows", http_response("200 OK", headers, "1,2\n")),
@@ -316,7 +316,7 @@
         session.start_attempt(&attempt, &mut Vec::new());
         let mut text = String::new();
         match session.decode(0, response.as_bytes(), &mut Vec::new(), &mut events) {
-            Ok(()) => session.decode_close(&mut events),
+            Ok(()) => session.handle_eof(&mut events),
             Err(e) => text = format!("connection ends: {e}\n"),
         }
         transcript.record(name, format_events(&events) + &text);
--- a/crates/coordinator/tests/golden_frontends.rs
+++ b/crates/coordinator/tests/golden_frontends.rs
@@ -1,7 +1,7 @@
 //! Golden tests of the responses to clients: the bytes that the frontends write, and those that the running coordinator
 //! sends.
 
-use driftfront::frontends::clickhouse::{ClassRules, ClickHouse};
+use driftfront::frontends::clickhouse::{ClickHouse, ClickHouseConfig};
 use driftfront::frontends::platform::Platform;
 use driftfront::frontends::{
     ConnectionAction, Frontend, FrontendAction, QueryClasses, ResponseWriter,
@@ -35,7 +35,7 @@
     let names: Vec<String> = vec!["lookup".into(), "member-load".into()];
     QueryClasses {
         names: names.into(),
-        patience: Rc::from([2_500_000, 25_000_000]),
+        default_timeouts: Rc::from([2_500_000, 25_000_000]),
     }
 }
 
@@ -78,8 +78,8 @@
             transcript.record(&format!("{name}: not ready"), not_ready);
         }
         FrontendAction::ReportCounters => transcript.record(&format!("{name}: counters"), ""),
-        FrontendAction::Withdraw { call, reply } => {
-            transcript.record(&format!("{name}: withdraw {call}"), reply)
+        FrontendAction::CancelRequest { request_id, reply } => {
+            transcript.record(&format!("{name}: withdraw {request_id}"), reply)
         }
         FrontendAction::Accept(request, writer) => {
             transcript.record(&format!("{name}: taken"), format_request(&request));
@@ -90,10 +90,10 @@
                 &format!("{name}: kill"),
                 format!(
                     "{:?} test {} told {}",
-                    kill.names, kill.is_test, kill.message
+                    kill.query_ids, kill.is_test, kill.message
                 ),
             );
-            transcript.record("answer where none runs", &kill.none_running);
+            transcript.record("answer where none runs", &kill.none_running_response);
             let request = (kill.request_for)(EngineId(3), "it's\\");
             transcript.record("to an engine", format_request(&request));
             return Some(kill.writer);
@@ -282,14 +282,14 @@
 }
 
 fn clickhouse() -> ClickHouse {
-    let rules = ClassRules {
-        read: 0,
-        write: 1,
-        deduplicated: Some(0),
-        upload: 60_000_000,
-        keep: 1 << 20,
+    let config = ClickHouseConfig {
+        read_class: 0,
+        write_class: 1,
+        deduplicated_class: Some(0),
+        upload_timeout: 60_000_000,
+        body_budget_bytes: 1 << 20,
     };
-    ClickHouse::new(classes(), rules, 7)
+    ClickHouse::new(classes(), config, 7)
 }
 
 #[test]
--- a/crates/coordinator/tests/operator_config.rs
+++ b/crates/coordinator/tests/operator_config.rs
@@ -20,11 +20,11 @@
         (minimal.discovery, minimal.known_updates.len()),
         (DiscoverySource::Fixed, 1)
     );
-    assert_eq!((minimal.clickhouse.read, minimal.clickhouse.write), (0, 2));
+    assert_eq!((minimal.clickhouse.read_class, minimal.clickhouse.write_class), (0, 2));
     let example = config(EXAMPLE);
     assert_eq!(example.listen, "127.0.0.1:8123".parse().unwrap());
     assert_eq!(
-        &*example.classes.patience,
+        &*example.classes.default_timeouts,
         [2_500_000, 15_000_000, 25_000_000]
     );
     let etcd = config("engines { etcd \"127.0.0.1:2379\" prefix=\"/x/\"; }");
--- a/crates/coordinator/tests/wires.rs
+++ b/crates/coordinator/tests/wires.rs
@@ -204,7 +204,7 @@
                         text = format!("{text}{text}{ignored} HIT fetches=1 0\r\n\r\n");
                     }
                     if model.contains_key(&id) {
-                        expected.push(EngineEvent::Begun(key(id)));
+                        expected.push(EngineEvent::ResponseStarted(key(id)));
                         model.insert(id, received + 1);
                     }
                     if received == 2 {
--- a/crates/mock-servers/src/engine/connection.rs
+++ b/crates/mock-servers/src/engine/connection.rs
@@ -58,7 +58,7 @@
         reader: RequestReader::with_limits(RequestLimits {
             max_head_bytes: MAX_HEAD_BYTES,
             max_body_bytes: FIRST_BODY_BYTES,
-            has_more_body: true,
+            streams_larger_bodies: true,
         }),
     };
     while let Ok(Some(request)) = connection.next_request() {
@@ -170,7 +170,7 @@
             ("X-ClickHouse-Exception-Code", code.as_str()),
         ];
         // The unread part of the body would be parsed as the next request.
-        let has_unread_body = self.reader.is_body_open();
+        let has_unread_body = self.reader.has_unread_body();
         let text = exception.text() + "\n";
         let after = self.respond(request, status, &headers, &text)?;
         if has_unread_body {
--- a/crates/mock-servers/src/engine/insert.rs
+++ b/crates/mock-servers/src/engine/insert.rs
@@ -105,13 +105,13 @@
     /// Reads more of the body. Returns `false` once it is complete.
     fn read_more_body(&mut self, body: &mut Vec<u8>) -> Result<bool, Exception> {
         let network_error = |message: &str| Exception::new(code::NETWORK_ERROR, message);
-        if !self.reader.is_body_open() {
+        if !self.reader.has_unread_body() {
             return Ok(false);
         }
         if !self.read().map_err(|e| network_error(&e.to_string()))? {
             return Err(network_error("The body breaks off"));
         }
-        let is_complete = self.reader.more_body(body);
+        let is_complete = self.reader.read_body(body);
         let is_complete = is_complete.map_err(|_| network_error("The body can't be read"))?;
         Ok(!is_complete)
     }
