--- a/crates/coordinator/tests/operator_config.rs
+++ b/crates/coordinator/tests/operator_config.rs
@@ -20,7 +20,13 @@
         (minimal.discovery, minimal.known_updates.len()),
         (DiscoverySource::Fixed, 1)
     );
-    assert_eq!((minimal.clickhouse.read_class, minimal.clickhouse.write_class), (0, 2));
+    assert_eq!(
+        (
+            minimal.clickhouse.read_class,
+            minimal.clickhouse.write_class
+        ),
+        (0, 2)
+    );
     let example = config(EXAMPLE);
     assert_eq!(example.listen, "127.0.0.1:8123".parse().unwrap());
     assert_eq!(
