--- a/crates/coordinator/tests/clickhouse.rs
+++ b/crates/coordinator/tests/clickhouse.rs
@@ -50,7 +50,7 @@
         .unwrap();
         assert_eq!(read_answer(&mut stream).text(), format!("{n}\n"));
     }
-    site.ledger.assert_rules(5);
+    site.request_log.assert_rules(5);
     assert_eq!(site.coordinator.counter("answers_served"), 5);
 }
 
@@ -83,7 +83,7 @@
         Some(516)
     );
     assert!(
-        site.ledger.of("SELECT 5").is_empty(),
+        site.request_log.of("SELECT 5").is_empty(),
         "what names two users is not passed on"
     );
 }
@@ -99,14 +99,14 @@
         "SELECT wide(20) FROM numbers(1000000) /* standin: silent_after=10485760 */",
     );
     assert!(answer.status == 200 && !answer.whole && answer.body.len() >= 10_485_760);
-    assert_eq!(site.ledger.of("silent_after").len(), 1);
+    assert_eq!(site.request_log.of("silent_after").len(), 1);
     assert_eq!(site.coordinator.counter("answers_broken"), 1);
     assert_eq!(
         site.coordinator
             .counter("attempts_ended{outcome=\"timed_out\"}"),
         0
     );
-    site.ledger.assert_rules(1);
+    site.request_log.assert_rules(1);
 }
 
 #[test]
@@ -114,11 +114,11 @@
     let site = Site::start(2);
     let query = "SELECT 'nothing at all' /* standin: silent first */";
     let mut stream = site.begin("/?query_id=lost&driftfront_class=report", query);
-    site.ledger.wait_for("nothing at all", 1);
-    let first = site.ledger.of("nothing at all")[0].engine.clone();
+    site.request_log.wait_for("nothing at all", 1);
+    let first = site.request_log.of("nothing at all")[0].engine.clone();
     site.engine(&first).mute(true);
     assert_eq!(read_answer(&mut stream).text(), "nothing at all\n");
-    let runs = site.ledger.of("nothing at all");
+    let runs = site.request_log.of("nothing at all");
     assert!(runs.len() == 2 && runs[1].engine != first);
     // The first may still hold its id: the further attempt runs under another.
     assert_eq!(
@@ -130,9 +130,9 @@
             .counter("attempts_ended{outcome=\"timed_out\"}"),
         0
     );
-    site.ledger
+    site.request_log
         .wait_until("the end of both", |e| e.iter().all(|e| e.over.is_some()));
-    site.ledger.assert_rules(1);
+    site.request_log.assert_rules(1);
 }
 
 #[test]
@@ -163,8 +163,8 @@
     // It may have run, so it must not be called harmless to repeat.
     assert_eq!((load.status, code(&load)), (500, Some(210)));
     assert!(load.header("X-Come-Back-Ms").is_none());
-    assert_eq!(site.ledger.of("INSERT").len(), 1);
-    site.ledger.assert_rules(2);
+    assert_eq!(site.request_log.of("INSERT").len(), 1);
+    site.request_log.assert_rules(2);
 }
 
 /// Ways to take a result: parameters, headers, and how to read what comes.
@@ -238,7 +238,7 @@
                 Some(241),
                 "{way}"
             );
-            assert_eq!(site.ledger.of(&load).len(), 1, "{way}");
+            assert_eq!(site.request_log.of(&load).len(), 1, "{way}");
             // Once rows are out the result breaks where its client sees it.
             let long = format!(
                 "SELECT wide(40), number, {n} FROM numbers(100000) /* standin: late=241 */"
@@ -248,9 +248,9 @@
                 broken.status == 200 && !broken.whole && !broken.body.is_empty(),
                 "{way}"
             );
-            assert_eq!(site.ledger.of(&long).len(), 1, "{way}");
+            assert_eq!(site.request_log.of(&long).len(), 1, "{way}");
         }
-        site.ledger.assert_rules(15);
+        site.request_log.assert_rules(15);
     }
 }
 
@@ -284,8 +284,8 @@
         "SELECT wide(40), number FROM numbers(100000) /* standin: bad_block_after=1000000 */";
     let late = site.ask(target, long);
     assert!(late.status == 200 && !late.whole);
-    assert_eq!(site.ledger.of("bad_block_after").len(), 1);
-    site.ledger.assert_rules(3);
+    assert_eq!(site.request_log.of("bad_block_after").len(), 1);
+    site.request_log.assert_rules(3);
 }
 
 #[test]
@@ -302,7 +302,7 @@
             format!("{n}\n")
         );
     }
-    site.ledger.assert_rules(6);
+    site.request_log.assert_rules(6);
 }
 
 #[test]
@@ -319,8 +319,8 @@
     );
     // Turned away unseen: a load too may go elsewhere.
     let full = site.query("INSERT INTO o.u VALUES (1) /* standin: full first */");
-    assert_eq!((full.status, site.ledger.of("full").len()), (200, 2));
-    site.ledger.assert_rules(3);
+    assert_eq!((full.status, site.request_log.of("full").len()), (200, 2));
+    site.request_log.assert_rules(3);
 }
 
 #[test]
@@ -334,8 +334,8 @@
             .contains(&format!("Missing columns: 'nowhere{n}'")));
     }
     assert_eq!(site.query("SELECT 1").status, 200);
-    assert_eq!(site.ledger.of("nowhere").len(), 4);
-    site.ledger.assert_rules(5);
+    assert_eq!(site.request_log.of("nowhere").len(), 4);
+    site.request_log.assert_rules(5);
 }
 
 #[test]
@@ -350,7 +350,7 @@
         .iter_mut()
         .all(|stream| read_answer(stream).status == 200));
     let sent: Vec<String> = site
-        .ledger
+        .request_log
         .of("o.keyed")
         .into_iter()
         .map(|e| e.statement)
@@ -359,7 +359,7 @@
         .map(|n| format!("INSERT INTO o.keyed VALUES ({n})"))
         .collect();
     assert_eq!(sent, order);
-    site.ledger.assert_rules(6);
+    site.request_log.assert_rules(6);
 }
 
 #[test]
@@ -369,14 +369,18 @@
     for n in 0..20 {
         assert_eq!(site.query(&format!("SELECT 'drained', {n}")).status, 200);
     }
-    assert!(site.ledger.of("drained").iter().all(|e| e.engine == "e1"));
+    assert!(site
+        .request_log
+        .of("drained")
+        .iter()
+        .all(|e| e.engine == "e1"));
     site.list(&["gone", "draining"]);
     let refused = site.ask("/?max_execution_time=1", "SELECT 'nowhere'");
     assert_eq!((refused.status, code(&refused)), (429, Some(202)));
     assert!(refused
         .header("X-Come-Back-Ms")
         .is_some_and(|ms| ms.parse::<u64>().is_ok_and(|ms| ms > 0)));
-    assert!(site.ledger.of("nowhere").is_empty());
+    assert!(site.request_log.of("nowhere").is_empty());
 }
 
 #[test]
@@ -402,8 +406,8 @@
         assert_eq!(seen.text(), format!("3\tuni_4\t{n}\n"));
         assert_eq!(site.ask(target, "SELECT count() FROM t").text(), "2\n");
     }
-    let home = &site.ledger.of("SET max_threads")[0].engine;
-    assert!(site.ledger.of("").iter().all(|e| e.engine == *home));
+    let home = &site.request_log.of("SET max_threads")[0].engine;
+    assert!(site.request_log.of("").iter().all(|e| e.engine == *home));
     // Another user's session of the same id is another session.
     let other = site.ask(
         "/?session_id=s1&user=eva",
@@ -420,7 +424,7 @@
         "/?session_id=s1&driftfront_class=report",
         "SELECT sleep(1), 'slow'",
     );
-    site.ledger.wait_for("slow", 1);
+    site.request_log.wait_for("slow", 1);
     let second = site.ask("/?session_id=s1", "SELECT 2");
     assert_eq!((second.status, code(&second)), (500, Some(373)));
     assert_eq!(read_answer(&mut first).status, 200);
@@ -438,11 +442,11 @@
         Some(36)
     );
     assert_eq!(
-        site.ledger.of("SELECT 4").len() + site.ledger.of("SELECT 5").len(),
+        site.request_log.of("SELECT 4").len() + site.request_log.of("SELECT 5").len(),
         0
     );
     assert_eq!(
-        site.ledger.of("SELECT 2").len(),
+        site.request_log.of("SELECT 2").len(),
         0,
         "what is locked is not passed on"
     );
@@ -471,7 +475,7 @@
         );
     }
     let tied_to = |e: &str| {
-        site.ledger
+        site.request_log
             .of("SET max_threads")
             .iter()
             .filter(|x| x.engine == e)
@@ -480,15 +484,21 @@
     let on_first = tied_to("e0");
     assert!(on_first > 0 && on_first < 200, "both engines hold some");
     let busy = "SELECT sleep(1), 'runs on'";
-    let busy_on = |n: usize| site.ledger.of("SET max_threads")[n].engine == "e0";
+    let busy_on = |n: usize| site.request_log.of("SET max_threads")[n].engine == "e0";
     let n = (0..200).find(|&n| busy_on(n)).unwrap();
     let mut runs = site.begin(
         &format!("/?session_id=tied{n}&driftfront_class=report"),
         busy,
     );
-    site.ledger.wait_for("runs on", 1);
+    site.request_log.wait_for("runs on", 1);
     site.list(&["draining", "ready"]);
-    let last = site.ledger.of("").iter().map(|e| e.begun).max().unwrap();
+    let last = site
+        .request_log
+        .of("")
+        .iter()
+        .map(|e| e.begun)
+        .max()
+        .unwrap();
     let mut lost = 0;
     for n in 0..200 {
         let tied = site.ask(
@@ -518,7 +528,11 @@
     assert_eq!(lost, on_first);
     // What ran there when the drain was told may end well.
     assert_eq!(read_answer(&mut runs).status, 200);
-    let later = site.ledger.of("").into_iter().filter(|e| e.begun > last);
+    let later = site
+        .request_log
+        .of("")
+        .into_iter()
+        .filter(|e| e.begun > last);
     assert!(
         later.into_iter().all(|e| e.engine == "e1"),
         "something new went to the engine that drains"
@@ -548,25 +562,32 @@
         "/?query_id=v1&driftfront_class=report",
         "SELECT sleep(14), 'victim'",
     );
-    site.ledger.wait_for("victim", 1);
-    let on = site.ledger.of("victim")[0].engine.clone();
+    site.request_log.wait_for("victim", 1);
+    let on = site.request_log.of("victim")[0].engine.clone();
     // Its id is taken meanwhile.
     let twin = site.ask("/?query_id=v1", "SELECT 'twin'");
-    assert_eq!((code(&twin), site.ledger.of("twin").len()), (Some(216), 0));
+    assert_eq!(
+        (code(&twin), site.request_log.of("twin").len()),
+        (Some(216), 0)
+    );
     let killed = site.query("KILL QUERY WHERE query_id = 'v1' SYNC");
     assert_eq!(killed.text(), "waiting\tv1\tdefault\t\n");
     let end = read_answer(&mut victim);
     assert_eq!((end.status, code(&end)), (500, Some(394)));
-    let kills = site.ledger.of("KILL");
+    let kills = site.request_log.of("KILL");
     assert!(kills.len() == 1 && kills[0].engine == on);
-    assert_eq!(site.ledger.of("victim").len(), 1, "it is not run again");
+    assert_eq!(
+        site.request_log.of("victim").len(),
+        1,
+        "it is not run again"
+    );
     // Nobody runs it now: nobody is asked.
     let none = site.query("KILL QUERY WHERE query_id = 'v1'");
     assert_eq!(
         (
             none.status,
             none.text().as_str(),
-            site.ledger.of("KILL").len()
+            site.request_log.of("KILL").len()
         ),
         (200, "", 1)
     );
@@ -578,7 +599,7 @@
     let site = Site::start(1);
     let query = "SELECT 'between' /* standin: cut sleep_ms=1500 first */";
     let mut victim = site.begin("/?query_id=b1&driftfront_class=report", query);
-    site.ledger.wait_for("between", 1);
+    site.request_log.wait_for("between", 1);
     site.list(&["draining"]);
     // Its only attempt dies, and no engine takes another.
     site.coordinator
@@ -589,7 +610,7 @@
     assert_eq!(code(&end), Some(394), "{end:?}");
     site.list(&["ready"]);
     assert_eq!(site.query("SELECT 'behind'").status, 200);
-    assert_eq!(site.ledger.of("between").len(), 1);
+    assert_eq!(site.request_log.of("between").len(), 1);
 }
 
 #[test]
@@ -598,7 +619,7 @@
     // The engine's own limit is longer than the client's patience, so it may still run.
     let query = "INSERT INTO o.t SELECT sleep(14), 'forgotten' /* standin: sleep_ms=14000 */";
     let mut stream = site.begin("/?query_id=f1", query);
-    site.ledger.wait_for("forgotten", 1);
+    site.request_log.wait_for("forgotten", 1);
     let _ = stream.shutdown(std::net::Shutdown::Both);
     site.coordinator.wait_for("clients_left", 1);
     // A load runs on when its client leaves: the kill finds it there.
@@ -607,7 +628,7 @@
         || "the load never ran on".into(),
     );
     site.query("KILL QUERY WHERE query_id = 'f1'");
-    site.ledger.wait_until("the killed load's end", |e| {
+    site.request_log.wait_until("the killed load's end", |e| {
         e.iter()
             .any(|e| e.statement.contains("forgotten") && e.over.is_some())
     });
@@ -618,11 +639,12 @@
 fn client_disconnect_releases_its_read_on_the_engine() {
     let site = Site::start(1);
     let stream = site.begin("/?driftfront_class=report", "SELECT sleep(14), 'left'");
-    site.ledger.wait_for("left", 1);
+    site.request_log.wait_for("left", 1);
     drop(stream);
-    site.ledger.wait_until("the end of what nobody wants", |e| {
-        e.iter().any(|e| e.left && e.over.is_some())
-    });
+    site.request_log
+        .wait_until("the end of what nobody wants", |e| {
+            e.iter().any(|e| e.left && e.over.is_some())
+        });
     assert_eq!(site.coordinator.counter("attempts_released"), 1);
     // The engine did nothing wrong: it serves the next at once.
     assert_eq!(site.query("SELECT 2").text(), "2\n");
@@ -633,11 +655,12 @@
     );
     assert!(read_some(&mut stream, 100_000) >= 100_000);
     drop(stream);
-    site.ledger.wait_until("the end of half a result", |e| {
-        e.iter()
-            .any(|e| e.statement.contains("half") && e.over.is_some())
-    });
-    site.ledger.assert_rules(3);
+    site.request_log
+        .wait_until("the end of half a result", |e| {
+            e.iter()
+                .any(|e| e.statement.contains("half") && e.over.is_some())
+        });
+    site.request_log.assert_rules(3);
 }
 
 /// Rows of `bytes` in all, and their hash as the stand-in reckons it.
@@ -686,7 +709,7 @@
         assert_eq!(read_answer(&mut stream).text(), "7\n");
     }
     assert!(site.memory_mb() < 48, "{} MB", site.memory_mb());
-    site.ledger.assert_rules(4);
+    site.request_log.assert_rules(4);
 }
 
 /// Sends the beginning of an insert that goes on.
@@ -716,10 +739,10 @@
     let mut dies = half_an_insert(&site, "dies", "cut");
     assert_eq!(code(&read_answer(&mut dies)), Some(210));
     let leaves = half_an_insert(&site, "leaves", "none");
-    site.ledger.wait_for("o.leaves", 1);
+    site.request_log.wait_for("o.leaves", 1);
     drop(leaves);
     let mut nonsense = half_an_insert(&site, "nonsense", "none");
-    site.ledger.wait_for("o.nonsense", 1);
+    site.request_log.wait_for("o.nonsense", 1);
     nonsense.write_all(b"zz\r\n").unwrap();
     assert_eq!(read_answer(&mut nonsense).status, 400);
     for table in ["errs", "dies", "leaves", "nonsense"] {
@@ -728,12 +751,12 @@
                 .filter(|e| e.statement.contains(&format!("o.{table}")))
                 .count()
         };
-        site.ledger.wait_until(table, |e| runs(e) == 1);
+        site.request_log.wait_until(table, |e| runs(e) == 1);
     }
-    site.ledger
+    site.request_log
         .wait_until("the end of all", |e| e.iter().all(|e| e.over.is_some()));
     assert_eq!(site.query("SELECT 1").status, 200);
-    site.ledger.assert_rules(5);
+    site.request_log.assert_rules(5);
 }
 
 #[test]
@@ -743,7 +766,10 @@
     let answer = site.query(&format!(
         "INSERT INTO o.kept /* standin: full first */ FORMAT CSV\n{rows}"
     ));
-    assert_eq!((answer.status, site.ledger.of("o.kept").len()), (200, 2));
+    assert_eq!(
+        (answer.status, site.request_log.of("o.kept").len()),
+        (200, 2)
+    );
     let rows: u64 = site.engines.iter().map(|e| e.table("o.kept").rows).sum();
     assert_eq!(rows, 100_000);
     assert!(site.coordinator.counter("bodies_held_bytes_most") > 300_000);
@@ -782,7 +808,7 @@
     assert_eq!(
         (
             honoured.ask(target, insert).status,
-            honoured.ledger.of("INSERT").len()
+            honoured.request_log.of("INSERT").len()
         ),
         (200, 2)
     );
@@ -790,7 +816,7 @@
     assert_eq!(
         (
             plain.ask(target, insert).status,
-            plain.ledger.of("INSERT").len()
+            plain.request_log.of("INSERT").len()
         ),
         (500, 1)
     );
@@ -854,7 +880,7 @@
     }
     assert!(site.memory_mb() < 48, "{} MB", site.memory_mb());
     drop(slow);
-    site.ledger
+    site.request_log
         .wait_until("the end of all", |e| e.iter().all(|e| e.over.is_some()));
 }
 
@@ -896,7 +922,7 @@
     assert_eq!((odd.status, code(&odd)), (400, Some(36)));
     let long = format!("GET / HTTP/1.1\r\nX: {}\r\n\r\n", "x".repeat(300_000));
     assert_eq!(call(addr, long.as_bytes()).status, 431);
-    assert_eq!(site.ledger.of("").len(), 0);
+    assert_eq!(site.request_log.of("").len(), 0);
     assert_eq!(site.coordinator.counter("requests_taken"), 0);
     // A URL far over the usual bound is taken.
     let url = format!("/?query=SELECT+'{}'", "x".repeat(100_000));
@@ -918,7 +944,7 @@
         "SELECT wide(20), 1 FROM numbers(400000)",
     );
     site.coordinator.wait_for("results_paused", 1);
-    site.ledger.wait_for("o.half", 1);
+    site.request_log.wait_for("o.half", 1);
     assert!(site.coordinator.manage("SUSPEND e0\n").starts_with("OK"));
     assert!(site.coordinator.manage("PAUSE\n").starts_with("OK"));
     let refused = site.query("SELECT 1");
@@ -945,7 +971,7 @@
     assert!(site.coordinator.manage("RESTORE e0\n").starts_with("OK"));
     assert_eq!(site.coordinator.manage("RESUME\n"), "OK ready\n");
     assert_eq!(site.query("SELECT 3").status, 200);
-    site.ledger.assert_rules(6);
+    site.request_log.assert_rules(6);
 }
 
 #[test]
@@ -974,7 +1000,7 @@
         assert_eq!(site.query(&format!("SELECT {n}")).status, 200);
     }
     drop(idle);
-    site.ledger.assert_rules(5);
+    site.request_log.assert_rules(5);
 }
 
 #[test]
@@ -982,9 +1008,9 @@
 fn engines_are_added_and_removed_by_etcd() {
     use base64::engine::general_purpose::STANDARD;
     use base64::Engine as _;
-    let ledger = Arc::new(RequestLog::default());
+    let request_log = Arc::new(RequestLog::default());
     let running =
-        driftfront_mock_servers::engine::Engine::start(Options::default(), ledger.clone());
+        driftfront_mock_servers::engine::Engine::start(Options::default(), request_log.clone());
     let engine = running.addr();
     let (told, tell) = std::sync::mpsc::channel::<()>();
     let tell = std::sync::Mutex::new(tell);
@@ -1047,7 +1073,10 @@
         429
     );
     assert_eq!(
-        (ledger.of("SELECT 1").len(), ledger.of("gone").len()),
+        (
+            request_log.of("SELECT 1").len(),
+            request_log.of("gone").len()
+        ),
         (1, 0)
     );
 }
--- a/crates/coordinator/tests/clocks/budget.rs
+++ b/crates/coordinator/tests/clocks/budget.rs
@@ -14,7 +14,7 @@
     for n in 0..10 {
         taken.push(ask(&site, &format!("SELECT fault behind {n}")));
     }
-    let breaches = site.ledger.budget_breaches(&budget, &taken);
+    let breaches = site.request_log.budget_breaches(&budget, &taken);
     assert!(breaches.is_empty(), "{breaches:#?}");
 }
 
@@ -38,6 +38,6 @@
     for n in 0..most {
         taken.push(ask(&site, &format!("SELECT fault {n}")));
     }
-    let breaches = site.ledger.budget_breaches(&budget, &taken);
+    let breaches = site.request_log.budget_breaches(&budget, &taken);
     assert!(breaches.is_empty(), "{breaches:#?}");
 }
--- a/crates/coordinator/tests/clocks/spans.rs
+++ b/crates/coordinator/tests/clocks/spans.rs
@@ -31,7 +31,7 @@
 fn deadline_holds_when_the_wall_clock_is_set_back() {
     let (site, clock, _) = site(1, 5.0, WINDOW);
     let mut hangs = send(&site, "lookup", 1500, "SELECT silent");
-    site.ledger.wait_for("SELECT silent", 1);
+    site.request_log.wait_for("SELECT silent", 1);
     clock.set(-HOUR);
     // Its time, the slack of the rules, and what a busy machine takes.
     assert!(
@@ -46,7 +46,7 @@
     for step in [3 * SECOND, 20 * SECOND, HOUR] {
         let (site, clock, _) = site(1, 5.0, WINDOW);
         let mut runs = send(&site, "report", 14_000, "SELECT silent");
-        site.ledger.wait_for("SELECT silent", 1);
+        site.request_log.wait_for("SELECT silent", 1);
         clock.set(step);
         site.coordinator.wait_for("wall_clock_steps", 1);
         // Far longer than the sweep that would end it, far shorter than any time-out that is due.
@@ -54,7 +54,7 @@
             !answers_within(&mut runs, Duration::from_millis(400)),
             "step {step}"
         );
-        assert_eq!(site.ledger.of("SELECT silent").len(), 1, "step {step}");
+        assert_eq!(site.request_log.of("SELECT silent").len(), 1, "step {step}");
         assert_eq!(site.list.last_event_ids().len(), 1, "step {step}");
     }
 }
@@ -64,7 +64,7 @@
     for step in [-HOUR, HOUR] {
         let (mut site, clock, _) = site(1, 5.0, WINDOW);
         let mut hangs = send(&site, "report", 14_000, "SELECT silent");
-        site.ledger.wait_for("SELECT silent", 1);
+        site.request_log.wait_for("SELECT silent", 1);
         let begin = Instant::now();
         site.coordinator.terminate();
         clock.set(step);
--- a/crates/coordinator/tests/daily.rs
+++ b/crates/coordinator/tests/daily.rs
@@ -96,7 +96,7 @@
         }
         (from..from + n)
             .filter(|n| {
-                site.ledger
+                site.request_log
                     .of(&format!("SELECT {n}"))
                     .iter()
                     .any(|e| e.engine == "0")
@@ -130,7 +130,7 @@
     assert!(manage("RESTORE e0\n").starts_with("OK") && manage("RESTORE e0\n").starts_with("OK"));
     assert_eq!(asked(4000, 10), 10);
     assert!(manage("RESTORE e1\n").starts_with("OK"));
-    site.ledger.assert_rules(1000);
+    site.request_log.assert_rules(1000);
 }
 
 #[test]
@@ -245,7 +245,7 @@
     let coordinator = Coordinator::start(&managed(patient));
     let mut site = Site {
         coordinator,
-        ledger: Arc::default(),
+        request_log: Arc::default(),
         engines: vec![engine],
         list,
     };
--- a/crates/coordinator/tests/endings/clients.rs
+++ b/crates/coordinator/tests/endings/clients.rs
@@ -98,7 +98,7 @@
     let ask = |id| report(id, &format!("SELECT held {id}"));
     let waiting: Vec<TcpStream> = (1..=all).map(|id| open(&site, &ask(id))).collect();
     site.coordinator.wait_for("requests_taken", all);
-    site.ledger
+    site.request_log
         .wait_until("some are out", |all| !all.is_empty());
     // Found at one moment: else each that leaves makes room for one that has not left yet.
     site.coordinator.freeze();
@@ -107,14 +107,14 @@
     site.coordinator.wait_for("clients_left", all);
     let_pass(TERM);
     // The engine had as much as it may; the others waited for one of these to end.
-    let sent = site.ledger.of("held").len() as u64;
+    let sent = site.request_log.of("held").len() as u64;
     assert!(sent > 0 && sent < all, "{sent}");
     gate.open();
     until("it serves as before", || {
         site.ask("lookup", 2400, "SELECT behind").status == 200
     });
     let_pass(TERM);
-    assert_eq!(site.ledger.of("held").len() as u64, sent);
+    assert_eq!(site.request_log.of("held").len() as u64, sent);
 }
 
 #[test]
@@ -126,18 +126,18 @@
         .collect();
     site.coordinator.wait_for("connections_engines", 2);
     let leaves = open(&site, &report(1, "SELECT held, then full"));
-    site.ledger.wait_for("SELECT held, then full", 1);
+    site.request_log.wait_for("SELECT held, then full", 1);
     // The engine's no and the client's end are found at one moment.
     site.coordinator.freeze();
     gate.open();
-    site.ledger.wait_until("the engine's no", |all| {
+    site.request_log.wait_until("the engine's no", |all| {
         all.iter().all(|e| e.over.is_some())
     });
     leave(leaves);
     site.coordinator.wake();
     site.coordinator.wait_for("clients_left", 1);
     let_pass(TERM);
-    assert_eq!(site.ledger.of("SELECT held, then full").len(), 1);
+    assert_eq!(site.request_log.of("SELECT held, then full").len(), 1);
     others
         .into_iter()
         .for_each(|mut other| assert_eq!(read_answer(&mut other).status, 200));
@@ -167,7 +167,7 @@
         );
         let coordinator = Coordinator::start(&config);
         let site = Site {
-            ledger: Arc::default(),
+            request_log: Arc::default(),
             coordinator,
             list,
             engines: vec![addr],
@@ -183,11 +183,11 @@
 
     /// There is room now, and what has waited comes up.
     fn make_room(self) -> Site {
-        let (ledger, listener) = (self.site.ledger.clone(), self.listener);
+        let (request_log, listener) = (self.site.request_log.clone(), self.listener);
         std::thread::spawn(move || {
             while let Ok((socket, _)) = listener.accept() {
-                let ledger = ledger.clone();
-                std::thread::spawn(move || serve(socket.into(), 0, &ledger));
+                let request_log = request_log.clone();
+                std::thread::spawn(move || serve(socket.into(), 0, &request_log));
             }
         });
         drop(self.filler);
--- a/crates/coordinator/tests/endings/engines.rs
+++ b/crates/coordinator/tests/endings/engines.rs
@@ -19,7 +19,7 @@
             200
         );
         assert_eq!(
-            site.ledger.of(&format!("SELECT {words}")).len(),
+            site.request_log.of(&format!("SELECT {words}")).len(),
             2,
             "{words}"
         );
@@ -30,7 +30,7 @@
             500
         );
         assert_eq!(
-            site.ledger.of(&format!("INSERT {words}")).len(),
+            site.request_log.of(&format!("INSERT {words}")).len(),
             1,
             "{words}"
         );
--- a/crates/coordinator/tests/endings/lists.rs
+++ b/crates/coordinator/tests/endings/lists.rs
@@ -36,12 +36,12 @@
     });
     let list = EngineList::at(addr);
     let coordinator = Coordinator::start(&config(addr));
-    let ledger = Arc::default();
+    let request_log = Arc::default();
     let site = Site {
         coordinator,
         list,
-        engines: engines(2, &ledger),
-        ledger,
+        engines: engines(2, &request_log),
+        request_log,
     };
     let news = |index, phase| event(index, &instances(&site.engines, &[phase, "ready"]), "");
     tells
@@ -52,7 +52,7 @@
     for n in 0..5 {
         assert_eq!(site.ask("lookup", 2500, &format!("SELECT {n}")).status, 200);
     }
-    assert!(site.ledger.of("").iter().all(|e| e.engine == "1"));
+    assert!(site.request_log.of("").iter().all(|e| e.engine == "1"));
     // Behind the last event each time; the first call may have been given up before its event came.
     let asked = asked.lock().unwrap();
     assert!(asked.is_sorted() && asked.contains(&1), "{asked:?}");
@@ -66,8 +66,8 @@
         .bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into())
         .unwrap();
     let addr = socket.local_addr().unwrap().as_socket().unwrap();
-    let ledger = Arc::new(RequestLog::default());
-    let engines = engines(2, &ledger);
+    let request_log = Arc::new(RequestLog::default());
+    let engines = engines(2, &request_log);
     let news = |index, phase| event(index, &instances(&engines, &[phase, "ready"]), "");
     let known = format!(
         "\"known\": {{\"index\": 3, \"updates\": [{}]}}, \"limits\"",
@@ -82,7 +82,7 @@
             post(coordinator.addr, "/ops/lookup", &headers, &statement).status,
             200
         );
-        ledger.of(&statement)[0].engine.clone()
+        request_log.of(&statement)[0].engine.clone()
     };
     assert!((1..=8).map(ask).any(|engine| engine == "0"));
     // It is back, with news from behind what was known.
--- a/crates/coordinator/tests/endings/main.rs
+++ b/crates/coordinator/tests/endings/main.rs
@@ -54,7 +54,7 @@
 }
 
 fn ran(site: &Site) -> Vec<String> {
-    site.ledger
+    site.request_log
         .of("")
         .into_iter()
         .map(|e| e.statement)
@@ -89,14 +89,14 @@
 
 /// A site whose engines answer what says "held" behind the returned gate, "full" by a SHED, and all else at once.
 fn held(engines: usize) -> (Site, Arc<Gate>) {
-    let (ledger, gate) = (Arc::new(RequestLog::default()), Arc::new(Gate::default()));
+    let (request_log, gate) = (Arc::new(RequestLog::default()), Arc::new(Gate::default()));
     let engine = |n: usize| {
-        let (runs, gate) = (ledger.clone(), gate.clone());
+        let (runs, gate) = (request_log.clone(), gate.clone());
         stand_in(move |stream| hold(stream, &n.to_string(), &runs, &gate))
     };
     let engines = (0..engines).map(engine).collect();
     (
-        Site::with_engines(ledger, engines, |config| Coordinator::start(&config)),
+        Site::with_engines(request_log, engines, |config| Coordinator::start(&config)),
         gate,
     )
 }
@@ -105,11 +105,11 @@
 fn with_key_taken() -> (Site, TcpStream, Arc<Gate>) {
     let (site, gate) = held(1);
     let first = open(&site, &load(1, "INSERT held"));
-    site.ledger.wait_for("INSERT held", 1);
+    site.request_log.wait_for("INSERT held", 1);
     (site, first, gate)
 }
 
-fn hold(stream: TcpStream, engine: &str, ledger: &Arc<RequestLog>, gate: &Arc<Gate>) {
+fn hold(stream: TcpStream, engine: &str, request_log: &Arc<RequestLog>, gate: &Arc<Gate>) {
     let mut input = BufReader::new(stream.try_clone().unwrap());
     let out = stream;
     loop {
@@ -126,8 +126,8 @@
             ),
             ["REQ", id, _, length] => {
                 let statement = read_statement(&mut input, length);
-                let number = ledger.of("").len().to_string();
-                let entry = ledger.begin(engine, &number, &statement, None);
+                let number = request_log.of("").len().to_string();
+                let entry = request_log.begin(engine, &number, &statement, None);
                 let answer = match statement.contains("full") {
                     true => format!("{id} SHED - 0\r\n\r\n"),
                     false => format!("{id} HIT fetches=1 6\r\n1\ta\tb\n\r\n"),
@@ -137,13 +137,16 @@
             _ => continue,
         };
         // On a thread of its own: what is held must not hold up what else comes here.
-        let (mut out, ledger, gate) = (out.try_clone().unwrap(), ledger.clone(), gate.clone());
+        let (mut out, request_log, gate) =
+            (out.try_clone().unwrap(), request_log.clone(), gate.clone());
         let mut answer = move || {
             if waits {
                 gate.pass();
             }
             let _ = out.write_all(answer.as_bytes());
-            entry.into_iter().for_each(|entry| ledger.end(entry, true));
+            entry
+                .into_iter()
+                .for_each(|entry| request_log.end(entry, true));
         };
         match waits {
             true => drop(std::thread::spawn(answer)),
--- a/crates/coordinator/tests/endings/shutdown.rs
+++ b/crates/coordinator/tests/endings/shutdown.rs
@@ -17,7 +17,7 @@
 fn request_after_the_shutdown_grace_is_rejected() {
     let mut site = Site::start(1);
     let mut out = open(&site, &request("report", 1, "", "SELECT silent"));
-    site.ledger.wait_for("SELECT silent", 1);
+    site.request_log.wait_for("SELECT silent", 1);
     let mut resting = open(&site, &request("lookup", 2, "", "SELECT 2"));
     assert_eq!(read_answer(&mut resting).status, 200);
     let late = request("lookup", 3, "", "SELECT late");
@@ -32,7 +32,7 @@
         (answer.status, answer.header("Connection")),
         (429, Some("close"))
     );
-    assert_eq!(site.ledger.of("SELECT late").len(), 0);
+    assert_eq!(site.request_log.of("SELECT late").len(), 0);
     // Nobody listens any more, while what was taken before is answered all the same.
     until_nobody_listens(&site);
     assert_eq!(read_answer(&mut out).status, 429);
@@ -54,7 +54,7 @@
     assert!(site.coordinator.wait().success());
     // Both have 25 s.
     assert!(begin.elapsed() < Duration::from_secs(10));
-    assert_eq!(site.ledger.of("INSERT").len(), 1);
+    assert_eq!(site.request_log.of("INSERT").len(), 1);
 }
 
 #[test]
@@ -66,7 +66,7 @@
     // The answer, and a request that nobody will take, come to the program at one moment.
     site.coordinator.freeze();
     gate.open();
-    site.ledger
+    site.request_log
         .wait_until("the load's end", |all| all.iter().any(|e| e.over.is_some()));
     first
         .write_all(request("lookup", 9, "", "SELECT never").as_bytes())
@@ -78,14 +78,14 @@
     assert!(rest(&mut first).is_ok());
     drop(first);
     assert!(site.coordinator.wait().success());
-    assert_eq!(site.ledger.of("SELECT never").len(), 0);
+    assert_eq!(site.request_log.of("SELECT never").len(), 0);
 }
 
 #[test]
 fn requests_during_a_freeze_past_the_grace_are_answered() {
     let (mut site, gate) = held(1);
     let mut out = open(&site, &request("lookup", 1, "", "SELECT held"));
-    site.ledger.wait_for("SELECT held", 1);
+    site.request_log.wait_for("SELECT held", 1);
     let mut resting = open(&site, &request("lookup", 2, "", "SELECT 2"));
     assert_eq!(read_answer(&mut resting).status, 200);
     site.coordinator.terminate();
@@ -111,7 +111,7 @@
     gate.open();
     assert_eq!(read_answer(&mut out).status, 200);
     assert!(site.coordinator.wait().success());
-    assert_eq!(site.ledger.of("SELECT late").len(), 0);
+    assert_eq!(site.request_log.of("SELECT late").len(), 0);
 }
 
 #[test]
@@ -122,8 +122,8 @@
         &request("report", 1, "", "SELECT held").replace("2400", "15000"),
     );
     let mut load = open(&site, &load(2, "INSERT held"));
-    site.ledger.wait_for("SELECT held", 1);
-    site.ledger.wait_for("INSERT held", 1);
+    site.request_log.wait_for("SELECT held", 1);
+    site.request_log.wait_for("INSERT held", 1);
     let begin = Instant::now();
     site.coordinator.terminate();
     // A read may run again elsewhere; a load that has begun may not.
@@ -149,5 +149,5 @@
     assert!(rest(&mut half).is_ok());
     drop(half);
     assert!(site.coordinator.wait().success());
-    assert_eq!(site.ledger.of("SELECT half").len(), 0);
+    assert_eq!(site.request_log.of("SELECT half").len(), 0);
 }
--- a/crates/coordinator/tests/faults.rs
+++ b/crates/coordinator/tests/faults.rs
@@ -1,5 +1,5 @@
 //! A fleet of processes before engines, with faults on all links at once, and the rules counted from outside: at the
-//! engines by their ledger, at the clients by what they got.
+//! engines by their request log, at the clients by what they got.
 
 use driftfront_cluster_harness::load::{count_outcomes, Load, LoadPlan, Outcome, RequestRecord};
 use driftfront_cluster_harness::{ClusterHarness, EngineEndpoint};
@@ -10,17 +10,17 @@
 use std::time::Duration;
 
 fn engines(n: usize) -> (Vec<Engine>, Arc<RequestLog>) {
-    let ledger = Arc::new(RequestLog::default());
+    let request_log = Arc::new(RequestLog::default());
     let engine = |n| {
         Engine::start(
             Options {
                 name: format!("e{n}"),
                 ..Options::default()
             },
-            ledger.clone(),
+            request_log.clone(),
         )
     };
-    ((0..n).map(engine).collect(), ledger)
+    ((0..n).map(engine).collect(), request_log)
 }
 
 fn harness(script: &str, engines: &[Engine]) -> ClusterHarness {
@@ -54,7 +54,7 @@
 
 #[test]
 fn rules_hold_while_links_and_members_fail() {
-    let (engines, ledger) = engines(3);
+    let (engines, request_log) = engines(3);
     let mut harness = harness("members 4 zones=2\nvoters 3\nseed 5", &engines);
     harness.wait_until_members_are(&[0, 1, 2, 3], &[0, 1, 2, 3]);
     let plan = LoadPlan {
@@ -97,12 +97,12 @@
     let counts = count_outcomes(&all);
     assert!(counts[&Outcome::Served] > all.len() / 2, "{counts:?}");
     // What a killed process had out its clients may ask again; here none does, so that the count is the fleet's.
-    ledger.assert_rules(all.len());
+    request_log.assert_rules(all.len());
 }
 
 #[test]
 fn member_cut_off_from_an_engine_serves_by_the_others() {
-    let (engines, ledger) = engines(2);
+    let (engines, request_log) = engines(2);
     let mut harness = harness("members 2", &engines);
     harness.wait_until_members_are(&[0, 1], &[0, 1]);
     // What the engine says is lost: it hears and runs, and nobody knows.
@@ -131,5 +131,5 @@
             .all(|g| matches!(g, Outcome::Served | Outcome::Rejected | Outcome::Failed)),
         "{counts:?}"
     );
-    ledger.assert_rules(all.len());
+    request_log.assert_rules(all.len());
 }
--- a/crates/coordinator/tests/operators.rs
+++ b/crates/coordinator/tests/operators.rs
@@ -155,7 +155,7 @@
             o.site.query(&format!("SELECT 'behind', {run}, {n}"));
         }
         // Nothing that came behind the answer went there; what was on its way may arrive, in 250 ms at most.
-        let late = o.site.ledger.of("SELECT");
+        let late = o.site.request_log.of("SELECT");
         let late = late.iter().filter(|e| e.engine == engine && e.at > told);
         assert!(late
             .clone()
@@ -207,7 +207,12 @@
     for n in 0..20 {
         assert_eq!(o.site.query(&format!("SELECT {n}")).status, 200);
     }
-    assert!(o.site.ledger.of("SELECT").iter().all(|e| e.engine == "e1"));
+    assert!(o
+        .site
+        .request_log
+        .of("SELECT")
+        .iter()
+        .all(|e| e.engine == "e1"));
     let (code, events) = o.type_in(&["events"]);
     assert!(
         code == 0 && events.contains("truncated 5 bytes after the last complete record"),
@@ -262,14 +267,14 @@
             name: "extra".into(),
             ..Options::default()
         },
-        o.site.ledger.clone(),
+        o.site.request_log.clone(),
     );
     let (code, words) = o.type_in(&["add", "extra", &third.addr().to_string()]);
     assert!(code == 0, "{words}");
     o.drain("e0", false);
     o.drain("e1", false);
     assert_eq!(o.site.query("SELECT 'extra'").status, 200);
-    assert_eq!(o.site.ledger.of("'extra'")[0].engine, "extra");
+    assert_eq!(o.site.request_log.of("'extra'")[0].engine, "extra");
     assert!(refused(&o.ask(&Request::Remove {
         engine: "extra".into(),
         force: false
@@ -304,8 +309,8 @@
         "/?query_id=june",
         "INSERT INTO o.t VALUES (1) /* standin: silent */",
     );
-    o.site.ledger.wait_for("INSERT", 1);
-    let engine = o.site.ledger.of("INSERT")[0].engine.clone();
+    o.site.request_log.wait_for("INSERT", 1);
+    let engine = o.site.request_log.of("INSERT")[0].engine.clone();
     o.site.engine(&engine).mute(true);
     let told = o.wait_until("silence", |s| {
         driftfront_console::messages::alarms(s)
@@ -405,14 +410,14 @@
         let mut busy = o
             .site
             .begin("/?driftfront_class=report", "SELECT sleep(1), 'busy'");
-        o.site.ledger.wait_for("busy", 1);
-        let at = o.site.ledger.of("busy")[0].engine.clone();
+        o.site.request_log.wait_for("busy", 1);
+        let at = o.site.request_log.of("busy")[0].engine.clone();
         assert_eq!(o.type_in(&["roll", &at, "e2"]).0, 0);
         o.wait_until("it is handed over", |s| {
             s.roll.as_ref().is_some_and(|r| r.stage == "handed")
         });
         // Handed over only once nothing runs there.
-        assert!(o.site.ledger.of("busy")[0].over.is_some());
+        assert!(o.site.request_log.of("busy")[0].over.is_some());
         assert_eq!(read_answer(&mut busy).status, 200);
     }
     let o = Operated {
@@ -626,8 +631,8 @@
         let _import = o
             .site
             .begin("/", "INSERT INTO o.t VALUES (1) /* standin: silent */");
-        o.site.ledger.wait_for("INSERT", 1);
-        let engine = o.site.ledger.of("INSERT")[0].engine.clone();
+        o.site.request_log.wait_for("INSERT", 1);
+        let engine = o.site.request_log.of("INSERT")[0].engine.clone();
         o.site.engine(&engine).mute(true);
         terminal.wait_for(&format!("{engine} has said nothing for"));
         terminal.wait_for("One import runs there; it will not be sent again.");
@@ -635,7 +640,7 @@
         o.site.engine(&engine).restart();
         o.site.engine(&engine).mute(false);
         o.wait_until("the import's end", |s| s.open == 0);
-        assert_eq!(o.site.ledger.of("INSERT").len(), 1);
+        assert_eq!(o.site.request_log.of("INSERT").len(), 1);
         terminal.press("2");
         terminal.wait_for("[2 service]");
         terminal.wait_for("lookup");
--- a/crates/coordinator/tests/platform.rs
+++ b/crates/coordinator/tests/platform.rs
@@ -26,12 +26,12 @@
         site.ask("report", 15_000, "SELECT pages lost").text(),
         whole
     );
-    assert_eq!(site.ledger.of("pages lost").len(), 2);
+    assert_eq!(site.request_log.of("pages lost").len(), 2);
     assert_eq!(
         site.ask("member-load", 15_000, "INSERT pages lost").status,
         500
     );
-    site.ledger.assert_rules(4);
+    site.request_log.assert_rules(4);
 }
 
 #[test]
@@ -52,7 +52,7 @@
     let coordinator =
         Coordinator::start(&config(list.addr).replace("\"MayProbe\": true", "\"MayProbe\": false"));
     let site = Site {
-        ledger: Arc::default(),
+        request_log: Arc::default(),
         coordinator,
         list,
         engines: vec![dies],
@@ -86,7 +86,7 @@
             "{word}"
         );
     }
-    site.ledger.assert_rules(8);
+    site.request_log.assert_rules(8);
 }
 
 #[test]
@@ -105,8 +105,8 @@
     );
     assert_eq!(
         (
-            site.ledger.of("INSERT").len(),
-            site.ledger.of("SELECT").len()
+            site.request_log.of("INSERT").len(),
+            site.request_log.of("SELECT").len()
         ),
         (1, 1)
     );
@@ -118,7 +118,7 @@
     let site = Arc::new(Site::start(1));
     let asking = site.clone();
     let load = std::thread::spawn(move || asking.ask("member-load", 900, "INSERT silent").status);
-    site.ledger.wait_for("INSERT silent", 1);
+    site.request_log.wait_for("INSERT silent", 1);
     // Its connection ends with all that is open on it; the load is on another.
     assert_eq!(site.ask("lookup", 2500, "SELECT nonsense").status, 200);
     assert_eq!(load.join().unwrap(), 500);
@@ -138,9 +138,9 @@
         config.replace("\"TellsEveryUs\": 0", "\"TellsEveryUs\": 100000")
     });
     assert_eq!(site.ask("report", 15_000, "SELECT mute").status, 200);
-    assert_eq!(site.ledger.of("SELECT mute").len(), 2);
+    assert_eq!(site.request_log.of("SELECT mute").len(), 2);
     assert_eq!(site.ask("member-load", 1500, "INSERT mute").status, 500);
-    assert_eq!(site.ledger.of("INSERT mute").len(), 1);
+    assert_eq!(site.request_log.of("INSERT mute").len(), 1);
     site.coordinator
         .wait_for("attempts_ended{outcome=\"timed_out\"}", 1);
 }
@@ -152,7 +152,7 @@
     let mut stream = TcpStream::connect(site.coordinator.addr).unwrap();
     write!(stream, "{head}Content-Length: 13\r\n\r\nINSERT silent").unwrap();
     // It must have reached its engine: what is not written yet is withheld when its client leaves.
-    site.ledger.wait_for("INSERT silent", 1);
+    site.request_log.wait_for("INSERT silent", 1);
     drop(stream);
     site.coordinator.wait_for("clients_left", 1);
     // The next of the key has to wait for the end of what is still out, and for the key's rest.
@@ -179,7 +179,11 @@
             200
         );
     }
-    assert!(site.ledger.of("drained").iter().all(|e| e.engine == "1"));
+    assert!(site
+        .request_log
+        .of("drained")
+        .iter()
+        .all(|e| e.engine == "1"));
 }
 
 #[test]
@@ -203,7 +207,7 @@
     open.write_all(b"X-Patience-Ms: 2500\r\nContent-Length: 14\r\n\r\nSELECT drained")
         .unwrap();
     assert_eq!(read_answer(&mut open).status, 200);
-    assert_eq!(site.ledger.of("drained")[0].engine, "1");
+    assert_eq!(site.request_log.of("drained")[0].engine, "1");
 }
 
 #[test]
@@ -289,12 +293,12 @@
         .unwrap();
     assert_eq!(read_answer(&mut endless).status, 408);
     assert_eq!(quiet.read(&mut [0]).unwrap(), 0);
-    assert_eq!(site.ledger.of("").len(), 0);
+    assert_eq!(site.request_log.of("").len(), 0);
     // The rest of a body whose length was too small may come later: what is out then is not served.
     let mut late = TcpStream::connect(site.coordinator.addr).unwrap();
     late.write_all(post("Content-Length: 13\r\n\r\nSELECT silent").as_bytes())
         .unwrap();
-    site.ledger.wait_for("SELECT silent", 1);
+    site.request_log.wait_for("SELECT silent", 1);
     // Another under the name of one that is open is not mixed up with it.
     assert_eq!(
         call(
@@ -306,7 +310,7 @@
     );
     late.write_all(b" FROM b").unwrap();
     assert_eq!(read_answer(&mut late).status, 400);
-    assert_eq!(site.ledger.of("").len(), 1);
+    assert_eq!(site.request_log.of("").len(), 1);
 }
 
 #[test]
--- a/crates/coordinator/tests/retry_budget.rs
+++ b/crates/coordinator/tests/retry_budget.rs
@@ -38,13 +38,13 @@
     }
 
     /// From now on it takes connections, and serves as engine `number` does.
-    fn open(self, number: usize, ledger: &Arc<RequestLog>) {
+    fn open(self, number: usize, request_log: &Arc<RequestLog>) {
         drop(self.filling);
-        let ledger = ledger.clone();
+        let request_log = request_log.clone();
         std::thread::spawn(move || {
             for stream in self.listener.incoming().flatten() {
-                let ledger = ledger.clone();
-                std::thread::spawn(move || line_engine::serve(stream, number, &ledger));
+                let request_log = request_log.clone();
+                std::thread::spawn(move || line_engine::serve(stream, number, &request_log));
             }
         });
     }
@@ -57,8 +57,8 @@
         ratio: 0.0,
         window: Duration::from_millis(500),
     };
-    let ledger = Arc::new(RequestLog::default());
-    let (well, late) = (engines(1, &ledger), LateEngine::new());
+    let request_log = Arc::new(RequestLog::default());
+    let (well, late) = (engines(1, &request_log), LateEngine::new());
     let list = EngineList::start();
     let text = config(list.addr)
         .replace("\"MinExtra\": 5.0", "\"MinExtra\": 3.0")
@@ -70,7 +70,7 @@
         );
     let addrs = vec![well[0], late.addr];
     let site = Site {
-        ledger,
+        request_log,
         coordinator: Coordinator::start(&text),
         list,
         engines: addrs,
@@ -94,11 +94,11 @@
                 .saturating_sub(begin.elapsed()),
         );
     }
-    late.open(1, &site.ledger);
+    late.open(1, &site.request_log);
     for client in clients {
         let answer = client.join().expect("an answer");
         assert!(matches!(answer.status, 200 | 429), "{}", answer.status);
     }
-    let breaches = site.ledger.budget_breaches(&budget, &[]);
+    let breaches = site.request_log.budget_breaches(&budget, &[]);
     assert!(breaches.is_empty(), "{breaches:#?}");
 }
--- a/crates/coordinator/tests/rust_client.rs
+++ b/crates/coordinator/tests/rust_client.rs
@@ -56,7 +56,7 @@
             assert_eq!(one, 77);
         }
     });
-    site.ledger.assert_rules(6);
+    site.request_log.assert_rules(6);
 }
 
 #[test]
@@ -90,7 +90,7 @@
             assert!(read.iter().zip(0..).all(|(r, n)| *r == graduate(n)));
         }
     });
-    site.ledger.assert_rules(6);
+    site.request_log.assert_rules(6);
 }
 
 #[test]
--- a/crates/coordinator/tests/upgrade.rs
+++ b/crates/coordinator/tests/upgrade.rs
@@ -124,7 +124,7 @@
             })
             .collect();
         for _ in 0..2 {
-            site.ledger
+            site.request_log
                 .wait_until("some load", |entries| entries.len() % 100 > 50);
             let new = platform.upgrade(&site);
             wait_for(&site.coordinator, "STATUS\n", "ERR handing over");
@@ -139,7 +139,7 @@
             .sum::<u64>()
     });
     assert_eq!(
-        site.ledger.of("SELECT").len() as u64,
+        site.request_log.of("SELECT").len() as u64,
         asked,
         "each ran once"
     );
@@ -165,7 +165,7 @@
     site.coordinator.wait_for("upgrade_orders_merged", 2);
     assert_eq!(site.coordinator.counter("engines_out_by_order"), 1);
     assert_eq!(site.ask("lookup", 2500, "SELECT 1").status, 200);
-    assert_eq!(site.ledger.of("SELECT 1")[0].engine, "0");
+    assert_eq!(site.request_log.of("SELECT 1")[0].engine, "0");
     let mut old = old;
     old.kill();
     let next = platform.upgrade(&site);
--- a/crates/test-support/src/coordinator/clickhouse_site.rs
+++ b/crates/test-support/src/coordinator/clickhouse_site.rs
@@ -16,7 +16,7 @@
     /// The coordinator.
     pub coordinator: Coordinator,
     /// What the engines were sent.
-    pub ledger: Arc<RequestLog>,
+    pub request_log: Arc<RequestLog>,
     /// The engines, `e0` and on.
     pub engines: Vec<Engine>,
     /// The file with the list of engines.
@@ -71,14 +71,14 @@
 
     /// Starts the site, and waits until its coordinator is ready.
     pub fn start(self) -> Site {
-        let ledger = Arc::new(RequestLog::default());
+        let request_log = Arc::new(RequestLog::default());
         let engine = |n| {
             Engine::start(
                 Options {
                     name: format!("e{n}"),
                     ..self.options.clone()
                 },
-                ledger.clone(),
+                request_log.clone(),
             )
         };
         let engines: Vec<Engine> = (0..self.engines).map(engine).collect();
@@ -92,7 +92,7 @@
         }
         let coordinator = Coordinator::with_descriptor_limit(&config, self.descriptors);
         let site = Site {
-            ledger,
+            request_log,
             list,
             coordinator,
             engines,
--- a/crates/test-support/src/coordinator/line_engine.rs
+++ b/crates/test-support/src/coordinator/line_engine.rs
@@ -26,10 +26,10 @@
 const PIECE_BYTES: usize = 700;
 
 /// Starts so many engines with one request log.
-pub fn engines(number: usize, ledger: &Arc<RequestLog>) -> Vec<SocketAddr> {
+pub fn engines(number: usize, request_log: &Arc<RequestLog>) -> Vec<SocketAddr> {
     let engine = |n| {
-        let ledger = ledger.clone();
-        stand_in(move |stream| serve(stream, n, &ledger))
+        let request_log = request_log.clone();
+        stand_in(move |stream| serve(stream, n, &request_log))
     };
     (0..number).map(engine).collect()
 }
@@ -42,10 +42,10 @@
 }
 
 /// Responds on one connection of an engine until it closes. `engine`: its number in the request log.
-pub fn serve(stream: TcpStream, engine: usize, ledger: &RequestLog) {
+pub fn serve(stream: TcpStream, engine: usize, request_log: &RequestLog) {
     let mut session = Session {
         engine,
-        ledger,
+        request_log,
         pages: BTreeMap::new(),
     };
     let mut out = stream.try_clone().unwrap();
@@ -80,7 +80,7 @@
 /// One connection to an engine.
 struct Session<'a> {
     engine: usize,
-    ledger: &'a RequestLog,
+    request_log: &'a RequestLog,
     /// Pages of results, by request.
     pages: BTreeMap<String, Vec<String>>,
 }
@@ -115,14 +115,14 @@
     }
 
     fn run(&mut self, id: &str, statement: &str) -> Reply {
-        let number = self.ledger.of("").len();
-        let entry = self.ledger.begin(
+        let number = self.request_log.of("").len();
+        let entry = self.request_log.begin(
             &self.engine.to_string(),
             &number.to_string(),
             statement,
             None,
         );
-        let is_first = self.ledger.of(statement).len() == 1;
+        let is_first = self.request_log.of(statement).len() == 1;
         let has = |word: &str| statement.contains(word);
         if has("silent") || has("mute") && is_first {
             return Reply::Nothing;
@@ -133,7 +133,7 @@
                 false => format!("{id} HI"),
             });
         }
-        self.ledger.end(entry, !has("full"));
+        self.request_log.end(entry, !has("full"));
         if is_first {
             if let Some(reply) = first_attempt_fault(id, statement) {
                 return reply;
--- a/crates/test-support/src/coordinator/platform_site.rs
+++ b/crates/test-support/src/coordinator/platform_site.rs
@@ -13,7 +13,7 @@
     /// The coordinator.
     pub coordinator: Coordinator,
     /// What the engines were sent.
-    pub ledger: Arc<RequestLog>,
+    pub request_log: Arc<RequestLog>,
     /// Where the engines listen; the list names them `e0` and on.
     pub engines: Vec<SocketAddr>,
     /// The list of engines.
@@ -44,20 +44,20 @@
 
     /// A site whose coordinator `start` starts, from the configuration.
     pub fn start_with(engines: usize, start: impl FnOnce(String) -> Coordinator) -> Site {
-        let ledger = Arc::new(RequestLog::default());
-        let engines = line_engine::engines(engines, &ledger);
-        Site::with_engines(ledger, engines, start)
+        let request_log = Arc::new(RequestLog::default());
+        let engines = line_engine::engines(engines, &request_log);
+        Site::with_engines(request_log, engines, start)
     }
 
     /// A site of engines that run already, whose coordinator `start` starts, from the configuration.
     pub fn with_engines(
-        ledger: Arc<RequestLog>,
+        request_log: Arc<RequestLog>,
         engines: Vec<SocketAddr>,
         start: impl FnOnce(String) -> Coordinator,
     ) -> Site {
         let list = EngineList::start();
         let site = Site {
-            ledger,
+            request_log,
             coordinator: start(config(list.addr)),
             list,
             engines,
