--- a/crates/coordinator/benches/clickhouse.rs
+++ b/crates/coordinator/benches/clickhouse.rs
@@ -8,7 +8,7 @@
 use driftfront_mock_servers::request_log::RequestLog;
 use driftfront_test_support::coordinator::clickhouse_site::{read_some, Plan, Site};
 use driftfront_test_support::coordinator::{
-    appliance, file, instance, read_answer, unused_address, MeasuredProcess,
+    appliance, file, instance, read_response, unused_address, MeasuredProcess,
 };
 use hdrhistogram::Histogram;
 use std::io::{Read, Write};
@@ -59,7 +59,7 @@
         return false;
     };
     let _ = stream.write_all(b"GET /alive HTTP/1.1\r\nHost: t\r\n\r\n");
-    read_answer(&mut stream).status == 200
+    read_response(&mut stream).status == 200
 }
 
 /// Requests one after another on a kept connection.
@@ -71,7 +71,7 @@
     for _ in 0..count {
         let begin = Instant::now();
         stream.write_all(request).expect("it reads");
-        let answer = read_answer(&mut stream);
+        let answer = read_response(&mut stream);
         assert_eq!(answer.body, b"1\n");
         let nanos = u64::try_from(begin.elapsed().as_nanos()).expect("a few seconds");
         times.record(nanos).expect("in range");
@@ -218,7 +218,7 @@
         stream
             .write_all(b"GET /ping HTTP/1.1\r\nHost: t\r\n\r\n")
             .expect("it reads");
-        assert_eq!(read_answer(stream).status, 200);
+        assert_eq!(read_response(stream).status, 200);
     }
     println!(
         "| memory with 500 open clients, MB | {:.1} |",
@@ -265,7 +265,7 @@
     for _ in 0..mb {
         stream.write_all(&piece).expect("it reads on");
     }
-    let answer = read_answer(&mut stream);
+    let answer = read_response(&mut stream);
     let seconds = begin.elapsed().as_secs_f64();
     let arrived = site.engines[0].table("o.large");
     assert_eq!(
--- a/crates/coordinator/tests/clickhouse.rs
+++ b/crates/coordinator/tests/clickhouse.rs
@@ -7,14 +7,14 @@
 use driftfront_mock_servers::request_log::RequestLog;
 use driftfront_test_support::coordinator::clickhouse_site::{read_some, Plan, Site};
 use driftfront_test_support::coordinator::{
-    appliance, call, file, get, instance, poll_until, post, read_answer, stand_in, Answer,
-    Coordinator,
+    appliance, call, file, get, instance, poll_until, post, read_response, stand_in, Coordinator,
+    Response,
 };
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::sync::Arc;
 
-fn code(answer: &Answer) -> Option<u32> {
+fn code(answer: &Response) -> Option<u32> {
     answer
         .header("X-ClickHouse-Exception-Code")
         .and_then(|c| c.parse().ok())
@@ -48,7 +48,7 @@
             body.len()
         )
         .unwrap();
-        assert_eq!(read_answer(&mut stream).text(), format!("{n}\n"));
+        assert_eq!(read_response(&mut stream).text(), format!("{n}\n"));
     }
     site.request_log.assert_rules(5);
     assert_eq!(site.coordinator.counter("answers_served"), 5);
@@ -117,7 +117,7 @@
     site.request_log.wait_for("nothing at all", 1);
     let first = site.request_log.of("nothing at all")[0].engine.clone();
     site.engine(&first).mute(true);
-    assert_eq!(read_answer(&mut stream).text(), "nothing at all\n");
+    assert_eq!(read_response(&mut stream).text(), "nothing at all\n");
     let runs = site.request_log.of("nothing at all");
     assert!(runs.len() == 2 && runs[1].engine != first);
     // The first may still hold its id: the further attempt runs under another.
@@ -348,7 +348,7 @@
     }
     assert!(calls
         .iter_mut()
-        .all(|stream| read_answer(stream).status == 200));
+        .all(|stream| read_response(stream).status == 200));
     let sent: Vec<String> = site
         .request_log
         .of("o.keyed")
@@ -427,7 +427,7 @@
     site.request_log.wait_for("slow", 1);
     let second = site.ask("/?session_id=s1", "SELECT 2");
     assert_eq!((second.status, code(&second)), (500, Some(373)));
-    assert_eq!(read_answer(&mut first).status, 200);
+    assert_eq!(read_response(&mut first).status, 200);
     assert_eq!(
         site.ask("/?session_id=s1&session_check=1", "SELECT 3")
             .status,
@@ -527,7 +527,7 @@
     }
     assert_eq!(lost, on_first);
     // What ran there when the drain was told may end well.
-    assert_eq!(read_answer(&mut runs).status, 200);
+    assert_eq!(read_response(&mut runs).status, 200);
     let later = site
         .request_log
         .of("")
@@ -572,7 +572,7 @@
     );
     let killed = site.query("KILL QUERY WHERE query_id = 'v1' SYNC");
     assert_eq!(killed.text(), "waiting\tv1\tdefault\t\n");
-    let end = read_answer(&mut victim);
+    let end = read_response(&mut victim);
     assert_eq!((end.status, code(&end)), (500, Some(394)));
     let kills = site.request_log.of("KILL");
     assert!(kills.len() == 1 && kills[0].engine == on);
@@ -606,7 +606,7 @@
         .wait_for("attempts_ended{outcome=\"reset\"}", 1);
     let killed = site.query("KILL QUERY WHERE query_id = 'b1'");
     assert_eq!(killed.status, 200);
-    let end = read_answer(&mut victim);
+    let end = read_response(&mut victim);
     assert_eq!(code(&end), Some(394), "{end:?}");
     site.list(&["ready"]);
     assert_eq!(site.query("SELECT 'behind'").status, 200);
@@ -698,7 +698,7 @@
         if chunked {
             stream.write_all(b"0\r\n\r\n").unwrap();
         }
-        assert_eq!(read_answer(&mut stream).status, 200);
+        assert_eq!(read_response(&mut stream).status, 200);
         let seen = site.engines[0].table(&format!("o.{table}"));
         assert_eq!(
             (seen.bytes, seen.hash, seen.rows),
@@ -706,7 +706,7 @@
         );
         // The connection goes on behind it.
         write!(stream, "GET /?query=SELECT+7 HTTP/1.1\r\nHost: t\r\n\r\n").unwrap();
-        assert_eq!(read_answer(&mut stream).text(), "7\n");
+        assert_eq!(read_response(&mut stream).text(), "7\n");
     }
     assert!(site.memory_mb() < 48, "{} MB", site.memory_mb());
     site.request_log.assert_rules(4);
@@ -734,17 +734,17 @@
     let site = Site::start(2);
     // The engine dies on it, errs in the middle of it, or its client leaves or writes nonsense.
     let mut err = half_an_insert(&site, "errs", "error_after=2000000");
-    let told = read_answer(&mut err);
+    let told = read_response(&mut err);
     assert_eq!(code(&told), Some(241), "{}", told.text());
     let mut dies = half_an_insert(&site, "dies", "cut");
-    assert_eq!(code(&read_answer(&mut dies)), Some(210));
+    assert_eq!(code(&read_response(&mut dies)), Some(210));
     let leaves = half_an_insert(&site, "leaves", "none");
     site.request_log.wait_for("o.leaves", 1);
     drop(leaves);
     let mut nonsense = half_an_insert(&site, "nonsense", "none");
     site.request_log.wait_for("o.nonsense", 1);
     nonsense.write_all(b"zz\r\n").unwrap();
-    assert_eq!(read_answer(&mut nonsense).status, 400);
+    assert_eq!(read_response(&mut nonsense).status, 400);
     for table in ["errs", "dies", "leaves", "nonsense"] {
         let runs = |e: &[driftfront_mock_servers::request_log::Entry]| {
             e.iter()
@@ -954,14 +954,14 @@
     );
     // What is out ends whole, and its connection behind it.
     insert.write_all(b"0\r\n\r\n").unwrap();
-    let told = read_answer(&mut insert);
+    let told = read_response(&mut insert);
     assert_eq!(
         (told.status, told.header("Connection")),
         (200, Some("close")),
         "{}",
         told.text()
     );
-    let rows = read_answer(&mut result);
+    let rows = read_response(&mut result);
     assert!(rows.whole && rows.text().lines().count() == 400_000);
     for mut stream in [insert, result] {
         assert_eq!(stream.read(&mut [0; 16]).expect("an end in order"), 0);
@@ -982,7 +982,7 @@
     site.coordinator.terminate();
     // New requests are still answered for a while.
     assert_eq!(site.query("SELECT 2").status, 200);
-    assert!(read_answer(&mut stream).status >= 400);
+    assert!(read_response(&mut stream).status >= 400);
     assert!(site.coordinator.wait().success());
 }
 
--- a/crates/coordinator/tests/daily.rs
+++ b/crates/coordinator/tests/daily.rs
@@ -3,7 +3,7 @@
 use driftfront_http::ResponseReader;
 use driftfront_test_support::coordinator::engine_list::EngineList;
 use driftfront_test_support::coordinator::platform_site::{config, Site};
-use driftfront_test_support::coordinator::{get, read_next, Coordinator, TEST_TIMEOUT};
+use driftfront_test_support::coordinator::{get, read_next_response, Coordinator, TEST_TIMEOUT};
 use socket2::{Domain, Socket, Type};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -142,7 +142,7 @@
     let (mut of_idle, mut of_busy) = (ResponseReader::default(), ResponseReader::default());
     idle.write_all(lookup(1).as_bytes()).unwrap();
     assert_eq!(
-        read_next(&mut idle, &mut of_idle).header("Connection"),
+        read_next_response(&mut idle, &mut of_idle).header("Connection"),
         None
     );
     // Half of a request is out when the call comes: it is taken, answered, and told the close.
@@ -157,7 +157,7 @@
         (503, Some("close"))
     );
     busy.write_all(&half.as_bytes()[rest..]).unwrap();
-    let answer = read_next(&mut busy, &mut of_busy);
+    let answer = read_next_response(&mut busy, &mut of_busy);
     assert_eq!(
         (answer.status, answer.header("Connection")),
         (200, Some("close"))
--- a/crates/coordinator/tests/endings/clients.rs
+++ b/crates/coordinator/tests/endings/clients.rs
@@ -4,7 +4,7 @@
 use driftfront_test_support::coordinator::engine_list::EngineList;
 use driftfront_test_support::coordinator::line_engine::serve;
 use driftfront_test_support::coordinator::platform_site::{config, Site};
-use driftfront_test_support::coordinator::{call, instance, read_answer, Coordinator};
+use driftfront_test_support::coordinator::{call, instance, read_response, Coordinator};
 use socket2::{Domain, Socket, Type};
 use std::io::Write;
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -56,8 +56,8 @@
     let mut last = open(&site, &load(7, "INSERT last"));
     site.coordinator.wait_for("requests_taken", 7);
     gate.open();
-    assert_eq!(read_answer(&mut first).status, 200);
-    assert_eq!(read_answer(&mut last).status, 200);
+    assert_eq!(read_response(&mut first).status, 200);
+    assert_eq!(read_response(&mut last).status, 200);
     assert_eq!(ran(&site), ["INSERT held", "INSERT last"]);
 }
 
@@ -140,7 +140,7 @@
     assert_eq!(site.request_log.of("SELECT held, then full").len(), 1);
     others
         .into_iter()
-        .for_each(|mut other| assert_eq!(read_answer(&mut other).status, 200));
+        .for_each(|mut other| assert_eq!(read_response(&mut other).status, 200));
 }
 
 /// A site whose one engine can't be connected to, and does not refuse either, until room is made.
@@ -205,7 +205,7 @@
     let mut stays = open(&waits.site, &load(2, "INSERT stays"));
     waits.site.coordinator.wait_for("requests_taken", 2);
     let site = waits.make_room();
-    assert_eq!(read_answer(&mut stays).status, 200);
+    assert_eq!(read_response(&mut stays).status, 200);
     assert_eq!(ran(&site), ["INSERT stays"]);
 }
 
@@ -217,11 +217,11 @@
         &waits.site,
         &request("lookup", 1, "", "SELECT late").replace("2400", "300"),
     );
-    assert_eq!(read_answer(&mut late).status, 429);
+    assert_eq!(read_response(&mut late).status, 429);
     let mut next = open(&waits.site, &load(2, "INSERT next"));
     waits.site.coordinator.wait_for("requests_taken", 2);
     let site = waits.make_room();
-    assert_eq!(read_answer(&mut next).status, 200);
+    assert_eq!(read_response(&mut next).status, 200);
     assert_eq!(ran(&site), ["INSERT next"]);
 }
 
@@ -235,7 +235,7 @@
     waits.site.list.publish(&lines, "");
     waits.site.coordinator.wait_for("lists_taken", 3);
     let site = waits.make_room();
-    assert_eq!(read_answer(&mut load).status, 200);
+    assert_eq!(read_response(&mut load).status, 200);
     assert_eq!(ran(&site), ["INSERT moved"]);
 }
 
@@ -266,7 +266,7 @@
     // A whole answer, if maybe a refusal while the flood's own requests are out.
     assert!([200, 429].contains(&site.ask("lookup", 2500, "SELECT beside").status));
     gate.open();
-    assert_eq!(read_answer(&mut first).status, 200);
+    assert_eq!(read_response(&mut first).status, 200);
     // All of them are gone, with what was held for them.
     until("they are gone", || {
         site.coordinator.counter("connections_clients") <= 2
@@ -288,7 +288,7 @@
             &site,
             &request("lookup", 100 + n, "", &format!("SELECT {n}")),
         );
-        assert_eq!(read_answer(&mut stream).status, 200);
+        assert_eq!(read_response(&mut stream).status, 200);
         resting.push(stream);
     }
     site.coordinator.freeze();
@@ -299,9 +299,9 @@
         .write_all(request("lookup", 99, "", "SELECT crossing").as_bytes())
         .unwrap();
     site.coordinator.wake();
-    assert_eq!(read_answer(&mut resting[0]).status, 200);
+    assert_eq!(read_response(&mut resting[0]).status, 200);
     for newcomer in &mut newcomers {
-        assert_eq!(read_answer(newcomer).status, 200);
+        assert_eq!(read_response(newcomer).status, 200);
     }
     assert!(site.coordinator.counter("clients_dropped") > 0);
 }
--- a/crates/coordinator/tests/endings/engines.rs
+++ b/crates/coordinator/tests/endings/engines.rs
@@ -3,7 +3,7 @@
 use super::{open, report, until};
 use driftfront_test_support::coordinator::line_engine::read_statement;
 use driftfront_test_support::coordinator::platform_site::Site;
-use driftfront_test_support::coordinator::{read_answer, stand_in, Coordinator};
+use driftfront_test_support::coordinator::{read_response, stand_in, Coordinator};
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::mpsc::channel;
@@ -132,8 +132,8 @@
     go.send(()).unwrap();
     until("the engine has ended", || engine_has_ended(engine));
     site.coordinator.wake();
-    assert_eq!(read_answer(&mut first).status, 200);
-    assert_eq!(read_answer(&mut second).status, 200);
+    assert_eq!(read_response(&mut first).status, 200);
+    assert_eq!(read_response(&mut second).status, 200);
     assert_eq!(*asked.lock().unwrap(), ["SELECT first", "SELECT second"]);
 }
 
--- a/crates/coordinator/tests/endings/shutdown.rs
+++ b/crates/coordinator/tests/endings/shutdown.rs
@@ -2,7 +2,7 @@
 
 use super::{held, let_pass, load, open, request, rest, until, with_key_taken};
 use driftfront_test_support::coordinator::platform_site::Site;
-use driftfront_test_support::coordinator::{read_answer, read_next};
+use driftfront_test_support::coordinator::{read_next_response, read_response};
 use std::io::Write;
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
@@ -19,7 +19,7 @@
     let mut out = open(&site, &request("report", 1, "", "SELECT silent"));
     site.request_log.wait_for("SELECT silent", 1);
     let mut resting = open(&site, &request("lookup", 2, "", "SELECT 2"));
-    assert_eq!(read_answer(&mut resting).status, 200);
+    assert_eq!(read_response(&mut resting).status, 200);
     let late = request("lookup", 3, "", "SELECT late");
     let mut half = open(&site, &late[..40]);
     site.coordinator.wait_for("connections_clients", 4);
@@ -27,7 +27,7 @@
     // Whoever rests is sent away in order once nothing more is taken; the engine hangs, so that the process stays.
     assert_eq!(rest(&mut resting).unwrap(), b"");
     half.write_all(&late.as_bytes()[40..]).unwrap();
-    let answer = read_answer(&mut half);
+    let answer = read_response(&mut half);
     assert_eq!(
         (answer.status, answer.header("Connection")),
         (429, Some("close"))
@@ -35,7 +35,7 @@
     assert_eq!(site.request_log.of("SELECT late").len(), 0);
     // Nobody listens any more, while what was taken before is answered all the same.
     until_nobody_listens(&site);
-    assert_eq!(read_answer(&mut out).status, 429);
+    assert_eq!(read_response(&mut out).status, 429);
     assert!(site.coordinator.wait().success());
 }
 
@@ -47,9 +47,9 @@
     let begin = Instant::now();
     site.coordinator.terminate();
     // Its time is far from over, but the first of its key holds the only engine.
-    assert_eq!(read_answer(&mut second).status, 429);
+    assert_eq!(read_response(&mut second).status, 429);
     // The first has begun, and may not run again elsewhere.
-    assert_eq!(read_answer(&mut first).status, 500);
+    assert_eq!(read_response(&mut first).status, 500);
     gate.open();
     assert!(site.coordinator.wait().success());
     // Both have 25 s.
@@ -73,7 +73,7 @@
         .unwrap();
     site.coordinator.wake();
     let mut reader = Default::default();
-    assert_eq!(read_next(&mut first, &mut reader).status, 200);
+    assert_eq!(read_next_response(&mut first, &mut reader).status, 200);
     // In order: an end, not a reset.
     assert!(rest(&mut first).is_ok());
     drop(first);
@@ -87,7 +87,7 @@
     let mut out = open(&site, &request("lookup", 1, "", "SELECT held"));
     site.request_log.wait_for("SELECT held", 1);
     let mut resting = open(&site, &request("lookup", 2, "", "SELECT 2"));
-    assert_eq!(read_answer(&mut resting).status, 200);
+    assert_eq!(read_response(&mut resting).status, 200);
     site.coordinator.terminate();
     until("the signal is taken", || {
         site.coordinator.is_shutting_down()
@@ -101,7 +101,7 @@
     let_pass(Duration::from_millis(1000));
     site.coordinator.wake();
     for late in [&mut backlog, &mut resting] {
-        let answer = read_answer(late);
+        let answer = read_response(late);
         assert_eq!(
             (answer.status, answer.header("Connection")),
             (429, Some("close"))
@@ -109,7 +109,7 @@
         assert_eq!(rest(late).unwrap(), b"");
     }
     gate.open();
-    assert_eq!(read_answer(&mut out).status, 200);
+    assert_eq!(read_response(&mut out).status, 200);
     assert!(site.coordinator.wait().success());
     assert_eq!(site.request_log.of("SELECT late").len(), 0);
 }
@@ -127,8 +127,8 @@
     let begin = Instant::now();
     site.coordinator.terminate();
     // A read may run again elsewhere; a load that has begun may not.
-    assert_eq!(read_answer(&mut read).status, 429);
-    assert_eq!(read_answer(&mut load).status, 500);
+    assert_eq!(read_response(&mut read).status, 429);
+    assert_eq!(read_response(&mut load).status, 500);
     assert!(site.coordinator.wait().success());
     // The kill comes after 3.7 s; their own deadlines are far off.
     assert!(begin.elapsed() < Duration::from_secs(10));
@@ -142,7 +142,7 @@
     site.coordinator.wait_for("connections_clients", 2);
     site.coordinator.terminate();
     let mut reader = Default::default();
-    assert_eq!(read_next(&mut half, &mut reader).status, 408);
+    assert_eq!(read_next_response(&mut half, &mut reader).status, 408);
     // Its last bytes cross that: an end in order all the same.
     half.write_all(&request("lookup", 1, "", "SELECT half").as_bytes()[40..])
         .unwrap();
--- a/crates/coordinator/tests/operators.rs
+++ b/crates/coordinator/tests/operators.rs
@@ -7,7 +7,7 @@
 use driftfront_mock_servers::request_log::RequestLog;
 use driftfront_test_support::coordinator::clickhouse_site::{Plan, Site};
 use driftfront_test_support::coordinator::{
-    appliance, file, instance, post, read_answer, Coordinator, TEST_TIMEOUT,
+    appliance, file, instance, post, read_response, Coordinator, TEST_TIMEOUT,
 };
 use std::io::{Read, Write};
 use std::os::unix::fs::PermissionsExt;
@@ -418,7 +418,7 @@
         });
         // Handed over only once nothing runs there.
         assert!(o.site.request_log.of("busy")[0].over.is_some());
-        assert_eq!(read_answer(&mut busy).status, 200);
+        assert_eq!(read_response(&mut busy).status, 200);
     }
     let o = Operated {
         site: plan().start(),
--- a/crates/coordinator/tests/platform.rs
+++ b/crates/coordinator/tests/platform.rs
@@ -2,7 +2,9 @@
 
 use driftfront_test_support::coordinator::engine_list::EngineList;
 use driftfront_test_support::coordinator::platform_site::{config, Site};
-use driftfront_test_support::coordinator::{call, read_answer, read_next, stand_in, Coordinator};
+use driftfront_test_support::coordinator::{
+    call, read_next_response, read_response, stand_in, Coordinator,
+};
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::sync::mpsc::channel;
@@ -206,7 +208,7 @@
     assert_eq!(site.list.last_event_ids(), ["2"]);
     open.write_all(b"X-Patience-Ms: 2500\r\nContent-Length: 14\r\n\r\nSELECT drained")
         .unwrap();
-    assert_eq!(read_answer(&mut open).status, 200);
+    assert_eq!(read_response(&mut open).status, 200);
     assert_eq!(site.request_log.of("drained")[0].engine, "1");
 }
 
@@ -227,13 +229,13 @@
     }
     let mut reader = Default::default();
     for _ in 0..3 {
-        assert_eq!(read_next(&mut stream, &mut reader).status, 200);
+        assert_eq!(read_next_response(&mut stream, &mut reader).status, 200);
     }
     let cut = {
         let mut stream = TcpStream::connect(site.coordinator.addr).unwrap();
         stream.write_all(&text.as_bytes()[..40]).unwrap();
         stream.shutdown(std::net::Shutdown::Write).unwrap();
-        read_answer(&mut stream)
+        read_response(&mut stream)
     };
     assert_eq!(cut.status, 400);
     assert_eq!(
@@ -291,7 +293,7 @@
     endless
         .write_all(post("Content-Length: 9\r\n\r\nSELECT 1").as_bytes())
         .unwrap();
-    assert_eq!(read_answer(&mut endless).status, 408);
+    assert_eq!(read_response(&mut endless).status, 408);
     assert_eq!(quiet.read(&mut [0]).unwrap(), 0);
     assert_eq!(site.request_log.of("").len(), 0);
     // The rest of a body whose length was too small may come later: what is out then is not served.
@@ -309,7 +311,7 @@
         500
     );
     late.write_all(b" FROM b").unwrap();
-    assert_eq!(read_answer(&mut late).status, 400);
+    assert_eq!(read_response(&mut late).status, 400);
     assert_eq!(site.request_log.of("").len(), 1);
 }
 
@@ -337,7 +339,7 @@
     let mut reader = Default::default();
     // Each is refused at once, since its client hardly waits; each gets its own answer.
     for _ in 0..5000 {
-        assert_eq!(read_next(&mut stream, &mut reader).status, 429);
+        assert_eq!(read_next_response(&mut stream, &mut reader).status, 429);
     }
     assert!(writer.join().unwrap().is_ok());
 }
--- a/crates/coordinator/tests/second.rs
+++ b/crates/coordinator/tests/second.rs
@@ -4,7 +4,7 @@
 use driftfront_test_support::coordinator::engine_list::EngineList;
 use driftfront_test_support::coordinator::platform_site::config;
 use driftfront_test_support::coordinator::{
-    instance, post, stand_in, Answer, Coordinator, TEST_TIMEOUT,
+    instance, post, stand_in, Coordinator, Response, TEST_TIMEOUT,
 };
 use quickcheck::{Arbitrary, Gen};
 use std::collections::BTreeMap;
@@ -174,7 +174,7 @@
         Site::start(engines, second)
     }
 
-    fn ask(&self, class: &str, headers: &[(&str, &str)], statement: &str) -> Answer {
+    fn ask(&self, class: &str, headers: &[(&str, &str)], statement: &str) -> Response {
         let number = {
             let mut asked = self.asked.lock().unwrap();
             *asked += 1;
--- a/crates/coordinator/tests/upgrade.rs
+++ b/crates/coordinator/tests/upgrade.rs
@@ -2,7 +2,7 @@
 
 use driftfront_http::ResponseReader;
 use driftfront_test_support::coordinator::platform_site::{config, Site};
-use driftfront_test_support::coordinator::{get, poll_until, read_next, Coordinator};
+use driftfront_test_support::coordinator::{get, poll_until, read_next_response, Coordinator};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::os::fd::OwnedFd;
@@ -89,7 +89,7 @@
             });
             let answer = stream
                 .write_all(request.as_bytes())
-                .map(|()| read_next(stream, reader));
+                .map(|()| read_next_response(stream, reader));
             match answer {
                 Ok(answer) if answer.whole => {
                     assert_eq!(answer.status, 200, "{}", answer.text());
@@ -188,7 +188,7 @@
     };
     idle.write_all(request(1).as_bytes()).unwrap();
     assert_eq!(
-        read_next(&mut idle, &mut ResponseReader::default()).status,
+        read_next_response(&mut idle, &mut ResponseReader::default()).status,
         200
     );
     let new = platform.upgrade(&site);
@@ -196,7 +196,7 @@
     // The one that has had its answer is closed; the other has said nothing for longer.
     assert_eq!(idle.read(&mut [0; 16]).expect("an end in order"), 0);
     held.write_all(request(2).as_bytes()).unwrap();
-    let answer = read_next(&mut held, &mut ResponseReader::default());
+    let answer = read_next_response(&mut held, &mut ResponseReader::default());
     assert_eq!(
         (answer.status, answer.header("Connection")),
         (200, Some("close"))
--- a/crates/test-support/src/coordinator/clickhouse_site.rs
+++ b/crates/test-support/src/coordinator/clickhouse_site.rs
@@ -1,6 +1,6 @@
 //! A coordinator in front of mock engines that speak ClickHouse's interface, and a file with their list.
 
-use super::{appliance, file, instance, post, Answer, Coordinator};
+use super::{appliance, file, instance, post, Coordinator, Response};
 use driftfront_mock_servers::engine::{Engine, Options};
 use driftfront_mock_servers::request_log::RequestLog;
 use std::io::{Read, Write};
@@ -130,12 +130,12 @@
     }
 
     /// Sends a statement, and waits for its response.
-    pub fn query(&self, statement: &str) -> Answer {
+    pub fn query(&self, statement: &str) -> Response {
         post(self.coordinator.addr, "/", "", statement)
     }
 
     /// Sends a statement to this target, which carries its parameters, and waits for its response.
-    pub fn ask(&self, target: &str, statement: &str) -> Answer {
+    pub fn ask(&self, target: &str, statement: &str) -> Response {
         post(self.coordinator.addr, target, "", statement)
     }
 
--- a/crates/test-support/src/coordinator/http_client.rs
+++ b/crates/test-support/src/coordinator/http_client.rs
@@ -7,7 +7,7 @@
 
 /// A response as a client sees it.
 #[derive(Debug)]
-pub struct Answer {
+pub struct Response {
     /// Its status; 0 where not even the head came.
     pub status: u16,
     /// Its headers.
@@ -18,7 +18,7 @@
     pub whole: bool,
 }
 
-impl Answer {
+impl Response {
     /// The body as text.
     pub fn text(&self) -> String {
         String::from_utf8_lossy(&self.body).into_owned()
@@ -31,16 +31,16 @@
 }
 
 /// Reads one response from a connection.
-pub fn read_answer(stream: &mut TcpStream) -> Answer {
-    read_next(stream, &mut ResponseReader::default())
+pub fn read_response(stream: &mut TcpStream) -> Response {
+    read_next_response(stream, &mut ResponseReader::default())
 }
 
 /// Reads the next of several responses from a connection.
-pub fn read_next(stream: &mut TcpStream, reader: &mut ResponseReader) -> Answer {
+pub fn read_next_response(stream: &mut TcpStream, reader: &mut ResponseReader) -> Response {
     stream
         .set_read_timeout(Some(TEST_TIMEOUT))
         .expect("a timeout");
-    let mut answer = Answer {
+    let mut answer = Response {
         status: 0,
         headers: Vec::new(),
         body: Vec::new(),
@@ -72,20 +72,20 @@
 }
 
 /// Sends these bytes on a new connection and reads the response.
-pub fn call(addr: SocketAddr, bytes: &[u8]) -> Answer {
+pub fn call(addr: SocketAddr, bytes: &[u8]) -> Response {
     let mut stream = TcpStream::connect(addr).expect("the coordinator listens");
     stream.write_all(bytes).expect("it reads");
-    read_answer(&mut stream)
+    read_response(&mut stream)
 }
 
 /// Sends a GET request and reads the response.
-pub fn get(addr: SocketAddr, target: &str) -> Answer {
+pub fn get(addr: SocketAddr, target: &str) -> Response {
     let request = format!("GET {target} HTTP/1.1\r\nHost: t\r\n\r\n");
     call(addr, request.as_bytes())
 }
 
 /// Sends a POST request and reads the response. `headers`: further ones, each with its line end.
-pub fn post(addr: SocketAddr, target: &str, headers: &str, body: &str) -> Answer {
+pub fn post(addr: SocketAddr, target: &str, headers: &str, body: &str) -> Response {
     let length = body.len();
     let request = format!(
         "POST {target} HTTP/1.1\r\nHost: t\r\n{headers}Content-Length: {length}\r\n\r\n{body}"
--- a/crates/test-support/src/coordinator/mod.rs
+++ b/crates/test-support/src/coordinator/mod.rs
@@ -14,7 +14,7 @@
 
 pub use cluster::start_cluster;
 pub use configuration::{appliance, file, instance};
-pub use http_client::{call, get, post, read_answer, read_next, Answer};
+pub use http_client::{call, get, post, read_next_response, read_response, Response};
 pub use measured_process::{unused_address, MeasuredProcess};
 pub use mock_server::stand_in;
 pub use process::{program, Coordinator};
--- a/crates/test-support/src/coordinator/platform_site.rs
+++ b/crates/test-support/src/coordinator/platform_site.rs
@@ -2,7 +2,7 @@
 
 use super::engine_list::{instances, EngineList};
 use super::line_engine;
-use super::{appliance, post, Answer, Coordinator};
+use super::{appliance, post, Coordinator, Response};
 use driftfront_engine_registry::fnv1a_64;
 use driftfront_mock_servers::request_log::RequestLog;
 use std::net::SocketAddr;
@@ -73,7 +73,7 @@
     }
 
     /// Sends a request, and waits for its response.
-    pub fn ask(&self, class: &str, client_timeout_ms: u32, statement: &str) -> Answer {
+    pub fn ask(&self, class: &str, client_timeout_ms: u32, statement: &str) -> Response {
         let id = fnv1a_64(statement.as_bytes());
         let headers = format!(
             "X-Call-Id: {id:016x}\r\nX-Patience-Ms: {client_timeout_ms}\r\nX-Entity: 000000000000000a\r\n"
