--- a/crates/coordinator/tests/clickhouse.rs
+++ b/crates/coordinator/tests/clickhouse.rs
@@ -30,14 +30,14 @@
         "/?query=SELECT%20queryID(),currentDatabase(),{p:String}&query_id=q-7&database=uni&param_p=a",
     );
     assert_eq!(
-        (answer.status, answer.whole, answer.text().as_str()),
+        (answer.status, answer.is_complete, answer.text().as_str()),
         (200, true, "q-7\tuni\ta\n")
     );
     assert_eq!(answer.header("X-ClickHouse-Format"), Some("TabSeparated"));
     assert_eq!(answer.header("X-ClickHouse-Query-Id"), Some("q-7"));
     let many = site.query("SELECT number FROM numbers(50000)");
     let rows: String = (0..50_000).map(|n| format!("{n}\n")).collect();
-    assert!(many.whole && many.text() == rows);
+    assert!(many.is_complete && many.text() == rows);
     // Calls follow each other on one connection.
     let mut stream = TcpStream::connect(addr).unwrap();
     for n in 0..3 {
@@ -98,7 +98,7 @@
         "X-Driftfront-Class: report\r\n",
         "SELECT wide(20) FROM numbers(1000000) /* standin: silent_after=10485760 */",
     );
-    assert!(answer.status == 200 && !answer.whole && answer.body.len() >= 10_485_760);
+    assert!(answer.status == 200 && !answer.is_complete && answer.body.len() >= 10_485_760);
     assert_eq!(site.request_log.of("silent_after").len(), 1);
     assert_eq!(site.coordinator.counter("answers_broken"), 1);
     assert_eq!(
@@ -227,7 +227,7 @@
             let answer = post(addr, &target, headers, &read_once);
             let rows = String::from_utf8(read(&answer.body)).unwrap();
             assert!(
-                answer.status == 200 && answer.whole && !rows.contains("Code: 241"),
+                answer.status == 200 && answer.is_complete && !rows.contains("Code: 241"),
                 "{way}: {rows} {answer:?}"
             );
             // A load is not: it may have run.
@@ -245,7 +245,7 @@
             );
             let broken = post(addr, &target, headers, &long);
             assert!(
-                broken.status == 200 && !broken.whole && !broken.body.is_empty(),
+                broken.status == 200 && !broken.is_complete && !broken.body.is_empty(),
                 "{way}"
             );
             assert_eq!(site.request_log.of(&long).len(), 1, "{way}");
@@ -263,7 +263,7 @@
             "SELECT wide(40), number, {n} FROM numbers(100000) /* standin: late=241 whole */"
         );
         let broken = post(site.coordinator.addr, &target, headers, &long);
-        assert!(broken.status == 200 && !broken.whole, "{params}");
+        assert!(broken.status == 200 && !broken.is_complete, "{params}");
     }
     assert_eq!(
         site.coordinator.counter("answers_broken"),
@@ -283,7 +283,7 @@
     let long =
         "SELECT wide(40), number FROM numbers(100000) /* standin: bad_block_after=1000000 */";
     let late = site.ask(target, long);
-    assert!(late.status == 200 && !late.whole);
+    assert!(late.status == 200 && !late.is_complete);
     assert_eq!(site.request_log.of("bad_block_after").len(), 1);
     site.request_log.assert_rules(3);
 }
@@ -859,7 +859,7 @@
         site.coordinator.addr,
         b"POST / HTTP/1.0\r\nContent-Length: 8\r\n\r\nSELECT 1",
     );
-    assert_eq!((whole.whole, whole.text().as_str()), (true, "1\n"));
+    assert_eq!((whole.is_complete, whole.text().as_str()), (true, "1\n"));
 }
 
 #[test]
@@ -962,7 +962,7 @@
         told.text()
     );
     let rows = read_response(&mut result);
-    assert!(rows.whole && rows.text().lines().count() == 400_000);
+    assert!(rows.is_complete && rows.text().lines().count() == 400_000);
     for mut stream in [insert, result] {
         assert_eq!(stream.read(&mut [0; 16]).expect("an end in order"), 0);
     }
--- a/crates/coordinator/tests/upgrade.rs
+++ b/crates/coordinator/tests/upgrade.rs
@@ -91,7 +91,7 @@
                 .write_all(request.as_bytes())
                 .map(|()| read_next_response(stream, reader));
             match answer {
-                Ok(answer) if answer.whole => {
+                Ok(answer) if answer.is_complete => {
                     assert_eq!(answer.status, 200, "{}", answer.text());
                     if answer.header("Connection") == Some("close") {
                         conn = None;
--- a/crates/test-support/src/coordinator/http_client.rs
+++ b/crates/test-support/src/coordinator/http_client.rs
@@ -15,7 +15,7 @@
     /// As much of its body as came.
     pub body: Vec<u8>,
     /// Whether the response came to its own end, not just to the connection's.
-    pub whole: bool,
+    pub is_complete: bool,
 }
 
 impl Response {
@@ -44,7 +44,7 @@
         status: 0,
         headers: Vec::new(),
         body: Vec::new(),
-        whole: false,
+        is_complete: false,
     };
     let mut chunk = [0; 4096];
     loop {
@@ -56,7 +56,7 @@
                 ResponsePart::EarlyHeader(_) => {}
                 ResponsePart::Body(bytes) => answer.body.extend(bytes),
                 ResponsePart::End => {
-                    answer.whole = true;
+                    answer.is_complete = true;
                     return answer;
                 }
             }
