--- a/crates/core/tests/golden.rs
+++ b/crates/core/tests/golden.rs
@@ -13,7 +13,7 @@
 };
 use driftfront_test_support::assert_golden;
 use driftfront_test_support::request_core::{core, listed, settings, LIMITS, LOAD, LOOKUP, S};
-use driftfront_test_support::transcript::{Dice, Transcript};
+use driftfront_test_support::transcript::{SplitMix64, Transcript};
 use std::fmt::Write;
 use std::rc::Rc;
 
@@ -79,7 +79,7 @@
 struct Simulation {
     core: Core,
     now: Micros,
-    dice: Dice,
+    dice: SplitMix64,
     /// Attempts in flight, and whether each was written.
     in_flight: Vec<(AttemptKey, bool)>,
     open: Vec<RequestId>,
@@ -95,7 +95,7 @@
         let mut simulation = Simulation {
             core: Core::new(settings(edit), limits, seed),
             now: 1_000 * S,
-            dice: Dice(seed),
+            dice: SplitMix64(seed),
             in_flight: Vec::new(),
             open: Vec::new(),
             last_request: 0,
--- a/crates/scheduler/tests/transcript.rs
+++ b/crates/scheduler/tests/transcript.rs
@@ -11,7 +11,7 @@
 use driftfront_scheduler::*;
 use driftfront_test_support::assert_golden;
 use driftfront_test_support::scheduler::{class, listed, settings, MS, S};
-use driftfront_test_support::transcript::{Dice, Transcript};
+use driftfront_test_support::transcript::{SplitMix64, Transcript};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
 
@@ -117,7 +117,7 @@
 }
 
 struct Simulation {
-    dice: Dice,
+    dice: SplitMix64,
     now: u64,
     order: u64,
     pending: BTreeMap<(u64, u64), SimEvent>,
@@ -139,7 +139,7 @@
         awaits_first_bytes: bool,
         load: f64,
     ) -> Simulation {
-        let mut dice = Dice(seed);
+        let mut dice = SplitMix64(seed);
         let make = |n: u32| {
             let own = Settings {
                 number: n,
@@ -888,7 +888,7 @@
 fn transcript_of_settings_drawn_at_random() {
     let mut all = String::new();
     for seed in 100..124 {
-        let mut dice = Dice(seed);
+        let mut dice = SplitMix64(seed);
         let mut yes = |percent| dice.chance(percent);
         let base = if yes(50) { many() } else { few() };
         let s = Settings {
--- a/crates/test-support/src/transcript.rs
+++ b/crates/test-support/src/transcript.rs
@@ -10,11 +10,11 @@
 
 /// A seeded generator (splitmix64) for tests, so that no code under test decides what happens in them.
 #[derive(Clone, Debug)]
-pub struct Dice(pub u64);
+pub struct SplitMix64(pub u64);
 
-impl Dice {
+impl SplitMix64 {
     /// The next number, all 64 bits.
-    pub fn roll(&mut self) -> u64 {
+    pub fn next_u64(&mut self) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut z = self.0;
         z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -24,7 +24,7 @@
 
     /// A number under `n`; 0 where `n` is 0.
     pub fn below(&mut self, n: u64) -> u64 {
-        self.roll() % n.max(1)
+        self.next_u64() % n.max(1)
     }
 
     /// True in so many of 100 cases.
