--- a/crates/coordinator/benches/clickhouse.rs
+++ b/crates/coordinator/benches/clickhouse.rs
@@ -8,7 +8,7 @@
 use driftfront_mock_servers::request_log::RequestLog;
 use driftfront_test_support::coordinator::clickhouse_site::{read_some, Plan, Site};
 use driftfront_test_support::coordinator::{
-    appliance, file, instance, read_response, unused_address, MeasuredProcess,
+    example_configuration, file, instance, read_response, unused_address, MeasuredProcess,
 };
 use hdrhistogram::Histogram;
 use std::io::{Read, Write};
@@ -34,7 +34,7 @@
             "{{\"instances\":[{}]}}",
             instance("e0", engine, "ready")
         ));
-        let config = appliance()
+        let config = example_configuration()
             .replace("127.0.0.1:8123", &addr.to_string())
             .replace("deploy/engines.json", &list.display().to_string())
             .replace("\"sockets\": 1024", &format!("\"sockets\": 2048{limits}"));
--- a/crates/coordinator/tests/clickhouse.rs
+++ b/crates/coordinator/tests/clickhouse.rs
@@ -7,8 +7,8 @@
 use driftfront_mock_servers::request_log::RequestLog;
 use driftfront_test_support::coordinator::clickhouse_site::{read_some, Plan, Site};
 use driftfront_test_support::coordinator::{
-    appliance, call, file, get, instance, poll_until, post, read_response, stand_in, Coordinator,
-    Response,
+    call, example_configuration, file, get, instance, poll_until, post, read_response, stand_in,
+    Coordinator, Response,
 };
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -1051,7 +1051,7 @@
             }
         }
     });
-    let config = appliance()
+    let config = example_configuration()
         .replace("127.0.0.1:8123", "127.0.0.1:0")
         .replace(
             "\"file\": \"deploy/engines.json\"",
@@ -1104,11 +1104,11 @@
         ),
         ("{\"listen\":\"here\",\"settings\":{}}", "listen"),
         (
-            &appliance().replace("\"clickhouse\",", "\"other\","),
+            &example_configuration().replace("\"clickhouse\",", "\"other\","),
             "front: unknown: other",
         ),
         (
-            &appliance().replace("\"write\": \"member-load\"", "\"write\": \"x\""),
+            &example_configuration().replace("\"write\": \"member-load\"", "\"write\": \"x\""),
             "clickhouse.write",
         ),
     ] {
--- a/crates/coordinator/tests/golden_operators/commands.rs
+++ b/crates/coordinator/tests/golden_operators/commands.rs
@@ -4,7 +4,7 @@
 use driftfront::config::Config;
 use driftfront_control::commands::COMMANDS;
 use driftfront_test_support::assert_golden;
-use driftfront_test_support::coordinator::{appliance, platform_site};
+use driftfront_test_support::coordinator::{example_configuration, platform_site};
 use std::os::unix::fs::PermissionsExt;
 use tinyjson::JsonValue;
 
@@ -113,7 +113,7 @@
         "fleet-and-state.kdl",
         &(deploy("fleet.kdl") + "state \"state\"\n"),
     );
-    folder.write("site.json", &appliance());
+    folder.write("site.json", &example_configuration());
     folder.write(
         "etcd.kdl",
         "engines { etcd \"127.0.0.1:2379\" prefix=\"/engines/\"; }\nfront \"platform\"\n",
@@ -233,7 +233,7 @@
     ]
     .map(|text| values(&Config::of_operator(text).expect("well formed")))
     .join("\n");
-    let json = values(&Config::read(appliance().as_bytes()).expect("well formed"));
+    let json = values(&Config::read(example_configuration().as_bytes()).expect("well formed"));
     assert_golden!("operators/values.txt", text + "\n" + &json);
 }
 
@@ -374,7 +374,7 @@
         ("\"Effect\": \"free\"", "\"Effect\": \"odd\""),
         ("\"OnTimeUs\": 500000", "\"OnTimeUs\": \"x\""),
     ] {
-        let whole = appliance();
+        let whole = example_configuration();
         assert!(whole.contains(from), "{from}");
         folder.write("wrong.json", &whole.replacen(from, to, 1));
         text += &format!("--- {from} -> {to}\n{}", type_in(&folder.0, &["check", "--config", "wrong.json"]));
--- a/crates/coordinator/tests/golden_operators/files.rs
+++ b/crates/coordinator/tests/golden_operators/files.rs
@@ -8,7 +8,7 @@
 use driftfront_engine_registry::rolling_restart::RollingRestart;
 use driftfront_engine_registry::{ActiveOrder, EngineDescription, Order};
 use driftfront_scheduler::Phase;
-use driftfront_test_support::coordinator::{appliance, file, TEST_TIMEOUT};
+use driftfront_test_support::coordinator::{example_configuration, file, TEST_TIMEOUT};
 use driftfront_test_support::{assert_golden, read_golden};
 use std::os::unix::fs::PermissionsExt;
 use std::path::Path;
@@ -384,7 +384,7 @@
 
 #[test]
 fn the_line_that_says_where_it_listens() {
-    let config = appliance()
+    let config = example_configuration()
         .replace("127.0.0.1:8123", "127.0.0.1:0")
         .replacen('{', "{\"management\": \"127.0.0.1:0\",", 1);
     let path = file(&config);
--- a/crates/coordinator/tests/operators.rs
+++ b/crates/coordinator/tests/operators.rs
@@ -7,7 +7,7 @@
 use driftfront_mock_servers::request_log::RequestLog;
 use driftfront_test_support::coordinator::clickhouse_site::{Plan, Site};
 use driftfront_test_support::coordinator::{
-    appliance, file, instance, post, read_response, Coordinator, TEST_TIMEOUT,
+    example_configuration, file, instance, post, read_response, Coordinator, TEST_TIMEOUT,
 };
 use std::io::{Read, Write};
 use std::os::unix::fs::PermissionsExt;
@@ -458,7 +458,7 @@
         .contains("complete -F"));
     // A control socket that answers is not taken over by a second program.
     let list = file("{\"instances\":[]}");
-    let config = appliance()
+    let config = example_configuration()
         .replace("127.0.0.1:8123", "127.0.0.1:0")
         .replace("deploy/engines.json", &list.display().to_string())
         .replace(
@@ -501,7 +501,7 @@
         "{{\"instances\":[{}]}}",
         instance("e0", engine.addr(), "ready")
     ));
-    let config = appliance()
+    let config = example_configuration()
         .replace("127.0.0.1:8123", "127.0.0.1:0")
         .replace("deploy/engines.json", &list.display().to_string())
         .replace(
--- a/crates/test-support/src/coordinator/configuration.rs
+++ b/crates/test-support/src/coordinator/configuration.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 
 /// A configuration in the platform's form, for a site of one coordinator.
-pub fn appliance() -> String {
+pub fn example_configuration() -> String {
     crate::EXAMPLE_CONFIGURATION.to_string()
 }
 
--- a/crates/test-support/src/coordinator/platform_site.rs
+++ b/crates/test-support/src/coordinator/platform_site.rs
@@ -2,7 +2,7 @@
 
 use super::engine_list::{instances, EngineList};
 use super::line_engine;
-use super::{appliance, post, Coordinator, Response};
+use super::{example_configuration, post, Coordinator, Response};
 use driftfront_engine_registry::fnv1a_64;
 use driftfront_mock_servers::request_log::RequestLog;
 use std::net::SocketAddr;
@@ -22,7 +22,7 @@
 
 /// The platform's configuration of a coordinator whose list of engines is served at this address.
 pub fn config(list: SocketAddr) -> String {
-    appliance()
+    example_configuration()
         .replace("127.0.0.1:8123", "127.0.0.1:0")
         .replace(
             "\"front\": \"clickhouse\"",
