--- a/crates/coordinator/tests/clickhouse.rs
+++ b/crates/coordinator/tests/clickhouse.rs
@@ -7,8 +7,8 @@
 use driftfront_mock_servers::request_log::RequestLog;
 use driftfront_test_support::coordinator::clickhouse_site::{read_some, Plan, Site};
 use driftfront_test_support::coordinator::{
-    call, example_configuration, file, get, instance, poll_until, post, read_response, stand_in,
-    Coordinator, Response,
+    call, example_configuration, file, get, instance, poll_until, post, read_response,
+    start_mock_server, Coordinator, Response,
 };
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -1015,7 +1015,7 @@
     let (told, tell) = std::sync::mpsc::channel::<()>();
     let tell = std::sync::Mutex::new(tell);
     let key = STANDARD.encode("/uni/e0");
-    let etcd = stand_in(move |mut stream| {
+    let etcd = start_mock_server(move |mut stream| {
         let mut reader = RequestReader::new(4096);
         let mut bytes = [0; 4096];
         loop {
--- a/crates/coordinator/tests/endings/engines.rs
+++ b/crates/coordinator/tests/endings/engines.rs
@@ -3,7 +3,7 @@
 use super::{open, report, until};
 use driftfront_test_support::coordinator::line_engine::read_statement;
 use driftfront_test_support::coordinator::platform_site::Site;
-use driftfront_test_support::coordinator::{read_response, stand_in, Coordinator};
+use driftfront_test_support::coordinator::{read_response, start_mock_server, Coordinator};
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::mpsc::channel;
@@ -42,7 +42,7 @@
 fn late_duplicate_response_does_not_end_the_next_attempt() {
     let tried = Arc::new(Mutex::new(Vec::<usize>::new()));
     let (seen, connections) = (tried.clone(), std::sync::atomic::AtomicUsize::new(0));
-    let engine = stand_in(move |stream| {
+    let engine = start_mock_server(move |stream| {
         let number = connections.fetch_add(1, std::sync::atomic::Ordering::SeqCst);
         let (mut input, mut out) = (BufReader::new(stream.try_clone().unwrap()), stream);
         let mut line = String::new();
@@ -92,7 +92,7 @@
     let goes = Mutex::new(goes);
     let asked = Arc::new(Mutex::new(Vec::<String>::new()));
     let seen = asked.clone();
-    let engine = stand_in(move |mut stream| {
+    let engine = start_mock_server(move |mut stream| {
         let mut input = BufReader::new(stream.try_clone().unwrap());
         let mut line = String::new();
         while input.read_line(&mut line).unwrap_or(0) > 0 {
--- a/crates/coordinator/tests/endings/lists.rs
+++ b/crates/coordinator/tests/endings/lists.rs
@@ -4,7 +4,7 @@
 use driftfront_test_support::coordinator::engine_list::{event, instances, read_head, EngineList};
 use driftfront_test_support::coordinator::line_engine::engines;
 use driftfront_test_support::coordinator::platform_site::{config, Site};
-use driftfront_test_support::coordinator::{post, stand_in, Coordinator};
+use driftfront_test_support::coordinator::{post, start_mock_server, Coordinator};
 use socket2::{Domain, Socket, Type};
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -16,7 +16,7 @@
     let tells = Arc::new(Mutex::new(Vec::<String>::new()));
     let (told, asked) = (tells.clone(), Arc::new(Mutex::new(Vec::<usize>::new())));
     let calls = asked.clone();
-    let addr = stand_in(move |mut stream| {
+    let addr = start_mock_server(move |mut stream| {
         let mut input = BufReader::new(stream.try_clone().unwrap());
         let Some(head) = read_head(&mut input) else {
             return;
--- a/crates/coordinator/tests/endings/main.rs
+++ b/crates/coordinator/tests/endings/main.rs
@@ -9,7 +9,9 @@
 use driftfront_mock_servers::request_log::RequestLog;
 use driftfront_test_support::coordinator::line_engine::read_statement;
 use driftfront_test_support::coordinator::platform_site::Site;
-use driftfront_test_support::coordinator::{poll_until, stand_in, Coordinator, TEST_TIMEOUT};
+use driftfront_test_support::coordinator::{
+    poll_until, start_mock_server, Coordinator, TEST_TIMEOUT,
+};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::TcpStream;
 use std::sync::{Arc, Condvar, Mutex};
@@ -92,7 +94,7 @@
     let (request_log, gate) = (Arc::new(RequestLog::default()), Arc::new(Gate::default()));
     let engine = |n: usize| {
         let (runs, gate) = (request_log.clone(), gate.clone());
-        stand_in(move |stream| hold(stream, &n.to_string(), &runs, &gate))
+        start_mock_server(move |stream| hold(stream, &n.to_string(), &runs, &gate))
     };
     let engines = (0..engines).map(engine).collect();
     (
--- a/crates/coordinator/tests/platform.rs
+++ b/crates/coordinator/tests/platform.rs
@@ -3,7 +3,7 @@
 use driftfront_test_support::coordinator::engine_list::EngineList;
 use driftfront_test_support::coordinator::platform_site::{config, Site};
 use driftfront_test_support::coordinator::{
-    call, read_next_response, read_response, stand_in, Coordinator,
+    call, read_next_response, read_response, start_mock_server, Coordinator,
 };
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -40,7 +40,7 @@
 fn engine_is_suspected_when_all_idle_connections_are_reset() {
     let (end, ends) = channel::<()>();
     let ends = Mutex::new(ends);
-    let dies = stand_in(move |mut stream| {
+    let dies = start_mock_server(move |mut stream| {
         // The request is not read to its end, so that what is left makes the system reset the connection.
         let mut head = [0; 20];
         stream.read_exact(&mut head).unwrap();
--- a/crates/coordinator/tests/second.rs
+++ b/crates/coordinator/tests/second.rs
@@ -4,7 +4,7 @@
 use driftfront_test_support::coordinator::engine_list::EngineList;
 use driftfront_test_support::coordinator::platform_site::config;
 use driftfront_test_support::coordinator::{
-    instance, post, stand_in, Coordinator, Response, TEST_TIMEOUT,
+    instance, post, start_mock_server, Coordinator, Response, TEST_TIMEOUT,
 };
 use quickcheck::{Arbitrary, Gen};
 use std::collections::BTreeMap;
@@ -149,7 +149,7 @@
         let record = Arc::new(Record::default());
         let one = |n| {
             let record = record.clone();
-            stand_in(move |stream| engine(stream, n, &record))
+            start_mock_server(move |stream| engine(stream, n, &record))
         };
         let engines: Vec<SocketAddr> = (0..engines).map(one).collect();
         let list = EngineList::start();
--- a/crates/test-support/src/coordinator/engine_list.rs
+++ b/crates/test-support/src/coordinator/engine_list.rs
@@ -1,6 +1,6 @@
 //! A mock of the platform's list of engines: a stream of server-sent events.
 
-use super::{instance, stand_in};
+use super::{instance, start_mock_server};
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::mpsc::{channel, Receiver, Sender};
@@ -32,7 +32,7 @@
     pub fn start() -> EngineList {
         let state: Arc<Mutex<State>> = Arc::default();
         let served = state.clone();
-        let addr = stand_in(move |stream| serve(stream, &served));
+        let addr = start_mock_server(move |stream| serve(stream, &served));
         EngineList { addr, state }
     }
 
--- a/crates/test-support/src/coordinator/line_engine.rs
+++ b/crates/test-support/src/coordinator/line_engine.rs
@@ -11,7 +11,7 @@
 //! | `nonsense` | the first attempt gets a line that is none |
 //! | `pages` | a result of eight pages; with `lost`, the connection closes behind the first page of the first attempt |
 
-use super::stand_in;
+use super::start_mock_server;
 use driftfront_mock_servers::request_log::RequestLog;
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -29,7 +29,7 @@
 pub fn engines(number: usize, request_log: &Arc<RequestLog>) -> Vec<SocketAddr> {
     let engine = |n| {
         let request_log = request_log.clone();
-        stand_in(move |stream| serve(stream, n, &request_log))
+        start_mock_server(move |stream| serve(stream, n, &request_log))
     };
     (0..number).map(engine).collect()
 }
--- a/crates/test-support/src/coordinator/mod.rs
+++ b/crates/test-support/src/coordinator/mod.rs
@@ -16,7 +16,7 @@
 pub use configuration::{example_configuration, file, instance};
 pub use http_client::{call, get, post, read_next_response, read_response, Response};
 pub use measured_process::{unused_address, MeasuredProcess};
-pub use mock_server::stand_in;
+pub use mock_server::start_mock_server;
 pub use process::{program, Coordinator};
 
 use std::time::{Duration, Instant};
