--- a/crates/coordinator/tests/endings/clients.rs
+++ b/crates/coordinator/tests/endings/clients.rs
@@ -74,7 +74,7 @@
     // The way to its engine is open, so that what is taken would be there at once.
     assert_eq!(site.ask("lookup", 2500, "SELECT before").status, 200);
     // As one in a full backlog, or before a program that stood still.
-    site.coordinator.freeze();
+    site.coordinator.suspend();
     for id in 1..=3 {
         leave(open(
             &site,
@@ -85,7 +85,7 @@
     let much = request("lookup", 4, "", "SELECT left 4")
         + &request("lookup", 5, "", &"y".repeat(900)).repeat(90);
     leave(open(&site, &much));
-    site.coordinator.wake();
+    site.coordinator.resume();
     site.coordinator.wait_for("clients_left", 4);
     assert_eq!(site.ask("lookup", 2500, "SELECT here").status, 200);
     assert_eq!(ran(&site), ["SELECT before", "SELECT here"]);
@@ -101,9 +101,9 @@
     site.request_log
         .wait_until("some are out", |all| !all.is_empty());
     // Found at one moment: else each that leaves makes room for one that has not left yet.
-    site.coordinator.freeze();
+    site.coordinator.suspend();
     drop(waiting);
-    site.coordinator.wake();
+    site.coordinator.resume();
     site.coordinator.wait_for("clients_left", all);
     let_pass(TERM);
     // The engine had as much as it may; the others waited for one of these to end.
@@ -128,13 +128,13 @@
     let leaves = open(&site, &report(1, "SELECT held, then full"));
     site.request_log.wait_for("SELECT held, then full", 1);
     // The engine's no and the client's end are found at one moment.
-    site.coordinator.freeze();
+    site.coordinator.suspend();
     gate.open();
     site.request_log.wait_until("the engine's no", |all| {
         all.iter().all(|e| e.over.is_some())
     });
     leave(leaves);
-    site.coordinator.wake();
+    site.coordinator.resume();
     site.coordinator.wait_for("clients_left", 1);
     let_pass(TERM);
     assert_eq!(site.request_log.of("SELECT held, then full").len(), 1);
@@ -291,14 +291,14 @@
         assert_eq!(read_response(&mut stream).status, 200);
         resting.push(stream);
     }
-    site.coordinator.freeze();
+    site.coordinator.suspend();
     // The newcomers are found first, then the request on the connection that would go for one of them.
     let newcomer = |n| open(&site, &request("lookup", n, "", "SELECT new"));
     let mut newcomers: Vec<TcpStream> = (1..15).map(newcomer).collect();
     resting[0]
         .write_all(request("lookup", 99, "", "SELECT crossing").as_bytes())
         .unwrap();
-    site.coordinator.wake();
+    site.coordinator.resume();
     assert_eq!(read_response(&mut resting[0]).status, 200);
     for newcomer in &mut newcomers {
         assert_eq!(read_response(newcomer).status, 200);
--- a/crates/coordinator/tests/endings/engines.rs
+++ b/crates/coordinator/tests/endings/engines.rs
@@ -124,14 +124,14 @@
     until("it is asked", || !asked.lock().unwrap().is_empty());
     let mut second = TcpStream::connect(site.coordinator.addr).unwrap();
     site.coordinator.wait_for("connections_clients", 3);
-    site.coordinator.freeze();
+    site.coordinator.suspend();
     // The program finds the second request first, and with it something to send where all has ended.
     second
         .write_all(report(2, "SELECT second").as_bytes())
         .unwrap();
     go.send(()).unwrap();
     until("the engine has ended", || engine_has_ended(engine));
-    site.coordinator.wake();
+    site.coordinator.resume();
     assert_eq!(read_response(&mut first).status, 200);
     assert_eq!(read_response(&mut second).status, 200);
     assert_eq!(*asked.lock().unwrap(), ["SELECT first", "SELECT second"]);
--- a/crates/coordinator/tests/endings/shutdown.rs
+++ b/crates/coordinator/tests/endings/shutdown.rs
@@ -64,14 +64,14 @@
     // Once nobody listens only this request keeps the process.
     until_nobody_listens(&site);
     // The answer, and a request that nobody will take, come to the program at one moment.
-    site.coordinator.freeze();
+    site.coordinator.suspend();
     gate.open();
     site.request_log
         .wait_until("the load's end", |all| all.iter().any(|e| e.over.is_some()));
     first
         .write_all(request("lookup", 9, "", "SELECT never").as_bytes())
         .unwrap();
-    site.coordinator.wake();
+    site.coordinator.resume();
     let mut reader = Default::default();
     assert_eq!(read_next_response(&mut first, &mut reader).status, 200);
     // In order: an end, not a reset.
@@ -92,14 +92,14 @@
     until("the signal is taken", || {
         site.coordinator.is_shutting_down()
     });
-    site.coordinator.freeze();
+    site.coordinator.suspend();
     // One in the backlog of a listener, one on a connection at rest: both are to be closed as soon as it goes on.
     let mut backlog = open(&site, &request("lookup", 3, "", "SELECT late"));
     resting
         .write_all(request("lookup", 4, "", "SELECT late").as_bytes())
         .unwrap();
     let_pass(Duration::from_millis(1000));
-    site.coordinator.wake();
+    site.coordinator.resume();
     for late in [&mut backlog, &mut resting] {
         let answer = read_response(late);
         assert_eq!(
--- a/crates/test-support/src/coordinator/process.rs
+++ b/crates/test-support/src/coordinator/process.rs
@@ -177,8 +177,8 @@
         self.child.wait().expect("it ended");
     }
 
-    /// Stops its process until [`Coordinator::wake`], which then finds at once all that happened meanwhile.
-    pub fn freeze(&self) {
+    /// Stops its process until [`Coordinator::resume`], which then finds at once all that happened meanwhile.
+    pub fn suspend(&self) {
         self.signal("-STOP");
         // The signal takes effect some time after it was sent: the process's state says when.
         let stat = format!("/proc/{}/stat", self.child.id());
@@ -187,7 +187,7 @@
     }
 
     /// Lets its process run on.
-    pub fn wake(&self) {
+    pub fn resume(&self) {
         self.signal("-CONT");
     }
 
