--- a/crates/coordinator/benches/clickhouse.rs
+++ b/crates/coordinator/benches/clickhouse.rs
@@ -8,7 +8,8 @@
 use driftfront_mock_servers::request_log::RequestLog;
 use driftfront_test_support::coordinator::clickhouse_site::{read_some, Plan, Site};
 use driftfront_test_support::coordinator::{
-    example_configuration, file, instance, read_response, unused_address, MeasuredProcess,
+    example_configuration, instance, read_response, unused_address, write_temp_file,
+    MeasuredProcess,
 };
 use hdrhistogram::Histogram;
 use std::io::{Read, Write};
@@ -30,7 +31,7 @@
     /// Starts `program`; `limits` is added to the limits of its configuration.
     fn start(program: &str, engine: SocketAddr, limits: &str) -> Through {
         let addr = unused_address();
-        let list = file(&format!(
+        let list = write_temp_file(&format!(
             "{{\"instances\":[{}]}}",
             instance("e0", engine, "ready")
         ));
@@ -38,7 +39,7 @@
             .replace("127.0.0.1:8123", &addr.to_string())
             .replace("deploy/engines.json", &list.display().to_string())
             .replace("\"sockets\": 1024", &format!("\"sockets\": 2048{limits}"));
-        let config = file(&config);
+        let config = write_temp_file(&config);
         let shell = "ulimit -n 4096; exec \"$0\" serve --log error --config \"$1\"";
         let process = MeasuredProcess::start(
             Command::new("sh").args(["-c", shell, program]).arg(&config),
--- a/crates/coordinator/tests/clickhouse.rs
+++ b/crates/coordinator/tests/clickhouse.rs
@@ -7,8 +7,8 @@
 use driftfront_mock_servers::request_log::RequestLog;
 use driftfront_test_support::coordinator::clickhouse_site::{read_some, Plan, Site};
 use driftfront_test_support::coordinator::{
-    call, example_configuration, file, get, instance, poll_until, post, read_response,
-    start_mock_server, Coordinator, Response,
+    call, example_configuration, get, instance, poll_until, post, read_response, start_mock_server,
+    write_temp_file, Coordinator, Response,
 };
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -1112,7 +1112,7 @@
             "clickhouse.write",
         ),
     ] {
-        let path = file(config);
+        let path = write_temp_file(config);
         for command in ["check", "serve"] {
             let (fine, text) = run(&[command, "--config", &path.display().to_string()]);
             assert!(
--- a/crates/coordinator/tests/golden_operators/files.rs
+++ b/crates/coordinator/tests/golden_operators/files.rs
@@ -8,7 +8,7 @@
 use driftfront_engine_registry::rolling_restart::RollingRestart;
 use driftfront_engine_registry::{ActiveOrder, EngineDescription, Order};
 use driftfront_scheduler::Phase;
-use driftfront_test_support::coordinator::{example_configuration, file, TEST_TIMEOUT};
+use driftfront_test_support::coordinator::{example_configuration, write_temp_file, TEST_TIMEOUT};
 use driftfront_test_support::{assert_golden, read_golden};
 use std::os::unix::fs::PermissionsExt;
 use std::path::Path;
@@ -387,7 +387,7 @@
     let config = example_configuration()
         .replace("127.0.0.1:8123", "127.0.0.1:0")
         .replacen('{', "{\"management\": \"127.0.0.1:0\",", 1);
-    let path = file(&config);
+    let path = write_temp_file(&config);
     let mut child = std::process::Command::new(env!("CARGO_BIN_EXE_driftfront"))
         .args(["serve", "--config"])
         .arg(&path)
--- a/crates/coordinator/tests/operators.rs
+++ b/crates/coordinator/tests/operators.rs
@@ -7,7 +7,8 @@
 use driftfront_mock_servers::request_log::RequestLog;
 use driftfront_test_support::coordinator::clickhouse_site::{Plan, Site};
 use driftfront_test_support::coordinator::{
-    example_configuration, file, instance, post, read_response, Coordinator, TEST_TIMEOUT,
+    example_configuration, instance, post, read_response, write_temp_file, Coordinator,
+    TEST_TIMEOUT,
 };
 use std::io::{Read, Write};
 use std::os::unix::fs::PermissionsExt;
@@ -457,7 +458,7 @@
         .1
         .contains("complete -F"));
     // A control socket that answers is not taken over by a second program.
-    let list = file("{\"instances\":[]}");
+    let list = write_temp_file("{\"instances\":[]}");
     let config = example_configuration()
         .replace("127.0.0.1:8123", "127.0.0.1:0")
         .replace("deploy/engines.json", &list.display().to_string())
@@ -465,7 +466,7 @@
             "\"limits\"",
             &format!("\"control\": \"{}\", \"limits\"", o.socket.display()),
         );
-    let path = file(&config);
+    let path = write_temp_file(&config);
     let second = Command::new(env!("CARGO_BIN_EXE_driftfront"))
         .args(["serve", "--config"])
         .arg(&path)
@@ -497,7 +498,7 @@
     let port = std::net::TcpListener::bind("127.91.0.1:0")
         .and_then(|l| l.local_addr())
         .expect("a port");
-    let list = file(&format!(
+    let list = write_temp_file(&format!(
         "{{\"instances\":[{}]}}",
         instance("e0", engine.addr(), "ready")
     ));
--- a/crates/test-support/src/coordinator/clickhouse_site.rs
+++ b/crates/test-support/src/coordinator/clickhouse_site.rs
@@ -1,6 +1,6 @@
 //! A coordinator in front of mock engines that speak ClickHouse's interface, and a file with their list.
 
-use super::{example_configuration, file, instance, post, Coordinator, Response};
+use super::{example_configuration, instance, post, write_temp_file, Coordinator, Response};
 use driftfront_mock_servers::engine::{Engine, Options};
 use driftfront_mock_servers::request_log::RequestLog;
 use std::io::{Read, Write};
@@ -82,7 +82,7 @@
             )
         };
         let engines: Vec<Engine> = (0..self.engines).map(engine).collect();
-        let list = file("");
+        let list = write_temp_file("");
         let mut config = example_configuration()
             .replace("127.0.0.1:8123", "127.0.0.1:0")
             .replace("deploy/engines.json", &list.display().to_string());
--- a/crates/test-support/src/coordinator/configuration.rs
+++ b/crates/test-support/src/coordinator/configuration.rs
@@ -13,7 +13,7 @@
 static NEXT_FILE: AtomicUsize = AtomicUsize::new(0);
 
 /// Writes a temporary file that no other test uses.
-pub fn file(text: &str) -> PathBuf {
+pub fn write_temp_file(text: &str) -> PathBuf {
     let n = NEXT_FILE.fetch_add(1, Ordering::Relaxed);
     let path =
         std::env::temp_dir().join(format!("driftfront-test-{}-{n}.json", std::process::id()));
--- a/crates/test-support/src/coordinator/mod.rs
+++ b/crates/test-support/src/coordinator/mod.rs
@@ -13,7 +13,7 @@
 mod process_figures;
 
 pub use cluster::start_cluster;
-pub use configuration::{example_configuration, file, instance};
+pub use configuration::{example_configuration, instance, write_temp_file};
 pub use http_client::{call, get, post, read_next_response, read_response, Response};
 pub use measured_process::{unused_address, MeasuredProcess};
 pub use mock_server::start_mock_server;
--- a/crates/test-support/src/coordinator/process.rs
+++ b/crates/test-support/src/coordinator/process.rs
@@ -1,7 +1,7 @@
 //! The program itself on loopback, as its operators run it. Waits are for events, never for a time.
 
 use super::process_figures::status_kilobytes;
-use super::{file, get, poll_until, TEST_TIMEOUT};
+use super::{get, poll_until, write_temp_file, TEST_TIMEOUT};
 use driftfront_cluster_harness::wall_clock::WallClock;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -79,7 +79,7 @@
 
     /// Runs a shell's command with the program and its file as arguments, and waits until it serves.
     fn spawn(config: &str, command: &mut Command) -> Coordinator {
-        let config = file(config);
+        let config = write_temp_file(config);
         let level = std::env::var("DRIFTFRONT_TEST_LOG").unwrap_or("info".into());
         let mut child = command
             .arg(program())
