--- a/crates/coordinator/benches/clickhouse.rs
+++ b/crates/coordinator/benches/clickhouse.rs
@@ -6,7 +6,7 @@
 
 use driftfront_mock_servers::engine::{Engine, Options};
 use driftfront_mock_servers::request_log::RequestLog;
-use driftfront_test_support::coordinator::clickhouse_site::{read_some, Plan, Site};
+use driftfront_test_support::coordinator::clickhouse_site::{read_some, Site, SiteOptions};
 use driftfront_test_support::coordinator::{
     example_configuration, instance, read_response, unused_address, write_temp_file,
     MeasuredProcess,
@@ -227,7 +227,7 @@
     );
     drop(open);
     // Each reads 1 KB a second; engines take 64 queries each, so there are more.
-    let site: Site = Plan::of(14).memory_mb(48).start();
+    let site: Site = SiteOptions::with_engines(14).memory_mb(48).start();
     let mut slow: Vec<TcpStream> = (0..200)
         .map(|n| {
             site.begin(
@@ -252,7 +252,7 @@
 }
 
 fn insert(mb: usize) {
-    let site: Site = Plan::of(1).memory_mb(48).start();
+    let site: Site = SiteOptions::with_engines(1).memory_mb(48).start();
     let mut stream = TcpStream::connect(site.coordinator.addr).expect("it listens");
     let piece = "0123456789,abcde\n".repeat(61_680).into_bytes();
     let length = piece.len() * mb;
--- a/crates/coordinator/tests/clickhouse.rs
+++ b/crates/coordinator/tests/clickhouse.rs
@@ -5,7 +5,7 @@
 use driftfront_http::{chunk, RequestReader};
 use driftfront_mock_servers::engine::{fnv, Options};
 use driftfront_mock_servers::request_log::RequestLog;
-use driftfront_test_support::coordinator::clickhouse_site::{read_some, Plan, Site};
+use driftfront_test_support::coordinator::clickhouse_site::{read_some, Site, SiteOptions};
 use driftfront_test_support::coordinator::{
     call, example_configuration, get, instance, poll_until, post, read_response, start_mock_server,
     write_temp_file, Coordinator, Response,
@@ -60,9 +60,9 @@
         user: Some(("jana".into(), "pa:ss".into())),
         ..Options::default()
     };
-    let site = Plan {
+    let site = SiteOptions {
         options,
-        ..Plan::of(1)
+        ..SiteOptions::with_engines(1)
     }
     .start();
     let addr = site.coordinator.addr;
@@ -91,7 +91,7 @@
 #[test]
 fn result_is_broken_before_the_deadline_when_its_engine_stalls() {
     // The engine answers pings, this result alone stands still.
-    let site = Plan::of(2).stall_ms(400).start();
+    let site = SiteOptions::with_engines(2).stall_ms(400).start();
     let answer = post(
         site.coordinator.addr,
         "/",
@@ -137,7 +137,7 @@
 
 #[test]
 fn engine_silent_within_a_result_is_detected_by_pings() {
-    let site = Plan::of(1).stall_ms(60_000).start();
+    let site = SiteOptions::with_engines(1).stall_ms(60_000).start();
     let query = "SELECT wide(20) FROM numbers(1000000) /* standin: silent_after=500000 */";
     let mut stream = site.begin("/?driftfront_class=report", query);
     assert!(read_some(&mut stream, 400_000) >= 400_000);
@@ -212,9 +212,9 @@
             tags,
             ..Options::default()
         };
-        let site = Plan {
+        let site = SiteOptions {
             options,
-            ..Plan::of(2)
+            ..SiteOptions::with_engines(2)
         }
         .start();
         let addr = site.coordinator.addr;
@@ -674,7 +674,7 @@
 #[test]
 fn insert_larger_than_memory_arrives_unchanged() {
     const BYTES: usize = 256 * 1024 * 1024;
-    let site = Plan::of(1).memory_mb(48).start();
+    let site = SiteOptions::with_engines(1).memory_mb(48).start();
     for (chunked, table) in [(true, "chunked"), (false, "counted")] {
         let (pieces, hash) = body_of(BYTES);
         let mut stream = TcpStream::connect(site.coordinator.addr).unwrap();
@@ -782,7 +782,7 @@
                  \"RepeatWindowUs\": 60000000, \"OnTimeUs\": 3000000, \"DeadlineUs\": 25000000, \"Worth\": 7.5, \
                  \"LateWorth\": 0.6},\n      {\"Name\": \"member-load\"";
     let plan = || {
-        Plan::of(2)
+        SiteOptions::with_engines(2)
             .with("{\"Name\": \"member-load\"", keyed)
             .with(
                 "\"WidthByClass\": [1, 2, 2]",
@@ -824,7 +824,7 @@
 
 #[test]
 fn progress_is_sent_only_to_clients_that_ask() {
-    let site = Plan::of(1)
+    let site = SiteOptions::with_engines(1)
         .with("\"TellsEveryUs\": 1000000", "\"TellsEveryUs\": 100000")
         .start();
     let query = "SELECT 1 /* standin: sleep_ms=600 */";
@@ -864,7 +864,7 @@
 
 #[test]
 fn slow_readers_are_bounded_in_memory_and_delay_nobody() {
-    let site = Plan::of(10).memory_mb(48).start();
+    let site = SiteOptions::with_engines(10).memory_mb(48).start();
     let slow: Vec<TcpStream> = (0..60)
         .map(|n| {
             site.begin(
@@ -932,7 +932,9 @@
 #[test]
 fn ban_and_pause_let_results_and_streamed_inserts_finish() {
     let second = "\"name\": \"appliance\", \"management\": \"127.0.0.1:0\"";
-    let site = Plan::of(1).with("\"name\": \"appliance\"", second).start();
+    let site = SiteOptions::with_engines(1)
+        .with("\"name\": \"appliance\"", second)
+        .start();
     assert_eq!(
         site.ask("/?session_id=s", "CREATE TEMPORARY TABLE t (n Int)")
             .status,
@@ -988,9 +990,9 @@
 
 #[test]
 fn idle_clients_are_evicted_when_descriptors_run_out() {
-    let site = Plan {
+    let site = SiteOptions {
         descriptors: 30,
-        ..Plan::of(1)
+        ..SiteOptions::with_engines(1)
     }
     .start();
     let idle: Vec<TcpStream> = (0..60)
--- a/crates/coordinator/tests/conformance.rs
+++ b/crates/coordinator/tests/conformance.rs
@@ -7,7 +7,7 @@
 use driftfront_mock_servers::engine::{Engine, Options};
 use driftfront_mock_servers::request_log::RequestLog;
 use driftfront_settings::json::{parse, Json};
-use driftfront_test_support::coordinator::clickhouse_site::{Plan, Site};
+use driftfront_test_support::coordinator::clickhouse_site::{Site, SiteOptions};
 use driftfront_test_support::coordinator::TEST_TIMEOUT;
 use std::fmt::Write as _;
 use std::io::{Read, Write};
@@ -218,7 +218,7 @@
     let text = std::fs::read(folder.join("tests/conformance/cases.json")).expect("the cases");
     let cases = parse(&text).expect("JSON");
     let straight = Engine::start(Options::default(), Arc::new(RequestLog::default()));
-    let site: Site = Plan::of(1).start();
+    let site: Site = SiteOptions::with_engines(1).start();
     let mut table = String::from(
         "# Conformance of the ClickHouse front\n\nEach case of `crates/coordinator/tests/conformance/cases.json` runs straight \
          against a stand-in engine and through the\nprogram, and the client's view is compared: status, headers, the \
--- a/crates/coordinator/tests/golden_operators/control.rs
+++ b/crates/coordinator/tests/golden_operators/control.rs
@@ -4,7 +4,7 @@
 use crate::Folder;
 use driftfront_control::{Request, MAX_REPLY_BYTES};
 use driftfront_test_support::assert_golden;
-use driftfront_test_support::coordinator::clickhouse_site::Plan;
+use driftfront_test_support::coordinator::clickhouse_site::SiteOptions;
 use driftfront_test_support::coordinator::platform_site::Site as LineSite;
 use driftfront_test_support::coordinator::{get, TEST_TIMEOUT};
 use std::io::{BufRead, BufReader, Read, Write};
@@ -89,12 +89,12 @@
     ordered(&value).replace('\n', "") + "\n"
 }
 
-fn site(folder: &Folder) -> Plan {
+fn site(folder: &Folder) -> SiteOptions {
     let more = format!(
         "\"control\": \"{0}/control\", \"state\": \"{0}/state\", \"limits\"",
         folder.0.display()
     );
-    Plan::of(2)
+    SiteOptions::with_engines(2)
         .with("\"limits\"", &more)
         .with("\"limits\"", "\"management\": \"127.0.0.1:0\", \"limits\"")
 }
--- a/crates/coordinator/tests/operators.rs
+++ b/crates/coordinator/tests/operators.rs
@@ -5,7 +5,7 @@
 use driftfront_control::{Reply, Request};
 use driftfront_mock_servers::engine::{Engine, Options};
 use driftfront_mock_servers::request_log::RequestLog;
-use driftfront_test_support::coordinator::clickhouse_site::{Plan, Site};
+use driftfront_test_support::coordinator::clickhouse_site::{Site, SiteOptions};
 use driftfront_test_support::coordinator::{
     example_configuration, instance, post, read_response, write_temp_file, Coordinator,
     TEST_TIMEOUT,
@@ -43,13 +43,13 @@
         }
     }
 
-    fn plan(engines: usize, socket: &std::path::Path, state: &std::path::Path) -> Plan {
+    fn plan(engines: usize, socket: &std::path::Path, state: &std::path::Path) -> SiteOptions {
         let more = format!(
             "\"control\": \"{}\", \"state\": \"{}\", \"limits\"",
             socket.display(),
             state.display()
         );
-        Plan::of(engines).with("\"limits\"", &more)
+        SiteOptions::with_engines(engines).with("\"limits\"", &more)
     }
 
     fn remote(&self) -> Remote {
--- a/crates/coordinator/tests/rust_client.rs
+++ b/crates/coordinator/tests/rust_client.rs
@@ -1,7 +1,7 @@
 //! The official Rust client's usual calls, through the program.
 
 use clickhouse::{Client, Compression, Row};
-use driftfront_test_support::coordinator::clickhouse_site::{Plan, Site};
+use driftfront_test_support::coordinator::clickhouse_site::{Site, SiteOptions};
 use serde::{Deserialize, Serialize};
 
 #[derive(Debug, PartialEq, Row, Serialize, Deserialize)]
@@ -26,7 +26,7 @@
 
 #[test]
 fn queries_fetch_rows_with_and_without_compression() {
-    let site = Plan::of(2).start();
+    let site = SiteOptions::with_engines(2).start();
     run(async {
         for compression in [Compression::None, Compression::Lz4] {
             let client = client(&site).with_compression(compression);
@@ -61,7 +61,7 @@
 
 #[test]
 fn inserts_are_read_back_with_and_without_compression() {
-    let site = Plan::of(1).start();
+    let site = SiteOptions::with_engines(1).start();
     run(async {
         for (compression, table) in [(Compression::None, "plain"), (Compression::Lz4, "packed")] {
             let client = client(&site).with_compression(compression);
@@ -95,7 +95,7 @@
 
 #[test]
 fn errors_keep_the_engine_s_message() {
-    let site = Plan::of(1).start();
+    let site = SiteOptions::with_engines(1).start();
     run(async {
         let client = client(&site).with_compression(Compression::None);
         let wrong = client
--- a/crates/test-support/src/coordinator/clickhouse_site.rs
+++ b/crates/test-support/src/coordinator/clickhouse_site.rs
@@ -25,7 +25,7 @@
 
 /// How a site differs from the example.
 #[derive(Clone)]
-pub struct Plan {
+pub struct SiteOptions {
     /// How many engines it has.
     pub engines: usize,
     /// Descriptors that the coordinator may hold.
@@ -36,10 +36,10 @@
     pub changes: Vec<(String, String)>,
 }
 
-impl Plan {
+impl SiteOptions {
     /// The example with so many engines.
-    pub fn of(engines: usize) -> Plan {
-        Plan {
+    pub fn with_engines(engines: usize) -> SiteOptions {
+        SiteOptions {
             engines,
             descriptors: 1024,
             options: Options::default(),
@@ -48,13 +48,13 @@
     }
 
     /// Puts `to` in the place of `from` in the configuration.
-    pub fn with(mut self, from: &str, to: &str) -> Plan {
+    pub fn with(mut self, from: &str, to: &str) -> SiteOptions {
         self.changes.push((from.into(), to.into()));
         self
     }
 
     /// A result of which nothing comes for so long is given up.
-    pub fn stall_ms(self, ms: u64) -> Plan {
+    pub fn stall_ms(self, ms: u64) -> SiteOptions {
         self.with(
             "\"write\": \"member-load\"",
             &format!("\"write\": \"member-load\", \"stall_ms\": {ms}"),
@@ -62,7 +62,7 @@
     }
 
     /// Limits the memory for what passes through.
-    pub fn memory_mb(self, mb: u64) -> Plan {
+    pub fn memory_mb(self, mb: u64) -> SiteOptions {
         self.with(
             "\"sockets\": 1024",
             &format!("\"sockets\": 1024, \"memory_mb\": {mb}"),
@@ -106,7 +106,7 @@
 impl Site {
     /// Starts the example with so many engines.
     pub fn start(engines: usize) -> Site {
-        Plan::of(engines).start()
+        SiteOptions::with_engines(engines).start()
     }
 
     /// Writes the list with each engine in its phase.
