--- a/crates/cluster-harness/src/harness/faults.rs
+++ b/crates/cluster-harness/src/harness/faults.rs
@@ -11,7 +11,7 @@
         self.log.record(format!("{action:?}"));
         match action {
             FaultAction::Link(from, to, link) => self.net.set_link(from, to, *link),
-            FaultAction::Part(groups, from, directions) => {
+            FaultAction::Partition(groups, from, directions) => {
                 self.net.partition(groups, from, *directions)
             }
             FaultAction::Reset(groups, from) => self.reset_connections(groups, from),
@@ -20,8 +20,8 @@
                 self.net.cut(&self.script.members_of(groups), *directions)
             }
             FaultAction::Kill(groups) => self.for_each(groups, Process::kill),
-            FaultAction::Stop(groups) => self.for_each(groups, |p| p.signal(Signal::Stop)),
-            FaultAction::Wake(groups) => self.for_each(groups, |p| p.signal(Signal::Continue)),
+            FaultAction::Suspend(groups) => self.for_each(groups, |p| p.signal(Signal::Stop)),
+            FaultAction::Resume(groups) => self.for_each(groups, |p| p.signal(Signal::Continue)),
             FaultAction::Leave(groups) => self.for_each(groups, |p| p.signal(Signal::Terminate)),
             FaultAction::Start(groups) => self
                 .script
--- a/crates/cluster-harness/src/net.rs
+++ b/crates/cluster-harness/src/net.rs
@@ -159,7 +159,7 @@
         self.with(|s| {
             let some = s.links.all_of(some);
             let others = s.links.all_of(std::slice::from_ref(from));
-            s.links.part(&some, &others, directions);
+            s.links.partition(&some, &others, directions);
         });
     }
 
--- a/crates/cluster-simulation/src/fault_scenario.rs
+++ b/crates/cluster-simulation/src/fault_scenario.rs
@@ -54,7 +54,7 @@
     let actions = [
         FaultAction::Link(Group::All, Group::All, calm),
         FaultAction::Heal,
-        FaultAction::Wake(vec![Group::All]),
+        FaultAction::Resume(vec![Group::All]),
         FaultAction::Start(vec![Group::All]),
     ];
     actions.into_iter().map(|action| TimedAction {
@@ -87,8 +87,8 @@
         match kind {
             0..=2 => FaultAction::Kill(self.draw_members()),
             3 => FaultAction::Start(vec![Group::All]),
-            4..=5 => FaultAction::Stop(self.draw_members()),
-            6 => FaultAction::Wake(vec![Group::All]),
+            4..=5 => FaultAction::Suspend(self.draw_members()),
+            6 => FaultAction::Resume(vec![Group::All]),
             7 => FaultAction::Cut(self.draw_members(), self.draw_directions()),
             8 => {
                 let zone = Group::Zone(self.rng.random_range(0..self.zones));
--- a/crates/cluster-simulation/src/script/links.rs
+++ b/crates/cluster-simulation/src/script/links.rs
@@ -84,11 +84,11 @@
         let others: Vec<u32> = (0..self.members)
             .filter(|member| !members.contains(member))
             .collect();
-        self.part(members, &others, directions);
+        self.partition(members, &others, directions);
     }
 
     /// Blocks traffic between these members and others; directions are of the former.
-    pub fn part(&mut self, members: &[u32], others: &[u32], directions: Directions) {
+    pub fn partition(&mut self, members: &[u32], others: &[u32], directions: Directions) {
         for &member in members {
             for &other in others {
                 if directions.outgoing {
--- a/crates/cluster-simulation/src/script/mod.rs
+++ b/crates/cluster-simulation/src/script/mod.rs
@@ -152,7 +152,7 @@
     /// Blocks traffic between these groups and all other members.
     Cut(Vec<Group>, Directions),
     /// Blocks traffic between these groups and that group; directions are of the former.
-    Part(Vec<Group>, Group, Directions),
+    Partition(Vec<Group>, Group, Directions),
     /// Ends all connections between these groups and that group.
     Reset(Vec<Group>, Group),
     /// Ends all cuts.
@@ -160,9 +160,9 @@
     /// Kills processes: they don't leave the cluster first.
     Kill(Vec<Group>),
     /// Suspends processes.
-    Stop(Vec<Group>),
+    Suspend(Vec<Group>),
     /// Resumes suspended processes.
-    Wake(Vec<Group>),
+    Resume(Vec<Group>),
     /// Starts processes that ended, under the same names.
     Start(Vec<Group>),
     /// Ends processes after they left the cluster.
--- a/crates/cluster-simulation/src/script/reader.rs
+++ b/crates/cluster-simulation/src/script/reader.rs
@@ -213,12 +213,12 @@
         Ok(match self.node.name().value() {
             "link" => self.link()?,
             "cut" => FaultAction::Cut(self.groups()?, self.directions()?),
-            "part" => FaultAction::Part(self.groups()?, self.from()?, self.directions()?),
+            "part" => FaultAction::Partition(self.groups()?, self.from()?, self.directions()?),
             "reset" => FaultAction::Reset(self.groups()?, self.from()?),
             "heal" => FaultAction::Heal,
             "kill" => FaultAction::Kill(self.groups()?),
-            "stop" => FaultAction::Stop(self.groups()?),
-            "wake" => FaultAction::Wake(self.groups()?),
+            "stop" => FaultAction::Suspend(self.groups()?),
+            "wake" => FaultAction::Resume(self.groups()?),
             "start" => FaultAction::Start(self.groups()?),
             "leave" => FaultAction::Leave(self.groups()?),
             "clock" => {
--- a/crates/cluster-simulation/src/world/faults.rs
+++ b/crates/cluster-simulation/src/world/faults.rs
@@ -12,17 +12,17 @@
                 let members = self.script.members_of(&groups);
                 self.links.cut(&members, directions);
             }
-            FaultAction::Part(groups, other, directions) => {
+            FaultAction::Partition(groups, other, directions) => {
                 let members = self.script.members_of(&groups);
                 let others = self.links.all_of(&[other]);
-                self.links.part(&members, &others, directions);
+                self.links.partition(&members, &others, directions);
             }
             // The simulation has no connections.
             FaultAction::Reset(..) => {}
             FaultAction::Heal => self.links.heal(),
             FaultAction::Kill(groups) => self.for_each_of(&groups, World::end),
-            FaultAction::Stop(groups) => self.for_each_of(&groups, World::suspend),
-            FaultAction::Wake(groups) => self.for_each_of(&groups, World::resume),
+            FaultAction::Suspend(groups) => self.for_each_of(&groups, World::suspend),
+            FaultAction::Resume(groups) => self.for_each_of(&groups, World::resume),
             FaultAction::Start(groups) => self.for_each_of(&groups, World::start),
             FaultAction::Leave(groups) => self.for_each_of(&groups, World::leave),
             FaultAction::Clock(groups, step) => self.for_each_of(&groups, |world, member| {
--- a/crates/cluster-simulation/tests/golden.rs
+++ b/crates/cluster-simulation/tests/golden.rs
@@ -54,7 +54,7 @@
                 let Directions { outgoing, incoming } = directions;
                 format!("cut {} out {outgoing} in {incoming}", groups(some))
             }
-            FaultAction::Part(some, from, directions) => {
+            FaultAction::Partition(some, from, directions) => {
                 let Directions { outgoing, incoming } = directions;
                 format!(
                     "part {} from {} out {outgoing} in {incoming}",
@@ -67,8 +67,8 @@
             }
             FaultAction::Heal => "heal".into(),
             FaultAction::Kill(some) => format!("kill {}", groups(some)),
-            FaultAction::Stop(some) => format!("stop {}", groups(some)),
-            FaultAction::Wake(some) => format!("wake {}", groups(some)),
+            FaultAction::Suspend(some) => format!("stop {}", groups(some)),
+            FaultAction::Resume(some) => format!("wake {}", groups(some)),
             FaultAction::Start(some) => format!("start {}", groups(some)),
             FaultAction::Leave(some) => format!("leave {}", groups(some)),
             FaultAction::Clock(some, by) => format!("clock {} by {by}", groups(some)),
