--- a/crates/cluster-harness/src/load.rs
+++ b/crates/cluster-harness/src/load.rs
@@ -112,7 +112,7 @@
     }
 
     /// Lets all clients finish the request that they wait for, and returns all requests.
-    pub fn end(self) -> Vec<RequestRecord> {
+    pub fn stop(self) -> Vec<RequestRecord> {
         self.shared.has_ended.store(true, Ordering::Relaxed);
         for client in self.clients {
             let _ = client.join();
--- a/crates/coordinator/tests/faults.rs
+++ b/crates/coordinator/tests/faults.rs
@@ -86,7 +86,7 @@
     harness.apply_script("reset \"all\" from=\"engines\"");
     wait_until_done(&harness, &load, killed + 400);
     harness.wait_until_members_are(&[0, 1, 2, 3], &[0, 1, 2, 3]);
-    let all = load.end();
+    let all = load.stop();
     // A reset may cost a statement that must not run twice; nothing is answered twice, or never.
     let odd = |a: &&RequestRecord| {
         a.outcome == Outcome::Malformed
@@ -118,7 +118,7 @@
         },
     );
     wait_until_done(&harness, &load, 240);
-    let all = load.end();
+    let all = load.stop();
     let counts = count_outcomes(&all);
     assert!(
         counts.get(&Outcome::Served).copied().unwrap_or(0) >= 230,
