--- a/crates/coordinator/tests/clickhouse.rs
+++ b/crates/coordinator/tests/clickhouse.rs
@@ -157,8 +157,8 @@
 fn silence_before_rows_ends_in_one_failure_or_rejection() {
     let site = Site::start(2);
     let target = "/?max_execution_time=1";
-    let read = site.ask(target, "SELECT 1 /* standin: silent */");
-    let load = site.ask(target, "INSERT INTO o.t VALUES (1) /* standin: silent */");
+    let read = site.request(target, "SELECT 1 /* standin: silent */");
+    let load = site.request(target, "INSERT INTO o.t VALUES (1) /* standin: silent */");
     assert!(read.status >= 400 && code(&read).is_some());
     // It may have run, so it must not be called harmless to repeat.
     assert_eq!((load.status, code(&load)), (500, Some(210)));
@@ -275,14 +275,14 @@
 fn corrupt_compressed_block_is_never_forwarded_as_complete() {
     let site = Site::start(2);
     let target = "/?compress=1&driftfront_class=report";
-    let early = site.ask(target, "SELECT 1 /* standin: bad_block first */");
+    let early = site.request(target, "SELECT 1 /* standin: bad_block first */");
     assert_eq!((early.status, blocks(&early.body)), (200, b"1\n".to_vec()));
-    let always = site.ask(target, "SELECT 2 /* standin: bad_block */");
+    let always = site.request(target, "SELECT 2 /* standin: bad_block */");
     assert_eq!(code(&always), Some(246), "{}", always.text());
     // Numbers hardly compress: what comes before the bad block is more than the coordinator takes in one read.
     let long =
         "SELECT wide(40), number FROM numbers(100000) /* standin: bad_block_after=1000000 */";
-    let late = site.ask(target, long);
+    let late = site.request(target, long);
     assert!(late.status == 200 && !late.is_complete);
     assert_eq!(site.request_log.of("bad_block_after").len(), 1);
     site.request_log.assert_rules(3);
@@ -375,7 +375,7 @@
         .iter()
         .all(|e| e.engine == "e1"));
     site.list(&["gone", "draining"]);
-    let refused = site.ask("/?max_execution_time=1", "SELECT 'nowhere'");
+    let refused = site.request("/?max_execution_time=1", "SELECT 'nowhere'");
     assert_eq!((refused.status, code(&refused)), (429, Some(202)));
     assert!(refused
         .header("X-Come-Back-Ms")
@@ -387,29 +387,30 @@
 fn session_stays_on_its_engine() {
     let site = Site::start(3);
     let target = "/?session_id=s1";
-    assert_eq!(site.ask(target, "SET max_threads = 3").status, 200);
+    assert_eq!(site.request(target, "SET max_threads = 3").status, 200);
     assert_eq!(
-        site.ask(target, "CREATE TEMPORARY TABLE t (a UInt8)")
+        site.request(target, "CREATE TEMPORARY TABLE t (a UInt8)")
             .status,
         200
     );
-    assert_eq!(site.ask(target, "USE uni_4").status, 200);
+    assert_eq!(site.request(target, "USE uni_4").status, 200);
     assert_eq!(
-        site.ask(target, "INSERT INTO t FORMAT CSV\n1\n2\n").status,
+        site.request(target, "INSERT INTO t FORMAT CSV\n1\n2\n")
+            .status,
         200
     );
     for n in 0..10 {
-        let seen = site.ask(
+        let seen = site.request(
             target,
             &format!("SELECT getSetting('max_threads'), currentDatabase(), {n}"),
         );
         assert_eq!(seen.text(), format!("3\tuni_4\t{n}\n"));
-        assert_eq!(site.ask(target, "SELECT count() FROM t").text(), "2\n");
+        assert_eq!(site.request(target, "SELECT count() FROM t").text(), "2\n");
     }
     let home = &site.request_log.of("SET max_threads")[0].engine;
     assert!(site.request_log.of("").iter().all(|e| e.engine == *home));
     // Another user's session of the same id is another session.
-    let other = site.ask(
+    let other = site.request(
         "/?session_id=s1&user=eva",
         "SELECT getSetting('max_threads')",
     );
@@ -425,20 +426,20 @@
         "SELECT sleep(1), 'slow'",
     );
     site.request_log.wait_for("slow", 1);
-    let second = site.ask("/?session_id=s1", "SELECT 2");
+    let second = site.request("/?session_id=s1", "SELECT 2");
     assert_eq!((second.status, code(&second)), (500, Some(373)));
     assert_eq!(read_response(&mut first).status, 200);
     assert_eq!(
-        site.ask("/?session_id=s1&session_check=1", "SELECT 3")
+        site.request("/?session_id=s1&session_check=1", "SELECT 3")
             .status,
         200
     );
     assert_eq!(
-        code(&site.ask("/?session_id=s2&session_check=1", "SELECT 4")),
+        code(&site.request("/?session_id=s2&session_check=1", "SELECT 4")),
         Some(372)
     );
     assert_eq!(
-        code(&site.ask("/?session_id=s3&session_timeout=9999999", "SELECT 5")),
+        code(&site.request("/?session_id=s3&session_timeout=9999999", "SELECT 5")),
         Some(36)
     );
     assert_eq!(
@@ -460,16 +461,16 @@
         // Each begins on tables of its own, so that nothing draws them all to one engine.
         let begin = format!("SELECT * FROM uni_{n}.nothing");
         assert_eq!(
-            code(&site.ask(&format!("/?session_id=tied{n}"), &begin)),
+            code(&site.request(&format!("/?session_id=tied{n}"), &begin)),
             Some(60)
         );
         assert_eq!(
-            site.ask(&format!("/?session_id=tied{n}"), "SET max_threads = 1")
+            site.request(&format!("/?session_id=tied{n}"), "SET max_threads = 1")
                 .status,
             200
         );
         assert_eq!(
-            site.ask(&format!("/?session_id=loose{n}"), "SELECT 1")
+            site.request(&format!("/?session_id=loose{n}"), "SELECT 1")
                 .status,
             200
         );
@@ -501,7 +502,7 @@
         .unwrap();
     let mut lost = 0;
     for n in 0..200 {
-        let tied = site.ask(
+        let tied = site.request(
             &format!("/?session_id=tied{n}"),
             &format!("SELECT getSetting('max_threads'), {n}"),
         );
@@ -520,7 +521,7 @@
             other => panic!("{other:?}"),
         }
         assert_eq!(
-            site.ask(&format!("/?session_id=loose{n}"), "SELECT 2")
+            site.request(&format!("/?session_id=loose{n}"), "SELECT 2")
                 .status,
             200
         );
@@ -543,11 +544,11 @@
 fn bound_session_is_lost_when_its_engine_restarted_unnoticed() {
     let site = Site::start(1);
     assert_eq!(
-        site.ask("/?session_id=s", "SET max_threads = 3").status,
+        site.request("/?session_id=s", "SET max_threads = 3").status,
         200
     );
     site.engines[0].restart();
-    let told = site.ask("/?session_id=s", "SELECT 'after'");
+    let told = site.request("/?session_id=s", "SELECT 'after'");
     assert!(
         code(&told) == Some(372) || told.status == 429,
         "{}",
@@ -565,7 +566,7 @@
     site.request_log.wait_for("victim", 1);
     let on = site.request_log.of("victim")[0].engine.clone();
     // Its id is taken meanwhile.
-    let twin = site.ask("/?query_id=v1", "SELECT 'twin'");
+    let twin = site.request("/?query_id=v1", "SELECT 'twin'");
     assert_eq!(
         (code(&twin), site.request_log.of("twin").len()),
         (Some(216), 0)
@@ -807,7 +808,7 @@
         .start();
     assert_eq!(
         (
-            honoured.ask(target, insert).status,
+            honoured.request(target, insert).status,
             honoured.request_log.of("INSERT").len()
         ),
         (200, 2)
@@ -815,7 +816,7 @@
     let plain = plan().start();
     assert_eq!(
         (
-            plain.ask(target, insert).status,
+            plain.request(target, insert).status,
             plain.request_log.of("INSERT").len()
         ),
         (500, 1)
@@ -828,9 +829,9 @@
         .with("\"TellsEveryUs\": 1000000", "\"TellsEveryUs\": 100000")
         .start();
     let query = "SELECT 1 /* standin: sleep_ms=600 */";
-    let quiet = site.ask("/?driftfront_class=report", query);
+    let quiet = site.request("/?driftfront_class=report", query);
     assert!(quiet.status == 200 && quiet.header("X-ClickHouse-Progress").is_none());
-    let told = site.ask(
+    let told = site.request(
         "/?driftfront_class=report&send_progress_in_http_headers=1",
         query,
     );
@@ -876,7 +877,10 @@
     site.coordinator.wait_for("results_paused", 50);
     for n in 0..20 {
         let quick = format!("SELECT 'quick', {n}");
-        assert_eq!(site.ask("/?driftfront_class=report", &quick).status, 200);
+        assert_eq!(
+            site.request("/?driftfront_class=report", &quick).status,
+            200
+        );
     }
     assert!(site.memory_mb() < 48, "{} MB", site.memory_mb());
     drop(slow);
@@ -936,7 +940,7 @@
         .with("\"name\": \"appliance\"", second)
         .start();
     assert_eq!(
-        site.ask("/?session_id=s", "CREATE TEMPORARY TABLE t (n Int)")
+        site.request("/?session_id=s", "CREATE TEMPORARY TABLE t (n Int)")
             .status,
         200
     );
@@ -969,7 +973,7 @@
         assert_eq!(stream.read(&mut [0; 16]).expect("an end in order"), 0);
     }
     // The session is lost with its engine, and says so.
-    assert_eq!(code(&site.ask("/?session_id=s", "SELECT 2")), Some(372));
+    assert_eq!(code(&site.request("/?session_id=s", "SELECT 2")), Some(372));
     assert!(site.coordinator.manage("RESTORE e0\n").starts_with("OK"));
     assert_eq!(site.coordinator.manage("RESUME\n"), "OK ready\n");
     assert_eq!(site.query("SELECT 3").status, 200);
--- a/crates/coordinator/tests/clocks/main.rs
+++ b/crates/coordinator/tests/clocks/main.rs
@@ -43,6 +43,6 @@
 /// Hands in a request and waits for its answer; when it was handed in.
 fn ask(site: &Site, statement: &str) -> Instant {
     let at = Instant::now();
-    site.ask("report", 10_000, statement);
+    site.request("report", 10_000, statement);
     at
 }
--- a/crates/coordinator/tests/daily.rs
+++ b/crates/coordinator/tests/daily.rs
@@ -73,14 +73,14 @@
     let taken = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let at = format!("{{\"management\": \"{}\",", taken.local_addr().unwrap());
     let site = Site::with_config(1, |config| config.replacen('{', &at, 1));
-    assert_eq!(site.ask("lookup", 2500, "SELECT 1").status, 200);
+    assert_eq!(site.request("lookup", 2500, "SELECT 1").status, 200);
     let none = Site::with_config(1, |config| {
         config.replacen('{', "{\"management\": \"nowhere\",", 1)
     });
     assert_eq!(
         (
             none.coordinator.management,
-            none.ask("lookup", 2500, "SELECT 1").status
+            none.request("lookup", 2500, "SELECT 1").status
         ),
         (None, 200)
     );
@@ -92,7 +92,10 @@
     let manage = |call: &str| site.coordinator.manage(call);
     let asked = |from: u64, n: u64| {
         for n in from..from + n {
-            assert_eq!(site.ask("lookup", 2500, &format!("SELECT {n}")).status, 200);
+            assert_eq!(
+                site.request("lookup", 2500, &format!("SELECT {n}")).status,
+                200
+            );
         }
         (from..from + n)
             .filter(|n| {
@@ -124,7 +127,7 @@
     assert_eq!(site.coordinator.counter("engines_out_by_order"), 1);
     // The last one too: refused at once, with the time to come back.
     assert!(manage("SUSPEND e1\n").starts_with("OK"));
-    let refused = site.ask("lookup", 2500, "SELECT none");
+    let refused = site.request("lookup", 2500, "SELECT none");
     assert!(refused.status == 429 && refused.header("X-Come-Back-Ms").is_some());
     assert_eq!(manage("STATUS\n"), "ERR no engine takes work\n");
     assert!(manage("RESTORE e0\n").starts_with("OK") && manage("RESTORE e0\n").starts_with("OK"));
@@ -167,7 +170,7 @@
         .for_each(wait_for_end);
     drop((idle, fresh, busy));
     // Who comes all the same is served, and sent away again.
-    let late = site.ask("lookup", 2500, "SELECT late");
+    let late = site.request("lookup", 2500, "SELECT late");
     assert_eq!(
         (late.status, late.header("Connection")),
         (200, Some("close"))
@@ -175,7 +178,7 @@
     assert_eq!(site.coordinator.manage("RESUME\n"), "OK ready\n");
     assert_eq!(get(site.coordinator.addr, "/alive").status, 200);
     assert_eq!(
-        site.ask("lookup", 2500, "SELECT again")
+        site.request("lookup", 2500, "SELECT again")
             .header("Connection"),
         None
     );
@@ -252,7 +255,7 @@
     site.publish(&["ready"], "");
     site.coordinator.wait_until_ready();
     let answer = std::thread::scope(|scope| {
-        let asked = scope.spawn(|| site.ask("report", 2_000, "SELECT 1"));
+        let asked = scope.spawn(|| site.request("report", 2_000, "SELECT 1"));
         site.coordinator.wait_for("attempts_sent", 1);
         assert!(site.coordinator.manage("SUSPEND e0\n").starts_with("OK"));
         drop(listener.accept().unwrap());
--- a/crates/coordinator/tests/endings/clients.rs
+++ b/crates/coordinator/tests/endings/clients.rs
@@ -72,7 +72,7 @@
 fn client_that_left_before_its_request_was_read_is_not_forwarded() {
     let site = Site::start(1);
     // The way to its engine is open, so that what is taken would be there at once.
-    assert_eq!(site.ask("lookup", 2500, "SELECT before").status, 200);
+    assert_eq!(site.request("lookup", 2500, "SELECT before").status, 200);
     // As one in a full backlog, or before a program that stood still.
     site.coordinator.suspend();
     for id in 1..=3 {
@@ -87,7 +87,7 @@
     leave(open(&site, &much));
     site.coordinator.resume();
     site.coordinator.wait_for("clients_left", 4);
-    assert_eq!(site.ask("lookup", 2500, "SELECT here").status, 200);
+    assert_eq!(site.request("lookup", 2500, "SELECT here").status, 200);
     assert_eq!(ran(&site), ["SELECT before", "SELECT here"]);
 }
 
@@ -111,7 +111,7 @@
     assert!(sent > 0 && sent < all, "{sent}");
     gate.open();
     until("it serves as before", || {
-        site.ask("lookup", 2400, "SELECT behind").status == 200
+        site.request("lookup", 2400, "SELECT behind").status == 200
     });
     let_pass(TERM);
     assert_eq!(site.request_log.of("held").len() as u64, sent);
@@ -264,7 +264,7 @@
         .collect();
     bad.into_iter().for_each(|b| b.join().unwrap());
     // A whole answer, if maybe a refusal while the flood's own requests are out.
-    assert!([200, 429].contains(&site.ask("lookup", 2500, "SELECT beside").status));
+    assert!([200, 429].contains(&site.request("lookup", 2500, "SELECT beside").status));
     gate.open();
     assert_eq!(read_response(&mut first).status, 200);
     // All of them are gone, with what was held for them.
@@ -272,7 +272,7 @@
         site.coordinator.counter("connections_clients") <= 2
     });
     until("it serves as before", || {
-        site.ask("lookup", 2500, "SELECT behind").status == 200
+        site.request("lookup", 2500, "SELECT behind").status == 200
     });
 }
 
--- a/crates/coordinator/tests/endings/engines.rs
+++ b/crates/coordinator/tests/endings/engines.rs
@@ -14,7 +14,7 @@
     let site = Site::start(2);
     for words in ["half", "half endless"] {
         assert_eq!(
-            site.ask("report", 15_000, &format!("SELECT {words}"))
+            site.request("report", 15_000, &format!("SELECT {words}"))
                 .status,
             200
         );
@@ -25,7 +25,7 @@
         );
         // It has run, and what it gave is lost: no other run, and an answer at once.
         assert_eq!(
-            site.ask("member-load", 25_000, &format!("INSERT {words}"))
+            site.request("member-load", 25_000, &format!("INSERT {words}"))
                 .status,
             500
         );
@@ -80,7 +80,7 @@
     let site = Site::with_engines(Arc::default(), vec![engine], |config| {
         Coordinator::start(&config)
     });
-    assert_eq!(site.ask("lookup", 2500, "SELECT 1").status, 200);
+    assert_eq!(site.request("lookup", 2500, "SELECT 1").status, 200);
     // Each id goes once over a connection, so that what comes late has nobody to be taken for.
     let tried = tried.lock().unwrap();
     assert!(tried.len() == 2 && tried[0] != tried[1], "{tried:?}");
--- a/crates/coordinator/tests/endings/lists.rs
+++ b/crates/coordinator/tests/endings/lists.rs
@@ -50,7 +50,10 @@
         .extend([news(1, "ready"), news(2, "draining")]);
     site.coordinator.wait_for("lists_taken", 3);
     for n in 0..5 {
-        assert_eq!(site.ask("lookup", 2500, &format!("SELECT {n}")).status, 200);
+        assert_eq!(
+            site.request("lookup", 2500, &format!("SELECT {n}")).status,
+            200
+        );
     }
     assert!(site.request_log.of("").iter().all(|e| e.engine == "1"));
     // Behind the last event each time; the first call may have been given up before its event came.
--- a/crates/coordinator/tests/golden_operators/control.rs
+++ b/crates/coordinator/tests/golden_operators/control.rs
@@ -272,7 +272,7 @@
 #[test]
 fn counters_on_the_platform_s_wire() {
     let site = LineSite::start(2);
-    assert_eq!(site.ask("lookup", 2500, "SELECT 1").status, 200);
+    assert_eq!(site.request("lookup", 2500, "SELECT 1").status, 200);
     let answer = get(site.coordinator.addr, "/counters");
     let text = format!(
         "{:?}\n{}",
--- a/crates/coordinator/tests/operators.rs
+++ b/crates/coordinator/tests/operators.rs
@@ -254,7 +254,7 @@
     let (code, words) = o.type_in(&["drain", "e1"]);
     assert!(code == 3 && words.contains("last engine"), "{words}");
     assert_eq!(o.type_in(&["drain", "e1", "--force"]).0, 0);
-    let refusal = o.site.ask("/?max_execution_time=1", "SELECT 1");
+    let refusal = o.site.request("/?max_execution_time=1", "SELECT 1");
     assert_eq!(refusal.status, 429);
     let (_, text) = o.type_in(&["console", "--plain"]);
     assert!(text.contains("No engine takes work"), "{text}");
--- a/crates/coordinator/tests/platform.rs
+++ b/crates/coordinator/tests/platform.rs
@@ -13,7 +13,7 @@
 #[test]
 fn result_is_complete_with_all_its_pages() {
     let site = Site::start(2);
-    let one = site.ask("lookup", 2500, "SELECT 1");
+    let one = site.request("lookup", 2500, "SELECT 1");
     assert_eq!(
         (one.status, one.text().as_str()),
         (200, "{\"data\":[[\"1\",\"a\",\"b\"]]}")
@@ -22,15 +22,16 @@
         .flat_map(|n| std::iter::repeat_n(format!("[\"{n}\",\"a\",\"b\"]"), 900))
         .collect();
     let whole = format!("{{\"data\":[{}]}}", rows.join(","));
-    assert_eq!(site.ask("report", 15_000, "SELECT pages").text(), whole);
+    assert_eq!(site.request("report", 15_000, "SELECT pages").text(), whole);
     // Pages are lost with their engine: a read may be run again, before any row was passed on.
     assert_eq!(
-        site.ask("report", 15_000, "SELECT pages lost").text(),
+        site.request("report", 15_000, "SELECT pages lost").text(),
         whole
     );
     assert_eq!(site.request_log.of("pages lost").len(), 2);
     assert_eq!(
-        site.ask("member-load", 15_000, "INSERT pages lost").status,
+        site.request("member-load", 15_000, "INSERT pages lost")
+            .status,
         500
     );
     site.request_log.assert_rules(4);
@@ -61,7 +62,7 @@
     };
     site.publish(&["ready"], "");
     site.coordinator.wait_until_ready();
-    assert_eq!(site.ask("lookup", 2500, "SELECT first").status, 200);
+    assert_eq!(site.request("lookup", 2500, "SELECT first").status, 200);
     assert_eq!(site.coordinator.counter("engines_doubted"), 0);
     end.send(()).unwrap();
     site.coordinator.wait_for("engines_doubted", 1);
@@ -77,12 +78,13 @@
         ("nonsense", 500),
     ] {
         assert_eq!(
-            site.ask("lookup", 2500, &format!("SELECT {word}")).status,
+            site.request("lookup", 2500, &format!("SELECT {word}"))
+                .status,
             200,
             "{word}"
         );
         assert_eq!(
-            site.ask("member-load", 25_000, &format!("INSERT {word}"))
+            site.request("member-load", 25_000, &format!("INSERT {word}"))
                 .status,
             load,
             "{word}"
@@ -94,13 +96,13 @@
 #[test]
 fn silent_engine_costs_one_timely_response() {
     let site = Site::start(2);
-    let load = site.ask("member-load", 700, "INSERT silent");
+    let load = site.request("member-load", 700, "INSERT silent");
     // It may have run: not a refusal.
     assert_eq!(
         (load.status, load.text().as_str()),
         (500, "{\"error\":\"Internal\"}")
     );
-    let read = site.ask("lookup", 300, "SELECT silent");
+    let read = site.request("lookup", 300, "SELECT silent");
     assert_eq!(
         (read.status, read.header("X-Come-Back-Ms").is_some()),
         (429, true)
@@ -119,10 +121,11 @@
 fn malformed_response_does_not_end_a_load_beside_it() {
     let site = Arc::new(Site::start(1));
     let asking = site.clone();
-    let load = std::thread::spawn(move || asking.ask("member-load", 900, "INSERT silent").status);
+    let load =
+        std::thread::spawn(move || asking.request("member-load", 900, "INSERT silent").status);
     site.request_log.wait_for("INSERT silent", 1);
     // Its connection ends with all that is open on it; the load is on another.
-    assert_eq!(site.ask("lookup", 2500, "SELECT nonsense").status, 200);
+    assert_eq!(site.request("lookup", 2500, "SELECT nonsense").status, 200);
     assert_eq!(load.join().unwrap(), 500);
     site.coordinator
         .wait_for("attempts_ended{outcome=\"timed_out\"}", 1);
@@ -139,9 +142,9 @@
     let site = Site::with_config(2, |config| {
         config.replace("\"TellsEveryUs\": 0", "\"TellsEveryUs\": 100000")
     });
-    assert_eq!(site.ask("report", 15_000, "SELECT mute").status, 200);
+    assert_eq!(site.request("report", 15_000, "SELECT mute").status, 200);
     assert_eq!(site.request_log.of("SELECT mute").len(), 2);
-    assert_eq!(site.ask("member-load", 1500, "INSERT mute").status, 500);
+    assert_eq!(site.request("member-load", 1500, "INSERT mute").status, 500);
     assert_eq!(site.request_log.of("INSERT mute").len(), 1);
     site.coordinator
         .wait_for("attempts_ended{outcome=\"timed_out\"}", 1);
@@ -158,7 +161,7 @@
     drop(stream);
     site.coordinator.wait_for("clients_left", 1);
     // The next of the key has to wait for the end of what is still out, and for the key's rest.
-    assert_eq!(site.ask("member-load", 25_000, "INSERT 2").status, 200);
+    assert_eq!(site.request("member-load", 25_000, "INSERT 2").status, 200);
     assert_eq!(
         site.coordinator
             .counter("attempts_ended{outcome=\"timed_out\"}"),
@@ -176,7 +179,7 @@
     assert_eq!(site.list.last_event_ids(), ["0", "2"]);
     for n in 0..10 {
         assert_eq!(
-            site.ask("lookup", 2500, &format!("SELECT drained {n}"))
+            site.request("lookup", 2500, &format!("SELECT drained {n}"))
                 .status,
             200
         );
@@ -324,7 +327,7 @@
     let crowd: Vec<TcpStream> = (0..200)
         .map(|_| TcpStream::connect(site.coordinator.addr).unwrap())
         .collect();
-    assert_eq!(site.ask("lookup", 2500, "SELECT 1").status, 200);
+    assert_eq!(site.request("lookup", 2500, "SELECT 1").status, 200);
     assert!(site.coordinator.counter("connections_clients") <= 60);
     drop(crowd);
 }
--- a/crates/coordinator/tests/retry_budget.rs
+++ b/crates/coordinator/tests/retry_budget.rs
@@ -86,7 +86,7 @@
         for n in 0..6 {
             let site = site.clone();
             clients.push(std::thread::spawn(move || {
-                site.ask("report", 14_000, &format!("SELECT fault {window} {n}"))
+                site.request("report", 14_000, &format!("SELECT fault {window} {n}"))
             }));
         }
         std::thread::sleep(
--- a/crates/coordinator/tests/upgrade.rs
+++ b/crates/coordinator/tests/upgrade.rs
@@ -164,7 +164,7 @@
     assert!(old.manage("RESTORE e0\n").starts_with("OK"));
     site.coordinator.wait_for("upgrade_orders_merged", 2);
     assert_eq!(site.coordinator.counter("engines_out_by_order"), 1);
-    assert_eq!(site.ask("lookup", 2500, "SELECT 1").status, 200);
+    assert_eq!(site.request("lookup", 2500, "SELECT 1").status, 200);
     assert_eq!(site.request_log.of("SELECT 1")[0].engine, "0");
     let mut old = old;
     old.kill();
@@ -229,7 +229,7 @@
     wait_for(&site.coordinator, "STATUS\n", "ERR handing over");
     new.kill();
     wait_for(&site.coordinator, "STATUS\n", "OK ready");
-    assert_eq!(site.ask("lookup", 2500, "SELECT 1").status, 200);
+    assert_eq!(site.request("lookup", 2500, "SELECT 1").status, 200);
 }
 
 #[test]
@@ -242,7 +242,7 @@
     wait_for(&old, "STATUS\n", "ERR handing over");
     old.terminate();
     assert!(old.wait().success());
-    assert_eq!(site.ask("lookup", 2500, "SELECT 1").status, 200);
+    assert_eq!(site.request("lookup", 2500, "SELECT 1").status, 200);
 }
 
 #[test]
--- a/crates/test-support/src/coordinator/clickhouse_site.rs
+++ b/crates/test-support/src/coordinator/clickhouse_site.rs
@@ -135,7 +135,7 @@
     }
 
     /// Sends a statement to this target, which carries its parameters, and waits for its response.
-    pub fn ask(&self, target: &str, statement: &str) -> Response {
+    pub fn request(&self, target: &str, statement: &str) -> Response {
         post(self.coordinator.addr, target, "", statement)
     }
 
--- a/crates/test-support/src/coordinator/platform_site.rs
+++ b/crates/test-support/src/coordinator/platform_site.rs
@@ -73,7 +73,7 @@
     }
 
     /// Sends a request, and waits for its response.
-    pub fn ask(&self, class: &str, client_timeout_ms: u32, statement: &str) -> Response {
+    pub fn request(&self, class: &str, client_timeout_ms: u32, statement: &str) -> Response {
         let id = fnv1a_64(statement.as_bytes());
         let headers = format!(
             "X-Call-Id: {id:016x}\r\nX-Patience-Ms: {client_timeout_ms}\r\nX-Entity: 000000000000000a\r\n"
