--- a/crates/coordinator/tests/clickhouse.rs
+++ b/crates/coordinator/tests/clickhouse.rs
@@ -344,7 +344,7 @@
     let mut calls = Vec::new();
     for n in 0..6 {
         calls.push(site.begin("/", &format!("INSERT INTO o.keyed VALUES ({n})")));
-        site.coordinator.wait_for("requests_taken", n + 1);
+        site.coordinator.wait_for_counter("requests_taken", n + 1);
     }
     assert!(calls
         .iter_mut()
@@ -604,7 +604,7 @@
     site.list(&["draining"]);
     // Its only attempt dies, and no engine takes another.
     site.coordinator
-        .wait_for("attempts_ended{outcome=\"reset\"}", 1);
+        .wait_for_counter("attempts_ended{outcome=\"reset\"}", 1);
     let killed = site.query("KILL QUERY WHERE query_id = 'b1'");
     assert_eq!(killed.status, 200);
     let end = read_response(&mut victim);
@@ -622,7 +622,7 @@
     let mut stream = site.begin("/?query_id=f1", query);
     site.request_log.wait_for("forgotten", 1);
     let _ = stream.shutdown(std::net::Shutdown::Both);
-    site.coordinator.wait_for("clients_left", 1);
+    site.coordinator.wait_for_counter("clients_left", 1);
     // A load runs on when its client leaves: the kill finds it there.
     poll_until(
         || site.engines[0].running() == ["f1"],
@@ -874,7 +874,7 @@
             )
         })
         .collect();
-    site.coordinator.wait_for("results_paused", 50);
+    site.coordinator.wait_for_counter("results_paused", 50);
     for n in 0..20 {
         let quick = format!("SELECT 'quick', {n}");
         assert_eq!(
@@ -949,7 +949,7 @@
         "/?session_id=s&driftfront_class=report",
         "SELECT wide(20), 1 FROM numbers(400000)",
     );
-    site.coordinator.wait_for("results_paused", 1);
+    site.coordinator.wait_for_counter("results_paused", 1);
     site.request_log.wait_for("o.half", 1);
     assert!(site.coordinator.manage("SUSPEND e0\n").starts_with("OK"));
     assert!(site.coordinator.manage("PAUSE\n").starts_with("OK"));
@@ -984,7 +984,7 @@
 fn shutdown_answers_all_accepted_requests() {
     let mut site = Site::start(1);
     let mut stream = site.begin("/?max_execution_time=1", "SELECT 1 /* standin: silent */");
-    site.coordinator.wait_for("requests_taken", 1);
+    site.coordinator.wait_for_counter("requests_taken", 1);
     site.coordinator.terminate();
     // New requests are still answered for a while.
     assert_eq!(site.query("SELECT 2").status, 200);
@@ -1067,7 +1067,7 @@
     coordinator.wait_until_ready();
     assert_eq!(post(coordinator.addr, "/", "", "SELECT 1").status, 200);
     told.send(()).unwrap();
-    coordinator.wait_for("lists_taken", 3);
+    coordinator.wait_for_counter("lists_taken", 3);
     assert_eq!(
         post(
             coordinator.addr,
--- a/crates/coordinator/tests/clocks/spans.rs
+++ b/crates/coordinator/tests/clocks/spans.rs
@@ -48,7 +48,7 @@
         let mut runs = send(&site, "report", 14_000, "SELECT silent");
         site.request_log.wait_for("SELECT silent", 1);
         clock.set(step);
-        site.coordinator.wait_for("wall_clock_steps", 1);
+        site.coordinator.wait_for_counter("wall_clock_steps", 1);
         // Far longer than the sweep that would end it, far shorter than any time-out that is due.
         assert!(
             !answers_within(&mut runs, Duration::from_millis(400)),
--- a/crates/coordinator/tests/daily.rs
+++ b/crates/coordinator/tests/daily.rs
@@ -119,10 +119,10 @@
     // It goes, and comes back as a new process; an order about it may come while it is gone, too.
     let lists = site.coordinator.counter("lists_taken");
     site.publish(&["gone", "ready"], "");
-    site.coordinator.wait_for("lists_taken", lists + 1);
+    site.coordinator.wait_for_counter("lists_taken", lists + 1);
     assert!(manage("SUSPEND e0\n").starts_with("OK") && manage("SUSPEND e00\n").starts_with("ERR"));
     site.publish(&["ready", "ready"], "");
-    site.coordinator.wait_for("lists_taken", lists + 2);
+    site.coordinator.wait_for_counter("lists_taken", lists + 2);
     assert_eq!(asked(3000, 30), 0);
     assert_eq!(site.coordinator.counter("engines_out_by_order"), 1);
     // The last one too: refused at once, with the time to come back.
@@ -256,7 +256,7 @@
     site.coordinator.wait_until_ready();
     let answer = std::thread::scope(|scope| {
         let asked = scope.spawn(|| site.request("report", 2_000, "SELECT 1"));
-        site.coordinator.wait_for("attempts_sent", 1);
+        site.coordinator.wait_for_counter("attempts_sent", 1);
         assert!(site.coordinator.manage("SUSPEND e0\n").starts_with("OK"));
         drop(listener.accept().unwrap());
         // Held, so that it comes up and stays.
--- a/crates/coordinator/tests/endings/clients.rs
+++ b/crates/coordinator/tests/endings/clients.rs
@@ -19,7 +19,7 @@
     let (site, mut first, gate) = with_key_taken();
     let wait = |id: u64| {
         let stream = open(&site, &load(id, &format!("INSERT gone {id}")));
-        site.coordinator.wait_for("requests_taken", id);
+        site.coordinator.wait_for_counter("requests_taken", id);
         stream
     };
     // By a close, by a reset, by half a close.
@@ -45,16 +45,16 @@
     }
     assert!(written > 70_000, "{written}");
     drop(loud);
-    site.coordinator.wait_for("clients_left", 4);
+    site.coordinator.wait_for_counter("clients_left", 4);
     // By a call on another connection: its own one closes, as nothing more is owed there.
     let mut taken_back = wait(6);
     let delete = "DELETE /ops/member-load HTTP/1.1\r\nX-Call-Id: 0000000000000006\r\n\r\n";
     assert_eq!(call(site.coordinator.addr, delete.as_bytes()).status, 200);
     assert_eq!(rest(&mut taken_back).unwrap(), b"");
-    site.coordinator.wait_for("clients_left", 5);
+    site.coordinator.wait_for_counter("clients_left", 5);
     // The one behind them has its turn as soon as the first is over.
     let mut last = open(&site, &load(7, "INSERT last"));
-    site.coordinator.wait_for("requests_taken", 7);
+    site.coordinator.wait_for_counter("requests_taken", 7);
     gate.open();
     assert_eq!(read_response(&mut first).status, 200);
     assert_eq!(read_response(&mut last).status, 200);
@@ -86,7 +86,7 @@
         + &request("lookup", 5, "", &"y".repeat(900)).repeat(90);
     leave(open(&site, &much));
     site.coordinator.resume();
-    site.coordinator.wait_for("clients_left", 4);
+    site.coordinator.wait_for_counter("clients_left", 4);
     assert_eq!(site.request("lookup", 2500, "SELECT here").status, 200);
     assert_eq!(ran(&site), ["SELECT before", "SELECT here"]);
 }
@@ -97,14 +97,14 @@
     let all = 60;
     let ask = |id| report(id, &format!("SELECT held {id}"));
     let waiting: Vec<TcpStream> = (1..=all).map(|id| open(&site, &ask(id))).collect();
-    site.coordinator.wait_for("requests_taken", all);
+    site.coordinator.wait_for_counter("requests_taken", all);
     site.request_log
         .wait_until("some are out", |all| !all.is_empty());
     // Found at one moment: else each that leaves makes room for one that has not left yet.
     site.coordinator.suspend();
     drop(waiting);
     site.coordinator.resume();
-    site.coordinator.wait_for("clients_left", all);
+    site.coordinator.wait_for_counter("clients_left", all);
     let_pass(TERM);
     // The engine had as much as it may; the others waited for one of these to end.
     let sent = site.request_log.of("held").len() as u64;
@@ -124,7 +124,7 @@
     let others: Vec<TcpStream> = (2..10)
         .map(|id| open(&site, &report(id, &format!("SELECT held {id}"))))
         .collect();
-    site.coordinator.wait_for("connections_engines", 2);
+    site.coordinator.wait_for_counter("connections_engines", 2);
     let leaves = open(&site, &report(1, "SELECT held, then full"));
     site.request_log.wait_for("SELECT held, then full", 1);
     // The engine's no and the client's end are found at one moment.
@@ -135,7 +135,7 @@
     });
     leave(leaves);
     site.coordinator.resume();
-    site.coordinator.wait_for("clients_left", 1);
+    site.coordinator.wait_for_counter("clients_left", 1);
     let_pass(TERM);
     assert_eq!(site.request_log.of("SELECT held, then full").len(), 1);
     others
@@ -199,11 +199,11 @@
 fn client_that_leaves_during_a_connect_is_not_forwarded() {
     let waits = Unreached::start();
     let leaves = open(&waits.site, &load(1, "INSERT left"));
-    waits.site.coordinator.wait_for("attempts_sent", 1);
+    waits.site.coordinator.wait_for_counter("attempts_sent", 1);
     drop(leaves);
-    waits.site.coordinator.wait_for("clients_left", 1);
+    waits.site.coordinator.wait_for_counter("clients_left", 1);
     let mut stays = open(&waits.site, &load(2, "INSERT stays"));
-    waits.site.coordinator.wait_for("requests_taken", 2);
+    waits.site.coordinator.wait_for_counter("requests_taken", 2);
     let site = waits.make_room();
     assert_eq!(read_response(&mut stays).status, 200);
     assert_eq!(ran(&site), ["INSERT stays"]);
@@ -219,7 +219,7 @@
     );
     assert_eq!(read_response(&mut late).status, 429);
     let mut next = open(&waits.site, &load(2, "INSERT next"));
-    waits.site.coordinator.wait_for("requests_taken", 2);
+    waits.site.coordinator.wait_for_counter("requests_taken", 2);
     let site = waits.make_room();
     assert_eq!(read_response(&mut next).status, 200);
     assert_eq!(ran(&site), ["INSERT next"]);
@@ -229,11 +229,11 @@
 fn request_runs_once_when_its_engine_s_address_is_reused() {
     let waits = Unreached::start();
     let mut load = open(&waits.site, &load(1, "INSERT moved"));
-    waits.site.coordinator.wait_for("attempts_sent", 1);
+    waits.site.coordinator.wait_for_counter("attempts_sent", 1);
     let addr = waits.site.engines[0];
     let lines = [instance("e0", addr, "gone"), instance("e1", addr, "ready")];
     waits.site.list.publish(&lines, "");
-    waits.site.coordinator.wait_for("lists_taken", 3);
+    waits.site.coordinator.wait_for_counter("lists_taken", 3);
     let site = waits.make_room();
     assert_eq!(read_response(&mut load).status, 200);
     assert_eq!(ran(&site), ["INSERT moved"]);
--- a/crates/coordinator/tests/endings/engines.rs
+++ b/crates/coordinator/tests/endings/engines.rs
@@ -123,7 +123,7 @@
     let mut first = open(&site, &report(1, "SELECT first"));
     until("it is asked", || !asked.lock().unwrap().is_empty());
     let mut second = TcpStream::connect(site.coordinator.addr).unwrap();
-    site.coordinator.wait_for("connections_clients", 3);
+    site.coordinator.wait_for_counter("connections_clients", 3);
     site.coordinator.suspend();
     // The program finds the second request first, and with it something to send where all has ended.
     second
--- a/crates/coordinator/tests/endings/lists.rs
+++ b/crates/coordinator/tests/endings/lists.rs
@@ -48,7 +48,7 @@
         .lock()
         .unwrap()
         .extend([news(1, "ready"), news(2, "draining")]);
-    site.coordinator.wait_for("lists_taken", 3);
+    site.coordinator.wait_for_counter("lists_taken", 3);
     for n in 0..5 {
         assert_eq!(
             site.request("lookup", 2500, &format!("SELECT {n}")).status,
@@ -100,6 +100,6 @@
         news(4, "draining")
     );
     stream.write_all(told.as_bytes()).unwrap();
-    coordinator.wait_for("lists_taken", before + 1);
+    coordinator.wait_for_counter("lists_taken", before + 1);
     assert!((11..=18).map(ask).all(|engine| engine == "1"));
 }
--- a/crates/coordinator/tests/endings/shutdown.rs
+++ b/crates/coordinator/tests/endings/shutdown.rs
@@ -22,7 +22,7 @@
     assert_eq!(read_response(&mut resting).status, 200);
     let late = request("lookup", 3, "", "SELECT late");
     let mut half = open(&site, &late[..40]);
-    site.coordinator.wait_for("connections_clients", 4);
+    site.coordinator.wait_for_counter("connections_clients", 4);
     site.coordinator.terminate();
     // Whoever rests is sent away in order once nothing more is taken; the engine hangs, so that the process stays.
     assert_eq!(rest(&mut resting).unwrap(), b"");
@@ -43,7 +43,7 @@
 fn queued_requests_are_rejected_before_a_restart_kills() {
     let (mut site, mut first, gate) = with_key_taken();
     let mut second = open(&site, &load(2, "INSERT second"));
-    site.coordinator.wait_for("requests_taken", 2);
+    site.coordinator.wait_for_counter("requests_taken", 2);
     let begin = Instant::now();
     site.coordinator.terminate();
     // Its time is far from over, but the first of its key holds the only engine.
@@ -139,7 +139,7 @@
 fn request_half_read_at_exit_gets_408() {
     let mut site = Site::start(1);
     let mut half = open(&site, &request("lookup", 1, "", "SELECT half")[..40]);
-    site.coordinator.wait_for("connections_clients", 2);
+    site.coordinator.wait_for_counter("connections_clients", 2);
     site.coordinator.terminate();
     let mut reader = Default::default();
     assert_eq!(read_next_response(&mut half, &mut reader).status, 408);
--- a/crates/coordinator/tests/operators.rs
+++ b/crates/coordinator/tests/operators.rs
@@ -379,7 +379,7 @@
         });
         o.drain(&engine, false);
     }
-    o.site.coordinator.wait_for("operators_cut_off", 4);
+    o.site.coordinator.wait_for_counter("operators_cut_off", 4);
     drop(silent);
     // More than there is room for: the rest is closed, and the program goes on.
     let crowd: Vec<_> = (0..40)
@@ -678,7 +678,7 @@
     command.env("TERM", "xterm-256color");
     let mut child = pair.slave.spawn_command(command).expect("it runs");
     drop(pair.slave);
-    o.site.coordinator.wait_for("operators", 1);
+    o.site.coordinator.wait_for_counter("operators", 1);
     drop(pair.master);
     let begin = Instant::now();
     while child.try_wait().expect("a child").is_none() {
--- a/crates/coordinator/tests/platform.rs
+++ b/crates/coordinator/tests/platform.rs
@@ -65,7 +65,7 @@
     assert_eq!(site.request("lookup", 2500, "SELECT first").status, 200);
     assert_eq!(site.coordinator.counter("engines_doubted"), 0);
     end.send(()).unwrap();
-    site.coordinator.wait_for("engines_doubted", 1);
+    site.coordinator.wait_for_counter("engines_doubted", 1);
 }
 
 #[test]
@@ -128,7 +128,7 @@
     assert_eq!(site.request("lookup", 2500, "SELECT nonsense").status, 200);
     assert_eq!(load.join().unwrap(), 500);
     site.coordinator
-        .wait_for("attempts_ended{outcome=\"timed_out\"}", 1);
+        .wait_for_counter("attempts_ended{outcome=\"timed_out\"}", 1);
     assert_eq!(
         site.coordinator
             .counter("attempts_ended{outcome=\"reset\"}"),
@@ -147,7 +147,7 @@
     assert_eq!(site.request("member-load", 1500, "INSERT mute").status, 500);
     assert_eq!(site.request_log.of("INSERT mute").len(), 1);
     site.coordinator
-        .wait_for("attempts_ended{outcome=\"timed_out\"}", 1);
+        .wait_for_counter("attempts_ended{outcome=\"timed_out\"}", 1);
 }
 
 #[test]
@@ -159,7 +159,7 @@
     // It must have reached its engine: what is not written yet is withheld when its client leaves.
     site.request_log.wait_for("INSERT silent", 1);
     drop(stream);
-    site.coordinator.wait_for("clients_left", 1);
+    site.coordinator.wait_for_counter("clients_left", 1);
     // The next of the key has to wait for the end of what is still out, and for the key's rest.
     assert_eq!(site.request("member-load", 25_000, "INSERT 2").status, 200);
     assert_eq!(
@@ -173,9 +173,9 @@
 fn event_stream_resumes_behind_its_last_event() {
     let site = Site::start(2);
     site.publish(&["ready", "ready"], ",\"x\":\"hang up\"");
-    site.coordinator.wait_for("lists_taken", 3);
+    site.coordinator.wait_for_counter("lists_taken", 3);
     site.publish(&["draining", "ready"], "");
-    site.coordinator.wait_for("lists_taken", 4);
+    site.coordinator.wait_for_counter("lists_taken", 4);
     assert_eq!(site.list.last_event_ids(), ["0", "2"]);
     for n in 0..10 {
         assert_eq!(
@@ -200,14 +200,14 @@
     // A bad file is no reason to end, nor to forget where the list is told.
     site.coordinator.reload("{ half a fi");
     site.publish(&["ready", "ready"], "");
-    site.coordinator.wait_for("lists_taken", 3);
+    site.coordinator.wait_for_counter("lists_taken", 3);
     // The new address has all events so far; the coordinator asks for those behind its last.
     let moved = EngineList::start();
     moved.copy_events(&site.list);
     site.coordinator.reload(&config(moved.addr));
     site.list = moved;
     site.publish(&["draining", "ready"], "");
-    site.coordinator.wait_for("lists_taken", 4);
+    site.coordinator.wait_for_counter("lists_taken", 4);
     assert_eq!(site.list.last_event_ids(), ["2"]);
     open.write_all(b"X-Patience-Ms: 2500\r\nContent-Length: 14\r\n\r\nSELECT drained")
         .unwrap();
--- a/crates/coordinator/tests/second.rs
+++ b/crates/coordinator/tests/second.rs
@@ -372,7 +372,7 @@
             .any(|s| s.word == "STOP" && s.id == "00000000000000ab")
     });
     site.coordinator
-        .wait_for("attempts_ended{outcome=\"cancelled\"}", 1);
+        .wait_for_counter("attempts_ended{outcome=\"cancelled\"}", 1);
 }
 
 #[test]
--- a/crates/coordinator/tests/upgrade.rs
+++ b/crates/coordinator/tests/upgrade.rs
@@ -162,7 +162,8 @@
     assert!(new.manage("SUSPEND e1\n").starts_with("OK"));
     let old = std::mem::replace(&mut site.coordinator, new);
     assert!(old.manage("RESTORE e0\n").starts_with("OK"));
-    site.coordinator.wait_for("upgrade_orders_merged", 2);
+    site.coordinator
+        .wait_for_counter("upgrade_orders_merged", 2);
     assert_eq!(site.coordinator.counter("engines_out_by_order"), 1);
     assert_eq!(site.request("lookup", 2500, "SELECT 1").status, 200);
     assert_eq!(site.request_log.of("SELECT 1")[0].engine, "0");
--- a/crates/test-support/src/coordinator/clickhouse_site.rs
+++ b/crates/test-support/src/coordinator/clickhouse_site.rs
@@ -126,7 +126,7 @@
     pub fn list(&self, phases: &[&str]) {
         let before = self.coordinator.counter("lists_taken");
         self.write_list(phases);
-        self.coordinator.wait_for("lists_taken", before + 1);
+        self.coordinator.wait_for_counter("lists_taken", before + 1);
     }
 
     /// Sends a statement, and waits for its response.
--- a/crates/test-support/src/coordinator/process.rs
+++ b/crates/test-support/src/coordinator/process.rs
@@ -122,7 +122,7 @@
     }
 
     /// Polls until a counter has reached `minimum`.
-    pub fn wait_for(&self, name: &str, minimum: u64) {
+    pub fn wait_for_counter(&self, name: &str, minimum: u64) {
         poll_until(
             || self.counter(name) >= minimum,
             || format!("{name} never came to {minimum}"),
