--- a/crates/coordinator/tests/clickhouse.rs
+++ b/crates/coordinator/tests/clickhouse.rs
@@ -951,8 +951,14 @@
     );
     site.coordinator.wait_for_counter("results_paused", 1);
     site.request_log.wait_for("o.half", 1);
-    assert!(site.coordinator.manage("SUSPEND e0\n").starts_with("OK"));
-    assert!(site.coordinator.manage("PAUSE\n").starts_with("OK"));
+    assert!(site
+        .coordinator
+        .call_management("SUSPEND e0\n")
+        .starts_with("OK"));
+    assert!(site
+        .coordinator
+        .call_management("PAUSE\n")
+        .starts_with("OK"));
     let refused = site.query("SELECT 1");
     assert_eq!(
         (refused.status, refused.header("Connection")),
@@ -974,8 +980,11 @@
     }
     // The session is lost with its engine, and says so.
     assert_eq!(code(&site.request("/?session_id=s", "SELECT 2")), Some(372));
-    assert!(site.coordinator.manage("RESTORE e0\n").starts_with("OK"));
-    assert_eq!(site.coordinator.manage("RESUME\n"), "OK ready\n");
+    assert!(site
+        .coordinator
+        .call_management("RESTORE e0\n")
+        .starts_with("OK"));
+    assert_eq!(site.coordinator.call_management("RESUME\n"), "OK ready\n");
     assert_eq!(site.query("SELECT 3").status, 200);
     site.request_log.assert_rules(6);
 }
--- a/crates/coordinator/tests/daily.rs
+++ b/crates/coordinator/tests/daily.rs
@@ -41,7 +41,7 @@
     for stream in &mut stalled[..20] {
         stream.write_all(b"SUSP").unwrap();
     }
-    assert_eq!(site.coordinator.manage("STATUS\r\n"), "OK ready\n");
+    assert_eq!(site.coordinator.call_management("STATUS\r\n"), "OK ready\n");
     for bad in [
         "status\n",
         "SUSPEND\n",
@@ -50,7 +50,7 @@
         "SUSPEND unknown\n",
         "RESTORE unknown\n",
     ] {
-        let reply = site.coordinator.manage(bad);
+        let reply = site.coordinator.call_management(bad);
         assert!(
             reply.starts_with("ERR ") && reply.matches('\n').count() == 1,
             "{bad:?}: {reply:?}"
@@ -62,7 +62,7 @@
     let mut reply = String::new();
     cut.read_to_string(&mut reply).unwrap();
     assert!(reply.starts_with("ERR the connection ended"), "{reply}");
-    assert_eq!(site.coordinator.manage("STATUS\n"), "OK ready\n");
+    assert_eq!(site.coordinator.call_management("STATUS\n"), "OK ready\n");
     // 40 stalled ones do not fit beside the rest: the oldest made room.
     assert!(site.coordinator.counter("management_silent") >= 8);
     assert_eq!(site.coordinator.counter("management_bad"), 5);
@@ -89,7 +89,7 @@
 #[test]
 fn suspended_engine_gets_no_query_until_it_is_restored() {
     let site = Site::with_config(2, managed);
-    let manage = |call: &str| site.coordinator.manage(call);
+    let manage = |call: &str| site.coordinator.call_management(call);
     let asked = |from: u64, n: u64| {
         for n in from..from + n {
             assert_eq!(
@@ -151,9 +151,15 @@
     // Half of a request is out when the call comes: it is taken, answered, and told the close.
     let (half, rest) = (lookup(2), 40);
     busy.write_all(&half.as_bytes()[..rest]).unwrap();
-    assert_eq!(site.coordinator.manage("PAUSE\n"), "OK draining\n");
-    assert!(site.coordinator.manage("PAUSE\n").starts_with("OK"));
-    assert!(site.coordinator.manage("STATUS\n").starts_with("ERR"));
+    assert_eq!(site.coordinator.call_management("PAUSE\n"), "OK draining\n");
+    assert!(site
+        .coordinator
+        .call_management("PAUSE\n")
+        .starts_with("OK"));
+    assert!(site
+        .coordinator
+        .call_management("STATUS\n")
+        .starts_with("ERR"));
     let alive = get(site.coordinator.addr, "/alive");
     assert_eq!(
         (alive.status, alive.header("Connection")),
@@ -175,7 +181,7 @@
         (late.status, late.header("Connection")),
         (200, Some("close"))
     );
-    assert_eq!(site.coordinator.manage("RESUME\n"), "OK ready\n");
+    assert_eq!(site.coordinator.call_management("RESUME\n"), "OK ready\n");
     assert_eq!(get(site.coordinator.addr, "/alive").status, 200);
     assert_eq!(
         site.request("lookup", 2500, "SELECT again")
@@ -188,7 +194,7 @@
 #[test]
 fn a_paused_coordinator_ends_when_it_is_asked_to() {
     let mut site = Site::with_config(1, managed);
-    site.coordinator.manage("PAUSE\n");
+    site.coordinator.call_management("PAUSE\n");
     site.coordinator.terminate();
     assert!(site.coordinator.wait().success());
 }
@@ -212,12 +218,18 @@
         )
     };
     assert_eq!(said(&["pause"]), (Some(0), "draining\n".into()));
-    assert!(site.coordinator.manage("STATUS\n").starts_with("ERR dr"));
+    assert!(site
+        .coordinator
+        .call_management("STATUS\n")
+        .starts_with("ERR dr"));
     assert!(said(&["status"]).1.contains("Paused by an operator"));
-    assert_eq!(site.coordinator.manage("RESUME\n"), "OK ready\n");
+    assert_eq!(site.coordinator.call_management("RESUME\n"), "OK ready\n");
     assert_eq!(said(&["unpause"]), (Some(0), "ready\n".into()));
     // Taken out by one, seen and put back by the other.
-    assert!(site.coordinator.manage("SUSPEND e0\n").starts_with("OK"));
+    assert!(site
+        .coordinator
+        .call_management("SUSPEND e0\n")
+        .starts_with("OK"));
     assert!(said(&["engines"])
         .1
         .lines()
@@ -225,7 +237,10 @@
     assert_eq!(said(&["drain", "e0"]).0, Some(3));
     assert_eq!(said(&["resume", "e0"]).0, Some(0));
     assert_eq!(said(&["drain", "e1"]).0, Some(0));
-    assert!(site.coordinator.manage("RESTORE e1\n").starts_with("OK"));
+    assert!(site
+        .coordinator
+        .call_management("RESTORE e1\n")
+        .starts_with("OK"));
     assert_eq!(site.coordinator.counter("engines_out_by_order"), 0);
 }
 
@@ -257,7 +272,10 @@
     let answer = std::thread::scope(|scope| {
         let asked = scope.spawn(|| site.request("report", 2_000, "SELECT 1"));
         site.coordinator.wait_for_counter("attempts_sent", 1);
-        assert!(site.coordinator.manage("SUSPEND e0\n").starts_with("OK"));
+        assert!(site
+            .coordinator
+            .call_management("SUSPEND e0\n")
+            .starts_with("OK"));
         drop(listener.accept().unwrap());
         // Held, so that it comes up and stays.
         let poll_connected = listener.accept().unwrap().0;
--- a/crates/coordinator/tests/golden_operators/control.rs
+++ b/crates/coordinator/tests/golden_operators/control.rs
@@ -246,7 +246,7 @@
         "SUSPEND\n",
         "PAUSE now\n",
     ] {
-        text += &format!("> {call:?}\n{:?}\n", site.coordinator.manage(call));
+        text += &format!("> {call:?}\n{:?}\n", site.coordinator.call_management(call));
     }
     assert_golden!("operators/calls.txt", text);
     assert_golden!(
--- a/crates/coordinator/tests/upgrade.rs
+++ b/crates/coordinator/tests/upgrade.rs
@@ -58,7 +58,7 @@
 
 fn wait_for(coordinator: &Coordinator, call: &str, reply: &str) {
     poll_until(
-        || coordinator.manage(call).starts_with(reply),
+        || coordinator.call_management(call).starts_with(reply),
         || format!("{call:?} was never answered {reply}"),
     );
 }
@@ -155,13 +155,16 @@
 fn order_to_either_process_holds_in_both_during_an_upgrade() {
     let platform = Platform::new("orders");
     let mut site = platform.site(2);
-    assert!(site.coordinator.manage("SUSPEND e0\n").starts_with("OK"));
+    assert!(site
+        .coordinator
+        .call_management("SUSPEND e0\n")
+        .starts_with("OK"));
     let new = platform.upgrade(&site);
     // Taken over before it was ready.
     assert_eq!(new.counter("engines_out_by_order"), 1);
-    assert!(new.manage("SUSPEND e1\n").starts_with("OK"));
+    assert!(new.call_management("SUSPEND e1\n").starts_with("OK"));
     let old = std::mem::replace(&mut site.coordinator, new);
-    assert!(old.manage("RESTORE e0\n").starts_with("OK"));
+    assert!(old.call_management("RESTORE e0\n").starts_with("OK"));
     site.coordinator
         .wait_for_counter("upgrade_orders_merged", 2);
     assert_eq!(site.coordinator.counter("engines_out_by_order"), 1);
@@ -171,7 +174,7 @@
     old.kill();
     let next = platform.upgrade(&site);
     assert_eq!(next.counter("engines_out_by_order"), 1);
-    assert!(next.manage("RESTORE e1\n").starts_with("OK"));
+    assert!(next.call_management("RESTORE e1\n").starts_with("OK"));
     wait_for(&site.coordinator, "STATUS\n", "ERR handing over");
 }
 
@@ -216,7 +219,11 @@
         platform.listener.set_nonblocking(false).unwrap();
         // So many calls take longer than that.
         for _ in 0..200 {
-            assert_eq!(site.coordinator.manage("STATUS\n"), "OK ready\n", "{n}");
+            assert_eq!(
+                site.coordinator.call_management("STATUS\n"),
+                "OK ready\n",
+                "{n}"
+            );
         }
     }
     assert!(site.coordinator.counter("listener_unblocked") >= 1);
@@ -237,7 +244,10 @@
 fn the_successor_of_a_paused_process_serves() {
     let platform = Platform::new("paused");
     let mut site = platform.site(1);
-    assert!(site.coordinator.manage("PAUSE\n").starts_with("OK"));
+    assert!(site
+        .coordinator
+        .call_management("PAUSE\n")
+        .starts_with("OK"));
     let new = platform.upgrade(&site);
     let mut old = std::mem::replace(&mut site.coordinator, new);
     wait_for(&old, "STATUS\n", "ERR handing over");
--- a/crates/test-support/src/coordinator/process.rs
+++ b/crates/test-support/src/coordinator/process.rs
@@ -138,7 +138,7 @@
     }
 
     /// Sends one call to its second address and returns the reply.
-    pub fn manage(&self, line: &str) -> String {
+    pub fn call_management(&self, line: &str) -> String {
         let mut stream =
             TcpStream::connect(self.management.expect("a second address")).expect("it listens");
         stream
