--- a/crates/scheduler/tests/mechanism.rs
+++ b/crates/scheduler/tests/mechanism.rs
@@ -11,7 +11,7 @@
     harness.report(1, &[1.0]);
     for tables in [90, 91, 92] {
         let (_, act) = harness.arrive(0, 4 * S, tables);
-        assert_eq!(sends(&act).len(), 1);
+        assert_eq!(started_attempts(&act).len(), 1);
     }
     harness
 }
@@ -24,8 +24,8 @@
     for q in [1, 2, 3] {
         act.extend(harness.end(QueryId(q), 0, Outcome::Ok, S));
     }
-    while let Some((q, _)) = sends(&act).first().copied() {
-        order.extend(sends(&act).iter().map(|s| s.0));
+    while let Some((q, _)) = started_attempts(&act).first().copied() {
+        order.extend(started_attempts(&act).iter().map(|s| s.0));
         act = order
             .clone()
             .iter()
@@ -45,7 +45,7 @@
     let (patient, a) = harness.arrive(0, 16 * S, 1);
     let (urgent, b) = harness.arrive(1, 2 * S, 2);
     assert!(
-        sends(&a).is_empty() && sends(&b).is_empty(),
+        started_attempts(&a).is_empty() && started_attempts(&b).is_empty(),
         "the bound delays both"
     );
     assert_eq!(start_order(&mut harness), [urgent.0, patient.0]);
@@ -84,7 +84,7 @@
         harness.arrive(0, 20 * S, 1);
     }
     let (q, act) = harness.arrive(1, S, 1);
-    assert_eq!(sends(&act), [(q.0, 2)]);
+    assert_eq!(started_attempts(&act), [(q.0, 2)]);
 }
 
 #[test]
@@ -94,20 +94,20 @@
         &[listed(1), listed(2)],
     );
     let (_, act) = harness.arrive(0, 200 * MS, 5);
-    let first = sends(&act)[0].1;
+    let first = started_attempts(&act)[0].1;
     let other = 3 - first;
     harness.end(QueryId(1), 0, Outcome::Ok, 200 * MS);
     // Table group 5 was last read on `first`: interaction gain keeps its queries there while drain
     // times are equal.
     for n in 2..6 {
         let (_, act) = harness.arrive(0, 200 * MS, 5);
-        assert_eq!(sends(&act)[0].1, first);
+        assert_eq!(started_attempts(&act)[0].1, first);
         harness.end(QueryId(n), 0, Outcome::Ok, 200 * MS);
     }
     harness.report(first, &[50.0]);
     harness.report(other, &[0.0]);
     let (_, act) = harness.arrive(0, 200 * MS, 5);
-    assert_eq!(sends(&act)[0].1, other);
+    assert_eq!(started_attempts(&act)[0].1, other);
 }
 
 #[test]
@@ -128,7 +128,7 @@
         );
         let q = SchedulerHarness::new(settings(vec![class(S, 1.0, 1.0)]), &[]).query(0, S, 1);
         c.handle(S, Event::QueryArrived(q), &mut act);
-        seen.extend(sends(&act).iter().map(|s| s.1));
+        seen.extend(started_attempts(&act).iter().map(|s| s.1));
     }
     assert!(seen.len() > 2, "{seen:?}");
 }
@@ -153,7 +153,7 @@
         "{act:?}"
     );
     let act = harness.end(q, 0, Outcome::Cancelled, 4 * S);
-    assert_eq!(sends(&act).len(), 1);
+    assert_eq!(started_attempts(&act).len(), 1);
 }
 
 #[test]
@@ -188,7 +188,7 @@
         harness.end(q, 0, Outcome::Ok, spent);
     }
     let started: usize = (0..20)
-        .map(|_| sends(&harness.arrive(0, S, 1).1).len())
+        .map(|_| started_attempts(&harness.arrive(0, S, 1).1).len())
         .sum();
     assert_eq!(started, 10);
 }
--- a/crates/scheduler/tests/overload.rs
+++ b/crates/scheduler/tests/overload.rs
@@ -49,7 +49,7 @@
     harness.report(2, &[0.6, 0.5]);
     for _ in 0..4 {
         let (q, act) = harness.arrive(0, 200 * MS, 3);
-        assert_eq!(sends(&act), [(q.0, 2)]);
+        assert_eq!(started_attempts(&act), [(q.0, 2)]);
         harness.end(q, 0, Outcome::Ok, 200 * MS);
     }
 }
@@ -60,11 +60,11 @@
     harness.report(1, &[0.1, 1.0]);
     let (q, act) = harness.arrive(1, 4 * S, 3);
     assert!(
-        sends(&act).is_empty(),
+        started_attempts(&act).is_empty(),
         "no start while the report is recent"
     );
-    assert!(sends(&harness.tick(2 * S)).is_empty());
-    assert_eq!(sends(&harness.tick(2 * S)), [(q.0, 1)]);
+    assert!(started_attempts(&harness.tick(2 * S)).is_empty());
+    assert_eq!(started_attempts(&harness.tick(2 * S)), [(q.0, 1)]);
 }
 
 #[test]
@@ -74,7 +74,7 @@
     let mut used = std::collections::BTreeSet::new();
     for _ in 0..40 {
         let (q, act) = harness.arrive(0, 100 * MS, 3);
-        used.extend(sends(&act).iter().map(|s| s.1));
+        used.extend(started_attempts(&act).iter().map(|s| s.1));
         harness.end(q, 0, Outcome::Ok, 100 * MS);
     }
     assert!(used.len() > 8, "{used:?}");
@@ -88,7 +88,7 @@
     let mut used = std::collections::BTreeMap::new();
     for _ in 0..200 {
         let (q, act) = harness.arrive(0, 100 * MS, 3);
-        sends(&act)
+        started_attempts(&act)
             .iter()
             .for_each(|s| *used.entry(s.1).or_default() += 1);
         harness.end(q, 0, Outcome::Ok, 100 * MS);
@@ -142,10 +142,10 @@
     let mut lost = std::collections::BTreeSet::new();
     let mut send_query = |harness: &mut SchedulerHarness, down: bool| {
         let (q, act) = harness.arrive(0, 100 * MS, 3);
-        let (mut to, mut attempt) = (sends(&act)[0].1, 0);
+        let (mut to, mut attempt) = (started_attempts(&act)[0].1, 0);
         while down && to % 2 == 1 {
             lost.insert(to);
-            to = sends(&harness.end(q, attempt, Outcome::Unreachable, 250 * MS))[0].1;
+            to = started_attempts(&harness.end(q, attempt, Outcome::Unreachable, 250 * MS))[0].1;
             attempt += 1;
         }
         harness.end(q, attempt, Outcome::Ok, 100 * MS);
@@ -189,7 +189,7 @@
     let send_query = |harness: &mut SchedulerHarness| {
         let (q, act) = harness.arrive(0, 100 * MS, 3);
         harness.end(q, 0, Outcome::Ok, 100 * MS);
-        sends(&act)[0].1
+        started_attempts(&act)[0].1
     };
     assert!((0..20).all(|_| send_query(&mut harness) == 2));
     harness.event(Event::ProbeEnded {
@@ -213,11 +213,11 @@
                 ..harness.query(0, 0, 3)
             };
             let (q, act) = (query.id, harness.event(Event::QueryArrived(query)));
-            let mut to = sends(&act)[0].1;
+            let mut to = started_attempts(&act)[0].1;
             let mut attempt = 0;
             (to_faulty, all) = (to_faulty + usize::from(to == 1), all + 1);
             if returns_errors && to == 1 && to_faulty % 2 == 1 {
-                to = sends(&harness.end(q, attempt, Outcome::Error, 10 * MS))[0].1;
+                to = started_attempts(&harness.end(q, attempt, Outcome::Error, 10 * MS))[0].1;
                 attempt += 1;
             }
             // Three times slower, which still meets the objective on average.
@@ -275,7 +275,7 @@
                 (0, 100 * MS)
             };
             let (q, act) = harness.arrive(class, work, n);
-            for (_, to) in sends(&act).into_iter().filter(|_| n >= 51) {
+            for (_, to) in started_attempts(&act).into_iter().filter(|_| n >= 51) {
                 light += usize::from(class == 0);
                 light_to_warming_up += usize::from(class == 0 && to > 10);
                 *budget.entry(to).or_default() += work as f64;
@@ -337,14 +337,14 @@
         harness.tick(50 * MS);
         let (_, first) = harness.arrive(2, 2 * S, 1);
         assert_eq!(
-            sends(&first).len(),
+            started_attempts(&first).len(),
             1,
             "an idle coordinator may always start one"
         );
         let (_, wide) = harness.arrive(1, 8 * S, 2);
-        assert!(sends(&wide).is_empty(), "{field:?}");
+        assert!(started_attempts(&wide).is_empty(), "{field:?}");
         let (_, light) = harness.arrive(0, 100 * MS, 3);
-        assert_eq!(sends(&light).len(), 1, "{field:?}");
+        assert_eq!(started_attempts(&light).len(), 1, "{field:?}");
     }
 }
 
@@ -371,15 +371,15 @@
     (1..=4).for_each(|e| harness.report(e, &[1.0]));
     harness.tick(50 * MS);
     let (out, act) = harness.arrive(0, 4 * S, 1);
-    assert_eq!(sends(&act).len(), 1);
+    assert_eq!(started_attempts(&act).len(), 1);
     let (_, late) = harness.arrive(1, 30 * S, 2);
     let (timely, act) = harness.arrive(2, 30 * S, 3);
     assert!(
-        sends(&late).is_empty() && sends(&act).is_empty(),
+        started_attempts(&late).is_empty() && started_attempts(&act).is_empty(),
         "no room for either"
     );
     let act = harness.end(out, 0, Outcome::Ok, S);
-    assert_eq!(sends(&act).first(), Some(&(timely.0, 2)));
+    assert_eq!(started_attempts(&act).first(), Some(&(timely.0, 2)));
 }
 
 #[test]
@@ -397,7 +397,7 @@
         for _ in 0..45 {
             let (q, act) = harness.arrive(0, 100 * MS, 1);
             assert_eq!(
-                sends(&act).len(),
+                started_attempts(&act).len(),
                 1,
                 "a light query does not wait for a probe"
             );
@@ -405,7 +405,10 @@
         }
         let (q, act) = harness.arrive(1, 60 * S, 2);
         let probed = probes(&act);
-        assert!(probed.len() >= 2 && sends(&act).is_empty(), "{act:?}");
+        assert!(
+            probed.len() >= 2 && started_attempts(&act).is_empty(),
+            "{act:?}"
+        );
         let mut act = Vec::new();
         if answered {
             for (n, &e) in probed.iter().enumerate() {
@@ -416,11 +419,11 @@
                     report: &[busy],
                 });
             }
-            assert_eq!(sends(&act), [(q.0, probed[probed.len() - 1])]);
+            assert_eq!(started_attempts(&act), [(q.0, probed[probed.len() - 1])]);
         } else {
             act.extend(harness.tick(200 * MS));
             assert_eq!(
-                sends(&act).len(),
+                started_attempts(&act).len(),
                 1,
                 "an unanswered probe does not delay it for long"
             );
@@ -434,7 +437,7 @@
     s.may_cancel = false;
     let mut harness = SchedulerHarness::new(s, &[listed(1), listed(2)]);
     let (q, act) = harness.arrive(0, 500 * MS, 1);
-    assert_eq!(sends(&act).len(), 1);
+    assert_eq!(started_attempts(&act).len(), 1);
     let act = harness.tick(8 * S);
     assert!(
         !act.iter()
@@ -451,14 +454,18 @@
     harness.report(1, &[0.1]);
     harness.report(2, &[0.9]);
     let (q, act) = harness.arrive(0, 200 * MS, 1);
-    assert_eq!(sends(&act), [(q.0, 1)]);
+    assert_eq!(started_attempts(&act), [(q.0, 1)]);
     harness.event(Event::ProgressReported {
         query: q,
         attempt: 0,
         report: ProgressReport::Spills(100.0),
     });
     let (next, act) = harness.arrive(0, 200 * MS, 2);
-    assert_eq!(sends(&act), [(next.0, 1)], "the other engine is far busier");
+    assert_eq!(
+        started_attempts(&act),
+        [(next.0, 1)],
+        "the other engine is far busier"
+    );
 }
 
 #[test]
@@ -472,7 +479,7 @@
     harness.report(1, &[1.0]);
     let mut started = |class, work| -> usize {
         (0..8)
-            .map(|_| sends(&harness.arrive(class, work, 1).1).len())
+            .map(|_| started_attempts(&harness.arrive(class, work, 1).1).len())
             .sum()
     };
     assert_eq!((started(1, 8 * S), started(0, 50 * MS)), (3, 2));
@@ -489,9 +496,9 @@
         let mut harness = SchedulerHarness::new(s, &[listed(1)]);
         let mut started = 0;
         for _ in 0..20 {
-            started += sends(&harness.arrive(0, 30 * S, 1).1).len();
+            started += started_attempts(&harness.arrive(0, 30 * S, 1).1).len();
             harness.report(1, &[started as f64 + others]);
-            started += sends(&harness.tick(S)).len();
+            started += started_attempts(&harness.tick(S)).len();
         }
         started
     };
--- a/crates/scheduler/tests/rules.rs
+++ b/crates/scheduler/tests/rules.rs
@@ -65,11 +65,11 @@
             ..harness.query(0, 10 * MS, 1)
         };
         assert_eq!(
-            sends(&harness.event(Event::QueryArrived(q))),
+            started_attempts(&harness.event(Event::QueryArrived(q))),
             [(q.id.0, 1 + n % 3)]
         );
         // A retry goes to the same engine, although the engine failed.
-        let retries = sends(&harness.end(q.id, 0, Outcome::Unreachable, MS));
+        let retries = started_attempts(&harness.end(q.id, 0, Outcome::Unreachable, MS));
         assert!(retries.iter().all(|s| s.1 == 1 + n % 3), "{retries:?}");
     }
     let mut harness = SchedulerHarness::new(
@@ -93,7 +93,10 @@
         kind: ListKind::Changes,
         engines: &[drained],
     }));
-    assert!(sends(&act).is_empty() && rejected(&act, q.id), "{act:?}");
+    assert!(
+        started_attempts(&act).is_empty() && rejected(&act, q.id),
+        "{act:?}"
+    );
 }
 
 #[test]
@@ -111,16 +114,21 @@
             sticky_session: home,
             ..harness.query(0, 10 * MS, 1)
         };
-        assert_eq!(sends(&harness.event(Event::QueryArrived(q))), [(q.id.0, 2)]);
+        assert_eq!(
+            started_attempts(&harness.event(Event::QueryArrived(q))),
+            [(q.id.0, 2)]
+        );
     }
     let q = Query {
         sticky_session: home,
         ..harness.query(0, 10 * MS, 1)
     };
     harness.event(Event::QueryArrived(q));
-    assert!(sends(&harness.end(q.id, 0, Outcome::Unreachable, MS))
-        .iter()
-        .all(|s| s.1 != 2));
+    assert!(
+        started_attempts(&harness.end(q.id, 0, Outcome::Unreachable, MS))
+            .iter()
+            .all(|s| s.1 != 2)
+    );
     harness.event(Event::EnginesListed {
         kind: ListKind::Changes,
         engines: &[ListedEngine {
@@ -132,7 +140,7 @@
         sticky_session: home,
         ..harness.query(0, 10 * MS, 1)
     };
-    let sent = sends(&harness.event(Event::QueryArrived(q)));
+    let sent = started_attempts(&harness.event(Event::QueryArrived(q)));
     assert!(sent.len() == 1 && sent[0].1 != 2);
 }
 
@@ -148,7 +156,11 @@
         let mut harness = SchedulerHarness::new(s.clone(), &[listed(1), listed(2)]);
         let (q, _) = harness.arrive(0, S, 1);
         let act = harness.end(q, 0, outcome, 10 * MS);
-        assert_eq!(sends(&act).len(), usize::from(is_retried), "{outcome:?}");
+        assert_eq!(
+            started_attempts(&act).len(),
+            usize::from(is_retried),
+            "{outcome:?}"
+        );
         assert_eq!(failed(&act, q), !is_retried, "{outcome:?}");
     }
 }
@@ -161,8 +173,8 @@
     );
     for _ in 0..6 {
         let (q, act) = harness.arrive(0, S, 1);
-        let first = sends(&act)[0].1;
-        let retries = sends(&harness.end(q, 0, Outcome::Error, MS));
+        let first = started_attempts(&act)[0].1;
+        let retries = started_attempts(&harness.end(q, 0, Outcome::Error, MS));
         assert_eq!(retries, [(q.0, 3 - first)]);
         assert!(rejected(&harness.end(q, 1, Outcome::Error, MS), q));
     }
@@ -171,7 +183,7 @@
     let mut errors = 0;
     for _ in 0..20 {
         let (q, act) = harness.arrive(0, S, 1);
-        let is_error = sends(&act)[0].1 == 1;
+        let is_error = started_attempts(&act)[0].1 == 1;
         errors += usize::from(is_error);
         if is_error {
             harness.end(q, 0, Outcome::Error, MS);
@@ -231,7 +243,10 @@
             idempotent_until: None,
             ..harness.query(0, S, 1)
         };
-        assert_eq!(sends(&harness.event(Event::QueryArrived(q))).len(), 1);
+        assert_eq!(
+            started_attempts(&harness.event(Event::QueryArrived(q))).len(),
+            1
+        );
         harness.controller.handle(
             harness.now,
             Event::ProgressReported {
@@ -243,7 +258,11 @@
         );
         let act = harness.end(q.id, 0, Outcome::Reset, MS);
         if idempotent_until.is_none() {
-            assert_eq!(sends(&act).len(), usize::from(is_retried), "{has_key}");
+            assert_eq!(
+                started_attempts(&act).len(),
+                usize::from(is_retried),
+                "{has_key}"
+            );
             assert_eq!(act.contains(&Action::Fail(q.id)), !is_retried);
         }
         // A query whose key is no longer recognized is never sent, and is rejected.
@@ -253,7 +272,7 @@
             ..harness.query(0, S, 2)
         };
         if idempotent_until.is_some() {
-            assert!(sends(&harness.event(Event::QueryArrived(late))).is_empty());
+            assert!(started_attempts(&harness.event(Event::QueryArrived(late))).is_empty());
             assert!(rejected(&harness.tick(50 * MS), late.id));
         }
     }
@@ -267,7 +286,7 @@
     let mut send_query = |harness: &mut SchedulerHarness, failing: bool| {
         tables += 1;
         let (q, act) = harness.arrive(0, 100 * MS, tables);
-        let there = sends(&act)[0].1 == 1;
+        let there = started_attempts(&act)[0].1 == 1;
         seen += usize::from(there);
         // Four of five queries fail immediately, so the engine looks idle.
         let is_error = failing && there && seen % 5 != 0;
@@ -329,7 +348,7 @@
     // It answers, so it was never down: it is neither on probation nor warming up, where almost
     // nothing would fit.
     let started: usize = (0..4)
-        .map(|_| sends(&harness.arrive(0, 100 * MS, 1).1).len())
+        .map(|_| started_attempts(&harness.arrive(0, 100 * MS, 1).1).len())
         .sum();
     assert_eq!(started, 4);
 }
@@ -355,8 +374,8 @@
             engines: &list,
         });
         let (q, act) = harness.arrive(0, S, 1);
-        let first = sends(&act)[0].1;
-        let retries = sends(&harness.end(q, 0, Outcome::Reset, S));
+        let first = started_attempts(&act)[0].1;
+        let retries = started_attempts(&harness.end(q, 0, Outcome::Reset, S));
         assert!(
             retries.iter().all(|s| (s.1 == 2) == (first == 2)),
             "{first} then {retries:?}"
@@ -365,7 +384,10 @@
         harness.now += 6 * S;
         let n = retries.len() as u8;
         let act = harness.end(q, n, Outcome::Reset, 6 * S);
-        assert!(sends(&act).is_empty() && failed(&act, q), "{act:?}");
+        assert!(
+            started_attempts(&act).is_empty() && failed(&act, q),
+            "{act:?}"
+        );
     }
 }
 
@@ -387,7 +409,7 @@
         ],
     });
     assert!(
-        !sends(&act).is_empty() && sends(&act).iter().all(|s| s.1 == 2),
+        !started_attempts(&act).is_empty() && started_attempts(&act).iter().all(|s| s.1 == 2),
         "{act:?}"
     );
 }
@@ -420,7 +442,7 @@
     let mut sent = 0;
     for _ in 0..60 {
         let (q, act) = harness.arrive(0, 100 * MS, 1);
-        for s in sends(&act) {
+        for s in started_attempts(&act) {
             sent += 1;
             harness.end(QueryId(s.0), 0, Outcome::Ok, 10 * MS);
         }
@@ -445,14 +467,23 @@
         (q.id, harness.event(Event::QueryArrived(q)))
     };
     let (a, act) = keyed(&mut harness);
-    assert_eq!(sends(&act).len(), 1);
+    assert_eq!(started_attempts(&act).len(), 1);
     let (b, act) = keyed(&mut harness);
     assert!(act.is_empty());
     let act = harness.end(a, 0, Outcome::Reset, S);
-    assert!(failed(&act, a) && sends(&act).is_empty());
-    assert!(sends(&harness.tick(900 * MS)).is_empty(), "the key is held");
+    assert!(failed(&act, a) && started_attempts(&act).is_empty());
+    assert!(
+        started_attempts(&harness.tick(900 * MS)).is_empty(),
+        "the key is held"
+    );
     let act = harness.tick(300 * MS);
-    assert_eq!(sends(&act).iter().map(|s| s.0).collect::<Vec<_>>(), [b.0]);
+    assert_eq!(
+        started_attempts(&act)
+            .iter()
+            .map(|s| s.0)
+            .collect::<Vec<_>>(),
+        [b.0]
+    );
 }
 
 #[test]
@@ -470,9 +501,9 @@
         ],
     );
     let (q, act) = harness.arrive(0, S, 1);
-    assert_eq!(sends(&act), [(q.0, 2)]);
+    assert_eq!(started_attempts(&act), [(q.0, 2)]);
     let act = harness.end(q, 0, Outcome::Unreachable, 250 * MS);
-    assert!(sends(&act).iter().all(|s| s.1 == 2));
+    assert!(started_attempts(&act).iter().all(|s| s.1 == 2));
 }
 
 #[test]
@@ -487,7 +518,7 @@
     let further: usize = (0..5)
         .map(|_| {
             let (q, _) = harness.arrive(0, S, 1);
-            sends(&harness.end(q, 0, Outcome::Unreachable, MS)).len()
+            started_attempts(&harness.end(q, 0, Outcome::Unreachable, MS)).len()
         })
         .sum();
     assert_eq!(further, 2);
--- a/crates/scheduler/tests/slow_start.rs
+++ b/crates/scheduler/tests/slow_start.rs
@@ -54,11 +54,16 @@
 /// Ends the attempts that these actions start, and those that start as a result. Returns their
 /// number.
 fn serve(harness: &mut SchedulerHarness, actions: &[Action]) -> usize {
-    let mut waiting = sends(actions);
+    let mut waiting = started_attempts(actions);
     let mut sent = 0;
     while let Some((query, _)) = waiting.pop() {
         sent += 1;
-        waiting.extend(sends(&harness.end(QueryId(query), 0, Outcome::Ok, WORK)));
+        waiting.extend(started_attempts(&harness.end(
+            QueryId(query),
+            0,
+            Outcome::Ok,
+            WORK,
+        )));
     }
     sent
 }
@@ -122,10 +127,10 @@
     // Two windows' budgets are planned while no connection is open.
     let mut planned = Vec::new();
     for _ in 0..2 {
-        planned.extend(sends(&harness.tick(1050 * MS)));
+        planned.extend(started_attempts(&harness.tick(1050 * MS)));
         for _ in 0..30 {
             let (_, act) = harness.arrive(0, WORK, 1);
-            planned.extend(sends(&act));
+            planned.extend(started_attempts(&act));
         }
     }
     // The connections open, and everything that waits could be sent at the same moment.
--- a/crates/test-support/src/scheduler.rs
+++ b/crates/test-support/src/scheduler.rs
@@ -191,7 +191,7 @@
 }
 
 /// The attempts that are started among `actions`: query and engine of each.
-pub fn sends(actions: &[Action]) -> Vec<(u64, u64)> {
+pub fn started_attempts(actions: &[Action]) -> Vec<(u64, u64)> {
     actions
         .iter()
         .filter_map(|action| match action {
