--- a/crates/cluster-harness/src/commands/cost.rs
+++ b/crates/cluster-harness/src/commands/cost.rs
@@ -1,14 +1,14 @@
-//! What the cluster costs each process that has nothing else to do.
+//! Measures the overhead of clustering in idle processes.
 
 use super::NO_ENGINE;
 use driftfront_cluster_harness::ClusterHarness;
 use std::ops::{AddAssign, Sub};
 use std::time::Duration;
 
-/// Milliseconds of a clock tick of the system (`USER_HZ` is 100).
+/// Milliseconds per system clock tick (`USER_HZ` is 100).
 const MILLIS_PER_TICK: f64 = 10.0;
 
-/// What processes have used.
+/// Resources used by processes.
 #[derive(Clone, Copy, Default)]
 struct Usage {
     processor_ticks: u64,
@@ -29,7 +29,7 @@
 impl Sub for Usage {
     type Output = Usage;
 
-    /// What was used since then; memory as it is now.
+    /// Returns the usage since `before`. Memory is the current value.
     fn sub(self, before: Usage) -> Usage {
         Usage {
             processor_ticks: self.processor_ticks - before.processor_ticks,
@@ -40,7 +40,7 @@
     }
 }
 
-/// Watches so many idle members for so long, and prints what each used.
+/// Runs idle members for the given time and prints the average usage per member.
 pub(crate) fn run(binary: &str, members: u32, seconds: u64) {
     let mut harness = ClusterHarness::start(binary, NO_ENGINE, &format!("members {members}"));
     let all: Vec<u32> = (0..members).collect();
@@ -51,13 +51,13 @@
     let longest_turn = (0..members)
         .map(|m| harness.counter(m, "fleet_turn_longest_us"))
         .max();
-    let each_second = |n: u64| n as f64 / seconds as f64 / f64::from(members);
+    let per_second = |n: u64| n as f64 / seconds as f64 / f64::from(members);
     println!(
-        "processes {members}: each {:.1} ms of processor, {:.1} datagrams, {:.0} bytes a second, {:.1} MB resident; \
-         longest turn {} µs",
-        each_second(used.processor_ticks) * MILLIS_PER_TICK,
-        each_second(used.datagrams),
-        each_second(used.bytes),
+        "{members} processes, each: {:.1} ms of processor time, {:.1} datagrams and {:.0} bytes per second, {:.1} MB resident; \
+         longest event loop turn {} µs",
+        per_second(used.processor_ticks) * MILLIS_PER_TICK,
+        per_second(used.datagrams),
+        per_second(used.bytes),
         used.memory_kilobytes as f64 / 1024.0 / f64::from(members),
         longest_turn.unwrap_or(0)
     );
--- a/crates/cluster-harness/src/commands/pauses.rs
+++ b/crates/cluster-harness/src/commands/pauses.rs
@@ -1,4 +1,4 @@
-//! How long clients wait for an answer that needs nothing, by turns in a cluster and alone.
+//! Measures the response time of a trivial request, alternately for a member of a cluster and for a standalone process.
 
 use super::{micros, NO_ENGINE};
 use driftfront_cluster_harness::ClusterHarness;
@@ -7,32 +7,32 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// Turns, every other one in a cluster.
-const TURNS: usize = 4;
-/// A request that needs nothing but the event loop.
+/// Number of measurements, every other one in a cluster.
+const ROUNDS: usize = 4;
+/// A request that needs only the event loop.
 const REQUEST: &[u8] = b"GET /alive HTTP/1.1\r\nHost: t\r\n\r\n";
-/// Time between requests.
+/// Pause between requests.
 const REQUEST_INTERVAL: Duration = Duration::from_micros(700);
 
-/// Measures for so many seconds in each turn, and prints the times.
+/// Measures for the given time in each round, and prints the response times.
 pub(crate) fn run(binary: &str, seconds: u64) {
     let (mut in_cluster, mut alone): (Vec<u64>, Vec<u64>) = (Vec::new(), Vec::new());
-    for turn in 0..TURNS {
-        let is_in_cluster = turn % 2 == 0;
+    for round in 0..ROUNDS {
+        let is_in_cluster = round % 2 == 0;
         let harness = if is_in_cluster {
             start_cluster(binary)
         } else {
             start_alone(binary)
         };
-        let waits = measure(harness.client_addr(0), Duration::from_secs(seconds));
+        let latencies = measure(harness.client_addr(0), Duration::from_secs(seconds));
         if is_in_cluster {
-            in_cluster.extend(waits);
+            in_cluster.extend(latencies);
         } else {
-            alone.extend(waits);
+            alone.extend(latencies);
         }
     }
-    print_waits("in a fleet of five", &mut in_cluster);
-    print_waits("with no fleet", &mut alone);
+    print_latencies("cluster of five", &mut in_cluster);
+    print_latencies("standalone", &mut alone);
 }
 
 fn start_cluster(binary: &str) -> ClusterHarness {
@@ -43,7 +43,7 @@
     harness
 }
 
-/// A process whose file has no cluster.
+/// Starts a process without a cluster in its configuration.
 fn start_alone(binary: &str) -> ClusterHarness {
     let mut harness = ClusterHarness::start(binary, NO_ENGINE, "members 1");
     harness.change_config(0, |text| {
@@ -55,11 +55,11 @@
     harness
 }
 
-/// How long each answer took, in microseconds, until this time is over or the connection ends.
+/// Measures response times, in microseconds, for the given time or until the connection closes.
 fn measure(addr: SocketAddr, time: Duration) -> Vec<u64> {
-    let mut waits = Vec::new();
+    let mut latencies = Vec::new();
     let Ok(mut stream) = TcpStream::connect(addr) else {
-        return waits;
+        return latencies;
     };
     let _ = stream.set_nodelay(true);
     let until = Instant::now() + time;
@@ -70,21 +70,21 @@
             break;
         }
         match stream.read(&mut bytes) {
-            Ok(n) if n > 0 => waits.push(micros(sent.elapsed())),
+            Ok(n) if n > 0 => latencies.push(micros(sent.elapsed())),
             _ => break,
         }
         std::thread::sleep(REQUEST_INTERVAL);
     }
-    waits
+    latencies
 }
 
-fn print_waits(processes: &str, waits: &mut [u64]) {
-    waits.sort_unstable();
+fn print_latencies(processes: &str, latencies: &mut [u64]) {
+    latencies.sort_unstable();
     println!(
-        "{processes}: an answer after p50 {:.3} ms  p99.9 {:.3} ms  max {:.3} ms, of {}",
-        percentile(waits, 0.5) * 1e3,
-        percentile(waits, 0.999) * 1e3,
-        percentile(waits, 1.0) * 1e3,
-        waits.len()
+        "{processes}: response time p50 {:.3} ms  p99.9 {:.3} ms  max {:.3} ms, {} requests",
+        percentile(latencies, 0.5) * 1e3,
+        percentile(latencies, 0.999) * 1e3,
+        percentile(latencies, 1.0) * 1e3,
+        latencies.len()
     );
 }
--- a/crates/cluster-harness/src/commands/scenarios.rs
+++ b/crates/cluster-harness/src/commands/scenarios.rs
@@ -1,4 +1,4 @@
-//! Fault scenarios over processes, then quiet: how long until all have one view again.
+//! Runs fault scenarios against real processes, and measures how long members take to converge afterwards.
 
 use super::arguments::Arguments;
 use super::{exit_code, micros, NO_ENGINE};
@@ -9,7 +9,7 @@
 
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Plays the scenarios that the command line asks for; fails where one does not come to one view in time.
+/// Runs the scenarios given on the command line. Fails if the members don't converge in time after one of them.
 pub(crate) fn run(args: &Arguments, binary: &str) -> ExitCode {
     let members = args.count("--members", 5);
     let (runs, first) = (args.number("--runs", 3), args.number("--seed", 1));
@@ -22,8 +22,8 @@
     }
     times.sort_unstable();
     println!(
-        "processes {members}, {runs} storms from seed {first}: one view again after p50 {:.2} s  p99 {:.2} s  max {:.2} s; \
-         never within the time owed: {failed_seeds:?}",
+        "{members} processes, {runs} fault scenarios from seed {first}: converged after p50 {:.2} s  p99 {:.2} s  max {:.2} s; \
+         seeds that did not converge in time: {failed_seeds:?}",
         percentile(&times, 0.5),
         percentile(&times, 0.99),
         percentile(&times, 1.0)
@@ -31,18 +31,19 @@
     exit_code(failed_seeds.is_empty())
 }
 
-/// How long after the scenario's end all have one view; `None` where they don't in time: what they see is printed.
+/// Returns how long after the faults all members had the same view. Returns `None`, and prints each member's view, if they did
+/// not converge in time.
 fn play(binary: &str, members: u32, seed: u64) -> Option<Duration> {
     let script = fault_scenario::draw(members, seed, false);
     let mut harness = ClusterHarness::from_script(binary, NO_ENGINE, script);
     let all: Vec<u32> = (0..members).collect();
     harness.play();
-    let quiet_since = Instant::now();
+    let faults_ended_at = Instant::now();
     loop {
         if all.iter().all(|&m| harness.sees_exactly(m, &all)) {
-            return Some(quiet_since.elapsed());
+            return Some(faults_ended_at.elapsed());
         }
-        if quiet_since.elapsed() > Duration::from_micros(fault_scenario::CONVERGENCE_TIMEOUT) {
+        if faults_ended_at.elapsed() > Duration::from_micros(fault_scenario::CONVERGENCE_TIMEOUT) {
             break;
         }
         std::thread::sleep(POLL_INTERVAL);
@@ -61,7 +62,7 @@
         .map(|s| format!("{} {}", s.name, s.standing))
         .collect();
     eprintln!(
-        "  m{member} sees {}; came back {}",
+        "  m{member} sees {}; rejoined {} times",
         seen.join(", "),
         harness.counter(member, "fleet_came_back")
     );
--- a/crates/cluster-harness/src/commands/soaks.rs
+++ b/crates/cluster-harness/src/commands/soaks.rs
@@ -1,4 +1,4 @@
-//! Soaks of restarts, some at once; each broken rule with its seed.
+//! Runs soak tests with restarts, several at once, and reports violated rules by seed.
 
 use super::arguments::Arguments;
 use super::exit_code;
@@ -8,11 +8,11 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Mutex;
 
-/// Plays the soaks that the command line asks for, and prints their reports.
+/// Runs the soak tests given on the command line, and prints their reports.
 pub(crate) fn run(args: &Arguments, binary: &str) -> ExitCode {
     let (first, runs) = (args.number("--seed", 1), args.number("--runs", 1));
     let next_seed = AtomicU64::new(first);
-    let broken = Mutex::new(Vec::new());
+    let failed_seeds = Mutex::new(Vec::new());
     std::thread::scope(|scope| {
         for _ in 0..args.number("--at-once", 2) {
             scope.spawn(|| loop {
@@ -21,17 +21,20 @@
                     return;
                 }
                 if !play(binary, seed) {
-                    broken.lock().expect("the seeds").push(seed);
+                    failed_seeds.lock().expect("locking the seeds").push(seed);
                 }
             });
         }
     });
-    let broken = broken.into_inner().expect("the seeds");
-    println!("{runs} soaks, rules broken in {}: {broken:?}", broken.len());
-    exit_code(broken.is_empty())
+    let failed_seeds = failed_seeds.into_inner().expect("locking the seeds");
+    println!(
+        "{runs} soak tests, {} with violated rules: {failed_seeds:?}",
+        failed_seeds.len()
+    );
+    exit_code(failed_seeds.is_empty())
 }
 
-/// Whether all rules held.
+/// Returns whether no rule was violated.
 fn play(binary: &str, seed: u64) -> bool {
     let report = soak::play(Path::new(binary), seed);
     println!("seed {seed}: {report}");
@@ -39,7 +42,7 @@
         return true;
     }
     for ProcessLog { process, text } in &report.logs {
-        println!("seed {seed}: process {process} said\n{text}");
+        println!("seed {seed}: log of process {process}\n{text}");
     }
     false
 }
--- a/crates/cluster-harness/src/event_log.rs
+++ b/crates/cluster-harness/src/event_log.rs
@@ -1,9 +1,9 @@
-//! What happened in a scenario, to all processes, in one order: shown where a test fails.
+//! A shared, ordered log of the events of a scenario, printed when a test fails.
 
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// The events of a scenario; clones share them.
+/// The events of a scenario. Clones share the same log.
 #[derive(Clone)]
 pub struct EventLog {
     started: Instant,
@@ -18,7 +18,7 @@
 }
 
 impl EventLog {
-    /// An empty log; its times count from now.
+    /// Creates an empty log whose timestamps are relative to now.
     pub(crate) fn start() -> EventLog {
         EventLog {
             started: Instant::now(),
@@ -31,6 +31,7 @@
         self.started.elapsed()
     }
 
+    /// Appends an event with the current time.
     pub(crate) fn record(&self, message: String) {
         if let Ok(mut entries) = self.entries.lock() {
             let at = self.elapsed();
@@ -38,7 +39,7 @@
         }
     }
 
-    /// All events, a line each.
+    /// Returns all events, one per line.
     pub fn text(&self) -> String {
         let entries = self.entries.lock().map(|e| e.clone()).unwrap_or_default();
         entries
--- a/crates/cluster-harness/src/harness/config.rs
+++ b/crates/cluster-harness/src/harness/config.rs
@@ -1,15 +1,15 @@
-//! The operator's file of each member.
+//! Generates the configuration file of each member.
 
 use super::ClusterHarness;
 use driftfront_cluster_simulation::Script;
 use std::fmt::Write;
 
-/// Members that every file names as seeds.
+/// Maximum number of members that a configuration lists as seeds.
 const MAX_SEEDS: u32 = 3;
 const MICROS_PER_SECOND: u64 = 1_000_000;
 
 impl ClusterHarness {
-    /// The text of a member's file.
+    /// Returns the text of a member's configuration file.
     pub(super) fn config(&self, member: u32) -> String {
         let state = match self.script.persists_log {
             true => format!("state \"{}\"\n", self.state_folder(member).display()),
@@ -31,7 +31,7 @@
         )
     }
 
-    /// Engines under the addresses at which this member finds them.
+    /// Returns the engine nodes, with the addresses at which this member reaches the engines.
     fn engine_nodes(&self, member: u32) -> String {
         let mut nodes = String::new();
         for (number, engine) in self.engines.iter().enumerate() {
--- a/crates/cluster-harness/src/harness/faults.rs
+++ b/crates/cluster-harness/src/harness/faults.rs
@@ -1,4 +1,4 @@
-//! The actions of a script, done to processes and links.
+//! Applies the actions of a script to processes and links.
 
 use super::ClusterHarness;
 use crate::process::{Process, Signal};
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 impl ClusterHarness {
-    /// Does one action now.
+    /// Applies an action now.
     pub fn apply(&mut self, action: &FaultAction) {
         self.log.record(format!("{action:?}"));
         match action {
@@ -28,20 +28,20 @@
                 .members_of(groups)
                 .into_iter()
                 .for_each(|member| self.start_member(member)),
-            // Processes on one machine share its clock; the simulation moves clocks.
+            // Processes on one machine share its clock. Only the simulation supports clock steps.
             FaultAction::Clock(..) => {}
         }
     }
 
-    /// Does the actions of these lines of a script now.
+    /// Applies the actions of these script lines now.
     pub fn apply_script(&mut self, lines: &str) {
-        let script = Script::read(lines).expect("a line of a script");
+        let script = Script::read(lines).expect("valid script lines");
         for TimedAction { action, .. } in &script.actions {
             self.apply(action);
         }
     }
 
-    /// Plays the script's actions, each at its time.
+    /// Runs the script: applies each action at its time.
     pub fn play(&mut self) {
         for TimedAction { at, action } in self.script.actions.clone() {
             let at = Duration::from_micros(at);
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Ends all connections between these groups and `from`.
+    /// Closes all connections between these groups and `from`.
     fn reset_connections(&self, groups: &[Group], from: &Group) {
         let Some(links) = &self.engine_links else {
             return;
--- a/crates/cluster-harness/src/harness/mod.rs
+++ b/crates/cluster-harness/src/harness/mod.rs
@@ -1,4 +1,4 @@
-//! A cluster of processes, and the network between them.
+//! A cluster of processes and the network between them.
 
 mod config;
 mod faults;
@@ -13,55 +13,56 @@
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// An engine as members' files name it.
+/// An engine as named in the members' configuration files.
 #[derive(Clone, Debug)]
 pub struct EngineEndpoint {
-    /// Its name.
+    /// The engine's name.
     pub name: String,
-    /// Where it listens.
+    /// The address it listens on.
     pub addr: SocketAddr,
 }
 
-/// Processes, and the network between them.
+/// A cluster of processes and the network between them.
 pub struct ClusterHarness {
-    /// The network.
+    /// The network between the members.
     pub net: Net,
     script: Script,
     binary: PathBuf,
     folder: PathBuf,
     engines: Vec<EngineEndpoint>,
-    /// The links between members and engines, where scripts may name engines.
+    /// Proxies between members and engines, if scripts may refer to engines.
     engine_links: Option<TcpProxy>,
     processes: Vec<Process>,
     log: EventLog,
 }
 
-/// Numbers the harnesses of this process: each has a folder of its own.
+/// Numbers the harnesses of this process, since each has its own directory.
 static NEXT_HARNESS: AtomicUsize = AtomicUsize::new(0);
 
 impl ClusterHarness {
-    /// Starts the members of the script with this text, which run `binary` in front of an engine at the address `engine`.
+    /// Starts the members of a script. They run `binary` and are configured with one engine at the address `engine`.
     pub fn start(binary: &str, engine: &str, script: &str) -> ClusterHarness {
-        let script = Script::read(script).expect("a script");
+        let script = Script::read(script).expect("a valid script");
         ClusterHarness::from_script(binary, engine, script)
     }
 
-    /// As [`ClusterHarness::start`], of a script that has been read.
+    /// Like [`ClusterHarness::start`], with a parsed script.
     pub fn from_script(binary: &str, engine: &str, script: Script) -> ClusterHarness {
         let engine = EngineEndpoint {
             name: "engine-1".to_string(),
-            addr: engine.parse().expect("an address"),
+            addr: engine.parse().expect("a valid engine address"),
         };
         ClusterHarness::start_members(binary, vec![engine], script, false)
     }
 
-    /// As [`ClusterHarness::start`], with links between the members and these engines: a script names the first `e0`.
+    /// Like [`ClusterHarness::start`], with links between the members and these engines, which a script refers to as `e0`, `e1` and
+    /// so on.
     pub fn with_engines(
         binary: &str,
         engines: Vec<EngineEndpoint>,
         script: &str,
     ) -> ClusterHarness {
-        let script = Script::read(script).expect("a script");
+        let script = Script::read(script).expect("a valid script");
         ClusterHarness::start_members(binary, engines, script, true)
     }
 
@@ -76,7 +77,7 @@
             .filter(|_| has_engine_links)
             .map(|engine| engine.addr)
             .collect();
-        let count = u32::try_from(linked_engines.len()).expect("a number of engines");
+        let count = u32::try_from(linked_engines.len()).expect("the number of engines fits in u32");
         let net = Net::start(script.members, count, script.zones, script.seed);
         let engine_links =
             has_engine_links.then(|| TcpProxy::start(script.members, &linked_engines, &net));
@@ -102,38 +103,39 @@
         harness
     }
 
-    /// Writes the key file that all members read.
+    /// Writes the key file shared by all members.
     pub fn write_key(&self, text: &str) {
         let path = self.key_file();
-        std::fs::write(&path, format!("{text}\n")).expect("a temporary file");
-        std::fs::set_permissions(&path, std::fs::Permissions::from_mode(0o600)).expect("its mode");
+        std::fs::write(&path, format!("{text}\n")).expect("writing a temporary file");
+        std::fs::set_permissions(&path, std::fs::Permissions::from_mode(0o600))
+            .expect("setting file permissions");
     }
 
     fn key_file(&self) -> PathBuf {
         self.folder.join("fleet.key")
     }
 
-    /// A member's state folder, where the script has its members keep one.
+    /// Returns a member's state directory, which exists if the script makes members persist their logs.
     pub fn state_folder(&self, member: u32) -> PathBuf {
         self.folder.join(format!("m{member}.state"))
     }
 
-    /// Has a member run another build from its next start on.
+    /// Makes a member run another build from its next start on.
     pub fn set_binary(&mut self, member: u32, binary: &str) {
         self.process(member).binary = binary.into();
     }
 
-    /// Changes a member's file; it is read at its next start or SIGHUP.
+    /// Changes a member's configuration file, which is read at its next start or SIGHUP.
     pub fn change_config(&self, member: u32, change: impl FnOnce(String) -> String) {
         self.processes[member as usize].change_config(change);
     }
 
-    /// What a member says that the cluster agreed on; `None` where it does not answer.
+    /// Returns the state of consensus as reported by a member, or `None` if it does not respond.
     pub fn consensus(&self, by: u32) -> Option<Consensus> {
         self.processes[by as usize].snapshot()?.agreed
     }
 
-    /// The leader's number, if all of `by` name the same one.
+    /// Returns the number of the leader if all of `by` report the same one.
     pub fn leader(&self, by: &[u32]) -> Option<u32> {
         let leader_named_by = |&member: &u32| {
             let leader = self.consensus(member)?.leader;
@@ -149,11 +151,11 @@
         first.strip_prefix('m')?.parse().ok()
     }
 
-    /// Requests a hold of a member, as an operator does, and returns what it says.
+    /// Requests a hold from a member, as an operator does, and returns the reply.
     ///
     /// # Errors
     ///
-    /// The member refused it, or did not answer.
+    /// Fails if the member refuses the request or does not respond.
     pub fn request_hold(&self, by: u32, name: &str, seconds: u64) -> Result<String, RequestError> {
         let request = Request::Hold {
             name: name.into(),
@@ -164,11 +166,11 @@
         self.request(by, &request)
     }
 
-    /// Sends a member an operator's request, and returns what it says when that is done.
+    /// Sends an operator's request to a member, and returns the reply once the request is done.
     ///
     /// # Errors
     ///
-    /// The member refused it, or did not answer.
+    /// Fails if the member refuses the request or does not respond.
     pub fn request(&self, by: u32, request: &Request) -> Result<String, RequestError> {
         let reply = self.processes[by as usize].request(request);
         let shown = match &reply {
@@ -176,26 +178,26 @@
             Err(error) => format!("Err({:?})", error.to_string()),
         };
         self.log
-            .record(format!("m{by} is asked {request:?}: {shown}"));
+            .record(format!("m{by} request {request:?}: {shown}"));
         reply
     }
 
-    /// Starts a member that does not run.
+    /// Starts a member unless it is running.
     fn start_member(&mut self, member: u32) {
         let process = &mut self.processes[member as usize];
         if process.is_running() {
             return;
         }
-        let datagrams = process.start(&self.log);
-        let datagrams = datagrams.expect("it logs where its datagrams come in");
-        self.net.set_process_addr(member, datagrams);
+        let datagram_addr = process.start(&self.log);
+        let datagram_addr = datagram_addr.expect("the log states the datagram address");
+        self.net.set_process_addr(member, datagram_addr);
     }
 
-    /// Starts another process under a member's name and file while the present one still runs, as an upgrade does. The new one is
-    /// the member from now on; the old one is returned.
+    /// Starts a second process with a member's name and configuration while the current one still runs, as an upgrade does. The new
+    /// process takes the member's place; the old one is returned.
     pub fn start_successor(&mut self, member: u32) -> Process {
         let folder = self.folder.join("next");
-        std::fs::create_dir_all(&folder).expect("a temporary folder");
+        std::fs::create_dir_all(&folder).expect("creating a temporary directory");
         let old = &self.processes[member as usize];
         let next_socket = folder.join(format!("m{member}.sock"));
         let config = old.config_text().replace(
@@ -203,48 +205,48 @@
             &next_socket.display().to_string(),
         );
         let mut process = Process::new(&old.binary, &folder, member, &config);
-        let datagrams = process.start(&self.log);
-        let datagrams = datagrams.expect("it logs where its datagrams come in");
-        self.net.set_process_addr(member, datagrams);
+        let datagram_addr = process.start(&self.log);
+        let datagram_addr = datagram_addr.expect("the log states the datagram address");
+        self.net.set_process_addr(member, datagram_addr);
         std::mem::replace(&mut self.processes[member as usize], process)
     }
 
-    /// Starts a member whose file names no cluster any more.
+    /// Starts a member whose configuration no longer contains a cluster.
     pub fn start_without_cluster(&mut self, member: u32) {
         self.processes[member as usize].start(&self.log);
     }
 
-    /// Where operators of a member connect.
+    /// Returns a member's control socket.
     pub fn control_socket(&self, member: u32) -> PathBuf {
         self.processes[member as usize].control_socket().into()
     }
 
-    /// A member's process.
+    /// Returns a member's process.
     pub fn process(&mut self, member: u32) -> &mut Process {
         &mut self.processes[member as usize]
     }
 
-    /// Where a member's clients connect.
+    /// Returns the address for a member's clients.
     pub fn client_addr(&self, member: u32) -> SocketAddr {
         let process = &self.processes[member as usize];
-        process.client_addr.expect("it runs")
+        process.client_addr.expect("the process runs")
     }
 
-    /// What happened so far.
+    /// Returns the event log.
     pub fn log(&self) -> &EventLog {
         &self.log
     }
 
-    /// The members that one sees; none where it does not answer.
+    /// Returns the members that a member sees; empty if it does not respond.
     pub fn members_seen_by(&self, by: u32) -> Vec<Member> {
         self.processes[by as usize].members()
     }
 
-    /// Whether a member sees exactly `expected` as members that are not gone.
+    /// Returns whether the members that a member sees and that are not gone are exactly `expected`.
     pub fn sees_exactly(&self, by: u32, expected: &[u32]) -> bool {
         let mut names: Vec<String> = expected.iter().map(|&m| member_name(m)).collect();
         names.sort();
-        // The program lists them by name.
+        // The program sorts members by name.
         self.members_seen_by(by)
             .iter()
             .filter(|member| member.standing != "gone")
@@ -252,7 +254,7 @@
             .eq(&names)
     }
 
-    /// A member's counter; 0 where it does not answer.
+    /// Returns a member's counter; 0 if it does not respond.
     pub fn counter(&self, member: u32, name: &str) -> u64 {
         crate::process::counter(self.client_addr(member), name).unwrap_or(0)
     }
@@ -261,16 +263,16 @@
 impl Drop for ClusterHarness {
     fn drop(&mut self) {
         self.processes.clear();
-        self.net.end();
+        self.net.shut_down();
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
 
-/// Makes the temporary folder of one harness.
+/// Creates the temporary directory of a harness.
 fn create_folder() -> PathBuf {
     let number = NEXT_HARNESS.fetch_add(1, Ordering::Relaxed);
     let name = format!("driftfront-harness-{}-{number}", std::process::id());
     let folder = std::env::temp_dir().join(name);
-    std::fs::create_dir_all(&folder).expect("a temporary folder");
+    std::fs::create_dir_all(&folder).expect("creating a temporary directory");
     folder
 }
--- a/crates/cluster-harness/src/harness/waits.rs
+++ b/crates/cluster-harness/src/harness/waits.rs
@@ -1,4 +1,4 @@
-//! Waits for what members say; each fails behind [`TEST_TIMEOUT`], with what was seen instead.
+//! Waits until members report an expected state. Each wait panics after [`TEST_TIMEOUT`] with the state seen instead.
 
 use super::ClusterHarness;
 use crate::{Member, TEST_TIMEOUT};
@@ -7,7 +7,7 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 impl ClusterHarness {
-    /// Waits until all of `by` name one of them as leader, other than `not`; returns its number.
+    /// Waits until all of `by` report the same leader, which is one of them and not `not`. Returns its number.
     pub fn wait_for_leader(&self, by: &[u32], not: Option<u32>) -> u32 {
         let mut elected = None;
         self.poll_until(
@@ -18,10 +18,16 @@
                     .filter(|leader| by.contains(leader) && Some(*leader) != not);
                 elected.is_some()
             },
-            || format!("nobody leads {by:?}:\n{}", self.consensus_views(by)),
+            || {
+                format!(
+                    "{by:?} do not report a common leader:\n{}",
+                    self.consensus_views(by)
+                )
+            },
         );
         let leader = elected.expect("a leader ended the wait");
-        self.log.record(format!("{by:?} say that m{leader} leads"));
+        self.log
+            .record(format!("{by:?} report m{leader} as leader"));
         leader
     }
 
@@ -46,7 +52,7 @@
         self.log.record(format!("{by:?} see {expected:?}"));
     }
 
-    /// Waits until `condition` holds of what a member sees; `description` names the condition where it never does.
+    /// Waits until the members that a member sees satisfy `condition`, which `description` describes in the failure message.
     pub fn wait_until_members(
         &self,
         by: u32,
@@ -58,7 +64,7 @@
             || condition(&self.members_seen_by(by)),
             || {
                 let seen = self.members_seen_by(by);
-                format!("m{by}: {description}: never; it sees {seen:?}")
+                format!("m{by}: timed out waiting for: {description}; it sees {seen:?}")
             },
         );
     }
@@ -68,11 +74,11 @@
         self.poll_until(
             Instant::now() + TEST_TIMEOUT,
             || self.counter(member, counter) >= minimum,
-            || format!("m{member}: {counter} never came to {minimum}"),
+            || format!("m{member}: {counter} did not reach {minimum}"),
         );
     }
 
-    /// Polls until `is_done`; behind the deadline it fails with a description and the log.
+    /// Polls until `is_done` returns true. Panics after the deadline with a description and the event log.
     fn poll_until(
         &self,
         deadline: Instant,
--- a/crates/cluster-harness/src/lib.rs
+++ b/crates/cluster-harness/src/lib.rs
@@ -1,12 +1,13 @@
-//! Many processes of the real program on loopback, under fault scenarios: what they send each other is lost, delayed, repeated or
-//! cut, one way or both; processes are killed, stopped, continued and started again. Scripts are those of the cluster simulation.
+//! Runs a cluster of real processes on loopback under fault scenarios. Datagrams and connections between them can be lost,
+//! delayed, duplicated, throttled or blocked in one or both directions, and processes can be killed, suspended, resumed and
+//! restarted. Scripts have the format of the cluster simulation.
 //!
-//! Each process advertises an address at which the harness receives. The harness knows each sender by the address that its
-//! datagrams come from, and delivers or drops them by the link between the two.
+//! Each process advertises an address on which the harness listens. The harness identifies the sender of a datagram by its
+//! source address, and delivers or drops the datagram according to the link between sender and receiver.
 #![forbid(unsafe_code)]
 #![allow(
     clippy::missing_panics_doc,
-    reason = "the harness serves tests and trials, which fail by a panic"
+    reason = "the harness is used by tests, which fail by panicking"
 )]
 
 mod event_log;
@@ -33,5 +34,5 @@
 
 use std::time::Duration;
 
-/// A wait that long means that the test has failed; nothing is decided by it.
+/// How long tests wait for a condition before they fail. No behavior under test depends on it.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(60);
--- a/crates/cluster-harness/src/load.rs
+++ b/crates/cluster-harness/src/load.rs
@@ -1,5 +1,5 @@
-//! Clients of a harness's members, and what each request came to: it must have one final response, or a broken connection where
-//! its process was killed.
+//! Clients that send requests to the members of a harness, and the outcome of each request: exactly one complete response, or a
+//! broken connection if the process was killed.
 
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
@@ -9,82 +9,82 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// No response takes longer; what does is none.
+/// Connect and read timeout. A response that takes longer counts as incomplete.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(40);
 
-/// What became of a request.
+/// The outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Outcome {
-    /// Its result came.
+    /// The response had status 200.
     Served,
-    /// It was rejected: not run, or harmless to repeat.
+    /// The response had status 429 or 503: the request was not executed, or is safe to retry.
     Rejected,
-    /// It failed.
+    /// The response had any other status.
     Failed,
     /// The connection ended before a complete response.
     Incomplete,
-    /// Nobody listened: it was not accepted.
+    /// The connection was not established, so the request was never accepted.
     NotConnected,
-    /// More than one response came, or something that is none.
+    /// The client received more than one response, or something that is not a response.
     Malformed,
 }
 
-/// One request, and what became of it.
+/// One request and its outcome.
 #[derive(Clone, Debug)]
 pub struct RequestRecord {
-    /// The member that it was sent to.
+    /// The member it was sent to.
     pub member: u32,
     /// The statement.
     pub statement: String,
-    /// What became of it.
+    /// Its outcome.
     pub outcome: Outcome,
-    /// When it was sent, since the load's start.
+    /// When it was sent, relative to the start of the load.
     pub sent_at: Duration,
-    /// When it was over, since the load's start.
+    /// When it completed, relative to the start of the load.
     pub ended_at: Duration,
-    /// All that came.
+    /// All bytes received.
     pub response: String,
 }
 
 /// How clients send requests.
 #[derive(Clone, Debug)]
 pub struct LoadPlan {
-    /// Clients of each member.
+    /// Number of clients per member.
     pub clients_per_member: u32,
-    /// Requests of each client at most.
+    /// Maximum number of requests per client.
     pub max_requests: u32,
-    /// One request in so many is an insert into a table of its member's own; 0 for none.
+    /// Every n-th request of a client is an insert into a table that belongs to its member; 0 disables inserts.
     pub insert_interval: u32,
-    /// Time between a client's requests.
+    /// Time that a client waits between requests.
     pub pause: Duration,
 }
 
-/// Clients at work.
+/// Running clients.
 pub struct Load {
     clients: Vec<JoinHandle<()>>,
     shared: Arc<Shared>,
 }
 
-/// What all clients share.
+/// State shared by all clients.
 struct Shared {
     plan: LoadPlan,
     started: Instant,
-    has_ended: AtomicBool,
+    is_stopped: AtomicBool,
     /// Number of the next statement.
     next_number: AtomicU64,
-    /// Where each member's clients connect now.
+    /// The address that each member's clients currently connect to.
     addrs: Mutex<BTreeMap<u32, SocketAddr>>,
     records: Mutex<Vec<RequestRecord>>,
 }
 
 impl Load {
-    /// Starts the clients of the members that listen at these addresses.
+    /// Starts clients for the members that listen on these addresses.
     pub fn start(addrs: BTreeMap<u32, SocketAddr>, plan: &LoadPlan) -> Load {
         let members: Vec<u32> = addrs.keys().copied().collect();
         let shared = Arc::new(Shared {
             plan: plan.clone(),
             started: Instant::now(),
-            has_ended: AtomicBool::new(false),
+            is_stopped: AtomicBool::new(false),
             next_number: AtomicU64::new(0),
             addrs: Mutex::new(addrs),
             records: Mutex::default(),
@@ -99,21 +99,21 @@
         Load { clients, shared }
     }
 
-    /// Has a member's clients connect to `addr` from now on.
+    /// Makes the clients of a member connect to `addr` from now on.
     pub fn set_addr(&self, member: u32, addr: SocketAddr) {
         if let Ok(mut addrs) = self.shared.addrs.lock() {
             addrs.insert(member, addr);
         }
     }
 
-    /// How many requests are over.
+    /// Returns the number of completed requests.
     pub fn completed(&self) -> usize {
         self.shared.records.lock().map_or(0, |r| r.len())
     }
 
-    /// Lets all clients finish the request that they wait for, and returns all requests.
+    /// Stops all clients after their current request, and returns all requests.
     pub fn stop(self) -> Vec<RequestRecord> {
-        self.shared.has_ended.store(true, Ordering::Relaxed);
+        self.shared.is_stopped.store(true, Ordering::Relaxed);
         for client in self.clients {
             let _ = client.join();
         }
@@ -124,11 +124,11 @@
 
 impl Shared {
     fn run_client(&self, member: u32) {
-        for turn in 0..self.plan.max_requests {
-            if self.has_ended.load(Ordering::Relaxed) {
+        for index in 0..self.plan.max_requests {
+            if self.is_stopped.load(Ordering::Relaxed) {
                 return;
             }
-            let record = self.send_request(member, turn);
+            let record = self.send_request(member, index);
             if let Ok(mut records) = self.records.lock() {
                 records.push(record);
             }
@@ -136,11 +136,11 @@
         }
     }
 
-    /// Sends a client's next request and waits for what becomes of it.
-    fn send_request(&self, member: u32, turn: u32) -> RequestRecord {
+    /// Sends a client's next request and waits for its outcome.
+    fn send_request(&self, member: u32, index: u32) -> RequestRecord {
         let number = self.next_number.fetch_add(1, Ordering::Relaxed);
         let interval = self.plan.insert_interval;
-        let statement = match interval > 0 && turn.is_multiple_of(interval) {
+        let statement = match interval > 0 && index.is_multiple_of(interval) {
             true => format!("INSERT INTO t{member} VALUES ({number})"),
             false => format!("SELECT {number}"),
         };
@@ -160,7 +160,7 @@
     }
 }
 
-/// How many requests had each outcome.
+/// Counts the requests per outcome.
 pub fn count_outcomes(records: &[RequestRecord]) -> BTreeMap<Outcome, usize> {
     let mut counts = BTreeMap::new();
     for record in records {
@@ -169,7 +169,7 @@
     counts
 }
 
-/// Sends a statement on a new connection; what became of it, and all that came.
+/// Sends a statement on a new connection. Returns the outcome and all bytes received.
 fn exchange(addr: SocketAddr, statement: &str) -> (Outcome, String) {
     let Ok(mut stream) = TcpStream::connect_timeout(&addr, RESPONSE_TIMEOUT) else {
         return (Outcome::NotConnected, String::new());
@@ -188,7 +188,8 @@
     (classify_response(&response, closed), response)
 }
 
-/// What a response says of its request: it is exactly one, and complete, or none. `closed`: the connection was closed in order.
+/// Classifies what a client received: exactly one complete response, or an error. `closed` says whether the connection was closed
+/// cleanly.
 pub fn classify_response(response: &str, closed: bool) -> Outcome {
     let Some((head, body)) = response.split_once("\r\n\r\n") else {
         return Outcome::Incomplete;
--- a/crates/cluster-harness/src/main.rs
+++ b/crates/cluster-harness/src/main.rs
@@ -1,5 +1,5 @@
-//! Processes of the program under faults: what the cluster costs, whether holds are ever held twice, soaks of restarts, and
-//! fault scenarios after which all must have one view again.
+//! Runs real processes under faults: measures the overhead of clustering, checks that no hold has two holders, runs soak tests
+//! with restarts, and runs fault scenarios after which all members must converge to one view.
 
 mod commands;
 
@@ -20,7 +20,7 @@
     each run starts N processes, draws a storm by its seed and plays it; a run that does not come to one view is named";
 
 fn main() -> ExitCode {
-    let args = Arguments::of_process();
+    let args = Arguments::from_env();
     let Some(binary) = args.value("--binary") else {
         println!("{USAGE}");
         return ExitCode::from(2);
--- a/crates/cluster-harness/src/net.rs
+++ b/crates/cluster-harness/src/net.rs
@@ -1,7 +1,8 @@
-//! Forwards datagrams between processes, as the link between the two allows: lost, late, repeated, throttled or cut.
+//! Forwards datagrams between processes, and drops, delays, duplicates, throttles or blocks them according to the link between
+//! sender and receiver.
 //!
-//! Each member has a public socket here, to which the others send. One thread per socket receives and draws what the link does to a
-//! datagram; one thread delivers what is due to where the member's process listens at that moment.
+//! Each member has a public socket here, to which the others send. One thread per socket receives datagrams and draws the effect of
+//! the link on each. Another thread delivers due datagrams to the address on which the member's process currently listens.
 
 use driftfront_cluster_simulation::{Directions, Group, Link, Links};
 use rand::rngs::SmallRng;
@@ -14,16 +15,16 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Datagrams in flight at once; more are lost, as on a full link.
+/// Maximum number of datagrams in flight. Further ones are lost, as on a saturated link.
 const MAX_DATAGRAMS_IN_FLIGHT: usize = 10_000;
-/// The threads look this often whether the network has ended.
+/// How often the threads check whether the network was shut down.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Longest datagram that is forwarded whole; members send shorter ones.
+/// Size of the receive buffer. Longer datagrams would be truncated; members send shorter ones.
 const MAX_DATAGRAM_BYTES: usize = 2048;
-/// Time that a throttled link's queue takes to drain at most; what would wait longer is lost.
+/// Maximum queueing delay of a throttled link. Datagrams that would wait longer are lost.
 const MAX_THROTTLED_QUEUE: Duration = Duration::from_millis(200);
 
-/// A datagram in flight. Ordered by when it is due, then by when it was received.
+/// A datagram in flight, ordered by delivery time, then by arrival.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct InFlight {
     due: Instant,
@@ -32,20 +33,20 @@
     bytes: Vec<u8>,
 }
 
-/// What the network's threads share.
+/// State shared by the network's threads.
 struct Shared {
-    /// Where each member's process listens; `None` while it does not run.
+    /// The address on which each member's process listens; `None` if none has been set.
     processes: Vec<Option<SocketAddr>>,
     links: Links,
     rng: SmallRng,
-    /// Datagrams received so far.
+    /// Number of datagrams received so far.
     sequence: u64,
-    /// When the queue of a throttled link is drained, by sender and receiver.
+    /// When the queue of a throttled link will be drained, by sender and receiver.
     drained_at: BTreeMap<(u32, u32), Instant>,
 }
 
 impl Shared {
-    /// The member whose process sends from this address.
+    /// Returns the member whose process sends from this address.
     fn member_at(&self, addr: SocketAddr) -> Option<u32> {
         let known = (0..).zip(&self.processes);
         known
@@ -54,8 +55,8 @@
             .next()
     }
 
-    /// Queues `bytes` on a throttled link (`rate`: bytes a second, 0 for no limit). The delay that this adds; `None` where the queue
-    /// is full.
+    /// Queues `bytes` on a throttled link (`rate` in bytes per second, 0 for no limit). Returns the delay that this adds, or `None`
+    /// if the queue is full.
     fn queue_throttled(&mut self, from: u32, to: u32, rate: u64, bytes: usize) -> Option<Duration> {
         if rate == 0 {
             return Some(Duration::ZERO);
@@ -71,12 +72,12 @@
     }
 }
 
-/// How long `bytes` take at a rate in bytes a second.
+/// Returns the transfer time of `bytes` at a rate in bytes per second.
 fn time_at_rate(bytes: usize, rate: u64) -> Duration {
     Duration::from_secs_f64(bytes as f64 / rate as f64)
 }
 
-/// A link that adds nothing to loopback: what holds where no script says otherwise.
+/// A link without added latency, the default where a script sets none.
 fn unimpaired_link() -> Link {
     Link {
         delay: 0,
@@ -88,18 +89,18 @@
 /// The network between the members of a harness.
 #[derive(Clone)]
 pub struct Net {
-    /// Where others send each member's datagrams.
+    /// The address to which other members send each member's datagrams.
     public: Vec<SocketAddr>,
     shared: Arc<Mutex<Shared>>,
-    has_ended: Arc<AtomicBool>,
+    is_shut_down: Arc<AtomicBool>,
 }
 
 impl Net {
-    /// Starts the network of so many members and engines; all that is drawn at random comes from this seed.
+    /// Starts the network. All random draws come from `seed`.
     ///
     /// # Panics
     ///
-    /// Panics where a socket can't be bound on loopback.
+    /// Panics if a socket can't be bound on loopback.
     pub fn start(members: u32, engines: u32, zones: u32, seed: u64) -> Net {
         let shared = Shared {
             processes: vec![None; members as usize],
@@ -109,73 +110,78 @@
             drained_at: BTreeMap::new(),
         };
         let shared = Arc::new(Mutex::new(shared));
-        let has_ended = Arc::new(AtomicBool::new(false));
+        let is_shut_down = Arc::new(AtomicBool::new(false));
         let (send, due) = channel();
         let mut public = Vec::new();
         for member in 0..members {
-            let socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
+            let socket = UdpSocket::bind("127.0.0.1:0").expect("binding a loopback port");
             socket
                 .set_read_timeout(Some(POLL_INTERVAL))
-                .expect("a timeout");
-            public.push(socket.local_addr().expect("an address"));
-            let (shared, has_ended, send) = (shared.clone(), has_ended.clone(), send.clone());
-            std::thread::spawn(move || receive(&socket, member, &shared, &has_ended, &send));
+                .expect("setting the read timeout");
+            public.push(socket.local_addr().expect("reading the local address"));
+            let (shared, is_shut_down, send) = (shared.clone(), is_shut_down.clone(), send.clone());
+            std::thread::spawn(move || receive(&socket, member, &shared, &is_shut_down, &send));
         }
-        let (for_delivery, ended) = (shared.clone(), has_ended.clone());
-        std::thread::spawn(move || deliver(&due, &for_delivery, &ended));
+        let (delivery_shared, delivery_is_shut_down) = (shared.clone(), is_shut_down.clone());
+        std::thread::spawn(move || deliver(&due, &delivery_shared, &delivery_is_shut_down));
         Net {
             public,
             shared,
-            has_ended,
+            is_shut_down,
         }
     }
 
-    /// Where others send a member's datagrams.
+    /// Returns the address to which other members send a member's datagrams.
     pub fn public_addr(&self, member: u32) -> SocketAddr {
         self.public[member as usize]
     }
 
-    /// Sets where a member's process listens from now on.
+    /// Sets the address on which a member's process listens from now on.
     pub fn set_process_addr(&self, member: u32, process: SocketAddr) {
-        self.with(|s| s.processes[member as usize] = Some(process));
+        self.with_shared(|s| s.processes[member as usize] = Some(process));
     }
 
-    fn with<T>(&self, work: impl FnOnce(&mut Shared) -> T) -> T {
-        work(&mut self.shared.lock().expect("no thread panics with it"))
+    fn with_shared<T>(&self, work: impl FnOnce(&mut Shared) -> T) -> T {
+        work(
+            &mut self
+                .shared
+                .lock()
+                .expect("no thread panics while holding the lock"),
+        )
     }
 
     /// Replaces the links from each member of `from` to each member of `to`.
     pub fn set_link(&self, from: &Group, to: &Group, link: Link) {
-        self.with(|s| s.links.set(from, to, link));
+        self.with_shared(|s| s.links.set(from, to, link));
     }
 
-    /// Cuts the links between `some` and all others.
+    /// Blocks traffic between `some` members and all others.
     pub fn cut(&self, some: &[u32], directions: Directions) {
-        self.with(|s| s.links.cut(some, directions));
+        self.with_shared(|s| s.links.cut(some, directions));
     }
 
-    /// Cuts the links between `some` and `from`; directions are of the former.
+    /// Blocks traffic between `some` and `from`. Directions are seen from `some`.
     pub fn partition(&self, some: &[Group], from: &Group, directions: Directions) {
-        self.with(|s| {
+        self.with_shared(|s| {
             let some = s.links.all_of(some);
             let others = s.links.all_of(std::slice::from_ref(from));
             s.links.partition(&some, &others, directions);
         });
     }
 
-    /// The members of these groups, by number; engines are numbered after the members.
+    /// Returns the numbers of the members and engines in these groups. Engines are numbered after the members.
     pub fn numbers_of(&self, groups: &[Group]) -> Vec<u32> {
-        self.with(|s| s.links.all_of(groups))
+        self.with_shared(|s| s.links.all_of(groups))
     }
 
-    /// The link from one to another, by number.
-    pub fn between(&self, from: u32, to: u32) -> Link {
-        self.with(|s| s.links.between(from, to))
+    /// Returns the link from one member or engine to another, by number.
+    pub fn link_between(&self, from: u32, to: u32) -> Link {
+        self.with_shared(|s| s.links.between(from, to))
     }
 
-    /// How long `bytes` of a connection take on this link, drawn at random each time; `None` while the link is cut.
+    /// Draws the transfer time of `bytes` of a connection on this link. Returns `None` while the link is cut.
     pub fn transfer_time(&self, from: u32, to: u32, bytes: usize) -> Option<Duration> {
-        self.with(|s| {
+        self.with_shared(|s| {
             let link = s.links.between(from, to);
             if link.is_cut {
                 return None;
@@ -192,37 +198,37 @@
         })
     }
 
-    /// Mends all cuts.
+    /// Ends all cuts.
     pub fn heal(&self) {
-        self.with(|s| s.links.heal());
+        self.with_shared(|s| s.links.heal());
     }
 
-    /// Ends the network's threads.
-    pub fn end(&self) {
-        self.has_ended.store(true, Ordering::Relaxed);
+    /// Stops the network's threads.
+    pub fn shut_down(&self) {
+        self.is_shut_down.store(true, Ordering::Relaxed);
     }
 
-    /// Whether it has ended.
-    pub fn has_ended(&self) -> bool {
-        self.has_ended.load(Ordering::Relaxed)
+    /// Returns whether the network was shut down.
+    pub fn is_shut_down(&self) -> bool {
+        self.is_shut_down.load(Ordering::Relaxed)
     }
 }
 
-/// Receives what is sent to a member, and draws what the link does to it.
+/// Receives datagrams sent to a member, and draws the effect of the link on each.
 fn receive(
     socket: &UdpSocket,
     to: u32,
     shared: &Mutex<Shared>,
-    has_ended: &AtomicBool,
+    is_shut_down: &AtomicBool,
     send: &Sender<InFlight>,
 ) {
     let mut bytes = [0; MAX_DATAGRAM_BYTES];
-    while !has_ended.load(Ordering::Relaxed) {
+    while !is_shut_down.load(Ordering::Relaxed) {
         let Ok((n, from)) = socket.recv_from(&mut bytes) else {
             continue;
         };
         let Ok(mut s) = shared.lock() else { return };
-        // Datagrams of others than members, as a flood from elsewhere, are forwarded as they are.
+        // Datagrams from non-members, such as a flood that a test sends, are forwarded unchanged.
         let sender = s.member_at(from);
         let link = sender.map_or(unimpaired_link(), |m| s.links.between(m, to));
         let queued = sender.map_or(Some(Duration::ZERO), |m| {
@@ -241,11 +247,11 @@
     }
 }
 
-/// Delivers each datagram once it is due.
-fn deliver(received: &Receiver<InFlight>, shared: &Mutex<Shared>, has_ended: &AtomicBool) {
-    let socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
+/// Delivers each datagram when it is due.
+fn deliver(received: &Receiver<InFlight>, shared: &Mutex<Shared>, is_shut_down: &AtomicBool) {
+    let socket = UdpSocket::bind("127.0.0.1:0").expect("binding a loopback port");
     let mut waiting: BinaryHeap<Reverse<InFlight>> = BinaryHeap::new();
-    while !has_ended.load(Ordering::Relaxed) {
+    while !is_shut_down.load(Ordering::Relaxed) {
         let next = waiting
             .peek()
             .map(|d| d.0.due.saturating_duration_since(Instant::now()));
@@ -261,8 +267,8 @@
                 break;
             };
             let process = shared.lock().ok().and_then(|s| s.processes[to as usize]);
-            if let Some(inner) = process {
-                let _ = socket.send_to(&bytes, inner);
+            if let Some(addr) = process {
+                let _ = socket.send_to(&bytes, addr);
             }
         }
     }
--- a/crates/cluster-harness/src/process.rs
+++ b/crates/cluster-harness/src/process.rs
@@ -1,4 +1,4 @@
-//! A process of the program, and what it reports of itself.
+//! A process of the program, and the state it reports.
 
 use crate::process_log::{address_in, ProcessLog};
 use crate::{EventLog, RequestError, TEST_TIMEOUT};
@@ -10,33 +10,33 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 
-/// A process, running or not.
+/// A process, which may or may not be running.
 pub struct Process {
-    /// The build that its next start runs.
+    /// The executable for the next start.
     pub binary: PathBuf,
     config: PathBuf,
     socket: PathBuf,
     member: u32,
     child: Option<Child>,
-    /// Where its clients connect, while it runs.
+    /// The address for clients, set at each start.
     pub client_addr: Option<SocketAddr>,
 }
 
-/// A signal to a process.
+/// A signal that can be sent to a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
-    /// Read the configuration again.
+    /// SIGHUP: reload the configuration.
     Hangup,
-    /// End in order.
+    /// SIGTERM: shut down.
     Terminate,
-    /// Stand still until [`Signal::Continue`].
+    /// SIGSTOP: suspend until [`Signal::Continue`].
     Stop,
-    /// Run on.
+    /// SIGCONT: resume.
     Continue,
 }
 
 impl Signal {
-    /// Sends it to a process; nothing happens where that has ended.
+    /// Sends the signal to a process. Does nothing if the process has exited.
     pub(crate) fn send(self, child: &Child) {
         let _ = Command::new("kill")
             .args([self.option(), &child.id().to_string()])
@@ -44,7 +44,7 @@
             .status();
     }
 
-    /// The option of `kill`.
+    /// Returns the option of `kill(1)`.
     fn option(self) -> &'static str {
         match self {
             Signal::Hangup => "-HUP",
@@ -55,20 +55,20 @@
     }
 }
 
-/// What a process has used.
+/// Resources used by a process.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ProcessUsage {
-    /// Its resident memory now.
+    /// Current resident memory.
     pub memory_kilobytes: u64,
-    /// Processor time, in clock ticks of the system.
+    /// Processor time in system clock ticks.
     pub processor_ticks: u64,
 }
 
 impl Process {
-    /// A process that is not started yet; its file and socket lie in `folder`.
+    /// Creates a process that is not started yet. Its configuration file and control socket are in `folder`.
     pub fn new(binary: &Path, folder: &Path, member: u32, config: &str) -> Process {
         let path = folder.join(format!("m{member}.kdl"));
-        std::fs::write(&path, config).expect("a temporary file");
+        std::fs::write(&path, config).expect("writing a temporary file");
         let socket = folder.join(format!("m{member}.sock"));
         Process {
             binary: binary.into(),
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Starts it, and waits until it serves; returns where its datagrams come in, if it takes part in a cluster.
+    /// Starts the process and waits until it serves. Returns the address that receives its datagrams if it takes part in a cluster.
     pub fn start(&mut self, log: &EventLog) -> Option<SocketAddr> {
         let mut command = Command::new(&self.binary);
         command
@@ -88,13 +88,13 @@
             .arg(&self.config)
             .stderr(Stdio::piped())
             .stdin(Stdio::null());
-        let mut child = command.spawn().expect("the program starts");
-        let mut lines = ProcessLog::of(&mut child);
+        let mut child = command.spawn().expect("starting the program");
+        let mut lines = ProcessLog::capture(&mut child);
         let mut datagram_addr = None;
         let (member, log) = (self.member, log.clone());
         let client_addr = loop {
             let Some(line) = lines.next_line() else {
-                panic!("m{member} ended:\n{}", log.text());
+                panic!("m{member} exited during startup:\n{}", log.text());
             };
             datagram_addr = address_in(&line, "here").or(datagram_addr);
             if let Some(addr) = address_in(&line, "listen") {
@@ -103,11 +103,11 @@
         };
         self.client_addr = Some(client_addr);
         self.child = Some(child);
-        lines.follow(move |line| log.record(format!("m{member} says {}", line.trim())));
+        lines.follow(move |line| log.record(format!("m{member} log: {}", line.trim())));
         datagram_addr
     }
 
-    /// Whether it runs, or is stopped by a signal.
+    /// Returns whether the process exists; it may be suspended.
     pub fn is_running(&mut self) -> bool {
         let has_ended = |child: &mut Child| child.try_wait().is_ok_and(|status| status.is_some());
         if self.child.as_mut().is_none_or(has_ended) {
@@ -116,7 +116,7 @@
         self.child.is_some()
     }
 
-    /// Ends it as a crash does.
+    /// Kills the process.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             let _ = child.kill();
@@ -124,21 +124,21 @@
         }
     }
 
-    /// Sends it a signal, where it runs.
+    /// Sends a signal to the process if it is running.
     pub fn signal(&mut self, signal: Signal) {
         if let Some(child) = &self.child {
             signal.send(child);
         }
     }
 
-    /// Waits until it has ended; whether it ended with success.
+    /// Waits until the process exits. Returns whether it succeeded.
     pub fn wait(&mut self) -> bool {
         self.child
             .take()
             .is_some_and(|mut child| child.wait().is_ok_and(|status| status.success()))
     }
 
-    /// What it has used; nothing where it does not run.
+    /// Returns the resources used; all zero if the process is not running.
     pub fn usage(&self) -> ProcessUsage {
         let Some(child) = &self.child else {
             return ProcessUsage::default();
@@ -153,23 +153,23 @@
         }
     }
 
-    /// Replaces its file by what `change` makes of the text.
+    /// Rewrites the configuration file with `change`.
     pub fn change_config(&self, change: impl FnOnce(String) -> String) {
-        std::fs::write(&self.config, change(self.config_text())).expect("a temporary file");
+        std::fs::write(&self.config, change(self.config_text())).expect("writing a temporary file");
     }
 
-    /// The text of its file.
+    /// Returns the text of the configuration file.
     pub fn config_text(&self) -> String {
-        std::fs::read_to_string(&self.config).expect("its file")
+        std::fs::read_to_string(&self.config).expect("reading the configuration file")
     }
 
-    /// The members that it sees, by name; none where it does not answer.
+    /// Returns the members that the process sees, sorted by name; empty if it does not respond.
     pub fn members(&self) -> Vec<Member> {
         self.snapshot()
             .map_or(Vec::new(), |snapshot| snapshot.members)
     }
 
-    /// The snapshot that operators get; `None` where it does not answer.
+    /// Returns the snapshot for operators, or `None` if the process does not respond.
     pub fn snapshot(&self) -> Option<Snapshot> {
         let endpoint = Endpoint::Socket(self.socket.clone());
         match Remote::connect(&endpoint).and_then(|mut remote| remote.ask(&Request::Snapshot)) {
@@ -178,16 +178,16 @@
         }
     }
 
-    /// Sends it an operator's request, and returns what it says when that is done.
+    /// Sends an operator's request to the process, and returns the reply once the request is done.
     ///
     /// # Errors
     ///
-    /// It refused the request, or did not answer.
+    /// Fails if the process refuses the request or does not respond.
     pub fn request(&self, request: &Request) -> Result<String, RequestError> {
         send_request(&self.socket, request)
     }
 
-    /// Where operators connect.
+    /// Returns the path of the control socket.
     pub fn control_socket(&self) -> &Path {
         &self.socket
     }
@@ -199,28 +199,28 @@
     }
 }
 
-/// The figure of `VmRSS` in the text of `/proc/PID/status`.
+/// Parses `VmRSS` from the text of `/proc/PID/status`.
 fn resident_kilobytes(status: &str) -> Option<u64> {
     let figure = status.lines().find_map(|l| l.strip_prefix("VmRSS:"))?;
     figure.split_whitespace().next()?.parse().ok()
 }
 
-/// User and system time in the text of `/proc/PID/stat`, in clock ticks.
+/// Parses user plus system time, in clock ticks, from the text of `/proc/PID/stat`.
 fn processor_ticks(stat: &str) -> u64 {
-    /// Fields behind the name in brackets.
+    // Field indexes after the process name in parentheses.
     const USER_TIME: usize = 11;
     const SYSTEM_TIME: usize = 12;
-    let behind_name = stat.rsplit(')').next().unwrap_or_default();
-    let fields: Vec<&str> = behind_name.split_whitespace().collect();
+    let after_name = stat.rsplit(')').next().unwrap_or_default();
+    let fields: Vec<&str> = after_name.split_whitespace().collect();
     let ticks = |field: usize| fields.get(field).and_then(|f| f.parse::<u64>().ok());
     ticks(USER_TIME).unwrap_or(0) + ticks(SYSTEM_TIME).unwrap_or(0)
 }
 
-/// Sends an operator's request to the program at this control socket, and returns what it says when that is done.
+/// Sends an operator's request to a control socket, and returns the reply once the request is done.
 ///
 /// # Errors
 ///
-/// The program refused the request, or did not answer.
+/// Fails if the program refuses the request or does not respond.
 pub fn send_request(socket: &Path, request: &Request) -> Result<String, RequestError> {
     match Remote::connect(&Endpoint::Socket(socket.into()))?.ask(request)? {
         Reply::Done(words) => Ok(words),
@@ -229,11 +229,11 @@
     }
 }
 
-/// Sends these bytes on a new connection and reads all that comes until its end.
+/// Sends these bytes on a new connection and reads until the connection closes.
 ///
 /// # Errors
 ///
-/// The socket's errors; a time-out behind [`TEST_TIMEOUT`].
+/// Fails on socket errors, and if nothing is received for [`TEST_TIMEOUT`].
 pub fn call(addr: SocketAddr, bytes: &str) -> std::io::Result<String> {
     let mut stream = TcpStream::connect(addr)?;
     stream.set_read_timeout(Some(TEST_TIMEOUT))?;
@@ -243,7 +243,8 @@
     Ok(String::from_utf8_lossy(&response).into_owned())
 }
 
-/// A counter of the program whose clients connect at this address; `None` where it has none of this name, or does not answer.
+/// Reads a counter of the program at this client address. Returns `None` if there is no such counter or the program does not
+/// respond.
 pub fn counter(addr: SocketAddr, name: &str) -> Option<u64> {
     let request = "GET /counters HTTP/1.1\r\nHost: t\r\nConnection: close\r\n\r\n";
     let text = call(addr, request).ok()?;
--- a/crates/cluster-harness/src/process_log.rs
+++ b/crates/cluster-harness/src/process_log.rs
@@ -1,35 +1,35 @@
-//! The log of a process of the program: its lines on standard error.
+//! Reads the log that a process writes to standard error.
 
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
 use std::process::{Child, ChildStderr};
 
-/// A process's log, read from its beginning.
+/// A reader of a process's log.
 pub(crate) struct ProcessLog {
     lines: BufReader<ChildStderr>,
 }
 
 impl ProcessLog {
-    /// The log of a process whose standard error is piped.
+    /// Takes over the standard error of a process.
     ///
     /// # Panics
     ///
-    /// Panics where it is not piped, or was taken before.
-    pub(crate) fn of(child: &mut Child) -> ProcessLog {
+    /// Panics if standard error is not piped or was already taken.
+    pub(crate) fn capture(child: &mut Child) -> ProcessLog {
         let stderr = child.stderr.take().expect("standard error is piped");
         ProcessLog {
             lines: BufReader::new(stderr),
         }
     }
 
-    /// The next line with its end; `None` where the process has closed its log.
+    /// Returns the next line including its line terminator, or `None` after the process has closed its log.
     pub(crate) fn next_line(&mut self) -> Option<String> {
         let mut line = String::new();
         let count = self.lines.read_line(&mut line).ok()?;
         (count > 0).then_some(line)
     }
 
-    /// Hands all further lines to this, on a thread of its own.
+    /// Passes all further lines to `handle` on a separate thread.
     pub(crate) fn follow(mut self, mut handle: impl FnMut(&str) + Send + 'static) {
         std::thread::spawn(move || {
             while let Some(line) = self.next_line() {
@@ -39,7 +39,7 @@
     }
 }
 
-/// The address that a log line gives under this name, as in `listen=127.0.0.1:8080`.
+/// Parses the address of a `name=address` field of a log line, such as `listen=127.0.0.1:8080`.
 pub(crate) fn address_in(line: &str, name: &str) -> Option<SocketAddr> {
     let value = line.trim().split(&format!("{name}=")).nth(1)?;
     value.split(' ').next()?.parse().ok()
--- a/crates/cluster-harness/src/request_error.rs
+++ b/crates/cluster-harness/src/request_error.rs
@@ -1,17 +1,17 @@
-//! Why an operator's request to a process failed.
+//! Errors of operators' requests to a process.
 
 use driftfront_control::Reply;
 
-/// A request that was not carried out.
+/// Why a request failed.
 #[derive(Debug, thiserror::Error)]
 pub enum RequestError {
-    /// The process refused it, in these words.
+    /// The process refused the request, with this message.
     #[error("{0}")]
     Refused(String),
-    /// The reply belongs to another kind of request.
+    /// The reply does not match the kind of request.
     #[error("{0:?}")]
     UnexpectedReply(Box<Reply>),
-    /// The process could not be reached, or its reply did not come.
+    /// The connection failed, or no reply was received.
     #[error(transparent)]
     Connection(#[from] std::io::Error),
 }
--- a/crates/cluster-harness/src/soak/coordinator.rs
+++ b/crates/cluster-harness/src/soak/coordinator.rs
@@ -101,7 +101,7 @@
         let text = self
             .config_text
             .replace("LIST", &self.lists[list].to_string());
-        std::fs::write(&self.config, text).expect("a temporary file");
+        std::fs::write(&self.config, text).expect("writing a temporary file");
     }
 
     /// Runs through its signals and clock steps, then until the soak's end; how each of its processes ended.
@@ -129,7 +129,7 @@
     /// Starts a process, and waits until it serves.
     fn start(&self, number: u32) -> Process {
         let mut child = self.spawn();
-        let mut lines = ProcessLog::of(&mut child);
+        let mut lines = ProcessLog::capture(&mut child);
         let log = Arc::new(Mutex::new(String::new()));
         let listen = loop {
             let line = lines.next_line().expect("the program ended at its start");
@@ -163,7 +163,7 @@
             .apply_to(&mut command)
             .stderr(Stdio::piped())
             .spawn()
-            .expect("the program starts")
+            .expect("starting the program")
     }
 
     /// Waits until a process that got a SIGTERM has ended, and kills it at the earliest moment that the platform allows; `None`
--- a/crates/cluster-harness/src/soak/engine.rs
+++ b/crates/cluster-harness/src/soak/engine.rs
@@ -22,8 +22,8 @@
         started: Instant,
         request_log: &Arc<RequestLog>,
     ) -> Engine {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let addr = listener.local_addr().expect("an address");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("binding a loopback port");
+        let addr = listener.local_addr().expect("reading the local address");
         let request_log = request_log.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
--- a/crates/cluster-harness/src/soak/list.rs
+++ b/crates/cluster-harness/src/soak/list.rs
@@ -91,8 +91,8 @@
 
 /// Serves the events at an address of its own.
 fn serve(events: &Arc<EventStream>) -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let addr = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("binding a loopback port");
+    let addr = listener.local_addr().expect("reading the local address");
     let events = events.clone();
     std::thread::spawn(move || {
         for connection in listener.incoming().flatten() {
--- a/crates/cluster-harness/src/tcp_proxy.rs
+++ b/crates/cluster-harness/src/tcp_proxy.rs
@@ -1,9 +1,8 @@
-//! Connections between members and engines, by the link between the two: each member has an address of its own for each
-//! engine, at which the proxy listens.
+//! Proxies connections between members and engines according to the link between the two. The proxy listens on a separate address
+//! for each pair of member and engine.
 //!
-//! A cut link holds back what is sent, as a network that loses all segments does: neither end notices, and what was sent during
-//! the cut arrives after it. A connection that is made meanwhile is established at once, and silent. Delays hold up one chunk
-//! after another.
+//! A cut link holds back data, like a network that loses all segments: neither end notices, and data sent during the cut arrives
+//! after it. A connection opened during a cut is established at once but transfers nothing. Latency is added to each chunk in turn.
 
 use crate::net::Net;
 use std::io::{ErrorKind, Read, Write};
@@ -11,14 +10,14 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Bytes read at once.
+/// Read buffer size.
 const CHUNK_BYTES: usize = 16 * 1024;
-/// The threads look this often whether a cut is over, and whether the network has ended.
+/// How often the threads check whether a cut has ended and whether the network was shut down.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// Longest wait for bytes before a thread looks whether the network has ended.
+/// Maximum time a thread blocks in a read before it checks whether the network was shut down.
 const READ_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// One direction of a link, by the numbers that the network has for its ends.
+/// One direction of a link, by the numbers of its endpoints in the network.
 #[derive(Clone, Copy)]
 struct Direction {
     from: u32,
@@ -34,7 +33,7 @@
     }
 }
 
-/// An open connection of a member to an engine.
+/// An open connection from a member to an engine.
 struct Connection {
     /// From the member to the engine.
     direction: Direction,
@@ -44,8 +43,8 @@
 
 impl Connection {
     fn is_between(&self, some: &[u32], others: &[u32]) -> bool {
-        let joins = |d: Direction| some.contains(&d.from) && others.contains(&d.to);
-        joins(self.direction) || joins(self.direction.reversed())
+        let matches = |d: Direction| some.contains(&d.from) && others.contains(&d.to);
+        matches(self.direction) || matches(self.direction.reversed())
     }
 
     fn shut_down(&self) {
@@ -56,15 +55,15 @@
 
 type OpenConnections = Arc<Mutex<Vec<Connection>>>;
 
-/// All connections between the members of a harness and its engines.
+/// Proxies all connections between the members of a harness and its engines.
 pub struct TcpProxy {
-    /// Where each member finds each engine.
+    /// The proxy's address for each member and engine.
     addrs: Vec<Vec<SocketAddr>>,
     open: OpenConnections,
 }
 
 impl TcpProxy {
-    /// Listens for so many members in front of these engines, until the network ends.
+    /// Starts a proxy between this number of members and these engines. It runs until the network is shut down.
     pub fn start(members: u32, engines: &[SocketAddr], net: &Net) -> TcpProxy {
         let open = OpenConnections::default();
         let addrs = (0..members)
@@ -84,36 +83,38 @@
         TcpProxy { addrs, open }
     }
 
-    /// Where a member finds an engine.
+    /// Returns the address at which a member reaches an engine.
     pub fn addr(&self, member: u32, engine: usize) -> SocketAddr {
         self.addrs[member as usize][engine]
     }
 
-    /// Ends all connections between `some` and `others`; the system makes a reset or a close of it.
+    /// Shuts down all connections between `some` and `others`. The peers see a reset or a close, depending on the operating system.
     pub fn reset(&self, some: &[u32], others: &[u32]) {
         let Ok(mut open) = self.open.lock() else {
             return;
         };
         open.retain(|connection| {
-            let ends = connection.is_between(some, others);
-            if ends {
+            let is_affected = connection.is_between(some, others);
+            if is_affected {
                 connection.shut_down();
             }
-            !ends
+            !is_affected
         });
     }
 }
 
-/// Listens for one member in front of one engine.
+/// Starts listening for connections of one member to one engine.
 fn listen(
     engine: SocketAddr,
     direction: Direction,
     net: &Net,
     open: &OpenConnections,
 ) -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    listener.set_nonblocking(true).expect("a listener");
-    let addr = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("binding a loopback port");
+    listener
+        .set_nonblocking(true)
+        .expect("making the listener non-blocking");
+    let addr = listener.local_addr().expect("reading the local address");
     let (open, net) = (open.clone(), net.clone());
     std::thread::spawn(move || accept(&listener, engine, direction, &net, &open));
     addr
@@ -126,19 +127,19 @@
     net: &Net,
     open: &OpenConnections,
 ) {
-    while !net.has_ended() {
+    while !net.is_shut_down() {
         let Ok((member_stream, _)) = listener.accept() else {
             std::thread::sleep(POLL_INTERVAL);
             continue;
         };
-        // Where the engine does not listen, the member's connection closes.
+        // If the engine does not listen, the member's connection is closed.
         if let Ok(engine_stream) = TcpStream::connect(engine) {
             let _ = connect(member_stream, engine_stream, direction, net, open);
         }
     }
 }
 
-/// Copies bytes between the two streams on threads of their own until either end closes.
+/// Copies bytes between the two streams on two threads until either end closes.
 fn connect(
     member_stream: TcpStream,
     engine_stream: TcpStream,
@@ -165,11 +166,11 @@
     Ok(())
 }
 
-/// Copies bytes one way until either end closes.
+/// Copies bytes in one direction until either end closes.
 fn copy(mut from: TcpStream, mut to: TcpStream, direction: Direction, net: &Net) {
     let mut bytes = vec![0; CHUNK_BYTES];
     let _ = from.set_read_timeout(Some(READ_TIMEOUT));
-    while !net.has_ended() {
+    while !net.is_shut_down() {
         let count = match from.read(&mut bytes) {
             Ok(0) => break,
             Ok(count) => count,
@@ -186,18 +187,18 @@
             break;
         }
     }
-    // A close passes a cut no more than bytes do.
+    // A cut holds back the close as well.
     let _ = wait_for_link(direction, 0, net);
     let _ = to.shutdown(Shutdown::Write);
     let _ = from.shutdown(Shutdown::Read);
 }
 
-/// Waits while the link is cut; how long so many bytes take on it then. `None` once the network has ended.
+/// Waits while the link is cut, and then returns the transfer time of `bytes`. Returns `None` if the network was shut down.
 fn wait_for_link(direction: Direction, bytes: usize, net: &Net) -> Option<Duration> {
     loop {
         match net.transfer_time(direction.from, direction.to, bytes) {
             Some(time) => return Some(time),
-            None if net.has_ended() => return None,
+            None if net.is_shut_down() => return None,
             None => std::thread::sleep(POLL_INTERVAL),
         }
     }
--- a/crates/cluster-harness/src/wall_clock.rs
+++ b/crates/cluster-harness/src/wall_clock.rs
@@ -1,5 +1,5 @@
-//! A process's wall clock, set by a test: the fault injection library is preloaded into the process, and reads from a file by how
-//! much its wall clock is off.
+//! Controls the wall clock of a process. The fault injection library is preloaded into the process and reads the clock offset from
+//! a file.
 
 use std::fs::File;
 use std::os::unix::fs::FileExt;
@@ -7,15 +7,15 @@
 use std::process::Command;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// The file that the `driftfront-fault-injection` crate is built as.
+/// File name of the library built from the `driftfront-fault-injection` crate.
 const LIBRARY: &str = "libdriftfront_fault_injection.so";
-/// The variable that names the file with the offset.
+/// Environment variable with the path of the offset file.
 const VARIABLE: &str = "DRIFTFRONT_WALL_CLOCK";
 
-/// Numbers the clocks of this process: each has a file of its own.
+/// Numbers the clocks of this process, since each has its own file.
 static NEXT_CLOCK: AtomicUsize = AtomicUsize::new(0);
 
-/// The wall clock of the processes that are started under it.
+/// The wall clock of the processes started with it.
 pub struct WallClock {
     path: PathBuf,
     file: File,
@@ -23,7 +23,7 @@
 }
 
 impl WallClock {
-    /// A clock that shows the right time. `binary`: any program of the same build, beside which the library lies.
+    /// Creates a clock with the correct time. `binary` is any program of the same build; the library is looked up next to it.
     pub fn new(binary: &Path) -> WallClock {
         let n = NEXT_CLOCK.fetch_add(1, Ordering::Relaxed);
         let path =
@@ -35,7 +35,7 @@
             .write(true)
             .open(&path);
         let clock = WallClock {
-            file: open.expect("a temporary file"),
+            file: open.expect("creating a temporary file"),
             path,
             library: library(binary),
         };
@@ -43,14 +43,14 @@
         clock
     }
 
-    /// Sets the clock off by `offset` microseconds from now on; behind where that is negative.
+    /// Sets the offset of the clock in microseconds. A negative offset sets the clock back.
     pub fn set(&self, offset: i64) {
         self.file
             .write_all_at(&offset.to_le_bytes(), 0)
-            .expect("a temporary file");
+            .expect("writing a temporary file");
     }
 
-    /// Has the process that `command` starts read this clock.
+    /// Makes the process started by `command` use this clock.
     pub fn apply_to<'a>(&self, command: &'a mut Command) -> &'a mut Command {
         command
             .env("LD_PRELOAD", &self.library)
@@ -64,11 +64,11 @@
     }
 }
 
-/// Finds the library: Cargo puts it beside the programs, or beside what they are linked from.
+/// Finds the library. Cargo puts it in the directory of the programs or in `deps/` below it; the newest file is used.
 fn library(binary: &Path) -> PathBuf {
-    let folder = binary.parent().expect("a program lies in a folder");
+    let folder = binary.parent().expect("the program has a parent directory");
     let places = [folder.join(LIBRARY), folder.join("deps").join(LIBRARY)];
     let newest = |path: &PathBuf| path.metadata().and_then(|m| m.modified()).ok();
     let found = places.into_iter().filter(|p| p.exists()).max_by_key(newest);
-    found.unwrap_or_else(|| panic!("{LIBRARY} is not built beside {}", binary.display()))
+    found.unwrap_or_else(|| panic!("{LIBRARY} was not found next to {}", binary.display()))
 }
