--- a/crates/cluster-harness/src/commands/soaks.rs
+++ b/crates/cluster-harness/src/commands/soaks.rs
@@ -38,7 +38,7 @@
 fn play(binary: &str, seed: u64) -> bool {
     let report = soak::play(Path::new(binary), seed);
     println!("seed {seed}: {report}");
-    if report.breaches.is_empty() {
+    if report.violations.is_empty() {
         return true;
     }
     for ProcessLog { process, text } in &report.logs {
--- a/crates/cluster-harness/src/soak/verdict.rs
+++ b/crates/cluster-harness/src/soak/verdict.rs
@@ -66,14 +66,14 @@
     /// How many processes ended.
     pub processes: usize,
     /// Broken rules.
-    pub breaches: Vec<RuleBreach>,
+    pub violations: Vec<RuleBreach>,
     /// Logs of all processes, to trace a breach.
     pub logs: Vec<ProcessLog>,
 }
 
 impl Report {
     fn add_breach(&mut self, rule: Breach, description: String) {
-        self.breaches.push(RuleBreach { rule, description });
+        self.violations.push(RuleBreach { rule, description });
     }
 }
 
@@ -89,9 +89,9 @@
             self.late,
             self.crossed_a_close,
             self.processes,
-            self.breaches.len()
+            self.violations.len()
         )?;
-        for RuleBreach { rule, description } in &self.breaches {
+        for RuleBreach { rule, description } in &self.violations {
             write!(f, "\n  {rule:?}: {description}")?;
         }
         Ok(())
@@ -132,7 +132,7 @@
             text: ended.log,
         })
         .collect();
-    report.breaches.sort();
+    report.violations.sort();
     report
 }
 
--- a/crates/cluster-harness/tests/golden.rs
+++ b/crates/cluster-harness/tests/golden.rs
@@ -85,7 +85,7 @@
         crossed_a_close: 3,
         retries: 4,
         processes: 5,
-        breaches: all
+        violations: all
             .into_iter()
             .map(|rule| RuleBreach {
                 rule,
--- a/crates/coordinator/tests/soak.rs
+++ b/crates/coordinator/tests/soak.rs
@@ -26,7 +26,10 @@
         .iter()
         .map(|log| format!("{} said\n{}", log.process, log.text))
         .collect();
-    assert!(report.breaches.is_empty(), "seed {seed}: {report}\n{logs}");
+    assert!(
+        report.violations.is_empty(),
+        "seed {seed}: {report}\n{logs}"
+    );
     assert!(
         report.requests > 0 && report.retries > 0,
         "seed {seed} shows nothing: {report}"
