--- a/crates/cluster-harness/src/commands/holds.rs
+++ b/crates/cluster-harness/src/commands/holds.rs
@@ -1,5 +1,5 @@
-//! Holds are requested of all members while a fault scenario passes: whether one was ever held twice, and how long until one
-//! leads again.
+//! Requests holds from all members during a fault scenario. Checks that no hold ever has two holders, and measures how long it takes
+//! until there is a leader again.
 
 use super::arguments::Arguments;
 use super::{exit_code, micros, NO_ENGINE};
@@ -14,25 +14,25 @@
 use std::time::{Duration, Instant};
 
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Requests of one client at most.
+/// Maximum number of requests per client.
 const MAX_REQUESTS: u32 = 2_000;
-/// Different holds that are requested.
-const HOLD_NAMES: u32 = 2;
-/// For how long a hold is requested.
+/// Number of different holds that clients request.
+const HOLD_COUNT: u32 = 2;
+/// Requested duration of a hold.
 const HOLD_SECONDS: u64 = 2;
-/// What a holder may use of that, counted from before its request: less a twentieth and 0.1 s.
+/// How long a holder may rely on a hold, counted from before its request: the requested duration less 5% and 0.1 s.
 const USABLE_TIME: Duration = Duration::from_millis(1_800);
-/// Nothing is granted for ten seconds after a bootstrap, and a scenario may have had the voters bootstrap another log.
+/// No hold is granted for 10 s after a bootstrap, and a scenario may have made the voters bootstrap a new log.
 const TIME_AFTER_BOOTSTRAP: Duration = Duration::from_secs(12);
 
-/// What the command line asks for.
+/// Command line options.
 struct Options {
     members: u32,
     voters: u32,
     runs: u64,
     first_seed: u64,
-    logs_are_kept: bool,
-    /// The build of members that are no voters.
+    persists_logs: bool,
+    /// The build run by members that are not voters.
     last_build: Option<String>,
     prints_refusals: bool,
 }
@@ -44,34 +44,34 @@
             voters: args.count("--voters", 3),
             runs: args.number("--runs", 3),
             first_seed: args.number("--seed", 1),
-            logs_are_kept: args.has("--keeps"),
+            persists_logs: args.has("--keeps"),
             last_build: args.value("--last").map(String::from),
             prints_refusals: args.has("--refused"),
         }
     }
 }
 
-/// A hold as an operator knows it: from when to when its holder may act on it for sure.
+/// A granted hold, with the time in which its holder may rely on it.
 #[derive(Clone, Debug)]
-struct Certain {
+struct HeldInterval {
     name: String,
-    fence: u64,
+    fencing_token: u64,
     from: Duration,
     until: Duration,
 }
 
-/// What one client got.
+/// Results of one client.
 #[derive(Default)]
-struct Answers {
-    held: Vec<Certain>,
+struct ClientResults {
+    granted: Vec<HeldInterval>,
     unanswered: u64,
-    /// Refusals by their words, without digits.
+    /// Number of refusals by message, without digits.
     refused: BTreeMap<String, u64>,
 }
 
-impl Answers {
-    fn add(&mut self, other: Answers) {
-        self.held.extend(other.held);
+impl ClientResults {
+    fn add(&mut self, other: ClientResults) {
+        self.granted.extend(other.granted);
         self.unanswered += other.unanswered;
         for (why, count) in other.refused {
             *self.refused.entry(why).or_default() += count;
@@ -79,22 +79,22 @@
     }
 }
 
-/// What all runs showed.
+/// Results of all runs.
 #[derive(Default)]
 struct Summary {
-    /// Holds that were granted.
+    /// Number of granted holds.
     granted: usize,
-    /// Requests that got no answer in time.
+    /// Number of requests that timed out.
     unanswered: u64,
-    /// Holds that two could act on at once, in words.
-    held_twice: Vec<String>,
-    /// Seeds after which nobody led in time.
-    never_led: Vec<u64>,
-    /// Microseconds until one led.
-    led_after: Vec<u64>,
+    /// Descriptions of overlapping grants of the same hold.
+    overlaps: Vec<String>,
+    /// Seeds after which no leader was elected in time.
+    seeds_without_leader: Vec<u64>,
+    /// Microseconds until there was a leader.
+    election_times: Vec<u64>,
 }
 
-/// Plays the scenarios that the command line asks for.
+/// Runs the scenarios given on the command line.
 pub(crate) fn run(args: &Arguments, binary: &str) -> ExitCode {
     let options = Options::read(args);
     let mut summary = Summary::default();
@@ -102,51 +102,51 @@
         play(&options, binary, seed, &mut summary);
     }
     summary.print(&options);
-    let all_led = summary.never_led.is_empty() || options.last_build.is_some();
-    exit_code(summary.held_twice.is_empty() && all_led)
+    let all_elected = summary.seeds_without_leader.is_empty() || options.last_build.is_some();
+    exit_code(summary.overlaps.is_empty() && all_elected)
 }
 
-/// Plays the scenario of one seed, and adds what it showed to the summary.
+/// Runs the scenario of one seed and adds its results to the summary.
 fn play(options: &Options, binary: &str, seed: u64, summary: &mut Summary) {
     let mut harness = start(options, binary, seed);
-    let is_over = Arc::new(AtomicBool::new(false));
-    let begun = Instant::now();
-    let clients: Vec<JoinHandle<Answers>> = (0..options.members)
-        .map(|member| start_client(&harness, member, begun, &is_over))
+    let is_stopped = Arc::new(AtomicBool::new(false));
+    let started = Instant::now();
+    let clients: Vec<JoinHandle<ClientResults>> = (0..options.members)
+        .map(|member| start_client(&harness, member, started, &is_stopped))
         .collect();
     harness.play();
-    let led_after = wait_for_leader(&harness, options.voters);
+    let election_time = wait_for_leader(&harness, options.voters);
     std::thread::sleep(TIME_AFTER_BOOTSTRAP);
-    is_over.store(true, Ordering::Relaxed);
-    let mut answers = Answers::default();
+    is_stopped.store(true, Ordering::Relaxed);
+    let mut results = ClientResults::default();
     for client in clients {
         if let Ok(one) = client.join() {
-            answers.add(one);
+            results.add(one);
         }
     }
     if options.prints_refusals {
-        println!("seed {seed}: {:?}", answers.refused);
+        println!("seed {seed}: {:?}", results.refused);
     }
-    let held_twice = held_twice(seed, &mut answers.held);
-    if led_after.is_none() || !held_twice.is_empty() {
+    let overlaps = find_overlaps(seed, &mut results.granted);
+    if election_time.is_none() || !overlaps.is_empty() {
         eprintln!("seed {seed}:\n{}", harness.log().text());
         for member in 0..options.members {
             eprintln!("  m{member}: {:?}", harness.consensus(member));
         }
     }
-    summary.granted += answers.held.len();
-    summary.unanswered += answers.unanswered;
-    summary.held_twice.extend(held_twice);
-    match led_after {
-        Some(time) => summary.led_after.push(micros(time)),
-        None => summary.never_led.push(seed),
+    summary.granted += results.granted.len();
+    summary.unanswered += results.unanswered;
+    summary.overlaps.extend(overlaps);
+    match election_time {
+        Some(time) => summary.election_times.push(micros(time)),
+        None => summary.seeds_without_leader.push(seed),
     }
 }
 
 fn start(options: &Options, binary: &str, seed: u64) -> ClusterHarness {
     let mut script = fault_scenario::draw(options.members, seed, false);
     script.voters = options.voters;
-    script.persists_log = options.logs_are_kept;
+    script.persists_log = options.persists_logs;
     let mut harness = ClusterHarness::from_script(binary, NO_ENGINE, script);
     if let Some(last_build) = &options.last_build {
         for member in options.voters..options.members {
@@ -158,12 +158,12 @@
     harness
 }
 
-/// An operator's file without what a build before consensus does not know: the voters and `replace-after`.
+/// Removes the settings that builds before consensus don't know from a configuration: the voters and `replace-after`.
 fn without_consensus(text: &str) -> String {
     let file = match text.split_once("voter \"") {
         Some((before, _)) => {
-            let behind = text.split_once("}\nstate");
-            let end = behind.map_or("}\n".into(), |(_, state)| format!("}}\nstate{state}"));
+            let after_voters = text.split_once("}\nstate");
+            let end = after_voters.map_or("}\n".into(), |(_, state)| format!("}}\nstate{state}"));
             format!("{before}{end}")
         }
         None => text.to_string(),
@@ -171,50 +171,50 @@
     let mut parts = file.split("replace-after");
     let first = parts.next().unwrap_or_default().to_string();
     parts.fold(first, |kept, part| {
-        let behind_value = part.split_once("\" ").map_or(part, |(_, behind)| behind);
-        kept + behind_value
+        let after_value = part.split_once("\" ").map_or(part, |(_, after)| after);
+        kept + after_value
     })
 }
 
-/// How long until the voters say that one of them leads; `None` where they don't in time.
+/// Returns how long it takes until the voters report a common leader, or `None` if they don't in time.
 fn wait_for_leader(harness: &ClusterHarness, voters: u32) -> Option<Duration> {
-    let quiet_since = Instant::now();
+    let faults_ended_at = Instant::now();
     let voters: Vec<u32> = (0..voters).collect();
-    while quiet_since.elapsed() < Duration::from_micros(fault_scenario::CONVERGENCE_TIMEOUT) {
+    while faults_ended_at.elapsed() < Duration::from_micros(fault_scenario::CONVERGENCE_TIMEOUT) {
         if harness.leader(&voters).is_some() {
-            return Some(quiet_since.elapsed());
+            return Some(faults_ended_at.elapsed());
         }
         std::thread::sleep(POLL_INTERVAL);
     }
-    harness.leader(&voters).map(|_| quiet_since.elapsed())
+    harness.leader(&voters).map(|_| faults_ended_at.elapsed())
 }
 
-/// An operator who requests one hold after another of a member, until it is over.
+/// Starts a client that requests one hold after another from a member until `is_stopped` is set.
 fn start_client(
     harness: &ClusterHarness,
     member: u32,
-    begun: Instant,
-    is_over: &Arc<AtomicBool>,
-) -> JoinHandle<Answers> {
-    let (socket, is_over): (PathBuf, _) = (harness.control_socket(member), is_over.clone());
+    started: Instant,
+    is_stopped: &Arc<AtomicBool>,
+) -> JoinHandle<ClientResults> {
+    let (socket, is_stopped): (PathBuf, _) = (harness.control_socket(member), is_stopped.clone());
     let interval = Duration::from_millis(40 + u64::from(member) * 7);
     std::thread::spawn(move || {
-        let mut answers = Answers::default();
+        let mut results = ClientResults::default();
         for number in 0..MAX_REQUESTS {
-            if is_over.load(Ordering::Relaxed) {
+            if is_stopped.load(Ordering::Relaxed) {
                 break;
             }
-            request_hold(&socket, number, begun, &mut answers);
+            request_hold(&socket, number, started, &mut results);
             std::thread::sleep(interval);
         }
-        answers
+        results
     })
 }
 
-/// Requests a hold of the member at this control socket, and adds what it says to `answers`.
-fn request_hold(socket: &Path, number: u32, begun: Instant, answers: &mut Answers) {
-    let name = format!("h{}", number % HOLD_NAMES);
-    let requested_at = begun.elapsed();
+/// Requests a hold from the member at this control socket and adds the result to `results`.
+fn request_hold(socket: &Path, number: u32, started: Instant, results: &mut ClientResults) {
+    let name = format!("h{}", number % HOLD_COUNT);
+    let requested_at = started.elapsed();
     let request = Request::Hold {
         name: name.clone(),
         for_s: HOLD_SECONDS,
@@ -223,10 +223,10 @@
     };
     let error = match process::send_request(socket, &request) {
         Ok(words) => {
-            answers.held.push(Certain {
+            results.granted.push(HeldInterval {
                 name,
-                fence: last_number(&words),
-                from: begun.elapsed(),
+                fencing_token: fencing_token_in(&words),
+                from: started.elapsed(),
                 until: requested_at + USABLE_TIME,
             });
             return;
@@ -234,50 +234,55 @@
         Err(error) => error.to_string(),
     };
     if error.contains("in time") {
-        answers.unanswered += 1;
+        results.unanswered += 1;
     } else {
         let words = error.chars().filter(|c| !c.is_ascii_digit()).collect();
-        *answers.refused.entry(words).or_default() += 1;
+        *results.refused.entry(words).or_default() += 1;
     }
 }
 
-/// The fencing number at the end of an answer.
-fn last_number(words: &str) -> u64 {
+/// Parses the fencing token at the end of a reply.
+fn fencing_token_in(words: &str) -> u64 {
     let last = words.rsplit(' ').next();
     last.and_then(|word| word.parse().ok()).unwrap_or(0)
 }
 
-/// Pairs of holds of one name where the later number's holder may act while the earlier one's still does.
-fn held_twice(seed: u64, held: &mut [Certain]) -> Vec<String> {
-    held.sort_by_key(|h| (h.name.clone(), h.fence));
-    let pairs = held.windows(2).filter(|pair| pair[0].name == pair[1].name);
+/// Finds pairs of grants of the same hold with the same fencing token, or where the holder with the higher token may act while the
+/// other one still does.
+fn find_overlaps(seed: u64, granted: &mut [HeldInterval]) -> Vec<String> {
+    granted.sort_by_key(|h| (h.name.clone(), h.fencing_token));
+    let pairs = granted
+        .windows(2)
+        .filter(|pair| pair[0].name == pair[1].name);
     pairs
-        .filter(|pair| pair[0].fence == pair[1].fence || pair[1].from < pair[0].until)
+        .filter(|pair| {
+            pair[0].fencing_token == pair[1].fencing_token || pair[1].from < pair[0].until
+        })
         .map(|pair| format!("seed {seed}: {:?} and {:?}", pair[0], pair[1]))
         .collect()
 }
 
 impl Summary {
     fn print(&mut self, options: &Options) {
-        self.led_after.sort_unstable();
+        self.election_times.sort_unstable();
         println!(
-            "processes {}, voters {}, logs kept: {}, {} storms from seed {}: lent {} times, \
-             {} with no answer in time, held twice {}; one leads after p50 {:.2} s  p99 {:.2} s  max {:.2} s; \
-             never within the time owed: {:?}",
+            "{} processes, {} voters, persistent logs: {}, {} fault scenarios from seed {}: {} holds granted, \
+             {} requests timed out, {} overlapping grants; leader after p50 {:.2} s  p99 {:.2} s  max {:.2} s; \
+             seeds without a leader in time: {:?}",
             options.members,
             options.voters,
-            options.logs_are_kept,
+            options.persists_logs,
             options.runs,
             options.first_seed,
             self.granted,
             self.unanswered,
-            self.held_twice.len(),
-            percentile(&self.led_after, 0.5),
-            percentile(&self.led_after, 0.99),
-            percentile(&self.led_after, 1.0),
-            self.never_led
+            self.overlaps.len(),
+            percentile(&self.election_times, 0.5),
+            percentile(&self.election_times, 0.99),
+            percentile(&self.election_times, 1.0),
+            self.seeds_without_leader
         );
-        for pair in self.held_twice.iter().take(5) {
+        for pair in self.overlaps.iter().take(5) {
             println!("  {pair}");
         }
     }
--- a/crates/cluster-harness/src/soak/client.rs
+++ b/crates/cluster-harness/src/soak/client.rs
@@ -1,4 +1,4 @@
-//! Clients that keep a connection each and use it until it ends, whatever signals the coordinator got.
+//! Clients that each use one connection until it closes, regardless of signals to the coordinator.
 
 use super::plan::Plan;
 use super::response::{read_response, Received};
@@ -12,84 +12,85 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// A request that crosses the close of an idle connection within this time is the client's to send again.
-pub(super) const CLOSE_CROSSING_TIME: Duration = Duration::from_millis(50);
-/// A client waits so much longer than its timeout: what comes then is late, what does not come is lost.
-pub(super) const LATE_TIME: Duration = Duration::from_millis(500);
-/// Where nobody listens a client connects again after this.
+/// A request whose connection closes within this time may have raced with the close of an idle connection. Clients have to retry
+/// such a request.
+pub(super) const CLOSE_RACE_TIME: Duration = Duration::from_millis(50);
+/// How much longer than its timeout a client waits. A response within this time is late; without one the request is lost.
+pub(super) const LATE_RESPONSE_TIME: Duration = Duration::from_millis(500);
+/// Pause before a client reconnects after a failed connection attempt.
 const RECONNECT_INTERVAL: Duration = Duration::from_millis(10);
-/// An idle client that was disconnected connects again after this.
+/// Pause before a disconnected idle client reconnects.
 const IDLE_RECONNECT_INTERVAL: Duration = Duration::from_millis(50);
-/// A client pauses for up to this long between its requests.
+/// Maximum pause of a client between requests.
 const MAX_PAUSE_MS: u64 = 40;
-/// The shortest timeout of a client.
+/// Minimum client timeout.
 const MIN_TIMEOUT_MS: u64 = 250;
-/// Table groups that requests are spread over.
+/// Number of table groups that requests are spread over.
 const TABLE_GROUPS: u64 = 16;
-/// One request in so many must not run twice.
+/// Every n-th request is an insert, which must not run twice.
 const INSERT_INTERVAL: u64 = 5;
-/// Numbers of requests of one seed are below those of the next.
+/// Request numbers start at `seed << SEED_SHIFT`, so that those of different seeds don't overlap.
 const SEED_SHIFT: u32 = 20;
 
-/// A process that serves clients.
+/// A process that accepts clients.
 #[derive(Clone, Copy)]
 pub(super) struct Listening {
-    /// Where its clients connect.
+    /// The address for clients.
     pub addr: SocketAddr,
-    /// Its number among the coordinator's processes.
+    /// Its number within its coordinator.
     pub process: u32,
 }
 
-/// The process of a coordinator to which clients connect at present.
+/// The process of a coordinator that clients currently connect to.
 #[derive(Clone, Default)]
 pub(super) struct Target(Arc<Mutex<Option<Listening>>>);
 
 impl Target {
-    /// Clients connect to this process from now on.
+    /// Makes clients connect to this process from now on.
     pub(super) fn set(&self, listening: Listening) {
-        *self.0.lock().expect("a target") = Some(listening);
+        *self.0.lock().expect("locking the target") = Some(listening);
     }
 
     fn get(&self) -> Option<Listening> {
-        *self.0.lock().expect("a target")
+        *self.0.lock().expect("locking the target")
     }
 }
 
-/// What became of a request.
+/// The outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum End {
-    /// A response came: 200 with its result, or another status.
+pub(super) enum Outcome {
+    /// A complete response with this status; with 200 it contains the result.
     Answered(u16),
-    /// What came is no response to it.
-    Wrong,
-    /// Its connection or its time ended before a complete response.
+    /// A response with status 200 that does not belong to the request.
+    Mismatched,
+    /// The connection closed or the time was up before a complete response.
     Unanswered,
 }
 
 /// One request, as its client saw it.
 #[derive(Clone, Debug)]
 pub(super) struct RequestRecord {
-    /// The process that it was sent to.
+    /// The process it was sent to.
     pub process: ProcessId,
-    /// The statement, which names it everywhere.
+    /// The statement, which is unique and identifies the request.
     pub statement: String,
-    /// How long its client waits.
+    /// The client's timeout.
     pub timeout: Duration,
     /// When its last byte was written.
     pub sent_at: Instant,
-    /// How long it took to its end.
+    /// How long it took from then on.
     pub duration: Duration,
-    /// Its end.
-    pub end: End,
+    /// Its outcome.
+    pub outcome: Outcome,
 }
 
-/// All clients of a soak.
+/// All clients of a soak test.
 pub(super) struct Clients {
     threads: Vec<JoinHandle<Vec<RequestRecord>>>,
 }
 
 impl Clients {
-    /// Starts the clients of all coordinators; they send requests until the plan's end.
+    /// Starts the clients of all coordinators. They send requests until the end of the plan.
     pub(super) fn start(plan: &Plan, targets: &[Target]) -> Clients {
         let next_number = Arc::new(AtomicU64::new(plan.seed << SEED_SHIFT));
         let until = Instant::now() + plan.length;
@@ -117,16 +118,16 @@
         Clients { threads }
     }
 
-    /// All requests, once all clients are done.
-    pub(super) fn end(self) -> Vec<RequestRecord> {
+    /// Waits for all clients, and returns their requests.
+    pub(super) fn join(self) -> Vec<RequestRecord> {
         self.threads
             .into_iter()
-            .flat_map(|thread| thread.join().expect("a client"))
+            .flat_map(|thread| thread.join().expect("joining a client thread"))
             .collect()
     }
 }
 
-/// Connects, sends nothing, and connects again when it is disconnected.
+/// Holds an idle connection, and reconnects whenever it is closed.
 fn stay_idle(target: &Target, until: Instant) {
     while Instant::now() < until {
         let listening = target.get();
@@ -139,7 +140,7 @@
     }
 }
 
-/// A client's connection, and the process at its other end.
+/// A client's connection and the process it is connected to.
 struct Connection {
     stream: TcpStream,
     process: u32,
@@ -149,7 +150,7 @@
     coordinator: usize,
     target: Target,
     rng: SmallRng,
-    /// The longest timeout of a request.
+    /// The maximum timeout of a request.
     deadline: Duration,
     next_number: Arc<AtomicU64>,
     until: Instant,
@@ -180,7 +181,7 @@
         Some(Connection { stream, process })
     }
 
-    /// Sends a request and waits for its end; whether the connection may be used again.
+    /// Sends a request and waits for its outcome. Returns whether the connection may be reused.
     fn send_request(&mut self, connection: &mut Connection) -> bool {
         let number = self.next_number.fetch_add(1, Ordering::Relaxed);
         let (class, verb) = match number.is_multiple_of(INSERT_INTERVAL) {
@@ -201,13 +202,15 @@
             statement.len()
         );
         if connection.stream.write_all(request.as_bytes()).is_err() {
-            // Not written completely: it was never accepted.
+            // Not written completely, so the request was never accepted.
             return false;
         }
         let sent_at = Instant::now();
-        let give_up_at = sent_at + timeout + LATE_TIME;
-        let Received { end, stays_open } =
-            read_response(&mut connection.stream, give_up_at, &statement);
+        let deadline = sent_at + timeout + LATE_RESPONSE_TIME;
+        let Received {
+            outcome,
+            is_reusable,
+        } = read_response(&mut connection.stream, deadline, &statement);
         self.records.push(RequestRecord {
             process: ProcessId {
                 coordinator: self.coordinator,
@@ -217,13 +220,14 @@
             timeout,
             sent_at,
             duration: sent_at.elapsed(),
-            end,
+            outcome,
         });
-        stays_open
+        is_reusable
     }
 
     fn draw_timeout(&mut self) -> Duration {
-        let longest = u64::try_from(self.deadline.as_millis()).expect("a few seconds");
+        let longest =
+            u64::try_from(self.deadline.as_millis()).expect("a deadline of a few seconds");
         Duration::from_millis(self.rng.random_range(MIN_TIMEOUT_MS..=longest))
     }
 }
--- a/crates/cluster-harness/src/soak/coordinator.rs
+++ b/crates/cluster-harness/src/soak/coordinator.rs
@@ -1,4 +1,4 @@
-//! One coordinator of a soak: processes of the program, one after another, with signals and the platform's kill.
+//! A coordinator of a soak test: a sequence of processes that get signals and are killed if they don't exit in time.
 
 use super::client::{Listening, Target};
 use super::list::EngineList;
@@ -13,50 +13,50 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// The settings, with words in capitals for what a plan sets.
+/// Configuration template. Words in capitals are replaced with values of the plan.
 const CONFIG: &str = include_str!("config.json");
-/// Time between looks at a process that is to end.
+/// How often a process that should exit is polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// How one process ended.
+/// A process that ended.
 #[derive(Debug)]
 pub(super) struct EndedProcess {
     pub id: ProcessId,
-    /// When it got its first SIGTERM.
+    /// When it was first sent SIGTERM.
     pub terminated_at: Instant,
     pub end: ProcessEnd,
-    /// What it logged.
+    /// Its log.
     pub log: String,
 }
 
-/// How a process ended that got a SIGTERM.
+/// How a process ended after SIGTERM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ProcessEnd {
-    /// In order.
+    /// It exited successfully.
     Success,
-    /// With an error, or by a signal of its own.
+    /// It exited with an error, or crashed.
     Crash(ExitStatus),
-    /// By the platform's kill, as it had not ended in time.
+    /// It was killed because it had not exited in time.
     Killed,
 }
 
-/// A coordinator of the soak.
+/// A coordinator of a soak test.
 pub(super) struct Coordinator {
     binary: PathBuf,
     number: usize,
     config: PathBuf,
-    /// The text of the file, but for the list's address.
+    /// The configuration, except for the address of the engine list.
     config_text: String,
-    /// The addresses between which a SIGHUP moves the list of engines.
+    /// The two addresses of the engine list. SIGHUP switches between them.
     lists: [SocketAddr; 2],
-    /// How long after SIGTERM the platform kills.
-    kills_after: Duration,
+    /// How long after SIGTERM the process is killed.
+    kill_timeout: Duration,
     length: Duration,
     descriptors: usize,
     clock: WallClock,
 }
 
-/// A process of it that runs.
+/// A running process of a coordinator.
 struct Process {
     child: Child,
     number: u32,
@@ -65,7 +65,7 @@
 }
 
 impl Coordinator {
-    /// A coordinator that is not started yet.
+    /// Creates a coordinator that is not started yet.
     pub(super) fn new(binary: &Path, number: usize, plan: &Plan, list: &EngineList) -> Coordinator {
         let descriptors = plan.coordinators[number].descriptors;
         let micros = |time: Duration| time.as_micros().to_string();
@@ -87,7 +87,7 @@
             config: std::env::temp_dir().join(name),
             config_text: text,
             lists: list.addrs,
-            kills_after: plan.kills_after(),
+            kill_timeout: plan.kill_timeout(),
             length: plan.length,
             descriptors,
             clock: WallClock::new(binary),
@@ -96,7 +96,7 @@
         coordinator
     }
 
-    /// Writes its file with one of the list's addresses; it is read at the next start or SIGHUP.
+    /// Writes the configuration with one of the addresses of the engine list. It is read at the next start or SIGHUP.
     fn write_config(&self, list: usize) {
         let text = self
             .config_text
@@ -104,7 +104,7 @@
         std::fs::write(&self.config, text).expect("writing a temporary file");
     }
 
-    /// Runs through its signals and clock steps, then until the soak's end; how each of its processes ended.
+    /// Applies the scheduled signals and clock steps, and runs until the end of the soak test. Returns how each process ended.
     pub(super) fn run(
         self,
         schedule: &Schedule,
@@ -117,29 +117,36 @@
             sleep_until(started + time);
             running.apply(event);
         }
-        let end = started + self.length + self.kills_after;
+        let end = started + self.length + self.kill_timeout;
         running.restart_if_ended(end);
-        // At the end it has nothing open any more: all clients have given up.
+        // By now all clients have given up, so no request is open.
         sleep_until(end);
-        let ended_processes = running.end();
+        let ended_processes = running.shut_down();
         let _ = std::fs::remove_file(&self.config);
         ended_processes
     }
 
-    /// Starts a process, and waits until it serves.
+    /// Starts a process and waits until it serves.
     fn start(&self, number: u32) -> Process {
         let mut child = self.spawn();
         let mut lines = ProcessLog::capture(&mut child);
         let log = Arc::new(Mutex::new(String::new()));
         let listen = loop {
-            let line = lines.next_line().expect("the program ended at its start");
-            log.lock().expect("the log").push_str(&line);
+            let line = lines
+                .next_line()
+                .expect("the program exited during startup");
+            log.lock().expect("locking the log").push_str(&line);
             if let Some(addr) = address_in(&line, "listen") {
                 break addr;
             }
         };
         let further_lines = log.clone();
-        lines.follow(move |line| further_lines.lock().expect("the log").push_str(line));
+        lines.follow(move |line| {
+            further_lines
+                .lock()
+                .expect("locking the log")
+                .push_str(line)
+        });
         Process {
             child,
             number,
@@ -148,7 +155,7 @@
         }
     }
 
-    /// Starts the program with its limit on descriptors, under its wall clock.
+    /// Spawns the program with its limit on file descriptors and its wall clock.
     fn spawn(&self) -> Child {
         let shell = format!(
             "ulimit -n {}; exec \"$0\" serve --config \"$1\"",
@@ -166,8 +173,8 @@
             .expect("starting the program")
     }
 
-    /// Waits until a process that got a SIGTERM has ended, and kills it at the earliest moment that the platform allows; `None`
-    /// where it still runs at `until`.
+    /// Waits until a process exits after SIGTERM, and kills it once the timeout has passed. Returns `None` if it still runs at
+    /// `until`.
     fn wait(
         &self,
         process: &mut Process,
@@ -181,19 +188,22 @@
             },
             terminated_at,
             end,
-            log: process.log.lock().expect("the log").clone(),
+            log: process.log.lock().expect("locking the log").clone(),
         };
         loop {
-            match process.child.try_wait().expect("its state") {
+            match process.child.try_wait().expect("polling the process") {
                 Some(status) if status.success() => {
                     return Some(ended(process, ProcessEnd::Success))
                 }
                 Some(status) => return Some(ended(process, ProcessEnd::Crash(status))),
                 None => {}
             }
-            if Instant::now() >= terminated_at + self.kills_after {
-                process.child.kill().expect("it runs");
-                process.child.wait().expect("it ended");
+            if Instant::now() >= terminated_at + self.kill_timeout {
+                process.child.kill().expect("killing the process");
+                process
+                    .child
+                    .wait()
+                    .expect("waiting for the killed process");
                 return Some(ended(process, ProcessEnd::Killed));
             }
             if Instant::now() >= until {
@@ -204,15 +214,15 @@
     }
 }
 
-/// What happens to a coordinator.
+/// A scheduled event of a coordinator.
 #[derive(Clone, Copy)]
 enum Event {
     Signal(Signal),
-    /// Its wall clock is set, and is off by so many microseconds from then on.
+    /// Sets the offset of its wall clock, in microseconds.
     ClockStep(i64),
 }
 
-/// All that happens to a coordinator, in order of time.
+/// Returns all events of a schedule, ordered by time.
 fn events_of(schedule: &Schedule) -> Vec<(Duration, Event)> {
     let signals = schedule.signals.iter();
     let signals = signals.map(|&(time, signal)| (time, Event::Signal(signal)));
@@ -227,14 +237,14 @@
     std::thread::sleep(time.saturating_duration_since(Instant::now()));
 }
 
-/// A coordinator with the process that runs now.
+/// A coordinator with its current process.
 struct Running<'a> {
     coordinator: &'a Coordinator,
     target: &'a Target,
     process: Process,
-    /// When it got its first SIGTERM: from then on the platform waits for its end, and kills it in time.
+    /// When the process was first sent SIGTERM. It is killed if it has not exited after the timeout.
     terminated_at: Option<Instant>,
-    /// Which list of engines it follows.
+    /// Index of the engine list's address in the configuration.
     list: usize,
     ended_processes: Vec<EndedProcess>,
 }
@@ -253,7 +263,7 @@
         }
     }
 
-    /// Waits until this time for a process that got a SIGTERM; starts the next one where it has ended.
+    /// After SIGTERM, waits until this time for the process to exit, and starts the next one if it did.
     fn restart_if_ended(&mut self, until: Instant) {
         let Some(terminated_at) = self.terminated_at else {
             return;
@@ -289,11 +299,11 @@
         }
     }
 
-    /// Ends the process; how each of the coordinator's ended.
-    fn end(mut self) -> Vec<EndedProcess> {
+    /// Terminates the process. Returns how each process of the coordinator ended.
+    fn shut_down(mut self) -> Vec<EndedProcess> {
         Signal::Terminate.send(&self.process.child);
         let terminated_at = Instant::now();
-        let until = terminated_at + self.coordinator.kills_after * 2;
+        let until = terminated_at + self.coordinator.kill_timeout * 2;
         let ended = self
             .coordinator
             .wait(&mut self.process, terminated_at, until);
--- a/crates/cluster-harness/src/soak/engine.rs
+++ b/crates/cluster-harness/src/soak/engine.rs
@@ -1,22 +1,22 @@
-//! A mock engine that speaks the platform's line protocol and misbehaves by a plan.
+//! A mock engine that speaks the platform's line protocol and injects planned faults.
 
-use super::plan::{EngineFault, Mode};
+use super::plan::{EngineFault, FaultMode};
 use driftfront_mock_servers::request_log::RequestLog;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// How long a request runs.
+/// Execution time of a request.
 const RUN_TIME: Duration = Duration::from_millis(2);
 
-/// An engine that listens.
+/// A running mock engine.
 pub(super) struct Engine {
     addr: SocketAddr,
 }
 
 impl Engine {
-    /// Starts one; the times of its faults count from `started`.
+    /// Starts an engine. The times of its faults are relative to `started`.
     pub(super) fn start(
         faults: Vec<EngineFault>,
         started: Instant,
@@ -39,7 +39,7 @@
         Engine { addr }
     }
 
-    /// Where it listens, which is its name in the request log, too.
+    /// Returns the address it listens on, which is also its name in the request log.
     pub(super) fn addr(&self) -> SocketAddr {
         self.addr
     }
@@ -54,8 +54,8 @@
 }
 
 impl Session {
-    /// The fault that it has now.
-    fn mode(&self) -> Option<Mode> {
+    /// Returns the fault that is currently active.
+    fn fault_mode(&self) -> Option<FaultMode> {
         let now = self.started.elapsed();
         self.faults
             .iter()
@@ -63,7 +63,7 @@
             .map(|fault| fault.mode)
     }
 
-    /// Responds until the connection ends.
+    /// Responds to requests until the connection closes.
     fn serve(&self, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
         let Ok(mut out) = stream.try_clone() else {
@@ -78,7 +78,7 @@
                     Some(statement) => self.run(id, &statement, &out),
                     None => return,
                 },
-                ["STAT" | "HELO", tag] if self.mode() != Some(Mode::Hang) => {
+                ["STAT" | "HELO", tag] if self.fault_mode() != Some(FaultMode::Hang) => {
                     Some(format!("{tag} PONG gauges=inflight:1 0\r\n\r\n"))
                 }
                 _ => None,
@@ -90,24 +90,24 @@
         }
     }
 
-    /// Runs a request; the response, if there is one.
+    /// Executes a request. Returns the response, if any.
     fn run(&self, id: &str, statement: &str, stream: &TcpStream) -> Option<String> {
-        let mode = self.mode();
+        let fault_mode = self.fault_mode();
         let entry = self
             .request_log
             .begin(&self.addr.to_string(), id, statement, None);
-        match mode {
-            Some(Mode::Hang) => None,
-            Some(Mode::Reset) => {
+        match fault_mode {
+            Some(FaultMode::Hang) => None,
+            Some(FaultMode::Reset) => {
                 let _ = socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO));
                 let _ = stream.shutdown(std::net::Shutdown::Both);
                 None
             }
-            Some(Mode::Full) => {
+            Some(FaultMode::Full) => {
                 self.request_log.end(entry, false);
                 Some(format!("{id} SHED - 0\r\n\r\n"))
             }
-            Some(Mode::Fault) => {
+            Some(FaultMode::Fault) => {
                 self.request_log.end(entry, true);
                 Some(format!("{id} FAULT - 0\r\n\r\n"))
             }
@@ -121,7 +121,7 @@
     }
 }
 
-/// Reads the statement behind a request's line, which gives its length.
+/// Reads the statement that follows a request line with its length.
 fn read_statement(input: &mut impl Read, length: &str) -> Option<String> {
     let mut body = vec![0; length.parse::<usize>().ok()? + 2];
     input.read_exact(&mut body).ok()?;
--- a/crates/cluster-harness/src/soak/list.rs
+++ b/crates/cluster-harness/src/soak/list.rs
@@ -1,32 +1,32 @@
-//! A mock of the platform's list of engines, at two addresses: a stream of server-sent events.
+//! A mock of the platform's engine list: a stream of server-sent events, served on two addresses.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::{Duration, Instant};
 
-/// A comment goes out this often where nothing changes.
+/// Interval of keep-alive comments on an idle stream.
 const COMMENT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// All events so far, which every connection gets.
+/// All events so far. Every connection receives them.
 #[derive(Default)]
 struct EventStream {
     events: Mutex<Vec<String>>,
     added: Condvar,
 }
 
-/// An engine that was reported to drain.
+/// An engine that was reported as draining.
 #[derive(Clone, Copy)]
 pub(super) struct Drain {
-    /// The engine.
+    /// The engine's address.
     pub engine: SocketAddr,
     /// When the list reported it.
     pub reported_at: Instant,
 }
 
-/// The list of engines.
+/// The engine list.
 pub(super) struct EngineList {
-    /// Where the list is served: a SIGHUP moves coordinators from one to the other.
+    /// The addresses that serve the list. SIGHUP switches coordinators from one to the other.
     pub addrs: [SocketAddr; 2],
     engines: Vec<SocketAddr>,
     stream: Arc<EventStream>,
@@ -34,7 +34,7 @@
 }
 
 impl EngineList {
-    /// Serves a list on which all of these engines are ready.
+    /// Serves a list of these engines, all of them ready.
     pub(super) fn start(engines: Vec<SocketAddr>) -> EngineList {
         let stream = Arc::<EventStream>::default();
         let addrs = [serve(&stream), serve(&stream)];
@@ -51,7 +51,7 @@
         list
     }
 
-    /// Reports that engines drain, each at its time, counted from `started`.
+    /// Reports engines as draining, each at its time relative to `started`.
     pub(super) fn play(&self, drains: &[(Duration, usize)], started: Instant) {
         for &(time, engine) in drains {
             std::thread::sleep(time.saturating_sub(started.elapsed()));
@@ -60,16 +60,16 @@
                 engine: self.engines[engine],
                 reported_at: Instant::now(),
             };
-            self.drains.lock().expect("the drains").push(drain);
+            self.drains.lock().expect("locking the drains").push(drain);
         }
     }
 
-    /// All drains that were reported.
+    /// Returns all reported drains.
     pub(super) fn drains(&self) -> Vec<Drain> {
-        self.drains.lock().expect("the drains").clone()
+        self.drains.lock().expect("locking the drains").clone()
     }
 
-    /// An engine's line of an event.
+    /// Returns the JSON object of an engine.
     fn line(&self, engine: usize, lifecycle: &str) -> String {
         format!(
             "{{\"instanceId\":\"e{engine}\",\"hostPort\":\"{}\",\"zone\":\"a\",\"machineType\":\"std\",\"cell\":0,\
@@ -78,9 +78,9 @@
         )
     }
 
-    /// Adds an event with these engines' lines.
+    /// Adds an event with the JSON objects of engines.
     fn add_event(&self, lines: &[String]) {
-        let mut events = self.stream.events.lock().expect("the events");
+        let mut events = self.stream.events.lock().expect("locking the events");
         let (index, lines) = (events.len() + 1, lines.join(","));
         events.push(format!(
             "{{\"index\":{index},\"endpoints\":{{\"generation\":1,\"reset\":false,\"instances\":[{lines}]}}}}"
@@ -89,7 +89,7 @@
     }
 }
 
-/// Serves the events at an address of its own.
+/// Serves the events on a new address.
 fn serve(events: &Arc<EventStream>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("binding a loopback port");
     let addr = listener.local_addr().expect("reading the local address");
@@ -103,7 +103,7 @@
     addr
 }
 
-/// Writes events behind the last one that the caller knows, until the connection ends.
+/// Writes the events after the last one that the client knows until the connection closes.
 fn write_events(mut connection: TcpStream, stream: &EventStream) -> std::io::Result<()> {
     let Some(mut next) = read_last_event(&connection)? else {
         return Ok(());
@@ -111,7 +111,7 @@
     connection
         .write_all(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n: hello\n\n")?;
     loop {
-        let new = stream.wait_for_events_behind(next);
+        let new = stream.wait_for_events_after(next);
         if new.is_empty() {
             connection.write_all(b": still here\n\n")?;
         }
@@ -122,7 +122,8 @@
     }
 }
 
-/// Reads a request's head; the number of the last event that the caller knows, `None` where it closes before the head's end.
+/// Reads a request head. Returns the number of the last event that the client knows, or `None` if the connection closes before the
+/// end of the head.
 fn read_last_event(connection: &TcpStream) -> std::io::Result<Option<usize>> {
     let mut input = BufReader::new(connection.try_clone()?);
     let mut last = 0;
@@ -140,13 +141,13 @@
 }
 
 impl EventStream {
-    /// The events behind the first `known`; none where no other came in time.
-    fn wait_for_events_behind(&self, known: usize) -> Vec<String> {
-        let events = self.events.lock().expect("the events");
+    /// Waits for events after the first `known` ones and returns them; empty if there are none in time.
+    fn wait_for_events_after(&self, known: usize) -> Vec<String> {
+        let events = self.events.lock().expect("locking the events");
         let waited = self
             .added
             .wait_timeout_while(events, COMMENT_INTERVAL, |all| all.len() <= known);
-        let (events, _) = waited.expect("the events");
+        let (events, _) = waited.expect("locking the events");
         events.iter().skip(known).cloned().collect()
     }
 }
--- a/crates/cluster-harness/src/soak/mod.rs
+++ b/crates/cluster-harness/src/soak/mod.rs
@@ -1,6 +1,6 @@
-//! A soak of restarts on the platform's wire: processes of the program in front of engines that hang, fail and reset, with wall
-//! clocks that are set and signals in series, while clients use their open connections until the kill at the earliest moment that
-//! the platform allows. Everything is drawn from a seed; the rules are counted from outside.
+//! A soak test of restarts over the platform's protocol. Coordinators get series of signals and wall clock steps in front of engines
+//! that hang, fail and reset connections, while clients keep using their open connections. Each process is killed at the earliest
+//! time at which the platform may kill it. All inputs are drawn from a seed, and the rules are checked from outside the processes.
 
 mod client;
 mod coordinator;
@@ -8,10 +8,10 @@
 mod list;
 mod plan;
 mod response;
-mod verdict;
+mod rules;
 
 pub use plan::Plan;
-pub use verdict::{Breach, ProcessLog, Report, RuleBreach};
+pub use rules::{ProcessLog, Report, Rule, Violation};
 
 use client::{Clients, Target};
 use coordinator::{Coordinator, EndedProcess};
@@ -23,12 +23,12 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Which process of the program: each coordinator runs several, one after another.
+/// Identifies a process. Each coordinator runs several, one after another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ProcessId {
-    /// Number of the coordinator.
+    /// The number of the coordinator.
     pub coordinator: usize,
-    /// Number of the process among the coordinator's.
+    /// The number of the process within its coordinator.
     pub process: u32,
 }
 
@@ -38,10 +38,10 @@
     }
 }
 
-/// Time for the last responses after the last process has ended.
-const TIME_AFTER_END: Duration = Duration::from_millis(50);
+/// How long clients may still receive responses after the last process has exited.
+const FINAL_RESPONSE_TIME: Duration = Duration::from_millis(50);
 
-/// Plays the soak of a seed with this build of the program, and returns what was counted.
+/// Runs the soak test of a seed with this build of the program, and returns its report.
 pub fn play(binary: &Path, seed: u64) -> Report {
     let plan = Plan::draw(seed);
     let request_log = Arc::new(RequestLog::default());
@@ -59,12 +59,12 @@
         .collect();
     let clients = Clients::start(&plan, &targets);
     let ended_processes = run_coordinators(binary, &plan, &list, &targets, started);
-    std::thread::sleep(TIME_AFTER_END);
-    let requests = clients.end();
-    verdict::judge(&plan, &requests, &request_log, &list, ended_processes)
+    std::thread::sleep(FINAL_RESPONSE_TIME);
+    let requests = clients.join();
+    rules::check(&plan, &requests, &request_log, &list, ended_processes)
 }
 
-/// Runs all coordinators, each on a thread of its own, while engines drain; how each of their processes ended.
+/// Runs all coordinators on separate threads while engines drain. Returns how each process ended.
 fn run_coordinators(
     binary: &Path,
     plan: &Plan,
@@ -83,9 +83,11 @@
             .collect();
         let ended_processes = runs
             .into_iter()
-            .flat_map(|run| run.join().expect("a coordinator's thread"))
+            .flat_map(|run| run.join().expect("joining a coordinator thread"))
             .collect();
-        drains.join().expect("the list's changes");
+        drains
+            .join()
+            .expect("joining the thread that drains engines");
         ended_processes
     })
 }
--- a/crates/cluster-harness/src/soak/plan.rs
+++ b/crates/cluster-harness/src/soak/plan.rs
@@ -1,4 +1,4 @@
-//! What a seed stands for: who runs, what goes wrong when, and what the settings say.
+//! The plan of a soak test, drawn from a seed: processes, engines, faults and settings.
 
 use crate::process::Signal;
 use driftfront_mock_servers::request_log::Budget;
@@ -8,98 +8,99 @@
 use std::ops::Range;
 use std::time::Duration;
 
-/// The platform kills this long behind the longest deadline after SIGTERM.
+/// The platform kills a process this long after SIGTERM plus the longest deadline.
 const KILL_MARGIN: Duration = Duration::from_millis(700);
-/// Deadlines that a seed may have, the longest of all classes. The platform counts 3 s where it is longer.
+/// Possible values of the longest deadline of all classes. The platform caps it at 3 s.
 const DEADLINES_MS: [u64; 3] = [1_000, 1_600, 3_000];
-/// By how many seconds wall clocks are set.
-const CLOCK_STEPS_S: [i64; 8] = [3, 20, 400, 3_600, -3, -20, -400, -3_600];
-/// When the first signal of a coordinator is sent.
+/// Possible offsets of wall clocks, in seconds.
+const CLOCK_OFFSETS_S: [i64; 8] = [3, 20, 400, 3_600, -3, -20, -400, -3_600];
+/// Range of the time of a coordinator's first signal.
 const SIGNALS_AT_MS: Range<u64> = 1_200..3_500;
-/// Clients go on for so long behind the last signal, the longest deadline and the kill.
-const TIME_BEHIND_SIGNALS_MS: u64 = 500;
-/// Descriptors of a process that idle clients fill.
+/// How long clients continue after the last possible first signal plus the longest deadline and the margin until the kill.
+const TIME_AFTER_SIGNALS_MS: u64 = 500;
+/// Limit on file descriptors of a process that has idle clients.
 const FEW_DESCRIPTORS: usize = 128;
-/// Descriptors of any other process.
+/// Limit on file descriptors of other processes.
 const MANY_DESCRIPTORS: usize = 1024;
-/// Idle clients of a coordinator that has some: more than it has descriptors.
+/// Number of idle clients of a coordinator that has any: more than it has file descriptors.
 const IDLE_CLIENTS: usize = 160;
 const MICROS_PER_SECOND: i64 = 1_000_000;
 
-/// How an engine misbehaves.
+/// A kind of engine fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Mode {
+pub enum FaultMode {
     /// It accepts requests and never responds.
     Hang,
     /// It responds with an error.
     Fault,
     /// It rejects requests without running them.
     Full,
-    /// It resets the connection under each request.
+    /// It resets the connection on each request.
     Reset,
 }
 
-/// An engine's fault during some time, counted from the soak's start.
+/// A fault of an engine, with times relative to the start of the soak test.
 #[derive(Clone, Debug)]
 pub struct EngineFault {
-    /// When.
+    /// When the fault is active.
     pub during: Range<Duration>,
-    /// What.
-    pub mode: Mode,
+    /// The kind of fault.
+    pub mode: FaultMode,
 }
 
-/// What happens to one coordinator; times count from the soak's start.
+/// The events of a coordinator, with times relative to the start of the soak test.
 #[derive(Clone, Debug)]
 pub struct Schedule {
-    /// Signals, in order, each with its time. With a SIGHUP the list of engines moves to its other address; behind a SIGTERM the
-    /// platform kills.
+    /// Signals and their times, in order. SIGHUP switches to the other address of the engine list. After SIGTERM the platform kills
+    /// the process once the timeout has passed.
     pub signals: Vec<(Duration, Signal)>,
-    /// When its wall clock is set, and by how many microseconds it is off from then on.
+    /// Times at which its wall clock is set, and the new offset in microseconds.
     pub clock_steps: Vec<(Duration, i64)>,
-    /// Idle clients that fill its descriptors.
+    /// Number of idle clients that use up its file descriptors.
     pub idle_clients: usize,
-    /// Descriptors that it may hold.
+    /// Limit on its file descriptors.
     pub descriptors: usize,
 }
 
-/// All that a soak consists of.
+/// The plan of a soak test.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// The seed that all of it is drawn from.
+    /// The seed that the plan is drawn from.
     pub seed: u64,
-    /// For how long clients send requests.
+    /// How long clients send requests.
     pub length: Duration,
     /// The longest deadline of all classes.
     pub deadline: Duration,
     /// The retry budget of each process.
     pub budget: Budget,
-    /// Each engine's faults.
+    /// The faults of each engine.
     pub engines: Vec<Vec<EngineFault>>,
-    /// What happens to each coordinator.
+    /// The events of each coordinator.
     pub coordinators: Vec<Schedule>,
-    /// Clients of each coordinator, each with a connection of its own that it keeps.
+    /// Number of clients per coordinator. Each keeps one connection.
     pub clients: usize,
-    /// When the list reports that an engine drains, and which.
+    /// Times at which the list reports an engine as draining, and the engine's index.
     pub drains: Vec<(Duration, usize)>,
 }
 
 impl Plan {
-    /// Draws the soak of a seed.
+    /// Draws the plan of a seed.
     pub fn draw(seed: u64) -> Plan {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let deadline = Duration::from_millis(*DEADLINES_MS.choose(&mut rng).expect("some"));
-        let length = Duration::from_millis(SIGNALS_AT_MS.end + TIME_BEHIND_SIGNALS_MS)
+        let deadline =
+            Duration::from_millis(*DEADLINES_MS.choose(&mut rng).expect("a non-empty list"));
+        let length = Duration::from_millis(SIGNALS_AT_MS.end + TIME_AFTER_SIGNALS_MS)
             + deadline
             + KILL_MARGIN;
         let engines = rng.random_range(3..6);
         let coordinators = rng.random_range(2..4);
-        // The last engine drains; the first is healthy, so that one always serves.
+        // The last engine drains. The first has no faults, so that one engine always serves.
         let drains = vec![(draw_time(&mut rng, 500..3_000), engines - 1)];
         Plan {
             seed,
             length,
             deadline,
-            // Tight, so that it binds whenever an engine fails.
+            // Small enough that the budget is exhausted whenever an engine fails.
             budget: Budget {
                 free: 4.0,
                 ratio: 0.002,
@@ -114,24 +115,24 @@
         }
     }
 
-    /// How long after SIGTERM the platform kills, at the earliest.
-    pub fn kills_after(&self) -> Duration {
+    /// Returns the earliest time after SIGTERM at which the platform may kill a process.
+    pub fn kill_timeout(&self) -> Duration {
         self.deadline + KILL_MARGIN
     }
 }
 
-/// A time in this range of milliseconds.
+/// Draws a time from a range of milliseconds.
 fn draw_time(rng: &mut SmallRng, ms: Range<u64>) -> Duration {
     Duration::from_millis(rng.random_range(ms))
 }
 
-/// Some engines hang for long; others fail now and then, for a moment each.
+/// Draws the faults of an engine: either one long hang, or several short faults.
 fn draw_faults(rng: &mut SmallRng, has_faults: bool, length: Duration) -> Vec<EngineFault> {
     if !has_faults {
         return Vec::new();
     }
     if rng.random_range(0..3) == 0 {
-        // Some hang through the whole of a shutdown.
+        // Some engines hang for an entire shutdown.
         let begin = draw_time(rng, 300..3_000);
         let end = if rng.random_range(0..2) == 0 {
             length * 2
@@ -140,21 +141,26 @@
         };
         return vec![EngineFault {
             during: begin..end,
-            mode: Mode::Hang,
+            mode: FaultMode::Hang,
         }];
     }
-    let moments = rng.random_range(4..12);
-    let moment = |_| {
+    let count = rng.random_range(4..12);
+    let draw_fault = |_| {
         let begin = draw_time(rng, 300..5_000);
-        let mode = *[Mode::Fault, Mode::Full, Mode::Reset, Mode::Reset]
-            .choose(rng)
-            .expect("some");
+        let mode = *[
+            FaultMode::Fault,
+            FaultMode::Full,
+            FaultMode::Reset,
+            FaultMode::Reset,
+        ]
+        .choose(rng)
+        .expect("a non-empty list");
         EngineFault {
             during: begin..begin + draw_time(rng, 50..400),
             mode,
         }
     };
-    (0..moments).map(moment).collect()
+    (0..count).map(draw_fault).collect()
 }
 
 fn draw_schedule(rng: &mut SmallRng) -> Schedule {
@@ -173,7 +179,7 @@
     }
 }
 
-/// A series of signals, each up to 0.4 s behind the one before.
+/// Draws a series of signals, each up to 0.4 s after the previous one.
 fn draw_signals(rng: &mut SmallRng) -> Vec<(Duration, Signal)> {
     use Signal::{Hangup, Terminate};
     let series: &[Signal] = match rng.random_range(0..6) {
@@ -198,7 +204,7 @@
     let mut steps: Vec<(Duration, i64)> = (0..count)
         .map(|_| {
             let time = draw_time(rng, 200..4_000);
-            let seconds = CLOCK_STEPS_S.choose(rng).expect("some");
+            let seconds = CLOCK_OFFSETS_S.choose(rng).expect("a non-empty list");
             (time, seconds * MICROS_PER_SECOND)
         })
         .collect();
--- a/crates/cluster-harness/src/soak/response.rs
+++ b/crates/cluster-harness/src/soak/response.rs
@@ -1,43 +1,43 @@
-//! Responses as a soak's clients read them: complete, in time, and to the request that was sent.
+//! Reads the responses of a soak test's clients, and checks that they are complete, in time and belong to the request.
 
-use super::client::End;
+use super::client::Outcome;
 use std::io::{ErrorKind, Read};
 use std::net::TcpStream;
 use std::time::Instant;
 
-/// What a client received for a request.
+/// The result of waiting for a response.
 pub(super) struct Received {
-    /// The end of the request.
-    pub end: End,
-    /// Whether the connection may be used again.
-    pub stays_open: bool,
+    /// The outcome of the request.
+    pub outcome: Outcome,
+    /// Whether the connection may be reused.
+    pub is_reusable: bool,
 }
 
 impl Received {
-    /// The connection or the time ended before a complete response.
-    const NOTHING: Received = Received {
-        end: End::Unanswered,
-        stays_open: false,
+    /// The connection closed or the time was up before a complete response.
+    const NO_RESPONSE: Received = Received {
+        outcome: Outcome::Unanswered,
+        is_reusable: false,
     };
 }
 
-/// Reads one response until this time. A result names the statement that it belongs to.
+/// Reads one response, up to the given time. A result contains the statement it belongs to.
 pub(super) fn read_response(stream: &mut TcpStream, until: Instant, statement: &str) -> Received {
     let mut bytes = Vec::new();
     let mut chunk = [0; 4096];
     loop {
         if let Some(response) = Response::parse(&bytes) {
-            return response.judge(statement);
+            return response.check(statement);
         }
         let remaining = until.saturating_duration_since(Instant::now());
         if remaining.is_zero() || stream.set_read_timeout(Some(remaining)).is_err() {
-            return Received::NOTHING;
+            return Received::NO_RESPONSE;
         }
         match stream.read(&mut chunk) {
-            Ok(0) => return Received::NOTHING,
+            Ok(0) => return Received::NO_RESPONSE,
             Ok(count) => bytes.extend_from_slice(&chunk[..count]),
             Err(e) if e.kind() == ErrorKind::Interrupted => {}
-            Err(_) => return Received::NOTHING,
+            Err(_) => return Received::NO_RESPONSE,
         }
     }
 }
@@ -50,7 +50,7 @@
 }
 
 impl Response {
-    /// The response in these bytes, once all of it is there.
+    /// Parses a response; `None` while it is incomplete.
     fn parse(bytes: &[u8]) -> Option<Response> {
         let text = String::from_utf8_lossy(bytes);
         let (head, body) = text.split_once("\r\n\r\n")?;
@@ -64,16 +64,16 @@
         })
     }
 
-    fn judge(&self, statement: &str) -> Received {
+    fn check(&self, statement: &str) -> Received {
         if self.status == 200 && !self.body.contains(statement) {
             return Received {
-                end: End::Wrong,
-                stays_open: false,
+                outcome: Outcome::Mismatched,
+                is_reusable: false,
             };
         }
         Received {
-            end: End::Answered(self.status),
-            stays_open: !self.closes,
+            outcome: Outcome::Answered(self.status),
+            is_reusable: !self.closes,
         }
     }
 }
--- a/crates/cluster-harness/src/soak/verdict.rs
+++ b/crates/cluster-harness/src/soak/rules.rs
@@ -1,6 +1,6 @@
-//! The rules, counted from outside: at the clients by what they got, at the engines by their request log.
+//! Checks the rules of a soak test from outside the processes: by what clients received and by the engines' request log.
 
-use super::client::{End, RequestRecord, CLOSE_CROSSING_TIME, LATE_TIME};
+use super::client::{Outcome, RequestRecord, CLOSE_RACE_TIME, LATE_RESPONSE_TIME};
 use super::coordinator::{EndedProcess, ProcessEnd};
 use super::list::EngineList;
 use super::plan::Plan;
@@ -10,70 +10,71 @@
 use std::fmt;
 use std::time::{Duration, Instant};
 
-/// A drain is known within this time to all, a new connection to the list included, and heeded within the settings' grace.
+/// A drain must reach all coordinators and take effect within this time. This includes a new connection to the list and the drain
+/// grace period of the settings.
 const DRAIN_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// A response may come so much behind its time: the rules' slack, and what a busy machine takes.
+/// How late a response may be: the slack that the rules allow, and scheduling delays of a busy machine.
 const LATE_SLACK: Duration = Duration::from_millis(100);
 
-/// A rule that was broken.
+/// A rule that every soak test checks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Breach {
-    /// A request was accepted and got no response, or something that is none.
+pub enum Rule {
+    /// An accepted request got no response, or one that does not belong to it.
     Lost,
-    /// What must not run twice was sent twice.
+    /// An insert ran more than once.
     Duplicate,
-    /// A request was sent to an engine that drains.
+    /// A request was attempts to a draining engine.
     Drain,
-    /// There were more retries than the budget allows.
+    /// There were more retries than the retry budget allows.
     RetryBudget,
-    /// A process ended badly.
+    /// A process crashed or exited with an error.
     Crash,
-    /// A process that got a SIGTERM had to be killed.
+    /// A process did not exit in time after SIGTERM and was killed.
     Killed,
 }
 
-/// One case of a broken rule.
+/// A violation of a rule.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct RuleBreach {
+pub struct Violation {
     /// The rule.
-    pub rule: Breach,
-    /// The case, in words.
+    pub rule: Rule,
+    /// What happened.
     pub description: String,
 }
 
-/// What a process logged.
+/// The log of a process.
 #[derive(Clone, Debug)]
 pub struct ProcessLog {
-    /// Which process.
+    /// The process.
     pub process: ProcessId,
     /// Its log.
     pub text: String,
 }
 
-/// What a soak showed.
+/// The results of a soak test.
 #[derive(Debug, Default)]
 pub struct Report {
-    /// How many requests were sent.
+    /// Number of requests attempts.
     pub requests: usize,
-    /// How many got each status.
+    /// Number of responses by status.
     pub statuses: BTreeMap<u16, usize>,
-    /// Responses that came behind their time, within the half second in which they only earn nothing.
+    /// Number of responses that came after the client's timeout but within half a second of it. These don't violate a rule.
     pub late: usize,
-    /// Requests that crossed the close of their connection: their clients send them again.
-    pub crossed_a_close: usize,
-    /// Attempts beyond a request's first.
+    /// Number of requests that raced with the close of their connection. Clients have to retry these.
+    pub close_races: usize,
+    /// Number of attempts beyond the first of each request.
     pub retries: usize,
-    /// How many processes ended.
+    /// Number of processes that ended.
     pub processes: usize,
-    /// Broken rules.
-    pub violations: Vec<RuleBreach>,
-    /// Logs of all processes, to trace a breach.
+    /// Rule violations.
+    pub violations: Vec<Violation>,
+    /// Logs of all processes, to analyze violations.
     pub logs: Vec<ProcessLog>,
 }
 
 impl Report {
-    fn add_breach(&mut self, rule: Breach, description: String) {
-        self.violations.push(RuleBreach { rule, description });
+    fn add_violation(&mut self, rule: Rule, description: String) {
+        self.violations.push(Violation { rule, description });
     }
 }
 
@@ -87,22 +88,22 @@
             self.retries,
             self.statuses,
             self.late,
-            self.crossed_a_close,
+            self.close_races,
             self.processes,
             self.violations.len()
         )?;
-        for RuleBreach { rule, description } in &self.violations {
+        for Violation { rule, description } in &self.violations {
             write!(f, "\n  {rule:?}: {description}")?;
         }
         Ok(())
     }
 }
 
-/// What engines were sent, by statement.
-type SentStatements<'a> = BTreeMap<&'a str, Vec<&'a Entry>>;
+/// Attempts received by engines, by statement.
+type AttemptsByStatement<'a> = BTreeMap<&'a str, Vec<&'a Entry>>;
 
-/// Judges a soak that is over.
-pub(super) fn judge(
+/// Checks the rules after a soak test, and returns its report.
+pub(super) fn check(
     plan: &Plan,
     requests: &[RequestRecord],
     request_log: &RequestLog,
@@ -110,21 +111,21 @@
     ended_processes: Vec<EndedProcess>,
 ) -> Report {
     let entries = request_log.of("");
-    let mut sent = SentStatements::new();
+    let mut attempts = AttemptsByStatement::new();
     for entry in &entries {
-        sent.entry(&entry.statement).or_default().push(entry);
+        attempts.entry(&entry.statement).or_default().push(entry);
     }
     let mut report = Report {
         requests: requests.len(),
         processes: ended_processes.len(),
-        retries: entries.len() - sent.len(),
+        retries: entries.len() - attempts.len(),
         ..Report::default()
     };
-    judge_responses(requests, &sent, &ended_processes, &mut report);
-    judge_duplicates(&sent, &mut report);
-    judge_drains(&entries, list, &mut report);
-    judge_retry_budgets(plan, requests, request_log, &mut report);
-    judge_processes(&ended_processes, &mut report);
+    check_responses(requests, &attempts, &ended_processes, &mut report);
+    check_duplicates(&attempts, &mut report);
+    check_drains(&entries, list, &mut report);
+    check_retry_budgets(plan, requests, request_log, &mut report);
+    check_processes(&ended_processes, &mut report);
     report.logs = ended_processes
         .into_iter()
         .map(|ended| ProcessLog {
@@ -136,25 +137,26 @@
     report
 }
 
-/// Each request gets one response in time. One that crosses the close of its connection does not count, if no engine got it.
-fn judge_responses(
+/// Checks that each request got one response in time. A request that raced with the close of its connection is excepted if no engine
+/// received it.
+fn check_responses(
     requests: &[RequestRecord],
-    sent: &SentStatements,
+    attempts: &AttemptsByStatement,
     ended_processes: &[EndedProcess],
     report: &mut Report,
 ) {
     for request in requests {
-        let was_sent = sent.contains_key(request.statement.as_str());
-        match request.end {
-            End::Answered(status) => {
+        let was_sent = attempts.contains_key(request.statement.as_str());
+        match request.outcome {
+            Outcome::Answered(status) => {
                 *report.statuses.entry(status).or_default() += 1;
                 report.late += usize::from(request.duration > request.timeout + LATE_SLACK);
             }
-            End::Unanswered if request.duration < CLOSE_CROSSING_TIME && !was_sent => {
-                report.crossed_a_close += 1;
+            Outcome::Unanswered if request.duration < CLOSE_RACE_TIME && !was_sent => {
+                report.close_races += 1;
             }
-            End::Unanswered | End::Wrong => {
-                report.add_breach(Breach::Lost, describe(request, sent, ended_processes));
+            Outcome::Unanswered | Outcome::Mismatched => {
+                report.add_violation(Rule::Lost, describe(request, attempts, ended_processes));
             }
         }
     }
@@ -162,7 +164,7 @@
 
 fn describe(
     request: &RequestRecord,
-    sent: &SentStatements,
+    attempts: &AttemptsByStatement,
     ended_processes: &[EndedProcess],
 ) -> String {
     let time_after_sigterm = ended_processes
@@ -170,52 +172,55 @@
         .find(|ended| ended.id == request.process)
         .and_then(|ended| request.sent_at.checked_duration_since(ended.terminated_at));
     let when = match time_after_sigterm {
-        Some(time) => format!("{} ms behind SIGTERM", time.as_millis()),
+        Some(time) => format!("{} ms after SIGTERM", time.as_millis()),
         None => "before any SIGTERM".into(),
     };
-    let attempts = sent.get(request.statement.as_str()).map_or(0, Vec::len);
+    let attempts = attempts.get(request.statement.as_str()).map_or(0, Vec::len);
     format!(
         "{} {} ({when}, {attempts} attempts): {:?} after {} ms of {} and {}",
         request.process,
         request.statement,
-        request.end,
+        request.outcome,
         request.duration.as_millis(),
         request.timeout.as_millis(),
-        LATE_TIME.as_millis()
+        LATE_RESPONSE_TIME.as_millis()
     )
 }
 
-/// An insert runs at most once.
-fn judge_duplicates(sent: &SentStatements, report: &mut Report) {
-    for (statement, entries) in sent {
+/// Checks that no insert ran more than once.
+fn check_duplicates(attempts: &AttemptsByStatement, report: &mut Report) {
+    for (statement, entries) in attempts {
         let may_have_run = entries.iter().filter(|entry| entry.ran).count();
         if statement.starts_with("INSERT") && may_have_run > 1 {
-            report.add_breach(
-                Breach::Duplicate,
+            report.add_violation(
+                Rule::Duplicate,
                 format!("{statement}: {may_have_run} times"),
             );
         }
     }
 }
 
-/// An engine that drains gets nothing more.
-fn judge_drains(entries: &[Entry], list: &EngineList, report: &mut Report) {
+/// Checks that draining engines received no further requests.
+fn check_drains(entries: &[Entry], list: &EngineList, report: &mut Report) {
     for drain in list.drains() {
         let engine = drain.engine.to_string();
         let is_late =
             |entry: &&Entry| entry.engine == engine && entry.at > drain.reported_at + DRAIN_TIMEOUT;
         for entry in entries.iter().filter(is_late) {
             let after = entry.at.duration_since(drain.reported_at).as_millis();
-            report.add_breach(
-                Breach::Drain,
-                format!("{} {after} ms behind the word", entry.statement),
+            report.add_violation(
+                Rule::Drain,
+                format!(
+                    "{} {after} ms after the drain was reported",
+                    entry.statement
+                ),
             );
         }
     }
 }
 
-/// Each process keeps to a retry budget of its own: statements name the process.
-fn judge_retry_budgets(
+/// Checks the retry budget of each process. Statements contain the number of the process.
+fn check_retry_budgets(
     plan: &Plan,
     requests: &[RequestRecord],
     request_log: &RequestLog,
@@ -229,22 +234,22 @@
     for (id, times) in accepted {
         let name = format!(" c{}p{}n", id.coordinator, id.process);
         for description in request_log.budget_breaches_of(&name, &plan.budget, &times) {
-            report.add_breach(Breach::RetryBudget, description);
+            report.add_violation(Rule::RetryBudget, description);
         }
     }
 }
 
-/// A process ends with success before the platform's kill.
-fn judge_processes(ended_processes: &[EndedProcess], report: &mut Report) {
+/// Checks that each process exited successfully before it would have been killed.
+fn check_processes(ended_processes: &[EndedProcess], report: &mut Report) {
     for ended in ended_processes {
         match ended.end {
             ProcessEnd::Success => {}
             ProcessEnd::Crash(status) => {
-                report.add_breach(Breach::Crash, format!("{} {status}", ended.id));
+                report.add_violation(Rule::Crash, format!("{} {status}", ended.id));
             }
             ProcessEnd::Killed => {
-                let description = format!("{} did not end by itself", ended.id);
-                report.add_breach(Breach::Killed, description);
+                let description = format!("{} did not exit in time", ended.id);
+                report.add_violation(Rule::Killed, description);
             }
         }
     }
--- a/crates/cluster-harness/tests/golden.rs
+++ b/crates/cluster-harness/tests/golden.rs
@@ -1,7 +1,6 @@
-//! What the command prints, what soaks are drawn from a seed, and the operator's files that members get, compared with golden
-//! files.
+//! Compares the command's output, the plans of soak tests and the members' configuration files with golden files.
 
-use driftfront_cluster_harness::soak::{Breach, Plan, Report, RuleBreach};
+use driftfront_cluster_harness::soak::{Plan, Report, Rule, Violation};
 use driftfront_cluster_harness::ClusterHarness;
 use driftfront_test_support::assert_golden;
 use std::fmt::Write;
@@ -13,13 +12,13 @@
 }
 
 #[test]
-fn the_command_prints_its_usage() {
+fn command_prints_usage() {
     let mut text = String::new();
     for args in [&[][..], &["--help"], &["--soak"]] {
         let output = Command::new(program())
             .args(args)
             .output()
-            .expect("it runs");
+            .expect("running the command");
         let _ = writeln!(
             text,
             "{args:?}: {:?}\n{}{}",
@@ -28,13 +27,13 @@
             String::from_utf8_lossy(&output.stderr)
         );
     }
-    // The program's own name is its package's.
+    // The usage text contains the name of the executable.
     let name = program().file_name().unwrap().to_str().unwrap();
     assert_golden!("usage.txt", text.replace(name, "PROGRAM"));
 }
 
 #[test]
-fn soaks_are_drawn_as_they_were() {
+fn soak_plans_match_golden_file() {
     let mut text = String::new();
     for seed in 1..=12 {
         let plan = Plan::draw(seed);
@@ -46,7 +45,7 @@
             plan.deadline,
             plan.clients,
             plan.drains,
-            plan.kills_after()
+            plan.kill_timeout()
         );
         for (number, faults) in plan.engines.iter().enumerate() {
             for fault in faults {
@@ -69,25 +68,25 @@
 }
 
 #[test]
-fn a_soak_s_report_reads_as_it_did() {
+fn soak_report_matches_golden_file() {
     let all = [
-        Breach::Lost,
-        Breach::Duplicate,
-        Breach::Drain,
-        Breach::RetryBudget,
-        Breach::Crash,
-        Breach::Killed,
+        Rule::Lost,
+        Rule::Duplicate,
+        Rule::Drain,
+        Rule::RetryBudget,
+        Rule::Crash,
+        Rule::Killed,
     ];
     let report = Report {
         requests: 100,
         statuses: [(200, 90), (503, 7)].into(),
         late: 2,
-        crossed_a_close: 3,
+        close_races: 3,
         retries: 4,
         processes: 5,
         violations: all
             .into_iter()
-            .map(|rule| RuleBreach {
+            .map(|rule| Violation {
                 rule,
                 description: "in words".to_string(),
             })
@@ -97,8 +96,8 @@
     assert_golden!("report.txt", report.to_string());
 }
 
-/// A program that says where it listens, as the real one does, and waits.
-fn stand_in(folder: &Path) -> PathBuf {
+/// Writes a script that logs its addresses, as the real program does, and then sleeps.
+fn write_mock_program(folder: &Path) -> PathBuf {
     use std::os::unix::fs::PermissionsExt;
     std::fs::create_dir_all(folder).expect("a temporary folder");
     let path = folder.join("program");
@@ -109,10 +108,10 @@
 }
 
 #[test]
-fn members_get_the_files_that_they_got() {
+fn member_configurations_match_golden_file() {
     let folder =
         std::env::temp_dir().join(format!("driftfront-harness-golden-{}", std::process::id()));
-    let binary = stand_in(&folder);
+    let binary = write_mock_program(&folder);
     let mut text = String::new();
     let scripts = [
         "members 1",
--- a/crates/cluster-harness/tests/load.rs
+++ b/crates/cluster-harness/tests/load.rs
@@ -1,9 +1,9 @@
-//! What clients make of a response.
+//! Classification of responses by the load clients.
 
 use driftfront_cluster_harness::load::{classify_response, Outcome};
 
 #[test]
-fn an_answer_is_one_and_whole_or_it_is_none() {
+fn only_exactly_one_complete_response_counts() {
     let ok = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n1\n";
     assert_eq!(classify_response(ok, true), Outcome::Served);
     assert_eq!(
