--- a/crates/test-support/src/coordinator/clickhouse_site.rs
+++ b/crates/test-support/src/coordinator/clickhouse_site.rs
@@ -1,4 +1,4 @@
-//! A coordinator in front of mock engines that speak ClickHouse's interface, and a file with their list.
+//! A coordinator in front of mock engines with ClickHouse's HTTP interface, and an engine list file.
 
 use super::{example_configuration, instance, post, write_temp_file, Coordinator, Response};
 use driftfront_mock_servers::engine::{Engine, Options};
@@ -8,36 +8,36 @@
 use std::path::PathBuf;
 use std::sync::Arc;
 
-/// Bytes read at once.
+/// Read buffer size.
 const READ_BYTES: usize = 64 * 1024;
 
 /// A coordinator and its engines.
 pub struct Site {
     /// The coordinator.
     pub coordinator: Coordinator,
-    /// What the engines were sent.
+    /// The log of requests that the engines received.
     pub request_log: Arc<RequestLog>,
-    /// The engines, `e0` and on.
+    /// The engines, named `e0`, `e1` and so on.
     pub engines: Vec<Engine>,
-    /// The file with the list of engines.
+    /// The path of the engine list file.
     list: PathBuf,
 }
 
-/// How a site differs from the example.
+/// Options of a site that differ from the example.
 #[derive(Clone)]
 pub struct SiteOptions {
-    /// How many engines it has.
+    /// Number of engines.
     pub engines: usize,
-    /// Descriptors that the coordinator may hold.
+    /// Limit on the coordinator's file descriptors.
     pub descriptors: usize,
-    /// The options of each engine, but for its name.
+    /// Options of each engine, except for its name.
     pub options: Options,
-    /// Texts of the configuration, and what stands there instead.
+    /// Texts of the configuration and their replacements.
     pub changes: Vec<(String, String)>,
 }
 
 impl SiteOptions {
-    /// The example with so many engines.
+    /// The example site with this number of engines.
     pub fn with_engines(engines: usize) -> SiteOptions {
         SiteOptions {
             engines,
@@ -47,13 +47,13 @@
         }
     }
 
-    /// Puts `to` in the place of `from` in the configuration.
+    /// Replaces `from` with `to` in the configuration.
     pub fn with(mut self, from: &str, to: &str) -> SiteOptions {
         self.changes.push((from.into(), to.into()));
         self
     }
 
-    /// A result of which nothing comes for so long is given up.
+    /// Sets how long a result may stall before the coordinator gives up on it.
     pub fn stall_ms(self, ms: u64) -> SiteOptions {
         self.with(
             "\"write\": \"member-load\"",
@@ -61,7 +61,7 @@
         )
     }
 
-    /// Limits the memory for what passes through.
+    /// Limits the memory for request and response bodies.
     pub fn memory_mb(self, mb: u64) -> SiteOptions {
         self.with(
             "\"sockets\": 1024",
@@ -69,7 +69,7 @@
         )
     }
 
-    /// Starts the site, and waits until its coordinator is ready.
+    /// Starts the site and waits until its coordinator is ready.
     pub fn start(self) -> Site {
         let request_log = Arc::new(RequestLog::default());
         let engine = |n| {
@@ -87,7 +87,10 @@
             .replace("127.0.0.1:8123", "127.0.0.1:0")
             .replace("deploy/engines.json", &list.display().to_string());
         for (from, to) in &self.changes {
-            assert!(config.contains(from), "{from} is not in the example");
+            assert!(
+                config.contains(from),
+                "the example configuration does not contain {from}"
+            );
             config = config.replace(from, to);
         }
         let coordinator = Coordinator::with_descriptor_limit(&config, self.descriptors);
@@ -104,12 +107,12 @@
 }
 
 impl Site {
-    /// Starts the example with so many engines.
+    /// Starts the example site with this number of engines.
     pub fn start(engines: usize) -> Site {
         SiteOptions::with_engines(engines).start()
     }
 
-    /// Writes the list with each engine in its phase.
+    /// Writes the engine list, with each engine in the given phase.
     pub fn write_list(&self, phases: &[&str]) {
         let lines = self.engines.iter().zip(phases);
         let lines: Vec<String> = lines
@@ -119,50 +122,50 @@
             &self.list,
             format!("{{\"instances\":[{}]}}", lines.join(",")),
         )
-        .expect("the list");
+        .expect("writing the engine list");
     }
 
-    /// As [`Site::write_list`], and waits until the coordinator has read it.
+    /// Like [`Site::write_list`], and waits until the coordinator has read the list.
     pub fn list(&self, phases: &[&str]) {
         let before = self.coordinator.counter("lists_taken");
         self.write_list(phases);
         self.coordinator.wait_for_counter("lists_taken", before + 1);
     }
 
-    /// Sends a statement, and waits for its response.
+    /// Sends a statement and waits for its response.
     pub fn query(&self, statement: &str) -> Response {
         post(self.coordinator.addr, "/", "", statement)
     }
 
-    /// Sends a statement to this target, which carries its parameters, and waits for its response.
+    /// Sends a statement to this request target, which contains the parameters, and waits for its response.
     pub fn request(&self, target: &str, statement: &str) -> Response {
         post(self.coordinator.addr, target, "", statement)
     }
 
-    /// Sends a statement and returns the connection, from which its response can be read.
+    /// Sends a statement and returns the connection for reading its response.
     pub fn begin(&self, target: &str, statement: &str) -> TcpStream {
         let mut stream =
-            TcpStream::connect(self.coordinator.addr).expect("the coordinator listens");
+            TcpStream::connect(self.coordinator.addr).expect("connecting to the coordinator");
         let length = statement.len();
         write!(
             stream,
             "POST {target} HTTP/1.1\r\nHost: t\r\nContent-Length: {length}\r\n\r\n{statement}"
         )
-        .expect("it reads");
+        .expect("sending the request");
         stream
     }
 
-    /// The most memory that the coordinator has held, in MB.
+    /// Returns the coordinator's peak memory usage, in MB.
     pub fn memory_mb(&self) -> u64 {
         self.coordinator.memory_mb()
     }
 
-    /// The engine of this name.
+    /// Returns the engine with this name.
     pub fn engine(&self, name: &str) -> &Engine {
         self.engines
             .iter()
             .find(|e| e.name() == name)
-            .expect("an engine of this name")
+            .expect("an engine with this name")
     }
 }
 
@@ -172,7 +175,7 @@
     }
 }
 
-/// Reads up to `max` bytes and drops them; returns how many came.
+/// Reads and discards up to `max` bytes. Returns the number of bytes read.
 pub fn read_some(stream: &mut TcpStream, max: usize) -> usize {
     let (mut total, mut bytes) = (0, vec![0; READ_BYTES]);
     while total < max {
--- a/crates/test-support/src/coordinator/cluster.rs
+++ b/crates/test-support/src/coordinator/cluster.rs
@@ -6,7 +6,7 @@
 use driftfront_mock_servers::request_log::RequestLog;
 use std::sync::Arc;
 
-/// Starts the members that `script` names, in front of an engine of their own. The engine ends when it is dropped.
+/// Starts the members of `script` in front of a new engine. The engine stops when it is dropped.
 pub fn start_cluster(script: &str) -> (ClusterHarness, Engine) {
     let options = Options {
         name: "engine-1".into(),
@@ -15,7 +15,7 @@
     let engine = Engine::start(options, Arc::new(RequestLog::default()));
     let program = program();
     let harness = ClusterHarness::start(
-        program.to_str().expect("a path in UTF-8"),
+        program.to_str().expect("the path is valid UTF-8"),
         &engine.addr().to_string(),
         script,
     );
--- a/crates/test-support/src/coordinator/engine_list.rs
+++ b/crates/test-support/src/coordinator/engine_list.rs
@@ -1,4 +1,4 @@
-//! A mock of the platform's list of engines: a stream of server-sent events.
+//! A mock of the platform's engine list: a stream of server-sent events.
 
 use super::{instance, start_mock_server};
 use std::io::{BufRead, BufReader, Write};
@@ -7,13 +7,13 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// A comment goes out this often where nothing changes.
+/// Interval of keep-alive comments on an idle stream.
 const COMMENT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A list of engines; each connection gets the events behind the last one that it knows. An event with `"hang up"` closes its
-/// connections.
+/// An engine list. Each connection receives the events after the last one that it knows. An event that contains `"hang up"` closes
+/// the connections that receive it.
 pub struct EngineList {
-    /// Where it is served.
+    /// The address of its server.
     pub addr: SocketAddr,
     state: Arc<Mutex<State>>,
 }
@@ -21,22 +21,22 @@
 #[derive(Default)]
 struct State {
     events: Vec<String>,
-    /// One for each connection, to be notified of new events.
+    /// A sender for each connection, to notify it of new events.
     connections: Vec<Sender<()>>,
-    /// The `Last-Event-ID` of each connection so far.
+    /// The `Last-Event-ID` of each connection made so far.
     last_event_ids: Vec<String>,
 }
 
 impl EngineList {
-    /// Serves a list without events.
+    /// Starts a list without events.
     pub fn start() -> EngineList {
         let state: Arc<Mutex<State>> = Arc::default();
-        let served = state.clone();
-        let addr = start_mock_server(move |stream| serve(stream, &served));
+        let server_state = state.clone();
+        let addr = start_mock_server(move |stream| serve(stream, &server_state));
         EngineList { addr, state }
     }
 
-    /// A list that the test serves itself at this address.
+    /// A list that the test itself serves at this address.
     pub fn at(addr: SocketAddr) -> EngineList {
         EngineList {
             addr,
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Publishes an event with these engines' lines, and `more` members of its object if that is not empty.
+    /// Publishes an event with these engine entries. `more` is appended to the members of the event's JSON object.
     pub fn publish(&self, instances: &[String], more: &str) {
         let mut state = self.state.lock().unwrap();
         let event = event(state.events.len() + 1, instances, more);
@@ -54,13 +54,13 @@
         }
     }
 
-    /// Takes over all events of another list.
+    /// Replaces the events with those of another list.
     pub fn copy_events(&self, from: &EngineList) {
         let events = from.state.lock().unwrap().events.clone();
         self.state.lock().unwrap().events = events;
     }
 
-    /// The `Last-Event-ID` of each connection so far.
+    /// The `Last-Event-ID` of each connection made so far.
     pub fn last_event_ids(&self) -> Vec<String> {
         self.state.lock().unwrap().last_event_ids.clone()
     }
@@ -87,7 +87,7 @@
     let _ = write_events(&mut stream, known, state, &new_events);
 }
 
-/// Writes the events behind the first `known` until the connection closes, or an event has it closed.
+/// Writes the events after the first `known` ones until the connection closes or an event closes it.
 fn write_events(
     stream: &mut TcpStream,
     mut known: usize,
@@ -110,7 +110,7 @@
     }
 }
 
-/// Reads a request's whole head; `None` where the connection closes before its end.
+/// Reads a request head. Returns `None` if the connection closes before its end.
 pub fn read_head(input: &mut impl BufRead) -> Option<String> {
     let mut head = String::new();
     while !head.ends_with("\r\n\r\n") {
@@ -121,7 +121,7 @@
     Some(head)
 }
 
-/// An event with these engines' lines, and `more` members of its object if that is not empty.
+/// Returns an event with these engine entries. `more` is appended to the members of the event's JSON object.
 pub fn event(index: usize, instances: &[String], more: &str) -> String {
     let all = instances.join(",");
     format!(
@@ -129,7 +129,7 @@
     )
 }
 
-/// The lines of these engines, `e0` and on, each in its phase.
+/// Returns the list entries of these engines, named `e0`, `e1` and so on, each in the given phase.
 pub fn instances(engines: &[SocketAddr], phases: &[&str]) -> Vec<String> {
     let each = engines.iter().zip(phases).enumerate();
     each.map(|(n, (addr, phase))| instance(&format!("e{n}"), *addr, phase))
--- a/crates/test-support/src/coordinator/http_client.rs
+++ b/crates/test-support/src/coordinator/http_client.rs
@@ -1,46 +1,46 @@
-//! A client of the coordinator: one request on a connection, and the response as it comes.
+//! An HTTP client for the coordinator.
 
 use super::TEST_TIMEOUT;
 use driftfront_http::{header, Header, ResponsePart, ResponseReader};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 
-/// A response as a client sees it.
+/// A response as received by a client.
 #[derive(Debug)]
 pub struct Response {
-    /// Its status; 0 where not even the head came.
+    /// The status, or 0 if no complete head was received.
     pub status: u16,
-    /// Its headers.
+    /// The headers.
     pub headers: Vec<Header>,
-    /// As much of its body as came.
+    /// The part of the body that was received.
     pub body: Vec<u8>,
-    /// Whether the response came to its own end, not just to the connection's.
+    /// Whether the end of the response was received, rather than just the end of the connection.
     pub is_complete: bool,
 }
 
 impl Response {
-    /// The body as text.
+    /// Returns the body as text.
     pub fn text(&self) -> String {
         String::from_utf8_lossy(&self.body).into_owned()
     }
 
-    /// A header's value.
+    /// Returns the value of a header.
     pub fn header(&self, name: &str) -> Option<&str> {
         header(&self.headers, name)
     }
 }
 
-/// Reads one response from a connection.
+/// Reads a response from a connection.
 pub fn read_response(stream: &mut TcpStream) -> Response {
     read_next_response(stream, &mut ResponseReader::default())
 }
 
-/// Reads the next of several responses from a connection.
+/// Reads the next of several responses on a connection.
 pub fn read_next_response(stream: &mut TcpStream, reader: &mut ResponseReader) -> Response {
     stream
         .set_read_timeout(Some(TEST_TIMEOUT))
-        .expect("a timeout");
-    let mut answer = Response {
+        .expect("setting the read timeout");
+    let mut response = Response {
         status: 0,
         headers: Vec::new(),
         body: Vec::new(),
@@ -48,33 +48,33 @@
     };
     let mut chunk = [0; 4096];
     loop {
-        while let Some(part) = reader.next_part().expect("HTTP") {
+        while let Some(part) = reader.next_part().expect("a valid HTTP response") {
             match part {
                 ResponsePart::Head(head) => {
-                    (answer.status, answer.headers) = (head.status, head.headers)
+                    (response.status, response.headers) = (head.status, head.headers)
                 }
                 ResponsePart::EarlyHeader(_) => {}
-                ResponsePart::Body(bytes) => answer.body.extend(bytes),
+                ResponsePart::Body(bytes) => response.body.extend(bytes),
                 ResponsePart::End => {
-                    answer.is_complete = true;
-                    return answer;
+                    response.is_complete = true;
+                    return response;
                 }
             }
         }
         match stream.read(&mut chunk) {
-            Ok(0) => return answer,
+            Ok(0) => return response,
             Ok(n) => reader.push(&chunk[..n]),
             Err(e) if e.kind() == std::io::ErrorKind::Interrupted => {}
-            Err(e) if e.kind() == std::io::ErrorKind::ConnectionReset => return answer,
-            Err(e) => panic!("no answer: {e}"),
+            Err(e) if e.kind() == std::io::ErrorKind::ConnectionReset => return response,
+            Err(e) => panic!("reading the response: {e}"),
         }
     }
 }
 
 /// Sends these bytes on a new connection and reads the response.
 pub fn call(addr: SocketAddr, bytes: &[u8]) -> Response {
-    let mut stream = TcpStream::connect(addr).expect("the coordinator listens");
-    stream.write_all(bytes).expect("it reads");
+    let mut stream = TcpStream::connect(addr).expect("connecting to the coordinator");
+    stream.write_all(bytes).expect("sending the request");
     read_response(&mut stream)
 }
 
@@ -84,7 +84,7 @@
     call(addr, request.as_bytes())
 }
 
-/// Sends a POST request and reads the response. `headers`: further ones, each with its line end.
+/// Sends a POST request and reads the response. `headers` are additional header lines, each with its line terminator.
 pub fn post(addr: SocketAddr, target: &str, headers: &str, body: &str) -> Response {
     let length = body.len();
     let request = format!(
--- a/crates/test-support/src/coordinator/line_engine.rs
+++ b/crates/test-support/src/coordinator/line_engine.rs
@@ -1,15 +1,15 @@
-//! A mock engine that speaks the platform's line protocol. Words in a statement say how the engine responds:
+//! A mock engine that speaks the platform's line protocol. Words in a statement control how the engine responds:
 //!
 //! | word | response |
 //! | --- | --- |
 //! | `silent` | none |
-//! | `mute` | none to the first attempt |
-//! | `half` | half a line to the first attempt, and nothing more; with `endless`, a response that never ends |
-//! | `full` | the first attempt is rejected without running |
+//! | `mute` | none to the first attempt, a result to the following ones |
+//! | `half` | half a line to the first attempt and then nothing; with `endless`, the first part of a result and then nothing |
+//! | `full` | the first attempt is rejected without being executed |
 //! | `fault` | the first attempt fails |
 //! | `dies` | the connection closes at the first attempt |
-//! | `nonsense` | the first attempt gets a line that is none |
-//! | `pages` | a result of eight pages; with `lost`, the connection closes behind the first page of the first attempt |
+//! | `nonsense` | the first attempt gets an invalid line |
+//! | `pages` | a result of eight pages; with `lost`, the connection closes after the first page of the first attempt |
 
 use super::start_mock_server;
 use driftfront_mock_servers::request_log::RequestLog;
@@ -18,14 +18,14 @@
 use std::net::{SocketAddr, TcpStream};
 use std::sync::Arc;
 
-/// Pages of a result that has several.
+/// Number of pages of a paged result.
 const PAGES: usize = 8;
-/// Rows of each of them.
+/// Number of rows per page.
 const ROWS_PER_PAGE: usize = 900;
-/// Responses are written in pieces of this size: the other side must not count on whole lines.
-const PIECE_BYTES: usize = 700;
+/// Responses are written in chunks of this size, since readers must not rely on receiving whole lines.
+const CHUNK_BYTES: usize = 700;
 
-/// Starts so many engines with one request log.
+/// Starts engines that share a request log, and returns their addresses.
 pub fn engines(number: usize, request_log: &Arc<RequestLog>) -> Vec<SocketAddr> {
     let engine = |n| {
         let request_log = request_log.clone();
@@ -34,14 +34,14 @@
     (0..number).map(engine).collect()
 }
 
-/// Reads the statement behind a request's line, which gives its length.
+/// Reads the statement that follows a request line with its length.
 pub fn read_statement(input: &mut impl Read, length: &str) -> String {
     let mut body = vec![0; length.parse::<usize>().unwrap() + 2];
     input.read_exact(&mut body).unwrap();
     String::from_utf8_lossy(&body[..body.len() - 2]).into_owned()
 }
 
-/// Responds on one connection of an engine until it closes. `engine`: its number in the request log.
+/// Serves a connection to an engine until it closes. `engine` is the engine's number in the request log.
 pub fn serve(stream: TcpStream, engine: usize, request_log: &RequestLog) {
     let mut session = Session {
         engine,
@@ -55,8 +55,8 @@
         match session.respond(&line, &mut input) {
             Reply::Nothing => {}
             Reply::Bytes(response) => {
-                let mut pieces = response.as_bytes().chunks(PIECE_BYTES);
-                if pieces.any(|piece| out.write_all(piece).is_err()) {
+                let mut chunks = response.as_bytes().chunks(CHUNK_BYTES);
+                if chunks.any(|chunk| out.write_all(chunk).is_err()) {
                     return;
                 }
             }
@@ -69,11 +69,11 @@
     }
 }
 
-/// What an engine does with a line.
+/// The engine's reaction to a line.
 enum Reply {
     Nothing,
     Bytes(String),
-    /// The connection closes behind them.
+    /// The connection is closed after these bytes.
     LastBytes(String),
 }
 
@@ -81,7 +81,7 @@
 struct Session<'a> {
     engine: usize,
     request_log: &'a RequestLog,
-    /// Pages of results, by request.
+    /// The pages of results, by request.
     pages: BTreeMap<String, Vec<String>>,
 }
 
@@ -102,7 +102,7 @@
                 let statement = read_statement(input, length);
                 self.run(id, &statement)
             }
-            _ => panic!("the coordinator wrote {line:?}"),
+            _ => panic!("unexpected line from the coordinator: {line:?}"),
         }
     }
 
@@ -145,14 +145,14 @@
         Reply::Bytes(format!("{id} HIT fetches=1 6\r\n1\ta\tb\n\r\n"))
     }
 
-    /// Sends the first of several pages. `dies`: the engine goes with the other pages.
-    fn send_first_page(&mut self, id: &str, dies: bool) -> Reply {
+    /// Sends the first page of a result. With `closes` the connection is closed after it, and the other pages are lost.
+    fn send_first_page(&mut self, id: &str, closes: bool) -> Reply {
         let pages: Vec<String> = (0..PAGES)
             .map(|n| format!("{n}\ta\tb\n").repeat(ROWS_PER_PAGE))
             .collect();
         let first = &pages[0];
         let first_page = format!("{id} HIT fetches={PAGES} {}\r\n{first}\r\n", first.len());
-        if dies {
+        if closes {
             return Reply::LastBytes(first_page);
         }
         self.pages.insert(id.into(), pages);
@@ -160,7 +160,7 @@
     }
 }
 
-/// How a first attempt ends, where the statement names a fault.
+/// Returns the reaction to a first attempt if the statement requests a fault.
 fn first_attempt_fault(id: &str, statement: &str) -> Option<Reply> {
     let has = |word: &str| statement.contains(word);
     if has("full") {
--- a/crates/test-support/src/coordinator/mock_server.rs
+++ b/crates/test-support/src/coordinator/mock_server.rs
@@ -1,12 +1,12 @@
-//! A server of a test's own.
+//! TCP servers implemented by tests.
 
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::Arc;
 
-/// Starts a server that hands every connection to `serve`, each on a thread of its own.
+/// Starts a server on loopback that calls `serve` for each connection on a new thread. Returns its address.
 pub fn start_mock_server(serve: impl Fn(TcpStream) + Send + Sync + 'static) -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let addr = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("binding a loopback port");
+    let addr = listener.local_addr().expect("reading the local address");
     let serve = Arc::new(serve);
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
--- a/crates/test-support/src/coordinator/mod.rs
+++ b/crates/test-support/src/coordinator/mod.rs
@@ -1,4 +1,4 @@
-//! The coordinator's program, its clients, and sites: engines and lists of engines around one coordinator.
+//! Runs the coordinator as a process, with clients, mock engines and engine lists.
 
 pub mod clickhouse_site;
 mod cluster;
@@ -10,7 +10,7 @@
 mod mock_server;
 pub mod platform_site;
 mod process;
-mod process_figures;
+mod process_usage;
 
 pub use cluster::start_cluster;
 pub use configuration::{example_configuration, instance, write_temp_file};
@@ -21,13 +21,12 @@
 
 use std::time::{Duration, Instant};
 
-/// A wait that long means that the test has failed; nothing is decided by it.
+/// How long tests wait for a condition before they fail. No behavior under test depends on it.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(60);
-/// Time between two looks at something that gives no notice of its changes: without it, tests would take the processor from the
-/// program.
+/// Polling interval. Without a pause, polling tests would take processor time from the program under test.
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// Polls until `is_done`; fails behind [`TEST_TIMEOUT`].
+/// Polls until `is_done` returns true. Panics with `failure` after [`TEST_TIMEOUT`].
 pub fn poll_until(mut is_done: impl FnMut() -> bool, failure: impl Fn() -> String) {
     let started = Instant::now();
     while !is_done() {
--- a/crates/test-support/src/coordinator/platform_site.rs
+++ b/crates/test-support/src/coordinator/platform_site.rs
@@ -1,4 +1,4 @@
-//! A coordinator on the platform's wire, in front of mock engines that speak the line protocol, and a mock list of engines.
+//! A coordinator that speaks the platform's protocols, in front of mock engines with the line protocol and a mock engine list.
 
 use super::engine_list::{instances, EngineList};
 use super::line_engine;
@@ -8,19 +8,19 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// A coordinator, its engines and its list of engines.
+/// A coordinator, its engines and its engine list.
 pub struct Site {
     /// The coordinator.
     pub coordinator: Coordinator,
-    /// What the engines were sent.
+    /// The log of requests that the engines received.
     pub request_log: Arc<RequestLog>,
-    /// Where the engines listen; the list names them `e0` and on.
+    /// The addresses of the engines, which the list names `e0`, `e1` and so on.
     pub engines: Vec<SocketAddr>,
-    /// The list of engines.
+    /// The engine list.
     pub list: EngineList,
 }
 
-/// The platform's configuration of a coordinator whose list of engines is served at this address.
+/// Returns the platform's configuration of a coordinator with an engine list at this address.
 pub fn config(list: SocketAddr) -> String {
     example_configuration()
         .replace("127.0.0.1:8123", "127.0.0.1:0")
@@ -32,24 +32,24 @@
 }
 
 impl Site {
-    /// Starts a site of so many engines, and waits until its coordinator is ready.
+    /// Starts a site with this number of engines and waits until its coordinator is ready.
     pub fn start(engines: usize) -> Site {
         Site::with_config(engines, |config| config)
     }
 
-    /// A site whose coordinator gets the configuration that `edit` makes.
+    /// Like [`Site::start`], with a configuration changed by `edit`.
     pub fn with_config(engines: usize, edit: impl Fn(String) -> String) -> Site {
         Site::start_with(engines, |config| Coordinator::start(&edit(config)))
     }
 
-    /// A site whose coordinator `start` starts, from the configuration.
+    /// Like [`Site::start`], with a coordinator started by `start` from the configuration.
     pub fn start_with(engines: usize, start: impl FnOnce(String) -> Coordinator) -> Site {
         let request_log = Arc::new(RequestLog::default());
         let engines = line_engine::engines(engines, &request_log);
         Site::with_engines(request_log, engines, start)
     }
 
-    /// A site of engines that run already, whose coordinator `start` starts, from the configuration.
+    /// Like [`Site::start_with`], with engines that are already running.
     pub fn with_engines(
         request_log: Arc<RequestLog>,
         engines: Vec<SocketAddr>,
@@ -67,12 +67,12 @@
         site
     }
 
-    /// Publishes the engines' phases, and `more` members of the event's object if that is not empty.
+    /// Publishes the engines' phases. `more` is appended to the members of the event's JSON object.
     pub fn publish(&self, phases: &[&str], more: &str) {
         self.list.publish(&instances(&self.engines, phases), more);
     }
 
-    /// Sends a request, and waits for its response.
+    /// Sends a request and waits for its response.
     pub fn request(&self, class: &str, client_timeout_ms: u32, statement: &str) -> Response {
         let id = fnv1a_64(statement.as_bytes());
         let headers = format!(
--- a/crates/test-support/src/golden.rs
+++ b/crates/test-support/src/golden.rs
@@ -1,13 +1,13 @@
-//! Golden files: the exact bytes of a stored file, a wire message or a command's output.
+//! Compares output with golden files: the exact bytes of a stored file, a wire message or a command's output.
 //!
-//! A golden file stands in `tests/golden/` of the crate that makes the bytes; the README beside it names the page that owns each
-//! form. The files were written by the program before its code was renamed, so they show when a rename reaches a form that other
-//! programs, earlier builds or people read. A file is written, and never overwritten, when `WRITE_GOLDEN` is set and it is
-//! missing.
+//! Golden files are in `tests/golden/` of the crate that produces the bytes. A README next to them names the document that specifies
+//! each format. The files were written before the code's identifiers were renamed, so that they detect a rename that changes a
+//! format read by other programs, earlier builds or people. A missing file is written if `WRITE_GOLDEN` is set. Existing files are
+//! never overwritten.
 
 use std::path::Path;
 
-/// Compares bytes with the golden file of this name in the calling crate, byte for byte.
+/// Compares bytes with a golden file of the calling crate.
 #[macro_export]
 macro_rules! assert_golden {
     ($name:expr, $actual:expr) => {
@@ -15,7 +15,7 @@
     };
 }
 
-/// The bytes of a golden file of the calling crate, for tests that read what an earlier build wrote.
+/// Reads a golden file of the calling crate, for tests that read data written by an earlier build.
 #[macro_export]
 macro_rules! read_golden {
     ($name:expr) => {
@@ -27,13 +27,13 @@
 ///
 /// # Panics
 ///
-/// Panics where the file is missing and `WRITE_GOLDEN` is not set, and where any byte differs.
+/// Panics if the file is missing and `WRITE_GOLDEN` is not set, or if any byte differs.
 pub fn check(crate_folder: &str, name: &str, actual: &[u8]) {
     let path = Path::new(crate_folder).join("tests/golden").join(name);
     if !path.exists() && std::env::var_os("WRITE_GOLDEN").is_some() {
-        std::fs::create_dir_all(path.parent().expect("it lies in tests/golden"))
-            .expect("a folder can be made");
-        std::fs::write(&path, actual).expect("a golden file can be written");
+        std::fs::create_dir_all(path.parent().expect("the path has a parent directory"))
+            .expect("creating the directory of golden files");
+        std::fs::write(&path, actual).expect("writing a golden file");
     }
     let expected = read(crate_folder, name);
     if expected == actual {
@@ -45,7 +45,7 @@
         .take_while(|(a, b)| a == b)
         .count();
     panic!(
-        "{} differs at byte {at} ({} bytes expected, {} made)\n--- expected\n{}\n--- made\n{}",
+        "{} differs at byte {at} ({} bytes expected, {} actual)\n--- expected\n{}\n--- actual\n{}",
         path.display(),
         expected.len(),
         actual.len(),
@@ -58,14 +58,18 @@
 ///
 /// # Panics
 ///
-/// Panics where the file can't be read.
+/// Panics if the file can't be read.
 pub fn read(crate_folder: &str, name: &str) -> Vec<u8> {
     let path = Path::new(crate_folder).join("tests/golden").join(name);
-    std::fs::read(&path)
-        .unwrap_or_else(|e| panic!("{}: {e}; WRITE_GOLDEN=1 writes it", path.display()))
+    std::fs::read(&path).unwrap_or_else(|e| {
+        panic!(
+            "{}: {e}; run with WRITE_GOLDEN=1 to create it",
+            path.display()
+        )
+    })
 }
 
-/// Bytes shown before and behind the first difference.
+/// Number of bytes shown before and after the first difference.
 const CONTEXT_BYTES: usize = 120;
 
 fn around(bytes: &[u8], at: usize) -> String {
--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -1,10 +1,10 @@
-//! Helpers that the tests of several crates share.
+//! Helpers shared by the tests of several crates.
 //!
-//! Golden files and transcripts are always there; what needs other crates of the workspace stands behind a feature of its name,
-//! so that the tests of a small crate build nothing else.
+//! Golden files and transcripts are always available. Modules that depend on other crates of the workspace are enabled by features,
+//! so that the tests of a small crate don't build the whole workspace.
 #![allow(
     clippy::missing_panics_doc,
-    reason = "a helper of tests panics where the test has failed"
+    reason = "test helpers panic when the test fails"
 )]
 
 #[cfg(feature = "coordinator")]
@@ -17,5 +17,5 @@
 pub mod scheduler;
 pub mod transcript;
 
-/// The configuration of a site of one coordinator, in the platform's form.
+/// The example configuration of a site with one coordinator, in the platform's format.
 pub const EXAMPLE_CONFIGURATION: &str = include_str!("../site.json");
--- a/crates/test-support/src/message_transcript.rs
+++ b/crates/test-support/src/message_transcript.rs
@@ -1,13 +1,13 @@
-//! A golden file of many messages: each under a line with its name.
+//! Golden files that contain several messages.
 
-/// Messages, each under a line `=== name`.
+/// A list of messages, each preceded by a line `=== name`.
 #[derive(Default)]
 pub struct MessageTranscript {
     bytes: Vec<u8>,
 }
 
 impl MessageTranscript {
-    /// Adds a message's bytes as they are.
+    /// Appends a message without changing its bytes.
     pub fn record(&mut self, name: &str, message: impl AsRef<[u8]>) {
         self.bytes
             .extend_from_slice(format!("=== {name}\n").as_bytes());
@@ -15,7 +15,7 @@
         self.bytes.push(b'\n');
     }
 
-    /// All messages so far.
+    /// Returns all messages so far.
     pub fn bytes(&self) -> &[u8] {
         &self.bytes
     }
--- a/crates/test-support/src/scheduler.rs
+++ b/crates/test-support/src/scheduler.rs
@@ -1,4 +1,4 @@
-//! Settings of the scheduler, and a harness around one controller.
+//! Scheduler settings, and a test harness for a single controller.
 
 use driftfront_scheduler::{
     Action, AttemptEnded, Controller, DeduplicationScope, EngineId, Event, Idempotency, ListKind,
@@ -6,16 +6,16 @@
     ReportField, Settings,
 };
 
-/// A millisecond in the scheduler's unit, microseconds.
+/// One millisecond in microseconds, the scheduler's unit of time.
 pub const MS: u64 = 1000;
-/// A second in the scheduler's unit, microseconds.
+/// One second in microseconds, the scheduler's unit of time.
 pub const S: u64 = 1_000_000;
-/// Time between the ticks of [`SchedulerHarness::tick`], in microseconds.
+/// Interval of the ticks of [`SchedulerHarness::tick`], in microseconds.
 const TICK_INTERVAL: u64 = 50 * MS;
-/// Seed of a harness for which the test names none.
+/// Seed of a harness if the test sets none.
 const DEFAULT_SEED: u64 = 7;
 
-/// A class of queries with an objective of so many µs, that may run any number of times.
+/// Returns a class of idempotent queries with a latency objective in µs.
 pub fn class(latency_objective: u64, priority_weight: f64, threads: f64) -> QueryClass {
     QueryClass {
         latency_objective,
@@ -34,7 +34,8 @@
     }
 }
 
-/// A lone coordinator, which may cancel but neither probe nor gossip; two kinds of machines with two cores.
+/// Returns the settings of a single coordinator that may cancel, but neither probe nor gossip, with two machine kinds of two cores
+/// each.
 pub fn settings(classes: Vec<QueryClass>) -> Settings {
     Settings {
         coordinators: 1,
@@ -75,16 +76,16 @@
     }
 }
 
-/// One controller, its clock, and the next query's number.
+/// A controller, its clock, and the number of the next query.
 pub struct SchedulerHarness {
     /// The controller under test.
     pub controller: Controller,
-    /// The present time, in microseconds.
+    /// The current time, in microseconds.
     pub now: u64,
     next_query: u64,
 }
 
-/// A ready engine of the list.
+/// Returns an engine list entry of a ready engine.
 pub fn listed(engine: u64) -> ListedEngine {
     ListedEngine {
         engine: EngineId(engine),
@@ -97,12 +98,12 @@
 }
 
 impl SchedulerHarness {
-    /// A harness whose controller knows these engines.
+    /// Creates a harness whose controller knows these engines.
     pub fn new(settings: Settings, engines: &[ListedEngine]) -> SchedulerHarness {
         SchedulerHarness::seeded(settings, engines, DEFAULT_SEED)
     }
 
-    /// A harness whose controller knows these engines and draws its random numbers from this seed.
+    /// Creates a harness whose controller knows these engines and uses this random seed.
     pub fn seeded(settings: Settings, engines: &[ListedEngine], seed: u64) -> SchedulerHarness {
         let mut harness = SchedulerHarness {
             controller: Controller::new(settings, seed),
@@ -116,7 +117,7 @@
         harness
     }
 
-    /// Handles an event and returns the actions it caused, without timers and log lines.
+    /// Handles an event and returns the resulting actions, without timers and log lines.
     pub fn event(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.controller.handle(self.now, event, &mut actions);
@@ -124,7 +125,7 @@
         actions
     }
 
-    /// A query that has not arrived yet, under the next free number.
+    /// Creates a query with the next free number. The controller does not know it yet.
     pub fn query(&mut self, class: u16, work: u64, table_group: u32) -> Query {
         let id = QueryId(self.next_query);
         self.next_query += 1;
@@ -143,33 +144,33 @@
         }
     }
 
-    /// A query arrives; its number, and what the controller does.
+    /// Submits a query. Returns its number and the controller's actions.
     pub fn arrive(&mut self, class: u16, work: u64, table_group: u32) -> (QueryId, Vec<Action>) {
         let query = self.query(class, work, table_group);
         (query.id, self.event(Event::QueryArrived(query)))
     }
 
-    /// An attempt ends after `spent` microseconds.
+    /// Ends an attempt after `elapsed` microseconds.
     pub fn end(
         &mut self,
         query: QueryId,
         attempt: u8,
         outcome: Outcome,
-        spent: u64,
+        elapsed: u64,
     ) -> Vec<Action> {
         self.event(Event::AttemptEnded(AttemptEnded {
             query,
             attempt,
             outcome,
             query_answered: outcome == Outcome::Ok,
-            elapsed: spent,
+            elapsed,
             work: None,
             memory_mb: None,
             report: &[],
         }))
     }
 
-    /// A probe is answered with a load report.
+    /// Ends a probe with a load report.
     pub fn report(&mut self, engine: u64, values: &[f64]) {
         self.event(Event::ProbeEnded {
             engine: EngineId(engine),
@@ -178,7 +179,7 @@
         });
     }
 
-    /// Lets `duration` microseconds pass, with a tick every 50 ms, and returns the actions of all ticks.
+    /// Advances the clock by `duration` microseconds with a tick every 50 ms, and returns the actions of all ticks.
     pub fn tick(&mut self, duration: u64) -> Vec<Action> {
         let mut actions = Vec::new();
         let end = self.now + duration;
@@ -190,7 +191,7 @@
     }
 }
 
-/// The attempts that are started among `actions`: query and engine of each.
+/// Returns the query and the engine of each attempt started by `actions`.
 pub fn started_attempts(actions: &[Action]) -> Vec<(u64, u64)> {
     actions
         .iter()
--- a/crates/test-support/src/transcript.rs
+++ b/crates/test-support/src/transcript.rs
@@ -1,19 +1,19 @@
-//! Long seeded runs as golden files: the first lines in full, a hash of each block, and a count of each kind of line.
+//! Condenses long seeded runs for golden files: the first lines in full, a hash of each block, and a count of each kind of line.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-/// Lines that stand in the text as they are.
+/// Number of lines included in full.
 const HEAD_LINES: usize = 120;
-/// Lines of which one hash is made.
+/// Number of lines per hash.
 const BLOCK_LINES: usize = 1_000;
 
-/// A seeded generator (splitmix64) for tests, so that no code under test decides what happens in them.
+/// The SplitMix64 pseudorandom number generator. Tests use it so that their input does not depend on the code under test.
 #[derive(Clone, Debug)]
 pub struct SplitMix64(pub u64);
 
 impl SplitMix64 {
-    /// The next number, all 64 bits.
+    /// Returns the next 64-bit number.
     pub fn next_u64(&mut self) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut z = self.0;
@@ -22,23 +22,23 @@
         z ^ (z >> 31)
     }
 
-    /// A number under `n`; 0 where `n` is 0.
+    /// Returns a number below `n`, or 0 if `n` is 0.
     pub fn below(&mut self, n: u64) -> u64 {
         self.next_u64() % n.max(1)
     }
 
-    /// True in so many of 100 cases.
+    /// Returns true with a probability in percent.
     pub fn chance(&mut self, percent: u64) -> bool {
         self.below(100) < percent
     }
 
-    /// A figure from `low` to `high`.
+    /// Returns a number from `low` to `high`.
     pub fn between(&mut self, low: f64, high: f64) -> f64 {
         low + (high - low) * (self.below(1 << 30) as f64 / (1u64 << 30) as f64)
     }
 }
 
-/// The lines of a run.
+/// The transcript of a run.
 #[derive(Debug, Default)]
 pub struct Transcript {
     head: String,
@@ -49,7 +49,7 @@
 }
 
 impl Transcript {
-    /// Adds a line, counted under `kind`.
+    /// Appends a line and counts it under `kind`.
     pub fn line(&mut self, kind: &str, line: &str) {
         *self.kinds.entry(kind.to_string()).or_default() += 1;
         if self.lines < HEAD_LINES {
@@ -70,12 +70,12 @@
         self.lines += 1;
     }
 
-    /// The first lines, then what [`Transcript::summary`] gives.
+    /// Returns the first lines, followed by [`Transcript::summary`].
     pub fn text(&self) -> String {
         format!("{}{}", self.head, self.summary())
     }
 
-    /// How many lines there are, how many of each kind, and the hash of each block.
+    /// Returns the number of lines in total and per kind, and the hash of each block.
     pub fn summary(&self) -> String {
         let mut text = format!("... {} lines\n", self.lines);
         for (kind, count) in &self.kinds {
