--- a/crates/cluster-simulation/src/commands/consensus_fuzz.rs
+++ b/crates/cluster-simulation/src/commands/consensus_fuzz.rs
@@ -1,6 +1,6 @@
-//! Three voters exchange messages and send requests; some messages arrive a second time, damaged.
+//! Fuzzes consensus: three voters exchange messages and send requests, and some messages are delivered a second time, corrupted.
 //!
-//! A replica may fail and be admitted again; a voter must not panic.
+//! A replica may fail and be admitted again, but a voter must not panic.
 
 use super::{number, CommandError, Outcome, SECOND};
 use driftfront_cluster::consensus::leases::{Command, Outcome as LeaseOutcome};
@@ -14,14 +14,14 @@
 
 const VOTERS: usize = 3;
 const STEP: Micros = 25_000;
-/// Part of all messages that arrives a second time, damaged.
-const DAMAGED_PART: f64 = 0.02;
-/// Part of all steps in which a voter sends a request.
-const REQUEST_PART: f64 = 0.2;
-/// Bits of a session below the clock's milliseconds.
+/// Probability that a corrupted copy of a message is delivered.
+const CORRUPTION_PROBABILITY: f64 = 0.02;
+/// Probability that a voter sends a request in a step.
+const REQUEST_PROBABILITY: f64 = 0.2;
+/// Number of bits of a session number below the clock's milliseconds.
 const SESSION_BITS: u32 = 20;
 
-/// A message on its way.
+/// A message in flight.
 struct InFlight {
     sender: usize,
     receiver: usize,
@@ -34,7 +34,7 @@
     names: Vec<String>,
     voters: Vec<Consensus>,
     in_flight: Vec<InFlight>,
-    damaged: u64,
+    corrupted: u64,
     granted: u64,
 }
 
@@ -43,7 +43,7 @@
     let seed = number(&mut args, "--seed", 1u64)?;
     let mut fuzzer = Fuzzer::new(seed);
     std::panic::set_hook(Box::new(|_| {}));
-    while fuzzer.damaged < runs {
+    while fuzzer.corrupted < runs {
         let done = fuzzer.step();
         done.map_err(|why| CommandError::Violated(format!("seed {seed}, {why}")))?;
     }
@@ -51,12 +51,12 @@
     let malformed = fuzzer.sum(|counters| counters.malformed);
     println!(
         "{} spoilt words from seed {seed}: unread {malformed}, replicas broken and let in again {lost}, rights lent {}",
-        fuzzer.damaged, fuzzer.granted
+        fuzzer.corrupted, fuzzer.granted
     );
     Ok(())
 }
 
-/// The message that says which input made a voter panic.
+/// Describes the input that made a voter panic.
 type Panicked = String;
 
 impl Fuzzer {
@@ -79,7 +79,7 @@
             names,
             voters,
             in_flight: Vec::new(),
-            damaged: 0,
+            corrupted: 0,
             granted: 0,
         }
     }
@@ -90,7 +90,7 @@
         for voter in 0..VOTERS {
             let peers = self.peers_of(voter, &notices);
             let ticked = catch_unwind(AssertUnwindSafe(|| self.tick(voter, peers)));
-            ticked.map_err(|_| format!("{} inputs, a tick of m{voter}", self.damaged))?;
+            ticked.map_err(|_| format!("after {} inputs, tick of m{voter}", self.corrupted))?;
         }
         for message in std::mem::take(&mut self.in_flight) {
             self.deliver(&message)?;
@@ -109,7 +109,7 @@
         (0..VOTERS).filter(|&o| o != voter).map(peer).collect()
     }
 
-    /// A voter does what is due, releases what it was granted, and sometimes sends a request.
+    /// Ticks a voter, which releases granted leases and sometimes sends a request.
     fn tick(&mut self, number: usize, peers: Vec<Peer>) {
         let now = self.now;
         let voter = &mut self.voters[number];
@@ -120,7 +120,7 @@
                 voter.release(fence);
             }
         }
-        if self.rng.random_bool(REQUEST_PART) {
+        if self.rng.random_bool(REQUEST_PROBABILITY) {
             let command = Command::Acquire {
                 resource: format!("p{}", self.rng.random_range(0..3)),
                 amount: 1,
@@ -144,28 +144,28 @@
         }
     }
 
-    /// Delivers a message, and sometimes a damaged copy behind it.
+    /// Delivers a message, and sometimes a corrupted copy after it.
     fn deliver(&mut self, message: &InFlight) -> Result<(), Panicked> {
-        let is_damaged_too = self.rng.random_bool(DAMAGED_PART);
-        self.hand_over(message, &message.bytes)?;
-        if is_damaged_too {
-            let bytes = self.damage(&message.bytes);
-            self.damaged += 1;
-            self.hand_over(message, &bytes)?;
+        let is_corrupted_too = self.rng.random_bool(CORRUPTION_PROBABILITY);
+        self.handle(message, &message.bytes)?;
+        if is_corrupted_too {
+            let bytes = self.corrupt(&message.bytes);
+            self.corrupted += 1;
+            self.handle(message, &bytes)?;
         }
         Ok(())
     }
 
-    fn hand_over(&mut self, message: &InFlight, bytes: &[u8]) -> Result<(), Panicked> {
+    fn handle(&mut self, message: &InFlight, bytes: &[u8]) -> Result<(), Panicked> {
         let sender = &self.names[message.sender];
         let (receiver, now) = (&mut self.voters[message.receiver], self.now);
         let handled = catch_unwind(AssertUnwindSafe(|| {
             receiver.handle_message(now, now, sender, bytes);
         }));
-        handled.map_err(|_| format!("input {}: {bytes:02x?}", self.damaged))
+        handled.map_err(|_| format!("input {}: {bytes:02x?}", self.corrupted))
     }
 
-    fn damage(&mut self, bytes: &[u8]) -> Vec<u8> {
+    fn corrupt(&mut self, bytes: &[u8]) -> Vec<u8> {
         let mut bytes = bytes.to_vec();
         for _ in 0..self.rng.random_range(1..4) {
             let at = self.rng.random_range(0..bytes.len().max(1));
--- a/crates/cluster-simulation/src/commands/datagram_fuzz.rs
+++ b/crates/cluster-simulation/src/commands/datagram_fuzz.rs
@@ -1,7 +1,7 @@
-//! Feeds a member what no honest one sends, one input after another.
+//! Fuzzes a member with datagrams that no correct member sends.
 //!
-//! Damaged datagrams, and authentic ones with damaged payloads, go into one member that goes on exchanging datagrams with
-//! another. An input that makes it panic ends the run; its number and the seed reproduce it.
+//! A member receives corrupted datagrams, and authentic ones with corrupted payloads, while it exchanges datagrams with another
+//! member. A run ends at an input that makes the member panic. The seed and the number of the input reproduce it.
 
 use super::{number, CommandError, Outcome};
 use driftfront_cluster::message_authentication::{MessageAuthenticator, Payload};
@@ -15,17 +15,17 @@
 
 /// Time between inputs.
 const INPUT_INTERVAL: Micros = 50;
-/// The two members exchange datagrams after so many inputs.
+/// Number of inputs between exchanges of the two members.
 const INPUTS_PER_EXCHANGE: u64 = 500;
-/// Honest datagrams that are stored, to be damaged.
-const MAX_HONEST_DATAGRAMS: usize = 400;
-/// Bytes of an input drawn at random, fewer than.
+/// Maximum number of valid datagrams stored for corruption.
+const MAX_VALID_DATAGRAMS: usize = 400;
+/// Upper bound (exclusive) of the length of a random input.
 const MAX_RANDOM_BYTES: usize = 1300;
-/// A datagram's head and tag, and where its payload's kind stands.
+/// Length of a datagram's header and tag, and offset of the payload kind.
 const HEAD_BYTES: usize = 29;
 const TAG_BYTES: usize = 16;
 const KIND_AT: usize = 28;
-/// Longest damaged payload.
+/// Maximum length of a corrupted payload.
 const MAX_PAYLOAD_BYTES: usize = 1150;
 const TARGET: u32 = 1;
 const PEER: u32 = 2;
@@ -37,8 +37,8 @@
     target: Cluster,
     peer: Cluster,
     forger: MessageAuthenticator,
-    /// Datagrams as honest members send them.
-    honest: Vec<Vec<u8>>,
+    /// Valid datagrams sent by the peer.
+    valid: Vec<Vec<u8>>,
 }
 
 pub(super) fn run(mut args: Arguments) -> Outcome {
@@ -98,11 +98,11 @@
             rng,
             clock: 0,
             forger: MessageAuthenticator::new(keyring(), FORGER_SESSION),
-            honest: Vec::new(),
+            valid: Vec::new(),
         }
     }
 
-    /// The two members exchange datagrams; those of the peer are stored.
+    /// Lets the two members exchange datagrams, and stores those of the peer.
     fn exchange(&mut self) {
         for _ in 0..2 {
             self.target.tick(self.clock);
@@ -120,11 +120,11 @@
     }
 
     fn store(&mut self, datagram: Vec<u8>) {
-        if self.honest.len() < MAX_HONEST_DATAGRAMS {
-            self.honest.push(datagram);
+        if self.valid.len() < MAX_VALID_DATAGRAMS {
+            self.valid.push(datagram);
         } else {
-            let replaced = self.rng.random_range(0..MAX_HONEST_DATAGRAMS);
-            self.honest[replaced] = datagram;
+            let replaced = self.rng.random_range(0..MAX_VALID_DATAGRAMS);
+            self.valid[replaced] = datagram;
         }
     }
 
@@ -132,7 +132,7 @@
         let mut input = self.draw_datagram();
         let kind = self.rng.random_range(0..4);
         if kind < 3 && input.len() > HEAD_BYTES + TAG_BYTES {
-            return self.damage_payload(&input);
+            return self.corrupt_payload(&input);
         }
         if !input.is_empty() {
             let at = self.rng.random_range(0..input.len());
@@ -141,9 +141,9 @@
         input
     }
 
-    /// Mostly an honest datagram, else any bytes.
+    /// Draws a valid datagram, or sometimes random bytes.
     fn draw_datagram(&mut self) -> Vec<u8> {
-        match self.honest.choose(&mut self.rng) {
+        match self.valid.choose(&mut self.rng) {
             Some(one) if self.rng.random_bool(0.9) => one.clone(),
             _ => (0..self.rng.random_range(0..MAX_RANDOM_BYTES))
                 .map(|_| self.rng.random())
@@ -151,8 +151,8 @@
         }
     }
 
-    /// An authentic datagram with a damaged payload.
-    fn damage_payload(&mut self, datagram: &[u8]) -> Vec<u8> {
+    /// Returns an authentic datagram with a corrupted payload.
+    fn corrupt_payload(&mut self, datagram: &[u8]) -> Vec<u8> {
         let payloads = [
             Payload::Members,
             Payload::GossipState,
@@ -177,7 +177,7 @@
             .unwrap_or_default()
     }
 
-    /// Whether the target handles an input without a panic.
+    /// Returns whether the target handles an input without a panic.
     fn survives(&mut self, input: &[u8]) -> bool {
         let (target, clock) = (&mut self.target, self.clock);
         let handled = catch_unwind(AssertUnwindSafe(|| {
--- a/crates/cluster-simulation/src/commands/failover.rs
+++ b/crates/cluster-simulation/src/commands/failover.rs
@@ -1,6 +1,6 @@
-//! The leader is killed: how long until another leads, and until the next request is answered.
+//! Kills the leader, and measures the time until there is a new leader and until the next request is answered.
 
-use super::{number, play_until_led, CommandError, Outcome, SECOND};
+use super::{number, play_until_leader, CommandError, Outcome, SECOND};
 use driftfront_cluster::Micros;
 use driftfront_cluster_simulation::lease_workload::LeaseLoad;
 use driftfront_cluster_simulation::{percentile, Script, World};
@@ -10,19 +10,19 @@
 const KILLED_AT: Micros = 40 * SECOND;
 /// When a run ends.
 const END: Micros = 60 * SECOND;
-/// How often it is checked whether a member leads.
+/// How often the simulation is checked for a leader.
 const POLL_INTERVAL: Micros = SECOND / 100;
-/// Answers from here on until the kill show how long a request takes otherwise.
-const USUAL_FROM: Micros = 33 * SECOND;
-/// Answers earlier than this behind the kill may be to what was agreed before it.
-const ANSWERS_BEFORE: Micros = SECOND / 10;
+/// Answers from here until the kill give the latency without a failover.
+const BASELINE_FROM: Micros = 33 * SECOND;
+/// Answers within this time after the kill may belong to requests that were committed before it.
+const EARLIER_COMMIT_TIME: Micros = SECOND / 10;
 
-/// What all runs showed, in microseconds.
+/// Results of all runs, in microseconds.
 #[derive(Default)]
 struct Times {
-    led_after: Vec<Micros>,
-    answered_after: Vec<Micros>,
-    usual: Vec<Micros>,
+    election_times: Vec<Micros>,
+    recovery_times: Vec<Micros>,
+    baseline_latencies: Vec<Micros>,
 }
 
 pub(super) fn run(mut args: Arguments) -> Outcome {
@@ -41,9 +41,9 @@
         times.add_run(script, seed)?;
     }
     println!("members {members}, voters {voters}, loss {loss}, {runs} runs from seed {first}");
-    print_row("another leads after", &mut times.led_after);
-    print_row("a request is answered after", &mut times.answered_after);
-    print_row("a request takes otherwise", &mut times.usual);
+    print_row("another leads after", &mut times.election_times);
+    print_row("a request is answered after", &mut times.recovery_times);
+    print_row("a request takes otherwise", &mut times.baseline_latencies);
     Ok(())
 }
 
@@ -58,19 +58,19 @@
         });
         world.play(KILLED_AT, |_| false);
         let Some(leader) = world.leader() else {
-            let why = format!("seed {seed}: nobody leads");
+            let why = format!("seed {seed}: no leader was elected");
             return Err(CommandError::Violated(why));
         };
         world.apply_text(&format!("kill \"m{leader}\""));
-        play_until_led(&mut world, POLL_INTERVAL, END);
-        self.led_after.push(world.time() - KILLED_AT);
+        play_until_leader(&mut world, POLL_INTERVAL, END);
+        self.election_times.push(world.time() - KILLED_AT);
         world.play(END, |_| false);
         if let Some(workload) = &world.lease_workload {
-            self.usual
-                .extend(workload.answer_times(USUAL_FROM, KILLED_AT));
+            self.baseline_latencies
+                .extend(workload.latencies(BASELINE_FROM, KILLED_AT));
             let answered = workload.answered.iter().map(|request| request.at);
-            let first = { answered }.find(|&at| at > KILLED_AT + ANSWERS_BEFORE);
-            self.answered_after.extend(first.map(|at| at - KILLED_AT));
+            let first = { answered }.find(|&at| at > KILLED_AT + EARLIER_COMMIT_TIME);
+            self.recovery_times.extend(first.map(|at| at - KILLED_AT));
         }
         Ok(())
     }
--- a/crates/cluster-simulation/src/commands/failure_detection.rs
+++ b/crates/cluster-simulation/src/commands/failure_detection.rs
@@ -1,4 +1,4 @@
-//! A member is killed and the rest watched: how long until all know, and who was called down though it was there.
+//! Kills a member, and measures how long the others take to detect it and how often members are wrongly declared down.
 
 use super::{number, traffic, Outcome, SECOND};
 use driftfront_cluster::{MemberStatus, Micros};
@@ -6,11 +6,11 @@
 use driftfront_cluster_simulation::{percentile, Script, ScriptError, World};
 use pico_args::Arguments;
 
-/// What is sent is counted for this long before the member is killed.
-const COUNTED_TIME: Micros = 10 * SECOND;
-/// The rest is watched for this long after.
-const WATCHED_TIME: Micros = 20 * SECOND;
-/// A witness that comes later than this is late.
+/// How long traffic is counted before the member is killed.
+const TRAFFIC_TIME: Micros = 10 * SECOND;
+/// How long the other members are observed after the kill.
+const OBSERVATION_TIME: Micros = 20 * SECOND;
+/// A detection later than this after the kill is reported as late.
 const LATE_AFTER: Micros = 6 * SECOND;
 
 struct Options {
@@ -18,25 +18,25 @@
     runs: u32,
     loss: f64,
     first_seed: u64,
-    /// Time before anything is counted.
+    /// How long the members may settle before measurements start.
     settle_time: Micros,
     prints_late: bool,
 }
 
 impl Options {
     fn killed_at(&self) -> Micros {
-        self.settle_time + COUNTED_TIME
+        self.settle_time + TRAFFIC_TIME
     }
 }
 
-/// What all runs showed.
+/// Results of all runs.
 #[derive(Default)]
 struct Summary {
-    /// How long until the first member knew, and until the last did, in each run.
-    first_knew: Vec<Micros>,
-    all_knew: Vec<Micros>,
-    never_knew: u64,
-    false_deaths: u64,
+    /// Time until the first and until the last member detected the failure, in each run.
+    first_detections: Vec<Micros>,
+    last_detections: Vec<Micros>,
+    missed_detections: u64,
+    false_positives: u64,
     datagrams: u64,
     bytes: u64,
 }
@@ -71,27 +71,27 @@
         let after = traffic(&world, options.members);
         self.datagrams += after.datagrams - before.datagrams;
         self.bytes += after.bytes - before.bytes;
-        world.play(options.killed_at() + WATCHED_TIME, |_| false);
-        self.add_deaths(options, &world, victim);
+        world.play(options.killed_at() + OBSERVATION_TIME, |_| false);
+        self.add_detections(options, &world, victim);
         if options.prints_late {
-            print_late_witnesses(options, &world, seed, victim);
+            print_late_detections(options, &world, seed, victim);
         }
         Ok(())
     }
 
-    fn add_deaths(&mut self, options: &Options, world: &World, victim: u32) {
+    fn add_detections(&mut self, options: &Options, world: &World, victim: u32) {
         let killed_at = options.killed_at();
         let is_down = |s: &&ViewChange| s.status == MemberStatus::Down;
-        let deaths = || world.view_changes.iter().filter(is_down);
-        let known = deaths().filter(|s| s.subject == victim && s.at >= killed_at);
+        let detections = || world.view_changes.iter().filter(is_down);
+        let known = detections().filter(|s| s.subject == victim && s.at >= killed_at);
         let times: Vec<Micros> = known.map(|s| s.at - killed_at).collect();
-        self.first_knew.extend(times.iter().min());
-        self.all_knew.extend(times.iter().max());
+        self.first_detections.extend(times.iter().min());
+        self.last_detections.extend(times.iter().max());
         let knows = |by: u32| world.status(by, victim) == Some(MemberStatus::Down);
         let others = (0..options.members).filter(|&by| by != victim);
-        self.never_knew += others.filter(|&by| !knows(by)).count() as u64;
+        self.missed_detections += others.filter(|&by| !knows(by)).count() as u64;
         let is_false = |s: &&ViewChange| s.subject != victim && s.at > options.settle_time / 2;
-        self.false_deaths += deaths().filter(is_false).count() as u64;
+        self.false_positives += detections().filter(is_false).count() as u64;
     }
 
     fn print(&mut self, options: &Options) {
@@ -102,25 +102,25 @@
             first_seed,
             ..
         } = options;
-        self.first_knew.sort_unstable();
-        self.all_knew.sort_unstable();
+        self.first_detections.sort_unstable();
+        self.last_detections.sort_unstable();
         let member_seconds = f64::from(*runs) * 10.0 * f64::from(*members);
         println!("members {members}, loss {loss}, {runs} runs from seed {first_seed}");
         println!(
             "  first knows of a death  p50 {:.2} s  p99 {:.2} s",
-            percentile(&self.first_knew, 0.5),
-            percentile(&self.first_knew, 0.99)
+            percentile(&self.first_detections, 0.5),
+            percentile(&self.first_detections, 0.99)
         );
         println!(
             "  all know                p50 {:.2} s  p99 {:.2} s  max {:.2} s; {} never did in 20 s",
-            percentile(&self.all_knew, 0.5),
-            percentile(&self.all_knew, 0.99),
-            percentile(&self.all_knew, 1.0),
-            self.never_knew
+            percentile(&self.last_detections, 0.5),
+            percentile(&self.last_detections, 0.99),
+            percentile(&self.last_detections, 1.0),
+            self.missed_detections
         );
         println!(
             "  called down though there {} times, by any of all",
-            self.false_deaths
+            self.false_positives
         );
         println!(
             "  each sends {:.1} datagrams, {:.0} bytes a second",
@@ -141,8 +141,8 @@
     Script::read(&text)
 }
 
-/// Prints what became of witnesses that came late: the next question is always how.
-fn print_late_witnesses(options: &Options, world: &World, seed: u64, victim: u32) {
+/// Prints the view changes of members that detected the failure late or not at all.
+fn print_late_detections(options: &Options, world: &World, seed: u64, victim: u32) {
     let killed_at = options.killed_at();
     for by in world.running_members() {
         let is_about_victim = |s: &&ViewChange| {
--- a/crates/cluster-simulation/src/commands/leases.rs
+++ b/crates/cluster-simulation/src/commands/leases.rs
@@ -1,16 +1,17 @@
-//! Fault scenarios over members that request leases: whether any is ever held twice, and how long until one leads again.
+//! Runs fault scenarios while members request leases. Checks that no lease has two holders, and measures the time until there is a
+//! leader after the faults.
 
-use super::{number, play_until_led, CommandError, Outcome, SECOND};
+use super::{number, play_until_leader, CommandError, Outcome, SECOND};
 use driftfront_cluster::Micros;
 use driftfront_cluster_simulation::lease_workload::LeaseLoad;
 use driftfront_cluster_simulation::{fault_scenario, percentile, World};
 use pico_args::Arguments;
 
-/// How often it is checked whether a member leads.
+/// How often the simulation is checked for a leader.
 const POLL_INTERVAL: Micros = SECOND / 10;
-/// A run goes on for this long behind the time in which one must lead.
-const TIME_BEHIND: Micros = 10 * SECOND;
-/// Violations that are printed.
+/// How long a run continues after the deadline for electing a leader.
+const EXTRA_TIME: Micros = 10 * SECOND;
+/// Maximum number of printed violations.
 const MAX_PRINTED: usize = 20;
 
 struct Options {
@@ -21,13 +22,13 @@
     first_seed: u64,
 }
 
-/// What all runs showed.
+/// Results of all runs.
 #[derive(Default)]
 struct Summary {
     violations: Vec<String>,
-    /// Seeds after which nobody led in time.
-    never_led: Vec<u64>,
-    led_after: Vec<Micros>,
+    /// Seeds after which no leader was elected in time.
+    seeds_without_leader: Vec<u64>,
+    election_times: Vec<Micros>,
     granted: u64,
     timed_out: u64,
     leaders: u64,
@@ -49,10 +50,10 @@
         summary.add_run(&options, seed);
     }
     summary.print(&options);
-    if summary.violations.is_empty() && summary.never_led.is_empty() {
+    if summary.violations.is_empty() && summary.seeds_without_leader.is_empty() {
         Ok(())
     } else {
-        let why = "a right was held twice, or nobody led";
+        let why = "a lease had two holders, or no leader was elected in time";
         Err(CommandError::Violated(why.into()))
     }
 }
@@ -69,15 +70,15 @@
         });
         world.play(fault_scenario::QUIET_FROM, |_| false);
         let deadline = fault_scenario::QUIET_FROM + fault_scenario::CONVERGENCE_TIMEOUT;
-        play_until_led(&mut world, POLL_INTERVAL, deadline);
+        play_until_leader(&mut world, POLL_INTERVAL, deadline);
         if world.leader().is_some() {
-            self.led_after
+            self.election_times
                 .push(world.time() - fault_scenario::QUIET_FROM);
         } else {
-            self.never_led.push(seed);
-            print_parts(&mut world, seed);
+            self.seeds_without_leader.push(seed);
+            print_consensus_views(&mut world, seed);
         }
-        world.play(deadline + TIME_BEHIND, |_| false);
+        world.play(deadline + EXTRA_TIME, |_| false);
         self.add_counts(&mut world, seed);
     }
 
@@ -101,7 +102,7 @@
     }
 
     fn print(&mut self, options: &Options) {
-        self.led_after.sort_unstable();
+        self.election_times.sort_unstable();
         println!(
             "members {}, voters {}, logs kept: {}, {} storms from seed {}",
             options.members,
@@ -122,10 +123,10 @@
         );
         println!(
             "  somebody leads again after p50 {:.2} s  p99 {:.2} s  max {:.2} s; never within the time owed: {:?}",
-            percentile(&self.led_after, 0.5),
-            percentile(&self.led_after, 0.99),
-            percentile(&self.led_after, 1.0),
-            self.never_led
+            percentile(&self.election_times, 0.5),
+            percentile(&self.election_times, 0.99),
+            percentile(&self.election_times, 1.0),
+            self.seeds_without_leader
         );
         for violation in self.violations.iter().take(MAX_PRINTED) {
             println!("  {violation}");
@@ -133,7 +134,7 @@
     }
 }
 
-fn print_parts(world: &mut World, seed: u64) {
+fn print_consensus_views(world: &mut World, seed: u64) {
     for member in world.running_members() {
         if let Some(consensus) = world.agent(member).and_then(|f| f.consensus()) {
             let (view, notice) = (consensus.view(), consensus.notice());
--- a/crates/cluster-simulation/src/commands/model_check.rs
+++ b/crates/cluster-simulation/src/commands/model_check.rs
@@ -1,12 +1,12 @@
-//! Checks the model of the lease protocol in all states within the bounds, and whether the check finds what mistaken
-//! implementations would do.
+//! Checks the model of the lease protocol in all states within the bounds, and verifies that the check detects implementations with
+//! known defects.
 
 use super::{number, CommandError, Outcome};
-use driftfront_cluster_simulation::model::{Bounds, Mistake, COMMITTED_ONCE, NEVER_BOTH};
+use driftfront_cluster_simulation::model::{Bounds, Defect, COMMITTED_IS_FINAL, MUTUAL_EXCLUSION};
 use pico_args::Arguments;
 use stateright::{Checker, HasDiscoveries, Model};
 
-/// Threads that check at once.
+/// Maximum number of checker threads.
 const MAX_THREADS: usize = 3;
 
 pub(super) fn run(mut args: Arguments) -> Outcome {
@@ -14,26 +14,26 @@
         time: number(&mut args, "--time", 2)?,
         terms: number(&mut args, "--terms", 2)?,
         entries: number(&mut args, "--entries", 3)?,
-        mistake: Mistake::None,
+        defect: Defect::None,
     };
     let max_depth = number(&mut args, "--depth", 12usize)?;
     let mut is_as_expected = true;
-    for mistake in [
-        Mistake::CountsFromResponse,
-        Mistake::UsesOwnClock,
-        Mistake::None,
+    for defect in [
+        Defect::CountsFromResponse,
+        Defect::UsesOwnClock,
+        Defect::None,
     ] {
-        is_as_expected &= check(Bounds { mistake, ..bounds }, max_depth);
+        is_as_expected &= check(Bounds { defect, ..bounds }, max_depth);
     }
     if is_as_expected {
         Ok(())
     } else {
-        let why = "the model lends twice, or does not find what a mistaken build would do";
+        let why = "the model violates a property, or the check did not detect a known defect";
         Err(CommandError::Violated(why.into()))
     }
 }
 
-/// Whether the check finds a lease held twice just where the build is mistaken. `max_depth`: 0 for none.
+/// Returns whether the check finds a violation exactly if the implementation has a defect. A `max_depth` of 0 means no limit.
 fn check(bounds: Bounds, max_depth: usize) -> bool {
     let threads = std::thread::available_parallelism();
     let checker = bounds
@@ -48,26 +48,28 @@
         .spawn_bfs()
         .join();
     let found: Vec<String> = done.discoveries().into_keys().map(String::from).collect();
-    let mistake = mistake_text(bounds.mistake);
+    let defect = defect_name(bounds.defect);
     println!(
-        "{mistake}: {} states, {} of them different, depth {}; found: {found:?}",
+        "{defect}: {} states, {} of them different, depth {}; found: {found:?}",
         done.state_count(),
         done.unique_state_count(),
         done.max_depth()
     );
-    let is_correct = bounds.mistake == Mistake::None;
-    if let Some(path) = done.discovery(NEVER_BOTH).filter(|_| is_correct) {
+    let is_correct = bounds.defect == Defect::None;
+    if let Some(path) = done.discovery(MUTUAL_EXCLUSION).filter(|_| is_correct) {
         println!("{path:?}");
     }
-    let is_held_twice = found.iter().any(|f| f == NEVER_BOTH || f == COMMITTED_ONCE);
-    is_held_twice != is_correct
+    let is_violated = found
+        .iter()
+        .any(|f| f == MUTUAL_EXCLUSION || f == COMMITTED_IS_FINAL);
+    is_violated != is_correct
 }
 
-/// A mistake as the command prints it.
-fn mistake_text(mistake: Mistake) -> &'static str {
-    match mistake {
-        Mistake::None => "Nothing",
-        Mistake::CountsFromResponse => "FromTheAnswer",
-        Mistake::UsesOwnClock => "OwnClock",
+/// Returns the name of a defect for the command's output.
+fn defect_name(defect: Defect) -> &'static str {
+    match defect {
+        Defect::None => "Nothing",
+        Defect::CountsFromResponse => "FromTheAnswer",
+        Defect::UsesOwnClock => "OwnClock",
     }
 }
--- a/crates/cluster-simulation/src/commands/play.rs
+++ b/crates/cluster-simulation/src/commands/play.rs
@@ -1,4 +1,4 @@
-//! Plays a script and prints each change of a member's view of another.
+//! Runs a script and prints each change of a member's view of another.
 
 use super::{CommandError, Outcome};
 use driftfront_cluster::MemberStatus;
@@ -35,7 +35,7 @@
     })
 }
 
-/// A status as the command prints it.
+/// Returns a status in the format of the command's output.
 fn status_text(status: MemberStatus) -> &'static str {
     match status {
         MemberStatus::Alive => "Some(Alive)",
--- a/crates/cluster-simulation/src/commands/scenarios.rs
+++ b/crates/cluster-simulation/src/commands/scenarios.rs
@@ -1,22 +1,22 @@
-//! Fault scenarios drawn by their seeds, then quiet: how long until all have one view again.
+//! Runs random fault scenarios, and measures how long members take to converge to the same view afterwards.
 
 use super::{number, traffic, CommandError, Outcome, SECOND};
 use driftfront_cluster::{MemberStatus, Micros};
 use driftfront_cluster_simulation::{fault_scenario, percentile, TimedAction, World};
 use pico_args::Arguments;
 
-/// Deaths are counted for this long after all have one view again.
-const CALM_TIME: Micros = 5 * SECOND;
+/// How long members declared down are counted after convergence.
+const OBSERVATION_TIME: Micros = 5 * SECOND;
 
-/// What all runs showed.
+/// Results of all runs.
 #[derive(Default)]
 struct Summary {
-    /// How long until all had one view, in each run.
-    took: Vec<Micros>,
-    /// Seeds after which they never had.
-    never: Vec<u64>,
-    deaths_after: u64,
-    /// Most datagrams that each sent in a second, on average over a run.
+    /// Time until convergence, in each run.
+    convergence_times: Vec<Micros>,
+    /// Seeds after which the members did not converge in time.
+    failed_seeds: Vec<u64>,
+    late_false_positives: u64,
+    /// Maximum over all runs of the average number of datagrams that each member sent per second.
     max_sent: u64,
 }
 
@@ -28,14 +28,14 @@
     for seed in first..first + runs {
         summary.add_run(members, seed);
     }
-    summary.took.sort_unstable();
+    summary.convergence_times.sort_unstable();
     println!("members {members}, {runs} storms from seed {first}");
     summary.print();
-    if summary.never.is_empty() {
+    if summary.failed_seeds.is_empty() {
         Ok(())
     } else {
         Err(CommandError::Violated(
-            "some never had one view again".into(),
+            "the members did not converge after some scenarios".into(),
         ))
     }
 }
@@ -45,37 +45,39 @@
         let script = fault_scenario::draw(members, seed, true);
         let until = script.until;
         let all: Vec<u32> = (0..members).collect();
-        let quiet = fault_scenario::QUIET_FROM;
+        let faults_ended_at = fault_scenario::QUIET_FROM;
         let mut world = World::new(script);
-        world.play(quiet, |_| false);
+        world.play(faults_ended_at, |_| false);
         let sent_before = traffic(&world, members).datagrams;
-        if world.play(until, |w| w.time() > quiet && w.all_see_exactly(&all)) {
-            self.took.push(world.time() - quiet);
+        if world.play(until, |w| {
+            w.time() > faults_ended_at && w.all_see_exactly(&all)
+        }) {
+            self.convergence_times.push(world.time() - faults_ended_at);
         } else {
-            self.never.push(seed);
+            self.failed_seeds.push(seed);
             print_disagreement(&world, members, seed);
         }
-        let seconds = ((world.time() - quiet) / SECOND).max(1) * u64::from(members);
+        let seconds = ((world.time() - faults_ended_at) / SECOND).max(1) * u64::from(members);
         let sent = traffic(&world, members).datagrams - sent_before;
         self.max_sent = self.max_sent.max(sent / seconds);
-        let settled = world.time();
-        world.play(settled + CALM_TIME, |_| false);
+        let converged_at = world.time();
+        world.play(converged_at + OBSERVATION_TIME, |_| false);
         let deaths = world.view_changes.iter();
-        let deaths = deaths.filter(|s| s.at > settled && s.status == MemberStatus::Down);
-        self.deaths_after += deaths.count() as u64;
+        let deaths = deaths.filter(|s| s.at > converged_at && s.status == MemberStatus::Down);
+        self.late_false_positives += deaths.count() as u64;
     }
 
     fn print(&self) {
         println!(
             "  one view again after    p50 {:.2} s  p99 {:.2} s  max {:.2} s; never within the time owed: {:?}",
-            percentile(&self.took, 0.5),
-            percentile(&self.took, 0.99),
-            percentile(&self.took, 1.0),
-            self.never
+            percentile(&self.convergence_times, 0.5),
+            percentile(&self.convergence_times, 0.99),
+            percentile(&self.convergence_times, 1.0),
+            self.failed_seeds
         );
         println!(
             "  called down in the 5 s after that {} times, by any of all",
-            self.deaths_after
+            self.late_false_positives
         );
         println!(
             "  each sent at most {} datagrams a second on average while they settled",
@@ -84,7 +86,7 @@
     }
 }
 
-/// Prints what was done, and who sees whom otherwise than alive.
+/// Prints the actions of a scenario, and which members each member does not see as alive.
 fn print_disagreement(world: &World, members: u32, seed: u64) {
     for TimedAction { at, action } in &fault_scenario::draw(members, seed, true).actions {
         println!("  seed {seed}: {:6.2} s {action:?}", *at as f64 / 1e6);
--- a/crates/cluster-simulation/src/fault_scenario.rs
+++ b/crates/cluster-simulation/src/fault_scenario.rs
@@ -1,4 +1,5 @@
-//! Random fault scenarios: a time of faults, then quiet, in which all members must agree on one view again.
+//! Generates random fault scenarios: a period of faults, followed by a period without faults in which all members must converge to
+//! the same view.
 
 use crate::script::{Directions, FaultAction, Group, Link, Script, TimedAction};
 use driftfront_cluster::Micros;
@@ -6,30 +7,30 @@
 use rand::{Rng, SeedableRng};
 
 const SECOND: Micros = 1_000_000;
-/// When the first fault may happen: members know each other by then.
+/// Earliest time of a fault. The members know each other by then.
 const FAULTS_FROM: Micros = 5 * SECOND;
-/// For how long faults happen.
+/// Length of the period of faults.
 const FAULTS_DURATION: Micros = 20 * SECOND;
-/// From here on there are no faults: all links are healed, and all processes resumed and started.
+/// End of the period of faults: all links are healed, and all processes are resumed or started.
 pub const QUIET_FROM: Micros = FAULTS_FROM + FAULTS_DURATION;
-/// All members must have one view again within this time of quiet. Members that were down are probed by each every two
-/// seconds.
+/// All members must converge to the same view within this time after the end of faults. Each member probes members that were down
+/// every two seconds.
 pub const CONVERGENCE_TIMEOUT: Micros = 30 * SECOND;
-/// Largest step of a clock, in seconds.
+/// Maximum clock step, in seconds.
 const MAX_CLOCK_STEP_SECONDS: i64 = 4000;
 
-/// Draws a scenario over `members` members from a seed. `sets_clocks`: whether it may set members' clocks, which processes
-/// of the real program can't do.
+/// Draws a scenario from a seed. `sets_clocks` says whether it may step the members' clocks, which is not possible with real
+/// processes.
 pub fn draw(members: u32, seed: u64, sets_clocks: bool) -> Script {
     let mut rng = SmallRng::seed_from_u64(seed);
     let zones = 1 + rng.random_range(0..3);
-    let mut drawing = Drawing {
+    let mut generator = Generator {
         rng,
         members,
         zones,
         sets_clocks,
     };
-    let mut actions = drawing.draw_actions();
+    let mut actions = generator.draw_actions();
     actions.extend(recovery());
     actions.sort_by_key(|timed| timed.at);
     Script {
@@ -44,15 +45,15 @@
     }
 }
 
-/// The end of all faults.
+/// Returns the actions that end all faults.
 fn recovery() -> impl Iterator<Item = TimedAction> {
-    let calm = Link {
+    let healthy = Link {
         delay: 1_000,
         jitter: 1_000,
         ..Link::default()
     };
     let actions = [
-        FaultAction::Link(Group::All, Group::All, calm),
+        FaultAction::Link(Group::All, Group::All, healthy),
         FaultAction::Heal,
         FaultAction::Resume(vec![Group::All]),
         FaultAction::Start(vec![Group::All]),
@@ -63,15 +64,15 @@
     })
 }
 
-/// Draws faults. The order and the types of all draws stay, so that a seed keeps its scenario.
-struct Drawing {
+/// Draws faults. The order and types of the draws must not change, since that would change the scenario of a seed.
+struct Generator {
     rng: SmallRng,
     members: u32,
     zones: u32,
     sets_clocks: bool,
 }
 
-impl Drawing {
+impl Generator {
     fn draw_actions(&mut self) -> Vec<TimedAction> {
         let count: i32 = 3 + self.rng.random_range(0..8);
         (0..count)
@@ -109,7 +110,7 @@
         }
     }
 
-    /// Up to a third of all members, some perhaps more than once.
+    /// Draws up to a third of all members, possibly with repetitions.
     fn draw_members(&mut self) -> Vec<Group> {
         let max = 1 + self.members / 3;
         let count: u32 = 1 + self.rng.random_range(0..max);
--- a/crates/cluster-simulation/src/lease_workload.rs
+++ b/crates/cluster-simulation/src/lease_workload.rs
@@ -1,8 +1,7 @@
-//! A workload of leases: members request, hold and release them or let them expire, and it is checked that none is held
-//! twice.
+//! A workload in which members request leases, and release them or let them expire. It checks that no lease has two holders at the
+//! same time.
 //!
-//! What counts is what a member would do: whether it may use a lease at this moment, by its own clock. A suspended process
-//! does nothing; it counts again once it is resumed.
+//! A member counts as a holder while it may use the lease by its own clock. A suspended process does not count until it is resumed.
 
 use driftfront_cluster::consensus::leases::{Command, Outcome};
 use driftfront_cluster::consensus::{Consensus, RequestError};
@@ -11,21 +10,21 @@
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeMap;
 
-/// Mixed into a scenario's seed, so that the workload draws other numbers than the network.
+/// Combined with the scenario's seed, so that the workload and the network use different random sequences.
 const SEED_MASK: u64 = 0x7167;
-/// Violations recorded of leases that are held twice; more of the same say nothing new.
+/// Maximum number of recorded violations, since further ones of the same kind add no information.
 const MAX_VIOLATIONS: usize = 20;
 
 /// How members request leases.
 #[derive(Clone, Debug)]
 pub struct LeaseLoad {
-    /// The number of resources, each granted to one holder at a time.
+    /// Number of resources. Each is leased to one holder at a time.
     pub resources: u32,
-    /// Longest duration of a lease; the shortest is half of it.
+    /// Maximum duration of a lease. The minimum is half of it.
     pub max_duration: Micros,
-    /// A member without a lease requests one in one of so many polls on average, and releases one half as often.
+    /// Average number of polls after which a member without a lease requests one. A holder releases its lease half as often.
     pub polls_per_request: u32,
-    /// A request without an outcome times out after this.
+    /// Timeout of a request.
     pub timeout: Micros,
 }
 
@@ -40,19 +39,19 @@
     }
 }
 
-/// A request of a member that has no outcome yet.
+/// A request without an outcome so far.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct PendingRequest {
     member: u32,
     number: u64,
 }
 
-/// A member that may use a lease.
+/// A member that may currently use a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Holder {
     /// The member.
     pub member: u32,
-    /// The lease's fencing number.
+    /// The lease's fencing token.
     pub fence: u64,
 }
 
@@ -61,68 +60,68 @@
 pub struct AnsweredRequest {
     /// When it was answered.
     pub at: Micros,
-    /// How long that took.
-    pub took: Micros,
+    /// The time from its submission to the answer.
+    pub latency: Micros,
 }
 
-/// A lease that was granted.
+/// A granted lease.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Grant {
-    /// Its resource; empty if the member held it no more when the outcome was polled.
+    /// The resource; empty if the member no longer held the lease when the outcome was polled.
     pub resource: String,
-    /// The member.
+    /// The member that holds it.
     pub owner: u32,
 }
 
-/// A broken rule of the lease table.
+/// A violation of the rules of leases.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Violation {
-    /// A fencing number was granted a second time.
-    #[error("{at} m{member}: {fence} was lent before: {:?}", (&before.resource, before.owner))]
+    /// The same fencing token was granted twice.
+    #[error("{at} m{member}: fencing token {fence} was already granted: {:?}", (&before.resource, before.owner))]
     FenceGrantedTwice {
         /// When.
         at: Micros,
         /// The second owner.
         member: u32,
-        /// The number.
+        /// The fencing token.
         fence: u64,
         /// The first grant.
         before: Grant,
     },
-    /// Several members may use a resource of which there is one.
+    /// Several members may use the same resource at the same time.
     #[error("{at}: {resource} is held by {:?}", holders.iter().map(|h| (h.member, h.fence)).collect::<Vec<_>>())]
     HeldTwice {
         /// When.
         at: Micros,
         /// The resource.
         resource: String,
-        /// All that may use it.
+        /// The members that may use it.
         holders: Vec<Holder>,
     },
 }
 
-/// All members' requests and leases, and what was observed of them.
+/// The requests and leases of all members, and the violations found.
 pub struct LeaseWorkload {
     load: LeaseLoad,
     rng: SmallRng,
-    /// Requests without an outcome, and when they were submitted.
+    /// Requests without an outcome, with the time of their submission.
     pending: BTreeMap<PendingRequest, Micros>,
-    /// Who may use each resource at this moment.
+    /// The members that may currently use each resource.
     usable: BTreeMap<String, Vec<Holder>>,
-    /// All requests that were answered, in order.
+    /// All answered requests, in order.
     pub answered: Vec<AnsweredRequest>,
-    /// How many leases were granted.
+    /// Number of granted leases.
     pub granted: u64,
-    /// How many requests timed out, or were rejected as too many were pending.
+    /// Number of requests that timed out or were rejected because too many were pending.
     pub timed_out: u64,
-    /// All grants, by fencing number.
+    /// All grants, by fencing token.
     pub grants: BTreeMap<u64, Grant>,
-    /// Broken rules.
+    /// Violations found.
     pub violations: Vec<Violation>,
 }
 
 impl LeaseWorkload {
-    /// The workload of a seed.
+    /// Creates a workload that draws from a seed.
     pub fn new(load: LeaseLoad, seed: u64) -> LeaseWorkload {
         LeaseWorkload {
             load,
@@ -137,12 +136,12 @@
         }
     }
 
-    /// Forgets a member's requests, as its process has ended.
+    /// Drops the pending requests of a member whose process has ended.
     pub fn forget_requests(&mut self, member: u32) {
         self.pending.retain(|request, _| request.member != member);
     }
 
-    /// A member takes the outcomes of its requests, and may request or release a lease.
+    /// Takes the outcomes of a member's requests, and possibly requests or releases a lease.
     pub fn poll(&mut self, member: u32, now: Micros, clock: Micros, agent: &mut Cluster) {
         agent.with_consensus(clock, |consensus, clock| {
             while let Some(completed) = consensus.next_outcome() {
@@ -153,7 +152,7 @@
                         self.answered
                             .extend(submitted_at.map(|submitted_at| AnsweredRequest {
                                 at: now,
-                                took: now - submitted_at,
+                                latency: now - submitted_at,
                             }));
                         if let Outcome::Granted { fence } = outcome {
                             self.record_grant(member, now, fence, consensus);
@@ -221,7 +220,7 @@
         }
     }
 
-    /// Records which leases a member may use at this moment.
+    /// Records the leases that a member may currently use.
     pub fn record_usable(&mut self, member: u32, clock: Micros, consensus: &Consensus) {
         for (&fence, lease) in consensus.held() {
             if consensus.holds(fence, clock) {
@@ -231,7 +230,7 @@
         }
     }
 
-    /// Checks the leases recorded for this moment by [`LeaseWorkload::record_usable`], and starts anew.
+    /// Checks the leases recorded by [`LeaseWorkload::record_usable`], and clears the record.
     pub fn check_usable(&mut self, now: Micros) {
         for (resource, holders) in std::mem::take(&mut self.usable) {
             if holders.len() > 1 && self.violations.len() < MAX_VIOLATIONS {
@@ -244,14 +243,14 @@
         }
     }
 
-    /// How long requests took that were answered from one time until before another, sorted.
-    pub fn answer_times(&self, from: Micros, until: Micros) -> Vec<Micros> {
+    /// Returns the sorted latencies of the requests answered in `from..until`.
+    pub fn latencies(&self, from: Micros, until: Micros) -> Vec<Micros> {
         let answered = self.answered.iter();
-        let mut times: Vec<Micros> = answered
+        let mut latencies: Vec<Micros> = answered
             .filter(|request| (from..until).contains(&request.at))
-            .map(|request| request.took)
+            .map(|request| request.latency)
             .collect();
-        times.sort_unstable();
-        times
+        latencies.sort_unstable();
+        latencies
     }
 }
--- a/crates/cluster-simulation/src/lib.rs
+++ b/crates/cluster-simulation/src/lib.rs
@@ -1,13 +1,14 @@
-//! The cluster's state machines by hundreds on virtual time, in one process and from one seed, under fault scripts: the same
-//! scripts that `driftfront-cluster-harness` plays with processes of the real program.
+//! Deterministic simulation of clusters with up to hundreds of members. The real state machines run in one process on virtual
+//! time, with all random draws from one seed, under the same fault scripts that `driftfront-cluster-harness` applies to real
+//! processes.
 //!
 //! | module | what it does |
 //! | --- | --- |
-//! | [`script`] | fault scripts, as data and as KDL |
-//! | [`fault_scenario`] | random fault scripts |
-//! | [`world`] | plays a script over simulated members |
-//! | [`lease_workload`] | members that request leases, and the check that none is held twice |
-//! | [`model`] | a model of the lease protocol for exhaustive checking |
+//! | [`script`] | fault scripts and their KDL format |
+//! | [`fault_scenario`] | generates random fault scripts |
+//! | [`world`] | simulates members and the network under a script |
+//! | [`lease_workload`] | makes members request leases, and checks that no lease has two holders |
+//! | [`model`] | a model of the lease protocol for model checking |
 #![forbid(unsafe_code)]
 
 pub mod fault_scenario;
@@ -23,7 +24,7 @@
 
 use driftfront_cluster::Micros;
 
-/// The quantile of a sorted list (nearest rank), in seconds; NaN where the list is empty.
+/// Returns a quantile of a sorted list (nearest rank), converted to seconds, or NaN if the list is empty.
 pub fn percentile(sorted: &[Micros], quantile: f64) -> f64 {
     #[allow(
         clippy::cast_possible_truncation,
--- a/crates/cluster-simulation/src/main.rs
+++ b/crates/cluster-simulation/src/main.rs
@@ -1,4 +1,4 @@
-//! The cluster on virtual time: plays scripts and fault scenarios, and prints what members knew and when, as tables.
+//! Simulates clusters under scripts and random fault scenarios, and prints measurements and violations.
 
 mod commands;
 
--- a/crates/cluster-simulation/src/model/mod.rs
+++ b/crates/cluster-simulation/src/model/mod.rs
@@ -1,19 +1,19 @@
-//! A model of the lease protocol, checked exhaustively by `stateright`: three voters, two requesters, one crash, one cut, and
-//! clocks that stand still or go on.
+//! A model of the lease protocol for the model checker `stateright`: three voters, two requesters, at most one crash and one network
+//! partition, and leaders that may stall.
 //!
-//! The state that log entries make is the real one ([`Leases`]); of the consensus protocol only the rules are modelled:
-//! terms, votes for logs that lack nothing, and commit once a majority has an entry of the leader's own term. A call between
-//! two processes is one step; a request may reach any leader, early, late and again. The initial state has a leader, always
-//! the same one, as voters are alike.
+//! Log entries are applied to the real lease table ([`Leases`]). Only the rules of the consensus protocol are modelled: terms, votes
+//! for logs that are at least as complete as the voter's, and commitment once a majority has an entry of the leader's own term. A
+//! call between two processes is one step. A request may reach any leader, at any time and repeatedly. The initial state has a
+//! leader, which is always the same one because voters are symmetric.
 //!
-//! Checked in all states within the [`Bounds`]: the two requesters never use the one lease at the same time, and a
+//! Two properties are checked in all states within the [`Bounds`]: the two requesters never use the lease at the same time, and a
 //! committed entry never changes.
 //!
-//! | module | what it holds |
+//! | module | contents |
 //! | --- | --- |
-//! | this | the bounds, which steps are possible, the properties |
+//! | this | the bounds, the possible steps, the properties |
 //! | `state` | the state of voters and requesters |
-//! | `steps` | what a step does to the state |
+//! | `steps` | the effect of each step on the state |
 //!
 //! [`Leases`]: driftfront_cluster::consensus::leases::Leases
 
@@ -27,37 +27,37 @@
 use stateright::{Model, Property};
 
 /// The property that the two requesters never use the lease at the same time.
-pub const NEVER_BOTH: &str = "never both";
+pub const MUTUAL_EXCLUSION: &str = "mutual exclusion";
 /// The property that a committed entry never changes.
-pub const COMMITTED_ONCE: &str = "agreed once";
-/// The property that the lease passes from one requester to the other in some run: the model is not empty.
-const ONE_AFTER_THE_OTHER: &str = "one after the other";
+pub const COMMITTED_IS_FINAL: &str = "committed entries never change";
+/// The property that the lease passes from one requester to the other in some run. It shows that the model is not vacuous.
+const LEASE_CHANGES_HOLDER: &str = "lease changes holder";
 
-/// Requests of the first requester: it acquires the lease and releases it. The other lets it expire.
+/// Number of requests of the first requester, which acquires the lease and releases it. The other one lets the lease expire.
 const MAX_REQUESTS_OF_RELEASER: u64 = 2;
 const RELEASER: usize = 0;
 
-/// How far the model goes.
+/// Bounds of the model.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// Units of time.
+    /// Maximum time, in units.
     pub time: u64,
-    /// Terms.
+    /// Maximum term.
     pub terms: u8,
-    /// Entries of a log.
+    /// Maximum number of log entries.
     pub entries: usize,
-    /// A mistake of the implementation, which the check must find.
-    pub mistake: Mistake,
+    /// A defect of the implementation, which the check must find.
+    pub defect: Defect,
 }
 
-/// A mistake that an implementation could make: with it, a lease is used for too long.
+/// A possible defect of an implementation, because of which a lease is used for too long.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Mistake {
-    /// No mistake.
+pub enum Defect {
+    /// No defect.
     None,
-    /// The holder counts the lease's time from the response, not from its first request.
+    /// The holder counts the lease's duration from the response instead of from its first request.
     CountsFromResponse,
-    /// A leader's time starts with its own clock, ahead of what was committed.
+    /// A leader uses its own clock, which may be ahead of the committed time.
     UsesOwnClock,
 }
 
@@ -72,8 +72,8 @@
         if state.cuts == 0 {
             steps.push(Step::Cut(number));
         }
-        if state.can_hold_up(number) {
-            steps.push(Step::HoldUp(number));
+        if state.can_stall(number) {
+            steps.push(Step::Stall(number));
         }
         if voter.is_up && voter.term < self.terms && !voter.is_leader {
             steps.push(Step::Elect(number));
@@ -92,7 +92,7 @@
         }
     }
 
-    /// What a voter that is up may do about pending requests.
+    /// Adds the steps of a running voter that handle pending requests.
     fn add_request_steps(&self, state: &State, voter: usize, steps: &mut Vec<Step>) {
         let has_room = state.voters[voter].log.len() < self.entries;
         let proposes = state.voters[voter].is_leader && has_room;
@@ -146,17 +146,17 @@
 
     fn next_state(&self, before: &State, step: Step) -> Option<State> {
         let mut state = before.clone();
-        state.apply(&step, self.mistake)?;
+        state.apply(&step, self.defect)?;
         (state != *before).then_some(state)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always(NEVER_BOTH, |_, state: &State| {
+            Property::always(MUTUAL_EXCLUSION, |_, state: &State| {
                 !(state.uses_lease(0) && state.uses_lease(1))
             }),
-            Property::always(COMMITTED_ONCE, |_, state: &State| !state.has_diverged),
-            Property::sometimes(ONE_AFTER_THE_OTHER, |_, state: &State| {
+            Property::always(COMMITTED_IS_FINAL, |_, state: &State| !state.has_diverged),
+            Property::sometimes(LEASE_CHANGES_HOLDER, |_, state: &State| {
                 let had_lease = state.requesters[0].held.is_some() && !state.uses_lease(0);
                 had_lease && state.uses_lease(1)
             }),
--- a/crates/cluster-simulation/src/model/state.rs
+++ b/crates/cluster-simulation/src/model/state.rs
@@ -1,4 +1,4 @@
-//! The model's state: voters with their logs, and requesters with the lease they may hold.
+//! The state of the model: voters with their logs, and requesters with the lease they may hold.
 
 use driftfront_cluster::consensus::leases::{Command, Entry, Leases};
 
@@ -11,32 +11,32 @@
 pub struct LogEntry {
     /// The term of the leader that appended it.
     pub term: u8,
-    /// The command; `None` for a leader's first entry.
+    /// The command; `None` for the first entry of a leader.
     pub entry: Option<Entry>,
 }
 
-/// How complete a log is: a voter votes only for logs that lack nothing of its own.
+/// The end of a log. A voter votes only for candidates whose log is at least as complete as its own.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct LogEnd {
     term: u8,
     length: usize,
 }
 
-/// A voter. Its log and term survive a crash.
+/// A voter. Its log and term are persistent.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Voter {
     pub(super) is_up: bool,
     pub(super) term: u8,
     pub(super) is_leader: bool,
     pub(super) log: Vec<LogEntry>,
-    /// Length of the log that is committed, as far as this voter knows.
+    /// Length of the committed prefix of the log, as known to this voter.
     pub(super) committed: usize,
-    /// As a leader: length of its log that each voter has.
+    /// As a leader: the length of the log replicated to each voter.
     pub(super) replicated: [usize; VOTERS],
-    /// As a leader: the log's time, once it knows all that was committed.
+    /// As a leader: the log's time, once the leader knows all committed entries.
     pub(super) time: Option<u64>,
-    /// As a leader: units of time that don't count, as it was held up.
-    pub(super) held_up_time: u64,
+    /// As a leader: units of time that don't count because it was stalled.
+    pub(super) stalled_time: u64,
 }
 
 impl Voter {
@@ -53,7 +53,7 @@
             committed: 1,
             replicated: if is_leader { [1; VOTERS] } else { [0; VOTERS] },
             time: is_leader.then_some(0),
-            held_up_time: 0,
+            stalled_time: 0,
         }
     }
 
@@ -64,20 +64,20 @@
         }
     }
 
-    /// No longer leads; a voter that hears of a later term follows that.
+    /// Becomes a follower in this term.
     pub(super) fn follow(&mut self, term: u8) {
         self.term = term;
         self.is_leader = false;
         self.time = None;
     }
 
-    /// Whether an entry of its own term is committed: then it knows all that was committed before.
+    /// Returns whether an entry of the voter's own term is committed, in which case it knows all entries committed before.
     pub(super) fn knows_all_committed(&self) -> bool {
         let last_committed = self.committed.checked_sub(1).map(|last| &self.log[last]);
         last_committed.is_some_and(|last| last.term == self.term)
     }
 
-    /// The lease table that the committed entries make.
+    /// Returns the lease table that results from the committed entries.
     pub(super) fn leases(&self) -> Leases {
         let mut leases = Leases::default();
         for (index, logged) in (1..).zip(&self.log[..self.committed]) {
@@ -96,7 +96,7 @@
     pub(super) command: Command,
 }
 
-/// A lease as its holder knows it.
+/// A lease as seen by its holder.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct HeldLease {
     pub(super) fence: u64,
@@ -107,12 +107,12 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Requester {
     pub(super) pending: Option<PendingRequest>,
-    /// How many requests it has made; the number of the last.
+    /// Number of requests made so far, which is also the number of the last one.
     pub(super) requests: u64,
     pub(super) held: Option<HeldLease>,
 }
 
-/// The model's state.
+/// The state of the model.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct State {
     pub(super) now: u64,
@@ -120,11 +120,11 @@
     pub(super) requesters: Vec<Requester>,
     pub(super) crashes: u8,
     pub(super) cuts: u8,
-    /// The voter that is cut off from the others.
+    /// The voter that is partitioned from the others.
     pub(super) cut_off: Option<usize>,
-    /// The longest committed log that any voter knew.
+    /// The longest committed prefix known to any voter so far.
     pub(super) committed: Vec<LogEntry>,
-    /// Two voters knew different committed entries at the same index.
+    /// Whether two voters knew different committed entries at the same index.
     pub(super) has_diverged: bool,
 }
 
@@ -154,7 +154,7 @@
         is_connected(one) && is_connected(other)
     }
 
-    /// Whether steps with this voter need not be tried, as another voter is the same in all.
+    /// Returns whether steps of this voter can be skipped because another voter is in the same state (symmetry reduction).
     pub(super) fn is_redundant(&self, voter: usize) -> bool {
         let replicated = &self.voters[0].replicated;
         voter == 2
@@ -163,29 +163,29 @@
             && !matches!(self.cut_off, Some(1 | 2))
     }
 
-    /// Whether a leader may turn out to have been held up for a unit of time.
-    pub(super) fn can_hold_up(&self, voter: usize) -> bool {
+    /// Returns whether a leader may have been stalled for a unit of time.
+    pub(super) fn can_stall(&self, voter: usize) -> bool {
         let voter = &self.voters[voter];
         let is_ahead = |time: u64| time > voter.leases().time();
         voter.is_leader
-            && voter.held_up_time == 0
+            && voter.stalled_time == 0
             && self.now > 0
             && voter.time.is_some_and(is_ahead)
     }
 
-    /// Requesters with a pending request, and that request.
+    /// Returns the requesters that have a pending request, with that request.
     pub(super) fn pending_requesters(&self) -> impl Iterator<Item = (usize, &PendingRequest)> {
         let requesters = self.requesters.iter().enumerate();
         requesters.filter_map(|(number, requester)| Some((number, requester.pending.as_ref()?)))
     }
 
-    /// Whether a requester would use the lease now.
+    /// Returns whether a requester may use the lease now.
     pub(super) fn uses_lease(&self, requester: usize) -> bool {
         let held = &self.requesters[requester].held;
         held.as_ref().is_some_and(|lease| self.now < lease.until)
     }
 
-    /// As the leader: commits what a majority has.
+    /// Commits the entries that a majority of voters has.
     pub(super) fn commit(&mut self, leader: usize) {
         let voter = &mut self.voters[leader];
         let can_commit = |length: &usize| {
@@ -204,7 +204,7 @@
         self.compare_committed(leader);
     }
 
-    /// Compares what a voter knows to be committed with what others knew.
+    /// Compares the committed entries known to a voter with those known to others.
     pub(super) fn compare_committed(&mut self, voter: usize) {
         let voter = &self.voters[voter];
         let known = &voter.log[..voter.committed];
--- a/crates/cluster-simulation/src/model/steps.rs
+++ b/crates/cluster-simulation/src/model/steps.rs
@@ -1,32 +1,32 @@
-//! The model's steps, and what each does to the state.
+//! The steps of the model and their effects.
 
 use super::state::{HeldLease, LogEntry, PendingRequest, State, VOTERS};
-use super::Mistake;
+use super::Defect;
 use driftfront_cluster::consensus::leases::{Command, Entry, Outcome, RequestId};
 
-/// The lease's duration in units of time.
+/// Duration of the lease, in units of time.
 const LEASE_DURATION: u64 = 2;
-/// All requesters have one process.
+/// Session number of all requesters, none of which restarts.
 const SESSION: u64 = 1;
 
-/// A step. Voters and requesters are numbered.
+/// A step, with voters and requesters given by number.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Time goes on by a unit, and with it that of leaders.
+    /// Time advances by a unit, including that of leaders.
     Tick,
-    /// A leader was held up meanwhile: a unit of its time does not count.
-    HoldUp(usize),
+    /// A leader was stalled, so a unit of its time does not count.
+    Stall(usize),
     /// A voter crashes.
     Crash(usize),
-    /// A voter starts again.
+    /// A crashed voter restarts.
     Start(usize),
-    /// A voter is cut off from the others.
+    /// A voter is partitioned from the others.
     Cut(usize),
-    /// Nobody is cut off any more.
+    /// The partition ends.
     Heal,
-    /// A voter asks all voters that it reaches for their votes.
+    /// A voter requests votes from all voters that it can reach.
     Elect(usize),
-    /// A leader sends a follower its log.
+    /// A leader sends its log to a follower.
     Replicate {
         /// The leader.
         leader: usize,
@@ -35,14 +35,14 @@
     },
     /// A requester requests the lease.
     Request(usize),
-    /// A request reaches a leader, which appends it to its log.
+    /// A leader receives a request and appends it to its log.
     Propose {
         /// The leader.
         leader: usize,
         /// The requester.
         requester: usize,
     },
-    /// A voter sends a requester the outcome of its request.
+    /// A voter sends the outcome of a request to its requester.
     Respond {
         /// The voter.
         voter: usize,
@@ -54,11 +54,11 @@
 }
 
 impl State {
-    /// Does a step; `None` where it is not possible.
-    pub(super) fn apply(&mut self, step: &Step, mistake: Mistake) -> Option<()> {
+    /// Applies a step. Returns `None` if it is not possible.
+    pub(super) fn apply(&mut self, step: &Step, defect: Defect) -> Option<()> {
         match *step {
             Step::Tick => self.tick(),
-            Step::HoldUp(leader) => self.hold_up(leader),
+            Step::Stall(leader) => self.stall(leader),
             Step::Crash(voter) => self.crash(voter),
             Step::Start(voter) => self.voters[voter].is_up = true,
             Step::Cut(voter) => {
@@ -69,8 +69,8 @@
             Step::Elect(candidate) => self.elect(candidate)?,
             Step::Replicate { leader, follower } => self.replicate(leader, follower),
             Step::Request(requester) => self.request(requester),
-            Step::Propose { leader, requester } => self.propose(leader, requester, mistake)?,
-            Step::Respond { voter, requester } => self.respond(voter, requester, mistake)?,
+            Step::Propose { leader, requester } => self.propose(leader, requester, defect)?,
+            Step::Respond { voter, requester } => self.respond(voter, requester, defect)?,
             Step::Release(requester) => self.release(requester)?,
         }
         Some(())
@@ -83,10 +83,10 @@
         }
     }
 
-    fn hold_up(&mut self, leader: usize) {
+    fn stall(&mut self, leader: usize) {
         let voter = &mut self.voters[leader];
         voter.time = voter.time.map(|time| time - 1);
-        voter.held_up_time = 1;
+        voter.stalled_time = 1;
     }
 
     fn crash(&mut self, voter: usize) {
@@ -108,7 +108,7 @@
                 && voter.log_end() <= own_end
         };
         let supporters: Vec<usize> = (0..VOTERS).filter(votes).collect();
-        // A lost election changes only terms, and so does the next one that is won.
+        // A lost election only changes terms. The next one that is won does so anyway.
         if supporters.len() < VOTERS / 2 {
             return None;
         }
@@ -119,7 +119,7 @@
         leader.term = term;
         leader.is_leader = true;
         leader.time = None;
-        leader.held_up_time = 0;
+        leader.stalled_time = 0;
         leader.log.push(LogEntry { term, entry: None });
         leader.replicated = [0; VOTERS];
         leader.replicated[candidate] = leader.log.len();
@@ -135,7 +135,7 @@
             return;
         }
         receiver.follow(sender.term);
-        // Within its term a leader never sends less than before.
+        // Within a term, a leader never sends a shorter log than before.
         receiver.log.clone_from(&sender.log);
         receiver.committed = receiver.committed.max(sender.committed);
         self.compare_committed(follower);
@@ -170,12 +170,12 @@
         });
     }
 
-    fn propose(&mut self, leader: usize, requester: usize, mistake: Mistake) -> Option<()> {
+    fn propose(&mut self, leader: usize, requester: usize, defect: Defect) -> Option<()> {
         let owner = requester.to_string();
         let request = self.requesters[requester].requests;
         let command = self.requesters[requester].pending.as_ref()?.command.clone();
         let voter = &mut self.voters[leader];
-        // A leader appends a request only once; the next leader may append it again.
+        // A leader appends a request only once. A later leader may append it again.
         let is_same = |entry: &Entry| entry.owner == owner && entry.request == request;
         let is_appended = voter
             .log
@@ -186,8 +186,8 @@
         }
         let entries = voter.log.iter().filter_map(|logged| logged.entry.as_ref());
         let last_time = entries.map(|entry| entry.time).max().unwrap_or(0);
-        let time = match mistake {
-            Mistake::UsesOwnClock => last_time + self.now,
+        let time = match defect {
+            Defect::UsesOwnClock => last_time + self.now,
             _ => voter.time.unwrap_or(last_time).max(last_time),
         };
         let entry = Entry {
@@ -205,7 +205,7 @@
         Some(())
     }
 
-    fn respond(&mut self, voter: usize, requester: usize, mistake: Mistake) -> Option<()> {
+    fn respond(&mut self, voter: usize, requester: usize, defect: Defect) -> Option<()> {
         let id = RequestId {
             session: SESSION,
             number: self.requesters[requester].requests,
@@ -214,8 +214,8 @@
         let outcome = leases.outcome(&requester.to_string(), id)?;
         let requester = &mut self.requesters[requester];
         let first_sent_at = requester.pending.take()?.first_sent_at;
-        let counted_from = match mistake {
-            Mistake::CountsFromResponse => self.now,
+        let counted_from = match defect {
+            Defect::CountsFromResponse => self.now,
             _ => first_sent_at,
         };
         if let Outcome::Granted { fence } = *outcome {
--- a/crates/cluster-simulation/src/script/links.rs
+++ b/crates/cluster-simulation/src/script/links.rs
@@ -1,16 +1,16 @@
-//! The links between members, as fault actions change them.
+//! The links between members and engines, and how fault actions change them.
 
 use super::{Directions, Group, Link};
 use std::collections::BTreeMap;
 
-/// The links between all members, and engines numbered behind them, as fault actions change them.
+/// The links between all members and engines. Engines are numbered after the members.
 pub struct Links {
     members: u32,
     engines: u32,
     zones: u32,
-    /// Links that no action has changed.
+    /// The properties of links that no action has changed.
     unchanged: Link,
-    /// Changed links; the latest that matches counts.
+    /// Changed links. The latest match takes precedence.
     changed: Vec<ChangedLink>,
     cuts: BTreeMap<Direction, Link>,
 }
@@ -29,7 +29,7 @@
 }
 
 impl Links {
-    /// Links between members, none of them changed yet.
+    /// Creates the links between members, all with the properties `unchanged`.
     pub fn new(members: u32, zones: u32, unchanged: Link) -> Links {
         Links {
             members,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Adds engines: the first has the number behind the last member's.
+    /// Adds engines, which are numbered after the members.
     pub fn with_engines(self, engines: u32) -> Links {
         Links { engines, ..self }
     }
@@ -53,13 +53,13 @@
         }
     }
 
-    /// All members and engines of these groups, by number.
+    /// Returns the numbers of the members and engines in these groups.
     pub fn all_of(&self, groups: &[Group]) -> Vec<u32> {
         let is_named = |number: &u32| groups.iter().any(|group| self.contains(group, *number));
         (0..self.members + self.engines).filter(is_named).collect()
     }
 
-    /// The link from one member to another.
+    /// Returns the link from one member or engine to another.
     pub fn between(&self, from: u32, to: u32) -> Link {
         if let Some(cut) = self.cuts.get(&Direction { from, to }) {
             return *cut;
@@ -87,7 +87,7 @@
         self.partition(members, &others, directions);
     }
 
-    /// Blocks traffic between these members and others; directions are of the former.
+    /// Blocks traffic between these members and others. Directions are seen from the former.
     pub fn partition(&mut self, members: &[u32], others: &[u32], directions: Directions) {
         for &member in members {
             for &other in others {
--- a/crates/cluster-simulation/src/script/mod.rs
+++ b/crates/cluster-simulation/src/script/mod.rs
@@ -1,20 +1,20 @@
-//! Fault scripts, as data: which fault is injected into which members, and when.
+//! Fault scripts, which define the faults that are injected, their targets and their times.
 //!
 //! ```kdl
 //! members 8 zones=2            // m0 .. m7, zone z0, z1 in turn
-//! voters 3 keeps=#true replace-after="10 s"   // m0 .. m2 replicate the consensus log, on disk with keeps
+//! voters 3 keeps=#true replace-after="10 s"   // m0 .. m2 replicate the consensus log; keeps: persistently
 //! seed 7
 //! until "40 s"
 //! link "all" "all" delay="2 ms" jitter="1 ms"
-//! at "5 s" { cut "m0" "m1" }                   // between those and all others, both ways
-//! at "6 s" { cut "z1" ways="out" }              // what they send is lost, what they receive is not
+//! at "5 s" { cut "m0" "m1" }                   // between these and all other members, both ways
+//! at "6 s" { cut "z1" ways="out" }              // only outgoing traffic is blocked
 //! at "9 s" { link "m0" "all" loss=0.3 delay="50 ms" repeat=0.1 }
-//! at "10 s" { part "m0" "z1" from="e0" }        // between those and that engine (or "engines", "m3")
-//! at "11 s" { reset "m0" from="engines" }       // their connections end
-//! at "12 s" { link "m1" "engines" delay="80 ms" throttle=20000 }   // bytes a second
+//! at "10 s" { part "m0" "z1" from="e0" }        // between these and an engine (or "engines", "m3")
+//! at "11 s" { reset "m0" from="engines" }       // closes their connections
+//! at "12 s" { link "m1" "engines" delay="80 ms" throttle=20000 }   // bytes per second
 //! at "15 s" { heal }
-//! at "20 s" { kill "m2" }                      // without leaving
-//! at "21 s" { stop "m3" }                      // suspended, until it is woken
+//! at "20 s" { kill "m2" }                      // without leaving the cluster
+//! at "21 s" { stop "m3" }                      // suspends the process until wake
 //! at "29 s" { wake "m3" }
 //! at "30 s" { start "m2" }
 //! at "31 s" { leave "m4" }
@@ -39,14 +39,14 @@
     Zone(u32),
     /// One member, by number.
     Member(u32),
-    /// All engines; only the harness of processes has some.
+    /// All engines. The simulation has none, only the harness does.
     Engines,
     /// One engine, by number.
     Engine(u32),
 }
 
 impl Group {
-    /// Whether a member belongs to the group.
+    /// Returns whether a member belongs to the group.
     pub fn contains_member(&self, member: u32, zones: u32) -> bool {
         match self {
             Group::All => true,
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Whether an engine belongs to the group.
+    /// Returns whether an engine belongs to the group.
     pub fn contains_engine(&self, engine: u32) -> bool {
         match self {
             Group::Engines => true,
@@ -66,12 +66,12 @@
     }
 }
 
-/// Which directions of a group's traffic a cut blocks.
+/// The directions of a group's traffic that a cut blocks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Directions {
-    /// What the group sends.
+    /// Traffic that the group sends.
     pub outgoing: bool,
-    /// What the group receives.
+    /// Traffic that the group receives.
     pub incoming: bool,
 }
 
@@ -81,37 +81,37 @@
         outgoing: true,
         incoming: true,
     };
-    /// Only what the group sends.
+    /// Only traffic that the group sends.
     pub const OUTGOING: Directions = Directions {
         outgoing: true,
         incoming: false,
     };
-    /// Only what the group receives.
+    /// Only traffic that the group receives.
     pub const INCOMING: Directions = Directions {
         outgoing: false,
         incoming: true,
     };
 }
 
-/// The properties of a link, in one direction between two members.
+/// The properties of one direction of a link between two members.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Link {
     /// Probability that a datagram is lost, from 0 to 1.
     pub loss: f64,
-    /// Probability that a datagram is sent twice, from 0 to 1.
+    /// Probability that a datagram is duplicated, from 0 to 1.
     pub duplication: f64,
     /// Fixed latency.
     pub delay: Micros,
-    /// Further latency, drawn for each datagram below this bound: datagrams may overtake each other.
+    /// Upper bound of the random latency added to each datagram. Datagrams may be reordered because of it.
     pub jitter: Micros,
-    /// Whether all is lost; nothing of a connection arrives.
+    /// Whether all traffic is blocked, including that of connections.
     pub is_cut: bool,
-    /// Bandwidth limit; 0 for none.
+    /// Bandwidth limit, or 0 for none.
     pub bytes_per_second: u64,
 }
 
 impl Default for Link {
-    /// A link within a data center: half a millisecond.
+    /// Returns a link within a data center, with a latency of half a millisecond.
     fn default() -> Link {
         Link {
             loss: 0.0,
@@ -125,7 +125,7 @@
 }
 
 impl Link {
-    /// Draws the latency of each copy of one datagram that arrives; empty if it is lost.
+    /// Draws the latency of each copy of a datagram that arrives. Empty if the datagram is lost.
     pub fn draw_latencies(&self, rng: &mut impl Rng) -> Vec<Micros> {
         let copies = 1 + u32::from(rng.random_bool(self.duplication));
         let mut latencies = Vec::new();
@@ -144,39 +144,39 @@
     }
 }
 
-/// A fault that a script injects, or ends.
+/// An action of a script that injects a fault or ends one.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FaultAction {
     /// Changes the links from the first group to the second.
     Link(Group, Group, Link),
     /// Blocks traffic between these groups and all other members.
     Cut(Vec<Group>, Directions),
-    /// Blocks traffic between these groups and that group; directions are of the former.
+    /// Blocks traffic between these groups and another one. Directions are seen from the former.
     Partition(Vec<Group>, Group, Directions),
-    /// Ends all connections between these groups and that group.
+    /// Closes all connections between these groups and another one.
     Reset(Vec<Group>, Group),
     /// Ends all cuts.
     Heal,
-    /// Kills processes: they don't leave the cluster first.
+    /// Kills processes, which don't leave the cluster first.
     Kill(Vec<Group>),
     /// Suspends processes.
     Suspend(Vec<Group>),
     /// Resumes suspended processes.
     Resume(Vec<Group>),
-    /// Starts processes that ended, under the same names.
+    /// Restarts ended processes under the same names.
     Start(Vec<Group>),
-    /// Ends processes after they left the cluster.
+    /// Makes processes leave the cluster and ends them.
     Leave(Vec<Group>),
-    /// Sets clocks forward, or back, by so many microseconds.
+    /// Steps clocks by an offset in microseconds, which may be negative.
     Clock(Vec<Group>, i64),
 }
 
-/// A fault action and its time.
+/// An action and its time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TimedAction {
-    /// When, from the script's start.
+    /// When, relative to the start of the script.
     pub at: Micros,
-    /// What happens.
+    /// The action.
     pub action: FaultAction,
 }
 
@@ -185,13 +185,13 @@
 pub struct Script {
     /// The number of members.
     pub members: u32,
-    /// The number of zones, to which members belong in turn.
+    /// The number of zones. Members are assigned round-robin.
     pub zones: u32,
-    /// The first so many members are the initial voters of the consensus log; 0: there is none.
+    /// The number of initial voters of the consensus log, which are the first members. 0 disables consensus.
     pub voters: u32,
     /// Whether voters persist the log.
     pub persists_log: bool,
-    /// A voter that is down for so long is replaced.
+    /// How long a voter may be down before it is replaced.
     pub replace_after: Micros,
     /// The seed of all random draws.
     pub seed: u64,
@@ -202,7 +202,7 @@
 }
 
 impl Script {
-    /// The members of these groups, by number.
+    /// Returns the numbers of the members in these groups.
     pub fn members_of(&self, groups: &[Group]) -> Vec<u32> {
         let is_named = |member: &u32| {
             let mut groups = groups.iter();
@@ -211,11 +211,11 @@
         (0..self.members).filter(is_named).collect()
     }
 
-    /// Reads a script.
+    /// Parses a script.
     ///
     /// # Errors
     ///
-    /// Fails where the text is not KDL, and where a node is unknown or has wrong arguments; the error names the line.
+    /// Fails if the text is not KDL, or a node is unknown or has invalid arguments. The error contains the line.
     pub fn read(text: &str) -> Result<Script, ScriptError> {
         reader::read_script(text)
     }
--- a/crates/cluster-simulation/src/script/reader.rs
+++ b/crates/cluster-simulation/src/script/reader.rs
@@ -1,15 +1,15 @@
-//! Reads scripts from KDL.
+//! Parses scripts from KDL.
 
 use super::{Directions, FaultAction, Group, Link, Script, TimedAction};
 use driftfront_cluster::Micros;
 use kdl::{KdlDocument, KdlEntry, KdlNode};
 
-/// Members of a script at most.
+/// Maximum number of members.
 const MAX_MEMBERS: u64 = 1000;
-/// Voters of a script at most.
+/// Maximum number of voters.
 const MAX_VOTERS: u64 = 5;
 
-/// Why a script can't be read. Lines count from 1.
+/// Why a script can't be parsed. Lines count from 1.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ScriptError {
     /// The text is not KDL.
@@ -18,14 +18,14 @@
         /// The line.
         line: usize,
     },
-    /// A node is unknown, or its arguments are wrong.
+    /// A node is unknown or has invalid arguments.
     #[error("line {line}: {node}: {problem}")]
     WrongNode {
         /// The line.
         line: usize,
         /// The node's name.
         node: String,
-        /// What is wrong with it.
+        /// What is wrong with the node.
         problem: ScriptProblem,
     },
 }
@@ -39,13 +39,13 @@
     /// The time is missing or malformed.
     #[error("it takes a time, as \"5 s\"")]
     TimeExpected,
-    /// There are no groups, or one of them is malformed.
+    /// There are no groups, or one is malformed.
     #[error("write \"m0\", \"z1\" or \"all\"")]
     GroupsExpected,
-    /// A link has not two groups.
+    /// A link does not have exactly two groups.
     #[error("it takes two groups, from and to")]
     TwoGroupsExpected,
-    /// A property that is a time is malformed.
+    /// The time in a property is malformed.
     #[error("a time is \"5 ms\" or \"2 s\"")]
     MalformedTime,
     /// A probability is malformed or out of range.
@@ -54,18 +54,18 @@
     /// The directions are malformed.
     #[error("ways is \"both\", \"out\" or \"in\"")]
     MalformedDirections,
-    /// The group of the other side is missing or malformed.
+    /// The property `from` is missing or malformed.
     #[error("write from=\"engines\", \"e0\" or \"m3\"")]
     FromExpected,
-    /// The step of a clock is missing or malformed.
+    /// The clock step is missing or malformed.
     #[error("write by=\"3600 s\" or by=\"-3600 s\"")]
     ClockStepExpected,
-    /// There is no such fault action.
+    /// The action is unknown.
     #[error("no such deed")]
     UnknownAction,
 }
 
-/// Reads a script.
+/// Parses a script.
 pub(super) fn read_script(text: &str) -> Result<Script, ScriptError> {
     let document = KdlDocument::parse(text).map_err(|error| {
         let diagnostic = error.diagnostics.first();
@@ -91,13 +91,13 @@
     Ok(script)
 }
 
-/// The line of an offset, from 1.
+/// Returns the line that contains an offset, counted from 1.
 fn line_at(text: &str, offset: usize) -> usize {
     let before = &text[..offset.min(text.len())];
     before.matches('\n').count() + 1
 }
 
-/// Reads one node.
+/// Parses a node.
 struct NodeReader<'a> {
     text: &'a str,
     node: &'a KdlNode,
@@ -106,8 +106,8 @@
 impl NodeReader<'_> {
     fn error(&self, problem: ScriptProblem) -> ScriptError {
         let offset = self.node.span().offset().min(self.text.len());
-        let behind = &self.text[offset..];
-        let skipped = behind.find(|c: char| !c.is_whitespace()).unwrap_or(0);
+        let rest = &self.text[offset..];
+        let skipped = rest.find(|c: char| !c.is_whitespace()).unwrap_or(0);
         ScriptError::WrongNode {
             line: line_at(self.text, offset + skipped),
             node: self.node.name().value().into(),
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Reads a node of the script's first level.
+    /// Parses a top-level node into the script.
     fn read_into(&self, script: &mut Script) -> Result<(), ScriptError> {
         match self.node.name().value() {
             "members" => {
@@ -182,7 +182,7 @@
         time.ok_or_else(|| self.error(ScriptProblem::MalformedTime))
     }
 
-    /// A property that is a probability; 0 without it.
+    /// Parses a property that is a probability. Returns 0 if it is missing.
     fn probability_of(&self, key: &str) -> Result<f64, ScriptError> {
         let Some(value) = self.node.get(key) else {
             return Ok(0.0);
@@ -247,7 +247,7 @@
         Ok(FaultAction::Link(from.clone(), to.clone(), link))
     }
 
-    /// By how many microseconds a clock is set.
+    /// Parses a clock step, in microseconds.
     fn clock_step(&self) -> Result<i64, ScriptError> {
         let by = self.node.get("by").and_then(|v| v.as_string());
         let by = by.unwrap_or_default();
@@ -271,10 +271,10 @@
     }
 }
 
-/// Longest time of a script, in microseconds.
+/// Maximum time in a script, in microseconds.
 const MAX_TIME_MICROS: f64 = 1e13;
 
-/// A time such as `"500 ms"`.
+/// Parses a time such as `"500 ms"`.
 fn parse_time(text: &str) -> Option<Micros> {
     let text = text.trim();
     let split = text.find(|c: char| c.is_alphabetic())?;
@@ -291,7 +291,7 @@
     }
     #[allow(
         clippy::cast_possible_truncation,
-        reason = "bounded above, and what is less than a microsecond is cut"
+        reason = "bounded above, and fractions of a microsecond are truncated"
     )]
     Some(micros as Micros)
 }
--- a/crates/cluster-simulation/src/world/events.rs
+++ b/crates/cluster-simulation/src/world/events.rs
@@ -1,4 +1,4 @@
-//! What happens by itself, ordered by time.
+//! The queue of scheduled events, ordered by time.
 
 use driftfront_cluster::Micros;
 use std::collections::BTreeMap;
@@ -9,22 +9,22 @@
     Tick(u32),
     /// A datagram arrives at a member.
     Arrival { receiver: u32, bytes: Vec<u8> },
-    /// The disk has completed the next write of a member's process of this incarnation.
+    /// The disk has completed the next write of this incarnation of a member's process.
     WriteCompleted { member: u32, incarnation: u32 },
 }
 
-/// Events happen by time, and at the same time in the order in which they were scheduled.
+/// Orders events by time, and events at the same time by the order in which they were scheduled.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct EventKey {
     at: Micros,
     number: u64,
 }
 
-/// Events that are scheduled.
+/// The queue of scheduled events.
 #[derive(Default)]
 pub(super) struct EventQueue {
     events: BTreeMap<EventKey, Event>,
-    /// How many were scheduled so far.
+    /// Number of events scheduled so far.
     scheduled: u64,
 }
 
@@ -35,12 +35,12 @@
         self.events.insert(EventKey { at, number }, event);
     }
 
-    /// When the next event happens.
+    /// Returns the time of the next event.
     pub(super) fn next_at(&self) -> Option<Micros> {
         self.events.first_key_value().map(|(key, _)| key.at)
     }
 
-    /// Takes the next event.
+    /// Removes and returns the next event.
     pub(super) fn pop(&mut self) -> Option<Event> {
         self.events.pop_first().map(|(_, event)| event)
     }
--- a/crates/cluster-simulation/src/world/faults.rs
+++ b/crates/cluster-simulation/src/world/faults.rs
@@ -1,10 +1,10 @@
-//! Applies a script's fault actions.
+//! Applies the fault actions of a script.
 
 use super::World;
 use crate::script::{FaultAction, Group};
 
 impl World {
-    /// Applies an action at the present time.
+    /// Applies an action at the current time.
     pub(super) fn apply_action(&mut self, action: FaultAction) {
         match action {
             FaultAction::Link(from, to, link) => self.links.set(&from, &to, link),
@@ -20,7 +20,7 @@
             // The simulation has no connections.
             FaultAction::Reset(..) => {}
             FaultAction::Heal => self.links.heal(),
-            FaultAction::Kill(groups) => self.for_each_of(&groups, World::end),
+            FaultAction::Kill(groups) => self.for_each_of(&groups, World::kill),
             FaultAction::Suspend(groups) => self.for_each_of(&groups, World::suspend),
             FaultAction::Resume(groups) => self.for_each_of(&groups, World::resume),
             FaultAction::Start(groups) => self.for_each_of(&groups, World::start),
--- a/crates/cluster-simulation/src/world/input_output.rs
+++ b/crates/cluster-simulation/src/world/input_output.rs
@@ -1,4 +1,4 @@
-//! What processes do at an event: they check their timers, read what has arrived, send and write.
+//! Handles events of processes: ticks, incoming datagrams, completed writes, and the resulting output.
 
 use super::events::Event;
 use super::members::member_at;
@@ -8,14 +8,14 @@
 use std::net::SocketAddr;
 use std::ops::Range;
 
-/// How long a write to the disk takes.
+/// Range of the duration of a disk write.
 const WRITE_TIME: Range<Micros> = 500..8_000;
 /// Offset basis and prime of the 64-bit FNV-1a hash.
 pub(super) const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x0100_0000_01b3;
 
 impl World {
-    /// Handles an event; whether a running member has checked its timers.
+    /// Handles an event. Returns whether it was a tick of a running member.
     pub(super) fn handle_event(&mut self, event: Event) -> bool {
         match event {
             Event::Tick(member) => return self.handle_tick(member),
@@ -32,7 +32,7 @@
         false
     }
 
-    /// A process does what is due; whether it runs and is not suspended.
+    /// Lets a process handle its due timers. Returns false if it is suspended.
     fn handle_tick(&mut self, member: u32) -> bool {
         if self.process(member).agent.is_some() {
             self.events
@@ -55,7 +55,7 @@
         true
     }
 
-    /// A process reads what has arrived, unless it is suspended.
+    /// Lets a process read the datagrams in its socket, unless it is suspended.
     pub(super) fn handle_arrived(&mut self, member: u32) {
         let clock = self.clock(member);
         if self.process(member).is_running() {
@@ -80,7 +80,7 @@
         self.collect_output(member);
     }
 
-    /// Sends and writes what a process has ready.
+    /// Sends the outgoing datagrams of a process and starts its writes.
     fn collect_output(&mut self, member: u32) {
         let process = self.process_mut(member);
         let Some(agent) = &mut process.agent else {
--- a/crates/cluster-simulation/src/world/lifecycle.rs
+++ b/crates/cluster-simulation/src/world/lifecycle.rs
@@ -1,17 +1,17 @@
-//! Starts, suspends and ends processes.
+//! Starts, suspends, resumes and ends processes.
 
 use super::events::Event;
 use super::{keyring, member_addr, member_name, World, TICK_INTERVAL};
 use driftfront_cluster::{consensus, Identity, MemberMetadata, Options};
 use rand::Rng;
 
-/// The first members, whose addresses all members know at their start.
+/// Number of seed members, whose addresses all members know from the start.
 const SEEDS: u32 = 3;
 
 impl World {
-    /// Starts a member's process, unless it runs.
+    /// Starts a member's process unless it is running.
     pub(super) fn start(&mut self, member: u32) {
-        // Drawn even if the process runs: else the same seed would give another run.
+        // Drawn even if the process is running, so that the following draws don't depend on it.
         let seed = self.rng.random();
         let first_tick = self.rng.random_range(0..TICK_INTERVAL);
         let session = Identity::session_at(self.clock(member), self.rng.random());
@@ -55,8 +55,8 @@
         }
     }
 
-    /// Ends a member's process without leaving the cluster.
-    pub(super) fn end(&mut self, member: u32) {
+    /// Kills a member's process, which does not leave the cluster first.
+    pub(super) fn kill(&mut self, member: u32) {
         let rng = &mut self.rng;
         let process = &mut self.processes[member as usize];
         process.end(|length| rng.random_range(0..=length));
@@ -70,19 +70,19 @@
         self.process_mut(member).is_suspended = true;
     }
 
-    /// Resumes a suspended process: it reads what has arrived meanwhile.
+    /// Resumes a suspended process, which then reads the datagrams that have arrived.
     pub(super) fn resume(&mut self, member: u32) {
         self.process_mut(member).is_suspended = false;
         self.handle_arrived(member);
     }
 
-    /// Ends a member's process after it left the cluster.
+    /// Makes a member leave the cluster, and ends its process.
     pub(super) fn leave(&mut self, member: u32) {
         let clock = self.clock(member);
         if let Some(agent) = self.agent(member) {
             agent.leave(clock);
         }
         self.handle_arrived(member);
-        self.end(member);
+        self.kill(member);
     }
 }
--- a/crates/cluster-simulation/src/world/members.rs
+++ b/crates/cluster-simulation/src/world/members.rs
@@ -1,30 +1,30 @@
-//! Names, addresses and the key of simulated members.
+//! Names, addresses and the shared key of simulated members.
 
 use driftfront_cluster::{Key, Keyring};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
-/// The key that all members share.
+/// The key shared by all members.
 pub const KEY: &str = "000102030405060708090a0b0c0d0e0f";
 
 const PORT: u16 = 7946;
 
-/// The name of a member.
+/// Returns the name of a member.
 pub fn member_name(member: u32) -> String {
     format!("m{member}")
 }
 
-/// The number of the member of this name.
+/// Returns the number of the member with this name.
 pub(super) fn member_named(name: &str) -> Option<u32> {
     name.strip_prefix('m')?.parse().ok()
 }
 
-/// The address that receives a member's datagrams: its number is in the last two bytes.
+/// Returns the address of a member. The last two bytes contain its number.
 pub fn member_addr(member: u32) -> SocketAddr {
     let [_, _, high, low] = member.to_be_bytes();
     SocketAddr::from(([127, 1, high, low], PORT))
 }
 
-/// The number of the member at this address.
+/// Returns the number of the member at this address.
 pub(super) fn member_at(addr: SocketAddr) -> Option<u32> {
     match addr.ip() {
         IpAddr::V4(ip) => Some(number_of(ip)),
@@ -37,11 +37,11 @@
     u32::from_be_bytes([0, 0, high, low])
 }
 
-/// A keyring with the key that all members share.
+/// Returns a keyring with the key shared by all members.
 ///
 /// # Panics
 ///
-/// Never: the key is well-formed.
+/// Never panics, since the key is well-formed.
 pub fn keyring() -> Keyring {
     Keyring::from_key(Key::parse(KEY).expect("a key of 32 hex digits"))
 }
--- a/crates/cluster-simulation/src/world/mod.rs
+++ b/crates/cluster-simulation/src/world/mod.rs
@@ -1,14 +1,15 @@
-//! Many members and the network between them on virtual time: one thread, one seed, and the same bytes in each run.
+//! Simulates members and the network between them on virtual time. A run is single-threaded and deterministic: the same seed sends
+//! the same bytes.
 //!
 //! | module | what it does |
 //! | --- | --- |
-//! | this | the main loop, and what a run shows |
-//! | `events` | the queue of events |
-//! | `process` | one process: agent, socket, clock, disk |
-//! | `lifecycle` | starts, suspends and ends processes |
-//! | `input_output` | what processes do at an event: ticks, datagrams, writes |
+//! | this | the main loop and the results of a run |
+//! | `events` | the event queue |
+//! | `process` | a process with its agent, socket, clock and disk |
+//! | `lifecycle` | starts, suspends, resumes and ends processes |
+//! | `input_output` | handles ticks, datagrams and writes |
 //! | `faults` | applies fault actions |
-//! | `members` | names, addresses and the key of members |
+//! | `members` | names, addresses and the shared key of members |
 
 mod events;
 mod faults;
@@ -30,25 +31,25 @@
 use rand::SeedableRng;
 use std::collections::BTreeMap;
 
-/// What clocks show when a script starts: later than any script sets one back.
+/// Clock value at the start of a script, larger than any backward clock step of a script.
 const START: Micros = 100_000_000_000;
-/// A process checks its timers this often.
+/// Interval at which a process checks its timers.
 const TICK_INTERVAL: Micros = 25_000;
 
-/// What happens next.
+/// The next step of a run.
 enum Step {
     Action(FaultAction),
     Event(Event),
 }
 
-/// A change of how one member sees another.
+/// A change of one member's view of another.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ViewChange {
-    /// When, from the script's start.
+    /// When, relative to the start of the script.
     pub at: Micros,
-    /// The member that sees it.
+    /// The member whose view changed.
     pub observer: u32,
-    /// The member that is seen.
+    /// The member whose status changed.
     pub subject: u32,
     /// The new status.
     pub status: MemberStatus,
@@ -63,18 +64,18 @@
     links: Links,
     events: EventQueue,
     rng: SmallRng,
-    /// How members see each other, by observer and subject.
+    /// The members' views of each other, by observer and subject.
     views: BTreeMap<(u32, u32), MemberStatus>,
-    /// All changes of how members see each other, in order.
+    /// All changes of the members' views of each other, in order.
     pub view_changes: Vec<ViewChange>,
-    /// FNV-1a hash of all bytes that were sent, to compare runs.
+    /// FNV-1a hash of all bytes sent, for comparing runs.
     pub trace: u64,
-    /// The lease workload, if there is one: see [`World::start_lease_workload`].
+    /// The lease workload, if one was started with [`World::start_lease_workload`].
     pub lease_workload: Option<LeaseWorkload>,
 }
 
 impl World {
-    /// All members of a script, just started.
+    /// Creates the world of a script, with all members started.
     pub fn new(script: Script) -> World {
         let processes = (0..script.members).map(|_| Process::default());
         let mut world = World {
@@ -96,29 +97,29 @@
         world
     }
 
-    /// Time since the script's start.
+    /// Returns the time since the start of the script.
     pub fn time(&self) -> Micros {
         self.now - START
     }
 
-    /// Applies the actions of a script's text now.
+    /// Applies the actions of these script lines now.
     ///
     /// # Panics
     ///
-    /// Where the text is no script.
+    /// Panics if the text is not a valid script.
     pub fn apply_text(&mut self, text: &str) {
-        let script = Script::read(text).expect("a script");
+        let script = Script::read(text).expect("a valid script");
         for timed in script.actions {
             self.apply_action(timed.action);
         }
     }
 
-    /// From now on members request leases, and violations are recorded.
+    /// Makes members request leases from now on, and records violations.
     pub fn start_lease_workload(&mut self, load: LeaseLoad) {
         self.lease_workload = Some(LeaseWorkload::new(load, self.script.seed));
     }
 
-    /// A running member whose replica leads the log, if there is one.
+    /// Returns a running member that is the leader of the consensus log, if there is one.
     pub fn leader(&self) -> Option<u32> {
         let leads = |member: &u32| {
             let consensus = self.process(*member).consensus();
@@ -128,39 +129,39 @@
         self.running_members().into_iter().find(leads)
     }
 
-    /// A member's disk, to be inspected or corrupted.
+    /// Returns a member's disk, for inspection or corruption.
     pub fn disk_mut(&mut self, member: u32) -> &mut Vec<u8> {
         &mut self.process_mut(member).disk
     }
 
-    /// What a member's clock shows.
+    /// Returns the value of a member's clock.
     pub fn clock(&self, member: u32) -> Micros {
         self.process(member).clock(self.now)
     }
 
-    /// A member's agent, while its process runs or is suspended.
+    /// Returns a member's agent, while its process runs or is suspended.
     pub fn agent(&mut self, member: u32) -> Option<&mut Cluster> {
         self.process_mut(member).agent.as_mut()
     }
 
-    /// Members whose processes run and are not suspended.
+    /// Returns the members whose processes run and are not suspended.
     pub fn running_members(&self) -> Vec<u32> {
         (0..self.script.members)
             .filter(|&member| self.process(member).is_running())
             .collect()
     }
 
-    /// A member's counters over all its starts.
+    /// Returns a member's counters, summed over all its incarnations.
     pub fn counters(&self, member: u32) -> Counters {
         self.process(member).counters()
     }
 
-    /// How one member sees another; `None` where it does not know it.
+    /// Returns the status of one member as seen by another; `None` if the observer does not know it.
     pub fn status(&self, observer: u32, subject: u32) -> Option<MemberStatus> {
         self.views.get(&(observer, subject)).copied()
     }
 
-    /// Whether all running members see exactly these members as not down.
+    /// Returns whether every running member sees exactly these members as not down.
     pub fn all_see_exactly(&self, members: &[u32]) -> bool {
         let sees = |observer: u32, subject: u32| {
             let status = self.status(observer, subject);
@@ -172,7 +173,7 @@
         })
     }
 
-    /// Runs on until this time of the script, or until the condition holds; whether it does. The condition is checked after
+    /// Runs until this time of the script, or until the condition holds. Returns whether it holds. The condition is checked after
     /// each tick of a member.
     pub fn play(&mut self, until: Micros, condition: impl Fn(&World) -> bool) -> bool {
         let end = START + until;
@@ -192,7 +193,7 @@
         condition(self)
     }
 
-    /// Moves the time to the next action or event up to this time, if there is one, and takes it.
+    /// Takes the next action or event up to `end`, if there is one, and advances the time to it.
     fn next_step(&mut self, end: Micros) -> Option<Step> {
         let action_at = self
             .script
@@ -221,7 +222,7 @@
         &mut self.processes[member as usize]
     }
 
-    /// Checks that of no resource more is held than there is, by what each running member may use now.
+    /// Checks that no resource has two holders, according to the leases that each running member may use now.
     fn check_leases(&mut self) {
         let time = self.now - START;
         let Some(workload) = &mut self.lease_workload else {
@@ -236,7 +237,7 @@
         workload.check_usable(time);
     }
 
-    /// Records what has changed in how a member sees the others.
+    /// Records the changes of a member's view of the others.
     fn record_view_changes(&mut self, observer: u32) {
         let at = self.time();
         let Some(agent) = &self.processes[observer as usize].agent else {
--- a/crates/cluster-simulation/src/world/process.rs
+++ b/crates/cluster-simulation/src/world/process.rs
@@ -1,26 +1,26 @@
-//! One simulated process: the member's agent, its socket, its clock and its disk.
+//! A simulated process with its agent, socket, clock and disk.
 
 use driftfront_cluster::consensus::replica::Write;
 use driftfront_cluster::consensus::{store, Consensus};
 use driftfront_cluster::{Cluster, Counters, Micros, Options};
 use std::collections::VecDeque;
 
-/// Datagrams that a socket buffers while its process is suspended.
+/// Maximum number of datagrams in a socket's buffer.
 const MAX_BUFFERED_DATAGRAMS: usize = 256;
 
-/// A member's process, and what outlives it.
+/// A member's process, and the state that survives its restarts.
 #[derive(Default)]
 pub(super) struct Process {
     /// The agent, while the process runs.
     pub(super) agent: Option<Cluster>,
-    /// Suspended: what arrives waits in the socket.
+    /// Whether the process is suspended. Incoming datagrams then stay in the socket.
     pub(super) is_suspended: bool,
     socket: VecDeque<Vec<u8>>,
-    /// How far the process's clock is ahead of the simulation's, in microseconds.
+    /// Offset of the process's clock from the simulated time, in microseconds.
     pub(super) clock_offset: i64,
-    /// How often the process was started: writes of an earlier start mean nothing to the next.
+    /// Number of starts of the process. Completed writes of an earlier incarnation are ignored.
     pub(super) incarnation: u32,
-    /// Counters of earlier starts.
+    /// Counters of earlier incarnations.
     earlier_counters: Counters,
     /// The log file.
     pub(super) disk: Vec<u8>,
@@ -28,27 +28,27 @@
 }
 
 impl Process {
-    /// What the process's clock shows.
+    /// Returns the value of the process's clock.
     pub(super) fn clock(&self, now: Micros) -> Micros {
         now.saturating_add_signed(self.clock_offset)
     }
 
-    /// The agent, unless the process is suspended or ended.
+    /// Returns the agent, unless the process is suspended or ended.
     pub(super) fn running_agent(&mut self) -> Option<&mut Cluster> {
         self.agent.as_mut().filter(|_| !self.is_suspended)
     }
 
-    /// Whether the process runs and is not suspended.
+    /// Returns whether the process runs and is not suspended.
     pub(super) fn is_running(&self) -> bool {
         self.agent.is_some() && !self.is_suspended
     }
 
-    /// The member's part in consensus, while the process runs.
+    /// Returns the member's consensus state, while the process runs.
     pub(super) fn consensus(&self) -> Option<&Consensus> {
         self.agent.as_ref()?.consensus()
     }
 
-    /// Starts the process. Whatever the last write left incomplete is cut from the disk, as the program does.
+    /// Starts the process. Like the real program, it truncates an incomplete last record on the disk.
     pub(super) fn start(&mut self, clock: Micros, options: Options) {
         self.incarnation += 1;
         self.pending_writes.clear();
@@ -60,8 +60,8 @@
         self.is_suspended = false;
     }
 
-    /// Ends the process. A write in progress is torn: `draw_torn_length` draws how many of its bytes reach the disk, up to
-    /// its length.
+    /// Ends the process. A write in progress is torn: `draw_torn_length` returns how many of its bytes, up to its length, reach the
+    /// disk.
     pub(super) fn end(&mut self, draw_torn_length: impl FnOnce(usize) -> usize) {
         self.earlier_counters = self.counters();
         self.agent = None;
@@ -74,7 +74,7 @@
         self.socket.clear();
     }
 
-    /// Buffers a datagram; whether the process runs and had room.
+    /// Buffers a datagram. Returns false if the process does not run or the buffer is full.
     pub(super) fn buffer_datagram(&mut self, bytes: Vec<u8>) -> bool {
         let has_room = self.agent.is_some() && self.socket.len() < MAX_BUFFERED_DATAGRAMS;
         if has_room {
@@ -83,7 +83,7 @@
         has_room
     }
 
-    /// Gives the agent all buffered datagrams.
+    /// Passes all buffered datagrams to the agent.
     pub(super) fn read_socket(&mut self, clock: Micros) {
         if let Some(agent) = &mut self.agent {
             for bytes in self.socket.drain(..) {
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Takes the agent's next writes; how many there were.
+    /// Queues the agent's new writes, and returns their number.
     pub(super) fn queue_writes(&mut self) -> usize {
         let Some(agent) = &mut self.agent else {
             return 0;
@@ -104,7 +104,7 @@
         self.pending_writes.len() - queued_before
     }
 
-    /// Puts the first pending write on the disk and confirms it.
+    /// Writes the first pending write to the disk and confirms it to the agent.
     pub(super) fn complete_write(&mut self) {
         let Some(agent) = &mut self.agent else {
             return;
@@ -119,7 +119,7 @@
         agent.confirm_write(write.number);
     }
 
-    /// Counters over all starts: those that the commands and tests print.
+    /// Returns the counters that commands and tests use, summed over all incarnations.
     pub(super) fn counters(&self) -> Counters {
         let mut sum = self.earlier_counters;
         if let Some(agent) = &self.agent {
--- a/crates/cluster-simulation/tests/golden.rs
+++ b/crates/cluster-simulation/tests/golden.rs
@@ -1,5 +1,5 @@
-//! Scripts, the commands' output and runs on virtual time, compared with golden files. A run's golden file shows whether a
-//! change of the code changed anything that members do: the sum over all that was sent differs with any byte.
+//! Compares parsed scripts, the output of commands and the traces of runs with golden files. The golden file of a run contains a
+//! hash of all bytes sent, so it detects any change in the members' behavior.
 
 use driftfront_cluster::MemberStatus;
 use driftfront_cluster_simulation::lease_workload::{AnsweredRequest, Grant, LeaseLoad};
@@ -33,7 +33,7 @@
     )
 }
 
-/// What a script says, in words of this test.
+/// Describes a script in a format of this test.
 fn describe(script: &Script) -> String {
     let mut text = format!(
         "members {} zones {} voters {} keeps {} replace after {} seed {} until {}\n",
@@ -102,7 +102,7 @@
 "#;
 
 #[test]
-fn scripts_are_read_as_they_were() {
+fn parsed_scripts_match_golden_file() {
     let mut text = String::new();
     for script in [
         "",
@@ -121,9 +121,9 @@
 }
 
 #[test]
-fn scripts_that_are_wrong_are_refused_in_the_same_words() {
+fn errors_of_invalid_scripts_match_golden_file() {
     let mut text = String::new();
-    let wrong = [
+    let invalid = [
         "members",
         "members \"five\"",
         "members -1",
@@ -149,18 +149,18 @@
         "later \"5 s\"",
         "members 5 {",
     ];
-    for script in wrong {
-        let said = match Script::read(script) {
-            Ok(read) => format!("read: {}", describe(&read).trim_end()),
-            Err(why) => why.to_string(),
+    for script in invalid {
+        let result = match Script::read(script) {
+            Ok(script) => format!("read: {}", describe(&script).trim_end()),
+            Err(error) => error.to_string(),
         };
-        let _ = writeln!(text, "{script:?}: {said}");
+        let _ = writeln!(text, "{script:?}: {result}");
     }
     assert_golden!("scripts-wrong.txt", text);
 }
 
 #[test]
-fn storms_are_drawn_as_they_were() {
+fn fault_scenarios_match_golden_file() {
     let mut text = String::new();
     for (members, seed, clocks) in [(8, 1, true), (6, 2, false), (3, 3, true), (20, 4, true)] {
         let _ = writeln!(
@@ -180,14 +180,14 @@
     }
 }
 
-/// A sum over bytes that differs with any of them.
-fn sum(bytes: &[u8]) -> u64 {
-    bytes.iter().fold(0xcbf2_9ce4_8422_2325, |sum, b| {
-        (sum ^ u64::from(*b)).wrapping_mul(0x0100_0000_01b3)
+/// FNV-1a hash of some bytes.
+fn fnv1a(bytes: &[u8]) -> u64 {
+    bytes.iter().fold(0xcbf2_9ce4_8422_2325, |hash, b| {
+        (hash ^ u64::from(*b)).wrapping_mul(0x0100_0000_01b3)
     })
 }
 
-/// Plays a script and writes down, second by second, the sum over all that was sent and each change of a member's view.
+/// Runs a script and records, for each second, the hash of all bytes sent and each change of a member's view.
 fn play(script: Script, load: Option<LeaseLoad>) -> String {
     let (members, until) = (script.members, script.until);
     let mut world = World::new(script);
@@ -223,7 +223,7 @@
         let _ = writeln!(
             text,
             "m{m}: sent {} of {} bytes, taken {}, downs {}, backs {}, withheld {}, disk {} bytes {:016x}",
-            c.sent, c.sent_bytes, c.accepted, c.members_down, c.rejoins, c.rate_limited, disk.len(), sum(&disk)
+            c.sent, c.sent_bytes, c.accepted, c.members_down, c.rejoins, c.rate_limited, disk.len(), fnv1a(&disk)
         );
     }
     if let Some(workload) = &world.lease_workload {
@@ -235,20 +235,20 @@
         for (fence, Grant { resource, owner }) in &workload.grants {
             let _ = writeln!(text, "{fence} {resource} m{owner}");
         }
-        for AnsweredRequest { at, took } in &workload.answered {
-            let _ = writeln!(text, "answered at {at} after {took}");
+        for AnsweredRequest { at, latency } in &workload.answered {
+            let _ = writeln!(text, "answered at {at} after {latency}");
         }
     }
     text
 }
 
 #[test]
-fn members_do_the_same_under_a_script() {
+fn run_of_a_script_matches_golden_file() {
     assert_golden!("run-script.txt", play(Script::read(SCRIPT).unwrap(), None));
 }
 
 #[test]
-fn members_do_the_same_in_storms_while_they_ask_for_rights() {
+fn runs_of_fault_scenarios_with_leases_match_golden_files() {
     for (seed, keeps) in [(1, true), (2, false), (3, true), (4, false), (5, true)] {
         let mut script = fault_scenario::draw(6, seed, true);
         (script.voters, script.persists_log) = (3, keeps);
@@ -261,7 +261,7 @@
 }
 
 #[test]
-fn members_do_the_same_when_a_voter_is_replaced() {
+fn run_with_a_replaced_voter_matches_golden_file() {
     let script = "members 7\nvoters 3 keeps=#true replace-after=\"5 s\"\nseed 9\nuntil \"70 s\"\n\
                   link \"all\" \"all\" loss=0.05 delay=\"2 ms\" jitter=\"2 ms\"\n\
                   at \"30 s\" { kill \"m1\" }\nat \"50 s\" { start \"m1\" }";
@@ -278,7 +278,7 @@
 }
 
 #[test]
-fn members_do_the_same_by_dozens() {
+fn run_of_60_members_matches_golden_file() {
     let script = "members 60 zones=3\nvoters 5\nseed 3\nuntil \"20 s\"\nlink \"all\" \"all\" loss=0.02 delay=\"1 ms\" jitter=\"1 ms\"\n\
                   at \"8 s\" { kill \"m7\" \"m0\" }\nat \"12 s\" { cut \"z1\" }\nat \"16 s\" { heal }";
     let run = play(Script::read(script).unwrap(), None);
@@ -290,16 +290,16 @@
     assert_golden!("run-dozens.txt", traces);
 }
 
-fn program() -> &'static str {
+fn program_name() -> &'static str {
     let path = std::path::Path::new(env!("CARGO_BIN_EXE_driftfront-cluster-simulation"));
     path.file_name().unwrap().to_str().unwrap()
 }
 
-fn lab(args: &[&str]) -> String {
+fn run_command(args: &[&str]) -> String {
     let output = Command::new(env!("CARGO_BIN_EXE_driftfront-cluster-simulation"))
         .args(args)
         .output()
-        .expect("it runs");
+        .expect("running the command");
     format!(
         "{args:?}: {:?}\n{}{}\n",
         output.status.code(),
@@ -309,9 +309,11 @@
 }
 
 #[test]
-fn the_command_prints_what_it_printed() {
-    let script =
-        std::env::temp_dir().join(format!("driftfront-lab-golden-{}.kdl", std::process::id()));
+fn command_output_matches_golden_file() {
+    let script = std::env::temp_dir().join(format!(
+        "driftfront-simulation-golden-{}.kdl",
+        std::process::id()
+    ));
     std::fs::write(
         &script,
         "members 3\nuntil \"8 s\"\nat \"4 s\" { kill \"m2\" }",
@@ -346,10 +348,10 @@
         &["play", path],
     ];
     for args in commands {
-        // The program's own name is its package's.
-        text += &lab(args)
+        // The usage text contains the name of the executable.
+        text += &run_command(args)
             .replace(path, "SCRIPT")
-            .replace(program(), "PROGRAM");
+            .replace(program_name(), "PROGRAM");
     }
     std::fs::remove_file(&script).unwrap();
     assert_golden!("command.txt", text);
--- a/crates/cluster-simulation/tests/membership.rs
+++ b/crates/cluster-simulation/tests/membership.rs
@@ -1,7 +1,7 @@
-//! Members under faults, on virtual time. Bounds are on the script's own time, so that the verdict is the same each time.
+//! Membership under faults in the simulation. Time limits are in virtual time, so that the tests are deterministic.
 
 use driftfront_cluster::MemberStatus;
-use driftfront_cluster_simulation::{Script, World};
+use driftfront_cluster_simulation::{fault_scenario, Script, World};
 
 const S: u64 = 1_000_000;
 
@@ -13,25 +13,25 @@
     (0..n).collect()
 }
 
-/// Those that some living member called down though they were there, but for these.
-fn false_deaths(world: &World, but: &[u32]) -> usize {
-    let false_ones = |s: &&driftfront_cluster_simulation::world::ViewChange| {
-        s.status == MemberStatus::Down && !but.contains(&s.subject)
+/// Counts how often a member declared another one down, except for the members of `except`.
+fn false_positives(world: &World, except: &[u32]) -> usize {
+    let is_false = |s: &&driftfront_cluster_simulation::world::ViewChange| {
+        s.status == MemberStatus::Down && !except.contains(&s.subject)
     };
-    world.view_changes.iter().filter(false_ones).count()
+    world.view_changes.iter().filter(is_false).count()
 }
 
 #[test]
-fn members_that_start_together_know_each_other_soon() {
+fn members_that_start_together_discover_each_other() {
     let mut w = world("members 24 zones=3");
     assert!(
         w.play(5 * S, |w| w.all_see_exactly(&all(24))),
-        "not in five seconds"
+        "not within five seconds"
     );
 }
 
 #[test]
-fn deaths_of_three_of_eight_are_known_to_all_in_time() {
+fn three_failures_of_eight_are_detected_by_all_in_time() {
     for seed in 1..=20 {
         let mut w = world(&format!(
             "members 8\nseed {seed}\nat \"10 s\" {{ kill \"m1\" \"m4\" \"m6\" }}"
@@ -42,40 +42,43 @@
                 && w.all_see_exactly(&[0, 2, 3, 5, 7])),
             "seed {seed}"
         );
-        assert_eq!(false_deaths(&w, &[1, 4, 6]), 0, "seed {seed}");
+        assert_eq!(false_positives(&w, &[1, 4, 6]), 0, "seed {seed}");
     }
 }
 
 #[test]
-fn halves_of_a_partition_find_each_other_after_it() {
+fn halves_of_a_partition_merge_after_it_heals() {
     for seed in 1..=5 {
         let script = "at \"5 s\" { cut \"m0\" \"m1\" \"m2\" \"m3\" }\nat \"15 s\" { heal }";
         let mut w = world(&format!("members 8\nseed {seed}\n{script}"));
         assert!(w.play(5 * S, |w| w.all_see_exactly(&all(8))));
-        let apart = |w: &World| {
+        let are_partitioned = |w: &World| {
             let sees = |by: u32, of: u32| w.status(by, of) != Some(MemberStatus::Down);
             (0..8).all(|by| (0..8).all(|of| by == of || sees(by, of) == ((by < 4) == (of < 4))))
         };
-        assert!(w.play(15 * S, apart), "seed {seed}: never apart");
+        assert!(
+            w.play(15 * S, are_partitioned),
+            "seed {seed}: the halves did not detect the partition"
+        );
         assert!(
             w.play(26 * S, |w| w.time() > 15 * S && w.all_see_exactly(&all(8))),
-            "seed {seed}: never one again"
+            "seed {seed}: the halves did not merge"
         );
     }
 }
 
 #[test]
-fn member_that_reaches_nobody_is_down_until_the_cut_heals() {
+fn member_with_blocked_outgoing_traffic_is_down_until_the_cut_heals() {
     let mut w =
         world("members 8\nseed 3\nat \"5 s\" { cut \"m2\" ways=\"out\" }\nat \"20 s\" { heal }");
     assert!(w.play(5 * S, |w| w.all_see_exactly(&all(8))));
-    let gone = |w: &World| {
+    let is_down = |w: &World| {
         (0..8)
             .filter(|&m| m != 2)
             .all(|m| w.status(m, 2) == Some(MemberStatus::Down))
     };
-    assert!(w.play(12 * S, gone));
-    // Nobody else is doubted for it for long.
+    assert!(w.play(12 * S, is_down));
+    // No other member is declared down because of it.
     w.play(20 * S, |_| false);
     assert_eq!(
         w.view_changes
@@ -88,7 +91,7 @@
 }
 
 #[test]
-fn resumed_process_accuses_nobody() {
+fn resumed_process_declares_nobody_down() {
     for seed in 1..=10 {
         let mut w = world(&format!(
             "members 8\nseed {seed}\nat \"5 s\" {{ stop \"m3\" }}\nat \"13 s\" {{ wake \"m3\" }}"
@@ -112,7 +115,7 @@
 }
 
 #[test]
-fn clock_step_of_an_hour_harms_nobody() {
+fn clock_step_of_an_hour_causes_no_false_positive() {
     for by in ["3600 s", "-900 s"] {
         let mut w = world(&format!(
             "members 8\nat \"5 s\" {{ clock \"m3\" by=\"{by}\" }}"
@@ -120,14 +123,14 @@
         assert!(w.play(5 * S, |w| w.all_see_exactly(&all(8))));
         w.play(20 * S, |_| false);
         assert!(
-            w.all_see_exactly(&all(8)) && false_deaths(&w, &[]) == 0,
+            w.all_see_exactly(&all(8)) && false_positives(&w, &[]) == 0,
             "{by}"
         );
     }
 }
 
 #[test]
-fn members_wait_for_a_seed_and_then_know_each_other() {
+fn members_wait_for_a_seed_and_then_discover_each_other() {
     let mut w = world("members 8\nkill \"m0\" \"m1\" \"m2\"\nat \"10 s\" { start \"m1\" }");
     w.play(9 * S, |_| false);
     assert!((3..8).all(|m| w.status(m, 7 - m % 2).is_none() || m == 7 - m % 2));
@@ -142,7 +145,7 @@
     w.play(12 * S, |_| false);
     assert!(w.all_see_exactly(&all(8)));
     assert!(w.play(30 * S, |w| w.time() > 20 * S && w.all_see_exactly(&all(8))));
-    assert_eq!(false_deaths(&w, &[3, 4]), 0);
+    assert_eq!(false_positives(&w, &[3, 4]), 0);
 }
 
 #[test]
@@ -154,17 +157,17 @@
 }
 
 #[test]
-fn loss_of_a_third_hides_no_death_and_kills_nobody_for_long() {
+fn failure_is_detected_without_lasting_false_positives_at_30_percent_loss() {
     let mut w = world("members 16\nseed 5\nlink \"all\" \"all\" loss=0.3 repeat=0.1 delay=\"2 ms\" jitter=\"20 ms\"\nat \"20 s\" { kill \"m9\" }");
     assert!(w.play(10 * S, |w| w.all_see_exactly(&all(16))));
     let rest: Vec<u32> = (0..16).filter(|&m| m != 9).collect();
     assert!(w.play(28 * S, |w| w.time() > 20 * S && w.all_see_exactly(&rest)));
-    // Repeated datagrams were taken once.
+    // Duplicated datagrams were accepted only once.
     assert!((0..8).all(|m| w.counters(m).replayed > 0));
 }
 
 #[test]
-fn record_reaches_all_and_is_marked_when_its_owner_is_gone() {
+fn record_reaches_all_and_is_marked_unreachable_when_its_owner_is_down() {
     let mut w = world(
         "members 12\nseed 2\nat \"5 s\" { cut \"m11\" }\nat \"12 s\" { heal }\nat \"30 s\" { kill \"m0\" }",
     );
@@ -173,20 +176,20 @@
     assert!(w
         .agent(0)
         .unwrap()
-        .publish(9, b"told while one was cut off"));
+        .publish(9, b"published during a partition"));
     w.play(9 * S, |_| false);
     for m in 1..11 {
         assert!(w.agent(m).unwrap().record("m0", 9).is_some(), "m{m}");
     }
     assert!(w.agent(11).unwrap().record("m0", 9).is_none());
     w.play(29 * S, |_| false);
-    let fleet = w.agent(11).unwrap();
-    let fact = fleet
+    let agent = w.agent(11).unwrap();
+    let record = agent
         .record("m0", 9)
-        .expect("comparisons bring what rumours missed");
+        .expect("anti-entropy repairs what gossip missed");
     assert!(
-        fact.reachable && fact.age >= 20 * S && fact.age < 25 * S,
-        "{fact:?}"
+        record.reachable && record.age >= 20 * S && record.age < 25 * S,
+        "{record:?}"
     );
     w.play(36 * S, |_| false);
     assert!(!w.agent(11).unwrap().record("m0", 9).unwrap().reachable);
@@ -209,7 +212,7 @@
 
 #[test]
 fn traffic_per_member_does_not_grow_with_the_cluster() {
-    let mut a_second = Vec::new();
+    let mut per_second = Vec::new();
     for members in [8, 96] {
         let mut w = world(&format!("members {members}"));
         assert!(
@@ -220,16 +223,16 @@
         let before: u64 = (0..members).map(|m| w.counters(m).sent).sum();
         w.play(25 * S, |_| false);
         let after: u64 = (0..members).map(|m| w.counters(m).sent).sum();
-        a_second.push((after - before) as f64 / 10.0 / f64::from(members));
+        per_second.push((after - before) as f64 / 10.0 / f64::from(members));
     }
     assert!(
-        a_second[1] < 2.0 * a_second[0] && a_second[1] < 60.0,
-        "{a_second:?}"
+        per_second[1] < 2.0 * per_second[0] && per_second[1] < 60.0,
+        "{per_second:?}"
     );
 }
 
 #[test]
-fn member_restarted_with_its_clock_set_back_is_let_in() {
+fn member_restarted_with_its_clock_set_back_rejoins() {
     let script =
         "at \"5 s\" { clock \"m3\" by=\"-900 s\" }\nat \"8 s\" { kill \"m3\" }\nat \"14 s\" { start \"m3\" }";
     let mut w = world(&format!("members 8\nseed 4\n{script}"));
@@ -237,24 +240,18 @@
     w.play(14 * S, |_| false);
     assert_eq!(w.status(0, 3), Some(MemberStatus::Down));
     assert!(w.play(19 * S, |w| w.time() > 14 * S && w.all_see_exactly(&all(8))));
-    // What it tells now counts, too.
-    assert!(w.agent(3).unwrap().publish(9, b"anew"));
+    // Records that it publishes now are accepted, too.
+    assert!(w.agent(3).unwrap().publish(9, b"after the restart"));
     w.play(21 * S, |_| false);
     assert!((0..8).all(|m| w.agent(m).unwrap().record("m3", 9).is_some()));
 }
 
 #[test]
-fn fault_scenarios_end_in_one_view() {
+fn members_converge_after_fault_scenarios() {
     for seed in 1..=25 {
-        let mut w = World::new(driftfront_cluster_simulation::fault_scenario::draw(
-            6, seed, true,
-        ));
-        w.play(
-            driftfront_cluster_simulation::fault_scenario::QUIET_FROM,
-            |_| false,
-        );
-        let until = driftfront_cluster_simulation::fault_scenario::QUIET_FROM
-            + driftfront_cluster_simulation::fault_scenario::CONVERGENCE_TIMEOUT;
+        let mut w = World::new(fault_scenario::draw(6, seed, true));
+        w.play(fault_scenario::QUIET_FROM, |_| false);
+        let until = fault_scenario::QUIET_FROM + fault_scenario::CONVERGENCE_TIMEOUT;
         assert!(w.play(until, |w| w.all_see_exactly(&all(6))), "seed {seed}");
     }
 }
--- a/crates/cluster-simulation/tests/model.rs
+++ b/crates/cluster-simulation/tests/model.rs
@@ -1,14 +1,15 @@
-//! The model of the lease protocol, as deep as a test has time for; `driftfront-cluster-simulation check` goes further.
+//! Checks the model of the lease protocol to a depth that is fast enough for a test. `driftfront-cluster-simulation check` goes
+//! deeper.
 
-use driftfront_cluster_simulation::model::{Bounds, Mistake};
+use driftfront_cluster_simulation::model::{Bounds, Defect, COMMITTED_IS_FINAL, MUTUAL_EXCLUSION};
 use stateright::{Checker, HasDiscoveries, Model};
 
-fn found(mistake: Mistake, depth: usize) -> Vec<&'static str> {
+fn find_violations(defect: Defect, depth: usize) -> Vec<&'static str> {
     let bounds = Bounds {
         time: 2,
         terms: 2,
         entries: 3,
-        mistake,
+        defect,
     };
     let checker = bounds.checker().threads(2).target_max_depth(depth);
     let done = checker
@@ -19,17 +20,20 @@
 }
 
 #[test]
-fn lease_is_never_used_by_two_despite_crashes_and_cuts() {
-    let found = found(Mistake::None, 11);
+fn lease_never_has_two_users_despite_crashes_and_partitions() {
+    let found = find_violations(Defect::None, 11);
     assert!(
-        !found.contains(&"never both") && !found.contains(&"agreed once"),
+        !found.contains(&MUTUAL_EXCLUSION) && !found.contains(&COMMITTED_IS_FINAL),
         "{found:?}"
     );
 }
 
 #[test]
-fn mistaken_builds_are_found_out() {
-    for mistake in [Mistake::CountsFromResponse, Mistake::UsesOwnClock] {
-        assert!(found(mistake, 12).contains(&"never both"), "{mistake:?}");
+fn known_defects_are_detected() {
+    for defect in [Defect::CountsFromResponse, Defect::UsesOwnClock] {
+        assert!(
+            find_violations(defect, 12).contains(&MUTUAL_EXCLUSION),
+            "{defect:?}"
+        );
     }
 }
--- a/crates/cluster-simulation/tests/script.rs
+++ b/crates/cluster-simulation/tests/script.rs
@@ -1,9 +1,9 @@
-//! Scripts of faults.
+//! Parsing of fault scripts.
 
 use driftfront_cluster_simulation::{Directions, FaultAction, Group, Link, Script, TimedAction};
 
 #[test]
-fn script_is_read_and_an_error_names_its_line() {
+fn script_is_parsed_and_errors_contain_the_line() {
     let text = "members 8 zones=2\nseed 7\nuntil \"40 s\"\nlink \"all\" \"z1\" delay=\"2 ms\" loss=0.3\n\
                 at \"5 s\" { cut \"m0\" \"m1\" ways=\"out\"; heal }\nat \"1 s\" { clock \"m5\" by=\"-3600 s\" }\n";
     let script = Script::read(text).unwrap();
