--- a/crates/cluster-harness/src/soak/rules.rs
+++ b/crates/cluster-harness/src/soak/rules.rs
@@ -82,8 +82,8 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
-            "{} requests, {} further attempts, by status {:?}, {} late, {} crossed a close, {} processes ended, \
-             {} broken rules",
+            "{} requests, {} retries, by status {:?}, {} late, {} raced with a close, {} processes ended, \
+             {} violations",
             self.requests,
             self.retries,
             self.statuses,
--- a/crates/cluster-simulation/src/commands/consensus_fuzz.rs
+++ b/crates/cluster-simulation/src/commands/consensus_fuzz.rs
@@ -50,7 +50,7 @@
     let lost = fuzzer.sum(|counters| counters.replicas_lost);
     let malformed = fuzzer.sum(|counters| counters.malformed);
     println!(
-        "{} spoilt words from seed {seed}: unread {malformed}, replicas broken and let in again {lost}, rights lent {}",
+        "{} corrupted messages from seed {seed}: malformed {malformed}, replicas failed and admitted again {lost}, leases granted {}",
         fuzzer.corrupted, fuzzer.granted
     );
     Ok(())
--- a/crates/cluster-simulation/src/commands/datagram_fuzz.rs
+++ b/crates/cluster-simulation/src/commands/datagram_fuzz.rs
@@ -58,15 +58,15 @@
     }
     let counters = fuzzer.target.counters();
     println!(
-        "{runs} inputs from seed {seed}: taken {}, spoilt {}, foreign {}, replayed {}",
+        "{runs} inputs from seed {seed}: accepted {}, wrong tag {}, unknown protocol {}, replayed {}",
         counters.accepted, counters.wrong_tag, counters.unknown_protocol, counters.replayed
     );
     println!(
-        "  unreadable {}, facts refused {}, of an unknown kind {}",
+        "  unreadable {}, records refused {}, unknown kind {}",
         counters.unreadable, counters.refused, counters.unknown_kind
     );
     println!(
-        "  it stands, and sees {} others",
+        "  no panic; the member sees {} others",
         fuzzer.target.peer_count()
     );
     Ok(())
--- a/crates/cluster-simulation/src/commands/failover.rs
+++ b/crates/cluster-simulation/src/commands/failover.rs
@@ -41,9 +41,9 @@
         times.add_run(script, seed)?;
     }
     println!("members {members}, voters {voters}, loss {loss}, {runs} runs from seed {first}");
-    print_row("another leads after", &mut times.election_times);
-    print_row("a request is answered after", &mut times.recovery_times);
-    print_row("a request takes otherwise", &mut times.baseline_latencies);
+    print_row("new leader after", &mut times.election_times);
+    print_row("next answer after", &mut times.recovery_times);
+    print_row("latency without failover", &mut times.baseline_latencies);
     Ok(())
 }
 
--- a/crates/cluster-simulation/src/commands/failure_detection.rs
+++ b/crates/cluster-simulation/src/commands/failure_detection.rs
@@ -107,23 +107,23 @@
         let member_seconds = f64::from(*runs) * 10.0 * f64::from(*members);
         println!("members {members}, loss {loss}, {runs} runs from seed {first_seed}");
         println!(
-            "  first knows of a death  p50 {:.2} s  p99 {:.2} s",
+            "  first detection   p50 {:.2} s  p99 {:.2} s",
             percentile(&self.first_detections, 0.5),
             percentile(&self.first_detections, 0.99)
         );
         println!(
-            "  all know                p50 {:.2} s  p99 {:.2} s  max {:.2} s; {} never did in 20 s",
+            "  detection by all  p50 {:.2} s  p99 {:.2} s  max {:.2} s; {} missed within 20 s",
             percentile(&self.last_detections, 0.5),
             percentile(&self.last_detections, 0.99),
             percentile(&self.last_detections, 1.0),
             self.missed_detections
         );
         println!(
-            "  called down though there {} times, by any of all",
+            "  members wrongly declared down: {} times",
             self.false_positives
         );
         println!(
-            "  each sends {:.1} datagrams, {:.0} bytes a second",
+            "  per member: {:.1} datagrams and {:.0} bytes per second",
             self.datagrams as f64 / member_seconds,
             self.bytes as f64 / member_seconds
         );
--- a/crates/cluster-simulation/src/commands/leases.rs
+++ b/crates/cluster-simulation/src/commands/leases.rs
@@ -91,7 +91,7 @@
             self.timed_out += workload.timed_out;
         }
         for member in world.running_members() {
-            let Some(consensus) = world.agent(member).and_then(|f| f.consensus()) else {
+            let Some(consensus) = world.agent(member).and_then(|agent| agent.consensus()) else {
                 continue;
             };
             let counters = consensus.counters();
@@ -104,7 +104,7 @@
     fn print(&mut self, options: &Options) {
         self.election_times.sort_unstable();
         println!(
-            "members {}, voters {}, logs kept: {}, {} storms from seed {}",
+            "members {}, voters {}, persistent logs: {}, {} fault scenarios from seed {}",
             options.members,
             options.voters,
             options.persists_logs,
@@ -112,17 +112,17 @@
             options.first_seed
         );
         println!(
-            "  lent {} times, {} requests with no answer in time; held twice: {}",
+            "  {} leases granted, {} requests timed out, {} violations",
             self.granted,
             self.timed_out,
             self.violations.len()
         );
         println!(
-            "  leaders seen {}, steps in who decides {}, replicas let go {}",
+            "  leaders {}, voter changes {}, replicas lost {}",
             self.leaders, self.voter_changes, self.replicas_lost
         );
         println!(
-            "  somebody leads again after p50 {:.2} s  p99 {:.2} s  max {:.2} s; never within the time owed: {:?}",
+            "  leader after p50 {:.2} s  p99 {:.2} s  max {:.2} s; seeds without a leader in time: {:?}",
             percentile(&self.election_times, 0.5),
             percentile(&self.election_times, 0.99),
             percentile(&self.election_times, 1.0),
@@ -136,7 +136,7 @@
 
 fn print_consensus_views(world: &mut World, seed: u64) {
     for member in world.running_members() {
-        if let Some(consensus) = world.agent(member).and_then(|f| f.consensus()) {
+        if let Some(consensus) = world.agent(member).and_then(|agent| agent.consensus()) {
             let (view, notice) = (consensus.view(), consensus.notice());
             println!("  seed {seed}: m{member} {view:?} {notice:?}");
         }
--- a/crates/cluster-simulation/src/commands/scenarios.rs
+++ b/crates/cluster-simulation/src/commands/scenarios.rs
@@ -29,7 +29,7 @@
         summary.add_run(members, seed);
     }
     summary.convergence_times.sort_unstable();
-    println!("members {members}, {runs} storms from seed {first}");
+    println!("members {members}, {runs} fault scenarios from seed {first}");
     summary.print();
     if summary.failed_seeds.is_empty() {
         Ok(())
@@ -69,18 +69,18 @@
 
     fn print(&self) {
         println!(
-            "  one view again after    p50 {:.2} s  p99 {:.2} s  max {:.2} s; never within the time owed: {:?}",
+            "  converged after p50 {:.2} s  p99 {:.2} s  max {:.2} s; seeds that did not converge in time: {:?}",
             percentile(&self.convergence_times, 0.5),
             percentile(&self.convergence_times, 0.99),
             percentile(&self.convergence_times, 1.0),
             self.failed_seeds
         );
         println!(
-            "  called down in the 5 s after that {} times, by any of all",
+            "  members declared down in the following 5 s: {} times",
             self.late_false_positives
         );
         println!(
-            "  each sent at most {} datagrams a second on average while they settled",
+            "  maximum average traffic per member until convergence: {} datagrams per second",
             self.max_sent
         );
     }
--- a/crates/cluster-simulation/src/script/reader.rs
+++ b/crates/cluster-simulation/src/script/reader.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ScriptError {
     /// The text is not KDL.
-    #[error("line {line}: no KDL")]
+    #[error("line {line}: not valid KDL")]
     NotKdl {
         /// The line.
         line: usize,
@@ -34,34 +34,34 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ScriptProblem {
     /// The number is missing or malformed.
-    #[error("it takes a number")]
+    #[error("expected a number")]
     NumberExpected,
     /// The time is missing or malformed.
-    #[error("it takes a time, as \"5 s\"")]
+    #[error("expected a time such as \"5 s\"")]
     TimeExpected,
     /// There are no groups, or one is malformed.
-    #[error("write \"m0\", \"z1\" or \"all\"")]
+    #[error("expected groups such as \"m0\", \"z1\" or \"all\"")]
     GroupsExpected,
     /// A link does not have exactly two groups.
-    #[error("it takes two groups, from and to")]
+    #[error("expected two groups, from and to")]
     TwoGroupsExpected,
     /// The time in a property is malformed.
-    #[error("a time is \"5 ms\" or \"2 s\"")]
+    #[error("expected a time such as \"5 ms\" or \"2 s\"")]
     MalformedTime,
     /// A probability is malformed or out of range.
-    #[error("a part is 0 to 1")]
+    #[error("expected a probability from 0 to 1")]
     MalformedProbability,
     /// The directions are malformed.
-    #[error("ways is \"both\", \"out\" or \"in\"")]
+    #[error("expected ways=\"both\", \"out\" or \"in\"")]
     MalformedDirections,
     /// The property `from` is missing or malformed.
-    #[error("write from=\"engines\", \"e0\" or \"m3\"")]
+    #[error("expected from=\"engines\", \"e0\" or \"m3\"")]
     FromExpected,
     /// The clock step is missing or malformed.
-    #[error("write by=\"3600 s\" or by=\"-3600 s\"")]
+    #[error("expected by=\"3600 s\" or by=\"-3600 s\"")]
     ClockStepExpected,
     /// The action is unknown.
-    #[error("no such deed")]
+    #[error("unknown action")]
     UnknownAction,
 }
 
