--- a/crates/coordinator/benches/clickhouse.rs
+++ b/crates/coordinator/benches/clickhouse.rs
@@ -6,9 +6,10 @@
 
 use driftfront_mock_servers::engine::{Engine, Options};
 use driftfront_mock_servers::request_log::RequestLog;
-use driftfront_test_support::coordinator::clickhouse_site::{read_some, Plan, Site};
+use driftfront_test_support::coordinator::clickhouse_site::{read_some, Site, SiteOptions};
 use driftfront_test_support::coordinator::{
-    appliance, file, instance, read_answer, unused_address, MeasuredProcess,
+    example_configuration, instance, read_response, unused_address, write_temp_file,
+    MeasuredProcess,
 };
 use hdrhistogram::Histogram;
 use std::io::{Read, Write};
@@ -30,15 +31,15 @@
     /// Starts the executable `program`. `limits` is appended to the limits of its configuration.
     fn start(program: &str, engine: SocketAddr, limits: &str) -> RunningCoordinator {
         let addr = unused_address();
-        let list = file(&format!(
+        let list = write_temp_file(&format!(
             "{{\"instances\":[{}]}}",
             instance("e0", engine, "ready")
         ));
-        let config = appliance()
+        let config = example_configuration()
             .replace("127.0.0.1:8123", &addr.to_string())
             .replace("deploy/engines.json", &list.display().to_string())
             .replace("\"sockets\": 1024", &format!("\"sockets\": 2048{limits}"));
-        let config = file(&config);
+        let config = write_temp_file(&config);
         let shell = "ulimit -n 4096; exec \"$0\" serve --log error --config \"$1\"";
         let process = MeasuredProcess::start(
             Command::new("sh").args(["-c", shell, program]).arg(&config),
@@ -59,7 +60,7 @@
         return false;
     };
     let _ = stream.write_all(b"GET /alive HTTP/1.1\r\nHost: t\r\n\r\n");
-    read_answer(&mut stream).status == 200
+    read_response(&mut stream).status == 200
 }
 
 /// Sends requests one after another on a keep-alive connection and returns their latencies in nanoseconds.
@@ -71,7 +72,7 @@
     for _ in 0..count {
         let begin = Instant::now();
         stream.write_all(request).expect("send");
-        let answer = read_answer(&mut stream);
+        let answer = read_response(&mut stream);
         assert_eq!(answer.body, b"1\n");
         let nanos = u64::try_from(begin.elapsed().as_nanos()).expect("a few seconds");
         latencies.record(nanos).expect("in range");
@@ -237,7 +238,7 @@
         stream
             .write_all(b"GET /ping HTTP/1.1\r\nHost: t\r\n\r\n")
             .expect("send");
-        assert_eq!(read_answer(stream).status, 200);
+        assert_eq!(read_response(stream).status, 200);
     }
     println!(
         "| memory with 500 open client connections, MB | {:.1} |",
@@ -245,7 +246,7 @@
     );
     drop(clients);
     // Each client reads 1 KB/s. An engine accepts 64 queries, so several engines are needed.
-    let site: Site = Plan::of(14).memory_mb(48).start();
+    let site: Site = SiteOptions::with_engines(14).memory_mb(48).start();
     let mut slow_clients: Vec<TcpStream> = (0..200)
         .map(|n| {
             site.begin(
@@ -270,7 +271,7 @@
 }
 
 fn measure_insert(mb: usize) {
-    let site: Site = Plan::of(1).memory_mb(48).start();
+    let site: Site = SiteOptions::with_engines(1).memory_mb(48).start();
     let mut stream = TcpStream::connect(site.coordinator.addr).expect("connect");
     let chunk = "0123456789,abcde\n".repeat(61_680).into_bytes();
     let length = chunk.len() * mb;
@@ -284,7 +285,7 @@
     for _ in 0..mb {
         stream.write_all(&chunk).expect("send");
     }
-    let answer = read_answer(&mut stream);
+    let answer = read_response(&mut stream);
     let seconds = begin.elapsed().as_secs_f64();
     let inserted = site.engines[0].table("o.large");
     assert_eq!(
--- a/crates/coordinator/tests/clickhouse.rs
+++ b/crates/coordinator/tests/clickhouse.rs
@@ -5,16 +5,16 @@
 use driftfront_http::{chunk, RequestReader};
 use driftfront_mock_servers::engine::{fnv, Options};
 use driftfront_mock_servers::request_log::RequestLog;
-use driftfront_test_support::coordinator::clickhouse_site::{read_some, Plan, Site};
+use driftfront_test_support::coordinator::clickhouse_site::{read_some, Site, SiteOptions};
 use driftfront_test_support::coordinator::{
-    appliance, call, file, get, instance, poll_until, post, read_answer, stand_in, Answer,
-    Coordinator,
+    call, example_configuration, get, instance, poll_until, post, read_response, start_mock_server,
+    write_temp_file, Coordinator, Response,
 };
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::sync::Arc;
 
-fn exception_code(answer: &Answer) -> Option<u32> {
+fn exception_code(answer: &Response) -> Option<u32> {
     answer
         .header("X-ClickHouse-Exception-Code")
         .and_then(|c| c.parse().ok())
@@ -30,14 +30,14 @@
         "/?query=SELECT%20queryID(),currentDatabase(),{p:String}&query_id=q-7&database=uni&param_p=a",
     );
     assert_eq!(
-        (answer.status, answer.whole, answer.text().as_str()),
+        (answer.status, answer.is_complete, answer.text().as_str()),
         (200, true, "q-7\tuni\ta\n")
     );
     assert_eq!(answer.header("X-ClickHouse-Format"), Some("TabSeparated"));
     assert_eq!(answer.header("X-ClickHouse-Query-Id"), Some("q-7"));
     let many = site.query("SELECT number FROM numbers(50000)");
     let rows: String = (0..50_000).map(|n| format!("{n}\n")).collect();
-    assert!(many.whole && many.text() == rows);
+    assert!(many.is_complete && many.text() == rows);
     // Several requests share one connection.
     let mut stream = TcpStream::connect(addr).unwrap();
     for n in 0..3 {
@@ -48,9 +48,9 @@
             body.len()
         )
         .unwrap();
-        assert_eq!(read_answer(&mut stream).text(), format!("{n}\n"));
+        assert_eq!(read_response(&mut stream).text(), format!("{n}\n"));
     }
-    site.ledger.assert_rules(5);
+    site.request_log.assert_rules(5);
     assert_eq!(site.coordinator.counter("answers_served"), 5);
 }
 
@@ -60,9 +60,9 @@
         user: Some(("jana".into(), "pa:ss".into())),
         ..Options::default()
     };
-    let site = Plan {
+    let site = SiteOptions {
         options,
-        ..Plan::of(1)
+        ..SiteOptions::with_engines(1)
     }
     .start();
     let addr = site.coordinator.addr;
@@ -83,7 +83,7 @@
         Some(516)
     );
     assert!(
-        site.ledger.of("SELECT 5").is_empty(),
+        site.request_log.of("SELECT 5").is_empty(),
         "a request that names two users is not forwarded"
     );
 }
@@ -91,22 +91,22 @@
 #[test]
 fn result_is_broken_before_the_deadline_when_its_engine_stalls() {
     // The engine answers pings; only this result stalls.
-    let site = Plan::of(2).stall_ms(400).start();
+    let site = SiteOptions::with_engines(2).stall_ms(400).start();
     let answer = post(
         site.coordinator.addr,
         "/",
         "X-Driftfront-Class: report\r\n",
         "SELECT wide(20) FROM numbers(1000000) /* standin: silent_after=10485760 */",
     );
-    assert!(answer.status == 200 && !answer.whole && answer.body.len() >= 10_485_760);
-    assert_eq!(site.ledger.of("silent_after").len(), 1);
+    assert!(answer.status == 200 && !answer.is_complete && answer.body.len() >= 10_485_760);
+    assert_eq!(site.request_log.of("silent_after").len(), 1);
     assert_eq!(site.coordinator.counter("answers_broken"), 1);
     assert_eq!(
         site.coordinator
             .counter("attempts_ended{outcome=\"timed_out\"}"),
         0
     );
-    site.ledger.assert_rules(1);
+    site.request_log.assert_rules(1);
 }
 
 #[test]
@@ -114,11 +114,11 @@
     let site = Site::start(2);
     let query = "SELECT 'nothing at all' /* standin: silent first */";
     let mut stream = site.begin("/?query_id=lost&driftfront_class=report", query);
-    site.ledger.wait_for("nothing at all", 1);
-    let first = site.ledger.of("nothing at all")[0].engine.clone();
+    site.request_log.wait_for("nothing at all", 1);
+    let first = site.request_log.of("nothing at all")[0].engine.clone();
     site.engine(&first).mute(true);
-    assert_eq!(read_answer(&mut stream).text(), "nothing at all\n");
-    let runs = site.ledger.of("nothing at all");
+    assert_eq!(read_response(&mut stream).text(), "nothing at all\n");
+    let runs = site.request_log.of("nothing at all");
     assert!(runs.len() == 2 && runs[1].engine != first);
     // The first attempt may still use its query id, so the further attempt has another.
     assert_eq!(
@@ -130,14 +130,14 @@
             .counter("attempts_ended{outcome=\"timed_out\"}"),
         0
     );
-    site.ledger
+    site.request_log
         .wait_until("the end of both", |e| e.iter().all(|e| e.end_seq.is_some()));
-    site.ledger.assert_rules(1);
+    site.request_log.assert_rules(1);
 }
 
 #[test]
 fn engine_silent_within_a_result_is_detected_by_pings() {
-    let site = Plan::of(1).stall_ms(60_000).start();
+    let site = SiteOptions::with_engines(1).stall_ms(60_000).start();
     let query = "SELECT wide(20) FROM numbers(1000000) /* standin: silent_after=500000 */";
     let mut stream = site.begin("/?driftfront_class=report", query);
     assert!(read_some(&mut stream, 400_000) >= 400_000);
@@ -157,14 +157,14 @@
 fn silence_before_rows_ends_in_one_failure_or_rejection() {
     let site = Site::start(2);
     let target = "/?max_execution_time=1";
-    let read = site.ask(target, "SELECT 1 /* standin: silent */");
-    let load = site.ask(target, "INSERT INTO o.t VALUES (1) /* standin: silent */");
+    let read = site.request(target, "SELECT 1 /* standin: silent */");
+    let load = site.request(target, "INSERT INTO o.t VALUES (1) /* standin: silent */");
     assert!(read.status >= 400 && exception_code(&read).is_some());
     // The load may have run, so the error must not invite the client to repeat it.
     assert_eq!((load.status, exception_code(&load)), (500, Some(210)));
     assert!(load.header("X-Come-Back-Ms").is_none());
-    assert_eq!(site.ledger.of("INSERT").len(), 1);
-    site.ledger.assert_rules(2);
+    assert_eq!(site.request_log.of("INSERT").len(), 1);
+    site.request_log.assert_rules(2);
 }
 
 /// A way to encode a result: URL parameters, request headers, and the decoder of the response body.
@@ -216,9 +216,9 @@
             tags,
             ..Options::default()
         };
-        let site = Plan {
+        let site = SiteOptions {
             options,
-            ..Plan::of(2)
+            ..SiteOptions::with_engines(2)
         }
         .start();
         let addr = site.coordinator.addr;
@@ -230,7 +230,7 @@
             let answer = post(addr, &target, headers, &read);
             let rows = String::from_utf8(decode(&answer.body)).unwrap();
             assert!(
-                answer.status == 200 && answer.whole && !rows.contains("Code: 241"),
+                answer.status == 200 && answer.is_complete && !rows.contains("Code: 241"),
                 "{context}: {rows} {answer:?}"
             );
             // A load is not retried, because it may have run.
@@ -241,19 +241,19 @@
                 Some(241),
                 "{context}"
             );
-            assert_eq!(site.ledger.of(&load).len(), 1, "{context}");
+            assert_eq!(site.request_log.of(&load).len(), 1, "{context}");
             // After rows have been sent, the response is broken off so that the client detects the error.
             let long = format!(
                 "SELECT wide(40), number, {n} FROM numbers(100000) /* standin: late=241 */"
             );
             let broken = post(addr, &target, headers, &long);
             assert!(
-                broken.status == 200 && !broken.whole && !broken.body.is_empty(),
+                broken.status == 200 && !broken.is_complete && !broken.body.is_empty(),
                 "{context}"
             );
-            assert_eq!(site.ledger.of(&long).len(), 1, "{context}");
+            assert_eq!(site.request_log.of(&long).len(), 1, "{context}");
         }
-        site.ledger.assert_rules(15);
+        site.request_log.assert_rules(15);
     }
 }
 
@@ -266,7 +266,7 @@
             "SELECT wide(40), number, {n} FROM numbers(100000) /* standin: late=241 whole */"
         );
         let broken = post(site.coordinator.addr, &target, headers, &long);
-        assert!(broken.status == 200 && !broken.whole, "{params}");
+        assert!(broken.status == 200 && !broken.is_complete, "{params}");
     }
     assert_eq!(
         site.coordinator.counter("answers_broken"),
@@ -278,20 +278,20 @@
 fn corrupt_compressed_block_is_never_forwarded_as_complete() {
     let site = Site::start(2);
     let target = "/?compress=1&driftfront_class=report";
-    let before_rows = site.ask(target, "SELECT 1 /* standin: bad_block first */");
+    let before_rows = site.request(target, "SELECT 1 /* standin: bad_block first */");
     assert_eq!(
         (before_rows.status, decompress_blocks(&before_rows.body)),
         (200, b"1\n".to_vec())
     );
-    let always = site.ask(target, "SELECT 2 /* standin: bad_block */");
+    let always = site.request(target, "SELECT 2 /* standin: bad_block */");
     assert_eq!(exception_code(&always), Some(246), "{}", always.text());
     // The numbers hardly compress, so the data before the corrupt block is more than the coordinator reads at once.
     let long =
         "SELECT wide(40), number FROM numbers(100000) /* standin: bad_block_after=1000000 */";
-    let after_rows = site.ask(target, long);
-    assert!(after_rows.status == 200 && !after_rows.whole);
-    assert_eq!(site.ledger.of("bad_block_after").len(), 1);
-    site.ledger.assert_rules(3);
+    let after_rows = site.request(target, long);
+    assert!(after_rows.status == 200 && !after_rows.is_complete);
+    assert_eq!(site.request_log.of("bad_block_after").len(), 1);
+    site.request_log.assert_rules(3);
 }
 
 #[test]
@@ -308,7 +308,7 @@
             format!("{n}\n")
         );
     }
-    site.ledger.assert_rules(6);
+    site.request_log.assert_rules(6);
 }
 
 #[test]
@@ -325,8 +325,8 @@
     );
     // An engine that is full rejects the load before running it, so it can be sent to another one.
     let full = site.query("INSERT INTO o.u VALUES (1) /* standin: full first */");
-    assert_eq!((full.status, site.ledger.of("full").len()), (200, 2));
-    site.ledger.assert_rules(3);
+    assert_eq!((full.status, site.request_log.of("full").len()), (200, 2));
+    site.request_log.assert_rules(3);
 }
 
 #[test]
@@ -340,8 +340,8 @@
             .contains(&format!("Missing columns: 'nowhere{n}'")));
     }
     assert_eq!(site.query("SELECT 1").status, 200);
-    assert_eq!(site.ledger.of("nowhere").len(), 4);
-    site.ledger.assert_rules(5);
+    assert_eq!(site.request_log.of("nowhere").len(), 4);
+    site.request_log.assert_rules(5);
 }
 
 #[test]
@@ -350,13 +350,13 @@
     let mut loads = Vec::new();
     for n in 0..6 {
         loads.push(site.begin("/", &format!("INSERT INTO o.keyed VALUES ({n})")));
-        site.coordinator.wait_for("requests_taken", n + 1);
+        site.coordinator.wait_for_counter("requests_taken", n + 1);
     }
     assert!(loads
         .iter_mut()
-        .all(|stream| read_answer(stream).status == 200));
+        .all(|stream| read_response(stream).status == 200));
     let sent: Vec<String> = site
-        .ledger
+        .request_log
         .of("o.keyed")
         .into_iter()
         .map(|e| e.statement)
@@ -365,7 +365,7 @@
         .map(|n| format!("INSERT INTO o.keyed VALUES ({n})"))
         .collect();
     assert_eq!(sent, order);
-    site.ledger.assert_rules(6);
+    site.request_log.assert_rules(6);
 }
 
 #[test]
@@ -375,43 +375,48 @@
     for n in 0..20 {
         assert_eq!(site.query(&format!("SELECT 'drained', {n}")).status, 200);
     }
-    assert!(site.ledger.of("drained").iter().all(|e| e.engine == "e1"));
+    assert!(site
+        .request_log
+        .of("drained")
+        .iter()
+        .all(|e| e.engine == "e1"));
     site.list(&["gone", "draining"]);
-    let refused = site.ask("/?max_execution_time=1", "SELECT 'nowhere'");
+    let refused = site.request("/?max_execution_time=1", "SELECT 'nowhere'");
     assert_eq!((refused.status, exception_code(&refused)), (429, Some(202)));
     assert!(refused
         .header("X-Come-Back-Ms")
         .is_some_and(|ms| ms.parse::<u64>().is_ok_and(|ms| ms > 0)));
-    assert!(site.ledger.of("nowhere").is_empty());
+    assert!(site.request_log.of("nowhere").is_empty());
 }
 
 #[test]
 fn session_stays_on_its_engine() {
     let site = Site::start(3);
     let target = "/?session_id=s1";
-    assert_eq!(site.ask(target, "SET max_threads = 3").status, 200);
+    assert_eq!(site.request(target, "SET max_threads = 3").status, 200);
     assert_eq!(
-        site.ask(target, "CREATE TEMPORARY TABLE t (a UInt8)")
+        site.request(target, "CREATE TEMPORARY TABLE t (a UInt8)")
             .status,
         200
     );
-    assert_eq!(site.ask(target, "USE uni_4").status, 200);
+    assert_eq!(site.request(target, "USE uni_4").status, 200);
     assert_eq!(
-        site.ask(target, "INSERT INTO t FORMAT CSV\n1\n2\n").status,
+        site.request(target, "INSERT INTO t FORMAT CSV\n1\n2\n")
+            .status,
         200
     );
     for n in 0..10 {
-        let answer = site.ask(
+        let answer = site.request(
             target,
             &format!("SELECT getSetting('max_threads'), currentDatabase(), {n}"),
         );
         assert_eq!(answer.text(), format!("3\tuni_4\t{n}\n"));
-        assert_eq!(site.ask(target, "SELECT count() FROM t").text(), "2\n");
+        assert_eq!(site.request(target, "SELECT count() FROM t").text(), "2\n");
     }
-    let engine = &site.ledger.of("SET max_threads")[0].engine;
-    assert!(site.ledger.of("").iter().all(|e| e.engine == *engine));
+    let engine = &site.request_log.of("SET max_threads")[0].engine;
+    assert!(site.request_log.of("").iter().all(|e| e.engine == *engine));
     // The same session id of another user is a different session.
-    let other = site.ask(
+    let other = site.request(
         "/?session_id=s1&user=eva",
         "SELECT getSetting('max_threads')",
     );
@@ -426,29 +431,29 @@
         "/?session_id=s1&driftfront_class=report",
         "SELECT sleep(1), 'slow'",
     );
-    site.ledger.wait_for("slow", 1);
-    let second = site.ask("/?session_id=s1", "SELECT 2");
+    site.request_log.wait_for("slow", 1);
+    let second = site.request("/?session_id=s1", "SELECT 2");
     assert_eq!((second.status, exception_code(&second)), (500, Some(373)));
-    assert_eq!(read_answer(&mut first).status, 200);
+    assert_eq!(read_response(&mut first).status, 200);
     assert_eq!(
-        site.ask("/?session_id=s1&session_check=1", "SELECT 3")
+        site.request("/?session_id=s1&session_check=1", "SELECT 3")
             .status,
         200
     );
     assert_eq!(
-        exception_code(&site.ask("/?session_id=s2&session_check=1", "SELECT 4")),
+        exception_code(&site.request("/?session_id=s2&session_check=1", "SELECT 4")),
         Some(372)
     );
     assert_eq!(
-        exception_code(&site.ask("/?session_id=s3&session_timeout=9999999", "SELECT 5")),
+        exception_code(&site.request("/?session_id=s3&session_timeout=9999999", "SELECT 5")),
         Some(36)
     );
     assert_eq!(
-        site.ledger.of("SELECT 4").len() + site.ledger.of("SELECT 5").len(),
+        site.request_log.of("SELECT 4").len() + site.request_log.of("SELECT 5").len(),
         0
     );
     assert_eq!(
-        site.ledger.of("SELECT 2").len(),
+        site.request_log.of("SELECT 2").len(),
         0,
         "a query of a locked session is not forwarded"
     );
@@ -462,22 +467,22 @@
         // Each session uses its own tables, so that table affinity does not place them all on one engine.
         let begin = format!("SELECT * FROM uni_{n}.nothing");
         assert_eq!(
-            exception_code(&site.ask(&format!("/?session_id=tied{n}"), &begin)),
+            exception_code(&site.request(&format!("/?session_id=tied{n}"), &begin)),
             Some(60)
         );
         assert_eq!(
-            site.ask(&format!("/?session_id=tied{n}"), "SET max_threads = 1")
+            site.request(&format!("/?session_id=tied{n}"), "SET max_threads = 1")
                 .status,
             200
         );
         assert_eq!(
-            site.ask(&format!("/?session_id=loose{n}"), "SELECT 1")
+            site.request(&format!("/?session_id=loose{n}"), "SELECT 1")
                 .status,
             200
         );
     }
     let bound_sessions = |e: &str| {
-        site.ledger
+        site.request_log
             .of("SET max_threads")
             .iter()
             .filter(|x| x.engine == e)
@@ -489,16 +494,16 @@
         "both engines must have sessions"
     );
     let running_query = "SELECT sleep(1), 'runs on'";
-    let is_on_e0 = |n: usize| site.ledger.of("SET max_threads")[n].engine == "e0";
+    let is_on_e0 = |n: usize| site.request_log.of("SET max_threads")[n].engine == "e0";
     let n = (0..200).find(|&n| is_on_e0(n)).unwrap();
     let mut running = site.begin(
         &format!("/?session_id=tied{n}&driftfront_class=report"),
         running_query,
     );
-    site.ledger.wait_for("runs on", 1);
+    site.request_log.wait_for("runs on", 1);
     site.list(&["draining", "ready"]);
     let last = site
-        .ledger
+        .request_log
         .of("")
         .iter()
         .map(|e| e.start_seq)
@@ -506,7 +511,7 @@
         .unwrap();
     let mut lost = 0;
     for n in 0..200 {
-        let answer = site.ask(
+        let answer = site.request(
             &format!("/?session_id=tied{n}"),
             &format!("SELECT getSetting('max_threads'), {n}"),
         );
@@ -525,16 +530,16 @@
             other => panic!("{other:?}"),
         }
         assert_eq!(
-            site.ask(&format!("/?session_id=loose{n}"), "SELECT 2")
+            site.request(&format!("/?session_id=loose{n}"), "SELECT 2")
                 .status,
             200
         );
     }
     assert_eq!(lost, on_first);
     // A query that was running when the drain began can finish.
-    assert_eq!(read_answer(&mut running).status, 200);
+    assert_eq!(read_response(&mut running).status, 200);
     let later = site
-        .ledger
+        .request_log
         .of("")
         .into_iter()
         .filter(|e| e.start_seq > last);
@@ -548,11 +553,11 @@
 fn bound_session_is_lost_when_its_engine_restarted_unnoticed() {
     let site = Site::start(1);
     assert_eq!(
-        site.ask("/?session_id=s", "SET max_threads = 3").status,
+        site.request("/?session_id=s", "SET max_threads = 3").status,
         200
     );
     site.engines[0].restart();
-    let answer = site.ask("/?session_id=s", "SELECT 'after'");
+    let answer = site.request("/?session_id=s", "SELECT 'after'");
     assert!(
         exception_code(&answer) == Some(372) || answer.status == 429,
         "{}",
@@ -567,25 +572,25 @@
         "/?query_id=v1&driftfront_class=report",
         "SELECT sleep(14), 'victim'",
     );
-    site.ledger.wait_for("victim", 1);
-    let engine = site.ledger.of("victim")[0].engine.clone();
+    site.request_log.wait_for("victim", 1);
+    let engine = site.request_log.of("victim")[0].engine.clone();
     // While it runs, another query with its id is refused.
-    let duplicate = site.ask("/?query_id=v1", "SELECT 'duplicate'");
+    let duplicate = site.request("/?query_id=v1", "SELECT 'duplicate'");
     assert_eq!(
         (
             exception_code(&duplicate),
-            site.ledger.of("duplicate").len()
+            site.request_log.of("duplicate").len()
         ),
         (Some(216), 0)
     );
     let killed = site.query("KILL QUERY WHERE query_id = 'v1' SYNC");
     assert_eq!(killed.text(), "waiting\tv1\tdefault\t\n");
-    let end = read_answer(&mut victim);
+    let end = read_response(&mut victim);
     assert_eq!((end.status, exception_code(&end)), (500, Some(394)));
-    let kills = site.ledger.of("KILL");
+    let kills = site.request_log.of("KILL");
     assert!(kills.len() == 1 && kills[0].engine == engine);
     assert_eq!(
-        site.ledger.of("victim").len(),
+        site.request_log.of("victim").len(),
         1,
         "a killed query is not run again"
     );
@@ -595,7 +600,7 @@
         (
             none.status,
             none.text().as_str(),
-            site.ledger.of("KILL").len()
+            site.request_log.of("KILL").len()
         ),
         (200, "", 1)
     );
@@ -610,18 +615,18 @@
     let site = Site::start(1);
     let query = "SELECT 'between' /* standin: cut sleep_ms=1500 first */";
     let mut victim = site.begin("/?query_id=b1&driftfront_class=report", query);
-    site.ledger.wait_for("between", 1);
+    site.request_log.wait_for("between", 1);
     site.list(&["draining"]);
     // Its only attempt fails, and no engine accepts another one.
     site.coordinator
-        .wait_for("attempts_ended{outcome=\"reset\"}", 1);
+        .wait_for_counter("attempts_ended{outcome=\"reset\"}", 1);
     let killed = site.query("KILL QUERY WHERE query_id = 'b1'");
     assert_eq!(killed.status, 200);
-    let end = read_answer(&mut victim);
+    let end = read_response(&mut victim);
     assert_eq!(exception_code(&end), Some(394), "{end:?}");
     site.list(&["ready"]);
     assert_eq!(site.query("SELECT 'after'").status, 200);
-    assert_eq!(site.ledger.of("between").len(), 1);
+    assert_eq!(site.request_log.of("between").len(), 1);
 }
 
 #[test]
@@ -630,16 +635,16 @@
     // The engine's execution limit is longer than the client's timeout, so the load may still run.
     let query = "INSERT INTO o.t SELECT sleep(14), 'forgotten' /* standin: sleep_ms=14000 */";
     let mut stream = site.begin("/?query_id=f1", query);
-    site.ledger.wait_for("forgotten", 1);
+    site.request_log.wait_for("forgotten", 1);
     let _ = stream.shutdown(std::net::Shutdown::Both);
-    site.coordinator.wait_for("clients_left", 1);
+    site.coordinator.wait_for_counter("clients_left", 1);
     // A load keeps running after its client disconnects, and the kill still finds it.
     poll_until(
         || site.engines[0].running() == ["f1"],
         || "the load did not keep running".into(),
     );
     site.query("KILL QUERY WHERE query_id = 'f1'");
-    site.ledger.wait_until("the killed load's end", |e| {
+    site.request_log.wait_until("the killed load's end", |e| {
         e.iter()
             .any(|e| e.statement.contains("forgotten") && e.end_seq.is_some())
     });
@@ -650,9 +655,9 @@
 fn client_disconnect_releases_its_read_on_the_engine() {
     let site = Site::start(1);
     let stream = site.begin("/?driftfront_class=report", "SELECT sleep(14), 'left'");
-    site.ledger.wait_for("left", 1);
+    site.request_log.wait_for("left", 1);
     drop(stream);
-    site.ledger
+    site.request_log
         .wait_until("the end of the abandoned query", |e| {
             e.iter().any(|e| e.client_left && e.end_seq.is_some())
         });
@@ -666,12 +671,12 @@
     );
     assert!(read_some(&mut stream, 100_000) >= 100_000);
     drop(stream);
-    site.ledger
+    site.request_log
         .wait_until("the end of the interrupted result", |e| {
             e.iter()
                 .any(|e| e.statement.contains("half") && e.end_seq.is_some())
         });
-    site.ledger.assert_rules(3);
+    site.request_log.assert_rules(3);
 }
 
 /// Generates rows with a total size of `bytes`, and their hash as the mock engine computes it.
@@ -685,7 +690,7 @@
 #[test]
 fn insert_larger_than_memory_arrives_unchanged() {
     const BYTES: usize = 256 * 1024 * 1024;
-    let site = Plan::of(1).memory_mb(48).start();
+    let site = SiteOptions::with_engines(1).memory_mb(48).start();
     for (chunked, table) in [(true, "chunked"), (false, "counted")] {
         let (pieces, hash) = generate_rows(BYTES);
         let mut stream = TcpStream::connect(site.coordinator.addr).unwrap();
@@ -709,7 +714,7 @@
         if chunked {
             stream.write_all(b"0\r\n\r\n").unwrap();
         }
-        assert_eq!(read_answer(&mut stream).status, 200);
+        assert_eq!(read_response(&mut stream).status, 200);
         let table = site.engines[0].table(&format!("o.{table}"));
         assert_eq!(
             (table.bytes, table.hash, table.rows),
@@ -717,10 +722,10 @@
         );
         // The connection can be used for further requests.
         write!(stream, "GET /?query=SELECT+7 HTTP/1.1\r\nHost: t\r\n\r\n").unwrap();
-        assert_eq!(read_answer(&mut stream).text(), "7\n");
+        assert_eq!(read_response(&mut stream).text(), "7\n");
     }
     assert!(site.memory_mb() < 48, "{} MB", site.memory_mb());
-    site.ledger.assert_rules(4);
+    site.request_log.assert_rules(4);
 }
 
 /// Starts a chunked insert and sends its first 8 MiB without ending it.
@@ -746,29 +751,29 @@
     // The engine reports an error in the middle of the insert or closes the connection, or the client disconnects or sends an
     // invalid chunk.
     let mut fails = begin_insert(&site, "fails", "error_after=2000000");
-    let answer = read_answer(&mut fails);
+    let answer = read_response(&mut fails);
     assert_eq!(exception_code(&answer), Some(241), "{}", answer.text());
     let mut closes = begin_insert(&site, "closes", "cut");
-    assert_eq!(exception_code(&read_answer(&mut closes)), Some(210));
+    assert_eq!(exception_code(&read_response(&mut closes)), Some(210));
     let disconnects = begin_insert(&site, "disconnects", "none");
-    site.ledger.wait_for("o.disconnects", 1);
+    site.request_log.wait_for("o.disconnects", 1);
     drop(disconnects);
     let mut invalid = begin_insert(&site, "invalid", "none");
-    site.ledger.wait_for("o.invalid", 1);
+    site.request_log.wait_for("o.invalid", 1);
     invalid.write_all(b"zz\r\n").unwrap();
-    assert_eq!(read_answer(&mut invalid).status, 400);
+    assert_eq!(read_response(&mut invalid).status, 400);
     for table in ["fails", "closes", "disconnects", "invalid"] {
         let runs = |e: &[driftfront_mock_servers::request_log::Entry]| {
             e.iter()
                 .filter(|e| e.statement.contains(&format!("o.{table}")))
                 .count()
         };
-        site.ledger.wait_until(table, |e| runs(e) == 1);
+        site.request_log.wait_until(table, |e| runs(e) == 1);
     }
-    site.ledger
+    site.request_log
         .wait_until("the end of all", |e| e.iter().all(|e| e.end_seq.is_some()));
     assert_eq!(site.query("SELECT 1").status, 200);
-    site.ledger.assert_rules(5);
+    site.request_log.assert_rules(5);
 }
 
 #[test]
@@ -778,7 +783,10 @@
     let answer = site.query(&format!(
         "INSERT INTO o.kept /* standin: full first */ FORMAT CSV\n{rows}"
     ));
-    assert_eq!((answer.status, site.ledger.of("o.kept").len()), (200, 2));
+    assert_eq!(
+        (answer.status, site.request_log.of("o.kept").len()),
+        (200, 2)
+    );
     let rows: u64 = site.engines.iter().map(|e| e.table("o.kept").rows).sum();
     assert_eq!(rows, 100_000);
     assert!(site.coordinator.counter("bodies_held_bytes_most") > 300_000);
@@ -791,7 +799,7 @@
                  \"RepeatWindowUs\": 60000000, \"OnTimeUs\": 3000000, \"DeadlineUs\": 25000000, \"Worth\": 7.5, \
                  \"LateWorth\": 0.6},\n      {\"Name\": \"member-load\"";
     let plan = || {
-        Plan::of(2)
+        SiteOptions::with_engines(2)
             .with("{\"Name\": \"member-load\"", keyed_class)
             .with(
                 "\"WidthByClass\": [1, 2, 2]",
@@ -816,16 +824,16 @@
         .start();
     assert_eq!(
         (
-            with_token_class.ask(target, insert).status,
-            with_token_class.ledger.of("INSERT").len()
+            with_token_class.request(target, insert).status,
+            with_token_class.request_log.of("INSERT").len()
         ),
         (200, 2)
     );
     let without_token_class = plan().start();
     assert_eq!(
         (
-            without_token_class.ask(target, insert).status,
-            without_token_class.ledger.of("INSERT").len()
+            without_token_class.request(target, insert).status,
+            without_token_class.request_log.of("INSERT").len()
         ),
         (500, 1)
     );
@@ -833,16 +841,16 @@
 
 #[test]
 fn progress_is_sent_only_to_clients_that_ask() {
-    let site = Plan::of(1)
+    let site = SiteOptions::with_engines(1)
         .with("\"TellsEveryUs\": 1000000", "\"TellsEveryUs\": 100000")
         .start();
     let query = "SELECT 1 /* standin: sleep_ms=600 */";
-    let without_progress = site.ask("/?driftfront_class=report", query);
+    let without_progress = site.request("/?driftfront_class=report", query);
     assert!(
         without_progress.status == 200
             && without_progress.header("X-ClickHouse-Progress").is_none()
     );
-    let with_progress = site.ask(
+    let with_progress = site.request(
         "/?driftfront_class=report&send_progress_in_http_headers=1",
         query,
     );
@@ -871,12 +879,15 @@
         site.coordinator.addr,
         b"POST / HTTP/1.0\r\nContent-Length: 8\r\n\r\nSELECT 1",
     );
-    assert_eq!((complete.whole, complete.text().as_str()), (true, "1\n"));
+    assert_eq!(
+        (complete.is_complete, complete.text().as_str()),
+        (true, "1\n")
+    );
 }
 
 #[test]
 fn slow_readers_use_bounded_memory_and_delay_no_other_client() {
-    let site = Plan::of(10).memory_mb(48).start();
+    let site = SiteOptions::with_engines(10).memory_mb(48).start();
     let slow: Vec<TcpStream> = (0..60)
         .map(|n| {
             site.begin(
@@ -885,17 +896,17 @@
             )
         })
         .collect();
-    site.coordinator.wait_for("results_paused", 50);
+    site.coordinator.wait_for_counter("results_paused", 50);
     for n in 0..20 {
         let statement = format!("SELECT 'quick', {n}");
         assert_eq!(
-            site.ask("/?driftfront_class=report", &statement).status,
+            site.request("/?driftfront_class=report", &statement).status,
             200
         );
     }
     assert!(site.memory_mb() < 48, "{} MB", site.memory_mb());
     drop(slow);
-    site.ledger
+    site.request_log
         .wait_until("the end of all", |e| e.iter().all(|e| e.end_seq.is_some()));
 }
 
@@ -943,7 +954,7 @@
     );
     let long = format!("GET / HTTP/1.1\r\nX: {}\r\n\r\n", "x".repeat(300_000));
     assert_eq!(call(addr, long.as_bytes()).status, 431);
-    assert_eq!(site.ledger.of("").len(), 0);
+    assert_eq!(site.request_log.of("").len(), 0);
     assert_eq!(site.coordinator.counter("requests_taken"), 0);
     // A URL that is much longer than common limits is accepted.
     let url = format!("/?query=SELECT+'{}'", "x".repeat(100_000));
@@ -953,11 +964,11 @@
 #[test]
 fn drain_and_pause_let_results_and_streamed_inserts_finish() {
     let with_management = "\"name\": \"appliance\", \"management\": \"127.0.0.1:0\"";
-    let site = Plan::of(1)
+    let site = SiteOptions::with_engines(1)
         .with("\"name\": \"appliance\"", with_management)
         .start();
     assert_eq!(
-        site.ask("/?session_id=s", "CREATE TEMPORARY TABLE t (n Int)")
+        site.request("/?session_id=s", "CREATE TEMPORARY TABLE t (n Int)")
             .status,
         200
     );
@@ -966,10 +977,16 @@
         "/?session_id=s&driftfront_class=report",
         "SELECT wide(20), 1 FROM numbers(400000)",
     );
-    site.coordinator.wait_for("results_paused", 1);
-    site.ledger.wait_for("o.half", 1);
-    assert!(site.coordinator.manage("SUSPEND e0\n").starts_with("OK"));
-    assert!(site.coordinator.manage("PAUSE\n").starts_with("OK"));
+    site.coordinator.wait_for_counter("results_paused", 1);
+    site.request_log.wait_for("o.half", 1);
+    assert!(site
+        .coordinator
+        .call_management("SUSPEND e0\n")
+        .starts_with("OK"));
+    assert!(site
+        .coordinator
+        .call_management("PAUSE\n")
+        .starts_with("OK"));
     let refused = site.query("SELECT 1");
     assert_eq!(
         (refused.status, refused.header("Connection")),
@@ -977,15 +994,15 @@
     );
     // Running queries finish, and then their connections close.
     insert.write_all(b"0\r\n\r\n").unwrap();
-    let answer = read_answer(&mut insert);
+    let answer = read_response(&mut insert);
     assert_eq!(
         (answer.status, answer.header("Connection")),
         (200, Some("close")),
         "{}",
         answer.text()
     );
-    let rows = read_answer(&mut result);
-    assert!(rows.whole && rows.text().lines().count() == 400_000);
+    let rows = read_response(&mut result);
+    assert!(rows.is_complete && rows.text().lines().count() == 400_000);
     for mut stream in [insert, result] {
         assert_eq!(
             stream
@@ -996,32 +1013,35 @@
     }
     // The session was lost with its engine, and its next query gets the error for that.
     assert_eq!(
-        exception_code(&site.ask("/?session_id=s", "SELECT 2")),
+        exception_code(&site.request("/?session_id=s", "SELECT 2")),
         Some(372)
     );
-    assert!(site.coordinator.manage("RESTORE e0\n").starts_with("OK"));
-    assert_eq!(site.coordinator.manage("RESUME\n"), "OK ready\n");
+    assert!(site
+        .coordinator
+        .call_management("RESTORE e0\n")
+        .starts_with("OK"));
+    assert_eq!(site.coordinator.call_management("RESUME\n"), "OK ready\n");
     assert_eq!(site.query("SELECT 3").status, 200);
-    site.ledger.assert_rules(6);
+    site.request_log.assert_rules(6);
 }
 
 #[test]
 fn shutdown_answers_all_accepted_requests() {
     let mut site = Site::start(1);
     let mut stream = site.begin("/?max_execution_time=1", "SELECT 1 /* standin: silent */");
-    site.coordinator.wait_for("requests_taken", 1);
+    site.coordinator.wait_for_counter("requests_taken", 1);
     site.coordinator.terminate();
     // New requests are still answered during the grace period.
     assert_eq!(site.query("SELECT 2").status, 200);
-    assert!(read_answer(&mut stream).status >= 400);
+    assert!(read_response(&mut stream).status >= 400);
     assert!(site.coordinator.wait().success());
 }
 
 #[test]
 fn idle_clients_are_evicted_when_descriptors_run_out() {
-    let site = Plan {
+    let site = SiteOptions {
         descriptors: 30,
-        ..Plan::of(1)
+        ..SiteOptions::with_engines(1)
     }
     .start();
     let idle: Vec<TcpStream> = (0..60)
@@ -1031,7 +1051,7 @@
         assert_eq!(site.query(&format!("SELECT {n}")).status, 200);
     }
     drop(idle);
-    site.ledger.assert_rules(5);
+    site.request_log.assert_rules(5);
 }
 
 #[test]
@@ -1039,14 +1059,14 @@
 fn engines_are_added_and_removed_by_etcd() {
     use base64::engine::general_purpose::STANDARD;
     use base64::Engine as _;
-    let ledger = Arc::new(RequestLog::default());
+    let request_log = Arc::new(RequestLog::default());
     let mock_engine =
-        driftfront_mock_servers::engine::Engine::start(Options::default(), ledger.clone());
+        driftfront_mock_servers::engine::Engine::start(Options::default(), request_log.clone());
     let engine = mock_engine.addr();
     let (send_event, event_requested) = std::sync::mpsc::channel::<()>();
     let event_requested = std::sync::Mutex::new(event_requested);
     let key = STANDARD.encode("/uni/e0");
-    let etcd = stand_in(move |mut stream| {
+    let etcd = start_mock_server(move |mut stream| {
         let mut reader = RequestReader::new(4096);
         let mut bytes = [0; 4096];
         loop {
@@ -1082,7 +1102,7 @@
             }
         }
     });
-    let config = appliance()
+    let config = example_configuration()
         .replace("127.0.0.1:8123", "127.0.0.1:0")
         .replace(
             "\"file\": \"deploy/engines.json\"",
@@ -1092,7 +1112,7 @@
     coordinator.wait_until_ready();
     assert_eq!(post(coordinator.addr, "/", "", "SELECT 1").status, 200);
     send_event.send(()).unwrap();
-    coordinator.wait_for("lists_taken", 3);
+    coordinator.wait_for_counter("lists_taken", 3);
     assert_eq!(
         post(
             coordinator.addr,
@@ -1104,7 +1124,10 @@
         429
     );
     assert_eq!(
-        (ledger.of("SELECT 1").len(), ledger.of("gone").len()),
+        (
+            request_log.of("SELECT 1").len(),
+            request_log.of("gone").len()
+        ),
         (1, 0)
     );
 }
@@ -1132,15 +1155,15 @@
         ),
         ("{\"listen\":\"here\",\"settings\":{}}", "listen"),
         (
-            &appliance().replace("\"clickhouse\",", "\"other\","),
+            &example_configuration().replace("\"clickhouse\",", "\"other\","),
             "front: unknown interface other",
         ),
         (
-            &appliance().replace("\"write\": \"member-load\"", "\"write\": \"x\""),
+            &example_configuration().replace("\"write\": \"member-load\"", "\"write\": \"x\""),
             "clickhouse.write",
         ),
     ] {
-        let path = file(config);
+        let path = write_temp_file(config);
         for command in ["check", "serve"] {
             let (success, text) = run(&[command, "--config", &path.display().to_string()]);
             assert!(
--- a/crates/coordinator/tests/clocks/budget.rs
+++ b/crates/coordinator/tests/clocks/budget.rs
@@ -14,8 +14,8 @@
     for n in 0..10 {
         sent.push(ask(&site, &format!("SELECT fault after {n}")));
     }
-    let breaches = site.ledger.budget_breaches(&budget, &sent);
-    assert!(breaches.is_empty(), "{breaches:#?}");
+    let violations = site.request_log.budget_breaches(&budget, &sent);
+    assert!(violations.is_empty(), "{violations:#?}");
 }
 
 #[test]
@@ -38,6 +38,6 @@
     for n in 0..failures {
         sent.push(ask(&site, &format!("SELECT fault {n}")));
     }
-    let breaches = site.ledger.budget_breaches(&budget, &sent);
-    assert!(breaches.is_empty(), "{breaches:#?}");
+    let violations = site.request_log.budget_breaches(&budget, &sent);
+    assert!(violations.is_empty(), "{violations:#?}");
 }
--- a/crates/coordinator/tests/clocks/main.rs
+++ b/crates/coordinator/tests/clocks/main.rs
@@ -44,6 +44,6 @@
 /// Sends a request, waits for its response and returns when the request was sent.
 fn ask(site: &Site, statement: &str) -> Instant {
     let sent_at = Instant::now();
-    site.ask("report", 10_000, statement);
+    site.request("report", 10_000, statement);
     sent_at
 }
--- a/crates/coordinator/tests/clocks/spans.rs
+++ b/crates/coordinator/tests/clocks/spans.rs
@@ -33,7 +33,7 @@
 fn deadline_holds_when_the_wall_clock_is_set_back() {
     let (site, clock, _) = site(1, 5.0, WINDOW);
     let mut pending = send(&site, "lookup", 1500, "SELECT silent");
-    site.ledger.wait_for("SELECT silent", 1);
+    site.request_log.wait_for("SELECT silent", 1);
     clock.set(-HOUR);
     // The request's 1.5 s, the allowed delay of a response, and a margin for a busy machine.
     assert!(
@@ -48,15 +48,15 @@
     for step in [3 * SECOND, 20 * SECOND, HOUR] {
         let (site, clock, _) = site(1, 5.0, WINDOW);
         let mut running = send(&site, "report", 14_000, "SELECT silent");
-        site.ledger.wait_for("SELECT silent", 1);
+        site.request_log.wait_for("SELECT silent", 1);
         clock.set(step);
-        site.coordinator.wait_for("wall_clock_steps", 1);
+        site.coordinator.wait_for_counter("wall_clock_steps", 1);
         // Much longer than the periodic check that would end the request early, and much shorter than any timeout that is due.
         assert!(
             !responds_within(&mut running, Duration::from_millis(400)),
             "step {step}"
         );
-        assert_eq!(site.ledger.of("SELECT silent").len(), 1, "step {step}");
+        assert_eq!(site.request_log.of("SELECT silent").len(), 1, "step {step}");
         assert_eq!(site.list.last_event_ids().len(), 1, "step {step}");
     }
 }
@@ -66,7 +66,7 @@
     for step in [-HOUR, HOUR] {
         let (mut site, clock, _) = site(1, 5.0, WINDOW);
         let mut pending = send(&site, "report", 14_000, "SELECT silent");
-        site.ledger.wait_for("SELECT silent", 1);
+        site.request_log.wait_for("SELECT silent", 1);
         let start = Instant::now();
         site.coordinator.terminate();
         clock.set(step);
--- a/crates/coordinator/tests/daily.rs
+++ b/crates/coordinator/tests/daily.rs
@@ -4,7 +4,7 @@
 use driftfront_http::ResponseReader;
 use driftfront_test_support::coordinator::engine_list::EngineList;
 use driftfront_test_support::coordinator::platform_site::{config, Site};
-use driftfront_test_support::coordinator::{get, read_next, Coordinator, TEST_TIMEOUT};
+use driftfront_test_support::coordinator::{get, read_next_response, Coordinator, TEST_TIMEOUT};
 use socket2::{Domain, Socket, Type};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -47,7 +47,7 @@
     for stream in &mut stalled[..20] {
         stream.write_all(b"SUSP").unwrap();
     }
-    assert_eq!(site.coordinator.manage("STATUS\r\n"), "OK ready\n");
+    assert_eq!(site.coordinator.call_management("STATUS\r\n"), "OK ready\n");
     for bad in [
         "status\n",
         "SUSPEND\n",
@@ -56,7 +56,7 @@
         "SUSPEND unknown\n",
         "RESTORE unknown\n",
     ] {
-        let reply = site.coordinator.manage(bad);
+        let reply = site.coordinator.call_management(bad);
         assert!(
             reply.starts_with("ERR ") && reply.matches('\n').count() == 1,
             "{bad:?}: {reply:?}"
@@ -68,7 +68,7 @@
     let mut reply = String::new();
     incomplete.read_to_string(&mut reply).unwrap();
     assert!(reply.starts_with("ERR the connection ended"), "{reply}");
-    assert_eq!(site.coordinator.manage("STATUS\n"), "OK ready\n");
+    assert_eq!(site.coordinator.call_management("STATUS\n"), "OK ready\n");
     // The 40 stalled connections exceed the connection limit: the oldest were closed to make room.
     assert!(site.coordinator.counter("management_silent") >= 8);
     assert_eq!(site.coordinator.counter("management_bad"), 5);
@@ -79,14 +79,14 @@
     let occupied = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let setting = format!("{{\"management\": \"{}\",", occupied.local_addr().unwrap());
     let site = Site::with_config(1, |config| config.replacen('{', &setting, 1));
-    assert_eq!(site.ask("lookup", 2500, "SELECT 1").status, 200);
+    assert_eq!(site.request("lookup", 2500, "SELECT 1").status, 200);
     let invalid = Site::with_config(1, |config| {
         config.replacen('{', "{\"management\": \"nowhere\",", 1)
     });
     assert_eq!(
         (
             invalid.coordinator.management,
-            invalid.ask("lookup", 2500, "SELECT 1").status
+            invalid.request("lookup", 2500, "SELECT 1").status
         ),
         (None, 200)
     );
@@ -95,15 +95,18 @@
 #[test]
 fn suspended_engine_gets_no_query_until_it_is_restored() {
     let site = Site::with_config(2, with_management_address);
-    let manage = |call: &str| site.coordinator.manage(call);
+    let manage = |call: &str| site.coordinator.call_management(call);
     // Sends `count` queries and returns how many of them e0 ran.
     let run_on_e0 = |from: u64, count: u64| {
         for n in from..from + count {
-            assert_eq!(site.ask("lookup", 2500, &format!("SELECT {n}")).status, 200);
+            assert_eq!(
+                site.request("lookup", 2500, &format!("SELECT {n}")).status,
+                200
+            );
         }
         (from..from + count)
             .filter(|n| {
-                site.ledger
+                site.request_log
                     .of(&format!("SELECT {n}"))
                     .iter()
                     .any(|e| e.engine == "0")
@@ -123,21 +126,21 @@
     // The engine leaves the list and returns as a new process. Orders for it are accepted while it is absent, too.
     let lists = site.coordinator.counter("lists_taken");
     site.publish(&["gone", "ready"], "");
-    site.coordinator.wait_for("lists_taken", lists + 1);
+    site.coordinator.wait_for_counter("lists_taken", lists + 1);
     assert!(manage("SUSPEND e0\n").starts_with("OK") && manage("SUSPEND e00\n").starts_with("ERR"));
     site.publish(&["ready", "ready"], "");
-    site.coordinator.wait_for("lists_taken", lists + 2);
+    site.coordinator.wait_for_counter("lists_taken", lists + 2);
     assert_eq!(run_on_e0(3000, 30), 0);
     assert_eq!(site.coordinator.counter("engines_out_by_order"), 1);
     // Without any engine a query is rejected at once, with the time after which to retry.
     assert!(manage("SUSPEND e1\n").starts_with("OK"));
-    let refused = site.ask("lookup", 2500, "SELECT none");
+    let refused = site.request("lookup", 2500, "SELECT none");
     assert!(refused.status == 429 && refused.header("X-Come-Back-Ms").is_some());
     assert_eq!(manage("STATUS\n"), "ERR no engine takes work\n");
     assert!(manage("RESTORE e0\n").starts_with("OK") && manage("RESTORE e0\n").starts_with("OK"));
     assert_eq!(run_on_e0(4000, 10), 10);
     assert!(manage("RESTORE e1\n").starts_with("OK"));
-    site.ledger.assert_rules(1000);
+    site.request_log.assert_rules(1000);
 }
 
 #[test]
@@ -149,22 +152,28 @@
     let (mut idle_reader, mut busy_reader) = (ResponseReader::default(), ResponseReader::default());
     idle.write_all(lookup_request(1).as_bytes()).unwrap();
     assert_eq!(
-        read_next(&mut idle, &mut idle_reader).header("Connection"),
+        read_next_response(&mut idle, &mut idle_reader).header("Connection"),
         None
     );
     // Half of a request has arrived before the pause: it is accepted and answered, and its response announces the close.
     let (partial, split) = (lookup_request(2), 40);
     busy.write_all(&partial.as_bytes()[..split]).unwrap();
-    assert_eq!(site.coordinator.manage("PAUSE\n"), "OK draining\n");
-    assert!(site.coordinator.manage("PAUSE\n").starts_with("OK"));
-    assert!(site.coordinator.manage("STATUS\n").starts_with("ERR"));
+    assert_eq!(site.coordinator.call_management("PAUSE\n"), "OK draining\n");
+    assert!(site
+        .coordinator
+        .call_management("PAUSE\n")
+        .starts_with("OK"));
+    assert!(site
+        .coordinator
+        .call_management("STATUS\n")
+        .starts_with("ERR"));
     let health = get(site.coordinator.addr, "/alive");
     assert_eq!(
         (health.status, health.header("Connection")),
         (503, Some("close"))
     );
     busy.write_all(&partial.as_bytes()[split..]).unwrap();
-    let answer = read_next(&mut busy, &mut busy_reader);
+    let answer = read_next_response(&mut busy, &mut busy_reader);
     assert_eq!(
         (answer.status, answer.header("Connection")),
         (200, Some("close"))
@@ -174,15 +183,15 @@
         .for_each(assert_clean_close);
     drop((idle, fresh, busy));
     // A client that connects during the pause is served, and its connection is closed after the response.
-    let late = site.ask("lookup", 2500, "SELECT late");
+    let late = site.request("lookup", 2500, "SELECT late");
     assert_eq!(
         (late.status, late.header("Connection")),
         (200, Some("close"))
     );
-    assert_eq!(site.coordinator.manage("RESUME\n"), "OK ready\n");
+    assert_eq!(site.coordinator.call_management("RESUME\n"), "OK ready\n");
     assert_eq!(get(site.coordinator.addr, "/alive").status, 200);
     assert_eq!(
-        site.ask("lookup", 2500, "SELECT again")
+        site.request("lookup", 2500, "SELECT again")
             .header("Connection"),
         None
     );
@@ -192,7 +201,7 @@
 #[test]
 fn paused_coordinator_exits_on_sigterm() {
     let mut site = Site::with_config(1, with_management_address);
-    site.coordinator.manage("PAUSE\n");
+    site.coordinator.call_management("PAUSE\n");
     site.coordinator.terminate();
     assert!(site.coordinator.wait().success());
 }
@@ -218,12 +227,18 @@
         )
     };
     assert_eq!(run_command(&["pause"]), (Some(0), "draining\n".into()));
-    assert!(site.coordinator.manage("STATUS\n").starts_with("ERR dr"));
+    assert!(site
+        .coordinator
+        .call_management("STATUS\n")
+        .starts_with("ERR dr"));
     assert!(run_command(&["status"]).1.contains("Paused by an operator"));
-    assert_eq!(site.coordinator.manage("RESUME\n"), "OK ready\n");
+    assert_eq!(site.coordinator.call_management("RESUME\n"), "OK ready\n");
     assert_eq!(run_command(&["unpause"]), (Some(0), "ready\n".into()));
     // An engine that is drained through one interface is shown and restored through the other.
-    assert!(site.coordinator.manage("SUSPEND e0\n").starts_with("OK"));
+    assert!(site
+        .coordinator
+        .call_management("SUSPEND e0\n")
+        .starts_with("OK"));
     assert!(run_command(&["engines"])
         .1
         .lines()
@@ -231,7 +246,10 @@
     assert_eq!(run_command(&["drain", "e0"]).0, Some(3));
     assert_eq!(run_command(&["resume", "e0"]).0, Some(0));
     assert_eq!(run_command(&["drain", "e1"]).0, Some(0));
-    assert!(site.coordinator.manage("RESTORE e1\n").starts_with("OK"));
+    assert!(site
+        .coordinator
+        .call_management("RESTORE e1\n")
+        .starts_with("OK"));
     assert_eq!(site.coordinator.counter("engines_out_by_order"), 0);
 }
 
@@ -254,16 +272,19 @@
     let coordinator = Coordinator::start(&with_management_address(long_connect_timeout));
     let mut site = Site {
         coordinator,
-        ledger: Arc::default(),
+        request_log: Arc::default(),
         engines: vec![engine],
         list,
     };
     site.publish(&["ready"], "");
     site.coordinator.wait_until_ready();
     let answer = std::thread::scope(|scope| {
-        let client = scope.spawn(|| site.ask("report", 2_000, "SELECT 1"));
-        site.coordinator.wait_for("attempts_sent", 1);
-        assert!(site.coordinator.manage("SUSPEND e0\n").starts_with("OK"));
+        let client = scope.spawn(|| site.request("report", 2_000, "SELECT 1"));
+        site.coordinator.wait_for_counter("attempts_sent", 1);
+        assert!(site
+            .coordinator
+            .call_management("SUSPEND e0\n")
+            .starts_with("OK"));
         drop(listener.accept().unwrap());
         // Keeps the coordinator's connection open.
         let engine_stream = listener.accept().unwrap().0;
--- a/crates/coordinator/tests/endings/clients.rs
+++ b/crates/coordinator/tests/endings/clients.rs
@@ -7,7 +7,7 @@
 use driftfront_test_support::coordinator::engine_list::EngineList;
 use driftfront_test_support::coordinator::line_engine::serve;
 use driftfront_test_support::coordinator::platform_site::{config, Site};
-use driftfront_test_support::coordinator::{call, instance, read_answer, Coordinator};
+use driftfront_test_support::coordinator::{call, instance, read_response, Coordinator};
 use socket2::{Domain, Socket, Type};
 use std::io::Write;
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -22,7 +22,7 @@
     let (site, mut first, gate) = site_with_busy_key();
     let open_waiting = |id: u64| {
         let stream = open(&site, &load(id, &format!("INSERT gone {id}")));
-        site.coordinator.wait_for("requests_taken", id);
+        site.coordinator.wait_for_counter("requests_taken", id);
         stream
     };
     // Clients disconnect by a close, by a reset and by a half-close.
@@ -48,19 +48,19 @@
     }
     assert!(written > 70_000, "{written}");
     drop(pipelining);
-    site.coordinator.wait_for("clients_left", 4);
+    site.coordinator.wait_for_counter("clients_left", 4);
     // One request is cancelled by a call on another connection. Its own connection closes, as no response is due there any more.
     let mut cancelled = open_waiting(6);
     let delete = "DELETE /ops/member-load HTTP/1.1\r\nX-Call-Id: 0000000000000006\r\n\r\n";
     assert_eq!(call(site.coordinator.addr, delete.as_bytes()).status, 200);
     assert_eq!(read_to_close(&mut cancelled).unwrap(), b"");
-    site.coordinator.wait_for("clients_left", 5);
+    site.coordinator.wait_for_counter("clients_left", 5);
     // The request behind them runs as soon as the first one has finished.
     let mut last = open(&site, &load(7, "INSERT last"));
-    site.coordinator.wait_for("requests_taken", 7);
+    site.coordinator.wait_for_counter("requests_taken", 7);
     gate.open();
-    assert_eq!(read_answer(&mut first).status, 200);
-    assert_eq!(read_answer(&mut last).status, 200);
+    assert_eq!(read_response(&mut first).status, 200);
+    assert_eq!(read_response(&mut last).status, 200);
     assert_eq!(received_statements(&site), ["INSERT held", "INSERT last"]);
 }
 
@@ -77,9 +77,9 @@
 fn request_of_a_client_that_disconnected_before_it_was_read_is_not_forwarded() {
     let site = Site::start(1);
     // A connection to the engine exists, so an accepted request would reach it at once.
-    assert_eq!(site.ask("lookup", 2500, "SELECT before").status, 200);
+    assert_eq!(site.request("lookup", 2500, "SELECT before").status, 200);
     // Clients disconnect before the coordinator reads, as with a full backlog or a stopped process.
-    site.coordinator.freeze();
+    site.coordinator.suspend();
     for id in 1..=3 {
         disconnect(open(
             &site,
@@ -90,9 +90,9 @@
     let pipelined = request("lookup", 4, "", "SELECT left 4")
         + &request("lookup", 5, "", &"y".repeat(900)).repeat(90);
     disconnect(open(&site, &pipelined));
-    site.coordinator.wake();
-    site.coordinator.wait_for("clients_left", 4);
-    assert_eq!(site.ask("lookup", 2500, "SELECT here").status, 200);
+    site.coordinator.resume();
+    site.coordinator.wait_for_counter("clients_left", 4);
+    assert_eq!(site.request("lookup", 2500, "SELECT here").status, 200);
     assert_eq!(received_statements(&site), ["SELECT before", "SELECT here"]);
 }
 
@@ -104,24 +104,24 @@
     let waiting: Vec<TcpStream> = (1..=clients)
         .map(|id| open(&site, &held_request(id)))
         .collect();
-    site.coordinator.wait_for("requests_taken", clients);
-    site.ledger
+    site.coordinator.wait_for_counter("requests_taken", clients);
+    site.request_log
         .wait_until("some queries have been sent", |entries| !entries.is_empty());
     // The coordinator finds all disconnects at once. Otherwise, each one would make room for a client that is still connected.
-    site.coordinator.freeze();
+    site.coordinator.suspend();
     drop(waiting);
-    site.coordinator.wake();
-    site.coordinator.wait_for("clients_left", clients);
+    site.coordinator.resume();
+    site.coordinator.wait_for_counter("clients_left", clients);
     wait_for_duration(SETTLE_TIME);
     // The engine had its maximum number of queries, and the other requests waited for one of these to finish.
-    let sent = site.ledger.of("held").len() as u64;
+    let sent = site.request_log.of("held").len() as u64;
     assert!(sent > 0 && sent < clients, "{sent}");
     gate.open();
     wait_until("requests are served again", || {
-        site.ask("lookup", 2400, "SELECT behind").status == 200
+        site.request("lookup", 2400, "SELECT behind").status == 200
     });
     wait_for_duration(SETTLE_TIME);
-    assert_eq!(site.ledger.of("held").len() as u64, sent);
+    assert_eq!(site.request_log.of("held").len() as u64, sent);
 }
 
 #[test]
@@ -131,23 +131,24 @@
     let others: Vec<TcpStream> = (2..10)
         .map(|id| open(&site, &report(id, &format!("SELECT held {id}"))))
         .collect();
-    site.coordinator.wait_for("connections_engines", 2);
+    site.coordinator.wait_for_counter("connections_engines", 2);
     let disconnecting = open(&site, &report(1, "SELECT held, then full"));
-    site.ledger.wait_for("SELECT held, then full", 1);
+    site.request_log.wait_for("SELECT held, then full", 1);
     // The coordinator finds the engine's rejection and the client's disconnect in one iteration of its event loop.
-    site.coordinator.freeze();
+    site.coordinator.suspend();
     gate.open();
-    site.ledger.wait_until("the engine's rejection", |entries| {
-        entries.iter().all(|e| e.end_seq.is_some())
-    });
+    site.request_log
+        .wait_until("the engine's rejection", |entries| {
+            entries.iter().all(|e| e.end_seq.is_some())
+        });
     disconnect(disconnecting);
-    site.coordinator.wake();
-    site.coordinator.wait_for("clients_left", 1);
+    site.coordinator.resume();
+    site.coordinator.wait_for_counter("clients_left", 1);
     wait_for_duration(SETTLE_TIME);
-    assert_eq!(site.ledger.of("SELECT held, then full").len(), 1);
+    assert_eq!(site.request_log.of("SELECT held, then full").len(), 1);
     others
         .into_iter()
-        .for_each(|mut other| assert_eq!(read_answer(&mut other).status, 200));
+        .for_each(|mut other| assert_eq!(read_response(&mut other).status, 200));
 }
 
 /// A site with one engine, to which connection attempts hang until [`PendingConnect::accept_connections`] is called.
@@ -174,7 +175,7 @@
         );
         let coordinator = Coordinator::start(&config);
         let site = Site {
-            ledger: Arc::default(),
+            request_log: Arc::default(),
             coordinator,
             list,
             engines: vec![addr],
@@ -190,11 +191,11 @@
 
     /// Accepts the waiting connections and serves them.
     fn accept_connections(self) -> Site {
-        let (ledger, listener) = (self.site.ledger.clone(), self.listener);
+        let (request_log, listener) = (self.site.request_log.clone(), self.listener);
         std::thread::spawn(move || {
             while let Ok((socket, _)) = listener.accept() {
-                let ledger = ledger.clone();
-                std::thread::spawn(move || serve(socket.into(), 0, &ledger));
+                let request_log = request_log.clone();
+                std::thread::spawn(move || serve(socket.into(), 0, &request_log));
             }
         });
         drop(self.filler);
@@ -206,13 +207,19 @@
 fn request_of_a_client_that_disconnects_during_a_connect_is_not_forwarded() {
     let pending = PendingConnect::start();
     let disconnecting = open(&pending.site, &load(1, "INSERT left"));
-    pending.site.coordinator.wait_for("attempts_sent", 1);
+    pending
+        .site
+        .coordinator
+        .wait_for_counter("attempts_sent", 1);
     drop(disconnecting);
-    pending.site.coordinator.wait_for("clients_left", 1);
+    pending.site.coordinator.wait_for_counter("clients_left", 1);
     let mut waiting = open(&pending.site, &load(2, "INSERT stays"));
-    pending.site.coordinator.wait_for("requests_taken", 2);
+    pending
+        .site
+        .coordinator
+        .wait_for_counter("requests_taken", 2);
     let site = pending.accept_connections();
-    assert_eq!(read_answer(&mut waiting).status, 200);
+    assert_eq!(read_response(&mut waiting).status, 200);
     assert_eq!(received_statements(&site), ["INSERT stays"]);
 }
 
@@ -224,11 +231,14 @@
         &pending.site,
         &request("lookup", 1, "", "SELECT late").replace("2400", "300"),
     );
-    assert_eq!(read_answer(&mut late).status, 429);
+    assert_eq!(read_response(&mut late).status, 429);
     let mut next = open(&pending.site, &load(2, "INSERT next"));
-    pending.site.coordinator.wait_for("requests_taken", 2);
+    pending
+        .site
+        .coordinator
+        .wait_for_counter("requests_taken", 2);
     let site = pending.accept_connections();
-    assert_eq!(read_answer(&mut next).status, 200);
+    assert_eq!(read_response(&mut next).status, 200);
     assert_eq!(received_statements(&site), ["INSERT next"]);
 }
 
@@ -236,13 +246,16 @@
 fn request_runs_once_when_its_engine_address_is_reused() {
     let pending = PendingConnect::start();
     let mut load = open(&pending.site, &load(1, "INSERT moved"));
-    pending.site.coordinator.wait_for("attempts_sent", 1);
+    pending
+        .site
+        .coordinator
+        .wait_for_counter("attempts_sent", 1);
     let addr = pending.site.engines[0];
     let lines = [instance("e0", addr, "gone"), instance("e1", addr, "ready")];
     pending.site.list.publish(&lines, "");
-    pending.site.coordinator.wait_for("lists_taken", 3);
+    pending.site.coordinator.wait_for_counter("lists_taken", 3);
     let site = pending.accept_connections();
-    assert_eq!(read_answer(&mut load).status, 200);
+    assert_eq!(read_response(&mut load).status, 200);
     assert_eq!(received_statements(&site), ["INSERT moved"]);
 }
 
@@ -271,15 +284,15 @@
         .collect();
     flood.into_iter().for_each(|thread| thread.join().unwrap());
     // The response must be complete. It may be a rejection while the flood's own requests are running.
-    assert!([200, 429].contains(&site.ask("lookup", 2500, "SELECT beside").status));
+    assert!([200, 429].contains(&site.request("lookup", 2500, "SELECT beside").status));
     gate.open();
-    assert_eq!(read_answer(&mut first).status, 200);
+    assert_eq!(read_response(&mut first).status, 200);
     // The flood's connections are closed and their resources released.
     wait_until("the flood's connections are closed", || {
         site.coordinator.counter("connections_clients") <= 2
     });
     wait_until("requests are served again", || {
-        site.ask("lookup", 2500, "SELECT behind").status == 200
+        site.request("lookup", 2500, "SELECT behind").status == 200
     });
 }
 
@@ -295,20 +308,20 @@
             &site,
             &request("lookup", 100 + n, "", &format!("SELECT {n}")),
         );
-        assert_eq!(read_answer(&mut stream).status, 200);
+        assert_eq!(read_response(&mut stream).status, 200);
         idle.push(stream);
     }
-    site.coordinator.freeze();
+    site.coordinator.suspend();
     // The coordinator finds the new connections first, then the request on the connection that would be evicted for one of them.
     let new_client = |n| open(&site, &request("lookup", n, "", "SELECT new"));
     let mut new_clients: Vec<TcpStream> = (1..15).map(new_client).collect();
     idle[0]
         .write_all(request("lookup", 99, "", "SELECT crossing").as_bytes())
         .unwrap();
-    site.coordinator.wake();
-    assert_eq!(read_answer(&mut idle[0]).status, 200);
+    site.coordinator.resume();
+    assert_eq!(read_response(&mut idle[0]).status, 200);
     for new_client in &mut new_clients {
-        assert_eq!(read_answer(new_client).status, 200);
+        assert_eq!(read_response(new_client).status, 200);
     }
     assert!(site.coordinator.counter("clients_dropped") > 0);
 }
--- a/crates/coordinator/tests/endings/engines.rs
+++ b/crates/coordinator/tests/endings/engines.rs
@@ -3,7 +3,7 @@
 use super::{open, report, wait_until};
 use driftfront_test_support::coordinator::line_engine::read_statement;
 use driftfront_test_support::coordinator::platform_site::Site;
-use driftfront_test_support::coordinator::{read_answer, stand_in, Coordinator};
+use driftfront_test_support::coordinator::{read_response, start_mock_server, Coordinator};
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::mpsc::channel;
@@ -14,23 +14,23 @@
     let site = Site::start(2);
     for words in ["half", "half endless"] {
         assert_eq!(
-            site.ask("report", 15_000, &format!("SELECT {words}"))
+            site.request("report", 15_000, &format!("SELECT {words}"))
                 .status,
             200
         );
         assert_eq!(
-            site.ledger.of(&format!("SELECT {words}")).len(),
+            site.request_log.of(&format!("SELECT {words}")).len(),
             2,
             "{words}"
         );
         // The load has run and its result is lost: it is not run again, and the error is sent at once.
         assert_eq!(
-            site.ask("member-load", 25_000, &format!("INSERT {words}"))
+            site.request("member-load", 25_000, &format!("INSERT {words}"))
                 .status,
             500
         );
         assert_eq!(
-            site.ledger.of(&format!("INSERT {words}")).len(),
+            site.request_log.of(&format!("INSERT {words}")).len(),
             1,
             "{words}"
         );
@@ -43,7 +43,7 @@
     let attempts = Arc::new(Mutex::new(Vec::<usize>::new()));
     let (recorded_attempts, connections) =
         (attempts.clone(), std::sync::atomic::AtomicUsize::new(0));
-    let engine = stand_in(move |stream| {
+    let engine = start_mock_server(move |stream| {
         let number = connections.fetch_add(1, std::sync::atomic::Ordering::SeqCst);
         let (mut input, mut out) = (BufReader::new(stream.try_clone().unwrap()), stream);
         let mut line = String::new();
@@ -82,7 +82,7 @@
     let site = Site::with_engines(Arc::default(), vec![engine], |config| {
         Coordinator::start(&config)
     });
-    assert_eq!(site.ask("lookup", 2500, "SELECT 1").status, 200);
+    assert_eq!(site.request("lookup", 2500, "SELECT 1").status, 200);
     // An id is used once per connection, so a late response can't be matched to another attempt.
     let attempts = attempts.lock().unwrap();
     assert!(
@@ -97,7 +97,7 @@
     let released = Mutex::new(released);
     let received = Arc::new(Mutex::new(Vec::<String>::new()));
     let statements = received.clone();
-    let engine = stand_in(move |mut stream| {
+    let engine = start_mock_server(move |mut stream| {
         let mut input = BufReader::new(stream.try_clone().unwrap());
         let mut line = String::new();
         while input.read_line(&mut line).unwrap_or(0) > 0 {
@@ -130,8 +130,8 @@
         !received.lock().unwrap().is_empty()
     });
     let mut second = TcpStream::connect(site.coordinator.addr).unwrap();
-    site.coordinator.wait_for("connections_clients", 3);
-    site.coordinator.freeze();
+    site.coordinator.wait_for_counter("connections_clients", 3);
+    site.coordinator.suspend();
     // The program finds the second request first and writes it to the connection that the engine has already reset.
     second
         .write_all(report(2, "SELECT second").as_bytes())
@@ -140,9 +140,9 @@
     wait_until("the engine has closed its connections", || {
         has_no_connections(engine)
     });
-    site.coordinator.wake();
-    assert_eq!(read_answer(&mut first).status, 200);
-    assert_eq!(read_answer(&mut second).status, 200);
+    site.coordinator.resume();
+    assert_eq!(read_response(&mut first).status, 200);
+    assert_eq!(read_response(&mut second).status, 200);
     assert_eq!(*received.lock().unwrap(), ["SELECT first", "SELECT second"]);
 }
 
--- a/crates/coordinator/tests/endings/lists.rs
+++ b/crates/coordinator/tests/endings/lists.rs
@@ -4,7 +4,7 @@
 use driftfront_test_support::coordinator::engine_list::{event, instances, read_head, EngineList};
 use driftfront_test_support::coordinator::line_engine::engines;
 use driftfront_test_support::coordinator::platform_site::{config, Site};
-use driftfront_test_support::coordinator::{post, stand_in, Coordinator};
+use driftfront_test_support::coordinator::{post, start_mock_server, Coordinator};
 use socket2::{Domain, Socket, Type};
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -16,7 +16,7 @@
     let published = Arc::new(Mutex::new(Vec::<String>::new()));
     let (events, last_ids) = (published.clone(), Arc::new(Mutex::new(Vec::<usize>::new())));
     let recorded_ids = last_ids.clone();
-    let addr = stand_in(move |mut stream| {
+    let addr = start_mock_server(move |mut stream| {
         let mut input = BufReader::new(stream.try_clone().unwrap());
         let Some(head) = read_head(&mut input) else {
             return;
@@ -36,23 +36,26 @@
     });
     let list = EngineList::at(addr);
     let coordinator = Coordinator::start(&config(addr));
-    let ledger = Arc::default();
+    let request_log = Arc::default();
     let site = Site {
         coordinator,
         list,
-        engines: engines(2, &ledger),
-        ledger,
+        engines: engines(2, &request_log),
+        request_log,
     };
     let list_event = |index, phase| event(index, &instances(&site.engines, &[phase, "ready"]), "");
     published
         .lock()
         .unwrap()
         .extend([list_event(1, "ready"), list_event(2, "draining")]);
-    site.coordinator.wait_for("lists_taken", 3);
+    site.coordinator.wait_for_counter("lists_taken", 3);
     for n in 0..5 {
-        assert_eq!(site.ask("lookup", 2500, &format!("SELECT {n}")).status, 200);
+        assert_eq!(
+            site.request("lookup", 2500, &format!("SELECT {n}")).status,
+            200
+        );
     }
-    assert!(site.ledger.of("").iter().all(|e| e.engine == "1"));
+    assert!(site.request_log.of("").iter().all(|e| e.engine == "1"));
     // Each call asks for the events after the last received one. The first call may have been abandoned before its event arrived.
     let last_ids = last_ids.lock().unwrap();
     assert!(
@@ -69,8 +72,8 @@
         .bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into())
         .unwrap();
     let addr = socket.local_addr().unwrap().as_socket().unwrap();
-    let ledger = Arc::new(RequestLog::default());
-    let engines = engines(2, &ledger);
+    let request_log = Arc::new(RequestLog::default());
+    let engines = engines(2, &request_log);
     let list_event = |index, phase| event(index, &instances(&engines, &[phase, "ready"]), "");
     let known_list = format!(
         "\"known\": {{\"index\": 3, \"updates\": [{}]}}, \"limits\"",
@@ -85,7 +88,7 @@
             post(coordinator.addr, "/ops/lookup", &headers, &statement).status,
             200
         );
-        ledger.of(&statement)[0].engine.clone()
+        request_log.of(&statement)[0].engine.clone()
     };
     assert!((1..=8).map(answering_engine).any(|engine| engine == "0"));
     // The source is reachable again, with an event after the known ones.
@@ -100,6 +103,6 @@
         list_event(4, "draining")
     );
     stream.write_all(response.as_bytes()).unwrap();
-    coordinator.wait_for("lists_taken", before + 1);
+    coordinator.wait_for_counter("lists_taken", before + 1);
     assert!((11..=18).map(answering_engine).all(|engine| engine == "1"));
 }
--- a/crates/coordinator/tests/endings/main.rs
+++ b/crates/coordinator/tests/endings/main.rs
@@ -10,7 +10,9 @@
 use driftfront_mock_servers::request_log::RequestLog;
 use driftfront_test_support::coordinator::line_engine::read_statement;
 use driftfront_test_support::coordinator::platform_site::Site;
-use driftfront_test_support::coordinator::{poll_until, stand_in, Coordinator, TEST_TIMEOUT};
+use driftfront_test_support::coordinator::{
+    poll_until, start_mock_server, Coordinator, TEST_TIMEOUT,
+};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::TcpStream;
 use std::sync::{Arc, Condvar, Mutex};
@@ -57,7 +59,7 @@
 
 /// The statements that the engines received, in order.
 fn received_statements(site: &Site) -> Vec<String> {
-    site.ledger
+    site.request_log
         .of("")
         .into_iter()
         .map(|e| e.statement)
@@ -93,14 +95,14 @@
 /// A site whose engines answer a statement with "held" only after the returned gate has opened, reject one with "full" by a SHED,
 /// and answer all others at once.
 fn site_with_gate(engines: usize) -> (Site, Arc<Gate>) {
-    let (ledger, gate) = (Arc::new(RequestLog::default()), Arc::new(Gate::default()));
+    let (request_log, gate) = (Arc::new(RequestLog::default()), Arc::new(Gate::default()));
     let engine = |n: usize| {
-        let (ledger, gate) = (ledger.clone(), gate.clone());
-        stand_in(move |stream| serve_engine(stream, &n.to_string(), &ledger, &gate))
+        let (request_log, gate) = (request_log.clone(), gate.clone());
+        start_mock_server(move |stream| serve_engine(stream, &n.to_string(), &request_log, &gate))
     };
     let engines = (0..engines).map(engine).collect();
     (
-        Site::with_engines(ledger, engines, |config| Coordinator::start(&config)),
+        Site::with_engines(request_log, engines, |config| Coordinator::start(&config)),
         gate,
     )
 }
@@ -110,11 +112,11 @@
 fn site_with_busy_key() -> (Site, TcpStream, Arc<Gate>) {
     let (site, gate) = site_with_gate(1);
     let first = open(&site, &load(1, "INSERT held"));
-    site.ledger.wait_for("INSERT held", 1);
+    site.request_log.wait_for("INSERT held", 1);
     (site, first, gate)
 }
 
-fn serve_engine(stream: TcpStream, engine: &str, ledger: &Arc<RequestLog>, gate: &Arc<Gate>) {
+fn serve_engine(stream: TcpStream, engine: &str, request_log: &Arc<RequestLog>, gate: &Arc<Gate>) {
     let mut input = BufReader::new(stream.try_clone().unwrap());
     let out = stream;
     loop {
@@ -131,8 +133,8 @@
             ),
             ["REQ", id, _, length] => {
                 let statement = read_statement(&mut input, length);
-                let number = ledger.of("").len().to_string();
-                let entry = ledger.begin(engine, &number, &statement, None);
+                let number = request_log.of("").len().to_string();
+                let entry = request_log.begin(engine, &number, &statement, None);
                 let answer = match statement.contains("full") {
                     true => format!("{id} SHED - 0\r\n\r\n"),
                     false => format!("{id} HIT fetches=1 6\r\n1\ta\tb\n\r\n"),
@@ -142,13 +144,16 @@
             _ => continue,
         };
         // A held response waits on its own thread, so that it does not delay other commands on this connection.
-        let (mut out, ledger, gate) = (out.try_clone().unwrap(), ledger.clone(), gate.clone());
+        let (mut out, request_log, gate) =
+            (out.try_clone().unwrap(), request_log.clone(), gate.clone());
         let mut send_answer = move || {
             if is_held {
                 gate.wait_until_open();
             }
             let _ = out.write_all(answer.as_bytes());
-            entry.into_iter().for_each(|entry| ledger.end(entry, true));
+            entry
+                .into_iter()
+                .for_each(|entry| request_log.end(entry, true));
         };
         match is_held {
             true => drop(std::thread::spawn(send_answer)),
--- a/crates/coordinator/tests/faults.rs
+++ b/crates/coordinator/tests/faults.rs
@@ -86,7 +86,7 @@
     harness.apply_script("reset \"all\" from=\"engines\"");
     wait_until_completed(&harness, &load, killed + 400);
     harness.wait_until_members_are(&[0, 1, 2, 3], &[0, 1, 2, 3]);
-    let records = load.end();
+    let records = load.stop();
     // A reset may fail a statement that must not run twice, but no request gets two responses, and only requests to
     // the killed member may get none.
     let is_unexpected = |record: &&RequestRecord| {
@@ -125,7 +125,7 @@
         },
     );
     wait_until_completed(&harness, &load, 240);
-    let records = load.end();
+    let records = load.stop();
     let counts = count_outcomes(&records);
     assert!(
         counts.get(&Outcome::Served).copied().unwrap_or(0) >= 230,
--- a/crates/coordinator/tests/golden_operators/commands.rs
+++ b/crates/coordinator/tests/golden_operators/commands.rs
@@ -4,7 +4,7 @@
 use driftfront::config::Config;
 use driftfront_control::commands::COMMANDS;
 use driftfront_test_support::assert_golden;
-use driftfront_test_support::coordinator::{appliance, platform_site};
+use driftfront_test_support::coordinator::{example_configuration, platform_site};
 use std::os::unix::fs::PermissionsExt;
 use tinyjson::JsonValue;
 
@@ -121,7 +121,7 @@
         "fleet-and-state.kdl",
         &(deploy("fleet.kdl") + "state \"state\"\n"),
     );
-    folder.write("site.json", &appliance());
+    folder.write("site.json", &example_configuration());
     folder.write(
         "etcd.kdl",
         "engines { etcd \"127.0.0.1:2379\" prefix=\"/engines/\"; }\nfront \"platform\"\n",
@@ -244,7 +244,7 @@
     ]
     .map(|text| values(&Config::from_operator_text(text).expect("well formed")))
     .join("\n");
-    let json = values(&Config::read(appliance().as_bytes()).expect("well formed"));
+    let json = values(&Config::read(example_configuration().as_bytes()).expect("well formed"));
     assert_golden!("operators/values.txt", text + "\n" + &json);
 }
 
@@ -385,7 +385,7 @@
         ("\"Effect\": \"free\"", "\"Effect\": \"odd\""),
         ("\"OnTimeUs\": 500000", "\"OnTimeUs\": \"x\""),
     ] {
-        let valid = appliance();
+        let valid = example_configuration();
         assert!(valid.contains(from), "{from}");
         folder.write("wrong.json", &valid.replacen(from, to, 1));
         text += &format!("--- {from} -> {to}\n{}", run_command(&folder.0, &["check", "--config", "wrong.json"]));
--- a/crates/coordinator/tests/golden_operators/control.rs
+++ b/crates/coordinator/tests/golden_operators/control.rs
@@ -4,7 +4,7 @@
 use crate::Folder;
 use driftfront_control::{Request, MAX_REPLY_BYTES};
 use driftfront_test_support::assert_golden;
-use driftfront_test_support::coordinator::clickhouse_site::Plan;
+use driftfront_test_support::coordinator::clickhouse_site::SiteOptions;
 use driftfront_test_support::coordinator::platform_site::Site as PlatformSite;
 use driftfront_test_support::coordinator::{get, TEST_TIMEOUT};
 use std::io::{BufRead, BufReader, Read, Write};
@@ -96,12 +96,12 @@
 }
 
 /// A site with two engines, a control socket, a state folder and a management address.
-fn plan(folder: &Folder) -> Plan {
+fn plan(folder: &Folder) -> SiteOptions {
     let settings = format!(
         "\"control\": \"{0}/control\", \"state\": \"{0}/state\", \"limits\"",
         folder.0.display()
     );
-    Plan::of(2)
+    SiteOptions::with_engines(2)
         .with("\"limits\"", &settings)
         .with("\"limits\"", "\"management\": \"127.0.0.1:0\", \"limits\"")
 }
@@ -255,7 +255,7 @@
         "SUSPEND\n",
         "PAUSE now\n",
     ] {
-        text += &format!("> {call:?}\n{:?}\n", site.coordinator.manage(call));
+        text += &format!("> {call:?}\n{:?}\n", site.coordinator.call_management(call));
     }
     assert_golden!("operators/calls.txt", text);
     assert_golden!(
@@ -281,7 +281,7 @@
 #[test]
 fn counters_of_the_platform_protocol() {
     let site = PlatformSite::start(2);
-    assert_eq!(site.ask("lookup", 2500, "SELECT 1").status, 200);
+    assert_eq!(site.request("lookup", 2500, "SELECT 1").status, 200);
     let answer = get(site.coordinator.addr, "/counters");
     let text = format!(
         "{:?}\n{}",
--- a/crates/coordinator/tests/operators.rs
+++ b/crates/coordinator/tests/operators.rs
@@ -5,9 +5,10 @@
 use driftfront_control::{Reply, Request};
 use driftfront_mock_servers::engine::{Engine, Options};
 use driftfront_mock_servers::request_log::RequestLog;
-use driftfront_test_support::coordinator::clickhouse_site::{Plan, Site};
+use driftfront_test_support::coordinator::clickhouse_site::{Site, SiteOptions};
 use driftfront_test_support::coordinator::{
-    appliance, file, instance, post, read_answer, Coordinator, TEST_TIMEOUT,
+    example_configuration, instance, post, read_response, write_temp_file, Coordinator,
+    TEST_TIMEOUT,
 };
 use std::io::{Read, Write};
 use std::os::unix::fs::PermissionsExt;
@@ -43,13 +44,13 @@
         }
     }
 
-    fn plan(engines: usize, socket: &std::path::Path, state: &std::path::Path) -> Plan {
+    fn plan(engines: usize, socket: &std::path::Path, state: &std::path::Path) -> SiteOptions {
         let settings = format!(
             "\"control\": \"{}\", \"state\": \"{}\", \"limits\"",
             socket.display(),
             state.display()
         );
-        Plan::of(engines).with("\"limits\"", &settings)
+        SiteOptions::with_engines(engines).with("\"limits\"", &settings)
     }
 
     fn connect(&self) -> Remote {
@@ -161,7 +162,7 @@
                 .query(&format!("SELECT 'after drain', {run}, {n}"));
         }
         // No query sent after the reply reaches the engine. Queries that were already on their way may arrive within 250 ms.
-        let entries = operated.site.ledger.of("SELECT");
+        let entries = operated.site.request_log.of("SELECT");
         let late = entries
             .iter()
             .filter(|e| e.engine == engine && e.at > drained_at);
@@ -222,7 +223,7 @@
     }
     assert!(operated
         .site
-        .ledger
+        .request_log
         .of("SELECT")
         .iter()
         .all(|e| e.engine == "e1"));
@@ -267,7 +268,7 @@
     let (code, output) = operated.run_command(&["drain", "e1"]);
     assert!(code == 3 && output.contains("last engine"), "{output}");
     assert_eq!(operated.run_command(&["drain", "e1", "--force"]).0, 0);
-    let refusal = operated.site.ask("/?max_execution_time=1", "SELECT 1");
+    let refusal = operated.site.request("/?max_execution_time=1", "SELECT 1");
     assert_eq!(refusal.status, 429);
     let (_, text) = operated.run_command(&["console", "--plain"]);
     assert!(text.contains("No engine takes work"), "{text}");
@@ -281,14 +282,14 @@
             name: "extra".into(),
             ..Options::default()
         },
-        operated.site.ledger.clone(),
+        operated.site.request_log.clone(),
     );
     let (code, output) = operated.run_command(&["add", "extra", &third.addr().to_string()]);
     assert!(code == 0, "{output}");
     operated.drain("e0", false);
     operated.drain("e1", false);
     assert_eq!(operated.site.query("SELECT 'extra'").status, 200);
-    assert_eq!(operated.site.ledger.of("'extra'")[0].engine, "extra");
+    assert_eq!(operated.site.request_log.of("'extra'")[0].engine, "extra");
     assert!(refusal_text(&operated.ask(&Request::Remove {
         engine: "extra".into(),
         force: false
@@ -323,8 +324,8 @@
         "/?query_id=june",
         "INSERT INTO o.t VALUES (1) /* standin: silent */",
     );
-    operated.site.ledger.wait_for("INSERT", 1);
-    let engine = operated.site.ledger.of("INSERT")[0].engine.clone();
+    operated.site.request_log.wait_for("INSERT", 1);
+    let engine = operated.site.request_log.of("INSERT")[0].engine.clone();
     operated.site.engine(&engine).mute(true);
     let snapshot = operated.wait_until("an alarm for the silent engine", |s| {
         driftfront_console::messages::alarms(s)
@@ -394,7 +395,10 @@
         });
         operated.drain(&engine, false);
     }
-    operated.site.coordinator.wait_for("operators_cut_off", 4);
+    operated
+        .site
+        .coordinator
+        .wait_for_counter("operators_cut_off", 4);
     drop(unread);
     // More connections than the limit: the excess is closed, and the program keeps serving.
     let excess: Vec<_> = (0..40)
@@ -427,15 +431,15 @@
         let mut busy = operated
             .site
             .begin("/?driftfront_class=report", "SELECT sleep(1), 'busy'");
-        operated.site.ledger.wait_for("busy", 1);
-        let engine = operated.site.ledger.of("busy")[0].engine.clone();
+        operated.site.request_log.wait_for("busy", 1);
+        let engine = operated.site.request_log.of("busy")[0].engine.clone();
         assert_eq!(operated.run_command(&["roll", &engine, "e2"]).0, 0);
         operated.wait_until("the engine to be handed over", |s| {
             s.roll.as_ref().is_some_and(|r| r.stage == "handed")
         });
         // The engine is handed over only after its last query has finished.
-        assert!(operated.site.ledger.of("busy")[0].end_seq.is_some());
-        assert_eq!(read_answer(&mut busy).status, 200);
+        assert!(operated.site.request_log.of("busy")[0].end_seq.is_some());
+        assert_eq!(read_response(&mut busy).status, 200);
     }
     let operated = OperatedSite {
         site: plan().start(),
@@ -482,15 +486,15 @@
         .1
         .contains("complete -F"));
     // A second process does not replace a control socket on which another one answers.
-    let list = file("{\"instances\":[]}");
-    let config = appliance()
+    let list = write_temp_file("{\"instances\":[]}");
+    let config = example_configuration()
         .replace("127.0.0.1:8123", "127.0.0.1:0")
         .replace("deploy/engines.json", &list.display().to_string())
         .replace(
             "\"limits\"",
             &format!("\"control\": \"{}\", \"limits\"", operated.socket.display()),
         );
-    let path = file(&config);
+    let path = write_temp_file(&config);
     let second = Command::new(env!("CARGO_BIN_EXE_driftfront"))
         .args(["serve", "--config"])
         .arg(&path)
@@ -523,11 +527,11 @@
     let port = std::net::TcpListener::bind("127.91.0.1:0")
         .and_then(|l| l.local_addr())
         .expect("an unused port");
-    let list = file(&format!(
+    let list = write_temp_file(&format!(
         "{{\"instances\":[{}]}}",
         instance("e0", engine.addr(), "ready")
     ));
-    let config = appliance()
+    let config = example_configuration()
         .replace("127.0.0.1:8123", "127.0.0.1:0")
         .replace("deploy/engines.json", &list.display().to_string())
         .replace(
@@ -675,8 +679,8 @@
         let _import = operated
             .site
             .begin("/", "INSERT INTO o.t VALUES (1) /* standin: silent */");
-        operated.site.ledger.wait_for("INSERT", 1);
-        let engine = operated.site.ledger.of("INSERT")[0].engine.clone();
+        operated.site.request_log.wait_for("INSERT", 1);
+        let engine = operated.site.request_log.of("INSERT")[0].engine.clone();
         operated.site.engine(&engine).mute(true);
         terminal.wait_for(&format!("{engine} has said nothing for"));
         terminal.wait_for("One import runs there; it will not be sent again.");
@@ -684,7 +688,7 @@
         operated.site.engine(&engine).restart();
         operated.site.engine(&engine).mute(false);
         operated.wait_until("the end of the import", |s| s.open == 0);
-        assert_eq!(operated.site.ledger.of("INSERT").len(), 1);
+        assert_eq!(operated.site.request_log.of("INSERT").len(), 1);
         terminal.press("2");
         terminal.wait_for("[2 service]");
         terminal.wait_for("lookup");
@@ -727,7 +731,7 @@
         .spawn_command(command)
         .expect("the program starts");
     drop(pair.slave);
-    operated.site.coordinator.wait_for("operators", 1);
+    operated.site.coordinator.wait_for_counter("operators", 1);
     drop(pair.master);
     let start = Instant::now();
     while child.try_wait().expect("the child's status").is_none() {
--- a/crates/coordinator/tests/retry_budget.rs
+++ b/crates/coordinator/tests/retry_budget.rs
@@ -71,7 +71,7 @@
         );
     let addrs = vec![healthy[0], late.addr];
     let site = Site {
-        ledger: request_log,
+        request_log,
         coordinator: Coordinator::start(&config_text),
         list,
         engines: addrs,
@@ -88,7 +88,7 @@
         for n in 0..6 {
             let site = site.clone();
             clients.push(std::thread::spawn(move || {
-                site.ask("report", 14_000, &format!("SELECT fault {window} {n}"))
+                site.request("report", 14_000, &format!("SELECT fault {window} {n}"))
             }));
         }
         std::thread::sleep(
@@ -96,11 +96,11 @@
                 .saturating_sub(started.elapsed()),
         );
     }
-    late.open(1, &site.ledger);
+    late.open(1, &site.request_log);
     for client in clients {
         let answer = client.join().expect("an answer");
         assert!(matches!(answer.status, 200 | 429), "{}", answer.status);
     }
-    let breaches = site.ledger.budget_breaches(&budget, &[]);
-    assert!(breaches.is_empty(), "{breaches:#?}");
+    let violations = site.request_log.budget_breaches(&budget, &[]);
+    assert!(violations.is_empty(), "{violations:#?}");
 }
--- a/crates/coordinator/tests/rust_client.rs
+++ b/crates/coordinator/tests/rust_client.rs
@@ -1,7 +1,7 @@
 //! Common calls of the official ClickHouse Rust client through the coordinator.
 
 use clickhouse::{Client, Compression, Row};
-use driftfront_test_support::coordinator::clickhouse_site::{Plan, Site};
+use driftfront_test_support::coordinator::clickhouse_site::{Site, SiteOptions};
 use serde::{Deserialize, Serialize};
 
 #[derive(Debug, PartialEq, Row, Serialize, Deserialize)]
@@ -26,7 +26,7 @@
 
 #[test]
 fn queries_fetch_rows_with_and_without_compression() {
-    let site = Plan::of(2).start();
+    let site = SiteOptions::with_engines(2).start();
     block_on(async {
         for compression in [Compression::None, Compression::Lz4] {
             let client = client(&site).with_compression(compression);
@@ -56,12 +56,12 @@
             assert_eq!(one, 77);
         }
     });
-    site.ledger.assert_rules(6);
+    site.request_log.assert_rules(6);
 }
 
 #[test]
 fn inserts_are_read_back_with_and_without_compression() {
-    let site = Plan::of(1).start();
+    let site = SiteOptions::with_engines(1).start();
     block_on(async {
         for (compression, table) in [(Compression::None, "plain"), (Compression::Lz4, "packed")] {
             let client = client(&site).with_compression(compression);
@@ -90,12 +90,12 @@
             assert!(read.iter().zip(0..).all(|(r, n)| *r == graduate(n)));
         }
     });
-    site.ledger.assert_rules(6);
+    site.request_log.assert_rules(6);
 }
 
 #[test]
 fn errors_keep_the_engine_s_message() {
-    let site = Plan::of(1).start();
+    let site = SiteOptions::with_engines(1).start();
     block_on(async {
         let client = client(&site).with_compression(Compression::None);
         let error = client
--- a/crates/coordinator/tests/second.rs
+++ b/crates/coordinator/tests/second.rs
@@ -5,7 +5,7 @@
 use driftfront_test_support::coordinator::engine_list::EngineList;
 use driftfront_test_support::coordinator::platform_site::config;
 use driftfront_test_support::coordinator::{
-    instance, post, stand_in, Answer, Coordinator, TEST_TIMEOUT,
+    instance, post, start_mock_server, Coordinator, Response, TEST_TIMEOUT,
 };
 use quickcheck::{Arbitrary, Gen};
 use std::collections::BTreeMap;
@@ -151,7 +151,7 @@
         let log = Arc::new(CommandLog::default());
         let start_engine = |n| {
             let log = log.clone();
-            stand_in(move |stream| serve_engine(stream, n, &log))
+            start_mock_server(move |stream| serve_engine(stream, n, &log))
         };
         let engines: Vec<SocketAddr> = (0..engines).map(start_engine).collect();
         let list = EngineList::start();
@@ -176,7 +176,7 @@
         Site::start(engines, enable_optional_features)
     }
 
-    fn ask(&self, class: &str, headers: &[(&str, &str)], statement: &str) -> Answer {
+    fn ask(&self, class: &str, headers: &[(&str, &str)], statement: &str) -> Response {
         let number = {
             let mut requests_sent = self.requests_sent.lock().unwrap();
             *requests_sent += 1;
@@ -377,7 +377,7 @@
             .any(|c| c.verb == "STOP" && c.id == "00000000000000ab")
     });
     site.coordinator
-        .wait_for("attempts_ended{outcome=\"cancelled\"}", 1);
+        .wait_for_counter("attempts_ended{outcome=\"cancelled\"}", 1);
 }
 
 #[test]
--- a/crates/coordinator/tests/upgrade.rs
+++ b/crates/coordinator/tests/upgrade.rs
@@ -2,7 +2,7 @@
 
 use driftfront_http::ResponseReader;
 use driftfront_test_support::coordinator::platform_site::{config, Site};
-use driftfront_test_support::coordinator::{get, poll_until, read_next, Coordinator};
+use driftfront_test_support::coordinator::{get, poll_until, read_next_response, Coordinator};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::os::fd::OwnedFd;
@@ -58,7 +58,7 @@
 
 fn wait_for_reply(coordinator: &Coordinator, call: &str, reply: &str) {
     poll_until(
-        || coordinator.manage(call).starts_with(reply),
+        || coordinator.call_management(call).starts_with(reply),
         || format!("{call:?} was never answered with {reply}"),
     );
 }
@@ -89,9 +89,9 @@
             });
             let answer = stream
                 .write_all(request.as_bytes())
-                .map(|()| read_next(stream, reader));
+                .map(|()| read_next_response(stream, reader));
             match answer {
-                Ok(answer) if answer.whole => {
+                Ok(answer) if answer.is_complete => {
                     assert_eq!(answer.status, 200, "{}", answer.text());
                     if answer.header("Connection") == Some("close") {
                         conn = None;
@@ -124,7 +124,7 @@
             })
             .collect();
         for _ in 0..2 {
-            site.ledger
+            site.request_log
                 .wait_until("more load", |entries| entries.len() % 100 > 50);
             let new = platform.upgrade(&site);
             wait_for_reply(&site.coordinator, "STATUS\n", "ERR handing over");
@@ -139,7 +139,7 @@
             .sum::<u64>()
     });
     assert_eq!(
-        site.ledger.of("SELECT").len() as u64,
+        site.request_log.of("SELECT").len() as u64,
         sent,
         "each request must run once"
     );
@@ -155,22 +155,26 @@
 fn order_to_either_process_applies_to_both_during_an_upgrade() {
     let platform = Platform::new("orders");
     let mut site = platform.site(2);
-    assert!(site.coordinator.manage("SUSPEND e0\n").starts_with("OK"));
+    assert!(site
+        .coordinator
+        .call_management("SUSPEND e0\n")
+        .starts_with("OK"));
     let new = platform.upgrade(&site);
     // The new process has taken over the order before it reports that it is ready.
     assert_eq!(new.counter("engines_out_by_order"), 1);
-    assert!(new.manage("SUSPEND e1\n").starts_with("OK"));
+    assert!(new.call_management("SUSPEND e1\n").starts_with("OK"));
     let old = std::mem::replace(&mut site.coordinator, new);
-    assert!(old.manage("RESTORE e0\n").starts_with("OK"));
-    site.coordinator.wait_for("upgrade_orders_merged", 2);
+    assert!(old.call_management("RESTORE e0\n").starts_with("OK"));
+    site.coordinator
+        .wait_for_counter("upgrade_orders_merged", 2);
     assert_eq!(site.coordinator.counter("engines_out_by_order"), 1);
-    assert_eq!(site.ask("lookup", 2500, "SELECT 1").status, 200);
-    assert_eq!(site.ledger.of("SELECT 1")[0].engine, "0");
+    assert_eq!(site.request("lookup", 2500, "SELECT 1").status, 200);
+    assert_eq!(site.request_log.of("SELECT 1")[0].engine, "0");
     let mut old = old;
     old.kill();
     let next = platform.upgrade(&site);
     assert_eq!(next.counter("engines_out_by_order"), 1);
-    assert!(next.manage("RESTORE e1\n").starts_with("OK"));
+    assert!(next.call_management("RESTORE e1\n").starts_with("OK"));
     wait_for_reply(&site.coordinator, "STATUS\n", "ERR handing over");
 }
 
@@ -188,7 +192,7 @@
     };
     idle.write_all(request(1).as_bytes()).unwrap();
     assert_eq!(
-        read_next(&mut idle, &mut ResponseReader::default()).status,
+        read_next_response(&mut idle, &mut ResponseReader::default()).status,
         200
     );
     let new = platform.upgrade(&site);
@@ -200,7 +204,7 @@
         0
     );
     unused.write_all(request(2).as_bytes()).unwrap();
-    let answer = read_next(&mut unused, &mut ResponseReader::default());
+    let answer = read_next_response(&mut unused, &mut ResponseReader::default());
     assert_eq!(
         (answer.status, answer.header("Connection")),
         (200, Some("close"))
@@ -219,7 +223,11 @@
         platform.listener.set_nonblocking(false).unwrap();
         // This number of calls takes longer than that.
         for _ in 0..200 {
-            assert_eq!(site.coordinator.manage("STATUS\n"), "OK ready\n", "{n}");
+            assert_eq!(
+                site.coordinator.call_management("STATUS\n"),
+                "OK ready\n",
+                "{n}"
+            );
         }
     }
     assert!(site.coordinator.counter("listener_unblocked") >= 1);
@@ -233,20 +241,23 @@
     wait_for_reply(&site.coordinator, "STATUS\n", "ERR handing over");
     new.kill();
     wait_for_reply(&site.coordinator, "STATUS\n", "OK ready");
-    assert_eq!(site.ask("lookup", 2500, "SELECT 1").status, 200);
+    assert_eq!(site.request("lookup", 2500, "SELECT 1").status, 200);
 }
 
 #[test]
 fn successor_of_a_paused_process_serves() {
     let platform = Platform::new("paused");
     let mut site = platform.site(1);
-    assert!(site.coordinator.manage("PAUSE\n").starts_with("OK"));
+    assert!(site
+        .coordinator
+        .call_management("PAUSE\n")
+        .starts_with("OK"));
     let new = platform.upgrade(&site);
     let mut old = std::mem::replace(&mut site.coordinator, new);
     wait_for_reply(&old, "STATUS\n", "ERR handing over");
     old.terminate();
     assert!(old.wait().success());
-    assert_eq!(site.ask("lookup", 2500, "SELECT 1").status, 200);
+    assert_eq!(site.request("lookup", 2500, "SELECT 1").status, 200);
 }
 
 #[test]
--- a/crates/test-support/src/coordinator/platform_site.rs
+++ b/crates/test-support/src/coordinator/platform_site.rs
@@ -1,28 +1,28 @@
-//! A coordinator on the platform's wire, in front of mock engines that speak the line protocol, and a mock list of engines.
+//! A coordinator that speaks the platform's protocols, in front of mock engines with the line protocol and a mock engine list.
 
 use super::engine_list::{instances, EngineList};
 use super::line_engine;
-use super::{appliance, post, Answer, Coordinator};
+use super::{example_configuration, post, Coordinator, Response};
 use driftfront_engine_registry::fnv1a_64;
 use driftfront_mock_servers::request_log::RequestLog;
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// A coordinator, its engines and its list of engines.
+/// A coordinator, its engines and its engine list.
 pub struct Site {
     /// The coordinator.
     pub coordinator: Coordinator,
-    /// What the engines were sent.
-    pub ledger: Arc<RequestLog>,
-    /// Where the engines listen; the list names them `e0` and on.
+    /// The log of requests that the engines received.
+    pub request_log: Arc<RequestLog>,
+    /// The addresses of the engines, which the list names `e0`, `e1` and so on.
     pub engines: Vec<SocketAddr>,
-    /// The list of engines.
+    /// The engine list.
     pub list: EngineList,
 }
 
-/// The platform's configuration of a coordinator whose list of engines is served at this address.
+/// Returns the platform's configuration of a coordinator with an engine list at this address.
 pub fn config(list: SocketAddr) -> String {
-    appliance()
+    example_configuration()
         .replace("127.0.0.1:8123", "127.0.0.1:0")
         .replace(
             "\"front\": \"clickhouse\"",
@@ -32,32 +32,32 @@
 }
 
 impl Site {
-    /// Starts a site of so many engines, and waits until its coordinator is ready.
+    /// Starts a site with this number of engines and waits until its coordinator is ready.
     pub fn start(engines: usize) -> Site {
         Site::with_config(engines, |config| config)
     }
 
-    /// A site whose coordinator gets the configuration that `edit` makes.
+    /// Like [`Site::start`], with a configuration changed by `edit`.
     pub fn with_config(engines: usize, edit: impl Fn(String) -> String) -> Site {
         Site::start_with(engines, |config| Coordinator::start(&edit(config)))
     }
 
-    /// A site whose coordinator `start` starts, from the configuration.
+    /// Like [`Site::start`], with a coordinator started by `start` from the configuration.
     pub fn start_with(engines: usize, start: impl FnOnce(String) -> Coordinator) -> Site {
-        let ledger = Arc::new(RequestLog::default());
-        let engines = line_engine::engines(engines, &ledger);
-        Site::with_engines(ledger, engines, start)
+        let request_log = Arc::new(RequestLog::default());
+        let engines = line_engine::engines(engines, &request_log);
+        Site::with_engines(request_log, engines, start)
     }
 
-    /// A site of engines that run already, whose coordinator `start` starts, from the configuration.
+    /// Like [`Site::start_with`], with engines that are already running.
     pub fn with_engines(
-        ledger: Arc<RequestLog>,
+        request_log: Arc<RequestLog>,
         engines: Vec<SocketAddr>,
         start: impl FnOnce(String) -> Coordinator,
     ) -> Site {
         let list = EngineList::start();
         let site = Site {
-            ledger,
+            request_log,
             coordinator: start(config(list.addr)),
             list,
             engines,
@@ -67,13 +67,13 @@
         site
     }
 
-    /// Publishes the engines' phases, and `more` members of the event's object if that is not empty.
+    /// Publishes the engines' phases. `more` is appended to the members of the event's JSON object.
     pub fn publish(&self, phases: &[&str], more: &str) {
         self.list.publish(&instances(&self.engines, phases), more);
     }
 
-    /// Sends a request, and waits for its response.
-    pub fn ask(&self, class: &str, client_timeout_ms: u32, statement: &str) -> Answer {
+    /// Sends a request and waits for its response.
+    pub fn request(&self, class: &str, client_timeout_ms: u32, statement: &str) -> Response {
         let id = fnv1a_64(statement.as_bytes());
         let headers = format!(
             "X-Call-Id: {id:016x}\r\nX-Patience-Ms: {client_timeout_ms}\r\nX-Entity: 000000000000000a\r\n"
