--- a/crates/cluster-harness/src/main.rs
+++ b/crates/cluster-harness/src/main.rs
@@ -8,16 +8,16 @@
 use std::process::ExitCode;
 
 const USAGE: &str = "driftfront-cluster-harness --binary PATH --cost [--members N] [--seconds S]
-    measures the overhead of clustering in idle processes
+    what the fleet costs processes that have nothing else to do
 driftfront-cluster-harness --binary PATH --pauses [--seconds S]
-    measures response times of a process in a cluster of five and of a standalone process, alternately
+    how long a process's loop keeps clients waiting at most, in a fleet of five and alone, in turn
 driftfront-cluster-harness --binary PATH --holds [--members N] [--voters N] [--keeps] [--runs K] [--seed N] [--last PATH]
-    fault scenarios while operators request holds: whether a hold ever has two holders; with --last members that
-    are not voters run that build
+    storms over processes that operators ask for holds: whether one was ever held twice; with --last those that
+    do not vote are of that build
 driftfront-cluster-harness --binary PATH --soak [--runs K] [--seed N] [--at-once N]
-    soak tests of restarts over the platform's protocol, with clock steps and engine faults; prints violations by seed
+    soaks of restarts on the platform's wire, with clocks that are set and engines that hang; broken rules by seed
 driftfront-cluster-harness --binary PATH [--members N] [--runs K] [--seed N]
-    runs random fault scenarios against N processes, and prints the seeds after which they do not converge";
+    each run starts N processes, draws a storm by its seed and plays it; a run that does not come to one view is named";
 
 fn main() -> ExitCode {
     let args = Arguments::from_env();
--- a/crates/cluster-simulation/src/main.rs
+++ b/crates/cluster-simulation/src/main.rs
@@ -5,21 +5,21 @@
 use std::process::ExitCode;
 
 const USAGE: &str = "driftfront-cluster-simulation members [--members N] [--runs K] [--loss PART] [--seed N] [--settle S] [--late]
-    kills a member 10 s after the members settled and observes the others for 20 s: time until all detect it, members wrongly
-    declared down, and traffic per member
+    a member is killed 10 s after they settled and the rest watched for 20 s more: how long until all know, who was called down
+    though it was there, and what each sends
 driftfront-cluster-simulation storm [--members N] [--runs K] [--seed N]
-    random fault scenarios, each followed by a time without faults: time until all members converge, and the seeds that fail
+    storms of faults drawn by their seeds, then quiet: how long until all have one view again; a seed that does not is named
 driftfront-cluster-simulation agreed [--members N] [--voters N] [--keeps] [--runs K] [--seed N]
-    the same scenarios while members request leases: whether a lease ever has two holders, and time until there is a leader
+    the same storms over members that ask for rights: whether any is ever held twice, and how long until one leads again
 driftfront-cluster-simulation leader [--members N] [--voters N] [--runs K] [--seed N] [--loss PART]
-    kills the leader after 40 s: time until there is a new leader, and until the next request is answered
+    the leader is killed after 40 s: how long until another leads, and until the next request is answered
 driftfront-cluster-simulation check [--time N] [--terms N] [--entries N] [--depth N]
-    checks the model of the lease protocol in all states that can be reached within the bounds
+    the model of a right that is lent, in all states that can be reached within the bounds
 driftfront-cluster-simulation fuzz [--agreed] [--runs N] [--seed N]
-    sends corrupted datagrams, and authentic ones with corrupted payloads, to a member that communicates with another one; with
-    --agreed corrupted messages between voters
+    spoilt datagrams, and well sealed ones with spoilt payloads, into one member that goes on talking to another; or spoilt
+    words among voters
 driftfront-cluster-simulation play SCRIPT
-    runs a script and prints each change of a member's view of another";
+    plays a script and prints each change of a member's view of another";
 
 fn main() -> ExitCode {
     let mut args = pico_args::Arguments::from_env();
