--- a/crates/clickhouse/src/block/stream.rs
+++ b/crates/clickhouse/src/block/stream.rs
@@ -42,7 +42,7 @@
             self.incomplete.extend_from_slice(next);
             bytes = rest;
             let header = Header::parse(&self.incomplete).inspect_err(|_| {
-                // The server may have sent the text of an exception instead of a block: keep it for the caller.
+                // The server may have sent the text of an exception instead of a block: the text is kept for the caller.
                 let text = &rest[..rest.len().min(MAX_TEXT_BYTES)];
                 self.incomplete.extend_from_slice(text);
             })?;
--- a/crates/clickhouse/src/exception/in_result.rs
+++ b/crates/clickhouse/src/exception/in_result.rs
@@ -72,7 +72,7 @@
         .trim_start()
         .strip_prefix('"')?;
     let string = JsonString::parse(value)?;
-    // Only closing brackets follow the last key of the result; a column of a row is followed by more.
+    // Only closing brackets follow the last key of the result; a row's column of that name is followed by other text.
     let is_last = string
         .rest
         .chars()
--- a/crates/clickhouse/src/session/entry.rs
+++ b/crates/clickhouse/src/session/entry.rs
@@ -20,7 +20,7 @@
 pub(super) struct Session<E> {
     engine: Option<E>,
     is_stateful: bool,
-    /// The engine that held its state was removed.
+    /// The engine that held the session's state was removed.
     is_lost: bool,
     /// The effect of the running query.
     running: Option<SessionEffect>,
@@ -71,7 +71,7 @@
         self.is_lost
     }
 
-    /// Whether its engine holds state for the session.
+    /// Whether the session's engine holds state for it.
     pub(super) fn is_stateful(&self) -> bool {
         self.is_stateful && !self.is_lost
     }
--- a/crates/core/src/attempt_end.rs
+++ b/crates/core/src/attempt_end.rs
@@ -8,7 +8,8 @@
 use driftfront_scheduler::{AttemptEnded, Event, Micros, Outcome};
 
 /// Upper bound for the delivery of a cancellation to an engine, including delays on the way. An attempt that the coordinator ends
-/// stays in flight for this long: a retry that reached an engine before the cancellation would run the query twice at once.
+/// stays in flight for this long: if a retry reached an engine before the cancellation, the query would run twice at the same
+/// time.
 const NOTICE_DELAY: Micros = 40_000;
 
 impl Core {
--- a/crates/core/src/idempotency.rs
+++ b/crates/core/src/idempotency.rs
@@ -71,8 +71,8 @@
         }
     }
 
-    /// Whether a query of this class has a new key for which there is no room. Such a query must not run: evicting a key early
-    /// would let a late retry by its client run a second time.
+    /// Whether a query of this class has a new key for which there is no room. Such a query must not run: if a key were
+    /// evicted early, a late retry by its client would run the query a second time.
     pub(crate) fn is_full(&mut self, now: Micros, class: u16, key: Option<&Rc<str>>) -> bool {
         let is_unknown = |key: &Rc<str>| !self.first_writes.contains_key(key);
         let needs_room = self.is_keyed(class) && key.is_some_and(is_unknown);
--- a/crates/core/src/lifecycle.rs
+++ b/crates/core/src/lifecycle.rs
@@ -19,15 +19,15 @@
 
 use driftfront_scheduler::Micros;
 
-/// Time after the process has become not ready during which no connection is closed. The load balancer polls readiness ten times a
+/// For this long after the process stops being ready, no connection is closed. The load balancer polls readiness ten times a
 /// second and stops new connections 0.2 s after a negative answer; until then, a disconnected client would reconnect to this
 /// process.
 pub const READINESS_POLL_TIME: Micros = 300_000;
 /// Idle time after which a connection is closed first in a drain, because its client is unlikely to be between two requests.
 const MIN_IDLE_TIME: Micros = 300_000;
 /// Time after the start of a drain or hand-over from which all idle connections are closed. A request that arrives more than 2 s
-/// after the process became not ready would still be open when the drain is checked after 4 s; the difference allows for requests
-/// that are already on their way when their connection is closed.
+/// after the process stopped being ready would still be open when the drain is checked after 4 s; the difference allows for
+/// requests that are already on their way when their connection is closed.
 const MAX_IDLE_AFTER_DRAIN: Micros = 1_500_000;
 /// After SIGTERM, new connections arrive for 0.4 s and requests on open connections for another 0.2 s. A request read later than
 /// this might still be unanswered at SIGKILL, so it is rejected at once, and idle connections are closed.
@@ -40,7 +40,7 @@
 /// In an upgrade, SIGKILL follows SIGTERM after this time, or after the longest client timeout if that is shorter, plus
 /// [`KILL_MARGIN`].
 const UPGRADE_KILL_TIME: Micros = 5_000_000;
-/// The same for a planned restart, on a platform that sends SIGKILL.
+/// The same in a planned restart, on a platform that then sends SIGKILL.
 const RESTART_KILL_TIME: Micros = 3_000_000;
 /// Added by the platform to the time before SIGKILL.
 const KILL_MARGIN: Micros = 700_000;
--- a/crates/core/src/response.rs
+++ b/crates/core/src/response.rs
@@ -158,8 +158,8 @@
     }
 }
 
-/// Whether an attempt may have run. An attempt that still waits for its connection has not, since nothing is written for a closed
-/// request.
+/// Whether an attempt may have run. An attempt that still waits for its connection has not run, since nothing is written for a
+/// closed request.
 fn may_have_run(attempt: &Attempt) -> bool {
     match attempt.outcome {
         Some(outcome) => !outcome.never_ran(),
--- a/crates/core/src/routing.rs
+++ b/crates/core/src/routing.rs
@@ -47,7 +47,8 @@
                     request: RequestId(query.0),
                     number: attempt,
                 }),
-                // Never issued with these settings: coordinators exchange no gossip, and engine lists are pushed rather than polled.
+                // The scheduler never issues these actions with the settings used here: coordinators exchange no gossip, and engine
+                // lists are pushed rather than polled.
                 Action::SendGossip { .. } | Action::WatchEngines => {}
             }
         }
--- a/crates/core/src/timers.rs
+++ b/crates/core/src/timers.rs
@@ -1,4 +1,4 @@
-//! Timers. The host queries when the next timer is due and calls [`Core::fire_timers`] at that time.
+//! Timers. The host asks when the next timer is due and calls [`Core::fire_timers`] at that time.
 
 use crate::request::{AttemptKey, RequestId};
 use crate::Core;
--- a/crates/scheduler/src/capacity.rs
+++ b/crates/scheduler/src/capacity.rs
@@ -13,7 +13,8 @@
 
 /// Threads per core in a coordinator's share of an engine, to which one widest query is added.
 const SHARE_THREADS_PER_CORE: f64 = 2.2;
-/// Multiplier of the bound on an engine that is not under pressure: admits bursts, but no flood.
+/// Multiplier of the bound on an engine that is not under pressure: admits bursts, but still limits
+/// the load.
 const UNPRESSURED_BOUND_MULTIPLIER: f64 = 2.0;
 /// Multiplier of the cluster-wide bound of a coordinator with small shares; squared when the
 /// cluster is not overloaded.
@@ -65,7 +66,8 @@
 }
 
 fn cluster_run_bound(state: &SchedulerState) -> RunBound {
-    // On an engine that pages, an attempt that cannot be cancelled allows no slack.
+    // If engines page and attempts cannot be cancelled, the bound includes no extra threads,
+    // because an engine that pages cannot recover soon.
     let (multiple, extra) = match (state.is_paging_permanent, state.cluster.is_overloaded) {
         (true, true) => (1.0, 0.0),
         (true, false) => (UNPRESSURED_BOUND_MULTIPLIER, 0.0),
@@ -152,7 +154,8 @@
 }
 
 /// Whether all memory of an engine that pages is granted. Nothing may start there until a newer
-/// report says otherwise or the report expires: its idle cores would otherwise attract all traffic.
+/// report shows free memory or the report expires: the engine's idle cores would otherwise attract
+/// all traffic.
 pub(crate) fn is_memory_exhausted(state: &SchedulerState, now: Micros, engine: &Engine) -> bool {
     let granted = engine.fresh_report(now).and_then(|r| r.memory);
     state.settings.out_of_memory == OutOfMemory::Page
--- a/crates/scheduler/src/controller.rs
+++ b/crates/scheduler/src/controller.rs
@@ -260,8 +260,8 @@
         } else {
             self.dispatcher.start_queued(now, id, actions);
         }
-        // This engine has room and no queue, so slipped queries on other engines need not wait for
-        // the tick.
+        // If this engine has room and no queue, slipped queries on other engines are routed again
+        // now instead of at the next tick.
         let state = self.state();
         let idle = state.engines.get(&id).filter(|e| e.queue.is_empty());
         let has_room = idle.is_some_and(|engine| {
--- a/crates/scheduler/src/demand_share.rs
+++ b/crates/scheduler/src/demand_share.rs
@@ -76,8 +76,8 @@
     let others = coordinators - 1.0;
     let peers = state.peers.recent_demand(now);
     if state.uses_subset {
-        // The peers heard are a sample, and few queries say little about this coordinator's own
-        // share, so half of it is the mean share.
+        // The peers that sent gossip recently are a sample, and few queries are weak evidence of
+        // this coordinator's own share, so the mean share counts for half of the result.
         let mean = peers.demand / (peers.count + 1e-9);
         return (0.5 * own / (own + mean * others)) + 0.5 / coordinators;
     }
--- a/crates/scheduler/src/dispatch.rs
+++ b/crates/scheduler/src/dispatch.rs
@@ -72,7 +72,7 @@
         self.start_queued(now, offer.engine, actions);
     }
 
-    /// Routes all queries that are on no queue because no engine was eligible or their engine
+    /// Routes all queries that are in no queue, because no engine was eligible or their engine
     /// accepts no work.
     pub(crate) fn route_unplaced(&mut self, now: Micros, actions: &mut Actions) {
         for id in self.state.unplaced_queries() {
@@ -105,7 +105,7 @@
             self.state.unqueue(id);
             let is_retry = !self.state.queries[&id].attempts.is_empty();
             if !eligible_engines(&self.state, now, id).contains(&engine) {
-                // No longer eligible; the next tick routes the query again.
+                // The engine is no longer eligible; the next tick routes the query again.
                 self.state.set_query_state(id, QueryState::Unplaced);
             } else if is_retry && !self.retry_budget.allows_retry(now) {
                 self.end_unserved(now, id, actions);
@@ -213,7 +213,7 @@
             actions.extend(query.cancel_in_flight(None));
         }
         if query.has_in_flight() {
-            // Called again when the last attempt in flight ends.
+            // This function is called again when the last attempt in flight ends.
             return;
         }
         let key = self.state.ordering_key(id);
@@ -235,8 +235,8 @@
         }
     }
 
-    /// After an attempt that did not serve the query: retries it if the rules and the budget allow
-    /// and an answer would still earn something, otherwise ends it at once.
+    /// After an attempt that did not serve the query: retries the query if the rules and the
+    /// budget allow and an answer would still earn something, otherwise ends it at once.
     pub(crate) fn retry_or_end(&mut self, now: Micros, id: QueryId, actions: &mut Actions) {
         let query = &self.state.queries[&id];
         if query.state == QueryState::Answered || query.has_in_flight() {
@@ -253,8 +253,8 @@
         }
     }
 
-    /// Cancels an attempt so that another can replace it elsewhere, or hedges it, if the rules
-    /// allow one more attempt.
+    /// If the rules allow one more attempt, cancels an attempt so that another engine can run the
+    /// query, or hedges it.
     pub(crate) fn replace_attempt(
         &mut self,
         now: Micros,
--- a/crates/scheduler/src/estimates.rs
+++ b/crates/scheduler/src/estimates.rs
@@ -115,8 +115,8 @@
     }
 
     fn learn_memory(&mut self, client_estimate: Option<f64>, memory_mb: f64, weight: f64) {
-        // Too small a grant spills and too large a grant wastes a little memory, so the estimate
-        // aims at the upper third.
+        // With too small a grant the query spills, while too large a grant wastes a little memory,
+        // so the estimate aims at the upper third.
         let step = if memory_mb > self.memory_mb {
             2.0 * weight
         } else {
@@ -168,8 +168,8 @@
         client_estimate.unwrap_or(class.memory_mb)
     }
 
-    /// Usual work of a query's class. Before enough answers, at least what would take the whole
-    /// latency objective.
+    /// Usual work of a query's class. Before enough answers, at least the work that takes the
+    /// whole latency objective.
     pub(crate) fn cautious_class_work(&self, query: &Query) -> f64 {
         let class = self.of(query);
         class.work.max(if class.answers >= KNOWN_ANSWERS {
--- a/crates/scheduler/src/gossip.rs
+++ b/crates/scheduler/src/gossip.rs
@@ -222,7 +222,8 @@
     }
 }
 
-/// Messages that an accepted query pays for, which bounds gossip regardless of the number of peers.
+/// Message credit that each accepted query adds, which bounds gossip regardless of the number of
+/// peers.
 const MESSAGES_PER_QUERY: f64 = 0.5;
 
 /// When gossip is sent, and to how many peers.
@@ -245,7 +246,7 @@
     }
 
     /// Begins a round and returns the number of recipients: all peers if they are few, otherwise as
-    /// many as queries have paid for.
+    /// many as the credit allows.
     #[allow(
         clippy::cast_possible_truncation,
         reason = "a whole number of messages, at most the number of coordinators"
--- a/crates/scheduler/src/learning.rs
+++ b/crates/scheduler/src/learning.rs
@@ -85,7 +85,7 @@
     state.cluster.slowdown = blended(state.cluster.slowdown, ratio, SAMPLE_WEIGHT);
     engine.slowdown.move_towards(ratio, weight, now);
     if engine.health.may_have_restarted() {
-        // It may have restarted unannounced, so treat it as newly started.
+        // The engine may have restarted unannounced, so it is treated as newly started.
         engine.started_at = Some(now);
     }
     engine.health.record_success();
--- a/crates/scheduler/src/overruns.rs
+++ b/crates/scheduler/src/overruns.rs
@@ -11,9 +11,10 @@
 use crate::state::SchedulerState;
 use crate::types::{Micros, QueryId};
 
-/// An attempt overruns if its projected run time exceeds this multiple of the expected one ...
+/// An attempt overruns if its projected run time exceeds this multiple of the expected one
+/// and it has run for at least [`MIN_OVERRUN_AGE_MICROS`].
 pub(crate) const OVERRUN_RATIO: f64 = 3.5;
-/// ... and it has run for at least this long, in µs. Earlier progress reports are too inaccurate.
+/// Minimum age of an attempt that overruns, in µs. Earlier progress reports are too inaccurate.
 const MIN_OVERRUN_AGE_MICROS: f64 = 400_000.0;
 /// A late query is ended if it would earn less than this fraction of what new work would.
 const MIN_WORTHWHILE_SHARE: f64 = 0.5;
--- a/crates/scheduler/src/probes.rs
+++ b/crates/scheduler/src/probes.rs
@@ -1,4 +1,4 @@
-//! Probe budget: how many probes the accepted queries pay for.
+//! Probe budget: limits probes in proportion to the accepted queries.
 //!
 //! Input: accepted queries, silent zones, and probes sent. Output: number of probes that may be
 //! sent. Bound: credit for at most one probe per engine from queries.
@@ -12,7 +12,7 @@
 const PROBE_SPEND: f64 = 0.001;
 /// The same if probes are the only source of load reports for a few coordinators.
 const PROBE_SPEND_FOR_REPORTS: f64 = 10.0 * PROBE_SPEND;
-/// Maximum number of probes that one query pays for.
+/// Maximum credit that one query adds, in probes.
 const MAX_PROBES_PER_QUERY: f64 = 1.0;
 /// Number of probes for a query that probes its candidates first.
 pub(crate) const PROBES_PER_QUERY: f64 = (AFFINITY_ENGINES + DRAWN_ENGINES) as f64;
--- a/crates/scheduler/src/queries.rs
+++ b/crates/scheduler/src/queries.rs
@@ -30,9 +30,9 @@
     WaitingForKey,
     /// Waits for answers to probes of its candidate engines.
     AwaitingProbes,
-    /// Not on any engine's queue, since no engine is eligible.
+    /// In no engine's queue, since no engine is eligible.
     Unplaced,
-    /// On an engine's queue.
+    /// In an engine's queue.
     Queued(EngineId),
     /// At least one attempt is in flight.
     InFlight,
--- a/crates/scheduler/src/queue.rs
+++ b/crates/scheduler/src/queue.rs
@@ -33,7 +33,7 @@
     }
 }
 
-/// Estimated start times of the queries on an engine's queue, and of a query added at its end (Eq.
+/// Estimated start times of the queries in an engine's queue, and of a query added at its end (Eq.
 /// 13). `threads_needed` is for the query that the estimate is made for.
 pub(crate) fn estimated_starts(
     now: Micros,
--- a/crates/scheduler/src/quota.rs
+++ b/crates/scheduler/src/quota.rs
@@ -43,8 +43,9 @@
         }
     }
 
-    /// Takes one query from a tenant's quota, of which this coordinator has `share`; true if the
-    /// quota was exhausted. If the settings list tenants, an unlisted tenant has no quota.
+    /// Takes one query from a tenant's quota, of which this coordinator has `share`. Returns
+    /// true if the quota was exhausted. If the settings list tenants, an unlisted tenant has no
+    /// quota.
     pub(crate) fn take_query(&mut self, now: Micros, tenant: u32, share: f64) -> bool {
         let has_tenants = !self.tenants.is_empty();
         let Some((tenant, bucket)) = self.tenants.get_mut(tenant as usize) else {
--- a/crates/scheduler/src/resources.rs
+++ b/crates/scheduler/src/resources.rs
@@ -11,8 +11,8 @@
 const GRANT_MARGIN: f64 = 1.6;
 /// Further factor if the engine is not under pressure, or if only memory in use counts.
 const UNPRESSURED_GRANT_FACTOR: f64 = 2.0;
-/// Priorities of light queries, and of other queries that are in time. Late queries get the lowest,
-/// 0.
+/// Priorities of light queries, and of other queries that are in time. Late queries get priority 0,
+/// the lowest.
 const LIGHT_PRIORITY: u8 = 3;
 const HEAVY_PRIORITY: u8 = 1;
 
--- a/crates/scheduler/src/retry.rs
+++ b/crates/scheduler/src/retry.rs
@@ -3,7 +3,7 @@
 //!
 //! Input: the query's class and its attempts so far. Output: yes or no. A query that must not run
 //! twice is never sent again after it may have run. A query with an idempotency key is sent again
-//! only to engines that recognize the key, and only while they do.
+//! only to engines that recognize the key, and only as long as they recognize it.
 
 use crate::engines::Engine;
 use crate::events::{Outcome, Phase};
--- a/crates/scheduler/src/retry_budget.rs
+++ b/crates/scheduler/src/retry_budget.rs
@@ -88,7 +88,7 @@
     }
 
     /// Whether the first byte of an attempt may be sent now. Only retries already sent count
-    /// against it, since waiting ones are checked in turn.
+    /// against the budget here, since each waiting one is checked right before its own first byte.
     pub(crate) fn allows_first_byte(&mut self, now: Micros, query: QueryId, attempt: u8) -> bool {
         let Some(budget) = self.budget else {
             return true;
--- a/crates/scheduler/src/send_ledger.rs
+++ b/crates/scheduler/src/send_ledger.rs
@@ -1,9 +1,9 @@
 //! Ledger of attempts that count against a limit from their first byte.
 //!
 //! The engine counts an attempt when it is sent, not when it was planned; a connection that opens
-//! late, or a paused process, can lie between the two. A planned attempt therefore counts at once,
-//! independent of the window, until its first byte is sent, and from then on by that time. The
-//! retry budget and slow start each keep such a ledger.
+//! late or a paused process can delay the send. A planned attempt therefore counts at once,
+//! independent of the window, until its first byte is sent; from then on, it counts by the time of
+//! that byte. The retry budget and slow start each keep such a ledger.
 //!
 //! Bound: the attempts sent within one window, and those that are planned.
 
--- a/crates/scheduler/src/settings.rs
+++ b/crates/scheduler/src/settings.rs
@@ -97,9 +97,10 @@
     pub initial_share: f64,
     /// Time after its start at which the engine has its full capacity.
     pub warm_up_time: Micros,
-    /// The engine fails if it is sent more than this multiple of its current capacity ...
+    /// The engine fails if it is sent more than this multiple of its current capacity within one
+    /// [`window`](SlowStart::window).
     pub overload_multiple: f64,
-    /// ... within a window of this length.
+    /// Length of the sliding window in which `overload_multiple` is measured.
     pub window: Micros,
 }
 
--- a/crates/scheduler/src/slow_start.rs
+++ b/crates/scheduler/src/slow_start.rs
@@ -19,8 +19,8 @@
 const CAPACITY_BUSY_SHARE: f64 = 0.85;
 /// Highest demand that an engine's probability of selection allows for, as a multiple of capacity.
 const MAX_DEMAND: f64 = 1.5;
-/// Queries above this fraction of a window's budget get a lower probability, as they would make its
-/// use vary widely.
+/// Queries above this fraction of a window's budget get a lower probability, as they would make the
+/// use of the budget vary widely.
 const FULL_CHANCE_SHARE: f64 = 0.125;
 /// Lower bound on the fraction of all work that is suitable for engines that are warming up.
 const MIN_SUITABLE_SHARE: f64 = 0.5;
@@ -70,9 +70,9 @@
         && wins_draw(state, now, query, engine, &rule, window_budget, weight)
 }
 
-/// Admits queries at random if this coordinator's share of an engine is less than one query and
-/// cannot be counted. The probabilities are such that all coordinators together use the budget;
-/// small queries use what large ones leave.
+/// Admits queries at random if this coordinator's share of an engine is less than one query, so
+/// that queries cannot be counted against it. The probabilities are such that all coordinators
+/// together use the budget; small queries use what large ones leave.
 fn wins_draw(
     state: &SchedulerState,
     now: Micros,
--- a/crates/scheduler/src/state.rs
+++ b/crates/scheduler/src/state.rs
@@ -159,7 +159,7 @@
         })
     }
 
-    /// Queries that are on no engine's queue because no engine was eligible.
+    /// Queries that are in no engine's queue because no engine was eligible.
     pub(crate) fn unplaced_queries(&self) -> Vec<QueryId> {
         let unplaced = |q: &PendingQuery| q.state == QueryState::Unplaced;
         let queries = self.queries.iter().filter(|(_, q)| unplaced(q));
@@ -173,7 +173,7 @@
         }
     }
 
-    /// Removes a query from its engine's queue, if it is on one.
+    /// Removes a query from its engine's queue, if it is in one.
     pub(crate) fn unqueue(&mut self, id: QueryId) {
         let Some(QueryState::Queued(engine)) = self.queries.get(&id).map(|q| q.state) else {
             return;
--- a/crates/scheduler/src/types.rs
+++ b/crates/scheduler/src/types.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EngineId(pub u64);
 
-/// A query as it arrives. Estimates are `None` if the client gave none.
+/// Identifies a query. The host assigns the number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct QueryId(pub u64);
 
