--- a/crates/cluster-harness/src/soak/rules.rs
+++ b/crates/cluster-harness/src/soak/rules.rs
@@ -23,7 +23,7 @@
     Lost,
     /// An insert ran more than once.
     Duplicate,
-    /// A request was attempts to a draining engine.
+    /// An attempt was sent to a draining engine.
     Drain,
     /// There were more retries than the retry budget allows.
     RetryBudget,
@@ -54,7 +54,7 @@
 /// The results of a soak test.
 #[derive(Debug, Default)]
 pub struct Report {
-    /// Number of requests attempts.
+    /// Number of requests sent.
     pub requests: usize,
     /// Number of responses by status.
     pub statuses: BTreeMap<u16, usize>,
--- a/crates/cluster/tests/log_file.rs
+++ b/crates/cluster/tests/log_file.rs
@@ -58,7 +58,7 @@
                     (record_end.1, record_end.0, end > record_end.0)
                 )
             }
-            // Within the initial file, which is moved to its place only once it is complete.
+            // The cut is within the initial file, which is moved to its place only once it is complete.
             None => assert!(last <= 1 && loaded.valid_bytes <= end, "cut at {end}"),
         }
     }
--- a/crates/coordinator/tests/agreed.rs
+++ b/crates/coordinator/tests/agreed.rs
@@ -118,7 +118,7 @@
     let refusal = harness.request_hold(next, "room-a", 600);
     let error = refusal.unwrap_err().to_string();
     assert!(error.contains("held already"), "{error}");
-    // It knew the earlier hold of this name and learns of the later one.
+    // The old leader knew the earlier hold of this name, and learns of the later one.
     wait_until(&harness, next, "the later fencing token", |consensus| {
         consensus.holds.iter().any(|h| h.fence == fence)
     });
--- a/crates/coordinator/tests/endings/shutdown.rs
+++ b/crates/coordinator/tests/endings/shutdown.rs
@@ -49,13 +49,13 @@
     site.coordinator.wait_for_counter("requests_taken", 2);
     let start = Instant::now();
     site.coordinator.terminate();
-    // Its client timeout is far away, but the first load of its key occupies the only engine.
+    // The second load has most of its client timeout left, but waits for the first load with the same ordering key.
     assert_eq!(read_response(&mut second).status, 429);
     // The first load has started and must not run again on another engine.
     assert_eq!(read_response(&mut first).status, 500);
     gate.open();
     assert!(site.coordinator.wait().success());
-    // Both have a client timeout of 25 s.
+    // Both loads have a client timeout of 25 s, and the process exits much earlier.
     assert!(start.elapsed() < Duration::from_secs(10));
     assert_eq!(site.request_log.of("INSERT").len(), 1);
 }
--- a/crates/coordinator/tests/fleet.rs
+++ b/crates/coordinator/tests/fleet.rs
@@ -43,7 +43,7 @@
 fn killed_members_are_reported_down_and_rejoin_under_their_names() {
     let (mut harness, _engine) = start_cluster("members 5");
     harness.wait_until_members_are(&[0, 1, 2, 3, 4], &[0, 1, 2, 3, 4]);
-    // The killed members are both of the other seeds.
+    // The two killed members are the seeds other than m0.
     harness.apply_script("kill \"m1\" \"m2\"");
     harness.wait_until_members_are(&[0, 3, 4], &[0, 3, 4]);
     assert!(
@@ -91,7 +91,7 @@
     harness.wait_until_members_are(&[0, 1, 3], &[0, 1, 3]);
     harness.apply_script("wake \"m2\"");
     harness.wait_until_members_are(&[0, 1, 2, 3], &[0, 1, 2, 3]);
-    // It attributes the missed probes to its own pause and does not suspect the others.
+    // The resumed member attributes the missed probes to its own pause and does not suspect the others.
     assert_eq!(harness.counter(2, "fleet_members_down"), 0);
     assert!(harness.counter(2, "fleet_stumbles") > 0);
 }
--- a/crates/coordinator/tests/upgrade.rs
+++ b/crates/coordinator/tests/upgrade.rs
@@ -221,7 +221,7 @@
     for n in 0..20 {
         // All processes that hold the socket share its flags. The event loop checks for connections at least every 25 ms.
         platform.listener.set_nonblocking(false).unwrap();
-        // This number of calls takes longer than that.
+        // These calls together take longer than 25 ms.
         for _ in 0..200 {
             assert_eq!(
                 site.coordinator.call_management("STATUS\n"),
--- a/crates/core/tests/idempotency.rs
+++ b/crates/core/tests/idempotency.rs
@@ -254,7 +254,7 @@
     harness
         .core
         .update_engines(harness.now, ListKind::Changes, &[listed(1, Phase::Ready)]);
-    // Past the deduplication window of the attempt that never ran.
+    // The deduplication window of the attempt that never ran has passed.
     harness.wait(13 * S);
     let (_, again) = harness.send_request(LOAD, Some("w"));
     assert_eq!(
--- a/crates/core/tests/model.rs
+++ b/crates/core/tests/model.rs
@@ -23,7 +23,7 @@
         load: bool,
         key: u8,
         ms: u16,
-        /// The request's name is shared with others.
+        /// Other requests have the same name.
         shares_name: bool,
         session: u8,
         streams_body: bool,
--- a/crates/scheduler/tests/overload.rs
+++ b/crates/scheduler/tests/overload.rs
@@ -207,7 +207,7 @@
         let mut harness = SchedulerHarness::new(subset_settings(), &list);
         let (mut to_faulty, mut all) = (0, 0);
         for _ in 0..600 {
-            // Neither the client nor the engine gives the work.
+            // Neither the client nor the engine states the query's work.
             let query = Query {
                 work: None,
                 ..harness.query(0, 0, 3)
@@ -502,7 +502,8 @@
         }
         started
     };
-    // With the others' queries in its reports it keeps to its part; alone it takes theirs.
+    // While the load reports include queries of the other coordinators, the coordinator keeps to
+    // its share; without such queries it uses the whole engine.
     assert!(
         started(3.0) <= 7 && started(0.0) >= 9,
         "{} and {}",
--- a/crates/scheduler/tests/rules.rs
+++ b/crates/scheduler/tests/rules.rs
@@ -345,8 +345,8 @@
         "{act:?}"
     );
     harness.report(1, &[0.0]);
-    // It answers, so it was never down: it is neither on probation nor warming up, where almost
-    // nothing would fit.
+    // The engine answers the probe, so it was never down. It is neither on probation nor warming
+    // up; in both states it would accept almost no queries.
     let started: usize = (0..4)
         .map(|_| started_attempts(&harness.arrive(0, 100 * MS, 1).1).len())
         .sum();
