--- a/crates/clickhouse/tests/exception.rs
+++ b/crates/clickhouse/tests/exception.rs
@@ -60,7 +60,7 @@
         find_in_last_lines(version, false).map(|e| e.code),
         Some(241)
     );
-    // A row of a log table contains the same text, followed by more columns.
+    // A row of a log table contains the text of an exception, followed by more columns.
     let rows = b"Code: 241. DB::Exception: Memory\tand more columns\n7\t8\n";
     assert_eq!(find_in_last_lines(rows, false), None);
     assert_eq!(find_in_last_lines(rows, true).map(|e| e.code), Some(241));
--- a/crates/clickhouse/tests/session_model.rs
+++ b/crates/clickhouse/tests/session_model.rs
@@ -187,7 +187,7 @@
             .extend(lost.filter(|id| self.running.contains_key(id)));
     }
 
-    /// Whether running sessions were not evicted and the limit on all sessions holds.
+    /// Whether all running sessions were kept and the limit on all sessions holds.
     fn limits_hold(&self) -> bool {
         let counts = self.table.counts();
         counts.total <= MAX_SESSIONS
--- a/crates/cluster-harness/src/soak/client.rs
+++ b/crates/cluster-harness/src/soak/client.rs
@@ -76,9 +76,9 @@
     pub statement: String,
     /// The client's timeout.
     pub timeout: Duration,
-    /// When its last byte was written.
+    /// When the request's last byte was written.
     pub sent_at: Instant,
-    /// How long it took from then on.
+    /// Time from `sent_at` to the outcome.
     pub duration: Duration,
     /// Its outcome.
     pub outcome: Outcome,
--- a/crates/cluster/tests/gossip.rs
+++ b/crates/cluster/tests/gossip.rs
@@ -99,7 +99,7 @@
     assert_eq!(a.refused.forged, 1);
     b.receive(S, &a.next_rumors(S, MAX_BYTES).unwrap(), 3);
     assert_eq!(b.get(S, "a", 1).unwrap().value, b"true");
-    // A forged record with a later session is refuted too; one with the highest session, which could not be, is invalid.
+    // A forged record with a later session is refuted too; one with the highest session can't be refuted, so it is invalid.
     let mut future = GossipState::new("a", 1 << 40);
     future.publish(0, 1, b"lie", 3);
     let forged = future.next_rumors(0, MAX_BYTES).unwrap();
--- a/crates/coordinator/tests/agreed.rs
+++ b/crates/coordinator/tests/agreed.rs
@@ -199,8 +199,8 @@
     harness.wait_for_leader(&[0, 1, 2], None);
     let file = harness.state_folder(2).join("agreed");
     let length = std::fs::read(&file).unwrap().len();
-    // The file is cut within its last record, within an earlier one, and at half its length. A power cut does not cause the third:
-    // there, the disk has lost records that it had confirmed, and the log implementation has to detect that.
+    // The file is cut within its last record, within an earlier one, and at half its length. A power cut can't cause the third
+    // damage: the disk has lost records that it had confirmed, and the log implementation has to detect that.
     for cut in [3, 40, length / 2] {
         harness.apply_script("kill \"m2\"");
         let bytes = std::fs::read(&file).unwrap();
--- a/crates/coordinator/tests/conformance.rs
+++ b/crates/coordinator/tests/conformance.rs
@@ -34,7 +34,7 @@
 struct ClientView {
     status: u16,
     headers: Vec<(String, String)>,
-    /// Decompressed. Of an exception only its prefix, because the engine's and the coordinator's messages differ after it.
+    /// The decompressed body. Of an exception, only the prefix is kept, because the rest differs between engine and coordinator.
     body: Vec<u8>,
     is_complete: bool,
     /// Whether the response names the query ID, where the client set one.
--- a/crates/coordinator/tests/endings/shutdown.rs
+++ b/crates/coordinator/tests/endings/shutdown.rs
@@ -49,7 +49,8 @@
     site.coordinator.wait_for_counter("requests_taken", 2);
     let start = Instant::now();
     site.coordinator.terminate();
-    // The second load has most of its client timeout left, but waits for the first load with the same ordering key.
+    // The second load has most of its client timeout left, but waits for the first one, which has the same ordering key and
+    // occupies the only engine.
     assert_eq!(read_response(&mut second).status, 429);
     // The first load has started and must not run again on another engine.
     assert_eq!(read_response(&mut first).status, 500);
--- a/crates/mock-servers/src/request_log/rules.rs
+++ b/crates/mock-servers/src/request_log/rules.rs
@@ -10,7 +10,7 @@
 const FREE_FURTHER_ATTEMPTS: f64 = 5.0;
 /// Further attempts that are allowed per request.
 const FURTHER_ATTEMPTS_RATIO: f64 = 0.1;
-/// The operators' tolerance for a retry budget: its multiple, plus one attempt.
+/// The operators' tolerance for a retry budget: this factor on the allowed number of attempts, plus one attempt.
 const BUDGET_TOLERANCE: f64 = 1.15;
 
 /// Checks all rules except retry budgets.
--- a/crates/scheduler/tests/overload.rs
+++ b/crates/scheduler/tests/overload.rs
@@ -131,7 +131,7 @@
             ..listed(e)
         })
         .collect();
-    // Queries pay for no probes.
+    // A probe costs so much that queries earn no budget for one.
     let s = Settings {
         may_probe: true,
         probe_cost: 1e9,
@@ -220,7 +220,7 @@
                 to = started_attempts(&harness.end(q, attempt, Outcome::Error, 10 * MS))[0].1;
                 attempt += 1;
             }
-            // Three times slower, which still meets the objective on average.
+            // The faulty engine is three times slower, which still meets the objective on average.
             harness.end(
                 q,
                 attempt,
@@ -393,7 +393,7 @@
     s.classes[1].latency_objective = 20 * S;
     for answered in [true, false] {
         let mut harness = SchedulerHarness::new(s.clone(), &list);
-        // About forty queries pay for the probes of one that probes first.
+        // About forty light queries earn the budget for the probes of one heavy query.
         for _ in 0..45 {
             let (q, act) = harness.arrive(0, 100 * MS, 1);
             assert_eq!(
