--- a/crates/coordinator/tests/agreed.rs
+++ b/crates/coordinator/tests/agreed.rs
@@ -118,7 +118,7 @@
     let refusal = harness.request_hold(next, "room-a", 600);
     let error = refusal.unwrap_err().to_string();
     assert!(error.contains("held already"), "{error}");
-    // It knew the earlier hold of this name and learns of the later one.
+    // The old leader knew the earlier hold of this name, and learns of the later one.
     wait_until(&harness, next, "the later fencing token", |consensus| {
         consensus.holds.iter().any(|h| h.fence == fence)
     });
@@ -199,8 +199,8 @@
     harness.wait_for_leader(&[0, 1, 2], None);
     let file = harness.state_folder(2).join("agreed");
     let length = std::fs::read(&file).unwrap().len();
-    // The file is cut within its last record, within an earlier one, and at half its length. A power cut does not cause the third:
-    // there, the disk has lost records that it had confirmed, and the log implementation has to detect that.
+    // The file is cut within its last record, within an earlier one, and at half its length. A power cut can't cause the third
+    // damage: the disk has lost records that it had confirmed, and the log implementation has to detect that.
     for cut in [3, 40, length / 2] {
         harness.apply_script("kill \"m2\"");
         let bytes = std::fs::read(&file).unwrap();
