--- a/crates/cluster/src/agent/incoming.rs
+++ b/crates/cluster/src/agent/incoming.rs
@@ -59,8 +59,8 @@
         });
     }
 
-    /// Raises this member's session above that of an earlier process of its name, which is later because the host's clock was
-    /// set back.
+    /// Raises this member's session above that of an earlier process of its name, whose session is later because the host's
+    /// clock was set back.
     fn handle_stale_session(&mut self, now: Micros, bytes: &[u8]) {
         let Ok(later) = bytes.try_into().map(u64::from_be_bytes) else {
             return;
--- a/crates/cluster/src/agent/timers.rs
+++ b/crates/cluster/src/agent/timers.rs
@@ -23,7 +23,7 @@
 const JOIN_INTERVAL: Micros = 500_000;
 /// Interval between join requests to unreachable seeds otherwise, in case the cluster is partitioned.
 const REJOIN_INTERVAL: Micros = 5_000_000;
-/// Minimum interval between reports of stale sessions: senders are told one after another, not for each datagram.
+/// Minimum interval between reports of stale sessions: one sender is notified at a time, and not for each datagram.
 const STALE_REPORT_INTERVAL: Micros = 50_000;
 /// Interval between updates of the reachability of gossip records.
 const REACHABILITY_INTERVAL: Micros = 500_000;
@@ -162,7 +162,7 @@
         consensus.tick(now, clock, || {
             let known = members.known(now);
             let mut peers: Vec<Peer> = known.map(|m| peer(now, m, gossip)).collect();
-            // The last process of a name wins: sorting puts the one with the best status there.
+            // The last process of each name is kept: sorting puts the one with the best status last.
             peers.sort_by(|a, b| (&a.name, b.status).cmp(&(&b.name, a.status)));
             peers
         });
--- a/crates/cluster/src/consensus/bootstrap.rs
+++ b/crates/cluster/src/consensus/bootstrap.rs
@@ -6,11 +6,11 @@
 //! more promises. A voter whose id is in the set of a bootstrapped log that it promised joins that log.
 //!
 //! **Why two logs can't both make decisions.** Let sets S and T both be bootstrapped, with ids `b` in S and `b'` in T for the
-//! same name. If `b = b'` for a voter that *has* the log of S, it would never have promised T. So every voter that has S is in
-//! T under another id, as another process. Majorities of S and T that work at the same time thus need two running processes
-//! for each of two of three names. Two processes of one name run only during an upgrade, and share the log in the state folder
-//! under a lock. Leases that an earlier set may have granted end within [`GRACE_AFTER_BOOTSTRAP`], during which nothing is
-//! granted.
+//! same name. If `b = b'` for a voter that *has* the log of S, it would never have promised T. So every voter that has the
+//! log of S is in T under another id, as another process. With three voters, majorities of S and T that work at the same time
+//! thus need two running processes for each of two names. Two processes of one name run only during an upgrade, and share the
+//! log in the state folder under a lock. Leases that an earlier set may have granted end within [`GRACE_AFTER_BOOTSTRAP`],
+//! during which nothing is granted.
 //!
 //! [`GRACE_AFTER_BOOTSTRAP`]: super::log_identity::GRACE_AFTER_BOOTSTRAP
 
--- a/crates/cluster/src/consensus/command.rs
+++ b/crates/cluster/src/consensus/command.rs
@@ -70,7 +70,7 @@
         /// The time until leases are granted.
         wait: Micros,
     },
-    /// The requester is an earlier process of its name.
+    /// A later request of the member, by the same process or by a later one, was already applied.
     Stale,
 }
 
--- a/crates/cluster/src/consensus/leases.rs
+++ b/crates/cluster/src/consensus/leases.rs
@@ -6,11 +6,11 @@
 //!
 //! **Time.** The leader assigns an entry's time. The leader's log time advances no faster than its clock and starts at the time
 //! of the last applied entry. A lease that has ended here has therefore lasted at least as long on its holder's clock, which
-//! counts from before the request. Time that stands still between entries only makes leases end later.
+//! counts from before the request. Log time that does not advance between entries only delays the ends of leases.
 //!
 //! A lease that *stays* is not freed at its end: it counts until its owner releases it or an operator revokes it. It is used
-//! where recovery must be observed first: an engine that was taken out counts as out until it is seen back, whichever member
-//! requested it.
+//! where recovery must be observed first: an engine that was taken out of service counts as such until it is observed back
+//! in service, whichever member requested the lease.
 //!
 //! The table is stored and sent in postcard format: the order of fields must not change.
 
--- a/crates/cluster/src/consensus/log_identity.rs
+++ b/crates/cluster/src/consensus/log_identity.rs
@@ -10,8 +10,8 @@
 
 /// No lease is granted for this long after a bootstrap, in log time.
 ///
-/// By then, all leases have ended that an earlier log without state folders granted before it lost all voters at once. Where
-/// logs are not persistent, no lease is granted for longer than this.
+/// This protects the leases of an earlier log without state folders that lost all voters at once: they have ended by then.
+/// Where logs are not persistent, no lease is granted for longer than this.
 pub const GRACE_AFTER_BOOTSTRAP: Micros = 10_000_000;
 
 /// The log that a replica belongs to, and the replica's id in it.
--- a/crates/cluster/src/consensus/mod.rs
+++ b/crates/cluster/src/consensus/mod.rs
@@ -24,8 +24,8 @@
 //! **Isolation.** Without a majority nothing new is granted. A held lease remains valid until its end by the holder's own clock;
 //! after that the holder must act as if it never had it.
 //!
-//! **Malicious peers.** A peer that holds the key can claim that a lease is granted which is not, replace voters and terminate
-//! replicas; a site must trust the holders of its key.
+//! **Malicious peers.** A peer that holds the key can claim that a lease was granted when it was not, replace voters and
+//! terminate replicas; operators must trust every holder of the key.
 //!
 //! **Stopped processes.** A process that was stopped holds no expired lease when it resumes: the end of a lease is checked at
 //! each use ([`Consensus::holds`]), not only when it is granted.
--- a/crates/cluster/src/consensus/reconfiguration.rs
+++ b/crates/cluster/src/consensus/reconfiguration.rs
@@ -16,8 +16,8 @@
 //! configured, since its log returns with it.
 //!
 //! Members with other names become voters only if all logs are persistent. Otherwise the voters keep the names of the initial
-//! voters, so that initial voters which all have no log know that none exists. With persistent logs, the file of a replaced
-//! voter says that it was replaced.
+//! voters, so that no log exists if none of the initial voters has one. With persistent logs, the file of a replaced voter
+//! says that it was replaced.
 
 use super::state::Voter;
 use crate::membership::MemberStatus;
--- a/crates/cluster/src/consensus/replica/mod.rs
+++ b/crates/cluster/src/consensus/replica/mod.rs
@@ -31,8 +31,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-/// Terms and indexes above this are rejected: no valid log reaches them, and a forged message with such a number would exhaust
-/// the range.
+/// Terms and indexes above this are rejected: no valid log reaches them, and a forged one would exhaust the range.
 const MAX_TERM_OR_INDEX: u64 = 1 << 40;
 /// `raft`'s tick.
 pub const TICK: Micros = 100_000;
@@ -199,8 +198,7 @@
         Some(self.raft.raft.leader_id).filter(|&id| id != 0 && !self.has_failed)
     }
 
-    /// Whether it is the leader and has applied all entries committed under earlier leaders: its last applied entry is of its
-    /// own term.
+    /// Whether it is the leader and has applied all that earlier leaders committed: its last applied entry is of its own term.
     pub fn leads(&self) -> bool {
         let raft = &self.raft.raft;
         let has_applied_own_term = || {
@@ -225,7 +223,7 @@
         self.is_outdated
     }
 
-    /// Whether it neither failed nor is outdated.
+    /// Whether it can continue: it has not failed, and has found no data of a later build.
     pub fn is_working(&self) -> bool {
         !self.has_failed && !self.is_outdated
     }
@@ -241,8 +239,7 @@
         let raft = &self.raft.raft;
         let id = *raft.prs().conf().learners().iter().min()?;
         let progress = raft.prs().get(id)?;
-        // After a snapshot the learner stays in probe state until the next entry, which may take long, so that the state is no
-        // measure of whether it has caught up: the matched index is.
+        // The matched index is the measure: after a snapshot, probe state lasts until the next entry, which may take long.
         let has_entries = progress.matched > 0 && progress.state != ProgressState::Snapshot;
         let is_within_lag = progress.matched + MAX_LEARNER_LAG_ENTRIES >= raft.raft_log.committed;
         Some(LearnerProgress {
--- a/crates/cluster/src/consensus/store.rs
+++ b/crates/cluster/src/consensus/store.rs
@@ -189,7 +189,7 @@
         SNAPSHOT_RECORD => {
             log.install_snapshot(Snapshot::parse_from_bytes(body).map_err(unreadable)?);
         }
-        // Kinds of a later build are skipped: one that must be understood comes with a new version in the header.
+        // Kinds of a later build are skipped; a kind that must not be skipped comes with a new version in the header.
         _ => {}
     }
     Ok(())
--- a/crates/cluster/src/local_clock.rs
+++ b/crates/cluster/src/local_clock.rs
@@ -61,8 +61,8 @@
         u64::from(1 + self.self_suspicion)
     }
 
-    /// The host's clock at which to update for local `time`. It is capped so that a late update always means a stall, never
-    /// just the lack of a due timer. `None` before the first update.
+    /// The host's clock at which to update for local `time`. It is capped so that a late update always means a stall, and
+    /// not merely that no timer was due. `None` before the first update.
     pub fn host_clock_at(&self, time: Micros) -> Option<Micros> {
         let after = time.saturating_sub(self.now) * self.slowdown();
         Some(self.host_clock? + after.min(MAX_STEP / 2))
--- a/crates/cluster/src/member_metadata.rs
+++ b/crates/cluster/src/member_metadata.rs
@@ -17,7 +17,7 @@
     Starting,
     /// It serves requests.
     Serving,
-    /// An operator paused it: it sends its clients away.
+    /// An operator paused it: it drains its clients.
     Paused,
     /// It completes the requests that it accepted, then exits.
     Ending,
--- a/crates/cluster/src/membership/config.rs
+++ b/crates/cluster/src/membership/config.rs
@@ -13,7 +13,7 @@
 const INDIRECT_PROBES: NonZeroUsize = NonZeroUsize::new(8).unwrap();
 /// A suspected member that sends no refutation for this long is declared down: about eight paths to it have failed by then.
 const SUSPICION_TIMEOUT: Duration = Duration::from_millis(2_000);
-/// Members that are down are remembered for this long, so that old messages do not revive them.
+/// Members that are down are remembered for this long, so that old messages do not make them alive again.
 pub(super) const DOWN_RETENTION: Duration = Duration::from_secs(60);
 /// How often each member retransmits an update: about three times the natural logarithm of 300 members.
 const UPDATE_TRANSMISSIONS: NonZeroU8 = NonZeroU8::new(18).unwrap();
--- a/crates/cluster/src/membership/mod.rs
+++ b/crates/cluster/src/membership/mod.rs
@@ -166,7 +166,7 @@
     }
 
     /// The sender of a datagram and a later known session of its name, if there is one. This happens if the sender restarted
-    /// with its clock set back; members that remember the other process would not admit it.
+    /// with its clock set back; members that remember the later session would not admit the sender.
     pub fn later_session(&self, datagram: &[u8]) -> Option<(Identity, u64)> {
         let mut codec = Codec::new(self.names.clone());
         let header: Header<Identity> = foca::Codec::decode_header(&mut codec, datagram).ok()?;
@@ -303,7 +303,8 @@
     }
 
     /// Drops all suspicions of others. Called when this member was declared down or all others went down: most likely it was
-    /// cut off itself, and must not spread its suspicions once it is connected again. Live members stay, none suspected.
+    /// cut off itself, and must not spread its suspicions once it is connected again. Live members stay known, and none is
+    /// suspected.
     fn reset(&mut self, now: Micros, output: &mut Output) {
         let own = foca::Identity::renew(self.own()).unwrap_or_else(|| self.own().clone());
         self.reset_as(now, own, output);
--- a/crates/coordinator/src/backends/mod.rs
+++ b/crates/coordinator/src/backends/mod.rs
@@ -76,7 +76,7 @@
     fn reports_progress(&self) -> bool {
         true
     }
-    /// Whether an attempt in flight may be silent for any time, so that only a probe shows that the engine is alive.
+    /// Whether an attempt in flight may be silent for any length of time, so that only a probe shows that the engine is alive.
     fn needs_liveness_probes(&self) -> bool {
         false
     }
--- a/crates/coordinator/src/discovery/backoff.rs
+++ b/crates/coordinator/src/discovery/backoff.rs
@@ -3,8 +3,8 @@
 use crate::net::fnv1a_64;
 use driftfront_core::Micros;
 
-/// Maximum delay before a new connection after the first failure; each further failure doubles it. All
-/// events count as delivered 2 s after a disconnect.
+/// Maximum delay before a new connection after the first failure; each further failure doubles it. Every event counts as
+/// delivered to this coordinator 2 s after a disconnect.
 pub const BASE_DELAY: Micros = 25_000;
 /// Maximum delay before a new connection.
 pub const MAX_DELAY: Micros = 400_000;
--- a/crates/coordinator/src/frontends/platform/fields.rs
+++ b/crates/coordinator/src/frontends/platform/fields.rs
@@ -11,7 +11,7 @@
 /// Maximum value of an estimate; larger ones are implausible and would distort scheduling.
 const MAX_NUMBER: f64 = 1e9;
 /// A request with an ordering key may arrive this late: clients send requests that share a key one after another while the timeout
-/// is running. The client gives up this much earlier than the timeout counted here, so it is subtracted.
+/// is running. The timeout counted here starts only at arrival, so this delay is subtracted from it.
 const KEY_DELAY_MS: f64 = 600.0;
 /// For short timeouts the delay is at most this fraction (1/n) of the timeout.
 const MIN_TIMEOUT_PER_KEY_DELAY: f64 = 10.0;
--- a/crates/coordinator/src/net/silence.rs
+++ b/crates/coordinator/src/net/silence.rs
@@ -8,8 +8,8 @@
 /// Without progress reports, a connection counts as silent once a probe has gone unanswered for this long.
 pub const PROBE_OVERDUE_AFTER: Micros = 1_600_000;
 /// From this many silent attempts on one engine, silence is unlikely to be chance. With fewer, while other engines of the zone
-/// respond, reports may be later: an engine short of memory sends no reports for the queries that wait there, and if a whole
-/// cluster withdrew its few attempts, the engine would do all its work twice.
+/// respond, reports may be later: an engine short of memory sends no reports for the queries that wait there, and if every
+/// coordinator of a cluster withdrew its few attempts, the engine would do all its work twice.
 const MANY_SILENT_ATTEMPTS: usize = 3;
 /// Multiple of the report interval that is tolerated with fewer attempts than [`MANY_SILENT_ATTEMPTS`].
 const FEW_ATTEMPTS_FACTOR: Micros = 3;
--- a/crates/coordinator/src/node/clients/closing.rs
+++ b/crates/coordinator/src/node/clients/closing.rs
@@ -25,7 +25,7 @@
                 self.on_client_ready(now, id);
             }
             let Some(client) = self.clients.get_mut(id) else {
-                // Processing its input closed it.
+                // The connection was closed while its input was processed.
                 return true;
             };
             if client.eviction_rank(now).is_none() {
--- a/crates/coordinator/src/node/cluster.rs
+++ b/crates/coordinator/src/node/cluster.rs
@@ -217,7 +217,7 @@
             return;
         };
         cluster.update_state(now, state);
-        // Called on every check: an agent that ticks rarely could not tell the interval from a stall of its own.
+        // Called on every check: an agent that ticks rarely could not distinguish the interval between ticks from a stall.
         cluster.tick();
         self.update_consensus(state);
         if let Some(cluster) = &mut self.cluster {
--- a/crates/coordinator/src/node/engines/connection.rs
+++ b/crates/coordinator/src/node/engines/connection.rs
@@ -18,8 +18,8 @@
 
 /// Maximum number of probes and attempts queued on one connection.
 const MAX_QUEUED_WRITES: usize = 256;
-/// Fraction of the engine's idle timeout after which a connection is not reused: if a request crossed the engine's close, there
-/// would be no proof that it did not run.
+/// Fraction of the engine's idle timeout after which a connection is not reused: if a request crossed the engine's close, it
+/// would be unknown whether it ran.
 const REUSABLE_IDLE_FRACTION: f64 = 0.9;
 
 /// Work that waits to be written.
--- a/crates/coordinator/src/node/engines/pool.rs
+++ b/crates/coordinator/src/node/engines/pool.rs
@@ -13,7 +13,7 @@
 const MAX_CONNECTION_LIMIT: usize = 64;
 /// Maximum number of attempts that share a connection while others may be opened: a malformed response ends all attempts on it.
 const MAX_SHARED_ATTEMPTS: usize = 4;
-/// Engine connections may use one in this many descriptors.
+/// Engine connections may use at most this fraction (1/n) of the descriptors.
 const DESCRIPTORS_PER_ENGINE_CONNECTION: usize = 3;
 
 /// The work that needs a connection.
--- a/crates/coordinator/src/node/lifecycle.rs
+++ b/crates/coordinator/src/node/lifecycle.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 
 impl Node {
-    /// Whether the process may exit now. The listening socket is closed before.
+    /// Whether the process may exit now. If the listening socket must still be closed, this closes it and returns false.
     pub(super) fn can_exit(&mut self) -> bool {
         let writing = self.clients.has_unread_output();
         let ends = self.lifecycle.may_exit(
--- a/crates/coordinator/src/node/management.rs
+++ b/crates/coordinator/src/node/management.rs
@@ -2,8 +2,8 @@
 //! `driftfront_control::management`; orders go to the same registry and lifecycle as those of the control socket.
 //!
 //! Calls take precedence over the clients' backlog: the address is checked between client connections, so that a caller waits
-//! for one turn at most. Callers that connect and send nothing block nobody: the number of connections is limited, and the one
-//! that has waited longest is closed first.
+//! for one turn at most. Callers that connect and send nothing do not block others: the number of connections is limited, and
+//! the connection that has waited longest is closed first.
 
 mod error;
 
--- a/crates/coordinator/src/node/mod.rs
+++ b/crates/coordinator/src/node/mod.rs
@@ -201,7 +201,7 @@
 
 fn new_lifecycle(config: &Config, is_successor: bool, is_passed: bool) -> Lifecycle {
     let timeouts = config.classes.default_timeouts.iter().copied();
-    // The platform sends SIGKILL after SIGTERM; a service manager outside it has rules of its own.
+    // The platform sends SIGKILL after SIGTERM; other service managers have rules of their own.
     let is_killed_after_sigterm = config.protocol == Protocol::Platform;
     Lifecycle::new(
         is_successor,
